--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -113,7 +113,7 @@
 	}, random)
 	n.registry = registry.New(now, registry.Options{
 		SelfID: self.NodeId, SelfAddress: self.Address, ControlAddress: self.ControlAddress, Zone: self.Zone,
-		Heartbeat: options.Heartbeat,
+		HeartbeatInterval: options.Heartbeat,
 	}, random)
 	n.rollout = rollout.New(rollout.Options{
 		Lease: options.Bounds.Lease, Thaw: options.Bounds.Thaw, Version: options.Bounds.Version,
--- a/internal/node/registry/bench_test.go
+++ b/internal/node/registry/bench_test.go
@@ -36,7 +36,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.tableChanged("7")
+		r.invalidateService("7")
 		r.Table()
 	}
 }
--- a/internal/node/registry/expiry.go
+++ b/internal/node/registry/expiry.go
@@ -5,14 +5,14 @@
 // expiresAt is when something about the record changes by time alone; Never where nothing does.
 func (r *record) expiresAt() core.Time {
 	if r.gone() {
-		return r.goneAt + tombstoneLife
+		return r.goneAt + tombstoneRetention
 	}
 	next := core.Never
-	if r.silent {
-		next = r.silentFrom + forgetSilentAfter
+	if r.unresponsive {
+		next = r.unresponsiveSince + unresponsiveRetention
 	}
-	if r.loadingFence != 0 && r.picture != nil && r.picture.Loading {
-		next = min(next, r.loadingSince+loadingLimit)
+	if r.loadingToken != 0 && r.tableEntry != nil && r.tableEntry.Loading {
+		next = min(next, r.loadingSince+loadingTimeout)
 	}
 	return next
 }
@@ -26,7 +26,7 @@
 		if rec.expiresAt() <= now {
 			r.expireRecord(now, rec)
 		}
-		if r.records[rec.told.Id] == rec {
+		if r.records[rec.reported.Id] == rec {
 			r.watchExpiry(rec)
 		}
 	}
@@ -35,17 +35,17 @@
 func (r *Registry) expireRecord(now core.Time, rec *record) {
 	switch {
 	case rec.gone():
-		r.gone--
+		r.tombstoneCount--
 		r.remove(rec)
-	case rec.silent && rec.silentFrom+forgetSilentAfter <= now:
+	case rec.unresponsive && rec.unresponsiveSince+unresponsiveRetention <= now:
 		r.remove(rec)
 	default:
-		r.refreshPicture(now, rec)
+		r.refreshTableEntry(now, rec)
 	}
 }
 
-// dropOldestGone forgets the broker that went first, other than the newest one.
-func (r *Registry) dropOldestGone(newest *record) {
+// dropOldestTombstone forgets the broker that went first, other than the newest one.
+func (r *Registry) dropOldestTombstone(newest *record) {
 	var oldest *record
 	for _, rec := range r.records {
 		if rec == newest || !rec.gone() {
@@ -58,6 +58,6 @@
 	if oldest == nil {
 		return
 	}
-	r.gone--
+	r.tombstoneCount--
 	r.remove(oldest)
 }
--- a/internal/node/registry/forward.go
+++ b/internal/node/registry/forward.go
@@ -7,31 +7,31 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// forwarded is a broker's call that was passed on to its home.
-type forwarded struct {
-	number   uint64
-	from     asker
-	instance *nodepb.Instance
-	home     *peer
-	retryAt  core.Time
-	giveUpAt core.Time
+// forwardedCall is a broker's call that was passed on to its home.
+type forwardedCall struct {
+	requestID uint64
+	origin    callOrigin
+	instance  *nodepb.Instance
+	home      *peer
+	retryAt   core.Time
+	giveUpAt  core.Time
 }
 
-func (f *forwarded) deadline() core.Time { return min(f.retryAt, f.giveUpAt) }
+func (f *forwardedCall) deadline() core.Time { return min(f.retryAt, f.giveUpAt) }
 
-func (r *Registry) forward(now core.Time, from asker, instance *nodepb.Instance, home *peer) {
-	pending := &forwarded{
-		number: r.nextNonce(), from: from, instance: instance, home: home,
-		giveUpAt: now + forwardLimit,
+func (r *Registry) forward(now core.Time, from callOrigin, instance *nodepb.Instance, home *peer) {
+	pending := &forwardedCall{
+		requestID: r.nextNonce(), origin: from, instance: instance, home: home,
+		giveUpAt: now + forwardTimeout,
 	}
 	r.forwards = append(r.forwards, pending)
 	r.sendForward(now, pending)
 }
 
-func (r *Registry) sendForward(now core.Time, pending *forwarded) {
-	pending.retryAt = now + forwardRetry
+func (r *Registry) sendForward(now core.Time, pending *forwardedCall) {
+	pending.retryAt = now + forwardRetryInterval
 	message := &nodepb.HeartbeatForward{
-		Request: pending.number, Instance: pending.instance,
+		Request: pending.requestID, Instance: pending.instance,
 		Deregister: pending.instance.State == nodepb.InstanceState_GONE,
 	}
 	r.send(pending.home.address, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForward{HeartbeatForward: message}})
@@ -39,7 +39,7 @@
 
 // tickForwards sends unanswered calls again, and takes those here whose home does not answer.
 func (r *Registry) tickForwards(now core.Time) {
-	var expired []*forwarded
+	var expired []*forwardedCall
 	for _, pending := range r.forwards {
 		switch {
 		case pending.giveUpAt <= now:
@@ -49,25 +49,25 @@
 		}
 	}
 	for _, pending := range expired {
-		r.takeForwarded(now, pending)
+		r.handleUnansweredForward(now, pending)
 	}
 }
 
-// takeForwarded takes a call in place of its home.
-func (r *Registry) takeForwarded(now core.Time, pending *forwarded) {
+// handleUnansweredForward takes a call in place of its home.
+func (r *Registry) handleUnansweredForward(now core.Time, pending *forwardedCall) {
 	r.dropForward(pending)
-	r.markUnresponsive(now, pending.home.id)
-	r.take(now, pending.from, pending.instance, pending.from.arrived+answerLimit)
+	r.backOffPeer(now, pending.home.id)
+	r.handleCall(now, pending.origin, pending.instance, pending.origin.arrivedAt+answerTimeout)
 }
 
-func (r *Registry) markUnresponsive(now core.Time, id string) {
+func (r *Registry) backOffPeer(now core.Time, id string) {
 	if known := r.peers[id]; known != nil {
-		known.unresponsiveUntil = now + unresponsiveFor
+		known.backoffUntil = now + peerBackoff
 	}
 }
 
-func (r *Registry) dropForward(pending *forwarded) {
-	r.forwards = slices.DeleteFunc(r.forwards, func(other *forwarded) bool { return other == pending })
+func (r *Registry) dropForward(pending *forwardedCall) {
+	r.forwards = slices.DeleteFunc(r.forwards, func(other *forwardedCall) bool { return other == pending })
 }
 
 // receiveForward takes a call that came to another node. It is taken here even if this node takes another for the home, so
@@ -80,16 +80,16 @@
 	if message.Deregister {
 		instance.State = nodepb.InstanceState_GONE
 	}
-	caller := asker{request: message.Request, node: from.Address, arrived: now}
-	r.take(now, caller, instance, now+confirmLimit)
+	caller := callOrigin{request: message.Request, forwarder: from.Address, arrivedAt: now}
+	r.handleCall(now, caller, instance, now+ackTimeout)
 }
 
 func (r *Registry) receiveForwardReply(message *nodepb.HeartbeatForwardReply) {
-	at := slices.IndexFunc(r.forwards, func(pending *forwarded) bool { return pending.number == message.Request })
+	at := slices.IndexFunc(r.forwards, func(pending *forwardedCall) bool { return pending.requestID == message.Request })
 	if at < 0 {
 		return
 	}
 	pending := r.forwards[at]
 	r.dropForward(pending)
-	r.answerWith(pending.from, message.Taken, message.HomeControlAddress)
+	r.answerWith(pending.origin, message.Taken, message.HomeControlAddress)
 }
--- a/internal/node/registry/heartbeat_test.go
+++ b/internal/node/registry/heartbeat_test.go
@@ -89,7 +89,7 @@
 			})
 			// The next call does not wait for the frozen home again; who takes its place may wait for its confirmation.
 			request = b.beat(node)
-			w.within(confirmLimit+50*time.Millisecond, "an answer", func() bool { return node.answers[request].Taken })
+			w.within(ackTimeout+50*time.Millisecond, "an answer", func() bool { return node.answers[request].Taken })
 		})
 	}
 }
--- a/internal/node/registry/home.go
+++ b/internal/node/registry/home.go
@@ -17,22 +17,22 @@
 	suspect        bool
 	self           bool
 
-	// unresponsiveUntil: it left a call or an update without an answer lately.
-	unresponsiveUntil core.Time
-	// noPollUntil: it left a poll without an answer lately.
-	noPollUntil core.Time
+	// backoffUntil: it left a call or an update without an answer lately.
+	backoffUntil core.Time
+	// pollBackoffUntil: it left a poll without an answer lately.
+	pollBackoffUntil core.Time
 }
 
-// responsive reports whether an answer may wait for the peer.
-func (p *peer) responsive(now core.Time) bool { return !p.suspect && p.unresponsiveUntil <= now }
+// available reports whether an answer may wait for the peer.
+func (p *peer) available(now core.Time) bool { return !p.suspect && p.backoffUntil <= now }
 
 // SetMembers tells the nodes that are alive or suspected. This node may be among them.
 func (r *Registry) SetMembers(now core.Time, members []*nodepb.Member) []core.Output {
 	r.updatePeers(now, members)
 	r.recomputeHomes(now)
-	r.settleSpreads(now)
+	r.dropFormerMembers(now)
 	if !r.synced && r.nextPoll <= now {
-		r.poll(now)
+		r.pollPeer(now)
 	}
 	return r.takeOutputs()
 }
@@ -42,31 +42,31 @@
 	r.peers = make(map[string]*peer, len(members))
 	r.others = r.others[:0]
 	for _, member := range members {
-		if member.NodeId == r.options.SelfID || !counted(member) {
+		if member.NodeId == r.options.SelfID || !isLive(member) {
 			continue
 		}
-		updated := peerOf(member)
+		updated := newPeer(member)
 		if before := known[member.NodeId]; before != nil {
-			updated.unresponsiveUntil = before.unresponsiveUntil
-			updated.noPollUntil = before.noPollUntil
+			updated.backoffUntil = before.backoffUntil
+			updated.pollBackoffUntil = before.pollBackoffUntil
 		}
 		r.peers[member.NodeId] = updated
 		r.others = append(r.others, updated)
 	}
 	slices.SortFunc(r.others, func(a, b *peer) int { return compareText(a.id, b.id) })
 	if len(r.others) > 0 || len(known) > 0 {
-		r.othersSeen = now
+		r.othersSeenAt = now
 	}
 	if len(known) == 0 {
 		r.nextPoll = max(r.nextPoll, now)
 	}
 }
 
-func counted(member *nodepb.Member) bool {
+func isLive(member *nodepb.Member) bool {
 	return member.State == nodepb.MemberState_ALIVE || member.State == nodepb.MemberState_SUSPECT
 }
 
-func peerOf(member *nodepb.Member) *peer {
+func newPeer(member *nodepb.Member) *peer {
 	return &peer{
 		id: member.NodeId, address: member.Address, controlAddress: member.ControlAddress, zone: member.Zone,
 		suspect: member.State == nodepb.MemberState_SUSPECT,
@@ -76,10 +76,10 @@
 // alone reports whether this node has to acknowledge by itself: it knew no other for long. One that lost sight of the others
 // just now may be cut off, and leaves it to those that it can't see.
 func (r *Registry) alone(now core.Time) bool {
-	return len(r.others) == 0 && (!r.everSawOthers() || now-r.othersSeen >= aloneAfter)
+	return len(r.others) == 0 && (!r.everSawOthers() || now-r.othersSeenAt >= aloneAfter)
 }
 
-func (r *Registry) everSawOthers() bool { return r.othersSeen != distantPast }
+func (r *Registry) everSawOthers() bool { return r.othersSeenAt != distantPast }
 
 // recomputeHomes finds the home of each topic anew after the members changed.
 func (r *Registry) recomputeHomes(now core.Time) {
@@ -88,21 +88,21 @@
 		t.home = r.bestHome(key)
 		if t.home.self && !before.self {
 			t.homeSince = now
-			t.doubtFrom = 0
-			r.watchSilence(now, t)
+			t.selfPreservationSince = 0
+			r.scheduleLivenessCheck(now, t)
 		}
 	}
 }
 
 // bestHome is the home of a topic.
 func (r *Registry) bestHome(key topicKey) *peer {
-	return rendezvous.Best(key.name(), r.homeCandidates(key.zone), addressOf)
+	return rendezvous.Best(key.rendezvousKey(), r.homeCandidates(key.zone), addressOf)
 }
 
 // rankHomes lists nodes as homes of a topic, best first.
 func (r *Registry) rankHomes(key topicKey) []*peer {
 	ranked := r.homeCandidates(key.zone)
-	rendezvous.Rank(key.name(), ranked, addressOf)
+	rendezvous.Rank(key.rendezvousKey(), ranked, addressOf)
 	return ranked
 }
 
@@ -134,11 +134,11 @@
 
 // homeFor is where a call about a broker goes now: its home, or who ranks next where that one is not answering.
 func (r *Registry) homeFor(now core.Time, key topicKey) *peer {
-	if t := r.topics[key]; t != nil && (t.home.self || t.home.responsive(now)) {
+	if t := r.topics[key]; t != nil && (t.home.self || t.home.available(now)) {
 		return t.home
 	}
 	for _, candidate := range r.rankHomes(key) {
-		if candidate.self || candidate.responsive(now) {
+		if candidate.self || candidate.available(now) {
 			return candidate
 		}
 	}
--- a/internal/node/registry/loading.go
+++ b/internal/node/registry/loading.go
@@ -14,12 +14,12 @@
 		return r.takeOutputs()
 	}
 	rec.revision++ // also where nothing changes here: others may hold another mark under the same revision
-	rec.setFence(now, fence)
-	r.place(now, rec, r.topics[keyOf(rec.told)])
+	rec.setLoadingToken(now, fence)
+	r.updateTopic(now, rec, r.topics[keyOf(rec.reported)])
 	r.watchExpiry(rec)
-	pending := r.startSpread(now, []string{id}, now+confirmLimit)
-	pending.marks = append(pending.marks, core.LoadingConfirmed{InstanceID: id, Fence: fence})
-	r.settle(now, pending)
+	pending := r.startBroadcast(now, []string{id}, now+ackTimeout)
+	pending.loadingConfirmations = append(pending.loadingConfirmations, core.LoadingConfirmed{InstanceID: id, Fence: fence})
+	r.advanceBroadcast(now, pending)
 	return r.takeOutputs()
 }
 
@@ -31,8 +31,8 @@
 		return nil
 	}
 	rec.raiseVersion(model, version)
-	if r.place(now, rec, r.topics[keyOf(rec.told)]) {
-		r.enqueue(now, id, 0)
+	if r.updateTopic(now, rec, r.topics[keyOf(rec.reported)]) {
+		r.scheduleBroadcast(now, id, 0)
 	}
 	return r.takeOutputs()
 }
--- a/internal/node/registry/merge.go
+++ b/internal/node/registry/merge.go
@@ -5,77 +5,77 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// learn merges what a heartbeat or a message says of a broker. It returns the record, nil where none is kept, and whether
+// merge merges what a heartbeat or a message says of a broker. It returns the record, nil where none is kept, and whether
 // anything changed that other nodes are to know.
-func (r *Registry) learn(now core.Time, incoming *nodepb.Instance, trust silenceTrust) (*record, bool) {
+func (r *Registry) merge(now core.Time, incoming *nodepb.Instance, trust livenessTrust) (*record, bool) {
 	rec := r.records[incoming.Id]
 	if rec == nil {
-		return r.create(now, incoming)
+		return r.createRecord(now, incoming)
 	}
-	previous := r.topics[keyOf(rec.told)]
+	previous := r.topics[keyOf(rec.reported)]
 	wasGone := rec.gone()
-	coldBefore := rec.coldUntil
+	coldBefore := rec.warmingUpUntil
 	rec.mergeState(now, incoming)
 	rec.mergeContent(now, incoming)
 	rec.mergeRevision(now, incoming)
-	rec.mergeSilence(now, incoming, trust)
-	changed := r.place(now, rec, previous)
+	rec.mergeLiveness(now, incoming, trust)
+	changed := r.updateTopic(now, rec, previous)
 	if !wasGone && rec.gone() {
-		r.wentGone(rec)
+		r.countTombstone(rec)
 		changed = true
 	}
 	if changed {
 		r.watchExpiry(rec)
 	}
-	coldMoved := differBy(max(rec.coldUntil, now), max(coldBefore, now), coldTolerance)
+	coldMoved := differByMoreThan(max(rec.warmingUpUntil, now), max(coldBefore, now), warmUpTolerance)
 	if !changed && coldMoved && !rec.gone() {
-		r.refreshPicture(now, rec)
+		r.refreshTableEntry(now, rec)
 	}
 	return rec, changed
 }
 
-func (r *Registry) create(now core.Time, incoming *nodepb.Instance) (*record, bool) {
-	if tooOld(incoming) {
+func (r *Registry) createRecord(now core.Time, incoming *nodepb.Instance) (*record, bool) {
+	if expiredOnArrival(incoming) {
 		return nil, false
 	}
 	rec := &record{
-		told:         shallowCopy(incoming),
-		sequence:     incoming.Sequence,
-		revision:     incoming.Revision,
-		loadingFence: incoming.LoadingFence,
-		loadingSince: now,
-		learned:      now,
-		heard:        distantPast,
-		refuted:      distantPast,
-		coldUntil:    now + duration(incoming.ColdRemainingMs),
+		reported:        shallowCopy(incoming),
+		sequence:        incoming.Sequence,
+		revision:        incoming.Revision,
+		loadingToken:    incoming.LoadingFence,
+		loadingSince:    now,
+		learnedAt:       now,
+		lastHeartbeatAt: distantPast,
+		refutedAt:       distantPast,
+		warmingUpUntil:  now + duration(incoming.ColdRemainingMs),
 	}
 	if rec.gone() {
 		rec.goneAt = now - duration(incoming.SilentMs)
 	} else if incoming.SilentMs > 0 {
-		rec.silent = true
-		rec.silentFrom = now - duration(incoming.SilentMs)
+		rec.unresponsive = true
+		rec.unresponsiveSince = now - duration(incoming.SilentMs)
 	}
 	r.records[incoming.Id] = rec
-	r.place(now, rec, nil)
+	r.updateTopic(now, rec, nil)
 	if rec.gone() {
-		r.wentGone(rec)
+		r.countTombstone(rec)
 	}
 	r.watchExpiry(rec)
 	return rec, true
 }
 
-// tooOld reports whether a broker that is not known here would be forgotten at once.
-func tooOld(incoming *nodepb.Instance) bool {
+// expiredOnArrival reports whether a broker that is not known here would be forgotten at once.
+func expiredOnArrival(incoming *nodepb.Instance) bool {
 	if incoming.State == nodepb.InstanceState_GONE {
-		return duration(incoming.SilentMs) >= tombstoneLife
+		return duration(incoming.SilentMs) >= tombstoneRetention
 	}
-	return duration(incoming.SilentMs) >= forgetSilentAfter
+	return duration(incoming.SilentMs) >= unresponsiveRetention
 }
 
-func (r *Registry) wentGone(rec *record) {
-	r.gone++
-	if r.gone > tombstoneLimit {
-		r.dropOldestGone(rec)
+func (r *Registry) countTombstone(rec *record) {
+	r.tombstoneCount++
+	if r.tombstoneCount > maxTombstones {
+		r.dropOldestTombstone(rec)
 	}
 }
 
@@ -84,19 +84,19 @@
 func (r *Registry) supersede(now core.Time, newcomer *record) []string {
 	var ids []string
 	for id, rec := range r.records {
-		if rec == newcomer || rec.gone() || rec.told.Address != newcomer.told.Address {
+		if rec == newcomer || rec.gone() || rec.reported.Address != newcomer.reported.Address {
 			continue
 		}
 		gone := rec.message(now)
 		gone.State = nodepb.InstanceState_GONE
 		gone.SilentMs = 0
-		r.learn(now, gone, trustNothing)
+		r.merge(now, gone, ignoreLiveness)
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func differBy(a, b, tolerance core.Time) bool {
+func differByMoreThan(a, b, tolerance core.Time) bool {
 	difference := a - b
 	return difference > tolerance || difference < -tolerance
 }
--- a/internal/node/registry/merge_test.go
+++ b/internal/node/registry/merge_test.go
@@ -103,7 +103,7 @@
 	outputs := r.Heartbeat(time.Second, 2, again)
 	assert.Equal(t, len(outputs), 1, "only the answer")
 	assert.Equal(t, r.Table(), before)
-	assert.Equal(t, before.ByID["i"].ColdUntil, 5*time.Second)
+	assert.Equal(t, before.ByID["i"].WarmingUpUntil, 5*time.Second)
 }
 
 func TestTombstonesHoldOffLateMessagesForAMinute(t *testing.T) {
@@ -130,11 +130,11 @@
 
 func TestTombstonesAreBounded(t *testing.T) {
 	r := single()
-	for number := range tombstoneLimit + 10 {
+	for number := range maxTombstones + 10 {
 		r.Deregister(core.Time(number), 1, "gone-"+string(rune('a'+number%26))+time.Duration(number).String())
 	}
-	assert.Equal(t, len(r.records), tombstoneLimit)
-	assert.Equal(t, r.gone, tombstoneLimit)
+	assert.Equal(t, len(r.records), maxTombstones)
+	assert.Equal(t, r.tombstoneCount, maxTombstones)
 }
 
 // PROTOCOL.md, "Brokers": the address of a broker that has ended may be given to another one.
@@ -183,7 +183,7 @@
 	w.nodes[4].Freeze()
 	holder := w.nodes[0]
 	holder.Do(func(now core.Time) []core.Output { return holder.registry.SetLoading(now, "1", 41) })
-	w.within(confirmLimit+time.Millisecond, "an answer", func() bool { return len(holder.marks) > 0 })
+	w.within(ackTimeout+time.Millisecond, "an answer", func() bool { return len(holder.marks) > 0 })
 	assert.Assert(t, !holder.marks[0].Everywhere)
 	w.nodes[4].Thaw()
 	w.within(2*time.Second, "known everywhere", func() bool { return w.everyoneHas("1", loading) })
@@ -215,12 +215,12 @@
 	r := single()
 	r.Heartbeat(0, 1, at(1, isReady, nil))
 	r.SetLoading(0, "i", 41)
-	for now := core.Time(0); now < loadingLimit; now += time.Second {
+	for now := core.Time(0); now < loadingTimeout; now += time.Second {
 		r.Heartbeat(now, 2, at(2+uint64(now), isReady, func(i *nodepb.Instance) { i.Slots = 1 }))
 		r.Tick(now)
 		assert.Assert(t, r.Table().ByID["i"].Loading)
 	}
-	r.Tick(loadingLimit)
+	r.Tick(loadingTimeout)
 	assert.Assert(t, !r.Table().ByID["i"].Loading)
 }
 
--- a/internal/node/registry/picture.go
+++ b/internal/node/registry/picture.go
@@ -10,47 +10,47 @@
 
 // Table returns the newest picture of all brokers known. It is never changed; a change makes another.
 func (r *Registry) Table() *Table {
-	if len(r.repaint) > 0 {
+	if len(r.staleServices) > 0 {
 		r.table = r.buildTable()
-		clear(r.repaint)
+		clear(r.staleServices)
 	}
 	return r.table
 }
 
-// tableChanged notes that a service's list in the table is to be made anew.
-func (r *Registry) tableChanged(service string) {
-	r.repaint[service] = true
-	r.announce = true
+// invalidateService notes that a service's list in the table is to be made anew.
+func (r *Registry) invalidateService(service string) {
+	r.staleServices[service] = true
+	r.tableChanged = true
 }
 
-// refreshPicture makes the broker's entry in the table anew.
-func (r *Registry) refreshPicture(now core.Time, rec *record) {
-	r.erase(rec)
+// refreshTableEntry makes the broker's entry in the table anew.
+func (r *Registry) refreshTableEntry(now core.Time, rec *record) {
+	r.removeTableEntry(rec)
 	if rec.gone() {
 		return
 	}
-	rec.picture = rec.paint(now)
-	r.tableChanged(rec.picture.Service)
+	rec.tableEntry = rec.newTableEntry(now)
+	r.invalidateService(rec.tableEntry.Service)
 }
 
-// erase takes the broker out of the table.
-func (r *Registry) erase(rec *record) {
-	if rec.picture == nil {
+// removeTableEntry takes the broker out of the table.
+func (r *Registry) removeTableEntry(rec *record) {
+	if rec.tableEntry == nil {
 		return
 	}
-	r.tableChanged(rec.picture.Service)
-	rec.picture = nil
+	r.invalidateService(rec.tableEntry.Service)
+	rec.tableEntry = nil
 }
 
-func (r *record) paint(now core.Time) *Instance {
-	versions := make(map[string]uint64, len(r.told.Models))
-	for _, model := range r.told.Models {
+func (r *record) newTableEntry(now core.Time) *Instance {
+	versions := make(map[string]uint64, len(r.reported.Models))
+	for _, model := range r.reported.Models {
 		versions[model.Name] = model.Version
 	}
 	return &Instance{
-		ID: r.told.Id, Service: r.told.Service, Address: r.told.Address, Zone: r.told.Zone,
-		Slots: int(r.told.Slots), State: State(r.told.State), Versions: versions,
-		Loading: r.loading(now), Silent: r.silent, ColdUntil: r.coldUntil,
+		ID: r.reported.Id, Service: r.reported.Service, Address: r.reported.Address, Zone: r.reported.Zone,
+		Slots: int(r.reported.Slots), State: State(r.reported.State), Versions: versions,
+		Loading: r.loading(now), Unresponsive: r.unresponsive, WarmingUpUntil: r.warmingUpUntil,
 	}
 }
 
@@ -61,13 +61,13 @@
 		ByService: maps.Clone(r.table.ByService),
 		ByID:      maps.Clone(r.table.ByID),
 	}
-	for service := range r.repaint {
+	for service := range r.staleServices {
 		for _, before := range table.ByService[service] {
 			delete(table.ByID, before.ID)
 		}
 		delete(table.ByService, service)
 	}
-	for service := range r.repaint {
+	for service := range r.staleServices {
 		list := r.listService(service)
 		if len(list) == 0 {
 			continue
@@ -84,17 +84,17 @@
 	var list []*Instance
 	for key, t := range r.topics {
 		if key.service == service {
-			list = t.appendPictures(list)
+			list = t.appendTableEntries(list)
 		}
 	}
 	slices.SortFunc(list, func(a, b *Instance) int { return compareText(a.ID, b.ID) })
 	return list
 }
 
-func (t *topic) appendPictures(list []*Instance) []*Instance {
+func (t *topic) appendTableEntries(list []*Instance) []*Instance {
 	for _, rec := range t.records {
-		if rec.picture != nil {
-			list = append(list, rec.picture)
+		if rec.tableEntry != nil {
+			list = append(list, rec.tableEntry)
 		}
 	}
 	return list
--- a/internal/node/registry/record.go
+++ b/internal/node/registry/record.go
@@ -12,60 +12,60 @@
 
 // record is what this node knows of one life of a broker.
 type record struct {
-	// told is the broker's own word: the content of its newest heartbeat that said anything new, with the highest state
+	// reported is the broker's own word: the content of its newest heartbeat that said anything new, with the highest state
 	// and the highest version of each model ever told. Never changed in place.
-	told *nodepb.Instance
+	reported *nodepb.Instance
 	// sequence is that of the newest heartbeat, also where it said nothing new.
 	sequence uint64
 
 	// revision orders what nodes set besides the heartbeat: the fence of the loading mark, 0 without one.
 	revision     uint64
-	loadingFence uint64
+	loadingToken uint64
 	loadingSince core.Time
 
-	learned core.Time // when this node first knew of the broker
-	heard   core.Time // when this node last took a heartbeat of it, itself or by a forward
-	refuted core.Time // when this node last contradicted that it is silent
-	goneAt  core.Time // when it went, where it has
+	learnedAt       core.Time // when this node first knew of the broker
+	lastHeartbeatAt core.Time // when this node last took a heartbeat of it, itself or by a forward
+	refutedAt       core.Time // when this node last contradicted that it is silent
+	goneAt          core.Time // when it went, where it has
 
-	silent     bool
-	silentFrom core.Time // last heartbeat before the silence
-	coldUntil  core.Time
+	unresponsive      bool
+	unresponsiveSince core.Time // last heartbeat before the silence
+	warmingUpUntil    core.Time
 
-	// confirmed: all nodes in touch hold that it is draining or gone.
-	confirmed bool
+	// leaveConfirmed: all nodes in touch hold that it is draining or gone.
+	leaveConfirmed bool
 
-	sum     uint64    // contribution to the digest of its topic; 0 where gone
-	picture *Instance // as in the table; nil where gone
+	digest     uint64    // contribution to the digest of its topic; 0 where gone
+	tableEntry *Instance // as in the table; nil where gone
 }
 
-func (r *record) state() nodepb.InstanceState { return r.told.State }
+func (r *record) state() nodepb.InstanceState { return r.reported.State }
 
-func (r *record) gone() bool { return r.told.State == nodepb.InstanceState_GONE }
+func (r *record) gone() bool { return r.reported.State == nodepb.InstanceState_GONE }
 
 // loading reports whether the loading mark is in force.
 func (r *record) loading(now core.Time) bool {
-	return r.loadingFence != 0 && now-r.loadingSince < loadingLimit
+	return r.loadingToken != 0 && now-r.loadingSince < loadingTimeout
 }
 
 // message is the record as other nodes are told of it, with times as of now.
 func (r *record) message(now core.Time) *nodepb.Instance {
-	message := shallowCopy(r.told)
+	message := shallowCopy(r.reported)
 	message.Sequence = r.sequence
 	message.Revision = r.revision
-	message.LoadingFence = r.loadingFence
-	message.ColdRemainingMs = milliseconds(r.coldUntil - now)
-	message.SilentMs = r.silentMilliseconds(now)
+	message.LoadingFence = r.loadingToken
+	message.ColdRemainingMs = milliseconds(r.warmingUpUntil - now)
+	message.SilentMs = r.unresponsiveMilliseconds(now)
 	return message
 }
 
-// silentMilliseconds is 0 for a broker that is heard; for one that has gone, the time since.
-func (r *record) silentMilliseconds(now core.Time) uint32 {
+// unresponsiveMilliseconds is 0 for a broker that is heard; for one that has gone, the time since.
+func (r *record) unresponsiveMilliseconds(now core.Time) uint32 {
 	switch {
 	case r.gone():
 		return milliseconds(now - r.goneAt)
-	case r.silent:
-		return max(milliseconds(now-r.silentFrom), 1)
+	case r.unresponsive:
+		return max(milliseconds(now-r.unresponsiveSince), 1)
 	default:
 		return 0
 	}
@@ -73,12 +73,12 @@
 
 // mergeState raises the state.
 func (r *record) mergeState(now core.Time, incoming *nodepb.Instance) {
-	if incoming.State <= r.told.State {
+	if incoming.State <= r.reported.State {
 		return
 	}
-	r.told = shallowCopy(r.told)
-	r.told.State = incoming.State
-	r.confirmed = false
+	r.reported = shallowCopy(r.reported)
+	r.reported.State = incoming.State
+	r.leaveConfirmed = false
 	if r.gone() {
 		r.goneAt = now - duration(incoming.SilentMs)
 	}
@@ -91,14 +91,14 @@
 		return
 	}
 	r.sequence = incoming.Sequence
-	r.coldUntil = now + duration(incoming.ColdRemainingMs)
-	if sameContent(r.told, incoming) {
+	r.warmingUpUntil = now + duration(incoming.ColdRemainingMs)
+	if sameContent(r.reported, incoming) {
 		return
 	}
-	before := r.told
-	r.told = shallowCopy(incoming)
-	r.told.State = before.State
-	r.told.Models = slices.Clone(incoming.Models)
+	before := r.reported
+	r.reported = shallowCopy(incoming)
+	r.reported.State = before.State
+	r.reported.Models = slices.Clone(incoming.Models)
 	r.raiseVersions(before.Models)
 }
 
@@ -111,32 +111,32 @@
 }
 
 func (r *record) raiseVersion(name string, version uint64) {
-	at := slices.IndexFunc(r.told.Models, func(model *nodepb.ModelOnInstance) bool { return model.Name == name })
-	if at < 0 || r.told.Models[at].Version >= version {
+	at := slices.IndexFunc(r.reported.Models, func(model *nodepb.ModelOnInstance) bool { return model.Name == name })
+	if at < 0 || r.reported.Models[at].Version >= version {
 		return
 	}
-	raised := &nodepb.ModelOnInstance{Name: name, Version: version, Adapters: r.told.Models[at].Adapters}
-	r.told = shallowCopy(r.told)
-	r.told.Models = slices.Clone(r.told.Models)
-	r.told.Models[at] = raised
+	raised := &nodepb.ModelOnInstance{Name: name, Version: version, Adapters: r.reported.Models[at].Adapters}
+	r.reported = shallowCopy(r.reported)
+	r.reported.Models = slices.Clone(r.reported.Models)
+	r.reported.Models[at] = raised
 }
 
 // mergeRevision takes the newer loading mark; of two under the same revision that with the higher fence.
 func (r *record) mergeRevision(now core.Time, incoming *nodepb.Instance) {
 	older := incoming.Revision < r.revision
-	sameOrLower := incoming.Revision == r.revision && incoming.LoadingFence <= r.loadingFence
+	sameOrLower := incoming.Revision == r.revision && incoming.LoadingFence <= r.loadingToken
 	if older || sameOrLower {
 		return
 	}
 	r.revision = incoming.Revision
-	r.setFence(now, incoming.LoadingFence)
+	r.setLoadingToken(now, incoming.LoadingFence)
 }
 
-func (r *record) setFence(now core.Time, fence uint64) {
-	if r.loadingFence == fence {
+func (r *record) setLoadingToken(now core.Time, fence uint64) {
+	if r.loadingToken == fence {
 		return
 	}
-	r.loadingFence = fence
+	r.loadingToken = fence
 	r.loadingSince = now
 }
 
@@ -159,8 +159,8 @@
 	}
 }
 
-// clone is a deep copy, for callers outside of the package.
-func clone(instance *nodepb.Instance) *nodepb.Instance {
+// deepCopy is a deep copy, for callers outside of the package.
+func deepCopy(instance *nodepb.Instance) *nodepb.Instance {
 	return proto.Clone(instance).(*nodepb.Instance)
 }
 
--- a/internal/node/registry/registry.go
+++ b/internal/node/registry/registry.go
@@ -13,37 +13,37 @@
 	options Options
 	random  *rand.Rand
 
-	self       *peer
-	peers      map[string]*peer // by node id, without this node
-	others     []*peer          // the same, in order of node id
-	othersSeen core.Time        // when another node was last known
-
-	records   map[string]*record // by instance id
-	topics    map[topicKey]*topic
-	sum       uint64 // over all topics
-	liveCount uint32
-	gone      int // records that have gone
-
-	table    *Table
-	repaint  map[string]bool // services whose lists in the table are to be made anew
-	announce bool            // TableChanged is to be put out
-
-	nonce    uint64
-	spreads  []*spread
-	forwards []*forwarded
-	batch    []string  // changed brokers to tell the nodes of
-	batchAt  core.Time // when to; Never: no batch
-
-	nextSilenceCheck core.Time
-	nextExpiry       core.Time
-	nextPoll         core.Time
-	synced           bool // another node's entries have come, or none has any
-	firstPolls       int  // polls before that
-	pollCursor       int
-	polled           *peer // owes the answer to the last poll
-
-	clock   core.Time // of the newest input
-	outputs []core.Output
+	self         *peer
+	peers        map[string]*peer // by node id, without this node
+	others       []*peer          // the same, in order of node id
+	othersSeenAt core.Time        // when another node was last known
+
+	records        map[string]*record // by instance id
+	topics         map[topicKey]*topic
+	digestSum      uint64 // over all topics
+	liveCount      uint32
+	tombstoneCount int // records that have gone
+
+	table         *Table
+	staleServices map[string]bool // services whose lists in the table are to be made anew
+	tableChanged  bool            // TableChanged is to be put out
+
+	nonce         uint64
+	broadcasts    []*broadcast
+	forwards      []*forwardedCall
+	batchIDs      []string  // changed brokers to tell the nodes of
+	batchDeadline core.Time // when to; Never: no batch
+
+	nextLivenessCheck core.Time
+	nextExpiry        core.Time
+	nextPoll          core.Time
+	synced            bool // another node's entries have come, or none has any
+	initialPolls      int  // polls before that
+	pollCursor        int
+	polledPeer        *peer // owes the answer to the last poll
+
+	lastInputAt core.Time // of the newest input
+	outputs     []core.Output
 }
 
 // New returns an empty registry.
@@ -55,24 +55,24 @@
 			id: options.SelfID, address: options.SelfAddress, controlAddress: options.ControlAddress,
 			zone: options.Zone, self: true,
 		},
-		peers:            map[string]*peer{},
-		othersSeen:       distantPast,
-		records:          map[string]*record{},
-		topics:           map[topicKey]*topic{},
-		table:            &Table{ByService: map[string][]*Instance{}, ByID: map[string]*Instance{}},
-		repaint:          map[string]bool{},
-		nonce:            random.Uint64(),
-		batchAt:          core.Never,
-		nextSilenceCheck: core.Never,
-		nextExpiry:       core.Never,
-		nextPoll:         now,
+		peers:             map[string]*peer{},
+		othersSeenAt:      distantPast,
+		records:           map[string]*record{},
+		topics:            map[topicKey]*topic{},
+		table:             &Table{ByService: map[string][]*Instance{}, ByID: map[string]*Instance{}},
+		staleServices:     map[string]bool{},
+		nonce:             random.Uint64(),
+		batchDeadline:     core.Never,
+		nextLivenessCheck: core.Never,
+		nextExpiry:        core.Never,
+		nextPoll:          now,
 	}
 }
 
 // Receive takes a message of another node.
 func (r *Registry) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
-	r.clock = now
-	r.heardOf(from)
+	r.lastInputAt = now
+	r.recordContact(from)
 	switch body := message.Body.(type) {
 	case *nodepb.Envelope_HeartbeatForward:
 		r.receiveForward(now, from, body.HeartbeatForward)
@@ -90,43 +90,43 @@
 	return r.takeOutputs()
 }
 
-// heardOf notes that a peer answers again.
-func (r *Registry) heardOf(from core.Peer) {
+// recordContact notes that a peer answers again.
+func (r *Registry) recordContact(from core.Peer) {
 	if known := r.peers[from.NodeID]; known != nil {
-		known.unresponsiveUntil = 0
+		known.backoffUntil = 0
 	}
 }
 
 // Tick does what is due.
 func (r *Registry) Tick(now core.Time) []core.Output {
-	r.clock = now
+	r.lastInputAt = now
 	if late := now - r.Deadline(); late > stallLimit {
-		r.excuseSilence(now)
+		r.resetLivenessAfterStall(now)
 	}
-	if r.batchAt <= now {
+	if r.batchDeadline <= now {
 		r.flushBatch(now)
 	}
 	r.tickForwards(now)
-	r.tickSpreads(now)
-	if r.nextSilenceCheck <= now {
-		r.checkSilence(now)
+	r.tickBroadcasts(now)
+	if r.nextLivenessCheck <= now {
+		r.checkLiveness(now)
 	}
 	if r.nextExpiry <= now {
 		r.expire(now)
 	}
 	if r.nextPoll <= now {
-		r.poll(now)
+		r.pollPeer(now)
 	}
 	return r.takeOutputs()
 }
 
 // Deadline is when Tick is next due.
 func (r *Registry) Deadline() core.Time {
-	next := min(r.batchAt, r.nextSilenceCheck, r.nextExpiry)
+	next := min(r.batchDeadline, r.nextLivenessCheck, r.nextExpiry)
 	if len(r.others) > 0 {
 		next = min(next, r.nextPoll)
 	}
-	for _, pending := range r.spreads {
+	for _, pending := range r.broadcasts {
 		next = min(next, pending.deadline())
 	}
 	for _, pending := range r.forwards {
@@ -141,7 +141,7 @@
 	list := make([]*nodepb.Instance, 0, len(r.records))
 	for _, rec := range r.records {
 		if !rec.gone() {
-			list = append(list, clone(rec.message(r.clock)))
+			list = append(list, deepCopy(rec.message(r.lastInputAt)))
 		}
 	}
 	sortByID(list)
@@ -156,8 +156,8 @@
 
 // takeOutputs hands over what has been gathered since the last call.
 func (r *Registry) takeOutputs() []core.Output {
-	if r.announce {
-		r.announce = false
+	if r.tableChanged {
+		r.tableChanged = false
 		r.output(core.TableChanged{})
 	}
 	taken := r.outputs
--- a/internal/node/registry/restore.go
+++ b/internal/node/registry/restore.go
@@ -9,9 +9,9 @@
 // word, marks of loading are not taken over, and the first comparison with other nodes still comes.
 func (r *Registry) Restore(now core.Time, instances []*nodepb.Instance) []core.Output {
 	for _, instance := range instances {
-		restored := clone(instance)
+		restored := deepCopy(instance)
 		restored.LoadingFence = 0
-		r.learn(now, restored, trustNothing)
+		r.merge(now, restored, ignoreLiveness)
 	}
 	return r.takeOutputs()
 }
--- a/internal/node/registry/silence.go
+++ b/internal/node/registry/silence.go
@@ -5,103 +5,103 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// silenceTrust says what a message's word on a broker's silence counts for.
-type silenceTrust uint8
+// livenessTrust says what a message's word on a broker's silence counts for.
+type livenessTrust uint8
 
 const (
-	trustNothing silenceTrust = iota // it knows no better than this node
-	trustSilence                     // it comes from who watches, or hears, the broker
+	ignoreLiveness livenessTrust = iota // it knows no better than this node
+	trustLiveness                       // it comes from who watches, or hears, the broker
 )
 
-// mergeSilence takes another node's word on whether the broker is silent, unless this node has heard it itself in the meantime.
-func (r *record) mergeSilence(now core.Time, incoming *nodepb.Instance, trust silenceTrust) {
-	if trust == trustNothing || r.gone() {
+// mergeLiveness takes another node's word on whether the broker is silent, unless this node has heard it itself in the meantime.
+func (r *record) mergeLiveness(now core.Time, incoming *nodepb.Instance, trust livenessTrust) {
+	if trust == ignoreLiveness || r.gone() {
 		return
 	}
 	if incoming.SilentMs == 0 {
-		r.silent = false
+		r.unresponsive = false
 		return
 	}
 	lastHeard := now - duration(incoming.SilentMs)
-	if r.heard > lastHeard {
+	if r.lastHeartbeatAt > lastHeard {
 		return
 	}
-	r.silent = true
-	r.silentFrom = lastHeard
+	r.unresponsive = true
+	r.unresponsiveSince = lastHeard
 }
 
 // refutes reports whether this node has heard, of itself, a broker that another takes for silent.
 func (r *Registry) refutes(now core.Time, rec *record, incoming *nodepb.Instance) bool {
-	if incoming.SilentMs == 0 || rec.gone() || rec.silent {
+	if incoming.SilentMs == 0 || rec.gone() || rec.unresponsive {
 		return false
 	}
-	return now-rec.heard < r.options.silentAfter() && now-rec.refuted >= refuteEvery
+	return now-rec.lastHeartbeatAt < r.options.heartbeatTimeout() && now-rec.refutedAt >= refuteInterval
 }
 
-// watchSilence sees to it that a topic of which this node is the home is checked.
-func (r *Registry) watchSilence(now core.Time, t *topic) {
+// scheduleLivenessCheck sees to it that a topic of which this node is the home is checked.
+func (r *Registry) scheduleLivenessCheck(now core.Time, t *topic) {
 	if t.home.self {
-		r.nextSilenceCheck = min(r.nextSilenceCheck, now+r.options.silentAfter())
+		r.nextLivenessCheck = min(r.nextLivenessCheck, now+r.options.heartbeatTimeout())
 	}
 }
 
-// excuseSilence is called after this node was stopped: what it did not hear in that time says nothing.
-func (r *Registry) excuseSilence(now core.Time) {
+// resetLivenessAfterStall is called after this node was stopped: what it did not hear in that time says nothing.
+func (r *Registry) resetLivenessAfterStall(now core.Time) {
 	for _, t := range r.topics {
 		t.homeSince = now
-		t.doubtFrom = 0
+		t.selfPreservationSince = 0
 	}
-	if r.nextSilenceCheck != core.Never {
-		r.nextSilenceCheck = now + r.options.silentAfter()
+	if r.nextLivenessCheck != core.Never {
+		r.nextLivenessCheck = now + r.options.heartbeatTimeout()
 	}
 }
 
-// checkSilence marks the brokers that this node is the home of and that it has not heard for too long.
-func (r *Registry) checkSilence(now core.Time) {
-	r.nextSilenceCheck = core.Never
+// checkLiveness marks the brokers that this node is the home of and that it has not heard for too long.
+func (r *Registry) checkLiveness(now core.Time) {
+	r.nextLivenessCheck = core.Never
 	for _, t := range r.topics {
 		if t.home.self {
-			r.checkTopic(now, t)
+			r.checkTopicLiveness(now, t)
 		}
 	}
 }
 
-func (r *Registry) checkTopic(now core.Time, t *topic) {
+func (r *Registry) checkTopicLiveness(now core.Time, t *topic) {
 	watch := r.surveyTopic(now, t)
 	if watch.live > 0 {
-		r.nextSilenceCheck = min(r.nextSilenceCheck, max(watch.oldest+r.options.silentAfter(), now+silentGrace))
+		r.nextLivenessCheck = min(r.nextLivenessCheck, max(watch.oldestContact+r.options.heartbeatTimeout(), now+timeoutGrace))
 	}
 	if len(watch.overdue) == 0 {
-		t.doubtFrom = 0
+		t.selfPreservationSince = 0
 		return
 	}
-	if r.doubts(now, t, watch) {
-		r.nextSilenceCheck = min(r.nextSilenceCheck, now+doubtRecheck)
+	if r.updateSelfPreservation(now, t, watch) {
+		r.nextLivenessCheck = min(r.nextLivenessCheck, now+selfPreservationRecheck)
 		return
 	}
 	for _, rec := range watch.overdue {
-		r.markSilent(now, t, rec)
+		r.markUnresponsive(now, t, rec)
 	}
 }
 
-// survey is how the brokers of a topic have been heard.
-type survey struct {
-	live    int       // not marked as silent
-	missing int       // of them, those that missed two beats or more
-	overdue []*record // of them, those that are to be marked
-	oldest  core.Time // the oldest last heartbeat among the live that are not overdue
+// livenessSurvey is how the brokers of a topic have been heard.
+type livenessSurvey struct {
+	live          int       // not marked as silent
+	missing       int       // of them, those that missed two beats or more
+	overdue       []*record // of them, those that are to be marked
+	oldestContact core.Time // the oldest last heartbeat among the live that are not overdue
 }
 
-func (r *Registry) surveyTopic(now core.Time, t *topic) survey {
-	found := survey{oldest: now}
-	overdueBefore := now - r.options.silentAfter()
-	missingBefore := overdueBefore + r.options.heartbeat()
+func (r *Registry) surveyTopic(now core.Time, t *topic) livenessSurvey {
+	found := livenessSurvey{oldestContact: now}
+	overdueBefore := now - r.options.heartbeatTimeout()
+	missingBefore := overdueBefore + r.options.heartbeatInterval()
 	for _, rec := range t.records {
-		if rec.gone() || rec.silent {
+		if rec.gone() || rec.unresponsive {
 			continue
 		}
 		found.live++
-		last := t.lastHeard(rec)
+		last := t.lastContact(rec)
 		if last <= missingBefore {
 			found.missing++
 		}
@@ -109,31 +109,33 @@
 			found.overdue = append(found.overdue, rec)
 			continue
 		}
-		found.oldest = min(found.oldest, last)
+		found.oldestContact = min(found.oldestContact, last)
 	}
 	return found
 }
 
-// lastHeard is from when on a broker's silence counts.
-func (t *topic) lastHeard(rec *record) core.Time { return max(rec.heard, rec.learned, t.homeSince) }
+// lastContact is from when on a broker's silence counts.
+func (t *topic) lastContact(rec *record) core.Time {
+	return max(rec.lastHeartbeatAt, rec.learnedAt, t.homeSince)
+}
 
-// doubts reports whether so many fell silent at once that the trouble is likely this node's own. After a while it
+// updateSelfPreservation reports whether so many fell silent at once that the trouble is likely this node's own. After a while it
 // gives in: brokers that are heard elsewhere are defended by who hears them.
-func (r *Registry) doubts(now core.Time, t *topic, watch survey) bool {
-	if watch.live < doubtMinimum || watch.missing*2 <= watch.live {
-		t.doubtFrom = 0
+func (r *Registry) updateSelfPreservation(now core.Time, t *topic, watch livenessSurvey) bool {
+	if watch.live < selfPreservationMinBrokers || watch.missing*2 <= watch.live {
+		t.selfPreservationSince = 0
 		return false
 	}
-	if t.doubtFrom == 0 {
-		t.doubtFrom = now
+	if t.selfPreservationSince == 0 {
+		t.selfPreservationSince = now
 	}
-	return now-t.doubtFrom < doubtLimit
+	return now-t.selfPreservationSince < selfPreservationLimit
 }
 
-func (r *Registry) markSilent(now core.Time, t *topic, rec *record) {
-	rec.silent = true
-	rec.silentFrom = t.lastHeard(rec)
-	r.place(now, rec, t)
+func (r *Registry) markUnresponsive(now core.Time, t *topic, rec *record) {
+	rec.unresponsive = true
+	rec.unresponsiveSince = t.lastContact(rec)
+	r.updateTopic(now, rec, t)
 	r.watchExpiry(rec)
-	r.enqueue(now, rec.told.Id, batchDelay)
+	r.scheduleBroadcast(now, rec.reported.Id, batchDelay)
 }
--- a/internal/node/registry/spread.go
+++ b/internal/node/registry/spread.go
@@ -7,84 +7,84 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// spread is an update on its way to all other nodes, until they have confirmed it.
-type spread struct {
-	nonce   uint64
-	message *nodepb.Envelope
-	ids     []string
-	pending []string // node ids that have not confirmed
-	// confirmations counts the nodes that have.
-	confirmations int
+// broadcast is an update on its way to all other nodes, until they have confirmed it.
+type broadcast struct {
+	nonce          uint64
+	message        *nodepb.Envelope
+	instanceIDs    []string
+	unacknowledged []string // node ids that have not confirmed
+	// ackCount counts the nodes that have.
+	ackCount int
 
-	retryAt  core.Time
-	answerBy core.Time
-	giveUpAt core.Time
+	retryAt        core.Time
+	answerDeadline core.Time
+	giveUpAt       core.Time
 
-	askers   []asker
-	marks    []core.LoadingConfirmed
-	answered bool
+	waitingCalls         []callOrigin
+	loadingConfirmations []core.LoadingConfirmed
+	answered             bool
 }
 
-func (s *spread) deadline() core.Time {
+func (s *broadcast) deadline() core.Time {
 	next := min(s.retryAt, s.giveUpAt)
 	if !s.answered {
-		next = min(next, s.answerBy)
+		next = min(next, s.answerDeadline)
 	}
 	return next
 }
 
-// over reports whether nothing is left to wait for.
-func (s *spread) over(now core.Time) bool {
-	return s.answered && (len(s.pending) == 0 || s.giveUpAt <= now)
+// finished reports whether nothing is left to wait for.
+func (s *broadcast) finished(now core.Time) bool {
+	return s.answered && (len(s.unacknowledged) == 0 || s.giveUpAt <= now)
 }
 
-// enqueue tells the other nodes of a broker after the delay, together with what else comes up until then.
-func (r *Registry) enqueue(now core.Time, id string, delay core.Time) {
-	if !slices.Contains(r.batch, id) {
-		r.batch = append(r.batch, id)
+// scheduleBroadcast tells the other nodes of a broker after the delay, together with what else comes up until then.
+func (r *Registry) scheduleBroadcast(now core.Time, id string, delay core.Time) {
+	if !slices.Contains(r.batchIDs, id) {
+		r.batchIDs = append(r.batchIDs, id)
 	}
-	r.batchAt = min(r.batchAt, now+delay)
+	r.batchDeadline = min(r.batchDeadline, now+delay)
 }
 
 func (r *Registry) flushBatch(now core.Time) {
-	ids := r.batch
-	r.batch = nil
-	r.batchAt = core.Never
+	ids := r.batchIDs
+	r.batchIDs = nil
+	r.batchDeadline = core.Never
 	slices.Sort(ids)
-	for part := range slices.Chunk(ids, instancesPerMessage) {
-		r.settle(now, r.startSpread(now, part, now+confirmLimit))
+	for part := range slices.Chunk(ids, maxInstancesPerMessage) {
+		r.advanceBroadcast(now, r.startBroadcast(now, part, now+ackTimeout))
 	}
 }
 
-// startSpread sends the records of the brokers to all other nodes. The caller settles it.
-func (r *Registry) startSpread(now core.Time, ids []string, answerBy core.Time) *spread {
-	update := &nodepb.InstanceUpdate{Nonce: r.nextNonce(), AckWanted: true, Instances: r.messages(now, ids)}
-	started := &spread{
-		nonce:    update.Nonce,
-		message:  &nodepb.Envelope{Body: &nodepb.Envelope_InstanceUpdate{InstanceUpdate: update}},
-		ids:      ids,
-		retryAt:  now + updateRetry,
-		answerBy: answerBy,
-		giveUpAt: now + updateLimit,
+// startBroadcast sends the records of the brokers to all other nodes. The caller settles it.
+func (r *Registry) startBroadcast(now core.Time, ids []string, answerBy core.Time) *broadcast {
+	update := &nodepb.InstanceUpdate{Nonce: r.nextNonce(), AckWanted: true, Instances: r.instanceMessages(now, ids)}
+	started := &broadcast{
+		nonce:          update.Nonce,
+		message:        &nodepb.Envelope{Body: &nodepb.Envelope_InstanceUpdate{InstanceUpdate: update}},
+		instanceIDs:    ids,
+		retryAt:        now + broadcastRetryInterval,
+		answerDeadline: answerBy,
+		giveUpAt:       now + broadcastTimeout,
 	}
 	for _, other := range r.others {
-		started.pending = append(started.pending, other.id)
+		started.unacknowledged = append(started.unacknowledged, other.id)
 		r.send(other.address, started.message)
 	}
-	r.spreads = append(r.spreads, started)
-	r.unbatch(ids)
+	r.broadcasts = append(r.broadcasts, started)
+	r.removeFromBatch(ids)
 	return started
 }
 
-// unbatch drops brokers from the batch that have just been told.
-func (r *Registry) unbatch(ids []string) {
-	r.batch = slices.DeleteFunc(r.batch, func(id string) bool { return slices.Contains(ids, id) })
-	if len(r.batch) == 0 {
-		r.batchAt = core.Never
+// removeFromBatch drops brokers from the batch that have just been told.
+func (r *Registry) removeFromBatch(ids []string) {
+	r.batchIDs = slices.DeleteFunc(r.batchIDs, func(id string) bool { return slices.Contains(ids, id) })
+	if len(r.batchIDs) == 0 {
+		r.batchDeadline = core.Never
 	}
 }
 
-func (r *Registry) messages(now core.Time, ids []string) []*nodepb.Instance {
+func (r *Registry) instanceMessages(now core.Time, ids []string) []*nodepb.Instance {
 	list := make([]*nodepb.Instance, 0, len(ids))
 	for _, id := range ids {
 		if rec := r.records[id]; rec != nil {
@@ -94,113 +94,113 @@
 	return list
 }
 
-// spreadConfirming finds an unanswered update that tells the present state of a broker.
-func (r *Registry) spreadConfirming(rec *record) *spread {
-	for _, pending := range r.spreads {
-		if !pending.answered && pending.tells(rec) {
+// findBroadcastOf finds an unanswered update that tells the present state of a broker.
+func (r *Registry) findBroadcastOf(rec *record) *broadcast {
+	for _, pending := range r.broadcasts {
+		if !pending.answered && pending.carriesStateOf(rec) {
 			return pending
 		}
 	}
 	return nil
 }
 
-func (s *spread) tells(rec *record) bool {
+func (s *broadcast) carriesStateOf(rec *record) bool {
 	for _, instance := range s.message.GetInstanceUpdate().Instances {
-		if instance.Id == rec.told.Id && instance.State == rec.state() {
+		if instance.Id == rec.reported.Id && instance.State == rec.state() {
 			return true
 		}
 	}
 	return false
 }
 
-// settle answers who waits for the update, once all nodes in touch have confirmed it or its time is over.
-func (r *Registry) settle(now core.Time, pending *spread) {
+// advanceBroadcast answers who waits for the update, once all nodes in touch have confirmed it or its time is over.
+func (r *Registry) advanceBroadcast(now core.Time, pending *broadcast) {
 	if !pending.answered {
 		r.tryAnswer(now, pending)
 	}
-	if pending.over(now) {
-		r.endSpread(now, pending)
+	if pending.finished(now) {
+		r.endBroadcast(now, pending)
 	}
 }
 
-func (r *Registry) tryAnswer(now core.Time, pending *spread) {
-	awaited := slices.ContainsFunc(pending.pending, func(id string) bool { return r.awaits(now, id) })
-	held := pending.confirmations > 0 || r.alone(now)
-	outOfTime := pending.answerBy <= now || len(pending.pending) == 0
+func (r *Registry) tryAnswer(now core.Time, pending *broadcast) {
+	awaited := slices.ContainsFunc(pending.unacknowledged, func(id string) bool { return r.mustAwait(now, id) })
+	held := pending.ackCount > 0 || r.alone(now)
+	outOfTime := pending.answerDeadline <= now || len(pending.unacknowledged) == 0
 	if !outOfTime && (awaited || !held) {
 		return
 	}
 	pending.answered = true
-	r.answerAskers(now, pending, held, !awaited)
-	for _, mark := range pending.marks {
+	r.answerWaitingCalls(now, pending, held, !awaited)
+	for _, mark := range pending.loadingConfirmations {
 		mark.Everywhere = !awaited
 		r.output(mark)
 	}
 }
 
-// awaits reports whether an answer waits for a node: one that is a member, not suspected, and was not silent lately.
-func (r *Registry) awaits(now core.Time, id string) bool {
+// mustAwait reports whether an answer waits for a node: one that is a member, not suspected, and was not silent lately.
+func (r *Registry) mustAwait(now core.Time, id string) bool {
 	known := r.peers[id]
-	return known != nil && known.responsive(now)
+	return known != nil && known.available(now)
 }
 
-// answerAskers answers the calls of a broker that leaves. Where not all nodes in touch have confirmed, its next call is told
+// answerWaitingCalls answers the calls of a broker that leaves. Where not all nodes in touch have confirmed, its next call is told
 // to the nodes again.
-func (r *Registry) answerAskers(now core.Time, pending *spread, held, everywhere bool) {
-	for _, id := range pending.ids {
+func (r *Registry) answerWaitingCalls(now core.Time, pending *broadcast, held, everywhere bool) {
+	for _, id := range pending.instanceIDs {
 		rec := r.records[id]
-		if rec == nil || !pending.tells(rec) {
+		if rec == nil || !pending.carriesStateOf(rec) {
 			continue
 		}
-		rec.confirmed = rec.confirmed || held && everywhere
-		for _, waiting := range pending.askers {
-			r.answer(now, waiting, rec.told, held)
+		rec.leaveConfirmed = rec.leaveConfirmed || held && everywhere
+		for _, waiting := range pending.waitingCalls {
+			r.answer(now, waiting, rec.reported, held)
 		}
 		return
 	}
-	for _, waiting := range pending.askers {
+	for _, waiting := range pending.waitingCalls {
 		r.answerWith(waiting, held, "")
 	}
 }
 
-func (r *Registry) endSpread(now core.Time, pending *spread) {
-	for _, id := range pending.pending {
-		r.markUnresponsive(now, id)
+func (r *Registry) endBroadcast(now core.Time, pending *broadcast) {
+	for _, id := range pending.unacknowledged {
+		r.backOffPeer(now, id)
 	}
-	r.spreads = slices.DeleteFunc(r.spreads, func(other *spread) bool { return other == pending })
+	r.broadcasts = slices.DeleteFunc(r.broadcasts, func(other *broadcast) bool { return other == pending })
 }
 
-// tickSpreads sends updates again to who has not confirmed them.
-func (r *Registry) tickSpreads(now core.Time) {
-	for _, pending := range slices.Clone(r.spreads) {
+// tickBroadcasts sends updates again to who has not confirmed them.
+func (r *Registry) tickBroadcasts(now core.Time) {
+	for _, pending := range slices.Clone(r.broadcasts) {
 		if pending.retryAt <= now {
-			r.resend(now, pending)
+			r.resendBroadcast(now, pending)
 		}
-		r.settle(now, pending)
+		r.advanceBroadcast(now, pending)
 	}
 }
 
-func (r *Registry) resend(now core.Time, pending *spread) {
-	pending.retryAt = now + updateRetry
-	for _, id := range pending.pending {
+func (r *Registry) resendBroadcast(now core.Time, pending *broadcast) {
+	pending.retryAt = now + broadcastRetryInterval
+	for _, id := range pending.unacknowledged {
 		if known := r.peers[id]; known != nil {
 			r.send(known.address, pending.message)
 		}
 	}
 }
 
-// settleSpreads drops nodes that are members no more from the updates under way.
-func (r *Registry) settleSpreads(now core.Time) {
-	for _, pending := range slices.Clone(r.spreads) {
-		pending.pending = slices.DeleteFunc(pending.pending, func(id string) bool { return r.peers[id] == nil })
-		r.settle(now, pending)
+// dropFormerMembers drops nodes that are members no more from the updates under way.
+func (r *Registry) dropFormerMembers(now core.Time) {
+	for _, pending := range slices.Clone(r.broadcasts) {
+		pending.unacknowledged = slices.DeleteFunc(pending.unacknowledged, func(id string) bool { return r.peers[id] == nil })
+		r.advanceBroadcast(now, pending)
 	}
 }
 
 // receiveUpdate takes what another node tells of brokers.
 func (r *Registry) receiveUpdate(now core.Time, from core.Peer, update *nodepb.InstanceUpdate) {
 	for _, instance := range update.Instances {
-		r.learnUpdate(now, instance)
+		r.mergeUpdate(now, instance)
 	}
 	if !update.AckWanted {
 		return
@@ -209,33 +209,33 @@
 	r.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_InstanceUpdateAck{InstanceUpdateAck: ack}})
 }
 
-func (r *Registry) learnUpdate(now core.Time, instance *nodepb.Instance) {
+func (r *Registry) mergeUpdate(now core.Time, instance *nodepb.Instance) {
 	if instance.Id == "" {
 		return
 	}
-	rec, _ := r.learn(now, instance, trustSilence)
+	rec, _ := r.merge(now, instance, trustLiveness)
 	if rec != nil && r.refutes(now, rec, instance) {
-		rec.refuted = now
-		r.enqueue(now, instance.Id, batchDelay)
+		rec.refutedAt = now
+		r.scheduleBroadcast(now, instance.Id, batchDelay)
 	}
 }
 
 func (r *Registry) receiveUpdateAck(now core.Time, from core.Peer, ack *nodepb.InstanceUpdateAck) {
-	for _, pending := range r.spreads {
+	for _, pending := range r.broadcasts {
 		if pending.nonce != ack.Nonce {
 			continue
 		}
-		r.confirm(now, pending, from.NodeID)
+		r.acknowledge(now, pending, from.NodeID)
 		return
 	}
 }
 
-func (r *Registry) confirm(now core.Time, pending *spread, id string) {
-	at := slices.Index(pending.pending, id)
+func (r *Registry) acknowledge(now core.Time, pending *broadcast, id string) {
+	at := slices.Index(pending.unacknowledged, id)
 	if at < 0 {
 		return
 	}
-	pending.pending = slices.Delete(pending.pending, at, at+1)
-	pending.confirmations++
-	r.settle(now, pending)
+	pending.unacknowledged = slices.Delete(pending.unacknowledged, at, at+1)
+	pending.ackCount++
+	r.advanceBroadcast(now, pending)
 }
--- a/internal/node/registry/sync.go
+++ b/internal/node/registry/sync.go
@@ -11,40 +11,40 @@
 // differs, that one lists its digests by topic, the node asks for the topics that differ, from it and from their homes, and merges the
 // answer. A poll without digests asks for everything.
 
-// poll compares this node's knowledge with another's.
-func (r *Registry) poll(now core.Time) {
+// pollPeer compares this node's knowledge with another's.
+func (r *Registry) pollPeer(now core.Time) {
 	if len(r.others) == 0 {
 		r.nextPoll = now
 		return
 	}
 	if !r.synced {
-		r.pollFirst(now)
+		r.pollInitial(now)
 		return
 	}
-	if r.polled != nil {
-		r.polled.noPollUntil = now + unresponsiveFor
+	if r.polledPeer != nil {
+		r.polledPeer.pollBackoffUntil = now + peerBackoff
 	}
-	r.polled = r.comparisonPeer(now)
-	r.nextPoll = now + pollAnswerLimit
-	r.sendPoll(r.polled.address, []*nodepb.TopicDigest{r.wholeDigest()})
+	r.polledPeer = r.comparisonPeer(now)
+	r.nextPoll = now + pollTimeout
+	r.sendPoll(r.polledPeer.address, []*nodepb.TopicDigest{r.fullDigest()})
 }
 
-// pollAnswered ends the wait for the answer of the node polled last.
-func (r *Registry) pollAnswered(now core.Time, from core.Peer) {
-	if r.polled != nil && r.polled.id == from.NodeID {
-		r.polled = nil
+// recordPollAnswer ends the wait for the answer of the node polled last.
+func (r *Registry) recordPollAnswer(now core.Time, from core.Peer) {
+	if r.polledPeer != nil && r.polledPeer.id == from.NodeID {
+		r.polledPeer = nil
 		r.nextPoll = now + pollInterval
 	}
 }
 
-// pollFirst asks two nodes at a time for everything until one has answered.
-func (r *Registry) pollFirst(now core.Time) {
-	r.nextPoll = now + firstPollRetry
-	r.firstPolls++
-	if r.firstPolls >= firstPollTries {
+// pollInitial asks two nodes at a time for everything until one has answered.
+func (r *Registry) pollInitial(now core.Time) {
+	r.nextPoll = now + initialPollInterval
+	r.initialPolls++
+	if r.initialPolls >= maxInitialPolls {
 		r.synced = true
 	}
-	for range min(firstPollPeers, len(r.others)) {
+	for range min(initialPollPeers, len(r.others)) {
 		r.sendPoll(r.nextOther().address, nil)
 	}
 }
@@ -63,19 +63,19 @@
 	start := r.random.IntN(len(r.others))
 	for offset := range r.others {
 		candidate := r.others[(start+offset)%len(r.others)]
-		if candidate.responsive(now) && candidate.noPollUntil <= now {
+		if candidate.available(now) && candidate.pollBackoffUntil <= now {
 			return candidate
 		}
 	}
 	return r.others[start]
 }
 
-// wholeDigest covers all topics; it goes under no service and no zone.
-func (r *Registry) wholeDigest() *nodepb.TopicDigest {
-	return &nodepb.TopicDigest{Digest: digestBytes(r.sum), Count: r.liveCount}
+// fullDigest covers all topics; it goes under no service and no zone.
+func (r *Registry) fullDigest() *nodepb.TopicDigest {
+	return &nodepb.TopicDigest{Digest: digestBytes(r.digestSum), Count: r.liveCount}
 }
 
-func isWhole(digest *nodepb.TopicDigest) bool { return digest.Service == "" && digest.Zone == "" }
+func isFullDigest(digest *nodepb.TopicDigest) bool { return digest.Service == "" && digest.Zone == "" }
 
 func (r *Registry) sendPoll(address string, digests []*nodepb.TopicDigest) {
 	poll := &nodepb.RegistryPoll{Topics: digests}
@@ -90,17 +90,17 @@
 func (r *Registry) receivePoll(now core.Time, from core.Peer, poll *nodepb.RegistryPoll) {
 	switch {
 	case len(poll.Topics) == 0:
-		r.sendEverything(now, from.Address)
-	case len(poll.Topics) == 1 && isWhole(poll.Topics[0]):
-		r.answerWhole(from.Address, poll.Topics[0])
+		r.sendFullSync(now, from.Address)
+	case len(poll.Topics) == 1 && isFullDigest(poll.Topics[0]):
+		r.answerFullDigest(from.Address, poll.Topics[0])
 	default:
 		r.sendTopics(now, from.Address, poll.Topics)
 	}
 }
 
-// answerWhole repeats an equal digest, and lists the topics against one that differs.
-func (r *Registry) answerWhole(address string, theirs *nodepb.TopicDigest) {
-	own := r.wholeDigest()
+// answerFullDigest repeats an equal digest, and lists the topics against one that differs.
+func (r *Registry) answerFullDigest(address string, theirs *nodepb.TopicDigest) {
+	own := r.fullDigest()
 	if own.Count == theirs.Count && string(own.Digest) == string(theirs.Digest) {
 		r.sendSnapshot(address, &nodepb.RegistrySnapshot{Topics: []*nodepb.TopicDigest{own}})
 		return
@@ -111,7 +111,7 @@
 func (r *Registry) listTopics() []*nodepb.TopicDigest {
 	list := make([]*nodepb.TopicDigest, 0, len(r.topics))
 	for _, t := range r.topics {
-		if digest := t.digest(); !isWhole(digest) {
+		if digest := t.digestMessage(); !isFullDigest(digest) {
 			list = append(list, digest)
 		}
 	}
@@ -126,13 +126,13 @@
 	return compareText(a.Zone, b.Zone)
 }
 
-func (r *Registry) sendEverything(now core.Time, address string) {
+func (r *Registry) sendFullSync(now core.Time, address string) {
 	list := make([]*nodepb.Instance, 0, len(r.records))
 	for _, rec := range r.records {
 		list = append(list, rec.message(now))
 	}
 	if len(list) == 0 {
-		r.sendSnapshot(address, &nodepb.RegistrySnapshot{Topics: []*nodepb.TopicDigest{r.wholeDigest()}})
+		r.sendSnapshot(address, &nodepb.RegistrySnapshot{Topics: []*nodepb.TopicDigest{r.fullDigest()}})
 		return
 	}
 	r.sendInstances(address, list)
@@ -155,27 +155,27 @@
 
 func (r *Registry) sendInstances(address string, list []*nodepb.Instance) {
 	sortByID(list)
-	for part := range slices.Chunk(list, instancesPerMessage) {
+	for part := range slices.Chunk(list, maxInstancesPerMessage) {
 		r.sendSnapshot(address, &nodepb.RegistrySnapshot{Instances: part})
 	}
 }
 
 // receiveSnapshot merges brokers, or asks for those of the topics that differ.
 func (r *Registry) receiveSnapshot(now core.Time, from core.Peer, snapshot *nodepb.RegistrySnapshot) {
-	r.noteFirstAnswer(now, snapshot)
-	r.pollAnswered(now, from)
+	r.recordInitialAnswer(now, snapshot)
+	r.recordPollAnswer(now, from)
 	for _, instance := range snapshot.Instances {
-		r.learnSnapshot(now, from, instance)
+		r.mergeSnapshotEntry(now, from, instance)
 	}
-	if len(snapshot.Topics) == 1 && isWhole(snapshot.Topics[0]) {
+	if len(snapshot.Topics) == 1 && isFullDigest(snapshot.Topics[0]) {
 		return
 	}
-	r.pull(from.Address, r.differing(snapshot.Topics))
+	r.requestTopics(from.Address, r.differingDigests(snapshot.Topics))
 }
 
-// noteFirstAnswer ends the first polls at an answer with brokers. An empty one may come from a node that has just
+// recordInitialAnswer ends the first polls at an answer with brokers. An empty one may come from a node that has just
 // started as well, so another is asked at once.
-func (r *Registry) noteFirstAnswer(now core.Time, snapshot *nodepb.RegistrySnapshot) {
+func (r *Registry) recordInitialAnswer(now core.Time, snapshot *nodepb.RegistrySnapshot) {
 	if r.synced {
 		return
 	}
@@ -187,19 +187,19 @@
 	r.nextPoll = now + pollInterval
 }
 
-func (r *Registry) learnSnapshot(now core.Time, from core.Peer, instance *nodepb.Instance) {
+func (r *Registry) mergeSnapshotEntry(now core.Time, from core.Peer, instance *nodepb.Instance) {
 	if instance.Id == "" {
 		return
 	}
-	trust := trustNothing
+	trust := ignoreLiveness
 	if t := r.topics[keyOf(instance)]; t != nil && t.home.address == from.Address {
-		trust = trustSilence
+		trust = trustLiveness
 	}
-	r.learn(now, instance, trust)
+	r.merge(now, instance, trust)
 }
 
-// differing lists this node's digests of the topics in which another one differs.
-func (r *Registry) differing(theirs []*nodepb.TopicDigest) []*nodepb.TopicDigest {
+// differingDigests lists this node's digests of the topics in which another one differs.
+func (r *Registry) differingDigests(theirs []*nodepb.TopicDigest) []*nodepb.TopicDigest {
 	var list []*nodepb.TopicDigest
 	for _, their := range theirs {
 		own := r.topics[topicKey{their.Service, their.Zone}]
@@ -208,14 +208,14 @@
 		case own == nil:
 			list = append(list, &nodepb.TopicDigest{Service: their.Service, Zone: their.Zone})
 		default:
-			list = append(list, own.digest())
+			list = append(list, own.digestMessage())
 		}
 	}
 	return list
 }
 
-// pull asks for topics from the node that differs and from their homes, which alone know who is silent.
-func (r *Registry) pull(address string, digests []*nodepb.TopicDigest) {
+// requestTopics asks for topics from the node that differs and from their homes, which alone know who is silent.
+func (r *Registry) requestTopics(address string, digests []*nodepb.TopicDigest) {
 	if len(digests) == 0 {
 		return
 	}
--- a/internal/node/registry/sync_test.go
+++ b/internal/node/registry/sync_test.go
@@ -15,7 +15,7 @@
 	want := w.nodes[0].registry
 	return w.all(func(node *worldNode) bool {
 		listed := uint32(len(node.registry.Table().ByID))
-		return node.registry.sum == want.sum && node.registry.liveCount == want.liveCount && listed == want.liveCount
+		return node.registry.digestSum == want.digestSum && node.registry.liveCount == want.liveCount && listed == want.liveCount
 	})
 }
 
@@ -75,7 +75,7 @@
 			assert.Equal(t, table[brokers[0].id()].State, Draining)
 			assert.Equal(t, table[brokers[1].id()].Versions["m"], uint64(2))
 			assert.Assert(t, table[brokers[2].id()] == nil)
-			assert.Assert(t, table[brokers[3].id()].Silent)
+			assert.Assert(t, table[brokers[3].id()].Unresponsive)
 		})
 	}
 }
@@ -121,7 +121,7 @@
 		assert.Assert(w.t, w.nobodyHas(b.id()), "%s has gone", b.id())
 	case !b.stopped:
 		assert.Assert(w.t, w.everyoneHas(b.id(), func(i *Instance) bool {
-			return !i.Silent && i.State == State(b.instance.State) && i.Versions["m"] == b.instance.Models[0].Version
+			return !i.Unresponsive && i.State == State(b.instance.State) && i.Versions["m"] == b.instance.Models[0].Version
 		}), "%s is there", b.id())
 	}
 }
--- a/internal/node/registry/table.go
+++ b/internal/node/registry/table.go
@@ -23,10 +23,10 @@
 	Versions map[string]uint64 // by model, as last told
 	// Loading: new weights are being brought to it; requests that have not begun would be turned away.
 	Loading bool
-	// Silent: it has missed so many heartbeats that its callers should prefer others.
-	Silent bool
-	// ColdUntil is when it is no longer slow from its start.
-	ColdUntil core.Time
+	// Unresponsive: it has missed so many heartbeats that its callers should prefer others.
+	Unresponsive bool
+	// WarmingUpUntil is when it is no longer slow from its start.
+	WarmingUpUntil core.Time
 }
 
 // Usable reports whether new requests may be sent to the broker.
--- a/internal/node/registry/topic.go
+++ b/internal/node/registry/topic.go
@@ -12,8 +12,8 @@
 // topicKey names the brokers of one service in one zone, which have a home in common.
 type topicKey struct{ service, zone string }
 
-// name is the key under which nodes are ranked as the topic's home.
-func (k topicKey) name() string { return k.service + "\x00" + k.zone }
+// rendezvousKey is the key under which nodes are ranked as the topic's home.
+func (k topicKey) rendezvousKey() string { return k.service + "\x00" + k.zone }
 
 func keyOf(instance *nodepb.Instance) topicKey {
 	return topicKey{service: instance.Service, zone: instance.Zone}
@@ -21,18 +21,18 @@
 
 // topic is what this node keeps of the brokers of one service in one zone.
 type topic struct {
-	key     topicKey
-	records map[string]*record // by instance id, those that have gone included
-	sum     uint64             // over the records that have not gone; order does not matter
-	count   uint32
-
-	home      *peer     // who takes its heartbeats, by the members known
-	homeSince core.Time // since when that is this node
-	doubtFrom core.Time // when this node began to doubt that so many went silent; 0: it does not
+	key       topicKey
+	records   map[string]*record // by instance id, those that have gone included
+	digestSum uint64             // over the records that have not gone; order does not matter
+	liveCount uint32
+
+	home                  *peer     // who takes its heartbeats, by the members known
+	homeSince             core.Time // since when that is this node
+	selfPreservationSince core.Time // when this node began to doubt that so many went silent; 0: it does not
 }
 
-func (t *topic) digest() *nodepb.TopicDigest {
-	return &nodepb.TopicDigest{Service: t.key.service, Zone: t.key.zone, Digest: digestBytes(t.sum), Count: t.count}
+func (t *topic) digestMessage() *nodepb.TopicDigest {
+	return &nodepb.TopicDigest{Service: t.key.service, Zone: t.key.zone, Digest: digestBytes(t.digestSum), Count: t.liveCount}
 }
 
 func digestBytes(sum uint64) []byte { return binary.BigEndian.AppendUint64(nil, sum) }
@@ -42,7 +42,7 @@
 	if own == nil {
 		return other.Count == 0
 	}
-	return own.count == other.Count && string(digestBytes(own.sum)) == string(other.Digest)
+	return own.liveCount == other.Count && string(digestBytes(own.digestSum)) == string(other.Digest)
 }
 
 // topicOf returns the topic of a broker, made if it is new.
@@ -53,67 +53,67 @@
 	made := &topic{key: key, records: map[string]*record{}, homeSince: now}
 	made.home = r.bestHome(key)
 	r.topics[key] = made
-	r.watchSilence(now, made)
+	r.scheduleLivenessCheck(now, made)
 	return made
 }
 
-// place files a record under its topic and brings digests and the table up to date. previous is the topic in which
+// updateTopic files a record under its topic and brings digests and the table up to date. previous is the topic in which
 // it was, nil for a new one. It reports whether anything that other nodes are to know has changed.
-func (r *Registry) place(now core.Time, rec *record, previous *topic) bool {
-	current := r.topicOf(now, keyOf(rec.told))
-	sum := rec.digestSum()
-	if previous == current && sum == rec.sum {
+func (r *Registry) updateTopic(now core.Time, rec *record, previous *topic) bool {
+	current := r.topicOf(now, keyOf(rec.reported))
+	sum := rec.computeDigest()
+	if previous == current && sum == rec.digest {
 		return false
 	}
 	if previous != nil {
-		r.uncount(previous, rec)
+		r.removeFromDigest(previous, rec)
 		if previous != current {
-			delete(previous.records, rec.told.Id)
+			delete(previous.records, rec.reported.Id)
 		}
 	}
-	rec.sum = sum
-	current.records[rec.told.Id] = rec
-	r.count(current, rec)
-	r.refreshPicture(now, rec)
+	rec.digest = sum
+	current.records[rec.reported.Id] = rec
+	r.addToDigest(current, rec)
+	r.refreshTableEntry(now, rec)
 	return true
 }
 
 // remove drops a record for good.
 func (r *Registry) remove(rec *record) {
-	key := keyOf(rec.told)
+	key := keyOf(rec.reported)
 	holder := r.topics[key]
-	r.uncount(holder, rec)
-	delete(holder.records, rec.told.Id)
-	delete(r.records, rec.told.Id)
+	r.removeFromDigest(holder, rec)
+	delete(holder.records, rec.reported.Id)
+	delete(r.records, rec.reported.Id)
 	if len(holder.records) == 0 {
 		delete(r.topics, key)
 	}
-	r.erase(rec)
+	r.removeTableEntry(rec)
 }
 
-func (r *Registry) count(t *topic, rec *record) {
-	if rec.sum == 0 {
+func (r *Registry) addToDigest(t *topic, rec *record) {
+	if rec.digest == 0 {
 		return
 	}
-	t.sum += rec.sum
-	t.count++
-	r.sum += rec.sum
+	t.digestSum += rec.digest
+	t.liveCount++
+	r.digestSum += rec.digest
 	r.liveCount++
 }
 
-func (r *Registry) uncount(t *topic, rec *record) {
-	if rec.sum == 0 {
+func (r *Registry) removeFromDigest(t *topic, rec *record) {
+	if rec.digest == 0 {
 		return
 	}
-	t.sum -= rec.sum
-	t.count--
-	r.sum -= rec.sum
+	t.digestSum -= rec.digest
+	t.liveCount--
+	r.digestSum -= rec.digest
 	r.liveCount--
 }
 
-// digestSum is a hash of all that nodes must agree on; the sequence and the times are not among it, as they move with each
+// computeDigest is a hash of all that nodes must agree on; the sequence and the times are not among it, as they move with each
 // heartbeat. It is 0 for a broker that has gone.
-func (r *record) digestSum() uint64 {
+func (r *record) computeDigest() uint64 {
 	if r.gone() {
 		return 0
 	}
@@ -123,15 +123,15 @@
 }
 
 func (r *record) appendDigest(data []byte) []byte {
-	told := r.told
+	told := r.reported
 	for _, text := range [...]string{told.Id, told.Service, told.Address, told.Zone, told.Software, told.Stage} {
 		data = appendText(data, text)
 	}
 	data = binary.AppendUvarint(data, uint64(told.Slots))
 	data = binary.AppendUvarint(data, uint64(told.State))
 	data = binary.AppendUvarint(data, r.revision)
-	data = binary.AppendUvarint(data, r.loadingFence)
-	data = appendFlag(data, r.silent)
+	data = binary.AppendUvarint(data, r.loadingToken)
+	data = appendFlag(data, r.unresponsive)
 	for _, model := range told.Models {
 		data = appendText(data, model.Name)
 		data = binary.AppendUvarint(data, model.Version)
--- a/internal/node/registry/world_test.go
+++ b/internal/node/registry/world_test.go
@@ -64,7 +64,7 @@
 	}
 	registry := New(0, Options{
 		SelfID: member.NodeId, SelfAddress: member.Address, ControlAddress: member.ControlAddress, Zone: zone,
-		Heartbeat: testHeartbeat,
+		HeartbeatInterval: testHeartbeat,
 	}, rand.New(rand.NewPCG(w.network.Random.Uint64(), 0)))
 	node := &worldNode{registry: registry, member: member, answers: map[uint64]answered{}, leaving: map[uint64]string{}}
 	node.world = w
@@ -137,7 +137,7 @@
 	b.world.request++
 	request := b.world.request
 	b.instance.Sequence++
-	heartbeat := clone(b.instance)
+	heartbeat := deepCopy(b.instance)
 	if !node.Running() {
 		return request
 	}
@@ -245,6 +245,6 @@
 
 func ready(i *Instance) bool    { return i.State == Ready }
 func draining(i *Instance) bool { return i.State == Draining }
-func silent(i *Instance) bool   { return i.Silent }
-func heard(i *Instance) bool    { return !i.Silent }
+func silent(i *Instance) bool   { return i.Unresponsive }
+func heard(i *Instance) bool    { return !i.Unresponsive }
 func loading(i *Instance) bool  { return i.Loading }
--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -44,7 +44,7 @@
 	list := instances(4)
 	list[0].State = registry.Draining
 	list[1].Loading = true
-	list[2].Silent = true
+	list[2].Unresponsive = true
 	w := newWorld(t, list)
 	for range 20 {
 		a := w.begin(w.request(safeRoute))
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -106,7 +106,7 @@
 		fetched bool
 	}{
 		{"well", func(*world, *registry.Instance) {}, true},
-		{"silent", func(_ *world, owner *registry.Instance) { owner.Silent = true }, false},
+		{"silent", func(_ *world, owner *registry.Instance) { owner.Unresponsive = true }, false},
 		{"draining", func(_ *world, owner *registry.Instance) { owner.State = registry.Draining }, false},
 		{"loading", func(_ *world, owner *registry.Instance) { owner.Loading = true }, false},
 		{"another version", func(_ *world, owner *registry.Instance) { withVersion(owner, 2) }, false},
--- a/internal/node/routing/candidates.go
+++ b/internal/node/routing/candidates.go
@@ -108,7 +108,7 @@
 		f.sound = append(f.sound, c)
 	case h.aside():
 		f.doubtful = append(f.doubtful, c)
-	case b.instance.Silent && (h.answeredAt == 0 || now-h.answeredAt > answeredLately):
+	case b.instance.Unresponsive && (h.answeredAt == 0 || now-h.answeredAt > answeredLately):
 		f.silent = append(f.silent, c)
 	default:
 		f.sound = append(f.sound, c)
@@ -120,7 +120,7 @@
 // came by. Whom the registry misses as well is not tried.
 func (r *Router) mayTry(now core.Time, req *request, b *broker) bool {
 	h := &b.health
-	if !h.trialDue(now) || b.instance.Silent || len(req.attempts) > 0 {
+	if !h.trialDue(now) || b.instance.Unresponsive || len(req.attempts) > 0 {
 		return false
 	}
 	return req.idempotent || h.ailment == unreachable || now >= h.trialAt+h.backoff
@@ -180,7 +180,7 @@
 		if c.load = trust*load + (1-trust)*f.average; !reported {
 			c.load = float64(c.broker.out)
 		}
-		if now < c.broker.instance.ColdUntil {
+		if now < c.broker.instance.WarmingUpUntil {
 			c.load = coldFactor*c.load + 1
 		}
 	}
--- a/internal/node/routing/fetch.go
+++ b/internal/node/routing/fetch.go
@@ -148,7 +148,7 @@
 // mayFetchFrom reports whether a broker is well enough to be named as a source, and has the same weights.
 func (r *Router) mayFetchFrom(now core.Time, req *request, chosen *candidate, b *broker) bool {
 	switch {
-	case b == chosen.broker, req.tried(b), !b.instance.Usable(), b.instance.Silent, b.health.aside():
+	case b == chosen.broker, req.tried(b), !b.instance.Usable(), b.instance.Unresponsive, b.health.aside():
 		return false
 	case now < b.health.misdirectedUntil, r.hangs(now, req.pool, b):
 		return false
--- a/internal/node/routing/placement.go
+++ b/internal/node/routing/placement.go
@@ -91,7 +91,7 @@
 		r.placing.work(c)
 		c.cost += r.waiting(now, req.pool, c.broker)
 		c.cost += r.conditions(c)
-		if now < c.broker.instance.ColdUntil {
+		if now < c.broker.instance.WarmingUpUntil {
 			c.cost *= coldFactor
 		}
 	}
--- a/internal/rig/scale/disasters.go
+++ b/internal/rig/scale/disasters.go
@@ -132,7 +132,7 @@
 	count := 0
 	for _, n := range f.running() {
 		for id, instance := range n.control.Registry().Table().ByID {
-			if lost[id] && !instance.Silent {
+			if lost[id] && !instance.Unresponsive {
 				count++
 				break
 			}
--- a/internal/rig/scale/watch.go
+++ b/internal/rig/scale/watch.go
@@ -48,7 +48,7 @@
 		return
 	}
 	for id, instance := range n.control.Registry().Table().ByID {
-		if instance.Silent {
+		if instance.Unresponsive {
 			f.watch.silent[id] = true
 		}
 	}
