--- a/internal/node/registry/bench_test.go
+++ b/internal/node/registry/bench_test.go
@@ -17,11 +17,11 @@
 		members = append(members, &nodepb.Member{NodeId: fmt.Sprint(number), Address: fmt.Sprint(number), Zone: "b"})
 	}
 	r.SetMembers(0, members)
-	beat := at(1, isReady, func(i *nodepb.Instance) { i.Slots = 8 })
+	heartbeat := instanceAt(1, isReady, func(i *nodepb.Instance) { i.Slots = 8 })
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		beat.Sequence++
-		r.Heartbeat(core.Time(number)*time.Millisecond, uint64(number), beat)
+		heartbeat.Sequence++
+		r.Heartbeat(core.Time(number)*time.Millisecond, uint64(number), heartbeat)
 	}
 }
 
@@ -29,7 +29,7 @@
 func BenchmarkTable(b *testing.B) {
 	r := single()
 	for number := range 600 {
-		r.Heartbeat(0, 1, at(1, isReady, func(i *nodepb.Instance) {
+		r.Heartbeat(0, 1, instanceAt(1, isReady, func(i *nodepb.Instance) {
 			i.Id, i.Address = fmt.Sprint(number), fmt.Sprint(number)
 			i.Service = fmt.Sprint(number % 20)
 		}))
--- a/internal/node/registry/helpers_test.go
+++ b/internal/node/registry/helpers_test.go
@@ -6,4 +6,4 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-func cloneMember(member *nodepb.Member) *nodepb.Member { return proto.Clone(member).(*nodepb.Member) }
+func copyMember(member *nodepb.Member) *nodepb.Member { return proto.Clone(member).(*nodepb.Member) }
--- a/internal/node/registry/saved/saved_test.go
+++ b/internal/node/registry/saved/saved_test.go
@@ -31,7 +31,7 @@
 	return ids
 }
 
-func TestTheNewestWholeCopyIsLoaded(t *testing.T) {
+func TestLoadReturnsNewestCompleteSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	file := Open(dir)
 	assert.NilError(t, file.Save(instances("a", "b", "c"), noon))
@@ -41,7 +41,7 @@
 	assert.DeepEqual(t, loadedIDs(t, dir, noon.Add(4*time.Second)), []string{"e", "f"})
 }
 
-func TestADamagedCopyLeavesTheOneBefore(t *testing.T) {
+func TestLoadFallsBackFromDamagedSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	file := Open(dir)
 	assert.NilError(t, file.Save(instances("a"), noon))
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAnOldOrMissingCopyIsNotUsed(t *testing.T) {
+func TestLoadRejectsOldOrMissingSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	_, err := Open(dir).Load(noon)
 	assert.ErrorContains(t, err, "no whole copy")
--- a/internal/node/registry/silence_test.go
+++ b/internal/node/registry/silence_test.go
@@ -10,13 +10,13 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// fleetOfBrokers starts brokers of one service that keep beating.
-func (w *world) fleetOfBrokers(service, zone string, count int) []*broker {
+// startBrokers starts brokers of one service that keep beating.
+func (c *cluster) startBrokers(service, zone string, count int) []*broker {
 	var brokers []*broker
 	for number := range count {
-		b := w.broker(fmt.Sprintf("%s-%d", service, number), service, zone)
-		b.target = w.nodes[number%len(w.nodes)]
-		w.network.After(time.Duration(w.network.Random.Int64N(int64(testHeartbeat))), b.keepBeating)
+		b := c.broker(fmt.Sprintf("%s-%d", service, number), service, zone)
+		b.target = c.nodes[number%len(c.nodes)]
+		c.network.After(time.Duration(c.network.Random.Int64N(int64(testHeartbeat))), b.sendHeartbeats)
 		brokers = append(brokers, b)
 	}
 	return brokers
@@ -25,92 +25,92 @@
 func (b *broker) id() string { return b.instance.Id }
 
 // A broker that crashes says nothing: it is marked after its heartbeats are missed, and dropped later on.
-func TestCrashedBrokerBecomesSilentAndIsDropped(t *testing.T) {
-	w := newWorld(t, 1, 6, "a", "b")
-	brokers := w.fleetOfBrokers("llm", "a", 5)
-	w.network.Run(5 * time.Second)
+func TestCrashedBrokerBecomesUnresponsiveAndIsDropped(t *testing.T) {
+	c := newCluster(t, 1, 6, "a", "b")
+	brokers := c.startBrokers("llm", "a", 5)
+	c.network.Run(5 * time.Second)
 	brokers[0].stopped = true
-	w.network.Run(2 * time.Second)
-	assert.Assert(t, w.everyoneHas(brokers[0].id(), heard), "marked too soon")
-	w.within(3*time.Second, "marked everywhere", func() bool { return w.everyoneHas(brokers[0].id(), silent) })
-	w.network.Run(20 * time.Second)
-	assert.Assert(t, w.everyoneHas(brokers[0].id(), silent))
-	w.within(10*time.Second, "dropped", func() bool { return w.nobodyHas(brokers[0].id()) })
+	c.network.Run(2 * time.Second)
+	assert.Assert(t, c.everyoneHas(brokers[0].id(), responsive), "marked too soon")
+	c.within(3*time.Second, "marked everywhere", func() bool { return c.everyoneHas(brokers[0].id(), unresponsive) })
+	c.network.Run(20 * time.Second)
+	assert.Assert(t, c.everyoneHas(brokers[0].id(), unresponsive))
+	c.within(10*time.Second, "dropped", func() bool { return c.nobodyHas(brokers[0].id()) })
 	for _, b := range brokers[1:] {
-		assert.Assert(t, w.everyoneHas(b.id(), heard))
+		assert.Assert(t, c.everyoneHas(b.id(), responsive))
 	}
 }
 
-func TestSilentBrokerThatIsHeardAgainIsClearedEverywhere(t *testing.T) {
-	w := newWorld(t, 2, 6, "a", "b")
-	b := w.fleetOfBrokers("llm", "a", 1)[0]
-	w.network.Run(3 * time.Second)
+func TestRecoveredBrokerIsResponsiveEverywhere(t *testing.T) {
+	c := newCluster(t, 2, 6, "a", "b")
+	b := c.startBrokers("llm", "a", 1)[0]
+	c.network.Run(3 * time.Second)
 	b.stopped = true
-	w.within(6*time.Second, "marked everywhere", func() bool { return w.everyoneHas(b.id(), silent) })
-	b.beat(w.nodes[3])
-	w.within(200*time.Millisecond, "cleared everywhere", func() bool { return w.everyoneHas(b.id(), heard) })
+	c.within(6*time.Second, "marked everywhere", func() bool { return c.everyoneHas(b.id(), unresponsive) })
+	b.heartbeat(c.nodes[3])
+	c.within(200*time.Millisecond, "cleared everywhere", func() bool { return c.everyoneHas(b.id(), responsive) })
 }
 
 // Where most of a service goes silent at once the trouble is likely the home's own.
-func TestMostOfAServiceSilentAtOnceIsDoubted(t *testing.T) {
-	w := newWorld(t, 3, 6, "a")
-	brokers := w.fleetOfBrokers("llm", "a", 6)
-	w.network.Run(5 * time.Second)
+func TestSelfPreservationDelaysMassTimeout(t *testing.T) {
+	c := newCluster(t, 3, 6, "a")
+	brokers := c.startBrokers("llm", "a", 6)
+	c.network.Run(5 * time.Second)
 	for _, b := range brokers[:4] {
 		b.stopped = true
 	}
-	w.network.Run(10 * time.Second)
+	c.network.Run(10 * time.Second)
 	for _, b := range brokers {
-		assert.Assert(t, w.everyoneHas(b.id(), heard))
+		assert.Assert(t, c.everyoneHas(b.id(), responsive))
 	}
-	w.within(10*time.Second, "marked after the doubt", func() bool { return w.everyoneHas(brokers[0].id(), silent) })
-	assert.Assert(t, w.everyoneHas(brokers[5].id(), heard))
+	c.within(10*time.Second, "marked after the doubt", func() bool { return c.everyoneHas(brokers[0].id(), unresponsive) })
+	assert.Assert(t, c.everyoneHas(brokers[5].id(), responsive))
 }
 
 // Two of two brokers may well crash at the same time.
-func TestSmallServiceIsNotDoubted(t *testing.T) {
-	w := newWorld(t, 4, 6, "a")
-	brokers := w.fleetOfBrokers("pdf", "a", 2)
-	w.network.Run(5 * time.Second)
+func TestSmallServiceHasNoSelfPreservation(t *testing.T) {
+	c := newCluster(t, 4, 6, "a")
+	brokers := c.startBrokers("pdf", "a", 2)
+	c.network.Run(5 * time.Second)
 	brokers[0].stopped, brokers[1].stopped = true, true
-	w.within(6*time.Second, "both marked", func() bool {
-		return w.everyoneHas(brokers[0].id(), silent) && w.everyoneHas(brokers[1].id(), silent)
+	c.within(6*time.Second, "both marked", func() bool {
+		return c.everyoneHas(brokers[0].id(), unresponsive) && c.everyoneHas(brokers[1].id(), unresponsive)
 	})
 }
 
 // Brokers that keep beating are never marked, whatever becomes of their homes.
-func TestHomesInTroubleMarkNoBrokerThatBeats(t *testing.T) {
-	troubles := map[string]func(w *world, home *worldNode){
-		"frozen": func(w *world, home *worldNode) {
+func TestFaultyHomeMarksNoHealthyBroker(t *testing.T) {
+	faults := map[string]func(c *cluster, home *clusterNode){
+		"frozen": func(c *cluster, home *clusterNode) {
 			home.Freeze()
-			w.network.After(6*time.Second, home.Thaw)
+			c.network.After(6*time.Second, home.Thaw)
 		},
-		"killed": func(w *world, home *worldNode) {
+		"killed": func(c *cluster, home *clusterNode) {
 			home.Kill()
-			w.network.After(3*time.Second, func() { w.announce() })
+			c.network.After(3*time.Second, func() { c.publishMembers() })
 		},
-		"frozen and dropped": func(w *world, home *worldNode) {
+		"frozen and dropped": func(c *cluster, home *clusterNode) {
 			home.Freeze()
-			w.network.After(3*time.Second, func() { w.announce() })
-			w.network.After(8*time.Second, func() { home.Thaw(); w.announce() })
+			c.network.After(3*time.Second, func() { c.publishMembers() })
+			c.network.After(8*time.Second, func() { home.Thaw(); c.publishMembers() })
 		},
-		"cut off and dropped": func(w *world, home *worldNode) {
-			w.network.Isolate(home.Address)
-			w.network.After(3*time.Second, func() { w.announce(home) })
-			w.network.After(8*time.Second, func() { w.network.Rejoin(home.Address); w.announce() })
+		"partitioned and dropped": func(c *cluster, home *clusterNode) {
+			c.network.Isolate(home.Address)
+			c.network.After(3*time.Second, func() { c.publishMembers(home) })
+			c.network.After(8*time.Second, func() { c.network.Rejoin(home.Address); c.publishMembers() })
 		},
 	}
-	for name, trouble := range troubles {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 5, 8, "a", "b")
-			brokers := w.fleetOfBrokers("llm", "a", 6)
-			w.network.Run(5 * time.Second)
-			home := w.home("llm", "a")
-			trouble(w, home)
+			c := newCluster(t, 5, 8, "a", "b")
+			brokers := c.startBrokers("llm", "a", 6)
+			c.network.Run(5 * time.Second)
+			home := c.home("llm", "a")
+			inject(c, home)
 			for range 200 {
-				w.network.Run(100 * time.Millisecond)
+				c.network.Run(100 * time.Millisecond)
 				for _, b := range brokers {
-					for _, node := range w.nodes {
+					for _, node := range c.nodes {
 						if !node.Running() || node == home {
 							continue
 						}
@@ -119,26 +119,26 @@
 					}
 				}
 			}
-			w.network.Run(5 * time.Second)
+			c.network.Run(5 * time.Second)
 			for _, b := range brokers {
-				assert.Assert(t, w.everyoneHas(b.id(), heard), b.id())
+				assert.Assert(t, c.everyoneHas(b.id(), responsive), b.id())
 			}
 		})
 	}
 }
 
 // A claim of silence is contradicted by who hears the broker.
-func TestSilenceIsRefutedByWhoHearsTheBroker(t *testing.T) {
-	w := newWorld(t, 6, 4, "a")
-	b := w.fleetOfBrokers("llm", "a", 1)[0]
-	w.network.Run(4 * time.Second)
-	home := w.home("llm", "a")
+func TestFalseTimeoutIsRefuted(t *testing.T) {
+	c := newCluster(t, 6, 4, "a")
+	b := c.startBrokers("llm", "a", 1)[0]
+	c.network.Run(4 * time.Second)
+	home := c.home("llm", "a")
 	claim := home.registry.records[b.id()].message(home.Now())
 	claim.SilentMs = 4000
-	for _, node := range w.nodes {
+	for _, node := range c.nodes {
 		update := &nodepb.InstanceUpdate{Nonce: 1, Instances: []*nodepb.Instance{claim}}
 		node.registry.receiveUpdate(node.Now(), peerIn("node-x"), update)
 	}
-	assert.Assert(t, heard(home.registry.Table().ByID[b.id()]))
-	w.within(200*time.Millisecond, "refuted", func() bool { return w.everyoneHas(b.id(), heard) })
+	assert.Assert(t, responsive(home.registry.Table().ByID[b.id()]))
+	c.within(200*time.Millisecond, "refuted", func() bool { return c.everyoneHas(b.id(), responsive) })
 }
--- a/internal/node/registry/world_test.go
+++ b/internal/node/registry/world_test.go
@@ -13,51 +13,51 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// world is a fleet of nodes with a registry each, on a virtual network.
-type world struct {
+// cluster is a fleet of nodes with a registry each, on a virtual network.
+type cluster struct {
 	t       *testing.T
 	network *coretest.Network
-	nodes   []*worldNode
+	nodes   []*clusterNode
 	zones   []string
 	started int
 	request uint64
 }
 
-type worldNode struct {
+type clusterNode struct {
 	*coretest.Node
-	world    *world
-	registry *Registry
-	member   *nodepb.Member
-	answers  map[uint64]answered
-	marks    []core.LoadingConfirmed
-	tables   int // how often the table changed
-
-	lastTrouble time.Duration
+	cluster      *cluster
+	registry     *Registry
+	member       *nodepb.Member
+	answers      map[uint64]timedAnswer
+	marks        []core.LoadingConfirmed
+	tableChanges int // how often the table changed
+
+	lastFaultAt time.Duration
 	leaving     map[uint64]string // calls of brokers that leave, by request
 }
 
-type answered struct {
+type timedAnswer struct {
 	core.RegistryAnswer
 	at core.Time
 }
 
 const testHeartbeat = 1200 * time.Millisecond
 
-func newWorld(t *testing.T, seed uint64, nodes int, zones ...string) *world {
+func newCluster(t *testing.T, seed uint64, nodes int, zones ...string) *cluster {
 	t.Helper()
-	w := &world{t: t, network: coretest.NewNetwork(seed), zones: zones}
+	c := &cluster{t: t, network: coretest.NewNetwork(seed), zones: zones}
 	for range nodes {
-		w.start()
+		c.start()
 	}
-	w.announce()
-	return w
+	c.publishMembers()
+	return c
 }
 
 // start starts a node that is not yet known to the others.
-func (w *world) start() *worldNode {
-	number := w.started
-	w.started++
-	zone := w.zones[number%len(w.zones)]
+func (c *cluster) start() *clusterNode {
+	number := c.started
+	c.started++
+	zone := c.zones[number%len(c.zones)]
 	member := &nodepb.Member{
 		NodeId: fmt.Sprintf("node-%d", number), Address: fmt.Sprintf("10.0.0.%d:7000", number),
 		ControlAddress: fmt.Sprintf("10.0.0.%d:8381", number), Zone: zone, ServesFront: true,
@@ -65,33 +65,33 @@
 	registry := New(0, Options{
 		SelfID: member.NodeId, SelfAddress: member.Address, ControlAddress: member.ControlAddress, Zone: zone,
 		HeartbeatInterval: testHeartbeat,
-	}, rand.New(rand.NewPCG(w.network.Random.Uint64(), 0)))
-	node := &worldNode{registry: registry, member: member, answers: map[uint64]answered{}, leaving: map[uint64]string{}}
-	node.world = w
-	node.lastTrouble = -time.Hour
-	node.Node = w.network.Add(member.NodeId, member.Address, registry, node.output)
-	w.nodes = append(w.nodes, node)
+	}, rand.New(rand.NewPCG(c.network.Random.Uint64(), 0)))
+	node := &clusterNode{registry: registry, member: member, answers: map[uint64]timedAnswer{}, leaving: map[uint64]string{}}
+	node.cluster = c
+	node.lastFaultAt = -time.Hour
+	node.Node = c.network.Add(member.NodeId, member.Address, registry, node.output)
+	c.nodes = append(c.nodes, node)
 	return node
 }
 
-func (n *worldNode) output(now core.Time, output core.Output) {
+func (n *clusterNode) output(now core.Time, output core.Output) {
 	switch output := output.(type) {
 	case core.RegistryAnswer:
-		n.answers[output.Request] = answered{output, now}
-		if id, leaving := n.leaving[output.Request]; leaving && output.Taken && n.world.inTouch(n) {
-			n.world.checkDrains(id)
+		n.answers[output.Request] = timedAnswer{output, now}
+		if id, leaving := n.leaving[output.Request]; leaving && output.Taken && n.cluster.inTouch(n) {
+			n.cluster.checkDrains(id)
 		}
 	case core.LoadingConfirmed:
 		n.marks = append(n.marks, output)
 	case core.TableChanged:
-		n.tables++
+		n.tableChanges++
 	}
 }
 
 // members lists the nodes that membership would list: those not killed.
-func (w *world) members(without ...*worldNode) []*nodepb.Member {
+func (c *cluster) members(without ...*clusterNode) []*nodepb.Member {
 	var members []*nodepb.Member
-	for _, node := range w.nodes {
+	for _, node := range c.nodes {
 		left := !node.Running()
 		for _, out := range without {
 			left = left || out == node
@@ -104,38 +104,38 @@
 }
 
 // announce tells all running nodes the running nodes.
-func (w *world) announce(without ...*worldNode) {
-	members := w.members(without...)
-	for _, node := range w.nodes {
+func (c *cluster) publishMembers(without ...*clusterNode) {
+	members := c.members(without...)
+	for _, node := range c.nodes {
 		if node.Running() {
 			node.setMembers(members)
 		}
 	}
 }
 
-func (n *worldNode) setMembers(members []*nodepb.Member) {
+func (n *clusterNode) setMembers(members []*nodepb.Member) {
 	n.Do(func(now core.Time) []core.Output { return n.registry.SetMembers(now, members) })
 }
 
 // broker is a model broker or service that sends heartbeats.
 type broker struct {
-	world    *world
+	cluster  *cluster
 	instance *nodepb.Instance
-	target   *worldNode // where the next heartbeat goes
+	target   *clusterNode // where the next heartbeat goes
 	stopped  bool
 }
 
-func (w *world) broker(id, service, zone string) *broker {
-	return &broker{world: w, target: w.nodes[0], instance: &nodepb.Instance{
+func (c *cluster) broker(id, service, zone string) *broker {
+	return &broker{cluster: c, target: c.nodes[0], instance: &nodepb.Instance{
 		Id: id, Service: service, Zone: zone, Address: "10.128.0." + id + ":8080", Slots: 8, Software: "v1",
 		Models: []*nodepb.ModelOnInstance{{Name: "m", Version: 1}},
 	}}
 }
 
-// beat sends one heartbeat and returns its number.
-func (b *broker) beat(node *worldNode) uint64 {
-	b.world.request++
-	request := b.world.request
+// heartbeat sends one heartbeat and returns its number.
+func (b *broker) heartbeat(node *clusterNode) uint64 {
+	b.cluster.request++
+	request := b.cluster.request
 	b.instance.Sequence++
 	heartbeat := deepCopy(b.instance)
 	if !node.Running() {
@@ -148,31 +148,31 @@
 	return request
 }
 
-// keepBeating sends heartbeats until the broker is stopped, as PROTOCOL.md describes: to the address named; after a
+// sendHeartbeats sends heartbeats until the broker is stopped, as PROTOCOL.md describes: to the address named; after a
 // second without an acknowledgement to another node.
-func (b *broker) keepBeating() {
+func (b *broker) sendHeartbeats() {
 	if b.stopped {
 		return
 	}
 	node := b.target
-	request := b.beat(node)
-	b.world.network.After(time.Second, func() {
-		if b.follow(node, request) {
-			b.world.network.After(testHeartbeat-time.Second, b.keepBeating)
+	request := b.heartbeat(node)
+	b.cluster.network.After(time.Second, func() {
+		if b.followHome(node, request) {
+			b.cluster.network.After(testHeartbeat-time.Second, b.sendHeartbeats)
 			return
 		}
-		b.target = b.world.nodes[b.world.network.Random.IntN(len(b.world.nodes))]
-		b.keepBeating()
+		b.target = b.cluster.nodes[b.cluster.network.Random.IntN(len(b.cluster.nodes))]
+		b.sendHeartbeats()
 	})
 }
 
 // follow goes on to the node that an acknowledgement names; it reports whether one came.
-func (b *broker) follow(node *worldNode, request uint64) bool {
+func (b *broker) followHome(node *clusterNode, request uint64) bool {
 	answer, ok := node.answers[request]
 	if !ok || !answer.Taken || !node.Running() {
 		return false
 	}
-	for _, candidate := range b.world.nodes {
+	for _, candidate := range b.cluster.nodes {
 		if candidate.member.ControlAddress == answer.HeartbeatURL {
 			b.target = candidate
 		}
@@ -180,17 +180,17 @@
 	return true
 }
 
-func (b *broker) deregister(node *worldNode) uint64 {
-	b.world.request++
-	request := b.world.request
+func (b *broker) deregister(node *clusterNode) uint64 {
+	b.cluster.request++
+	request := b.cluster.request
 	node.leaving[request] = b.instance.Id
 	node.Do(func(now core.Time) []core.Output { return node.registry.Deregister(now, request, b.instance.Id) })
 	return request
 }
 
 // knows reports whether all running nodes agree on a broker.
-func (w *world) all(check func(node *worldNode) bool) bool {
-	for _, node := range w.nodes {
+func (c *cluster) all(check func(node *clusterNode) bool) bool {
+	for _, node := range c.nodes {
 		if node.Running() && !check(node) {
 			return false
 		}
@@ -198,34 +198,34 @@
 	return true
 }
 
-func (w *world) everyoneHas(id string, check func(*Instance) bool) bool {
-	return w.all(func(node *worldNode) bool {
+func (c *cluster) everyoneHas(id string, check func(*Instance) bool) bool {
+	return c.all(func(node *clusterNode) bool {
 		instance := node.registry.Table().ByID[id]
 		return instance != nil && check(instance)
 	})
 }
 
-func (w *world) nobodyHas(id string) bool {
-	return w.all(func(node *worldNode) bool { return node.registry.Table().ByID[id] == nil })
+func (c *cluster) nobodyHas(id string) bool {
+	return c.all(func(node *clusterNode) bool { return node.registry.Table().ByID[id] == nil })
 }
 
-func (w *world) within(span time.Duration, what string, condition func() bool) {
-	w.t.Helper()
-	assert.Assert(w.t, w.network.RunUntil(span, condition), "not within %v: %s", span, what)
+func (c *cluster) within(span time.Duration, what string, condition func() bool) {
+	c.t.Helper()
+	assert.Assert(c.t, c.network.RunUntil(span, condition), "not within %v: %s", span, what)
 }
 
 // home is the node that is the home of a topic by the members known to the first node.
-func (w *world) home(service, zone string) *worldNode {
-	for _, node := range w.nodes {
+func (c *cluster) home(service, zone string) *clusterNode {
+	for _, node := range c.nodes {
 		if node.Running() {
-			return w.byAddress(node.registry.rankHomes(topicKey{service, zone})[0].address)
+			return c.byAddress(node.registry.rankHomes(topicKey{service, zone})[0].address)
 		}
 	}
 	return nil
 }
 
-func (w *world) byAddress(address string) *worldNode {
-	for _, node := range w.nodes {
+func (c *cluster) byAddress(address string) *clusterNode {
+	for _, node := range c.nodes {
 		if node.Address == address {
 			return node
 		}
@@ -233,9 +233,9 @@
 	return nil
 }
 
-func (w *world) notHome(service, zone string) *worldNode {
-	home := w.home(service, zone)
-	for _, node := range w.nodes {
+func (c *cluster) notHome(service, zone string) *clusterNode {
+	home := c.home(service, zone)
+	for _, node := range c.nodes {
 		if node != home && node.Running() {
 			return node
 		}
@@ -243,8 +243,8 @@
 	return nil
 }
 
-func ready(i *Instance) bool    { return i.State == Ready }
-func draining(i *Instance) bool { return i.State == Draining }
-func silent(i *Instance) bool   { return i.Unresponsive }
-func heard(i *Instance) bool    { return !i.Unresponsive }
-func loading(i *Instance) bool  { return i.Loading }
+func ready(i *Instance) bool        { return i.State == Ready }
+func draining(i *Instance) bool     { return i.State == Draining }
+func unresponsive(i *Instance) bool { return i.Unresponsive }
+func responsive(i *Instance) bool   { return !i.Unresponsive }
+func loading(i *Instance) bool      { return i.Loading }
