--- a/internal/node/registry/antientropy.go
+++ b/internal/node/registry/antientropy.go
@@ -234,3 +234,7 @@
 		}
 	}
 }
+
+// Synced reports whether this node has completed its initial full sync, or has found that the fleet
+// has no entries. Until then it may know no more than the few brokers whose heartbeats it received.
+func (r *Registry) Synced() bool { return r.synced }
--- a/internal/node/registry/broadcast.go
+++ b/internal/node/registry/broadcast.go
@@ -7,14 +7,18 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// broadcast is an update on its way to all other nodes, until they have confirmed it.
+// broadcast is an update that is sent to all other nodes until each has acknowledged it, at the
+// longest for broadcastTimeout.
+//
+// It is answered once: when every available node has acknowledged it, or at answerDeadline. The
+// calls that wait for it are accepted only if another node holds the update or this node is alone,
+// so that an acknowledged state survives the loss of this node. Retries go on after the answer.
 type broadcast struct {
 	nonce          uint64
 	message        *nodepb.Envelope
 	instanceIDs    []string
-	unacknowledged []string // node ids that have not confirmed
-	// ackCount counts the nodes that have.
-	ackCount int
+	unacknowledged []string // ids of the nodes that have not acknowledged it
+	ackCount       int      // nodes that have
 
 	retryAt        core.Time
 	answerDeadline core.Time
@@ -25,20 +29,22 @@
 	answered             bool
 }
 
-func (s *broadcast) deadline() core.Time {
-	next := min(s.retryAt, s.giveUpAt)
-	if !s.answered {
-		next = min(next, s.answerDeadline)
+// deadline is when the broadcast is next due.
+func (b *broadcast) deadline() core.Time {
+	next := min(b.retryAt, b.giveUpAt)
+	if !b.answered {
+		next = min(next, b.answerDeadline)
 	}
 	return next
 }
 
 // finished reports whether nothing is left to wait for.
-func (s *broadcast) finished(now core.Time) bool {
-	return s.answered && (len(s.unacknowledged) == 0 || s.giveUpAt <= now)
+func (b *broadcast) finished(now core.Time) bool {
+	return b.answered && (len(b.unacknowledged) == 0 || b.giveUpAt <= now)
 }
 
-// scheduleBroadcast tells the other nodes of a broker after the delay, together with what else comes up until then.
+// scheduleBroadcast has a broker's record sent to the other nodes after the delay, in one message
+// with all that is scheduled until then.
 func (r *Registry) scheduleBroadcast(now core.Time, id string, delay core.Time) {
 	if !slices.Contains(r.batchIDs, id) {
 		r.batchIDs = append(r.batchIDs, id)
@@ -46,25 +52,27 @@
 	r.batchDeadline = min(r.batchDeadline, now+delay)
 }
 
+// flushBatch broadcasts what was scheduled.
 func (r *Registry) flushBatch(now core.Time) {
 	ids := r.batchIDs
 	r.batchIDs = nil
 	r.batchDeadline = core.Never
 	slices.Sort(ids)
-	for part := range slices.Chunk(ids, maxInstancesPerMessage) {
-		r.advanceBroadcast(now, r.startBroadcast(now, part, now+ackTimeout))
+	for chunk := range slices.Chunk(ids, maxInstancesPerMessage) {
+		r.advanceBroadcast(now, r.startBroadcast(now, chunk, now+ackTimeout))
 	}
 }
 
-// startBroadcast sends the records of the brokers to all other nodes. The caller settles it.
-func (r *Registry) startBroadcast(now core.Time, ids []string, answerBy core.Time) *broadcast {
+// startBroadcast sends the records of brokers to all other nodes. The caller then calls
+// advanceBroadcast, once it has added what waits for the broadcast.
+func (r *Registry) startBroadcast(now core.Time, ids []string, answerDeadline core.Time) *broadcast {
 	update := &nodepb.InstanceUpdate{Nonce: r.nextNonce(), AckWanted: true, Instances: r.instanceMessages(now, ids)}
 	started := &broadcast{
 		nonce:          update.Nonce,
 		message:        &nodepb.Envelope{Body: &nodepb.Envelope_InstanceUpdate{InstanceUpdate: update}},
 		instanceIDs:    ids,
 		retryAt:        now + broadcastRetryInterval,
-		answerDeadline: answerBy,
+		answerDeadline: answerDeadline,
 		giveUpAt:       now + broadcastTimeout,
 	}
 	for _, other := range r.others {
@@ -76,7 +84,7 @@
 	return started
 }
 
-// removeFromBatch drops brokers from the batch that have just been told.
+// removeFromBatch drops brokers from the batch whose records have just been sent.
 func (r *Registry) removeFromBatch(ids []string) {
 	r.batchIDs = slices.DeleteFunc(r.batchIDs, func(id string) bool { return slices.Contains(ids, id) })
 	if len(r.batchIDs) == 0 {
@@ -84,6 +92,7 @@
 	}
 }
 
+// instanceMessages returns the records of the brokers that are still known, as sent to other nodes.
 func (r *Registry) instanceMessages(now core.Time, ids []string) []*nodepb.Instance {
 	list := make([]*nodepb.Instance, 0, len(ids))
 	for _, id := range ids {
@@ -94,18 +103,20 @@
 	return list
 }
 
-// findBroadcastOf finds an unanswered update that tells the present state of a broker.
+// findBroadcastOf returns an unanswered broadcast that carries the broker's present state, nil if
+// there is none.
 func (r *Registry) findBroadcastOf(rec *record) *broadcast {
-	for _, pending := range r.broadcasts {
-		if !pending.answered && pending.carriesStateOf(rec) {
-			return pending
+	for _, b := range r.broadcasts {
+		if !b.answered && b.carriesStateOf(rec) {
+			return b
 		}
 	}
 	return nil
 }
 
-func (s *broadcast) carriesStateOf(rec *record) bool {
-	for _, instance := range s.message.GetInstanceUpdate().Instances {
+// carriesStateOf reports whether the broadcast carries the broker's present state.
+func (b *broadcast) carriesStateOf(rec *record) bool {
+	for _, instance := range b.message.GetInstanceUpdate().Instances {
 		if instance.Id == rec.reported.Id && instance.State == rec.state() {
 			return true
 		}
@@ -113,91 +124,96 @@
 	return false
 }
 
-// advanceBroadcast answers who waits for the update, once all nodes in touch have confirmed it or its time is over.
-func (r *Registry) advanceBroadcast(now core.Time, pending *broadcast) {
-	if !pending.answered {
-		r.tryAnswer(now, pending)
+// advanceBroadcast answers the broadcast if it can be answered now, and ends it if it is finished.
+// It is called after each change of what the broadcast waits for.
+func (r *Registry) advanceBroadcast(now core.Time, b *broadcast) {
+	if !b.answered {
+		r.tryAnswer(now, b)
 	}
-	if pending.finished(now) {
-		r.endBroadcast(now, pending)
+	if b.finished(now) {
+		r.endBroadcast(now, b)
 	}
 }
 
-func (r *Registry) tryAnswer(now core.Time, pending *broadcast) {
-	awaited := slices.ContainsFunc(pending.unacknowledged, func(id string) bool { return r.mustAwait(now, id) })
-	held := pending.ackCount > 0 || r.alone(now)
-	outOfTime := pending.answerDeadline <= now || len(pending.unacknowledged) == 0
-	if !outOfTime && (awaited || !held) {
+// tryAnswer answers what waits for the broadcast once no available node is left that has not
+// acknowledged it, and another node holds it; at the deadline in any case.
+func (r *Registry) tryAnswer(now core.Time, b *broadcast) {
+	awaited := slices.ContainsFunc(b.unacknowledged, func(id string) bool { return r.mustAwait(now, id) })
+	replicated := b.ackCount > 0 || r.alone(now)
+	overdue := b.answerDeadline <= now || len(b.unacknowledged) == 0
+	if !overdue && (awaited || !replicated) {
 		return
 	}
-	pending.answered = true
-	r.answerWaitingCalls(now, pending, held, !awaited)
-	for _, mark := range pending.loadingConfirmations {
-		mark.Everywhere = !awaited
-		r.output(mark)
+	b.answered = true
+	r.answerWaitingCalls(now, b, replicated, !awaited)
+	for _, confirmation := range b.loadingConfirmations {
+		confirmation.Everywhere = !awaited
+		r.output(confirmation)
 	}
 }
 
-// mustAwait reports whether an answer waits for a node: one that is a member, not suspected, and was not silent lately.
+// mustAwait reports whether an answer waits for a node's acknowledgement: it is a member, is not
+// suspected, and did not fail to answer lately.
 func (r *Registry) mustAwait(now core.Time, id string) bool {
 	known := r.peers[id]
 	return known != nil && known.available(now)
 }
 
-// answerWaitingCalls answers the calls of a broker that leaves. Where not all nodes in touch have confirmed, its next call is told
-// to the nodes again.
-func (r *Registry) answerWaitingCalls(now core.Time, pending *broadcast, held, everywhere bool) {
-	for _, id := range pending.instanceIDs {
+// answerWaitingCalls answers the calls of a broker that leaves. If some available node has not
+// acknowledged the broadcast, the broker's next call starts another one.
+func (r *Registry) answerWaitingCalls(now core.Time, b *broadcast, replicated, everywhere bool) {
+	for _, id := range b.instanceIDs {
 		rec := r.records[id]
-		if rec == nil || !pending.carriesStateOf(rec) {
+		if rec == nil || !b.carriesStateOf(rec) {
 			continue
 		}
-		rec.leaveConfirmed = rec.leaveConfirmed || held && everywhere
-		for _, waiting := range pending.waitingCalls {
-			r.answer(now, waiting, rec.reported, held)
+		rec.leaveConfirmed = rec.leaveConfirmed || replicated && everywhere
+		for _, origin := range b.waitingCalls {
+			r.answer(now, origin, rec.reported, replicated)
 		}
 		return
 	}
-	for _, waiting := range pending.waitingCalls {
-		r.answerWith(waiting, held, "")
+	for _, origin := range b.waitingCalls {
+		r.answerWith(origin, replicated, "")
 	}
 }
 
-func (r *Registry) endBroadcast(now core.Time, pending *broadcast) {
-	for _, id := range pending.unacknowledged {
+// endBroadcast drops a broadcast and backs off from the nodes that never acknowledged it.
+func (r *Registry) endBroadcast(now core.Time, b *broadcast) {
+	for _, id := range b.unacknowledged {
 		r.backOffPeer(now, id)
 	}
-	r.broadcasts = slices.DeleteFunc(r.broadcasts, func(other *broadcast) bool { return other == pending })
+	r.broadcasts = slices.DeleteFunc(r.broadcasts, func(other *broadcast) bool { return other == b })
 }
 
-// tickBroadcasts sends updates again to who has not confirmed them.
+// tickBroadcasts resends broadcasts to the nodes that have not acknowledged them.
 func (r *Registry) tickBroadcasts(now core.Time) {
-	for _, pending := range slices.Clone(r.broadcasts) {
-		if pending.retryAt <= now {
-			r.resendBroadcast(now, pending)
+	for _, b := range slices.Clone(r.broadcasts) {
+		if b.retryAt <= now {
+			r.resendBroadcast(now, b)
 		}
-		r.advanceBroadcast(now, pending)
+		r.advanceBroadcast(now, b)
 	}
 }
 
-func (r *Registry) resendBroadcast(now core.Time, pending *broadcast) {
-	pending.retryAt = now + broadcastRetryInterval
-	for _, id := range pending.unacknowledged {
+func (r *Registry) resendBroadcast(now core.Time, b *broadcast) {
+	b.retryAt = now + broadcastRetryInterval
+	for _, id := range b.unacknowledged {
 		if known := r.peers[id]; known != nil {
-			r.send(known.address, pending.message)
+			r.send(known.address, b.message)
 		}
 	}
 }
 
-// dropFormerMembers drops nodes that are members no more from the updates under way.
+// dropFormerMembers stops waiting for nodes that are no longer members.
 func (r *Registry) dropFormerMembers(now core.Time) {
-	for _, pending := range slices.Clone(r.broadcasts) {
-		pending.unacknowledged = slices.DeleteFunc(pending.unacknowledged, func(id string) bool { return r.peers[id] == nil })
-		r.advanceBroadcast(now, pending)
+	for _, b := range slices.Clone(r.broadcasts) {
+		b.unacknowledged = slices.DeleteFunc(b.unacknowledged, func(id string) bool { return r.peers[id] == nil })
+		r.advanceBroadcast(now, b)
 	}
 }
 
-// receiveUpdate takes what another node tells of brokers.
+// receiveUpdate merges another node's broadcast and acknowledges it.
 func (r *Registry) receiveUpdate(now core.Time, from core.Peer, update *nodepb.InstanceUpdate) {
 	for _, instance := range update.Instances {
 		r.mergeUpdate(now, instance)
@@ -209,6 +225,8 @@
 	r.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_InstanceUpdateAck{InstanceUpdateAck: ack}})
 }
 
+// mergeUpdate merges one broker of a broadcast. If this node knows that the broker responds, it
+// refutes a claim of the contrary.
 func (r *Registry) mergeUpdate(now core.Time, instance *nodepb.Instance) {
 	if instance.Id == "" {
 		return
@@ -221,21 +239,22 @@
 }
 
 func (r *Registry) receiveUpdateAck(now core.Time, from core.Peer, ack *nodepb.InstanceUpdateAck) {
-	for _, pending := range r.broadcasts {
-		if pending.nonce != ack.Nonce {
+	for _, b := range r.broadcasts {
+		if b.nonce != ack.Nonce {
 			continue
 		}
-		r.acknowledge(now, pending, from.NodeID)
+		r.acknowledge(now, b, from.NodeID)
 		return
 	}
 }
 
-func (r *Registry) acknowledge(now core.Time, pending *broadcast, id string) {
-	at := slices.Index(pending.unacknowledged, id)
-	if at < 0 {
+// acknowledge records a node's acknowledgement; further ones of the same node count for nothing.
+func (r *Registry) acknowledge(now core.Time, b *broadcast, id string) {
+	index := slices.Index(b.unacknowledged, id)
+	if index < 0 {
 		return
 	}
-	pending.unacknowledged = slices.Delete(pending.unacknowledged, at, at+1)
-	pending.ackCount++
-	r.advanceBroadcast(now, pending)
+	b.unacknowledged = slices.Delete(b.unacknowledged, index, index+1)
+	b.ackCount++
+	r.advanceBroadcast(now, b)
 }
--- a/internal/node/registry/doc.go
+++ b/internal/node/registry/doc.go
@@ -1,8 +1,24 @@
-// Package registry knows the brokers of all services. Every node holds an entry for each broker. For every service and
-// zone of brokers one node is the home: it takes the heartbeats, and tells the other nodes of changes only. What gets
-// lost is repaired by comparing digests with a random node each second.
+// Package registry is the service registry of a node: it knows the brokers (model servers) of all
+// services. It is a state machine without I/O: inputs and the time go in, core.Output values come
+// out. It isn't the registry's copy on disk (package saved), and it doesn't choose a broker for a
+// request (package routing).
 //
-// Entries merge without a common clock: the state of a broker only rises (ready, draining, gone), of what it says of itself the highest
-// sequence counts, and of what nodes add to it the highest revision. Sources: PROTOCOL.md, "Service discovery"; RULES.md, "Draining and
-// shutdown".
+// Every node holds an entry for each broker. The brokers of one service in one zone form a topic.
+// Each topic has a home node, chosen by rendezvous hashing, which receives the brokers' heartbeats
+// and broadcasts changes only. Lost broadcasts are repaired by anti-entropy: once a second a node
+// compares digests with a random other node (antientropy.go).
+//
+// Invariants:
+//
+//   - Entries merge without a common clock, and the result doesn't depend on the order of messages.
+//     A broker's state only rises (ready, draining, gone); of what it reports itself the highest
+//     sequence wins; of what nodes add to it the highest revision.
+//   - A gone broker stays as a tombstone for tombstoneRetention, so that no late message revives it.
+//   - A draining or gone broker is acknowledged only after another node holds that state, unless
+//     this node is alone.
+//   - Only the home node of a topic, or a node that received the broker's heartbeat, decides whether
+//     the broker is unresponsive.
+//   - A Table is immutable.
+//
+// Sources: PROTOCOL.md, "Service discovery"; RULES.md, "Draining and shutdown".
 package registry
--- a/internal/node/registry/liveness.go
+++ b/internal/node/registry/liveness.go
@@ -5,15 +5,21 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// livenessTrust says what a message's word on a broker's silence counts for.
+// Liveness of brokers. The home node of a topic marks a broker as unresponsive when no heartbeat
+// arrived within the heartbeat timeout, and broadcasts the mark. Any node that received a heartbeat
+// in that time refutes it. If most of a topic times out at once, the home enters self-preservation:
+// it delays the marks, as its own network is the likelier cause.
+
+// livenessTrust says whether a message's report of a broker's liveness counts.
 type livenessTrust uint8
 
 const (
-	ignoreLiveness livenessTrust = iota // it knows no better than this node
-	trustLiveness                       // it comes from who watches, or hears, the broker
+	ignoreLiveness livenessTrust = iota // the sender knows no better than this node
+	trustLiveness                       // the sender is the broker's home, or received its heartbeat
 )
 
-// mergeLiveness takes another node's word on whether the broker is silent, unless this node has heard it itself in the meantime.
+// mergeLiveness takes over another node's report of the broker's liveness, unless this node has
+// received a heartbeat since.
 func (r *record) mergeLiveness(now core.Time, incoming *nodepb.Instance, trust livenessTrust) {
 	if trust == ignoreLiveness || r.gone() {
 		return
@@ -22,15 +28,16 @@
 		r.unresponsive = false
 		return
 	}
-	lastHeard := now - duration(incoming.SilentMs)
-	if r.lastHeartbeatAt > lastHeard {
+	lastContact := now - duration(incoming.SilentMs)
+	if r.lastHeartbeatAt > lastContact {
 		return
 	}
 	r.unresponsive = true
-	r.unresponsiveSince = lastHeard
+	r.unresponsiveSince = lastContact
 }
 
-// refutes reports whether this node has heard, of itself, a broker that another takes for silent.
+// refutes reports whether this node received a heartbeat within the timeout of a broker that
+// another node reports as unresponsive, and has not refuted that within refuteInterval.
 func (r *Registry) refutes(now core.Time, rec *record, incoming *nodepb.Instance) bool {
 	if incoming.SilentMs == 0 || rec.gone() || rec.unresponsive {
 		return false
@@ -38,14 +45,15 @@
 	return now-rec.lastHeartbeatAt < r.options.heartbeatTimeout() && now-rec.refutedAt >= refuteInterval
 }
 
-// scheduleLivenessCheck sees to it that a topic of which this node is the home is checked.
+// scheduleLivenessCheck makes sure that a topic whose home this node is will be checked.
 func (r *Registry) scheduleLivenessCheck(now core.Time, t *topic) {
 	if t.home.self {
 		r.nextLivenessCheck = min(r.nextLivenessCheck, now+r.options.heartbeatTimeout())
 	}
 }
 
-// resetLivenessAfterStall is called after this node was stopped: what it did not hear in that time says nothing.
+// resetLivenessAfterStall restarts all timeouts after this process was stopped, as it could not
+// receive heartbeats in that time.
 func (r *Registry) resetLivenessAfterStall(now core.Time) {
 	for _, t := range r.topics {
 		t.homeSince = now
@@ -56,7 +64,7 @@
 	}
 }
 
-// checkLiveness marks the brokers that this node is the home of and that it has not heard for too long.
+// checkLiveness checks the topics whose home this node is.
 func (r *Registry) checkLiveness(now core.Time) {
 	r.nextLivenessCheck = core.Never
 	for _, t := range r.topics {
@@ -66,32 +74,35 @@
 	}
 }
 
+// checkTopicLiveness marks the brokers of a topic whose heartbeats are overdue.
 func (r *Registry) checkTopicLiveness(now core.Time, t *topic) {
-	watch := r.surveyTopic(now, t)
-	if watch.live > 0 {
-		r.nextLivenessCheck = min(r.nextLivenessCheck, max(watch.oldestContact+r.options.heartbeatTimeout(), now+timeoutGrace))
+	surveyed := r.surveyTopic(now, t)
+	if surveyed.live > 0 {
+		next := max(surveyed.oldestContact+r.options.heartbeatTimeout(), now+timeoutGrace)
+		r.nextLivenessCheck = min(r.nextLivenessCheck, next)
 	}
-	if len(watch.overdue) == 0 {
+	if len(surveyed.overdue) == 0 {
 		t.selfPreservationSince = 0
 		return
 	}
-	if r.updateSelfPreservation(now, t, watch) {
+	if r.updateSelfPreservation(now, t, surveyed) {
 		r.nextLivenessCheck = min(r.nextLivenessCheck, now+selfPreservationRecheck)
 		return
 	}
-	for _, rec := range watch.overdue {
+	for _, rec := range surveyed.overdue {
 		r.markUnresponsive(now, t, rec)
 	}
 }
 
-// livenessSurvey is how the brokers of a topic have been heard.
+// livenessSurvey sums up the last contacts with the brokers of a topic.
 type livenessSurvey struct {
-	live          int       // not marked as silent
-	missing       int       // of them, those that missed two beats or more
-	overdue       []*record // of them, those that are to be marked
-	oldestContact core.Time // the oldest last heartbeat among the live that are not overdue
+	live          int       // brokers that are neither gone nor marked as unresponsive
+	missing       int       // live brokers that are less than one heartbeat interval short of the timeout
+	overdue       []*record // live brokers beyond the timeout
+	oldestContact core.Time // with a live broker that is not overdue; the present time without one
 }
 
+// surveyTopic surveys the brokers of a topic.
 func (r *Registry) surveyTopic(now core.Time, t *topic) livenessSurvey {
 	found := livenessSurvey{oldestContact: now}
 	overdueBefore := now - r.options.heartbeatTimeout()
@@ -101,28 +112,30 @@
 			continue
 		}
 		found.live++
-		last := t.lastContact(rec)
-		if last <= missingBefore {
+		lastContact := t.lastContact(rec)
+		if lastContact <= missingBefore {
 			found.missing++
 		}
-		if last <= overdueBefore {
+		if lastContact <= overdueBefore {
 			found.overdue = append(found.overdue, rec)
 			continue
 		}
-		found.oldestContact = min(found.oldestContact, last)
+		found.oldestContact = min(found.oldestContact, lastContact)
 	}
 	return found
 }
 
-// lastContact is from when on a broker's silence counts.
+// lastContact is the time from which a broker's heartbeat timeout runs: its last heartbeat here, or
+// when this node first knew of it or became the home of its topic, if that is later.
 func (t *topic) lastContact(rec *record) core.Time {
 	return max(rec.lastHeartbeatAt, rec.learnedAt, t.homeSince)
 }
 
-// updateSelfPreservation reports whether so many fell silent at once that the trouble is likely this node's own. After a while it
-// gives in: brokers that are heard elsewhere are defended by who hears them.
-func (r *Registry) updateSelfPreservation(now core.Time, t *topic, watch livenessSurvey) bool {
-	if watch.live < selfPreservationMinBrokers || watch.missing*2 <= watch.live {
+// updateSelfPreservation enters or leaves self-preservation for a topic and reports whether it is in
+// force. It ends after selfPreservationLimit: brokers that other nodes receive heartbeats of are
+// then protected by the refutations of these.
+func (r *Registry) updateSelfPreservation(now core.Time, t *topic, surveyed livenessSurvey) bool {
+	if surveyed.live < selfPreservationMinBrokers || surveyed.missing*2 <= surveyed.live {
 		t.selfPreservationSince = 0
 		return false
 	}
@@ -132,6 +145,7 @@
 	return now-t.selfPreservationSince < selfPreservationLimit
 }
 
+// markUnresponsive marks a broker and schedules the broadcast of the mark.
 func (r *Registry) markUnresponsive(now core.Time, t *topic, rec *record) {
 	rec.unresponsive = true
 	rec.unresponsiveSince = t.lastContact(rec)
--- a/internal/node/registry/options.go
+++ b/internal/node/registry/options.go
@@ -6,75 +6,89 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Options are what a registry is told at its start.
+// Options configure a registry.
 type Options struct {
-	SelfID      string
-	SelfAddress string // internal address
-	// ControlAddress is where brokers reach this node's API (IP:port); empty: this node names itself to no broker.
-	ControlAddress    string
-	Zone              string
-	HeartbeatInterval time.Duration // about how often a broker is heard
+	SelfID      string // node id
+	SelfAddress string // internal address, IP:port
+	// ControlAddress is where brokers reach this node's API (IP:port). A node without one is never
+	// named to brokers as the destination of their next heartbeat.
+	ControlAddress string
+	Zone           string
+	// HeartbeatInterval is the expected time between two heartbeats of a broker; 0 or less:
+	// defaultHeartbeatInterval.
+	HeartbeatInterval time.Duration
 }
 
 const (
-	// defaultHeartbeatInterval serves where the options name none.
+	// defaultHeartbeatInterval is used when Options.HeartbeatInterval is not set.
 	defaultHeartbeatInterval = 1200 * time.Millisecond
 
-	// A broker waits a second for the answer to its heartbeat (PROTOCOL.md, "Service discovery").
+	// The limits on answers follow from the second that a broker waits for the answer to its
+	// heartbeat (PROTOCOL.md, "Service discovery").
 
-	// ackTimeout is how long a home waits for the nodes' confirmations before it answers.
+	// ackTimeout is how long a home waits for acknowledgements of other nodes before it answers.
 	ackTimeout = 500 * time.Millisecond
-	// answerTimeout is by when, since a call came to this node's API, it is answered whatever happens.
+	// answerTimeout, counted from when a call reached this node's API, is when it is answered in
+	// any case.
 	answerTimeout = 900 * time.Millisecond
 	// forwardTimeout is how long a home may take to answer a forwarded call.
 	forwardTimeout = 600 * time.Millisecond
 	// forwardRetryInterval is the time between two sends of a forwarded call.
 	forwardRetryInterval = 200 * time.Millisecond
-	// broadcastRetryInterval is the time between two sends of an update to nodes that have not confirmed it.
+	// broadcastRetryInterval is the time between two sends of an update to nodes that have not
+	// acknowledged it.
 	broadcastRetryInterval = 150 * time.Millisecond
-	// broadcastTimeout ends the retries; later on digests repair what is missing.
+	// broadcastTimeout ends the retries; afterwards anti-entropy repairs what is missing.
 	broadcastTimeout = 700 * time.Millisecond
-	// peerBackoff is how long no answer waits for a node that confirmed nothing of an update, nor is it chosen as a home.
+	// peerBackoff is how long a node that left an update or a call without an answer is neither
+	// waited for nor chosen as a home.
 	peerBackoff = 2 * time.Second
-	// batchDelay gathers changes that no answer waits for.
+	// batchDelay collects changes that no answer waits for into one broadcast.
 	batchDelay = 50 * time.Millisecond
 	// aloneAfter is when a node that lost sight of all others acknowledges by itself.
 	aloneAfter = 30 * time.Second
 
-	// timeoutHeartbeats and silentGrace: a broker is silent after so many heartbeats and the grace.
+	// timeoutHeartbeats and timeoutGrace: a broker is unresponsive after this many heartbeat
+	// intervals plus the grace without a heartbeat.
 	timeoutHeartbeats = 2.5
 	timeoutGrace      = 500 * time.Millisecond
-	// selfPreservationLimit is how long a home doubts itself when most of a service fell silent at once.
+	// selfPreservationLimit is how long a home delays marking brokers when most of a topic timed
+	// out at once, as the fault is then probably its own.
 	selfPreservationLimit = 10 * time.Second
-	// selfPreservationRecheck is the time between checks while it does.
+	// selfPreservationRecheck is the time between checks during self-preservation.
 	selfPreservationRecheck = 500 * time.Millisecond
-	// selfPreservationMinBrokers is the number of brokers from which on most of them can be told from some.
+	// selfPreservationMinBrokers: topics with fewer brokers have no self-preservation, as a
+	// majority of one or two brokers may well crash at once.
 	selfPreservationMinBrokers = 3
-	// stallLimit: a node that acts this much later than it meant to was stopped, and judges no silence of that time.
+	// stallLimit: a node whose tick comes this much after its deadline was stopped; heartbeats
+	// missed in that time count for nothing.
 	stallLimit = time.Second
-	// unresponsiveRetention is when a silent broker is dropped.
+	// unresponsiveRetention is how long an unresponsive broker is kept before it is dropped.
 	unresponsiveRetention = 30 * time.Second
-	// refuteInterval bounds how often a node contradicts that a broker it hears is silent.
+	// refuteInterval bounds how often a node refutes that a broker it receives heartbeats of is
+	// unresponsive.
 	refuteInterval = time.Second
 
-	// tombstoneRetention is how long a broker that has gone is remembered, so that no late message revives it.
+	// tombstoneRetention is how long a gone broker is remembered, so that no late message revives it.
 	tombstoneRetention = 60 * time.Second
-	// maxTombstones bounds their number.
+	// maxTombstones bounds the number of tombstones; the oldest is dropped first.
 	maxTombstones = 4096
-	// loadingTimeout is when a loading mark that nobody took away no longer keeps requests from a broker.
+	// loadingTimeout is when a loading mark that was never cleared expires.
 	loadingTimeout = 60 * time.Second
 
 	// pollInterval is the time between two comparisons of digests.
 	pollInterval = time.Second
-	// pollTimeout is when another node is asked in place of one that does not answer.
+	// pollTimeout is when another node is polled in place of one that does not answer.
 	pollTimeout = 250 * time.Millisecond
-	// initialPollInterval and firstPollPeers: how a node without entries asks for them.
+	// initialPollInterval is the time between the polls of a node that has not synced yet; each
+	// goes to initialPollPeers nodes. After maxInitialPolls it takes the fleet to have no entries.
 	initialPollInterval = 100 * time.Millisecond
 	initialPollPeers    = 2
 	maxInitialPolls     = 20
 	// maxInstancesPerMessage bounds the size of one message.
 	maxInstancesPerMessage = 256
-	// warmUpTolerance is by how much the end of a cold start may move before the table is told.
+	// warmUpTolerance is by how much the end of a broker's warm-up may move before the table is
+	// rebuilt. Each heartbeat moves it by the latency of that heartbeat.
 	warmUpTolerance = 500 * time.Millisecond
 )
 
@@ -88,7 +102,7 @@
 	return o.HeartbeatInterval
 }
 
-// heartbeatTimeout is how long a broker may go unheard.
+// heartbeatTimeout is the time without a heartbeat after which a broker is unresponsive.
 func (o Options) heartbeatTimeout() time.Duration {
 	return time.Duration(timeoutHeartbeats*float64(o.heartbeatInterval())) + timeoutGrace
 }
--- a/internal/node/registry/restore.go
+++ b/internal/node/registry/restore.go
@@ -5,8 +5,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Restore takes up brokers that this machine knew before its process started. They count for no more than another node's
-// word, marks of loading are not taken over, and the first comparison with other nodes still comes.
+// Restore merges the brokers that this machine knew before its process started. They weigh no more
+// than another node's report: loading marks are dropped, liveness is not taken from them, and the
+// initial full sync with other nodes still follows.
 func (r *Registry) Restore(now core.Time, instances []*nodepb.Instance) []core.Output {
 	for _, instance := range instances {
 		restored := deepCopy(instance)
--- a/internal/node/registry/saved/saved.go
+++ b/internal/node/registry/saved/saved.go
@@ -1,6 +1,12 @@
-// Package saved keeps a copy of the brokers known on a machine's disk, so that a node that starts again need not wait for
-// their next heartbeats. The copy is a hint: every request names the broker that it expects (PROTOCOL.md,
-// X-Kestrelspread-Expect-Instance), and heartbeats and other nodes correct it.
+// Package saved keeps a snapshot of the known brokers on a machine's disk, so that a restarted node
+// need not wait for their next heartbeats. It isn't authoritative: every request names the broker
+// that it expects (PROTOCOL.md, X-Kestrelspread-Expect-Instance), and heartbeats and other nodes
+// correct the snapshot.
+//
+// Two files are written in turn, so that a torn write leaves the snapshot before it readable. The
+// file format is a header of headerSize bytes, big-endian, and a nodepb.RegistrySnapshot:
+//
+//	magic (8) | time of day, Unix ms (8) | length of the body (4) | CRC-32C of all else (4) | body
 package saved
 
 import (
@@ -17,62 +23,71 @@
 )
 
 const (
-	// slots are written in turn, so that a write that is cut short leaves the copy before it.
-	slots      = 2
-	headerSize = 24 // magic, time of day, length, checksum
+	slotCount  = 2 // files written in turn
+	headerSize = timeOffset + 16
 	magic      = 0x6b72656769737472
-	maxBytes   = 4 << 20
+	maxBytes   = 4 << 20 // of a body
+
+	// Offsets in the header.
+	timeOffset     = 8
+	lengthOffset   = 16
+	checksumOffset = 20
 )
 
-// MaxAge is how old a copy may be to be used: gone brokers are remembered by other nodes for longer than that, so that an
-// old copy does not bring them back.
+// MaxAge is the age up to which a snapshot is used. It is less than the time for which other nodes
+// keep tombstones, so that an old snapshot does not revive a gone broker.
 const MaxAge = 40 * time.Second
 
 var namespace = errorx.NewNamespace("registry_saved")
 
-// ErrUnusable says that a copy is missing, damaged or too old.
+// ErrUnusable is the type of the errors of a snapshot that is missing, damaged, too old or too large.
 var ErrUnusable = namespace.NewType("unusable")
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// File is the copy in a folder. Its methods are called by one goroutine at a time.
+// File is the snapshot in a directory. It is not safe for concurrent use.
 type File struct {
-	dir  string
-	next int
+	dir      string
+	nextSlot int // written next; never that of the newest complete snapshot
 }
 
-// Open names the copy in a folder; nothing is read or written yet.
+// Open returns the snapshot of a directory without reading or writing anything.
 func Open(dir string) *File { return &File{dir: dir} }
 
 func (f *File) path(slot int) string {
-	return filepath.Join(f.dir, [slots]string{"brokers-a", "brokers-b"}[slot])
+	return filepath.Join(f.dir, [slotCount]string{"brokers-a", "brokers-b"}[slot])
 }
 
-// Save makes a copy durable. at is the time of day.
-func (f *File) Save(instances []*nodepb.Instance, at time.Time) error {
+// Save writes a snapshot and syncs it to disk. savedAt is the time of day.
+func (f *File) Save(instances []*nodepb.Instance, savedAt time.Time) error {
 	body, err := proto.Marshal(&nodepb.RegistrySnapshot{Instances: instances})
 	if err != nil {
 		return err
 	}
 	if len(body) > maxBytes {
-		return ErrUnusable.New("%d bytes are more than a copy may have", len(body))
+		return ErrUnusable.New("save snapshot: %d bytes, the limit is %d", len(body), maxBytes)
 	}
-	slot := f.next
-	f.next = (f.next + 1) % slots
-	return write(f.path(slot), append(header(body, at), body...))
+	slot := f.nextSlot
+	f.nextSlot = (f.nextSlot + 1) % slotCount
+	return writeAndSync(f.path(slot), append(encodeHeader(body, savedAt), body...))
+}
+
+// encodeHeader returns the header of a body, with capacity for the body.
+func encodeHeader(body []byte, savedAt time.Time) []byte {
+	header := make([]byte, headerSize, headerSize+len(body))
+	binary.BigEndian.PutUint64(header, magic)
+	binary.BigEndian.PutUint64(header[timeOffset:], uint64(savedAt.UnixMilli()))
+	binary.BigEndian.PutUint32(header[lengthOffset:], uint32(len(body)))
+	binary.BigEndian.PutUint32(header[checksumOffset:], checksum(header, body))
+	return header
 }
 
-func header(body []byte, at time.Time) []byte {
-	head := make([]byte, headerSize, headerSize+len(body))
-	binary.BigEndian.PutUint64(head, magic)
-	binary.BigEndian.PutUint64(head[8:], uint64(at.UnixMilli()))
-	binary.BigEndian.PutUint32(head[16:], uint32(len(body)))
-	sum := crc32.Update(crc32.Checksum(head[:20], checksums), checksums, body)
-	binary.BigEndian.PutUint32(head[20:], sum)
-	return head
+// checksum covers the header before the checksum's own field, and the body.
+func checksum(header, body []byte) uint32 {
+	return crc32.Update(crc32.Checksum(header[:checksumOffset], castagnoli), castagnoli, body)
 }
 
-func write(path string, content []byte) error {
+func writeAndSync(path string, content []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE, 0o644)
 	if err != nil {
 		return err
@@ -84,46 +99,47 @@
 	return file.Sync()
 }
 
-// Load gives the newest copy that is whole and not older than MaxAge at the time of day `now`.
+// Load returns the instances of the newest complete snapshot. It fails with ErrUnusable if there is
+// none, or if the newest is more than MaxAge away from the time of day now.
 func (f *File) Load(now time.Time) ([]*nodepb.Instance, error) {
 	var newest *nodepb.RegistrySnapshot
 	var newestAt time.Time
-	for slot := range slots {
-		snapshot, at, err := read(f.path(slot))
-		if err == nil && (newest == nil || at.After(newestAt)) {
-			newest, newestAt = snapshot, at
-			f.next = (slot + 1) % slots
+	for slot := range slotCount {
+		snapshot, savedAt, err := readSnapshot(f.path(slot))
+		if err == nil && (newest == nil || savedAt.After(newestAt)) {
+			newest, newestAt = snapshot, savedAt
+			f.nextSlot = (slot + 1) % slotCount
 		}
 	}
 	switch {
 	case newest == nil:
-		return nil, ErrUnusable.New("no whole copy")
+		return nil, ErrUnusable.New("load snapshot: no complete snapshot")
 	case now.Sub(newestAt).Abs() > MaxAge:
-		return nil, ErrUnusable.New("the copy is of %v", newestAt)
+		return nil, ErrUnusable.New("load snapshot: the newest was saved at %v", newestAt)
 	}
 	return newest.Instances, nil
 }
 
-func read(path string) (*nodepb.RegistrySnapshot, time.Time, error) {
+// readSnapshot reads and checks one file.
+func readSnapshot(path string) (*nodepb.RegistrySnapshot, time.Time, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, time.Time{}, err
 	}
 	if len(content) < headerSize || binary.BigEndian.Uint64(content) != magic {
-		return nil, time.Time{}, ErrUnusable.New("no header")
+		return nil, time.Time{}, ErrUnusable.New("read %s: no header", path)
 	}
-	length := int(binary.BigEndian.Uint32(content[16:]))
+	length := int(binary.BigEndian.Uint32(content[lengthOffset:]))
 	if length > maxBytes || headerSize+length > len(content) {
-		return nil, time.Time{}, ErrUnusable.New("cut short")
+		return nil, time.Time{}, ErrUnusable.New("read %s: truncated", path)
 	}
 	body := content[headerSize : headerSize+length]
-	sum := crc32.Update(crc32.Checksum(content[:20], checksums), checksums, body)
-	if sum != binary.BigEndian.Uint32(content[20:]) {
-		return nil, time.Time{}, ErrUnusable.New("wrong checksum")
+	if checksum(content, body) != binary.BigEndian.Uint32(content[checksumOffset:]) {
+		return nil, time.Time{}, ErrUnusable.New("read %s: wrong checksum", path)
 	}
 	snapshot := &nodepb.RegistrySnapshot{}
 	if err := proto.Unmarshal(body, snapshot); err != nil {
 		return nil, time.Time{}, err
 	}
-	return snapshot, time.UnixMilli(int64(binary.BigEndian.Uint64(content[8:]))), nil
+	return snapshot, time.UnixMilli(int64(binary.BigEndian.Uint64(content[timeOffset:]))), nil
 }
--- a/internal/node/registry/saved/saved_test.go
+++ b/internal/node/registry/saved/saved_test.go
@@ -46,14 +46,14 @@
 	file := Open(dir)
 	assert.NilError(t, file.Save(instances("a"), noon))
 	assert.NilError(t, file.Save(instances("b"), noon.Add(time.Second)))
-	whole, err := os.ReadFile(file.path(1))
+	complete, err := os.ReadFile(file.path(1))
 	assert.NilError(t, err)
-	for cut := range whole {
-		torn := append([]byte(nil), whole...)
-		torn[cut] ^= 0xff
-		assert.NilError(t, os.WriteFile(file.path(1), torn, 0o644))
+	for offset := range complete {
+		damaged := append([]byte(nil), complete...)
+		damaged[offset] ^= 0xff
+		assert.NilError(t, os.WriteFile(file.path(1), damaged, 0o644))
 		assert.DeepEqual(t, loadedIDs(t, dir, noon.Add(time.Second)), []string{"a"})
-		assert.NilError(t, os.WriteFile(file.path(1), whole[:cut], 0o644))
+		assert.NilError(t, os.WriteFile(file.path(1), complete[:offset], 0o644))
 		assert.DeepEqual(t, loadedIDs(t, dir, noon.Add(time.Second)), []string{"a"})
 	}
 }
@@ -61,8 +61,8 @@
 func TestLoadRejectsOldOrMissingSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	_, err := Open(dir).Load(noon)
-	assert.ErrorContains(t, err, "no whole copy")
+	assert.ErrorContains(t, err, "no complete snapshot")
 	assert.NilError(t, Open(dir).Save(instances("a"), noon))
 	_, err = Open(dir).Load(noon.Add(MaxAge + time.Second))
-	assert.ErrorContains(t, err, "the copy is of")
+	assert.ErrorContains(t, err, "the newest was saved at")
 }
