--- a/internal/node/registry/antientropy.go
+++ b/internal/node/registry/antientropy.go
@@ -2,16 +2,22 @@
 
 import (
 	"slices"
+	"strings"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Repair of what got lost. Each second a node sends the digest of all that it knows to another one. Where theirs
-// differs, that one lists its digests by topic, the node asks for the topics that differ, from it and from their homes, and merges the
-// answer. A poll without digests asks for everything.
+// Anti-entropy repairs lost broadcasts. It is a pull in up to three steps, once a second:
+//
+//  1. A node sends the full digest, over all its topics, to a random other node.
+//  2. If that differs from the receiver's, the receiver answers with its digests by topic.
+//  3. The node requests the topics that differ, from the receiver and from their homes, and merges
+//     the answers.
+//
+// A poll without digests requests everything: the initial full sync.
 
-// pollPeer compares this node's knowledge with another's.
+// pollPeer starts a comparison with another node.
 func (r *Registry) pollPeer(now core.Time) {
 	if len(r.others) == 0 {
 		r.nextPoll = now
@@ -29,7 +35,7 @@
 	r.sendPoll(r.polledPeer.address, []*nodepb.TopicDigest{r.fullDigest()})
 }
 
-// recordPollAnswer ends the wait for the answer of the node polled last.
+// recordPollAnswer ends the wait for the answer if it comes from the node polled last.
 func (r *Registry) recordPollAnswer(now core.Time, from core.Peer) {
 	if r.polledPeer != nil && r.polledPeer.id == from.NodeID {
 		r.polledPeer = nil
@@ -37,7 +43,8 @@
 	}
 }
 
-// pollInitial asks two nodes at a time for everything until one has answered.
+// pollInitial requests a full sync from initialPollPeers nodes. It is repeated until one answers with
+// brokers, or maxInitialPolls rounds have passed.
 func (r *Registry) pollInitial(now core.Time) {
 	r.nextPoll = now + initialPollInterval
 	r.initialPolls++
@@ -49,7 +56,7 @@
 	}
 }
 
-// nextOther goes round the other nodes.
+// nextOther returns the other nodes in turn, from a random one on.
 func (r *Registry) nextOther() *peer {
 	if r.pollCursor == 0 {
 		r.pollCursor = 1 + r.random.IntN(len(r.others))
@@ -58,7 +65,8 @@
 	return r.others[r.pollCursor%len(r.others)]
 }
 
-// comparisonPeer picks a node at random, of whatever zone, so that no zone as a whole falls behind.
+// comparisonPeer picks a random node of any zone, so that no zone as a whole falls behind. Suspects
+// and nodes in backoff are skipped, unless there are no others.
 func (r *Registry) comparisonPeer(now core.Time) *peer {
 	start := r.random.IntN(len(r.others))
 	for offset := range r.others {
@@ -70,7 +78,7 @@
 	return r.others[start]
 }
 
-// fullDigest covers all topics; it goes under no service and no zone.
+// fullDigest covers all topics. It is the one digest without service and zone.
 func (r *Registry) fullDigest() *nodepb.TopicDigest {
 	return &nodepb.TopicDigest{Digest: digestBytes(r.digestSum), Count: r.liveCount}
 }
@@ -86,7 +94,7 @@
 	r.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_RegistrySnapshot{RegistrySnapshot: snapshot}})
 }
 
-// receivePoll answers a comparison.
+// receivePoll answers another node's poll.
 func (r *Registry) receivePoll(now core.Time, from core.Peer, poll *nodepb.RegistryPoll) {
 	switch {
 	case len(poll.Topics) == 0:
@@ -98,7 +106,7 @@
 	}
 }
 
-// answerFullDigest repeats an equal digest, and lists the topics against one that differs.
+// answerFullDigest answers an equal digest with itself, and a different one with the digests by topic.
 func (r *Registry) answerFullDigest(address string, theirs *nodepb.TopicDigest) {
 	own := r.fullDigest()
 	if own.Count == theirs.Count && string(own.Digest) == string(theirs.Digest) {
@@ -108,6 +116,8 @@
 	r.sendSnapshot(address, &nodepb.RegistrySnapshot{Topics: r.listTopics()})
 }
 
+// listTopics returns the digests of all topics, ordered by service and zone. A topic with neither name
+// is left out, as its digest would be taken for the full one.
 func (r *Registry) listTopics() []*nodepb.TopicDigest {
 	list := make([]*nodepb.TopicDigest, 0, len(r.topics))
 	for _, t := range r.topics {
@@ -120,12 +130,13 @@
 }
 
 func compareDigests(a, b *nodepb.TopicDigest) int {
-	if byService := compareText(a.Service, b.Service); byService != 0 {
+	if byService := strings.Compare(a.Service, b.Service); byService != 0 {
 		return byService
 	}
-	return compareText(a.Zone, b.Zone)
+	return strings.Compare(a.Zone, b.Zone)
 }
 
+// sendFullSync sends all records, tombstones included; the full digest if there are none.
 func (r *Registry) sendFullSync(now core.Time, address string) {
 	list := make([]*nodepb.Instance, 0, len(r.records))
 	for _, rec := range r.records {
@@ -138,7 +149,7 @@
 	r.sendInstances(address, list)
 }
 
-// sendTopics sends the brokers of the topics that differ from the digests given, with those that have gone.
+// sendTopics sends the records of the topics that differ from the digests, tombstones included.
 func (r *Registry) sendTopics(now core.Time, address string, digests []*nodepb.TopicDigest) {
 	var list []*nodepb.Instance
 	for _, digest := range digests {
@@ -153,14 +164,16 @@
 	r.sendInstances(address, list)
 }
 
+// sendInstances sends brokers in messages of bounded size.
 func (r *Registry) sendInstances(address string, list []*nodepb.Instance) {
 	sortByID(list)
-	for part := range slices.Chunk(list, maxInstancesPerMessage) {
-		r.sendSnapshot(address, &nodepb.RegistrySnapshot{Instances: part})
+	for chunk := range slices.Chunk(list, maxInstancesPerMessage) {
+		r.sendSnapshot(address, &nodepb.RegistrySnapshot{Instances: chunk})
 	}
 }
 
-// receiveSnapshot merges brokers, or asks for those of the topics that differ.
+// receiveSnapshot handles the answer to a poll: it merges the brokers, and requests the topics whose
+// digests differ.
 func (r *Registry) receiveSnapshot(now core.Time, from core.Peer, snapshot *nodepb.RegistrySnapshot) {
 	r.recordInitialAnswer(now, snapshot)
 	r.recordPollAnswer(now, from)
@@ -173,8 +186,8 @@
 	r.requestTopics(from.Address, r.differingDigests(snapshot.Topics))
 }
 
-// recordInitialAnswer ends the first polls at an answer with brokers. An empty one may come from a node that has just
-// started as well, so another is asked at once.
+// recordInitialAnswer completes the initial full sync with the first answer that has brokers. An empty
+// answer may come from a node that has just started too, so the next nodes are polled at once.
 func (r *Registry) recordInitialAnswer(now core.Time, snapshot *nodepb.RegistrySnapshot) {
 	if r.synced {
 		return
@@ -187,6 +200,7 @@
 	r.nextPoll = now + pollInterval
 }
 
+// mergeSnapshotEntry merges one broker of an answer. Only the home of its topic knows its liveness.
 func (r *Registry) mergeSnapshotEntry(now core.Time, from core.Peer, instance *nodepb.Instance) {
 	if instance.Id == "" {
 		return
@@ -198,15 +212,15 @@
 	r.merge(now, instance, trust)
 }
 
-// differingDigests lists this node's digests of the topics in which another one differs.
+// differingDigests lists this node's digests of the topics whose digests differ from another node's.
 func (r *Registry) differingDigests(theirs []*nodepb.TopicDigest) []*nodepb.TopicDigest {
 	var list []*nodepb.TopicDigest
-	for _, their := range theirs {
-		own := r.topics[topicKey{their.Service, their.Zone}]
+	for _, other := range theirs {
+		own := r.topics[topicKey{other.Service, other.Zone}]
 		switch {
-		case sameDigest(own, their):
+		case sameDigest(own, other):
 		case own == nil:
-			list = append(list, &nodepb.TopicDigest{Service: their.Service, Zone: their.Zone})
+			list = append(list, &nodepb.TopicDigest{Service: other.Service, Zone: other.Zone})
 		default:
 			list = append(list, own.digestMessage())
 		}
@@ -214,7 +228,8 @@
 	return list
 }
 
-// requestTopics asks for topics from the node that differs and from their homes, which alone know who is silent.
+// requestTopics requests topics from the node whose digests differ, and from the homes of the topics,
+// as these alone know which brokers are unresponsive.
 func (r *Registry) requestTopics(address string, digests []*nodepb.TopicDigest) {
 	if len(digests) == 0 {
 		return
--- a/internal/node/registry/antientropy_test.go
+++ b/internal/node/registry/antientropy_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Of two nodes asked first one may have just started as well.
+// One of the two nodes polled first may have just started as well.
 func TestFreshNodeRetriesAfterEmptySnapshot(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newCluster(t, seed, 2, "a")
@@ -80,7 +80,7 @@
 	}
 }
 
-// Whatever happens, once it is over all nodes agree, and agree with the brokers.
+// After any sequence of faults all nodes agree with one another and with the brokers.
 func TestNodesConvergeAfterRandomFaults(t *testing.T) {
 	seeds := uint64(40)
 	if testing.Short() {
@@ -157,16 +157,16 @@
 	}
 }
 
-// recordFault notes that the node is in trouble, or comes out of it.
+// recordFault records that a fault of the node begins or ends.
 func (n *clusterNode) recordFault(c *cluster) { n.lastFaultAt = c.network.Now() }
 
-// inTouch reports whether the node has been out of trouble for contactMs (RULES.md, "In touch").
+// inTouch reports whether the node has been without a fault for contactMs (RULES.md, "In touch").
 func (c *cluster) inTouch(node *clusterNode) bool {
 	return node.Running() && !c.network.Isolated(node.Address) && c.network.Now()-node.lastFaultAt >= 3*time.Second
 }
 
-// checkDrains checks RULES.md, DRAIN: drainMs after a node in touch acknowledged that a broker leaves, no node in touch would
-// send it a request. Nodes whose messages get lost are not in touch.
+// checkDrains checks RULES.md, DRAIN: drainMs after a node in touch acknowledged that a broker
+// leaves, no node in touch would send it a request. Nodes whose messages get lost are not in touch.
 func (c *cluster) checkDrains(acknowledged string) {
 	if c.network.Loss > 0 {
 		return
@@ -181,7 +181,8 @@
 	})
 }
 
-// end deregisters a draining broker as PROTOCOL.md describes, with one call until it is acknowledged.
+// shutDown deregisters a draining broker as PROTOCOL.md describes: the call is repeated until it is
+// acknowledged.
 func (b *broker) shutDown() {
 	if b.instance.State != nodepb.InstanceState_DRAINING || b.stopped {
 		return
@@ -204,7 +205,7 @@
 	})
 }
 
-// What a node sends at rest must depend neither on the number of brokers nor on that of the nodes.
+// What an idle node sends depends neither on the number of brokers nor on that of the nodes.
 func TestIdleTrafficIsIndependentOfFleetSize(t *testing.T) {
 	const span = 20 * time.Second
 	rates := map[int]float64{}
--- a/internal/node/registry/bench_test.go
+++ b/internal/node/registry/bench_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// BenchmarkTable measures a new picture of 600 brokers after a change of one.
+// BenchmarkTable measures a new table of 600 brokers after a change of one service.
 func BenchmarkTable(b *testing.B) {
 	r := single()
 	for number := range 600 {
--- a/internal/node/registry/cluster_test.go
+++ b/internal/node/registry/cluster_test.go
@@ -13,7 +13,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// cluster is a fleet of nodes with a registry each, on a virtual network.
+// cluster is a fleet of nodes with a registry each, on a simulated network.
 type cluster struct {
 	t       *testing.T
 	network *coretest.Network
@@ -53,7 +53,7 @@
 	return c
 }
 
-// start starts a node that is not yet known to the others.
+// start adds a node that the others do not know yet.
 func (c *cluster) start() *clusterNode {
 	number := c.started
 	c.started++
@@ -103,7 +103,7 @@
 	return members
 }
 
-// announce tells all running nodes the running nodes.
+// publishMembers sets the running nodes, without some, as the members of all running nodes.
 func (c *cluster) publishMembers(without ...*clusterNode) {
 	members := c.members(without...)
 	for _, node := range c.nodes {
@@ -121,7 +121,7 @@
 type broker struct {
 	cluster  *cluster
 	instance *nodepb.Instance
-	target   *clusterNode // where the next heartbeat goes
+	target   *clusterNode // destination of the next heartbeat
 	stopped  bool
 }
 
@@ -148,8 +148,8 @@
 	return request
 }
 
-// sendHeartbeats sends heartbeats until the broker is stopped, as PROTOCOL.md describes: to the address named; after a
-// second without an acknowledgement to another node.
+// sendHeartbeats sends heartbeats until the broker is stopped, as PROTOCOL.md describes: to the
+// address named; after a second without an acknowledgement to another node.
 func (b *broker) sendHeartbeats() {
 	if b.stopped {
 		return
@@ -166,7 +166,8 @@
 	})
 }
 
-// follow goes on to the node that an acknowledgement names; it reports whether one came.
+// followHome makes the node that the acknowledgement names the next destination; it reports whether
+// there was one.
 func (b *broker) followHome(node *clusterNode, request uint64) bool {
 	answer, ok := node.answers[request]
 	if !ok || !answer.Taken || !node.Running() {
@@ -188,7 +189,7 @@
 	return request
 }
 
-// knows reports whether all running nodes agree on a broker.
+// all reports whether the check holds at all running nodes.
 func (c *cluster) all(check func(node *clusterNode) bool) bool {
 	for _, node := range c.nodes {
 		if node.Running() && !check(node) {
@@ -214,7 +215,7 @@
 	assert.Assert(c.t, c.network.RunUntil(span, condition), "not within %v: %s", span, what)
 }
 
-// home is the node that is the home of a topic by the members known to the first node.
+// home returns the home of a topic by the members known to the first running node.
 func (c *cluster) home(service, zone string) *clusterNode {
 	for _, node := range c.nodes {
 		if node.Running() {
--- a/internal/node/registry/expiry.go
+++ b/internal/node/registry/expiry.go
@@ -2,7 +2,7 @@
 
 import "kestrelspread/internal/node/core"
 
-// expiresAt is when something about the record changes by time alone; Never where nothing does.
+// expiresAt is when the record changes by the passing of time alone; core.Never if it doesn't.
 func (r *record) expiresAt() core.Time {
 	if r.gone() {
 		return r.goneAt + tombstoneRetention
@@ -17,9 +17,11 @@
 	return next
 }
 
+// watchExpiry makes sure that expire is called when the record expires.
 func (r *Registry) watchExpiry(rec *record) { r.nextExpiry = min(r.nextExpiry, rec.expiresAt()) }
 
-// expire forgets tombstones and silent brokers whose time is over, and loading marks that nobody took away.
+// expire drops tombstones and unresponsive brokers after their retention, and loading marks that
+// were never cleared.
 func (r *Registry) expire(now core.Time) {
 	r.nextExpiry = core.Never
 	for _, rec := range r.records {
@@ -32,6 +34,7 @@
 	}
 }
 
+// expireRecord drops a record, or rebuilds its entry in the table without the loading mark.
 func (r *Registry) expireRecord(now core.Time, rec *record) {
 	switch {
 	case rec.gone():
@@ -44,7 +47,7 @@
 	}
 }
 
-// dropOldestTombstone forgets the broker that went first, other than the newest one.
+// dropOldestTombstone drops the oldest tombstone other than the newest, which has just been added.
 func (r *Registry) dropOldestTombstone(newest *record) {
 	var oldest *record
 	for _, rec := range r.records {
--- a/internal/node/registry/forward.go
+++ b/internal/node/registry/forward.go
@@ -7,7 +7,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// forwardedCall is a broker's call that was passed on to its home.
+// forwardedCall is a broker's call that was forwarded to its home and has no answer yet.
 type forwardedCall struct {
 	requestID uint64
 	origin    callOrigin
@@ -17,61 +17,64 @@
 	giveUpAt  core.Time
 }
 
+// deadline is when the call is next due.
 func (f *forwardedCall) deadline() core.Time { return min(f.retryAt, f.giveUpAt) }
 
-func (r *Registry) forward(now core.Time, from callOrigin, instance *nodepb.Instance, home *peer) {
-	pending := &forwardedCall{
-		requestID: r.nextNonce(), origin: from, instance: instance, home: home,
+// forward sends a call to its home.
+func (r *Registry) forward(now core.Time, origin callOrigin, instance *nodepb.Instance, home *peer) {
+	call := &forwardedCall{
+		requestID: r.nextNonce(), origin: origin, instance: instance, home: home,
 		giveUpAt: now + forwardTimeout,
 	}
-	r.forwards = append(r.forwards, pending)
-	r.sendForward(now, pending)
+	r.forwards = append(r.forwards, call)
+	r.sendForward(now, call)
 }
 
-func (r *Registry) sendForward(now core.Time, pending *forwardedCall) {
-	pending.retryAt = now + forwardRetryInterval
+func (r *Registry) sendForward(now core.Time, call *forwardedCall) {
+	call.retryAt = now + forwardRetryInterval
 	message := &nodepb.HeartbeatForward{
-		Request: pending.requestID, Instance: pending.instance,
-		Deregister: pending.instance.State == nodepb.InstanceState_GONE,
+		Request: call.requestID, Instance: call.instance,
+		Deregister: call.instance.State == nodepb.InstanceState_GONE,
 	}
-	r.send(pending.home.address, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForward{HeartbeatForward: message}})
+	r.send(call.home.address, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForward{HeartbeatForward: message}})
 }
 
-// tickForwards sends unanswered calls again, and takes those here whose home does not answer.
+// tickForwards resends unanswered calls, and handles those here whose home does not answer.
 func (r *Registry) tickForwards(now core.Time) {
 	var expired []*forwardedCall
-	for _, pending := range r.forwards {
+	for _, call := range r.forwards {
 		switch {
-		case pending.giveUpAt <= now:
-			expired = append(expired, pending)
-		case pending.retryAt <= now:
-			r.sendForward(now, pending)
+		case call.giveUpAt <= now:
+			expired = append(expired, call)
+		case call.retryAt <= now:
+			r.sendForward(now, call)
 		}
 	}
-	for _, pending := range expired {
-		r.handleUnansweredForward(now, pending)
+	for _, call := range expired {
+		r.handleUnansweredForward(now, call)
 	}
 }
 
-// handleUnansweredForward takes a call in place of its home.
-func (r *Registry) handleUnansweredForward(now core.Time, pending *forwardedCall) {
-	r.dropForward(pending)
-	r.backOffPeer(now, pending.home.id)
-	r.handleCall(now, pending.origin, pending.instance, pending.origin.arrivedAt+answerTimeout)
+// handleUnansweredForward handles a call in place of its home, and backs off from that.
+func (r *Registry) handleUnansweredForward(now core.Time, call *forwardedCall) {
+	r.dropForward(call)
+	r.backOffPeer(now, call.home.id)
+	r.handleCall(now, call.origin, call.instance, call.origin.arrivedAt+answerTimeout)
 }
 
+// backOffPeer leaves a peer out as a home, and waits for none of its answers, for peerBackoff.
 func (r *Registry) backOffPeer(now core.Time, id string) {
 	if known := r.peers[id]; known != nil {
 		known.backoffUntil = now + peerBackoff
 	}
 }
 
-func (r *Registry) dropForward(pending *forwardedCall) {
-	r.forwards = slices.DeleteFunc(r.forwards, func(other *forwardedCall) bool { return other == pending })
+func (r *Registry) dropForward(call *forwardedCall) {
+	r.forwards = slices.DeleteFunc(r.forwards, func(other *forwardedCall) bool { return other == call })
 }
 
-// receiveForward takes a call that came to another node. It is taken here even if this node takes another for the home, so
-// that no call goes round in circles.
+// receiveForward handles a call that another node forwarded. It is never forwarded again, also if
+// this node takes another one for the home: nodes with different members would forward in circles.
 func (r *Registry) receiveForward(now core.Time, from core.Peer, message *nodepb.HeartbeatForward) {
 	if message.Instance.GetId() == "" {
 		return
@@ -80,16 +83,18 @@
 	if message.Deregister {
 		instance.State = nodepb.InstanceState_GONE
 	}
-	caller := callOrigin{request: message.Request, forwarder: from.Address, arrivedAt: now}
-	r.handleCall(now, caller, instance, now+ackTimeout)
+	origin := callOrigin{request: message.Request, forwarder: from.Address, arrivedAt: now}
+	r.handleCall(now, origin, instance, now+ackTimeout)
 }
 
-func (r *Registry) receiveForwardReply(message *nodepb.HeartbeatForwardReply) {
-	at := slices.IndexFunc(r.forwards, func(pending *forwardedCall) bool { return pending.requestID == message.Request })
-	if at < 0 {
+// receiveForwardReply passes the home's answer on. A reply to a call that is no longer pending is late
+// or a duplicate and ignored.
+func (r *Registry) receiveForwardReply(reply *nodepb.HeartbeatForwardReply) {
+	index := slices.IndexFunc(r.forwards, func(call *forwardedCall) bool { return call.requestID == reply.Request })
+	if index < 0 {
 		return
 	}
-	pending := r.forwards[at]
-	r.dropForward(pending)
-	r.answerWith(pending.origin, message.Taken, message.HomeControlAddress)
+	call := r.forwards[index]
+	r.dropForward(call)
+	r.answerWith(call.origin, reply.Taken, reply.HomeControlAddress)
 }
--- a/internal/node/registry/heartbeat.go
+++ b/internal/node/registry/heartbeat.go
@@ -5,21 +5,23 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// callOrigin waits for the answer to a heartbeat or a deregistration.
+// callOrigin is where a heartbeat or deregistration came from, and its answer goes to.
 type callOrigin struct {
-	request   uint64    // number of the call at this node's API, or at the node that forwarded it
+	request   uint64    // number of the call at this node's API, or at the forwarder
 	forwarder string    // internal address of the node that forwarded the call; empty: this node's API
 	arrivedAt core.Time // when the call came to this node
 }
 
-// Heartbeat takes a broker's heartbeat from this node's API. core.RegistryAnswer follows within a second: at once where
-// nothing has to be told to others first, which is the case for all but draining brokers.
+// Heartbeat handles a broker's heartbeat from this node's API. core.RegistryAnswer with the request's
+// number follows within a second. At the home node it follows at once, except for the first
+// heartbeats of a draining broker, as other nodes must acknowledge these first.
 func (r *Registry) Heartbeat(now core.Time, request uint64, instance *nodepb.Instance) []core.Output {
 	r.routeCall(now, callOrigin{request: request, arrivedAt: now}, heartbeatOf(instance))
 	return r.takeOutputs()
 }
 
-// Deregister takes a broker's word that it ends, from this node's API; core.RegistryAnswer follows.
+// Deregister handles a broker's deregistration from this node's API. core.RegistryAnswer with the
+// request's number follows within a second, after other nodes have acknowledged it.
 func (r *Registry) Deregister(now core.Time, request uint64, id string) []core.Output {
 	instance := &nodepb.Instance{Id: id, State: nodepb.InstanceState_GONE}
 	if rec := r.records[id]; rec != nil {
@@ -29,7 +31,7 @@
 	return r.takeOutputs()
 }
 
-// heartbeatOf copies what a broker may say of itself, and nothing that is for nodes to say.
+// heartbeatOf copies what a broker reports of itself, without what only nodes may add.
 func heartbeatOf(instance *nodepb.Instance) *nodepb.Instance {
 	heartbeat := shallowCopy(instance)
 	heartbeat.Sequence = instance.Sequence
@@ -37,50 +39,53 @@
 	return heartbeat
 }
 
-// routeCall brings a broker's call to its home.
-func (r *Registry) routeCall(now core.Time, from callOrigin, instance *nodepb.Instance) {
+// routeCall handles a broker's call if this node is its home, and forwards it to its home if not.
+func (r *Registry) routeCall(now core.Time, origin callOrigin, instance *nodepb.Instance) {
 	r.lastInputAt = now
 	if instance.Id == "" {
-		r.answer(now, from, instance, false)
+		r.answer(now, origin, instance, false)
 		return
 	}
 	home := r.homeFor(now, keyOf(instance))
 	if home.self {
-		r.handleCall(now, from, instance, now+ackTimeout)
+		r.handleCall(now, origin, instance, now+ackTimeout)
 		return
 	}
-	r.forward(now, from, instance, home)
+	r.forward(now, origin, instance, home)
 }
 
-// handleCall makes a broker's call known here and to the other nodes, and answers it: where the broker leaves, after the
-// others have confirmed, at the latest at answerBy.
-func (r *Registry) handleCall(now core.Time, from callOrigin, instance *nodepb.Instance, answerBy core.Time) {
+// handleCall records a broker's call, schedules its broadcast if it changes anything, and answers
+// it. The call of a leaving broker is answered after the other nodes have acknowledged its state, at
+// the latest at the deadline.
+func (r *Registry) handleCall(now core.Time, origin callOrigin, instance *nodepb.Instance, deadline core.Time) {
 	rec, changed := r.recordHeartbeat(now, instance)
 	leaving := rec.state() != nodepb.InstanceState_READY
 	if leaving && !rec.leaveConfirmed {
-		r.confirmLeaving(now, rec, from, answerBy)
+		r.confirmLeaving(now, rec, origin, deadline)
 		return
 	}
 	if changed {
 		r.scheduleBroadcast(now, instance.Id, batchDelay)
 	}
-	r.answer(now, from, instance, true)
+	r.answer(now, origin, instance, true)
 }
 
-// confirmLeaving answers once the other nodes hold that the broker leaves. A call that is sent again joins the first.
-func (r *Registry) confirmLeaving(now core.Time, rec *record, from callOrigin, answerBy core.Time) {
-	pending := r.findBroadcastOf(rec)
-	if pending == nil {
-		pending = r.startBroadcast(now, []string{rec.reported.Id}, answerBy)
+// confirmLeaving has the call answered once the other nodes hold that the broker leaves. A repeated
+// call joins the broadcast of the first.
+func (r *Registry) confirmLeaving(now core.Time, rec *record, origin callOrigin, deadline core.Time) {
+	b := r.findBroadcastOf(rec)
+	if b == nil {
+		b = r.startBroadcast(now, []string{rec.reported.Id}, deadline)
 	}
-	pending.waitingCalls = append(pending.waitingCalls, from)
-	r.advanceBroadcast(now, pending)
+	b.waitingCalls = append(b.waitingCalls, origin)
+	r.advanceBroadcast(now, b)
 }
 
-// recordHeartbeat merges a broker's own word and notes that it was heard.
+// recordHeartbeat merges a broker's own report and records the contact. A late heartbeat is no
+// contact. It returns the broker's record and whether other nodes must learn of a change.
 func (r *Registry) recordHeartbeat(now core.Time, instance *nodepb.Instance) (*record, bool) {
-	before := r.records[instance.Id]
-	late := before != nil && instance.Sequence < before.sequence
+	known := r.records[instance.Id]
+	late := known != nil && instance.Sequence < known.sequence
 	trust := trustLiveness
 	if late {
 		trust = ignoreLiveness
@@ -89,7 +94,7 @@
 	if !late {
 		rec.lastHeartbeatAt = now
 	}
-	if before == nil && !rec.gone() {
+	if known == nil && !rec.gone() {
 		for _, id := range r.supersede(now, rec) {
 			r.scheduleBroadcast(now, id, batchDelay)
 		}
@@ -97,20 +102,22 @@
 	return rec, changed
 }
 
-// answer tells who asked whether the call was taken, and where the next one is best sent to.
-func (r *Registry) answer(now core.Time, to callOrigin, instance *nodepb.Instance, taken bool) {
+// answer reports to the origin of a call whether it was accepted, and names the node that the next
+// call is best sent to.
+func (r *Registry) answer(now core.Time, origin callOrigin, instance *nodepb.Instance, accepted bool) {
 	home := ""
-	if taken && instance.State != nodepb.InstanceState_GONE {
+	if accepted && instance.State != nodepb.InstanceState_GONE {
 		home = r.homeFor(now, keyOf(instance)).controlAddress
 	}
-	r.answerWith(to, taken, home)
+	r.answerWith(origin, accepted, home)
 }
 
-func (r *Registry) answerWith(to callOrigin, taken bool, home string) {
-	if to.forwarder == "" {
-		r.output(core.RegistryAnswer{Request: to.request, Taken: taken, HeartbeatURL: home})
+// answerWith answers a call. home is the control address for the next call; empty: none is named.
+func (r *Registry) answerWith(origin callOrigin, accepted bool, home string) {
+	if origin.forwarder == "" {
+		r.output(core.RegistryAnswer{Request: origin.request, Taken: accepted, HeartbeatURL: home})
 		return
 	}
-	reply := &nodepb.HeartbeatForwardReply{Request: to.request, Taken: taken, HomeControlAddress: home}
-	r.send(to.forwarder, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForwardReply{HeartbeatForwardReply: reply}})
+	reply := &nodepb.HeartbeatForwardReply{Request: origin.request, Taken: accepted, HomeControlAddress: home}
+	r.send(origin.forwarder, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForwardReply{HeartbeatForwardReply: reply}})
 }
--- a/internal/node/registry/heartbeat_test.go
+++ b/internal/node/registry/heartbeat_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A call whose answer was lost is sent again, to any node.
+// A call whose answer was lost is repeated, to any node.
 func TestRepeatedDrainingIsAcknowledgedAtOnce(t *testing.T) {
 	c := newCluster(t, 3, 6, "a")
 	b := c.broker("1", "llm", "a")
@@ -87,7 +87,8 @@
 			c.within(time.Second, "all know", func() bool {
 				return c.everyoneHas("1", func(i *Instance) bool { return i.Slots == 9 && i.State == State(state) })
 			})
-			// The next call does not wait for the frozen home again; who takes its place may wait for its confirmation.
+			// The next call does not wait for the frozen home again; the node in its place may wait
+			// for its acknowledgement.
 			request = b.heartbeat(node)
 			c.within(ackTimeout+50*time.Millisecond, "an answer", func() bool { return node.answers[request].Taken })
 		})
@@ -112,7 +113,8 @@
 	assert.Assert(t, c.everyoneHas("1", draining))
 }
 
-// An update that no other node confirms is not acknowledged, so that the broker calls a node that is in touch.
+// A broadcast that no other node acknowledges is not answered with an acceptance, so that the broker
+// calls a node that is in touch.
 func TestPartitionedNodeAcknowledgesNoDraining(t *testing.T) {
 	c := newCluster(t, 6, 5, "a")
 	b := c.broker("1", "llm", "a")
@@ -123,7 +125,7 @@
 	b.instance.State = nodepb.InstanceState_DRAINING
 	request := b.heartbeat(home)
 	c.within(time.Second, "an answer", func() bool { return !home.answers[request].Taken && home.answers[request].at > 0 })
-	// It does not begin to when it has lost sight of the others.
+	// Losing sight of the others doesn't change that.
 	home.setMembers([]*nodepb.Member{home.member})
 	request = b.heartbeat(home)
 	c.within(time.Second, "an answer", func() bool { return home.answers[request].at > 0 })
@@ -140,7 +142,7 @@
 	assert.Assert(t, c.nobodyHas("1"))
 }
 
-// Suspected nodes are not waited for, as they are not in touch.
+// Suspects are not waited for, as they are not in touch.
 func TestSuspectDelaysNoAnswer(t *testing.T) {
 	c := newCluster(t, 8, 5, "a")
 	b := c.broker("1", "llm", "a")
--- a/internal/node/registry/home.go
+++ b/internal/node/registry/home.go
@@ -2,13 +2,14 @@
 
 import (
 	"slices"
+	"strings"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 	"kestrelspread/internal/node/rendezvous"
 )
 
-// peer is a node, this one included, as the registry uses it.
+// peer is a node as the registry sees it: this one, or another member.
 type peer struct {
 	id             string
 	address        string
@@ -17,16 +18,15 @@
 	suspect        bool
 	self           bool
 
-	// backoffUntil: it left a call or an update without an answer lately.
-	backoffUntil core.Time
-	// pollBackoffUntil: it left a poll without an answer lately.
-	pollBackoffUntil core.Time
+	backoffUntil     core.Time // it left a call or an update without an answer
+	pollBackoffUntil core.Time // it left a poll without an answer
 }
 
-// available reports whether an answer may wait for the peer.
+// available reports whether the peer can be relied on for an answer.
 func (p *peer) available(now core.Time) bool { return !p.suspect && p.backoffUntil <= now }
 
-// SetMembers tells the nodes that are alive or suspected. This node may be among them.
+// SetMembers sets the members of the fleet. Those neither alive nor suspected are ignored, and so is
+// this node.
 func (r *Registry) SetMembers(now core.Time, members []*nodepb.Member) []core.Output {
 	r.updatePeers(now, members)
 	r.recomputeHomes(now)
@@ -37,6 +37,7 @@
 	return r.takeOutputs()
 }
 
+// updatePeers replaces the peers by the members, and keeps what is known of those that stay.
 func (r *Registry) updatePeers(now core.Time, members []*nodepb.Member) {
 	known := r.peers
 	r.peers = make(map[string]*peer, len(members))
@@ -46,14 +47,14 @@
 			continue
 		}
 		updated := newPeer(member)
-		if before := known[member.NodeId]; before != nil {
-			updated.backoffUntil = before.backoffUntil
-			updated.pollBackoffUntil = before.pollBackoffUntil
+		if previous := known[member.NodeId]; previous != nil {
+			updated.backoffUntil = previous.backoffUntil
+			updated.pollBackoffUntil = previous.pollBackoffUntil
 		}
 		r.peers[member.NodeId] = updated
 		r.others = append(r.others, updated)
 	}
-	slices.SortFunc(r.others, func(a, b *peer) int { return compareText(a.id, b.id) })
+	slices.SortFunc(r.others, func(a, b *peer) int { return strings.Compare(a.id, b.id) })
 	if len(r.others) > 0 || len(known) > 0 {
 		r.othersSeenAt = now
 	}
@@ -73,20 +74,22 @@
 	}
 }
 
-// alone reports whether this node has to acknowledge by itself: it knew no other for long. One that lost sight of the others
-// just now may be cut off, and leaves it to those that it can't see.
+// alone reports whether this node has to acknowledge by itself, as it has known no other node for
+// aloneAfter or ever. One that has just lost sight of the others may be on the smaller side of a
+// partition and leaves the acknowledgement to them.
 func (r *Registry) alone(now core.Time) bool {
 	return len(r.others) == 0 && (!r.everSawOthers() || now-r.othersSeenAt >= aloneAfter)
 }
 
 func (r *Registry) everSawOthers() bool { return r.othersSeenAt != distantPast }
 
-// recomputeHomes finds the home of each topic anew after the members changed.
+// recomputeHomes finds the home of each topic after the members changed. Heartbeat timeouts of a
+// topic start from zero where this node has become its home.
 func (r *Registry) recomputeHomes(now core.Time) {
 	for key, t := range r.topics {
-		before := t.home
+		previous := t.home
 		t.home = r.bestHome(key)
-		if t.home.self && !before.self {
+		if t.home.self && !previous.self {
 			t.homeSince = now
 			t.selfPreservationSince = 0
 			r.scheduleLivenessCheck(now, t)
@@ -94,12 +97,12 @@
 	}
 }
 
-// bestHome is the home of a topic.
+// bestHome returns the home of a topic by the members known.
 func (r *Registry) bestHome(key topicKey) *peer {
 	return rendezvous.Best(key.rendezvousKey(), r.homeCandidates(key.zone), addressOf)
 }
 
-// rankHomes lists nodes as homes of a topic, best first.
+// rankHomes lists the candidates for the home of a topic, best first.
 func (r *Registry) rankHomes(key topicKey) []*peer {
 	ranked := r.homeCandidates(key.zone)
 	rendezvous.Rank(key.rendezvousKey(), ranked, addressOf)
@@ -108,8 +111,8 @@
 
 func addressOf(p *peer) string { return p.address }
 
-// homeCandidates lists the nodes of a zone that are not suspected, or all nodes where it has none. The list is never
-// empty, as this node is among those that can be.
+// homeCandidates lists the nodes of a zone that are not suspected, or those of all zones if it has
+// none. The list is never empty, as this node is never suspected by itself.
 func (r *Registry) homeCandidates(zone string) []*peer {
 	inZone := make([]*peer, 0, len(r.others)+1)
 	for _, candidate := range r.others {
@@ -132,7 +135,8 @@
 	return all
 }
 
-// homeFor is where a call about a broker goes now: its home, or who ranks next where that one is not answering.
+// homeFor returns the node that handles a call about a broker now: the home of its topic, or the next
+// best candidate if the home is not available.
 func (r *Registry) homeFor(now core.Time, key topicKey) *peer {
 	if t := r.topics[key]; t != nil && (t.home.self || t.home.available(now)) {
 		return t.home
--- a/internal/node/registry/liveness_test.go
+++ b/internal/node/registry/liveness_test.go
@@ -10,7 +10,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// startBrokers starts brokers of one service that keep beating.
+// startBrokers starts brokers of one service that send heartbeats.
 func (c *cluster) startBrokers(service, zone string, count int) []*broker {
 	var brokers []*broker
 	for number := range count {
@@ -24,7 +24,7 @@
 
 func (b *broker) id() string { return b.instance.Id }
 
-// A broker that crashes says nothing: it is marked after its heartbeats are missed, and dropped later on.
+// A crashed broker is marked after the heartbeat timeout, and dropped after unresponsiveRetention.
 func TestCrashedBrokerBecomesUnresponsiveAndIsDropped(t *testing.T) {
 	c := newCluster(t, 1, 6, "a", "b")
 	brokers := c.startBrokers("llm", "a", 5)
@@ -51,7 +51,7 @@
 	c.within(200*time.Millisecond, "cleared everywhere", func() bool { return c.everyoneHas(b.id(), responsive) })
 }
 
-// Where most of a service goes silent at once the trouble is likely the home's own.
+// If most of a service times out at once, the fault is likely the home's own.
 func TestSelfPreservationDelaysMassTimeout(t *testing.T) {
 	c := newCluster(t, 3, 6, "a")
 	brokers := c.startBrokers("llm", "a", 6)
@@ -63,7 +63,7 @@
 	for _, b := range brokers {
 		assert.Assert(t, c.everyoneHas(b.id(), responsive))
 	}
-	c.within(10*time.Second, "marked after the doubt", func() bool { return c.everyoneHas(brokers[0].id(), unresponsive) })
+	c.within(10*time.Second, "marked after self-preservation", func() bool { return c.everyoneHas(brokers[0].id(), unresponsive) })
 	assert.Assert(t, c.everyoneHas(brokers[5].id(), responsive))
 }
 
@@ -78,7 +78,7 @@
 	})
 }
 
-// Brokers that keep beating are never marked, whatever becomes of their homes.
+// Brokers that send heartbeats are never marked, whatever fault their home has.
 func TestFaultyHomeMarksNoHealthyBroker(t *testing.T) {
 	faults := map[string]func(c *cluster, home *clusterNode){
 		"frozen": func(c *cluster, home *clusterNode) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// A claim of silence is contradicted by who hears the broker.
+// A node that receives a broker's heartbeats refutes that it is unresponsive.
 func TestFalseTimeoutIsRefuted(t *testing.T) {
 	c := newCluster(t, 6, 4, "a")
 	b := c.startBrokers("llm", "a", 1)[0]
--- a/internal/node/registry/loading.go
+++ b/internal/node/registry/loading.go
@@ -1,30 +1,32 @@
 package registry
 
-import (
-	"kestrelspread/internal/node/core"
-)
+import "kestrelspread/internal/node/core"
 
-// SetLoading marks a broker at all nodes as one that new weights are being brought to under a fence, so that no new
-// request is sent to it; fence 0 takes the mark away. It is called at the holder of that duty. core.LoadingConfirmed follows once
-// all nodes in touch have confirmed, or after half a second.
-func (r *Registry) SetLoading(now core.Time, id string, fence uint64) []core.Output {
+// SetLoading marks a broker at all nodes as loading new weights, so that no new request is sent to
+// it. fencingToken is that of the rollout's order; 0 clears the mark. It is called at the lease
+// holder of the rollout. core.LoadingConfirmed follows: at once for an unknown broker, else when all
+// available nodes have acknowledged the mark, at the latest after ackTimeout; Everywhere says which.
+func (r *Registry) SetLoading(now core.Time, id string, fencingToken uint64) []core.Output {
 	rec := r.records[id]
 	if rec == nil || rec.gone() {
-		r.output(core.LoadingConfirmed{InstanceID: id, Fence: fence})
+		r.output(core.LoadingConfirmed{InstanceID: id, Fence: fencingToken})
 		return r.takeOutputs()
 	}
-	rec.revision++ // also where nothing changes here: others may hold another mark under the same revision
-	rec.setLoadingToken(now, fence)
+	// The revision rises also if nothing changes here: other nodes may hold another mark under the
+	// same revision.
+	rec.revision++
+	rec.setLoadingToken(now, fencingToken)
 	r.updateTopic(now, rec, r.topics[keyOf(rec.reported)])
 	r.watchExpiry(rec)
-	pending := r.startBroadcast(now, []string{id}, now+ackTimeout)
-	pending.loadingConfirmations = append(pending.loadingConfirmations, core.LoadingConfirmed{InstanceID: id, Fence: fence})
-	r.advanceBroadcast(now, pending)
+	b := r.startBroadcast(now, []string{id}, now+ackTimeout)
+	b.loadingConfirmations = append(b.loadingConfirmations, core.LoadingConfirmed{InstanceID: id, Fence: fencingToken})
+	r.advanceBroadcast(now, b)
 	return r.takeOutputs()
 }
 
-// SetModelVersion tells all nodes that a broker now has a version of the weights of a model, before its next heartbeat
-// does. Models that the broker does not name are left alone.
+// SetModelVersion records and broadcasts that a broker has loaded a version of a model's weights,
+// ahead of its next heartbeat. It does nothing for an unknown broker, and for a model that the broker
+// has not reported.
 func (r *Registry) SetModelVersion(now core.Time, id, model string, version uint64) []core.Output {
 	rec := r.records[id]
 	if rec == nil || rec.gone() {
--- a/internal/node/registry/merge.go
+++ b/internal/node/registry/merge.go
@@ -5,8 +5,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// merge merges what a heartbeat or a message says of a broker. It returns the record, nil where none is kept, and whether
-// anything changed that other nodes are to know.
+// merge merges a heartbeat or another node's message about a broker. It returns the record, nil if
+// none is kept, and whether anything changed that other nodes must learn. The result doesn't depend
+// on the order of messages: each part of a record has its own order (state, sequence, revision).
 func (r *Registry) merge(now core.Time, incoming *nodepb.Instance, trust livenessTrust) (*record, bool) {
 	rec := r.records[incoming.Id]
 	if rec == nil {
@@ -14,7 +15,7 @@
 	}
 	previous := r.topics[keyOf(rec.reported)]
 	wasGone := rec.gone()
-	coldBefore := rec.warmingUpUntil
+	previousWarmUpEnd := rec.warmingUpUntil
 	rec.mergeState(now, incoming)
 	rec.mergeContent(now, incoming)
 	rec.mergeRevision(now, incoming)
@@ -27,13 +28,15 @@
 	if changed {
 		r.watchExpiry(rec)
 	}
-	coldMoved := differByMoreThan(max(rec.warmingUpUntil, now), max(coldBefore, now), warmUpTolerance)
-	if !changed && coldMoved && !rec.gone() {
+	// An end in the past counts as now: the heartbeats of a warm broker leave the table as it is.
+	warmUpMoved := differByMoreThan(max(rec.warmingUpUntil, now), max(previousWarmUpEnd, now), warmUpTolerance)
+	if !changed && warmUpMoved && !rec.gone() {
 		r.refreshTableEntry(now, rec)
 	}
 	return rec, changed
 }
 
+// createRecord adds the record of a broker that this node does not know.
 func (r *Registry) createRecord(now core.Time, incoming *nodepb.Instance) (*record, bool) {
 	if expiredOnArrival(incoming) {
 		return nil, false
@@ -64,7 +67,7 @@
 	return rec, true
 }
 
-// expiredOnArrival reports whether a broker that is not known here would be forgotten at once.
+// expiredOnArrival reports whether the record of an unknown broker would expire at once.
 func expiredOnArrival(incoming *nodepb.Instance) bool {
 	if incoming.State == nodepb.InstanceState_GONE {
 		return duration(incoming.SilentMs) >= tombstoneRetention
@@ -72,6 +75,7 @@
 	return duration(incoming.SilentMs) >= unresponsiveRetention
 }
 
+// countTombstone counts a record that has just become a tombstone, and keeps their number bounded.
 func (r *Registry) countTombstone(rec *record) {
 	r.tombstoneCount++
 	if r.tombstoneCount > maxTombstones {
@@ -79,8 +83,8 @@
 	}
 }
 
-// supersede marks brokers as gone whose address another life has taken: a broker that is heard for the first time has
-// started there after them. It returns their ids.
+// supersede marks the older incarnations at a newcomer's address as gone and returns their ids. A
+// broker whose first heartbeat arrives has started at the address after all others that were there.
 func (r *Registry) supersede(now core.Time, newcomer *record) []string {
 	var ids []string
 	for id, rec := range r.records {
@@ -96,6 +100,7 @@
 	return ids
 }
 
+// differByMoreThan reports whether two times are further apart than the tolerance.
 func differByMoreThan(a, b, tolerance core.Time) bool {
 	difference := a - b
 	return difference > tolerance || difference < -tolerance
--- a/internal/node/registry/merge_test.go
+++ b/internal/node/registry/merge_test.go
@@ -39,7 +39,7 @@
 	isGone     = nodepb.InstanceState_GONE
 )
 
-// PROTOCOL.md, "Service discovery": `sequence` rises with each call, so that a late one can be known.
+// PROTOCOL.md, "Service discovery": `sequence` rises with each call, so that a late one is recognised.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	messages := []*nodepb.Instance{
 		instanceAt(1, isReady, nil),
@@ -189,7 +189,7 @@
 	c.within(2*time.Second, "known everywhere", func() bool { return c.everyoneHas("1", loading) })
 }
 
-// A holder that does not know of a mark, as it has just started, takes it away all the same.
+// A lease holder that does not know of a mark, as it has just started, clears it all the same.
 func TestHolderClearsLoadingMarkItDoesNotKnow(t *testing.T) {
 	c := newCluster(t, 5, 4, "a")
 	marked := instanceAt(1, isReady, func(i *nodepb.Instance) { i.Revision, i.LoadingFence = 3, 41 })
@@ -201,7 +201,7 @@
 		holder.registry.Restore(now, []*nodepb.Instance{marked})
 		return holder.registry.SetLoading(now, "i", 0)
 	})
-	c.within(100*time.Millisecond, "taken away", func() bool {
+	c.within(100*time.Millisecond, "cleared", func() bool {
 		return c.everyoneHas("i", func(i *Instance) bool { return !i.Loading })
 	})
 }
@@ -224,7 +224,7 @@
 	assert.Assert(t, !r.Table().ByID["i"].Loading)
 }
 
-// A heartbeat that was on its way while new weights came does not undo them.
+// A heartbeat in flight while new weights were loaded does not revert their version.
 func TestLateHeartbeatDoesNotRevertModelVersion(t *testing.T) {
 	c := newCluster(t, 4, 6, "a", "b")
 	b := c.broker("1", "llm", "a")
@@ -243,7 +243,7 @@
 	assert.Assert(t, c.everyoneHas("1", func(i *Instance) bool { return i.Versions["m"] == 3 }))
 }
 
-// A warm broker's heartbeat says nothing new: the table stays as it is.
+// A warm broker's heartbeat changes nothing: the table stays as it is.
 func TestWarmBrokerHeartbeatsLeaveTableUnchanged(t *testing.T) {
 	r := single()
 	heartbeat := func(at time.Duration, sequence uint64, warmUpMs uint32) *Table {
--- a/internal/node/registry/record.go
+++ b/internal/node/registry/record.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"math"
 	"slices"
 	"time"
 
@@ -10,45 +11,46 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// record is what this node knows of one life of a broker.
+// record is what this node knows of one incarnation of a broker.
 type record struct {
-	// reported is the broker's own word: the content of its newest heartbeat that said anything new, with the highest state
-	// and the highest version of each model ever told. Never changed in place.
+	// reported is what the broker reports of itself: the content of its newest heartbeat that
+	// changed anything, with the highest state and the highest version of each model ever reported.
+	// The message is never changed in place, as outputs may hold it.
 	reported *nodepb.Instance
-	// sequence is that of the newest heartbeat, also where it said nothing new.
+	// sequence is that of the newest heartbeat, also if it changed nothing.
 	sequence uint64
 
-	// revision orders what nodes set besides the heartbeat: the fence of the loading mark, 0 without one.
+	// revision orders what nodes add to the broker's report, which is the loading mark alone.
 	revision     uint64
-	loadingToken uint64
-	loadingSince core.Time
+	loadingToken uint64    // fencing token of the loading mark; 0: no mark
+	loadingSince core.Time // when this node first saw that mark
 
 	learnedAt       core.Time // when this node first knew of the broker
-	lastHeartbeatAt core.Time // when this node last took a heartbeat of it, itself or by a forward
-	refutedAt       core.Time // when this node last contradicted that it is silent
-	goneAt          core.Time // when it went, where it has
+	lastHeartbeatAt core.Time // when this node last handled a heartbeat of it, direct or forwarded
+	refutedAt       core.Time // when this node last refuted that it is unresponsive
+	goneAt          core.Time // when it became gone, if it is
 
 	unresponsive      bool
-	unresponsiveSince core.Time // last heartbeat before the silence
-	warmingUpUntil    core.Time
+	unresponsiveSince core.Time // time of the last contact, if unresponsive
+	warmingUpUntil    core.Time // end of its slow start
 
-	// leaveConfirmed: all nodes in touch hold that it is draining or gone.
+	// leaveConfirmed: all available nodes hold that it is draining or gone.
 	leaveConfirmed bool
 
-	digest     uint64    // contribution to the digest of its topic; 0 where gone
-	tableEntry *Instance // as in the table; nil where gone
+	digest     uint64    // contribution to the digest of its topic; 0 if gone
+	tableEntry *Instance // its entry in the next table; nil if gone
 }
 
 func (r *record) state() nodepb.InstanceState { return r.reported.State }
 
 func (r *record) gone() bool { return r.reported.State == nodepb.InstanceState_GONE }
 
-// loading reports whether the loading mark is in force.
+// loading reports whether the broker has a loading mark that has not expired.
 func (r *record) loading(now core.Time) bool {
 	return r.loadingToken != 0 && now-r.loadingSince < loadingTimeout
 }
 
-// message is the record as other nodes are told of it, with times as of now.
+// message returns the record as sent to other nodes, with times relative to now.
 func (r *record) message(now core.Time) *nodepb.Instance {
 	message := shallowCopy(r.reported)
 	message.Sequence = r.sequence
@@ -59,7 +61,8 @@
 	return message
 }
 
-// unresponsiveMilliseconds is 0 for a broker that is heard; for one that has gone, the time since.
+// unresponsiveMilliseconds is the time since the last contact, 0 for a responsive broker. For a gone
+// broker it is the time since it became gone.
 func (r *record) unresponsiveMilliseconds(now core.Time) uint32 {
 	switch {
 	case r.gone():
@@ -71,7 +74,7 @@
 	}
 }
 
-// mergeState raises the state.
+// mergeState raises the state to that of the message, if it is later.
 func (r *record) mergeState(now core.Time, incoming *nodepb.Instance) {
 	if incoming.State <= r.reported.State {
 		return
@@ -84,7 +87,8 @@
 	}
 }
 
-// mergeContent takes what the broker says of itself if the heartbeat is newer than those known.
+// mergeContent takes over the broker's report if it comes from a newer heartbeat. An older one can
+// still raise versions of models.
 func (r *record) mergeContent(now core.Time, incoming *nodepb.Instance) {
 	if incoming.Sequence <= r.sequence {
 		r.raiseVersions(incoming.Models)
@@ -95,15 +99,15 @@
 	if sameContent(r.reported, incoming) {
 		return
 	}
-	before := r.reported
+	previous := r.reported
 	r.reported = shallowCopy(incoming)
-	r.reported.State = before.State
+	r.reported.State = previous.State
 	r.reported.Models = slices.Clone(incoming.Models)
-	r.raiseVersions(before.Models)
+	r.raiseVersions(previous.Models)
 }
 
-// raiseVersions raises the versions of models that the broker has. Within one life of a broker they only rise, so
-// that a heartbeat that was on its way while new weights came does not undo them.
+// raiseVersions raises the versions of models that the broker has. Within one incarnation they only
+// rise, so that a heartbeat in flight while new weights were loaded does not revert them.
 func (r *record) raiseVersions(models []*nodepb.ModelOnInstance) {
 	for _, model := range models {
 		r.raiseVersion(model.Name, model.Version)
@@ -111,17 +115,18 @@
 }
 
 func (r *record) raiseVersion(name string, version uint64) {
-	at := slices.IndexFunc(r.reported.Models, func(model *nodepb.ModelOnInstance) bool { return model.Name == name })
-	if at < 0 || r.reported.Models[at].Version >= version {
+	index := slices.IndexFunc(r.reported.Models, func(model *nodepb.ModelOnInstance) bool { return model.Name == name })
+	if index < 0 || r.reported.Models[index].Version >= version {
 		return
 	}
-	raised := &nodepb.ModelOnInstance{Name: name, Version: version, Adapters: r.reported.Models[at].Adapters}
+	raised := &nodepb.ModelOnInstance{Name: name, Version: version, Adapters: r.reported.Models[index].Adapters}
 	r.reported = shallowCopy(r.reported)
 	r.reported.Models = slices.Clone(r.reported.Models)
-	r.reported.Models[at] = raised
+	r.reported.Models[index] = raised
 }
 
-// mergeRevision takes the newer loading mark; of two under the same revision that with the higher fence.
+// mergeRevision takes over the newer loading mark; of two under the same revision the one with the
+// higher fencing token.
 func (r *record) mergeRevision(now core.Time, incoming *nodepb.Instance) {
 	older := incoming.Revision < r.revision
 	sameOrLower := incoming.Revision == r.revision && incoming.LoadingFence <= r.loadingToken
@@ -132,15 +137,16 @@
 	r.setLoadingToken(now, incoming.LoadingFence)
 }
 
-func (r *record) setLoadingToken(now core.Time, fence uint64) {
-	if r.loadingToken == fence {
+// setLoadingToken sets the loading mark; token 0 clears it.
+func (r *record) setLoadingToken(now core.Time, token uint64) {
+	if r.loadingToken == token {
 		return
 	}
-	r.loadingToken = fence
+	r.loadingToken = token
 	r.loadingSince = now
 }
 
-// sameContent reports whether two heartbeats say the same, apart from state, sequence and the cold start.
+// sameContent reports whether two heartbeats report the same, apart from state, sequence and warm-up.
 func sameContent(a, b *nodepb.Instance) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Software == b.Software &&
 		a.Slots == b.Slots && a.Stage == b.Stage && slices.EqualFunc(a.Models, b.Models, sameModel)
@@ -150,7 +156,8 @@
 	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// shallowCopy copies a message but not its models, which are never changed in place.
+// shallowCopy copies a broker's report, but not its models, which are never changed in place, and
+// not what nodes add to it.
 func shallowCopy(instance *nodepb.Instance) *nodepb.Instance {
 	return &nodepb.Instance{
 		Id: instance.Id, Service: instance.Service, Address: instance.Address, Zone: instance.Zone,
@@ -159,18 +166,17 @@
 	}
 }
 
-// deepCopy is a deep copy, for callers outside of the package.
+// deepCopy returns a copy that the caller may change.
 func deepCopy(instance *nodepb.Instance) *nodepb.Instance {
 	return proto.Clone(instance).(*nodepb.Instance)
 }
 
-// milliseconds rounds a time span up; none is negative.
+// milliseconds rounds a time span up to whole milliseconds; a negative one counts as 0.
 func milliseconds(span time.Duration) uint32 {
 	if span <= 0 {
 		return 0
 	}
-	const most = 1<<32 - 1
-	return uint32(min((span+time.Millisecond-1)/time.Millisecond, most))
+	return uint32(min((span+time.Millisecond-1)/time.Millisecond, math.MaxUint32))
 }
 
 func duration(milliseconds uint32) time.Duration {
--- a/internal/node/registry/registry.go
+++ b/internal/node/registry/registry.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"strings"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
@@ -14,39 +13,40 @@
 	random  *rand.Rand
 
 	self         *peer
-	peers        map[string]*peer // by node id, without this node
+	peers        map[string]*peer // other nodes by node id
 	others       []*peer          // the same, in order of node id
-	othersSeenAt core.Time        // when another node was last known
+	othersSeenAt core.Time        // when another node was last a member
 
 	records        map[string]*record // by instance id
 	topics         map[topicKey]*topic
 	digestSum      uint64 // over all topics
-	liveCount      uint32
-	tombstoneCount int // records that have gone
+	liveCount      uint32 // records that are not tombstones
+	tombstoneCount int
 
 	table         *Table
-	staleServices map[string]bool // services whose lists in the table are to be made anew
-	tableChanged  bool            // TableChanged is to be put out
+	staleServices map[string]bool // services whose lists in the table are to be rebuilt
+	tableChanged  bool            // core.TableChanged is still to be put out
 
-	nonce         uint64
+	nonce         uint64 // of the newest broadcast or forwarded call
 	broadcasts    []*broadcast
 	forwards      []*forwardedCall
-	batchIDs      []string  // changed brokers to tell the nodes of
-	batchDeadline core.Time // when to; Never: no batch
+	batchIDs      []string  // brokers whose records are scheduled for the next broadcast
+	batchDeadline core.Time // of that broadcast; core.Never: none is scheduled
 
 	nextLivenessCheck core.Time
 	nextExpiry        core.Time
 	nextPoll          core.Time
-	synced            bool // another node's entries have come, or none has any
-	initialPolls      int  // polls before that
-	pollCursor        int
-	polledPeer        *peer // owes the answer to the last poll
+	synced            bool  // the initial full sync is complete
+	initialPolls      int   // rounds of polls before that
+	pollCursor        int   // index in others of the last node polled before that; 0: none yet
+	polledPeer        *peer // has not answered the last poll; nil: it has
 
-	lastInputAt core.Time // of the newest input
+	lastInputAt core.Time // time of the newest input
 	outputs     []core.Output
 }
 
-// New returns an empty registry.
+// New returns an empty registry that knows no other node. random is used for the choice of nodes to
+// compare digests with.
 func New(now core.Time, options Options, random *rand.Rand) *Registry {
 	return &Registry{
 		options: options,
@@ -69,7 +69,7 @@
 	}
 }
 
-// Receive takes a message of another node.
+// Receive handles a message of another node. Messages of other kinds than the registry's are ignored.
 func (r *Registry) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	r.lastInputAt = now
 	r.recordContact(from)
@@ -90,14 +90,14 @@
 	return r.takeOutputs()
 }
 
-// recordContact notes that a peer answers again.
+// recordContact ends the backoff from a peer, as it evidently responds.
 func (r *Registry) recordContact(from core.Peer) {
 	if known := r.peers[from.NodeID]; known != nil {
 		known.backoffUntil = 0
 	}
 }
 
-// Tick does what is due.
+// Tick does the work that is due at now. It is to be called at Deadline.
 func (r *Registry) Tick(now core.Time) []core.Output {
 	r.lastInputAt = now
 	if late := now - r.Deadline(); late > stallLimit {
@@ -126,17 +126,17 @@
 	if len(r.others) > 0 {
 		next = min(next, r.nextPoll)
 	}
-	for _, pending := range r.broadcasts {
-		next = min(next, pending.deadline())
+	for _, b := range r.broadcasts {
+		next = min(next, b.deadline())
 	}
-	for _, pending := range r.forwards {
-		next = min(next, pending.deadline())
+	for _, call := range r.forwards {
+		next = min(next, call.deadline())
 	}
 	return next
 }
 
-// Instances lists the brokers that have not gone, as another node would be told of them. The messages belong to the
-// caller.
+// Instances lists the brokers that are not gone, ordered by id, as sent to other nodes. The caller
+// may change the messages.
 func (r *Registry) Instances() []*nodepb.Instance {
 	list := make([]*nodepb.Instance, 0, len(r.records))
 	for _, rec := range r.records {
@@ -154,20 +154,18 @@
 	r.output(core.Send{To: address, Message: message})
 }
 
-// takeOutputs hands over what has been gathered since the last call.
+// takeOutputs returns the outputs since the last call.
 func (r *Registry) takeOutputs() []core.Output {
 	if r.tableChanged {
 		r.tableChanged = false
 		r.output(core.TableChanged{})
 	}
-	taken := r.outputs
+	outputs := r.outputs
 	r.outputs = nil
-	return taken
+	return outputs
 }
 
 func (r *Registry) nextNonce() uint64 {
 	r.nonce++
 	return r.nonce
 }
-
-func compareText(a, b string) int { return strings.Compare(a, b) }
--- a/internal/node/registry/tablebuild.go
+++ b/internal/node/registry/tablebuild.go
@@ -3,12 +3,14 @@
 import (
 	"maps"
 	"slices"
+	"strings"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Table returns the newest picture of all brokers known. It is never changed; a change makes another.
+// Table returns the newest table of the known brokers. It is rebuilt if an entry has changed; tables
+// returned before stay as they are.
 func (r *Registry) Table() *Table {
 	if len(r.staleServices) > 0 {
 		r.table = r.buildTable()
@@ -17,13 +19,13 @@
 	return r.table
 }
 
-// invalidateService notes that a service's list in the table is to be made anew.
+// invalidateService has a service's list rebuilt with the next table.
 func (r *Registry) invalidateService(service string) {
 	r.staleServices[service] = true
 	r.tableChanged = true
 }
 
-// refreshTableEntry makes the broker's entry in the table anew.
+// refreshTableEntry replaces the broker's entry in the table.
 func (r *Registry) refreshTableEntry(now core.Time, rec *record) {
 	r.removeTableEntry(rec)
 	if rec.gone() {
@@ -33,7 +35,7 @@
 	r.invalidateService(rec.tableEntry.Service)
 }
 
-// removeTableEntry takes the broker out of the table.
+// removeTableEntry removes the broker's entry from the table.
 func (r *Registry) removeTableEntry(rec *record) {
 	if rec.tableEntry == nil {
 		return
@@ -42,6 +44,7 @@
 	rec.tableEntry = nil
 }
 
+// newTableEntry returns the record as an entry of the table.
 func (r *record) newTableEntry(now core.Time) *Instance {
 	versions := make(map[string]uint64, len(r.reported.Models))
 	for _, model := range r.reported.Models {
@@ -54,7 +57,9 @@
 	}
 }
 
-// buildTable makes the lists of the changed services anew and takes over those of the others.
+// buildTable rebuilds the lists of the stale services and shares those of the others with the
+// previous table. All stale entries go before any new one is added, as a broker may have moved from
+// one service to another.
 func (r *Registry) buildTable() *Table {
 	table := &Table{
 		Revision:  r.table.Revision + 1,
@@ -62,8 +67,8 @@
 		ByID:      maps.Clone(r.table.ByID),
 	}
 	for service := range r.staleServices {
-		for _, before := range table.ByService[service] {
-			delete(table.ByID, before.ID)
+		for _, entry := range table.ByService[service] {
+			delete(table.ByID, entry.ID)
 		}
 		delete(table.ByService, service)
 	}
@@ -73,13 +78,14 @@
 			continue
 		}
 		table.ByService[service] = list
-		for _, picture := range list {
-			table.ByID[picture.ID] = picture
+		for _, entry := range list {
+			table.ByID[entry.ID] = entry
 		}
 	}
 	return table
 }
 
+// listService returns the entries of a service, ordered by id.
 func (r *Registry) listService(service string) []*Instance {
 	var list []*Instance
 	for key, t := range r.topics {
@@ -87,7 +93,7 @@
 			list = t.appendTableEntries(list)
 		}
 	}
-	slices.SortFunc(list, func(a, b *Instance) int { return compareText(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b *Instance) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
@@ -101,5 +107,5 @@
 }
 
 func sortByID(list []*nodepb.Instance) {
-	slices.SortFunc(list, func(a, b *nodepb.Instance) int { return compareText(a.Id, b.Id) })
+	slices.SortFunc(list, func(a, b *nodepb.Instance) int { return strings.Compare(a.Id, b.Id) })
 }
--- a/internal/node/registry/topic.go
+++ b/internal/node/registry/topic.go
@@ -9,26 +9,27 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// topicKey names the brokers of one service in one zone, which have a home in common.
+// topicKey identifies a topic: the brokers of one service in one zone.
 type topicKey struct{ service, zone string }
 
-// rendezvousKey is the key under which nodes are ranked as the topic's home.
+// rendezvousKey is the key under which nodes are ranked as the topic's home. All nodes must use the
+// same, also those of other releases.
 func (k topicKey) rendezvousKey() string { return k.service + "\x00" + k.zone }
 
 func keyOf(instance *nodepb.Instance) topicKey {
 	return topicKey{service: instance.Service, zone: instance.Zone}
 }
 
-// topic is what this node keeps of the brokers of one service in one zone.
+// topic is what this node knows of the brokers of one service in one zone.
 type topic struct {
 	key       topicKey
-	records   map[string]*record // by instance id, those that have gone included
-	digestSum uint64             // over the records that have not gone; order does not matter
-	liveCount uint32
+	records   map[string]*record // by instance id, tombstones included
+	digestSum uint64             // sum of the digests of its live records, so that their order doesn't matter
+	liveCount uint32             // records that are not tombstones
 
-	home                  *peer     // who takes its heartbeats, by the members known
-	homeSince             core.Time // since when that is this node
-	selfPreservationSince core.Time // when this node began to doubt that so many went silent; 0: it does not
+	home                  *peer     // receives its heartbeats, by the members known
+	homeSince             core.Time // when this node became its home, if it is; else when the topic was created
+	selfPreservationSince core.Time // 0: not in self-preservation
 }
 
 func (t *topic) digestMessage() *nodepb.TopicDigest {
@@ -37,7 +38,8 @@
 
 func digestBytes(sum uint64) []byte { return binary.BigEndian.AppendUint64(nil, sum) }
 
-// sameDigest reports whether a digest of another node is that of the topic; a topic not known here counts as empty.
+// sameDigest reports whether another node's digest of a topic equals this node's. An unknown topic, nil,
+// counts as empty.
 func sameDigest(own *topic, other *nodepb.TopicDigest) bool {
 	if own == nil {
 		return other.Count == 0
@@ -45,24 +47,25 @@
 	return own.liveCount == other.Count && string(digestBytes(own.digestSum)) == string(other.Digest)
 }
 
-// topicOf returns the topic of a broker, made if it is new.
+// topicOf returns a topic, which it creates if it is new.
 func (r *Registry) topicOf(now core.Time, key topicKey) *topic {
 	if known := r.topics[key]; known != nil {
 		return known
 	}
-	made := &topic{key: key, records: map[string]*record{}, homeSince: now}
-	made.home = r.bestHome(key)
-	r.topics[key] = made
-	r.scheduleLivenessCheck(now, made)
-	return made
+	created := &topic{key: key, records: map[string]*record{}, homeSince: now}
+	created.home = r.bestHome(key)
+	r.topics[key] = created
+	r.scheduleLivenessCheck(now, created)
+	return created
 }
 
-// updateTopic files a record under its topic and brings digests and the table up to date. previous is the topic in which
-// it was, nil for a new one. It reports whether anything that other nodes are to know has changed.
+// updateTopic brings a changed record's topic, the digests and the table up to date. previous is the
+// topic that held the record before the change, nil for a new record. It reports whether anything
+// changed that other nodes must learn.
 func (r *Registry) updateTopic(now core.Time, rec *record, previous *topic) bool {
 	current := r.topicOf(now, keyOf(rec.reported))
-	sum := rec.computeDigest()
-	if previous == current && sum == rec.digest {
+	digest := rec.computeDigest()
+	if previous == current && digest == rec.digest {
 		return false
 	}
 	if previous != nil {
@@ -71,26 +74,27 @@
 			delete(previous.records, rec.reported.Id)
 		}
 	}
-	rec.digest = sum
+	rec.digest = digest
 	current.records[rec.reported.Id] = rec
 	r.addToDigest(current, rec)
 	r.refreshTableEntry(now, rec)
 	return true
 }
 
-// remove drops a record for good.
+// remove drops a record, and its topic with the last one.
 func (r *Registry) remove(rec *record) {
 	key := keyOf(rec.reported)
-	holder := r.topics[key]
-	r.removeFromDigest(holder, rec)
-	delete(holder.records, rec.reported.Id)
+	t := r.topics[key]
+	r.removeFromDigest(t, rec)
+	delete(t.records, rec.reported.Id)
 	delete(r.records, rec.reported.Id)
-	if len(holder.records) == 0 {
+	if len(t.records) == 0 {
 		delete(r.topics, key)
 	}
 	r.removeTableEntry(rec)
 }
 
+// addToDigest adds a record to the digests of its topic and of the registry. Tombstones do not count.
 func (r *Registry) addToDigest(t *topic, rec *record) {
 	if rec.digest == 0 {
 		return
@@ -101,6 +105,7 @@
 	r.liveCount++
 }
 
+// removeFromDigest is the reverse of addToDigest, by the digest with which the record was added.
 func (r *Registry) removeFromDigest(t *topic, rec *record) {
 	if rec.digest == 0 {
 		return
@@ -111,8 +116,8 @@
 	r.liveCount--
 }
 
-// computeDigest is a hash of all that nodes must agree on; the sequence and the times are not among it, as they move with each
-// heartbeat. It is 0 for a broker that has gone.
+// computeDigest returns a hash of all that nodes must agree on. The sequence and the times are not
+// part of it, as they change with each heartbeat. It is 0 for a tombstone, and for no other record.
 func (r *record) computeDigest() uint64 {
 	if r.gone() {
 		return 0
@@ -123,16 +128,19 @@
 }
 
 func (r *record) appendDigest(data []byte) []byte {
-	told := r.reported
-	for _, text := range [...]string{told.Id, told.Service, told.Address, told.Zone, told.Software, told.Stage} {
+	reported := r.reported
+	texts := [...]string{
+		reported.Id, reported.Service, reported.Address, reported.Zone, reported.Software, reported.Stage,
+	}
+	for _, text := range texts {
 		data = appendText(data, text)
 	}
-	data = binary.AppendUvarint(data, uint64(told.Slots))
-	data = binary.AppendUvarint(data, uint64(told.State))
+	data = binary.AppendUvarint(data, uint64(reported.Slots))
+	data = binary.AppendUvarint(data, uint64(reported.State))
 	data = binary.AppendUvarint(data, r.revision)
 	data = binary.AppendUvarint(data, r.loadingToken)
 	data = appendFlag(data, r.unresponsive)
-	for _, model := range told.Models {
+	for _, model := range reported.Models {
 		data = appendText(data, model.Name)
 		data = binary.AppendUvarint(data, model.Version)
 		for _, adapter := range model.Adapters {
