--- /dev/null
+++ b/internal/node/registry/saved/saved_golden_test.go
@@ -0,0 +1,108 @@
+package saved_test
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/encoding/protowire"
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"kestrelspread/internal/node/nodepb"
+	"kestrelspread/internal/node/registry/saved"
+)
+
+const goldenCopies = "golden/copies.txt"
+
+var goldenTime = time.UnixMilli(1_790_000_000_000)
+
+// goldenInstance has every field of the schema, by number.
+func goldenInstance(t *testing.T, seed uint64) *nodepb.Instance {
+	t.Helper()
+	var encoded []byte
+	text := func(to []byte, field protowire.Number, text string) []byte {
+		return protowire.AppendString(protowire.AppendTag(to, field, protowire.BytesType), text)
+	}
+	number := func(to []byte, field protowire.Number, value uint64) []byte {
+		return protowire.AppendVarint(protowire.AppendTag(to, field, protowire.VarintType), value)
+	}
+	for _, field := range []protowire.Number{1, 2, 3, 4, 5} {
+		encoded = text(encoded, field, fmt.Sprintf("text %d of %d", field, seed))
+	}
+	encoded = number(encoded, 6, 16+seed)
+	encoded = number(encoded, 7, seed%3)
+	encoded = number(number(encoded, 8, 2500), 9, 1<<33+seed)
+	encoded = text(encoded, 10, "canary")
+	model := text(number(text(nil, 1, "daka510000"), 2, 3+seed), 3, "adapter-1")
+	encoded = text(encoded, 11, string(text(model, 3, "adapter-2")))
+	encoded = number(number(number(encoded, 12, 120), 13, 7), 14, 90+seed)
+	instance := new(nodepb.Instance)
+	assert.NilError(t, proto.Unmarshal(encoded, instance))
+	assert.Equal(t, len(instance.ProtoReflect().GetUnknown()), 0)
+	return instance
+}
+
+func goldenInstances(t *testing.T) []*nodepb.Instance {
+	return []*nodepb.Instance{goldenInstance(t, 1), goldenInstance(t, 2)}
+}
+
+// TestCopiesKeepTheirBytes freezes both files of the copy, and their names.
+func TestCopiesKeepTheirBytes(t *testing.T) {
+	folder := t.TempDir()
+	file := saved.Open(folder)
+	assert.NilError(t, file.Save(goldenInstances(t), goldenTime))
+	assert.NilError(t, file.Save(goldenInstances(t)[:1], goldenTime.Add(1500*time.Millisecond)))
+	entries, err := os.ReadDir(folder)
+	assert.NilError(t, err)
+	var text strings.Builder
+	for _, entry := range entries {
+		content, err := os.ReadFile(filepath.Join(folder, entry.Name()))
+		assert.NilError(t, err)
+		fmt.Fprintln(&text, entry.Name(), hex.EncodeToString(content))
+	}
+	golden.Assert(t, text.String(), goldenCopies)
+}
+
+// TestCopiesOfTheGoldenFileAreRead loads the newest copy as it was written once, and the other where the newest is damaged.
+func TestCopiesOfTheGoldenFileAreRead(t *testing.T) {
+	folder := t.TempDir()
+	var newest string
+	for line := range strings.Lines(string(golden.Get(t, goldenCopies))) {
+		name, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
+		content, err := hex.DecodeString(digits)
+		assert.NilError(t, err)
+		newest = filepath.Join(folder, name)
+		assert.NilError(t, os.WriteFile(newest, content, 0o644))
+	}
+	now := goldenTime.Add(30 * time.Second)
+	loaded, err := saved.Open(folder).Load(now)
+	assert.NilError(t, err)
+	assertInstances(t, loaded, goldenInstances(t)[:1])
+
+	content, err := os.ReadFile(newest)
+	assert.NilError(t, err)
+	content[len(content)-1] ^= 1
+	assert.NilError(t, os.WriteFile(newest, content, 0o644))
+	loaded, err = saved.Open(folder).Load(now)
+	assert.NilError(t, err)
+	assertInstances(t, loaded, goldenInstances(t))
+}
+
+func assertInstances(t *testing.T, got, want []*nodepb.Instance) {
+	t.Helper()
+	assert.Equal(t, len(got), len(want))
+	for i := range want {
+		gotBytes, err := proto.Marshal(got[i])
+		assert.NilError(t, err)
+		wantBytes, err := proto.Marshal(want[i])
+		assert.NilError(t, err)
+		assert.Assert(t, bytes.Equal(gotBytes, wantBytes))
+	}
+}
