--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -108,7 +108,7 @@
 	}
 	n.distribution = distribution.New(now, distribution.Options{
 		SelfID: self.NodeId, SelfAddress: self.Address, Zone: self.Zone,
-		Counts: self.CountsForQuorum, State: n.state, Seeds: options.Seeds,
+		CountsForQuorum: self.CountsForQuorum, State: n.state, Seeds: options.Seeds,
 		ConfirmationAge: confirmationAge(options.Bounds),
 	}, random)
 	n.registry = registry.New(now, registry.Options{
@@ -129,9 +129,9 @@
 // confirmationAge: only where revoked keys must be refused everywhere in time does service hang on fresh confirmations.
 func confirmationAge(bounds Bounds) time.Duration {
 	if bounds.GlobalRevocation {
-		return distribution.ConfirmationForRevocation
+		return distribution.ConfirmationAgeForRevocation
 	}
-	return distribution.ConfirmationForChanges
+	return distribution.ConfirmationAgeForChanges
 }
 
 // AttachStore makes this node a member of the core, once its disk has proved that it takes writes. records is what the journal
--- a/internal/node/distribution/distribution.go
+++ b/internal/node/distribution/distribution.go
@@ -21,16 +21,16 @@
 	subscribers map[string]*subscriber // by node id
 
 	confirmedAt   core.Time
-	confirmedOnce bool
+	confirmed     bool
 	attachedUntil core.Time // by the last answer of an upstream that was in touch with the core
 
-	round    round // the poll under way
-	nextPoll core.Time
-	polls    int
-	nonce    uint64
+	round      pollRound // the poll under way
+	nextPoll   core.Time
+	pollRounds int
+	lastNonce  uint64
 
-	confirmationAsked core.Time // when ConfirmationWanted was last put out
-	snapshot          snapshotCache
+	confirmationRequestedAt core.Time // when ConfirmationWanted was last put out
+	snapshot                snapshotCache
 
 	outputs []core.Output
 }
@@ -38,15 +38,15 @@
 // New returns a distribution that holds what its state holds.
 func New(now core.Time, options Options, random *rand.Rand) *Distribution {
 	d := &Distribution{
-		options:           options,
-		random:            random,
-		state:             options.State,
-		upstreams:         map[string]*upstream{},
-		subscribers:       map[string]*subscriber{},
-		nextPoll:          now,
-		nonce:             random.Uint64(),
-		confirmationAsked: -confirmationRetry,
-		round:             round{hedgeAt: core.Never},
+		options:                 options,
+		random:                  random,
+		state:                   options.State,
+		upstreams:               map[string]*upstream{},
+		subscribers:             map[string]*subscriber{},
+		nextPoll:                now,
+		lastNonce:               random.Uint64(),
+		confirmationRequestedAt: -confirmationRetryInterval,
+		round:                   pollRound{hedgeAt: core.Never},
 	}
 	d.rankUpstreams()
 	return d
@@ -60,23 +60,23 @@
 
 // ConfirmedAt is a moment, on this node's steady clock, at which the whole chain held no newer state than this node's; false where
 // none is known.
-func (d *Distribution) ConfirmedAt() (core.Time, bool) { return d.confirmedAt, d.confirmedOnce }
+func (d *Distribution) ConfirmedAt() (core.Time, bool) { return d.confirmedAt, d.confirmed }
 
 // SetMembers tells the nodes that are alive or suspected. This node may be among them.
 func (d *Distribution) SetMembers(now core.Time, members []*nodepb.Member) []core.Output {
 	d.members = members
 	d.rankUpstreams()
-	d.pollIfUnasked(now)
+	d.pollIfNeverPolled(now)
 	return d.takeOutputs()
 }
 
 // SetView tells a view from this node's own store. Older ones than the one known are ignored.
 func (d *Distribution) SetView(now core.Time, view *nodepb.View) []core.Output {
-	d.learnView(now, view)
+	d.adoptView(now, view)
 	return d.takeOutputs()
 }
 
-func (d *Distribution) learnView(now core.Time, view *nodepb.View) {
+func (d *Distribution) adoptView(now core.Time, view *nodepb.View) {
 	if view == nil || view.Epoch <= d.view.GetEpoch() {
 		return
 	}
@@ -87,27 +87,27 @@
 
 // Committed takes an entry that this node's own store committed.
 func (d *Distribution) Committed(now core.Time, entry *nodepb.Entry) []core.Output {
-	d.take(now, []*nodepb.Entry{entry}, nil)
+	d.catchUp(now, []*nodepb.Entry{entry}, nil)
 	return d.takeOutputs()
 }
 
 // Installed takes a state that this node's own store was brought to.
 func (d *Distribution) Installed(now core.Time, snapshot *nodepb.StateSnapshot) []core.Output {
-	d.take(now, nil, snapshot)
+	d.catchUp(now, nil, snapshot)
 	return d.takeOutputs()
 }
 
-func (d *Distribution) staleAge() core.Time { return d.options.confirmationAge() + staleSlack }
+func (d *Distribution) staleAge() core.Time { return d.options.confirmationAge() + staleTolerance }
 
 // LocalConfirmed tells that this node's own store, as the tail, knows its state to be confirmed by the whole chain as of a moment of
 // this node's steady clock.
 func (d *Distribution) LocalConfirmed(_ core.Time, at core.Time) { d.confirm(at) }
 
 func (d *Distribution) confirm(at core.Time) {
-	if !d.confirmedOnce || at > d.confirmedAt {
+	if !d.confirmed || at > d.confirmedAt {
 		d.confirmedAt = at
 	}
-	d.confirmedOnce = true
+	d.confirmed = true
 }
 
 // Receive takes a message of another node.
@@ -125,10 +125,10 @@
 
 // Tick does what is due.
 func (d *Distribution) Tick(now core.Time) []core.Output {
-	d.dropSubscribers(now)
+	d.expireSubscribers(now)
 	d.snapshot.expire(now)
 	if d.nextPoll <= now {
-		d.startRound(now)
+		d.startPollRound(now)
 	}
 	if d.round.hedgeAt <= now {
 		d.hedge(now)
@@ -139,8 +139,8 @@
 // Deadline is when Tick is next due.
 func (d *Distribution) Deadline() core.Time { return min(d.nextPoll, d.round.hedgeAt) }
 
-// take brings the state up to what another node or the own store committed, and tells subscribers.
-func (d *Distribution) take(now core.Time, entries []*nodepb.Entry, snapshot *nodepb.StateSnapshot) {
+// catchUp brings the state up to what another node or the own store committed, and tells subscribers.
+func (d *Distribution) catchUp(now core.Time, entries []*nodepb.Entry, snapshot *nodepb.StateSnapshot) {
 	before := d.state.Index()
 	d.restore(snapshot)
 	for _, entry := range entries {
--- a/internal/node/distribution/options.go
+++ b/internal/node/distribution/options.go
@@ -24,10 +24,10 @@
 	SelfAddress string // internal address
 	// SelfDiskID names this node in the chain; empty for a node without a disk. Where it is not given, the chain's members are
 	// known by their addresses.
-	SelfDiskID string
-	Zone       string
-	Counts     bool // this node is a machine of the core
-	State      State
+	SelfDiskID      string
+	Zone            string
+	CountsForQuorum bool // this node is a machine of the core
+	State           State
 	// Seeds are internal addresses to ask while no member is known.
 	Seeds []string
 	// PollInterval is the time between two polls of the upstream; 0: half a second.
@@ -39,53 +39,53 @@
 
 // Ages of the tail's own confirmation at which it asks for another.
 const (
-	// ConfirmationForRevocation keeps the age of every node's state far below the bound of a key's revocation.
-	ConfirmationForRevocation = 300 * time.Millisecond
-	// ConfirmationForChanges is for fleets without that bound. A tail that was cut off from the chain takes itself to be in touch
+	// ConfirmationAgeForRevocation keeps the age of every node's state far below the bound of a key's revocation.
+	ConfirmationAgeForRevocation = 300 * time.Millisecond
+	// ConfirmationAgeForChanges is for fleets without that bound. A tail that was cut off from the chain takes itself to be in touch
 	// for that time and tailSlack, and so do those who poll it; a change that others take meanwhile must reach these within
 	// configApplyMs of its acknowledgement, which is 2 s at the least.
-	ConfirmationForChanges = 700 * time.Millisecond
+	ConfirmationAgeForChanges = 700 * time.Millisecond
 )
 
 const (
 	defaultPollInterval = 500 * time.Millisecond
-	// startInterval is the time between polls of a node that has no confirmed state yet, for startPolls polls.
-	startInterval = 150 * time.Millisecond
-	startPolls    = 60
-	// hedgeAfter is how long an upstream may take to answer before the next one is asked as well.
-	hedgeAfter = 200 * time.Millisecond
-	// firstRetest and longestRetest are when an upstream that owes an answer, and so is passed over, is asked again.
-	firstRetest   = time.Second
-	longestRetest = 8 * time.Second
-	// staleSlack is by how much the age of an upstream's confirmation may exceed ConfirmationAge before it is taken to
+	// initialPollInterval is the time between polls of a node that has no confirmed state yet, for startPolls polls.
+	initialPollInterval = 150 * time.Millisecond
+	maxInitialPolls     = 60
+	// hedgeDelay is how long an upstream may take to answer before the next one is asked as well.
+	hedgeDelay = 200 * time.Millisecond
+	// minProbeBackoff and longestRetest are when an upstream that owes an answer, and so is passed over, is asked again.
+	minProbeBackoff = time.Second
+	maxProbeBackoff = 8 * time.Second
+	// staleTolerance is by how much the age of an upstream's confirmation may exceed ConfirmationAge before it is taken to
 	// have lost touch with the core, and staleFor is how long others go first then.
-	staleSlack = 2200 * time.Millisecond
-	staleFor   = time.Second
-	// tailSlack is by how much the age of the tail's own confirmation may exceed ConfirmationAge before it is taken to have
+	staleTolerance = 2200 * time.Millisecond
+	staleBackoff   = time.Second
+	// tailTolerance is by how much the age of the tail's own confirmation may exceed ConfirmationAge before it is taken to have
 	// lost touch with the chain.
-	tailSlack = time.Second
-	// attachedFor is how long after the last answer of an upstream a node takes itself to be in touch with the core; it is
+	tailTolerance = time.Second
+	// attachmentTimeout is how long after the last answer of an upstream a node takes itself to be in touch with the core; it is
 	// more than the time between two polls.
-	attachedFor = 800 * time.Millisecond
-	// subscribedFor is how long after a poll changes are pushed to who polled.
-	subscribedFor          = 2 * time.Second
-	defaultConfirmationAge = ConfirmationForRevocation
-	// confirmationRetry bounds how often it asks for one.
-	confirmationRetry = 150 * time.Millisecond
+	attachmentTimeout = 800 * time.Millisecond
+	// subscriptionTimeout is how long after a poll changes are pushed to who polled.
+	subscriptionTimeout    = 2 * time.Second
+	defaultConfirmationAge = ConfirmationAgeForRevocation
+	// confirmationRetryInterval bounds how often it asks for one.
+	confirmationRetryInterval = 150 * time.Millisecond
 	// treeFanOut is how many nodes of a zone poll the same one.
 	treeFanOut = 8
 
-	// ringEntries and ringBytes bound the entries kept for who lags; who lags more is given a snapshot.
-	ringEntries = 128
-	ringBytes   = 512 << 10
-	// mostEntriesInReply is from how many missing entries on a snapshot takes less work.
-	mostEntriesInReply = 32
-	// snapshotKept is how long an encoded snapshot is kept for others that ask for it.
-	snapshotKept = 2 * time.Second
+	// maxRingEntries and ringBytes bound the entries kept for who lags; who lags more is given a snapshot.
+	maxRingEntries = 128
+	maxRingBytes   = 512 << 10
+	// maxEntriesInReply is from how many missing entries on a snapshot takes less work.
+	maxEntriesInReply = 32
+	// snapshotRetention is how long an encoded snapshot is kept for others that ask for it.
+	snapshotRetention = 2 * time.Second
 )
 
-// homeKey ranks the nodes of a zone as home of the configuration.
-const homeKey = "config"
+// rendezvousKey ranks the nodes of a zone as home of the configuration.
+const rendezvousKey = "config"
 
 func (o Options) pollInterval() time.Duration {
 	if o.PollInterval <= 0 {
--- a/internal/node/distribution/ring.go
+++ b/internal/node/distribution/ring.go
@@ -13,8 +13,8 @@
 	bytes   int
 }
 
-// last is the index of the newest entry, 0 without one.
-func (r *ring) last() uint64 {
+// lastIndex is the index of the newest entry, 0 without one.
+func (r *ring) lastIndex() uint64 {
 	if len(r.entries) == 0 {
 		return 0
 	}
@@ -23,14 +23,14 @@
 
 // add appends an entry. One that does not follow the last makes all before it useless.
 func (r *ring) add(entry *nodepb.Entry) {
-	if len(r.entries) > 0 && entry.Index != r.last()+1 {
+	if len(r.entries) > 0 && entry.Index != r.lastIndex()+1 {
 		r.clear()
 	}
 	size := proto.Size(entry)
 	r.entries = append(r.entries, entry)
 	r.sizes = append(r.sizes, size)
 	r.bytes += size
-	for len(r.entries) > 1 && (len(r.entries) > ringEntries || r.bytes > ringBytes) {
+	for len(r.entries) > 1 && (len(r.entries) > maxRingEntries || r.bytes > maxRingBytes) {
 		r.dropFirst()
 	}
 }
@@ -46,7 +46,7 @@
 
 // after returns the entries that follow index, and whether they are all there up to the newest.
 func (r *ring) after(index uint64) ([]*nodepb.Entry, bool) {
-	if len(r.entries) == 0 || index+1 < r.entries[0].Index || index > r.last() {
+	if len(r.entries) == 0 || index+1 < r.entries[0].Index || index > r.lastIndex() {
 		return nil, false
 	}
 	return r.entries[index+1-r.entries[0].Index:], true
--- a/internal/node/distribution/serve.go
+++ b/internal/node/distribution/serve.go
@@ -10,20 +10,20 @@
 
 // subscriber is a node that polled this one lately.
 type subscriber struct {
-	address string
-	index   uint64 // what it holds, as far as known
-	epoch   uint64 // of the view that it knows
-	until   core.Time
+	address    string
+	knownIndex uint64 // what it holds, as far as known
+	knownEpoch uint64 // of the view that it knows
+	expiresAt  core.Time
 }
 
 // snapshotCache keeps an encoded state for a short time, as many nodes may ask for it at once.
 type snapshotCache struct {
-	message *nodepb.StateSnapshot
-	until   core.Time
+	message   *nodepb.StateSnapshot
+	expiresAt core.Time
 }
 
 func (c *snapshotCache) expire(now core.Time) {
-	if c.message != nil && c.until <= now {
+	if c.message != nil && c.expiresAt <= now {
 		c.message = nil
 	}
 }
@@ -38,38 +38,38 @@
 	if d.view.GetEpoch() > poll.ViewEpoch {
 		reply.View = d.view
 	}
-	reply.Entries, reply.Snapshot = d.missing(now, poll.Index)
+	reply.Entries, reply.Snapshot = d.missingAfter(now, poll.Index)
 	d.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePollReply{StatePollReply: reply}})
 	if poll.Subscribe {
 		d.subscribe(now, from, poll)
 	}
 	if d.Tail() {
-		d.wantConfirmation(now)
+		d.requestConfirmation(now)
 	}
 }
 
 // attached reports whether this node is in touch with the core, through its upstreams or as the tail. One that is not says so,
 // so that who polls it turns to others before ages tell.
 func (d *Distribution) attached(now core.Time) bool {
-	return d.confirmedOnce && (d.confirmedTail(now) || now < d.attachedUntil)
+	return d.confirmed && (d.confirmedTail(now) || now < d.attachedUntil)
 }
 
 func (d *Distribution) subscribe(now core.Time, from core.Peer, poll *nodepb.StatePoll) {
 	d.subscribers[from.NodeID] = &subscriber{
-		address: from.Address,
-		index:   max(poll.Index, d.state.Index()),
-		epoch:   max(poll.ViewEpoch, d.view.GetEpoch()),
-		until:   now + subscribedFor,
+		address:    from.Address,
+		knownIndex: max(poll.Index, d.state.Index()),
+		knownEpoch: max(poll.ViewEpoch, d.view.GetEpoch()),
+		expiresAt:  now + subscriptionTimeout,
 	}
 }
 
-// missing returns what follows an index: entries where they are few, else the whole state.
-func (d *Distribution) missing(now core.Time, index uint64) ([]*nodepb.Entry, *nodepb.StateSnapshot) {
+// missingAfter returns what follows an index: entries where they are few, else the whole state.
+func (d *Distribution) missingAfter(now core.Time, index uint64) ([]*nodepb.Entry, *nodepb.StateSnapshot) {
 	if index >= d.state.Index() {
 		return nil, nil
 	}
 	entries, complete := d.ring.after(index)
-	if complete && len(entries) <= mostEntriesInReply {
+	if complete && len(entries) <= maxEntriesInReply {
 		return entries, nil
 	}
 	return nil, d.currentSnapshot(now)
@@ -79,29 +79,29 @@
 	if d.snapshot.message.GetIndex() != d.state.Index() {
 		d.snapshot.message = &nodepb.StateSnapshot{Index: d.state.Index(), State: d.state.Snapshot()}
 	}
-	d.snapshot.until = now + snapshotKept
+	d.snapshot.expiresAt = now + snapshotRetention
 	return d.snapshot.message
 }
 
-// wantConfirmation asks for a barrier through the chain where the tail's own confirmation is getting old.
-func (d *Distribution) wantConfirmation(now core.Time) {
-	fresh := d.confirmedOnce && now-d.confirmedAt <= d.options.confirmationAge()
-	if fresh || now-d.confirmationAsked < confirmationRetry {
+// requestConfirmation asks for a barrier through the chain where the tail's own confirmation is getting old.
+func (d *Distribution) requestConfirmation(now core.Time) {
+	fresh := d.confirmed && now-d.confirmedAt <= d.options.confirmationAge()
+	if fresh || now-d.confirmationRequestedAt < confirmationRetryInterval {
 		return
 	}
-	d.confirmationAsked = now
+	d.confirmationRequestedAt = now
 	d.output(core.ConfirmationWanted{})
 }
 
 // pushChanges sends subscribers what they lack.
 func (d *Distribution) pushChanges(now core.Time) {
 	for _, to := range d.activeSubscribers(now) {
-		if to.index >= d.state.Index() {
+		if to.knownIndex >= d.state.Index() {
 			continue
 		}
 		push := &nodepb.StatePush{Index: d.state.Index()}
-		push.Entries, push.Snapshot = d.missing(now, to.index)
-		to.index = d.state.Index()
+		push.Entries, push.Snapshot = d.missingAfter(now, to.knownIndex)
+		to.knownIndex = d.state.Index()
 		d.push(to, push)
 	}
 }
@@ -109,15 +109,15 @@
 // pushView tells subscribers of a new view.
 func (d *Distribution) pushView(now core.Time) {
 	for _, to := range d.activeSubscribers(now) {
-		if to.epoch < d.view.Epoch {
-			d.push(to, &nodepb.StatePush{Index: to.index})
+		if to.knownEpoch < d.view.Epoch {
+			d.push(to, &nodepb.StatePush{Index: to.knownIndex})
 		}
 	}
 }
 
 func (d *Distribution) push(to *subscriber, push *nodepb.StatePush) {
-	if to.epoch < d.view.GetEpoch() {
-		to.epoch = d.view.Epoch
+	if to.knownEpoch < d.view.GetEpoch() {
+		to.knownEpoch = d.view.Epoch
 		push.View = d.view
 	}
 	d.send(to.address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePush{StatePush: push}})
@@ -127,7 +127,7 @@
 func (d *Distribution) activeSubscribers(now core.Time) []*subscriber {
 	var active []*subscriber
 	for _, known := range d.subscribers {
-		if known.until > now {
+		if known.expiresAt > now {
 			active = append(active, known)
 		}
 	}
@@ -135,9 +135,9 @@
 	return active
 }
 
-func (d *Distribution) dropSubscribers(now core.Time) {
+func (d *Distribution) expireSubscribers(now core.Time) {
 	for id, known := range d.subscribers {
-		if known.until <= now {
+		if known.expiresAt <= now {
 			delete(d.subscribers, id)
 		}
 	}
--- a/internal/node/distribution/trouble_test.go
+++ b/internal/node/distribution/trouble_test.go
@@ -158,7 +158,7 @@
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 12, 4, "a", "b", "c", "d")
 		for _, node := range w.nodes {
-			node.distribution.options.ConfirmationAge = ConfirmationForChanges
+			node.distribution.options.ConfirmationAge = ConfirmationAgeForChanges
 		}
 		w.network.Run(5 * time.Second)
 		former := w.tail()
--- a/internal/node/distribution/unit_test.go
+++ b/internal/node/distribution/unit_test.go
@@ -22,16 +22,16 @@
 
 func TestRingKeepsTheNewestEntries(t *testing.T) {
 	var kept ring
-	for index := range uint64(ringEntries + 10) {
+	for index := range uint64(maxRingEntries + 10) {
 		kept.add(testEntry(index + 1))
 	}
-	assert.Equal(t, len(kept.entries), ringEntries)
+	assert.Equal(t, len(kept.entries), maxRingEntries)
 	table := []struct {
 		after    uint64
 		complete bool
 		count    int
 	}{
-		{0, false, 0}, {9, false, 0}, {10, true, ringEntries}, {100, true, 38}, {138, true, 0}, {139, false, 0},
+		{0, false, 0}, {9, false, 0}, {10, true, maxRingEntries}, {100, true, 38}, {138, true, 0}, {139, false, 0},
 	}
 	for _, row := range table {
 		entries, complete := kept.after(row.after)
@@ -46,16 +46,16 @@
 func TestRingIsBoundedInBytesButKeepsTheLast(t *testing.T) {
 	var kept ring
 	for index := range uint64(20) {
-		body := make([]byte, ringBytes/4)
+		body := make([]byte, maxRingBytes/4)
 		kept.add(&nodepb.Entry{Index: index + 1, Command: &nodepb.Command{Change: &nodepb.Command_ConfigChange{
 			ConfigChange: &nodepb.ConfigChange{Body: body}}}})
-		assert.Assert(t, kept.bytes <= ringBytes)
+		assert.Assert(t, kept.bytes <= maxRingBytes)
 	}
 	assert.Equal(t, len(kept.entries), 3)
 	kept.add(&nodepb.Entry{Index: 21, Command: &nodepb.Command{Change: &nodepb.Command_ConfigChange{
-		ConfigChange: &nodepb.ConfigChange{Body: make([]byte, 2*ringBytes)}}}})
+		ConfigChange: &nodepb.ConfigChange{Body: make([]byte, 2*maxRingBytes)}}}})
 	assert.Equal(t, len(kept.entries), 1)
-	assert.Equal(t, kept.last(), uint64(21))
+	assert.Equal(t, kept.lastIndex(), uint64(21))
 }
 
 func TestRingWithAGapForgetsWhatIsBeforeIt(t *testing.T) {
@@ -104,9 +104,9 @@
 		{"a machine at a new address", nil, []*nodepb.Member{moved}, view(1, "d1", "d2"), []string{"new:7000", "d1:7000"}},
 		{"a machine outside of the chain comes last", nil, []*nodepb.Member{machine("d0"), machine("d1")}, view(1, "d1"),
 			[]string{"d1:7000", "d0:7000"}},
-		{"the tail itself", func(o *Options) { o.Counts, o.SelfDiskID, o.SelfAddress = true, "d2", "d2:7000" }, nil,
+		{"the tail itself", func(o *Options) { o.CountsForQuorum, o.SelfDiskID, o.SelfAddress = true, "d2", "d2:7000" }, nil,
 			view(1, "d1", "d2"), []string{"d1:7000"}},
-		{"a machine of the core", func(o *Options) { o.Counts, o.SelfDiskID, o.SelfAddress = true, "d1", "d1:7000" }, nil,
+		{"a machine of the core", func(o *Options) { o.CountsForQuorum, o.SelfDiskID, o.SelfAddress = true, "d1", "d1:7000" }, nil,
 			view(1, "d1", "d2", "d3"), []string{"d3:7000", "d2:7000"}},
 	}
 	for _, row := range table {
@@ -134,7 +134,7 @@
 		for at, address := range ranking {
 			position[address] = at
 		}
-		addresses := d.zoneAddresses()
+		addresses := d.zoneParentAddresses()
 		for _, address := range addresses {
 			assert.Assert(t, position[address] < position[self.Address])
 		}
@@ -149,7 +149,7 @@
 
 func TestTail(t *testing.T) {
 	counts := func(disk string) func(*Options) {
-		return func(o *Options) { o.Counts, o.SelfDiskID, o.SelfAddress = true, disk, "d2:7000" }
+		return func(o *Options) { o.CountsForQuorum, o.SelfDiskID, o.SelfAddress = true, disk, "d2:7000" }
 	}
 	table := []struct {
 		name   string
@@ -191,7 +191,7 @@
 	assert.Assert(t, !confirmed, "a state that is not held")
 
 	poll = d.Tick(d.Deadline())[0].(core.Send).Message.GetStatePoll()
-	sent := d.round.sent[0].sentAt
+	sent := d.round.pending[0].sentAt
 	d.Receive(sent+300*time.Millisecond, seed, reply(poll.Nonce, 0, 100))
 	at, confirmed := d.ConfirmedAt()
 	assert.Assert(t, confirmed)
@@ -237,7 +237,7 @@
 // Where others wait for nothing but ages, longer ones save barriers.
 func TestConfirmationAgeIsAnOption(t *testing.T) {
 	for _, age := range []time.Duration{0, 2 * time.Second} {
-		d := single(func(o *Options) { o.Counts, o.SelfDiskID, o.ConfirmationAge = true, "d1", age })
+		d := single(func(o *Options) { o.CountsForQuorum, o.SelfDiskID, o.ConfirmationAge = true, "d1", age })
 		d.SetView(0, view(1, "d1"))
 		wanted := 0
 		for d.Deadline() < 20*time.Second {
--- a/internal/node/distribution/upstream.go
+++ b/internal/node/distribution/upstream.go
@@ -13,15 +13,15 @@
 	address string
 	nodeID  string // empty where not known
 
-	askedAt    core.Time // of the oldest poll that it has not answered
-	unanswered bool
-	failures   int       // times in a row that it was passed over
-	retestAt   core.Time // where it was passed over: when it is asked again
-	staleUntil core.Time // it had lost touch with the core
+	unansweredSince core.Time // of the oldest poll that it has not answered
+	unanswered      bool
+	failures        int       // times in a row that it was passed over
+	probeAt         core.Time // where it was passed over: when it is asked again
+	staleUntil      core.Time // it had lost touch with the core
 }
 
-// passedOver reports whether others go first.
-func (u *upstream) passedOver(now core.Time) bool { return u.failures > 0 || u.staleUntil > now }
+// demoted reports whether others go first.
+func (u *upstream) demoted(now core.Time) bool { return u.failures > 0 || u.staleUntil > now }
 
 // SetDiskID names this node in the chain, once its disk has been opened.
 func (d *Distribution) SetDiskID(diskID string) { d.options.SelfDiskID = diskID }
@@ -29,7 +29,7 @@
 // Tail reports whether this node is the tail of the chain by the newest view known.
 func (d *Distribution) Tail() bool {
 	tail := d.tailVoter()
-	if tail == nil || !d.options.Counts {
+	if tail == nil || !d.options.CountsForQuorum {
 		return false
 	}
 	if d.options.SelfDiskID != "" {
@@ -58,8 +58,8 @@
 // rankUpstreams lists anew whom to poll, best first, by the members and the view known.
 func (d *Distribution) rankUpstreams() {
 	addresses := d.coreAddresses()
-	if !d.options.Counts {
-		addresses = append(d.zoneAddresses(), addresses...)
+	if !d.options.CountsForQuorum {
+		addresses = append(d.zoneParentAddresses(), addresses...)
 	}
 	if len(addresses) == 0 {
 		addresses = d.options.Seeds
@@ -70,7 +70,7 @@
 			d.addCandidate(address)
 		}
 	}
-	d.forgetUpstreams()
+	d.dropFormerUpstreams()
 }
 
 func (d *Distribution) addCandidate(address string) {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (d *Distribution) forgetUpstreams() {
+func (d *Distribution) dropFormerUpstreams() {
 	for address, known := range d.upstreams {
 		if !slices.Contains(d.candidates, known) {
 			delete(d.upstreams, address)
@@ -120,9 +120,9 @@
 	return d.voter(diskID).GetAddress()
 }
 
-// zoneAddresses lists whom a node polls within its zone: its parent in the tree that the ranking of the zone's nodes
+// zoneParentAddresses lists whom a node polls within its zone: its parent in the tree that the ranking of the zone's nodes
 // makes, the zone's home, and the next one. All rank before this node, so that no two nodes wait for each other. The home itself has none.
-func (d *Distribution) zoneAddresses() []string {
+func (d *Distribution) zoneParentAddresses() []string {
 	ranked := d.zoneRanking()
 	position := slices.Index(ranked, d.options.SelfAddress)
 	if position <= 0 {
@@ -144,6 +144,6 @@
 			ranked = append(ranked, member.Address)
 		}
 	}
-	rendezvous.Rank(homeKey, ranked, func(address string) string { return address })
+	rendezvous.Rank(rendezvousKey, ranked, func(address string) string { return address })
 	return ranked
 }
--- a/internal/node/distribution/world_test.go
+++ b/internal/node/distribution/world_test.go
@@ -65,7 +65,7 @@
 	}
 	node := &worldNode{world: w, state: &testState{}, member: member, lastTrouble: -time.Hour}
 	node.distribution = New(0, Options{
-		SelfID: member.NodeId, SelfAddress: member.Address, SelfDiskID: member.DiskId, Zone: zone, Counts: counts,
+		SelfID: member.NodeId, SelfAddress: member.Address, SelfDiskID: member.DiskId, Zone: zone, CountsForQuorum: counts,
 		State: node.state, Seeds: []string{"10.0.0.0:7000", "10.0.0.1:7000", "10.0.0.2:7000"},
 	}, rand.New(rand.NewPCG(w.network.Random.Uint64(), 0)))
 	node.Node = w.network.Add(member.NodeId, member.Address, checked{node}, node.output)
