--- a/internal/node/distribution/unit_test.go
+++ b/internal/node/distribution/unit_test.go
@@ -20,7 +20,7 @@
 	return New(0, options, rand.New(rand.NewPCG(1, 1)))
 }
 
-func TestRingKeepsTheNewestEntries(t *testing.T) {
+func TestRingKeepsNewestEntries(t *testing.T) {
 	var kept ring
 	for index := range uint64(maxRingEntries + 10) {
 		kept.add(testEntry(index + 1))
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestRingIsBoundedInBytesButKeepsTheLast(t *testing.T) {
+func TestRingIsBoundedInBytesButKeepsNewestEntry(t *testing.T) {
 	var kept ring
 	for index := range uint64(20) {
 		body := make([]byte, maxRingBytes/4)
@@ -58,7 +58,7 @@
 	assert.Equal(t, kept.lastIndex(), uint64(21))
 }
 
-func TestRingWithAGapForgetsWhatIsBeforeIt(t *testing.T) {
+func TestRingDropsEntriesBeforeGap(t *testing.T) {
 	var kept ring
 	kept.add(testEntry(1))
 	kept.add(testEntry(5))
@@ -85,7 +85,7 @@
 	return addresses
 }
 
-func TestCandidates(t *testing.T) {
+func TestUpstreamPreferenceOrder(t *testing.T) {
 	machine := func(disk string) *nodepb.Member {
 		return &nodepb.Member{NodeId: "node-" + disk, Address: disk + ":7000", Zone: "z", CountsForQuorum: true,
 			ServesFront: true, DiskId: disk}
@@ -120,7 +120,7 @@
 }
 
 // No two nodes of a zone poll each other first: each polls nodes that rank before it.
-func TestZoneIsATree(t *testing.T) {
+func TestZoneUpstreamsFormTree(t *testing.T) {
 	var members []*nodepb.Member
 	for number := range 80 {
 		members = append(members, &nodepb.Member{NodeId: fmt.Sprint(number), Address: fmt.Sprint(number), Zone: "a", ServesFront: true})
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestTail(t *testing.T) {
+func TestTailIsIdentifiedByDisk(t *testing.T) {
 	counts := func(disk string) func(*Options) {
 		return func(o *Options) { o.CountsForQuorum, o.SelfDiskID, o.SelfAddress = true, disk, "d2:7000" }
 	}
@@ -177,7 +177,7 @@
 }
 
 // The age counts from when the poll was sent, and only for a state that this node holds.
-func TestConfirmationCountsFromThePoll(t *testing.T) {
+func TestConfirmationCountsFromPoll(t *testing.T) {
 	seed := core.Peer{NodeID: "seed", Address: "seed:7000"}
 	d := single(nil)
 	poll := d.Tick(time.Second)[0].(core.Send).Message.GetStatePoll()
--- a/internal/node/distribution/world_test.go
+++ b/internal/node/distribution/world_test.go
@@ -15,47 +15,47 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// world is a fleet of nodes with a distribution each. Its core is played by the test: entries are committed at all machines of
+// cluster is a fleet of nodes with a distribution each. Its core is played by the test: entries are committed at all machines of
 // the chain that run, and confirmations take a round through it.
-type world struct {
+type cluster struct {
 	t       *testing.T
 	network *coretest.Network
-	nodes   []*worldNode
-	chain   []*worldNode // head first
+	nodes   []*clusterNode
+	chain   []*clusterNode // head first
 	epoch   uint64
-	// counting is the number of machines of the core, the first nodes.
-	counting int
+	// coreSize is the number of machines of the core, the first nodes.
+	coreSize int
 	// committedAt is the true time at which the tail committed each entry; the first has index 1.
 	committedAt []time.Duration
 	coreDown    bool
 }
 
-type worldNode struct {
+type clusterNode struct {
 	*coretest.Node
-	world        *world
+	cluster      *cluster
 	distribution *Distribution
 	state        *testState
 	member       *nodepb.Member
 	changes      int
-	lastTrouble  time.Duration
+	lastFaultAt  time.Duration
 }
 
 const barrierDelay = 5 * time.Millisecond
 
-// newWorld starts nodes in zones, the first `counting` of which are the core and its chain.
-func newWorld(t *testing.T, seed uint64, nodes, counting int, zones ...string) *world {
+// newCluster starts nodes in zones, the first `coreSize` of which are the core and its chain.
+func newCluster(t *testing.T, seed uint64, nodes, coreSize int, zones ...string) *cluster {
 	t.Helper()
-	w := &world{t: t, network: coretest.NewNetwork(seed), counting: counting}
+	c := &cluster{t: t, network: coretest.NewNetwork(seed), coreSize: coreSize}
 	for number := range nodes {
-		w.add(number, zones[number%len(zones)], number < counting)
+		c.add(number, zones[number%len(zones)], number < coreSize)
 	}
-	w.chain = append(w.chain, w.nodes[:counting]...)
-	w.announce()
-	w.agree()
-	return w
+	c.chain = append(c.chain, c.nodes[:coreSize]...)
+	c.publishMembers()
+	c.publishView()
+	return c
 }
 
-func (w *world) add(number int, zone string, counts bool) *worldNode {
+func (c *cluster) add(number int, zone string, counts bool) *clusterNode {
 	member := &nodepb.Member{
 		NodeId: fmt.Sprintf("node-%d", number), Address: fmt.Sprintf("10.0.0.%d:7000", number), Zone: zone,
 		ServesFront: true, CountsForQuorum: counts,
@@ -63,60 +63,60 @@
 	if counts {
 		member.DiskId = fmt.Sprintf("disk-%d", number)
 	}
-	node := &worldNode{world: w, state: &testState{}, member: member, lastTrouble: -time.Hour}
+	node := &clusterNode{cluster: c, state: &testState{}, member: member, lastFaultAt: -time.Hour}
 	node.distribution = New(0, Options{
 		SelfID: member.NodeId, SelfAddress: member.Address, SelfDiskID: member.DiskId, Zone: zone, CountsForQuorum: counts,
 		State: node.state, Seeds: []string{"10.0.0.0:7000", "10.0.0.1:7000", "10.0.0.2:7000"},
-	}, rand.New(rand.NewPCG(w.network.Random.Uint64(), 0)))
-	node.Node = w.network.Add(member.NodeId, member.Address, checked{node}, node.output)
-	w.nodes = append(w.nodes, node)
+	}, rand.New(rand.NewPCG(c.network.Random.Uint64(), 0)))
+	node.Node = c.network.Add(member.NodeId, member.Address, nodeChecker{node}, node.output)
+	c.nodes = append(c.nodes, node)
 	return node
 }
 
-// checked checks after each step that the node's state is as fresh as it says.
-type checked struct{ node *worldNode }
+// nodeChecker checks after each step that the node's state is as fresh as it says.
+type nodeChecker struct{ node *clusterNode }
 
-func (c checked) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
-	defer c.node.check()
-	return c.node.distribution.Receive(now, from, message)
+func (n nodeChecker) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
+	defer n.node.check()
+	return n.node.distribution.Receive(now, from, message)
 }
 
-func (c checked) Tick(now core.Time) []core.Output {
-	defer c.node.check()
-	return c.node.distribution.Tick(now)
+func (n nodeChecker) Tick(now core.Time) []core.Output {
+	defer n.node.check()
+	return n.node.distribution.Tick(now)
 }
 
-func (c checked) Deadline() core.Time { return c.node.distribution.Deadline() }
+func (n nodeChecker) Deadline() core.Time { return n.node.distribution.Deadline() }
 
 // check fails the test if the node takes its state for fresher than it is: all that was committed before the moment of
 // its confirmation must be in it.
-func (n *worldNode) check() {
+func (n *clusterNode) check() {
 	at, ok := n.distribution.ConfirmedAt()
 	if !ok {
 		return
 	}
-	for index, committed := range n.world.committedAt {
+	for index, committed := range n.cluster.committedAt {
 		if committed < n.True(at) && n.state.index < uint64(index+1) {
-			n.world.t.Fatalf("%s holds %d and takes it for confirmed at %v, but %d was committed at %v",
+			n.cluster.t.Fatalf("%s holds %d and takes it for confirmed at %v, but %d was committed at %v",
 				n.ID, n.state.index, n.True(at), index+1, committed)
 		}
 	}
 }
 
-func (n *worldNode) output(_ core.Time, output core.Output) {
+func (n *clusterNode) output(_ core.Time, output core.Output) {
 	switch output.(type) {
 	case core.StateChanged:
 		n.changes++
 	case core.ConfirmationWanted:
-		n.world.barrier(n)
+		n.cluster.barrier(n)
 	}
 }
 
 // barrier answers a wish for a confirmation, if the node is the tail and the core works.
-func (w *world) barrier(node *worldNode) {
+func (c *cluster) barrier(node *clusterNode) {
 	asked := node.Now()
-	w.network.After(barrierDelay, func() {
-		if node == w.tail() && node.Running() && !w.coreDown {
+	c.network.After(barrierDelay, func() {
+		if node == c.tail() && node.Running() && !c.coreDown {
 			node.Do(func(now core.Time) []core.Output {
 				node.distribution.LocalConfirmed(now, asked)
 				return nil
@@ -125,16 +125,16 @@
 	})
 }
 
-func (w *world) tail() *worldNode { return w.chain[len(w.chain)-1] }
+func (c *cluster) tail() *clusterNode { return c.chain[len(c.chain)-1] }
 
 // commit commits the next entry at the machines of the chain that run, at the tail first.
-func (w *world) commit() uint64 {
-	w.committedAt = append(w.committedAt, w.network.Now())
-	index := uint64(len(w.committedAt))
+func (c *cluster) commit() uint64 {
+	c.committedAt = append(c.committedAt, c.network.Now())
+	index := uint64(len(c.committedAt))
 	entry := testEntry(index)
-	w.tail().committed(entry)
-	w.network.After(2*time.Millisecond, func() {
-		for _, node := range w.chain {
+	c.tail().committed(entry)
+	c.network.After(2*time.Millisecond, func() {
+		for _, node := range c.chain {
 			if node.Running() {
 				node.committed(entry)
 			}
@@ -147,24 +147,24 @@
 	return &nodepb.Entry{Index: index, Epoch: 1, Command: &nodepb.Command{Id: fmt.Sprintf("command-%d", index)}}
 }
 
-func (n *worldNode) committed(entry *nodepb.Entry) {
+func (n *clusterNode) committed(entry *nodepb.Entry) {
 	n.Do(func(now core.Time) []core.Output { return n.distribution.Committed(now, entry) })
 }
 
-// agree tells the chain's machines the next view, in which the chain is w.chain.
-func (w *world) agree() {
-	w.epoch++
-	view := &nodepb.View{Epoch: w.epoch}
-	for _, node := range w.nodes {
+// agree tells the chain's machines the next view, in which the chain is c.chain.
+func (c *cluster) publishView() {
+	c.epoch++
+	view := &nodepb.View{Epoch: c.epoch}
+	for _, node := range c.nodes {
 		if node.member.CountsForQuorum {
 			voter := &nodepb.Voter{DiskId: node.member.DiskId, Address: node.Address, NodeId: node.ID}
 			view.Voters = append(view.Voters, voter)
 		}
 	}
-	for _, node := range w.chain {
+	for _, node := range c.chain {
 		view.Chain = append(view.Chain, node.member.DiskId)
 	}
-	for _, node := range w.chain {
+	for _, node := range c.chain {
 		if node.Running() {
 			node.Do(func(now core.Time) []core.Output { return node.distribution.SetView(now, view) })
 		}
@@ -172,22 +172,22 @@
 }
 
 // install brings a machine's own store to an index.
-func (n *worldNode) install(index uint64) {
+func (n *clusterNode) install(index uint64) {
 	snapshot := &nodepb.StateSnapshot{Index: index, State: (&testState{index: index}).Snapshot()}
 	n.Do(func(now core.Time) []core.Output { return n.distribution.Installed(now, snapshot) })
 }
 
 // announce tells all running nodes the running nodes.
-func (w *world) announce() { w.announceWithout(nil) }
+func (c *cluster) publishMembers() { c.publishMembersWithout(nil) }
 
-func (w *world) announceWithout(out *worldNode) {
+func (c *cluster) publishMembersWithout(out *clusterNode) {
 	var members []*nodepb.Member
-	for _, node := range w.nodes {
+	for _, node := range c.nodes {
 		if node.Running() && node != out {
 			members = append(members, node.member)
 		}
 	}
-	for _, node := range w.nodes {
+	for _, node := range c.nodes {
 		if node.Running() {
 			node.Do(func(now core.Time) []core.Output { return node.distribution.SetMembers(now, members) })
 		}
@@ -195,17 +195,17 @@
 }
 
 // zoneHome is the home of the configuration in a zone, by the members that any of its nodes knows.
-func (w *world) zoneHome(zone string) *worldNode {
-	for _, node := range w.nodes {
+func (c *cluster) zoneHome(zone string) *clusterNode {
+	for _, node := range c.nodes {
 		if node.member.Zone == zone && node.Running() {
-			return w.byAddress(node.distribution.zoneRanking()[0])
+			return c.byAddress(node.distribution.zoneRanking()[0])
 		}
 	}
 	return nil
 }
 
-func (w *world) byAddress(address string) *worldNode {
-	for _, node := range w.nodes {
+func (c *cluster) byAddress(address string) *clusterNode {
+	for _, node := range c.nodes {
 		if node.Address == address {
 			return node
 		}
@@ -214,9 +214,9 @@
 }
 
 // reached reports whether all running nodes other than the exceptions hold an index.
-func (w *world) reached(index uint64, except ...*worldNode) func() bool {
+func (c *cluster) reached(index uint64, except ...*clusterNode) func() bool {
 	return func() bool {
-		for _, node := range w.nodes {
+		for _, node := range c.nodes {
 			excepted := !node.Running()
 			for _, out := range except {
 				excepted = excepted || out == node
@@ -229,12 +229,12 @@
 	}
 }
 
-func (w *world) within(span time.Duration, what string, condition func() bool) {
-	w.t.Helper()
-	assert.Assert(w.t, w.network.RunUntil(span, condition), "not within %v: %s", span, what)
+func (c *cluster) within(span time.Duration, what string, condition func() bool) {
+	c.t.Helper()
+	assert.Assert(c.t, c.network.RunUntil(span, condition), "not within %v: %s", span, what)
 }
 
-func (n *worldNode) age() time.Duration {
+func (n *clusterNode) age() time.Duration {
 	at, ok := n.distribution.ConfirmedAt()
 	if !ok {
 		return core.Never
