--- a/internal/node/distribution/cluster_test.go
+++ b/internal/node/distribution/cluster_test.go
@@ -15,15 +15,16 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// cluster is a fleet of nodes with a distribution each. Its core is played by the test: entries are committed at all machines of
-// the chain that run, and confirmations take a round through it.
+// cluster is a fleet of nodes with a distribution each, on a simulated network. The test stands in for
+// the core: entries are committed at all running machines of the chain, and a confirmation takes a
+// round trip through it.
 type cluster struct {
 	t       *testing.T
 	network *coretest.Network
 	nodes   []*clusterNode
 	chain   []*clusterNode // head first
 	epoch   uint64
-	// coreSize is the number of machines of the core, the first nodes.
+	// coreSize is the number of machines of the core: the first nodes.
 	coreSize int
 	// committedAt is the true time at which the tail committed each entry; the first has index 1.
 	committedAt []time.Duration
@@ -42,7 +43,7 @@
 
 const barrierDelay = 5 * time.Millisecond
 
-// newCluster starts nodes in zones, the first `coreSize` of which are the core and its chain.
+// newCluster starts nodes in zones, the first coreSize of which are the core and its chain.
 func newCluster(t *testing.T, seed uint64, nodes, coreSize int, zones ...string) *cluster {
 	t.Helper()
 	c := &cluster{t: t, network: coretest.NewNetwork(seed), coreSize: coreSize}
@@ -73,7 +74,7 @@
 	return node
 }
 
-// nodeChecker checks after each step that the node's state is as fresh as it says.
+// nodeChecker checks after each step that a node's state is as fresh as the node says.
 type nodeChecker struct{ node *clusterNode }
 
 func (n nodeChecker) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
@@ -88,8 +89,8 @@
 
 func (n nodeChecker) Deadline() core.Time { return n.node.distribution.Deadline() }
 
-// check fails the test if the node takes its state for fresher than it is: all that was committed before the moment of
-// its confirmation must be in it.
+// check fails the test if the node takes its state for fresher than it is: all that was committed
+// before the moment of its confirmation must be in it.
 func (n *clusterNode) check() {
 	at, ok := n.distribution.ConfirmedAt()
 	if !ok {
@@ -112,13 +113,13 @@
 	}
 }
 
-// barrier answers a wish for a confirmation, if the node is the tail and the core works.
+// barrier confirms the state of the tail after barrierDelay, if the node is the tail and the core works.
 func (c *cluster) barrier(node *clusterNode) {
-	asked := node.Now()
+	requestedAt := node.Now()
 	c.network.After(barrierDelay, func() {
 		if node == c.tail() && node.Running() && !c.coreDown {
 			node.Do(func(now core.Time) []core.Output {
-				node.distribution.LocalConfirmed(now, asked)
+				node.distribution.LocalConfirmed(now, requestedAt)
 				return nil
 			})
 		}
@@ -127,7 +128,7 @@
 
 func (c *cluster) tail() *clusterNode { return c.chain[len(c.chain)-1] }
 
-// commit commits the next entry at the machines of the chain that run, at the tail first.
+// commit commits the next entry at the running machines of the chain, at the tail first.
 func (c *cluster) commit() uint64 {
 	c.committedAt = append(c.committedAt, c.network.Now())
 	index := uint64(len(c.committedAt))
@@ -151,7 +152,7 @@
 	n.Do(func(now core.Time) []core.Output { return n.distribution.Committed(now, entry) })
 }
 
-// agree tells the chain's machines the next view, in which the chain is c.chain.
+// publishView hands the chain's running machines the next view, in which the chain is c.chain.
 func (c *cluster) publishView() {
 	c.epoch++
 	view := &nodepb.View{Epoch: c.epoch}
@@ -171,13 +172,13 @@
 	}
 }
 
-// install brings a machine's own store to an index.
+// install restores a machine's own store from a snapshot at an index.
 func (n *clusterNode) install(index uint64) {
 	snapshot := &nodepb.StateSnapshot{Index: index, State: (&testState{index: index}).Snapshot()}
 	n.Do(func(now core.Time) []core.Output { return n.distribution.Installed(now, snapshot) })
 }
 
-// announce tells all running nodes the running nodes.
+// publishMembers sets the running nodes as the members of all running nodes.
 func (c *cluster) publishMembers() { c.publishMembersWithout(nil) }
 
 func (c *cluster) publishMembersWithout(out *clusterNode) {
@@ -194,7 +195,8 @@
 	}
 }
 
-// zoneHome is the home of the configuration in a zone, by the members that any of its nodes knows.
+// zoneHome returns the home of the configuration in a zone, by the members that its first running node
+// knows.
 func (c *cluster) zoneHome(zone string) *clusterNode {
 	for _, node := range c.nodes {
 		if node.member.Zone == zone && node.Running() {
@@ -213,7 +215,7 @@
 	return nil
 }
 
-// reached reports whether all running nodes other than the exceptions hold an index.
+// reached returns a check whether all running nodes other than the exceptions hold an index.
 func (c *cluster) reached(index uint64, except ...*clusterNode) func() bool {
 	return func() bool {
 		for _, node := range c.nodes {
@@ -242,7 +244,7 @@
 	return n.Now() - at
 }
 
-// testState counts entries.
+// testState counts entries. It fails the test by a panic if it goes back or misses an entry.
 type testState struct {
 	index    uint64
 	restored int
@@ -266,7 +268,7 @@
 
 func (s *testState) Restore(snapshot []byte) error {
 	if len(snapshot) < 8 {
-		return errors.New("snapshot cut short")
+		return errors.New("snapshot truncated")
 	}
 	restored := binary.BigEndian.Uint64(snapshot)
 	if restored < s.index {
--- a/internal/node/distribution/distribution.go
+++ b/internal/node/distribution/distribution.go
@@ -16,26 +16,26 @@
 	view    *nodepb.View
 
 	members     []*nodepb.Member
-	candidates  []*upstream            // whom to poll, best first
-	upstreams   map[string]*upstream   // by address, also those that are no candidates just now
+	candidates  []*upstream            // nodes to poll, best first
+	upstreams   map[string]*upstream   // the candidates by address
 	subscribers map[string]*subscriber // by node id
 
-	confirmedAt   core.Time
-	confirmed     bool
-	attachedUntil core.Time // by the last answer of an upstream that was in touch with the core
+	confirmedAt   core.Time // valid if confirmed
+	confirmed     bool      // the state has been confirmed at some time
+	attachedUntil core.Time // by the last answer of an upstream that was attached to the core
 
-	round      pollRound // the poll under way
-	nextPoll   core.Time
-	pollRounds int
-	lastNonce  uint64
+	round      pollRound // the current one
+	nextPoll   core.Time // start of the next round
+	pollRounds int       // rounds so far
+	lastNonce  uint64    // of the newest poll
 
-	confirmationRequestedAt core.Time // when ConfirmationWanted was last put out
+	confirmationRequestedAt core.Time // when core.ConfirmationWanted was last put out
 	snapshot                snapshotCache
 
 	outputs []core.Output
 }
 
-// New returns a distribution that holds what its state holds.
+// New returns a distribution of the state in the options. random spreads the times of polls.
 func New(now core.Time, options Options, random *rand.Rand) *Distribution {
 	d := &Distribution{
 		options:                 options,
@@ -52,17 +52,17 @@
 	return d
 }
 
-// Index is that of the control state held.
+// Index returns the index of the control state held.
 func (d *Distribution) Index() uint64 { return d.state.Index() }
 
-// View is the newest view known, nil without one.
+// View returns the newest view known, nil without one. It must not be changed.
 func (d *Distribution) View() *nodepb.View { return d.view }
 
-// ConfirmedAt is a moment, on this node's steady clock, at which the whole chain held no newer state than this node's; false where
-// none is known.
+// ConfirmedAt returns a moment on this node's monotonic clock at which no member of the chain held a
+// newer committed state than this node does now; false if none is known.
 func (d *Distribution) ConfirmedAt() (core.Time, bool) { return d.confirmedAt, d.confirmed }
 
-// SetMembers tells the nodes that are alive or suspected. This node may be among them.
+// SetMembers sets the nodes that are alive or suspected. This node may be among them.
 func (d *Distribution) SetMembers(now core.Time, members []*nodepb.Member) []core.Output {
 	d.members = members
 	d.rankUpstreams()
@@ -70,12 +70,13 @@
 	return d.takeOutputs()
 }
 
-// SetView tells a view from this node's own store. Older ones than the one known are ignored.
+// SetView hands in a view of this node's own store. One that is not newer than the known one is ignored.
 func (d *Distribution) SetView(now core.Time, view *nodepb.View) []core.Output {
 	d.adoptView(now, view)
 	return d.takeOutputs()
 }
 
+// adoptView adopts a newer view and pushes it to the subscribers.
 func (d *Distribution) adoptView(now core.Time, view *nodepb.View) {
 	if view == nil || view.Epoch <= d.view.GetEpoch() {
 		return
@@ -85,32 +86,34 @@
 	d.pushView(now)
 }
 
-// Committed takes an entry that this node's own store committed.
+// Committed applies an entry that this node's own store committed.
 func (d *Distribution) Committed(now core.Time, entry *nodepb.Entry) []core.Output {
 	d.catchUp(now, []*nodepb.Entry{entry}, nil)
 	return d.takeOutputs()
 }
 
-// Installed takes a state that this node's own store was brought to.
+// Installed restores the state that this node's own store installed from a snapshot.
 func (d *Distribution) Installed(now core.Time, snapshot *nodepb.StateSnapshot) []core.Output {
 	d.catchUp(now, nil, snapshot)
 	return d.takeOutputs()
 }
 
+// staleAge is the age of a confirmation beyond which its sender counts as detached from the core.
 func (d *Distribution) staleAge() core.Time { return d.options.confirmationAge() + staleTolerance }
 
-// LocalConfirmed tells that this node's own store, as the tail, knows its state to be confirmed by the whole chain as of a moment of
-// this node's steady clock.
-func (d *Distribution) LocalConfirmed(_ core.Time, at core.Time) { d.confirm(at) }
+// LocalConfirmed reports that a barrier of this node's own store, as the tail, has confirmed its state
+// by all members of the chain as of a moment on this node's monotonic clock.
+func (d *Distribution) LocalConfirmed(_ core.Time, confirmedAt core.Time) { d.confirm(confirmedAt) }
 
-func (d *Distribution) confirm(at core.Time) {
-	if !d.confirmed || at > d.confirmedAt {
-		d.confirmedAt = at
+// confirm records a confirmation of the state held. The newest one counts.
+func (d *Distribution) confirm(confirmedAt core.Time) {
+	if !d.confirmed || confirmedAt > d.confirmedAt {
+		d.confirmedAt = confirmedAt
 	}
 	d.confirmed = true
 }
 
-// Receive takes a message of another node.
+// Receive handles a message of another node. Messages of other kinds than its own are ignored.
 func (d *Distribution) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	switch body := message.Body.(type) {
 	case *nodepb.Envelope_StatePoll:
@@ -123,7 +126,7 @@
 	return d.takeOutputs()
 }
 
-// Tick does what is due.
+// Tick does the work that is due at now. It is to be called at Deadline.
 func (d *Distribution) Tick(now core.Time) []core.Output {
 	d.expireSubscribers(now)
 	d.snapshot.expire(now)
@@ -139,21 +142,21 @@
 // Deadline is when Tick is next due.
 func (d *Distribution) Deadline() core.Time { return min(d.nextPoll, d.round.hedgeAt) }
 
-// catchUp brings the state up to what another node or the own store committed, and tells subscribers.
+// catchUp applies what another node or this node's own store committed, and pushes it to subscribers.
 func (d *Distribution) catchUp(now core.Time, entries []*nodepb.Entry, snapshot *nodepb.StateSnapshot) {
-	before := d.state.Index()
+	previousIndex := d.state.Index()
 	d.restore(snapshot)
 	for _, entry := range entries {
 		d.apply(entry)
 	}
-	if d.state.Index() == before {
+	if d.state.Index() == previousIndex {
 		return
 	}
 	d.output(core.StateChanged{})
 	d.pushChanges(now)
 }
 
-// restore replaces the state by a newer one. It never goes back.
+// restore replaces the state by a newer snapshot; an older one is ignored.
 func (d *Distribution) restore(snapshot *nodepb.StateSnapshot) {
 	if snapshot == nil || snapshot.Index <= d.state.Index() {
 		return
@@ -165,7 +168,7 @@
 	d.ring.clear()
 }
 
-// apply takes the entry that follows the state; others are ignored.
+// apply applies the entry that follows the state; others are ignored.
 func (d *Distribution) apply(entry *nodepb.Entry) {
 	if entry.Index != d.state.Index()+1 {
 		return
@@ -180,8 +183,9 @@
 	d.output(core.Send{To: address, Message: message})
 }
 
+// takeOutputs returns the outputs since the last call.
 func (d *Distribution) takeOutputs() []core.Output {
-	taken := d.outputs
+	outputs := d.outputs
 	d.outputs = nil
-	return taken
+	return outputs
 }
--- a/internal/node/distribution/faults_test.go
+++ b/internal/node/distribution/faults_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// reachLimit is by when a change is at every node in touch, also where its upstreams freeze one after the other; RULES.md,
-// CONFIG, allows configApplyMs (2 s).
+// reachLimit is how long a change may take to every node in touch, also if its upstreams freeze one
+// after the other. RULES.md, CONFIG, allows configApplyMs (2 s).
 const reachLimit = 1300 * time.Millisecond
 
-// Whatever becomes of other nodes, a change reaches every node in touch, no node takes its state for fresher than it is,
-// and none goes back. The last two are checked at each step.
+// Whatever faults other nodes have, a change reaches every node in touch, no node takes its state for
+// fresher than it is, and none goes back. The last two are checked at each step.
 func TestCommitsReachNodesInTouchDespiteFaults(t *testing.T) {
 	seeds := uint64(40)
 	if testing.Short() {
@@ -51,7 +51,7 @@
 	})
 }
 
-// inTouch reports whether the node has been out of trouble for contactMs (RULES.md, "In touch").
+// inTouch reports whether the node has been without a fault for contactMs (RULES.md, "In touch").
 func (c *cluster) inTouch(node *clusterNode) bool {
 	return node.Running() && !c.network.Isolated(node.Address) && c.network.Now()-node.lastFaultAt >= 3*time.Second
 }
@@ -90,7 +90,8 @@
 	c.publishMembers()
 }
 
-// Any trouble, of the core as well, with losses: no node claims too much or goes back, and in the end all agree.
+// With faults of the core as well, and losses, no node takes its state for fresher than it is or goes
+// back, and in the end all agree.
 func TestNodesConvergeAfterCoreFaults(t *testing.T) {
 	seeds := uint64(40)
 	if testing.Short() {
@@ -145,15 +146,15 @@
 	c.publishView()
 }
 
-// rejoinChain brings a machine up to the committed state, and then to the end of the chain.
+// rejoinChain brings a machine up to the committed state and appends it to the chain.
 func (c *cluster) rejoinChain(machine *clusterNode) {
 	machine.install(uint64(len(c.committedAt)))
 	c.chain = append(c.chain, machine)
 	c.publishView()
 }
 
-// A tail that is cut off from the rest of the core does not know so at once, nor do those who poll it: a change that the others take
-// must reach these in time all the same.
+// A tail that is partitioned from the rest of the core does not know so at once, nor do the nodes that
+// poll it. A change that the other machines commit must reach these in time all the same.
 func TestCommitReachesClientsOfPartitionedTail(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 12, 4, "a", "b", "c", "d")
--- a/internal/node/distribution/options.go
+++ b/internal/node/distribution/options.go
@@ -1,90 +1,97 @@
 package distribution
 
 import (
+	"math"
 	"time"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
 
-// State is the control state of this node. It belongs to the distribution alone: nobody else applies entries to it.
+// State is the control state of this node. The distribution owns it: nothing else applies entries.
 type State interface {
-	// Apply takes the entry that follows Index.
+	// Apply applies the entry that follows Index.
 	Apply(entry *nodepb.Entry) *nodepb.CommandResult
 	// Index is that of the last entry applied.
 	Index() uint64
-	// Snapshot returns the whole state, Restore replaces it.
+	// Snapshot encodes the complete state.
 	Snapshot() []byte
+	// Restore replaces the state by an encoded one.
 	Restore(snapshot []byte) error
 }
 
-// Options are what a distribution is told at its start.
+// Options configure a distribution.
 type Options struct {
-	SelfID      string
-	SelfAddress string // internal address
-	// SelfDiskID names this node in the chain; empty for a node without a disk. Where it is not given, the chain's members are
-	// known by their addresses.
+	SelfID      string // node id
+	SelfAddress string // internal address, IP:port
+	// SelfDiskID identifies this node in the chain; empty for a node without a disk. As long as it is
+	// empty, the node id and the address identify it.
 	SelfDiskID      string
 	Zone            string
 	CountsForQuorum bool // this node is a machine of the core
 	State           State
-	// Seeds are internal addresses to ask while no member is known.
+	// Seeds are internal addresses to poll while no member is known.
 	Seeds []string
-	// PollInterval is the time between two polls of the upstream; 0: half a second.
+	// PollInterval is the time between two polls of the upstream; 0 or less: half a second.
 	PollInterval time.Duration
-	// ConfirmationAge is the age of the tail's own confirmation from which on it wants another; 0: 300 ms. Where no bound
-	// on the age of a key's revocation is in force, a longer one saves barriers.
+	// ConfirmationAge is the age of the tail's own confirmation beyond which it requests another; 0 or
+	// less: ConfirmationAgeForRevocation. A longer one costs fewer barriers through the chain.
 	ConfirmationAge time.Duration
 }
 
-// Ages of the tail's own confirmation at which it asks for another.
+// Values of Options.ConfirmationAge.
 const (
-	// ConfirmationAgeForRevocation keeps the age of every node's state far below the bound of a key's revocation.
+	// ConfirmationAgeForRevocation keeps the age of every node's state far below the bound on the
+	// revocation of a key.
 	ConfirmationAgeForRevocation = 300 * time.Millisecond
-	// ConfirmationAgeForChanges is for fleets without that bound. A tail that was cut off from the chain takes itself to be in touch
-	// for that time and tailSlack, and so do those who poll it; a change that others take meanwhile must reach these within
-	// configApplyMs of its acknowledgement, which is 2 s at the least.
+	// ConfirmationAgeForChanges is for fleets without that bound. A tail that is partitioned from the
+	// chain takes itself to be attached for this time and tailTolerance, and so do the nodes that
+	// poll it. A change that the other machines commit meanwhile must reach these nodes within
+	// configApplyMs, at least 2 s, of its acknowledgement.
 	ConfirmationAgeForChanges = 700 * time.Millisecond
 )
 
 const (
 	defaultPollInterval = 500 * time.Millisecond
-	// initialPollInterval is the time between polls of a node that has no confirmed state yet, for startPolls polls.
+	// initialPollInterval is the longest time between the first maxInitialPolls polls of a node that
+	// has no confirmed state yet.
 	initialPollInterval = 150 * time.Millisecond
 	maxInitialPolls     = 60
-	// hedgeDelay is how long an upstream may take to answer before the next one is asked as well.
+	// hedgeDelay is how long an upstream may take to answer before the next one is polled as well.
 	hedgeDelay = 200 * time.Millisecond
-	// minProbeBackoff and longestRetest are when an upstream that owes an answer, and so is passed over, is asked again.
+	// minProbeBackoff is when an upstream that was demoted for a missing answer is probed first; the
+	// time doubles with each further one up to maxProbeBackoff.
 	minProbeBackoff = time.Second
 	maxProbeBackoff = 8 * time.Second
-	// staleTolerance is by how much the age of an upstream's confirmation may exceed ConfirmationAge before it is taken to
-	// have lost touch with the core, and staleFor is how long others go first then.
+	// staleTolerance is by how much the age of an upstream's confirmation may exceed ConfirmationAge
+	// before it counts as detached from the core; it is then demoted for staleBackoff.
 	staleTolerance = 2200 * time.Millisecond
 	staleBackoff   = time.Second
-	// tailTolerance is by how much the age of the tail's own confirmation may exceed ConfirmationAge before it is taken to have
-	// lost touch with the chain.
+	// tailTolerance is by how much the age of the tail's own confirmation may exceed ConfirmationAge
+	// before it counts as detached from the chain.
 	tailTolerance = time.Second
-	// attachmentTimeout is how long after the last answer of an upstream a node takes itself to be in touch with the core; it is
-	// more than the time between two polls.
+	// attachmentTimeout is how long after the last answer of an attached upstream a node counts as
+	// attached to the core. It is more than the time between two polls.
 	attachmentTimeout = 800 * time.Millisecond
-	// subscriptionTimeout is how long after a poll changes are pushed to who polled.
+	// subscriptionTimeout is how long after a poll changes are pushed to the node that polled.
 	subscriptionTimeout    = 2 * time.Second
 	defaultConfirmationAge = ConfirmationAgeForRevocation
-	// confirmationRetryInterval bounds how often it asks for one.
+	// confirmationRetryInterval bounds how often the tail requests a confirmation.
 	confirmationRetryInterval = 150 * time.Millisecond
-	// treeFanOut is how many nodes of a zone poll the same one.
+	// treeFanOut is how many nodes of a zone have the same parent.
 	treeFanOut = 8
 
-	// maxRingEntries and ringBytes bound the entries kept for who lags; who lags more is given a snapshot.
+	// maxRingEntries and maxRingBytes bound the entries retained for nodes that lag; one that lags
+	// further is sent a snapshot.
 	maxRingEntries = 128
 	maxRingBytes   = 512 << 10
-	// maxEntriesInReply is from how many missing entries on a snapshot takes less work.
+	// maxEntriesInReply is the number of missing entries beyond which a snapshot takes less work.
 	maxEntriesInReply = 32
-	// snapshotRetention is how long an encoded snapshot is kept for others that ask for it.
+	// snapshotRetention is how long an encoded snapshot is kept for further nodes that need it.
 	snapshotRetention = 2 * time.Second
 )
 
-// rendezvousKey ranks the nodes of a zone as home of the configuration.
+// rendezvousKey ranks the nodes of a zone as home of the configuration. All nodes must use the same.
 const rendezvousKey = "config"
 
 func (o Options) pollInterval() time.Duration {
@@ -106,6 +113,5 @@
 	if span <= 0 {
 		return 0
 	}
-	const most = 1<<32 - 1
-	return uint32(min((span+time.Millisecond-1)/time.Millisecond, most))
+	return uint32(min((span+time.Millisecond-1)/time.Millisecond, math.MaxUint32))
 }
--- a/internal/node/distribution/propagation_test.go
+++ b/internal/node/distribution/propagation_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A home that froze just now holds no change up for a second.
+// A home that has just frozen delays a change by less than a second.
 func TestFrozenHomeIsDemoted(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -53,7 +53,7 @@
 			c.network.Run(time.Millisecond)
 			index := c.commit()
 			c.within(900*time.Millisecond, "all hold the change", c.reached(index))
-			// The next change takes the new ways at once.
+			// The next change goes by the new upstreams at once.
 			c.network.Run(500 * time.Millisecond)
 			index = c.commit()
 			c.within(100*time.Millisecond, "all hold the next change", c.reached(index))
@@ -97,7 +97,7 @@
 	}
 }
 
-// A node that was cut off serves what it knows, says how old that is, and catches up when it is joined again.
+// A partitioned node keeps its state, reports its age, and catches up after the partition.
 func TestPartitionedNodeCatchesUp(t *testing.T) {
 	for _, changes := range []int{1, 20, 500} {
 		t.Run(fmt.Sprint(changes), func(t *testing.T) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// A home that lost touch with the core, but not with its zone, is passed over as well.
+// A home that is partitioned from the core, but not from its zone, is demoted as well.
 func TestHomePartitionedFromCoreIsDemoted(t *testing.T) {
 	c := newCluster(t, 6, 40, 3, zones...)
 	c.network.Run(3 * time.Second)
@@ -140,7 +140,7 @@
 	}
 }
 
-// A tail that is cut off from the chain, but not from the proxies, holds up none of them for long.
+// A tail that is partitioned from the chain, but not from the proxies, delays none of them for long.
 func TestTailPartitionedFromChainIsDemoted(t *testing.T) {
 	c := newCluster(t, 10, 40, 4, zones...)
 	c.network.Run(3 * time.Second)
@@ -178,7 +178,7 @@
 	}
 }
 
-// Ages add up on the way, and stay within what a revocation needs (RULES.md, revokeMs 5 s).
+// Ages add up along the hops, and stay within what a revocation needs (RULES.md, revokeMs 5 s).
 func TestConfirmationAgesStayBounded(t *testing.T) {
 	c := newCluster(t, 8, 100, 4, zones...)
 	c.network.Run(4 * time.Second)
@@ -188,7 +188,7 @@
 			assert.Assert(t, node.age() < 2500*time.Millisecond, "%s: %v", node.ID, node.age())
 		}
 	}
-	// Where the core confirms nothing any more, the ages tell.
+	// If the core confirms nothing any more, the ages grow.
 	c.coreDown = true
 	c.network.Run(5 * time.Second)
 	for _, node := range c.nodes {
@@ -201,7 +201,7 @@
 	}
 }
 
-// What a node sends at rest must not grow with the fleet.
+// What an idle node sends doesn't grow with the fleet.
 func TestIdleTrafficIsIndependentOfFleetSize(t *testing.T) {
 	const span = 10 * time.Second
 	rates := map[int]float64{}
--- a/internal/node/distribution/ring.go
+++ b/internal/node/distribution/ring.go
@@ -6,14 +6,15 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// ring keeps the newest entries, in order without gaps.
+// ring holds the newest entries, in order and without gaps, up to maxRingEntries and maxRingBytes.
+// The newest is held whatever its size.
 type ring struct {
 	entries []*nodepb.Entry
-	sizes   []int
-	bytes   int
+	sizes   []int // bytes of each entry as encoded
+	bytes   int   // sum of sizes
 }
 
-// lastIndex is the index of the newest entry, 0 without one.
+// lastIndex is that of the newest entry, 0 without one.
 func (r *ring) lastIndex() uint64 {
 	if len(r.entries) == 0 {
 		return 0
@@ -21,7 +22,7 @@
 	return r.entries[len(r.entries)-1].Index
 }
 
-// add appends an entry. One that does not follow the last makes all before it useless.
+// add appends an entry. If it does not follow the last one, those before the gap are dropped.
 func (r *ring) add(entry *nodepb.Entry) {
 	if len(r.entries) > 0 && entry.Index != r.lastIndex()+1 {
 		r.clear()
@@ -35,9 +36,10 @@
 	}
 }
 
+// dropFirst drops the oldest entry.
 func (r *ring) dropFirst() {
 	r.bytes -= r.sizes[0]
-	r.entries[0] = nil
+	r.entries[0] = nil // released, also while the array lives
 	r.entries = r.entries[1:]
 	r.sizes = r.sizes[1:]
 }
--- a/internal/node/distribution/unit_test.go
+++ b/internal/node/distribution/unit_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// No two nodes of a zone poll each other first: each polls nodes that rank before it.
+// No two nodes of a zone have each other as upstream: each polls nodes that rank before it.
 func TestZoneUpstreamsFormTree(t *testing.T) {
 	var members []*nodepb.Member
 	for number := range 80 {
@@ -234,7 +234,7 @@
 	assert.Equal(t, d.View().Epoch, uint64(2))
 }
 
-// Where others wait for nothing but ages, longer ones save barriers.
+// A longer ConfirmationAge takes fewer barriers.
 func TestConfirmationAgeIsAnOption(t *testing.T) {
 	for _, age := range []time.Duration{0, 2 * time.Second} {
 		d := single(func(o *Options) { o.CountsForQuorum, o.SelfDiskID, o.ConfirmationAge = true, "d1", age })
--- a/internal/node/distribution/upstreams.go
+++ b/internal/node/distribution/upstreams.go
@@ -8,22 +8,22 @@
 	"kestrelspread/internal/node/rendezvous"
 )
 
-// upstream is a node that may be polled, and what is known of its answers.
+// upstream is a node that may be polled, and the record of its answers.
 type upstream struct {
 	address string
-	nodeID  string // empty where not known
+	nodeID  string // empty if not known
 
-	unansweredSince core.Time // of the oldest poll that it has not answered
-	unanswered      bool
-	failures        int       // times in a row that it was passed over
-	probeAt         core.Time // where it was passed over: when it is asked again
-	staleUntil      core.Time // it had lost touch with the core
+	unanswered      bool      // it owes an answer to a poll
+	unansweredSince core.Time // when the oldest poll that it has not answered was sent
+	failures        int       // demotions in a row for a missing answer
+	probeAt         core.Time // if failures > 0: when it is probed
+	staleUntil      core.Time // until then it counts as detached from the core
 }
 
-// demoted reports whether others go first.
+// demoted reports whether other upstreams are polled first.
 func (u *upstream) demoted(now core.Time) bool { return u.failures > 0 || u.staleUntil > now }
 
-// SetDiskID names this node in the chain, once its disk has been opened.
+// SetDiskID sets the id by which the chain knows this node, once its disk has been opened.
 func (d *Distribution) SetDiskID(diskID string) { d.options.SelfDiskID = diskID }
 
 // Tail reports whether this node is the tail of the chain by the newest view known.
@@ -38,6 +38,7 @@
 	return tail.NodeId == d.options.SelfID || tail.Address == d.options.SelfAddress
 }
 
+// tailVoter returns the voter at the tail of the chain, nil if it is not known.
 func (d *Distribution) tailVoter() *nodepb.Voter {
 	chain := d.view.GetChain()
 	if len(chain) == 0 {
@@ -46,6 +47,7 @@
 	return d.voter(chain[len(chain)-1])
 }
 
+// voter returns the voter with a disk by the view known, nil if there is none.
 func (d *Distribution) voter(diskID string) *nodepb.Voter {
 	for _, voter := range d.view.GetVoters() {
 		if voter.DiskId == diskID {
@@ -55,7 +57,8 @@
 	return nil
 }
 
-// rankUpstreams lists anew whom to poll, best first, by the members and the view known.
+// rankUpstreams rebuilds the list of candidates, best first, by the members and the view known. What is
+// known of an upstream's answers is kept as long as it stays a candidate.
 func (d *Distribution) rankUpstreams() {
 	addresses := d.coreAddresses()
 	if !d.options.CountsForQuorum {
@@ -64,7 +67,7 @@
 	if len(addresses) == 0 {
 		addresses = d.options.Seeds
 	}
-	d.candidates = nil // the polls under way keep the former list
+	d.candidates = nil // not truncated: the current round may share the array of the previous list
 	for _, address := range addresses {
 		if address != d.options.SelfAddress {
 			d.addCandidate(address)
@@ -73,6 +76,7 @@
 	d.dropFormerUpstreams()
 }
 
+// addCandidate appends an upstream to the candidates, if it isn't among them.
 func (d *Distribution) addCandidate(address string) {
 	known := d.upstreams[address]
 	if known == nil {
@@ -84,6 +88,7 @@
 	}
 }
 
+// dropFormerUpstreams drops what is known of nodes that are no longer candidates.
 func (d *Distribution) dropFormerUpstreams() {
 	for address, known := range d.upstreams {
 		if !slices.Contains(d.candidates, known) {
@@ -92,7 +97,8 @@
 	}
 }
 
-// coreAddresses lists the machines of the core: the tail, the rest of the chain from its end, and the others.
+// coreAddresses lists the machines of the core: the chain from its tail to its head, then the others in
+// an order that differs between the nodes.
 func (d *Distribution) coreAddresses() []string {
 	var addresses []string
 	for _, diskID := range slices.Backward(d.view.GetChain()) {
@@ -110,7 +116,8 @@
 	return append(addresses, others...)
 }
 
-// diskAddress is where the machine with a disk is now, by the members, or else by the view.
+// diskAddress returns the present address of the machine with a disk: that of the member, or else that
+// in the view; empty if neither is known.
 func (d *Distribution) diskAddress(diskID string) string {
 	for _, member := range d.members {
 		if member.DiskId == diskID {
@@ -120,8 +127,9 @@
 	return d.voter(diskID).GetAddress()
 }
 
-// zoneParentAddresses lists whom a node polls within its zone: its parent in the tree that the ranking of the zone's nodes
-// makes, the zone's home, and the next one. All rank before this node, so that no two nodes wait for each other. The home itself has none.
+// zoneParentAddresses lists the upstreams of this node in its zone: its parent in the tree that the
+// ranking of the zone's nodes forms, the zone's home, and the node ranked second. All rank before this
+// node, so that no two nodes wait for each other. The home itself has none.
 func (d *Distribution) zoneParentAddresses() []string {
 	ranked := d.zoneRanking()
 	position := slices.Index(ranked, d.options.SelfAddress)
@@ -135,7 +143,7 @@
 	return addresses
 }
 
-// zoneRanking lists the addresses of the zone's nodes as its homes, best first.
+// zoneRanking lists the addresses of the zone's nodes by their rank as its home, best first.
 func (d *Distribution) zoneRanking() []string {
 	ranked := []string{d.options.SelfAddress}
 	for _, member := range d.members {
