--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -54,7 +54,7 @@
 	writer  *journal.Writer
 	orders  *orders.Sender
 	prompts promptIndex
-	hints   *loadhint.Spreader
+	hints   *loadhint.Disseminator
 	router  *routing.Guarded
 	proxy   *forward.Proxy
 	startup *forward.Startup
--- a/internal/node/agent/loadhints.go
+++ b/internal/node/agent/loadhints.go
@@ -26,7 +26,7 @@
 
 func (a *Agent) tellHint(hint *nodepb.LoadHint) {
 	select {
-	case a.inbox <- func(now core.Time) { a.hints.Sent(now, hint) }:
+	case a.inbox <- func(now core.Time) { a.hints.RecordSent(now, hint) }:
 	default:
 	}
 }
--- a/internal/node/loadhint/spreader_test.go
+++ b/internal/node/loadhint/spreader_test.go
@@ -23,7 +23,7 @@
 
 type worldNode struct {
 	*coretest.Node
-	*Spreader
+	*Disseminator
 	world  *world
 	member *nodepb.Member
 	heard  []*nodepb.LoadHint
@@ -37,8 +37,8 @@
 			ServesFront: true, CountsForQuorum: number < 2*len(zones), State: nodepb.MemberState_ALIVE,
 		}
 		node := &worldNode{world: w, member: member}
-		node.Spreader = New(Options{
-			SelfID: member.NodeId, Zone: member.Zone, Random: rand.New(rand.NewPCG(uint64(number), 1)), HintsPerSecond: perSecond,
+		node.Disseminator = New(Options{
+			SelfID: member.NodeId, Zone: member.Zone, Random: rand.New(rand.NewPCG(uint64(number), 1)), MaxHintsPerSecond: perSecond,
 		})
 		node.Node = w.network.Add(member.NodeId, member.Address, machine{node}, node.output)
 		w.nodes = append(w.nodes, node)
@@ -58,11 +58,11 @@
 type machine struct{ node *worldNode }
 
 func (m machine) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
-	return m.node.Spreader.Receive(now, from, message.GetLoadHints())
+	return m.node.Disseminator.Receive(now, from, message.GetLoadHints())
 }
 
-func (m machine) Tick(now core.Time) []core.Output { return m.node.Spreader.Tick(now) }
-func (m machine) Deadline() core.Time              { return m.node.Spreader.Deadline() }
+func (m machine) Tick(now core.Time) []core.Output { return m.node.Disseminator.Tick(now) }
+func (m machine) Deadline() core.Time              { return m.node.Disseminator.Deadline() }
 
 func (n *worldNode) output(_ core.Time, output core.Output) {
 	n.heard = append(n.heard, output.(core.LoadHinted).Hints...)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (n *worldNode) relays() bool { return n.relay == "" }
+func (n *worldNode) relays() bool { return n.relayAddress == "" }
 
 func TestEachHintReachesEachOtherProxyOnce(t *testing.T) {
 	for _, zones := range [][]string{{"a"}, {"a", "b"}, {"a", "b", "c", "d"}} {
@@ -88,7 +88,7 @@
 		}
 		assert.Equal(t, relays, len(zones))
 		for number, node := range w.nodes {
-			node.Sent(w.network.Now(), hint(number))
+			node.RecordSent(w.network.Now(), hint(number))
 		}
 		w.network.Run(200 * time.Millisecond)
 		for number, node := range w.nodes {
@@ -105,7 +105,7 @@
 
 func TestHintsAreSoon(t *testing.T) {
 	w := newWorld(90, 0, "a", "b", "c")
-	w.nodes[80].Sent(w.network.Now(), hint(1))
+	w.nodes[80].RecordSent(w.network.Now(), hint(1))
 	arrived := w.network.RunUntil(110*time.Millisecond, func() bool {
 		for number, node := range w.nodes {
 			if number != 80 && len(node.heard) == 0 {
@@ -129,7 +129,7 @@
 		}
 	}
 	w.tellMembers()
-	w.nodes[len(w.nodes)-1].Sent(w.network.Now(), hint(1))
+	w.nodes[len(w.nodes)-1].RecordSent(w.network.Now(), hint(1))
 	w.network.Run(100 * time.Millisecond)
 	for _, node := range w.nodes[:len(w.nodes)-1] {
 		assert.Equal(t, len(node.heard), 1)
@@ -137,9 +137,9 @@
 
 	alone := New(Options{SelfID: "node-0", Zone: "a"})
 	alone.SetMembers(0, w.members[:1])
-	alone.Sent(0, hint(1))
+	alone.RecordSent(0, hint(1))
 	assert.Equal(t, alone.Deadline(), core.Never)
-	assert.Equal(t, len(alone.waiting), 0)
+	assert.Equal(t, len(alone.queue), 0)
 }
 
 // What a proxy hears is bounded, and tells of the whole in proportion. A relay hears all of its zone.
@@ -148,7 +148,7 @@
 	w := newWorld(12, perSecond, "a", "b")
 	for step := range span * 100 {
 		for _, node := range w.nodes {
-			node.Sent(w.network.Now(), hint(step))
+			node.RecordSent(w.network.Now(), hint(step))
 		}
 		w.network.Run(10 * time.Millisecond)
 	}
@@ -167,7 +167,7 @@
 func TestOddMessages(t *testing.T) {
 	s := New(Options{SelfID: "node-0", Zone: "a"})
 	many := &nodepb.LoadHints{Hop: nodepb.LoadHintHop(9)}
-	for range mostHints + 5 {
+	for range maxHintsPerMessage + 5 {
 		many.Hints = append(many.Hints, &nodepb.LoadHint{PartIds: []uint64{1, 2}})
 	}
 	for _, message := range []*nodepb.LoadHints{nil, {}, many} {
@@ -175,7 +175,7 @@
 			message = &nodepb.LoadHints{}
 		}
 		outputs := s.Receive(0, core.Peer{NodeID: "x", Address: "x"}, message)
-		assert.Assert(t, len(outputs[0].(core.LoadHinted).Hints) <= mostHints)
+		assert.Assert(t, len(outputs[0].(core.LoadHinted).Hints) <= maxHintsPerMessage)
 	}
 }
 
@@ -191,8 +191,8 @@
 			}
 			for range 10 {
 				now := w.network.Now()
-				node.Spreader.Receive(now, core.Peer{Address: "none"}, &nodepb.LoadHints{Hints: []*nodepb.LoadHint{hint(1)}})
-				outputs := node.Spreader.Tick(now + longestBatch)
+				node.Disseminator.Receive(now, core.Peer{Address: "none"}, &nodepb.LoadHints{Hints: []*nodepb.LoadHint{hint(1)}})
+				outputs := node.Disseminator.Tick(now + maxBatchDelay)
 				assert.Equal(t, len(outputs), nodes/4-1+3)
 				batches += len(outputs)
 			}
@@ -203,9 +203,9 @@
 
 // A hint that stands for others too still tells what it is about.
 func TestRaisedHints(t *testing.T) {
-	sent := raised(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 400}, 2.5)
+	sent := scaled(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 400}, 2.5)
 	assert.DeepEqual(t, sent, &nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 1000}, protocmp.Transform())
-	seen := raised(&nodepb.LoadHint{Instance: "i", PauseUs: 20000}, 3)
+	seen := scaled(&nodepb.LoadHint{Instance: "i", PauseUs: 20000}, 3)
 	assert.Equal(t, seen.PauseUs, uint32(20000))
 	assert.Equal(t, seen.Unread, uint32(0))
 }
