--- a/internal/node/kvindex/changes.go
+++ b/internal/node/kvindex/changes.go
@@ -5,24 +5,24 @@
 // Changes in a message are kept short: an empty holder or a salt of 0 stands for that of the change before. A change of part
 // 0 concerns the holder as a whole.
 const (
-	wholeHolder = uint64(0) // as the part: the change concerns the holder
-	lostAll     = uint32(0) // as the tokens of wholeHolder: it keeps nothing of what was told before
-	signOfLife  = uint32(1) // as the tokens of wholeHolder: a store has answered
+	entireHolder = uint64(0) // as the part: the change concerns the holder
+	cacheLost    = uint32(0) // as the tokens of wholeHolder: it keeps nothing of what was told before
+	storeAlive   = uint32(1) // as the tokens of wholeHolder: a store has answered
 )
 
 func resetChange(name string) *nodepb.IndexChange {
-	return &nodepb.IndexChange{Instance: name, Part: wholeHolder, Tokens: lostAll}
+	return &nodepb.IndexChange{Instance: name, Part: entireHolder, Tokens: cacheLost}
 }
 
 func aliveChange(name string) *nodepb.IndexChange {
-	return &nodepb.IndexChange{Instance: name, Part: wholeHolder, Tokens: signOfLife}
+	return &nodepb.IndexChange{Instance: name, Part: entireHolder, Tokens: storeAlive}
 }
 
 // appendChanges writes the keys, which are ordered by holder and salt.
-func appendChanges(changes []*nodepb.IndexChange, keys []pendingKey, tokens func(pendingKey) uint32) []*nodepb.IndexChange {
+func appendChanges(changes []*nodepb.IndexChange, keys []holderPart, tokens func(holderPart) uint32) []*nodepb.IndexChange {
 	holder, salt := "", uint64(0)
 	for _, key := range keys {
-		if key.part == wholeHolder {
+		if key.part == entireHolder {
 			continue
 		}
 		change := &nodepb.IndexChange{Part: key.part, Tokens: tokens(key)}
--- a/internal/node/kvindex/events.go
+++ b/internal/node/kvindex/events.go
@@ -36,7 +36,7 @@
 	fieldSalt
 	fieldPart
 	fieldTokens
-	fieldCount
+	minFields
 )
 
 // UnmarshalJSON reads an event's list.
@@ -45,7 +45,7 @@
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return ErrEvent.Wrap(err, "read")
 	}
-	if len(fields) < fieldCount {
+	if len(fields) < minFields {
 		return ErrEvent.New("%d fields", len(fields))
 	}
 	var sign, salt, part string
--- a/internal/node/kvindex/guarded.go
+++ b/internal/node/kvindex/guarded.go
@@ -8,9 +8,9 @@
 
 // Guarded serialises the calls to an Index: the router reads it while the control loop applies changes. Each call is short.
 type Guarded struct {
-	mutex sync.Mutex
-	index *Index
-	found []routing.Holder
+	mutex   sync.Mutex
+	index   *Index
+	results []routing.Holder
 }
 
 var _ routing.Index = (*Guarded)(nil)
@@ -22,8 +22,8 @@
 func (g *Guarded) Holders(salt uint64, parts []routing.PromptPart) []routing.Holder {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.found = append(g.found[:0], g.index.Holders(salt, parts)...)
-	return g.found
+	g.results = append(g.results[:0], g.index.Holders(salt, parts)...)
+	return g.results
 }
 
 // Observed is Index.Observed.
--- a/internal/node/kvindex/holders.go
+++ b/internal/node/kvindex/holders.go
@@ -11,24 +11,24 @@
 // before it is kept whole (PROTOCOL.md, "Requests"). The list is valid until the next call.
 func (x *Index) Holders(salt uint64, parts []routing.PromptPart) []routing.Holder {
 	x.query++
-	x.touched = x.touched[:0]
+	x.matchedHolders = x.matchedHolders[:0]
 	for place, part := range parts {
-		if !x.extend(place, keyOf(salt, part.ID), part.Tokens) {
+		if !x.extendMatches(place, keyOf(salt, part.ID), part.Tokens) {
 			break
 		}
 	}
-	x.found = x.found[:0]
-	for _, number := range x.touched {
-		x.found = append(x.found, describe(&x.holders[number]))
+	x.results = x.results[:0]
+	for _, number := range x.matchedHolders {
+		x.results = append(x.results, routingHolder(&x.holders[number]))
 	}
-	slices.SortFunc(x.found, func(a, b routing.Holder) int {
+	slices.SortFunc(x.results, func(a, b routing.Holder) int {
 		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.Instance, b.Instance))
 	})
-	return x.found
+	return x.results
 }
 
-// extend counts the part at a place for the holders that keep all before it, and reports whether any keeps it whole.
-func (x *Index) extend(place int, key uint64, tokens int) bool {
+// extendMatches counts the part at a place for the holders that keep all before it, and reports whether any keeps it whole.
+func (x *Index) extendMatches(place int, key uint64, tokens int) bool {
 	any := false
 	for at := x.head(key); at != noRecord; at = x.records[at].next {
 		r := &x.records[at]
@@ -40,23 +40,23 @@
 			if place > 0 {
 				continue
 			}
-			h.query, h.whole, h.tokens = x.query, 0, 0
-			x.touched = append(x.touched, r.holder)
+			h.query, h.completeParts, h.tokens = x.query, 0, 0
+			x.matchedHolders = append(x.matchedHolders, r.holder)
 		}
-		if h.whole != place {
+		if h.completeParts != place {
 			continue
 		}
-		r.used = true
+		r.referenced = true
 		h.tokens += min(int(r.tokens), tokens)
 		if int(r.tokens)+blockTokens > tokens {
-			h.whole++
+			h.completeParts++
 			any = true
 		}
 	}
 	return any
 }
 
-func describe(h *holder) routing.Holder {
+func routingHolder(h *holder) routing.Holder {
 	if address, ok := storeAddress(h.name); ok {
 		return routing.Holder{Instance: address, Store: true, Tokens: h.tokens}
 	}
--- a/internal/node/kvindex/home.go
+++ b/internal/node/kvindex/home.go
@@ -15,22 +15,22 @@
 	Epoch uint64
 	// BytesPerSecond is about how much is sent to each subscriber for each topic; 0: defaultBytesPerSecond.
 	BytesPerSecond int
-	// LeastTokens is the size under which parts are not told of; 0: defaultLeastTokens.
-	LeastTokens int
+	// MinTokens is the size under which parts are not told of; 0: defaultLeastTokens.
+	MinTokens int
 }
 
 const (
 	defaultBytesPerSecond = 8 << 10
-	defaultLeastTokens    = 64
+	defaultMinTokens      = 64
 )
 
 // Home polls the brokers and stores that this node is home of, and spreads what they keep.
 type Home struct {
 	options     HomeOptions
-	topics      map[topicID]*topic
+	topics      map[topicKey]*topic
 	sources     map[string]*source // by name
 	subscribers []string
-	lastToken   uint64
+	lastCallID  uint64
 	lastNumber  uint64
 	deadline    core.Time
 }
@@ -40,10 +40,10 @@
 	if options.BytesPerSecond == 0 {
 		options.BytesPerSecond = defaultBytesPerSecond
 	}
-	if options.LeastTokens == 0 {
-		options.LeastTokens = defaultLeastTokens
+	if options.MinTokens == 0 {
+		options.MinTokens = defaultMinTokens
 	}
-	return &Home{options: options, topics: map[topicID]*topic{}, sources: map[string]*source{}, deadline: core.Never}
+	return &Home{options: options, topics: map[topicKey]*topic{}, sources: map[string]*source{}, deadline: core.Never}
 }
 
 // Deadline is when Tick is to be called; it may change with each input.
@@ -53,9 +53,9 @@
 func (h *Home) SetSubscribers(addresses []string) {
 	h.subscribers = slices.Clone(addresses)
 	for _, t := range h.topics {
-		for address := range t.wholeAt {
+		for address := range t.snapshotSentAt {
 			if !slices.Contains(addresses, address) {
-				delete(t.wholeAt, address)
+				delete(t.snapshotSentAt, address)
 			}
 		}
 	}
@@ -78,14 +78,14 @@
 			h.removeSource(name)
 		}
 	}
-	h.planNext()
+	h.updateDeadline()
 }
 
 func (h *Home) addSource(now core.Time, item Source) {
 	h.lastNumber++
-	s := &source{Source: item, number: h.lastNumber, kept: map[partKey]keptPart{}, nextAt: now + h.stagger()}
+	s := &source{Source: item, number: h.lastNumber, cached: map[partKey]cachedPart{}, nextCallAt: now + h.stagger()}
 	h.sources[item.name()] = s
-	id := topicID{item.Service, item.Zone}
+	id := topicKey{item.Service, item.Zone}
 	t := h.topics[id]
 	if t == nil {
 		t = newTopic(id, h.options.Epoch+uint64(now/time.Millisecond), now)
@@ -97,7 +97,7 @@
 // stagger spreads the calls of the sources over a period.
 func (h *Home) stagger() time.Duration {
 	const steps = 8
-	return time.Duration(h.lastNumber%steps) * pollPeriod / steps
+	return time.Duration(h.lastNumber%steps) * eventPollInterval / steps
 }
 
 func (h *Home) removeSource(name string) {
@@ -106,10 +106,10 @@
 		return
 	}
 	delete(h.sources, name)
-	id := topicID{s.Service, s.Zone}
+	id := topicKey{s.Service, s.Zone}
 	t := h.topics[id]
 	t.sources = slices.DeleteFunc(t.sources, func(other *source) bool { return other == s })
-	t.forgetPending(name)
+	t.dropHolder(name)
 	if len(t.sources) == 0 {
 		delete(h.topics, id)
 	}
@@ -119,12 +119,12 @@
 func (h *Home) Tick(now core.Time) []core.Output {
 	var outputs []core.Output
 	for _, s := range h.dueSources(now) {
-		outputs = append(outputs, h.call(now, s))
+		outputs = append(outputs, h.pollSource(now, s))
 	}
 	for _, t := range h.dueTopics(now) {
-		outputs = h.spread(t.update(now, h.options.BytesPerSecond), outputs)
+		outputs = h.broadcast(t.nextUpdate(now, h.options.BytesPerSecond), outputs)
 	}
-	h.planNext()
+	h.updateDeadline()
 	return outputs
 }
 
@@ -147,19 +147,19 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b *topic) int {
-		return cmp.Or(cmp.Compare(a.id.service, b.id.service), cmp.Compare(a.id.zone, b.id.zone))
+		return cmp.Or(cmp.Compare(a.key.service, b.key.service), cmp.Compare(a.key.zone, b.key.zone))
 	})
 	return due
 }
 
-func (h *Home) call(now core.Time, s *source) core.Output {
-	h.lastToken++
-	s.token = h.lastToken
+func (h *Home) pollSource(now core.Time, s *source) core.Output {
+	h.lastCallID++
+	s.callID = h.lastCallID
 	s.calledAt = now
-	return core.AskEvents{Token: s.token, Instance: s.Instance, Address: s.Address, Since: s.since, Wait: longestWait}
+	return core.AskEvents{Token: s.callID, Instance: s.Instance, Address: s.Address, Since: s.cursor, Wait: maxLongPoll}
 }
 
-func (h *Home) spread(update *nodepb.IndexUpdate, outputs []core.Output) []core.Output {
+func (h *Home) broadcast(update *nodepb.IndexUpdate, outputs []core.Output) []core.Output {
 	for _, address := range h.subscribers {
 		outputs = append(outputs, sendUpdate(address, update))
 	}
@@ -171,24 +171,24 @@
 }
 
 // EventsDone takes the answer to a call, or an error.
-func (h *Home) EventsDone(now core.Time, token uint64, events *Events, err error) {
-	s := h.byToken(token)
+func (h *Home) EventsDone(now core.Time, callID uint64, events *Events, err error) {
+	s := h.sourceOfCall(callID)
 	if s == nil {
 		return
 	}
 	if err != nil || events == nil {
-		s.failed(now)
+		s.backOff(now)
 	} else {
-		reset, changed := s.answered(events, now)
-		t := h.topics[topicID{s.Service, s.Zone}]
-		t.note(now, s, reset, changed, uint32(h.options.LeastTokens))
+		reset, changed := s.handleEvents(events, now)
+		t := h.topics[topicKey{s.Service, s.Zone}]
+		t.recordEvents(now, s, reset, changed, uint32(h.options.MinTokens))
 	}
-	h.planNext()
+	h.updateDeadline()
 }
 
-func (h *Home) byToken(token uint64) *source {
+func (h *Home) sourceOfCall(callID uint64) *source {
 	for _, s := range h.sources {
-		if s.token == token && token != 0 {
+		if s.callID == callID && callID != 0 {
 			return s
 		}
 	}
@@ -197,18 +197,18 @@
 
 // HandlePoll answers a subscriber that missed updates.
 func (h *Home) HandlePoll(now core.Time, from core.Peer, poll *nodepb.IndexPoll) []core.Output {
-	t := h.topics[topicID{poll.Service, poll.Zone}]
+	t := h.topics[topicKey{poll.Service, poll.Zone}]
 	if t == nil {
 		return nil
 	}
 	var outputs []core.Output
-	for _, update := range t.missed(now, from.Address, poll.Epoch, poll.Sequence) {
+	for _, update := range t.updatesSince(now, from.Address, poll.Epoch, poll.Sequence) {
 		outputs = append(outputs, sendUpdate(from.Address, update))
 	}
 	return outputs
 }
 
-func (h *Home) planNext() {
+func (h *Home) updateDeadline() {
 	h.deadline = core.Never
 	for _, s := range h.sources {
 		h.deadline = min(h.deadline, s.deadline())
--- a/internal/node/kvindex/index_test.go
+++ b/internal/node/kvindex/index_test.go
@@ -71,7 +71,7 @@
 	index.Forget("i-1")
 	assert.Equal(t, len(index.Holders(saltA, prompt)), 0)
 	index.Set("i-1", saltA, 1, 0)
-	assert.Equal(t, len(index.byName), 0)
+	assert.Equal(t, len(index.holderByName), 0)
 }
 
 func TestIndexIsBoundedAndKeepsWhatIsUsed(t *testing.T) {
@@ -82,7 +82,7 @@
 		assert.Equal(t, len(index.Holders(saltA, prompt[:1])), 1, "after %d", part)
 		assert.Assert(t, index.Records() <= 64)
 	}
-	assert.Equal(t, len(index.first), index.Records())
+	assert.Equal(t, len(index.headByKey), index.Records())
 }
 
 func TestNumbersOfFormerHoldersAreUsedAgain(t *testing.T) {
--- a/internal/node/kvindex/sightings.go
+++ b/internal/node/kvindex/sightings.go
@@ -1,20 +1,20 @@
 package kvindex
 
-// sightingsMost bounds the keys of one of the two sets.
-const sightingsMost = 4096
+// maxRecentParts bounds the keys of one of the two sets.
+const maxRecentParts = 4096
 
-// sightings remembers which parts were read more than once lately: those are shared. Of two sets the older is dropped when the
+// recentParts remembers which parts were read more than once lately: those are shared. Of two sets the older is dropped when the
 // newer is full.
-type sightings struct {
+type recentParts struct {
 	newer, older map[partKey]bool
 }
 
-// again notes that a part was read, and reports whether it was so before.
-func (s *sightings) again(key partKey) bool {
+// recordAndTest notes that a part was read, and reports whether it was so before.
+func (s *recentParts) recordAndTest(key partKey) bool {
 	if s.newer[key] {
 		return true
 	}
-	if s.newer == nil || len(s.newer) >= sightingsMost {
+	if s.newer == nil || len(s.newer) >= maxRecentParts {
 		s.older = s.newer
 		s.newer = make(map[partKey]bool)
 	}
--- a/internal/node/kvindex/sources_test.go
+++ b/internal/node/kvindex/sources_test.go
@@ -34,7 +34,7 @@
 	now := core.Time(0)
 	next := uint64(0)
 	for range 20 {
-		now += 5 * pollPeriod
+		now += 5 * eventPollInterval
 		for _, output := range h.Tick(now) {
 			ask, ok := output.(core.AskEvents)
 			if !ok {
@@ -48,9 +48,9 @@
 			events.Next = next
 			h.EventsDone(now, ask.Token, events, nil)
 		}
-		assert.Assert(t, len(h.sources["i-1"].kept) <= mostParts)
+		assert.Assert(t, len(h.sources["i-1"].cached) <= maxCachedParts)
 	}
-	assert.Assert(t, next > mostParts)
-	_, kept := h.sources["i-1"].kept[partKey{saltA, next}]
+	assert.Assert(t, next > maxCachedParts)
+	_, kept := h.sources["i-1"].cached[partKey{saltA, next}]
 	assert.Assert(t, kept)
 }
--- a/internal/node/kvindex/spread_test.go
+++ b/internal/node/kvindex/spread_test.go
@@ -264,7 +264,7 @@
 
 func TestWhatIsSpreadIsBounded(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.home = NewHome(HomeOptions{Epoch: 1000, BytesPerSecond: 100 * changeBytes})
+	f.home = NewHome(HomeOptions{Epoch: 1000, BytesPerSecond: 100 * bytesPerChange})
 	f.home.SetSubscribers([]string{"sub-0"})
 	f.home.SetSources(f.now, []Source{f.add("i-1", "a:1"), f.add("i-2", "a:2")})
 	f.run(2 * time.Second)
@@ -281,7 +281,7 @@
 	}
 	f.run(3 * time.Second)
 	assert.Assert(t, f.sent <= 25*103, "%d", f.sent)
-	topic := f.home.topics[topicID{"llm", "z"}]
+	topic := f.home.topics[topicKey{"llm", "z"}]
 	assert.Assert(t, len(topic.pending) <= 500*7, "%d", len(topic.pending))
 	for second := range uint64(20) {
 		f.holds("i-2", 1+second, 100) // read twice, so shared: told before what is larger but was read once
--- a/internal/node/kvindex/subscriber.go
+++ b/internal/node/kvindex/subscriber.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// pollPause lies between two polls for the same topic.
-	pollPause = time.Second
-	// homeSilence is how long a home must have been silent for one with a lower epoch to be heard.
-	homeSilence = 5 * time.Second
+	// topicPollInterval lies between two polls for the same topic.
+	topicPollInterval = time.Second
+	// homeTimeout is how long a home must have been silent for one with a lower epoch to be heard.
+	homeTimeout = 5 * time.Second
 )
 
 // subscription is how far a subscriber is with a topic.
 type subscription struct {
-	epoch    uint64
-	sequence uint64
-	heardAt  core.Time
-	polledAt core.Time
-	polled   bool
-	holders  map[string]bool // named by the topic
+	epoch        uint64
+	sequence     uint64
+	lastUpdateAt core.Time
+	polledAt     core.Time
+	polled       bool
+	holders      map[string]bool // named by the topic
 }
 
 // Subscriber applies what homes spread to an index.
 type Subscriber struct {
 	index    *Guarded
-	topics   map[topicID]*subscription
+	topics   map[topicKey]*subscription
 	versions map[string]map[string]uint64 // of weights, by instance and model, as last seen
 }
 
 // NewSubscriber returns one that has heard of nothing.
 func NewSubscriber(index *Guarded) *Subscriber {
-	return &Subscriber{index: index, topics: map[topicID]*subscription{}, versions: map[string]map[string]uint64{}}
+	return &Subscriber{index: index, topics: map[topicKey]*subscription{}, versions: map[string]map[string]uint64{}}
 }
 
 // HandleUpdate applies an update, or asks its sender for what is missing before it.
 func (s *Subscriber) HandleUpdate(now core.Time, from core.Peer, update *nodepb.IndexUpdate) []core.Output {
-	id := topicID{update.Service, update.Zone}
+	id := topicKey{update.Service, update.Zone}
 	t := s.topics[id]
 	if t == nil {
 		t = &subscription{holders: map[string]bool{}}
 		s.topics[id] = t
 	}
-	if update.Epoch < t.epoch && now < t.heardAt+homeSilence {
+	if update.Epoch < t.epoch && now < t.lastUpdateAt+homeTimeout {
 		return nil // a former home
 	}
 	switch {
@@ -62,8 +62,8 @@
 }
 
 // poll asks a home for what is missing.
-func (t *subscription) poll(now core.Time, from core.Peer, id topicID) []core.Output {
-	if t.polled && now < t.polledAt+pollPause {
+func (t *subscription) poll(now core.Time, from core.Peer, id topicKey) []core.Output {
+	if t.polled && now < t.polledAt+topicPollInterval {
 		return nil
 	}
 	t.polled, t.polledAt = true, now
@@ -73,7 +73,7 @@
 }
 
 func (s *Subscriber) apply(now core.Time, t *subscription, update *nodepb.IndexUpdate) []core.Output {
-	t.epoch, t.sequence, t.heardAt = update.Epoch, update.Sequence, now
+	t.epoch, t.sequence, t.lastUpdateAt = update.Epoch, update.Sequence, now
 	var outputs []core.Output
 	s.index.Update(func(index *Index) {
 		if update.Whole {
@@ -81,15 +81,15 @@
 		}
 		eachChange(update, func(name string, salt, part uint64, tokens uint32) {
 			t.holders[name] = true
-			if part != wholeHolder {
+			if part != entireHolder {
 				index.Set(name, salt, part, int(tokens))
 				return
 			}
-			if tokens == lostAll {
+			if tokens == cacheLost {
 				index.Reset(name)
 			}
 			if address, ok := storeAddress(name); ok {
-				outputs = append(outputs, core.StoreSeen{Address: address, Lost: tokens == lostAll})
+				outputs = append(outputs, core.StoreSeen{Address: address, Lost: tokens == cacheLost})
 			}
 		})
 	})
