--- a/internal/node/loadhint/disseminator.go
+++ b/internal/node/loadhint/disseminator.go
@@ -11,57 +11,59 @@
 	"kestrelspread/internal/node/rendezvous"
 )
 
-// MaxHintsPerSecond is what a proxy hears at the most. One hint takes some 40 bytes.
+// MaxHintsPerSecond bounds the hints that a relay sends to each node. A hint of a prompt with three
+// shared parts takes 53 bytes (TestHintSize).
 const MaxHintsPerSecond = 800
 
 const (
-	// collectDelay is how long a proxy's hints wait for others to go with them.
+	// collectDelay is how long a proxy collects its hints for one message to its relay.
 	collectDelay = 5 * time.Millisecond
-	// batchDelayPerDestination times the nodes that a relay sends to is how long it collects, within the bounds below.
+	// batchDelayPerDestination: a relay collects for this time per node that it sends to, which bounds
+	// its messages per second; at least for minBatchDelay and at most for maxBatchDelay.
 	batchDelayPerDestination = time.Millisecond
 	minBatchDelay            = 5 * time.Millisecond
 	maxBatchDelay            = 40 * time.Millisecond
-	// maxHintsPerMessage bounds the hints of one message that are looked at.
+	// maxHintsPerMessage bounds the hints of one message that are used; the rest is ignored.
 	maxHintsPerMessage = 1024
-	// burstPeriod is for how long an idle relay saves up what it may pass on.
+	// burstPeriod is the capacity of the token bucket, as the time in which an empty one fills.
 	burstPeriod = 200 * time.Millisecond
 )
 
-// Options of a Spreader.
+// Options configure a Disseminator.
 type Options struct {
 	SelfID string // node id
 	Zone   string
-	Random *rand.Rand
-	// MaxHintsPerSecond bounds what a relay passes on to each node; 0: the constant of that name.
+	Random *rand.Rand // picks the samples
+	// MaxHintsPerSecond bounds what a relay sends to each node; 0 or less: the constant of that name.
 	MaxHintsPerSecond int
 }
 
-// queuedHint is a hint at a relay.
+// queuedHint is a hint at a relay that is to be sent on.
 type queuedHint struct {
 	hint        *nodepb.LoadHint
-	origin      string // internal address of the proxy that sent it here; empty: this node, or another relay
-	fromOwnZone bool   // it came from this zone, so that the other relays are to hear of it
+	origin      string // internal address of the proxy that sent it; empty: this node, or another relay
+	fromOwnZone bool   // it comes from this zone, so that it goes to the other relays as well
 }
 
 // Disseminator is the state machine of one node. It is not safe for concurrent use.
 type Disseminator struct {
 	options Options
 
-	relayAddress   string   // internal address of the zone's relay; empty: this node, or nobody else is there
-	proxyAddresses []string // at a relay: addresses of the other proxies of the zone
-	relayAddresses []string // at a relay: addresses of those of the other zones
+	relayAddress   string   // internal address of the zone's relay; empty: this node is the relay
+	proxyAddresses []string // at a relay: addresses of the other proxies of its zone
+	relayAddresses []string // at a relay: addresses of the relays of the other zones
 
-	collected       []*nodepb.LoadHint // of this node, for the relay
-	collectDeadline core.Time          // when they go
-	queue           []queuedHint
-	batchDeadline   core.Time
-	tokens          float64 // hints that may be passed on
+	collected       []*nodepb.LoadHint // hints of this node, for its relay
+	collectDeadline core.Time          // when they are sent
+	queue           []queuedHint       // at a relay
+	batchDeadline   core.Time          // when it is sent
+	tokens          float64            // of the token bucket: hints that may be sent to each node now
 	refilledAt      core.Time
 
 	outputs []core.Output
 }
 
-// New returns a Spreader that knows no other node.
+// New returns a Disseminator that knows no other node.
 func New(options Options) *Disseminator {
 	if options.MaxHintsPerSecond <= 0 {
 		options.MaxHintsPerSecond = MaxHintsPerSecond
@@ -72,38 +74,40 @@
 	}
 }
 
-// SetMembers tells the nodes that are alive or suspected. This node may be among them.
-func (s *Disseminator) SetMembers(_ core.Time, members []*nodepb.Member) {
+// SetMembers sets the nodes that are alive or suspected. This node may be among them. Those that are
+// suspected, or no proxies, take no part.
+func (d *Disseminator) SetMembers(_ core.Time, members []*nodepb.Member) {
 	byZone := map[string][]*nodepb.Member{}
 	for _, member := range members {
 		if member.ServesFront && member.State == nodepb.MemberState_ALIVE {
 			byZone[member.Zone] = append(byZone[member.Zone], member)
 		}
 	}
-	own := relayOfZone(s.options.Zone, byZone[s.options.Zone])
-	s.relayAddress, s.proxyAddresses, s.relayAddresses = "", nil, nil
-	if own != nil && own.NodeId != s.options.SelfID {
-		s.relayAddress = own.Address
+	own := relayOfZone(d.options.Zone, byZone[d.options.Zone])
+	d.relayAddress, d.proxyAddresses, d.relayAddresses = "", nil, nil
+	if own != nil && own.NodeId != d.options.SelfID {
+		d.relayAddress = own.Address
 		return
 	}
-	for _, member := range byZone[s.options.Zone] {
-		if member.NodeId != s.options.SelfID {
-			s.proxyAddresses = append(s.proxyAddresses, member.Address)
+	for _, member := range byZone[d.options.Zone] {
+		if member.NodeId != d.options.SelfID {
+			d.proxyAddresses = append(d.proxyAddresses, member.Address)
 		}
 	}
 	for zone, proxies := range byZone {
-		if zone != s.options.Zone {
-			s.relayAddresses = append(s.relayAddresses, relayOfZone(zone, proxies).Address)
+		if zone != d.options.Zone {
+			d.relayAddresses = append(d.relayAddresses, relayOfZone(zone, proxies).Address)
 		}
 	}
-	slices.Sort(s.relayAddresses)
+	slices.Sort(d.relayAddresses)
 }
 
-// relayOfZone is the relay of a zone: one of its machines with a disk, which are the larger ones, where there are some.
+// relayOfZone chooses the relay of a zone by rendezvous hashing: one of its machines of the core, which
+// are the larger ones, if it has any. All nodes must use the same key.
 func relayOfZone(zone string, proxies []*nodepb.Member) *nodepb.Member {
-	counting := slices.DeleteFunc(slices.Clone(proxies), func(m *nodepb.Member) bool { return !m.CountsForQuorum })
-	if len(counting) > 0 {
-		proxies = counting
+	machinesOfCore := slices.DeleteFunc(slices.Clone(proxies), func(m *nodepb.Member) bool { return !m.CountsForQuorum })
+	if len(machinesOfCore) > 0 {
+		proxies = machinesOfCore
 	}
 	if len(proxies) == 0 {
 		return nil
@@ -111,135 +115,155 @@
 	return rendezvous.Best("load-hints/"+zone, proxies, func(m *nodepb.Member) string { return m.NodeId })
 }
 
-// destinationCount is how many nodes this relay sends to.
-func (s *Disseminator) destinationCount() int { return len(s.proxyAddresses) + len(s.relayAddresses) }
+// destinationCount returns how many nodes this relay sends to.
+func (d *Disseminator) destinationCount() int { return len(d.proxyAddresses) + len(d.relayAddresses) }
 
-// RecordSent takes what this node's proxy has sent to a broker.
-func (s *Disseminator) RecordSent(now core.Time, hint *nodepb.LoadHint) {
-	if s.relayAddress == "" {
-		s.enqueue(now, queuedHint{hint: hint, fromOwnZone: true})
+// RecordSent disseminates that this node's proxy has sent a request to a broker.
+func (d *Disseminator) RecordSent(now core.Time, hint *nodepb.LoadHint) {
+	if d.relayAddress == "" {
+		d.enqueue(now, queuedHint{hint: hint, fromOwnZone: true})
 		return
 	}
-	s.collected = append(s.collected, hint)
-	s.collectDeadline = min(s.collectDeadline, now+collectDelay)
+	d.collected = append(d.collected, hint)
+	d.collectDeadline = min(d.collectDeadline, now+collectDelay)
 }
 
-func (s *Disseminator) enqueue(now core.Time, waiting queuedHint) {
-	if s.destinationCount() == 0 {
+// batchDelay returns how long this relay collects for a batch.
+func (d *Disseminator) batchDelay() time.Duration {
+	delay := time.Duration(d.destinationCount()) * batchDelayPerDestination
+	return min(max(delay, minBatchDelay), maxBatchDelay)
+}
+
+// enqueue queues a hint at a relay, and starts a batch if there is none.
+func (d *Disseminator) enqueue(now core.Time, queued queuedHint) {
+	if d.destinationCount() == 0 {
 		return
 	}
-	s.queue = append(s.queue, waiting)
-	if s.batchDeadline == core.Never {
-		s.batchDeadline = now + min(max(time.Duration(s.destinationCount())*batchDelayPerDestination, minBatchDelay), maxBatchDelay)
+	d.queue = append(d.queue, queued)
+	if d.batchDeadline == core.Never {
+		d.batchDeadline = now + d.batchDelay()
 	}
 }
 
-// Receive takes hints of another node. Those that come here as to a relay while this node knows of another one are used, and not
-// passed on.
-func (s *Disseminator) Receive(now core.Time, from core.Peer, message *nodepb.LoadHints) []core.Output {
+// Receive handles hints of another node. Hints sent to this node as a relay, while it takes another
+// node for the relay, are used here but not sent on.
+func (d *Disseminator) Receive(now core.Time, from core.Peer, message *nodepb.LoadHints) []core.Output {
 	hints := message.Hints[:min(len(message.Hints), maxHintsPerMessage)]
-	s.outputs = append(s.outputs, core.LoadHinted{Hints: hints})
-	if s.relayAddress == "" && message.Hop != nodepb.LoadHintHop_TO_PROXY {
-		ofZone := message.Hop == nodepb.LoadHintHop_TO_RELAY
-		for _, hint := range hints {
-			waiting := queuedHint{hint: hint, fromOwnZone: ofZone}
-			if ofZone {
-				waiting.origin = from.Address
-			}
-			s.enqueue(now, waiting)
-		}
+	d.outputs = append(d.outputs, core.LoadHinted{Hints: hints})
+	if d.relayAddress == "" && message.Hop != nodepb.LoadHintHop_TO_PROXY {
+		d.enqueueReceived(now, from, message.Hop, hints)
+	}
+	return d.takeOutputs()
+}
+
+// enqueueReceived queues the hints that another proxy or relay sent to this relay.
+func (d *Disseminator) enqueueReceived(now core.Time, from core.Peer, hop nodepb.LoadHintHop, hints []*nodepb.LoadHint) {
+	fromOwnZone := hop == nodepb.LoadHintHop_TO_RELAY
+	origin := ""
+	if fromOwnZone {
+		origin = from.Address
+	}
+	for _, hint := range hints {
+		d.enqueue(now, queuedHint{hint: hint, origin: origin, fromOwnZone: fromOwnZone})
 	}
-	return s.takeOutputs()
 }
 
-// Tick sends what has waited long enough.
-func (s *Disseminator) Tick(now core.Time) []core.Output {
-	if s.collectDeadline <= now {
-		s.sendCollected()
+// Tick sends the hints whose deadline has passed. It is to be called at Deadline.
+func (d *Disseminator) Tick(now core.Time) []core.Output {
+	if d.collectDeadline <= now {
+		d.sendCollected()
 	}
-	if s.batchDeadline <= now {
-		s.sendBatch(now)
+	if d.batchDeadline <= now {
+		d.sendBatch(now)
 	}
-	return s.takeOutputs()
+	return d.takeOutputs()
 }
 
 // Deadline is when Tick is next due.
-func (s *Disseminator) Deadline() core.Time { return min(s.collectDeadline, s.batchDeadline) }
+func (d *Disseminator) Deadline() core.Time { return min(d.collectDeadline, d.batchDeadline) }
 
-func (s *Disseminator) sendCollected() {
-	if s.relayAddress != "" {
-		s.send(s.relayAddress, nodepb.LoadHintHop_TO_RELAY, s.collected)
+// sendCollected sends this node's hints to its relay. They are dropped if this node has become the
+// relay meanwhile.
+func (d *Disseminator) sendCollected() {
+	if d.relayAddress != "" {
+		d.send(d.relayAddress, nodepb.LoadHintHop_TO_RELAY, d.collected)
 	}
-	s.collected = nil
-	s.collectDeadline = core.Never
+	d.collected = nil
+	d.collectDeadline = core.Never
 }
 
-func (s *Disseminator) sendBatch(now core.Time) {
-	if !s.sample(now) {
-		s.batchDeadline = now + time.Second/time.Duration(s.options.MaxHintsPerSecond)
+// sendBatch sends the queue, or a sample of it, to all destinations. If no token is left it waits for
+// the next one.
+func (d *Disseminator) sendBatch(now core.Time) {
+	if !d.sample(now) {
+		d.batchDeadline = now + time.Second/time.Duration(d.options.MaxHintsPerSecond)
 		return
 	}
-	for _, proxy := range s.proxyAddresses {
-		s.send(proxy, nodepb.LoadHintHop_TO_PROXY, s.selectHints(func(w *queuedHint) bool { return w.origin != proxy }))
+	for _, proxy := range d.proxyAddresses {
+		fromOthers := d.selectHints(func(queued *queuedHint) bool { return queued.origin != proxy })
+		d.send(proxy, nodepb.LoadHintHop_TO_PROXY, fromOthers)
 	}
-	ofZone := s.selectHints(func(w *queuedHint) bool { return w.fromOwnZone })
-	for _, relay := range s.relayAddresses {
-		s.send(relay, nodepb.LoadHintHop_BETWEEN_RELAYS, ofZone)
+	fromOwnZone := d.selectHints(func(queued *queuedHint) bool { return queued.fromOwnZone })
+	for _, relay := range d.relayAddresses {
+		d.send(relay, nodepb.LoadHintHop_BETWEEN_RELAYS, fromOwnZone)
 	}
-	s.queue = s.queue[:0]
-	s.batchDeadline = core.Never
+	d.queue = d.queue[:0]
+	d.batchDeadline = core.Never
 }
 
-// selectHints lists the waiting hints for which the condition holds.
-func (s *Disseminator) selectHints(holds func(*queuedHint) bool) []*nodepb.LoadHint {
-	hints := make([]*nodepb.LoadHint, 0, len(s.queue))
-	for i := range s.queue {
-		if holds(&s.queue[i]) {
-			hints = append(hints, s.queue[i].hint)
+// selectHints lists the queued hints for which the condition holds.
+func (d *Disseminator) selectHints(condition func(*queuedHint) bool) []*nodepb.LoadHint {
+	hints := make([]*nodepb.LoadHint, 0, len(d.queue))
+	for i := range d.queue {
+		if condition(&d.queue[i]) {
+			hints = append(hints, d.queue[i].hint)
 		}
 	}
 	return hints
 }
 
-// sample leaves no more hints than may be passed on, picked by chance; each stands for some that are left out. false: none may be just
-// now.
-func (s *Disseminator) sample(now core.Time) bool {
-	rate := float64(s.options.MaxHintsPerSecond)
-	s.tokens = min(s.tokens+rate*(now-s.refilledAt).Seconds(), rate*burstPeriod.Seconds())
-	s.refilledAt = now
-	count := len(s.queue)
-	keep := min(count, int(s.tokens))
-	s.tokens -= float64(keep)
+// sample reduces the queue to the hints that the token bucket allows, picked at random and scaled to
+// stand for those left out. It reports false, and leaves the queue as it is, if none is allowed now.
+func (d *Disseminator) sample(now core.Time) bool {
+	rate := float64(d.options.MaxHintsPerSecond)
+	d.tokens = min(d.tokens+rate*(now-d.refilledAt).Seconds(), rate*burstPeriod.Seconds())
+	d.refilledAt = now
+	count := len(d.queue)
+	keep := min(count, int(d.tokens))
+	d.tokens -= float64(keep)
 	if keep == count || keep == 0 {
 		return keep > 0
 	}
-	s.options.Random.Shuffle(count, func(i, j int) { s.queue[i], s.queue[j] = s.queue[j], s.queue[i] })
-	s.queue = s.queue[:keep]
-	for i := range s.queue {
-		s.queue[i].hint = scaled(s.queue[i].hint, float64(count)/float64(keep))
+	d.options.Random.Shuffle(count, func(i, j int) { d.queue[i], d.queue[j] = d.queue[j], d.queue[i] })
+	d.queue = d.queue[:keep]
+	for i := range d.queue {
+		d.queue[i].hint = scaled(d.queue[i].hint, float64(count)/float64(keep))
 	}
 	return true
 }
 
-// scaled is a hint that stands for `times` as many.
-func scaled(hint *nodepb.LoadHint, times float64) *nodepb.LoadHint {
-	unread := min(float64(hint.Unread)*times, math.MaxUint32)
+// scaled returns a hint that stands for this and others like it: its load is multiplied. The pause of a
+// stream is no load and stays.
+func scaled(hint *nodepb.LoadHint, factor float64) *nodepb.LoadHint {
+	unread := min(float64(hint.Unread)*factor, math.MaxUint32)
 	return &nodepb.LoadHint{
 		Instance: hint.Instance, Salt: hint.Salt, PartIds: hint.PartIds, PartTokens: hint.PartTokens, Unread: uint32(unread),
 		PauseUs: hint.PauseUs,
 	}
 }
 
-func (s *Disseminator) send(to string, hop nodepb.LoadHintHop, hints []*nodepb.LoadHint) {
+// send sends hints, if there are any.
+func (d *Disseminator) send(destination string, hop nodepb.LoadHintHop, hints []*nodepb.LoadHint) {
 	if len(hints) == 0 {
 		return
 	}
 	body := &nodepb.Envelope_LoadHints{LoadHints: &nodepb.LoadHints{Hints: hints, Hop: hop}}
-	s.outputs = append(s.outputs, core.Send{To: to, Message: &nodepb.Envelope{Body: body}})
+	d.outputs = append(d.outputs, core.Send{To: destination, Message: &nodepb.Envelope{Body: body}})
 }
 
-func (s *Disseminator) takeOutputs() []core.Output {
-	taken := s.outputs
-	s.outputs = nil
-	return taken
+// takeOutputs returns the outputs since the last call.
+func (d *Disseminator) takeOutputs() []core.Output {
+	outputs := d.outputs
+	d.outputs = nil
+	return outputs
 }
--- a/internal/node/loadhint/disseminator_test.go
+++ b/internal/node/loadhint/disseminator_test.go
@@ -14,58 +14,58 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// world is a fleet of Spreaders on a virtual network.
-type world struct {
+// cluster is a fleet of Disseminators on a simulated network.
+type cluster struct {
 	network *coretest.Network
-	nodes   []*worldNode
+	nodes   []*clusterNode
 	members []*nodepb.Member
 }
 
-type worldNode struct {
+type clusterNode struct {
 	*coretest.Node
 	*Disseminator
-	world  *world
-	member *nodepb.Member
-	heard  []*nodepb.LoadHint
+	cluster  *cluster
+	member   *nodepb.Member
+	received []*nodepb.LoadHint
 }
 
-func newWorld(nodes, perSecond int, zones ...string) *world {
-	w := &world{network: coretest.NewNetwork(1)}
+func newCluster(nodes, perSecond int, zones ...string) *cluster {
+	c := &cluster{network: coretest.NewNetwork(1)}
 	for number := range nodes {
 		member := &nodepb.Member{
 			NodeId: fmt.Sprintf("node-%d", number), Address: fmt.Sprintf("10.0.0.%d:7000", number), Zone: zones[number%len(zones)],
 			ServesFront: true, CountsForQuorum: number < 2*len(zones), State: nodepb.MemberState_ALIVE,
 		}
-		node := &worldNode{world: w, member: member}
+		node := &clusterNode{cluster: c, member: member}
 		node.Disseminator = New(Options{
 			SelfID: member.NodeId, Zone: member.Zone, Random: rand.New(rand.NewPCG(uint64(number), 1)), MaxHintsPerSecond: perSecond,
 		})
-		node.Node = w.network.Add(member.NodeId, member.Address, machine{node}, node.output)
-		w.nodes = append(w.nodes, node)
-		w.members = append(w.members, member)
+		node.Node = c.network.Add(member.NodeId, member.Address, networkMachine{node}, node.output)
+		c.nodes = append(c.nodes, node)
+		c.members = append(c.members, member)
 	}
-	w.tellMembers()
-	return w
+	c.publishMembers()
+	return c
 }
 
-func (w *world) tellMembers() {
-	for _, node := range w.nodes {
-		node.SetMembers(w.network.Now(), w.members)
+func (c *cluster) publishMembers() {
+	for _, node := range c.nodes {
+		node.SetMembers(c.network.Now(), c.members)
 	}
 }
 
-// machine makes a Spreader a machine of the network.
-type machine struct{ node *worldNode }
+// networkMachine makes a Disseminator a machine of the network.
+type networkMachine struct{ node *clusterNode }
 
-func (m machine) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
+func (m networkMachine) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	return m.node.Disseminator.Receive(now, from, message.GetLoadHints())
 }
 
-func (m machine) Tick(now core.Time) []core.Output { return m.node.Disseminator.Tick(now) }
-func (m machine) Deadline() core.Time              { return m.node.Disseminator.Deadline() }
+func (m networkMachine) Tick(now core.Time) []core.Output { return m.node.Disseminator.Tick(now) }
+func (m networkMachine) Deadline() core.Time              { return m.node.Disseminator.Deadline() }
 
-func (n *worldNode) output(_ core.Time, output core.Output) {
-	n.heard = append(n.heard, output.(core.LoadHinted).Hints...)
+func (n *clusterNode) output(_ core.Time, output core.Output) {
+	n.received = append(n.received, output.(core.LoadHinted).Hints...)
 }
 
 func hint(number int) *nodepb.LoadHint {
@@ -74,41 +74,41 @@
 	}
 }
 
-func (n *worldNode) relays() bool { return n.relayAddress == "" }
+func (n *clusterNode) isRelay() bool { return n.relayAddress == "" }
 
-func TestEachHintReachesEachOtherProxyOnce(t *testing.T) {
+func TestHintReachesEachOtherProxyOnce(t *testing.T) {
 	for _, zones := range [][]string{{"a"}, {"a", "b"}, {"a", "b", "c", "d"}} {
-		w := newWorld(14, 0, zones...)
+		c := newCluster(14, 0, zones...)
 		relays := 0
-		for _, node := range w.nodes {
-			if node.relays() {
+		for _, node := range c.nodes {
+			if node.isRelay() {
 				relays++
 				assert.Assert(t, node.member.CountsForQuorum)
 			}
 		}
 		assert.Equal(t, relays, len(zones))
-		for number, node := range w.nodes {
-			node.RecordSent(w.network.Now(), hint(number))
+		for number, node := range c.nodes {
+			node.RecordSent(c.network.Now(), hint(number))
 		}
-		w.network.Run(200 * time.Millisecond)
-		for number, node := range w.nodes {
-			heard := map[string]int{}
-			for _, h := range node.heard {
-				heard[h.Instance]++
+		c.network.Run(200 * time.Millisecond)
+		for number, node := range c.nodes {
+			received := map[string]int{}
+			for _, h := range node.received {
+				received[h.Instance]++
 				assert.Equal(t, h.Unread, uint32(1000))
 			}
-			assert.Equal(t, len(heard), len(w.nodes)-1, "zones %v, node %d", zones, number)
-			assert.Equal(t, heard[hint(number).Instance], 0, "its own hint came back")
+			assert.Equal(t, len(received), len(c.nodes)-1, "zones %v, node %d", zones, number)
+			assert.Equal(t, received[hint(number).Instance], 0, "its own hint came back")
 		}
 	}
 }
 
-func TestHintsAreSoon(t *testing.T) {
-	w := newWorld(90, 0, "a", "b", "c")
-	w.nodes[80].RecordSent(w.network.Now(), hint(1))
-	arrived := w.network.RunUntil(110*time.Millisecond, func() bool {
-		for number, node := range w.nodes {
-			if number != 80 && len(node.heard) == 0 {
+func TestHintsArriveWithinBatchDelays(t *testing.T) {
+	c := newCluster(90, 0, "a", "b", "c")
+	c.nodes[80].RecordSent(c.network.Now(), hint(1))
+	arrived := c.network.RunUntil(110*time.Millisecond, func() bool {
+		for number, node := range c.nodes {
+			if number != 80 && len(node.received) == 0 {
 				return false
 			}
 		}
@@ -117,54 +117,56 @@
 	assert.Assert(t, arrived)
 }
 
-// A proxy that hears of a relay's end takes another; one that is alone waits for nobody.
-func TestRelayIsLost(t *testing.T) {
-	w := newWorld(6, 0, "a", "b")
-	for number, node := range w.nodes {
-		if node.relays() && node.member.Zone == "a" {
-			w.network.Isolate(node.Address)
-			w.members = append(w.members[:number], w.members[number+1:]...)
-			w.nodes = append(w.nodes[:number], w.nodes[number+1:]...)
+// Proxies choose another relay after the loss of theirs; a single proxy sends to nobody.
+func TestProxiesChooseNewRelayAfterLoss(t *testing.T) {
+	c := newCluster(6, 0, "a", "b")
+	for number, node := range c.nodes {
+		if node.isRelay() && node.member.Zone == "a" {
+			c.network.Isolate(node.Address)
+			c.members = append(c.members[:number], c.members[number+1:]...)
+			c.nodes = append(c.nodes[:number], c.nodes[number+1:]...)
 			break
 		}
 	}
-	w.tellMembers()
-	w.nodes[len(w.nodes)-1].RecordSent(w.network.Now(), hint(1))
-	w.network.Run(100 * time.Millisecond)
-	for _, node := range w.nodes[:len(w.nodes)-1] {
-		assert.Equal(t, len(node.heard), 1)
+	c.publishMembers()
+	c.nodes[len(c.nodes)-1].RecordSent(c.network.Now(), hint(1))
+	c.network.Run(100 * time.Millisecond)
+	for _, node := range c.nodes[:len(c.nodes)-1] {
+		assert.Equal(t, len(node.received), 1)
 	}
 
 	alone := New(Options{SelfID: "node-0", Zone: "a"})
-	alone.SetMembers(0, w.members[:1])
+	alone.SetMembers(0, c.members[:1])
 	alone.RecordSent(0, hint(1))
 	assert.Equal(t, alone.Deadline(), core.Never)
 	assert.Equal(t, len(alone.queue), 0)
 }
 
-// What a proxy hears is bounded, and tells of the whole in proportion. A relay hears all of its zone.
-func TestHintsAreBounded(t *testing.T) {
+// What a proxy receives is bounded, and its sum is in proportion to what was sent. A relay receives all
+// hints of its zone.
+func TestHintRateIsBounded(t *testing.T) {
 	const perSecond, span = 100, 10
-	w := newWorld(12, perSecond, "a", "b")
+	c := newCluster(12, perSecond, "a", "b")
 	for step := range span * 100 {
-		for _, node := range w.nodes {
-			node.RecordSent(w.network.Now(), hint(step))
+		for _, node := range c.nodes {
+			node.RecordSent(c.network.Now(), hint(step))
 		}
-		w.network.Run(10 * time.Millisecond)
+		c.network.Run(10 * time.Millisecond)
 	}
-	for _, node := range w.nodes {
+	for _, node := range c.nodes {
 		unread := 0.0
-		for _, h := range node.heard {
+		for _, h := range node.received {
 			unread += float64(h.Unread)
 		}
-		assert.Assert(t, node.relays() || len(node.heard) <= perSecond*(span+1), "%d hints", len(node.heard))
-		told := unread / (1000 * 100 * span * float64(len(w.nodes)))
-		assert.Assert(t, told > 0.8 && told < 1.2, "a proxy was told of %.2f of what was sent", told)
+		assert.Assert(t, node.isRelay() || len(node.received) <= perSecond*(span+1), "%d hints", len(node.received))
+		reported := unread / (1000 * 100 * span * float64(len(c.nodes)))
+		assert.Assert(t, reported > 0.8 && reported < 1.2, "a proxy was sent reports of %.2f of the load", reported)
 	}
 }
 
-// A message of any shape is taken: sizes that differ, none at all, more than any relay sends.
-func TestOddMessages(t *testing.T) {
+// A message of any shape is accepted: lists of different lengths, an empty one, more hints than a relay
+// sends.
+func TestMalformedMessagesAreAccepted(t *testing.T) {
 	s := New(Options{SelfID: "node-0", Zone: "a"})
 	many := &nodepb.LoadHints{Hop: nodepb.LoadHintHop(9)}
 	for range maxHintsPerMessage + 5 {
@@ -179,18 +181,18 @@
 	}
 }
 
-// What a proxy receives does not grow with the number of proxies, apart from the hints themselves; what a relay sends grows with
-// its zone alone.
-func TestMessagesPerNode(t *testing.T) {
+// The messages to a proxy don't grow with the number of proxies, apart from their hints; those of a
+// relay grow with its zone alone.
+func TestMessageCountsPerNode(t *testing.T) {
 	for _, nodes := range []int{12, 48, 192} {
-		w := newWorld(nodes, 0, "a", "b", "c", "d")
+		c := newCluster(nodes, 0, "a", "b", "c", "d")
 		batches := 0
-		for _, node := range w.nodes {
-			if !node.relays() {
+		for _, node := range c.nodes {
+			if !node.isRelay() {
 				continue
 			}
 			for range 10 {
-				now := w.network.Now()
+				now := c.network.Now()
 				node.Disseminator.Receive(now, core.Peer{Address: "none"}, &nodepb.LoadHints{Hints: []*nodepb.LoadHint{hint(1)}})
 				outputs := node.Disseminator.Tick(now + maxBatchDelay)
 				assert.Equal(t, len(outputs), nodes/4-1+3)
@@ -201,8 +203,8 @@
 	}
 }
 
-// A hint that stands for others too still tells what it is about.
-func TestRaisedHints(t *testing.T) {
+// A hint that stands for others as well keeps what it is about.
+func TestScaledHintKeepsSubject(t *testing.T) {
 	sent := scaled(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 400}, 2.5)
 	assert.DeepEqual(t, sent, &nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 1000}, protocmp.Transform())
 	seen := scaled(&nodepb.LoadHint{Instance: "i", PauseUs: 20000}, 3)
--- a/internal/node/loadhint/size_test.go
+++ b/internal/node/loadhint/size_test.go
@@ -9,8 +9,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// docs/CAPACITY.md counts with so many bytes for a hint of a prompt of three shared parts; a batch's own bytes come on top.
-func TestBytesOfAHint(t *testing.T) {
+// docs/CAPACITY.md assumes this size for a hint of a prompt with three shared parts; a batch's own bytes
+// come on top.
+func TestHintSize(t *testing.T) {
 	batch := func(hints int) int {
 		list := &nodepb.LoadHints{Hop: nodepb.LoadHintHop_TO_PROXY}
 		for range hints {
