--- a/internal/node/coretest/network.go
+++ b/internal/node/coretest/network.go
@@ -1,5 +1,10 @@
-// Package coretest runs state machines of many nodes in tests, under a virtual clock and on a virtual network with
-// seeded delays, losses, copies, cuts, freezes and ends of nodes. Nothing in it waits for real time.
+// Package coretest runs the state machines of many nodes in tests, under a virtual clock and on a virtual network with
+// seeded delays, message loss, duplication and partitions, and with frozen and killed nodes.
+//
+// It is for tests alone, and carries out no effect but core.Send: all other outputs go to the test.
+//
+// Invariants: nothing waits for real time; a run depends on the seed and the calls of the test only, as all random
+// draws are made in the order of the events, and events at the same time happen in the order in which they were queued.
 package coretest
 
 import (
@@ -13,20 +18,21 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Machine is a node's state machine.
+// Machine is a node's state machine: see package core.
 type Machine interface {
 	Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output
 	Tick(now core.Time) []core.Output
 	Deadline() core.Time
 }
 
-// Network carries messages between nodes. Its time is true time; each node counts from its own start.
+// Network carries messages between nodes. Its clock shows true time, which starts at 0; each node's own clock starts
+// when the node is added.
 type Network struct {
-	Random    *rand.Rand
-	MinDelay  time.Duration
+	Random    *rand.Rand    // source of all random draws
+	MinDelay  time.Duration // bounds of the latency of a message
 	MaxDelay  time.Duration
-	Loss      float64 // share of messages that do not arrive
-	Duplicate float64 // share of messages that arrive twice
+	Loss      float64 // probability that a message doesn't arrive
+	Duplicate float64 // probability that a message is sent twice
 
 	now        time.Duration
 	nodes      []*Node
@@ -37,13 +43,13 @@
 	scheduled  []scheduledCall
 }
 
-// scheduledCall is something that a test does at a given time.
+// scheduledCall is a call of the test at a given true time.
 type scheduledCall struct {
 	dueAt time.Duration
 	call  func()
 }
 
-// NewNetwork returns a network without nodes, whose messages take 1 to 3 ms.
+// NewNetwork returns a network without nodes, whose messages take 1 to 3 ms and are neither lost nor duplicated.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		Random:     rand.New(rand.NewPCG(seed, seed)),
@@ -57,7 +63,7 @@
 // Now is the true time.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Add starts a node. OnOutput is given all outputs of its machine other than messages.
+// Add starts a node. onOutput gets all outputs of its machine other than core.Send; nil: they are dropped.
 func (n *Network) Add(id, address string, machine Machine, onOutput func(now core.Time, output core.Output)) *Node {
 	node := &Node{ID: id, Address: address, Machine: machine, network: n, startedAt: n.now, onOutput: onOutput}
 	n.nodes = append(n.nodes, node)
@@ -67,7 +73,8 @@
 
 // Partition stops all messages between two addresses, Heal lets them pass again.
 func (n *Network) Partition(a, b string) {
-	n.partitions[[2]string{a, b}], n.partitions[[2]string{b, a}] = true, true
+	n.partitions[[2]string{a, b}] = true
+	n.partitions[[2]string{b, a}] = true
 }
 
 // Heal ends a partition between two addresses.
@@ -90,27 +97,27 @@
 	}
 }
 
-// Isolated reports whether an address is cut off from any other.
+// Isolated reports whether an address is partitioned from any other.
 func (n *Network) Isolated(address string) bool {
-	for cut := range n.partitions {
-		if cut[0] == address {
+	for pair := range n.partitions {
+		if pair[0] == address {
 			return true
 		}
 	}
 	return false
 }
 
-// After calls do at a time from now, between the events of that time.
-func (n *Network) After(delay time.Duration, do func()) {
-	n.scheduled = append(n.scheduled, scheduledCall{dueAt: n.now + delay, call: do})
+// After schedules a call; it comes before the arrivals and ticks that are due at the same time.
+func (n *Network) After(delay time.Duration, call func()) {
+	n.scheduled = append(n.scheduled, scheduledCall{dueAt: n.now + delay, call: call})
 }
 
-// Run lets a span of time pass.
+// Run lets a span of true time pass.
 func (n *Network) Run(span time.Duration) {
 	n.RunUntil(span, func() bool { return false })
 }
 
-// RunUntil lets time pass until the condition holds, or the span is over. It reports whether the condition holds.
+// RunUntil lets true time pass until the condition holds, or the span is over. It reports whether the condition holds.
 func (n *Network) RunUntil(span time.Duration, done func() bool) bool {
 	end := n.now + span
 	for !done() {
@@ -125,6 +132,7 @@
 	return true
 }
 
+// nextEvent is the true time of the next arrival, scheduled call or tick.
 func (n *Network) nextEvent() time.Duration {
 	next := time.Duration(core.Never)
 	if len(n.inFlight) > 0 {
@@ -139,6 +147,7 @@
 	return next
 }
 
+// runDue runs what is due: scheduled calls, then arrivals, then ticks.
 func (n *Network) runDue() {
 	n.runScheduled()
 	for len(n.inFlight) > 0 && n.inFlight[0].arrivesAt <= n.now {
@@ -151,6 +160,7 @@
 	}
 }
 
+// runScheduled makes the calls that are due. One that a call schedules is made in a later round.
 func (n *Network) runScheduled() {
 	var later, due []scheduledCall
 	for _, pending := range n.scheduled {
@@ -166,6 +176,7 @@
 	}
 }
 
+// send sends a copy of the message, or two, under the sender's name.
 func (n *Network) send(from *Node, message core.Send) {
 	envelope := proto.Clone(message.Message).(*nodepb.Envelope)
 	envelope.SenderId, envelope.SenderAddress = from.ID, from.Address
@@ -183,45 +194,28 @@
 	}
 }
 
-func (n *Network) transmit(from, to string, envelope *nodepb.Envelope) {
+// transmit queues a message for arrival after a random latency.
+func (n *Network) transmit(from, destination string, envelope *nodepb.Envelope) {
 	delay := n.MinDelay + time.Duration(n.Random.Int64N(int64(n.MaxDelay-n.MinDelay)+1))
 	n.sequence++
-	heap.Push(&n.inFlight, &delivery{arrivesAt: n.now + delay, sequence: n.sequence, from: from, destination: to, envelope: envelope})
+	heap.Push(&n.inFlight, &delivery{
+		arrivesAt:   n.now + delay,
+		sequence:    n.sequence,
+		from:        from,
+		destination: destination,
+		envelope:    envelope,
+	})
 }
 
+// deliver hands over a message, unless its way is partitioned at the time of its arrival.
 func (n *Network) deliver(arrived *delivery) {
-	to := n.byAddress[arrived.destination]
-	if to == nil || to.killed || n.partitions[[2]string{arrived.from, arrived.destination}] {
+	receiver := n.byAddress[arrived.destination]
+	if receiver == nil || receiver.killed || n.partitions[[2]string{arrived.from, arrived.destination}] {
 		return
 	}
-	if to.frozen {
-		to.pending = append(to.pending, arrived)
+	if receiver.frozen {
+		receiver.pending = append(receiver.pending, arrived)
 		return
 	}
-	to.receive(arrived)
-}
-
-// delivery is a message on its way.
-type delivery struct {
-	arrivesAt         time.Duration
-	sequence          uint64
-	from, destination string
-	envelope          *nodepb.Envelope
-}
-
-type deliveries []*delivery
-
-func (d deliveries) Len() int      { return len(d) }
-func (d deliveries) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d deliveries) Less(i, j int) bool {
-	if d[i].arrivesAt != d[j].arrivesAt {
-		return d[i].arrivesAt < d[j].arrivesAt
-	}
-	return d[i].sequence < d[j].sequence
-}
-func (d *deliveries) Push(x any) { *d = append(*d, x.(*delivery)) }
-func (d *deliveries) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
-	return last
+	receiver.receive(arrived)
 }
--- a/internal/node/coretest/node.go
+++ b/internal/node/coretest/node.go
@@ -6,13 +6,13 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Node is one node of a Network, in one of its lives.
+// Node is one incarnation of a node of a Network.
 type Node struct {
 	ID      string
 	Address string
 	Machine Machine
 
-	// SentMessages and SentBytes count what it has sent, as encoded.
+	// SentMessages and SentBytes count the messages that the machine sent and their encoded size.
 	SentMessages int
 	SentBytes    int
 
@@ -21,16 +21,16 @@
 	onOutput  func(now core.Time, output core.Output)
 	frozen    bool
 	killed    bool
-	pending   []*delivery // came while it was frozen
+	pending   []*delivery // arrived while the node was frozen
 }
 
-// Now is the node's own steady time.
+// Now is the node's own monotonic time.
 func (n *Node) Now() core.Time { return n.network.now - n.startedAt }
 
-// TrueTime turns one of the node's own times into true time.
+// TrueTime converts one of the node's own times into true time.
 func (n *Node) TrueTime(at core.Time) time.Duration { return at + n.startedAt }
 
-// Do calls the machine and carries out what it returns.
+// Do calls the machine and carries out the outputs that it returns.
 func (n *Node) Do(call func(now core.Time) []core.Output) {
 	now := n.Now()
 	for _, output := range call(now) {
@@ -44,10 +44,10 @@
 	}
 }
 
-// Freeze stops the node, Thaw lets it go on: messages that came meanwhile are taken then.
+// Freeze pauses the node, as a stopped process or virtual machine. Messages queue up until Thaw.
 func (n *Node) Freeze() { n.frozen = true }
 
-// Thaw ends a freeze.
+// Thaw ends a freeze: the node receives the messages that queued up.
 func (n *Node) Thaw() {
 	n.frozen = false
 	pending := n.pending
@@ -57,12 +57,13 @@
 	}
 }
 
-// Kill ends the node for good.
+// Kill ends the node for good. A later incarnation is another Node.
 func (n *Node) Kill() { n.killed = true }
 
 // Running reports whether the node is neither frozen nor killed.
 func (n *Node) Running() bool { return !n.frozen && !n.killed }
 
+// nextTick is the true time of the next tick.
 func (n *Node) nextTick() time.Duration {
 	deadline := n.Machine.Deadline()
 	if !n.Running() || deadline == core.Never {
@@ -71,9 +72,11 @@
 	return n.TrueTime(deadline)
 }
 
-// maxImmediateTicks is how often a machine may ask to be ticked again at once; one that asks more often would spin.
+// maxImmediateTicks is how often in a row a machine may ask for another tick at once; one that asks more often would
+// spin in production.
 const maxImmediateTicks = 10
 
+// tick ticks the machine until its deadline lies in the future.
 func (n *Node) tick() {
 	for range maxImmediateTicks {
 		n.Do(n.Machine.Tick)
@@ -81,7 +84,7 @@
 			return
 		}
 	}
-	panic("the deadline of " + n.ID + " stays in the past")
+	panic("coretest: the deadline of " + n.ID + " stays in the past")
 }
 
 func (n *Node) receive(arrived *delivery) {
