--- a/internal/node/journal/batch.go
+++ b/internal/node/journal/batch.go
@@ -2,17 +2,17 @@
 
 import "kestrelspread/internal/node/core"
 
-// largePayload is the length from which a payload is written from where it is, without gathering it.
-const largePayload = 16 << 10
+// largePayloadBytes is the length from which a payload is written from where it is, without gathering it.
+const largePayloadBytes = 16 << 10
 
 // batch writes frames that one sync makes durable.
 type batch struct {
-	segment    *segment
-	end        position // where the next frame goes
-	batchStart uint64
-	attempt    uint64
-	gathered   []byte // not yet written
-	gatheredAt int64  // its offset
+	segment      *segment
+	end          position // where the next frame goes
+	batchStart   uint64
+	attempt      uint64
+	buffered     []byte // not yet written
+	bufferOffset int64  // its offset
 }
 
 // framesBytes is the space that records take.
@@ -26,20 +26,20 @@
 
 // newBatch begins a batch behind a position.
 func newBatch(target *segment, end position, attempt uint64) *batch {
-	return &batch{segment: target, end: end, batchStart: end.sequence, attempt: attempt, gatheredAt: end.offset}
+	return &batch{segment: target, end: end, batchStart: end.sequence, attempt: attempt, bufferOffset: end.offset}
 }
 
-func (b *batch) addRecords(records []core.Record) error {
+func (b *batch) appendRecords(records []core.Record) error {
 	for _, record := range records {
-		if err := b.add(frameRecord, record.Kind, record.Data); err != nil {
+		if err := b.appendFrame(frameRecord, record.Kind, record.Data); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// add writes a frame, perhaps later.
-func (b *batch) add(frame frameType, kind uint8, payload []byte) error {
+// appendFrame writes a frame, perhaps later.
+func (b *batch) appendFrame(frame frameType, kind uint8, payload []byte) error {
 	header := frameHeader{
 		Type:            frame,
 		Kind:            kind,
@@ -50,13 +50,13 @@
 		PreviousAttempt: b.end.attempt,
 	}
 	header.sumPayload(payload)
-	b.gathered = header.append(b.gathered)
+	b.buffered = header.append(b.buffered)
 	b.end.advance(header)
-	if len(payload) >= largePayload {
+	if len(payload) >= largePayloadBytes {
 		return b.writeThrough(payload)
 	}
-	b.gathered = append(b.gathered, payload...)
-	if len(b.gathered) >= writeBufferBytes {
+	b.buffered = append(b.buffered, payload...)
+	if len(b.buffered) >= writeBufferBytes {
 		return b.flush()
 	}
 	return nil
@@ -66,22 +66,22 @@
 	if err := b.flush(); err != nil {
 		return err
 	}
-	if err := b.segment.write(payload, b.gatheredAt); err != nil {
+	if err := b.segment.write(payload, b.bufferOffset); err != nil {
 		return err
 	}
-	b.gatheredAt += int64(len(payload))
+	b.bufferOffset += int64(len(payload))
 	return nil
 }
 
 func (b *batch) flush() error {
-	if len(b.gathered) == 0 {
+	if len(b.buffered) == 0 {
 		return nil
 	}
-	if err := b.segment.write(b.gathered, b.gatheredAt); err != nil {
+	if err := b.segment.write(b.buffered, b.bufferOffset); err != nil {
 		return err
 	}
-	b.gatheredAt += int64(len(b.gathered))
-	b.gathered = b.gathered[:0]
+	b.bufferOffset += int64(len(b.buffered))
+	b.buffered = b.buffered[:0]
 	return nil
 }
 
--- a/internal/node/journal/crash_test.go
+++ b/internal/node/journal/crash_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestTroublesOfDisks mixes full and failing disks with crashes.
-func TestTroublesOfDisks(t *testing.T) {
+// TestDiskFaultsMixedWithCrashes mixes full and failing disks with crashes.
+func TestDiskFaultsMixedWithCrashes(t *testing.T) {
 	seeds := uint64(4000)
 	if testing.Short() {
 		seeds = 600
@@ -53,13 +53,13 @@
 	for seed := range seeds {
 		m := newMachine(t, 1000+seed)
 		for range 60 {
-			m.trouble()
+			m.randomFaultOrWrite()
 		}
 	}
 }
 
-// trouble does one thing: mostly it writes.
-func (m *machine) trouble() {
+// randomFaultOrWrite makes one random step: mostly a write.
+func (m *machine) randomFaultOrWrite() {
 	m.t.Helper()
 	if m.open == nil {
 		m.crash() // the disk works again after it
@@ -71,11 +71,11 @@
 	switch m.random.IntN(13) {
 	case 0:
 		full := m.random.IntN(2) == 0
-		m.note("full", full)
+		m.traceSwitch("full", full)
 		m.disk.SetFull(full)
 	case 1:
 		failing := m.random.IntN(2) == 0
-		m.note("failing", failing)
+		m.traceSwitch("failing", failing)
 		m.disk.SetFailing(failing)
 	case 2:
 		m.crash()
@@ -85,14 +85,14 @@
 		m.append(nil)
 	case 5:
 		failing := m.random.IntN(2) == 0
-		m.note("syncs-failing", failing)
+		m.traceSwitch("syncs-failing", failing)
 		m.disk.SetSyncsFailing(failing)
 	default:
 		m.write()
 	}
 }
 
-func (m *machine) note(what string, value bool) {
+func (m *machine) traceSwitch(what string, value bool) {
 	m.trace.WriteString(" " + what)
 	if !value {
 		m.trace.WriteString("-off")
--- a/internal/node/journal/diskfault/disk.go
+++ b/internal/node/journal/diskfault/disk.go
@@ -35,16 +35,16 @@
 
 // Disk is a journal.FileSystem. Its methods may be called by several goroutines.
 type Disk struct {
-	mutex   sync.Mutex
-	random  *rand.Rand
-	files   map[string]*inode // as processes see them
-	durable map[string]*inode // names that a sync of their folder covered
-	steps   int               // operations so far that change the disk
-	stopAt  int               // the step in whose midst the process is stopped; 0: none
-	stopped bool
-	full    bool
-	failing bool
-	noSync  bool
+	mutex        sync.Mutex
+	random       *rand.Rand
+	files        map[string]*inode // as processes see them
+	durable      map[string]*inode // names that a sync of their folder covered
+	steps        int               // operations so far that change the disk
+	stopAt       int               // the step in whose midst the process is stopped; 0: none
+	stopped      bool
+	full         bool
+	failing      bool
+	syncsFailing bool
 }
 
 var _ journal.FileSystem = (*Disk)(nil)
@@ -86,7 +86,7 @@
 func (d *Disk) SetSyncsFailing(failing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.noSync = failing
+	d.syncsFailing = failing
 }
 
 // Restart lets operations succeed again after the process was stopped, or has it stopped now. Files are as it left them.
@@ -98,7 +98,7 @@
 
 func (d *Disk) restart() {
 	d.stopped, d.stopAt = false, 0
-	d.full, d.failing, d.noSync = false, false, false
+	d.full, d.failing, d.syncsFailing = false, false, false
 }
 
 // LosePower is a loss of power, and the restart after it.
@@ -158,8 +158,8 @@
 	}
 }
 
-// step counts an operation that changes the disk. stops: the process is stopped in its midst.
-func (d *Disk) step() (stops bool, err error) {
+// countStep counts an operation that changes the disk. stops: the process is stopped in its midst.
+func (d *Disk) countStep() (stops bool, err error) {
 	if d.stopped {
 		return false, ErrStopped
 	}
@@ -199,7 +199,7 @@
 func (d *Disk) Create(path string) (journal.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	stops, err := d.step()
+	stops, err := d.countStep()
 	if err != nil && (!stops || d.random.IntN(2) == 0) {
 		return nil, err
 	}
@@ -221,11 +221,11 @@
 func (d *Disk) SyncDir(path string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	stops, err := d.step()
+	stops, err := d.countStep()
 	if err != nil && (!stops || d.random.IntN(2) == 0) {
 		return err
 	}
-	if d.failing || d.noSync {
+	if d.failing || d.syncsFailing {
 		return errFailing
 	}
 	for name, file := range d.files {
--- a/internal/node/journal/diskfault/disk_test.go
+++ b/internal/node/journal/diskfault/disk_test.go
@@ -37,7 +37,7 @@
 	assert.NilError(t, disk.SyncDir("/data/"))
 }
 
-func TestWritesWithoutASyncAreLost(t *testing.T) {
+func TestUnsyncedWritesAreLost(t *testing.T) {
 	disk := newDisk(1)
 	file := create(t, disk)
 	writeText(t, file, "synced", 0)
@@ -49,7 +49,7 @@
 	assert.Equal(t, string(disk.Content(path)), "synced")
 }
 
-func TestWritesWithoutASyncAreKeptLostOrTorn(t *testing.T) {
+func TestUnsyncedWritesAreKeptLostOrTorn(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(200) {
 		disk := newDisk(seed)
@@ -63,7 +63,7 @@
 	assert.DeepEqual(t, seen, map[string]bool{"aa": true, "bb": true, "ab": true, "ba": true})
 }
 
-func TestNamesWithoutASyncOfTheirFolder(t *testing.T) {
+func TestNamesOfUnsyncedDirectoryMayBeLost(t *testing.T) {
 	kept, gone := 0, 0
 	for seed := range uint64(100) {
 		disk := newDisk(seed)
@@ -83,7 +83,7 @@
 	assert.Assert(t, errors.Is(err, fs.ErrNotExist))
 }
 
-func TestAFailedSyncLeavesItsWritesInDoubt(t *testing.T) {
+func TestFailedSyncLeavesItsWritesUncertain(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(200) {
 		disk := newDisk(seed)
@@ -102,7 +102,7 @@
 	assert.DeepEqual(t, seen, map[string]bool{"a": true, "b": true})
 }
 
-func TestRefusedWrites(t *testing.T) {
+func TestFullAndFailingDisksRefuseWrites(t *testing.T) {
 	disk := newDisk(1)
 	file := create(t, disk)
 	disk.SetFull(true)
@@ -118,7 +118,7 @@
 	assert.Assert(t, errors.Is(disk.SyncDir("/data"), syscall.EIO))
 }
 
-func TestStopAt(t *testing.T) {
+func TestStopAtEndsProcessInMidOperation(t *testing.T) {
 	disk := newDisk(1)
 	file := create(t, disk)
 	writeText(t, file, "a", 0)
@@ -135,7 +135,7 @@
 	assert.NilError(t, err)
 }
 
-func TestWipe(t *testing.T) {
+func TestWipeRemovesFiles(t *testing.T) {
 	disk := newDisk(1)
 	makeDurable(t, disk, create(t, disk))
 	disk.Wipe()
--- a/internal/node/journal/diskfault/file.go
+++ b/internal/node/journal/diskfault/file.go
@@ -11,9 +11,9 @@
 	content []byte  // as processes see it
 	synced  []byte  // as of the last sync that succeeded
 	pending []write // since then, in order
-	// doubtful holds writes that a failed sync was to cover: a later sync does not cover them either, but settles what is
+	// uncertain holds writes that a failed sync was to cover: a later sync does not cover them either, but settles what is
 	// left of them under the writes that it does cover.
-	doubtful []write
+	uncertain []write
 }
 
 // write is one write to a file.
@@ -37,15 +37,15 @@
 // losePower decides what is left of the writes that no sync covered.
 func (f *inode) losePower(random *rand.Rand, loss Loss) {
 	if loss == SomeLost {
-		f.settle(random, f.doubtful)
-		f.settle(random, f.pending)
+		f.resolve(random, f.uncertain)
+		f.resolve(random, f.pending)
 	}
 	f.content = slices.Clone(f.synced)
-	f.pending, f.doubtful = nil, nil
+	f.pending, f.uncertain = nil, nil
 }
 
-// settle decides for each write whether it is kept, lost or torn.
-func (f *inode) settle(random *rand.Rand, writes []write) {
+// resolve decides for each write whether it is kept, lost or torn.
+func (f *inode) resolve(random *rand.Rand, writes []write) {
 	for _, w := range writes {
 		switch random.IntN(3) {
 		case 0: // missing
@@ -59,11 +59,11 @@
 
 // sync makes the pending writes durable.
 func (f *inode) sync(random *rand.Rand) {
-	f.settle(random, f.doubtful)
+	f.resolve(random, f.uncertain)
 	for _, w := range f.pending {
 		f.synced = apply(f.synced, w)
 	}
-	f.pending, f.doubtful = nil, nil
+	f.pending, f.uncertain = nil, nil
 }
 
 // tear keeps a part of a write: its beginning, its end or some sectors.
@@ -111,7 +111,7 @@
 func (h *handle) WriteAt(b []byte, offset int64) (int, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	stops, err := h.disk.step()
+	stops, err := h.disk.countStep()
 	n := len(b)
 	switch {
 	case stops:
@@ -145,12 +145,12 @@
 func (h *handle) Sync() error {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	stops, err := h.disk.step()
+	stops, err := h.disk.countStep()
 	if err != nil && (!stops || h.disk.random.IntN(2) == 0) {
 		return err
 	}
-	if h.disk.failing || h.disk.noSync {
-		h.inode.doubtful = append(h.inode.doubtful, h.inode.pending...)
+	if h.disk.failing || h.disk.syncsFailing {
+		h.inode.uncertain = append(h.inode.uncertain, h.inode.pending...)
 		h.inode.pending = nil
 		return errFailing
 	}
--- a/internal/node/journal/errors.go
+++ b/internal/node/journal/errors.go
@@ -7,8 +7,8 @@
 	namespace = errorx.NewNamespace("journal")
 	// Unreadable: what is on the disk can't be read, so that nothing is known of it.
 	Unreadable = namespace.NewType("unreadable")
-	// Unwritten: the disk refused a write or a sync. The same write may be tried again.
-	Unwritten = namespace.NewType("unwritten")
+	// WriteFailed: the disk refused a write or a sync. The same write may be tried again.
+	WriteFailed = namespace.NewType("unwritten")
 	// Full: no room is left for the records; a checkpoint makes room.
 	Full = namespace.NewType("full")
 	// TooLarge: the records of a checkpoint can't fit into a segment.
--- a/internal/node/journal/filesystem.go
+++ b/internal/node/journal/filesystem.go
@@ -33,11 +33,11 @@
 
 // The modes of what the journal makes.
 const (
-	folderMode = 0o755
-	fileMode   = 0o644
+	directoryMode = 0o755
+	fileMode      = 0o644
 )
 
-func (osFileSystem) MakeDir(path string) error { return os.MkdirAll(path, folderMode) }
+func (osFileSystem) MakeDir(path string) error { return os.MkdirAll(path, directoryMode) }
 
 func (osFileSystem) Open(path string) (File, error) { return openFile(path, os.O_RDWR) }
 
--- a/internal/node/journal/frame.go
+++ b/internal/node/journal/frame.go
@@ -53,8 +53,8 @@
 	h.PayloadSum = crc32.Checksum(payload, castagnoli)
 }
 
-// holds reports whether the payload is the one that the header was written for.
-func (h *frameHeader) holds(payload []byte) bool {
+// matches reports whether the payload is the one that the header was written for.
+func (h *frameHeader) matches(payload []byte) bool {
 	return crc32.Checksum(payload, castagnoli) == h.PayloadSum
 }
 
--- a/internal/node/journal/journal.go
+++ b/internal/node/journal/journal.go
@@ -33,7 +33,7 @@
 	// MaxBytes is the size of the disk, of which the journal uses at most half. Default 64 MiB.
 	MaxBytes int64
 	// FS is the disk; nil: the real one.
-	FS FileSystem
+	FileSystem FileSystem
 	// Random is what identities and numbers of attempts are drawn from; nil: the system's source of randomness.
 	Random io.Reader
 }
@@ -56,16 +56,16 @@
 	random   io.Reader
 	recovery Recovery
 
-	generation uint64   // the highest number ever used
-	attempt    uint64   // of the next write
-	current    *segment // holds the newest complete checkpoint; nil: none was written yet
-	next       int      // the segment that takes the next checkpoint
-	end        position // behind the last record in current that is known to be durable
+	generation     uint64   // the highest number ever used
+	attempt        uint64   // of the next write
+	currentSegment *segment // holds the newest complete checkpoint; nil: none was written yet
+	nextSegment    int      // the segment that takes the next checkpoint
+	end            position // behind the last record in current that is known to be durable
 	// checkpointEnd is the offset behind the checkpoint in current.
 	checkpointEnd int64
-	// unproved: what was recovered from current, from the offset unprovedFrom on, is not known to be durable.
-	unproved     bool
-	unprovedFrom int64
+	// unconfirmed: what was recovered from current, from the offset unprovedFrom on, is not known to be durable.
+	unconfirmed       bool
+	unconfirmedOffset int64
 
 	needsCheckpoint atomic.Bool
 	healthy         atomic.Bool
@@ -83,15 +83,15 @@
 		journal.healthy.Store(true)
 		return journal, nil, nil
 	}
-	if options.FS == nil {
-		options.FS = osFileSystem{}
+	if options.FileSystem == nil {
+		options.FileSystem = osFileSystem{}
 	}
 	if options.MaxBytes <= 0 {
 		options.MaxBytes = defaultDiskBytes
 	}
 	for number := range journal.segments {
 		limit := options.MaxBytes / diskShare / ringSegments
-		journal.segments[number] = newSegment(options.FS, options.Dir, number, limit)
+		journal.segments[number] = newSegment(options.FileSystem, options.Dir, number, limit)
 	}
 	journal.attempt = journal.randomNumber()
 	records, err := journal.recover()
@@ -99,7 +99,7 @@
 		_ = journal.Close()
 		return nil, nil, Unreadable.Wrap(err, "journal in %s", options.Dir)
 	}
-	journal.healthy.Store(journal.prepare() == nil) // a disk that refuses this is asked again at the next write
+	journal.healthy.Store(journal.repair() == nil) // a disk that refuses this is asked again at the next write
 	return journal, records, nil
 }
 
@@ -133,19 +133,19 @@
 	if j.inMemory() {
 		return nil
 	}
-	if err := j.prepare(); err != nil {
+	if err := j.repair(); err != nil {
 		j.healthy.Store(false)
-		return Unwritten.Wrap(err, "append")
+		return WriteFailed.Wrap(err, "append")
 	}
 	end := j.end.offset + framesBytes(records)
-	if end > j.current.limit {
+	if end > j.currentSegment.limit {
 		j.needsCheckpoint.Store(true)
-		return Full.New("append: %d bytes of %d are in use", j.end.offset, j.current.limit)
+		return Full.New("append: %d bytes of %d are in use", j.end.offset, j.currentSegment.limit)
 	}
 	if err := j.append(records, end); err != nil {
 		j.attempt = j.randomNumber()
 		j.healthy.Store(false)
-		return Unwritten.Wrap(err, "append")
+		return WriteFailed.Wrap(err, "append")
 	}
 	j.healthy.Store(true)
 	j.setNeedsCheckpoint()
@@ -156,11 +156,11 @@
 	if len(records) == 0 {
 		return nil
 	}
-	if err := j.current.preallocate(end); err != nil {
+	if err := j.currentSegment.preallocate(end); err != nil {
 		return err
 	}
-	written := newBatch(j.current, j.end, j.attempt)
-	if err := written.addRecords(records); err != nil {
+	written := newBatch(j.currentSegment, j.end, j.attempt)
+	if err := written.appendRecords(records); err != nil {
 		return err
 	}
 	if err := written.finish(); err != nil {
@@ -176,17 +176,17 @@
 	if j.inMemory() {
 		return nil
 	}
-	limit := j.segments[j.next].limit
+	limit := j.segments[j.nextSegment].limit
 	if bytes := headerBytes + startPayloadBytes + framesBytes(records); bytes > limit {
 		return TooLarge.New("checkpoint: %d bytes, and a segment has %d", bytes, limit)
 	}
-	err := j.prepare()
+	err := j.repair()
 	if err == nil {
-		err = j.checkpoint(j.segments[j.next], records)
+		err = j.checkpoint(j.segments[j.nextSegment], records)
 	}
 	j.healthy.Store(err == nil)
 	if err != nil {
-		return Unwritten.Wrap(err, "checkpoint")
+		return WriteFailed.Wrap(err, "checkpoint")
 	}
 	j.setNeedsCheckpoint()
 	return nil
@@ -194,7 +194,7 @@
 
 // checkpoint writes a generation of its own into the target, which then becomes the current segment.
 func (j *Journal) checkpoint(target *segment, records []core.Record) error {
-	target.doubtful = true
+	target.needsVoid = true
 	j.generation++
 	j.attempt = j.randomNumber()
 	if err := target.create(); err != nil {
@@ -205,36 +205,36 @@
 	}
 	written := newBatch(target, position{generation: j.generation}, j.attempt)
 	start := startPayload{Identity: j.identity, Records: uint32(len(records))}
-	if err := written.add(frameStart, 0, start.encode()); err != nil {
+	if err := written.appendFrame(frameStart, 0, start.encode()); err != nil {
 		return err
 	}
-	if err := written.addRecords(records); err != nil {
+	if err := written.appendRecords(records); err != nil {
 		return err
 	}
 	if err := written.finish(); err != nil {
 		return err
 	}
-	j.current, j.end, j.checkpointEnd = target, written.end, written.end.offset
-	j.next = (j.next + 1) % ringSegments
-	target.doubtful = false
+	j.currentSegment, j.end, j.checkpointEnd = target, written.end, written.end.offset
+	j.nextSegment = (j.nextSegment + 1) % ringSegments
+	target.needsVoid = false
 	return nil
 }
 
-// prepare makes sure that the disk holds one generation, the current one, and all of what is known of it.
-func (j *Journal) prepare() error {
-	if j.current == nil {
-		if err := j.checkpoint(j.segments[j.next], nil); err != nil {
+// repair makes sure that the disk holds one generation, the current one, and all of what is known of it.
+func (j *Journal) repair() error {
+	if j.currentSegment == nil {
+		if err := j.checkpoint(j.segments[j.nextSegment], nil); err != nil {
 			return err
 		}
 	}
-	if j.unproved {
-		if err := j.current.rewrite(j.unprovedFrom, j.end.offset); err != nil {
+	if j.unconfirmed {
+		if err := j.currentSegment.rewrite(j.unconfirmedOffset, j.end.offset); err != nil {
 			return err
 		}
-		j.unproved = false
+		j.unconfirmed = false
 	}
 	for _, segment := range j.segments {
-		if segment == j.current || !segment.doubtful {
+		if segment == j.currentSegment || !segment.needsVoid {
 			continue
 		}
 		if err := segment.void(); err != nil {
@@ -248,8 +248,8 @@
 func (j *Journal) setNeedsCheckpoint() {
 	appended := j.end.offset - j.checkpointEnd
 	much := appended >= max(minAppendedBytes, j.checkpointEnd)
-	left := j.current.limit - j.end.offset
-	short := appended > 0 && (left < j.current.limit/reserveShare || left < j.checkpointEnd/2)
+	left := j.currentSegment.limit - j.end.offset
+	short := appended > 0 && (left < j.currentSegment.limit/reserveShare || left < j.checkpointEnd/2)
 	j.needsCheckpoint.Store(much || short)
 }
 
--- a/internal/node/journal/journal_test.go
+++ b/internal/node/journal/journal_test.go
@@ -14,7 +14,7 @@
 	"kestrelspread/internal/node/journal/diskfault"
 )
 
-func TestInMemory(t *testing.T) {
+func TestJournalWithoutDirectoryKeepsNothing(t *testing.T) {
 	opened, records, err := journal.Open(journal.Options{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(records), 0)
@@ -26,7 +26,7 @@
 	assert.NilError(t, opened.Close())
 }
 
-func TestOnTheRealFileSystem(t *testing.T) {
+func TestRealFileSystemKeepsRecordsAndIdentity(t *testing.T) {
 	options := journal.Options{Dir: filepath.Join(t.TempDir(), "node"), MaxBytes: 64 << 20}
 	opened, records, err := journal.Open(options)
 	assert.NilError(t, err)
@@ -45,19 +45,19 @@
 	assert.Assert(t, again.Healthy())
 }
 
-func TestAFolderThatCanNotBeMade(t *testing.T) {
+func TestOpenReportsDirectoryThatCannotBeMade(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	assert.NilError(t, os.WriteFile(file, nil, 0o600))
 	_, _, err := journal.Open(journal.Options{Dir: filepath.Join(file, "node")})
 	assert.Assert(t, errorx.IsOfType(err, journal.Unreadable))
 }
 
-func TestLittleIsPreallocatedAtFirst(t *testing.T) {
-	folder := t.TempDir()
-	opened, _, err := journal.Open(journal.Options{Dir: folder, MaxBytes: 64 << 20})
+func TestFirstStartPreallocatesOneStep(t *testing.T) {
+	directory := t.TempDir()
+	opened, _, err := journal.Open(journal.Options{Dir: directory, MaxBytes: 64 << 20})
 	assert.NilError(t, err)
 	defer opened.Close()
-	entries, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(directory)
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 1)
 	info, err := entries[0].Info()
@@ -65,7 +65,7 @@
 	assert.Equal(t, info.Size(), int64(256<<10))
 }
 
-func TestNeedsCheckpoint(t *testing.T) {
+func TestNeedsCheckpointAfterEnoughAppends(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	assert.Assert(t, !opened.NeedsCheckpoint())
@@ -81,7 +81,7 @@
 	assert.Assert(t, !again.NeedsCheckpoint())
 }
 
-func TestAFullRing(t *testing.T) {
+func TestFullSegmentTakesRecordsAfterCheckpoint(t *testing.T) {
 	opened, _ := open(t, newDisk())
 	var err error
 	for err == nil {
@@ -105,7 +105,7 @@
 	assert.NilError(t, opened.Append([]core.Record{large}))
 }
 
-func TestATooLargeCheckpointLeavesTheState(t *testing.T) {
+func TestOversizedCheckpointLeavesState(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	assert.NilError(t, opened.Append(list("a")))
@@ -116,7 +116,7 @@
 	assertRecords(t, records, "a", "b")
 }
 
-func TestEmptyRecords(t *testing.T) {
+func TestEmptyRecordsAreRecovered(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	empty := []core.Record{{Kind: 1}, {Kind: 2, Data: []byte{}}}
@@ -126,8 +126,8 @@
 	assert.Assert(t, equalRecords(records, append(empty, empty...)))
 }
 
-// TestAnAppendIsOneWriteAndOneSync: the length of a preallocated file does not change.
-func TestAnAppendIsOneWriteAndOneSync(t *testing.T) {
+// TestAppendIsOneWriteAndOneSync: the length of a preallocated file does not change.
+func TestAppendIsOneWriteAndOneSync(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	before := disk.Steps()
--- a/internal/node/journal/model_test.go
+++ b/internal/node/journal/model_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	folder = "/data/node"
+	directory = "/data/node"
 	// smallDisk makes segments of 16 KiB, so that the ring goes round often.
 	smallDisk = 64 << 10
 )
@@ -25,23 +25,23 @@
 	durable []core.Record
 	// possible: writes that failed may have taken effect, in part where they were appended.
 	possible [][]core.Record
-	// held is what the running journal builds on; it differs from durable where a start could not prove what it read.
-	held []core.Record
+	// current is what the running journal builds on; it differs from durable where a start could not prove what it read.
+	current []core.Record
 	// identity, once it is known to be durable.
 	identity string
 }
 
 func (m *model) appended(records []core.Record, err error) {
-	after := concatenated(m.held, records)
+	after := concatenated(m.current, records)
 	switch {
 	case err != nil:
-		for n := len(m.held) + 1; n <= len(after); n++ {
+		for n := len(m.current) + 1; n <= len(after); n++ {
 			m.possible = append(m.possible, after[:n])
 		}
 	case len(records) > 0:
-		m.durable, m.held, m.possible = after, after, nil
+		m.durable, m.current, m.possible = after, after, nil
 	default:
-		m.durable = m.held
+		m.durable = m.current
 	}
 }
 
@@ -50,7 +50,7 @@
 		m.possible = append(m.possible, records)
 		return
 	}
-	m.durable, m.held, m.possible = records, records, nil
+	m.durable, m.current, m.possible = records, records, nil
 }
 
 // recovered checks what a start found.
@@ -65,7 +65,7 @@
 		allowed = allowed || equalRecords(records, other)
 	}
 	assert.Assert(t, allowed, "found %s, durable %s, possible %d\n%s", names(records), names(m.durable), len(m.possible), trace)
-	m.held = records
+	m.current = records
 	if opened.Healthy() {
 		m.durable, m.possible = records, nil
 		m.identity = opened.Identity()
@@ -106,8 +106,8 @@
 }
 
 // batch makes some records, mostly of the same few sizes: remains of one write then end where another does.
-func (m *recordMaker) batch(most int) []core.Record {
-	records := make([]core.Record, m.random.IntN(most+1))
+func (m *recordMaker) batch(maxRecords int) []core.Record {
+	records := make([]core.Record, m.random.IntN(maxRecords+1))
 	for i := range records {
 		m.made++
 		size := 8 * (1 + m.random.IntN(2))
@@ -144,7 +144,7 @@
 // start opens the journal; where the process is stopped meanwhile, it stays down.
 func (m *machine) start() {
 	m.t.Helper()
-	opened, records, err := journal.Open(journal.Options{Dir: folder, MaxBytes: smallDisk, FS: m.disk})
+	opened, records, err := journal.Open(journal.Options{Dir: directory, MaxBytes: smallDisk, FileSystem: m.disk})
 	if err != nil {
 		fmt.Fprint(m.trace, " start-failed")
 		return
--- a/internal/node/journal/reader.go
+++ b/internal/node/journal/reader.go
@@ -20,9 +20,9 @@
 	end     position // behind the last sound frame
 	// checkpointEnd is the offset behind the checkpoint, where it is complete.
 	checkpointEnd int64
-	// lastBatch is the offset of the first frame that was written together with the last one: those before it had been
+	// lastBatchOffset is the offset of the first frame that was written together with the last one: those before it had been
 	// durable by then.
-	lastBatch int64
+	lastBatchOffset int64
 }
 
 // position is a place in a generation: where its next frame goes.
@@ -57,7 +57,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if payload == nil || !read.end.precedes(header) {
+		if payload == nil || !read.end.isFollowedBy(header) {
 			return read, nil
 		}
 		read.records = append(read.records, core.Record{Kind: header.Kind, Data: payload})
@@ -65,8 +65,8 @@
 	}
 }
 
-// precedes reports whether a frame is the one that was written to follow this position.
-func (p *position) precedes(header frameHeader) bool {
+// isFollowedBy reports whether a frame is the one that was written to follow this position.
+func (p *position) isFollowedBy(header frameHeader) bool {
 	return header.Type == frameRecord &&
 		header.Generation == p.generation &&
 		header.Sequence == p.sequence &&
@@ -76,7 +76,7 @@
 // advance takes a frame as read.
 func (g *generation) advance(header frameHeader) {
 	if header.BatchStart == header.Sequence {
-		g.lastBatch = g.end.offset
+		g.lastBatchOffset = g.end.offset
 	}
 	g.end.advance(header)
 	if header.Sequence == uint64(g.start.Records) {
@@ -117,7 +117,7 @@
 		return frameHeader{}, nil, readFailure(err)
 	}
 	r.left -= int64(header.PayloadLength)
-	if !header.holds(payload) {
+	if !header.matches(payload) {
 		return frameHeader{}, nil, nil
 	}
 	return header, payload, nil
@@ -131,16 +131,16 @@
 	return err
 }
 
-// lost looks for frames that prove that something durable can't be read any more.
-type lost struct {
+// damageSearch looks for frames that prove that something durable can't be read any more.
+type damageSearch struct {
 	// Frames of generations from firstGeneration to lastGeneration count...
 	firstGeneration, lastGeneration uint64
 	// ...if what was durable when they were written reaches beyond the frame of this sequence, which is missing.
-	missing uint64
+	missingSequence uint64
 }
 
-// count counts such frames from an offset on, and gives the highest generation among them.
-func (l lost) count(source io.ReaderAt, from, size int64) (frames int, highest uint64, err error) {
+// countFrames counts such frames from an offset on, and gives the highest generation among them.
+func (l damageSearch) countFrames(source io.ReaderAt, from, size int64) (frames int, highest uint64, err error) {
 	encodedMagic := binary.LittleEndian.AppendUint32(nil, magic)
 	chunk := make([]byte, readBufferBytes)
 	for from+headerBytes <= size {
@@ -158,7 +158,7 @@
 				break
 			}
 			at += found
-			if header, sound := decodeHeader(read[at:]); sound && l.proves(header) {
+			if header, sound := decodeHeader(read[at:]); sound && l.provesDamage(header) {
 				frames++
 				highest = max(highest, header.Generation)
 			}
@@ -168,7 +168,7 @@
 	return frames, highest, nil
 }
 
-func (l lost) proves(header frameHeader) bool {
+func (l damageSearch) provesDamage(header frameHeader) bool {
 	return header.Generation >= l.firstGeneration && header.Generation <= l.lastGeneration &&
-		header.BatchStart > l.missing
+		header.BatchStart > l.missingSequence
 }
--- a/internal/node/journal/reader_test.go
+++ b/internal/node/journal/reader_test.go
@@ -40,7 +40,7 @@
 	return found
 }
 
-func TestHeaderCodec(t *testing.T) {
+func TestHeaderRoundTripAndCorruption(t *testing.T) {
 	header := frameHeader{
 		Type: frameRecord, Kind: 250, PayloadLength: 7, PayloadSum: 9, Generation: 1 << 60, Sequence: 11,
 		BatchStart: 10, Attempt: 1 << 63, PreviousAttempt: 1<<64 - 1,
@@ -60,8 +60,8 @@
 	assert.Assert(t, !sound)
 }
 
-// TestFramesThatDoNotFollow: each differs from the frame that is due in one respect.
-func TestFramesThatDoNotFollow(t *testing.T) {
+// TestReaderStopsAtFrameThatDoesNotFollow: each differs from the frame that is due in one respect.
+func TestReaderStopsAtFrameThatDoesNotFollow(t *testing.T) {
 	cases := map[string]func(*frameHeader){
 		"type":             func(h *frameHeader) { h.Type = frameStart },
 		"generation":       func(h *frameHeader) { h.Generation-- },
@@ -86,10 +86,10 @@
 	}
 }
 
-func TestReadUpToEachByte(t *testing.T) {
-	whole := newEncoded(4, 77, 2).add([]byte("s")).add(nil).add([]byte("abc")).bytes
-	for n := range len(whole) + 1 {
-		found := read(t, whole[:n])
+func TestReaderAcceptsTruncationAtEachByte(t *testing.T) {
+	complete := newEncoded(4, 77, 2).add([]byte("s")).add(nil).add([]byte("abc")).bytes
+	for n := range len(complete) + 1 {
+		found := read(t, complete[:n])
 		switch {
 		case n < headerBytes+startPayloadBytes:
 			assert.Assert(t, found == nil)
@@ -98,10 +98,10 @@
 			assert.Equal(t, found.complete(), len(found.records) >= 2)
 		}
 	}
-	assert.Equal(t, len(read(t, whole).records), 3)
+	assert.Equal(t, len(read(t, complete).records), 3)
 }
 
-func TestAStartFrameOfAnotherForm(t *testing.T) {
+func TestReaderRejectsMalformedStartFrame(t *testing.T) {
 	e := &encoded{header: frameHeader{Type: frameRecord, Generation: 1}}
 	assert.Assert(t, read(t, e.add(make([]byte, startPayloadBytes)).bytes) == nil)
 	e = &encoded{header: frameHeader{Type: frameStart, Generation: 1}}
@@ -110,7 +110,7 @@
 	assert.Assert(t, read(t, e.add(make([]byte, startPayloadBytes)).bytes) == nil)
 }
 
-func TestCountOfLostFrames(t *testing.T) {
+func TestDamageSearchCountsProvingFrames(t *testing.T) {
 	e := newEncoded(4, 77, 0)
 	for sequence := uint64(1); sequence <= 5; sequence++ {
 		e.header.BatchStart = sequence
@@ -118,16 +118,16 @@
 	}
 	size := int64(len(e.bytes))
 	cases := []struct {
-		search lost
+		search damageSearch
 		frames int
 	}{
-		{lost{firstGeneration: 4, lastGeneration: 4, missing: 0}, 5},
-		{lost{firstGeneration: 1, lastGeneration: 9, missing: 3}, 2},
-		{lost{firstGeneration: 4, lastGeneration: 4, missing: 5}, 0},
-		{lost{firstGeneration: 5, lastGeneration: 9, missing: 0}, 0},
+		{damageSearch{firstGeneration: 4, lastGeneration: 4, missingSequence: 0}, 5},
+		{damageSearch{firstGeneration: 1, lastGeneration: 9, missingSequence: 3}, 2},
+		{damageSearch{firstGeneration: 4, lastGeneration: 4, missingSequence: 5}, 0},
+		{damageSearch{firstGeneration: 5, lastGeneration: 9, missingSequence: 0}, 0},
 	}
 	for _, c := range cases {
-		frames, highest, err := c.search.count(bytes.NewReader(e.bytes), 0, size)
+		frames, highest, err := c.search.countFrames(bytes.NewReader(e.bytes), 0, size)
 		assert.NilError(t, err)
 		assert.Equal(t, frames, c.frames)
 		assert.Equal(t, highest > 0, c.frames > 0)
@@ -150,8 +150,8 @@
 		assert.Equal(t, found.end.offset, headerBytes+startPayloadBytes+framesBytes(records))
 		again := read(t, content[:found.end.offset])
 		assert.Equal(t, len(again.records), len(found.records))
-		search, from := searchFor(found, nil)
-		_, _, err := search.count(bytes.NewReader(content), from, int64(len(content)))
+		search, from := damageSearchFor(found, nil)
+		_, _, err := search.countFrames(bytes.NewReader(content), from, int64(len(content)))
 		assert.NilError(t, err)
 	})
 }
--- a/internal/node/journal/recover.go
+++ b/internal/node/journal/recover.go
@@ -8,7 +8,7 @@
 
 // recover reads the ring and takes over its newest complete generation.
 func (j *Journal) recover() ([]core.Record, error) {
-	var held [ringSegments]*generation
+	var generations [ringSegments]*generation
 	newest := -1 // index of the segment with the newest complete generation
 	for i, segment := range j.segments {
 		if err := segment.open(); err != nil {
@@ -21,26 +21,26 @@
 		if err != nil {
 			return nil, err
 		}
-		held[i] = read
+		generations[i] = read
 		if read == nil {
 			continue
 		}
 		j.generation = max(j.generation, read.end.generation)
-		if read.complete() && (newest < 0 || read.end.generation > held[newest].end.generation) {
+		if read.complete() && (newest < 0 || read.end.generation > generations[newest].end.generation) {
 			newest = i
 		}
 	}
 	var found *generation
 	if newest >= 0 {
-		found = held[newest]
+		found = generations[newest]
 	}
-	damagedSegment, err := j.findDamage(held, found)
+	damagedSegment, err := j.findDamage(generations, found)
 	if err != nil {
 		return nil, err
 	}
 	switch {
 	case j.recovery.Damaged:
-		j.next = (damagedSegment + 1) % ringSegments // the damaged one is kept until the new one is durable
+		j.nextSegment = (damagedSegment + 1) % ringSegments // the damaged one is kept until the new one is durable
 		j.identity = j.newIdentity()
 		return nil, nil
 	case found == nil:
@@ -54,31 +54,31 @@
 // takeOver goes on from a generation that was read.
 func (j *Journal) takeOver(index int, found *generation) {
 	j.identity = found.start.Identity
-	j.current, j.next = j.segments[index], (index+1)%ringSegments
+	j.currentSegment, j.nextSegment = j.segments[index], (index+1)%ringSegments
 	j.end, j.checkpointEnd = found.end, found.checkpointEnd
 	j.recovery.Generation = found.end.generation
 	j.recovery.Records = len(found.records)
 	// After a kill its last batch may stand in the system's memory only; if its sync had failed, a sync of the same bytes
 	// would prove nothing.
-	j.unproved, j.unprovedFrom = true, found.lastBatch
-	j.current.doubtful = false
+	j.unconfirmed, j.unconfirmedOffset = true, found.lastBatchOffset
+	j.currentSegment.needsVoid = false
 	j.setNeedsCheckpoint()
 }
 
 // findDamage looks for what had been durable and can't be read: frames behind the end of the newest generation that
 // were written after frames missing before them had been durable, and such frames of still newer generations.
 // It gives the index of the segment where it found any.
-func (j *Journal) findDamage(held [ringSegments]*generation, found *generation) (int, error) {
+func (j *Journal) findDamage(generations [ringSegments]*generation, found *generation) (int, error) {
 	damagedSegment := 0
 	for i, segment := range j.segments {
 		if segment.file == nil {
 			continue
 		}
-		search, from := searchFor(held[i], found)
+		search, from := damageSearchFor(generations[i], found)
 		if search == nil {
 			continue
 		}
-		frames, highest, err := search.count(segment.file, from, segment.size)
+		frames, highest, err := search.countFrames(segment.file, from, segment.size)
 		if err != nil {
 			return 0, err
 		}
@@ -95,18 +95,18 @@
 	return damagedSegment, nil
 }
 
-// searchFor says what would prove damage in a segment that holds read, and from which offset on; nil: nothing would.
-func searchFor(read, found *generation) (*lost, int64) {
+// damageSearchFor says what would prove damage in a segment that holds read, and from which offset on; nil: nothing would.
+func damageSearchFor(read, found *generation) (*damageSearch, int64) {
 	newest := uint64(0)
 	if found != nil {
 		newest = found.end.generation
 	}
 	switch {
 	case read == nil:
-		return &lost{firstGeneration: newest + 1, lastGeneration: math.MaxUint64, missing: 0}, 0
+		return &damageSearch{firstGeneration: newest + 1, lastGeneration: math.MaxUint64, missingSequence: 0}, 0
 	case read.end.generation >= newest:
 		own := read.end.generation
-		return &lost{firstGeneration: own, lastGeneration: own, missing: read.end.sequence}, read.end.offset
+		return &damageSearch{firstGeneration: own, lastGeneration: own, missingSequence: read.end.sequence}, read.end.offset
 	default:
 		return nil, 0 // an older generation, which was given up
 	}
--- a/internal/node/journal/recover_test.go
+++ b/internal/node/journal/recover_test.go
@@ -23,7 +23,7 @@
 
 func open(t *testing.T, disk *diskfault.Disk) (*journal.Journal, []core.Record) {
 	t.Helper()
-	opened, records, err := journal.Open(journal.Options{Dir: folder, MaxBytes: smallDisk, FS: disk})
+	opened, records, err := journal.Open(journal.Options{Dir: directory, MaxBytes: smallDisk, FileSystem: disk})
 	assert.NilError(t, err)
 	return opened, records
 }
@@ -58,9 +58,9 @@
 	assert.NilError(t, file.Sync())
 }
 
-func segmentPath(number string) string { return filepath.Join(folder, "journal-"+number) }
+func segmentPath(number string) string { return filepath.Join(directory, "journal-"+number) }
 
-func TestAppendedRecordsComeBackInOrder(t *testing.T) {
+func TestAppendedRecordsAreRecoveredInOrder(t *testing.T) {
 	disk := newDisk()
 	opened, records := open(t, disk)
 	assertRecords(t, records)
@@ -78,7 +78,7 @@
 	assertRecords(t, records, "a", "b", "c", "d")
 }
 
-func TestACheckpointReplacesWhatWasBefore(t *testing.T) {
+func TestCheckpointReplacesEarlierRecords(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	for range 5 {
@@ -94,7 +94,7 @@
 	assertRecords(t, records)
 }
 
-func TestIdentityLastsAsLongAsTheDisk(t *testing.T) {
+func TestIdentityIsKeptUntilDiskIsWiped(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	identity := opened.Identity()
@@ -111,7 +111,7 @@
 	assert.Assert(t, opened.Identity() != identity)
 }
 
-func TestAFullDiskAtTheFirstStart(t *testing.T) {
+func TestFullDiskAtFirstStart(t *testing.T) {
 	disk := newDisk()
 	disk.SetFull(true)
 	opened, records := open(t, disk)
@@ -130,7 +130,7 @@
 	assert.Equal(t, again.Identity(), opened.Identity())
 }
 
-func TestAFullDiskAtALaterStart(t *testing.T) {
+func TestFullDiskAtLaterStart(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	assert.NilError(t, opened.Append(list("a")))
@@ -145,9 +145,9 @@
 	assert.Assert(t, opened.Healthy())
 }
 
-// TestRemainsOfALostBatchAreNotRead: of a batch that a loss of power tore, the second record is left, and the first is
+// TestRemainsOfLostBatchAreNotRead: of a batch that a loss of power tore, the second record is left, and the first is
 // written again in the same length, by the next start.
-func TestRemainsOfALostBatchAreNotRead(t *testing.T) {
+func TestRemainsOfLostBatchAreNotRead(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	assert.NilError(t, opened.Append(list("a")))
@@ -163,8 +163,8 @@
 	assertRecords(t, records, "a", "b")
 }
 
-// TestRemainsOfAFailedAppendAreNotRead is the same within one life of the process.
-func TestRemainsOfAFailedAppendAreNotRead(t *testing.T) {
+// TestRemainsOfFailedAppendAreNotRead is the same within one life of the process.
+func TestRemainsOfFailedAppendAreNotRead(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	assert.NilError(t, opened.Append(list("a")))
@@ -176,9 +176,9 @@
 	assertRecords(t, records, "a", "b")
 }
 
-// TestRecordsFoundAfterAFailedSyncAreMadeDurable: the process is killed after a sync failed; its successor reads the
+// TestRecordsFoundAfterFailedSyncAreMadeDurable: the process is killed after a sync failed; its successor reads the
 // records from the system's memory, and a sync alone would not bring them to the disk.
-func TestRecordsFoundAfterAFailedSyncAreMadeDurable(t *testing.T) {
+func TestRecordsFoundAfterFailedSyncAreMadeDurable(t *testing.T) {
 	for seed := range uint64(20) {
 		disk := diskfault.New(rand.New(rand.NewPCG(seed, 2)))
 		opened, _ := open(t, disk)
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestAFailedCheckpointDoesNotHideLaterRecords: a checkpoint whose sync failed is whole on the disk all the same.
-func TestAFailedCheckpointDoesNotHideLaterRecords(t *testing.T) {
+// TestFailedCheckpointDoesNotHideLaterRecords: a checkpoint whose sync failed is whole on the disk all the same.
+func TestFailedCheckpointDoesNotHideLaterRecords(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	assert.NilError(t, opened.Append(list("a")))
@@ -210,9 +210,9 @@
 	assertRecords(t, records, "a", "b")
 }
 
-// TestAFailedCheckpointDoesNotComeBackAfterAKill: it was overwritten in the system's memory, but not on the disk; the
+// TestFailedCheckpointDoesNotReappearAfterKill: it was overwritten in the system's memory, but not on the disk; the
 // next process sees the former only, and a loss of power brings the latter back.
-func TestAFailedCheckpointDoesNotComeBackAfterAKill(t *testing.T) {
+func TestFailedCheckpointDoesNotReappearAfterKill(t *testing.T) {
 	for seed := range uint64(100) {
 		disk := diskfault.New(rand.New(rand.NewPCG(seed, 4)))
 		opened, _ := open(t, disk)
@@ -231,9 +231,9 @@
 	}
 }
 
-// TestARecordThatWasNotFoundDoesNotComeBack: behind the last sound record stands one in the system's memory that another
+// TestRecordThatWasNotFoundDoesNotReappear: behind the last sound record stands one in the system's memory that another
 // failed write overlaps, and that is whole on the disk.
-func TestARecordThatWasNotFoundDoesNotComeBack(t *testing.T) {
+func TestRecordThatWasNotFoundDoesNotReappear(t *testing.T) {
 	frame := int64(headerBytes + 8)
 	for seed := range uint64(100) {
 		disk := diskfault.New(rand.New(rand.NewPCG(seed, 5)))
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestDamageBeforeDurableRecords(t *testing.T) {
+func TestDamageBeforeDurableRecordsIsDetected(t *testing.T) {
 	frame := int64(headerBytes + 8)
 	cases := []struct {
 		name    string
@@ -293,8 +293,8 @@
 	}
 }
 
-// TestACrashWhileADamagedJournalBeginsAnew: the state before the damage, with its identity, never comes back.
-func TestACrashWhileADamagedJournalBeginsAnew(t *testing.T) {
+// TestCrashDuringResetOfDamagedJournal: the state before the damage, with its identity, never comes back.
+func TestCrashDuringResetOfDamagedJournal(t *testing.T) {
 	for step := 1; step < 12; step++ {
 		for seed := range uint64(10) {
 			disk := diskfault.New(rand.New(rand.NewPCG(seed, 3)))
@@ -304,7 +304,7 @@
 			assert.NilError(t, opened.Append(list("a")))
 			disk.Damage(segmentPath("1"), 5)
 			disk.StopAt(disk.Steps() + step)
-			_, _, _ = journal.Open(journal.Options{Dir: folder, MaxBytes: smallDisk, FS: disk})
+			_, _, _ = journal.Open(journal.Options{Dir: directory, MaxBytes: smallDisk, FileSystem: disk})
 			disk.LosePower(diskfault.SomeLost)
 			again, records := open(t, disk)
 			assertRecords(t, records)
@@ -313,7 +313,7 @@
 	}
 }
 
-func TestATornTailIsNoDamage(t *testing.T) {
+func TestTornTailIsNotDamage(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	assert.NilError(t, opened.Append(list("a")))
@@ -343,11 +343,11 @@
 	assertRecords(t, records, "a")
 }
 
-func TestADiskThatCanNotBeRead(t *testing.T) {
+func TestOpenReportsUnreadableDisk(t *testing.T) {
 	disk := newDisk()
 	disk.StopAt(1)
 	_, err := disk.Create(segmentPath("0"))
 	assert.Assert(t, err != nil)
-	_, _, err = journal.Open(journal.Options{Dir: folder, FS: disk})
+	_, _, err = journal.Open(journal.Options{Dir: directory, FileSystem: disk})
 	assert.ErrorContains(t, err, "unreadable")
 }
--- a/internal/node/journal/segment.go
+++ b/internal/node/journal/segment.go
@@ -20,21 +20,21 @@
 // segment is one file of the ring.
 type segment struct {
 	fileSystem FileSystem
-	folder     string
+	directory  string
 	path       string
 	limit      int64 // the greatest size
 	file       File  // nil: not there yet
 	size       int64 // how much was preallocated
 	nameSynced bool  // the folder was synced after the file was made
-	// doubtful: the disk may hold a generation here that must not be found: a checkpoint that failed may stand there
+	// needsVoid: the disk may hold a generation here that must not be found: a checkpoint that failed may stand there
 	// whole all the same. At a start this goes for every segment but the current one, whatever was read from it: after
 	// a failed sync the system's memory and the disk differ, and a kill of the process leaves it at that.
-	doubtful bool
+	needsVoid bool
 }
 
-func newSegment(fileSystem FileSystem, folder string, number int, limit int64) *segment {
+func newSegment(fileSystem FileSystem, directory string, number int, limit int64) *segment {
 	name := "journal-" + strconv.Itoa(number)
-	return &segment{fileSystem: fileSystem, folder: folder, path: filepath.Join(folder, name), limit: limit}
+	return &segment{fileSystem: fileSystem, directory: directory, path: filepath.Join(directory, name), limit: limit}
 }
 
 // open opens the file if there is one.
@@ -50,7 +50,7 @@
 	if err != nil {
 		return errors.Join(err, file.Close())
 	}
-	s.file, s.size, s.doubtful = file, size, true
+	s.file, s.size, s.needsVoid = file, size, true
 	return nil
 }
 
@@ -59,7 +59,7 @@
 	if s.file != nil {
 		return nil
 	}
-	if err := s.fileSystem.MakeDir(s.folder); err != nil {
+	if err := s.fileSystem.MakeDir(s.directory); err != nil {
 		return err
 	}
 	file, err := s.fileSystem.Create(s.path)
@@ -100,7 +100,7 @@
 	if s.nameSynced {
 		return nil
 	}
-	if err := s.fileSystem.SyncDir(s.folder); err != nil {
+	if err := s.fileSystem.SyncDir(s.directory); err != nil {
 		return err
 	}
 	s.nameSynced = true
@@ -117,7 +117,7 @@
 			return err
 		}
 	}
-	s.doubtful = false
+	s.needsVoid = false
 	return nil
 }
 
--- a/internal/node/journal/writer.go
+++ b/internal/node/journal/writer.go
@@ -15,8 +15,8 @@
 	maxBatchBytes = 1 << 20
 )
 
-// log is what a Writer writes to: a Journal.
-type log interface {
+// recordLog is what a Writer writes to: a Journal.
+type recordLog interface {
 	Append(records []core.Record) error
 	Checkpoint(records []core.Record) error
 }
@@ -28,42 +28,42 @@
 // submits calls Resume once the failure has been told to the state machine, from the goroutine that submits; what is
 // submitted from then on is tried again.
 type Writer struct {
-	log   log
-	done  func(token uint64, err error)
-	pause func(time.Duration) // waits, or returns at once when the writer closes
-
-	mutex   sync.Mutex
-	changed *sync.Cond // queue or closing
-	queue   []queuedWrite
-	epoch   uint64 // how often Resume was called
-	closing bool
-
-	ended chan struct{}
-	quit  chan struct{} // closed when pauses are to end
-	// skipBelow: writes of earlier epochs than this are not tried. Used by the writer's goroutine alone.
-	skipBelow uint64
-	// failedLast: the disk refused the newest write that was tried. Used by the writer's goroutine alone.
-	failedLast bool
+	log      recordLog
+	onResult func(token uint64, err error)
+	backoff  func(time.Duration) // waits, or returns at once when the writer closes
+
+	mutex       sync.Mutex
+	changed     *sync.Cond // queue or closing
+	queue       []queuedWrite
+	resumeCount uint64 // how often Resume was called
+	closing     bool
+
+	stopped chan struct{}
+	closed  chan struct{} // closed when pauses are to end
+	// minResumeCount: writes of earlier epochs than this are not tried. Used by the writer's goroutine alone.
+	minResumeCount uint64
+	// lastWriteFailed: the disk refused the newest write that was tried. Used by the writer's goroutine alone.
+	lastWriteFailed bool
 }
 
 // queuedWrite is a write with the epoch of its submission.
 type queuedWrite struct {
 	core.Write
-	epoch uint64
+	resumeCount uint64
 }
 
 // NewWriter starts a writer. done is called on the writer's goroutine with the end of each write, in order; it must
 // neither block nor submit.
-func NewWriter(journal *Journal, done func(token uint64, err error)) *Writer {
-	w := newWriter(journal, done)
+func NewWriter(journal *Journal, onResult func(token uint64, err error)) *Writer {
+	w := newWriter(journal, onResult)
 	go w.run()
 	return w
 }
 
-func newWriter(target log, done func(token uint64, err error)) *Writer {
-	w := &Writer{log: target, done: done, ended: make(chan struct{}), quit: make(chan struct{})}
+func newWriter(target recordLog, onResult func(token uint64, err error)) *Writer {
+	w := &Writer{log: target, onResult: onResult, stopped: make(chan struct{}), closed: make(chan struct{})}
 	w.changed = sync.NewCond(&w.mutex)
-	w.pause = w.sleep
+	w.backoff = w.sleep
 	return w
 }
 
@@ -71,7 +71,7 @@
 func (w *Writer) Submit(write core.Write) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.queue = append(w.queue, queuedWrite{Write: write, epoch: w.epoch})
+	w.queue = append(w.queue, queuedWrite{Write: write, resumeCount: w.resumeCount})
 	w.changed.Signal()
 }
 
@@ -79,7 +79,7 @@
 func (w *Writer) Resume() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.epoch++
+	w.resumeCount++
 }
 
 // Close lets the queued writes be carried out, and returns when they are or when ctx ends. Writes that are submitted
@@ -88,12 +88,12 @@
 	w.mutex.Lock()
 	if !w.closing {
 		w.closing = true
-		close(w.quit)
+		close(w.closed)
 	}
 	w.changed.Signal()
 	w.mutex.Unlock()
 	select {
-	case <-w.ended:
+	case <-w.stopped:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -101,22 +101,22 @@
 }
 
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	for {
-		queued := w.take()
+		queued := w.dequeue()
 		if len(queued) == 0 {
 			return
 		}
 		for len(queued) > 0 {
 			n := batchLength(queued)
-			w.carryOut(queued[:n])
+			w.writeAndReport(queued[:n])
 			queued = queued[n:]
 		}
 	}
 }
 
-// take waits for writes and returns all that are queued; none: the writer closes.
-func (w *Writer) take() []queuedWrite {
+// dequeue waits for writes and returns all that are queued; none: the writer closes.
+func (w *Writer) dequeue() []queuedWrite {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for len(w.queue) == 0 && !w.closing {
@@ -137,28 +137,28 @@
 	bytes := framesBytes(first.Records)
 	for i, write := range queued[1:] {
 		bytes += framesBytes(write.Records)
-		if write.Checkpoint || write.epoch != first.epoch || bytes > maxBatchBytes {
+		if write.Checkpoint || write.resumeCount != first.resumeCount || bytes > maxBatchBytes {
 			return i + 1
 		}
 	}
 	return len(queued)
 }
 
-// carryOut writes a batch and reports it.
-func (w *Writer) carryOut(batch []queuedWrite) {
+// writeAndReport writes a batch and reports it.
+func (w *Writer) writeAndReport(batch []queuedWrite) {
 	err := w.write(batch)
 	for _, write := range batch {
-		w.done(write.Token, err)
+		w.onResult(write.Token, err)
 	}
 }
 
 func (w *Writer) write(batch []queuedWrite) error {
-	epoch := batch[0].epoch
-	if epoch < w.skipBelow {
+	epoch := batch[0].resumeCount
+	if epoch < w.minResumeCount {
 		return Skipped.New("a write before this one failed")
 	}
-	if w.failedLast {
-		w.pause(retryDelay)
+	if w.lastWriteFailed {
+		w.backoff(retryDelay)
 	}
 	var err error
 	if batch[0].Checkpoint {
@@ -166,9 +166,9 @@
 	} else {
 		err = w.log.Append(recordsOf(batch))
 	}
-	w.failedLast = err != nil
-	if w.failedLast {
-		w.skipBelow = epoch + 1
+	w.lastWriteFailed = err != nil
+	if w.lastWriteFailed {
+		w.minResumeCount = epoch + 1
 	}
 	return err
 }
@@ -189,6 +189,6 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-w.quit:
+	case <-w.closed:
 	}
 }
--- a/internal/node/journal/writer_test.go
+++ b/internal/node/journal/writer_test.go
@@ -51,7 +51,7 @@
 	w.writer = newWriter(w.log, func(token uint64, err error) {
 		w.ends <- fmt.Sprintf("%d %s", token, outcome(err))
 	})
-	w.writer.pause = func(delay time.Duration) { w.pauses <- delay }
+	w.writer.backoff = func(delay time.Duration) { w.pauses <- delay }
 	go w.writer.run()
 	t.Cleanup(func() {
 		close(w.log.answers)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestWritesThatWaitShareASync(t *testing.T) {
+func TestQueuedWritesShareOneSync(t *testing.T) {
 	w := newWriterWorld(t)
 	w.submit(1, false)
 	w.called("append 1")
@@ -113,7 +113,7 @@
 	large := queuedWrite{Write: core.Write{Records: []core.Record{{Data: make([]byte, maxBatchBytes/2)}}}}
 	small := queuedWrite{Write: core.Write{Records: []core.Record{{Data: make([]byte, 10)}}}}
 	later := small
-	later.epoch = 1
+	later.resumeCount = 1
 	checkpoint := small
 	checkpoint.Checkpoint = true
 	cases := []struct {
@@ -156,8 +156,8 @@
 	assert.Equal(t, len(w.pauses), 0)
 }
 
-// TestAResumeBetweenTwoSubmissions: what was submitted before it is skipped, what comes after is tried.
-func TestAResumeBetweenTwoSubmissions(t *testing.T) {
+// TestResumeBetweenTwoSubmissions: what was submitted before it is skipped, what comes after is tried.
+func TestResumeBetweenTwoSubmissions(t *testing.T) {
 	w := newWriterWorld(t)
 	w.submit(1, false)
 	w.called("append 1")
@@ -171,7 +171,7 @@
 	w.ended("3 refused")
 }
 
-func TestCloseCarriesOutWhatIsQueued(t *testing.T) {
+func TestCloseCompletesQueuedWrites(t *testing.T) {
 	w := newWriterWorld(t)
 	w.submit(1, false)
 	w.called("append 1")
@@ -185,14 +185,14 @@
 	w.ended("1 written", "2 written")
 }
 
-func TestClosingEndsAPause(t *testing.T) {
+func TestCloseEndsBackoff(t *testing.T) {
 	w := newWriter(newFakeLog(), nil)
 	go w.run()
 	assert.NilError(t, w.Close(t.Context()))
 	w.sleep(time.Hour)
 }
 
-func TestWriterOnAJournal(t *testing.T) {
+func TestWriterAppendsToJournalInOrder(t *testing.T) {
 	options := Options{Dir: t.TempDir()}
 	opened, _, err := Open(options)
 	assert.NilError(t, err)
--- a/internal/rig/faultrun/machine.go
+++ b/internal/rig/faultrun/machine.go
@@ -136,7 +136,7 @@
 			return
 		}
 		opened, records, err := journal.Open(journal.Options{
-			Dir: "/data", MaxBytes: diskBytes, FS: m.disk, Random: chanceReader{w.random},
+			Dir: "/data", MaxBytes: diskBytes, FileSystem: m.disk, Random: chanceReader{w.random},
 		})
 		if err == nil && !opened.Healthy() {
 			err = opened.Append(nil)
