--- a/internal/node/control/duty.go
+++ b/internal/node/control/duty.go
@@ -70,9 +70,9 @@
 func (n *Node) carryOutDuty(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.MarkLoading:
-		n.carryOut(now, n.registry.SetLoading(now, output.InstanceID, output.Fence))
+		n.carryOut(now, n.registry.SetLoading(now, output.InstanceID, output.FencingToken))
 	case core.LoadingConfirmed:
-		if output.Fence != 0 {
+		if output.FencingToken != 0 {
 			n.rollout.MarkDone(now, output.InstanceID)
 			n.stepRollout(now, true)
 		}
--- a/internal/node/core/registry.go
+++ b/internal/node/core/registry.go
@@ -14,7 +14,7 @@
 // LoadingConfirmed reports the replication of a broker's loading mark to the other nodes: see registry.SetLoading.
 type LoadingConfirmed struct {
 	InstanceID string
-	Fence      uint64 // fencing token of the mark; 0: the mark was removed
+	FencingToken      uint64 // fencing token of the mark; 0: the mark was removed
 	// Everywhere: all reachable nodes have acknowledged the mark. Otherwise the time for that has run out.
 	Everywhere bool
 }
--- a/internal/node/core/rollout.go
+++ b/internal/node/core/rollout.go
@@ -23,7 +23,7 @@
 // shell reports by MarkDone that all reachable nodes have acknowledged the mark.
 type MarkLoading struct {
 	InstanceID string
-	Fence      uint64 // fencing token of the mark; 0 removes it
+	FencingToken      uint64 // fencing token of the mark; 0 removes it
 }
 
 // VersionLoaded reports that a broker now has a version of the weights of a model.
--- a/internal/node/registry/loading.go
+++ b/internal/node/registry/loading.go
@@ -10,7 +10,7 @@
 func (r *Registry) SetLoading(now core.Time, id string, fence uint64) []core.Output {
 	rec := r.records[id]
 	if rec == nil || rec.gone() {
-		r.output(core.LoadingConfirmed{InstanceID: id, Fence: fence})
+		r.output(core.LoadingConfirmed{InstanceID: id, FencingToken: fence})
 		return r.takeOutputs()
 	}
 	rec.revision++ // also where nothing changes here: others may hold another mark under the same revision
@@ -18,7 +18,7 @@
 	r.place(now, rec, r.topics[keyOf(rec.told)])
 	r.watchExpiry(rec)
 	pending := r.startSpread(now, []string{id}, now+confirmLimit)
-	pending.marks = append(pending.marks, core.LoadingConfirmed{InstanceID: id, Fence: fence})
+	pending.marks = append(pending.marks, core.LoadingConfirmed{InstanceID: id, FencingToken: fence})
 	r.settle(now, pending)
 	return r.takeOutputs()
 }
--- a/internal/node/registry/merge_test.go
+++ b/internal/node/registry/merge_test.go
@@ -168,7 +168,7 @@
 				holder.marks = nil
 				holder.Do(func(now core.Time) []core.Output { return holder.registry.SetLoading(now, "1", fence) })
 				w.within(time.Second, "confirmed", func() bool { return len(holder.marks) > 0 })
-				assert.Equal(t, holder.marks[0], core.LoadingConfirmed{InstanceID: "1", Fence: fence, Everywhere: true})
+				assert.Equal(t, holder.marks[0], core.LoadingConfirmed{InstanceID: "1", FencingToken: fence, Everywhere: true})
 				assert.Assert(t, w.everyoneHas("1", func(i *Instance) bool { return i.Loading == (fence != 0) }))
 			}
 		})
@@ -208,7 +208,7 @@
 
 func TestLoadingMarkOfAnUnknownBroker(t *testing.T) {
 	outputs := single().SetLoading(0, "unknown", 41)
-	assert.DeepEqual(t, outputs, []core.Output{core.LoadingConfirmed{InstanceID: "unknown", Fence: 41}})
+	assert.DeepEqual(t, outputs, []core.Output{core.LoadingConfirmed{InstanceID: "unknown", FencingToken: 41}})
 }
 
 func TestForgottenLoadingMarkFallsByItself(t *testing.T) {
--- a/internal/node/rollout/holder_test.go
+++ b/internal/node/rollout/holder_test.go
@@ -65,7 +65,7 @@
 		case core.SendOrder:
 			d.orders = append(d.orders, output)
 		case core.MarkLoading:
-			d.marks[output.InstanceID] = output.Fence
+			d.marks[output.InstanceID] = output.FencingToken
 			d.machine.MarkDone(d.now, output.InstanceID)
 		case core.FetchReport:
 			if d.report != nil {
--- a/internal/node/rollout/rollout.go
+++ b/internal/node/rollout/rollout.go
@@ -184,7 +184,7 @@
 	b.marked = true
 	b.markedAt = now
 	b.nextAt = now + markTimeout
-	return append(outputs, core.MarkLoading{InstanceID: b.instance.Id, Fence: r.holder.fence})
+	return append(outputs, core.MarkLoading{InstanceID: b.instance.Id, FencingToken: r.holder.fence})
 }
 
 // unmark puts a broker back into service.
--- a/internal/node/rollout/world_test.go
+++ b/internal/node/rollout/world_test.go
@@ -235,7 +235,7 @@
 			n.later(w.delay(), func() { n.askReport(output) })
 		case core.MarkLoading:
 			n.later(w.delay(), func() {
-				w.broker(output.InstanceID).fence = output.Fence
+				w.broker(output.InstanceID).fence = output.FencingToken
 				for _, other := range w.nodes {
 					other.hear(w.delay(), other.step)
 				}
