--- a/internal/node/core/registry.go
+++ b/internal/node/core/registry.go
@@ -13,8 +13,8 @@
 
 // LoadingConfirmed reports the replication of a broker's loading mark to the other nodes: see registry.SetLoading.
 type LoadingConfirmed struct {
-	InstanceID string
-	FencingToken      uint64 // fencing token of the mark; 0: the mark was removed
+	InstanceID   string
+	FencingToken uint64 // fencing token of the mark; 0: the mark was removed
 	// Everywhere: all reachable nodes have acknowledged the mark. Otherwise the time for that has run out.
 	Everywhere bool
 }
--- a/internal/node/core/rollout.go
+++ b/internal/node/core/rollout.go
@@ -22,8 +22,8 @@
 // MarkLoading asks for a broker to be marked at all nodes as loading weights, so that no request is sent to it. The
 // shell reports by MarkDone that all reachable nodes have acknowledged the mark.
 type MarkLoading struct {
-	InstanceID string
-	FencingToken      uint64 // fencing token of the mark; 0 removes it
+	InstanceID   string
+	FencingToken uint64 // fencing token of the mark; 0 removes it
 }
 
 // VersionLoaded reports that a broker now has a version of the weights of a model.
--- a/internal/node/journal/batch.go
+++ b/internal/node/journal/batch.go
@@ -2,7 +2,7 @@
 
 import "kestrelspread/internal/node/core"
 
-// largePayloadBytes is the length from which a payload is written from where it is, without gathering it.
+// largePayloadBytes is the length from which a payload is written from the caller's memory, without a copy.
 const largePayloadBytes = 16 << 10
 
 // batch writes frames that one sync makes durable.
@@ -15,7 +15,7 @@
 	bufferOffset int64  // its offset
 }
 
-// framesBytes is the space that records take.
+// framesBytes is the space that records take on the disk, in bytes.
 func framesBytes(records []core.Record) int64 {
 	total := int64(0)
 	for _, record := range records {
@@ -24,7 +24,7 @@
 	return total
 }
 
-// newBatch begins a batch behind a position.
+// newBatch begins a batch at a position.
 func newBatch(target *segment, end position, attempt uint64) *batch {
 	return &batch{segment: target, end: end, batchStart: end.sequence, attempt: attempt, bufferOffset: end.offset}
 }
--- a/internal/node/journal/errors.go
+++ b/internal/node/journal/errors.go
@@ -2,17 +2,18 @@
 
 import "github.com/joomcode/errorx"
 
-// The errors of this package.
+var namespace = errorx.NewNamespace("journal")
+
+// The types of errors of this package; test them by errorx.IsOfType.
 var (
-	namespace = errorx.NewNamespace("journal")
-	// Unreadable: what is on the disk can't be read, so that nothing is known of it.
+	// Unreadable: the disk can't be read, so that nothing is known of its contents.
 	Unreadable = namespace.NewType("unreadable")
 	// WriteFailed: the disk refused a write or a sync. The same write may be tried again.
-	WriteFailed = namespace.NewType("unwritten")
-	// Full: no room is left for the records; a checkpoint makes room.
+	WriteFailed = namespace.NewType("write_failed")
+	// Full: the segment has no space left for the records; a checkpoint frees space.
 	Full = namespace.NewType("full")
-	// TooLarge: the records of a checkpoint can't fit into a segment.
+	// TooLarge: the records of a checkpoint don't fit into a segment.
 	TooLarge = namespace.NewType("too_large")
-	// Skipped: a write was not tried, as one before it failed, or as the writer was closed.
+	// Skipped: a write was not tried, as an earlier one had failed.
 	Skipped = namespace.NewType("skipped")
 )
--- a/internal/node/journal/reader.go
+++ b/internal/node/journal/reader.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
-	"encoding/binary"
 	"errors"
 	"io"
 
@@ -13,27 +11,27 @@
 // readBufferBytes is how much of a segment is read at a time.
 const readBufferBytes = 64 << 10
 
-// generation is what one segment holds.
+// generation is the contents of one segment: a checkpoint and the records appended to it.
 type generation struct {
 	start   startPayload
 	records []core.Record
-	end     position // behind the last sound frame
-	// checkpointEnd is the offset behind the checkpoint, where it is complete.
+	end     position // after the last sound frame
+	// checkpointEnd is the offset after the checkpoint, where it is complete.
 	checkpointEnd int64
-	// lastBatchOffset is the offset of the first frame that was written together with the last one: those before it had been
-	// durable by then.
+	// lastBatchOffset is the offset of the first frame that was written in one batch with the last one: the frames
+	// before it had been durable by then.
 	lastBatchOffset int64
 }
 
-// position is a place in a generation: where its next frame goes.
+// position is where the next frame of a generation goes.
 type position struct {
 	generation uint64
 	offset     int64
 	sequence   uint64 // of the next frame
-	attempt    uint64 // of the frame before
+	attempt    uint64 // of the previous frame
 }
 
-// complete reports whether the whole checkpoint was read.
+// complete reports whether all records of the checkpoint were read.
 func (g *generation) complete() bool {
 	return g.end.sequence > uint64(g.start.Records)
 }
@@ -65,7 +63,8 @@
 	}
 }
 
-// isFollowedBy reports whether a frame is the one that was written to follow this position.
+// isFollowedBy reports whether a frame was written at this position, after the frames before it. It is not, if it is a
+// remain of an earlier pass through the ring or of an abandoned write.
 func (p *position) isFollowedBy(header frameHeader) bool {
 	return header.Type == frameRecord &&
 		header.Generation == p.generation &&
@@ -73,7 +72,7 @@
 		header.PreviousAttempt == p.attempt
 }
 
-// advance takes a frame as read.
+// advance adds a frame that was read.
 func (g *generation) advance(header frameHeader) {
 	if header.BatchStart == header.Sequence {
 		g.lastBatchOffset = g.end.offset
@@ -84,7 +83,7 @@
 	}
 }
 
-// advance moves behind a frame.
+// advance moves the position after a frame.
 func (p *position) advance(header frameHeader) {
 	p.generation = header.Generation
 	p.offset += headerBytes + int64(header.PayloadLength)
@@ -92,13 +91,13 @@
 	p.attempt = header.Attempt
 }
 
-// frameReader reads frames one after another.
+// frameReader reads the frames of a segment in order.
 type frameReader struct {
 	source *bufio.Reader
 	left   int64 // bytes of the segment not yet read
 }
 
-// next reads a frame; its payload is nil where the bytes are no sound frame, and not nil where they are.
+// next reads a frame. The payload is nil if, and only if, the bytes aren't a sound frame; an empty payload is not nil.
 func (r *frameReader) next() (frameHeader, []byte, error) {
 	if r.left < headerBytes {
 		return frameHeader{}, nil, nil
@@ -123,52 +122,10 @@
 	return header, payload, nil
 }
 
-// readFailure drops the error of a segment that is shorter than it was said to be.
+// readFailure drops the error of a segment that is shorter than its stated size: its frames end there.
 func readFailure(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil
 	}
 	return err
 }
-
-// damageSearch looks for frames that prove that something durable can't be read any more.
-type damageSearch struct {
-	// Frames of generations from firstGeneration to lastGeneration count...
-	firstGeneration, lastGeneration uint64
-	// ...if what was durable when they were written reaches beyond the frame of this sequence, which is missing.
-	missingSequence uint64
-}
-
-// countFrames counts such frames from an offset on, and gives the highest generation among them.
-func (l damageSearch) countFrames(source io.ReaderAt, from, size int64) (frames int, highest uint64, err error) {
-	encodedMagic := binary.LittleEndian.AppendUint32(nil, magic)
-	chunk := make([]byte, readBufferBytes)
-	for from+headerBytes <= size {
-		n, err := source.ReadAt(chunk[:min(int64(len(chunk)), size-from)], from)
-		if err != nil && !errors.Is(err, io.EOF) {
-			return frames, highest, err
-		}
-		read := chunk[:n]
-		if len(read) < headerBytes {
-			return frames, highest, nil
-		}
-		for at := 0; ; at++ {
-			found := bytes.Index(read[at:], encodedMagic)
-			if found < 0 || at+found+headerBytes > len(read) {
-				break
-			}
-			at += found
-			if header, sound := decodeHeader(read[at:]); sound && l.provesDamage(header) {
-				frames++
-				highest = max(highest, header.Generation)
-			}
-		}
-		from += int64(len(read)) - headerBytes + 1 // a header that the chunk's end cuts is read whole next time
-	}
-	return frames, highest, nil
-}
-
-func (l damageSearch) provesDamage(header frameHeader) bool {
-	return header.Generation >= l.firstGeneration && header.Generation <= l.lastGeneration &&
-		header.BatchStart > l.missingSequence
-}
--- a/internal/node/journal/recover.go
+++ b/internal/node/journal/recover.go
@@ -1,113 +1,89 @@
 package journal
 
-import (
-	"math"
+import "kestrelspread/internal/node/core"
 
-	"kestrelspread/internal/node/core"
-)
+// noSegment is the index of a segment where there is none.
+const noSegment = -1
 
-// recover reads the ring and takes over its newest complete generation.
-func (j *Journal) recover() ([]core.Record, error) {
-	var generations [ringSegments]*generation
-	newest := -1 // index of the segment with the newest complete generation
-	for i, segment := range j.segments {
-		if err := segment.open(); err != nil {
-			return nil, err
-		}
-		if segment.file == nil {
-			continue
-		}
-		read, err := readGeneration(segment.file, segment.size)
-		if err != nil {
-			return nil, err
-		}
-		generations[i] = read
-		if read == nil {
-			continue
-		}
-		j.generation = max(j.generation, read.end.generation)
-		if read.complete() && (newest < 0 || read.end.generation > generations[newest].end.generation) {
-			newest = i
-		}
+// recoverRing reads the ring and continues from its newest complete generation. A ring that is empty or damaged gets a
+// new identity and no records.
+func (j *Journal) recoverRing() ([]core.Record, error) {
+	generations, err := j.readSegments()
+	if err != nil {
+		return nil, err
 	}
-	var found *generation
-	if newest >= 0 {
-		found = generations[newest]
+	index := newestComplete(generations)
+	var newest *generation
+	if index != noSegment {
+		newest = generations[index]
 	}
-	damagedSegment, err := j.findDamage(generations, found)
+	damagedSegment, err := j.findDamage(generations, newest)
 	if err != nil {
 		return nil, err
 	}
-	switch {
-	case j.recovery.Damaged:
-		j.nextSegment = (damagedSegment + 1) % ringSegments // the damaged one is kept until the new one is durable
+	if j.recovery.Damaged {
+		j.nextSegment = (damagedSegment + 1) % ringSegments // keeps the damaged one until the new one is durable
 		j.identity = j.newIdentity()
 		return nil, nil
-	case found == nil:
+	}
+	if newest == nil {
 		j.identity = j.newIdentity()
 		return nil, nil
 	}
-	j.takeOver(newest, found)
-	return found.records, nil
-}
-
-// takeOver goes on from a generation that was read.
-func (j *Journal) takeOver(index int, found *generation) {
-	j.identity = found.start.Identity
-	j.currentSegment, j.nextSegment = j.segments[index], (index+1)%ringSegments
-	j.end, j.checkpointEnd = found.end, found.checkpointEnd
-	j.recovery.Generation = found.end.generation
-	j.recovery.Records = len(found.records)
-	// After a kill its last batch may stand in the system's memory only; if its sync had failed, a sync of the same bytes
-	// would prove nothing.
-	j.unconfirmed, j.unconfirmedOffset = true, found.lastBatchOffset
-	j.currentSegment.needsVoid = false
-	j.setNeedsCheckpoint()
+	j.continueFrom(index, newest)
+	return newest.records, nil
 }
 
-// findDamage looks for what had been durable and can't be read: frames behind the end of the newest generation that
-// were written after frames missing before them had been durable, and such frames of still newer generations.
-// It gives the index of the segment where it found any.
-func (j *Journal) findDamage(generations [ringSegments]*generation, found *generation) (int, error) {
-	damagedSegment := 0
+// readSegments opens the files of the ring and reads the generation in each; nil: there is none.
+func (j *Journal) readSegments() ([ringSegments]*generation, error) {
+	var generations [ringSegments]*generation
 	for i, segment := range j.segments {
-		if segment.file == nil {
-			continue
+		if err := segment.open(); err != nil {
+			return generations, err
 		}
-		search, from := damageSearchFor(generations[i], found)
-		if search == nil {
+		if segment.file == nil {
 			continue
 		}
-		frames, highest, err := search.countFrames(segment.file, from, segment.size)
+		read, err := readGeneration(segment.file, segment.size)
 		if err != nil {
-			return 0, err
+			return generations, err
 		}
-		j.generation = max(j.generation, highest)
-		if frames > 0 {
-			damagedSegment = i
-			j.recovery.Damaged = true
-			j.recovery.Dropped += frames
+		if read == nil {
+			continue
 		}
+		generations[i] = read
+		j.generation = max(j.generation, read.end.generation)
 	}
-	if j.recovery.Damaged && found != nil {
-		j.recovery.Dropped += len(found.records)
-	}
-	return damagedSegment, nil
+	return generations, nil
 }
 
-// damageSearchFor says what would prove damage in a segment that holds read, and from which offset on; nil: nothing would.
-func damageSearchFor(read, found *generation) (*damageSearch, int64) {
-	newest := uint64(0)
-	if found != nil {
-		newest = found.end.generation
-	}
-	switch {
-	case read == nil:
-		return &damageSearch{firstGeneration: newest + 1, lastGeneration: math.MaxUint64, missingSequence: 0}, 0
-	case read.end.generation >= newest:
-		own := read.end.generation
-		return &damageSearch{firstGeneration: own, lastGeneration: own, missingSequence: read.end.sequence}, read.end.offset
-	default:
-		return nil, 0 // an older generation, which was given up
+// newestComplete returns the index of the newest generation whose checkpoint is complete.
+func newestComplete(generations [ringSegments]*generation) int {
+	newest := noSegment
+	for i, read := range generations {
+		if read == nil || !read.complete() {
+			continue
+		}
+		if newest == noSegment || read.end.generation > generations[newest].end.generation {
+			newest = i
+		}
 	}
+	return newest
+}
+
+// continueFrom makes a generation that was read the current one.
+func (j *Journal) continueFrom(index int, newest *generation) {
+	j.identity = newest.start.Identity
+	j.currentSegment = j.segments[index]
+	j.nextSegment = (index + 1) % ringSegments
+	j.end = newest.end
+	j.checkpointEnd = newest.checkpointEnd
+	j.recovery.Generation = newest.end.generation
+	j.recovery.Records = len(newest.records)
+	// After a kill the last batch may be in the system's cache only; if its sync had failed, a sync of the same bytes
+	// would prove nothing.
+	j.unconfirmed = true
+	j.unconfirmedOffset = newest.lastBatchOffset
+	j.currentSegment.needsVoid = false
+	j.setNeedsCheckpoint()
 }
--- a/internal/node/journal/segment.go
+++ b/internal/node/journal/segment.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// preallocatedStep is by how much a segment grows at least, so that most writes don't change a file's length.
-	preallocatedStep = 256 << 10
-	// writeBufferBytes is how much of a batch is gathered before it is written.
+	// preallocationStep is the granularity in bytes by which a segment grows, so that most writes don't change the
+	// length of its file: a sync then needs to write data only.
+	preallocationStep = 256 << 10
+	// writeBufferBytes is how much of a batch is buffered before it is written.
 	writeBufferBytes = 64 << 10
 )
 
-// zeros is what preallocated space is filled with.
+// zeros is the contents of preallocated space.
 var zeros [writeBufferBytes]byte
 
 // segment is one file of the ring.
@@ -22,13 +23,13 @@
 	fileSystem FileSystem
 	directory  string
 	path       string
-	limit      int64 // the greatest size
-	file       File  // nil: not there yet
-	size       int64 // how much was preallocated
-	nameSynced bool  // the folder was synced after the file was made
-	// needsVoid: the disk may hold a generation here that must not be found: a checkpoint that failed may stand there
-	// whole all the same. At a start this goes for every segment but the current one, whatever was read from it: after
-	// a failed sync the system's memory and the disk differ, and a kill of the process leaves it at that.
+	limit      int64 // maximum size in bytes
+	file       File  // nil: it doesn't exist yet
+	size       int64 // preallocated bytes
+	nameSynced bool  // the directory was synced after the file was made
+	// needsVoid: the disk may hold a generation here that must not be read, as a checkpoint that failed may be complete
+	// on the disk all the same. At a start this is true for every segment but the current one, whatever was read from
+	// it: after a failed sync the system's cache and the disk may differ, and a killed process leaves them so.
 	needsVoid bool
 }
 
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// create makes the file if it is not there.
+// create makes the directory and the file if they don't exist.
 func (s *segment) create() error {
 	if s.file != nil {
 		return nil
@@ -70,18 +71,20 @@
 	return nil
 }
 
-// preallocate makes sure that the file reaches beyond end, up to which its caller will write.
+// preallocate makes sure that the file is at least as long as end. The caller writes the bytes up to end itself; only
+// those after it are filled with zeros.
 func (s *segment) preallocate(end int64) error {
 	if end <= s.size {
 		return nil
 	}
-	size := min((end+preallocatedStep-1)/preallocatedStep*preallocatedStep, s.limit)
-	for at := end; at < size; {
-		part := zeros[:min(int64(len(zeros)), size-at)]
-		if err := s.write(part, at); err != nil {
+	steps := (end + preallocationStep - 1) / preallocationStep
+	size := min(steps*preallocationStep, s.limit)
+	for offset := end; offset < size; {
+		chunk := zeros[:min(int64(len(zeros)), size-offset)]
+		if err := s.write(chunk, offset); err != nil {
 			return err
 		}
-		at += int64(len(part))
+		offset += int64(len(chunk))
 	}
 	s.size = size
 	return nil
@@ -92,7 +95,7 @@
 	return err
 }
 
-// sync makes the file and its name durable.
+// sync makes the file durable, and its name where it is new.
 func (s *segment) sync() error {
 	if err := s.file.Sync(); err != nil {
 		return err
@@ -121,19 +124,19 @@
 	return nil
 }
 
-// rewrite writes what the file is said to hold, from an offset to its end, once more, and nothing that could be read as
-// a frame behind it; then it syncs the file. The disk is thus known to hold what was read.
+// rewrite writes the bytes that the file shows from one offset to another once more, clears the header after them so
+// that nothing there is read as a frame, and syncs the file. The disk is then known to hold what was read.
 func (s *segment) rewrite(from, end int64) error {
-	chunk := make([]byte, min(writeBufferBytes, end-from))
-	for at := from; at < end; {
-		part := chunk[:min(int64(len(chunk)), end-at)]
-		if _, err := s.file.ReadAt(part, at); err != nil {
+	buffer := make([]byte, min(writeBufferBytes, end-from))
+	for offset := from; offset < end; {
+		chunk := buffer[:min(int64(len(buffer)), end-offset)]
+		if _, err := s.file.ReadAt(chunk, offset); err != nil {
 			return err
 		}
-		if err := s.write(part, at); err != nil {
+		if err := s.write(chunk, offset); err != nil {
 			return err
 		}
-		at += int64(len(part))
+		offset += int64(len(chunk))
 	}
 	if end+headerBytes <= s.limit {
 		if err := s.write(zeros[:headerBytes], end); err != nil {
