--- a/cmd/kestrelctl/owner.go
+++ b/cmd/kestrelctl/owner.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/mesh"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/mesh"
 )
 
 // ownerCommand looks at who does the fleet's work, and changes it. Whoever takes a duty from its owner names the token that was
@@ -133,7 +133,7 @@
 			return err
 		}
 		warn(cmd, v)
-		events := []owner.Event{}
+		events := []lease.Event{}
 		for _, e := range v.History {
 			if len(args) == 0 || e.Duty == args[0] {
 				events = append(events, e)
@@ -192,7 +192,7 @@
 			}
 		})
 	}}
-	do := func(cmd *cobra.Command, c owner.Command) error {
+	do := func(cmd *cobra.Command, c lease.Command) error {
 		peers, err := dial()
 		if err != nil {
 			return err
@@ -237,14 +237,14 @@
 			}
 			to = lives[0]
 		}
-		return do(cmd, owner.Command{Kind: owner.Move, Duty: args[0], Token: token, To: to})
+		return do(cmd, lease.Command{Kind: lease.Move, Duty: args[0], Token: token, To: to})
 	}}
 	move.Flags().StringVar(&to, "to", "", "an instance, or a broker's name; none: whoever it falls to")
 	move.Flags().Uint64Var(&token, "token", 0, "the latest that you have seen")
 	move.MarkFlagRequired("token")
 	release := &cobra.Command{Use: "release DUTY", Short: "Take it from its owner at once; what that one still does is refused once the next has begun", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return do(cmd, owner.Command{Kind: owner.Force, Duty: args[0], Token: token, To: to})
+			return do(cmd, lease.Command{Kind: lease.Force, Duty: args[0], Token: token, To: to})
 		}}
 	release.Flags().StringVar(&to, "to", "", "an instance that is to have it")
 	release.Flags().Uint64Var(&token, "token", 0, "the latest that you have seen")
--- a/cmd/kestrelctl/owner_test.go
+++ b/cmd/kestrelctl/owner_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/fleet/owner/work"
+	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/standin/solo"
 )
 
--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"kestrelspread/internal/broker"
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/desk"
-	"kestrelspread/internal/fleet/owner/drill"
-	"kestrelspread/internal/fleet/owner/fence"
-	"kestrelspread/internal/fleet/owner/fence/folder"
-	"kestrelspread/internal/fleet/owner/fence/post"
-	"kestrelspread/internal/fleet/owner/seat"
-	"kestrelspread/internal/fleet/owner/work"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/desk"
+	"kestrelspread/internal/fleet/lease/drill"
+	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/fence/folder"
+	"kestrelspread/internal/fleet/lease/fence/post"
+	"kestrelspread/internal/fleet/lease/seat"
+	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/fleet/site/talk"
 	"kestrelspread/internal/fleet/stage"
@@ -35,7 +35,7 @@
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
 func duties(p *broker.Parts, o *operator.Owner, port *site.Port, sees *sightings) (end func(), err error) {
-	rules := owner.For(o.Lease)
+	rules := lease.For(o.Lease)
 	var list []seat.Address
 	votes := false
 	for _, v := range o.Voters {
--- a/internal/fleet/owner/desk/desk.go
+++ b/internal/fleet/lease/desk/desk.go
@@ -8,8 +8,8 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/agree"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/agree"
 )
 
 // Question is an instance's: it is there, and holds these duties under these tokens.
@@ -50,14 +50,14 @@
 // Voter is one of those who agree.
 type Voter struct {
 	*agree.Node
-	State      *owner.State
-	Grantor    *owner.Grantor
+	State      *lease.State
+	Grantor    *lease.Grantor
 	now        float64
-	waiting    map[string]func(owner.Result)
+	waiting    map[string]func(lease.Result)
 	since      map[string]float64
 	serial     int
 	asking     bool // whether it leads is being confirmed, before it acts as a leader
-	rules      owner.Rules
+	rules      lease.Rules
 	led        int             // which of its elections the grantor's knowledge is from
 	asked      []func(ok bool) // questions that wait for the next confirmation
 	confirming bool
@@ -78,9 +78,9 @@
 func (m machine) Restore(b []byte) error { return m.v.State.Restore(b) }
 
 // New starts a voter from its disk.
-func New(d agree.Disk, rules owner.Rules, times agree.Rules, seed uint64) (*Voter, error) {
-	v := &Voter{State: owner.NewState(), rules: rules, waiting: map[string]func(owner.Result){}, since: map[string]float64{}}
-	v.Grantor = owner.NewGrantor(rules, v.State)
+func New(d agree.Disk, rules lease.Rules, times agree.Rules, seed uint64) (*Voter, error) {
+	v := &Voter{State: lease.NewState(), rules: rules, waiting: map[string]func(lease.Result){}, since: map[string]float64{}}
+	v.Grantor = lease.NewGrantor(rules, v.State)
 	var err error
 	v.Node, err = agree.New(d, times, machine{v}, seed)
 	return v, err
@@ -126,7 +126,7 @@
 	delete(v.waiting, id)
 	delete(v.since, id)
 	if then != nil {
-		then(owner.Result{ID: id, Why: why})
+		then(lease.Result{ID: id, Why: why})
 	}
 }
 
@@ -203,7 +203,7 @@
 }
 
 // Do gives a command, and tells what became of it.
-func (v *Voter) Do(now float64, c owner.Command, reply func(owner.Result)) {
+func (v *Voter) Do(now float64, c lease.Command, reply func(lease.Result)) {
 	v.now = now
 	v.serial++
 	c.ID = fmt.Sprintf("%x-%d-%d", v.ID, v.Term(), v.serial)
--- a/internal/fleet/owner/drill/drill.go
+++ b/internal/fleet/lease/drill/drill.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/fence"
-	"kestrelspread/internal/fleet/owner/work"
+	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/work"
 )
 
 // Job is one owner's work.
--- a/internal/fleet/owner/explore_test.go
+++ b/internal/fleet/lease/explore_test.go
@@ -1,4 +1,4 @@
-package owner
+package lease
 
 import (
 	"flag"
--- a/internal/fleet/owner/fence/folder/folder.go
+++ b/internal/fleet/lease/fence/folder/folder.go
@@ -11,7 +11,7 @@
 	"os"
 	"path/filepath"
 
-	"kestrelspread/internal/fleet/owner/fence"
+	"kestrelspread/internal/fleet/lease/fence"
 )
 
 // Version is one file: an effect, or, without a key that is new, only a token that has been seen.
--- a/internal/fleet/owner/fence/folder/folder_test.go
+++ b/internal/fleet/lease/fence/folder/folder_test.go
@@ -8,8 +8,8 @@
 	"net/http/httptest"
 	"testing"
 
-	"kestrelspread/internal/fleet/owner/fence"
-	"kestrelspread/internal/fleet/owner/fence/post"
+	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/fence/post"
 	"kestrelspread/internal/standin/receiver"
 )
 
--- a/internal/fleet/owner/fence/post/post.go
+++ b/internal/fleet/lease/fence/post/post.go
@@ -11,7 +11,7 @@
 	"net/http"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/fence"
+	"kestrelspread/internal/fleet/lease/fence"
 )
 
 // Receiver is one, as seen from here.
--- a/internal/fleet/owner/keep/keep.go
+++ b/internal/fleet/lease/keep/keep.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"kestrelspread/internal/disk"
-	"kestrelspread/internal/fleet/owner/agree"
+	"kestrelspread/internal/fleet/lease/agree"
 )
 
 const (
--- a/internal/fleet/owner/keep/keep_test.go
+++ b/internal/fleet/lease/keep/keep_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"kestrelspread/internal/fleet/owner/agree"
+	"kestrelspread/internal/fleet/lease/agree"
 )
 
 func open(t *testing.T, fs vfs.FS) *Keep {
--- a/internal/fleet/owner/owner.go
+++ b/internal/fleet/lease/lease.go
@@ -1,11 +1,11 @@
-// Package owner says who does the fleet's work: each duty has one owner at a time, named by a grant with a token. Tokens rise
+// Package lease says who does the fleet's work: each duty has one owner at a time, named by a grant with a token. Tokens rise
 // strictly for ever. A lease says who may begin; only the token, checked by the receiver in the same step as the effect, says
 // what counts (package fence).
 //
 // Three reducers, none of which reads a clock: State is what all voters agree on, changed by commands alone; Grantor is the
 // leading voter's view of time, from which commands come; Holder is an instance's view of what it owns. Whatever time means
 // is handed in by steady clocks, one for each process, that may drift by a stated share and stand still.
-package owner
+package lease
 
 import (
 	"encoding/json"
--- a/internal/fleet/owner/mesh/mesh.go
+++ b/internal/fleet/lease/mesh/mesh.go
@@ -19,9 +19,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/desk"
-	"kestrelspread/internal/fleet/owner/roster"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/desk"
+	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // Answer is a voter's to an instance's question. Leader: the name of who is to be asked instead.
@@ -35,7 +35,7 @@
 	OK     bool       `json:"ok"`
 	Known  bool       `json:"known"`
 	Why    string     `json:"why,omitempty"`
-	Duty   owner.Duty `json:"duty"`
+	Duty   lease.Duty `json:"duty"`
 	Leader string     `json:"leader_name,omitempty"`
 }
 
@@ -51,7 +51,7 @@
 
 // Lease is a duty's, in a view of the leader's.
 type Lease struct {
-	owner.Duty
+	lease.Duty
 	Left float64 `json:"lease_left_ms"` // by the leader's clock; 0 where it knows of none
 }
 
@@ -69,7 +69,7 @@
 	Next      uint64             `json:"next_token"`
 	Voters    []Voter            `json:"voters"`
 	Duties    []Lease            `json:"duties"`
-	History   []owner.Event      `json:"history,omitempty"`
+	History   []lease.Event      `json:"history,omitempty"`
 	Instances map[string]float64 `json:"instances,omitempty"` // ms since each last asked, as the leader knows
 	Disk      string             `json:"disk,omitempty"`      // what is wrong with it
 	Syncs     int64              `json:"syncs"`
@@ -81,7 +81,7 @@
 	Raft  func(group uint64, m raftpb.Message)
 	Hello func(ctx context.Context, h roster.Hello) (roster.Hello, error)
 	Ask   func(ctx context.Context, q desk.Question) (Answer, error)
-	Do    func(ctx context.Context, c owner.Command) (Done, error)
+	Do    func(ctx context.Context, c lease.Command) (Done, error)
 	Look  func(ctx context.Context) (View, error)
 }
 
@@ -215,8 +215,8 @@
 }
 
 // Do gives a command.
-func (p *Peer) Do(ctx context.Context, c owner.Command) (Done, error) {
-	return ask[owner.Command, Done](ctx, p, "Do", c)
+func (p *Peer) Do(ctx context.Context, c lease.Command) (Done, error) {
+	return ask[lease.Command, Done](ctx, p, "Do", c)
 }
 
 // Look gives a voter's view.
@@ -232,7 +232,7 @@
 
 // Lead gives a command to whoever leads, for operators: it asks each voter and follows what they say. A command whose fate is
 // not known is not given again: its token may fit no more, but its giver has to look first.
-func Lead(ctx context.Context, peers map[string]*Peer, first string, c owner.Command) (Done, error) {
+func Lead(ctx context.Context, peers map[string]*Peer, first string, c lease.Command) (Done, error) {
 	names := []string{}
 	if first != "" {
 		names = append(names, first)
--- a/internal/fleet/owner/mesh/mesh_test.go
+++ b/internal/fleet/lease/mesh/mesh_test.go
@@ -9,7 +9,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"kestrelspread/internal/fleet/owner"
+	"kestrelspread/internal/fleet/lease"
 )
 
 // What waits goes together, in its order; what is cut short is refused and hurts nobody.
@@ -26,7 +26,7 @@
 		if group == 7 {
 			got = append(got, m.Index)
 		}
-	}, Do: func(context.Context, owner.Command) (Done, error) {
+	}, Do: func(context.Context, lease.Command) (Done, error) {
 		return Done{Leader: "other", Why: "this voter does not lead"}, nil
 	}})
 	defer stop()
@@ -65,7 +65,7 @@
 		}
 	}
 	// A command goes on to who is said to lead, and where nobody does that is told, not tried for ever.
-	d, err := Lead(ctx, map[string]*Peer{"a": p}, "", owner.Command{Kind: owner.Define, Duty: "d"})
+	d, err := Lead(ctx, map[string]*Peer{"a": p}, "", lease.Command{Kind: lease.Define, Duty: "d"})
 	if err == nil || d.OK {
 		t.Error(d, err)
 	}
--- a/internal/fleet/owner/plant_none.go
+++ b/internal/fleet/lease/plant_none.go
@@ -1,6 +1,6 @@
 //go:build !plant_revive && !plant_back && !plant_reuse && !plant_oldprogress && !plant_oldword && !plant_nowait && !plant_longhold && !plant_answertime
 
-package owner
+package lease
 
 // Planted defects, each behind a build tag: TestPlantedDefects shows that each is found.
 const (
--- a/internal/fleet/owner/plant_oldprogress.go
+++ b/internal/fleet/lease/plant_oldprogress.go
@@ -1,6 +1,6 @@
 //go:build plant_oldprogress
 
-package owner
+package lease
 
 const (
 	plantRevive      = false
--- a/internal/fleet/owner/plant_reuse.go
+++ b/internal/fleet/lease/plant_reuse.go
@@ -1,6 +1,6 @@
 //go:build plant_reuse
 
-package owner
+package lease
 
 const (
 	plantRevive      = false
--- a/internal/fleet/owner/plant_revive.go
+++ b/internal/fleet/lease/plant_revive.go
@@ -1,6 +1,6 @@
 //go:build plant_revive
 
-package owner
+package lease
 
 const (
 	plantRevive      = true
--- a/internal/fleet/owner/seat/seat.go
+++ b/internal/fleet/lease/seat/seat.go
@@ -21,12 +21,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/agree"
-	"kestrelspread/internal/fleet/owner/desk"
-	"kestrelspread/internal/fleet/owner/keep"
-	"kestrelspread/internal/fleet/owner/mesh"
-	"kestrelspread/internal/fleet/owner/roster"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/desk"
+	"kestrelspread/internal/fleet/lease/keep"
+	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // Address is where a voter is reached from here.
@@ -39,7 +39,7 @@
 	Folder string
 	FS     vfs.FS // nil: the system's
 	Voters []Address
-	Rules  owner.Rules
+	Rules  lease.Rules
 	Times  agree.Rules
 	Roster roster.Rules // zero: the usual
 	Tick   time.Duration
@@ -248,7 +248,7 @@
 		}
 		d := agree.Disk{ID: s.k.ID}
 		if step.Voters != nil {
-			st := owner.NewState()
+			st := lease.NewState()
 			st.Voters = maps.Clone(step.Voters)
 			ids := slices.Sorted(maps.Keys(step.Voters))
 			d = agree.Found(ids...)[slices.Index(ids, s.k.ID)]
@@ -261,7 +261,7 @@
 		s.opt.Log.Info().Str("group", fmt.Sprintf("%x", step.Group)).Bool("votes", step.Voters != nil).Msg("owner: this voter's disk belongs to a group")
 		return s.sit()
 	case roster.Name:
-		s.v.Do(Now(), owner.Command{Kind: owner.Seat, Token: step.ID, To: step.Who}, func(owner.Result) {})
+		s.v.Do(Now(), lease.Command{Kind: lease.Seat, Token: step.ID, To: step.Who}, func(lease.Result) {})
 	case roster.Learn:
 		s.opt.Log.Info().Str("voter", step.Who).Str("number", fmt.Sprintf("%x", step.ID)).Msg("owner: it learns before it votes")
 		return s.v.Change(raftpb.ConfChangeAddLearnerNode, step.ID)
@@ -481,7 +481,7 @@
 	})
 }
 
-func (s *Seat) do(ctx context.Context, c owner.Command) (mesh.Done, error) {
+func (s *Seat) do(ctx context.Context, c lease.Command) (mesh.Done, error) {
 	return in(ctx, s, s.dos, func(reply func(mesh.Done)) {
 		if s.v == nil || s.failed != "" || !s.v.Leading() {
 			d := mesh.Done{Why: "this voter does not lead"}
@@ -491,7 +491,7 @@
 			reply(d)
 			return
 		}
-		s.v.Do(Now(), c, func(r owner.Result) {
+		s.v.Do(Now(), c, func(r lease.Result) {
 			reply(mesh.Done{OK: r.OK, Known: r.Index > 0, Why: r.Why, Duty: r.Duty, Leader: s.opt.Name})
 		})
 	})
--- a/internal/fleet/owner/seat/seat_test.go
+++ b/internal/fleet/lease/seat/seat_test.go
@@ -15,12 +15,12 @@
 	"github.com/rs/zerolog"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/agree"
-	"kestrelspread/internal/fleet/owner/desk"
-	"kestrelspread/internal/fleet/owner/keep"
-	"kestrelspread/internal/fleet/owner/mesh"
-	"kestrelspread/internal/fleet/owner/roster"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/desk"
+	"kestrelspread/internal/fleet/lease/keep"
+	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // group is voters in one process, each with a disk in memory.
@@ -56,7 +56,7 @@
 }
 
 func (g *group) options(i int) Options {
-	rules := owner.Usual
+	rules := lease.Usual
 	rules.Lease = 500
 	quick := roster.Rules{Fresh: 3000, Gone: 1500, Again: 200}
 	return Options{Name: g.voters[i].Name, Listen: g.voters[i].Addr, Folder: "voter", FS: g.disks[i], Voters: g.voters, Rules: rules, Roster: quick,
@@ -123,7 +123,7 @@
 }
 
 // do gives a command to whoever leads.
-func (g *group) do(c owner.Command) mesh.Done {
+func (g *group) do(c lease.Command) mesh.Done {
 	g.t.Helper()
 	for range 500 {
 		if l := g.leader(); l != nil {
@@ -147,8 +147,8 @@
 func TestAGroupIsFoundedAndKeepsItsTokensThroughRestarts(t *testing.T) {
 	g := newGroup(t, 3)
 	g.until("three voters", votes(3))
-	g.do(owner.Command{Kind: owner.Define, Duty: "d"})
-	d := g.do(owner.Command{Kind: owner.Grant, Duty: "d", To: "i.1"})
+	g.do(lease.Command{Kind: lease.Define, Duty: "d"})
+	d := g.do(lease.Command{Kind: lease.Grant, Duty: "d", To: "i.1"})
 	if !d.OK || d.Duty.Token == 0 {
 		t.Fatal(d)
 	}
@@ -166,11 +166,11 @@
 	}
 	// The owner is never heard of again: its lease runs out, and the token of the next is higher.
 	g.until("the lease runs out", func(v mesh.View) bool { return v.Duties[0].Owner == "" })
-	next := g.do(owner.Command{Kind: owner.Grant, Duty: "d", Token: d.Duty.Token, To: "i.2"})
+	next := g.do(lease.Command{Kind: lease.Grant, Duty: "d", Token: d.Duty.Token, To: "i.2"})
 	if !next.OK || next.Duty.Token <= d.Duty.Token {
 		t.Fatal(next)
 	}
-	if late := g.do(owner.Command{Kind: owner.Progress, Duty: "d", Token: d.Duty.Token, Data: []byte("late")}); late.OK {
+	if late := g.do(lease.Command{Kind: lease.Progress, Duty: "d", Token: d.Duty.Token, Data: []byte("late")}); late.OK {
 		t.Fatal("an old owner's word was taken")
 	}
 }
@@ -182,7 +182,7 @@
 	for _, o := range v.Voters {
 		old[o.Name] = o.ID
 	}
-	g.do(owner.Command{Kind: owner.Define, Duty: "d"})
+	g.do(lease.Command{Kind: lease.Define, Duty: "d"})
 	g.stop(2)
 	g.disks[2] = vfs.NewMem()
 	g.start(2)
@@ -201,7 +201,7 @@
 	// It counts: with another voter down the two go on.
 	g.stop(0)
 	g.until("two of three go on", func(v mesh.View) bool { return v.Name != "v0" })
-	if d := g.do(owner.Command{Kind: owner.Grant, Duty: "d", To: "i.1"}); !d.OK {
+	if d := g.do(lease.Command{Kind: lease.Grant, Duty: "d", To: "i.1"}); !d.OK {
 		t.Fatal(d)
 	}
 }
@@ -210,7 +210,7 @@
 	// In the middle of the change that puts 4 in the place of 3.
 	disk := agree.Disk{ID: 1, Hard: raftpb.HardState{Term: 2, Commit: 6}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 6, Term: 2,
 		ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 4}, VotersOutgoing: []uint64{1, 2, 3}, AutoLeave: true}}}}
-	v, err := desk.New(disk, owner.Usual, agree.Usual, 1)
+	v, err := desk.New(disk, lease.Usual, agree.Usual, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,7 +266,7 @@
 	g.until("three voters again", votes(3))
 	fails.Store(true)
 	for i := range 3 {
-		if d := g.do(owner.Command{Kind: owner.Define, Duty: fmt.Sprint("d", i)}); !d.OK {
+		if d := g.do(lease.Command{Kind: lease.Define, Duty: fmt.Sprint("d", i)}); !d.OK {
 			t.Fatal(d)
 		}
 	}
@@ -299,7 +299,7 @@
 			t.Errorf("%s names %s, %s leads", s.opt.Name, a.Leader, lead.opt.Name)
 		}
 	}
-	if d := g.do(owner.Command{Kind: owner.Define, Duty: string(make([]byte, 4096))}); d.OK {
+	if d := g.do(lease.Command{Kind: lease.Define, Duty: string(make([]byte, 4096))}); d.OK {
 		t.Error("a name of 4 kB was taken")
 	}
 	if n := len(g.seats[0].events); n > 100 {
--- a/internal/fleet/owner/work/work.go
+++ b/internal/fleet/lease/work/work.go
@@ -1,5 +1,5 @@
 // Package work is an instance's part: it asks the voters for duties, does the work of those that it is granted, and stops on its
-// own before anybody may think that it has. Searches never wait for any of it. The rules are owner.Holder's; here are the
+// own before anybody may think that it has. Searches never wait for any of it. The rules are lease.Holder's; here are the
 // questions, the goroutines and the time.
 package work
 
@@ -15,11 +15,11 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/desk"
-	"kestrelspread/internal/fleet/owner/fence"
-	"kestrelspread/internal/fleet/owner/mesh"
-	"kestrelspread/internal/fleet/owner/seat"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/desk"
+	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/seat"
 )
 
 // Job is a duty's work under one grant.
@@ -37,7 +37,7 @@
 type Options struct {
 	Name   string // one life of it: a restart under the same name is another
 	Voters []seat.Address
-	Rules  owner.Rules
+	Rules  lease.Rules
 	Jobs   map[string]func() Job // by duty
 	Reads  []string              // duties of which Said is to hear how far they have come
 	Said   func(list []desk.Said)
@@ -49,7 +49,7 @@
 	opt     Options
 	can     []string
 	lock    sync.Mutex
-	holder  *owner.Holder
+	holder  *lease.Holder
 	work    map[string]*Grant
 	peers   []*mesh.Peer
 	names   []string
@@ -78,7 +78,7 @@
 
 // New makes one; Go starts it.
 func New(o Options) (*Instance, error) {
-	n := &Instance{opt: o, holder: owner.NewHolder(o.Rules), work: map[string]*Grant{}, quit: make(chan struct{}), ended: make(chan struct{})}
+	n := &Instance{opt: o, holder: lease.NewHolder(o.Rules), work: map[string]*Grant{}, quit: make(chan struct{}), ended: make(chan struct{})}
 	n.can = []string{}
 	for d := range o.Jobs {
 		n.can = append(n.can, d)
@@ -169,7 +169,7 @@
 func (n *Instance) define() {
 	for _, d := range n.can {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
-		r, err := n.peers[n.at].Do(ctx, owner.Command{Kind: owner.Define, Duty: d})
+		r, err := n.peers[n.at].Do(ctx, lease.Command{Kind: lease.Define, Duty: d})
 		end()
 		if err != nil || !r.OK {
 			return
@@ -179,7 +179,7 @@
 }
 
 // acts carries out what the holder says. The lock is held.
-func (n *Instance) acts(list []owner.Act) {
+func (n *Instance) acts(list []lease.Act) {
 	for _, a := range list {
 		switch {
 		case a.Start != nil:
@@ -202,7 +202,7 @@
 
 func (g *Grant) finish() { g.once.Do(func() { close(g.letGo) }) }
 
-func (n *Instance) begin(h *owner.Hold) {
+func (n *Instance) begin(h *lease.Hold) {
 	job := n.opt.Jobs[h.Duty]
 	if job == nil {
 		return
@@ -281,10 +281,10 @@
 func (n *Instance) tellReleased(duty string, token uint64) {
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
-	n.do(ctx, owner.Command{Kind: owner.Release, Duty: duty, Token: token})
+	n.do(ctx, lease.Command{Kind: lease.Release, Duty: duty, Token: token})
 }
 
-func (n *Instance) do(ctx context.Context, c owner.Command) (mesh.Done, error) {
+func (n *Instance) do(ctx context.Context, c lease.Command) (mesh.Done, error) {
 	peers := map[string]*mesh.Peer{}
 	for i, name := range n.names {
 		peers[name] = n.peers[i]
@@ -314,7 +314,7 @@
 	g.words++
 	for {
 		within, end := context.WithTimeout(ctx, time.Duration(g.n.opt.Rules.Say()*1e6))
-		d, err := g.n.do(within, owner.Command{Kind: owner.Progress, Duty: g.Duty, Token: g.Token, Data: data, Word: g.words})
+		d, err := g.n.do(within, lease.Command{Kind: lease.Progress, Duty: g.Duty, Token: g.Token, Data: data, Word: g.words})
 		end()
 		switch {
 		case err == nil && d.OK:
--- a/internal/fleet/stage/pace/pace.go
+++ b/internal/fleet/stage/pace/pace.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/seat"
-	"kestrelspread/internal/fleet/owner/work"
+	"kestrelspread/internal/fleet/lease/seat"
+	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/stage"
 )
 
--- a/internal/fleet/statement/gather/gather.go
+++ b/internal/fleet/statement/gather/gather.go
@@ -15,8 +15,8 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/fleet/owner/fence"
-	"kestrelspread/internal/fleet/owner/work"
+	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
--- a/internal/fleet/statement/gather/gather_test.go
+++ b/internal/fleet/statement/gather/gather_test.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/fleet/owner/fence/folder"
-	"kestrelspread/internal/fleet/owner/work"
+	"kestrelspread/internal/fleet/lease/fence/folder"
+	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/owners.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/mesh"
+	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/stage"
 	"kestrelspread/internal/rig/links"
 	"kestrelspread/internal/standin/receiver"
--- a/internal/standin/quorum/quorum.go
+++ b/internal/standin/quorum/quorum.go
@@ -15,11 +15,11 @@
 	"github.com/anishathalye/porcupine"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/agree"
-	"kestrelspread/internal/fleet/owner/desk"
-	"kestrelspread/internal/fleet/owner/fence"
-	"kestrelspread/internal/fleet/owner/roster"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/desk"
+	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // Plan is a run. Times are ms.
@@ -32,7 +32,7 @@
 	Quiet     float64 // no faults in the last part: then work must go on
 	Faults    float64 // one in so many ms, on average; 0: none
 	NoFence   bool
-	Rules     owner.Rules
+	Rules     lease.Rules
 	Drift     float64 // that clocks really have
 	Work      float64 // between two effects of an owner
 	Calm      bool    // no kills, pauses or lost disks: cuts and delays alone
@@ -100,14 +100,14 @@
 	proc
 	no     int
 	name   string
-	holder *owner.Holder
+	holder *lease.Holder
 	asks   int // voter that is asked
 	work   map[string]*job
 }
 
 // job is a duty's work: effects numbered from 1, one after another.
 type job struct {
-	hold *owner.Hold
+	hold *lease.Hold
 	done int // the latest that is known to count
 	word uint64
 }
@@ -188,7 +188,7 @@
 
 // found gives the disks of a new group, whose state knows whose numbers they are.
 func (w *world) found(ids []uint64) []agree.Disk {
-	st := owner.NewState()
+	st := lease.NewState()
 	for id, name := range w.founding {
 		st.Voters[id] = name
 	}
@@ -337,7 +337,7 @@
 			w.startVoter(v)
 		}
 	case roster.Name:
-		v.v.Do(v.at(w.now), owner.Command{Kind: owner.Seat, Token: step.ID, To: step.Who}, func(owner.Result) {})
+		v.v.Do(v.at(w.now), lease.Command{Kind: lease.Seat, Token: step.ID, To: step.Who}, func(lease.Result) {})
 	case roster.Learn:
 		v.v.Change(raftpb.ConfChangeAddLearnerNode, step.ID)
 	case roster.Promote:
@@ -488,7 +488,7 @@
 				name := fmt.Sprint("d", d)
 				if v.v.State.Duties[name] == nil {
 					missing++
-					v.v.Do(v.at(w.now), owner.Command{Kind: owner.Define, Duty: name}, func(owner.Result) {})
+					v.v.Do(v.at(w.now), lease.Command{Kind: lease.Define, Duty: name}, func(lease.Result) {})
 				}
 			}
 			w.flush(v)
@@ -505,7 +505,7 @@
 	n.down, n.held, n.stopped = false, nil, 0
 	n.life++
 	n.name = fmt.Sprintf("i%d.%d", n.no, n.life)
-	n.holder, n.work, n.asks = owner.NewHolder(w.Rules), map[string]*job{}, w.rng.IntN(len(w.voters))
+	n.holder, n.work, n.asks = lease.NewHolder(w.Rules), map[string]*job{}, w.rng.IntN(len(w.voters))
 	life := n.life
 	var beat func()
 	beat = func() {
@@ -573,7 +573,7 @@
 	}
 }
 
-func (w *world) acts(n *instance, list []owner.Act) {
+func (w *world) acts(n *instance, list []lease.Act) {
 	for _, a := range list {
 		switch {
 		case a.Start != nil:
@@ -586,7 +586,7 @@
 				delete(n.work, a.Stop.Duty)
 			}
 		case a.Let != nil:
-			w.command(n, owner.Command{Kind: owner.Release, Duty: a.Let.Duty, Token: a.Let.Token}, func(owner.Result) {})
+			w.command(n, lease.Command{Kind: lease.Release, Duty: a.Let.Duty, Token: a.Let.Token}, func(lease.Result) {})
 		case a.Finish != nil:
 			w.release(n, a.Finish.Duty, a.Finish.Token)
 		}
@@ -596,23 +596,23 @@
 func (w *world) release(n *instance, duty string, token uint64) {
 	delete(n.work, duty)
 	n.holder.Released(duty)
-	w.command(n, owner.Command{Kind: owner.Release, Duty: duty, Token: token}, func(owner.Result) {})
+	w.command(n, lease.Command{Kind: lease.Release, Duty: duty, Token: token}, func(lease.Result) {})
 }
 
 // command brings a command to whoever is asked.
-func (w *world) command(n *instance, c owner.Command, then func(owner.Result)) {
+func (w *world) command(n *instance, c lease.Command, then func(lease.Result)) {
 	w.res.Commands++
 	call := w.now
 	v, life := w.voters[n.asks%len(w.voters)], n.life
 	w.sendHeld(n.party(), v.name(), 25, func() {
 		vlife := v.life
 		w.run(&v.proc, func() {
-			v.v.Do(v.at(w.now), c, func(r owner.Result) {
+			v.v.Do(v.at(w.now), c, func(r lease.Result) {
 				if v.life != vlife {
 					return
 				}
 				w.send(v.name(), n.party(), func() {
-					if c.Kind == owner.Progress && r.Index > 0 && r.Why != owner.Older {
+					if c.Kind == lease.Progress && r.Index > 0 && r.Why != lease.Older {
 						w.ops = append(w.ops, porcupine.Operation{ClientId: n.no, Input: entry{c.Duty, "progress", c.Token}, Output: r.OK,
 							Call: int64(1000 * call), Return: int64(1000 * w.now)})
 					}
@@ -706,7 +706,7 @@
 			}
 			j.done = no
 			j.word++
-			w.command(n, owner.Command{Kind: owner.Progress, Duty: e.Duty, Token: e.Token, Word: j.word, Data: []byte(e.Key)}, func(owner.Result) {})
+			w.command(n, lease.Command{Kind: lease.Progress, Duty: e.Duty, Token: e.Token, Word: j.word, Data: []byte(e.Key)}, func(lease.Result) {})
 			w.next(n, j)
 		})
 	})
@@ -807,11 +807,11 @@
 			if d == nil || v.down {
 				break
 			}
-			c := owner.Command{Kind: owner.Move, Duty: d.Name, Token: d.Token, To: n.name}
+			c := lease.Command{Kind: lease.Move, Duty: d.Name, Token: d.Token, To: n.name}
 			if w.rng.IntN(3) == 0 {
-				c.Kind = owner.Force
+				c.Kind = lease.Force
 			}
-			w.command(n, c, func(owner.Result) {})
+			w.command(n, c, func(lease.Result) {})
 		case 11: // an instance lets go of all it has, as at a drain
 			n := w.inst[w.rng.IntN(len(w.inst))]
 			if !n.down && n.stopped <= w.now {
--- a/internal/standin/quorum/quorum_test.go
+++ b/internal/standin/quorum/quorum_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"kestrelspread/internal/fleet/owner"
+	"kestrelspread/internal/fleet/lease"
 )
 
 func plan(seed uint64) Plan {
-	r := owner.Usual
+	r := lease.Usual
 	r.HandOff, r.Held, r.HeldTop = 3000, 200, 2000
 	return Plan{Seed: seed, Voters: 3 + 2*int(seed%2), Instances: 6, Duties: 3, Until: 90000, Quiet: 25000, Faults: 1500, Rules: r, Drift: 0.009, Work: 300}
 }
--- a/internal/standin/receiver/fenced.go
+++ b/internal/standin/receiver/fenced.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/fence"
+	"kestrelspread/internal/fleet/lease/fence"
 )
 
 // Fenced is a stand-in for who takes a duty's effects: it keeps the highest token and the keys, and an audit that uses neither.
--- a/internal/standin/solo/solo.go
+++ b/internal/standin/solo/solo.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/fleet/owner"
-	"kestrelspread/internal/fleet/owner/seat"
+	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/seat"
 )
 
 // Start runs one until the test ends, and gives what instances need to find it.
-func Start(t testing.TB, lease float64) (v *seat.Seat, voters []seat.Address, rules owner.Rules) {
+func Start(t testing.TB, leaseMs float64) (v *seat.Seat, voters []seat.Address, rules lease.Rules) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0") // its number is kept by whoever listens there next
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 	at := l.Addr().String()
 	l.Close()
-	rules = owner.For(lease)
+	rules = lease.For(leaseMs)
 	rules.Held = 100
 	voters = []seat.Address{{Name: "v0", Addr: at}}
 	v, err = seat.Start(seat.Options{Name: "v0", Listen: at, Folder: "voter", FS: vfs.NewMem(), Voters: voters, Rules: rules, Tick: 20 * time.Millisecond, Log: zerolog.Nop()})
