--- a/internal/fleet/lease/agree/agree.go
+++ b/internal/fleet/lease/consensus/consensus.go
@@ -1,10 +1,10 @@
-// Package agree is one voter's part in the agreement on grants: go.etcd.io/raft as a pure core. Events go in (a message, a
+// Package consensus is one voter's part in the agreement on grants: go.etcd.io/raft as a pure core. Events go in (a message, a
 // tick, a proposal, a question), effects come out (what to make durable, what to send, what was agreed); there is no network,
 // disk or clock here, and no chance but the seed's.
 //
 // raft draws its own election times from the system's randomness, which would make no run repeat. So its timers are set out of
 // reach, and this package lets a voter stand for election by times of its own.
-package agree
+package consensus
 
 import (
 	"errors"
--- a/internal/fleet/lease/desk/desk.go
+++ b/internal/fleet/lease/desk/desk.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/consensus"
 )
 
 // Question is an instance's: it is there, and holds these duties under these tokens.
@@ -49,7 +49,7 @@
 
 // Voter is one of those who agree.
 type Voter struct {
-	*agree.Node
+	*consensus.Node
 	State      *lease.State
 	Grantor    *lease.Grantor
 	now        float64
@@ -78,11 +78,11 @@
 func (m machine) Restore(b []byte) error { return m.v.State.Restore(b) }
 
 // New starts a voter from its disk.
-func New(d agree.Disk, rules lease.Rules, times agree.Rules, seed uint64) (*Voter, error) {
+func New(d consensus.Disk, rules lease.Rules, times consensus.Rules, seed uint64) (*Voter, error) {
 	v := &Voter{State: lease.NewState(), rules: rules, waiting: map[string]func(lease.Result){}, since: map[string]float64{}}
 	v.Grantor = lease.NewGrantor(rules, v.State)
 	var err error
-	v.Node, err = agree.New(d, times, machine{v}, seed)
+	v.Node, err = consensus.New(d, times, machine{v}, seed)
 	return v, err
 }
 
--- a/internal/fleet/lease/keep/keep.go
+++ b/internal/fleet/lease/keep/keep.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"kestrelspread/internal/disk"
-	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/consensus"
 )
 
 const (
@@ -37,7 +37,7 @@
 // Keep is an open disk.
 type Keep struct {
 	Identity
-	Disk  agree.Disk
+	Disk  consensus.Disk
 	Fresh bool // it was made just now
 	db    *disk.DB
 	first uint64 // index from which on entries are kept
@@ -78,7 +78,7 @@
 	}
 	if b == nil {
 		k.ID, k.Fresh = draw(), true
-		k.Disk = agree.Disk{ID: k.ID}
+		k.Disk = consensus.Disk{ID: k.ID}
 		return k.identify()
 	}
 	if err := json.Unmarshal(b, &k.Identity); err != nil {
@@ -137,7 +137,7 @@
 
 // Join has the disk belong to a group from now on. With the founding's voters it begins with them, state and all; without it
 // is empty, and learns.
-func (k *Keep) Join(group uint64, voters map[uint64]string, begin agree.Disk) error {
+func (k *Keep) Join(group uint64, voters map[uint64]string, begin consensus.Disk) error {
 	k.Group, k.Voters = group, voters
 	ident, err := json.Marshal(k.Identity)
 	if err != nil {
@@ -171,7 +171,7 @@
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte(logKeys), index) }
 
 // Save makes effects durable in one write, synced where they say so.
-func (k *Keep) Save(e *agree.Effects) error {
+func (k *Keep) Save(e *consensus.Effects) error {
 	if e.Snapshot == nil && len(e.Entries) == 0 && raft.IsEmptyHardState(e.Hard) {
 		return nil
 	}
--- a/internal/fleet/lease/keep/keep_test.go
+++ b/internal/fleet/lease/keep/keep_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/consensus"
 )
 
 func open(t *testing.T, fs vfs.FS) *Keep {
@@ -23,7 +23,7 @@
 
 func save(t *testing.T, k *Keep, term uint64, from, to uint64) {
 	t.Helper()
-	e := &agree.Effects{Sync: true}
+	e := &consensus.Effects{Sync: true}
 	for i := from; i <= to; i++ {
 		e.Entries = append(e.Entries, raftpb.Entry{Term: term, Index: i, Data: []byte(fmt.Sprint("command ", i, " of term ", term))})
 	}
@@ -51,7 +51,7 @@
 func TestTheEndOfAFormerLeadersLogIsGone(t *testing.T) {
 	fs := vfs.NewMem()
 	k := open(t, fs)
-	if err := k.Join(9, map[uint64]string{7: "v"}, agree.Disk{ID: 7, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}); err != nil {
+	if err := k.Join(9, map[uint64]string{7: "v"}, consensus.Disk{ID: 7, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	save(t, k, 1, 2, 9)
@@ -75,7 +75,7 @@
 	if got != "8 3333" {
 		t.Fatal(got)
 	}
-	if err := k.Save(&agree.Effects{Sync: true, Snapshot: &raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 20, Term: 4}}}); err != nil {
+	if err := k.Save(&consensus.Effects{Sync: true, Snapshot: &raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 20, Term: 4}}}); err != nil {
 		t.Fatal(err)
 	}
 	save(t, k, 4, 21, 22)
--- a/internal/fleet/lease/seat/seat.go
+++ b/internal/fleet/lease/seat/seat.go
@@ -22,7 +22,7 @@
 	"golang.org/x/sys/unix"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/keep"
 	"kestrelspread/internal/fleet/lease/mesh"
@@ -40,7 +40,7 @@
 	FS     vfs.FS // nil: the system's
 	Voters []Address
 	Rules  lease.Rules
-	Times  agree.Rules
+	Times  consensus.Rules
 	Roster roster.Rules // zero: the usual
 	Tick   time.Duration
 	Log    zerolog.Logger
@@ -118,8 +118,8 @@
 	if o.Tick <= 0 {
 		o.Tick = 100 * time.Millisecond
 	}
-	if o.Times == (agree.Rules{}) {
-		o.Times = agree.Usual
+	if o.Times == (consensus.Rules{}) {
+		o.Times = consensus.Usual
 	}
 	k, err := keep.Open(o.FS, o.Folder, draw)
 	if err != nil {
@@ -246,12 +246,12 @@
 		if step.Kind == roster.Found {
 			step.Group = draw()
 		}
-		d := agree.Disk{ID: s.k.ID}
+		d := consensus.Disk{ID: s.k.ID}
 		if step.Voters != nil {
 			st := lease.NewState()
 			st.Voters = maps.Clone(step.Voters)
 			ids := slices.Sorted(maps.Keys(step.Voters))
-			d = agree.Found(ids...)[slices.Index(ids, s.k.ID)]
+			d = consensus.Found(ids...)[slices.Index(ids, s.k.ID)]
 			d.Snapshot.Data = st.Snapshot()
 		}
 		if err := s.k.Join(step.Group, step.Voters, d); err != nil {
--- a/internal/fleet/lease/seat/seat_test.go
+++ b/internal/fleet/lease/seat/seat_test.go
@@ -16,7 +16,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/keep"
 	"kestrelspread/internal/fleet/lease/mesh"
@@ -208,9 +208,9 @@
 
 func TestAViewNamesWhoseVoteStillCountsDuringAChange(t *testing.T) {
 	// In the middle of the change that puts 4 in the place of 3.
-	disk := agree.Disk{ID: 1, Hard: raftpb.HardState{Term: 2, Commit: 6}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 6, Term: 2,
+	disk := consensus.Disk{ID: 1, Hard: raftpb.HardState{Term: 2, Commit: 6}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 6, Term: 2,
 		ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 4}, VotersOutgoing: []uint64{1, 2, 3}, AutoLeave: true}}}}
-	v, err := desk.New(disk, lease.Usual, agree.Usual, 1)
+	v, err := desk.New(disk, lease.Usual, consensus.Usual, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/quorum/quorum.go
+++ b/internal/standin/quorum/quorum.go
@@ -16,7 +16,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/agree"
+	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/roster"
@@ -90,7 +90,7 @@
 type voter struct {
 	proc
 	no   int
-	disk agree.Disk
+	disk consensus.Disk
 	v    *desk.Voter
 	r    *roster.Roster
 	own  roster.Hello
@@ -187,12 +187,12 @@
 }
 
 // found gives the disks of a new group, whose state knows whose numbers they are.
-func (w *world) found(ids []uint64) []agree.Disk {
+func (w *world) found(ids []uint64) []consensus.Disk {
 	st := lease.NewState()
 	for id, name := range w.founding {
 		st.Voters[id] = name
 	}
-	list := agree.Found(ids...)
+	list := consensus.Found(ids...)
 	for i := range list {
 		list[i].Snapshot.Data = st.Snapshot()
 	}
@@ -276,7 +276,7 @@
 	v.down, v.held, v.stopped = false, nil, 0
 	v.life++
 	var err error
-	v.v, err = desk.New(v.disk, w.Rules, agree.Usual, w.Seed*100+uint64(v.no)+uint64(v.life)<<32)
+	v.v, err = desk.New(v.disk, w.Rules, consensus.Usual, w.Seed*100+uint64(v.no)+uint64(v.life)<<32)
 	if err != nil {
 		w.broken("%s does not start: %v", v.name(), err)
 		v.down = true
@@ -365,7 +365,7 @@
 	v.kill()
 	delete(w.byID, v.own.ID)
 	w.number++
-	v.disk = agree.Disk{ID: w.number}
+	v.disk = consensus.Disk{ID: w.number}
 	v.own = roster.Hello{Name: v.own.Name, ID: w.number}
 	w.byID[w.number] = v
 	w.after(span, func() { w.startVoter(v) })
