--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -8,11 +8,11 @@
 
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/drill"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/fence/folder"
 	"kestrelspread/internal/fleet/lease/fence/post"
+	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/seat"
 	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/site"
@@ -92,7 +92,7 @@
 		sees.others = append(sees.others, func(w talk.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
 		w.Jobs[returnDuty] = func() work.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
 		w.Reads = []string{returnDuty}
-		w.Said = func(list []desk.Said) {
+		w.Said = func(list []replica.Said) {
 			for _, s := range list {
 				stages, err := stage.Read(s.Data)
 				if err != nil || s.Duty != returnDuty {
--- a/internal/fleet/lease/mesh/mesh.go
+++ b/internal/fleet/lease/mesh/mesh.go
@@ -20,13 +20,13 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/desk"
+	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // Answer is a voter's to an instance's question. Leader: the name of who is to be asked instead.
 type Answer struct {
-	desk.Answer
+	replica.Answer
 	Leader string `json:"leader_name,omitempty"`
 }
 
@@ -80,7 +80,7 @@
 type Handlers struct {
 	Raft  func(group uint64, m raftpb.Message)
 	Hello func(ctx context.Context, h roster.Hello) (roster.Hello, error)
-	Ask   func(ctx context.Context, q desk.Question) (Answer, error)
+	Ask   func(ctx context.Context, q replica.Question) (Answer, error)
 	Do    func(ctx context.Context, c lease.Command) (Done, error)
 	Look  func(ctx context.Context) (View, error)
 }
@@ -210,8 +210,8 @@
 }
 
 // Ask asks for duties.
-func (p *Peer) Ask(ctx context.Context, q desk.Question) (Answer, error) {
-	return ask[desk.Question, Answer](ctx, p, "Ask", q)
+func (p *Peer) Ask(ctx context.Context, q replica.Question) (Answer, error) {
+	return ask[replica.Question, Answer](ctx, p, "Ask", q)
 }
 
 // Do gives a command.
--- a/internal/fleet/lease/desk/plant_none.go
+++ b/internal/fleet/lease/replica/plant_none.go
@@ -1,6 +1,6 @@
 //go:build !plant_unconfirmed
 
-package desk
+package replica
 
 const (
 	plantUnconfirmed = false
--- a/internal/fleet/lease/desk/desk.go
+++ b/internal/fleet/lease/replica/replica.go
@@ -1,6 +1,6 @@
-// Package desk is a voter as the others see it: agreement, grants and who asks for them, in one reducer. Shells and the virtual
+// Package replica is a voter as the others see it: agreement, grants and who asks for them, in one reducer. Shells and the virtual
 // fleet drive the same.
-package desk
+package replica
 
 import (
 	"fmt"
--- a/internal/fleet/lease/seat/seat.go
+++ b/internal/fleet/lease/seat/seat.go
@@ -23,9 +23,9 @@
 
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
-	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/keep"
 	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/roster"
 )
 
@@ -61,7 +61,7 @@
 type Seat struct {
 	opt    Options
 	k      *keep.Keep
-	v      *desk.Voter // nil until its disk belongs to a group
+	v      *replica.Voter // nil until its disk belongs to a group
 	r      *roster.Roster
 	peers  map[string]*peer
 	events chan func() // what voters say, and what this one has to do
@@ -171,7 +171,7 @@
 func (s *Seat) sit() error {
 	var err error
 	s.group.Store(s.k.Group)
-	s.v, err = desk.New(s.k.Disk, s.opt.Rules, s.opt.Times, draw())
+	s.v, err = replica.New(s.k.Disk, s.opt.Rules, s.opt.Times, draw())
 	return err
 }
 
@@ -471,13 +471,13 @@
 	})
 }
 
-func (s *Seat) ask(ctx context.Context, q desk.Question) (mesh.Answer, error) {
+func (s *Seat) ask(ctx context.Context, q replica.Question) (mesh.Answer, error) {
 	return in(ctx, s, s.asks, func(reply func(mesh.Answer)) {
 		if s.v == nil || s.failed != "" {
-			reply(mesh.Answer{Answer: desk.Answer{At: q.At}})
+			reply(mesh.Answer{Answer: replica.Answer{At: q.At}})
 			return
 		}
-		s.v.Ask(Now(), q, func(a desk.Answer) { reply(mesh.Answer{Answer: a, Leader: s.name(a.Leader)}) })
+		s.v.Ask(Now(), q, func(a replica.Answer) { reply(mesh.Answer{Answer: a, Leader: s.name(a.Leader)}) })
 	})
 }
 
--- a/internal/fleet/lease/seat/seat_test.go
+++ b/internal/fleet/lease/seat/seat_test.go
@@ -17,9 +17,9 @@
 
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
-	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/keep"
 	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/roster"
 )
 
@@ -210,7 +210,7 @@
 	// In the middle of the change that puts 4 in the place of 3.
 	disk := consensus.Disk{ID: 1, Hard: raftpb.HardState{Term: 2, Commit: 6}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 6, Term: 2,
 		ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 4}, VotersOutgoing: []uint64{1, 2, 3}, AutoLeave: true}}}}
-	v, err := desk.New(disk, lease.Usual, consensus.Usual, 1)
+	v, err := replica.New(disk, lease.Usual, consensus.Usual, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,7 +290,7 @@
 	lead := g.leader()
 	for _, s := range g.seats {
 		ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-		a, err := s.ask(ctx, desk.Question{Instance: "i.1", At: 5})
+		a, err := s.ask(ctx, replica.Question{Instance: "i.1", At: 5})
 		end()
 		if err != nil || a.At != 5 {
 			t.Fatal(a, err)
--- a/internal/fleet/lease/work/work.go
+++ b/internal/fleet/lease/work/work.go
@@ -16,9 +16,9 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/seat"
 )
 
@@ -40,7 +40,7 @@
 	Rules  lease.Rules
 	Jobs   map[string]func() Job // by duty
 	Reads  []string              // duties of which Said is to hear how far they have come
-	Said   func(list []desk.Said)
+	Said   func(list []replica.Said)
 	Log    zerolog.Logger
 }
 
@@ -118,7 +118,7 @@
 // ask asks once, and does what the answer says. The time that counts is when the question went.
 func (n *Instance) ask() bool {
 	n.lock.Lock()
-	q := desk.Question{Instance: n.opt.Name, At: seat.Now(), Holds: map[string]uint64{}, Can: n.can, Reads: n.opt.Reads}
+	q := replica.Question{Instance: n.opt.Name, At: seat.Now(), Holds: map[string]uint64{}, Can: n.can, Reads: n.opt.Reads}
 	n.acts(n.holder.Turn(q.At))
 	for _, h := range n.holder.Holds() {
 		q.Holds[h.Duty] = h.Token
--- a/internal/standin/quorum/quorum.go
+++ b/internal/standin/quorum/quorum.go
@@ -17,8 +17,8 @@
 
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
-	"kestrelspread/internal/fleet/lease/desk"
 	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/roster"
 )
 
@@ -91,7 +91,7 @@
 	proc
 	no   int
 	disk consensus.Disk
-	v    *desk.Voter
+	v    *replica.Voter
 	r    *roster.Roster
 	own  roster.Hello
 }
@@ -276,7 +276,7 @@
 	v.down, v.held, v.stopped = false, nil, 0
 	v.life++
 	var err error
-	v.v, err = desk.New(v.disk, w.Rules, consensus.Usual, w.Seed*100+uint64(v.no)+uint64(v.life)<<32)
+	v.v, err = replica.New(v.disk, w.Rules, consensus.Usual, w.Seed*100+uint64(v.no)+uint64(v.life)<<32)
 	if err != nil {
 		w.broken("%s does not start: %v", v.name(), err)
 		v.down = true
@@ -520,7 +520,7 @@
 
 func (w *world) ask(n *instance) {
 	w.acts(n, n.holder.Turn(n.at(w.now)))
-	q := desk.Question{Instance: n.name, At: n.at(w.now), Holds: map[string]uint64{}}
+	q := replica.Question{Instance: n.name, At: n.at(w.now), Holds: map[string]uint64{}}
 	for _, h := range n.holder.Holds() {
 		q.Holds[h.Duty] = h.Token
 	}
@@ -534,7 +534,7 @@
 	w.send(n.party(), v.name(), func() {
 		vlife := v.life
 		w.run(&v.proc, func() {
-			v.v.Ask(v.at(w.now), q, func(a desk.Answer) {
+			v.v.Ask(v.at(w.now), q, func(a replica.Answer) {
 				if v.life != vlife {
 					return
 				}
@@ -553,7 +553,7 @@
 	})
 }
 
-func (w *world) told(n *instance, a desk.Answer) {
+func (w *world) told(n *instance, a replica.Answer) {
 	if !a.OK {
 		if to := w.byID[a.Leader]; to != nil {
 			n.asks = to.no
