--- a/internal/fleet/lease/roster/roster.go
+++ b/internal/fleet/lease/membership/membership.go
@@ -1,11 +1,11 @@
-// Package roster is who votes: how a group is founded, how a voter whose disk is gone comes back, how one is added. It is a
+// Package membership is who votes: how a group is founded, how a voter whose disk is gone comes back, how one is added. It is a
 // reducer: what voters say of themselves and what is agreed go in, steps come out.
 //
 // A number belongs to a disk, drawn when the disk is made and never given out again. So whoever has lost its disk has another
 // number, knows nothing, and learns before it votes: it can't vote twice in a term. A group is founded once, by the voter that
 // is named first, when all that are named have said that theirs are new; the others take the founding up only if it names the
 // numbers of their own disks.
-package roster
+package membership
 
 import "slices"
 
--- a/internal/fleet/lease/roster/roster_test.go
+++ b/internal/fleet/lease/membership/membership_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"slices"
--- a/internal/fleet/lease/roster/plant_byname.go
+++ b/internal/fleet/lease/membership/plant_byname.go
@@ -1,6 +1,6 @@
 //go:build plant_byname
 
-package roster
+package membership
 
 // plantByName is a planted defect, behind a build tag: TestPlantedDefects of internal/standin/quorum shows that it is found.
 const plantByName = true
--- a/internal/fleet/lease/mesh/mesh.go
+++ b/internal/fleet/lease/mesh/mesh.go
@@ -20,8 +20,8 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/membership"
 	"kestrelspread/internal/fleet/lease/replica"
-	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // Answer is a voter's to an instance's question. Leader: the name of who is to be asked instead.
@@ -79,7 +79,7 @@
 // Handlers take what comes. They may be called side by side, and answer within the context's time.
 type Handlers struct {
 	Raft  func(group uint64, m raftpb.Message)
-	Hello func(ctx context.Context, h roster.Hello) (roster.Hello, error)
+	Hello func(ctx context.Context, h membership.Hello) (membership.Hello, error)
 	Ask   func(ctx context.Context, q replica.Question) (Answer, error)
 	Do    func(ctx context.Context, c lease.Command) (Done, error)
 	Look  func(ctx context.Context) (View, error)
@@ -205,8 +205,8 @@
 }
 
 // Hello tells a voter of another, and gives what it says of itself.
-func (p *Peer) Hello(ctx context.Context, h roster.Hello) (roster.Hello, error) {
-	return ask[roster.Hello, roster.Hello](ctx, p, "Hello", h)
+func (p *Peer) Hello(ctx context.Context, h membership.Hello) (membership.Hello, error) {
+	return ask[membership.Hello, membership.Hello](ctx, p, "Hello", h)
 }
 
 // Ask asks for duties.
--- a/internal/fleet/lease/seat/seat.go
+++ b/internal/fleet/lease/seat/seat.go
@@ -24,9 +24,9 @@
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/keep"
+	"kestrelspread/internal/fleet/lease/membership"
 	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/lease/replica"
-	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // Address is where a voter is reached from here.
@@ -41,7 +41,7 @@
 	Voters []Address
 	Rules  lease.Rules
 	Times  consensus.Rules
-	Roster roster.Rules // zero: the usual
+	Roster membership.Rules // zero: the usual
 	Tick   time.Duration
 	Log    zerolog.Logger
 }
@@ -62,7 +62,7 @@
 	opt    Options
 	k      *keep.Keep
 	v      *replica.Voter // nil until its disk belongs to a group
-	r      *roster.Roster
+	r      *membership.Roster
 	peers  map[string]*peer
 	events chan func() // what voters say, and what this one has to do
 	asks   chan func()
@@ -131,10 +131,10 @@
 	for _, a := range o.Voters {
 		names = append(names, a.Name)
 	}
-	if o.Roster == (roster.Rules{}) {
-		o.Roster = roster.Usual
+	if o.Roster == (membership.Rules{}) {
+		o.Roster = membership.Usual
 	}
-	s.r = roster.New(o.Roster, roster.Hello{Name: o.Name, ID: k.ID, Group: k.Group, Voters: k.Voters}, names, Now())
+	s.r = membership.New(o.Roster, membership.Hello{Name: o.Name, ID: k.ID, Group: k.Group, Voters: k.Voters}, names, Now())
 	if k.Group != 0 {
 		if err := s.sit(); err != nil {
 			k.Close()
@@ -222,10 +222,10 @@
 		return
 	}
 	now := Now()
-	view := roster.View{}
+	view := membership.View{}
 	if s.v != nil {
 		s.v.Beat(now)
-		view = roster.View{Leading: s.v.Leading() && s.v.Grantor.Leading(), Voters: s.v.Conf().Voters, Learners: s.v.Conf().Learners,
+		view = membership.View{Leading: s.v.Leading() && s.v.Grantor.Leading(), Voters: s.v.Conf().Voters, Learners: s.v.Conf().Learners,
 			Names: s.v.State.Voters, Caught: s.v.Caught}
 		if len(s.v.Conf().VotersOutgoing) > 0 { // a change is on its way
 			view.Leading = false
@@ -240,10 +240,10 @@
 }
 
 // take carries out a step of the roster.
-func (s *Seat) take(step roster.Step) error {
+func (s *Seat) take(step membership.Step) error {
 	switch step.Kind {
-	case roster.Found, roster.Adopt:
-		if step.Kind == roster.Found {
+	case membership.Found, membership.Adopt:
+		if step.Kind == membership.Found {
 			step.Group = draw()
 		}
 		d := consensus.Disk{ID: s.k.ID}
@@ -260,12 +260,12 @@
 		s.r.Joined(step.Group, step.Voters)
 		s.opt.Log.Info().Str("group", fmt.Sprintf("%x", step.Group)).Bool("votes", step.Voters != nil).Msg("owner: this voter's disk belongs to a group")
 		return s.sit()
-	case roster.Name:
+	case membership.Name:
 		s.v.Do(Now(), lease.Command{Kind: lease.Seat, Token: step.ID, To: step.Who}, func(lease.Result) {})
-	case roster.Learn:
+	case membership.Learn:
 		s.opt.Log.Info().Str("voter", step.Who).Str("number", fmt.Sprintf("%x", step.ID)).Msg("owner: it learns before it votes")
 		return s.v.Change(raftpb.ConfChangeAddLearnerNode, step.ID)
-	case roster.Promote:
+	case membership.Promote:
 		s.opt.Log.Info().Str("voter", step.Who).Str("number", fmt.Sprintf("%x", step.ID)).Str("gone", fmt.Sprintf("%x", step.Gone)).Msg("owner: it votes from now on")
 		if step.Gone != 0 {
 			return s.v.Replace(step.ID, step.Gone)
@@ -396,11 +396,11 @@
 			return
 		case <-time.After(wait):
 		}
-		own := make(chan roster.Hello, 1)
+		own := make(chan membership.Hello, 1)
 		if !s.post(func() { own <- s.r.Own() }) {
 			continue
 		}
-		var h roster.Hello
+		var h membership.Hello
 		select {
 		case h = <-own:
 		case <-s.quit:
@@ -464,8 +464,8 @@
 	})
 }
 
-func (s *Seat) hello(ctx context.Context, h roster.Hello) (roster.Hello, error) {
-	return in(ctx, s, s.events, func(reply func(roster.Hello)) {
+func (s *Seat) hello(ctx context.Context, h membership.Hello) (membership.Hello, error) {
+	return in(ctx, s, s.events, func(reply func(membership.Hello)) {
 		s.r.Heard(Now(), h)
 		reply(s.r.Own())
 	})
--- a/internal/fleet/lease/seat/seat_test.go
+++ b/internal/fleet/lease/seat/seat_test.go
@@ -18,9 +18,9 @@
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/keep"
+	"kestrelspread/internal/fleet/lease/membership"
 	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/lease/replica"
-	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // group is voters in one process, each with a disk in memory.
@@ -58,7 +58,7 @@
 func (g *group) options(i int) Options {
 	rules := lease.Usual
 	rules.Lease = 500
-	quick := roster.Rules{Fresh: 3000, Gone: 1500, Again: 200}
+	quick := membership.Rules{Fresh: 3000, Gone: 1500, Again: 200}
 	return Options{Name: g.voters[i].Name, Listen: g.voters[i].Addr, Folder: "voter", FS: g.disks[i], Voters: g.voters, Rules: rules, Roster: quick,
 		Tick: 20 * time.Millisecond, Log: zerolog.Nop()}
 }
@@ -214,7 +214,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Seat{k: &keep.Keep{Identity: keep.Identity{ID: 1}}, v: v, r: roster.New(roster.Usual, roster.Hello{Name: "a", ID: 1}, []string{"a", "b"}, 0)}
+	s := &Seat{k: &keep.Keep{Identity: keep.Identity{ID: 1}}, v: v, r: membership.New(membership.Usual, membership.Hello{Name: "a", ID: 1}, []string{"a", "b"}, 0)}
 	var view mesh.View
 	s.show(&view)
 	var leaving, staying []uint64
--- a/internal/standin/quorum/quorum.go
+++ b/internal/standin/quorum/quorum.go
@@ -18,8 +18,8 @@
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/fence"
+	"kestrelspread/internal/fleet/lease/membership"
 	"kestrelspread/internal/fleet/lease/replica"
-	"kestrelspread/internal/fleet/lease/roster"
 )
 
 // Plan is a run. Times are ms.
@@ -92,8 +92,8 @@
 	no   int
 	disk consensus.Disk
 	v    *replica.Voter
-	r    *roster.Roster
-	own  roster.Hello
+	r    *membership.Roster
+	own  membership.Hello
 }
 
 type instance struct {
@@ -154,7 +154,7 @@
 		w.founding[id] = fmt.Sprint("v", i)
 	}
 	for i, d := range w.found(ids) {
-		v := &voter{proc: w.clock(), no: i, disk: d, own: roster.Hello{Name: w.founding[d.ID], ID: d.ID, Group: 1, Voters: w.founding}}
+		v := &voter{proc: w.clock(), no: i, disk: d, own: membership.Hello{Name: w.founding[d.ID], ID: d.ID, Group: 1, Voters: w.founding}}
 		w.voters = append(w.voters, v)
 		w.byID[d.ID] = v
 	}
@@ -286,7 +286,7 @@
 	for i := range w.voters {
 		names = append(names, fmt.Sprint("v", i))
 	}
-	v.r = roster.New(roster.Usual, v.own, names, v.at(w.now))
+	v.r = membership.New(membership.Usual, v.own, names, v.at(w.now))
 	life := v.life
 	hellos := 0
 	var beat func()
@@ -320,13 +320,13 @@
 // roll takes the step of a voter's roster that is due.
 func (w *world) roll(v *voter) {
 	c := v.v.Conf()
-	step, due := v.r.Turn(v.at(w.now), roster.View{Leading: v.v.Leading() && v.v.Grantor.Leading() && len(c.VotersOutgoing) == 0,
+	step, due := v.r.Turn(v.at(w.now), membership.View{Leading: v.v.Leading() && v.v.Grantor.Leading() && len(c.VotersOutgoing) == 0,
 		Voters: c.Voters, Learners: c.Learners, Names: v.v.State.Voters, Caught: v.v.Caught})
 	if !due {
 		return
 	}
 	switch step.Kind {
-	case roster.Adopt:
+	case membership.Adopt:
 		v.own.Group, v.own.Voters = step.Group, step.Voters
 		v.r.Joined(step.Group, step.Voters)
 		if step.Voters != nil { // its disk was made before the founding: here only a defect brings that about
@@ -336,11 +336,11 @@
 			w.byID[step.ID], v.own.ID = v, step.ID
 			w.startVoter(v)
 		}
-	case roster.Name:
+	case membership.Name:
 		v.v.Do(v.at(w.now), lease.Command{Kind: lease.Seat, Token: step.ID, To: step.Who}, func(lease.Result) {})
-	case roster.Learn:
+	case membership.Learn:
 		v.v.Change(raftpb.ConfChangeAddLearnerNode, step.ID)
-	case roster.Promote:
+	case membership.Promote:
 		if w.res.Replaced++; step.Gone != 0 {
 			v.v.Replace(step.ID, step.Gone)
 			return
@@ -366,7 +366,7 @@
 	delete(w.byID, v.own.ID)
 	w.number++
 	v.disk = consensus.Disk{ID: w.number}
-	v.own = roster.Hello{Name: v.own.Name, ID: w.number}
+	v.own = membership.Hello{Name: v.own.Name, ID: w.number}
 	w.byID[w.number] = v
 	w.after(span, func() { w.startVoter(v) })
 }
