--- a/internal/fleet/lease/seat/seat.go
+++ b/internal/fleet/lease/seat/seat.go
@@ -23,10 +23,10 @@
 
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
-	"kestrelspread/internal/fleet/lease/keep"
 	"kestrelspread/internal/fleet/lease/membership"
 	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/lease/replica"
+	"kestrelspread/internal/fleet/lease/storage"
 )
 
 // Address is where a voter is reached from here.
@@ -60,7 +60,7 @@
 // Seat is a voter that runs.
 type Seat struct {
 	opt    Options
-	k      *keep.Keep
+	k      *storage.Keep
 	v      *replica.Voter // nil until its disk belongs to a group
 	r      *membership.Roster
 	peers  map[string]*peer
@@ -121,7 +121,7 @@
 	if o.Times == (consensus.Rules{}) {
 		o.Times = consensus.Usual
 	}
-	k, err := keep.Open(o.FS, o.Folder, draw)
+	k, err := storage.Open(o.FS, o.Folder, draw)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/lease/seat/seat_test.go
+++ b/internal/fleet/lease/seat/seat_test.go
@@ -17,10 +17,10 @@
 
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
-	"kestrelspread/internal/fleet/lease/keep"
 	"kestrelspread/internal/fleet/lease/membership"
 	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/lease/replica"
+	"kestrelspread/internal/fleet/lease/storage"
 )
 
 // group is voters in one process, each with a disk in memory.
@@ -214,7 +214,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Seat{k: &keep.Keep{Identity: keep.Identity{ID: 1}}, v: v, r: membership.New(membership.Usual, membership.Hello{Name: "a", ID: 1}, []string{"a", "b"}, 0)}
+	s := &Seat{k: &storage.Keep{Identity: storage.Identity{ID: 1}}, v: v, r: membership.New(membership.Usual, membership.Hello{Name: "a", ID: 1}, []string{"a", "b"}, 0)}
 	var view mesh.View
 	s.show(&view)
 	var leaving, staying []uint64
--- a/internal/fleet/lease/keep/keep.go
+++ b/internal/fleet/lease/storage/storage.go
@@ -1,6 +1,6 @@
-// Package keep makes a voter's part durable, on the embedded store that the ledger uses: the number of its disk, what it has
+// Package storage makes a voter's part durable, on the embedded store that the ledger uses: the number of its disk, what it has
 // voted, the log and its snapshot. It decides nothing; agree says what is to be durable before what.
-package keep
+package storage
 
 import (
 	"encoding/binary"
--- a/internal/fleet/lease/keep/keep_test.go
+++ b/internal/fleet/lease/storage/storage_test.go
@@ -1,4 +1,4 @@
-package keep
+package storage
 
 import (
 	"fmt"
