--- a/cmd/kestrelctl/owner.go
+++ b/cmd/kestrelctl/owner.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/transport"
 )
 
 // ownerCommand looks at who does the fleet's work, and changes it. Whoever takes a duty from its owner names the token that was
@@ -30,13 +30,13 @@
 	root.PersistentFlags().DurationVar(&within, "within", 5*time.Second, "for how long to try")
 	root.MarkPersistentFlagRequired("voters")
 
-	dial := func() (map[string]*mesh.Peer, error) {
-		peers := map[string]*mesh.Peer{}
+	dial := func() (map[string]*transport.Peer, error) {
+		peers := map[string]*transport.Peer{}
 		for _, at := range voters {
 			if _, _, err := net.SplitHostPort(at); err != nil {
 				return nil, fmt.Errorf("--voters: %w", err)
 			}
-			p, err := mesh.Dial(at)
+			p, err := transport.Dial(at)
 			if err != nil {
 				return nil, err
 			}
@@ -45,17 +45,17 @@
 		return peers, nil
 	}
 	// look gives the leader's view, or, where nobody leads, the latest that any voter has.
-	look := func() (best mesh.View, all map[string]mesh.View, err error) {
+	look := func() (best transport.View, all map[string]transport.View, err error) {
 		peers, err := dial()
 		if err != nil {
 			return best, nil, err
 		}
-		all = map[string]mesh.View{}
+		all = map[string]transport.View{}
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
 		type seen struct {
 			at  string
-			v   mesh.View
+			v   transport.View
 			err error
 		}
 		c := make(chan seen, len(peers))
@@ -81,7 +81,7 @@
 		}
 		return best, all, nil
 	}
-	warn := func(cmd *cobra.Command, v mesh.View) {
+	warn := func(cmd *cobra.Command, v transport.View) {
 		if !v.Confirmed {
 			fmt.Fprintln(cmd.ErrOrStderr(), "nobody leads, as far as can be seen: what follows is the latest that", v.Name, "knew, and duties may be nobody's")
 		}
@@ -205,7 +205,7 @@
 				peers[v.Name] = p
 			}
 		}
-		d, err := mesh.Lead(ctx, peers, "", c)
+		d, err := transport.Lead(ctx, peers, "", c)
 		switch {
 		case err != nil:
 			return err
--- a/internal/fleet/lease/seat/seat.go
+++ b/internal/fleet/lease/seat/seat.go
@@ -24,9 +24,9 @@
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/membership"
-	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/storage"
+	"kestrelspread/internal/fleet/lease/transport"
 )
 
 // Address is where a voter is reached from here.
@@ -80,7 +80,7 @@
 }
 
 type peer struct {
-	*mesh.Peer
+	*transport.Peer
 	name  string
 	queue chan []byte
 	to    atomic.Uint64 // the number that its latest message was for
@@ -151,7 +151,7 @@
 		if a.Name == o.Name {
 			continue
 		}
-		m, err := mesh.Dial(a.Addr)
+		m, err := transport.Dial(a.Addr)
 		if err != nil {
 			l.Close()
 			k.Close()
@@ -162,7 +162,7 @@
 		go s.carry(p)
 		go s.greet(p)
 	}
-	s.stop = mesh.Serve(l, mesh.Handlers{Raft: s.raft, Hello: s.hello, Ask: s.ask, Do: s.do, Look: s.Look})
+	s.stop = transport.Serve(l, transport.Handlers{Raft: s.raft, Hello: s.hello, Ask: s.ask, Do: s.do, Look: s.Look})
 	go s.run()
 	return s, nil
 }
@@ -343,7 +343,7 @@
 	if p == nil {
 		return
 	}
-	b, err := mesh.Pack(m)
+	b, err := transport.Pack(m)
 	if err != nil {
 		return
 	}
@@ -471,20 +471,20 @@
 	})
 }
 
-func (s *Seat) ask(ctx context.Context, q replica.Question) (mesh.Answer, error) {
-	return in(ctx, s, s.asks, func(reply func(mesh.Answer)) {
+func (s *Seat) ask(ctx context.Context, q replica.Question) (transport.Answer, error) {
+	return in(ctx, s, s.asks, func(reply func(transport.Answer)) {
 		if s.v == nil || s.failed != "" {
-			reply(mesh.Answer{Answer: replica.Answer{At: q.At}})
+			reply(transport.Answer{Answer: replica.Answer{At: q.At}})
 			return
 		}
-		s.v.Ask(Now(), q, func(a replica.Answer) { reply(mesh.Answer{Answer: a, Leader: s.name(a.Leader)}) })
+		s.v.Ask(Now(), q, func(a replica.Answer) { reply(transport.Answer{Answer: a, Leader: s.name(a.Leader)}) })
 	})
 }
 
-func (s *Seat) do(ctx context.Context, c lease.Command) (mesh.Done, error) {
-	return in(ctx, s, s.dos, func(reply func(mesh.Done)) {
+func (s *Seat) do(ctx context.Context, c lease.Command) (transport.Done, error) {
+	return in(ctx, s, s.dos, func(reply func(transport.Done)) {
 		if s.v == nil || s.failed != "" || !s.v.Leading() {
-			d := mesh.Done{Why: "this voter does not lead"}
+			d := transport.Done{Why: "this voter does not lead"}
 			if s.v != nil {
 				d.Leader = s.name(s.v.Leader())
 			}
@@ -492,15 +492,15 @@
 			return
 		}
 		s.v.Do(Now(), c, func(r lease.Result) {
-			reply(mesh.Done{OK: r.OK, Known: r.Index > 0, Why: r.Why, Duty: r.Duty, Leader: s.opt.Name})
+			reply(transport.Done{OK: r.OK, Known: r.Index > 0, Why: r.Why, Duty: r.Duty, Leader: s.opt.Name})
 		})
 	})
 }
 
 // Look gives this voter's view, confirmed by a quorum where it leads.
-func (s *Seat) Look(ctx context.Context) (mesh.View, error) {
-	return in(ctx, s, s.asks, func(reply func(mesh.View)) {
-		v := mesh.View{Name: s.opt.Name, ID: s.k.ID, Group: s.k.Group, Disk: s.k.Trouble(), Syncs: s.k.Syncs(), Sent: s.sent.Load()}
+func (s *Seat) Look(ctx context.Context) (transport.View, error) {
+	return in(ctx, s, s.asks, func(reply func(transport.View)) {
+		v := transport.View{Name: s.opt.Name, ID: s.k.ID, Group: s.k.Group, Disk: s.k.Trouble(), Syncs: s.k.Syncs(), Sent: s.sent.Load()}
 		if s.failed != "" {
 			v.Disk = s.failed
 		}
@@ -516,12 +516,12 @@
 	})
 }
 
-func (s *Seat) show(v *mesh.View) {
+func (s *Seat) show(v *transport.View) {
 	now, st := Now(), s.v.State
 	v.Next = st.Next
 	conf := s.v.Conf()
 	add := func(id uint64, learner, leaving bool) {
-		o := mesh.Voter{Name: s.name(id), ID: id, Learner: learner, Leaving: leaving, Heard: s.r.Silence(now, id)}
+		o := transport.Voter{Name: s.name(id), ID: id, Learner: learner, Leaving: leaving, Heard: s.r.Silence(now, id)}
 		if v.Leading {
 			o.Match = s.v.Match(id)
 		}
@@ -543,7 +543,7 @@
 	sort.Slice(v.Voters, func(i, j int) bool { return v.Voters[i].Name < v.Voters[j].Name })
 	leases := s.v.Grantor.Leases()
 	for _, n := range st.Names() {
-		l := mesh.Lease{Duty: *st.Duties[n]}
+		l := transport.Lease{Duty: *st.Duties[n]}
 		if until, known := leases[n]; known && v.Confirmed {
 			l.Left = max(until-now, 0)
 		}
--- a/internal/fleet/lease/seat/seat_test.go
+++ b/internal/fleet/lease/seat/seat_test.go
@@ -18,9 +18,9 @@
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/consensus"
 	"kestrelspread/internal/fleet/lease/membership"
-	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/storage"
+	"kestrelspread/internal/fleet/lease/transport"
 )
 
 // group is voters in one process, each with a disk in memory.
@@ -81,7 +81,7 @@
 }
 
 // until waits far longer than it takes, and gives the leader's view.
-func (g *group) until(what string, ok func(v mesh.View) bool) (v mesh.View) {
+func (g *group) until(what string, ok func(v transport.View) bool) (v transport.View) {
 	g.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 		for _, s := range g.seats {
@@ -113,7 +113,7 @@
 }
 
 func (g *group) leader() *Seat {
-	v := g.until("a leader", func(mesh.View) bool { return true })
+	v := g.until("a leader", func(transport.View) bool { return true })
 	for _, s := range g.seats {
 		if s != nil && s.opt.Name == v.Name {
 			return s
@@ -123,7 +123,7 @@
 }
 
 // do gives a command to whoever leads.
-func (g *group) do(c lease.Command) mesh.Done {
+func (g *group) do(c lease.Command) transport.Done {
 	g.t.Helper()
 	for range 500 {
 		if l := g.leader(); l != nil {
@@ -137,11 +137,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	g.t.Fatal("no answer to ", c)
-	return mesh.Done{}
+	return transport.Done{}
 }
 
-func votes(n int) func(v mesh.View) bool {
-	return func(v mesh.View) bool { return len(v.Voters) == n }
+func votes(n int) func(v transport.View) bool {
+	return func(v transport.View) bool { return len(v.Voters) == n }
 }
 
 func TestAGroupIsFoundedAndKeepsItsTokensThroughRestarts(t *testing.T) {
@@ -159,13 +159,13 @@
 		for i := range 3 {
 			g.start(i)
 		}
-		v := g.until("the duty is known again", func(v mesh.View) bool { return len(v.Duties) == 1 })
+		v := g.until("the duty is known again", func(v transport.View) bool { return len(v.Duties) == 1 })
 		if v.Next <= d.Duty.Token {
 			t.Fatalf("the next token is %d after %d was given", v.Next, d.Duty.Token)
 		}
 	}
 	// The owner is never heard of again: its lease runs out, and the token of the next is higher.
-	g.until("the lease runs out", func(v mesh.View) bool { return v.Duties[0].Owner == "" })
+	g.until("the lease runs out", func(v transport.View) bool { return v.Duties[0].Owner == "" })
 	next := g.do(lease.Command{Kind: lease.Grant, Duty: "d", Token: d.Duty.Token, To: "i.2"})
 	if !next.OK || next.Duty.Token <= d.Duty.Token {
 		t.Fatal(next)
@@ -188,7 +188,7 @@
 	g.start(2)
 	// Twice in a row: that the change is over is with a majority once the second view was confirmed.
 	seen := 0
-	v = g.until("the new disk votes, the old one does not", func(v mesh.View) bool {
+	v = g.until("the new disk votes, the old one does not", func(v transport.View) bool {
 		over := len(v.Voters) == 3
 		for _, o := range v.Voters {
 			over = over && (o.Name != "v2" || !o.Learner && o.ID != old["v2"])
@@ -200,7 +200,7 @@
 	})
 	// It counts: with another voter down the two go on.
 	g.stop(0)
-	g.until("two of three go on", func(v mesh.View) bool { return v.Name != "v0" })
+	g.until("two of three go on", func(v transport.View) bool { return v.Name != "v0" })
 	if d := g.do(lease.Command{Kind: lease.Grant, Duty: "d", To: "i.1"}); !d.OK {
 		t.Fatal(d)
 	}
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	s := &Seat{k: &storage.Keep{Identity: storage.Identity{ID: 1}}, v: v, r: membership.New(membership.Usual, membership.Hello{Name: "a", ID: 1}, []string{"a", "b"}, 0)}
-	var view mesh.View
+	var view transport.View
 	s.show(&view)
 	var leaving, staying []uint64
 	for _, o := range view.Voters {
@@ -279,7 +279,7 @@
 	if g.seats[1].k.Trouble() == "" {
 		t.Error("nothing is said of the disk")
 	}
-	if v := g.until("the others go on", func(v mesh.View) bool { return v.Name != "v1" && len(v.Duties) == 3 }); v.Name == "v1" {
+	if v := g.until("the others go on", func(v transport.View) bool { return v.Name != "v1" && len(v.Duties) == 3 }); v.Name == "v1" {
 		t.Error("it leads")
 	}
 }
--- a/internal/fleet/lease/mesh/mesh.go
+++ b/internal/fleet/lease/transport/transport.go
@@ -1,6 +1,6 @@
-// Package mesh carries what voters and instances say to each other, by grpc-go under its library's own types: a message is
+// Package transport carries what voters and instances say to each other, by grpc-go under its library's own types: a message is
 // bytes in a BytesValue. It decides nothing: what is late, lost or of another group is for those who read it.
-package mesh
+package transport
 
 import (
 	"context"
--- a/internal/fleet/lease/mesh/mesh_test.go
+++ b/internal/fleet/lease/transport/transport_test.go
@@ -1,4 +1,4 @@
-package mesh
+package transport
 
 import (
 	"context"
--- a/internal/fleet/lease/work/work.go
+++ b/internal/fleet/lease/work/work.go
@@ -17,9 +17,9 @@
 
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/fence"
-	"kestrelspread/internal/fleet/lease/mesh"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/seat"
+	"kestrelspread/internal/fleet/lease/transport"
 )
 
 // Job is a duty's work under one grant.
@@ -51,7 +51,7 @@
 	lock    sync.Mutex
 	holder  *lease.Holder
 	work    map[string]*Grant
-	peers   []*mesh.Peer
+	peers   []*transport.Peer
 	names   []string
 	at      int // voter that is asked
 	quit    chan struct{}
@@ -85,7 +85,7 @@
 	}
 	slices.Sort(n.can)
 	for _, a := range o.Voters {
-		p, err := mesh.Dial(a.Addr)
+		p, err := transport.Dial(a.Addr)
 		if err != nil {
 			return nil, err
 		}
@@ -284,15 +284,15 @@
 	n.do(ctx, lease.Command{Kind: lease.Release, Duty: duty, Token: token})
 }
 
-func (n *Instance) do(ctx context.Context, c lease.Command) (mesh.Done, error) {
-	peers := map[string]*mesh.Peer{}
+func (n *Instance) do(ctx context.Context, c lease.Command) (transport.Done, error) {
+	peers := map[string]*transport.Peer{}
 	for i, name := range n.names {
 		peers[name] = n.peers[i]
 	}
 	n.lock.Lock()
 	first := n.names[n.at]
 	n.lock.Unlock()
-	return mesh.Lead(ctx, peers, first, c)
+	return transport.Lead(ctx, peers, first, c)
 }
 
 // May tells whether something may be begun now. A pause may come between this and the act: the receiver's fence is what counts.
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/owners.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"kestrelspread/internal/fleet/lease/mesh"
+	"kestrelspread/internal/fleet/lease/transport"
 	"kestrelspread/internal/fleet/stage"
 	"kestrelspread/internal/rig/links"
 	"kestrelspread/internal/standin/receiver"
@@ -58,9 +58,9 @@
 	if !q.w.Owners.Return {
 		return
 	}
-	var peers []*mesh.Peer
+	var peers []*transport.Peer
 	for k := range q.w.Owners.Voters {
-		if p, err := mesh.Dial(q.talkAt(q.voter(k))); err == nil {
+		if p, err := transport.Dial(q.talkAt(q.voter(k))); err == nil {
 			peers = append(peers, p)
 		}
 	}
