--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -13,7 +13,7 @@
 	"kestrelspread/internal/fleet/lease/fence/folder"
 	"kestrelspread/internal/fleet/lease/fence/post"
 	"kestrelspread/internal/fleet/lease/replica"
-	"kestrelspread/internal/fleet/lease/seat"
+	"kestrelspread/internal/fleet/lease/voter"
 	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/fleet/site/talk"
@@ -36,18 +36,18 @@
 // The broker starts and serves whatever becomes of this part.
 func duties(p *broker.Parts, o *operator.Owner, port *site.Port, sees *sightings) (end func(), err error) {
 	rules := lease.For(o.Lease)
-	var list []seat.Address
+	var list []voter.Address
 	votes := false
 	for _, v := range o.Voters {
-		list = append(list, seat.Address{Name: v.Name, Addr: v.Address})
+		list = append(list, voter.Address{Name: v.Name, Addr: v.Address})
 		votes = votes || v.Name == p.Name
 	}
-	var mine *seat.Seat
+	var mine *voter.Seat
 	if votes {
 		if o.Folder == "" {
 			return nil, fmt.Errorf("owner: %s is a voter and has no folder", p.Name)
 		}
-		mine, err = seat.Start(seat.Options{Name: p.Name, Listen: o.Listen, Folder: o.Folder, Voters: list, Rules: rules,
+		mine, err = voter.Start(voter.Options{Name: p.Name, Listen: o.Listen, Folder: o.Folder, Voters: list, Rules: rules,
 			Tick: time.Duration(rules.Tick() * 1e6), Log: p.Log})
 		if err != nil {
 			return nil, fmt.Errorf("owner: %w", err)
--- a/internal/fleet/lease/seat/seat.go
+++ b/internal/fleet/lease/voter/server.go
@@ -1,6 +1,6 @@
-// Package seat runs a voter: one goroutine owns it, and makes durable what it wants to be before anything is sent. The disk may
+// Package voter runs a voter: one goroutine owns it, and makes durable what it wants to be before anything is sent. The disk may
 // stall it; then it says nothing, and the others go on. Everything that comes waits in one bounded queue.
-package seat
+package voter
 
 import (
 	"context"
--- a/internal/fleet/lease/seat/seat_test.go
+++ b/internal/fleet/lease/voter/server_test.go
@@ -1,4 +1,4 @@
-package seat
+package voter
 
 import (
 	"context"
--- a/internal/fleet/lease/work/work.go
+++ b/internal/fleet/lease/work/work.go
@@ -18,8 +18,8 @@
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/replica"
-	"kestrelspread/internal/fleet/lease/seat"
 	"kestrelspread/internal/fleet/lease/transport"
+	"kestrelspread/internal/fleet/lease/voter"
 )
 
 // Job is a duty's work under one grant.
@@ -36,7 +36,7 @@
 // Options are an instance's.
 type Options struct {
 	Name   string // one life of it: a restart under the same name is another
-	Voters []seat.Address
+	Voters []voter.Address
 	Rules  lease.Rules
 	Jobs   map[string]func() Job // by duty
 	Reads  []string              // duties of which Said is to hear how far they have come
@@ -118,7 +118,7 @@
 // ask asks once, and does what the answer says. The time that counts is when the question went.
 func (n *Instance) ask() bool {
 	n.lock.Lock()
-	q := replica.Question{Instance: n.opt.Name, At: seat.Now(), Holds: map[string]uint64{}, Can: n.can, Reads: n.opt.Reads}
+	q := replica.Question{Instance: n.opt.Name, At: voter.Now(), Holds: map[string]uint64{}, Can: n.can, Reads: n.opt.Reads}
 	n.acts(n.holder.Turn(q.At))
 	for _, h := range n.holder.Holds() {
 		q.Holds[h.Duty] = h.Token
@@ -135,8 +135,8 @@
 				n.at = to
 			}
 		}
-		n.acts(n.holder.Turn(seat.Now()))
-		if quiet := n.holder.Quiet(seat.Now()); quiet != n.silent {
+		n.acts(n.holder.Turn(voter.Now()))
+		if quiet := n.holder.Quiet(voter.Now()); quiet != n.silent {
 			if n.silent = quiet; quiet {
 				n.opt.Log.Warn().Msg("owner: no voter that leads answers; this instance does no duty, and searches go on")
 			}
@@ -149,9 +149,9 @@
 	}
 	n.lock.Lock()
 	n.silent = false
-	n.holder.Heard(seat.Now())
+	n.holder.Heard(voter.Now())
 	for _, g := range a.Grants {
-		n.acts(n.holder.Granted(seat.Now(), a.At, g.Duty, g.Token, g.Data, g.LetGo))
+		n.acts(n.holder.Granted(voter.Now(), a.At, g.Duty, g.Token, g.Data, g.LetGo))
 	}
 	for _, d := range n.can {
 		if token, lost := a.Lost[d]; lost {
@@ -299,7 +299,7 @@
 func (g *Grant) May() bool {
 	g.n.lock.Lock()
 	defer g.n.lock.Unlock()
-	token, may := g.n.holder.May(seat.Now(), g.Duty)
+	token, may := g.n.holder.May(voter.Now(), g.Duty)
 	return may && token == g.Token && g.n.work[g.Duty] == g
 }
 
--- a/internal/fleet/stage/pace/pace.go
+++ b/internal/fleet/stage/pace/pace.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"kestrelspread/internal/fleet/lease/seat"
+	"kestrelspread/internal/fleet/lease/voter"
 	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/stage"
 )
@@ -34,7 +34,7 @@
 	if len(e.words) >= wordsMost { // what lasts is said again
 		e.words = append(e.words[:0], e.words[wordsMost/2:]...)
 	}
-	e.words = append(e.words, word{who, site, lost, seat.Now() - age})
+	e.words = append(e.words, word{who, site, lost, voter.Now() - age})
 }
 
 func (e *Ears) take() []word {
@@ -55,7 +55,7 @@
 
 // Step looks once.
 func (j *Job) Step(ctx context.Context, g *work.Grant) (time.Duration, error) {
-	now := seat.Now()
+	now := voter.Now()
 	if j.pace == nil {
 		j.pace = stage.New(j.Rules, g.Data, now)
 	}
--- a/internal/standin/solo/solo.go
+++ b/internal/standin/solo/solo.go
@@ -10,11 +10,11 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/seat"
+	"kestrelspread/internal/fleet/lease/voter"
 )
 
 // Start runs one until the test ends, and gives what instances need to find it.
-func Start(t testing.TB, leaseMs float64) (v *seat.Seat, voters []seat.Address, rules lease.Rules) {
+func Start(t testing.TB, leaseMs float64) (v *voter.Seat, voters []voter.Address, rules lease.Rules) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0") // its number is kept by whoever listens there next
 	if err != nil {
@@ -24,8 +24,8 @@
 	l.Close()
 	rules = lease.For(leaseMs)
 	rules.Held = 100
-	voters = []seat.Address{{Name: "v0", Addr: at}}
-	v, err = seat.Start(seat.Options{Name: "v0", Listen: at, Folder: "voter", FS: vfs.NewMem(), Voters: voters, Rules: rules, Tick: 20 * time.Millisecond, Log: zerolog.Nop()})
+	voters = []voter.Address{{Name: "v0", Addr: at}}
+	v, err = voter.Start(voter.Options{Name: "v0", Listen: at, Folder: "voter", FS: vfs.NewMem(), Voters: voters, Rules: rules, Tick: 20 * time.Millisecond, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
