--- a/cmd/kestrelctl/owner_test.go
+++ b/cmd/kestrelctl/owner_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/fleet/lease/work"
+	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/standin/solo"
 )
 
@@ -29,9 +29,9 @@
 func TestOperatorsSeeAndMoveDuties(t *testing.T) {
 	_, voters, rules := solo.Start(t, 600)
 	at := voters[0].Addr
-	idle := func() work.Job { return still{} }
+	idle := func() client.Job { return still{} }
 	for _, name := range []string{"a.1", "b.1"} {
-		n, err := work.New(work.Options{Name: name, Voters: voters, Rules: rules, Jobs: map[string]func() work.Job{"close": idle}, Log: zerolog.Nop()})
+		n, err := client.New(client.Options{Name: name, Voters: voters, Rules: rules, Jobs: map[string]func() client.Job{"close": idle}, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,6 +103,6 @@
 
 type still struct{}
 
-func (still) Step(context.Context, *work.Grant) (time.Duration, error) {
+func (still) Step(context.Context, *client.Grant) (time.Duration, error) {
 	return 50 * time.Millisecond, nil
 }
--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -8,13 +8,13 @@
 
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/fleet/lease"
+	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/drill"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/fence/folder"
 	"kestrelspread/internal/fleet/lease/fence/post"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
-	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/fleet/site/talk"
 	"kestrelspread/internal/fleet/stage"
@@ -57,7 +57,7 @@
 	if _, err := rand.Read(chance[:]); err != nil {
 		return nil, err
 	}
-	w := work.Options{Name: fmt.Sprintf("%s.%x", p.Name, chance), Voters: list, Rules: rules, Jobs: map[string]func() work.Job{}, Log: p.Log}
+	w := client.Options{Name: fmt.Sprintf("%s.%x", p.Name, chance), Voters: list, Rules: rules, Jobs: map[string]func() client.Job{}, Log: p.Log}
 	if c := o.Close; c != nil {
 		to := func() (fence.Receiver, error) {
 			if c.URL != "" {
@@ -68,7 +68,7 @@
 		if _, err := to(); err != nil {
 			return nil, fmt.Errorf("owner/duties/close: %w", err)
 		}
-		w.Jobs[closeDuty] = func() work.Job {
+		w.Jobs[closeDuty] = func() client.Job {
 			r, err := to()
 			if err != nil {
 				p.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
@@ -81,7 +81,7 @@
 	if d := o.Drill; d != nil {
 		to := post.New(d.URL)
 		for i := range d.Count {
-			w.Jobs[drillDuty+strconv.Itoa(i)] = func() work.Job {
+			w.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
 				return &drill.Job{To: to, Every: time.Duration(d.Every * 1e6), Marks: d.Marks, Holder: w.Name}
 			}
 		}
@@ -90,7 +90,7 @@
 		ears := &pace.Ears{}
 		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
 		sees.others = append(sees.others, func(w talk.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
-		w.Jobs[returnDuty] = func() work.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
+		w.Jobs[returnDuty] = func() client.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
 		w.Reads = []string{returnDuty}
 		w.Said = func(list []replica.Said) {
 			for _, s := range list {
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	n, err := work.New(w)
+	n, err := client.New(w)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/lease/work/work.go
+++ b/internal/fleet/lease/client/client.go
@@ -1,7 +1,7 @@
-// Package work is an instance's part: it asks the voters for duties, does the work of those that it is granted, and stops on its
+// Package client is an instance's part: it asks the voters for duties, does the work of those that it is granted, and stops on its
 // own before anybody may think that it has. Searches never wait for any of it. The rules are lease.Holder's; here are the
 // questions, the goroutines and the time.
-package work
+package client
 
 import (
 	"context"
--- a/internal/fleet/lease/drill/drill.go
+++ b/internal/fleet/lease/drill/drill.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
+	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/fence"
-	"kestrelspread/internal/fleet/lease/work"
 )
 
 // Job is one owner's work.
@@ -29,7 +29,7 @@
 }
 
 // Step does the next effect.
-func (j *Job) Step(ctx context.Context, g *work.Grant) (time.Duration, error) {
+func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
 	if !j.begun {
 		j.begun = true
 		j.done, _ = strconv.Atoi(string(g.Data))
--- a/internal/fleet/stage/pace/pace.go
+++ b/internal/fleet/stage/pace/pace.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/voter"
-	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/stage"
 )
 
@@ -54,7 +54,7 @@
 }
 
 // Step looks once.
-func (j *Job) Step(ctx context.Context, g *work.Grant) (time.Duration, error) {
+func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
 	now := voter.Now()
 	if j.pace == nil {
 		j.pace = stage.New(j.Rules, g.Data, now)
--- a/internal/fleet/statement/gather/gather.go
+++ b/internal/fleet/statement/gather/gather.go
@@ -15,8 +15,8 @@
 
 	"github.com/rs/zerolog"
 
+	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/fence"
-	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
@@ -37,7 +37,7 @@
 }
 
 // Step publishes one statement, or reads what came.
-func (j *Job) Step(ctx context.Context, g *work.Grant) (time.Duration, error) {
+func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
 	if j.book == nil {
 		var err error
 		if j.mark, err = statement.ReadMark(g.Data); err != nil {
--- a/internal/fleet/statement/gather/gather_test.go
+++ b/internal/fleet/statement/gather/gather_test.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/rs/zerolog"
 
+	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/fence/folder"
-	"kestrelspread/internal/fleet/lease/work"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
@@ -64,8 +64,8 @@
 		instance(t, dir, fmt.Sprint("n", i), 6)
 	}
 	v, voters, rules := solo.Start(t, 400)
-	start := func(name string) *work.Instance {
-		job := func() work.Job {
+	start := func(name string) *client.Instance {
+		job := func() client.Job {
 			to, err := folder.Open(out)
 			if err != nil {
 				t.Error(err)
@@ -73,7 +73,7 @@
 			return &Job{Folders: []string{filepath.Join(dir, "*")}, Rules: statement.Rules{Expect: []string{"n0", "n1", "n2", "n3"}, Wait: 1000}, To: to,
 				Every: 10 * time.Millisecond, Log: zerolog.Nop(), Wall: func() int64 { return time.Now().UnixMilli() }}
 		}
-		n, err := work.New(work.Options{Name: name, Voters: voters, Rules: rules, Jobs: map[string]func() work.Job{"close": job}, Log: zerolog.Nop()})
+		n, err := client.New(client.Options{Name: name, Voters: voters, Rules: rules, Jobs: map[string]func() client.Job{"close": job}, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
