--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/client"
-	"kestrelspread/internal/fleet/lease/drill"
+	"kestrelspread/internal/fleet/lease/exercise"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/fence/folder"
 	"kestrelspread/internal/fleet/lease/fence/post"
@@ -82,7 +82,7 @@
 		to := post.New(d.URL)
 		for i := range d.Count {
 			w.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
-				return &drill.Job{To: to, Every: time.Duration(d.Every * 1e6), Marks: d.Marks, Holder: w.Name}
+				return &exercise.Job{To: to, Every: time.Duration(d.Every * 1e6), Marks: d.Marks, Holder: w.Name}
 			}
 		}
 	}
--- a/internal/fleet/lease/drill/drill.go
+++ b/internal/fleet/lease/exercise/exercise.go
@@ -1,6 +1,6 @@
-// Package drill is a duty whose work is to be counted: numbered effects at a receiver, one after another. An installation runs it
+// Package exercise is a duty whose work is to be counted: numbered effects at a receiver, one after another. An installation runs it
 // to see that its owners change as they should, and that its receiver refuses those of the past.
-package drill
+package exercise
 
 import (
 	"context"
