--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -11,7 +11,7 @@
 	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/exercise"
 	"kestrelspread/internal/fleet/lease/fence"
-	"kestrelspread/internal/fleet/lease/fence/folder"
+	"kestrelspread/internal/fleet/lease/fence/dir"
 	"kestrelspread/internal/fleet/lease/fence/post"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
@@ -63,7 +63,7 @@
 			if c.URL != "" {
 				return post.New(c.URL), nil
 			}
-			return folder.Open(c.Folder)
+			return fencedir.Open(c.Folder)
 		}
 		if _, err := to(); err != nil {
 			return nil, fmt.Errorf("owner/duties/close: %w", err)
--- a/internal/fleet/lease/fence/folder/folder.go
+++ b/internal/fleet/lease/fence/dir/fencedir.go
@@ -1,7 +1,7 @@
-// Package folder is a receiver of effects that is a folder, perhaps on a disk that several machines share: numbered versions,
+// Package fencedir is a receiver of effects that is a folder, perhaps on a disk that several machines share: numbered versions,
 // each made by a link that fails where the number is taken. So the check of a token and the effect are one step, whoever else
 // writes: who read the versions, slept and wrote finds its number taken, reads again, and learns that its token is old.
-package folder
+package fencedir
 
 import (
 	"encoding/json"
--- a/internal/fleet/lease/fence/folder/folder_test.go
+++ b/internal/fleet/lease/fence/dir/fencedir_test.go
@@ -1,4 +1,4 @@
-package folder
+package fencedir
 
 import (
 	"encoding/json"
--- a/internal/fleet/statement/gather/gather_test.go
+++ b/internal/fleet/statement/gather/gather_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/fleet/lease/client"
-	"kestrelspread/internal/fleet/lease/fence/folder"
+	"kestrelspread/internal/fleet/lease/fence/dir"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
@@ -66,7 +66,7 @@
 	v, voters, rules := solo.Start(t, 400)
 	start := func(name string) *client.Instance {
 		job := func() client.Job {
-			to, err := folder.Open(out)
+			to, err := fencedir.Open(out)
 			if err != nil {
 				t.Error(err)
 			}
@@ -81,7 +81,7 @@
 		return n
 	}
 	statements := func() (list []statement.Statement) {
-		versions, err := folder.Versions(out)
+		versions, err := fencedir.Versions(out)
 		if err != nil {
 			t.Fatal(err)
 		}
