--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/fleet/lease/exercise"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/fence/dir"
-	"kestrelspread/internal/fleet/lease/fence/post"
+	"kestrelspread/internal/fleet/lease/fence/http"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
 	"kestrelspread/internal/fleet/site"
@@ -61,7 +61,7 @@
 	if c := o.Close; c != nil {
 		to := func() (fence.Receiver, error) {
 			if c.URL != "" {
-				return post.New(c.URL), nil
+				return fencehttp.New(c.URL), nil
 			}
 			return fencedir.Open(c.Folder)
 		}
@@ -79,7 +79,7 @@
 		}
 	}
 	if d := o.Drill; d != nil {
-		to := post.New(d.URL)
+		to := fencehttp.New(d.URL)
 		for i := range d.Count {
 			w.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
 				return &exercise.Job{To: to, Every: time.Duration(d.Every * 1e6), Marks: d.Marks, Holder: w.Name}
--- a/internal/fleet/lease/fence/dir/fencedir_test.go
+++ b/internal/fleet/lease/fence/dir/fencedir_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"kestrelspread/internal/fleet/lease/fence"
-	"kestrelspread/internal/fleet/lease/fence/post"
+	"kestrelspread/internal/fleet/lease/fence/http"
 	"kestrelspread/internal/standin/receiver"
 )
 
@@ -86,7 +86,7 @@
 func TestAReceiverByHTTP(t *testing.T) {
 	r := receiver.NewFenced(false)
 	defer r.Close()
-	to := post.New(r.URL)
+	to := fencehttp.New(r.URL)
 	for i, c := range []struct {
 		token uint64
 		key   string
@@ -104,7 +104,7 @@
 	// What says neither is no answer: the effect is offered again.
 	for _, says := range []string{`{"done":false,"token":2}`, `thanks`, `{}`} {
 		bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(says)) }))
-		if _, err := post.New(bad.URL).Apply(effect(5, "3")); err == nil || errors.Is(err, fence.ErrOld) {
+		if _, err := fencehttp.New(bad.URL).Apply(effect(5, "3")); err == nil || errors.Is(err, fence.ErrOld) {
 			t.Errorf("%s: %v", says, err)
 		}
 		bad.Close()
@@ -112,7 +112,7 @@
 	// The audit finds what a receiver without a fence lets through.
 	open := receiver.NewFenced(true)
 	defer open.Close()
-	to = post.New(open.URL)
+	to = fencehttp.New(open.URL)
 	to.Apply(effect(5, "1"))
 	to.Apply(effect(4, "2"))
 	if p := open.Audit(); len(p.Broken) == 0 {
--- a/internal/fleet/lease/fence/post/post.go
+++ b/internal/fleet/lease/fence/http/fencehttp.go
@@ -1,7 +1,7 @@
-// Package post brings effects to a receiver over HTTP. The receiver keeps the highest token of each duty and the keys it has had,
+// Package fencehttp brings effects to a receiver over HTTP. The receiver keeps the highest token of each duty and the keys it has had,
 // and answers 200 with whether it had the effect, or 409 where a newer owner has been there. Anything else, or nothing, says
 // nothing: the effect is offered again, and its key makes that harmless.
-package post
+package fencehttp
 
 import (
 	"bytes"
