--- a/cmd/kestrelctl/owner_test.go
+++ b/cmd/kestrelctl/owner_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/fleet/lease/client"
-	"kestrelspread/internal/standin/solo"
+	"kestrelspread/internal/standin/singlevoter"
 )
 
 func ctl(args ...string) (string, error) {
@@ -27,7 +27,7 @@
 
 // Operators see who owns what, move a duty, take one by force; whoever has not seen the latest token is refused.
 func TestOperatorsSeeAndMoveDuties(t *testing.T) {
-	_, voters, rules := solo.Start(t, 600)
+	_, voters, rules := singlevoter.Start(t, 600)
 	at := voters[0].Addr
 	idle := func() client.Job { return still{} }
 	for _, name := range []string{"a.1", "b.1"} {
--- a/internal/fleet/statement/gather/gather_test.go
+++ b/internal/fleet/statement/gather/gather_test.go
@@ -17,7 +17,7 @@
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
 	"kestrelspread/internal/ledger/store"
-	"kestrelspread/internal/standin/solo"
+	"kestrelspread/internal/standin/singlevoter"
 )
 
 // instance exports a ledger of some closed periods to a folder of its own.
@@ -63,7 +63,7 @@
 	for i := range 3 {
 		instance(t, dir, fmt.Sprint("n", i), 6)
 	}
-	v, voters, rules := solo.Start(t, 400)
+	v, voters, rules := singlevoter.Start(t, 400)
 	start := func(name string) *client.Instance {
 		job := func() client.Job {
 			to, err := fencedir.Open(out)
--- a/internal/standin/quorum/history.go
+++ b/internal/standin/leasesim/history.go
@@ -1,4 +1,4 @@
-package quorum
+package leasesim
 
 import (
 	"time"
--- a/internal/standin/quorum/quorum.go
+++ b/internal/standin/leasesim/leasesim.go
@@ -1,7 +1,7 @@
-// Package quorum is voters, instances and a receiver on a virtual clock, with faults from a seed: messages late, lost or cut one
+// Package leasesim is voters, instances and a receiver on a virtual clock, with faults from a seed: messages late, lost or cut one
 // way, processes stopped between a check and its act, killed, their disks lost; clocks that drift. What must hold is checked
 // after every step, from outside: at the receiver, and over all processes at once.
-package quorum
+package leasesim
 
 import (
 	"container/heap"
--- a/internal/standin/quorum/quorum_test.go
+++ b/internal/standin/leasesim/leasesim_test.go
@@ -1,4 +1,4 @@
-package quorum
+package leasesim
 
 import (
 	"os/exec"
@@ -29,7 +29,7 @@
 	}
 }
 
-// Thousands of seeds by hand: go test -run Seeds ./internal/standin/quorum -args -seeds 3000
+// Thousands of seeds by hand: go test -run Seeds ./internal/standin/leasesim -args -seeds 3000
 func TestSeeds(t *testing.T) {
 	n := *seeds
 	if testing.Short() {
@@ -61,7 +61,7 @@
 	if testing.Short() {
 		t.Skip("builds the package once for each")
 	}
-	// Two that show soon, here; the others take up to some hundred seeds: go test -run Planted ./internal/standin/quorum -args -planted
+	// Two that show soon, here; the others take up to some hundred seeds: go test -run Planted ./internal/standin/leasesim -args -planted
 	tags := []string{"plant_reuse", "plant_answertime"}
 	if *planted {
 		tags = append(tags, "plant_back", "plant_oldword", "plant_revive", "plant_oldprogress", "plant_nowait", "plant_longhold",
@@ -105,7 +105,7 @@
 	}
 }
 
-// Figures for docs/measure/owner.md, by hand: go test -v -run Figures ./internal/standin/quorum -args -figures
+// Figures for docs/measure/owner.md, by hand: go test -v -run Figures ./internal/standin/leasesim -args -figures
 func TestFigures(t *testing.T) {
 	if !*figures {
 		t.Skip("by hand")
--- a/internal/standin/solo/solo.go
+++ b/internal/standin/singlevoter/singlevoter.go
@@ -1,5 +1,5 @@
-// Package solo is one voter by itself, with a disk in memory, for tests of what asks voters.
-package solo
+// Package singlevoter is one voter by itself, with a disk in memory, for tests of what asks voters.
+package singlevoter
 
 import (
 	"net"
