--- a/cmd/kestrelctl/owner.go
+++ b/cmd/kestrelctl/owner.go
@@ -45,23 +45,23 @@
 		return peers, nil
 	}
 	// look gives the leader's view, or, where nobody leads, the latest that any voter has.
-	look := func() (best transport.View, all map[string]transport.View, err error) {
+	look := func() (best transport.Status, all map[string]transport.Status, err error) {
 		peers, err := dial()
 		if err != nil {
 			return best, nil, err
 		}
-		all = map[string]transport.View{}
+		all = map[string]transport.Status{}
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
 		type seen struct {
 			at  string
-			v   transport.View
+			v   transport.Status
 			err error
 		}
 		c := make(chan seen, len(peers))
 		for at, p := range peers {
 			go func() {
-				v, err := p.Look(ctx)
+				v, err := p.Status(ctx)
 				c <- seen{at, v, err}
 			}()
 		}
@@ -72,7 +72,7 @@
 				continue
 			}
 			all[s.at] = s.v
-			if v := s.v; best.Name == "" || v.Confirmed && !best.Confirmed || v.Confirmed == best.Confirmed && v.Applied > best.Applied {
+			if v := s.v; best.Name == "" || v.Confirmed && !best.Confirmed || v.Confirmed == best.Confirmed && v.AppliedIndex > best.AppliedIndex {
 				best = v
 			}
 		}
@@ -81,7 +81,7 @@
 		}
 		return best, all, nil
 	}
-	warn := func(cmd *cobra.Command, v transport.View) {
+	warn := func(cmd *cobra.Command, v transport.Status) {
 		if !v.Confirmed {
 			fmt.Fprintln(cmd.ErrOrStderr(), "nobody leads, as far as can be seen: what follows is the latest that", v.Name, "knew, and duties may be nobody's")
 		}
@@ -100,14 +100,14 @@
 			return err
 		}
 		warn(cmd, v)
-		return show(cmd, v.Duties, func(t *tabwriter.Writer) {
+		return show(cmd, v.Roles, func(t *tabwriter.Writer) {
 			fmt.Fprintln(t, "duty\towner\ttoken\tlease left\tnext\tdeaths")
-			for _, d := range v.Duties {
-				who := d.Owner
+			for _, d := range v.Roles {
+				who := d.Holder
 				if who == "" {
 					who = "nobody"
 				}
-				fmt.Fprintf(t, "%s\t%s\t%d\t%.0f ms\t%s\t%d\n", d.Name, who, d.Token, d.Left, d.Next, d.Deaths)
+				fmt.Fprintf(t, "%s\t%s\t%d\t%.0f ms\t%s\t%d\n", d.Name, who, d.Token, d.LeaseLeftMs, d.NextHolder, d.HolderFailures)
 			}
 		})
 	}}
@@ -117,11 +117,11 @@
 			return err
 		}
 		warn(cmd, v)
-		for _, d := range v.Duties {
+		for _, d := range v.Roles {
 			if d.Name == args[0] {
 				return show(cmd, d, func(t *tabwriter.Writer) {
-					fmt.Fprintf(t, "owner\t%s\ntoken\t%d\nlease left\t%.0f ms\nnext\t%s\ndeaths\t%d\nforced\t%v\nwritten under\t%d\nhow far\t%s\n", d.Owner, d.Token, d.Left, d.Next,
-						d.Deaths, d.Forced, d.Written, d.Data)
+					fmt.Fprintf(t, "owner\t%s\ntoken\t%d\nlease left\t%.0f ms\nnext\t%s\ndeaths\t%d\nforced\t%v\nwritten under\t%d\nhow far\t%s\n", d.Holder, d.Token, d.LeaseLeftMs, d.NextHolder,
+						d.HolderFailures, d.Forced, d.ProgressToken, d.Progress)
 				})
 			}
 		}
@@ -135,14 +135,14 @@
 		warn(cmd, v)
 		events := []lease.Event{}
 		for _, e := range v.History {
-			if len(args) == 0 || e.Duty == args[0] {
+			if len(args) == 0 || e.Role == args[0] {
 				events = append(events, e)
 			}
 		}
 		return show(cmd, events, func(t *tabwriter.Writer) {
 			fmt.Fprintln(t, "index\tduty\twhat\twho\ttoken")
 			for _, e := range events {
-				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\n", e.Index, e.Duty, e.What, e.Who, e.Token)
+				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\n", e.Index, e.Role, e.Kind, e.Instance, e.Token)
 			}
 		})
 	}}
@@ -153,19 +153,19 @@
 		}
 		warn(cmd, v)
 		return show(cmd, all, func(t *tabwriter.Writer) {
-			fmt.Fprintf(t, "leader\t%s\tterm %d\tapplied %d\n\n", v.Leader, v.Term, v.Applied)
+			fmt.Fprintf(t, "leader\t%s\tterm %d\tapplied %d\n\n", v.Leader, v.Term, v.AppliedIndex)
 			fmt.Fprintln(t, "voter\tnumber\trole\thas the log to\theard of")
 			for _, o := range v.Voters {
-				role, heard := "votes", fmt.Sprintf("%.0f ms ago", o.Heard)
+				role, heard := "votes", fmt.Sprintf("%.0f ms ago", o.SinceContactMs)
 				if o.Learner {
 					role = "learns"
 				} else if o.Leaving {
 					role = "leaves"
 				}
-				if o.Heard < 0 {
+				if o.SinceContactMs < 0 {
 					heard = "-"
 				}
-				fmt.Fprintf(t, "%s\t%x\t%s\t%d\t%s\n", o.Name, o.ID, role, o.Match, heard)
+				fmt.Fprintf(t, "%s\t%x\t%s\t%d\t%s\n", o.Name, o.ID, role, o.MatchIndex, heard)
 			}
 			fmt.Fprintln(t, "\nanswers at\tname\tapplied\tsyncs\tsent\tdisk")
 			at := make([]string, 0, len(all))
@@ -175,7 +175,7 @@
 			sort.Strings(at)
 			for _, a := range at {
 				o := all[a]
-				fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\n", a, o.Name, o.Applied, o.Syncs, o.Sent, o.Disk)
+				fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\n", a, o.Name, o.AppliedIndex, o.SyncCount, o.MessagesSent, o.DiskFault)
 			}
 		})
 	}}
@@ -185,10 +185,10 @@
 			return err
 		}
 		warn(cmd, v)
-		return show(cmd, v.Instances, func(t *tabwriter.Writer) {
+		return show(cmd, v.RequestAgesMs, func(t *tabwriter.Writer) {
 			fmt.Fprintln(t, "instance\tasked")
-			for _, n := range slices.Sorted(maps.Keys(v.Instances)) {
-				fmt.Fprintf(t, "%s\t%.0f ms ago\n", n, v.Instances[n])
+			for _, n := range slices.Sorted(maps.Keys(v.RequestAgesMs)) {
+				fmt.Fprintf(t, "%s\t%.0f ms ago\n", n, v.RequestAgesMs[n])
 			}
 		})
 	}}
@@ -201,21 +201,21 @@
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
 		for at, p := range peers {
-			if v, err := p.Look(ctx); err == nil && v.Name != "" && v.Name != at {
+			if v, err := p.Status(ctx); err == nil && v.Name != "" && v.Name != at {
 				peers[v.Name] = p
 			}
 		}
-		d, err := transport.Lead(ctx, peers, "", c)
+		d, err := transport.SubmitToLeader(ctx, peers, "", c)
 		switch {
 		case err != nil:
 			return err
-		case !d.Known:
-			return fmt.Errorf("it may or may not have been agreed on (%s): look before you try again", d.Why)
+		case !d.OutcomeKnown:
+			return fmt.Errorf("it may or may not have been agreed on (%s): look before you try again", d.Reason)
 		case !d.OK:
-			return fmt.Errorf("refused: %s (the latest token is %d, the owner %q)", d.Why, d.Duty.Token, d.Duty.Owner)
+			return fmt.Errorf("refused: %s (the latest token is %d, the owner %q)", d.Reason, d.Role.Token, d.Role.Holder)
 		}
-		return show(cmd, d.Duty, func(t *tabwriter.Writer) {
-			fmt.Fprintf(t, "%s\towner %q\ttoken %d\tnext %q\n", d.Duty.Name, d.Duty.Owner, d.Duty.Token, d.Duty.Next)
+		return show(cmd, d.Role, func(t *tabwriter.Writer) {
+			fmt.Fprintf(t, "%s\towner %q\ttoken %d\tnext %q\n", d.Role.Name, d.Role.Holder, d.Role.Token, d.Role.NextHolder)
 		})
 	}
 	var to string
@@ -227,7 +227,7 @@
 				return err
 			}
 			lives := []string{}
-			for n, ago := range v.Instances {
+			for n, ago := range v.RequestAgesMs {
 				if name, _, _ := strings.Cut(n, "."); name == to && ago < 10000 {
 					lives = append(lives, n)
 				}
@@ -237,14 +237,14 @@
 			}
 			to = lives[0]
 		}
-		return do(cmd, lease.Command{Kind: lease.Move, Duty: args[0], Token: token, To: to})
+		return do(cmd, lease.Command{Kind: lease.CommandTransfer, Role: args[0], Token: token, Target: to})
 	}}
 	move.Flags().StringVar(&to, "to", "", "an instance, or a broker's name; none: whoever it falls to")
 	move.Flags().Uint64Var(&token, "token", 0, "the latest that you have seen")
 	move.MarkFlagRequired("token")
 	release := &cobra.Command{Use: "release DUTY", Short: "Take it from its owner at once; what that one still does is refused once the next has begun", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return do(cmd, lease.Command{Kind: lease.Force, Duty: args[0], Token: token, To: to})
+			return do(cmd, lease.Command{Kind: lease.CommandRevoke, Role: args[0], Token: token, Target: to})
 		}}
 	release.Flags().StringVar(&to, "to", "", "an instance that is to have it")
 	release.Flags().Uint64Var(&token, "token", 0, "the latest that you have seen")
--- a/cmd/kestrelctl/owner_test.go
+++ b/cmd/kestrelctl/owner_test.go
@@ -31,11 +31,11 @@
 	at := voters[0].Addr
 	idle := func() client.Job { return still{} }
 	for _, name := range []string{"a.1", "b.1"} {
-		n, err := client.New(client.Options{Name: name, Voters: voters, Rules: rules, Jobs: map[string]func() client.Job{"close": idle}, Log: zerolog.Nop()})
+		n, err := client.New(client.Options{Name: name, Voters: voters, Config: rules, Jobs: map[string]func() client.Job{"close": idle}, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Go()
+		n.Start()
 		defer n.Close(time.Second)
 	}
 	type duty struct {
--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -35,20 +35,20 @@
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
 func duties(p *broker.Parts, o *operator.Owner, port *site.Port, sees *sightings) (end func(), err error) {
-	rules := lease.For(o.Lease)
+	rules := lease.ConfigForLease(o.Lease)
 	var list []voter.Address
 	votes := false
 	for _, v := range o.Voters {
 		list = append(list, voter.Address{Name: v.Name, Addr: v.Address})
 		votes = votes || v.Name == p.Name
 	}
-	var mine *voter.Seat
+	var mine *voter.Server
 	if votes {
 		if o.Folder == "" {
 			return nil, fmt.Errorf("owner: %s is a voter and has no folder", p.Name)
 		}
-		mine, err = voter.Start(voter.Options{Name: p.Name, Listen: o.Listen, Folder: o.Folder, Voters: list, Rules: rules,
-			Tick: time.Duration(rules.Tick() * 1e6), Log: p.Log})
+		mine, err = voter.Start(voter.Options{Name: p.Name, Listen: o.Listen, Dir: o.Folder, Voters: list, LeaseConfig: rules,
+			TickInterval: time.Duration(rules.TickIntervalMs() * 1e6), Log: p.Log})
 		if err != nil {
 			return nil, fmt.Errorf("owner: %w", err)
 		}
@@ -57,7 +57,7 @@
 	if _, err := rand.Read(chance[:]); err != nil {
 		return nil, err
 	}
-	w := client.Options{Name: fmt.Sprintf("%s.%x", p.Name, chance), Voters: list, Rules: rules, Jobs: map[string]func() client.Job{}, Log: p.Log}
+	w := client.Options{Name: fmt.Sprintf("%s.%x", p.Name, chance), Voters: list, Config: rules, Jobs: map[string]func() client.Job{}, Log: p.Log}
 	if c := o.Close; c != nil {
 		to := func() (fence.Receiver, error) {
 			if c.URL != "" {
@@ -82,7 +82,7 @@
 		to := fencehttp.New(d.URL)
 		for i := range d.Count {
 			w.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
-				return &exercise.Job{To: to, Every: time.Duration(d.Every * 1e6), Marks: d.Marks, Holder: w.Name}
+				return &exercise.Job{Receiver: to, Interval: time.Duration(d.Every * 1e6), SaveEvery: d.Marks, Holder: w.Name}
 			}
 		}
 	}
@@ -91,17 +91,17 @@
 		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
 		sees.others = append(sees.others, func(w talk.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
 		w.Jobs[returnDuty] = func() client.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
-		w.Reads = []string{returnDuty}
-		w.Said = func(list []replica.Said) {
+		w.WatchedRoles = []string{returnDuty}
+		w.OnProgress = func(list []replica.ProgressReport) {
 			for _, s := range list {
-				stages, err := stage.Read(s.Data)
-				if err != nil || s.Duty != returnDuty {
+				stages, err := stage.Read(s.Progress)
+				if err != nil || s.Role != returnDuty {
 					continue
 				}
 				// A full post loses it, as it is said again.
 				p.Router.Post(p.Loop.Tell, func() {
 					for _, one := range stages {
-						port.Staged(one.Site, one.Share, s.Age)
+						port.Staged(one.Site, one.Share, s.AgeMs)
 					}
 				})
 			}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.Go()
+	n.Start()
 	p.Log.Info().Str("instance", w.Name).Bool("voter", votes).Int("duties", len(w.Jobs)).Float64("lease_ms", o.Lease).Msg("taking part in the fleet's work")
 	return func() {
 		n.Close(handOver)
--- a/internal/fleet/lease/client/client.go
+++ b/internal/fleet/lease/client/client.go
@@ -30,81 +30,83 @@
 	Step(ctx context.Context, g *Grant) (again time.Duration, err error)
 }
 
-// ErrLost says that the duty is somebody else's by now.
-var ErrLost = errors.New("the duty is somebody else's")
+// ErrLeaseLost says that the duty is somebody else's by now.
+var ErrLeaseLost = errors.New("the duty is somebody else's")
 
 // Options are an instance's.
 type Options struct {
-	Name   string // one life of it: a restart under the same name is another
-	Voters []voter.Address
-	Rules  lease.Rules
-	Jobs   map[string]func() Job // by duty
-	Reads  []string              // duties of which Said is to hear how far they have come
-	Said   func(list []replica.Said)
-	Log    zerolog.Logger
+	Name         string // one life of it: a restart under the same name is another
+	Voters       []voter.Address
+	Config       lease.Config
+	Jobs         map[string]func() Job // by duty
+	WatchedRoles []string              // duties of which Said is to hear how far they have come
+	OnProgress   func(list []replica.ProgressReport)
+	Log          zerolog.Logger
 }
 
-// Instance asks and works.
-type Instance struct {
-	opt     Options
-	can     []string
-	lock    sync.Mutex
-	holder  *lease.Holder
-	work    map[string]*Grant
-	peers   []*transport.Peer
-	names   []string
-	at      int // voter that is asked
-	quit    chan struct{}
-	ended   chan struct{}
-	workers sync.WaitGroup
-	known   atomic.Bool // the voters know of this instance's duties
-	silent  bool        // nobody answers
-	Asked   atomic.Int64
-	Late    atomic.Int64 // pieces of work that ended after the lease had run out
+// Client asks and works.
+type Client struct {
+	options        Options
+	eligibleRoles  []string
+	mu             sync.Mutex
+	holder         *lease.Holder
+	grants         map[string]*Grant
+	peers          []*transport.Peer
+	voterNames     []string
+	currentPeer    int // voter that is asked
+	quit           chan struct{}
+	done           chan struct{}
+	workers        sync.WaitGroup
+	rolesDefined   atomic.Bool // the voters know of this instance's duties
+	leaderTimedOut bool        // nobody answers
+	Requests       atomic.Int64
+	LateSteps      atomic.Int64 // pieces of work that ended after the lease had run out
 }
 
 // Grant is a duty that is held.
 type Grant struct {
-	Duty  string
-	Token uint64
-	Data  []byte // how far the work had come when it was granted
-	n     *Instance
-	ctx   context.Context
-	end   context.CancelFunc
-	letGo chan struct{}
-	once  sync.Once
-	words uint64 // said to the voters
+	Role             string
+	Token            uint64
+	Progress         []byte // how far the work had come when it was granted
+	client           *Client
+	ctx              context.Context
+	cancel           context.CancelFunc
+	releaseRequested chan struct{}
+	releaseOnce      sync.Once
+	progressSeq      uint64 // said to the voters
 }
 
 // New makes one; Go starts it.
-func New(o Options) (*Instance, error) {
-	n := &Instance{opt: o, holder: lease.NewHolder(o.Rules), work: map[string]*Grant{}, quit: make(chan struct{}), ended: make(chan struct{})}
-	n.can = []string{}
+func New(o Options) (*Client, error) {
+	n := &Client{options: o, holder: lease.NewHolder(o.Config), grants: map[string]*Grant{}, quit: make(chan struct{}), done: make(chan struct{})}
+	n.eligibleRoles = []string{}
 	for d := range o.Jobs {
-		n.can = append(n.can, d)
+		n.eligibleRoles = append(n.eligibleRoles, d)
 	}
-	slices.Sort(n.can)
+	slices.Sort(n.eligibleRoles)
 	for _, a := range o.Voters {
 		p, err := transport.Dial(a.Addr)
 		if err != nil {
 			return nil, err
 		}
-		n.peers, n.names = append(n.peers, p), append(n.names, a.Name)
+		n.peers, n.voterNames = append(n.peers, p), append(n.voterNames, a.Name)
 	}
-	n.at = rand.IntN(len(n.peers)) // which is asked first is nobody's decision: whoever it is names the one that leads
+	n.currentPeer = rand.IntN(len(n.peers)) // which is asked first is nobody's decision: whoever it is names the one that leads
 	return n, nil
 }
 
 // Go asks until Close.
-func (n *Instance) Go() { go n.run() }
+func (n *Client) Start() { go n.run() }
 
-func (n *Instance) every() time.Duration { return time.Duration(n.opt.Rules.Ask() * 1e6) }
+func (n *Client) pollInterval() time.Duration {
+	return time.Duration(n.options.Config.PollIntervalMs() * 1e6)
+}
 
-func (n *Instance) run() {
-	defer close(n.ended)
+func (n *Client) run() {
+	defer close(n.done)
 	for {
-		wait := n.every()
-		if !n.ask() {
+		wait := n.pollInterval()
+		if !n.requestLeases() {
 			wait /= 4 // another one at once, or nearly
 		}
 		select {
@@ -115,118 +117,118 @@
 	}
 }
 
-// ask asks once, and does what the answer says. The time that counts is when the question went.
-func (n *Instance) ask() bool {
-	n.lock.Lock()
-	q := replica.Question{Instance: n.opt.Name, At: voter.Now(), Holds: map[string]uint64{}, Can: n.can, Reads: n.opt.Reads}
-	n.acts(n.holder.Turn(q.At))
-	for _, h := range n.holder.Holds() {
-		q.Holds[h.Duty] = h.Token
+// requestLeases asks once, and does what the answer says. The time that counts is when the question went.
+func (n *Client) requestLeases() bool {
+	n.mu.Lock()
+	q := replica.Request{Instance: n.options.Name, SentAt: voter.Now(), HeldTokens: map[string]uint64{}, EligibleRoles: n.eligibleRoles, WatchedRoles: n.options.WatchedRoles}
+	n.applyActions(n.holder.ExpireLeases(q.SentAt))
+	for _, h := range n.holder.Leases() {
+		q.HeldTokens[h.Role] = h.Token
 	}
-	n.lock.Unlock()
-	ctx, end := context.WithTimeout(context.Background(), time.Duration(n.opt.Rules.Patience()*1e6))
+	n.mu.Unlock()
+	ctx, end := context.WithTimeout(context.Background(), time.Duration(n.options.Config.RequestTimeoutMs()*1e6))
 	defer end()
-	n.Asked.Add(1)
-	a, err := n.peers[n.at].Ask(ctx, q)
+	n.Requests.Add(1)
+	a, err := n.peers[n.currentPeer].RequestLeases(ctx, q)
 	if err != nil || !a.OK {
-		n.lock.Lock()
-		if n.at = (n.at + 1) % len(n.peers); err == nil && a.Leader != "" {
-			if to := slices.Index(n.names, a.Leader); to >= 0 {
-				n.at = to
+		n.mu.Lock()
+		if n.currentPeer = (n.currentPeer + 1) % len(n.peers); err == nil && a.LeaderName != "" {
+			if to := slices.Index(n.voterNames, a.LeaderName); to >= 0 {
+				n.currentPeer = to
 			}
 		}
-		n.acts(n.holder.Turn(voter.Now()))
-		if quiet := n.holder.Quiet(voter.Now()); quiet != n.silent {
-			if n.silent = quiet; quiet {
-				n.opt.Log.Warn().Msg("owner: no voter that leads answers; this instance does no duty, and searches go on")
+		n.applyActions(n.holder.ExpireLeases(voter.Now()))
+		if quiet := n.holder.LeaderTimedOut(voter.Now()); quiet != n.leaderTimedOut {
+			if n.leaderTimedOut = quiet; quiet {
+				n.options.Log.Warn().Msg("owner: no voter that leads answers; this instance does no duty, and searches go on")
 			}
 		}
-		n.lock.Unlock()
+		n.mu.Unlock()
 		return false
 	}
-	if !n.known.Load() {
-		n.define()
+	if !n.rolesDefined.Load() {
+		n.defineRoles()
 	}
-	n.lock.Lock()
-	n.silent = false
-	n.holder.Heard(voter.Now())
+	n.mu.Lock()
+	n.leaderTimedOut = false
+	n.holder.RecordLeaderContact(voter.Now())
 	for _, g := range a.Grants {
-		n.acts(n.holder.Granted(voter.Now(), a.At, g.Duty, g.Token, g.Data, g.LetGo))
+		n.applyActions(n.holder.HandleGrant(voter.Now(), a.SentAt, g.Role, g.Token, g.Progress, g.ReleaseRequested))
 	}
-	for _, d := range n.can {
-		if token, lost := a.Lost[d]; lost {
-			n.acts(n.holder.Lost(d, token))
+	for _, d := range n.eligibleRoles {
+		if token, lost := a.LostRoles[d]; lost {
+			n.applyActions(n.holder.HandleLost(d, token))
 		}
 	}
-	n.lock.Unlock()
-	if n.opt.Said != nil && len(a.Said) > 0 {
-		n.opt.Said(a.Said)
+	n.mu.Unlock()
+	if n.options.OnProgress != nil && len(a.ProgressReports) > 0 {
+		n.options.OnProgress(a.ProgressReports)
 	}
 	return true
 }
 
-// define has the voters know this instance's duties, once.
-func (n *Instance) define() {
-	for _, d := range n.can {
+// defineRoles has the voters know this instance's duties, once.
+func (n *Client) defineRoles() {
+	for _, d := range n.eligibleRoles {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
-		r, err := n.peers[n.at].Do(ctx, lease.Command{Kind: lease.Define, Duty: d})
+		r, err := n.peers[n.currentPeer].SubmitCommand(ctx, lease.Command{Kind: lease.CommandDefine, Role: d})
 		end()
 		if err != nil || !r.OK {
 			return
 		}
 	}
-	n.known.Store(true)
+	n.rolesDefined.Store(true)
 }
 
-// acts carries out what the holder says. The lock is held.
-func (n *Instance) acts(list []lease.Act) {
+// applyActions carries out what the holder says. The lock is held.
+func (n *Client) applyActions(list []lease.Action) {
 	for _, a := range list {
 		switch {
 		case a.Start != nil:
-			n.begin(a.Start)
+			n.startGrant(a.Start)
 		case a.Stop != nil:
-			if g := n.work[a.Stop.Duty]; g != nil && g.Token == a.Stop.Token {
-				n.opt.Log.Warn().Str("duty", g.Duty).Uint64("token", g.Token).Msg("owner: stopped, as the lease has run out or is another's")
-				g.end()
-				delete(n.work, g.Duty)
+			if g := n.grants[a.Stop.Role]; g != nil && g.Token == a.Stop.Token {
+				n.options.Log.Warn().Str("duty", g.Role).Uint64("token", g.Token).Msg("owner: stopped, as the lease has run out or is another's")
+				g.cancel()
+				delete(n.grants, g.Role)
 			}
-		case a.Let != nil:
-			go n.tellReleased(a.Let.Duty, a.Let.Token)
+		case a.ReportReleased != nil:
+			go n.reportReleased(a.ReportReleased.Role, a.ReportReleased.Token)
 		case a.Finish != nil:
-			if g := n.work[a.Finish.Duty]; g != nil {
-				g.finish()
+			if g := n.grants[a.Finish.Role]; g != nil {
+				g.requestRelease()
 			}
 		}
 	}
 }
 
-func (g *Grant) finish() { g.once.Do(func() { close(g.letGo) }) }
+func (g *Grant) requestRelease() { g.releaseOnce.Do(func() { close(g.releaseRequested) }) }
 
-func (n *Instance) begin(h *lease.Hold) {
-	job := n.opt.Jobs[h.Duty]
+func (n *Client) startGrant(h *lease.Lease) {
+	job := n.options.Jobs[h.Role]
 	if job == nil {
 		return
 	}
-	g := &Grant{Duty: h.Duty, Token: h.Token, Data: h.Data, n: n, letGo: make(chan struct{})}
-	g.ctx, g.end = context.WithCancel(context.Background())
-	if h.LetGo {
-		g.finish()
+	g := &Grant{Role: h.Role, Token: h.Token, Progress: h.Progress, client: n, releaseRequested: make(chan struct{})}
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	if h.ReleaseRequested {
+		g.requestRelease()
 	}
-	n.work[h.Duty] = g
-	n.opt.Log.Info().Str("duty", g.Duty).Uint64("token", g.Token).Msg("owner: this instance has the duty")
+	n.grants[h.Role] = g
+	n.options.Log.Info().Str("duty", g.Role).Uint64("token", g.Token).Msg("owner: this instance has the duty")
 	n.workers.Add(1)
-	go n.labour(g, job())
+	go n.runGrant(g, job())
 }
 
-// labour works until the grant ends, or until it is asked to let go and the step at hand is done.
-func (n *Instance) labour(g *Grant, job Job) {
+// runGrant works until the grant ends, or until it is asked to let go and the step at hand is done.
+func (n *Client) runGrant(g *Grant, job Job) {
 	defer n.workers.Done()
-	defer g.end()
+	defer g.cancel()
 	bad := ""
 	for {
 		select {
-		case <-g.letGo:
-			n.release(g)
+		case <-g.releaseRequested:
+			n.releaseGrant(g)
 			return
 		default:
 		}
@@ -234,124 +236,124 @@
 			return
 		}
 		again, err := job.Step(g.ctx, g)
-		if !g.May() {
-			n.Late.Add(1)
+		if !g.MayAct() {
+			n.LateSteps.Add(1)
 		}
 		switch {
 		case err == nil:
 			bad = ""
-		case errors.Is(err, fence.ErrOld) || errors.Is(err, ErrLost):
-			n.opt.Log.Warn().Str("duty", g.Duty).Uint64("token", g.Token).Err(err).Msg("owner: an old token was refused")
-			n.drop(g)
+		case errors.Is(err, fence.ErrStaleToken) || errors.Is(err, ErrLeaseLost):
+			n.options.Log.Warn().Str("duty", g.Role).Uint64("token", g.Token).Err(err).Msg("owner: an old token was refused")
+			n.dropGrant(g)
 			return
 		default:
-			again = max(again, n.every())
+			again = max(again, n.pollInterval())
 			if text := err.Error(); text != bad && g.ctx.Err() == nil {
 				bad = text
-				n.opt.Log.Warn().Str("duty", g.Duty).Err(err).Msg("owner: a step failed; it is tried again")
+				n.options.Log.Warn().Str("duty", g.Role).Err(err).Msg("owner: a step failed; it is tried again")
 			}
 		}
 		select {
 		case <-g.ctx.Done():
 			return
-		case <-g.letGo:
+		case <-g.releaseRequested:
 		case <-time.After(again):
 		}
 	}
 }
 
-// drop lets go of a grant that is another's.
-func (n *Instance) drop(g *Grant) {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	if n.work[g.Duty] == g {
-		delete(n.work, g.Duty)
-		n.holder.Released(g.Duty)
+// dropGrant lets go of a grant that is another's.
+func (n *Client) dropGrant(g *Grant) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.grants[g.Role] == g {
+		delete(n.grants, g.Role)
+		n.holder.MarkReleased(g.Role)
 	}
 }
 
-// release lets go by itself: first here, then at the voters.
-func (n *Instance) release(g *Grant) {
-	n.drop(g)
-	n.opt.Log.Info().Str("duty", g.Duty).Uint64("token", g.Token).Msg("owner: let go")
-	n.tellReleased(g.Duty, g.Token)
+// releaseGrant lets go by itself: first here, then at the voters.
+func (n *Client) releaseGrant(g *Grant) {
+	n.dropGrant(g)
+	n.options.Log.Info().Str("duty", g.Role).Uint64("token", g.Token).Msg("owner: let go")
+	n.reportReleased(g.Role, g.Token)
 }
 
-// tellReleased says so to the voters. Where it is lost, their next answer brings it about again.
-func (n *Instance) tellReleased(duty string, token uint64) {
+// reportReleased says so to the voters. Where it is lost, their next answer brings it about again.
+func (n *Client) reportReleased(duty string, token uint64) {
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
-	n.do(ctx, lease.Command{Kind: lease.Release, Duty: duty, Token: token})
+	n.submit(ctx, lease.Command{Kind: lease.CommandRelease, Role: duty, Token: token})
 }
 
-func (n *Instance) do(ctx context.Context, c lease.Command) (transport.Done, error) {
+func (n *Client) submit(ctx context.Context, c lease.Command) (transport.CommandResult, error) {
 	peers := map[string]*transport.Peer{}
-	for i, name := range n.names {
+	for i, name := range n.voterNames {
 		peers[name] = n.peers[i]
 	}
-	n.lock.Lock()
-	first := n.names[n.at]
-	n.lock.Unlock()
-	return transport.Lead(ctx, peers, first, c)
+	n.mu.Lock()
+	first := n.voterNames[n.currentPeer]
+	n.mu.Unlock()
+	return transport.SubmitToLeader(ctx, peers, first, c)
 }
 
-// May tells whether something may be begun now. A pause may come between this and the act: the receiver's fence is what counts.
-func (g *Grant) May() bool {
-	g.n.lock.Lock()
-	defer g.n.lock.Unlock()
-	token, may := g.n.holder.May(voter.Now(), g.Duty)
-	return may && token == g.Token && g.n.work[g.Duty] == g
+// MayAct tells whether something may be begun now. A pause may come between this and the act: the receiver's fence is what counts.
+func (g *Grant) MayAct() bool {
+	g.client.mu.Lock()
+	defer g.client.mu.Unlock()
+	token, may := g.client.holder.MayAct(voter.Now(), g.Role)
+	return may && token == g.Token && g.client.grants[g.Role] == g
 }
 
 // Effect is one of this grant's.
 func (g *Grant) Effect(key string, body []byte) fence.Effect {
-	return fence.Effect{Duty: g.Duty, Token: g.Token, Key: key, Body: body}
+	return fence.Effect{Role: g.Role, Token: g.Token, Key: key, Body: body}
 }
 
-// Progress has the voters keep how far the work has come. The same said twice does no harm, so it is said until somebody
+// SaveProgress has the voters keep how far the work has come. The same said twice does no harm, so it is said until somebody
 // answers or the grant ends.
-func (g *Grant) Progress(ctx context.Context, data []byte) error {
-	g.words++
+func (g *Grant) SaveProgress(ctx context.Context, data []byte) error {
+	g.progressSeq++
 	for {
-		within, end := context.WithTimeout(ctx, time.Duration(g.n.opt.Rules.Say()*1e6))
-		d, err := g.n.do(within, lease.Command{Kind: lease.Progress, Duty: g.Duty, Token: g.Token, Data: data, Word: g.words})
+		within, end := context.WithTimeout(ctx, time.Duration(g.client.options.Config.ProgressTimeoutMs()*1e6))
+		d, err := g.client.submit(within, lease.Command{Kind: lease.CommandProgress, Role: g.Role, Token: g.Token, Progress: data, ProgressSeq: g.progressSeq})
 		end()
 		switch {
 		case err == nil && d.OK:
-			g.Data = data
+			g.Progress = data
 			return nil
-		case err == nil && d.Known:
-			return fmt.Errorf("%w: %s", ErrLost, d.Why)
+		case err == nil && d.OutcomeKnown:
+			return fmt.Errorf("%w: %s", ErrLeaseLost, d.Reason)
 		case ctx.Err() != nil:
 			return ctx.Err()
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(g.n.every() / 2):
+		case <-time.After(g.client.pollInterval() / 2):
 		}
 	}
 }
 
-// Holds gives what is held now.
-func (n *Instance) Holds() map[string]uint64 {
-	n.lock.Lock()
-	defer n.lock.Unlock()
+// HeldTokens gives what is held now.
+func (n *Client) HeldTokens() map[string]uint64 {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	list := map[string]uint64{}
-	for _, h := range n.holder.Holds() {
-		list[h.Duty] = h.Token
+	for _, h := range n.holder.Leases() {
+		list[h.Role] = h.Token
 	}
 	return list
 }
 
 // Close hands over what is held: each duty ends its step and is let go, within a time; then nothing is asked any more.
-func (n *Instance) Close(within time.Duration) {
+func (n *Client) Close(within time.Duration) {
 	close(n.quit) // nothing more is granted
-	n.lock.Lock()
-	for _, g := range n.work {
-		g.finish()
+	n.mu.Lock()
+	for _, g := range n.grants {
+		g.requestRelease()
 	}
-	n.lock.Unlock()
+	n.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
 		n.workers.Wait()
@@ -361,13 +363,13 @@
 	case <-done:
 	case <-time.After(within):
 	}
-	n.lock.Lock()
-	for _, g := range n.work {
-		g.end()
+	n.mu.Lock()
+	for _, g := range n.grants {
+		g.cancel()
 	}
-	n.lock.Unlock()
+	n.mu.Unlock()
 	select {
-	case <-n.ended:
+	case <-n.done:
 	case <-time.After(within):
 	}
 	for _, p := range n.peers {
--- a/internal/fleet/lease/exercise/exercise.go
+++ b/internal/fleet/lease/exercise/exercise.go
@@ -14,40 +14,40 @@
 
 // Job is one owner's work.
 type Job struct {
-	To     fence.Receiver
-	Every  time.Duration
-	Marks  int // effects between two words to the voters on how far it has come
-	Holder string
-	done   int
-	begun  bool
+	Receiver  fence.Receiver
+	Interval  time.Duration
+	SaveEvery int // effects between two words to the voters on how far it has come
+	Holder    string
+	completed int
+	started   bool
 }
 
 // Body is what an effect says.
 type Body struct {
-	No     int    `json:"no"`
+	Number int    `json:"no"`
 	Holder string `json:"holder"`
 }
 
 // Step does the next effect.
 func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
-	if !j.begun {
-		j.begun = true
-		j.done, _ = strconv.Atoi(string(g.Data))
+	if !j.started {
+		j.started = true
+		j.completed, _ = strconv.Atoi(string(g.Progress))
 	}
-	if !g.May() {
-		return j.Every, nil // its lease may yet be renewed
+	if !g.MayAct() {
+		return j.Interval, nil // its lease may yet be renewed
 	}
-	body, _ := json.Marshal(Body{j.done + 1, j.Holder})
+	body, _ := json.Marshal(Body{j.completed + 1, j.Holder})
 	// Between the check and here this process may be stopped for as long as it takes others to go on: the receiver knows.
-	done, err := j.To.Apply(g.Effect(strconv.Itoa(j.done+1), body))
+	done, err := j.Receiver.Apply(g.Effect(strconv.Itoa(j.completed+1), body))
 	if err != nil {
-		return j.Every, err
+		return j.Interval, err
 	}
-	if j.done++; done {
+	if j.completed++; done {
 		return 0, nil // an owner before this one did it, and its word of that was lost
 	}
-	if j.Marks <= 1 || j.done%j.Marks == 0 {
-		return j.Every, g.Progress(ctx, []byte(strconv.Itoa(j.done)))
+	if j.SaveEvery <= 1 || j.completed%j.SaveEvery == 0 {
+		return j.Interval, g.SaveProgress(ctx, []byte(strconv.Itoa(j.completed)))
 	}
-	return j.Every, nil
+	return j.Interval, nil
 }
--- a/internal/fleet/lease/explore_test.go
+++ b/internal/fleet/lease/explore_test.go
@@ -14,7 +14,7 @@
 // answers that wait on their way, may overtake each other and get lost. Its clocks drift apart as far as they may.
 type little struct {
 	state   *State
-	leader  *Grantor
+	leader  *Lessor
 	pending []Command
 	index   uint64
 	at      int // time, in steps of two fifths of a lease
@@ -32,7 +32,7 @@
 type reply struct {
 	at   float64 // when the question went, on the instance's clock
 	own  bool
-	d    Duty
+	d    Role
 	lost bool
 	let  bool
 }
@@ -40,20 +40,20 @@
 const answersMost = 2 // on their way to one instance
 
 func newLittle() *little {
-	rules := For(1000)
-	rules.Drift, rules.Held = 0.1, 0
+	rules := ConfigForLease(1000)
+	rules.MaxDrift, rules.FailureBackoffMs = 0.1, 0
 	w := &little{state: NewState()}
-	w.apply(Command{Kind: Define, Duty: "d"})
-	w.leader = NewGrantor(rules, w.state)
-	w.leader.Lead(w.clock(1 + rules.Drift/2))
-	for i, rate := range []float64{1 - rules.Drift/2, 1} {
+	w.apply(Command{Kind: CommandDefine, Role: "d"})
+	w.leader = NewLessor(rules, w.state)
+	w.leader.BecomeLeader(w.clock(1 + rules.MaxDrift/2))
+	for i, rate := range []float64{1 - rules.MaxDrift/2, 1} {
 		w.who = append(w.who, &one{name: string(rune('a' + i)), rate: rate, holder: NewHolder(rules)})
 	}
 	return w
 }
 
 func (w *little) clock(rate float64) float64 { return 10000 + float64(w.at)*400*rate }
-func (w *little) leads() float64             { return w.clock(1 + w.leader.rules.Drift/2) }
+func (w *little) leads() float64             { return w.clock(1 + w.leader.config.MaxDrift/2) }
 func (w *little) apply(c Command) {
 	w.index++
 	w.state.Apply(w.index, c.Encode())
@@ -75,7 +75,7 @@
 		if len(o.answers) > 0 {
 			list = append(list, fmt.Sprint("lose ", i))
 		}
-		if len(o.holder.Holds()) > 0 {
+		if len(o.holder.Leases()) > 0 {
 			list = append(list, fmt.Sprint("release ", i), fmt.Sprint("turn ", i))
 		}
 	}
@@ -90,43 +90,43 @@
 	switch what {
 	case "tick":
 		w.at++
-		w.pending = append(w.pending, w.leader.Turn(w.leads())...)
+		w.pending = append(w.pending, w.leader.DueCommands(w.leads())...)
 	case "lead": // another one is elected: all that waits to be agreed on is, or is lost with the old one
 		w.pending = nil
-		rules := w.leader.rules
-		w.leader = NewGrantor(rules, w.state)
-		w.leader.Lead(w.leads())
+		rules := w.leader.config
+		w.leader = NewLessor(rules, w.state)
+		w.leader.BecomeLeader(w.leads())
 	case "agree":
 		w.apply(w.pending[0])
 		w.pending = w.pending[1:]
 	case "ask":
 		q := reply{at: w.clock(o.rate)}
-		w.leader.Asked(w.leads(), o.name, nil)
-		d := w.state.Duties["d"]
-		if d.Owner == o.name {
+		w.leader.RecordRequest(w.leads(), o.name, nil)
+		d := w.state.Roles["d"]
+		if d.Holder == o.name {
 			q.own, q.let = w.leader.Renew(w.leads(), "d", d.Token, o.name)
-		} else if len(o.holder.Holds()) > 0 {
+		} else if len(o.holder.Leases()) > 0 {
 			q.lost = true
 		}
 		q.d = *d
 		o.answers = append(o.answers, q)
-		w.pending = append(w.pending, w.leader.Turn(w.leads())...)
+		w.pending = append(w.pending, w.leader.DueCommands(w.leads())...)
 	case "lose":
 		o.answers = o.answers[1:]
 	case "answer":
 		a := o.answers[k]
 		o.answers = append(o.answers[:k:k], o.answers[k+1:]...)
 		if a.own {
-			o.holder.Granted(w.clock(o.rate), a.at, "d", a.d.Token, a.d.Data, a.let)
+			o.holder.HandleGrant(w.clock(o.rate), a.at, "d", a.d.Token, a.d.Progress, a.let)
 		} else if a.lost {
-			o.holder.Lost("d", a.d.Token)
+			o.holder.HandleLost("d", a.d.Token)
 		}
 	case "release":
-		h := o.holder.Holds()[0]
-		o.holder.Released("d")
-		w.pending = append(w.pending, Command{Kind: Release, Duty: "d", Token: h.Token})
+		h := o.holder.Leases()[0]
+		o.holder.MarkReleased("d")
+		w.pending = append(w.pending, Command{Kind: CommandRelease, Role: "d", Token: h.Token})
 	case "turn":
-		o.holder.Turn(w.clock(o.rate))
+		o.holder.ExpireLeases(w.clock(o.rate))
 	}
 }
 
@@ -134,7 +134,7 @@
 func (w *little) wrong() string {
 	var may []string
 	for _, o := range w.who {
-		if token, ok := o.holder.May(w.clock(o.rate), "d"); ok {
+		if token, ok := o.holder.MayAct(w.clock(o.rate), "d"); ok {
 			may = append(may, fmt.Sprint(token, o.name))
 			if n := len(w.acted); n == 0 || w.acted[n-1] != may[len(may)-1] {
 				w.acted = append(w.acted, may[len(may)-1])
@@ -154,23 +154,23 @@
 func (w *little) key() string {
 	var b strings.Builder
 	now := w.leads()
-	d := w.state.Duties["d"]
-	fmt.Fprint(&b, *d, w.pending, w.acted, w.leader.since-now, w.leader.asked, w.leader.held["d"]-now, w.leader.ran["d"])
+	d := w.state.Roles["d"]
+	fmt.Fprint(&b, *d, w.pending, w.acted, w.leader.leadingSince-now, w.leader.proposed, w.leader.notBefore["d"]-now, w.leader.lastExpired["d"])
 	for _, l := range []string{"a", "b"} {
-		fmt.Fprint(&b, w.leader.seen[l]-now, " ")
+		fmt.Fprint(&b, w.leader.lastRequestAt[l]-now, " ")
 	}
-	if l, ok := w.leader.leases["d"]; ok {
-		fmt.Fprint(&b, l.token, l.until-now)
+	if l, ok := w.leader.expiries["d"]; ok {
+		fmt.Fprint(&b, l.token, l.expiresAt-now)
 	}
-	for k, v := range w.leader.askedAt {
+	for k, v := range w.leader.proposedAt {
 		fmt.Fprint(&b, k, v-now)
 	}
 	for _, o := range w.who {
 		at := w.clock(o.rate)
-		for _, h := range o.holder.Holds() {
-			fmt.Fprint(&b, "|", h.Token, h.Until-at, h.LetGo)
+		for _, h := range o.holder.Leases() {
+			fmt.Fprint(&b, "|", h.Token, h.ExpiresAt-at, h.ReleaseRequested)
 		}
-		fmt.Fprint(&b, "/", o.holder.ended["d"])
+		fmt.Fprint(&b, "/", o.holder.endedTokens["d"])
 		for _, a := range o.answers {
 			fmt.Fprint(&b, ";", a.at-at, a.own, a.lost, a.let, a.d.Token)
 		}
@@ -197,7 +197,7 @@
 	// From where one has the duty and may act on.
 	begun := []string{"ask 0", "lose 0", "agree", "ask 0", "answer 0 0"}
 	w, _ := newLittle().play(begun)
-	if _, may := w.who[0].holder.May(w.clock(w.who[0].rate), "d"); !may {
+	if _, may := w.who[0].holder.MayAct(w.clock(w.who[0].rate), "d"); !may {
 		t.Fatal("nobody acts at the beginning")
 	}
 	level, seen, second := [][]string{begun}, map[string]bool{}, 0
--- a/internal/fleet/lease/fence/dir/fencedir.go
+++ b/internal/fleet/lease/fence/dir/fencedir.go
@@ -16,37 +16,39 @@
 
 // Version is one file: an effect, or, without a key that is new, only a token that has been seen.
 type Version struct {
-	Duty  string          `json:"duty"`
-	Token uint64          `json:"token"`
-	Key   string          `json:"key"`
-	Seen  bool            `json:"seen,omitempty"` // the effect was there already; the token is newer
-	Body  json.RawMessage `json:"body,omitempty"`
+	Role      string          `json:"duty"`
+	Token     uint64          `json:"token"`
+	Key       string          `json:"key"`
+	TokenOnly bool            `json:"seen,omitempty"` // the effect was there already; the token is newer
+	Body      json.RawMessage `json:"body,omitempty"`
 }
 
-// Folder is one.
-type Folder struct {
-	dir  string
-	head uint64
-	book fence.Book
-	// Between is called between the check and the act, for tests that have others write there.
-	Between func()
+// Receiver is one.
+type Receiver struct {
+	dir         string
+	lastVersion uint64
+	fenceState  fence.State
+	// beforeWrite is called between the check and the act, for tests that have others write there.
+	beforeWrite func()
 }
 
 // Open reads a folder, or makes it.
-func Open(dir string) (*Folder, error) {
+func Open(dir string) (*Receiver, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	f := &Folder{dir: dir}
+	f := &Receiver{dir: dir}
 	return f, f.read()
 }
 
-func (f *Folder) path(no uint64) string { return filepath.Join(f.dir, fmt.Sprintf("v%012d.json", no)) }
+func (f *Receiver) path(no uint64) string {
+	return filepath.Join(f.dir, fmt.Sprintf("v%012d.json", no))
+}
 
 // read takes up the versions that came since.
-func (f *Folder) read() error {
+func (f *Receiver) read() error {
 	for {
-		text, err := os.ReadFile(f.path(f.head + 1))
+		text, err := os.ReadFile(f.path(f.lastVersion + 1))
 		if errors.Is(err, fs.ErrNotExist) {
 			return nil
 		} else if err != nil {
@@ -54,17 +56,17 @@
 		}
 		var v Version
 		if err := json.Unmarshal(text, &v); err != nil {
-			return fmt.Errorf("%s: %w", f.path(f.head+1), err)
+			return fmt.Errorf("%s: %w", f.path(f.lastVersion+1), err)
 		}
-		if _, err := f.book.Admit(fence.Effect{Duty: v.Duty, Token: v.Token, Key: v.Key}); err != nil {
-			return fmt.Errorf("%s: %w", f.path(f.head+1), err)
+		if _, err := f.fenceState.Admit(fence.Effect{Role: v.Role, Token: v.Token, Key: v.Key}); err != nil {
+			return fmt.Errorf("%s: %w", f.path(f.lastVersion+1), err)
 		}
-		f.head++
+		f.lastVersion++
 	}
 }
 
 // Apply does an effect once (fence.Receiver). Bodies are JSON.
-func (f *Folder) Apply(e fence.Effect) (done bool, err error) {
+func (f *Receiver) Apply(e fence.Effect) (done bool, err error) {
 	if len(e.Body) > 0 && !json.Valid(e.Body) {
 		return false, errors.New("the effect's body is no JSON")
 	}
@@ -72,21 +74,21 @@
 		if err := f.read(); err != nil {
 			return false, err
 		}
-		had, newer, err := f.book.Look(e)
+		had, newer, err := f.fenceState.Check(e)
 		if err != nil {
 			return false, err
 		}
 		if had && !newer {
 			return true, nil
 		}
-		if f.Between != nil {
-			f.Between()
+		if f.beforeWrite != nil {
+			f.beforeWrite()
 		}
-		v := Version{Duty: e.Duty, Token: e.Token, Key: e.Key, Seen: had}
+		v := Version{Role: e.Role, Token: e.Token, Key: e.Key, TokenOnly: had}
 		if !had {
 			v.Body = e.Body
 		}
-		taken, err := f.write(f.head+1, v)
+		taken, err := f.write(f.lastVersion+1, v)
 		if err != nil {
 			return false, err
 		}
@@ -97,7 +99,7 @@
 }
 
 // write makes a version durable whole, or finds its number taken.
-func (f *Folder) write(no uint64, v Version) (taken bool, err error) {
+func (f *Receiver) write(no uint64, v Version) (taken bool, err error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return false, err
@@ -126,10 +128,10 @@
 	return false, errors.Join(d.Sync(), d.Close())
 }
 
-// Versions gives all that a folder holds, in order.
-func Versions(dir string) (list []Version, err error) {
+// ReadVersions gives all that a folder holds, in order.
+func ReadVersions(dir string) (list []Version, err error) {
 	for no := uint64(1); ; no++ {
-		text, err := os.ReadFile((&Folder{dir: dir}).path(no))
+		text, err := os.ReadFile((&Receiver{dir: dir}).path(no))
 		if errors.Is(err, fs.ErrNotExist) {
 			return list, nil
 		} else if err != nil {
@@ -143,4 +145,4 @@
 	}
 }
 
-var _ fence.Receiver = (*Folder)(nil)
+var _ fence.Receiver = (*Receiver)(nil)
--- a/internal/fleet/lease/fence/dir/fencedir_test.go
+++ b/internal/fleet/lease/fence/dir/fencedir_test.go
@@ -14,10 +14,10 @@
 )
 
 func effect(token uint64, key string) fence.Effect {
-	return fence.Effect{Duty: "close", Token: token, Key: key, Body: json.RawMessage(fmt.Sprintf(`{"by":%d}`, token))}
+	return fence.Effect{Role: "close", Token: token, Key: key, Body: json.RawMessage(fmt.Sprintf(`{"by":%d}`, token))}
 }
 
-func open(t *testing.T, dir string) *Folder {
+func open(t *testing.T, dir string) *Receiver {
 	t.Helper()
 	f, err := Open(dir)
 	if err != nil {
@@ -34,7 +34,7 @@
 		t.Fatal(done, err)
 	}
 	slept := false
-	late.Between = func() {
+	late.beforeWrite = func() {
 		if slept {
 			return
 		}
@@ -43,13 +43,13 @@
 			t.Fatal(done, err)
 		}
 	}
-	if _, err := late.Apply(effect(4, "b")); !errors.Is(err, fence.ErrOld) {
+	if _, err := late.Apply(effect(4, "b")); !errors.Is(err, fence.ErrStaleToken) {
 		t.Fatal("it wrote, or: ", err)
 	}
-	if _, err := late.Apply(effect(4, "c")); !errors.Is(err, fence.ErrOld) {
+	if _, err := late.Apply(effect(4, "c")); !errors.Is(err, fence.ErrStaleToken) {
 		t.Fatal(err)
 	}
-	list, err := Versions(dir)
+	list, err := ReadVersions(dir)
 	if err != nil || len(list) != 2 || string(list[1].Body) != `{"by":5}` {
 		t.Fatal(list, err)
 	}
@@ -59,8 +59,8 @@
 func TestAnEffectThatComesTwiceCountsOnce(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir), open(t, dir)
-	a.Between = func() {
-		a.Between = nil
+	a.beforeWrite = func() {
+		a.beforeWrite = nil
 		if done, err := b.Apply(effect(4, "a")); done || err != nil {
 			t.Fatal(done, err)
 		}
@@ -72,13 +72,13 @@
 	if done, err := open(t, dir).Apply(effect(6, "a")); !done || err != nil {
 		t.Fatal(done, err)
 	}
-	if _, err := b.Apply(effect(5, "z")); !errors.Is(err, fence.ErrOld) {
+	if _, err := b.Apply(effect(5, "z")); !errors.Is(err, fence.ErrStaleToken) {
 		t.Fatal(err)
 	}
-	if list, _ := Versions(dir); len(list) != 2 || !list[1].Seen || list[1].Body != nil {
+	if list, _ := ReadVersions(dir); len(list) != 2 || !list[1].TokenOnly || list[1].Body != nil {
 		t.Fatal(list)
 	}
-	if _, err := b.Apply(fence.Effect{Duty: "close", Token: 7, Key: "q", Body: []byte("{")}); err == nil {
+	if _, err := b.Apply(fence.Effect{Role: "close", Token: 7, Key: "q", Body: []byte("{")}); err == nil {
 		t.Fatal("half a body was taken")
 	}
 }
@@ -94,7 +94,7 @@
 		old   bool
 	}{{3, "1", false, false}, {3, "1", true, false}, {5, "1", true, false}, {4, "2", false, true}, {5, "2", false, false}} {
 		done, err := to.Apply(effect(c.token, c.key))
-		if done != c.done || errors.Is(err, fence.ErrOld) != c.old || err != nil && !c.old {
+		if done != c.done || errors.Is(err, fence.ErrStaleToken) != c.old || err != nil && !c.old {
 			t.Errorf("%d: done %v, %v", i, done, err)
 		}
 	}
@@ -104,7 +104,7 @@
 	// What says neither is no answer: the effect is offered again.
 	for _, says := range []string{`{"done":false,"token":2}`, `thanks`, `{}`} {
 		bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(says)) }))
-		if _, err := fencehttp.New(bad.URL).Apply(effect(5, "3")); err == nil || errors.Is(err, fence.ErrOld) {
+		if _, err := fencehttp.New(bad.URL).Apply(effect(5, "3")); err == nil || errors.Is(err, fence.ErrStaleToken) {
 			t.Errorf("%s: %v", says, err)
 		}
 		bad.Close()
--- a/internal/fleet/lease/fence/fence.go
+++ b/internal/fleet/lease/fence/fence.go
@@ -10,7 +10,7 @@
 
 // Effect is something done on behalf of a duty.
 type Effect struct {
-	Duty  string `json:"duty"`
+	Role  string `json:"duty"`
 	Token uint64 `json:"token"`
 	Key   string `json:"key"` // the same effect has the same key, whoever does it
 	Body  []byte `json:"body,omitempty"`
@@ -23,51 +23,51 @@
 	Apply(e Effect) (done bool, err error)
 }
 
-// ErrOld refuses an owner of the past.
-var ErrOld = errors.New("a newer owner has been here")
+// ErrStaleToken refuses an owner of the past.
+var ErrStaleToken = errors.New("a newer owner has been here")
 
-// Book is a receiver's memory. It is part of what the receiver makes durable together with the effect.
-type Book struct {
+// State is a receiver's memory. It is part of what the receiver makes durable together with the effect.
+type State struct {
 	Tokens map[string]uint64            `json:"tokens"`
 	Keys   map[string]map[string]uint64 `json:"keys"`  // by duty and key: the token under which it was done
 	Order  map[string][]string          `json:"order"` // keys as they came; the oldest are forgotten
 }
 
-const keysMost = 4096 // of a duty
+const maxKeysPerRole = 4096 // of a duty
 
-// Look judges an effect and notes nothing. had: it was done; newer: its token is higher than any seen.
-func (b *Book) Look(e Effect) (had, newer bool, err error) {
-	if e.Duty == "" || e.Token == 0 || e.Key == "" {
+// Check judges an effect and notes nothing. had: it was done; newer: its token is higher than any seen.
+func (b *State) Check(e Effect) (had, newer bool, err error) {
+	if e.Role == "" || e.Token == 0 || e.Key == "" {
 		return false, false, fmt.Errorf("an effect without duty, token or key: %+v", e)
 	}
-	if e.Token < b.Tokens[e.Duty] && !plantNoFence {
-		return false, false, ErrOld
+	if e.Token < b.Tokens[e.Role] && !plantNoFence {
+		return false, false, ErrStaleToken
 	}
-	_, had = b.Keys[e.Duty][e.Key]
-	return had, e.Token > b.Tokens[e.Duty], nil
+	_, had = b.Keys[e.Role][e.Key]
+	return had, e.Token > b.Tokens[e.Role], nil
 }
 
 // Admit judges an effect and, where it is new, notes it. fresh: it is to be done, in the same step.
-func (b *Book) Admit(e Effect) (fresh bool, err error) {
-	had, _, err := b.Look(e)
+func (b *State) Admit(e Effect) (fresh bool, err error) {
+	had, _, err := b.Check(e)
 	if err != nil {
 		return false, err
 	}
 	if b.Tokens == nil {
 		b.Tokens, b.Keys, b.Order = map[string]uint64{}, map[string]map[string]uint64{}, map[string][]string{}
 	}
-	b.Tokens[e.Duty] = e.Token
+	b.Tokens[e.Role] = e.Token
 	if had {
 		return false, nil
 	}
-	if b.Keys[e.Duty] == nil {
-		b.Keys[e.Duty] = map[string]uint64{}
+	if b.Keys[e.Role] == nil {
+		b.Keys[e.Role] = map[string]uint64{}
 	}
-	b.Keys[e.Duty][e.Key] = e.Token
-	b.Order[e.Duty] = append(b.Order[e.Duty], e.Key)
-	if list := b.Order[e.Duty]; len(list) > keysMost {
-		delete(b.Keys[e.Duty], list[0])
-		b.Order[e.Duty] = list[1:]
+	b.Keys[e.Role][e.Key] = e.Token
+	b.Order[e.Role] = append(b.Order[e.Role], e.Key)
+	if list := b.Order[e.Role]; len(list) > maxKeysPerRole {
+		delete(b.Keys[e.Role], list[0])
+		b.Order[e.Role] = list[1:]
 	}
 	return true, nil
 }
--- a/internal/fleet/lease/fence/http/fencehttp.go
+++ b/internal/fleet/lease/fence/http/fencehttp.go
@@ -21,16 +21,16 @@
 }
 
 const (
-	within   = 5 * time.Second
-	mostText = 4 << 10
-	idleMost = 32 // connections that are kept: with two, as the library has it, nearly each effect opened one of its own
+	requestTimeout      = 5 * time.Second
+	maxReplyBytes       = 4 << 10
+	maxIdleConnsPerHost = 32 // connections that are kept: with two, as the library has it, nearly each effect opened one of its own
 )
 
 // New makes one.
 func New(url string) *Receiver {
 	t := http.DefaultTransport.(*http.Transport).Clone()
-	t.MaxIdleConnsPerHost = idleMost
-	return &Receiver{URL: url, client: http.Client{Timeout: within, Transport: t}}
+	t.MaxIdleConnsPerHost = maxIdleConnsPerHost
+	return &Receiver{URL: url, client: http.Client{Timeout: requestTimeout, Transport: t}}
 }
 
 // Reply is what a receiver says.
@@ -56,7 +56,7 @@
 		return false, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostText))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return false, err
 	}
@@ -68,7 +68,7 @@
 	case resp.StatusCode == 200 && says.Token >= e.Token:
 		return says.Done, nil
 	case resp.StatusCode == 409 && says.Token > e.Token:
-		return false, fmt.Errorf("%w: with token %d, this one has %d", fence.ErrOld, says.Token, e.Token)
+		return false, fmt.Errorf("%w: with token %d, this one has %d", fence.ErrStaleToken, says.Token, e.Token)
 	}
 	return false, fmt.Errorf("the receiver answers %s, token %d", resp.Status, says.Token)
 }
--- a/internal/fleet/lease/membership/membership.go
+++ b/internal/fleet/lease/membership/membership.go
@@ -11,196 +11,196 @@
 
 // Hello is what a voter says of itself. Group 0: its disk belongs to none yet. Voters: those of the founding, if it knows them.
 type Hello struct {
-	Name   string            `json:"name"`
-	ID     uint64            `json:"id"`
-	Group  uint64            `json:"group,omitempty"`
-	Voters map[uint64]string `json:"voters,omitempty"`
+	Name     string            `json:"name"`
+	VoterID  uint64            `json:"id"`
+	GroupID  uint64            `json:"group,omitempty"`
+	Founders map[uint64]string `json:"voters,omitempty"`
 }
 
-// Rules are times in ms.
-type Rules struct {
-	Fresh float64 // what was said so long ago is no news
-	Gone  float64 // a number not heard of for so long may be replaced by another of its name
-	Again float64 // before a step that has led to nothing is taken again
+// Config are times in ms.
+type Config struct {
+	HelloTTLMs      float64 // what was said so long ago is no news
+	ReplaceAfterMs  float64 // a number not heard of for so long may be replaced by another of its name
+	RetryIntervalMs float64 // before a step that has led to nothing is taken again
 }
 
-// Usual are the rules that voters go by.
-var Usual = Rules{Fresh: 4000, Gone: 10000, Again: 2000}
+// DefaultConfig are the rules that voters go by.
+var DefaultConfig = Config{HelloTTLMs: 4000, ReplaceAfterMs: 10000, RetryIntervalMs: 2000}
 
-// Kind of a step.
-type Kind uint8
+// StepKind of a step.
+type StepKind uint8
 
 const (
-	Found   Kind = iota + 1 // write the founding to the own disk, in a group to be drawn
-	Adopt                   // write another's founding to the own disk; without Voters: learn from it
-	Name                    // agree that ID is Who's
-	Learn                   // ID is to learn
-	Promote                 // ID, which has learnt, is to vote; in Gone's place if that is not 0
+	StepBootstrap  StepKind = iota + 1 // write the founding to the own disk, in a group to be drawn
+	StepJoin                           // write another's founding to the own disk; without Voters: learn from it
+	StepNameVoter                      // agree that ID is Who's
+	StepAddLearner                     // ID is to learn
+	StepPromote                        // ID, which has learnt, is to vote; in Gone's place if that is not 0
 )
 
 // Step is what is to be done.
 type Step struct {
-	Kind     Kind
-	ID, Gone uint64
-	Who      string
-	Group    uint64
-	Voters   map[uint64]string
+	Kind                StepKind
+	VoterID, ReplacedID uint64
+	Name                string
+	GroupID             uint64
+	Founders            map[uint64]string
 }
 
 // View is what is agreed, as a leader knows it.
 type View struct {
-	Leading          bool
+	IsLeader         bool
 	Voters, Learners []uint64
-	Names            map[uint64]string
-	Caught           func(id uint64) bool
+	VoterNames       map[uint64]string
+	CaughtUp         func(id uint64) bool
 }
 
-type heard struct {
-	hello Hello
-	at    float64
+type receivedHello struct {
+	hello      Hello
+	receivedAt float64
 }
 
-// Roster is one voter's view of the others.
-type Roster struct {
-	rules Rules
-	own   Hello
-	names []string
-	heard map[string]heard
-	last  map[uint64]float64 // by number: when it was last heard of; those of the names' latest few disks
-	begun float64            // when this view began
-	step  Step
-	at    float64 // of the latest step
+// Reconciler is one voter's view of the others.
+type Reconciler struct {
+	config      Config
+	self        Hello
+	voterNames  []string
+	hellos      map[string]receivedHello
+	lastContact map[uint64]float64 // by number: when it was last heard of; those of the names' latest few disks
+	startedAt   float64            // when this view began
+	lastStep    Step
+	lastStepAt  float64 // of the latest step
 }
 
-const numbersMost = 1000
+const maxTrackedIDs = 1000
 
 // New is the view of a voter, which is among the names, at a time. Names are in the order of the operator's file.
-func New(rules Rules, own Hello, names []string, now float64) *Roster {
-	return &Roster{rules: rules, own: own, names: names, heard: map[string]heard{}, last: map[uint64]float64{}, begun: now,
-		at: now - rules.Again}
+func New(rules Config, own Hello, names []string, now float64) *Reconciler {
+	return &Reconciler{config: rules, self: own, voterNames: names, hellos: map[string]receivedHello{}, lastContact: map[uint64]float64{}, startedAt: now,
+		lastStepAt: now - rules.RetryIntervalMs}
 }
 
-// Own is what this voter says.
-func (r *Roster) Own() Hello { return r.own }
+// Self is what this voter says.
+func (r *Reconciler) Self() Hello { return r.self }
 
-// Joined: the own disk belongs to a group now.
-func (r *Roster) Joined(group uint64, voters map[uint64]string) {
-	r.own.Group, r.own.Voters = group, voters
+// SetGroup: the own disk belongs to a group now.
+func (r *Reconciler) SetGroup(group uint64, voters map[uint64]string) {
+	r.self.GroupID, r.self.Founders = group, voters
 }
 
-// Heard takes what another voter says. Who is not named, or speaks in this one's name, is not listened to.
-func (r *Roster) Heard(now float64, h Hello) {
-	if h.ID == 0 || h.Name == r.own.Name || !slices.Contains(r.names, h.Name) {
+// HandleHello takes what another voter says. Who is not named, or speaks in this one's name, is not listened to.
+func (r *Reconciler) HandleHello(now float64, h Hello) {
+	if h.VoterID == 0 || h.Name == r.self.Name || !slices.Contains(r.voterNames, h.Name) {
 		return
 	}
-	r.heard[h.Name] = heard{h, now}
-	if len(r.last) >= numbersMost {
-		clear(r.last)
-		r.begun = now
+	r.hellos[h.Name] = receivedHello{h, now}
+	if len(r.lastContact) >= maxTrackedIDs {
+		clear(r.lastContact)
+		r.startedAt = now
 	}
-	r.last[h.ID] = now
+	r.lastContact[h.VoterID] = now
 }
 
 // Of gives the number under which a voter was last heard of; 0: never.
-func (r *Roster) Of(name string) uint64 { return r.heard[name].hello.ID }
+func (r *Reconciler) VoterID(name string) uint64 { return r.hellos[name].hello.VoterID }
 
-// Who gives the name that a number was heard under.
-func (r *Roster) Who(id uint64) string {
-	for _, n := range r.names {
-		if r.heard[n].hello.ID == id {
+// VoterName gives the name that a number was heard under.
+func (r *Reconciler) VoterName(id uint64) string {
+	for _, n := range r.voterNames {
+		if r.hellos[n].hello.VoterID == id {
 			return n
 		}
 	}
 	return ""
 }
 
-// Silence is since when a number was last heard of, in ms; below 0: never, or the own.
-func (r *Roster) Silence(now float64, id uint64) float64 {
-	if at, known := r.last[id]; known {
+// SinceContact is since when a number was last heard of, in ms; below 0: never, or the own.
+func (r *Reconciler) SinceContact(now float64, id uint64) float64 {
+	if at, known := r.lastContact[id]; known {
 		return now - at
 	}
 	return -1
 }
 
-// quiet: nothing was heard of a number for so long that its disk may be taken to be gone.
-func (r *Roster) quiet(now float64, id uint64) bool {
-	at, known := r.last[id]
+// presumedGone: nothing was heard of a number for so long that its disk may be taken to be gone.
+func (r *Reconciler) presumedGone(now float64, id uint64) bool {
+	at, known := r.lastContact[id]
 	if !known {
-		at = r.begun
+		at = r.startedAt
 	}
-	return now-at > r.rules.Gone
+	return now-at > r.config.ReplaceAfterMs
 }
 
-// Turn gives the one step that is due, if one is.
-func (r *Roster) Turn(now float64, v View) (Step, bool) {
-	if now < r.at+r.rules.Again {
+// NextStep gives the one step that is due, if one is.
+func (r *Reconciler) NextStep(now float64, v View) (Step, bool) {
+	if now < r.lastStepAt+r.config.RetryIntervalMs {
 		return Step{}, false
 	}
-	s, due := r.next(now, v)
+	s, due := r.memberStep(now, v)
 	if due {
-		r.step, r.at = s, now
+		r.lastStep, r.lastStepAt = s, now
 	}
 	return s, due
 }
 
-func (r *Roster) next(now float64, v View) (Step, bool) {
-	if r.own.Group == 0 {
-		return r.join(now)
+func (r *Reconciler) memberStep(now float64, v View) (Step, bool) {
+	if r.self.GroupID == 0 {
+		return r.joinStep(now)
 	}
-	if !v.Leading {
+	if !v.IsLeader {
 		return Step{}, false
 	}
-	for _, name := range r.names {
-		h := r.heard[name]
-		id := h.hello.ID
-		if id == 0 || now-h.at > r.rules.Fresh || h.hello.Group != r.own.Group || slices.Contains(v.Voters, id) {
+	for _, name := range r.voterNames {
+		h := r.hellos[name]
+		id := h.hello.VoterID
+		if id == 0 || now-h.receivedAt > r.config.HelloTTLMs || h.hello.GroupID != r.self.GroupID || slices.Contains(v.Voters, id) {
 			continue
 		}
 		switch {
-		case v.Names[id] != name:
-			return Step{Kind: Name, ID: id, Who: name}, true
+		case v.VoterNames[id] != name:
+			return Step{Kind: StepNameVoter, VoterID: id, Name: name}, true
 		case !slices.Contains(v.Learners, id):
-			return Step{Kind: Learn, ID: id, Who: name}, true
-		case !v.Caught(id):
+			return Step{Kind: StepAddLearner, VoterID: id, Name: name}, true
+		case !v.CaughtUp(id):
 			continue
 		}
 		gone, wait := uint64(0), false
 		for _, old := range v.Voters {
-			if v.Names[old] == name {
+			if v.VoterNames[old] == name {
 				// Two processes under one name, each with a disk of its own, must not push each other out in turn.
-				if gone = old; !r.quiet(now, old) {
+				if gone = old; !r.presumedGone(now, old) {
 					wait = true
 				}
 			}
 		}
 		if !wait {
-			return Step{Kind: Promote, ID: id, Gone: gone, Who: name}, true
+			return Step{Kind: StepPromote, VoterID: id, ReplacedID: gone, Name: name}, true
 		}
 	}
 	return Step{}, false
 }
 
-// join is for a disk that belongs to no group.
-func (r *Roster) join(now float64) (Step, bool) {
+// joinStep is for a disk that belongs to no group.
+func (r *Reconciler) joinStep(now float64) (Step, bool) {
 	others, fresh := 0, 0
-	for _, name := range r.names {
-		if name == r.own.Name {
+	for _, name := range r.voterNames {
+		if name == r.self.Name {
 			continue
 		}
 		others++
-		h := r.heard[name]
-		if h.hello.ID == 0 || now-h.at > r.rules.Fresh {
+		h := r.hellos[name]
+		if h.hello.VoterID == 0 || now-h.receivedAt > r.config.HelloTTLMs {
 			continue
 		}
-		if g := h.hello.Group; g != 0 {
-			s := Step{Kind: Adopt, Group: g}
-			if h.hello.Voters[r.own.ID] == r.own.Name {
-				s.ID, s.Voters = r.own.ID, h.hello.Voters
+		if g := h.hello.GroupID; g != 0 {
+			s := Step{Kind: StepJoin, GroupID: g}
+			if h.hello.Founders[r.self.VoterID] == r.self.Name {
+				s.VoterID, s.Founders = r.self.VoterID, h.hello.Founders
 			}
 			if plantByName { // a defect to be found: whoever lost its disk takes up its old number, and may vote twice
-				for id, who := range h.hello.Voters {
-					if who == r.own.Name {
-						s.ID, s.Voters = id, h.hello.Voters
+				for id, who := range h.hello.Founders {
+					if who == r.self.Name {
+						s.VoterID, s.Founders = id, h.hello.Founders
 					}
 				}
 			}
@@ -208,17 +208,17 @@
 		}
 		fresh++
 	}
-	if fresh < others || r.own.Name != r.names[0] {
+	if fresh < others || r.self.Name != r.voterNames[0] {
 		return Step{}, false
 	}
-	voters := map[uint64]string{r.own.ID: r.own.Name}
-	for _, name := range r.names {
-		if name != r.own.Name {
-			voters[r.heard[name].hello.ID] = name
+	voters := map[uint64]string{r.self.VoterID: r.self.Name}
+	for _, name := range r.voterNames {
+		if name != r.self.Name {
+			voters[r.hellos[name].hello.VoterID] = name
 		}
 	}
-	if len(voters) != len(r.names) {
+	if len(voters) != len(r.voterNames) {
 		return Step{}, false // two disks of one number: one is a copy of the other
 	}
-	return Step{Kind: Found, Voters: voters}, true
+	return Step{Kind: StepBootstrap, Founders: voters}, true
 }
--- a/internal/fleet/lease/replica/replica.go
+++ b/internal/fleet/lease/replica/replica.go
@@ -12,209 +12,209 @@
 	"kestrelspread/internal/fleet/lease/consensus"
 )
 
-// Question is an instance's: it is there, and holds these duties under these tokens.
-type Question struct {
-	Instance string            `json:"instance"` // one life of it: a restart under the same name is another
-	At       float64           `json:"at"`       // on its own steady clock; comes back with the answer
-	Holds    map[string]uint64 `json:"holds,omitempty"`
-	Can      []string          `json:"can,omitempty"`   // duties that it can do; nil: all
-	Reads    []string          `json:"reads,omitempty"` // duties of which it wants to know how far they have come
+// Request is an instance's: it is there, and holds these duties under these tokens.
+type Request struct {
+	Instance      string            `json:"instance"` // one life of it: a restart under the same name is another
+	SentAt        float64           `json:"at"`       // on its own steady clock; comes back with the answer
+	HeldTokens    map[string]uint64 `json:"holds,omitempty"`
+	EligibleRoles []string          `json:"can,omitempty"`   // duties that it can do; nil: all
+	WatchedRoles  []string          `json:"reads,omitempty"` // duties of which it wants to know how far they have come
 }
 
-// Granted is one duty in an answer.
-type Granted struct {
-	Duty  string `json:"duty"`
-	Token uint64 `json:"token"`
-	LetGo bool   `json:"let_go,omitempty"`
-	Data  []byte `json:"data,omitempty"`
+// Grant is one duty in an answer.
+type Grant struct {
+	Role             string `json:"duty"`
+	Token            uint64 `json:"token"`
+	ReleaseRequested bool   `json:"let_go,omitempty"`
+	Progress         []byte `json:"data,omitempty"`
 }
 
-// Said is how far a duty has come, by its owner's own word, and how old that is, in ms: it is no better than that.
-type Said struct {
-	Duty  string  `json:"duty"`
-	Token uint64  `json:"token"`
-	Data  []byte  `json:"data,omitempty"`
-	Age   float64 `json:"age"`
+// ProgressReport is how far a duty has come, by its owner's own word, and how old that is, in ms: it is no better than that.
+type ProgressReport struct {
+	Role     string  `json:"duty"`
+	Token    uint64  `json:"token"`
+	Progress []byte  `json:"data,omitempty"`
+	AgeMs    float64 `json:"age"`
 }
 
-// Answer is what a voter says. Leader: who is to be asked instead, where it does not lead; 0: not known.
-type Answer struct {
-	OK     bool              `json:"ok"`
-	At     float64           `json:"at"`
-	Leader uint64            `json:"leader,omitempty"`
-	Grants []Granted         `json:"grants,omitempty"`
-	Lost   map[string]uint64 `json:"lost,omitempty"` // what it thought it held, with the latest token
-	Said   []Said            `json:"said,omitempty"`
+// Response is what a voter says. Leader: who is to be asked instead, where it does not lead; 0: not known.
+type Response struct {
+	OK              bool              `json:"ok"`
+	SentAt          float64           `json:"at"`
+	LeaderID        uint64            `json:"leader,omitempty"`
+	Grants          []Grant           `json:"grants,omitempty"`
+	LostRoles       map[string]uint64 `json:"lost,omitempty"` // what it thought it held, with the latest token
+	ProgressReports []ProgressReport  `json:"said,omitempty"`
 }
 
-// Voter is one of those who agree.
-type Voter struct {
+// Replica is one of those who agree.
+type Replica struct {
 	*consensus.Node
-	State      *lease.State
-	Grantor    *lease.Grantor
-	now        float64
-	waiting    map[string]func(lease.Result)
-	since      map[string]float64
-	serial     int
-	asking     bool // whether it leads is being confirmed, before it acts as a leader
-	rules      lease.Rules
-	led        int             // which of its elections the grantor's knowledge is from
-	asked      []func(ok bool) // questions that wait for the next confirmation
-	confirming bool
+	State                *lease.State
+	Lessor               *lease.Lessor
+	now                  float64
+	pendingCommands      map[string]func(lease.Result)
+	submittedAt          map[string]float64
+	lastCommandNo        int
+	confirmingElection   bool // whether it leads is being confirmed, before it acts as a leader
+	config               lease.Config
+	lessorElection       int             // which of its elections the grantor's knowledge is from
+	queuedConfirmations  []func(ok bool) // questions that wait for the next confirmation
+	confirmationInFlight bool
 }
 
-// machine lets the log change the state.
-type machine struct{ v *Voter }
+// stateMachine lets the log change the state.
+type stateMachine struct{ replica *Replica }
 
-func (m machine) Apply(index uint64, command []byte) {
-	r := m.v.State.Apply(index, command)
-	if then := m.v.waiting[r.ID]; then != nil && r.ID != "" {
-		delete(m.v.waiting, r.ID)
-		delete(m.v.since, r.ID)
+func (m stateMachine) Apply(index uint64, command []byte) {
+	r := m.replica.State.Apply(index, command)
+	if then := m.replica.pendingCommands[r.CommandID]; then != nil && r.CommandID != "" {
+		delete(m.replica.pendingCommands, r.CommandID)
+		delete(m.replica.submittedAt, r.CommandID)
 		then(r)
 	}
 }
-func (m machine) Snapshot() []byte       { return m.v.State.Snapshot() }
-func (m machine) Restore(b []byte) error { return m.v.State.Restore(b) }
+func (m stateMachine) Snapshot() []byte       { return m.replica.State.Snapshot() }
+func (m stateMachine) Restore(b []byte) error { return m.replica.State.Restore(b) }
 
 // New starts a voter from its disk.
-func New(d consensus.Disk, rules lease.Rules, times consensus.Rules, seed uint64) (*Voter, error) {
-	v := &Voter{State: lease.NewState(), rules: rules, waiting: map[string]func(lease.Result){}, since: map[string]float64{}}
-	v.Grantor = lease.NewGrantor(rules, v.State)
+func New(d consensus.DurableState, rules lease.Config, times consensus.Config, seed uint64) (*Replica, error) {
+	v := &Replica{State: lease.NewState(), config: rules, pendingCommands: map[string]func(lease.Result){}, submittedAt: map[string]float64{}}
+	v.Lessor = lease.NewLessor(rules, v.State)
 	var err error
-	v.Node, err = consensus.New(d, times, machine{v}, seed)
+	v.Node, err = consensus.New(d, times, stateMachine{v}, seed)
 	return v, err
 }
 
-const waitMost = 10000 // ms that a command may take before its giver is told that nobody knows
+const commandTimeoutMs = 10000 // ms that a command may take before its giver is told that nobody knows
 
-// Beat is one tick of the voter's clock, at a time of it: what is due is proposed.
-func (v *Voter) Beat(now float64) {
+// Tick is one tick of the voter's clock, at a time of it: what is due is proposed.
+func (v *Replica) Tick(now float64) {
 	v.now = now
 	v.Node.Tick()
-	if v.Leading() && !v.Grantor.Leading() && !v.asking {
-		v.asking = true
+	if v.IsLeader() && !v.Lessor.IsLeader() && !v.confirmingElection {
+		v.confirmingElection = true
 		lead := func(ok bool) {
-			v.asking = false
+			v.confirmingElection = false
 			if ok {
-				v.led = v.Elected
-				v.Grantor.Lead(v.now) // all that was agreed before is applied by now
+				v.lessorElection = v.ElectionsWon
+				v.Lessor.BecomeLeader(v.now) // all that was agreed before is applied by now
 			}
 		}
-		v.Confirm(lead)
+		v.ConfirmLeadership(lead)
 	}
-	if v.Grantor.Leading() && (!v.Leading() || v.Elected != v.led) {
-		v.Grantor.Follow() // also where it was elected anew between two beats: what it knew of leases is from before
+	if v.Lessor.IsLeader() && (!v.IsLeader() || v.ElectionsWon != v.lessorElection) {
+		v.Lessor.BecomeFollower() // also where it was elected anew between two beats: what it knew of leases is from before
 	}
-	for _, c := range v.Grantor.Turn(now) {
+	for _, c := range v.Lessor.DueCommands(now) {
 		v.Propose(c.Encode())
 	}
-	ids := make([]string, 0, len(v.since))
-	for id, at := range v.since {
-		if now-at > waitMost {
+	ids := make([]string, 0, len(v.submittedAt))
+	for id, at := range v.submittedAt {
+		if now-at > commandTimeoutMs {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		v.giveUp(id, "no answer from a quorum: it may or may not have been agreed on")
+		v.failCommand(id, "no answer from a quorum: it may or may not have been agreed on")
 	}
 }
 
-func (v *Voter) giveUp(id, why string) {
-	then := v.waiting[id]
-	delete(v.waiting, id)
-	delete(v.since, id)
+func (v *Replica) failCommand(id, why string) {
+	then := v.pendingCommands[id]
+	delete(v.pendingCommands, id)
+	delete(v.submittedAt, id)
 	if then != nil {
-		then(lease.Result{ID: id, Why: why})
+		then(lease.Result{CommandID: id, Reason: why})
 	}
 }
 
-// Ask answers an instance, once a quorum has confirmed that this voter leads.
-func (v *Voter) Ask(now float64, q Question, reply func(Answer)) {
+// HandleRequest answers an instance, once a quorum has confirmed that this voter leads.
+func (v *Replica) HandleRequest(now float64, q Request, reply func(Response)) {
 	v.now = now
-	if !v.Leading() || !v.Grantor.Leading() || v.Elected != v.led || q.Instance == "" || len(q.Instance) > 256 || len(q.Holds) > 1000 || len(q.Can) > 1000 || len(q.Reads) > 1000 {
-		reply(Answer{At: q.At, Leader: v.other()})
+	if !v.IsLeader() || !v.Lessor.IsLeader() || v.ElectionsWon != v.lessorElection || q.Instance == "" || len(q.Instance) > 256 || len(q.HeldTokens) > 1000 || len(q.EligibleRoles) > 1000 || len(q.WatchedRoles) > 1000 {
+		reply(Response{SentAt: q.SentAt, LeaderID: v.otherLeaderID()})
 		return
 	}
-	v.confirm(func(ok bool) {
-		if !ok || !v.Grantor.Leading() {
-			reply(Answer{At: q.At, Leader: v.other()})
+	v.confirmLeadership(func(ok bool) {
+		if !ok || !v.Lessor.IsLeader() {
+			reply(Response{SentAt: q.SentAt, LeaderID: v.otherLeaderID()})
 			return
 		}
 		// Leases run from when the question came, not from now: a quorum has confirmed the lead since then.
-		v.Grantor.Asked(now, q.Instance, q.Can)
-		a := Answer{OK: true, At: q.At}
-		for _, name := range v.State.Names() {
-			d := v.State.Duties[name]
-			token, holds := q.Holds[name]
-			if d.Owner == q.Instance {
-				if ok, letGo := v.Grantor.Renew(v.now, name, d.Token, q.Instance); ok {
-					a.Grants = append(a.Grants, Granted{name, d.Token, letGo, d.Data})
+		v.Lessor.RecordRequest(now, q.Instance, q.EligibleRoles)
+		a := Response{OK: true, SentAt: q.SentAt}
+		for _, name := range v.State.RoleNames() {
+			d := v.State.Roles[name]
+			token, holds := q.HeldTokens[name]
+			if d.Holder == q.Instance {
+				if ok, letGo := v.Lessor.Renew(v.now, name, d.Token, q.Instance); ok {
+					a.Grants = append(a.Grants, Grant{name, d.Token, letGo, d.Progress})
 				}
 			} else if holds && token <= d.Token {
-				if a.Lost == nil {
-					a.Lost = map[string]uint64{}
+				if a.LostRoles == nil {
+					a.LostRoles = map[string]uint64{}
 				}
-				a.Lost[name] = d.Token
+				a.LostRoles[name] = d.Token
 			}
 		}
-		for _, name := range q.Reads {
-			if d := v.State.Duties[name]; d != nil && d.Data != nil {
-				a.Said = append(a.Said, Said{name, d.Written, d.Data, v.Grantor.Age(v.now, name)})
+		for _, name := range q.WatchedRoles {
+			if d := v.State.Roles[name]; d != nil && d.Progress != nil {
+				a.ProgressReports = append(a.ProgressReports, ProgressReport{name, d.ProgressToken, d.Progress, v.Lessor.ProgressAge(v.now, name)})
 			}
 		}
 		reply(a)
 	})
 }
 
-// confirm asks a quorum before anything is said in its name: whoever led and was cut off does not know that another leads.
-func (v *Voter) confirm(then func(ok bool)) {
+// confirmLeadership asks a quorum before anything is said in its name: whoever led and was cut off does not know that another leads.
+func (v *Replica) confirmLeadership(then func(ok bool)) {
 	if plantUnconfirmed {
 		then(true)
 		return
 	}
-	if v.asked = append(v.asked, then); !v.confirming {
-		v.round()
+	if v.queuedConfirmations = append(v.queuedConfirmations, then); !v.confirmationInFlight {
+		v.startConfirmation()
 	}
 }
 
-// round confirms for all who wait: however many ask, a quorum is asked once at a time. Who comes while it is being asked waits
+// startConfirmation confirms for all who wait: however many ask, a quorum is asked once at a time. Who comes while it is being asked waits
 // for the next, as an answer proves nothing of a question that came after it was asked for.
-func (v *Voter) round() {
-	list := v.asked
-	v.asked, v.confirming = nil, true
-	v.Confirm(func(ok bool) {
-		v.confirming = false
+func (v *Replica) startConfirmation() {
+	list := v.queuedConfirmations
+	v.queuedConfirmations, v.confirmationInFlight = nil, true
+	v.ConfirmLeadership(func(ok bool) {
+		v.confirmationInFlight = false
 		for _, then := range list {
 			then(ok)
 		}
-		if len(v.asked) > 0 && !v.confirming {
-			v.round()
+		if len(v.queuedConfirmations) > 0 && !v.confirmationInFlight {
+			v.startConfirmation()
 		}
 	})
 }
 
-func (v *Voter) other() uint64 {
-	if l := v.Leader(); l != v.ID {
+func (v *Replica) otherLeaderID() uint64 {
+	if l := v.LeaderID(); l != v.ID {
 		return l
 	}
 	return 0
 }
 
 // Do gives a command, and tells what became of it.
-func (v *Voter) Do(now float64, c lease.Command, reply func(lease.Result)) {
+func (v *Replica) Submit(now float64, c lease.Command, reply func(lease.Result)) {
 	v.now = now
-	v.serial++
-	c.ID = fmt.Sprintf("%x-%d-%d", v.ID, v.Term(), v.serial)
-	v.waiting[c.ID], v.since[c.ID] = reply, now
+	v.lastCommandNo++
+	c.ID = fmt.Sprintf("%x-%d-%d", v.ID, v.Term(), v.lastCommandNo)
+	v.pendingCommands[c.ID], v.submittedAt[c.ID] = reply, now
 	if err := v.Propose(c.Encode()); err != nil {
-		v.giveUp(c.ID, err.Error())
+		v.failCommand(c.ID, err.Error())
 	}
 }
 
-// Hear takes a message of another voter.
-func (v *Voter) Hear(now float64, m raftpb.Message) {
+// HandleMessage takes a message of another voter.
+func (v *Replica) HandleMessage(now float64, m raftpb.Message) {
 	v.now = now
 	v.Step(m)
 }
--- a/internal/fleet/lease/storage/storage_test.go
+++ b/internal/fleet/lease/storage/storage_test.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/fleet/lease/consensus"
 )
 
-func open(t *testing.T, fs vfs.FS) *Keep {
+func open(t *testing.T, fs vfs.FS) *Store {
 	t.Helper()
 	k, err := Open(fs, "voter", func() uint64 { return 7 })
 	if err != nil {
@@ -21,9 +21,9 @@
 	return k
 }
 
-func save(t *testing.T, k *Keep, term uint64, from, to uint64) {
+func save(t *testing.T, k *Store, term uint64, from, to uint64) {
 	t.Helper()
-	e := &consensus.Effects{Sync: true}
+	e := &consensus.Ready{Sync: true}
 	for i := from; i <= to; i++ {
 		e.Entries = append(e.Entries, raftpb.Entry{Term: term, Index: i, Data: []byte(fmt.Sprint("command ", i, " of term ", term))})
 	}
@@ -33,17 +33,17 @@
 }
 
 // again closes and opens the disk, and gives the terms of its entries from the first on.
-func again(t *testing.T, fs vfs.FS, k *Keep) (*Keep, string) {
+func again(t *testing.T, fs vfs.FS, k *Store) (*Store, string) {
 	t.Helper()
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
 	k = open(t, fs)
 	terms := ""
-	for _, e := range k.Disk.Entries {
+	for _, e := range k.Durable.Entries {
 		terms += fmt.Sprint(e.Term)
 	}
-	return k, fmt.Sprint(k.Disk.Snapshot.Metadata.Index, " ", terms)
+	return k, fmt.Sprint(k.Durable.Snapshot.Metadata.Index, " ", terms)
 }
 
 // What a former leader left at the end of the log is gone where the next one's entries go over it, also after a restart, and
@@ -51,7 +51,7 @@
 func TestTheEndOfAFormerLeadersLogIsGone(t *testing.T) {
 	fs := vfs.NewMem()
 	k := open(t, fs)
-	if err := k.Join(9, map[uint64]string{7: "v"}, consensus.Disk{ID: 7, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}); err != nil {
+	if err := k.JoinGroup(9, map[uint64]string{7: "v"}, consensus.DurableState{ID: 7, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	save(t, k, 1, 2, 9)
@@ -67,7 +67,7 @@
 	}
 	save(t, k, 3, 5, 12)
 	for _, at := range []uint64{4, 8} {
-		if err := k.Cut(&raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: at, Term: 3}}); err != nil {
+		if err := k.SaveSnapshot(&raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: at, Term: 3}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -75,7 +75,7 @@
 	if got != "8 3333" {
 		t.Fatal(got)
 	}
-	if err := k.Save(&consensus.Effects{Sync: true, Snapshot: &raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 20, Term: 4}}}); err != nil {
+	if err := k.Save(&consensus.Ready{Sync: true, Snapshot: &raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 20, Term: 4}}}); err != nil {
 		t.Fatal(err)
 	}
 	save(t, k, 4, 21, 22)
@@ -102,7 +102,7 @@
 	begin = time.Now()
 	value := make([]byte, 60)
 	for i := range uint64(writes) {
-		if err := plain.db.Set(logKey(i), value, pebble.Sync); err != nil {
+		if err := plain.db.Set(entryKey(i), value, pebble.Sync); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/lease/transport/transport_test.go
+++ b/internal/fleet/lease/transport/transport_test.go
@@ -26,8 +26,8 @@
 		if group == 7 {
 			got = append(got, m.Index)
 		}
-	}, Do: func(context.Context, lease.Command) (Done, error) {
-		return Done{Leader: "other", Why: "this voter does not lead"}, nil
+	}, SubmitCommand: func(context.Context, lease.Command) (CommandResult, error) {
+		return CommandResult{LeaderName: "other", Reason: "this voter does not lead"}, nil
 	}})
 	defer stop()
 	p, err := Dial(l.Addr().String())
@@ -39,16 +39,16 @@
 	defer end()
 	var list [][]byte
 	for i := range uint64(300) {
-		b, err := Pack(&raftpb.Message{Type: raftpb.MsgApp, Index: i, Entries: []raftpb.Entry{{Data: make([]byte, i)}}})
+		b, err := EncodeMessage(&raftpb.Message{Type: raftpb.MsgApp, Index: i, Entries: []raftpb.Entry{{Data: make([]byte, i)}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		list = append(list, b)
 	}
-	if err := p.Raft(ctx, 7, list); err != nil {
+	if err := p.SendRaft(ctx, 7, list); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Raft(ctx, 8, list); err != nil { // another group's: who reads them drops them
+	if err := p.SendRaft(ctx, 8, list); err != nil { // another group's: who reads them drops them
 		t.Fatal(err)
 	}
 	if len(got) != 300 {
@@ -60,12 +60,12 @@
 		}
 	}
 	for _, bad := range [][]byte{{0xff}, {5, 1}, {2, 0xff, 0xff}} {
-		if err := p.Raft(ctx, 7, [][]byte{bad}); err == nil {
+		if err := p.SendRaft(ctx, 7, [][]byte{bad}); err == nil {
 			t.Errorf("%v was taken", bad)
 		}
 	}
 	// A command goes on to who is said to lead, and where nobody does that is told, not tried for ever.
-	d, err := Lead(ctx, map[string]*Peer{"a": p}, "", lease.Command{Kind: lease.Define, Duty: "d"})
+	d, err := SubmitToLeader(ctx, map[string]*Peer{"a": p}, "", lease.Command{Kind: lease.CommandDefine, Role: "d"})
 	if err == nil || d.OK {
 		t.Error(d, err)
 	}
--- a/internal/fleet/lease/voter/server.go
+++ b/internal/fleet/lease/voter/server.go
@@ -34,71 +34,71 @@
 
 // Options are a voter's.
 type Options struct {
-	Name   string
-	Listen string
-	Folder string
-	FS     vfs.FS // nil: the system's
-	Voters []Address
-	Rules  lease.Rules
-	Times  consensus.Rules
-	Roster membership.Rules // zero: the usual
-	Tick   time.Duration
-	Log    zerolog.Logger
+	Name             string
+	Listen           string
+	Dir              string
+	FS               vfs.FS // nil: the system's
+	Voters           []Address
+	LeaseConfig      lease.Config
+	RaftConfig       consensus.Config
+	MembershipConfig membership.Config // zero: the usual
+	TickInterval     time.Duration
+	Log              zerolog.Logger
 }
 
 const (
-	batchMost = 256
-	dosMost   = 32
-	waitMost  = 256  // commands that wait; past it they are refused at once
-	queueMost = 4096 // events that wait; past it what comes is dropped, or refused where somebody waits for an answer
-	sendMost  = 512  // messages to one voter that wait
-	sendWait  = time.Second
-	sendBytes = 1 << 20 // that go together, but for one message
-	helloWait = time.Second
+	maxBatch          = 256
+	maxCommandBatch   = 32
+	maxQueuedCommands = 256  // commands that wait; past it they are refused at once
+	maxQueuedEvents   = 4096 // events that wait; past it what comes is dropped, or refused where somebody waits for an answer
+	maxQueuedMessages = 512  // messages to one voter that wait
+	sendTimeout       = time.Second
+	maxSendBytes      = 1 << 20 // that go together, but for one message
+	helloInterval     = time.Second
 )
 
-// Seat is a voter that runs.
-type Seat struct {
-	opt    Options
-	k      *storage.Keep
-	v      *replica.Voter // nil until its disk belongs to a group
-	r      *membership.Roster
-	peers  map[string]*peer
-	events chan func() // what voters say, and what this one has to do
-	asks   chan func()
-	dos    chan func()
-	quit   chan struct{}
-	ended  chan struct{}
-	stop   func()
-	addr   string
-	sent   atomic.Int64
-	group  atomic.Uint64
-	failed string // why it takes no more part
-	was    string // who led when it was last said
-	noted  uint64 // index of the latest event that was logged
-	once   sync.Once
+// Server is a voter that runs.
+type Server struct {
+	options         Options
+	store           *storage.Store
+	replica         *replica.Replica // nil until its disk belongs to a group
+	membership      *membership.Reconciler
+	peers           map[string]*peer
+	events          chan func() // what voters say, and what this one has to do
+	requests        chan func()
+	commands        chan func()
+	quit            chan struct{}
+	done            chan struct{}
+	stopServing     func()
+	listenAddr      string
+	messagesSent    atomic.Int64
+	groupID         atomic.Uint64
+	fault           string // why it takes no more part
+	lastLeader      string // who led when it was last said
+	lastLoggedIndex uint64 // index of the latest event that was logged
+	closeOnce       sync.Once
 }
 
 type peer struct {
 	*transport.Peer
-	name  string
-	queue chan []byte
-	to    atomic.Uint64 // the number that its latest message was for
+	name              string
+	queue             chan []byte
+	lastDestinationID atomic.Uint64 // the number that its latest message was for
 }
 
 // Now is a steady clock that a suspended machine does not stop, in ms: one that did would let a lease outlive its time.
 func Now() float64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return float64(time.Since(start).Microseconds()) / 1000
+		return float64(time.Since(processStart).Microseconds()) / 1000
 	}
 	return float64(t.Sec)*1000 + float64(t.Nsec)/1e6
 }
 
-var start = time.Now()
+var processStart = time.Now()
 
-// draw gives a number that was never given out, but for chance of one in 2^64.
-func draw() uint64 {
+// randomID gives a number that was never given out, but for chance of one in 2^64.
+func randomID() uint64 {
 	var b [8]byte
 	for {
 		if _, err := rand.Read(b[:]); err != nil {
@@ -111,32 +111,32 @@
 }
 
 // Start opens the disk, which a second process is refused, listens, and runs until Close.
-func Start(o Options) (*Seat, error) {
+func Start(o Options) (*Server, error) {
 	if o.FS == nil {
 		o.FS = vfs.Default
 	}
-	if o.Tick <= 0 {
-		o.Tick = 100 * time.Millisecond
+	if o.TickInterval <= 0 {
+		o.TickInterval = 100 * time.Millisecond
 	}
-	if o.Times == (consensus.Rules{}) {
-		o.Times = consensus.Usual
+	if o.RaftConfig == (consensus.Config{}) {
+		o.RaftConfig = consensus.DefaultConfig
 	}
-	k, err := storage.Open(o.FS, o.Folder, draw)
+	k, err := storage.Open(o.FS, o.Dir, randomID)
 	if err != nil {
 		return nil, err
 	}
-	s := &Seat{opt: o, k: k, peers: map[string]*peer{}, events: make(chan func(), queueMost),
-		asks: make(chan func(), queueMost), dos: make(chan func(), waitMost), quit: make(chan struct{}), ended: make(chan struct{})}
+	s := &Server{options: o, store: k, peers: map[string]*peer{}, events: make(chan func(), maxQueuedEvents),
+		requests: make(chan func(), maxQueuedEvents), commands: make(chan func(), maxQueuedCommands), quit: make(chan struct{}), done: make(chan struct{})}
 	var names []string
 	for _, a := range o.Voters {
 		names = append(names, a.Name)
 	}
-	if o.Roster == (membership.Rules{}) {
-		o.Roster = membership.Usual
+	if o.MembershipConfig == (membership.Config{}) {
+		o.MembershipConfig = membership.DefaultConfig
 	}
-	s.r = membership.New(o.Roster, membership.Hello{Name: o.Name, ID: k.ID, Group: k.Group, Voters: k.Voters}, names, Now())
-	if k.Group != 0 {
-		if err := s.sit(); err != nil {
+	s.membership = membership.New(o.MembershipConfig, membership.Hello{Name: o.Name, VoterID: k.VoterID, GroupID: k.GroupID, Founders: k.Founders}, names, Now())
+	if k.GroupID != 0 {
+		if err := s.startReplica(); err != nil {
 			k.Close()
 			return nil, err
 		}
@@ -146,7 +146,7 @@
 		k.Close()
 		return nil, err
 	}
-	s.addr = l.Addr().String()
+	s.listenAddr = l.Addr().String()
 	for _, a := range o.Voters {
 		if a.Name == o.Name {
 			continue
@@ -157,31 +157,31 @@
 			k.Close()
 			return nil, err
 		}
-		p := &peer{Peer: m, name: a.Name, queue: make(chan []byte, sendMost)}
+		p := &peer{Peer: m, name: a.Name, queue: make(chan []byte, maxQueuedMessages)}
 		s.peers[a.Name] = p
-		go s.carry(p)
-		go s.greet(p)
+		go s.sendLoop(p)
+		go s.helloLoop(p)
 	}
-	s.stop = transport.Serve(l, transport.Handlers{Raft: s.raft, Hello: s.hello, Ask: s.ask, Do: s.do, Look: s.Look})
+	s.stopServing = transport.Serve(l, transport.Handlers{Raft: s.handleRaft, Hello: s.handleHello, RequestLeases: s.handleRequest, SubmitCommand: s.handleCommand, Status: s.Status})
 	go s.run()
 	return s, nil
 }
 
-// sit takes the voter's place, with the disk as it is.
-func (s *Seat) sit() error {
+// startReplica takes the voter's place, with the disk as it is.
+func (s *Server) startReplica() error {
 	var err error
-	s.group.Store(s.k.Group)
-	s.v, err = replica.New(s.k.Disk, s.opt.Rules, s.opt.Times, draw())
+	s.groupID.Store(s.store.GroupID)
+	s.replica, err = replica.New(s.store.Durable, s.options.LeaseConfig, s.options.RaftConfig, randomID())
 	return err
 }
 
 // Addr is where it listens.
-func (s *Seat) Addr() string { return s.addr }
+func (s *Server) Addr() string { return s.listenAddr }
 
 // run owns the voter.
-func (s *Seat) run() {
-	defer close(s.ended)
-	tick := time.NewTicker(s.opt.Tick)
+func (s *Server) run() {
+	defer close(s.done)
+	tick := time.NewTicker(s.options.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -189,24 +189,24 @@
 			return
 		case f := <-s.events:
 			f()
-		case f := <-s.asks:
+		case f := <-s.requests:
 			f()
-		case f := <-s.dos:
+		case f := <-s.commands:
 			f()
 		case <-tick.C:
-			s.beat()
+			s.tick()
 		}
-		drain(s.events, batchMost)
-		drain(s.asks, batchMost)
-		drain(s.dos, dosMost)
-		s.flush()
+		drainQueue(s.events, maxBatch)
+		drainQueue(s.requests, maxBatch)
+		drainQueue(s.commands, maxCommandBatch)
+		s.persistAndSend()
 	}
 }
 
-// drain does what else has come meanwhile, up to a bound: what comes together is made durable together. What voters say goes
+// drainQueue does what else has come meanwhile, up to a bound: what comes together is made durable together. What voters say goes
 // first, then questions, which keep leases, then commands, few at a time: behind those renewals came too late, were asked for
 // again, and waited behind what nobody waited for any more.
-func drain(list chan func(), most int) {
+func drainQueue(list chan func(), most int) {
 	for range most {
 		select {
 		case f := <-list:
@@ -217,147 +217,147 @@
 	}
 }
 
-func (s *Seat) beat() {
-	if s.failed != "" {
+func (s *Server) tick() {
+	if s.fault != "" {
 		return
 	}
 	now := Now()
 	view := membership.View{}
-	if s.v != nil {
-		s.v.Beat(now)
-		view = membership.View{Leading: s.v.Leading() && s.v.Grantor.Leading(), Voters: s.v.Conf().Voters, Learners: s.v.Conf().Learners,
-			Names: s.v.State.Voters, Caught: s.v.Caught}
-		if len(s.v.Conf().VotersOutgoing) > 0 { // a change is on its way
-			view.Leading = false
+	if s.replica != nil {
+		s.replica.Tick(now)
+		view = membership.View{IsLeader: s.replica.IsLeader() && s.replica.Lessor.IsLeader(), Voters: s.replica.ConfState().Voters, Learners: s.replica.ConfState().Learners,
+			VoterNames: s.replica.State.VoterNames, CaughtUp: s.replica.CaughtUp}
+		if len(s.replica.ConfState().VotersOutgoing) > 0 { // a change is on its way
+			view.IsLeader = false
 		}
 	}
-	if step, due := s.r.Turn(now, view); due {
-		if err := s.take(step); err != nil {
-			s.opt.Log.Warn().Err(err).Msg("owner: a step of the voters' roster failed")
+	if step, due := s.membership.NextStep(now, view); due {
+		if err := s.applyStep(step); err != nil {
+			s.options.Log.Warn().Err(err).Msg("owner: a step of the voters' roster failed")
 		}
 	}
-	s.say()
+	s.logChanges()
 }
 
-// take carries out a step of the roster.
-func (s *Seat) take(step membership.Step) error {
+// applyStep carries out a step of the roster.
+func (s *Server) applyStep(step membership.Step) error {
 	switch step.Kind {
-	case membership.Found, membership.Adopt:
-		if step.Kind == membership.Found {
-			step.Group = draw()
+	case membership.StepBootstrap, membership.StepJoin:
+		if step.Kind == membership.StepBootstrap {
+			step.GroupID = randomID()
 		}
-		d := consensus.Disk{ID: s.k.ID}
-		if step.Voters != nil {
+		d := consensus.DurableState{ID: s.store.VoterID}
+		if step.Founders != nil {
 			st := lease.NewState()
-			st.Voters = maps.Clone(step.Voters)
-			ids := slices.Sorted(maps.Keys(step.Voters))
-			d = consensus.Found(ids...)[slices.Index(ids, s.k.ID)]
+			st.VoterNames = maps.Clone(step.Founders)
+			ids := slices.Sorted(maps.Keys(step.Founders))
+			d = consensus.Bootstrap(ids...)[slices.Index(ids, s.store.VoterID)]
 			d.Snapshot.Data = st.Snapshot()
 		}
-		if err := s.k.Join(step.Group, step.Voters, d); err != nil {
+		if err := s.store.JoinGroup(step.GroupID, step.Founders, d); err != nil {
 			return err
 		}
-		s.r.Joined(step.Group, step.Voters)
-		s.opt.Log.Info().Str("group", fmt.Sprintf("%x", step.Group)).Bool("votes", step.Voters != nil).Msg("owner: this voter's disk belongs to a group")
-		return s.sit()
-	case membership.Name:
-		s.v.Do(Now(), lease.Command{Kind: lease.Seat, Token: step.ID, To: step.Who}, func(lease.Result) {})
-	case membership.Learn:
-		s.opt.Log.Info().Str("voter", step.Who).Str("number", fmt.Sprintf("%x", step.ID)).Msg("owner: it learns before it votes")
-		return s.v.Change(raftpb.ConfChangeAddLearnerNode, step.ID)
-	case membership.Promote:
-		s.opt.Log.Info().Str("voter", step.Who).Str("number", fmt.Sprintf("%x", step.ID)).Str("gone", fmt.Sprintf("%x", step.Gone)).Msg("owner: it votes from now on")
-		if step.Gone != 0 {
-			return s.v.Replace(step.ID, step.Gone)
-		}
-		return s.v.Change(raftpb.ConfChangeAddNode, step.ID)
+		s.membership.SetGroup(step.GroupID, step.Founders)
+		s.options.Log.Info().Str("group", fmt.Sprintf("%x", step.GroupID)).Bool("votes", step.Founders != nil).Msg("owner: this voter's disk belongs to a group")
+		return s.startReplica()
+	case membership.StepNameVoter:
+		s.replica.Submit(Now(), lease.Command{Kind: lease.CommandNameVoter, Token: step.VoterID, Target: step.Name}, func(lease.Result) {})
+	case membership.StepAddLearner:
+		s.options.Log.Info().Str("voter", step.Name).Str("number", fmt.Sprintf("%x", step.VoterID)).Msg("owner: it learns before it votes")
+		return s.replica.ProposeConfChange(raftpb.ConfChangeAddLearnerNode, step.VoterID)
+	case membership.StepPromote:
+		s.options.Log.Info().Str("voter", step.Name).Str("number", fmt.Sprintf("%x", step.VoterID)).Str("gone", fmt.Sprintf("%x", step.ReplacedID)).Msg("owner: it votes from now on")
+		if step.ReplacedID != 0 {
+			return s.replica.ProposeReplacement(step.VoterID, step.ReplacedID)
+		}
+		return s.replica.ProposeConfChange(raftpb.ConfChangeAddNode, step.VoterID)
 	}
 	return nil
 }
 
-// say logs what has changed hands, and who leads.
-func (s *Seat) say() {
-	if s.v == nil {
+// logChanges logs what has changed hands, and who leads.
+func (s *Server) logChanges() {
+	if s.replica == nil {
 		return
 	}
-	if who := s.name(s.v.Leader()); who != s.was {
-		s.was = who
-		s.opt.Log.Info().Str("leader", who).Uint64("term", s.v.Term()).Msg("owner: who leads the voters")
+	if who := s.voterName(s.replica.LeaderID()); who != s.lastLeader {
+		s.lastLeader = who
+		s.options.Log.Info().Str("leader", who).Uint64("term", s.replica.Term()).Msg("owner: who leads the voters")
 	}
-	for _, e := range s.v.State.History {
-		if e.Index > s.noted {
-			s.noted = e.Index
-			s.opt.Log.Info().Str("duty", e.Duty).Str("what", e.What).Str("who", e.Who).Uint64("token", e.Token).Uint64("index", e.Index).Msg("owner: duty")
+	for _, e := range s.replica.State.History {
+		if e.Index > s.lastLoggedIndex {
+			s.lastLoggedIndex = e.Index
+			s.options.Log.Info().Str("duty", e.Role).Str("what", e.Kind).Str("who", e.Instance).Uint64("token", e.Token).Uint64("index", e.Index).Msg("owner: duty")
 		}
 	}
 }
 
-func (s *Seat) name(id uint64) string {
+func (s *Server) voterName(id uint64) string {
 	if id == 0 { // nobody; the roster's numbers of voters that were never heard of are 0, too
 		return ""
 	}
-	if id == s.k.ID {
-		return s.opt.Name
+	if id == s.store.VoterID {
+		return s.options.Name
 	}
-	if s.v != nil {
-		if n := s.v.State.Voters[id]; n != "" {
+	if s.replica != nil {
+		if n := s.replica.State.VoterNames[id]; n != "" {
 			return n
 		}
 	}
-	return s.r.Who(id)
+	return s.membership.VoterName(id)
 }
 
-// flush makes durable what is to be, and only then sends. An error of the disk ends this voter's part, not the broker: what it
+// persistAndSend makes durable what is to be, and only then sends. An error of the disk ends this voter's part, not the broker: what it
 // might have promised it may not be able to keep.
-func (s *Seat) flush() {
-	for s.v != nil && s.failed == "" && s.v.Ready() {
-		e := s.v.Effects()
-		if err := s.k.Save(&e); err != nil {
-			s.fail(err)
+func (s *Server) persistAndSend() {
+	for s.replica != nil && s.fault == "" && s.replica.HasReady() {
+		e := s.replica.Ready()
+		if err := s.store.Save(&e); err != nil {
+			s.halt(err)
 			return
 		}
 		for i := range e.Messages {
 			s.send(&e.Messages[i])
 		}
-		if err := s.v.Saved(); err != nil {
-			s.fail(err)
+		if err := s.replica.Advance(); err != nil {
+			s.halt(err)
 			return
 		}
-		if snap, _, err := s.v.Cut(); err != nil {
-			s.fail(err)
+		if snap, _, err := s.replica.MaybeSnapshot(); err != nil {
+			s.halt(err)
 		} else if snap != nil {
-			if err := s.k.Cut(snap); err != nil {
-				s.fail(err)
+			if err := s.store.SaveSnapshot(snap); err != nil {
+				s.halt(err)
 			}
 		}
 	}
 }
 
-func (s *Seat) fail(err error) {
-	s.failed = err.Error()
-	s.opt.Log.Error().Err(err).Msg("owner: this voter takes no more part until a restart")
+func (s *Server) halt(err error) {
+	s.fault = err.Error()
+	s.options.Log.Error().Err(err).Msg("owner: this voter takes no more part until a restart")
 }
 
-func (s *Seat) send(m *raftpb.Message) {
-	p := s.peers[s.name(m.To)]
+func (s *Server) send(m *raftpb.Message) {
+	p := s.peers[s.voterName(m.To)]
 	if p == nil {
 		return
 	}
-	b, err := transport.Pack(m)
+	b, err := transport.EncodeMessage(m)
 	if err != nil {
 		return
 	}
-	p.to.Store(m.To)
+	p.lastDestinationID.Store(m.To)
 	select {
 	case p.queue <- b:
-		s.sent.Add(1)
+		s.messagesSent.Add(1)
 	default: // it is behind: raft sends again what matters
 	}
 }
 
-// carry brings messages to one voter, in order; what waits goes together. One call for each made them wait for each other's way
+// sendLoop brings messages to one voter, in order; what waits goes together. One call for each made them wait for each other's way
 // there and back, and confirmations of the lead came later than leases bear.
-func (s *Seat) carry(p *peer) {
+func (s *Server) sendLoop(p *peer) {
 	var list [][]byte
 	for {
 		select {
@@ -365,7 +365,7 @@
 			return
 		case b := <-p.queue:
 			list, size := append(list[:0], b), len(b)
-			for more := true; more && size < sendBytes; {
+			for more := true; more && size < maxSendBytes; {
 				select {
 				case b := <-p.queue:
 					list, size = append(list, b), size+len(b)
@@ -373,14 +373,14 @@
 					more = false
 				}
 			}
-			ctx, end := context.WithTimeout(context.Background(), sendWait)
-			err := p.Raft(ctx, s.group.Load(), list)
+			ctx, end := context.WithTimeout(context.Background(), sendTimeout)
+			err := p.SendRaft(ctx, s.groupID.Load(), list)
 			end()
 			if err != nil {
-				id := p.to.Load()
-				s.post(func() {
-					if s.v != nil {
-						s.v.Unreachable(id)
+				id := p.lastDestinationID.Load()
+				s.enqueue(func() {
+					if s.replica != nil {
+						s.replica.ReportUnreachable(id)
 					}
 				})
 			}
@@ -388,16 +388,16 @@
 	}
 }
 
-// greet tells one voter who this one is, and hears who that one is.
-func (s *Seat) greet(p *peer) {
-	for wait := time.Duration(0); ; wait = helloWait {
+// helloLoop tells one voter who this one is, and hears who that one is.
+func (s *Server) helloLoop(p *peer) {
+	for wait := time.Duration(0); ; wait = helloInterval {
 		select {
 		case <-s.quit:
 			return
 		case <-time.After(wait):
 		}
 		own := make(chan membership.Hello, 1)
-		if !s.post(func() { own <- s.r.Own() }) {
+		if !s.enqueue(func() { own <- s.membership.Self() }) {
 			continue
 		}
 		var h membership.Hello
@@ -406,17 +406,17 @@
 		case <-s.quit:
 			return
 		}
-		ctx, end := context.WithTimeout(context.Background(), sendWait)
+		ctx, end := context.WithTimeout(context.Background(), sendTimeout)
 		it, err := p.Hello(ctx, h)
 		end()
 		if err == nil {
-			s.post(func() { s.r.Heard(Now(), it) })
+			s.enqueue(func() { s.membership.HandleHello(Now(), it) })
 		}
 	}
 }
 
-// post hands something to the owner of the voter; false: it is too far behind.
-func (s *Seat) post(f func()) bool {
+// enqueue hands something to the owner of the voter; false: it is too far behind.
+func (s *Server) enqueue(f func()) bool {
 	select {
 	case s.events <- f:
 		return true
@@ -429,7 +429,7 @@
 var ErrBusy = errors.New("this voter is busy")
 
 // in has something done by the owner of the voter, and waits for its reply.
-func in[A any](ctx context.Context, s *Seat, list chan func(), do func(reply func(A))) (a A, err error) {
+func call[A any](ctx context.Context, s *Server, list chan func(), do func(reply func(A))) (a A, err error) {
 	c := make(chan A, 1)
 	select {
 	case list <- func() {
@@ -456,74 +456,74 @@
 	}
 }
 
-func (s *Seat) raft(group uint64, m raftpb.Message) {
-	s.post(func() {
-		if s.v != nil && s.failed == "" && group == s.k.Group && m.To == s.k.ID {
-			s.v.Hear(Now(), m)
+func (s *Server) handleRaft(group uint64, m raftpb.Message) {
+	s.enqueue(func() {
+		if s.replica != nil && s.fault == "" && group == s.store.GroupID && m.To == s.store.VoterID {
+			s.replica.HandleMessage(Now(), m)
 		}
 	})
 }
 
-func (s *Seat) hello(ctx context.Context, h membership.Hello) (membership.Hello, error) {
-	return in(ctx, s, s.events, func(reply func(membership.Hello)) {
-		s.r.Heard(Now(), h)
-		reply(s.r.Own())
+func (s *Server) handleHello(ctx context.Context, h membership.Hello) (membership.Hello, error) {
+	return call(ctx, s, s.events, func(reply func(membership.Hello)) {
+		s.membership.HandleHello(Now(), h)
+		reply(s.membership.Self())
 	})
 }
 
-func (s *Seat) ask(ctx context.Context, q replica.Question) (transport.Answer, error) {
-	return in(ctx, s, s.asks, func(reply func(transport.Answer)) {
-		if s.v == nil || s.failed != "" {
-			reply(transport.Answer{Answer: replica.Answer{At: q.At}})
+func (s *Server) handleRequest(ctx context.Context, q replica.Request) (transport.Response, error) {
+	return call(ctx, s, s.requests, func(reply func(transport.Response)) {
+		if s.replica == nil || s.fault != "" {
+			reply(transport.Response{Response: replica.Response{SentAt: q.SentAt}})
 			return
 		}
-		s.v.Ask(Now(), q, func(a replica.Answer) { reply(transport.Answer{Answer: a, Leader: s.name(a.Leader)}) })
+		s.replica.HandleRequest(Now(), q, func(a replica.Response) { reply(transport.Response{Response: a, LeaderName: s.voterName(a.LeaderID)}) })
 	})
 }
 
-func (s *Seat) do(ctx context.Context, c lease.Command) (transport.Done, error) {
-	return in(ctx, s, s.dos, func(reply func(transport.Done)) {
-		if s.v == nil || s.failed != "" || !s.v.Leading() {
-			d := transport.Done{Why: "this voter does not lead"}
-			if s.v != nil {
-				d.Leader = s.name(s.v.Leader())
+func (s *Server) handleCommand(ctx context.Context, c lease.Command) (transport.CommandResult, error) {
+	return call(ctx, s, s.commands, func(reply func(transport.CommandResult)) {
+		if s.replica == nil || s.fault != "" || !s.replica.IsLeader() {
+			d := transport.CommandResult{Reason: "this voter does not lead"}
+			if s.replica != nil {
+				d.LeaderName = s.voterName(s.replica.LeaderID())
 			}
 			reply(d)
 			return
 		}
-		s.v.Do(Now(), c, func(r lease.Result) {
-			reply(transport.Done{OK: r.OK, Known: r.Index > 0, Why: r.Why, Duty: r.Duty, Leader: s.opt.Name})
+		s.replica.Submit(Now(), c, func(r lease.Result) {
+			reply(transport.CommandResult{OK: r.OK, OutcomeKnown: r.Index > 0, Reason: r.Reason, Role: r.Role, LeaderName: s.options.Name})
 		})
 	})
 }
 
-// Look gives this voter's view, confirmed by a quorum where it leads.
-func (s *Seat) Look(ctx context.Context) (transport.View, error) {
-	return in(ctx, s, s.asks, func(reply func(transport.View)) {
-		v := transport.View{Name: s.opt.Name, ID: s.k.ID, Group: s.k.Group, Disk: s.k.Trouble(), Syncs: s.k.Syncs(), Sent: s.sent.Load()}
-		if s.failed != "" {
-			v.Disk = s.failed
+// Status gives this voter's view, confirmed by a quorum where it leads.
+func (s *Server) Status(ctx context.Context) (transport.Status, error) {
+	return call(ctx, s, s.requests, func(reply func(transport.Status)) {
+		v := transport.Status{Name: s.options.Name, VoterID: s.store.VoterID, GroupID: s.store.GroupID, DiskFault: s.store.Fault(), SyncCount: s.store.SyncCount(), MessagesSent: s.messagesSent.Load()}
+		if s.fault != "" {
+			v.DiskFault = s.fault
 		}
-		if s.v == nil {
+		if s.replica == nil {
 			reply(v)
 			return
 		}
-		s.v.Confirm(func(ok bool) {
-			v.Leading, v.Confirmed, v.Leader, v.Term, v.Applied = s.v.Leading(), ok, s.name(s.v.Leader()), s.v.Term(), s.v.Applied()
-			s.show(&v)
+		s.replica.ConfirmLeadership(func(ok bool) {
+			v.IsLeader, v.Confirmed, v.Leader, v.Term, v.AppliedIndex = s.replica.IsLeader(), ok, s.voterName(s.replica.LeaderID()), s.replica.Term(), s.replica.AppliedIndex()
+			s.fillStatus(&v)
 			reply(v)
 		})
 	})
 }
 
-func (s *Seat) show(v *transport.View) {
-	now, st := Now(), s.v.State
-	v.Next = st.Next
-	conf := s.v.Conf()
+func (s *Server) fillStatus(v *transport.Status) {
+	now, st := Now(), s.replica.State
+	v.NextToken = st.NextToken
+	conf := s.replica.ConfState()
 	add := func(id uint64, learner, leaving bool) {
-		o := transport.Voter{Name: s.name(id), ID: id, Learner: learner, Leaving: leaving, Heard: s.r.Silence(now, id)}
-		if v.Leading {
-			o.Match = s.v.Match(id)
+		o := transport.VoterStatus{Name: s.voterName(id), ID: id, Learner: learner, Leaving: leaving, SinceContactMs: s.membership.SinceContact(now, id)}
+		if v.IsLeader {
+			o.MatchIndex = s.replica.MatchIndex(id)
 		}
 		v.Voters = append(v.Voters, o)
 	}
@@ -541,31 +541,31 @@
 		}
 	}
 	sort.Slice(v.Voters, func(i, j int) bool { return v.Voters[i].Name < v.Voters[j].Name })
-	leases := s.v.Grantor.Leases()
-	for _, n := range st.Names() {
-		l := transport.Lease{Duty: *st.Duties[n]}
+	leases := s.replica.Lessor.Expiries()
+	for _, n := range st.RoleNames() {
+		l := transport.RoleStatus{Role: *st.Roles[n]}
 		if until, known := leases[n]; known && v.Confirmed {
-			l.Left = max(until-now, 0)
+			l.LeaseLeftMs = max(until-now, 0)
 		}
-		v.Duties = append(v.Duties, l)
+		v.Roles = append(v.Roles, l)
 	}
 	v.History = slices.Clone(st.History)
 	if v.Confirmed {
-		v.Instances = s.v.Grantor.Seen(now)
+		v.RequestAgesMs = s.replica.Lessor.RequestAges(now)
 	}
 }
 
 // Close ends it; its disk is left as it is.
-func (s *Seat) Close() {
-	s.once.Do(func() {
+func (s *Server) Close() {
+	s.closeOnce.Do(func() {
 		close(s.quit)
-		s.stop()
+		s.stopServing()
 		for _, p := range s.peers {
 			p.Close()
 		}
 		select {
-		case <-s.ended:
-			s.k.Close()
+		case <-s.done:
+			s.store.Close()
 		case <-time.After(2 * time.Second): // it stands still with its disk
 		}
 	})
--- a/internal/fleet/lease/voter/server_test.go
+++ b/internal/fleet/lease/voter/server_test.go
@@ -28,11 +28,11 @@
 	t      *testing.T
 	voters []Address
 	disks  []vfs.FS
-	seats  []*Seat
+	seats  []*Server
 }
 
 func newGroup(t *testing.T, n int) *group {
-	g := &group{t: t, disks: make([]vfs.FS, n), seats: make([]*Seat, n)}
+	g := &group{t: t, disks: make([]vfs.FS, n), seats: make([]*Server, n)}
 	for i := range n {
 		l, err := net.Listen("tcp4", "127.0.0.1:0") // its number is kept by whoever listens there next
 		if err != nil {
@@ -56,11 +56,11 @@
 }
 
 func (g *group) options(i int) Options {
-	rules := lease.Usual
-	rules.Lease = 500
-	quick := membership.Rules{Fresh: 3000, Gone: 1500, Again: 200}
-	return Options{Name: g.voters[i].Name, Listen: g.voters[i].Addr, Folder: "voter", FS: g.disks[i], Voters: g.voters, Rules: rules, Roster: quick,
-		Tick: 20 * time.Millisecond, Log: zerolog.Nop()}
+	rules := lease.DefaultConfig
+	rules.LeaseMs = 500
+	quick := membership.Config{HelloTTLMs: 3000, ReplaceAfterMs: 1500, RetryIntervalMs: 200}
+	return Options{Name: g.voters[i].Name, Listen: g.voters[i].Addr, Dir: "voter", FS: g.disks[i], Voters: g.voters, LeaseConfig: rules, MembershipConfig: quick,
+		TickInterval: 20 * time.Millisecond, Log: zerolog.Nop()}
 }
 
 func (g *group) start(i int) {
@@ -81,7 +81,7 @@
 }
 
 // until waits far longer than it takes, and gives the leader's view.
-func (g *group) until(what string, ok func(v transport.View) bool) (v transport.View) {
+func (g *group) until(what string, ok func(v transport.Status) bool) (v transport.Status) {
 	g.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 		for _, s := range g.seats {
@@ -89,7 +89,7 @@
 				continue
 			}
 			ctx, end := context.WithTimeout(context.Background(), time.Second)
-			now, err := s.Look(ctx)
+			now, err := s.Status(ctx)
 			end()
 			if err == nil && now.Confirmed {
 				if v = now; ok(v) {
@@ -102,20 +102,20 @@
 	for _, s := range g.seats {
 		if s != nil {
 			ctx, end := context.WithTimeout(context.Background(), time.Second)
-			now, err := s.Look(ctx)
+			now, err := s.Status(ctx)
 			end()
 			now.History = nil
-			g.t.Logf("%s: %+v %v, failed %q, trouble %q", s.opt.Name, now, err, s.failed, s.k.Trouble())
+			g.t.Logf("%s: %+v %v, failed %q, trouble %q", s.options.Name, now, err, s.fault, s.store.Fault())
 		}
 	}
 	g.t.Fatalf("never: %s; the latest is %+v", what, v)
 	return v
 }
 
-func (g *group) leader() *Seat {
-	v := g.until("a leader", func(transport.View) bool { return true })
+func (g *group) leader() *Server {
+	v := g.until("a leader", func(transport.Status) bool { return true })
 	for _, s := range g.seats {
-		if s != nil && s.opt.Name == v.Name {
+		if s != nil && s.options.Name == v.Name {
 			return s
 		}
 	}
@@ -123,33 +123,33 @@
 }
 
 // do gives a command to whoever leads.
-func (g *group) do(c lease.Command) transport.Done {
+func (g *group) do(c lease.Command) transport.CommandResult {
 	g.t.Helper()
 	for range 500 {
 		if l := g.leader(); l != nil {
 			ctx, end := context.WithTimeout(context.Background(), 3*time.Second)
-			d, err := l.do(ctx, c)
+			d, err := l.handleCommand(ctx, c)
 			end()
-			if err == nil && d.Known {
+			if err == nil && d.OutcomeKnown {
 				return d
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	g.t.Fatal("no answer to ", c)
-	return transport.Done{}
+	return transport.CommandResult{}
 }
 
-func votes(n int) func(v transport.View) bool {
-	return func(v transport.View) bool { return len(v.Voters) == n }
+func votes(n int) func(v transport.Status) bool {
+	return func(v transport.Status) bool { return len(v.Voters) == n }
 }
 
 func TestAGroupIsFoundedAndKeepsItsTokensThroughRestarts(t *testing.T) {
 	g := newGroup(t, 3)
 	g.until("three voters", votes(3))
-	g.do(lease.Command{Kind: lease.Define, Duty: "d"})
-	d := g.do(lease.Command{Kind: lease.Grant, Duty: "d", To: "i.1"})
-	if !d.OK || d.Duty.Token == 0 {
+	g.do(lease.Command{Kind: lease.CommandDefine, Role: "d"})
+	d := g.do(lease.Command{Kind: lease.CommandGrant, Role: "d", Target: "i.1"})
+	if !d.OK || d.Role.Token == 0 {
 		t.Fatal(d)
 	}
 	for range 2 { // all at once, one after another again
@@ -159,18 +159,18 @@
 		for i := range 3 {
 			g.start(i)
 		}
-		v := g.until("the duty is known again", func(v transport.View) bool { return len(v.Duties) == 1 })
-		if v.Next <= d.Duty.Token {
-			t.Fatalf("the next token is %d after %d was given", v.Next, d.Duty.Token)
+		v := g.until("the duty is known again", func(v transport.Status) bool { return len(v.Roles) == 1 })
+		if v.NextToken <= d.Role.Token {
+			t.Fatalf("the next token is %d after %d was given", v.NextToken, d.Role.Token)
 		}
 	}
 	// The owner is never heard of again: its lease runs out, and the token of the next is higher.
-	g.until("the lease runs out", func(v transport.View) bool { return v.Duties[0].Owner == "" })
-	next := g.do(lease.Command{Kind: lease.Grant, Duty: "d", Token: d.Duty.Token, To: "i.2"})
-	if !next.OK || next.Duty.Token <= d.Duty.Token {
+	g.until("the lease runs out", func(v transport.Status) bool { return v.Roles[0].Holder == "" })
+	next := g.do(lease.Command{Kind: lease.CommandGrant, Role: "d", Token: d.Role.Token, Target: "i.2"})
+	if !next.OK || next.Role.Token <= d.Role.Token {
 		t.Fatal(next)
 	}
-	if late := g.do(lease.Command{Kind: lease.Progress, Duty: "d", Token: d.Duty.Token, Data: []byte("late")}); late.OK {
+	if late := g.do(lease.Command{Kind: lease.CommandProgress, Role: "d", Token: d.Role.Token, Progress: []byte("late")}); late.OK {
 		t.Fatal("an old owner's word was taken")
 	}
 }
@@ -182,13 +182,13 @@
 	for _, o := range v.Voters {
 		old[o.Name] = o.ID
 	}
-	g.do(lease.Command{Kind: lease.Define, Duty: "d"})
+	g.do(lease.Command{Kind: lease.CommandDefine, Role: "d"})
 	g.stop(2)
 	g.disks[2] = vfs.NewMem()
 	g.start(2)
 	// Twice in a row: that the change is over is with a majority once the second view was confirmed.
 	seen := 0
-	v = g.until("the new disk votes, the old one does not", func(v transport.View) bool {
+	v = g.until("the new disk votes, the old one does not", func(v transport.Status) bool {
 		over := len(v.Voters) == 3
 		for _, o := range v.Voters {
 			over = over && (o.Name != "v2" || !o.Learner && o.ID != old["v2"])
@@ -200,23 +200,23 @@
 	})
 	// It counts: with another voter down the two go on.
 	g.stop(0)
-	g.until("two of three go on", func(v transport.View) bool { return v.Name != "v0" })
-	if d := g.do(lease.Command{Kind: lease.Grant, Duty: "d", To: "i.1"}); !d.OK {
+	g.until("two of three go on", func(v transport.Status) bool { return v.Name != "v0" })
+	if d := g.do(lease.Command{Kind: lease.CommandGrant, Role: "d", Target: "i.1"}); !d.OK {
 		t.Fatal(d)
 	}
 }
 
 func TestAViewNamesWhoseVoteStillCountsDuringAChange(t *testing.T) {
 	// In the middle of the change that puts 4 in the place of 3.
-	disk := consensus.Disk{ID: 1, Hard: raftpb.HardState{Term: 2, Commit: 6}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 6, Term: 2,
+	disk := consensus.DurableState{ID: 1, HardState: raftpb.HardState{Term: 2, Commit: 6}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 6, Term: 2,
 		ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 4}, VotersOutgoing: []uint64{1, 2, 3}, AutoLeave: true}}}}
-	v, err := replica.New(disk, lease.Usual, consensus.Usual, 1)
+	v, err := replica.New(disk, lease.DefaultConfig, consensus.DefaultConfig, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Seat{k: &storage.Keep{Identity: storage.Identity{ID: 1}}, v: v, r: membership.New(membership.Usual, membership.Hello{Name: "a", ID: 1}, []string{"a", "b"}, 0)}
-	var view transport.View
-	s.show(&view)
+	s := &Server{store: &storage.Store{Identity: storage.Identity{VoterID: 1}}, replica: v, membership: membership.New(membership.DefaultConfig, membership.Hello{Name: "a", VoterID: 1}, []string{"a", "b"}, 0)}
+	var view transport.Status
+	s.fillStatus(&view)
 	var leaving, staying []uint64
 	for _, o := range view.Voters {
 		if o.Leaving {
@@ -229,7 +229,7 @@
 	if !slices.Equal(leaving, []uint64{3}) || !slices.Equal(staying, []uint64{1, 2, 4}) {
 		t.Error(leaving, "leave, the others are", staying)
 	}
-	if who := s.name(v.Leader()); who != "" {
+	if who := s.voterName(v.LeaderID()); who != "" {
 		t.Errorf("nobody leads, and it is called %q", who)
 	}
 }
@@ -237,7 +237,7 @@
 func TestASecondProcessOnOneDiskIsRefused(t *testing.T) {
 	g := newGroup(t, 1)
 	o := g.options(0)
-	o.FS, o.Folder = vfs.Default, t.TempDir()
+	o.FS, o.Dir = vfs.Default, t.TempDir()
 	o.Listen = "127.0.0.1:0"
 	one, err := Start(o)
 	if err != nil {
@@ -266,20 +266,20 @@
 	g.until("three voters again", votes(3))
 	fails.Store(true)
 	for i := range 3 {
-		if d := g.do(lease.Command{Kind: lease.Define, Duty: fmt.Sprint("d", i)}); !d.OK {
+		if d := g.do(lease.Command{Kind: lease.CommandDefine, Role: fmt.Sprint("d", i)}); !d.OK {
 			t.Fatal(d)
 		}
 	}
 	for range 500 {
-		if g.seats[1].k.Trouble() != "" {
+		if g.seats[1].store.Fault() != "" {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if g.seats[1].k.Trouble() == "" {
+	if g.seats[1].store.Fault() == "" {
 		t.Error("nothing is said of the disk")
 	}
-	if v := g.until("the others go on", func(v transport.View) bool { return v.Name != "v1" && len(v.Duties) == 3 }); v.Name == "v1" {
+	if v := g.until("the others go on", func(v transport.Status) bool { return v.Name != "v1" && len(v.Roles) == 3 }); v.Name == "v1" {
 		t.Error("it leads")
 	}
 }
@@ -290,16 +290,16 @@
 	lead := g.leader()
 	for _, s := range g.seats {
 		ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-		a, err := s.ask(ctx, replica.Question{Instance: "i.1", At: 5})
+		a, err := s.handleRequest(ctx, replica.Request{Instance: "i.1", SentAt: 5})
 		end()
-		if err != nil || a.At != 5 {
+		if err != nil || a.SentAt != 5 {
 			t.Fatal(a, err)
 		}
-		if s != lead && !a.OK && a.Leader != lead.opt.Name && a.Leader != "" {
-			t.Errorf("%s names %s, %s leads", s.opt.Name, a.Leader, lead.opt.Name)
+		if s != lead && !a.OK && a.LeaderName != lead.options.Name && a.LeaderName != "" {
+			t.Errorf("%s names %s, %s leads", s.options.Name, a.LeaderName, lead.options.Name)
 		}
 	}
-	if d := g.do(lease.Command{Kind: lease.Define, Duty: string(make([]byte, 4096))}); d.OK {
+	if d := g.do(lease.Command{Kind: lease.CommandDefine, Role: string(make([]byte, 4096))}); d.OK {
 		t.Error("a name of 4 kB was taken")
 	}
 	if n := len(g.seats[0].events); n > 100 {
--- a/internal/fleet/stage/pace/pace.go
+++ b/internal/fleet/stage/pace/pace.go
@@ -57,13 +57,13 @@
 func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
 	now := voter.Now()
 	if j.pace == nil {
-		j.pace = stage.New(j.Rules, g.Data, now)
+		j.pace = stage.New(j.Rules, g.Progress, now)
 	}
 	for _, w := range j.Ears.take() {
 		j.pace.Saw(w.at, w.who, w.site, w.lost)
 	}
-	if data, changed := j.pace.Turn(now); changed && g.May() {
-		return j.Every, g.Progress(ctx, data)
+	if data, changed := j.pace.Turn(now); changed && g.MayAct() {
+		return j.Every, g.SaveProgress(ctx, data)
 	}
 	return j.Every, nil
 }
--- a/internal/fleet/statement/gather/gather.go
+++ b/internal/fleet/statement/gather/gather.go
@@ -40,7 +40,7 @@
 func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
 	if j.book == nil {
 		var err error
-		if j.mark, err = statement.ReadMark(g.Data); err != nil {
+		if j.mark, err = statement.ReadMark(g.Progress); err != nil {
 			return j.Every, fmt.Errorf("how far the fleet's statements have come can't be read: %w", err)
 		}
 		j.book, j.bad = statement.NewBook(), map[string]string{}
@@ -49,13 +49,13 @@
 		return j.Every, err
 	}
 	i := j.book.Due(j.mark, j.Rules, j.Wall())
-	if i == nil || !g.May() {
+	if i == nil || !g.MayAct() {
 		return j.Every, nil
 	}
 	if j.mark.Intent == nil {
 		next := j.mark
 		next.Intent = i
-		if err := g.Progress(ctx, next.Text()); err != nil {
+		if err := g.SaveProgress(ctx, next.Text()); err != nil {
 			return j.Every, err
 		}
 		j.mark = next
@@ -72,7 +72,7 @@
 		return j.Every, err
 	}
 	done := j.mark.Done()
-	if err := g.Progress(ctx, done.Text()); err != nil {
+	if err := g.SaveProgress(ctx, done.Text()); err != nil {
 		return j.Every, err
 	}
 	j.mark = done
--- a/internal/fleet/statement/gather/gather_test.go
+++ b/internal/fleet/statement/gather/gather_test.go
@@ -64,7 +64,7 @@
 		instance(t, dir, fmt.Sprint("n", i), 6)
 	}
 	v, voters, rules := singlevoter.Start(t, 400)
-	start := func(name string) *client.Instance {
+	start := func(name string) *client.Client {
 		job := func() client.Job {
 			to, err := fencedir.Open(out)
 			if err != nil {
@@ -73,21 +73,21 @@
 			return &Job{Folders: []string{filepath.Join(dir, "*")}, Rules: statement.Rules{Expect: []string{"n0", "n1", "n2", "n3"}, Wait: 1000}, To: to,
 				Every: 10 * time.Millisecond, Log: zerolog.Nop(), Wall: func() int64 { return time.Now().UnixMilli() }}
 		}
-		n, err := client.New(client.Options{Name: name, Voters: voters, Rules: rules, Jobs: map[string]func() client.Job{"close": job}, Log: zerolog.Nop()})
+		n, err := client.New(client.Options{Name: name, Voters: voters, Config: rules, Jobs: map[string]func() client.Job{"close": job}, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Go()
+		n.Start()
 		return n
 	}
 	statements := func() (list []statement.Statement) {
-		versions, err := fencedir.Versions(out)
+		versions, err := fencedir.ReadVersions(out)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, v := range versions {
 			var s statement.Statement
-			if json.Unmarshal(v.Body, &s) == nil && !v.Seen {
+			if json.Unmarshal(v.Body, &s) == nil && !v.TokenOnly {
 				list = append(list, s)
 			}
 		}
@@ -110,11 +110,11 @@
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
 	wait("the voters know", func() bool {
-		view, err := v.Look(ctx)
-		if err != nil || len(view.Duties) != 1 {
+		view, err := v.Status(ctx)
+		if err != nil || len(view.Roles) != 1 {
 			return false
 		}
-		m, _ := statement.ReadMark(view.Duties[0].Data)
+		m, _ := statement.ReadMark(view.Roles[0].Progress)
 		return m.UpTo == 6*3600e3 && m.Intent == nil
 	})
 	for i, s := range statements() {
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/owners.go
@@ -71,14 +71,14 @@
 			time.Sleep(stagesEvery * time.Millisecond)
 		}
 		ask, end := context.WithTimeout(ctx, stagesEvery*time.Millisecond)
-		v, err := peers[n%len(peers)].Look(ask)
+		v, err := peers[n%len(peers)].Status(ask)
 		end()
-		if err != nil || v.Applied < word {
+		if err != nil || v.AppliedIndex < word {
 			continue
 		}
-		word = v.Applied
-		for _, d := range v.Duties {
-			list, err := stage.Read([]byte(d.Data))
+		word = v.AppliedIndex
+		for _, d := range v.Roles {
+			list, err := stage.Read([]byte(d.Progress))
 			if d.Name != "return" || err != nil {
 				continue
 			}
--- a/internal/standin/leasesim/leasesim.go
+++ b/internal/standin/leasesim/leasesim.go
@@ -32,7 +32,7 @@
 	Quiet     float64 // no faults in the last part: then work must go on
 	Faults    float64 // one in so many ms, on average; 0: none
 	NoFence   bool
-	Rules     lease.Rules
+	Rules     lease.Config
 	Drift     float64 // that clocks really have
 	Work      float64 // between two effects of an owner
 	Calm      bool    // no kills, pauses or lost disks: cuts and delays alone
@@ -90,9 +90,9 @@
 type voter struct {
 	proc
 	no   int
-	disk consensus.Disk
-	v    *replica.Voter
-	r    *membership.Roster
+	disk consensus.DurableState
+	v    *replica.Replica
+	r    *membership.Reconciler
 	own  membership.Hello
 }
 
@@ -107,7 +107,7 @@
 
 // job is a duty's work: effects numbered from 1, one after another.
 type job struct {
-	hold *lease.Hold
+	hold *lease.Lease
 	done int // the latest that is known to count
 	word uint64
 }
@@ -121,7 +121,7 @@
 	voters   []*voter
 	inst     []*instance
 	byID     map[uint64]*voter
-	book     fence.Book
+	book     fence.State
 	counted  map[string]int // by duty: the latest effect that counted
 	res      *Result
 	cut      map[[2]string]bool
@@ -154,7 +154,7 @@
 		w.founding[id] = fmt.Sprint("v", i)
 	}
 	for i, d := range w.found(ids) {
-		v := &voter{proc: w.clock(), no: i, disk: d, own: membership.Hello{Name: w.founding[d.ID], ID: d.ID, Group: 1, Voters: w.founding}}
+		v := &voter{proc: w.clock(), no: i, disk: d, own: membership.Hello{Name: w.founding[d.ID], VoterID: d.ID, GroupID: 1, Founders: w.founding}}
 		w.voters = append(w.voters, v)
 		w.byID[d.ID] = v
 	}
@@ -187,12 +187,12 @@
 }
 
 // found gives the disks of a new group, whose state knows whose numbers they are.
-func (w *world) found(ids []uint64) []consensus.Disk {
+func (w *world) found(ids []uint64) []consensus.DurableState {
 	st := lease.NewState()
 	for id, name := range w.founding {
-		st.Voters[id] = name
+		st.VoterNames[id] = name
 	}
-	list := consensus.Found(ids...)
+	list := consensus.Bootstrap(ids...)
 	for i := range list {
 		list[i].Snapshot.Data = st.Snapshot()
 	}
@@ -264,7 +264,7 @@
 	}
 	delay := (0.5 + 3*w.rng.ExpFloat64()) * w.slow
 	if !w.quiet && w.Faults > 0 && w.rng.IntN(odds) == 0 {
-		delay += 3 * w.Rules.Lease * w.rng.Float64() // held on the way, and delivered behind newer ones
+		delay += 3 * w.Rules.LeaseMs * w.rng.Float64() // held on the way, and delivered behind newer ones
 	}
 	w.after(delay, do)
 }
@@ -276,7 +276,7 @@
 	v.down, v.held, v.stopped = false, nil, 0
 	v.life++
 	var err error
-	v.v, err = replica.New(v.disk, w.Rules, consensus.Usual, w.Seed*100+uint64(v.no)+uint64(v.life)<<32)
+	v.v, err = replica.New(v.disk, w.Rules, consensus.DefaultConfig, w.Seed*100+uint64(v.no)+uint64(v.life)<<32)
 	if err != nil {
 		w.broken("%s does not start: %v", v.name(), err)
 		v.down = true
@@ -286,7 +286,7 @@
 	for i := range w.voters {
 		names = append(names, fmt.Sprint("v", i))
 	}
-	v.r = membership.New(membership.Usual, v.own, names, v.at(w.now))
+	v.r = membership.New(membership.DefaultConfig, v.own, names, v.at(w.now))
 	life := v.life
 	hellos := 0
 	var beat func()
@@ -295,7 +295,7 @@
 			return
 		}
 		w.run(&v.proc, func() {
-			v.v.Beat(v.at(w.now))
+			v.v.Tick(v.at(w.now))
 			w.roll(v)
 			w.flush(v)
 			if hellos++; hellos%10 == 1 {
@@ -309,43 +309,43 @@
 
 // greet tells all others who a voter is.
 func (w *world) greet(v *voter) {
-	h := v.r.Own()
+	h := v.r.Self()
 	for _, o := range w.voters {
 		if o != v {
-			w.send(v.name(), o.name(), func() { w.run(&o.proc, func() { o.r.Heard(o.at(w.now), h) }) })
+			w.send(v.name(), o.name(), func() { w.run(&o.proc, func() { o.r.HandleHello(o.at(w.now), h) }) })
 		}
 	}
 }
 
 // roll takes the step of a voter's roster that is due.
 func (w *world) roll(v *voter) {
-	c := v.v.Conf()
-	step, due := v.r.Turn(v.at(w.now), membership.View{Leading: v.v.Leading() && v.v.Grantor.Leading() && len(c.VotersOutgoing) == 0,
-		Voters: c.Voters, Learners: c.Learners, Names: v.v.State.Voters, Caught: v.v.Caught})
+	c := v.v.ConfState()
+	step, due := v.r.NextStep(v.at(w.now), membership.View{IsLeader: v.v.IsLeader() && v.v.Lessor.IsLeader() && len(c.VotersOutgoing) == 0,
+		Voters: c.Voters, Learners: c.Learners, VoterNames: v.v.State.VoterNames, CaughtUp: v.v.CaughtUp})
 	if !due {
 		return
 	}
 	switch step.Kind {
-	case membership.Adopt:
-		v.own.Group, v.own.Voters = step.Group, step.Voters
-		v.r.Joined(step.Group, step.Voters)
-		if step.Voters != nil { // its disk was made before the founding: here only a defect brings that about
-			ids := slices.Sorted(maps.Keys(step.Voters))
-			v.disk = w.found(ids)[slices.Index(ids, step.ID)]
-			delete(w.byID, v.own.ID)
-			w.byID[step.ID], v.own.ID = v, step.ID
+	case membership.StepJoin:
+		v.own.GroupID, v.own.Founders = step.GroupID, step.Founders
+		v.r.SetGroup(step.GroupID, step.Founders)
+		if step.Founders != nil { // its disk was made before the founding: here only a defect brings that about
+			ids := slices.Sorted(maps.Keys(step.Founders))
+			v.disk = w.found(ids)[slices.Index(ids, step.VoterID)]
+			delete(w.byID, v.own.VoterID)
+			w.byID[step.VoterID], v.own.VoterID = v, step.VoterID
 			w.startVoter(v)
 		}
-	case membership.Name:
-		v.v.Do(v.at(w.now), lease.Command{Kind: lease.Seat, Token: step.ID, To: step.Who}, func(lease.Result) {})
-	case membership.Learn:
-		v.v.Change(raftpb.ConfChangeAddLearnerNode, step.ID)
-	case membership.Promote:
-		if w.res.Replaced++; step.Gone != 0 {
-			v.v.Replace(step.ID, step.Gone)
+	case membership.StepNameVoter:
+		v.v.Submit(v.at(w.now), lease.Command{Kind: lease.CommandNameVoter, Token: step.VoterID, Target: step.Name}, func(lease.Result) {})
+	case membership.StepAddLearner:
+		v.v.ProposeConfChange(raftpb.ConfChangeAddLearnerNode, step.VoterID)
+	case membership.StepPromote:
+		if w.res.Replaced++; step.ReplacedID != 0 {
+			v.v.ProposeReplacement(step.VoterID, step.ReplacedID)
 			return
 		}
-		v.v.Change(raftpb.ConfChangeAddNode, step.ID)
+		v.v.ProposeConfChange(raftpb.ConfChangeAddNode, step.VoterID)
 	}
 }
 
@@ -356,17 +356,17 @@
 			return
 		}
 		for _, p := range w.voters {
-			if !slices.Contains(o.v.Conf().Voters, p.own.ID) || len(o.v.Conf().Voters) != len(w.voters) || len(o.v.Conf().VotersOutgoing) > 0 {
+			if !slices.Contains(o.v.ConfState().Voters, p.own.VoterID) || len(o.v.ConfState().Voters) != len(w.voters) || len(o.v.ConfState().VotersOutgoing) > 0 {
 				return
 			}
 		}
 	}
 	w.res.Lost++
 	v.kill()
-	delete(w.byID, v.own.ID)
+	delete(w.byID, v.own.VoterID)
 	w.number++
-	v.disk = consensus.Disk{ID: w.number}
-	v.own = membership.Hello{Name: v.own.Name, ID: w.number}
+	v.disk = consensus.DurableState{ID: w.number}
+	v.own = membership.Hello{Name: v.own.Name, VoterID: w.number}
 	w.byID[w.number] = v
 	w.after(span, func() { w.startVoter(v) })
 }
@@ -374,8 +374,8 @@
 // flush makes durable what a voter wants to be, sends what it says, and lets it go on.
 func (w *world) flush(v *voter) {
 	for range 100 {
-		e := v.v.Effects()
-		if !e.Empty() {
+		e := v.v.Ready()
+		if !e.IsEmpty() {
 			if e.Sync {
 				w.res.Syncs++
 			}
@@ -383,8 +383,8 @@
 				v.disk.Snapshot, v.disk.Entries = *e.Snapshot, nil
 			}
 			v.disk.Entries = appendLog(v.disk.Entries, e.Entries)
-			if e.Hard.Term > 0 || e.Hard.Commit > 0 {
-				v.disk.Hard = e.Hard
+			if e.HardState.Term > 0 || e.HardState.Commit > 0 {
+				v.disk.HardState = e.HardState
 			}
 			for _, m := range e.Messages {
 				to := w.byID[m.To]
@@ -396,19 +396,19 @@
 						return // another one by now
 					}
 					w.run(&to.proc, func() {
-						to.v.Hear(to.at(w.now), m)
+						to.v.HandleMessage(to.at(w.now), m)
 						w.flush(to)
 					})
 				})
 			}
 		}
-		led := v.v.Elected
-		if err := v.v.Saved(); err != nil {
+		led := v.v.ElectionsWon
+		if err := v.v.Advance(); err != nil {
 			w.broken("%s: %v", v.name(), err)
 			return
 		}
-		w.res.Elections += v.v.Elected - led
-		if snap, upTo, err := v.v.Cut(); err != nil {
+		w.res.Elections += v.v.ElectionsWon - led
+		if snap, upTo, err := v.v.MaybeSnapshot(); err != nil {
 			w.broken("%s: %v", v.name(), err)
 		} else if snap != nil {
 			v.disk.Snapshot = *snap
@@ -421,41 +421,41 @@
 			v.disk.Entries = kept
 			_ = upTo
 		}
-		if e.Empty() {
+		if e.IsEmpty() {
 			break
 		}
 	}
 	// What voters agree on is the same at the same index.
 	s := v.v.State
 	text := string(s.Snapshot())
-	if was, known := w.states[s.Index]; known && was != text && s.Index > 0 { // whoever has learnt nothing yet is no other opinion
-		w.broken("%s differs at %d: %s and %s", v.name(), s.Index, was, text)
+	if was, known := w.states[s.AppliedIndex]; known && was != text && s.AppliedIndex > 0 { // whoever has learnt nothing yet is no other opinion
+		w.broken("%s differs at %d: %s and %s", v.name(), s.AppliedIndex, was, text)
 	}
-	w.states[s.Index] = text
-	if s.Index > w.dataAt { // how far the work has come never goes back, nor does the token under which that was said
-		w.dataAt = s.Index
-		for name, d := range s.Duties {
-			no, _ := strconv.Atoi(string(d.Data))
-			if no < w.data[name] || d.Written < w.written[name] {
-				w.broken("%s: went back from %d under token %d to %d under %d", name, w.data[name], w.written[name], no, d.Written)
+	w.states[s.AppliedIndex] = text
+	if s.AppliedIndex > w.dataAt { // how far the work has come never goes back, nor does the token under which that was said
+		w.dataAt = s.AppliedIndex
+		for name, d := range s.Roles {
+			no, _ := strconv.Atoi(string(d.Progress))
+			if no < w.data[name] || d.ProgressToken < w.written[name] {
+				w.broken("%s: went back from %d under token %d to %d under %d", name, w.data[name], w.written[name], no, d.ProgressToken)
 			}
-			w.data[name], w.written[name] = no, d.Written
+			w.data[name], w.written[name] = no, d.ProgressToken
 		}
 	}
 	for _, e := range s.History {
 		if !w.noted[e.Index] {
-			if w.noted[e.Index] = true; e.What == "forced" {
-				w.forced[e.Duty] = w.now
+			if w.noted[e.Index] = true; e.Kind == "forced" {
+				w.forced[e.Role] = w.now
 			}
-			w.ops = append(w.ops, porcupine.Operation{Input: entry{e.Duty, e.What, e.Token}, Output: true,
+			w.ops = append(w.ops, porcupine.Operation{Input: entry{e.Role, e.Kind, e.Token}, Output: true,
 				Call: int64(1000 * max(w.now-eventsEarly, 0)), Return: int64(1000 * w.now)})
 		}
 	}
 	for _, e := range s.History {
-		if e.What != "granted" {
+		if e.Kind != "granted" {
 			continue
 		}
-		key := fmt.Sprint(e.Index, e.Duty, e.Who)
+		key := fmt.Sprint(e.Index, e.Role, e.Instance)
 		if was, known := w.tokens[e.Token]; known && was != key {
 			w.broken("token %d was given twice: %s and %s", e.Token, was, key)
 		}
@@ -480,15 +480,15 @@
 func (w *world) define() {
 	w.after(200, func() {
 		for _, v := range w.voters {
-			if v.down || v.stopped > w.now || !v.v.Leading() || !v.v.Grantor.Leading() {
+			if v.down || v.stopped > w.now || !v.v.IsLeader() || !v.v.Lessor.IsLeader() {
 				continue
 			}
 			missing := 0
 			for d := range w.Duties {
 				name := fmt.Sprint("d", d)
-				if v.v.State.Duties[name] == nil {
+				if v.v.State.Roles[name] == nil {
 					missing++
-					v.v.Do(v.at(w.now), lease.Command{Kind: lease.Define, Duty: name}, func(lease.Result) {})
+					v.v.Submit(v.at(w.now), lease.Command{Kind: lease.CommandDefine, Role: name}, func(lease.Result) {})
 				}
 			}
 			w.flush(v)
@@ -513,16 +513,16 @@
 			return
 		}
 		w.run(&n.proc, func() { w.ask(n) })
-		w.after(w.Rules.Lease/6*(0.8+0.4*w.rng.Float64()), beat)
+		w.after(w.Rules.LeaseMs/6*(0.8+0.4*w.rng.Float64()), beat)
 	}
 	w.after(300*w.rng.Float64(), beat)
 }
 
 func (w *world) ask(n *instance) {
-	w.acts(n, n.holder.Turn(n.at(w.now)))
-	q := replica.Question{Instance: n.name, At: n.at(w.now), Holds: map[string]uint64{}}
-	for _, h := range n.holder.Holds() {
-		q.Holds[h.Duty] = h.Token
+	w.acts(n, n.holder.ExpireLeases(n.at(w.now)))
+	q := replica.Request{Instance: n.name, SentAt: n.at(w.now), HeldTokens: map[string]uint64{}}
+	for _, h := range n.holder.Leases() {
+		q.HeldTokens[h.Role] = h.Token
 	}
 	v, life := w.voters[n.asks%len(w.voters)], n.life
 	heard := false
@@ -534,7 +534,7 @@
 	w.send(n.party(), v.name(), func() {
 		vlife := v.life
 		w.run(&v.proc, func() {
-			v.v.Ask(v.at(w.now), q, func(a replica.Answer) {
+			v.v.HandleRequest(v.at(w.now), q, func(a replica.Response) {
 				if v.life != vlife {
 					return
 				}
@@ -553,9 +553,9 @@
 	})
 }
 
-func (w *world) told(n *instance, a replica.Answer) {
+func (w *world) told(n *instance, a replica.Response) {
 	if !a.OK {
-		if to := w.byID[a.Leader]; to != nil {
+		if to := w.byID[a.LeaderID]; to != nil {
 			n.asks = to.no
 		} else {
 			n.asks = w.rng.IntN(len(w.voters))
@@ -563,40 +563,40 @@
 		return
 	}
 	for _, g := range a.Grants {
-		w.acts(n, n.holder.Granted(n.at(w.now), a.At, g.Duty, g.Token, g.Data, g.LetGo))
+		w.acts(n, n.holder.HandleGrant(n.at(w.now), a.SentAt, g.Role, g.Token, g.Progress, g.ReleaseRequested))
 	}
 	for d := range w.Duties {
 		name := fmt.Sprint("d", d)
-		if token, lost := a.Lost[name]; lost {
-			w.acts(n, n.holder.Lost(name, token))
+		if token, lost := a.LostRoles[name]; lost {
+			w.acts(n, n.holder.HandleLost(name, token))
 		}
 	}
 }
 
-func (w *world) acts(n *instance, list []lease.Act) {
+func (w *world) acts(n *instance, list []lease.Action) {
 	for _, a := range list {
 		switch {
 		case a.Start != nil:
-			done, _ := strconv.Atoi(string(a.Start.Data))
+			done, _ := strconv.Atoi(string(a.Start.Progress))
 			j := &job{hold: a.Start, done: done}
-			n.work[a.Start.Duty] = j
+			n.work[a.Start.Role] = j
 			w.next(n, j)
 		case a.Stop != nil:
-			if j := n.work[a.Stop.Duty]; j != nil && j.hold.Token == a.Stop.Token {
-				delete(n.work, a.Stop.Duty)
+			if j := n.work[a.Stop.Role]; j != nil && j.hold.Token == a.Stop.Token {
+				delete(n.work, a.Stop.Role)
 			}
-		case a.Let != nil:
-			w.command(n, lease.Command{Kind: lease.Release, Duty: a.Let.Duty, Token: a.Let.Token}, func(lease.Result) {})
+		case a.ReportReleased != nil:
+			w.command(n, lease.Command{Kind: lease.CommandRelease, Role: a.ReportReleased.Role, Token: a.ReportReleased.Token}, func(lease.Result) {})
 		case a.Finish != nil:
-			w.release(n, a.Finish.Duty, a.Finish.Token)
+			w.release(n, a.Finish.Role, a.Finish.Token)
 		}
 	}
 }
 
 func (w *world) release(n *instance, duty string, token uint64) {
 	delete(n.work, duty)
-	n.holder.Released(duty)
-	w.command(n, lease.Command{Kind: lease.Release, Duty: duty, Token: token}, func(lease.Result) {})
+	n.holder.MarkReleased(duty)
+	w.command(n, lease.Command{Kind: lease.CommandRelease, Role: duty, Token: token}, func(lease.Result) {})
 }
 
 // command brings a command to whoever is asked.
@@ -607,13 +607,13 @@
 	w.sendHeld(n.party(), v.name(), 25, func() {
 		vlife := v.life
 		w.run(&v.proc, func() {
-			v.v.Do(v.at(w.now), c, func(r lease.Result) {
+			v.v.Submit(v.at(w.now), c, func(r lease.Result) {
 				if v.life != vlife {
 					return
 				}
 				w.send(v.name(), n.party(), func() {
-					if c.Kind == lease.Progress && r.Index > 0 && r.Why != lease.Older {
-						w.ops = append(w.ops, porcupine.Operation{ClientId: n.no, Input: entry{c.Duty, "progress", c.Token}, Output: r.OK,
+					if c.Kind == lease.CommandProgress && r.Index > 0 && r.Reason != lease.ReasonStaleProgress {
+						w.ops = append(w.ops, porcupine.Operation{ClientId: n.no, Input: entry{c.Role, "progress", c.Token}, Output: r.OK,
 							Call: int64(1000 * call), Return: int64(1000 * w.now)})
 					}
 					if n.life == life {
@@ -630,28 +630,28 @@
 func (w *world) next(n *instance, j *job) {
 	life := n.life
 	w.after(w.Work*(0.5+w.rng.Float64()), func() {
-		if n.life != life || n.work[j.hold.Duty] != j {
+		if n.life != life || n.work[j.hold.Role] != j {
 			return
 		}
 		w.run(&n.proc, func() {
-			if n.work[j.hold.Duty] != j {
+			if n.work[j.hold.Role] != j {
 				return
 			}
-			token, may := n.holder.May(n.at(w.now), j.hold.Duty)
+			token, may := n.holder.MayAct(n.at(w.now), j.hold.Role)
 			if !may || token != j.hold.Token {
 				w.next(n, j) // its lease may yet be renewed
 				return
 			}
-			e := fence.Effect{Duty: j.hold.Duty, Token: token, Key: strconv.Itoa(j.done + 1)}
+			e := fence.Effect{Role: j.hold.Role, Token: token, Key: strconv.Itoa(j.done + 1)}
 			act := func() {
-				if _, still := n.holder.May(n.at(w.now), e.Duty); !still {
+				if _, still := n.holder.MayAct(n.at(w.now), e.Role); !still {
 					w.res.Late++
 				}
 				w.send(n.party(), "r", func() { w.receive(n, life, j, e) })
 			}
 			// The process may be stopped just here, for ten leases.
 			if !w.quiet && w.Faults > 0 && !w.Calm && w.rng.IntN(60) == 0 {
-				w.stop(&n.proc, 10*w.Rules.Lease*w.rng.Float64())
+				w.stop(&n.proc, 10*w.Rules.LeaseMs*w.rng.Float64())
 			}
 			w.run(&n.proc, act)
 		})
@@ -661,44 +661,44 @@
 // receive is the receiver: it judges and does an effect in one step, and keeps the audit.
 func (w *world) receive(n *instance, life int, j *job, e fence.Effect) {
 	fresh, err := w.book.Admit(e)
-	if err == fence.ErrOld {
+	if err == fence.ErrStaleToken {
 		w.res.Old++
 		if w.NoFence {
 			w.res.Fooled++
 		}
 	}
 	no, _ := strconv.Atoi(e.Key)
-	if err == nil && e.Token < w.lastTok[e.Duty] { // also where its key made it harmless: another time it would not
-		w.broken("%s: token %d was admitted after %d", e.Duty, e.Token, w.lastTok[e.Duty])
+	if err == nil && e.Token < w.lastTok[e.Role] { // also where its key made it harmless: another time it would not
+		w.broken("%s: token %d was admitted after %d", e.Role, e.Token, w.lastTok[e.Role])
 	}
 	if err == nil && fresh {
 		w.res.Effects++
-		if no != w.counted[e.Duty]+1 {
-			w.broken("%s: effect %d came after %d", e.Duty, no, w.counted[e.Duty])
+		if no != w.counted[e.Role]+1 {
+			w.broken("%s: effect %d came after %d", e.Role, no, w.counted[e.Role])
 		}
-		if e.Token < w.lastTok[e.Duty] {
-			w.broken("%s: an effect of token %d counted after %d", e.Duty, e.Token, w.lastTok[e.Duty])
+		if e.Token < w.lastTok[e.Role] {
+			w.broken("%s: an effect of token %d counted after %d", e.Role, e.Token, w.lastTok[e.Role])
 		}
-		if e.Token > w.lastTok[e.Duty] {
-			if at, ended := w.lastEnd[e.Duty]; ended {
+		if e.Token > w.lastTok[e.Role] {
+			if at, ended := w.lastEnd[e.Role]; ended {
 				w.res.Takeovers = append(w.res.Takeovers, w.now-at)
 			}
 		}
-		w.counted[e.Duty], w.lastTok[e.Duty], w.lastEnd[e.Duty] = no, e.Token, w.now
+		w.counted[e.Role], w.lastTok[e.Role], w.lastEnd[e.Role] = no, e.Token, w.now
 	} else if err == nil {
 		w.res.Again++
 	}
 	w.send("r", n.party(), func() {
-		if n.life != life || n.work[j.hold.Duty] != j {
+		if n.life != life || n.work[j.hold.Role] != j {
 			return
 		}
 		w.run(&n.proc, func() {
-			if n.work[j.hold.Duty] != j {
+			if n.work[j.hold.Role] != j {
 				return
 			}
 			if err != nil {
-				delete(n.work, j.hold.Duty)
-				n.holder.Released(j.hold.Duty)
+				delete(n.work, j.hold.Role)
+				n.holder.MarkReleased(j.hold.Role)
 				return
 			}
 			if no <= j.done {
@@ -706,13 +706,13 @@
 			}
 			j.done = no
 			j.word++
-			w.command(n, lease.Command{Kind: lease.Progress, Duty: e.Duty, Token: e.Token, Word: j.word, Data: []byte(e.Key)}, func(lease.Result) {})
+			w.command(n, lease.Command{Kind: lease.CommandProgress, Role: e.Role, Token: e.Token, ProgressSeq: j.word, Progress: []byte(e.Key)}, func(lease.Result) {})
 			w.next(n, j)
 		})
 	})
 	// Without an answer it is tried again: the key makes that harmless.
 	w.after(600, func() {
-		if n.life == life && n.work[j.hold.Duty] == j && j.done == no-1 {
+		if n.life == life && n.work[j.hold.Role] == j && j.done == no-1 {
 			w.next(n, j)
 		}
 	})
@@ -727,10 +727,10 @@
 			if n.down {
 				continue
 			}
-			if _, may := n.holder.May(n.at(w.now), name); may {
+			if _, may := n.holder.MayAct(n.at(w.now), name); may {
 				// Whoever was owner when it was taken by force goes on until its lease ends: the fence is what counts then.
 				at, forced := w.forced[name]
-				if who != "" && !(forced && w.now < at+w.Rules.Lease*(1+w.Rules.Drift)) {
+				if who != "" && !(forced && w.now < at+w.Rules.LeaseMs*(1+w.Rules.MaxDrift)) {
 					w.broken("%s: %s and %s both may act", name, who, n.name)
 				}
 				who = n.name
@@ -745,14 +745,14 @@
 		if w.quiet {
 			return
 		}
-		span := w.Rules.Lease * 4 * w.rng.Float64()
+		span := w.Rules.LeaseMs * 4 * w.rng.Float64()
 		kind := w.rng.IntN(13)
 		if w.Calm {
 			kind = 6 + kind%4
 		}
 		switch kind {
 		case 0, 1: // an instance is stopped
-			w.stop(&w.inst[w.rng.IntN(len(w.inst))].proc, 10*w.Rules.Lease*w.rng.Float64())
+			w.stop(&w.inst[w.rng.IntN(len(w.inst))].proc, 10*w.Rules.LeaseMs*w.rng.Float64())
 		case 2: // or killed, and starts again under the same name
 			n := w.inst[w.rng.IntN(len(w.inst))]
 			if !n.down {
@@ -803,20 +803,20 @@
 		case 10: // an operator moves a duty, or takes it from its owner; now and then by an old token
 			n := w.inst[w.rng.IntN(len(w.inst))]
 			v := w.voters[w.rng.IntN(len(w.voters))]
-			d := v.v.State.Duties[fmt.Sprint("d", w.rng.IntN(w.Duties))]
+			d := v.v.State.Roles[fmt.Sprint("d", w.rng.IntN(w.Duties))]
 			if d == nil || v.down {
 				break
 			}
-			c := lease.Command{Kind: lease.Move, Duty: d.Name, Token: d.Token, To: n.name}
+			c := lease.Command{Kind: lease.CommandTransfer, Role: d.Name, Token: d.Token, Target: n.name}
 			if w.rng.IntN(3) == 0 {
-				c.Kind = lease.Force
+				c.Kind = lease.CommandRevoke
 			}
 			w.command(n, c, func(lease.Result) {})
 		case 11: // an instance lets go of all it has, as at a drain
 			n := w.inst[w.rng.IntN(len(w.inst))]
 			if !n.down && n.stopped <= w.now {
-				for _, h := range n.holder.Holds() {
-					w.release(n, h.Duty, h.Token)
+				for _, h := range n.holder.Leases() {
+					w.release(n, h.Role, h.Token)
 				}
 			}
 		case 12: // a disk is lost
--- a/internal/standin/leasesim/leasesim_test.go
+++ b/internal/standin/leasesim/leasesim_test.go
@@ -12,8 +12,8 @@
 )
 
 func plan(seed uint64) Plan {
-	r := lease.Usual
-	r.HandOff, r.Held, r.HeldTop = 3000, 200, 2000
+	r := lease.DefaultConfig
+	r.HandoverMs, r.FailureBackoffMs, r.MaxFailureBackoffMs = 3000, 200, 2000
 	return Plan{Seed: seed, Voters: 3 + 2*int(seed%2), Instances: 6, Duties: 3, Until: 90000, Quiet: 25000, Faults: 1500, Rules: r, Drift: 0.009, Work: 300}
 }
 
@@ -121,7 +121,7 @@
 		false_, grants := 0, 0
 		for seed := range uint64(20) {
 			p := plan(seed)
-			p.Rules.Lease, p.Rules.Held = lease, lease
+			p.Rules.LeaseMs, p.Rules.FailureBackoffMs = lease, lease
 			p.Work, p.Until, p.Quiet, p.Faults = lease/10, 40*lease, 4*lease, 6*lease
 			r := Run(p)
 			list = append(list, r.Takeovers...)
--- a/internal/standin/receiver/fenced.go
+++ b/internal/standin/receiver/fenced.go
@@ -20,7 +20,7 @@
 	*httptest.Server
 	lock    sync.Mutex
 	open    bool // without a fence: everybody is taken
-	book    fence.Book
+	book    fence.State
 	audit   []Came
 	highest map[string]uint64 // by duty, of all that ever came
 	// Beside what the fence did: effects that came though a newer owner had been there, and would have counted without it.
@@ -51,18 +51,18 @@
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	old := e.Token < r.highest[e.Duty]
-	r.highest[e.Duty] = max(r.highest[e.Duty], e.Token)
+	old := e.Token < r.highest[e.Role]
+	r.highest[e.Role] = max(r.highest[e.Role], e.Token)
 	if old {
 		r.unfenced++
 	}
 	judged := e
 	if r.open {
-		judged.Token = r.highest[e.Duty]
+		judged.Token = r.highest[e.Role]
 	}
 	fresh, err := r.book.Admit(judged)
 	r.audit = append(r.audit, Came{e, err == nil && fresh, err != nil, float64(time.Since(r.start).Microseconds()) / 1000})
-	says := map[string]any{"done": !fresh, "token": max(r.book.Tokens[e.Duty], e.Token)}
+	says := map[string]any{"done": !fresh, "token": max(r.book.Tokens[e.Role], e.Token)}
 	text, _ := json.Marshal(says)
 	if err != nil {
 		w.WriteHeader(409)
@@ -88,24 +88,24 @@
 	}
 	at := map[string]*state{}
 	for _, c := range r.audit {
-		s := at[c.Duty]
+		s := at[c.Role]
 		if s == nil {
 			s = &state{next: 1}
-			at[c.Duty] = s
+			at[c.Role] = s
 		}
 		no, _ := strconv.Atoi(c.Key)
 		switch {
 		case c.Refused:
 			if p.Refused++; c.Token >= s.token {
-				p.Broken = append(p.Broken, fmt.Sprintf("%s: token %d was refused, though %d was the highest", c.Duty, c.Token, s.token))
+				p.Broken = append(p.Broken, fmt.Sprintf("%s: token %d was refused, though %d was the highest", c.Role, c.Token, s.token))
 			}
 			continue
 		case c.Token < s.token:
-			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %s of token %d was taken after token %d", c.Duty, c.Key, c.Token, s.token))
+			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %s of token %d was taken after token %d", c.Role, c.Key, c.Token, s.token))
 		case c.Counted && no != s.next:
-			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %d counted where %d was next", c.Duty, no, s.next))
+			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %d counted where %d was next", c.Role, no, s.next))
 		case !c.Counted && no >= s.next:
-			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %d did not count, though %d was next", c.Duty, no, s.next))
+			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %d did not count, though %d was next", c.Role, no, s.next))
 		}
 		if c.Token > s.token {
 			if s.token > 0 {
@@ -139,10 +139,10 @@
 		if !c.Counted {
 			continue
 		}
-		if was, known := last[c.Duty]; known && was.Token < c.Token {
+		if was, known := last[c.Role]; known && was.Token < c.Token {
 			list = append(list, c.At-was.At)
 		}
-		last[c.Duty] = c
+		last[c.Role] = c
 	}
 	sort.Float64s(list)
 	return list
@@ -155,7 +155,7 @@
 	last := map[string]float64{}
 	for _, c := range r.audit {
 		if c.Counted {
-			last[c.Duty] = c.At
+			last[c.Role] = c.At
 		}
 	}
 	now := float64(time.Since(r.start).Microseconds()) / 1000
@@ -176,7 +176,7 @@
 	for _, c := range r.audit {
 		var body struct{ Holder string }
 		if c.Counted && json.Unmarshal(c.Body, &body) == nil {
-			list[c.Duty] = body.Holder
+			list[c.Role] = body.Holder
 		}
 	}
 	return list
@@ -200,7 +200,7 @@
 	list := map[string]int{}
 	for _, c := range r.audit {
 		if c.Counted {
-			list[c.Duty]++
+			list[c.Role]++
 		}
 	}
 	return list
--- a/internal/standin/singlevoter/singlevoter.go
+++ b/internal/standin/singlevoter/singlevoter.go
@@ -14,7 +14,7 @@
 )
 
 // Start runs one until the test ends, and gives what instances need to find it.
-func Start(t testing.TB, leaseMs float64) (v *voter.Seat, voters []voter.Address, rules lease.Rules) {
+func Start(t testing.TB, leaseMs float64) (v *voter.Server, voters []voter.Address, rules lease.Config) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0") // its number is kept by whoever listens there next
 	if err != nil {
@@ -22,10 +22,10 @@
 	}
 	at := l.Addr().String()
 	l.Close()
-	rules = lease.For(leaseMs)
-	rules.Held = 100
+	rules = lease.ConfigForLease(leaseMs)
+	rules.FailureBackoffMs = 100
 	voters = []voter.Address{{Name: "v0", Addr: at}}
-	v, err = voter.Start(voter.Options{Name: "v0", Listen: at, Folder: "voter", FS: vfs.NewMem(), Voters: voters, Rules: rules, Tick: 20 * time.Millisecond, Log: zerolog.Nop()})
+	v, err = voter.Start(voter.Options{Name: "v0", Listen: at, Dir: "voter", FS: vfs.NewMem(), Voters: voters, LeaseConfig: rules, TickInterval: 20 * time.Millisecond, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
