--- a/internal/fleet/stage/pace/pace.go
+++ b/internal/fleet/stage/pace/pace.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/seat"
-	"kestrelspread/internal/fleet/owner/work"
+	"kestrelspread/internal/fleet/lease/client"
+	"kestrelspread/internal/fleet/lease/voter"
 	"kestrelspread/internal/fleet/stage"
 )
 
@@ -34,7 +34,7 @@
 	if len(e.words) >= wordsMost { // what lasts is said again
 		e.words = append(e.words[:0], e.words[wordsMost/2:]...)
 	}
-	e.words = append(e.words, word{who, site, lost, seat.Now() - age})
+	e.words = append(e.words, word{who, site, lost, voter.Now() - age})
 }
 
 func (e *Ears) take() []word {
@@ -54,16 +54,16 @@
 }
 
 // Step looks once.
-func (j *Job) Step(ctx context.Context, g *work.Grant) (time.Duration, error) {
-	now := seat.Now()
+func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
+	now := voter.Now()
 	if j.pace == nil {
-		j.pace = stage.New(j.Rules, g.Data, now)
+		j.pace = stage.New(j.Rules, g.Progress, now)
 	}
 	for _, w := range j.Ears.take() {
 		j.pace.Saw(w.at, w.who, w.site, w.lost)
 	}
-	if data, changed := j.pace.Turn(now); changed && g.May() {
-		return j.Every, g.Progress(ctx, data)
+	if data, changed := j.pace.Turn(now); changed && g.MayAct() {
+		return j.Every, g.SaveProgress(ctx, data)
 	}
 	return j.Every, nil
 }
--- a/internal/node/distribution/cluster_test.go
+++ b/internal/node/distribution/cluster_test.go
@@ -97,9 +97,9 @@
 		return
 	}
 	for index, committed := range n.cluster.committedAt {
-		if committed < n.True(at) && n.state.index < uint64(index+1) {
+		if committed < n.TrueTime(at) && n.state.index < uint64(index+1) {
 			n.cluster.t.Fatalf("%s holds %d and takes it for confirmed at %v, but %d was committed at %v",
-				n.ID, n.state.index, n.True(at), index+1, committed)
+				n.ID, n.state.index, n.TrueTime(at), index+1, committed)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	switch output.(type) {
 	case core.StateChanged:
 		n.changes++
-	case core.ConfirmationWanted:
+	case core.RequestBarrier:
 		n.cluster.barrier(n)
 	}
 }
--- a/internal/node/distribution/distribution.go
+++ b/internal/node/distribution/distribution.go
@@ -29,7 +29,7 @@
 	pollRounds int       // rounds so far
 	lastNonce  uint64    // of the newest poll
 
-	confirmationRequestedAt core.Time // when core.ConfirmationWanted was last put out
+	confirmationRequestedAt core.Time // when core.RequestBarrier was last put out
 	snapshot                snapshotCache
 
 	outputs []core.Output
@@ -180,7 +180,7 @@
 func (d *Distribution) output(output core.Output) { d.outputs = append(d.outputs, output) }
 
 func (d *Distribution) send(address string, message *nodepb.Envelope) {
-	d.output(core.Send{To: address, Message: message})
+	d.output(core.Send{Destination: address, Message: message})
 }
 
 // takeOutputs returns the outputs since the last call.
--- a/internal/node/distribution/faults_test.go
+++ b/internal/node/distribution/faults_test.go
@@ -67,7 +67,7 @@
 		c.network.After(span, func() { node.Thaw(); recovered() })
 	case 1:
 		c.network.Isolate(node.Address)
-		c.network.After(span, func() { c.network.Rejoin(node.Address); recovered() })
+		c.network.After(span, func() { c.network.HealAll(node.Address); recovered() })
 	case 2:
 		c.publishMembersWithout(node)
 	case 3:
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, node := range c.nodes {
-		c.network.Rejoin(node.Address)
+		c.network.HealAll(node.Address)
 		if !node.Running() {
 			node.Thaw()
 		}
@@ -165,7 +165,7 @@
 		former := c.tail()
 		c.network.Run(time.Duration(c.network.Random.IntN(700)) * time.Millisecond)
 		for _, node := range c.chain[:len(c.chain)-1] {
-			c.network.Cut(former.Address, node.Address)
+			c.network.Partition(former.Address, node.Address)
 		}
 		c.coreDown = true                      // no barrier passes all members
 		c.network.Run(1300 * time.Millisecond) // then the others agree on a chain without it
--- a/internal/node/distribution/propagation_test.go
+++ b/internal/node/distribution/propagation_test.go
@@ -112,7 +112,7 @@
 			c.network.Run(5 * time.Second)
 			assert.Equal(t, partitioned.state.index, uint64(0))
 			assert.Assert(t, partitioned.age() >= 5*time.Second)
-			c.network.Rejoin(partitioned.Address)
+			c.network.HealAll(partitioned.Address)
 			c.within(900*time.Millisecond, "it holds the last change", c.reached(uint64(changes)))
 			c.network.Run(2 * time.Second)
 			assert.Assert(t, partitioned.age() < 2*time.Second)
@@ -127,7 +127,7 @@
 	home := c.zoneHome("d")
 	for _, node := range c.nodes {
 		if node.member.Zone != "d" {
-			c.network.Cut(home.Address, node.Address)
+			c.network.Partition(home.Address, node.Address)
 		}
 	}
 	c.network.Run(6 * time.Second)
@@ -146,7 +146,7 @@
 	c.network.Run(3 * time.Second)
 	former := c.tail()
 	for _, node := range c.chain[:3] {
-		c.network.Cut(former.Address, node.Address)
+		c.network.Partition(former.Address, node.Address)
 	}
 	c.network.Run(1500 * time.Millisecond)
 	c.chain = c.chain[:3]
--- a/internal/node/distribution/subscribers.go
+++ b/internal/node/distribution/subscribers.go
@@ -98,7 +98,7 @@
 		return
 	}
 	d.confirmationRequestedAt = now
-	d.output(core.ConfirmationWanted{})
+	d.output(core.RequestBarrier{})
 }
 
 // pushChanges sends subscribers what they lack. A lost push is made up by the subscriber's next poll.
--- a/internal/node/kvindex/home.go
+++ b/internal/node/kvindex/home.go
@@ -156,7 +156,7 @@
 	h.lastCallID++
 	s.callID = h.lastCallID
 	s.calledAt = now
-	return core.AskEvents{Token: s.callID, Instance: s.Instance, Address: s.Address, Since: s.cursor, Wait: maxLongPoll}
+	return core.FetchEvents{Token: s.callID, Instance: s.Instance, Address: s.Address, Since: s.cursor, Wait: maxLongPoll}
 }
 
 func (h *Home) broadcast(update *nodepb.IndexUpdate, outputs []core.Output) []core.Output {
@@ -167,7 +167,7 @@
 }
 
 func sendUpdate(address string, update *nodepb.IndexUpdate) core.Output {
-	return core.Send{To: address, Message: &nodepb.Envelope{Body: &nodepb.Envelope_IndexUpdate{IndexUpdate: update}}}
+	return core.Send{Destination: address, Message: &nodepb.Envelope{Body: &nodepb.Envelope_IndexUpdate{IndexUpdate: update}}}
 }
 
 // EventsDone takes the answer to a call, or an error.
--- a/internal/node/loadhint/disseminator.go
+++ b/internal/node/loadhint/disseminator.go
@@ -149,7 +149,7 @@
 // node for the relay, are used here but not sent on.
 func (d *Disseminator) Receive(now core.Time, from core.Peer, message *nodepb.LoadHints) []core.Output {
 	hints := message.Hints[:min(len(message.Hints), maxHintsPerMessage)]
-	d.outputs = append(d.outputs, core.LoadHinted{Hints: hints})
+	d.outputs = append(d.outputs, core.LoadHintsReceived{Hints: hints})
 	if d.relayAddress == "" && message.Hop != nodepb.LoadHintHop_TO_PROXY {
 		d.enqueueReceived(now, from, message.Hop, hints)
 	}
@@ -258,7 +258,7 @@
 		return
 	}
 	body := &nodepb.Envelope_LoadHints{LoadHints: &nodepb.LoadHints{Hints: hints, Hop: hop}}
-	d.outputs = append(d.outputs, core.Send{To: destination, Message: &nodepb.Envelope{Body: body}})
+	d.outputs = append(d.outputs, core.Send{Destination: destination, Message: &nodepb.Envelope{Body: body}})
 }
 
 // takeOutputs returns the outputs since the last call.
--- a/internal/node/loadhint/disseminator_test.go
+++ b/internal/node/loadhint/disseminator_test.go
@@ -65,7 +65,7 @@
 func (m networkMachine) Deadline() core.Time              { return m.node.Disseminator.Deadline() }
 
 func (n *clusterNode) output(_ core.Time, output core.Output) {
-	n.received = append(n.received, output.(core.LoadHinted).Hints...)
+	n.received = append(n.received, output.(core.LoadHintsReceived).Hints...)
 }
 
 func hint(number int) *nodepb.LoadHint {
@@ -177,7 +177,7 @@
 			message = &nodepb.LoadHints{}
 		}
 		outputs := s.Receive(0, core.Peer{NodeID: "x", Address: "x"}, message)
-		assert.Assert(t, len(outputs[0].(core.LoadHinted).Hints) <= maxHintsPerMessage)
+		assert.Assert(t, len(outputs[0].(core.LoadHintsReceived).Hints) <= maxHintsPerMessage)
 	}
 }
 
--- a/internal/node/registry/antientropy_test.go
+++ b/internal/node/registry/antientropy_test.go
@@ -69,7 +69,7 @@
 			brokers[2].stopped = true
 			brokers[3].stopped = true
 			c.network.Run(6 * time.Second)
-			c.network.Rejoin(partitioned.Address)
+			c.network.HealAll(partitioned.Address)
 			c.within(2500*time.Millisecond, "repaired", c.sameTables)
 			table := partitioned.registry.Table().ByID
 			assert.Equal(t, table[brokers[0].id()].State, Draining)
@@ -99,7 +99,7 @@
 			}
 			c.network.Loss, c.network.Duplicate = 0, 0
 			for _, node := range c.nodes {
-				c.network.Rejoin(node.Address)
+				c.network.HealAll(node.Address)
 				if !node.Running() {
 					node.Thaw()
 				}
@@ -139,7 +139,7 @@
 		c.network.Isolate(node.Address)
 		node.recordFault(c)
 		c.network.After(time.Duration(random.IntN(5000))*time.Millisecond, func() {
-			c.network.Rejoin(node.Address)
+			c.network.HealAll(node.Address)
 			node.recordFault(c)
 		})
 	case 2:
@@ -199,7 +199,7 @@
 		request = b.deregister(node)
 	}
 	b.cluster.network.After(time.Second, func() {
-		if !node.answers[request].Taken {
+		if !node.answers[request].Accepted {
 			b.sendDeregistration()
 		}
 	})
--- a/internal/node/registry/cluster_test.go
+++ b/internal/node/registry/cluster_test.go
@@ -37,7 +37,7 @@
 }
 
 type timedAnswer struct {
-	core.RegistryAnswer
+	core.RegistryReply
 	at core.Time
 }
 
@@ -76,9 +76,9 @@
 
 func (n *clusterNode) output(now core.Time, output core.Output) {
 	switch output := output.(type) {
-	case core.RegistryAnswer:
+	case core.RegistryReply:
 		n.answers[output.Request] = timedAnswer{output, now}
-		if id, leaving := n.leaving[output.Request]; leaving && output.Taken && n.cluster.inTouch(n) {
+		if id, leaving := n.leaving[output.Request]; leaving && output.Accepted && n.cluster.inTouch(n) {
 			n.cluster.checkDrains(id)
 		}
 	case core.LoadingConfirmed:
@@ -170,7 +170,7 @@
 // there was one.
 func (b *broker) followHome(node *clusterNode, request uint64) bool {
 	answer, ok := node.answers[request]
-	if !ok || !answer.Taken || !node.Running() {
+	if !ok || !answer.Accepted || !node.Running() {
 		return false
 	}
 	for _, candidate := range b.cluster.nodes {
--- a/internal/node/registry/heartbeat.go
+++ b/internal/node/registry/heartbeat.go
@@ -12,7 +12,7 @@
 	arrivedAt core.Time // when the call came to this node
 }
 
-// Heartbeat handles a broker's heartbeat from this node's API. core.RegistryAnswer with the request's
+// Heartbeat handles a broker's heartbeat from this node's API. core.RegistryReply with the request's
 // number follows within a second. At the home node it follows at once, except for the first
 // heartbeats of a draining broker, as other nodes must acknowledge these first.
 func (r *Registry) Heartbeat(now core.Time, request uint64, instance *nodepb.Instance) []core.Output {
@@ -20,7 +20,7 @@
 	return r.takeOutputs()
 }
 
-// Deregister handles a broker's deregistration from this node's API. core.RegistryAnswer with the
+// Deregister handles a broker's deregistration from this node's API. core.RegistryReply with the
 // request's number follows within a second, after other nodes have acknowledged it.
 func (r *Registry) Deregister(now core.Time, request uint64, id string) []core.Output {
 	instance := &nodepb.Instance{Id: id, State: nodepb.InstanceState_GONE}
@@ -115,7 +115,7 @@
 // answerWith answers a call. home is the control address for the next call; empty: none is named.
 func (r *Registry) answerWith(origin callOrigin, accepted bool, home string) {
 	if origin.forwarder == "" {
-		r.output(core.RegistryAnswer{Request: origin.request, Taken: accepted, HeartbeatURL: home})
+		r.output(core.RegistryReply{Request: origin.request, Accepted: accepted, HeartbeatURL: home})
 		return
 	}
 	reply := &nodepb.HeartbeatForwardReply{Request: origin.request, Taken: accepted, HomeControlAddress: home}
--- a/internal/node/registry/heartbeat_test.go
+++ b/internal/node/registry/heartbeat_test.go
@@ -19,7 +19,7 @@
 			b := c.broker("1", "llm", "a")
 			node := c.notHome("llm", "a")
 			request := b.heartbeat(node)
-			c.within(time.Second, "an answer", func() bool { return node.answers[request].Taken })
+			c.within(time.Second, "an answer", func() bool { return node.answers[request].Accepted })
 			assert.Equal(t, node.answers[request].HeartbeatURL, c.home("llm", "a").member.ControlAddress)
 			c.within(3*time.Second, "all know the broker", func() bool { return c.everyoneHas("1", ready) })
 		})
@@ -45,11 +45,11 @@
 			b.instance.State = nodepb.InstanceState_DRAINING
 			node := c.notHome("llm", "a")
 			request := b.heartbeat(node)
-			c.within(time.Second, "an answer", func() bool { return node.answers[request].Taken })
+			c.within(time.Second, "an answer", func() bool { return node.answers[request].Accepted })
 			assert.Assert(t, c.everyoneHas("1", draining), "acknowledged before all know it")
 
 			request = b.deregister(node)
-			c.within(time.Second, "an answer", func() bool { return node.answers[request].Taken })
+			c.within(time.Second, "an answer", func() bool { return node.answers[request].Accepted })
 			assert.Assert(t, c.nobodyHas("1"), "acknowledged before all know that it ends")
 		})
 	}
@@ -66,7 +66,7 @@
 	c.network.Run(time.Second)
 	for _, node := range c.nodes {
 		request := b.heartbeat(node)
-		c.within(50*time.Millisecond, "an answer", func() bool { return node.answers[request].Taken })
+		c.within(50*time.Millisecond, "an answer", func() bool { return node.answers[request].Accepted })
 	}
 }
 
@@ -82,7 +82,7 @@
 			b.instance.Slots = 9
 			node := c.notHome("llm", "a")
 			request := b.heartbeat(node)
-			c.within(950*time.Millisecond, "an answer", func() bool { return node.answers[request].Taken })
+			c.within(950*time.Millisecond, "an answer", func() bool { return node.answers[request].Accepted })
 			assert.Assert(t, node.answers[request].HeartbeatURL != c.home("llm", "a").member.ControlAddress)
 			c.within(time.Second, "all know", func() bool {
 				return c.everyoneHas("1", func(i *Instance) bool { return i.Slots == 9 && i.State == State(state) })
@@ -90,7 +90,7 @@
 			// The next call does not wait for the frozen home again; the node in its place may wait
 			// for its acknowledgement.
 			request = b.heartbeat(node)
-			c.within(ackTimeout+50*time.Millisecond, "an answer", func() bool { return node.answers[request].Taken })
+			c.within(ackTimeout+50*time.Millisecond, "an answer", func() bool { return node.answers[request].Accepted })
 		})
 	}
 }
@@ -103,7 +103,7 @@
 	home := c.home("llm", "a")
 	b.instance.State = nodepb.InstanceState_DRAINING
 	request := b.heartbeat(home)
-	c.within(time.Second, "an answer", func() bool { return home.answers[request].Taken })
+	c.within(time.Second, "an answer", func() bool { return home.answers[request].Accepted })
 	home.Kill()
 	c.publishMembers()
 	c.network.Run(time.Second)
@@ -124,21 +124,21 @@
 	c.network.Isolate(home.Address)
 	b.instance.State = nodepb.InstanceState_DRAINING
 	request := b.heartbeat(home)
-	c.within(time.Second, "an answer", func() bool { return !home.answers[request].Taken && home.answers[request].at > 0 })
+	c.within(time.Second, "an answer", func() bool { return !home.answers[request].Accepted && home.answers[request].at > 0 })
 	// Losing sight of the others doesn't change that.
 	home.setMembers([]*nodepb.Member{home.member})
 	request = b.heartbeat(home)
 	c.within(time.Second, "an answer", func() bool { return home.answers[request].at > 0 })
-	assert.Assert(t, !home.answers[request].Taken)
+	assert.Assert(t, !home.answers[request].Accepted)
 }
 
 func TestSoleNodeAcknowledgesByItself(t *testing.T) {
 	c := newCluster(t, 7, 1, "a")
 	b := c.broker("1", "llm", "a")
-	assert.Assert(t, c.nodes[0].answers[b.heartbeat(c.nodes[0])].Taken)
+	assert.Assert(t, c.nodes[0].answers[b.heartbeat(c.nodes[0])].Accepted)
 	b.instance.State = nodepb.InstanceState_DRAINING
-	assert.Assert(t, c.nodes[0].answers[b.heartbeat(c.nodes[0])].Taken)
-	assert.Assert(t, c.nodes[0].answers[b.deregister(c.nodes[0])].Taken)
+	assert.Assert(t, c.nodes[0].answers[b.heartbeat(c.nodes[0])].Accepted)
+	assert.Assert(t, c.nodes[0].answers[b.deregister(c.nodes[0])].Accepted)
 	assert.Assert(t, c.nobodyHas("1"))
 }
 
@@ -161,5 +161,5 @@
 	}
 	b.instance.State = nodepb.InstanceState_DRAINING
 	request := b.heartbeat(home)
-	c.within(50*time.Millisecond, "an answer", func() bool { return home.answers[request].Taken })
+	c.within(50*time.Millisecond, "an answer", func() bool { return home.answers[request].Accepted })
 }
--- a/internal/node/registry/liveness_test.go
+++ b/internal/node/registry/liveness_test.go
@@ -97,7 +97,7 @@
 		"partitioned and dropped": func(c *cluster, home *clusterNode) {
 			c.network.Isolate(home.Address)
 			c.network.After(3*time.Second, func() { c.publishMembers(home) })
-			c.network.After(8*time.Second, func() { c.network.Rejoin(home.Address); c.publishMembers() })
+			c.network.After(8*time.Second, func() { c.network.HealAll(home.Address); c.publishMembers() })
 		},
 	}
 	for name, inject := range faults {
--- a/internal/node/registry/loading.go
+++ b/internal/node/registry/loading.go
@@ -9,7 +9,7 @@
 func (r *Registry) SetLoading(now core.Time, id string, fencingToken uint64) []core.Output {
 	rec := r.records[id]
 	if rec == nil || rec.gone() {
-		r.output(core.LoadingConfirmed{InstanceID: id, Fence: fencingToken})
+		r.output(core.LoadingConfirmed{InstanceID: id, FencingToken: fencingToken})
 		return r.takeOutputs()
 	}
 	// The revision rises also if nothing changes here: other nodes may hold another mark under the
@@ -19,7 +19,7 @@
 	r.updateTopic(now, rec, r.topics[keyOf(rec.reported)])
 	r.watchExpiry(rec)
 	b := r.startBroadcast(now, []string{id}, now+ackTimeout)
-	b.loadingConfirmations = append(b.loadingConfirmations, core.LoadingConfirmed{InstanceID: id, Fence: fencingToken})
+	b.loadingConfirmations = append(b.loadingConfirmations, core.LoadingConfirmed{InstanceID: id, FencingToken: fencingToken})
 	r.advanceBroadcast(now, b)
 	return r.takeOutputs()
 }
