--- a/internal/node/kvindex/changes.go
+++ b/internal/node/kvindex/changes.go
@@ -2,23 +2,26 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// Changes in a message are kept short: an empty holder or a salt of 0 stands for that of the change before. A change of part
-// 0 concerns the holder as a whole.
+// Changes in a message are delta encoded: an empty holder or a salt of 0 stands for that of the change
+// before. A change of part 0 concerns the holder as a whole.
 const (
-	entireHolder = uint64(0) // as the part: the change concerns the holder
-	cacheLost    = uint32(0) // as the tokens of wholeHolder: it keeps nothing of what was told before
-	storeAlive   = uint32(1) // as the tokens of wholeHolder: a store has answered
+	entireHolder = uint64(0) // as part: the change concerns the holder
+	cacheLost    = uint32(0) // as tokens of entireHolder: it has lost all that was announced before
+	storeAlive   = uint32(1) // as tokens of entireHolder: a store has answered
 )
 
+// resetChange announces that a holder has lost its cache.
 func resetChange(name string) *nodepb.IndexChange {
 	return &nodepb.IndexChange{Instance: name, Part: entireHolder, Tokens: cacheLost}
 }
 
+// aliveChange announces that a store has answered.
 func aliveChange(name string) *nodepb.IndexChange {
 	return &nodepb.IndexChange{Instance: name, Part: entireHolder, Tokens: storeAlive}
 }
 
-// appendChanges writes the keys, which are ordered by holder and salt.
+// appendChanges appends the changes of parts, which are ordered by holder and salt. A part with the
+// number of entireHolder can't be told apart from one and is left out.
 func appendChanges(changes []*nodepb.IndexChange, keys []holderPart, tokens func(holderPart) uint32) []*nodepb.IndexChange {
 	holder, salt := "", uint64(0)
 	for _, key := range keys {
@@ -39,7 +42,8 @@
 	return changes
 }
 
-// eachChange calls apply with holder and salt filled in.
+// eachChange decodes the changes of an update and calls apply for each. Changes before the first holder
+// are malformed and skipped.
 func eachChange(update *nodepb.IndexUpdate, apply func(holder string, salt, part uint64, tokens uint32)) {
 	holder, salt := "", uint64(0)
 	for _, change := range update.Changes {
--- a/internal/node/kvindex/doc.go
+++ b/internal/node/kvindex/doc.go
@@ -1,30 +1,41 @@
-// Package kvindex knows which model broker, and which store, keeps which parts of prompts under which cache salt.
+// Package kvindex knows which model broker, and which KV store, caches which parts of prompts under
+// which cache salt. It isn't the choice of a broker (package routing), and it does no I/O: package
+// feed makes the calls.
 //
-// Three state machines without I/O share the work:
+// Three state machines share the work:
 //
-//   - Home runs on the node that is home of a (service, zone): it polls the events of that zone's brokers, at most one call
-//     at a time and about one a second each, and spreads what changed to the subscribers once a second;
-//   - Subscriber runs on every proxy: it applies what homes spread, and asks for what it missed;
-//   - Index answers the router: who keeps how much of a prompt.
+//   - Home runs on the home node of a (service, zone): it long-polls the cache events of that zone's
+//     brokers and stores, one call at a time and about one a second each, and broadcasts the
+//     changes to the subscribers once a second;
+//   - Subscriber runs on every proxy: it applies the broadcasts, and requests those that it missed;
+//   - Index answers the router: which holders cache how much of a prompt.
 //
-// The index is a hint. Events come late and some never do, a broker may have dropped a part meanwhile, and a wrong hint costs
-// one part read again: so nothing is listed anew after a gap, entries just age. What is never wrong is the salt: it holds model,
-// version and wall, so an entry can't stand for memory that a request must not use.
+// # Invariants
+//
+// The index is a hint. Events arrive late and some never do, a broker may have evicted a part
+// meanwhile, and a wrong hint costs the prefill of one part. So nothing is resynchronised after a gap
+// in the events: entries just age out. What is never wrong is the salt: it stands for model, version
+// and tenant, so that an entry can't stand for memory that a request must not use.
+//
+// Subscribers apply the updates of one epoch in the order of their sequence, without a gap. A higher
+// epoch replaces a lower one: its first update is a snapshot.
 //
 // # Bounds
 //
-// Index holds a fixed number of records and gives up those that were not used for longest. A home spreads at most
-// HomeOptions.BytesPerSecond for each topic, parts first that were seen more than once, as they are shared; small parts
-// (under HomeOptions.LeastTokens) are left out.
+// Index holds a fixed number of records and evicts by the CLOCK algorithm. A home broadcasts at most
+// HomeOptions.BytesPerSecond for each topic, first the parts that were seen more than once, as they
+// are shared. Parts of fewer than HomeOptions.MinTokens are left out.
 //
 // # Next step: shards by prefix
 //
-// With tens of millions of kept blocks no node can hold or hear all. The unit that can be divided is the first part of a
-// prompt: every part of a prompt is looked up together with the parts before it. Shards by the hash of the first part, each at
-// a node chosen by a rendezvous hash within the zone, keep the lookups of a prompt at one place. Homes then send each change to its
-// shard in place of all proxies; a proxy asks the shard for prompts whose parts it has not seen lately and keeps the
-// answer for seconds, as the rendezvous order already names the broker for all others. What a node sends and holds then
-// follows from the prompts that it serves. The messages stay: IndexUpdate towards the shard, IndexPoll with the parts asked for.
+// With tens of millions of cached blocks no node can hold or receive all of them. They can be divided
+// by the first part of a prompt, as every part is looked up together with the parts before it. Shards
+// by the hash of the first part, each at a node chosen by rendezvous hashing within the zone, keep
+// the look-ups of a prompt at one place. Homes then send each change to its shard in place of all
+// proxies; a proxy asks the shard for prompts whose parts it has not seen lately and caches the answer
+// for seconds, as the rendezvous order already names the broker for all others. What a node sends and
+// holds then follows from the prompts that it serves. The messages stay: IndexUpdate towards the
+// shard, IndexPoll with the parts asked for.
 //
 // Source: PROTOCOL.md, "KV cache"; RULES.md, "Model brokers" (STALE, WALL).
 package kvindex
--- a/internal/node/kvindex/guarded.go
+++ b/internal/node/kvindex/guarded.go
@@ -6,19 +6,21 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// Guarded serialises the calls to an Index: the router reads it while the control loop applies changes. Each call is short.
+// Guarded serialises the calls to an Index with a mutex: the router reads it while the control loop
+// applies changes. Each call is short.
 type Guarded struct {
 	mutex   sync.Mutex
 	index   *Index
-	results []routing.Holder
+	results []routing.Holder // a copy of the Index's, which the next change may overwrite
 }
 
 var _ routing.Index = (*Guarded)(nil)
 
-// NewGuarded wraps an index, which must not be used directly any more.
+// NewGuarded wraps an index, which must no longer be used directly.
 func NewGuarded(index *Index) *Guarded { return &Guarded{index: index} }
 
-// Holders is Index.Holders. Its own callers must be serialised, as the router's are.
+// Holders is Index.Holders. Its callers must be serialised among themselves, as the router's are, as
+// the list is valid until the next call.
 func (g *Guarded) Holders(salt uint64, parts []routing.PromptPart) []routing.Holder {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -33,7 +35,7 @@
 	g.index.Observed(name, salt, parts)
 }
 
-// Update runs a change of the index, which must not keep it.
+// Update runs a change of the index. The function must not retain it.
 func (g *Guarded) Update(change func(*Index)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/node/kvindex/home.go
+++ b/internal/node/kvindex/home.go
@@ -9,13 +9,15 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// HomeOptions bound what a home does.
+// HomeOptions configure a Home.
 type HomeOptions struct {
-	// Epoch of the topics of this node's life: the time of day at its start in milliseconds, so that a later home's is higher.
+	// Epoch is the base of the epochs of this node's topics: the time of day at its start in
+	// milliseconds, so that a later home has a higher epoch.
 	Epoch uint64
-	// BytesPerSecond is about how much is sent to each subscriber for each topic; 0: defaultBytesPerSecond.
+	// BytesPerSecond is about how much is sent to each subscriber for each topic; 0:
+	// defaultBytesPerSecond.
 	BytesPerSecond int
-	// MinTokens is the size under which parts are not told of; 0: defaultLeastTokens.
+	// MinTokens is the size below which parts are not announced; 0: defaultMinTokens.
 	MinTokens int
 }
 
@@ -24,18 +26,19 @@
 	defaultMinTokens      = 64
 )
 
-// Home polls the brokers and stores that this node is home of, and spreads what they keep.
+// Home polls the events of the brokers and stores whose home this node is, and broadcasts the changes.
+// It is not safe for concurrent use.
 type Home struct {
 	options     HomeOptions
 	topics      map[topicKey]*topic
 	sources     map[string]*source // by name
-	subscribers []string
+	subscribers []string           // internal addresses
 	lastCallID  uint64
-	lastNumber  uint64
+	lastNumber  uint64 // of the newest source
 	deadline    core.Time
 }
 
-// NewHome returns a home of nothing.
+// NewHome returns a home without sources and subscribers.
 func NewHome(options HomeOptions) *Home {
 	if options.BytesPerSecond == 0 {
 		options.BytesPerSecond = defaultBytesPerSecond
@@ -46,10 +49,10 @@
 	return &Home{options: options, topics: map[topicKey]*topic{}, sources: map[string]*source{}, deadline: core.Never}
 }
 
-// Deadline is when Tick is to be called; it may change with each input.
+// Deadline is when Tick is next to be called. It may change with each input.
 func (h *Home) Deadline() core.Time { return h.deadline }
 
-// SetSubscribers names the internal addresses of all nodes that are to hear of changes.
+// SetSubscribers sets the internal addresses of the nodes that changes are broadcast to.
 func (h *Home) SetSubscribers(addresses []string) {
 	h.subscribers = slices.Clone(addresses)
 	for _, t := range h.topics {
@@ -61,7 +64,8 @@
 	}
 }
 
-// SetSources names all brokers and stores that this node is home of.
+// SetSources sets the brokers and stores whose home this node is. A source that has changed counts as a
+// new one.
 func (h *Home) SetSources(now core.Time, list []Source) {
 	named := make(map[string]bool, len(list))
 	for _, item := range list {
@@ -81,41 +85,43 @@
 	h.updateDeadline()
 }
 
+// addSource adds a source, and its topic if it is the first of that.
 func (h *Home) addSource(now core.Time, item Source) {
 	h.lastNumber++
 	s := &source{Source: item, number: h.lastNumber, cached: map[partKey]cachedPart{}, nextCallAt: now + h.stagger()}
 	h.sources[item.name()] = s
-	id := topicKey{item.Service, item.Zone}
-	t := h.topics[id]
+	key := topicKey{item.Service, item.Zone}
+	t := h.topics[key]
 	if t == nil {
-		t = newTopic(id, h.options.Epoch+uint64(now/time.Millisecond), now)
-		h.topics[id] = t
+		t = newTopic(key, h.options.Epoch+uint64(now/time.Millisecond), now)
+		h.topics[key] = t
 	}
 	t.sources = append(t.sources, s)
 }
 
-// stagger spreads the calls of the sources over a period.
+// stagger spreads the first calls of the sources over an interval.
 func (h *Home) stagger() time.Duration {
 	const steps = 8
 	return time.Duration(h.lastNumber%steps) * eventPollInterval / steps
 }
 
+// removeSource removes a source, if it is known, and its topic with the last one.
 func (h *Home) removeSource(name string) {
 	s := h.sources[name]
 	if s == nil {
 		return
 	}
 	delete(h.sources, name)
-	id := topicKey{s.Service, s.Zone}
-	t := h.topics[id]
+	key := topicKey{s.Service, s.Zone}
+	t := h.topics[key]
 	t.sources = slices.DeleteFunc(t.sources, func(other *source) bool { return other == s })
 	t.dropHolder(name)
 	if len(t.sources) == 0 {
-		delete(h.topics, id)
+		delete(h.topics, key)
 	}
 }
 
-// Tick makes the calls and sends the updates that are due.
+// Tick starts the calls and broadcasts the updates that are due.
 func (h *Home) Tick(now core.Time) []core.Output {
 	var outputs []core.Output
 	for _, s := range h.dueSources(now) {
@@ -128,6 +134,7 @@
 	return outputs
 }
 
+// dueSources lists the sources that are to be called now, in the order in which they were added.
 func (h *Home) dueSources(now core.Time) []*source {
 	var due []*source
 	for _, s := range h.sources {
@@ -139,6 +146,7 @@
 	return due
 }
 
+// dueTopics lists the topics that have an update to broadcast now, ordered by service and zone.
 func (h *Home) dueTopics(now core.Time) []*topic {
 	var due []*topic
 	for _, t := range h.topics {
@@ -152,6 +160,7 @@
 	return due
 }
 
+// pollSource starts a call to a source; EventsDone ends it.
 func (h *Home) pollSource(now core.Time, s *source) core.Output {
 	h.lastCallID++
 	s.callID = h.lastCallID
@@ -159,6 +168,7 @@
 	return core.FetchEvents{Token: s.callID, Instance: s.Instance, Address: s.Address, Since: s.cursor, Wait: maxLongPoll}
 }
 
+// broadcast appends the sends of an update to all subscribers.
 func (h *Home) broadcast(update *nodepb.IndexUpdate, outputs []core.Output) []core.Output {
 	for _, address := range h.subscribers {
 		outputs = append(outputs, sendUpdate(address, update))
@@ -170,7 +180,8 @@
 	return core.Send{Destination: address, Message: &nodepb.Envelope{Body: &nodepb.Envelope_IndexUpdate{IndexUpdate: update}}}
 }
 
-// EventsDone takes the answer to a call, or an error.
+// EventsDone ends a call with its events or an error. The result of a call that is no longer pending is
+// ignored.
 func (h *Home) EventsDone(now core.Time, callID uint64, events *Events, err error) {
 	s := h.sourceOfCall(callID)
 	if s == nil {
@@ -186,6 +197,7 @@
 	h.updateDeadline()
 }
 
+// sourceOfCall returns the source with a pending call, nil if there is none.
 func (h *Home) sourceOfCall(callID uint64) *source {
 	for _, s := range h.sources {
 		if s.callID == callID && callID != 0 {
@@ -195,7 +207,7 @@
 	return nil
 }
 
-// HandlePoll answers a subscriber that missed updates.
+// HandlePoll answers a subscriber that lacks updates.
 func (h *Home) HandlePoll(now core.Time, from core.Peer, poll *nodepb.IndexPoll) []core.Output {
 	t := h.topics[topicKey{poll.Service, poll.Zone}]
 	if t == nil {
@@ -208,6 +220,7 @@
 	return outputs
 }
 
+// updateDeadline recomputes the deadline. Each input calls it last.
 func (h *Home) updateDeadline() {
 	h.deadline = core.Never
 	for _, s := range h.sources {
--- a/internal/node/kvindex/index.go
+++ b/internal/node/kvindex/index.go
@@ -6,67 +6,74 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// blockTokens is how coarsely brokers keep parts: a part counts as kept whole where no more than that is missing.
+// blockTokens is the size of a broker's cache blocks: a part counts as completely cached if less than
+// a block is missing.
 const blockTokens = 16
 
 // storePrefix marks the names of stores among those of brokers.
 const storePrefix = "store "
 
-// StoreName is the name under which the index knows the store at an address.
+// StoreName returns the name under which the index knows the store at an address.
 func StoreName(address string) string { return storePrefix + address }
 
-// storeAddress is the address in a store's name.
+// storeAddress returns the address in a store's name; false for the name of a broker.
 func storeAddress(name string) (string, bool) { return strings.CutPrefix(name, storePrefix) }
 
 // noRecord ends a list of records.
 const noRecord = int32(-1)
 
-// record says that one holder keeps a part under a salt. Records of the same part and salt form a list.
+// record is one part that a holder caches under a salt. Records of the same part and salt form a list.
 type record struct {
-	key         uint64 // of salt and part
-	next        int32  // in the list of its key
-	holder      uint32
-	incarnation uint32 // of the holder when it was made: those of former lives don't count
-	tokens      uint32 // kept
-	referenced  bool   // again since it was made or the hand last passed
+	key         uint64 // hash of salt and part
+	next        int32  // slot of the next record in the list of its key, or in the free list
+	holder      uint32 // its number
+	incarnation uint32 // of the holder when the record was written; another one makes it stale
+	tokens      uint32 // cached
+	referenced  bool   // used since it was written or the clock hand last passed
 }
 
 // holder is a broker or store.
 type holder struct {
 	name        string
-	incarnation uint32 // raised when all that it kept is gone
-	recordCount int    // records of it, of former lives too
+	incarnation uint32 // raised when all that it cached is lost
+	recordCount int    // of all incarnations
 	gone        bool
-	// Scratch of Holders: how much of the prompt asked for is kept without a gap.
+	// The match of the query with the number `query`; other queries reset it.
 	query         uint64
-	completeParts int // parts kept whole so far
-	tokens        int
+	completeParts int // parts cached completely, from the first one on
+	matchedTokens int // tokens cached without a gap, from the first one on
 }
 
-// Index tells who keeps which parts. It is not safe for concurrent use: see Guarded.
+// Index finds the holders of a prompt's parts. It is not safe for concurrent use: see Guarded.
+//
+// A stale record, of a former incarnation of its holder, is never found. It is evicted when the clock
+// hand reaches it, so that the loss of a whole cache takes constant time.
 type Index struct {
 	records    []record
-	headByKey  map[uint64]int32 // record by key
+	headByKey  map[uint64]int32 // slot of the first record of a key
 	maxRecords int
-	clockHand  int   // next record to be given up unless it was used
-	freeList   int32 // list of free records
+	clockHand  int   // slot that is looked at next for eviction
+	freeList   int32 // slot of the first free record
 
-	holders        []holder
+	holders        []holder // by number
 	freeHolders    []uint32 // numbers of holders that are gone and have no records
 	holderByName   map[string]uint32
-	query          uint64
-	results        []routing.Holder
-	matchedHolders []uint32
+	query          uint64           // number of the latest query
+	results        []routing.Holder // of the latest query
+	matchedHolders []uint32         // numbers of the holders that the latest query matched
 }
 
 var _ routing.Index = (*Index)(nil)
 
-// NewIndex returns an empty index of at most `records` records, each of about 60 bytes.
-func NewIndex(records int) *Index {
-	return &Index{headByKey: map[uint64]int32{}, maxRecords: max(records, 1), freeList: noRecord, holderByName: map[string]uint32{}}
+// NewIndex returns an empty index of at most maxRecords records, each of about 60 bytes.
+func NewIndex(maxRecords int) *Index {
+	return &Index{
+		headByKey: map[uint64]int32{}, maxRecords: max(maxRecords, 1), freeList: noRecord, holderByName: map[string]uint32{},
+	}
 }
 
-// keyOf spreads salt and part over 64 bits. Keys that collide make a wrong hint, no more.
+// keyOf hashes salt and part to 64 bits (the finaliser of splitmix64). A collision makes a wrong hint,
+// no more.
 func keyOf(salt, part uint64) uint64 {
 	x := salt ^ part*0x9e3779b97f4a7c15
 	x ^= x >> 30
@@ -76,7 +83,7 @@
 	return x ^ x>>31
 }
 
-// holderNumber finds a holder's number, and makes one where it is new.
+// holderNumber returns a holder's number; a new holder gets one.
 func (x *Index) holderNumber(name string) uint32 {
 	if number, ok := x.holderByName[name]; ok {
 		return number
@@ -87,10 +94,11 @@
 	return number
 }
 
+// newHolder returns the number of a new holder. A number that is used again gets a new incarnation.
 func (x *Index) newHolder() uint32 {
-	if n := len(x.freeHolders); n > 0 {
-		number := x.freeHolders[n-1]
-		x.freeHolders = x.freeHolders[:n-1]
+	if count := len(x.freeHolders); count > 0 {
+		number := x.freeHolders[count-1]
+		x.freeHolders = x.freeHolders[:count-1]
 		x.holders[number] = holder{incarnation: x.holders[number].incarnation + 1}
 		return number
 	}
@@ -98,7 +106,7 @@
 	return uint32(len(x.holders) - 1)
 }
 
-// Set notes how many tokens of a part a holder keeps under a salt; 0: none any more.
+// Set records how many tokens of a part a holder caches under a salt; 0 removes the record.
 func (x *Index) Set(name string, salt, part uint64, tokens int) {
 	key := keyOf(salt, part)
 	if tokens > 0 {
@@ -109,14 +117,15 @@
 	if !ok {
 		return
 	}
-	if at := x.find(key, number); at != noRecord {
-		x.unlink(at)
-		x.records[at].next = x.freeList
-		x.freeList = at
+	if slot := x.find(key, number); slot != noRecord {
+		x.unlink(slot)
+		x.records[slot].next = x.freeList
+		x.freeList = slot
 	}
 }
 
-// Observed notes that a request with these parts has run at a holder under a salt: they are kept there now.
+// Observed records that a request with these parts has run at a holder under a salt, which caches them
+// since.
 func (x *Index) Observed(name string, salt uint64, parts []routing.PromptPart) {
 	number := x.holderNumber(name)
 	for _, part := range parts {
@@ -126,7 +135,7 @@
 	}
 }
 
-// Reset drops all that a holder keeps, as after its restart or when it got new weights.
+// Reset drops all that a holder caches, as after its restart or the load of new weights.
 func (x *Index) Reset(name string) {
 	if number, ok := x.holderByName[name]; ok {
 		x.holders[number].incarnation++
@@ -145,14 +154,14 @@
 	x.releaseHolder(number)
 }
 
-// releaseHolder lets the number of a holder that is gone be used again, once no record names it.
+// releaseHolder frees the number of a holder that is gone, once no record names it.
 func (x *Index) releaseHolder(number uint32) {
 	if h := &x.holders[number]; h.gone && h.recordCount == 0 {
 		x.freeHolders = append(x.freeHolders, number)
 	}
 }
 
-// Records counts what is held, records of former lives included.
+// Records returns the number of records, stale ones included.
 func (x *Index) Records() int {
 	count := 0
 	for i := range x.holders {
@@ -161,70 +170,75 @@
 	return count
 }
 
+// put writes the record of a holder's part, a new one at the head of its key's list.
 func (x *Index) put(key uint64, number, tokens uint32) {
-	if at := x.find(key, number); at != noRecord {
-		r := &x.records[at]
+	if slot := x.find(key, number); slot != noRecord {
+		r := &x.records[slot]
 		r.tokens, r.incarnation, r.referenced = tokens, x.holders[number].incarnation, true
 		return
 	}
-	at := x.allocateRecord()
-	x.records[at] = record{
+	// The slot comes first: it may evict a record of the same key, and with it the head of the list.
+	slot := x.allocateRecord()
+	x.records[slot] = record{
 		key: key, next: x.head(key), holder: number, incarnation: x.holders[number].incarnation, tokens: tokens,
 	}
-	x.headByKey[key] = at
+	x.headByKey[key] = slot
 	x.holders[number].recordCount++
 }
 
+// head returns the slot of the first record of a key, noRecord without one.
 func (x *Index) head(key uint64) int32 {
-	if at, ok := x.headByKey[key]; ok {
-		return at
+	if slot, ok := x.headByKey[key]; ok {
+		return slot
 	}
 	return noRecord
 }
 
+// find returns the slot of a holder's record of a key, noRecord without one.
 func (x *Index) find(key uint64, number uint32) int32 {
-	at := x.head(key)
-	for at != noRecord && x.records[at].holder != number {
-		at = x.records[at].next
+	slot := x.head(key)
+	for slot != noRecord && x.records[slot].holder != number {
+		slot = x.records[slot].next
 	}
-	return at
+	return slot
 }
 
-// allocateRecord is the place of a record that can be written: one that is free, a new one, or one that was not used since the hand
-// last passed.
+// allocateRecord returns a slot that can be written: a free one, a new one, or that of an evicted
+// record. Eviction is CLOCK: a live record that was referenced since the hand last passed is spared
+// once.
 func (x *Index) allocateRecord() int32 {
-	if at := x.freeList; at != noRecord {
-		x.freeList = x.records[at].next
-		return at
+	if slot := x.freeList; slot != noRecord {
+		x.freeList = x.records[slot].next
+		return slot
 	}
 	if len(x.records) < x.maxRecords {
 		x.records = append(x.records, record{})
 		return int32(len(x.records) - 1)
 	}
 	for {
-		at := x.clockHand
+		slot := x.clockHand
 		x.clockHand = (x.clockHand + 1) % len(x.records)
-		if r := &x.records[at]; r.referenced && x.live(r) {
+		if r := &x.records[slot]; r.referenced && x.live(r) {
 			r.referenced = false
 			continue
 		}
-		x.unlink(int32(at))
-		return int32(at)
+		x.unlink(int32(slot))
+		return int32(slot)
 	}
 }
 
-// live reports whether a record is of its holder's present life.
+// live reports whether a record is of its holder's present incarnation.
 func (x *Index) live(r *record) bool { return r.incarnation == x.holders[r.holder].incarnation }
 
-// unlink takes a record out of the list of its key.
-func (x *Index) unlink(at int32) {
-	r := &x.records[at]
-	if first := x.headByKey[r.key]; first != at {
-		before := first
-		for x.records[before].next != at {
-			before = x.records[before].next
+// unlink removes a record from the list of its key and clears it.
+func (x *Index) unlink(slot int32) {
+	r := &x.records[slot]
+	if first := x.headByKey[r.key]; first != slot {
+		previous := first
+		for x.records[previous].next != slot {
+			previous = x.records[previous].next
 		}
-		x.records[before].next = r.next
+		x.records[previous].next = r.next
 	} else if r.next != noRecord {
 		x.headByKey[r.key] = r.next
 	} else {
--- a/internal/node/kvindex/lookup.go
+++ b/internal/node/kvindex/lookup.go
@@ -7,13 +7,14 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// Holders lists who keeps the beginning of a prompt under a salt, the most tokens first. A part counts only where every part
-// before it is kept whole (PROTOCOL.md, "Requests"). The list is valid until the next call.
+// Holders lists the holders that cache a prefix of a prompt under a salt, the longest prefix first. A
+// part counts only if every part before it is cached completely (PROTOCOL.md, "Requests"). The list
+// is valid until the next call.
 func (x *Index) Holders(salt uint64, parts []routing.PromptPart) []routing.Holder {
 	x.query++
 	x.matchedHolders = x.matchedHolders[:0]
-	for place, part := range parts {
-		if !x.extendMatches(place, keyOf(salt, part.ID), part.Tokens) {
+	for position, part := range parts {
+		if !x.extendMatches(position, keyOf(salt, part.ID), part.Tokens) {
 			break
 		}
 	}
@@ -27,38 +28,44 @@
 	return x.results
 }
 
-// extendMatches counts the part at a place for the holders that keep all before it, and reports whether any keeps it whole.
-func (x *Index) extendMatches(place int, key uint64, tokens int) bool {
-	any := false
-	for at := x.head(key); at != noRecord; at = x.records[at].next {
-		r := &x.records[at]
-		if !x.live(r) {
-			continue
-		}
-		h := &x.holders[r.holder]
-		if h.query != x.query {
-			if place > 0 {
-				continue
-			}
-			h.query, h.completeParts, h.tokens = x.query, 0, 0
-			x.matchedHolders = append(x.matchedHolders, r.holder)
-		}
-		if h.completeParts != place {
+// extendMatches adds the part at a position to the matches of the holders that cache all parts before
+// it. It reports whether any of them caches the part completely, so that the next one may count.
+func (x *Index) extendMatches(position int, key uint64, tokens int) bool {
+	anyComplete := false
+	for slot := x.head(key); slot != noRecord; slot = x.records[slot].next {
+		r := &x.records[slot]
+		if !x.live(r) || !x.matchesUpTo(position, r.holder) {
 			continue
 		}
 		r.referenced = true
-		h.tokens += min(int(r.tokens), tokens)
+		h := &x.holders[r.holder]
+		h.matchedTokens += min(int(r.tokens), tokens)
 		if int(r.tokens)+blockTokens > tokens {
 			h.completeParts++
-			any = true
+			anyComplete = true
+		}
+	}
+	return anyComplete
+}
+
+// matchesUpTo reports whether the holder caches all parts before a position completely. A holder of
+// the first part becomes a match of the query.
+func (x *Index) matchesUpTo(position int, number uint32) bool {
+	h := &x.holders[number]
+	if h.query != x.query {
+		if position > 0 {
+			return false
 		}
+		h.query, h.completeParts, h.matchedTokens = x.query, 0, 0
+		x.matchedHolders = append(x.matchedHolders, number)
 	}
-	return any
+	return h.completeParts == position
 }
 
+// routingHolder returns a match as the router sees it.
 func routingHolder(h *holder) routing.Holder {
 	if address, ok := storeAddress(h.name); ok {
-		return routing.Holder{Instance: address, Store: true, Tokens: h.tokens}
+		return routing.Holder{Instance: address, Store: true, Tokens: h.matchedTokens}
 	}
-	return routing.Holder{Instance: h.name, Tokens: h.tokens}
+	return routing.Holder{Instance: h.name, Tokens: h.matchedTokens}
 }
--- a/internal/node/kvindex/recentparts.go
+++ b/internal/node/kvindex/recentparts.go
@@ -1,23 +1,23 @@
 package kvindex
 
-// maxRecentParts bounds the keys of one of the two sets.
+// maxRecentParts bounds each of the two generations of a recentParts.
 const maxRecentParts = 4096
 
-// recentParts remembers which parts were read more than once lately: those are shared. Of two sets the older is dropped when the
-// newer is full.
+// recentParts remembers which parts were seen lately, so that those seen again count as shared. It
+// holds two generations: when the newer one is full it becomes the older one, and that is dropped.
 type recentParts struct {
 	newer, older map[partKey]bool
 }
 
-// recordAndTest notes that a part was read, and reports whether it was so before.
-func (s *recentParts) recordAndTest(key partKey) bool {
-	if s.newer[key] {
+// recordAndTest records that a part was seen, and reports whether it had been seen lately.
+func (r *recentParts) recordAndTest(key partKey) bool {
+	if r.newer[key] {
 		return true
 	}
-	if s.newer == nil || len(s.newer) >= maxRecentParts {
-		s.older = s.newer
-		s.newer = make(map[partKey]bool)
+	if r.newer == nil || len(r.newer) >= maxRecentParts {
+		r.older = r.newer
+		r.newer = make(map[partKey]bool)
 	}
-	s.newer[key] = true
-	return s.older[key]
+	r.newer[key] = true
+	return r.older[key]
 }
--- a/internal/node/kvindex/source.go
+++ b/internal/node/kvindex/source.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// eventPollInterval lies between the starts of two calls to the same source.
+	// eventPollInterval is the least time between the starts of two calls to the same source.
 	eventPollInterval = time.Second
-	// maxLongPoll is the most a call may be held (PROTOCOL.md, "KV cache").
+	// maxLongPoll is how long a source may hold a call until it has events (PROTOCOL.md, "KV cache").
 	maxLongPoll = time.Second
-	// minBackoff follows a call that failed; it doubles up to lastBackoff.
+	// minBackoff follows a failed call; it doubles with each further one up to maxBackoff.
 	minBackoff = time.Second
 	maxBackoff = 8 * time.Second
-	// callTimeout is how long the shell's own end of a call is waited for.
+	// callTimeout is when a call without a result counts as lost. It is longer than the timeout of
+	// package feed, which reports a result in any case.
 	callTimeout = 4 * time.Second
-	// maxCachedParts bounds how many parts of one source a home remembers.
+	// maxCachedParts bounds the parts of one source that a home remembers.
 	maxCachedParts = 16384
 )
 
@@ -28,7 +29,7 @@
 	Zone     string
 }
 
-// name is the source's among the holders of the index.
+// name returns the source's name as a holder in the index.
 func (s *Source) name() string {
 	if s.Instance == "" {
 		return StoreName(s.Address)
@@ -39,24 +40,24 @@
 // partKey is a part under a salt.
 type partKey struct{ salt, part uint64 }
 
-// cachedPart is how much of a part is kept, and which change told of it.
+// cachedPart is how much of a part a source caches, by its newest event.
 type cachedPart struct {
 	tokens       uint32
-	changeNumber uint64
+	changeNumber uint64 // number of that event among those of the source
 }
 
 // source is what a home knows of one Source.
 type source struct {
 	Source
 	number      uint64 // order among the sources of this home
-	epoch       uint64 // of its events; 0: none seen
-	cursor      uint64
+	epoch       uint64 // of its events, another one after a restart; 0: none received
+	cursor      uint64 // page token of the next events
 	cached      map[partKey]cachedPart
-	changeCount uint64 // changes so far
-	callID      uint64 // of the call that is out; 0: none
-	calledAt    core.Time
+	changeCount uint64    // events of cached parts so far
+	callID      uint64    // of the pending call; 0: none
+	calledAt    core.Time // start of the latest call
 	nextCallAt  core.Time
-	failures    int
+	failures    int // failed calls in a row
 }
 
 // due reports whether a call is to be made now.
@@ -75,13 +76,15 @@
 	return s.nextCallAt
 }
 
+// backOff ends a failed call.
 func (s *source) backOff(now core.Time) {
 	s.callID = 0
 	s.nextCallAt = now + min(minBackoff<<min(s.failures, 10), maxBackoff)
 	s.failures++
 }
 
-// handleEvents takes events in. reset: all that was kept before is gone; changed are the parts that changed.
+// handleEvents ends a call that brought events. It reports whether the source has restarted, so that all
+// it cached before is lost, and the parts whose state changed.
 func (s *source) handleEvents(events *Events, now core.Time) (reset bool, changed []partKey) {
 	s.callID = 0
 	s.failures = 0
@@ -90,7 +93,9 @@
 		reset = s.epoch != 0
 		clear(s.cached)
 		s.epoch = events.Epoch
-		if s.cursor > 0 { // numbered anew: what lies before is asked for once more
+		if s.cursor > 0 {
+			// The events of the new epoch are numbered from the start: those before the old cursor
+			// are missing here and fetched at once.
 			s.cursor = 0
 			s.nextCallAt = now
 			return reset, nil
@@ -106,30 +111,31 @@
 	return reset, append(changed, s.evictStale()...)
 }
 
-// recordPart reports whether what is kept of a part changed.
+// recordPart records an event of a part and reports whether it changed the part.
 func (s *source) recordPart(key partKey, tokens uint32) bool {
-	before, known := s.cached[key]
+	previous, known := s.cached[key]
 	if tokens == 0 {
 		delete(s.cached, key)
 		return known
 	}
 	s.changeCount++
 	s.cached[key] = cachedPart{tokens: tokens, changeNumber: s.changeCount}
-	return before.tokens != tokens
+	return previous.tokens != tokens
 }
 
-// evictStale takes out the parts that were told of longest ago where there are too many: events that never came have left some
-// behind that are not kept any more.
+// evictStale removes and returns the parts with the oldest events if there are too many parts: lost
+// events have left parts behind that the source no longer caches. It removes an eighth or more, so that
+// it seldom has to.
 func (s *source) evictStale() []partKey {
 	if len(s.cached) <= maxCachedParts {
 		return nil
 	}
-	var old []partKey
+	var stale []partKey
 	for key, part := range s.cached {
 		if part.changeNumber+maxCachedParts*7/8 <= s.changeCount {
-			old = append(old, key)
+			stale = append(stale, key)
 			delete(s.cached, key)
 		}
 	}
-	return old
+	return stale
 }
--- a/internal/node/kvindex/sources.go
+++ b/internal/node/kvindex/sources.go
@@ -5,7 +5,8 @@
 	"kestrelspread/internal/node/registry"
 )
 
-// SourcesOf lists the brokers that run models, and the stores, of the topics that a node is home of.
+// SourcesOf lists the brokers that run models, and the stores, of the topics whose home a node is. The
+// order of the list is random.
 func SourcesOf(table *registry.Table, stores []*config.Service, isHome func(service, zone string) bool) []Source {
 	var list []Source
 	for service, instances := range table.ByService {
--- a/internal/node/kvindex/subscriber.go
+++ b/internal/node/kvindex/subscriber.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// topicPollInterval lies between two polls for the same topic.
+	// topicPollInterval is the least time between two polls for the same topic.
 	topicPollInterval = time.Second
-	// homeTimeout is how long a home must have been silent for one with a lower epoch to be heard.
+	// homeTimeout is the time without an update of a home after which one with a lower epoch is
+	// accepted.
 	homeTimeout = 5 * time.Second
 )
 
-// subscription is how far a subscriber is with a topic.
+// subscription is a subscriber's state of one topic.
 type subscription struct {
-	epoch        uint64
-	sequence     uint64
+	epoch        uint64 // of the last update applied
+	sequence     uint64 // of the last update applied
 	lastUpdateAt core.Time
-	polledAt     core.Time
+	polledAt     core.Time // valid if polled
 	polled       bool
-	holders      map[string]bool // named by the topic
+	holders      map[string]bool // named by the topic's updates since its snapshot
 }
 
-// Subscriber applies what homes spread to an index.
+// Subscriber applies the broadcasts of homes to an index. It is not safe for concurrent use.
 type Subscriber struct {
 	index    *Guarded
 	topics   map[topicKey]*subscription
-	versions map[string]map[string]uint64 // of weights, by instance and model, as last seen
+	versions map[string]map[string]uint64 // of weights, by instance id and model, in the last table
 }
 
-// NewSubscriber returns one that has heard of nothing.
+// NewSubscriber returns a subscriber that has received nothing.
 func NewSubscriber(index *Guarded) *Subscriber {
 	return &Subscriber{index: index, topics: map[topicKey]*subscription{}, versions: map[string]map[string]uint64{}}
 }
 
-// HandleUpdate applies an update, or asks its sender for what is missing before it.
+// HandleUpdate applies an update, or polls its sender for the updates that are missing before it. It
+// ignores a former home, whose epoch is lower, as long as the present one sends updates.
 func (s *Subscriber) HandleUpdate(now core.Time, from core.Peer, update *nodepb.IndexUpdate) []core.Output {
-	id := topicKey{update.Service, update.Zone}
-	t := s.topics[id]
+	key := topicKey{update.Service, update.Zone}
+	t := s.topics[key]
 	if t == nil {
 		t = &subscription{holders: map[string]bool{}}
-		s.topics[id] = t
+		s.topics[key] = t
 	}
 	if update.Epoch < t.epoch && now < t.lastUpdateAt+homeTimeout {
 		return nil // a former home
@@ -53,25 +55,26 @@
 	case update.Whole && (update.Epoch != t.epoch || update.Sequence > t.sequence):
 		return s.apply(now, t, update)
 	case update.Epoch == t.epoch && update.Sequence <= t.sequence:
-		return nil // known
+		return nil // already applied
 	case update.Epoch == t.epoch && update.Sequence == t.sequence+1:
 		return s.apply(now, t, update)
 	default:
-		return t.poll(now, from, id)
+		return t.poll(now, from, key)
 	}
 }
 
-// poll asks a home for what is missing.
-func (t *subscription) poll(now core.Time, from core.Peer, id topicKey) []core.Output {
+// poll requests the missing updates from a home, at most once per topicPollInterval.
+func (t *subscription) poll(now core.Time, home core.Peer, key topicKey) []core.Output {
 	if t.polled && now < t.polledAt+topicPollInterval {
 		return nil
 	}
 	t.polled, t.polledAt = true, now
-	return []core.Output{core.Send{Destination: from.Address, Message: &nodepb.Envelope{Body: &nodepb.Envelope_IndexPoll{
-		IndexPoll: &nodepb.IndexPoll{Service: id.service, Zone: id.zone, Epoch: t.epoch, Sequence: t.sequence},
-	}}}}
+	poll := &nodepb.IndexPoll{Service: key.service, Zone: key.zone, Epoch: t.epoch, Sequence: t.sequence}
+	message := &nodepb.Envelope{Body: &nodepb.Envelope_IndexPoll{IndexPoll: poll}}
+	return []core.Output{core.Send{Destination: home.Address, Message: message}}
 }
 
+// apply applies an update to the index under one lock, so that the router sees all of it or nothing.
 func (s *Subscriber) apply(now core.Time, t *subscription, update *nodepb.IndexUpdate) []core.Output {
 	t.epoch, t.sequence, t.lastUpdateAt = update.Epoch, update.Sequence, now
 	var outputs []core.Output
@@ -96,7 +99,7 @@
 	return outputs
 }
 
-// reset drops all that the topic told before.
+// reset drops all that the topic's earlier updates named, as a snapshot replaces them.
 func (t *subscription) reset(index *Index) {
 	for name := range t.holders {
 		index.Reset(name)
@@ -104,7 +107,8 @@
 	clear(t.holders)
 }
 
-// SetTable drops what brokers kept that are gone or have got new weights (PROTOCOL.md: an order of op = version drops it).
+// SetTable drops the entries of brokers that are gone or have loaded new weights, which empties their
+// cache (PROTOCOL.md: op = version).
 func (s *Subscriber) SetTable(table *registry.Table) {
 	for id := range s.versions {
 		if table.ByID[id] == nil {
@@ -119,6 +123,7 @@
 	}
 }
 
+// forget drops a broker that is gone.
 func (s *Subscriber) forget(instance string) {
 	delete(s.versions, instance)
 	s.index.Update(func(index *Index) { index.Forget(instance) })
--- a/internal/node/kvindex/topic.go
+++ b/internal/node/kvindex/topic.go
@@ -10,62 +10,63 @@
 )
 
 const (
-	// broadcastInterval is how often what changed is told.
+	// broadcastInterval is the least time between two updates of a topic.
 	broadcastInterval = time.Second
-	// bytesPerChange is about what one change takes in a message.
+	// bytesPerChange is about the size of one change in a message.
 	bytesPerChange = 16
-	// maxRetainedUpdates is how many updates are kept for subscribers that missed some.
+	// maxRetainedUpdates bounds the updates retained for subscribers that missed some.
 	maxRetainedUpdates = 8
 	// maxSnapshotChanges bounds the changes in one snapshot.
 	maxSnapshotChanges = 8192
-	// snapshotInterval lies between two snapshots for the same subscriber.
+	// snapshotInterval is the least time between two snapshots to the same subscriber.
 	snapshotInterval = 2 * time.Second
-	// maxPendingAge is how long a change that the bound on bytes holds back is kept.
+	// maxPendingAge is how long a change stays pending that exceeds the bound on bytes.
 	maxPendingAge = 5 * time.Second
 )
 
-// topicKey names what is spread together.
+// topicKey identifies a topic: the sources of one service in one zone.
 type topicKey struct{ service, zone string }
 
-// holderPart is a part at a holder that changed.
+// holderPart is a part at a holder.
 type holderPart struct {
-	holder string
+	holder string // its name
 	partKey
 }
 
-// pendingChange is a change that was not told yet.
+// pendingChange is a change of a part that has not been announced.
 type pendingChange struct {
-	tokens       uint32
+	tokens       uint32 // cached now; 0: the part is no longer cached
 	pendingSince core.Time
-	shared       bool
+	shared       bool // the part was seen more than once lately
 }
 
-// topic spreads what the brokers of one service in one zone keep.
+// topic holds the changes of the sources of one service in one zone, and makes the updates of them.
 type topic struct {
 	key             topicKey
 	epoch           uint64
-	sequence        uint64
-	started         bool // the first update, which is a snapshot, has gone out
+	sequence        uint64 // of the newest update
+	started         bool   // the first update, which is a snapshot, was made
 	pending         map[holderPart]pendingChange
-	resetHolders    []string // holders that lost all since the last update
+	resetHolders    []string // holders that lost their cache since the last update
 	aliveStores     []string // stores that answered since the last update
 	sources         []*source
-	updates         []*nodepb.IndexUpdate // the newest, oldest first
-	snapshotSentAt  map[string]core.Time  // last snapshot by subscriber
+	updates         []*nodepb.IndexUpdate // the newest ones, the oldest first
+	snapshotSentAt  map[string]core.Time  // by the subscriber's address
 	nextBroadcastAt core.Time
-	announced       map[holderPart]bool
+	announced       map[holderPart]bool // parts that subscribers know as cached
 	recent          recentParts
 }
 
-func newTopic(id topicKey, epoch uint64, now core.Time) *topic {
+func newTopic(key topicKey, epoch uint64, now core.Time) *topic {
 	return &topic{
-		key: id, epoch: epoch, pending: map[holderPart]pendingChange{}, snapshotSentAt: map[string]core.Time{},
+		key: key, epoch: epoch, pending: map[holderPart]pendingChange{}, snapshotSentAt: map[string]core.Time{},
 		announced: map[holderPart]bool{}, nextBroadcastAt: now + broadcastInterval,
 	}
 }
 
-// recordEvents takes in what a source's events changed.
-func (t *topic) recordEvents(now core.Time, s *source, reset bool, changed []partKey, leastTokens uint32) {
+// recordEvents adds the changes by a source's events to the pending ones. Parts below minTokens are
+// left out, unless they have been announced with more.
+func (t *topic) recordEvents(now core.Time, s *source, reset bool, changed []partKey, minTokens uint32) {
 	name := s.name()
 	if reset {
 		t.dropHolder(name)
@@ -75,25 +76,26 @@
 		t.aliveStores = append(t.aliveStores, name)
 	}
 	for _, key := range changed {
-		t.recordChange(now, name, key, s.cached[key].tokens, leastTokens)
+		t.recordChange(now, holderPart{name, key}, s.cached[key].tokens, minTokens)
 	}
 }
 
-func (t *topic) recordChange(now core.Time, name string, key partKey, tokens, leastTokens uint32) {
-	at := holderPart{name, key}
-	if tokens < leastTokens && !t.announced[at] {
-		delete(t.pending, at)
+// recordChange adds one change. A pending one of the same part is replaced and keeps its age.
+func (t *topic) recordChange(now core.Time, part holderPart, tokens, minTokens uint32) {
+	if tokens < minTokens && !t.announced[part] {
+		delete(t.pending, part)
 		return
 	}
-	shared := tokens > 0 && t.recent.recordAndTest(key)
-	if before, ok := t.pending[at]; ok {
-		t.pending[at] = pendingChange{tokens: tokens, pendingSince: before.pendingSince, shared: shared || before.shared}
-		return
+	shared := tokens > 0 && t.recent.recordAndTest(part.partKey)
+	change := pendingChange{tokens: tokens, pendingSince: now, shared: shared}
+	if previous, ok := t.pending[part]; ok {
+		change.pendingSince = previous.pendingSince
+		change.shared = shared || previous.shared
 	}
-	t.pending[at] = pendingChange{tokens: tokens, pendingSince: now, shared: shared}
+	t.pending[part] = change
 }
 
-// dropHolder drops what was to be told of a holder, as it has lost all.
+// dropHolder drops all pending and announced parts of a holder, as it has lost its cache.
 func (t *topic) dropHolder(name string) {
 	for key := range t.pending {
 		if key.holder == name {
@@ -107,23 +109,27 @@
 	}
 }
 
-// due reports whether something is to be told now.
-func (t *topic) due(now core.Time) bool {
-	return now >= t.nextBroadcastAt && len(t.pending)+len(t.resetHolders)+len(t.aliveStores) > 0
-}
+// due reports whether an update is to be broadcast now.
+func (t *topic) due(now core.Time) bool { return t.hasChanges() && now >= t.nextBroadcastAt }
 
-// deadline is when something is to be told.
+// deadline is when the next update is to be broadcast; core.Never if there is nothing to announce.
 func (t *topic) deadline() core.Time {
-	if len(t.pending)+len(t.resetHolders)+len(t.aliveStores) == 0 {
+	if !t.hasChanges() {
 		return core.Never
 	}
 	return t.nextBroadcastAt
 }
 
-// nextUpdate makes the next message, of at most `bytes`; nil where there is nothing to tell.
-func (t *topic) nextUpdate(now core.Time, bytes int) *nodepb.IndexUpdate {
+// hasChanges reports whether there is anything to announce.
+func (t *topic) hasChanges() bool {
+	return len(t.pending)+len(t.resetHolders)+len(t.aliveStores) > 0
+}
+
+// nextUpdate makes the next update, with changes of parts of about maxBytes at most. It is called only
+// if the topic is due.
+func (t *topic) nextUpdate(now core.Time, maxBytes int) *nodepb.IndexUpdate {
 	t.nextBroadcastAt = now + broadcastInterval
-	chosen := t.selectPending(now, bytes/bytesPerChange)
+	selected := t.selectPending(now, maxBytes/bytesPerChange)
 	update := &nodepb.IndexUpdate{Service: t.key.service, Zone: t.key.zone, Epoch: t.epoch, Whole: !t.started}
 	for _, name := range t.resetHolders {
 		update.Changes = append(update.Changes, resetChange(name))
@@ -131,8 +137,8 @@
 	for _, name := range t.aliveStores {
 		update.Changes = append(update.Changes, aliveChange(name))
 	}
-	update.Changes = appendChanges(update.Changes, chosen, func(key holderPart) uint32 { return t.pending[key].tokens })
-	t.markAnnounced(chosen)
+	update.Changes = appendChanges(update.Changes, selected, func(key holderPart) uint32 { return t.pending[key].tokens })
+	t.markAnnounced(selected)
 	t.resetHolders, t.aliveStores = t.resetHolders[:0], t.aliveStores[:0]
 	t.started = true
 	t.sequence++
@@ -141,25 +147,27 @@
 	return update
 }
 
-// selectPending picks the changes to tell, those of shared parts first, then the largest. What is left and old is dropped.
-func (t *topic) selectPending(now core.Time, most int) []holderPart {
+// selectPending selects the pending changes to announce, at most maxChanges: first those of shared parts,
+// then those with the most tokens. Changes left over for longer than maxPendingAge are dropped.
+func (t *topic) selectPending(now core.Time, maxChanges int) []holderPart {
 	keys := make([]holderPart, 0, len(t.pending))
 	for key := range t.pending {
 		keys = append(keys, key)
 	}
-	if len(keys) > most {
+	if len(keys) > maxChanges {
 		slices.SortFunc(keys, t.compareUrgency)
-		for _, key := range keys[most:] {
+		for _, key := range keys[maxChanges:] {
 			if now-t.pending[key].pendingSince > maxPendingAge {
 				delete(t.pending, key)
 			}
 		}
-		keys = keys[:most]
+		keys = keys[:maxChanges]
 	}
 	slices.SortFunc(keys, compareHolderParts)
 	return keys
 }
 
+// compareUrgency orders pending changes by what they are worth to subscribers.
 func (t *topic) compareUrgency(a, b holderPart) int {
 	first, second := t.pending[a], t.pending[b]
 	if first.shared != second.shared {
@@ -175,9 +183,9 @@
 	return cmp.Or(cmp.Compare(a.holder, b.holder), cmp.Compare(a.salt, b.salt), cmp.Compare(a.part, b.part))
 }
 
-// markAnnounced notes what has been told.
-func (t *topic) markAnnounced(chosen []holderPart) {
-	for _, key := range chosen {
+// markAnnounced records that the pending changes have been announced.
+func (t *topic) markAnnounced(selected []holderPart) {
+	for _, key := range selected {
 		if t.pending[key].tokens > 0 {
 			t.announced[key] = true
 		} else {
@@ -187,6 +195,7 @@
 	}
 }
 
+// retain keeps an update for subscribers that miss it.
 func (t *topic) retain(update *nodepb.IndexUpdate) {
 	if len(t.updates) == maxRetainedUpdates {
 		copy(t.updates, t.updates[1:])
@@ -195,7 +204,9 @@
 	t.updates = append(t.updates, update)
 }
 
-// updatesSince lists what brings a subscriber up to date that has everything up to `sequence` of `epoch`.
+// updatesSince returns the updates that a subscriber lacks which has applied those up to a sequence of
+// an epoch: the retained ones if they suffice, else a snapshot. It returns nothing if a snapshot was
+// sent to it within snapshotInterval.
 func (t *topic) updatesSince(now core.Time, subscriber string, epoch, sequence uint64) []*nodepb.IndexUpdate {
 	if epoch == t.epoch && sequence == t.sequence {
 		return nil
@@ -206,24 +217,25 @@
 	if !t.started {
 		return nil
 	}
-	if at, ok := t.snapshotSentAt[subscriber]; ok && now < at+snapshotInterval {
+	if sentAt, ok := t.snapshotSentAt[subscriber]; ok && now < sentAt+snapshotInterval {
 		return nil
 	}
 	t.snapshotSentAt[subscriber] = now
 	return []*nodepb.IndexUpdate{t.snapshot()}
 }
 
-// snapshot is a snapshot of what was told, the largest parts first where it is too much.
+// snapshot returns an update with all announced parts that are still cached, those with the most tokens
+// if there are too many.
 func (t *topic) snapshot() *nodepb.IndexUpdate {
 	tokens := make(map[holderPart]uint32, len(t.announced))
 	keys := make([]holderPart, 0, len(t.announced))
 	for _, s := range t.sources {
 		name := s.name()
-		for part, kept := range s.cached {
+		for part, cached := range s.cached {
 			key := holderPart{name, part}
 			if t.announced[key] {
 				keys = append(keys, key)
-				tokens[key] = kept.tokens
+				tokens[key] = cached.tokens
 			}
 		}
 	}
