--- a/internal/node/agent/index.go
+++ b/internal/node/agent/index.go
@@ -103,7 +103,7 @@
 func (a *Agent) carryOutIndex(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.FetchEvents:
-		a.prompts.poller.Ask(output)
+		a.prompts.poller.Fetch(output)
 	case core.StoreContacted:
 		a.noteStore(now, output)
 	default:
--- a/internal/node/kvindex/feed/poller.go
+++ b/internal/node/kvindex/feed/poller.go
@@ -43,8 +43,8 @@
 // Close ends the connections that are idle.
 func (p *Poller) Close() { p.client.CloseIdleConnections() }
 
-// Ask makes a call on a goroutine of its own.
-func (p *Poller) Ask(ask core.FetchEvents) {
+// Fetch makes a call on a goroutine of its own.
+func (p *Poller) Fetch(ask core.FetchEvents) {
 	go func() {
 		events, err := p.get(ask)
 		p.done(ask.Token, events, err)
--- a/internal/node/kvindex/feed/poller_test.go
+++ b/internal/node/kvindex/feed/poller_test.go
@@ -28,7 +28,7 @@
 	poller := New(func(token uint64, events *kvindex.Events, err error) { done <- outcome{token, events, err} })
 	defer poller.Close()
 	call.Address = strings.TrimPrefix(server.URL, "http://")
-	poller.Ask(call)
+	poller.Fetch(call)
 	return <-done
 }
 
