--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -161,13 +161,13 @@
 func (a *Agent) buildPlanes() {
 	now := a.now()
 	a.control = control.New(now, control.Options{
-		Self:               a.self,
-		Seeds:              a.settings.SeedInternalAddresses(),
-		Bootstrap:          a.settings.Bootstrap,
-		Tolerance:          a.settings.FaultTolerance.Machines,
-		ConfigurationLimit: a.configurationLimit(),
-		Heartbeat:          a.settings.Heartbeat(),
-		Bounds:             a.bounds(),
+		Self:                  a.self,
+		Seeds:                 a.settings.SeedInternalAddresses(),
+		Bootstrap:             a.settings.Bootstrap,
+		FaultTolerance:        a.settings.FaultTolerance.Machines,
+		MaxConfigurationBytes: a.configurationLimit(),
+		HeartbeatInterval:     a.settings.Heartbeat(),
+		Bounds:                a.bounds(),
 	}, newRandom())
 	a.buildDuty()
 	a.openSavedBrokers()
--- a/internal/node/agent/dataplane.go
+++ b/internal/node/agent/dataplane.go
@@ -51,7 +51,7 @@
 
 // leaseHolds reports whether the configuration here was confirmed recently enough for keys to be trusted.
 func (a *Agent) leaseHolds(now core.Time) bool {
-	return a.bounds().LeaseHolds(now, core.Time(a.confirmed.Load()))
+	return a.bounds().ConfigurationLeaseValid(now, core.Time(a.confirmed.Load()))
 }
 
 // ready is the answer to the platform.
--- a/internal/node/agent/lifecycle.go
+++ b/internal/node/agent/lifecycle.go
@@ -163,7 +163,7 @@
 	a.log.Info("stopping", "grace", grace)
 	a.stopping.Store(true)
 	a.proxy.Drain()
-	a.post(func(now core.Time) { a.carryOut(now, a.control.Transfer(now)) })
+	a.post(func(now core.Time) { a.carryOut(now, a.control.HandOver(now)) })
 	begun, times := time.Now(), stopTimesOf(grace)
 	time.Sleep(times.refuse)
 	a.proxy.RefuseNew()
--- a/internal/node/agent/loop.go
+++ b/internal/node/agent/loop.go
@@ -93,7 +93,7 @@
 func (a *Agent) route(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
 		if send, ok := output.(core.Send); ok {
-			a.carryOut(now, a.control.Route(now, send))
+			a.carryOut(now, a.control.Send(now, send))
 			continue
 		}
 		a.carryOutOne(now, output)
@@ -154,7 +154,7 @@
 
 // publishConfirmation publishes how fresh the state is.
 func (a *Agent) publishConfirmation(now core.Time) {
-	at, ok := a.control.Confirmed()
+	at, ok := a.control.ConfirmedAt()
 	if !ok {
 		return
 	}
--- a/internal/node/control/duty.go
+++ b/internal/node/control/duty.go
@@ -7,19 +7,19 @@
 	"kestrelspread/internal/node/rollout"
 )
 
-// rolloutDeadline: a node that does not hold the duty has nothing to do for it.
-func (n *Node) rolloutDeadline() core.Time {
-	if n.store == nil || !n.seen.holder {
+// rolloutStepDeadline: a node that does not hold the duty has nothing to do for it.
+func (n *Node) rolloutStepDeadline() core.Time {
+	if n.store == nil || !n.propagated.isLeaseHolder {
 		return core.Never
 	}
 	return n.rollout.Deadline()
 }
 
-// noteTargets remembers when each version of weights became known here.
-func (n *Node) noteTargets(now core.Time) {
+// recordTargets remembers when each version of weights became known here.
+func (n *Node) recordTargets(now core.Time) {
 	for model, version := range n.compiled.ModelVersions {
-		if known, ok := n.targets[model]; !ok || known.Version < version {
-			n.targets[model] = rollout.Target{Model: model, Version: version, Known: now}
+		if known, ok := n.targetVersions[model]; !ok || known.Version < version {
+			n.targetVersions[model] = rollout.Target{Model: model, Version: version, Known: now}
 		}
 	}
 	n.stepRollout(now, true)
@@ -31,17 +31,17 @@
 		return
 	}
 	head := isHead(n.store.Status())
-	if !head && !n.seen.holder {
+	if !head && !n.propagated.isLeaseHolder {
 		return
 	}
-	if n.rollout.Deadline() > now && !changed && head == n.seen.holder {
+	if n.rollout.Deadline() > now && !changed && head == n.propagated.isLeaseHolder {
 		return
 	}
-	n.seen.holder = head
-	n.carryOut(now, n.rollout.Step(now, n.situation()))
+	n.propagated.isLeaseHolder = head
+	n.execute(now, n.rollout.Step(now, n.rolloutSituation()))
 }
 
-func (n *Node) situation() *rollout.Situation {
+func (n *Node) rolloutSituation() *rollout.Situation {
 	status := n.store.Status()
 	situation := &rollout.Situation{
 		Head:      isHead(status),
@@ -53,10 +53,10 @@
 	}
 	// A barrier of the head's own shows the same as a confirmation: all that was acknowledged before it began has been committed here.
 	situation.GrantAsOf = status.LeaseFrom
-	if at, ok := n.distribution.ConfirmedAt(); ok {
-		situation.GrantAsOf = max(at, status.LeaseFrom)
+	if confirmedAt, ok := n.distribution.ConfirmedAt(); ok {
+		situation.GrantAsOf = max(confirmedAt, status.LeaseFrom)
 	}
-	for _, target := range n.targets {
+	for _, target := range n.targetVersions {
 		situation.Targets = append(situation.Targets, target)
 	}
 	return situation
@@ -66,30 +66,30 @@
 	return status.Role == chain.HeadOf || status.Role == chain.Only
 }
 
-// carryOutDuty does what the duty's state machine asks of other planes; false: it is for the shell.
-func (n *Node) carryOutDuty(now core.Time, output core.Output) bool {
+// executeForRollout does what the duty's state machine asks of other planes; false: it is for the shell.
+func (n *Node) executeForRollout(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.MarkLoading:
-		n.carryOut(now, n.registry.SetLoading(now, output.InstanceID, output.Fence))
+		n.execute(now, n.registry.SetLoading(now, output.InstanceID, output.Fence))
 	case core.LoadingConfirmed:
 		if output.Fence != 0 {
 			n.rollout.MarkDone(now, output.InstanceID)
 			n.stepRollout(now, true)
 		}
 	case core.LoadedVersion:
-		n.carryOut(now, n.registry.SetModelVersion(now, output.InstanceID, output.Model, output.Version))
+		n.execute(now, n.registry.SetModelVersion(now, output.InstanceID, output.Model, output.Version))
 	case core.SubmitCommand:
-		n.submitGrant(now, output.Command)
+		n.submitLeaseCommand(now, output.Command)
 	default:
 		return false
 	}
 	return true
 }
 
-// submitGrant brings a change of the duty's grant to the control state.
-func (n *Node) submitGrant(now core.Time, command *nodepb.Command) {
-	n.requests++
-	request := ownRequest | n.requests
-	n.grants[request] = true
-	n.carryOut(now, n.submit.Submit(now, request, command))
+// submitLeaseCommand brings a change of the duty's grant to the control state.
+func (n *Node) submitLeaseCommand(now core.Time, command *nodepb.Command) {
+	n.lastLeaseRequest++
+	request := leaseRequestFlag | n.lastLeaseRequest
+	n.leaseCommands[request] = true
+	n.execute(now, n.submit.Submit(now, request, command))
 }
--- a/internal/node/control/inputs.go
+++ b/internal/node/control/inputs.go
@@ -6,14 +6,14 @@
 	"kestrelspread/internal/node/rollout"
 )
 
-// machine is what the clock needs of each plane.
-type machine interface {
+// stateMachine is what the clock needs of each plane.
+type stateMachine interface {
 	Tick(now core.Time) []core.Output
 	Deadline() core.Time
 }
 
-func (n *Node) machines() []machine {
-	list := []machine{n.membership, n.distribution, n.registry, n.submit, n.transfers}
+func (n *Node) stateMachines() []stateMachine {
+	list := []stateMachine{n.membership, n.distribution, n.registry, n.submit, n.transfers}
 	if n.store != nil {
 		list = append(list, n.store)
 	}
@@ -23,22 +23,22 @@
 // Tick does what is due, and passes on between the planes what has changed. It is to be called after other inputs as well; several
 // may come before it.
 func (n *Node) Tick(now core.Time) []core.Output {
-	for _, m := range n.machines() {
+	for _, m := range n.stateMachines() {
 		if m.Deadline() <= now {
-			n.carryOut(now, m.Tick(now))
+			n.execute(now, m.Tick(now))
 		}
 	}
-	changed := n.seen.brokersChanged
-	n.seen.brokersChanged = false
+	changed := n.propagated.brokersChanged
+	n.propagated.brokersChanged = false
 	n.stepRollout(now, changed)
-	n.exchange(now)
-	return n.take()
+	n.propagate(now)
+	return n.takeOutputs()
 }
 
 // Deadline is when Tick wants to be called.
 func (n *Node) Deadline() core.Time {
-	next := n.rolloutDeadline()
-	for _, m := range n.machines() {
+	next := n.rolloutStepDeadline()
+	for _, m := range n.stateMachines() {
 		next = min(next, m.Deadline())
 	}
 	return next
@@ -46,99 +46,99 @@
 
 // Receive takes a message of another node. Those that are for none of the planes here are ignored.
 func (n *Node) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
-	n.carryOut(now, n.dispatch(now, from, message))
-	return n.take()
+	n.execute(now, n.dispatch(now, from, message))
+	return n.takeOutputs()
 }
 
 // Written takes the end of a write to the journal. Where that needs a checkpoint, also after a write that found no room, everything
 // that must survive is written anew as one.
 func (n *Node) Written(now core.Time, token uint64, err error, needsCheckpoint bool) []core.Output {
-	if token == n.compaction {
-		n.compaction = 0
+	if token == n.checkpointToken {
+		n.checkpointToken = 0
 	}
-	n.carryOut(now, n.store.Written(now, token, err))
-	if needsCheckpoint && n.compaction == 0 {
+	n.execute(now, n.store.Written(now, token, err))
+	if needsCheckpoint && n.checkpointToken == 0 {
 		n.compact(now)
 	}
-	return n.take()
+	return n.takeOutputs()
 }
 
 func (n *Node) compact(now core.Time) {
 	outputs := n.store.Compact(now)
 	for _, output := range outputs {
 		if write, ok := output.(core.Write); ok && write.Checkpoint {
-			n.compaction = write.Token
+			n.checkpointToken = write.Token
 		}
 	}
-	n.carryOut(now, outputs)
+	n.execute(now, outputs)
 }
 
-// ownRequest marks the numbers of the duty's own commands; those of callers are below.
-const ownRequest = 1 << 63
+// leaseRequestFlag marks the numbers of the duty's own commands; those of callers are below.
+const leaseRequestFlag = 1 << 63
 
 // Submit brings a command to the chain; core.Reply with the request's number follows.
 func (n *Node) Submit(now core.Time, request uint64, command *nodepb.Command) []core.Output {
-	n.carryOut(now, n.submit.Submit(now, request, command))
-	return n.take()
+	n.execute(now, n.submit.Submit(now, request, command))
+	return n.takeOutputs()
 }
 
 // Read reads the newest control state by way of the chain; core.Reply with the request's number follows.
 func (n *Node) Read(now core.Time, request uint64) []core.Output {
-	n.carryOut(now, n.submit.Read(now, request, n.state.Index()))
-	return n.take()
+	n.execute(now, n.submit.Read(now, request, n.state.Index()))
+	return n.takeOutputs()
 }
 
 // Heartbeat takes a broker's announcement; core.RegistryAnswer with the request's number follows.
 func (n *Node) Heartbeat(now core.Time, request uint64, instance *nodepb.Instance) []core.Output {
-	n.carryOut(now, n.registry.Heartbeat(now, request, instance))
-	return n.take()
+	n.execute(now, n.registry.Heartbeat(now, request, instance))
+	return n.takeOutputs()
 }
 
 // Deregister takes a broker's word that it ends; core.RegistryAnswer with the request's number follows.
 func (n *Node) Deregister(now core.Time, request uint64, id string) []core.Output {
-	n.carryOut(now, n.registry.Deregister(now, request, id))
-	return n.take()
+	n.execute(now, n.registry.Deregister(now, request, id))
+	return n.takeOutputs()
 }
 
 // RestoreBrokers takes up brokers that were known to a former life of this node.
 func (n *Node) RestoreBrokers(now core.Time, instances []*nodepb.Instance) []core.Output {
-	n.carryOut(now, n.registry.Restore(now, instances))
-	return n.take()
+	n.execute(now, n.registry.Restore(now, instances))
+	return n.takeOutputs()
 }
 
 // OrderDone takes the end of an order to a broker; status is 0 where no answer came.
 func (n *Node) OrderDone(now core.Time, token uint64, status int, err error) []core.Output {
-	n.carryOut(now, n.rollout.OrderDone(now, token, status, err))
+	n.execute(now, n.rollout.OrderDone(now, token, status, err))
 	n.stepRollout(now, true)
-	return n.take()
+	return n.takeOutputs()
 }
 
 // ReportDone takes a broker's report.
 func (n *Node) ReportDone(now core.Time, token uint64, report *rollout.Report, err error) []core.Output {
-	n.carryOut(now, n.rollout.ReportDone(now, token, report, err))
+	n.execute(now, n.rollout.ReportDone(now, token, report, err))
 	n.stepRollout(now, true)
-	return n.take()
+	return n.takeOutputs()
 }
 
-// Transfer hands over this node's place in the chain, because it ends soon.
-func (n *Node) Transfer(now core.Time) []core.Output {
+// HandOver hands over this node's place in the chain, because it ends soon.
+func (n *Node) HandOver(now core.Time) []core.Output {
 	if n.store != nil {
-		n.carryOut(now, n.store.Transfer(now))
+		n.execute(now, n.store.Transfer(now))
 	}
-	return n.take()
+	return n.takeOutputs()
 }
 
 // Leave tells the other nodes that this one ends.
 func (n *Node) Leave(now core.Time) []core.Output {
-	n.carryOut(now, n.membership.Leave(now))
-	return n.take()
+	n.execute(now, n.membership.Leave(now))
+	return n.takeOutputs()
 }
 
 // SetSeeds names other nodes to ask first.
 func (n *Node) SetSeeds(addresses []string) { n.membership.SetSeeds(addresses) }
 
-// Route brings a message of another part of this node on its way.
-func (n *Node) Route(now core.Time, output core.Send) []core.Output {
+// Send brings a message of another part of this node on its way.
+func (n *Node) Send(now core.Time, output core.Send) []core.Output {
 	n.send(now, output)
-	return n.take()
+	return n.takeOutputs()
 }
--- a/internal/node/control/lease.go
+++ b/internal/node/control/lease.go
@@ -21,17 +21,17 @@
 	switch {
 	case compiled == nil || compiled.Version == 0:
 		return false
-	case confirmed == 0 && now >= b.unconfirmedLimit():
+	case confirmed == 0 && now >= b.maxUnconfirmed():
 		return false
 	default:
-		return public || b.LeaseHolds(now, confirmed)
+		return public || b.ConfigurationLeaseValid(now, confirmed)
 	}
 }
 
-// unconfirmedLimit is how long after its start a process may serve a configuration that was not confirmed.
-func (b Bounds) unconfirmedLimit() core.Time { return b.Contact * 2 / 3 }
+// maxUnconfirmed is how long after its start a process may serve a configuration that was not confirmed.
+func (b Bounds) maxUnconfirmed() core.Time { return b.Contact * 2 / 3 }
 
-// LeaseHolds reports whether a configuration was confirmed recently enough for keys to be trusted.
-func (b Bounds) LeaseHolds(now, confirmed core.Time) bool {
+// ConfigurationLeaseValid reports whether a configuration was confirmed recently enough for keys to be trusted.
+func (b Bounds) ConfigurationLeaseValid(now, confirmed core.Time) bool {
 	return !b.GlobalRevocation || confirmed != 0 && now-confirmed < b.Revoke-revocationMargin
 }
--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -32,15 +32,15 @@
 	Seeds []string
 	// Bootstrap: this is the first start of the whole system.
 	Bootstrap bool
-	// Tolerance is faultTolerance.machines.
-	Tolerance int
-	// ConfigurationLimit is the size of the largest configuration that machines like this one hold, in bytes.
-	ConfigurationLimit int
+	// FaultTolerance is faultTolerance.machines.
+	FaultTolerance int
+	// MaxConfigurationBytes is the size of the largest configuration that machines like this one hold, in bytes.
+	MaxConfigurationBytes int
 	// Checker checks the items of configurations at the head of the chain; nil: the schema of package schema.
 	Checker config.Checker
-	// Heartbeat is how often brokers announce themselves.
-	Heartbeat time.Duration
-	Bounds    Bounds
+	// HeartbeatInterval is how often brokers announce themselves.
+	HeartbeatInterval time.Duration
+	Bounds            Bounds
 }
 
 // Bounds are the figures of the rules that the control side keeps. Source: DEPLOY.md, "Settings of a process".
@@ -70,21 +70,21 @@
 	rollout      *rollout.Rollout
 	transfers    *transfer.Transfers
 
-	seen       seenRevisions
-	confirmed  core.Time // of the state held here; 0: never
-	targets    map[string]rollout.Target
-	grants     map[uint64]bool // requests of the duty's own commands
-	requests   uint64          // the last of them
-	compaction uint64          // token of the checkpoint that is being written; 0: none
+	propagated       propagatedState
+	confirmedAt      core.Time // of the state held here; 0: never
+	targetVersions   map[string]rollout.Target
+	leaseCommands    map[uint64]bool // requests of the duty's own commands
+	lastLeaseRequest uint64          // the last of them
+	checkpointToken  uint64          // token of the checkpoint that is being written; 0: none
 	// coreAddresses are the internal addresses of the members that count, for which this node relays messages.
 	coreAddresses map[string]bool
 }
 
-// seenRevisions is what has been passed on between the planes.
-type seenRevisions struct {
-	members uint64
-	view    uint64 // epoch
-	holder  bool   // of the duty to bring new weights
+// propagatedState is what has been passed on between the planes.
+type propagatedState struct {
+	membersRevision uint64
+	viewEpoch       uint64 // epoch
+	isLeaseHolder   bool   // of the duty to bring new weights
 	// brokersChanged: the duty is to look at the brokers again.
 	brokersChanged bool
 }
@@ -96,15 +96,15 @@
 		options.Checker = schema.NewChecker()
 	}
 	n := &Node{
-		options:    options,
-		random:     random,
-		self:       self,
-		membership: membership.New(now, membership.Options{Self: self, Seeds: options.Seeds}, random),
-		submit:     submit.New(submit.Options{Random: derived(random)}),
-		state:      config.NewState(options.Checker),
-		transfers:  transfer.New(derived(random)),
-		targets:    map[string]rollout.Target{},
-		grants:     map[uint64]bool{},
+		options:        options,
+		random:         random,
+		self:           self,
+		membership:     membership.New(now, membership.Options{Self: self, Seeds: options.Seeds}, random),
+		submit:         submit.New(submit.Options{Random: deriveRandom(random)}),
+		state:          config.NewState(options.Checker),
+		transfers:      transfer.New(deriveRandom(random)),
+		targetVersions: map[string]rollout.Target{},
+		leaseCommands:  map[uint64]bool{},
 	}
 	n.distribution = distribution.New(now, distribution.Options{
 		SelfID: self.NodeId, SelfAddress: self.Address, Zone: self.Zone,
@@ -113,7 +113,7 @@
 	}, random)
 	n.registry = registry.New(now, registry.Options{
 		SelfID: self.NodeId, SelfAddress: self.Address, ControlAddress: self.ControlAddress, Zone: self.Zone,
-		Heartbeat: options.Heartbeat,
+		Heartbeat: options.HeartbeatInterval,
 	}, random)
 	n.rollout = rollout.New(rollout.Options{
 		Lease: options.Bounds.Lease, Thaw: options.Bounds.Thaw, Version: options.Bounds.Version,
@@ -121,8 +121,8 @@
 	return n
 }
 
-// derived gives a source of chance of its own to a plane.
-func derived(random *rand.Rand) *rand.Rand {
+// deriveRandom gives a source of chance of its own to a plane.
+func deriveRandom(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
@@ -137,25 +137,25 @@
 // AttachStore makes this node a member of the core, once its disk has proved that it takes writes. records is what the journal
 // holds.
 func (n *Node) AttachStore(now core.Time, diskID string, records []core.Record) ([]core.Output, error) {
-	machine := config.NewState(n.options.Checker)
-	machine.SetLimit(n.options.ConfigurationLimit)
+	state := config.NewState(n.options.Checker)
+	state.SetLimit(n.options.MaxConfigurationBytes)
 	store, outputs, err := chain.New(now, chain.Options{
 		Self:      &nodepb.Voter{DiskId: diskID, Address: n.self.Address, NodeId: n.self.NodeId},
 		Founders:  n.options.Seeds,
 		Founding:  n.options.Bootstrap && len(records) == 0,
-		Tolerance: n.options.Tolerance,
-		Machine:   machine,
-	}, records, derived(n.random))
+		Tolerance: n.options.FaultTolerance,
+		Machine:   state,
+	}, records, deriveRandom(n.random))
 	if err != nil {
 		return nil, err
 	}
 	n.store = store
 	n.self.DiskId = diskID
 	n.distribution.SetDiskID(diskID)
-	n.carryOut(now, n.membership.UpdateSelf(now, func(self *nodepb.Member) { self.DiskId = diskID }))
-	n.carryOut(now, outputs)
-	n.membersChanged(now)
-	return n.take(), nil
+	n.execute(now, n.membership.UpdateSelf(now, func(self *nodepb.Member) { self.DiskId = diskID }))
+	n.execute(now, outputs)
+	n.propagateMembers(now)
+	return n.takeOutputs(), nil
 }
 
 // State is the control state that this node holds.
@@ -181,13 +181,13 @@
 	return n.store.Status(), true
 }
 
-// Confirmed is a moment at which no newer state was acknowledged anywhere than the one held here; false: none is known.
-func (n *Node) Confirmed() (core.Time, bool) { return n.confirmed, n.confirmed != 0 }
+// ConfirmedAt is a moment at which no newer state was acknowledged anywhere than the one held here; false: none is known.
+func (n *Node) ConfirmedAt() (core.Time, bool) { return n.confirmedAt, n.confirmedAt != 0 }
 
 func (n *Node) emit(output core.Output) { n.outputs = append(n.outputs, output) }
 
-// take hands over what the shell is to do.
-func (n *Node) take() []core.Output {
+// takeOutputs hands over what the shell is to do.
+func (n *Node) takeOutputs() []core.Output {
 	taken := n.outputs
 	n.outputs = nil
 	return taken
--- a/internal/node/control/planes.go
+++ b/internal/node/control/planes.go
@@ -20,7 +20,7 @@
 	case *nodepb.Envelope_Fragment, *nodepb.Envelope_FragmentAck:
 		return n.transfers.Receive(now, from, message)
 	case *nodepb.Envelope_Relay:
-		n.receiveRelay(now, from, message.GetRelay())
+		n.handleRelay(now, from, message.GetRelay())
 		return nil
 	case *nodepb.Envelope_IndexUpdate, *nodepb.Envelope_IndexPoll, *nodepb.Envelope_LoadHints:
 		return []core.Output{core.Received{From: from, Message: message}} // for the shell
@@ -32,8 +32,8 @@
 	}
 }
 
-// ofShell reports whether a message is for a part of the node that is not of its control side.
-func ofShell(message *nodepb.Envelope) bool {
+// belongsToShell reports whether a message is for a part of the node that is not of its control side.
+func belongsToShell(message *nodepb.Envelope) bool {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_IndexUpdate, *nodepb.Envelope_IndexPoll, *nodepb.Envelope_LoadHints:
 		return true
@@ -42,55 +42,55 @@
 	}
 }
 
-// carryOut does what planes ask for. Outputs of one plane may be inputs of another; the rest is for the shell.
-func (n *Node) carryOut(now core.Time, outputs []core.Output) {
+// execute does what planes ask for. Outputs of one plane may be inputs of another; the rest is for the shell.
+func (n *Node) execute(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
-		n.carryOutOne(now, output)
+		n.executeOne(now, output)
 	}
 }
 
-func (n *Node) carryOutOne(now core.Time, output core.Output) {
+func (n *Node) executeOne(now core.Time, output core.Output) {
 	switch output := output.(type) {
 	case core.Send:
 		n.send(now, output)
 	case core.Received:
-		n.received(now, output)
+		n.handleReceived(now, output)
 	case core.Reply:
-		n.replied(now, output)
+		n.handleReply(now, output)
 	case core.Committed:
-		n.carryOut(now, n.distribution.Committed(now, output.Entry))
+		n.execute(now, n.distribution.Committed(now, output.Entry))
 	case core.Installed:
-		n.carryOut(now, n.distribution.Installed(now, output.Snapshot))
+		n.execute(now, n.distribution.Installed(now, output.Snapshot))
 	case core.StateChanged:
-		n.stateChanged(now)
+		n.publishState(now)
 	case core.ConfirmationWanted:
 		if n.store != nil {
-			n.carryOut(now, n.store.WantConfirmation(now))
+			n.execute(now, n.store.WantConfirmation(now))
 		}
 	case core.TableChanged:
-		n.seen.brokersChanged = true
+		n.propagated.brokersChanged = true
 		n.emit(output)
 	default:
-		if !n.carryOutDuty(now, output) {
+		if !n.executeForRollout(now, output) {
 			n.emit(output)
 		}
 	}
 }
 
-// received takes a message that came in parts, or hands it to the shell.
-func (n *Node) received(now core.Time, output core.Received) {
-	if ofShell(output.Message) {
+// handleReceived takes a message that came in parts, or hands it to the shell.
+func (n *Node) handleReceived(now core.Time, output core.Received) {
+	if belongsToShell(output.Message) {
 		n.emit(output)
 		return
 	}
-	n.carryOut(now, n.dispatch(now, output.From, output.Message))
+	n.execute(now, n.dispatch(now, output.From, output.Message))
 }
 
-// replied brings the control state's answer to whoever asked. A read that names an index alone is answered with the state that this
+// handleReply brings the control state's answer to whoever asked. A read that names an index alone is answered with the state that this
 // node holds: it is the newest.
-func (n *Node) replied(now core.Time, reply core.Reply) {
-	if n.grants[reply.Request] {
-		delete(n.grants, reply.Request)
+func (n *Node) handleReply(now core.Time, reply core.Reply) {
+	if n.leaseCommands[reply.Request] {
+		delete(n.leaseCommands, reply.Request)
 		n.rollout.GrantDone(now, reply.Result)
 		n.stepRollout(now, true)
 		return
@@ -101,9 +101,9 @@
 	n.emit(reply)
 }
 
-// stateChanged makes the new state known to the data plane and to the duty.
-func (n *Node) stateChanged(now core.Time) {
+// publishState makes the new state known to the data plane and to the duty.
+func (n *Node) publishState(now core.Time) {
 	n.compiled = n.state.Compile()
 	n.emit(core.StateChanged{})
-	n.noteTargets(now)
+	n.recordTargets(now)
 }
--- a/internal/node/control/routes.go
+++ b/internal/node/control/routes.go
@@ -13,10 +13,10 @@
 // relay.
 func (n *Node) send(now core.Time, output core.Send) {
 	if proto.Size(output.Message) > transfer.Threshold {
-		n.carryOut(now, n.transfers.Send(now, output.To, transfer.SubjectOf(output.Message), output.Message))
+		n.execute(now, n.transfers.Send(now, output.To, transfer.SubjectOf(output.Message), output.Message))
 		return
 	}
-	via := n.route(output)
+	via := n.relayFor(output)
 	if via == "" {
 		n.emit(core.Send{To: output.To, Message: output.Message})
 		return
@@ -30,8 +30,8 @@
 	n.emit(core.Send{To: via, Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
-// route is the relay by which a message goes; empty: directly. Pings and pongs of voters take the way that they are to prove.
-func (n *Node) route(output core.Send) string {
+// relayFor is the relay by which a message goes; empty: directly. Pings and pongs of voters take the way that they are to prove.
+func (n *Node) relayFor(output core.Send) string {
 	switch output.Message.GetBody().(type) {
 	case *nodepb.Envelope_VoterPing, *nodepb.Envelope_VoterPong:
 		return output.Via
@@ -42,11 +42,11 @@
 	return n.store.Route(output.To)
 }
 
-// receiveRelay takes a message that came by a relay, or passes one on, as the relay, to the core machine that it is for.
-func (n *Node) receiveRelay(now core.Time, from core.Peer, relay *nodepb.Relay) {
+// handleRelay takes a message that came by a relay, or passes one on, as the relay, to the core machine that it is for.
+func (n *Node) handleRelay(now core.Time, from core.Peer, relay *nodepb.Relay) {
 	if relay.GetTo() == n.self.Address {
 		origin := core.Peer{NodeID: relay.GetOriginId(), Address: relay.GetOriginAddress(), Via: from.Address}
-		n.carryOut(now, n.dispatch(now, origin, relay.GetEnvelope()))
+		n.execute(now, n.dispatch(now, origin, relay.GetEnvelope()))
 		return
 	}
 	passedOnBefore := from.Address != relay.GetOriginAddress()
@@ -56,12 +56,12 @@
 	n.emit(core.Send{To: relay.GetTo(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
-// mostRelays bounds the nodes that this one asks to relay.
-const mostRelays = 12
+// maxRelays bounds the nodes that this one asks to relay.
+const maxRelays = 12
 
-// relaysOf lists the nodes that may relay for this one, best first: by turns one of its own zone and one of another, and
+// rankRelays lists the nodes that may relay for this one, best first: by turns one of its own zone and one of another, and
 // the core machines last, as they are more likely to be cut off together. Different nodes begin with different ones.
-func (n *Node) relaysOf(members []*nodepb.Member) []string {
+func (n *Node) rankRelays(members []*nodepb.Member) []string {
 	var near, far, counting []string
 	for _, member := range members {
 		switch {
@@ -82,8 +82,8 @@
 		relays = append(relays, near[min(i, len(near)):min(i+1, len(near))]...)
 		relays = append(relays, far[min(i, len(far)):min(i+1, len(far))]...)
 	}
-	relays = relays[:min(len(relays), mostRelays)]
-	return append(relays, counting[:min(len(counting), mostRelays)]...)
+	relays = relays[:min(len(relays), maxRelays)]
+	return append(relays, counting[:min(len(counting), maxRelays)]...)
 }
 
 // addressesOf are the internal addresses of members.
--- a/internal/node/control/routes_test.go
+++ b/internal/node/control/routes_test.go
@@ -89,14 +89,14 @@
 		member("near-2", "a", false, nodepb.MemberState_SUSPECT), member("far-1", "b", false, nodepb.MemberState_ALIVE),
 		member("far-2", "c", false, nodepb.MemberState_ALIVE), {NodeId: "core-1/1", Address: "core-1", Zone: "a"},
 	}
-	relays := n.relaysOf(members)
+	relays := n.rankRelays(members)
 	assert.Equal(t, len(relays), 4, "%v", relays)
 	assert.Equal(t, relays[0], "near-1")
 	assert.Equal(t, relays[3], "core-2", "the core's own come last")
 	for i := range 40 {
 		members = append(members, member(fmt.Sprintf("more-%d", i), "b", i%2 == 0, nodepb.MemberState_ALIVE))
 	}
-	assert.Equal(t, len(n.relaysOf(members)), 2*mostRelays)
+	assert.Equal(t, len(n.rankRelays(members)), 2*maxRelays)
 }
 
 // TestLargeMessagesGoAsFragments, and arrive whole at the plane that they are for.
@@ -104,7 +104,7 @@
 	from, to := newNode("a"), newNode("b")
 	state := &nodepb.StateSnapshot{Index: 7, State: make([]byte, 300_000)}
 	push := &nodepb.Envelope{Body: &nodepb.Envelope_StatePush{StatePush: &nodepb.StatePush{Index: 7, Snapshot: state}}}
-	pending := from.Route(0, core.Send{To: "b", Message: push})
+	pending := from.Send(0, core.Send{To: "b", Message: push})
 	refused := false
 	for rounds := 0; len(pending) > 0 && rounds < 100; rounds++ {
 		var next []core.Output
@@ -132,8 +132,8 @@
 		answered bool
 	}{{0, true}, {1, false}} {
 		n := newNode("a")
-		n.replied(0, core.Reply{Request: 5, State: &nodepb.StateSnapshot{Index: c.index}})
-		reply := n.take()[0].(core.Reply)
+		n.handleReply(0, core.Reply{Request: 5, State: &nodepb.StateSnapshot{Index: c.index}})
+		reply := n.takeOutputs()[0].(core.Reply)
 		assert.Equal(t, len(reply.State.GetState()) > 0, c.answered, "index %d", c.index)
 	}
 }
--- a/internal/rig/faultrun/checks.go
+++ b/internal/rig/faultrun/checks.go
@@ -145,7 +145,7 @@
 		}
 		inTouch := w.health.inTouch(m)
 		compiled := m.node.Compiled()
-		confirmed, _ := m.node.Confirmed()
+		confirmed, _ := m.node.ConfirmedAt()
 		serves := bounds(w).MayServe(m.now(), compiled, confirmed, false)
 		if w.plan.GlobalRevocation && serves && compiled.Version < stale {
 			w.fail("%s serves keys of version %d, %d was acknowledged over %v ago", m.name, compiled.Version, stale, revokeTime)
--- a/internal/rig/faultrun/troubles.go
+++ b/internal/rig/faultrun/troubles.go
@@ -332,7 +332,7 @@
 		old.leaving = true
 		add()
 		w.after(time.Second, func() {
-			old.input(func(now core.Time) { old.carryOut(old.node.Transfer(now)) })
+			old.input(func(now core.Time) { old.carryOut(old.node.HandOver(now)) })
 			w.after(time.Second, remove)
 		})
 		return
@@ -347,7 +347,7 @@
 		return
 	}
 	m.troubled()
-	m.input(func(now core.Time) { m.carryOut(m.node.Transfer(now)) })
+	m.input(func(now core.Time) { m.carryOut(m.node.HandOver(now)) })
 	life := m.life
 	w.after(1200*time.Millisecond, func() {
 		if m.life != life || !m.running {
--- a/internal/rig/scale/node.go
+++ b/internal/rig/scale/node.go
@@ -65,7 +65,7 @@
 	n.sender, _ = wireproto.NewSender(n.self.NodeId, n.self.Address)
 	now := core.Time(0)
 	n.control = control.New(now, control.Options{
-		Self: n.self, Seeds: f.seeds, Bootstrap: true, Tolerance: f.tolerance(), ConfigurationLimit: config.MaxBodyBytes, Heartbeat: Heartbeat,
+		Self: n.self, Seeds: f.seeds, Bootstrap: true, FaultTolerance: f.tolerance(), MaxConfigurationBytes: config.MaxBodyBytes, HeartbeatInterval: Heartbeat,
 		Bounds: control.Bounds{
 			Contact: contact, GlobalRevocation: true, Revoke: revoke, Lease: lease, Thaw: thaw, Version: versionWithin,
 		},
