--- a/internal/node/wireproto/errors.go
+++ b/internal/node/wireproto/errors.go
@@ -19,16 +19,16 @@
 	Unencodable = namespace.NewType("unencodable")
 )
 
-// Skipped reports whether err concerns a single frame that was read to its end, so that the next frame of the same
+// Skippable reports whether err concerns a single frame that was read to its end, so that the next frame of the same
 // stream can be read. After any other error the stream is of no more use.
-func Skipped(err error) bool {
+func Skippable(err error) bool {
 	return errorx.IsOfType(err, OtherProtocol) || errorx.IsOfType(err, Undecodable)
 }
 
 // IsOtherProtocol reports whether err is of type OtherProtocol.
 func IsOtherProtocol(err error) bool { return errorx.IsOfType(err, OtherProtocol) }
 
-// Broken reports whether err says that a stream ended within a frame or does not consist of frames.
-func Broken(err error) bool {
+// IsBrokenStream reports whether err says that a stream ended within a frame or does not consist of frames.
+func IsBrokenStream(err error) bool {
 	return errorx.IsOfType(err, Truncated) || errorx.IsOfType(err, Oversized) || errorx.IsOfType(err, NotAFrame)
 }
--- a/internal/node/wireproto/frame_test.go
+++ b/internal/node/wireproto/frame_test.go
@@ -56,11 +56,11 @@
 				got, err := reader.Next()
 				assert.NilError(t, err)
 				assert.Assert(t, proto.Equal(got, want))
-				assert.Equal(t, reader.Size(), wireproto.HeaderSize+proto.Size(want))
+				assert.Equal(t, reader.FrameSize(), wireproto.HeaderSize+proto.Size(want))
 			}
 			_, err := reader.Next()
 			assert.Equal(t, err, io.EOF)
-			assert.Equal(t, reader.Size(), 0)
+			assert.Equal(t, reader.FrameSize(), 0)
 		})
 	}
 }
@@ -152,9 +152,9 @@
 			reader := wireproto.NewReader(bytes.NewReader(append(test.stream[:len(test.stream):len(test.stream)], tail(t, test.skipped)...)))
 			_, err := reader.Next()
 			assert.Assert(t, errorx.IsOfType(err, test.want), "%v", err)
-			assert.Equal(t, wireproto.Skipped(err), test.skipped)
+			assert.Equal(t, wireproto.Skippable(err), test.skipped)
 			if test.skipped {
-				assert.Assert(t, reader.Size() > 0)
+				assert.Assert(t, reader.FrameSize() > 0)
 				got, err := reader.Next()
 				assert.NilError(t, err)
 				assert.Assert(t, proto.Equal(got, probe(2)))
@@ -228,8 +228,8 @@
 		read := 0
 		for {
 			envelope, err := reader.Next()
-			read += reader.Size()
-			if err != nil && !wireproto.Skipped(err) {
+			read += reader.FrameSize()
+			if err != nil && !wireproto.Skippable(err) {
 				break
 			}
 			if err == nil {
--- a/internal/node/wireproto/link/accept.go
+++ b/internal/node/wireproto/link/accept.go
@@ -10,12 +10,12 @@
 	"kestrelspread/internal/node/wireproto"
 )
 
-// acceptPause follows an accept that failed, as it does where there are no descriptors left.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay follows an accept that failed, as it does where there are no descriptors left.
+const acceptRetryDelay = 100 * time.Millisecond
 
 // accept takes connections until the listener is closed.
 func (n *Network) accept() {
-	defer n.running.Done()
+	defer n.goroutines.Done()
 	for {
 		connection, err := n.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -23,20 +23,20 @@
 		}
 		if err != nil {
 			n.options.Log.Warn("accept failed", "error", err)
-			n.pause(acceptPause)
+			n.waitBeforeAccept(acceptRetryDelay)
 			continue
 		}
 		n.serve(connection)
 	}
 }
 
-// pause waits, or until the Network is closed.
-func (n *Network) pause(span time.Duration) {
+// waitBeforeAccept waits, or until the Network is closed.
+func (n *Network) waitBeforeAccept(span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-n.closing.Done():
+	case <-n.closeContext.Done():
 	}
 }
 
@@ -45,22 +45,22 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.closed || len(n.accepted) >= n.options.MaxAccepted {
-		n.counters.acceptedRefused.Add(1)
+		n.counters.acceptedRejected.Add(1)
 		_ = connection.Close()
 		return
 	}
 	n.counters.accepted.Add(1)
 	n.accepted[connection] = struct{}{}
-	n.running.Go(func() { n.read(connection) })
+	n.goroutines.Go(func() { n.read(connection) })
 }
 
 // read passes on what arrives on an accepted connection until it ends.
 func (n *Network) read(connection net.Conn) {
-	defer n.forget(connection)
+	defer n.closeAccepted(connection)
 	if err := setAcceptedOptions(connection, n.options); err != nil {
 		n.options.Log.Debug("socket option not set", "error", err)
 	}
-	reader := wireproto.NewReader(&idleReader{connection: connection, limit: n.options.AcceptedIdle})
+	reader := wireproto.NewReader(&idleReader{connection: connection, limit: n.options.AcceptedIdleTimeout})
 	var sender core.Peer // of the last message
 	for {
 		err := n.receive(reader, &sender)
@@ -78,18 +78,18 @@
 	envelope, err := reader.Next()
 	switch {
 	case err == nil:
-		n.counters.received(wireproto.KindOf(envelope), reader.Size())
+		n.counters.received(wireproto.KindOf(envelope), reader.FrameSize())
 		from := core.Peer{NodeID: envelope.SenderId, Address: envelope.SenderAddress}
 		if from != *last {
 			*last = from
-			n.heard(from)
+			n.recordContact(from)
 		}
 		n.options.Receive(from, envelope)
 		return nil
 	case wireproto.IsOtherProtocol(err):
 		n.counters.otherProtocol.Add(1)
 		return nil
-	case wireproto.Skipped(err):
+	case wireproto.Skippable(err):
 		n.counters.undecodable.Add(1)
 		return nil
 	default:
@@ -97,25 +97,25 @@
 	}
 }
 
-// heard notes that a node has opened a connection and spoken.
-func (n *Network) heard(from core.Peer) {
+// recordContact notes that a node has opened a connection and spoken.
+func (n *Network) recordContact(from core.Peer) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if p := n.peers[from.Address]; p != nil {
-		p.heard(from.NodeID)
+		p.recordContact(from.NodeID)
 	}
 }
 
 // streamEnded counts and logs the end of a stream, unless its sender closed it properly or it was idle.
 func (n *Network) streamEnded(connection net.Conn, err error) {
-	if !wireproto.Broken(err) {
+	if !wireproto.IsBrokenStream(err) {
 		return
 	}
 	n.counters.brokenStreams.Add(1)
 	n.options.Log.Debug("stream broken", "from", connection.RemoteAddr().String(), "error", err)
 }
 
-func (n *Network) forget(connection net.Conn) {
+func (n *Network) closeAccepted(connection net.Conn) {
 	_ = connection.Close()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/node/wireproto/link/loopback.go
+++ b/internal/node/wireproto/link/loopback.go
@@ -40,10 +40,10 @@
 	n := l.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for len(l.queue.frames) > 0 && !n.closed {
+	for len(l.queue.pending) > 0 && !n.closed {
 		taken := l.queue.take()
 		n.mutex.Unlock()
-		l.pass(taken.frames)
+		l.decodeAll(taken.frames)
 		n.mutex.Lock()
 		n.release(&l.queue, taken)
 	}
@@ -51,7 +51,7 @@
 	n.endSender()
 }
 
-func (l *loopback) pass(frames []byte) {
+func (l *loopback) decodeAll(frames []byte) {
 	l.source.Reset(frames)
 	l.reader.Reset(&l.source)
 	self := core.Peer{NodeID: l.network.options.SelfID, Address: l.network.options.SelfAddress}
--- a/internal/node/wireproto/link/network.go
+++ b/internal/node/wireproto/link/network.go
@@ -18,11 +18,11 @@
 	local    *loopback
 	counters counters
 
-	// closing ends what waits: dials, and the pause after a failed accept.
-	closing context.Context
-	close   context.CancelFunc
-	// running counts the goroutines of the Network.
-	running sync.WaitGroup
+	// closeContext ends what waits: dials, and the pause after a failed accept.
+	closeContext context.Context
+	close        context.CancelFunc
+	// goroutines counts the goroutines of the Network.
+	goroutines sync.WaitGroup
 
 	// mutex guards what follows, and the fields of the peers and of local that say so.
 	mutex       sync.Mutex
@@ -31,7 +31,7 @@
 	accepted    map[net.Conn]struct{}
 	queuedBytes int           // waiting or being written, over all peers
 	senders     int           // goroutines that write or deliver
-	allSent     chan struct{} // closed when senders falls to 0; nil where nobody waits for that
+	sendersDone chan struct{} // closed when senders falls to 0; nil where nobody waits for that
 }
 
 // New listens on options.ListenAddress and starts to receive. The error is of type CannotListen or
@@ -60,8 +60,8 @@
 		accepted: map[net.Conn]struct{}{},
 	}
 	network.local = newLoopback(network)
-	network.closing, network.close = context.WithCancel(context.Background())
-	network.running.Add(1)
+	network.closeContext, network.close = context.WithCancel(context.Background())
+	network.goroutines.Add(1)
 	go network.accept()
 	return network, nil
 }
@@ -92,10 +92,10 @@
 		n.mutex.Unlock()
 		return nil
 	}
-	if n.allSent == nil {
-		n.allSent = make(chan struct{})
+	if n.sendersDone == nil {
+		n.sendersDone = make(chan struct{})
 	}
-	sent := n.allSent
+	sent := n.sendersDone
 	n.mutex.Unlock()
 	select {
 	case <-sent:
@@ -116,24 +116,24 @@
 			_ = connection.Close()
 		}
 		for _, peer := range n.peers {
-			peer.shut()
+			peer.close()
 		}
 	}
 	n.mutex.Unlock()
-	n.running.Wait()
+	n.goroutines.Wait()
 }
 
 // startSender runs send in a goroutine of its own. The mutex is held.
 func (n *Network) startSender(send func()) {
 	n.senders++
-	n.running.Go(send)
+	n.goroutines.Go(send)
 }
 
 // endSender is called at the end of what startSender started. The mutex is held.
 func (n *Network) endSender() {
 	n.senders--
-	if n.senders == 0 && n.allSent != nil {
-		close(n.allSent)
-		n.allSent = nil
+	if n.senders == 0 && n.sendersDone != nil {
+		close(n.sendersDone)
+		n.sendersDone = nil
 	}
 }
--- a/internal/node/wireproto/link/network_test.go
+++ b/internal/node/wireproto/link/network_test.go
@@ -232,7 +232,7 @@
 }
 
 func TestAPeerThatStartedAgainIsReached(t *testing.T) {
-	a := start(t, "a/1", link.Options{FirstBackoff: time.Millisecond, MaxBackoff: 5 * time.Millisecond})
+	a := start(t, "a/1", link.Options{MinBackoff: time.Millisecond, MaxBackoff: 5 * time.Millisecond})
 	former := start(t, "b/1", link.Options{})
 	address := former.Address()
 	a.Send(address, probe(1))
@@ -259,7 +259,7 @@
 	listener := silentListener(t)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	a := start(t, "a/1", link.Options{FirstBackoff: time.Hour, MaxBackoff: time.Hour})
+	a := start(t, "a/1", link.Options{MinBackoff: time.Hour, MaxBackoff: time.Hour})
 	a.Send(address, probe(1))
 	a.flush(t)
 	a.Send(address, probe(2))
@@ -275,7 +275,7 @@
 	listener := silentListener(t)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	a := start(t, "a/1", link.Options{FirstBackoff: time.Hour, MaxBackoff: time.Hour})
+	a := start(t, "a/1", link.Options{MinBackoff: time.Hour, MaxBackoff: time.Hour})
 	a.Send(address, probe(1))
 	a.flush(t)
 
@@ -302,7 +302,7 @@
 
 func TestTheFirstDialEndsLongBeforeTheLimit(t *testing.T) {
 	address := hangingAddress(t)
-	a := start(t, "a/1", link.Options{DialTimeout: time.Hour, FirstBackoff: time.Hour, MaxBackoff: time.Hour})
+	a := start(t, "a/1", link.Options{DialTimeout: time.Hour, MinBackoff: time.Hour, MaxBackoff: time.Hour})
 	a.Send(address, probe(1))
 	a.flush(t)
 	assert.Equal(t, a.Stats().DialFailures, uint64(1))
@@ -345,7 +345,7 @@
 
 func TestAConnectThatHangsIsGivenUp(t *testing.T) {
 	address := hangingAddress(t)
-	a := start(t, "a/1", link.Options{DialTimeout: 50 * time.Millisecond, FirstBackoff: time.Hour, MaxBackoff: time.Hour})
+	a := start(t, "a/1", link.Options{DialTimeout: 50 * time.Millisecond, MinBackoff: time.Hour, MaxBackoff: time.Hour})
 	for sequence := range uint64(10) {
 		a.Send(address, probe(sequence))
 	}
@@ -364,7 +364,7 @@
 func TestAPeerThatDoesNotReadHoldsALimitedQueue(t *testing.T) {
 	const bound = 1 << 20
 	listener := silentListener(t)
-	a := start(t, "a/1", link.Options{SendTimeout: 300 * time.Millisecond, MaxQueueBytes: bound, FirstBackoff: time.Hour, MaxBackoff: time.Hour})
+	a := start(t, "a/1", link.Options{SendTimeout: 300 * time.Millisecond, MaxQueueBytes: bound, MinBackoff: time.Hour, MaxBackoff: time.Hour})
 	reader := start(t, "b/1", link.Options{})
 	// More than the sockets' buffers and the queue hold together.
 	for range 1024 {
@@ -401,7 +401,7 @@
 
 func TestADialedConnectionWithoutUseIsClosed(t *testing.T) {
 	listener := silentListener(t)
-	a := start(t, "a/1", link.Options{IdleClose: 20 * time.Millisecond})
+	a := start(t, "a/1", link.Options{IdleTimeout: 20 * time.Millisecond})
 	for range 2 {
 		a.Send(listener.Addr().String(), probe(1))
 		connection, err := listener.Accept()
@@ -415,7 +415,7 @@
 }
 
 func TestAnAcceptedConnectionThatIsSilentIsClosed(t *testing.T) {
-	a := start(t, "a/1", link.Options{AcceptedIdle: 20 * time.Millisecond})
+	a := start(t, "a/1", link.Options{AcceptedIdleTimeout: 20 * time.Millisecond})
 	expectClosed(t, dial(t, a.Address()))
 	assert.Equal(t, a.Stats().BrokenStreams, uint64(0))
 }
@@ -429,7 +429,7 @@
 	assert.NilError(t, err)
 	a.next(t)
 	expectClosed(t, dial(t, a.Address()))
-	assert.Equal(t, a.Stats().AcceptedRefused, uint64(1))
+	assert.Equal(t, a.Stats().AcceptedRejected, uint64(1))
 	_, err = first.Write(encoded)
 	assert.NilError(t, err)
 	a.next(t)
--- a/internal/node/wireproto/link/options.go
+++ b/internal/node/wireproto/link/options.go
@@ -17,16 +17,16 @@
 
 // Defaults of Options.
 const (
-	DefaultDialTimeout   = time.Second
-	DefaultSendTimeout   = 2 * time.Second
-	DefaultIdleClose     = 60 * time.Second
-	DefaultAcceptedIdle  = 90 * time.Second
-	DefaultKeepAliveIdle = 10 * time.Second
-	DefaultFirstBackoff  = 50 * time.Millisecond
-	DefaultMaxBackoff    = time.Second
-	DefaultMaxQueueBytes = 4 << 20
-	DefaultMaxTotalBytes = 32 << 20
-	DefaultMaxAccepted   = 1024
+	DefaultDialTimeout         = time.Second
+	DefaultSendTimeout         = 2 * time.Second
+	DefaultIdleTimeout         = 60 * time.Second
+	DefaultAcceptedIdleTimeout = 90 * time.Second
+	DefaultKeepAliveIdle       = 10 * time.Second
+	DefaultMinBackoff          = 50 * time.Millisecond
+	DefaultMaxBackoff          = time.Second
+	DefaultMaxQueueBytes       = 4 << 20
+	DefaultMaxTotalBytes       = 32 << 20
+	DefaultMaxAccepted         = 1024
 )
 
 // Options of a Network. Zero values stand for the defaults.
@@ -47,17 +47,17 @@
 	// SendTimeout is how long a peer may take in nothing, or leave sent bytes without acknowledgement
 	// (TCP_USER_TIMEOUT), before its connection is closed.
 	SendTimeout time.Duration
-	// IdleClose is how long a dialed connection is kept without use.
-	IdleClose time.Duration
-	// AcceptedIdle is how long an accepted connection may be silent. It has to be longer than IdleClose.
-	AcceptedIdle time.Duration
+	// IdleTimeout is how long a dialed connection is kept without use.
+	IdleTimeout time.Duration
+	// AcceptedIdleTimeout is how long an accepted connection may be silent. It has to be longer than IdleClose.
+	AcceptedIdleTimeout time.Duration
 	// KeepAliveIdle is how long a connection rests until the kernel asks whether its other end is there. What is sent
 	// is watched by SendTimeout; these probes only find the connections that nobody uses, and cost bytes on each.
 	KeepAliveIdle time.Duration
-	// FirstBackoff, doubled up to MaxBackoff, is how long messages to a peer are dropped after it could not be
+	// MinBackoff, doubled up to MaxBackoff, is how long messages to a peer are dropped after it could not be
 	// reached.
-	FirstBackoff time.Duration
-	MaxBackoff   time.Duration
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
 	// MaxQueueBytes bounds what waits to be sent to one peer. A single message may be larger, where nothing waits.
 	MaxQueueBytes int
 	// MaxTotalBytes bounds what waits to be sent to all peers together.
@@ -74,10 +74,10 @@
 func (o Options) withDefaults() Options {
 	setDuration(&o.DialTimeout, DefaultDialTimeout)
 	setDuration(&o.SendTimeout, DefaultSendTimeout)
-	setDuration(&o.IdleClose, DefaultIdleClose)
-	setDuration(&o.AcceptedIdle, DefaultAcceptedIdle)
+	setDuration(&o.IdleTimeout, DefaultIdleTimeout)
+	setDuration(&o.AcceptedIdleTimeout, DefaultAcceptedIdleTimeout)
 	setDuration(&o.KeepAliveIdle, DefaultKeepAliveIdle)
-	setDuration(&o.FirstBackoff, DefaultFirstBackoff)
+	setDuration(&o.MinBackoff, DefaultMinBackoff)
 	setDuration(&o.MaxBackoff, DefaultMaxBackoff)
 	setInt(&o.MaxQueueBytes, DefaultMaxQueueBytes)
 	setInt(&o.MaxTotalBytes, DefaultMaxTotalBytes)
--- a/internal/node/wireproto/link/peer.go
+++ b/internal/node/wireproto/link/peer.go
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// writeChunk is the most that has to be taken in by a peer within SendTimeout.
-const writeChunk = 256 << 10
+// maxWriteSize is the most that has to be taken in by a peer within SendTimeout.
+const maxWriteSize = 256 << 10
 
 // peer is the sending side towards one address. The Network's mutex guards its fields.
 type peer struct {
@@ -20,24 +20,24 @@
 	writing bool // a goroutine runs write
 
 	connection net.Conn // nil where none stands
-	usedAt     time.Time
+	lastUsedAt time.Time
 	idleTimer  *time.Timer
 
 	backoff      time.Duration // of the last failure; 0 after a success
 	dialFailures int           // in a row
 	retryAt      time.Time     // messages are dropped until then
 
-	stopDial context.CancelFunc // ends the dial under way; nil where none is
-	redial   bool               // the dial under way was ended as the peer has spoken: another follows at once
-	life     string             // node id of the newest life that spoke from the address; empty: none has
+	cancelDial context.CancelFunc // ends the dial under way; nil where none is
+	redial     bool               // the dial under way was ended as the peer has spoken: another follows at once
+	lastNodeID string             // node id of the newest life that spoke from the address; empty: none has
 }
 
 // peer returns the sending side towards the address, and makes it where there is none. The mutex is held.
 func (n *Network) peer(address string) *peer {
 	p := n.peers[address]
 	if p == nil {
-		p = &peer{network: n, address: address, usedAt: time.Now()}
-		p.idleTimer = time.AfterFunc(n.options.IdleClose, p.closeIdle)
+		p = &peer{network: n, address: address, lastUsedAt: time.Now()}
+		p.idleTimer = time.AfterFunc(n.options.IdleTimeout, p.closeIdle)
 		n.peers[address] = p
 	}
 	return p
@@ -61,16 +61,16 @@
 	n := p.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for len(p.queue.frames) > 0 {
+	for len(p.queue.pending) > 0 {
 		taken := p.queue.take()
 		connection := p.connection
 		n.mutex.Unlock()
 		connection, err := p.deliver(connection, taken.frames)
 		n.mutex.Lock()
 		n.release(&p.queue, taken)
-		p.usedAt = time.Now()
+		p.lastUsedAt = time.Now()
 		if err != nil {
-			p.failed(connection, err)
+			p.handleFailure(connection, err)
 			n.counters.droppedConnection.Add(uint64(taken.messages))
 			continue
 		}
@@ -90,7 +90,7 @@
 		connection = dialed
 	}
 	for len(frames) > 0 {
-		chunk := frames[:min(len(frames), writeChunk)]
+		chunk := frames[:min(len(frames), maxWriteSize)]
 		frames = frames[len(chunk):]
 		if err := connection.SetWriteDeadline(time.Now().Add(p.network.options.SendTimeout)); err != nil {
 			return connection, err
@@ -109,7 +109,7 @@
 		connection, err := p.dialOnce()
 		n.mutex.Lock()
 		again := err != nil && p.redial && !n.closed
-		p.redial, p.stopDial = false, nil
+		p.redial, p.cancelDial = false, nil
 		n.mutex.Unlock()
 		if !again {
 			return connection, err
@@ -120,8 +120,8 @@
 func (p *peer) dialOnce() (net.Conn, error) {
 	n := p.network
 	n.mutex.Lock()
-	ctx, cancel := context.WithTimeout(n.closing, p.dialTimeout())
-	p.stopDial = cancel
+	ctx, cancel := context.WithTimeout(n.closeContext, p.dialTimeout())
+	p.cancelDial = cancel
 	n.mutex.Unlock()
 	defer cancel()
 	n.counters.dials.Add(1)
@@ -139,43 +139,43 @@
 		return nil, net.ErrClosed
 	}
 	p.connection = connection
-	n.running.Go(func() { p.watch(connection) })
+	n.goroutines.Go(func() { p.awaitClose(connection) })
 	return connection, nil
 }
 
-// firstDialTimeout bounds the first dial after a success: where the peer was just starting, its opening packet was lost, and the
+// initialDialTimeout bounds the first dial after a success: where the peer was just starting, its opening packet was lost, and the
 // kernel would repeat it only after a second. Each failure doubles it.
-const firstDialTimeout = 200 * time.Millisecond
+const initialDialTimeout = 200 * time.Millisecond
 
 func (p *peer) dialTimeout() time.Duration {
 	limit := p.network.options.DialTimeout
 	if p.dialFailures > 10 {
 		return limit
 	}
-	return min(limit, firstDialTimeout<<p.dialFailures)
+	return min(limit, initialDialTimeout<<p.dialFailures)
 }
 
-// heard notes that a life of the peer has just spoken: it can be reached, and a connection to a former life leads nowhere.
+// recordContact notes that a life of the peer has just spoken: it can be reached, and a connection to a former life leads nowhere.
 // The mutex is held.
-func (p *peer) heard(life string) {
-	if p.life == life {
+func (p *peer) recordContact(nodeID string) {
+	if p.lastNodeID == nodeID {
 		return
 	}
-	former := p.life
-	p.life = life
+	previousNodeID := p.lastNodeID
+	p.lastNodeID = nodeID
 	p.backoff, p.retryAt, p.dialFailures = 0, time.Time{}, 0
-	if p.stopDial != nil {
+	if p.cancelDial != nil {
 		p.redial = true
-		p.stopDial()
+		p.cancelDial()
 	}
-	if former != "" {
+	if previousNodeID != "" {
 		p.disconnect(p.connection)
 	}
 }
 
-// watch waits for the end of a dialed connection, on which nothing is to arrive: so a peer that ended or became
+// awaitClose waits for the end of a dialed connection, on which nothing is to arrive: so a peer that ended or became
 // unreachable is known before something is written to a connection that no longer leads anywhere.
-func (p *peer) watch(connection net.Conn) {
+func (p *peer) awaitClose(connection net.Conn) {
 	var unexpected [1]byte
 	_, _ = connection.Read(unexpected[:])
 	p.network.mutex.Lock()
@@ -183,14 +183,14 @@
 	p.disconnect(connection)
 }
 
-// failed drops what waits, and keeps from trying again for a moment. connection is nil where none came up. The mutex
+// handleFailure drops what waits, and keeps from trying again for a moment. connection is nil where none came up. The mutex
 // is held.
-func (p *peer) failed(connection net.Conn, err error) {
+func (p *peer) handleFailure(connection net.Conn, err error) {
 	n := p.network
 	p.disconnect(connection)
 	n.drop(&p.queue)
-	p.backoff = min(max(2*p.backoff, n.options.FirstBackoff), n.options.MaxBackoff)
-	p.retryAt = p.usedAt.Add(p.backoff)
+	p.backoff = min(max(2*p.backoff, n.options.MinBackoff), n.options.MaxBackoff)
+	p.retryAt = p.lastUsedAt.Add(p.backoff)
 	n.options.Log.Debug("peer not reached", "address", p.address, "error", err, "retry_in", p.backoff)
 }
 
@@ -213,17 +213,17 @@
 	if n.closed {
 		return
 	}
-	idle := time.Since(p.usedAt)
-	if p.writing || idle < n.options.IdleClose {
-		p.idleTimer.Reset(max(n.options.IdleClose-idle, n.options.IdleClose/10))
+	idle := time.Since(p.lastUsedAt)
+	if p.writing || idle < n.options.IdleTimeout {
+		p.idleTimer.Reset(max(n.options.IdleTimeout-idle, n.options.IdleTimeout/10))
 		return
 	}
-	p.shut()
+	p.close()
 	delete(n.peers, p.address)
 }
 
-// shut closes what the peer holds. The mutex is held.
-func (p *peer) shut() {
+// close closes what the peer holds. The mutex is held.
+func (p *peer) close() {
 	p.idleTimer.Stop()
 	p.disconnect(p.connection)
 }
--- a/internal/node/wireproto/link/stats.go
+++ b/internal/node/wireproto/link/stats.go
@@ -24,8 +24,8 @@
 	Dials        uint64
 	DialFailures uint64
 	// Accepted counts connections of peers; AcceptedRefused those closed at once, as there were too many.
-	Accepted        uint64
-	AcceptedRefused uint64
+	Accepted         uint64
+	AcceptedRejected uint64
 
 	// OtherProtocol counts messages of nodes that speak another version of the schema.
 	OtherProtocol uint64
@@ -57,7 +57,7 @@
 	dials              atomic.Uint64
 	dialFailures       atomic.Uint64
 	accepted           atomic.Uint64
-	acceptedRefused    atomic.Uint64
+	acceptedRejected   atomic.Uint64
 	otherProtocol      atomic.Uint64
 	undecodable        atomic.Uint64
 	brokenStreams      atomic.Uint64
@@ -84,7 +84,7 @@
 		Dials:              c.dials.Load(),
 		DialFailures:       c.dialFailures.Load(),
 		Accepted:           c.accepted.Load(),
-		AcceptedRefused:    c.acceptedRefused.Load(),
+		AcceptedRejected:   c.acceptedRejected.Load(),
 		OtherProtocol:      c.otherProtocol.Load(),
 		Undecodable:        c.undecodable.Load(),
 		BrokenStreams:      c.brokenStreams.Load(),
--- a/internal/node/wireproto/reader.go
+++ b/internal/node/wireproto/reader.go
@@ -13,17 +13,17 @@
 const (
 	// readBufferSize holds the usual frame whole. Every connection has one such buffer.
 	readBufferSize = 4 << 10
-	// firstBodySize is what is allocated at first for a larger frame: a length alone claims no memory.
-	firstBodySize = 64 << 10
-	// keptBodySize bounds what a Reader keeps allocated between frames.
-	keptBodySize = 64 << 10
+	// initialBodySize is what is allocated at first for a larger frame: a length alone claims no memory.
+	initialBodySize = 64 << 10
+	// maxRetainedBodySize bounds what a Reader keeps allocated between frames.
+	maxRetainedBodySize = 64 << 10
 )
 
 // Reader takes envelopes off a byte stream. It is not safe for concurrent use.
 type Reader struct {
-	source *bufio.Reader
-	body   []byte
-	size   int
+	source    *bufio.Reader
+	body      []byte
+	frameSize int
 }
 
 // NewReader returns a Reader of the stream.
@@ -41,7 +41,7 @@
 // The error is io.EOF where the stream ended between two frames, else one of the types of this package, or the
 // stream's own error where that came between two frames. Where Skipped(err) holds, Next may be called again.
 func (r *Reader) Next() (*nodepb.Envelope, error) {
-	r.size = 0
+	r.frameSize = 0
 	length, err := r.readHeader()
 	if err != nil {
 		return nil, err
@@ -50,13 +50,13 @@
 	if err != nil {
 		return nil, Truncated.Wrap(err, "within the %d bytes of an envelope", length)
 	}
-	r.size = HeaderSize + length
+	r.frameSize = HeaderSize + length
 	return decode(body)
 }
 
-// Size returns the number of bytes, with its header, of the frame that the last call of Next read; 0 where it read
+// FrameSize returns the number of bytes, with its header, of the frame that the last call of Next read; 0 where it read
 // none whole.
-func (r *Reader) Size() int { return r.size }
+func (r *Reader) FrameSize() int { return r.frameSize }
 
 // Buffered returns the number of bytes that can be read without waiting for the stream.
 func (r *Reader) Buffered() int { return r.source.Buffered() }
@@ -111,7 +111,7 @@
 			return nil, err
 		}
 	}
-	if cap(body) <= keptBodySize {
+	if cap(body) <= maxRetainedBodySize {
 		r.body = body[:0]
 	}
 	return body, nil
@@ -122,7 +122,7 @@
 	if len(body) < cap(body) {
 		return body
 	}
-	size := min(length, max(firstBodySize, 2*cap(body)))
+	size := min(length, max(initialBodySize, 2*cap(body)))
 	grown := make([]byte, len(body), size)
 	copy(grown, body)
 	return grown
