--- a/internal/node/controlapi/api.go
+++ b/internal/node/controlapi/api.go
@@ -104,11 +104,11 @@
 
 // callContext bounds a call of the Backend.
 func (a *api) callContext(r *http.Request) (context.Context, context.CancelFunc) {
-	return a.sizedCallContext(r, 0)
+	return a.callContextForBody(r, 0)
 }
 
-// sizedCallContext bounds a call with a body of that many bytes, for which callers wait longer.
-func (a *api) sizedCallContext(r *http.Request, bytes int) (context.Context, context.CancelFunc) {
+// callContextForBody bounds a call with a body of that many bytes, for which callers wait longer.
+func (a *api) callContextForBody(r *http.Request, bytes int) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.Context(), a.callTimeout+submit.ExtraTime(bytes))
 }
 
--- a/internal/node/controlapi/heartbeat.go
+++ b/internal/node/controlapi/heartbeat.go
@@ -17,16 +17,16 @@
 
 // heartbeatBody is what a broker tells of itself. Unknown fields are ignored.
 type heartbeatBody struct {
-	Service         string          `json:"service"`
-	Address         string          `json:"address"`
-	Zone            string          `json:"zone"`
-	Version         any             `json:"version"` // of its software: kept where it is a text, else of no use
-	Slots           float64         `json:"slots"`
-	State           string          `json:"state"`
-	ColdRemainingMs float64         `json:"coldRemainingMs"`
-	Sequence        uint64          `json:"sequence"`
-	Stage           string          `json:"stage"`
-	Models          []modelOnBroker `json:"models"`
+	Service           string          `json:"service"`
+	Address           string          `json:"address"`
+	Zone              string          `json:"zone"`
+	Version           any             `json:"version"` // of its software: kept where it is a text, else of no use
+	Slots             float64         `json:"slots"`
+	State             string          `json:"state"`
+	WarmUpRemainingMs float64         `json:"coldRemainingMs"`
+	Sequence          uint64          `json:"sequence"`
+	Stage             string          `json:"stage"`
+	Models            []modelOnBroker `json:"models"`
 }
 
 // modelOnBroker is one model that a broker holds.
@@ -84,7 +84,7 @@
 }
 
 // instanceID reads the broker's id from the path, of which chi hands out the escaped form where there is one.
-func instanceID(r *http.Request) (string, *callError) {
+func instanceID(r *http.Request) (string, *requestError) {
 	id := chi.URLParam(r, "id")
 	if r.URL.RawPath != "" {
 		unescaped, err := url.PathUnescape(id)
@@ -100,34 +100,34 @@
 }
 
 // decodeHeartbeat checks a heartbeat's body.
-func decodeHeartbeat(id string, body []byte) (*nodepb.Instance, *callError) {
-	var beat heartbeatBody
-	if err := json.Unmarshal(body, &beat); err != nil {
+func decodeHeartbeat(id string, body []byte) (*nodepb.Instance, *requestError) {
+	var heartbeat heartbeatBody
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
 		return nil, badRequest("heartbeat: " + err.Error())
 	}
-	if beat.Service == "" {
+	if heartbeat.Service == "" {
 		return nil, badRequest("service: is missing")
 	}
-	if _, err := netip.ParseAddrPort(beat.Address); err != nil {
+	if _, err := netip.ParseAddrPort(heartbeat.Address); err != nil {
 		return nil, badRequest("address: is not IP:port")
 	}
-	state, known := instanceStates[beat.State]
+	state, known := instanceStates[heartbeat.State]
 	if !known {
 		return nil, badRequest("state: is neither ready nor draining")
 	}
-	software, _ := beat.Version.(string)
+	software, _ := heartbeat.Version.(string)
 	return &nodepb.Instance{
 		Id:              id,
-		Service:         beat.Service,
-		Address:         beat.Address,
-		Zone:            beat.Zone,
+		Service:         heartbeat.Service,
+		Address:         heartbeat.Address,
+		Zone:            heartbeat.Zone,
 		Software:        software,
-		Slots:           wholeUint32(beat.Slots),
+		Slots:           ceilUint32(heartbeat.Slots),
 		State:           state,
-		ColdRemainingMs: wholeUint32(beat.ColdRemainingMs),
-		Sequence:        beat.Sequence,
-		Stage:           beat.Stage,
-		Models:          modelsOnInstance(beat.Models),
+		ColdRemainingMs: ceilUint32(heartbeat.WarmUpRemainingMs),
+		Sequence:        heartbeat.Sequence,
+		Stage:           heartbeat.Stage,
+		Models:          modelsOnInstance(heartbeat.Models),
 	}, nil
 }
 
@@ -138,26 +138,26 @@
 }
 
 func modelsOnInstance(models []modelOnBroker) []*nodepb.ModelOnInstance {
-	var held []*nodepb.ModelOnInstance
+	var converted []*nodepb.ModelOnInstance
 	for _, model := range models {
-		held = append(held, &nodepb.ModelOnInstance{
-			Name: model.Name, Version: model.Version, Adapters: textsOf(model.Adapters),
+		converted = append(converted, &nodepb.ModelOnInstance{
+			Name: model.Name, Version: model.Version, Adapters: stringsOf(model.Adapters),
 		})
 	}
-	return held
+	return converted
 }
 
-func textsOf(items []any) []string {
-	var texts []string
+func stringsOf(items []any) []string {
+	var strings []string
 	for _, item := range items {
 		if text, ok := item.(string); ok {
-			texts = append(texts, text)
+			strings = append(strings, text)
 		}
 	}
-	return texts
+	return strings
 }
 
-// wholeUint32 rounds a number up and keeps it within the type's range.
-func wholeUint32(number float64) uint32 {
+// ceilUint32 rounds a number up and keeps it within the type's range.
+func ceilUint32(number float64) uint32 {
 	return uint32(min(max(math.Ceil(number), 0), math.MaxUint32))
 }
--- a/internal/node/controlapi/message.go
+++ b/internal/node/controlapi/message.go
@@ -13,11 +13,11 @@
 // retryAfter is the wait named to callers that met a node which could not tell, in seconds: another node may know.
 const retryAfter = "0.2"
 
-// maxReservedBytes bounds the memory set aside for a body on its sender's word alone.
-const maxReservedBytes = 256 << 10
+// maxPreallocatedBytes bounds the memory set aside for a body on its sender's word alone.
+const maxPreallocatedBytes = 256 << 10
 
-// callError is a call that is answered here, without the Backend.
-type callError struct {
+// requestError is a call that is answered here, without the Backend.
+type requestError struct {
 	status int
 	text   string
 }
@@ -27,24 +27,24 @@
 	Error string `json:"error"`
 }
 
-func badRequest(text string) *callError {
-	return &callError{status: http.StatusBadRequest, text: text}
+func badRequest(text string) *requestError {
+	return &requestError{status: http.StatusBadRequest, text: text}
 }
 
-func (e *callError) write(w http.ResponseWriter) {
+func (e *requestError) write(w http.ResponseWriter) {
 	writeJSON(w, e.status, errorReply{Error: e.text})
 }
 
 // readBody reads a body of up to limit bytes. A longer one is a 413; one that ends before its stated length can not be
 // read whole, which is a 400; one that comes too slowly is a 408, so that its sender tries another node.
-func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *callError) {
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *requestError) {
 	if r.ContentLength > limit {
 		text := "body: is longer than " + strconv.FormatInt(limit, 10) + " bytes"
-		return nil, &callError{status: http.StatusRequestEntityTooLarge, text: text}
+		return nil, &requestError{status: http.StatusRequestEntityTooLarge, text: text}
 	}
 	var body bytes.Buffer
 	if r.ContentLength > 0 {
-		body.Grow(int(min(r.ContentLength, maxReservedBytes)) + bytes.MinRead)
+		body.Grow(int(min(r.ContentLength, maxPreallocatedBytes)) + bytes.MinRead)
 	}
 	_, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -53,14 +53,14 @@
 	return nil, bodyError(err)
 }
 
-func bodyError(err error) *callError {
+func bodyError(err error) *requestError {
 	var tooLarge *http.MaxBytesError
 	var network net.Error
 	switch {
 	case errors.As(err, &tooLarge):
-		return &callError{status: http.StatusRequestEntityTooLarge, text: "body: " + err.Error()}
+		return &requestError{status: http.StatusRequestEntityTooLarge, text: "body: " + err.Error()}
 	case errors.As(err, &network) && network.Timeout():
-		return &callError{status: http.StatusRequestTimeout, text: "body: " + err.Error()}
+		return &requestError{status: http.StatusRequestTimeout, text: "body: " + err.Error()}
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return badRequest("body: is cut short")
 	default:
@@ -69,9 +69,9 @@
 }
 
 // writeUnavailable says that this node can't tell, and when to come back.
-func writeUnavailable(w http.ResponseWriter, text string) {
+func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", retryAfter)
-	writeJSON(w, http.StatusServiceUnavailable, errorReply{Error: text})
+	writeJSON(w, http.StatusServiceUnavailable, errorReply{Error: reason})
 }
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
--- a/internal/node/controlapi/operator.go
+++ b/internal/node/controlapi/operator.go
@@ -85,7 +85,7 @@
 
 // submit brings a command to the chain and words its result.
 func (a *api) submit(w http.ResponseWriter, r *http.Request, path string, command *nodepb.Command) {
-	ctx, cancel := a.sizedCallContext(r, len(command.GetConfigChange().GetBody()))
+	ctx, cancel := a.callContextForBody(r, len(command.GetConfigChange().GetBody()))
 	defer cancel()
 	result, err := a.backend.Submit(ctx, command)
 	if err != nil {
--- a/internal/node/controlapi/server_test.go
+++ b/internal/node/controlapi/server_test.go
@@ -55,7 +55,7 @@
 	assert.NilError(t, <-s.ended)
 }
 
-func TestBodyCutShortOnTheWay(t *testing.T) {
+func TestTruncatedBodyIsRejected(t *testing.T) {
 	backend := &fakeBackend{result: taken(7)}
 	s := serve(t, Handler(backend, Options{Log: quiet()}), time.Minute)
 	connection, err := net.Dial("tcp", s.address)
