--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -34,7 +34,7 @@
 	}
 	counters := a.router.Counters()
 	status.Choices, status.Refusals = choiceStatus(&counters), refusalStatus(&counters)
-	status.Prompts, status.Late, status.LateNewest = nodestatus.Prompts(counters.Prompts), lateStatus(&counters), lateNewest(now, a.router.Late())
+	status.Prompts, status.Late, status.LateNewest = promptStatus(&counters.Prompts), lateStatus(&counters), lateNewest(now, a.router.Late())
 	status.Disabled = a.disabled.Names()
 	if compiled := a.compiled.Load(); compiled != nil {
 		status.ConfigVersion, status.ModelVersions = compiled.Version, compiled.ModelVersions
@@ -95,6 +95,19 @@
 	return refusals
 }
 
+func promptStatus(counters *routing.PromptCounters) nodestatus.Prompts {
+	return nodestatus.Prompts{
+		Shared:       counters.Shared,
+		Held:         counters.Held,
+		Coming:       counters.Coming,
+		FromBroker:   counters.FromBroker,
+		FromStore:    counters.FromStore,
+		First:        counters.First,
+		Again:        counters.Again,
+		BlindFetches: counters.BlindFetches,
+	}
+}
+
 func lateStatus(counters *routing.Counters) map[string]uint64 {
 	late := make(map[string]uint64, len(counters.Late))
 	for cause, count := range counters.Late {
