--- a/cmd/kestrelctl/fleet_test.go
+++ b/cmd/kestrelctl/fleet_test.go
@@ -28,17 +28,17 @@
 	return nodestatus.Status{
 		Node: name, ID: name + "/1", Zone: "zone-a", Ready: true, ConfigVersion: 7, ModelVersions: map[string]uint64{"m": 2},
 		Members:   []nodestatus.Member{{Name: "n1"}, {Name: "n2"}},
-		Chain:     &nodestatus.Chain{Epoch: epoch, Role: "head", Chain: []string{"a", "b"}, Committed: 12, DiskFine: true},
+		Chain:     &nodestatus.Chain{Epoch: epoch, Role: "head", Chain: []string{"a", "b"}, Committed: 12, DiskHealthy: true},
 		Instances: []nodestatus.Instance{{ID: "i1", State: "READY"}, {ID: "i2", State: "READY"}, {ID: "i3", State: "DRAINING"}},
-		Requests:  nodestatus.Requests{Taken: 10, Answered: 8, Refused: 1, Failed: 1, Attempts: 8},
+		Requests:  nodestatus.Requests{Received: 10, Answered: 8, Rejected: 1, Failed: 1, Attempts: 8},
 		Choices:   nodestatus.Choices{ByPrediction: 2, ByLoad: 6},
 		Refusals:  map[string]uint64{"all brokers full": 1},
-		Prompts:   nodestatus.Prompts{Shared: 2000, Held: 1000, Coming: 100, FromBroker: 300, FromStore: 200, First: 300, Again: 100},
+		Prompts:   nodestatus.Prompts{Shared: 2000, Cached: 1000, InPrefill: 100, FromBroker: 300, FromStore: 200, FirstSeen: 300, Recomputed: 100},
 		Late:      map[string]uint64{"waited for other prompts": 4},
-		LateNewest: []nodestatus.LateRequest{{Ago: "2s", Route: "r-oldest"}, {Ago: "1s", Route: "r1", Instance: "i1",
-			Cause: "waited for other prompts", First: "510ms", Pause: "0s", Unread: 700, Ahead: 21000, Load: 3, Running: 2, Waiting: 1},
+		NewestLate: []nodestatus.LateRequest{{Ago: "2s", Route: "r-oldest"}, {Ago: "1s", Route: "r1", Instance: "i1",
+			Cause: "waited for other prompts", FirstEvent: "510ms", MaxGap: "0s", PrefillTokens: 700, QueuedPrefillTokens: 21000, Load: 3, Running: 2, Waiting: 1},
 			{Route: "r2"}, {Route: "r3"}},
-		Disabled: []string{"copies", "overload"},
+		DisabledMechanisms: []string{"copies", "overload"},
 	}
 }
 
--- a/cmd/kestrelctl/fleetstatus.go
+++ b/cmd/kestrelctl/fleetstatus.go
@@ -82,7 +82,7 @@
 	done := make(chan struct{}, len(addresses))
 	for i, address := range addresses {
 		go func() {
-			statuses[i], failures[i] = nodestatus.Read(ctx, address)
+			statuses[i], failures[i] = nodestatus.Fetch(ctx, address)
 			done <- struct{}{}
 		}()
 	}
@@ -108,7 +108,7 @@
 	if len(p.Unreachable) > 0 {
 		return fmt.Errorf("%d nodes can't be reached", len(p.Unreachable))
 	}
-	if slices.ContainsFunc(p.Differences, func(d fleetDifference) bool { return d.Subject == nodestatus.TheView }) {
+	if slices.ContainsFunc(p.Differences, func(d fleetDifference) bool { return d.Subject == nodestatus.SubjectView }) {
 		return errors.New("nodes disagree on the view")
 	}
 	return nil
@@ -146,20 +146,20 @@
 
 // printLate says why a node's answers were late, and what was expected of prompts.
 func printLate(out io.Writer, node *nodestatus.Status) {
-	if len(node.Disabled) > 0 {
-		fmt.Fprintf(out, "%s switched off: %s\n", node.Node, strings.Join(node.Disabled, ", "))
+	if len(node.DisabledMechanisms) > 0 {
+		fmt.Fprintf(out, "%s switched off: %s\n", node.Node, strings.Join(node.DisabledMechanisms, ", "))
 	}
 	if p := node.Prompts; p.Shared > 0 {
 		fmt.Fprintf(out, "%s shared tokens: %s held, %s coming, %s from brokers, %s from the store, %s first, %s again\n", node.Node,
-			shareOf(p.Held, p.Shared), shareOf(p.Coming, p.Shared), shareOf(p.FromBroker, p.Shared), shareOf(p.FromStore, p.Shared),
-			shareOf(p.First, p.Shared), shareOf(p.Again, p.Shared))
+			shareOf(p.Cached, p.Shared), shareOf(p.InPrefill, p.Shared), shareOf(p.FromBroker, p.Shared), shareOf(p.FromStore, p.Shared),
+			shareOf(p.FirstSeen, p.Shared), shareOf(p.Recomputed, p.Shared))
 	}
 	if causes := countsByReason(node.Late); causes != "" {
 		fmt.Fprintf(out, "%s late: %s\n", node.Node, causes)
 	}
-	for _, late := range node.LateNewest[max(len(node.LateNewest)-latePrinted, 0):] {
+	for _, late := range node.NewestLate[max(len(node.NewestLate)-latePrinted, 0):] {
 		fmt.Fprintf(out, "  %s ago, %s at %s: %s; first event %s, pause %s, %d tokens unread, %d ahead, longest other %d, load %.0f believed, %d+%d reported\n",
-			late.Ago, late.Route, late.Instance, late.Cause, late.First, late.Pause, late.Unread, late.Ahead, late.LongestOther, late.Load,
+			late.Ago, late.Route, late.Instance, late.Cause, late.FirstEvent, late.MaxGap, late.PrefillTokens, late.QueuedPrefillTokens, late.LongestOtherPrompt, late.Load,
 			late.Running, late.Waiting)
 	}
 }
@@ -172,15 +172,15 @@
 		if node.Chain.Role != "" {
 			role, committed = node.Chain.Role, fmt.Sprint(node.Chain.Committed)
 		}
-		if node.Chain.Role != "" && !node.Chain.DiskFine {
+		if node.Chain.Role != "" && !node.Chain.DiskHealthy {
 			role += " (disk)"
 		}
 	}
 	requests := node.Requests
 	return []string{
 		node.Node, node.Zone, yesOrNo(node.Ready), fmt.Sprint(node.ConfigVersion), countedVersions(node.ModelVersions), role, epoch,
-		committed, orDash(node.ConfirmedAgo), fmt.Sprint(len(node.Members)), brokersByState(node.Instances), fmt.Sprint(requests.Taken),
-		fmt.Sprint(requests.Answered), fmt.Sprint(requests.Refused), fmt.Sprint(requests.Failed + requests.Aborted),
+		committed, orDash(node.ConfirmedAgo), fmt.Sprint(len(node.Members)), brokersByState(node.Instances), fmt.Sprint(requests.Received),
+		fmt.Sprint(requests.Answered), fmt.Sprint(requests.Rejected), fmt.Sprint(requests.Failed + requests.Aborted),
 		shareOf(node.Choices.ByPrediction, requests.Attempts),
 	}
 }
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -30,19 +30,19 @@
 
 // Sizes and times that the operator does not set.
 const (
-	inboxLength   = 4096
-	batchLength   = 256
-	gcPercent     = 200
-	settingsCheck = 2 * time.Second
+	inboxCapacity         = 4096
+	maxStepsPerTick       = 256
+	gcPercent             = 200
+	settingsCheckInterval = 2 * time.Second
 )
 
 // Agent is one node.
 type Agent struct {
-	log      *slog.Logger
-	settings *settings.Settings
-	disabled routing.Mechanism // switched off
-	started  time.Time
-	self     *nodepb.Member
+	log                *slog.Logger
+	settings           *settings.Settings
+	disabledMechanisms routing.Mechanism // switched off
+	startedAt          time.Time
+	self               *nodepb.Member
 
 	inbox    chan func(now core.Time)
 	requests *pendingRequests
@@ -59,21 +59,21 @@
 	proxy   *forward.Proxy
 	startup *forward.Startup
 
-	compiled  atomic.Pointer[config.Compiled]
-	confirmed atomic.Int64 // core.Time of the confirmation of the published state; 0: never
-	stopping  atomic.Bool
-	proxies   atomic.Int64 // nodes that serve clients, this one included
+	compiled    atomic.Pointer[config.Compiled]
+	confirmedAt atomic.Int64 // core.Time of the confirmation of the published state; 0: never
+	stopping    atomic.Bool
+	proxyCount  atomic.Int64 // nodes that serve clients, this one included
 
-	seen        seenRevisions
-	brokersCopy savedBrokers
+	progress     nodeProgress
+	savedBrokers savedBrokers
 }
 
-// seenRevisions is what the loop has noted of this node's course.
-type seenRevisions struct {
+// nodeProgress is what the loop has noted of this node's course.
+type nodeProgress struct {
 	// startupOver: this node has learnt what it lacked when it started, or no longer waits for it.
 	startupOver bool
-	// leaseLost: the configuration was confirmed too long ago for keys to be trusted (globalRevocation).
-	leaseLost bool
+	// leaseExpired: the configuration was confirmed too long ago for keys to be trusted (globalRevocation).
+	leaseExpired bool
 }
 
 // Run runs a node with the settings file at path until SIGTERM, SIGINT or the end of ctx, without the mechanisms that are disabled.
@@ -119,17 +119,17 @@
 
 // New builds a node; nothing is served yet.
 func New(loaded *settings.Settings, disabled routing.Mechanism, log *slog.Logger) *Agent {
-	life := hex.EncodeToString(randomBytes(6))
+	incarnationID := hex.EncodeToString(randomBytes(6))
 	a := &Agent{
-		log:      log.With("node", loaded.NodeName),
-		settings: loaded,
-		disabled: disabled,
-		started:  time.Now(),
-		inbox:    make(chan func(core.Time), inboxLength),
-		requests: newPendingRequests(),
+		log:                log.With("node", loaded.NodeName),
+		settings:           loaded,
+		disabledMechanisms: disabled,
+		startedAt:          time.Now(),
+		inbox:              make(chan func(core.Time), inboxCapacity),
+		requests:           newPendingRequests(),
 	}
 	a.self = &nodepb.Member{
-		NodeId:          loaded.NodeName + "/" + life,
+		NodeId:          loaded.NodeName + "/" + incarnationID,
 		Name:            loaded.NodeName,
 		Address:         loaded.InternalAddress(),
 		ControlAddress:  loaded.Listen.Control,
@@ -145,7 +145,7 @@
 }
 
 // now is the steady time since the process started.
-func (a *Agent) now() core.Time { return time.Since(a.started) }
+func (a *Agent) now() core.Time { return time.Since(a.startedAt) }
 
 // bounds are the figures of the rules for the control side.
 func (a *Agent) bounds() control.Bounds {
@@ -165,11 +165,11 @@
 		Seeds:                 a.settings.SeedInternalAddresses(),
 		Bootstrap:             a.settings.Bootstrap,
 		FaultTolerance:        a.settings.FaultTolerance.Machines,
-		MaxConfigurationBytes: a.configurationLimit(),
+		MaxConfigurationBytes: a.maxConfigurationBytes(),
 		HeartbeatInterval:     a.settings.Heartbeat(),
 		Bounds:                a.bounds(),
 	}, newRandom())
-	a.buildDuty()
+	a.buildOrderSender()
 	a.openSavedBrokers()
 	a.buildIndex()
 	a.buildLoadHints()
--- a/internal/node/agent/dataplane.go
+++ b/internal/node/agent/dataplane.go
@@ -23,8 +23,8 @@
 		Heartbeat:        a.settings.Heartbeat(),
 		Index:            a.prompts.index,
 		Random:           newRandom(),
-		Disabled:         a.disabled,
-	}), a.tellSent, a.tellStep)
+		Disabled:         a.disabledMechanisms,
+	}), a.announceSent, a.announceStep)
 	a.startup = forward.NewStartup()
 	a.proxy = forward.New(forward.Options{
 		Port:     a.router,
@@ -32,60 +32,62 @@
 		Config:   a.compiled.Load,
 		MayServe: a.mayServe,
 		Startup:  a.startup,
-		Proxies:  func() int { return int(a.proxies.Load()) },
-		Bounds:   forward.Bounds{MaxBufferedBytes: a.bufferedBytes()},
+		Proxies:  func() int { return int(a.proxyCount.Load()) },
+		Bounds:   forward.Bounds{MaxBufferedBytes: a.maxBufferedBytes()},
 		Log:      a.log,
 	})
 }
 
-// bufferShare of the memory limit may be taken by bodies and answers that are held: one in bufferShare.
-const bufferShare = 4
+// bufferMemoryDivisor of the memory limit may be taken by bodies and answers that are held: one in bufferShare.
+const bufferMemoryDivisor = 4
 
-// bufferedBytes bounds what the proxy holds; 0 leaves it to the proxy where no limit is known.
-func (a *Agent) bufferedBytes() int64 { return int64(a.settings.Limits.MemoryMB) << 20 / bufferShare }
+// maxBufferedBytes bounds what the proxy holds; 0 leaves it to the proxy where no limit is known.
+func (a *Agent) maxBufferedBytes() int64 {
+	return int64(a.settings.Limits.MemoryMB) << 20 / bufferMemoryDivisor
+}
 
 // mayServe reports whether a request may be sent on now. Source: RULES.md, "API keys".
 func (a *Agent) mayServe(now core.Time, public bool) bool {
-	return a.bounds().MayServe(now, a.compiled.Load(), core.Time(a.confirmed.Load()), public)
+	return a.bounds().MayServe(now, a.compiled.Load(), core.Time(a.confirmedAt.Load()), public)
 }
 
-// leaseHolds reports whether the configuration here was confirmed recently enough for keys to be trusted.
-func (a *Agent) leaseHolds(now core.Time) bool {
-	return a.bounds().ConfigurationLeaseValid(now, core.Time(a.confirmed.Load()))
+// configurationLeaseValid reports whether the configuration here was confirmed recently enough for keys to be trusted.
+func (a *Agent) configurationLeaseValid(now core.Time) bool {
+	return a.bounds().ConfigurationLeaseValid(now, core.Time(a.confirmedAt.Load()))
 }
 
 // ready is the answer to the platform.
 func (a *Agent) ready() bool {
 	now := a.now()
-	return !a.stopping.Load() && a.confirmed.Load() != 0 && a.mayServe(now, false)
+	return !a.stopping.Load() && a.confirmedAt.Load() != 0 && a.mayServe(now, false)
 }
 
-// startupLimit ends the start of a process that does not learn all that it lacks.
-const startupLimit = 4 * time.Second
+// startupTimeout ends the start of a process that does not learn all that it lacks.
+const startupTimeout = 4 * time.Second
 
-// noteStartup tells the proxy what this node knows by now, for the requests that wait for it.
-func (a *Agent) noteStartup(now core.Time) {
-	if a.seen.startupOver {
+// updateStartup tells the proxy what this node knows by now, for the requests that wait for it.
+func (a *Agent) updateStartup(now core.Time) {
+	if a.progress.startupOver {
 		return
 	}
 	compiled := a.compiled.Load()
 	known := forward.Knowledge{
 		Configuration: compiled != nil && compiled.Version != 0,
-		Confirmed:     a.confirmed.Load() != 0,
-		Brokers:       a.control.Registry().Synced() || a.brokersCopy.restored,
+		Confirmed:     a.confirmedAt.Load() != 0,
+		Brokers:       a.control.Registry().Synced() || a.savedBrokers.restored,
 	}
 	a.startup.Note(known)
-	a.seen.startupOver = now >= startupLimit || known.Complete()
-	if now >= startupLimit {
+	a.progress.startupOver = now >= startupTimeout || known.Complete()
+	if now >= startupTimeout {
 		a.startup.End()
 	}
 }
 
-// stateChanged publishes a new control state to the data plane.
-func (a *Agent) stateChanged(now core.Time) {
+// publishState publishes a new control state to the data plane.
+func (a *Agent) publishState(now core.Time) {
 	compiled := a.control.Compiled()
 	a.compiled.Store(compiled)
-	a.prompts.stale = true
+	a.prompts.sourcesStale = true
 	a.router.SetConfig(now, compiled)
 }
 
@@ -93,8 +95,8 @@
 func (a *Agent) publishTable(now core.Time) {
 	table := a.control.Registry().Table()
 	a.router.SetTable(now, table)
-	a.brokersChanged(now, table)
-	a.prompts.stale = true
+	a.scheduleBrokerSave(now, table)
+	a.prompts.sourcesStale = true
 }
 
 // fetchSnapshot gives the newest configuration of a state that was read through the chain.
--- a/internal/node/agent/lifecycle.go
+++ b/internal/node/agent/lifecycle.go
@@ -18,28 +18,28 @@
 // The times of a stop (DEPLOY.md: graceS after SIGTERM comes SIGKILL).
 const (
 	defaultGrace = 8 * time.Second
-	// takeLimit is for how long new requests are taken: the platform asks each second and needs two missed answers to send no
+	// acceptRequestsLimit is for how long new requests are taken: the platform asks each second and needs two missed answers to send no
 	// more. Later ones might not be over in time, and are turned away.
-	takeLimit = 2500 * time.Millisecond
-	// takeShare of the grace bounds takeLimit, and listenShare how long new connections are accepted.
-	takeShare   = 0.35
-	listenShare = 0.45
-	// finishMargin, and finishShare of the grace at most, is left when requests that are still under way are cut off.
-	finishMargin = 600 * time.Millisecond
-	finishShare  = 0.12
-	// leaveMargin is for the word of leaving to reach the other nodes.
-	leaveMargin = 300 * time.Millisecond
+	acceptRequestsLimit = 2500 * time.Millisecond
+	// acceptRequestsShare of the grace bounds takeLimit, and listenShare how long new connections are accepted.
+	acceptRequestsShare    = 0.35
+	acceptConnectionsShare = 0.45
+	// abortMargin, and finishShare of the grace at most, is left when requests that are still under way are cut off.
+	abortMargin      = 600 * time.Millisecond
+	abortMarginShare = 0.12
+	// leaveDelay is for the word of leaving to reach the other nodes.
+	leaveDelay = 300 * time.Millisecond
 )
 
 // stopTimes are the moments of a stop, counted from its beginning.
-type stopTimes struct{ refuse, close, cut time.Duration }
+type stopTimes struct{ refuseAfter, closeAfter, abortAfter time.Duration }
 
 func stopTimesOf(grace time.Duration) stopTimes {
 	share := func(part float64) time.Duration { return time.Duration(part * float64(grace)) }
 	return stopTimes{
-		refuse: min(takeLimit, share(takeShare)),
-		close:  share(listenShare),
-		cut:    grace - min(finishMargin, share(finishShare)),
+		refuseAfter: min(acceptRequestsLimit, share(acceptRequestsShare)),
+		closeAfter:  share(acceptConnectionsShare),
+		abortAfter:  grace - min(abortMargin, share(abortMarginShare)),
 	}
 }
 
@@ -60,7 +60,7 @@
 		return err
 	}
 	go a.loop(ctx)
-	watcher := settings.NewWatcher(path, a.settings, settingsCheck, a.settingsChanged)
+	watcher := settings.NewWatcher(path, a.settings, settingsCheckInterval, a.settingsChanged)
 	go watcher.Run(ctx)
 	for {
 		select {
@@ -69,7 +69,7 @@
 			return nil
 		case received := <-signals:
 			if received == syscall.SIGHUP {
-				watcher.Poke()
+				watcher.RequestReload()
 				continue
 			}
 			a.stop(servers)
@@ -117,7 +117,7 @@
 			return nil, err
 		}
 		started.control = controlapi.NewServer(controlapi.Handler(backend{a}, controlapi.Options{
-			Log: a.log, MaxBodyBytes: int64(a.configurationLimit()),
+			Log: a.log, MaxBodyBytes: int64(a.maxConfigurationBytes()),
 		}))
 		go func() { _ = started.control.Serve(listener) }()
 	}
@@ -163,20 +163,20 @@
 	a.log.Info("stopping", "grace", grace)
 	a.stopping.Store(true)
 	a.proxy.Drain()
-	a.post(func(now core.Time) { a.carryOut(now, a.control.HandOver(now)) })
-	begun, times := time.Now(), stopTimesOf(grace)
-	time.Sleep(times.refuse)
+	a.post(func(now core.Time) { a.execute(now, a.control.HandOver(now)) })
+	stopStarted, times := time.Now(), stopTimesOf(grace)
+	time.Sleep(times.refuseAfter)
 	a.proxy.RefuseNew()
-	time.Sleep(time.Until(begun.Add(times.close)))
-	finish, cancel := context.WithDeadline(context.Background(), begun.Add(times.cut))
+	time.Sleep(time.Until(stopStarted.Add(times.closeAfter)))
+	shutdownContext, cancel := context.WithDeadline(context.Background(), stopStarted.Add(times.abortAfter))
 	defer cancel()
-	_ = a.proxy.Shutdown(finish)
+	_ = a.proxy.Shutdown(shutdownContext)
 	left := make(chan struct{})
 	a.post(func(now core.Time) {
-		a.carryOut(now, a.control.Leave(now))
+		a.execute(now, a.control.Leave(now))
 		close(left)
 	})
 	<-left
-	time.Sleep(leaveMargin)
+	time.Sleep(leaveDelay)
 	servers.close()
 }
--- a/internal/node/agent/loadhints.go
+++ b/internal/node/agent/loadhints.go
@@ -13,26 +13,26 @@
 	a.hints = loadhint.New(loadhint.Options{SelfID: a.self.NodeId, Zone: a.self.Zone, Random: newRandom()})
 }
 
-// tellSent tells the other proxies what this one has sent. It is called by the data plane, which never waits for the control
+// announceSent tells the other proxies what this one has sent. It is called by the data plane, which never waits for the control
 // loop: while that is far behind, nothing is told.
-func (a *Agent) tellSent(sent *routing.Sent) {
-	a.tellHint(hintOf(sent))
+func (a *Agent) announceSent(sent *routing.Sent) {
+	a.announceHint(hintOf(sent))
 }
 
-// tellStep tells the other proxies what a stream showed of its broker's pace.
-func (a *Agent) tellStep(seen *routing.StepSeen) {
-	a.tellHint(&nodepb.LoadHint{Instance: seen.Instance, PauseUs: uint32(seen.Pause.Microseconds())})
+// announceStep tells the other proxies what a stream showed of its broker's pace.
+func (a *Agent) announceStep(seen *routing.StepSeen) {
+	a.announceHint(&nodepb.LoadHint{Instance: seen.Instance, PauseUs: uint32(seen.Pause.Microseconds())})
 }
 
-func (a *Agent) tellHint(hint *nodepb.LoadHint) {
+func (a *Agent) announceHint(hint *nodepb.LoadHint) {
 	select {
 	case a.inbox <- func(now core.Time) { a.hints.Sent(now, hint) }:
 	default:
 	}
 }
 
-// learnHints hands the router what other proxies have sent.
-func (a *Agent) learnHints(now core.Time, hints []*nodepb.LoadHint) {
+// applyHints hands the router what other proxies have sent.
+func (a *Agent) applyHints(now core.Time, hints []*nodepb.LoadHint) {
 	for _, hint := range hints {
 		if hint.PauseUs > 0 {
 			a.router.PeerStep(routing.StepSeen{Instance: hint.Instance, Pause: time.Duration(hint.PauseUs) * time.Microsecond})
--- a/internal/node/agent/loop.go
+++ b/internal/node/agent/loop.go
@@ -31,7 +31,7 @@
 
 // runQueued takes what has come in the meantime, so that one round of ticks serves many messages.
 func (a *Agent) runQueued() {
-	for range batchLength {
+	for range maxStepsPerTick {
 		select {
 		case step := <-a.inbox:
 			step(a.now())
@@ -41,17 +41,17 @@
 	}
 }
 
-// machine is what the loop needs of each state machine.
-type machine interface {
+// stateMachine is what the loop needs of each state machine.
+type stateMachine interface {
 	Tick(now core.Time) []core.Output
 	Deadline() core.Time
 }
 
-func (a *Agent) machines() []machine { return []machine{a.prompts.home, a.hints} }
+func (a *Agent) stateMachines() []stateMachine { return []stateMachine{a.prompts.home, a.hints} }
 
 func (a *Agent) deadline() core.Time {
-	next := min(a.control.Deadline(), a.brokersCopy.due)
-	for _, m := range a.machines() {
+	next := min(a.control.Deadline(), a.savedBrokers.saveDeadline)
+	for _, m := range a.stateMachines() {
 		next = min(next, m.Deadline())
 	}
 	return next
@@ -59,55 +59,55 @@
 
 // tick does what is due and tells the data plane what has changed.
 func (a *Agent) tick(now core.Time) {
-	for _, m := range a.machines() {
+	for _, m := range a.stateMachines() {
 		if m.Deadline() <= now {
-			a.route(now, m.Tick(now))
+			a.executeViaControl(now, m.Tick(now))
 		}
 	}
-	a.carryOut(now, a.control.Tick(now))
+	a.execute(now, a.control.Tick(now))
 	a.publishConfirmation(now)
 	a.refreshIndex(now)
-	a.doubtStores(now)
+	a.expireStores(now)
 	a.saveBrokers(now)
-	a.noteStartup(now)
+	a.updateStartup(now)
 }
 
 // receive brings a message of another node to the part of this one that it is for.
 func (a *Agent) receive(from core.Peer, message *nodepb.Envelope) {
-	a.post(func(now core.Time) { a.carryOut(now, a.control.Receive(now, from, message)) })
+	a.post(func(now core.Time) { a.execute(now, a.control.Receive(now, from, message)) })
 }
 
-// receiveOwn takes a message that is not for the control side.
-func (a *Agent) receiveOwn(now core.Time, from core.Peer, message *nodepb.Envelope) {
+// receiveNonControl takes a message that is not for the control side.
+func (a *Agent) receiveNonControl(now core.Time, from core.Peer, message *nodepb.Envelope) {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_IndexUpdate:
-		a.route(now, a.prompts.subscriber.HandleUpdate(now, from, message.GetIndexUpdate()))
+		a.executeViaControl(now, a.prompts.subscriber.HandleUpdate(now, from, message.GetIndexUpdate()))
 	case *nodepb.Envelope_LoadHints:
-		a.route(now, a.hints.Receive(now, from, message.GetLoadHints()))
+		a.executeViaControl(now, a.hints.Receive(now, from, message.GetLoadHints()))
 	case *nodepb.Envelope_IndexPoll:
-		a.route(now, a.prompts.home.HandlePoll(now, from, message.GetIndexPoll()))
+		a.executeViaControl(now, a.prompts.home.HandlePoll(now, from, message.GetIndexPoll()))
 	}
 }
 
-// route does what the index or the hints ask for; their messages go the ways that the control side knows.
-func (a *Agent) route(now core.Time, outputs []core.Output) {
+// executeViaControl does what the index or the hints ask for; their messages go the ways that the control side knows.
+func (a *Agent) executeViaControl(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
 		if send, ok := output.(core.Send); ok {
-			a.carryOut(now, a.control.Send(now, send))
+			a.execute(now, a.control.Send(now, send))
 			continue
 		}
-		a.carryOutOne(now, output)
+		a.executeOne(now, output)
 	}
 }
 
-// carryOut does what the control side asks for.
-func (a *Agent) carryOut(now core.Time, outputs []core.Output) {
+// execute does what the control side asks for.
+func (a *Agent) execute(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
-		a.carryOutOne(now, output)
+		a.executeOne(now, output)
 	}
 }
 
-func (a *Agent) carryOutOne(now core.Time, output core.Output) {
+func (a *Agent) executeOne(now core.Time, output core.Output) {
 	switch output := output.(type) {
 	case core.Send:
 		a.network.Send(output.To, output.Message)
@@ -118,29 +118,29 @@
 	case core.RegistryAnswer:
 		a.requests.answerRegistry(output)
 	case core.Received:
-		a.receiveOwn(now, output.From, output.Message)
+		a.receiveNonControl(now, output.From, output.Message)
 	case core.StateChanged:
-		a.stateChanged(now)
+		a.publishState(now)
 	case core.TableChanged:
 		a.publishTable(now)
 	case core.MembersChanged:
-		a.membersChanged(now, output.Members)
+		a.publishMembers(now, output.Members)
 	case core.CoreDisturbed:
 		a.router.CoreDisturbed(now, output.At)
 	case core.LoadHinted:
-		a.learnHints(now, output.Hints)
+		a.applyHints(now, output.Hints)
 	case core.Log:
 		a.log.Info(output.Message, output.Fields...)
 	default:
-		if !a.carryOutIndex(now, output) {
-			a.carryOutDuty(output)
+		if !a.executeForIndex(now, output) {
+			a.executeOrder(output)
 		}
 	}
 }
 
-// membersChanged tells the data plane and the index who is there.
-func (a *Agent) membersChanged(now core.Time, members []*nodepb.Member) {
-	a.prompts.stale = true
+// publishMembers tells the data plane and the index who is there.
+func (a *Agent) publishMembers(now core.Time, members []*nodepb.Member) {
+	a.prompts.sourcesStale = true
 	a.hints.SetMembers(now, members)
 	proxies := 0
 	for _, member := range members {
@@ -148,7 +148,7 @@
 			proxies++
 		}
 	}
-	a.proxies.Store(int64(max(proxies, 1)))
+	a.proxyCount.Store(int64(max(proxies, 1)))
 	a.router.SetPeers(now, max(proxies, 1))
 }
 
@@ -158,18 +158,18 @@
 	if !ok {
 		return
 	}
-	if a.confirmed.Swap(int64(at)) == 0 {
+	if a.confirmedAt.Swap(int64(at)) == 0 {
 		state := a.control.State()
 		a.log.Info("control state confirmed", "index", state.Index(), "version", state.Version(), "after", now)
 	}
-	a.noteLease(now)
+	a.logLeaseChange(now)
 }
 
-// noteLease logs when keys can't be trusted any more, and when they can again.
-func (a *Agent) noteLease(now core.Time) {
-	holds := a.leaseHolds(now)
-	if holds == a.seen.leaseLost {
-		a.seen.leaseLost = !holds
-		a.log.Info("lease of the configuration", "holds", holds, "confirmed", now-core.Time(a.confirmed.Load()))
+// logLeaseChange logs when keys can't be trusted any more, and when they can again.
+func (a *Agent) logLeaseChange(now core.Time) {
+	holds := a.configurationLeaseValid(now)
+	if holds == a.progress.leaseExpired {
+		a.progress.leaseExpired = !holds
+		a.log.Info("lease of the configuration", "holds", holds, "confirmed", now-core.Time(a.confirmedAt.Load()))
 	}
 }
--- a/internal/node/agent/orders.go
+++ b/internal/node/agent/orders.go
@@ -6,21 +6,21 @@
 	"kestrelspread/internal/node/rollout/orders"
 )
 
-// buildDuty makes what sends the orders of the duty to bring new weights.
-func (a *Agent) buildDuty() {
+// buildOrderSender makes what sends the orders of the duty to bring new weights.
+func (a *Agent) buildOrderSender() {
 	a.orders = orders.New(orders.Options{
 		Clock: a.now,
 		Ordered: func(token uint64, status int, err error) {
-			a.post(func(now core.Time) { a.carryOut(now, a.control.OrderDone(now, token, status, err)) })
+			a.post(func(now core.Time) { a.execute(now, a.control.OrderDone(now, token, status, err)) })
 		},
 		Reported: func(token uint64, report *rollout.Report, err error) {
-			a.post(func(now core.Time) { a.carryOut(now, a.control.ReportDone(now, token, report, err)) })
+			a.post(func(now core.Time) { a.execute(now, a.control.ReportDone(now, token, report, err)) })
 		},
 	})
 }
 
-// carryOutDuty sends what the duty asks for to brokers.
-func (a *Agent) carryOutDuty(output core.Output) {
+// executeOrder sends what the duty asks for to brokers.
+func (a *Agent) executeOrder(output core.Output) {
 	switch output := output.(type) {
 	case core.Order:
 		a.orders.Order(output, a.mayOrder)
--- a/internal/node/agent/promptindex.go
+++ b/internal/node/agent/promptindex.go
@@ -11,29 +11,29 @@
 	"kestrelspread/internal/node/rendezvous"
 )
 
-// indexRecords bounds the index of kept prompts: about 60 bytes each.
-const indexRecords = 40_000
+// maxIndexRecords bounds the index of kept prompts: about 60 bytes each.
+const maxIndexRecords = 40_000
 
-// storeSilence is how long a store may give no sign of life before it is taken to be down: its home asks it each second.
-const storeSilence = 2500 * time.Millisecond
+// storeTimeout is how long a store may give no sign of life before it is taken to be down: its home asks it each second.
+const storeTimeout = 2500 * time.Millisecond
 
 // promptIndex is this node's part in the index of kept prompts: what it knows, and what it tells the others as home.
 type promptIndex struct {
-	index      *kvindex.Guarded
-	subscriber *kvindex.Subscriber
-	home       *kvindex.Home
-	poller     *feed.Poller
-	stale      bool                 // the sources are to be found anew
-	stores     map[string]core.Time // the last sign of life of each store, by address
+	index            *kvindex.Guarded
+	subscriber       *kvindex.Subscriber
+	home             *kvindex.Home
+	poller           *feed.Poller
+	sourcesStale     bool                 // the sources are to be found anew
+	storeLastContact map[string]core.Time // the last sign of life of each store, by address
 }
 
 func (a *Agent) buildIndex() {
-	index := kvindex.NewGuarded(kvindex.NewIndex(indexRecords))
+	index := kvindex.NewGuarded(kvindex.NewIndex(maxIndexRecords))
 	a.prompts = promptIndex{
-		index:      index,
-		stores:     map[string]core.Time{},
-		subscriber: kvindex.NewSubscriber(index),
-		home:       kvindex.NewHome(kvindex.HomeOptions{Epoch: uint64(time.Now().UnixMilli())}),
+		index:            index,
+		storeLastContact: map[string]core.Time{},
+		subscriber:       kvindex.NewSubscriber(index),
+		home:             kvindex.NewHome(kvindex.HomeOptions{Epoch: uint64(time.Now().UnixMilli())}),
 		poller: feed.New(func(token uint64, events *kvindex.Events, err error) {
 			a.post(func(now core.Time) { a.prompts.home.EventsDone(now, token, events, err) })
 		}),
@@ -42,10 +42,10 @@
 
 // refreshIndex finds the brokers and stores whose events this node asks for, and who is to hear of them.
 func (a *Agent) refreshIndex(now core.Time) {
-	if !a.prompts.stale {
+	if !a.prompts.sourcesStale {
 		return
 	}
-	a.prompts.stale = false
+	a.prompts.sourcesStale = false
 	compiled := a.compiled.Load()
 	if compiled == nil {
 		return
@@ -83,29 +83,29 @@
 	return best.NodeId
 }
 
-// noteStore remembers a sign of life of a store.
-func (a *Agent) noteStore(now core.Time, seen core.StoreSeen) {
-	a.prompts.stores[seen.Address] = now
+// recordStoreContact remembers a sign of life of a store.
+func (a *Agent) recordStoreContact(now core.Time, seen core.StoreSeen) {
+	a.prompts.storeLastContact[seen.Address] = now
 	a.router.StoreSeen(now, seen.Address, true, seen.Lost)
 }
 
-// doubtStores tells the router of stores that have given no sign of life for a while.
-func (a *Agent) doubtStores(now core.Time) {
-	for address, at := range a.prompts.stores {
-		if now-at > storeSilence {
-			delete(a.prompts.stores, address)
+// expireStores tells the router of stores that have given no sign of life for a while.
+func (a *Agent) expireStores(now core.Time) {
+	for address, at := range a.prompts.storeLastContact {
+		if now-at > storeTimeout {
+			delete(a.prompts.storeLastContact, address)
 			a.router.StoreSeen(now, address, false, false)
 		}
 	}
 }
 
-// carryOutIndex does what the index's state machines ask for; false: it is not theirs.
-func (a *Agent) carryOutIndex(now core.Time, output core.Output) bool {
+// executeForIndex does what the index's state machines ask for; false: it is not theirs.
+func (a *Agent) executeForIndex(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.AskEvents:
 		a.prompts.poller.Ask(output)
 	case core.StoreSeen:
-		a.noteStore(now, output)
+		a.recordStoreContact(now, output)
 	default:
 		return false
 	}
--- a/internal/node/agent/requests.go
+++ b/internal/node/agent/requests.go
@@ -16,7 +16,7 @@
 // pendingRequests holds the calls of this node's API that wait for an answer of the control loop.
 type pendingRequests struct {
 	mutex    sync.Mutex
-	next     uint64
+	lastID   uint64
 	commands map[uint64]chan core.Reply
 	registry map[uint64]chan core.RegistryAnswer
 }
@@ -28,19 +28,19 @@
 func (p *pendingRequests) addCommand() (uint64, chan core.Reply) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.next++
+	p.lastID++
 	answer := make(chan core.Reply, 1)
-	p.commands[p.next] = answer
-	return p.next, answer
+	p.commands[p.lastID] = answer
+	return p.lastID, answer
 }
 
 func (p *pendingRequests) addRegistry() (uint64, chan core.RegistryAnswer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.next++
+	p.lastID++
 	answer := make(chan core.RegistryAnswer, 1)
-	p.registry[p.next] = answer
-	return p.next, answer
+	p.registry[p.lastID] = answer
+	return p.lastID, answer
 }
 
 func (p *pendingRequests) remove(request uint64) {
@@ -90,7 +90,7 @@
 func (b backend) registry(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.RegistryAnswer, error) {
 	request, answers := b.agent.requests.addRegistry()
 	defer b.agent.requests.remove(request)
-	b.agent.post(func(now core.Time) { b.agent.carryOut(now, call(now, request)) })
+	b.agent.post(func(now core.Time) { b.agent.execute(now, call(now, request)) })
 	select {
 	case answer := <-answers:
 		if !answer.Taken {
@@ -125,7 +125,7 @@
 func (b backend) command(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.Reply, error) {
 	request, answers := b.agent.requests.addCommand()
 	defer b.agent.requests.remove(request)
-	b.agent.post(func(now core.Time) { b.agent.carryOut(now, call(now, request)) })
+	b.agent.post(func(now core.Time) { b.agent.execute(now, call(now, request)) })
 	select {
 	case answer := <-answers:
 		return answer, nil
--- a/internal/node/agent/savedbrokers.go
+++ b/internal/node/agent/savedbrokers.go
@@ -16,67 +16,67 @@
 
 // savedBrokers keeps a copy of the brokers known on the disk, where there is one.
 type savedBrokers struct {
-	file  *saved.File
-	copy  chan []*nodepb.Instance // what is to be written next
-	due   core.Time               // core.Never: nothing has changed
-	saved uint64                  // sum over what was written last
+	file          *saved.File
+	writes        chan []*nodepb.Instance // what is to be written next
+	saveDeadline  core.Time               // core.Never: nothing has changed
+	savedChecksum uint64                  // sum over what was written last
 	// restored: there was a copy of former times, from which the brokers are known.
 	restored bool
 }
 
 // openSavedBrokers takes up the brokers that were known before this process started.
 func (a *Agent) openSavedBrokers() {
-	a.brokersCopy.due = core.Never
+	a.savedBrokers.saveDeadline = core.Never
 	if a.settings.DataDir == "" {
 		return
 	}
-	a.brokersCopy.file = saved.Open(a.settings.DataDir)
-	a.brokersCopy.copy = make(chan []*nodepb.Instance, 1)
+	a.savedBrokers.file = saved.Open(a.settings.DataDir)
+	a.savedBrokers.writes = make(chan []*nodepb.Instance, 1)
 	go a.writeBrokers()
 }
 
 // writeBrokers has the disk read first, then written to, apart from the control loop: it may hang.
 func (a *Agent) writeBrokers() {
-	instances, err := a.brokersCopy.file.Load(time.Now())
+	instances, err := a.savedBrokers.file.Load(time.Now())
 	if err == nil {
 		a.post(func(now core.Time) {
-			a.carryOut(now, a.control.RestoreBrokers(now, instances))
-			a.brokersCopy.restored = len(instances) > 0
+			a.execute(now, a.control.RestoreBrokers(now, instances))
+			a.savedBrokers.restored = len(instances) > 0
 		})
 	}
-	for instances := range a.brokersCopy.copy {
-		if err := a.brokersCopy.file.Save(instances, time.Now()); err != nil {
+	for instances := range a.savedBrokers.writes {
+		if err := a.savedBrokers.file.Save(instances, time.Now()); err != nil {
 			a.log.Warn("copy of the brokers known", "error", err)
 		}
 	}
 }
 
-// brokersChanged has a copy made soon.
-func (a *Agent) brokersChanged(now core.Time, table *registry.Table) {
-	if a.brokersCopy.file == nil {
+// scheduleBrokerSave has a copy made soon.
+func (a *Agent) scheduleBrokerSave(now core.Time, table *registry.Table) {
+	if a.savedBrokers.file == nil {
 		return
 	}
-	if sum := sumOf(table); sum != a.brokersCopy.saved {
-		a.brokersCopy.saved = sum
-		a.brokersCopy.due = min(a.brokersCopy.due, now+saveInterval)
+	if sum := tableChecksum(table); sum != a.savedBrokers.savedChecksum {
+		a.savedBrokers.savedChecksum = sum
+		a.savedBrokers.saveDeadline = min(a.savedBrokers.saveDeadline, now+saveInterval)
 	}
 }
 
 // saveBrokers hands a copy over for writing where one is due and the one before is written.
 func (a *Agent) saveBrokers(now core.Time) {
-	if a.brokersCopy.due > now {
+	if a.savedBrokers.saveDeadline > now {
 		return
 	}
-	a.brokersCopy.due = core.Never
+	a.savedBrokers.saveDeadline = core.Never
 	select {
-	case a.brokersCopy.copy <- a.control.Registry().Instances():
+	case a.savedBrokers.writes <- a.control.Registry().Instances():
 	default: // the disk is slow; look again
-		a.brokersCopy.due = now + saveInterval
+		a.savedBrokers.saveDeadline = now + saveInterval
 	}
 }
 
-// sumOf tells tables apart by the lives, states and weights of their brokers.
-func sumOf(table *registry.Table) uint64 {
+// tableChecksum tells tables apart by the lives, states and weights of their brokers.
+func tableChecksum(table *registry.Table) uint64 {
 	sum := uint64(0)
 	for id, instance := range table.ByID {
 		entry := xxhash.Sum64String(id) + uint64(instance.State)
--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -34,17 +34,17 @@
 	}
 	counters := a.router.Counters()
 	status.Choices, status.Refusals = choiceStatus(&counters), refusalStatus(&counters)
-	status.Prompts, status.Late, status.LateNewest = promptStatus(&counters.Prompts), lateStatus(&counters), lateNewest(now, a.router.Late())
-	status.Disabled = a.disabled.Names()
+	status.Prompts, status.Late, status.NewestLate = promptStatus(&counters.Prompts), lateStatus(&counters), newestLateRequests(now, a.router.Late())
+	status.DisabledMechanisms = a.disabledMechanisms.Names()
 	if compiled := a.compiled.Load(); compiled != nil {
 		status.ConfigVersion, status.ModelVersions = compiled.Version, compiled.ModelVersions
 	}
-	if at := core.Time(a.confirmed.Load()); at != 0 {
+	if at := core.Time(a.confirmedAt.Load()); at != 0 {
 		status.ConfirmedAgo = (now - at).Round(time.Millisecond).String()
 	}
 	for _, member := range a.control.Members() {
 		status.Members = append(status.Members, nodestatus.Member{
-			ID: member.NodeId, Name: member.Name, Address: member.Address, Zone: member.Zone, Counts: member.CountsForQuorum,
+			ID: member.NodeId, Name: member.Name, Address: member.Address, Zone: member.Zone, CountsForQuorum: member.CountsForQuorum,
 		})
 	}
 	status.Chain = a.chainStatus()
@@ -75,7 +75,7 @@
 		status.Voters = append(status.Voters, voter.DiskId+"@"+voter.Address)
 	}
 	if own, ok := a.control.StoreStatus(); ok {
-		status.Role, status.Committed, status.Pending, status.DiskFine = own.Role.String(), own.Committed, own.Pending, own.DiskHealthy
+		status.Role, status.Committed, status.Pending, status.DiskHealthy = own.Role.String(), own.Committed, own.Pending, own.DiskHealthy
 	}
 	return status
 }
@@ -83,7 +83,7 @@
 func choiceStatus(counters *routing.Counters) nodestatus.Choices {
 	return nodestatus.Choices{
 		ByPrediction: counters.ByPrediction, ByAffinity: counters.ByAffinity, ByLoad: counters.ByLoad, AllSlow: counters.AllSlow,
-		Trials: counters.Trials, Fallback: counters.Fallback, SetAside: counters.SetAside, BudgetDenied: counters.BudgetDenied,
+		Trials: counters.Trials, Fallback: counters.Fallback, Ejected: counters.SetAside, BudgetDenied: counters.BudgetDenied,
 	}
 }
 
@@ -98,12 +98,12 @@
 func promptStatus(counters *routing.PromptCounters) nodestatus.Prompts {
 	return nodestatus.Prompts{
 		Shared:       counters.Shared,
-		Held:         counters.Held,
-		Coming:       counters.Coming,
+		Cached:       counters.Held,
+		InPrefill:    counters.Coming,
 		FromBroker:   counters.FromBroker,
 		FromStore:    counters.FromStore,
-		First:        counters.First,
-		Again:        counters.Again,
+		FirstSeen:    counters.First,
+		Recomputed:   counters.Again,
 		BlindFetches: counters.BlindFetches,
 	}
 }
@@ -116,13 +116,13 @@
 	return late
 }
 
-func lateNewest(now core.Time, list []routing.LateRequest) []nodestatus.LateRequest {
-	newest := make([]nodestatus.LateRequest, 0, len(list))
-	for _, late := range list {
+func newestLateRequests(now core.Time, requests []routing.LateRequest) []nodestatus.LateRequest {
+	newest := make([]nodestatus.LateRequest, 0, len(requests))
+	for _, late := range requests {
 		newest = append(newest, nodestatus.LateRequest{
 			Ago: rounded(now - late.At), Route: late.Route, Instance: late.Instance, Cause: string(late.Cause),
-			First: rounded(late.First), Pause: rounded(late.Pause), Unread: late.Unread, Ahead: late.Ahead,
-			LongestOther: late.LongestOther, Load: late.Load, Running: late.Reported.Running, Waiting: late.Reported.Waiting,
+			FirstEvent: rounded(late.First), MaxGap: rounded(late.Pause), PrefillTokens: late.Unread, QueuedPrefillTokens: late.Ahead,
+			LongestOtherPrompt: late.LongestOther, Load: late.Load, Running: late.Reported.Running, Waiting: late.Reported.Waiting,
 		})
 	}
 	return newest
@@ -132,8 +132,8 @@
 
 func requestStatus(metrics forward.Metrics) nodestatus.Requests {
 	return nodestatus.Requests{
-		Taken: metrics.Requests, Answered: metrics.Answered, Refused: metrics.Refused, Failed: metrics.Failed,
-		Denied: metrics.Denied, Aborted: metrics.Aborted, ClientLeft: metrics.ClientLeft,
-		Attempts: metrics.Attempts, Retries: metrics.Retries, Copies: metrics.Copies, Resumed: metrics.Resumed,
+		Received: metrics.Requests, Answered: metrics.Answered, Rejected: metrics.Refused, Failed: metrics.Failed,
+		Denied: metrics.Denied, Aborted: metrics.Aborted, ClientDisconnected: metrics.ClientLeft,
+		Attempts: metrics.Attempts, Retries: metrics.Retries, Hedges: metrics.Copies, Resumed: metrics.Resumed,
 	}
 }
--- a/internal/node/agent/store.go
+++ b/internal/node/agent/store.go
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/node/journal"
 )
 
-// diskRetry passes between two tries to open a disk, or to write to one, at the start.
-const diskRetry = 500 * time.Millisecond
+// diskRetryInterval passes between two tries to open a disk, or to write to one, at the start.
+const diskRetryInterval = 500 * time.Millisecond
 
 // openStore opens the disk of a machine that counts for the quorum in the background: a disk that hangs or refuses must
 // not keep the node from serving as a proxy. The store is attached once the disk has proved that it takes writes.
@@ -21,7 +21,7 @@
 		opened, recovered := a.openJournal()
 		for !opened.Healthy() {
 			if err := opened.Append(nil); err != nil {
-				time.Sleep(diskRetry)
+				time.Sleep(diskRetryInterval)
 			}
 		}
 		a.post(func(now core.Time) { a.attachStore(now, opened, recovered) })
@@ -38,7 +38,7 @@
 			return opened, recovered
 		}
 		a.log.Error("journal", "error", err)
-		time.Sleep(diskRetry)
+		time.Sleep(diskRetryInterval)
 	}
 }
 
@@ -50,20 +50,20 @@
 		return
 	}
 	a.journal = opened
-	a.writer = journal.NewWriter(opened, a.written)
-	a.carryOut(now, outputs)
+	a.writer = journal.NewWriter(opened, a.reportWrite)
+	a.execute(now, outputs)
 }
 
-// memoryShare of the memory limit may be taken by a configuration: one in memoryShare. Each node holds it several times over,
+// configurationMemoryDivisor of the memory limit may be taken by a configuration: one in memoryShare. Each node holds it several times over,
 // as text, read and encoded, for the moment of a change.
-const memoryShare = 24
+const configurationMemoryDivisor = 24
 
-// configurationLimit is the size of the largest configuration that a machine like this one can hold, make durable, send and read
+// maxConfigurationBytes is the size of the largest configuration that a machine like this one can hold, make durable, send and read
 // back, in bytes.
-func (a *Agent) configurationLimit() int {
+func (a *Agent) maxConfigurationBytes() int {
 	limit := int64(config.MaxBodyBytes)
 	if memory := int64(a.settings.Limits.MemoryMB) << 20; memory > 0 {
-		limit = min(limit, memory/memoryShare)
+		limit = min(limit, memory/configurationMemoryDivisor)
 	}
 	if a.settings.CountsForQuorum {
 		limit = min(limit, journal.LargestState(int64(a.settings.Limits.DiskMB)<<20))
@@ -71,8 +71,8 @@
 	return int(limit)
 }
 
-// written reports the end of a write to the control side.
-func (a *Agent) written(token uint64, err error) {
+// reportWrite reports the end of a write to the control side.
+func (a *Agent) reportWrite(token uint64, err error) {
 	needsCheckpoint := a.journal.NeedsCheckpoint()
 	a.post(func(now core.Time) {
 		outputs := a.control.Written(now, token, err, needsCheckpoint)
@@ -80,6 +80,6 @@
 			a.log.Warn("journal", "error", err)
 			a.writer.Resume()
 		}
-		a.carryOut(now, outputs)
+		a.execute(now, outputs)
 	})
 }
--- a/internal/node/nodestatus/agree.go
+++ b/internal/node/nodestatus/agree.go
@@ -11,9 +11,9 @@
 
 // The subjects.
 const (
-	TheView    Subject = "the view"
-	TheMembers Subject = "the members"
-	TheState   Subject = "the state in force"
+	SubjectView       Subject = "the view"
+	SubjectMembership Subject = "the members"
+	SubjectState      Subject = "the state in force"
 )
 
 // Disagreement says which nodes see a subject how.
@@ -26,15 +26,15 @@
 // disagree for a moment.
 func Disagreements(statuses []*Status) []Disagreement {
 	var found []Disagreement
-	views := distinct(statuses, func(s *Status) string {
+	views := groupByText(statuses, func(s *Status) string {
 		if s.Chain == nil {
 			return "no view"
 		}
 		return fmt.Sprintf("epoch %d, chain %s", s.Chain.Epoch, strings.Join(s.Chain.Chain, " "))
 	})
-	found = append(found, differing(TheView, views)...)
-	found = append(found, differing(TheMembers, distinct(statuses, memberNames))...)
-	found = append(found, differing(TheState, distinct(statuses, func(s *Status) string {
+	found = append(found, disagreementsOn(SubjectView, views)...)
+	found = append(found, disagreementsOn(SubjectMembership, groupByText(statuses, memberNames))...)
+	found = append(found, disagreementsOn(SubjectState, groupByText(statuses, func(s *Status) string {
 		return fmt.Sprintf("index %d, configuration %d", s.StateIndex, s.ConfigVersion)
 	}))...)
 	return found
@@ -49,32 +49,32 @@
 	return strings.Join(names, " ")
 }
 
-// opinion is what some nodes say.
-type opinion struct {
+// observation is what some nodes say.
+type observation struct {
 	text  string
 	nodes []string
 }
 
-func distinct(statuses []*Status, say func(*Status) string) []opinion {
-	var opinions []opinion
+func groupByText(statuses []*Status, describe func(*Status) string) []observation {
+	var observations []observation
 	for _, status := range statuses {
-		text := say(status)
-		at := slices.IndexFunc(opinions, func(o opinion) bool { return o.text == text })
-		if at < 0 {
-			at = len(opinions)
-			opinions = append(opinions, opinion{text: text})
+		text := describe(status)
+		index := slices.IndexFunc(observations, func(o observation) bool { return o.text == text })
+		if index < 0 {
+			index = len(observations)
+			observations = append(observations, observation{text: text})
 		}
-		opinions[at].nodes = append(opinions[at].nodes, status.Node)
+		observations[index].nodes = append(observations[index].nodes, status.Node)
 	}
-	return opinions
+	return observations
 }
 
-func differing(subject Subject, opinions []opinion) []Disagreement {
-	if len(opinions) < 2 {
+func disagreementsOn(subject Subject, observations []observation) []Disagreement {
+	if len(observations) < 2 {
 		return nil
 	}
 	var sides []string
-	for _, o := range opinions {
+	for _, o := range observations {
 		sides = append(sides, fmt.Sprintf("%s (%s)", o.text, strings.Join(o.nodes, ", ")))
 	}
 	return []Disagreement{{Subject: subject, Text: strings.Join(sides, " | ")}}
--- a/internal/node/nodestatus/status.go
+++ b/internal/node/nodestatus/status.go
@@ -3,72 +3,72 @@
 
 // Status is one node's picture of itself and of the fleet.
 type Status struct {
-	Node          string            `json:"node"`
-	ID            string            `json:"id"` // of this life of the node; empty: the node did not answer its own status call in time
-	Zone          string            `json:"zone"`
-	Ready         bool              `json:"ready"`         // for clients
-	ConfigVersion uint64            `json:"configVersion"` // in force here; 0: none
-	StateIndex    uint64            `json:"stateIndex"`    // of the control state that is in force here
-	ConfirmedAgo  string            `json:"confirmedAgo"`  // age of that state's confirmation; empty: never confirmed
-	ModelVersions map[string]uint64 `json:"modelVersions"` // named weights by model
-	Members       []Member          `json:"members"`
-	Chain         *Chain            `json:"chain,omitempty"` // nil: no view is known
-	Instances     []Instance        `json:"instances"`
-	Requests      Requests          `json:"requests"`
-	Choices       Choices           `json:"choices"`
-	Refusals      map[string]uint64 `json:"refusals"` // by reason
-	Prompts       Prompts           `json:"prompts"`
-	Late          map[string]uint64 `json:"late"`               // answers of model brokers by cause
-	LateNewest    []LateRequest     `json:"lateNewest"`         // the oldest first
-	Disabled      []string          `json:"disabled,omitempty"` // mechanisms that are switched off
+	Node               string            `json:"node"`
+	ID                 string            `json:"id"` // of this life of the node; empty: the node did not answer its own status call in time
+	Zone               string            `json:"zone"`
+	Ready              bool              `json:"ready"`         // for clients
+	ConfigVersion      uint64            `json:"configVersion"` // in force here; 0: none
+	StateIndex         uint64            `json:"stateIndex"`    // of the control state that is in force here
+	ConfirmedAgo       string            `json:"confirmedAgo"`  // age of that state's confirmation; empty: never confirmed
+	ModelVersions      map[string]uint64 `json:"modelVersions"` // named weights by model
+	Members            []Member          `json:"members"`
+	Chain              *Chain            `json:"chain,omitempty"` // nil: no view is known
+	Instances          []Instance        `json:"instances"`
+	Requests           Requests          `json:"requests"`
+	Choices            Choices           `json:"choices"`
+	Refusals           map[string]uint64 `json:"refusals"` // by reason
+	Prompts            Prompts           `json:"prompts"`
+	Late               map[string]uint64 `json:"late"`               // answers of model brokers by cause
+	NewestLate         []LateRequest     `json:"lateNewest"`         // the oldest first
+	DisabledMechanisms []string          `json:"disabled,omitempty"` // mechanisms that are switched off
 }
 
 // Prompts counts the shared tokens of prompts that were sent to model brokers, by where they were expected to come from.
 type Prompts struct {
 	Shared       uint64 `json:"shared"`       // in all
-	Held         uint64 `json:"held"`         // kept by the chosen broker
-	Coming       uint64 `json:"coming"`       // being read there for an earlier request
+	Cached       uint64 `json:"held"`         // kept by the chosen broker
+	InPrefill    uint64 `json:"coming"`       // being read there for an earlier request
 	FromBroker   uint64 `json:"fromBroker"`   // fetched from another broker
 	FromStore    uint64 `json:"fromStore"`    // fetched from a store
-	First        uint64 `json:"first"`        // to be read, not sent to any broker lately
-	Again        uint64 `json:"again"`        // to be read, though some broker was sent them lately
+	FirstSeen    uint64 `json:"first"`        // to be read, not sent to any broker lately
+	Recomputed   uint64 `json:"again"`        // to be read, though some broker was sent them lately
 	BlindFetches uint64 `json:"blindFetches"` // fetches though nobody was known to keep what was missing
 }
 
 // LateRequest is an answer that was late, with what was believed of its broker when it was sent.
 type LateRequest struct {
-	Ago          string  `json:"ago"`
-	Route        string  `json:"route"`
-	Instance     string  `json:"instance"`
-	Cause        string  `json:"cause"`
-	First        string  `json:"first"`        // from the receipt to the first event; where that was in time, 0s
-	Pause        string  `json:"pause"`        // the longest between two events
-	Unread       int     `json:"unread"`       // tokens of its prompt that the broker was to read
-	Ahead        int     `json:"ahead"`        // tokens that the broker was to read before its first event
-	LongestOther int     `json:"longestOther"` // tokens of the longest prompt that the broker was sent meanwhile
-	Load         float64 `json:"load"`         // of the broker, as believed
-	Running      int     `json:"running"`      // by the broker's last report
-	Waiting      int     `json:"waiting"`      // by the broker's last report
+	Ago                 string  `json:"ago"`
+	Route               string  `json:"route"`
+	Instance            string  `json:"instance"`
+	Cause               string  `json:"cause"`
+	FirstEvent          string  `json:"first"`        // from the receipt to the first event; where that was in time, 0s
+	MaxGap              string  `json:"pause"`        // the longest between two events
+	PrefillTokens       int     `json:"unread"`       // tokens of its prompt that the broker was to read
+	QueuedPrefillTokens int     `json:"ahead"`        // tokens that the broker was to read before its first event
+	LongestOtherPrompt  int     `json:"longestOther"` // tokens of the longest prompt that the broker was sent meanwhile
+	Load                float64 `json:"load"`         // of the broker, as believed
+	Running             int     `json:"running"`      // by the broker's last report
+	Waiting             int     `json:"waiting"`      // by the broker's last report
 }
 
 // Member is a node as another one sees it.
 type Member struct {
-	ID      string `json:"id"` // of this life of the node
-	Name    string `json:"name"`
-	Address string `json:"address"` // internal
-	Zone    string `json:"zone"`
-	Counts  bool   `json:"counts"` // for the quorum
+	ID              string `json:"id"` // of this life of the node
+	Name            string `json:"name"`
+	Address         string `json:"address"` // internal
+	Zone            string `json:"zone"`
+	CountsForQuorum bool   `json:"counts"` // for the quorum
 }
 
 // Chain is the view of the control chain, and the node's part in it.
 type Chain struct {
-	Epoch     uint64   `json:"epoch"`
-	Role      string   `json:"role,omitempty"` // empty: the node keeps no control state
-	Chain     []string `json:"chain"`          // disk ids, the head first
-	Voters    []string `json:"voters"`         // DISK@ADDRESS
-	Committed uint64   `json:"committed"`      // index; only where Role is set
-	Pending   bool     `json:"pending"`        // an entry is not committed yet
-	DiskFine  bool     `json:"diskFine"`
+	Epoch       uint64   `json:"epoch"`
+	Role        string   `json:"role,omitempty"` // empty: the node keeps no control state
+	Chain       []string `json:"chain"`          // disk ids, the head first
+	Voters      []string `json:"voters"`         // DISK@ADDRESS
+	Committed   uint64   `json:"committed"`      // index; only where Role is set
+	Pending     bool     `json:"pending"`        // an entry is not committed yet
+	DiskHealthy bool     `json:"diskFine"`
 }
 
 // Instance is one broker.
@@ -89,21 +89,21 @@
 	AllSlow      uint64 `json:"allSlow"`      // all were predicted slow, and the first took it
 	Trials       uint64 `json:"trials"`       // of brokers that were set aside
 	Fallback     uint64 `json:"fallback"`     // a broker that was set aside, as nothing better was left
-	SetAside     uint64 `json:"setAside"`     // brokers, for what came back from them
+	Ejected      uint64 `json:"setAside"`     // brokers, for what came back from them
 	BudgetDenied uint64 `json:"budgetDenied"` // retries and copies that the budget did not allow
 }
 
 // Requests counts what became of clients' requests since the node started.
 type Requests struct {
-	Taken      uint64 `json:"taken"`
-	Answered   uint64 `json:"answered"` // with a broker's answer
-	Refused    uint64 `json:"refused"`  // not run, to be sent again
-	Failed     uint64 `json:"failed"`   // 502 or 504
-	Denied     uint64 `json:"denied"`   // 4xx of the node's own
-	Aborted    uint64 `json:"aborted"`  // broken off midway
-	ClientLeft uint64 `json:"clientLeft"`
-	Attempts   uint64 `json:"attempts"`
-	Retries    uint64 `json:"retries"`
-	Copies     uint64 `json:"copies"`
-	Resumed    uint64 `json:"resumed"`
+	Received           uint64 `json:"taken"`
+	Answered           uint64 `json:"answered"` // with a broker's answer
+	Rejected           uint64 `json:"refused"`  // not run, to be sent again
+	Failed             uint64 `json:"failed"`   // 502 or 504
+	Denied             uint64 `json:"denied"`   // 4xx of the node's own
+	Aborted            uint64 `json:"aborted"`  // broken off midway
+	ClientDisconnected uint64 `json:"clientLeft"`
+	Attempts           uint64 `json:"attempts"`
+	Retries            uint64 `json:"retries"`
+	Hedges             uint64 `json:"copies"`
+	Resumed            uint64 `json:"resumed"`
 }
--- a/internal/node/nodestatus/status_test.go
+++ b/internal/node/nodestatus/status_test.go
@@ -66,14 +66,14 @@
 				_, _ = io.WriteString(w, test.body)
 			}))
 			t.Cleanup(server.Close)
-			status, err := Read(context.Background(), strings.TrimPrefix(server.URL, "http://"))
+			status, err := Fetch(context.Background(), strings.TrimPrefix(server.URL, "http://"))
 			if !test.fine {
 				assert.Assert(t, errorx.IsOfType(err, Unreachable), "%v", err)
 				return
 			}
 			assert.NilError(t, err)
 			assert.Equal(t, status.Chain.Epoch, uint64(3))
-			assert.Equal(t, status.Requests.Taken, uint64(5))
+			assert.Equal(t, status.Requests.Received, uint64(5))
 		})
 	}
 }
--- a/internal/node/settings/document.go
+++ b/internal/node/settings/document.go
@@ -56,12 +56,12 @@
 	defaultFaultyMachines  = 1
 	defaultCPUShare        = 1
 	defaultCores           = 1
-	largestNumber          = 1e9 // in any field; 1e9 s fit a time.Duration
-	largestPort            = 65535
-	portsOfARange          = 2
+	maxNumber              = 1e9 // in any field; 1e9 s fit a time.Duration
+	maxPort                = 65535
+	portRangeLength        = 2
 	problemNegative        = "is negative"
 	problemTooLarge        = "is too large"
-	problemNotWhole        = "is not a whole number"
+	problemNotInteger      = "is not a whole number"
 	problemMissing         = "is missing"
 	problemNotAnAddress    = "is not IP:port"
 	problemNotAnIP         = "is not an IP address"
@@ -100,8 +100,8 @@
 	if settings.Region == "" {
 		settings.Region = settings.Zones[settings.Zone]
 	}
-	if check.failed != nil {
-		return nil, check.failed
+	if check.firstError != nil {
+		return nil, check.firstError
 	}
 	return settings, nil
 }
@@ -119,7 +119,7 @@
 		CPUShare: check.number("limits.cpuShare", d.CPUShare, defaultCPUShare),
 		Cores:    check.number("limits.cores", d.Cores, defaultCores),
 		MemoryMB: int(check.number("limits.memoryMb", d.MemoryMB, 0)),
-		MaxFDs:   check.whole("limits.maxFds", d.MaxFDs, 0),
+		MaxFDs:   check.integer("limits.maxFds", d.MaxFDs, 0),
 		LinkMbps: check.number("limits.linkMbps", d.LinkMbps, 0),
 		DiskMB:   int(check.number("limits.diskMb", d.DiskMB, 0)),
 	}
@@ -127,18 +127,18 @@
 
 func (d toleranceDocument) settings(check *checker) FaultTolerance {
 	return FaultTolerance{
-		Machines: check.whole("faultTolerance.machines", d.Machines, defaultFaultyMachines),
-		Zones:    check.whole("faultTolerance.zones", d.Zones, 0),
-		Regions:  check.whole("faultTolerance.regions", d.Regions, 0),
+		Machines: check.integer("faultTolerance.machines", d.Machines, defaultFaultyMachines),
+		Zones:    check.integer("faultTolerance.zones", d.Zones, 0),
+		Regions:  check.integer("faultTolerance.regions", d.Regions, 0),
 	}
 }
 
 // checker reads fields and keeps the first error.
-type checker struct{ failed *fieldError }
+type checker struct{ firstError *fieldError }
 
 func (c *checker) fail(path, problem string) {
-	if c.failed == nil {
-		c.failed = &fieldError{path: path, problem: problem}
+	if c.firstError == nil {
+		c.firstError = &fieldError{path: path, problem: problem}
 	}
 }
 
@@ -150,24 +150,24 @@
 }
 
 // number reads a number of at least 0.
-func (c *checker) number(path string, value *float64, missing float64) float64 {
+func (c *checker) number(path string, value *float64, defaultValue float64) float64 {
 	if value == nil {
-		return missing
+		return defaultValue
 	}
 	switch {
 	case *value < 0:
 		c.fail(path, problemNegative)
-	case *value > largestNumber:
+	case *value > maxNumber:
 		c.fail(path, problemTooLarge)
 	}
 	return *value
 }
 
-// whole reads a whole number of at least 0; 3.0 is one too.
-func (c *checker) whole(path string, value *float64, missing float64) int {
-	number := c.number(path, value, missing)
+// integer reads a whole number of at least 0; 3.0 is one too.
+func (c *checker) integer(path string, value *float64, defaultValue float64) int {
+	number := c.number(path, value, defaultValue)
 	if number != math.Trunc(number) {
-		c.fail(path, problemNotWhole)
+		c.fail(path, problemNotInteger)
 	}
 	return int(number)
 }
@@ -197,7 +197,7 @@
 }
 
 func (c *checker) portRange(path string, ports []float64) PortRange {
-	if len(ports) != portsOfARange {
+	if len(ports) != portRangeLength {
 		c.fail(path, problemNotTwoPorts)
 		return PortRange{}
 	}
@@ -210,7 +210,7 @@
 }
 
 func (c *checker) port(path string, value float64) uint16 {
-	if value < 1 || value > largestPort || value != math.Trunc(value) {
+	if value < 1 || value > maxPort || value != math.Trunc(value) {
 		c.fail(path, problemNotAPort)
 		return 0
 	}
--- a/internal/node/settings/settings_test.go
+++ b/internal/node/settings/settings_test.go
@@ -67,14 +67,14 @@
 	})
 }
 
-func TestAddressesBetweenNodes(t *testing.T) {
+func TestInternalAddressesUseFirstPort(t *testing.T) {
 	settings, err := Parse([]byte(example))
 	assert.NilError(t, err)
 	assert.Equal(t, settings.InternalAddress(), "10.4.0.7:7000")
 	assert.DeepEqual(t, settings.SeedInternalAddresses(), []string{"10.4.0.7:7000", "10.5.0.8:7000", "10.6.0.9:7000"})
 }
 
-func TestDurations(t *testing.T) {
+func TestBoundsAreDurations(t *testing.T) {
 	settings, err := Parse([]byte(example))
 	assert.NilError(t, err)
 	bounds := settings.Bounds
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestRegionOfZone(t *testing.T) {
+func TestRegionDefaultsToThatOfZone(t *testing.T) {
 	settings, err := Parse([]byte(`{"nodeName": "n", "ip": "10.0.0.1", "zone": "a", "portRange": [7000, 7015],
 		"zones": {"a": "east"}}`))
 	assert.NilError(t, err)
@@ -182,19 +182,19 @@
 	}
 }
 
-func TestWhatIsNoObjectIsMalformed(t *testing.T) {
+func TestNonObjectIsMalformed(t *testing.T) {
 	for _, content := range []string{"", "null", "[]", "7", example[:len(example)/2], example + "}", "{}"} {
 		_, err := Parse([]byte(content))
 		assert.Assert(t, errorx.IsOfType(err, Malformed), "%.20q", content)
 	}
 }
 
-func TestTooLongFile(t *testing.T) {
+func TestOversizedFileIsMalformed(t *testing.T) {
 	_, err := Parse(make([]byte, maxFileBytes+1))
 	assert.Assert(t, errorx.IsOfType(err, Malformed))
 }
 
-func TestLoad(t *testing.T) {
+func TestLoadTellsUnreadableFromMalformed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	_, err := Load(path)
 	assert.Assert(t, errorx.IsOfType(err, Unreadable))
@@ -210,7 +210,7 @@
 	assert.Equal(t, settings.NodeName, "front-b-2")
 }
 
-func TestPath(t *testing.T) {
+func TestPathPrefersEnvironment(t *testing.T) {
 	environment := map[string]string{}
 	getenv := func(name string) string { return environment[name] }
 	assert.Equal(t, Path(getenv), DefaultPath)
@@ -235,11 +235,11 @@
 // withField gives the example with one field, by its path without indices, set to a JSON value.
 func withField(t *testing.T, path, value string) []byte {
 	t.Helper()
-	var whole map[string]any
-	assert.NilError(t, json.Unmarshal([]byte(example), &whole))
-	object := whole
+	var document map[string]any
+	assert.NilError(t, json.Unmarshal([]byte(example), &document))
+	object := document
 	for {
-		outer, inner, nested := cutPath(path)
+		outer, inner, nested := splitFieldPath(path)
 		if !nested {
 			object[outer] = json.RawMessage(value)
 			break
@@ -247,13 +247,13 @@
 		object = object[outer].(map[string]any)
 		path = inner
 	}
-	content, err := json.Marshal(whole)
+	content, err := json.Marshal(document)
 	assert.NilError(t, err)
 	return content
 }
 
-// cutPath splits a path at its first dot and drops an index.
-func cutPath(path string) (outer, inner string, nested bool) {
+// splitFieldPath splits a path at its first dot and drops an index.
+func splitFieldPath(path string) (outer, inner string, nested bool) {
 	for i, c := range path {
 		switch c {
 		case '.':
--- a/internal/node/settings/watch.go
+++ b/internal/node/settings/watch.go
@@ -13,26 +13,26 @@
 // Watcher tells of changes of the settings file: at Poke (SIGHUP), and by looking at the file's attributes now and
 // then, as the file may also change without any signal (PROTOCOL.md, "The operator's API").
 type Watcher struct {
-	path     string
-	interval time.Duration
-	changed  func(*Settings)
-	poked    chan struct{}
+	path            string
+	interval        time.Duration
+	changed         func(*Settings)
+	reloadRequested chan struct{}
 
-	current *Settings
-	seen    fs.FileInfo // of the file that current was read from; nil: read it again at the next look
-	told    string      // the last error that was logged
+	current         *Settings
+	lastRead        fs.FileInfo // of the file that current was read from; nil: read it again at the next look
+	lastLoggedError string      // the last error that was logged
 }
 
 // NewWatcher returns a watcher of the file at path, from which current was read. changed is called on the goroutine of
 // Run with each new version of the settings; while the file is malformed, the former settings stay in force.
 func NewWatcher(path string, current *Settings, interval time.Duration, changed func(*Settings)) *Watcher {
-	return &Watcher{path: path, interval: interval, changed: changed, poked: make(chan struct{}, 1), current: current}
+	return &Watcher{path: path, interval: interval, changed: changed, reloadRequested: make(chan struct{}, 1), current: current}
 }
 
-// Poke has the file read soon. It does not block.
-func (w *Watcher) Poke() {
+// RequestReload has the file read soon. It does not block.
+func (w *Watcher) RequestReload() {
 	select {
-	case w.poked <- struct{}{}:
+	case w.reloadRequested <- struct{}{}:
 	default: // one is due already
 	}
 }
@@ -53,7 +53,7 @@
 			if w.fileChanged() {
 				w.reload()
 			}
-		case <-w.poked:
+		case <-w.reloadRequested:
 			w.reload()
 		}
 	}
@@ -63,27 +63,27 @@
 func (w *Watcher) fileChanged() bool {
 	found, err := os.Stat(w.path)
 	if err != nil {
-		w.report(err)
+		w.logError(err)
 		return false
 	}
-	return w.seen == nil || !os.SameFile(found, w.seen) ||
-		found.Size() != w.seen.Size() || !found.ModTime().Equal(w.seen.ModTime())
+	return w.lastRead == nil || !os.SameFile(found, w.lastRead) ||
+		found.Size() != w.lastRead.Size() || !found.ModTime().Equal(w.lastRead.ModTime())
 }
 
 // reload reads the file. Its attributes are taken first: a change in between is found at the next look.
 func (w *Watcher) reload() {
-	w.seen = nil
+	w.lastRead = nil
 	found, err := os.Stat(w.path)
 	if err != nil {
-		w.report(err)
+		w.logError(err)
 		return
 	}
 	settings, err := Load(w.path)
 	if err != nil {
-		w.report(err)
+		w.logError(err)
 		return
 	}
-	w.seen, w.told = found, ""
+	w.lastRead, w.lastLoggedError = found, ""
 	if reflect.DeepEqual(settings, w.current) {
 		return
 	}
@@ -91,12 +91,12 @@
 	w.changed(settings)
 }
 
-// report logs an error, once for as long as it stays the same.
-func (w *Watcher) report(err error) {
+// logError logs an error, once for as long as it stays the same.
+func (w *Watcher) logError(err error) {
 	text := err.Error()
-	if text == w.told {
+	if text == w.lastLoggedError {
 		return
 	}
-	w.told = text
+	w.lastLoggedError = text
 	slog.Warn("the former settings stay in force", "missing", errors.Is(err, fs.ErrNotExist), "error", text)
 }
--- a/internal/node/settings/watch_test.go
+++ b/internal/node/settings/watch_test.go
@@ -11,23 +11,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// watched is a settings file with a watcher whose ticks the test gives.
-type watched struct {
-	path    string
-	watcher *Watcher
-	ticks   chan time.Time
-	changes chan *Settings
-	ended   chan struct{}
-	cancel  context.CancelFunc
+// watcherFixture is a settings file with a watcher whose ticks the test gives.
+type watcherFixture struct {
+	path     string
+	watcher  *Watcher
+	ticks    chan time.Time
+	changes  chan *Settings
+	runEnded chan struct{}
+	cancel   context.CancelFunc
 }
 
-func watchFile(t *testing.T) *watched {
+func watchFile(t *testing.T) *watcherFixture {
 	t.Helper()
-	w := &watched{
-		path:    filepath.Join(t.TempDir(), "settings.json"),
-		ticks:   make(chan time.Time),
-		changes: make(chan *Settings, 10),
-		ended:   make(chan struct{}),
+	w := &watcherFixture{
+		path:     filepath.Join(t.TempDir(), "settings.json"),
+		ticks:    make(chan time.Time),
+		changes:  make(chan *Settings, 10),
+		runEnded: make(chan struct{}),
 	}
 	write(t, w.path, example)
 	current, err := Load(w.path)
@@ -36,25 +36,25 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	w.cancel = cancel
 	go func() {
-		defer close(w.ended)
+		defer close(w.runEnded)
 		w.watcher.watch(ctx, w.ticks)
 	}()
 	t.Cleanup(w.stop)
 	return w
 }
 
-func (w *watched) stop() {
+func (w *watcherFixture) stop() {
 	w.cancel()
-	<-w.ended
+	<-w.runEnded
 }
 
 // tick has the watcher look, and returns when it has: it takes the second tick only after its work for the first.
-func (w *watched) tick() {
+func (w *watcherFixture) tick() {
 	w.ticks <- time.Time{}
 	w.ticks <- time.Time{}
 }
 
-func (w *watched) rewrite(t *testing.T, from, to string) {
+func (w *watcherFixture) rewrite(t *testing.T, from, to string) {
 	t.Helper()
 	content, err := os.ReadFile(w.path)
 	assert.NilError(t, err)
@@ -62,7 +62,7 @@
 	write(t, w.path, strings.Replace(string(content), from, to, 1))
 }
 
-func TestWatcherFindsAChangeWithoutASignal(t *testing.T) {
+func TestWatcherDetectsChangeWithoutSignal(t *testing.T) {
 	w := watchFile(t)
 	w.tick()
 	w.rewrite(t, `"heartbeatMs": 1500`, `"heartbeatMs": 17000`)
@@ -73,7 +73,7 @@
 	assert.Equal(t, len(w.changes), 0)
 }
 
-func TestWatcherFindsAReplacedFileOfTheSameSizeAndTime(t *testing.T) {
+func TestWatcherDetectsReplacedFileOfSameSizeAndTime(t *testing.T) {
 	w := watchFile(t)
 	w.tick()
 	before, err := os.Stat(w.path)
@@ -86,22 +86,22 @@
 	assert.Equal(t, (<-w.changes).Heartbeat(), 1700*time.Millisecond)
 }
 
-func TestWatcherReadsAtOnceWhenPoked(t *testing.T) {
+func TestRequestReloadReadsAtOnce(t *testing.T) {
 	w := watchFile(t)
 	w.rewrite(t, `"heartbeatMs": 1500`, `"heartbeatMs": 1700`)
-	w.watcher.Poke()
+	w.watcher.RequestReload()
 	assert.Equal(t, (<-w.changes).Heartbeat(), 1700*time.Millisecond)
 }
 
-func TestPokesDoNotBlock(t *testing.T) {
+func TestRequestReloadDoesNotBlock(t *testing.T) {
 	w := NewWatcher("/nowhere", &Settings{}, time.Hour, func(*Settings) {})
 	for range 10 {
-		w.Poke()
+		w.RequestReload()
 	}
-	assert.Equal(t, len(w.poked), 1)
+	assert.Equal(t, len(w.reloadRequested), 1)
 }
 
-func TestFormerSettingsStayWhileTheFileIsMalformed(t *testing.T) {
+func TestWatcherKeepsSettingsWhileFileIsMalformed(t *testing.T) {
 	w := watchFile(t)
 	for _, broken := range []string{`{"nodeName": `, `{}`, ``} {
 		write(t, w.path, broken)
@@ -116,12 +116,12 @@
 	assert.Assert(t, !(<-w.changes).Bootstrap)
 }
 
-func TestFormerSettingsStayWhileTheFileIsMissing(t *testing.T) {
+func TestWatcherKeepsSettingsWhileFileIsMissing(t *testing.T) {
 	w := watchFile(t)
 	w.tick()
 	assert.NilError(t, os.Remove(w.path))
 	w.tick()
-	w.watcher.Poke()
+	w.watcher.RequestReload()
 	w.tick()
 	assert.Equal(t, len(w.changes), 0)
 	write(t, w.path, strings.Replace(example, `"zone": "b"`, `"zone": "a"`, 1))
@@ -129,7 +129,7 @@
 	assert.Equal(t, (<-w.changes).Zone, "a")
 }
 
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestWatcherStopsWithContext(t *testing.T) {
 	w := NewWatcher("/nowhere", &Settings{}, time.Hour, func(*Settings) {})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/rig/fleet/node.go
+++ b/internal/rig/fleet/node.go
@@ -169,5 +169,5 @@
 func (n *Node) Status(ctx context.Context) (*nodestatus.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return nodestatus.Read(ctx, n.Control())
+	return nodestatus.Fetch(ctx, n.Control())
 }
--- a/internal/rig/scale/realrun.go
+++ b/internal/rig/scale/realrun.go
@@ -147,7 +147,7 @@
 	}
 	for _, address := range f.controls() {
 		for {
-			status, err := nodestatus.Read(ctx, address)
+			status, err := nodestatus.Fetch(ctx, address)
 			if err == nil && status.Ready && status.ConfigVersion > 0 && len(status.Members) == c.Nodes && len(status.Instances) == c.Brokers {
 				break
 			}
--- a/internal/rig/scale/units.go
+++ b/internal/rig/scale/units.go
@@ -289,7 +289,7 @@
 	status := &nodestatus.Status{Node: f.nodes[0].self.Name, ID: f.nodes[0].self.NodeId}
 	for _, n := range f.nodes[:nodes] {
 		status.Members = append(status.Members, nodestatus.Member{
-			Name: n.self.Name, Address: n.self.Address, Zone: n.self.Zone, Counts: n.self.CountsForQuorum,
+			Name: n.self.Name, Address: n.self.Address, Zone: n.self.Zone, CountsForQuorum: n.self.CountsForQuorum,
 		})
 	}
 	for _, b := range f.brokers {
