--- a/internal/node/control/configlease.go
+++ b/internal/node/control/configlease.go
@@ -7,16 +7,17 @@
 	"kestrelspread/internal/node/core"
 )
 
-// revocationMargin is kept between the bound of a key's revocation and the last moment at which a request is sent on:
-// the way to the broker and a late thread.
+// revocationMargin lies between the bound of a key's revocation and the last moment at which a request
+// is forwarded: the one-way latency to the broker and a thread that runs late.
 const revocationMargin = 600 * time.Millisecond
 
-// MayServe reports whether a request may be sent on now, by the time since the process started, under a configuration that was
-// confirmed at the time; 0: never in this life.
+// MayServe reports whether a request may be forwarded now, under a configuration that was confirmed at
+// the time given (0: never in this incarnation). Both times count from the start of the process.
 //
-// A process that has just started serves what it holds meanwhile, where no lease forbids it: nobody relies on it until it has been in
-// touch for contactMs. After that a configuration that was never confirmed may be older than what others acknowledged, however long
-// this process runs, and is not served. Source: RULES.md, "Configuration", "API keys".
+// A process that has just started serves the configuration it holds, unless the configuration lease
+// forbids it: nobody relies on it until it has been in touch for contactMs. After that a configuration
+// that was never confirmed may be older than what others acknowledged, however long this process runs,
+// and is not served. Source: RULES.md, "Configuration", "API keys".
 func (b Bounds) MayServe(now core.Time, compiled *config.Compiled, confirmed core.Time, public bool) bool {
 	switch {
 	case compiled == nil || compiled.Version == 0:
@@ -28,10 +29,12 @@
 	}
 }
 
-// maxUnconfirmed is how long after its start a process may serve a configuration that was not confirmed.
+// maxUnconfirmed is how long after its start a process may serve a configuration that was never
+// confirmed.
 func (b Bounds) maxUnconfirmed() core.Time { return b.Contact * 2 / 3 }
 
-// ConfigurationLeaseValid reports whether a configuration was confirmed recently enough for keys to be trusted.
+// ConfigurationLeaseValid reports whether the configuration was confirmed recently enough for its API
+// keys to be trusted. Without GlobalRevocation the lease never expires.
 func (b Bounds) ConfigurationLeaseValid(now, confirmed core.Time) bool {
 	return !b.GlobalRevocation || confirmed != 0 && now-confirmed < b.Revoke-revocationMargin
 }
--- a/internal/node/control/configlease_test.go
+++ b/internal/node/control/configlease_test.go
@@ -10,9 +10,9 @@
 	"kestrelspread/internal/node/core"
 )
 
-func TestMayServe(t *testing.T) {
+func TestMayServeNeedsConfirmedConfiguration(t *testing.T) {
 	const confirmedAt = 10 * time.Second
-	held := &config.Compiled{Version: 7}
+	configuration := &config.Compiled{Version: 7}
 	bounds := Bounds{Contact: 3 * time.Second, Revoke: 5 * time.Second}
 	for _, c := range []struct {
 		name       string
@@ -25,15 +25,15 @@
 	}{
 		{"no configuration", false, time.Second, nil, 0, true, false},
 		{"an empty configuration", false, time.Second, &config.Compiled{}, 1, true, false},
-		{"just started, not confirmed", false, 1900 * time.Millisecond, held, 0, false, true},
-		{"just started, not confirmed, public", true, 1900 * time.Millisecond, held, 0, true, true},
-		{"just started, not confirmed, keys may be revoked", true, 1900 * time.Millisecond, held, 0, false, false},
-		{"never confirmed", false, 2 * time.Second, held, 0, false, false},
-		{"never confirmed, public", false, 2 * time.Second, held, 0, true, false},
-		{"confirmed long ago", false, time.Hour, held, confirmedAt, false, true},
-		{"lease", true, confirmedAt + 4300*time.Millisecond, held, confirmedAt, false, true},
-		{"lease over", true, confirmedAt + 4400*time.Millisecond, held, confirmedAt, false, false},
-		{"lease over, public", true, confirmedAt + 4400*time.Millisecond, held, confirmedAt, true, true},
+		{"just started, not confirmed", false, 1900 * time.Millisecond, configuration, 0, false, true},
+		{"just started, not confirmed, public", true, 1900 * time.Millisecond, configuration, 0, true, true},
+		{"just started, not confirmed, keys may be revoked", true, 1900 * time.Millisecond, configuration, 0, false, false},
+		{"never confirmed", false, 2 * time.Second, configuration, 0, false, false},
+		{"never confirmed, public", false, 2 * time.Second, configuration, 0, true, false},
+		{"confirmed long ago", false, time.Hour, configuration, confirmedAt, false, true},
+		{"lease", true, confirmedAt + 4300*time.Millisecond, configuration, confirmedAt, false, true},
+		{"lease over", true, confirmedAt + 4400*time.Millisecond, configuration, confirmedAt, false, false},
+		{"lease over, public", true, confirmedAt + 4400*time.Millisecond, configuration, confirmedAt, true, true},
 	} {
 		bounds.GlobalRevocation = c.revocation
 		assert.Equal(t, bounds.MayServe(c.now, c.compiled, c.confirmed, c.public), c.serves, c.name)
--- a/internal/node/control/dispatch.go
+++ b/internal/node/control/dispatch.go
@@ -5,7 +5,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// dispatch brings a message to the plane that it is for.
+// dispatch hands a message to its plane. Messages for this node's shell come back as core.Received.
 func (n *Node) dispatch(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_Probe, *nodepb.Envelope_ProbeAck, *nodepb.Envelope_ProbeRequest, *nodepb.Envelope_MemberSync:
@@ -23,7 +23,7 @@
 		n.handleRelay(now, from, message.GetRelay())
 		return nil
 	case *nodepb.Envelope_IndexUpdate, *nodepb.Envelope_IndexPoll, *nodepb.Envelope_LoadHints:
-		return []core.Output{core.Received{From: from, Message: message}} // for the shell
+		return []core.Output{core.Received{From: from, Message: message}}
 	default:
 		if n.store == nil {
 			return nil
@@ -32,7 +32,7 @@
 	}
 }
 
-// belongsToShell reports whether a message is for a part of the node that is not of its control side.
+// belongsToShell reports whether a message is for a part of the node outside its control side.
 func belongsToShell(message *nodepb.Envelope) bool {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_IndexUpdate, *nodepb.Envelope_IndexPoll, *nodepb.Envelope_LoadHints:
@@ -42,7 +42,9 @@
 	}
 }
 
-// execute does what planes ask for. Outputs of one plane may be inputs of another; the rest is for the shell.
+// execute executes what planes ask for. An output of one plane may be an input of another; the rest
+// is emitted for the shell. Order is kept: an output is executed, with all that follows from it,
+// before the next one.
 func (n *Node) execute(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
 		n.executeOne(now, output)
@@ -77,7 +79,7 @@
 	}
 }
 
-// handleReceived takes a message that came in parts, or hands it to the shell.
+// handleReceived dispatches a message that arrived in fragments, or emits it for the shell.
 func (n *Node) handleReceived(now core.Time, output core.Received) {
 	if belongsToShell(output.Message) {
 		n.emit(output)
@@ -86,8 +88,8 @@
 	n.execute(now, n.dispatch(now, output.From, output.Message))
 }
 
-// handleReply brings the control state's answer to whoever asked. A read that names an index alone is answered with the state that this
-// node holds: it is the newest.
+// handleReply hands the control state's answer to its requester: the rollout or the shell. A read
+// that is answered by an index alone gets the state held here, which is then the newest.
 func (n *Node) handleReply(now core.Time, reply core.Reply) {
 	if n.leaseCommands[reply.Request] {
 		delete(n.leaseCommands, reply.Request)
@@ -101,7 +103,7 @@
 	n.emit(reply)
 }
 
-// publishState makes the new state known to the data plane and to the duty.
+// publishState publishes the new state to the data plane and to the rollout.
 func (n *Node) publishState(now core.Time) {
 	n.compiled = n.state.Compile()
 	n.emit(core.StateChanged{})
--- a/internal/node/control/inputs.go
+++ b/internal/node/control/inputs.go
@@ -6,12 +6,13 @@
 	"kestrelspread/internal/node/rollout"
 )
 
-// stateMachine is what the clock needs of each plane.
+// stateMachine is a plane as the clock sees it.
 type stateMachine interface {
 	Tick(now core.Time) []core.Output
 	Deadline() core.Time
 }
 
+// stateMachines lists the planes in the order in which they are ticked.
 func (n *Node) stateMachines() []stateMachine {
 	list := []stateMachine{n.membership, n.distribution, n.registry, n.submit, n.transfers}
 	if n.store != nil {
@@ -20,8 +21,8 @@
 	return list
 }
 
-// Tick does what is due, and passes on between the planes what has changed. It is to be called after other inputs as well; several
-// may come before it.
+// Tick does what is due and propagates changes between the planes. It must be called after other
+// inputs too; several inputs may precede one Tick.
 func (n *Node) Tick(now core.Time) []core.Output {
 	for _, m := range n.stateMachines() {
 		if m.Deadline() <= now {
@@ -35,7 +36,7 @@
 	return n.takeOutputs()
 }
 
-// Deadline is when Tick wants to be called.
+// Deadline returns when Tick must be called at the latest.
 func (n *Node) Deadline() core.Time {
 	next := n.rolloutStepDeadline()
 	for _, m := range n.stateMachines() {
@@ -44,14 +45,15 @@
 	return next
 }
 
-// Receive takes a message of another node. Those that are for none of the planes here are ignored.
+// Receive handles a message from another node. A message for a plane that this node doesn't run is
+// ignored.
 func (n *Node) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	n.execute(now, n.dispatch(now, from, message))
 	return n.takeOutputs()
 }
 
-// Written takes the end of a write to the journal. Where that needs a checkpoint, also after a write that found no room, everything
-// that must survive is written anew as one.
+// Written handles the completion of a journal write. Where the journal needs a checkpoint, also after
+// a write that found no space, everything that must survive is written again as one checkpoint.
 func (n *Node) Written(now core.Time, token uint64, err error, needsCheckpoint bool) []core.Output {
 	if token == n.checkpointToken {
 		n.checkpointToken = 0
@@ -63,6 +65,7 @@
 	return n.takeOutputs()
 }
 
+// compact writes a checkpoint. At most one is in flight: checkpointToken is its token until Written.
 func (n *Node) compact(now core.Time) {
 	outputs := n.store.Compact(now)
 	for _, output := range outputs {
@@ -73,54 +76,57 @@
 	n.execute(now, outputs)
 }
 
-// leaseRequestFlag marks the numbers of the duty's own commands; those of callers are below.
+// leaseRequestFlag is set in the request numbers of the rollout's own lease commands. Callers' numbers
+// are below it.
 const leaseRequestFlag = 1 << 63
 
-// Submit brings a command to the chain; core.Reply with the request's number follows.
+// Submit submits a command to the chain. core.Reply with the request's number follows.
 func (n *Node) Submit(now core.Time, request uint64, command *nodepb.Command) []core.Output {
 	n.execute(now, n.submit.Submit(now, request, command))
 	return n.takeOutputs()
 }
 
-// Read reads the newest control state by way of the chain; core.Reply with the request's number follows.
+// Read reads the newest control state through the chain. core.Reply with the request's number
+// follows.
 func (n *Node) Read(now core.Time, request uint64) []core.Output {
 	n.execute(now, n.submit.Read(now, request, n.state.Index()))
 	return n.takeOutputs()
 }
 
-// Heartbeat takes a broker's announcement; core.RegistryAnswer with the request's number follows.
+// Heartbeat handles a broker's heartbeat. core.RegistryAnswer with the request's number follows.
 func (n *Node) Heartbeat(now core.Time, request uint64, instance *nodepb.Instance) []core.Output {
 	n.execute(now, n.registry.Heartbeat(now, request, instance))
 	return n.takeOutputs()
 }
 
-// Deregister takes a broker's word that it ends; core.RegistryAnswer with the request's number follows.
+// Deregister handles a broker's deregistration. core.RegistryAnswer with the request's number follows.
 func (n *Node) Deregister(now core.Time, request uint64, id string) []core.Output {
 	n.execute(now, n.registry.Deregister(now, request, id))
 	return n.takeOutputs()
 }
 
-// RestoreBrokers takes up brokers that were known to a former life of this node.
+// RestoreBrokers registers brokers that an earlier incarnation of this node saved.
 func (n *Node) RestoreBrokers(now core.Time, instances []*nodepb.Instance) []core.Output {
 	n.execute(now, n.registry.Restore(now, instances))
 	return n.takeOutputs()
 }
 
-// OrderDone takes the end of an order to a broker; status is 0 where no answer came.
+// OrderDone handles the completion of an order to a broker. status is the HTTP status, 0 where no
+// answer came.
 func (n *Node) OrderDone(now core.Time, token uint64, status int, err error) []core.Output {
 	n.execute(now, n.rollout.OrderDone(now, token, status, err))
 	n.stepRollout(now, true)
 	return n.takeOutputs()
 }
 
-// ReportDone takes a broker's report.
+// ReportDone handles a broker's report, or the error of asking for it.
 func (n *Node) ReportDone(now core.Time, token uint64, report *rollout.Report, err error) []core.Output {
 	n.execute(now, n.rollout.ReportDone(now, token, report, err))
 	n.stepRollout(now, true)
 	return n.takeOutputs()
 }
 
-// HandOver hands over this node's place in the chain, because it ends soon.
+// HandOver makes this node leave the chain, or at least give up its head, before it shuts down.
 func (n *Node) HandOver(now core.Time) []core.Output {
 	if n.store != nil {
 		n.execute(now, n.store.Transfer(now))
@@ -128,16 +134,16 @@
 	return n.takeOutputs()
 }
 
-// Leave tells the other nodes that this one ends.
+// Leave announces to the other nodes that this one shuts down.
 func (n *Node) Leave(now core.Time) []core.Output {
 	n.execute(now, n.membership.Leave(now))
 	return n.takeOutputs()
 }
 
-// SetSeeds names other nodes to ask first.
+// SetSeeds replaces the addresses of the nodes that are contacted first.
 func (n *Node) SetSeeds(addresses []string) { n.membership.SetSeeds(addresses) }
 
-// Send brings a message of another part of this node on its way.
+// Send sends a message of another part of this node along the routes that the control side knows.
 func (n *Node) Send(now core.Time, output core.Send) []core.Output {
 	n.send(now, output)
 	return n.takeOutputs()
--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -1,10 +1,17 @@
-// Package control is the control side of one node: its planes (membership, the replicated control state, its distribution, the
-// registry of brokers and the duty to bring new weights), wired together as one state machine. The program runs it on a loop
-// (package agent); the fault runs play many of them under a virtual clock (package faultrun).
+// Package control is the control side of one node. It wires the planes (membership, the replicated
+// control state, its distribution, the registry of brokers, and the rollout of new weights) together
+// as one state machine. The program runs it on a loop (package agent); the fault runs play many of
+// them under a virtual clock (package faultrun).
 //
-// Inputs are messages of other nodes, calls of this node's own API, ends of writes, answers of brokers, and the time. What the
-// planes ask of one another is done within; what is returned is for the shell: messages, writes, answers, orders, and news of the
-// state and of the brokers for the data plane.
+// Inputs are messages from other nodes, calls of this node's own API, completed writes, answers of
+// brokers, and the time. What the planes ask of one another is executed within the package; what is
+// returned is for the shell: messages, writes, answers, orders, and changes of the state and of the
+// brokers for the data plane.
+//
+// The package does no I/O, starts no goroutine and reads no clock. It keeps no replicated state of its
+// own and takes no decision of a plane: agreement is in view and chain, the registry's rules in
+// registry. Invariants: outputs leave in the order in which the planes produced them; a plane sees
+// view epochs only rise; at most one checkpoint is being written.
 package control
 
 import (
@@ -26,34 +33,44 @@
 
 // Options of a Node.
 type Options struct {
-	// Self is this node as the others will know it. It belongs to the Node.
+	// Self describes this node to the others. The Node owns and changes it.
 	Self *nodepb.Member
-	// Seeds are the internal addresses of the nodes that are asked first.
+	// Seeds are the internal addresses of the nodes that are contacted first.
 	Seeds []string
-	// Bootstrap: this is the first start of the whole system.
+	// Bootstrap is true at the first start of the whole system only.
 	Bootstrap bool
-	// FaultTolerance is faultTolerance.machines.
+	// FaultTolerance is how many core machines may be lost at one time (faultTolerance.machines).
 	FaultTolerance int
-	// MaxConfigurationBytes is the size of the largest configuration that machines like this one hold, in bytes.
+	// MaxConfigurationBytes bounds the size of a configuration that machines like this one hold.
 	MaxConfigurationBytes int
-	// Checker checks the items of configurations at the head of the chain; nil: the schema of package schema.
+	// Checker validates the items of configurations at the head of the chain; nil stands for the
+	// schema of package schema.
 	Checker config.Checker
-	// HeartbeatInterval is how often brokers announce themselves.
+	// HeartbeatInterval is the interval of brokers' heartbeats.
 	HeartbeatInterval time.Duration
-	Bounds            Bounds
+	// Bounds are the time limits of the rules.
+	Bounds Bounds
 }
 
-// Bounds are the figures of the rules that the control side keeps. Source: DEPLOY.md, "Settings of a process".
+// Bounds are the time limits of the rules that the control side keeps. Source: DEPLOY.md, "Settings of
+// a process".
 type Bounds struct {
-	Contact          time.Duration
+	// Contact is how long a machine must have been free of faults to count as in touch.
+	Contact time.Duration
+	// GlobalRevocation: a revoked key is refused within Revoke also on machines that are partitioned.
 	GlobalRevocation bool
-	Revoke           time.Duration
-	Lease            time.Duration
-	Thaw             time.Duration
-	Version          time.Duration
+	// Revoke is the time from the acknowledged revocation of a key until it is refused everywhere.
+	Revoke time.Duration
+	// Lease is the time within which the singleton role must not change its holder.
+	Lease time.Duration
+	// Thaw is the time after a frozen process or a partition ends within which an order doesn't count.
+	Thaw time.Duration
+	// Version is the time from the acknowledgement of a version until no request starts on older
+	// weights.
+	Version time.Duration
 }
 
-// Node is the control side of one node. Its methods are called by one goroutine.
+// Node is the control side of one node. Its methods must be called by one goroutine.
 type Node struct {
 	options Options
 	random  *rand.Rand
@@ -61,9 +78,9 @@
 	outputs []core.Output
 
 	membership   *membership.Membership
-	store        *chain.Store // nil until the disk is attached, and on machines that don't count
+	store        *chain.Store // nil until the disk is attached, and on nodes outside the core
 	submit       *submit.Client
-	state        *config.State // what distribution has brought here
+	state        *config.State // the newest state that distribution has delivered
 	compiled     *config.Compiled
 	distribution *distribution.Distribution
 	registry     *registry.Registry
@@ -73,23 +90,23 @@
 	propagated       propagatedState
 	confirmedAt      core.Time // of the state held here; 0: never
 	targetVersions   map[string]rollout.Target
-	leaseCommands    map[uint64]bool // requests of the duty's own commands
-	lastLeaseRequest uint64          // the last of them
+	leaseCommands    map[uint64]bool // pending requests of the rollout's own lease commands
+	lastLeaseRequest uint64          // number of the last of them, without the flag
 	checkpointToken  uint64          // token of the checkpoint that is being written; 0: none
 	// coreAddresses are the internal addresses of the members that count, for which this node relays messages.
 	coreAddresses map[string]bool
 }
 
-// propagatedState is what has been passed on between the planes.
+// propagatedState records what has been propagated between the planes.
 type propagatedState struct {
 	membersRevision uint64
-	viewEpoch       uint64 // epoch
-	isLeaseHolder   bool   // of the duty to bring new weights
-	// brokersChanged: the duty is to look at the brokers again.
+	viewEpoch       uint64
+	isLeaseHolder   bool // of the rollout's role, as of its last step
+	// brokersChanged: the rollout must look at the brokers at the next Tick.
 	brokersChanged bool
 }
 
-// New makes a node without a disk; see AttachStore.
+// New makes a node without a disk; AttachStore adds one.
 func New(now core.Time, options Options, random *rand.Rand) *Node {
 	self := options.Self
 	if options.Checker == nil {
@@ -121,12 +138,13 @@
 	return n
 }
 
-// deriveRandom gives a source of chance of its own to a plane.
+// deriveRandom returns a random source for one plane, seeded from random.
 func deriveRandom(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
-// confirmationAge: only where revoked keys must be refused everywhere in time does service hang on fresh confirmations.
+// confirmationAge returns how old a confirmation may become. Only where revoked keys must be refused
+// everywhere in time does service depend on fresh ones.
 func confirmationAge(bounds Bounds) time.Duration {
 	if bounds.GlobalRevocation {
 		return distribution.ConfirmationForRevocation
@@ -134,8 +152,9 @@
 	return distribution.ConfirmationForChanges
 }
 
-// AttachStore makes this node a member of the core, once its disk has proved that it takes writes. records is what the journal
-// holds.
+// AttachStore makes this node a member of the core once its disk has proved that it takes writes.
+// records are those recovered from the journal. An error says that they can't be read as control
+// state; the node then stays outside the core.
 func (n *Node) AttachStore(now core.Time, diskID string, records []core.Record) ([]core.Output, error) {
 	state := config.NewState(n.options.Checker)
 	state.SetLimit(n.options.MaxConfigurationBytes)
@@ -158,22 +177,23 @@
 	return n.takeOutputs(), nil
 }
 
-// State is the control state that this node holds.
+// State returns the control state that this node holds.
 func (n *Node) State() *config.State { return n.state }
 
-// Compiled is the configuration of that state for the data plane; nil before the first.
+// Compiled returns the configuration of that state for the data plane; nil before the first one.
 func (n *Node) Compiled() *config.Compiled { return n.compiled }
 
-// Members are the nodes that are alive or suspected.
+// Members returns the nodes that are alive or suspected, this one included.
 func (n *Node) Members() []*nodepb.Member { return n.membership.Members() }
 
-// Registry is the registry of brokers, to be read only.
+// Registry returns the registry of brokers, for reading only.
 func (n *Node) Registry() *registry.Registry { return n.registry }
 
-// View is the newest view known here, nil without one.
+// View returns the newest view known here; nil without one.
 func (n *Node) View() *nodepb.View { return n.distribution.View() }
 
-// StoreStatus tells how things stand with the chain; false: this node has no disk, or it is not attached yet.
+// StoreStatus returns the status of this node's chain member. It reports false where this node has no
+// disk, or none is attached yet.
 func (n *Node) StoreStatus() (chain.Status, bool) {
 	if n.store == nil {
 		return chain.Status{}, false
@@ -181,12 +201,13 @@
 	return n.store.Status(), true
 }
 
-// ConfirmedAt is a moment at which no newer state was acknowledged anywhere than the one held here; false: none is known.
+// ConfirmedAt returns a time at which no state newer than the one held here was acknowledged anywhere.
+// It reports false where none is known.
 func (n *Node) ConfirmedAt() (core.Time, bool) { return n.confirmedAt, n.confirmedAt != 0 }
 
 func (n *Node) emit(output core.Output) { n.outputs = append(n.outputs, output) }
 
-// takeOutputs hands over what the shell is to do.
+// takeOutputs returns the outputs for the shell and clears them.
 func (n *Node) takeOutputs() []core.Output {
 	taken := n.outputs
 	n.outputs = nil
--- a/internal/node/control/propagate.go
+++ b/internal/node/control/propagate.go
@@ -7,10 +7,11 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// minDetectionTime is how long before a node hears of a view without a lost machine that machine was lost, at the least.
+// minDetectionTime is the least time between the loss of a core machine and the arrival here of the
+// view that leaves it out: the detector's time-out.
 const minDetectionTime = time.Second
 
-// propagate passes on between the planes what has changed since it was last looked at.
+// propagate hands each plane what has changed in the others since the last call.
 func (n *Node) propagate(now core.Time) {
 	if revision := n.membership.Revision(); revision != n.propagated.membersRevision {
 		n.propagated.membersRevision = revision
@@ -20,6 +21,7 @@
 	n.propagateConfirmation(now)
 }
 
+// propagateMembers hands the membership list to all planes, and to the shell.
 func (n *Node) propagateMembers(now core.Time) {
 	members := n.membership.Members()
 	n.execute(now, n.registry.SetMembers(now, members))
@@ -39,7 +41,8 @@
 	n.emit(core.MembersChanged{Members: members})
 }
 
-// propagateView tells who acts on the view of the newest one known here.
+// propagateView hands the newest view known here, by distribution or by this node's own chain member,
+// to distribution and submit. Epochs only rise: an older view is never propagated after a newer one.
 func (n *Node) propagateView(now core.Time) {
 	newest := n.distribution.View()
 	if n.store != nil {
@@ -54,12 +57,13 @@
 		n.emit(core.CoreDisturbed{At: now - minDetectionTime})
 	}
 	n.propagated.viewEpoch = newest.GetEpoch()
-	n.emit(core.Log{Message: "view", Fields: []any{"epoch", newest.Epoch, "chain", newest.Chain, "voters", len(newest.Voters)}})
+	n.emit(core.Log{Message: "control: view changed", Fields: []any{"epoch", newest.Epoch, "chain", newest.Chain, "voters", len(newest.Voters)}})
 	n.execute(now, n.distribution.SetView(now, newest))
 	n.execute(now, n.submit.SetView(now, newest))
 }
 
-// propagateConfirmation notes how fresh the state is.
+// propagateConfirmation hands the tail's own barriers to distribution, and records how fresh the state
+// held here is.
 func (n *Node) propagateConfirmation(now core.Time) {
 	if n.store != nil && n.distribution.Tail() {
 		if status := n.store.Status(); status.ConfirmedOnce {
--- a/internal/node/control/relay.go
+++ b/internal/node/control/relay.go
@@ -9,8 +9,8 @@
 	"kestrelspread/internal/node/transfer"
 )
 
-// send brings a message on its way: large ones as fragments, and those to core machines that can't be reached directly by a
-// relay.
+// send sends a message: a large one as fragments, and one to a core machine that can't be reached
+// directly through a relay.
 func (n *Node) send(now core.Time, output core.Send) {
 	if proto.Size(output.Message) > transfer.Threshold {
 		n.execute(now, n.transfers.Send(now, output.To, transfer.SubjectOf(output.Message), output.Message))
@@ -30,7 +30,8 @@
 	n.emit(core.Send{To: via, Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
-// relayFor is the relay by which a message goes; empty: directly. Pings and pongs of voters take the way that they are to prove.
+// relayFor returns the relay through which a message goes; empty: none. Pings and pongs of voters take
+// the route that they are to prove.
 func (n *Node) relayFor(output core.Send) string {
 	switch output.Message.GetBody().(type) {
 	case *nodepb.Envelope_VoterPing, *nodepb.Envelope_VoterPong:
@@ -42,51 +43,54 @@
 	return n.store.Route(output.To)
 }
 
-// handleRelay takes a message that came by a relay, or passes one on, as the relay, to the core machine that it is for.
+// handleRelay dispatches a message that arrived through a relay, or, as the relay, forwards one to its
+// destination. A relay forwards to core machines only, and only what it has from the origin itself:
+// no message takes two relays.
 func (n *Node) handleRelay(now core.Time, from core.Peer, relay *nodepb.Relay) {
 	if relay.GetTo() == n.self.Address {
 		origin := core.Peer{NodeID: relay.GetOriginId(), Address: relay.GetOriginAddress(), Via: from.Address}
 		n.execute(now, n.dispatch(now, origin, relay.GetEnvelope()))
 		return
 	}
-	passedOnBefore := from.Address != relay.GetOriginAddress()
-	if passedOnBefore || !n.coreAddresses[relay.GetTo()] {
+	forwardedBefore := from.Address != relay.GetOriginAddress()
+	if forwardedBefore || !n.coreAddresses[relay.GetTo()] {
 		return
 	}
 	n.emit(core.Send{To: relay.GetTo(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
-// maxRelays bounds the nodes that this one asks to relay.
+// maxRelays bounds the relays of each kind: outside the core, and in it.
 const maxRelays = 12
 
-// rankRelays lists the nodes that may relay for this one, best first: by turns one of its own zone and one of another, and
-// the core machines last, as they are more likely to be cut off together. Different nodes begin with different ones.
+// rankRelays lists the nodes that may relay for this one, best first: alternately one of its own zone
+// and one of another, and the core machines last, as they are more likely to be partitioned together.
+// Different nodes begin with different relays.
 func (n *Node) rankRelays(members []*nodepb.Member) []string {
-	var near, far, counting []string
+	var sameZone, otherZone, core []string
 	for _, member := range members {
 		switch {
 		case member.NodeId == n.self.NodeId || member.State != nodepb.MemberState_ALIVE:
 		case member.CountsForQuorum:
-			counting = append(counting, member.Address)
+			core = append(core, member.Address)
 		case member.Zone == n.self.Zone:
-			near = append(near, member.Address)
+			sameZone = append(sameZone, member.Address)
 		default:
-			far = append(far, member.Address)
+			otherZone = append(otherZone, member.Address)
 		}
 	}
-	for _, group := range [][]string{near, far, counting} {
+	for _, group := range [][]string{sameZone, otherZone, core} {
 		rendezvous.Rank(n.self.Address, group, func(address string) string { return address })
 	}
 	var relays []string
-	for i := range max(len(near), len(far)) {
-		relays = append(relays, near[min(i, len(near)):min(i+1, len(near))]...)
-		relays = append(relays, far[min(i, len(far)):min(i+1, len(far))]...)
+	for i := range max(len(sameZone), len(otherZone)) {
+		relays = append(relays, sameZone[min(i, len(sameZone)):min(i+1, len(sameZone))]...)
+		relays = append(relays, otherZone[min(i, len(otherZone)):min(i+1, len(otherZone))]...)
 	}
 	relays = relays[:min(len(relays), maxRelays)]
-	return append(relays, counting[:min(len(counting), maxRelays)]...)
+	return append(relays, core[:min(len(core), maxRelays)]...)
 }
 
-// addressesOf are the internal addresses of members.
+// addressesOf returns the set of the internal addresses of members.
 func addressesOf(members []*nodepb.Member) map[string]bool {
 	addresses := make(map[string]bool, len(members))
 	for _, member := range members {
--- a/internal/node/control/relay_test.go
+++ b/internal/node/control/relay_test.go
@@ -24,7 +24,7 @@
 	return n
 }
 
-// sends lists what is sent, each as "kind>address".
+// sends lists the messages sent, each as "kind>address".
 func sends(outputs []core.Output) []string {
 	var list []string
 	for _, output := range outputs {
@@ -45,8 +45,8 @@
 	return &nodepb.Envelope{Body: &nodepb.Envelope_StatePoll{StatePoll: &nodepb.StatePoll{Nonce: nonce}}}
 }
 
-// TestRelayPassesOnOnce: to core machines alone, and only what it has from the sender itself.
-func TestRelayPassesOnOnce(t *testing.T) {
+// TestRelayForwardsOnceAndToCoreOnly: a relay forwards what it has from the origin itself.
+func TestRelayForwardsOnceAndToCoreOnly(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		from string
@@ -54,7 +54,7 @@
 		want []string
 	}{
 		{"from the sender to a core machine", "core-1", "core-2", []string{"Relay>core-2"}},
-		{"passed on before", "relay-9", "core-2", nil},
+		{"forwarded before", "relay-9", "core-2", nil},
 		{"to another node", "core-1", "proxy-7", nil},
 		{"to nobody", "core-1", "", nil},
 	} {
@@ -64,22 +64,22 @@
 	}
 }
 
-// TestRelayedMessagesAreOfTheirSender: the answer goes to who sent the message, and not to the relay.
-func TestRelayedMessagesAreOfTheirSender(t *testing.T) {
+// TestRelayedMessageIsAnsweredToItsOrigin, not to the relay.
+func TestRelayedMessageIsAnsweredToItsOrigin(t *testing.T) {
 	n := newNode("core-2", "core-1")
 	outputs := n.Receive(time.Second, core.Peer{NodeID: "relay/1", Address: "relay"}, relayed("core-1", "core-2", poll(4)))
 	assert.DeepEqual(t, sends(outputs), []string{"StatePollReply>core-1"})
 }
 
-// TestRelaysWithinRelaysEndThere: a message can't be made to go on by being wrapped again and again.
-func TestRelaysWithinRelaysEndThere(t *testing.T) {
+// TestNestedRelayIsNotForwarded: wrapping a message repeatedly doesn't make it travel further.
+func TestNestedRelayIsNotForwarded(t *testing.T) {
 	n := newNode("core-2", "core-1", "core-3")
 	inner := relayed("core-9", "core-3", poll(4))
 	outputs := n.Receive(time.Second, core.Peer{NodeID: "relay/1", Address: "relay"}, relayed("core-1", "core-2", inner))
 	assert.Equal(t, len(sends(outputs)), 0)
 }
 
-func TestRelaysOfANode(t *testing.T) {
+func TestRelaysAreRankedByZoneWithCoreLast(t *testing.T) {
 	n := newNode("core-1")
 	member := func(name, zone string, counts bool, state nodepb.MemberState) *nodepb.Member {
 		return &nodepb.Member{NodeId: name + "/1", Address: name, Zone: zone, CountsForQuorum: counts, State: state}
@@ -99,8 +99,8 @@
 	assert.Equal(t, len(n.rankRelays(members)), 2*maxRelays)
 }
 
-// TestLargeMessagesGoAsFragments, and arrive whole at the plane that they are for.
-func TestLargeMessagesGoAsFragments(t *testing.T) {
+// TestLargeMessagesTravelAsFragments and arrive complete at their plane.
+func TestLargeMessagesTravelAsFragments(t *testing.T) {
 	from, to := newNode("a"), newNode("b")
 	state := &nodepb.StateSnapshot{Index: 7, State: make([]byte, 300_000)}
 	push := &nodepb.Envelope{Body: &nodepb.Envelope_StatePush{StatePush: &nodepb.StatePush{Index: 7, Snapshot: state}}}
@@ -125,8 +125,9 @@
 	assert.Assert(t, refused, "the push came to the distribution, which finds that zeros are no state")
 }
 
-// TestAReadIsAnsweredByTheOwnState where the chain says that this is the newest; one that is older is not.
-func TestAReadIsAnsweredByTheOwnState(t *testing.T) {
+// TestReadIsAnsweredByNewestOwnState: where the chain says that the state held here is the newest, and
+// not where it is older.
+func TestReadIsAnsweredByNewestOwnState(t *testing.T) {
 	for _, c := range []struct {
 		index    uint64
 		answered bool
--- a/internal/node/control/rollout.go
+++ b/internal/node/control/rollout.go
@@ -7,7 +7,8 @@
 	"kestrelspread/internal/node/rollout"
 )
 
-// rolloutStepDeadline: a node that does not hold the duty has nothing to do for it.
+// rolloutStepDeadline returns when the rollout wants its next step; core.Never while this node does
+// not hold the role.
 func (n *Node) rolloutStepDeadline() core.Time {
 	if n.store == nil || !n.propagated.isLeaseHolder {
 		return core.Never
@@ -15,7 +16,8 @@
 	return n.rollout.Deadline()
 }
 
-// recordTargets remembers when each version of weights became known here.
+// recordTargets records when each named version of a model's weights became known here, and steps
+// the rollout.
 func (n *Node) recordTargets(now core.Time) {
 	for model, version := range n.compiled.ModelVersions {
 		if known, ok := n.targetVersions[model]; !ok || known.Version < version {
@@ -25,7 +27,9 @@
 	n.stepRollout(now, true)
 }
 
-// stepRollout lets the duty act where this node holds it.
+// stepRollout lets the rollout act where this node is the head of the chain, which holds the role. It
+// also runs once after headship ended, so that the rollout sees that. changed: an input changed, so
+// that the step must not wait for the deadline.
 func (n *Node) stepRollout(now core.Time, changed bool) {
 	if n.store == nil {
 		return
@@ -41,6 +45,7 @@
 	n.execute(now, n.rollout.Step(now, n.rolloutSituation()))
 }
 
+// rolloutSituation collects what the rollout decides by.
 func (n *Node) rolloutSituation() *rollout.Situation {
 	status := n.store.Status()
 	situation := &rollout.Situation{
@@ -51,7 +56,8 @@
 		Holder:    n.self.Name,
 		Grant:     n.state.Duty(rollout.DutyName),
 	}
-	// A barrier of the head's own shows the same as a confirmation: all that was acknowledged before it began has been committed here.
+	// A barrier of the head's own proves the same as a confirmation: everything acknowledged before
+	// the barrier began is committed here.
 	situation.GrantAsOf = status.LeaseFrom
 	if confirmedAt, ok := n.distribution.ConfirmedAt(); ok {
 		situation.GrantAsOf = max(confirmedAt, status.LeaseFrom)
@@ -62,11 +68,13 @@
 	return situation
 }
 
+// isHead reports whether the chain's member is its head, alone or not.
 func isHead(status chain.Status) bool {
 	return status.Role == chain.HeadOf || status.Role == chain.Only
 }
 
-// executeForRollout does what the duty's state machine asks of other planes; false: it is for the shell.
+// executeForRollout executes the outputs of the rollout that other planes take. It reports false for
+// outputs that are the shell's.
 func (n *Node) executeForRollout(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.MarkLoading:
@@ -86,7 +94,8 @@
 	return true
 }
 
-// submitLeaseCommand brings a change of the duty's grant to the control state.
+// submitLeaseCommand submits a change of the role's lease to the control state. Its request number
+// carries leaseRequestFlag, and handleReply routes the result back to the rollout.
 func (n *Node) submitLeaseCommand(now core.Time, command *nodepb.Command) {
 	n.lastLeaseRequest++
 	request := leaseRequestFlag | n.lastLeaseRequest
