--- a/internal/node/controlapi/api.go
+++ b/internal/node/controlapi/api.go
@@ -1,6 +1,10 @@
-// Package controlapi serves the HTTP calls of brokers and operators on a node's control address, and the platform's
-// readiness check. It decodes calls, hands them to a Backend and words the answers; it decides nothing itself.
-// Source: PROTOCOL.md, "Service discovery" and "The operator's API".
+// Package controlapi serves the HTTP calls of brokers and operators on a node's control address, and
+// the platform's readiness check. It decodes requests, hands them to a Backend and encodes the
+// responses. Source: PROTOCOL.md, "Service discovery" and "The operator's API".
+//
+// It takes no decision of its own and keeps no state: whether a change is valid is decided by the head
+// of the chain. Invariant: a change is rejected for good only on the chain's own result; any other
+// failure is a 503, after which the caller repeats the same command, with the same id, at any node.
 package controlapi
 
 import (
@@ -15,31 +19,32 @@
 	"kestrelspread/internal/node/submit"
 )
 
-// Backend carries the calls out. Each context ends after Options.CallTimeout, or when the caller has left. An error
-// says that the node could not tell: the caller gets 503 and goes on to another node.
+// Backend executes the calls. Each context ends after Options.CallTimeout, or when the caller has
+// disconnected. An error says that the node has no result: the caller gets 503 and tries another node.
 type Backend interface {
-	// Heartbeat takes a broker's announcement of itself.
+	// Heartbeat registers a broker, or renews and updates its registration.
 	Heartbeat(ctx context.Context, instance *nodepb.Instance) (HeartbeatAnswer, error)
-	// Deregister takes a broker's word that it ends.
+	// Deregister removes a broker that shuts down.
 	Deregister(ctx context.Context, id string) error
-	// Submit brings a change of the control state to the chain.
+	// Submit submits a change of the control state to the chain and returns its result.
 	Submit(ctx context.Context, command *nodepb.Command) (*nodepb.CommandResult, error)
-	// Fetch reads the newest configuration in full, as JSON, through the chain's tail.
+	// Fetch returns the newest configuration as JSON, read through the chain's tail.
 	Fetch(ctx context.Context) ([]byte, error)
-	// Status is what operators see of this node; it is encoded as JSON.
+	// Status returns what operators see of this node; it is encoded as JSON.
 	Status() any
 }
 
 // HeartbeatAnswer acknowledges a heartbeat.
 type HeartbeatAnswer struct {
-	// HeartbeatURL is an address, "IP:port", for the broker's later heartbeats; empty: none is named.
+	// HeartbeatURL is the control address, "IP:port", for the broker's later heartbeats; empty: none is
+	// named.
 	HeartbeatURL string
 }
 
-// Options fit the handler to its node. Zero values take the defaults.
+// Options configure the handler. Zero values take the defaults.
 type Options struct {
 	MaxBodyBytes int64         // of a configuration; default 8 MiB
-	CallTimeout  time.Duration // for the Backend; default 900 ms, as callers wait for a second
+	CallTimeout  time.Duration // of a Backend call; default 900 ms, as callers wait for 1 s
 	Log          *slog.Logger  // default: slog's own
 }
 
@@ -62,7 +67,7 @@
 	pathReadiness  = "/kestrelspread/readyz"
 )
 
-// api is the handler's state: none besides what it was made with.
+// api is the handler. Its fields don't change after Handler.
 type api struct {
 	backend      Backend
 	maxBodyBytes int64
@@ -70,7 +75,7 @@
 	log          *slog.Logger
 }
 
-// Handler serves the control address.
+// Handler returns the HTTP handler of a control address.
 func Handler(backend Backend, options Options) http.Handler {
 	a := &api{
 		backend:      backend,
@@ -90,6 +95,7 @@
 	return a.router()
 }
 
+// router maps the paths to their methods.
 func (a *api) router() http.Handler {
 	router := chi.NewRouter()
 	router.Post(pathHeartbeat, a.heartbeat)
@@ -102,12 +108,13 @@
 	return router
 }
 
-// callContext bounds a call of the Backend.
+// callContext returns the context of a Backend call.
 func (a *api) callContext(r *http.Request) (context.Context, context.CancelFunc) {
 	return a.callContextForBody(r, 0)
 }
 
-// callContextForBody bounds a call with a body of that many bytes, for which callers wait longer.
+// callContextForBody returns the context of a Backend call with a body of so many bytes; callers wait
+// longer for large ones.
 func (a *api) callContextForBody(r *http.Request, bytes int) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.Context(), a.callTimeout+submit.ExtraTime(bytes))
 }
@@ -116,7 +123,8 @@
 	writeJSON(w, http.StatusOK, a.backend.Status())
 }
 
-// ReadinessHandler answers the platform's check: 200 where ready says so, else 503. Nobody reads the body.
+// ReadinessHandler answers the platform's readiness check: 200 where ready returns true, else 503. The
+// body is empty.
 func ReadinessHandler(ready func() bool) http.Handler {
 	router := chi.NewRouter()
 	router.Get(pathReadiness, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/node/controlapi/heartbeat.go
+++ b/internal/node/controlapi/heartbeat.go
@@ -12,15 +12,15 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// maxInstanceIDBytes bounds a broker's id.
+// maxInstanceIDBytes bounds the length of a broker's id.
 const maxInstanceIDBytes = 256
 
-// heartbeatBody is what a broker tells of itself. Unknown fields are ignored.
+// heartbeatBody is the body of a heartbeat. Unknown fields are ignored.
 type heartbeatBody struct {
 	Service           string          `json:"service"`
 	Address           string          `json:"address"`
 	Zone              string          `json:"zone"`
-	Version           any             `json:"version"` // of its software: kept where it is a text, else of no use
+	Version           any             `json:"version"` // of its software; ignored unless it is a string
 	Slots             float64         `json:"slots"`
 	State             string          `json:"state"`
 	WarmUpRemainingMs float64         `json:"coldRemainingMs"`
@@ -29,18 +29,19 @@
 	Models            []modelOnBroker `json:"models"`
 }
 
-// modelOnBroker is one model that a broker holds.
+// modelOnBroker is one model that a broker has loaded.
 type modelOnBroker struct {
 	Name     string `json:"name"`
 	Version  uint64 `json:"version"`
-	Adapters []any  `json:"adapters"` // names; what is no text is of no use
+	Adapters []any  `json:"adapters"` // names; items that aren't strings are ignored
 }
 
-// heartbeatReply is the body of an acknowledged heartbeat.
+// heartbeatReply is the body of the response to an acknowledged heartbeat.
 type heartbeatReply struct {
 	HeartbeatURL string `json:"heartbeatUrl,omitempty"`
 }
 
+// heartbeat handles a broker's heartbeat.
 func (a *api) heartbeat(w http.ResponseWriter, r *http.Request) {
 	id, problem := instanceID(r)
 	if problem != nil {
@@ -67,7 +68,7 @@
 	writeJSON(w, http.StatusOK, heartbeatReply(answer))
 }
 
-// deregister takes a broker's last call; its body, if any, has no meaning.
+// deregister handles a broker's deregistration; its body, if any, is ignored.
 func (a *api) deregister(w http.ResponseWriter, r *http.Request) {
 	id, problem := instanceID(r)
 	if problem != nil {
@@ -83,7 +84,8 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// instanceID reads the broker's id from the path, of which chi hands out the escaped form where there is one.
+// instanceID reads the broker's id from the path. chi matches the escaped path where there is one, so
+// that the id has to be unescaped here.
 func instanceID(r *http.Request) (string, *requestError) {
 	id := chi.URLParam(r, "id")
 	if r.URL.RawPath != "" {
@@ -99,7 +101,7 @@
 	return id, nil
 }
 
-// decodeHeartbeat checks a heartbeat's body.
+// decodeHeartbeat decodes and validates the body of a heartbeat.
 func decodeHeartbeat(id string, body []byte) (*nodepb.Instance, *requestError) {
 	var heartbeat heartbeatBody
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
@@ -131,7 +133,7 @@
 	}, nil
 }
 
-// instanceStates are the states that a broker can say of itself.
+// instanceStates maps the states that a broker can report to those of the registry.
 var instanceStates = map[string]nodepb.InstanceState{
 	"ready":    nodepb.InstanceState_READY,
 	"draining": nodepb.InstanceState_DRAINING,
@@ -147,6 +149,7 @@
 	return converted
 }
 
+// stringsOf returns the items that are strings.
 func stringsOf(items []any) []string {
 	var strings []string
 	for _, item := range items {
@@ -157,7 +160,7 @@
 	return strings
 }
 
-// ceilUint32 rounds a number up and keeps it within the type's range.
+// ceilUint32 rounds a number up and clamps it to the range of uint32.
 func ceilUint32(number float64) uint32 {
 	return uint32(min(max(math.Ceil(number), 0), math.MaxUint32))
 }
--- a/internal/node/controlapi/heartbeat_test.go
+++ b/internal/node/controlapi/heartbeat_test.go
@@ -19,7 +19,7 @@
 		`"coldRemainingMs":250,"stage":"both","models":[{"name":"m1","version":2,"adapters":["x"]}],"sequence":4}`
 )
 
-func TestHeartbeatReachesTheBackend(t *testing.T) {
+func TestHeartbeatIsDecodedForBackend(t *testing.T) {
 	cases := []struct {
 		name string
 		body string
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestHeartbeatAnswers(t *testing.T) {
+func TestHeartbeatResponses(t *testing.T) {
 	answer := call(t, &fakeBackend{heartbeatURL: "10.1.0.2:8102"}, Options{}, post(heartbeatPath, heartbeatExample))
 	assert.Equal(t, answer.Code, http.StatusOK)
 	assert.Equal(t, answer.Header().Get("Content-Type"), "application/json")
@@ -70,7 +70,7 @@
 	assertUnavailable(t, call(t, &fakeBackend{waits: true}, waiting, post(heartbeatPath, heartbeatExample)))
 }
 
-func TestMalformedHeartbeats(t *testing.T) {
+func TestMalformedHeartbeatIsRejected(t *testing.T) {
 	cases := map[string]string{
 		"no JSON":              `hello`,
 		"no object":            `[]`,
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestOverlongHeartbeat(t *testing.T) {
+func TestOversizedHeartbeatIsRejected(t *testing.T) {
 	body := strings.Replace(heartbeatExample, `"s1"`, `"`+strings.Repeat("s", maxSmallBodyBytes)+`"`, 1)
 	answer := call(t, &fakeBackend{}, Options{}, post(heartbeatPath, body))
 	assert.Equal(t, answer.Code, http.StatusRequestEntityTooLarge)
@@ -114,7 +114,7 @@
 	assertUnavailable(t, call(t, &fakeBackend{waits: true}, waiting, post(deregisterPath, "")))
 }
 
-func TestInstanceIDs(t *testing.T) {
+func TestInstanceIDIsUnescapedAndBounded(t *testing.T) {
 	cases := []struct {
 		inPath string
 		id     string // empty: 400 or 404
--- a/internal/node/controlapi/message.go
+++ b/internal/node/controlapi/message.go
@@ -10,19 +10,20 @@
 	"strconv"
 )
 
-// retryAfter is the wait named to callers that met a node which could not tell, in seconds: another node may know.
+// retryAfter is the Retry-After of a 503, in seconds. It is short, as another node may have the result.
 const retryAfter = "0.2"
 
-// maxPreallocatedBytes bounds the memory set aside for a body on its sender's word alone.
+// maxPreallocatedBytes bounds the memory allocated for a body by its stated length
+// alone, before any of it has arrived.
 const maxPreallocatedBytes = 256 << 10
 
-// requestError is a call that is answered here, without the Backend.
+// requestError is the response to a request that is rejected without a call of the Backend.
 type requestError struct {
-	status int
-	text   string
+	status int    // of HTTP
+	text   string // names the field and the problem
 }
 
-// errorReply is the body of an answer to a call that was not carried out.
+// errorReply is the body of the response to a request that was not executed.
 type errorReply struct {
 	Error string `json:"error"`
 }
@@ -35,8 +36,8 @@
 	writeJSON(w, e.status, errorReply{Error: e.text})
 }
 
-// readBody reads a body of up to limit bytes. A longer one is a 413; one that ends before its stated length can not be
-// read whole, which is a 400; one that comes too slowly is a 408, so that its sender tries another node.
+// readBody reads a body of up to limit bytes. A longer one is a 413; one that ends before its stated
+// length is a 400; one that arrives too slowly is a 408, so that its sender tries another node.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *requestError) {
 	if r.ContentLength > limit {
 		text := "body: is longer than " + strconv.FormatInt(limit, 10) + " bytes"
@@ -53,6 +54,7 @@
 	return nil, bodyError(err)
 }
 
+// bodyError maps an error of reading a body to its response.
 func bodyError(err error) *requestError {
 	var tooLarge *http.MaxBytesError
 	var network net.Error
@@ -68,7 +70,7 @@
 	}
 }
 
-// writeUnavailable says that this node can't tell, and when to come back.
+// writeUnavailable responds that this node has no result, and when to retry.
 func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", retryAfter)
 	writeJSON(w, http.StatusServiceUnavailable, errorReply{Error: reason})
@@ -87,5 +89,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that has left asks again
+	_, _ = w.Write(body) // a caller that has disconnected retries
 }
--- a/internal/node/controlapi/operator.go
+++ b/internal/node/controlapi/operator.go
@@ -11,33 +11,35 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// headerBaseVersion names the version that a configuration builds on; 0 for the first.
+// headerBaseVersion carries the version that a configuration change is based on; 0 for the first.
 const headerBaseVersion = "X-Kestrelspread-Base-Version"
 
-// commandIDBytes is how much of a command's hash makes its id.
+// commandIDBytes is how many bytes of a command's hash form its id.
 const commandIDBytes = 16
 
-// changeReply is the body of an answer to a change.
+// changeReply is the body of the response to a change.
 type changeReply struct {
-	Version uint64 `json:"version"`         // in force after the change, or current where it was turned down
-	Error   string `json:"error,omitempty"` // path of the field and what is wrong with it
+	Version uint64 `json:"version"`         // in force after the change, or the current one where it was rejected
+	Error   string `json:"error,omitempty"` // path of the field, and the problem
 }
 
-// modelVersionBody names new weights.
+// modelVersionBody is the body of a request that names new weights of a model.
 type modelVersionBody struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
 
+// replaceConfig handles a full replacement of the configuration.
 func (a *api) replaceConfig(w http.ResponseWriter, r *http.Request) {
 	a.changeConfig(w, r, pathReplace)
 }
 
+// updateConfig handles a partial update of the configuration.
 func (a *api) updateConfig(w http.ResponseWriter, r *http.Request) {
 	a.changeConfig(w, r, pathUpdate)
 }
 
-// changeConfig brings a configuration to the chain unread: whether it is valid is for the chain's head to say.
+// changeConfig submits a configuration change without decoding it: the head of the chain validates it.
 func (a *api) changeConfig(w http.ResponseWriter, r *http.Request, path string) {
 	base, err := strconv.ParseUint(r.Header.Get(headerBaseVersion), 10, 64)
 	if err != nil {
@@ -56,7 +58,7 @@
 	})
 }
 
-// putModelVersion names new weights of a model.
+// putModelVersion handles the naming of new weights of a model.
 func (a *api) putModelVersion(w http.ResponseWriter, r *http.Request) {
 	body, problem := readBody(w, r, maxSmallBodyBytes)
 	if problem != nil {
@@ -83,23 +85,23 @@
 	})
 }
 
-// submit brings a command to the chain and words its result.
+// submit submits a command to the chain and writes its result.
 func (a *api) submit(w http.ResponseWriter, r *http.Request, path string, command *nodepb.Command) {
 	ctx, cancel := a.callContextForBody(r, len(command.GetConfigChange().GetBody()))
 	defer cancel()
 	result, err := a.backend.Submit(ctx, command)
 	if err != nil {
-		a.log.Info("change without result", "path", path, "command", command.GetId(), "error", err)
+		a.log.Info("controlapi: change without result", "path", path, "command", command.GetId(), "error", err)
 		writeUnavailable(w, err.Error())
 		return
 	}
-	a.log.Info("change", "path", path, "command", command.GetId(), "result", result.GetCode().String(),
+	a.log.Info("controlapi: change", "path", path, "command", command.GetId(), "result", result.GetCode().String(),
 		"version", result.GetVersion(), "text", result.GetText())
 	writeResult(w, result)
 }
 
-// writeResult answers a change. Only the chain's own word turns a change down for good: whatever else became of it is
-// a 503, after which the operator sends it again.
+// writeResult writes the response to a change. Only the chain's own result rejects a change for good:
+// anything else is a 503, after which the operator repeats it.
 func writeResult(w http.ResponseWriter, result *nodepb.CommandResult) {
 	reply := changeReply{Version: result.GetVersion(), Error: result.GetText()}
 	switch result.GetCode() {
@@ -116,7 +118,7 @@
 	}
 }
 
-// fetchConfig returns the newest configuration as it was sent.
+// fetchConfig responds with the newest configuration as the operator sent it.
 func (a *api) fetchConfig(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := a.callContext(r)
 	defer cancel()
@@ -132,7 +134,8 @@
 	writeBody(w, http.StatusOK, body)
 }
 
-// commandID derives a command's id from its content, so that the same order sent again, to any node, has the same.
+// commandID derives a command's id from its content, so that a repeated command has the same id at any
+// node, and is applied once.
 func commandID(path string, version uint64, body []byte) string {
 	hash := sha256.New()
 	var number [8]byte
--- a/internal/node/controlapi/operator_test.go
+++ b/internal/node/controlapi/operator_test.go
@@ -18,7 +18,7 @@
 	return &nodepb.CommandResult{Code: nodepb.ResultCode_TAKEN, Version: version}
 }
 
-func TestChangesReachTheBackendAsSent(t *testing.T) {
+func TestChangeIsSubmittedAsSent(t *testing.T) {
 	cases := []struct {
 		path string
 		base string
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestResultsOfChanges is PROTOCOL.md's table: 200 | 412 (another version is in place) | 400 (invalid), and 503 for
+// TestChangeResultsMapToStatuses is PROTOCOL.md's table: 200 | 412 (another version is in place) | 400 (invalid), and 503 for
 // whatever the chain did not say.
-func TestResultsOfChanges(t *testing.T) {
+func TestChangeResultsMapToStatuses(t *testing.T) {
 	cases := []struct {
 		name   string
 		result *nodepb.CommandResult
@@ -84,13 +84,13 @@
 	}
 }
 
-func TestChangeWithoutResultInTime(t *testing.T) {
+func TestChangeWithoutResultIsUnavailable(t *testing.T) {
 	backend := &fakeBackend{waits: true}
 	order := post(pathReplace, configExample, headerBaseVersion, "6")
 	assertUnavailable(t, call(t, backend, Options{CallTimeout: shortTimeout}, order))
 }
 
-func TestBaseVersionHeader(t *testing.T) {
+func TestBaseVersionHeaderIsValidated(t *testing.T) {
 	cases := []struct {
 		value  string
 		status int
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestBodySizes(t *testing.T) {
+func TestBodyLimitsAreEnforced(t *testing.T) {
 	limit := int64(100)
 	for _, c := range []struct {
 		length  int
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestTheSameOrderHasTheSameID(t *testing.T) {
+func TestRepeatedCommandHasSameID(t *testing.T) {
 	orders := []struct {
 		path, base, body string
 	}{
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestNamedWeightsReachTheBackend(t *testing.T) {
+func TestModelVersionIsSubmitted(t *testing.T) {
 	backend := &fakeBackend{result: taken(2)}
 	answer := call(t, backend, Options{}, post(pathVersionPut, `{"model":"m1","version":2,"new":true}`))
 	assert.Equal(t, answer.Code, http.StatusOK)
@@ -172,7 +172,7 @@
 	assert.Assert(t, proto.Equal(got, &nodepb.ModelVersionChange{Model: "m1", Version: 2}), "%v", got)
 }
 
-func TestMalformedNamesOfWeights(t *testing.T) {
+func TestMalformedModelVersionIsRejected(t *testing.T) {
 	for _, body := range []string{
 		``, `[]`, `{}`, `{"model":"m1"}`, `{"version":2}`, `{"model":"","version":2}`, `{"model":"m1","version":0}`,
 		`{"model":"m1","version":-1}`, `{"model":"m1","version":1.5}`, `{"model":7,"version":2}`, `{"model":"m1","version":2`,
@@ -201,7 +201,7 @@
 	assert.Equal(t, answer.Body.String(), `{"node":"front-b-2"}`)
 }
 
-func TestOtherPathsAndMethods(t *testing.T) {
+func TestUnknownPathsAndMethodsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		request *http.Request
 		status  int
--- a/internal/node/controlapi/server.go
+++ b/internal/node/controlapi/server.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// The bounds of a server, which keep callers that fell silent from holding connections.
+// Time-outs and bounds of a server, so that unresponsive callers don't hold connections.
 const (
 	headerTimeout  = 5 * time.Second
-	readTimeout    = 15 * time.Second // a whole call: the largest body over a slow link
-	writeTimeout   = 30 * time.Second // a whole call and its answer
+	readTimeout    = 15 * time.Second // of a complete request: the largest body over a slow link
+	writeTimeout   = 30 * time.Second // of a request and its response
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 )
 
-// NewServer makes a server for a handler of this package.
+// NewServer returns a server for a handler of this package.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -30,29 +30,30 @@
 	}
 }
 
-// Listen opens a listener for such a server, at "IP:port". Keep-alive probes are off: the server's own time-outs end
-// connections to machines that have gone.
+// Listen opens a listener for such a server at "IP:port". TCP keep-alive is off: the server's own
+// time-outs close connections to machines that are gone.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	return config.Listen(ctx, "tcp4", address)
 }
 
-// Serve serves until ctx ends. Then no new connections are taken, and calls under way have until closeTimeout to end.
+// Serve serves until ctx ends. Then it accepts no more connections, and requests in flight have
+// closeTimeout to end. It returns the error of the listener or of the shutdown.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, closeTimeout time.Duration) error {
 	server := NewServer(handler)
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
+	shutdownContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 	defer cancel()
-	err := server.Shutdown(closing)
+	err := server.Shutdown(shutdownContext)
 	if err != nil {
 		_ = server.Close()
 	}
-	<-served
+	<-serveErr
 	return err
 }
--- a/internal/node/controlapi/server_test.go
+++ b/internal/node/controlapi/server_test.go
@@ -74,7 +74,7 @@
 	assert.Equal(t, len(backend.commands), 0)
 }
 
-func TestServeLetsCallsUnderWayEnd(t *testing.T) {
+func TestServeLetsRequestsInFlightEnd(t *testing.T) {
 	begun := make(chan struct{})
 	release := make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -107,7 +107,7 @@
 	assert.Equal(t, got.body, "whole")
 }
 
-func TestServeCutsCallsOffAfterItsTimeout(t *testing.T) {
+func TestServeAbortsRequestsAfterCloseTimeout(t *testing.T) {
 	begun := make(chan struct{})
 	handler := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
@@ -128,7 +128,7 @@
 	assert.Assert(t, <-failed != nil)
 }
 
-func TestServeReportsAListenerThatFails(t *testing.T) {
+func TestServeReturnsListenerError(t *testing.T) {
 	listener, err := Listen(t.Context(), "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
