--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -1,5 +1,11 @@
-// Package agent is one node of the fleet: it wires the planes together and runs their state machines on one control
-// loop. The data plane reads immutable pictures that the loop publishes.
+// Package agent is one node of the fleet as a process: it runs the state machines of the control side
+// (package control), of the prompt index and of the load hints on one control loop, does their I/O
+// (network, journal, HTTP servers, orders to brokers), and publishes immutable snapshots to the data
+// plane (packages routing and forward).
+//
+// It contains no protocol and no decision about requests. Invariants: every state machine is called by
+// the control loop's goroutine only, through post; the data plane never waits for the loop; a disk
+// that hangs or fails delays neither the loop nor requests.
 package agent
 
 import (
@@ -30,9 +36,13 @@
 
 // Sizes and times that the operator does not set.
 const (
-	inboxCapacity         = 4096
-	maxStepsPerTick       = 256
-	gcPercent             = 200
+	// inboxCapacity is how many steps may wait for the control loop before post blocks.
+	inboxCapacity = 4096
+	// maxStepsPerTick bounds the steps executed between two ticks of the state machines.
+	maxStepsPerTick = 256
+	// gcPercent trades memory for fewer collections; the memory limit still bounds the heap.
+	gcPercent = 200
+	// settingsCheckInterval is the interval at which the settings file is checked for changes.
 	settingsCheckInterval = 2 * time.Second
 )
 
@@ -40,8 +50,8 @@
 type Agent struct {
 	log                *slog.Logger
 	settings           *settings.Settings
-	disabledMechanisms routing.Mechanism // switched off
-	startedAt          time.Time
+	disabledMechanisms routing.Mechanism
+	startedAt          time.Time // core.Time counts from here
 	self               *nodepb.Member
 
 	inbox    chan func(now core.Time)
@@ -49,7 +59,7 @@
 
 	network *link.Network
 	control *control.Node
-	// journal and writer are there on machines that count for the quorum, once their disk takes writes.
+	// journal and writer are set on core machines once their disk has taken a write, else nil.
 	journal *journal.Journal
 	writer  *journal.Writer
 	orders  *orders.Sender
@@ -62,21 +72,23 @@
 	compiled    atomic.Pointer[config.Compiled]
 	confirmedAt atomic.Int64 // core.Time of the confirmation of the published state; 0: never
 	stopping    atomic.Bool
-	proxyCount  atomic.Int64 // nodes that serve clients, this one included
+	proxyCount  atomic.Int64 // nodes that serve clients, at least 1
 
 	progress     nodeProgress
 	savedBrokers savedBrokers
 }
 
-// nodeProgress is what the loop has noted of this node's course.
+// nodeProgress is what the loop has observed of this node's start and of its configuration lease.
 type nodeProgress struct {
-	// startupOver: this node has learnt what it lacked when it started, or no longer waits for it.
+	// startupOver: this node knows all it lacked at its start, or no longer waits for it.
 	startupOver bool
-	// leaseExpired: the configuration was confirmed too long ago for keys to be trusted (globalRevocation).
+	// leaseExpired: the configuration was confirmed too long ago for API keys to be trusted
+	// (globalRevocation).
 	leaseExpired bool
 }
 
-// Run runs a node with the settings file at path until SIGTERM, SIGINT or the end of ctx, without the mechanisms that are disabled.
+// Run runs a node with the settings file at path until SIGTERM, SIGINT or the end of ctx, without the
+// disabled mechanisms of the decisions. It logs to logTo. An error says that the node didn't start.
 func Run(ctx context.Context, path string, disabled routing.Mechanism, logTo io.Writer) error {
 	loaded, err := settings.Load(path)
 	if err != nil {
@@ -85,12 +97,13 @@
 	log := slog.New(slog.NewTextHandler(logTo, &slog.HandlerOptions{Level: slog.LevelInfo}))
 	limitRuntime(loaded)
 	if disabled != 0 {
-		log.Warn("mechanisms are switched off", "names", disabled.Names())
+		log.Warn("agent: mechanisms are switched off", "names", disabled.Names())
 	}
 	return New(loaded, disabled, log).serve(ctx, path)
 }
 
-// limitRuntime fits the runtime to the machine that the settings describe.
+// limitRuntime sets the Go runtime's limits to those of the machine that the settings describe. Half of
+// the memory limit is left for what the runtime doesn't count.
 func limitRuntime(loaded *settings.Settings) {
 	if cores := int(loaded.Limits.CPUShare * loaded.Limits.Cores); cores >= 1 {
 		runtime.GOMAXPROCS(cores)
@@ -103,6 +116,7 @@
 	}
 }
 
+// randomBytes returns n bytes of the system's randomness.
 func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	if _, err := rand.Read(b); err != nil {
@@ -111,13 +125,13 @@
 	return b
 }
 
-// newRandom gives a source of chance of its own, for one goroutine.
+// newRandom returns a new random source, for one goroutine.
 func newRandom() *mathrand.Rand {
 	seed := randomBytes(16)
 	return mathrand.New(mathrand.NewPCG(binary.LittleEndian.Uint64(seed), binary.LittleEndian.Uint64(seed[8:])))
 }
 
-// New builds a node; nothing is served yet.
+// New builds a node. It serves nothing yet, but on a core machine already opens the disk.
 func New(loaded *settings.Settings, disabled routing.Mechanism, log *slog.Logger) *Agent {
 	incarnationID := hex.EncodeToString(randomBytes(6))
 	a := &Agent{
@@ -144,10 +158,10 @@
 	return a
 }
 
-// now is the steady time since the process started.
+// now returns the steady time since the process started.
 func (a *Agent) now() core.Time { return time.Since(a.startedAt) }
 
-// bounds are the figures of the rules for the control side.
+// bounds returns the time limits of the rules for the control side.
 func (a *Agent) bounds() control.Bounds {
 	bounds := a.settings.Bounds
 	return control.Bounds{
@@ -157,7 +171,7 @@
 	}
 }
 
-// buildPlanes makes the state machines that every node has.
+// buildPlanes builds the state machines and the data plane that every node has.
 func (a *Agent) buildPlanes() {
 	now := a.now()
 	a.control = control.New(now, control.Options{
--- a/internal/node/agent/dataplane.go
+++ b/internal/node/agent/dataplane.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// buildDataPlane makes the router and the proxy.
+// buildDataPlane builds the router and the proxy.
 func (a *Agent) buildDataPlane(now core.Time) {
 	bounds := a.settings.Bounds
 	a.router = routing.NewGuarded(routing.New(now, routing.Options{
@@ -38,34 +38,38 @@
 	})
 }
 
-// bufferMemoryDivisor of the memory limit may be taken by bodies and answers that are held: one in bufferShare.
+// bufferMemoryDivisor: bodies and answers that the proxy buffers may take one part in
+// bufferMemoryDivisor of the memory limit.
 const bufferMemoryDivisor = 4
 
-// maxBufferedBytes bounds what the proxy holds; 0 leaves it to the proxy where no limit is known.
+// maxBufferedBytes bounds what the proxy buffers, in bytes; 0, the proxy's own default, where no memory
+// limit is known.
 func (a *Agent) maxBufferedBytes() int64 {
 	return int64(a.settings.Limits.MemoryMB) << 20 / bufferMemoryDivisor
 }
 
-// mayServe reports whether a request may be sent on now. Source: RULES.md, "API keys".
+// mayServe reports whether a request may be forwarded now. Source: RULES.md, "API keys".
 func (a *Agent) mayServe(now core.Time, public bool) bool {
 	return a.bounds().MayServe(now, a.compiled.Load(), core.Time(a.confirmedAt.Load()), public)
 }
 
-// configurationLeaseValid reports whether the configuration here was confirmed recently enough for keys to be trusted.
+// configurationLeaseValid reports whether the published configuration was confirmed recently enough for
+// API keys to be trusted.
 func (a *Agent) configurationLeaseValid(now core.Time) bool {
 	return a.bounds().ConfigurationLeaseValid(now, core.Time(a.confirmedAt.Load()))
 }
 
-// ready is the answer to the platform.
+// ready is the readiness that the platform is told: a confirmed configuration that may be served, and
+// no shutdown under way.
 func (a *Agent) ready() bool {
 	now := a.now()
 	return !a.stopping.Load() && a.confirmedAt.Load() != 0 && a.mayServe(now, false)
 }
 
-// startupTimeout ends the start of a process that does not learn all that it lacks.
+// startupTimeout ends the startup of a process that hasn't learnt all it lacks by then.
 const startupTimeout = 4 * time.Second
 
-// updateStartup tells the proxy what this node knows by now, for the requests that wait for it.
+// updateStartup tells the proxy what this node knows by now, which releases requests that wait for it.
 func (a *Agent) updateStartup(now core.Time) {
 	if a.progress.startupOver {
 		return
@@ -91,7 +95,7 @@
 	a.router.SetConfig(now, compiled)
 }
 
-// publishTable hands the brokers known to the data plane.
+// publishTable publishes the registry's table of brokers to the data plane.
 func (a *Agent) publishTable(now core.Time) {
 	table := a.control.Registry().Table()
 	a.router.SetTable(now, table)
@@ -99,5 +103,5 @@
 	a.prompts.sourcesStale = true
 }
 
-// fetchSnapshot gives the newest configuration of a state that was read through the chain.
+// fetchSnapshot returns the configuration, as JSON, of a control state that was read through the chain.
 func fetchSnapshot(snapshot []byte) ([]byte, error) { return config.FetchSnapshot(snapshot) }
--- a/internal/node/agent/lifecycle.go
+++ b/internal/node/agent/lifecycle.go
@@ -15,25 +15,30 @@
 	"kestrelspread/internal/node/wireproto/link"
 )
 
-// The times of a stop (DEPLOY.md: graceS after SIGTERM comes SIGKILL).
+// Times of a graceful shutdown (DEPLOY.md: SIGKILL follows graceS after SIGTERM).
 const (
 	defaultGrace = 8 * time.Second
-	// acceptRequestsLimit is for how long new requests are taken: the platform asks each second and needs two missed answers to send no
-	// more. Later ones might not be over in time, and are turned away.
+	// acceptRequestsLimit is for how long new requests are accepted: the platform checks readiness each
+	// second, and stops sending after two failures. Later requests might not end in time; they are
+	// rejected.
 	acceptRequestsLimit = 2500 * time.Millisecond
-	// acceptRequestsShare of the grace bounds takeLimit, and listenShare how long new connections are accepted.
+	// acceptRequestsShare of the grace bounds acceptRequestsLimit, and acceptConnectionsShare of it is
+	// how long new connections are accepted.
 	acceptRequestsShare    = 0.35
 	acceptConnectionsShare = 0.45
-	// abortMargin, and finishShare of the grace at most, is left when requests that are still under way are cut off.
+	// abortMargin, or abortMarginShare of the grace if that is less, is left when requests still in
+	// flight are aborted.
 	abortMargin      = 600 * time.Millisecond
 	abortMarginShare = 0.12
-	// leaveDelay is for the word of leaving to reach the other nodes.
+	// leaveDelay is left for the announcement of leaving to reach the other nodes.
 	leaveDelay = 300 * time.Millisecond
 )
 
-// stopTimes are the moments of a stop, counted from its beginning.
+// stopTimes are the steps of a graceful shutdown, as time since its start: new requests are refused,
+// listeners are closed, requests in flight are aborted.
 type stopTimes struct{ refuseAfter, closeAfter, abortAfter time.Duration }
 
+// stopTimesOf returns the times of a shutdown within the grace.
 func stopTimesOf(grace time.Duration) stopTimes {
 	share := func(part float64) time.Duration { return time.Duration(part * float64(grace)) }
 	return stopTimes{
@@ -43,7 +48,7 @@
 	}
 }
 
-// serve runs the node until ctx ends or a signal tells it to stop.
+// serve runs the node until ctx ends or a signal stops it. SIGHUP reloads the settings.
 func (a *Agent) serve(ctx context.Context, path string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -78,6 +83,7 @@
 	}
 }
 
+// openNetwork listens for the other nodes and connects the control loop to them.
 func (a *Agent) openNetwork() error {
 	network, err := link.New(link.Options{
 		ListenAddress: a.self.Address,
@@ -90,7 +96,7 @@
 	return err
 }
 
-// servers are the node's listeners besides the one for its peers.
+// servers are the node's servers besides the one for other nodes. One that isn't configured is nil.
 type servers struct {
 	control   *http.Server
 	readiness *http.Server
@@ -108,6 +114,7 @@
 	}
 }
 
+// startServers starts the servers that the settings name. A server's goroutine ends with its listener.
 func (a *Agent) startServers() (*servers, error) {
 	started := &servers{}
 	listen := a.settings.Listen
@@ -140,27 +147,30 @@
 	return started, nil
 }
 
-// listenPlain listens without the keep-alive settings that net.Listen makes on each connection: the proxy has its own.
+// listenPlain listens without the keep-alive settings that net.Listen makes on each connection: the
+// proxy has its own.
 func listenPlain(address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// settingsChanged takes over what may change while the node runs: the seeds.
+// settingsChanged applies what may change while the node runs: the seeds.
 func (a *Agent) settingsChanged(changed *settings.Settings) {
 	a.post(func(now core.Time) {
-		a.log.Info("settings changed")
+		a.log.Info("agent: settings changed")
 		a.control.SetSeeds(changed.SeedInternalAddresses())
 	})
 }
 
-// stop ends the node within the grace: readiness falls, duties and the head's place are handed over, requests end.
+// stop shuts the node down within the grace, in this order: readiness falls and clients are told to
+// reconnect elsewhere; the place in the chain, and the role with it, is handed over; new requests are
+// refused; requests in flight end or are aborted; the node announces to the others that it leaves.
 func (a *Agent) stop(servers *servers) {
 	grace := a.settings.Bounds.Grace()
 	if grace <= 0 {
 		grace = defaultGrace
 	}
-	a.log.Info("stopping", "grace", grace)
+	a.log.Info("agent: stopping", "grace", grace)
 	a.stopping.Store(true)
 	a.proxy.Drain()
 	a.post(func(now core.Time) { a.execute(now, a.control.HandOver(now)) })
--- a/internal/node/agent/lifecycle_test.go
+++ b/internal/node/agent/lifecycle_test.go
@@ -7,8 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The platform needs two seconds to notice a stop. What a request that is taken may last until it is cut off must be as long as can
-// be, and the node must have ended before the grace is over.
+// The platform needs two seconds to notice a shutdown. The time from the last accepted request until
+// requests are aborted must be as long as possible, and the node must have ended before the grace is
+// over.
 func TestStopTimesLeaveTimeToFinishWithinGrace(t *testing.T) {
 	table := map[time.Duration]stopTimes{
 		8 * time.Second:  {refuseAfter: 2500 * time.Millisecond, closeAfter: 3600 * time.Millisecond, abortAfter: 7400 * time.Millisecond},
--- a/internal/node/agent/loadhints.go
+++ b/internal/node/agent/loadhints.go
@@ -9,21 +9,23 @@
 	"kestrelspread/internal/node/routing"
 )
 
+// buildLoadHints builds the spreader of load hints to other proxies.
 func (a *Agent) buildLoadHints() {
 	a.hints = loadhint.New(loadhint.Options{SelfID: a.self.NodeId, Zone: a.self.Zone, Random: newRandom()})
 }
 
-// announceSent tells the other proxies what this one has sent. It is called by the data plane, which never waits for the control
-// loop: while that is far behind, nothing is told.
+// announceSent announces to the other proxies a request that this one has forwarded. The data plane
+// calls it and must never wait for the control loop: while that is far behind, hints are dropped.
 func (a *Agent) announceSent(sent *routing.Sent) {
 	a.announceHint(hintOf(sent))
 }
 
-// announceStep tells the other proxies what a stream showed of its broker's pace.
+// announceStep announces to the other proxies the decode step time that a stream showed of its broker.
 func (a *Agent) announceStep(seen *routing.StepSeen) {
 	a.announceHint(&nodepb.LoadHint{Instance: seen.Instance, PauseUs: uint32(seen.Pause.Microseconds())})
 }
 
+// announceHint hands a hint to the control loop, or drops it while the inbox is full.
 func (a *Agent) announceHint(hint *nodepb.LoadHint) {
 	select {
 	case a.inbox <- func(now core.Time) { a.hints.Sent(now, hint) }:
@@ -31,7 +33,8 @@
 	}
 }
 
-// applyHints hands the router what other proxies have sent.
+// applyHints applies the hints of other proxies to the router. A hint with a step time tells nothing
+// else.
 func (a *Agent) applyHints(now core.Time, hints []*nodepb.LoadHint) {
 	for _, hint := range hints {
 		if hint.PauseUs > 0 {
@@ -42,6 +45,7 @@
 	}
 }
 
+// hintOf encodes a forwarded request as a hint.
 func hintOf(sent *routing.Sent) *nodepb.LoadHint {
 	hint := &nodepb.LoadHint{Instance: sent.Instance, Salt: sent.Salt, Unread: uint32(sent.Unread)}
 	for _, part := range sent.Parts {
@@ -51,6 +55,7 @@
 	return hint
 }
 
+// sentOf decodes the forwarded request that a hint announces.
 func sentOf(hint *nodepb.LoadHint) routing.Sent {
 	sent := routing.Sent{Instance: hint.Instance, Salt: hint.Salt, Unread: int(hint.Unread)}
 	for i := range min(len(hint.PartIds), len(hint.PartTokens)) {
--- a/internal/node/agent/loop.go
+++ b/internal/node/agent/loop.go
@@ -8,10 +8,11 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// post hands a step to the control loop; it waits while the loop is far behind.
+// post hands a step to the control loop. It blocks while the loop's inbox is full.
 func (a *Agent) post(step func(now core.Time)) { a.inbox <- step }
 
-// loop runs the state machines until ctx ends.
+// loop runs the state machines until ctx ends. After each batch of steps, or at the deadline of a state
+// machine, it ticks all of them.
 func (a *Agent) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -29,7 +30,7 @@
 	}
 }
 
-// runQueued takes what has come in the meantime, so that one round of ticks serves many messages.
+// runQueued executes steps that have arrived in the meantime, so that one tick serves many messages.
 func (a *Agent) runQueued() {
 	for range maxStepsPerTick {
 		select {
@@ -41,14 +42,16 @@
 	}
 }
 
-// stateMachine is what the loop needs of each state machine.
+// stateMachine is a state machine as the loop sees it.
 type stateMachine interface {
 	Tick(now core.Time) []core.Output
 	Deadline() core.Time
 }
 
+// stateMachines lists those that don't belong to the control side.
 func (a *Agent) stateMachines() []stateMachine { return []stateMachine{a.prompts.home, a.hints} }
 
+// deadline returns when the next tick is due.
 func (a *Agent) deadline() core.Time {
 	next := min(a.control.Deadline(), a.savedBrokers.saveDeadline)
 	for _, m := range a.stateMachines() {
@@ -57,7 +60,7 @@
 	return next
 }
 
-// tick does what is due and tells the data plane what has changed.
+// tick ticks the state machines that are due and publishes what has changed to the data plane.
 func (a *Agent) tick(now core.Time) {
 	for _, m := range a.stateMachines() {
 		if m.Deadline() <= now {
@@ -72,12 +75,12 @@
 	a.updateStartup(now)
 }
 
-// receive brings a message of another node to the part of this one that it is for.
+// receive hands a message from another node to the control loop. The network calls it.
 func (a *Agent) receive(from core.Peer, message *nodepb.Envelope) {
 	a.post(func(now core.Time) { a.execute(now, a.control.Receive(now, from, message)) })
 }
 
-// receiveNonControl takes a message that is not for the control side.
+// receiveNonControl handles a message that is not for the control side.
 func (a *Agent) receiveNonControl(now core.Time, from core.Peer, message *nodepb.Envelope) {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_IndexUpdate:
@@ -89,7 +92,8 @@
 	}
 }
 
-// executeViaControl does what the index or the hints ask for; their messages go the ways that the control side knows.
+// executeViaControl executes outputs of the index and the hints. Their messages take the routes that
+// the control side knows.
 func (a *Agent) executeViaControl(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
 		if send, ok := output.(core.Send); ok {
@@ -100,7 +104,7 @@
 	}
 }
 
-// execute does what the control side asks for.
+// execute executes outputs of the control side, in their order.
 func (a *Agent) execute(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
 		a.executeOne(now, output)
@@ -138,7 +142,7 @@
 	}
 }
 
-// publishMembers tells the data plane and the index who is there.
+// publishMembers publishes the membership to the data plane, the index and the load hints.
 func (a *Agent) publishMembers(now core.Time, members []*nodepb.Member) {
 	a.prompts.sourcesStale = true
 	a.hints.SetMembers(now, members)
@@ -152,24 +156,24 @@
 	a.router.SetPeers(now, max(proxies, 1))
 }
 
-// publishConfirmation publishes how fresh the state is.
+// publishConfirmation publishes how fresh the control state is.
 func (a *Agent) publishConfirmation(now core.Time) {
-	at, ok := a.control.ConfirmedAt()
+	confirmedAt, ok := a.control.ConfirmedAt()
 	if !ok {
 		return
 	}
-	if a.confirmedAt.Swap(int64(at)) == 0 {
+	if a.confirmedAt.Swap(int64(confirmedAt)) == 0 {
 		state := a.control.State()
-		a.log.Info("control state confirmed", "index", state.Index(), "version", state.Version(), "after", now)
+		a.log.Info("agent: control state confirmed", "index", state.Index(), "version", state.Version(), "after", now)
 	}
 	a.logLeaseChange(now)
 }
 
-// logLeaseChange logs when keys can't be trusted any more, and when they can again.
+// logLeaseChange logs when the configuration lease expires, and when it is valid again.
 func (a *Agent) logLeaseChange(now core.Time) {
-	holds := a.configurationLeaseValid(now)
-	if holds == a.progress.leaseExpired {
-		a.progress.leaseExpired = !holds
-		a.log.Info("lease of the configuration", "holds", holds, "confirmed", now-core.Time(a.confirmedAt.Load()))
+	valid := a.configurationLeaseValid(now)
+	if valid == a.progress.leaseExpired {
+		a.progress.leaseExpired = !valid
+		a.log.Info("agent: configuration lease changed", "holds", valid, "confirmed", now-core.Time(a.confirmedAt.Load()))
 	}
 }
--- a/internal/node/agent/orders.go
+++ b/internal/node/agent/orders.go
@@ -6,7 +6,7 @@
 	"kestrelspread/internal/node/rollout/orders"
 )
 
-// buildOrderSender makes what sends the orders of the duty to bring new weights.
+// buildOrderSender builds the sender of the rollout's orders to brokers.
 func (a *Agent) buildOrderSender() {
 	a.orders = orders.New(orders.Options{
 		Clock: a.now,
@@ -19,7 +19,7 @@
 	})
 }
 
-// executeOrder sends what the duty asks for to brokers.
+// executeOrder sends the rollout's orders and requests for reports to brokers.
 func (a *Agent) executeOrder(output core.Output) {
 	switch output := output.(type) {
 	case core.Order:
@@ -27,11 +27,12 @@
 	case core.AskReport:
 		a.orders.AskReport(output)
 	default:
-		a.log.Error("unknown output")
+		a.log.Error("agent: unknown output of a state machine")
 	}
 }
 
-// mayOrder is asked right before an order's first byte is written.
+// mayOrder reports whether an order may still be sent. The sender asks right before it writes the
+// order's first byte, so that no order leaves after its lease.
 func (a *Agent) mayOrder(order core.Order) bool {
 	return !a.stopping.Load() && a.now() < order.ValidUntil
 }
--- a/internal/node/agent/promptindex.go
+++ b/internal/node/agent/promptindex.go
@@ -11,22 +11,25 @@
 	"kestrelspread/internal/node/rendezvous"
 )
 
-// maxIndexRecords bounds the index of kept prompts: about 60 bytes each.
+// maxIndexRecords bounds the records of the prompt index, of about 60 bytes each.
 const maxIndexRecords = 40_000
 
-// storeTimeout is how long a store may give no sign of life before it is taken to be down: its home asks it each second.
+// storeTimeout is how long after its last contact a store counts as unavailable. Its home polls it each
+// second.
 const storeTimeout = 2500 * time.Millisecond
 
-// promptIndex is this node's part in the index of kept prompts: what it knows, and what it tells the others as home.
+// promptIndex is this node's part in the index of cached prompts: what it knows, and what it publishes
+// to the others as home of some brokers.
 type promptIndex struct {
 	index            *kvindex.Guarded
 	subscriber       *kvindex.Subscriber
 	home             *kvindex.Home
 	poller           *feed.Poller
-	sourcesStale     bool                 // the sources are to be found anew
-	storeLastContact map[string]core.Time // the last sign of life of each store, by address
+	sourcesStale     bool                 // the sources must be computed again
+	storeLastContact map[string]core.Time // by address, of stores that are available
 }
 
+// buildIndex builds the prompt index, its subscriber and this node's home of it.
 func (a *Agent) buildIndex() {
 	index := kvindex.NewGuarded(kvindex.NewIndex(maxIndexRecords))
 	a.prompts = promptIndex{
@@ -40,7 +43,8 @@
 	}
 }
 
-// refreshIndex finds the brokers and stores whose events this node asks for, and who is to hear of them.
+// refreshIndex computes the brokers and stores that this node polls for events as their home, and the
+// subscribers to which it publishes them, where they may have changed.
 func (a *Agent) refreshIndex(now core.Time) {
 	if !a.prompts.sourcesStale {
 		return
@@ -59,6 +63,7 @@
 	}))
 }
 
+// proxyAddresses returns the internal addresses of the nodes that serve clients.
 func proxyAddresses(members []*nodepb.Member) []string {
 	var addresses []string
 	for _, member := range members {
@@ -69,7 +74,8 @@
 	return addresses
 }
 
-// indexHome is the node that asks the brokers of a service in a zone for their events: one of that zone where there is one.
+// indexHome returns the id of the node that polls the brokers of a service in a zone for their events:
+// one of that zone where there is one. Every node computes the same from the same members.
 func indexHome(members []*nodepb.Member, service, zone string) string {
 	candidates := slices.Clone(members)
 	candidates = slices.DeleteFunc(candidates, func(m *nodepb.Member) bool { return m.Zone != zone })
@@ -83,23 +89,23 @@
 	return best.NodeId
 }
 
-// recordStoreContact remembers a sign of life of a store.
+// recordStoreContact records a contact with a store, and tells the router that it is available.
 func (a *Agent) recordStoreContact(now core.Time, seen core.StoreSeen) {
 	a.prompts.storeLastContact[seen.Address] = now
 	a.router.StoreSeen(now, seen.Address, true, seen.Lost)
 }
 
-// expireStores tells the router of stores that have given no sign of life for a while.
+// expireStores tells the router of stores whose last contact is older than storeTimeout.
 func (a *Agent) expireStores(now core.Time) {
-	for address, at := range a.prompts.storeLastContact {
-		if now-at > storeTimeout {
+	for address, lastContact := range a.prompts.storeLastContact {
+		if now-lastContact > storeTimeout {
 			delete(a.prompts.storeLastContact, address)
 			a.router.StoreSeen(now, address, false, false)
 		}
 	}
 }
 
-// executeForIndex does what the index's state machines ask for; false: it is not theirs.
+// executeForIndex executes outputs of the index's state machines. It reports false for other outputs.
 func (a *Agent) executeForIndex(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.AskEvents:
--- a/internal/node/agent/requests.go
+++ b/internal/node/agent/requests.go
@@ -10,21 +10,25 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// errUnavailable: the control state, or the home of a service, did not answer in time.
+// errUnavailable says that the chain, or the home of a service, did not answer in time. Its text goes
+// to the caller.
 var errUnavailable = errors.New("not available now")
 
-// pendingRequests holds the calls of this node's API that wait for an answer of the control loop.
+// pendingRequests holds the calls of this node's API that wait for an answer of the control loop. Each
+// waits on a channel with room for its one answer, so that the loop never blocks.
 type pendingRequests struct {
-	mutex    sync.Mutex
+	mutex    sync.Mutex // guards the fields below
 	lastID   uint64
 	commands map[uint64]chan core.Reply
 	registry map[uint64]chan core.RegistryAnswer
 }
 
+// newPendingRequests returns an empty table.
 func newPendingRequests() *pendingRequests {
 	return &pendingRequests{commands: map[uint64]chan core.Reply{}, registry: map[uint64]chan core.RegistryAnswer{}}
 }
 
+// addCommand adds a call to the chain, and returns its number and the channel of its answer.
 func (p *pendingRequests) addCommand() (uint64, chan core.Reply) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -34,6 +38,7 @@
 	return p.lastID, answer
 }
 
+// addRegistry adds a call to the registry, and returns its number and the channel of its answer.
 func (p *pendingRequests) addRegistry() (uint64, chan core.RegistryAnswer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -43,6 +48,7 @@
 	return p.lastID, answer
 }
 
+// remove forgets a call; a later answer is dropped.
 func (p *pendingRequests) remove(request uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -50,6 +56,7 @@
 	delete(p.registry, request)
 }
 
+// answerCommand hands the chain's answer to the call that waits for it.
 func (p *pendingRequests) answerCommand(reply core.Reply) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -59,6 +66,7 @@
 	}
 }
 
+// answerRegistry hands the registry's answer to the call that waits for it.
 func (p *pendingRequests) answerRegistry(reply core.RegistryAnswer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -68,11 +76,12 @@
 	}
 }
 
-// backend serves the calls of brokers and operators.
+// backend executes the calls of brokers and operators on the control loop.
 type backend struct{ agent *Agent }
 
 var _ controlapi.Backend = backend{}
 
+// Heartbeat implements controlapi.Backend.
 func (b backend) Heartbeat(ctx context.Context, instance *nodepb.Instance) (controlapi.HeartbeatAnswer, error) {
 	answer, err := b.registry(ctx, func(now core.Time, request uint64) []core.Output {
 		return b.agent.control.Heartbeat(now, request, instance)
@@ -80,6 +89,7 @@
 	return controlapi.HeartbeatAnswer{HeartbeatURL: answer.HeartbeatURL}, err
 }
 
+// Deregister implements controlapi.Backend.
 func (b backend) Deregister(ctx context.Context, id string) error {
 	_, err := b.registry(ctx, func(now core.Time, request uint64) []core.Output {
 		return b.agent.control.Deregister(now, request, id)
@@ -87,6 +97,7 @@
 	return err
 }
 
+// registry makes a call to the registry and waits for its answer.
 func (b backend) registry(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.RegistryAnswer, error) {
 	request, answers := b.agent.requests.addRegistry()
 	defer b.agent.requests.remove(request)
@@ -102,6 +113,7 @@
 	}
 }
 
+// Submit implements controlapi.Backend.
 func (b backend) Submit(ctx context.Context, command *nodepb.Command) (*nodepb.CommandResult, error) {
 	reply, err := b.command(ctx, func(now core.Time, request uint64) []core.Output {
 		return b.agent.control.Submit(now, request, command)
@@ -109,6 +121,7 @@
 	return reply.Result, err
 }
 
+// Fetch implements controlapi.Backend.
 func (b backend) Fetch(ctx context.Context) ([]byte, error) {
 	reply, err := b.command(ctx, func(now core.Time, request uint64) []core.Output {
 		return b.agent.control.Read(now, request)
@@ -122,6 +135,7 @@
 	return fetchSnapshot(reply.State.State)
 }
 
+// command makes a call to the chain and waits for its answer.
 func (b backend) command(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.Reply, error) {
 	request, answers := b.agent.requests.addCommand()
 	defer b.agent.requests.remove(request)
--- a/internal/node/agent/savedbrokers.go
+++ b/internal/node/agent/savedbrokers.go
@@ -11,20 +11,22 @@
 	"kestrelspread/internal/node/registry/saved"
 )
 
-// saveInterval passes at least between two copies of the brokers known.
+// saveInterval is the least time between two writes of the brokers.
 const saveInterval = time.Second
 
-// savedBrokers keeps a copy of the brokers known on the disk, where there is one.
+// savedBrokers keeps a copy of the registered brokers on the disk, where there is one, so that a
+// restarted node can route before it has heard of them again. The file is written by a goroutine of
+// its own; the other fields belong to the control loop.
 type savedBrokers struct {
 	file          *saved.File
-	writes        chan []*nodepb.Instance // what is to be written next
-	saveDeadline  core.Time               // core.Never: nothing has changed
-	savedChecksum uint64                  // sum over what was written last
-	// restored: there was a copy of former times, from which the brokers are known.
+	writes        chan []*nodepb.Instance // to be written next; one may wait
+	saveDeadline  core.Time               // core.Never: nothing changed since the last write
+	savedChecksum uint64                  // of what was written or scheduled last
+	// restored: brokers were restored from the copy of an earlier process.
 	restored bool
 }
 
-// openSavedBrokers takes up the brokers that were known before this process started.
+// openSavedBrokers starts to restore the brokers that an earlier process saved.
 func (a *Agent) openSavedBrokers() {
 	a.savedBrokers.saveDeadline = core.Never
 	if a.settings.DataDir == "" {
@@ -35,7 +37,8 @@
 	go a.writeBrokers()
 }
 
-// writeBrokers has the disk read first, then written to, apart from the control loop: it may hang.
+// writeBrokers restores the saved brokers, and then writes each copy that it is handed. It has a
+// goroutine of its own, as the disk may hang; the goroutine lives as long as the process.
 func (a *Agent) writeBrokers() {
 	instances, err := a.savedBrokers.file.Load(time.Now())
 	if err == nil {
@@ -46,23 +49,24 @@
 	}
 	for instances := range a.savedBrokers.writes {
 		if err := a.savedBrokers.file.Save(instances, time.Now()); err != nil {
-			a.log.Warn("copy of the brokers known", "error", err)
+			a.log.Warn("savedbrokers: write failed", "error", err)
 		}
 	}
 }
 
-// scheduleBrokerSave has a copy made soon.
+// scheduleBrokerSave schedules a write of the brokers where the table differs from what was written.
 func (a *Agent) scheduleBrokerSave(now core.Time, table *registry.Table) {
 	if a.savedBrokers.file == nil {
 		return
 	}
-	if sum := tableChecksum(table); sum != a.savedBrokers.savedChecksum {
-		a.savedBrokers.savedChecksum = sum
+	if checksum := tableChecksum(table); checksum != a.savedBrokers.savedChecksum {
+		a.savedBrokers.savedChecksum = checksum
 		a.savedBrokers.saveDeadline = min(a.savedBrokers.saveDeadline, now+saveInterval)
 	}
 }
 
-// saveBrokers hands a copy over for writing where one is due and the one before is written.
+// saveBrokers hands the brokers over for writing when that is due. While the write before is still
+// waiting for the disk, it is scheduled again.
 func (a *Agent) saveBrokers(now core.Time) {
 	if a.savedBrokers.saveDeadline > now {
 		return
@@ -70,20 +74,21 @@
 	a.savedBrokers.saveDeadline = core.Never
 	select {
 	case a.savedBrokers.writes <- a.control.Registry().Instances():
-	default: // the disk is slow; look again
+	default: // the disk is slow: retry
 		a.savedBrokers.saveDeadline = now + saveInterval
 	}
 }
 
-// tableChecksum tells tables apart by the lives, states and weights of their brokers.
+// tableChecksum returns a checksum of the instances, states and loaded versions of a table's brokers.
+// It doesn't depend on their order.
 func tableChecksum(table *registry.Table) uint64 {
-	sum := uint64(0)
+	checksum := uint64(0)
 	for id, instance := range table.ByID {
 		entry := xxhash.Sum64String(id) + uint64(instance.State)
 		for model, version := range instance.Versions {
 			entry += xxhash.Sum64String(model) * version
 		}
-		sum += entry * (entry | 1)
+		checksum += entry * (entry | 1)
 	}
-	return sum
+	return checksum
 }
--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -11,9 +11,11 @@
 	"kestrelspread/internal/node/routing"
 )
 
+// statusTimeout bounds the wait for the control loop. A node whose loop is behind answers with its name
+// alone.
 const statusTimeout = time.Second
 
-// Status serves GET /kestrelspread/status; kestrelctl prints it.
+// Status implements controlapi.Backend: GET /kestrelspread/status, which kestrelctl prints.
 func (b backend) Status() any {
 	answer := make(chan *nodestatus.Status, 1)
 	b.agent.post(func(now core.Time) { answer <- b.agent.status(now) })
@@ -27,20 +29,25 @@
 	}
 }
 
+// status collects the node's status. It runs on the control loop.
 func (a *Agent) status(now core.Time) *nodestatus.Status {
 	status := &nodestatus.Status{
 		Node: a.settings.NodeName, ID: a.self.NodeId, Zone: a.self.Zone,
 		Ready: a.ready(), StateIndex: a.control.State().Index(), Requests: requestStatus(a.proxy.Metrics()),
 	}
 	counters := a.router.Counters()
-	status.Choices, status.Refusals = choiceStatus(&counters), refusalStatus(&counters)
-	status.Prompts, status.Late, status.NewestLate = promptStatus(&counters.Prompts), lateStatus(&counters), newestLateRequests(now, a.router.Late())
+	status.Choices = choiceStatus(&counters)
+	status.Refusals = refusalStatus(&counters)
+	status.Prompts = promptStatus(&counters.Prompts)
+	status.Late = lateStatus(&counters)
+	status.NewestLate = newestLateRequests(now, a.router.Late())
 	status.DisabledMechanisms = a.disabledMechanisms.Names()
 	if compiled := a.compiled.Load(); compiled != nil {
-		status.ConfigVersion, status.ModelVersions = compiled.Version, compiled.ModelVersions
+		status.ConfigVersion = compiled.Version
+		status.ModelVersions = compiled.ModelVersions
 	}
-	if at := core.Time(a.confirmedAt.Load()); at != 0 {
-		status.ConfirmedAgo = (now - at).Round(time.Millisecond).String()
+	if confirmedAt := core.Time(a.confirmedAt.Load()); confirmedAt != 0 {
+		status.ConfirmedAgo = (now - confirmedAt).Round(time.Millisecond).String()
 	}
 	for _, member := range a.control.Members() {
 		status.Members = append(status.Members, nodestatus.Member{
@@ -54,6 +61,7 @@
 	return status
 }
 
+// instanceStatus returns the status of one broker.
 func instanceStatus(instance *nodepb.Instance) nodestatus.Instance {
 	models := map[string]uint64{}
 	for _, model := range instance.Models {
@@ -65,6 +73,7 @@
 	}
 }
 
+// chainStatus returns the newest view and this node's part in it; nil without a view.
 func (a *Agent) chainStatus() *nodestatus.Chain {
 	view := a.control.View()
 	if view == nil {
@@ -75,11 +84,15 @@
 		status.Voters = append(status.Voters, voter.DiskId+"@"+voter.Address)
 	}
 	if own, ok := a.control.StoreStatus(); ok {
-		status.Role, status.Committed, status.Pending, status.DiskHealthy = own.Role.String(), own.Committed, own.Pending, own.DiskHealthy
+		status.Role = own.Role.String()
+		status.Committed = own.Committed
+		status.Pending = own.Pending
+		status.DiskHealthy = own.DiskHealthy
 	}
 	return status
 }
 
+// choiceStatus returns the router's choices by reason.
 func choiceStatus(counters *routing.Counters) nodestatus.Choices {
 	return nodestatus.Choices{
 		ByPrediction: counters.ByPrediction, ByAffinity: counters.ByAffinity, ByLoad: counters.ByLoad, AllSlow: counters.AllSlow,
@@ -87,6 +100,7 @@
 	}
 }
 
+// refusalStatus returns the router's refusals by reason.
 func refusalStatus(counters *routing.Counters) map[string]uint64 {
 	refusals := make(map[string]uint64, len(counters.Refusals))
 	for reason, count := range counters.Refusals {
@@ -95,6 +109,7 @@
 	return refusals
 }
 
+// promptStatus returns the shared prompt tokens by expected source.
 func promptStatus(counters *routing.PromptCounters) nodestatus.Prompts {
 	return nodestatus.Prompts{
 		Shared:       counters.Shared,
@@ -108,6 +123,7 @@
 	}
 }
 
+// lateStatus returns the late answers by cause.
 func lateStatus(counters *routing.Counters) map[string]uint64 {
 	late := make(map[string]uint64, len(counters.Late))
 	for cause, count := range counters.Late {
@@ -116,6 +132,7 @@
 	return late
 }
 
+// newestLateRequests returns the newest late answers, with times relative to now.
 func newestLateRequests(now core.Time, requests []routing.LateRequest) []nodestatus.LateRequest {
 	newest := make([]nodestatus.LateRequest, 0, len(requests))
 	for _, late := range requests {
@@ -128,8 +145,10 @@
 	return newest
 }
 
+// rounded formats a duration to milliseconds.
 func rounded(t core.Time) string { return t.Round(time.Millisecond).String() }
 
+// requestStatus returns the proxy's request counters.
 func requestStatus(metrics forward.Metrics) nodestatus.Requests {
 	return nodestatus.Requests{
 		Received: metrics.Requests, Answered: metrics.Answered, Rejected: metrics.Refused, Failed: metrics.Failed,
--- a/internal/node/agent/store.go
+++ b/internal/node/agent/store.go
@@ -8,11 +8,12 @@
 	"kestrelspread/internal/node/journal"
 )
 
-// diskRetryInterval passes between two tries to open a disk, or to write to one, at the start.
+// diskRetryInterval is the backoff between two attempts to open a disk, or to write to it, at startup.
 const diskRetryInterval = 500 * time.Millisecond
 
-// openStore opens the disk of a machine that counts for the quorum in the background: a disk that hangs or refuses must
-// not keep the node from serving as a proxy. The store is attached once the disk has proved that it takes writes.
+// openStore opens the disk of a core machine in the background: a disk that hangs or fails must not
+// keep the node from serving as a proxy. The store is attached once the disk has proved that it takes
+// writes.
 func (a *Agent) openStore() {
 	if !a.settings.CountsForQuorum {
 		return
@@ -28,7 +29,7 @@
 	}()
 }
 
-// openJournal opens the journal, again and again while the disk can't be read.
+// openJournal opens the journal, and retries while the disk can't be read.
 func (a *Agent) openJournal() (*journal.Journal, []core.Record) {
 	for {
 		opened, recovered, err := journal.Open(journal.Options{
@@ -37,7 +38,7 @@
 		if err == nil {
 			return opened, recovered
 		}
-		a.log.Error("journal", "error", err)
+		a.log.Error("journal: open failed", "error", err)
 		time.Sleep(diskRetryInterval)
 	}
 }
@@ -46,7 +47,7 @@
 func (a *Agent) attachStore(now core.Time, opened *journal.Journal, recovered []core.Record) {
 	outputs, err := a.control.AttachStore(now, opened.Identity(), recovered)
 	if err != nil {
-		a.log.Error("control state", "error", err)
+		a.log.Error("control: journal holds no readable state", "error", err)
 		return
 	}
 	a.journal = opened
@@ -54,12 +55,12 @@
 	a.execute(now, outputs)
 }
 
-// configurationMemoryDivisor of the memory limit may be taken by a configuration: one in memoryShare. Each node holds it several times over,
-// as text, read and encoded, for the moment of a change.
+// configurationMemoryDivisor: a configuration may take one part in configurationMemoryDivisor of the
+// memory limit. During a change each node holds it several times: as text, decoded and encoded.
 const configurationMemoryDivisor = 24
 
-// maxConfigurationBytes is the size of the largest configuration that a machine like this one can hold, make durable, send and read
-// back, in bytes.
+// maxConfigurationBytes returns the size of the largest configuration, in bytes, that a machine like
+// this one can hold, make durable, send and recover.
 func (a *Agent) maxConfigurationBytes() int {
 	limit := int64(config.MaxBodyBytes)
 	if memory := int64(a.settings.Limits.MemoryMB) << 20; memory > 0 {
@@ -71,13 +72,15 @@
 	return int(limit)
 }
 
-// reportWrite reports the end of a write to the control side.
+// reportWrite reports the completion of a journal write to the control side. The writer calls it. After
+// a failure the writer resumes only once the control side knows of it, so that no later write is taken
+// for durable before.
 func (a *Agent) reportWrite(token uint64, err error) {
 	needsCheckpoint := a.journal.NeedsCheckpoint()
 	a.post(func(now core.Time) {
 		outputs := a.control.Written(now, token, err, needsCheckpoint)
 		if err != nil {
-			a.log.Warn("journal", "error", err)
+			a.log.Warn("journal: write failed", "error", err)
 			a.writer.Resume()
 		}
 		a.execute(now, outputs)
