--- a/internal/node/wireproto/frames_golden_test.go
+++ b/internal/node/wireproto/frames_golden_test.go
@@ -47,7 +47,7 @@
 			reader := wireproto.NewReader(bytes.NewReader(written[sample.label]))
 			got, err := reader.Next()
 			assert.NilError(t, err)
-			assert.Equal(t, reader.Size(), len(written[sample.label]))
+			assert.Equal(t, reader.FrameSize(), len(written[sample.label]))
 			assert.Equal(t, wireproto.KindOf(got), wireproto.Kind(sample.kind))
 			assert.Assert(t, proto.Equal(got, sample.envelope), "%v", got)
 			assert.Equal(t, hex.EncodeToString(frame(t, got)), hex.EncodeToString(written[sample.label]))
