--- a/internal/node/nodestatus/agree.go
+++ b/internal/node/nodestatus/agree.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// Subject is what nodes can see differently.
+// Subject is what nodes can disagree on. Its text is printed to operators.
 type Subject string
 
-// The subjects.
+// The subjects of Disagreements.
 const (
 	SubjectView       Subject = "the view"
 	SubjectMembership Subject = "the members"
 	SubjectState      Subject = "the state in force"
 )
 
-// Disagreement says which nodes see a subject how.
+// Disagreement says what each group of nodes reports of a subject.
 type Disagreement struct {
 	Subject Subject
-	Text    string
+	Text    string // of each group: its report, and in parentheses its nodes
 }
 
-// Disagreements lists what nodes see differently; empty: they agree. Nodes that learn of a change one after the other
-// disagree for a moment.
+// Disagreements lists the subjects on which nodes differ; empty: they agree. Nodes learn of a change one
+// after the other, so that they disagree for a moment.
 func Disagreements(statuses []*Status) []Disagreement {
 	var found []Disagreement
 	views := groupByText(statuses, func(s *Status) string {
@@ -40,6 +40,7 @@
 	return found
 }
 
+// memberNames lists the names of a node's members, sorted.
 func memberNames(s *Status) string {
 	var names []string
 	for _, member := range s.Members {
@@ -49,12 +50,13 @@
 	return strings.Join(names, " ")
 }
 
-// observation is what some nodes say.
+// observation is a report, and the nodes that make it.
 type observation struct {
 	text  string
 	nodes []string
 }
 
+// groupByText groups nodes by what describe returns of their statuses, in the order of the first.
 func groupByText(statuses []*Status, describe func(*Status) string) []observation {
 	var observations []observation
 	for _, status := range statuses {
@@ -69,6 +71,7 @@
 	return observations
 }
 
+// disagreementsOn returns the disagreement on a subject; nil where there is only one observation.
 func disagreementsOn(subject Subject, observations []observation) []Disagreement {
 	if len(observations) < 2 {
 		return nil
--- a/internal/node/nodestatus/read.go
+++ b/internal/node/nodestatus/read.go
@@ -9,19 +9,20 @@
 	"github.com/joomcode/errorx"
 )
 
-// Path is where a node's control address serves its status.
+// Path is the path of the status at a node's control address.
 const Path = "/kestrelspread/status"
 
-// maxStatusBytes bounds what is read of an answer.
+// maxStatusBytes bounds what is read of a response.
 const maxStatusBytes = 64 << 20
 
 var (
 	namespace = errorx.NewNamespace("nodestatus")
-	// Unreachable: a node gave no status.
+	// Unreachable: a node returned no status.
 	Unreachable = namespace.NewType("unreachable")
 )
 
-// Fetch asks the node at a control address, "IP:port".
+// Fetch returns the status of the node at a control address, "IP:port". The error is of type
+// Unreachable.
 func Fetch(ctx context.Context, address string) (*Status, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
--- a/internal/node/nodestatus/status_test.go
+++ b/internal/node/nodestatus/status_test.go
@@ -16,7 +16,7 @@
 	return &Status{Node: name, ID: name + "/1", Chain: &Chain{Epoch: epoch, Chain: chain}, Members: []Member{{Name: "n1"}, {Name: "n2"}}}
 }
 
-func TestDisagreements(t *testing.T) {
+func TestDisagreementsNameSubjectAndNodes(t *testing.T) {
 	without := node("n2", 1, "a", "b")
 	without.Chain = nil
 	fewer := node("n2", 1, "a", "b")
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestRead(t *testing.T) {
+func TestFetchReturnsStatusOrUnreachable(t *testing.T) {
 	for _, test := range []struct {
 		name, body string
 		status     int
--- a/internal/node/settings/bounds_document.go
+++ b/internal/node/settings/bounds_document.go
@@ -1,6 +1,7 @@
 package settings
 
-// boundsDocument is the `bounds` of the file as it is written; nil stands for a bound that is missing or null.
+// boundsDocument is the `bounds` of the file as it is written; nil stands for a bound that is missing
+// or null.
 type boundsDocument struct {
 	SeedLagS         *float64 `json:"seedLagS"`
 	ReuseAfterS      *float64 `json:"reuseAfterS"`
@@ -28,7 +29,7 @@
 	VersionAllMs     *float64 `json:"versionAllMs"`
 }
 
-// settings checks the bounds and fills in defaults.
+// settings validates the bounds and fills in the defaults.
 func (d boundsDocument) settings(check *checker) Bounds {
 	bounds := defaultBounds()
 	number := func(name string, value *float64, target *float64) {
--- a/internal/node/settings/document.go
+++ b/internal/node/settings/document.go
@@ -6,7 +6,7 @@
 	"net/netip"
 )
 
-// document is the file as it is written; nil stands for a field that is missing or null.
+// document is the file as it is written; nil stands for a number that is missing or null.
 type document struct {
 	NodeName        string            `json:"nodeName"`
 	Role            string            `json:"role"`
@@ -29,12 +29,14 @@
 	Bounds          boundsDocument    `json:"bounds"`
 }
 
+// listenDocument is the `listen` of the file.
 type listenDocument struct {
 	Front     string `json:"front"`
 	Readiness string `json:"readiness"`
 	Control   string `json:"control"`
 }
 
+// limitsDocument is the `limits` of the file.
 type limitsDocument struct {
 	CPUShare *float64 `json:"cpuShare"`
 	Cores    *float64 `json:"cores"`
@@ -44,6 +46,7 @@
 	DiskMB   *float64 `json:"diskMb"`
 }
 
+// toleranceDocument is the `faultTolerance` of the file.
 type toleranceDocument struct {
 	Machines *float64 `json:"machines"`
 	Zones    *float64 `json:"zones"`
@@ -106,6 +109,7 @@
 	return settings, nil
 }
 
+// settings validates the addresses.
 func (d listenDocument) settings(check *checker) Listen {
 	return Listen{
 		Front:     check.optionalAddress("listen.front", d.Front),
@@ -114,6 +118,7 @@
 	}
 }
 
+// settings validates the limits and fills in the defaults.
 func (d limitsDocument) settings(check *checker) Limits {
 	return Limits{
 		CPUShare: check.number("limits.cpuShare", d.CPUShare, defaultCPUShare),
@@ -125,6 +130,7 @@
 	}
 }
 
+// settings validates the tolerances and fills in the defaults.
 func (d toleranceDocument) settings(check *checker) FaultTolerance {
 	return FaultTolerance{
 		Machines: check.integer("faultTolerance.machines", d.Machines, defaultFaultyMachines),
@@ -133,15 +139,17 @@
 	}
 }
 
-// checker reads fields and keeps the first error.
+// checker validates fields and keeps the first error.
 type checker struct{ firstError *fieldError }
 
+// fail records an error, unless one was recorded before.
 func (c *checker) fail(path, problem string) {
 	if c.firstError == nil {
 		c.firstError = &fieldError{path: path, problem: problem}
 	}
 }
 
+// required reads a string that must not be empty.
 func (c *checker) required(path, value string) string {
 	if value == "" {
 		c.fail(path, problemMissing)
@@ -149,7 +157,7 @@
 	return value
 }
 
-// number reads a number of at least 0.
+// number reads a number from 0 to maxNumber.
 func (c *checker) number(path string, value *float64, defaultValue float64) float64 {
 	if value == nil {
 		return defaultValue
@@ -163,7 +171,7 @@
 	return *value
 }
 
-// integer reads a whole number of at least 0; 3.0 is one too.
+// integer reads a number from 0 to maxNumber without a fraction; 3.0 is one too.
 func (c *checker) integer(path string, value *float64, defaultValue float64) int {
 	number := c.number(path, value, defaultValue)
 	if number != math.Trunc(number) {
@@ -172,6 +180,7 @@
 	return int(number)
 }
 
+// ip reads a required IP address.
 func (c *checker) ip(path, value string) string {
 	if c.required(path, value) == "" {
 		return ""
@@ -182,6 +191,7 @@
 	return value
 }
 
+// address reads an address of the form IP:port.
 func (c *checker) address(path, value string) string {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.fail(path, problemNotAnAddress)
@@ -189,6 +199,7 @@
 	return value
 }
 
+// optionalAddress reads an address of the form IP:port, or an empty string.
 func (c *checker) optionalAddress(path, value string) string {
 	if value == "" {
 		return ""
@@ -196,6 +207,7 @@
 	return c.address(path, value)
 }
 
+// portRange reads a list of the first and the last port.
 func (c *checker) portRange(path string, ports []float64) PortRange {
 	if len(ports) != portRangeLength {
 		c.fail(path, problemNotTwoPorts)
@@ -209,6 +221,7 @@
 	return PortRange{First: first, Last: last}
 }
 
+// port reads a port, which is a whole number from 1 to maxPort.
 func (c *checker) port(path string, value float64) uint16 {
 	if value < 1 || value > maxPort || value != math.Trunc(value) {
 		c.fail(path, problemNotAPort)
--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -14,14 +14,15 @@
 	namespace = errorx.NewNamespace("settings")
 	// Unreadable: the file could not be read.
 	Unreadable = namespace.NewType("unreadable")
-	// Malformed: the file's content is not what DEPLOY.md states; the message names the path of the field.
+	// Malformed: the content is not as DEPLOY.md specifies; the message names the path of the field.
 	Malformed = namespace.NewType("malformed")
 )
 
 // maxFileBytes bounds the settings file; the example of DEPLOY.md is under 2 KiB.
 const maxFileBytes = 1 << 20
 
-// Load reads and checks the settings file at path.
+// Load reads and validates the settings file at path. The error is of type Unreadable or Malformed, and
+// names the path.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -34,23 +35,23 @@
 	return settings, nil
 }
 
-// Parse reads and checks the content of a settings file.
+// Parse decodes and validates the content of a settings file. The error is of type Malformed.
 func Parse(content []byte) (*Settings, error) {
 	if len(content) > maxFileBytes {
 		return nil, Malformed.New("the file has %d bytes, more than %d", len(content), maxFileBytes)
 	}
-	var read document
-	if err := json.Unmarshal(content, &read); err != nil {
+	var decoded document
+	if err := json.Unmarshal(content, &decoded); err != nil {
 		return nil, malformedJSON(err)
 	}
-	settings, err := read.settings()
+	settings, err := decoded.settings()
 	if err != nil {
 		return nil, Malformed.New("%s", err.Error())
 	}
 	return settings, nil
 }
 
-// malformedJSON words an error of encoding/json, with the path of the field where it knows one.
+// malformedJSON wraps an error of encoding/json, with the path of the field where that is known.
 func malformedJSON(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
@@ -59,6 +60,7 @@
 	return Malformed.New("not a JSON object: %s", err.Error())
 }
 
+// kindName returns what JSON calls the type that a field must have.
 func kindName(wrongType *json.UnmarshalTypeError) string {
 	switch wrongType.Type.Kind().String() {
 	case "float64":
@@ -74,10 +76,11 @@
 	}
 }
 
-// fieldError is an error in one field.
+// fieldError says what is wrong with one field.
 type fieldError struct {
 	path    string
 	problem string
 }
 
+// Error implements error.
 func (e *fieldError) Error() string { return fmt.Sprintf("field %s: %s", e.path, e.problem) }
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -1,9 +1,15 @@
-// Package settings reads the settings file of a process: what it is called, where it listens, which machines it
-// starts from, what its machine can bear and which bounds the rules set. Source: DEPLOY.md, "Settings of a process".
+// Package settings reads the settings file of a node's process: its name, where it listens, which
+// machines it contacts first, the limits of its machine, and the time limits of the rules. Source:
+// DEPLOY.md, "Settings of a process".
 //
-// Fields that are not known are ignored, as the page asks; fields that are missing or null take the defaults stated at
-// each of them here. A field of the wrong form makes the whole file malformed, and the error names its path.
-// `discovery` and `entry` are not read: the page leaves them unexplained, and they may have any form.
+// It is not the configuration that operators change at run time: that is replicated control state
+// (package config). Names of keys are the page's and stay; Go names follow them.
+//
+// Unknown fields are ignored, as the page asks; fields that are missing or null take the defaults
+// stated at each of them here. A field of the wrong form makes the complete file malformed, and the
+// error names the field's path. Invariant: Settings that were returned never change, and all their
+// addresses and numbers have been checked. `discovery` and `entry` are not read: the page leaves them
+// unexplained, and they may have any form.
 package settings
 
 import (
@@ -13,7 +19,7 @@
 	"time"
 )
 
-// Where the settings file is found.
+// The location of the settings file.
 const (
 	// EnvironmentVariable holds the path of the settings file.
 	EnvironmentVariable = "KESTRELSPREAD_SETTINGS"
@@ -21,7 +27,8 @@
 	DefaultPath = "/etc/kestrelspread/settings.json"
 )
 
-// Settings are the settings of one process. They are not changed after Load: a changed file gives new Settings.
+// Settings are the settings of one process. They don't change after Load: a changed file gives new
+// Settings.
 type Settings struct {
 	NodeName     string // required
 	Role         string
@@ -32,11 +39,11 @@
 	Region       string            // default: what Zones says of Zone
 	Zones        map[string]string // region by zone
 	Listen       Listen
-	PortRange    PortRange // required: what this program's processes may use among themselves
+	PortRange    PortRange // required: ports for traffic between nodes
 	Seeds        []string  // control addresses, "IP:port"
 	// Bootstrap is true only at the first start of the whole system, with empty disks.
 	Bootstrap bool
-	// CountsForQuorum: this machine keeps the control state, and is counted in FaultTolerance.Machines.
+	// CountsForQuorum: this machine stores the control state, and counts in FaultTolerance.Machines.
 	CountsForQuorum bool
 	Limits          Limits
 	DataDir         string  // empty: the machine has no disk
@@ -46,34 +53,34 @@
 	Bounds          Bounds
 }
 
-// Listen holds the addresses, "IP:port", of what the process serves to others; empty: it does not serve that.
+// Listen holds the addresses, "IP:port", of the process's servers; an empty one is not served.
 type Listen struct {
 	Front     string // clients
 	Readiness string // the platform
 	Control   string // brokers and the operator
 }
 
-// PortRange is the ports, from the first to the last, that are free for traffic between nodes.
+// PortRange is the range of ports, both ends included, that are free for traffic between nodes.
 type PortRange struct{ First, Last uint16 }
 
-// Limits are what the process has. Zero stands for a limit that was not stated.
+// Limits are the resources of the process. Zero stands for a limit that was not stated.
 type Limits struct {
 	CPUShare float64 // share of a core; default 1
-	Cores    float64 // how many times as fast that core is; default 1
-	MemoryMB int     // the process is killed beyond it
-	MaxFDs   int     // descriptors, of which 200 are reserved for files outside the disk folder
-	LinkMbps float64 // of the machine's own link
-	DiskMB   int
+	Cores    float64 // speed of that core, as a multiple of the usual one; default 1
+	MemoryMB int     // in MiB; the process is killed beyond it
+	MaxFDs   int     // file descriptors, of which 200 are reserved for files outside DataDir
+	LinkMbps float64 // of the machine's network link, in Mbit/s
+	DiskMB   int     // size of the disk at DataDir, in MiB
 }
 
-// FaultTolerance is what may be lost at one time while all rules are kept.
+// FaultTolerance is how many failures at one time leave all rules kept.
 type FaultTolerance struct {
 	Machines int // of those whose CountsForQuorum is true; default 1
 	Zones    int // default 0
 	Regions  int // default 0
 }
 
-// Path gives the path of the settings file, where getenv reads the process's environment.
+// Path returns the path of the settings file; getenv reads the process's environment.
 func Path(getenv func(string) string) string {
 	if path := getenv(EnvironmentVariable); path != "" {
 		return path
@@ -81,17 +88,18 @@
 	return DefaultPath
 }
 
-// Heartbeat is how often a broker announces itself.
+// Heartbeat is the interval of a broker's heartbeats.
 func (s *Settings) Heartbeat() time.Duration { return milliseconds(s.HeartbeatMs) }
 
-// HasContract reports whether a part of the rules is in force.
+// HasContract reports whether the named part of the rules is in force.
 func (s *Settings) HasContract(name string) bool { return slices.Contains(s.Contracts, name) }
 
-// InternalAddress is where this node listens for other nodes: the first port of the range, which is the same on
-// every machine.
+// InternalAddress is where this node listens for other nodes: the first port of the range, which is the
+// same on every machine.
 func (s *Settings) InternalAddress() string { return s.internalAddressOf(s.IP) }
 
-// SeedInternalAddresses gives the internal addresses of the seeds, in their order; this machine may be among them.
+// SeedInternalAddresses returns the internal addresses of the seeds, in their order. This machine may
+// be among them.
 func (s *Settings) SeedInternalAddresses() []string {
 	addresses := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
--- a/internal/node/settings/watch.go
+++ b/internal/node/settings/watch.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Watcher tells of changes of the settings file: at Poke (SIGHUP), and by looking at the file's attributes now and
-// then, as the file may also change without any signal (PROTOCOL.md, "The operator's API").
+// Watcher reports changes of the settings file: it reads the file at RequestReload (SIGHUP), and polls
+// its attributes, as the file may also change without a signal (PROTOCOL.md, "The operator's API").
 type Watcher struct {
 	path            string
 	interval        time.Duration
@@ -19,21 +19,22 @@
 	reloadRequested chan struct{}
 
 	current         *Settings
-	lastRead        fs.FileInfo // of the file that current was read from; nil: read it again at the next look
-	lastLoggedError string      // the last error that was logged
+	lastRead        fs.FileInfo // of the file that current was read from; nil: read it again at the next poll
+	lastLoggedError string      // until the next successful read
 }
 
-// NewWatcher returns a watcher of the file at path, from which current was read. changed is called on the goroutine of
-// Run with each new version of the settings; while the file is malformed, the former settings stay in force.
+// NewWatcher returns a watcher of the file at path, from which current was read. changed is called on
+// the goroutine of Run with each new version of the settings; while the file is malformed or missing,
+// the previous settings stay in force.
 func NewWatcher(path string, current *Settings, interval time.Duration, changed func(*Settings)) *Watcher {
 	return &Watcher{path: path, interval: interval, changed: changed, reloadRequested: make(chan struct{}, 1), current: current}
 }
 
-// RequestReload has the file read soon. It does not block.
+// RequestReload makes Run read the file soon. It doesn't block.
 func (w *Watcher) RequestReload() {
 	select {
 	case w.reloadRequested <- struct{}{}:
-	default: // one is due already
+	default: // one is requested already
 	}
 }
 
@@ -44,6 +45,7 @@
 	w.watch(ctx, ticker.C)
 }
 
+// watch polls the file at each tick and reads it at each request, until ctx ends.
 func (w *Watcher) watch(ctx context.Context, ticks <-chan time.Time) {
 	for {
 		select {
@@ -59,7 +61,7 @@
 	}
 }
 
-// fileChanged compares the file's attributes with those at the last successful reading.
+// fileChanged compares the file's attributes with those at the last successful read.
 func (w *Watcher) fileChanged() bool {
 	found, err := os.Stat(w.path)
 	if err != nil {
@@ -70,7 +72,8 @@
 		found.Size() != w.lastRead.Size() || !found.ModTime().Equal(w.lastRead.ModTime())
 }
 
-// reload reads the file. Its attributes are taken first: a change in between is found at the next look.
+// reload reads the file. Its attributes are taken first, so that a change in between is found at the
+// next poll.
 func (w *Watcher) reload() {
 	w.lastRead = nil
 	found, err := os.Stat(w.path)
@@ -91,12 +94,12 @@
 	w.changed(settings)
 }
 
-// logError logs an error, once for as long as it stays the same.
+// logError logs an error, unless it is the same as the one logged last.
 func (w *Watcher) logError(err error) {
 	text := err.Error()
 	if text == w.lastLoggedError {
 		return
 	}
 	w.lastLoggedError = text
-	slog.Warn("the former settings stay in force", "missing", errors.Is(err, fs.ErrNotExist), "error", text)
+	slog.Warn("settings: file not applied, previous settings stay in force", "missing", errors.Is(err, fs.ErrNotExist), "error", text)
 }
--- a/internal/node/settings/watch_test.go
+++ b/internal/node/settings/watch_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// watcherFixture is a settings file with a watcher whose ticks the test gives.
+// watcherFixture is a settings file with a watcher that polls at the test's ticks.
 type watcherFixture struct {
 	path     string
 	watcher  *Watcher
@@ -48,7 +48,8 @@
 	<-w.runEnded
 }
 
-// tick has the watcher look, and returns when it has: it takes the second tick only after its work for the first.
+// tick makes the watcher poll, and returns when it has: the second tick is taken only after the work for
+// the first.
 func (w *watcherFixture) tick() {
 	w.ticks <- time.Time{}
 	w.ticks <- time.Time{}
