--- a/internal/node/agent/dataplane.go
+++ b/internal/node/agent/dataplane.go
@@ -27,14 +27,14 @@
 	}), a.announceSent, a.announceStep)
 	a.startup = forward.NewStartup()
 	a.proxy = forward.New(forward.Options{
-		Port:     a.router,
-		Clock:    a.now,
-		Config:   a.compiled.Load,
-		MayServe: a.mayServe,
-		Startup:  a.startup,
-		Proxies:  func() int { return int(a.proxyCount.Load()) },
-		Bounds:   forward.Bounds{MaxBufferedBytes: a.maxBufferedBytes()},
-		Log:      a.log,
+		Router:        a.router,
+		Clock:         a.now,
+		Configuration: a.compiled.Load,
+		MayServe:      a.mayServe,
+		Startup:       a.startup,
+		ProxyCount:    func() int { return int(a.proxyCount.Load()) },
+		Bounds:        forward.Bounds{MaxBufferedBytes: a.maxBufferedBytes()},
+		Log:           a.log,
 	})
 }
 
@@ -80,7 +80,7 @@
 		Confirmed:     a.confirmedAt.Load() != 0,
 		Brokers:       a.control.Registry().Synced() || a.savedBrokers.restored,
 	}
-	a.startup.Note(known)
+	a.startup.Update(known)
 	a.progress.startupOver = now >= startupTimeout || known.Complete()
 	if now >= startupTimeout {
 		a.startup.End()
--- a/internal/node/agent/lifecycle.go
+++ b/internal/node/agent/lifecycle.go
@@ -176,7 +176,7 @@
 	a.post(func(now core.Time) { a.execute(now, a.control.HandOver(now)) })
 	stopStarted, times := time.Now(), stopTimesOf(grace)
 	time.Sleep(times.refuseAfter)
-	a.proxy.RefuseNew()
+	a.proxy.RejectNew()
 	time.Sleep(time.Until(stopStarted.Add(times.closeAfter)))
 	shutdownContext, cancel := context.WithDeadline(context.Background(), stopStarted.Add(times.abortAfter))
 	defer cancel()
--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -151,8 +151,8 @@
 // requestStatus returns the proxy's request counters.
 func requestStatus(metrics forward.Metrics) nodestatus.Requests {
 	return nodestatus.Requests{
-		Received: metrics.Requests, Answered: metrics.Answered, Rejected: metrics.Refused, Failed: metrics.Failed,
-		Denied: metrics.Denied, Aborted: metrics.Aborted, ClientDisconnected: metrics.ClientLeft,
-		Attempts: metrics.Attempts, Retries: metrics.Retries, Hedges: metrics.Copies, Resumed: metrics.Resumed,
+		Received: metrics.Requests, Answered: metrics.Answered, Rejected: metrics.Rejected, Failed: metrics.Failed,
+		Denied: metrics.Denied, Aborted: metrics.Aborted, ClientDisconnected: metrics.ClientDisconnected,
+		Attempts: metrics.Attempts, Retries: metrics.Retries, Hedges: metrics.Hedges, Resumed: metrics.Resumed,
 	}
 }
--- a/internal/node/forward/attempt.go
+++ b/internal/node/forward/attempt.go
@@ -17,10 +17,10 @@
 	planned *routing.Attempt
 	context context.Context
 	cancel  context.CancelFunc // set for copies only
-	// after is the id of the last event that the client has; the broker is asked to go on behind it.
-	after eventID
-	// copy: this attempt is the copy of another.
-	copy bool
+	// resumeAfter is the id of the last event that the client has; the broker is asked to go on behind it.
+	resumeAfter eventID
+	// isHedge: this attempt is the copy of another.
+	isHedge bool
 
 	answer *upstream.Answer
 	events *eventReader
@@ -30,16 +30,16 @@
 	canceled bool
 }
 
-// launch prepares an attempt.
-func (c *call) launch(planned *routing.Attempt, after eventID) *attempt {
+// newAttempt prepares an attempt.
+func (c *call) newAttempt(planned *routing.Attempt, resumeAfter eventID) *attempt {
 	c.proxy.counters.attempts.Add(1)
 	if planned.ByPrediction {
 		c.proxy.counters.byPrediction.Add(1)
 	}
-	a := &attempt{call: c, planned: planned, context: c.request.Context(), after: after}
-	c.mu.Lock()
+	a := &attempt{call: c, planned: planned, context: c.request.Context(), resumeAfter: resumeAfter}
+	c.mutex.Lock()
 	c.attempts = append(c.attempts, a)
-	c.mu.Unlock()
+	c.mutex.Unlock()
 	return a
 }
 
@@ -47,48 +47,48 @@
 func (a *attempt) send() *attemptResult {
 	c := a.call
 	target := upstream.Target{
-		InstanceID:     a.planned.Instance.ID,
-		Address:        a.planned.Instance.Address,
-		MaxConnections: c.connLimit,
-		Earlier:        a.planned.Number,
+		InstanceID:      a.planned.Instance.ID,
+		Address:         a.planned.Instance.Address,
+		MaxConnections:  c.connLimit,
+		EarlierAttempts: a.planned.Number,
 	}
 	for {
-		conn, err := c.proxy.pool.Get(a.context, target, c.wall(c.intake.deadline))
+		conn, err := c.proxy.pool.Get(a.context, target, c.wallTime(c.intake.deadline))
 		if err != nil {
 			return a.failed(err)
 		}
-		if !a.hold(conn) {
+		if !a.attachConn(conn) {
 			conn.Close()
-			return a.withheld()
+			return a.notSent()
 		}
-		err = a.settle(conn)
+		err = a.awaitReset(conn)
 		if err == nil {
 			err = a.write(conn)
 		}
 		if err == nil {
 			return nil
 		}
-		a.drop()
+		a.closeConn()
 		// A kept connection that took nothing has ended; another can be tried, for nothing was sent.
 		if errorx.IsOfType(err, upstream.Unsent) && conn.Reused() {
 			continue
 		}
-		if errorx.IsOfType(err, errWithheld) {
-			return a.withheld()
+		if errorx.IsOfType(err, errNotSent) {
+			return a.notSent()
 		}
 		return a.failed(err)
 	}
 }
 
-// errWithheld says that the request must not be sent any more.
-var errWithheld = errorx.NewNamespace("forward").ApplyModifiers(errorx.TypeModifierOmitStackTrace).NewType("withheld")
+// errNotSent says that the request must not be sent any more.
+var errNotSent = errorx.NewNamespace("forward").ApplyModifiers(errorx.TypeModifierOmitStackTrace).NewType("withheld")
 
-// settle makes sure of a new connection where a reset would cost the request.
-func (a *attempt) settle(conn *upstream.Conn) error {
+// awaitReset makes sure of a new connection where a reset would cost the request.
+func (a *attempt) awaitReset(conn *upstream.Conn) error {
 	if a.call.intake.route.Idempotent() {
 		return nil
 	}
-	return conn.Settle(a.call.holdUntil())
+	return conn.AwaitReset(a.call.answerDeadline())
 }
 
 func (a *attempt) write(conn *upstream.Conn) error {
@@ -97,49 +97,49 @@
 	defer head.release()
 	now := c.now()
 	head.bytes = a.appendHead(head.bytes, now)
-	head.grow(min(len(c.bodyBytes()), upstream.JoinedBytes))
-	if c.clientHasLeft() || now >= c.intake.deadline || !c.proxy.mayServe(now, c.intake.route.Public) {
-		return errWithheld.New("client left, deadline passed or configuration too old")
+	head.grow(min(len(c.bodyBytes()), upstream.MaxJoinedBytes))
+	if c.clientGone() || now >= c.intake.deadline || !c.proxy.mayServe(now, c.intake.route.Public) {
+		return errNotSent.New("client left, deadline passed or configuration too old")
 	}
-	return conn.Send(head.bytes, c.bodyBytes(), c.holdUntil())
+	return conn.Send(head.bytes, c.bodyBytes(), c.answerDeadline())
 }
 
-// hold makes the connection known to those who may interrupt the attempt. false: it was interrupted before.
-func (a *attempt) hold(conn *upstream.Conn) bool {
-	a.call.mu.Lock()
-	defer a.call.mu.Unlock()
-	if a.canceled || a.call.left {
+// attachConn makes the connection known to those who may interrupt the attempt. false: it was interrupted before.
+func (a *attempt) attachConn(conn *upstream.Conn) bool {
+	a.call.mutex.Lock()
+	defer a.call.mutex.Unlock()
+	if a.canceled || a.call.clientDisconnected {
 		return false
 	}
 	a.conn = conn
 	return true
 }
 
-// letGo takes the connection out of the reach of those who may interrupt the attempt.
-func (a *attempt) letGo() *upstream.Conn {
-	a.call.mu.Lock()
-	defer a.call.mu.Unlock()
+// detachConn takes the connection out of the reach of those who may interrupt the attempt.
+func (a *attempt) detachConn() *upstream.Conn {
+	a.call.mutex.Lock()
+	defer a.call.mutex.Unlock()
 	conn := a.conn
 	a.conn = nil
 	return conn
 }
 
-// drop closes the connection.
-func (a *attempt) drop() {
-	if conn := a.letGo(); conn != nil {
+// closeConn closes the connection.
+func (a *attempt) closeConn() {
+	if conn := a.detachConn(); conn != nil {
 		conn.Close()
 	}
 }
 
-// giveBack ends the attempt's use of its connection, which is kept where the answer was whole.
-func (a *attempt) giveBack() {
-	if a.letGo() != nil {
+// releaseConn ends the attempt's use of its connection, which is kept where the answer was whole.
+func (a *attempt) releaseConn() {
+	if a.detachConn() != nil {
 		a.answer.Done()
 	}
 }
 
-// clientLeft decides what becomes of the attempt for a client that has left. The mutex of the call is held.
-func (a *attempt) clientLeft() {
+// handleDisconnect decides what becomes of the attempt for a client that has left. The mutex of the call is held.
+func (a *attempt) handleDisconnect() {
 	if a.conn == nil {
 		return
 	}
@@ -147,24 +147,24 @@
 		a.conn.Interrupt()
 		return
 	}
-	a.conn.LimitWait(time.Now().Add(a.call.proxy.bounds.FinishAfterLeave))
+	a.conn.SetWaitLimit(time.Now().Add(a.call.proxy.bounds.DisconnectGrace))
 }
 
 // interrupt calls the attempt off. What was sent of it may have run.
 func (a *attempt) interrupt() {
-	a.call.mu.Lock()
+	a.call.mutex.Lock()
 	a.canceled = true
 	if a.conn != nil {
 		a.conn.Interrupt()
 	}
-	a.call.mu.Unlock()
+	a.call.mutex.Unlock()
 	if a.cancel != nil {
 		a.cancel()
 	}
 }
 
 func (a *attempt) wasCanceled() bool {
-	a.call.mu.Lock()
-	defer a.call.mu.Unlock()
-	return a.canceled || a.call.left
+	a.call.mutex.Lock()
+	defer a.call.mutex.Unlock()
+	return a.canceled || a.call.clientDisconnected
 }
--- a/internal/node/forward/bench_test.go
+++ b/internal/node/forward/bench_test.go
@@ -16,7 +16,7 @@
 
 // onePort sends every request to one broker.
 type onePort struct {
-	scriptedPort
+	scriptedRouter
 	instance *registry.Instance
 }
 
@@ -47,10 +47,10 @@
 	settings := defaultConfig()
 	start := time.Now()
 	proxy := New(Options{
-		Port:     &onePort{instance: &registry.Instance{ID: "i-1", Address: address}},
-		Clock:    func() core.Time { return time.Since(start) },
-		Config:   func() *config.Compiled { return settings.compiled },
-		MayServe: func(core.Time, bool) bool { return true },
+		Router:        &onePort{instance: &registry.Instance{ID: "i-1", Address: address}},
+		Clock:         func() core.Time { return time.Since(start) },
+		Configuration: func() *config.Compiled { return settings.compiled },
+		MayServe:      func(core.Time, bool) bool { return true },
 	})
 	proxy.match = settings.match
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/node/forward/buffer.go
+++ b/internal/node/forward/buffer.go
@@ -39,12 +39,12 @@
 // errTooLarge says that what is read does not fit into the bound given.
 var errTooLarge = errors.New("larger than its bound")
 
-// readStep is the least room that is offered to a read of unknown length.
-const readStep = 2 << 10
+// minReadSize is the least room that is offered to a read of unknown length.
+const minReadSize = 2 << 10
 
 // readAll reads to io.EOF, at most that many bytes; errTooLarge where there are more. A length that is known saves copying.
-func (b *buffer) readAll(source io.Reader, length, most int64) error {
-	if length > most {
+func (b *buffer) readAll(source io.Reader, length, maxBytes int64) error {
+	if length > maxBytes {
 		return errTooLarge
 	}
 	if length > 0 {
@@ -53,11 +53,11 @@
 	for {
 		b.grow(1)
 		if length < 0 {
-			b.grow(readStep)
+			b.grow(minReadSize)
 		}
 		count, err := source.Read(b.bytes[len(b.bytes):cap(b.bytes)])
 		b.bytes = b.bytes[:len(b.bytes)+count]
-		if int64(len(b.bytes)) > most {
+		if int64(len(b.bytes)) > maxBytes {
 			return errTooLarge
 		}
 		if errors.Is(err, io.EOF) {
--- a/internal/node/forward/chaos_test.go
+++ b/internal/node/forward/chaos_test.go
@@ -104,7 +104,7 @@
 // carelessPort is a router that asks for attempts and copies by chance, whatever became of those before. The proxy has to
 // hold the rules all the same.
 type carelessPort struct {
-	scriptedPort
+	scriptedRouter
 	lock     sync.Mutex
 	random   *rand.Rand
 	brokers  []*broker
@@ -176,7 +176,7 @@
 		brokers = append(brokers, newBroker(t, fmt.Sprintf("i-%d", i), troubled(l, uint64(i)+1)))
 	}
 	port := newCarelessPort(brokers)
-	w := newWorld(t, newPort(), func(_ *world, options *Options) { options.Port = port })
+	w := newWorld(t, newScriptedRouter(), func(_ *world, options *Options) { options.Router = port })
 	var wait sync.WaitGroup
 	var served [4]int
 	var mu sync.Mutex
@@ -207,7 +207,7 @@
 	port.awaitEnds(t, clients*requests)
 	metrics := w.proxy.Metrics()
 	assert.Equal(t, metrics.Requests, uint64(clients*requests))
-	assert.Equal(t, metrics.ConnectionsOpen, metrics.ConnectionsIdle+metrics.ConnectionsUnclaimed)
+	assert.Equal(t, metrics.ConnectionsOpen, metrics.ConnectionsIdle+metrics.ConnectionsAbandoned)
 }
 
 func checkAnswer(t *testing.T, l *ledger, path, id, text string, got reply) {
--- a/internal/node/forward/clientconn.go
+++ b/internal/node/forward/clientconn.go
@@ -15,18 +15,18 @@
 	*net.TCPConn
 	timeouts func() clientTimeouts
 
-	scanner requestScanner
-	surplus []byte // read from the socket; belongs to requests after the one that is being read
-	failed  error
-	// handling: a request is with the handler, whose deadlines hold.
-	handling bool
-	// headUntil is when the head that has begun must be whole.
-	headUntil time.Time
+	scanner   requestScanner
+	pipelined []byte // read from the socket; belongs to requests after the one that is being read
+	readErr   error
+	// requestActive: a request is with the handler, whose deadlines hold.
+	requestActive bool
+	// headDeadline is when the head that has begun must be whole.
+	headDeadline time.Time
 
-	// request is the framing of the request that is with the handler.
-	request framing
-	// received: the whole request had come when the handler began.
-	received bool
+	// requestFraming is the framing of the request that is with the handler.
+	requestFraming framing
+	// requestComplete: the whole request had come when the handler began.
+	requestComplete bool
 }
 
 // clientTimeouts are how long a client may rest between requests, and take for the head of one.
@@ -38,53 +38,53 @@
 	if len(into) == 0 {
 		return 0, nil
 	}
-	if c.failed != nil {
-		return 0, c.failed
+	if c.readErr != nil {
+		return 0, c.readErr
 	}
-	c.limitTime()
+	c.applyReadDeadline()
 	count, err := c.fetch(into)
 	if count == 0 {
 		return 0, err
 	}
 	taken, scanErr := c.scanner.scan(into[:count])
-	c.keep(into[taken:count])
+	c.unread(into[taken:count])
 	if scanErr != nil {
-		c.failed = scanErr
-	} else if c.scanner.state == scanRefused {
-		c.failed = io.EOF
+		c.readErr = scanErr
+	} else if c.scanner.state == scanRejected {
+		c.readErr = io.EOF
 	}
 	return taken, nil
 }
 
 // fetch takes bytes that were read before, or reads the socket.
 func (c *clientConn) fetch(into []byte) (int, error) {
-	if len(c.surplus) == 0 {
+	if len(c.pipelined) == 0 {
 		return c.TCPConn.Read(into)
 	}
-	count := copy(into, c.surplus)
-	c.surplus = c.surplus[count:]
+	count := copy(into, c.pipelined)
+	c.pipelined = c.pipelined[count:]
 	return count, nil
 }
 
-// keep puts bytes back that belong to the requests behind the current one.
-func (c *clientConn) keep(rest []byte) {
+// unread puts bytes back that belong to the requests behind the current one.
+func (c *clientConn) unread(rest []byte) {
 	if len(rest) == 0 {
 		return
 	}
-	c.surplus = append(append(make([]byte, 0, len(rest)+len(c.surplus)), rest...), c.surplus...)
+	c.pipelined = append(append(make([]byte, 0, len(rest)+len(c.pipelined)), rest...), c.pipelined...)
 }
 
-func (c *clientConn) limitTime() {
+func (c *clientConn) applyReadDeadline() {
 	switch {
-	case c.handling || len(c.surplus) > 0:
-	case c.scanner.between():
-		c.headUntil = time.Time{}
+	case c.requestActive || len(c.pipelined) > 0:
+	case c.scanner.betweenRequests():
+		c.headDeadline = time.Time{}
 		c.TCPConn.SetReadDeadline(time.Now().Add(c.timeouts().idle))
 	default:
-		if c.headUntil.IsZero() {
-			c.headUntil = time.Now().Add(c.timeouts().header)
+		if c.headDeadline.IsZero() {
+			c.headDeadline = time.Now().Add(c.timeouts().header)
 		}
-		c.TCPConn.SetReadDeadline(c.headUntil)
+		c.TCPConn.SetReadDeadline(c.headDeadline)
 	}
 }
 
@@ -92,12 +92,12 @@
 func (c *clientConn) stateChanged(state http.ConnState) {
 	switch state {
 	case http.StateActive:
-		c.handling = true
-		c.request = c.scanner.current
-		c.received = c.scanner.between()
+		c.requestActive = true
+		c.requestFraming = c.scanner.current
+		c.requestComplete = c.scanner.betweenRequests()
 	case http.StateIdle:
-		c.handling = false
-		c.headUntil = time.Time{}
+		c.requestActive = false
+		c.headDeadline = time.Time{}
 	}
 }
 
--- a/internal/node/forward/delivery.go
+++ b/internal/node/forward/delivery.go
@@ -13,19 +13,19 @@
 func (c *call) deliver(result *attemptResult) {
 	defer result.release()
 	switch {
-	case result.whole():
-		c.deliverWhole(result)
+	case result.isComplete():
+		c.deliverComplete(result)
 	case result.events != nil:
 		c.deliverEvents(result)
 	default:
-		c.deliverLarge(result)
+		c.deliverInChunks(result)
 	}
 }
 
-// deliverWhole passes on an answer that is here in full; its connection has been given back.
-func (c *call) deliverWhole(result *attemptResult) {
-	c.concludeAnswered(result)
-	header := c.passOnHead(result.answer)
+// deliverComplete passes on an answer that is here in full; its connection has been given back.
+func (c *call) deliverComplete(result *attemptResult) {
+	c.reportAnswered(result)
+	header := c.forwardHead(result.answer)
 	if mayHaveBody(c.request.Method, result.answer.Status) {
 		header["Content-Length"] = lengthHeader(int64(len(result.body.bytes)))
 	}
@@ -39,45 +39,45 @@
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// copyBytes is the size of the pieces in which large answers are passed on.
-const copyBytes = 16 << 10
+// chunkBytes is the size of the pieces in which large answers are passed on.
+const chunkBytes = 16 << 10
 
-// deliverLarge passes on an answer piece by piece. One that breaks off breaks the client's connection off.
-func (c *call) deliverLarge(result *attemptResult) {
-	header := c.passOnHead(result.answer)
+// deliverInChunks passes on an answer piece by piece. One that breaks off breaks the client's connection off.
+func (c *call) deliverInChunks(result *attemptResult) {
+	header := c.forwardHead(result.answer)
 	if result.answer.Length >= 0 {
 		header["Content-Length"] = lengthHeader(result.answer.Length)
 	}
 	c.writer.WriteHeader(result.answer.Status)
-	piece := result.prefix
-	if piece == nil {
-		piece = takeBuffer()
-		result.prefix = piece
+	chunk := result.prefix
+	if chunk == nil {
+		chunk = takeBuffer()
+		result.prefix = chunk
 	}
-	err := c.copyLarge(result.answer, piece)
+	err := c.copyChunks(result.answer, chunk)
 	if err == nil {
-		result.attempt.giveBack()
-		c.concludeAnswered(result)
+		result.attempt.releaseConn()
+		c.reportAnswered(result)
 		return
 	}
-	result.attempt.drop()
-	result.outcome.Canceled = errors.Is(err, errClient) || c.clientHasLeft()
-	c.conclude(result, false)
+	result.attempt.closeConn()
+	result.outcome.Canceled = errors.Is(err, errClient) || c.clientGone()
+	c.reportResult(result, false)
 	c.abort()
 }
 
-// copyLarge passes on what the piece holds, and then the rest of the body through it.
-func (c *call) copyLarge(answer *upstream.Answer, piece *buffer) error {
+// copyChunks passes on what the piece holds, and then the rest of the body through it.
+func (c *call) copyChunks(answer *upstream.Answer, chunk *buffer) error {
 	for {
-		if _, err := c.writer.Write(piece.bytes); err != nil {
+		if _, err := c.writer.Write(chunk.bytes); err != nil {
 			return errClient
 		}
-		piece.bytes = piece.bytes[:0]
-		piece.grow(copyBytes)
-		count, err := answer.Read(piece.bytes[:copyBytes])
-		piece.bytes = piece.bytes[:count]
+		chunk.bytes = chunk.bytes[:0]
+		chunk.grow(chunkBytes)
+		count, err := answer.Read(chunk.bytes[:chunkBytes])
+		chunk.bytes = chunk.bytes[:count]
 		if errors.Is(err, io.EOF) {
-			if _, err := c.writer.Write(piece.bytes); err != nil {
+			if _, err := c.writer.Write(chunk.bytes); err != nil {
 				return errClient
 			}
 			return nil
@@ -92,11 +92,11 @@
 type stream struct {
 	call  *call
 	flush func() error
-	// last is the last event that the client has; it is known only where the stream may be taken up again.
-	last      eventID
+	// lastSent is the last event that the client has; it is known only where the stream may be taken up again.
+	lastSent  eventID
 	resumable bool
-	// pauses are those of the broker that the stream comes from now.
-	pauses pauseMeter
+	// gaps are those of the broker that the stream comes from now.
+	gaps gapMeter
 }
 
 // errClient says that the client's connection failed.
@@ -105,19 +105,19 @@
 // deliverEvents passes a stream on, event by event, and takes it up at another broker where it is cut and may be resumed.
 // The client's answer keeps the head and seal of the first broker (PROTOCOL.md, "Requests").
 func (c *call) deliverEvents(result *attemptResult) {
-	c.passOnHead(result.answer)
+	c.forwardHead(result.answer)
 	c.writer.WriteHeader(result.answer.Status)
 	s := &stream{call: c, flush: flusher(c.writer), resumable: c.intake.route.Idempotent()}
 	for result != nil {
-		err := s.passOn(result)
-		result.outcome.Pauses = s.pauses.summary()
+		err := s.forwardEvents(result)
+		result.outcome.Pauses = s.gaps.summary()
 		if err == nil {
-			result.attempt.giveBack()
-			c.concludeAnswered(result)
+			result.attempt.releaseConn()
+			c.reportAnswered(result)
 			result.release()
 			return
 		}
-		result = s.takeUp(result, err)
+		result = s.resume(result, err)
 	}
 	c.abort()
 }
@@ -130,12 +130,12 @@
 	return http.NewResponseController(writer).Flush
 }
 
-// passOn passes events on until the stream ends. nil: its broker ended it in the proper way.
-func (s *stream) passOn(result *attemptResult) error {
+// forwardEvents passes events on until the stream ends. nil: its broker ended it in the proper way.
+func (s *stream) forwardEvents(result *attemptResult) error {
 	events := result.events
-	s.pauses = pauseMeter{}
+	s.gaps = gapMeter{}
 	for {
-		s.pauses.note(s.call.now())
+		s.gaps.observe(s.call.now())
 		if err := s.write(events); err != nil {
 			return err
 		}
@@ -157,14 +157,14 @@
 func (s *stream) write(events *eventReader) error {
 	var fresh []byte
 	if s.resumable {
-		found := events.takeNumbered(s.last)
-		if found.unnumbered && events.after.set {
+		found := events.takeEventsAfter(s.lastSent)
+		if found.hasUnnumbered && events.skipThrough.set {
 			return errUnnumbered
 		}
-		s.resumable = !found.unnumbered
-		s.last, fresh = found.last, found.events
+		s.resumable = !found.hasUnnumbered
+		s.lastSent, fresh = found.lastID, found.events
 	} else {
-		fresh = events.take()
+		fresh = events.takeEvents()
 	}
 	if len(fresh) == 0 {
 		return nil
@@ -178,22 +178,22 @@
 // errUnnumbered says that a run that should go on behind an event has events of which nobody can tell where they belong.
 var errUnnumbered = errors.New("event without an id in a resumed stream")
 
-// takeUp goes on with a stream that was cut at another broker, behind the last whole event that the client has. nil: it
+// resume goes on with a stream that was cut at another broker, behind the last whole event that the client has. nil: it
 // can't go on.
-func (s *stream) takeUp(cut *attemptResult, err error) *attemptResult {
+func (s *stream) resume(broken *attemptResult, err error) *attemptResult {
 	c := s.call
-	cut.attempt.drop()
-	cut.release()
-	clientGone := errors.Is(err, errClient) || c.clientHasLeft()
-	pauses := cut.outcome.Pauses
-	cut.outcome = cut.attempt.cutOutcome(err, clientGone)
-	cut.outcome.Pauses = pauses
-	mayGoOn := s.resumable && s.last.set && !clientGone && !errors.Is(err, errUnnumbered)
-	decision := c.conclude(cut, mayGoOn)
-	if !mayGoOn || !c.mayTryAgain() || decision.Attempt == nil {
+	broken.attempt.closeConn()
+	broken.release()
+	clientGone := errors.Is(err, errClient) || c.clientGone()
+	pauses := broken.outcome.Pauses
+	broken.outcome = broken.attempt.brokenStreamOutcome(err, clientGone)
+	broken.outcome.Pauses = pauses
+	mayGoOn := s.resumable && s.lastSent.set && !clientGone && !errors.Is(err, errUnnumbered)
+	decision := c.reportResult(broken, mayGoOn)
+	if !mayGoOn || !c.mayRetry() || decision.Attempt == nil {
 		return nil
 	}
 	c.proxy.counters.resumed.Add(1)
-	result, _ := c.obtain(routing.Decision{Attempt: decision.Attempt}, s.last)
+	result, _ := c.obtainAnswer(routing.Decision{Attempt: decision.Attempt}, s.lastSent)
 	return result
 }
--- a/internal/node/forward/encode.go
+++ b/internal/node/forward/encode.go
@@ -15,7 +15,7 @@
 	head = append(head, r.RequestURI...)
 	head = append(head, " HTTP/1.1\r\n"...)
 	head = appendHeader(head, "Host", r.Host)
-	head = c.appendClientHeaders(head, a.after.set)
+	head = c.appendClientHeaders(head, a.resumeAfter.set)
 	head = appendHeader(head, headerRequestID, c.intake.id)
 	head = appendNumberHeader(head, headerDeadline, max(int64((c.intake.deadline-now)/time.Millisecond), 1))
 	head = a.appendOwnHeaders(head)
@@ -27,9 +27,9 @@
 
 // appendClientHeaders passes the client's headers on, except for those of one connection and those that are ours to set.
 func (c *call) appendClientHeaders(head []byte, resumes bool) []byte {
-	named := namedByConnection(c.request.Header)
+	named := connectionHeaders(c.request.Header)
 	for name, values := range c.request.Header {
-		if perConnection(name) || setByUs(name) || contains(named, name) || resumes && name == headerLastEventID {
+		if isHopByHop(name) || isReplaced(name) || contains(named, name) || resumes && name == headerLastEventID {
 			continue
 		}
 		for _, value := range values {
@@ -61,8 +61,8 @@
 	if service := in.compiled.Services[in.service]; service != nil && service.Engine != nil {
 		head = appendNumberHeader(head, headerPriority, int64(planned.Priority))
 	}
-	if a.after.set {
-		head = appendNumberHeader(head, headerLastEventID, a.after.number)
+	if a.resumeAfter.set {
+		head = appendNumberHeader(head, headerLastEventID, a.resumeAfter.number)
 	}
 	return head
 }
--- a/internal/node/forward/events.go
+++ b/internal/node/forward/events.go
@@ -28,20 +28,20 @@
 // eventReader cuts a stream into whole events. An event ends with an empty line.
 type eventReader struct {
 	source eventSource
-	// after: events up to this one are left out, since the client has them.
-	after eventID
+	// skipThrough: events up to this one are left out, since the client has them.
+	skipThrough eventID
 
 	buffer *buffer
-	// taken bytes at the front of the buffer have been passed on; those up to whole are whole events.
-	taken, whole int
-	scanned      int
-	ended        bool // the broker ended the stream in the proper way
-	// failed is what broke the stream off behind the whole events that are here.
-	failed error
+	// consumed bytes at the front of the buffer have been passed on; those up to whole are whole events.
+	consumed, complete int
+	scanned            int
+	ended              bool // the broker ended the stream in the proper way
+	// readErr is what broke the stream off behind the whole events that are here.
+	readErr error
 }
 
 func newEventReader(source eventSource, after eventID) *eventReader {
-	return &eventReader{source: source, after: after, buffer: takeBuffer()}
+	return &eventReader{source: source, skipThrough: after, buffer: takeBuffer()}
 }
 
 func (e *eventReader) release() {
@@ -50,10 +50,10 @@
 }
 
 // ready reports whether there is something to pass on: whole events, or the end.
-func (e *eventReader) ready() bool { return e.whole > e.taken || e.ended }
+func (e *eventReader) ready() bool { return e.complete > e.consumed || e.ended }
 
 // errEventTooLarge says that an event is larger than any broker sends.
-var errEventTooLarge = upstream.Garbled.New("event of a stream is too large")
+var errEventTooLarge = upstream.InvalidAnswer.New("event of a stream is too large")
 
 // maxEventBytes bounds one event.
 const maxEventBytes = 1 << 20
@@ -61,25 +61,25 @@
 // fill reads once. At the proper end of the stream what is left counts as an event. An error comes only after the whole
 // events before it have been passed on.
 func (e *eventReader) fill() error {
-	if e.failed != nil {
-		return e.failed
+	if e.readErr != nil {
+		return e.readErr
 	}
 	e.compact()
 	if len(e.buffer.bytes) > maxEventBytes {
 		return errEventTooLarge
 	}
-	e.buffer.grow(readStep)
+	e.buffer.grow(minReadSize)
 	data := e.buffer.bytes
 	count, err := e.source.Read(data[len(data):cap(data)])
 	e.buffer.bytes = data[:len(data)+count]
 	e.scan()
 	if errors.Is(err, io.EOF) {
 		e.ended = true
-		e.whole = len(e.buffer.bytes)
+		e.complete = len(e.buffer.bytes)
 		return nil
 	}
 	if err != nil && e.ready() {
-		e.failed = err
+		e.readErr = err
 		return nil
 	}
 	if err == nil && e.source.EndsNow() {
@@ -90,14 +90,14 @@
 
 // compact moves what is left to the front of the buffer.
 func (e *eventReader) compact() {
-	if e.taken == 0 {
+	if e.consumed == 0 {
 		return
 	}
-	rest := copy(e.buffer.bytes, e.buffer.bytes[e.taken:])
+	rest := copy(e.buffer.bytes, e.buffer.bytes[e.consumed:])
 	e.buffer.bytes = e.buffer.bytes[:rest]
-	e.whole -= e.taken
-	e.scanned -= e.taken
-	e.taken = 0
+	e.complete -= e.consumed
+	e.scanned -= e.consumed
+	e.consumed = 0
 }
 
 // scan finds the ends of events in the bytes that are new.
@@ -109,57 +109,57 @@
 			return
 		}
 		end += e.scanned
-		if e.emptyLine(end) {
-			e.whole = end + 1
+		if e.endsEmptyLine(end) {
+			e.complete = end + 1
 		}
 		e.scanned = end + 1
 	}
 }
 
-// emptyLine reports whether the line that ends at the position, and starts where scanning stands, is empty.
-func (e *eventReader) emptyLine(end int) bool {
+// endsEmptyLine reports whether the line that ends at the position, and starts where scanning stands, is empty.
+func (e *eventReader) endsEmptyLine(end int) bool {
 	line := e.buffer.bytes[e.scanned:end]
 	return len(line) == 0 || len(line) == 1 && line[0] == '\r'
 }
 
-// take gives the whole events that have not been passed on. The bytes hold until the next fill.
-func (e *eventReader) take() []byte {
-	events := e.buffer.bytes[e.taken:e.whole]
-	e.taken = e.whole
+// takeEvents gives the whole events that have not been passed on. The bytes hold until the next fill.
+func (e *eventReader) takeEvents() []byte {
+	events := e.buffer.bytes[e.consumed:e.complete]
+	e.consumed = e.complete
 	return events
 }
 
-// numbered is what takeNumbered found.
-type numbered struct {
+// numberedEvents is what takeNumbered found.
+type numberedEvents struct {
 	events []byte
-	last   eventID
-	// unnumbered: some event has no id, so that nobody can go on behind it.
-	unnumbered bool
+	lastID eventID
+	// hasUnnumbered: some event has no id, so that nobody can go on behind it.
+	hasUnnumbered bool
 }
 
-// takeNumbered gives the whole events that have not been passed on, and the id of the last of them. Where the client has
+// takeEventsAfter gives the whole events that have not been passed on, and the id of the last of them. Where the client has
 // events of another run, those up to its last are left out.
-func (e *eventReader) takeNumbered(last eventID) numbered {
-	events := e.take()
-	found := numbered{events: events[:0], last: last}
+func (e *eventReader) takeEventsAfter(last eventID) numberedEvents {
+	events := e.takeEvents()
+	found := numberedEvents{events: events[:0], lastID: last}
 	for len(events) > 0 {
 		var event []byte
-		event, events = cutEvent(events)
+		event, events = splitEvent(events)
 		id, hasData := parseEventID(event)
 		if !id.set {
-			found.unnumbered = found.unnumbered || hasData
-		} else if e.after.set && id.number <= found.last.number {
+			found.hasUnnumbered = found.hasUnnumbered || hasData
+		} else if e.skipThrough.set && id.number <= found.lastID.number {
 			continue
 		} else {
-			found.last = id
+			found.lastID = id
 		}
 		found.events = append(found.events, event...)
 	}
 	return found
 }
 
-// cutEvent gives the first event and the rest.
-func cutEvent(events []byte) (event, rest []byte) {
+// splitEvent gives the first event and the rest.
+func splitEvent(events []byte) (event, rest []byte) {
 	start := 0
 	for {
 		end := bytes.IndexByte(events[start:], '\n')
--- a/internal/node/forward/fixture_test.go
+++ b/internal/node/forward/fixture_test.go
@@ -22,20 +22,20 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// patience bounds every wait of the tests; a passing test never waits it out.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; a passing test never waits it out.
+const testTimeout = 20 * time.Second
 
-// scriptedPort is a router that hands out the brokers of a list, one an attempt, and notes what it is told.
-type scriptedPort struct {
-	mu        sync.Mutex
+// scriptedRouter is a router that hands out the brokers of a list, one an attempt, and notes what it is told.
+type scriptedRouter struct {
+	mutex     sync.Mutex
 	instances []*registry.Instance
 	next      int
 	// attempt changes each attempt before it is handed out.
 	attempt func(*routing.Attempt)
-	// copies allows Copy to hand out the next broker.
-	copies bool
-	// again says whether another attempt follows an outcome; nil: after each that was not answered.
-	again   func(routing.Outcome, bool) bool
+	// allowHedges allows Copy to hand out the next broker.
+	allowHedges bool
+	// retries says whether another attempt follows an outcome; nil: after each that was not answered.
+	retries func(routing.Outcome, bool) bool
 	refusal *routing.Refusal
 
 	requests []routing.Request
@@ -51,15 +51,15 @@
 	resumable bool
 }
 
-func newPort(instances ...*registry.Instance) *scriptedPort {
-	return &scriptedPort{
+func newScriptedRouter(instances ...*registry.Instance) *scriptedRouter {
+	return &scriptedRouter{
 		instances: instances,
 		refusal:   &routing.Refusal{RetryAfter: 250 * time.Millisecond, Reason: routing.RefusedFull},
 		endings:   make(chan struct{}, 1000),
 	}
 }
 
-func (p *scriptedPort) hand() routing.Decision {
+func (p *scriptedRouter) nextAttempt() routing.Decision {
 	if p.next >= len(p.instances) {
 		return routing.Decision{Refusal: p.refusal}
 	}
@@ -71,68 +71,68 @@
 	return routing.Decision{Attempt: attempt}
 }
 
-func (p *scriptedPort) Begin(_ core.Time, request routing.Request) (routing.RequestID, routing.Decision) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (p *scriptedRouter) Begin(_ core.Time, request routing.Request) (routing.RequestID, routing.Decision) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.requests = append(p.requests, request)
-	return routing.RequestID(len(p.requests)), p.hand()
+	return routing.RequestID(len(p.requests)), p.nextAttempt()
 }
 
-func (p *scriptedPort) Copy(core.Time, routing.RequestID) routing.Decision {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.copies {
+func (p *scriptedRouter) Copy(core.Time, routing.RequestID) routing.Decision {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if !p.allowHedges {
 		return routing.Decision{}
 	}
-	return p.hand()
+	return p.nextAttempt()
 }
 
-func (p *scriptedPort) Started(_ core.Time, _ routing.RequestID, attempt int, _ *routing.Load) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (p *scriptedRouter) Started(_ core.Time, _ routing.RequestID, attempt int, _ *routing.Load) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.started = append(p.started, attempt)
 }
 
-func (p *scriptedPort) Finished(_ core.Time, _ routing.RequestID, attempt int, outcome routing.Outcome, resumable bool) routing.Decision {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (p *scriptedRouter) Finished(_ core.Time, _ routing.RequestID, attempt int, outcome routing.Outcome, resumable bool) routing.Decision {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.outcomes = append(p.outcomes, finished{attempt, outcome, resumable})
 	if outcome.Answered || outcome.Canceled {
 		return routing.Decision{}
 	}
-	if p.again != nil && !p.again(outcome, resumable) {
+	if p.retries != nil && !p.retries(outcome, resumable) {
 		return routing.Decision{Refusal: p.refusal}
 	}
-	return p.hand()
+	return p.nextAttempt()
 }
 
-func (p *scriptedPort) End(core.Time, routing.RequestID) {
-	p.mu.Lock()
+func (p *scriptedRouter) End(core.Time, routing.RequestID) {
+	p.mutex.Lock()
 	p.ended++
-	p.mu.Unlock()
+	p.mutex.Unlock()
 	p.endings <- struct{}{}
 }
 
-func (p *scriptedPort) SetTable(core.Time, *registry.Table)   {}
-func (p *scriptedPort) SetConfig(core.Time, *config.Compiled) {}
-func (p *scriptedPort) SetPeers(core.Time, int)               {}
+func (p *scriptedRouter) SetTable(core.Time, *registry.Table)   {}
+func (p *scriptedRouter) SetConfig(core.Time, *config.Compiled) {}
+func (p *scriptedRouter) SetPeers(core.Time, int)               {}
 
 // awaitEnds waits until that many requests have ended.
-func (p *scriptedPort) awaitEnds(t *testing.T, count int) {
+func (p *scriptedRouter) awaitEnds(t *testing.T, count int) {
 	t.Helper()
 	for range count {
 		select {
 		case <-p.endings:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("a request did not end")
 		}
 	}
 }
 
-func (p *scriptedPort) outcome(t *testing.T, index int) routing.Outcome {
+func (p *scriptedRouter) outcome(t *testing.T, index int) routing.Outcome {
 	t.Helper()
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	assert.Assert(t, index < len(p.outcomes), "outcomes: %v", p.outcomes)
 	return p.outcomes[index].outcome
 }
@@ -213,7 +213,7 @@
 
 // awaitClose waits until the other side closes.
 func (e *exchange) awaitClose() {
-	e.socket.SetReadDeadline(time.Now().Add(patience))
+	e.socket.SetReadDeadline(time.Now().Add(testTimeout))
 	e.reader.ReadByte()
 }
 
@@ -252,7 +252,7 @@
 	reader := bufio.NewReader(io.TeeReader(socket, &seen))
 	for count := 0; ; count++ {
 		seen.Reset()
-		socket.SetReadDeadline(time.Now().Add(patience))
+		socket.SetReadDeadline(time.Now().Add(testTimeout))
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -278,7 +278,7 @@
 	select {
 	case arrived := <-b.arrivals:
 		return arrived
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		b.t.Fatal("no request arrived")
 		return arrivalAtBroker{}
 	}
@@ -345,7 +345,7 @@
 type world struct {
 	t       *testing.T
 	proxy   *Proxy
-	port    *scriptedPort
+	port    *scriptedRouter
 	config  *testConfig
 	address string
 	mayRun  atomic.Bool
@@ -356,16 +356,16 @@
 // setup changes a world before its proxy starts.
 type setup func(*world, *Options)
 
-func newWorld(t *testing.T, port *scriptedPort, setups ...setup) *world {
+func newWorld(t *testing.T, port *scriptedRouter, setups ...setup) *world {
 	t.Helper()
 	w := &world{t: t, port: port, config: defaultConfig()}
 	w.mayRun.Store(true)
 	start := time.Now()
 	options := Options{
-		Port:     port,
-		Clock:    func() core.Time { return time.Since(start) },
-		Config:   func() *config.Compiled { return w.config.compiled },
-		MayServe: func(core.Time, bool) bool { return w.mayRun.Load() },
+		Router:        port,
+		Clock:         func() core.Time { return time.Since(start) },
+		Configuration: func() *config.Compiled { return w.config.compiled },
+		MayServe:      func(core.Time, bool) bool { return w.mayRun.Load() },
 	}
 	for _, change := range setups {
 		change(w, &options)
@@ -403,7 +403,7 @@
 	w.t.Helper()
 	socket, err := net.Dial("tcp4", w.address)
 	assert.NilError(w.t, err)
-	assert.NilError(w.t, socket.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(w.t, socket.SetDeadline(time.Now().Add(testTimeout)))
 	w.t.Cleanup(func() { socket.Close() })
 	return &client{t: w.t, socket: socket.(*net.TCPConn), reader: bufio.NewReader(socket)}
 }
--- a/internal/node/forward/framing.go
+++ b/internal/node/forward/framing.go
@@ -25,8 +25,8 @@
 	scanChunkData
 	scanChunkEnd
 	scanTrailer
-	// scanRefused: what follows a malformed head is not looked at.
-	scanRefused
+	// scanRejected: what follows a malformed head is not looked at.
+	scanRejected
 )
 
 // requestScanner follows the requests on a client's connection byte by byte. net/http parses them; the scanner sees what
@@ -38,7 +38,7 @@
 	started bool // some byte of the request has come
 
 	line      []byte // the start of a line that hasn't come whole
-	lines     int    // of the head
+	headLines int    // of the head
 	hasLength bool
 	length    int64
 	hasChunks bool
@@ -63,15 +63,15 @@
 			if s.bodyLeft == 0 && s.endData() {
 				return taken, nil
 			}
-		case scanRefused:
+		case scanRejected:
 			return len(data), nil
 		default:
-			line, step, whole := s.nextLine(rest)
+			line, step, complete := s.nextLine(rest)
 			taken += step
-			if !whole {
+			if !complete {
 				return taken, s.checkPartialLine()
 			}
-			ended, err := s.takeLine(line)
+			ended, err := s.parseLine(line)
 			if ended || err != nil {
 				return taken, err
 			}
@@ -80,8 +80,8 @@
 	return taken, nil
 }
 
-// between reports whether the connection rests between two requests.
-func (s *requestScanner) between() bool { return s.state == scanHead && !s.started }
+// betweenRequests reports whether the connection rests between two requests.
+func (s *requestScanner) betweenRequests() bool { return s.state == scanHead && !s.started }
 
 // endData ends a body with a length, which ends the request, or the data of a chunk.
 func (s *requestScanner) endData() (requestEnds bool) {
@@ -89,22 +89,22 @@
 		s.state = scanChunkEnd
 		return false
 	}
-	s.next()
+	s.startNext()
 	return true
 }
 
-// next begins the next request.
-func (s *requestScanner) next() {
+// startNext begins the next request.
+func (s *requestScanner) startNext() {
 	*s = requestScanner{current: s.current, line: s.line[:0]}
 }
 
 // nextLine gives the next line with its end.
-func (s *requestScanner) nextLine(data []byte) (line []byte, taken int, whole bool) {
+func (s *requestScanner) nextLine(data []byte) (line []byte, taken int, complete bool) {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
 		s.line = append(s.line, data...)
 		if s.state == scanHead {
-			s.begin()
+			s.markStarted()
 		}
 		return nil, len(data), false
 	}
@@ -124,21 +124,21 @@
 	return nil
 }
 
-// begin notes that the head of a request has begun.
-func (s *requestScanner) begin() {
+// markStarted notes that the head of a request has begun.
+func (s *requestScanner) markStarted() {
 	if !s.started {
 		s.started = true
 		s.current = framing{}
 	}
 }
 
-func (s *requestScanner) takeLine(line []byte) (requestEnds bool, err error) {
+func (s *requestScanner) parseLine(line []byte) (requestEnds bool, err error) {
 	content, crlf := bytes.CutSuffix(line, []byte("\r\n"))
 	switch s.state {
 	case scanHead:
-		return s.takeHeadLine(content, crlf, len(line)), nil
+		return s.parseHeadLine(content, crlf, len(line)), nil
 	case scanChunkSize:
-		return false, s.takeChunkSize(content, crlf)
+		return false, s.parseChunkSize(content, crlf)
 	case scanChunkEnd:
 		if len(content) > 0 || !crlf {
 			return false, errChunks
@@ -152,37 +152,37 @@
 		if len(content) > 0 {
 			return false, nil
 		}
-		s.next()
+		s.startNext()
 		return true, nil
 	}
 }
 
-func (s *requestScanner) takeHeadLine(content []byte, crlf bool, size int) (requestEnds bool) {
-	s.begin()
+func (s *requestScanner) parseHeadLine(content []byte, crlf bool, size int) (requestEnds bool) {
+	s.markStarted()
 	s.current.headBytes += size
 	if !crlf || bytes.IndexByte(content, '\r') >= 0 {
 		s.current.malformed = true
 	}
-	if len(content) == 0 && s.lines == 0 && crlf {
+	if len(content) == 0 && s.headLines == 0 && crlf {
 		return false // an empty line before the request line
 	}
 	if len(bytes.TrimRight(content, "\r\n")) == 0 {
 		return s.endHead()
 	}
-	s.lines++
-	if s.lines == 1 {
+	s.headLines++
+	if s.headLines == 1 {
 		return false
 	}
 	if content[0] == ' ' || content[0] == '\t' {
 		s.current.malformed = true
 		return false
 	}
-	s.takeField(content)
+	s.parseField(content)
 	return false
 }
 
-// takeField looks at a header line for what frames the body.
-func (s *requestScanner) takeField(line []byte) {
+// parseField looks at a header line for what frames the body.
+func (s *requestScanner) parseField(line []byte) {
 	const (
 		lengthName = "Content-Length"
 		codingName = "Transfer-Encoding"
@@ -191,7 +191,7 @@
 	switch len(name) {
 	case len(lengthName):
 		if bytes.EqualFold(name, []byte(lengthName)) {
-			s.takeLength(bytes.Trim(value, " \t"))
+			s.parseLength(bytes.Trim(value, " \t"))
 		}
 	case len(codingName):
 		if bytes.EqualFold(name, []byte(codingName)) {
@@ -201,9 +201,9 @@
 	}
 }
 
-func (s *requestScanner) takeLength(text []byte) {
-	const mostDigits = 18
-	if s.hasLength || len(text) == 0 || len(text) > mostDigits {
+func (s *requestScanner) parseLength(text []byte) {
+	const maxDigits = 18
+	if s.hasLength || len(text) == 0 || len(text) > maxDigits {
 		s.current.malformed = true
 		return
 	}
@@ -223,7 +223,7 @@
 	}
 	switch {
 	case s.current.malformed:
-		s.state = scanRefused
+		s.state = scanRejected
 		return true
 	case s.hasChunks:
 		s.state = scanChunkSize
@@ -233,20 +233,20 @@
 		s.bodyLeft = s.length
 		return false
 	default:
-		s.next()
+		s.startNext()
 		return true
 	}
 }
 
-// takeChunkSize reads the line before a chunk's data: the size in hex, perhaps extensions after a semicolon.
-func (s *requestScanner) takeChunkSize(content []byte, crlf bool) error {
-	const mostDigits = 15
+// parseChunkSize reads the line before a chunk's data: the size in hex, perhaps extensions after a semicolon.
+func (s *requestScanner) parseChunkSize(content []byte, crlf bool) error {
+	const maxDigits = 15
 	if !crlf || len(content) > maxChunkLineBytes {
 		return errChunks
 	}
 	digits, _, _ := bytes.Cut(content, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
-	if len(digits) == 0 || len(digits) > mostDigits {
+	if len(digits) == 0 || len(digits) > maxDigits {
 		return errChunks
 	}
 	var size int64
--- a/internal/node/forward/headers.go
+++ b/internal/node/forward/headers.go
@@ -32,8 +32,8 @@
 	headerRetryAfter     = "Retry-After"
 )
 
-// perConnection reports whether a header concerns one connection only (PROTOCOL.md, "Requests").
-func perConnection(name string) bool {
+// isHopByHop reports whether a header concerns one connection only (PROTOCOL.md, "Requests").
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade":
 		return true
@@ -42,9 +42,9 @@
 	}
 }
 
-// setByUs reports whether a client's header is left out of what is sent on, because this proxy sets it, or because it was
+// isReplaced reports whether a client's header is left out of what is sent on, because this proxy sets it, or because it was
 // meant for this proxy alone.
-func setByUs(name string) bool {
+func isReplaced(name string) bool {
 	switch name {
 	case headerExpectInstance, headerExpectVersion, headerSalt, headerFetch, headerSave, headerPriority, headerTenant,
 		headerDeadline, headerRequestID, "Authorization", "Content-Length", "Expect", "Host":
@@ -54,8 +54,8 @@
 	}
 }
 
-// internalToFleet reports whether a broker's header is meant for this proxy and not for its client.
-func internalToFleet(name string) bool {
+// isFleetInternal reports whether a broker's header is meant for this proxy and not for its client.
+func isFleetInternal(name string) bool {
 	switch name {
 	case headerServerLoad, headerInstanceID, headerNotExecuted:
 		return true
@@ -64,8 +64,8 @@
 	}
 }
 
-// namedByConnection lists the headers that Connection names as concerning one connection only; nil in the usual case.
-func namedByConnection(header http.Header) []string {
+// connectionHeaders lists the headers that Connection names as concerning one connection only; nil in the usual case.
+func connectionHeaders(header http.Header) []string {
 	var names []string
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -101,8 +101,8 @@
 // parseSeconds reads a Retry-After; 0 where there is none that can be read.
 func parseSeconds(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	const most = 3600
-	if err != nil || !(seconds > 0) || seconds > most {
+	const maxSeconds = 3600
+	if err != nil || !(seconds > 0) || seconds > maxSeconds {
 		return 0
 	}
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/node/forward/intake.go
+++ b/internal/node/forward/intake.go
@@ -15,8 +15,8 @@
 type denial struct {
 	status int
 	reason string
-	// hangUp: what follows on the connection can't be trusted, or won't be read.
-	hangUp bool
+	// closeConnection: what follows on the connection can't be trusted, or won't be read.
+	closeConnection bool
 }
 
 // Denials. Clients do not try again after 400, 401, 404, 413 and 431.
@@ -157,15 +157,15 @@
 // setDeadline takes the earlier of the client's deadline and the route's, both counted from the receipt.
 func (in *intake) setDeadline(header http.Header) {
 	allowed := milliseconds(in.route.TimeoutMs)
-	if wait, ok := clientWait(header); ok && wait < allowed {
+	if wait, ok := clientTimeout(header); ok && wait < allowed {
 		allowed = wait
 	}
 	in.deadline = in.received + allowed
 }
 
-// clientWait reads X-Kestrelspread-Deadline-Ms.
-func clientWait(header http.Header) (time.Duration, bool) {
-	text := strings.TrimSpace(first(header, headerDeadline))
+// clientTimeout reads X-Kestrelspread-Deadline-Ms.
+func clientTimeout(header http.Header) (time.Duration, bool) {
+	text := strings.TrimSpace(firstValue(header, headerDeadline))
 	if text == "" {
 		return 0, false
 	}
@@ -178,15 +178,15 @@
 
 // milliseconds turns a number of the configuration into a duration, bounded by a day.
 func milliseconds(number float64) time.Duration {
-	const most = 24 * time.Hour
-	if !(number < float64(most/time.Millisecond)) {
-		return most
+	const maxDuration = 24 * time.Hour
+	if !(number < float64(maxDuration/time.Millisecond)) {
+		return maxDuration
 	}
 	return time.Duration(number * float64(time.Millisecond))
 }
 
-// urgency is the priority in force: a tenant's goes before its route's.
-func (in *intake) urgency() int {
+// priority is the priority in force: a tenant's goes before its route's.
+func (in *intake) priority() int {
 	if in.tenant != nil && in.tenant.Priority != nil {
 		return *in.tenant.Priority
 	}
@@ -200,14 +200,14 @@
 		Route:     in.route,
 		Service:   in.service,
 		Tenant:    in.tenant,
-		Urgency:   in.urgency(),
+		Urgency:   in.priority(),
 		Received:  in.received,
 		Deadline:  in.deadline,
-		Model:     first(header, headerModel),
+		Model:     firstValue(header, headerModel),
 		Parts:     promptParts(header),
 		TokensIn:  tokensIn,
 		TokensOut: tokensOut,
 		BodyBytes: bodyBytes,
-		Resumes:   first(header, headerLastEventID) != "",
+		Resumes:   firstValue(header, headerLastEventID) != "",
 	}
 }
--- a/internal/node/forward/lifecycle_test.go
+++ b/internal/node/forward/lifecycle_test.go
@@ -30,7 +30,7 @@
 			close(closed)
 		})
 		second := newBroker(t, "i-2", streamOf(2, 3))
-		w := newWorld(t, newPort(only.instance, second.instance))
+		w := newWorld(t, newScriptedRouter(only.instance, second.instance))
 		c := w.client()
 		c.send(post(path, "r1", "prompt"))
 		_, err := c.reader.ReadString('\n')
@@ -47,7 +47,7 @@
 func TestClientLeavesBeforeTheFirstEvent(t *testing.T) {
 	only, closed := silent(t, "i-1")
 	second := newBroker(t, "i-2", streamOf(1, 3))
-	w := newWorld(t, newPort(only.instance, second.instance))
+	w := newWorld(t, newScriptedRouter(only.instance, second.instance))
 	c := w.client()
 	c.send(post("/resumable/a", "r1", "prompt"))
 	only.next()
@@ -56,7 +56,7 @@
 	w.port.awaitEnds(t, 1)
 	assert.Assert(t, w.port.outcome(t, 0).Canceled)
 	assert.Equal(t, second.arrived(), 0)
-	assert.Equal(t, w.proxy.Metrics().ClientLeft, uint64(1))
+	assert.Equal(t, w.proxy.Metrics().ClientDisconnected, uint64(1))
 }
 
 // TestClientLeavesWhileItsBrokerWorks: the answer is let come for a while, and its connection is kept.
@@ -66,7 +66,7 @@
 		<-left
 		e.answer(200, "for nobody")
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	only.next()
@@ -79,8 +79,8 @@
 // TestAnswerForNobodyIsNotAwaitedForever.
 func TestAnswerForNobodyIsNotAwaitedForever(t *testing.T) {
 	only, closed := silent(t, "i-1")
-	w := newWorld(t, newPort(only.instance), func(_ *world, options *Options) {
-		options.Bounds.FinishAfterLeave = time.Millisecond
+	w := newWorld(t, newScriptedRouter(only.instance), func(_ *world, options *Options) {
+		options.Bounds.DisconnectGrace = time.Millisecond
 	})
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
@@ -96,7 +96,7 @@
 // TestNothingIsSentForAClientThatHasLeft while its request was decided on.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	port := newPort(only.instance)
+	port := newScriptedRouter(only.instance)
 	w := newWorld(t, port)
 	c := w.client()
 	port.attempt = func(*routing.Attempt) {
@@ -130,7 +130,7 @@
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(hung, second.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(hung, second.instance), func(_ *world, options *Options) {
 		options.Upstream.ConnectTimeout = time.Hour
 	})
 	c := w.client()
@@ -148,7 +148,7 @@
 // TestDeadlineWhileConnecting: the request has not run, and the broker isn't blamed.
 func TestDeadlineWhileConnecting(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
-	w := newWorld(t, newPort(hung), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(hung), func(_ *world, options *Options) {
 		options.Upstream.ConnectTimeout = time.Hour
 	})
 	got := w.do(post("/unsafe/a", "r1", "body", "X-Kestrelspread-Deadline-Ms: 30"))
@@ -164,7 +164,7 @@
 func TestConnectionThatDoesNotComeUp(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
-	w := newWorld(t, newPort(hung, second.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(hung, second.instance), func(_ *world, options *Options) {
 		options.Upstream.ConnectTimeout = 20 * time.Millisecond
 	})
 	assert.Equal(t, w.do(post("/unsafe/a", "r1", "body")).body, "second")
@@ -174,7 +174,7 @@
 
 // TestBodyThatDoesNotCome: nobody waits for it, and nothing is sent on.
 func TestBodyThatDoesNotCome(t *testing.T) {
-	unready := func(_ *world, options *Options) { options.Config = func() *config.Compiled { return nil } }
+	unready := func(_ *world, options *Options) { options.Configuration = func() *config.Compiled { return nil } }
 	for _, test := range []struct {
 		name, length, header string
 		setups               []setup
@@ -186,7 +186,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-			w := newWorld(t, newPort(only.instance), test.setups...)
+			w := newWorld(t, newScriptedRouter(only.instance), test.setups...)
 			c := w.client()
 			c.send("POST /unsafe/a HTTP/1.1\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\n" + test.header +
 				"\r\nContent-Length: " + test.length + "\r\n\r\nstart")
@@ -202,10 +202,10 @@
 func TestNoFurtherAttemptForAClientThatHasLeft(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.reject(503) })
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
-	port := newPort(first.instance, second.instance)
+	port := newScriptedRouter(first.instance, second.instance)
 	w := newWorld(t, port)
 	c := w.client()
-	port.again = func(routing.Outcome, bool) bool {
+	port.retries = func(routing.Outcome, bool) bool {
 		c.socket.Close()
 		<-(<-w.contexts).Done()
 		return true
@@ -220,7 +220,7 @@
 	for _, path := range []string{"/unsafe/a", "/safe/a", "/stream/a", "/resumable/a"} {
 		only, closed := silent(t, "i-1")
 		second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
-		w := newWorld(t, newPort(only.instance, second.instance), func(_ *world, options *Options) {
+		w := newWorld(t, newScriptedRouter(only.instance, second.instance), func(_ *world, options *Options) {
 			options.Bounds.AnswerGrace = time.Millisecond
 		})
 		got := w.do(post(path, "r1", "body", "X-Kestrelspread-Deadline-Ms: 30"))
@@ -242,7 +242,7 @@
 			e.awaitClose()
 			e.close()
 		})
-		w := newWorld(t, newPort(only.instance), func(_ *world, options *Options) {
+		w := newWorld(t, newScriptedRouter(only.instance), func(_ *world, options *Options) {
 			options.Bounds.AnswerGrace = time.Millisecond
 		})
 		got := w.do(post(path, "r1", "body", "X-Kestrelspread-Deadline-Ms: 30"))
@@ -255,7 +255,7 @@
 // TestDeadlineThatHasPassed before anything was sent: the request has not run.
 func TestDeadlineThatHasPassed(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	got := w.do(post("/unsafe/a", "r1", "body", "X-Kestrelspread-Deadline-Ms: 0"))
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Equal(t, only.arrived(), 0)
@@ -273,7 +273,7 @@
 		e.close()
 		close(stuck)
 	})
-	w := newWorld(t, newPort(only.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(only.instance), func(_ *world, options *Options) {
 		options.Bounds.AnswerGrace = time.Millisecond
 	})
 	c := w.client()
@@ -286,7 +286,7 @@
 // TestDrain: each answer asks for the connection to be closed; those at rest stay until Shutdown.
 func TestDrain(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(only.instance, only.instance, only.instance, only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance, only.instance, only.instance, only.instance))
 	resting, other := w.client(), w.client()
 	for _, c := range []*client{resting, other} {
 		c.send(get("/safe/a", "r1"))
@@ -314,7 +314,7 @@
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	only.next()
@@ -329,7 +329,7 @@
 // TestShutdownEnds although a request is under way.
 func TestShutdownEnds(t *testing.T) {
 	only, closed := silent(t, "i-1")
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
 	c.send(post("/stream/a", "r1", "body"))
 	only.next()
@@ -346,11 +346,11 @@
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance, only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance, only.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	only.next()
-	w.proxy.RefuseNew()
+	w.proxy.RejectNew()
 	got := w.do(post("/stream/a", "r2", "body"))
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Assert(t, got.Header.Get(headerRetryAfter) != "")
@@ -362,7 +362,7 @@
 
 // TestClientTimeouts are those of the configuration with a margin, never less.
 func TestClientTimeouts(t *testing.T) {
-	w := newWorld(t, newPort())
+	w := newWorld(t, newScriptedRouter())
 	times := w.proxy.clientTimeouts()
 	assert.Equal(t, times.idle, 15*time.Second*5/4+time.Second)
 	assert.Equal(t, times.header, 3*time.Second*5/4+time.Second)
@@ -373,12 +373,12 @@
 	for _, text := range []string{"", "GET /safe/a HT", get("/safe/a", "r1")[:60]} {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		assert.NilError(t, err)
-		w := newWorld(t, newPort())
+		w := newWorld(t, newScriptedRouter())
 		short := func() clientTimeouts { return clientTimeouts{idle: 5 * time.Millisecond, header: 5 * time.Millisecond} }
 		go w.proxy.server.Serve(&clientListener{TCPListener: listener.(*net.TCPListener), timeouts: short})
 		socket, err := net.Dial("tcp4", listener.Addr().String())
 		assert.NilError(t, err)
-		assert.NilError(t, socket.SetDeadline(time.Now().Add(patience)))
+		assert.NilError(t, socket.SetDeadline(time.Now().Add(testTimeout)))
 		_, err = socket.Write([]byte(text))
 		assert.NilError(t, err)
 		rest, err := io.ReadAll(socket)
@@ -397,7 +397,7 @@
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	reads := make(chan struct{}, 100)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -426,7 +426,7 @@
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance, only.instance, only.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(only.instance, only.instance, only.instance), func(_ *world, options *Options) {
 		options.Bounds.MaxBufferedBytes = 1000
 	})
 	c := w.client()
--- a/internal/node/forward/metrics.go
+++ b/internal/node/forward/metrics.go
@@ -4,29 +4,29 @@
 
 // counters count what became of requests.
 type counters struct {
-	requests, answered, refused, failed, denied atomic.Uint64
-	aborted, clientLeft                         atomic.Uint64
-	attempts, retries, copies, copiesWon        atomic.Uint64
-	resumed                                     atomic.Uint64
-	notRun, mayHaveRun, ran                     atomic.Uint64
-	garbled, badFraming                         atomic.Uint64
-	byPrediction                                atomic.Uint64
+	requests, answered, rejected, failed, denied atomic.Uint64
+	aborted, clientDisconnected                  atomic.Uint64
+	attempts, retries, hedges, hedgesWon         atomic.Uint64
+	resumed                                      atomic.Uint64
+	notRun, mayHaveRun, ran                      atomic.Uint64
+	invalidAnswers, badFraming                   atomic.Uint64
+	byPrediction                                 atomic.Uint64
 }
 
 // Metrics is a picture of a proxy's counters since its start.
 type Metrics struct {
-	Requests   uint64 // taken from clients
-	Answered   uint64 // with a broker's answer
-	Refused    uint64 // 503: not run, come again
-	Failed     uint64 // 502 or 504
-	Denied     uint64 // 4xx of our own
-	Aborted    uint64 // answers broken off midway
-	ClientLeft uint64
+	Requests           uint64 // taken from clients
+	Answered           uint64 // with a broker's answer
+	Rejected           uint64 // 503: not run, come again
+	Failed             uint64 // 502 or 504
+	Denied             uint64 // 4xx of our own
+	Aborted            uint64 // answers broken off midway
+	ClientDisconnected uint64
 
 	Attempts     uint64
 	Retries      uint64 // attempts after the first, copies not counted
-	Copies       uint64
-	CopiesWon    uint64
+	Hedges       uint64
+	HedgesWon    uint64
 	ByPrediction uint64 // attempts whose broker the prediction chose
 	Resumed      uint64 // streams taken up at another broker
 
@@ -35,9 +35,9 @@
 	MayHaveRun uint64
 	Ran        uint64
 
-	Garbled    uint64 // answers that were none of the broker's for the request
-	BadFraming uint64 // clients' requests refused for their framing
-	Surplus    uint64 // bytes and answers of brokers that belong to no request
+	InvalidAnswers uint64 // answers that were none of the broker's for the request
+	BadFraming     uint64 // clients' requests refused for their framing
+	Surplus        uint64 // bytes and answers of brokers that belong to no request
 
 	ConnectionsOpened uint64
 	ConnectionsFailed uint64
@@ -45,8 +45,8 @@
 	ConnectionsStale  uint64 // kept ones found closed
 	ConnectionsOpen   int
 	ConnectionsIdle   int
-	// ConnectionsUnclaimed are being opened for requests that no longer wait for them.
-	ConnectionsUnclaimed int
+	// ConnectionsAbandoned are being opened for requests that no longer wait for them.
+	ConnectionsAbandoned int
 }
 
 // Metrics reads the counters.
@@ -55,32 +55,32 @@
 	connections := &p.pool.Counters
 	now := p.pool.Connections()
 	return Metrics{
-		Requests:          c.requests.Load(),
-		Answered:          c.answered.Load(),
-		Refused:           c.refused.Load(),
-		Failed:            c.failed.Load(),
-		Denied:            c.denied.Load(),
-		Aborted:           c.aborted.Load(),
-		ClientLeft:        c.clientLeft.Load(),
-		Attempts:          c.attempts.Load(),
-		Retries:           c.retries.Load(),
-		Copies:            c.copies.Load(),
-		CopiesWon:         c.copiesWon.Load(),
-		ByPrediction:      c.byPrediction.Load(),
-		Resumed:           c.resumed.Load(),
-		NotRun:            c.notRun.Load(),
-		MayHaveRun:        c.mayHaveRun.Load(),
-		Ran:               c.ran.Load(),
-		Garbled:           c.garbled.Load(),
-		BadFraming:        c.badFraming.Load(),
-		Surplus:           connections.Surplus.Load(),
-		ConnectionsOpened: connections.Opened.Load(),
-		ConnectionsFailed: connections.Failed.Load(),
-		ConnectionsReused: connections.Reused.Load(),
-		ConnectionsStale:  connections.Stale.Load(),
-		ConnectionsOpen:   now.Open,
-		ConnectionsIdle:   now.Idle,
+		Requests:           c.requests.Load(),
+		Answered:           c.answered.Load(),
+		Rejected:           c.rejected.Load(),
+		Failed:             c.failed.Load(),
+		Denied:             c.denied.Load(),
+		Aborted:            c.aborted.Load(),
+		ClientDisconnected: c.clientDisconnected.Load(),
+		Attempts:           c.attempts.Load(),
+		Retries:            c.retries.Load(),
+		Hedges:             c.hedges.Load(),
+		HedgesWon:          c.hedgesWon.Load(),
+		ByPrediction:       c.byPrediction.Load(),
+		Resumed:            c.resumed.Load(),
+		NotRun:             c.notRun.Load(),
+		MayHaveRun:         c.mayHaveRun.Load(),
+		Ran:                c.ran.Load(),
+		InvalidAnswers:     c.invalidAnswers.Load(),
+		BadFraming:         c.badFraming.Load(),
+		Surplus:            connections.Surplus.Load(),
+		ConnectionsOpened:  connections.Opened.Load(),
+		ConnectionsFailed:  connections.Failed.Load(),
+		ConnectionsReused:  connections.Reused.Load(),
+		ConnectionsStale:   connections.Stale.Load(),
+		ConnectionsOpen:    now.Open,
+		ConnectionsIdle:    now.Idle,
 
-		ConnectionsUnclaimed: now.Unclaimed,
+		ConnectionsAbandoned: now.Abandoned,
 	}
 }
--- a/internal/node/forward/options.go
+++ b/internal/node/forward/options.go
@@ -13,21 +13,21 @@
 
 // Options are what a Proxy needs. Port, Clock, Config and MayServe must be set.
 type Options struct {
-	// Port decides; its calls come from many goroutines, so it must be serialised already.
-	Port routing.Port
+	// Router decides; its calls come from many goroutines, so it must be serialised already.
+	Router routing.Port
 	// Clock gives the steady time that Port's decisions refer to.
 	Clock func() core.Time
-	// Config gives the configuration in force; nil: none yet.
-	Config func() *config.Compiled
+	// Configuration gives the configuration in force; nil: none yet.
+	Configuration func() *config.Compiled
 	// MayServe says whether a request may be taken, and, asked again right before it is sent on, whether it still may:
 	// not without a confirmed configuration, nor where keys can be revoked everywhere and the last confirmation is too old.
 	MayServe func(now core.Time, public bool) bool
 	// Startup tells what the process still lacks after its start; nil: nothing.
 	Startup *Startup
-	// Proxies tells how many proxies share the connections that a broker accepts; nil: this one alone.
-	Proxies func() int
-	Log     *slog.Logger
-	Bounds  Bounds
+	// ProxyCount tells how many proxies share the connections that a broker accepts; nil: this one alone.
+	ProxyCount func() int
+	Log        *slog.Logger
+	Bounds     Bounds
 	// Upstream bounds the connections to brokers.
 	Upstream upstream.Options
 	// Seed spreads requests over the services of a split route differently from fleet to fleet.
@@ -38,13 +38,13 @@
 type Bounds struct {
 	// MaxBufferedBytes bounds the bodies of requests held at the same time.
 	MaxBufferedBytes int64
-	// MaxWholeAnswerBytes: answers up to this size are read whole before any of it goes to the client, so that one that is
+	// MaxBufferedAnswerBytes: answers up to this size are read whole before any of it goes to the client, so that one that is
 	// cut short becomes a clean failure or another attempt.
-	MaxWholeAnswerBytes int
+	MaxBufferedAnswerBytes int
 	// AnswerGrace is how long after the deadline an answer is still awaited: brokers answer 504 themselves at the deadline.
 	AnswerGrace time.Duration
-	// FinishAfterLeave is how long an answer is awaited whose client has left.
-	FinishAfterLeave time.Duration
+	// DisconnectGrace is how long an answer is awaited whose client has left.
+	DisconnectGrace time.Duration
 	// IdleTimeout and HeaderTimeout are used for clients' connections until a configuration gives others.
 	IdleTimeout   time.Duration
 	HeaderTimeout time.Duration
@@ -56,37 +56,37 @@
 	StartupWait time.Duration
 	// StartupRetryAfter is told to clients whose requests waited for that in vain.
 	StartupRetryAfter time.Duration
-	// SpreadConnections: a proxy may hold this many times its even share of the connections that a broker accepts, since
+	// ConnectionShareFactor: a proxy may hold this many times its even share of the connections that a broker accepts, since
 	// clients are not spread evenly over the proxies.
-	SpreadConnections int
+	ConnectionShareFactor int
 }
 
 // Defaults of Bounds.
 const (
-	DefaultMaxBufferedBytes    = 96 << 20
-	DefaultMaxWholeAnswerBytes = 256 << 10
-	DefaultAnswerGrace         = 150 * time.Millisecond
-	DefaultFinishAfterLeave    = 2 * time.Second
-	DefaultIdleTimeout         = 60 * time.Second
-	DefaultHeaderTimeout       = 10 * time.Second
-	DefaultBodyTimeout         = 30 * time.Second
-	DefaultUnreadyRetryAfter   = 200 * time.Millisecond
-	DefaultStartupWait         = time.Second
-	DefaultStartupRetryAfter   = 600 * time.Millisecond
-	DefaultSpreadConnections   = 3
+	DefaultMaxBufferedBytes       = 96 << 20
+	DefaultMaxBufferedAnswerBytes = 256 << 10
+	DefaultAnswerGrace            = 150 * time.Millisecond
+	DefaultDisconnectGrace        = 2 * time.Second
+	DefaultIdleTimeout            = 60 * time.Second
+	DefaultHeaderTimeout          = 10 * time.Second
+	DefaultBodyTimeout            = 30 * time.Second
+	DefaultUnreadyRetryAfter      = 200 * time.Millisecond
+	DefaultStartupWait            = time.Second
+	DefaultStartupRetryAfter      = 600 * time.Millisecond
+	DefaultConnectionShareFactor  = 3
 )
 
 func (b Bounds) withDefaults() Bounds {
 	b.MaxBufferedBytes = cmp.Or(b.MaxBufferedBytes, DefaultMaxBufferedBytes)
-	b.MaxWholeAnswerBytes = cmp.Or(b.MaxWholeAnswerBytes, DefaultMaxWholeAnswerBytes)
+	b.MaxBufferedAnswerBytes = cmp.Or(b.MaxBufferedAnswerBytes, DefaultMaxBufferedAnswerBytes)
 	b.AnswerGrace = cmp.Or(b.AnswerGrace, DefaultAnswerGrace)
-	b.FinishAfterLeave = cmp.Or(b.FinishAfterLeave, DefaultFinishAfterLeave)
+	b.DisconnectGrace = cmp.Or(b.DisconnectGrace, DefaultDisconnectGrace)
 	b.IdleTimeout = cmp.Or(b.IdleTimeout, DefaultIdleTimeout)
 	b.HeaderTimeout = cmp.Or(b.HeaderTimeout, DefaultHeaderTimeout)
 	b.BodyTimeout = cmp.Or(b.BodyTimeout, DefaultBodyTimeout)
 	b.UnreadyRetryAfter = cmp.Or(b.UnreadyRetryAfter, DefaultUnreadyRetryAfter)
 	b.StartupWait = cmp.Or(b.StartupWait, DefaultStartupWait)
 	b.StartupRetryAfter = cmp.Or(b.StartupRetryAfter, DefaultStartupRetryAfter)
-	b.SpreadConnections = cmp.Or(b.SpreadConnections, DefaultSpreadConnections)
+	b.ConnectionShareFactor = cmp.Or(b.ConnectionShareFactor, DefaultConnectionShareFactor)
 	return b
 }
--- a/internal/node/forward/pauses.go
+++ b/internal/node/forward/pauses.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// pausesKept bounds the pauses of a stream from which the usual one is taken.
-	pausesKept = 24
-	// usualShare is the quantile that counts as usual: most longer pauses are those in which the broker read other prompts.
-	usualShare = 0.15
+	// maxRecordedGaps bounds the pauses of a stream from which the usual one is taken.
+	maxRecordedGaps = 24
+	// typicalQuantile is the quantile that counts as usual: most longer pauses are those in which the broker read other prompts.
+	typicalQuantile = 0.15
 )
 
-// pauseMeter measures the pauses between the events of a stream as they come from its broker.
-type pauseMeter struct {
-	at      core.Time // of the last events; 0: none yet
-	longest core.Time
-	first   [pausesKept]core.Time
-	count   int // pauses in all
+// gapMeter measures the pauses between the events of a stream as they come from its broker.
+type gapMeter struct {
+	lastEventAt core.Time // of the last events; 0: none yet
+	maxGap      core.Time
+	firstGaps   [maxRecordedGaps]core.Time
+	count       int // pauses in all
 }
 
-// note takes the arrival of events.
-func (m *pauseMeter) note(now core.Time) {
-	if m.at != 0 {
-		pause := now - m.at
-		m.longest = max(m.longest, pause)
-		if m.count < pausesKept {
-			m.first[m.count] = pause
+// observe takes the arrival of events.
+func (m *gapMeter) observe(now core.Time) {
+	if m.lastEventAt != 0 {
+		pause := now - m.lastEventAt
+		m.maxGap = max(m.maxGap, pause)
+		if m.count < maxRecordedGaps {
+			m.firstGaps[m.count] = pause
 		}
 		m.count++
 	}
-	m.at = now
+	m.lastEventAt = now
 }
 
 // summary is what the router is told.
-func (m *pauseMeter) summary() routing.Pauses {
-	kept := slices.Clone(m.first[:min(m.count, pausesKept)])
+func (m *gapMeter) summary() routing.Pauses {
+	kept := slices.Clone(m.firstGaps[:min(m.count, maxRecordedGaps)])
 	if len(kept) == 0 {
 		return routing.Pauses{}
 	}
 	slices.Sort(kept)
-	return routing.Pauses{Count: m.count, Usual: kept[int(usualShare*float64(len(kept)))], Longest: m.longest}
+	return routing.Pauses{Count: m.count, Usual: kept[int(typicalQuantile*float64(len(kept)))], Longest: m.maxGap}
 }
--- a/internal/node/forward/pauses_test.go
+++ b/internal/node/forward/pauses_test.go
@@ -23,12 +23,12 @@
 			routing.Pauses{Count: 7, Usual: 31 * ms, Longest: 350 * ms}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var meter pauseMeter
+			var meter gapMeter
 			now := 5 * time.Second
-			meter.note(now)
+			meter.observe(now)
 			for _, pause := range c.pauses {
 				now += pause
-				meter.note(now)
+				meter.observe(now)
 			}
 			assert.Equal(t, meter.summary(), c.want)
 		})
@@ -37,16 +37,16 @@
 
 // The longest pause counts wherever it is, the usual one comes from the first ones.
 func TestPausesOfALongStream(t *testing.T) {
-	var meter pauseMeter
+	var meter gapMeter
 	now := time.Second
-	meter.note(now)
-	for i := range 3 * pausesKept {
+	meter.observe(now)
+	for i := range 3 * maxRecordedGaps {
 		pause := 20 * time.Millisecond
-		if i == 2*pausesKept {
+		if i == 2*maxRecordedGaps {
 			pause = time.Second
 		}
 		now += pause
-		meter.note(now)
+		meter.observe(now)
 	}
-	assert.Equal(t, meter.summary(), routing.Pauses{Count: 3 * pausesKept, Usual: 20 * time.Millisecond, Longest: time.Second})
+	assert.Equal(t, meter.summary(), routing.Pauses{Count: 3 * maxRecordedGaps, Usual: 20 * time.Millisecond, Longest: time.Second})
 }
--- a/internal/node/forward/prompt.go
+++ b/internal/node/forward/prompt.go
@@ -14,7 +14,7 @@
 // promptParts reads X-Kestrelspread-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hex. What can't be read ends
 // the list, since only a whole prefix can be found in a cache.
 func promptParts(header http.Header) []routing.PromptPart {
-	text := first(header, headerPromptPrefix)
+	text := firstValue(header, headerPromptPrefix)
 	if text == "" {
 		return nil
 	}
@@ -47,7 +47,7 @@
 
 // tokenCounts reads X-Kestrelspread-Token-Count: the prompt's tokens and the most that may be generated.
 func tokenCounts(header http.Header) (tokensIn, tokensOut int) {
-	in, out, _ := strings.Cut(first(header, headerTokenCount), ",")
+	in, out, _ := strings.Cut(firstValue(header, headerTokenCount), ",")
 	return tokenCount(in), tokenCount(out)
 }
 
@@ -61,7 +61,7 @@
 
 // serverLoad reads X-Kestrelspread-Server-Load: requests running, requests waiting and slots; nil where it is not told.
 func serverLoad(header http.Header) *routing.Load {
-	text := first(header, headerServerLoad)
+	text := firstValue(header, headerServerLoad)
 	if text == "" {
 		return nil
 	}
@@ -77,8 +77,8 @@
 	return &routing.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}
 }
 
-// first gives the first value of a header whose name is in the canonical form.
-func first(header http.Header, name string) string {
+// firstValue gives the first value of a header whose name is in the canonical form.
+func firstValue(header http.Header, name string) string {
 	if values := header[name]; len(values) > 0 {
 		return values[0]
 	}
--- a/internal/node/forward/proxy.go
+++ b/internal/node/forward/proxy.go
@@ -14,15 +14,15 @@
 // Proxy serves clients' requests. It implements http.Handler; Serve runs the HTTP server that belongs to it, whose
 // connections are also checked for their framing.
 type Proxy struct {
-	options  Options
-	bounds   Bounds
-	pool     *upstream.Pool
-	match    matcher
-	server   *http.Server
-	draining atomic.Bool
-	refusing atomic.Bool
-	buffered atomic.Int64 // bytes of requests' bodies that are held
-	counters counters
+	options      Options
+	bounds       Bounds
+	pool         *upstream.Pool
+	match        matcher
+	server       *http.Server
+	draining     atomic.Bool
+	rejectingNew atomic.Bool
+	buffered     atomic.Int64 // bytes of requests' bodies that are held
+	counters     counters
 }
 
 // New returns a proxy that takes no requests yet.
@@ -46,7 +46,7 @@
 	c := &call{proxy: p, writer: w, request: r, client: clientConnOf(r.Context()), startedAt: time.Now()}
 	c.intake.received = p.options.Clock()
 	defer c.finish()
-	if c.take() {
+	if c.accept() {
 		c.run()
 	}
 }
@@ -60,9 +60,9 @@
 		return 0
 	}
 	proxies := 1
-	if p.options.Proxies != nil {
-		proxies = max(p.options.Proxies(), 1)
+	if p.options.ProxyCount != nil {
+		proxies = max(p.options.ProxyCount(), 1)
 	}
-	share := service.MaxConnections * p.bounds.SpreadConnections / proxies
+	share := service.MaxConnections * p.bounds.ConnectionShareFactor / proxies
 	return min(max(share, 1), service.MaxConnections)
 }
--- a/internal/node/forward/proxy_test.go
+++ b/internal/node/forward/proxy_test.go
@@ -11,7 +11,7 @@
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "hello") })
-	w := newWorld(t, newPort(b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance))
 	got := w.do(get("/safe/a", "r1"))
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, got.body, "hello")
@@ -24,7 +24,7 @@
 
 func TestConnectionIsReused(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "x") })
-	w := newWorld(t, newPort(b.instance, b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance, b.instance))
 	c := w.client()
 	for _, id := range []string{"r1", "r2", "r3"} {
 		c.send(post("/unsafe/a", id, "body"))
@@ -44,7 +44,7 @@
 		}
 		e.endStream()
 	})
-	w := newWorld(t, newPort(b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance))
 	c := w.client()
 	c.send(post("/stream/a", "r1", "prompt"))
 	var seen strings.Builder
@@ -67,7 +67,7 @@
 func TestRejectedRequestGoesToAnotherBroker(t *testing.T) {
 	full := newBroker(t, "i-1", func(e *exchange) { e.reject(503) })
 	free := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(full.instance, free.instance))
+	w := newWorld(t, newScriptedRouter(full.instance, free.instance))
 	got := w.do(post("/unsafe/a", "r1", "body"))
 	assert.Equal(t, got.StatusCode, 200)
 	w.port.awaitEnds(t, 1)
--- a/internal/node/forward/race_test.go
+++ b/internal/node/forward/race_test.go
@@ -13,12 +13,12 @@
 )
 
 // copying is a port whose first attempts may be copied at once.
-func copying(brokers ...*broker) *scriptedPort {
-	port := newPort()
+func copying(brokers ...*broker) *scriptedRouter {
+	port := newScriptedRouter()
 	for _, b := range brokers {
 		port.instances = append(port.instances, b.instance)
 	}
-	port.copies = true
+	port.allowHedges = true
 	port.attempt = func(attempt *routing.Attempt) {
 		if attempt.Number == 0 {
 			attempt.CopyAt = 0
@@ -68,8 +68,8 @@
 		}
 		assert.Equal(t, canceled, 1)
 		metrics := w.proxy.Metrics()
-		assert.Equal(t, metrics.Copies, uint64(1))
-		assert.Equal(t, metrics.CopiesWon, uint64(1))
+		assert.Equal(t, metrics.Hedges, uint64(1))
+		assert.Equal(t, metrics.HedgesWon, uint64(1))
 	}
 }
 
@@ -114,7 +114,7 @@
 	w := newWorld(t, copying(first, second))
 	assert.Equal(t, w.do(get("/safe/a", "r1")).body, "first")
 	<-closed
-	assert.Equal(t, w.proxy.Metrics().CopiesWon, uint64(0))
+	assert.Equal(t, w.proxy.Metrics().HedgesWon, uint64(0))
 }
 
 // TestFailureDoesNotWin while the other attempt may still succeed.
@@ -136,7 +136,7 @@
 			})
 			second := newBroker(t, "i-2", test.fail)
 			port := copying(first, second)
-			port.again = func(routing.Outcome, bool) bool {
+			port.retries = func(routing.Outcome, bool) bool {
 				close(proceed)
 				return false
 			}
@@ -193,7 +193,7 @@
 func TestRouterDeclinesACopy(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "first") })
 	port := copying(first)
-	port.copies = false
+	port.allowHedges = false
 	w := newWorld(t, port)
 	assert.Equal(t, w.do(get("/safe/a", "r1")).body, "first")
 }
--- a/internal/node/forward/receive.go
+++ b/internal/node/forward/receive.go
@@ -14,7 +14,7 @@
 // receive reads the answer until it can be handed to the client: whole where it is small, to its first event where it is a
 // stream, else its head. Where that has not come until the time given, pending is true and receive may be called again.
 func (a *attempt) receive(until time.Time) (result *attemptResult, pending bool) {
-	limit := a.call.holdUntil()
+	limit := a.call.answerDeadline()
 	if until.IsZero() || until.After(limit) {
 		until = limit
 	}
@@ -28,7 +28,7 @@
 			return a.failed(err), false
 		}
 		a.answer = answer
-		if result := a.judge(); result != nil {
+		if result := a.checkHead(); result != nil {
 			return result, false
 		}
 	}
@@ -45,31 +45,31 @@
 	return a.failed(err), false
 }
 
-// judge decides by the head whether the answer is one for the client. nil: it is.
-func (a *attempt) judge() *attemptResult {
+// checkHead decides by the head whether the answer is one for the client. nil: it is.
+func (a *attempt) checkHead() *attemptResult {
 	answer := a.answer
 	switch {
 	case answer.NotExecuted:
-		return a.turnedAway()
+		return a.rejected()
 	case answer.Header["Content-Encoding"] != nil:
-		return a.garbled("encoded body")
+		return a.invalidAnswer("encoded body")
 	case answer.Status < http.StatusMultipleChoices && len(answer.Header[headerSeal]) != 1:
-		return a.garbled("success without a seal")
-	case a.after.set && (answer.Status != http.StatusOK || !isEventStream(answer)):
+		return a.invalidAnswer("success without a seal")
+	case a.resumeAfter.set && (answer.Status != http.StatusOK || !isEventStream(answer)):
 		return a.notResumed()
 	}
-	if promises(answer.Status) {
-		return a.garbled("a promise that nothing vouches for")
+	if promisesNotRun(answer.Status) {
+		return a.invalidAnswer("a promise that nothing vouches for")
 	}
 	if answer.Status == http.StatusOK && isEventStream(answer) {
-		a.events = newEventReader(answer, a.after)
+		a.events = newEventReader(answer, a.resumeAfter)
 	}
 	return nil
 }
 
-// promises reports whether a status says that the request never ran (PROTOCOL.md, "Answers"). Only an answer with
+// promisesNotRun reports whether a status says that the request never ran (PROTOCOL.md, "Answers"). Only an answer with
 // X-Kestrelspread-Not-Executed tells so in truth; what a broker answers without it is not passed on under such a status.
-func promises(status int) bool {
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusServiceUnavailable:
@@ -80,35 +80,35 @@
 }
 
 func isEventStream(answer *upstream.Answer) bool {
-	mediaType, _, _ := strings.Cut(first(answer.Header, "Content-Type"), ";")
+	mediaType, _, _ := strings.Cut(firstValue(answer.Header, "Content-Type"), ";")
 	return strings.EqualFold(strings.TrimSpace(mediaType), "text/event-stream")
 }
 
-// started tells the router that there is an answer for the client. Of an answer that is read whole it is told only then: until
+// reportStarted tells the router that there is an answer for the client. Of an answer that is read whole it is told only then: until
 // its end has come, another attempt can take its place.
-func (a *attempt) started() {
+func (a *attempt) reportStarted() {
 	c := a.call
-	c.proxy.options.Port.Started(c.now(), c.id, a.planned.Number, serverLoad(a.answer.Header))
+	c.proxy.options.Router.Started(c.now(), c.routingID, a.planned.Number, serverLoad(a.answer.Header))
 }
 
 // receiveBody reads a small body whole; of a large one it leaves all but the head to the delivery.
 func (a *attempt) receiveBody() *attemptResult {
 	result := &attemptResult{attempt: a, answer: a.answer, outcome: a.outcome(verdict.Ran)}
-	most := int64(a.call.proxy.bounds.MaxWholeAnswerBytes)
-	if a.answer.Length > most {
-		a.started()
+	maxBytes := int64(a.call.proxy.bounds.MaxBufferedAnswerBytes)
+	if a.answer.Length > maxBytes {
+		a.reportStarted()
 		return result
 	}
 	body := takeBuffer()
-	err := body.readAll(a.answer, a.answer.Length, most)
+	err := body.readAll(a.answer, a.answer.Length, maxBytes)
 	switch {
 	case err == nil:
-		a.started()
+		a.reportStarted()
 		result.body = body
-		a.giveBack()
+		a.releaseConn()
 		return result
 	case err == errTooLarge:
-		a.started()
+		a.reportStarted()
 		result.prefix = body
 		return result
 	default:
@@ -127,6 +127,6 @@
 			return a.failed(err), false
 		}
 	}
-	a.started()
+	a.reportStarted()
 	return &attemptResult{attempt: a, answer: a.answer, events: a.events, outcome: a.outcome(verdict.Ran)}, false
 }
--- a/internal/node/forward/reply.go
+++ b/internal/node/forward/reply.go
@@ -8,12 +8,12 @@
 	"kestrelspread/internal/node/forward/upstream"
 )
 
-// passOnHead sets the headers of a broker's answer on the client's.
-func (c *call) passOnHead(answer *upstream.Answer) http.Header {
+// forwardHead sets the headers of a broker's answer on the client's.
+func (c *call) forwardHead(answer *upstream.Answer) http.Header {
 	header := c.newHeader()
-	named := namedByConnection(answer.Header)
+	named := connectionHeaders(answer.Header)
 	for name, values := range answer.Header {
-		if perConnection(name) || internalToFleet(name) || contains(named, name) || name == "Content-Length" {
+		if isHopByHop(name) || isFleetInternal(name) || contains(named, name) || name == "Content-Length" {
 			continue
 		}
 		header[name] = values
@@ -53,47 +53,47 @@
 		c.proxy.counters.badFraming.Add(1)
 	}
 	header := c.newHeader()
-	if why.hangUp {
+	if why.closeConnection {
 		header["Connection"] = []string{"close"}
 	}
-	c.answerOurselves(header, why.status)
+	c.writeOwnAnswer(header, why.status)
 	return false
 }
 
-// refuse answers that the request has not run and never will, and when to come again. It returns false.
-func (c *call) refuse(retryAfter time.Duration) bool {
-	c.proxy.counters.refused.Add(1)
+// reject answers that the request has not run and never will, and when to come again. It returns false.
+func (c *call) reject(retryAfter time.Duration) bool {
+	c.proxy.counters.rejected.Add(1)
 	header := c.newHeader()
 	header[headerRetryAfter] = []string{formatSeconds(retryAfter)}
-	c.answerOurselves(header, http.StatusServiceUnavailable)
+	c.writeOwnAnswer(header, http.StatusServiceUnavailable)
 	return false
 }
 
 // fail answers without a promise: the request may have run.
 func (c *call) fail(status int) {
 	c.proxy.counters.failed.Add(1)
-	c.answerOurselves(c.newHeader(), status)
+	c.writeOwnAnswer(c.newHeader(), status)
 }
 
-// ownAnswerTime is how long an answer of our own may take to be written: also one that is given at the deadline must come out.
-const ownAnswerTime = time.Second
+// ownAnswerTimeout is how long an answer of our own may take to be written: also one that is given at the deadline must come out.
+const ownAnswerTimeout = time.Second
 
-func (c *call) answerOurselves(header http.Header, status int) {
+func (c *call) writeOwnAnswer(header http.Header, status int) {
 	if c.intake.id != "" {
 		header[headerRequestID] = []string{c.intake.id}
 	}
 	header["Content-Length"] = []string{"0"}
-	if c.bodyOutstanding() {
+	if c.bodyUnread() {
 		// Else net/http would wait for the rest of the body before it answers.
 		header["Connection"] = []string{"close"}
 	}
-	c.limitWrites(time.Now().Add(ownAnswerTime))
+	c.setWriteDeadline(time.Now().Add(ownAnswerTimeout))
 	c.writer.WriteHeader(status)
 }
 
-// bodyOutstanding reports whether the body has not come, and was not read.
-func (c *call) bodyOutstanding() bool {
-	return c.body == nil && c.client != nil && !c.client.received
+// bodyUnread reports whether the body has not come, and was not read.
+func (c *call) bodyUnread() bool {
+	return c.body == nil && c.client != nil && !c.client.requestComplete
 }
 
 // abort breaks the client's connection off, so that an answer that has begun never looks complete.
--- a/internal/node/forward/request_test.go
+++ b/internal/node/forward/request_test.go
@@ -35,7 +35,7 @@
 	} {
 		t.Run(line, func(t *testing.T) {
 			b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-			w := newWorld(t, newPort(b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance))
 			method, path, _ := strings.Cut(line, " ")
 			got := w.do(requestText(method, path, "r1", ""))
 			assert.Equal(t, got.StatusCode, 200)
@@ -60,7 +60,7 @@
 		} {
 			t.Run(fmt.Sprintf("%d bytes, %s", size, request.name), func(t *testing.T) {
 				b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-				w := newWorld(t, newPort(b.instance))
+				w := newWorld(t, newScriptedRouter(b.instance))
 				assert.Equal(t, w.do(request.text).StatusCode, 200)
 				arrived := b.next()
 				assert.Assert(t, arrived.body == body, "%d bytes arrived", len(arrived.body))
@@ -87,7 +87,7 @@
 // TestHeadersAtTheBroker: what the client sent is passed on, except for what concerns one connection and what is ours.
 func TestHeadersAtTheBroker(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	port := newPort(b.instance)
+	port := newScriptedRouter(b.instance)
 	port.attempt = func(attempt *routing.Attempt) {
 		attempt.ExpectVersion = 3
 		attempt.Salt = "salt"
@@ -150,7 +150,7 @@
 // TestNothingIsAdded: a plain request gets no headers that nobody asked for.
 func TestNothingIsAdded(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance))
 	w.do(get("/safe/a", "r1", "X-Kestrelspread-Tenant-Id: intruder", "Authorization: Bearer unasked"))
 	lines := strings.Split(b.next().raw, "\r\n")[1:]
 	sort.Strings(lines)
@@ -179,7 +179,7 @@
 			"Keep-Alive: timeout=9\r\nConnection: X-Hop\r\nX-Hop: hidden\r\nProxy-Authenticate: x\r\n" +
 			"X-Twice: one\r\nX-Twice: two\r\nSet-Cookie: a=b\r\nContent-Length: 2\r\n\r\nok")
 	})
-	w := newWorld(t, newPort(b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance))
 	got := w.do(get("/safe/a", "r1"))
 	assert.DeepEqual(t, got.Header, http.Header{
 		headerRequestID:  {"r1"},
@@ -211,7 +211,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBroker(t, "i-1", func(e *exchange) { e.write(test.answer) })
-			w := newWorld(t, newPort(b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance))
 			got := w.do(requestText(test.method, "/safe/a", "r1", ""))
 			assert.NilError(t, got.bodyErr)
 			assert.Equal(t, got.StatusCode, test.status)
@@ -238,7 +238,7 @@
 				e.write("HTTP/1.1 200 OK\r\n" + sealedHead + test.answer)
 				e.close()
 			})
-			w := newWorld(t, newPort(b.instance, b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 			got := w.do(get("/safe/a", "r1"))
 			assert.Assert(t, got.bodyErr != nil)
 			w.port.awaitEnds(t, 1)
@@ -274,7 +274,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-			w := newWorld(t, newPort(b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance))
 			c := w.client()
 			go c.socket.Write([]byte(test.text))
 			method, _, _ := strings.Cut(test.text, " ")
@@ -290,7 +290,7 @@
 // TestLimitsAreNotStricterThanConfigured: what is just inside is taken.
 func TestLimitsAreNotStricterThanConfigured(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(b.instance, b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance, b.instance))
 	head := get("/safe/a", "r1")
 	filler := w.config.compiled.Limits.MaxHeaderBytes - len(head) - len("X-Long: \r\n")
 	assert.Equal(t, w.do(get("/safe/a", "r1", "X-Long: "+strings.Repeat("a", filler))).StatusCode, 200)
@@ -320,7 +320,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-			w := newWorld(t, newPort(b.instance), func(w *world, _ *Options) {
+			w := newWorld(t, newScriptedRouter(b.instance), func(w *world, _ *Options) {
 				public := route("public", "/public/", config.KindSafe)
 				public.Public = true
 				w.config.routes = append(w.config.routes, public)
@@ -344,7 +344,7 @@
 func TestWhatTheRouterIsTold(t *testing.T) {
 	urgent := 0
 	tenant := &config.Tenant{Name: "acme", Priority: &urgent}
-	w := newWorld(t, newPort(), func(w *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(), func(w *world, options *Options) {
 		w.config.compiled.TenantsInUse = true
 		w.config.compiled.Tenants = map[string]*config.Tenant{"key": tenant}
 		options.Clock = func() core.Time { return time.Minute }
@@ -450,8 +450,8 @@
 	reads := make(chan struct{}, 100)
 	current := first
 	changed := make(chan struct{})
-	w := newWorld(t, newPort(b.instance), func(w *world, options *Options) {
-		options.Config = func() *config.Compiled {
+	w := newWorld(t, newScriptedRouter(b.instance), func(w *world, options *Options) {
+		options.Configuration = func() *config.Compiled {
 			reads <- struct{}{}
 			select {
 			case <-changed:
@@ -484,7 +484,7 @@
 // TestExpectContinue: the body is asked for, and the broker gets no Expect.
 func TestExpectContinue(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance))
 	c := w.client()
 	c.send("POST /unsafe/a HTTP/1.1\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	line, err := c.reader.ReadString('\n')
@@ -507,7 +507,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-			w := newWorld(t, newPort(b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance))
 			c := w.client()
 			c.send(test.text[:len(test.text)-3])
 			assert.NilError(t, c.socket.CloseWrite())
@@ -522,7 +522,7 @@
 // TestUnready: without a configuration or with one that is too old, requests are refused with a promise.
 func TestUnready(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(b.instance, b.instance), func(w *world, _ *Options) { w.mayRun.Store(false) })
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance), func(w *world, _ *Options) { w.mayRun.Store(false) })
 	for _, path := range []string{"/unsafe/a", "/none/a"} {
 		got := w.do(post(path, "r1", "body"))
 		assert.Equal(t, got.StatusCode, 503, path)
@@ -533,8 +533,8 @@
 
 // TestNoConfiguration at all.
 func TestNoConfiguration(t *testing.T) {
-	w := newWorld(t, newPort(), func(_ *world, options *Options) {
-		options.Config = func() *config.Compiled { return nil }
+	w := newWorld(t, newScriptedRouter(), func(_ *world, options *Options) {
+		options.Configuration = func() *config.Compiled { return nil }
 	})
 	assert.Equal(t, w.do(get("/safe/a", "r1")).StatusCode, 503)
 }
@@ -542,7 +542,7 @@
 // TestPermissionIsAskedAgainWhenSending: it may end between the receipt and the sending (RULES.md, CONFIG).
 func TestPermissionIsAskedAgainWhenSending(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	port := newPort(b.instance)
+	port := newScriptedRouter(b.instance)
 	w := newWorld(t, port)
 	port.attempt = func(*routing.Attempt) { w.mayRun.Store(false) }
 	got := w.do(post("/unsafe/a", "r1", "body"))
--- a/internal/node/forward/result.go
+++ b/internal/node/forward/result.go
@@ -22,14 +22,14 @@
 	events *eventReader
 	// prefix is what was read of an answer that turned out to be large.
 	prefix *buffer
-	// concluded: the router has been told of the end of the attempt.
-	concluded bool
-	// noted: its verdict has been taken into account.
-	noted bool
+	// reported: the router has been told of the end of the attempt.
+	reported bool
+	// verdictRecorded: its verdict has been taken into account.
+	verdictRecorded bool
 }
 
-// whole reports whether the answer is here in full.
-func (r *attemptResult) whole() bool { return r.body != nil }
+// isComplete reports whether the answer is here in full.
+func (r *attemptResult) isComplete() bool { return r.body != nil }
 
 // brokerFailed reports whether the broker answered that it failed.
 func (r *attemptResult) brokerFailed() bool {
@@ -46,55 +46,55 @@
 	}
 }
 
-// turnedAway ends an attempt that the broker did not run.
-func (a *attempt) turnedAway() *attemptResult {
+// rejected ends an attempt that the broker did not run.
+func (a *attempt) rejected() *attemptResult {
 	outcome := a.outcome(verdict.NotRun)
 	outcome.Misdirected = a.answer.Status == http.StatusMisdirectedRequest
 	outcome.NotExecuted = len(a.answer.Header[headerNotExecuted]) > 0
-	outcome.RetryAfter = parseSeconds(first(a.answer.Header, headerRetryAfter))
-	a.skipBody()
+	outcome.RetryAfter = parseSeconds(firstValue(a.answer.Header, headerRetryAfter))
+	a.discardBody()
 	return &attemptResult{attempt: a, outcome: outcome}
 }
 
-// maxIgnoredBytes bounds the body of an answer that is read only to keep its connection.
-const maxIgnoredBytes = 4 << 10
+// maxDiscardedBytes bounds the body of an answer that is read only to keep its connection.
+const maxDiscardedBytes = 4 << 10
 
-// skipBody reads over a body that nobody wants.
-func (a *attempt) skipBody() {
+// discardBody reads over a body that nobody wants.
+func (a *attempt) discardBody() {
 	body := takeBuffer()
 	defer body.release()
-	if a.answer.Length > maxIgnoredBytes || body.readAll(a.answer, a.answer.Length, maxIgnoredBytes) != nil {
-		a.drop()
+	if a.answer.Length > maxDiscardedBytes || body.readAll(a.answer, a.answer.Length, maxDiscardedBytes) != nil {
+		a.closeConn()
 		return
 	}
-	a.giveBack()
+	a.releaseConn()
 }
 
-// garbled ends an attempt whose answer is none of the broker's.
-func (a *attempt) garbled(why string) *attemptResult {
-	return a.failed(upstream.Garbled.New("%s", why))
+// invalidAnswer ends an attempt whose answer is none of the broker's.
+func (a *attempt) invalidAnswer(why string) *attemptResult {
+	return a.failed(upstream.InvalidAnswer.New("%s", why))
 }
 
 // notResumed ends an attempt to go on with a stream that the broker did not go on with.
 func (a *attempt) notResumed() *attemptResult {
 	outcome := a.outcome(verdict.Ran)
-	a.skipBody()
+	a.discardBody()
 	return &attemptResult{attempt: a, outcome: outcome}
 }
 
-// withheld ends an attempt that was not sent.
-func (a *attempt) withheld() *attemptResult {
+// notSent ends an attempt that was not sent.
+func (a *attempt) notSent() *attemptResult {
 	return &attemptResult{attempt: a, outcome: routing.Outcome{Verdict: verdict.NotRun, Canceled: true}}
 }
 
 // failed ends an attempt by an error of the exchange.
 func (a *attempt) failed(err error) *attemptResult {
-	a.drop()
+	a.closeConn()
 	if a.events != nil {
 		a.events.release()
 	}
-	if errorx.IsOfType(err, upstream.Garbled) {
-		a.call.proxy.counters.garbled.Add(1)
+	if errorx.IsOfType(err, upstream.InvalidAnswer) {
+		a.call.proxy.counters.invalidAnswers.Add(1)
 	}
 	return &attemptResult{attempt: a, outcome: a.failedOutcome(err), err: err}
 }
@@ -102,7 +102,7 @@
 func (a *attempt) failedOutcome(err error) routing.Outcome {
 	outcome := a.outcome(upstream.VerdictOf(err))
 	outcome.TimedOut = errorx.IsOfType(err, upstream.TimedOut)
-	if a.calledOff(err) {
+	if a.endedFromHere(err) {
 		outcome.Canceled = true
 		return outcome
 	}
@@ -112,17 +112,17 @@
 	return outcome
 }
 
-// calledOff reports whether an attempt failed because the client left, another attempt won, or the time for connecting was cut
+// endedFromHere reports whether an attempt failed because the client left, another attempt won, or the time for connecting was cut
 // short by the request's deadline. None of them says anything of the broker.
-func (a *attempt) calledOff(err error) bool {
+func (a *attempt) endedFromHere(err error) bool {
 	if a.wasCanceled() || a.context.Err() != nil {
 		return true
 	}
 	return errorx.IsOfType(err, upstream.ConnectFailed) && a.call.now() >= a.call.intake.deadline
 }
 
-// cutOutcome describes an attempt whose stream ended midway.
-func (a *attempt) cutOutcome(err error, clientGone bool) routing.Outcome {
+// brokenStreamOutcome describes an attempt whose stream ended midway.
+func (a *attempt) brokenStreamOutcome(err error, clientGone bool) routing.Outcome {
 	outcome := a.outcome(verdict.Ran)
 	outcome.TimedOut = errorx.IsOfType(err, upstream.TimedOut)
 	outcome.Canceled = clientGone
--- a/internal/node/forward/retries.go
+++ b/internal/node/forward/retries.go
@@ -7,19 +7,19 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// obtain makes the attempts that the router asks for until one has an answer for the client; nil: none will, and the
+// obtainAnswer makes the attempts that the router asks for until one has an answer for the client; nil: none will, and the
 // decision is the router's last. after is the last event that the client has of a stream that is taken up again.
-func (c *call) obtain(decision routing.Decision, after eventID) (*attemptResult, routing.Decision) {
+func (c *call) obtainAnswer(decision routing.Decision, resumeAfter eventID) (*attemptResult, routing.Decision) {
 	for decision.Attempt != nil {
-		result := c.try(decision.Attempt, after)
-		if c.final(result) {
+		result := c.tryBroker(decision.Attempt, resumeAfter)
+		if c.isFinal(result) {
 			return result, routing.Decision{}
 		}
-		decision = c.conclude(result, after.set)
+		decision = c.reportResult(result, resumeAfter.set)
 		if result.answer != nil {
 			c.keepFallback(result)
 		}
-		if !c.mayTryAgain() {
+		if !c.mayRetry() {
 			return nil, routing.Decision{Refusal: decision.Refusal}
 		}
 		if decision.Attempt != nil {
@@ -29,29 +29,29 @@
 	return nil, decision
 }
 
-// final reports whether the result goes to the client without asking for another attempt. A broker's failure on an
+// isFinal reports whether the result goes to the client without asking for another attempt. A broker's failure on an
 // idempotent route is kept until the router has decided.
-func (c *call) final(result *attemptResult) bool {
-	return result.answer != nil && !(result.brokerFailed() && result.whole() && c.intake.route.Idempotent())
+func (c *call) isFinal(result *attemptResult) bool {
+	return result.answer != nil && !(result.brokerFailed() && result.isComplete() && c.intake.route.Idempotent())
 }
 
-// mayTryAgain guards what the router decides (RULES.md, TWICE): what may have run goes out again only where it may run
+// mayRetry guards what the router decides (RULES.md, TWICE): what may have run goes out again only where it may run
 // more than once, and nothing is sent for a client that has left or whose time is over.
-func (c *call) mayTryAgain() bool {
-	if c.sent && !c.intake.route.Idempotent() {
+func (c *call) mayRetry() bool {
+	if c.mayHaveRun && !c.intake.route.Idempotent() {
 		return false
 	}
-	return !c.clientHasLeft() && c.now() < c.intake.deadline
+	return !c.clientGone() && c.now() < c.intake.deadline
 }
 
-// keepOrDrop keeps a failure that a broker answered, if it is here in full.
-func (c *call) keepOrDrop(result *attemptResult) {
+// keepOrDiscard keeps a failure that a broker answered, if it is here in full.
+func (c *call) keepOrDiscard(result *attemptResult) {
 	switch {
 	case result.answer == nil:
-	case result.whole():
+	case result.isComplete():
 		c.keepFallback(result)
 	default:
-		result.attempt.drop()
+		result.attempt.closeConn()
 		result.release()
 	}
 }
@@ -63,18 +63,18 @@
 	c.fallback = result
 }
 
-// conclude tells the router how an attempt ended, and gives what it decides. resumes: the client has the start of a stream.
-func (c *call) conclude(result *attemptResult, resumes bool) routing.Decision {
-	if !result.noted {
-		result.noted = true
-		c.noteVerdict(result.outcome.Verdict)
+// reportResult tells the router how an attempt ended, and gives what it decides. resumes: the client has the start of a stream.
+func (c *call) reportResult(result *attemptResult, resumes bool) routing.Decision {
+	if !result.verdictRecorded {
+		result.verdictRecorded = true
+		c.recordVerdict(result.outcome.Verdict)
 	}
-	if result.concluded {
+	if result.reported {
 		return routing.Decision{}
 	}
-	result.concluded = true
+	result.reported = true
 	c.logFailure(result)
-	return c.proxy.options.Port.Finished(c.now(), c.id, result.attempt.planned.Number, result.outcome, resumes)
+	return c.proxy.options.Router.Finished(c.now(), c.routingID, result.attempt.planned.Number, result.outcome, resumes)
 }
 
 // logFailure notes an attempt that failed, for whoever looks into one request.
@@ -90,35 +90,35 @@
 		slog.Any("error", result.err))
 }
 
-// concludeAnswered tells the router that an answer was whole and goes to the client.
-func (c *call) concludeAnswered(result *attemptResult) {
+// reportAnswered tells the router that an answer was whole and goes to the client.
+func (c *call) reportAnswered(result *attemptResult) {
 	result.outcome.Answered = true
-	c.conclude(result, false)
+	c.reportResult(result, false)
 	c.proxy.counters.answered.Add(1)
 }
 
-// try makes one attempt, and a copy of it where it is late and the router wants one.
-func (c *call) try(planned *routing.Attempt, after eventID) *attemptResult {
-	a := c.launch(planned, after)
+// tryBroker makes one attempt, and a copy of it where it is late and the router wants one.
+func (c *call) tryBroker(planned *routing.Attempt, resumeAfter eventID) *attemptResult {
+	a := c.newAttempt(planned, resumeAfter)
 	if failed := a.send(); failed != nil {
 		return failed
 	}
-	if planned.CopyAt == core.Never || after.set || !c.intake.route.Idempotent() {
+	if planned.CopyAt == core.Never || resumeAfter.set || !c.intake.route.Idempotent() {
 		return a.receiveAll()
 	}
-	result, pending := a.receive(c.wall(planned.CopyAt))
+	result, pending := a.receive(c.wallTime(planned.CopyAt))
 	if !pending {
 		return result
 	}
-	decision := c.proxy.options.Port.Copy(c.now(), c.id)
+	decision := c.proxy.options.Router.Copy(c.now(), c.routingID)
 	if decision.Attempt == nil {
 		return a.receiveAll()
 	}
-	return c.race(a, decision.Attempt)
+	return c.raceHedge(a, decision.Attempt)
 }
 
 // receiveAll waits for the answer as long as the request lasts.
 func (a *attempt) receiveAll() *attemptResult {
-	result, _ := a.receive(a.call.holdUntil())
+	result, _ := a.receive(a.call.answerDeadline())
 	return result
 }
--- a/internal/node/forward/reuse_test.go
+++ b/internal/node/forward/reuse_test.go
@@ -32,7 +32,7 @@
 					}
 					e.answer(200, "ok")
 				})
-				port := newPort(b.instance, b.instance)
+				port := newScriptedRouter(b.instance, b.instance)
 				w := newWorld(t, port)
 				assert.Equal(t, w.do(get("/safe/a", "r1")).StatusCode, 200)
 				assert.Equal(t, w.do(request.text).StatusCode, 502)
@@ -54,7 +54,7 @@
 			close(closed)
 		}
 	})
-	w := newWorld(t, newPort(b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 	assert.Equal(t, w.do(get("/safe/a", "r1")).StatusCode, 200)
 	<-closed
 	assert.Equal(t, w.do(post("/unsafe/a", "r2", "body")).StatusCode, 200)
@@ -76,7 +76,7 @@
 				}
 				e.write("HTTP/1.1 200 OK\r\n" + sealedHead + "Content-Length: 4\r\n\r\ngood" + extra.text)
 			})
-			w := newWorld(t, newPort(b.instance, b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 			assert.Equal(t, w.do(get("/safe/a", "r1")).body, "good")
 			assert.Equal(t, w.do(post("/unsafe/a", "r2", "body")).body, "good")
 			assert.Equal(t, int(b.conns.Load()), 2)
@@ -93,7 +93,7 @@
 		}
 		e.answer(200, "good")
 	})
-	w := newWorld(t, newPort(b.instance, b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance, b.instance))
 	assert.Equal(t, w.do(get("/safe/a", "r1")).body, "good")
 	got := w.do(post("/unsafe/a", "r2", "body"))
 	assert.Equal(t, got.body, "good")
@@ -111,7 +111,7 @@
 		}
 		e.answer(200, "good")
 	})
-	w := newWorld(t, newPort(b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 	assert.Equal(t, w.do(get("/safe/a", "r1")).StatusCode, 200)
 	assert.Equal(t, w.do(post("/unsafe/a", "r2", "body")).StatusCode, 502)
 }
@@ -132,7 +132,7 @@
 			b := newBroker(t, "i-1", func(e *exchange) {
 				e.write("HTTP/1.1 200 OK\r\n" + sealedHead + test.headers + "Content-Length: 2\r\n\r\nok")
 			})
-			w := newWorld(t, newPort(b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance))
 			got := w.do(get("/safe/a", "r1"))
 			assert.Equal(t, got.body, "ok")
 			assert.Equal(t, got.Header.Get("Keep-Alive"), "")
@@ -152,7 +152,7 @@
 		}
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 	assert.Equal(t, w.do(post("/unsafe/a", "r1", "body")).StatusCode, 200)
 	assert.Equal(t, int(b.conns.Load()), 1)
 }
@@ -164,10 +164,10 @@
 		<-release
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(b.instance, b.instance), func(w *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance), func(w *world, options *Options) {
 		w.config.compiled.Services["service"].MaxConnections = 10
-		options.Proxies = func() int { return 10 }
-		options.Bounds.SpreadConnections = 1
+		options.ProxyCount = func() int { return 10 }
+		options.Bounds.ConnectionShareFactor = 1
 	})
 	waiting := w.client()
 	waiting.send(post("/unsafe/a", "r1", "body"))
--- a/internal/node/forward/router_test.go
+++ b/internal/node/forward/router_test.go
@@ -32,7 +32,7 @@
 		router.SetConfig(now, w.config.compiled)
 		router.SetPeers(now, 1)
 		router.SetTable(now, table)
-		options.Port = router
+		options.Router = router
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			script := failingOnce(test.fail, test.answer)
 			first, second := newBroker(t, "i-1", script), newBroker(t, "i-2", script)
-			w := newWorld(t, newPort(), withRouter(first, second))
+			w := newWorld(t, newScriptedRouter(), withRouter(first, second))
 			got := w.do(test.request)
 			assert.NilError(t, got.bodyErr)
 			assert.Equal(t, got.StatusCode, test.status)
@@ -95,7 +95,7 @@
 
 // TestRouterWithoutBrokers: the client is told when to come again.
 func TestRouterWithoutBrokers(t *testing.T) {
-	w := newWorld(t, newPort(), withRouter())
+	w := newWorld(t, newScriptedRouter(), withRouter())
 	got := w.do(post("/unsafe/a", "r1", "body"))
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Assert(t, got.Header.Get(headerRetryAfter) != "")
--- a/internal/node/forward/server.go
+++ b/internal/node/forward/server.go
@@ -59,7 +59,7 @@
 // operator's API": clients take up connections that have rested for up to four fifths of idleTimeoutMs).
 func (p *Proxy) clientTimeouts() clientTimeouts {
 	times := clientTimeouts{idle: p.bounds.IdleTimeout, header: p.bounds.HeaderTimeout}
-	compiled := p.options.Config()
+	compiled := p.options.Configuration()
 	if compiled == nil {
 		return times
 	}
@@ -83,11 +83,11 @@
 	p.options.Startup.End()
 }
 
-// RefuseNew turns away requests that come from now on, with a promise that they have not run: too little time is left for them.
+// RejectNew turns away requests that come from now on, with a promise that they have not run: too little time is left for them.
 // Those under way go on.
-func (p *Proxy) RefuseNew() {
+func (p *Proxy) RejectNew() {
 	p.Drain()
-	p.refusing.Store(true)
+	p.rejectingNew.Store(true)
 }
 
 // Shutdown stops taking connections, closes those at rest and waits for the requests under way, while the context lasts.
@@ -104,4 +104,4 @@
 }
 
 // configuration gives the configuration in force; nil: none.
-func (p *Proxy) configuration() *config.Compiled { return p.options.Config() }
+func (p *Proxy) configuration() *config.Compiled { return p.options.Configuration() }
--- a/internal/node/forward/smuggling_test.go
+++ b/internal/node/forward/smuggling_test.go
@@ -72,7 +72,7 @@
 	for _, test := range malformed {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-			w := newWorld(t, newPort(b.instance, b.instance))
+			w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 			c := w.client()
 			c.send(test.text)
 			got := c.read("POST")
@@ -89,7 +89,7 @@
 // TestPipelinedRequests are answered in order, each with its own answer.
 func TestPipelinedRequests(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, e.body+" of "+e.id()) })
-	w := newWorld(t, newPort(b.instance, b.instance, b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance, b.instance, b.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "first") + chunked("/unsafe/a", "r2", "second", 2) + get("/safe/a", "r3") +
 		post("/unsafe/a", "r4", "fourth"))
@@ -102,7 +102,7 @@
 // TestGoodRequestBeforeAMalformedOne: the answers keep their order, and the first is not touched by what follows.
 func TestGoodRequestBeforeAMalformedOne(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "of "+e.id()) })
-	w := newWorld(t, newPort(b.instance, b.instance))
+	w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r0", "first") + head("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + smuggled)
 	assert.Equal(t, c.read("POST").body, "of r0")
@@ -133,7 +133,7 @@
 			assert.Assert(t, taken > 0)
 			assert.Assert(t, !scanner.current.malformed)
 			at += taken
-			if scanner.between() {
+			if scanner.betweenRequests() {
 				ends = append(ends, at)
 			}
 		}
--- a/internal/node/forward/startup.go
+++ b/internal/node/forward/startup.go
@@ -20,7 +20,7 @@
 // Startup lets requests that come to a process that has just begun wait for what it still lacks: mostly that comes sooner than
 // a client that was refused. nil stands for a start that is over.
 type Startup struct {
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	known   Knowledge
 	over    bool
 	changed chan struct{} // closed at the next change
@@ -29,16 +29,16 @@
 // NewStartup returns the start of a process that knows nothing yet.
 func NewStartup() *Startup { return &Startup{changed: make(chan struct{})} }
 
-// Note takes what is known by now. The start is over once that is all.
-func (s *Startup) Note(known Knowledge) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// Update takes what is known by now. The start is over once that is all.
+func (s *Startup) Update(known Knowledge) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if s.over || known == s.known {
 		return
 	}
 	s.known = known
 	s.over = known.Complete()
-	s.announce()
+	s.notifyWaiters()
 }
 
 // End ends the start whatever is still lacking: requests wait no longer.
@@ -46,16 +46,16 @@
 	if s == nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if !s.over {
 		s.over = true
-		s.announce()
+		s.notifyWaiters()
 	}
 }
 
-// announce wakes those who wait. The mutex is held.
-func (s *Startup) announce() {
+// notifyWaiters wakes those who wait. The mutex is held.
+func (s *Startup) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -65,8 +65,8 @@
 	if s == nil {
 		return false, nil
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return !s.over && !enough(s.known), s.changed
 }
 
@@ -84,7 +84,7 @@
 	if !lacking {
 		return false
 	}
-	timer := time.NewTimer(c.startupEnd() - c.now())
+	timer := time.NewTimer(c.startupDeadline() - c.now())
 	defer timer.Stop()
 	for lacking {
 		select {
@@ -99,21 +99,21 @@
 	return true
 }
 
-// startupShare: a request waits for the start to end for at most one in startupShare of the time that its client will wait, so that
+// startupWaitDivisor: a request waits for the start to end for at most one in startupShare of the time that its client will wait, so that
 // time is left to serve it, or for its client to come again.
-const startupShare = 3
+const startupWaitDivisor = 3
 
-// startupEnd is until when the request may wait for the start to end.
-func (c *call) startupEnd() core.Time {
+// startupDeadline is until when the request may wait for the start to end.
+func (c *call) startupDeadline() core.Time {
 	wait := c.proxy.bounds.StartupWait
-	if allowed, ok := clientWait(c.request.Header); ok {
-		wait = min(wait, allowed/startupShare)
+	if allowed, ok := clientTimeout(c.request.Header); ok {
+		wait = min(wait, allowed/startupWaitDivisor)
 	}
 	return c.intake.received + wait
 }
 
-// comeAgain is when a client whose request could not be taken should come again.
-func (p *Proxy) comeAgain() time.Duration {
+// unreadyRetryAfter is when a client whose request could not be taken should come again.
+func (p *Proxy) unreadyRetryAfter() time.Duration {
 	if lacking, _ := p.options.Startup.lacks(knowsAll); lacking {
 		return p.bounds.StartupRetryAfter
 	}
--- a/internal/node/forward/startup_test.go
+++ b/internal/node/forward/startup_test.go
@@ -17,7 +17,7 @@
 	return func(w *world, options *Options) {
 		options.Startup = startup
 		options.Bounds = bounds
-		options.Config = func() *config.Compiled {
+		options.Configuration = func() *config.Compiled {
 			if lacking, _ := startup.lacks(knowsConfiguration); lacking {
 				return nil
 			}
@@ -50,13 +50,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 			startup := NewStartup()
-			w := newWorld(t, newPort(only.instance), starting(startup, Bounds{StartupWait: patience}))
+			w := newWorld(t, newScriptedRouter(only.instance), starting(startup, Bounds{StartupWait: testTimeout}))
 			c := w.client()
 			c.send(post("/unsafe/a", "r1", "body"))
 			<-w.contexts
 			for _, known := range test.steps {
 				assert.Equal(t, only.arrived(), 0)
-				startup.Note(known)
+				startup.Update(known)
 			}
 			assert.Equal(t, c.read("POST").body, "ok")
 		})
@@ -70,14 +70,14 @@
 		end  func(*world, *Startup)
 	}{
 		{"ended", func(_ *world, s *Startup) { s.End() }},
-		{"all known", func(_ *world, s *Startup) { s.Note(everything) }},
+		{"all known", func(_ *world, s *Startup) { s.Update(everything) }},
 		{"stopping", func(w *world, _ *Startup) { w.proxy.Drain() }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 			startup := NewStartup()
-			w := newWorld(t, newPort(only.instance), starting(startup, Bounds{StartupWait: patience}),
-				func(_ *world, options *Options) { options.Config = func() *config.Compiled { return nil } })
+			w := newWorld(t, newScriptedRouter(only.instance), starting(startup, Bounds{StartupWait: testTimeout}),
+				func(_ *world, options *Options) { options.Configuration = func() *config.Compiled { return nil } })
 			test.end(w, startup)
 			got := w.do(post("/unsafe/a", "r1", "body"))
 			assert.Equal(t, got.StatusCode, 503)
@@ -95,13 +95,13 @@
 		headers []string
 	}{
 		{"by a fixed time", Bounds{StartupWait: time.Millisecond}, nil},
-		{"by the client's deadline", Bounds{StartupWait: patience}, []string{headerDeadline + ": 9"}},
+		{"by the client's deadline", Bounds{StartupWait: testTimeout}, []string{headerDeadline + ": 9"}},
 	} {
 		for _, known := range []Knowledge{{}, configurationHeld, brokersUnknown} {
 			t.Run(test.name, func(t *testing.T) {
 				startup := NewStartup()
-				startup.Note(known)
-				w := newWorld(t, newPort(), starting(startup, test.bounds))
+				startup.Update(known)
+				w := newWorld(t, newScriptedRouter(), starting(startup, test.bounds))
 				w.port.refusal.RetryAfter = DefaultStartupRetryAfter
 				got := w.do(post("/unsafe/a", "r1", "body", test.headers...))
 				assert.Equal(t, got.StatusCode, 503)
@@ -123,8 +123,8 @@
 func TestNothingIsDeniedBeforeTheConfigurationIsConfirmed(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	startup := NewStartup()
-	startup.Note(unconfirmed)
-	w := newWorld(t, newPort(only.instance), starting(startup, Bounds{StartupWait: patience}),
+	startup.Update(unconfirmed)
+	w := newWorld(t, newScriptedRouter(only.instance), starting(startup, Bounds{StartupWait: testTimeout}),
 		func(w *world, _ *Options) {
 			w.config.without = func() bool {
 				lacking, _ := startup.lacks(knowsConfirmed)
@@ -134,7 +134,7 @@
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	<-w.contexts
-	startup.Note(everything)
+	startup.Update(everything)
 	assert.Equal(t, c.read("POST").StatusCode, 200)
 
 	absent := w.do(get("/none/a", "r2"))
@@ -144,8 +144,8 @@
 // TestUnconfirmedConfigurationRefusesWhatItLacks, where it isn't confirmed in time.
 func TestUnconfirmedConfigurationRefusesWhatItLacks(t *testing.T) {
 	startup := NewStartup()
-	startup.Note(unconfirmed)
-	w := newWorld(t, newPort(), starting(startup, Bounds{StartupWait: time.Millisecond}),
+	startup.Update(unconfirmed)
+	w := newWorld(t, newScriptedRouter(), starting(startup, Bounds{StartupWait: time.Millisecond}),
 		func(_ *world, options *Options) { options.MayServe = func(core.Time, bool) bool { return true } })
 	assert.Equal(t, w.do(get("/none/a", "r1")).StatusCode, 503)
 	startup.End()
@@ -156,8 +156,8 @@
 func TestUnconfirmedConfigurationServes(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	startup := NewStartup()
-	startup.Note(unconfirmed)
-	w := newWorld(t, newPort(only.instance), starting(startup, Bounds{StartupWait: patience}),
+	startup.Update(unconfirmed)
+	w := newWorld(t, newScriptedRouter(only.instance), starting(startup, Bounds{StartupWait: testTimeout}),
 		func(_ *world, options *Options) { options.MayServe = func(core.Time, bool) bool { return true } })
 	assert.Equal(t, w.do(post("/unsafe/a", "r1", "body")).body, "ok")
 }
@@ -166,14 +166,14 @@
 func TestClientLeavesWhileItsRequestWaitsForTheStart(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	startup := NewStartup()
-	startup.Note(configurationHeld)
-	w := newWorld(t, newPort(only.instance), starting(startup, Bounds{StartupWait: patience}))
+	startup.Update(configurationHeld)
+	w := newWorld(t, newScriptedRouter(only.instance), starting(startup, Bounds{StartupWait: testTimeout}))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	request := <-w.contexts
 	c.socket.Close()
 	<-request.Done()
-	startup.Note(everything)
+	startup.Update(everything)
 	assert.NilError(t, w.proxy.server.Shutdown(t.Context()))
 	assert.Equal(t, only.arrived(), 0)
 }
--- a/internal/node/forward/stream_test.go
+++ b/internal/node/forward/stream_test.go
@@ -56,7 +56,7 @@
 				cut.cut(e)
 			})
 			second := newBroker(t, "i-2", streamOf(1, 5))
-			w := newWorld(t, newPort(first.instance, second.instance))
+			w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 			got := w.do(post("/stream/a", "r1", "prompt"))
 			assert.Equal(t, got.StatusCode, 200)
 			assert.Assert(t, got.bodyErr != nil)
@@ -87,7 +87,7 @@
 				e.event(5)
 				e.endStream()
 			})
-			w := newWorld(t, newPort(first.instance, second.instance))
+			w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 			got := w.do(post("/resumable/a", "r1", "prompt"))
 			assert.NilError(t, got.bodyErr)
 			assert.Equal(t, got.body, events(1, 5))
@@ -120,7 +120,7 @@
 		func(e *exchange) { e.streamHead(); e.close() },
 		streamOf(5, 6),
 	}
-	port := newPort()
+	port := newScriptedRouter()
 	var brokers []*broker
 	for i, script := range scripts {
 		b := newBroker(t, fmt.Sprintf("i-%d", i), script)
@@ -144,7 +144,7 @@
 		e.close()
 	})
 	second := newBroker(t, "i-2", streamOf(3, 6))
-	w := newWorld(t, newPort(first.instance, second.instance))
+	w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 	got := w.do(post("/resumable/a", "r1", "prompt"))
 	assert.NilError(t, got.bodyErr)
 	assert.Equal(t, got.body, events(1, 6))
@@ -179,7 +179,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			first := newBroker(t, "i-1", test.first)
 			second := newBroker(t, "i-2", test.second)
-			w := newWorld(t, newPort(first.instance, second.instance))
+			w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 			got := w.do(post("/resumable/a", "r1", "prompt"))
 			assert.Assert(t, got.bodyErr != nil)
 			assert.Assert(t, !strings.Contains(got.body, "token3"))
@@ -197,7 +197,7 @@
 	t.Run("not to be repeated", func(t *testing.T) {
 		first := newBroker(t, "i-1", headOnly)
 		second := newBroker(t, "i-2", streamOf(1, 2))
-		w := newWorld(t, newPort(first.instance, second.instance))
+		w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 		got := w.do(post("/stream/a", "r1", "prompt"))
 		assert.Equal(t, got.StatusCode, 502)
 		assert.Equal(t, got.Header.Get(headerSeal), "")
@@ -206,14 +206,14 @@
 	t.Run("repeated", func(t *testing.T) {
 		first := newBroker(t, "i-1", headOnly)
 		second := newBroker(t, "i-2", streamOf(1, 2))
-		w := newWorld(t, newPort(first.instance, second.instance))
+		w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 		got := w.do(post("/resumable/a", "r1", "prompt", "Last-Event-Id: 0"))
 		assert.Equal(t, got.body, events(1, 2))
 		assert.Equal(t, second.next().request.Header.Get("Last-Event-Id"), "0")
 	})
 	t.Run("ended properly", func(t *testing.T) {
 		only := newBroker(t, "i-1", func(e *exchange) { e.streamHead(); e.endStream() })
-		w := newWorld(t, newPort(only.instance))
+		w := newWorld(t, newScriptedRouter(only.instance))
 		got := w.do(post("/stream/a", "r1", "prompt"))
 		assert.Equal(t, got.StatusCode, 200)
 		assert.NilError(t, got.bodyErr)
@@ -245,7 +245,7 @@
 					}
 					e.endStream()
 				})
-				w := newWorld(t, newPort(only.instance))
+				w := newWorld(t, newScriptedRouter(only.instance))
 				got := w.do(post(path, "r1", "prompt"))
 				assert.NilError(t, got.bodyErr)
 				assert.Assert(t, got.body == body, "%q", got.body[:min(100, len(got.body))])
@@ -261,7 +261,7 @@
 		e.write("HTTP/1.1 200 OK\r\n" + sealedHead + "Content-Type: text/event-stream; charset=utf-8\r\n" +
 			fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body)
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	got := w.do(post("/stream/a", "r1", "prompt"))
 	assert.NilError(t, got.bodyErr)
 	assert.Equal(t, got.body, body)
@@ -279,13 +279,13 @@
 		e.event(1)
 		e.endStream()
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
 	c.send(post("/stream/a", "r1", "prompt"))
 	<-headOut
-	w.port.mu.Lock()
+	w.port.mutex.Lock()
 	assert.Equal(t, len(w.port.started), 0)
-	w.port.mu.Unlock()
+	w.port.mutex.Unlock()
 	close(proceed)
 	assert.Equal(t, c.read("POST").body, events(1, 1))
 	assert.Equal(t, len(w.port.started), 1)
@@ -294,8 +294,8 @@
 // TestRefusedStreamCannotBePromised: a stream that has begun and is refused a second broker is broken off.
 func TestRefusedStreamCannotBePromised(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.streamHead(); e.event(1); e.close() })
-	port := newPort(first.instance)
-	port.again = func(routing.Outcome, bool) bool { return false }
+	port := newScriptedRouter(first.instance)
+	port.retries = func(routing.Outcome, bool) bool { return false }
 	w := newWorld(t, port)
 	got := w.do(post("/resumable/a", "r1", "prompt"))
 	assert.Equal(t, got.StatusCode, 200)
@@ -336,10 +336,10 @@
 		var out strings.Builder
 		for !reader.ended {
 			assert.NilError(t, reader.fill())
-			found := reader.takeNumbered(last)
-			assert.Assert(t, !found.unnumbered)
+			found := reader.takeEventsAfter(last)
+			assert.Assert(t, !found.hasUnnumbered)
 			assert.Assert(t, len(found.events) == 0 || strings.HasSuffix(string(found.events), lineEnd+lineEnd))
-			last = found.last
+			last = found.lastID
 			out.Write(found.events)
 		}
 		want := strings.ReplaceAll(events(int(after.number)+1, count), "\n", lineEnd)
--- a/internal/node/forward/upstream/answer.go
+++ b/internal/node/forward/upstream/answer.go
@@ -32,10 +32,10 @@
 	// NotExecuted: the broker says that it did not run the request.
 	NotExecuted bool
 
-	conn     *Conn
-	body     io.ReadCloser
-	whole    bool
-	mustHang bool // the connection ends with this answer
+	conn       *Conn
+	body       io.ReadCloser
+	complete   bool
+	closeAfter bool // the connection ends with this answer
 }
 
 // requests of which only the method matters: http.ReadResponse asks it whether a body may follow.
@@ -58,93 +58,93 @@
 		}
 		if answer.Status < http.StatusOK {
 			if answer.Status == http.StatusSwitchingProtocols {
-				return nil, Garbled.New("protocol switched")
+				return nil, InvalidAnswer.New("protocol switched")
 			}
 			continue
 		}
-		if c.belongs(answer, id) {
-			c.answers++
+		if c.belongsTo(answer, id) {
+			c.answersRead++
 			return answer, nil
 		}
-		if err := c.skip(answer); err != nil {
+		if err := c.discardAnswer(answer); err != nil {
 			return nil, err
 		}
 	}
-	return nil, Garbled.New("too many answers before the one that is due")
+	return nil, InvalidAnswer.New("too many answers before the one that is due")
 }
 
-// belongs reports whether the answer is to the request with the id. A broker that turns a request away may leave the id out;
+// belongsTo reports whether the answer is to the request with the id. A broker that turns a request away may leave the id out;
 // that is believed only where no earlier request of ours could be meant.
-func (c *Conn) belongs(answer *Answer, id string) bool {
+func (c *Conn) belongsTo(answer *Answer, id string) bool {
 	ids := answer.Header[HeaderRequestID]
 	if len(ids) == 1 {
 		return ids[0] == id
 	}
-	return len(ids) == 0 && answer.NotExecuted && !c.reused && !c.doubtful
+	return len(ids) == 0 && answer.NotExecuted && !c.reused && !c.desynchronized
 }
 
-// skip reads over an answer to an earlier request.
-func (c *Conn) skip(answer *Answer) error {
+// discardAnswer reads over an answer to an earlier request.
+func (c *Conn) discardAnswer(answer *Answer) error {
 	c.pool.Counters.Surplus.Add(1)
-	c.doubtful = true
+	c.desynchronized = true
 	if len(answer.Header[HeaderRequestID]) != 1 {
-		return Garbled.New("answer without the id of a request")
+		return InvalidAnswer.New("answer without the id of a request")
 	}
 	count, err := io.CopyN(io.Discard, answer, maxSkippedBytes)
 	if err == nil || count == maxSkippedBytes {
-		return Garbled.New("surplus answer is too large")
+		return InvalidAnswer.New("surplus answer is too large")
 	}
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
-	if answer.mustHang {
-		return Cut.New("closed after a surplus answer")
+	if answer.closeAfter {
+		return Broken.New("closed after a surplus answer")
 	}
 	return nil
 }
 
 func (c *Conn) readAnswer(request *http.Request) (*Answer, error) {
-	c.source.limited, c.source.left = true, c.pool.options.MaxHeadBytes
+	c.source.limited, c.source.remaining = true, c.pool.options.MaxHeadBytes
 	response, err := http.ReadResponse(c.reader, request)
 	c.source.limited = false
 	if err != nil {
-		return nil, headFailure(err)
+		return nil, headError(err)
 	}
 	answer := &Answer{
-		Status:   response.StatusCode,
-		Header:   response.Header,
-		Length:   response.ContentLength,
-		conn:     c,
-		body:     response.Body,
-		mustHang: response.Close || response.ProtoMajor != 1 || response.ProtoMinor != 1,
+		Status:     response.StatusCode,
+		Header:     response.Header,
+		Length:     response.ContentLength,
+		conn:       c,
+		body:       response.Body,
+		closeAfter: response.Close || response.ProtoMajor != 1 || response.ProtoMinor != 1,
 	}
 	answer.NotExecuted = answer.Status == http.StatusMisdirectedRequest || len(answer.Header[HeaderNotExecuted]) > 0
 	if response.Body == http.NoBody {
-		answer.whole, answer.Length = true, 0
+		answer.complete, answer.Length = true, 0
 	}
 	if answer.Length < 0 && len(response.TransferEncoding) == 0 {
 		c.pool.Counters.Unframed.Add(1)
-		return nil, Garbled.New("answer without a length")
+		return nil, InvalidAnswer.New("answer without a length")
 	}
 	return answer, nil
 }
 
-// headFailure tells bytes that are no answer from a connection that ended or a time that ran out.
-func headFailure(err error) error {
+// headError tells bytes that are no answer from a connection that ended or a time that ran out.
+func headError(err error) error {
 	var network interface{ Timeout() bool }
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return TimedOut.Wrap(err, "head of an answer")
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
-		return Cut.Wrap(err, "head of an answer")
+		return Broken.Wrap(err, "head of an answer")
 	default:
-		return Garbled.Wrap(err, "head of an answer")
+		return InvalidAnswer.Wrap(err, "head of an answer")
 	}
 }
 
 // Read reads the body. io.EOF comes only after the whole of it; a body that was cut short gives Cut.
 func (a *Answer) Read(buffer []byte) (int, error) {
-	if a.whole {
+	if a.complete {
 		return 0, io.EOF
 	}
 	count, err := a.body.Read(buffer)
@@ -152,10 +152,10 @@
 		return count, nil
 	}
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 		return count, io.EOF
 	}
-	return count, readFailure(err)
+	return count, readError(err)
 }
 
 // EndsNow reports whether the rest of a body in chunks is only its end, and is here already: the next Read then gives io.EOF
@@ -175,11 +175,11 @@
 // Done gives the connection back: it is kept if the answer was whole and nothing speaks against it, else closed.
 func (a *Answer) Done() {
 	conn := a.conn
-	if conn.reader.Buffered() > 0 && a.whole {
+	if conn.reader.Buffered() > 0 && a.complete {
 		conn.pool.Counters.Surplus.Add(1)
-		conn.doubtful = true
+		conn.desynchronized = true
 	}
-	if !a.whole || a.mustHang || conn.doubtful {
+	if !a.complete || a.closeAfter || conn.desynchronized {
 		conn.Close()
 		return
 	}
--- a/internal/node/forward/upstream/conn.go
+++ b/internal/node/forward/upstream/conn.go
@@ -17,8 +17,8 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4 << 10
 
-// JoinedBytes is the size of a body up to which it is copied behind its head, so that one plain write sends both.
-const JoinedBytes = 8 << 10
+// MaxJoinedBytes is the size of a body up to which it is copied behind its head, so that one plain write sends both.
+const MaxJoinedBytes = 8 << 10
 
 // Conn is a connection to a broker, which carries one request at a time. Its methods are called by one goroutine at a time;
 // Interrupt and LimitWait may be called by others.
@@ -28,24 +28,24 @@
 	socket net.Conn
 	raw    syscall.RawConn
 	reader *bufio.Reader
-	source limitedSource
-
-	reused       bool // carried a request before this one
-	connectTime  time.Duration
-	answers      int // answers read from it
-	sentAt       time.Time
-	sentAnswers  int  // answers read from it when the last request was sent
-	doubtful     bool // not to be kept: bytes came that belong to no request
-	keepAlive    time.Duration
-	restingSince time.Time
-	usableUntil  time.Time
+	source limitedReader
+
+	reused         bool // carried a request before this one
+	connectTime    time.Duration
+	answersRead    int // answersRead read from it
+	sentAt         time.Time
+	answersAtSend  int  // answers read from it when the last request was sent
+	desynchronized bool // not to be kept: bytes came that belong to no request
+	keepAlive      time.Duration
+	idleSince      time.Time
+	usableUntil    time.Time
 
 	closed atomic.Bool
 
-	mu        sync.Mutex
-	wanted    time.Time // the deadline that the owner asked for
-	waitLimit time.Time // the bound set by LimitWait
-	effective time.Time
+	mutex           sync.Mutex
+	requestDeadline time.Time // the deadline that the owner asked for
+	waitLimit       time.Time // the bound set by LimitWait
+	appliedDeadline time.Time
 }
 
 func newConn(pool *Pool, h *host, socket net.Conn) (*Conn, error) {
@@ -62,9 +62,9 @@
 // Reused reports whether the connection carried a request before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// quiet reports whether the connection is open and holds no byte. Nothing is due on a connection at rest: what comes there
+// isQuiet reports whether the connection is open and holds no byte. Nothing is due on a connection at rest: what comes there
 // belongs to no request.
-func (c *Conn) quiet() bool {
+func (c *Conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		c.pool.Counters.Surplus.Add(1)
 		return false
@@ -82,18 +82,18 @@
 	return err == nil && errors.Is(failure, syscall.EAGAIN)
 }
 
-// Settle waits, on a new connection, for as long as a broker that has too many of them takes to reset it: one round trip, which
+// AwaitReset waits, on a new connection, for as long as a broker that has too many of them takes to reset it: one round trip, which
 // is what connecting took. What is sent before that reset comes may have run, for all that anybody knows; after Rejected
 // nothing was sent. It is meant for requests that must not be repeated.
-func (c *Conn) Settle(until time.Time) error {
+func (c *Conn) AwaitReset(deadline time.Time) error {
 	if c.reused {
 		return nil
 	}
-	wait := min(c.connectTime, maxRoundTrip) + c.pool.options.SettleTime
-	if limit := time.Now().Add(wait); limit.Before(until) {
-		until = limit
+	wait := min(c.connectTime, maxRoundTrip) + c.pool.options.ResetWait
+	if limit := time.Now().Add(wait); limit.Before(deadline) {
+		deadline = limit
 	}
-	err := c.Await(until)
+	err := c.Await(deadline)
 	if errorx.IsOfType(err, TimedOut) {
 		return nil
 	}
@@ -107,9 +107,9 @@
 const maxRoundTrip = 10 * time.Millisecond
 
 // Send writes a request once. The time bounds the writing. Where the connection took no byte, the error is Unsent.
-func (c *Conn) Send(head, body []byte, until time.Time) error {
-	c.SetDeadline(until)
-	c.sentAt, c.sentAnswers = time.Now(), c.answers
+func (c *Conn) Send(head, body []byte, deadline time.Time) error {
+	c.SetDeadline(deadline)
+	c.sentAt, c.answersAtSend = time.Now(), c.answersRead
 	written, err := c.write(head, body)
 	if err == nil {
 		return nil
@@ -121,7 +121,7 @@
 }
 
 func (c *Conn) write(head, body []byte) (int64, error) {
-	if len(body) <= JoinedBytes {
+	if len(body) <= MaxJoinedBytes {
 		written, err := c.socket.Write(append(head, body...))
 		return int64(written), err
 	}
@@ -131,65 +131,65 @@
 
 // Await waits until a byte has come that was not read yet. A time that runs out gives TimedOut, after which the connection
 // can be used on; silence alone is no failure.
-func (c *Conn) Await(until time.Time) error {
+func (c *Conn) Await(deadline time.Time) error {
 	if c.reader.Buffered() > 0 {
 		return nil
 	}
-	c.SetDeadline(until)
+	c.SetDeadline(deadline)
 	if _, err := c.reader.Peek(1); err != nil {
-		c.noteBroken(err)
-		return readFailure(err)
+		c.observeBreak(err)
+		return readError(err)
 	}
 	return nil
 }
 
-// noteBroken is told why nothing more comes. Where a kept connection was broken by its other end before any answer came, those
+// observeBreak is told why nothing more comes. Where a kept connection was broken by its other end before any answer came, those
 // that have rested since before are likely to end as it did: the broker, or something between, has forgotten them.
-func (c *Conn) noteBroken(err error) {
-	ours := errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
-	if c.reused && !ours && c.answers == c.sentAnswers {
-		c.pool.closeRestingSince(c.host, c.sentAt)
+func (c *Conn) observeBreak(err error) {
+	causedHere := errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
+	if c.reused && !causedHere && c.answersRead == c.answersAtSend {
+		c.pool.closeIdleSince(c.host, c.sentAt)
 	}
 }
 
 // SetDeadline bounds what is read and written from now on.
-func (c *Conn) SetDeadline(until time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.wanted = until
+func (c *Conn) SetDeadline(deadline time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requestDeadline = deadline
 	c.applyDeadline()
 }
 
 // Interrupt ends all that is under way on the connection.
 func (c *Conn) Interrupt() { c.socket.Close() }
 
-// LimitWait bounds all that is under way on the connection, beside SetDeadline.
-func (c *Conn) LimitWait(until time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.waitLimit = until
+// SetWaitLimit bounds all that is under way on the connection, beside SetDeadline.
+func (c *Conn) SetWaitLimit(limit time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.waitLimit = limit
 	c.applyDeadline()
 }
 
 // clearDeadlines forgets the bounds of one request, so that no timer of a connection at rest fires.
 func (c *Conn) clearDeadlines() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.wanted, c.waitLimit = time.Time{}, time.Time{}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requestDeadline, c.waitLimit = time.Time{}, time.Time{}
 	c.applyDeadline()
 }
 
 // applyDeadline sets one deadline for both directions, which takes one timer.
 func (c *Conn) applyDeadline() {
-	until := c.wanted
-	if !c.waitLimit.IsZero() && (until.IsZero() || c.waitLimit.Before(until)) {
-		until = c.waitLimit
+	deadline := c.requestDeadline
+	if !c.waitLimit.IsZero() && (deadline.IsZero() || c.waitLimit.Before(deadline)) {
+		deadline = c.waitLimit
 	}
-	if until.Equal(c.effective) {
+	if deadline.Equal(c.appliedDeadline) {
 		return
 	}
-	c.effective = until
-	c.socket.SetDeadline(until) // fails only where the socket is closed, which the next read or write tells
+	c.appliedDeadline = deadline
+	c.socket.SetDeadline(deadline) // fails only where the socket is closed, which the next read or write tells
 }
 
 // Close gives the connection up.
@@ -208,34 +208,34 @@
 	return true
 }
 
-// readFailure tells a deadline that passed from a connection that broke.
-func readFailure(err error) error {
+// readError tells a deadline that passed from a connection that broke.
+func readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return TimedOut.Wrap(err, "answer")
 	}
-	return Cut.Wrap(err, "answer")
+	return Broken.Wrap(err, "answer")
 }
 
 // errHeadTooLarge says that the head of an answer is larger than any broker sends.
 var errHeadTooLarge = errors.New("head of an answer is too large")
 
-// limitedSource reads from the socket and bounds what the head of an answer may take.
-type limitedSource struct {
-	socket  net.Conn
-	limited bool
-	left    int
+// limitedReader reads from the socket and bounds what the head of an answer may take.
+type limitedReader struct {
+	socket    net.Conn
+	limited   bool
+	remaining int
 }
 
-func (s *limitedSource) Read(buffer []byte) (int, error) {
+func (s *limitedReader) Read(buffer []byte) (int, error) {
 	if !s.limited {
 		return s.socket.Read(buffer)
 	}
-	if s.left <= 0 {
+	if s.remaining <= 0 {
 		return 0, errHeadTooLarge
 	}
 	count, err := s.socket.Read(buffer)
-	s.left -= count
+	s.remaining -= count
 	return count, err
 }
 
-var _ io.Reader = (*limitedSource)(nil)
+var _ io.Reader = (*limitedReader)(nil)
--- a/internal/node/forward/upstream/dial.go
+++ b/internal/node/forward/upstream/dial.go
@@ -8,54 +8,54 @@
 // connectTimes follows how long connections take to come up, over all brokers.
 type connectTimes struct {
 	mean time.Duration
-	// least and most bound the patience.
-	least, most time.Duration
+	// minWait and most bound the patience.
+	minWait, maxWait time.Duration
 }
 
 const (
-	// patienceFactor is how many times the mean a connection may take. Far from it lies the second after which the kernel
+	// waitFactor is how many times the mean a connection may take. Far from it lies the second after which the kernel
 	// repeats an opening packet that got lost, which is as long as most aims.
-	patienceFactor = 8
+	waitFactor = 8
 	// meanWeight is the weight of one connection in the mean: one in meanWeight.
 	meanWeight = 8
 )
 
-// patience is how long a request waits for a connection to come up before another broker is tried.
-func (c *connectTimes) patience() time.Duration {
-	return min(max(patienceFactor*c.mean, c.least), c.most)
+// waitLimit is how long a request waits for a connection to come up before another broker is tried.
+func (c *connectTimes) waitLimit() time.Duration {
+	return min(max(waitFactor*c.mean, c.minWait), c.maxWait)
 }
 
-// note takes the time that a connection took. One that nobody waited for any more counts as the patience, so that a network which
+// observe takes the time that a connection took. One that nobody waited for any more counts as the patience, so that a network which
 // has become slower is learnt of soon, and a single lost packet changes little.
-func (c *connectTimes) note(took time.Duration) {
-	c.mean += (min(took, c.patience()) - c.mean) / meanWeight
+func (c *connectTimes) observe(took time.Duration) {
+	c.mean += (min(took, c.waitLimit()) - c.mean) / meanWeight
 }
 
 // dial is a connection that is being opened for one request. Where that no longer waits for it, the connection is kept for others.
 type dial struct {
-	pool    *Pool
-	host    *host
-	begun   time.Time
-	result  chan dialed
-	settled bool // either the request gets the result, or it no longer waits; guarded by pool.mu
+	pool      *Pool
+	host      *host
+	startedAt time.Time
+	result    chan dialResult
+	decided   bool // either the request gets the result, or it no longer waits; guarded by pool.mu
 }
 
-// dialed is how a dial ended.
-type dialed struct {
+// dialResult is how a dial ended.
+type dialResult struct {
 	conn *Conn
 	err  error
 }
 
 // open opens a connection and waits for it as long as connections usually take several times over, twice as long for each
 // earlier attempt of the request, and not beyond the time given.
-func (p *Pool) open(ctx context.Context, target Target, until time.Time) (*Conn, error) {
+func (p *Pool) open(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	h, err := p.reserve(target)
 	if err != nil {
 		return nil, err
 	}
-	d := &dial{pool: p, host: h, begun: time.Now(), result: make(chan dialed, 1)}
+	d := &dial{pool: p, host: h, startedAt: time.Now(), result: make(chan dialResult, 1)}
 	go d.run(target.Address)
-	conn, err := d.await(ctx, p.patience(target.Earlier), until)
+	conn, err := d.await(ctx, p.connectWait(target.EarlierAttempts), deadline)
 	if err != nil {
 		p.Counters.Failed.Add(1)
 		return nil, ConnectFailed.Wrap(err, "connection to %s", target.InstanceID)
@@ -63,17 +63,17 @@
 	return conn, nil
 }
 
-// patience is how long to wait for a connection after so many earlier attempts.
-func (p *Pool) patience(earlier int) time.Duration {
-	const mostDoublings = 8
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return min(p.connectTimes.patience()<<min(earlier, mostDoublings), p.options.ConnectTimeout)
+// connectWait is how long to wait for a connection after so many earlier attempts.
+func (p *Pool) connectWait(earlier int) time.Duration {
+	const maxDoublings = 8
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return min(p.connectTimes.waitLimit()<<min(earlier, maxDoublings), p.options.ConnectTimeout)
 }
 
 // run opens the connection.
 func (d *dial) run(address string) {
-	ctx, cancel := context.WithDeadline(context.Background(), d.begun.Add(d.pool.options.ConnectTimeout))
+	ctx, cancel := context.WithDeadline(context.Background(), d.startedAt.Add(d.pool.options.ConnectTimeout))
 	defer cancel()
 	socket, err := d.pool.connect(ctx, address)
 	var conn *Conn
@@ -83,28 +83,28 @@
 	if err != nil && socket != nil {
 		socket.Close()
 	}
-	if d.end(conn, err) {
-		d.result <- dialed{conn, err}
+	if d.finish(conn, err) {
+		d.result <- dialResult{conn, err}
 	}
 }
 
-// end counts how the dial ended. true: its request waits for the result; else the connection is kept for others.
-func (d *dial) end(conn *Conn, err error) bool {
+// finish counts how the dial ended. true: its request waits for the result; else the connection is kept for others.
+func (d *dial) finish(conn *Conn, err error) bool {
 	p := d.pool
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	if err != nil {
 		p.releaseLocked(d.host)
 	} else {
-		conn.connectTime = time.Since(d.begun)
+		conn.connectTime = time.Since(d.startedAt)
 		p.Counters.Opened.Add(1)
-		p.connectTimes.note(conn.connectTime)
+		p.connectTimes.observe(conn.connectTime)
 	}
-	if !d.settled {
-		d.settled = true
+	if !d.decided {
+		d.decided = true
 		return true
 	}
-	p.unclaimed--
+	p.abandonedDials--
 	if conn != nil {
 		p.putLocked(conn)
 	}
@@ -113,17 +113,17 @@
 
 // await waits for the connection. Where this process stood still in the meantime, it waits once more: the time then says
 // nothing of the broker.
-func (d *dial) await(ctx context.Context, patience time.Duration, until time.Time) (*Conn, error) {
-	limit := d.begun.Add(patience)
-	if until.Before(limit) {
-		limit = until
+func (d *dial) await(ctx context.Context, wait time.Duration, deadline time.Time) (*Conn, error) {
+	limit := d.startedAt.Add(wait)
+	if deadline.Before(limit) {
+		limit = deadline
 	}
-	if !limit.Before(d.begun.Add(d.pool.options.ConnectTimeout)) {
-		return d.awaitEnd(ctx)
+	if !limit.Before(d.startedAt.Add(d.pool.options.ConnectTimeout)) {
+		return d.awaitResult(ctx)
 	}
 	timer := time.NewTimer(time.Until(limit))
 	defer timer.Stop()
-	for again := true; ; again = false {
+	for mayRepeat := true; ; mayRepeat = false {
 		select {
 		case end := <-d.result:
 			return end.conn, end.err
@@ -131,16 +131,16 @@
 			return d.abandon(ctx.Err())
 		case <-timer.C:
 			now := time.Now()
-			if stood := now.Sub(limit); !again || stood < patience/2 || !now.Before(until) {
+			if overshoot := now.Sub(limit); !mayRepeat || overshoot < wait/2 || !now.Before(deadline) {
 				return d.abandon(context.DeadlineExceeded)
 			}
-			timer.Reset(patience)
+			timer.Reset(wait)
 		}
 	}
 }
 
-// awaitEnd waits for the connection for as long as it may take.
-func (d *dial) awaitEnd(ctx context.Context) (*Conn, error) {
+// awaitResult waits for the connection for as long as it may take.
+func (d *dial) awaitResult(ctx context.Context) (*Conn, error) {
 	select {
 	case end := <-d.result:
 		return end.conn, end.err
@@ -150,22 +150,22 @@
 }
 
 // abandon leaves the connection to other requests, unless it has come this very moment.
-func (d *dial) abandon(why error) (*Conn, error) {
-	if d.leave() {
-		return nil, why
+func (d *dial) abandon(reason error) (*Conn, error) {
+	if d.abandonIfPending() {
+		return nil, reason
 	}
 	end := <-d.result
 	return end.conn, end.err
 }
 
-// leave notes that the request no longer waits. false: the result is there.
-func (d *dial) leave() bool {
-	d.pool.mu.Lock()
-	defer d.pool.mu.Unlock()
-	if d.settled {
+// abandonIfPending notes that the request no longer waits. false: the result is there.
+func (d *dial) abandonIfPending() bool {
+	d.pool.mutex.Lock()
+	defer d.pool.mutex.Unlock()
+	if d.decided {
 		return false
 	}
-	d.settled = true
-	d.pool.unclaimed++
+	d.decided = true
+	d.pool.abandonedDials++
 	return true
 }
--- a/internal/node/forward/upstream/dial_test.go
+++ b/internal/node/forward/upstream/dial_test.go
@@ -10,29 +10,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// heldDials makes the pool's connections wait until they are let go, and announces each.
-type heldDials struct {
-	begun chan struct{}
-	let   chan struct{}
+// blockedDials makes the pool's connections wait until they are let go, and announces each.
+type blockedDials struct {
+	started chan struct{}
+	release chan struct{}
 }
 
-func holdDials(pool *Pool) *heldDials {
-	held := &heldDials{begun: make(chan struct{}, 100), let: make(chan struct{})}
+func blockDials(pool *Pool) *blockedDials {
+	blocked := &blockedDials{started: make(chan struct{}, 100), release: make(chan struct{})}
 	connect := pool.connect
 	pool.connect = func(ctx context.Context, address string) (net.Conn, error) {
-		held.begun <- struct{}{}
+		blocked.started <- struct{}{}
 		select {
-		case <-held.let:
+		case <-blocked.release:
 			return connect(ctx, address)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	return held
+	return blocked
 }
 
-// TestPatienceFollowsConnectTimes.
-func TestPatienceFollowsConnectTimes(t *testing.T) {
+// TestConnectWaitFollowsConnectTimes.
+func TestConnectWaitFollowsConnectTimes(t *testing.T) {
 	const ms = time.Millisecond
 	for _, test := range []struct {
 		name  string
@@ -49,9 +49,9 @@
 	} {
 		times := NewPool(Options{}).connectTimes
 		for _, took := range test.times {
-			times.note(took)
+			times.observe(took)
 		}
-		assert.Assert(t, test.want(times.patience()), "%s: %v", test.name, times.patience())
+		assert.Assert(t, test.want(times.waitLimit()), "%s: %v", test.name, times.waitLimit())
 	}
 }
 
@@ -65,11 +65,11 @@
 
 // TestPatienceGrowsWithAttempts, up to the bound on connecting: the request may have no other broker.
 func TestPatienceGrowsWithAttempts(t *testing.T) {
-	pool := newPool(t, Options{FirstPatience: 80 * time.Millisecond})
+	pool := newPool(t, Options{InitialConnectWait: 80 * time.Millisecond})
 	for earlier, want := range []time.Duration{80, 160, 320, 640, 1000, 1000} {
-		assert.Equal(t, pool.patience(earlier), want*time.Millisecond)
+		assert.Equal(t, pool.connectWait(earlier), want*time.Millisecond)
 	}
-	assert.Equal(t, pool.patience(1000), time.Second)
+	assert.Equal(t, pool.connectWait(1000), time.Second)
 }
 
 // TestConnectionThatComesLateIsKept for the next request, since new connections are dear.
@@ -95,13 +95,13 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			pool := newPool(t, Options{FirstPatience: time.Millisecond, LeastPatience: time.Millisecond, ConnectTimeout: patience})
-			held := holdDials(pool)
+			pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
+			held := blockDials(pool)
 			assert.Assert(t, errorx.IsOfType(test.get(pool), ConnectFailed))
 			open, idle := openAndIdle(pool)
 			assert.Equal(t, open, 1, "one that is still opened counts")
 			assert.Equal(t, idle, 0)
-			close(held.let)
+			close(held.release)
 			awaitIdle(t, pool)
 			exchange(t, pool, p.target("i-1"))
 			assert.Equal(t, pool.Counters.Opened.Load(), uint64(1))
@@ -115,7 +115,7 @@
 	t.Helper()
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 	for {
 		if _, idle := openAndIdle(pool); idle > 0 {
 			return
@@ -131,13 +131,13 @@
 // TestConnectionThatNeverComesIsForgotten: it counts until its time is over.
 func TestConnectionThatNeverComesIsForgotten(t *testing.T) {
 	p := newPeer(t, ok(""))
-	pool := newPool(t, Options{FirstPatience: time.Millisecond, LeastPatience: time.Millisecond, ConnectTimeout: 20 * time.Millisecond})
-	holdDials(pool)
+	pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: 20 * time.Millisecond})
+	blockDials(pool)
 	_, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.Assert(t, errorx.IsOfType(err, ConnectFailed))
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 	for {
 		if open, _ := openAndIdle(pool); open == 0 {
 			return
@@ -153,12 +153,12 @@
 // TestAClosedPoolKeepsNoLateConnection.
 func TestAClosedPoolKeepsNoLateConnection(t *testing.T) {
 	p := newPeer(t, ok(""))
-	pool := newPool(t, Options{FirstPatience: time.Millisecond, LeastPatience: time.Millisecond, ConnectTimeout: patience})
-	held := holdDials(pool)
+	pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
+	held := blockDials(pool)
 	_, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.Assert(t, errorx.IsOfType(err, ConnectFailed))
 	pool.Close()
-	close(held.let)
+	close(held.release)
 	socket := <-p.sockets
 	_, err = socket.Read(make([]byte, 1))
 	assert.Assert(t, err != nil, "the connection is closed")
@@ -169,10 +169,10 @@
 // TestAStoppedProcessWaitsOnceMore: the time in which it stood still says nothing of the broker.
 func TestAStoppedProcessWaitsOnceMore(t *testing.T) {
 	pool := newPool(t, Options{ConnectTimeout: 2 * time.Hour})
-	result := make(chan dialed, 1)
-	d := &dial{pool: pool, begun: time.Now().Add(-time.Hour), result: result}
-	go func() { result <- dialed{conn: &Conn{}} }()
-	conn, err := d.await(t.Context(), patience, soon())
+	result := make(chan dialResult, 1)
+	d := &dial{pool: pool, startedAt: time.Now().Add(-time.Hour), result: result}
+	go func() { result <- dialResult{conn: &Conn{}} }()
+	conn, err := d.await(t.Context(), testTimeout, soon())
 	assert.NilError(t, err)
 	assert.Assert(t, conn != nil)
 }
--- a/internal/node/forward/upstream/pool.go
+++ b/internal/node/forward/upstream/pool.go
@@ -24,12 +24,12 @@
 	KeepAliveMargin time.Duration
 	// ConnectTimeout bounds the time in which a connection must come up.
 	ConnectTimeout time.Duration
-	// FirstPatience is how long a request waits for a connection to come up while nothing is known of how long that usually
+	// InitialConnectWait is how long a request waits for a connection to come up while nothing is known of how long that usually
 	// takes, and LeastPatience how long it waits at least.
-	FirstPatience time.Duration
-	LeastPatience time.Duration
-	// SettleTime is how long Conn.Settle waits for a reset, beside a round trip.
-	SettleTime time.Duration
+	InitialConnectWait time.Duration
+	MinConnectWait     time.Duration
+	// ResetWait is how long Conn.Settle waits for a reset, beside a round trip.
+	ResetWait time.Duration
 	// SendTimeout is TCP_USER_TIMEOUT: how long sent bytes may stay without acknowledgement. Twice as long after the last byte came,
 	// a machine that does not answer the kernel's probes is taken for dead. Clients give silent streams up after two seconds, so
 	// that a longer time saves no request, and a shorter one lets another broker take up what may be repeated.
@@ -40,16 +40,16 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxIdle          = 512
-	DefaultIdleTime         = 20 * time.Second
-	DefaultUnstatedIdleTime = 4 * time.Second
-	DefaultKeepAliveMargin  = 300 * time.Millisecond
-	DefaultConnectTimeout   = time.Second
-	DefaultFirstPatience    = 300 * time.Millisecond
-	DefaultLeastPatience    = 60 * time.Millisecond
-	DefaultSettleTime       = time.Millisecond
-	DefaultSendTimeout      = time.Second
-	DefaultMaxHeadBytes     = 64 << 10
+	DefaultMaxIdle            = 512
+	DefaultIdleTime           = 20 * time.Second
+	DefaultUnstatedIdleTime   = 4 * time.Second
+	DefaultKeepAliveMargin    = 300 * time.Millisecond
+	DefaultConnectTimeout     = time.Second
+	DefaultInitialConnectWait = 300 * time.Millisecond
+	DefaultMinConnectWait     = 60 * time.Millisecond
+	DefaultResetWait          = time.Millisecond
+	DefaultSendTimeout        = time.Second
+	DefaultMaxHeadBytes       = 64 << 10
 )
 
 // A dead machine says nothing: probes of the kernel detect it while an answer is awaited.
@@ -71,9 +71,9 @@
 	o.UnstatedIdleTime = cmp.Or(o.UnstatedIdleTime, DefaultUnstatedIdleTime)
 	o.KeepAliveMargin = cmp.Or(o.KeepAliveMargin, DefaultKeepAliveMargin)
 	o.ConnectTimeout = cmp.Or(o.ConnectTimeout, DefaultConnectTimeout)
-	o.FirstPatience = cmp.Or(o.FirstPatience, DefaultFirstPatience)
-	o.LeastPatience = cmp.Or(o.LeastPatience, DefaultLeastPatience)
-	o.SettleTime = cmp.Or(o.SettleTime, DefaultSettleTime)
+	o.InitialConnectWait = cmp.Or(o.InitialConnectWait, DefaultInitialConnectWait)
+	o.MinConnectWait = cmp.Or(o.MinConnectWait, DefaultMinConnectWait)
+	o.ResetWait = cmp.Or(o.ResetWait, DefaultResetWait)
 	o.SendTimeout = cmp.Or(o.SendTimeout, DefaultSendTimeout)
 	o.MaxHeadBytes = cmp.Or(o.MaxHeadBytes, DefaultMaxHeadBytes)
 	return o
@@ -86,8 +86,8 @@
 	Address    string
 	// MaxConnections bounds the connections of this proxy to the instance, in use and at rest; 0: no bound.
 	MaxConnections int
-	// Earlier counts the attempts that the request has made before this one. After each it waits longer for a connection.
-	Earlier int
+	// EarlierAttempts counts the attempts that the request has made before this one. After each it waits longer for a connection.
+	EarlierAttempts int
 }
 
 // Counters count what happened to connections.
@@ -106,14 +106,14 @@
 	connect  func(ctx context.Context, address string) (net.Conn, error)
 	Counters Counters
 
-	mu           sync.Mutex
-	hosts        map[string]*host
-	idle         int
-	unclaimed    int // being opened, for no request any more
-	sweeping     bool
-	sweeper      *time.Timer
-	closed       bool
-	connectTimes connectTimes
+	mutex          sync.Mutex
+	hosts          map[string]*host
+	idle           int
+	abandonedDials int // being opened, for no request any more
+	sweeping       bool
+	sweeper        *time.Timer
+	closed         bool
+	connectTimes   connectTimes
 }
 
 // host holds the connections to one instance.
@@ -121,8 +121,8 @@
 	target Target
 	open   int     // in use and at rest
 	idle   []*Conn // the one used last stands at the end
-	// unstated is how long connections without a Keep-Alive time have been seen to last; it falls when one was closed.
-	unstated time.Duration
+	// learnedIdleTime is how long connections without a Keep-Alive time have been seen to last; it falls when one was closed.
+	learnedIdleTime time.Duration
 }
 
 // NewPool returns an empty pool.
@@ -130,9 +130,9 @@
 	options = options.withDefaults()
 	pool := &Pool{options: options, hosts: make(map[string]*host)}
 	pool.connectTimes = connectTimes{
-		mean:  options.FirstPatience / patienceFactor,
-		least: options.LeastPatience,
-		most:  options.ConnectTimeout,
+		mean:    options.InitialConnectWait / waitFactor,
+		minWait: options.MinConnectWait,
+		maxWait: options.ConnectTimeout,
 	}
 	dialer := net.Dialer{
 		Control:         pool.setSendTimeout,
@@ -158,30 +158,30 @@
 
 // Get gives a connection on which nothing is under way: the kept one that was used last, or a new one, which must come up
 // before the time given and while the context lasts.
-func (p *Pool) Get(ctx context.Context, target Target, until time.Time) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	now := time.Now()
 	for {
 		conn, rested := p.takeIdle(target, now)
 		if conn == nil {
 			break
 		}
-		if conn.quiet() {
+		if conn.isQuiet() {
 			conn.reused = true
 			p.Counters.Reused.Add(1)
 			return conn, nil
 		}
 		p.Counters.Stale.Add(1)
-		p.closedAtRest(conn, rested)
+		p.learnIdleTime(conn, rested)
 		conn.Close()
 	}
-	return p.open(ctx, target, until)
+	return p.open(ctx, target, deadline)
 }
 
 // takeIdle takes the connection that was used last out of the pool, and says how long it has rested. Connections that have
 // rested too long are closed on the way.
 func (p *Pool) takeIdle(target Target, now time.Time) (*Conn, time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	h := p.hosts[target.InstanceID]
 	if h == nil {
 		return nil, 0
@@ -197,30 +197,30 @@
 		h.idle = h.idle[:last]
 		p.idle--
 		if now.Before(conn.usableUntil) {
-			return conn, now.Sub(conn.restingSince)
+			return conn, now.Sub(conn.idleSince)
 		}
 		p.discard(conn)
 	}
 	return nil, 0
 }
 
-// closedAtRest learns how soon a broker that gives no Keep-Alive time closes connections.
-func (p *Pool) closedAtRest(conn *Conn, rested time.Duration) {
+// learnIdleTime learns how soon a broker that gives no Keep-Alive time closes connections.
+func (p *Pool) learnIdleTime(conn *Conn, rested time.Duration) {
 	if conn.keepAlive > 0 {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	conn.host.unstated = min(conn.host.unstated, max(rested/2, minUnstatedIdleTime))
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	conn.host.learnedIdleTime = min(conn.host.learnedIdleTime, max(rested/2, minUnstatedIdleTime))
 }
 
 // reserve counts a new connection to the instance.
 func (p *Pool) reserve(target Target) (*host, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	h := p.hosts[target.InstanceID]
 	if h == nil {
-		h = &host{unstated: p.options.UnstatedIdleTime}
+		h = &host{learnedIdleTime: p.options.UnstatedIdleTime}
 		p.hosts[target.InstanceID] = h
 	}
 	h.target = target
@@ -232,8 +232,8 @@
 }
 
 func (p *Pool) release(h *host) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.releaseLocked(h)
 }
 
@@ -246,29 +246,29 @@
 
 // put keeps a connection for later requests.
 func (p *Pool) put(conn *Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.putLocked(conn)
 }
 
 func (p *Pool) putLocked(conn *Conn) {
 	now := time.Now()
 	conn.clearDeadlines()
-	conn.restingSince = now
-	conn.usableUntil = now.Add(p.restTime(conn))
+	conn.idleSince = now
+	conn.usableUntil = now.Add(p.maxIdleTime(conn))
 	if p.closed || p.idle >= p.options.MaxIdle || !now.Before(conn.usableUntil) {
 		p.discard(conn)
 		return
 	}
 	conn.host.idle = append(conn.host.idle, conn)
 	p.idle++
-	p.planSweep()
+	p.scheduleSweep()
 }
 
-// restTime is how long a connection may rest, so that it isn't used just when its broker closes it.
-func (p *Pool) restTime(conn *Conn) time.Duration {
+// maxIdleTime is how long a connection may rest, so that it isn't used just when its broker closes it.
+func (p *Pool) maxIdleTime(conn *Conn) time.Duration {
 	if conn.keepAlive == 0 {
-		return min(p.options.IdleTime, conn.host.unstated)
+		return min(p.options.IdleTime, conn.host.learnedIdleTime)
 	}
 	return min(p.options.IdleTime, conn.keepAlive-p.options.KeepAliveMargin)
 }
@@ -291,20 +291,20 @@
 	p.idle -= count
 }
 
-// closeRestingSince closes the connections to an instance that have rested since before the time given.
-func (p *Pool) closeRestingSince(h *host, before time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// closeIdleSince closes the connections to an instance that have rested since before the time given.
+func (p *Pool) closeIdleSince(h *host, before time.Time) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	count := 0
-	for count < len(h.idle) && h.idle[count].restingSince.Before(before) {
+	for count < len(h.idle) && h.idle[count].idleSince.Before(before) {
 		count++
 	}
 	p.Counters.Stale.Add(uint64(count))
 	p.closeIdle(h, count)
 }
 
-// planSweep sets the timer that closes connections at rest; it runs only while there are some. The lock is held.
-func (p *Pool) planSweep() {
+// scheduleSweep sets the timer that closes connections at rest; it runs only while there are some. The lock is held.
+func (p *Pool) scheduleSweep() {
 	if p.sweeping || p.idle == 0 || p.closed {
 		return
 	}
@@ -318,13 +318,13 @@
 
 func (p *Pool) sweep() {
 	now := time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.sweeping = false
 	for _, h := range p.hosts {
 		p.closeIdle(h, expired(h.idle, now))
 	}
-	p.planSweep()
+	p.scheduleSweep()
 }
 
 // expired counts the connections at the front of the list that have rested too long. They stand in the order of their
@@ -340,8 +340,8 @@
 
 // Close closes the connections at rest; those in use are closed when they are given back.
 func (p *Pool) Close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.closed = true
 	if p.sweeper != nil {
 		p.sweeper.Stop()
@@ -355,15 +355,15 @@
 type Connections struct {
 	// Open are all that are up or being opened.
 	Open int
-	// Idle of them are at rest, and Unclaimed are being opened for requests that no longer wait for them.
-	Idle, Unclaimed int
+	// Idle of them are at rest, and Abandoned are being opened for requests that no longer wait for them.
+	Idle, Abandoned int
 }
 
 // Connections tells how many connections there are just now.
 func (p *Pool) Connections() Connections {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	count := Connections{Idle: p.idle, Unclaimed: p.unclaimed}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	count := Connections{Idle: p.idle, Abandoned: p.abandonedDials}
 	for _, h := range p.hosts {
 		count.Open += h.open
 	}
--- a/internal/node/forward/upstream/pool_test.go
+++ b/internal/node/forward/upstream/pool_test.go
@@ -20,10 +20,10 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// patience bounds every wait of the tests; a passing test never waits it out.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; a passing test never waits it out.
+const testTimeout = 20 * time.Second
 
-func soon() time.Time { return time.Now().Add(patience) }
+func soon() time.Time { return time.Now().Add(testTimeout) }
 
 // peer is the other end of connections. It answers each request by its script.
 type peer struct {
@@ -131,8 +131,8 @@
 	assert.Equal(t, int(arrivals.Load()), 3)
 }
 
-// TestLastUsedIsUsedFirst, so that those not needed come to rest and are closed.
-func TestLastUsedIsUsedFirst(t *testing.T) {
+// TestMostRecentlyUsedConnectionIsReused, so that those not needed come to rest and are closed.
+func TestMostRecentlyUsedConnectionIsReused(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	var conns []*Conn
@@ -152,8 +152,8 @@
 	assert.Equal(t, idle, 3)
 }
 
-// TestRestTime by what the broker says of Keep-Alive.
-func TestRestTime(t *testing.T) {
+// TestIdleTimeFollowsKeepAlive by what the broker says of Keep-Alive.
+func TestIdleTimeFollowsKeepAlive(t *testing.T) {
 	for _, test := range []struct {
 		headers string
 		want    time.Duration
@@ -169,12 +169,12 @@
 		p := newPeer(t, ok(test.headers))
 		pool := newPool(t, Options{})
 		conn := exchange(t, pool, p.target("i-1"))
-		assert.Equal(t, conn.usableUntil.Sub(conn.restingSince), test.want, test.headers)
+		assert.Equal(t, conn.usableUntil.Sub(conn.idleSince), test.want, test.headers)
 	}
 }
 
-// TestRestedTooLong: such a connection isn't used any more, nor kept.
-func TestRestedTooLong(t *testing.T) {
+// TestExpiredConnectionIsNotUsed: such a connection isn't used any more, nor kept.
+func TestExpiredConnectionIsNotUsed(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	old := exchange(t, pool, p.target("i-1"))
@@ -185,8 +185,8 @@
 	assert.Equal(t, pool.Counters.Stale.Load(), uint64(0))
 }
 
-// TestSweepClosesWhatRestedTooLong, without any request.
-func TestSweepClosesWhatRestedTooLong(t *testing.T) {
+// TestSweepClosesExpiredConnections, without any request.
+func TestSweepClosesExpiredConnections(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	first, err := pool.Get(t.Context(), p.target("i-1"), soon())
@@ -210,21 +210,21 @@
 	assert.Equal(t, len(pool.hosts), 0)
 }
 
-// TestUnstatedTimeIsLearned from connections found closed.
-func TestUnstatedTimeIsLearned(t *testing.T) {
+// TestIdleTimeIsLearnedWithoutKeepAlive from connections found closed.
+func TestIdleTimeIsLearnedWithoutKeepAlive(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	held, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.NilError(t, err)
 	conn := exchange(t, pool, p.target("i-1"))
-	conn.restingSince = time.Now().Add(-600 * time.Millisecond)
+	conn.idleSince = time.Now().Add(-600 * time.Millisecond)
 	<-p.sockets
 	socket := <-p.sockets
 	socket.Close()
 	awaitClosed(t, conn)
 	exchange(t, pool, p.target("i-1"))
 	assert.Equal(t, pool.Counters.Stale.Load(), uint64(1))
-	learned := held.host.unstated
+	learned := held.host.learnedIdleTime
 	assert.Assert(t, learned >= 300*time.Millisecond && learned < time.Second, "%v", learned)
 	held.Close()
 }
@@ -241,8 +241,8 @@
 }
 
 // TestConnectionsBelongToTheInstance, not to its address, which another broker may have later.
-// TestAKeptConnectionThatBreaksSpeaksAgainstTheOthers that have rested since before, and against no others.
-func TestAKeptConnectionThatBreaksSpeaksAgainstTheOthers(t *testing.T) {
+// TestBrokenKeptConnectionClosesOlderIdleOnes that have rested since before, and against no others.
+func TestBrokenKeptConnectionClosesOlderIdleOnes(t *testing.T) {
 	arrived := make(chan struct{}, 100)
 	p := newPeer(t, func(socket *net.TCPConn, request *http.Request) {
 		if request.Header.Get(HeaderRequestID) == "r1" {
@@ -260,7 +260,7 @@
 		{"reset", true, func(_ *Conn, socket *net.TCPConn) { socket.SetLinger(0); socket.Close() }, 0},
 		{"closed", true, func(_ *Conn, socket *net.TCPConn) { socket.Close() }, 0},
 		{"called off", true, func(conn *Conn, _ *net.TCPConn) { conn.Interrupt() }, 1},
-		{"no answer in time", true, func(conn *Conn, _ *net.TCPConn) { conn.LimitWait(time.Now()) }, 1},
+		{"no answer in time", true, func(conn *Conn, _ *net.TCPConn) { conn.SetWaitLimit(time.Now()) }, 1},
 		{"a new one, reset", false, func(_ *Conn, socket *net.TCPConn) { socket.SetLinger(0); socket.Close() }, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -293,7 +293,7 @@
 	}
 }
 
-func TestConnectionsBelongToTheInstance(t *testing.T) {
+func TestConnectionsBelongToInstanceNotAddress(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	old := exchange(t, pool, p.target("i-1"))
@@ -304,7 +304,7 @@
 	assert.Assert(t, old.closed.Load())
 }
 
-func TestBounds(t *testing.T) {
+func TestConnectionBoundsAreKept(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{MaxIdle: 1})
 	target := p.target("i-1")
@@ -323,8 +323,8 @@
 	assert.Equal(t, idle, 1)
 }
 
-// TestClosedPoolKeepsNothing.
-func TestClosedPoolKeepsNothing(t *testing.T) {
+// TestClosedPoolKeepsNoConnection.
+func TestClosedPoolKeepsNoConnection(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	conn, err := pool.Get(t.Context(), p.target("i-1"), soon())
@@ -380,8 +380,8 @@
 	return address
 }
 
-// TestConnectTimes: a connection that does not come up is given up at the time given, or when the client leaves.
-func TestConnectTimes(t *testing.T) {
+// TestConnectIsGivenUpAtDeadline: a connection that does not come up is given up at the time given, or when the client leaves.
+func TestConnectIsGivenUpAtDeadline(t *testing.T) {
 	target := Target{InstanceID: "i-1", Address: hungAddress(t)}
 	pool := newPool(t, Options{ConnectTimeout: time.Hour})
 	_, err := pool.Get(t.Context(), target, time.Now().Add(5*time.Millisecond))
@@ -401,21 +401,21 @@
 	assert.Equal(t, pool.Counters.Failed.Load(), uint64(1))
 }
 
-// TestSettle: a new connection that is reset, or that speaks first, is told from one that stays.
-func TestSettle(t *testing.T) {
+// TestAwaitResetTellsResetFromOpen: a new connection that is reset, or that speaks first, is told from one that stays.
+func TestAwaitResetTellsResetFromOpen(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	good, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.NilError(t, err)
-	assert.NilError(t, good.Settle(soon()))
+	assert.NilError(t, good.AwaitReset(soon()))
 	finish(t, good)
 	again, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.NilError(t, err)
-	assert.NilError(t, again.Settle(soon()), "a kept connection needs no wait")
+	assert.NilError(t, again.AwaitReset(soon()), "a kept connection needs no wait")
 	again.Close()
 	<-p.sockets
 
-	pool = newPool(t, Options{SettleTime: patience})
+	pool = newPool(t, Options{ResetWait: testTimeout})
 
 	for _, end := range []func(*net.TCPConn){
 		func(socket *net.TCPConn) { socket.SetLinger(0); socket.Close() },
@@ -425,15 +425,15 @@
 		conn, err := pool.Get(t.Context(), p.target("i-2"), soon())
 		assert.NilError(t, err)
 		end(<-p.sockets)
-		err = conn.Settle(soon())
+		err = conn.AwaitReset(soon())
 		assert.Assert(t, errorx.IsOfType(err, Rejected), "%v", err)
 		assert.Equal(t, VerdictOf(err), verdict.NotRun)
 		conn.Close()
 	}
 }
 
-// TestUnsent: a connection that took no byte leaves the request not run.
-func TestUnsent(t *testing.T) {
+// TestUnsentRequestHasNotRun: a connection that took no byte leaves the request not run.
+func TestUnsentRequestHasNotRun(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	for _, body := range []string{"", strings.Repeat("a", 20<<10)} {
@@ -447,8 +447,8 @@
 	}
 }
 
-// TestSentInPart: a peer that reads nothing holds the writer up; what it took may have run.
-func TestSentInPart(t *testing.T) {
+// TestPartlySentRequestMayHaveRun: a peer that reads nothing holds the writer up; what it took may have run.
+func TestPartlySentRequestMayHaveRun(t *testing.T) {
 	pool := newPool(t, Options{})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -461,8 +461,8 @@
 	assert.Equal(t, VerdictOf(err), verdict.MayHaveRun)
 }
 
-// TestSilenceIsNoFailure: after a wait that brought nothing the connection goes on.
-func TestSilenceIsNoFailure(t *testing.T) {
+// TestAwaitTimeoutKeepsConnection: after a wait that brought nothing the connection goes on.
+func TestAwaitTimeoutKeepsConnection(t *testing.T) {
 	proceed := make(chan struct{})
 	p := newPeer(t, func(socket *net.TCPConn, request *http.Request) {
 		<-proceed
@@ -487,8 +487,8 @@
 	assert.Equal(t, idle, 1)
 }
 
-// TestLimitWait bounds a read that is under way, and is forgotten with the request.
-func TestLimitWait(t *testing.T) {
+// TestWaitLimitBoundsReadInProgress bounds a read that is under way, and is forgotten with the request.
+func TestWaitLimitBoundsReadInProgress(t *testing.T) {
 	received := make(chan struct{}, 1)
 	p := newPeer(t, func(socket *net.TCPConn, request *http.Request) {
 		if request.Header.Get(HeaderRequestID) == "silent" {
@@ -500,18 +500,18 @@
 	pool := newPool(t, Options{})
 	conn, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.NilError(t, err)
-	conn.LimitWait(time.Now().Add(time.Hour))
+	conn.SetWaitLimit(time.Now().Add(time.Hour))
 	finish(t, conn)
-	conn.mu.Lock()
-	assert.Assert(t, conn.effective.IsZero(), "no timer runs for a connection at rest")
-	conn.mu.Unlock()
+	conn.mutex.Lock()
+	assert.Assert(t, conn.appliedDeadline.IsZero(), "no timer runs for a connection at rest")
+	conn.mutex.Unlock()
 
 	again, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.NilError(t, err)
 	assert.Equal(t, again, conn)
 	assert.NilError(t, conn.Send(request("silent"), nil, soon()))
 	<-received
-	conn.LimitWait(time.Now().Add(time.Millisecond))
+	conn.SetWaitLimit(time.Now().Add(time.Millisecond))
 	err = conn.Await(soon())
 	assert.Assert(t, errorx.IsOfType(err, TimedOut), "%v", err)
 	conn.Close()
@@ -530,7 +530,7 @@
 		conn.Interrupt()
 	}()
 	err = conn.Await(soon())
-	assert.Assert(t, errorx.IsOfType(err, Cut), "%v", err)
+	assert.Assert(t, errorx.IsOfType(err, Broken), "%v", err)
 	assert.Equal(t, VerdictOf(err), verdict.MayHaveRun)
 	conn.Close()
 	conn.Close()
--- a/internal/node/forward/verdict_test.go
+++ b/internal/node/forward/verdict_test.go
@@ -130,7 +130,7 @@
 		t.Run(b.name, func(t *testing.T) {
 			first := newBroker(t, "i-1", b.script)
 			second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
-			w := newWorld(t, newPort(first.instance, second.instance))
+			w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 			got := w.do(post("/unsafe/a", "r1", "body"))
 			w.port.awaitEnds(t, 1)
 			assert.Equal(t, w.port.outcome(t, 0).Verdict, b.want)
@@ -154,7 +154,7 @@
 	for _, b := range behaviours {
 		t.Run(b.name, func(t *testing.T) {
 			only := newBroker(t, "i-1", b.script)
-			w := newWorld(t, newPort(only.instance))
+			w := newWorld(t, newScriptedRouter(only.instance))
 			got := w.do(post("/unsafe/a", "r1", "body"))
 			w.port.awaitEnds(t, 1)
 			assert.Equal(t, got.StatusCode, b.status)
@@ -177,7 +177,7 @@
 		t.Run(b.name, func(t *testing.T) {
 			first := newBroker(t, "i-1", b.script)
 			second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
-			w := newWorld(t, newPort(first.instance, second.instance))
+			w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 			got := w.do(get("/safe/a", "r1"))
 			w.port.awaitEnds(t, 1)
 			if b.want == verdict.Ran && b.status < 500 {
@@ -196,7 +196,7 @@
 	for _, path := range []string{"/unsafe/a", "/stream/a"} {
 		first := newBroker(t, "i-1", func(e *exchange) { e.reset() })
 		second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
-		w := newWorld(t, newPort(first.instance, second.instance))
+		w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 		got := w.do(post(path, "r1", "body"))
 		assert.Equal(t, got.StatusCode, 502)
 		w.port.awaitEnds(t, 1)
@@ -208,7 +208,7 @@
 func TestNoPromiseAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.reset() })
 	second := newBroker(t, "i-2", func(e *exchange) { e.reject(503) })
-	w := newWorld(t, newPort(first.instance, second.instance))
+	w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 	got := w.do(get("/safe/a", "r1"))
 	assert.Equal(t, got.StatusCode, 502)
 	assert.Equal(t, got.Header.Get(headerRetryAfter), "")
@@ -218,7 +218,7 @@
 func TestFailureOfABrokerIsKeptForTheClient(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.answer(500, "broken") })
 	second := newBroker(t, "i-2", func(e *exchange) { e.reset() })
-	w := newWorld(t, newPort(first.instance, second.instance))
+	w := newWorld(t, newScriptedRouter(first.instance, second.instance))
 	got := w.do(get("/safe/a", "r1"))
 	assert.Equal(t, got.StatusCode, 500)
 	assert.Equal(t, got.body, "broken")
@@ -231,7 +231,7 @@
 	gone := &registry.Instance{ID: "i-gone", Service: "service", Address: listener.Addr().String()}
 	listener.Close()
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
-	w := newWorld(t, newPort(gone, second.instance))
+	w := newWorld(t, newScriptedRouter(gone, second.instance))
 	got := w.do(post("/unsafe/a", "r1", "body"))
 	assert.Equal(t, got.body, "second")
 	w.port.awaitEnds(t, 1)
@@ -258,8 +258,8 @@
 	}()
 	crowded := &registry.Instance{ID: "i-crowded", Service: "service", Address: listener.Addr().String()}
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
-	w := newWorld(t, newPort(crowded, second.instance), func(_ *world, options *Options) {
-		options.Upstream.SettleTime = 100 * time.Millisecond
+	w := newWorld(t, newScriptedRouter(crowded, second.instance), func(_ *world, options *Options) {
+		options.Upstream.ResetWait = 100 * time.Millisecond
 	})
 	got := w.do(post("/unsafe/a", "r1", "body"))
 	assert.Equal(t, got.body, "second")
@@ -273,7 +273,7 @@
 
 // TestRefusalOfTheRouter: nothing was sent, so the client is told when to come again.
 func TestRefusalOfTheRouter(t *testing.T) {
-	w := newWorld(t, newPort())
+	w := newWorld(t, newScriptedRouter())
 	got := w.do(post("/unsafe/a", "r1", "body"))
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Equal(t, got.Header.Get(headerRetryAfter), "0.250")
--- a/internal/rig/faultrun/planted_test.go
+++ b/internal/rig/faultrun/planted_test.go
@@ -122,7 +122,7 @@
 	{point: 5, name: "a promise is given though the request may have run", file: "routing/router.go",
 		old: "	if req.mayHaveRun() {\n		return Decision{}\n", new: "	if false {\n		return Decision{}\n", test: "routing"},
 	{point: 5, name: "a connection is kept after a surplus answer", file: "forward/upstream/answer.go",
-		old: "if !a.whole || a.mustHang || conn.doubtful {", new: "if !a.whole || a.mustHang {", test: "forward"},
+		old: "if !a.complete || a.closeAfter || conn.desynchronized {", new: "if !a.complete || a.closeAfter {", test: "forward"},
 	{point: 5, name: "an order is sent after its lease", file: "rollout/holder.go",
 		old: "	return !h.decided || now < h.waitUntil && (h.formerAll || h.former[id])\n", new: "	return false\n", test: "rollout"},
 }
