--- a/internal/node/agent/orders.go
+++ b/internal/node/agent/orders.go
@@ -22,9 +22,9 @@
 // executeOrder sends the rollout's orders and requests for reports to brokers.
 func (a *Agent) executeOrder(output core.Output) {
 	switch output := output.(type) {
-	case core.Order:
+	case core.SendOrder:
 		a.orders.Order(output, a.mayOrder)
-	case core.AskReport:
+	case core.FetchReport:
 		a.orders.AskReport(output)
 	default:
 		a.log.Error("agent: unknown output of a state machine")
@@ -33,6 +33,6 @@
 
 // mayOrder reports whether an order may still be sent. The sender asks right before it writes the
 // order's first byte, so that no order leaves after its lease.
-func (a *Agent) mayOrder(order core.Order) bool {
+func (a *Agent) mayOrder(order core.SendOrder) bool {
 	return !a.stopping.Load() && a.now() < order.ValidUntil
 }
--- a/internal/node/agent/promptindex.go
+++ b/internal/node/agent/promptindex.go
@@ -90,9 +90,9 @@
 }
 
 // recordStoreContact records a contact with a store, and tells the router that it is available.
-func (a *Agent) recordStoreContact(now core.Time, seen core.StoreSeen) {
+func (a *Agent) recordStoreContact(now core.Time, seen core.StoreContacted) {
 	a.prompts.storeLastContact[seen.Address] = now
-	a.router.StoreSeen(now, seen.Address, true, seen.Lost)
+	a.router.StoreSeen(now, seen.Address, true, seen.ContentsLost)
 }
 
 // expireStores tells the router of stores whose last contact is older than storeTimeout.
@@ -108,9 +108,9 @@
 // executeForIndex executes outputs of the index's state machines. It reports false for other outputs.
 func (a *Agent) executeForIndex(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
-	case core.AskEvents:
+	case core.FetchEvents:
 		a.prompts.poller.Ask(output)
-	case core.StoreSeen:
+	case core.StoreContacted:
 		a.recordStoreContact(now, output)
 	default:
 		return false
--- a/internal/node/agent/requests.go
+++ b/internal/node/agent/requests.go
@@ -20,12 +20,12 @@
 	mutex    sync.Mutex // guards the fields below
 	lastID   uint64
 	commands map[uint64]chan core.Reply
-	registry map[uint64]chan core.RegistryAnswer
+	registry map[uint64]chan core.RegistryReply
 }
 
 // newPendingRequests returns an empty table.
 func newPendingRequests() *pendingRequests {
-	return &pendingRequests{commands: map[uint64]chan core.Reply{}, registry: map[uint64]chan core.RegistryAnswer{}}
+	return &pendingRequests{commands: map[uint64]chan core.Reply{}, registry: map[uint64]chan core.RegistryReply{}}
 }
 
 // addCommand adds a call to the chain, and returns its number and the channel of its answer.
@@ -39,11 +39,11 @@
 }
 
 // addRegistry adds a call to the registry, and returns its number and the channel of its answer.
-func (p *pendingRequests) addRegistry() (uint64, chan core.RegistryAnswer) {
+func (p *pendingRequests) addRegistry() (uint64, chan core.RegistryReply) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.lastID++
-	answer := make(chan core.RegistryAnswer, 1)
+	answer := make(chan core.RegistryReply, 1)
 	p.registry[p.lastID] = answer
 	return p.lastID, answer
 }
@@ -67,7 +67,7 @@
 }
 
 // answerRegistry hands the registry's answer to the call that waits for it.
-func (p *pendingRequests) answerRegistry(reply core.RegistryAnswer) {
+func (p *pendingRequests) answerRegistry(reply core.RegistryReply) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if answer, ok := p.registry[reply.Request]; ok {
@@ -98,18 +98,18 @@
 }
 
 // registry makes a call to the registry and waits for its answer.
-func (b backend) registry(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.RegistryAnswer, error) {
+func (b backend) registry(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.RegistryReply, error) {
 	request, answers := b.agent.requests.addRegistry()
 	defer b.agent.requests.remove(request)
 	b.agent.post(func(now core.Time) { b.agent.execute(now, call(now, request)) })
 	select {
 	case answer := <-answers:
-		if !answer.Taken {
+		if !answer.Accepted {
 			return answer, errUnavailable
 		}
 		return answer, nil
 	case <-ctx.Done():
-		return core.RegistryAnswer{}, ctx.Err()
+		return core.RegistryReply{}, ctx.Err()
 	}
 }
 
--- a/internal/node/control/dispatch.go
+++ b/internal/node/control/dispatch.go
@@ -5,7 +5,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// dispatch hands a message to its plane. Messages for this node's shell come back as core.Received.
+// dispatch hands a message to its plane. Messages for this node's shell come back as core.MessageReassembled.
 func (n *Node) dispatch(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_Probe, *nodepb.Envelope_ProbeAck, *nodepb.Envelope_ProbeRequest, *nodepb.Envelope_MemberSync:
@@ -23,7 +23,7 @@
 		n.handleRelay(now, from, message.GetRelay())
 		return nil
 	case *nodepb.Envelope_IndexUpdate, *nodepb.Envelope_IndexPoll, *nodepb.Envelope_LoadHints:
-		return []core.Output{core.Received{From: from, Message: message}}
+		return []core.Output{core.MessageReassembled{From: from, Message: message}}
 	default:
 		if n.store == nil {
 			return nil
@@ -55,7 +55,7 @@
 	switch output := output.(type) {
 	case core.Send:
 		n.send(now, output)
-	case core.Received:
+	case core.MessageReassembled:
 		n.handleReceived(now, output)
 	case core.Reply:
 		n.handleReply(now, output)
@@ -65,7 +65,7 @@
 		n.execute(now, n.distribution.Installed(now, output.Snapshot))
 	case core.StateChanged:
 		n.publishState(now)
-	case core.ConfirmationWanted:
+	case core.RequestBarrier:
 		if n.store != nil {
 			n.execute(now, n.store.WantConfirmation(now))
 		}
@@ -80,7 +80,7 @@
 }
 
 // handleReceived dispatches a message that arrived in fragments, or emits it for the shell.
-func (n *Node) handleReceived(now core.Time, output core.Received) {
+func (n *Node) handleReceived(now core.Time, output core.MessageReassembled) {
 	if belongsToShell(output.Message) {
 		n.emit(output)
 		return
--- a/internal/node/control/inputs.go
+++ b/internal/node/control/inputs.go
@@ -93,13 +93,13 @@
 	return n.takeOutputs()
 }
 
-// Heartbeat handles a broker's heartbeat. core.RegistryAnswer with the request's number follows.
+// Heartbeat handles a broker's heartbeat. core.RegistryReply with the request's number follows.
 func (n *Node) Heartbeat(now core.Time, request uint64, instance *nodepb.Instance) []core.Output {
 	n.execute(now, n.registry.Heartbeat(now, request, instance))
 	return n.takeOutputs()
 }
 
-// Deregister handles a broker's deregistration. core.RegistryAnswer with the request's number follows.
+// Deregister handles a broker's deregistration. core.RegistryReply with the request's number follows.
 func (n *Node) Deregister(now core.Time, request uint64, id string) []core.Output {
 	n.execute(now, n.registry.Deregister(now, request, id))
 	return n.takeOutputs()
--- a/internal/node/control/relay.go
+++ b/internal/node/control/relay.go
@@ -13,21 +13,21 @@
 // directly through a relay.
 func (n *Node) send(now core.Time, output core.Send) {
 	if proto.Size(output.Message) > transfer.Threshold {
-		n.execute(now, n.transfers.Send(now, output.To, transfer.SubjectOf(output.Message), output.Message))
+		n.execute(now, n.transfers.Send(now, output.Destination, transfer.SubjectOf(output.Message), output.Message))
 		return
 	}
 	via := n.relayFor(output)
 	if via == "" {
-		n.emit(core.Send{To: output.To, Message: output.Message})
+		n.emit(core.Send{Destination: output.Destination, Message: output.Message})
 		return
 	}
 	relay := &nodepb.Relay{
-		To:            output.To,
+		To:            output.Destination,
 		OriginId:      n.self.NodeId,
 		OriginAddress: n.self.Address,
 		Envelope:      output.Message,
 	}
-	n.emit(core.Send{To: via, Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
+	n.emit(core.Send{Destination: via, Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
 // relayFor returns the relay through which a message goes; empty: none. Pings and pongs of voters take
@@ -40,7 +40,7 @@
 	if n.store == nil {
 		return ""
 	}
-	return n.store.Route(output.To)
+	return n.store.Route(output.Destination)
 }
 
 // handleRelay dispatches a message that arrived through a relay, or, as the relay, forwards one to its
@@ -56,7 +56,7 @@
 	if forwardedBefore || !n.coreAddresses[relay.GetTo()] {
 		return
 	}
-	n.emit(core.Send{To: relay.GetTo(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
+	n.emit(core.Send{Destination: relay.GetTo(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
 // maxRelays bounds the relays of each kind: outside the core, and in it.
--- a/internal/node/control/rollout.go
+++ b/internal/node/control/rollout.go
@@ -78,13 +78,13 @@
 func (n *Node) executeForRollout(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.MarkLoading:
-		n.execute(now, n.registry.SetLoading(now, output.InstanceID, output.Fence))
+		n.execute(now, n.registry.SetLoading(now, output.InstanceID, output.FencingToken))
 	case core.LoadingConfirmed:
-		if output.Fence != 0 {
+		if output.FencingToken != 0 {
 			n.rollout.MarkDone(now, output.InstanceID)
 			n.stepRollout(now, true)
 		}
-	case core.LoadedVersion:
+	case core.VersionLoaded:
 		n.execute(now, n.registry.SetModelVersion(now, output.InstanceID, output.Model, output.Version))
 	case core.SubmitCommand:
 		n.submitLeaseCommand(now, output.Command)
