--- a/internal/node/wireproto/frame_test.go
+++ b/internal/node/wireproto/frame_test.go
@@ -38,14 +38,14 @@
 	return encoded
 }
 
-func TestEnvelopesComeBackInOrder(t *testing.T) {
+func TestReaderReturnsEnvelopesInOrder(t *testing.T) {
 	sent := []*nodepb.Envelope{probe(1), snapshot(3 << 10), snapshot(5 << 10), snapshot(300 << 10), probe(2), snapshot(2 << 20), probe(3)}
 	var stream []byte
 	for _, envelope := range sent {
 		stream = append(stream, frame(t, envelope)...)
 	}
 	sources := map[string]io.Reader{
-		"whole":        bytes.NewReader(stream),
+		"complete":     bytes.NewReader(stream),
 		"half reads":   iotest.HalfReader(bytes.NewReader(stream)),
 		"data and end": iotest.DataErrReader(bytes.NewReader(stream)),
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestReadingByteByByte(t *testing.T) {
+func TestReaderAssemblesSingleBytes(t *testing.T) {
 	stream := append(frame(t, probe(1)), frame(t, snapshot(6<<10))...)
 	reader := wireproto.NewReader(iotest.OneByteReader(bytes.NewReader(stream)))
 	for _, want := range []*nodepb.Envelope{probe(1), snapshot(6 << 10)} {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestAnEnvelopeSharesNoMemoryWithTheReader(t *testing.T) {
+func TestEnvelopeSharesNoMemoryWithReader(t *testing.T) {
 	stream := append(frame(t, snapshot(1<<10)), frame(t, probe(9))...)
 	reader := wireproto.NewReader(bytes.NewReader(stream))
 	first, err := reader.Next()
@@ -85,7 +85,7 @@
 	assert.Assert(t, proto.Equal(first, snapshot(1<<10)))
 }
 
-func TestSenderFillsInWhoSendsAndLeavesTheEnvelopeAlone(t *testing.T) {
+func TestSenderSetsSenderWithoutModifyingEnvelope(t *testing.T) {
 	sender, err := wireproto.NewSender("front-c-3/1", "10.3.0.3:7560")
 	assert.NilError(t, err)
 	envelope := probe(5)
@@ -102,7 +102,7 @@
 	assert.Assert(t, proto.Equal(got, want))
 }
 
-func TestWhatCannotBeEncodedLeavesTheBufferAlone(t *testing.T) {
+func TestEncodingErrorLeavesBufferUnchanged(t *testing.T) {
 	notText := probe(1)
 	notText.SenderId = "\xff"
 	tests := map[string]struct {
@@ -124,8 +124,8 @@
 	assert.Assert(t, errorx.IsOfType(err, wireproto.Unencodable), "%v", err)
 }
 
-func TestErrorsOfAStream(t *testing.T) {
-	whole := frame(t, probe(1))
+func TestReaderErrorsAreTyped(t *testing.T) {
+	complete := frame(t, probe(1))
 	otherProtocol := probe(1)
 	otherProtocol.Protocol = wireproto.Protocol + 1
 	withoutBody := &nodepb.Envelope{Protocol: wireproto.Protocol, SenderId: "x"}
@@ -134,8 +134,8 @@
 		want    *errorx.Type
 		skipped bool
 	}{
-		"cut within the header":   {whole[:4], wireproto.Truncated, false},
-		"cut within the envelope": {whole[:len(whole)-1], wireproto.Truncated, false},
+		"cut within the header":   {complete[:4], wireproto.Truncated, false},
+		"cut within the envelope": {complete[:len(complete)-1], wireproto.Truncated, false},
 		"cut within a large one":  {frame(t, snapshot(200<<10))[:100<<10], wireproto.Truncated, false},
 		"length above the bound":  {header(wireproto.MaxFrame+1, 0xB7, 1), wireproto.Oversized, false},
 		"length of 4 GiB":         {header(1<<32-1, 0xB7, 1), wireproto.Oversized, false},
@@ -175,14 +175,14 @@
 	return append(binary.BigEndian.AppendUint32(nil, length), rest...)
 }
 
-func TestAnErrorOfTheStreamBetweenFramesComesAsItIs(t *testing.T) {
+func TestStreamErrorBetweenFramesIsReturnedAsIs(t *testing.T) {
 	broken := errors.New("reset")
 	reader := wireproto.NewReader(iotest.ErrReader(broken))
 	_, err := reader.Next()
 	assert.Equal(t, err, broken)
 }
 
-func TestALengthAloneClaimsNoMemory(t *testing.T) {
+func TestClaimedLengthAllocatesNoMemory(t *testing.T) {
 	stream := append(header(wireproto.MaxFrame, 0xB7, 1), make([]byte, 10)...)
 	allocated := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
@@ -195,7 +195,7 @@
 	assert.Assert(t, allocated < 128<<10, "%d bytes", allocated)
 }
 
-func TestKinds(t *testing.T) {
+func TestKindIsFieldNumberOfBody(t *testing.T) {
 	assert.Equal(t, wireproto.KindOf(probe(1)).String(), "probe")
 	assert.Equal(t, wireproto.KindOf(snapshot(1)).String(), "state_push")
 	assert.Equal(t, wireproto.KindOf(&nodepb.Envelope{}), wireproto.NoKind)
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestErrorsNameTheKind(t *testing.T) {
+func TestEncodingErrorNamesKind(t *testing.T) {
 	_, err := wireproto.Append(nil, snapshot(wireproto.MaxFrame))
 	assert.Assert(t, strings.Contains(err.Error(), "state_push"), "%v", err)
 }
--- a/internal/node/wireproto/kind.go
+++ b/internal/node/wireproto/kind.go
@@ -6,16 +6,17 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Kind tells which body an envelope carries: the number of its field in the schema.
+// Kind identifies the body of an envelope: the number of its field in the schema.
 type Kind uint8
 
 const (
-	// NoKind is the kind of an envelope without a body, or with one that this node does not know.
+	// NoKind is the kind of an envelope without a body, or with one that this node doesn't know.
 	NoKind Kind = 0
-	// KindLimit is above every kind, so that counters by kind fit into an array.
+	// KindLimit is greater than every kind, so that counters by kind fit into an array.
 	KindLimit = 128
 )
 
+// bodyOneof describes the bodies of an envelope.
 var bodyOneof = (&nodepb.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body")
 
 // KindOf returns the kind of the envelope's body.
--- a/internal/node/wireproto/link/accept.go
+++ b/internal/node/wireproto/link/accept.go
@@ -10,10 +10,10 @@
 	"kestrelspread/internal/node/wireproto"
 )
 
-// acceptRetryDelay follows an accept that failed, as it does where there are no descriptors left.
+// acceptRetryDelay follows a failed accept, which fails for instance while no descriptors are free.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (n *Network) accept() {
 	defer n.goroutines.Done()
 	for {
@@ -22,7 +22,7 @@
 			return
 		}
 		if err != nil {
-			n.options.Log.Warn("accept failed", "error", err)
+			n.options.Log.Warn("link: accept failed", "error", err)
 			n.waitBeforeAccept(acceptRetryDelay)
 			continue
 		}
@@ -30,9 +30,9 @@
 	}
 }
 
-// waitBeforeAccept waits, or until the Network is closed.
-func (n *Network) waitBeforeAccept(span time.Duration) {
-	timer := time.NewTimer(span)
+// waitBeforeAccept waits for delay, or until the Network is closed.
+func (n *Network) waitBeforeAccept(delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -40,7 +40,7 @@
 	}
 }
 
-// serve starts to read a connection where there is room for it.
+// serve starts to read an accepted connection, or closes it where there are too many.
 func (n *Network) serve(connection net.Conn) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -54,11 +54,11 @@
 	n.goroutines.Go(func() { n.read(connection) })
 }
 
-// read passes on what arrives on an accepted connection until it ends.
+// read receives the messages of an accepted connection until it ends.
 func (n *Network) read(connection net.Conn) {
 	defer n.closeAccepted(connection)
 	if err := setAcceptedOptions(connection, n.options); err != nil {
-		n.options.Log.Debug("socket option not set", "error", err)
+		n.options.Log.Debug("link: socket option not set", "error", err)
 	}
 	reader := wireproto.NewReader(&idleReader{connection: connection, limit: n.options.AcceptedIdleTimeout})
 	var sender core.Peer // of the last message
@@ -72,8 +72,8 @@
 	}
 }
 
-// receive passes on the next message, and notes its sender where it is another than the last one. It returns an error
-// where the stream is of no more use.
+// receive hands the next message to Options.Receive, and records a contact where its sender differs from
+// the last one. An error says that the stream can't be used any more.
 func (n *Network) receive(reader *wireproto.Reader, last *core.Peer) error {
 	envelope, err := reader.Next()
 	switch {
@@ -97,7 +97,7 @@
 	}
 }
 
-// recordContact notes that a node has opened a connection and spoken.
+// recordContact records that a node has opened a connection and sent a message.
 func (n *Network) recordContact(from core.Peer) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -106,15 +106,16 @@
 	}
 }
 
-// streamEnded counts and logs the end of a stream, unless its sender closed it properly or it was idle.
+// streamEnded counts and logs a stream that broke; one that its sender closed, or that was idle, didn't.
 func (n *Network) streamEnded(connection net.Conn, err error) {
 	if !wireproto.IsBrokenStream(err) {
 		return
 	}
 	n.counters.brokenStreams.Add(1)
-	n.options.Log.Debug("stream broken", "from", connection.RemoteAddr().String(), "error", err)
+	n.options.Log.Debug("link: stream broken", "from", connection.RemoteAddr().String(), "error", err)
 }
 
+// closeAccepted closes an accepted connection and forgets it.
 func (n *Network) closeAccepted(connection net.Conn) {
 	_ = connection.Close()
 	n.mutex.Lock()
@@ -122,7 +123,7 @@
 	delete(n.accepted, connection)
 }
 
-// idleReader reads a connection, and fails where nothing arrives for limit.
+// idleReader reads a connection; a read fails where nothing arrives for limit.
 type idleReader struct {
 	connection net.Conn
 	limit      time.Duration
@@ -130,6 +131,7 @@
 
 var _ io.Reader = (*idleReader)(nil)
 
+// Read implements io.Reader.
 func (r *idleReader) Read(buffer []byte) (int, error) {
 	if err := r.connection.SetReadDeadline(time.Now().Add(r.limit)); err != nil {
 		return 0, err
--- a/internal/node/wireproto/link/loopback.go
+++ b/internal/node/wireproto/link/loopback.go
@@ -8,25 +8,27 @@
 	"kestrelspread/internal/node/wireproto"
 )
 
-// loopback brings messages to the node's own address to Receive, in their order. They pass through the codec like any
-// other, so that sender and receiver share no memory. The Network's mutex guards queue and delivering.
+// loopback delivers messages to the node's own address to Options.Receive, in their order. They pass
+// through the codec like any other, so that sender and receiver share no memory. The Network's mutex
+// guards queue and delivering.
 type loopback struct {
 	network    *Network
 	queue      queue
 	delivering bool // a goroutine runs deliver
 
-	// source and reader belong to the goroutine that delivers.
+	// source and reader belong to the goroutine that runs deliver.
 	source bytes.Reader
 	reader *wireproto.Reader
 }
 
+// newLoopback returns the loopback of a network.
 func newLoopback(network *Network) *loopback {
 	l := &loopback{network: network}
 	l.reader = wireproto.NewReader(&l.source)
 	return l
 }
 
-// send puts the envelope into the queue. The mutex is held.
+// send queues the envelope, and starts the delivery unless it runs. The mutex must be held.
 func (l *loopback) send(envelope *nodepb.Envelope) {
 	n := l.network
 	if n.enqueue(&l.queue, envelope) && !l.delivering {
@@ -35,7 +37,7 @@
 	}
 }
 
-// deliver passes on what waits until nothing does.
+// deliver delivers batches until the queue is empty or the Network is closed.
 func (l *loopback) deliver() {
 	n := l.network
 	n.mutex.Lock()
@@ -51,6 +53,7 @@
 	n.endSender()
 }
 
+// decodeAll decodes and delivers all messages of a batch.
 func (l *loopback) decodeAll(frames []byte) {
 	l.source.Reset(frames)
 	l.reader.Reset(&l.source)
--- a/internal/node/wireproto/link/network.go
+++ b/internal/node/wireproto/link/network.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/wireproto"
 )
 
-// Network is the end of one node in the net of connections. Its methods may be called from any goroutine.
+// Network is one node's side of the connections to the others. Its methods are safe for concurrent use.
 type Network struct {
 	options  Options
 	sender   *wireproto.Sender
@@ -18,24 +18,24 @@
 	local    *loopback
 	counters counters
 
-	// closeContext ends what waits: dials, and the pause after a failed accept.
+	// closeContext is canceled by Close; it ends dials and the wait after a failed accept.
 	closeContext context.Context
 	close        context.CancelFunc
 	// goroutines counts the goroutines of the Network.
 	goroutines sync.WaitGroup
 
-	// mutex guards what follows, and the fields of the peers and of local that say so.
+	// mutex guards the fields below, and those of the peers and of local that say so.
 	mutex       sync.Mutex
 	closed      bool
 	peers       map[string]*peer
 	accepted    map[net.Conn]struct{}
-	queuedBytes int           // waiting or being written, over all peers
+	queuedBytes int           // queued or being written, over all peers
 	senders     int           // goroutines that write or deliver
 	sendersDone chan struct{} // closed when senders falls to 0; nil where nobody waits for that
 }
 
-// New listens on options.ListenAddress and starts to receive. The error is of type CannotListen or
-// wireproto.Unencodable.
+// New listens on options.ListenAddress and starts to receive. Close ends it. The error is of type
+// CannotListen or wireproto.Unencodable.
 func New(options Options) (*Network, error) {
 	options = options.withDefaults()
 	configuration := net.ListenConfig{KeepAliveConfig: keepAlive(options)}
@@ -69,9 +69,9 @@
 // Address returns the address that the Network listens on.
 func (n *Network) Address() string { return n.listener.Addr().String() }
 
-// Send sends the envelope to the node at address, with protocol and sender filled in; it never blocks. The envelope
-// is encoded before Send returns, and not altered. A message to the node's own address comes back through Receive,
-// from another goroutine.
+// Send sends the envelope to the node at address, with protocol and sender filled in. It never blocks.
+// The envelope is encoded before Send returns, and not modified. A message to the node's own address
+// arrives at Options.Receive, on another goroutine.
 func (n *Network) Send(address string, envelope *nodepb.Envelope) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -85,7 +85,8 @@
 	n.peer(address).send(envelope)
 }
 
-// Flush waits until everything that waits has been written or dropped, or ctx ends.
+// Flush waits until everything queued has been written or dropped. It returns ctx's error if ctx ends
+// first.
 func (n *Network) Flush(ctx context.Context) error {
 	n.mutex.Lock()
 	if n.senders == 0 {
@@ -105,7 +106,8 @@
 	}
 }
 
-// Close ends all connections at once and waits for the goroutines of the Network, thus for calls of Receive too.
+// Close closes all connections at once and waits for the goroutines of the Network, and so for calls of
+// Options.Receive.
 func (n *Network) Close() {
 	n.mutex.Lock()
 	if !n.closed {
@@ -123,13 +125,13 @@
 	n.goroutines.Wait()
 }
 
-// startSender runs send in a goroutine of its own. The mutex is held.
+// startSender runs send on a new goroutine. The mutex must be held.
 func (n *Network) startSender(send func()) {
 	n.senders++
 	n.goroutines.Go(send)
 }
 
-// endSender is called at the end of what startSender started. The mutex is held.
+// endSender must be called at the end of what startSender started. The mutex must be held.
 func (n *Network) endSender() {
 	n.senders--
 	if n.senders == 0 && n.sendersDone != nil {
--- a/internal/node/wireproto/link/network_test.go
+++ b/internal/node/wireproto/link/network_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestMessagesKeepTheirOrder(t *testing.T) {
+func TestMessagesKeepOrder(t *testing.T) {
 	a, b := start(t, "a/1", link.Options{}), start(t, "b/1", link.Options{})
 	for sequence := range uint64(2000) {
 		a.Send(b.Address(), probe(sequence))
@@ -121,7 +121,7 @@
 	assert.Equal(t, b.Stats().Kinds[0].ReceivedBytes, stats.Kinds[0].SentBytes)
 }
 
-func TestBothDirectionsAndLargeMessages(t *testing.T) {
+func TestLargeMessageAndReplyAreDelivered(t *testing.T) {
 	a, b := start(t, "a/1", link.Options{}), start(t, "b/1", link.Options{})
 	large := push(wireproto.MaxFrame - 1024)
 	a.Send(b.Address(), large)
@@ -133,7 +133,7 @@
 	assert.Equal(t, answer.envelope.GetProbe().Sequence, uint64(7))
 }
 
-func TestSendLeavesTheEnvelopeAlone(t *testing.T) {
+func TestSendDoesNotModifyEnvelope(t *testing.T) {
 	a, b := start(t, "a/1", link.Options{}), start(t, "b/1", link.Options{})
 	envelope := probe(1)
 	a.Send(b.Address(), envelope)
@@ -142,7 +142,7 @@
 	assert.Equal(t, b.next(t).from.NodeID, "a/1")
 }
 
-func TestMessagesToTheOwnAddress(t *testing.T) {
+func TestMessagesToOwnAddressAreDeliveredInOrder(t *testing.T) {
 	a := start(t, "a/1", link.Options{})
 	large := push(100 << 10)
 	a.Send(a.Address(), large)
@@ -159,7 +159,7 @@
 	assert.Equal(t, a.Stats().Dials, uint64(0))
 }
 
-func TestSendFromReceive(t *testing.T) {
+func TestReceiveMaySend(t *testing.T) {
 	answered := make(chan struct{})
 	var network *link.Network
 	ready := make(chan struct{})
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestFramesThatAreNotUnderstoodAreCountedAndSkipped(t *testing.T) {
+func TestUnknownFramesAreCountedAndSkipped(t *testing.T) {
 	a := start(t, "a/1", link.Options{})
 	connection := dial(t, a.Address())
 	other := probe(1)
@@ -206,7 +206,7 @@
 	assert.Equal(t, a.Stats().BrokenStreams, uint64(0))
 }
 
-func TestStreamsThatAreNoFramesAreClosedAndCounted(t *testing.T) {
+func TestBrokenStreamIsClosedAndCounted(t *testing.T) {
 	valid, err := wireproto.Append(nil, push(100))
 	assert.NilError(t, err)
 	oversized := binary.BigEndian.AppendUint32(nil, wireproto.MaxFrame+1)
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestAPeerThatStartedAgainIsReached(t *testing.T) {
+func TestRestartedPeerIsReached(t *testing.T) {
 	a := start(t, "a/1", link.Options{MinBackoff: time.Millisecond, MaxBackoff: 5 * time.Millisecond})
 	former := start(t, "b/1", link.Options{})
 	address := former.Address()
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestAPeerThatCannotBeReachedIsLeftAloneForAMoment(t *testing.T) {
+func TestMessagesAreDroppedDuringBackoff(t *testing.T) {
 	listener := silentListener(t)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
@@ -271,7 +271,7 @@
 	assert.Equal(t, stats.DroppedBackoff, uint64(1))
 }
 
-func TestAPeerThatSpeaksIsReachedWithoutWaiting(t *testing.T) {
+func TestContactEndsBackoff(t *testing.T) {
 	listener := silentListener(t)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
@@ -286,7 +286,7 @@
 	assert.Equal(t, b.next(t).envelope.GetProbe().Sequence, uint64(3))
 }
 
-func TestADialThatHangsIsBegunAnewWhenThePeerSpeaks(t *testing.T) {
+func TestContactRepeatsHangingDial(t *testing.T) {
 	address := hangingAddress(t)
 	a := start(t, "a/1", link.Options{DialTimeout: time.Hour})
 	a.Send(address, probe(1))
@@ -300,7 +300,7 @@
 	assert.Equal(t, a.Stats().Dials, uint64(2))
 }
 
-func TestTheFirstDialEndsLongBeforeTheLimit(t *testing.T) {
+func TestFirstDialTimesOutEarly(t *testing.T) {
 	address := hangingAddress(t)
 	a := start(t, "a/1", link.Options{DialTimeout: time.Hour, MinBackoff: time.Hour, MaxBackoff: time.Hour})
 	a.Send(address, probe(1))
@@ -343,7 +343,7 @@
 	}
 }
 
-func TestAConnectThatHangsIsGivenUp(t *testing.T) {
+func TestHangingDialTimesOut(t *testing.T) {
 	address := hangingAddress(t)
 	a := start(t, "a/1", link.Options{DialTimeout: 50 * time.Millisecond, MinBackoff: time.Hour, MaxBackoff: time.Hour})
 	for sequence := range uint64(10) {
@@ -354,14 +354,14 @@
 	assert.Equal(t, a.Stats().DroppedConnection+a.Stats().DroppedBackoff, uint64(10))
 }
 
-func TestCloseDoesNotWaitForAConnectThatHangs(t *testing.T) {
+func TestCloseCancelsHangingDial(t *testing.T) {
 	address := hangingAddress(t)
 	a := start(t, "a/1", link.Options{DialTimeout: time.Hour})
 	a.Send(address, probe(1))
 	a.Close()
 }
 
-func TestAPeerThatDoesNotReadHoldsALimitedQueue(t *testing.T) {
+func TestQueueOfUnresponsivePeerIsBounded(t *testing.T) {
 	const bound = 1 << 20
 	listener := silentListener(t)
 	a := start(t, "a/1", link.Options{SendTimeout: 300 * time.Millisecond, MaxQueueBytes: bound, MinBackoff: time.Hour, MaxBackoff: time.Hour})
@@ -380,7 +380,7 @@
 	assert.Equal(t, a.Stats().DroppedBackoff, before+1)
 }
 
-func TestAllQueuesTogetherAreBounded(t *testing.T) {
+func TestTotalQueueSizeIsBounded(t *testing.T) {
 	address := hangingAddress(t)
 	a := start(t, "a/1", link.Options{MaxTotalBytes: 100 << 10, DialTimeout: time.Hour})
 	reader := start(t, "b/1", link.Options{})
@@ -391,7 +391,7 @@
 	assert.Equal(t, reader.next(t).envelope.GetProbe().Sequence, uint64(1))
 }
 
-func TestWhatIsTooLargeIsDroppedAlone(t *testing.T) {
+func TestOversizedMessageIsDroppedAlone(t *testing.T) {
 	a, b := start(t, "a/1", link.Options{}), start(t, "b/1", link.Options{})
 	a.Send(b.Address(), push(wireproto.MaxFrame))
 	a.Send(b.Address(), probe(1))
@@ -399,7 +399,7 @@
 	assert.Equal(t, a.Stats().DroppedUnencodable, uint64(1))
 }
 
-func TestADialedConnectionWithoutUseIsClosed(t *testing.T) {
+func TestUnusedDialedConnectionIsClosed(t *testing.T) {
 	listener := silentListener(t)
 	a := start(t, "a/1", link.Options{IdleTimeout: 20 * time.Millisecond})
 	for range 2 {
@@ -414,7 +414,7 @@
 	}
 }
 
-func TestAnAcceptedConnectionThatIsSilentIsClosed(t *testing.T) {
+func TestIdleAcceptedConnectionIsClosed(t *testing.T) {
 	a := start(t, "a/1", link.Options{AcceptedIdleTimeout: 20 * time.Millisecond})
 	expectClosed(t, dial(t, a.Address()))
 	assert.Equal(t, a.Stats().BrokenStreams, uint64(0))
@@ -435,7 +435,7 @@
 	a.next(t)
 }
 
-func TestNothingIsSentAfterClose(t *testing.T) {
+func TestSendAfterCloseDoesNothing(t *testing.T) {
 	a, b := start(t, "a/1", link.Options{}), start(t, "b/1", link.Options{})
 	a.Close()
 	a.Close()
@@ -454,7 +454,7 @@
 	assert.ErrorIs(t, a.Flush(ctx), context.DeadlineExceeded)
 }
 
-func TestAnAddressInUseIsAnError(t *testing.T) {
+func TestAddressInUseIsAnError(t *testing.T) {
 	a := start(t, "a/1", link.Options{})
 	_, err := link.New(link.Options{ListenAddress: a.Address()})
 	assert.ErrorContains(t, err, "cannot_listen")
--- a/internal/node/wireproto/link/options.go
+++ b/internal/node/wireproto/link/options.go
@@ -1,8 +1,12 @@
-// Package link connects nodes over TCP: it carries the frames of package wireproto between them.
+// Package link connects nodes over TCP: it transports the frames of package wireproto between them.
 //
-// A message to a node travels on the connection that this node dialed to it; what other nodes send arrives on the
-// connections that they dialed. A message is delivered at most once: it is lost where its receiver can't be reached,
-// does not read, or is replaced while the message is under way. Messages of one node to another keep their order.
+// A message to a node travels on the connection that this node dialed to it; messages from other nodes
+// arrive on the connections that they dialed. Invariants: a message is delivered at most once (it is lost
+// where its receiver can't be reached, doesn't read, or restarts while the message is in flight);
+// messages from one node to another keep their order; Send never blocks, and what waits is bounded.
+//
+// It doesn't retry, authenticate or interpret messages: the state machines above repeat what must
+// arrive.
 package link
 
 import (
@@ -33,34 +37,37 @@
 type Options struct {
 	// ListenAddress is the "IP:port" on which connections of other nodes are accepted.
 	ListenAddress string
-	// SelfID is the node id of this life of the process.
+	// SelfID is the node id of this incarnation of the process.
 	SelfID string
-	// SelfAddress is where answers go; where empty, the address that the listener was given.
+	// SelfAddress is where replies go; if empty, the listener's own address.
 	SelfAddress string
-	// Receive takes what arrives. It is called from several goroutines; while it blocks, the connection of the
-	// message is not read further.
+	// Receive handles each message that arrives. It is called from several goroutines; while it blocks,
+	// the connection of the message is not read.
 	Receive func(from core.Peer, envelope *nodepb.Envelope)
-	Log     *slog.Logger
+	// Log defaults to no logging.
+	Log *slog.Logger
 
-	// DialTimeout bounds the time a connection takes to come up.
+	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
-	// SendTimeout is how long a peer may take in nothing, or leave sent bytes without acknowledgement
+	// SendTimeout is how long a peer may read nothing, or leave sent bytes unacknowledged
 	// (TCP_USER_TIMEOUT), before its connection is closed.
 	SendTimeout time.Duration
 	// IdleTimeout is how long a dialed connection is kept without use.
 	IdleTimeout time.Duration
-	// AcceptedIdleTimeout is how long an accepted connection may be silent. It has to be longer than IdleClose.
+	// AcceptedIdleTimeout is how long an accepted connection may receive nothing. It has to be longer than
+	// IdleTimeout.
 	AcceptedIdleTimeout time.Duration
-	// KeepAliveIdle is how long a connection rests until the kernel asks whether its other end is there. What is sent
-	// is watched by SendTimeout; these probes only find the connections that nobody uses, and cost bytes on each.
+	// KeepAliveIdle is how long a connection is idle before the kernel probes its other end. SendTimeout
+	// covers connections in use; the probes only find dead idle ones, and cost bytes on each.
 	KeepAliveIdle time.Duration
-	// MinBackoff, doubled up to MaxBackoff, is how long messages to a peer are dropped after it could not be
-	// reached.
+	// MinBackoff, doubled after each failure up to MaxBackoff, is how long messages to a peer are dropped
+	// after it could not be reached.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// MaxQueueBytes bounds what waits to be sent to one peer. A single message may be larger, where nothing waits.
+	// MaxQueueBytes bounds the bytes queued for one peer. A single message may be larger while the queue
+	// is empty.
 	MaxQueueBytes int
-	// MaxTotalBytes bounds what waits to be sent to all peers together.
+	// MaxTotalBytes bounds the bytes queued for all peers together.
 	MaxTotalBytes int
 	// MaxAccepted bounds the accepted connections.
 	MaxAccepted int
@@ -68,9 +75,10 @@
 
 var namespace = errorx.NewNamespace("link")
 
-// CannotListen is the error of New where the listening address can't be had.
+// CannotListen is the error of New where the listener can't be opened.
 var CannotListen = namespace.NewType("cannot_listen")
 
+// withDefaults replaces values that aren't set.
 func (o Options) withDefaults() Options {
 	setDuration(&o.DialTimeout, DefaultDialTimeout)
 	setDuration(&o.SendTimeout, DefaultSendTimeout)
@@ -88,12 +96,14 @@
 	return o
 }
 
+// setDuration sets the field to value unless it is positive.
 func setDuration(field *time.Duration, value time.Duration) {
 	if *field <= 0 {
 		*field = value
 	}
 }
 
+// setInt sets the field to value unless it is positive.
 func setInt(field *int, value int) {
 	if *field <= 0 {
 		*field = value
--- a/internal/node/wireproto/link/peer.go
+++ b/internal/node/wireproto/link/peer.go
@@ -8,10 +8,10 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// maxWriteSize is the most that has to be taken in by a peer within SendTimeout.
+// maxWriteSize is the size of a single write, in bytes: so much a peer must read within SendTimeout.
 const maxWriteSize = 256 << 10
 
-// peer is the sending side towards one address. The Network's mutex guards its fields.
+// peer is the sending side to one address. The Network's mutex guards its fields.
 type peer struct {
 	network *Network
 	address string
@@ -19,20 +19,20 @@
 	queue   queue
 	writing bool // a goroutine runs write
 
-	connection net.Conn // nil where none stands
+	connection net.Conn // nil: none is open
 	lastUsedAt time.Time
 	idleTimer  *time.Timer
 
-	backoff      time.Duration // of the last failure; 0 after a success
-	dialFailures int           // in a row
+	backoff      time.Duration // after the last failure; 0 after a success
+	dialFailures int           // consecutive
 	retryAt      time.Time     // messages are dropped until then
 
-	cancelDial context.CancelFunc // ends the dial under way; nil where none is
-	redial     bool               // the dial under way was ended as the peer has spoken: another follows at once
-	lastNodeID string             // node id of the newest life that spoke from the address; empty: none has
+	cancelDial context.CancelFunc // cancels the dial in progress; nil: none is
+	redial     bool               // the dial in progress was canceled as the peer made contact: repeat it at once
+	lastNodeID string             // of the newest incarnation that made contact from the address; empty: none has
 }
 
-// peer returns the sending side towards the address, and makes it where there is none. The mutex is held.
+// peer returns the sending side to the address, a new one if there is none. The mutex must be held.
 func (n *Network) peer(address string) *peer {
 	p := n.peers[address]
 	if p == nil {
@@ -43,7 +43,8 @@
 	return p
 }
 
-// send puts the envelope into the queue, and starts a writer where none runs. The mutex is held.
+// send queues the envelope, and starts a writer unless one runs. During the backoff the envelope is
+// dropped. The mutex must be held.
 func (p *peer) send(envelope *nodepb.Envelope) {
 	n := p.network
 	if p.backoff > 0 && time.Now().Before(p.retryAt) {
@@ -56,7 +57,8 @@
 	}
 }
 
-// write sends what waits, in one write for all of it, until nothing waits.
+// write writes the queue, all that is pending in one batch, until it is empty. At most one goroutine
+// runs it per peer, which keeps messages in order.
 func (p *peer) write() {
 	n := p.network
 	n.mutex.Lock()
@@ -80,7 +82,8 @@
 	n.endSender()
 }
 
-// deliver writes the frames to the connection, and dials one first where it is nil. It returns the connection used.
+// deliver writes the frames to the connection, or, if that is nil, to a newly dialed one. It returns the
+// connection used; nil where the dial failed.
 func (p *peer) deliver(connection net.Conn, frames []byte) (net.Conn, error) {
 	if connection == nil {
 		dialed, err := p.dial()
@@ -102,7 +105,8 @@
 	return connection, nil
 }
 
-// dial opens a connection. One that hangs as the peer was down when it began is begun anew once the peer speaks.
+// dial opens a connection. A dial that hangs because the peer was down when it started is repeated once
+// the peer has made contact.
 func (p *peer) dial() (net.Conn, error) {
 	n := p.network
 	for {
@@ -117,6 +121,7 @@
 	}
 }
 
+// dialOnce makes one attempt to connect, and counts it.
 func (p *peer) dialOnce() (net.Conn, error) {
 	n := p.network
 	n.mutex.Lock()
@@ -143,20 +148,24 @@
 	return connection, nil
 }
 
-// initialDialTimeout bounds the first dial after a success: where the peer was just starting, its opening packet was lost, and the
-// kernel would repeat it only after a second. Each failure doubles it.
+// initialDialTimeout bounds the first dial after a success: if the peer was just starting, the opening
+// packet was lost, and the kernel would repeat it only after a second. Each failure doubles it.
 const initialDialTimeout = 200 * time.Millisecond
 
+// maxDialDoublings keeps the shift of initialDialTimeout from overflowing; DialTimeout is reached before.
+const maxDialDoublings = 10
+
+// dialTimeout returns the time-out of the next dial.
 func (p *peer) dialTimeout() time.Duration {
 	limit := p.network.options.DialTimeout
-	if p.dialFailures > 10 {
+	if p.dialFailures > maxDialDoublings {
 		return limit
 	}
 	return min(limit, initialDialTimeout<<p.dialFailures)
 }
 
-// recordContact notes that a life of the peer has just spoken: it can be reached, and a connection to a former life leads nowhere.
-// The mutex is held.
+// recordContact records that the node has just sent a message: its address can be reached, and a
+// connection to an earlier incarnation there is dead. The mutex must be held.
 func (p *peer) recordContact(nodeID string) {
 	if p.lastNodeID == nodeID {
 		return
@@ -173,8 +182,8 @@
 	}
 }
 
-// awaitClose waits for the end of a dialed connection, on which nothing is to arrive: so a peer that ended or became
-// unreachable is known before something is written to a connection that no longer leads anywhere.
+// awaitClose waits for the end of a dialed connection, on which nothing may arrive. So a peer that ended
+// or became unreachable is noticed before a message is written to a dead connection and lost.
 func (p *peer) awaitClose(connection net.Conn) {
 	var unexpected [1]byte
 	_, _ = connection.Read(unexpected[:])
@@ -183,18 +192,18 @@
 	p.disconnect(connection)
 }
 
-// handleFailure drops what waits, and keeps from trying again for a moment. connection is nil where none came up. The mutex
-// is held.
+// handleFailure drops the queue and starts the backoff. connection is nil where none was established. The
+// mutex must be held.
 func (p *peer) handleFailure(connection net.Conn, err error) {
 	n := p.network
 	p.disconnect(connection)
 	n.drop(&p.queue)
 	p.backoff = min(max(2*p.backoff, n.options.MinBackoff), n.options.MaxBackoff)
 	p.retryAt = p.lastUsedAt.Add(p.backoff)
-	n.options.Log.Debug("peer not reached", "address", p.address, "error", err, "retry_in", p.backoff)
+	n.options.Log.Debug("link: peer not reached", "address", p.address, "error", err, "retry_in", p.backoff)
 }
 
-// disconnect closes the connection. The mutex is held.
+// disconnect closes the connection. The mutex must be held.
 func (p *peer) disconnect(connection net.Conn) {
 	if connection == nil {
 		return
@@ -222,7 +231,7 @@
 	delete(n.peers, p.address)
 }
 
-// close closes what the peer holds. The mutex is held.
+// close closes the peer's connection and stops its timer. The mutex must be held.
 func (p *peer) close() {
 	p.idleTimer.Stop()
 	p.disconnect(p.connection)
--- a/internal/node/wireproto/link/queue.go
+++ b/internal/node/wireproto/link/queue.go
@@ -5,32 +5,33 @@
 	"kestrelspread/internal/node/wireproto"
 )
 
-// maxRetainedBufferSize bounds the buffers that a queue keeps while nothing waits.
+// maxRetainedBufferSize bounds the buffers that a queue retains while it is empty, in bytes.
 const maxRetainedBufferSize = 16 << 10
 
-// queue is a row of encoded frames that wait. The Network's mutex guards it.
+// queue holds encoded frames to be written. The Network's mutex guards it.
 type queue struct {
 	pending         []byte
 	pendingMessages int
-	// inFlightBytes is the size of the batch that was taken last, until it is released.
+	// inFlightBytes is the size of the batch that was taken last, until its release.
 	inFlightBytes int
-	// spareBuffer is the buffer of the batch before.
+	// spareBuffer is the buffer of the batch before that.
 	spareBuffer []byte
 }
 
-// batch is what a queue held when it was taken.
+// batch is the content of a queue that was taken to be written.
 type batch struct {
 	frames   []byte
 	messages int
 }
 
-// enqueue encodes the envelope at the end of the queue. It reports whether there was room. The mutex is held.
+// enqueue encodes the envelope at the end of the queue. It reports false, and counts the message as
+// dropped, where it can't be encoded or exceeds the capacity. The mutex must be held.
 func (n *Network) enqueue(q *queue, envelope *nodepb.Envelope) bool {
 	before := len(q.pending)
 	frames, err := n.sender.Append(q.pending, envelope)
 	if err != nil {
 		n.counters.droppedUnencodable.Add(1)
-		n.options.Log.Warn("message can't be sent", "error", err)
+		n.options.Log.Warn("link: message not encodable", "error", err)
 		return false
 	}
 	size := len(frames) - before
@@ -45,7 +46,7 @@
 	return true
 }
 
-// hasCapacity reports whether size bytes more may wait in a queue that holds waiting bytes.
+// hasCapacity reports whether size bytes more may be queued behind waiting bytes.
 func (n *Network) hasCapacity(waiting, size int) bool {
 	if waiting > 0 && waiting+size > n.options.MaxQueueBytes {
 		return false
@@ -53,7 +54,8 @@
 	return n.queuedBytes == 0 || n.queuedBytes+size <= n.options.MaxTotalBytes
 }
 
-// take empties the queue. The bytes of the batch count as waiting until release. The mutex is held.
+// take empties the queue. The bytes of the batch count against the capacity until release. The mutex
+// must be held.
 func (q *queue) take() batch {
 	taken := batch{frames: q.pending, messages: q.pendingMessages}
 	q.inFlightBytes = len(q.pending)
@@ -62,7 +64,8 @@
 	return taken
 }
 
-// release ends the batch that was taken, and keeps its buffer for another. The mutex is held.
+// release ends the batch that was taken, and retains its buffer for the next one. The mutex must be
+// held.
 func (n *Network) release(q *queue, done batch) {
 	n.queuedBytes -= len(done.frames)
 	q.inFlightBytes = 0
@@ -71,7 +74,7 @@
 	}
 }
 
-// drop empties the queue without sending what it holds. No batch is out. The mutex is held.
+// drop discards the queue. No batch may be in flight. The mutex must be held.
 func (n *Network) drop(q *queue) {
 	dropped := q.take()
 	n.release(q, dropped)
--- a/internal/node/wireproto/link/socket.go
+++ b/internal/node/wireproto/link/socket.go
@@ -8,12 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
+// Probes of the kernel: an idle peer that is gone is detected within KeepAliveIdle and
+// keepAliveCount*keepAliveInterval.
 const (
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// keepAlive returns what finds out about a peer that is gone without a word while nothing is sent to it.
+// keepAlive returns the probes that detect a dead peer while nothing is sent to it.
 func keepAlive(options Options) net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable:   true,
@@ -23,7 +25,7 @@
 	}
 }
 
-// setUserTimeout bounds how long sent bytes stay without acknowledgement: a link that is cut says nothing
+// setUserTimeout bounds how long sent bytes stay unacknowledged: a partitioned link gives no error
 // (DEPLOY.md, "Network").
 func setUserTimeout(connection syscall.RawConn, timeout time.Duration) error {
 	var failed error
@@ -36,7 +38,7 @@
 	return failed
 }
 
-// dialer returns what dials peers. TCP_NODELAY is set by package net.
+// dialer returns the dialer of connections to peers. Package net sets TCP_NODELAY.
 func dialer(options Options) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         options.DialTimeout,
@@ -47,7 +49,7 @@
 	}
 }
 
-// setAcceptedOptions does for an accepted connection what dialer does for a dialed one.
+// setAcceptedOptions sets the options on an accepted connection that dialer sets on a dialed one.
 func setAcceptedOptions(connection net.Conn, options Options) error {
 	raw, err := connection.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/node/wireproto/link/socket_test.go
+++ b/internal/node/wireproto/link/socket_test.go
@@ -12,7 +12,7 @@
 )
 
 // DEPLOY.md, "Network": a connection behind a cut hangs unless TCP_USER_TIMEOUT or keep-alive probes are set.
-func TestSocketOptionsOfBothSides(t *testing.T) {
+func TestSocketOptionsAreSetOnBothSides(t *testing.T) {
 	options := Options{SendTimeout: 1700 * time.Millisecond, KeepAliveIdle: 3 * time.Second}.withDefaults()
 	configuration := net.ListenConfig{KeepAliveConfig: keepAlive(options)}
 	listener, err := configuration.Listen(context.Background(), "tcp4", "127.0.0.1:0")
--- a/internal/node/wireproto/link/stats.go
+++ b/internal/node/wireproto/link/stats.go
@@ -6,44 +6,47 @@
 	"kestrelspread/internal/node/wireproto"
 )
 
-// Stats are counters since the start of a Network. Bytes are those of whole frames.
+// Stats are counters since the start of a Network. Bytes are of frames with their headers.
 type Stats struct {
 	// Kinds holds the kinds of messages that were sent or received, in the order of the schema.
 	Kinds []KindStats
 
-	// DroppedQueueFull counts messages that found the queue of their peer, or all queues together, full.
+	// DroppedQueueFull counts messages dropped at a full queue, of their peer or of all together.
 	DroppedQueueFull uint64
-	// DroppedBackoff counts messages to a peer that could not be reached a moment before.
+	// DroppedBackoff counts messages dropped during the backoff of an unreachable peer.
 	DroppedBackoff uint64
-	// DroppedConnection counts messages that were taken but lost as the peer could not be reached or did not read.
+	// DroppedConnection counts messages that were queued but lost, as the peer could not be reached or
+	// didn't read.
 	DroppedConnection uint64
 	// DroppedUnencodable counts messages that are too large or can't be encoded.
 	DroppedUnencodable uint64
 
-	// Dials and DialFailures count connections to peers that were tried, and those that did not come up.
+	// Dials and DialFailures count attempts to connect to peers, and those that failed.
 	Dials        uint64
 	DialFailures uint64
 	// Accepted counts connections of peers; AcceptedRefused those closed at once, as there were too many.
 	Accepted         uint64
 	AcceptedRejected uint64
 
-	// OtherProtocol counts messages of nodes that speak another version of the schema.
+	// OtherProtocol counts messages of nodes with another version of the schema.
 	OtherProtocol uint64
-	// Undecodable counts whole frames that hold no known message.
+	// Undecodable counts complete frames without a known message.
 	Undecodable uint64
-	// BrokenStreams counts accepted connections that ended within a frame or sent something other than frames.
+	// BrokenStreams counts accepted connections that ended inside a frame or sent something other than
+	// frames.
 	BrokenStreams uint64
 }
 
 // KindStats are the counters of one kind of message.
 type KindStats struct {
 	Kind             wireproto.Kind
-	SentMessages     uint64 // taken to be sent; some of them may have been dropped later
+	SentMessages     uint64 // queued; some of them may have been dropped later
 	SentBytes        uint64
 	ReceivedMessages uint64
 	ReceivedBytes    uint64
 }
 
+// counters are the counters behind Stats.
 type counters struct {
 	sentMessages     [wireproto.KindLimit]atomic.Uint64
 	sentBytes        [wireproto.KindLimit]atomic.Uint64
@@ -63,17 +66,19 @@
 	brokenStreams      atomic.Uint64
 }
 
+// sent counts a message that was queued.
 func (c *counters) sent(kind wireproto.Kind, size int) {
 	c.sentMessages[kind].Add(1)
 	c.sentBytes[kind].Add(uint64(size))
 }
 
+// received counts a message that arrived.
 func (c *counters) received(kind wireproto.Kind, size int) {
 	c.receivedMessages[kind].Add(1)
 	c.receivedBytes[kind].Add(uint64(size))
 }
 
-// Stats returns the counters as they stand.
+// Stats returns the current counters.
 func (n *Network) Stats() Stats {
 	c := &n.counters
 	stats := Stats{
@@ -98,6 +103,7 @@
 	return stats
 }
 
+// kind returns the counters of one kind.
 func (c *counters) kind(kind wireproto.Kind) KindStats {
 	return KindStats{
 		Kind:             kind,
--- a/internal/node/wireproto/reader.go
+++ b/internal/node/wireproto/reader.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// readBufferSize holds the usual frame whole. Every connection has one such buffer.
+	// readBufferSize is enough for a usual frame, in bytes. Every connection has one such buffer.
 	readBufferSize = 4 << 10
-	// initialBodySize is what is allocated at first for a larger frame: a length alone claims no memory.
+	// initialBodySize is allocated at first for a larger frame, as its claimed length may be false.
 	initialBodySize = 64 << 10
-	// maxRetainedBodySize bounds what a Reader keeps allocated between frames.
+	// maxRetainedBodySize bounds the buffer that a Reader retains between frames.
 	maxRetainedBodySize = 64 << 10
 )
 
-// Reader takes envelopes off a byte stream. It is not safe for concurrent use.
+// Reader reads envelopes from a byte stream. It is not safe for concurrent use.
 type Reader struct {
 	source    *bufio.Reader
 	body      []byte
@@ -31,7 +31,7 @@
 	return &Reader{source: bufio.NewReaderSize(stream, readBufferSize)}
 }
 
-// Reset makes the Reader read another stream, and keeps its buffer.
+// Reset makes the Reader read another stream. It keeps its buffer.
 func (r *Reader) Reset(stream io.Reader) {
 	r.source.Reset(stream)
 }
@@ -54,14 +54,14 @@
 	return decode(body)
 }
 
-// FrameSize returns the number of bytes, with its header, of the frame that the last call of Next read; 0 where it read
-// none whole.
+// FrameSize returns the size in bytes, header included, of the frame that the last call of Next read; 0
+// where it didn't read a complete one.
 func (r *Reader) FrameSize() int { return r.frameSize }
 
 // Buffered returns the number of bytes that can be read without waiting for the stream.
 func (r *Reader) Buffered() int { return r.source.Buffered() }
 
-// readHeader returns the length of the envelope that follows.
+// readHeader reads a header and returns the length of the envelope that follows.
 func (r *Reader) readHeader() (int, error) {
 	header, err := r.source.Peek(HeaderSize)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return r.readLargeBody(length)
 }
 
-// readLargeBody allocates in step with what has arrived.
+// readLargeBody reads a body that exceeds the buffer. It allocates as bytes arrive.
 func (r *Reader) readLargeBody(length int) ([]byte, error) {
 	body := r.body[:0]
 	r.body = nil
@@ -117,7 +117,8 @@
 	return body, nil
 }
 
-// growTowards returns body with room for more: firstBodySize at first, then twice what it had, at most length.
+// growTowards returns body with spare capacity: initialBodySize at first, then twice as much as before,
+// at most length.
 func growTowards(body []byte, length int) []byte {
 	if len(body) < cap(body) {
 		return body
@@ -128,6 +129,7 @@
 	return grown
 }
 
+// decode decodes an envelope and checks its protocol and that it has a body.
 func decode(body []byte) (*nodepb.Envelope, error) {
 	envelope := new(nodepb.Envelope)
 	err := proto.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(body, envelope)
