--- a/internal/node/wireproto/reader.go
+++ b/internal/node/wireproto/reader.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// readBufferSize holds the usual frame whole. Every connection has one such buffer.
+	// readBufferSize is enough for a usual frame, in bytes. Every connection has one such buffer.
 	readBufferSize = 4 << 10
-	// firstBodySize is what is allocated at first for a larger frame: a length alone claims no memory.
-	firstBodySize = 64 << 10
-	// keptBodySize bounds what a Reader keeps allocated between frames.
-	keptBodySize = 64 << 10
+	// initialBodySize is allocated at first for a larger frame, as its claimed length may be false.
+	initialBodySize = 64 << 10
+	// maxRetainedBodySize bounds the buffer that a Reader retains between frames.
+	maxRetainedBodySize = 64 << 10
 )
 
-// Reader takes envelopes off a byte stream. It is not safe for concurrent use.
+// Reader reads envelopes from a byte stream. It is not safe for concurrent use.
 type Reader struct {
-	source *bufio.Reader
-	body   []byte
-	size   int
+	source    *bufio.Reader
+	body      []byte
+	frameSize int
 }
 
 // NewReader returns a Reader of the stream.
@@ -31,7 +31,7 @@
 	return &Reader{source: bufio.NewReaderSize(stream, readBufferSize)}
 }
 
-// Reset makes the Reader read another stream, and keeps its buffer.
+// Reset makes the Reader read another stream. It keeps its buffer.
 func (r *Reader) Reset(stream io.Reader) {
 	r.source.Reset(stream)
 }
@@ -41,7 +41,7 @@
 // The error is io.EOF where the stream ended between two frames, else one of the types of this package, or the
 // stream's own error where that came between two frames. Where Skipped(err) holds, Next may be called again.
 func (r *Reader) Next() (*nodepb.Envelope, error) {
-	r.size = 0
+	r.frameSize = 0
 	length, err := r.readHeader()
 	if err != nil {
 		return nil, err
@@ -50,18 +50,18 @@
 	if err != nil {
 		return nil, Truncated.Wrap(err, "within the %d bytes of an envelope", length)
 	}
-	r.size = HeaderSize + length
+	r.frameSize = HeaderSize + length
 	return decode(body)
 }
 
-// Size returns the number of bytes, with its header, of the frame that the last call of Next read; 0 where it read
-// none whole.
-func (r *Reader) Size() int { return r.size }
+// FrameSize returns the size in bytes, header included, of the frame that the last call of Next read; 0
+// where it didn't read a complete one.
+func (r *Reader) FrameSize() int { return r.frameSize }
 
 // Buffered returns the number of bytes that can be read without waiting for the stream.
 func (r *Reader) Buffered() int { return r.source.Buffered() }
 
-// readHeader returns the length of the envelope that follows.
+// readHeader reads a header and returns the length of the envelope that follows.
 func (r *Reader) readHeader() (int, error) {
 	header, err := r.source.Peek(HeaderSize)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return r.readLargeBody(length)
 }
 
-// readLargeBody allocates in step with what has arrived.
+// readLargeBody reads a body that exceeds the buffer. It allocates as bytes arrive.
 func (r *Reader) readLargeBody(length int) ([]byte, error) {
 	body := r.body[:0]
 	r.body = nil
@@ -111,23 +111,25 @@
 			return nil, err
 		}
 	}
-	if cap(body) <= keptBodySize {
+	if cap(body) <= maxRetainedBodySize {
 		r.body = body[:0]
 	}
 	return body, nil
 }
 
-// growTowards returns body with room for more: firstBodySize at first, then twice what it had, at most length.
+// growTowards returns body with spare capacity: initialBodySize at first, then twice as much as before,
+// at most length.
 func growTowards(body []byte, length int) []byte {
 	if len(body) < cap(body) {
 		return body
 	}
-	size := min(length, max(firstBodySize, 2*cap(body)))
+	size := min(length, max(initialBodySize, 2*cap(body)))
 	grown := make([]byte, len(body), size)
 	copy(grown, body)
 	return grown
 }
 
+// decode decodes an envelope and checks its protocol and that it has a body.
 func decode(body []byte) (*nodepb.Envelope, error) {
 	envelope := new(nodepb.Envelope)
 	err := proto.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(body, envelope)
