--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -1,41 +1,43 @@
 package lease
 
-import "sort"
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
 
-// Lease is a duty as its owner sees it.
+// Lease is a granted role as its holder sees it.
 type Lease struct {
 	Role             string
-	Token            uint64
-	ExpiresAt        float64 // on the holder's own steady clock: it ends before the grantor thinks it may have
-	ReleaseRequested bool    // it is to end and release
-	Progress         []byte  // how far the owner before had come
+	Token            uint64  // fencing token of every effect under this lease
+	ExpiresAt        float64 // on the holder's clock, before the lessor lets it expire
+	ReleaseRequested bool    // the holder is to finish its step and release the role
+	Progress         []byte  // how far the work had come when it was granted
 }
 
-// Action is what a holder is to do.
+// Action is what an instance has to do. One field is set.
 type Action struct {
-	Start          *Lease // begin the work
-	Stop           *Lease // end it now: nothing more may be begun under this token
-	Finish         *Lease // bring the step at hand to its end, then release
-	Renew          string // ask for more time, for this duty
-	ReportReleased *Lease // tell the voters that this token is done with: they still hold this instance to be its owner
+	Start          *Lease // begin the role's work
+	Stop           *Lease // stop it now: no further effect may begin under this token
+	Finish         *Lease // finish the step at hand, then release the role
+	ReportReleased *Lease // tell the voters again that this token was released
 }
 
-// Holder is an instance's view of what it owns.
+// Holder is an instance's view of the leases that it holds.
 type Holder struct {
 	config            Config
-	leases            map[string]*Lease
-	renewalSentAt     map[string]float64 // by duty: when a renewal was last sent
-	endedTokens       map[string]uint64  // by duty: the latest token that was let go or lost
-	lastLeaderContact float64            // when a voter that leads last answered
+	leases            map[string]*Lease // by role
+	endedTokens       map[string]uint64 // by role: the latest token that was released or lost
+	lastLeaderContact float64
 }
 
-// NewHolder owns nothing.
-func NewHolder(rules Config) *Holder {
-	return &Holder{config: rules, leases: map[string]*Lease{}, renewalSentAt: map[string]float64{}, endedTokens: map[string]uint64{}}
+// NewHolder returns a holder without leases.
+func NewHolder(config Config) *Holder {
+	return &Holder{config: config, leases: map[string]*Lease{}, endedTokens: map[string]uint64{}}
 }
 
-// trustedSpanMs is how long a holder trusts a lease that was asked for at a time: from then on, not from when the answer came, and
-// less the drift.
+// trustedSpanMs is how long a holder trusts a lease. It counts from when the request was sent,
+// not from when the response arrived, and is shorter than the lessor's span by the clock drift.
 func (h *Holder) trustedSpanMs() float64 {
 	if plantLongHold {
 		return 1.5 * h.config.LeaseMs
@@ -43,112 +45,112 @@
 	return h.config.LeaseMs * (1 - h.config.MaxDrift)
 }
 
-// HandleGrant: the answer to a question sent at a time says that this instance owns a duty.
-func (h *Holder) HandleGrant(now, askedAt float64, duty string, token uint64, data []byte, letGo bool) (acts []Action) {
-	at := h.leases[duty]
-	// An old answer, held up on its way. One that was given before this instance let go must not bring the duty back: the
-	// next owner did not have to wait for this lease.
-	if at != nil && token < at.Token {
+// HandleGrant handles a response to the request sent at sentAt: this instance holds the role
+// under the token. A response that was delayed on its way can't bring back a token that this
+// instance has ended, since the next holder did not have to wait for that lease.
+func (h *Holder) HandleGrant(now, sentAt float64, role string, token uint64, progress []byte, release bool) []Action {
+	current := h.leases[role]
+	if current != nil && token < current.Token {
 		return nil
 	}
-	if token <= h.endedTokens[duty] && !plantBack {
-		// A release that was lost would leave the duty with an owner that does nothing, and is renewed for ever.
-		if at == nil && token == h.endedTokens[duty] {
-			return []Action{{ReportReleased: &Lease{Role: duty, Token: token}}}
-		}
-		return nil
+	if token <= h.endedTokens[role] && !plantBack {
+		return h.handleEndedGrant(role, token)
 	}
 	if plantAnswerTime {
-		askedAt = now
+		sentAt = now
 	}
-	until := askedAt + h.trustedSpanMs()
-	if at != nil && at.Token == token {
-		at.ExpiresAt = max(at.ExpiresAt, until)
-		if letGo && !at.ReleaseRequested {
-			at.ReleaseRequested = true
-			acts = append(acts, Action{Finish: at})
-		}
-		return acts
+	expiresAt := sentAt + h.trustedSpanMs()
+	if current != nil && current.Token == token {
+		return renewLease(current, expiresAt, release)
 	}
-	if at != nil {
-		delete(h.leases, duty)
-		acts = append(acts, Action{Stop: at})
+	var actions []Action
+	if current != nil {
+		delete(h.leases, role)
+		actions = append(actions, Action{Stop: current})
 	}
-	if now >= until {
-		return acts // it came too late to begin
+	if now >= expiresAt {
+		return actions // it arrived too late to begin
 	}
-	n := &Lease{Role: duty, Token: token, ExpiresAt: until, ReleaseRequested: letGo, Progress: data}
-	h.leases[duty] = n
-	return append(acts, Action{Start: n})
+	granted := &Lease{Role: role, Token: token, ExpiresAt: expiresAt, ReleaseRequested: release, Progress: progress}
+	h.leases[role] = granted
+	return append(actions, Action{Start: granted})
 }
 
-// HandleLost: the grantor says that somebody else owns it, or nobody.
-func (h *Holder) HandleLost(duty string, token uint64) []Action {
-	at := h.leases[duty]
-	if at == nil || at.Token > token {
+// handleEndedGrant has a release reported again whose report was lost: without it the role would
+// keep a holder that does nothing and whose lease is renewed for ever.
+func (h *Holder) handleEndedGrant(role string, token uint64) []Action {
+	if h.leases[role] != nil || token != h.endedTokens[role] {
 		return nil
 	}
-	h.MarkReleased(duty)
-	return []Action{{Stop: at}}
+	return []Action{{ReportReleased: &Lease{Role: role, Token: token}}}
 }
 
-// MarkReleased: this instance has let go by itself, for good under this token.
-func (h *Holder) MarkReleased(duty string) {
-	if at := h.leases[duty]; at != nil {
-		h.endedTokens[duty] = max(h.endedTokens[duty], at.Token)
-		delete(h.leases, duty)
+// renewLease extends a held lease, and takes up a request to release it.
+func renewLease(current *Lease, expiresAt float64, release bool) []Action {
+	current.ExpiresAt = max(current.ExpiresAt, expiresAt)
+	if !release || current.ReleaseRequested {
+		return nil
 	}
+	current.ReleaseRequested = true
+	return []Action{{Finish: current}}
 }
 
-// MayAct tells whether something may be begun under a duty's token now. A pause may come between this and the act: the receiver's
-// fence is what counts.
-func (h *Holder) MayAct(now float64, duty string) (token uint64, may bool) {
-	at := h.leases[duty]
-	if at == nil || now >= at.ExpiresAt {
-		return 0, false
+// HandleLost handles a response by which this instance does not hold the role: its latest token
+// is another's.
+func (h *Holder) HandleLost(role string, latestToken uint64) []Action {
+	current := h.leases[role]
+	if current == nil || current.Token > latestToken {
+		return nil
 	}
-	return at.Token, true
+	h.MarkReleased(role)
+	return []Action{{Stop: current}}
 }
 
-// ExpireLeases ends what has run out and asks for more time well before.
-func (h *Holder) ExpireLeases(now float64) (acts []Action) {
-	names := make([]string, 0, len(h.leases))
-	for n := range h.leases {
-		names = append(names, n)
+// MarkReleased ends the role's lease on this instance's side, for good under its token.
+func (h *Holder) MarkReleased(role string) {
+	if current := h.leases[role]; current != nil {
+		h.endedTokens[role] = max(h.endedTokens[role], current.Token)
+		delete(h.leases, role)
 	}
-	sort.Strings(names)
-	for _, n := range names {
-		at := h.leases[n]
-		if now >= at.ExpiresAt {
-			// Not under this token again: what an answer says of how far the work has come may be older than the work.
-			h.MarkReleased(n)
-			acts = append(acts, Action{Stop: at})
-			continue
-		}
-		if now >= h.renewalSentAt[n]+h.config.LeaseMs/4 {
-			h.renewalSentAt[n] = now
-			acts = append(acts, Action{Renew: n})
-		}
+}
+
+// MayAct tells whether an effect of the role may begin now, and under which token. The process
+// may be paused between this check and the effect: the receiver's fence is what decides.
+func (h *Holder) MayAct(now float64, role string) (token uint64, may bool) {
+	current := h.leases[role]
+	if current == nil || now >= current.ExpiresAt {
+		return 0, false
 	}
-	for n := range h.renewalSentAt {
-		if h.leases[n] == nil {
-			delete(h.renewalSentAt, n)
+	return current.Token, true
+}
+
+// ExpireLeases ends the leases that have run out, for good under their tokens: what a later
+// response says of the work's progress may be older than the work itself.
+func (h *Holder) ExpireLeases(now float64) (actions []Action) {
+	for _, role := range slices.Sorted(maps.Keys(h.leases)) {
+		current := h.leases[role]
+		if now >= current.ExpiresAt {
+			h.MarkReleased(role)
+			actions = append(actions, Action{Stop: current})
 		}
 	}
-	return acts
+	return actions
 }
 
-// RecordLeaderContact: a voter that leads has answered.
+// RecordLeaderContact records that a leading voter has responded.
 func (h *Holder) RecordLeaderContact(now float64) { h.lastLeaderContact = now }
 
-// LeaderTimedOut tells whether none has for a lease: nothing is owned then, nor will be until one does.
-func (h *Holder) LeaderTimedOut(now float64) bool { return now-h.lastLeaderContact > h.config.LeaseMs }
+// LeaderTimedOut tells whether no leading voter has responded for a lease. Then no lease is held,
+// nor will one be until a leader responds.
+func (h *Holder) LeaderTimedOut(now float64) bool {
+	return now-h.lastLeaderContact > h.config.LeaseMs
+}
 
-// Leases gives what is owned, in order.
-func (h *Holder) Leases() (list []Lease) {
-	for _, at := range h.leases {
-		list = append(list, *at)
+// Leases returns copies of the held leases, sorted by role.
+func (h *Holder) Leases() (held []Lease) {
+	for _, current := range h.leases {
+		held = append(held, *current)
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].Role < list[j].Role })
-	return list
+	slices.SortFunc(held, func(a, b Lease) int { return cmp.Compare(a.Role, b.Role) })
+	return held
 }
