--- a/internal/node/core/control.go
+++ b/internal/node/core/control.go
@@ -11,8 +11,8 @@
 	State   *nodepb.StateSnapshot // for reads
 }
 
-// Committed reports that an entry of the control state is committed and applied. Entries come in the order of their
-// index.
+// Committed reports that an entry of the control state is committed and applied. Entries come in
+// the order of their index.
 type Committed struct {
 	Entry  *nodepb.Entry
 	Result *nodepb.CommandResult
@@ -23,11 +23,12 @@
 	Snapshot *nodepb.StateSnapshot
 }
 
-// StateChanged reports that the control state distributed to this node has a higher index than before.
+// StateChanged reports that the control state distributed to this node has a higher index than
+// before.
 type StateChanged struct{}
 
-// RequestBarrier asks the tail's shell for a barrier through the chain, whose completion the shell reports by
-// distribution.LocalConfirmed.
+// RequestBarrier asks the tail's shell for a barrier through the chain, whose completion the shell
+// reports by distribution.LocalConfirmed.
 type RequestBarrier struct{}
 
 // SubmitCommand asks for a change of the control state.
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -1,15 +1,15 @@
 // Package core is the contract between a node's state machines and the shells that run them.
 //
-// A state machine does no I/O, starts no goroutine and reads no clock: every method takes the monotonic time since the
-// start of the process, and returns a list of outputs, the effects that its shell is to carry out in that order. The
-// same machine therefore runs in the program, in table tests, under a virtual clock with injected faults, and many to
-// one process in simulations.
+// A state machine does no I/O, starts no goroutine and reads no clock: every method takes the
+// monotonic time since the start of the process, and returns a list of outputs, the effects that
+// its shell is to carry out in that order. The same machine therefore runs in the program, in table
+// tests, under a virtual clock with injected faults, and many to one process in simulations.
 //
-// The package holds the types that several machines and shells share. It holds no logic, and it isn't the place for
-// messages between nodes (nodepb) nor for types that one subsystem alone uses.
+// The package holds the types that several machines and shells share. It holds no logic, and it
+// isn't the place for messages between nodes (nodepb) nor for types that one subsystem alone uses.
 //
-// Invariants: an output is a value that its emitter doesn't change afterwards; an output that expects a result carries
-// a token, and the shell reports the result once under the same token.
+// Invariants: an output is a value that its emitter doesn't change afterwards; an output that
+// expects a result carries a token, and the shell reports the result once under the same token.
 package core
 
 import (
@@ -41,7 +41,8 @@
 	Message     *nodepb.Envelope
 }
 
-// MessageReassembled reports a message of another node that arrived in fragments and is now complete.
+// MessageReassembled reports a message of another node that arrived in fragments and is now
+// complete.
 type MessageReassembled struct {
 	From    Peer
 	Message *nodepb.Envelope
@@ -53,8 +54,9 @@
 	Data []byte
 }
 
-// Write asks for records to be made durable, in the order of the Writes. The shell reports the result by the machine's
-// Written method with the same token. A Checkpoint replaces all records written before it.
+// Write asks for records to be made durable, in the order of the Writes. The shell reports the
+// result by the machine's Written method with the same token. A Checkpoint replaces all records
+// written before it.
 type Write struct {
 	Token      uint64
 	Records    []Record
--- a/internal/node/core/registry.go
+++ b/internal/node/core/registry.go
@@ -7,15 +7,18 @@
 	Request uint64
 	// Accepted: reply with 2xx. Otherwise reply with 503, so that the broker calls another node.
 	Accepted bool
-	// HeartbeatURL is the control address (IP:port) for later heartbeats; empty: the reply names none.
+	// HeartbeatURL is the control address (IP:port) for later heartbeats; empty: the reply names
+	// none.
 	HeartbeatURL string
 }
 
-// LoadingConfirmed reports the replication of a broker's loading mark to the other nodes: see registry.SetLoading.
+// LoadingConfirmed reports the replication of a broker's loading mark to the other nodes: see
+// registry.SetLoading.
 type LoadingConfirmed struct {
 	InstanceID   string
 	FencingToken uint64 // fencing token of the mark; 0: the mark was removed
-	// Everywhere: all reachable nodes have acknowledged the mark. Otherwise the time for that has run out.
+	// Everywhere: all reachable nodes have acknowledged the mark. Otherwise the time for that has
+	// run out.
 	Everywhere bool
 }
 
--- a/internal/node/coretest/network.go
+++ b/internal/node/coretest/network.go
@@ -1,10 +1,12 @@
-// Package coretest runs the state machines of many nodes in tests, under a virtual clock and on a virtual network with
-// seeded delays, message loss, duplication and partitions, and with frozen and killed nodes.
+// Package coretest runs the state machines of many nodes in tests, under a virtual clock and on a
+// virtual network with seeded delays, message loss, duplication and partitions, and with frozen and
+// killed nodes.
 //
 // It is for tests alone, and carries out no effect but core.Send: all other outputs go to the test.
 //
-// Invariants: nothing waits for real time; a run depends on the seed and the calls of the test only, as all random
-// draws are made in the order of the events, and events at the same time happen in the order in which they were queued.
+// Invariants: nothing waits for real time; a run depends on the seed and the calls of the test
+// only, as all random draws are made in the order of the events, and events at the same time happen
+// in the order in which they were queued.
 package coretest
 
 import (
@@ -25,8 +27,8 @@
 	Deadline() core.Time
 }
 
-// Network carries messages between nodes. Its clock shows true time, which starts at 0; each node's own clock starts
-// when the node is added.
+// Network carries messages between nodes. Its clock shows true time, which starts at 0; each node's
+// own clock starts when the node is added.
 type Network struct {
 	Random    *rand.Rand    // source of all random draws
 	MinDelay  time.Duration // bounds of the latency of a message
@@ -49,7 +51,8 @@
 	call  func()
 }
 
-// NewNetwork returns a network without nodes, whose messages take 1 to 3 ms and are neither lost nor duplicated.
+// NewNetwork returns a network without nodes, whose messages take 1 to 3 ms and are neither lost
+// nor duplicated.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		Random:     rand.New(rand.NewPCG(seed, seed)),
@@ -63,7 +66,8 @@
 // Now is the true time.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Add starts a node. onOutput gets all outputs of its machine other than core.Send; nil: they are dropped.
+// Add starts a node. onOutput gets all outputs of its machine other than core.Send; nil: they are
+// dropped.
 func (n *Network) Add(id, address string, machine Machine, onOutput func(now core.Time, output core.Output)) *Node {
 	node := &Node{ID: id, Address: address, Machine: machine, network: n, startedAt: n.now, onOutput: onOutput}
 	n.nodes = append(n.nodes, node)
@@ -117,7 +121,8 @@
 	n.RunUntil(span, func() bool { return false })
 }
 
-// RunUntil lets true time pass until the condition holds, or the span is over. It reports whether the condition holds.
+// RunUntil lets true time pass until the condition holds, or the span is over. It reports whether
+// the condition holds.
 func (n *Network) RunUntil(span time.Duration, done func() bool) bool {
 	end := n.now + span
 	for !done() {
--- a/internal/node/coretest/node.go
+++ b/internal/node/coretest/node.go
@@ -72,8 +72,8 @@
 	return n.TrueTime(deadline)
 }
 
-// maxImmediateTicks is how often in a row a machine may ask for another tick at once; one that asks more often would
-// spin in production.
+// maxImmediateTicks is how often in a row a machine may ask for another tick at once; one that asks
+// more often would spin in production.
 const maxImmediateTicks = 10
 
 // tick ticks the machine until its deadline lies in the future.
--- a/internal/node/journal/batch.go
+++ b/internal/node/journal/batch.go
@@ -2,17 +2,18 @@
 
 import "kestrelspread/internal/node/core"
 
-// largePayloadBytes is the length from which a payload is written from the caller's memory, without a copy.
+// largePayloadBytes is the length from which a payload is written from the caller's memory, without
+// a copy.
 const largePayloadBytes = 16 << 10
 
 // batch writes frames that one sync makes durable.
 type batch struct {
 	segment      *segment
 	end          position // where the next frame goes
-	batchStart   uint64
-	attempt      uint64
-	buffered     []byte // not yet written
-	bufferOffset int64  // its offset
+	batchStart   uint64   // sequence number of the batch's first frame
+	attempt      uint64   // number of this attempt to write
+	buffered     []byte   // bytes that are not yet written
+	bufferOffset int64    // their offset in the segment
 }
 
 // framesBytes is the space that records take on the disk, in bytes.
@@ -29,6 +30,7 @@
 	return &batch{segment: target, end: end, batchStart: end.sequence, attempt: attempt, bufferOffset: end.offset}
 }
 
+// appendRecords adds a frame for each record.
 func (b *batch) appendRecords(records []core.Record) error {
 	for _, record := range records {
 		if err := b.appendFrame(frameRecord, record.Kind, record.Data); err != nil {
@@ -38,7 +40,7 @@
 	return nil
 }
 
-// appendFrame writes a frame, perhaps later.
+// appendFrame adds a frame. It is buffered, and written at the latest by finish.
 func (b *batch) appendFrame(frame frameType, kind uint8, payload []byte) error {
 	header := frameHeader{
 		Type:            frame,
@@ -50,7 +52,7 @@
 		PreviousAttempt: b.end.attempt,
 	}
 	header.sumPayload(payload)
-	b.buffered = header.append(b.buffered)
+	b.buffered = header.appendTo(b.buffered)
 	b.end.advance(header)
 	if len(payload) >= largePayloadBytes {
 		return b.writeThrough(payload)
@@ -62,6 +64,7 @@
 	return nil
 }
 
+// writeThrough writes the buffer, and then a payload from the caller's memory.
 func (b *batch) writeThrough(payload []byte) error {
 	if err := b.flush(); err != nil {
 		return err
@@ -73,6 +76,7 @@
 	return nil
 }
 
+// flush writes the buffer.
 func (b *batch) flush() error {
 	if len(b.buffered) == 0 {
 		return nil
@@ -85,7 +89,7 @@
 	return nil
 }
 
-// finish writes what is left and makes the batch durable.
+// finish writes the rest of the buffer and makes the batch durable.
 func (b *batch) finish() error {
 	if err := b.flush(); err != nil {
 		return err
--- a/internal/node/journal/crash_test.go
+++ b/internal/node/journal/crash_test.go
@@ -7,8 +7,8 @@
 // writesOfScript is how many writes follow one another between two crashes.
 const writesOfScript = 25
 
-// TestCrashAtEveryOperation stops the process in the midst of each operation on the disk in turn, lets it start again,
-// has it stopped once more soon after, and checks what it finds.
+// TestCrashAtEveryOperation stops the process in the midst of each operation on the disk in turn,
+// lets it start again, has it stopped once more soon after, and checks what it finds.
 func TestCrashAtEveryOperation(t *testing.T) {
 	seeds := uint64(6)
 	if testing.Short() {
--- a/internal/node/journal/damage.go
+++ b/internal/node/journal/damage.go
@@ -8,9 +8,10 @@
 	"math"
 )
 
-// findDamage looks for records that had been durable and can't be read. The proof is a frame after the end of the newest
-// generation, or of a still newer one, that was written once frames that are now missing before it had been durable.
-// findDamage sets the recovery, and returns the index of the segment where it found such frames.
+// findDamage looks for records that had been durable and can't be read. The proof is a frame after
+// the end of the newest generation, or of a still newer one, that was written once frames that are
+// now missing before it had been durable. findDamage sets the recovery, and returns the index of
+// the segment where it found such frames.
 func (j *Journal) findDamage(generations [ringSegments]*generation, newest *generation) (int, error) {
 	damagedSegment := 0
 	for i, segment := range j.segments {
@@ -38,8 +39,9 @@
 	return damagedSegment, nil
 }
 
-// damageSearchFor returns the search for damage in a segment in which the generation read was found (nil: none), and
-// the offset from which to search. The search is nil where nothing in the segment could prove damage.
+// damageSearchFor returns the search for damage in a segment in which the generation read was found
+// (nil: none), and the offset from which to search. The search is nil where nothing in the segment
+// could prove damage.
 func damageSearchFor(read, newest *generation) (*damageSearch, int64) {
 	newestNumber := uint64(0)
 	if newest != nil {
@@ -47,10 +49,17 @@
 	}
 	switch {
 	case read == nil:
-		return &damageSearch{firstGeneration: newestNumber + 1, lastGeneration: math.MaxUint64, missingSequence: 0}, 0
+		return &damageSearch{
+			firstGeneration: newestNumber + 1,
+			lastGeneration:  math.MaxUint64,
+			missingSequence: 0,
+		}, 0
 	case read.end.generation >= newestNumber:
-		own := read.end.generation
-		return &damageSearch{firstGeneration: own, lastGeneration: own, missingSequence: read.end.sequence}, read.end.offset
+		return &damageSearch{
+			firstGeneration: read.end.generation,
+			lastGeneration:  read.end.generation,
+			missingSequence: read.end.sequence,
+		}, read.end.offset
 	default:
 		return nil, 0 // an older generation, which a checkpoint has replaced
 	}
@@ -60,12 +69,13 @@
 type damageSearch struct {
 	// Only frames of generations from firstGeneration to lastGeneration are proof.
 	firstGeneration, lastGeneration uint64
-	// missingSequence is the sequence number of the first frame that can't be read. A frame is proof if the frame with
-	// this number was durable when it was written.
+	// missingSequence is the sequence number of the first frame that can't be read. A frame is
+	// proof if the frame with this number was durable when it was written.
 	missingSequence uint64
 }
 
-// countFrames counts the frames that prove damage from an offset on, and returns the highest generation among them.
+// countFrames counts the frames that prove damage from an offset on, and returns the highest
+// generation among them.
 func (s damageSearch) countFrames(source io.ReaderAt, from, size int64) (frames int, highest uint64, err error) {
 	chunk := make([]byte, readBufferBytes)
 	for from+headerBytes <= size {
--- a/internal/node/journal/diskfault/disk.go
+++ b/internal/node/journal/diskfault/disk.go
@@ -1,6 +1,10 @@
-// Package diskfault is a disk in memory that fails as DEPLOY.md's "Disk" says: writes after the last sync are kept, lost
-// or torn by a loss of power, names of files last once their folder was synced, and a disk in trouble refuses writes.
-// What happens follows from a seed. For tests.
+// Package diskfault is a disk in memory with the faults that DEPLOY.md, "Disk", describes: a power
+// loss keeps, loses or tears the writes after the last sync; the name of a file is durable once its
+// directory was synced; a full or failing disk refuses writes. It is for tests and fault
+// simulations, and keeps nothing on the real disk.
+//
+// Invariant: all random draws come from the source given to New, in the order of the operations, so
+// that a run with the same seed and operations has the same faults.
 package diskfault
 
 import (
@@ -14,33 +18,34 @@
 	"kestrelspread/internal/node/journal"
 )
 
-// ErrStopped is what every operation gives from the moment at which the process was stopped until Restart.
+// ErrStopped is the error of every operation from the moment at which the process was stopped until
+// Restart.
 var ErrStopped = errors.New("the process was stopped")
 
-// Errors of a disk in trouble.
+// The errors of a full and of a failing disk.
 var (
 	errFull    = syscall.ENOSPC
 	errFailing = syscall.EIO
 )
 
-// Loss says what a loss of power does to writes that no sync covered.
+// Loss is the effect of a power loss on the writes that no sync covered.
 type Loss uint8
 
 const (
-	// SomeLost: each is kept, lost or torn.
+	// SomeLost keeps, loses or tears each write at random.
 	SomeLost Loss = iota
-	// AllLost: none is kept.
+	// AllLost loses every write.
 	AllLost
 )
 
-// Disk is a journal.FileSystem. Its methods may be called by several goroutines.
+// Disk is a journal.FileSystem in memory. It is safe for concurrent use.
 type Disk struct {
 	mutex        sync.Mutex
 	random       *rand.Rand
 	files        map[string]*inode // as processes see them
-	durable      map[string]*inode // names that a sync of their folder covered
-	steps        int               // operations so far that change the disk
-	stopAt       int               // the step in whose midst the process is stopped; 0: none
+	durable      map[string]*inode // names covered by a sync of their directory
+	steps        int               // number of operations that changed the disk, or tried to
+	stopAt       int               // the step in the midst of which the process is stopped; 0: none
 	stopped      bool
 	full         bool
 	failing      bool
@@ -49,47 +54,48 @@
 
 var _ journal.FileSystem = (*Disk)(nil)
 
-// New makes an empty disk.
+// New returns an empty disk that draws its faults from random.
 func New(random *rand.Rand) *Disk {
 	return &Disk{random: random, files: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// Steps tells how many operations changed the disk, or tried to.
+// Steps returns the number of operations that changed the disk, or tried to.
 func (d *Disk) Steps() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.steps
 }
 
-// StopAt has the process stopped in the midst of a step, counted from 1 on.
+// StopAt stops the process in the midst of a step, counted from 1 on; 0: never.
 func (d *Disk) StopAt(step int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.stopAt = step
 }
 
-// SetFull has writes refused, also into space that files have.
+// SetFull makes writes fail with ENOSPC, also into space that files already have.
 func (d *Disk) SetFull(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.full = full
 }
 
-// SetFailing has writes and syncs refused.
+// SetFailing makes writes and syncs fail with EIO.
 func (d *Disk) SetFailing(failing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.failing = failing
 }
 
-// SetSyncsFailing has syncs refused, while writes seem to succeed.
+// SetSyncsFailing makes syncs fail with EIO, while writes appear to succeed.
 func (d *Disk) SetSyncsFailing(failing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.syncsFailing = failing
 }
 
-// Restart lets operations succeed again after the process was stopped, or has it stopped now. Files are as it left them.
+// Restart is the end of the process, unless it was stopped before, and the start of the next one.
+// All faults end; files are as the process left them.
 func (d *Disk) Restart() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -101,21 +107,21 @@
 	d.full, d.failing, d.syncsFailing = false, false, false
 }
 
-// LosePower is a loss of power, and the restart after it.
+// LosePower is a power loss and the restart after it.
 func (d *Disk) LosePower(loss Loss) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, path := range sortedNames(d.files, d.durable) {
-		file, there := d.files[path]
-		before, lasts := d.durable[path]
-		if there && file == before {
+		file, exists := d.files[path]
+		durableFile, isDurable := d.durable[path]
+		if exists && file == durableFile {
 			continue
 		}
 		if loss == SomeLost && d.random.IntN(2) == 0 {
 			continue // the change of the name was kept
 		}
-		if lasts {
-			d.files[path] = before
+		if isDurable {
+			d.files[path] = durableFile
 		} else {
 			delete(d.files, path)
 		}
@@ -137,7 +143,7 @@
 	d.restart()
 }
 
-// Content gives the bytes of a file as processes see them; nil where there is none.
+// Content returns the bytes of a file as processes see them; nil where there is none.
 func (d *Disk) Content(path string) []byte {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -147,7 +153,7 @@
 	return nil
 }
 
-// Damage changes one byte of a file for good.
+// Damage flips bits of one byte of a file, in its synced contents too.
 func (d *Disk) Damage(path string, offset int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -171,7 +177,7 @@
 	return false, nil
 }
 
-// MakeDir does nothing: folders are there.
+// MakeDir does nothing: every directory exists.
 func (d *Disk) MakeDir(string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -195,7 +201,7 @@
 	return &handle{disk: d, inode: found}, nil
 }
 
-// Create makes a file, or opens the one that is there.
+// Create makes a file, or opens the existing one.
 func (d *Disk) Create(path string) (journal.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -217,7 +223,7 @@
 	return &handle{disk: d, inode: found}, nil
 }
 
-// SyncDir makes names durable.
+// SyncDir makes the names in a directory durable.
 func (d *Disk) SyncDir(path string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -236,7 +242,7 @@
 	return err
 }
 
-// refusal is the error of a write on a disk in trouble; nil where it is well.
+// refusal is the error of a write on a full or failing disk; nil: the disk takes it.
 func (d *Disk) refusal() error {
 	switch {
 	case d.full:
--- a/internal/node/journal/diskfault/file.go
+++ b/internal/node/journal/diskfault/file.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// inode is a file's content.
+// inode is the contents of a file.
 type inode struct {
 	content []byte  // as processes see it
 	synced  []byte  // as of the last sync that succeeded
 	pending []write // since then, in order
-	// uncertain holds writes that a failed sync was to cover: a later sync does not cover them either, but settles what is
-	// left of them under the writes that it does cover.
+	// uncertain holds writes that a failed sync was to cover. A later sync doesn't cover them
+	// either: it decides by chance what is left of them, below the writes that it does cover.
 	uncertain []write
 }
 
@@ -22,10 +22,10 @@
 	data   []byte
 }
 
-// sectorBytes is what a torn write keeps or loses as a whole, counted from its start.
+// sectorBytes is the unit that a torn write keeps or loses, counted from the write's start.
 const sectorBytes = 64
 
-// apply writes into content, filling a gap with zeros.
+// apply writes into content, and fills a gap with zeros.
 func apply(content []byte, w write) []byte {
 	if end := int(w.offset) + len(w.data); end > len(content) {
 		content = append(content, make([]byte, end-len(content))...)
@@ -34,7 +34,7 @@
 	return content
 }
 
-// losePower decides what is left of the writes that no sync covered.
+// losePower decides by chance what is left of the writes that no sync covered.
 func (f *inode) losePower(random *rand.Rand, loss Loss) {
 	if loss == SomeLost {
 		f.resolve(random, f.uncertain)
@@ -68,12 +68,12 @@
 
 // tear keeps a part of a write: its beginning, its end or some sectors.
 func tear(random *rand.Rand, content []byte, w write) []byte {
-	at := random.IntN(len(w.data) + 1)
+	tornAt := random.IntN(len(w.data) + 1)
 	switch random.IntN(3) {
 	case 0:
-		return apply(content, write{offset: w.offset, data: w.data[:at]})
+		return apply(content, write{offset: w.offset, data: w.data[:tornAt]})
 	case 1:
-		return apply(content, write{offset: w.offset + int64(at), data: w.data[at:]})
+		return apply(content, write{offset: w.offset + int64(tornAt), data: w.data[tornAt:]})
 	}
 	for from := 0; from < len(w.data); from += sectorBytes {
 		if random.IntN(2) == 0 {
@@ -131,7 +131,7 @@
 	return n, err
 }
 
-// Size gives the file's length.
+// Size returns the file's length in bytes.
 func (h *handle) Size() (int64, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
@@ -141,7 +141,8 @@
 	return int64(len(h.inode.content)), nil
 }
 
-// Sync makes the writes since the last sync durable. One that fails leaves them in doubt for good.
+// Sync makes the writes since the last sync durable. After one that fails, it is uncertain for good
+// which of them are.
 func (h *handle) Sync() error {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
--- a/internal/node/journal/diskfault/names.go
+++ b/internal/node/journal/diskfault/names.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// sortedNames gives the names in some folders once each, in order, so that a seed always does the same.
-func sortedNames(folders ...map[string]*inode) []string {
+// sortedNames returns the names in some directories once each, in order, so that random draws
+// follow a fixed order.
+func sortedNames(directories ...map[string]*inode) []string {
 	all := map[string]bool{}
-	for _, folder := range folders {
-		for name := range folder {
+	for _, directory := range directories {
+		for name := range directory {
 			all[name] = true
 		}
 	}
--- a/internal/node/journal/journal.go
+++ b/internal/node/journal/journal.go
@@ -10,8 +10,8 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Journal is an open journal. Append, Checkpoint and Close are called by one goroutine at a time; the other methods
-// may be called by any.
+// Journal is an open journal. Append, Checkpoint and Close are called by one goroutine at a time;
+// the other methods may be called by any.
 type Journal struct {
 	segments [ringSegments]*segment // nil where nothing is kept
 	identity string
@@ -24,7 +24,8 @@
 	nextSegment    int      // index of the segment that takes the next checkpoint
 	end            position // after the last record in currentSegment that is known to be durable
 	checkpointEnd  int64    // offset after the checkpoint in currentSegment
-	// unconfirmed: the bytes recovered from currentSegment, from unconfirmedOffset on, are not known to be durable.
+	// unconfirmed: the bytes recovered from currentSegment, from unconfirmedOffset on, are not
+	// known to be durable.
 	unconfirmed       bool
 	unconfirmedOffset int64
 
@@ -32,9 +33,10 @@
 	healthy         atomic.Bool
 }
 
-// Open opens the journal in a directory and returns its records: those of the newest complete checkpoint, and those
-// appended after it, in order. On a disk that refuses writes, Open succeeds and writes fail until the disk takes them
-// again. The error is of type Unreadable: the disk can't be read, so that nothing is known of its state.
+// Open opens the journal in a directory and returns its records: those of the newest complete
+// checkpoint, and those appended after it, in order. On a disk that refuses writes, Open succeeds
+// and writes fail until the disk takes them again. The error is of type Unreadable: the disk can't
+// be read, so that nothing is known of its state.
 func Open(options Options) (*Journal, []core.Record, error) {
 	options = options.withDefaults()
 	journal := &Journal{random: options.Random}
@@ -55,22 +57,25 @@
 	return journal, records, nil
 }
 
-// Identity is the random id of the disk, in hex; empty where nothing is kept. It is durable before any record.
+// Identity is the random id of the disk, in hex; empty where nothing is kept. It is durable before
+// any record.
 func (j *Journal) Identity() string { return j.identity }
 
 // Recovery returns the result of reading the ring in Open.
 func (j *Journal) Recovery() Recovery { return j.recovery }
 
-// Healthy reports whether the disk took the newest write. Before the first write it is false as long as recovered
-// records are not known to be durable; Append without records tries to confirm them.
+// Healthy reports whether the disk took the newest write. Before the first write it is false as
+// long as recovered records are not known to be durable; Append without records tries to confirm
+// them.
 func (j *Journal) Healthy() bool { return j.healthy.Load() }
 
 // NeedsCheckpoint reports whether a checkpoint is due. The next segment always has space for one.
 func (j *Journal) NeedsCheckpoint() bool { return j.needsCheckpoint.Load() }
 
-// Append makes records durable after the existing ones. After an error of type WriteFailed the records may or may not be
-// found at the next start; a later Append overwrites them. An error of type Full means that nothing was written and that
-// a checkpoint is needed first. Without records, Append makes sure that the recovered ones are durable.
+// Append makes records durable after the existing ones. After an error of type WriteFailed the
+// records may or may not be found at the next start; a later Append overwrites them. An error of
+// type Full means that nothing was written and that a checkpoint is needed first. Without records,
+// Append makes sure that the recovered ones are durable.
 func (j *Journal) Append(records []core.Record) error {
 	if j.inMemory() {
 		return nil
@@ -85,7 +90,8 @@
 		return Full.New("append: %d bytes of %d are in use", j.end.offset, j.currentSegment.limit)
 	}
 	if err := j.appendBatch(records, end); err != nil {
-		// A new attempt number keeps the remains of this write from being read as part of the next one.
+		// A new attempt number keeps the remains of this write from being read as part of the next
+		// one.
 		j.attempt = j.randomNumber()
 		j.healthy.Store(false)
 		return WriteFailed.Wrap(err, "append")
@@ -114,9 +120,9 @@
 	return nil
 }
 
-// Checkpoint makes records durable in place of all earlier ones. After an error of type WriteFailed, or a crash in its
-// midst, the state at the next start is either the previous one or the complete checkpoint. An error of type TooLarge
-// means that nothing was written.
+// Checkpoint makes records durable in place of all earlier ones. After an error of type
+// WriteFailed, or a crash in its midst, the state at the next start is either the previous one or
+// the complete checkpoint. An error of type TooLarge means that nothing was written.
 func (j *Journal) Checkpoint(records []core.Record) error {
 	if j.inMemory() {
 		return nil
@@ -137,8 +143,8 @@
 	return nil
 }
 
-// writeCheckpoint writes a new generation into the target, which then becomes the current segment. Until all of it is
-// durable, the previous generation stays intact in the other segment.
+// writeCheckpoint writes a new generation into the target, which then becomes the current segment.
+// Until all of it is durable, the previous generation stays intact in the other segment.
 func (j *Journal) writeCheckpoint(target *segment, records []core.Record) error {
 	target.needsVoid = true
 	j.generation++
@@ -168,8 +174,9 @@
 	return nil
 }
 
-// repair makes sure that the disk holds the current generation with all records known of it, and no other: it writes
-// the first checkpoint, writes unconfirmed bytes again, and voids the other segments.
+// repair makes sure that the disk holds the current generation with all records known of it, and no
+// other: it writes the first checkpoint, writes unconfirmed bytes again, and voids the other
+// segments.
 func (j *Journal) repair() error {
 	if j.currentSegment == nil {
 		if err := j.writeCheckpoint(j.segments[j.nextSegment], nil); err != nil {
@@ -193,8 +200,8 @@
 	return nil
 }
 
-// setNeedsCheckpoint requests a checkpoint once as many bytes were appended as the previous one took, or the segment
-// runs out of space.
+// setNeedsCheckpoint requests a checkpoint once as many bytes were appended as the previous one
+// took, or the segment runs out of space.
 func (j *Journal) setNeedsCheckpoint() {
 	appended := j.end.offset - j.checkpointEnd
 	enoughAppended := appended >= max(minAppendedBytes, j.checkpointEnd)
--- a/internal/node/journal/journal_test.go
+++ b/internal/node/journal/journal_test.go
@@ -126,7 +126,8 @@
 	assert.Assert(t, equalRecords(records, append(empty, empty...)))
 }
 
-// TestAppendIsOneWriteAndOneSync: the length of a preallocated file does not change.
+// TestAppendIsOneWriteAndOneSync: an append within the preallocated space doesn't change the length
+// of the file.
 func TestAppendIsOneWriteAndOneSync(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
--- a/internal/node/journal/largest_test.go
+++ b/internal/node/journal/largest_test.go
@@ -10,8 +10,9 @@
 	"kestrelspread/internal/node/journal"
 )
 
-// TestLargestStateAlwaysFits appends records of the largest size to a state of that size, with the checkpoints that the journal
-// asks for, and the record that waits in each of them: nothing is ever refused for want of room.
+// TestLargestStateAlwaysFits appends records of the largest size to a state of that size, with the
+// checkpoints that the journal asks for, and the record that waits in each of them: nothing is ever
+// refused for want of room.
 func TestLargestStateAlwaysFits(t *testing.T) {
 	for _, disk := range []int64{1 << 20, 8 << 20, 16 << 20, 64 << 20} {
 		largest := journal.LargestState(disk)
--- a/internal/node/journal/model_test.go
+++ b/internal/node/journal/model_test.go
@@ -19,18 +19,20 @@
 	smallDisk = 64 << 10
 )
 
-// model knows what a journal may hold at its next start.
+// model predicts what the next start of a journal may find.
 type model struct {
 	// durable is what must be found, unless one of possible is found in its place.
 	durable []core.Record
 	// possible: writes that failed may have taken effect, in part where they were appended.
 	possible [][]core.Record
-	// current is what the running journal builds on; it differs from durable where a start could not prove what it read.
+	// current is what the running journal builds on; it differs from durable where a start could
+	// not prove what it read.
 	current []core.Record
 	// identity, once it is known to be durable.
 	identity string
 }
 
+// appended records the result of an append.
 func (m *model) appended(records []core.Record, err error) {
 	after := concatenated(m.current, records)
 	switch {
@@ -45,6 +47,7 @@
 	}
 }
 
+// checkpointed records the result of a checkpoint.
 func (m *model) checkpointed(records []core.Record, err error) {
 	if err != nil {
 		m.possible = append(m.possible, records)
@@ -64,7 +67,8 @@
 	for _, other := range m.possible {
 		allowed = allowed || equalRecords(records, other)
 	}
-	assert.Assert(t, allowed, "found %s, durable %s, possible %d\n%s", names(records), names(m.durable), len(m.possible), trace)
+	assert.Assert(t, allowed, "found %s, durable %s, possible %d\n%s",
+		names(records), names(m.durable), len(m.possible), trace)
 	m.current = records
 	if opened.Healthy() {
 		m.durable, m.possible = records, nil
@@ -105,7 +109,8 @@
 	made   int
 }
 
-// batch makes some records, mostly of the same few sizes: remains of one write then end where another does.
+// batch makes some records, mostly of the same few sizes: remains of one write then end where
+// another does.
 func (m *recordMaker) batch(maxRecords int) []core.Record {
 	records := make([]core.Record, m.random.IntN(maxRecords+1))
 	for i := range records {
@@ -133,9 +138,14 @@
 }
 
 func newMachine(t *testing.T, seed uint64) *machine {
+	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	m := &machine{
-		t: t, random: random, disk: diskfault.New(random), maker: &recordMaker{random: random}, trace: &bytes.Buffer{},
+		t:      t,
+		random: random,
+		disk:   diskfault.New(random),
+		maker:  &recordMaker{random: random},
+		trace:  &bytes.Buffer{},
 	}
 	fmt.Fprintf(m.trace, "seed %d:", seed)
 	return m
@@ -178,6 +188,7 @@
 	m.learnIdentity(err)
 }
 
+// learnIdentity records the identity, which is durable after any write that succeeded.
 func (m *machine) learnIdentity(err error) {
 	if err == nil {
 		m.model.identity = m.open.Identity()
--- a/internal/node/journal/reader.go
+++ b/internal/node/journal/reader.go
@@ -18,8 +18,8 @@
 	end     position // after the last sound frame
 	// checkpointEnd is the offset after the checkpoint, where it is complete.
 	checkpointEnd int64
-	// lastBatchOffset is the offset of the first frame that was written in one batch with the last one: the frames
-	// before it had been durable by then.
+	// lastBatchOffset is the offset of the first frame that was written in one batch with the last
+	// one: the frames before it had been durable by then.
 	lastBatchOffset int64
 }
 
@@ -36,10 +36,12 @@
 	return g.end.sequence > uint64(g.start.Records)
 }
 
-// readGeneration reads the frames of a segment of size bytes up to the first that is not sound. It returns nil where
-// there is no sound start frame, and an error only where the source can't be read.
+// readGeneration reads the frames of a segment of size bytes up to the first that is not sound. It
+// returns nil where there is no sound start frame, and an error only where the source can't be
+// read.
 func readGeneration(source io.ReaderAt, size int64) (*generation, error) {
-	frames := &frameReader{source: bufio.NewReaderSize(io.NewSectionReader(source, 0, size), readBufferBytes), left: size}
+	section := io.NewSectionReader(source, 0, size)
+	frames := &frameReader{source: bufio.NewReaderSize(section, readBufferBytes), left: size}
 	header, payload, err := frames.next()
 	if err != nil || payload == nil {
 		return nil, err
@@ -63,8 +65,8 @@
 	}
 }
 
-// isFollowedBy reports whether a frame was written at this position, after the frames before it. It is not, if it is a
-// remain of an earlier pass through the ring or of an abandoned write.
+// isFollowedBy reports whether a frame was written at this position, after the frames before it. It
+// is not, if it is a remain of an earlier pass through the ring or of an abandoned write.
 func (p *position) isFollowedBy(header frameHeader) bool {
 	return header.Type == frameRecord &&
 		header.Generation == p.generation &&
@@ -97,7 +99,8 @@
 	left   int64 // bytes of the segment not yet read
 }
 
-// next reads a frame. The payload is nil if, and only if, the bytes aren't a sound frame; an empty payload is not nil.
+// next reads a frame. The payload is nil if, and only if, the bytes aren't a sound frame; an empty
+// payload is not nil.
 func (r *frameReader) next() (frameHeader, []byte, error) {
 	if r.left < headerBytes {
 		return frameHeader{}, nil, nil
@@ -122,7 +125,8 @@
 	return header, payload, nil
 }
 
-// readFailure drops the error of a segment that is shorter than its stated size: its frames end there.
+// readFailure drops the error of a segment that is shorter than its stated size: its frames end
+// there.
 func readFailure(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil
--- a/internal/node/journal/reader_test.go
+++ b/internal/node/journal/reader_test.go
@@ -23,10 +23,10 @@
 	return e
 }
 
-// add adds a frame as the header stands, and moves the header on.
+// add appends a frame with the current header, and sets the header of the next one.
 func (e *encoded) add(payload []byte) *encoded {
 	e.header.sumPayload(payload)
-	e.bytes = e.header.append(e.bytes)
+	e.bytes = e.header.appendTo(e.bytes)
 	e.bytes = append(e.bytes, payload...)
 	e.header.Sequence++
 	e.header.PreviousAttempt = e.header.Attempt
@@ -45,7 +45,7 @@
 		Type: frameRecord, Kind: 250, PayloadLength: 7, PayloadSum: 9, Generation: 1 << 60, Sequence: 11,
 		BatchStart: 10, Attempt: 1 << 63, PreviousAttempt: 1<<64 - 1,
 	}
-	b := header.append([]byte("before"))[len("before"):]
+	b := header.appendTo([]byte("before"))[len("before"):]
 	assert.Equal(t, len(b), headerBytes)
 	decoded, sound := decodeHeader(b)
 	assert.Assert(t, sound)
--- a/internal/node/journal/recover.go
+++ b/internal/node/journal/recover.go
@@ -5,8 +5,8 @@
 // noSegment is the index of a segment where there is none.
 const noSegment = -1
 
-// recoverRing reads the ring and continues from its newest complete generation. A ring that is empty or damaged gets a
-// new identity and no records.
+// recoverRing reads the ring and continues from its newest complete generation. A ring that is
+// empty or damaged gets a new identity and no records.
 func (j *Journal) recoverRing() ([]core.Record, error) {
 	generations, err := j.readSegments()
 	if err != nil {
@@ -80,8 +80,8 @@
 	j.checkpointEnd = newest.checkpointEnd
 	j.recovery.Generation = newest.end.generation
 	j.recovery.Records = len(newest.records)
-	// After a kill the last batch may be in the system's cache only; if its sync had failed, a sync of the same bytes
-	// would prove nothing.
+	// After a kill the last batch may be in the system's cache only; if its sync had failed, a sync
+	// of the same bytes would prove nothing.
 	j.unconfirmed = true
 	j.unconfirmedOffset = newest.lastBatchOffset
 	j.currentSegment.needsVoid = false
--- a/internal/node/journal/recover_test.go
+++ b/internal/node/journal/recover_test.go
@@ -13,7 +13,8 @@
 	"kestrelspread/internal/node/journal/diskfault"
 )
 
-// headerBytes is the length of a frame's header, and startBytes that of the frame before the first record.
+// headerBytes is the length of a frame's header, and startBytes that of the frame before the first
+// record.
 const (
 	headerBytes = 64
 	startBytes  = headerBytes + 36
@@ -145,8 +146,8 @@
 	assert.Assert(t, opened.Healthy())
 }
 
-// TestRemainsOfLostBatchAreNotRead: of a batch that a loss of power tore, the second record is left, and the first is
-// written again in the same length, by the next start.
+// TestRemainsOfLostBatchAreNotRead: of a batch that a loss of power tore, the second record is
+// left, and the first is written again in the same length, by the next start.
 func TestRemainsOfLostBatchAreNotRead(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
@@ -163,7 +164,7 @@
 	assertRecords(t, records, "a", "b")
 }
 
-// TestRemainsOfFailedAppendAreNotRead is the same within one life of the process.
+// TestRemainsOfFailedAppendAreNotRead is the same within one run of the process.
 func TestRemainsOfFailedAppendAreNotRead(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
@@ -176,8 +177,9 @@
 	assertRecords(t, records, "a", "b")
 }
 
-// TestRecordsFoundAfterFailedSyncAreMadeDurable: the process is killed after a sync failed; its successor reads the
-// records from the system's memory, and a sync alone would not bring them to the disk.
+// TestRecordsFoundAfterFailedSyncAreMadeDurable: the process is killed after a sync failed; its
+// successor reads the records from the system's memory, and a sync alone would not bring them to
+// the disk.
 func TestRecordsFoundAfterFailedSyncAreMadeDurable(t *testing.T) {
 	for seed := range uint64(20) {
 		disk := diskfault.New(rand.New(rand.NewPCG(seed, 2)))
@@ -196,7 +198,8 @@
 	}
 }
 
-// TestFailedCheckpointDoesNotHideLaterRecords: a checkpoint whose sync failed is whole on the disk all the same.
+// TestFailedCheckpointDoesNotHideLaterRecords: a checkpoint whose sync failed is complete on the
+// disk all the same.
 func TestFailedCheckpointDoesNotHideLaterRecords(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
@@ -210,8 +213,8 @@
 	assertRecords(t, records, "a", "b")
 }
 
-// TestFailedCheckpointDoesNotReappearAfterKill: it was overwritten in the system's memory, but not on the disk; the
-// next process sees the former only, and a loss of power brings the latter back.
+// TestFailedCheckpointDoesNotReappearAfterKill: it was overwritten in the system's memory, but not
+// on the disk; the next process sees the former only, and a loss of power brings the latter back.
 func TestFailedCheckpointDoesNotReappearAfterKill(t *testing.T) {
 	for seed := range uint64(100) {
 		disk := diskfault.New(rand.New(rand.NewPCG(seed, 4)))
@@ -231,8 +234,8 @@
 	}
 }
 
-// TestRecordThatWasNotFoundDoesNotReappear: behind the last sound record stands one in the system's memory that another
-// failed write overlaps, and that is whole on the disk.
+// TestRecordThatWasNotFoundDoesNotReappear: after the last sound record there is one in the
+// system's cache that another failed write overlaps, and that is complete on the disk.
 func TestRecordThatWasNotFoundDoesNotReappear(t *testing.T) {
 	frame := int64(headerBytes + 8)
 	for seed := range uint64(100) {
@@ -293,7 +296,8 @@
 	}
 }
 
-// TestCrashDuringResetOfDamagedJournal: the state before the damage, with its identity, never comes back.
+// TestCrashDuringResetOfDamagedJournal: the state before the damage, with its identity, never comes
+// back.
 func TestCrashDuringResetOfDamagedJournal(t *testing.T) {
 	for step := 1; step < 12; step++ {
 		for seed := range uint64(10) {
--- a/internal/node/journal/segment.go
+++ b/internal/node/journal/segment.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// preallocationStep is the granularity in bytes by which a segment grows, so that most writes don't change the
-	// length of its file: a sync then needs to write data only.
+	// preallocationStep is the granularity in bytes by which a segment grows, so that most writes
+	// don't change the length of its file: a sync then needs to write data only.
 	preallocationStep = 256 << 10
 	// writeBufferBytes is how much of a batch is buffered before it is written.
 	writeBufferBytes = 64 << 10
@@ -27,15 +27,21 @@
 	file       File  // nil: it doesn't exist yet
 	size       int64 // preallocated bytes
 	nameSynced bool  // the directory was synced after the file was made
-	// needsVoid: the disk may hold a generation here that must not be read, as a checkpoint that failed may be complete
-	// on the disk all the same. At a start this is true for every segment but the current one, whatever was read from
-	// it: after a failed sync the system's cache and the disk may differ, and a killed process leaves them so.
+	// needsVoid: the disk may hold a generation here that must not be read, as a checkpoint that
+	// failed may be complete on the disk all the same. At a start this is true for every segment
+	// but the current one, whatever was read from it: after a failed sync the system's cache and
+	// the disk may differ, and a killed process leaves them so.
 	needsVoid bool
 }
 
 func newSegment(fileSystem FileSystem, directory string, number int, limit int64) *segment {
 	name := "journal-" + strconv.Itoa(number)
-	return &segment{fileSystem: fileSystem, directory: directory, path: filepath.Join(directory, name), limit: limit}
+	return &segment{
+		fileSystem: fileSystem,
+		directory:  directory,
+		path:       filepath.Join(directory, name),
+		limit:      limit,
+	}
 }
 
 // open opens the file if there is one.
@@ -71,8 +77,8 @@
 	return nil
 }
 
-// preallocate makes sure that the file is at least as long as end. The caller writes the bytes up to end itself; only
-// those after it are filled with zeros.
+// preallocate makes sure that the file is at least as long as end. The caller writes the bytes up
+// to end itself; only those after it are filled with zeros.
 func (s *segment) preallocate(end int64) error {
 	if end <= s.size {
 		return nil
@@ -124,8 +130,9 @@
 	return nil
 }
 
-// rewrite writes the bytes that the file shows from one offset to another once more, clears the header after them so
-// that nothing there is read as a frame, and syncs the file. The disk is then known to hold what was read.
+// rewrite writes the bytes that the file shows from one offset to another once more, clears the
+// header after them so that nothing there is read as a frame, and syncs the file. The disk is then
+// known to hold what was read.
 func (s *segment) rewrite(from, end int64) error {
 	buffer := make([]byte, min(writeBufferBytes, end-from))
 	for offset := from; offset < end; {
--- a/internal/node/journal/writer.go
+++ b/internal/node/journal/writer.go
@@ -9,59 +9,69 @@
 )
 
 const (
-	// retryDelay passes after a failed write before the disk is tried again.
+	// retryDelay is the time from a failed write to the next attempt: a full or failing disk rarely
+	// recovers sooner.
 	retryDelay = 100 * time.Millisecond
-	// maxBatchBytes bounds what one sync makes durable of several writes.
+	// maxBatchBytes bounds the bytes of several writes that share a sync, so that the first isn't
+	// held up by the others.
 	maxBatchBytes = 1 << 20
 )
 
-// recordLog is what a Writer writes to: a Journal.
+// recordLog is the target of a Writer: a Journal, or a fake in tests.
 type recordLog interface {
 	Append(records []core.Record) error
 	Checkpoint(records []core.Record) error
 }
 
-// Writer writes to a journal on a goroutine of its own, so that a slow disk holds nobody up. Writes are carried out in
-// the order of their submission; several that wait are made durable by one sync.
+// Writer writes to a journal on a goroutine of its own, so that a slow disk doesn't block the
+// caller. It carries out writes in the order of their submission; queued ones share a sync (group
+// commit).
 //
-// After a write that failed, the later ones fail as well, without being tried, until Resume: they build on it. Who
-// submits calls Resume once the failure has been told to the state machine, from the goroutine that submits; what is
-// submitted from then on is tried again.
+// A write builds on those before it. So after a failed write, later ones fail with an error of type
+// Skipped and aren't tried, until Resume. The submitting goroutine calls Resume once it has
+// reported the failure to the state machine; writes submitted from then on are tried.
+//
+// NewWriter starts the goroutine and Close ends it.
 type Writer struct {
 	log      recordLog
 	onResult func(token uint64, err error)
-	backoff  func(time.Duration) // waits, or returns at once when the writer closes
+	backoff  func(time.Duration) // waits; returns early when the writer closes
 
 	mutex       sync.Mutex
-	changed     *sync.Cond // queue or closing
+	changed     *sync.Cond // signals a change of queue or closing
 	queue       []queuedWrite
-	resumeCount uint64 // how often Resume was called
+	resumeCount uint64 // number of calls of Resume
 	closing     bool
 
-	stopped chan struct{}
-	closed  chan struct{} // closed when pauses are to end
-	// minResumeCount: writes of earlier epochs than this are not tried. Used by the writer's goroutine alone.
+	stopped    chan struct{} // closed when the goroutine has ended
+	endBackoff chan struct{} // closed when Close is called
+
+	// Used by the writer's goroutine alone:
+
+	// minResumeCount is the resume count from which on writes are tried again after a failure.
 	minResumeCount uint64
-	// lastWriteFailed: the disk refused the newest write that was tried. Used by the writer's goroutine alone.
+	// lastWriteFailed: the disk refused the newest write that was tried.
 	lastWriteFailed bool
 }
 
-// queuedWrite is a write with the epoch of its submission.
+// queuedWrite is a write that waits to be carried out.
 type queuedWrite struct {
 	core.Write
-	resumeCount uint64
+	resumeCount uint64 // at its submission
 }
 
-// NewWriter starts a writer. done is called on the writer's goroutine with the end of each write, in order; it must
-// neither block nor submit.
+// NewWriter starts a writer. It calls onResult on the writer's goroutine with the result of each
+// write, in order; the error is nil once the write is durable. onResult must neither block nor
+// submit.
 func NewWriter(journal *Journal, onResult func(token uint64, err error)) *Writer {
 	w := newWriter(journal, onResult)
 	go w.run()
 	return w
 }
 
+// newWriter returns a writer whose goroutine isn't started.
 func newWriter(target recordLog, onResult func(token uint64, err error)) *Writer {
-	w := &Writer{log: target, onResult: onResult, stopped: make(chan struct{}), closed: make(chan struct{})}
+	w := &Writer{log: target, onResult: onResult, stopped: make(chan struct{}), endBackoff: make(chan struct{})}
 	w.changed = sync.NewCond(&w.mutex)
 	w.backoff = w.sleep
 	return w
@@ -75,20 +85,20 @@
 	w.changed.Signal()
 }
 
-// Resume has the writes that are submitted from now on tried, also after a failure.
+// Resume lets the writes submitted from now on be tried, also after a failure.
 func (w *Writer) Resume() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.resumeCount++
 }
 
-// Close lets the queued writes be carried out, and returns when they are or when ctx ends. Writes that are submitted
-// later may not be carried out.
+// Close ends the writer once the queued writes are carried out. It returns then, or with the error
+// of ctx when that ends first. Writes submitted after Close may not be carried out.
 func (w *Writer) Close(ctx context.Context) error {
 	w.mutex.Lock()
 	if !w.closing {
 		w.closing = true
-		close(w.closed)
+		close(w.endBackoff)
 	}
 	w.changed.Signal()
 	w.mutex.Unlock()
@@ -100,6 +110,7 @@
 	}
 }
 
+// run carries out writes until the writer is closed and the queue is empty.
 func (w *Writer) run() {
 	defer close(w.stopped)
 	for {
@@ -108,9 +119,9 @@
 			return
 		}
 		for len(queued) > 0 {
-			n := batchLength(queued)
-			w.writeAndReport(queued[:n])
-			queued = queued[n:]
+			length := batchLength(queued)
+			w.writeAndReport(queued[:length])
+			queued = queued[length:]
 		}
 	}
 }
@@ -127,17 +138,17 @@
 	return queued
 }
 
-// batchLength gives how many of the first writes one sync can make durable: a checkpoint alone, else as many as fit, of
-// one epoch.
+// batchLength returns how many of the first writes can share a sync: a checkpoint goes alone; else
+// as many as fit, all of one resume count.
 func batchLength(queued []queuedWrite) int {
 	first := queued[0]
 	if first.Checkpoint {
 		return 1
 	}
-	bytes := framesBytes(first.Records)
+	total := framesBytes(first.Records)
 	for i, write := range queued[1:] {
-		bytes += framesBytes(write.Records)
-		if write.Checkpoint || write.resumeCount != first.resumeCount || bytes > maxBatchBytes {
+		total += framesBytes(write.Records)
+		if write.Checkpoint || write.resumeCount != first.resumeCount || total > maxBatchBytes {
 			return i + 1
 		}
 	}
@@ -152,10 +163,11 @@
 	}
 }
 
+// write writes a batch of one resume count, or skips it.
 func (w *Writer) write(batch []queuedWrite) error {
-	epoch := batch[0].resumeCount
-	if epoch < w.minResumeCount {
-		return Skipped.New("a write before this one failed")
+	resumeCount := batch[0].resumeCount
+	if resumeCount < w.minResumeCount {
+		return Skipped.New("write: an earlier write failed")
 	}
 	if w.lastWriteFailed {
 		w.backoff(retryDelay)
@@ -168,11 +180,12 @@
 	}
 	w.lastWriteFailed = err != nil
 	if w.lastWriteFailed {
-		w.minResumeCount = epoch + 1
+		w.minResumeCount = resumeCount + 1
 	}
 	return err
 }
 
+// recordsOf returns the records of the writes, in order.
 func recordsOf(batch []queuedWrite) []core.Record {
 	if len(batch) == 1 {
 		return batch[0].Records
@@ -184,11 +197,12 @@
 	return records
 }
 
+// sleep waits for the delay, or until Close is called.
 func (w *Writer) sleep(delay time.Duration) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-w.closed:
+	case <-w.endBackoff:
 	}
 }
--- a/internal/node/journal/writer_test.go
+++ b/internal/node/journal/writer_test.go
@@ -156,7 +156,8 @@
 	assert.Equal(t, len(w.pauses), 0)
 }
 
-// TestResumeBetweenTwoSubmissions: what was submitted before it is skipped, what comes after is tried.
+// TestResumeBetweenTwoSubmissions: what was submitted before it is skipped, what comes after is
+// tried.
 func TestResumeBetweenTwoSubmissions(t *testing.T) {
 	w := newWriterWorld(t)
 	w.submit(1, false)
