--- a/internal/node/membership/cost_test.go
+++ b/internal/node/membership/cost_test.go
@@ -33,7 +33,7 @@
 }
 
 // What a node sends and how often it wakes up does not depend on the number of nodes.
-func TestWhatANodeSendsIsConstant(t *testing.T) {
+func TestTrafficPerNodeIsConstant(t *testing.T) {
 	for _, n := range []int{10, 100, 400} {
 		t.Run(fmt.Sprintf("%d nodes", n), func(t *testing.T) {
 			calmSpan, lossySpan := time.Minute, 30*time.Second
@@ -59,9 +59,9 @@
 	}
 }
 
-func TestTheCostOfAChange(t *testing.T) {
+func TestTrafficOfJoinIsBounded(t *testing.T) {
 	w := newWorld(t, 1)
-	w.settled(90)
+	w.startConverged(90)
 	w.run(time.Minute)
 	w.start(90)
 	joined := w.measure(30 * time.Second)
@@ -70,9 +70,9 @@
 }
 
 // Nodes that are gone are forgotten: what a node keeps does not grow with the lives that there were.
-func TestWhatANodeKeepsIsBounded(t *testing.T) {
+func TestRestartedNodesAreForgotten(t *testing.T) {
 	w := newWorld(t, 1)
-	w.settled(10)
+	w.startConverged(10)
 	for range 100 {
 		w.node(9).kill()
 		w.start(9)
@@ -86,10 +86,10 @@
 }
 
 // Messages share members with the list: neither sender nor receiver may alter them.
-func TestMessagesAreNotAltered(t *testing.T) {
+func TestMessagesAreNotModified(t *testing.T) {
 	w := newWorld(t, 1)
 	w.copies = map[*nodepb.Envelope]*nodepb.Envelope{}
-	w.settled(10)
+	w.startConverged(10)
 	w.loss = 0.2
 	w.run(30 * time.Second)
 	w.node(3).kill()
--- a/internal/node/membership/faults_test.go
+++ b/internal/node/membership/faults_test.go
@@ -11,12 +11,12 @@
 // deathBound is by when all have dropped a member that died: its probe, the suspicion, and their spreading.
 const deathBound = 10 * time.Second
 
-func TestADeathIsNoticed(t *testing.T) {
+func TestKilledNodeIsDeclaredDead(t *testing.T) {
 	for _, n := range []int{2, 3, 11, 90} {
 		for seed := range seeds(4) {
 			t.Run(fmt.Sprintf("%d nodes, seed %d", n, seed), func(t *testing.T) {
 				w := newWorld(t, seed)
-				w.settled(n)
+				w.startConverged(n)
 				victim := w.node(n - 1)
 				victim.kill()
 				suspected := false
@@ -35,10 +35,10 @@
 	}
 }
 
-func TestHalfDieAtOnce(t *testing.T) {
+func TestHalfOfNodesKilledAtOnce(t *testing.T) {
 	for seed := range seeds(3) {
 		w := newWorld(t, seed)
-		w.settled(60)
+		w.startConverged(60)
 		for i := 30; i < 60; i++ {
 			w.node(i).kill()
 		}
@@ -61,7 +61,7 @@
 // droppedAmong returns the condition that one of the nodes has dropped another.
 func (w *world) droppedAmong(nodes []*virtualNode) func() bool { return newWatch(nodes).dropped }
 
-func TestNobodyIsDroppedForLostMessages(t *testing.T) {
+func TestMessageLossDropsNoMember(t *testing.T) {
 	span := 30 * time.Minute
 	if testing.Short() {
 		span = 3 * time.Minute
@@ -69,17 +69,17 @@
 	for _, n := range []int{4, 11, 40} {
 		t.Run(fmt.Sprintf("%d nodes", n), func(t *testing.T) {
 			w := newWorld(t, uint64(n))
-			w.settled(n)
+			w.startConverged(n)
 			w.loss = 0.05
 			w.never(span, "a member is dropped", w.droppedAmong(w.alive()))
 		})
 	}
 }
 
-func TestAShortStopIsNoDeath(t *testing.T) {
+func TestShortFreezeDropsNoMember(t *testing.T) {
 	for seed := range seeds(8) {
 		w := newWorld(t, seed)
-		w.settled(20)
+		w.startConverged(20)
 		stopped := w.node(int(seed % 10))
 		stopped.freeze()
 		w.after(2*time.Second, stopped.thaw)
@@ -87,11 +87,11 @@
 	}
 }
 
-func TestALongStop(t *testing.T) {
+func TestLongFreezeIsFollowedByRejoin(t *testing.T) {
 	for _, span := range []time.Duration{12 * time.Second, 100 * time.Second} {
 		for seed := range seeds(8) {
 			w := newWorld(t, seed)
-			w.settled(40)
+			w.startConverged(40)
 			stopped := w.node(int(seed % 10))
 			others := append(w.alive()[:0:0], w.alive()...)
 			for i, node := range others {
@@ -114,9 +114,9 @@
 	}
 }
 
-func TestANodeThatStopsAgainAndAgainBlamesNobody(t *testing.T) {
+func TestRepeatedlyFrozenNodeDropsNoMember(t *testing.T) {
 	w := newWorld(t, 2)
-	w.settled(12)
+	w.startConverged(12)
 	slow := w.node(5)
 	var others []*virtualNode
 	for _, node := range w.alive() {
@@ -132,18 +132,18 @@
 	}
 }
 
-func TestACutBetweenTwoIsBridgedByOthers(t *testing.T) {
+func TestPartialPartitionDropsNoMember(t *testing.T) {
 	a, b := addressOf(3), addressOf(4)
-	cuts := map[string]func(from, to string) bool{
+	partitions := map[string]func(from, to string) bool{
 		"one way":    func(from, to string) bool { return from == a && to == b },
 		"both ways":  func(from, to string) bool { return from == a && to == b || from == b && to == a },
 		"from seeds": func(from, to string) bool { return from == addressOf(0) && to == a },
 	}
-	for name, blocked := range cuts {
+	for name, partitioned := range partitions {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
-			w.settled(10)
-			w.blocked = blocked
+			w.startConverged(10)
+			w.partitioned = partitioned
 			w.never(3*time.Minute, "a member is dropped", w.droppedAmong(w.alive()))
 		})
 	}
@@ -160,7 +160,7 @@
 	return side
 }
 
-func TestACutHeals(t *testing.T) {
+func TestPartitionedHalvesRejoin(t *testing.T) {
 	sizes := []int{4, 11, 90}
 	if testing.Short() {
 		sizes = []int{4, 30}
@@ -170,7 +170,7 @@
 			for seed := range seeds(3) {
 				t.Run(fmt.Sprintf("%d nodes, %v, seed %d", n, span, seed), func(t *testing.T) {
 					w := newWorld(t, seed)
-					w.settled(n)
+					w.startConverged(n)
 					side := halves(n)
 					parts := [2][]*virtualNode{}
 					for _, node := range w.alive() {
@@ -178,9 +178,9 @@
 					}
 					first, second := newWatch(parts[0]), newWatch(parts[1])
 					dropped := func() bool { return first.dropped() || second.dropped() }
-					w.blocked = func(from, to string) bool { return side[from] != side[to] }
+					w.partitioned = func(from, to string) bool { return side[from] != side[to] }
 					w.never(span, "a member of the own side is dropped", dropped)
-					w.blocked = nil
+					w.partitioned = nil
 					w.never(3500*time.Millisecond, "a member of the own side is dropped when the cut heals", dropped)
 					assert.Assert(t, agree(w.alive()), "the halves have not found each other")
 					w.never(20*time.Second, "a member is dropped", w.droppedAmong(w.alive()))
@@ -190,11 +190,11 @@
 	}
 }
 
-func TestASingleNodeIsCutOff(t *testing.T) {
+func TestIsolatedNodeRejoins(t *testing.T) {
 	for _, span := range []time.Duration{3 * time.Second, 12 * time.Second, 2 * time.Minute} {
 		for seed := range seeds(4) {
 			w := newWorld(t, seed)
-			w.settled(30)
+			w.startConverged(30)
 			alone := addressOf(int(seed % 10))
 			var others []*virtualNode
 			for _, node := range w.alive() {
@@ -202,24 +202,24 @@
 					others = append(others, node)
 				}
 			}
-			w.blocked = func(from, to string) bool { return (from == alone) != (to == alone) }
+			w.partitioned = func(from, to string) bool { return (from == alone) != (to == alone) }
 			w.never(span, "another member is dropped", w.droppedAmong(others))
-			w.blocked = nil
-			dropped, whole := w.droppedAmong(others), w.converged()
+			w.partitioned = nil
+			dropped, converged := w.droppedAmong(others), w.converged()
 			w.expect(3500*time.Millisecond, "all know all", func() bool {
 				assert.Assert(t, !dropped(), "another member is dropped")
-				return whole()
+				return converged()
 			})
 		}
 	}
 }
 
-func TestTheCoreIsCutInTwoWhileMembersAreRestarted(t *testing.T) {
+func TestRestartsDuringPartition(t *testing.T) {
 	for seed := range seeds(4) {
 		w := newWorld(t, seed)
-		w.settled(24)
+		w.startConverged(24)
 		side := halves(24)
-		w.blocked = func(from, to string) bool { return side[from] != side[to] }
+		w.partitioned = func(from, to string) bool { return side[from] != side[to] }
 		w.run(3 * time.Second)
 		w.node(3).kill()
 		w.node(20).kill()
@@ -227,7 +227,7 @@
 		w.start(3)
 		w.start(20)
 		w.run(8 * time.Second)
-		w.blocked = nil
+		w.partitioned = nil
 		w.expect(4*time.Second, "all know all", w.converged())
 		w.run(time.Minute)
 		assert.Assert(t, agree(w.alive()))
--- a/internal/node/membership/join.go
+++ b/internal/node/membership/join.go
@@ -9,9 +9,9 @@
 // join is the way into the list: calls to the seeds until they have answered. Seeds need not listen yet when this
 // node starts (DEPLOY.md, "Settings of a process").
 type join struct {
-	started core.Time
-	next    core.Time // of the next calls; Never once the node has joined
-	seeds   []seed
+	startedAt  core.Time
+	nextCallAt core.Time // of the next calls; Never once the node has joined
+	seeds      []seed
 }
 
 type seed struct {
@@ -20,12 +20,12 @@
 }
 
 func newJoin(now core.Time, addresses []string) join {
-	j := join{started: now, next: core.Never}
+	j := join{startedAt: now, nextCallAt: core.Never}
 	for _, address := range addresses {
 		j.seeds = append(j.seeds, seed{address: address})
 	}
 	if len(j.seeds) > 0 {
-		j.next = now
+		j.nextCallAt = now
 	}
 	return j
 }
@@ -41,8 +41,8 @@
 	return others
 }
 
-// answers returns how many seeds have answered.
-func (j *join) answers() int {
+// answeredCount returns how many seeds have answered.
+func (j *join) answeredCount() int {
 	count := 0
 	for _, seed := range j.seeds {
 		if seed.answered {
@@ -61,40 +61,40 @@
 		answered := slices.ContainsFunc(former, func(s seed) bool { return s.address == address && s.answered })
 		m.join.seeds = append(m.join.seeds, seed{address: address, answered: answered})
 	}
-	m.due = m.nextDue()
+	m.deadline = m.nextDeadline()
 }
 
 // stepJoin calls the seeds that have not answered.
 func (m *Membership) stepJoin() {
 	j := &m.join
-	if m.now < j.next {
+	if m.now < j.nextCallAt {
 		return
 	}
-	early := m.now < j.started+joinSpan
-	if answers := j.answers(); answers == len(j.seeds) || answers > 0 && !early {
-		j.next = core.Never
+	early := m.now < j.startedAt+joinTime
+	if answers := j.answeredCount(); answers == len(j.seeds) || answers > 0 && !early {
+		j.nextCallAt = core.Never
 		return
 	}
 	for _, seed := range j.seeds {
 		if !seed.answered {
-			m.ask(seed.address)
+			m.requestList(seed.address)
 		}
 	}
-	j.next = m.now + joinRetryLate
+	j.nextCallAt = m.now + lateJoinInterval
 	if early {
-		j.next = m.now + joinRetry
+		j.nextCallAt = m.now + joinInterval
 	}
 }
 
-// seedAnswered takes note that the node at the address sent its list.
-func (m *Membership) seedAnswered(address string) {
+// recordSeedAnswer takes note that the node at the address sent its list.
+func (m *Membership) recordSeedAnswer(address string) {
 	j := &m.join
 	for i := range j.seeds {
 		if j.seeds[i].address == address {
 			j.seeds[i].answered = true
 		}
 	}
-	if j.answers() == len(j.seeds) {
-		j.next = core.Never
+	if j.answeredCount() == len(j.seeds) {
+		j.nextCallAt = core.Never
 	}
 }
--- a/internal/node/membership/join_test.go
+++ b/internal/node/membership/join_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAllFindEachOtherAtTheStart(t *testing.T) {
+func TestNodesConvergeAtStart(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 10, 90} {
 		for seed := range seeds(4) {
 			t.Run(fmt.Sprintf("%d nodes, seed %d", n, seed), func(t *testing.T) {
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestSeedsThatDoNotListenAtFirst(t *testing.T) {
+func TestNodesConvergeOnceLateSeedsListen(t *testing.T) {
 	const n = 30
 	for _, late := range [][]int{{0}, {0, 1, 2}} {
 		for _, delay := range []time.Duration{time.Second, 10 * time.Second} {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestASeedThatNeverListens(t *testing.T) {
+func TestNodesConvergeWithoutOneSeed(t *testing.T) {
 	w := newWorld(t, 6)
 	w.seeds = []string{addressOf(0), addressOf(1), addressOf(2)}
 	for i := 1; i < 10; i++ {
@@ -53,19 +53,19 @@
 	assert.Assert(t, agree(w.alive()))
 }
 
-func TestANewMemberIsKnownToAllSoon(t *testing.T) {
+func TestJoinReachesAllMembers(t *testing.T) {
 	for seed := range seeds(6) {
 		w := newWorld(t, seed)
-		w.settled(90)
+		w.startConverged(90)
 		w.start(90)
 		w.expect(1500*time.Millisecond, "the new member", w.converged())
 	}
 }
 
-func TestWhoLeavesIsOffAllListsSoon(t *testing.T) {
+func TestLeaveReachesAllMembers(t *testing.T) {
 	for seed := range seeds(6) {
 		w := newWorld(t, seed)
-		w.settled(90)
+		w.startConverged(90)
 		leaver := w.node(17)
 		leaver.leave()
 		leaver.kill()
@@ -75,9 +75,9 @@
 	}
 }
 
-func TestWhoLeavesAndRunsOnStaysOffTheLists(t *testing.T) {
+func TestLeftNodeThatRunsOnIsNotRelisted(t *testing.T) {
 	w := newWorld(t, 3)
-	w.settled(10)
+	w.startConverged(10)
 	leaver := w.node(4)
 	leaver.leave()
 	w.run(time.Second)
@@ -94,10 +94,10 @@
 	assert.Equal(t, leaver.wakeUps, wakeUps)
 }
 
-func TestALaterLifeReplacesTheFormer(t *testing.T) {
+func TestRestartReplacesPreviousProcess(t *testing.T) {
 	for seed := range seeds(6) {
 		w := newWorld(t, seed)
-		w.settled(30)
+		w.startConverged(30)
 		// Number 1 is a seed, number 20 is not.
 		for _, i := range []int{1, 20} {
 			former := w.node(i)
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestALaterLifeReplacesAFormerOneOfHigherIncarnation(t *testing.T) {
+func TestRestartReplacesProcessOfHigherIncarnation(t *testing.T) {
 	for seed := range seeds(6) {
 		w := newWorld(t, seed)
 		w.startAll(20)
@@ -128,10 +128,10 @@
 }
 
 // A node that was stopped for long still knows the former life when it goes on.
-func TestAFormerLifeIsNotBroughtBack(t *testing.T) {
+func TestReplacedProcessIsNotRelisted(t *testing.T) {
 	for _, stop := range []time.Duration{10 * time.Second, 70 * time.Second} {
 		w := newWorld(t, 9)
-		w.settled(20)
+		w.startConverged(20)
 		stopped := w.node(7)
 		stopped.freeze()
 		w.run(time.Second)
@@ -146,9 +146,9 @@
 	}
 }
 
-func TestAllAreRestartedInTurn(t *testing.T) {
+func TestRollingRestart(t *testing.T) {
 	w := newWorld(t, 4)
-	w.settled(24)
+	w.startConverged(24)
 	for i := range 24 {
 		w.node(i).leave()
 		w.run(100 * time.Millisecond)
@@ -162,9 +162,9 @@
 	assert.Assert(t, agree(w.alive()))
 }
 
-func TestAllAreKilledAndStartAgain(t *testing.T) {
+func TestRestartOfAllNodesAtOnce(t *testing.T) {
 	w := newWorld(t, 8)
-	w.settled(30)
+	w.startConverged(30)
 	for _, node := range w.alive() {
 		node.kill()
 	}
@@ -173,9 +173,9 @@
 	w.expect(1500*time.Millisecond, "all know all", w.converged())
 }
 
-func TestSeedsAreExchanged(t *testing.T) {
+func TestSetSeedsReplacesSeeds(t *testing.T) {
 	w := newWorld(t, 8)
-	w.settled(10)
+	w.startConverged(10)
 	for i := range 3 {
 		w.node(i).kill()
 	}
--- a/internal/node/membership/list_test.go
+++ b/internal/node/membership/list_test.go
@@ -13,9 +13,9 @@
 
 func sameText(a, b *nodepb.Envelope) bool { return proto.Equal(a, b) }
 
-func TestTheListIsSortedAndHoldsTheNodeItself(t *testing.T) {
+func TestMembersAreSortedAndIncludeSelf(t *testing.T) {
 	w := newWorld(t, 1)
-	w.settled(10)
+	w.startConverged(10)
 	for _, node := range w.alive() {
 		ids := make([]string, 0, 10)
 		for _, member := range node.list.Members() {
@@ -26,9 +26,9 @@
 	}
 }
 
-func TestAPictureStaysAsItIs(t *testing.T) {
+func TestReturnedMembersAreImmutable(t *testing.T) {
 	w := newWorld(t, 1)
-	w.settled(10)
+	w.startConverged(10)
 	picture := w.node(0).list.Members()
 	before := make([]*nodepb.Member, 0, len(picture))
 	for _, member := range picture {
@@ -42,9 +42,9 @@
 	}
 }
 
-func TestRevisionTellsOfChangesOtherThanSuspicions(t *testing.T) {
+func TestRevisionIgnoresSuspicions(t *testing.T) {
 	w := newWorld(t, 1)
-	w.settled(10)
+	w.startConverged(10)
 	observer, victim := w.node(0), w.node(5)
 	calm := observer.list.Revision()
 	assert.Assert(t, calm > 0)
@@ -68,9 +68,9 @@
 	assert.Assert(t, !observer.list.Suspected(victim.id))
 }
 
-func TestAChangeOfTheNodeItselfIsKnownToAllSoon(t *testing.T) {
+func TestUpdateSelfReachesAllMembers(t *testing.T) {
 	w := newWorld(t, 1)
-	w.settled(60)
+	w.startConverged(60)
 	changed := w.node(9)
 	before := w.node(30).list.Revision()
 	changed.carryOut(changed.list.UpdateSelf(changed.clock(), func(self *nodepb.Member) {
--- a/internal/node/membership/merge.go
+++ b/internal/node/membership/merge.go
@@ -9,7 +9,7 @@
 
 // merge takes what another node says of a node. Of two claims the one with the higher incarnation holds; with equal
 // ones a suspicion does. Who left does not come back.
-func (m *Membership) merge(from core.Peer, claim *nodepb.Member, passOn bool) {
+func (m *Membership) merge(from core.Peer, claim *nodepb.Member, disseminate bool) {
 	if claim.GetNodeId() == "" || claim.Address == "" {
 		return
 	}
@@ -18,15 +18,15 @@
 	case claim.NodeId == m.table.self.NodeId:
 		m.mergeSelf(from, claim)
 	case claim.Address == m.table.self.Address:
-		m.mergeFormerSelf(claim)
+		m.mergePreviousSelf(claim)
 	case known == nil:
-		m.mergeUnknown(from, claim, passOn)
+		m.mergeUnknown(from, claim, disseminate)
 	case known.member.State == nodepb.MemberState_LEFT, claim.Address != known.member.Address:
 	case claim.State == nodepb.MemberState_LEFT:
-		m.takeDown(claim)
-		m.spread(claim.NodeId)
+		m.recordDown(claim)
+		m.disseminateChange(claim.NodeId)
 	case claim.Incarnation >= known.member.Incarnation:
-		m.mergeKnown(from, known, claim, passOn)
+		m.mergeKnown(from, known, claim, disseminate)
 	}
 }
 
@@ -36,21 +36,21 @@
 		return
 	}
 	if claim.Incarnation >= m.table.self.Incarnation {
-		m.health.suspected()
+		m.health.recordSuspicion()
 		m.raiseIncarnation(claim.Incarnation)
 	}
-	m.tell(m.table.self)
+	m.addReplyClaim(m.table.self)
 }
 
-// mergeFormerSelf makes sure that this life counts as later than a former one at the same address.
-func (m *Membership) mergeFormerSelf(claim *nodepb.Member) {
+// mergePreviousSelf makes sure that this life counts as later than a former one at the same address.
+func (m *Membership) mergePreviousSelf(claim *nodepb.Member) {
 	if !isLive(claim.State) {
 		return
 	}
 	if claim.Incarnation >= m.table.self.Incarnation {
 		m.raiseIncarnation(claim.Incarnation)
 	}
-	m.tell(m.table.self)
+	m.addReplyClaim(m.table.self)
 }
 
 // raiseIncarnation puts the own incarnation above another one, and tells some members.
@@ -58,36 +58,36 @@
 	self := proto.CloneOf(m.table.self)
 	self.Incarnation = above + 1
 	m.table.setSelf(self)
-	m.mention(self.NodeId)
+	m.disseminateSuspicion(self.NodeId)
 	m.pushTo(m.table.pick(pushFanout, "", m.random), []*nodepb.Member{self})
 }
 
-func (m *Membership) mergeUnknown(from core.Peer, claim *nodepb.Member, passOn bool) {
+func (m *Membership) mergeUnknown(from core.Peer, claim *nodepb.Member, disseminate bool) {
 	if len(m.table.entries) >= maxEntries {
 		return
 	}
 	if !isLive(claim.State) {
-		m.takeDown(claim)
+		m.recordDown(claim)
 		return
 	}
-	if !m.takeAddress(from, claim) {
+	if !m.resolveAddress(from, claim) {
 		return
 	}
-	m.takeLive(claim)
-	if passOn {
-		m.spread(claim.NodeId)
+	m.recordLive(claim)
+	if disseminate {
+		m.disseminateChange(claim.NodeId)
 	}
 }
 
 // mergeKnown takes a claim whose incarnation is not below the known one.
-func (m *Membership) mergeKnown(from core.Peer, known *entry, claim *nodepb.Member, passOn bool) {
+func (m *Membership) mergeKnown(from core.Peer, known *entry, claim *nodepb.Member, disseminate bool) {
 	newer := claim.Incarnation > known.member.Incarnation
 	down := !isLive(known.member.State)
 	switch {
 	case claim.State == nodepb.MemberState_ALIVE && newer:
-		m.mergeNewer(from, known, claim, passOn)
+		m.mergeNewer(from, known, claim, disseminate)
 	case claim.State == nodepb.MemberState_SUSPECT && newer && down:
-		m.mergeNewer(from, known, claim, passOn)
+		m.mergeNewer(from, known, claim, disseminate)
 	case claim.State == nodepb.MemberState_SUSPECT, claim.State == nodepb.MemberState_DEAD:
 		m.mergeSuspicion(known, claim)
 	}
@@ -101,7 +101,7 @@
 	switch {
 	case !isLive(known.member.State):
 		if newer {
-			m.takeDown(claim)
+			m.recordDown(claim)
 		}
 	case newer || known.member.State == nodepb.MemberState_ALIVE:
 		m.suspect(claim)
@@ -109,56 +109,56 @@
 }
 
 // mergeNewer takes a claim by which a node is alive in a later incarnation.
-func (m *Membership) mergeNewer(from core.Peer, known *entry, claim *nodepb.Member, passOn bool) {
+func (m *Membership) mergeNewer(from core.Peer, known *entry, claim *nodepb.Member, disseminate bool) {
 	returned := !isLive(known.member.State)
 	changed := returned || !sameDescription(known.member, claim)
 	if returned {
-		if !m.takeAddress(from, claim) {
+		if !m.resolveAddress(from, claim) {
 			return
 		}
-		m.hasReturned()
+		m.recordReturn()
 	}
-	m.takeLive(claim)
+	m.recordLive(claim)
 	switch {
-	case changed && passOn:
-		m.spread(claim.NodeId)
+	case changed && disseminate:
+		m.disseminateChange(claim.NodeId)
 	case !changed:
-		m.mention(claim.NodeId)
+		m.disseminateSuspicion(claim.NodeId)
 	}
 }
 
-// takeAddress reports whether the node of the claim may be a member at its address. Of two lives at one address the
+// resolveAddress reports whether the node of the claim may be a member at its address. Of two lives at one address the
 // one with the higher incarnation holds; a later life that is not aware of a former one is told of it, and raises its
 // incarnation.
-func (m *Membership) takeAddress(from core.Peer, claim *nodepb.Member) bool {
-	holderID, held := m.table.atAddress[claim.Address]
-	if !held || holderID == claim.NodeId {
+func (m *Membership) resolveAddress(from core.Peer, claim *nodepb.Member) bool {
+	holderID, taken := m.table.idByAddress[claim.Address]
+	if !taken || holderID == claim.NodeId {
 		return true
 	}
 	holder := m.table.entries[holderID].member
 	if claim.Incarnation > holder.Incarnation {
-		m.takeDown(withState(holder, nodepb.MemberState_DEAD)).replaced = true
+		m.recordDown(withState(holder, nodepb.MemberState_DEAD)).replaced = true
 		return true
 	}
 	if from.NodeID == claim.NodeId {
-		m.tell(holder)
+		m.addReplyClaim(holder)
 	}
 	return false
 }
 
-// takeLive takes over a member that is alive or suspected.
-func (m *Membership) takeLive(member *nodepb.Member) {
+// recordLive takes over a member that is alive or suspected.
+func (m *Membership) recordLive(member *nodepb.Member) {
 	if former := m.table.get(member.NodeId); former == nil || !isLive(former.State) {
-		m.hasCome()
+		m.recordJoin()
 	}
 	known := m.table.set(member, core.Never, m.random)
 	if member.State == nodepb.MemberState_SUSPECT {
 		m.beginSuspicion(known)
 	}
-	m.wakeProbes()
+	m.startProbing()
 }
 
-// takeDown takes over a member that is dead or has left.
-func (m *Membership) takeDown(member *nodepb.Member) *entry {
+// recordDown takes over a member that is dead or has left.
+func (m *Membership) recordDown(member *nodepb.Member) *entry {
 	return m.table.set(member, m.now+m.options.DeadRetention, m.random)
 }
--- a/internal/node/membership/merge_test.go
+++ b/internal/node/membership/merge_test.go
@@ -36,8 +36,8 @@
 	return New(0, Options{Self: self}, rand.New(rand.NewPCG(1, 1)))
 }
 
-// hear lets the node take claims, as news from the node that stranger is.
-func (m *Membership) hear(now core.Time, claims ...*nodepb.Member) []core.Output {
+// receiveClaims lets the node receive claims from stranger.
+func (m *Membership) receiveClaims(now core.Time, claims ...*nodepb.Member) []core.Output {
 	return m.Receive(now, stranger, memberSync(false, claims))
 }
 
@@ -55,7 +55,7 @@
 		state       nodepb.MemberState
 		incarnation uint64
 	}
-	tests := []struct{ known, heard, want claim }{
+	tests := []struct{ known, received, want claim }{
 		{claim{unknown, 0}, claim{alive, 1}, claim{alive, 1}},
 		{claim{unknown, 0}, claim{suspect, 1}, claim{suspect, 1}},
 		{claim{unknown, 0}, claim{dead, 1}, claim{dead, 1}},
@@ -90,12 +90,12 @@
 		{claim{left, 3}, claim{dead, 9}, claim{left, 3}},
 	}
 	for _, test := range tests {
-		t.Run(fmt.Sprintf("%v then %v", test.known, test.heard), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v then %v", test.known, test.received), func(t *testing.T) {
 			m := newNode()
 			if test.known.state != unknown {
 				m.table.set(claimOf(test.known.state, test.known.incarnation), core.Never, m.random)
 			}
-			m.hear(time.Millisecond, claimOf(test.heard.state, test.heard.incarnation))
+			m.receiveClaims(time.Millisecond, claimOf(test.received.state, test.received.incarnation))
 			state, incarnation := m.stateOf("b/1")
 			assert.Equal(t, state, test.want.state)
 			assert.Equal(t, incarnation, test.want.incarnation)
@@ -104,15 +104,15 @@
 	}
 }
 
-func TestClaimsThatNameNobodyAreIgnored(t *testing.T) {
+func TestIncompleteClaimsAreIgnored(t *testing.T) {
 	m := newNode()
-	m.hear(0, &nodepb.Member{}, member("b/1", "", alive, 1), &nodepb.Member{Address: "10.0.0.2:7560"})
+	m.receiveClaims(0, &nodepb.Member{}, member("b/1", "", alive, 1), &nodepb.Member{Address: "10.0.0.2:7560"})
 	assert.Equal(t, len(m.table.entries), 0)
 }
 
-func TestALifeDoesNotMove(t *testing.T) {
+func TestAddressOfNodeIDIsFixed(t *testing.T) {
 	m := newNode()
-	m.hear(0, claimOf(alive, 1), member("b/1", "10.0.0.9:7560", alive, 2))
+	m.receiveClaims(0, claimOf(alive, 1), member("b/1", "10.0.0.9:7560", alive, 2))
 	assert.Equal(t, m.table.get("b/1").Address, "10.0.0.2:7560")
 }
 
@@ -127,66 +127,66 @@
 	return lists
 }
 
-func TestClaimsOfTheNodeItselfAreRefuted(t *testing.T) {
+func TestClaimsAgainstSelfAreRefuted(t *testing.T) {
 	for _, state := range []nodepb.MemberState{suspect, dead} {
 		m := newNode()
-		outputs := m.hear(0, member("a/1", "10.0.0.1:7560", state, 7))
+		outputs := m.receiveClaims(0, member("a/1", "10.0.0.1:7560", state, 7))
 		assert.Equal(t, m.table.self.Incarnation, uint64(8))
 		answers := sentTo(outputs, stranger.Address)
 		assert.Assert(t, len(answers) > 0)
 		assert.Equal(t, answers[len(answers)-1][0].Incarnation, uint64(8))
 		// An older claim needs no other incarnation, but its sender is told.
-		outputs = m.hear(0, member("a/1", "10.0.0.1:7560", state, 6))
+		outputs = m.receiveClaims(0, member("a/1", "10.0.0.1:7560", state, 6))
 		assert.Equal(t, m.table.self.Incarnation, uint64(8))
 		assert.Equal(t, sentTo(outputs, stranger.Address)[0][0].Incarnation, uint64(8))
 	}
 }
 
-func TestAFormerLifeAtTheOwnAddress(t *testing.T) {
+func TestPreviousProcessAtOwnAddress(t *testing.T) {
 	m := newNode()
-	m.hear(0, member("a/0", "10.0.0.1:7560", alive, 3))
+	m.receiveClaims(0, member("a/0", "10.0.0.1:7560", alive, 3))
 	assert.Equal(t, m.table.self.Incarnation, uint64(5))
-	m.hear(0, member("a/0", "10.0.0.1:7560", dead, 9))
+	m.receiveClaims(0, member("a/0", "10.0.0.1:7560", dead, 9))
 	assert.Equal(t, m.table.self.Incarnation, uint64(5))
-	m.hear(0, member("a/0", "10.0.0.1:7560", alive, 9))
+	m.receiveClaims(0, member("a/0", "10.0.0.1:7560", alive, 9))
 	assert.Equal(t, m.table.self.Incarnation, uint64(10))
 	assert.Equal(t, len(m.Members()), 1)
 }
 
-func TestTwoLivesAtOneAddress(t *testing.T) {
+func TestTwoProcessesAtOneAddress(t *testing.T) {
 	later := func(incarnation uint64) *nodepb.Member { return member("b/2", "10.0.0.2:7560", alive, incarnation) }
 	m := newNode()
-	m.hear(0, claimOf(alive, 3))
-	m.hear(0, later(3))
+	m.receiveClaims(0, claimOf(alive, 3))
+	m.receiveClaims(0, later(3))
 	state, _ := m.stateOf("b/2")
 	assert.Equal(t, state, unknown, "the one known first stays where the incarnations are equal")
-	m.hear(0, later(4))
+	m.receiveClaims(0, later(4))
 	state, _ = m.stateOf("b/2")
 	assert.Equal(t, state, alive)
 	state, _ = m.stateOf("b/1")
 	assert.Equal(t, state, dead)
 	assert.Equal(t, len(m.Members()), 2)
-	assert.Assert(t, !mayReturn(m.table.entries["b/1"]), "nobody looks for a life that was replaced")
+	assert.Assert(t, !mayRejoin(m.table.entries["b/1"]), "nobody looks for a life that was replaced")
 }
 
-func TestALaterLifeIsToldOfTheFormer(t *testing.T) {
+func TestRestartedProcessLearnsOfPreviousOne(t *testing.T) {
 	m := newNode()
-	m.hear(0, claimOf(alive, 3))
+	m.receiveClaims(0, claimOf(alive, 3))
 	later := core.Peer{NodeID: "b/2", Address: "10.0.0.2:7560"}
 	outputs := m.Receive(0, later, memberSync(false, []*nodepb.Member{member("b/2", later.Address, alive, 1)}))
-	told := false
+	notified := false
 	for _, list := range sentTo(outputs, later.Address) {
 		for _, claim := range list {
-			told = told || claim.NodeId == "b/1"
+			notified = notified || claim.NodeId == "b/1"
 		}
 	}
-	assert.Assert(t, told)
+	assert.Assert(t, notified)
 }
 
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+func TestEntriesAreBounded(t *testing.T) {
 	m := newNode()
 	for i := range maxEntries + 100 {
-		m.hear(0, member(fmt.Sprintf("x%d/1", i), fmt.Sprintf("10.9.%d.%d:7560", i/200, i%200), dead, 1))
+		m.receiveClaims(0, member(fmt.Sprintf("x%d/1", i), fmt.Sprintf("10.9.%d.%d:7560", i/200, i%200), dead, 1))
 	}
 	assert.Equal(t, len(m.table.entries), maxEntries)
 	m.Tick(DefaultDeadRetention + time.Second)
--- a/internal/node/membership/options.go
+++ b/internal/node/membership/options.go
@@ -53,60 +53,60 @@
 
 // Figures that are no options.
 const (
-	// joinRetry is the pause between calls to seeds that have not answered, for joinSpan after the start; then it is
+	// joinInterval is the pause between calls to seeds that have not answered, for joinSpan after the start; then it is
 	// joinRetryLate, as long as none has answered.
-	joinRetry     = 200 * time.Millisecond
-	joinRetryLate = time.Second
-	joinSpan      = 3 * time.Second
+	joinInterval     = 200 * time.Millisecond
+	lateJoinInterval = time.Second
+	joinTime         = 3 * time.Second
 
 	// A node whose list has grown by growthShare hundredths, and growthLeast members at least, asks others for their
 	// lists, settleRounds times, the first time after settleDelay and up to settleJitter more: many came at the same
 	// moment, at the start or as a cut healed, so that one may have been missed.
-	growthShare  = 15
-	growthLeast  = 4
-	settleRounds = 2
-	settleDelay  = 600 * time.Millisecond
-	settleJitter = 400 * time.Millisecond
-	settlePause  = 2 * time.Second
-	// settleSpan after its start, a node takes answers to its own questions without passing them on.
-	settleSpan = 5 * time.Second
-
-	// deadRetry is the time between two probes of members that are held dead.
-	deadRetry = 2 * time.Second
-	// returnRetry is that time for quickSpan after a dead member has come back, as a cut may have healed.
-	returnRetry = 200 * time.Millisecond
-	quickSpan   = 2 * time.Second
-	// seedRetry is the time between two calls to seeds that aren't members.
-	seedRetry = 3 * time.Second
+	growthShare      = 15
+	minGrowth        = 4
+	convergeRounds   = 2
+	convergeDelay    = 600 * time.Millisecond
+	convergeJitter   = 400 * time.Millisecond
+	convergeInterval = 2 * time.Second
+	// startupTime after its start, a node takes answers to its own questions without passing them on.
+	startupTime = 5 * time.Second
+
+	// deadProbeInterval is the time between two probes of members that are held dead.
+	deadProbeInterval = 2 * time.Second
+	// fastDeadProbeInterval is that time for quickSpan after a dead member has come back, as a cut may have healed.
+	fastDeadProbeInterval = 200 * time.Millisecond
+	fastRetryTime         = 2 * time.Second
+	// seedCallInterval is the time between two calls to seeds that aren't members.
+	seedCallInterval = 3 * time.Second
 
 	// News is pushed in rounds, pushPause apart: each item in pushRounds of them, to pushFanout members a round, one of
 	// which is the successor by node id. So it reaches all, even those whom chance would leave out.
-	pushPause   = 100 * time.Millisecond
-	pushRounds  = 2
-	pushFanout  = 3
-	pushMembers = 32
+	pushInterval   = 100 * time.Millisecond
+	pushRounds     = 2
+	pushFanout     = 3
+	maxPushMembers = 32
 	// pushAllowance and pushRefill bound the rounds of suspicions and refutations alone.
-	pushAllowance = 10
-	pushRefill    = 2 * time.Second
+	pushAllowance      = 10
+	pushRefillInterval = 2 * time.Second
 	// leaveFanout is the number of members that a leaving node tells.
 	leaveFanout = 8
 
-	// updatesBurst is how many times UpdatesPerMessage a message may hold while many updates wait.
-	updatesBurst = 4
+	// burstFactor is how many times UpdatesPerMessage a message may hold while many updates wait.
+	burstFactor = 4
 
 	// stallAfter is how late an input may be until the node takes itself to have been stopped.
 	stallAfter = 500 * time.Millisecond
-	// stallSyncs is the number of members that a node asks for the list after it was stopped.
-	stallSyncs = 3
-	// syncPause is the least time between two questions for the list out of such an occasion.
-	syncPause = time.Second
+	// stallRequests is the number of members that a node asks for the list after it was stopped.
+	stallRequests = 3
+	// requestInterval is the least time between two questions for the list out of such an occasion.
+	requestInterval = time.Second
 
-	// lastCallShare is the share of the time of a suspicion, in hundredths, that is left when the suspect is probed once
+	// finalProbeShare is the share of the time of a suspicion, in hundredths, that is left when the suspect is probed once
 	// more by each node that holds it suspected.
-	lastCallShare = 40
+	finalProbeShare = 40
 
-	// syncMembers is the number of members up to which SyncInterval is not stretched.
-	syncMembers = 100
+	// unscaledSyncMembers is the number of members up to which SyncInterval is not stretched.
+	unscaledSyncMembers = 100
 	// maxEntries bounds the nodes that are remembered, dead ones too.
 	maxEntries = 8192
 	// maxRelays bounds the probes that run for others.
--- a/internal/node/membership/parts_test.go
+++ b/internal/node/membership/parts_test.go
@@ -19,7 +19,7 @@
 	return ids
 }
 
-func TestGossipSendsTheNewestAndLeastSentFirst(t *testing.T) {
+func TestGossipSendsNewestAndLeastSentFirst(t *testing.T) {
 	members, _ := tableOf(4)
 	var g gossip
 	g.add("a/0", 3)
@@ -33,44 +33,44 @@
 	assert.Equal(t, len(g.take(nil, 9, members)), 0)
 }
 
-func TestGossipOfOneNodeIsSentOnceAMessage(t *testing.T) {
+func TestGossipHasOneUpdatePerNode(t *testing.T) {
 	members, _ := tableOf(2)
 	var g gossip
 	g.add("a/0", 2)
 	g.add("a/0", 2)
-	assert.Equal(t, len(g.row), 1)
+	assert.Equal(t, len(g.queue), 1)
 	first := []*nodepb.Member{members.get("a/0")}
 	assert.DeepEqual(t, idsOf(g.take(first, 5, members)), []string{"a/0"})
 	g.add("gone/1", 2)
 	assert.DeepEqual(t, idsOf(g.take(nil, 5, members)), []string{"a/0"})
-	assert.Equal(t, len(g.row), 0)
+	assert.Equal(t, len(g.queue), 0)
 }
 
-func TestGossipForgetsDeaths(t *testing.T) {
+func TestGossipRemovesDeadMembers(t *testing.T) {
 	members, random := tableOf(2)
 	var g gossip
 	g.add("a/0", 2)
 	g.add("b/1", 2)
 	members.set(member("a/0", "10.0.1.0:7560", dead, 1), core.Never, random)
-	g.forgetDeaths(members)
+	g.removeDead(members)
 	assert.DeepEqual(t, idsOf(g.take(nil, 5, members)), []string{"b/1"})
 }
 
-func TestPushesAreApartAndFewInRounds(t *testing.T) {
+func TestPushRoundsAreSpacedAndBounded(t *testing.T) {
 	members, _ := tableOf(3)
 	var p pushes
 	assert.Equal(t, p.deadline(), core.Never)
 	p.add("a/0", true)
 	for round := range core.Time(pushRounds) {
-		now := time.Second + round*pushPause
+		now := time.Second + round*pushInterval
 		assert.Assert(t, p.deadline() <= now)
-		p.begin(now)
+		p.beginRound(now)
 		assert.DeepEqual(t, idsOf(p.take(members)), []string{"a/0"})
 	}
 	assert.Equal(t, p.deadline(), core.Never)
 }
 
-func TestPushesOfSuspicionsHaveAnAllowance(t *testing.T) {
+func TestPushesOfSuspicionsAreRateLimited(t *testing.T) {
 	members, _ := tableOf(3)
 	var p pushes
 	now := core.Time(0)
@@ -78,46 +78,46 @@
 	for now < 100*time.Second {
 		p.add("a/0", false)
 		now = max(now, p.deadline())
-		p.begin(now)
+		p.beginRound(now)
 		p.take(members)
 		rounds++
 	}
-	assert.Assert(t, rounds <= pushAllowance+1+int(100*time.Second/pushRefill), "%d", rounds)
+	assert.Assert(t, rounds <= pushAllowance+1+int(100*time.Second/pushRefillInterval), "%d", rounds)
 
 	p.add("b/1", true)
-	assert.Assert(t, p.deadline() <= now+pushPause, "news does not wait for the allowance")
+	assert.Assert(t, p.deadline() <= now+pushInterval, "news does not wait for the allowance")
 }
 
-func TestANodeDoubtsItselfOnlyInSilence(t *testing.T) {
-	heard := health{heardAt: time.Minute}
+func TestAwarenessRisesOnlyWithoutContact(t *testing.T) {
+	contacted := health{lastContactAt: time.Minute}
 	for i, target := range []string{"a", "b", "c", "d", "e"} {
-		assert.Assert(t, !heard.missed(target, core.Time(i)*time.Second))
+		assert.Assert(t, !contacted.recordMiss(target, core.Time(i)*time.Second))
 	}
-	assert.Equal(t, heard.awareness, 0)
+	assert.Equal(t, contacted.awareness, 0)
 
-	var silent health
+	var isolated health
 	var blamed []bool
 	for i, target := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		blamed = append(blamed, !silent.missed(target, time.Minute+core.Time(i)*time.Second))
+		blamed = append(blamed, !isolated.recordMiss(target, time.Minute+core.Time(i)*time.Second))
 	}
 	assert.DeepEqual(t, blamed, []bool{true, true, false, false, false, true, true})
-	assert.Equal(t, silent.awareness, maxAwareness)
-	assert.Equal(t, silent.stretch(time.Second), 3*time.Second)
+	assert.Equal(t, isolated.awareness, maxAwareness)
+	assert.Equal(t, isolated.scale(time.Second), 3*time.Second)
 	for range maxAwareness {
-		silent.answered()
+		isolated.recordAck()
 	}
-	assert.Equal(t, silent.stretch(time.Second), time.Second)
+	assert.Equal(t, isolated.scale(time.Second), time.Second)
 }
 
-func TestOneMemberMissedAgainAndAgainIsNoReasonForDoubt(t *testing.T) {
+func TestRepeatedMissesOfOneMemberLeaveAwareness(t *testing.T) {
 	var h health
 	for i := range 10 {
-		assert.Assert(t, !h.missed("a", time.Minute+core.Time(i)*time.Second))
+		assert.Assert(t, !h.recordMiss("a", time.Minute+core.Time(i)*time.Second))
 	}
 	assert.Equal(t, h.awareness, 0)
 }
 
-func TestTheTimeOfASuspicionGrowsWithTheLogarithm(t *testing.T) {
+func TestSuspicionTimeGrowsLogarithmically(t *testing.T) {
 	times := []core.Time{}
 	for _, n := range []int{1, 10, 24} {
 		m := newNode()
@@ -129,18 +129,18 @@
 	assert.Assert(t, times[2] < 4*time.Second)
 }
 
-func TestAnswersThatWereAskedFor(t *testing.T) {
+func TestExpectedListIsTakenOnceAndInTime(t *testing.T) {
 	var s syncs
-	s.await("x", 0)
-	assert.Assert(t, !s.answered("y", time.Second))
-	assert.Assert(t, s.answered("x", time.Second))
-	assert.Assert(t, !s.answered("x", time.Second))
-	s.await("x", 0)
-	assert.Assert(t, !s.answered("x", awaitSpan))
-	assert.Equal(t, len(s.awaited), 0)
+	s.expectList("x", 0)
+	assert.Assert(t, !s.takeExpected("y", time.Second))
+	assert.Assert(t, s.takeExpected("x", time.Second))
+	assert.Assert(t, !s.takeExpected("x", time.Second))
+	s.expectList("x", 0)
+	assert.Assert(t, !s.takeExpected("x", listTimeout))
+	assert.Equal(t, len(s.awaitedLists), 0)
 }
 
-func TestAProbeForAnotherLifeIsNotAnswered(t *testing.T) {
+func TestProbeForPreviousProcessIsNotAcked(t *testing.T) {
 	m := newNode()
 	outputs := m.Receive(0, stranger, probeMessage(&nodepb.Probe{Sequence: 4, TargetId: "a/0"}))
 	for _, output := range outputs {
@@ -151,14 +151,14 @@
 	assert.Equal(t, sentTo(outputs, stranger.Address)[0][0].NodeId, "a/1")
 }
 
-func TestOtherKindsAreIgnored(t *testing.T) {
+func TestOtherMessagesAreIgnored(t *testing.T) {
 	m := newNode()
 	envelope := &nodepb.Envelope{Body: &nodepb.Envelope_Append{Append: &nodepb.Append{}}}
 	assert.Equal(t, len(m.Receive(0, stranger, envelope)), 0)
 	assert.Equal(t, len(m.Receive(0, stranger, &nodepb.Envelope{})), 0)
 }
 
-func TestProbesForOthersAreBounded(t *testing.T) {
+func TestRelayedProbesAreBounded(t *testing.T) {
 	m := newNode()
 	request := &nodepb.ProbeRequest{Sequence: 1, TargetId: "x/1", TargetAddress: "10.7.0.1:7560"}
 	for range 3 * maxRelays {
@@ -169,9 +169,9 @@
 	assert.Equal(t, len(m.probes.relays), 1)
 }
 
-func TestNothingIsDueAfterLeaving(t *testing.T) {
+func TestLeftNodeOnlyAcksProbes(t *testing.T) {
 	m := newNode()
-	m.hear(0, claimOf(alive, 1))
+	m.receiveClaims(0, claimOf(alive, 1))
 	assert.Equal(t, len(sentTo(m.Leave(0), "10.0.0.2:7560")), 1)
 	assert.Equal(t, m.Deadline(), core.Never)
 	assert.Equal(t, len(m.Leave(0)), 0)
--- a/internal/node/membership/probe.go
+++ b/internal/node/membership/probe.go
@@ -10,47 +10,47 @@
 
 // probes is the state of the probe of this period, and of those that run for other nodes.
 type probes struct {
-	sequence uint64
-	next     core.Time // when the period ends; Never while there is nobody to probe
+	sequence     uint64
+	periodEndsAt core.Time // when the period ends; Never while there is nobody to probe
 
-	target    string // node id; empty where no probe runs
-	awaited   uint64 // its sequence
-	sentAt    core.Time
-	timeoutAt core.Time // when others are asked; Never once they are
+	targetID        string // node id; empty where no probe runs
+	awaitedSequence uint64 // its sequence
+	sentAt          core.Time
+	timeoutAt       core.Time // when others are asked; Never once they are
 
 	relays []relay
 }
 
 // relay is a probe that runs for another node.
 type relay struct {
-	sequence  uint64
-	requester string // address
-	answer    uint64 // the requester's sequence
-	expiresAt core.Time
+	sequence          uint64
+	requester         string // address
+	requesterSequence uint64 // the requester's sequence
+	expiresAt         core.Time
 }
 
 func newProbes(random *rand.Rand) probes {
 	// A random start keeps answers to a former life from being taken for answers to this one.
-	return probes{sequence: uint64(random.Uint32()), next: core.Never, timeoutAt: core.Never}
+	return probes{sequence: uint64(random.Uint32()), periodEndsAt: core.Never, timeoutAt: core.Never}
 }
 
-func (p *probes) deadline() core.Time { return min(p.next, p.timeoutAt) }
+func (p *probes) deadline() core.Time { return min(p.periodEndsAt, p.timeoutAt) }
 
 func (p *probes) nextSequence() uint64 {
 	p.sequence++
 	return p.sequence
 }
 
-// end ends the running probe without a verdict.
-func (p *probes) end() {
-	p.target = ""
+// endProbe ends the running probe without a verdict.
+func (p *probes) endProbe() {
+	p.targetID = ""
 	p.timeoutAt = core.Never
 }
 
-// wakeProbes starts the periods where there was nobody to probe before.
-func (m *Membership) wakeProbes() {
-	if m.probes.next == core.Never {
-		m.probes.next = m.now + m.randomSpan(m.options.Period)
+// startProbing starts the periods where there was nobody to probe before.
+func (m *Membership) startProbing() {
+	if m.probes.periodEndsAt == core.Never {
+		m.probes.periodEndsAt = m.now + m.randomSpan(m.options.Period)
 	}
 }
 
@@ -64,15 +64,15 @@
 	p := &m.probes
 	if m.now >= p.timeoutAt {
 		p.timeoutAt = core.Never
-		m.askOthers()
+		m.sendProbeRequests()
 	}
-	if m.now < p.next {
+	if m.now < p.periodEndsAt {
 		return
 	}
-	if p.target != "" {
-		m.judgeMiss()
+	if p.targetID != "" {
+		m.handleMissedProbe()
 	}
-	p.end()
+	p.endProbe()
 	m.sendProbe()
 }
 
@@ -80,15 +80,15 @@
 	p := &m.probes
 	target := m.table.nextToProbe(m.random)
 	if target == nil {
-		p.next = core.Never
+		p.periodEndsAt = core.Never
 		return
 	}
-	p.next = m.now + m.health.stretch(m.options.Period)
-	p.timeoutAt = m.now + m.health.stretch(m.options.ProbeTimeout)
-	p.target = target.member.NodeId
-	p.awaited = p.nextSequence()
+	p.periodEndsAt = m.now + m.health.scale(m.options.Period)
+	p.timeoutAt = m.now + m.health.scale(m.options.ProbeTimeout)
+	p.targetID = target.member.NodeId
+	p.awaitedSequence = p.nextSequence()
 	p.sentAt = m.now
-	m.send(target.member.Address, m.probeFor(target.member, p.awaited))
+	m.send(target.member.Address, m.probeFor(target.member, p.awaitedSequence))
 }
 
 // probeFor returns a probe of the member. One that is suspected is told so, which lets it refute that; news is for
@@ -96,73 +96,73 @@
 func (m *Membership) probeFor(member *nodepb.Member, sequence uint64) *nodepb.Envelope {
 	updates := []*nodepb.Member{member}
 	if member.State == nodepb.MemberState_ALIVE {
-		updates = m.updatesFor(nil)
+		updates = m.gossipUpdates(nil)
 	}
 	return probeMessage(&nodepb.Probe{Sequence: sequence, TargetId: member.NodeId, Updates: updates})
 }
 
-// askOthers has the target probed by other members, and once more by this node: the first message may have been lost
+// sendProbeRequests has the target probed by other members, and once more by this node: the first message may have been lost
 // with a connection that had ended.
-func (m *Membership) askOthers() {
+func (m *Membership) sendProbeRequests() {
 	p := &m.probes
-	target := m.table.entries[p.target]
+	target := m.table.entries[p.targetID]
 	if target == nil || !isLive(target.member.State) {
 		return
 	}
-	m.send(target.member.Address, probeMessage(&nodepb.Probe{Sequence: p.awaited, TargetId: p.target}))
-	for _, helper := range m.table.pick(m.options.IndirectProbes, p.target, m.random) {
+	m.send(target.member.Address, probeMessage(&nodepb.Probe{Sequence: p.awaitedSequence, TargetId: p.targetID}))
+	for _, helper := range m.table.pick(m.options.IndirectProbes, p.targetID, m.random) {
 		m.send(helper.Address, probeRequest(&nodepb.ProbeRequest{
-			Sequence:      p.awaited,
-			TargetId:      p.target,
+			Sequence:      p.awaitedSequence,
+			TargetId:      p.targetID,
 			TargetAddress: target.member.Address,
-			Updates:       m.updatesFor(nil),
+			Updates:       m.gossipUpdates(nil),
 		}))
 	}
 }
 
-// judgeMiss suspects the target, unless the fault seems to be this node's own.
-func (m *Membership) judgeMiss() {
+// handleMissedProbe suspects the target, unless the fault seems to be this node's own.
+func (m *Membership) handleMissedProbe() {
 	p := &m.probes
-	target := m.table.entries[p.target]
+	target := m.table.entries[p.targetID]
 	if target == nil || !isLive(target.member.State) {
 		return
 	}
-	if m.health.missed(p.target, p.sentAt) {
+	if m.health.recordMiss(p.targetID, p.sentAt) {
 		return
 	}
 	if target.member.State == nodepb.MemberState_ALIVE {
 		m.suspect(target.member)
-		m.callOnce(target.member)
+		m.probeOnce(target.member)
 	}
 }
 
 // receiveProbe answers, unless the probe is for another life at this address.
 func (m *Membership) receiveProbe(from core.Peer, probe *nodepb.Probe) {
-	m.learn(from, probe.Updates, true)
+	m.mergeClaims(from, probe.Updates, true)
 	if probe.TargetId != m.table.self.NodeId {
-		m.tell(m.table.self)
-		m.sendAnswer(from)
+		m.addReplyClaim(m.table.self)
+		m.sendReplyClaims(from)
 		return
 	}
-	m.send(from.Address, probeAck(probe.Sequence, m.updatesFor(m.answer)))
+	m.send(from.Address, probeAck(probe.Sequence, m.gossipUpdates(m.replyClaims)))
 }
 
 func (m *Membership) receiveAck(from core.Peer, ack *nodepb.ProbeAck) {
-	m.learn(from, ack.Updates, true)
-	m.sendAnswer(from)
+	m.mergeClaims(from, ack.Updates, true)
+	m.sendReplyClaims(from)
 	p := &m.probes
-	if p.target != "" && ack.Sequence == p.awaited {
-		p.end()
-		m.health.answered()
+	if p.targetID != "" && ack.Sequence == p.awaitedSequence {
+		p.endProbe()
+		m.health.recordAck()
 		return
 	}
-	m.passAck(ack.Sequence)
+	m.forwardAck(ack.Sequence)
 }
 
-// receiveRequest probes a node for another one.
-func (m *Membership) receiveRequest(from core.Peer, request *nodepb.ProbeRequest) {
-	m.learn(from, request.Updates, true)
-	m.sendAnswer(from)
+// receiveProbeRequest probes a node for another one.
+func (m *Membership) receiveProbeRequest(from core.Peer, request *nodepb.ProbeRequest) {
+	m.mergeClaims(from, request.Updates, true)
+	m.sendReplyClaims(from)
 	p := &m.probes
 	p.relays = slices.DeleteFunc(p.relays, func(r relay) bool { return r.expiresAt <= m.now })
 	if len(p.relays) >= maxRelays {
@@ -170,20 +170,20 @@
 	}
 	sequence := p.nextSequence()
 	p.relays = append(p.relays, relay{
-		sequence:  sequence,
-		requester: from.Address,
-		answer:    request.Sequence,
-		expiresAt: m.now + 2*m.options.Period,
+		sequence:          sequence,
+		requester:         from.Address,
+		requesterSequence: request.Sequence,
+		expiresAt:         m.now + 2*m.options.Period,
 	})
 	m.send(request.TargetAddress, probeMessage(&nodepb.Probe{
 		Sequence: sequence,
 		TargetId: request.TargetId,
-		Updates:  m.updatesFor(nil),
+		Updates:  m.gossipUpdates(nil),
 	}))
 }
 
-// passAck passes the answer to a probe that ran for another node on to that node.
-func (m *Membership) passAck(sequence uint64) {
+// forwardAck passes the answer to a probe that ran for another node on to that node.
+func (m *Membership) forwardAck(sequence uint64) {
 	p := &m.probes
 	position := slices.IndexFunc(p.relays, func(r relay) bool { return r.sequence == sequence })
 	if position < 0 {
@@ -191,5 +191,5 @@
 	}
 	done := p.relays[position]
 	p.relays = slices.Delete(p.relays, position, position+1)
-	m.send(done.requester, probeAck(done.answer, m.updatesFor(nil)))
+	m.send(done.requester, probeAck(done.requesterSequence, m.gossipUpdates(nil)))
 }
--- a/internal/node/membership/push.go
+++ b/internal/node/membership/push.go
@@ -14,69 +14,69 @@
 // be any number where messages get lost, go along with it; by themselves they have an allowance of pushAllowance rounds,
 // of which one comes back every pushRefill.
 type pushes struct {
-	row  []pushItem // the newest first
-	next core.Time  // the earliest time of the next round
-	// fullAt is when the allowance is whole again.
-	fullAt core.Time
+	queue       []pushItem // the newest first
+	nextRoundAt core.Time  // the earliest time of the next round
+	// allowanceFullAt is when the allowance is whole again.
+	allowanceFullAt core.Time
 }
 
 type pushItem struct {
-	nodeID string
-	news   bool
-	rounds int // how many are left
+	nodeID          string
+	isChange        bool
+	remainingRounds int // how many are left
 }
 
-func (p *pushes) add(nodeID string, news bool) {
-	p.row = slices.DeleteFunc(p.row, func(other pushItem) bool { return other.nodeID == nodeID })
-	p.row = slices.Insert(p.row, 0, pushItem{nodeID: nodeID, news: news, rounds: pushRounds})
+func (p *pushes) add(nodeID string, isChange bool) {
+	p.queue = slices.DeleteFunc(p.queue, func(other pushItem) bool { return other.nodeID == nodeID })
+	p.queue = slices.Insert(p.queue, 0, pushItem{nodeID: nodeID, isChange: isChange, remainingRounds: pushRounds})
 }
 
 // deadline returns when the next round is due.
 func (p *pushes) deadline() core.Time {
 	switch {
-	case len(p.row) == 0:
+	case len(p.queue) == 0:
 		return core.Never
-	case p.hasNews():
-		return p.next
+	case p.hasChange():
+		return p.nextRoundAt
 	default:
-		return max(p.next, p.fullAt-(pushAllowance-1)*pushRefill)
+		return max(p.nextRoundAt, p.allowanceFullAt-(pushAllowance-1)*pushRefillInterval)
 	}
 }
 
-func (p *pushes) hasNews() bool {
-	return slices.ContainsFunc(p.row, func(item pushItem) bool { return item.news })
+func (p *pushes) hasChange() bool {
+	return slices.ContainsFunc(p.queue, func(item pushItem) bool { return item.isChange })
 }
 
-// begin takes note of a round.
-func (p *pushes) begin(now core.Time) {
-	p.next = now + pushPause
-	if !p.hasNews() {
-		p.fullAt = max(p.fullAt, now) + pushRefill
+// beginRound takes note of a round.
+func (p *pushes) beginRound(now core.Time) {
+	p.nextRoundAt = now + pushInterval
+	if !p.hasChange() {
+		p.allowanceFullAt = max(p.allowanceFullAt, now) + pushRefillInterval
 	}
 }
 
 // take returns the news of one round.
 func (p *pushes) take(members *table) []*nodepb.Member {
-	var news []*nodepb.Member
-	count := min(len(p.row), pushMembers)
-	for i := range p.row[:count] {
-		p.row[i].rounds--
-		if member := members.get(p.row[i].nodeID); member != nil && member.State != nodepb.MemberState_DEAD {
-			news = append(news, member)
+	var updates []*nodepb.Member
+	count := min(len(p.queue), maxPushMembers)
+	for i := range p.queue[:count] {
+		p.queue[i].remainingRounds--
+		if member := members.get(p.queue[i].nodeID); member != nil && member.State != nodepb.MemberState_DEAD {
+			updates = append(updates, member)
 		}
 	}
-	p.row = slices.DeleteFunc(p.row, func(item pushItem) bool { return item.rounds <= 0 })
-	return news
+	p.queue = slices.DeleteFunc(p.queue, func(item pushItem) bool { return item.remainingRounds <= 0 })
+	return updates
 }
 
-// spread passes on a change of the list, soon and by gossip.
-func (m *Membership) spread(nodeID string) {
+// disseminateChange passes on a change of the list, soon and by gossip.
+func (m *Membership) disseminateChange(nodeID string) {
 	m.pushes.add(nodeID, true)
-	m.gossip.add(nodeID, newsTransmissions)
+	m.gossip.add(nodeID, changeTransmissions)
 }
 
-// mention passes on a suspicion or its refutation, soon where the allowance has it, and by gossip.
-func (m *Membership) mention(nodeID string) {
+// disseminateSuspicion passes on a suspicion or its refutation, soon where the allowance has it, and by gossip.
+func (m *Membership) disseminateSuspicion(nodeID string) {
 	m.pushes.add(nodeID, false)
 	m.gossip.add(nodeID, transmissions(m.table.size()))
 }
@@ -86,12 +86,12 @@
 	if m.now < m.pushes.deadline() {
 		return
 	}
-	m.pushes.begin(m.now)
-	news := m.pushes.take(m.table)
-	if len(news) == 0 {
+	m.pushes.beginRound(m.now)
+	updates := m.pushes.take(m.table)
+	if len(updates) == 0 {
 		return
 	}
-	m.pushTo(m.pushReceivers(), news)
+	m.pushTo(m.pushReceivers(), updates)
 }
 
 // pushReceivers returns the members that get a round of news.
@@ -104,11 +104,11 @@
 }
 
 // pushTo sends the news to each of the members.
-func (m *Membership) pushTo(receivers, news []*nodepb.Member) {
+func (m *Membership) pushTo(receivers, updates []*nodepb.Member) {
 	if len(receivers) == 0 {
 		return
 	}
-	message := memberSync(false, news)
+	message := memberSync(false, updates)
 	for _, receiver := range receivers {
 		m.send(receiver.Address, message)
 	}
--- a/internal/node/membership/random_test.go
+++ b/internal/node/membership/random_test.go
@@ -13,7 +13,7 @@
 )
 
 // Whatever others claim, in any order, the node's own picture stays consistent and it is on its own list.
-func TestRandomClaims(t *testing.T) {
+func TestRandomClaimsKeepTableConsistent(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 9))
--- a/internal/node/membership/receive.go
+++ b/internal/node/membership/receive.go
@@ -9,27 +9,27 @@
 
 // Receive takes a message of another node. Kinds that are not of this package are ignored.
 func (m *Membership) Receive(now core.Time, from core.Peer, envelope *nodepb.Envelope) []core.Output {
-	if m.left {
+	if m.hasLeft {
 		m.receiveAfterLeaving(from, envelope)
-		return m.finish()
+		return m.finishInput()
 	}
-	m.begin(now)
-	m.answer = nil
+	m.beginInput(now)
+	m.replyClaims = nil
 	switch body := envelope.Body.(type) {
 	case *nodepb.Envelope_Probe:
 		m.receiveProbe(from, body.Probe)
 	case *nodepb.Envelope_ProbeAck:
 		m.receiveAck(from, body.ProbeAck)
 	case *nodepb.Envelope_ProbeRequest:
-		m.receiveRequest(from, body.ProbeRequest)
+		m.receiveProbeRequest(from, body.ProbeRequest)
 	case *nodepb.Envelope_MemberSync:
 		m.receiveSync(from, body.MemberSync)
 	default:
-		return m.finish()
+		return m.finishInput()
 	}
-	m.health.heard(m.now)
+	m.health.recordContact(m.now)
 	m.stepPushes()
-	return m.finish()
+	return m.finishInput()
 }
 
 // receiveAfterLeaving tells those who have not heard that this node left.
@@ -39,39 +39,39 @@
 	}
 }
 
-// updatesFor returns what the receiver of a message is to hear first, and updates by gossip. There may be up to
+// gossipUpdates returns what the receiver of a message is to hear first, and updates by gossip. There may be up to
 // updatesBurst times as many as usual while many wait, as after the loss of many nodes.
-func (m *Membership) updatesFor(first []*nodepb.Member) []*nodepb.Member {
+func (m *Membership) gossipUpdates(first []*nodepb.Member) []*nodepb.Member {
 	usual := m.options.UpdatesPerMessage
-	count := max(usual, min(len(m.gossip.row)/2, updatesBurst*usual))
+	count := max(usual, min(len(m.gossip.queue)/2, burstFactor*usual))
 	return m.gossip.take(first, count-len(first), m.table)
 }
 
-// learn merges the claims of a message. passOn is false where others know of them anyway.
-func (m *Membership) learn(from core.Peer, claims []*nodepb.Member, passOn bool) {
+// mergeClaims merges the claims of a message. passOn is false where others know of them anyway.
+func (m *Membership) mergeClaims(from core.Peer, claims []*nodepb.Member, disseminate bool) {
 	for _, claim := range claims {
-		m.merge(from, claim, passOn)
+		m.merge(from, claim, disseminate)
 	}
 	sender := m.table.entries[from.NodeID]
 	switch {
 	case from.NodeID == m.table.self.NodeId:
 	case sender == nil:
-		m.askUnknown(from)
-	case sender.member.State == nodepb.MemberState_SUSPECT, mayReturn(sender):
-		m.tell(sender.member)
+		m.requestListOfUnknown(from)
+	case sender.member.State == nodepb.MemberState_SUSPECT, mayRejoin(sender):
+		m.addReplyClaim(sender.member)
 	}
 }
 
-// tell adds to what the sender of the message has to hear: claims that it may want to refute.
-func (m *Membership) tell(member *nodepb.Member) {
-	if !slices.Contains(m.answer, member) {
-		m.answer = append(m.answer, member)
+// addReplyClaim adds to what the sender of the message has to hear: claims that it may want to refute.
+func (m *Membership) addReplyClaim(member *nodepb.Member) {
+	if !slices.Contains(m.replyClaims, member) {
+		m.replyClaims = append(m.replyClaims, member)
 	}
 }
 
-// sendAnswer sends what the sender has to hear by a message of its own.
-func (m *Membership) sendAnswer(from core.Peer) {
-	if len(m.answer) > 0 {
-		m.send(from.Address, memberSync(false, m.answer))
+// sendReplyClaims sends what the sender has to hear by a message of its own.
+func (m *Membership) sendReplyClaims(from core.Peer) {
+	if len(m.replyClaims) > 0 {
+		m.send(from.Address, memberSync(false, m.replyClaims))
 	}
 }
--- a/internal/node/membership/suspicion.go
+++ b/internal/node/membership/suspicion.go
@@ -17,15 +17,15 @@
 
 // suspect takes a member as a suspect, and passes that on.
 func (m *Membership) suspect(member *nodepb.Member) {
-	m.takeLive(withState(member, nodepb.MemberState_SUSPECT))
-	m.mention(member.NodeId)
+	m.recordLive(withState(member, nodepb.MemberState_SUSPECT))
+	m.disseminateSuspicion(member.NodeId)
 }
 
 // beginSuspicion gives a suspect its time.
 func (m *Membership) beginSuspicion(suspect *entry) {
 	span := m.suspicionTime()
 	suspect.expiresAt = m.now + span
-	suspect.lastCallAt = suspect.expiresAt - span*lastCallShare/100
+	suspect.finalProbeAt = suspect.expiresAt - span*finalProbeShare/100
 }
 
 // stepSuspicions probes suspects once more before their time is over, and holds those dead who have not refuted.
@@ -37,21 +37,21 @@
 		switch {
 		case m.now >= suspect.expiresAt:
 			m.endSuspicion(suspect)
-		case m.now >= suspect.lastCallAt:
-			suspect.lastCallAt = core.Never
-			m.callOnce(suspect.member)
+		case m.now >= suspect.finalProbeAt:
+			suspect.finalProbeAt = core.Never
+			m.probeOnce(suspect.member)
 		}
 	}
 }
 
 // endSuspicion holds a suspect dead. The others come to the same by their own time.
 func (m *Membership) endSuspicion(suspect *entry) {
-	m.takeDown(withState(suspect.member, nodepb.MemberState_DEAD))
+	m.recordDown(withState(suspect.member, nodepb.MemberState_DEAD))
 	m.log("member held dead", "member", suspect.member.NodeId, "address", suspect.member.Address)
 }
 
-// callOnce probes a member that is suspected or dead without waiting for an answer: one that lives refutes.
-func (m *Membership) callOnce(member *nodepb.Member) {
+// probeOnce probes a member that is suspected or dead without waiting for an answer: one that lives refutes.
+func (m *Membership) probeOnce(member *nodepb.Member) {
 	m.send(member.Address, probeMessage(&nodepb.Probe{
 		Sequence: m.probes.nextSequence(),
 		TargetId: member.NodeId,
@@ -59,8 +59,8 @@
 	}))
 }
 
-// forgetDown forgets those who were dead or gone for long.
-func (m *Membership) forgetDown() {
+// removeExpired forgets those who were dead or gone for long.
+func (m *Membership) removeExpired() {
 	if len(m.table.down) == 0 {
 		return
 	}
--- a/internal/node/membership/table.go
+++ b/internal/node/membership/table.go
@@ -17,8 +17,8 @@
 	member *nodepb.Member
 	// expiresAt is when a suspect is held dead, and when one that is dead or has left is forgotten.
 	expiresAt core.Time
-	// lastCallAt is when a suspect is probed once more; Never once it was.
-	lastCallAt core.Time
+	// finalProbeAt is when a suspect is probed once more; Never once it was.
+	finalProbeAt core.Time
 	// replaced: a later life has taken the address.
 	replaced bool
 }
@@ -29,18 +29,18 @@
 	entries  map[string]*entry
 	suspects []*entry
 	down     []*entry
-	// atAddress holds the node id of the live member at each address.
-	atAddress map[string]string
+	// idByAddress holds the node id of the live member at each address.
+	idByAddress map[string]string
 	// ring holds the node ids of the live members in the order in which they are probed, next the place in it.
-	ring []string
-	next int
+	ring         []string
+	ringPosition int
 
-	picture  []*nodepb.Member // nil where it has to be made anew
-	revision uint64
+	cachedMembers []*nodepb.Member // nil where it has to be made anew
+	revision      uint64
 }
 
 func newTable(self *nodepb.Member) *table {
-	return &table{self: self, entries: map[string]*entry{}, atAddress: map[string]string{}, revision: 1}
+	return &table{self: self, entries: map[string]*entry{}, idByAddress: map[string]string{}, revision: 1}
 }
 
 // isLive reports whether a member in this state is part of the list.
@@ -57,7 +57,7 @@
 		t.revision++
 	}
 	t.self = self
-	t.picture = nil
+	t.cachedMembers = nil
 }
 
 // set takes over the member as it is now known.
@@ -69,37 +69,37 @@
 	}
 	before := known.member
 	known.member, known.expiresAt, known.replaced = member, expiresAt, false
-	t.index(known, before, random)
+	t.updateIndexes(known, before, random)
 	return known
 }
 
-// index brings what is derived from the entry up to date; before is the member that it held, nil where none.
-func (t *table) index(known *entry, before *nodepb.Member, random *rand.Rand) {
+// updateIndexes brings what is derived from the entry up to date; before is the member that it held, nil where none.
+func (t *table) updateIndexes(known *entry, before *nodepb.Member, random *rand.Rand) {
 	wasLive := before != nil && isLive(before.State)
 	wasSuspect := wasLive && before.State == nodepb.MemberState_SUSPECT
 	wasDown := before != nil && !wasLive
 	nowLive := isLive(known.member.State)
 	nowSuspect := known.member.State == nodepb.MemberState_SUSPECT
 
-	t.suspects = placed(t.suspects, known, wasSuspect, nowSuspect)
-	t.down = placed(t.down, known, wasDown, !nowLive)
+	t.suspects = updateList(t.suspects, known, wasSuspect, nowSuspect)
+	t.down = updateList(t.down, known, wasDown, !nowLive)
 	switch {
 	case nowLive && !wasLive:
 		t.insertIntoRing(known.member.NodeId, random)
-		t.atAddress[known.member.Address] = known.member.NodeId
+		t.idByAddress[known.member.Address] = known.member.NodeId
 	case wasLive && !nowLive:
 		t.removeFromRing(before)
 	}
 	if wasLive || nowLive {
-		t.picture = nil
+		t.cachedMembers = nil
 	}
 	if wasLive != nowLive || nowLive && !sameDescription(before, known.member) {
 		t.revision++
 	}
 }
 
-// placed returns the list with or without the entry.
-func placed(list []*entry, known *entry, was, is bool) []*entry {
+// updateList returns the list with or without the entry.
+func updateList(list []*entry, known *entry, was, is bool) []*entry {
 	switch {
 	case is && !was:
 		return append(list, known)
@@ -112,26 +112,26 @@
 
 // remove forgets an entry that is down.
 func (t *table) remove(known *entry) {
-	t.down = placed(t.down, known, true, false)
+	t.down = updateList(t.down, known, true, false)
 	delete(t.entries, known.member.NodeId)
 }
 
 func (t *table) insertIntoRing(id string, random *rand.Rand) {
 	position := random.IntN(len(t.ring) + 1)
 	t.ring = slices.Insert(t.ring, position, id)
-	if position < t.next {
-		t.next++
+	if position < t.ringPosition {
+		t.ringPosition++
 	}
 }
 
 func (t *table) removeFromRing(member *nodepb.Member) {
 	position := slices.Index(t.ring, member.NodeId)
 	t.ring = slices.Delete(t.ring, position, position+1)
-	if position < t.next {
-		t.next--
+	if position < t.ringPosition {
+		t.ringPosition--
 	}
-	if t.atAddress[member.Address] == member.NodeId {
-		delete(t.atAddress, member.Address)
+	if t.idByAddress[member.Address] == member.NodeId {
+		delete(t.idByAddress, member.Address)
 	}
 }
 
@@ -149,12 +149,12 @@
 }
 
 func (t *table) nextInRing(random *rand.Rand) *entry {
-	if t.next >= len(t.ring) {
-		t.next = 0
+	if t.ringPosition >= len(t.ring) {
+		t.ringPosition = 0
 		random.Shuffle(len(t.ring), func(i, j int) { t.ring[i], t.ring[j] = t.ring[j], t.ring[i] })
 	}
-	id := t.ring[t.next]
-	t.next++
+	id := t.ring[t.ringPosition]
+	t.ringPosition++
 	return t.entries[id]
 }
 
@@ -207,8 +207,8 @@
 
 // members returns the live members and this node, by node id.
 func (t *table) members() []*nodepb.Member {
-	if t.picture != nil {
-		return t.picture
+	if t.cachedMembers != nil {
+		return t.cachedMembers
 	}
 	picture := make([]*nodepb.Member, 0, t.size())
 	picture = append(picture, t.self)
@@ -216,7 +216,7 @@
 		picture = append(picture, t.entries[id].member)
 	}
 	slices.SortFunc(picture, func(a, b *nodepb.Member) int { return cmp.Compare(a.NodeId, b.NodeId) })
-	t.picture = picture
+	t.cachedMembers = picture
 	return picture
 }
 
--- a/internal/node/membership/table_test.go
+++ b/internal/node/membership/table_test.go
@@ -21,7 +21,7 @@
 	return t, random
 }
 
-func TestEveryMemberIsProbedOnceInAPass(t *testing.T) {
+func TestEachPassProbesEveryMemberOnce(t *testing.T) {
 	members, random := tableOf(8)
 	for range 20 {
 		seen := map[string]bool{}
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestAMemberThatComesWithinAPassIsProbedWithinTheNext(t *testing.T) {
+func TestNewMemberIsProbedWithinNextPass(t *testing.T) {
 	members, random := tableOf(8)
 	for range 5 {
 		members.nextToProbe(random)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestSuspectsAreProbedWhereThereIsNobodyElse(t *testing.T) {
+func TestSuspectsAreProbedOnlyWithoutAliveMembers(t *testing.T) {
 	members, random := tableOf(3)
 	members.set(member("a/0", "10.0.1.0:7560", suspect, 1), core.Never, random)
 	for range 10 {
@@ -61,7 +61,7 @@
 	assert.Assert(t, members.nextToProbe(random) == nil)
 }
 
-func TestPickReturnsDifferentMembers(t *testing.T) {
+func TestPickReturnsDistinctAliveMembers(t *testing.T) {
 	members, random := tableOf(5)
 	members.set(member("b/1", "10.0.1.1:7560", suspect, 1), core.Never, random)
 	counts := map[string]int{}
@@ -80,7 +80,7 @@
 	assert.Equal(t, len(empty.pick(3, "", random)), 0)
 }
 
-func TestSuccessor(t *testing.T) {
+func TestSuccessorIsNextAliveMember(t *testing.T) {
 	members, random := tableOf(3)
 	assert.Equal(t, members.successor().NodeId, "a/0", "past the end it begins anew")
 	members.set(member("n/1", "10.0.2.1:7560", alive, 1), core.Never, random)
@@ -91,7 +91,7 @@
 	assert.Assert(t, empty.successor() == nil)
 }
 
-func TestWhatIsDerivedFromTheEntriesAgreesWithThem(t *testing.T) {
+func TestIndexesAgreeWithEntries(t *testing.T) {
 	members, random := tableOf(0)
 	states := []nodepb.MemberState{alive, suspect, dead, left}
 	for range 2000 {
@@ -116,7 +116,7 @@
 		assert.Equal(t, slices.Contains(members.ring, id), !isDown)
 		assert.Equal(t, slices.Contains(members.suspects, known), isSuspect)
 		assert.Equal(t, slices.Contains(members.down, known), isDown)
-		assert.Equal(t, members.atAddress[known.member.Address] == id, !isDown)
+		assert.Equal(t, members.idByAddress[known.member.Address] == id, !isDown)
 		if isSuspect {
 			suspects++
 		}
@@ -127,9 +127,9 @@
 		}
 	}
 	assert.Equal(t, len(members.ring), live)
-	assert.Equal(t, len(members.atAddress), live)
+	assert.Equal(t, len(members.idByAddress), live)
 	assert.Equal(t, len(members.suspects), suspects)
 	assert.Equal(t, len(members.down), down)
 	assert.Equal(t, len(members.members()), live+1)
-	assert.Assert(t, members.next <= len(members.ring))
+	assert.Assert(t, members.ringPosition <= len(members.ring))
 }
--- a/internal/node/membership/world_test.go
+++ b/internal/node/membership/world_test.go
@@ -31,19 +31,19 @@
 
 // world runs many memberships under one virtual clock, on a network with seeded delays, losses and cuts.
 type world struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	events   events
-	order    uint64
-	nodes    []*virtualNode // every life that was started
-	at       map[string]*virtualNode
-	seeds    []string
-	minDelay time.Duration
-	maxDelay time.Duration
-	loss     float64
-	// blocked reports whether messages from one address to another are lost; nil: none are.
-	blocked func(from, to string) bool
+	t         *testing.T
+	random    *rand.Rand
+	now       time.Duration
+	events    events
+	sequence  uint64
+	nodes     []*virtualNode // every life that was started
+	byAddress map[string]*virtualNode
+	seeds     []string
+	minDelay  time.Duration
+	maxDelay  time.Duration
+	loss      float64
+	// partitioned reports whether messages from one address to another are lost; nil: none are.
+	partitioned func(from, to string) bool
 	// inspect is called with each message that arrives; nil: nothing is looked at.
 	inspect func(from, to *virtualNode, message *nodepb.Envelope)
 	copies  map[*nodepb.Envelope]*nodepb.Envelope // where set: each message as it was sent
@@ -51,14 +51,14 @@
 
 // virtualNode is one life of a node.
 type virtualNode struct {
-	world   *world
-	id      string
-	address string
-	started time.Duration // its own clock starts here
-	list    *membership.Membership
-	dead    bool
-	frozen  bool
-	held    []func() // what arrived while it was frozen
+	world     *world
+	id        string
+	address   string
+	startedAt time.Duration // its own clock starts here
+	list      *membership.Membership
+	dead      bool
+	frozen    bool
+	pending   []func() // what arrived while it was frozen
 
 	timerAt  time.Duration
 	messages int
@@ -68,17 +68,17 @@
 
 func newWorld(t *testing.T, seed uint64) *world {
 	return &world{
-		t:        t,
-		random:   rand.New(rand.NewPCG(seed, 77)),
-		at:       map[string]*virtualNode{},
-		minDelay: 500 * time.Microsecond,
-		maxDelay: 3 * time.Millisecond,
+		t:         t,
+		random:    rand.New(rand.NewPCG(seed, 77)),
+		byAddress: map[string]*virtualNode{},
+		minDelay:  500 * time.Microsecond,
+		maxDelay:  3 * time.Millisecond,
 	}
 }
 
 func addressOf(i int) string { return fmt.Sprintf("10.%d.%d.%d:7560", 1+i%4, i/200, 1+i%200) }
 
-// startAll starts n nodes within 0.3 s in any order, the first three of them seeds, as DEPLOY.md has it.
+// startAll starts n nodes within 0.3 s in any sequence, the first three of them seeds, as DEPLOY.md has it.
 func (w *world) startAll(n int) {
 	w.seeds = nil
 	for i := range min(n, 3) {
@@ -95,11 +95,11 @@
 
 func (w *world) startWith(i int, incarnation uint64) *virtualNode {
 	address := addressOf(i)
-	if former := w.at[address]; former != nil {
+	if former := w.byAddress[address]; former != nil {
 		former.dead = true
 	}
 	name := fmt.Sprintf("front-%03d", i)
-	node := &virtualNode{world: w, id: fmt.Sprintf("%s/%06x", name, w.random.Uint32()>>8), address: address, started: w.now, timerAt: core.Never}
+	node := &virtualNode{world: w, id: fmt.Sprintf("%s/%06x", name, w.random.Uint32()>>8), address: address, startedAt: w.now, timerAt: core.Never}
 	self := &nodepb.Member{
 		NodeId: node.id, Name: name, Address: address, ControlAddress: address[:len(address)-4] + "8381",
 		Zone: fmt.Sprintf("zone-%d", i%4), Region: "region", ServesFront: true, Incarnation: incarnation,
@@ -107,13 +107,13 @@
 	options := membership.Options{Self: self, Seeds: w.seeds}
 	node.list = membership.New(0, options, rand.New(rand.NewPCG(w.random.Uint64(), 1)))
 	w.nodes = append(w.nodes, node)
-	w.at[address] = node
+	w.byAddress[address] = node
 	node.arm()
 	return node
 }
 
 // node returns the newest life of the node with that number.
-func (w *world) node(i int) *virtualNode { return w.at[addressOf(i)] }
+func (w *world) node(i int) *virtualNode { return w.byAddress[addressOf(i)] }
 
 // alive returns the lives that run.
 func (w *world) alive() []*virtualNode {
@@ -130,9 +130,9 @@
 	return time.Duration(w.random.Int64N(int64(below)))
 }
 
-func (w *world) after(delay time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now + delay, order: w.order, do: do})
+func (w *world) after(delay time.Duration, call func()) {
+	w.sequence++
+	heap.Push(&w.events, event{dueAt: w.now + delay, sequence: w.sequence, call: call})
 }
 
 // run lets a span of time pass.
@@ -146,7 +146,7 @@
 	begin := w.now
 	end := begin + bound
 	checked := begin - time.Second
-	for len(w.events) > 0 && w.events[0].at <= end {
+	for len(w.events) > 0 && w.events[0].dueAt <= end {
 		if w.now-checked >= 10*time.Millisecond {
 			checked = w.now
 			if holds() {
@@ -154,8 +154,8 @@
 			}
 		}
 		next := heap.Pop(&w.events).(event)
-		w.now = next.at
-		next.do()
+		w.now = next.dueAt
+		next.call()
 	}
 	w.now = end
 	return bound
@@ -178,8 +178,8 @@
 	}
 	delay := w.minDelay + w.span(w.maxDelay-w.minDelay)
 	w.after(delay, func() {
-		receiver := w.at[to]
-		if receiver == nil || receiver.dead || w.blocked != nil && w.blocked(from.address, to) {
+		receiver := w.byAddress[to]
+		if receiver == nil || receiver.dead || w.partitioned != nil && w.partitioned(from.address, to) {
 			return
 		}
 		receiver.take(func() {
@@ -192,14 +192,14 @@
 }
 
 // clock returns the node's own time.
-func (n *virtualNode) clock() core.Time { return n.world.now - n.started }
+func (n *virtualNode) clock() core.Time { return n.world.now - n.startedAt }
 
 // take runs an input, or holds it back while the node is frozen.
 func (n *virtualNode) take(input func()) {
 	switch {
 	case n.dead:
 	case n.frozen:
-		n.held = append(n.held, input)
+		n.pending = append(n.pending, input)
 	default:
 		input()
 		n.arm()
@@ -213,7 +213,7 @@
 		n.timerAt = core.Never
 		return
 	}
-	at := n.started + deadline
+	at := n.startedAt + deadline
 	if at == n.timerAt {
 		return
 	}
@@ -250,12 +250,12 @@
 // thaw lets the node go on: what arrived meanwhile comes first, or the timer does.
 func (n *virtualNode) thaw() {
 	n.frozen = false
-	held := n.held
-	n.held = nil
+	pending := n.pending
+	n.pending = nil
 	if n.world.random.IntN(2) == 0 {
 		n.take(n.tick)
 	}
-	for _, input := range held {
+	for _, input := range pending {
 		n.take(input)
 	}
 	n.take(n.tick)
@@ -329,8 +329,8 @@
 	return newWatch(w.alive()).agree
 }
 
-// settled starts n nodes and lets them find each other.
-func (w *world) settled(n int) {
+// startConverged starts n nodes and lets them find each other.
+func (w *world) startConverged(n int) {
 	w.t.Helper()
 	w.startAll(n)
 	w.expect(3*time.Second, "start", w.converged())
@@ -338,16 +338,16 @@
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	dueAt    time.Duration
+	sequence uint64
+	call     func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].dueAt < e[j].dueAt || e[i].dueAt == e[j].dueAt && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
