--- a/internal/node/transfer/incoming.go
+++ b/internal/node/transfer/incoming.go
@@ -15,15 +15,15 @@
 
 // incoming is a message that is on its way to this node, or that has come whole.
 type incoming struct {
-	total    int
-	data     []byte         // without a gap; nil once it was delivered
-	ahead    map[int][]byte // fragments behind a gap, by offset: at most a window of them
-	whole    bool
-	progress core.Time
+	total      int
+	data       []byte         // without a gap; nil once it was delivered
+	outOfOrder map[int][]byte // fragments behind a gap, by offset: at most a window of them
+	complete   bool
+	progressAt core.Time
 }
 
-func (i *incoming) received() int {
-	if i.whole {
+func (i *incoming) receivedBytes() int {
+	if i.complete {
 		return i.total
 	}
 	return len(i.data)
@@ -35,18 +35,18 @@
 	key := incomingKey{sender: from.NodeID, id: fragment.GetTransfer()}
 	i := t.incoming[key]
 	if i == nil {
-		if !t.hasRoom(fragment.GetTotal()) && (!t.dropStalled(now) || !t.hasRoom(fragment.GetTotal())) {
+		if !t.hasCapacity(fragment.GetTotal()) && (!t.dropStalled(now) || !t.hasCapacity(fragment.GetTotal())) {
 			return
 		}
-		i = &incoming{total: int(fragment.GetTotal()), progress: now}
+		i = &incoming{total: int(fragment.GetTotal()), progressAt: now}
 		t.incoming[key] = i
 	}
-	if !i.whole {
+	if !i.complete {
 		i.add(now, fragment.GetOffset(), fragment.GetData())
 	}
-	ack := &nodepb.FragmentAck{Transfer: key.id, Received: uint64(i.received())}
+	ack := &nodepb.FragmentAck{Transfer: key.id, Received: uint64(i.receivedBytes())}
 	t.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_FragmentAck{FragmentAck: ack}})
-	if i.whole && i.data != nil {
+	if i.complete && i.data != nil {
 		t.deliver(from, i)
 	}
 }
@@ -57,46 +57,46 @@
 		return
 	}
 	at := int(offset)
-	if at > len(i.data) && at <= len(i.data)+windowBytes && len(i.ahead) < windowBytes/fragmentBytes {
-		if i.ahead == nil {
-			i.ahead = map[int][]byte{}
+	if at > len(i.data) && at <= len(i.data)+windowBytes && len(i.outOfOrder) < windowBytes/fragmentBytes {
+		if i.outOfOrder == nil {
+			i.outOfOrder = map[int][]byte{}
 		}
-		i.ahead[at] = data
+		i.outOfOrder[at] = data
 		return
 	}
-	for next := data; at == len(i.data) && len(next) > 0; next = i.ahead[at] {
+	for next := data; at == len(i.data) && len(next) > 0; next = i.outOfOrder[at] {
 		i.data = append(i.data, next...)
-		i.progress = now
-		delete(i.ahead, at)
+		i.progressAt = now
+		delete(i.outOfOrder, at)
 		at = len(i.data)
 	}
 	if len(i.data) == i.total {
-		i.whole, i.ahead = true, nil
+		i.complete, i.outOfOrder = true, nil
 	}
 }
 
-// hasRoom reports whether another transfer of that size may come in. Those that are over hold nothing.
-func (t *Transfers) hasRoom(total uint64) bool {
+// hasCapacity reports whether another transfer of that size may come in. Those that are over hold nothing.
+func (t *Transfers) hasCapacity(total uint64) bool {
 	if total == 0 || total > MaxMessage {
 		return false
 	}
-	count, held := 1, int(total)
+	count, reserved := 1, int(total)
 	for _, i := range t.incoming {
-		if !i.whole {
+		if !i.complete {
 			count++
-			held += i.total
+			reserved += i.total
 		}
 	}
-	return count <= maxIncoming && held <= maxIncomingBytes
+	return count <= maxIncoming && reserved <= maxIncomingBytes
 }
 
 // dropStalled ends the transfer that made no progress for longest, if that is long enough: its sender may have given it up.
 func (t *Transfers) dropStalled(now core.Time) bool {
 	var slowest incomingKey
-	progress := now - stalled
+	progress := now - stallTimeout
 	for key, i := range t.incoming {
-		if !i.whole && (i.progress < progress || i.progress == progress && key.id < slowest.id) {
-			slowest, progress = key, i.progress
+		if !i.complete && (i.progressAt < progress || i.progressAt == progress && key.id < slowest.id) {
+			slowest, progress = key, i.progressAt
 		}
 	}
 	if slowest.sender == "" {
@@ -121,7 +121,7 @@
 // expireIncoming forgets transfers that make no progress any more, and those that are over.
 func (t *Transfers) expireIncoming(now core.Time) {
 	for key, i := range t.incoming {
-		if now-i.progress >= giveUpAfter {
+		if now-i.progressAt >= transferTimeout {
 			delete(t.incoming, key)
 		}
 	}
--- a/internal/node/transfer/transfer_test.go
+++ b/internal/node/transfer/transfer_test.go
@@ -17,31 +17,31 @@
 
 // world runs the transfers of some nodes over links with a bandwidth, under a virtual clock.
 type world struct {
-	random    *rand.Rand
-	now       core.Time
-	events    events
-	sequence  int
-	nodes     map[string]*end
-	perSecond int           // bytes that a link carries
-	delay     time.Duration // of each message beside that
-	loss      float64
-	duplicate float64
-	cut       bool
-	sent      int // bytes
-	mostBusy  time.Duration
+	random      *rand.Rand
+	now         core.Time
+	events      events
+	sequence    int
+	nodes       map[string]*end
+	perSecond   int           // bytes that a link carries
+	delay       time.Duration // of each message beside that
+	loss        float64
+	duplicate   float64
+	partitioned bool
+	sent        int // bytes
+	maxBusy     time.Duration
 }
 
 // end is one node.
 type end struct {
 	address   string
-	life      int
+	restarts  int
 	transfers *Transfers
 	linkFree  core.Time // of what it sends
 	received  []*nodepb.Envelope
 }
 
 type event struct {
-	at       core.Time
+	dueAt    core.Time
 	sequence int
 	run      func()
 }
@@ -50,7 +50,7 @@
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
+	return e[i].dueAt < e[j].dueAt || e[i].dueAt == e[j].dueAt && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -71,10 +71,10 @@
 	return w
 }
 
-// restart begins another life of a node.
+// restart replaces the process of a node.
 func (w *world) restart(address string) {
 	node := w.nodes[address]
-	node.life++
+	node.restarts++
 	node.transfers = New(rand.New(rand.NewPCG(w.random.Uint64(), 6)))
 }
 
@@ -87,9 +87,9 @@
 func (w *world) runUntil(limit time.Duration, condition func() bool) bool {
 	for end := w.now + limit; !condition(); {
 		due, from := w.nextDeadline()
-		if len(w.events) > 0 && w.events[0].at <= due {
+		if len(w.events) > 0 && w.events[0].dueAt <= due {
 			next := heap.Pop(&w.events).(event)
-			w.now = max(w.now, next.at)
+			w.now = max(w.now, next.dueAt)
 			next.run()
 		} else {
 			w.now = max(w.now, due)
@@ -134,14 +134,14 @@
 	size := proto.Size(output.Message)
 	w.sent += size
 	from.linkFree = max(from.linkFree, w.now) + time.Duration(size)*time.Second/time.Duration(w.perSecond)
-	w.mostBusy = max(w.mostBusy, from.linkFree-w.now)
-	if w.cut || w.random.Float64() < w.loss {
+	w.maxBusy = max(w.maxBusy, from.linkFree-w.now)
+	if w.partitioned || w.random.Float64() < w.loss {
 		return
 	}
-	to, life := w.nodes[output.Destination], w.nodes[output.Destination].life
-	peer := core.Peer{NodeID: fmt.Sprintf("%s#%d", from.address, from.life), Address: from.address}
+	to, restarts := w.nodes[output.Destination], w.nodes[output.Destination].restarts
+	peer := core.Peer{NodeID: fmt.Sprintf("%s#%d", from.address, from.restarts), Address: from.address}
 	w.after(from.linkFree-w.now+w.delay, func() {
-		if to.life == life && life >= 0 && !w.cut {
+		if to.restarts == restarts && restarts >= 0 && !w.partitioned {
 			w.carryOut(to, to.transfers.Receive(w.now, peer, output.Message))
 		}
 	})
@@ -164,7 +164,7 @@
 
 func stateOf(message *nodepb.Envelope) []byte { return message.GetStatePush().GetSnapshot().GetState() }
 
-func TestLargeMessageArrivesWhole(t *testing.T) {
+func TestLargeMessageArrivesComplete(t *testing.T) {
 	for _, size := range []int{1, fragmentBytes, fragmentBytes + 1, 3 * windowBytes, 8 << 20} {
 		w := newWorld(uint64(size), "a", "b")
 		message := w.snapshotOf(size, 1)
@@ -184,39 +184,39 @@
 		w.send("a", to, w.snapshotOf(2<<20, 1))
 	}
 	w.runUntil(20*time.Second, func() bool { return false })
-	assert.Assert(t, w.mostBusy < 120*time.Millisecond, "the link is busy for %v", w.mostBusy)
+	assert.Assert(t, w.maxBusy < 120*time.Millisecond, "the link is busy for %v", w.maxBusy)
 	for _, to := range []string{"b", "c", "d", "e"} {
 		assert.Equal(t, len(w.nodes[to].received), 1)
 	}
 	assert.Equal(t, len(w.nodes["f"].received), 0, "a fifth transfer is not begun beside four")
 }
 
-func TestTransferGoesOnAfterACut(t *testing.T) {
+func TestTransferResumesAfterPartition(t *testing.T) {
 	w := newWorld(4, "a", "b")
 	const size = 8 << 20
 	w.send("a", "b", w.snapshotOf(size, 1))
 	for range 4 {
 		w.runUntil(1500*time.Millisecond, func() bool { return false })
-		w.cut = true
+		w.partitioned = true
 		w.runUntil(3*time.Second, func() bool { return false })
-		w.cut = false
+		w.partitioned = false
 	}
 	assert.Assert(t, w.runUntil(10*time.Second, func() bool { return len(w.nodes["b"].received) == 1 }))
 	assert.Assert(t, w.sent < size+size/10, "%d bytes for %d: what had come is not sent again", w.sent, size)
 }
 
-func TestTransferWithoutProgressIsGivenUp(t *testing.T) {
+func TestTransferWithoutProgressTimesOut(t *testing.T) {
 	w := newWorld(5, "a", "b")
 	w.send("a", "b", w.snapshotOf(4<<20, 1))
 	w.runUntil(time.Second, func() bool { return false })
-	w.cut = true
-	w.runUntil(giveUpAfter+time.Second, func() bool { return false })
+	w.partitioned = true
+	w.runUntil(transferTimeout+time.Second, func() bool { return false })
 	assert.Equal(t, len(w.nodes["a"].transfers.outgoing), 0)
-	w.runUntil(giveUpAfter, func() bool { return false })
+	w.runUntil(transferTimeout, func() bool { return false })
 	assert.Equal(t, len(w.nodes["b"].transfers.incoming), 0)
 }
 
-func TestReceiverThatStartsAgainGetsAllOfIt(t *testing.T) {
+func TestRestartedReceiverGetsCompleteMessage(t *testing.T) {
 	w := newWorld(6, "a", "b")
 	message := w.snapshotOf(2<<20, 1)
 	w.send("a", "b", message)
@@ -246,15 +246,15 @@
 			node := w.nodes["a"]
 			w.carryOut(node, node.transfers.Send(w.now, to, Subject{Slot: "x", Urgent: urgent}, message))
 		}
-		w.cut = true
+		w.partitioned = true
 		for _, gone := range []string{"c", "d", "e", "f"} {
 			start(gone)
 		}
 		w.runUntil(1200*time.Millisecond, func() bool { return false })
-		w.cut = false
+		w.partitioned = false
 		for _, gone := range []string{"c", "d", "e", "f"} {
 			w.restart(gone)
-			w.nodes[gone].life = -1 // what is sent to it is lost
+			w.nodes[gone].restarts = -1 // what is sent to it is lost
 		}
 		start("b")
 		took := w.now
@@ -263,9 +263,9 @@
 	}
 }
 
-// TestSubjects: what comes again while it is under way is not sent twice, an entry gives way to another one, and commands
+// TestNewerVersionReplacesTransferOfSameSlot: what comes again while it is under way is not sent twice, an entry gives way to another one, and commands
 // don't wait for one another.
-func TestSubjects(t *testing.T) {
+func TestNewerVersionReplacesTransferOfSameSlot(t *testing.T) {
 	body := make([]byte, 1<<20)
 	entry := func(epoch, index uint64) *nodepb.Envelope {
 		command := &nodepb.Command{Change: &nodepb.Command_ConfigChange{ConfigChange: &nodepb.ConfigChange{Body: body}}}
@@ -305,8 +305,8 @@
 	}
 }
 
-// TestFragmentsThatLie: lengths and offsets of a peer are not trusted.
-func TestFragmentsThatLie(t *testing.T) {
+// TestInvalidFragmentsAreIgnored: lengths and offsets of a peer are not trusted.
+func TestInvalidFragmentsAreIgnored(t *testing.T) {
 	fragment := func(total, offset uint64, size int) *nodepb.Envelope {
 		return &nodepb.Envelope{Body: &nodepb.Envelope_Fragment{Fragment: &nodepb.Fragment{
 			Transfer: 1, Total: total, Offset: offset, Data: make([]byte, size),
@@ -332,9 +332,9 @@
 	assert.Assert(t, len(transfers.incoming) <= 2, "%d transfers of half of what may be held", len(transfers.incoming))
 }
 
-// TestTransfersOnBadLinks sends on links that lose, double and are cut, to receivers that start again. Whatever arrives is what
+// TestTransfersSurviveFaultyLinks sends on links that lose, double and are cut, to receivers that start again. Whatever arrives is what
 // was sent, and once all is quiet everything does.
-func TestTransfersOnBadLinks(t *testing.T) {
+func TestTransfersSurviveFaultyLinks(t *testing.T) {
 	for seed := range uint64(60) {
 		w := newWorld(seed, "a", "b", "c")
 		w.perSecond = 200_000 + w.random.IntN(20_000_000)
@@ -349,16 +349,16 @@
 			w.runUntil(time.Duration(w.random.Int64N(int64(time.Second))), func() bool { return false })
 			switch w.random.IntN(4) {
 			case 0:
-				w.cut = !w.cut
+				w.partitioned = !w.partitioned
 			case 1:
 				w.restart([]string{"b", "c"}[w.random.IntN(2)])
 			}
 		}
-		w.cut, w.loss, w.duplicate = false, 0, 0
+		w.partitioned, w.loss, w.duplicate = false, 0, 0
 		const lastIndex = 1_000_000
 		last := w.snapshotOf(300_000, lastIndex)
 		sent[lastIndex] = stateOf(last)
-		w.runUntil(2*giveUpAfter, func() bool { return len(w.nodes["c"].transfers.outgoing) == 0 })
+		w.runUntil(2*transferTimeout, func() bool { return len(w.nodes["c"].transfers.outgoing) == 0 })
 		w.send("c", "a", last)
 		arrived := func() bool {
 			received := w.nodes["a"].received
@@ -383,10 +383,10 @@
 			w.delay = 1400 * time.Microsecond
 			w.send("a", "b", w.snapshotOf(size, 1))
 			assert.Assert(t, w.runUntil(time.Minute, func() bool { return len(w.nodes["b"].received) == 1 }))
-			least := time.Duration(size) * time.Second / time.Duration(w.perSecond)
-			t.Logf("%d MiB at %d Mbit/s: %v, the link alone %v", size>>20, megabits, w.now.Round(time.Millisecond), least.Round(time.Millisecond))
+			minDuration := time.Duration(size) * time.Second / time.Duration(w.perSecond)
+			t.Logf("%d MiB at %d Mbit/s: %v, the link alone %v", size>>20, megabits, w.now.Round(time.Millisecond), minDuration.Round(time.Millisecond))
 			roundTrips := time.Duration(size/windowBytes+1) * 2 * w.delay
-			assert.Assert(t, w.now < 2*least+roundTrips, "%d bytes at %d Mbit/s take %v", size, megabits, w.now)
+			assert.Assert(t, w.now < 2*minDuration+roundTrips, "%d bytes at %d Mbit/s take %v", size, megabits, w.now)
 		}
 	}
 }
