--- a/internal/node/rendezvous/rendezvous_test.go
+++ b/internal/node/rendezvous/rendezvous_test.go
@@ -19,7 +19,7 @@
 	return list
 }
 
-func TestRankDoesNotDependOnTheOrderGiven(t *testing.T) {
+func TestRankIgnoresOrderOfCandidates(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	want := names(20)
 	Rank("key", want, itself)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestLossMovesOnlyTheKeysOfTheLost(t *testing.T) {
+func TestLossOfCandidateMovesOnlyItsKeys(t *testing.T) {
 	before := names(10)
 	after := slices.Clone(before[1:])
 	for number := range 1000 {
