--- a/internal/rig/faultrun/planted_test.go
+++ b/internal/rig/faultrun/planted_test.go
@@ -123,7 +123,7 @@
 		old: "	if req.mayHaveRun() {\n		return Decision{}\n", new: "	if false {\n		return Decision{}\n", test: "routing"},
 	{point: 5, name: "a connection is kept after a surplus answer", file: "forward/upstream/answer.go",
 		old: "if !a.whole || a.mustHang || conn.doubtful {", new: "if !a.whole || a.mustHang {", test: "forward"},
-	{point: 5, name: "an order is sent after its lease", file: "rollout/holder.go",
+	{point: 5, name: "an order is sent after its lease", file: "rollout/leaseholder.go",
 		old: "	return !h.previousKnown || now < h.previousLeaseEnd && (h.previousClaimsAll || h.previousClaims[id])\n", new: "	return false\n", test: "rollout"},
 }
 
