--- a/internal/node/brokercall/client.go
+++ b/internal/node/brokercall/client.go
@@ -1,10 +1,15 @@
-// Package brokercall makes the HTTP clients with which a node's control plane calls model brokers and stores: for reports,
-// orders and events. Requests of clients take another way: see package forward.
+// Package brokercall makes the HTTP clients with which a node's control plane calls model brokers
+// and stores: for reports, orders and events. Requests of clients don't use it: see package
+// forward.
+//
+// Invariant: a call that was given up doesn't arrive later, as its connection discards unsent data
+// when it is closed.
 package brokercall
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -14,19 +19,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// ExpectInstanceHeader is the header that has every other broker at an address answer 421. Source: PROTOCOL.md, "Requests".
+// ExpectInstanceHeader names the broker that a call is for: any other one at the address answers
+// 421. Source: PROTOCOL.md, "Requests".
 const ExpectInstanceHeader = "X-Kestrelspread-Expect-Instance"
 
 // Options of a client.
 type Options struct {
-	// ConnectTimeout bounds how long a connection may take to come up, and how long sent data may stay unacknowledged.
+	// ConnectTimeout bounds how long a connection may take to be established, and how long sent
+	// data may stay unacknowledged.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection is kept for the next call to the same address: new ones are priced.
+	// IdleTimeout is how long an idle connection is kept for the next call to the same address. New
+	// connections have a price.
 	IdleTimeout time.Duration
 }
 
-// NewClient returns a client that follows no redirects and keeps one idle connection for each address. Its connections lose
-// what is not yet sent when they are closed, so that a call that was given up does not arrive later.
+// NewClient returns a client that follows no redirects and keeps one idle connection for each
+// address. Its connections discard unsent data when they are closed.
 func NewClient(options Options) *http.Client {
 	dialer := &net.Dialer{Timeout: options.ConnectTimeout, Control: withUserTimeout(options.ConnectTimeout)}
 	return &http.Client{
@@ -40,11 +48,11 @@
 	}
 }
 
-// NewRequest builds a call; instance is the broker expected at the address, empty for stores.
+// NewRequest builds a request. instance is the broker expected at the address; empty for stores.
 func NewRequest(ctx context.Context, method, address, path, instance string, body io.Reader) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, body)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("brokercall: %s %s at %s: %w", method, path, address, err)
 	}
 	if instance != "" {
 		request.Header.Set(ExpectInstanceHeader, instance)
@@ -52,24 +60,27 @@
 	return request, nil
 }
 
-// Discard reads the rest of a body of at most `most` bytes, so that its connection can be used again, and closes it.
+// Discard closes a body after reading up to maxBytes of its rest, so that the connection can be
+// reused.
 func Discard(body io.ReadCloser, maxBytes int64) {
 	_, _ = io.CopyN(io.Discard, body, maxBytes)
 	_ = body.Close()
 }
 
-// withUserTimeout has a connection fail whose peer is silently gone, also while data waits.
+// withUserTimeout has a connection fail after limit (whole milliseconds) if its peer acknowledges
+// nothing any more, also while sent data waits. See tcp(7), TCP_USER_TIMEOUT.
 func withUserTimeout(limit time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := raw.Control(func(descriptor uintptr) {
 			milliseconds := int(limit.Milliseconds())
-			failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
+			optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 		})
-		return errors.Join(err, failed)
+		return errors.Join(err, optionErr)
 	}
 }
 
+// dialDiscardingOnClose dials connections that discard unsent data on close.
 func dialDiscardingOnClose(dialer *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dialer.DialContext(ctx, network, address)
--- a/internal/node/rollout/orders/sender.go
+++ b/internal/node/rollout/orders/sender.go
@@ -1,7 +1,10 @@
-// Package orders sends orders to model brokers and asks their reports, for package rollout.
+// Package orders sends the orders of package rollout to model brokers and fetches their reports,
+// over HTTP. It decides nothing: which order is due, and what its result means, is the matter of
+// rollout.
 //
-// Each order is sent once: the client library never repeats it, and whether it may still leave is checked right before its body
-// is written. Source: PROTOCOL.md, "Requests".
+// Invariants: an order is sent at most once, as the HTTP client can't read its body a second time;
+// and whether the lease still holds is checked right before the body is written. Source:
+// PROTOCOL.md, "Requests".
 package orders
 
 import (
@@ -18,11 +21,11 @@
 )
 
 const (
-	// callTimeout is how long a call to a broker may take, connecting included.
+	// callTimeout bounds a call to a broker, connecting included.
 	callTimeout = time.Second
 	// idleTimeout is how long a connection to a broker is kept for the next call.
 	idleTimeout = 4 * time.Second
-	// maxResponseBytes bounds what is read of an answer.
+	// maxResponseBytes bounds what is read of a response.
 	maxResponseBytes = 64 << 10
 
 	orderPath  = "/kestrelspread/order"
@@ -34,29 +37,35 @@
 	errNoReport   = rollout.Errors.NewType("no_report")
 )
 
-// Options are what a Sender needs. The two callbacks run on goroutines of the Sender, once for each call.
+// Options are what a Sender needs. The callbacks run on goroutines of the Sender, one of them once
+// for each call.
 type Options struct {
-	Clock      func() core.Time
-	OrderDone  func(token uint64, status int, err error)
+	// Clock is the steady clock that core.Order.ValidUntil is compared with.
+	Clock func() core.Time
+	// OrderDone takes the HTTP status of an order. An error of type rollout.ErrNotSent says that
+	// the broker can't have taken it; after any other error it may have.
+	OrderDone func(token uint64, status int, err error)
+	// ReportDone takes a report, or the error why there is none.
 	ReportDone func(token uint64, report *rollout.Report, err error)
 }
 
-// Sender makes the calls.
+// Sender calls model brokers. It is safe for concurrent use.
 type Sender struct {
 	options Options
 	client  *http.Client
 }
 
-// New returns a Sender; Close ends its idle connections.
+// New returns a Sender. Close closes its idle connections.
 func New(options Options) *Sender {
 	client := brokercall.NewClient(brokercall.Options{ConnectTimeout: callTimeout, IdleTimeout: idleTimeout})
 	return &Sender{options: options, client: client}
 }
 
-// Close ends the connections that are idle.
+// Close closes the idle connections. Calls in flight go on until their time-out.
 func (s *Sender) Close() { s.client.CloseIdleConnections() }
 
-// SendOrder sends an order on a goroutine of its own. allowed is asked right before its body is written; nil: always.
+// SendOrder sends an order on a goroutine of its own; OrderDone takes the result. Right before the
+// body is written, the order must still be valid and allowed must report true; nil allows always.
 func (s *Sender) SendOrder(order core.Order, allowed func(core.Order) bool) {
 	go func() {
 		status, err := s.sendOrder(order, allowed)
@@ -64,7 +73,7 @@
 	}()
 }
 
-// RequestReport asks for a report on a goroutine of its own.
+// RequestReport fetches a report on a goroutine of its own; ReportDone takes the result.
 func (s *Sender) RequestReport(ask core.AskReport) {
 	go func() {
 		report, err := s.fetchReport(ask)
@@ -83,24 +92,25 @@
 	}
 	request, err := brokercall.NewRequest(ctx, http.MethodPost, order.Address, orderPath, order.InstanceID, body)
 	if err != nil {
-		return 0, rollout.ErrNotSent.Wrap(err, "build the order")
+		return 0, rollout.ErrNotSent.Wrap(err, "build the order to broker %s", order.InstanceID)
 	}
 	request.ContentLength = int64(len(order.Body))
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := s.client.Do(request)
+	response, err := s.client.Do(request)
 	if err != nil {
-		return 0, orderError(err, body)
+		return 0, orderError(err, order, body)
 	}
-	brokercall.Discard(answer.Body, maxResponseBytes)
-	return answer.StatusCode, nil
+	brokercall.Discard(response.Body, maxResponseBytes)
+	return response.StatusCode, nil
 }
 
-// orderError tells apart what certainly was not sent.
-func orderError(err error, body *guardedBody) error {
+// orderError classifies a failed call: whose body was never read for writing was certainly not
+// sent.
+func orderError(err error, order core.Order, body *guardedBody) error {
 	if !body.checked.Load() {
-		return rollout.ErrNotSent.Wrap(err, "send the order")
+		return rollout.ErrNotSent.Wrap(err, "send the order to broker %s", order.InstanceID)
 	}
-	return errNoResponse.Wrap(err, "send the order")
+	return errNoResponse.Wrap(err, "send the order to broker %s", order.InstanceID)
 }
 
 func (s *Sender) fetchReport(ask core.AskReport) (*rollout.Report, error) {
@@ -108,19 +118,19 @@
 	defer cancel()
 	request, err := brokercall.NewRequest(ctx, http.MethodGet, ask.Address, reportPath, ask.InstanceID, nil)
 	if err != nil {
-		return nil, errNoReport.Wrap(err, "build the call")
+		return nil, errNoReport.Wrap(err, "build the report call to broker %s", ask.InstanceID)
 	}
-	answer, err := s.client.Do(request)
+	response, err := s.client.Do(request)
 	if err != nil {
-		return nil, errNoReport.Wrap(err, "ask")
+		return nil, errNoReport.Wrap(err, "fetch the report of broker %s", ask.InstanceID)
 	}
-	defer brokercall.Discard(answer.Body, maxResponseBytes)
-	if answer.StatusCode != http.StatusOK {
-		return nil, errNoReport.New("status %d", answer.StatusCode)
+	defer brokercall.Discard(response.Body, maxResponseBytes)
+	if response.StatusCode != http.StatusOK {
+		return nil, errNoReport.New("fetch the report of broker %s: status %d", ask.InstanceID, response.StatusCode)
 	}
 	report := &rollout.Report{}
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxResponseBytes)).Decode(report); err != nil {
-		return nil, errNoReport.Wrap(err, "read")
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(report); err != nil {
+		return nil, errNoReport.Wrap(err, "decode the report of broker %s", ask.InstanceID)
 	}
 	return report, nil
 }
--- a/internal/node/rollout/orders/sender_test.go
+++ b/internal/node/rollout/orders/sender_test.go
@@ -18,7 +18,7 @@
 	"kestrelspread/internal/node/rollout"
 )
 
-// outcome is the end of a call.
+// outcome is the result of a call.
 type outcome struct {
 	token  uint64
 	status int
@@ -28,7 +28,7 @@
 
 const orderBody = `{"op":"version","model":"m","version":2,"mode":"wait","holder":"node-7","fence":41}`
 
-// harness is a sender whose clock stands.
+// harness is a sender with a clock that only the test moves.
 type harness struct {
 	sender *Sender
 	now    atomic.Int64
@@ -36,6 +36,7 @@
 }
 
 func newHarness(t *testing.T) *harness {
+	t.Helper()
 	h := &harness{done: make(chan outcome, 1)}
 	h.sender = New(Options{
 		Clock:     func() core.Time { return core.Time(h.now.Load()) },
@@ -56,6 +57,7 @@
 }
 
 func serve(t *testing.T, handler http.HandlerFunc) string {
+	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -82,9 +84,9 @@
 	}
 }
 
-// TestOrderIsNotSentAfterLeaseEnd reads at the other end that no byte of its body came.
+// TestOrderIsNotSentAfterLeaseEnd checks at the other end that no byte of the body arrives.
 func TestOrderIsNotSentAfterLeaseEnd(t *testing.T) {
-	for name, spoil := range map[string]func(*harness) func(core.Order) bool{
+	for name, endLease := range map[string]func(*harness) func(core.Order) bool{
 		"too late":    func(h *harness) func(core.Order) bool { h.now.Store(int64(time.Second)); return nil },
 		"not allowed": func(*harness) func(core.Order) bool { return func(core.Order) bool { return false } },
 	} {
@@ -101,7 +103,7 @@
 				came <- string(text)
 			}()
 			h := newHarness(t)
-			got := h.order(listener.Addr().String(), spoil(h))
+			got := h.order(listener.Addr().String(), endLease(h))
 			assert.Assert(t, errorx.IsOfType(got.err, rollout.ErrNotSent), "%v", got.err)
 			assert.NilError(t, listener.Close())
 			assert.Assert(t, !strings.Contains(<-came, "{"))
@@ -110,6 +112,7 @@
 }
 
 func listen(t *testing.T) net.Listener {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -124,7 +127,8 @@
 	assert.Assert(t, errorx.IsOfType(got.err, rollout.ErrNotSent), "%v", got.err)
 }
 
-// TestOrderIsNeverRepeated has a kept connection closed after the second order was read: it may have been taken.
+// TestOrderIsNeverRepeated closes a kept connection after the second order was read: it may have
+// been taken.
 func TestOrderIsNeverRepeated(t *testing.T) {
 	listener := listen(t)
 	arrivals := make(chan string, 8)
@@ -195,7 +199,7 @@
 func TestInvalidReportsAreErrors(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"another broker": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) },
-		"cut short":      func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"stage":"bo`) },
+		"truncated":      func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"stage":"bo`) },
 		"no JSON":        func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `busy`) },
 	} {
 		t.Run(name, func(t *testing.T) {
