--- a/internal/node/rollout/broker.go
+++ b/internal/node/rollout/broker.go
@@ -9,68 +9,74 @@
 )
 
 const (
-	// markTimeout is how long nodes are waited for that do not confirm a mark: the order goes out all the same, and what
-	// they still send is turned away unrun.
+	// markTimeout is how long the confirmation of a mark by all nodes is awaited. After it the
+	// order goes out all the same: the broker rejects, without running them, requests that still
+	// arrive.
 	markTimeout = time.Second
-	// claimTimeout is how long a claim is waited for.
+	// claimTimeout is how long a claim is awaited in the committed grant.
 	claimTimeout = 2 * time.Second
-	// quiesceTime is kept between the mark and the order, so that requests on their way and those whose prompts are just
-	// read can begin: whatever has not begun when the order comes is turned away.
+	// quiesceTime lies between mark and order, so that requests on their way and those in prefill
+	// can begin to run: the broker rejects whatever has not begun when the order comes.
 	quiesceTime = 300 * time.Millisecond
-	// maxReportAge is how old a report may be: what it does not show yet may still have been taken.
+	// maxReportAge is how old a report may be: an order that it doesn't show yet may have been
+	// taken.
 	maxReportAge = 600 * time.Millisecond
-	// firstReportDelay is how long after an order was taken the broker is first asked whether it has the version: some load faster, but
-	// reports lag behind by some hundred ms.
+	// firstReportDelay lies between an accepted order and the first poll of the broker's report:
+	// some brokers load faster, but reports lag behind by some hundred ms.
 	firstReportDelay = 550 * time.Millisecond
-	// minReportInterval lies between two reports of a broker that is loading.
+	// minReportInterval lies between two polls of a loading broker; it grows up to
+	// maxReportInterval.
 	minReportInterval = 150 * time.Millisecond
-	// maxReportInterval bounds it for brokers that take long.
 	maxReportInterval = 500 * time.Millisecond
-	// markClearTime is how long a mark may still show that this machine has taken away.
+	// markClearTime is how long the registry may still show a mark that this machine has cleared.
 	markClearTime = 3 * time.Second
-	// answerTimeout is how long the shell's own end of a call is waited for.
+	// answerTimeout is how long the end of a call is awaited from the shell, which has a shorter
+	// time-out of its own.
 	answerTimeout = 3 * time.Second
-	// minRetryBackoff is how long a broker that could not be ordered is left alone; it doubles up to lastRetry.
+	// minRetryBackoff is how long a broker is left alone after a failure; it doubles with each
+	// failure in a row, up to maxRetryBackoff.
 	minRetryBackoff = 500 * time.Millisecond
 	maxRetryBackoff = 4 * time.Second
+	// maxBackoffDoublings keeps the shift from overflowing.
+	maxBackoffDoublings = 10
 )
 
-// phase is how far a broker is on its way to a version.
+// phase is how far a broker is on its way to a version. The order of the constants counts: from
+// ordering on an order may have been taken.
 type phase uint8
 
 const (
-	idle      phase = iota // nothing is under way
-	claiming               // the grant is to name it
+	idle      phase = iota // nothing is in progress
+	claiming               // the grant does not name the broker yet
 	marking                // marked; not all nodes have confirmed
-	quiescing              // marked everywhere; what is on its way may still begin
+	quiescing              // marked everywhere; requests on their way may still begin
 	ordering               // the order is out
-	loading                // the order was taken
-	verifying              // an order may have been taken: its report tells
+	loading                // the order was accepted
+	verifying              // an order may have been taken: the broker's report shows whether it was
 )
 
-// broker is what is known of one life of a broker.
+// broker is what is known of one incarnation of a model broker.
 type broker struct {
 	instance     *nodepb.Instance // as last seen
-	sortKey      uint64           // order among the brokers of a service
-	lastSeenStep uint64           // the step that last saw it
+	sortKey      uint64           // order among the brokers of a service, the same at all nodes
+	lastSeenStep uint64           // number of the step whose situation last had it
 
 	phase            phase
-	targetModel      string // being brought
+	targetModel      string // what is being loaded
 	targetVersion    uint64
-	observedVersions map[string]uint64 // versions that this node has seen there
+	observedVersions map[string]uint64 // by model: versions that this node has seen there
 
+	marked         bool
 	markedAt       core.Time
-	phaseDeadline  core.Time // when the phase goes on by itself
-	callToken      uint64    // of the call that is out; 0: none
-	callSentAt     core.Time // when that call went out
+	unmarkedAt     core.Time // when this machine last cleared the mark; 0: never
+	phaseDeadline  core.Time // when the phase ends by itself
+	callToken      uint64    // of the call in flight; 0: none
+	callSentAt     core.Time
 	reportInterval time.Duration
-	conclusiveAt   core.Time // from when on a report shows any order that was taken
-	orderUncertain bool      // an order may have been taken, and no report has told since
-	failures       int
-	retryAt        core.Time
-	marked         bool
-	// unmarkedAt is when this machine last took the mark away.
-	unmarkedAt core.Time
+	conclusiveAt   core.Time // a report asked for from then on shows any order that was taken
+	orderUncertain bool      // an order may have been taken, and no report has shown it since
+	failures       int       // in a row
+	retryAt        core.Time // end of the backoff
 }
 
 func newBroker(instance *nodepb.Instance) *broker {
@@ -91,7 +97,8 @@
 	b.observedVersions[model] = max(b.observedVersions[model], version)
 }
 
-// hasTarget reports whether the broker is known to have the version that is being brought, by its heartbeats or reports.
+// hasTarget reports whether the broker is known, by its heartbeats or reports, to have the version
+// being loaded.
 func (b *broker) hasTarget() bool {
 	for _, model := range b.instance.Models {
 		if model.Name == b.targetModel {
@@ -101,13 +108,15 @@
 	return b.observedVersions[b.targetModel] >= b.targetVersion
 }
 
-// inProgress reports whether the broker is out of service for the duty.
+// inProgress reports whether the rollout is under way at the broker.
 func (b *broker) inProgress() bool { return b.phase != idle }
 
-// hasForeignMark reports whether the broker shows a mark that this machine has not set, or has taken away.
+// hasForeignMark reports whether the registry shows a mark that this machine has not set, or has
+// cleared.
 func (b *broker) hasForeignMark() bool { return b.instance.LoadingFence != 0 && !b.marked }
 
-// foreignMarkCountsAt is when a stray mark counts: one that was just taken away may show for a while.
+// foreignMarkCountsAt is when a foreign mark counts as another holder's: one that this machine has
+// just cleared may show for a while.
 func (b *broker) foreignMarkCountsAt() core.Time {
 	if b.unmarkedAt == 0 {
 		return 0
@@ -115,15 +124,17 @@
 	return b.unmarkedAt + markClearTime
 }
 
-// backOff leaves the broker alone for a while, longer after each failure in a row.
+// backOff ends the broker's turn and leaves it alone for a while, longer after each failure in a
+// row.
 func (b *broker) backOff(now core.Time) {
-	delay := minRetryBackoff << min(b.failures, 10)
+	delay := minRetryBackoff << min(b.failures, maxBackoffDoublings)
 	b.failures++
 	b.retryAt = now + min(delay, maxRetryBackoff)
 	b.phase = idle
 }
 
-// verifyAfter has the report asked once it must show whether an order that ended at `since` was taken.
+// verifyAfter has the report polled once it must show whether an order that ended at orderEndedAt
+// was taken.
 func (b *broker) verifyAfter(orderEndedAt core.Time) {
 	b.phase = verifying
 	b.orderUncertain = true
@@ -132,7 +143,34 @@
 	b.reportInterval = minReportInterval
 }
 
-// deadline is when the broker needs the machine again.
+// orderAccepted begins the wait for a load that the broker has accepted.
+func (b *broker) orderAccepted(now core.Time) {
+	b.phase = loading
+	b.orderUncertain = true
+	b.failures = 0
+	b.reportInterval = minReportInterval
+	b.phaseDeadline = now + firstReportDelay
+	b.conclusiveAt = now + maxReportAge
+}
+
+// scheduleReport has the report polled again after an interval that grows by a quarter each time.
+func (b *broker) scheduleReport(now core.Time) {
+	b.phaseDeadline = now + b.reportInterval
+	b.reportInterval = min(b.reportInterval*5/4, maxReportInterval)
+}
+
+// setTarget names what is to be loaded next.
+func (b *broker) setTarget(missing missingVersion) {
+	b.targetModel, b.targetVersion = missing.model, missing.version
+}
+
+// quiesce begins the span in which requests on their way may still begin.
+func (b *broker) quiesce(now core.Time) {
+	b.phase = quiescing
+	b.phaseDeadline = now + quiesceTime
+}
+
+// deadline is when the broker next needs a step; core.Never: it needs none.
 func (b *broker) deadline() core.Time {
 	switch {
 	case b.phase == idle:
--- a/internal/node/rollout/brokers_test.go
+++ b/internal/node/rollout/brokers_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/core"
 )
 
-// testBroker is one broker.
+// testBroker is a simulated model broker.
 type testBroker struct {
 	id              string
 	zone            string
@@ -18,13 +18,13 @@
 	fence           uint64 // mark in the registry
 	busy            bool
 	loadingVersion  uint64
-	runDuration     time.Duration // how long its runs last at any moment
+	runDuration     time.Duration // how long its running requests last
 	runsEndAt       core.Time     // when its runs have ended
 	loadLeft        time.Duration // left to load
 	sequence        uint64
 	orders          []arrival
 	loads           map[uint64]int
-	recentReports   []Report // its reports of the last moments, oldest first
+	recentReports   []Report // oldest first
 	gone            bool
 }
 
@@ -35,7 +35,7 @@
 	fence     uint64
 }
 
-// takeOrder is a broker that takes an order. Source: PROTOCOL.md, "Requests".
+// takeOrder has a broker judge an order, and returns its status. Source: PROTOCOL.md, "Requests".
 func (w *world) takeOrder(order core.Order) int {
 	var body versionOrderBody
 	assert.NilError(w.t, json.Unmarshal(order.Body, &body))
@@ -63,7 +63,7 @@
 	return 202
 }
 
-// checkOneHolder holds an order against the rule ONE. Source: RULES.md, "Model brokers".
+// checkOneHolder checks an order against the rule ONE. Source: RULES.md, "Model brokers".
 func (w *world) checkOneHolder(b *testBroker, next arrival) {
 	for _, last := range b.orders {
 		if last.holder == next.holder {
@@ -71,13 +71,13 @@
 			continue
 		}
 		assert.Assert(w.t, next.fence > last.fence, "fence %d of %s after %d of %s", next.fence, next.holder, last.fence, last.holder)
-		assert.Assert(w.t, next.arrivedAt-last.arrivedAt > testLease, "%s and %s take turns at %s within %v at %v", last.holder, next.holder, b.id,
+		assert.Assert(w.t, next.arrivedAt-last.arrivedAt > testLease, "%s and %s overlap at %s within %v at %v", last.holder, next.holder, b.id,
 			next.arrivedAt-last.arrivedAt, w.now)
 	}
 	b.orders = append(b.orders, next)
 }
 
-// load lets the brokers go on: more than atOnce of them load more slowly.
+// load advances the brokers: more than fullSpeedLoads of them at once load more slowly.
 func (w *world) load() {
 	loading := 0
 	for _, b := range w.brokers {
--- a/internal/node/rollout/concurrency.go
+++ b/internal/node/rollout/concurrency.go
@@ -7,42 +7,66 @@
 )
 
 const (
-	// planFraction is the share of the bound of a version within which all brokers are to have it.
+	// planFraction is the fraction of a version's bound within which all brokers are to have it.
 	planFraction = 0.75
-	// initialEstimate is how long a broker is taken to be out of service before one has been seen.
+	// initialEstimate is how long a broker is taken to be out of service before one was observed.
 	initialEstimate = 1800 * time.Millisecond
-	// meanWeight is the weight of a new duration in the mean.
+	// meanWeight is the weight of a new duration in the moving mean.
 	meanWeight = 0.25
-	// maxOverFastest bounds how far above the fastest duration the estimate may lie. Brokers load more slowly when many do so at
-	// once; without the limit, slow loads would ask for more at once and so become slower still.
+	// maxOverFastest bounds the estimate as a multiple of the fastest duration. Brokers load more
+	// slowly when many do so at once; without the bound, slow loads would raise the concurrency and
+	// so become slower still.
 	maxOverFastest = 1.5
 )
 
-// durationEstimator learns how long brokers of a service are out of service, and tells how many may be so at once.
+// durationEstimator learns how long a broker of one service is out of service for a version. Zero:
+// nothing observed.
 type durationEstimator struct {
-	mean    time.Duration
+	mean    time.Duration // exponentially weighted
 	fastest time.Duration
 }
 
-func (p *durationEstimator) observe(duration time.Duration) {
-	if p.mean == 0 {
-		p.mean, p.fastest = duration, duration
+func (e *durationEstimator) observe(duration time.Duration) {
+	if e.mean == 0 {
+		e.mean, e.fastest = duration, duration
 		return
 	}
-	p.mean += time.Duration(meanWeight * float64(duration-p.mean))
-	p.fastest = min(p.fastest, duration)
+	e.mean += time.Duration(meanWeight * float64(duration-e.mean))
+	e.fastest = min(e.fastest, duration)
 }
 
-// estimate is how long the next broker is taken to be out of service.
-func (p *durationEstimator) estimate() time.Duration {
-	if p.mean == 0 {
+// estimate is how long the next broker is expected to be out of service.
+func (e *durationEstimator) estimate() time.Duration {
+	if e.mean == 0 {
 		return initialEstimate
 	}
-	return min(p.mean, time.Duration(maxOverFastest*float64(p.fastest)))
+	return min(e.mean, time.Duration(maxOverFastest*float64(e.fastest)))
 }
 
-// baseConcurrency is how many of the brokers of a service are out of service at once where time does not press: about a sixth, as
-// more of them load more slowly.
+// serviceLoad is what the concurrency limit of a service depends on.
+type serviceLoad struct {
+	brokers    int           // ready ones
+	lacking    int           // those of them that still lack the version
+	configured int           // Options.BaseConcurrency
+	knownAt    core.Time     // when the version became known
+	bound      time.Duration // Options.VersionBound
+}
+
+// concurrencyLimit is how many brokers of a service may be out of service at once, so that the last
+// one has the version within planFraction of its bound. They follow one another without waves, so
+// the last one ends about half a duration after the mean.
+func (e *durationEstimator) concurrencyLimit(now core.Time, load serviceLoad) int {
+	base := baseConcurrency(load.brokers, load.configured)
+	planEnd := load.knownAt + core.Time(planFraction*float64(load.bound))
+	estimate := e.estimate()
+	timeLeft := max(planEnd-now-estimate/2, estimate/2)
+	needed := int((time.Duration(load.lacking)*estimate + timeLeft - 1) / timeLeft)
+	return min(max(base, needed), maxConcurrency(load.brokers, base))
+}
+
+// baseConcurrency is how many brokers of a service are out of service at once while time does not
+// press: as configured, else about a sixth (at least two, at most half), as more of them load more
+// slowly.
 func baseConcurrency(brokers, configured int) int {
 	if configured > 0 {
 		return configured
@@ -52,16 +76,6 @@
 	return max(1, min(max(sixth, 2), half))
 }
 
-// maxConcurrency is how many may be so where time presses.
+// maxConcurrency is how many brokers may be out of service at once where time presses: half, or the
+// base if it is more.
 func maxConcurrency(brokers, base int) int { return max(base, (brokers+1)/2) }
-
-// concurrencyLimit is how many brokers of a service may be out of service at once, `left` being still to be brought to a version that
-// became known at `known`. They follow one another without waves, so that the last one ends about half a turn after the mean.
-func (p *durationEstimator) concurrencyLimit(now core.Time, brokers, left, atOnce int, known core.Time, bound time.Duration) int {
-	least := baseConcurrency(brokers, atOnce)
-	planned := known + core.Time(planFraction*float64(bound))
-	estimate := p.estimate()
-	timeLeft := max(planned-now-estimate/2, estimate/2)
-	needed := int((time.Duration(left)*estimate + timeLeft - 1) / timeLeft)
-	return min(max(least, needed), maxConcurrency(brokers, least))
-}
--- a/internal/node/rollout/inputs.go
+++ b/internal/node/rollout/inputs.go
@@ -1,51 +1,34 @@
 package rollout
 
 import (
-	"encoding/json"
 	"net/http"
 
-	"kestrelspread/internal/must"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
 
-// versionOrderBody is the body of an order with op = version. Source: PROTOCOL.md, "Requests".
-type versionOrderBody struct {
-	Operation string `json:"op"`
-	Model     string `json:"model"`
-	Version   uint64 `json:"version"`
-	Mode      string `json:"mode"`
-	Holder    string `json:"holder"`
-	Fence     uint64 `json:"fence"`
-}
+// maxReportFailures is how many calls in a row may fail before a broker is left alone for a while.
+const maxReportFailures = 3
 
-func versionOrder(model string, version uint64, holder string, fence uint64) []byte {
-	body, err := json.Marshal(versionOrderBody{
-		Operation: "version", Model: model, Version: version, Mode: "wait", Holder: holder, Fence: fence,
-	})
-	must.Hold(err == nil, "an order can be written as JSON")
-	return body
-}
-
-// MarkDone takes the confirmation of all nodes in touch that a broker is marked.
+// MarkDone takes the confirmation, by all reachable nodes, that a broker is marked.
 func (r *Rollout) MarkDone(now core.Time, instance string) {
 	b := r.brokers[instance]
 	if b == nil || b.phase != marking {
 		return
 	}
-	b.phase = quiescing
-	b.phaseDeadline = now + quiesceTime
+	b.quiesce(now)
 	r.wakeBy(b.phaseDeadline)
 }
 
-// GrantDone takes the end of a SubmitCommand.
+// GrantDone takes the result of a core.SubmitCommand.
 func (r *Rollout) GrantDone(now core.Time, result *nodepb.CommandResult) {
 	r.leaseHolder.submitDone(now, result)
 	r.wakeBy(now)
 }
 
-// OrderDone takes the end of an order: the broker's status, or an error where no answer came. ErrNotSent in its chain says
-// that certainly nothing was sent.
+// OrderDone takes the end of an order: the broker's HTTP status, or an error where no answer came.
+// ErrNotSent in its chain says that certainly nothing was sent; after any other error the order may
+// have been taken.
 func (r *Rollout) OrderDone(now core.Time, token uint64, status int, err error) []core.Output {
 	b := r.brokerByCall(token)
 	if b == nil || b.phase != ordering {
@@ -68,26 +51,20 @@
 	return r.unmark(now, b, nil)
 }
 
+// orderAnswered judges the status of an answer. Any status that doesn't certainly tell whether the
+// order was taken has the report polled: an order must not be repeated while one may be under way.
 func (r *Rollout) orderAnswered(now core.Time, b *broker, status int) []core.Output {
 	switch status {
 	case http.StatusAccepted:
-		b.phase = loading
-		b.orderUncertain = true
-		b.failures = 0
-		b.reportInterval = minReportInterval
-		b.phaseDeadline = now + firstReportDelay
-		b.conclusiveAt = now + maxReportAge
+		b.orderAccepted(now)
 		return nil
-	case http.StatusOK:
+	case http.StatusOK: // the broker has the version already
 		return r.finish(now, b, nil)
-	case http.StatusConflict:
-		b.verifyAfter(now)
-		return nil
-	case http.StatusPreconditionFailed:
+	case http.StatusPreconditionFailed: // the broker has seen a higher fence
 		r.leaseHolder.fenceSuperseded(now)
 	case http.StatusMisdirectedRequest, http.StatusBadRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		// Turned away: another broker has the address, or the version is not named there yet.
-	default:
+		// Rejected: another broker has the address, or the version is not named there yet.
+	default: // with 409: another order is being carried out
 		b.verifyAfter(now)
 		return nil
 	}
@@ -114,36 +91,31 @@
 		return r.finish(now, b, nil)
 	case report.Busy:
 		b.phase = loading
-		r.scheduleReport(now, b)
+		b.scheduleReport(now)
 		return nil
-	case b.callSentAt < b.conclusiveAt: // it may be from before the order was taken
-		r.scheduleReport(now, b)
+	case b.callSentAt < b.conclusiveAt: // the report may be from before the order was taken
+		b.scheduleReport(now)
 		return nil
-	default: // idle; any order would show by now: it was not taken
+	default: // not busy, and any order would show by now: none was taken
 		b.orderUncertain = false
 		b.backOff(now)
 		return r.unmark(now, b, nil)
 	}
 }
 
-// reportFailed asks again, and gives a broker up for a while that stays out of reach.
+// reportFailed polls again, and leaves a broker alone for a while that stays unreachable.
 func (r *Rollout) reportFailed(now core.Time, b *broker) []core.Output {
 	b.failures++
-	if b.failures < 3 {
-		r.scheduleReport(now, b)
+	if b.failures < maxReportFailures {
+		b.scheduleReport(now)
 		return nil
 	}
 	b.backOff(now)
 	return r.unmark(now, b, nil)
 }
 
-func (r *Rollout) scheduleReport(now core.Time, b *broker) {
-	b.phaseDeadline = now + b.reportInterval
-	b.reportInterval = min(b.reportInterval*5/4, maxReportInterval)
-}
-
-// finish ends a broker's turn: it has the version. Where a newer one was named meanwhile, the broker goes on to that at once, as
-// nothing runs on it now.
+// finish ends a broker's turn: it has the version. Where a newer one was named meanwhile, that one
+// is ordered at once, as nothing runs on the broker now.
 func (r *Rollout) finish(now core.Time, b *broker, outputs []core.Output) []core.Output {
 	if b.phase == loading {
 		r.estimatorOf(b).observe(now - b.markedAt)
@@ -152,17 +124,24 @@
 	b.orderUncertain = false
 	b.failures = 0
 	b.retryAt = 0
-	outputs = append(outputs, core.LoadedVersion{InstanceID: b.instance.Id, Model: b.targetModel, Version: b.observedVersions[b.targetModel]})
+	outputs = append(outputs, core.LoadedVersion{
+		InstanceID: b.instance.Id,
+		Model:      b.targetModel,
+		Version:    b.observedVersions[b.targetModel],
+	})
 	if missing, found := r.targets.mostUrgent(b); found && b.marked {
-		b.targetModel, b.targetVersion = missing.model, missing.version
+		b.setTarget(missing)
 		b.phase = quiescing
-		b.markedAt, b.phaseDeadline = now, now
+		b.markedAt = now
+		b.phaseDeadline = now
 		return outputs
 	}
 	b.phase = idle
 	return r.unmark(now, b, outputs)
 }
 
+// brokerByCall is the broker that a call in flight is for; nil: the call's end is no longer
+// awaited.
 func (r *Rollout) brokerByCall(token uint64) *broker {
 	if token == 0 {
 		return nil
--- a/internal/node/rollout/leaseholder_test.go
+++ b/internal/node/rollout/leaseholder_test.go
@@ -17,15 +17,15 @@
 	takeoverWait   = testLease + HeadLeaseDuration + testThaw
 	testStep       = 50 * time.Millisecond
 	headSince      = 20 * time.Second // when the node of these tests becomes head
-	maxPromptDelay = time.Second      // an order that comes within that has not waited
+	maxPromptDelay = time.Second      // an order sent within it has not waited for a previous holder
 )
 
-// harness runs one machine by itself: marks are confirmed and grants committed at once.
+// harness runs one machine alone: marks are confirmed and grants committed at once.
 type harness struct {
 	now              core.Time
 	machine          *Rollout
 	situation        Situation
-	barriersComplete bool // barriers complete
+	barriersComplete bool // barriers of the head complete
 	grantsCommit     bool // submitted changes are committed
 	orders           []core.Order
 	submitted        []*nodepb.DutyChange
@@ -51,7 +51,7 @@
 	}
 }
 
-// step takes one step and does what it asks for.
+// step takes one step and carries out its outputs.
 func (d *harness) step() {
 	if d.barriersComplete {
 		d.situation.HeadLeaseStart = d.now - 10*time.Millisecond
@@ -82,7 +82,7 @@
 	}
 }
 
-// run takes steps for a time, or until there is an order more.
+// run takes steps for a time, or until one more order is sent.
 func (d *harness) run(length time.Duration) (ordered bool) {
 	before := len(d.orders)
 	for end := d.now + length; d.now < end && len(d.orders) == before; d.now += testStep {
@@ -91,7 +91,8 @@
 	return len(d.orders) > before
 }
 
-// TestFirstOrderWaitsForPreviousHolder lists what stands in the control state when a node becomes head. Source: RULES.md, ONE.
+// TestFirstOrderWaitsForPreviousHolder lists the grants that a node may find when it becomes head.
+// Source: RULES.md, ONE.
 func TestFirstOrderWaitsForPreviousHolder(t *testing.T) {
 	open := func(holder string) *nodepb.DutyChange {
 		return &nodepb.DutyChange{Duty: RoleName, Holder: holder, Fence: 6 << fenceEpochShift, Targets: []string{"i-0", "i-1"}}
@@ -111,10 +112,10 @@
 		{"nothing", nil, headSince, false},
 		{"released", released, headSince, false},
 		{"another's open grant", open(other), headSince, true},
-		{"an open grant of a former life of this machine", open(self), headSince, false},
-		{"the same, which names the broker as another's", inherited, headSince, true},
+		{"an open grant of an earlier incarnation of this machine", open(self), headSince, false},
+		{"the same, which inherited the broker from another", inherited, headSince, true},
 		{"the same, as of before this headship", open(self), headSince - time.Millisecond, true},
-		{"another's open grant that does not name the broker", elsewhere, headSince, false},
+		{"another's open grant that does not claim the broker", elsewhere, headSince, false},
 		{"the same, as of before this headship", elsewhere, headSince - time.Millisecond, true},
 		{"nothing, as of before this headship", nil, headSince - time.Millisecond, true},
 		{"released, as of before this headship", released, headSince - time.Millisecond, true},
@@ -137,8 +138,8 @@
 
 func TestNoOrderWithoutLeaseGrantOrHeadship(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		spoil func(*harness)
+		name       string
+		breakLease func(*harness)
 	}{
 		{"no barrier has completed", func(d *harness) { d.barriersComplete = false }},
 		{"the last barrier is too old", func(d *harness) {
@@ -150,7 +151,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := newHarness()
-			test.spoil(d)
+			test.breakLease(d)
 			assert.Assert(t, !d.run(15*time.Second))
 		})
 	}
@@ -197,7 +198,7 @@
 	}
 }
 
-// TestGrantIsReleasedAfterItsLastOrderExpires: whoever becomes head next need not wait after a release.
+// TestGrantIsReleasedAfterItsLastOrderExpires: the next head does not wait after a release.
 func TestGrantIsReleasedAfterItsLastOrderExpires(t *testing.T) {
 	d := newHarness()
 	assert.Assert(t, d.run(2*time.Second))
@@ -230,7 +231,7 @@
 	for _, test := range []struct {
 		name  string
 		epoch uint64
-		grant *nodepb.DutyChange // that stands by then; nil: this node's
+		grant *nodepb.DutyChange // committed by then; nil: this node's
 		waits bool
 	}{
 		{"the next epoch", 8, nil, false},
@@ -254,7 +255,8 @@
 	}
 }
 
-// TestGrantLeftOpenByPreviousHolderIsReleased: else a later head would leave its brokers alone, however long ago they were ordered.
+// TestGrantLeftOpenByPreviousHolderIsReleased: otherwise a later head would leave its brokers
+// alone, however long ago they were ordered.
 func TestGrantLeftOpenByPreviousHolderIsReleased(t *testing.T) {
 	d := newHarness()
 	d.situation.Targets = nil
@@ -283,7 +285,7 @@
 	assert.Assert(t, d.situation.Grant.Fence > first+1)
 }
 
-// TestMarkLeftByPreviousHolderIsCleared: whatever happened to the broker, it must not stay out of service.
+// TestMarkLeftByPreviousHolderIsCleared: a broker must not stay out of service, loaded or not.
 func TestMarkLeftByPreviousHolderIsCleared(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/node/rollout/rollout_test.go
+++ b/internal/node/rollout/rollout_test.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// TestHoldersNeverOverlapWithinLease changes heads while others are frozen, cut off or killed, at random moments, with lost calls and answers.
-// The rule ONE is judged with each order that arrives at a broker: see world.judge.
+// TestHoldersNeverOverlapWithinLease changes heads while others are frozen, partitioned or killed,
+// at random times, with lost calls and answers. The rule ONE is checked with each order that
+// arrives at a broker: see world.checkOneHolder.
 func TestHoldersNeverOverlapWithinLease(t *testing.T) {
 	seeds := uint64(150)
 	if testing.Short() {
@@ -62,7 +63,7 @@
 	assert.Assert(t, orders > int(seeds)*9, "only %d orders", orders)
 }
 
-// disturb makes one thing go wrong, or names a version.
+// disturb injects one fault, or names a version.
 func (w *world) disturb() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	head := w.nodes[w.head]
@@ -118,7 +119,7 @@
 	}
 }
 
-// replaceBroker ends a broker; its successor has the version that it had before.
+// replaceBroker ends a broker; its successor has the same version.
 func (w *world) replaceBroker(index int) {
 	previous := w.brokers[index]
 	previous.gone = true
@@ -131,8 +132,8 @@
 	}
 }
 
-// TestNewHeadWaitsOutPreviousHoldersOrders: brokers that the former head may have ordered are left alone for as long as the lease
-// lasts; the others are ordered at once.
+// TestNewHeadWaitsOutPreviousHoldersOrders: brokers that the previous head may have ordered are
+// left alone while its lease lasts; the others are ordered at once.
 func TestNewHeadWaitsOutPreviousHoldersOrders(t *testing.T) {
 	w := newWorld(t, 1, 3, 18)
 	w.run(6*time.Second, neverDone)
@@ -145,12 +146,13 @@
 	assert.Assert(t, len(previousClaims) > 2 && len(previousClaims) < 12, "%v", previousClaims)
 	var firstOrderAt core.Time = core.Never
 	w.run(30*time.Second, w.everywhere)
-	// The core is stable again contactMs (3 s) after the trouble; the version's bound counts from then.
+	// The core is stable again contactMs (3 s) after the fault; the version's bound counts from
+	// then.
 	assert.Assert(t, w.now <= electedAt+3*time.Second+testVersion, "%v", w.now-electedAt)
 	for _, b := range w.brokers {
 		for _, order := range b.orders {
 			if order.holder != w.nodes[1].name() {
-				assert.Assert(t, slices.Contains(previousClaims, b.id), "the former head ordered what its grant does not name")
+				assert.Assert(t, slices.Contains(previousClaims, b.id), "the previous head ordered what its grant does not claim")
 				continue
 			}
 			firstOrderAt = min(firstOrderAt, order.arrivedAt)
--- a/internal/node/rollout/schedule.go
+++ b/internal/node/rollout/schedule.go
@@ -8,18 +8,19 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// candidate is a broker that lacks a version and at which nothing is under way.
+// candidate is a ready broker that lacks a version and has nothing in progress.
 type candidate struct {
 	broker  *broker
 	missing missingVersion
 }
 
-// compareUrgency puts brokers that are silent last, as their loss is likelier than their need, and before that the earliest
-// bound first.
+// compareUrgency orders by the version's bound, the earliest first. Unresponsive brokers come last:
+// they are likely lost.
 func (c candidate) compareUrgency(other candidate) int {
-	silent, otherSilent := c.broker.instance.SilentMs > 0, other.broker.instance.SilentMs > 0
-	if silent != otherSilent {
-		if silent {
+	unresponsive := c.broker.instance.SilentMs > 0
+	otherUnresponsive := other.broker.instance.SilentMs > 0
+	if unresponsive != otherUnresponsive {
+		if unresponsive {
 			return 1
 		}
 		return -1
@@ -27,109 +28,123 @@
 	return cmp.Compare(c.missing.knownAt, other.missing.knownAt)
 }
 
-// pendingCandidates lists the brokers that lack a version and at which nothing is under way, the most urgent first.
+// pendingCandidates lists the candidates, the most urgent first.
 func (r *Rollout) pendingCandidates() []candidate {
-	var list []candidate
+	var pending []candidate
 	for _, b := range r.brokers {
 		if b.inProgress() || b.instance.State != nodepb.InstanceState_READY {
 			continue
 		}
 		if missing, found := r.targets.mostUrgent(b); found {
-			list = append(list, candidate{broker: b, missing: missing})
+			pending = append(pending, candidate{broker: b, missing: missing})
 		}
 	}
-	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(a.compareUrgency(b), compareHash(a.broker, b.broker))
+	slices.SortFunc(pending, func(a, b candidate) int {
+		return cmp.Or(a.compareUrgency(b), compareSortKey(a.broker, b.broker))
 	})
-	return list
+	return pending
 }
 
-// startPending claims as many of the pending brokers as the pace of their services allows to be out of service.
+// startPending claims as many of the candidates as the concurrency limits of their services allow.
 func (r *Rollout) startPending(now core.Time, s *Situation, pending []candidate) {
-	pending = slices.DeleteFunc(slices.Clone(pending), func(c candidate) bool { return r.leaseHolder.blockedByPrevious(now, c.broker.instance.Id) })
-	if len(pending) == 0 || !r.leaseHolder.headLeaseValid(now, s) {
+	startable := slices.DeleteFunc(slices.Clone(pending), func(c candidate) bool {
+		return r.leaseHolder.previous.blocks(now, c.broker.instance.Id)
+	})
+	if len(startable) == 0 || !r.leaseHolder.headLeaseValid(now, s) {
 		return
 	}
-	services := r.progressByService(pending)
-	for len(pending) > 0 {
-		next := r.nextCandidate(now, services, pending)
+	services := r.progressByService(startable)
+	for len(startable) > 0 {
+		next := r.nextCandidate(now, services, startable)
 		if next < 0 {
 			return
 		}
-		chosen := pending[next]
-		pending = slices.Delete(pending, next, next+1)
-		services[chosen.broker.instance.Service].start(chosen.broker)
+		chosen := startable[next]
+		startable = slices.Delete(startable, next, next+1)
+		services[chosen.broker.instance.Service].addInProgress(chosen.broker)
 		r.claim(now, chosen.broker, chosen.missing)
 	}
 }
 
-// serviceProgress is how a service stands in a campaign.
+// serviceProgress is how far the rollout is at the brokers of one service.
 type serviceProgress struct {
-	brokers          int            // ready
-	inProgress       int            // out of service for the duty
-	lacking          int            // that lack a version, the busy ones included
-	knownAt          core.Time      // the earliest bound of a pending broker counts from here
-	inProgressByZone map[string]int // busy ones by zone
+	brokers          int            // ready ones
+	inProgress       int            // those of them at which the rollout is in progress
+	lacking          int            // those that lack a version, with those in progress
+	knownAt          core.Time      // the earliest bound of a candidate counts from here
+	inProgressByZone map[string]int // by zone
 }
 
-func (c *serviceProgress) start(b *broker) {
-	c.inProgress++
-	c.inProgressByZone[b.instance.Zone]++
+func (p *serviceProgress) addInProgress(b *broker) {
+	p.inProgress++
+	p.inProgressByZone[b.instance.Zone]++
 }
 
-func (r *Rollout) progressByService(pending []candidate) map[string]*serviceProgress {
+// progressByService counts the services that have candidates.
+func (r *Rollout) progressByService(candidates []candidate) map[string]*serviceProgress {
 	services := map[string]*serviceProgress{}
-	for _, c := range pending {
-		count := services[c.broker.instance.Service]
-		if count == nil {
-			count = &serviceProgress{knownAt: c.missing.knownAt, inProgressByZone: map[string]int{}}
-			services[c.broker.instance.Service] = count
+	for _, c := range candidates {
+		progress := services[c.broker.instance.Service]
+		if progress == nil {
+			progress = &serviceProgress{knownAt: c.missing.knownAt, inProgressByZone: map[string]int{}}
+			services[c.broker.instance.Service] = progress
 		}
-		count.knownAt = min(count.knownAt, c.missing.knownAt)
-		count.lacking++
+		progress.knownAt = min(progress.knownAt, c.missing.knownAt)
+		progress.lacking++
 	}
 	for _, b := range r.brokers {
-		count := services[b.instance.Service]
-		if count == nil || b.instance.State != nodepb.InstanceState_READY {
+		progress := services[b.instance.Service]
+		if progress == nil || b.instance.State != nodepb.InstanceState_READY {
 			continue
 		}
-		count.brokers++
+		progress.brokers++
 		if b.inProgress() {
-			count.lacking++
-			count.start(b)
+			progress.lacking++
+			progress.addInProgress(b)
 		}
 	}
 	return services
 }
 
-// nextCandidate is the place among the pending of the broker to start next, -1 where none may be. Among equally urgent ones the zone
-// with the fewest brokers out of service comes first, then the order of the list.
-func (r *Rollout) nextCandidate(now core.Time, services map[string]*serviceProgress, pending []candidate) int {
-	best, bestBusy := -1, 0
-	for i, c := range pending {
+// nextCandidate is the index of the candidate to start next; -1: none may start. Among equally
+// urgent ones the zone with the fewest brokers in progress comes first, then the order of the list.
+func (r *Rollout) nextCandidate(now core.Time, services map[string]*serviceProgress, candidates []candidate) int {
+	best := -1
+	bestZoneLoad := 0
+	for i, c := range candidates {
 		if c.broker.retryAt > now {
 			continue
 		}
-		count := services[c.broker.instance.Service]
-		limit := r.estimatorOf(c.broker).concurrencyLimit(now, count.brokers, count.lacking, r.options.BaseConcurrency, count.knownAt, r.options.VersionBound)
-		if count.inProgress >= limit {
+		progress := services[c.broker.instance.Service]
+		if progress.inProgress >= r.concurrencyLimit(now, c.broker, progress) {
 			continue
 		}
-		if best >= 0 && c.compareUrgency(pending[best]) > 0 {
+		if best >= 0 && c.compareUrgency(candidates[best]) > 0 {
 			break
 		}
-		if busy := count.inProgressByZone[c.broker.instance.Zone]; best < 0 || busy < bestBusy {
-			best, bestBusy = i, busy
+		zoneLoad := progress.inProgressByZone[c.broker.instance.Zone]
+		if best < 0 || zoneLoad < bestZoneLoad {
+			best, bestZoneLoad = i, zoneLoad
 		}
 	}
 	return best
 }
 
+func (r *Rollout) concurrencyLimit(now core.Time, b *broker, progress *serviceProgress) int {
+	return r.estimatorOf(b).concurrencyLimit(now, serviceLoad{
+		brokers:    progress.brokers,
+		lacking:    progress.lacking,
+		configured: r.options.BaseConcurrency,
+		knownAt:    progress.knownAt,
+		bound:      r.options.VersionBound,
+	})
+}
+
 func (r *Rollout) estimatorOf(b *broker) *durationEstimator {
-	p := r.estimators[b.instance.Service]
-	if p == nil {
-		p = &durationEstimator{}
-		r.estimators[b.instance.Service] = p
+	estimator := r.estimators[b.instance.Service]
+	if estimator == nil {
+		estimator = &durationEstimator{}
+		r.estimators[b.instance.Service] = estimator
 	}
-	return p
+	return estimator
 }
--- a/internal/node/rollout/schedule_test.go
+++ b/internal/node/rollout/schedule_test.go
@@ -11,7 +11,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// startedBrokers lists the brokers that the first steps of a campaign take out of service.
+// startedBrokers lists the brokers that the first steps of a rollout take out of service.
 func startedBrokers(d *harness) (ids []string) {
 	d.run(200 * time.Millisecond)
 	for id, fence := range d.marks {
@@ -63,7 +63,7 @@
 		{"with a newer version", func(i *nodepb.Instance) { i.Models[0].Version = 3 }, false},
 		{"without models", func(i *nodepb.Instance) { i.Models = nil }, false},
 		{"with another model", func(i *nodepb.Instance) { i.Models[0].Name = "other" }, false},
-		{"silent", func(i *nodepb.Instance) { i.SilentMs = 4000 }, false},
+		{"unresponsive", func(i *nodepb.Instance) { i.SilentMs = 4000 }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := newHarness()
@@ -73,7 +73,7 @@
 				}
 			})
 			d.machine.options.BaseConcurrency = 4
-			if test.name == "silent" {
+			if test.name == "unresponsive" {
 				d.machine.options.BaseConcurrency = 3
 			}
 			startedBrokers(d)
@@ -83,40 +83,42 @@
 	}
 }
 
-// TestConcurrencyLimit lists how many brokers may be out of service at once.
+// TestConcurrencyLimit lists how many brokers of a service may be out of service at once.
 func TestConcurrencyLimit(t *testing.T) {
 	second := time.Second
 	for _, test := range []struct {
-		name          string
-		brokers, left int
-		age, turn     time.Duration
-		limit         int
+		name             string
+		brokers, lacking int
+		age              time.Duration // since the version became known
+		duration         time.Duration // for which one broker is out of service
+		limit            int
 	}{
 		{"one broker", 1, 1, 0, second, 1},
 		{"two", 2, 2, 0, second, 1},
 		{"three", 3, 3, 0, second, 2},
 		{"a sixth", 18, 3, 0, second, 3},
-		{"as many as the time asks for", 18, 18, 0, 2 * second, 6},
+		{"as many as the time left requires", 18, 18, 0, 2 * second, 6},
 		{"late: at most half", 18, 18, 9 * second, 2 * second, 9},
 		{"late with few left", 18, 2, 9 * second, 2 * second, 4},
 		{"large", 140, 140, 0, second, 24},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := durationEstimator{mean: test.turn, fastest: test.turn}
-			known := core.Time(100 * second)
-			assert.Equal(t, p.concurrencyLimit(known+test.age, test.brokers, test.left, 0, known, 10*second), test.limit)
+			estimator := durationEstimator{mean: test.duration, fastest: test.duration}
+			knownAt := core.Time(100 * second)
+			load := serviceLoad{brokers: test.brokers, lacking: test.lacking, knownAt: knownAt, bound: 10 * second}
+			assert.Equal(t, estimator.concurrencyLimit(knownAt+test.age, load), test.limit)
 		})
 	}
 }
 
-// TestSlowLoadsDoNotRaiseConcurrency: brokers load more slowly when many do so.
+// TestSlowLoadsDoNotRaiseConcurrency: brokers load more slowly when many do so at once.
 func TestSlowLoadsDoNotRaiseConcurrency(t *testing.T) {
-	var p durationEstimator
-	p.observe(time.Second)
+	var estimator durationEstimator
+	estimator.observe(time.Second)
 	for range 50 {
-		p.observe(10 * time.Second)
+		estimator.observe(10 * time.Second)
 	}
-	assert.Equal(t, p.estimate(), 1500*time.Millisecond)
+	assert.Equal(t, estimator.estimate(), 1500*time.Millisecond)
 }
 
 func TestRejectedOrderIsRetriedAfterBackoff(t *testing.T) {
--- a/internal/node/rollout/situation.go
+++ b/internal/node/rollout/situation.go
@@ -7,21 +7,24 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// RoleName is the name of the duty in the control state.
+// RoleName is the name of the singleton role in the control state, and so part of stored data.
 const RoleName = "weights"
 
 // HeadLeaseDuration is how long after its start a completed barrier allows orders.
 const HeadLeaseDuration = time.Second
 
-// Options are the bounds of the deployment that concern the duty. Source: DEPLOY.md, "Settings of a process".
+// Options are the bounds of the deployment that concern the role. Source: DEPLOY.md, "Settings of a
+// process".
 type Options struct {
-	// Lease is `leaseMs`: within it no two holders may take turns at one broker.
+	// Lease is `leaseMs`: orders of two holders to one broker must be further apart than this.
 	Lease time.Duration
-	// ThawGrace is `thawMs`: for so long after a thaw the orders of a holder do not count.
+	// ThawGrace is `thawMs`: for so long after a frozen process runs again its orders do not count.
 	ThawGrace time.Duration
-	// VersionBound is `versionMs`: within it from its acknowledgement a version is to be everywhere.
+	// VersionBound is `versionMs`: within it from its acknowledgement a version must be loaded
+	// everywhere.
 	VersionBound time.Duration
-	// BaseConcurrency is how many brokers of a service are usually loaded at the same time; 0: by their number.
+	// BaseConcurrency is how many brokers of a service load at once while time doesn't press; 0: a
+	// share of their number.
 	BaseConcurrency int
 }
 
@@ -32,26 +35,28 @@
 	KnownAt core.Time // when this node learnt of it
 }
 
-// Situation is what the machine needs to know of the world at a step.
+// Situation is what the machine needs to know of its node at a step.
 type Situation struct {
-	// Head: this node is the head of the chain in Epoch.
+	// Head reports whether this node is the head of the chain in Epoch.
 	Head  bool
 	Epoch uint64
-	// HeadLeaseStart is when this node's latest barrier in Epoch that completed was started; 0: none has.
+	// HeadLeaseStart is when this node's latest completed barrier in Epoch was started; 0: none has
+	// completed.
 	HeadLeaseStart core.Time
 	// Targets are the newest named versions, one for each model.
 	Targets []Target
-	// Instances are the brokers known; those that are gone are ignored.
+	// Instances are the known brokers; those in state GONE are ignored.
 	Instances []*nodepb.Instance
-	// Grant is what stands in the control state for DutyName, released or not; nil: nothing.
+	// Grant is the committed grant of RoleName, released or not; nil: there is none.
 	Grant *nodepb.DutyChange
-	// GrantAsOf is the moment as of which Grant is known to be current (the age of the distributed state); 0: not known.
+	// GrantAsOf is the time as of which Grant is known to be current (from the age of the
+	// distributed state); 0: not known.
 	GrantAsOf core.Time
-	// HolderID is this machine's identity in orders, the same in all lives of its process.
+	// HolderID identifies this machine in orders and grants, the same in all its incarnations.
 	HolderID string
 }
 
-// headLeaseEnd is the moment from which no order may leave any more.
+// headLeaseEnd is the time from which no order may leave any more.
 func (s *Situation) headLeaseEnd() core.Time {
 	if s.HeadLeaseStart <= 0 {
 		return 0
@@ -59,15 +64,16 @@
 	return s.HeadLeaseStart + HeadLeaseDuration
 }
 
-// Report is a broker's answer to GET /kestrelspread/report; it is some hundred ms old. Source: PROTOCOL.md, "Requests".
+// Report is a broker's answer to GET /kestrelspread/report; it is some hundred ms old. Source:
+// PROTOCOL.md, "Requests".
 type Report struct {
 	Stage    string          `json:"stage"`
 	Models   []ReportedModel `json:"models"`
-	Busy     bool            `json:"busy"`     // an order is under way
-	Sequence uint64          `json:"sequence"` // orders taken
+	Busy     bool            `json:"busy"`     // an order is being carried out
+	Sequence uint64          `json:"sequence"` // number of orders taken
 	Queued   int             `json:"queued"`
 	Running  int             `json:"running"`
-	KVUsed   int64           `json:"kvUsed"`  // tokens that can't give way
+	KVUsed   int64           `json:"kvUsed"`  // tokens that can't be evicted
 	KVTotal  int64           `json:"kvTotal"` // tokens
 	Handles  int             `json:"handles"`
 }
@@ -79,7 +85,7 @@
 	Adapters []string `json:"adapters"`
 }
 
-// version of the model that the broker reports; 0: it does not run it.
+// version is the reported version of a model; 0: the broker does not run it.
 func (r *Report) version(model string) uint64 {
 	for i := range r.Models {
 		if r.Models[i].Name == model {
--- a/internal/node/rollout/targets.go
+++ b/internal/node/rollout/targets.go
@@ -5,19 +5,20 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// maxVersionsPerModel bounds how many versions of a model are remembered with the time they became known.
+// maxVersionsPerModel bounds how many versions of a model are remembered with the time they became
+// known.
 const maxVersionsPerModel = 32
 
-// namedVersion is a version and when it became known.
+// namedVersion is a version and when it became known here.
 type namedVersion struct {
 	version uint64
 	knownAt core.Time
 }
 
-// targets remembers the named versions of each model, oldest first. Each version has a bound of its own, counted from its
-// own acknowledgement (PROTOCOL.md, "The operator's API").
+// targets remembers the named versions of each model, oldest first. Each version has a bound of its
+// own, counted from its own acknowledgement (PROTOCOL.md, "The operator's API").
 type targets struct {
-	versions map[string][]namedVersion
+	versions map[string][]namedVersion // by model
 }
 
 func (t *targets) observe(current []Target) {
@@ -30,35 +31,37 @@
 	if t.versions == nil {
 		t.versions = map[string][]namedVersion{}
 	}
-	names := t.versions[target.Model]
-	if len(names) > 0 && names[len(names)-1].version >= target.Version {
+	versions := t.versions[target.Model]
+	if len(versions) > 0 && versions[len(versions)-1].version >= target.Version {
 		return
 	}
-	names = append(names, namedVersion{version: target.Version, knownAt: target.KnownAt})
-	if len(names) > maxVersionsPerModel {
-		names = append(names[:0], names[len(names)-maxVersionsPerModel:]...)
+	versions = append(versions, namedVersion{version: target.Version, knownAt: target.KnownAt})
+	if len(versions) > maxVersionsPerModel {
+		versions = append(versions[:0], versions[len(versions)-maxVersionsPerModel:]...)
 	}
-	t.versions[target.Model] = names
+	t.versions[target.Model] = versions
 }
 
 // newest is the newest named version of a model; 0: none was named.
 func (t *targets) newest(model string) uint64 {
-	names := t.versions[model]
-	if len(names) == 0 {
+	versions := t.versions[model]
+	if len(versions) == 0 {
 		return 0
 	}
-	return names[len(names)-1].version
+	return versions[len(versions)-1].version
 }
 
 // missingVersion is a version that a broker lacks.
 type missingVersion struct {
 	model   string
 	version uint64
-	// knownAt is when the first version above the broker's became known: its bound counts from then.
+	// knownAt is when the first version above the broker's became known: its bound counts from
+	// then.
 	knownAt core.Time
 }
 
-// mostUrgent tells what a broker lacks most urgently.
+// mostUrgent returns the version whose bound ends first among those that a broker lacks, and
+// whether it lacks any.
 func (t *targets) mostUrgent(b *broker) (missingVersion, bool) {
 	var mostUrgent missingVersion
 	found := false
--- a/internal/node/rollout/world_test.go
+++ b/internal/node/rollout/world_test.go
@@ -22,7 +22,8 @@
 	testLoadTime = 760 * time.Millisecond
 )
 
-// world is a fleet under a virtual clock: nodes that run the duty, brokers, the control state and the links between them.
+// world is a fleet under a virtual clock: nodes that run the role, brokers, the control state and
+// the links between them.
 type world struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -37,14 +38,14 @@
 	namedAt        map[uint64]core.Time
 	grant          *nodepb.DutyChange
 	history        []grantChange
-	fullSpeedLoads int // brokers that load at full speed
+	fullSpeedLoads int // how many brokers load at full speed at once
 
-	wasted int // orders that found nothing to do, or another under way
+	wasted int // orders that found the version loaded, or another order in progress
 
 	orderLoss, answerLoss float64
 }
 
-// event is something that happens later.
+// event is a scheduled action.
 type event struct {
 	dueAt core.Time
 	run   func()
@@ -62,14 +63,14 @@
 	index                  int
 	incarnation            int
 	machine                *Rollout
-	epoch                  uint64 // newest it knows of
+	epoch                  uint64 // newest known to it
 	head                   bool
 	headLeaseStart         core.Time
 	grantAsOf              core.Time
 	frozen                 bool
-	partitioned            bool     // off from the other nodes, not from the brokers
-	deferredWhileFrozen    []func() // what came while it was frozen
-	missedWhilePartitioned []func() // what came while it was cut off
+	partitioned            bool     // from the other nodes, not from the brokers
+	deferredWhileFrozen    []func() // actions that came due while it was frozen
+	missedWhilePartitioned []func() // messages that came while it was partitioned
 	stateLag               time.Duration
 	namedAt                map[uint64]core.Time
 }
@@ -104,12 +105,13 @@
 
 func (n *testNode) name() string { return fmt.Sprintf("node-%d", n.index) }
 
-// later has something happen after a delay.
+// later schedules an action.
 func (w *world) later(delay time.Duration, do func()) {
 	w.events = append(w.events, event{dueAt: w.now + delay, run: do})
 }
 
-// at a node, once it is not frozen; nothing where its process has ended meanwhile.
+// later schedules an action at a node: deferred while the node is frozen, dropped if its process
+// has ended meanwhile.
 func (n *testNode) later(delay time.Duration, do func()) {
 	incarnation := n.incarnation
 	n.world.later(delay, func() {
@@ -124,7 +126,8 @@
 	})
 }
 
-// receive of something from another node: lost while this one is cut off, and made up for when it is not any more.
+// receive schedules the arrival of a message from another node: deferred while this one is
+// partitioned.
 func (n *testNode) receive(delay time.Duration, do func()) {
 	n.later(delay, func() {
 		if n.partitioned {
@@ -139,7 +142,7 @@
 	return time.Duration(1+w.random.IntN(15)) * time.Millisecond
 }
 
-// nameVersion a new version of the weights.
+// nameVersion names a new version of the weights.
 func (w *world) nameVersion(version uint64) {
 	w.target = version
 	w.namedAt[version] = w.now
@@ -151,7 +154,8 @@
 	}
 }
 
-// elect makes a node the head of the next epoch; the former head learns of it only if it is in reach, after a while.
+// elect makes a node the head of the next epoch; the previous head learns of it only if it is
+// reachable, after a while.
 func (w *world) elect(index int) {
 	w.epoch++
 	w.head = index
@@ -168,7 +172,7 @@
 	}
 }
 
-// barriers lets the head confirm its lease, and all nodes hear of the control state.
+// barriers renews the lease of the head, and confirms the control state to all nodes.
 func (w *world) barriers() {
 	for _, n := range w.nodes {
 		if n.frozen || n.partitioned {
@@ -296,7 +300,7 @@
 	return nil
 }
 
-// write is the shell's: the lease is checked once more, then the order goes to the broker.
+// write is the shell: the lease is checked once more, then the order is sent to the broker.
 func (n *testNode) write(order core.Order) {
 	w := n.world
 	if w.now >= order.ValidUntil {
@@ -342,7 +346,7 @@
 	})
 }
 
-// run lets the world go on for a time, or until done reports true.
+// run advances the world for a time, or until done reports true.
 func (w *world) run(length time.Duration, done func() bool) {
 	end := w.now + length
 	for w.now < end && !done() {
@@ -397,7 +401,7 @@
 	n.step()
 }
 
-// restart a node: it knows nothing but what the control state holds.
+// restart starts a node anew: it knows nothing but the control state.
 func (w *world) restart(n *testNode) {
 	w.startNode(n)
 	for version := range w.namedAt {
--- a/internal/rig/faultrun/planted_test.go
+++ b/internal/rig/faultrun/planted_test.go
@@ -124,7 +124,7 @@
 	{point: 5, name: "a connection is kept after a surplus answer", file: "forward/upstream/answer.go",
 		old: "if !a.whole || a.mustHang || conn.doubtful {", new: "if !a.whole || a.mustHang {", test: "forward"},
 	{point: 5, name: "an order is sent after its lease", file: "rollout/leaseholder.go",
-		old: "	return !h.previousKnown || now < h.previousLeaseEnd && (h.previousClaimsAll || h.previousClaims[id])\n", new: "	return false\n", test: "rollout"},
+		old: "	return !p.known || now < p.leaseEnd && (p.allClaimed || p.claims[id])\n", new: "	return false\n", test: "rollout"},
 }
 
 // TestPlantedDefects takes out each guard and holds that its test, or the fault runs, find it.
