--- a/internal/node/rollout/advance.go
+++ b/internal/node/rollout/advance.go
@@ -121,7 +121,7 @@
 		b.phase = verifying
 		return r.requestReport(now, b, outputs)
 	}
-	missing, found := r.targets.mostUrgent(b)
+	missing, found := r.targets.earliestMissing(b)
 	if !found {
 		b.phase = idle
 		return r.unmark(now, b, outputs)
--- a/internal/node/rollout/inputs.go
+++ b/internal/node/rollout/inputs.go
@@ -129,7 +129,7 @@
 		Model:      b.targetModel,
 		Version:    b.observedVersions[b.targetModel],
 	})
-	if missing, found := r.targets.mostUrgent(b); found && b.marked {
+	if missing, found := r.targets.earliestMissing(b); found && b.marked {
 		b.setTarget(missing)
 		b.phase = quiescing
 		b.markedAt = now
--- a/internal/node/rollout/rollout_test.go
+++ b/internal/node/rollout/rollout_test.go
@@ -144,7 +144,7 @@
 	electedAt := w.now
 	previousClaims := slices.Clone(w.grant.Targets)
 	assert.Assert(t, len(previousClaims) > 2 && len(previousClaims) < 12, "%v", previousClaims)
-	var firstOrderAt core.Time = core.Never
+	firstOrderAt := core.Never
 	w.run(30*time.Second, w.everywhere)
 	// The core is stable again contactMs (3 s) after the fault; the version's bound counts from
 	// then.
--- a/internal/node/rollout/schedule.go
+++ b/internal/node/rollout/schedule.go
@@ -35,7 +35,7 @@
 		if b.inProgress() || b.instance.State != nodepb.InstanceState_READY {
 			continue
 		}
-		if missing, found := r.targets.mostUrgent(b); found {
+		if missing, found := r.targets.earliestMissing(b); found {
 			pending = append(pending, candidate{broker: b, missing: missing})
 		}
 	}
--- a/internal/node/rollout/targets.go
+++ b/internal/node/rollout/targets.go
@@ -60,18 +60,18 @@
 	knownAt core.Time
 }
 
-// mostUrgent returns the version whose bound ends first among those that a broker lacks, and
+// earliestMissing returns the version whose bound ends first among those that a broker lacks, and
 // whether it lacks any.
-func (t *targets) mostUrgent(b *broker) (missingVersion, bool) {
-	var mostUrgent missingVersion
+func (t *targets) earliestMissing(b *broker) (missingVersion, bool) {
+	var earliest missingVersion
 	found := false
 	for _, model := range b.instance.Models {
 		missing, isMissing := t.missing(b, model)
-		if isMissing && (!found || missing.knownAt < mostUrgent.knownAt) {
-			mostUrgent, found = missing, true
+		if isMissing && (!found || missing.knownAt < earliest.knownAt) {
+			earliest, found = missing, true
 		}
 	}
-	return mostUrgent, found
+	return earliest, found
 }
 
 func (t *targets) missing(b *broker, model *nodepb.ModelOnInstance) (missingVersion, bool) {
