--- a/cmd/kestrelctl/owner_test.go
+++ b/cmd/kestrelctl/owner_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/fleet/owner/work"
-	"kestrelspread/internal/standin/solo"
+	"kestrelspread/internal/fleet/lease/client"
+	"kestrelspread/internal/standin/singlevoter"
 )
 
 func ctl(args ...string) (string, error) {
@@ -27,15 +27,15 @@
 
 // Operators see who owns what, move a duty, take one by force; whoever has not seen the latest token is refused.
 func TestOperatorsSeeAndMoveDuties(t *testing.T) {
-	_, voters, rules := solo.Start(t, 600)
+	_, voters, rules := singlevoter.Start(t, 600)
 	at := voters[0].Addr
-	idle := func() work.Job { return still{} }
+	idle := func() client.Job { return still{} }
 	for _, name := range []string{"a.1", "b.1"} {
-		n, err := work.New(work.Options{Name: name, Voters: voters, Rules: rules, Jobs: map[string]func() work.Job{"close": idle}, Log: zerolog.Nop()})
+		n, err := client.New(client.Options{Name: name, Voters: voters, Config: rules, Jobs: map[string]func() client.Job{"close": idle}, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Go()
+		n.Start()
 		defer n.Close(time.Second)
 	}
 	type duty struct {
@@ -103,6 +103,6 @@
 
 type still struct{}
 
-func (still) Step(context.Context, *work.Grant) (time.Duration, error) {
+func (still) Step(context.Context, *client.Grant) (time.Duration, error) {
 	return 50 * time.Millisecond, nil
 }
--- a/internal/node/agent/duty.go
+++ b/internal/node/agent/duty.go
@@ -22,16 +22,16 @@
 // carryOutDuty sends what the duty asks for to brokers.
 func (a *Agent) carryOutDuty(output core.Output) {
 	switch output := output.(type) {
-	case core.Order:
+	case core.SendOrder:
 		a.orders.SendOrder(output, a.mayOrder)
-	case core.AskReport:
-		a.orders.RequestReport(output)
+	case core.FetchReport:
+		a.orders.FetchReport(output)
 	default:
 		a.log.Error("unknown output")
 	}
 }
 
 // mayOrder is asked right before an order's first byte is written.
-func (a *Agent) mayOrder(order core.Order) bool {
+func (a *Agent) mayOrder(order core.SendOrder) bool {
 	return !a.stopping.Load() && a.now() < order.ValidUntil
 }
--- a/internal/node/rollout/advance.go
+++ b/internal/node/rollout/advance.go
@@ -71,7 +71,7 @@
 	case quiescing:
 		return r.sendOrder(now, s, b, outputs)
 	case loading, verifying:
-		return r.requestReport(now, b, outputs)
+		return r.fetchReport(now, b, outputs)
 	}
 	return outputs
 }
@@ -101,7 +101,7 @@
 	b.marked = true
 	b.markedAt = now
 	b.phaseDeadline = now + markTimeout
-	return append(outputs, core.MarkLoading{InstanceID: b.instance.Id, Fence: r.leaseHolder.grantedFence})
+	return append(outputs, core.MarkLoading{InstanceID: b.instance.Id, FencingToken: r.leaseHolder.grantedFence})
 }
 
 // unmark puts a broker back into service.
@@ -119,7 +119,7 @@
 func (r *Rollout) sendOrder(now core.Time, s *Situation, b *broker, outputs []core.Output) []core.Output {
 	if b.orderUncertain {
 		b.phase = verifying
-		return r.requestReport(now, b, outputs)
+		return r.fetchReport(now, b, outputs)
 	}
 	missing, found := r.targets.earliestMissing(b)
 	if !found {
@@ -141,7 +141,7 @@
 	b.phase = ordering
 	r.startCall(now, b)
 	r.leaseHolder.lastOrderAt = now
-	return append(outputs, core.Order{
+	return append(outputs, core.SendOrder{
 		Token:      b.callToken,
 		InstanceID: b.instance.Id,
 		Address:    b.instance.Address,
@@ -150,10 +150,10 @@
 	})
 }
 
-// requestReport polls the broker's report; ReportDone takes the answer.
-func (r *Rollout) requestReport(now core.Time, b *broker, outputs []core.Output) []core.Output {
+// fetchReport polls the broker's report; ReportDone takes the answer.
+func (r *Rollout) fetchReport(now core.Time, b *broker, outputs []core.Output) []core.Output {
 	r.startCall(now, b)
-	return append(outputs, core.AskReport{Token: b.callToken, InstanceID: b.instance.Id, Address: b.instance.Address})
+	return append(outputs, core.FetchReport{Token: b.callToken, InstanceID: b.instance.Id, Address: b.instance.Address})
 }
 
 func (r *Rollout) startCall(now core.Time, b *broker) {
--- a/internal/node/rollout/brokers_test.go
+++ b/internal/node/rollout/brokers_test.go
@@ -36,7 +36,7 @@
 }
 
 // takeOrder has a broker judge an order, and returns its status. Source: PROTOCOL.md, "Requests".
-func (w *world) takeOrder(order core.Order) int {
+func (w *world) takeOrder(order core.SendOrder) int {
 	var body versionOrderBody
 	assert.NilError(w.t, json.Unmarshal(order.Body, &body))
 	assert.Equal(w.t, body.Operation, "version")
--- a/internal/node/rollout/inputs.go
+++ b/internal/node/rollout/inputs.go
@@ -124,7 +124,7 @@
 	b.orderUncertain = false
 	b.failures = 0
 	b.retryAt = 0
-	outputs = append(outputs, core.LoadedVersion{
+	outputs = append(outputs, core.VersionLoaded{
 		InstanceID: b.instance.Id,
 		Model:      b.targetModel,
 		Version:    b.observedVersions[b.targetModel],
--- a/internal/node/rollout/orders/sender.go
+++ b/internal/node/rollout/orders/sender.go
@@ -40,7 +40,7 @@
 // Options are what a Sender needs. The callbacks run on goroutines of the Sender, one of them once
 // for each call.
 type Options struct {
-	// Clock is the steady clock that core.Order.ValidUntil is compared with.
+	// Clock is the steady clock that core.SendOrder.ValidUntil is compared with.
 	Clock func() core.Time
 	// OrderDone takes the HTTP status of an order. An error of type rollout.ErrNotSent says that
 	// the broker can't have taken it; after any other error it may have.
@@ -66,22 +66,22 @@
 
 // SendOrder sends an order on a goroutine of its own; OrderDone takes the result. Right before the
 // body is written, the order must still be valid and allowed must report true; nil allows always.
-func (s *Sender) SendOrder(order core.Order, allowed func(core.Order) bool) {
+func (s *Sender) SendOrder(order core.SendOrder, allowed func(core.SendOrder) bool) {
 	go func() {
 		status, err := s.sendOrder(order, allowed)
 		s.options.OrderDone(order.Token, status, err)
 	}()
 }
 
-// RequestReport fetches a report on a goroutine of its own; ReportDone takes the result.
-func (s *Sender) RequestReport(ask core.AskReport) {
+// FetchReport fetches a report on a goroutine of its own; ReportDone takes the result.
+func (s *Sender) FetchReport(ask core.FetchReport) {
 	go func() {
 		report, err := s.fetchReport(ask)
 		s.options.ReportDone(ask.Token, report, err)
 	}()
 }
 
-func (s *Sender) sendOrder(order core.Order, allowed func(core.Order) bool) (int, error) {
+func (s *Sender) sendOrder(order core.SendOrder, allowed func(core.SendOrder) bool) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	body := &guardedBody{
@@ -106,14 +106,14 @@
 
 // orderError classifies a failed call: whose body was never read for writing was certainly not
 // sent.
-func orderError(err error, order core.Order, body *guardedBody) error {
+func orderError(err error, order core.SendOrder, body *guardedBody) error {
 	if !body.checked.Load() {
 		return rollout.ErrNotSent.Wrap(err, "send the order to broker %s", order.InstanceID)
 	}
 	return errNoResponse.Wrap(err, "send the order to broker %s", order.InstanceID)
 }
 
-func (s *Sender) fetchReport(ask core.AskReport) (*rollout.Report, error) {
+func (s *Sender) fetchReport(ask core.FetchReport) (*rollout.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	request, err := brokercall.NewRequest(ctx, http.MethodGet, ask.Address, reportPath, ask.InstanceID, nil)
