--- a/internal/node/agent/store.go
+++ b/internal/node/agent/store.go
@@ -8,11 +8,12 @@
 	"kestrelspread/internal/node/journal"
 )
 
-// diskRetry passes between two tries to open a disk, or to write to one, at the start.
-const diskRetry = 500 * time.Millisecond
+// diskRetryInterval is the backoff between two attempts to open a disk, or to write to it, at startup.
+const diskRetryInterval = 500 * time.Millisecond
 
-// openStore opens the disk of a machine that counts for the quorum in the background: a disk that hangs or refuses must
-// not keep the node from serving as a proxy. The store is attached once the disk has proved that it takes writes.
+// openStore opens the disk of a core machine in the background: a disk that hangs or fails must not
+// keep the node from serving as a proxy. The store is attached once the disk has proved that it takes
+// writes.
 func (a *Agent) openStore() {
 	if !a.settings.CountsForQuorum {
 		return
@@ -21,14 +22,14 @@
 		opened, recovered := a.openJournal()
 		for !opened.Healthy() {
 			if err := opened.Append(nil); err != nil {
-				time.Sleep(diskRetry)
+				time.Sleep(diskRetryInterval)
 			}
 		}
 		a.post(func(now core.Time) { a.attachStore(now, opened, recovered) })
 	}()
 }
 
-// openJournal opens the journal, again and again while the disk can't be read.
+// openJournal opens the journal, and retries while the disk can't be read.
 func (a *Agent) openJournal() (*journal.Journal, []core.Record) {
 	for {
 		opened, recovered, err := journal.Open(journal.Options{
@@ -37,8 +38,8 @@
 		if err == nil {
 			return opened, recovered
 		}
-		a.log.Error("journal", "error", err)
-		time.Sleep(diskRetry)
+		a.log.Error("journal: open failed", "error", err)
+		time.Sleep(diskRetryInterval)
 	}
 }
 
@@ -46,24 +47,24 @@
 func (a *Agent) attachStore(now core.Time, opened *journal.Journal, recovered []core.Record) {
 	outputs, err := a.control.AttachStore(now, opened.Identity(), recovered)
 	if err != nil {
-		a.log.Error("control state", "error", err)
+		a.log.Error("control: journal holds no readable state", "error", err)
 		return
 	}
 	a.journal = opened
-	a.writer = journal.NewWriter(opened, a.written)
-	a.carryOut(now, outputs)
+	a.writer = journal.NewWriter(opened, a.reportWrite)
+	a.execute(now, outputs)
 }
 
-// memoryShare of the memory limit may be taken by a configuration: one in memoryShare. Each node holds it several times over,
-// as text, read and encoded, for the moment of a change.
-const memoryShare = 24
+// configurationMemoryDivisor: a configuration may take one part in configurationMemoryDivisor of the
+// memory limit. During a change each node holds it several times: as text, decoded and encoded.
+const configurationMemoryDivisor = 24
 
-// configurationLimit is the size of the largest configuration that a machine like this one can hold, make durable, send and read
-// back, in bytes.
-func (a *Agent) configurationLimit() int {
+// maxConfigurationBytes returns the size of the largest configuration, in bytes, that a machine like
+// this one can hold, make durable, send and recover.
+func (a *Agent) maxConfigurationBytes() int {
 	limit := int64(config.MaxBodyBytes)
 	if memory := int64(a.settings.Limits.MemoryMB) << 20; memory > 0 {
-		limit = min(limit, memory/memoryShare)
+		limit = min(limit, memory/configurationMemoryDivisor)
 	}
 	if a.settings.CountsForQuorum {
 		limit = min(limit, journal.LargestState(int64(a.settings.Limits.DiskMB)<<20))
@@ -71,15 +72,17 @@
 	return int(limit)
 }
 
-// written reports the end of a write to the control side.
-func (a *Agent) written(token uint64, err error) {
+// reportWrite reports the completion of a journal write to the control side. The writer calls it. After
+// a failure the writer resumes only once the control side knows of it, so that no later write is taken
+// for durable before.
+func (a *Agent) reportWrite(token uint64, err error) {
 	needsCheckpoint := a.journal.NeedsCheckpoint()
 	a.post(func(now core.Time) {
 		outputs := a.control.Written(now, token, err, needsCheckpoint)
 		if err != nil {
-			a.log.Warn("journal", "error", err)
+			a.log.Warn("journal: write failed", "error", err)
 			a.writer.Resume()
 		}
-		a.carryOut(now, outputs)
+		a.execute(now, outputs)
 	})
 }
--- a/internal/node/control/planes.go
+++ b/internal/node/control/dispatch.go
@@ -5,7 +5,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// dispatch brings a message to the plane that it is for.
+// dispatch hands a message to its plane. Messages for this node's shell come back as core.MessageReassembled.
 func (n *Node) dispatch(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_Probe, *nodepb.Envelope_ProbeAck, *nodepb.Envelope_ProbeRequest, *nodepb.Envelope_MemberSync:
@@ -20,10 +20,10 @@
 	case *nodepb.Envelope_Fragment, *nodepb.Envelope_FragmentAck:
 		return n.transfers.Receive(now, from, message)
 	case *nodepb.Envelope_Relay:
-		n.receiveRelay(now, from, message.GetRelay())
+		n.handleRelay(now, from, message.GetRelay())
 		return nil
 	case *nodepb.Envelope_IndexUpdate, *nodepb.Envelope_IndexPoll, *nodepb.Envelope_LoadHints:
-		return []core.Output{core.MessageReassembled{From: from, Message: message}} // for the shell
+		return []core.Output{core.MessageReassembled{From: from, Message: message}}
 	default:
 		if n.store == nil {
 			return nil
@@ -32,8 +32,8 @@
 	}
 }
 
-// ofShell reports whether a message is for a part of the node that is not of its control side.
-func ofShell(message *nodepb.Envelope) bool {
+// belongsToShell reports whether a message is for a part of the node outside its control side.
+func belongsToShell(message *nodepb.Envelope) bool {
 	switch message.Body.(type) {
 	case *nodepb.Envelope_IndexUpdate, *nodepb.Envelope_IndexPoll, *nodepb.Envelope_LoadHints:
 		return true
@@ -42,55 +42,57 @@
 	}
 }
 
-// carryOut does what planes ask for. Outputs of one plane may be inputs of another; the rest is for the shell.
-func (n *Node) carryOut(now core.Time, outputs []core.Output) {
+// execute executes what planes ask for. An output of one plane may be an input of another; the rest
+// is emitted for the shell. Order is kept: an output is executed, with all that follows from it,
+// before the next one.
+func (n *Node) execute(now core.Time, outputs []core.Output) {
 	for _, output := range outputs {
-		n.carryOutOne(now, output)
+		n.executeOne(now, output)
 	}
 }
 
-func (n *Node) carryOutOne(now core.Time, output core.Output) {
+func (n *Node) executeOne(now core.Time, output core.Output) {
 	switch output := output.(type) {
 	case core.Send:
 		n.send(now, output)
 	case core.MessageReassembled:
-		n.received(now, output)
+		n.handleReceived(now, output)
 	case core.Reply:
-		n.replied(now, output)
+		n.handleReply(now, output)
 	case core.Committed:
-		n.carryOut(now, n.distribution.Committed(now, output.Entry))
+		n.execute(now, n.distribution.Committed(now, output.Entry))
 	case core.Installed:
-		n.carryOut(now, n.distribution.Installed(now, output.Snapshot))
+		n.execute(now, n.distribution.Installed(now, output.Snapshot))
 	case core.StateChanged:
-		n.stateChanged(now)
+		n.publishState(now)
 	case core.RequestBarrier:
 		if n.store != nil {
-			n.carryOut(now, n.store.WantConfirmation(now))
+			n.execute(now, n.store.WantConfirmation(now))
 		}
 	case core.TableChanged:
-		n.seen.brokersChanged = true
+		n.propagated.brokersChanged = true
 		n.emit(output)
 	default:
-		if !n.carryOutDuty(now, output) {
+		if !n.executeForRollout(now, output) {
 			n.emit(output)
 		}
 	}
 }
 
-// received takes a message that came in parts, or hands it to the shell.
-func (n *Node) received(now core.Time, output core.MessageReassembled) {
-	if ofShell(output.Message) {
+// handleReceived dispatches a message that arrived in fragments, or emits it for the shell.
+func (n *Node) handleReceived(now core.Time, output core.MessageReassembled) {
+	if belongsToShell(output.Message) {
 		n.emit(output)
 		return
 	}
-	n.carryOut(now, n.dispatch(now, output.From, output.Message))
+	n.execute(now, n.dispatch(now, output.From, output.Message))
 }
 
-// replied brings the control state's answer to whoever asked. A read that names an index alone is answered with the state that this
-// node holds: it is the newest.
-func (n *Node) replied(now core.Time, reply core.Reply) {
-	if n.grants[reply.Request] {
-		delete(n.grants, reply.Request)
+// handleReply hands the control state's answer to its requester: the rollout or the shell. A read
+// that is answered by an index alone gets the state held here, which is then the newest.
+func (n *Node) handleReply(now core.Time, reply core.Reply) {
+	if n.leaseCommands[reply.Request] {
+		delete(n.leaseCommands, reply.Request)
 		n.rollout.GrantDone(now, reply.Result)
 		n.stepRollout(now, true)
 		return
@@ -101,9 +103,9 @@
 	n.emit(reply)
 }
 
-// stateChanged makes the new state known to the data plane and to the duty.
-func (n *Node) stateChanged(now core.Time) {
+// publishState publishes the new state to the data plane and to the rollout.
+func (n *Node) publishState(now core.Time) {
 	n.compiled = n.state.Compile()
 	n.emit(core.StateChanged{})
-	n.noteTargets(now)
+	n.recordTargets(now)
 }
--- a/internal/node/settings/document.go
+++ b/internal/node/settings/document.go
@@ -6,7 +6,7 @@
 	"net/netip"
 )
 
-// document is the file as it is written; nil stands for a field that is missing or null.
+// document is the file as it is written; nil stands for a number that is missing or null.
 type document struct {
 	NodeName        string            `json:"nodeName"`
 	Role            string            `json:"role"`
@@ -29,12 +29,14 @@
 	Bounds          boundsDocument    `json:"bounds"`
 }
 
+// listenDocument is the `listen` of the file.
 type listenDocument struct {
 	Front     string `json:"front"`
 	Readiness string `json:"readiness"`
 	Control   string `json:"control"`
 }
 
+// limitsDocument is the `limits` of the file.
 type limitsDocument struct {
 	CPUShare *float64 `json:"cpuShare"`
 	Cores    *float64 `json:"cores"`
@@ -44,6 +46,7 @@
 	DiskMB   *float64 `json:"diskMb"`
 }
 
+// toleranceDocument is the `faultTolerance` of the file.
 type toleranceDocument struct {
 	Machines *float64 `json:"machines"`
 	Zones    *float64 `json:"zones"`
@@ -56,12 +59,12 @@
 	defaultFaultyMachines  = 1
 	defaultCPUShare        = 1
 	defaultCores           = 1
-	largestNumber          = 1e9 // in any field; 1e9 s fit a time.Duration
-	largestPort            = 65535
-	portsOfARange          = 2
+	maxNumber              = 1e9 // in any field; 1e9 s fit a time.Duration
+	maxPort                = 65535
+	portRangeLength        = 2
 	problemNegative        = "is negative"
 	problemTooLarge        = "is too large"
-	problemNotWhole        = "is not a whole number"
+	problemNotInteger      = "is not a whole number"
 	problemMissing         = "is missing"
 	problemNotAnAddress    = "is not IP:port"
 	problemNotAnIP         = "is not an IP address"
@@ -100,12 +103,13 @@
 	if settings.Region == "" {
 		settings.Region = settings.Zones[settings.Zone]
 	}
-	if check.failed != nil {
-		return nil, check.failed
+	if check.firstError != nil {
+		return nil, check.firstError
 	}
 	return settings, nil
 }
 
+// settings validates the addresses.
 func (d listenDocument) settings(check *checker) Listen {
 	return Listen{
 		Front:     check.optionalAddress("listen.front", d.Front),
@@ -114,34 +118,38 @@
 	}
 }
 
+// settings validates the limits and fills in the defaults.
 func (d limitsDocument) settings(check *checker) Limits {
 	return Limits{
 		CPUShare: check.number("limits.cpuShare", d.CPUShare, defaultCPUShare),
 		Cores:    check.number("limits.cores", d.Cores, defaultCores),
 		MemoryMB: int(check.number("limits.memoryMb", d.MemoryMB, 0)),
-		MaxFDs:   check.whole("limits.maxFds", d.MaxFDs, 0),
+		MaxFDs:   check.integer("limits.maxFds", d.MaxFDs, 0),
 		LinkMbps: check.number("limits.linkMbps", d.LinkMbps, 0),
 		DiskMB:   int(check.number("limits.diskMb", d.DiskMB, 0)),
 	}
 }
 
+// settings validates the tolerances and fills in the defaults.
 func (d toleranceDocument) settings(check *checker) FaultTolerance {
 	return FaultTolerance{
-		Machines: check.whole("faultTolerance.machines", d.Machines, defaultFaultyMachines),
-		Zones:    check.whole("faultTolerance.zones", d.Zones, 0),
-		Regions:  check.whole("faultTolerance.regions", d.Regions, 0),
+		Machines: check.integer("faultTolerance.machines", d.Machines, defaultFaultyMachines),
+		Zones:    check.integer("faultTolerance.zones", d.Zones, 0),
+		Regions:  check.integer("faultTolerance.regions", d.Regions, 0),
 	}
 }
 
-// checker reads fields and keeps the first error.
-type checker struct{ failed *fieldError }
+// checker validates fields and keeps the first error.
+type checker struct{ firstError *fieldError }
 
+// fail records an error, unless one was recorded before.
 func (c *checker) fail(path, problem string) {
-	if c.failed == nil {
-		c.failed = &fieldError{path: path, problem: problem}
+	if c.firstError == nil {
+		c.firstError = &fieldError{path: path, problem: problem}
 	}
 }
 
+// required reads a string that must not be empty.
 func (c *checker) required(path, value string) string {
 	if value == "" {
 		c.fail(path, problemMissing)
@@ -149,29 +157,30 @@
 	return value
 }
 
-// number reads a number of at least 0.
-func (c *checker) number(path string, value *float64, missing float64) float64 {
+// number reads a number from 0 to maxNumber.
+func (c *checker) number(path string, value *float64, defaultValue float64) float64 {
 	if value == nil {
-		return missing
+		return defaultValue
 	}
 	switch {
 	case *value < 0:
 		c.fail(path, problemNegative)
-	case *value > largestNumber:
+	case *value > maxNumber:
 		c.fail(path, problemTooLarge)
 	}
 	return *value
 }
 
-// whole reads a whole number of at least 0; 3.0 is one too.
-func (c *checker) whole(path string, value *float64, missing float64) int {
-	number := c.number(path, value, missing)
+// integer reads a number from 0 to maxNumber without a fraction; 3.0 is one too.
+func (c *checker) integer(path string, value *float64, defaultValue float64) int {
+	number := c.number(path, value, defaultValue)
 	if number != math.Trunc(number) {
-		c.fail(path, problemNotWhole)
+		c.fail(path, problemNotInteger)
 	}
 	return int(number)
 }
 
+// ip reads a required IP address.
 func (c *checker) ip(path, value string) string {
 	if c.required(path, value) == "" {
 		return ""
@@ -182,6 +191,7 @@
 	return value
 }
 
+// address reads an address of the form IP:port.
 func (c *checker) address(path, value string) string {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.fail(path, problemNotAnAddress)
@@ -189,6 +199,7 @@
 	return value
 }
 
+// optionalAddress reads an address of the form IP:port, or an empty string.
 func (c *checker) optionalAddress(path, value string) string {
 	if value == "" {
 		return ""
@@ -196,8 +207,9 @@
 	return c.address(path, value)
 }
 
+// portRange reads a list of the first and the last port.
 func (c *checker) portRange(path string, ports []float64) PortRange {
-	if len(ports) != portsOfARange {
+	if len(ports) != portRangeLength {
 		c.fail(path, problemNotTwoPorts)
 		return PortRange{}
 	}
@@ -209,8 +221,9 @@
 	return PortRange{First: first, Last: last}
 }
 
+// port reads a port, which is a whole number from 1 to maxPort.
 func (c *checker) port(path string, value float64) uint16 {
-	if value < 1 || value > largestPort || value != math.Trunc(value) {
+	if value < 1 || value > maxPort || value != math.Trunc(value) {
 		c.fail(path, problemNotAPort)
 		return 0
 	}
--- a/internal/rig/faultrun/planted_test.go
+++ b/internal/rig/faultrun/planted_test.go
@@ -38,7 +38,7 @@
 		old: "		s.wedged = true\n		s.persist(kindWedge", new: "		s.persist(kindWedge", test: "chain TestWedgedMemberPassesNothing"},
 	{point: 1, name: "the age of a confirmation counts from the answer", file: "distribution/poll.go",
 		old: "d.confirm(poll.sentAt - time.Duration(reply.AgeMs)*time.Millisecond)", new: "d.confirm(now)"},
-	{point: 1, name: "keys are served whatever the age of the confirmation", file: "control/lease.go",
+	{point: 1, name: "keys are served whatever the age of the confirmation", file: "control/configlease.go",
 		old: "confirmed != 0 && now-confirmed < b.Revoke-revocationMargin", new: "confirmed != 0"},
 	{point: 1, name: "a confirmation counts for a state that is not held", file: "distribution/poll.go",
 		old: "reply.Confirmed && reply.Index <= d.state.Index()", new: "reply.Confirmed", test: "distribution"},
@@ -48,8 +48,8 @@
 	{point: 1, name: "a head turns changes down by itself", file: "chain/head.go",
 		old: "		s.startBarrier(barrierStart{origin: next.origin, rejection: result, turnedDown: &next})\n",
 		new: "		s.answer(next.origin, result, nil)\n"},
-	{point: 1, name: "a configuration that was never confirmed is served for good", file: "control/lease.go",
-		old: "confirmed == 0 && now >= b.unconfirmedLimit()", new: "now < 0", test: "control TestMayServe"},
+	{point: 1, name: "a configuration that was never confirmed is served for good", file: "control/configlease.go",
+		old: "confirmed == 0 && now >= b.maxUnconfirmed()", new: "now < 0", test: "control TestMayServeNeedsConfirmedConfiguration"},
 	{point: 1, name: "no relays", file: "view/paths.go",
 		old: "len(d.relays) == 0 ||", new: "true ||", test: "chain TestEvenCutGoesOnByRelays"},
 
@@ -122,7 +122,7 @@
 	{point: 5, name: "a promise is given though the request may have run", file: "routing/router.go",
 		old: "	if req.mayHaveRun() {\n		return Decision{}\n", new: "	if false {\n		return Decision{}\n", test: "routing"},
 	{point: 5, name: "a connection is kept after a surplus answer", file: "forward/upstream/answer.go",
-		old: "if !a.whole || a.mustHang || conn.doubtful {", new: "if !a.whole || a.mustHang {", test: "forward"},
+		old: "if !a.complete || a.closeAfter || conn.desynchronized {", new: "if !a.complete || a.closeAfter {", test: "forward"},
 	{point: 5, name: "an order is sent after its lease", file: "rollout/leaseholder.go",
 		old: "	return !p.known || now < p.leaseEnd && (p.allClaimed || p.claims[id])\n", new: "	return false\n", test: "rollout"},
 }
