--- a/internal/node/agent/dataplane.go
+++ b/internal/node/agent/dataplane.go
@@ -104,4 +104,4 @@
 }
 
 // fetchSnapshot returns the configuration, as JSON, of a control state that was read through the chain.
-func fetchSnapshot(snapshot []byte) ([]byte, error) { return config.FetchSnapshot(snapshot) }
+func fetchSnapshot(snapshot []byte) ([]byte, error) { return config.FetchFromSnapshot(snapshot) }
--- a/internal/node/agent/orders.go
+++ b/internal/node/agent/orders.go
@@ -10,10 +10,10 @@
 func (a *Agent) buildOrderSender() {
 	a.orders = orders.New(orders.Options{
 		Clock: a.now,
-		Ordered: func(token uint64, status int, err error) {
+		OrderDone: func(token uint64, status int, err error) {
 			a.post(func(now core.Time) { a.execute(now, a.control.OrderDone(now, token, status, err)) })
 		},
-		Reported: func(token uint64, report *rollout.Report, err error) {
+		ReportDone: func(token uint64, report *rollout.Report, err error) {
 			a.post(func(now core.Time) { a.execute(now, a.control.ReportDone(now, token, report, err)) })
 		},
 	})
@@ -23,9 +23,9 @@
 func (a *Agent) executeOrder(output core.Output) {
 	switch output := output.(type) {
 	case core.SendOrder:
-		a.orders.Order(output, a.mayOrder)
+		a.orders.SendOrder(output, a.mayOrder)
 	case core.FetchReport:
-		a.orders.AskReport(output)
+		a.orders.FetchReport(output)
 	default:
 		a.log.Error("agent: unknown output of a state machine")
 	}
--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -133,7 +133,7 @@
 		Heartbeat: options.HeartbeatInterval,
 	}, random)
 	n.rollout = rollout.New(rollout.Options{
-		Lease: options.Bounds.Lease, Thaw: options.Bounds.Thaw, Version: options.Bounds.Version,
+		Lease: options.Bounds.Lease, ThawGrace: options.Bounds.Thaw, VersionBound: options.Bounds.Version,
 	})
 	return n
 }
--- a/internal/node/control/rollout.go
+++ b/internal/node/control/rollout.go
@@ -21,7 +21,7 @@
 func (n *Node) recordTargets(now core.Time) {
 	for model, version := range n.compiled.ModelVersions {
 		if known, ok := n.targetVersions[model]; !ok || known.Version < version {
-			n.targetVersions[model] = rollout.Target{Model: model, Version: version, Known: now}
+			n.targetVersions[model] = rollout.Target{Model: model, Version: version, KnownAt: now}
 		}
 	}
 	n.stepRollout(now, true)
@@ -49,12 +49,12 @@
 func (n *Node) rolloutSituation() *rollout.Situation {
 	status := n.store.Status()
 	situation := &rollout.Situation{
-		Head:      isHead(status),
-		Epoch:     status.Epoch,
-		LeaseFrom: status.LeaseFrom,
-		Instances: n.registry.Instances(),
-		Holder:    n.self.Name,
-		Grant:     n.state.Duty(rollout.DutyName),
+		Head:           isHead(status),
+		Epoch:          status.Epoch,
+		HeadLeaseStart: status.LeaseFrom,
+		Instances:      n.registry.Instances(),
+		HolderID:       n.self.Name,
+		Grant:          n.state.Grant(rollout.RoleName),
 	}
 	// A barrier of the head's own proves the same as a confirmation: everything acknowledged before
 	// the barrier began is committed here.
