--- a/internal/node/forward/upstream/answer.go
+++ b/internal/node/forward/upstream/answer.go
@@ -11,41 +11,44 @@
 	"time"
 )
 
-// Names of headers that brokers set. Source: PROTOCOL.md, "Brokers".
+// Headers that brokers set. Source: PROTOCOL.md, "Brokers".
 const (
 	HeaderRequestID   = "X-Kestrelspread-Request-Id"
 	HeaderNotExecuted = "X-Kestrelspread-Not-Executed"
 )
 
-// maxSkippedAnswers bounds the answers that may stand before the one that is due: interim ones and surplus ones.
+// maxSkippedAnswers bounds the answers read before the one that is due: interim ones (1xx) and
+// surplus ones.
 const maxSkippedAnswers = 8
 
-// maxSkippedBytes bounds the body of a surplus answer that is read over.
+// maxSkippedBytes bounds the body of a surplus answer that is read and discarded.
 const maxSkippedBytes = 256 << 10
 
-// Answer is an answer whose head was read and found to belong to the request. Its body is read through Read.
+// Answer is an answer whose head was read and found to belong to the request. Read reads its body;
+// Done must be called at the end.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length of the body in bytes; -1 where it comes in chunks.
+	// Length of the body in bytes; -1 where it is chunked.
 	Length int64
-	// NotExecuted: the broker says that it did not run the request.
+	// NotExecuted: the broker says that it did not execute the request.
 	NotExecuted bool
 
 	conn       *Conn
 	body       io.ReadCloser
-	complete   bool
-	closeAfter bool // the connection ends with this answer
+	complete   bool // io.EOF was read, or there is no body
+	closeAfter bool // the broker closes the connection after this answer
 }
 
-// requests of which only the method matters: http.ReadResponse asks it whether a body may follow.
+// Requests of which http.ReadResponse needs only the method, to know whether a body may follow.
 var (
 	requestWithBody = &http.Request{Method: http.MethodGet}
 	requestHead     = &http.Request{Method: http.MethodHead}
 )
 
-// ReadHead reads the head of the answer to the request with the id and method given. Answers to earlier requests, which a
-// broker in trouble may send late, are read over. Errors are Garbled, Cut or TimedOut; the connection is then to be closed.
+// ReadHead reads the head of the answer to the request with the id and method given. Answers to
+// earlier requests, which a faulty broker may send late, are discarded. Errors are of type
+// InvalidAnswer, Broken or TimedOut; the connection must then be closed.
 func (c *Conn) ReadHead(method, id string) (*Answer, error) {
 	request := requestWithBody
 	if method == http.MethodHead {
@@ -73,8 +76,8 @@
 	return nil, InvalidAnswer.New("too many answers before the one that is due")
 }
 
-// belongsTo reports whether the answer is to the request with the id. A broker that turns a request away may leave the id out;
-// that is believed only where no earlier request of ours could be meant.
+// belongsTo reports whether the answer is to the request with the id. A broker that rejects a
+// request may omit the id; that is accepted only where no earlier request of ours could be meant.
 func (c *Conn) belongsTo(answer *Answer, id string) bool {
 	ids := answer.Header[HeaderRequestID]
 	if len(ids) == 1 {
@@ -83,7 +86,8 @@
 	return len(ids) == 0 && answer.NotExecuted && !c.reused && !c.desynchronized
 }
 
-// discardAnswer reads over an answer to an earlier request.
+// discardAnswer reads and discards an answer to an earlier request. The connection is not kept
+// after that.
 func (c *Conn) discardAnswer(answer *Answer) error {
 	c.pool.Counters.Surplus.Add(1)
 	c.desynchronized = true
@@ -103,6 +107,7 @@
 	return nil
 }
 
+// readAnswer reads the head of the next answer, whatever request it belongs to.
 func (c *Conn) readAnswer(request *http.Request) (*Answer, error) {
 	c.source.limited, c.source.remaining = true, c.pool.options.MaxHeadBytes
 	response, err := http.ReadResponse(c.reader, request)
@@ -129,7 +134,7 @@
 	return answer, nil
 }
 
-// headError tells bytes that are no answer from a connection that ended or a time that ran out.
+// headError tells an invalid answer from a connection that broke or a deadline that passed.
 func headError(err error) error {
 	var network interface{ Timeout() bool }
 	switch {
@@ -142,7 +147,8 @@
 	}
 }
 
-// Read reads the body. io.EOF comes only after the whole of it; a body that was cut short gives Cut.
+// Read implements io.Reader. io.EOF comes only after the complete body; a truncated one gives
+// Broken.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	if a.complete {
 		return 0, io.EOF
@@ -158,8 +164,8 @@
 	return count, readError(err)
 }
 
-// EndsNow reports whether the rest of a body in chunks is only its end, and is here already: the next Read then gives io.EOF
-// without waiting.
+// EndsNow reports whether nothing but the end of a chunked body is left, and has already arrived:
+// the next Read then returns io.EOF without waiting.
 func (a *Answer) EndsNow() bool {
 	buffered := a.conn.reader.Buffered()
 	if a.Length >= 0 || buffered < len(lastChunk) || buffered > len(lastChunk)+len("\r\n") {
@@ -169,10 +175,11 @@
 	return err == nil && bytes.HasSuffix(rest, lastChunk)
 }
 
-// lastChunk ends a body in chunks.
+// lastChunk ends a chunked body without trailers.
 var lastChunk = []byte("0\r\n\r\n")
 
-// Done gives the connection back: it is kept if the answer was whole and nothing speaks against it, else closed.
+// Done returns the connection to the pool if the answer was complete and the connection can be used
+// again; else it closes it.
 func (a *Answer) Done() {
 	conn := a.conn
 	if conn.reader.Buffered() > 0 && a.complete {
@@ -187,7 +194,8 @@
 	conn.pool.put(conn)
 }
 
-// keepAliveTime reads the timeout of Keep-Alive, in whole seconds; 0 where none is given.
+// keepAliveTime returns the timeout of Keep-Alive, which is in whole seconds; 0 where none is
+// given.
 func keepAliveTime(header http.Header) time.Duration {
 	for _, value := range header["Keep-Alive"] {
 		for parameter := range strings.SplitSeq(value, ",") {
--- a/internal/node/forward/upstream/conn.go
+++ b/internal/node/forward/upstream/conn.go
@@ -17,11 +17,12 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4 << 10
 
-// MaxJoinedBytes is the size of a body up to which it is copied behind its head, so that one plain write sends both.
+// MaxJoinedBytes is the size up to which a body is copied behind its head, so that a single write
+// sends both.
 const MaxJoinedBytes = 8 << 10
 
-// Conn is a connection to a broker, which carries one request at a time. Its methods are called by one goroutine at a time;
-// Interrupt and LimitWait may be called by others.
+// Conn is a connection to a broker, which carries one request at a time. Its methods must be called
+// by one goroutine at a time, except for Interrupt and SetWaitLimit.
 type Conn struct {
 	pool   *Pool
 	host   *host
@@ -32,10 +33,10 @@
 
 	reused         bool // carried a request before this one
 	connectTime    time.Duration
-	answersRead    int // answersRead read from it
+	answersRead    int // since it was opened
 	sentAt         time.Time
-	answersAtSend  int  // answers read from it when the last request was sent
-	desynchronized bool // not to be kept: bytes came that belong to no request
+	answersAtSend  int  // answersRead when the last request was sent
+	desynchronized bool // must not be kept: bytes arrived that belong to no request
 	keepAlive      time.Duration
 	idleSince      time.Time
 	usableUntil    time.Time
@@ -43,11 +44,12 @@
 	closed atomic.Bool
 
 	mutex           sync.Mutex
-	requestDeadline time.Time // the deadline that the owner asked for
-	waitLimit       time.Time // the bound set by LimitWait
+	requestDeadline time.Time // by SetDeadline
+	waitLimit       time.Time // by SetWaitLimit
 	appliedDeadline time.Time
 }
 
+// newConn wraps a socket that has just connected.
 func newConn(pool *Pool, h *host, socket net.Conn) (*Conn, error) {
 	raw, err := socket.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -62,8 +64,8 @@
 // Reused reports whether the connection carried a request before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// isQuiet reports whether the connection is open and holds no byte. Nothing is due on a connection at rest: what comes there
-// belongs to no request.
+// isQuiet reports whether the connection is open and has received nothing. Nothing is due on an
+// idle connection: bytes that arrive there belong to no request.
 func (c *Conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		c.pool.Counters.Surplus.Add(1)
@@ -82,9 +84,10 @@
 	return err == nil && errors.Is(failure, syscall.EAGAIN)
 }
 
-// AwaitReset waits, on a new connection, for as long as a broker that has too many of them takes to reset it: one round trip, which
-// is what connecting took. What is sent before that reset comes may have run, for all that anybody knows; after Rejected
-// nothing was sent. It is meant for requests that must not be repeated.
+// AwaitReset waits, on a new connection, for as long as a broker with too many connections takes to
+// reset it: one round trip, which connecting took too. A request that is sent before such a reset
+// arrives may have run, as far as anybody can tell; after the error Rejected nothing was sent. It
+// is meant for requests that must not be repeated.
 func (c *Conn) AwaitReset(deadline time.Time) error {
 	if c.reused {
 		return nil
@@ -103,10 +106,12 @@
 	return Rejected.Wrap(err, "new connection")
 }
 
-// maxRoundTrip bounds what Settle takes for a round trip: connecting may also take long because a packet was lost.
+// maxRoundTrip bounds what AwaitReset takes for a round trip, as connecting may also take long
+// because a packet was lost.
 const maxRoundTrip = 10 * time.Millisecond
 
-// Send writes a request once. The time bounds the writing. Where the connection took no byte, the error is Unsent.
+// Send writes a request once, until the deadline at the latest. The error is Unsent where the
+// connection took no byte of it, else SentInPart.
 func (c *Conn) Send(head, body []byte, deadline time.Time) error {
 	c.SetDeadline(deadline)
 	c.sentAt, c.answersAtSend = time.Now(), c.answersRead
@@ -120,6 +125,7 @@
 	return SentInPart.Wrap(err, "request: %d bytes left", written)
 }
 
+// write writes head and body, and returns how many bytes the connection took.
 func (c *Conn) write(head, body []byte) (int64, error) {
 	if len(body) <= MaxJoinedBytes {
 		written, err := c.socket.Write(append(head, body...))
@@ -129,8 +135,8 @@
 	return buffers.WriteTo(c.socket)
 }
 
-// Await waits until a byte has come that was not read yet. A time that runs out gives TimedOut, after which the connection
-// can be used on; silence alone is no failure.
+// Await waits until an unread byte has arrived. At the deadline it returns TimedOut, after which
+// the connection can still be used: a broker that takes long is no fault.
 func (c *Conn) Await(deadline time.Time) error {
 	if c.reader.Buffered() > 0 {
 		return nil
@@ -143,8 +149,9 @@
 	return nil
 }
 
-// observeBreak is told why nothing more comes. Where a kept connection was broken by its other end before any answer came, those
-// that have rested since before are likely to end as it did: the broker, or something between, has forgotten them.
+// observeBreak records why nothing more arrives. Where the other end broke a reused connection
+// before any answer, connections that have been idle since before are likely to be dead too: the
+// broker, or something between, has forgotten them.
 func (c *Conn) observeBreak(err error) {
 	causedHere := errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
 	if c.reused && !causedHere && c.answersRead == c.answersAtSend {
@@ -152,7 +159,7 @@
 	}
 }
 
-// SetDeadline bounds what is read and written from now on.
+// SetDeadline bounds reads and writes from now on.
 func (c *Conn) SetDeadline(deadline time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -160,10 +167,10 @@
 	c.applyDeadline()
 }
 
-// Interrupt ends all that is under way on the connection.
+// Interrupt ends reads and writes in progress by closing the socket.
 func (c *Conn) Interrupt() { c.socket.Close() }
 
-// SetWaitLimit bounds all that is under way on the connection, beside SetDeadline.
+// SetWaitLimit bounds reads and writes in addition to SetDeadline; the earlier one holds.
 func (c *Conn) SetWaitLimit(limit time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -171,7 +178,7 @@
 	c.applyDeadline()
 }
 
-// clearDeadlines forgets the bounds of one request, so that no timer of a connection at rest fires.
+// clearDeadlines removes the bounds of one request, so that no timer of an idle connection fires.
 func (c *Conn) clearDeadlines() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -179,7 +186,8 @@
 	c.applyDeadline()
 }
 
-// applyDeadline sets one deadline for both directions, which takes one timer.
+// applyDeadline sets one deadline for both directions, which needs a single timer. The mutex must
+// be held.
 func (c *Conn) applyDeadline() {
 	deadline := c.requestDeadline
 	if !c.waitLimit.IsZero() && (deadline.IsZero() || c.waitLimit.Before(deadline)) {
@@ -192,14 +200,14 @@
 	c.socket.SetDeadline(deadline) // fails only where the socket is closed, which the next read or write tells
 }
 
-// Close gives the connection up.
+// Close closes the connection and frees its place in the pool. Calls after the first do nothing.
 func (c *Conn) Close() {
 	if c.closeSocket() {
 		c.pool.release(c.host)
 	}
 }
 
-// closeSocket closes the socket, and reports whether this call did so first.
+// closeSocket closes the socket, and reports whether this call was the first to do so.
 func (c *Conn) closeSocket() bool {
 	if !c.closed.CompareAndSwap(false, true) {
 		return false
@@ -216,16 +224,17 @@
 	return Broken.Wrap(err, "answer")
 }
 
-// errHeadTooLarge says that the head of an answer is larger than any broker sends.
+// errHeadTooLarge says that the head of an answer exceeds Options.MaxHeadBytes.
 var errHeadTooLarge = errors.New("head of an answer is too large")
 
-// limitedReader reads from the socket and bounds what the head of an answer may take.
+// limitedReader reads from the socket and bounds the size of an answer's head.
 type limitedReader struct {
 	socket    net.Conn
 	limited   bool
 	remaining int
 }
 
+// Read implements io.Reader.
 func (s *limitedReader) Read(buffer []byte) (int, error) {
 	if !s.limited {
 		return s.socket.Read(buffer)
--- a/internal/node/forward/upstream/dial.go
+++ b/internal/node/forward/upstream/dial.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
-// connectTimes follows how long connections take to come up, over all brokers.
+// connectTimes estimates how long connections take to be established, over all brokers.
 type connectTimes struct {
 	mean time.Duration
-	// minWait and most bound the patience.
+	// minWait and maxWait bound the wait.
 	minWait, maxWait time.Duration
 }
 
 const (
-	// waitFactor is how many times the mean a connection may take. Far from it lies the second after which the kernel
-	// repeats an opening packet that got lost, which is as long as most aims.
+	// waitFactor is how many times the mean a request waits. That is far below the second after
+	// which the kernel repeats a lost opening packet, which is as long as most latency targets.
 	waitFactor = 8
-	// meanWeight is the weight of one connection in the mean: one in meanWeight.
+	// meanWeight: one connection has the weight 1/meanWeight in the mean.
 	meanWeight = 8
 )
 
-// waitLimit is how long a request waits for a connection to come up before another broker is tried.
+// waitLimit returns how long a request waits for a connection before another broker is tried.
 func (c *connectTimes) waitLimit() time.Duration {
 	return min(max(waitFactor*c.mean, c.minWait), c.maxWait)
 }
 
-// observe takes the time that a connection took. One that nobody waited for any more counts as the patience, so that a network which
-// has become slower is learnt of soon, and a single lost packet changes little.
+// observe records the time that a connection took. One that took longer than the wait counts as the
+// wait: a network that became slower is learnt soon, and a single lost packet changes little.
 func (c *connectTimes) observe(took time.Duration) {
 	c.mean += (min(took, c.waitLimit()) - c.mean) / meanWeight
 }
 
-// dial is a connection that is being opened for one request. Where that no longer waits for it, the connection is kept for others.
+// dial is a connection that is being opened for one request. Once that no longer waits for it, the
+// connection goes to the pool.
 type dial struct {
 	pool      *Pool
 	host      *host
 	startedAt time.Time
 	result    chan dialResult
-	decided   bool // either the request gets the result, or it no longer waits; guarded by pool.mu
+	decided   bool // the request gets the result, or no longer waits; guarded by pool.mutex
 }
 
-// dialResult is how a dial ended.
+// dialResult is the result of a dial.
 type dialResult struct {
 	conn *Conn
 	err  error
 }
 
-// open opens a connection and waits for it as long as connections usually take several times over, twice as long for each
-// earlier attempt of the request, and not beyond the time given.
+// open opens a connection, and waits for it several times as long as connections usually take,
+// twice as long for each earlier attempt of the request, but not beyond the deadline. The error is
+// of type Exhausted or ConnectFailed.
 func (p *Pool) open(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	h, err := p.reserve(target)
 	if err != nil {
@@ -63,7 +65,7 @@
 	return conn, nil
 }
 
-// connectWait is how long to wait for a connection after so many earlier attempts.
+// connectWait returns how long to wait for a connection after so many earlier attempts.
 func (p *Pool) connectWait(earlier int) time.Duration {
 	const maxDoublings = 8
 	p.mutex.Lock()
@@ -71,7 +73,8 @@
 	return min(p.connectTimes.waitLimit()<<min(earlier, maxDoublings), p.options.ConnectTimeout)
 }
 
-// run opens the connection.
+// run opens the connection. It runs on a goroutine of its own, which ends after ConnectTimeout at
+// the latest.
 func (d *dial) run(address string) {
 	ctx, cancel := context.WithDeadline(context.Background(), d.startedAt.Add(d.pool.options.ConnectTimeout))
 	defer cancel()
@@ -88,7 +91,8 @@
 	}
 }
 
-// finish counts how the dial ended. true: its request waits for the result; else the connection is kept for others.
+// finish records the result of the dial. It reports whether the request still waits for it; else
+// the connection goes to the pool.
 func (d *dial) finish(conn *Conn, err error) bool {
 	p := d.pool
 	p.mutex.Lock()
@@ -111,8 +115,8 @@
 	return false
 }
 
-// await waits for the connection. Where this process stood still in the meantime, it waits once more: the time then says
-// nothing of the broker.
+// await waits for the connection. If this process itself was not running meanwhile, it waits once
+// more: the time then says nothing about the broker.
 func (d *dial) await(ctx context.Context, wait time.Duration, deadline time.Time) (*Conn, error) {
 	limit := d.startedAt.Add(wait)
 	if deadline.Before(limit) {
@@ -139,7 +143,7 @@
 	}
 }
 
-// awaitResult waits for the connection for as long as it may take.
+// awaitResult waits for the connection for as long as the dial takes.
 func (d *dial) awaitResult(ctx context.Context) (*Conn, error) {
 	select {
 	case end := <-d.result:
@@ -149,7 +153,8 @@
 	}
 }
 
-// abandon leaves the connection to other requests, unless it has come this very moment.
+// abandon ends the wait and leaves the connection to other requests, unless it has been established
+// at this very moment.
 func (d *dial) abandon(reason error) (*Conn, error) {
 	if d.abandonIfPending() {
 		return nil, reason
@@ -158,7 +163,8 @@
 	return end.conn, end.err
 }
 
-// abandonIfPending notes that the request no longer waits. false: the result is there.
+// abandonIfPending records that the request no longer waits. It reports false where the result is
+// already there.
 func (d *dial) abandonIfPending() bool {
 	d.pool.mutex.Lock()
 	defer d.pool.mutex.Unlock()
--- a/internal/node/forward/upstream/dial_test.go
+++ b/internal/node/forward/upstream/dial_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// blockedDials makes the pool's connections wait until they are let go, and announces each.
+// blockedDials makes the pool's dials wait until release is closed or sent to, and announces each.
 type blockedDials struct {
 	started chan struct{}
 	release chan struct{}
@@ -31,7 +31,7 @@
 	return blocked
 }
 
-// TestConnectWaitFollowsConnectTimes.
+// TestConnectWaitFollowsConnectTimes of all brokers together.
 func TestConnectWaitFollowsConnectTimes(t *testing.T) {
 	const ms = time.Millisecond
 	for _, test := range []struct {
@@ -41,7 +41,7 @@
 	}{
 		{"nothing known", nil, func(p time.Duration) bool { return p == 300*ms }},
 		{"one is no measure", repeat(ms, 1), func(p time.Duration) bool { return p > 250*ms }},
-		{"fast: the least", repeat(ms, 40), func(p time.Duration) bool { return p == 60*ms }},
+		{"fast: the minimum", repeat(ms, 40), func(p time.Duration) bool { return p == 60*ms }},
 		{"other regions", repeat(20*ms, 60), func(p time.Duration) bool { return p > 150*ms && p < 170*ms }},
 		{"fast, one opening packet lost", append(repeat(ms, 40), time.Second), func(p time.Duration) bool { return p < 80*ms }},
 		{"became slow", append(repeat(ms, 40), repeat(200*ms, 20)...), func(p time.Duration) bool { return p == time.Second }},
--- a/internal/node/forward/upstream/pool.go
+++ b/internal/node/forward/upstream/pool.go
@@ -12,27 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options bound what a Pool keeps. Zero values take the defaults.
+// Options configure a Pool. Zero values take the defaults.
 type Options struct {
-	// MaxIdle bounds the connections at rest to all brokers together.
+	// MaxIdle bounds the idle connections to all brokers together.
 	MaxIdle int
-	// IdleTime is how long a connection may rest before it is closed.
+	// IdleTime is how long a connection may be idle before it is closed.
 	IdleTime time.Duration
-	// UnstatedIdleTime is how long a connection whose broker gave no Keep-Alive time may rest and be used again.
+	// UnstatedIdleTime is how long a connection whose broker gave no Keep-Alive time may be idle
+	// and still be used.
 	UnstatedIdleTime time.Duration
-	// KeepAliveMargin is how much sooner than the broker a resting connection is given up.
+	// KeepAliveMargin is how long before the broker an idle connection is closed here.
 	KeepAliveMargin time.Duration
-	// ConnectTimeout bounds the time in which a connection must come up.
+	// ConnectTimeout bounds the time in which a connection must be established.
 	ConnectTimeout time.Duration
-	// InitialConnectWait is how long a request waits for a connection to come up while nothing is known of how long that usually
-	// takes, and LeastPatience how long it waits at least.
+	// InitialConnectWait is how long a request waits for a connection while nothing is known of the
+	// usual time, and MinConnectWait how long it waits at least.
 	InitialConnectWait time.Duration
 	MinConnectWait     time.Duration
-	// ResetWait is how long Conn.Settle waits for a reset, beside a round trip.
+	// ResetWait is how long Conn.AwaitReset waits for a reset, in addition to a round trip.
 	ResetWait time.Duration
-	// SendTimeout is TCP_USER_TIMEOUT: how long sent bytes may stay without acknowledgement. Twice as long after the last byte came,
-	// a machine that does not answer the kernel's probes is taken for dead. Clients give silent streams up after two seconds, so
-	// that a longer time saves no request, and a shorter one lets another broker take up what may be repeated.
+	// SendTimeout is TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged. Twice as long
+	// after the last byte arrived, a machine that doesn't answer the kernel's probes counts as
+	// dead. Clients give up unresponsive streams after two seconds, so that a longer time saves no
+	// request, and a shorter one lets another broker take over what may be repeated.
 	SendTimeout time.Duration
 	// MaxHeadBytes bounds the head of an answer.
 	MaxHeadBytes int
@@ -52,19 +54,20 @@
 	DefaultMaxHeadBytes       = 64 << 10
 )
 
-// A dead machine says nothing: probes of the kernel detect it while an answer is awaited.
+// A dead machine sends nothing: the kernel's keep-alive probes detect it while an answer is awaited.
 const (
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 3
 )
 
-// minUnstatedIdleTime bounds from below what is learned of brokers that give no Keep-Alive time.
+// minUnstatedIdleTime is the least idle time that is learnt of a broker without Keep-Alive times.
 const minUnstatedIdleTime = 100 * time.Millisecond
 
-// sweepInterval is the shortest time between two searches for connections that have rested too long.
+// sweepInterval is the least time between two searches for expired idle connections.
 const sweepInterval = 2 * time.Second
 
+// withDefaults replaces zero values.
 func (o Options) withDefaults() Options {
 	o.MaxIdle = cmp.Or(o.MaxIdle, DefaultMaxIdle)
 	o.IdleTime = cmp.Or(o.IdleTime, DefaultIdleTime)
@@ -79,25 +82,27 @@
 	return o
 }
 
-// Target is a broker in one of its lives. An address may be given to another broker later, so connections belong to the
-// instance and not to the address.
+// Target is one incarnation of a broker. Its address may be given to another broker later, so
+// connections belong to the instance and not to the address.
 type Target struct {
 	InstanceID string
 	Address    string
-	// MaxConnections bounds the connections of this proxy to the instance, in use and at rest; 0: no bound.
+	// MaxConnections bounds the connections of this proxy to the instance, in use and idle; 0: no
+	// bound.
 	MaxConnections int
-	// EarlierAttempts counts the attempts that the request has made before this one. After each it waits longer for a connection.
+	// EarlierAttempts counts the attempts that the request has made before this one. After each it
+	// waits longer for a connection.
 	EarlierAttempts int
 }
 
-// Counters count what happened to connections.
+// Counters count events of connections since the start of the Pool.
 type Counters struct {
-	Opened   atomic.Uint64 // new connections that came up
-	Failed   atomic.Uint64 // new connections that did not
+	Opened   atomic.Uint64 // new connections that were established
+	Failed   atomic.Uint64 // new connections that were not
 	Reused   atomic.Uint64 // requests sent on a kept connection
-	Stale    atomic.Uint64 // kept connections found closed when they were to be used, or likely to be
-	Surplus  atomic.Uint64 // bytes found that belong to no request, and answers to earlier requests
-	Unframed atomic.Uint64 // answers without a length or chunks, of which nobody can tell whether they are whole
+	Stale    atomic.Uint64 // idle connections found closed when they were to be used, or likely to be
+	Surplus  atomic.Uint64 // bytes that belong to no request, and answers to earlier requests
+	Unframed atomic.Uint64 // answers without a length or chunks, of which nobody can tell whether they are complete
 }
 
 // Pool keeps connections to brokers. It is safe for concurrent use.
@@ -109,23 +114,24 @@
 	mutex          sync.Mutex
 	hosts          map[string]*host
 	idle           int
-	abandonedDials int // being opened, for no request any more
+	abandonedDials int // dials whose requests no longer wait
 	sweeping       bool
 	sweeper        *time.Timer
 	closed         bool
 	connectTimes   connectTimes
 }
 
-// host holds the connections to one instance.
+// host holds the connections to one instance. The Pool's mutex guards it.
 type host struct {
 	target Target
-	open   int     // in use and at rest
-	idle   []*Conn // the one used last stands at the end
-	// learnedIdleTime is how long connections without a Keep-Alive time have been seen to last; it falls when one was closed.
+	open   int     // in use, idle and being opened
+	idle   []*Conn // in the order of last use, the most recent at the end
+	// learnedIdleTime is how long connections without a Keep-Alive time may be idle; it falls when
+	// one was found closed.
 	learnedIdleTime time.Duration
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. Close closes it.
 func NewPool(options Options) *Pool {
 	options = options.withDefaults()
 	pool := &Pool{options: options, hosts: make(map[string]*host)}
@@ -144,6 +150,7 @@
 	return pool
 }
 
+// setSendTimeout sets TCP_USER_TIMEOUT on a socket before it connects.
 func (p *Pool) setSendTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
@@ -156,8 +163,9 @@
 	return failure
 }
 
-// Get gives a connection on which nothing is under way: the kept one that was used last, or a new one, which must come up
-// before the time given and while the context lasts.
+// Get returns a connection without a request in progress: the idle one that was used last, or a new
+// one, which must be established before the deadline and while the context lasts. The error is of
+// type Exhausted or ConnectFailed.
 func (p *Pool) Get(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	now := time.Now()
 	for {
@@ -177,8 +185,8 @@
 	return p.open(ctx, target, deadline)
 }
 
-// takeIdle takes the connection that was used last out of the pool, and says how long it has rested. Connections that have
-// rested too long are closed on the way.
+// takeIdle takes the idle connection that was used last out of the pool, and returns how long it
+// was idle. Expired connections are closed on the way.
 func (p *Pool) takeIdle(target Target, now time.Time) (*Conn, time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -204,7 +212,7 @@
 	return nil, 0
 }
 
-// learnIdleTime learns how soon a broker that gives no Keep-Alive time closes connections.
+// learnIdleTime learns how soon a broker without Keep-Alive times closes idle connections.
 func (p *Pool) learnIdleTime(conn *Conn, rested time.Duration) {
 	if conn.keepAlive > 0 {
 		return
@@ -214,7 +222,7 @@
 	conn.host.learnedIdleTime = min(conn.host.learnedIdleTime, max(rested/2, minUnstatedIdleTime))
 }
 
-// reserve counts a new connection to the instance.
+// reserve counts a new connection to the instance, within its bound.
 func (p *Pool) reserve(target Target) (*host, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -231,12 +239,14 @@
 	return h, nil
 }
 
+// release uncounts a closed connection.
 func (p *Pool) release(h *host) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.releaseLocked(h)
 }
 
+// releaseLocked is release with the mutex held. An instance without connections is forgotten.
 func (p *Pool) releaseLocked(h *host) {
 	h.open--
 	if h.open == 0 && p.hosts[h.target.InstanceID] == h {
@@ -244,13 +254,14 @@
 	}
 }
 
-// put keeps a connection for later requests.
+// put makes a connection idle, for later requests.
 func (p *Pool) put(conn *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.putLocked(conn)
 }
 
+// putLocked is put with the mutex held. A connection beyond the bounds is closed.
 func (p *Pool) putLocked(conn *Conn) {
 	now := time.Now()
 	conn.clearDeadlines()
@@ -265,7 +276,8 @@
 	p.scheduleSweep()
 }
 
-// maxIdleTime is how long a connection may rest, so that it isn't used just when its broker closes it.
+// maxIdleTime returns how long a connection may be idle, so that it isn't used just when its broker
+// closes it.
 func (p *Pool) maxIdleTime(conn *Conn) time.Duration {
 	if conn.keepAlive == 0 {
 		return min(p.options.IdleTime, conn.host.learnedIdleTime)
@@ -273,14 +285,14 @@
 	return min(p.options.IdleTime, conn.keepAlive-p.options.KeepAliveMargin)
 }
 
-// discard closes a connection that is in no list. The lock is held.
+// discard closes a connection that is in no list. The mutex must be held.
 func (p *Pool) discard(conn *Conn) {
 	if conn.closeSocket() {
 		p.releaseLocked(conn.host)
 	}
 }
 
-// closeIdle closes the first connections of those at rest. The lock is held.
+// closeIdle closes the first count idle connections of a host. The mutex must be held.
 func (p *Pool) closeIdle(h *host, count int) {
 	for _, conn := range h.idle[:count] {
 		p.discard(conn)
@@ -291,7 +303,8 @@
 	p.idle -= count
 }
 
-// closeIdleSince closes the connections to an instance that have rested since before the time given.
+// closeIdleSince closes the connections to an instance that have been idle since before the time
+// given.
 func (p *Pool) closeIdleSince(h *host, before time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -303,7 +316,8 @@
 	p.closeIdle(h, count)
 }
 
-// scheduleSweep sets the timer that closes connections at rest; it runs only while there are some. The lock is held.
+// scheduleSweep starts the timer that closes expired connections; it runs only while there are idle
+// ones. The mutex must be held.
 func (p *Pool) scheduleSweep() {
 	if p.sweeping || p.idle == 0 || p.closed {
 		return
@@ -316,6 +330,7 @@
 	p.sweeper.Reset(sweepInterval)
 }
 
+// sweep closes the expired connections of all hosts.
 func (p *Pool) sweep() {
 	now := time.Now()
 	p.mutex.Lock()
@@ -327,8 +342,8 @@
 	p.scheduleSweep()
 }
 
-// expired counts the connections at the front of the list that have rested too long. They stand in the order of their
-// last use, so that a later one with a shorter time waits for its turn in Get.
+// expired counts the expired connections at the front of the list. The list is in the order of last
+// use, so that one with a shorter time behind one with a longer time waits for Get.
 func expired(idle []*Conn, now time.Time) int {
 	for i, conn := range idle {
 		if now.Before(conn.usableUntil) {
@@ -338,7 +353,7 @@
 	return len(idle)
 }
 
-// Close closes the connections at rest; those in use are closed when they are given back.
+// Close closes the idle connections; those in use are closed when they are returned.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -351,15 +366,16 @@
 	}
 }
 
-// Connections counts connections by what they are there for.
+// Connections counts connections by their state.
 type Connections struct {
-	// Open are all that are up or being opened.
+	// Open are all that are established or being opened.
 	Open int
-	// Idle of them are at rest, and Abandoned are being opened for requests that no longer wait for them.
+	// Idle of them carry no request; Abandoned of them are being opened for requests that no longer
+	// wait.
 	Idle, Abandoned int
 }
 
-// Connections tells how many connections there are just now.
+// Connections returns the current numbers of connections.
 func (p *Pool) Connections() Connections {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/node/wireproto/link/peer.go
+++ b/internal/node/wireproto/link/peer.go
@@ -214,7 +214,8 @@
 	}
 }
 
-// closeIdle forgets the peer where it wasn't used for IdleClose, else comes again when it may be so.
+// closeIdle forgets the peer if it was unused for IdleTimeout, else checks again when that may be
+// so.
 func (p *peer) closeIdle() {
 	n := p.network
 	n.mutex.Lock()
--- a/internal/node/wireproto/reader.go
+++ b/internal/node/wireproto/reader.go
@@ -38,8 +38,9 @@
 
 // Next returns the next envelope. It shares no memory with the Reader.
 //
-// The error is io.EOF where the stream ended between two frames, else one of the types of this package, or the
-// stream's own error where that came between two frames. Where Skipped(err) holds, Next may be called again.
+// The error is io.EOF where the stream ended between two frames, the stream's own error where it
+// failed there, else one of the types of this package. Where Skippable(err) holds, Next may be
+// called again.
 func (r *Reader) Next() (*nodepb.Envelope, error) {
 	r.frameSize = 0
 	length, err := r.readHeader()
