--- a/internal/node/forward/attempt.go
+++ b/internal/node/forward/attempt.go
@@ -11,26 +11,27 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// attempt is the sending of a request to one broker, as the router asked for it.
+// attempt is one attempt to get an answer from one broker, as the router planned it.
 type attempt struct {
 	call    *call
 	planned *routing.Attempt
 	context context.Context
-	cancel  context.CancelFunc // set for copies only
-	// resumeAfter is the id of the last event that the client has; the broker is asked to go on behind it.
+	cancel  context.CancelFunc // nil unless isHedge
+	// resumeAfter is the id of the last event that the client has; the broker is asked to resume
+	// after it.
 	resumeAfter eventID
-	// isHedge: this attempt is the copy of another.
+	// isHedge: this attempt runs in parallel to another one.
 	isHedge bool
 
 	answer *upstream.Answer
 	events *eventReader
 
-	// Below: guarded by call.mu.
+	// call.mutex guards the fields below.
 	conn     *upstream.Conn
 	canceled bool
 }
 
-// newAttempt prepares an attempt.
+// newAttempt prepares an attempt and adds it to the call, so that it can be interrupted.
 func (c *call) newAttempt(planned *routing.Attempt, resumeAfter eventID) *attempt {
 	c.proxy.counters.attempts.Add(1)
 	if planned.ByPrediction {
@@ -43,7 +44,8 @@
 	return a
 }
 
-// send puts the request on a connection to the broker. nil: it is on its way.
+// send sends the request to the broker. nil: it was sent, and its answer is to be received. Every
+// other result is final, with a verdict on whether the request may have run.
 func (a *attempt) send() *attemptResult {
 	c := a.call
 	target := upstream.Target{
@@ -69,7 +71,7 @@
 			return nil
 		}
 		a.closeConn()
-		// A kept connection that took nothing has ended; another can be tried, for nothing was sent.
+		// A reused connection that took no byte is dead. Nothing was sent: try another connection.
 		if errorx.IsOfType(err, upstream.Unsent) && conn.Reused() {
 			continue
 		}
@@ -83,7 +85,8 @@
 // errNotSent says that the request must not be sent any more.
 var errNotSent = errorx.NewNamespace("forward").ApplyModifiers(errorx.TypeModifierOmitStackTrace).NewType("withheld")
 
-// awaitReset makes sure of a new connection where a reset would cost the request.
+// awaitReset waits until a new connection can't be reset any more for being one too many.
+// Idempotent requests don't need that: they are repeated.
 func (a *attempt) awaitReset(conn *upstream.Conn) error {
 	if a.call.intake.route.Idempotent() {
 		return nil
@@ -91,6 +94,7 @@
 	return conn.AwaitReset(a.call.answerDeadline())
 }
 
+// write encodes and sends the request, after a last check that it may be sent.
 func (a *attempt) write(conn *upstream.Conn) error {
 	c := a.call
 	head := takeBuffer()
@@ -104,7 +108,8 @@
 	return conn.Send(head.bytes, c.bodyBytes(), c.answerDeadline())
 }
 
-// attachConn makes the connection known to those who may interrupt the attempt. false: it was interrupted before.
+// attachConn makes the connection visible to those who may interrupt the attempt. It reports false
+// where that has happened before.
 func (a *attempt) attachConn(conn *upstream.Conn) bool {
 	a.call.mutex.Lock()
 	defer a.call.mutex.Unlock()
@@ -115,7 +120,8 @@
 	return true
 }
 
-// detachConn takes the connection out of the reach of those who may interrupt the attempt.
+// detachConn hides the connection from those who may interrupt the attempt, and returns it; nil
+// where none is attached.
 func (a *attempt) detachConn() *upstream.Conn {
 	a.call.mutex.Lock()
 	defer a.call.mutex.Unlock()
@@ -124,21 +130,22 @@
 	return conn
 }
 
-// closeConn closes the connection.
+// closeConn closes the connection, if one is attached.
 func (a *attempt) closeConn() {
 	if conn := a.detachConn(); conn != nil {
 		conn.Close()
 	}
 }
 
-// releaseConn ends the attempt's use of its connection, which is kept where the answer was whole.
+// releaseConn ends the attempt's use of its connection, which is kept if the answer was complete.
 func (a *attempt) releaseConn() {
 	if a.detachConn() != nil {
 		a.answer.Done()
 	}
 }
 
-// handleDisconnect decides what becomes of the attempt for a client that has left. The mutex of the call is held.
+// handleDisconnect ends the attempt of a client that has disconnected: a stream at once, any other
+// answer after DisconnectGrace. The mutex of the call must be held.
 func (a *attempt) handleDisconnect() {
 	if a.conn == nil {
 		return
@@ -150,7 +157,7 @@
 	a.conn.SetWaitLimit(time.Now().Add(a.call.proxy.bounds.DisconnectGrace))
 }
 
-// interrupt calls the attempt off. What was sent of it may have run.
+// interrupt cancels the attempt. What was sent of it may have run.
 func (a *attempt) interrupt() {
 	a.call.mutex.Lock()
 	a.canceled = true
@@ -163,6 +170,7 @@
 	}
 }
 
+// wasCanceled reports whether the attempt was interrupted, or its client has disconnected.
 func (a *attempt) wasCanceled() bool {
 	a.call.mutex.Lock()
 	defer a.call.mutex.Unlock()
--- a/internal/node/forward/buffer.go
+++ b/internal/node/forward/buffer.go
@@ -6,27 +6,30 @@
 	"sync"
 )
 
-// maxPooledBytes is the size up to which buffers are kept for later requests.
+// maxPooledBytes is the size up to which buffers are pooled.
 const maxPooledBytes = 128 << 10
 
-// buffer is a byte slice that is used again for later requests.
+// buffer is a byte slice that is reused for later requests.
 type buffer struct{ bytes []byte }
 
+// buffers pools buffers of all requests.
 var buffers = sync.Pool{New: func() any { return new(buffer) }}
 
+// takeBuffer returns an empty buffer from the pool.
 func takeBuffer() *buffer {
 	b := buffers.Get().(*buffer)
 	b.bytes = b.bytes[:0]
 	return b
 }
 
+// release returns the buffer, which may be nil, to the pool. Its bytes must not be used after that.
 func (b *buffer) release() {
 	if b != nil && cap(b.bytes) <= maxPooledBytes {
 		buffers.Put(b)
 	}
 }
 
-// grow makes room for that many more bytes.
+// grow provides capacity for count more bytes.
 func (b *buffer) grow(count int) {
 	if cap(b.bytes)-len(b.bytes) >= count {
 		return
@@ -36,13 +39,14 @@
 	b.bytes = larger
 }
 
-// errTooLarge says that what is read does not fit into the bound given.
+// errTooLarge says that what is read exceeds its bound.
 var errTooLarge = errors.New("larger than its bound")
 
-// minReadSize is the least room that is offered to a read of unknown length.
+// minReadSize is the least capacity that a read of unknown length is offered, in bytes.
 const minReadSize = 2 << 10
 
-// readAll reads to io.EOF, at most that many bytes; errTooLarge where there are more. A length that is known saves copying.
+// readAll reads to io.EOF, at most maxBytes: errTooLarge where there is more. length is -1 if it is
+// unknown; a known length saves copying.
 func (b *buffer) readAll(source io.Reader, length, maxBytes int64) error {
 	if length > maxBytes {
 		return errTooLarge
--- a/internal/node/forward/call.go
+++ b/internal/node/forward/call.go
@@ -13,26 +13,27 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// call is one client's request on its way through the proxy. The goroutine that serves the request owns it; attempts of a
-// race share what is below the mutex.
+// call is one client's request in the proxy. The goroutine that serves the request owns it;
+// parallel attempts share the fields below the mutex.
 type call struct {
 	proxy         *Proxy
 	writer        http.ResponseWriter
 	request       *http.Request
-	client        *clientConn // nil where another server brought the request
+	client        *clientConn // nil where the request came through another server than Serve's
 	intake        intake
 	body          *buffer
-	bufferedBytes int64 // bytes counted in proxy.buffered
+	bufferedBytes int64 // counted in proxy.buffered
 
-	// startedAt is the moment intake.received by the clock of the system, which sockets' deadlines refer to.
+	// startedAt is the time intake.received by the system's clock, to which deadlines of sockets
+	// refer.
 	startedAt time.Time
 
 	routed    bool
 	routingID routing.RequestID
 	connLimit int
-	// mayHaveRun: some attempt may have run, so nothing may be promised.
+	// mayHaveRun: some attempt may have run, so that the client can't be told to retry.
 	mayHaveRun bool
-	// fallback is a failure that a broker answered, kept while another attempt is made.
+	// fallback is a broker's own failure (5xx), kept for the client while another attempt is made.
 	fallback           *attemptResult
 	inRace             int
 	results            chan *attemptResult
@@ -40,11 +41,12 @@
 
 	mutex              sync.Mutex
 	attempts           []*attempt
-	clientDisconnected bool // the client has left
+	clientDisconnected bool
 }
 
-// accept checks the request and reads its body. It answers those that it does not take. The body comes first: what is decided
-// is then decided by the configuration in force when the whole request was here.
+// accept checks the request and reads its body. It reports false where it has answered the request
+// itself. The body is read before the request is resolved, so that the configuration in force when
+// the complete request was here decides.
 func (c *call) accept() bool {
 	if why := c.intake.checkRequest(c.request, c.framing()); why != nil {
 		return c.deny(why)
@@ -63,7 +65,7 @@
 	return c.readBody(compiled.Limits.MaxBodyBytes) && c.admit()
 }
 
-// framing gives what is known of how the request was framed.
+// framing returns the framing of the request, as far as it is known.
 func (c *call) framing() framing {
 	if c.client == nil {
 		return framing{}
@@ -71,7 +73,8 @@
 	return c.client.requestFraming
 }
 
-// admit checks the request under the configuration in force.
+// admit checks the request under the configuration in force. It reports false where it has answered
+// the request itself.
 func (c *call) admit() bool {
 	c.awaitStartup(knowsBrokers)
 	why := c.resolve()
@@ -90,18 +93,19 @@
 	return true
 }
 
-// resolve finds the request's route and tenant, or why there is none.
+// resolve finds the request's route and tenant, or why it is denied.
 func (c *call) resolve() *denial {
 	return c.intake.resolve(c.request, c.proxy.configuration(), c.proxy.match, c.proxy.options.Seed)
 }
 
-// mayServe asks whether a request with such a finding may be taken.
+// mayServe reports whether a request with such a result of resolve may be served, or denied.
 func (c *call) mayServe(why *denial) bool {
 	needsKey := why == deniedKey || why == nil && !c.intake.route.Public
 	return c.proxy.mayServe(c.now(), !needsKey)
 }
 
-// readBody reads the whole body: nothing is sent on before it is here.
+// readBody reads the complete body: nothing is forwarded before it is here. It reports false where
+// it has answered the request itself.
 func (c *call) readBody(maxBytes int64) bool {
 	if c.request.ContentLength == 0 {
 		return true
@@ -128,7 +132,8 @@
 	}
 }
 
-// reserveBuffer counts bytes of a body, unless too many are held already.
+// reserveBuffer counts bytes of a body against MaxBufferedBytes. It reports false where they exceed
+// it.
 func (c *call) reserveBuffer(count int64) bool {
 	if c.proxy.buffered.Add(count) > c.proxy.bounds.MaxBufferedBytes {
 		c.proxy.buffered.Add(-count)
@@ -138,6 +143,7 @@
 	return true
 }
 
+// reserveChunkedBody counts a body whose length was unknown before it was read.
 func (c *call) reserveChunkedBody() bool {
 	if c.request.ContentLength >= 0 || c.reserveBuffer(int64(len(c.body.bytes))) {
 		return true
@@ -145,7 +151,8 @@
 	return c.reject(c.proxy.bounds.UnreadyRetryAfter)
 }
 
-// setBodyDeadline bounds the time that a body may take by what its client will wait. A body that came with its head needs no limit.
+// setBodyDeadline bounds the time that the body may take to arrive, also by how long its client
+// waits. A body that arrived with its head needs no bound.
 func (c *call) setBodyDeadline() {
 	if c.client == nil || c.client.requestComplete {
 		return
@@ -157,12 +164,14 @@
 	c.client.SetReadDeadline(c.wallTime(c.intake.received + allowed))
 }
 
+// clearBodyDeadline removes the bound of setBodyDeadline.
 func (c *call) clearBodyDeadline() {
 	if c.client != nil && !c.client.requestComplete {
 		c.client.SetReadDeadline(time.Time{})
 	}
 }
 
+// bodyBytes returns the body; nil where there is none.
 func (c *call) bodyBytes() []byte {
 	if c.body == nil {
 		return nil
@@ -190,17 +199,20 @@
 	c.answerWithoutResult(decision.Refusal)
 }
 
-// setAnswerDeadline bounds the time that the client may take to read the answer: one that neither reads nor leaves must not hold
-// what its request holds. net/http lifts the limit after the answer.
+// setAnswerDeadline bounds the time in which the client must read the answer: one that neither
+// reads nor disconnects must not hold what its request uses. net/http removes the bound after the
+// answer.
 func (c *call) setAnswerDeadline() { c.setWriteDeadline(c.answerDeadline()) }
 
+// setWriteDeadline bounds writes to the client's connection.
 func (c *call) setWriteDeadline(until time.Time) {
 	if c.client != nil {
 		c.client.SetWriteDeadline(until)
 	}
 }
 
-// answerWithoutResult answers a request for which no attempt brought an answer.
+// answerWithoutResult answers a request for which no attempt brought an answer: with a broker's own
+// failure, or with 503 if nothing can have run, else with 502, or 504 after the deadline.
 func (c *call) answerWithoutResult(refusal *routing.Refusal) {
 	if c.clientGone() {
 		c.proxy.counters.clientDisconnected.Add(1)
@@ -219,7 +231,7 @@
 	}
 }
 
-// finish ends what is left of the request, in the usual case as well as where the answer was broken off.
+// finish releases what the request holds, also where its answer was aborted.
 func (c *call) finish() {
 	if c.stopWatchingClient != nil {
 		c.stopWatchingClient()
@@ -237,7 +249,8 @@
 	c.proxy.buffered.Add(-c.bufferedBytes)
 }
 
-// handleDisconnect is called when the client's connection has closed while its request was under way.
+// handleDisconnect is called when the client's connection has closed while its request was in
+// progress.
 func (c *call) handleDisconnect() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -247,19 +260,21 @@
 	}
 }
 
+// clientGone reports whether the client has disconnected.
 func (c *call) clientGone() bool { return c.request.Context().Err() != nil }
 
+// now returns the steady time that decisions refer to.
 func (c *call) now() core.Time { return c.proxy.options.Clock() }
 
-// wallTime turns a moment of the steady clock into one that sockets' deadlines understand.
+// wallTime converts a steady time to one for deadlines of sockets.
 func (c *call) wallTime(at core.Time) time.Time { return c.startedAt.Add(at - c.intake.received) }
 
-// answerDeadline is when the request ends whatever happens.
+// answerDeadline is when the request ends in any case.
 func (c *call) answerDeadline() time.Time {
 	return c.wallTime(c.intake.deadline + c.proxy.bounds.AnswerGrace)
 }
 
-// recordVerdict remembers whether the request may have run.
+// recordVerdict counts a verdict, and records whether the request may have run.
 func (c *call) recordVerdict(v verdict.Verdict) {
 	counters := &c.proxy.counters
 	switch v {
--- a/internal/node/forward/clientconn.go
+++ b/internal/node/forward/clientconn.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// clientConn is a client's connection as net/http reads it. It follows the framing of requests, and sets the times that a
-// client may rest or take for a head; they come from the configuration, which may change while the connection is open, and
-// so can't be given to http.Server.
+// clientConn is a client's connection as net/http reads it. It follows the framing of requests, and
+// applies the time-outs for an idle client and for a head. They come from the configuration, which
+// may change while the connection is open, and so can't be given to http.Server.
 type clientConn struct {
 	*net.TCPConn
 	timeouts func() clientTimeouts
 
 	scanner   requestScanner
-	pipelined []byte // read from the socket; belongs to requests after the one that is being read
+	pipelined []byte // read from the socket; belongs to requests after the current one
 	readErr   error
-	// requestActive: a request is with the handler, whose deadlines hold.
+	// requestActive: the handler has a request, and sets the deadlines itself.
 	requestActive bool
-	// headDeadline is when the head that has begun must be whole.
+	// headDeadline is when a head that has started to arrive must be complete.
 	headDeadline time.Time
 
-	// requestFraming is the framing of the request that is with the handler.
+	// requestFraming is the framing of the request that the handler has.
 	requestFraming framing
-	// requestComplete: the whole request had come when the handler began.
+	// requestComplete: the complete request had arrived when the handler started.
 	requestComplete bool
 }
 
-// clientTimeouts are how long a client may rest between requests, and take for the head of one.
+// clientTimeouts are how long a client may be idle between requests, and how long the head of a
+// request may take to arrive.
 type clientTimeouts struct{ idle, header time.Duration }
 
-// Read implements net.Conn. It gives bytes of one request at a time, so that the framing of the request with the handler is
-// never that of a request behind it. net/http calls it from one goroutine at a time.
+// Read implements net.Conn. It returns bytes of one request at a time, so that requestFraming is
+// never that of a later request. net/http calls it from one goroutine at a time.
 func (c *clientConn) Read(into []byte) (int, error) {
 	if len(into) == 0 {
 		return 0, nil
@@ -56,7 +57,7 @@
 	return taken, nil
 }
 
-// fetch takes bytes that were read before, or reads the socket.
+// fetch returns bytes that were read before, or reads the socket.
 func (c *clientConn) fetch(into []byte) (int, error) {
 	if len(c.pipelined) == 0 {
 		return c.TCPConn.Read(into)
@@ -66,7 +67,7 @@
 	return count, nil
 }
 
-// unread puts bytes back that belong to the requests behind the current one.
+// unread puts back bytes that belong to later requests.
 func (c *clientConn) unread(rest []byte) {
 	if len(rest) == 0 {
 		return
@@ -74,6 +75,8 @@
 	c.pipelined = append(append(make([]byte, 0, len(rest)+len(c.pipelined)), rest...), c.pipelined...)
 }
 
+// applyReadDeadline applies the time-out that holds for the next read, unless the handler has a
+// request.
 func (c *clientConn) applyReadDeadline() {
 	switch {
 	case c.requestActive || len(c.pipelined) > 0:
@@ -88,7 +91,8 @@
 	}
 }
 
-// stateChanged follows the server's states of the connection; net/http calls it between its own reads.
+// stateChanged follows the server's states of the connection. net/http calls it between its own
+// reads.
 func (c *clientConn) stateChanged(state http.ConnState) {
 	switch state {
 	case http.StateActive:
@@ -101,18 +105,21 @@
 	}
 }
 
+// clientConnKey is the context key of a request's clientConn.
 type clientConnKey struct{}
 
+// withClientConn adds the connection to the context of its requests.
 func withClientConn(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, connection)
 }
 
+// clientConnOf returns the connection of a request; nil where another server accepted it.
 func clientConnOf(ctx context.Context) *clientConn {
 	connection, _ := ctx.Value(clientConnKey{}).(*clientConn)
 	return connection
 }
 
-// clientListener wraps the connections that it accepts.
+// clientListener wraps the connections that it accepts in clientConn.
 type clientListener struct {
 	*net.TCPListener
 	timeouts func() clientTimeouts
--- a/internal/node/forward/delivery.go
+++ b/internal/node/forward/delivery.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// deliver passes an answer on to the client.
+// deliver forwards an answer to the client.
 func (c *call) deliver(result *attemptResult) {
 	defer result.release()
 	switch {
@@ -22,7 +22,7 @@
 	}
 }
 
-// deliverComplete passes on an answer that is here in full; its connection has been given back.
+// deliverComplete forwards an answer that has been read completely; its connection was released.
 func (c *call) deliverComplete(result *attemptResult) {
 	c.reportAnswered(result)
 	header := c.forwardHead(result.answer)
@@ -35,14 +35,16 @@
 	}
 }
 
+// mayHaveBody reports whether an answer with the status to the method may have a body.
 func mayHaveBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// chunkBytes is the size of the pieces in which large answers are passed on.
+// chunkBytes is the size of the chunks in which large answers are forwarded.
 const chunkBytes = 16 << 10
 
-// deliverInChunks passes on an answer piece by piece. One that breaks off breaks the client's connection off.
+// deliverInChunks forwards an answer while it arrives. One that breaks off aborts the client's
+// connection, so that it doesn't look complete.
 func (c *call) deliverInChunks(result *attemptResult) {
 	header := c.forwardHead(result.answer)
 	if result.answer.Length >= 0 {
@@ -66,7 +68,7 @@
 	c.abort()
 }
 
-// copyChunks passes on what the piece holds, and then the rest of the body through it.
+// copyChunks forwards what the chunk holds, and then the rest of the body through it.
 func (c *call) copyChunks(answer *upstream.Answer, chunk *buffer) error {
 	for {
 		if _, err := c.writer.Write(chunk.bytes); err != nil {
@@ -88,22 +90,24 @@
 	}
 }
 
-// stream is the state of an event stream on its way to the client.
+// stream is the state of an event stream that is being forwarded.
 type stream struct {
 	call  *call
 	flush func() error
-	// lastSent is the last event that the client has; it is known only where the stream may be taken up again.
+	// lastSent is the last event that the client has; it is known only while the stream is
+	// resumable.
 	lastSent  eventID
 	resumable bool
-	// gaps are those of the broker that the stream comes from now.
+	// gaps measures the gaps between events of the current broker.
 	gaps gapMeter
 }
 
 // errClient says that the client's connection failed.
 var errClient = errors.New("client's connection failed")
 
-// deliverEvents passes a stream on, event by event, and takes it up at another broker where it is cut and may be resumed.
-// The client's answer keeps the head and seal of the first broker (PROTOCOL.md, "Requests").
+// deliverEvents forwards a stream, event by event. If it breaks off and is resumable, it is resumed
+// at another broker. The client's answer keeps the head and seal of the first broker (PROTOCOL.md,
+// "Requests").
 func (c *call) deliverEvents(result *attemptResult) {
 	c.forwardHead(result.answer)
 	c.writer.WriteHeader(result.answer.Status)
@@ -122,7 +126,7 @@
 	c.abort()
 }
 
-// flusher gives what sends written bytes to the client at once.
+// flusher returns the function that sends written bytes to the client at once.
 func flusher(writer http.ResponseWriter) func() error {
 	if f, ok := writer.(interface{ FlushError() error }); ok {
 		return f.FlushError
@@ -130,7 +134,7 @@
 	return http.NewResponseController(writer).Flush
 }
 
-// forwardEvents passes events on until the stream ends. nil: its broker ended it in the proper way.
+// forwardEvents forwards events until the stream ends. nil: its broker ended it properly.
 func (s *stream) forwardEvents(result *attemptResult) error {
 	events := result.events
 	s.gaps = gapMeter{}
@@ -153,7 +157,7 @@
 	}
 }
 
-// write hands the whole events that are here to the server.
+// write forwards the complete events that have arrived, without those that the client has.
 func (s *stream) write(events *eventReader) error {
 	var fresh []byte
 	if s.resumable {
@@ -175,11 +179,12 @@
 	return nil
 }
 
-// errUnnumbered says that a run that should go on behind an event has events of which nobody can tell where they belong.
+// errUnnumbered says that a resumed stream has events without ids, of which nobody can tell whether
+// the client has them.
 var errUnnumbered = errors.New("event without an id in a resumed stream")
 
-// resume goes on with a stream that was cut at another broker, behind the last whole event that the client has. nil: it
-// can't go on.
+// resume resumes a broken stream at another broker, after the last complete event that the client
+// has. nil: it can't be resumed.
 func (s *stream) resume(broken *attemptResult, err error) *attemptResult {
 	c := s.call
 	broken.attempt.closeConn()
--- a/internal/node/forward/encode.go
+++ b/internal/node/forward/encode.go
@@ -6,7 +6,7 @@
 	"kestrelspread/internal/node/core"
 )
 
-// appendHead writes the head of the request as the broker gets it.
+// appendHead appends the head of the request to the broker.
 func (a *attempt) appendHead(head []byte, now core.Time) []byte {
 	c := a.call
 	r := c.request
@@ -25,7 +25,8 @@
 	return append(head, "\r\n"...)
 }
 
-// appendClientHeaders passes the client's headers on, except for those of one connection and those that are ours to set.
+// appendClientHeaders appends the client's headers, except for hop-by-hop ones and those that this
+// proxy sets itself. resumes: the client's Last-Event-Id is replaced as well.
 func (c *call) appendClientHeaders(head []byte, resumes bool) []byte {
 	named := connectionHeaders(c.request.Header)
 	for name, values := range c.request.Header {
@@ -39,7 +40,7 @@
 	return head
 }
 
-// appendOwnHeaders adds what this proxy says to the broker.
+// appendOwnHeaders appends the headers that this proxy sets for the broker.
 func (a *attempt) appendOwnHeaders(head []byte) []byte {
 	planned, in := a.planned, &a.call.intake
 	head = appendHeader(head, headerExpectInstance, planned.Instance.ID)
--- a/internal/node/forward/events.go
+++ b/internal/node/forward/events.go
@@ -9,57 +9,60 @@
 	"kestrelspread/internal/node/forward/upstream"
 )
 
-// eventID is the id of an event of a stream; ids rise within a stream (PROTOCOL.md, "Requests").
+// eventID is the id of an event; ids rise within a stream (PROTOCOL.md, "Requests").
 type eventID struct {
 	number int64
 	set    bool
 }
 
-// noEvent is where a stream starts.
+// noEvent is the id before the first event.
 var noEvent eventID
 
 // eventSource is the body of a stream.
 type eventSource interface {
 	io.Reader
-	// EndsNow reports whether the next Read gives io.EOF without waiting.
+	// EndsNow reports whether the next Read returns io.EOF without waiting.
 	EndsNow() bool
 }
 
-// eventReader cuts a stream into whole events. An event ends with an empty line.
+// eventReader splits a stream into complete events. An empty line ends an event.
 type eventReader struct {
 	source eventSource
-	// skipThrough: events up to this one are left out, since the client has them.
+	// skipThrough: events up to this one are skipped, since the client has them.
 	skipThrough eventID
 
 	buffer *buffer
-	// consumed bytes at the front of the buffer have been passed on; those up to whole are whole events.
+	// consumed bytes at the front of the buffer have been forwarded; bytes up to complete form
+	// complete events; bytes up to scanned have been searched for line ends.
 	consumed, complete int
 	scanned            int
-	ended              bool // the broker ended the stream in the proper way
-	// readErr is what broke the stream off behind the whole events that are here.
+	ended              bool // the broker ended the stream properly
+	// readErr broke the stream after the complete events that are buffered.
 	readErr error
 }
 
+// newEventReader returns a reader of a stream that skips events up to the one given.
 func newEventReader(source eventSource, after eventID) *eventReader {
 	return &eventReader{source: source, skipThrough: after, buffer: takeBuffer()}
 }
 
+// release returns the buffer to its pool.
 func (e *eventReader) release() {
 	e.buffer.release()
 	e.buffer = nil
 }
 
-// ready reports whether there is something to pass on: whole events, or the end.
+// ready reports whether there is something to forward: complete events, or the end.
 func (e *eventReader) ready() bool { return e.complete > e.consumed || e.ended }
 
-// errEventTooLarge says that an event is larger than any broker sends.
+// errEventTooLarge says that an event exceeds maxEventBytes.
 var errEventTooLarge = upstream.InvalidAnswer.New("event of a stream is too large")
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// fill reads once. At the proper end of the stream what is left counts as an event. An error comes only after the whole
-// events before it have been passed on.
+// fill reads once. At the proper end of the stream the rest counts as an event. An error is
+// returned only after the complete events before it have been taken.
 func (e *eventReader) fill() error {
 	if e.readErr != nil {
 		return e.readErr
@@ -88,7 +91,7 @@
 	return err
 }
 
-// compact moves what is left to the front of the buffer.
+// compact moves the bytes that were not consumed to the front of the buffer.
 func (e *eventReader) compact() {
 	if e.consumed == 0 {
 		return
@@ -100,7 +103,7 @@
 	e.consumed = 0
 }
 
-// scan finds the ends of events in the bytes that are new.
+// scan searches the new bytes for ends of events.
 func (e *eventReader) scan() {
 	data := e.buffer.bytes
 	for {
@@ -116,29 +119,30 @@
 	}
 }
 
-// endsEmptyLine reports whether the line that ends at the position, and starts where scanning stands, is empty.
+// endsEmptyLine reports whether the line from scanned to end is empty.
 func (e *eventReader) endsEmptyLine(end int) bool {
 	line := e.buffer.bytes[e.scanned:end]
 	return len(line) == 0 || len(line) == 1 && line[0] == '\r'
 }
 
-// takeEvents gives the whole events that have not been passed on. The bytes hold until the next fill.
+// takeEvents returns the complete events that were not consumed. The bytes are valid until the next
+// fill.
 func (e *eventReader) takeEvents() []byte {
 	events := e.buffer.bytes[e.consumed:e.complete]
 	e.consumed = e.complete
 	return events
 }
 
-// numberedEvents is what takeNumbered found.
+// numberedEvents is the result of takeEventsAfter.
 type numberedEvents struct {
 	events []byte
 	lastID eventID
-	// hasUnnumbered: some event has no id, so that nobody can go on behind it.
+	// hasUnnumbered: some event with data has no id, so that the stream can't be resumed after it.
 	hasUnnumbered bool
 }
 
-// takeEventsAfter gives the whole events that have not been passed on, and the id of the last of them. Where the client has
-// events of another run, those up to its last are left out.
+// takeEventsAfter returns the complete events that were not consumed, and the id of the last of
+// them. In a resumed stream, events up to the last one that the client has are left out.
 func (e *eventReader) takeEventsAfter(last eventID) numberedEvents {
 	events := e.takeEvents()
 	found := numberedEvents{events: events[:0], lastID: last}
@@ -158,7 +162,7 @@
 	return found
 }
 
-// splitEvent gives the first event and the rest.
+// splitEvent returns the first event and the rest.
 func splitEvent(events []byte) (event, rest []byte) {
 	start := 0
 	for {
@@ -174,7 +178,7 @@
 	}
 }
 
-// parseEventID reads the id of an event, and whether it has data at all: comments have neither.
+// parseEventID reads the id of an event, and whether it has data: comments have neither.
 func parseEventID(event []byte) (id eventID, hasData bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
--- a/internal/node/forward/framing.go
+++ b/internal/node/forward/framing.go
@@ -5,17 +5,18 @@
 	"errors"
 )
 
-// framing says how one request of a client was framed.
+// framing describes how one request of a client was framed.
 type framing struct {
-	// malformed: nobody can be sure where the request ends, so that another request could be smuggled inside it.
+	// malformed: it is ambiguous where the request ends, so that another request could be smuggled
+	// inside it.
 	malformed bool
 	headBytes int
 }
 
-// errChunks says that a body in chunks breaks the grammar of chunks.
+// errChunks says that a chunked body violates the grammar of chunks.
 var errChunks = errors.New("malformed chunk")
 
-// scanState is where a requestScanner stands.
+// scanState is what a requestScanner expects next.
 type scanState uint8
 
 const (
@@ -25,33 +26,35 @@
 	scanChunkData
 	scanChunkEnd
 	scanTrailer
-	// scanRejected: what follows a malformed head is not looked at.
+	// scanRejected: what follows a malformed head is not parsed.
 	scanRejected
 )
 
-// requestScanner follows the requests on a client's connection byte by byte. net/http parses them; the scanner sees what
-// net/http forgives and an intermediary must not (RFC 9112, sections 5.2, 6.1, 6.3 and 7.1): folded lines, lines that end in
-// a bare LF, a length beside chunks, a length given twice.
+// requestScanner follows the requests on a client's connection byte by byte. net/http parses them;
+// the scanner detects what net/http tolerates and an intermediary must not (RFC 9112, sections 5.2,
+// 6.1, 6.3 and 7.1): folded lines, lines that end in a bare LF, a length beside chunks, a length
+// given twice.
 type requestScanner struct {
 	state   scanState
 	current framing
-	started bool // some byte of the request has come
+	started bool // a byte of the request has arrived
 
-	line      []byte // the start of a line that hasn't come whole
-	headLines int    // of the head
+	line      []byte // the start of a line whose end hasn't arrived
+	headLines int
 	hasLength bool
 	length    int64
 	hasChunks bool
 	bodyLeft  int64
 }
 
-// maxLineBytes bounds a line that comes in several reads; net/http bounds heads as a whole.
+// maxLineBytes bounds a line that arrives in several reads; net/http bounds the complete head.
 const maxLineBytes = 1 << 20
 
-// maxChunkLineBytes bounds the line that gives the size of a chunk.
+// maxChunkLineBytes bounds the line with the size of a chunk.
 const maxChunkLineBytes = 256
 
-// scan looks at the next bytes. It stops at the end of a request: taken says how many of the bytes belong to it.
+// scan parses the next bytes. It stops at the end of a request: taken is how many of the bytes
+// belong to it.
 func (s *requestScanner) scan(data []byte) (taken int, err error) {
 	for taken < len(data) {
 		rest := data[taken:]
@@ -80,10 +83,10 @@
 	return taken, nil
 }
 
-// betweenRequests reports whether the connection rests between two requests.
+// betweenRequests reports whether no byte of the next request has arrived.
 func (s *requestScanner) betweenRequests() bool { return s.state == scanHead && !s.started }
 
-// endData ends a body with a length, which ends the request, or the data of a chunk.
+// endData ends the data of a chunk, or a body with a length, which ends the request.
 func (s *requestScanner) endData() (requestEnds bool) {
 	if s.state == scanChunkData {
 		s.state = scanChunkEnd
@@ -93,12 +96,13 @@
 	return true
 }
 
-// startNext begins the next request.
+// startNext starts the next request.
 func (s *requestScanner) startNext() {
 	*s = requestScanner{current: s.current, line: s.line[:0]}
 }
 
-// nextLine gives the next line with its end.
+// nextLine returns the next line with its end, and how many bytes of data it took. complete is
+// false where the end has not arrived.
 func (s *requestScanner) nextLine(data []byte) (line []byte, taken int, complete bool) {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
@@ -117,6 +121,7 @@
 	return line, taken, true
 }
 
+// checkPartialLine bounds a line whose end has not arrived.
 func (s *requestScanner) checkPartialLine() error {
 	if s.state == scanChunkSize && len(s.line) > maxChunkLineBytes || len(s.line) > maxLineBytes {
 		return errChunks
@@ -124,7 +129,7 @@
 	return nil
 }
 
-// markStarted notes that the head of a request has begun.
+// markStarted records that the head of a request has started to arrive.
 func (s *requestScanner) markStarted() {
 	if !s.started {
 		s.started = true
@@ -132,6 +137,7 @@
 	}
 }
 
+// parseLine parses a complete line outside of bodies.
 func (s *requestScanner) parseLine(line []byte) (requestEnds bool, err error) {
 	content, crlf := bytes.CutSuffix(line, []byte("\r\n"))
 	switch s.state {
@@ -157,6 +163,7 @@
 	}
 }
 
+// parseHeadLine parses a line of the head.
 func (s *requestScanner) parseHeadLine(content []byte, crlf bool, size int) (requestEnds bool) {
 	s.markStarted()
 	s.current.headBytes += size
@@ -181,7 +188,7 @@
 	return false
 }
 
-// parseField looks at a header line for what frames the body.
+// parseField parses a header line, of which only those that frame the body matter.
 func (s *requestScanner) parseField(line []byte) {
 	const (
 		lengthName = "Content-Length"
@@ -201,6 +208,7 @@
 	}
 }
 
+// parseLength parses the value of Content-Length.
 func (s *requestScanner) parseLength(text []byte) {
 	const maxDigits = 18
 	if s.hasLength || len(text) == 0 || len(text) > maxDigits {
@@ -217,6 +225,7 @@
 	}
 }
 
+// endHead decides at the end of the head what follows.
 func (s *requestScanner) endHead() (requestEnds bool) {
 	if s.hasLength && s.hasChunks {
 		s.current.malformed = true
@@ -238,7 +247,8 @@
 	}
 }
 
-// parseChunkSize reads the line before a chunk's data: the size in hex, perhaps extensions after a semicolon.
+// parseChunkSize parses the line before a chunk's data: the size in hex, and extensions after a
+// semicolon.
 func (s *requestScanner) parseChunkSize(content []byte, crlf bool) error {
 	const maxDigits = 15
 	if !crlf || len(content) > maxChunkLineBytes {
@@ -265,6 +275,7 @@
 	return nil
 }
 
+// hexValue returns the value of a hex digit.
 func hexValue(digit byte) (int64, bool) {
 	switch {
 	case '0' <= digit && digit <= '9':
--- a/internal/node/forward/headers.go
+++ b/internal/node/forward/headers.go
@@ -32,7 +32,7 @@
 	headerRetryAfter     = "Retry-After"
 )
 
-// isHopByHop reports whether a header concerns one connection only (PROTOCOL.md, "Requests").
+// isHopByHop reports whether a header concerns a single connection (PROTOCOL.md, "Requests").
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade":
@@ -42,8 +42,8 @@
 	}
 }
 
-// isReplaced reports whether a client's header is left out of what is sent on, because this proxy sets it, or because it was
-// meant for this proxy alone.
+// isReplaced reports whether a client's header is not forwarded, because this proxy sets it, or
+// because it was meant for this proxy alone.
 func isReplaced(name string) bool {
 	switch name {
 	case headerExpectInstance, headerExpectVersion, headerSalt, headerFetch, headerSave, headerPriority, headerTenant,
@@ -64,7 +64,8 @@
 	}
 }
 
-// connectionHeaders lists the headers that Connection names as concerning one connection only; nil in the usual case.
+// connectionHeaders lists the headers that Connection declares as hop-by-hop; nil in the usual
+// case.
 func connectionHeaders(header http.Header) []string {
 	var names []string
 	for _, value := range header["Connection"] {
@@ -78,7 +79,7 @@
 	return names
 }
 
-// appendHeader adds one line of a head.
+// appendHeader appends one line of a head.
 func appendHeader(head []byte, name, value string) []byte {
 	head = append(head, name...)
 	head = append(head, ": "...)
@@ -86,6 +87,7 @@
 	return append(head, "\r\n"...)
 }
 
+// appendNumberHeader appends one line of a head with a number.
 func appendNumberHeader(head []byte, name string, value int64) []byte {
 	head = append(head, name...)
 	head = append(head, ": "...)
@@ -93,12 +95,12 @@
 	return append(head, "\r\n"...)
 }
 
-// formatSeconds writes a duration as Retry-After gives it: in seconds with fractions.
+// formatSeconds formats a duration for Retry-After: in seconds, with fractions.
 func formatSeconds(duration time.Duration) string {
 	return strconv.FormatFloat(max(duration.Seconds(), 0), 'f', 3, 64)
 }
 
-// parseSeconds reads a Retry-After; 0 where there is none that can be read.
+// parseSeconds parses a Retry-After; 0 where it is missing, invalid, or over an hour.
 func parseSeconds(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	const maxSeconds = 3600
--- a/internal/node/forward/intake.go
+++ b/internal/node/forward/intake.go
@@ -11,7 +11,7 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// denial is an answer of our own to a request that is not sent on.
+// denial is the proxy's own answer to a request that is not forwarded.
 type denial struct {
 	status int
 	reason string
@@ -19,7 +19,7 @@
 	closeConnection bool
 }
 
-// Denials. Clients do not try again after 400, 401, 404, 413 and 431.
+// Denials. Clients don't retry after 400, 401, 404, 413 and 431.
 var (
 	deniedFraming    = &denial{http.StatusBadRequest, "malformed request", true}
 	deniedVersion    = &denial{http.StatusHTTPVersionNotSupported, "HTTP/1.1 only", true}
@@ -36,7 +36,7 @@
 // maxRequestIDBytes bounds X-Kestrelspread-Request-Id.
 const maxRequestIDBytes = 128
 
-// intake is what a client's request turned out to be.
+// intake is what is known of a client's request before it is forwarded.
 type intake struct {
 	id       string
 	path     string // raw, without the query
@@ -48,7 +48,7 @@
 	deadline core.Time
 }
 
-// checkRequest checks what does not depend on the configuration, and finds id and path.
+// checkRequest checks what doesn't depend on the configuration, and extracts id and path.
 func (in *intake) checkRequest(r *http.Request, framing framing) *denial {
 	switch {
 	case framing.malformed:
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// validRequestID reports whether an id is printable ASCII without spaces, within its bound.
 func validRequestID(id string) bool {
 	if len(id) == 0 || len(id) > maxRequestIDBytes {
 		return false
@@ -79,7 +80,7 @@
 	return true
 }
 
-// checkLimits checks the size of the head and the announced size of the body.
+// checkLimits checks the size of the head and the stated size of the body.
 func checkLimits(r *http.Request, framing framing, limits *config.Limits) *denial {
 	if limits.MaxHeaderBytes > 0 && framing.headBytes > limits.MaxHeaderBytes+headSlackBytes {
 		return deniedHeaderSize
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// headSlackBytes allows for what may be counted as head or not: the request line and the line ends.
+// headSlackBytes allows for what may or may not count as head: the request line and the line ends.
 const headSlackBytes = 1 << 10
 
 // resolve finds route, service and tenant under a configuration.
@@ -110,14 +111,16 @@
 	return nil
 }
 
-// matcher finds the route of a request in a configuration.
+// matcher finds the route of a request in a configuration; nil: none.
 type matcher func(compiled *config.Compiled, host, path string) *config.Route
 
+// matchRoute is the matcher of a Proxy; tests replace it.
 func matchRoute(compiled *config.Compiled, host, path string) *config.Route {
 	return compiled.Routes.Match(host, path)
 }
 
-// bearerKey reads the key of Authorization: Bearer KEY. Two such headers hold none.
+// bearerKey returns the key of Authorization: Bearer KEY; empty where there isn't exactly one such
+// header.
 func bearerKey(header http.Header) string {
 	values := header["Authorization"]
 	if len(values) != 1 {
@@ -130,7 +133,8 @@
 	return strings.TrimSpace(key)
 }
 
-// chooseService picks a service of a split route by the weights. One id always gives the same service.
+// chooseService chooses a service of a split route by the weights. One request id always gives the
+// same service.
 func chooseService(route *config.Route, seed uint64, id string) string {
 	if len(route.TrafficSplit) == 0 {
 		return route.Service
@@ -154,7 +158,8 @@
 	return chosen
 }
 
-// setDeadline takes the earlier of the client's deadline and the route's, both counted from the receipt.
+// setDeadline sets the earlier of the client's deadline and the route's, both counted from the
+// receipt.
 func (in *intake) setDeadline(header http.Header) {
 	allowed := milliseconds(in.route.TimeoutMs)
 	if wait, ok := clientTimeout(header); ok && wait < allowed {
@@ -163,7 +168,7 @@
 	in.deadline = in.received + allowed
 }
 
-// clientTimeout reads X-Kestrelspread-Deadline-Ms.
+// clientTimeout returns how long the client waits, by X-Kestrelspread-Deadline-Ms, if it says so.
 func clientTimeout(header http.Header) (time.Duration, bool) {
 	text := strings.TrimSpace(firstValue(header, headerDeadline))
 	if text == "" {
@@ -176,7 +181,7 @@
 	return milliseconds(number), true
 }
 
-// milliseconds turns a number of the configuration into a duration, bounded by a day.
+// milliseconds converts a number of the configuration to a duration, at most a day.
 func milliseconds(number float64) time.Duration {
 	const maxDuration = 24 * time.Hour
 	if !(number < float64(maxDuration/time.Millisecond)) {
@@ -185,7 +190,7 @@
 	return time.Duration(number * float64(time.Millisecond))
 }
 
-// priority is the priority in force: a tenant's goes before its route's.
+// priority returns the priority in force: a tenant's takes precedence over its route's.
 func (in *intake) priority() int {
 	if in.tenant != nil && in.tenant.Priority != nil {
 		return *in.tenant.Priority
@@ -193,7 +198,7 @@
 	return in.route.Priority
 }
 
-// routingRequest tells the router what it needs to know.
+// routingRequest returns what the router needs to know.
 func (in *intake) routingRequest(header http.Header, bodyBytes int) routing.Request {
 	tokensIn, tokensOut := tokenCounts(header)
 	return routing.Request{
--- a/internal/node/forward/metrics.go
+++ b/internal/node/forward/metrics.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// counters count what became of requests.
+// counters count the results of requests.
 type counters struct {
 	requests, answered, rejected, failed, denied atomic.Uint64
 	aborted, clientDisconnected                  atomic.Uint64
@@ -13,43 +13,43 @@
 	byPrediction                                 atomic.Uint64
 }
 
-// Metrics is a picture of a proxy's counters since its start.
+// Metrics is a snapshot of a proxy's counters since its start.
 type Metrics struct {
-	Requests           uint64 // taken from clients
+	Requests           uint64 // received from clients
 	Answered           uint64 // with a broker's answer
-	Rejected           uint64 // 503: not run, come again
+	Rejected           uint64 // 503: not run, to be retried
 	Failed             uint64 // 502 or 504
 	Denied             uint64 // 4xx of our own
-	Aborted            uint64 // answers broken off midway
+	Aborted            uint64 // while the answer was being sent
 	ClientDisconnected uint64
 
 	Attempts     uint64
-	Retries      uint64 // attempts after the first, copies not counted
+	Retries      uint64 // attempts after the first, without hedges
 	Hedges       uint64
 	HedgesWon    uint64
 	ByPrediction uint64 // attempts whose broker the prediction chose
-	Resumed      uint64 // streams taken up at another broker
+	Resumed      uint64 // streams resumed at another broker
 
-	// Attempts by what is known of them in the end.
+	// Attempts by their final verdict.
 	NotRun     uint64
 	MayHaveRun uint64
 	Ran        uint64
 
-	InvalidAnswers uint64 // answers that were none of the broker's for the request
-	BadFraming     uint64 // clients' requests refused for their framing
+	InvalidAnswers uint64 // answers that weren't the broker's to the request
+	BadFraming     uint64 // clients' requests denied for their framing
 	Surplus        uint64 // bytes and answers of brokers that belong to no request
 
 	ConnectionsOpened uint64
 	ConnectionsFailed uint64
 	ConnectionsReused uint64
-	ConnectionsStale  uint64 // kept ones found closed
+	ConnectionsStale  uint64 // idle ones found closed
 	ConnectionsOpen   int
 	ConnectionsIdle   int
 	// ConnectionsAbandoned are being opened for requests that no longer wait for them.
 	ConnectionsAbandoned int
 }
 
-// Metrics reads the counters.
+// Metrics returns the current counters.
 func (p *Proxy) Metrics() Metrics {
 	c := &p.counters
 	connections := &p.pool.Counters
--- a/internal/node/forward/pauses.go
+++ b/internal/node/forward/pauses.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// maxRecordedGaps bounds the pauses of a stream from which the usual one is taken.
+	// maxRecordedGaps bounds the gaps of a stream from which the typical one is taken.
 	maxRecordedGaps = 24
-	// typicalQuantile is the quantile that counts as usual: most longer pauses are those in which the broker read other prompts.
+	// typicalQuantile is the quantile that counts as typical: during most longer gaps the broker
+	// prefills other prompts.
 	typicalQuantile = 0.15
 )
 
-// gapMeter measures the pauses between the events of a stream as they come from its broker.
+// gapMeter measures the gaps between the events of a stream as they arrive from its broker.
 type gapMeter struct {
 	lastEventAt core.Time // of the last events; 0: none yet
 	maxGap      core.Time
 	firstGaps   [maxRecordedGaps]core.Time
-	count       int // pauses in all
+	count       int // of all gaps
 }
 
-// observe takes the arrival of events.
+// observe records the arrival of events.
 func (m *gapMeter) observe(now core.Time) {
 	if m.lastEventAt != 0 {
 		pause := now - m.lastEventAt
@@ -35,7 +36,7 @@
 	m.lastEventAt = now
 }
 
-// summary is what the router is told.
+// summary returns what the router is told.
 func (m *gapMeter) summary() routing.Pauses {
 	kept := slices.Clone(m.firstGaps[:min(m.count, maxRecordedGaps)])
 	if len(kept) == 0 {
--- a/internal/node/forward/prompt.go
+++ b/internal/node/forward/prompt.go
@@ -8,11 +8,11 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// maxPromptParts bounds the parts of a prompt that are looked at.
+// maxPromptParts bounds the parts of a prompt that are considered.
 const maxPromptParts = 1024
 
-// promptParts reads X-Kestrelspread-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hex. What can't be read ends
-// the list, since only a whole prefix can be found in a cache.
+// promptParts parses X-Kestrelspread-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hex.
+// An invalid part ends the list, since a cache can only hold a complete prefix.
 func promptParts(header http.Header) []routing.PromptPart {
 	text := firstValue(header, headerPromptPrefix)
 	if text == "" {
@@ -29,6 +29,7 @@
 	return parts
 }
 
+// promptPart parses one ID:TOKENS.
 func promptPart(text string) (routing.PromptPart, bool) {
 	id, count, found := strings.Cut(strings.TrimSpace(text), ":")
 	if !found {
@@ -45,12 +46,14 @@
 	return routing.PromptPart{ID: number, Tokens: int(tokens)}, true
 }
 
-// tokenCounts reads X-Kestrelspread-Token-Count: the prompt's tokens and the most that may be generated.
+// tokenCounts parses X-Kestrelspread-Token-Count: the prompt's tokens and the maximum that may be
+// generated.
 func tokenCounts(header http.Header) (tokensIn, tokensOut int) {
 	in, out, _ := strings.Cut(firstValue(header, headerTokenCount), ",")
 	return tokenCount(in), tokenCount(out)
 }
 
+// tokenCount parses a number of tokens; 0 where it is invalid.
 func tokenCount(text string) int {
 	count, err := strconv.ParseUint(strings.TrimSpace(text), 10, 31)
 	if err != nil {
@@ -59,7 +62,8 @@
 	return int(count)
 }
 
-// serverLoad reads X-Kestrelspread-Server-Load: requests running, requests waiting and slots; nil where it is not told.
+// serverLoad parses X-Kestrelspread-Server-Load: requests running, requests waiting and slots; nil
+// where it is missing or invalid.
 func serverLoad(header http.Header) *routing.Load {
 	text := firstValue(header, headerServerLoad)
 	if text == "" {
@@ -77,7 +81,7 @@
 	return &routing.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}
 }
 
-// firstValue gives the first value of a header whose name is in the canonical form.
+// firstValue returns the first value of a header whose name is in canonical form; empty: none.
 func firstValue(header http.Header, name string) string {
 	if values := header[name]; len(values) > 0 {
 		return values[0]
@@ -85,7 +89,7 @@
 	return ""
 }
 
-// fraction maps text to [0, 1), evenly and the same at every call.
+// fraction hashes text to [0, 1), uniformly and deterministically (FNV-1a with a final mix).
 func fraction(seed uint64, text string) float64 {
 	const (
 		offset = 14695981039346656037
--- a/internal/node/forward/proxy.go
+++ b/internal/node/forward/proxy.go
@@ -11,8 +11,8 @@
 	"kestrelspread/internal/node/forward/upstream"
 )
 
-// Proxy serves clients' requests. It implements http.Handler; Serve runs the HTTP server that belongs to it, whose
-// connections are also checked for their framing.
+// Proxy serves clients' requests. It implements http.Handler; Serve runs its own HTTP server, which
+// also checks the framing on the connections.
 type Proxy struct {
 	options      Options
 	bounds       Bounds
@@ -21,11 +21,11 @@
 	server       *http.Server
 	draining     atomic.Bool
 	rejectingNew atomic.Bool
-	buffered     atomic.Int64 // bytes of requests' bodies that are held
+	buffered     atomic.Int64 // bytes of requests' bodies
 	counters     counters
 }
 
-// New returns a proxy that takes no requests yet.
+// New returns a proxy that accepts no requests yet.
 func New(options Options) *Proxy {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -51,10 +51,11 @@
 	}
 }
 
-// mayServe asks whether a request may be taken, or sent on.
+// mayServe reports whether a request may be accepted, or forwarded, now.
 func (p *Proxy) mayServe(now core.Time, public bool) bool { return p.options.MayServe(now, public) }
 
-// connectionShare is how many connections to one broker of the service this proxy may hold.
+// connectionShare returns how many connections to one broker of the service this proxy may open; 0:
+// no bound.
 func (p *Proxy) connectionShare(service *config.Service) int {
 	if service == nil || service.MaxConnections <= 0 {
 		return 0
--- a/internal/node/forward/race.go
+++ b/internal/node/forward/race.go
@@ -6,10 +6,12 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// maxParallelAttempts bounds the attempts of one request that are under way at the same time.
+// maxParallelAttempts bounds the attempts of one request that are in progress at the same time.
 const maxParallelAttempts = 4
 
-// raceHedge lets a copy run beside the first attempt. The first answer wins and the loser is called off.
+// raceHedge runs a hedge in parallel to the first attempt. The first answer wins, and the other
+// attempts are canceled. While one is in progress, failures of the others may add a further
+// attempt.
 func (c *call) raceHedge(first *attempt, planned *routing.Attempt) *attemptResult {
 	if c.results == nil {
 		c.results = make(chan *attemptResult, maxParallelAttempts)
@@ -35,7 +37,7 @@
 	}
 }
 
-// startHedge starts a further attempt beside those under way.
+// startHedge starts a further attempt in parallel to those in progress.
 func (c *call) startHedge(planned *routing.Attempt) {
 	a := c.newAttempt(planned, noEvent)
 	a.isHedge = true
@@ -52,14 +54,16 @@
 	}()
 }
 
-// nextResult waits for the next attempt of a race to end. Each ends: by an answer, a failure, the deadline or interruption.
+// nextResult waits for the next attempt of a race to end. Each ends: with an answer, a failure, at
+// the deadline, or interrupted. finish waits for all of them, so that no goroutine outlives the
+// request.
 func (c *call) nextResult() *attemptResult {
 	result := <-c.results
 	c.inRace--
 	return result
 }
 
-// cancelOthers calls the other attempts off.
+// cancelOthers interrupts all attempts but the winner's.
 func (c *call) cancelOthers(result *attemptResult) {
 	if result.attempt.isHedge {
 		c.proxy.counters.hedgesWon.Add(1)
@@ -74,7 +78,8 @@
 	}
 }
 
-// reportIfCanceled tells the router at once of a loser that was called off: the winner's stream may last long.
+// reportIfCanceled reports the end of a canceled loser to the router at once: the winner's stream
+// may last long.
 func (a *attempt) reportIfCanceled(result *attemptResult) *attemptResult {
 	if result.answer == nil && a.wasCanceled() {
 		result.reported = true
@@ -84,7 +89,7 @@
 	return result
 }
 
-// reportLoser ends an attempt that another one has beaten.
+// reportLoser reports the end of an attempt that lost a race.
 func (c *call) reportLoser(result *attemptResult) {
 	if result.answer != nil && !result.isComplete() {
 		result.attempt.closeConn()
--- a/internal/node/forward/receive.go
+++ b/internal/node/forward/receive.go
@@ -11,8 +11,9 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// receive reads the answer until it can be handed to the client: whole where it is small, to its first event where it is a
-// stream, else its head. Where that has not come until the time given, pending is true and receive may be called again.
+// receive reads the answer until it can be delivered: completely if it is small, to its first event
+// if it is a stream, else its head. If that has not arrived at the time given, pending is true and
+// receive may be called again.
 func (a *attempt) receive(until time.Time) (result *attemptResult, pending bool) {
 	limit := a.call.answerDeadline()
 	if until.IsZero() || until.After(limit) {
@@ -38,6 +39,7 @@
 	return a.receiveBody(), false
 }
 
+// failedOrPending tells the time until which receive was to wait from a failure.
 func (a *attempt) failedOrPending(err error, until, limit time.Time) (*attemptResult, bool) {
 	if errorx.IsOfType(err, upstream.TimedOut) && until.Before(limit) && !a.wasCanceled() {
 		return nil, true
@@ -45,7 +47,7 @@
 	return a.failed(err), false
 }
 
-// checkHead decides by the head whether the answer is one for the client. nil: it is.
+// checkHead decides by its head whether the answer is one for the client. nil: it is.
 func (a *attempt) checkHead() *attemptResult {
 	answer := a.answer
 	switch {
@@ -67,8 +69,9 @@
 	return nil
 }
 
-// promisesNotRun reports whether a status says that the request never ran (PROTOCOL.md, "Answers"). Only an answer with
-// X-Kestrelspread-Not-Executed tells so in truth; what a broker answers without it is not passed on under such a status.
+// promisesNotRun reports whether a status promises that the request never ran (PROTOCOL.md,
+// "Answers"). Only an answer with X-Kestrelspread-Not-Executed says so reliably; without it, a
+// broker's answer with such a status is not forwarded.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
@@ -79,19 +82,20 @@
 	}
 }
 
+// isEventStream reports whether the answer is a stream of events.
 func isEventStream(answer *upstream.Answer) bool {
 	mediaType, _, _ := strings.Cut(firstValue(answer.Header, "Content-Type"), ";")
 	return strings.EqualFold(strings.TrimSpace(mediaType), "text/event-stream")
 }
 
-// reportStarted tells the router that there is an answer for the client. Of an answer that is read whole it is told only then: until
-// its end has come, another attempt can take its place.
+// reportStarted tells the router that there is an answer for the client. An answer that is read
+// completely is reported only at its end: until then, another attempt can replace it.
 func (a *attempt) reportStarted() {
 	c := a.call
 	c.proxy.options.Router.Started(c.now(), c.routingID, a.planned.Number, serverLoad(a.answer.Header))
 }
 
-// receiveBody reads a small body whole; of a large one it leaves all but the head to the delivery.
+// receiveBody reads a small body completely; the body of a large answer is left to the delivery.
 func (a *attempt) receiveBody() *attemptResult {
 	result := &attemptResult{attempt: a, answer: a.answer, outcome: a.outcome(verdict.Ran)}
 	maxBytes := int64(a.call.proxy.bounds.MaxBufferedAnswerBytes)
@@ -117,6 +121,7 @@
 	}
 }
 
+// receiveFirstEvent reads until the first event is complete.
 func (a *attempt) receiveFirstEvent(until, limit time.Time) (*attemptResult, bool) {
 	for !a.events.ready() {
 		if err := a.conn.Await(until); err != nil {
--- a/internal/node/forward/reply.go
+++ b/internal/node/forward/reply.go
@@ -8,7 +8,7 @@
 	"kestrelspread/internal/node/forward/upstream"
 )
 
-// forwardHead sets the headers of a broker's answer on the client's.
+// forwardHead copies the end-to-end headers of a broker's answer to the client's.
 func (c *call) forwardHead(answer *upstream.Answer) http.Header {
 	header := c.newHeader()
 	named := connectionHeaders(answer.Header)
@@ -26,6 +26,7 @@
 	return header
 }
 
+// contains reports whether the name is in the list.
 func contains(names []string, name string) bool {
 	for _, candidate := range names {
 		if candidate == name {
@@ -35,7 +36,7 @@
 	return false
 }
 
-// newHeader begins the head of an answer. Headers with no values keep net/http from adding its own.
+// newHeader starts the head of an answer. Headers with no values keep net/http from adding its own.
 func (c *call) newHeader() http.Header {
 	header := c.writer.Header()
 	header["Date"] = nil
@@ -46,7 +47,8 @@
 	return header
 }
 
-// deny answers a request that is not taken. It returns false, for the caller to pass on.
+// deny answers a request that is not accepted, with 4xx. It returns false, for the caller to
+// return.
 func (c *call) deny(why *denial) bool {
 	c.proxy.counters.denied.Add(1)
 	if why == deniedFraming {
@@ -60,7 +62,8 @@
 	return false
 }
 
-// reject answers that the request has not run and never will, and when to come again. It returns false.
+// reject answers 503: the request has not run and never will, and may be retried after the time
+// given. It returns false, for the caller to return.
 func (c *call) reject(retryAfter time.Duration) bool {
 	c.proxy.counters.rejected.Add(1)
 	header := c.newHeader()
@@ -75,9 +78,11 @@
 	c.writeOwnAnswer(c.newHeader(), status)
 }
 
-// ownAnswerTimeout is how long an answer of our own may take to be written: also one that is given at the deadline must come out.
+// ownAnswerTimeout bounds the writing of an answer of the proxy's own; one that is given at the
+// deadline must be sent as well.
 const ownAnswerTimeout = time.Second
 
+// writeOwnAnswer writes an answer of the proxy's own, which has no body.
 func (c *call) writeOwnAnswer(header http.Header, status int) {
 	if c.intake.id != "" {
 		header[headerRequestID] = []string{c.intake.id}
@@ -91,16 +96,16 @@
 	c.writer.WriteHeader(status)
 }
 
-// bodyUnread reports whether the body has not come, and was not read.
+// bodyUnread reports whether the body has not arrived completely, and was not read.
 func (c *call) bodyUnread() bool {
 	return c.body == nil && c.client != nil && !c.client.requestComplete
 }
 
-// abort breaks the client's connection off, so that an answer that has begun never looks complete.
+// abort closes the client's connection, so that an answer that was begun never looks complete.
 func (c *call) abort() {
 	c.proxy.counters.aborted.Add(1)
 	panic(http.ErrAbortHandler)
 }
 
-// lengthHeader gives a Content-Length.
+// lengthHeader returns the values of Content-Length.
 func lengthHeader(length int64) []string { return []string{strconv.FormatInt(length, 10)} }
--- a/internal/node/forward/result.go
+++ b/internal/node/forward/result.go
@@ -10,25 +10,26 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// attemptResult is what came of an attempt: an answer for the client, or a failure that outcome describes.
+// attemptResult is the result of an attempt: an answer for the client, or a failure that outcome
+// describes.
 type attemptResult struct {
 	attempt *attempt
 	outcome routing.Outcome
 	err     error
-	// answer is set where there is one for the client. Its body is whole in body, or comes from events, or, where neither
-	// is set, from the answer itself.
+	// answer is set if there is one for the client. Its complete body is in body, or it comes from
+	// events, or, if neither is set, is still to be read from answer.
 	answer *upstream.Answer
 	body   *buffer
 	events *eventReader
-	// prefix is what was read of an answer that turned out to be large.
+	// prefix is the start of the body of an answer that turned out to be large.
 	prefix *buffer
-	// reported: the router has been told of the end of the attempt.
+	// reported: the end of the attempt was reported to the router.
 	reported bool
-	// verdictRecorded: its verdict has been taken into account.
+	// verdictRecorded: recordVerdict was called for the attempt.
 	verdictRecorded bool
 }
 
-// isComplete reports whether the answer is here in full.
+// isComplete reports whether the answer has been read completely.
 func (r *attemptResult) isComplete() bool { return r.body != nil }
 
 // brokerFailed reports whether the broker answered that it failed.
@@ -36,6 +37,7 @@
 	return r.answer != nil && r.answer.Status >= http.StatusInternalServerError
 }
 
+// release returns the buffers of the result.
 func (r *attemptResult) release() {
 	r.body.release()
 	r.prefix.release()
@@ -59,7 +61,8 @@
 // maxDiscardedBytes bounds the body of an answer that is read only to keep its connection.
 const maxDiscardedBytes = 4 << 10
 
-// discardBody reads over a body that nobody wants.
+// discardBody reads a body that is not needed, to keep the connection; if that is too large, it
+// closes the connection.
 func (a *attempt) discardBody() {
 	body := takeBuffer()
 	defer body.release()
@@ -70,12 +73,12 @@
 	a.releaseConn()
 }
 
-// invalidAnswer ends an attempt whose answer is none of the broker's.
+// invalidAnswer ends an attempt whose answer is not the broker's to the request.
 func (a *attempt) invalidAnswer(why string) *attemptResult {
 	return a.failed(upstream.InvalidAnswer.New("%s", why))
 }
 
-// notResumed ends an attempt to go on with a stream that the broker did not go on with.
+// notResumed ends an attempt to resume a stream that the broker did not resume.
 func (a *attempt) notResumed() *attemptResult {
 	outcome := a.outcome(verdict.Ran)
 	a.discardBody()
@@ -99,6 +102,7 @@
 	return &attemptResult{attempt: a, outcome: a.failedOutcome(err), err: err}
 }
 
+// failedOutcome describes an attempt that failed by an error of the exchange.
 func (a *attempt) failedOutcome(err error) routing.Outcome {
 	outcome := a.outcome(upstream.VerdictOf(err))
 	outcome.TimedOut = errorx.IsOfType(err, upstream.TimedOut)
@@ -107,13 +111,13 @@
 		return outcome
 	}
 	outcome.ConnectFailed = errorx.IsOfType(err, upstream.ConnectFailed) || errorx.IsOfType(err, upstream.Unsent)
-	// Both mean that the broker takes no more connections, as it takes no more requests when it is full.
+	// Both mean that the broker accepts no more connections, just as a full one accepts no more requests.
 	outcome.NotExecuted = errorx.IsOfType(err, upstream.Exhausted) || errorx.IsOfType(err, upstream.Rejected)
 	return outcome
 }
 
-// endedFromHere reports whether an attempt failed because the client left, another attempt won, or the time for connecting was cut
-// short by the request's deadline. None of them says anything of the broker.
+// endedFromHere reports whether an attempt failed because the client disconnected, another attempt
+// won, or the request's deadline ended the connecting. None of them says anything about the broker.
 func (a *attempt) endedFromHere(err error) bool {
 	if a.wasCanceled() || a.context.Err() != nil {
 		return true
@@ -121,7 +125,7 @@
 	return errorx.IsOfType(err, upstream.ConnectFailed) && a.call.now() >= a.call.intake.deadline
 }
 
-// brokenStreamOutcome describes an attempt whose stream ended midway.
+// brokenStreamOutcome describes an attempt whose stream broke off.
 func (a *attempt) brokenStreamOutcome(err error, clientGone bool) routing.Outcome {
 	outcome := a.outcome(verdict.Ran)
 	outcome.TimedOut = errorx.IsOfType(err, upstream.TimedOut)
@@ -129,6 +133,7 @@
 	return outcome
 }
 
+// outcome describes an attempt with the verdict, and with what its answer's head says.
 func (a *attempt) outcome(v verdict.Verdict) routing.Outcome {
 	outcome := routing.Outcome{Verdict: v}
 	if a.answer != nil {
--- a/internal/node/forward/retries.go
+++ b/internal/node/forward/retries.go
@@ -7,8 +7,9 @@
 	"kestrelspread/internal/node/routing"
 )
 
-// obtainAnswer makes the attempts that the router asks for until one has an answer for the client; nil: none will, and the
-// decision is the router's last. after is the last event that the client has of a stream that is taken up again.
+// obtainAnswer makes the attempts that the router asks for until one has an answer for the client.
+// nil: none will, and the decision is the router's last. resumeAfter is the last event that the
+// client has of a stream that is resumed.
 func (c *call) obtainAnswer(decision routing.Decision, resumeAfter eventID) (*attemptResult, routing.Decision) {
 	for decision.Attempt != nil {
 		result := c.tryBroker(decision.Attempt, resumeAfter)
@@ -29,14 +30,15 @@
 	return nil, decision
 }
 
-// isFinal reports whether the result goes to the client without asking for another attempt. A broker's failure on an
-// idempotent route is kept until the router has decided.
+// isFinal reports whether the result goes to the client without asking for another attempt. A
+// broker's failure on an idempotent route is kept until the router has decided.
 func (c *call) isFinal(result *attemptResult) bool {
 	return result.answer != nil && !(result.brokerFailed() && result.isComplete() && c.intake.route.Idempotent())
 }
 
-// mayRetry guards what the router decides (RULES.md, TWICE): what may have run goes out again only where it may run
-// more than once, and nothing is sent for a client that has left or whose time is over.
+// mayRetry guards the router's decisions (RULES.md, TWICE): a request that may have run is sent
+// again only if it is idempotent, and nothing is sent for a client that has disconnected or after
+// the deadline.
 func (c *call) mayRetry() bool {
 	if c.mayHaveRun && !c.intake.route.Idempotent() {
 		return false
@@ -44,7 +46,7 @@
 	return !c.clientGone() && c.now() < c.intake.deadline
 }
 
-// keepOrDiscard keeps a failure that a broker answered, if it is here in full.
+// keepOrDiscard keeps a broker's own failure as fallback, if it was read completely.
 func (c *call) keepOrDiscard(result *attemptResult) {
 	switch {
 	case result.answer == nil:
@@ -56,6 +58,7 @@
 	}
 }
 
+// keepFallback makes the result the fallback, in place of an earlier one.
 func (c *call) keepFallback(result *attemptResult) {
 	if c.fallback != nil {
 		c.fallback.release()
@@ -63,7 +66,8 @@
 	c.fallback = result
 }
 
-// reportResult tells the router how an attempt ended, and gives what it decides. resumes: the client has the start of a stream.
+// reportResult reports the end of an attempt to the router, and returns what it decides. resumes:
+// the client has the start of a stream.
 func (c *call) reportResult(result *attemptResult, resumes bool) routing.Decision {
 	if !result.verdictRecorded {
 		result.verdictRecorded = true
@@ -77,27 +81,27 @@
 	return c.proxy.options.Router.Finished(c.now(), c.routingID, result.attempt.planned.Number, result.outcome, resumes)
 }
 
-// logFailure notes an attempt that failed, for whoever looks into one request.
+// logFailure logs a failed attempt at level debug.
 func (c *call) logFailure(result *attemptResult) {
 	log, ctx := c.proxy.options.Log, c.request.Context()
 	if result.err == nil || !log.Enabled(ctx, slog.LevelDebug) {
 		return
 	}
-	log.LogAttrs(ctx, slog.LevelDebug, "attempt failed",
+	log.LogAttrs(ctx, slog.LevelDebug, "forward: attempt failed",
 		slog.String("request", c.intake.id),
 		slog.String("instance", result.attempt.planned.Instance.ID),
 		slog.String("verdict", result.outcome.Verdict.String()),
 		slog.Any("error", result.err))
 }
 
-// reportAnswered tells the router that an answer was whole and goes to the client.
+// reportAnswered reports to the router that the answer was complete and goes to the client.
 func (c *call) reportAnswered(result *attemptResult) {
 	result.outcome.Answered = true
 	c.reportResult(result, false)
 	c.proxy.counters.answered.Add(1)
 }
 
-// tryBroker makes one attempt, and a copy of it where it is late and the router wants one.
+// tryBroker makes one attempt, and a hedge of it if it is late and the router wants one.
 func (c *call) tryBroker(planned *routing.Attempt, resumeAfter eventID) *attemptResult {
 	a := c.newAttempt(planned, resumeAfter)
 	if failed := a.send(); failed != nil {
@@ -117,7 +121,7 @@
 	return c.raceHedge(a, decision.Attempt)
 }
 
-// receiveAll waits for the answer as long as the request lasts.
+// receiveAll receives the answer, for as long as the request lasts.
 func (a *attempt) receiveAll() *attemptResult {
 	result, _ := a.receive(a.call.answerDeadline())
 	return result
--- a/internal/node/forward/server.go
+++ b/internal/node/forward/server.go
@@ -13,16 +13,18 @@
 	"kestrelspread/internal/node/config"
 )
 
-// maxServerHeaderBytes bounds what net/http reads of a head; the configuration's bound, which is lower, is checked after.
+// maxServerHeaderBytes bounds what net/http reads of a head; the configuration's bound, which is
+// lower, is checked afterwards.
 const maxServerHeaderBytes = 1 << 20
 
-// idleMargin is by how much clients may rest longer than the configuration says, as a fraction of the time: they take
-// connections up at the last moment, and the bytes need time to come.
+// idleMargin is how much longer than configured clients may be idle, as a fraction of that time:
+// they reuse connections at the last moment, and the bytes need time to arrive.
 const idleMargin = 0.25
 
-// timeoutSlack is added to what clients may take.
+// timeoutSlack is added to clients' time-outs.
 const timeoutSlack = time.Second
 
+// newServer returns the HTTP server for clients.
 func (p *Proxy) newServer() *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -42,7 +44,8 @@
 	}
 }
 
-// Serve takes clients' connections until Shutdown. It may be called for more than one listener.
+// Serve accepts clients' connections until Shutdown. It may be called for more than one listener,
+// which must be of TCP.
 func (p *Proxy) Serve(listener net.Listener) error {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
@@ -55,8 +58,9 @@
 	return errorx.Decorate(err, "front server")
 }
 
-// clientTimeouts gives the times of the configuration in force. They are never shorter than configured (PROTOCOL.md, "The
-// operator's API": clients take up connections that have rested for up to four fifths of idleTimeoutMs).
+// clientTimeouts returns the time-outs of the configuration in force. They are never shorter than
+// configured (PROTOCOL.md, "The operator's API": clients reuse connections that were idle for up to
+// four fifths of idleTimeoutMs).
 func (p *Proxy) clientTimeouts() clientTimeouts {
 	times := clientTimeouts{idle: p.bounds.IdleTimeout, header: p.bounds.HeaderTimeout}
 	compiled := p.options.Configuration()
@@ -72,26 +76,27 @@
 	return times
 }
 
+// withSlack returns the time-out for a configured limit.
 func withSlack(limitMs float64) time.Duration {
 	return milliseconds(limitMs*(1+idleMargin)) + timeoutSlack
 }
 
-// Drain tells every client with its next answer to close the connection. Connections at rest stay open for their clients
-// until Shutdown, so that no request is lost that is on its way.
+// Drain tells every client with its next answer to close the connection. Idle connections stay open
+// until Shutdown, so that no request is lost that is already on its way.
 func (p *Proxy) Drain() {
 	p.draining.Store(true)
 	p.options.Startup.End()
 }
 
-// RejectNew turns away requests that come from now on, with a promise that they have not run: too little time is left for them.
-// Those under way go on.
+// RejectNew rejects requests that arrive from now on, with the promise that they have not run: too
+// little time is left for them. Requests in progress continue.
 func (p *Proxy) RejectNew() {
 	p.Drain()
 	p.rejectingNew.Store(true)
 }
 
-// Shutdown stops taking connections, closes those at rest and waits for the requests under way, while the context lasts.
-// Then it closes all.
+// Shutdown stops accepting connections, closes idle ones and waits for the requests in progress,
+// while the context lasts. Then it closes all. The error says that requests were aborted.
 func (p *Proxy) Shutdown(ctx context.Context) error {
 	p.Drain()
 	defer p.pool.Close()
@@ -103,5 +108,5 @@
 	return errorx.Decorate(err, "requests were under way")
 }
 
-// configuration gives the configuration in force; nil: none.
+// configuration returns the configuration in force; nil: none.
 func (p *Proxy) configuration() *config.Compiled { return p.options.Configuration() }
--- a/internal/node/forward/startup.go
+++ b/internal/node/forward/startup.go
@@ -9,7 +9,7 @@
 
 // Knowledge is what a process must know before it can serve every request.
 type Knowledge struct {
-	Configuration bool // some configuration is held
+	Configuration bool // there is one
 	Confirmed     bool // it was found to be the one in force
 	Brokers       bool // the brokers of all services are known
 }
@@ -17,8 +17,9 @@
 // Complete reports whether nothing is lacking.
 func (k Knowledge) Complete() bool { return k.Configuration && k.Confirmed && k.Brokers }
 
-// Startup lets requests that come to a process that has just begun wait for what it still lacks: mostly that comes sooner than
-// a client that was refused. nil stands for a start that is over.
+// Startup lets requests that arrive while a process starts wait for what it still lacks: usually
+// that is there sooner than a rejected client is back. nil stands for a start that is over. Its
+// methods are safe for concurrent use.
 type Startup struct {
 	mutex   sync.Mutex
 	known   Knowledge
@@ -29,7 +30,7 @@
 // NewStartup returns the start of a process that knows nothing yet.
 func NewStartup() *Startup { return &Startup{changed: make(chan struct{})} }
 
-// Update takes what is known by now. The start is over once that is all.
+// Update sets what is known by now. The start is over once that is complete.
 func (s *Startup) Update(known Knowledge) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -54,13 +55,14 @@
 	}
 }
 
-// notifyWaiters wakes those who wait. The mutex is held.
+// notifyWaiters wakes the requests that wait. The mutex must be held.
 func (s *Startup) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// lacks reports whether the process has just begun and does not know enough. changed is closed when that may be otherwise.
+// lacks reports whether the process is starting and doesn't know enough. changed is closed at the
+// next change.
 func (s *Startup) lacks(enough func(Knowledge) bool) (lacking bool, changed <-chan struct{}) {
 	if s == nil {
 		return false, nil
@@ -70,14 +72,14 @@
 	return !s.over && !enough(s.known), s.changed
 }
 
-// What requests wait for.
+// Predicates of what requests wait for. knowsAll holds only once the start is over.
 func knowsConfiguration(known Knowledge) bool { return known.Configuration }
 func knowsConfirmed(known Knowledge) bool     { return known.Configuration && known.Confirmed }
 func knowsBrokers(known Knowledge) bool       { return known.Configuration && known.Brokers }
-func knowsAll(Knowledge) bool                 { return false } // then the start is over
+func knowsAll(Knowledge) bool                 { return false }
 
-// awaitStartup waits, for a bounded time, while the process has just begun and does not know enough. It reports whether it
-// waited.
+// awaitStartup waits, for a bounded time, while the process is starting and doesn't know enough. It
+// reports whether it waited.
 func (c *call) awaitStartup(enough func(Knowledge) bool) (waited bool) {
 	startup := c.proxy.options.Startup
 	lacking, changed := startup.lacks(enough)
@@ -99,8 +101,8 @@
 	return true
 }
 
-// startupWaitDivisor: a request waits for the start to end for at most one in startupShare of the time that its client will wait, so that
-// time is left to serve it, or for its client to come again.
+// startupWaitDivisor: a request waits for the start to end for one part in startupWaitDivisor of
+// the time that its client waits, so that time is left to serve it, or for the client to retry.
 const startupWaitDivisor = 3
 
 // startupDeadline is until when the request may wait for the start to end.
@@ -112,7 +114,7 @@
 	return c.intake.received + wait
 }
 
-// unreadyRetryAfter is when a client whose request could not be taken should come again.
+// unreadyRetryAfter returns when a client whose request could not be accepted should retry.
 func (p *Proxy) unreadyRetryAfter() time.Duration {
 	if lacking, _ := p.options.Startup.lacks(knowsAll); lacking {
 		return p.bounds.StartupRetryAfter
--- a/internal/node/forward/upstream/dial_test.go
+++ b/internal/node/forward/upstream/dial_test.go
@@ -63,8 +63,8 @@
 	return list
 }
 
-// TestPatienceGrowsWithAttempts, up to the bound on connecting: the request may have no other broker.
-func TestPatienceGrowsWithAttempts(t *testing.T) {
+// TestConnectWaitGrowsWithAttempts, up to the bound on connecting: the request may have no other broker.
+func TestConnectWaitGrowsWithAttempts(t *testing.T) {
 	pool := newPool(t, Options{InitialConnectWait: 80 * time.Millisecond})
 	for earlier, want := range []time.Duration{80, 160, 320, 640, 1000, 1000} {
 		assert.Equal(t, pool.connectWait(earlier), want*time.Millisecond)
@@ -72,8 +72,8 @@
 	assert.Equal(t, pool.connectWait(1000), time.Second)
 }
 
-// TestConnectionThatComesLateIsKept for the next request, since new connections are dear.
-func TestConnectionThatComesLateIsKept(t *testing.T) {
+// TestLateConnectionIsKept for the next request, since new connections are expensive.
+func TestLateConnectionIsKept(t *testing.T) {
 	p := newPeer(t, ok(""))
 	for _, test := range []struct {
 		name string
@@ -96,12 +96,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
-			held := blockDials(pool)
+			blocked := blockDials(pool)
 			assert.Assert(t, errorx.IsOfType(test.get(pool), ConnectFailed))
 			open, idle := openAndIdle(pool)
 			assert.Equal(t, open, 1, "one that is still opened counts")
 			assert.Equal(t, idle, 0)
-			close(held.release)
+			close(blocked.release)
 			awaitIdle(t, pool)
 			exchange(t, pool, p.target("i-1"))
 			assert.Equal(t, pool.Counters.Opened.Load(), uint64(1))
@@ -150,15 +150,15 @@
 	}
 }
 
-// TestAClosedPoolKeepsNoLateConnection.
-func TestAClosedPoolKeepsNoLateConnection(t *testing.T) {
+// TestClosedPoolKeepsNoLateConnection.
+func TestClosedPoolKeepsNoLateConnection(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
-	held := blockDials(pool)
+	blocked := blockDials(pool)
 	_, err := pool.Get(t.Context(), p.target("i-1"), soon())
 	assert.Assert(t, errorx.IsOfType(err, ConnectFailed))
 	pool.Close()
-	close(held.release)
+	close(blocked.release)
 	socket := <-p.sockets
 	_, err = socket.Read(make([]byte, 1))
 	assert.Assert(t, err != nil, "the connection is closed")
@@ -166,8 +166,8 @@
 	assert.Equal(t, idle, 0)
 }
 
-// TestAStoppedProcessWaitsOnceMore: the time in which it stood still says nothing of the broker.
-func TestAStoppedProcessWaitsOnceMore(t *testing.T) {
+// TestSuspendedProcessWaitsOnceMore: the time in which it did not run says nothing about the broker.
+func TestSuspendedProcessWaitsOnceMore(t *testing.T) {
 	pool := newPool(t, Options{ConnectTimeout: 2 * time.Hour})
 	result := make(chan dialResult, 1)
 	d := &dial{pool: pool, startedAt: time.Now().Add(-time.Hour), result: result}
