--- a/internal/fleet/lease/voter/server.go
+++ b/internal/fleet/lease/voter/server.go
@@ -323,7 +323,7 @@
 			s.halt(err)
 			return
 		}
-		if snap, _, err := s.replica.MaybeSnapshot(); err != nil {
+		if snap, err := s.replica.MaybeSnapshot(); err != nil {
 			s.halt(err)
 		} else if snap != nil {
 			if err := s.store.SaveSnapshot(snap); err != nil {
--- a/internal/standin/leasesim/leasesim.go
+++ b/internal/standin/leasesim/leasesim.go
@@ -408,7 +408,7 @@
 			return
 		}
 		w.res.Elections += v.v.ElectionsWon - led
-		if snap, upTo, err := v.v.MaybeSnapshot(); err != nil {
+		if snap, err := v.v.MaybeSnapshot(); err != nil {
 			w.broken("%s: %v", v.name(), err)
 		} else if snap != nil {
 			v.disk.Snapshot = *snap
@@ -419,7 +419,6 @@
 				}
 			}
 			v.disk.Entries = kept
-			_ = upTo
 		}
 		if e.IsEmpty() {
 			break
