--- a/internal/fleet/lease/replica/replica.go
+++ b/internal/fleet/lease/replica/replica.go
@@ -1,5 +1,10 @@
-// Package replica is a voter as the others see it: agreement, grants and who asks for them, in one reducer. Shells and the virtual
-// fleet drive the same.
+// Package replica is one voter's replica of the leases in one reducer: its part in the consensus,
+// the replicated state, and the lessor that acts while it leads. The voter's server and the
+// simulation drive the same code; there is no network, disk or clock here.
+//
+// Invariant: nothing is granted, renewed or reported in the group's name unless a quorum has
+// confirmed this voter's lead after the request arrived. A leader that was cut off can't know
+// that another one leads by now.
 package replica
 
 import (
@@ -12,209 +17,215 @@
 	"kestrelspread/internal/fleet/lease/consensus"
 )
 
-// Request is an instance's: it is there, and holds these duties under these tokens.
-type Request struct {
-	Instance      string            `json:"instance"` // one life of it: a restart under the same name is another
-	SentAt        float64           `json:"at"`       // on its own steady clock; comes back with the answer
-	HeldTokens    map[string]uint64 `json:"holds,omitempty"`
-	EligibleRoles []string          `json:"can,omitempty"`   // duties that it can do; nil: all
-	WatchedRoles  []string          `json:"reads,omitempty"` // duties of which it wants to know how far they have come
-}
-
-// Grant is one duty in an answer.
-type Grant struct {
-	Role             string `json:"duty"`
-	Token            uint64 `json:"token"`
-	ReleaseRequested bool   `json:"let_go,omitempty"`
-	Progress         []byte `json:"data,omitempty"`
-}
-
-// ProgressReport is how far a duty has come, by its owner's own word, and how old that is, in ms: it is no better than that.
-type ProgressReport struct {
-	Role     string  `json:"duty"`
-	Token    uint64  `json:"token"`
-	Progress []byte  `json:"data,omitempty"`
-	AgeMs    float64 `json:"age"`
-}
-
-// Response is what a voter says. Leader: who is to be asked instead, where it does not lead; 0: not known.
-type Response struct {
-	OK              bool              `json:"ok"`
-	SentAt          float64           `json:"at"`
-	LeaderID        uint64            `json:"leader,omitempty"`
-	Grants          []Grant           `json:"grants,omitempty"`
-	LostRoles       map[string]uint64 `json:"lost,omitempty"` // what it thought it held, with the latest token
-	ProgressReports []ProgressReport  `json:"said,omitempty"`
-}
-
-// Replica is one of those who agree.
+// Replica is one voter's. One goroutine owns it. Times are ms of the voter's steady clock.
 type Replica struct {
 	*consensus.Node
-	State                *lease.State
-	Lessor               *lease.Lessor
-	now                  float64
-	pendingCommands      map[string]func(lease.Result)
-	submittedAt          map[string]float64
-	lastCommandNo        int
-	confirmingElection   bool // whether it leads is being confirmed, before it acts as a leader
-	config               lease.Config
-	lessorElection       int             // which of its elections the grantor's knowledge is from
-	queuedConfirmations  []func(ok bool) // questions that wait for the next confirmation
+	State  *lease.State
+	Lessor *lease.Lessor
+	now    float64 // the latest time that was handed in
+
+	pendingCommands map[string]func(lease.Result) // by command id
+	submittedAt     map[string]float64            // by command id
+	lastCommandNo   int
+
+	confirmingElection   bool // a quorum is being asked whether this voter has come to lead
+	lessorElection       int  // the election won from which the lessor's knowledge is
+	queuedConfirmations  []func(ok bool)
 	confirmationInFlight bool
 }
 
-// stateMachine lets the log change the state.
+// commandTimeoutMs is how long a command may take before its submitter is told that its outcome
+// is not known.
+const commandTimeoutMs = 10000
+
+// stateMachine applies the log to the replica's state.
 type stateMachine struct{ replica *Replica }
 
+// Apply applies a committed command, and answers who submitted it here.
 func (m stateMachine) Apply(index uint64, command []byte) {
-	r := m.replica.State.Apply(index, command)
-	if then := m.replica.pendingCommands[r.CommandID]; then != nil && r.CommandID != "" {
-		delete(m.replica.pendingCommands, r.CommandID)
-		delete(m.replica.submittedAt, r.CommandID)
-		then(r)
+	result := m.replica.State.Apply(index, command)
+	if result.CommandID != "" {
+		m.replica.completeCommand(result)
 	}
 }
-func (m stateMachine) Snapshot() []byte       { return m.replica.State.Snapshot() }
-func (m stateMachine) Restore(b []byte) error { return m.replica.State.Restore(b) }
-
-// New starts a voter from its disk.
-func New(d consensus.DurableState, rules lease.Config, times consensus.Config, seed uint64) (*Replica, error) {
-	v := &Replica{State: lease.NewState(), config: rules, pendingCommands: map[string]func(lease.Result){}, submittedAt: map[string]float64{}}
-	v.Lessor = lease.NewLessor(rules, v.State)
-	var err error
-	v.Node, err = consensus.New(d, times, stateMachine{v}, seed)
-	return v, err
-}
 
-const commandTimeoutMs = 10000 // ms that a command may take before its giver is told that nobody knows
-
-// Tick is one tick of the voter's clock, at a time of it: what is due is proposed.
-func (v *Replica) Tick(now float64) {
-	v.now = now
-	v.Node.Tick()
-	if v.IsLeader() && !v.Lessor.IsLeader() && !v.confirmingElection {
-		v.confirmingElection = true
-		lead := func(ok bool) {
-			v.confirmingElection = false
-			if ok {
-				v.lessorElection = v.ElectionsWon
-				v.Lessor.BecomeLeader(v.now) // all that was agreed before is applied by now
-			}
-		}
-		v.ConfirmLeadership(lead)
-	}
-	if v.Lessor.IsLeader() && (!v.IsLeader() || v.ElectionsWon != v.lessorElection) {
-		v.Lessor.BecomeFollower() // also where it was elected anew between two beats: what it knew of leases is from before
+// Snapshot returns the stored form of the state.
+func (m stateMachine) Snapshot() []byte { return m.replica.State.Snapshot() }
+
+// Restore replaces the state.
+func (m stateMachine) Restore(snapshot []byte) error { return m.replica.State.Restore(snapshot) }
+
+// New starts a replica from its durable state. The seed determines its election timeouts.
+func New(durable consensus.DurableState, config lease.Config, raftConfig consensus.Config, seed uint64) (*Replica, error) {
+	state := lease.NewState()
+	r := &Replica{
+		State:           state,
+		Lessor:          lease.NewLessor(config, state),
+		pendingCommands: map[string]func(lease.Result){},
+		submittedAt:     map[string]float64{},
 	}
-	for _, c := range v.Lessor.DueCommands(now) {
-		v.Propose(c.Encode())
+	node, err := consensus.New(durable, raftConfig, stateMachine{r}, seed)
+	r.Node = node
+	return r, err
+}
+
+// Tick advances the voter's clock by one tick, at a time of it: the lessor follows the lead, what
+// is due is proposed, and commands time out.
+func (r *Replica) Tick(now float64) {
+	r.now = now
+	r.Node.Tick()
+	r.followLead()
+	for _, c := range r.Lessor.DueCommands(now) {
+		r.Propose(c.Encode()) // what is lost is due again
 	}
-	ids := make([]string, 0, len(v.submittedAt))
-	for id, at := range v.submittedAt {
-		if now-at > commandTimeoutMs {
-			ids = append(ids, id)
-		}
+	r.expireCommands()
+}
+
+// followLead starts the lessor once a quorum has confirmed the lead, and stops it when the lead
+// is lost. Elections are compared too: a voter that lost and won the lead between two ticks knows
+// of leases only what it knew before, and has to begin anew.
+func (r *Replica) followLead() {
+	if r.IsLeader() && !r.Lessor.IsLeader() && !r.confirmingElection {
+		r.confirmingElection = true
+		r.ConfirmLeadership(func(ok bool) {
+			r.confirmingElection = false
+			if ok { // all that was committed before is applied by now
+				r.lessorElection = r.ElectionsWon
+				r.Lessor.BecomeLeader(r.now)
+			}
+		})
 	}
-	sort.Strings(ids)
-	for _, id := range ids {
-		v.failCommand(id, "no answer from a quorum: it may or may not have been agreed on")
+	if r.Lessor.IsLeader() && (!r.IsLeader() || r.ElectionsWon != r.lessorElection) {
+		r.Lessor.BecomeFollower()
 	}
 }
 
-func (v *Replica) failCommand(id, why string) {
-	then := v.pendingCommands[id]
-	delete(v.pendingCommands, id)
-	delete(v.submittedAt, id)
-	if then != nil {
-		then(lease.Result{CommandID: id, Reason: why})
-	}
+// mayAnswer tells whether this voter leads and its lessor knows of this election.
+func (r *Replica) mayAnswer() bool {
+	return r.IsLeader() && r.Lessor.IsLeader() && r.ElectionsWon == r.lessorElection
 }
 
-// HandleRequest answers an instance, once a quorum has confirmed that this voter leads.
-func (v *Replica) HandleRequest(now float64, q Request, reply func(Response)) {
-	v.now = now
-	if !v.IsLeader() || !v.Lessor.IsLeader() || v.ElectionsWon != v.lessorElection || q.Instance == "" || len(q.Instance) > 256 || len(q.HeldTokens) > 1000 || len(q.EligibleRoles) > 1000 || len(q.WatchedRoles) > 1000 {
-		reply(Response{SentAt: q.SentAt, LeaderID: v.otherLeaderID()})
+// HandleRequest answers an instance's request, once a quorum has confirmed that this voter leads.
+func (r *Replica) HandleRequest(now float64, request Request, reply func(Response)) {
+	r.now = now
+	redirect := func() { reply(Response{SentAt: request.SentAt, LeaderID: r.otherLeaderID()}) }
+	if !r.mayAnswer() || !request.valid() {
+		redirect()
 		return
 	}
-	v.confirmLeadership(func(ok bool) {
-		if !ok || !v.Lessor.IsLeader() {
-			reply(Response{SentAt: q.SentAt, LeaderID: v.otherLeaderID()})
+	r.confirmInBatch(func(ok bool) {
+		if !ok || !r.Lessor.IsLeader() {
+			redirect()
 			return
 		}
-		// Leases run from when the question came, not from now: a quorum has confirmed the lead since then.
-		v.Lessor.RecordRequest(now, q.Instance, q.EligibleRoles)
-		a := Response{OK: true, SentAt: q.SentAt}
-		for _, name := range v.State.RoleNames() {
-			d := v.State.Roles[name]
-			token, holds := q.HeldTokens[name]
-			if d.Holder == q.Instance {
-				if ok, letGo := v.Lessor.Renew(v.now, name, d.Token, q.Instance); ok {
-					a.Grants = append(a.Grants, Grant{name, d.Token, letGo, d.Progress})
-				}
-			} else if holds && token <= d.Token {
-				if a.LostRoles == nil {
-					a.LostRoles = map[string]uint64{}
-				}
-				a.LostRoles[name] = d.Token
+		// Alive since the request arrived, not since now: the lead was confirmed after that.
+		r.Lessor.RecordRequest(now, request.Instance, request.EligibleRoles)
+		reply(r.respond(request))
+	})
+}
+
+// respond renews what the instance holds, and says what it doesn't hold any more.
+func (r *Replica) respond(request Request) Response {
+	response := Response{OK: true, SentAt: request.SentAt}
+	for _, name := range r.State.RoleNames() {
+		role := r.State.Roles[name]
+		heldToken, held := request.HeldTokens[name]
+		if role.Holder == request.Instance {
+			renewed, release := r.Lessor.Renew(r.now, name, role.Token, request.Instance)
+			if renewed {
+				response.Grants = append(response.Grants, Grant{name, role.Token, release, role.Progress})
 			}
-		}
-		for _, name := range q.WatchedRoles {
-			if d := v.State.Roles[name]; d != nil && d.Progress != nil {
-				a.ProgressReports = append(a.ProgressReports, ProgressReport{name, d.ProgressToken, d.Progress, v.Lessor.ProgressAge(v.now, name)})
+		} else if held && heldToken <= role.Token {
+			if response.LostRoles == nil {
+				response.LostRoles = map[string]uint64{}
 			}
+			response.LostRoles[name] = role.Token
 		}
-		reply(a)
-	})
+	}
+	for _, name := range request.WatchedRoles {
+		if role := r.State.Roles[name]; role != nil && role.Progress != nil {
+			age := r.Lessor.ProgressAge(r.now, name)
+			response.ProgressReports = append(response.ProgressReports, ProgressReport{name, role.ProgressToken, role.Progress, age})
+		}
+	}
+	return response
 }
 
-// confirmLeadership asks a quorum before anything is said in its name: whoever led and was cut off does not know that another leads.
-func (v *Replica) confirmLeadership(then func(ok bool)) {
+// confirmInBatch calls done once a quorum has confirmed the lead after this call.
+func (r *Replica) confirmInBatch(done func(ok bool)) {
 	if plantUnconfirmed {
-		then(true)
+		done(true)
 		return
 	}
-	if v.queuedConfirmations = append(v.queuedConfirmations, then); !v.confirmationInFlight {
-		v.startConfirmation()
+	r.queuedConfirmations = append(r.queuedConfirmations, done)
+	if !r.confirmationInFlight {
+		r.startConfirmation()
 	}
 }
 
-// startConfirmation confirms for all who wait: however many ask, a quorum is asked once at a time. Who comes while it is being asked waits
-// for the next, as an answer proves nothing of a question that came after it was asked for.
-func (v *Replica) startConfirmation() {
-	list := v.queuedConfirmations
-	v.queuedConfirmations, v.confirmationInFlight = nil, true
-	v.ConfirmLeadership(func(ok bool) {
-		v.confirmationInFlight = false
-		for _, then := range list {
-			then(ok)
+// startConfirmation asks a quorum once for all that wait. What is queued meanwhile waits for the
+// next one, as a confirmation proves nothing of requests that arrived after it was asked for.
+func (r *Replica) startConfirmation() {
+	waiting := r.queuedConfirmations
+	r.queuedConfirmations, r.confirmationInFlight = nil, true
+	r.ConfirmLeadership(func(ok bool) {
+		r.confirmationInFlight = false
+		for _, done := range waiting {
+			done(ok)
 		}
-		if len(v.queuedConfirmations) > 0 && !v.confirmationInFlight {
-			v.startConfirmation()
+		if len(r.queuedConfirmations) > 0 && !r.confirmationInFlight {
+			r.startConfirmation()
 		}
 	})
 }
 
-func (v *Replica) otherLeaderID() uint64 {
-	if l := v.LeaderID(); l != v.ID {
-		return l
+// otherLeaderID is the leader where it is not this voter; 0: not known.
+func (r *Replica) otherLeaderID() uint64 {
+	leader := r.LeaderID()
+	if leader == r.ID {
+		return 0
+	}
+	return leader
+}
+
+// Submit proposes a command, and calls reply with its result. A Result.Index of 0 says that the
+// command may or may not be committed.
+func (r *Replica) Submit(now float64, c lease.Command, reply func(lease.Result)) {
+	r.now = now
+	r.lastCommandNo++
+	c.ID = fmt.Sprintf("%x-%d-%d", r.ID, r.Term(), r.lastCommandNo)
+	r.pendingCommands[c.ID], r.submittedAt[c.ID] = reply, now
+	if err := r.Propose(c.Encode()); err != nil {
+		r.completeCommand(lease.Result{CommandID: c.ID, Reason: err.Error()})
+	}
+}
+
+// expireCommands answers the commands that have waited too long.
+func (r *Replica) expireCommands() {
+	var expired []string
+	for id, submittedAt := range r.submittedAt {
+		if r.now-submittedAt > commandTimeoutMs {
+			expired = append(expired, id)
+		}
+	}
+	sort.Strings(expired)
+	for _, id := range expired {
+		r.completeCommand(lease.Result{CommandID: id, Reason: "no answer from a quorum: it may or may not have been agreed on"})
 	}
-	return 0
 }
 
-// Do gives a command, and tells what became of it.
-func (v *Replica) Submit(now float64, c lease.Command, reply func(lease.Result)) {
-	v.now = now
-	v.lastCommandNo++
-	c.ID = fmt.Sprintf("%x-%d-%d", v.ID, v.Term(), v.lastCommandNo)
-	v.pendingCommands[c.ID], v.submittedAt[c.ID] = reply, now
-	if err := v.Propose(c.Encode()); err != nil {
-		v.failCommand(c.ID, err.Error())
+// completeCommand answers a command's submitter, if it waits here.
+func (r *Replica) completeCommand(result lease.Result) {
+	reply := r.pendingCommands[result.CommandID]
+	delete(r.pendingCommands, result.CommandID)
+	delete(r.submittedAt, result.CommandID)
+	if reply != nil {
+		reply(result)
 	}
 }
 
-// HandleMessage takes a message of another voter.
-func (v *Replica) HandleMessage(now float64, m raftpb.Message) {
-	v.now = now
-	v.Step(m)
+// HandleMessage handles a message of another voter.
+func (r *Replica) HandleMessage(now float64, m raftpb.Message) {
+	r.now = now
+	r.Step(m)
 }
