--- a/internal/fleet/lease/membership/membership.go
+++ b/internal/fleet/lease/membership/membership.go
@@ -1,224 +1,279 @@
-// Package membership is who votes: how a group is founded, how a voter whose disk is gone comes back, how one is added. It is a
-// reducer: what voters say of themselves and what is agreed go in, steps come out.
+// Package membership decides who is a member of the voters' raft group: how the group is founded,
+// how a voter that lost its disk comes back, how one is added. It is a reducer: hellos of other
+// voters and the committed membership go in, steps to take come out.
 //
-// A number belongs to a disk, drawn when the disk is made and never given out again. So whoever has lost its disk has another
-// number, knows nothing, and learns before it votes: it can't vote twice in a term. A group is founded once, by the voter that
-// is named first, when all that are named have said that theirs are new; the others take the founding up only if it names the
-// numbers of their own disks.
+// An id belongs to a disk: it is drawn when the disk is made, and never given out again. So a
+// voter that lost its disk has another id, knows nothing, and learns before it votes: it can't
+// vote twice in a term. A group is founded once, by the voter named first in the operator's file,
+// when all that are named have said that their disks are new. The others take the founding up
+// only if it names the ids of their own disks.
 package membership
 
-import "slices"
+import (
+	"slices"
+)
 
-// Hello is what a voter says of itself. Group 0: its disk belongs to none yet. Voters: those of the founding, if it knows them.
+// Hello is what a voter says of itself.
 type Hello struct {
 	Name     string            `json:"name"`
 	VoterID  uint64            `json:"id"`
-	GroupID  uint64            `json:"group,omitempty"`
-	Founders map[uint64]string `json:"voters,omitempty"`
+	GroupID  uint64            `json:"group,omitempty"`  // 0: its disk belongs to no group yet
+	Founders map[uint64]string `json:"voters,omitempty"` // of its group, if it knows them
 }
 
-// Config are times in ms.
+// Config has times in ms.
 type Config struct {
-	HelloTTLMs      float64 // what was said so long ago is no news
-	ReplaceAfterMs  float64 // a number not heard of for so long may be replaced by another of its name
-	RetryIntervalMs float64 // before a step that has led to nothing is taken again
+	HelloTTLMs      float64 // a hello is believed for so long
+	ReplaceAfterMs  float64 // an id not heard from for so long may be replaced by another of its name
+	RetryIntervalMs float64 // between two steps
 }
 
-// DefaultConfig are the rules that voters go by.
+// DefaultConfig is what voters use.
 var DefaultConfig = Config{HelloTTLMs: 4000, ReplaceAfterMs: 10000, RetryIntervalMs: 2000}
 
-// StepKind of a step.
+// StepKind says what a step does.
 type StepKind uint8
 
+// The kinds of steps.
 const (
-	StepBootstrap  StepKind = iota + 1 // write the founding to the own disk, in a group to be drawn
-	StepJoin                           // write another's founding to the own disk; without Voters: learn from it
-	StepNameVoter                      // agree that ID is Who's
-	StepAddLearner                     // ID is to learn
-	StepPromote                        // ID, which has learnt, is to vote; in Gone's place if that is not 0
+	// StepBootstrap founds a group with Founders, under a group id to be drawn.
+	StepBootstrap StepKind = iota + 1
+	// StepJoin takes up GroupID; with Founders as one of them, else as a learner.
+	StepJoin
+	// StepNameVoter commits that VoterID is Name's.
+	StepNameVoter
+	// StepAddLearner has VoterID learn.
+	StepAddLearner
+	// StepPromote lets VoterID, which has caught up, vote; in ReplacedID's place if that is not 0.
+	StepPromote
 )
 
-// Step is what is to be done.
+// Step is a change to make.
 type Step struct {
-	Kind                StepKind
-	VoterID, ReplacedID uint64
-	Name                string
-	GroupID             uint64
-	Founders            map[uint64]string
+	Kind       StepKind
+	VoterID    uint64
+	ReplacedID uint64
+	Name       string
+	GroupID    uint64
+	Founders   map[uint64]string
 }
 
-// View is what is agreed, as a leader knows it.
+// View is the committed membership, as a leader knows it.
 type View struct {
-	IsLeader         bool
-	Voters, Learners []uint64
-	VoterNames       map[uint64]string
-	CaughtUp         func(id uint64) bool
+	IsLeader   bool
+	Voters     []uint64
+	Learners   []uint64
+	VoterNames map[uint64]string
+	CaughtUp   func(id uint64) bool
 }
 
+// receivedHello is a voter's latest hello.
 type receivedHello struct {
 	hello      Hello
 	receivedAt float64
 }
 
-// Reconciler is one voter's view of the others.
+// Reconciler compares what the named voters say of themselves with the committed membership, and
+// derives the next step towards a group of just these. Times are ms of one steady clock.
 type Reconciler struct {
 	config      Config
 	self        Hello
-	voterNames  []string
-	hellos      map[string]receivedHello
-	lastContact map[uint64]float64 // by number: when it was last heard of; those of the names' latest few disks
-	startedAt   float64            // when this view began
-	lastStep    Step
-	lastStepAt  float64 // of the latest step
+	voterNames  []string                 // in the order of the operator's file
+	hellos      map[string]receivedHello // by name
+	lastContact map[uint64]float64       // by voter id
+	startedAt   float64                  // since when contacts are tracked
+	lastStepAt  float64
 }
 
+// maxTrackedIDs bounds the ids, each of another disk, whose contacts are tracked.
 const maxTrackedIDs = 1000
 
-// New is the view of a voter, which is among the names, at a time. Names are in the order of the operator's file.
-func New(rules Config, own Hello, names []string, now float64) *Reconciler {
-	return &Reconciler{config: rules, self: own, voterNames: names, hellos: map[string]receivedHello{}, lastContact: map[uint64]float64{}, startedAt: now,
-		lastStepAt: now - rules.RetryIntervalMs}
+// New returns the reconciler of a voter, whose name is among voterNames.
+func New(config Config, self Hello, voterNames []string, now float64) *Reconciler {
+	return &Reconciler{
+		config:      config,
+		self:        self,
+		voterNames:  voterNames,
+		hellos:      map[string]receivedHello{},
+		lastContact: map[uint64]float64{},
+		startedAt:   now,
+		lastStepAt:  now - config.RetryIntervalMs,
+	}
 }
 
-// Self is what this voter says.
+// Self is this voter's hello.
 func (r *Reconciler) Self() Hello { return r.self }
 
-// SetGroup: the own disk belongs to a group now.
-func (r *Reconciler) SetGroup(group uint64, voters map[uint64]string) {
-	r.self.GroupID, r.self.Founders = group, voters
+// SetGroup records that this voter's disk belongs to a group now.
+func (r *Reconciler) SetGroup(groupID uint64, founders map[uint64]string) {
+	r.self.GroupID, r.self.Founders = groupID, founders
 }
 
-// HandleHello takes what another voter says. Who is not named, or speaks in this one's name, is not listened to.
-func (r *Reconciler) HandleHello(now float64, h Hello) {
-	if h.VoterID == 0 || h.Name == r.self.Name || !slices.Contains(r.voterNames, h.Name) {
+// HandleHello records another voter's hello. One of a voter that isn't named, or in this voter's
+// own name, is ignored.
+func (r *Reconciler) HandleHello(now float64, hello Hello) {
+	if hello.VoterID == 0 || hello.Name == r.self.Name || !slices.Contains(r.voterNames, hello.Name) {
 		return
 	}
-	r.hellos[h.Name] = receivedHello{h, now}
+	r.hellos[hello.Name] = receivedHello{hello, now}
 	if len(r.lastContact) >= maxTrackedIDs {
 		clear(r.lastContact)
 		r.startedAt = now
 	}
-	r.lastContact[h.VoterID] = now
+	r.lastContact[hello.VoterID] = now
 }
 
-// Of gives the number under which a voter was last heard of; 0: never.
+// VoterID is the id in a voter's latest hello; 0: there was none.
 func (r *Reconciler) VoterID(name string) uint64 { return r.hellos[name].hello.VoterID }
 
-// VoterName gives the name that a number was heard under.
+// VoterName is the name under which an id said hello; "": it never did.
 func (r *Reconciler) VoterName(id uint64) string {
-	for _, n := range r.voterNames {
-		if r.hellos[n].hello.VoterID == id {
-			return n
+	for _, name := range r.voterNames {
+		if r.hellos[name].hello.VoterID == id {
+			return name
 		}
 	}
 	return ""
 }
 
-// SinceContact is since when a number was last heard of, in ms; below 0: never, or the own.
+// SinceContact is how long ago an id said hello, in ms; below 0: never, or it is this voter's.
 func (r *Reconciler) SinceContact(now float64, id uint64) float64 {
-	if at, known := r.lastContact[id]; known {
-		return now - at
+	if contactAt, known := r.lastContact[id]; known {
+		return now - contactAt
 	}
 	return -1
 }
 
-// presumedGone: nothing was heard of a number for so long that its disk may be taken to be gone.
+// presumedGone tells whether an id has not said hello for so long that its disk counts as lost.
 func (r *Reconciler) presumedGone(now float64, id uint64) bool {
-	at, known := r.lastContact[id]
+	contactAt, known := r.lastContact[id]
 	if !known {
-		at = r.startedAt
+		contactAt = r.startedAt
 	}
-	return now-at > r.config.ReplaceAfterMs
+	return now-contactAt > r.config.ReplaceAfterMs
 }
 
-// NextStep gives the one step that is due, if one is.
-func (r *Reconciler) NextStep(now float64, v View) (Step, bool) {
+// NextStep returns the one step that is due, if there is one. A step that came to nothing is due
+// again after the retry interval.
+func (r *Reconciler) NextStep(now float64, view View) (Step, bool) {
 	if now < r.lastStepAt+r.config.RetryIntervalMs {
 		return Step{}, false
 	}
-	s, due := r.memberStep(now, v)
+	step, due := r.nextStep(now, view)
 	if due {
-		r.lastStep, r.lastStepAt = s, now
+		r.lastStepAt = now
 	}
-	return s, due
+	return step, due
 }
 
-func (r *Reconciler) memberStep(now float64, v View) (Step, bool) {
+func (r *Reconciler) nextStep(now float64, view View) (Step, bool) {
 	if r.self.GroupID == 0 {
 		return r.joinStep(now)
 	}
-	if !v.IsLeader {
+	if !view.IsLeader {
 		return Step{}, false
 	}
 	for _, name := range r.voterNames {
-		h := r.hellos[name]
-		id := h.hello.VoterID
-		if id == 0 || now-h.receivedAt > r.config.HelloTTLMs || h.hello.GroupID != r.self.GroupID || slices.Contains(v.Voters, id) {
-			continue
-		}
-		switch {
-		case v.VoterNames[id] != name:
-			return Step{Kind: StepNameVoter, VoterID: id, Name: name}, true
-		case !slices.Contains(v.Learners, id):
-			return Step{Kind: StepAddLearner, VoterID: id, Name: name}, true
-		case !v.CaughtUp(id):
+		hello, fresh := r.freshHello(now, name)
+		if !fresh || hello.GroupID != r.self.GroupID || slices.Contains(view.Voters, hello.VoterID) {
 			continue
 		}
-		gone, wait := uint64(0), false
-		for _, old := range v.Voters {
-			if v.VoterNames[old] == name {
-				// Two processes under one name, each with a disk of its own, must not push each other out in turn.
-				if gone = old; !r.presumedGone(now, old) {
-					wait = true
-				}
-			}
-		}
-		if !wait {
-			return Step{Kind: StepPromote, VoterID: id, ReplacedID: gone, Name: name}, true
+		if step, due := r.admitStep(now, view, hello); due {
+			return step, true
 		}
 	}
 	return Step{}, false
 }
 
-// joinStep is for a disk that belongs to no group.
+// freshHello is a voter's latest hello, while it is to be believed.
+func (r *Reconciler) freshHello(now float64, name string) (Hello, bool) {
+	received := r.hellos[name]
+	known := received.hello.VoterID != 0
+	return received.hello, known && now-received.receivedAt <= r.config.HelloTTLMs
+}
+
+// admitStep is a leader's next step to let a voter of its group vote: its id is named, then it
+// learns, then it is promoted.
+func (r *Reconciler) admitStep(now float64, view View, hello Hello) (Step, bool) {
+	step := Step{VoterID: hello.VoterID, Name: hello.Name}
+	switch {
+	case view.VoterNames[hello.VoterID] != hello.Name:
+		step.Kind = StepNameVoter
+		return step, true
+	case !slices.Contains(view.Learners, hello.VoterID):
+		step.Kind = StepAddLearner
+		return step, true
+	case !view.CaughtUp(hello.VoterID):
+		return Step{}, false
+	}
+	replacedID, alive := r.formerID(now, view, hello.Name)
+	if alive {
+		return Step{}, false
+	}
+	step.Kind, step.ReplacedID = StepPromote, replacedID
+	return step, true
+}
+
+// formerID is the id under which a name votes now; 0: none. While one of its ids is heard from it
+// isn't replaced: of two processes under one name neither may push the other out.
+func (r *Reconciler) formerID(now float64, view View, name string) (id uint64, alive bool) {
+	for _, voter := range view.Voters {
+		if view.VoterNames[voter] != name {
+			continue
+		}
+		id = voter
+		alive = alive || !r.presumedGone(now, voter)
+	}
+	return id, alive
+}
+
+// joinStep is the step of a voter whose disk belongs to no group: it takes up the group of
+// another, or founds one if it is named first and all others say that they have none either.
 func (r *Reconciler) joinStep(now float64) (Step, bool) {
-	others, fresh := 0, 0
+	allFresh := true
 	for _, name := range r.voterNames {
 		if name == r.self.Name {
 			continue
 		}
-		others++
-		h := r.hellos[name]
-		if h.hello.VoterID == 0 || now-h.receivedAt > r.config.HelloTTLMs {
-			continue
-		}
-		if g := h.hello.GroupID; g != 0 {
-			s := Step{Kind: StepJoin, GroupID: g}
-			if h.hello.Founders[r.self.VoterID] == r.self.Name {
-				s.VoterID, s.Founders = r.self.VoterID, h.hello.Founders
-			}
-			if plantByName { // a defect to be found: whoever lost its disk takes up its old number, and may vote twice
-				for id, who := range h.hello.Founders {
-					if who == r.self.Name {
-						s.VoterID, s.Founders = id, h.hello.Founders
-					}
-				}
-			}
-			return s, true
+		hello, fresh := r.freshHello(now, name)
+		if fresh && hello.GroupID != 0 {
+			return r.joinGroupStep(hello), true
 		}
-		fresh++
+		allFresh = allFresh && fresh
 	}
-	if fresh < others || r.self.Name != r.voterNames[0] {
+	if !allFresh || r.self.Name != r.voterNames[0] {
 		return Step{}, false
 	}
-	voters := map[uint64]string{r.self.VoterID: r.self.Name}
+	return r.bootstrapStep()
+}
+
+// joinGroupStep takes up a group that another voter belongs to: as a founder only if the founding
+// names the id of this voter's own disk.
+func (r *Reconciler) joinGroupStep(hello Hello) Step {
+	step := Step{Kind: StepJoin, GroupID: hello.GroupID}
+	if hello.Founders[r.self.VoterID] == r.self.Name {
+		step.VoterID, step.Founders = r.self.VoterID, hello.Founders
+	}
+	if plantByName { // a planted defect: a voter without its disk takes its old id, and may vote twice
+		for id, name := range hello.Founders {
+			if name == r.self.Name {
+				step.VoterID, step.Founders = id, hello.Founders
+			}
+		}
+	}
+	return step
+}
+
+// bootstrapStep founds a group of all named voters.
+func (r *Reconciler) bootstrapStep() (Step, bool) {
+	founders := map[uint64]string{r.self.VoterID: r.self.Name}
 	for _, name := range r.voterNames {
 		if name != r.self.Name {
-			voters[r.hellos[name].hello.VoterID] = name
+			founders[r.hellos[name].hello.VoterID] = name
 		}
 	}
-	if len(voters) != len(r.voterNames) {
-		return Step{}, false // two disks of one number: one is a copy of the other
+	if len(founders) != len(r.voterNames) {
+		return Step{}, false // two disks of one id: one is a copy of the other
 	}
-	return Step{Kind: StepBootstrap, Founders: voters}, true
+	return Step{Kind: StepBootstrap, Founders: founders}, true
 }
