--- a/cmd/kestrelctl/fleet.go
+++ b/cmd/kestrelctl/fleet.go
@@ -14,7 +14,7 @@
 // fleetCommand looks at the nodes of a router fleet, and plays a small one.
 func fleetCommand() *cobra.Command {
 	root := &cobra.Command{Use: "fleet", Short: "Look at the nodes of a router fleet, or play a small one"}
-	root.AddCommand(fleetStatus(), fleetDemo(), fleetScale(), fleetFaults())
+	root.AddCommand(fleetStatus(), fleetDemo(), fleetFaults())
 	return root
 }
 
