--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -64,13 +64,6 @@
 	return &Scheduler{budget: b, at: now, time: b.Time * b.Burst, bytes: b.Bytes * b.Burst}
 }
 
-// Set takes another budget.
-func (s *Scheduler) Set(b Budget, now float64) {
-	s.refill(now)
-	s.budget = b
-	s.time, s.bytes = min(s.time, b.Time*b.Burst), min(s.bytes, b.Bytes*b.Burst)
-}
-
 // Add registers a task that is due at a time; +Inf: when it is woken.
 func (s *Scheduler) Add(name string, p Priority, due float64) *Task {
 	t := &Task{Name: name, Priority: min(p, High), due: due, pass: s.pass}
--- a/internal/background/run/run.go
+++ b/internal/background/run/run.go
@@ -41,14 +41,6 @@
 	return t
 }
 
-// Wake has a task run as soon as it may.
-func (r *Runner) Wake(t *background.Task) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.s.Wake(t, r.now())
-	r.wake()
-}
-
 func (r *Runner) wake() {
 	select {
 	case r.woken <- struct{}{}:
--- a/internal/standin/sockets/sockets.go
+++ b/internal/standin/sockets/sockets.go
@@ -302,16 +302,6 @@
 	return d, nil
 }
 
-// Set tells a changed list.
-func (d *Discovery) Set(change func(list []Instance)) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	change(d.list)
-	d.version++
-	close(d.news)
-	d.news = make(chan struct{})
-}
-
 // Replace tells another list.
 func (d *Discovery) Replace(list []Instance) {
 	d.lock.Lock()
--- a/internal/standin/station/station.go
+++ b/internal/standin/station/station.go
@@ -112,13 +112,6 @@
 	s.mark()
 }
 
-// Started is when it did, in ms of the run; negative infinity: before it.
-func (s *Station) Started() float64 {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.started
-}
-
 // Slow makes it slower by so many times; 1: as ever.
 func (s *Station) Slow(times float64) {
 	s.lock.Lock()
