--- a/internal/node/kvindex/source.go
+++ b/internal/node/kvindex/source.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// pollPeriod lies between the starts of two calls to the same source.
-	pollPeriod = time.Second
-	// longestWait is the most a call may be held (PROTOCOL.md, "KV cache").
-	longestWait = time.Second
-	// firstBackoff follows a call that failed; it doubles up to lastBackoff.
-	firstBackoff = time.Second
-	lastBackoff  = 8 * time.Second
-	// answerTimeout is how long the shell's own end of a call is waited for.
-	answerTimeout = 4 * time.Second
-	// mostParts bounds how many parts of one source a home remembers.
-	mostParts = 16384
+	// eventPollInterval is the least time between the starts of two calls to the same source.
+	eventPollInterval = time.Second
+	// maxLongPoll is how long a source may hold a call until it has events (PROTOCOL.md, "KV cache").
+	maxLongPoll = time.Second
+	// minBackoff follows a failed call; it doubles with each further one up to maxBackoff.
+	minBackoff = time.Second
+	maxBackoff = 8 * time.Second
+	// callTimeout is when a call without a result counts as lost. It is longer than the timeout of
+	// package feed, which reports a result in any case.
+	callTimeout = 4 * time.Second
+	// maxCachedParts bounds the parts of one source that a home remembers.
+	maxCachedParts = 16384
 )
 
 // Source is a broker or store whose events this node polls.
@@ -28,7 +29,7 @@
 	Zone     string
 }
 
-// name is the source's among the holders of the index.
+// name returns the source's name as a holder in the index.
 func (s *Source) name() string {
 	if s.Instance == "" {
 		return StoreName(s.Address)
@@ -39,97 +40,102 @@
 // partKey is a part under a salt.
 type partKey struct{ salt, part uint64 }
 
-// keptPart is how much of a part is kept, and which change told of it.
-type keptPart struct {
-	tokens uint32
-	noted  uint64
+// cachedPart is how much of a part a source caches, by its newest event.
+type cachedPart struct {
+	tokens       uint32
+	changeNumber uint64 // number of that event among those of the source
 }
 
 // source is what a home knows of one Source.
 type source struct {
 	Source
-	number   uint64 // order among the sources of this home
-	epoch    uint64 // of its events; 0: none seen
-	since    uint64
-	kept     map[partKey]keptPart
-	noted    uint64 // changes so far
-	token    uint64 // of the call that is out; 0: none
-	calledAt core.Time
-	nextAt   core.Time
-	failures int
+	number      uint64 // order among the sources of this home
+	epoch       uint64 // of its events, another one after a restart; 0: none received
+	cursor      uint64 // page token of the next events
+	cached      map[partKey]cachedPart
+	changeCount uint64    // events of cached parts so far
+	callID      uint64    // of the pending call; 0: none
+	calledAt    core.Time // start of the latest call
+	nextCallAt  core.Time
+	failures    int // failed calls in a row
 }
 
 // due reports whether a call is to be made now.
 func (s *source) due(now core.Time) bool {
-	if s.token != 0 {
-		return now >= s.calledAt+answerTimeout
+	if s.callID != 0 {
+		return now >= s.calledAt+callTimeout
 	}
-	return now >= s.nextAt
+	return now >= s.nextCallAt
 }
 
 // deadline is when the source is due next.
 func (s *source) deadline() core.Time {
-	if s.token != 0 {
-		return s.calledAt + answerTimeout
+	if s.callID != 0 {
+		return s.calledAt + callTimeout
 	}
-	return s.nextAt
+	return s.nextCallAt
 }
 
-func (s *source) failed(now core.Time) {
-	s.token = 0
-	s.nextAt = now + min(firstBackoff<<min(s.failures, 10), lastBackoff)
+// backOff ends a failed call.
+func (s *source) backOff(now core.Time) {
+	s.callID = 0
+	s.nextCallAt = now + min(minBackoff<<min(s.failures, 10), maxBackoff)
 	s.failures++
 }
 
-// answered takes events in. reset: all that was kept before is gone; changed are the parts that changed.
-func (s *source) answered(events *Events, now core.Time) (reset bool, changed []partKey) {
-	s.token = 0
+// handleEvents ends a call that brought events. It reports whether the source has restarted, so that all
+// it cached before is lost, and the parts whose state changed.
+func (s *source) handleEvents(events *Events, now core.Time) (reset bool, changed []partKey) {
+	s.callID = 0
 	s.failures = 0
-	s.nextAt = max(now, s.calledAt+pollPeriod)
+	s.nextCallAt = max(now, s.calledAt+eventPollInterval)
 	if s.epoch != events.Epoch {
 		reset = s.epoch != 0
-		clear(s.kept)
+		clear(s.cached)
 		s.epoch = events.Epoch
-		if s.since > 0 { // numbered anew: what lies before is asked for once more
-			s.since = 0
-			s.nextAt = now
+		if s.cursor > 0 {
+			// The events of the new epoch are numbered from the start: those before the old cursor
+			// are missing here and fetched at once.
+			s.cursor = 0
+			s.nextCallAt = now
 			return reset, nil
 		}
 	}
-	s.since = events.Next
+	s.cursor = events.Next
 	for _, event := range events.List {
 		key := partKey{event.Salt, event.Part}
-		if s.note(key, uint32(event.Tokens)) {
+		if s.recordPart(key, uint32(event.Tokens)) {
 			changed = append(changed, key)
 		}
 	}
-	return reset, append(changed, s.outdated()...)
+	return reset, append(changed, s.evictStale()...)
 }
 
-// note reports whether what is kept of a part changed.
-func (s *source) note(key partKey, tokens uint32) bool {
-	before, known := s.kept[key]
+// recordPart records an event of a part and reports whether it changed the part.
+func (s *source) recordPart(key partKey, tokens uint32) bool {
+	previous, known := s.cached[key]
 	if tokens == 0 {
-		delete(s.kept, key)
+		delete(s.cached, key)
 		return known
 	}
-	s.noted++
-	s.kept[key] = keptPart{tokens: tokens, noted: s.noted}
-	return before.tokens != tokens
+	s.changeCount++
+	s.cached[key] = cachedPart{tokens: tokens, changeNumber: s.changeCount}
+	return previous.tokens != tokens
 }
 
-// outdated takes out the parts that were told of longest ago where there are too many: events that never came have left some
-// behind that are not kept any more.
-func (s *source) outdated() []partKey {
-	if len(s.kept) <= mostParts {
+// evictStale removes and returns the parts with the oldest events if there are too many parts: lost
+// events have left parts behind that the source no longer caches. It removes an eighth or more, so that
+// it seldom has to.
+func (s *source) evictStale() []partKey {
+	if len(s.cached) <= maxCachedParts {
 		return nil
 	}
-	var old []partKey
-	for key, part := range s.kept {
-		if part.noted+mostParts*7/8 <= s.noted {
-			old = append(old, key)
-			delete(s.kept, key)
+	var stale []partKey
+	for key, part := range s.cached {
+		if part.changeNumber+maxCachedParts*7/8 <= s.changeCount {
+			stale = append(stale, key)
+			delete(s.cached, key)
 		}
 	}
-	return old
+	return stale
 }
