--- a/internal/node/config/stored_golden_test.go
+++ b/internal/node/config/stored_golden_test.go
@@ -123,7 +123,7 @@
 	assert.Assert(t, bytes.Equal(state.Snapshot(), written))
 	document := strings.TrimSpace(string(golden.Get(t, goldenDocument)))
 	assert.Equal(t, string(state.Fetch()), document)
-	fetched, err := config.FetchSnapshot(written)
+	fetched, err := config.FetchFromSnapshot(written)
 	assert.NilError(t, err)
 	assert.Equal(t, string(fetched), document)
 
--- a/internal/node/forward/headers.go
+++ b/internal/node/forward/headers.go
@@ -32,8 +32,8 @@
 	headerRetryAfter     = "Retry-After"
 )
 
-// perConnection reports whether a header concerns one connection only (PROTOCOL.md, "Requests").
-func perConnection(name string) bool {
+// isHopByHop reports whether a header concerns a single connection (PROTOCOL.md, "Requests").
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade":
 		return true
@@ -42,9 +42,9 @@
 	}
 }
 
-// setByUs reports whether a client's header is left out of what is sent on, because this proxy sets it, or because it was
-// meant for this proxy alone.
-func setByUs(name string) bool {
+// isReplaced reports whether a client's header is not forwarded, because this proxy sets it, or
+// because it was meant for this proxy alone.
+func isReplaced(name string) bool {
 	switch name {
 	case headerExpectInstance, headerExpectVersion, headerSalt, headerFetch, headerSave, headerPriority, headerTenant,
 		headerDeadline, headerRequestID, "Authorization", "Content-Length", "Expect", "Host":
@@ -54,8 +54,8 @@
 	}
 }
 
-// internalToFleet reports whether a broker's header is meant for this proxy and not for its client.
-func internalToFleet(name string) bool {
+// isFleetInternal reports whether a broker's header is meant for this proxy and not for its client.
+func isFleetInternal(name string) bool {
 	switch name {
 	case headerServerLoad, headerInstanceID, headerNotExecuted:
 		return true
@@ -64,8 +64,9 @@
 	}
 }
 
-// namedByConnection lists the headers that Connection names as concerning one connection only; nil in the usual case.
-func namedByConnection(header http.Header) []string {
+// connectionHeaders lists the headers that Connection declares as hop-by-hop; nil in the usual
+// case.
+func connectionHeaders(header http.Header) []string {
 	var names []string
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -78,7 +79,7 @@
 	return names
 }
 
-// appendHeader adds one line of a head.
+// appendHeader appends one line of a head.
 func appendHeader(head []byte, name, value string) []byte {
 	head = append(head, name...)
 	head = append(head, ": "...)
@@ -86,6 +87,7 @@
 	return append(head, "\r\n"...)
 }
 
+// appendNumberHeader appends one line of a head with a number.
 func appendNumberHeader(head []byte, name string, value int64) []byte {
 	head = append(head, name...)
 	head = append(head, ": "...)
@@ -93,16 +95,16 @@
 	return append(head, "\r\n"...)
 }
 
-// formatSeconds writes a duration as Retry-After gives it: in seconds with fractions.
+// formatSeconds formats a duration for Retry-After: in seconds, with fractions.
 func formatSeconds(duration time.Duration) string {
 	return strconv.FormatFloat(max(duration.Seconds(), 0), 'f', 3, 64)
 }
 
-// parseSeconds reads a Retry-After; 0 where there is none that can be read.
+// parseSeconds parses a Retry-After; 0 where it is missing, invalid, or over an hour.
 func parseSeconds(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	const most = 3600
-	if err != nil || !(seconds > 0) || seconds > most {
+	const maxSeconds = 3600
+	if err != nil || !(seconds > 0) || seconds > maxSeconds {
 		return 0
 	}
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/node/forward/upstream/pool.go
+++ b/internal/node/forward/upstream/pool.go
@@ -12,27 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options bound what a Pool keeps. Zero values take the defaults.
+// Options configure a Pool. Zero values take the defaults.
 type Options struct {
-	// MaxIdle bounds the connections at rest to all brokers together.
+	// MaxIdle bounds the idle connections to all brokers together.
 	MaxIdle int
-	// IdleTime is how long a connection may rest before it is closed.
+	// IdleTime is how long a connection may be idle before it is closed.
 	IdleTime time.Duration
-	// UnstatedIdleTime is how long a connection whose broker gave no Keep-Alive time may rest and be used again.
+	// UnstatedIdleTime is how long a connection whose broker gave no Keep-Alive time may be idle
+	// and still be used.
 	UnstatedIdleTime time.Duration
-	// KeepAliveMargin is how much sooner than the broker a resting connection is given up.
+	// KeepAliveMargin is how long before the broker an idle connection is closed here.
 	KeepAliveMargin time.Duration
-	// ConnectTimeout bounds the time in which a connection must come up.
+	// ConnectTimeout bounds the time in which a connection must be established.
 	ConnectTimeout time.Duration
-	// FirstPatience is how long a request waits for a connection to come up while nothing is known of how long that usually
-	// takes, and LeastPatience how long it waits at least.
-	FirstPatience time.Duration
-	LeastPatience time.Duration
-	// SettleTime is how long Conn.Settle waits for a reset, beside a round trip.
-	SettleTime time.Duration
-	// SendTimeout is TCP_USER_TIMEOUT: how long sent bytes may stay without acknowledgement. Twice as long after the last byte came,
-	// a machine that does not answer the kernel's probes is taken for dead. Clients give silent streams up after two seconds, so
-	// that a longer time saves no request, and a shorter one lets another broker take up what may be repeated.
+	// InitialConnectWait is how long a request waits for a connection while nothing is known of the
+	// usual time, and MinConnectWait how long it waits at least.
+	InitialConnectWait time.Duration
+	MinConnectWait     time.Duration
+	// ResetWait is how long Conn.AwaitReset waits for a reset, in addition to a round trip.
+	ResetWait time.Duration
+	// SendTimeout is TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged. Twice as long
+	// after the last byte arrived, a machine that doesn't answer the kernel's probes counts as
+	// dead. Clients give up unresponsive streams after two seconds, so that a longer time saves no
+	// request, and a shorter one lets another broker take over what may be repeated.
 	SendTimeout time.Duration
 	// MaxHeadBytes bounds the head of an answer.
 	MaxHeadBytes int
@@ -40,64 +42,67 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxIdle          = 512
-	DefaultIdleTime         = 20 * time.Second
-	DefaultUnstatedIdleTime = 4 * time.Second
-	DefaultKeepAliveMargin  = 300 * time.Millisecond
-	DefaultConnectTimeout   = time.Second
-	DefaultFirstPatience    = 300 * time.Millisecond
-	DefaultLeastPatience    = 60 * time.Millisecond
-	DefaultSettleTime       = time.Millisecond
-	DefaultSendTimeout      = time.Second
-	DefaultMaxHeadBytes     = 64 << 10
+	DefaultMaxIdle            = 512
+	DefaultIdleTime           = 20 * time.Second
+	DefaultUnstatedIdleTime   = 4 * time.Second
+	DefaultKeepAliveMargin    = 300 * time.Millisecond
+	DefaultConnectTimeout     = time.Second
+	DefaultInitialConnectWait = 300 * time.Millisecond
+	DefaultMinConnectWait     = 60 * time.Millisecond
+	DefaultResetWait          = time.Millisecond
+	DefaultSendTimeout        = time.Second
+	DefaultMaxHeadBytes       = 64 << 10
 )
 
-// A dead machine says nothing: probes of the kernel detect it while an answer is awaited.
+// A dead machine sends nothing: the kernel's keep-alive probes detect it while an answer is awaited.
 const (
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 3
 )
 
-// minUnstatedIdleTime bounds from below what is learned of brokers that give no Keep-Alive time.
+// minUnstatedIdleTime is the least idle time that is learnt of a broker without Keep-Alive times.
 const minUnstatedIdleTime = 100 * time.Millisecond
 
-// sweepInterval is the shortest time between two searches for connections that have rested too long.
+// sweepInterval is the least time between two searches for expired idle connections.
 const sweepInterval = 2 * time.Second
 
+// withDefaults replaces zero values.
 func (o Options) withDefaults() Options {
 	o.MaxIdle = cmp.Or(o.MaxIdle, DefaultMaxIdle)
 	o.IdleTime = cmp.Or(o.IdleTime, DefaultIdleTime)
 	o.UnstatedIdleTime = cmp.Or(o.UnstatedIdleTime, DefaultUnstatedIdleTime)
 	o.KeepAliveMargin = cmp.Or(o.KeepAliveMargin, DefaultKeepAliveMargin)
 	o.ConnectTimeout = cmp.Or(o.ConnectTimeout, DefaultConnectTimeout)
-	o.FirstPatience = cmp.Or(o.FirstPatience, DefaultFirstPatience)
-	o.LeastPatience = cmp.Or(o.LeastPatience, DefaultLeastPatience)
-	o.SettleTime = cmp.Or(o.SettleTime, DefaultSettleTime)
+	o.InitialConnectWait = cmp.Or(o.InitialConnectWait, DefaultInitialConnectWait)
+	o.MinConnectWait = cmp.Or(o.MinConnectWait, DefaultMinConnectWait)
+	o.ResetWait = cmp.Or(o.ResetWait, DefaultResetWait)
 	o.SendTimeout = cmp.Or(o.SendTimeout, DefaultSendTimeout)
 	o.MaxHeadBytes = cmp.Or(o.MaxHeadBytes, DefaultMaxHeadBytes)
 	return o
 }
 
-// Target is a broker in one of its lives. An address may be given to another broker later, so connections belong to the
-// instance and not to the address.
+// Target is one incarnation of a broker. Its address may be given to another broker later, so
+// connections belong to the instance and not to the address.
 type Target struct {
 	InstanceID string
 	Address    string
-	// MaxConnections bounds the connections of this proxy to the instance, in use and at rest; 0: no bound.
+	// MaxConnections bounds the connections of this proxy to the instance, in use and idle; 0: no
+	// bound.
 	MaxConnections int
-	// Earlier counts the attempts that the request has made before this one. After each it waits longer for a connection.
-	Earlier int
+	// EarlierAttempts counts the attempts that the request has made before this one. After each it
+	// waits longer for a connection.
+	EarlierAttempts int
 }
 
-// Counters count what happened to connections.
+// Counters count events of connections since the start of the Pool.
 type Counters struct {
-	Opened   atomic.Uint64 // new connections that came up
-	Failed   atomic.Uint64 // new connections that did not
+	Opened   atomic.Uint64 // new connections that were established
+	Failed   atomic.Uint64 // new connections that were not
 	Reused   atomic.Uint64 // requests sent on a kept connection
-	Stale    atomic.Uint64 // kept connections found closed when they were to be used, or likely to be
-	Surplus  atomic.Uint64 // bytes found that belong to no request, and answers to earlier requests
-	Unframed atomic.Uint64 // answers without a length or chunks, of which nobody can tell whether they are whole
+	Stale    atomic.Uint64 // idle connections found closed when they were to be used, or likely to be
+	Surplus  atomic.Uint64 // bytes that belong to no request, and answers to earlier requests
+	Unframed atomic.Uint64 // answers without a length or chunks, of which nobody can tell whether they are complete
 }
 
 // Pool keeps connections to brokers. It is safe for concurrent use.
@@ -106,33 +111,34 @@
 	connect  func(ctx context.Context, address string) (net.Conn, error)
 	Counters Counters
 
-	mu           sync.Mutex
-	hosts        map[string]*host
-	idle         int
-	unclaimed    int // being opened, for no request any more
-	sweeping     bool
-	sweeper      *time.Timer
-	closed       bool
-	connectTimes connectTimes
+	mutex          sync.Mutex
+	hosts          map[string]*host
+	idle           int
+	abandonedDials int // dials whose requests no longer wait
+	sweeping       bool
+	sweeper        *time.Timer
+	closed         bool
+	connectTimes   connectTimes
 }
 
-// host holds the connections to one instance.
+// host holds the connections to one instance. The Pool's mutex guards it.
 type host struct {
 	target Target
-	open   int     // in use and at rest
-	idle   []*Conn // the one used last stands at the end
-	// unstated is how long connections without a Keep-Alive time have been seen to last; it falls when one was closed.
-	unstated time.Duration
+	open   int     // in use, idle and being opened
+	idle   []*Conn // in the order of last use, the most recent at the end
+	// learnedIdleTime is how long connections without a Keep-Alive time may be idle; it falls when
+	// one was found closed.
+	learnedIdleTime time.Duration
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. Close closes it.
 func NewPool(options Options) *Pool {
 	options = options.withDefaults()
 	pool := &Pool{options: options, hosts: make(map[string]*host)}
 	pool.connectTimes = connectTimes{
-		mean:  options.FirstPatience / patienceFactor,
-		least: options.LeastPatience,
-		most:  options.ConnectTimeout,
+		mean:    options.InitialConnectWait / waitFactor,
+		minWait: options.MinConnectWait,
+		maxWait: options.ConnectTimeout,
 	}
 	dialer := net.Dialer{
 		Control:         pool.setSendTimeout,
@@ -144,6 +150,7 @@
 	return pool
 }
 
+// setSendTimeout sets TCP_USER_TIMEOUT on a socket before it connects.
 func (p *Pool) setSendTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
@@ -156,32 +163,33 @@
 	return failure
 }
 
-// Get gives a connection on which nothing is under way: the kept one that was used last, or a new one, which must come up
-// before the time given and while the context lasts.
-func (p *Pool) Get(ctx context.Context, target Target, until time.Time) (*Conn, error) {
+// Get returns a connection without a request in progress: the idle one that was used last, or a new
+// one, which must be established before the deadline and while the context lasts. The error is of
+// type Exhausted or ConnectFailed.
+func (p *Pool) Get(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	now := time.Now()
 	for {
 		conn, rested := p.takeIdle(target, now)
 		if conn == nil {
 			break
 		}
-		if conn.quiet() {
+		if conn.isQuiet() {
 			conn.reused = true
 			p.Counters.Reused.Add(1)
 			return conn, nil
 		}
 		p.Counters.Stale.Add(1)
-		p.closedAtRest(conn, rested)
+		p.learnIdleTime(conn, rested)
 		conn.Close()
 	}
-	return p.open(ctx, target, until)
+	return p.open(ctx, target, deadline)
 }
 
-// takeIdle takes the connection that was used last out of the pool, and says how long it has rested. Connections that have
-// rested too long are closed on the way.
+// takeIdle takes the idle connection that was used last out of the pool, and returns how long it
+// was idle. Expired connections are closed on the way.
 func (p *Pool) takeIdle(target Target, now time.Time) (*Conn, time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	h := p.hosts[target.InstanceID]
 	if h == nil {
 		return nil, 0
@@ -197,30 +205,30 @@
 		h.idle = h.idle[:last]
 		p.idle--
 		if now.Before(conn.usableUntil) {
-			return conn, now.Sub(conn.restingSince)
+			return conn, now.Sub(conn.idleSince)
 		}
 		p.discard(conn)
 	}
 	return nil, 0
 }
 
-// closedAtRest learns how soon a broker that gives no Keep-Alive time closes connections.
-func (p *Pool) closedAtRest(conn *Conn, rested time.Duration) {
+// learnIdleTime learns how soon a broker without Keep-Alive times closes idle connections.
+func (p *Pool) learnIdleTime(conn *Conn, rested time.Duration) {
 	if conn.keepAlive > 0 {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	conn.host.unstated = min(conn.host.unstated, max(rested/2, minUnstatedIdleTime))
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	conn.host.learnedIdleTime = min(conn.host.learnedIdleTime, max(rested/2, minUnstatedIdleTime))
 }
 
-// reserve counts a new connection to the instance.
+// reserve counts a new connection to the instance, within its bound.
 func (p *Pool) reserve(target Target) (*host, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	h := p.hosts[target.InstanceID]
 	if h == nil {
-		h = &host{unstated: p.options.UnstatedIdleTime}
+		h = &host{learnedIdleTime: p.options.UnstatedIdleTime}
 		p.hosts[target.InstanceID] = h
 	}
 	h.target = target
@@ -231,12 +239,14 @@
 	return h, nil
 }
 
+// release uncounts a closed connection.
 func (p *Pool) release(h *host) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.releaseLocked(h)
 }
 
+// releaseLocked is release with the mutex held. An instance without connections is forgotten.
 func (p *Pool) releaseLocked(h *host) {
 	h.open--
 	if h.open == 0 && p.hosts[h.target.InstanceID] == h {
@@ -244,43 +254,45 @@
 	}
 }
 
-// put keeps a connection for later requests.
+// put makes a connection idle, for later requests.
 func (p *Pool) put(conn *Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.putLocked(conn)
 }
 
+// putLocked is put with the mutex held. A connection beyond the bounds is closed.
 func (p *Pool) putLocked(conn *Conn) {
 	now := time.Now()
 	conn.clearDeadlines()
-	conn.restingSince = now
-	conn.usableUntil = now.Add(p.restTime(conn))
+	conn.idleSince = now
+	conn.usableUntil = now.Add(p.maxIdleTime(conn))
 	if p.closed || p.idle >= p.options.MaxIdle || !now.Before(conn.usableUntil) {
 		p.discard(conn)
 		return
 	}
 	conn.host.idle = append(conn.host.idle, conn)
 	p.idle++
-	p.planSweep()
+	p.scheduleSweep()
 }
 
-// restTime is how long a connection may rest, so that it isn't used just when its broker closes it.
-func (p *Pool) restTime(conn *Conn) time.Duration {
+// maxIdleTime returns how long a connection may be idle, so that it isn't used just when its broker
+// closes it.
+func (p *Pool) maxIdleTime(conn *Conn) time.Duration {
 	if conn.keepAlive == 0 {
-		return min(p.options.IdleTime, conn.host.unstated)
+		return min(p.options.IdleTime, conn.host.learnedIdleTime)
 	}
 	return min(p.options.IdleTime, conn.keepAlive-p.options.KeepAliveMargin)
 }
 
-// discard closes a connection that is in no list. The lock is held.
+// discard closes a connection that is in no list. The mutex must be held.
 func (p *Pool) discard(conn *Conn) {
 	if conn.closeSocket() {
 		p.releaseLocked(conn.host)
 	}
 }
 
-// closeIdle closes the first connections of those at rest. The lock is held.
+// closeIdle closes the first count idle connections of a host. The mutex must be held.
 func (p *Pool) closeIdle(h *host, count int) {
 	for _, conn := range h.idle[:count] {
 		p.discard(conn)
@@ -291,20 +303,22 @@
 	p.idle -= count
 }
 
-// closeRestingSince closes the connections to an instance that have rested since before the time given.
-func (p *Pool) closeRestingSince(h *host, before time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// closeIdleSince closes the connections to an instance that have been idle since before the time
+// given.
+func (p *Pool) closeIdleSince(h *host, before time.Time) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	count := 0
-	for count < len(h.idle) && h.idle[count].restingSince.Before(before) {
+	for count < len(h.idle) && h.idle[count].idleSince.Before(before) {
 		count++
 	}
 	p.Counters.Stale.Add(uint64(count))
 	p.closeIdle(h, count)
 }
 
-// planSweep sets the timer that closes connections at rest; it runs only while there are some. The lock is held.
-func (p *Pool) planSweep() {
+// scheduleSweep starts the timer that closes expired connections; it runs only while there are idle
+// ones. The mutex must be held.
+func (p *Pool) scheduleSweep() {
 	if p.sweeping || p.idle == 0 || p.closed {
 		return
 	}
@@ -316,19 +330,20 @@
 	p.sweeper.Reset(sweepInterval)
 }
 
+// sweep closes the expired connections of all hosts.
 func (p *Pool) sweep() {
 	now := time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.sweeping = false
 	for _, h := range p.hosts {
 		p.closeIdle(h, expired(h.idle, now))
 	}
-	p.planSweep()
+	p.scheduleSweep()
 }
 
-// expired counts the connections at the front of the list that have rested too long. They stand in the order of their
-// last use, so that a later one with a shorter time waits for its turn in Get.
+// expired counts the expired connections at the front of the list. The list is in the order of last
+// use, so that one with a shorter time behind one with a longer time waits for Get.
 func expired(idle []*Conn, now time.Time) int {
 	for i, conn := range idle {
 		if now.Before(conn.usableUntil) {
@@ -338,10 +353,10 @@
 	return len(idle)
 }
 
-// Close closes the connections at rest; those in use are closed when they are given back.
+// Close closes the idle connections; those in use are closed when they are returned.
 func (p *Pool) Close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	p.closed = true
 	if p.sweeper != nil {
 		p.sweeper.Stop()
@@ -351,19 +366,20 @@
 	}
 }
 
-// Connections counts connections by what they are there for.
+// Connections counts connections by their state.
 type Connections struct {
-	// Open are all that are up or being opened.
+	// Open are all that are established or being opened.
 	Open int
-	// Idle of them are at rest, and Unclaimed are being opened for requests that no longer wait for them.
-	Idle, Unclaimed int
+	// Idle of them carry no request; Abandoned of them are being opened for requests that no longer
+	// wait.
+	Idle, Abandoned int
 }
 
-// Connections tells how many connections there are just now.
+// Connections returns the current numbers of connections.
 func (p *Pool) Connections() Connections {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	count := Connections{Idle: p.idle, Unclaimed: p.unclaimed}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	count := Connections{Idle: p.idle, Abandoned: p.abandonedDials}
 	for _, h := range p.hosts {
 		count.Open += h.open
 	}
--- a/internal/node/kvindex/feed/poller.go
+++ b/internal/node/kvindex/feed/poller.go
@@ -42,7 +42,7 @@
 
 // New returns a Poller. It calls done once for each call, on a goroutine of its own.
 func New(done func(token uint64, events *kvindex.Events, err error)) *Poller {
-	client := brokercall.NewClient(brokercall.Options{Connect: connectTimeout, Idle: idleTimeout})
+	client := brokercall.NewClient(brokercall.Options{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout})
 	return &Poller{done: done, client: client}
 }
 
--- a/internal/node/nodestatus/read.go
+++ b/internal/node/nodestatus/read.go
@@ -9,35 +9,36 @@
 	"github.com/joomcode/errorx"
 )
 
-// Path is where a node's control address serves its status.
+// Path is the path of the status at a node's control address.
 const Path = "/kestrelspread/status"
 
-// maxBytes bounds what is read of an answer.
-const maxBytes = 64 << 20
+// maxStatusBytes bounds what is read of a response.
+const maxStatusBytes = 64 << 20
 
 var (
 	namespace = errorx.NewNamespace("nodestatus")
-	// Unreachable: a node gave no status.
+	// Unreachable: a node returned no status.
 	Unreachable = namespace.NewType("unreachable")
 )
 
-// Read asks the node at a control address, "IP:port".
-func Read(ctx context.Context, address string) (*Status, error) {
+// Fetch returns the status of the node at a control address, "IP:port". The error is of type
+// Unreachable.
+func Fetch(ctx context.Context, address string) (*Status, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
 		return nil, Unreachable.Wrap(err, "%s", address)
 	}
 	request.Close = true
-	answer, err := http.DefaultTransport.RoundTrip(request)
+	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
 		return nil, Unreachable.Wrap(err, "%s", address)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return nil, Unreachable.New("%s: status %d", address, answer.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return nil, Unreachable.New("%s: status %d", address, response.StatusCode)
 	}
 	status := &Status{}
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxBytes)).Decode(status); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(status); err != nil {
 		return nil, Unreachable.Wrap(err, "%s: what came is no status", address)
 	}
 	if status.ID == "" {
