--- a/internal/node/registry/saved/saved_golden_test.go
+++ b/internal/node/registry/saved/saved_golden_test.go
@@ -19,7 +19,7 @@
 	"kestrelspread/internal/node/registry/saved"
 )
 
-const goldenCopies = "golden/copies.txt"
+const goldenSnapshots = "golden/copies.txt"
 
 var goldenTime = time.UnixMilli(1_790_000_000_000)
 
@@ -53,36 +53,37 @@
 	return []*nodepb.Instance{goldenInstance(t, 1), goldenInstance(t, 2)}
 }
 
-// TestCopiesKeepTheirBytes freezes both files of the copy, and their names.
-func TestCopiesKeepTheirBytes(t *testing.T) {
-	folder := t.TempDir()
-	file := saved.Open(folder)
+// TestSnapshotFilesKeepTheirBytes freezes the bytes and the names of both files.
+func TestSnapshotFilesKeepTheirBytes(t *testing.T) {
+	dir := t.TempDir()
+	file := saved.Open(dir)
 	assert.NilError(t, file.Save(goldenInstances(t), goldenTime))
 	assert.NilError(t, file.Save(goldenInstances(t)[:1], goldenTime.Add(1500*time.Millisecond)))
-	entries, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(dir)
 	assert.NilError(t, err)
 	var text strings.Builder
 	for _, entry := range entries {
-		content, err := os.ReadFile(filepath.Join(folder, entry.Name()))
+		content, err := os.ReadFile(filepath.Join(dir, entry.Name()))
 		assert.NilError(t, err)
 		fmt.Fprintln(&text, entry.Name(), hex.EncodeToString(content))
 	}
-	golden.Assert(t, text.String(), goldenCopies)
+	golden.Assert(t, text.String(), goldenSnapshots)
 }
 
-// TestCopiesOfTheGoldenFileAreRead loads the newest copy as it was written once, and the other where the newest is damaged.
-func TestCopiesOfTheGoldenFileAreRead(t *testing.T) {
-	folder := t.TempDir()
+// TestSnapshotFilesOfGoldenFileAreLoaded loads the newest snapshot as it was
+// written once, and the other one if the newest is damaged.
+func TestSnapshotFilesOfGoldenFileAreLoaded(t *testing.T) {
+	dir := t.TempDir()
 	var newest string
-	for line := range strings.Lines(string(golden.Get(t, goldenCopies))) {
+	for line := range strings.Lines(string(golden.Get(t, goldenSnapshots))) {
 		name, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
 		content, err := hex.DecodeString(digits)
 		assert.NilError(t, err)
-		newest = filepath.Join(folder, name)
+		newest = filepath.Join(dir, name)
 		assert.NilError(t, os.WriteFile(newest, content, 0o644))
 	}
 	now := goldenTime.Add(30 * time.Second)
-	loaded, err := saved.Open(folder).Load(now)
+	loaded, err := saved.Open(dir).Load(now)
 	assert.NilError(t, err)
 	assertInstances(t, loaded, goldenInstances(t)[:1])
 
@@ -90,7 +91,7 @@
 	assert.NilError(t, err)
 	content[len(content)-1] ^= 1
 	assert.NilError(t, os.WriteFile(newest, content, 0o644))
-	loaded, err = saved.Open(folder).Load(now)
+	loaded, err = saved.Open(dir).Load(now)
 	assert.NilError(t, err)
 	assertInstances(t, loaded, goldenInstances(t))
 }
