--- a/internal/node/membership/cost_test.go
+++ b/internal/node/membership/cost_test.go
@@ -69,7 +69,8 @@
 	assert.Assert(t, joined.messages < 2.6, "%+v", joined)
 }
 
-// Nodes that are gone are forgotten: what a node keeps does not grow with the lives that there were.
+// Nodes that are gone are forgotten: what a node keeps does not grow with the lives that there
+// were.
 func TestRestartedNodesAreForgotten(t *testing.T) {
 	w := newWorld(t, 1)
 	w.startConverged(10)
--- a/internal/node/membership/faults_test.go
+++ b/internal/node/membership/faults_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// deathBound is by when all have dropped a member that died: its probe, the suspicion, and their spreading.
+// deathBound is by when all have dropped a member that died: its probe, the suspicion, and their
+// spreading.
 const deathBound = 10 * time.Second
 
 func TestKilledNodeIsDeclaredDead(t *testing.T) {
--- a/internal/node/membership/gossip.go
+++ b/internal/node/membership/gossip.go
@@ -7,25 +7,28 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// update is a change that is to be passed on: what is known of the node at the time of sending.
+// update is a queued update about a node. What is sent is the node's state at the time of sending.
 type update struct {
 	nodeID    string
-	remaining int // how often it is still to be sent
+	remaining int // transmissions left
 }
 
-// gossip is the row of updates that travel on probes and their answers: the newest and those sent least are ahead.
+// gossip is the queue of the updates that are piggybacked on probes and acks: the newest and the
+// least often sent come first.
 type gossip struct {
 	queue []update
 }
 
-// changeTransmissions is how often news is sent that is pushed besides.
+// changeTransmissions is how often each node piggybacks a change of the list, which is pushed as
+// well.
 const changeTransmissions = 4
 
-// transmissions returns how often an update is sent by each of so many nodes. As many go to each node on the mean, so
-// that all hear of it even where most messages are lost.
+// transmissions returns how often each of so many nodes sends an update. On average each node
+// receives it as often, so that it reaches all even where most messages are lost. (SWIM: a multiple
+// of the logarithm.)
 func transmissions(nodes int) int { return 3 + 3*bits.Len(uint(nodes)) }
 
-// add puts an update ahead of all others.
+// add puts an update at the head of the queue; one about the same node is replaced.
 func (g *gossip) add(nodeID string, times int) {
 	g.queue = slices.DeleteFunc(g.queue, func(other update) bool { return other.nodeID == nodeID })
 	if times > 0 {
@@ -33,7 +36,7 @@
 	}
 }
 
-// removeDead takes the members that are held dead out of the row.
+// removeDead removes the updates about dead members.
 func (g *gossip) removeDead(members *table) {
 	g.queue = slices.DeleteFunc(g.queue, func(item update) bool {
 		member := members.get(item.nodeID)
@@ -41,7 +44,8 @@
 	})
 }
 
-// take appends up to count updates to list, and moves those sent to the end of the row.
+// take appends up to count updates to list, and moves them to the end of the queue while
+// transmissions are left.
 func (g *gossip) take(list []*nodepb.Member, count int, members *table) []*nodepb.Member {
 	count = min(count, len(g.queue))
 	if count <= 0 {
--- a/internal/node/membership/health.go
+++ b/internal/node/membership/health.go
@@ -1,17 +1,27 @@
 package membership
 
-import "kestrelspread/internal/node/core"
+import (
+	"time"
+
+	"kestrelspread/internal/node/core"
+)
 
 const (
+	// maxAwareness bounds the awareness, and so how long a node that has recovered stays slow.
 	maxAwareness = 4
-	// unresponsiveMisses is the number of members missed in a row from which on silence speaks against this node.
+	// unresponsiveMisses is the number of members missed in a row, without any contact, from which
+	// on the fault is taken for this node's own.
 	unresponsiveMisses = 3
+	// stallAfter is how late an input may come until this node is taken to have been stopped.
+	stallAfter = 500 * time.Millisecond
+	// stallRequests is the number of members whose list a node requests after it was stopped.
+	stallRequests = 3
 )
 
-// health is what a node holds of itself.
+// health is a node's estimate of its own health (Lifeguard: local health multiplier).
 type health struct {
-	// awareness is raised where this node seems slow or cut off, and lowered by each probe that is answered. Its own
-	// period and timeout grow with it.
+	// awareness is raised where this node seems slow or partitioned, and lowered by each ack. Its
+	// own period and timeout grow with it.
 	awareness int
 
 	consecutiveMisses int // different members in a row whose probes were not answered
@@ -20,33 +30,37 @@
 	lastContactAt     core.Time // when any message came last
 }
 
-// scale returns the span, longer where this node doubts itself: up to three times.
+// scale returns the span scaled by the awareness: up to three times as long.
 func (h *health) scale(span core.Time) core.Time {
 	return span + span*core.Time(h.awareness)/2
 }
 
+// recordContact records that a message came.
 func (h *health) recordContact(now core.Time) { h.lastContactAt = now }
 
+// recordAck records an ack of a probe.
 func (h *health) recordAck() {
 	h.consecutiveMisses = 0
 	h.lastMissed = ""
 	h.awareness = max(h.awareness-1, 0)
 }
 
-// recordSuspicion takes note that others suspect this node.
+// recordSuspicion records that others suspect this node.
 func (h *health) recordSuspicion() { h.raiseAwareness() }
 
+// raiseAwareness makes this node more careful with suspicions.
 func (h *health) raiseAwareness() { h.awareness = min(h.awareness+1, maxAwareness) }
 
-// recordStall takes note that this node was stopped.
+// recordStall records that this node was stopped.
 func (h *health) recordStall() {
 	h.consecutiveMisses = 0
 	h.lastMissed = ""
 	h.raiseAwareness()
 }
 
-// recordMiss takes note of a probe that was not answered, and reports whether this node is to blame itself alone: several
-// members in a row did not answer, nothing at all was heard meanwhile, and it has not doubted itself long enough yet.
+// recordMiss records a probe without ack. It reports whether this node is to blame itself alone:
+// several members in a row didn't answer, no message at all came meanwhile, and its awareness
+// wasn't at the maximum yet.
 func (h *health) recordMiss(target string, sentAt core.Time) bool {
 	if target == h.lastMissed {
 		return false
@@ -65,8 +79,9 @@
 	return h.consecutiveMisses >= unresponsiveMisses && !doubted
 }
 
-// recoverFromStall takes note that this node was stopped for so long. What it waited for meanwhile tells nothing of
-// the others; suspects get their time anew, as their refutations may have been missed.
+// recoverFromStall handles that this node was stopped for so long. Acks that it missed meanwhile
+// are no evidence against others; suspects get their full time again, as their refutations may have
+// been missed.
 func (m *Membership) recoverFromStall(late core.Time) {
 	m.health.recordStall()
 	m.probes.endProbe()
@@ -77,7 +92,7 @@
 	for _, suspect := range m.table.suspects {
 		m.beginSuspicion(suspect)
 	}
-	m.log("node was stopped", "late", late)
+	m.log("membership: this node was stopped", "late", late)
 	if m.sync.allowRequest(m.now) {
 		for _, member := range m.table.pick(stallRequests, "", m.random) {
 			m.requestList(member.Address)
--- a/internal/node/membership/join.go
+++ b/internal/node/membership/join.go
@@ -2,23 +2,35 @@
 
 import (
 	"slices"
+	"time"
 
 	"kestrelspread/internal/node/core"
 )
 
-// join is the way into the list: calls to the seeds until they have answered. Seeds need not listen yet when this
-// node starts (DEPLOY.md, "Settings of a process").
+const (
+	// joinInterval is the time between calls to seeds that haven't answered, for joinTime after the
+	// start.
+	joinInterval = 200 * time.Millisecond
+	joinTime     = 3 * time.Second
+	// lateJoinInterval takes its place afterwards, as long as no seed has answered.
+	lateJoinInterval = time.Second
+)
+
+// join is the state of the calls to the seeds, until these have answered. Seeds needn't listen yet
+// when this node starts (DEPLOY.md, "Settings of a process").
 type join struct {
 	startedAt  core.Time
 	nextCallAt core.Time // of the next calls; Never once the node has joined
 	seeds      []seed
 }
 
+// seed is a node through which to join.
 type seed struct {
 	address  string
 	answered bool
 }
 
+// newJoin returns the state of a node that starts now.
 func newJoin(now core.Time, addresses []string) join {
 	j := join{startedAt: now, nextCallAt: core.Never}
 	for _, address := range addresses {
@@ -52,19 +64,19 @@
 	return count
 }
 
-// SetSeeds replaces the seeds, as the settings may while the node runs. Those that aren't members are called from
-// time to time.
+// SetSeeds replaces the seeds, as the settings may while the node runs. Seeds that aren't members
+// are called now and then.
 func (m *Membership) SetSeeds(seeds []string) {
-	former := m.join.seeds
+	previous := m.join.seeds
 	m.join.seeds = nil
 	for _, address := range otherAddresses(seeds, m.table.self.Address) {
-		answered := slices.ContainsFunc(former, func(s seed) bool { return s.address == address && s.answered })
+		answered := slices.ContainsFunc(previous, func(s seed) bool { return s.address == address && s.answered })
 		m.join.seeds = append(m.join.seeds, seed{address: address, answered: answered})
 	}
 	m.deadline = m.nextDeadline()
 }
 
-// stepJoin calls the seeds that have not answered.
+// stepJoin calls the seeds that haven't answered.
 func (m *Membership) stepJoin() {
 	j := &m.join
 	if m.now < j.nextCallAt {
@@ -86,7 +98,7 @@
 	}
 }
 
-// recordSeedAnswer takes note that the node at the address sent its list.
+// recordSeedAnswer records that the node at the address has sent its list.
 func (m *Membership) recordSeedAnswer(address string) {
 	j := &m.join
 	for i := range j.seeds {
--- a/internal/node/membership/membership.go
+++ b/internal/node/membership/membership.go
@@ -9,15 +9,18 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Membership is one node's list of members. It is not safe for concurrent use.
+// leaveFanout is the number of members that a leaving node notifies itself; these disseminate it.
+const leaveFanout = 8
+
+// Membership is the state machine of one node's member list. It is not safe for concurrent use.
 type Membership struct {
 	options   Options
 	random    *rand.Rand
 	startedAt core.Time
-	now       core.Time // of the input that is being taken
-	deadline  core.Time // when Tick is wanted; of the end of the last input
-	outputs   []core.Output
-	hasLeft   bool
+	now       core.Time     // of the current input; it never goes back
+	deadline  core.Time     // of the next Tick, as of the end of the last input
+	outputs   []core.Output // of the current input
+	hasLeft   bool          // Leave was called
 
 	table  *table
 	gossip gossip
@@ -27,11 +30,12 @@
 	join   join
 	rejoin rejoin
 	sync   syncs
-	// replyClaims holds what the sender of the message that is being taken has to hear.
+	// replyClaims are the members that the sender of the current message needs to know of.
 	replyClaims []*nodepb.Member
 }
 
-// New returns the list of a node that starts now and knows of nobody but its seeds. The first Tick is due at once.
+// New returns the list of a node that starts now and knows no member but itself. random is the
+// source of all random draws. The first Tick is due at once.
 func New(now core.Time, options Options, random *rand.Rand) *Membership {
 	options = options.withDefaults()
 	self := proto.CloneOf(options.Self)
@@ -46,21 +50,29 @@
 	return m
 }
 
-// Deadline returns when Tick is wanted next; core.Never after Leave.
+// Deadline returns when Tick is to be called next; core.Never after Leave.
 func (m *Membership) Deadline() core.Time { return m.deadline }
 
+// nextDeadline returns the earliest deadline of all timers, at least now.
 func (m *Membership) nextDeadline() core.Time {
 	if m.hasLeft {
 		return core.Never
 	}
-	next := min(m.probes.deadline(), m.pushes.deadline(), m.join.nextCallAt, m.rejoinDeadline(), m.syncDeadline(), m.sync.convergeAt)
+	next := min(
+		m.probes.deadline(),
+		m.pushes.deadline(),
+		m.join.nextCallAt,
+		m.rejoinDeadline(),
+		m.syncDeadline(),
+		m.sync.convergeAt,
+	)
 	for _, suspect := range m.table.suspects {
 		next = min(next, suspect.expiresAt, suspect.finalProbeAt)
 	}
 	return max(next, m.now)
 }
 
-// Tick does what is due.
+// Tick runs the timers that are due.
 func (m *Membership) Tick(now core.Time) []core.Output {
 	m.beginInput(now)
 	if m.hasLeft {
@@ -76,7 +88,8 @@
 	return m.finishInput()
 }
 
-// beginInput takes the time of an input, and notices where it comes so late that this node must have been stopped.
+// beginInput sets the time of an input. One that comes too late shows that this node was stopped
+// meanwhile.
 func (m *Membership) beginInput(now core.Time) {
 	late := now - min(m.deadline, now)
 	m.now = max(m.now, now)
@@ -85,7 +98,7 @@
 	}
 }
 
-// finishInput ends an input: it returns what was collected, and settles when Tick is wanted.
+// finishInput returns the outputs of an input, and sets the deadline.
 func (m *Membership) finishInput() []core.Output {
 	outputs := m.outputs
 	m.outputs = nil
@@ -93,7 +106,7 @@
 	return outputs
 }
 
-// Leave says farewell: the members are told, and nothing is sent any more but answers to probes.
+// Leave announces the graceful shutdown of this node. Afterwards it only acks probes.
 func (m *Membership) Leave(now core.Time) []core.Output {
 	m.now = max(m.now, now)
 	if m.hasLeft {
@@ -107,15 +120,17 @@
 	return m.finishInput()
 }
 
-// UpdateSelf changes the description of this node and tells the others. Node id, address, state and incarnation stay
-// out of the caller's hands.
+// UpdateSelf changes the description of this node and disseminates it. What change does to the node
+// id, address, state and incarnation is ignored.
 func (m *Membership) UpdateSelf(now core.Time, change func(*nodepb.Member)) []core.Output {
 	m.now = max(m.now, now)
-	former := m.table.self
-	self := proto.CloneOf(former)
+	previous := m.table.self
+	self := proto.CloneOf(previous)
 	change(self)
-	self.NodeId, self.Address, self.State = former.NodeId, former.Address, former.State
-	self.Incarnation = former.Incarnation + 1
+	self.NodeId = previous.NodeId
+	self.Address = previous.Address
+	self.State = previous.State
+	self.Incarnation = previous.Incarnation + 1
 	m.table.setSelf(self)
 	if !m.hasLeft {
 		m.disseminateChange(self.NodeId)
@@ -124,14 +139,15 @@
 	return m.finishInput()
 }
 
-// Members returns the members that are alive or suspected, and this node, by node id. The slice and its members are
-// never altered: a change makes another slice.
+// Members returns the members that are alive or suspected, this node included, sorted by node id.
+// The slice and its members are never modified: a change makes a new slice.
 func (m *Membership) Members() []*nodepb.Member { return m.table.members() }
 
-// Revision is raised whenever Members changes in more than suspicions and incarnations. It is never 0.
+// Revision is raised whenever Members changes in anything but suspicions and incarnations. It is
+// never 0.
 func (m *Membership) Revision() uint64 { return m.table.revision }
 
-// Suspected reports whether the node is a member that did not answer lately.
+// Suspected reports whether the node is a member that is suspected to have failed.
 func (m *Membership) Suspected(nodeID string) bool {
 	known := m.table.entries[nodeID]
 	return known != nil && known.member.State == nodepb.MemberState_SUSPECT
--- a/internal/node/membership/merge.go
+++ b/internal/node/membership/merge.go
@@ -7,8 +7,13 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// merge takes what another node says of a node. Of two claims the one with the higher incarnation holds; with equal
-// ones a suspicion does. Who left does not come back.
+// maxEntries bounds the nodes that are remembered, dead ones included: claims come from the
+// network.
+const maxEntries = 8192
+
+// merge merges a claim of another node about a node. Of two claims the one with the higher
+// incarnation wins; with equal incarnations a suspicion wins. A node that has left stays so.
+// disseminate is false where others know the claim anyway.
 func (m *Membership) merge(from core.Peer, claim *nodepb.Member, disseminate bool) {
 	if claim.GetNodeId() == "" || claim.Address == "" {
 		return
@@ -22,6 +27,7 @@
 	case known == nil:
 		m.mergeUnknown(from, claim, disseminate)
 	case known.member.State == nodepb.MemberState_LEFT, claim.Address != known.member.Address:
+		// A node that has left is not relisted, and a node id has one address only.
 	case claim.State == nodepb.MemberState_LEFT:
 		m.recordDown(claim)
 		m.disseminateChange(claim.NodeId)
@@ -42,7 +48,7 @@
 	m.addReplyClaim(m.table.self)
 }
 
-// mergePreviousSelf makes sure that this life counts as later than a former one at the same address.
+// mergePreviousSelf makes sure that this process supersedes a previous one at the same address.
 func (m *Membership) mergePreviousSelf(claim *nodepb.Member) {
 	if !isLive(claim.State) {
 		return
@@ -53,7 +59,7 @@
 	m.addReplyClaim(m.table.self)
 }
 
-// raiseIncarnation puts the own incarnation above another one, and tells some members.
+// raiseIncarnation raises the own incarnation above another one, and notifies some members.
 func (m *Membership) raiseIncarnation(above uint64) {
 	self := proto.CloneOf(m.table.self)
 	self.Incarnation = above + 1
@@ -62,6 +68,7 @@
 	m.pushTo(m.table.pick(pushFanout, "", m.random), []*nodepb.Member{self})
 }
 
+// mergeUnknown merges a claim about a node that is not yet known.
 func (m *Membership) mergeUnknown(from core.Peer, claim *nodepb.Member, disseminate bool) {
 	if len(m.table.entries) >= maxEntries {
 		return
@@ -79,7 +86,7 @@
 	}
 }
 
-// mergeKnown takes a claim whose incarnation is not below the known one.
+// mergeKnown merges a claim whose incarnation is not below the known one.
 func (m *Membership) mergeKnown(from core.Peer, known *entry, claim *nodepb.Member, disseminate bool) {
 	newer := claim.Incarnation > known.member.Incarnation
 	down := !isLive(known.member.State)
@@ -93,9 +100,9 @@
 	}
 }
 
-// mergeSuspicion takes a claim that a node is suspected or dead. A node is never held dead for what others say: each
-// gives it the time to refute, as the claim may come from the other side of a cut that has healed, or from a node that
-// was stopped.
+// mergeSuspicion merges a claim that a node is suspected or dead. Either makes it a suspect only:
+// this node gives it the time to refute, as the claim may come from the other side of a healed
+// partition, or from a node that was stopped.
 func (m *Membership) mergeSuspicion(known *entry, claim *nodepb.Member) {
 	newer := claim.Incarnation > known.member.Incarnation
 	switch {
@@ -108,7 +115,7 @@
 	}
 }
 
-// mergeNewer takes a claim by which a node is alive in a later incarnation.
+// mergeNewer merges a claim that a node is live in a later incarnation.
 func (m *Membership) mergeNewer(from core.Peer, known *entry, claim *nodepb.Member, disseminate bool) {
 	returned := !isLive(known.member.State)
 	changed := returned || !sameDescription(known.member, claim)
@@ -127,8 +134,9 @@
 	}
 }
 
-// resolveAddress reports whether the node of the claim may be a member at its address. Of two lives at one address the
-// one with the higher incarnation holds; a later life that is not aware of a former one is told of it, and raises its
+// resolveAddress reports whether the node of the claim may be a member at its address. Of two
+// processes at one address the one with the higher incarnation wins, and the other is recorded as
+// dead. A new process that doesn't know of the previous one is notified of it, and raises its
 // incarnation.
 func (m *Membership) resolveAddress(from core.Peer, claim *nodepb.Member) bool {
 	holderID, taken := m.table.idByAddress[claim.Address]
@@ -146,9 +154,9 @@
 	return false
 }
 
-// recordLive takes over a member that is alive or suspected.
+// recordLive records a member that is alive or suspected.
 func (m *Membership) recordLive(member *nodepb.Member) {
-	if former := m.table.get(member.NodeId); former == nil || !isLive(former.State) {
+	if previous := m.table.get(member.NodeId); previous == nil || !isLive(previous.State) {
 		m.recordJoin()
 	}
 	known := m.table.set(member, core.Never, m.random)
@@ -158,7 +166,7 @@
 	m.startProbing()
 }
 
-// recordDown takes over a member that is dead or has left.
+// recordDown records a member that is dead or has left.
 func (m *Membership) recordDown(member *nodepb.Member) *entry {
 	return m.table.set(member, m.now+m.options.DeadRetention, m.random)
 }
--- a/internal/node/membership/probe.go
+++ b/internal/node/membership/probe.go
@@ -8,7 +8,10 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// probes is the state of the probe of this period, and of those that run for other nodes.
+// maxRelays bounds the probes relayed for other nodes at a time, as requests come from the network.
+const maxRelays = 64
+
+// probes is the state of the probe of this period, and of the probes relayed for other nodes.
 type probes struct {
 	sequence     uint64
 	periodEndsAt core.Time // when the period ends; Never while there is nobody to probe
@@ -21,7 +24,7 @@
 	relays []relay
 }
 
-// relay is a probe that runs for another node.
+// relay is a probe on behalf of another node (SWIM: ping-req).
 type relay struct {
 	sequence          uint64
 	requester         string // address
@@ -30,12 +33,14 @@
 }
 
 func newProbes(random *rand.Rand) probes {
-	// A random start keeps answers to a former life from being taken for answers to this one.
+	// A random start keeps acks for a previous process from being taken for acks to this one.
 	return probes{sequence: uint64(random.Uint32()), periodEndsAt: core.Never, timeoutAt: core.Never}
 }
 
+// deadline returns when stepProbes is due.
 func (p *probes) deadline() core.Time { return min(p.periodEndsAt, p.timeoutAt) }
 
+// nextSequence returns a new sequence number.
 func (p *probes) nextSequence() uint64 {
 	p.sequence++
 	return p.sequence
@@ -47,19 +52,20 @@
 	p.timeoutAt = core.Never
 }
 
-// startProbing starts the periods where there was nobody to probe before.
+// startProbing starts the periods, where there was no member to probe before.
 func (m *Membership) startProbing() {
 	if m.probes.periodEndsAt == core.Never {
 		m.probes.periodEndsAt = m.now + m.randomSpan(m.options.Period)
 	}
 }
 
-// randomSpan returns a random time below span.
+// randomSpan returns a random time in [0, span).
 func (m *Membership) randomSpan(span core.Time) core.Time {
 	return core.Time(m.random.Int64N(int64(span)))
 }
 
-// stepProbes asks others where the probe is not answered, and at the end of the period judges it and sends the next.
+// stepProbes requests indirect probes after the timeout. At the end of the period it handles a
+// missing ack, and sends the next probe.
 func (m *Membership) stepProbes() {
 	p := &m.probes
 	if m.now >= p.timeoutAt {
@@ -76,6 +82,7 @@
 	m.sendProbe()
 }
 
+// sendProbe begins a period with a probe of the next member in the ring.
 func (m *Membership) sendProbe() {
 	p := &m.probes
 	target := m.table.nextToProbe(m.random)
@@ -91,8 +98,8 @@
 	m.send(target.member.Address, m.probeFor(target.member, p.awaitedSequence))
 }
 
-// probeFor returns a probe of the member. One that is suspected is told so, which lets it refute that; news is for
-// those who are likely to get it.
+// probeFor returns a probe of the member. A suspect gets the suspicion, so that it can refute it;
+// gossip is for members that are likely to receive it.
 func (m *Membership) probeFor(member *nodepb.Member, sequence uint64) *nodepb.Envelope {
 	updates := []*nodepb.Member{member}
 	if member.State == nodepb.MemberState_ALIVE {
@@ -101,8 +108,8 @@
 	return probeMessage(&nodepb.Probe{Sequence: sequence, TargetId: member.NodeId, Updates: updates})
 }
 
-// sendProbeRequests has the target probed by other members, and once more by this node: the first message may have been lost
-// with a connection that had ended.
+// sendProbeRequests asks other members to probe the target. This node sends its probe again too, as
+// the first may have been lost with a connection that had ended.
 func (m *Membership) sendProbeRequests() {
 	p := &m.probes
 	target := m.table.entries[p.targetID]
@@ -110,8 +117,8 @@
 		return
 	}
 	m.send(target.member.Address, probeMessage(&nodepb.Probe{Sequence: p.awaitedSequence, TargetId: p.targetID}))
-	for _, helper := range m.table.pick(m.options.IndirectProbes, p.targetID, m.random) {
-		m.send(helper.Address, probeRequest(&nodepb.ProbeRequest{
+	for _, member := range m.table.pick(m.options.IndirectProbes, p.targetID, m.random) {
+		m.send(member.Address, probeRequest(&nodepb.ProbeRequest{
 			Sequence:      p.awaitedSequence,
 			TargetId:      p.targetID,
 			TargetAddress: target.member.Address,
@@ -136,7 +143,7 @@
 	}
 }
 
-// receiveProbe answers, unless the probe is for another life at this address.
+// receiveProbe acks a probe, unless it is for a previous process at this address.
 func (m *Membership) receiveProbe(from core.Peer, probe *nodepb.Probe) {
 	m.mergeClaims(from, probe.Updates, true)
 	if probe.TargetId != m.table.self.NodeId {
@@ -147,6 +154,7 @@
 	m.send(from.Address, probeAck(probe.Sequence, m.gossipUpdates(m.replyClaims)))
 }
 
+// receiveAck ends the running probe, or forwards the ack of a relayed one.
 func (m *Membership) receiveAck(from core.Peer, ack *nodepb.ProbeAck) {
 	m.mergeClaims(from, ack.Updates, true)
 	m.sendReplyClaims(from)
@@ -159,7 +167,7 @@
 	m.forwardAck(ack.Sequence)
 }
 
-// receiveProbeRequest probes a node for another one.
+// receiveProbeRequest probes a node on behalf of another one.
 func (m *Membership) receiveProbeRequest(from core.Peer, request *nodepb.ProbeRequest) {
 	m.mergeClaims(from, request.Updates, true)
 	m.sendReplyClaims(from)
@@ -182,7 +190,7 @@
 	}))
 }
 
-// forwardAck passes the answer to a probe that ran for another node on to that node.
+// forwardAck forwards the ack of a relayed probe to its requester.
 func (m *Membership) forwardAck(sequence uint64) {
 	p := &m.probes
 	position := slices.IndexFunc(p.relays, func(r relay) bool { return r.sequence == sequence })
--- a/internal/node/membership/receive.go
+++ b/internal/node/membership/receive.go
@@ -7,7 +7,11 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Receive takes a message of another node. Kinds that are not of this package are ignored.
+// burstFactor is how many times UpdatesPerMessage a message may carry while many updates are
+// queued.
+const burstFactor = 4
+
+// Receive takes a message of another node. Messages that aren't of this package are ignored.
 func (m *Membership) Receive(now core.Time, from core.Peer, envelope *nodepb.Envelope) []core.Output {
 	if m.hasLeft {
 		m.receiveAfterLeaving(from, envelope)
@@ -32,22 +36,24 @@
 	return m.finishInput()
 }
 
-// receiveAfterLeaving tells those who have not heard that this node left.
+// receiveAfterLeaving acks probes with the claim that this node has left.
 func (m *Membership) receiveAfterLeaving(from core.Peer, envelope *nodepb.Envelope) {
 	if probe := envelope.GetProbe(); probe != nil {
 		m.send(from.Address, probeAck(probe.Sequence, []*nodepb.Member{m.table.self}))
 	}
 }
 
-// gossipUpdates returns what the receiver of a message is to hear first, and updates by gossip. There may be up to
-// updatesBurst times as many as usual while many wait, as after the loss of many nodes.
+// gossipUpdates returns the members of first, followed by updates from the queue: as many as usual
+// in all, or up to burstFactor times as many while the queue is long, as after the loss of many
+// nodes.
 func (m *Membership) gossipUpdates(first []*nodepb.Member) []*nodepb.Member {
 	usual := m.options.UpdatesPerMessage
 	count := max(usual, min(len(m.gossip.queue)/2, burstFactor*usual))
 	return m.gossip.take(first, count-len(first), m.table)
 }
 
-// mergeClaims merges the claims of a message. passOn is false where others know of them anyway.
+// mergeClaims merges the claims of a message, and looks whether its sender needs to know of
+// something itself.
 func (m *Membership) mergeClaims(from core.Peer, claims []*nodepb.Member, disseminate bool) {
 	for _, claim := range claims {
 		m.merge(from, claim, disseminate)
@@ -62,14 +68,14 @@
 	}
 }
 
-// addReplyClaim adds to what the sender of the message has to hear: claims that it may want to refute.
+// addReplyClaim adds a claim that the sender of the current message may want to refute.
 func (m *Membership) addReplyClaim(member *nodepb.Member) {
 	if !slices.Contains(m.replyClaims, member) {
 		m.replyClaims = append(m.replyClaims, member)
 	}
 }
 
-// sendReplyClaims sends what the sender has to hear by a message of its own.
+// sendReplyClaims sends the reply claims in a message of their own.
 func (m *Membership) sendReplyClaims(from core.Peer) {
 	if len(m.replyClaims) > 0 {
 		m.send(from.Address, memberSync(false, m.replyClaims))
--- a/internal/node/membership/rejoin.go
+++ b/internal/node/membership/rejoin.go
@@ -2,28 +2,42 @@
 
 import (
 	"slices"
+	"time"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
 
-// rejoin is the search for nodes that may have been cut off: dead members, one every deadRetry, and seeds that are no
-// members, one every seedRetry. So the halves of a cut find each other again.
+const (
+	// deadProbeInterval is the time between two probes of dead members, one at a time.
+	deadProbeInterval = 2 * time.Second
+	// fastDeadProbeInterval takes its place for fastRetryTime after a dead member has come back: a
+	// partition may have healed, and the other members behind it are back too.
+	fastDeadProbeInterval = 200 * time.Millisecond
+	fastRetryTime         = 2 * time.Second
+	// seedCallInterval is the time between two calls to seeds that aren't members.
+	seedCallInterval = 3 * time.Second
+)
+
+// rejoin is the search for nodes that may be behind a partition: it probes dead members and calls
+// seeds that aren't members, so that the sides of a healed partition find each other again.
 type rejoin struct {
-	nextDeadProbeAt core.Time // when a dead member may be tried
-	nextSeedCallAt  core.Time // when a seed may be called
-	// fastRetryUntil: a dead member has come back lately, so that others are tried every returnRetry.
+	nextDeadProbeAt core.Time
+	nextSeedCallAt  core.Time
+	// fastRetryUntil is until when dead members are probed every fastDeadProbeInterval, as one has
+	// just come back.
 	fastRetryUntil core.Time
 }
 
-// recordReturn takes note that a dead member is back: others may be too, as after a cut. What one side of a cut held
-// of the other is no news any more.
+// recordReturn records that a dead member is back: others may be too, as after a partition. Queued
+// updates that members are dead come from one side of it and are out of date.
 func (m *Membership) recordReturn() {
 	m.gossip.removeDead(m.table)
 	m.rejoin.fastRetryUntil = m.now + fastRetryTime
 	m.rejoin.nextDeadProbeAt = min(m.rejoin.nextDeadProbeAt, m.now+m.randomSpan(fastDeadProbeInterval))
 }
 
+// rejoinDeadline returns when the next dead member or seed is to be tried.
 func (m *Membership) rejoinDeadline() core.Time {
 	next := core.Never
 	if slices.ContainsFunc(m.table.down, mayRejoin) {
@@ -35,11 +49,13 @@
 	return next
 }
 
+// mayRejoin reports whether the member is dead, and no later process has taken its address.
 func mayRejoin(known *entry) bool {
 	return known.member.State == nodepb.MemberState_DEAD && !known.replaced
 }
 
-// missingSeeds returns the addresses of seeds that are no members, once the node has tried to join by them.
+// missingSeeds returns the addresses of seeds that aren't members; none while the node is still
+// joining through them.
 func (m *Membership) missingSeeds() []string {
 	if m.join.nextCallAt != core.Never {
 		return nil
@@ -70,12 +86,13 @@
 	return !present
 }
 
+// stepRejoin probes a dead member and calls a missing seed where these are due.
 func (m *Membership) stepRejoin() {
 	m.probeDead()
 	m.exchangeWithMissingSeed()
 }
 
-// probeDead probes a dead member, without waiting for an answer: one that lives refutes.
+// probeDead probes a dead member without waiting for an ack: a running node refutes.
 func (m *Membership) probeDead() {
 	if m.now < m.rejoin.nextDeadProbeAt {
 		return
@@ -96,7 +113,8 @@
 	m.probeOnce(candidates[m.random.IntN(len(candidates))].member)
 }
 
-// exchangeWithMissingSeed exchanges lists with a seed that is no member: a whole part of the fleet may have been cut off from it.
+// exchangeWithMissingSeed exchanges lists with a seed that isn't a member: all nodes on its side of
+// a partition may be missing.
 func (m *Membership) exchangeWithMissingSeed() {
 	if m.now < m.rejoin.nextSeedCallAt {
 		return
--- a/internal/node/membership/sync.go
+++ b/internal/node/membership/sync.go
@@ -2,12 +2,36 @@
 
 import (
 	"slices"
+	"time"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
 
-// syncs is the state of the exchanges of whole lists.
+const (
+	// A node whose list has grown by growthShare percent, and by minGrowth members at least,
+	// requests other lists in convergeRounds rounds, the first after convergeDelay and up to
+	// convergeJitter more: many nodes joined at the same moment, at the start or as a partition
+	// healed, so that it may have missed one.
+	growthShare      = 15
+	minGrowth        = 4
+	convergeRounds   = 2
+	convergeDelay    = 600 * time.Millisecond
+	convergeJitter   = 400 * time.Millisecond
+	convergeInterval = 2 * time.Second
+	// startupTime is how long after its start a node doesn't disseminate the lists that it has
+	// requested: all are about nodes that the others know.
+	startupTime = 5 * time.Second
+	// requestInterval is the minimum time between two requests for lists that events cause.
+	requestInterval = time.Second
+	// listTimeout is how long a requested list is awaited.
+	listTimeout = 5 * lateJoinInterval
+	// unscaledSyncMembers is the number of members up to which SyncInterval holds unscaled.
+	unscaledSyncMembers = 100
+)
+
+// syncs is the state of the exchanges of complete lists (anti-entropy), and of the requests for
+// lists.
 type syncs struct {
 	nextExchangeAt core.Time // of the exchange with a random member
 	lastRequestAt  core.Time // of the last question out of an occasion; 0: none
@@ -18,16 +42,13 @@
 	convergeRoundsLeft int       // how often
 }
 
-// awaitedList is an answer that is to come.
+// awaitedList is a list that was requested.
 type awaitedList struct {
 	address   string
 	expiresAt core.Time
 }
 
-// listTimeout is how long an answer to a question is waited for.
-const listTimeout = 5 * lateJoinInterval
-
-// allowRequest reports whether a question out of an occasion is in order now, and takes note of it.
+// allowRequest reports whether an event may cause a request for a list now, and records it.
 func (s *syncs) allowRequest(now core.Time) bool {
 	if s.lastRequestAt > 0 && now < s.lastRequestAt+requestInterval {
 		return false
@@ -36,13 +57,14 @@
 	return true
 }
 
-// expectList takes note of a question.
+// expectList records a request for the list of the node at the address.
 func (s *syncs) expectList(address string, now core.Time) {
 	s.awaitedLists = slices.DeleteFunc(s.awaitedLists, func(a awaitedList) bool { return a.address == address || a.expiresAt <= now })
 	s.awaitedLists = append(s.awaitedLists, awaitedList{address: address, expiresAt: now + listTimeout})
 }
 
-// takeExpected reports whether a list from the address was asked for, and ends the wait for it.
+// takeExpected reports whether a list from the address was requested and has come in time, and ends
+// the wait for it.
 func (s *syncs) takeExpected(address string, now core.Time) bool {
 	position := slices.IndexFunc(s.awaitedLists, func(a awaitedList) bool { return a.address == address })
 	if position < 0 {
@@ -53,21 +75,21 @@
 	return inTime
 }
 
-// requestList asks the node at the address for its list, and introduces this node.
+// requestList requests the list of the node at the address, and introduces this node.
 func (m *Membership) requestList(address string) {
 	m.sync.expectList(address, m.now)
 	m.send(address, memberSync(true, []*nodepb.Member{m.table.self}))
 }
 
-// requestListOfUnknown asks a sender that isn't on the list for its own.
+// requestListOfUnknown requests the list of a sender that isn't a member.
 func (m *Membership) requestListOfUnknown(from core.Peer) {
 	if m.sync.allowRequest(m.now) {
 		m.requestList(from.Address)
 	}
 }
 
-// syncInterval returns the time to the next exchange with a random member: so that the bytes that a node sends in a
-// second don't grow with the number of members.
+// syncInterval returns the random time to the next exchange. It grows with the number of members,
+// so that a node's traffic doesn't.
 func (m *Membership) syncInterval() core.Time {
 	interval := m.options.SyncInterval
 	if size := m.table.size(); size > unscaledSyncMembers {
@@ -83,7 +105,8 @@
 	return m.sync.nextExchangeAt
 }
 
-// recordJoin takes note of a member that came or came back.
+// recordJoin records a member that has joined or rejoined, and schedules convergence where many
+// did.
 func (m *Membership) recordJoin() {
 	s := &m.sync
 	s.joined++
@@ -93,7 +116,8 @@
 	}
 }
 
-// stepConverge asks a seed for its list after many came, or a random member where no seed is one.
+// stepConverge requests the list of a seed after many members joined, or of a random member where
+// no seed is one.
 func (m *Membership) stepConverge() {
 	s := &m.sync
 	if m.now < s.convergeAt {
@@ -114,7 +138,8 @@
 	}
 }
 
-// stepSync exchanges the list with a random member from time to time, which repairs what got lost.
+// stepSync exchanges the list with a random member now and then, which repairs what gossip has
+// lost.
 func (m *Membership) stepSync() {
 	m.stepConverge()
 	if m.now < m.syncDeadline() {
@@ -126,13 +151,13 @@
 	}
 }
 
-// exchange sends the whole list to the node at the address, and asks for its own.
+// exchange sends the complete list to the node at the address, and requests its own.
 func (m *Membership) exchange(address string) {
 	m.sync.expectList(address, m.now)
 	m.send(address, memberSync(true, m.table.members()))
 }
 
-// receiveSync takes a list or news, and answers with the own list where that is wanted.
+// receiveSync merges a list or pushed updates, and replies with the own list where that is wanted.
 func (m *Membership) receiveSync(from core.Peer, sync *nodepb.MemberSync) {
 	if sync.ReplyWanted {
 		m.mergeClaims(from, sync.Members, true)
@@ -148,7 +173,7 @@
 	}
 }
 
-// membersAndReplyClaims returns the members, and what the sender of the message has to hear besides.
+// membersAndReplyClaims returns the complete list and the reply claims.
 func (m *Membership) membersAndReplyClaims() []*nodepb.Member {
 	list := m.table.members()
 	for _, member := range m.replyClaims {
--- a/internal/node/membership/world_test.go
+++ b/internal/node/membership/world_test.go
@@ -29,7 +29,8 @@
 	return usual
 }
 
-// world runs many memberships under one virtual clock, on a network with seeded delays, losses and cuts.
+// world runs many memberships under one virtual clock, on a network with seeded delays, losses and
+// cuts.
 type world struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -78,7 +79,8 @@
 
 func addressOf(i int) string { return fmt.Sprintf("10.%d.%d.%d:7560", 1+i%4, i/200, 1+i%200) }
 
-// startAll starts n nodes within 0.3 s in any sequence, the first three of them seeds, as DEPLOY.md has it.
+// startAll starts n nodes within 0.3 s in any sequence, the first three of them seeds, as DEPLOY.md
+// has it.
 func (w *world) startAll(n int) {
 	w.seeds = nil
 	for i := range min(n, 3) {
@@ -161,7 +163,8 @@
 	return bound
 }
 
-// expect lets time pass until the condition holds, and fails the test where it doesn't within the bound.
+// expect lets time pass until the condition holds, and fails the test where it doesn't within the
+// bound.
 func (w *world) expect(bound time.Duration, what string, holds func() bool) time.Duration {
 	w.t.Helper()
 	taken := w.until(bound, holds)
