--- a/internal/node/membership/components_test.go
+++ b/internal/node/membership/components_test.go
@@ -85,7 +85,7 @@
 	assert.Assert(t, rounds <= pushAllowance+1+int(100*time.Second/pushRefillInterval), "%d", rounds)
 
 	p.add("b/1", true)
-	assert.Assert(t, p.deadline() <= now+pushInterval, "news does not wait for the allowance")
+	assert.Assert(t, p.deadline() <= now+pushInterval, "changes do not wait for the allowance")
 }
 
 func TestAwarenessRisesOnlyWithoutContact(t *testing.T) {
@@ -176,6 +176,7 @@
 	assert.Equal(t, m.Deadline(), core.Never)
 	assert.Equal(t, len(m.Leave(0)), 0)
 	assert.Equal(t, len(m.Tick(time.Second)), 0)
-	ack := m.Receive(0, stranger, probeMessage(&nodepb.Probe{Sequence: 4, TargetId: "a/1"}))[0].(core.Send).Message.GetProbeAck()
+	outputs := m.Receive(0, stranger, probeMessage(&nodepb.Probe{Sequence: 4, TargetId: "a/1"}))
+	ack := outputs[0].(core.Send).Message.GetProbeAck()
 	assert.Equal(t, ack.Updates[0].State, left)
 }
--- a/internal/node/membership/export_test.go
+++ b/internal/node/membership/export_test.go
@@ -1,4 +1,5 @@
 package membership
 
-// Remembered returns how many other lives the list knows, those included that are down.
+// Remembered returns the number of processes of other nodes that are remembered, dead ones
+// included.
 func (m *Membership) Remembered() int { return len(m.table.entries) }
--- a/internal/node/membership/faults_test.go
+++ b/internal/node/membership/faults_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// deathBound is by when all have dropped a member that died: its probe, the suspicion, and their
-// spreading.
+// deathBound is the time within which all members drop a killed one: its probe, the suspicion,
+// and their dissemination.
 const deathBound = 10 * time.Second
 
 func TestKilledNodeIsDeclaredDead(t *testing.T) {
@@ -107,7 +107,7 @@
 			stopped.thaw()
 			drops, back := w.droppedAmong(others), w.converged()
 			w.expect(1500*time.Millisecond, "the node is back", func() bool {
-				assert.Assert(t, !drops(), "a node that was stopped blames another")
+				assert.Assert(t, !drops(), "a node that was stopped drops another")
 				return back()
 			})
 			w.never(20*time.Second, "a member is dropped", w.droppedAmong(w.alive()))
@@ -167,7 +167,8 @@
 		sizes = []int{4, 30}
 	}
 	for _, n := range sizes {
-		for _, span := range []time.Duration{time.Second, 4 * time.Second, 15 * time.Second, 50 * time.Second, 3 * time.Minute} {
+		spans := []time.Duration{time.Second, 4 * time.Second, 15 * time.Second, 50 * time.Second, 3 * time.Minute}
+		for _, span := range spans {
 			for seed := range seeds(3) {
 				t.Run(fmt.Sprintf("%d nodes, %v, seed %d", n, span, seed), func(t *testing.T) {
 					w := newWorld(t, seed)
@@ -182,8 +183,8 @@
 					w.partitioned = func(from, to string) bool { return side[from] != side[to] }
 					w.never(span, "a member of the own side is dropped", dropped)
 					w.partitioned = nil
-					w.never(3500*time.Millisecond, "a member of the own side is dropped when the cut heals", dropped)
-					assert.Assert(t, agree(w.alive()), "the halves have not found each other")
+					w.never(3500*time.Millisecond, "a member of the own side is dropped when the partition heals", dropped)
+					assert.Assert(t, agree(w.alive()), "the halves have not converged")
 					w.never(20*time.Second, "a member is dropped", w.droppedAmong(w.alive()))
 				})
 			}
--- a/internal/node/membership/join_test.go
+++ b/internal/node/membership/join_test.go
@@ -100,11 +100,11 @@
 		w.startConverged(30)
 		// Number 1 is a seed, number 20 is not.
 		for _, i := range []int{1, 20} {
-			former := w.node(i)
-			former.kill()
+			previous := w.node(i)
+			previous.kill()
 			w.run(500 * time.Millisecond)
 			w.start(i)
-			w.expect(1500*time.Millisecond, "the later life", w.converged())
+			w.expect(1500*time.Millisecond, "the new process", w.converged())
 			w.run(20 * time.Second)
 			assert.Assert(t, agree(w.alive()))
 		}
@@ -122,12 +122,13 @@
 			w.node(i).kill()
 			w.run(300 * time.Millisecond)
 			w.start(i)
-			w.expect(1500*time.Millisecond, "the later life", w.converged())
+			w.expect(1500*time.Millisecond, "the new process", w.converged())
 		}
 	}
 }
 
-// A node that was stopped for long still knows the former life when it goes on.
+// TestReplacedProcessIsNotRelisted: a node that was frozen for long still lists the previous
+// process when it resumes.
 func TestReplacedProcessIsNotRelisted(t *testing.T) {
 	for _, stop := range []time.Duration{10 * time.Second, 70 * time.Second} {
 		w := newWorld(t, 9)
--- a/internal/node/membership/members_test.go
+++ b/internal/node/membership/members_test.go
@@ -29,16 +29,16 @@
 func TestReturnedMembersAreImmutable(t *testing.T) {
 	w := newWorld(t, 1)
 	w.startConverged(10)
-	picture := w.node(0).list.Members()
-	before := make([]*nodepb.Member, 0, len(picture))
-	for _, member := range picture {
+	snapshot := w.node(0).list.Members()
+	before := make([]*nodepb.Member, 0, len(snapshot))
+	for _, member := range snapshot {
 		before = append(before, proto.CloneOf(member))
 	}
 	w.node(5).kill()
 	w.expect(deathBound, "the death", w.converged())
-	assert.Equal(t, len(picture), 10)
-	for i := range picture {
-		assert.Assert(t, proto.Equal(picture[i], before[i]))
+	assert.Equal(t, len(snapshot), 10)
+	for i := range snapshot {
+		assert.Assert(t, proto.Equal(snapshot[i], before[i]))
 	}
 }
 
--- a/internal/node/membership/merge_test.go
+++ b/internal/node/membership/merge_test.go
@@ -30,7 +30,7 @@
 	return member("b/1", "10.0.0.2:7560", state, incarnation)
 }
 
-// newNode returns a node that knows of nobody, with the figures of a fixed seed.
+// newNode returns a node that knows no other, with a fixed seed.
 func newNode() *Membership {
 	self := member("a/1", "10.0.0.1:7560", alive, 5)
 	return New(0, Options{Self: self}, rand.New(rand.NewPCG(1, 1)))
@@ -49,7 +49,7 @@
 	return known.State, known.Incarnation
 }
 
-// Which of two claims of one node holds.
+// TestPrecedenceOfClaims: which of two claims about one node wins.
 func TestPrecedenceOfClaims(t *testing.T) {
 	type claim struct {
 		state       nodepb.MemberState
@@ -116,7 +116,7 @@
 	assert.Equal(t, m.table.get("b/1").Address, "10.0.0.2:7560")
 }
 
-// sentTo returns the lists that were sent to an address.
+// sentTo returns the lists of members sent to an address.
 func sentTo(outputs []core.Output, address string) [][]*nodepb.Member {
 	var lists [][]*nodepb.Member
 	for _, output := range outputs {
@@ -135,7 +135,7 @@
 		answers := sentTo(outputs, stranger.Address)
 		assert.Assert(t, len(answers) > 0)
 		assert.Equal(t, answers[len(answers)-1][0].Incarnation, uint64(8))
-		// An older claim needs no other incarnation, but its sender is told.
+		// An older claim needs no other incarnation, but its sender is notified.
 		outputs = m.receiveClaims(0, member("a/1", "10.0.0.1:7560", state, 6))
 		assert.Equal(t, m.table.self.Incarnation, uint64(8))
 		assert.Equal(t, sentTo(outputs, stranger.Address)[0][0].Incarnation, uint64(8))
@@ -159,14 +159,14 @@
 	m.receiveClaims(0, claimOf(alive, 3))
 	m.receiveClaims(0, later(3))
 	state, _ := m.stateOf("b/2")
-	assert.Equal(t, state, unknown, "the one known first stays where the incarnations are equal")
+	assert.Equal(t, state, unknown, "of equal incarnations the one known first stays")
 	m.receiveClaims(0, later(4))
 	state, _ = m.stateOf("b/2")
 	assert.Equal(t, state, alive)
 	state, _ = m.stateOf("b/1")
 	assert.Equal(t, state, dead)
 	assert.Equal(t, len(m.Members()), 2)
-	assert.Assert(t, !mayRejoin(m.table.entries["b/1"]), "nobody looks for a life that was replaced")
+	assert.Assert(t, !mayRejoin(m.table.entries["b/1"]), "nobody probes a process that was replaced")
 }
 
 func TestRestartedProcessLearnsOfPreviousOne(t *testing.T) {
--- a/internal/node/membership/random_test.go
+++ b/internal/node/membership/random_test.go
@@ -12,8 +12,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Whatever others claim, in any order, the node's own picture stays consistent and it is on its own
-// list.
+// TestRandomClaimsKeepTableConsistent: whatever others claim, in any order, the table stays
+// consistent, and the node stays alive on its own list.
 func TestRandomClaimsKeepTableConsistent(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/node/membership/simulation_test.go
+++ b/internal/node/membership/simulation_test.go
@@ -18,7 +18,7 @@
 
 var seedsFlag = flag.Uint64("seeds", 0, "number of seeds of each test with faults; 0: a few")
 
-// seeds returns how many seeds a test is to play.
+// seeds returns how many seeds a test plays.
 func seeds(usual uint64) uint64 {
 	if *seedsFlag > 0 {
 		return *seedsFlag
@@ -29,28 +29,28 @@
 	return usual
 }
 
-// world runs many memberships under one virtual clock, on a network with seeded delays, losses and
-// cuts.
+// world runs many memberships under one virtual clock, on a network with seeded latency, message
+// loss and partitions.
 type world struct {
 	t         *testing.T
 	random    *rand.Rand
 	now       time.Duration
 	events    events
 	sequence  uint64
-	nodes     []*virtualNode // every life that was started
+	nodes     []*virtualNode // all processes that were started
 	byAddress map[string]*virtualNode
 	seeds     []string
 	minDelay  time.Duration
 	maxDelay  time.Duration
 	loss      float64
-	// partitioned reports whether messages from one address to another are lost; nil: none are.
+	// partitioned reports whether all messages from one address to another are lost; nil: none.
 	partitioned func(from, to string) bool
-	// inspect is called with each message that arrives; nil: nothing is looked at.
+	// inspect is called with each message that arrives; nil: not called.
 	inspect func(from, to *virtualNode, message *nodepb.Envelope)
 	copies  map[*nodepb.Envelope]*nodepb.Envelope // where set: each message as it was sent
 }
 
-// virtualNode is one life of a node.
+// virtualNode is one process of a node.
 type virtualNode struct {
 	world     *world
 	id        string
@@ -59,7 +59,7 @@
 	list      *membership.Membership
 	dead      bool
 	frozen    bool
-	pending   []func() // what arrived while it was frozen
+	pending   []func() // inputs that arrived while it was frozen
 
 	timerAt  time.Duration
 	messages int
@@ -68,6 +68,7 @@
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
+	t.Helper()
 	return &world{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 77)),
@@ -79,8 +80,8 @@
 
 func addressOf(i int) string { return fmt.Sprintf("10.%d.%d.%d:7560", 1+i%4, i/200, 1+i%200) }
 
-// startAll starts n nodes within 0.3 s in any sequence, the first three of them seeds, as DEPLOY.md
-// has it.
+// startAll starts n nodes within 0.3 s in random order, the first three of which are seeds, as
+// DEPLOY.md has it.
 func (w *world) startAll(n int) {
 	w.seeds = nil
 	for i := range min(n, 3) {
@@ -92,19 +93,31 @@
 	w.run(300 * time.Millisecond)
 }
 
-// start begins a life of the node with that number.
+// start starts a process of the node with that number, and kills the previous one.
 func (w *world) start(i int) *virtualNode { return w.startWith(i, 1) }
 
 func (w *world) startWith(i int, incarnation uint64) *virtualNode {
 	address := addressOf(i)
-	if former := w.byAddress[address]; former != nil {
-		former.dead = true
+	if previous := w.byAddress[address]; previous != nil {
+		previous.dead = true
 	}
 	name := fmt.Sprintf("front-%03d", i)
-	node := &virtualNode{world: w, id: fmt.Sprintf("%s/%06x", name, w.random.Uint32()>>8), address: address, startedAt: w.now, timerAt: core.Never}
+	node := &virtualNode{
+		world:     w,
+		id:        fmt.Sprintf("%s/%06x", name, w.random.Uint32()>>8),
+		address:   address,
+		startedAt: w.now,
+		timerAt:   core.Never,
+	}
 	self := &nodepb.Member{
-		NodeId: node.id, Name: name, Address: address, ControlAddress: address[:len(address)-4] + "8381",
-		Zone: fmt.Sprintf("zone-%d", i%4), Region: "region", ServesFront: true, Incarnation: incarnation,
+		NodeId:         node.id,
+		Name:           name,
+		Address:        address,
+		ControlAddress: address[:len(address)-4] + "8381",
+		Zone:           fmt.Sprintf("zone-%d", i%4),
+		Region:         "region",
+		ServesFront:    true,
+		Incarnation:    incarnation,
 	}
 	options := membership.Options{Self: self, Seeds: w.seeds}
 	node.list = membership.New(0, options, rand.New(rand.NewPCG(w.random.Uint64(), 1)))
@@ -114,10 +127,10 @@
 	return node
 }
 
-// node returns the newest life of the node with that number.
+// node returns the newest process of the node with that number.
 func (w *world) node(i int) *virtualNode { return w.byAddress[addressOf(i)] }
 
-// alive returns the lives that run.
+// alive returns the processes that run.
 func (w *world) alive() []*virtualNode {
 	var alive []*virtualNode
 	for _, node := range w.nodes {
@@ -189,7 +202,8 @@
 			if w.inspect != nil {
 				w.inspect(from, receiver, message)
 			}
-			receiver.carryOut(receiver.list.Receive(receiver.clock(), core.Peer{NodeID: from.id, Address: from.address}, message))
+			peer := core.Peer{NodeID: from.id, Address: from.address}
+			receiver.carryOut(receiver.list.Receive(receiver.clock(), peer, message))
 		})
 	})
 }
@@ -197,7 +211,7 @@
 // clock returns the node's own time.
 func (n *virtualNode) clock() core.Time { return n.world.now - n.startedAt }
 
-// take runs an input, or holds it back while the node is frozen.
+// take runs an input, or queues it while the node is frozen.
 func (n *virtualNode) take(input func()) {
 	switch {
 	case n.dead:
@@ -209,7 +223,7 @@
 	}
 }
 
-// arm sets the timer to the deadline, if it isn't.
+// arm sets the timer to the deadline, unless it is set.
 func (n *virtualNode) arm() {
 	deadline := n.list.Deadline()
 	if deadline == core.Never {
@@ -250,7 +264,7 @@
 
 func (n *virtualNode) freeze() { n.frozen = true }
 
-// thaw lets the node go on: what arrived meanwhile comes first, or the timer does.
+// thaw ends a freeze. Queued messages or the timer come first, at random.
 func (n *virtualNode) thaw() {
 	n.frozen = false
 	pending := n.pending
@@ -271,7 +285,8 @@
 	n.arm()
 }
 
-// watch looks at the lists of some nodes, each only where it has changed since the last time.
+// watch counts the members in the lists of some nodes, and reads each list only where its revision
+// has changed.
 type watch struct {
 	nodes  []*virtualNode
 	ids    map[string]bool
@@ -327,12 +342,12 @@
 // agree reports whether each of the nodes lists just these.
 func agree(nodes []*virtualNode) bool { return newWatch(nodes).agree() }
 
-// converged returns the condition that all lives that run list each other and nobody else.
+// converged returns the condition that all running processes list each other and nobody else.
 func (w *world) converged() func() bool {
 	return newWatch(w.alive()).agree
 }
 
-// startConverged starts n nodes and lets them find each other.
+// startConverged starts n nodes and lets them converge.
 func (w *world) startConverged(n int) {
 	w.t.Helper()
 	w.startAll(n)
--- a/internal/node/membership/sync.go
+++ b/internal/node/membership/sync.go
@@ -59,7 +59,9 @@
 
 // expectList records a request for the list of the node at the address.
 func (s *syncs) expectList(address string, now core.Time) {
-	s.awaitedLists = slices.DeleteFunc(s.awaitedLists, func(a awaitedList) bool { return a.address == address || a.expiresAt <= now })
+	s.awaitedLists = slices.DeleteFunc(s.awaitedLists, func(awaited awaitedList) bool {
+		return awaited.address == address || awaited.expiresAt <= now
+	})
 	s.awaitedLists = append(s.awaitedLists, awaitedList{address: address, expiresAt: now + listTimeout})
 }
 
--- a/internal/node/membership/table_test.go
+++ b/internal/node/membership/table_test.go
@@ -12,6 +12,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
+// tableOf returns a table with n alive members a/0, b/1, ...
 func tableOf(n int) (*table, *rand.Rand) {
 	random := rand.New(rand.NewPCG(3, 3))
 	t := newTable(member("m/0", "10.0.0.0:7560", alive, 1))
@@ -82,7 +83,7 @@
 
 func TestSuccessorIsNextAliveMember(t *testing.T) {
 	members, random := tableOf(3)
-	assert.Equal(t, members.successor().NodeId, "a/0", "past the end it begins anew")
+	assert.Equal(t, members.successor().NodeId, "a/0", "after the last comes the first")
 	members.set(member("n/1", "10.0.2.1:7560", alive, 1), core.Never, random)
 	assert.Equal(t, members.successor().NodeId, "n/1")
 	members.set(member("n/1", "10.0.2.1:7560", suspect, 1), core.Never, random)
@@ -107,6 +108,7 @@
 	}
 }
 
+// checkTable asserts that all indexes agree with the entries.
 func checkTable(t *testing.T, members *table) {
 	t.Helper()
 	var live, suspects, down int
--- a/internal/node/membership/traffic_test.go
+++ b/internal/node/membership/traffic_test.go
@@ -10,13 +10,14 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// rates are what a node did a second, on the mean.
+// rates are the mean rates of a node, per second.
 type rates struct {
 	messages float64
 	bytes    float64
 	wakeUps  float64
 }
 
+// measure returns the rates of the running processes over a span.
 func (w *world) measure(span time.Duration) rates {
 	for _, node := range w.alive() {
 		node.messages, node.bytes, node.wakeUps = 0, 0, 0
@@ -32,7 +33,8 @@
 	return rates{messages: sum.messages / scale, bytes: sum.bytes / scale, wakeUps: sum.wakeUps / scale}
 }
 
-// What a node sends and how often it wakes up does not depend on the number of nodes.
+// TestTrafficPerNodeIsConstant: messages and wake-ups of a node don't depend on the number of
+// nodes.
 func TestTrafficPerNodeIsConstant(t *testing.T) {
 	for _, n := range []int{10, 100, 400} {
 		t.Run(fmt.Sprintf("%d nodes", n), func(t *testing.T) {
@@ -69,8 +71,7 @@
 	assert.Assert(t, joined.messages < 2.6, "%+v", joined)
 }
 
-// Nodes that are gone are forgotten: what a node keeps does not grow with the lives that there
-// were.
+// TestRestartedNodesAreForgotten: what a node keeps doesn't grow with the number of restarts.
 func TestRestartedNodesAreForgotten(t *testing.T) {
 	w := newWorld(t, 1)
 	w.startConverged(10)
@@ -86,7 +87,8 @@
 	}
 }
 
-// Messages share members with the list: neither sender nor receiver may alter them.
+// TestMessagesAreNotModified: messages share members with the list, so neither sender nor receiver
+// may modify them.
 func TestMessagesAreNotModified(t *testing.T) {
 	w := newWorld(t, 1)
 	w.copies = map[*nodepb.Envelope]*nodepb.Envelope{}
