--- a/internal/node/transfer/incoming.go
+++ b/internal/node/transfer/incoming.go
@@ -7,96 +7,121 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// incomingKey names a transfer: its number is the sender's, in one life.
+// The bounds of the incoming transfers that are not complete: of their number, and of the bytes
+// that they may need here.
+const (
+	maxIncoming      = 16
+	maxIncomingBytes = MaxMessage
+)
+
+// incomingKey names a transfer. Its number is unique in one process of the sender, whose node id is
+// a new one at every start.
 type incomingKey struct {
-	sender string
+	sender string // node id
 	id     uint64
 }
 
-// incoming is a message that is on its way to this node, or that has come whole.
+// incoming is a message that is being received, or that has been.
 type incoming struct {
-	total      int
-	data       []byte         // without a gap; nil once it was delivered
-	outOfOrder map[int][]byte // fragments behind a gap, by offset: at most a window of them
+	total      int            // size of the message in bytes
+	data       []byte         // received without a gap; nil once the message was delivered
+	outOfOrder map[int][]byte // fragments after a gap, by offset: at most a window of them
 	complete   bool
-	progressAt core.Time
+	progressAt core.Time // when data last grew
 }
 
-func (i *incoming) receivedBytes() int {
-	if i.complete {
-		return i.total
+// receivedBytes is the number of bytes received without a gap.
+func (in *incoming) receivedBytes() int {
+	if in.complete {
+		return in.total
 	}
-	return len(i.data)
+	return len(in.data)
 }
 
-// receiveFragment takes the fragment that follows what is here, and says how far the transfer has come. Fragments of a
-// transfer for which there is no room get no acknowledgement.
+// receiveFragment adds a fragment to its transfer and acknowledges what has been received. A
+// fragment of a new transfer for which there is no capacity is dropped without an acknowledgement.
 func (t *Transfers) receiveFragment(now core.Time, from core.Peer, fragment *nodepb.Fragment) {
 	key := incomingKey{sender: from.NodeID, id: fragment.GetTransfer()}
-	i := t.incoming[key]
-	if i == nil {
-		if !t.hasCapacity(fragment.GetTotal()) && (!t.dropStalled(now) || !t.hasCapacity(fragment.GetTotal())) {
+	in := t.incoming[key]
+	if in == nil {
+		total := fragment.GetTotal()
+		if !t.hasCapacity(total) && (!t.dropStalled(now) || !t.hasCapacity(total)) {
 			return
 		}
-		i = &incoming{total: int(fragment.GetTotal()), progressAt: now}
-		t.incoming[key] = i
+		in = &incoming{total: int(total), progressAt: now}
+		t.incoming[key] = in
 	}
-	if !i.complete {
-		i.add(now, fragment.GetOffset(), fragment.GetData())
+	if !in.complete {
+		in.add(now, fragment.GetOffset(), fragment.GetData())
 	}
-	ack := &nodepb.FragmentAck{Transfer: key.id, Received: uint64(i.receivedBytes())}
+	ack := &nodepb.FragmentAck{Transfer: key.id, Received: uint64(in.receivedBytes())}
 	t.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_FragmentAck{FragmentAck: ack}})
-	if i.complete && i.data != nil {
-		t.deliver(from, i)
+	if in.complete && in.data != nil {
+		t.deliver(from, in)
 	}
 }
 
-// add takes a fragment, and those that came before it though they follow it.
-func (i *incoming) add(now core.Time, offset uint64, data []byte) {
-	if offset > uint64(i.total) || len(data) > i.total-int(offset) || len(data) == 0 {
+// add adds a fragment, and the fragments after it that came earlier. Offsets and lengths come from
+// the network, and are not trusted.
+func (in *incoming) add(now core.Time, offset uint64, data []byte) {
+	if offset > uint64(in.total) || len(data) > in.total-int(offset) || len(data) == 0 {
 		return
 	}
-	at := int(offset)
-	if at > len(i.data) && at <= len(i.data)+windowBytes && len(i.outOfOrder) < windowBytes/fragmentBytes {
-		if i.outOfOrder == nil {
-			i.outOfOrder = map[int][]byte{}
+	position := int(offset)
+	if in.isAfterGap(position) {
+		if in.outOfOrder == nil {
+			in.outOfOrder = map[int][]byte{}
 		}
-		i.outOfOrder[at] = data
+		in.outOfOrder[position] = data
 		return
 	}
-	for next := data; at == len(i.data) && len(next) > 0; next = i.outOfOrder[at] {
-		i.data = append(i.data, next...)
-		i.progressAt = now
-		delete(i.outOfOrder, at)
-		at = len(i.data)
+	for next := data; position == len(in.data) && len(next) > 0; next = in.outOfOrder[position] {
+		in.data = append(in.data, next...)
+		in.progressAt = now
+		delete(in.outOfOrder, position)
+		position = len(in.data)
 	}
-	if len(i.data) == i.total {
-		i.complete, i.outOfOrder = true, nil
+	if len(in.data) == in.total {
+		in.complete = true
+		in.outOfOrder = nil
 	}
 }
 
-// hasCapacity reports whether another transfer of that size may come in. Those that are over hold nothing.
+// isAfterGap reports whether a fragment at the position follows a gap within the window, and may be
+// kept until the gap is filled.
+func (in *incoming) isAfterGap(position int) bool {
+	return position > len(in.data) &&
+		position <= len(in.data)+windowBytes &&
+		len(in.outOfOrder) < windowBytes/fragmentBytes
+}
+
+// hasCapacity reports whether another transfer of that size may come in. Complete ones need none.
 func (t *Transfers) hasCapacity(total uint64) bool {
 	if total == 0 || total > MaxMessage {
 		return false
 	}
 	count, reserved := 1, int(total)
-	for _, i := range t.incoming {
-		if !i.complete {
+	for _, in := range t.incoming {
+		if !in.complete {
 			count++
-			reserved += i.total
+			reserved += in.total
 		}
 	}
 	return count <= maxIncoming && reserved <= maxIncomingBytes
 }
 
-// dropStalled ends the transfer that made no progress for longest, if that is long enough: its sender may have given it up.
+// dropStalled ends the transfer without progress for longest, if that is longer than stallTimeout:
+// its sender may have ended it. It reports whether it ended one.
 func (t *Transfers) dropStalled(now core.Time) bool {
 	var slowest incomingKey
-	progress := now - stallTimeout
-	for key, i := range t.incoming {
-		if !i.complete && (i.progressAt < progress || i.progressAt == progress && key.id < slowest.id) {
-			slowest, progress = key, i.progressAt
+	slowestProgressAt := now - stallTimeout
+	for key, in := range t.incoming {
+		if in.complete {
+			continue
+		}
+		isTie := in.progressAt == slowestProgressAt && key.id < slowest.id
+		if in.progressAt < slowestProgressAt || isTie {
+			slowest, slowestProgressAt = key, in.progressAt
 		}
 	}
 	if slowest.sender == "" {
@@ -106,22 +131,26 @@
 	return true
 }
 
-// deliver hands the message to the node. What is kept of the transfer says that it is over.
-func (t *Transfers) deliver(from core.Peer, i *incoming) {
+// deliver hands the message to the node. The entry stays until it expires, so that fragments that
+// come again are acknowledged and don't begin a new transfer.
+func (t *Transfers) deliver(from core.Peer, in *incoming) {
 	message := new(nodepb.Envelope)
-	err := proto.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(i.data, message)
-	i.data = nil
+	err := proto.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(in.data, message)
+	in.data = nil
 	if err != nil {
-		t.output(core.Log{Message: "fragments hold no message", Fields: []any{"bytes", i.total, "error", err}})
+		t.output(core.Log{
+			Message: "transfer: fragments are no message",
+			Fields:  []any{"bytes", in.total, "error", err},
+		})
 		return
 	}
 	t.output(core.MessageReassembled{From: from, Message: message})
 }
 
-// expireIncoming forgets transfers that make no progress any more, and those that are over.
+// expireIncoming removes transfers without progress, and complete ones, after transferTimeout.
 func (t *Transfers) expireIncoming(now core.Time) {
-	for key, i := range t.incoming {
-		if now-i.progressAt >= transferTimeout {
+	for key, in := range t.incoming {
+		if now-in.progressAt >= transferTimeout {
 			delete(t.incoming, key)
 		}
 	}
--- a/internal/node/transfer/subject.go
+++ b/internal/node/transfer/subject.go
@@ -7,8 +7,19 @@
 	"kestrelspread/internal/node/wireproto"
 )
 
-// SubjectOf tells what a message is about. Commands and their answers have a slot each, as several may be under way between
-// two nodes. An entry of the chain gives way to another one, and a state to one of a later epoch.
+// Subject says which transfers replace each other. Of the messages to one node with the same slot,
+// only one is under way at a time: another one with the same version is dropped, one with another
+// version replaces it.
+type Subject struct {
+	Slot    string
+	Version string
+	// Urgent messages, on which the acknowledgement of a change depends, go before others.
+	Urgent bool
+}
+
+// SubjectOf returns the subject of a message. Each command and each reply has a slot of its own, as
+// several may be under way between two nodes. An entry of the chain replaces an earlier one, and a
+// snapshot for catch-up replaces one of another epoch.
 func SubjectOf(message *nodepb.Envelope) Subject {
 	kind := wireproto.KindOf(message).String()
 	switch body := message.GetBody().(type) {
--- a/internal/node/transfer/transfer_test.go
+++ b/internal/node/transfer/transfer_test.go
@@ -15,15 +15,15 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// world runs the transfers of some nodes over links with a bandwidth, under a virtual clock.
+// world runs the transfers of some nodes over links of limited bandwidth, under a virtual clock.
 type world struct {
 	random      *rand.Rand
 	now         core.Time
 	events      events
 	sequence    int
-	nodes       map[string]*end
-	perSecond   int           // bytes that a link carries
-	delay       time.Duration // of each message beside that
+	nodes       map[string]*endpoint
+	bandwidth   int           // of each link, bytes per second
+	delay       time.Duration // latency of each message besides
 	loss        float64
 	duplicate   float64
 	partitioned bool
@@ -31,13 +31,13 @@
 	maxBusy     time.Duration
 }
 
-// end is one node.
-type end struct {
-	address   string
-	restarts  int
-	transfers *Transfers
-	linkFree  core.Time // of what it sends
-	received  []*nodepb.Envelope
+// endpoint is one node.
+type endpoint struct {
+	address    string
+	restarts   int
+	transfers  *Transfers
+	linkFreeAt core.Time // when its outgoing link is free
+	received   []*nodepb.Envelope
 }
 
 type event struct {
@@ -60,12 +60,16 @@
 	return last
 }
 
+// newWorld returns nodes on links of 1 MiB/s.
 func newWorld(seed uint64, addresses ...string) *world {
 	w := &world{
-		random: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*end{}, perSecond: 1 << 20, delay: 2 * time.Millisecond,
+		random:    rand.New(rand.NewPCG(seed, 5)),
+		nodes:     map[string]*endpoint{},
+		bandwidth: 1 << 20,
+		delay:     2 * time.Millisecond,
 	}
 	for _, address := range addresses {
-		w.nodes[address] = &end{address: address}
+		w.nodes[address] = &endpoint{address: address}
 		w.restart(address)
 	}
 	return w
@@ -83,7 +87,7 @@
 	heap.Push(&w.events, event{w.now + d, w.sequence, run})
 }
 
-// runUntil plays until the condition holds and reports whether it does by the limit.
+// runUntil lets time pass until the condition holds, and reports whether it does within the limit.
 func (w *world) runUntil(limit time.Duration, condition func() bool) bool {
 	for end := w.now + limit; !condition(); {
 		due, from := w.nextDeadline()
@@ -105,8 +109,8 @@
 	return true
 }
 
-func (w *world) nextDeadline() (core.Time, *end) {
-	due, from := core.Never, (*end)(nil)
+func (w *world) nextDeadline() (core.Time, *endpoint) {
+	due, from := core.Never, (*endpoint)(nil)
 	for _, node := range w.nodes {
 		if deadline := node.transfers.Deadline(); deadline < due {
 			due, from = deadline, node
@@ -115,7 +119,7 @@
 	return due, from
 }
 
-func (w *world) carryOut(from *end, outputs []core.Output) {
+func (w *world) carryOut(from *endpoint, outputs []core.Output) {
 	for _, output := range outputs {
 		switch output := output.(type) {
 		case core.Send:
@@ -129,18 +133,18 @@
 	}
 }
 
-// carry brings a message over the link of its sender, which takes time for each byte.
-func (w *world) carry(from *end, output core.Send) {
+// carry sends a message over the link of its sender, at the link's bandwidth.
+func (w *world) carry(from *endpoint, output core.Send) {
 	size := proto.Size(output.Message)
 	w.sent += size
-	from.linkFree = max(from.linkFree, w.now) + time.Duration(size)*time.Second/time.Duration(w.perSecond)
-	w.maxBusy = max(w.maxBusy, from.linkFree-w.now)
+	from.linkFreeAt = max(from.linkFreeAt, w.now) + time.Duration(size)*time.Second/time.Duration(w.bandwidth)
+	w.maxBusy = max(w.maxBusy, from.linkFreeAt-w.now)
 	if w.partitioned || w.random.Float64() < w.loss {
 		return
 	}
 	to, restarts := w.nodes[output.Destination], w.nodes[output.Destination].restarts
 	peer := core.Peer{NodeID: fmt.Sprintf("%s#%d", from.address, from.restarts), Address: from.address}
-	w.after(from.linkFree-w.now+w.delay, func() {
+	w.after(from.linkFreeAt-w.now+w.delay, func() {
 		if to.restarts == restarts && restarts >= 0 && !w.partitioned {
 			w.carryOut(to, to.transfers.Receive(w.now, peer, output.Message))
 		}
@@ -152,7 +156,7 @@
 	w.carryOut(node, node.transfers.Send(w.now, to, SubjectOf(message), message))
 }
 
-// snapshotOf makes a large message: a push of a state.
+// snapshotOf makes a large message: a push of a snapshot.
 func (w *world) snapshotOf(size int, index uint64) *nodepb.Envelope {
 	state := make([]byte, size)
 	for i := range state {
@@ -176,10 +180,11 @@
 	}
 }
 
-// TestShortMessagesWaitForFewFragments: on a link of 10 Mbit/s, heartbeats are never held up for long, however much is sent.
+// TestShortMessagesWaitForFewFragments: on a link of 10 Mbit/s, heartbeats are never held up for
+// long, however much is sent.
 func TestShortMessagesWaitForFewFragments(t *testing.T) {
 	w := newWorld(3, "a", "b", "c", "d", "e", "f")
-	w.perSecond = 10_000_000 / 8
+	w.bandwidth = 10_000_000 / 8
 	for _, to := range []string{"b", "c", "d", "e", "f"} {
 		w.send("a", to, w.snapshotOf(2<<20, 1))
 	}
@@ -188,7 +193,7 @@
 	for _, to := range []string{"b", "c", "d", "e"} {
 		assert.Equal(t, len(w.nodes[to].received), 1)
 	}
-	assert.Equal(t, len(w.nodes["f"].received), 0, "a fifth transfer is not begun beside four")
+	assert.Equal(t, len(w.nodes["f"].received), 0, "a fifth transfer does not begin beside four")
 }
 
 func TestTransferResumesAfterPartition(t *testing.T) {
@@ -202,7 +207,7 @@
 		w.partitioned = false
 	}
 	assert.Assert(t, w.runUntil(10*time.Second, func() bool { return len(w.nodes["b"].received) == 1 }))
-	assert.Assert(t, w.sent < size+size/10, "%d bytes for %d: what had come is not sent again", w.sent, size)
+	assert.Assert(t, w.sent < size+size/10, "%d bytes for %d: acknowledged bytes are not sent again", w.sent, size)
 }
 
 func TestTransferWithoutProgressTimesOut(t *testing.T) {
@@ -226,10 +231,10 @@
 	assert.Assert(t, bytes.Equal(stateOf(w.nodes["b"].received[0]), stateOf(message)))
 }
 
-// TestManyTransfersOneAfterAnother: those that are over take no room.
+// TestManyTransfersOneAfterAnother: complete transfers need no capacity.
 func TestManyTransfersOneAfterAnother(t *testing.T) {
 	w := newWorld(8, "a", "b")
-	w.perSecond = 100 << 20
+	w.bandwidth = 100 << 20
 	for i := range 3 * maxIncoming {
 		w.send("a", "b", w.snapshotOf(200_000, uint64(i)))
 		over := func() bool { return len(w.nodes["b"].received) == i+1 && len(w.nodes["a"].transfers.outgoing) == 0 }
@@ -237,7 +242,8 @@
 	}
 }
 
-// TestReceiversThatAreGoneHoldNobodyUp: with as many transfers to nodes that are gone as may be under way, others go on.
+// TestReceiversThatAreGoneHoldNobodyUp: transfers to killed nodes, as many as may be under way,
+// hold up no others.
 func TestReceiversThatAreGoneHoldNobodyUp(t *testing.T) {
 	for _, urgent := range []bool{false, true} {
 		w := newWorld(9, "a", "b", "c", "d", "e", "f")
@@ -254,17 +260,18 @@
 		w.partitioned = false
 		for _, gone := range []string{"c", "d", "e", "f"} {
 			w.restart(gone)
-			w.nodes[gone].restarts = -1 // what is sent to it is lost
+			w.nodes[gone].restarts = -1 // messages to it are lost
 		}
 		start("b")
 		took := w.now
-		assert.Assert(t, w.runUntil(3*time.Second, func() bool { return len(w.nodes["b"].received) == 1 }), "urgent: %v", urgent)
+		arrived := func() bool { return len(w.nodes["b"].received) == 1 }
+		assert.Assert(t, w.runUntil(3*time.Second, arrived), "urgent: %v", urgent)
 		t.Logf("urgent %v: after %v", urgent, w.now-took)
 	}
 }
 
-// TestNewerVersionReplacesTransferOfSameSlot: what comes again while it is under way is not sent twice, an entry gives way to another one, and commands
-// don't wait for one another.
+// TestNewerVersionReplacesTransferOfSameSlot: a message that comes again while it is under way is
+// not sent twice, an entry is replaced by another one, and commands don't wait for each other.
 func TestNewerVersionReplacesTransferOfSameSlot(t *testing.T) {
 	body := make([]byte, 1<<20)
 	entry := func(epoch, index uint64) *nodepb.Envelope {
@@ -305,7 +312,8 @@
 	}
 }
 
-// TestInvalidFragmentsAreIgnored: lengths and offsets of a peer are not trusted.
+// TestInvalidFragmentsAreIgnored: lengths and offsets of a peer are not trusted, and need no
+// memory.
 func TestInvalidFragmentsAreIgnored(t *testing.T) {
 	fragment := func(total, offset uint64, size int) *nodepb.Envelope {
 		return &nodepb.Envelope{Body: &nodepb.Envelope_Fragment{Fragment: &nodepb.Fragment{
@@ -313,14 +321,18 @@
 		}}}
 	}
 	from := core.Peer{NodeID: "x#1", Address: "x"}
-	for _, lying := range []*nodepb.Envelope{
-		fragment(0, 0, 10), fragment(MaxMessage+1, 0, 10), fragment(1<<63, 0, 10), fragment(5, 0, 10), fragment(100, 50, 10),
+	for _, invalid := range []*nodepb.Envelope{
+		fragment(0, 0, 10),
+		fragment(MaxMessage+1, 0, 10),
+		fragment(1<<63, 0, 10),
+		fragment(5, 0, 10),
+		fragment(100, 50, 10),
 		fragment(100, 1<<63, 10),
 	} {
 		transfers := New(rand.New(rand.NewPCG(1, 1)))
-		for _, output := range transfers.Receive(0, from, lying) {
+		for _, output := range transfers.Receive(0, from, invalid) {
 			_, delivered := output.(core.MessageReassembled)
-			assert.Assert(t, !delivered, "%v", lying.GetFragment().GetTotal())
+			assert.Assert(t, !delivered, "%v", invalid.GetFragment().GetTotal())
 		}
 	}
 	transfers := New(rand.New(rand.NewPCG(1, 1)))
@@ -329,23 +341,24 @@
 	for i := range uint64(100) {
 		transfers.Receive(0, core.Peer{NodeID: fmt.Sprint(i), Address: "x"}, fragment(MaxMessage/2, 0, 10))
 	}
-	assert.Assert(t, len(transfers.incoming) <= 2, "%d transfers of half of what may be held", len(transfers.incoming))
+	assert.Assert(t, len(transfers.incoming) <= 2, "%d transfers, each of half the capacity", len(transfers.incoming))
 }
 
-// TestTransfersSurviveFaultyLinks sends on links that lose, double and are cut, to receivers that start again. Whatever arrives is what
-// was sent, and once all is quiet everything does.
+// TestTransfersSurviveFaultyLinks sends over links with message loss, duplication and partitions,
+// to receivers that restart. Every message that arrives equals the one that was sent, and a message
+// that is sent once the faults have ended arrives.
 func TestTransfersSurviveFaultyLinks(t *testing.T) {
 	for seed := range uint64(60) {
 		w := newWorld(seed, "a", "b", "c")
-		w.perSecond = 200_000 + w.random.IntN(20_000_000)
+		w.bandwidth = 200_000 + w.random.IntN(20_000_000)
 		w.loss, w.duplicate = 0.1*w.random.Float64(), 0.1*w.random.Float64()
 		w.delay = time.Duration(w.random.Int64N(int64(20 * time.Millisecond)))
 		sent := map[uint64][]byte{}
 		for i := range uint64(6) {
 			message := w.snapshotOf(1+w.random.IntN(1<<20), 10*seed+i)
 			sent[message.GetStatePush().GetIndex()] = stateOf(message)
-			ends := [][2]string{{"a", "b"}, {"a", "c"}, {"b", "a"}, {"c", "b"}}[w.random.IntN(4)]
-			w.send(ends[0], ends[1], message)
+			route := [][2]string{{"a", "b"}, {"a", "c"}, {"b", "a"}, {"c", "b"}}[w.random.IntN(4)]
+			w.send(route[0], route[1], message)
 			w.runUntil(time.Duration(w.random.Int64N(int64(time.Second))), func() bool { return false })
 			switch w.random.IntN(4) {
 			case 0:
@@ -373,18 +386,19 @@
 	}
 }
 
-// TestTimesOfLargeStates tells how long a state takes over links of the deployments' speeds, and holds that it is near what the
-// link bears.
+// TestTimesOfLargeStates logs how long a state takes over links of the deployments' bandwidths, and
+// asserts that it is near the minimum of the link.
 func TestTimesOfLargeStates(t *testing.T) {
 	for _, megabits := range []int{10, 100, 1000} {
 		for _, size := range []int{1 << 20, 8 << 20, 24 << 20} {
 			w := newWorld(1, "a", "b")
-			w.perSecond = megabits * 1_000_000 / 8
+			w.bandwidth = megabits * 1_000_000 / 8
 			w.delay = 1400 * time.Microsecond
 			w.send("a", "b", w.snapshotOf(size, 1))
 			assert.Assert(t, w.runUntil(time.Minute, func() bool { return len(w.nodes["b"].received) == 1 }))
-			minDuration := time.Duration(size) * time.Second / time.Duration(w.perSecond)
-			t.Logf("%d MiB at %d Mbit/s: %v, the link alone %v", size>>20, megabits, w.now.Round(time.Millisecond), minDuration.Round(time.Millisecond))
+			minDuration := time.Duration(size) * time.Second / time.Duration(w.bandwidth)
+			t.Logf("%d MiB at %d Mbit/s: %v, the link alone %v",
+				size>>20, megabits, w.now.Round(time.Millisecond), minDuration.Round(time.Millisecond))
 			roundTrips := time.Duration(size/windowBytes+1) * 2 * w.delay
 			assert.Assert(t, w.now < 2*minDuration+roundTrips, "%d bytes at %d Mbit/s take %v", size, megabits, w.now)
 		}
