--- a/internal/node/rendezvous/rendezvous.go
+++ b/internal/node/rendezvous/rendezvous.go
@@ -1,5 +1,10 @@
-// Package rendezvous ranks nodes for a key by highest-random-weight hashing: every node that knows the same candidates
-// ranks them the same, and the loss of a candidate moves only the keys that it ranked first for.
+// Package rendezvous ranks candidates for a key by rendezvous hashing (highest random weight;
+// Thaler and Ravishankar, 1998).
+//
+// It chooses by name alone: it knows nothing of load, health or capacity.
+//
+// Invariants: all nodes that know the same candidates rank them alike, as the scores depend on the
+// key and the names only; the loss of a candidate moves only the keys that it was first for.
 package rendezvous
 
 import (
@@ -9,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of a candidate for a key; the highest comes first.
+// Score is the weight of a candidate for a key: the xxHash64 of both. The highest ranks first.
 func Score(key, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -19,10 +24,12 @@
 	return digest.Sum64()
 }
 
-// separator keeps apart pairs whose concatenations are equal.
+// separator stands between key and candidate, so that pairs with equal concatenations have
+// different scores.
 var separator = []byte{0}
 
-// Best returns the candidate that Rank would put first; there must be one.
+// Best returns the candidate that Rank would put first, without sorting. It panics where there are
+// no candidates.
 func Best[T any](key string, candidates []T, name func(T) string) T {
 	best := candidates[0]
 	bestScore := Score(key, name(best))
@@ -35,7 +42,8 @@
 	return best
 }
 
-// Rank sorts candidates for a key, best first, by the name that each goes under.
+// Rank sorts the candidates for a key in place, the best first. name returns a candidate's name; of
+// equal scores the lower name ranks first.
 func Rank[T any](key string, candidates []T, name func(T) string) {
 	slices.SortFunc(candidates, func(a, b T) int {
 		nameA, nameB := name(a), name(b)
--- a/internal/node/rendezvous/rendezvous_test.go
+++ b/internal/node/rendezvous/rendezvous_test.go
@@ -9,8 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func itself(name string) string { return name }
+// identity is the name of a candidate that is a name.
+func identity(name string) string { return name }
 
+// names returns as many addresses.
 func names(count int) []string {
 	var list []string
 	for number := range count {
@@ -22,12 +24,12 @@
 func TestRankIgnoresOrderOfCandidates(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	want := names(20)
-	Rank("key", want, itself)
+	Rank("key", want, identity)
 	for range 10 {
 		got := names(20)
 		random.Shuffle(len(got), func(a, b int) { got[a], got[b] = got[b], got[a] })
-		assert.Equal(t, Best("key", got, itself), want[0])
-		Rank("key", got, itself)
+		assert.Equal(t, Best("key", got, identity), want[0])
+		Rank("key", got, identity)
 		assert.DeepEqual(t, got, want)
 	}
 }
@@ -37,9 +39,9 @@
 	after := slices.Clone(before[1:])
 	for number := range 1000 {
 		key := fmt.Sprint(number)
-		home := Best(key, before, itself)
+		home := Best(key, before, identity)
 		if home != before[0] {
-			assert.Equal(t, Best(key, after, itself), home)
+			assert.Equal(t, Best(key, after, identity), home)
 		}
 	}
 }
@@ -48,7 +50,7 @@
 	counts := map[string]int{}
 	candidates := names(10)
 	for number := range 10000 {
-		counts[Best(fmt.Sprint(number), candidates, itself)]++
+		counts[Best(fmt.Sprint(number), candidates, identity)]++
 	}
 	for _, candidate := range candidates {
 		assert.Assert(t, counts[candidate] > 800 && counts[candidate] < 1200, "%s: %d", candidate, counts[candidate])
