--- a/internal/fleet/owner/fence/post/post.go
+++ b/internal/fleet/lease/fence/http/fencehttp.go
@@ -1,7 +1,7 @@
-// Package post brings effects to a receiver over HTTP. The receiver keeps the highest token of each duty and the keys it has had,
+// Package fencehttp brings effects to a receiver over HTTP. The receiver keeps the highest token of each duty and the keys it has had,
 // and answers 200 with whether it had the effect, or 409 where a newer owner has been there. Anything else, or nothing, says
 // nothing: the effect is offered again, and its key makes that harmless.
-package post
+package fencehttp
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"net/http"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/fence"
+	"kestrelspread/internal/fleet/lease/fence"
 )
 
 // Receiver is one, as seen from here.
@@ -21,16 +21,16 @@
 }
 
 const (
-	within   = 5 * time.Second
-	mostText = 4 << 10
-	idleMost = 32 // connections that are kept: with two, as the library has it, nearly each effect opened one of its own
+	requestTimeout      = 5 * time.Second
+	maxReplyBytes       = 4 << 10
+	maxIdleConnsPerHost = 32 // connections that are kept: with two, as the library has it, nearly each effect opened one of its own
 )
 
 // New makes one.
 func New(url string) *Receiver {
 	t := http.DefaultTransport.(*http.Transport).Clone()
-	t.MaxIdleConnsPerHost = idleMost
-	return &Receiver{URL: url, client: http.Client{Timeout: within, Transport: t}}
+	t.MaxIdleConnsPerHost = maxIdleConnsPerHost
+	return &Receiver{URL: url, client: http.Client{Timeout: requestTimeout, Transport: t}}
 }
 
 // Reply is what a receiver says.
@@ -56,7 +56,7 @@
 		return false, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostText))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return false, err
 	}
@@ -68,7 +68,7 @@
 	case resp.StatusCode == 200 && says.Token >= e.Token:
 		return says.Done, nil
 	case resp.StatusCode == 409 && says.Token > e.Token:
-		return false, fmt.Errorf("%w: with token %d, this one has %d", fence.ErrOld, says.Token, e.Token)
+		return false, fmt.Errorf("%w: with token %d, this one has %d", fence.ErrStaleToken, says.Token, e.Token)
 	}
 	return false, fmt.Errorf("the receiver answers %s, token %d", resp.Status, says.Token)
 }
--- a/internal/node/kvindex/feed/poller.go
+++ b/internal/node/kvindex/feed/poller.go
@@ -36,15 +36,15 @@
 
 // New returns a Poller. done runs on a goroutine of the Poller, once for each call.
 func New(done func(token uint64, events *kvindex.Events, err error)) *Poller {
-	client := brokercall.NewClient(brokercall.Options{Connect: connectTimeout, Idle: idleTimeout})
+	client := brokercall.NewClient(brokercall.Options{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout})
 	return &Poller{done: done, client: client}
 }
 
 // Close ends the connections that are idle.
 func (p *Poller) Close() { p.client.CloseIdleConnections() }
 
-// Ask makes a call on a goroutine of its own.
-func (p *Poller) Ask(ask core.FetchEvents) {
+// Fetch makes a call on a goroutine of its own.
+func (p *Poller) Fetch(ask core.FetchEvents) {
 	go func() {
 		events, err := p.get(ask)
 		p.done(ask.Token, events, err)
--- /dev/null
+++ b/internal/node/loadhint/disseminator_test.go
@@ -0,0 +1,213 @@
+package loadhint
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/testing/protocmp"
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/coretest"
+	"kestrelspread/internal/node/nodepb"
+)
+
+// cluster is a fleet of Disseminators on a simulated network.
+type cluster struct {
+	network *coretest.Network
+	nodes   []*clusterNode
+	members []*nodepb.Member
+}
+
+type clusterNode struct {
+	*coretest.Node
+	*Disseminator
+	cluster  *cluster
+	member   *nodepb.Member
+	received []*nodepb.LoadHint
+}
+
+func newCluster(nodes, perSecond int, zones ...string) *cluster {
+	c := &cluster{network: coretest.NewNetwork(1)}
+	for number := range nodes {
+		member := &nodepb.Member{
+			NodeId: fmt.Sprintf("node-%d", number), Address: fmt.Sprintf("10.0.0.%d:7000", number), Zone: zones[number%len(zones)],
+			ServesFront: true, CountsForQuorum: number < 2*len(zones), State: nodepb.MemberState_ALIVE,
+		}
+		node := &clusterNode{cluster: c, member: member}
+		node.Disseminator = New(Options{
+			SelfID: member.NodeId, Zone: member.Zone, Random: rand.New(rand.NewPCG(uint64(number), 1)), MaxHintsPerSecond: perSecond,
+		})
+		node.Node = c.network.Add(member.NodeId, member.Address, networkMachine{node}, node.output)
+		c.nodes = append(c.nodes, node)
+		c.members = append(c.members, member)
+	}
+	c.publishMembers()
+	return c
+}
+
+func (c *cluster) publishMembers() {
+	for _, node := range c.nodes {
+		node.SetMembers(c.network.Now(), c.members)
+	}
+}
+
+// networkMachine makes a Disseminator a machine of the network.
+type networkMachine struct{ node *clusterNode }
+
+func (m networkMachine) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
+	return m.node.Disseminator.Receive(now, from, message.GetLoadHints())
+}
+
+func (m networkMachine) Tick(now core.Time) []core.Output { return m.node.Disseminator.Tick(now) }
+func (m networkMachine) Deadline() core.Time              { return m.node.Disseminator.Deadline() }
+
+func (n *clusterNode) output(_ core.Time, output core.Output) {
+	n.received = append(n.received, output.(core.LoadHintsReceived).Hints...)
+}
+
+func hint(number int) *nodepb.LoadHint {
+	return &nodepb.LoadHint{
+		Instance: fmt.Sprintf("i-%d", number), Salt: 7, PartIds: []uint64{uint64(number)}, PartTokens: []uint32{800}, Unread: 1000,
+	}
+}
+
+func (n *clusterNode) isRelay() bool { return n.relayAddress == "" }
+
+func TestHintReachesEachOtherProxyOnce(t *testing.T) {
+	for _, zones := range [][]string{{"a"}, {"a", "b"}, {"a", "b", "c", "d"}} {
+		c := newCluster(14, 0, zones...)
+		relays := 0
+		for _, node := range c.nodes {
+			if node.isRelay() {
+				relays++
+				assert.Assert(t, node.member.CountsForQuorum)
+			}
+		}
+		assert.Equal(t, relays, len(zones))
+		for number, node := range c.nodes {
+			node.RecordSent(c.network.Now(), hint(number))
+		}
+		c.network.Run(200 * time.Millisecond)
+		for number, node := range c.nodes {
+			received := map[string]int{}
+			for _, h := range node.received {
+				received[h.Instance]++
+				assert.Equal(t, h.Unread, uint32(1000))
+			}
+			assert.Equal(t, len(received), len(c.nodes)-1, "zones %v, node %d", zones, number)
+			assert.Equal(t, received[hint(number).Instance], 0, "its own hint came back")
+		}
+	}
+}
+
+func TestHintsArriveWithinBatchDelays(t *testing.T) {
+	c := newCluster(90, 0, "a", "b", "c")
+	c.nodes[80].RecordSent(c.network.Now(), hint(1))
+	arrived := c.network.RunUntil(110*time.Millisecond, func() bool {
+		for number, node := range c.nodes {
+			if number != 80 && len(node.received) == 0 {
+				return false
+			}
+		}
+		return true
+	})
+	assert.Assert(t, arrived)
+}
+
+// Proxies choose another relay after the loss of theirs; a single proxy sends to nobody.
+func TestProxiesChooseNewRelayAfterLoss(t *testing.T) {
+	c := newCluster(6, 0, "a", "b")
+	for number, node := range c.nodes {
+		if node.isRelay() && node.member.Zone == "a" {
+			c.network.Isolate(node.Address)
+			c.members = append(c.members[:number], c.members[number+1:]...)
+			c.nodes = append(c.nodes[:number], c.nodes[number+1:]...)
+			break
+		}
+	}
+	c.publishMembers()
+	c.nodes[len(c.nodes)-1].RecordSent(c.network.Now(), hint(1))
+	c.network.Run(100 * time.Millisecond)
+	for _, node := range c.nodes[:len(c.nodes)-1] {
+		assert.Equal(t, len(node.received), 1)
+	}
+
+	alone := New(Options{SelfID: "node-0", Zone: "a"})
+	alone.SetMembers(0, c.members[:1])
+	alone.RecordSent(0, hint(1))
+	assert.Equal(t, alone.Deadline(), core.Never)
+	assert.Equal(t, len(alone.queue), 0)
+}
+
+// What a proxy receives is bounded, and its sum is in proportion to what was sent. A relay receives all
+// hints of its zone.
+func TestHintRateIsBounded(t *testing.T) {
+	const perSecond, span = 100, 10
+	c := newCluster(12, perSecond, "a", "b")
+	for step := range span * 100 {
+		for _, node := range c.nodes {
+			node.RecordSent(c.network.Now(), hint(step))
+		}
+		c.network.Run(10 * time.Millisecond)
+	}
+	for _, node := range c.nodes {
+		unread := 0.0
+		for _, h := range node.received {
+			unread += float64(h.Unread)
+		}
+		assert.Assert(t, node.isRelay() || len(node.received) <= perSecond*(span+1), "%d hints", len(node.received))
+		reported := unread / (1000 * 100 * span * float64(len(c.nodes)))
+		assert.Assert(t, reported > 0.8 && reported < 1.2, "a proxy was sent reports of %.2f of the load", reported)
+	}
+}
+
+// A message of any shape is accepted: lists of different lengths, an empty one, more hints than a relay
+// sends.
+func TestMalformedMessagesAreAccepted(t *testing.T) {
+	s := New(Options{SelfID: "node-0", Zone: "a"})
+	many := &nodepb.LoadHints{Hop: nodepb.LoadHintHop(9)}
+	for range maxHintsPerMessage + 5 {
+		many.Hints = append(many.Hints, &nodepb.LoadHint{PartIds: []uint64{1, 2}})
+	}
+	for _, message := range []*nodepb.LoadHints{nil, {}, many} {
+		if message == nil {
+			message = &nodepb.LoadHints{}
+		}
+		outputs := s.Receive(0, core.Peer{NodeID: "x", Address: "x"}, message)
+		assert.Assert(t, len(outputs[0].(core.LoadHintsReceived).Hints) <= maxHintsPerMessage)
+	}
+}
+
+// The messages to a proxy don't grow with the number of proxies, apart from their hints; those of a
+// relay grow with its zone alone.
+func TestMessageCountsPerNode(t *testing.T) {
+	for _, nodes := range []int{12, 48, 192} {
+		c := newCluster(nodes, 0, "a", "b", "c", "d")
+		batches := 0
+		for _, node := range c.nodes {
+			if !node.isRelay() {
+				continue
+			}
+			for range 10 {
+				now := c.network.Now()
+				node.Disseminator.Receive(now, core.Peer{Address: "none"}, &nodepb.LoadHints{Hints: []*nodepb.LoadHint{hint(1)}})
+				outputs := node.Disseminator.Tick(now + maxBatchDelay)
+				assert.Equal(t, len(outputs), nodes/4-1+3)
+				batches += len(outputs)
+			}
+		}
+		assert.Equal(t, batches, 10*4*(nodes/4+2))
+	}
+}
+
+// A hint that stands for others as well keeps what it is about.
+func TestScaledHintKeepsSubject(t *testing.T) {
+	sent := scaled(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 400}, 2.5)
+	assert.DeepEqual(t, sent, &nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 1000}, protocmp.Transform())
+	seen := scaled(&nodepb.LoadHint{Instance: "i", PauseUs: 20000}, 3)
+	assert.Equal(t, seen.PauseUs, uint32(20000))
+	assert.Equal(t, seen.Unread, uint32(0))
+}
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/owners.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"kestrelspread/internal/fleet/owner/mesh"
+	"kestrelspread/internal/fleet/lease/transport"
 	"kestrelspread/internal/fleet/stage"
 	"kestrelspread/internal/rig/links"
 	"kestrelspread/internal/standin/receiver"
@@ -58,9 +58,9 @@
 	if !q.w.Owners.Return {
 		return
 	}
-	var peers []*mesh.Peer
+	var peers []*transport.Peer
 	for k := range q.w.Owners.Voters {
-		if p, err := mesh.Dial(q.talkAt(q.voter(k))); err == nil {
+		if p, err := transport.Dial(q.talkAt(q.voter(k))); err == nil {
 			peers = append(peers, p)
 		}
 	}
@@ -71,14 +71,14 @@
 			time.Sleep(stagesEvery * time.Millisecond)
 		}
 		ask, end := context.WithTimeout(ctx, stagesEvery*time.Millisecond)
-		v, err := peers[n%len(peers)].Look(ask)
+		v, err := peers[n%len(peers)].Status(ask)
 		end()
-		if err != nil || v.Applied < word {
+		if err != nil || v.AppliedIndex < word {
 			continue
 		}
-		word = v.Applied
-		for _, d := range v.Duties {
-			list, err := stage.Read([]byte(d.Data))
+		word = v.AppliedIndex
+		for _, d := range v.Roles {
+			list, err := stage.Read([]byte(d.Progress))
 			if d.Name != "return" || err != nil {
 				continue
 			}
