--- a/internal/node/forward/chaos_test.go
+++ b/internal/node/forward/chaos_test.go
@@ -34,14 +34,14 @@
 	return l.runs[id]
 }
 
-// streamLength is how many events a whole stream has.
+// streamLength is how many events a complete stream has.
 const streamLength = 6
 
 // bodyOf is the one right body of an answer.
 func bodyOf(e *exchange) string { return "body of " + e.id() + " to " + e.body }
 
-// troubled is a script that misbehaves in all ways that the tables know, by seeded chance.
-func troubled(l *ledger, seed uint64) func(*exchange) {
+// faulty is a script that misbehaves in all ways that the tables know, by seeded chance.
+func faulty(l *ledger, seed uint64) func(*exchange) {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(e *exchange) {
@@ -70,20 +70,20 @@
 			e.close()
 		case 8:
 			e.write("HTTP/1.1 200 OK\r\n" + headerRequestID + ": stranger\r\n" + headerSeal + ": s\r\nContent-Length: 2\r\n\r\nno")
-			serveTroubled(e, streamLength+1)
+			serveFaulty(e, streamLength+1)
 		case 9:
-			serveTroubled(e, point)
+			serveFaulty(e, point)
 		case 10:
-			serveTroubled(e, streamLength+1)
+			serveFaulty(e, streamLength+1)
 			e.write("HTTP/1.1 200 OK\r\n" + sealedHead + "Content-Length: 3\r\n\r\nbad")
 		default:
-			serveTroubled(e, streamLength+1)
+			serveFaulty(e, streamLength+1)
 		}
 	}
 }
 
-// serveTroubled answers well up to an event of a stream, behind which it breaks off.
-func serveTroubled(e *exchange, cutAt int) {
+// serveFaulty answers well up to an event of a stream, behind which it breaks off.
+func serveFaulty(e *exchange, truncateAfter int) {
 	if !strings.HasPrefix(e.request.URL.Path, "/stream/") && !strings.HasPrefix(e.request.URL.Path, "/resumable/") {
 		e.answer(200, bodyOf(e))
 		return
@@ -91,7 +91,7 @@
 	after, _ := strconv.Atoi(e.request.Header.Get("Last-Event-Id"))
 	e.streamHead()
 	for id := after + 1; id <= streamLength; id++ {
-		if id > cutAt {
+		if id > truncateAfter {
 			e.chunk("id: " + strconv.Itoa(id) + "\nda")
 			e.close()
 			return
@@ -166,14 +166,14 @@
 	p.endings <- struct{}{}
 }
 
-// TestTroubleAtAllBrokers: many clients, kept connections to brokers that misbehave in all known ways, and a careless
+// TestInvariantsHoldWhileAllBrokersAreFaulty: many clients, kept connections to brokers that misbehave in all known ways, and a careless
 // router. What must hold for each request holds for each.
-func TestTroubleAtAllBrokers(t *testing.T) {
+func TestInvariantsHoldWhileAllBrokersAreFaulty(t *testing.T) {
 	const clients, requests = 8, 60
 	l := &ledger{runs: map[string]int{}}
 	var brokers []*broker
 	for i := range 4 {
-		brokers = append(brokers, newBroker(t, fmt.Sprintf("i-%d", i), troubled(l, uint64(i)+1)))
+		brokers = append(brokers, newBroker(t, fmt.Sprintf("i-%d", i), faulty(l, uint64(i)+1)))
 	}
 	port := newCarelessPort(brokers)
 	w := newWorld(t, newScriptedRouter(), func(_ *world, options *Options) { options.Router = port })
@@ -226,12 +226,12 @@
 	switch got.StatusCode {
 	case 200:
 		check(sealed == "seal."+id, "MIXED")
-		whole := "body of " + id + " to " + text
+		complete := "body of " + id + " to " + text
 		if once && path == "/stream/a" || path == "/resumable/a" {
-			whole = events(1, streamLength)
+			complete = events(1, streamLength)
 		}
-		check(strings.HasPrefix(whole, got.body), "ORDER")
-		check(got.bodyErr != nil || got.body == whole, "incomplete, but looks complete")
+		check(strings.HasPrefix(complete, got.body), "ORDER")
+		check(got.bodyErr != nil || got.body == complete, "incomplete, but looks complete")
 	case 500:
 		check(sealed == "seal."+id && got.body == "broken", "MIXED")
 	case 502, 503, 504:
--- a/internal/node/forward/fixture_test.go
+++ b/internal/node/forward/fixture_test.go
@@ -171,7 +171,7 @@
 	io.WriteString(e.socket, strings.ReplaceAll(text, "ID", e.id()))
 }
 
-// answer sends a whole sealed answer.
+// answer sends a complete sealed answer.
 func (e *exchange) answer(status int, body string) {
 	e.write(fmt.Sprintf("HTTP/1.1 %d X\r\n%s: ID\r\n%s: seal.ID\r\nContent-Length: %d\r\n\r\n%s",
 		status, headerRequestID, headerSeal, len(body), body))
--- a/internal/node/forward/lifecycle_test.go
+++ b/internal/node/forward/lifecycle_test.go
@@ -18,8 +18,8 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// TestClientLeavesAStream: its broker is called off.
-func TestClientLeavesAStream(t *testing.T) {
+// TestStreamIsClosedWhenClientDisconnects: its broker is called off.
+func TestStreamIsClosedWhenClientDisconnects(t *testing.T) {
 	for _, path := range []string{"/stream/a", "/resumable/a"} {
 		closed := make(chan struct{})
 		only := newBroker(t, "i-1", func(e *exchange) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestClientLeavesBeforeTheFirstEvent of its stream.
-func TestClientLeavesBeforeTheFirstEvent(t *testing.T) {
+// TestStreamIsClosedWhenClientDisconnectsBeforeFirstEvent of its stream.
+func TestStreamIsClosedWhenClientDisconnectsBeforeFirstEvent(t *testing.T) {
 	only, closed := silent(t, "i-1")
 	second := newBroker(t, "i-2", streamOf(1, 3))
 	w := newWorld(t, newScriptedRouter(only.instance, second.instance))
@@ -59,8 +59,8 @@
 	assert.Equal(t, w.proxy.Metrics().ClientDisconnected, uint64(1))
 }
 
-// TestClientLeavesWhileItsBrokerWorks: the answer is let come for a while, and its connection is kept.
-func TestClientLeavesWhileItsBrokerWorks(t *testing.T) {
+// TestAnswerIsAwaitedForDisconnectGrace: the answer is let come for a while, and its connection is kept.
+func TestAnswerIsAwaitedForDisconnectGrace(t *testing.T) {
 	left := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-left
@@ -76,8 +76,8 @@
 	assert.Equal(t, w.proxy.Metrics().ConnectionsIdle, 1)
 }
 
-// TestAnswerForNobodyIsNotAwaitedForever.
-func TestAnswerForNobodyIsNotAwaitedForever(t *testing.T) {
+// TestDisconnectGraceIsBounded.
+func TestDisconnectGraceIsBounded(t *testing.T) {
 	only, closed := silent(t, "i-1")
 	w := newWorld(t, newScriptedRouter(only.instance), func(_ *world, options *Options) {
 		options.Bounds.DisconnectGrace = time.Millisecond
@@ -126,8 +126,8 @@
 	return address
 }
 
-// TestClientLeavesWhileConnecting: nothing is sent, and the broker isn't blamed.
-func TestClientLeavesWhileConnecting(t *testing.T) {
+// TestDisconnectCancelsConnecting: nothing is sent, and the broker isn't blamed.
+func TestDisconnectCancelsConnecting(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
 	w := newWorld(t, newScriptedRouter(hung, second.instance), func(_ *world, options *Options) {
@@ -145,8 +145,8 @@
 	assert.Equal(t, second.arrived(), 0)
 }
 
-// TestDeadlineWhileConnecting: the request has not run, and the broker isn't blamed.
-func TestDeadlineWhileConnecting(t *testing.T) {
+// TestDeadlineBoundsConnecting: the request has not run, and the broker isn't blamed.
+func TestDeadlineBoundsConnecting(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
 	w := newWorld(t, newScriptedRouter(hung), func(_ *world, options *Options) {
 		options.Upstream.ConnectTimeout = time.Hour
@@ -160,8 +160,8 @@
 	assert.Assert(t, !outcome.ConnectFailed)
 }
 
-// TestConnectionThatDoesNotComeUp: another broker gets the request.
-func TestConnectionThatDoesNotComeUp(t *testing.T) {
+// TestFailedConnectGoesToAnotherBroker: another broker gets the request.
+func TestFailedConnectGoesToAnotherBroker(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
 	w := newWorld(t, newScriptedRouter(hung, second.instance), func(_ *world, options *Options) {
@@ -172,8 +172,8 @@
 	assert.Assert(t, w.port.outcome(t, 0).ConnectFailed)
 }
 
-// TestBodyThatDoesNotCome: nobody waits for it, and nothing is sent on.
-func TestBodyThatDoesNotCome(t *testing.T) {
+// TestStalledBodyIsDenied: nobody waits for it, and nothing is sent on.
+func TestStalledBodyIsDenied(t *testing.T) {
 	unready := func(_ *world, options *Options) { options.Configuration = func() *config.Compiled { return nil } }
 	for _, test := range []struct {
 		name, length, header string
@@ -198,8 +198,8 @@
 	}
 }
 
-// TestNoFurtherAttemptForAClientThatHasLeft.
-func TestNoFurtherAttemptForAClientThatHasLeft(t *testing.T) {
+// TestNoRetryAfterDisconnect.
+func TestNoRetryAfterDisconnect(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.reject(503) })
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
 	port := newScriptedRouter(first.instance, second.instance)
@@ -215,8 +215,8 @@
 	assert.Equal(t, second.arrived(), 0)
 }
 
-// TestDeadlineOfWhatWasSent: what was sent may run on, so that its client gets no promise.
-func TestDeadlineOfWhatWasSent(t *testing.T) {
+// TestDeadlineEndsAttemptInProgress: what was sent may run on, so that its client gets no promise.
+func TestDeadlineEndsAttemptInProgress(t *testing.T) {
 	for _, path := range []string{"/unsafe/a", "/safe/a", "/stream/a", "/resumable/a"} {
 		only, closed := silent(t, "i-1")
 		second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
@@ -233,8 +233,8 @@
 	}
 }
 
-// TestDeadlineInAStream ends it, never as complete.
-func TestDeadlineInAStream(t *testing.T) {
+// TestDeadlineEndsStream ends it, never as complete.
+func TestDeadlineEndsStream(t *testing.T) {
 	for _, path := range []string{"/stream/a", "/resumable/a"} {
 		only := newBroker(t, "i-1", func(e *exchange) {
 			e.streamHead()
@@ -252,8 +252,8 @@
 	}
 }
 
-// TestDeadlineThatHasPassed before anything was sent: the request has not run.
-func TestDeadlineThatHasPassed(t *testing.T) {
+// TestExpiredRequestIsRejected before anything was sent: the request has not run.
+func TestExpiredRequestIsRejected(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	w := newWorld(t, newScriptedRouter(only.instance))
 	got := w.do(post("/unsafe/a", "r1", "body", "X-Kestrelspread-Deadline-Ms: 0"))
@@ -261,8 +261,8 @@
 	assert.Equal(t, only.arrived(), 0)
 }
 
-// TestClientThatDoesNotRead cannot hold its request beyond the deadline.
-func TestClientThatDoesNotRead(t *testing.T) {
+// TestUnresponsiveClientIsClosed cannot hold its request beyond the deadline.
+func TestUnresponsiveClientIsClosed(t *testing.T) {
 	stuck := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		e.streamHead()
@@ -283,8 +283,8 @@
 	assert.Equal(t, w.proxy.Metrics().Aborted, uint64(1))
 }
 
-// TestDrain: each answer asks for the connection to be closed; those at rest stay until Shutdown.
-func TestDrain(t *testing.T) {
+// TestDrainClosesConnectionsWithNextAnswer: each answer asks for the connection to be closed; those at rest stay until Shutdown.
+func TestDrainClosesConnectionsWithNextAnswer(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	w := newWorld(t, newScriptedRouter(only.instance, only.instance, only.instance, only.instance))
 	resting, other := w.client(), w.client()
@@ -326,8 +326,8 @@
 	assert.NilError(t, <-down)
 }
 
-// TestShutdownEnds although a request is under way.
-func TestShutdownEnds(t *testing.T) {
+// TestShutdownAbortsRequestsAtItsDeadline although a request is under way.
+func TestShutdownAbortsRequestsAtItsDeadline(t *testing.T) {
 	only, closed := silent(t, "i-1")
 	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
@@ -339,8 +339,8 @@
 	<-closed
 }
 
-// TestNewRequestsAreTurnedAwayLateInAStop: they would not be over in time. Those under way end as usual (RULES.md, LOST).
-func TestNewRequestsAreTurnedAwayLateInAStop(t *testing.T) {
+// TestNewRequestsAreRejectedLateInShutdown: they would not be over in time. Those under way end as usual (RULES.md, LOST).
+func TestNewRequestsAreRejectedLateInShutdown(t *testing.T) {
 	proceed := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-proceed
@@ -360,16 +360,16 @@
 	assert.Equal(t, c.read("POST").StatusCode, 200)
 }
 
-// TestClientTimeouts are those of the configuration with a margin, never less.
-func TestClientTimeouts(t *testing.T) {
+// TestClientTimeoutsFollowConfiguration are those of the configuration with a margin, never less.
+func TestClientTimeoutsFollowConfiguration(t *testing.T) {
 	w := newWorld(t, newScriptedRouter())
 	times := w.proxy.clientTimeouts()
 	assert.Equal(t, times.idle, 15*time.Second*5/4+time.Second)
 	assert.Equal(t, times.header, 3*time.Second*5/4+time.Second)
 }
 
-// TestSlowClients are let go: one that rests too long, and one that does not come to the end of a head.
-func TestSlowClients(t *testing.T) {
+// TestSlowClientsAreClosed are let go: one that rests too long, and one that does not come to the end of a head.
+func TestSlowClientsAreClosed(t *testing.T) {
 	for _, text := range []string{"", "GET /safe/a HT", get("/safe/a", "r1")[:60]} {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		assert.NilError(t, err)
@@ -390,8 +390,8 @@
 	}
 }
 
-// TestLongAnswersOutliveTheIdleTime: it is for clients at rest only.
-func TestLongAnswersOutliveTheIdleTime(t *testing.T) {
+// TestLongAnswerOutlivesIdleTimeout: it is for clients at rest only.
+func TestLongAnswerOutlivesIdleTimeout(t *testing.T) {
 	proceed := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-proceed
@@ -419,8 +419,8 @@
 	assert.Equal(t, c.read("POST").StatusCode, 200)
 }
 
-// TestHeldBodiesAreBounded: beyond the bound requests are refused, not taken into memory.
-func TestHeldBodiesAreBounded(t *testing.T) {
+// TestBufferedBodiesAreBounded: beyond the bound requests are refused, not taken into memory.
+func TestBufferedBodiesAreBounded(t *testing.T) {
 	proceed := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-proceed
--- a/internal/node/forward/pauses_test.go
+++ b/internal/node/forward/pauses_test.go
@@ -10,7 +10,7 @@
 	"kestrelspread/internal/node/routing"
 )
 
-func TestPausesOfAStream(t *testing.T) {
+func TestGapsOfStreamAreReported(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name   string
@@ -26,8 +26,8 @@
 			var meter gapMeter
 			now := 5 * time.Second
 			meter.observe(now)
-			for _, pause := range c.pauses {
-				now += pause
+			for _, gap := range c.pauses {
+				now += gap
 				meter.observe(now)
 			}
 			assert.Equal(t, meter.summary(), c.want)
@@ -35,17 +35,17 @@
 	}
 }
 
-// The longest pause counts wherever it is, the usual one comes from the first ones.
-func TestPausesOfALongStream(t *testing.T) {
+// TestTypicalGapOfLongStreamIsFromItsStart: the longest gap counts wherever it is, the typical one is of the first ones.
+func TestTypicalGapOfLongStreamIsFromItsStart(t *testing.T) {
 	var meter gapMeter
 	now := time.Second
 	meter.observe(now)
 	for i := range 3 * maxRecordedGaps {
-		pause := 20 * time.Millisecond
+		gap := 20 * time.Millisecond
 		if i == 2*maxRecordedGaps {
-			pause = time.Second
+			gap = time.Second
 		}
-		now += pause
+		now += gap
 		meter.observe(now)
 	}
 	assert.Equal(t, meter.summary(), routing.Pauses{Count: 3 * maxRecordedGaps, Usual: 20 * time.Millisecond, Longest: time.Second})
--- a/internal/node/forward/proxy_test.go
+++ b/internal/node/forward/proxy_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-func TestAnswerIsPassedOnUnchanged(t *testing.T) {
+func TestAnswerIsForwardedUnchanged(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "hello") })
 	w := newWorld(t, newScriptedRouter(b.instance))
 	got := w.do(get("/safe/a", "r1"))
@@ -34,7 +34,7 @@
 	assert.Equal(t, w.proxy.Metrics().ConnectionsReused, uint64(2))
 }
 
-func TestStreamIsPassedOnEventByEvent(t *testing.T) {
+func TestStreamIsForwardedEventByEvent(t *testing.T) {
 	proceed := make(chan struct{})
 	b := newBroker(t, "i-1", func(e *exchange) {
 		e.streamHead()
--- a/internal/node/forward/race_test.go
+++ b/internal/node/forward/race_test.go
@@ -37,8 +37,8 @@
 	}), closed
 }
 
-// TestCopyWins over an attempt that is late; the loser is called off.
-func TestCopyWins(t *testing.T) {
+// TestHedgeWins over an attempt that is late; the loser is called off.
+func TestHedgeWins(t *testing.T) {
 	for _, test := range []struct {
 		path   string
 		answer func(*exchange)
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestHeadAloneIsNoStart of a stream: its first event is, so that a copy may still go out.
-func TestHeadAloneIsNoStart(t *testing.T) {
+// TestHeadOfStreamDoesNotPreventHedge of a stream: its first event is, so that a copy may still go out.
+func TestHeadOfStreamDoesNotPreventHedge(t *testing.T) {
 	closed := make(chan struct{})
 	late := newBroker(t, "i-1", func(e *exchange) {
 		e.streamHead()
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestBothFail: a third attempt may follow; without one the client gets what a broker answered, or no promise.
-func TestBothFail(t *testing.T) {
+// TestRaceOfTwoFailures: a third attempt may follow; without one the client gets what a broker answered, or no promise.
+func TestRaceOfTwoFailures(t *testing.T) {
 	resetAfter := func(bothOut chan struct{}) func(*exchange) {
 		return func(e *exchange) {
 			<-bothOut
@@ -178,8 +178,8 @@
 	})
 }
 
-// TestNoCopyOfWhatMayNotBeRepeated, whatever the router says.
-func TestNoCopyOfWhatMayNotBeRepeated(t *testing.T) {
+// TestNonIdempotentRequestIsNotHedged, whatever the router says.
+func TestNonIdempotentRequestIsNotHedged(t *testing.T) {
 	for _, path := range []string{"/unsafe/a", "/stream/a"} {
 		first := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "first") })
 		second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestRouterDeclinesACopy: the first attempt is waited for.
-func TestRouterDeclinesACopy(t *testing.T) {
+// TestRouterMayDeclineHedge: the first attempt is waited for.
+func TestRouterMayDeclineHedge(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "first") })
 	port := copying(first)
 	port.allowHedges = false
--- a/internal/node/forward/request_test.go
+++ b/internal/node/forward/request_test.go
@@ -76,16 +76,16 @@
 	var text strings.Builder
 	text.WriteString(requestText("POST", path, id, "", "Transfer-Encoding: chunked"))
 	for len(body) > 0 {
-		piece := body[:min(size, len(body))]
-		body = body[len(piece):]
-		fmt.Fprintf(&text, "%x\r\n%s\r\n", len(piece), piece)
+		chunk := body[:min(size, len(body))]
+		body = body[len(chunk):]
+		fmt.Fprintf(&text, "%x\r\n%s\r\n", len(chunk), chunk)
 	}
 	text.WriteString("0\r\n\r\n")
 	return text.String()
 }
 
-// TestHeadersAtTheBroker: what the client sent is passed on, except for what concerns one connection and what is ours.
-func TestHeadersAtTheBroker(t *testing.T) {
+// TestHeadersSentToBroker: what the client sent is passed on, except for what concerns one connection and what is ours.
+func TestHeadersSentToBroker(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	port := newScriptedRouter(b.instance)
 	port.attempt = func(attempt *routing.Attempt) {
@@ -147,8 +147,8 @@
 	})
 }
 
-// TestNothingIsAdded: a plain request gets no headers that nobody asked for.
-func TestNothingIsAdded(t *testing.T) {
+// TestNoHeaderIsAddedForBroker: a plain request gets no headers that nobody asked for.
+func TestNoHeaderIsAddedForBroker(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	w := newWorld(t, newScriptedRouter(b.instance))
 	w.do(get("/safe/a", "r1", "X-Kestrelspread-Tenant-Id: intruder", "Authorization: Bearer unasked"))
@@ -171,8 +171,8 @@
 	return "none"
 }
 
-// TestHeadersAtTheClient: the fleet's own headers and those of one connection stay here.
-func TestHeadersAtTheClient(t *testing.T) {
+// TestHeadersSentToClient: the fleet's own headers and those of one connection stay here.
+func TestHeadersSentToClient(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) {
 		e.write("HTTP/1.1 200 OK\r\n" + sealedHead +
 			"X-Kestrelspread-Server-Load: 3,1,8\r\nX-Kestrelspread-Instance-Id: i-1\r\nVersions: 4\r\n" +
@@ -193,8 +193,8 @@
 	assert.DeepEqual(t, w.port.outcome(t, 0).Load, &routing.Load{Running: 3, Waiting: 1, Slots: 8})
 }
 
-// TestBodiesAtTheClient: answers of any framing and size come out as they went in.
-func TestBodiesAtTheClient(t *testing.T) {
+// TestBodiesSentToClient: answers of any framing and size come out as they went in.
+func TestBodiesSentToClient(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 40<<10) // 640 KiB
 	for _, test := range []struct {
 		name, method, answer, body string
@@ -226,8 +226,8 @@
 	}
 }
 
-// TestLargeAnswerCutShort never looks complete (RULES.md, MIXED).
-func TestLargeAnswerCutShort(t *testing.T) {
+// TestTruncatedLargeAnswerAbortsConnection never looks complete (RULES.md, MIXED).
+func TestTruncatedLargeAnswerAbortsConnection(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 40<<10)
 	for _, test := range []struct{ name, answer string }{
 		{"with a length", fmt.Sprintf("Content-Length: %d\r\n\r\n", len(large)+1) + large},
@@ -248,8 +248,8 @@
 	}
 }
 
-// TestDenials lists what is not sent on, and how it is answered.
-func TestDenials(t *testing.T) {
+// TestDeniedRequests lists what is not sent on, and how it is answered.
+func TestDeniedRequests(t *testing.T) {
 	long := strings.Repeat("a", 17<<10)
 	for _, test := range []struct {
 		name, text string
@@ -264,7 +264,7 @@
 		{"no route for the path", get("/none/a", "r1"), 404, false},
 		{"path shorter than the prefix", get("/safe", "r1"), 404, false},
 		{"no route for the host", "GET /safe/a HTTP/1.1\r\nHost: other.example\r\n" + headerRequestID + ": r1\r\n\r\n", 404, false},
-		{"whole address as the target", "GET http://host.example/safe/a HTTP/1.1\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\n\r\n", 400, true},
+		{"absolute URL as the target", "GET http://host.example/safe/a HTTP/1.1\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\n\r\n", 400, true},
 		{"all of the server", "OPTIONS * HTTP/1.1\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\n\r\n", 400, true},
 		{"tunnel", "CONNECT host.example:80 HTTP/1.1\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\n\r\n", 400, true},
 		{"older protocol", "GET /safe/a HTTP/1.0\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\n\r\n", 505, true},
@@ -299,8 +299,8 @@
 	assert.Equal(t, w.do(chunked("/unsafe/a", "r1", body, 100<<10)).StatusCode, 200)
 }
 
-// TestKeys checks who a request belongs to (RULES.md, UNASKED and DENIED).
-func TestKeys(t *testing.T) {
+// TestKeysAreChecked checks who a request belongs to (RULES.md, UNASKED and DENIED).
+func TestKeysAreChecked(t *testing.T) {
 	for _, test := range []struct {
 		name, path string
 		headers    []string
@@ -340,8 +340,8 @@
 	}
 }
 
-// TestWhatTheRouterIsTold of a request.
-func TestWhatTheRouterIsTold(t *testing.T) {
+// TestRouterIsToldOfRequest of a request.
+func TestRouterIsToldOfRequest(t *testing.T) {
 	urgent := 0
 	tenant := &config.Tenant{Name: "acme", Priority: &urgent}
 	w := newWorld(t, newScriptedRouter(), func(w *world, options *Options) {
@@ -372,8 +372,8 @@
 	assert.Assert(t, got.Resumes)
 }
 
-// TestDeadline is the earlier of the client's and the route's.
-func TestDeadline(t *testing.T) {
+// TestEarlierDeadlineHolds is the earlier of the client's and the route's.
+func TestEarlierDeadlineHolds(t *testing.T) {
 	for _, test := range []struct {
 		header string
 		want   time.Duration
@@ -396,8 +396,8 @@
 	}
 }
 
-// TestPromptHeaders reads what it can of headers that are not in order.
-func TestPromptHeaders(t *testing.T) {
+// TestPromptHeadersAreParsed reads what it can of headers that are not in order.
+func TestPromptHeadersAreParsed(t *testing.T) {
 	for _, test := range []struct {
 		text string
 		want []routing.PromptPart
@@ -441,8 +441,8 @@
 	assert.Assert(t, counts["b"] > requests/10-300 && counts["b"] < requests/10+300, "%v", counts)
 }
 
-// TestConfigurationChangesWhileTheBodyComes: the newest one decides.
-func TestConfigurationChangesWhileTheBodyComes(t *testing.T) {
+// TestConfigurationAtEndOfBodyDecides: the newest one decides.
+func TestConfigurationAtEndOfBodyDecides(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	first, second := defaultConfig(), defaultConfig()
 	second.compiled.Version = 2
@@ -481,8 +481,8 @@
 	assert.Equal(t, b.arrived(), 0)
 }
 
-// TestExpectContinue: the body is asked for, and the broker gets no Expect.
-func TestExpectContinue(t *testing.T) {
+// TestExpectContinueIsAnswered: the body is asked for, and the broker gets no Expect.
+func TestExpectContinueIsAnswered(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	w := newWorld(t, newScriptedRouter(b.instance))
 	c := w.client()
@@ -499,8 +499,8 @@
 	assert.Equal(t, arrived.request.Header.Get("Expect"), "")
 }
 
-// TestBodyCutShort is never sent on.
-func TestBodyCutShort(t *testing.T) {
+// TestTruncatedBodyIsNotForwarded is never sent on.
+func TestTruncatedBodyIsNotForwarded(t *testing.T) {
 	for _, test := range []struct{ name, text string }{
 		{"with a length", post("/unsafe/a", "r1", "whole body")},
 		{"in chunks", chunked("/unsafe/a", "r1", "whole body", 4)},
@@ -519,8 +519,8 @@
 	}
 }
 
-// TestUnready: without a configuration or with one that is too old, requests are refused with a promise.
-func TestUnready(t *testing.T) {
+// TestUnreadyProxyRejects: without a configuration or with one that is too old, requests are refused with a promise.
+func TestUnreadyProxyRejects(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	w := newWorld(t, newScriptedRouter(b.instance, b.instance), func(w *world, _ *Options) { w.mayRun.Store(false) })
 	for _, path := range []string{"/unsafe/a", "/none/a"} {
@@ -531,8 +531,8 @@
 	assert.Equal(t, b.arrived(), 0)
 }
 
-// TestNoConfiguration at all.
-func TestNoConfiguration(t *testing.T) {
+// TestProxyWithoutConfigurationRejects at all.
+func TestProxyWithoutConfigurationRejects(t *testing.T) {
 	w := newWorld(t, newScriptedRouter(), func(_ *world, options *Options) {
 		options.Configuration = func() *config.Compiled { return nil }
 	})
--- a/internal/node/forward/reuse_test.go
+++ b/internal/node/forward/reuse_test.go
@@ -62,8 +62,8 @@
 	assert.Equal(t, w.proxy.Metrics().Attempts, uint64(2))
 }
 
-// TestBytesAfterAWholeAnswer: what a broker sends after an answer belongs to no request.
-func TestBytesAfterAWholeAnswer(t *testing.T) {
+// TestBytesAfterCompleteAnswerCloseConnection: what a broker sends after an answer belongs to no request.
+func TestBytesAfterCompleteAnswerCloseConnection(t *testing.T) {
 	for _, extra := range []struct{ name, text string }{
 		{"a second answer", "HTTP/1.1 200 OK\r\n" + headerRequestID + ": r2\r\n" + headerSeal + ": forged\r\nContent-Length: 3\r\n\r\nbad"},
 		{"bytes", "\x00\x01\x02"},
@@ -116,8 +116,8 @@
 	assert.Equal(t, w.do(post("/unsafe/a", "r2", "body")).StatusCode, 502)
 }
 
-// TestConnectionsThatEnd are not used again.
-func TestConnectionsThatEnd(t *testing.T) {
+// TestOnlyPersistentConnectionsAreReused are not used again.
+func TestOnlyPersistentConnectionsAreReused(t *testing.T) {
 	for _, test := range []struct {
 		name, headers string
 		kept          bool
@@ -157,8 +157,8 @@
 	assert.Equal(t, int(b.conns.Load()), 1)
 }
 
-// TestConnectionsAreShared: a proxy holds its share of the connections that brokers accept, and no more.
-func TestConnectionsAreShared(t *testing.T) {
+// TestConnectionShareBoundsConnections: a proxy holds its share of the connections that brokers accept, and no more.
+func TestConnectionShareBoundsConnections(t *testing.T) {
 	release := make(chan struct{})
 	b := newBroker(t, "i-1", func(e *exchange) {
 		<-release
--- a/internal/node/forward/router_test.go
+++ b/internal/node/forward/router_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestWithTheRouter: what brokers do, decided on by the fleet's own router.
-func TestWithTheRouter(t *testing.T) {
-	whole := func(e *exchange) { e.answer(200, "ok") }
+// TestAnswersWithRealRouter: what brokers do, decided on by the fleet's own router.
+func TestAnswersWithRealRouter(t *testing.T) {
+	complete := func(e *exchange) { e.answer(200, "ok") }
 	for _, test := range []struct {
 		name, request string
 		fail, answer  func(*exchange)
@@ -60,16 +60,16 @@
 		body          string
 		arrivals      int
 	}{
-		{"answered", post("/unsafe/a", "r1", "body"), whole, whole, 200, "ok", 1},
-		{"unsafe, turned away", post("/unsafe/a", "r1", "body"), func(e *exchange) { e.reject(503) }, whole, 200, "ok", 2},
-		{"unsafe, reset", post("/unsafe/a", "r1", "body"), func(e *exchange) { e.reset() }, whole, 502, "", 1},
-		{"unsafe, failed", post("/unsafe/a", "r1", "body"), func(e *exchange) { e.answer(500, "no") }, whole, 500, "no", 1},
-		{"safe, reset", get("/safe/a", "r1"), func(e *exchange) { e.reset() }, whole, 200, "ok", 2},
+		{"answered", post("/unsafe/a", "r1", "body"), complete, complete, 200, "ok", 1},
+		{"unsafe, turned away", post("/unsafe/a", "r1", "body"), func(e *exchange) { e.reject(503) }, complete, 200, "ok", 2},
+		{"unsafe, reset", post("/unsafe/a", "r1", "body"), func(e *exchange) { e.reset() }, complete, 502, "", 1},
+		{"unsafe, failed", post("/unsafe/a", "r1", "body"), func(e *exchange) { e.answer(500, "no") }, complete, 500, "no", 1},
+		{"safe, reset", get("/safe/a", "r1"), func(e *exchange) { e.reset() }, complete, 200, "ok", 2},
 		{"safe, body cut short", get("/safe/a", "r1"), func(e *exchange) {
 			e.write("HTTP/1.1 200 OK\r\n" + sealedHead + "Content-Length: 10\r\n\r\nhalf")
 			e.close()
-		}, whole, 200, "ok", 2},
-		{"safe, failed", get("/safe/a", "r1"), func(e *exchange) { e.answer(500, "no") }, whole, 200, "ok", 2},
+		}, complete, 200, "ok", 2},
+		{"safe, failed", get("/safe/a", "r1"), func(e *exchange) { e.answer(500, "no") }, complete, 200, "ok", 2},
 		{"stream, turned away", post("/stream/a", "r1", "prompt"), func(e *exchange) { e.reject(503) }, streamOf(1, 3),
 			200, events(1, 3), 2},
 		{"stream, reset before an event", post("/stream/a", "r1", "prompt"), func(e *exchange) { e.streamHead(); e.reset() },
--- a/internal/node/forward/smuggling_test.go
+++ b/internal/node/forward/smuggling_test.go
@@ -66,9 +66,9 @@
 	{"a preface of HTTP/2", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + smuggled},
 }
 
-// TestMalformedRequestsAreRefused: none reaches a broker, nor does what follows on the connection, which is closed
+// TestMalformedRequestsAreDenied: none reaches a broker, nor does what follows on the connection, which is closed
 // (RULES.md, UNASKED).
-func TestMalformedRequestsAreRefused(t *testing.T) {
+func TestMalformedRequestsAreDenied(t *testing.T) {
 	for _, test := range malformed {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestPipelinedRequests are answered in order, each with its own answer.
-func TestPipelinedRequests(t *testing.T) {
+// TestPipelinedRequestsAreServedInOrder are answered in order, each with its own answer.
+func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, e.body+" of "+e.id()) })
 	w := newWorld(t, newScriptedRouter(b.instance, b.instance, b.instance, b.instance))
 	c := w.client()
@@ -99,8 +99,8 @@
 	assert.Equal(t, c.read("POST").body, "fourth of r4")
 }
 
-// TestGoodRequestBeforeAMalformedOne: the answers keep their order, and the first is not touched by what follows.
-func TestGoodRequestBeforeAMalformedOne(t *testing.T) {
+// TestRequestBeforeMalformedOneIsServed: the answers keep their order, and the first is not touched by what follows.
+func TestRequestBeforeMalformedOneIsServed(t *testing.T) {
 	b := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "of "+e.id()) })
 	w := newWorld(t, newScriptedRouter(b.instance, b.instance))
 	c := w.client()
@@ -111,8 +111,8 @@
 	assert.Equal(t, b.arrived(), 1)
 }
 
-// TestScannerBySteps: however the bytes are cut into reads, the scanner finds the same ends of requests.
-func TestScannerBySteps(t *testing.T) {
+// TestScannerIsIndependentOfReadSizes: however the bytes are split into reads, the scanner finds the same ends of requests.
+func TestScannerIsIndependentOfReadSizes(t *testing.T) {
 	good := []string{
 		get("/safe/a", "r1"),
 		"\r\n" + get("/safe/a", "r1"),
--- a/internal/node/forward/startup_test.go
+++ b/internal/node/forward/startup_test.go
@@ -31,21 +31,21 @@
 }
 
 var (
-	configurationHeld = Knowledge{Configuration: true}
-	unconfirmed       = Knowledge{Configuration: true, Brokers: true}
-	brokersUnknown    = Knowledge{Configuration: true, Confirmed: true}
-	everything        = Knowledge{Configuration: true, Confirmed: true, Brokers: true}
+	unconfirmedWithoutBrokers = Knowledge{Configuration: true}
+	unconfirmed               = Knowledge{Configuration: true, Brokers: true}
+	brokersUnknown            = Knowledge{Configuration: true, Confirmed: true}
+	everything                = Knowledge{Configuration: true, Confirmed: true, Brokers: true}
 )
 
-// TestRequestsWaitForTheStartToEnd, whatever comes last.
-func TestRequestsWaitForTheStartToEnd(t *testing.T) {
+// TestRequestsWaitForStartup, whatever comes last.
+func TestRequestsWaitForStartup(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		steps []Knowledge
 	}{
 		{"all at once", []Knowledge{everything}},
-		{"the configuration first", []Knowledge{configurationHeld, unconfirmed, everything}},
-		{"the brokers last", []Knowledge{configurationHeld, brokersUnknown, everything}},
+		{"the configuration first", []Knowledge{unconfirmedWithoutBrokers, unconfirmed, everything}},
+		{"the brokers last", []Knowledge{unconfirmedWithoutBrokers, brokersUnknown, everything}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestStartupThatIsOverHoldsNothing: what is lacking then is refused at once.
-func TestStartupThatIsOverHoldsNothing(t *testing.T) {
+// TestFinishedStartupDelaysNothing: what is lacking then is refused at once.
+func TestFinishedStartupDelaysNothing(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		end  func(*world, *Startup)
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestWaitForTheStartIsBounded by a fixed time, and by a share of what the client will wait. The client is then told to come
+// TestStartupWaitIsBounded by a fixed time, and by a share of what the client will wait. The client is then told to come
 // again when the start is likely to be over.
-func TestWaitForTheStartIsBounded(t *testing.T) {
+func TestStartupWaitIsBounded(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		bounds  Bounds
@@ -97,7 +97,7 @@
 		{"by a fixed time", Bounds{StartupWait: time.Millisecond}, nil},
 		{"by the client's deadline", Bounds{StartupWait: testTimeout}, []string{headerDeadline + ": 9"}},
 	} {
-		for _, known := range []Knowledge{{}, configurationHeld, brokersUnknown} {
+		for _, known := range []Knowledge{{}, unconfirmedWithoutBrokers, brokersUnknown} {
 			t.Run(test.name, func(t *testing.T) {
 				startup := NewStartup()
 				startup.Update(known)
@@ -119,8 +119,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// TestNothingIsDeniedBeforeTheConfigurationIsConfirmed: the one that a process held before it ended may lack the request's route.
-func TestNothingIsDeniedBeforeTheConfigurationIsConfirmed(t *testing.T) {
+// TestNothingIsDeniedUnderUnconfirmedConfiguration: the one that a process held before it ended may lack the request's route.
+func TestNothingIsDeniedUnderUnconfirmedConfiguration(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	startup := NewStartup()
 	startup.Update(unconfirmed)
@@ -141,8 +141,8 @@
 	assert.Equal(t, absent.StatusCode, 404)
 }
 
-// TestUnconfirmedConfigurationRefusesWhatItLacks, where it isn't confirmed in time.
-func TestUnconfirmedConfigurationRefusesWhatItLacks(t *testing.T) {
+// TestUnconfirmedConfigurationRejectsUnknownRoutes, where it isn't confirmed in time.
+func TestUnconfirmedConfigurationRejectsUnknownRoutes(t *testing.T) {
 	startup := NewStartup()
 	startup.Update(unconfirmed)
 	w := newWorld(t, newScriptedRouter(), starting(startup, Bounds{StartupWait: time.Millisecond}),
@@ -162,11 +162,11 @@
 	assert.Equal(t, w.do(post("/unsafe/a", "r1", "body")).body, "ok")
 }
 
-// TestClientLeavesWhileItsRequestWaitsForTheStart: nothing is sent for it.
-func TestClientLeavesWhileItsRequestWaitsForTheStart(t *testing.T) {
+// TestDisconnectEndsStartupWait: nothing is sent for it.
+func TestDisconnectEndsStartupWait(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
 	startup := NewStartup()
-	startup.Update(configurationHeld)
+	startup.Update(unconfirmedWithoutBrokers)
 	w := newWorld(t, newScriptedRouter(only.instance), starting(startup, Bounds{StartupWait: testTimeout}))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
--- a/internal/node/forward/stream_test.go
+++ b/internal/node/forward/stream_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// cuts lists the ways in which a stream breaks off behind its second event.
-var cuts = []struct {
+// breaks lists the ways in which a stream breaks off behind its second event.
+var breaks = []struct {
 	name string
-	cut  func(*exchange)
+	end  func(*exchange)
 }{
 	{"closed between events", func(e *exchange) { e.close() }},
 	{"closed in the middle of an event", func(e *exchange) { e.chunk("id: 3\ndata: tok"); e.close() }},
@@ -45,15 +45,15 @@
 	{"garbled", func(e *exchange) { e.write("what is this\r\n"); e.close() }},
 }
 
-// TestStreamCutMidway where it may not be resumed: whole events came, and the answer does not look complete.
-func TestStreamCutMidway(t *testing.T) {
-	for _, cut := range cuts {
-		t.Run(cut.name, func(t *testing.T) {
+// TestBrokenStreamAbortsConnection where it may not be resumed: complete events came, and the answer does not look complete.
+func TestBrokenStreamAbortsConnection(t *testing.T) {
+	for _, test := range breaks {
+		t.Run(test.name, func(t *testing.T) {
 			first := newBroker(t, "i-1", func(e *exchange) {
 				e.streamHead()
 				e.event(1)
 				e.event(2)
-				cut.cut(e)
+				test.end(e)
 			})
 			second := newBroker(t, "i-2", streamOf(1, 5))
 			w := newWorld(t, newScriptedRouter(first.instance, second.instance))
@@ -70,15 +70,15 @@
 	}
 }
 
-// TestStreamIsTakenUp at another broker behind the last whole event, under the first one's head.
-func TestStreamIsTakenUp(t *testing.T) {
-	for _, cut := range cuts {
-		t.Run(cut.name, func(t *testing.T) {
+// TestBrokenStreamIsResumed at another broker behind the last complete event, under the first one's head.
+func TestBrokenStreamIsResumed(t *testing.T) {
+	for _, test := range breaks {
+		t.Run(test.name, func(t *testing.T) {
 			first := newBroker(t, "i-1", func(e *exchange) {
 				e.streamHead()
 				e.event(1)
 				e.event(2)
-				cut.cut(e)
+				test.end(e)
 			})
 			second := newBroker(t, "i-2", func(e *exchange) {
 				e.write("HTTP/1.1 200 OK\r\n" + headerRequestID + ": ID\r\n" + headerSeal + ": another\r\n" +
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestStreamIsTakenUpAgainAndAgain, over brokers that turn it away or fail.
-func TestStreamIsTakenUpAgainAndAgain(t *testing.T) {
-	cutAfter := func(from, to int) func(*exchange) {
+// TestStreamIsResumedRepeatedly, over brokers that turn it away or fail.
+func TestStreamIsResumedRepeatedly(t *testing.T) {
+	breakAfter := func(from, to int) func(*exchange) {
 		return func(e *exchange) {
 			e.streamHead()
 			e.chunk(events(from, to) + "id: 99\nda")
@@ -112,11 +112,11 @@
 		}
 	}
 	scripts := []func(*exchange){
-		cutAfter(1, 2),
+		breakAfter(1, 2),
 		func(e *exchange) { e.reject(503) },
 		func(e *exchange) { e.answer(500, "broken") },
 		func(e *exchange) { e.answer(200, "not a stream") },
-		cutAfter(3, 4),
+		breakAfter(3, 4),
 		func(e *exchange) { e.streamHead(); e.close() },
 		streamOf(5, 6),
 	}
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestEventsThatTheClientHasAreLeftOut of a stream that was taken up (RULES.md, ORDER).
-func TestEventsThatTheClientHasAreLeftOut(t *testing.T) {
+// TestResumedStreamSkipsSentEvents of a stream that was taken up (RULES.md, ORDER).
+func TestResumedStreamSkipsSentEvents(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) {
 		e.streamHead()
 		e.chunk(events(1, 4))
@@ -150,8 +150,8 @@
 	assert.Equal(t, got.body, events(1, 6))
 }
 
-// TestStreamsThatCannotBeTakenUp end the client's connection.
-func TestStreamsThatCannotBeTakenUp(t *testing.T) {
+// TestStreamsThatAreNotResumable end the client's connection.
+func TestStreamsThatAreNotResumable(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		first, second func(*exchange)
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestStreamWithoutAnEvent: nothing has gone to the client yet, so that it gets a clean answer.
-func TestStreamWithoutAnEvent(t *testing.T) {
+// TestStreamWithoutEvent: nothing has gone to the client yet, so that it gets a clean answer.
+func TestStreamWithoutEvent(t *testing.T) {
 	headOnly := func(e *exchange) {
 		e.streamHead()
 		e.write("10\r\nid: 1\nda")
@@ -239,9 +239,9 @@
 				only := newBroker(t, "i-1", func(e *exchange) {
 					e.streamHead()
 					for rest := body; len(rest) > 0; {
-						piece := rest[:min(max(size, len(body)/500), len(rest))]
-						rest = rest[len(piece):]
-						e.chunk(piece)
+						chunk := rest[:min(max(size, len(body)/500), len(rest))]
+						rest = rest[len(chunk):]
+						e.chunk(chunk)
 					}
 					e.endStream()
 				})
@@ -269,8 +269,8 @@
 	assert.Equal(t, w.proxy.Metrics().ConnectionsIdle, 1)
 }
 
-// TestStartOfAStreamIsItsFirstEvent, for the router.
-func TestStartOfAStreamIsItsFirstEvent(t *testing.T) {
+// TestStreamStartsWithItsFirstEvent, for the router.
+func TestStreamStartsWithItsFirstEvent(t *testing.T) {
 	headOut, proceed := make(chan struct{}), make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		e.streamHead()
@@ -291,8 +291,8 @@
 	assert.Equal(t, len(w.port.started), 1)
 }
 
-// TestRefusedStreamCannotBePromised: a stream that has begun and is refused a second broker is broken off.
-func TestRefusedStreamCannotBePromised(t *testing.T) {
+// TestStreamWithoutRetryAbortsConnection: a stream that has begun and is refused a second broker is broken off.
+func TestStreamWithoutRetryAbortsConnection(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.streamHead(); e.event(1); e.close() })
 	port := newScriptedRouter(first.instance)
 	port.retries = func(routing.Outcome, bool) bool { return false }
@@ -319,8 +319,8 @@
 
 func (p *piecewise) EndsNow() bool { return false }
 
-// TestEventsBySteps: however a stream is cut into reads, only whole events come out, all of them, and each once.
-func TestEventsBySteps(t *testing.T) {
+// TestEventsAreIndependentOfReadSizes: however a stream is split into reads, only complete events come out, all of them, and each once.
+func TestEventsAreIndependentOfReadSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lineEnd := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "line end")
 		count := rapid.IntRange(1, 8).Draw(t, "events")
--- a/internal/node/forward/verdict_test.go
+++ b/internal/node/forward/verdict_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestAnswersByVerdict plays each behaviour where the router makes no further attempt: a status that promises that the
+// TestAnswerFollowsVerdict plays each behaviour where the router makes no further attempt: a status that promises that the
 // request did not run, only if it did not; and a seal only with the status that its broker gave.
-func TestAnswersByVerdict(t *testing.T) {
+func TestAnswerFollowsVerdict(t *testing.T) {
 	for _, b := range behaviours {
 		t.Run(b.name, func(t *testing.T) {
 			only := newBroker(t, "i-1", b.script)
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestIdempotentRequestsAreRepeated plays each behaviour on a safe route: every failure goes on to the second broker.
-func TestIdempotentRequestsAreRepeated(t *testing.T) {
+// TestIdempotentRequestIsRetried plays each behaviour on a safe route: every failure goes on to the second broker.
+func TestIdempotentRequestIsRetried(t *testing.T) {
 	for _, b := range behaviours {
 		t.Run(b.name, func(t *testing.T) {
 			first := newBroker(t, "i-1", b.script)
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestRouterCannotRepeatWhatMayHaveRun has a router that asks for another attempt all the same.
-func TestRouterCannotRepeatWhatMayHaveRun(t *testing.T) {
+// TestRouterCannotRetryWhatMayHaveRun has a router that asks for another attempt all the same.
+func TestRouterCannotRetryWhatMayHaveRun(t *testing.T) {
 	for _, path := range []string{"/unsafe/a", "/stream/a"} {
 		first := newBroker(t, "i-1", func(e *exchange) { e.reset() })
 		second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
@@ -214,8 +214,8 @@
 	assert.Equal(t, got.Header.Get(headerRetryAfter), "")
 }
 
-// TestFailureOfABrokerIsKeptForTheClient: where no later attempt does better, the client gets the broker's own failure.
-func TestFailureOfABrokerIsKeptForTheClient(t *testing.T) {
+// TestBrokerFailureIsForwardedWithoutBetterAnswer: where no later attempt does better, the client gets the broker's own failure.
+func TestBrokerFailureIsForwardedWithoutBetterAnswer(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.answer(500, "broken") })
 	second := newBroker(t, "i-2", func(e *exchange) { e.reset() })
 	w := newWorld(t, newScriptedRouter(first.instance, second.instance))
@@ -225,7 +225,7 @@
 	assert.Equal(t, got.Header.Get(headerSeal), "seal.r1")
 }
 
-func TestConnectionRefusedIsNotRun(t *testing.T) {
+func TestRefusedConnectionMeansNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	gone := &registry.Instance{ID: "i-gone", Service: "service", Address: listener.Addr().String()}
@@ -240,9 +240,9 @@
 	assert.Assert(t, outcome.ConnectFailed)
 }
 
-// TestConnectionResetAtOnce: a broker with too many connections resets a new one. A request that must not be repeated has not
+// TestConnectionResetAtOnceMeansNotRun: a broker with too many connections resets a new one. A request that must not be repeated has not
 // been sent by then.
-func TestConnectionResetAtOnce(t *testing.T) {
+func TestConnectionResetAtOnceMeansNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -271,8 +271,8 @@
 	assert.Equal(t, outcome.Status, 0)
 }
 
-// TestRefusalOfTheRouter: nothing was sent, so the client is told when to come again.
-func TestRefusalOfTheRouter(t *testing.T) {
+// TestRouterRefusalBecomes503: nothing was sent, so the client is told when to come again.
+func TestRouterRefusalBecomes503(t *testing.T) {
 	w := newWorld(t, newScriptedRouter())
 	got := w.do(post("/unsafe/a", "r1", "body"))
 	assert.Equal(t, got.StatusCode, 503)
