--- a/internal/fleet/lease/storage/storage.go
+++ b/internal/fleet/lease/storage/storage.go
@@ -1,5 +1,8 @@
-// Package storage makes a voter's part durable, on the embedded store that the ledger uses: the number of its disk, what it has
-// voted, the log and its snapshot. It decides nothing; agree says what is to be durable before what.
+// Package storage makes a voter's part in the raft group durable, on the embedded store that the
+// ledger uses: the identity of its disk, its hard state, the log and a snapshot. It decides
+// nothing; package consensus says what has to be durable before what.
+//
+// Stored keys and record kinds are a format: they may gain members, and never change.
 package storage
 
 import (
@@ -20,221 +23,272 @@
 const (
 	formatVersion = 1
 	memTableBytes = 1 << 20
-	identityKey   = "identity"
-	hardStateKey  = "hard"
-	snapshotKey   = "snapshot"
-	logPrefix     = "log/"
-	logPrefixEnd  = "log0"
 )
 
-// Identity is what a disk is: its number, drawn once, and the group that it belongs to; 0: none yet.
+// Keys of the store. Log entries are kept by logPrefix and their index, big-endian.
+const (
+	identityKey  = "identity"
+	hardStateKey = "hard"
+	snapshotKey  = "snapshot"
+	logPrefix    = "log/"
+	logPrefixEnd = "log0" // the first key after all with logPrefix
+)
+
+// Kinds of sealed records.
+const (
+	identityKind  = 'i'
+	hardStateKind = 'h'
+	snapshotKind  = 's'
+	entryKind     = 'l'
+)
+
+// Identity says which voter a disk makes its process.
 type Identity struct {
-	VoterID  uint64            `json:"id"`
-	GroupID  uint64            `json:"group,omitempty"`
-	Founders map[uint64]string `json:"voters,omitempty"` // of the founding, where it was there
+	VoterID  uint64            `json:"id"`               // drawn once, when the disk was made
+	GroupID  uint64            `json:"group,omitempty"`  // 0: none yet
+	Founders map[uint64]string `json:"voters,omitempty"` // by voter id, where this disk was at the founding
 }
 
-// Store is an open disk.
+// Store is an open disk of a voter. One goroutine owns it, but for Fault and SyncCount.
 type Store struct {
 	Identity
-	Durable    consensus.DurableState
-	Created    bool // it was made just now
+	Durable    consensus.DurableState // as it was read at the start
 	db         *disk.DB
-	firstIndex uint64 // index from which on entries are kept
-	lastIndex  uint64 // of the latest entry that is there; at least all of them lie at or before it
+	firstIndex uint64 // entries before it have been removed
+	lastIndex  uint64 // no entry after it is stored
 }
 
-// Open opens a voter's disk, or makes one with a number that draw gives. A second process is refused. What can't be proved is
-// not used: a voter that forgot a vote might give it twice, so it is for an operator to take such a disk away.
-func Open(fs vfs.FS, dir string, draw func() uint64) (*Store, error) {
+// Open opens a voter's disk, or makes one with an id that drawID gives. A second process on it is
+// refused. So is a disk that doesn't prove sound: a voter that forgot its vote might vote twice,
+// and it is for an operator to take such a disk away.
+func Open(fs vfs.FS, dir string, drawID func() uint64) (*Store, error) {
 	db, err := disk.Open(fs, dir, memTableBytes)
 	if err != nil {
-		return nil, fmt.Errorf("the voter's disk %s: %w", dir, err)
+		return nil, fmt.Errorf("open the voter's disk %s: %w", dir, err)
 	}
-	k := &Store{db: db}
-	if err := k.load(draw); err != nil {
-		k.Close()
-		return nil, fmt.Errorf("the voter's disk %s: %w", dir, err)
+	s := &Store{db: db}
+	if err := s.load(drawID); err != nil {
+		s.Close()
+		return nil, fmt.Errorf("read the voter's disk %s: %w", dir, err)
 	}
-	return k, nil
+	return s, nil
 }
 
-func (k *Store) get(key string, kind byte) ([]byte, error) {
-	b, closer, err := k.db.Get([]byte(key))
-	if errors.Is(err, pebble.ErrNotFound) {
-		return nil, nil
-	} else if err != nil {
-		return nil, err
-	}
-	defer closer.Close()
-	payload, _, err := disk.Unseal(formatVersion, kind, b)
-	return append([]byte(nil), payload...), err
-}
-
-func (k *Store) load(draw func() uint64) error {
-	b, err := k.get(identityKey, 'i')
+// load reads the disk, or gives a new one its identity.
+func (s *Store) load(drawID func() uint64) error {
+	identity, err := s.get(identityKey, identityKind)
 	if err != nil {
 		return err
 	}
-	if b == nil {
-		k.VoterID, k.Created = draw(), true
-		k.Durable = consensus.DurableState{ID: k.VoterID}
-		return k.saveIdentity()
+	if identity == nil {
+		s.VoterID = drawID()
+		s.Durable = consensus.DurableState{ID: s.VoterID}
+		return s.saveIdentity()
 	}
-	if err := json.Unmarshal(b, &k.Identity); err != nil {
+	if err := json.Unmarshal(identity, &s.Identity); err != nil {
 		return err
 	}
-	k.Durable.ID = k.VoterID
-	if b, err = k.get(hardStateKey, 'h'); err != nil {
+	s.Durable.ID = s.VoterID
+	if err := s.getMessage(hardStateKey, hardStateKind, &s.Durable.HardState); err != nil {
 		return err
-	} else if b != nil {
-		if err := k.Durable.HardState.Unmarshal(b); err != nil {
-			return err
-		}
 	}
-	if b, err = k.get(snapshotKey, 's'); err != nil {
+	if err := s.getMessage(snapshotKey, snapshotKind, &s.Durable.Snapshot); err != nil {
 		return err
-	} else if b != nil {
-		if err := k.Durable.Snapshot.Unmarshal(b); err != nil {
-			return err
-		}
 	}
-	it, err := k.db.NewIter(&pebble.IterOptions{LowerBound: []byte(logPrefix), UpperBound: []byte(logPrefixEnd)})
+	return s.loadLog()
+}
+
+// loadLog reads the entries after the snapshot, which have to follow each other.
+func (s *Store) loadLog() error {
+	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: []byte(logPrefix), UpperBound: []byte(logPrefixEnd)})
 	if err != nil {
 		return err
 	}
 	defer it.Close()
-	at := k.Durable.Snapshot.Metadata.Index
-	k.lastIndex = at
+	snapshotIndex := s.Durable.Snapshot.Metadata.Index
+	s.lastIndex = snapshotIndex
+	nextIndex := snapshotIndex + 1
 	for it.First(); it.Valid(); it.Next() {
-		payload, _, err := disk.Unseal(formatVersion, 'l', it.Value())
+		payload, _, err := disk.Unseal(formatVersion, entryKind, it.Value())
 		if err != nil {
 			return fmt.Errorf("entry %x of the log: %w", it.Key()[len(logPrefix):], err)
 		}
-		var e raftpb.Entry
-		if err := e.Unmarshal(payload); err != nil {
+		var entry raftpb.Entry
+		if err := entry.Unmarshal(payload); err != nil {
 			return err
 		}
-		if e.Index <= k.Durable.Snapshot.Metadata.Index {
+		if entry.Index <= snapshotIndex {
 			continue
 		}
-		k.lastIndex = e.Index
-		if at++; e.Index != at {
-			return fmt.Errorf("the log has entry %d where %d should be", e.Index, at)
+		s.lastIndex = entry.Index
+		if entry.Index != nextIndex {
+			return fmt.Errorf("the log has entry %d where %d should be", entry.Index, nextIndex)
 		}
-		k.Durable.Entries = append(k.Durable.Entries, e)
+		nextIndex++
+		s.Durable.Entries = append(s.Durable.Entries, entry)
 	}
 	return it.Error()
 }
 
-func (k *Store) saveIdentity() error {
-	b, err := json.Marshal(k.Identity)
+// get returns a copy of a record's payload; nil: there is none.
+func (s *Store) get(key string, kind byte) ([]byte, error) {
+	sealed, closer, err := s.db.Get([]byte(key))
+	if errors.Is(err, pebble.ErrNotFound) {
+		return nil, nil
+	}
 	if err != nil {
+		return nil, err
+	}
+	defer closer.Close()
+	payload, _, err := disk.Unseal(formatVersion, kind, sealed)
+	return append([]byte(nil), payload...), err
+}
+
+type unmarshaler interface{ Unmarshal([]byte) error }
+
+// getMessage reads a record into a message, which stays as it is if there is no record.
+func (s *Store) getMessage(key string, kind byte, message unmarshaler) error {
+	payload, err := s.get(key, kind)
+	if err != nil || payload == nil {
 		return err
 	}
-	return k.db.Set([]byte(identityKey), disk.Seal(formatVersion, 'i', b), pebble.Sync)
+	return message.Unmarshal(payload)
 }
 
-// JoinGroup has the disk belong to a group from now on. With the founding's voters it begins with them, state and all; without it
-// is empty, and learns.
-func (k *Store) JoinGroup(group uint64, voters map[uint64]string, begin consensus.DurableState) error {
-	k.GroupID, k.Founders = group, voters
-	ident, err := json.Marshal(k.Identity)
+func (s *Store) saveIdentity() error {
+	identity, err := json.Marshal(s.Identity)
 	if err != nil {
 		return err
 	}
-	b := k.db.NewBatch()
+	return s.db.Set([]byte(identityKey), disk.Seal(formatVersion, identityKind, identity), pebble.Sync)
+}
+
+// JoinGroup records that the disk belongs to a group. A founder begins with initial; without
+// founders the disk stays empty, and its voter learns.
+func (s *Store) JoinGroup(groupID uint64, founders map[uint64]string, initial consensus.DurableState) error {
+	s.GroupID, s.Founders = groupID, founders
+	identity, err := json.Marshal(s.Identity)
+	if err != nil {
+		return err
+	}
+	b := s.db.NewBatch()
 	defer b.Close()
-	b.Set([]byte(identityKey), disk.Seal(formatVersion, 'i', ident), nil)
-	if voters != nil {
-		if err := put(b, hardStateKey, 'h', &begin.HardState); err != nil {
+	if err := b.Set([]byte(identityKey), disk.Seal(formatVersion, identityKind, identity), nil); err != nil {
+		return err
+	}
+	if founders != nil {
+		if err := put(b, hardStateKey, hardStateKind, &initial.HardState); err != nil {
 			return err
 		}
-		if err := put(b, snapshotKey, 's', &begin.Snapshot); err != nil {
+		if err := put(b, snapshotKey, snapshotKind, &initial.Snapshot); err != nil {
 			return err
 		}
-		k.Durable = begin
+		s.Durable = initial
 	}
 	return b.Commit(pebble.Sync)
 }
 
 type marshaler interface{ Marshal() ([]byte, error) }
 
-func put(b *pebble.Batch, key string, kind byte, m marshaler) error {
-	text, err := m.Marshal()
+// put adds a message's record to a batch.
+func put(b *pebble.Batch, key string, kind byte, message marshaler) error {
+	payload, err := message.Marshal()
 	if err != nil {
 		return err
 	}
-	return b.Set([]byte(key), disk.Seal(formatVersion, kind, text), nil)
+	return b.Set([]byte(key), disk.Seal(formatVersion, kind, payload), nil)
 }
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte(logPrefix), index) }
 
-// Save makes effects durable in one write, synced where they say so.
-func (k *Store) Save(e *consensus.Ready) error {
-	if e.Snapshot == nil && len(e.Entries) == 0 && raft.IsEmptyHardState(e.HardState) {
+// Save makes a Ready durable in one write, synced where it says so.
+func (s *Store) Save(ready *consensus.Ready) error {
+	if ready.Snapshot == nil && len(ready.Entries) == 0 && raft.IsEmptyHardState(ready.HardState) {
 		return nil
 	}
-	b := k.db.NewBatch()
+	b := s.db.NewBatch()
 	defer b.Close()
-	if e.Snapshot != nil {
-		b.DeleteRange([]byte(logPrefix), []byte(logPrefixEnd), nil)
-		k.firstIndex, k.lastIndex = e.Snapshot.Metadata.Index+1, e.Snapshot.Metadata.Index
-		if err := put(b, snapshotKey, 's', e.Snapshot); err != nil {
+	if ready.Snapshot != nil {
+		if err := s.replaceBySnapshot(b, ready.Snapshot); err != nil {
 			return err
 		}
 	}
-	if len(e.Entries) > 0 {
-		// What a former leader left there goes, entry by entry and only where there is any: a range to the end of the log in
-		// each write lay over all the ranges before it, and when the store's table was full their pieces, as many as the square
-		// of the writes, held up every voter at the same moment for seconds.
-		end := e.Entries[len(e.Entries)-1].Index
-		for i := end + 1; i <= k.lastIndex; i++ {
-			b.Delete(entryKey(i), nil)
-		}
-		k.lastIndex = end
-		for i := range e.Entries {
-			if err := put(b, string(entryKey(e.Entries[i].Index)), 'l', &e.Entries[i]); err != nil {
-				return err
-			}
-		}
+	if err := s.appendEntries(b, ready.Entries); err != nil {
+		return err
 	}
-	if !raft.IsEmptyHardState(e.HardState) {
-		if err := put(b, hardStateKey, 'h', &e.HardState); err != nil {
+	if !raft.IsEmptyHardState(ready.HardState) {
+		if err := put(b, hardStateKey, hardStateKind, &ready.HardState); err != nil {
 			return err
 		}
 	}
-	if e.Sync {
+	if ready.Sync {
 		return b.Commit(pebble.Sync)
 	}
 	return b.Commit(pebble.NoSync)
 }
 
-// SaveSnapshot makes a snapshot durable, and lets go of what it holds.
-func (k *Store) SaveSnapshot(s *raftpb.Snapshot) error {
-	b := k.db.NewBatch()
+// replaceBySnapshot puts a leader's snapshot in the place of the whole log.
+func (s *Store) replaceBySnapshot(b *pebble.Batch, snapshot *raftpb.Snapshot) error {
+	if err := b.DeleteRange([]byte(logPrefix), []byte(logPrefixEnd), nil); err != nil {
+		return err
+	}
+	s.firstIndex, s.lastIndex = snapshot.Metadata.Index+1, snapshot.Metadata.Index
+	return put(b, snapshotKey, snapshotKind, snapshot)
+}
+
+// appendEntries stores entries, and removes what a former leader left after them: one by one, and
+// only where there is any. When each write removed the range to the end of the log, each range
+// lay over all before it. Once the store's table was full their pieces, as many as the square of
+// the writes, held up every voter at the same moment for seconds.
+func (s *Store) appendEntries(b *pebble.Batch, entries []raftpb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	end := entries[len(entries)-1].Index
+	for index := end + 1; index <= s.lastIndex; index++ {
+		if err := b.Delete(entryKey(index), nil); err != nil {
+			return err
+		}
+	}
+	s.lastIndex = end
+	for i := range entries {
+		if err := put(b, string(entryKey(entries[i].Index)), entryKind, &entries[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// SaveSnapshot makes this voter's own snapshot durable, and removes the entries it contains.
+func (s *Store) SaveSnapshot(snapshot *raftpb.Snapshot) error {
+	b := s.db.NewBatch()
 	defer b.Close()
-	if err := put(b, snapshotKey, 's', s); err != nil {
+	if err := put(b, snapshotKey, snapshotKind, snapshot); err != nil {
+		return err
+	}
+	// From where the range before it ended: no range lies over another.
+	nextIndex := snapshot.Metadata.Index + 1
+	if err := b.DeleteRange(entryKey(s.firstIndex), entryKey(nextIndex), nil); err != nil {
 		return err
 	}
-	b.DeleteRange(entryKey(k.firstIndex), entryKey(s.Metadata.Index+1), nil) // from where the one before ended: none lies over another
 	if err := b.Commit(pebble.Sync); err != nil {
 		return err
 	}
-	k.firstIndex = s.Metadata.Index + 1
+	s.firstIndex = nextIndex
 	return nil
 }
 
-// Fault tells what is wrong with the disk now; "" when all is well.
-func (k *Store) Fault() string {
-	if t := k.db.Disk.Trouble.Load(); t != nil {
-		return *t
+// Fault says what is wrong with the disk now; "" if nothing is. Any goroutine may call it.
+func (s *Store) Fault() string {
+	if fault := s.db.Disk.Trouble.Load(); fault != nil {
+		return *fault
 	}
 	return ""
 }
 
-// SyncCount counts them.
-func (k *Store) SyncCount() int64 { return k.db.Disk.Syncs.Load() }
+// SyncCount is the number of syncs so far. Any goroutine may call it.
+func (s *Store) SyncCount() int64 { return s.db.Disk.Syncs.Load() }
 
-// Close ends it.
-func (k *Store) Close() error { return k.db.Close() }
+// Close closes the store. What was saved without a sync may be lost with the machine, not with
+// the process.
+func (s *Store) Close() error { return s.db.Close() }
