--- a/internal/node/config/benchmark_test.go
+++ b/internal/node/config/benchmark_test.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/node/config/schema"
 )
 
-// largeBody is a configuration of the size to come.
+// largeBody returns a configuration of the size that operators expect to reach.
 func largeBody(version, routes, services, tenants int) string {
 	list := func(count int, item func(int) string) string {
 		items := make([]string, count)
@@ -144,7 +144,7 @@
 	}
 }
 
-// BenchmarkHeap reports what a state with its compiled table keeps in memory.
+// BenchmarkHeap reports the heap that a state with its compiled table occupies.
 func BenchmarkHeap(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
--- a/internal/node/config/checker.go
+++ b/internal/node/config/checker.go
@@ -1,27 +1,27 @@
 package config
 
-// ItemKind says which part of a configuration an item belongs to.
+// ItemKind is the part of a configuration that an item belongs to.
 type ItemKind uint8
 
-// The kinds of items that have a schema.
+// The kinds of items. All but UnknownItem have a schema.
 const (
 	RouteItem ItemKind = iota
 	ServiceItem
 	TenantItem
 	LimitsItem
-	UnknownItem // of a list without a meaning here; never handed to a Checker
+	UnknownItem // of a list that has no meaning here; never passed to a Checker
 )
 
 // SchemaItem is one new or changed item of a configuration.
 type SchemaItem struct {
 	Kind ItemKind
-	Path ItemPath
-	JSON []byte
+	Path ItemPath // in what the operator sent, for error messages
+	JSON []byte   // compact, as sent
 }
 
-// Checker checks the form of single items against a schema. It is asked only about new and changed items, and only
-// at the head of the chain. Package config/schema has the one in use.
+// Checker checks single items against a schema. It sees only new and changed items, and only at the
+// head of the chain. Package config/schema implements it.
 type Checker interface {
-	// CheckItems returns an error of type ErrInvalid for the first item that breaks the schema.
+	// CheckItems returns an error of type ErrInvalid about the first item that violates the schema.
 	CheckItems(items []SchemaItem) error
 }
--- a/internal/node/config/compile.go
+++ b/internal/node/config/compile.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// Compile is the state as the data plane reads it. What did not change since the last call is shared with its result.
+// Compile returns the state as the data plane reads it. What did not change since the last call is
+// shared with the result of that call.
 func (s *State) Compile() *Compiled {
 	previous, compiledFrom := s.lastCompiled, s.compiledFrom
 	if previous == nil {
@@ -37,7 +38,8 @@
 	ModelVersions: map[string]uint64{},
 }
 
-// difference lists the items of before that are not in after, and the other way round.
+// difference lists the items that only before has, and those that only after has. Items are
+// immutable and shared between versions, so that unchanged ones are the same pointer.
 func difference[T any](before, after *section[T]) (removed, added []*item[T]) {
 	if before == after {
 		return nil, nil
@@ -55,7 +57,8 @@
 	return removed, added
 }
 
-// compileRoutes makes the tables of those hosts anew whose routes changed.
+// compileRoutes rebuilds the tables of the hosts whose routes changed, and shares the others with
+// previous.
 func compileRoutes(previous *RouteTable, before, after *section[Route]) *RouteTable {
 	removed, added := difference(before, after)
 	if len(removed) == 0 && len(added) == 0 {
@@ -96,7 +99,8 @@
 	return byName, stores
 }
 
-// compileTenants changes the keys of those tenants that changed.
+// compileTenants maps API keys to tenants. Keys of removed tenants are deleted before those of
+// added ones are set, as a key may move from one tenant to another.
 func compileTenants(previous map[string]*Tenant, before, after *section[Tenant]) map[string]*Tenant {
 	removed, added := difference(before, after)
 	if len(removed) == 0 && len(added) == 0 {
@@ -116,7 +120,8 @@
 	return byKey
 }
 
-// compileModelVersions is the newest named version of each model.
+// compileModelVersions maps models to their newest named versions; previous itself where nothing
+// changed.
 func (s *State) compileModelVersions(previous map[string]uint64) map[string]uint64 {
 	if s.modelVersionsUnchanged(previous) {
 		return previous
--- a/internal/node/config/conformance_test.go
+++ b/internal/node/config/conformance_test.go
@@ -11,7 +11,7 @@
 	"kestrelspread/internal/node/config"
 )
 
-// route is a route with the given fields besides its name.
+// route returns a route with the given fields besides its name.
 func route(name, fields string) string { return fmt.Sprintf(`{"name":%q,%s}`, name, fields) }
 
 const (
@@ -22,8 +22,8 @@
 
 func split(parts string) string { return `"trafficSplit":[` + parts + `]` }
 
-// invalidItems are items that no configuration may hold, and what the answer has to name. Source: PROTOCOL.md, "The
-// operator's API".
+// invalidItems are items that no configuration may contain, and what the result must name. Source:
+// PROTOCOL.md, "The operator's API".
 var invalidItems = []struct {
 	name, section, item, wanted string
 }{
@@ -82,8 +82,8 @@
 				"routes": routeOne + "," + routeTwo, "services": serviceOne + "," + serviceTwo, "tenants": tenantOne + "," + tenantTwo,
 			}
 			sections[test.section] += "," + test.item
-			whole := body(9, sections["routes"], sections["services"], sections["tenants"])
-			assertInvalid(t, r, true, whole, test.wanted)
+			replacement := body(9, sections["routes"], sections["services"], sections["tenants"])
+			assertInvalid(t, r, true, replacement, test.wanted)
 		})
 		t.Run("update/"+test.name, func(t *testing.T) {
 			r := configured(t)
@@ -92,38 +92,39 @@
 	}
 }
 
-// assertInvalid checks that a change is refused without an effect, and that the answer holds wanted.
+// assertInvalid checks that a change is rejected without an effect, and that the text of the result
+// contains wanted.
 func assertInvalid(t *testing.T, r *replica, replace bool, text, wanted string) {
 	t.Helper()
 	before := r.Snapshot()
 	result, entryNeeded := r.Check(configCommand(replace, r.Version(), text))
 	assert.Assert(t, !entryNeeded)
 	assert.Equal(t, result.GetCode(), invalid, result.GetText())
-	assert.Assert(t, strings.Contains(result.GetText(), wanted), "%q does not hold %q", result.GetText(), wanted)
+	assert.Assert(t, strings.Contains(result.GetText(), wanted), "%q does not contain %q", result.GetText(), wanted)
 	sameState(t, r.Snapshot(), before)
 }
 
 func TestInvalidReplacementsAreRejected(t *testing.T) {
-	whole := strings.Replace(firstBody(), `"version":7`, `"version":9`, 1)
+	valid := strings.Replace(firstBody(), `"version":7`, `"version":9`, 1)
 	for name, test := range map[string]struct{ text, wanted string }{
 		"empty":                   {"", "body"},
-		"cut short":               {whole[:len(whole)/2], "body"},
-		"without its last byte":   {whole[:len(whole)-1], "body"},
-		"more than one value":     {whole + "{}", "body"},
+		"truncated":               {valid[:len(valid)/2], "body"},
+		"without its last byte":   {valid[:len(valid)-1], "body"},
+		"more than one value":     {valid + "{}", "body"},
 		"too deep":                {`{"version":9,"x":` + strings.Repeat("[", 500) + strings.Repeat("]", 500) + `}`, "body"},
 		"no JSON":                 {"version: 9", "body"},
-		"no UTF-8":                {strings.Replace(whole, "r-1", "r-\xff", 1), "body"},
-		"list":                    {"[" + whole + "]", "body"},
+		"no UTF-8":                {strings.Replace(valid, "r-1", "r-\xff", 1), "body"},
+		"list":                    {"[" + valid + "]", "body"},
 		"null":                    {"null", "body"},
 		"text":                    {`"9"`, "body"},
-		"no version":              {strings.Replace(whole, `"version":9,`, ``, 1), "version"},
-		"version of 0":            {strings.Replace(whole, `:9,`, `:0,`, 1), "version"},
-		"version null":            {strings.Replace(whole, `:9,`, `:null,`, 1), "version"},
-		"version as text":         {strings.Replace(whole, `:9,`, `:"9",`, 1), "version"},
-		"version with a fraction": {strings.Replace(whole, `:9,`, `:9.5,`, 1), "version"},
-		"negative version":        {strings.Replace(whole, `:9,`, `:-9,`, 1), "version"},
-		"the current version":     {strings.Replace(whole, `:9,`, `:7,`, 1), "version"},
-		"a version below":         {strings.Replace(whole, `:9,`, `:6,`, 1), "version"},
+		"no version":              {strings.Replace(valid, `"version":9,`, ``, 1), "version"},
+		"version of 0":            {strings.Replace(valid, `:9,`, `:0,`, 1), "version"},
+		"version null":            {strings.Replace(valid, `:9,`, `:null,`, 1), "version"},
+		"version as text":         {strings.Replace(valid, `:9,`, `:"9",`, 1), "version"},
+		"version with a fraction": {strings.Replace(valid, `:9,`, `:9.5,`, 1), "version"},
+		"negative version":        {strings.Replace(valid, `:9,`, `:-9,`, 1), "version"},
+		"the current version":     {strings.Replace(valid, `:9,`, `:7,`, 1), "version"},
+		"a version below":         {strings.Replace(valid, `:9,`, `:6,`, 1), "version"},
 		"routes are no list":      {`{"version":9,"routes":{}}`, "routes"},
 		"services are no list":    {`{"version":9,"services":"s"}`, "services"},
 		"tenants are no list":     {`{"version":9,"tenants":7}`, "tenants"},
@@ -142,7 +143,7 @@
 
 func TestInvalidUpdatesAreRejected(t *testing.T) {
 	for name, test := range map[string]struct{ text, wanted string }{
-		"cut short":                  {`{"version":9,"upsert":{"routes":[`, "body"},
+		"truncated":                  {`{"version":9,"upsert":{"routes":[`, "body"},
 		"no version":                 {`{"upsert":{}}`, "version"},
 		"the current version":        {`{"version":7}`, "version"},
 		"a version below":            {`{"version":3,"upsert":{}}`, "version"},
@@ -163,7 +164,7 @@
 	}
 }
 
-// An answer stays short and valid text, whatever names the operator chose.
+// TestResultTextIsBounded: it stays short and valid UTF-8, whatever names the operator chose.
 func TestResultTextIsBounded(t *testing.T) {
 	r := configured(t)
 	text := `{"version":9,"upsert":{"routes":[` + route("r", hostAndPrefix+","+timeout+`,"service":"`+strings.Repeat("ü", 100000)+`"`) + `]}}`
@@ -182,7 +183,7 @@
 	assertInvalid(t, r, false, strings.NewReplacer("note-1", "note-2", ":9,", ":10,").Replace(half), "body: the whole configuration")
 }
 
-// validBodies are bodies on top of the first configuration that nothing in the pages forbids.
+// validBodies are replacements of the first configuration that the protocol allows.
 var validBodies = map[string]string{
 	"unknown fields": `{"version":9,"owner":{"team":"x","x":[1,2,null]},"routes":[{"name":"r","host":"a.example","pathPrefix":"/a/",` +
 		`"timeoutMs":1,"service":"s","retryOn":["5xx"],"weight":{"a":-1}}],"services":[{"name":"s","shade":1e400}]}`,
--- a/internal/node/config/doc.go
+++ b/internal/node/config/doc.go
@@ -1,8 +1,10 @@
-// Package config holds the operators' configuration: its form, its checks, the state that the control chain replicates
-// and the compiled table that proxies look requests up in. Pure: no I/O, no clock, no goroutines; a State belongs to one
-// goroutine, what Compile returns may be shared.
+// Package config is the replicated control state: the operators' configuration, versions of
+// weights, grants of singleton roles and drain intents. It has the state machine that the control
+// chain replicates, the checks of commands, snapshots, and the compiled form that the data plane
+// reads.
 //
-// The contract with the other planes:
+// It does no I/O and knows no clock, and it does not replicate: package chain orders the entries.
+// Its contract with the other packages:
 //
 //	state := config.NewState(checker)              // empty: version 0; a nil checker checks no schema
 //	result, entryNeeded := state.Check(command)    // at the chain's head, before a command becomes an entry
@@ -10,10 +12,14 @@
 //	bytes := state.Snapshot(); err := state.Restore(bytes)
 //	compiled := state.Compile()                    // immutable, shared with the data plane
 //
-// Check judges a command in full: whether it can be read, its version and base, the rules between items (package
-// schema adds the CUE rules of single items). Apply repeats only what every replica has to decide alike: form, base and
-// version. It never runs the checks between items, so that a node with newer checks agrees with one with older ones.
+// Invariants:
 //
-// Every item (route, service, tenant) is kept as it was sent, numbers and unknown fields included, and decoded once;
-// versions of the configuration share the items that did not change.
+//   - Apply is deterministic: equal states and entries give equal states and results at every replica. It repeats only
+//     what all replicas decide alike: form, base version and version. The rules between items and the schema are
+//     checked by Check alone, so that nodes with newer checks agree with those with older ones.
+//   - Versions of the configuration and fences of a role only rise.
+//   - A change that was taken stays taken: sent again, it is acknowledged without an effect, as long as it is among the
+//     4,096 newest.
+//   - Every item (route, service, tenant) is kept as it was sent, numbers and unknown fields included.
+//   - Documents, items and compiled tables are immutable. Versions share the items that did not change.
 package config
--- a/internal/node/config/document.go
+++ b/internal/node/config/document.go
@@ -8,7 +8,7 @@
 	"kestrelspread/internal/node/config/rawjson"
 )
 
-// Names of the members of a configuration and of an update that have a meaning here.
+// Names of members of a configuration and of an update, beside those of the sections.
 const (
 	versionMember = "version"
 	limitsMember  = "limits"
@@ -16,23 +16,25 @@
 	removeMember  = "remove"
 )
 
-// document is one version of the configuration. Immutable; nil is the state before the first.
+// document is one version of the configuration. It is immutable once parsed. emptyDocument stands
+// for the state before the first.
 type document struct {
 	version      uint64
 	routes       *section[Route]
 	services     *section[Service]
 	tenants      *section[Tenant]
 	limits       Limits
-	otherMembers []member // every other member, limits included, in order
+	otherMembers []member // all others, limits too, in order
 }
 
-// member is a member of the configuration that is kept as it was sent.
+// member is a member of a JSON object that is kept as it was sent.
 type member struct {
 	name string
-	raw  []byte
+	raw  []byte // compact JSON
 }
 
-// changes are the items of a change that are new or differ from those before.
+// changes are the items of a change that are new or differ from the previous version's: only they
+// have to be checked.
 type changes struct {
 	routes  []changedItem[Route]
 	tenants []changedItem[Tenant]
@@ -44,6 +46,7 @@
 	value *T
 }
 
+// record adds an item. value is its decoded form.
 func (c *changes) record(kind ItemKind, path ItemPath, raw []byte, value any) {
 	if kind != UnknownItem {
 		c.schema = append(c.schema, SchemaItem{Kind: kind, Path: path, JSON: raw})
@@ -56,10 +59,10 @@
 	}
 }
 
-// emptyDocument stands for the state before the first configuration.
+// emptyDocument is the document before the first configuration. It is told apart by its address.
 var emptyDocument = &document{}
 
-// parseReplacement reads a whole configuration; items that previous holds as well are shared with it.
+// parseReplacement reads a full configuration; items that previous has as well are shared with it.
 func parseReplacement(body []byte, previous *document) (*document, *changes, error) {
 	if !rawjson.IsObject(body) {
 		return nil, nil, invalid("body", "must be an object")
@@ -77,7 +80,7 @@
 	return next, changes, nil
 }
 
-// setMember takes one member of a whole configuration.
+// setMember sets one member of a full configuration.
 func (d *document) setMember(name string, value []byte, previous *document, changes *changes) (err error) {
 	switch name {
 	case versionMember:
@@ -94,7 +97,8 @@
 	return err
 }
 
-// parseSection reads a section of a whole configuration; previous itself is returned where nothing changed.
+// parseSection reads a section of a full configuration; it returns previous itself where nothing
+// changed.
 func parseSection[T any](spec *sectionSpec[T], array []byte, previous *section[T], changes *changes) (*section[T], error) {
 	if rawjson.IsNull(array) {
 		return nil, nil
@@ -109,7 +113,8 @@
 	return parsed, nil
 }
 
-// setOtherMember takes a member that is not a list of known items, in the place of the one with its name.
+// setOtherMember sets a member that is not a section: it replaces the one with its name, or is
+// appended.
 func (d *document) setOtherMember(name string, value []byte, previous *document, changes *changes) error {
 	raw := bytes.Clone(value)
 	if name == limitsMember {
@@ -142,6 +147,8 @@
 	return nil
 }
 
+// decodeVersion reads a version. Texts such as 9.0 are accepted, beyond 2^53 only plain integers
+// are.
 func decodeVersion(value []byte) (uint64, error) {
 	if version, err := strconv.ParseUint(string(value), 10, 64); err == nil {
 		return version, nil
@@ -153,7 +160,7 @@
 	return uint64(version), nil
 }
 
-// render is the configuration as one JSON text, without white space.
+// render returns the configuration as compact JSON.
 func (d *document) render() []byte {
 	text := make([]byte, 0, d.renderedSize())
 	text = append(text, `{"version":`...)
@@ -183,8 +190,10 @@
 	return append(text, ']')
 }
 
+// renderedSize is about the length of render's text, in bytes. Replicas decide by it, see prepare:
+// the calculation must not change.
 func (d *document) renderedSize() int {
-	const frame = 96 // braces, names of the known members, version
+	const frame = 96 // braces, names of the sections, version
 	size := frame + sectionSize(d.routes) + sectionSize(d.services) + sectionSize(d.tenants)
 	for _, member := range d.otherMembers {
 		size += len(member.name) + len(member.raw) + len(`,"":`)
--- a/internal/node/config/errors.go
+++ b/internal/node/config/errors.go
@@ -8,19 +8,19 @@
 
 var errorNamespace = errorx.NewNamespace("config")
 
-// ErrInvalid is the type of errors that say why a configuration is refused; its message begins with the path of the
-// offending item.
+// ErrInvalid is the type of errors about commands that are rejected as invalid; the message begins
+// with the path of the offending item or field.
 var ErrInvalid = errorNamespace.NewType("invalid").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrSnapshot is the type of errors of a snapshot that cannot be read.
+// ErrSnapshot is the type of errors about snapshots that can't be read.
 var ErrSnapshot = errorNamespace.NewType("snapshot").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// invalid says why the item or field at path is refused.
+// invalid returns an error of type ErrInvalid about the item or field at path.
 func invalid(path, format string, arguments ...any) error {
 	return ErrInvalid.New("%s: %s", path, fmt.Sprintf(format, arguments...))
 }
 
-// reasonOf is the message of an error without the name of its type.
+// reasonOf returns the message of an error without the name of its type.
 func reasonOf(err error) string {
 	if typed := errorx.Cast(err); typed != nil {
 		return typed.Message()
--- a/internal/node/config/fieldreader.go
+++ b/internal/node/config/fieldreader.go
@@ -6,12 +6,12 @@
 	"kestrelspread/internal/node/config/rawjson"
 )
 
-// fieldReader takes typed fields out of an item and remembers the first that has another type. A null leaves a field as
-// it is.
+// fieldReader reads typed fields of an item, and keeps the error of the first one that has another
+// type. A null leaves its destination as it is.
 type fieldReader struct {
 	item  ItemPath
-	steps []pathStep // to the object or list that is being read
-	err   error
+	steps []pathStep // from the item to the object or list being read
+	err   error      // the first
 }
 
 func (r *fieldReader) setError(wanted string, steps ...pathStep) {
@@ -71,7 +71,8 @@
 	*destination = parsed
 }
 
-// readObject calls visit for each member of the object at step; the fields that visit takes stand below it.
+// readObject calls visit for each member of the object at step; fields that visit reads have paths
+// below step.
 func (r *fieldReader) readObject(step pathStep, value []byte, visit func(name, value []byte)) {
 	if rawjson.IsNull(value) {
 		return
@@ -85,7 +86,7 @@
 	r.steps = r.steps[:len(r.steps)-1]
 }
 
-// readMembers calls visit for each member of an object.
+// readMembers calls visit for each member of an object, until the first error.
 func (r *fieldReader) readMembers(object []byte, visit func(name, value []byte)) {
 	_ = rawjson.EachMember(object, func(name, value []byte) error {
 		visit(name, value)
@@ -93,7 +94,8 @@
 	})
 }
 
-// readList calls visit for each element of the list of that name; what visit takes stands below the list.
+// readList calls visit for each element of the list named name, until the first error; what visit
+// reads has a path below the list.
 func (r *fieldReader) readList(name, value []byte, visit func(step pathStep, value []byte)) {
 	if rawjson.IsNull(value) {
 		return
--- a/internal/node/config/fuzz_test.go
+++ b/internal/node/config/fuzz_test.go
@@ -11,8 +11,8 @@
 	"kestrelspread/internal/node/config"
 )
 
-// FuzzBody sends any bytes as a replacement and as an update. What is taken has to be read back, survive a snapshot and
-// compile; what is not taken leaves the state alone.
+// FuzzBody submits any bytes as a replacement and as an update. A taken change must be fetched as
+// JSON, survive a snapshot and compile; any other leaves the state unchanged.
 func FuzzBody(f *testing.F) {
 	f.Add([]byte(firstBody()))
 	for _, text := range validBodies {
@@ -44,7 +44,7 @@
 	})
 }
 
-// FuzzSnapshot restores any bytes under a right checksum.
+// FuzzSnapshot restores any bytes under a valid checksum.
 func FuzzSnapshot(f *testing.F) {
 	const checksumBytes = 4
 	seed := func(snapshot []byte) { f.Add(snapshot[:len(snapshot)-checksumBytes]) }
--- a/internal/node/config/grants.go
+++ b/internal/node/config/grants.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"cmp"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
@@ -8,13 +9,23 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Grant is the newest grant of a duty, released or not; nil where there was none. The caller does not change it.
-func (s *State) Grant(name string) *nodepb.DutyChange { return s.grants[name] }
+// A grant is the record of a singleton role's lease (nodepb.DutyChange): the role, its holder, the
+// fence (the fencing token of the holder's orders) and the claimed instances. Targets are the
+// instances that the holder may order; Former are those of them that a previous holder may have
+// ordered.
 
-// Grants are the newest grants, in order of duty. The caller does not change them.
+// Grant returns the newest grant of a role, released or not; nil: there was none. The caller must
+// not change it.
+func (s *State) Grant(role string) *nodepb.DutyChange { return s.grants[role] }
+
+// Grants returns the newest grant of each role, sorted by role. The caller must not change them.
 func (s *State) Grants() []*nodepb.DutyChange { return sortedValues(s.grants, compareGrants) }
 
-// checkGrant judges a grant: a fence never goes down, and no two holders share one (RULES.md, "ONE").
+func compareGrants(a, b *nodepb.DutyChange) int { return cmp.Compare(a.GetDuty(), b.GetDuty()) }
+
+// checkGrant judges a grant: a role's fence never falls, no two holders share one, and within a
+// fence claims are only added, so that a change that is committed late takes none back. Source:
+// RULES.md, "ONE".
 func (s *State) checkGrant(change *nodepb.DutyChange) (*nodepb.CommandResult, bool) {
 	if err := s.validateGrant(change); err != nil {
 		return s.invalidResult(err), false
@@ -26,18 +37,29 @@
 	if proto.Equal(current, change) {
 		return s.takenResult(s.index, s.document.version), false
 	}
-	if change.GetFence() < current.GetFence() {
-		return s.rejection(nodepb.ResultCode_CONFLICT, "a higher fence was granted"), false
-	}
-	if change.GetFence() == current.GetFence() && change.GetHolder() != current.GetHolder() {
-		return s.rejection(nodepb.ResultCode_CONFLICT, "the fence was granted to another holder"), false
-	}
-	if change.GetFence() == current.GetFence() && !change.GetReleased() && !containsAll(change.GetTargets(), current.GetTargets()) {
-		return s.rejection(nodepb.ResultCode_CONFLICT, "more was granted under the fence"), false
+	if reason := grantConflict(current, change); reason != "" {
+		return s.rejection(nodepb.ResultCode_CONFLICT, reason), false
 	}
 	return nil, true
 }
 
+// grantConflict says why a grant can't follow the current one of its role; empty: it can.
+func grantConflict(current, change *nodepb.DutyChange) string {
+	switch {
+	case change.GetFence() < current.GetFence():
+		return "a higher fence was granted"
+	case change.GetFence() > current.GetFence():
+		return ""
+	case change.GetHolder() != current.GetHolder():
+		return "the fence was granted to another holder"
+	case !change.GetReleased() && !containsAll(change.GetTargets(), current.GetTargets()):
+		return "more was granted under the fence"
+	default:
+		return ""
+	}
+}
+
+// validateGrant checks a grant by itself, and that one role more can be kept.
 func (s *State) validateGrant(change *nodepb.DutyChange) error {
 	if err := checkName("duty", change.GetDuty()); err != nil {
 		return err
@@ -59,13 +81,13 @@
 	return nil
 }
 
-// containsAll reports whether all of the names are in the list.
+// containsAll reports whether all names are in the list.
 func containsAll(list, names []string) bool {
-	in := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, name := range list {
-		in[name] = true
+		listed[name] = true
 	}
-	return !slices.ContainsFunc(names, func(name string) bool { return !in[name] })
+	return !slices.ContainsFunc(names, func(name string) bool { return !listed[name] })
 }
 
 func (s *State) applyGrant(change *nodepb.DutyChange) *nodepb.CommandResult {
@@ -74,8 +96,12 @@
 		return result
 	}
 	s.grants[change.GetDuty()] = &nodepb.DutyChange{
-		Duty: change.GetDuty(), Holder: change.GetHolder(), Fence: change.GetFence(), Released: change.GetReleased(),
-		Targets: slices.Clone(change.GetTargets()), Former: slices.Clone(change.GetFormer()),
+		Duty:     change.GetDuty(),
+		Holder:   change.GetHolder(),
+		Fence:    change.GetFence(),
+		Released: change.GetReleased(),
+		Targets:  slices.Clone(change.GetTargets()),
+		Former:   slices.Clone(change.GetFormer()),
 	}
 	return s.takenResult(s.index, s.document.version)
 }
--- a/internal/node/config/idempotence_test.go
+++ b/internal/node/config/idempotence_test.go
@@ -14,7 +14,8 @@
 	return fmt.Sprintf(`{"version":%d,"upsert":{"tenants":[{"name":"t-%d","apiKeys":["k-%d"]}]}}`, version, base, version)
 }
 
-// Source: PROTOCOL.md, "The answer is 200 if that very configuration has been taken".
+// TestRepeatedChangeIsTakenAgainAfterLaterChanges. Source: PROTOCOL.md, "The answer is 200 if that
+// very configuration has been taken".
 func TestRepeatedChangeIsTakenAgainAfterLaterChanges(t *testing.T) {
 	r := configured(t)
 	r.mustTake(updateCommand(7, bump(7, 9)))
@@ -55,7 +56,8 @@
 	}
 }
 
-// Source: PROTOCOL.md, "Two operators may send at once, building on the same version: one of them wins".
+// TestOneOfTwoChangesOnOneVersionIsTaken. Source: PROTOCOL.md, "Two operators may send at once,
+// building on the same version: one of them wins".
 func TestOneOfTwoChangesOnOneVersionIsTaken(t *testing.T) {
 	r := configured(t)
 	winner, loser := updateCommand(7, bump(7, 9)), updateCommand(7, bump(7, 11))
@@ -71,7 +73,8 @@
 	assert.Equal(t, r.Index(), uint64(2))
 }
 
-// Entries that were both checked against one state cannot both be taken, whatever the chain does.
+// TestSecondEntryOnOneVersionConflicts: of two entries that were checked against one state only one
+// is taken, whatever the chain does.
 func TestSecondEntryOnOneVersionConflicts(t *testing.T) {
 	r := configured(t)
 	first, second := updateCommand(7, bump(7, 9)), updateCommand(7, bump(7, 11))
@@ -109,7 +112,7 @@
 	r.mustTake(command)
 }
 
-// The oldest of more than 4,096 taken changes is forgotten, and then in conflict.
+// TestOldestTakenChangeIsForgotten: it then is a conflict.
 func TestOldestTakenChangeIsForgotten(t *testing.T) {
 	const remembered = 4096
 	r := &replica{State: config.NewState(nil), t: t}
--- a/internal/node/config/limit_test.go
+++ b/internal/node/config/limit_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// padded is a configuration of about that many bytes.
+// padded returns a configuration of about that many bytes.
 func padded(version string, bytes int) string {
 	return `{"version":` + version + `,"note-` + version + `":"` + strings.Repeat("x", bytes) + `"}`
 }
@@ -23,7 +23,7 @@
 
 	r.mustTake(replaceCommand(firstVersion, padded("9", 60_000)))
 	grown := r.take(updateCommand(9, padded("10", 60_000)))
-	assert.Equal(t, grown.GetCode(), nodepb.ResultCode_TOO_LARGE, "the whole would be too large, not the change")
+	assert.Equal(t, grown.GetCode(), nodepb.ResultCode_TOO_LARGE, "the full configuration is too large, not the change")
 	r.mustTake(updateCommand(9, padded("10", 20_000)))
 }
 
@@ -38,6 +38,6 @@
 	assert.NilError(t, restored.Restore(r.Snapshot()))
 	assert.Equal(t, restored.Version(), uint64(9))
 	repeated := restored.take(replaceCommand(firstVersion, padded("9", 60_000)))
-	assert.Equal(t, repeated.GetCode(), taken, "the same order again is acknowledged")
+	assert.Equal(t, repeated.GetCode(), taken, "a repeated change is acknowledged")
 	assert.Equal(t, restored.take(updateCommand(9, padded("10", 10))).GetCode(), nodepb.ResultCode_TOO_LARGE, "the limit outlives a restore")
 }
--- a/internal/node/config/modelversions.go
+++ b/internal/node/config/modelversions.go
@@ -1,15 +1,9 @@
 package config
 
-import "kestrelspread/internal/node/nodepb"
+import (
+	"cmp"
 
-// Bounds of what is kept beside the configuration.
-const (
-	maxModels = 4096
-	maxRoles  = 256
-	// maxGrantTargets bounds what one grant names: the brokers of a service.
-	maxGrantTargets = 8192
-	maxDrains       = 4096
-	maxNameLength   = 512 // of a model, duty, holder, subject or kind, in bytes
+	"kestrelspread/internal/node/nodepb"
 )
 
 // firstModelVersion is the version of weights that every model has before one is named.
@@ -22,14 +16,16 @@
 	Index   uint64 // of the entry that named it
 }
 
-// ModelVersions are the newest named versions, in order of model.
+// ModelVersions returns the newest named version of each model, sorted by model.
 func (s *State) ModelVersions() []NamedVersion {
 	return sortedValues(s.modelVersions, compareModelVersions)
 }
 
-// checkModelVersion judges new weights. A version that is not above the newest is in force already, as all brokers are
-// brought to the newest: it is acknowledged, without an effect, whether it comes again or was overtaken.
-// Source: PROTOCOL.md, "The operator's API".
+func compareModelVersions(a, b NamedVersion) int { return cmp.Compare(a.Model, b.Model) }
+
+// checkModelVersion judges new weights. A version that is not above the newest is in force already,
+// as all brokers are brought to the newest: it is taken without an effect, whether it was repeated
+// or overtaken. Source: PROTOCOL.md, "The operator's API".
 func (s *State) checkModelVersion(change *nodepb.ModelVersionChange) (*nodepb.CommandResult, bool) {
 	if err := s.validateModelVersion(change); err != nil {
 		return s.invalidResult(err), false
@@ -66,20 +62,7 @@
 	if !entryNeeded {
 		return result
 	}
-	s.modelVersions[change.GetModel()] = NamedVersion{Model: change.GetModel(), Version: change.GetVersion(), Index: s.index}
-	return s.takenResult(s.index, change.GetVersion())
-}
-
-func checkName(field, name string) error {
-	if name == "" {
-		return invalid(field, "must not be empty")
-	}
-	if len(name) > maxNameLength {
-		return invalid(field, "longer than %d bytes", maxNameLength)
-	}
-	return nil
-}
-
-func tooMany(field string, limit int) error {
-	return invalid(field, "more than %d of them", limit)
+	model, version := change.GetModel(), change.GetVersion()
+	s.modelVersions[model] = NamedVersion{Model: model, Version: version, Index: s.index}
+	return s.takenResult(s.index, version)
 }
--- a/internal/node/config/property_test.go
+++ b/internal/node/config/property_test.go
@@ -13,7 +13,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// referenceConfig is a naive configuration: decoded JSON, checked as a whole.
+// referenceConfig is a naive model of the configuration: decoded JSON, always checked in full.
 type referenceConfig struct {
 	version  uint64
 	sections map[string][]map[string]any
@@ -49,7 +49,7 @@
 	m.sections[section] = append(m.sections[section], item)
 }
 
-// valid applies the rules of the operator's API to the whole configuration.
+// valid applies the rules of the operator's API to the full configuration.
 func (m referenceConfig) valid() bool {
 	services, hostsAndPrefixes, owners := map[any]bool{}, map[string]bool{}, map[any]any{}
 	for _, service := range m.sections["services"] {
@@ -91,7 +91,7 @@
 	return string(text)
 }
 
-// drawItem draws an item from small pools, so that names, places and keys meet.
+// drawItem draws an item from small pools, so that names, prefixes and keys collide.
 func drawItem(t *rapid.T, section string) map[string]any {
 	pick := func(label string, maxValue int) int { return rapid.IntRange(0, maxValue).Draw(t, label) }
 	switch section {
@@ -109,7 +109,7 @@
 	}
 }
 
-// drawChange draws a change of a model, and the model after it.
+// drawChange draws a change of the reference, and returns the reference after it.
 func drawChange(t *rapid.T, model referenceConfig) (replace bool, text string, next referenceConfig) {
 	version := model.version + uint64(rapid.IntRange(0, 3).Draw(t, "step"))
 	if rapid.IntRange(0, 4).Draw(t, "replace") == 0 {
@@ -146,8 +146,8 @@
 	return false, encoded(t, map[string]any{"version": version, "upsert": upserts, "remove": removes}), next
 }
 
-// Any sequence of changes leaves the configuration that the naive model says, at the head, at a replica that only
-// applies, and at one that restores a snapshot now and then.
+// TestAnySequenceOfChangesMatchesReference compares the reference with the head, a replica that
+// only applies, and one that restores a snapshot now and then.
 func TestAnySequenceOfChangesMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head, follower, restorer := config.NewState(nil), config.NewState(nil), config.NewState(nil)
@@ -185,7 +185,7 @@
 	})
 }
 
-// mustAgree applies an entry at all states; their answers and snapshots have to be equal.
+// mustAgree applies an entry to all states; their results and snapshots must be equal.
 func mustAgree(t *rapid.T, entry *nodepb.Entry, states ...*config.State) {
 	for _, state := range states {
 		if result := state.Apply(entry); result.GetCode() != taken {
@@ -227,7 +227,8 @@
 	return encoded(t, value)
 }
 
-// mustCompileAlike compares what was compiled step by step with what one step makes of the same state.
+// mustCompileAlike compares a table that was compiled step by step with one compiled from a
+// snapshot at once.
 func mustCompileAlike(t *rapid.T, state, other *config.State) {
 	fresh := config.NewState(nil)
 	if err := fresh.Restore(other.Snapshot()); err != nil {
@@ -249,7 +250,8 @@
 	}
 }
 
-// The bodies of the conformance tables give the same answers and states at every replica, checked or not.
+// TestApplyIsDeterministicForInvalidEntries: they give equal results and states at every replica,
+// checked before or not.
 func TestApplyIsDeterministicForInvalidEntries(t *testing.T) {
 	first, second := configured(t), &replica{State: config.NewState(nil), t: t}
 	assert.NilError(t, second.Restore(first.Snapshot()))
--- a/internal/node/config/rawjson/rawjson.go
+++ b/internal/node/config/rawjson/rawjson.go
@@ -1,6 +1,8 @@
-// Package rawjson splits JSON text without decoding it, so that what an operator sent can be kept as it was sent. All
-// functions but Compact want text that Compact has returned, or a part of it that they have split off. Names of members
-// are compared exactly, unlike in encoding/json; of two members with one name, the last counts.
+// Package rawjson splits JSON text without decoding it, so that what an operator sent can be kept
+// as it was sent. It is no general decoder: all functions but Compact require text that Compact has
+// returned, or a value within it that they have split off, and may panic on anything else. Names of
+// members are compared exactly, unlike in encoding/json; of two members with one name, the last
+// counts.
 package rawjson
 
 import (
@@ -12,14 +14,14 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrMalformed is the type of errors about text that is not one JSON value in UTF-8.
+// ErrMalformed is the type of errors about text that is not one JSON value in UTF-8, or too deep.
 var ErrMalformed = errorx.NewNamespace("rawjson").NewType("malformed").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// MaxDepth bounds how deep lists and objects may lie in one another: what reads them recurses.
+// MaxDepth bounds the nesting of arrays and objects, as their readers recurse.
 const MaxDepth = 200
 
-// Compact checks that text is one whole JSON value in UTF-8, no deeper than MaxDepth, and returns a copy of it without
-// white space.
+// Compact checks that text is exactly one JSON value in UTF-8, no deeper than MaxDepth, and returns
+// a copy of it without white space. Errors are of type ErrMalformed.
 func Compact(text []byte) ([]byte, error) {
 	if !utf8.Valid(text) {
 		return nil, ErrMalformed.New("not UTF-8")
@@ -35,8 +37,9 @@
 	return compacted.Bytes(), nil
 }
 
-// EachMember calls visit with each member of an object, until visit fails. Names come decoded, as bytes: a conversion to
-// a string that is only compared costs no allocation.
+// EachMember calls visit with each member of an object, until visit fails, and returns visit's
+// error. Names are decoded, and bytes because a conversion to a string that is only compared does
+// not allocate. Values are slices of object.
 func EachMember(object []byte, visit func(name, value []byte) error) error {
 	rest := object[1:]
 	for len(rest) > 0 && rest[0] != '}' {
@@ -52,7 +55,8 @@
 	return nil
 }
 
-// EachElement calls visit with each element of an array, until visit fails.
+// EachElement calls visit with each element of an array, until visit fails, and returns visit's
+// error. Values are slices of array.
 func EachElement(array []byte, visit func(index int, value []byte) error) error {
 	rest := array[1:]
 	for index := 0; len(rest) > 0 && rest[0] != ']'; index++ {
@@ -65,7 +69,7 @@
 	return nil
 }
 
-// Member returns the value of an object's member, nil where there is none.
+// Member returns the value of an object's member; nil: there is none.
 func Member(object []byte, name string) []byte {
 	var found []byte
 	_ = EachMember(object, func(candidate, value []byte) error {
@@ -89,10 +93,10 @@
 // IsArray reports whether a value is an array.
 func IsArray(value []byte) bool { return value[0] == '[' }
 
-// String is the text of a string.
+// String returns the decoded text of a string value.
 func String(quoted []byte) string { return string(decoded(quoted)) }
 
-// decoded is the text of a string; it may be a part of quoted.
+// decoded returns the decoded text of a string value; it may be a slice of quoted.
 func decoded(quoted []byte) []byte {
 	if bytes.IndexByte(quoted, '\\') < 0 {
 		return quoted[1 : len(quoted)-1]
@@ -102,7 +106,9 @@
 	return []byte(text)
 }
 
-// Integer is the value of a number without a fraction, as 7, 7.0 or 7e0; false for other values.
+// Integer returns the value of a number without a fraction, as 7, 7.0 or 7e0, and whether value is
+// one that int64 holds. A number with a point or an exponent must lie within 2^53, where floats are
+// exact.
 func Integer(number []byte) (int64, bool) {
 	if integer, err := strconv.ParseInt(string(number), 10, 64); err == nil {
 		return integer, true
@@ -133,6 +139,7 @@
 	}
 }
 
+// stringEnd returns the length of the string that text begins with, quotes included.
 func stringEnd(text []byte) int {
 	for i := 1; i < len(text); i++ {
 		switch text[i] {
@@ -145,6 +152,7 @@
 	return len(text)
 }
 
+// nestedEnd returns the length of the object or array that text begins with.
 func nestedEnd(text []byte) int {
 	depth := 0
 	for i := 0; i < len(text); i++ {
@@ -163,7 +171,7 @@
 	return len(text)
 }
 
-// depthOf counts the lists and objects around the innermost value of text, which need not be JSON.
+// depthOf returns the deepest nesting of arrays and objects in text, which need not be JSON.
 func depthOf(text []byte) int {
 	depth, maxDepth := 0, 0
 	for i := 0; i < len(text); i++ {
@@ -180,6 +188,7 @@
 	return maxDepth
 }
 
+// scalarEnd returns the length of the number or literal that text begins with.
 func scalarEnd(text []byte) int {
 	for i, c := range text {
 		if c == ',' || c == '}' || c == ']' {
@@ -189,6 +198,7 @@
 	return len(text)
 }
 
+// afterComma returns text without the comma that it may begin with.
 func afterComma(text []byte) []byte {
 	if len(text) > 0 && text[0] == ',' {
 		return text[1:]
--- a/internal/node/config/restore.go
+++ b/internal/node/config/restore.go
@@ -7,7 +7,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Restore replaces the state by that of a snapshot. After an error the state is as it was.
+// Restore replaces the state by that of a snapshot. Checker and limit stay, and unchanged items are
+// shared with the state before. After an error, which is of type ErrSnapshot, the state is as it
+// was.
 func (s *State) Restore(snapshot []byte) error {
 	text, err := openSnapshot(snapshot)
 	if err != nil {
@@ -24,7 +26,8 @@
 	return nil
 }
 
-// restoreField takes one field of a snapshot; items that previous holds as well are shared with it.
+// restoreField restores one field of a snapshot; items that previous has as well are shared with
+// it.
 func (s *State) restoreField(f field, previous *document) error {
 	switch f.number {
 	case fieldIndex:
@@ -125,7 +128,8 @@
 	return nil
 }
 
-// decodeFields decodes what encodeFields encoded. Fields that are missing keep their values, others are skipped.
+// decodeFields decodes what encodeFields encoded, into pointers to string, uint64 and bool. The
+// destinations of missing fields stay as they are; fields without a destination are skipped.
 func decodeFields(text []byte, destinations ...any) error {
 	return eachField(text, func(f field) error {
 		index := int(f.number - firstNested)
--- a/internal/node/config/routes.go
+++ b/internal/node/config/routes.go
@@ -2,29 +2,32 @@
 
 import "strings"
 
-// maxHostLength is that of a host with its port that is looked up; a longer one has no route.
+// maxHostLength bounds the host with its port that is looked up, in bytes; a longer one has no
+// route.
 const maxHostLength = 320
 
-// RouteTable finds the route of a request. Immutable; versions share the tables of hosts that did not change.
+// RouteTable finds the route of a request. It is immutable; versions share the tables of hosts that
+// did not change.
 type RouteTable struct {
 	hosts map[string]*hostRoutes // by host in lower case
 	count int
 }
 
-// hostRoutes are the routes of one host. As every prefix ends with a slash, only the parts of a path up to a slash
-// are looked up, and none longer or deeper than the longest and deepest prefix.
+// hostRoutes are the routes of one host. As every prefix ends with a slash, only the parts of a
+// path up to a slash are looked up, and none that is longer or has more slashes than any prefix.
 type hostRoutes struct {
 	byPrefix        map[string]*Route
 	maxPrefixLength int // bytes
 	maxPrefixDepth  int // slashes
 }
 
-// Len counts the routes.
+// Len returns the number of routes.
 func (t *RouteTable) Len() int { return t.count }
 
-// Match gives the route for the host whose prefix begins the raw path and is longest; nil where none does. The host is
-// compared without regard to case and port; the path is neither cleaned nor unescaped, and ends before a query.
-// Source: PROTOCOL.md, "Requests".
+// Match returns the route for the host whose prefix is the longest that the raw path begins with;
+// nil: there is none. The host is compared without regard to case and port; the path is neither
+// cleaned nor unescaped, and ends before a query. Match does not allocate. Source: PROTOCOL.md,
+// "Requests".
 func (t *RouteTable) Match(host, path string) *Route {
 	routes := t.routesOf(host)
 	if routes == nil {
@@ -45,7 +48,7 @@
 	return t.hosts[string(lower[:len(withoutPort(host))])]
 }
 
-// appendLower appends an ASCII host in lower case.
+// appendLower appends a host with its ASCII letters in lower case.
 func appendLower(buffer []byte, host string) []byte {
 	for i := range len(host) {
 		c := host[i]
@@ -57,7 +60,7 @@
 	return buffer
 }
 
-// lowerHost is a host as the tables are keyed by it.
+// lowerHost returns a host as the key of the tables.
 func lowerHost(host string) string {
 	for i := range len(host) {
 		if 'A' <= host[i] && host[i] <= 'Z' {
@@ -67,7 +70,7 @@
 	return host
 }
 
-// withoutPort is the host without ":port"; an IPv6 address keeps its brackets.
+// withoutPort returns the host without ":port"; an IPv6 address keeps its brackets.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
@@ -76,6 +79,7 @@
 	return host[:colon]
 }
 
+// match returns the route with the longest prefix of the path; nil: there is none.
 func (r *hostRoutes) match(path string) *Route {
 	var best *Route
 	slashes := 0
@@ -94,7 +98,7 @@
 	return best
 }
 
-// newHostRoutes makes the table of one host.
+// newHostRoutes builds the table of one host.
 func newHostRoutes(routes []*Route) *hostRoutes {
 	table := &hostRoutes{byPrefix: make(map[string]*Route, len(routes))}
 	for _, route := range routes {
--- a/internal/node/config/routes_test.go
+++ b/internal/node/config/routes_test.go
@@ -10,7 +10,7 @@
 	"kestrelspread/internal/node/config"
 )
 
-// routeTable compiles routes given as "host prefix"; a route is named as it is given.
+// routeTable compiles routes given as "host prefix", which also is the name of each.
 func routeTable(t testing.TB, hostsAndPrefixes ...string) *config.RouteTable {
 	t.Helper()
 	var routes []string
@@ -23,7 +23,7 @@
 	return r.Compile().Routes
 }
 
-// Source: PROTOCOL.md, "Requests".
+// TestMatchFindsLongestPrefix. Source: PROTOCOL.md, "Requests".
 func TestMatchFindsLongestPrefix(t *testing.T) {
 	routes := routeTable(t, "a.example /", "a.example /p/", "a.example /p/q/", "a.example /p/q/r/s/", "b.example /p/",
 		"Upper.Example /x/", "port.example:8080 /x/", "[2001:db8::1] /x/", "odd.example //", "odd.example /a%2Fb/", "deep.example /1/2/3/4/5/")
--- a/internal/node/config/rules.go
+++ b/internal/node/config/rules.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// The rules that a configuration has to keep beside the form of its items.
-// Source: PROTOCOL.md, "The operator's API" and "Requests".
+// The rules between the items of a configuration, and those of an item that the schema can't
+// express. They are checked at the head of the chain only. Source: PROTOCOL.md, "The operator's
+// API" and "Requests".
 
 // Steps to the fields that break rules.
 var (
@@ -15,7 +16,8 @@
 	splitStep   = pathStep{name: "trafficSplit"}
 )
 
-// checkRules returns the first breach of a rule in next. Only what differs from previous is looked at.
+// checkRules returns an error of type ErrInvalid about the first rule that next violates. Only what
+// differs from previous is checked, as previous was checked before it was taken.
 func checkRules(next, previous *document, changes *changes) error {
 	for _, changed := range changes.routes {
 		if err := checkRoute(changed.path, changed.value); err != nil {
@@ -38,7 +40,7 @@
 	return nil
 }
 
-// checkRoute checks what a route says by itself.
+// checkRoute checks a route by itself.
 func checkRoute(path ItemPath, route *Route) error {
 	switch {
 	case route.Host == "":
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// checkRouteTargets checks that every service that a route names is there.
+// checkRouteTargets checks that every service that a route names exists.
 func checkRouteTargets(next *document) error {
 	for _, item := range next.routes.list() {
 		route := item.value
@@ -89,10 +91,10 @@
 
 // checkRoutesDistinct checks that no two routes have the same host and prefix.
 func checkRoutesDistinct(routes *section[Route]) error {
-	type place struct{ host, prefix string }
-	seen := make(map[place]*item[Route], len(routes.list()))
+	type hostAndPrefix struct{ host, prefix string }
+	seen := make(map[hostAndPrefix]*item[Route], len(routes.list()))
 	for _, item := range routes.list() {
-		key := place{host: lowerHost(item.value.Host), prefix: item.value.PathPrefix}
+		key := hostAndPrefix{host: lowerHost(item.value.Host), prefix: item.value.PathPrefix}
 		if first, duplicate := seen[key]; duplicate {
 			return invalid(routePath(item, prefixStep), "has host and prefix of %s", routePath(first))
 		}
@@ -121,7 +123,7 @@
 	return fieldPath(namedPath(routeSpec.key, item.name), steps...)
 }
 
-// namedPath is the path of an item by its name, for items that the change itself may not hold.
+// namedPath is the path of an item by its name, for items that the change itself may not contain.
 func namedPath(section, name string) ItemPath {
 	return ItemPath{List: fmt.Sprintf("%s[%q]", section, name), Index: notListed}
 }
--- a/internal/node/config/schema/expression.go
+++ b/internal/node/config/schema/expression.go
@@ -9,8 +9,9 @@
 	"kestrelspread/internal/node/config/rawjson"
 )
 
-// expressionOf is a JSON value as a CUE expression. Members that are null are left out, as a null stands for a field
-// left out. cuelang.org/go/encoding/json does the same by way of CUE's parser, at several times the price.
+// expressionOf converts a compact JSON value to a CUE expression. Members that are null are left
+// out, as null stands for a missing field. Package cuelang.org/go/encoding/json does the same by
+// CUE's parser, in several times the time.
 func expressionOf(value []byte) ast.Expr {
 	switch {
 	case rawjson.IsObject(value):
@@ -28,6 +29,7 @@
 	}
 }
 
+// structOf converts an object.
 func structOf(object []byte) ast.Expr {
 	expression := new(ast.StructLit)
 	_ = rawjson.EachMember(object, func(name, value []byte) error {
@@ -40,6 +42,7 @@
 	return expression
 }
 
+// listOf converts an array.
 func listOf(array []byte) ast.Expr {
 	expression := new(ast.ListLit)
 	_ = rawjson.EachElement(array, func(_ int, value []byte) error {
@@ -49,6 +52,7 @@
 	return expression
 }
 
+// numberOf converts a number. CUE has no negative literals.
 func numberOf(text []byte) ast.Expr {
 	if text[0] == '-' {
 		return &ast.UnaryExpr{Op: token.SUB, X: numberOf(text[1:])}
--- a/internal/node/config/schema/schema.go
+++ b/internal/node/config/schema/schema.go
@@ -1,9 +1,10 @@
-// Package schema checks the items of a configuration against a CUE schema. Nodes that never check a configuration do not
-// pay for CUE: the schema is compiled at the first check.
+// Package schema checks single items of a configuration against the CUE schema in schema.cue. The
+// rules between items are not its matter: package config checks them.
 //
-// An item is checked member by member, each against the constraint that its definition has for it, and values that were
-// found proper are remembered: most routes of a configuration agree in all but name, host and prefix. This asks of the
-// schema that no constraint refers to another member of the item.
+// Invariants: nodes that never check a configuration do not pay for CUE, as the schema is compiled
+// at the first check. An item is checked member by member, each against its constraint, and valid
+// values are remembered, as most routes of a configuration agree in all but name, host and prefix.
+// So no constraint of the schema may refer to another member of the item.
 package schema
 
 import (
@@ -24,7 +25,7 @@
 //go:embed schema.cue
 var schemaSource string
 
-// definitionNames names the definition of each kind of item in schema.cue.
+// definitionNames are the names of the kinds of items in schema.cue.
 var definitionNames = map[config.ItemKind]string{
 	config.RouteItem:   "#Route",
 	config.ServiceItem: "#Service",
@@ -32,32 +33,33 @@
 	config.LimitsItem:  "#Limits",
 }
 
-// Bounds of what is remembered as proper.
+// Bounds of what is remembered as valid, for each kind of item.
 const (
 	maxValidValues      = 4096
 	maxValidValueLength = 160 // of a value, in bytes
 )
 
-// Checker implements config.Checker. It belongs to one goroutine.
+// Checker implements config.Checker. It is not safe for concurrent use.
 type Checker struct {
 	context     *cue.Context // nil before the first check
 	definitions map[config.ItemKind]*definition
 }
 
-// definition is what the schema says of one kind of item.
+// definition is the schema of one kind of item.
 type definition struct {
-	constraints  map[string]cue.Value
+	constraints  map[string]cue.Value // by member
 	required     []string
 	validMembers map[validMember]struct{}
 }
 
-// validMember is a member that keeps its constraint.
+// validMember is a member whose value was found valid.
 type validMember struct{ name, value string }
 
-// NewChecker is a checker that has compiled nothing yet.
+// NewChecker returns a checker that has compiled nothing yet.
 func NewChecker() *Checker { return &Checker{} }
 
-// CheckItems returns an error of type config.ErrInvalid for the first item that breaks the schema.
+// CheckItems returns an error of type config.ErrInvalid about the first item that violates the
+// schema.
 func (c *Checker) CheckItems(items []config.SchemaItem) error {
 	if err := c.compile(); err != nil {
 		return err
@@ -70,6 +72,7 @@
 	return nil
 }
 
+// compile compiles the schema at the first check.
 func (c *Checker) compile() error {
 	if c.context != nil {
 		return nil
@@ -104,6 +107,7 @@
 	return definition, nil
 }
 
+// checkItem checks one item. A member that is null counts as missing.
 func (c *Checker) checkItem(item config.SchemaItem) error {
 	definition := c.definitions[item.Kind]
 	if rawjson.IsNull(item.JSON) {
@@ -128,7 +132,8 @@
 	})
 }
 
-// checkMember evaluates the value of a member together with its constraint.
+// checkMember unifies the value of a member with its constraint, unless the value is remembered as
+// valid. Members that the schema does not name are valid.
 func (c *Checker) checkMember(definition *definition, name, value []byte) error {
 	constraint, constrained := definition.constraints[string(name)]
 	if !constrained {
@@ -145,6 +150,8 @@
 	return nil
 }
 
+// rememberValid remembers a valid value if it is short. It forgets all of them when there are too
+// many.
 func (d *definition) rememberValid(name, value []byte) {
 	if len(value) > maxValidValueLength {
 		return
@@ -155,7 +162,7 @@
 	d.validMembers[validMember{string(name), string(value)}] = struct{}{}
 }
 
-// describeError gives the first of the errors that CUE found in a member, with its path within the item.
+// describeError describes the first of CUE's errors in a member, with its path within the item.
 func describeError(member string, err error) string {
 	cueErrors := errors.Errors(err)
 	if len(cueErrors) == 0 {
@@ -165,7 +172,7 @@
 	return member + pathBelow(member, cueErrors[0].Path()) + ": " + fmt.Sprintf(format, arguments...)
 }
 
-// pathBelow is what follows the member in a path of CUE, as "[1].weight".
+// pathBelow returns what follows the member in a path of CUE, as "[1].weight".
 func pathBelow(member string, path []string) string {
 	start := slices.Index(path, member) + 1
 	var below strings.Builder
--- a/internal/node/config/schema/schema_test.go
+++ b/internal/node/config/schema/schema_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// More values than are remembered.
+// TestMoreValuesThanAreRemembered checks more different values than maxValidValues.
 func TestMoreValuesThanAreRemembered(t *testing.T) {
 	checker := schema.NewChecker()
 	for i := range 5000 {
@@ -91,7 +91,8 @@
 	}
 }
 
-// BenchmarkCheckItems checks the routes of a first configuration, the compilation of the schema included.
+// BenchmarkCheckItems checks the routes of a first configuration, the compilation of the schema
+// included.
 func BenchmarkCheckItems(b *testing.B) {
 	const routes = 700
 	items := make([]config.SchemaItem, routes)
--- a/internal/node/config/section.go
+++ b/internal/node/config/section.go
@@ -7,20 +7,22 @@
 	"kestrelspread/internal/node/config/rawjson"
 )
 
-// item is one named entry of a section. Immutable, shared by all versions that hold it.
+// item is one named element of a section. It is immutable, and shared by all versions that contain
+// it.
 type item[T any] struct {
 	name  string
 	raw   []byte // compact JSON, as sent
 	value *T
 }
 
-// section is one list of named items, in order. Immutable. A nil section is one that the configuration does not have.
+// section is a list of items with different names, in order. It is immutable. A nil section is one
+// that the configuration does not have.
 type section[T any] struct {
 	items     []*item[T]
 	positions map[string]int // in items, by name
 }
 
-// sectionSpec is what tells the sections apart.
+// sectionSpec describes one of the sections.
 type sectionSpec[T any] struct {
 	key    string // name of the list in a configuration
 	kind   ItemKind
@@ -58,8 +60,8 @@
 	return &section[T]{items: items, positions: positions}
 }
 
-// parse reads a list of items. Those that stand in previous as they are, are taken from there; the others are noted
-// in changes.
+// parse reads a list of items. Those that previous has unchanged are shared with it; the others are
+// recorded in changes.
 func (f *sectionSpec[T]) parse(path string, array []byte, previous *section[T], changes *changes) (*section[T], error) {
 	if !rawjson.IsArray(array) {
 		return nil, invalid(path, "must be a list")
@@ -92,7 +94,7 @@
 	if known := previous.byName(name); known != nil && bytes.Equal(known.raw, object) {
 		return known, nil
 	}
-	raw := bytes.Clone(object) // the rest of the body is not to be kept for it
+	raw := bytes.Clone(object) // so that the item does not keep the body alive
 	value, err := f.decode(path, raw)
 	if err != nil {
 		return nil, err
@@ -103,7 +105,7 @@
 
 var nameStep = pathStep{name: "name"}
 
-// itemName is the name of an item, which none may lack.
+// itemName returns the name of an item. It must be a string that is not empty.
 func itemName(path ItemPath, object []byte) (string, error) {
 	if !rawjson.IsObject(object) {
 		return "", invalid(path.String(), "must be an object")
@@ -119,8 +121,8 @@
 	return name, nil
 }
 
-// withUpdates is the section without the items in remove and with those in upsert, each in the place of the item with its
-// name, else at the end.
+// withUpdates returns the section without the items named in remove and with those in upsert: each
+// replaces the item with its name, or is appended. It returns s itself where both are empty.
 func (s *section[T]) withUpdates(upsert []*item[T], remove []string) *section[T] {
 	if len(upsert) == 0 && len(remove) == 0 {
 		return s
@@ -151,7 +153,7 @@
 	return slices.DeleteFunc(items, func(item *item[T]) bool { return removed[item.name] })
 }
 
-// positionsOf gives the positions of items, which are those of s but for removed ones.
+// positionsOf returns the positions of items, which are those of s without the removed ones.
 func positionsOf[T any](s *section[T], items []*item[T]) map[string]int {
 	if s != nil && len(items) == len(s.items) {
 		return s.positions
--- a/internal/node/config/snapshot.go
+++ b/internal/node/config/snapshot.go
@@ -8,13 +8,14 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// A snapshot is snapshotMagic, fields in the wire format of protocol buffers, and a CRC-32C of all before it. A reader
-// skips fields that it does not know.
+// A snapshot is snapshotMagic, fields in the wire format of protocol buffers, and a CRC-32C of
+// everything before it. A reader skips unknown fields. Snapshots are stored on disk and sent
+// between nodes: field numbers never change.
 const (
-	snapshotMagic = "KSC1" // the last byte is the version of the form
+	snapshotMagic = "KSC1" // the last byte is the version of the format
 	checksumBytes = 4
 
-	// MaxSnapshotBytes bounds a snapshot that is read.
+	// MaxSnapshotBytes bounds the snapshots that are read.
 	MaxSnapshotBytes = MaxBodyBytes + 4<<20
 )
 
@@ -26,18 +27,18 @@
 	fieldModelVersion protowire.Number = 4
 	fieldGrant        protowire.Number = 5
 	fieldDrain        protowire.Number = 6
-	firstNested       protowire.Number = 1 // fields of the messages within, by their order
+	firstNested       protowire.Number = 1 // fields of nested messages, numbered in order
 
-	fieldGrantTarget    protowire.Number = 5 // within fieldDuty, repeated
-	fieldGrantInherited protowire.Number = 6 // the same
+	fieldGrantTarget    protowire.Number = 5 // in a fieldGrant, repeated: claimed instances
+	fieldGrantInherited protowire.Number = 6 // in a fieldGrant, repeated: claims inherited from a previous holder
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Snapshot is the whole state; equal states have equal snapshots.
+// Snapshot encodes the full state; equal states have equal snapshots.
 func (s *State) Snapshot() []byte {
-	const perTaken = 40 // bytes, with room
-	size := len(snapshotMagic) + s.document.renderedSize() + perTaken*len(s.takenChanges.ring) + 1024
+	const takenBytes = 40 // of an encoded takenChange, about
+	size := len(snapshotMagic) + s.document.renderedSize() + takenBytes*len(s.takenChanges.ring) + 1024
 	text := append(make([]byte, 0, size), snapshotMagic...)
 	text = appendNumber(text, fieldIndex, s.index)
 	if s.document != emptyDocument {
@@ -73,7 +74,8 @@
 	return encodeFields(string(change.digest[:]), change.version, change.index)
 }
 
-// encodeFields encodes values as the fields 1, 2 and so on.
+// encodeFields encodes values of type string, uint64 and bool as the fields 1, 2 and so on. Zero
+// values are encoded too.
 func encodeFields(values ...any) []byte {
 	var text []byte
 	for i, value := range values {
@@ -98,14 +100,15 @@
 	return protowire.AppendBytes(protowire.AppendTag(text, field, protowire.BytesType), value)
 }
 
-// field is one field of the wire format: a number or bytes.
+// field is one field of the wire format: a varint or bytes.
 type field struct {
 	number protowire.Number
 	value  uint64
 	bytes  []byte
 }
 
-// eachField visits the numbers and byte fields of text.
+// eachField visits the fields of text, until visit fails. Fields of types other than varint and
+// bytes have no value.
 func eachField(text []byte, visit func(field) error) error {
 	for len(text) > 0 {
 		number, wireType, length := protowire.ConsumeTag(text)
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// openSnapshot checks size, form and checksum of a snapshot and returns its fields.
+// openSnapshot checks size, format and checksum of a snapshot, and returns its encoded fields.
 func openSnapshot(snapshot []byte) ([]byte, error) {
 	if len(snapshot) > MaxSnapshotBytes {
 		return nil, ErrSnapshot.New("longer than %d bytes", MaxSnapshotBytes)
@@ -149,7 +152,8 @@
 	return snapshot[len(snapshotMagic):end], nil
 }
 
-// FetchFromSnapshot is what Fetch returns of the state that a snapshot holds.
+// FetchFromSnapshot returns what State.Fetch would after the snapshot was restored, without
+// decoding the rest. Errors are of type ErrSnapshot.
 func FetchFromSnapshot(snapshot []byte) ([]byte, error) {
 	text, err := openSnapshot(snapshot)
 	if err != nil {
--- a/internal/node/config/snapshot_test.go
+++ b/internal/node/config/snapshot_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/config"
 )
 
-// replicaWithAllParts is a replica with something in every part of the state.
+// replicaWithAllParts returns a replica with something in every part of the state.
 func replicaWithAllParts(t testing.TB) *replica {
 	t.Helper()
 	r := configured(t)
@@ -71,7 +71,7 @@
 		assert.Assert(t, errorx.IsOfType(err, config.ErrSnapshot), append([]any{what}, arguments...)...)
 	}
 	for length := range good {
-		check(good[:length], "cut after %d bytes", length)
+		check(good[:length], "truncated after %d bytes", length)
 	}
 	for position := range good {
 		damaged := append([]byte(nil), good...)
--- a/internal/node/config/state_test.go
+++ b/internal/node/config/state_test.go
@@ -14,14 +14,15 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Short names for the codes of answers.
+// Short names for the codes of results.
 const (
 	taken    = nodepb.ResultCode_TAKEN
 	conflict = nodepb.ResultCode_CONFLICT
 	invalid  = nodepb.ResultCode_INVALID
 )
 
-// replica is a state with what the chain does to a command: its head checks it, and it becomes the next entry.
+// replica is a state that treats a command as the chain does: checks it, and applies it as the next
+// entry.
 type replica struct {
 	*config.State
 	t testing.TB
@@ -31,7 +32,7 @@
 	return &replica{State: config.NewState(schema.NewChecker()), t: t}
 }
 
-// take gives the answer to a command.
+// take returns the result of a command.
 func (r *replica) take(command *nodepb.Command) *nodepb.CommandResult {
 	r.t.Helper()
 	result, entryNeeded := r.Check(command)
@@ -46,14 +47,14 @@
 	return r.Apply(&nodepb.Entry{Index: r.Index() + 1, Command: command})
 }
 
-// mustTake fails the test where a command is not taken.
+// mustTake fails the test if a command is not taken.
 func (r *replica) mustTake(command *nodepb.Command) {
 	r.t.Helper()
 	result := r.take(command)
 	assert.Equal(r.t, result.GetCode(), taken, result.GetText())
 }
 
-// fetched is the configuration read back, decoded.
+// fetched returns the fetched configuration, decoded.
 func (r *replica) fetched() map[string]any {
 	r.t.Helper()
 	return decoded(r.t, string(r.Fetch()))
@@ -99,7 +100,7 @@
 	firstVersion = 7
 )
 
-// body puts a whole configuration together.
+// body returns a full configuration.
 func body(version int, routes, services, tenants string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[%s],"limits":%s,"tenants":[%s]}`,
 		version, routes, services, limits, tenants)
@@ -109,7 +110,7 @@
 	return body(firstVersion, routeOne+","+routeTwo, serviceOne+","+serviceTwo+","+store, tenantOne+","+tenantTwo)
 }
 
-// configured is a replica that has taken the first configuration.
+// configured returns a replica that has taken the first configuration.
 func configured(t testing.TB) *replica {
 	t.Helper()
 	r := newReplica(t)
--- a/internal/node/config/stored_golden_test.go
+++ b/internal/node/config/stored_golden_test.go
@@ -40,7 +40,8 @@
 	goldenTenant = `{"name":"t-1","apiKeys":["key-1","key-2"],"priority":1,"isolated":true}`
 )
 
-// goldenCommands are commands of every kind by the field numbers of the schema: taken, repeated, in conflict and invalid.
+// goldenCommands are commands of every kind by the field numbers of the schema: taken, repeated, in
+// conflict and invalid.
 func goldenCommands() [][]byte {
 	replacement := goldenConfigCommand(1, 0, 3, goldenReplacement)
 	return [][]byte{
@@ -77,7 +78,8 @@
 	return wireText(field, string(bytes.Join(parts, nil)))
 }
 
-// applyGolden applies the commands in turn and returns the answers, a line each: of the check, then of the entry.
+// applyGolden applies the commands in turn and returns the answers, a line each: of the check, then
+// of the entry.
 func applyGolden(t *testing.T, state *config.State) string {
 	t.Helper()
 	var answers strings.Builder
@@ -105,8 +107,8 @@
 	return "[" + hex.EncodeToString(encoded) + "]"
 }
 
-// TestStoredStateKeepsItsBytes freezes the snapshot with its digests, the configuration as it is handed out, and the
-// answers to commands.
+// TestStoredStateKeepsItsBytes freezes the snapshot with its digests, the configuration as it is
+// handed out, and the answers to commands.
 func TestStoredStateKeepsItsBytes(t *testing.T) {
 	state := config.NewState(nil)
 	golden.Assert(t, applyGolden(t, state), goldenAnswers)
--- a/internal/node/config/takenchanges.go
+++ b/internal/node/config/takenchanges.go
@@ -5,23 +5,25 @@
 	"encoding/binary"
 )
 
-// maxTakenChanges bounds how many changes are remembered as taken.
+// maxTakenChanges bounds how many taken changes are remembered. It is part of what replicas decide
+// alike.
 const maxTakenChanges = 4096
 
-// changeDigest tells changes of the configuration apart.
+// changeDigest identifies a change of the configuration by its content, see digestOf.
 type changeDigest [16]byte
 
-// takenChange is one change that was taken.
+// takenChange is a change of the configuration that was taken.
 type takenChange struct {
 	digest  changeDigest
-	version uint64
+	version uint64 // that it led to
 	index   uint64 // of its entry
 }
 
-// takenChanges are the newest changes taken, so that one that comes again is known.
+// takenChanges are the newest taken changes: a change that is sent again is recognised by its
+// digest and acknowledged without an effect.
 type takenChanges struct {
-	ring          []takenChange // a ring once it is full
-	oldestIndex   int           // in inOrder
+	ring          []takenChange // in order; written around once it is full
+	oldestIndex   int           // in ring
 	indexByDigest map[changeDigest]int
 }
 
@@ -49,14 +51,15 @@
 	t.oldestIndex = (t.oldestIndex + 1) % len(t.ring)
 }
 
-// each visits the changes, oldest first.
+// each visits the changes, the oldest first.
 func (t *takenChanges) each(visit func(takenChange)) {
 	for i := range t.ring {
 		visit(t.ring[(t.oldestIndex+i)%len(t.ring)])
 	}
 }
 
-// digestOf is the digest of a change whose compact body is given.
+// digestOf returns the first half of the SHA-256 of kind, base version and compact body of a
+// change. Digests are stored: the calculation never changes.
 func digestOf(replace bool, base uint64, body []byte) changeDigest {
 	var header [9]byte
 	if replace {
--- a/internal/node/config/update.go
+++ b/internal/node/config/update.go
@@ -7,8 +7,8 @@
 	"kestrelspread/internal/node/config/rawjson"
 )
 
-// parseUpdate reads an update and carries it out on a copy of previous. Named items are removed first, then added or
-// replaced in place. Source: PROTOCOL.md, "The operator's API".
+// parseUpdate reads an update and carries it out on a copy of previous. Items are removed first,
+// then replaced or appended. Source: PROTOCOL.md, "The operator's API".
 func parseUpdate(body []byte, previous *document) (*document, *changes, error) {
 	if !rawjson.IsObject(body) {
 		return nil, nil, invalid("body", "must be an object")
@@ -28,7 +28,8 @@
 	return &next, changes, nil
 }
 
-// setTopMembers takes the members of an update beside upsert and remove.
+// setTopMembers sets the version and the members that are not sections, and checks that the rest
+// has the form of an update.
 func (d *document) setTopMembers(body []byte, previous *document, changes *changes) error {
 	return rawjson.EachMember(body, func(rawName, value []byte) (err error) {
 		switch name := string(rawName); name {
@@ -47,7 +48,7 @@
 	})
 }
 
-// updateSections carries out upsert and remove.
+// updateSections carries out the lists under upsert and remove.
 func (d *document) updateSections(body []byte, changes *changes) error {
 	upsert, remove := parseItemLists(body, upsertMember), parseItemLists(body, removeMember)
 	var err error
@@ -63,7 +64,7 @@
 	return d.updateOtherMembers(upsert, remove, changes)
 }
 
-// itemLists are the lists under upsert or remove, by section.
+// itemLists are the members of upsert or remove: lists of items or of names, by section.
 type itemLists []member
 
 func parseItemLists(body []byte, name string) itemLists {
@@ -79,6 +80,7 @@
 	return lists
 }
 
+// named returns the list of a section; nil: there is none. Of two with one name, the last counts.
 func (l itemLists) named(name string) []byte {
 	for i := len(l) - 1; i >= 0; i-- {
 		if l[i].name == name && !rawjson.IsNull(l[i].raw) {
@@ -123,12 +125,14 @@
 	return names, err
 }
 
-// unknownSpec is that of items in lists without a meaning here: they are named, and kept as sent.
+// unknownSpec describes a list that has no meaning here: its items have names, and are kept as
+// sent.
 func unknownSpec(key string) *sectionSpec[struct{}] {
 	return &sectionSpec[struct{}]{key: key, kind: UnknownItem, decode: func(ItemPath, []byte) (*struct{}, error) { return nil, nil }}
 }
 
-// updateOtherMembers carries out what upsert and remove say of members without a meaning here.
+// updateOtherMembers carries out the members of upsert and remove that are not sections, in the
+// order of their first mention.
 func (d *document) updateOtherMembers(upsert, remove itemLists, changes *changes) error {
 	var keys []string
 	for _, list := range slices.Concat(upsert, remove) {
@@ -148,6 +152,8 @@
 	return nil
 }
 
+// updateOtherMember carries out one of them: lists are updated by item, anything else replaces the
+// member.
 func (d *document) updateOtherMember(key string, upsert, remove itemLists, changes *changes) error {
 	replacement := upsert.named(key)
 	switch {
@@ -175,7 +181,7 @@
 	return raw != nil && rawjson.IsArray(raw)
 }
 
-// otherSection reads a list that has no meaning here; nil where there is none.
+// otherSection reads a list that has no meaning here; nil: there is none.
 func (d *document) otherSection(spec *sectionSpec[struct{}]) (*section[struct{}], error) {
 	if !d.hasList(spec.key) {
 		return nil, nil
@@ -183,6 +189,7 @@
 	return spec.parse(spec.key, d.otherMember(spec.key), nil, new(changes))
 }
 
+// renderList renders a section as a JSON list.
 func renderList[T any](section *section[T]) []byte {
 	raws := make([][]byte, 0, len(section.items))
 	for _, item := range section.items {
--- a/internal/node/config/update_test.go
+++ b/internal/node/config/update_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// names are the names of a section of the configuration read back, in order.
+// names returns the names of a section of the fetched configuration, in order.
 func names(t *testing.T, r *replica, section string) []string {
 	t.Helper()
 	var list []string
--- a/internal/rig/faultrun/planted_test.go
+++ b/internal/rig/faultrun/planted_test.go
@@ -54,11 +54,11 @@
 		old: "len(d.relays) == 0 ||", new: "true ||", test: "chain TestEvenCutGoesOnByRelays"},
 
 	{point: 2, name: "changes taken are not remembered", file: "config/change.go",
-		old: "	s.takenChanges.add(takenChange{digest: digest, version: s.document.version, index: s.index})\n", new: ""},
+		old: "	s.takenChanges.add(takenChange{digest: change.digest, version: s.document.version, index: s.index})\n", new: ""},
 	{point: 2, name: "changes taken are not in snapshots", file: "config/snapshot.go",
 		old: "		text = appendBytes(text, fieldTaken, encodeTaken(change))\n", new: "		_ = change\n"},
 	{point: 2, name: "the version that a change builds on is not looked at", file: "config/change.go",
-		old: "change.GetBaseVersion() != s.document.version", new: "change.GetBaseVersion() > s.document.version+1000"},
+		old: "request.GetBaseVersion() != s.document.version", new: "request.GetBaseVersion() > s.document.version+1000"},
 	{point: 2, name: "a new head answers before what it inherited is committed", file: "chain/head.go",
 		old: "	s.inherited = s.pending != nil\n", new: "	s.inherited = false\n"},
 	{point: 2, name: "a member takes an entry in the place of the committed one", file: "chain/replica.go",
