--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -125,12 +125,12 @@
 	}
 	n.distribution = distribution.New(now, distribution.Options{
 		SelfID: self.NodeId, SelfAddress: self.Address, Zone: self.Zone,
-		Counts: self.CountsForQuorum, State: n.state, Seeds: options.Seeds,
+		CountsForQuorum: self.CountsForQuorum, State: n.state, Seeds: options.Seeds,
 		ConfirmationAge: confirmationAge(options.Bounds),
 	}, random)
 	n.registry = registry.New(now, registry.Options{
 		SelfID: self.NodeId, SelfAddress: self.Address, ControlAddress: self.ControlAddress, Zone: self.Zone,
-		Heartbeat: options.HeartbeatInterval,
+		HeartbeatInterval: options.HeartbeatInterval,
 	}, random)
 	n.rollout = rollout.New(rollout.Options{
 		Lease: options.Bounds.Lease, ThawGrace: options.Bounds.Thaw, VersionBound: options.Bounds.Version,
@@ -147,9 +147,9 @@
 // everywhere in time does service depend on fresh ones.
 func confirmationAge(bounds Bounds) time.Duration {
 	if bounds.GlobalRevocation {
-		return distribution.ConfirmationForRevocation
+		return distribution.ConfirmationAgeForRevocation
 	}
-	return distribution.ConfirmationForChanges
+	return distribution.ConfirmationAgeForChanges
 }
 
 // AttachStore makes this node a member of the core once its disk has proved that it takes writes.
