--- /dev/null
+++ b/internal/node/routing/decisions_golden_test.go
@@ -0,0 +1,338 @@
+package routing
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/config"
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/verdict"
+)
+
+// The golden file holds one line per seed and set of disabled mechanisms: how many decisions were traced, and the SHA-256 of
+// the trace. A trace has every decision to the digit, so a changed line means that routing behaves differently. The digits are
+// those of amd64; where the compiler fuses multiplications and additions, they may differ.
+
+var updateDecisions = flag.Bool("update-decisions", false, "write testdata/golden/decisions.txt anew")
+
+// goldenSteps is how many random calls a trace has.
+const goldenSteps = 2500
+
+// gapRoute is a route with a target for the pauses between events.
+var gapRoute = &config.Route{Name: "gap", Kind: config.KindStreaming, TimeoutMs: 4000, TargetLatencyMs: 300, GapTargetMs: 120,
+	MaxAttempts: 2, Sticky: true}
+
+func TestDecisionsMatchGoldenTraces(t *testing.T) {
+	var lines []string
+	for _, seed := range []uint64{1, 2, 3, 4} {
+		lines = append(lines, traceRandomCalls(t, seed, 0, "none"))
+	}
+	for _, info := range Mechanisms() {
+		lines = append(lines, traceRandomCalls(t, 4, info.Mechanism, info.Name))
+	}
+	lines = append(lines, traceSimulation(t, 0, "none"), traceEngines(t, 0, "none"), traceEngines(t, RecentReads|KVStore, "recent-reads,store"))
+	got := strings.Join(lines, "\n") + "\n"
+	path := filepath.Join("testdata", "golden", "decisions.txt")
+	if *updateDecisions {
+		assert.NilError(t, os.WriteFile(path, []byte(got), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	assert.NilError(t, err)
+	assert.Equal(t, got, string(want))
+}
+
+// decisionTrace hashes what a router decides. Values are written without field names, so that a rename changes no line.
+type decisionTrace struct {
+	hash      hash.Hash
+	decisions int
+}
+
+func newDecisionTrace() *decisionTrace { return &decisionTrace{hash: sha256.New()} }
+
+func (tr *decisionTrace) add(now core.Time, d Decision) {
+	tr.decisions++
+	fmt.Fprintf(tr.hash, "%d", now)
+	if a := d.Attempt; a != nil {
+		fmt.Fprintf(tr.hash, " attempt %d %d %s %d %q %q %q %d %d %v", a.Request, a.Number, a.Instance.ID, a.ExpectVersion, a.Salt,
+			a.FetchFrom, a.SaveTo, a.Priority, a.CopyAt, a.ByPrediction)
+		if a.Sent != nil {
+			fmt.Fprintf(tr.hash, " sent %v", *a.Sent)
+		}
+	}
+	if d.Refusal != nil {
+		fmt.Fprintf(tr.hash, " refusal %v", *d.Refusal)
+	}
+	if d.StepSeen != nil {
+		fmt.Fprintf(tr.hash, " step %v", *d.StepSeen)
+	}
+	fmt.Fprintln(tr.hash)
+}
+
+func (tr *decisionTrace) end(router *Router) {
+	fmt.Fprintf(tr.hash, "%v %v %d\n", router.Counters(), router.Late(), router.Holding())
+}
+
+func (tr *decisionTrace) line(name string) string {
+	return fmt.Sprintf("%s: %d decisions %s", name, tr.decisions, hex.EncodeToString(tr.hash.Sum(nil)))
+}
+
+// randomCalls drives one router through its whole interface with calls drawn from a seed.
+type randomCalls struct {
+	*world
+	trace    *decisionTrace
+	chance   *rand.Rand
+	list     []*registry.Instance
+	versions map[string]uint64
+	open     []*openRequest
+}
+
+type openRequest struct {
+	id       RequestID
+	attempts []*Attempt
+	ended    map[int]bool
+}
+
+func traceRandomCalls(t *testing.T, seed uint64, disabled Mechanism, name string) string {
+	t.Helper()
+	c := &randomCalls{trace: newDecisionTrace(), chance: rand.New(rand.NewPCG(seed, 17)), list: instances(7),
+		versions: map[string]uint64{}}
+	router := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second,
+		VersionGrace: 8 * time.Second, VersionAll: 30 * time.Second, Contact: 2 * time.Second, Heartbeat: 500 * time.Millisecond,
+		Random: rand.New(rand.NewPCG(seed, 9)), Index: &randomIndex{chance: c.chance, list: c.list}, Disabled: disabled})
+	c.world = &world{t: t, now: 2 * time.Second, Router: router}
+	c.SetPeers(0, 3)
+	c.SetConfig(0, c.config())
+	c.SetTable(0, tableOf(c.list...))
+	for range goldenSteps {
+		c.now += core.Time(c.chance.ExpFloat64() * float64(12*ms))
+		c.step()
+	}
+	c.trace.end(router)
+	return c.trace.line(fmt.Sprintf("calls seed %d without %s", seed, name))
+}
+
+func (c *randomCalls) config() *config.Compiled {
+	compiled := threeStores()
+	engine := compiled.Services[service].Engine
+	engine.LinkMbps, engine.KVTokenBytes, engine.KVCapacityTokens = 1e5, 2e5, 9000
+	for i, store := range compiled.Stores {
+		store.LinkMbps = 4e4 * float64(i)
+	}
+	for name, version := range c.versions {
+		if compiled.ModelVersions == nil {
+			compiled.ModelVersions = map[string]uint64{}
+		}
+		compiled.ModelVersions[name] = version
+	}
+	compiled.Tenants = map[string]*config.Tenant{"t0": {Name: "t0", Isolated: true}}
+	return compiled
+}
+
+func (c *randomCalls) step() {
+	switch n := c.chance.IntN(100); {
+	case n < 38:
+		c.receive()
+	case n < 90 && len(c.open) > 0:
+		c.proceed(c.chance.IntN(len(c.open)))
+	case n < 92:
+		c.PeerSent(c.now, Sent{Instance: c.some().ID, Salt: 7, Parts: []PromptPart{{ID: 3, Tokens: 900}}, Unread: c.chance.IntN(6000)})
+	case n < 94:
+		c.PeerStep(StepSeen{Instance: c.some().ID, Pause: core.Time(8+c.chance.IntN(20)) * ms})
+	case n < 95:
+		c.ObserveLoad(c.now, c.some().ID, *c.load())
+	case n < 96:
+		c.StoreSeen(c.now, fmt.Sprintf("10.9.0.%d:9000", c.chance.IntN(3)), c.chance.IntN(4) > 0, false)
+	case n < 99:
+		c.changeTable()
+	default:
+		c.disturb()
+	}
+}
+
+func (c *randomCalls) some() *registry.Instance { return c.list[c.chance.IntN(len(c.list))] }
+
+func (c *randomCalls) load() *Load {
+	return &Load{Running: c.chance.IntN(70), Waiting: max(c.chance.IntN(12)-6, 0), Slots: 64}
+}
+
+func (c *randomCalls) receive() {
+	q := c.request([]*config.Route{safeRoute, onceRoute, flowRoute, againRoute, gapRoute}[c.chance.IntN(5)])
+	if c.chance.IntN(3) > 0 {
+		q = c.prompt(q.Route, uint64(10+c.chance.IntN(30)))
+		q.Parts[1].Tokens = 100 + c.chance.IntN(2500)
+		q.TokensIn = sumTokens(q.Parts) + c.chance.IntN(500)
+	}
+	q.TokensOut = c.chance.IntN(6000)
+	q.Urgency = c.chance.IntN(4)
+	q.Deadline = c.now + core.Time(5+c.chance.IntN(4000))*ms
+	if c.chance.IntN(2) == 0 {
+		q.Tenant = &config.Tenant{Name: fmt.Sprintf("t%d", c.chance.IntN(3))}
+	}
+	id, d := c.Begin(c.now, q)
+	c.trace.add(c.now, d)
+	open := &openRequest{id: id, ended: map[int]bool{}}
+	c.open = append(c.open, open)
+	c.sent(open, d)
+}
+
+func (c *randomCalls) sent(open *openRequest, d Decision) {
+	if d.Attempt != nil {
+		open.attempts = append(open.attempts, d.Attempt)
+	}
+}
+
+// proceed reports something of a request, or ends it.
+func (c *randomCalls) proceed(i int) {
+	open := c.open[i]
+	var out *Attempt
+	for _, a := range open.attempts {
+		if !open.ended[a.Number] && (out == nil || c.chance.IntN(2) == 0) {
+			out = a
+		}
+	}
+	switch n := c.chance.IntN(10); {
+	case out == nil || n == 0 && c.chance.IntN(4) == 0:
+		c.End(c.now, open.id)
+		c.open = append(c.open[:i], c.open[i+1:]...)
+	case n < 2:
+		d := c.Copy(c.now, open.id)
+		c.trace.add(c.now, d)
+		c.sent(open, d)
+	case n < 5:
+		c.Started(c.now, open.id, out.Number, c.load())
+	default:
+		open.ended[out.Number] = true
+		d := c.Finished(c.now, open.id, out.Number, c.outcome(), c.chance.IntN(2) == 0)
+		c.trace.add(c.now, d)
+		c.sent(open, d)
+	}
+}
+
+func (c *randomCalls) outcome() Outcome {
+	if c.chance.IntN(3) > 0 {
+		o := Outcome{Verdict: verdict.Ran, Answered: true, Status: 200, Load: c.load()}
+		o.Pauses = Pauses{Count: c.chance.IntN(20), Usual: core.Time(8+c.chance.IntN(12)) * ms, Longest: core.Time(c.chance.IntN(300)) * ms}
+		return o
+	}
+	full := outcomeFull
+	full.Load = c.load()
+	full.RetryAfter = core.Time(c.chance.IntN(3)*200) * ms
+	outcomes := []Outcome{full, full, outcomeUnreachable, outcomeMisdirected, outcomeReset, outcomeFailure,
+		{Verdict: verdict.MayHaveRun, TimedOut: true}, {Verdict: verdict.MayHaveRun, Canceled: true},
+		{Verdict: verdict.Ran, Answered: true, Status: 504}, {Verdict: verdict.NotRun, NotExecuted: true}}
+	return outcomes[c.chance.IntN(len(outcomes))]
+}
+
+// changeTable replaces one broker's entry.
+func (c *randomCalls) changeTable() {
+	i := c.chance.IntN(len(c.list))
+	changed := *c.list[i]
+	changed.Loading, changed.Unresponsive, changed.WarmingUpUntil = false, false, 0
+	changed.State = registry.Ready
+	switch c.chance.IntN(7) {
+	case 0:
+		changed.Loading = true
+	case 1:
+		changed.Unresponsive = true
+	case 2:
+		changed.State = registry.Draining
+	case 3:
+		changed.State = registry.Gone
+	case 4:
+		changed.WarmingUpUntil = c.now + time.Second
+	case 5:
+		changed.Versions = map[string]uint64{model: max(c.versions[model], 1)}
+	default:
+		changed.Versions = map[string]uint64{model: max(c.versions[model], 2) - 1}
+	}
+	c.list[i] = &changed
+	c.SetTable(c.now, tableOf(c.list...))
+}
+
+func (c *randomCalls) disturb() {
+	switch c.chance.IntN(4) {
+	case 0:
+		c.versions[model] = max(c.versions[model], 1) + 1
+		c.SetConfig(c.now, c.config())
+	case 1:
+		c.CoreDisturbed(c.now, c.now-core.Time(c.chance.IntN(900))*ms)
+	case 2:
+		c.Resumed(c.now)
+	default:
+		c.SetPeers(c.now, 1+c.chance.IntN(9))
+	}
+}
+
+// randomIndex names holders that are drawn by chance.
+type randomIndex struct {
+	chance *rand.Rand
+	list   []*registry.Instance
+}
+
+func (x *randomIndex) Holders(_ uint64, parts []PromptPart) []Holder {
+	var found []Holder
+	for _, instance := range x.list {
+		if x.chance.IntN(4) == 0 {
+			found = append(found, Holder{Instance: instance.ID, Tokens: sumTokens(parts[:x.chance.IntN(len(parts))])})
+		}
+	}
+	for i := range 3 {
+		found = append(found, Holder{Instance: fmt.Sprintf("10.9.0.%d:9000", i), Store: true,
+			Tokens: sumTokens(parts[:x.chance.IntN(len(parts))])})
+	}
+	return found
+}
+
+// traceSimulation runs sick brokers under mixed traffic.
+func traceSimulation(t *testing.T, disabled Mechanism, name string) string {
+	t.Helper()
+	s := newSimulation(t, 3, 12)
+	s.renewProxies(disabled)
+	s.trace = newDecisionTrace()
+	for i, id := range []string{"i01", "i03", "i05", "i07", "i09", "i11"} {
+		s.brokers[id].condition = condition(i%6 + 1)
+	}
+	s.traffic(300, 12*time.Second, s.mixed)
+	s.run(16 * time.Second)
+	return s.endTrace("simulation without " + name)
+}
+
+// traceEngines runs model brokers under prompts of two kinds.
+func traceEngines(t *testing.T, disabled Mechanism, name string) string {
+	t.Helper()
+	s := newEngineSim(t, 5, 9, true)
+	s.options.Index = s.index
+	s.renewProxies(disabled)
+	s.told = true
+	s.trace = newDecisionTrace()
+	s.run(12 * time.Second)
+	s.generate(90, 22*time.Second, s.prompts())
+	s.run(32 * time.Second)
+	return s.endTrace("engines without " + name)
+}
+
+func (s *simulation) renewProxies(disabled Mechanism) {
+	s.options.Disabled = disabled
+	for p := range s.proxies {
+		s.proxies[p] = s.newProxy(p, len(s.proxies))
+	}
+}
+
+func (s *simulation) endTrace(name string) string {
+	for _, router := range s.proxies {
+		s.trace.end(router)
+	}
+	return s.trace.line(name)
+}
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -214,6 +214,9 @@
 }
 
 func (s *engineSim) decide(c *simClient, d Decision, out int) {
+	if s.trace != nil {
+		s.trace.add(s.now, d)
+	}
 	if d.Refusal != nil {
 		s.finish(c, &s.refused)
 		if !c.again {
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -93,6 +93,7 @@
 	brokers map[string]*simBroker
 	table   *registry.Table
 	options Options
+	trace   *decisionTrace // nil: decisions aren't traced
 
 	clients                           []*simClient
 	requests, served, refused, failed int
@@ -183,6 +184,9 @@
 
 // carry carries a decision out.
 func (s *simulation) carry(c *simClient, d Decision) {
+	if s.trace != nil {
+		s.trace.add(s.now, d)
+	}
 	switch {
 	case d.Attempt != nil:
 		s.send(c, d.Attempt)
@@ -227,7 +231,7 @@
 
 func (s *simulation) copy(c *simClient) {
 	if d := s.proxies[c.proxy].Copy(s.now, c.id); d.Attempt != nil {
-		s.send(c, d.Attempt)
+		s.carry(c, d)
 	}
 }
 
