--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -12,12 +12,6 @@
 // RequestID numbers the requests that a proxy holds.
 type RequestID uint64
 
-// PromptPart is one part of a prompt, as X-Kestrelspread-Prompt-Prefix lists them.
-type PromptPart struct {
-	ID     uint64
-	Tokens int
-}
-
 // Request is what the router needs to know of a client's request.
 type Request struct {
 	Route    *config.Route
--- a/internal/node/routing/budget.go
+++ b/internal/node/routing/budget.go
@@ -10,7 +10,7 @@
 const (
 	budgetMargin  = 0.9 // share of what the rules allow that is spent
 	budgetBuckets = 20
-	copyReserve   = 0.5 // share of the budget that copies may use up; the rest is for what failed
+	hedgeShare    = 0.5 // share of the budget that hedged requests may use up; the rest is for retries
 	peersMemory   = 60 * time.Second
 	// peersLeast are assumed at least: who starts while it is cut off knows few others.
 	peersLeast = 4
@@ -62,8 +62,26 @@
 	further  *window.Counts
 }
 
-func newBudget(span time.Duration) budget {
-	width := milliseconds(span) / budgetBuckets
+// limits are a deployment's bounds on what all proxies together send beyond first arrivals (RULES.md, "Retries"), and this
+// proxy's part in them.
+type limits struct {
+	ratio  float64       // of a service's requests
+	slack  float64       // arrivals in each window, shared by the proxies
+	window time.Duration // over which both are counted
+	// slackFrom is when the share of the slack is given.
+	slackFrom core.Time
+	proxies   peers
+	denied    uint64
+}
+
+// newLimits are the bounds of a proxy that starts now.
+func newLimits(now core.Time, ratio, slack float64, window time.Duration) limits {
+	return limits{ratio: ratio, slack: slack, window: window, slackFrom: now + window}
+}
+
+// newBudget is the unused budget of one service.
+func (l *limits) newBudget() budget {
+	width := milliseconds(l.window) / budgetBuckets
 	return budget{
 		requests: window.NewCounts(budgetBuckets+2, width),
 		further:  window.NewCounts(budgetBuckets+2, width),
@@ -71,21 +89,27 @@
 }
 
 // allowance is how many arrivals beyond the first this proxy may cause within the window that ends now.
-func (r *Router) allowance(now core.Time, b *budget) float64 {
-	span := milliseconds(r.options.BudgetWindow)
-	allowed := r.options.RetryBudgetRatio * b.requests.Inside(milliseconds(now), span)
-	if count := r.peers.most(now); count > 0 && now >= r.slackFrom {
-		allowed += r.options.RetryBudgetSlack / float64(max(count, peersLeast))
+func (l *limits) allowance(now core.Time, b *budget) float64 {
+	span := milliseconds(l.window)
+	allowed := l.ratio * b.requests.Inside(milliseconds(now), span)
+	if count := l.proxies.most(now); count > 0 && now >= l.slackFrom {
+		allowed += l.slack / float64(max(count, peersLeast))
 	}
 	return budgetMargin * allowed
 }
 
-// affords reports whether one more arrival is within the given share of the allowance.
-func (r *Router) affords(now core.Time, b *budget, share float64) bool {
-	spent := b.further.Sum(milliseconds(now), milliseconds(r.options.BudgetWindow))
-	if spent+1 <= share*r.allowance(now, b) {
+// affords reports whether one more arrival is within the given share of the allowance, and counts it as denied if not.
+func (l *limits) affords(now core.Time, b *budget, share float64) bool {
+	spent := b.further.Sum(milliseconds(now), milliseconds(l.window))
+	if spent+1 <= share*l.allowance(now, b) {
 		return true
 	}
-	r.counters.BudgetDenied++
+	l.denied++
 	return false
 }
+
+// received counts a client's request.
+func (b *budget) received(now core.Time) { b.requests.Add(milliseconds(now), 1) }
+
+// spend counts an arrival beyond the first of its request.
+func (b *budget) spend(now core.Time) { b.further.Add(milliseconds(now), 1) }
--- a/internal/node/routing/candidates.go
+++ b/internal/node/routing/candidates.go
@@ -96,11 +96,11 @@
 func (r *Router) sort(now core.Time, req *request, f *field, c candidate) {
 	b := c.broker
 	h := &b.health
-	if r.uses(BrokerTrials) && !h.aside() && r.hangs(now, req.pool, b) {
+	if r.switches.On(BrokerTrials) && !h.aside() && r.hangs(now, req.pool, b) {
 		r.setAside(now, b, hanging)
 	}
 	switch {
-	case r.uses(RefusalPause) && b.believedFull(now, req.Urgency):
+	case r.switches.On(RefusalPause) && b.believedFull(now, req.Urgency):
 		f.full++
 		f.earliest = min(f.earliest, max(b.fullUntil, b.orderedUntil))
 	case h.aside() && r.mayTry(now, req, b):
@@ -129,7 +129,7 @@
 // newestFirst leaves only brokers with the newest weights shortly before the time of older ones is over, if they are enough
 // for all requests. Where they are few, the older ones are used to the last, as all would wait at the few.
 func (r *Router) newestFirst(now core.Time, req *request, sound []candidate) []candidate {
-	if req.model == "" || !r.uses(NewestFirst) || !r.versions.anyEndsWithin(now, req.model, newestFirstSpan) {
+	if req.model == "" || !r.switches.On(NewestFirst) || !r.versions.anyEndsWithin(now, req.model, newestFirstSpan) {
 		return sound
 	}
 	newest := r.versions.newest(req.model)
@@ -194,7 +194,7 @@
 	p := req.pool
 	c.scored = true
 	c.features = r.features(now, p, c.broker, c.load, f.average)
-	c.slow = r.uses(Prediction) && p.slow(&c.features)
+	c.slow = r.switches.On(Prediction) && p.slow(&c.features)
 	// In a crowd all are slow, and who looks fast is who was left alone: only who is far slower than the rest is passed over.
 	if c.slow && p.crowded() && c.broker.expected(now, p.median) < crowdSlow*p.median {
 		c.slow = false
--- a/internal/node/routing/copies.go
+++ b/internal/node/routing/copies.go
@@ -14,7 +14,7 @@
 
 // copyAt is when an attempt whose answer has not begun may have a copy: past pX of its class's latencies.
 func (r *Router) copyAt(now core.Time, req *request) core.Time {
-	if !r.uses(Copies) || !req.idempotent || req.copied || req.runs() >= req.Route.MaxAttempts {
+	if !r.switches.On(Copies) || !req.idempotent || req.copied || req.runs() >= req.Route.MaxAttempts {
 		return core.Never
 	}
 	at := milliseconds(now)
@@ -34,7 +34,7 @@
 // Copy decides on the design's copy: one, to the next broker that looks fast, within maxAttempts and the retry budget.
 func (r *Router) Copy(now core.Time, id RequestID) Decision {
 	req := r.requests[id]
-	if req == nil || !r.uses(Copies) {
+	if req == nil || !r.switches.On(Copies) {
 		return Decision{}
 	}
 	waiting := req.onlyWaiting()
@@ -57,11 +57,11 @@
 	if chosen.slow || chosen.trial {
 		return Decision{}
 	}
-	share := copyReserve
+	share := hedgeShare
 	if inTrouble {
 		share = retryShare(req.Urgency)
 	}
-	if !r.affords(now, &p.budget, share) {
+	if !r.limits.affords(now, &p.budget, share) {
 		return Decision{}
 	}
 	req.copied = true
--- a/internal/node/routing/fetch.go
+++ b/internal/node/routing/fetch.go
@@ -54,7 +54,7 @@
 		return ""
 	}
 	var holder *candidate
-	if r.uses(KVFetch) {
+	if r.switches.On(KVFetch) {
 		holder = r.bestHolder(now, req, chosen)
 	}
 	store := r.storeFor(now, req)
@@ -66,7 +66,7 @@
 	case holder != nil:
 		return holder.broker.instance.Address
 	}
-	if !r.uses(KVFetch) {
+	if !r.switches.On(KVFetch) {
 		return ""
 	}
 	if keeper := r.keeper(now, req, chosen); keeper != nil {
@@ -135,10 +135,10 @@
 	var best *broker
 	bestWeight := uint64(0)
 	if now >= chosen.broker.youngUntil {
-		bestWeight = weight(key, chosen.broker)
+		bestWeight = weight(key, chosen.broker.hash)
 	}
 	for _, b := range req.pool.brokers {
-		if w := weight(key, b); w > bestWeight && r.mayFetchFrom(now, req, chosen, b) {
+		if w := weight(key, b.hash); w > bestWeight && r.mayFetchFrom(now, req, chosen, b) {
 			best, bestWeight = b, w
 		}
 	}
@@ -155,11 +155,3 @@
 	}
 	return r.versions.believed(b.instance, req.model) == chosen.version
 }
-
-func sharedTokens(parts []PromptPart) int {
-	tokens := 0
-	for _, part := range sharedParts(parts) {
-		tokens += part.Tokens
-	}
-	return tokens
-}
--- a/internal/node/routing/health.go
+++ b/internal/node/routing/health.go
@@ -152,7 +152,7 @@
 
 func (r *Router) setAside(now core.Time, b *broker, why ailment) {
 	h := &b.health
-	if !r.uses(BrokerTrials) {
+	if !r.switches.On(BrokerTrials) {
 		return
 	}
 	if h.aside() {
@@ -175,7 +175,7 @@
 }
 
 func (r *Router) firstTrial(now core.Time) time.Duration {
-	return max(trialFirst, time.Duration(r.peers.most(now))*trialPerPeer)
+	return max(trialFirst, time.Duration(r.limits.proxies.most(now))*trialPerPeer)
 }
 
 // spread takes a time between three quarters of it and five quarters, by chance.
--- a/internal/node/routing/lateness.go
+++ b/internal/node/routing/lateness.go
@@ -34,7 +34,7 @@
 // postponed reports whether a first try is to be sent back, and after which time it should come again.
 func (r *Router) postponed(now core.Time, req *request, f *field, chosen *candidate) (after core.Time, ok bool) {
 	target := req.Route.TargetLatencyMs
-	if req.model == "" || !r.uses(Postponing) || !req.fresh || target <= 0 || !req.pool.pace.known() {
+	if req.model == "" || !r.switches.On(Postponing) || !req.fresh || target <= 0 || !req.pool.pace.known() {
 		return 0, false
 	}
 	waiting := r.waiting(now, req.pool, chosen.broker)
--- a/internal/node/routing/mechanisms.go
+++ b/internal/node/routing/mechanisms.go
@@ -87,5 +87,11 @@
 	return names
 }
 
-// uses reports whether a mechanism is on.
-func (r *Router) uses(m Mechanism) bool { return r.options.Disabled&m == 0 }
+// Switches tells which mechanisms are on: all but the disabled ones.
+type Switches struct{ disabled Mechanism }
+
+// NewSwitches has all mechanisms on but those of the set.
+func NewSwitches(disabled Mechanism) Switches { return Switches{disabled} }
+
+// On reports whether a mechanism is on.
+func (s Switches) On(m Mechanism) bool { return s.disabled&m == 0 }
--- a/internal/node/routing/options.go
+++ b/internal/node/routing/options.go
@@ -3,8 +3,6 @@
 import (
 	"math/rand/v2"
 	"time"
-
-	"kestrelspread/internal/node/core"
 )
 
 // Options are the figures of a deployment, from its settings file (DEPLOY.md, "Settings of a process").
@@ -48,9 +46,3 @@
 		o.Random = rand.New(rand.NewPCG(1, 2))
 	}
 }
-
-// milliseconds converts a steady time into the unit of packages predict and window.
-func milliseconds(t core.Time) float64 { return float64(t) / float64(time.Millisecond) }
-
-// fromMilliseconds converts a figure of the configuration into a time.
-func fromMilliseconds(ms float64) core.Time { return core.Time(ms * float64(time.Millisecond)) }
--- a/internal/node/routing/placement.go
+++ b/internal/node/routing/placement.go
@@ -105,7 +105,7 @@
 	p.shared = sharedTokens(req.Parts)
 	p.own = max(req.TokensIn-p.shared, 0)
 	p.owner = nil
-	if r.uses(Affinity) {
+	if r.switches.On(Affinity) {
 		p.owner = owner(req, found)
 	}
 	p.versions = p.versions[:0]
@@ -135,7 +135,7 @@
 		}
 		unseen = 0
 		for i := range reads.places {
-			if place := &reads.places[i]; r.uses(RecentReads) && place.broker != nil && now < place.at+readsBelieved {
+			if place := &reads.places[i]; r.switches.On(RecentReads) && place.broker != nil && now < place.at+readsBelieved {
 				noteRead(now, found, place, tokens)
 			}
 		}
@@ -177,7 +177,7 @@
 	var best *broker
 	highest := uint64(0)
 	for i := range found {
-		if w := weight(key, found[i].broker); best == nil || w > highest {
+		if w := weight(key, found[i].broker.hash); best == nil || w > highest {
 			best, highest = found[i].broker, w
 		}
 	}
--- a/internal/node/routing/pool.go
+++ b/internal/node/routing/pool.go
@@ -90,7 +90,7 @@
 	if b.instance.State != registry.Ready {
 		return false
 	}
-	return !r.uses(LoadingMarks) || !b.instance.Loading || p.scarce && now >= b.markedAt+markTrusted
+	return !r.switches.On(LoadingMarks) || !b.instance.Loading || p.scarce && now >= b.markedAt+markTrusted
 }
 
 func (p *pool) crowded() bool { return predict.Crowded(p.median, p.calm) }
@@ -121,7 +121,7 @@
 		features.Add(age, loadThen)
 	}
 	for _, past := range b.history {
-		if past.latency > 0 && (!r.uses(HistoryExpiry) || milliseconds(now-past.at) < predict.HistoryLife) {
+		if past.latency > 0 && (!r.switches.On(HistoryExpiry) || milliseconds(now-past.at) < predict.HistoryLife) {
 			features.Add(past.latency, past.load)
 		}
 	}
--- /dev/null
+++ b/internal/node/routing/rollout_versions_test.go
@@ -0,0 +1,119 @@
+package routing
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/registry"
+)
+
+func withVersion(i *registry.Instance, version uint64) *registry.Instance {
+	i.Versions = map[string]uint64{model: version}
+	return i
+}
+
+// During a rollout, each attempt expects the version that its broker has, and the salt holds that very version.
+func TestAttemptNamesItsBrokersVersion(t *testing.T) {
+	list := instances(6)
+	for i, instance := range list {
+		withVersion(instance, uint64(1+i%2))
+	}
+	w := newWorld(t, list)
+	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
+	seen := map[uint64]bool{}
+	for part := range uint64(40) {
+		a := w.begin(w.prompt(flowRoute, part+10))
+		assert.Equal(t, a.ExpectVersion, a.Instance.Versions[model])
+		assert.Equal(t, a.Salt, cacheSalt(model, a.ExpectVersion, ""))
+		seen[a.ExpectVersion] = true
+		w.serve(a, ms)
+	}
+	assert.Assert(t, seen[1] && seen[2])
+	w.now += 10 * time.Second
+	for part := range uint64(40) {
+		a := w.begin(w.prompt(flowRoute, part+10))
+		assert.Equal(t, a.ExpectVersion, uint64(2))
+		w.serve(a, ms)
+	}
+}
+
+// Brokers with older weights are used to the last while those with new ones are few; where these are enough for all, they get
+// what would be sent shortly before.
+func TestOlderWeightsAreUsedToTheLast(t *testing.T) {
+	for _, c := range []struct {
+		renewed int // of nine brokers
+		older   bool
+	}{{0, true}, {3, true}, {5, true}, {6, false}, {8, false}} {
+		list := instances(9)
+		for i := range c.renewed {
+			withVersion(list[i], 2)
+		}
+		w := newWorld(t, list)
+		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
+		until := w.now + 8*time.Second - learnMargin
+		older := func() int {
+			n := 0
+			for part := range uint64(60) {
+				a := w.begin(w.prompt(flowRoute, part*7))
+				if a.ExpectVersion < 2 {
+					n++
+				}
+				w.answer(a)
+			}
+			return n
+		}
+		w.now = until - newestFirstSpan - ms
+		assert.Assert(t, older() > 0, "%d renewed", c.renewed)
+		w.now = until - time.Second
+		assert.Equal(t, older() > 0, c.older, "%d renewed", c.renewed)
+	}
+}
+
+// What is sent to a broker with older weights must have its first token before their time is over.
+func TestStartsBeforeTheVersionsEnd(t *testing.T) {
+	for _, latency := range []core.Time{10 * ms, 900 * ms, 5 * time.Second} {
+		w := newWorld(t, instances(4))
+		var sent []*Attempt
+		for range 40 {
+			sent = append(sent, w.begin(w.prompt(flowRoute, 7)))
+		}
+		w.now += latency
+		for _, a := range sent {
+			w.answer(a)
+		}
+		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
+		until := w.now + 8*time.Second - learnMargin
+		lead := min(max(core.Time(startLeadFactor*float64(latency)), startLeadLeast), startLeadMost)
+		w.now = until - lead*12/10 - 100*ms
+		assert.Equal(t, w.begin(w.prompt(flowRoute, 8)).ExpectVersion, uint64(1))
+		w.now = until - lead*8/10
+		_, d := w.Begin(w.now, w.prompt(flowRoute, 8))
+		assert.Assert(t, d.Refusal != nil, "latency %v", latency)
+	}
+}
+
+// Nobody is left for older weights: no attempt, rather than a broken rule.
+func TestNoBrokerWithAllowedWeights(t *testing.T) {
+	w := newWorld(t, instances(3))
+	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
+	w.now += 20 * time.Second
+	_, d := w.Begin(w.now, w.prompt(flowRoute, 4))
+	assert.Assert(t, d.Refusal != nil)
+	assert.Equal(t, d.Refusal.Reason, RefusedNoBroker)
+}
+
+// A service without an engine runs no models, whatever its requests name.
+func TestServiceWithoutEngine(t *testing.T) {
+	w := newWorld(t, instances(3))
+	compiled := configOf(map[string]uint64{model: 2})
+	compiled.Services[service].Engine = nil
+	w.SetConfig(w.now, compiled)
+	w.now += 20 * time.Second
+	a := w.begin(w.prompt(flowRoute, 4))
+	assert.Equal(t, a.Salt, "")
+	assert.Equal(t, a.ExpectVersion, uint64(0))
+	assert.Equal(t, a.FetchFrom+a.SaveTo, "")
+}
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -12,12 +12,11 @@
 // Router decides for one proxy. It isn't safe for concurrent use: see Guarded.
 type Router struct {
 	options  Options
+	switches Switches
 	compiled *config.Compiled
 	versions versions
 	walls    walls
-	peers    peers
-	// slackFrom is when the share of the retry budget's slack is given.
-	slackFrom core.Time
+	limits   limits
 
 	brokers  map[string]*broker // by instance id
 	pools    map[string]*pool   // by service
@@ -45,11 +44,12 @@
 func New(now core.Time, options Options) *Router {
 	options.withDefaults()
 	return &Router{
-		options: options,
+		options:  options,
+		switches: NewSwitches(options.Disabled),
 		versions: newVersions(now, versionBounds{
 			single: options.VersionGrace, all: options.VersionAll, contact: options.Contact,
 		}),
-		slackFrom: now + options.BudgetWindow,
+		limits:    newLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
 		startedAt: now,
 		brokers:   make(map[string]*broker),
 		pools:     make(map[string]*pool),
@@ -64,6 +64,7 @@
 func (r *Router) Counters() Counters {
 	counters := r.counters.clone()
 	counters.Late = maps.Clone(r.late.counts)
+	counters.BudgetDenied = r.limits.denied
 	return counters
 }
 
@@ -73,7 +74,7 @@
 // SetPeers tells how many proxies share the retry budget, this one included.
 func (r *Router) SetPeers(now core.Time, proxies int) {
 	if proxies > 0 {
-		r.peers.set(now, proxies)
+		r.limits.proxies.set(now, proxies)
 	}
 }
 
@@ -127,8 +128,8 @@
 func (r *Router) pool(service string) *pool {
 	p := r.pools[service]
 	if p == nil {
-		p = newPool(service, newBudget(r.options.BudgetWindow))
-		p.paced = r.uses(BrokerPace)
+		p = newPool(service, r.limits.newBudget())
+		p.paced = r.switches.On(BrokerPace)
 		r.pools[service] = p
 	}
 	return p
@@ -167,7 +168,7 @@
 	}
 	chosen, byPrediction := r.pick(now, req, f)
 	req.pool.overload.refresh(now, req.pool)
-	if chance := req.pool.overload.chance(req.Urgency); r.uses(Overload) && chance > 0 && r.options.Random.Float64() < chance {
+	if chance := req.pool.overload.chance(req.Urgency); r.switches.On(Overload) && chance > 0 && r.options.Random.Float64() < chance {
 		return req.id, r.refuse(now, req, RefusedFull, core.Never)
 	}
 	if after, ok := r.postponed(now, req, f, chosen); ok {
@@ -198,7 +199,7 @@
 	req.class.came(req.TokensIn)
 	req.fresh = req.class.fresh(now, &req.Request)
 	req.work = req.class.work(req.TokensIn)
-	req.pool.budget.requests.Add(milliseconds(now), 1)
+	req.pool.budget.received(now)
 	req.pool.overload.came(now, req.Urgency)
 	r.requests[req.id] = req
 	return req
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -9,7 +9,7 @@
 func (r *Router) send(now core.Time, req *request, chosen *candidate, byPrediction bool) Decision {
 	b := chosen.broker
 	if req.arrivals() > 0 {
-		req.pool.budget.further.Add(milliseconds(now), 1)
+		req.pool.budget.spend(now)
 	}
 	a := &attempt{
 		number:        len(req.attempts),
--- a/internal/node/routing/store.go
+++ b/internal/node/routing/store.go
@@ -28,16 +28,16 @@
 // their memory. nil: there is none.
 func (r *Router) storeFor(now core.Time, req *request) *config.Service {
 	part, ok := stickyPart(req.Parts)
-	if !ok || r.compiled == nil || !r.uses(KVStore) {
+	if !ok || r.compiled == nil || !r.switches.On(KVStore) {
 		return nil
 	}
 	key := affinityKey(part, req.model, req.wall)
 	var best *config.Service
 	highest := uint64(0)
 	for _, store := range r.compiled.Stores {
-		weight := mix(key ^ hashText(store.KVStoreAddr))
-		if (best == nil || weight > highest) && r.storeWell(now, store.KVStoreAddr) {
-			best, highest = store, weight
+		w := weight(key, hashText(store.KVStoreAddr))
+		if (best == nil || w > highest) && r.storeWell(now, store.KVStoreAddr) {
+			best, highest = store, w
 		}
 	}
 	return best
