--- a/cmd/kestrelnode/main.go
+++ b/cmd/kestrelnode/main.go
@@ -11,7 +11,7 @@
 	"github.com/google/subcommands"
 
 	"kestrelspread/internal/node/agent"
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/settings"
 )
 
@@ -57,9 +57,9 @@
 // Execute implements subcommands.Command.
 func (c *runCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	path, err := settingsPath()
-	var disabled routing.Mechanism
+	var disabled mechanism.Set
 	if err == nil {
-		disabled, err = routing.ParseMechanisms(c.disable)
+		disabled, err = mechanism.Parse(c.disable)
 	}
 	if err == nil {
 		err = agent.Run(ctx, path, disabled, os.Stderr)
@@ -86,7 +86,7 @@
 
 // Execute implements subcommands.Command.
 func (*mechanismsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	for _, mechanism := range routing.Mechanisms() {
+	for _, mechanism := range mechanism.All() {
 		fmt.Printf("%-16s %s\n", mechanism.Name, mechanism.About)
 	}
 	return subcommands.ExitSuccess
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -30,6 +30,7 @@
 	"kestrelspread/internal/node/nodepb"
 	"kestrelspread/internal/node/rollout/orders"
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/settings"
 	"kestrelspread/internal/node/wireproto/link"
 )
@@ -50,7 +51,7 @@
 type Agent struct {
 	log                *slog.Logger
 	settings           *settings.Settings
-	disabledMechanisms routing.Mechanism
+	disabledMechanisms mechanism.Set
 	startedAt          time.Time // core.Time counts from here
 	self               *nodepb.Member
 
@@ -89,7 +90,7 @@
 
 // Run runs a node with the settings file at path until SIGTERM, SIGINT or the end of ctx, without the
 // disabled mechanisms of the decisions. It logs to logTo. An error says that the node didn't start.
-func Run(ctx context.Context, path string, disabled routing.Mechanism, logTo io.Writer) error {
+func Run(ctx context.Context, path string, disabled mechanism.Set, logTo io.Writer) error {
 	loaded, err := settings.Load(path)
 	if err != nil {
 		return err
@@ -132,7 +133,7 @@
 }
 
 // New builds a node. It serves nothing yet, but on a core machine already opens the disk.
-func New(loaded *settings.Settings, disabled routing.Mechanism, log *slog.Logger) *Agent {
+func New(loaded *settings.Settings, disabled mechanism.Set, log *slog.Logger) *Agent {
 	incarnationID := hex.EncodeToString(randomBytes(6))
 	a := &Agent{
 		log:                log.With("node", loaded.NodeName),
--- a/internal/node/agent/loadhints.go
+++ b/internal/node/agent/loadhints.go
@@ -7,6 +7,7 @@
 	"kestrelspread/internal/node/loadhint"
 	"kestrelspread/internal/node/nodepb"
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // buildLoadHints builds the spreader of load hints to other proxies.
@@ -59,7 +60,7 @@
 func sentOf(hint *nodepb.LoadHint) routing.Sent {
 	sent := routing.Sent{Instance: hint.Instance, Salt: hint.Salt, Unread: int(hint.Unread)}
 	for i := range min(len(hint.PartIds), len(hint.PartTokens)) {
-		sent.Parts = append(sent.Parts, routing.PromptPart{ID: hint.PartIds[i], Tokens: int(hint.PartTokens[i])})
+		sent.Parts = append(sent.Parts, prompt.Part{ID: hint.PartIds[i], Tokens: int(hint.PartTokens[i])})
 	}
 	return sent
 }
--- a/internal/node/forward/intake_test.go
+++ b/internal/node/forward/intake_test.go
@@ -12,6 +12,7 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // TestDeniedRequests lists what is not sent on, and how it is answered.
@@ -130,7 +131,7 @@
 	assert.Equal(t, got.Received, time.Minute)
 	assert.Equal(t, got.Deadline, time.Minute+6*time.Second)
 	assert.Equal(t, got.Model, "daka510000")
-	assert.DeepEqual(t, got.Parts, []routing.PromptPart{{ID: 0x5c1e07a2, Tokens: 800}, {ID: 0x91bd3f06, Tokens: 410},
+	assert.DeepEqual(t, got.Parts, []prompt.Part{{ID: 0x5c1e07a2, Tokens: 800}, {ID: 0x91bd3f06, Tokens: 410},
 		{ID: 0xe4402b7d, Tokens: 250}})
 	assert.Equal(t, got.TokensIn, 1460)
 	assert.Equal(t, got.TokensOut, 80)
@@ -166,15 +167,15 @@
 func TestPromptHeadersAreParsed(t *testing.T) {
 	for _, test := range []struct {
 		text string
-		want []routing.PromptPart
+		want []prompt.Part
 	}{
 		{"", nil},
-		{"a:1", []routing.PromptPart{{ID: 10, Tokens: 1}}},
-		{"a:1, b:2", []routing.PromptPart{{ID: 10, Tokens: 1}, {ID: 11, Tokens: 2}}},
-		{"a:1,zz:2,b:3", []routing.PromptPart{{ID: 10, Tokens: 1}}},
-		{"a:1,b:-2", []routing.PromptPart{{ID: 10, Tokens: 1}}},
-		{"ffffffffffffffff:1", []routing.PromptPart{{ID: 1<<64 - 1, Tokens: 1}}},
-		{"a", []routing.PromptPart{}},
+		{"a:1", []prompt.Part{{ID: 10, Tokens: 1}}},
+		{"a:1, b:2", []prompt.Part{{ID: 10, Tokens: 1}, {ID: 11, Tokens: 2}}},
+		{"a:1,zz:2,b:3", []prompt.Part{{ID: 10, Tokens: 1}}},
+		{"a:1,b:-2", []prompt.Part{{ID: 10, Tokens: 1}}},
+		{"ffffffffffffffff:1", []prompt.Part{{ID: 1<<64 - 1, Tokens: 1}}},
+		{"a", []prompt.Part{}},
 	} {
 		got := promptParts(http.Header{headerPromptPrefix: {test.text}})
 		assert.DeepEqual(t, got, test.want)
--- a/internal/node/forward/prompt.go
+++ b/internal/node/forward/prompt.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // maxPromptParts bounds the parts of a prompt that are considered.
@@ -13,12 +14,12 @@
 
 // promptParts parses X-Kestrelspread-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hex.
 // An invalid part ends the list, since a cache can only hold a complete prefix.
-func promptParts(header http.Header) []routing.PromptPart {
+func promptParts(header http.Header) []prompt.Part {
 	text := firstValue(header, headerPromptPrefix)
 	if text == "" {
 		return nil
 	}
-	parts := make([]routing.PromptPart, 0, min(strings.Count(text, ",")+1, maxPromptParts))
+	parts := make([]prompt.Part, 0, min(strings.Count(text, ",")+1, maxPromptParts))
 	for field := range strings.SplitSeq(text, ",") {
 		part, ok := promptPart(field)
 		if !ok || len(parts) == maxPromptParts {
@@ -30,20 +31,20 @@
 }
 
 // promptPart parses one ID:TOKENS.
-func promptPart(text string) (routing.PromptPart, bool) {
+func promptPart(text string) (prompt.Part, bool) {
 	id, count, found := strings.Cut(strings.TrimSpace(text), ":")
 	if !found {
-		return routing.PromptPart{}, false
+		return prompt.Part{}, false
 	}
 	number, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
-		return routing.PromptPart{}, false
+		return prompt.Part{}, false
 	}
 	tokens, err := strconv.ParseUint(count, 10, 31)
 	if err != nil {
-		return routing.PromptPart{}, false
+		return prompt.Part{}, false
 	}
-	return routing.PromptPart{ID: number, Tokens: int(tokens)}, true
+	return prompt.Part{ID: number, Tokens: int(tokens)}, true
 }
 
 // tokenCounts parses X-Kestrelspread-Token-Count: the prompt's tokens and the maximum that may be
--- a/internal/node/kvindex/events.go
+++ b/internal/node/kvindex/events.go
@@ -6,7 +6,7 @@
 
 	"github.com/joomcode/errorx"
 
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/cachesalt"
 )
 
 // Errors is the namespace of errors of the index and its shell.
@@ -68,6 +68,6 @@
 	if sign != "+" && sign != "-" {
 		return ErrEvent.New("decode cache event: sign %q", sign)
 	}
-	*e = Event{Salt: routing.SaltID(salt), Part: partID, Tokens: max(tokens, 0)}
+	*e = Event{Salt: cachesalt.ID(salt), Part: partID, Tokens: max(tokens, 0)}
 	return nil
 }
--- a/internal/node/kvindex/events_test.go
+++ b/internal/node/kvindex/events_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/cachesalt"
 )
 
 // The answer as PROTOCOL.md, "KV cache", shows it.
@@ -20,8 +20,8 @@
 		Epoch: 77120,
 		Next:  120,
 		List: []Event{
-			{Salt: routing.SaltID("s1"), Part: 0x5c1e07a2, Tokens: 800},
-			{Salt: routing.SaltID("s1"), Part: 0x91bd3f06, Tokens: 128},
+			{Salt: cachesalt.ID("s1"), Part: 0x5c1e07a2, Tokens: 800},
+			{Salt: cachesalt.ID("s1"), Part: 0x91bd3f06, Tokens: 128},
 		},
 	})
 }
--- a/internal/node/kvindex/guarded.go
+++ b/internal/node/kvindex/guarded.go
@@ -4,6 +4,7 @@
 	"sync"
 
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // Guarded serialises the calls to an Index with a mutex: the router reads it while the control loop
@@ -21,7 +22,7 @@
 
 // Holders is Index.Holders. Its callers must be serialised among themselves, as the router's are, as
 // the list is valid until the next call.
-func (g *Guarded) Holders(salt uint64, parts []routing.PromptPart) []routing.Holder {
+func (g *Guarded) Holders(salt uint64, parts []prompt.Part) []routing.Holder {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.results = append(g.results[:0], g.index.Holders(salt, parts)...)
@@ -29,7 +30,7 @@
 }
 
 // Observed is Index.Observed.
-func (g *Guarded) Observed(name string, salt uint64, parts []routing.PromptPart) {
+func (g *Guarded) Observed(name string, salt uint64, parts []prompt.Part) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.index.Observed(name, salt, parts)
--- a/internal/node/kvindex/index.go
+++ b/internal/node/kvindex/index.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // blockTokens is the size of a broker's cache blocks: a part counts as completely cached if less than
@@ -126,7 +127,7 @@
 
 // Observed records that a request with these parts has run at a holder under a salt, which caches them
 // since.
-func (x *Index) Observed(name string, salt uint64, parts []routing.PromptPart) {
+func (x *Index) Observed(name string, salt uint64, parts []prompt.Part) {
 	number := x.holderNumber(name)
 	for _, part := range parts {
 		if part.Tokens > 0 {
--- a/internal/node/kvindex/index_test.go
+++ b/internal/node/kvindex/index_test.go
@@ -8,11 +8,12 @@
 	"pgregory.net/rapid"
 
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 const saltA, saltB = uint64(11), uint64(12)
 
-var prompt = []routing.PromptPart{{ID: 1, Tokens: 800}, {ID: 2, Tokens: 410}, {ID: 3, Tokens: 250}}
+var promptParts = []prompt.Part{{ID: 1, Tokens: 800}, {ID: 2, Tokens: 410}, {ID: 3, Tokens: 250}}
 
 func TestHoldersCountCachedPrefixWithoutGap(t *testing.T) {
 	for _, test := range []struct {
@@ -35,7 +36,7 @@
 				index.Set("i-1", saltA, part, tokens)
 				index.Set("i-2", saltB, part, tokens)
 			}
-			found := index.Holders(saltA, prompt)
+			found := index.Holders(saltA, promptParts)
 			if test.tokens == 0 {
 				assert.Equal(t, len(found), 0)
 				return
@@ -51,7 +52,7 @@
 	index.Set("i-1", saltA, 1, 800)
 	index.Set(StoreName("10.0.0.1:80"), saltA, 1, 800)
 	index.Set(StoreName("10.0.0.1:80"), saltA, 2, 410)
-	assert.DeepEqual(t, index.Holders(saltA, prompt), []routing.Holder{
+	assert.DeepEqual(t, index.Holders(saltA, promptParts), []routing.Holder{
 		{Instance: "10.0.0.1:80", Store: true, Tokens: 1210},
 		{Instance: "i-1", Tokens: 800},
 		{Instance: "i-2", Tokens: 800},
@@ -60,16 +61,16 @@
 
 func TestDroppedPartsAreNotFound(t *testing.T) {
 	index := NewIndex(100)
-	index.Observed("i-1", saltA, prompt)
-	assert.Equal(t, index.Holders(saltA, prompt)[0].Tokens, 1460)
+	index.Observed("i-1", saltA, promptParts)
+	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 1460)
 	index.Set("i-1", saltA, 2, 0)
-	assert.Equal(t, index.Holders(saltA, prompt)[0].Tokens, 800)
+	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 800)
 	index.Reset("i-1")
-	assert.Equal(t, len(index.Holders(saltA, prompt)), 0)
+	assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
 	index.Set("i-1", saltA, 1, 800)
-	assert.Equal(t, index.Holders(saltA, prompt)[0].Tokens, 800)
+	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 800)
 	index.Forget("i-1")
-	assert.Equal(t, len(index.Holders(saltA, prompt)), 0)
+	assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
 	index.Set("i-1", saltA, 1, 0)
 	assert.Equal(t, len(index.holderByName), 0)
 }
@@ -79,7 +80,7 @@
 	index.Set("i-1", saltA, 1, 800)
 	for part := range uint64(1000) {
 		index.Set("i-2", saltA, 1000+part, 100)
-		assert.Equal(t, len(index.Holders(saltA, prompt[:1])), 1, "after %d", part)
+		assert.Equal(t, len(index.Holders(saltA, promptParts[:1])), 1, "after %d", part)
 		assert.Assert(t, index.Records() <= 64)
 	}
 	assert.Equal(t, len(index.headByKey), index.Records())
@@ -91,7 +92,7 @@
 		name := string(rune('a' + incarnation%26))
 		index.Set(name, saltA, 1, 100)
 		index.Forget(name)
-		assert.Equal(t, len(index.Holders(saltA, prompt)), 0)
+		assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
 	}
 	assert.Assert(t, len(index.holders) <= 40, "%d", len(index.holders))
 }
@@ -123,12 +124,12 @@
 			}
 		}
 		found := map[string]int{}
-		for _, h := range index.Holders(saltA, prompt) {
+		for _, h := range index.Holders(saltA, promptParts) {
 			found[h.Instance] = h.Tokens
 		}
 		for _, name := range names {
 			want := 0
-			for _, part := range prompt {
+			for _, part := range promptParts {
 				cached := min(model[name][part.ID], part.Tokens)
 				want += cached
 				if cached+blockTokens <= part.Tokens {
@@ -157,6 +158,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		part := random.Uint64N(2000)
-		index.Holders(saltA, []routing.PromptPart{{ID: part, Tokens: 500}, {ID: part + 1, Tokens: 500}, {ID: part + 2, Tokens: 500}})
+		index.Holders(saltA, []prompt.Part{{ID: part, Tokens: 500}, {ID: part + 1, Tokens: 500}, {ID: part + 2, Tokens: 500}})
 	}
 }
--- a/internal/node/kvindex/lookup.go
+++ b/internal/node/kvindex/lookup.go
@@ -5,12 +5,13 @@
 	"slices"
 
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // Holders lists the holders that cache a prefix of a prompt under a salt, the longest prefix first. A
 // part counts only if every part before it is cached completely (PROTOCOL.md, "Requests"). The list
 // is valid until the next call.
-func (x *Index) Holders(salt uint64, parts []routing.PromptPart) []routing.Holder {
+func (x *Index) Holders(salt uint64, parts []prompt.Part) []routing.Holder {
 	x.query++
 	x.matchedHolders = x.matchedHolders[:0]
 	for position, part := range parts {
--- a/internal/node/kvindex/propagation_test.go
+++ b/internal/node/kvindex/propagation_test.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 	"kestrelspread/internal/node/registry"
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // fleet is a home, subscribers and sources under a simulated clock.
@@ -133,7 +133,7 @@
 	f.t.Helper()
 	for address, sub := range f.subs {
 		got := 0
-		for _, h := range sub.index.Holders(saltA, []routing.PromptPart{{ID: part, Tokens: 1 << 20}}) {
+		for _, h := range sub.index.Holders(saltA, []prompt.Part{{ID: part, Tokens: 1 << 20}}) {
 			if h.Instance == name {
 				got = h.Tokens
 			}
@@ -291,7 +291,7 @@
 func TestNewWeightsOrDepartureDropCachedParts(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	subscriber, index := f.subs["sub-0"].core, f.subs["sub-0"].index
-	parts := []routing.PromptPart{{ID: 5, Tokens: 800}}
+	parts := []prompt.Part{{ID: 5, Tokens: 800}}
 	table := func(version uint64) *registry.Table {
 		return &registry.Table{ByID: map[string]*registry.Instance{
 			"i-1": {ID: "i-1", Versions: map[string]uint64{"m": version}},
--- a/internal/node/routing/admission.go
+++ b/internal/node/routing/admission.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/predict"
 )
 
@@ -57,7 +58,7 @@
 // byOrder reports whether a broker turned a request away for new weights rather than for want of room: it lacks a version that
 // was named, and has places.
 func (r *Router) byOrder(req *request, b *broker, outcome *Outcome) bool {
-	if req.model == "" || r.versions.believed(b.instance, req.model) >= r.versions.newest(req.model) {
+	if req.model == "" || r.versions.VersionOf(b.instance, req.model) >= r.versions.Newest(req.model) {
 		return false
 	}
 	load := outcome.Load
@@ -82,8 +83,8 @@
 	if !b.report.heard || b.report.load.Waiting == 0 || now-b.report.at > time.Second {
 		return false
 	}
-	quick, n := req.class.latencies.Quantile(milliseconds(now), hopelessShare)
-	return n >= predict.Few && quick*req.work > milliseconds(req.Deadline-now)
+	quick, n := req.class.latencies.Quantile(units.Milliseconds(now), hopelessShare)
+	return n >= predict.Few && quick*req.work > units.Milliseconds(req.Deadline-now)
 }
 
 // refuse is the final answer to a request that has not run.
--- a/internal/node/routing/affinity.go
+++ b/internal/node/routing/affinity.go
@@ -4,12 +4,14 @@
 	"slices"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/mechanism"
 )
 
 // rankHolders notes how many tokens of the prompt each candidate keeps, and its store under the candidate's version, as far as the
 // index knows.
 func (r *Router) rankHolders(now core.Time, req *request, found []candidate) {
-	if r.options.Index == nil || req.model == "" || !r.switches.On(PromptIndex) {
+	if r.options.Index == nil || req.model == "" || !r.switches.On(mechanism.PromptIndex) {
 		return
 	}
 	store := ""
@@ -23,7 +25,7 @@
 			continue
 		}
 		r.asked = append(r.asked, version)
-		salt := SaltID(cacheSalt(req.model, version, req.wall))
+		salt := cachesalt.ID(cachesalt.Text(req.model, version, req.wall))
 		for _, holder := range r.options.Index.Holders(salt, req.Parts) {
 			if !holder.Store || holder.Instance == store {
 				noteHolder(found, version, holder)
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -6,6 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // All proxies send prompts with the same shared parts to the same broker, without exchange.
@@ -70,9 +71,9 @@
 	observed []string
 }
 
-func (x *fixedIndex) Holders(uint64, []PromptPart) []Holder { return x.holders }
+func (x *fixedIndex) Holders(uint64, []prompt.Part) []Holder { return x.holders }
 
-func (x *fixedIndex) Observed(id string, _ uint64, _ []PromptPart) {
+func (x *fixedIndex) Observed(id string, _ uint64, _ []prompt.Part) {
 	x.observed = append(x.observed, id)
 }
 
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -6,6 +6,7 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -23,7 +24,7 @@
 	// ClientWait is how long the client said it will wait, counted from the receipt; 0: not told.
 	ClientWait core.Time
 	Model      string
-	Parts      []PromptPart
+	Parts      []prompt.Part
 	TokensIn   int
 	TokensOut  int // the most it may generate
 	BodyBytes  int
@@ -136,7 +137,7 @@
 type Index interface {
 	// Holders lists brokers that keep a prefix of the parts under the salt, with the tokens kept, best first, and
 	// whether a store does.
-	Holders(salt uint64, parts []PromptPart) []Holder
+	Holders(salt uint64, parts []prompt.Part) []Holder
 }
 
 // Holder is a broker or store that keeps the first tokens of a prompt.
--- a/internal/node/routing/backlog.go
+++ b/internal/node/routing/backlog.go
@@ -2,6 +2,7 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/units"
 )
 
 // backlog estimates how many prompt tokens a model broker has still to read before a new request's turn. Brokers read prompts
@@ -23,7 +24,7 @@
 
 // advance moves the front on by what can have been read since, but not past the oldest own request that waits.
 func (q *backlog) advance(now core.Time, perMillisecond float64, oldest *attempt) {
-	front := q.read + perMillisecond*milliseconds(now-q.at)
+	front := q.read + perMillisecond*units.Milliseconds(now-q.at)
 	if oldest != nil {
 		front = min(front, oldest.queueEnd-stillToRead)
 	}
--- a/internal/node/routing/broker.go
+++ b/internal/node/routing/broker.go
@@ -6,6 +6,8 @@
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/predict"
 	"kestrelspread/internal/window"
 )
@@ -74,7 +76,7 @@
 }
 
 func newBroker(now core.Time, instance *registry.Instance) *broker {
-	return &broker{instance: instance, hash: hashText(instance.ID), lineAt: -lineKept, markedAt: now}
+	return &broker{instance: instance, hash: prompt.HashText(instance.ID), lineAt: -lineKept, markedAt: now}
 }
 
 // replaced takes a newer entry of the instance: other weights end the doubt that a 421 or a rejection left.
@@ -106,7 +108,7 @@
 		return 0, 0
 	}
 	reported := float64(b.report.load.Running + b.report.load.Waiting + b.out - b.report.out)
-	age := milliseconds(now - b.report.at)
+	age := units.Milliseconds(now - b.report.at)
 	trust = min(max(1-(age-predict.HistoryLife)/reportFade, 0), 1)
 	return max(reported, 0), trust
 }
@@ -118,7 +120,7 @@
 	if b.lately == nil {
 		b.lately = newLatencies()
 	}
-	b.lately.Add(milliseconds(now), a.latency)
+	b.lately.Add(units.Milliseconds(now), a.latency)
 	b.lineAt = -lineKept
 	b.tookLatency(now, a.latency)
 }
@@ -132,7 +134,7 @@
 
 // tookLatency smooths what the broker takes; of attempts that were called off too, as they would have taken longer still.
 func (b *broker) tookLatency(now core.Time, latency float64) {
-	if b.tookAt == 0 || milliseconds(now-b.tookAt) > tookFade {
+	if b.tookAt == 0 || units.Milliseconds(now-b.tookAt) > tookFade {
 		b.took = latency
 	}
 	b.took += tookWeight * (latency - b.took)
@@ -144,7 +146,7 @@
 func (b *broker) expected(now core.Time, median float64) float64 {
 	expected := median
 	if b.tookAt != 0 {
-		weight := max(1-milliseconds(now-b.tookAt)/tookFade, 0)
+		weight := max(1-units.Milliseconds(now-b.tookAt)/tookFade, 0)
 		expected = weight*b.took + (1-weight)*median
 	}
 	if age, _ := b.oldest(now); age > expected {
--- a/internal/node/routing/salt_test.go
+++ b/internal/node/routing/cachesalt/cachesalt_test.go
@@ -1,4 +1,4 @@
-package routing
+package cachesalt
 
 import (
 	"testing"
@@ -13,9 +13,9 @@
 func TestWhoSharesASalt(t *testing.T) {
 	plain, other := &config.Tenant{Name: "a"}, &config.Tenant{Name: "b"}
 	apart := &config.Tenant{Name: "c", Isolated: true}
-	var w walls
+	var w IsolatedTenants
 	salt := func(tenant *config.Tenant, model string, version uint64) string {
-		return cacheSalt(model, version, w.wall(tenant))
+		return Text(model, version, w.BoundaryOf(tenant))
 	}
 	for _, c := range []struct {
 		name   string
@@ -37,11 +37,11 @@
 
 // While an older configuration may be in force somewhere, a tenant that was isolated shares nothing here either.
 func TestWallOutlivesItsConfiguration(t *testing.T) {
-	var w walls
+	var w IsolatedTenants
 	was := &config.Tenant{Name: "c", Isolated: true}
-	w.note(&config.Compiled{Tenants: map[string]*config.Tenant{"key": was}})
-	assert.Equal(t, w.wall(&config.Tenant{Name: "c"}), "c")
-	assert.Equal(t, w.wall(&config.Tenant{Name: "d"}), "")
+	w.Observe(&config.Compiled{Tenants: map[string]*config.Tenant{"key": was}})
+	assert.Equal(t, w.BoundaryOf(&config.Tenant{Name: "c"}), "c")
+	assert.Equal(t, w.BoundaryOf(&config.Tenant{Name: "d"}), "")
 }
 
 // No two of model, version and wall give the same text, whatever the names hold.
@@ -52,7 +52,7 @@
 		tenant1, tenant2 := name.Draw(t, "tenant1"), name.Draw(t, "tenant2")
 		version1, version2 := rapid.Uint64Range(1, 12).Draw(t, "v1"), rapid.Uint64Range(1, 12).Draw(t, "v2")
 		same := model1 == model2 && tenant1 == tenant2 && version1 == version2
-		first, second := cacheSalt(model1, version1, tenant1), cacheSalt(model2, version2, tenant2)
+		first, second := Text(model1, version1, tenant1), Text(model2, version2, tenant2)
 		assert.Equal(t, first == second, same)
 		for i := range len(first) {
 			assert.Assert(t, first[i] > ' ' && first[i] < 0x7f, "%q can't stand in a header", first)
--- /dev/null
+++ b/internal/node/routing/cachesalt/tenants.go
@@ -0,0 +1,35 @@
+package cachesalt
+
+import "kestrelspread/internal/node/config"
+
+// IsolatedTenants remembers which tenants were ever isolated. While a configuration that isolates a tenant may
+// still be in force at another proxy, its requests must not share cached prefixes with others, so a tenant stays
+// isolated here for the life of the process.
+type IsolatedTenants struct {
+	names map[string]bool
+}
+
+// Observe takes in which tenants a configuration isolates.
+func (t *IsolatedTenants) Observe(compiled *config.Compiled) {
+	for _, tenant := range compiled.Tenants {
+		if tenant.Isolated {
+			t.add(tenant.Name)
+		}
+	}
+}
+
+func (t *IsolatedTenants) add(tenant string) {
+	if t.names == nil {
+		t.names = make(map[string]bool)
+	}
+	t.names[tenant] = true
+}
+
+// BoundaryOf is the tenant that the salt of a request must name: its own if that is or ever was isolated, else
+// empty, which stands for the prefixes that all other tenants share.
+func (t *IsolatedTenants) BoundaryOf(tenant *config.Tenant) string {
+	if tenant == nil || !tenant.Isolated && !t.names[tenant.Name] {
+		return ""
+	}
+	return tenant.Name
+}
--- a/internal/node/routing/candidates.go
+++ b/internal/node/routing/candidates.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/predict"
 )
 
@@ -86,8 +88,8 @@
 		return c, false
 	}
 	if req.model != "" {
-		c.version = r.versions.believed(b.instance, req.model)
-		return c, r.versions.allowed(startsAt, req.model, c.version)
+		c.version = r.versions.VersionOf(b.instance, req.model)
+		return c, r.versions.MayStart(startsAt, req.model, c.version)
 	}
 	return c, true
 }
@@ -96,11 +98,11 @@
 func (r *Router) sort(now core.Time, req *request, f *field, c candidate) {
 	b := c.broker
 	h := &b.health
-	if r.switches.On(BrokerTrials) && !h.aside() && r.hangs(now, req.pool, b) {
+	if r.switches.On(mechanism.OutlierEjection) && !h.aside() && r.hangs(now, req.pool, b) {
 		r.setAside(now, b, hanging)
 	}
 	switch {
-	case r.switches.On(RefusalPause) && b.believedFull(now, req.Urgency):
+	case r.switches.On(mechanism.RefusalBackoff) && b.believedFull(now, req.Urgency):
 		f.full++
 		f.earliest = min(f.earliest, max(b.fullUntil, b.orderedUntil))
 	case h.aside() && r.mayTry(now, req, b):
@@ -129,10 +131,10 @@
 // newestFirst leaves only brokers with the newest weights shortly before the time of older ones is over, if they are enough
 // for all requests. Where they are few, the older ones are used to the last, as all would wait at the few.
 func (r *Router) newestFirst(now core.Time, req *request, sound []candidate) []candidate {
-	if req.model == "" || !r.switches.On(NewestFirst) || !r.versions.anyEndsWithin(now, req.model, newestFirstSpan) {
+	if req.model == "" || !r.switches.On(mechanism.NewestFirst) || !r.versions.AnyExpiresWithin(now, req.model, newestFirstSpan) {
 		return sound
 	}
-	newest := r.versions.newest(req.model)
+	newest := r.versions.Newest(req.model)
 	count := 0
 	for i := range sound {
 		if sound[i].version >= newest {
@@ -148,14 +150,14 @@
 // startsAt is when a request that is sent now has its first token, by what answers lately took: what goes to a broker with older
 // weights must start before their time is over. It is estimated only where that matters.
 func (r *Router) startsAt(now core.Time, req *request) core.Time {
-	if req.model == "" || !r.versions.anyEndsWithin(now, req.model, startLeadMost) {
+	if req.model == "" || !r.versions.AnyExpiresWithin(now, req.model, startLeadMost) {
 		return now
 	}
-	usual, n := req.class.latencies.Quantile(milliseconds(now), startLeadShare)
+	usual, n := req.class.latencies.Quantile(units.Milliseconds(now), startLeadShare)
 	if n < predict.Few {
 		usual = req.Route.TargetLatencyMs
 	}
-	lead := fromMilliseconds(startLeadFactor * usual * req.work)
+	lead := units.FromMilliseconds(startLeadFactor * usual * req.work)
 	return now + min(max(lead, startLeadLeast), startLeadMost)
 }
 
@@ -194,7 +196,7 @@
 	p := req.pool
 	c.scored = true
 	c.features = r.features(now, p, c.broker, c.load, f.average)
-	c.slow = r.switches.On(Prediction) && p.slow(&c.features)
+	c.slow = r.switches.On(mechanism.Prediction) && p.slow(&c.features)
 	// In a crowd all are slow, and who looks fast is who was left alone: only who is far slower than the rest is passed over.
 	if c.slow && p.crowded() && c.broker.expected(now, p.median) < crowdSlow*p.median {
 		c.slow = false
--- a/internal/node/routing/class.go
+++ b/internal/node/routing/class.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/predict"
 	"kestrelspread/internal/window"
 )
@@ -51,7 +52,7 @@
 func (c *class) scale(now core.Time, p *pool, tokens int) float64 {
 	if now >= c.updatedAt+refreshKept {
 		c.updatedAt = now
-		c.median, c.seen = c.latencies.Quantile(milliseconds(now), 0.5)
+		c.median, c.seen = c.latencies.Quantile(units.Milliseconds(now), 0.5)
 	}
 	scale := c.work(tokens)
 	if c.seen >= predict.LineFew && p.seen >= predict.Few && p.median > 0 {
--- a/internal/node/routing/copies.go
+++ b/internal/node/routing/copies.go
@@ -2,6 +2,9 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/retrybudget"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/predict"
 )
 
@@ -14,17 +17,17 @@
 
 // copyAt is when an attempt whose answer has not begun may have a copy: past pX of its class's latencies.
 func (r *Router) copyAt(now core.Time, req *request) core.Time {
-	if !r.switches.On(Copies) || !req.idempotent || req.copied || req.runs() >= req.Route.MaxAttempts {
+	if !r.switches.On(mechanism.Hedging) || !req.idempotent || req.copied || req.runs() >= req.Route.MaxAttempts {
 		return core.Never
 	}
-	at := milliseconds(now)
+	at := units.Milliseconds(now)
 	limit, n := req.class.latencies.Quantile(at, req.pool.submits.CopyShare(at))
 	usual, _ := req.class.latencies.Quantile(at, 0.5)
 	limit = max(limit, usual/copyGain) * req.work
 	if n < predict.Few {
 		limit = copyBlind * req.Route.TargetLatencyMs
 	}
-	due := now + fromMilliseconds(max(limit, copyLeast))
+	due := now + units.FromMilliseconds(max(limit, copyLeast))
 	if due >= req.Deadline-core.Time(copyLeftover*float64(req.Deadline-now)) {
 		return core.Never
 	}
@@ -34,7 +37,7 @@
 // Copy decides on the design's copy: one, to the next broker that looks fast, within maxAttempts and the retry budget.
 func (r *Router) Copy(now core.Time, id RequestID) Decision {
 	req := r.requests[id]
-	if req == nil || !r.switches.On(Copies) {
+	if req == nil || !r.switches.On(mechanism.Hedging) {
 		return Decision{}
 	}
 	waiting := req.onlyWaiting()
@@ -57,11 +60,11 @@
 	if chosen.slow || chosen.trial {
 		return Decision{}
 	}
-	share := hedgeShare
+	share := retrybudget.HedgeShare
 	if inTrouble {
 		share = retryShare(req.Urgency)
 	}
-	if !r.limits.affords(now, &p.budget, share) {
+	if !r.limits.Affords(now, &p.budget, share) {
 		return Decision{}
 	}
 	req.copied = true
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -18,6 +18,8 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -39,10 +41,10 @@
 	for _, seed := range []uint64{1, 2, 3, 4} {
 		lines = append(lines, traceRandomCalls(t, seed, 0, "none"))
 	}
-	for _, info := range Mechanisms() {
+	for _, info := range mechanism.All() {
 		lines = append(lines, traceRandomCalls(t, 4, info.Mechanism, info.Name))
 	}
-	lines = append(lines, traceSimulation(t, 0, "none"), traceEngines(t, 0, "none"), traceEngines(t, RecentReads|KVStore, "recent-reads,store"))
+	lines = append(lines, traceSimulation(t, 0, "none"), traceEngines(t, 0, "none"), traceEngines(t, mechanism.RecentPrefills|mechanism.KVStore, "recent-reads,store"))
 	got := strings.Join(lines, "\n") + "\n"
 	path := filepath.Join("testdata", "golden", "decisions.txt")
 	if *updateDecisions {
@@ -104,7 +106,7 @@
 	ended    map[int]bool
 }
 
-func traceRandomCalls(t *testing.T, seed uint64, disabled Mechanism, name string) string {
+func traceRandomCalls(t *testing.T, seed uint64, disabled mechanism.Set, name string) string {
 	t.Helper()
 	c := &randomCalls{trace: newDecisionTrace(), chance: rand.New(rand.NewPCG(seed, 17)), list: instances(7),
 		versions: map[string]uint64{}}
@@ -147,7 +149,7 @@
 	case n < 90 && len(c.open) > 0:
 		c.proceed(c.chance.IntN(len(c.open)))
 	case n < 92:
-		c.PeerSent(c.now, Sent{Instance: c.some().ID, Salt: 7, Parts: []PromptPart{{ID: 3, Tokens: 900}}, Unread: c.chance.IntN(6000)})
+		c.PeerSent(c.now, Sent{Instance: c.some().ID, Salt: 7, Parts: []prompt.Part{{ID: 3, Tokens: 900}}, Unread: c.chance.IntN(6000)})
 	case n < 94:
 		c.PeerStep(StepSeen{Instance: c.some().ID, Pause: core.Time(8+c.chance.IntN(20)) * ms})
 	case n < 95:
@@ -281,7 +283,7 @@
 	list   []*registry.Instance
 }
 
-func (x *randomIndex) Holders(_ uint64, parts []PromptPart) []Holder {
+func (x *randomIndex) Holders(_ uint64, parts []prompt.Part) []Holder {
 	var found []Holder
 	for _, instance := range x.list {
 		if x.chance.IntN(4) == 0 {
@@ -296,7 +298,7 @@
 }
 
 // traceSimulation runs sick brokers under mixed traffic.
-func traceSimulation(t *testing.T, disabled Mechanism, name string) string {
+func traceSimulation(t *testing.T, disabled mechanism.Set, name string) string {
 	t.Helper()
 	s := newSimulation(t, 3, 12)
 	s.renewProxies(disabled)
@@ -310,7 +312,7 @@
 }
 
 // traceEngines runs model brokers under prompts of two kinds.
-func traceEngines(t *testing.T, disabled Mechanism, name string) string {
+func traceEngines(t *testing.T, disabled mechanism.Set, name string) string {
 	t.Helper()
 	s := newEngineSim(t, 5, 9, true)
 	s.options.Index = s.index
@@ -323,7 +325,7 @@
 	return s.endTrace("engines without " + name)
 }
 
-func (s *simulation) renewProxies(disabled Mechanism) {
+func (s *simulation) renewProxies(disabled mechanism.Set) {
 	s.options.Disabled = disabled
 	for p := range s.proxies {
 		s.proxies[p] = s.newProxy(p, len(s.proxies))
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -13,6 +13,9 @@
 
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -124,7 +127,7 @@
 
 type kvKeyID struct{ salt, part uint64 }
 
-func (x *lateIndex) Holders(salt uint64, parts []PromptPart) []Holder {
+func (x *lateIndex) Holders(salt uint64, parts []prompt.Part) []Holder {
 	var found []Holder
 	for i, part := range parts {
 		keep := x.holders[kvKeyID{salt, part.ID}]
@@ -143,7 +146,7 @@
 	return found
 }
 
-func sumTokens(parts []PromptPart) int {
+func sumTokens(parts []prompt.Part) int {
 	n := 0
 	for _, p := range parts {
 		n += p.Tokens
@@ -158,7 +161,7 @@
 	s.index.holders = map[kvKeyID][]Holder{}
 	note := func(e *engine, h Holder) {
 		for key, part := range e.parts {
-			id := kvKeyID{SaltID(key.salt), key.part}
+			id := kvKeyID{cachesalt.ID(key.salt), key.part}
 			h.Tokens = part.tokens
 			s.index.holders[id] = append(s.index.holders[id], h)
 		}
@@ -197,7 +200,7 @@
 
 // begin sends a new request; a client comes again once where it is refused.
 func (s *engineSim) begin(q Request, out int) {
-	q.Deadline = s.now + fromMilliseconds(q.Route.TimeoutMs)
+	q.Deadline = s.now + units.FromMilliseconds(q.Route.TimeoutMs)
 	q.TokensOut = out
 	s.kind(&q).owed++
 	s.try(q, false)
@@ -313,7 +316,7 @@
 		}
 	}
 	took += float64(engineChunk-budget) / engineRead
-	s.at(s.now+fromMilliseconds(took), func() {
+	s.at(s.now+units.FromMilliseconds(took), func() {
 		for _, g := range e.running {
 			if g.left == 0 && s.now >= g.readyAt {
 				e.token(g)
@@ -366,14 +369,14 @@
 }
 
 // fetch moves what the named source keeps, and returns how many parts come.
-func (e *engine) fetch(g *generation, missing []PromptPart) int {
+func (e *engine) fetch(g *generation, missing []prompt.Part) int {
 	s := e.sim
 	source := s.byAddr[g.attempt.FetchFrom]
 	if source == nil || len(missing) == 0 {
 		return 0
 	}
 	if source.dead {
-		g.readyAt = s.now + fromMilliseconds(engineDeadFetch)
+		g.readyAt = s.now + units.FromMilliseconds(engineDeadFetch)
 		return 0
 	}
 	tokens, n := 0, 0
@@ -392,7 +395,7 @@
 		took *= 2
 	}
 	from := max(e.moveFree, source.moveFree, s.now)
-	g.readyAt = from + fromMilliseconds(took)
+	g.readyAt = from + units.FromMilliseconds(took)
 	e.moveFree, source.moveFree = g.readyAt, g.readyAt
 	s.moved += tokens
 	return n
@@ -454,7 +457,7 @@
 	if !g.first {
 		g.first = true
 		e.save(g)
-		s.at(s.now+fromMilliseconds(engineFirst)+hop, func() {
+		s.at(s.now+units.FromMilliseconds(engineFirst)+hop, func() {
 			if c.done {
 				return
 			}
@@ -463,7 +466,7 @@
 				return
 			}
 			c.answered = true
-			took := milliseconds(s.now - c.request.Received)
+			took := units.Milliseconds(s.now - c.request.Received)
 			k := s.kind(&c.request)
 			k.ttfb = append(k.ttfb, took)
 			switch {
@@ -478,7 +481,7 @@
 	}
 	if g.out--; g.out <= 0 {
 		g.over = true
-		s.at(s.now+fromMilliseconds(engineFirst)+2*hop, func() {
+		s.at(s.now+units.FromMilliseconds(engineFirst)+2*hop, func() {
 			if !c.done {
 				s.proxies[c.proxy].Finished(s.now, c.id, g.attempt.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
 				s.finish(c, &s.served)
@@ -510,18 +513,18 @@
 		own++
 		if s.chance.Float64() < 0.44 {
 			thing := int(313 * math.Pow(s.chance.Float64(), 1.3))
-			parts := []PromptPart{{ID: uint64(1 + thing%4), Tokens: 2520}, {ID: uint64(1000 + thing), Tokens: long[thing]},
+			parts := []prompt.Part{{ID: uint64(1 + thing%4), Tokens: 2520}, {ID: uint64(1000 + thing), Tokens: long[thing]},
 				{ID: own, Tokens: lognormal(s.chance, 2890, 1, 39600)}}
 			return promptOf(verdictRoute, 1, parts), lognormal(s.chance, 9, 1, 35)
 		}
 		thing := int(394 * math.Pow(s.chance.Float64(), 1.3))
-		parts := []PromptPart{{ID: uint64(10 + thing%8), Tokens: 119}, {ID: uint64(2000 + thing), Tokens: 79},
+		parts := []prompt.Part{{ID: uint64(10 + thing%8), Tokens: 119}, {ID: uint64(2000 + thing), Tokens: 79},
 			{ID: own, Tokens: lognormal(s.chance, 628, 1, 3310)}}
 		return promptOf(letterRoute, 0, parts), lognormal(s.chance, 49, 0.7, 159)
 	}
 }
 
-func promptOf(route *config.Route, urgency int, parts []PromptPart) Request {
+func promptOf(route *config.Route, urgency int, parts []prompt.Part) Request {
 	q := Request{Route: route, Service: service, Model: model, Urgency: urgency, Parts: parts}
 	for _, p := range parts {
 		q.TokensIn += p.Tokens
--- a/internal/node/routing/fetch.go
+++ b/internal/node/routing/fetch.go
@@ -5,6 +5,9 @@
 
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/window"
 )
 
@@ -29,9 +32,9 @@
 	if m.all == nil {
 		m.all, m.late = window.NewCounts(6, moveSpan/5), window.NewCounts(6, moveSpan/5)
 	}
-	m.all.Add(milliseconds(now), 1)
+	m.all.Add(units.Milliseconds(now), 1)
 	if late {
-		m.late.Add(milliseconds(now), 1)
+		m.late.Add(units.Milliseconds(now), 1)
 	}
 }
 
@@ -39,8 +42,8 @@
 	if m.all == nil {
 		return false
 	}
-	late := m.late.Sum(milliseconds(now), moveSpan)
-	return late >= moveFew && late > moveShare*m.all.Sum(milliseconds(now), moveSpan)
+	late := m.late.Sum(units.Milliseconds(now), moveSpan)
+	return late >= moveFew && late > moveShare*m.all.Sum(units.Milliseconds(now), moveSpan)
 }
 
 // fetchSource is the address that the chosen broker should fetch the prompt's shared parts from, or empty.
@@ -50,11 +53,11 @@
 // again. Else it is the store, also where the index has the parts at the chosen broker itself: brokers drop them within seconds and tell of it late.
 // Where the store is down, it is the broker that should have them by its place in their order.
 func (r *Router) fetchSource(now core.Time, req *request, chosen *candidate) string {
-	if sharedTokens(req.Parts) < fetchLeastTokens || chosen.broker.moves.slow(now) {
+	if prompt.SharedTokens(req.Parts) < fetchLeastTokens || chosen.broker.moves.slow(now) {
 		return ""
 	}
 	var holder *candidate
-	if r.switches.On(KVFetch) {
+	if r.switches.On(mechanism.KVFetch) {
 		holder = r.bestHolder(now, req, chosen)
 	}
 	store := r.storeFor(now, req)
@@ -66,7 +69,7 @@
 	case holder != nil:
 		return holder.broker.instance.Address
 	}
-	if !r.switches.On(KVFetch) {
+	if !r.switches.On(mechanism.KVFetch) {
 		return ""
 	}
 	if keeper := r.keeper(now, req, chosen); keeper != nil {
@@ -127,18 +130,18 @@
 // keeper is the owner of the parts by the rendezvous order, among all brokers that can be fetched from; nil if that is the
 // chosen one, or the index has them there. Where the chosen one has come lately, it is who owned them before.
 func (r *Router) keeper(now core.Time, req *request, chosen *candidate) *broker {
-	part, ok := stickyPart(req.Parts)
-	if !ok || chosen.kept >= sharedTokens(req.Parts)-sharedSlack {
+	part, ok := prompt.StickyPart(req.Parts)
+	if !ok || chosen.kept >= prompt.SharedTokens(req.Parts)-sharedSlack {
 		return nil
 	}
-	key := affinityKey(part, req.model, req.wall)
+	key := prompt.AffinityKey(part, req.model, req.wall)
 	var best *broker
 	bestWeight := uint64(0)
 	if now >= chosen.broker.youngUntil {
-		bestWeight = weight(key, chosen.broker.hash)
+		bestWeight = prompt.RendezvousWeight(key, chosen.broker.hash)
 	}
 	for _, b := range req.pool.brokers {
-		if w := weight(key, b.hash); w > bestWeight && r.mayFetchFrom(now, req, chosen, b) {
+		if w := prompt.RendezvousWeight(key, b.hash); w > bestWeight && r.mayFetchFrom(now, req, chosen, b) {
 			best, bestWeight = b, w
 		}
 	}
@@ -153,5 +156,5 @@
 	case now < b.health.misdirectedUntil, r.hangs(now, req.pool, b):
 		return false
 	}
-	return r.versions.believed(b.instance, req.model) == chosen.version
+	return r.versions.VersionOf(b.instance, req.model) == chosen.version
 }
--- a/internal/node/routing/health.go
+++ b/internal/node/routing/health.go
@@ -4,6 +4,8 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/node/verdict"
 	"kestrelspread/internal/predict"
 	"kestrelspread/internal/window"
@@ -87,14 +89,14 @@
 	if *counts == nil {
 		*counts = window.NewCounts(errorBuckets+1, errorSpan/errorBuckets)
 	}
-	(*counts).Add(milliseconds(now), 1)
+	(*counts).Add(units.Milliseconds(now), 1)
 }
 
 func lately(counts *window.Counts, now core.Time) float64 {
 	if counts == nil {
 		return 0
 	}
-	return counts.Sum(milliseconds(now), errorSpan)
+	return counts.Sum(units.Milliseconds(now), errorSpan)
 }
 
 // fails reports whether too large a share of what was sent lately went wrong.
@@ -120,7 +122,7 @@
 	if b.health.answeredAt > first.sentAt {
 		return false
 	}
-	silent := milliseconds(now-max(first.sentAt, r.awakeAt)) / first.scale
+	silent := units.Milliseconds(now-max(first.sentAt, r.awakeAt)) / first.scale
 	patience := p.patience(now, b)
 	if silent <= patience {
 		return false
@@ -152,7 +154,7 @@
 
 func (r *Router) setAside(now core.Time, b *broker, why ailment) {
 	h := &b.health
-	if !r.switches.On(BrokerTrials) {
+	if !r.switches.On(mechanism.OutlierEjection) {
 		return
 	}
 	if h.aside() {
@@ -175,7 +177,7 @@
 }
 
 func (r *Router) firstTrial(now core.Time) time.Duration {
-	return max(trialFirst, time.Duration(r.limits.proxies.most(now))*trialPerPeer)
+	return max(trialFirst, time.Duration(r.limits.Proxies.Max(now))*trialPerPeer)
 }
 
 // spread takes a time between three quarters of it and five quarters, by chance.
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -4,6 +4,8 @@
 	"slices"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/units"
 )
 
 // Why answers of model brokers were late is counted by cause, and the newest ones are kept with what was believed of their broker, so
@@ -70,12 +72,12 @@
 
 // noteFirst counts an answer whose first event came later than its route's target.
 func (r *Router) noteFirst(now core.Time, req *request, a *attempt) {
-	target := fromMilliseconds(req.Route.TargetLatencyMs)
+	target := units.FromMilliseconds(req.Route.TargetLatencyMs)
 	if req.model == "" || target <= 0 || now-req.Received <= target {
 		return
 	}
 	perToken := req.pool.perToken(a.broker)
-	expected := fromMilliseconds(perToken * a.ahead)
+	expected := units.FromMilliseconds(perToken * a.ahead)
 	cause := LateUnforeseen
 	switch {
 	case a.sentAt-req.Received > target/2:
@@ -93,7 +95,7 @@
 
 // notePauses counts an answer with a pause that is longer than its route allows, unless its first event was late already.
 func (r *Router) notePauses(now core.Time, req *request, a *attempt, pauses Pauses) {
-	allowed := fromMilliseconds(req.Route.GapTargetMs)
+	allowed := units.FromMilliseconds(req.Route.GapTargetMs)
 	if req.model == "" || allowed <= 0 || pauses.Longest <= allowed || a.late {
 		return
 	}
@@ -116,7 +118,7 @@
 
 // countPrompt counts the shared tokens of a prompt by where they were expected to come from when it was sent.
 func (r *Router) countPrompt(req *request, chosen *candidate, out *Attempt) {
-	shared := sharedTokens(req.Parts)
+	shared := prompt.SharedTokens(req.Parts)
 	held := min(chosen.kept, shared)
 	coming := max(min(chosen.coming, shared)-held, 0)
 	missing := shared - held - coming
--- a/internal/node/routing/lateness.go
+++ b/internal/node/routing/lateness.go
@@ -4,6 +4,8 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/units"
 )
 
 // A request whose answer would begin too late, because of what waits at every broker, earns more if it is refused at once and
@@ -34,7 +36,7 @@
 // postponed reports whether a first try is to be sent back, and after which time it should come again.
 func (r *Router) postponed(now core.Time, req *request, f *field, chosen *candidate) (after core.Time, ok bool) {
 	target := req.Route.TargetLatencyMs
-	if req.model == "" || !r.switches.On(Postponing) || !req.fresh || target <= 0 || !req.pool.pace.known() {
+	if req.model == "" || !r.switches.On(mechanism.Postponing) || !req.fresh || target <= 0 || !req.pool.pace.known() {
 		return 0, false
 	}
 	waiting := r.waiting(now, req.pool, chosen.broker)
@@ -43,7 +45,7 @@
 		return 0, false
 	}
 	rest := returnShare * target
-	after = fromMilliseconds(expected - target + rest + rest*r.options.Random.Float64())
+	after = units.FromMilliseconds(expected - target + rest + rest*r.options.Random.Float64())
 	return after, after <= (req.Deadline-now)/adviceShare
 }
 
--- a/internal/node/routing/mechanisms_test.go
+++ b/internal/node/routing/mechanism/mechanism_test.go
@@ -1,4 +1,4 @@
-package routing
+package mechanism
 
 import (
 	"strings"
@@ -8,23 +8,23 @@
 )
 
 func TestMechanismsByName(t *testing.T) {
-	var all Mechanism
+	var all Set
 	var names []string
-	for _, info := range Mechanisms() {
+	for _, info := range All() {
 		assert.Assert(t, all&info.Mechanism == 0, "%s shares its bit", info.Name)
 		assert.Assert(t, info.About != "")
 		all |= info.Mechanism
 		names = append(names, info.Name)
-		set, err := ParseMechanisms(info.Name)
+		set, err := Parse(info.Name)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, set.Names(), []string{info.Name})
 	}
-	set, err := ParseMechanisms(strings.Join(names, ","))
+	set, err := Parse(strings.Join(names, ","))
 	assert.NilError(t, err)
 	assert.Equal(t, set, all)
-	set, err = ParseMechanisms("")
+	set, err = Parse("")
 	assert.NilError(t, err)
-	assert.Equal(t, set, Mechanism(0))
-	_, err = ParseMechanisms("copies,copy")
+	assert.Equal(t, set, Set(0))
+	_, err = Parse("copies,copy")
 	assert.ErrorContains(t, err, `"copy"`)
 }
--- a/internal/node/routing/options.go
+++ b/internal/node/routing/options.go
@@ -3,6 +3,9 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // Options are the figures of a deployment, from its settings file (DEPLOY.md, "Settings of a process").
@@ -28,12 +31,12 @@
 	// the prompts that brokers have begun to answer.
 	Index Index
 	// Disabled names the mechanisms that are switched off.
-	Disabled Mechanism
+	Disabled mechanism.Set
 }
 
 // Observer is told what ran where: its parts are kept there now.
 type Observer interface {
-	Observed(instance string, salt uint64, parts []PromptPart)
+	Observed(instance string, salt uint64, parts []prompt.Part)
 }
 
 const defaultBudgetWindow = 10 * time.Second
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -3,6 +3,9 @@
 import (
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/node/verdict"
 	"kestrelspread/internal/predict"
 )
@@ -35,7 +38,7 @@
 	p.answeredAt = now
 	if a.salt != "" {
 		b.backlog.passed(a.queueEnd)
-		r.reads.note(now, now, b, SaltID(a.salt), sharedParts(req.Parts))
+		r.reads.note(now, now, b, cachesalt.ID(a.salt), prompt.SharedParts(req.Parts))
 	}
 	if req.Route.Kind == config.KindStreaming {
 		r.noteFirst(now, req, a)
@@ -63,13 +66,13 @@
 		}
 	}
 	b.learnLatency(now, a)
-	p.latencies.Add(milliseconds(now), a.latency)
+	p.latencies.Add(units.Milliseconds(now), a.latency)
 	if target := req.Route.TargetLatencyMs; target > 0 {
-		p.overload.ratios.Add(milliseconds(now), milliseconds(now-req.Received)/target)
+		p.overload.ratios.Add(units.Milliseconds(now), units.Milliseconds(now-req.Received)/target)
 	}
-	req.class.latencies.Add(milliseconds(now), a.latency*a.scale/req.work)
+	req.class.latencies.Add(units.Milliseconds(now), a.latency*a.scale/req.work)
 	if observer, ok := r.options.Index.(Observer); ok && a.salt != "" {
-		observer.Observed(b.instance.ID, SaltID(a.salt), req.Parts)
+		observer.Observed(b.instance.ID, cachesalt.ID(a.salt), req.Parts)
 	}
 }
 
--- a/internal/node/routing/overload.go
+++ b/internal/node/routing/overload.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/window"
 )
 
@@ -52,7 +53,7 @@
 		return
 	}
 	o.updatedAt = now
-	best, n := o.ratios.Quantile(milliseconds(now), overloadBest)
+	best, n := o.ratios.Quantile(units.Milliseconds(now), overloadBest)
 	if n >= overloadFew && best > overloadLate && p.busy(now) {
 		o.shed = min(o.shed+overloadRaise, overloadMost)
 	} else {
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/units"
 )
 
 // answerLate has requests answered, twenty at a time, at so many times their target by brokers that tell of this load.
@@ -21,7 +22,7 @@
 				sent = append(sent, d.Attempt)
 			}
 		}
-		w.now += fromMilliseconds(times * safeRoute.TargetLatencyMs)
+		w.now += units.FromMilliseconds(times * safeRoute.TargetLatencyMs)
 		for _, a := range sent {
 			w.Started(w.now, a.Request, a.Number, &load)
 			w.answer(a)
--- a/internal/node/routing/pauses_test.go
+++ b/internal/node/routing/pauses_test.go
@@ -7,6 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/config"
+	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -134,7 +135,7 @@
 		}
 		q := w.prompt(exactRoute, w.Router.options.Random.Uint64())
 		q.TokensIn = unread
-		q.Parts = []PromptPart{{ID: w.Router.options.Random.Uint64(), Tokens: unread}}
+		q.Parts = []prompt.Part{{ID: w.Router.options.Random.Uint64(), Tokens: unread}}
 		a := w.begin(q)
 		w.now += time.Second
 		w.answer(a)
--- a/internal/node/routing/placement.go
+++ b/internal/node/routing/placement.go
@@ -3,6 +3,10 @@
 import (
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/units"
 )
 
 // A model broker's answer begins when it has read what was sent there before, and then the prompt itself. So a request goes
@@ -102,10 +106,10 @@
 	p := &r.placing
 	p.engine = r.compiled.Services[req.Service].Engine
 	p.store = r.storeFor(now, req)
-	p.shared = sharedTokens(req.Parts)
+	p.shared = prompt.SharedTokens(req.Parts)
 	p.own = max(req.TokensIn-p.shared, 0)
 	p.owner = nil
-	if r.switches.On(Affinity) {
+	if r.switches.On(mechanism.Affinity) {
 		p.owner = owner(req, found)
 	}
 	p.versions = p.versions[:0]
@@ -124,9 +128,9 @@
 // noteReads notes at the candidates of a version what they are reading or have just read of the prompt, and returns how many
 // tokens at the end of the shared ones were not sent to any broker lately.
 func (r *Router) noteReads(now core.Time, req *request, found []candidate, version uint64) (unseen int) {
-	salt := SaltID(cacheSalt(req.model, version, req.wall))
+	salt := cachesalt.ID(cachesalt.Text(req.model, version, req.wall))
 	tokens := 0
-	for _, part := range sharedParts(req.Parts) {
+	for _, part := range prompt.SharedParts(req.Parts) {
 		tokens += part.Tokens
 		reads := r.reads.of(now, salt, part)
 		if reads == nil {
@@ -135,7 +139,7 @@
 		}
 		unseen = 0
 		for i := range reads.places {
-			if place := &reads.places[i]; r.switches.On(RecentReads) && place.broker != nil && now < place.at+readsBelieved {
+			if place := &reads.places[i]; r.switches.On(mechanism.RecentPrefills) && place.broker != nil && now < place.at+readsBelieved {
 				noteRead(now, found, place, tokens)
 			}
 		}
@@ -169,15 +173,15 @@
 
 // owner is the candidate that should keep the prompt's parts, by the rendezvous order; nil where there is none.
 func owner(req *request, found []candidate) *broker {
-	part, ok := stickyPart(req.Parts)
+	part, ok := prompt.StickyPart(req.Parts)
 	if !ok {
 		return nil
 	}
-	key := affinityKey(part, req.model, req.wall)
+	key := prompt.AffinityKey(part, req.model, req.wall)
 	var best *broker
 	highest := uint64(0)
 	for i := range found {
-		if w := weight(key, found[i].broker.hash); best == nil || w > highest {
+		if w := prompt.RendezvousWeight(key, found[i].broker.hash); best == nil || w > highest {
 			best, highest = found[i].broker, w
 		}
 	}
@@ -256,10 +260,10 @@
 }
 
 // noteSent puts a prompt at the end of what its broker has to read, and returns where it ends there.
-func (r *Router) noteSent(now core.Time, p *pool, b *broker, salt uint64, parts []PromptPart, unread int) (end float64) {
+func (r *Router) noteSent(now core.Time, p *pool, b *broker, salt uint64, parts []prompt.Part, unread int) (end float64) {
 	perToken := p.perToken(b)
 	b.longReads.note(now, unread)
 	end = b.backlog.add(now, float64(unread), 1/perToken, b.oldestWaiting())
-	r.reads.note(now, now+fromMilliseconds(perToken*b.backlog.tokens()), b, salt, parts)
+	r.reads.note(now, now+units.FromMilliseconds(perToken*b.backlog.tokens()), b, salt, parts)
 	return end
 }
--- a/internal/node/routing/placement_test.go
+++ b/internal/node/routing/placement_test.go
@@ -7,6 +7,8 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // sized is a prompt with nothing that others share.
@@ -14,7 +16,7 @@
 	q := w.request(flowRoute)
 	q.Model = model
 	q.TokensIn = tokens
-	q.Parts = []PromptPart{{ID: w.Router.options.Random.Uint64(), Tokens: tokens}}
+	q.Parts = []prompt.Part{{ID: w.Router.options.Random.Uint64(), Tokens: tokens}}
 	return q
 }
 
@@ -74,7 +76,7 @@
 			return 0
 		}
 		assert.Equal(t, a.Sent.Instance, a.Instance.ID)
-		assert.Equal(t, a.Sent.Salt, SaltID(a.Salt))
+		assert.Equal(t, a.Sent.Salt, cachesalt.ID(a.Salt))
 		assert.Equal(t, len(a.Sent.Parts), 2, "the last part is nobody else's")
 		return a.Sent.Unread
 	}
@@ -97,7 +99,7 @@
 	for _, instance := range list[:3] {
 		withVersion(instance, 2)
 	}
-	index := &versionedBrokers{salt: SaltID(cacheSalt(model, 1, "")), holders: []string{list[3].ID, list[4].ID, list[5].ID}}
+	index := &versionedBrokers{salt: cachesalt.ID(cachesalt.Text(model, 1, "")), holders: []string{list[3].ID, list[4].ID, list[5].ID}}
 	w := newWorldWith(t, list, index)
 	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
 	renewed := 0
@@ -119,7 +121,7 @@
 	holders []string
 }
 
-func (x *versionedBrokers) Holders(salt uint64, parts []PromptPart) []Holder {
+func (x *versionedBrokers) Holders(salt uint64, parts []prompt.Part) []Holder {
 	if salt != x.salt {
 		return nil
 	}
--- a/internal/node/routing/pool.go
+++ b/internal/node/routing/pool.go
@@ -5,6 +5,9 @@
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/retrybudget"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/predict"
 	"kestrelspread/internal/window"
 )
@@ -20,7 +23,7 @@
 type pool struct {
 	service  string
 	brokers  []*broker // in the order of the registry's table
-	budget   budget
+	budget   retrybudget.Budget
 	overload overload
 
 	pace      readingPace
@@ -40,7 +43,7 @@
 	answeredAt core.Time
 }
 
-func newPool(service string, budget budget) *pool {
+func newPool(service string, budget retrybudget.Budget) *pool {
 	return &pool{
 		service:   service,
 		budget:    budget,
@@ -58,7 +61,7 @@
 		return
 	}
 	p.updatedAt = now
-	at := milliseconds(now)
+	at := units.Milliseconds(now)
 	p.median, p.seen = p.latencies.Quantile(at, 0.5)
 	p.scarce = p.marksAreMany()
 	p.step = p.usualStep()
@@ -90,7 +93,7 @@
 	if b.instance.State != registry.Ready {
 		return false
 	}
-	return !r.switches.On(LoadingMarks) || !b.instance.Loading || p.scarce && now >= b.markedAt+markTrusted
+	return !r.switches.On(mechanism.LoadingMarks) || !b.instance.Loading || p.scarce && now >= b.markedAt+markTrusted
 }
 
 func (p *pool) crowded() bool { return predict.Crowded(p.median, p.calm) }
@@ -104,7 +107,7 @@
 	if own == nil {
 		own = noLatencies
 	}
-	b.line = predict.Line(milliseconds(now), own, p.top, p.seen)
+	b.line = predict.Line(units.Milliseconds(now), own, p.top, p.seen)
 	b.lineAt = now
 	return b.line
 }
@@ -121,7 +124,7 @@
 		features.Add(age, loadThen)
 	}
 	for _, past := range b.history {
-		if past.latency > 0 && (!r.switches.On(HistoryExpiry) || milliseconds(now-past.at) < predict.HistoryLife) {
+		if past.latency > 0 && (!r.switches.On(mechanism.HistoryExpiry) || units.Milliseconds(now-past.at) < predict.HistoryLife) {
 			features.Add(past.latency, past.load)
 		}
 	}
@@ -141,6 +144,6 @@
 	a.taught = true
 	p.weights.Teach(&a.features, slow, a.predictedFast)
 	if a.predictedFast {
-		p.submits.Note(milliseconds(now), slow)
+		p.submits.Note(units.Milliseconds(now), slow)
 	}
 }
--- a/internal/node/routing/reads.go
+++ b/internal/node/routing/reads.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // Which parts of prompts brokers are reading just now is known before the index can tell: by what this proxy and the others
@@ -19,7 +20,7 @@
 	Instance string // instance id
 	Salt     uint64 // SaltID of Cache-Salt
 	// Parts are the prompt's shared parts, in order. The broker keeps them once it has read the prompt.
-	Parts []PromptPart
+	Parts []prompt.Part
 	// Unread is how many tokens of the prompt the broker has to read.
 	Unread int
 }
@@ -44,10 +45,10 @@
 	readyAt core.Time
 }
 
-func readKey(salt uint64, part PromptPart) uint64 { return mix(salt ^ mix(part.ID)) }
+func readKey(salt uint64, part prompt.Part) uint64 { return prompt.Mix(salt ^ prompt.Mix(part.ID)) }
 
 // note takes that the shared parts of a prompt were sent to a broker, which is to have read them at readyAt.
-func (r *recentReads) note(now, readyAt core.Time, b *broker, salt uint64, parts []PromptPart) {
+func (r *recentReads) note(now, readyAt core.Time, b *broker, salt uint64, parts []prompt.Part) {
 	r.turn(now)
 	for _, part := range parts {
 		key := readKey(salt, part)
@@ -89,7 +90,7 @@
 }
 
 // of is what is remembered of a part, nil where it wasn't sent lately.
-func (r *recentReads) of(now core.Time, salt uint64, part PromptPart) *partReads {
+func (r *recentReads) of(now core.Time, salt uint64, part prompt.Part) *partReads {
 	key := readKey(salt, part)
 	reads := r.newer[key]
 	if reads == nil {
--- a/internal/node/routing/reads_test.go
+++ b/internal/node/routing/reads_test.go
@@ -5,6 +5,9 @@
 	"time"
 
 	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // What another proxy has just sent to a broker is known to come there: the same parts aren't read elsewhere at the same time,
@@ -25,7 +28,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, instances(9))
 			q := w.prompt(flowRoute, 5)
-			salt := SaltID(cacheSalt(model, 1, ""))
+			salt := cachesalt.ID(cachesalt.Text(model, 1, ""))
 			w.PeerSent(w.now, Sent{Instance: "i07", Salt: salt, Parts: q.Parts[:2], Unread: 1600})
 			w.now += c.after
 			w.PeerSent(w.now, Sent{Instance: "i07", Unread: c.waiting})
@@ -50,7 +53,7 @@
 	if owner == other {
 		other = "i03"
 	}
-	fresh.PeerSent(fresh.now, Sent{Instance: other, Salt: SaltID(cacheSalt(model, 2, "")), Parts: q.Parts[:2], Unread: 10})
+	fresh.PeerSent(fresh.now, Sent{Instance: other, Salt: cachesalt.ID(cachesalt.Text(model, 2, "")), Parts: q.Parts[:2], Unread: 10})
 	assert.Equal(t, fresh.begin(fresh.prompt(flowRoute, 5)).Instance.ID, owner)
 }
 
@@ -58,17 +61,17 @@
 func TestReadsFade(t *testing.T) {
 	w := newWorld(t, instances(1))
 	b := w.Router.brokers["i00"]
-	parts := []PromptPart{{ID: 1, Tokens: 500}}
+	parts := []prompt.Part{{ID: 1, Tokens: 500}}
 	var r recentReads
 	r.note(w.now, w.now+time.Second, b, 7, parts)
 	reads := r.of(w.now, 7, parts[0])
 	assert.Equal(t, reads.places[0].broker, b)
 	assert.Assert(t, r.of(w.now, 8, parts[0]) == nil)
 	assert.Assert(t, r.of(w.now+readsAgain, 7, parts[0]) == nil)
-	r.note(w.now+readsAgain, 0, b, 7, []PromptPart{{ID: 2}})
+	r.note(w.now+readsAgain, 0, b, 7, []prompt.Part{{ID: 2}})
 	assert.Equal(t, len(r.newer), 1)
 	assert.Equal(t, len(r.older), 1)
-	r.note(w.now+2*readsAgain, 0, b, 7, []PromptPart{{ID: 3}})
+	r.note(w.now+2*readsAgain, 0, b, 7, []prompt.Part{{ID: 3}})
 	assert.Equal(t, len(r.older), 1, "two generations are kept")
 }
 
@@ -76,9 +79,9 @@
 func TestReadPlaces(t *testing.T) {
 	w := newWorld(t, instances(readsPlaces+2))
 	var r recentReads
-	part := PromptPart{ID: 1, Tokens: 500}
+	part := prompt.Part{ID: 1, Tokens: 500}
 	note := func(id string, readyAt time.Duration) {
-		r.note(w.now, w.now+readyAt, w.Router.brokers[id], 7, []PromptPart{part})
+		r.note(w.now, w.now+readyAt, w.Router.brokers[id], 7, []prompt.Part{part})
 	}
 	note("i00", 100*ms)
 	note("i01", 200*ms)
--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -2,6 +2,7 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/node/verdict"
 	"kestrelspread/internal/predict"
 )
@@ -51,7 +52,7 @@
 }
 
 // age is how long the attempt has been out, scaled to the usual work, ms.
-func (a *attempt) age(now core.Time) float64 { return milliseconds(now-a.sentAt) / a.scale }
+func (a *attempt) age(now core.Time) float64 { return units.Milliseconds(now-a.sentAt) / a.scale }
 
 func (q *request) attempt(number int) *attempt {
 	if number < 0 || number >= len(q.attempts) {
--- a/internal/node/routing/retry.go
+++ b/internal/node/routing/retry.go
@@ -32,7 +32,7 @@
 		return RefusedAttempts
 	case req.turnedAway >= turnedAwayMost(req.Urgency):
 		return RefusedFull
-	case req.arrivals() > 0 && !r.limits.affords(now, &req.pool.budget, retryShare(req.Urgency)):
+	case req.arrivals() > 0 && !r.limits.Affords(now, &req.pool.budget, retryShare(req.Urgency)):
 		return RefusedBudget
 	}
 	return ""
--- a/internal/node/routing/rollout_versions_test.go
+++ b/internal/node/routing/rollout_versions_test.go
@@ -8,6 +8,8 @@
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/modelversion"
 )
 
 func withVersion(i *registry.Instance, version uint64) *registry.Instance {
@@ -27,7 +29,7 @@
 	for part := range uint64(40) {
 		a := w.begin(w.prompt(flowRoute, part+10))
 		assert.Equal(t, a.ExpectVersion, a.Instance.Versions[model])
-		assert.Equal(t, a.Salt, cacheSalt(model, a.ExpectVersion, ""))
+		assert.Equal(t, a.Salt, cachesalt.Text(model, a.ExpectVersion, ""))
 		seen[a.ExpectVersion] = true
 		w.serve(a, ms)
 	}
@@ -53,7 +55,7 @@
 		}
 		w := newWorld(t, list)
 		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
-		until := w.now + 8*time.Second - learnMargin
+		until := w.now + 8*time.Second - modelversion.LearnMargin
 		older := func() int {
 			n := 0
 			for part := range uint64(60) {
@@ -85,7 +87,7 @@
 			w.answer(a)
 		}
 		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
-		until := w.now + 8*time.Second - learnMargin
+		until := w.now + 8*time.Second - modelversion.LearnMargin
 		lead := min(max(core.Time(startLeadFactor*float64(latency)), startLeadLeast), startLeadMost)
 		w.now = until - lead*12/10 - 100*ms
 		assert.Equal(t, w.begin(w.prompt(flowRoute, 8)).ExpectVersion, uint64(1))
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -6,17 +6,21 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/modelversion"
+	"kestrelspread/internal/node/routing/retrybudget"
 	"kestrelspread/internal/node/verdict"
 )
 
 // Router decides for one proxy. It isn't safe for concurrent use: see Guarded.
 type Router struct {
 	options  Options
-	switches Switches
+	switches mechanism.Switches
 	compiled *config.Compiled
-	versions versions
-	walls    walls
-	limits   limits
+	versions modelversion.Tracker
+	walls    cachesalt.IsolatedTenants
+	limits   retrybudget.Limits
 
 	brokers  map[string]*broker // by instance id
 	pools    map[string]*pool   // by service
@@ -45,11 +49,11 @@
 	options.withDefaults()
 	return &Router{
 		options:  options,
-		switches: NewSwitches(options.Disabled),
-		versions: newVersions(now, versionBounds{
-			single: options.VersionGrace, all: options.VersionAll, contact: options.Contact,
+		switches: mechanism.NewSwitches(options.Disabled),
+		versions: modelversion.NewTracker(now, modelversion.Bounds{
+			SingleStretch: options.VersionGrace, AllStretches: options.VersionAll, UnstableFor: options.Contact,
 		}),
-		limits:    newLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
+		limits:    retrybudget.NewLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
 		startedAt: now,
 		brokers:   make(map[string]*broker),
 		pools:     make(map[string]*pool),
@@ -64,7 +68,7 @@
 func (r *Router) Counters() Counters {
 	counters := r.counters.clone()
 	counters.Late = maps.Clone(r.late.counts)
-	counters.BudgetDenied = r.limits.denied
+	counters.BudgetDenied = r.limits.Denied
 	return counters
 }
 
@@ -74,21 +78,21 @@
 // SetPeers tells how many proxies share the retry budget, this one included.
 func (r *Router) SetPeers(now core.Time, proxies int) {
 	if proxies > 0 {
-		r.limits.proxies.set(now, proxies)
+		r.limits.Proxies.Set(now, proxies)
 	}
 }
 
 // SetConfig takes a newer configuration.
 func (r *Router) SetConfig(now core.Time, compiled *config.Compiled) {
 	r.compiled = compiled
-	r.versions.learn(now, compiled)
-	r.walls.note(compiled)
+	r.versions.Observe(now, compiled)
+	r.walls.Observe(compiled)
 }
 
 // CoreDisturbed tells that the core was not stable at a time: a machine of it was lost, and the agreed view dropped it. The time
 // for older weights is counted anew from there. at must not be later than the trouble may have been, which lasts for
 // contactMs (RULES.md, "Stable"); trouble with disks alone is none.
-func (r *Router) CoreDisturbed(now, at core.Time) { r.versions.disturbed(now, at) }
+func (r *Router) CoreDisturbed(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
 
 // SetTable takes a newer picture of the brokers.
 func (r *Router) SetTable(now core.Time, table *registry.Table) {
@@ -128,8 +132,8 @@
 func (r *Router) pool(service string) *pool {
 	p := r.pools[service]
 	if p == nil {
-		p = newPool(service, r.limits.newBudget())
-		p.paced = r.switches.On(BrokerPace)
+		p = newPool(service, r.limits.NewBudget())
+		p.paced = r.switches.On(mechanism.BrokerPace)
 		r.pools[service] = p
 	}
 	return p
@@ -168,7 +172,7 @@
 	}
 	chosen, byPrediction := r.pick(now, req, f)
 	req.pool.overload.refresh(now, req.pool)
-	if chance := req.pool.overload.chance(req.Urgency); r.switches.On(Overload) && chance > 0 && r.options.Random.Float64() < chance {
+	if chance := req.pool.overload.chance(req.Urgency); r.switches.On(mechanism.Overload) && chance > 0 && r.options.Random.Float64() < chance {
 		return req.id, r.refuse(now, req, RefusedFull, core.Never)
 	}
 	if after, ok := r.postponed(now, req, f, chosen); ok {
@@ -194,12 +198,12 @@
 	if r.runsModels(received.Service) && received.Model != "" {
 		req.model = received.Model
 		req.oversized = r.oversized(&received)
-		req.wall = r.walls.wall(req.Tenant)
+		req.wall = r.walls.BoundaryOf(req.Tenant)
 	}
 	req.class.came(req.TokensIn)
 	req.fresh = req.class.fresh(now, &req.Request)
 	req.work = req.class.work(req.TokensIn)
-	req.pool.budget.received(now)
+	req.pool.budget.Received(now)
 	req.pool.overload.came(now, req.Urgency)
 	r.requests[req.id] = req
 	return req
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -1,6 +1,10 @@
 package routing
 
-import "kestrelspread/internal/node/core"
+import (
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prompt"
+)
 
 // tellLeast is how many tokens a broker must have to read for an attempt for other proxies to be told.
 const tellLeast = 500
@@ -9,7 +13,7 @@
 func (r *Router) send(now core.Time, req *request, chosen *candidate, byPrediction bool) Decision {
 	b := chosen.broker
 	if req.arrivals() > 0 {
-		req.pool.budget.spend(now)
+		req.pool.budget.Spend(now)
 	}
 	a := &attempt{
 		number:        len(req.attempts),
@@ -46,7 +50,7 @@
 // describeModel fills in what a model broker is told: its version, the salt, and where kept parts come from and go.
 func (r *Router) describeModel(now core.Time, req *request, chosen *candidate, out *Attempt) {
 	out.ExpectVersion = chosen.version
-	out.Salt = cacheSalt(req.model, chosen.version, req.wall)
+	out.Salt = cachesalt.Text(req.model, chosen.version, req.wall)
 	if out.FetchFrom = r.fetchSource(now, req, chosen); out.FetchFrom != "" {
 		r.counters.Fetches++
 	}
@@ -61,7 +65,7 @@
 		unread = req.TokensIn
 	}
 	a.unread = unread
-	salt, parts := SaltID(out.Salt), sharedParts(req.Parts)
+	salt, parts := cachesalt.ID(out.Salt), prompt.SharedParts(req.Parts)
 	a.queueEnd = r.noteSent(now, req.pool, a.broker, salt, parts, unread)
 	a.ahead = a.broker.backlog.tokens()
 	if unread >= tellLeast {
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -11,6 +11,8 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -171,7 +173,7 @@
 
 func (s *simulation) arrive(q Request) {
 	q.Received = s.now
-	q.Deadline = s.now + fromMilliseconds(q.Route.TimeoutMs)
+	q.Deadline = s.now + units.FromMilliseconds(q.Route.TimeoutMs)
 	c := &simClient{proxy: s.chance.IntN(len(s.proxies)), request: q}
 	s.clients = append(s.clients, c)
 	s.requests++
@@ -476,7 +478,7 @@
 	}
 	q := Request{Route: againRoute, Service: service, Model: model, TokensIn: 2000}
 	part := uint64(s.chance.IntN(40) + 10)
-	q.Parts = []PromptPart{{ID: 1, Tokens: 500}, {ID: part, Tokens: 900}, {ID: s.chance.Uint64(), Tokens: 600}}
+	q.Parts = []prompt.Part{{ID: 1, Tokens: 500}, {ID: part, Tokens: 900}, {ID: s.chance.Uint64(), Tokens: 600}}
 	q.Tenant = &config.Tenant{Name: fmt.Sprintf("t%d", s.chance.IntN(4))}
 	q.Tenant.Isolated = q.Tenant.Name == "t3"
 	return q
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/units"
 )
 
 // Brokers of a service differ in speed. What a broker's steps take shows in the pauses between the events of its streams, the
@@ -34,7 +35,7 @@
 	if req.model == "" || pauses.Count < pausesFew || pauses.Usual <= 0 || a.sentAt < r.awakeAt {
 		return nil
 	}
-	a.broker.noteStep(milliseconds(pauses.Usual))
+	a.broker.noteStep(units.Milliseconds(pauses.Usual))
 	if r.options.Random.Float64() >= streamsTold {
 		return nil
 	}
@@ -44,7 +45,7 @@
 // PeerStep tells what a stream of another proxy showed of a broker's pace.
 func (r *Router) PeerStep(seen StepSeen) {
 	if b := r.brokers[seen.Instance]; b != nil && seen.Pause > 0 {
-		b.noteStep(milliseconds(seen.Pause))
+		b.noteStep(units.Milliseconds(seen.Pause))
 	}
 }
 
--- a/internal/node/routing/store.go
+++ b/internal/node/routing/store.go
@@ -5,6 +5,8 @@
 
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // A store of kept prompts is believed to be well until there is a reason against it: its home asks it each second, and a store
@@ -27,15 +29,15 @@
 // its sticky part. So each part is kept in one store, by whatever proxy it is saved, and the stores together hold as much as all of
 // their memory. nil: there is none.
 func (r *Router) storeFor(now core.Time, req *request) *config.Service {
-	part, ok := stickyPart(req.Parts)
-	if !ok || r.compiled == nil || !r.switches.On(KVStore) {
+	part, ok := prompt.StickyPart(req.Parts)
+	if !ok || r.compiled == nil || !r.switches.On(mechanism.KVStore) {
 		return nil
 	}
-	key := affinityKey(part, req.model, req.wall)
+	key := prompt.AffinityKey(part, req.model, req.wall)
 	var best *config.Service
 	highest := uint64(0)
 	for _, store := range r.compiled.Stores {
-		w := weight(key, hashText(store.KVStoreAddr))
+		w := prompt.RendezvousWeight(key, prompt.HashText(store.KVStoreAddr))
 		if (best == nil || w > highest) && r.storeWell(now, store.KVStoreAddr) {
 			best, highest = store, w
 		}
@@ -62,7 +64,7 @@
 // parts there: what is sent in vain drives out what is of use.
 func (r *Router) saveTarget(now core.Time, req *request, chosen *candidate) string {
 	store := r.storeFor(now, req)
-	shared := sharedTokens(req.Parts)
+	shared := prompt.SharedTokens(req.Parts)
 	if store == nil || shared < fetchLeastTokens || chosen.stored >= shared-sharedSlack {
 		return ""
 	}
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -9,6 +9,8 @@
 
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // Where parts are fetched from and sent to, by what the index knows of the prompt's 1,300 shared tokens.
@@ -67,7 +69,7 @@
 
 // What a store keeps of a prompt under one version of the weights says nothing of another.
 func TestSavedUnderEachVersion(t *testing.T) {
-	index := &versionedIndex{kept: SaltID(cacheSalt(model, 1, ""))}
+	index := &versionedIndex{kept: cachesalt.ID(cachesalt.Text(model, 1, ""))}
 	list := instances(6)
 	for i, instance := range list {
 		withVersion(instance, uint64(1+i%2))
@@ -84,7 +86,7 @@
 // versionedIndex has all parts at the store under one salt.
 type versionedIndex struct{ kept uint64 }
 
-func (x *versionedIndex) Holders(salt uint64, parts []PromptPart) []Holder {
+func (x *versionedIndex) Holders(salt uint64, parts []prompt.Part) []Holder {
 	if salt != x.kept {
 		return nil
 	}
@@ -121,7 +123,7 @@
 			}
 			short := func() Request {
 				q := w.prompt(flowRoute, 9)
-				q.Parts = []PromptPart{{ID: 1, Tokens: 100}, {ID: 9, Tokens: 900}}
+				q.Parts = []prompt.Part{{ID: 1, Tokens: 100}, {ID: 9, Tokens: 900}}
 				return q
 			}
 			for part := range uint64(40) {
--- a/internal/node/routing/switches_test.go
+++ b/internal/node/routing/switches_test.go
@@ -4,28 +4,30 @@
 	"testing"
 
 	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/routing/mechanism"
 )
 
 // Requests are served with any mechanism off, and with all of them.
 func TestServedWithoutMechanisms(t *testing.T) {
-	var all Mechanism
-	for _, info := range Mechanisms() {
+	var all mechanism.Set
+	for _, info := range mechanism.All() {
 		all |= info.Mechanism
 	}
-	for _, info := range append(Mechanisms(), MechanismInfo{Mechanism: all, Name: "all"}) {
+	for _, info := range append(mechanism.All(), mechanism.Info{Mechanism: all, Name: "all"}) {
 		t.Run(info.Name, func(t *testing.T) {
 			index := &fixedIndex{holders: []Holder{{Instance: "i02", Tokens: 1300}, {Instance: storeAddress, Store: true, Tokens: 1300}}}
 			w := newWorldWith(t, instances(5), index)
-			w.Router.switches = NewSwitches(info.Mechanism)
+			w.Router.switches = mechanism.NewSwitches(info.Mechanism)
 			for part := range uint64(30) {
 				w.read(w.begin(w.prompt(againRoute, part)))
 				w.serve(w.begin(w.request(safeRoute)), 20*ms)
 			}
 			a := w.begin(w.prompt(againRoute, 1))
-			assert.Assert(t, info.Mechanism&KVStore == 0 || a.SaveTo == "" && a.FetchFrom != storeAddress)
-			assert.Assert(t, info.Mechanism&KVFetch == 0 || a.FetchFrom == "" || a.FetchFrom == storeAddress)
+			assert.Assert(t, info.Mechanism&mechanism.KVStore == 0 || a.SaveTo == "" && a.FetchFrom != storeAddress)
+			assert.Assert(t, info.Mechanism&mechanism.KVFetch == 0 || a.FetchFrom == "" || a.FetchFrom == storeAddress)
 			copied := w.Copy(w.now+1000*ms, a.Request)
-			assert.Assert(t, info.Mechanism&Copies == 0 || copied.Attempt == nil)
+			assert.Assert(t, info.Mechanism&mechanism.Hedging == 0 || copied.Attempt == nil)
 		})
 	}
 }
--- a/internal/node/routing/unreachable_test.go
+++ b/internal/node/routing/unreachable_test.go
@@ -9,7 +9,7 @@
 // A broker that takes no connection has had no arrival: the next is the first.
 func TestUnreachableBrokerCostsNoBudget(t *testing.T) {
 	w := newWorld(t, instances(4))
-	w.limits.ratio, w.limits.slack = 0, 0
+	w.limits.Ratio, w.limits.Slack = 0, 0
 	a := w.begin(w.request(onceRoute))
 	d := w.Finished(w.now, a.Request, a.Number, outcomeUnreachable, false)
 	assert.Assert(t, d.Attempt != nil)
--- a/internal/node/routing/world_test.go
+++ b/internal/node/routing/world_test.go
@@ -11,6 +11,7 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -90,7 +91,7 @@
 func (w *world) prompt(route *config.Route, part uint64) Request {
 	q := w.request(route)
 	q.Model = model
-	q.Parts = []PromptPart{{ID: 1, Tokens: 500}, {ID: part, Tokens: 800}, {ID: part ^ 0xfff000, Tokens: 300}}
+	q.Parts = []prompt.Part{{ID: 1, Tokens: 500}, {ID: part, Tokens: 800}, {ID: part ^ 0xfff000, Tokens: 300}}
 	q.TokensIn = 1600
 	return q
 }
