--- a/internal/node/controlapi/bodies_golden_test.go
+++ b/internal/node/controlapi/bodies_golden_test.go
@@ -22,7 +22,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// goldenBackend notes what reaches it as encoded messages, and answers as it was told to.
+// goldenBackend records what reaches it as encoded messages, and answers as it was told to.
 type goldenBackend struct {
 	reached []string
 	url     string
@@ -31,7 +31,7 @@
 	err     error
 }
 
-func (b *goldenBackend) note(kind string, message proto.Message) {
+func (b *goldenBackend) record(kind string, message proto.Message) {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
 		panic(err)
@@ -40,7 +40,7 @@
 }
 
 func (b *goldenBackend) Heartbeat(_ context.Context, instance *nodepb.Instance) (controlapi.HeartbeatAnswer, error) {
-	b.note("heartbeat", instance)
+	b.record("heartbeat", instance)
 	return controlapi.HeartbeatAnswer{HeartbeatURL: b.url}, b.err
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (b *goldenBackend) Submit(_ context.Context, command *nodepb.Command) (*nodepb.CommandResult, error) {
-	b.note("submit", command)
+	b.record("submit", command)
 	return b.result, b.err
 }
 
@@ -86,7 +86,7 @@
 	)
 	base := http.Header{"X-Kestrelspread-Base-Version": {"41"}}
 	taken := goldenResult(t, 1, "", 42)
-	away := errors.New("the home does not answer")
+	unavailable := errors.New("the home does not answer")
 	calls := []struct {
 		method, path, body string
 		header             http.Header
@@ -96,11 +96,11 @@
 		{method: "POST", path: heartbeat, body: full, backend: goldenBackend{url: "10.1.0.2:8102"}},
 		{method: "POST", path: heartbeat, body: `{"service":"s1","address":"10.9.0.4:8080","state":"draining","sequence":5}`},
 		{method: "POST", path: "/kestrelspread/instances/a%2Fb/heartbeat", body: full},
-		{method: "POST", path: heartbeat, body: full, backend: goldenBackend{err: away}},
+		{method: "POST", path: heartbeat, body: full, backend: goldenBackend{err: unavailable}},
 		{method: "POST", path: heartbeat, body: `{"service":7}`, ownError: true},
 		{method: "POST", path: heartbeat, body: strings.Repeat(" ", 65<<10), ownError: true},
 		{method: "POST", path: "/kestrelspread/instances/i-5b/deregister"},
-		{method: "POST", path: "/kestrelspread/instances/i-5b/deregister", backend: goldenBackend{err: away}},
+		{method: "POST", path: "/kestrelspread/instances/i-5b/deregister", backend: goldenBackend{err: unavailable}},
 		{method: "POST", path: replace, body: `{"version":42}`, header: base, backend: goldenBackend{result: taken}},
 		{method: "POST", path: update, body: `{"version":42}`, header: base, backend: goldenBackend{result: taken}},
 		{method: "POST", path: update, body: `{"version":42}`, header: base, backend: goldenBackend{result: goldenResult(t, 2, "based on 41", 43)}},
@@ -108,14 +108,14 @@
 		{method: "POST", path: update, body: `{"version":42}`, header: base, backend: goldenBackend{result: goldenResult(t, 4, "no chain", 0)}},
 		{method: "POST", path: update, body: `{"version":42}`, header: base, backend: goldenBackend{result: goldenResult(t, 5, "too large", 41)}},
 		{method: "POST", path: update, body: `{"version":42}`, header: base, backend: goldenBackend{result: goldenResult(t, 0, "not told", 0)}},
-		{method: "POST", path: update, body: `{"version":42}`, header: base, backend: goldenBackend{err: away}},
+		{method: "POST", path: update, body: `{"version":42}`, header: base, backend: goldenBackend{err: unavailable}},
 		{method: "POST", path: update, body: `{"version":42}`, ownError: true},
 		{method: "POST", path: named, body: `{"model":"m1","version":3}`, backend: goldenBackend{result: goldenResult(t, 1, "", 3)}},
 		{method: "POST", path: named, body: `{"model":"m1"}`, ownError: true},
 		{method: "POST", path: named, body: `{"version":3}`, ownError: true},
 		{method: "GET", path: "/kestrelspread/config/fetch", backend: goldenBackend{fetched: `{"version":42,"routes":[]}`}},
 		{method: "GET", path: "/kestrelspread/config/fetch", ownError: true},
-		{method: "GET", path: "/kestrelspread/config/fetch", backend: goldenBackend{err: away}},
+		{method: "GET", path: "/kestrelspread/config/fetch", backend: goldenBackend{err: unavailable}},
 		{method: "GET", path: "/kestrelspread/status"},
 		{method: "GET", path: "/kestrelspread/nothing"},
 	}
--- a/internal/node/forward/gapmeter.go
+++ b/internal/node/forward/gapmeter.go
@@ -26,10 +26,10 @@
 // observe records the arrival of events.
 func (m *gapMeter) observe(now core.Time) {
 	if m.lastEventAt != 0 {
-		pause := now - m.lastEventAt
-		m.maxGap = max(m.maxGap, pause)
+		gap := now - m.lastEventAt
+		m.maxGap = max(m.maxGap, gap)
 		if m.count < maxRecordedGaps {
-			m.firstGaps[m.count] = pause
+			m.firstGaps[m.count] = gap
 		}
 		m.count++
 	}
--- a/internal/node/forward/intake_test.go
+++ b/internal/node/forward/intake_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestRouterIsToldOfRequest of a request.
-func TestRouterIsToldOfRequest(t *testing.T) {
+// TestRouterReceivesRequestAttributes of a request.
+func TestRouterReceivesRequestAttributes(t *testing.T) {
 	urgent := 0
 	tenant := &config.Tenant{Name: "acme", Priority: &urgent}
 	w := newWorld(t, newScriptedRouter(), func(w *world, options *Options) {
--- a/internal/node/forward/upstream/pool_test.go
+++ b/internal/node/forward/upstream/pool_test.go
@@ -38,8 +38,8 @@
 	assert.Equal(t, int(arrivals.Load()), 3)
 }
 
-// TestMostRecentlyUsedConnectionIsReused, so that surplus ones become idle and are closed.
-func TestMostRecentlyUsedConnectionIsReused(t *testing.T) {
+// TestLastUsedConnectionIsReused, so that surplus ones become idle and are closed.
+func TestLastUsedConnectionIsReused(t *testing.T) {
 	p := newPeer(t, ok(""))
 	pool := newPool(t, Options{})
 	var conns []*Conn
--- a/internal/node/settings/document.go
+++ b/internal/node/settings/document.go
@@ -12,7 +12,7 @@
 	Role            string            `json:"role"`
 	MachineClass    string            `json:"machineClass"`
 	Serves          []string          `json:"serves"`
-	IP              string            `json:"ip"`
+	MachineIP       string            `json:"ip"`
 	Zone            string            `json:"zone"`
 	Region          string            `json:"region"`
 	Zones           map[string]string `json:"zones"`
@@ -81,7 +81,7 @@
 		Role:            d.Role,
 		MachineClass:    d.MachineClass,
 		Serves:          d.Serves,
-		IP:              check.ip("ip", d.IP),
+		MachineIP:       check.ip("ip", d.MachineIP),
 		Zone:            check.required("zone", d.Zone),
 		Region:          d.Region,
 		Zones:           d.Zones,
--- a/internal/node/settings/keys_golden_test.go
+++ b/internal/node/settings/keys_golden_test.go
@@ -21,7 +21,7 @@
 // read, and those that are required are missed. The golden file says which, by path.
 func TestKeysOfTheFileAreRead(t *testing.T) {
 	content := golden.Get(t, goldenFile)
-	whole, err := settings.Parse(content)
+	complete, err := settings.Parse(content)
 	assert.NilError(t, err)
 	var lines strings.Builder
 	for _, path := range leaves(t, content) {
@@ -35,7 +35,7 @@
 		switch {
 		case err != nil:
 			result = "required"
-		case fmt.Sprint(*without) == fmt.Sprint(*whole):
+		case fmt.Sprint(*without) == fmt.Sprint(*complete):
 			result = "ignored"
 		}
 		fmt.Fprintln(&lines, strings.Join(path, "."), result)
@@ -43,8 +43,8 @@
 	golden.Assert(t, lines.String(), goldenKeys)
 }
 
-// TestPlaceOfTheFile freezes where the file is looked for.
-func TestPlaceOfTheFile(t *testing.T) {
+// TestLocationOfTheFile freezes where the file is looked for.
+func TestLocationOfTheFile(t *testing.T) {
 	named := func(variable string) string {
 		return map[string]string{"KESTRELSPREAD_SETTINGS": "/a/b.json"}[variable]
 	}
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -34,7 +34,7 @@
 	Role         string
 	MachineClass string
 	Serves       []string          // "front", "control"
-	IP           string            // required: the machine's address
+	MachineIP    string            // required: the machine's address
 	Zone         string            // required
 	Region       string            // default: what Zones says of Zone
 	Zones        map[string]string // region by zone
@@ -96,7 +96,7 @@
 
 // InternalAddress is where this node listens for other nodes: the first port of the range, which is the
 // same on every machine.
-func (s *Settings) InternalAddress() string { return s.internalAddressOf(s.IP) }
+func (s *Settings) InternalAddress() string { return s.internalAddressOf(s.MachineIP) }
 
 // SeedInternalAddresses returns the internal addresses of the seeds, in their order. This machine may
 // be among them.
--- a/internal/node/settings/settings_test.go
+++ b/internal/node/settings/settings_test.go
@@ -49,7 +49,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, settings, &Settings{
 		NodeName: "front-b-2", Role: "node", MachineClass: "front", Serves: []string{"front", "control"},
-		IP: "10.4.0.7", Zone: "b", Region: "east", Zones: map[string]string{"a": "east", "b": "east"},
+		MachineIP: "10.4.0.7", Zone: "b", Region: "east", Zones: map[string]string{"a": "east", "b": "east"},
 		Listen:    Listen{Front: "10.4.0.7:8100", Readiness: "10.4.0.7:8101", Control: "10.4.0.7:8102"},
 		PortRange: PortRange{First: 7000, Last: 7015},
 		Seeds:     []string{"10.4.0.7:8102", "10.5.0.8:8102", "10.6.0.9:8102"},
@@ -121,7 +121,7 @@
 		settings, err := Parse([]byte(content))
 		assert.NilError(t, err, name)
 		assert.DeepEqual(t, settings, &Settings{
-			NodeName: "n", IP: "10.0.0.1", Zone: "a", PortRange: PortRange{First: 7000, Last: 7015},
+			NodeName: "n", MachineIP: "10.0.0.1", Zone: "a", PortRange: PortRange{First: 7000, Last: 7015},
 			Limits: Limits{CPUShare: 1, Cores: 1}, HeartbeatMs: 1200,
 			FaultTolerance: FaultTolerance{Machines: 1}, Bounds: defaultBounds(),
 		})
