--- a/internal/node/agent/promptindex.go
+++ b/internal/node/agent/promptindex.go
@@ -109,7 +109,7 @@
 func (a *Agent) executeForIndex(now core.Time, output core.Output) bool {
 	switch output := output.(type) {
 	case core.FetchEvents:
-		a.prompts.poller.Ask(output)
+		a.prompts.poller.Fetch(output)
 	case core.StoreContacted:
 		a.recordStoreContact(now, output)
 	default:
--- a/internal/node/config/property_test.go
+++ b/internal/node/config/property_test.go
@@ -13,23 +13,23 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// modelDocument is a naive configuration: decoded JSON, checked as a whole.
-type modelDocument struct {
+// referenceConfig is a naive model of the configuration: decoded JSON, always checked in full.
+type referenceConfig struct {
 	version  uint64
 	sections map[string][]map[string]any
 }
 
 var sectionNames = []string{"routes", "services", "tenants"}
 
-func (m modelDocument) clone() modelDocument {
+func (m referenceConfig) clone() referenceConfig {
 	sections := map[string][]map[string]any{}
 	for name, items := range m.sections {
 		sections[name] = append([]map[string]any(nil), items...)
 	}
-	return modelDocument{version: m.version, sections: sections}
+	return referenceConfig{version: m.version, sections: sections}
 }
 
-func (m modelDocument) remove(section, name string) {
+func (m referenceConfig) remove(section, name string) {
 	var kept []map[string]any
 	for _, item := range m.sections[section] {
 		if item["name"] != name {
@@ -39,7 +39,7 @@
 	m.sections[section] = kept
 }
 
-func (m modelDocument) upsert(section string, item map[string]any) {
+func (m referenceConfig) upsert(section string, item map[string]any) {
 	for i, present := range m.sections[section] {
 		if present["name"] == item["name"] {
 			m.sections[section][i] = item
@@ -49,18 +49,18 @@
 	m.sections[section] = append(m.sections[section], item)
 }
 
-// valid applies the rules of the operator's API to the whole configuration.
-func (m modelDocument) valid() bool {
-	services, places, owners := map[any]bool{}, map[string]bool{}, map[any]any{}
+// valid applies the rules of the operator's API to the full configuration.
+func (m referenceConfig) valid() bool {
+	services, hostsAndPrefixes, owners := map[any]bool{}, map[string]bool{}, map[any]any{}
 	for _, service := range m.sections["services"] {
 		services[service["name"]] = true
 	}
 	for _, route := range m.sections["routes"] {
-		place := strings.ToLower(route["host"].(string)) + " " + route["pathPrefix"].(string)
-		if !services[route["service"]] || places[place] || route["timeoutMs"].(int) <= 0 {
+		hostAndPrefix := strings.ToLower(route["host"].(string)) + " " + route["pathPrefix"].(string)
+		if !services[route["service"]] || hostsAndPrefixes[hostAndPrefix] || route["timeoutMs"].(int) <= 0 {
 			return false
 		}
-		places[place] = true
+		hostsAndPrefixes[hostAndPrefix] = true
 	}
 	for _, tenant := range m.sections["tenants"] {
 		for _, key := range tenant["apiKeys"].([]string) {
@@ -73,12 +73,12 @@
 	return true
 }
 
-func (m modelDocument) text(t fataler) string {
-	whole := map[string]any{"version": m.version}
+func (m referenceConfig) text(t fataler) string {
+	members := map[string]any{"version": m.version}
 	for name, items := range m.sections {
-		whole[name] = append([]map[string]any{}, items...)
+		members[name] = append([]map[string]any{}, items...)
 	}
-	return encoded(t, whole)
+	return encoded(t, members)
 }
 
 type fataler interface{ Fatalf(string, ...any) }
@@ -91,9 +91,9 @@
 	return string(text)
 }
 
-// drawItem draws an item from small pools, so that names, places and keys meet.
+// drawItem draws an item from small pools, so that names, prefixes and keys collide.
 func drawItem(t *rapid.T, section string) map[string]any {
-	pick := func(label string, most int) int { return rapid.IntRange(0, most).Draw(t, label) }
+	pick := func(label string, maxValue int) int { return rapid.IntRange(0, maxValue).Draw(t, label) }
 	switch section {
 	case "routes":
 		return map[string]any{
@@ -109,11 +109,11 @@
 	}
 }
 
-// drawChange draws a change of a model, and the model after it.
-func drawChange(t *rapid.T, model modelDocument) (replace bool, text string, next modelDocument) {
+// drawChange draws a change of the reference, and returns the reference after it.
+func drawChange(t *rapid.T, model referenceConfig) (replace bool, text string, next referenceConfig) {
 	version := model.version + uint64(rapid.IntRange(0, 3).Draw(t, "step"))
 	if rapid.IntRange(0, 4).Draw(t, "replace") == 0 {
-		next = modelDocument{version: version, sections: map[string][]map[string]any{}}
+		next = referenceConfig{version: version, sections: map[string][]map[string]any{}}
 		for _, section := range sectionNames {
 			next.sections[section] = []map[string]any{}
 			for range rapid.IntRange(0, 3).Draw(t, "items") {
@@ -146,12 +146,12 @@
 	return false, encoded(t, map[string]any{"version": version, "upsert": upserts, "remove": removes}), next
 }
 
-// Any sequence of changes leaves the configuration that the naive model says, at the head, at a replica that only
-// applies, and at one that restores a snapshot now and then.
-func TestAnySequenceOfChangesAgreesWithTheModel(t *testing.T) {
+// TestAnySequenceOfChangesMatchesReference compares the reference with the head, a replica that
+// only applies, and one that restores a snapshot now and then.
+func TestAnySequenceOfChangesMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head, follower, restorer := config.NewState(nil), config.NewState(nil), config.NewState(nil)
-		model := modelDocument{sections: map[string][]map[string]any{}}
+		model := referenceConfig{sections: map[string][]map[string]any{}}
 		var history []*nodepb.Command
 		for range rapid.IntRange(1, 25).Draw(t, "changes") {
 			replace, text, next := drawChange(t, model)
@@ -179,13 +179,13 @@
 					t.Fatalf("a taken change came again: %v", again)
 				}
 			}
-			mustHold(t, head, model)
+			mustMatchReference(t, head, model)
 		}
 		mustCompileAlike(t, head, restorer)
 	})
 }
 
-// mustAgree applies an entry at all states; their answers and snapshots have to be equal.
+// mustAgree applies an entry to all states; their results and snapshots must be equal.
 func mustAgree(t *rapid.T, entry *nodepb.Entry, states ...*config.State) {
 	for _, state := range states {
 		if result := state.Apply(entry); result.GetCode() != taken {
@@ -198,7 +198,7 @@
 	}
 }
 
-func mustHold(t *rapid.T, state *config.State, model modelDocument) {
+func mustMatchReference(t *rapid.T, state *config.State, model referenceConfig) {
 	if model.version == 0 {
 		return
 	}
@@ -227,7 +227,8 @@
 	return encoded(t, value)
 }
 
-// mustCompileAlike compares what was compiled step by step with what one step makes of the same state.
+// mustCompileAlike compares a table that was compiled step by step with one compiled from a
+// snapshot at once.
 func mustCompileAlike(t *rapid.T, state, other *config.State) {
 	fresh := config.NewState(nil)
 	if err := fresh.Restore(other.Snapshot()); err != nil {
@@ -249,8 +250,9 @@
 	}
 }
 
-// The bodies of the conformance tables give the same answers and states at every replica, checked or not.
-func TestApplyIsDeterministicOnHostileEntries(t *testing.T) {
+// TestApplyIsDeterministicForInvalidEntries: they give equal results and states at every replica,
+// checked before or not.
+func TestApplyIsDeterministicForInvalidEntries(t *testing.T) {
 	first, second := configured(t), &replica{State: config.NewState(nil), t: t}
 	assert.NilError(t, second.Restore(first.Snapshot()))
 	for _, test := range invalidItems {
--- a/internal/rig/faultrun/planted_test.go
+++ b/internal/rig/faultrun/planted_test.go
@@ -54,11 +54,11 @@
 		old: "len(d.relays) == 0 ||", new: "true ||", test: "chain TestEvenCutGoesOnByRelays"},
 
 	{point: 2, name: "changes taken are not remembered", file: "config/change.go",
-		old: "	s.taken.add(takenChange{digest: digest, version: s.document.version, index: s.index})\n", new: ""},
+		old: "	s.takenChanges.add(takenChange{digest: change.digest, version: s.document.version, index: s.index})\n", new: ""},
 	{point: 2, name: "changes taken are not in snapshots", file: "config/snapshot.go",
 		old: "		text = appendBytes(text, fieldTaken, encodeTaken(change))\n", new: "		_ = change\n"},
 	{point: 2, name: "the version that a change builds on is not looked at", file: "config/change.go",
-		old: "change.GetBaseVersion() != s.document.version", new: "change.GetBaseVersion() > s.document.version+1000"},
+		old: "request.GetBaseVersion() != s.document.version", new: "request.GetBaseVersion() > s.document.version+1000"},
 	{point: 2, name: "a new head answers before what it inherited is committed", file: "chain/head.go",
 		old: "	s.inherited = s.pending != nil\n", new: "	s.inherited = false\n"},
 	{point: 2, name: "a member takes an entry in the place of the committed one", file: "chain/replica.go",
@@ -106,7 +106,7 @@
 		new:  "		return Full.New",
 		test: "journal TestARecordThatDoesNotFitAsksForACheckpoint"},
 	{point: 4, name: "what machines do not hold is taken", file: "config/change.go",
-		old: "size > s.limit {", new: "size < 0 {", test: "config TestWhatMachinesDoNotHoldIsTooLarge"},
+		old: "size > s.sizeLimit {", new: "size < 0 {", test: "config TestChangeOverSizeLimitIsTooLarge"},
 	{point: 4, name: "entries with a gap are applied at proxies", file: "distribution/distribution.go",
 		old: "	if entry.Index != d.state.Index()+1 {\n		return\n	}\n", new: "	if entry.Index <= d.state.Index() {\n		return\n	}\n",
 		test: "distribution"},
@@ -123,8 +123,8 @@
 		old: "	if req.mayHaveRun() {\n		return Decision{}\n", new: "	if false {\n		return Decision{}\n", test: "routing"},
 	{point: 5, name: "a connection is kept after a surplus answer", file: "forward/upstream/answer.go",
 		old: "if !a.complete || a.closeAfter || conn.desynchronized {", new: "if !a.complete || a.closeAfter {", test: "forward"},
-	{point: 5, name: "an order is sent after its lease", file: "rollout/holder.go",
-		old: "	return !h.decided || now < h.waitUntil && (h.formerAll || h.former[id])\n", new: "	return false\n", test: "rollout"},
+	{point: 5, name: "an order is sent after its lease", file: "rollout/leaseholder.go",
+		old: "	return !p.known || now < p.leaseEnd && (p.allClaimed || p.claims[id])\n", new: "	return false\n", test: "rollout"},
 }
 
 // TestPlantedDefects takes out each guard and holds that its test, or the fault runs, find it.
