--- a/internal/node/agent/lifecycle.go
+++ b/internal/node/agent/lifecycle.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"net/http"
 	"os"
@@ -121,7 +122,7 @@
 	if listen.Control != "" {
 		listener, err := net.Listen("tcp", listen.Control)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("listen for brokers and operators: %w", err)
 		}
 		started.control = controlapi.NewServer(controlapi.Handler(backend{a}, controlapi.Options{
 			Log: a.log, MaxBodyBytes: int64(a.maxConfigurationBytes()),
@@ -131,7 +132,7 @@
 	if listen.Readiness != "" {
 		listener, err := net.Listen("tcp", listen.Readiness)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("listen for readiness checks: %w", err)
 		}
 		started.readiness = controlapi.NewServer(controlapi.ReadinessHandler(a.ready))
 		go func() { _ = started.readiness.Serve(listener) }()
@@ -139,7 +140,7 @@
 	if listen.Front != "" {
 		listener, err := listenPlain(listen.Front)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("listen for clients: %w", err)
 		}
 		started.front = listener
 		go func() { _ = a.proxy.Serve(listener) }()
--- a/internal/node/forward/upstream/pool.go
+++ b/internal/node/forward/upstream/pool.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"kestrelspread/internal/node/sockopt"
 )
 
 // Options configure a Pool. Zero values take the defaults.
@@ -152,15 +152,7 @@
 
 // setSendTimeout sets TCP_USER_TIMEOUT on a socket before it connects.
 func (p *Pool) setSendTimeout(_, _ string, raw syscall.RawConn) error {
-	var failure error
-	err := raw.Control(func(descriptor uintptr) {
-		milliseconds := int(p.options.SendTimeout / time.Millisecond)
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
-	})
-	if err != nil {
-		return err
-	}
-	return failure
+	return sockopt.SetUserTimeout(raw, p.options.SendTimeout)
 }
 
 // Get returns a connection without a request in progress: the idle one that was used last, or a new
--- a/internal/node/wireproto/link/socket.go
+++ b/internal/node/wireproto/link/socket.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"kestrelspread/internal/node/sockopt"
 )
 
 // Probes of the kernel: an idle peer that is gone is detected within KeepAliveIdle and
@@ -25,26 +25,13 @@
 	}
 }
 
-// setUserTimeout bounds how long sent bytes stay unacknowledged: a partitioned link gives no error
-// (DEPLOY.md, "Network").
-func setUserTimeout(connection syscall.RawConn, timeout time.Duration) error {
-	var failed error
-	err := connection.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
-	})
-	if err != nil {
-		return err
-	}
-	return failed
-}
-
 // dialer returns the dialer of connections to peers. Package net sets TCP_NODELAY.
 func dialer(options Options) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         options.DialTimeout,
 		KeepAliveConfig: keepAlive(options),
 		Control: func(_, _ string, connection syscall.RawConn) error {
-			return setUserTimeout(connection, options.SendTimeout)
+			return sockopt.SetUserTimeout(connection, options.SendTimeout)
 		},
 	}
 }
@@ -55,5 +42,5 @@
 	if err != nil {
 		return err
 	}
-	return setUserTimeout(raw, options.SendTimeout)
+	return sockopt.SetUserTimeout(raw, options.SendTimeout)
 }
