--- a/internal/node/agent/lifecycle.go
+++ b/internal/node/agent/lifecycle.go
@@ -157,7 +157,7 @@
 
 // settingsChanged applies what may change while the node runs: the seeds.
 func (a *Agent) settingsChanged(changed *settings.Settings) {
-	a.post(func(now core.Time) {
+	a.post(func(core.Time) {
 		a.log.Info("agent: settings changed")
 		a.control.SetSeeds(changed.SeedInternalAddresses())
 	})
--- a/internal/node/forward/intake_test.go
+++ b/internal/node/forward/intake_test.go
@@ -216,7 +216,7 @@
 	reads := make(chan struct{}, 100)
 	current := first
 	changed := make(chan struct{})
-	w := newWorld(t, newScriptedRouter(b.instance), func(w *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(b.instance), func(_ *world, options *Options) {
 		options.Configuration = func() *config.Compiled {
 			reads <- struct{}{}
 			select {
--- a/internal/node/forward/upstream/errors.go
+++ b/internal/node/forward/upstream/errors.go
@@ -16,22 +16,22 @@
 
 // The types of failures of an exchange with a broker.
 var (
-	// ConnectFailed: no connection was established.
+	// ConnectFailed says that no connection was established.
 	ConnectFailed = namespace.NewType("connect_failed", traitNotRun)
-	// Exhausted: this proxy already has as many connections to the broker as it may.
+	// Exhausted says that this proxy already has as many connections to the broker as it may.
 	Exhausted = namespace.NewType("exhausted", traitNotRun)
-	// Rejected: the broker closed a new connection before anything was sent on it, as it does
+	// Rejected says that the broker closed a new connection before anything was sent on it, as it does
 	// beyond maxConnections.
 	Rejected = namespace.NewType("rejected", traitNotRun)
-	// Unsent: the connection took no byte of the request.
+	// Unsent says that the connection took no byte of the request.
 	Unsent = namespace.NewType("unsent", traitNotRun)
-	// SentInPart: the connection broke after it took some bytes of the request.
+	// SentInPart says that the connection broke after it took some bytes of the request.
 	SentInPart = namespace.NewType("sent_in_part")
-	// Broken: the connection ended or broke before the answer was complete.
+	// Broken says that the connection ended or broke before the answer was complete.
 	Broken = namespace.NewType("cut")
-	// TimedOut: the deadline passed.
+	// TimedOut says that the deadline passed.
 	TimedOut = namespace.NewType("timed_out", errorx.Timeout())
-	// InvalidAnswer: what arrived is no valid answer to the request.
+	// InvalidAnswer says that what arrived is no valid answer to the request.
 	InvalidAnswer = namespace.NewType("garbled")
 )
 
--- a/internal/node/nodestatus/read.go
+++ b/internal/node/nodestatus/read.go
@@ -17,7 +17,7 @@
 
 var (
 	namespace = errorx.NewNamespace("nodestatus")
-	// Unreachable: a node returned no status.
+	// Unreachable says that a node returned no status.
 	Unreachable = namespace.NewType("unreachable")
 )
 
--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -12,9 +12,9 @@
 // The errors of this package.
 var (
 	namespace = errorx.NewNamespace("settings")
-	// Unreadable: the file could not be read.
+	// Unreadable says that the file could not be read.
 	Unreadable = namespace.NewType("unreadable")
-	// Malformed: the content is not as DEPLOY.md specifies; the message names the path of the field.
+	// Malformed says that the content is not as DEPLOY.md specifies; the message names the path of the field.
 	Malformed = namespace.NewType("malformed")
 )
 
--- a/internal/node/wireproto/errors.go
+++ b/internal/node/wireproto/errors.go
@@ -2,20 +2,22 @@
 
 import "github.com/joomcode/errorx"
 
+// namespace holds the errors of this package, without stack traces: broken streams are ordinary events.
 var namespace = errorx.NewNamespace("wireproto").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
+// Types of errors of frames and streams.
 var (
-	// Truncated: the stream ended, or its deadline passed, inside a frame.
+	// Truncated says that the stream ended, or its deadline passed, inside a frame.
 	Truncated = namespace.NewType("truncated")
-	// Oversized: a frame is, or by its header claims to be, larger than MaxFrame.
+	// Oversized says that a frame is, or by its header claims to be, larger than MaxFrame.
 	Oversized = namespace.NewType("oversized")
-	// NotAFrame: the header has another magic byte or another version of the framing.
+	// NotAFrame says that the header has another magic byte or another version of the framing.
 	NotAFrame = namespace.NewType("not_a_frame")
-	// OtherProtocol: the frame is complete, but its sender uses another version of the schema.
+	// OtherProtocol says that the frame is complete, but its sender uses another version of the schema.
 	OtherProtocol = namespace.NewType("other_protocol")
-	// Undecodable: the frame is complete, but contains no envelope with a body that this node knows.
+	// Undecodable says that the frame is complete, but contains no envelope with a body that this node knows.
 	Undecodable = namespace.NewType("undecodable")
-	// Unencodable: an envelope can't be encoded, as one of its strings is not UTF-8.
+	// Unencodable says that an envelope can't be encoded, as one of its strings is not UTF-8.
 	Unencodable = namespace.NewType("unencodable")
 )
 
