--- a/internal/node/forward/call.go
+++ b/internal/node/forward/call.go
@@ -28,17 +28,21 @@
 	// refer.
 	startedAt time.Time
 
+	// routed: the router knows the request, as routingID, until finish.
 	routed    bool
 	routingID routing.RequestID
+	// connLimit bounds the connections to one broker of the service; 0: no bound.
 	connLimit int
 	// mayHaveRun: some attempt may have run, so that the client can't be told to retry.
 	mayHaveRun bool
 	// fallback is a broker's own failure (5xx), kept for the client while another attempt is made.
-	fallback           *attemptResult
+	fallback *attemptResult
+	// inRace counts the attempts whose results will arrive on results.
 	inRace             int
 	results            chan *attemptResult
 	stopWatchingClient func() bool
 
+	// mutex guards the fields below, and those of the attempts that say so.
 	mutex              sync.Mutex
 	attempts           []*attempt
 	clientDisconnected bool
