--- a/internal/node/agent/requests.go
+++ b/internal/node/agent/requests.go
@@ -28,24 +28,25 @@
 	return &pendingRequests{commands: map[uint64]chan core.Reply{}, registry: map[uint64]chan core.RegistryReply{}}
 }
 
-// addCommand adds a call to the chain, and returns its number and the channel of its answer.
-func (p *pendingRequests) addCommand() (uint64, chan core.Reply) {
+// addPending adds a call to one of p's maps, and returns its number and the channel of its answer. Numbers
+// are unique over both maps.
+func addPending[T any](p *pendingRequests, waiting map[uint64]chan T) (uint64, <-chan T) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.lastID++
-	answer := make(chan core.Reply, 1)
-	p.commands[p.lastID] = answer
+	answer := make(chan T, 1)
+	waiting[p.lastID] = answer
 	return p.lastID, answer
 }
 
-// addRegistry adds a call to the registry, and returns its number and the channel of its answer.
-func (p *pendingRequests) addRegistry() (uint64, chan core.RegistryReply) {
+// answerPending hands an answer to the call of one of p's maps that waits for it, if it still does.
+func answerPending[T any](p *pendingRequests, waiting map[uint64]chan T, request uint64, reply T) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.lastID++
-	answer := make(chan core.RegistryReply, 1)
-	p.registry[p.lastID] = answer
-	return p.lastID, answer
+	if answer, ok := waiting[request]; ok {
+		delete(waiting, request)
+		answer <- reply
+	}
 }
 
 // remove forgets a call; a later answer is dropped.
@@ -58,21 +59,29 @@
 
 // answerCommand hands the chain's answer to the call that waits for it.
 func (p *pendingRequests) answerCommand(reply core.Reply) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if answer, ok := p.commands[reply.Request]; ok {
-		delete(p.commands, reply.Request)
-		answer <- reply
-	}
+	answerPending(p, p.commands, reply.Request, reply)
 }
 
 // answerRegistry hands the registry's answer to the call that waits for it.
 func (p *pendingRequests) answerRegistry(reply core.RegistryReply) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if answer, ok := p.registry[reply.Request]; ok {
-		delete(p.registry, reply.Request)
-		answer <- reply
+	answerPending(p, p.registry, reply.Request, reply)
+}
+
+// loopCall starts a call on the control side, given the request number that its answer carries.
+type loopCall func(now core.Time, request uint64) []core.Output
+
+// callLoop makes a call on the control loop and waits for its answer in one of the maps of the agent's
+// pending requests. The error is the context's.
+func callLoop[T any](ctx context.Context, a *Agent, waiting map[uint64]chan T, call loopCall) (T, error) {
+	request, answers := addPending(a.requests, waiting)
+	defer a.requests.remove(request)
+	a.post(func(now core.Time) { a.execute(now, call(now, request)) })
+	select {
+	case answer := <-answers:
+		return answer, nil
+	case <-ctx.Done():
+		var none T
+		return none, ctx.Err()
 	}
 }
 
@@ -97,20 +106,13 @@
 	return err
 }
 
-// registry makes a call to the registry and waits for its answer.
-func (b backend) registry(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.RegistryReply, error) {
-	request, answers := b.agent.requests.addRegistry()
-	defer b.agent.requests.remove(request)
-	b.agent.post(func(now core.Time) { b.agent.execute(now, call(now, request)) })
-	select {
-	case answer := <-answers:
-		if !answer.Accepted {
-			return answer, errUnavailable
-		}
-		return answer, nil
-	case <-ctx.Done():
-		return core.RegistryReply{}, ctx.Err()
+// registry makes a call to the registry. A call that the registry didn't accept is unavailable.
+func (b backend) registry(ctx context.Context, call loopCall) (core.RegistryReply, error) {
+	reply, err := callLoop(ctx, b.agent, b.agent.requests.registry, call)
+	if err == nil && !reply.Accepted {
+		err = errUnavailable
 	}
+	return reply, err
 }
 
 // Submit implements controlapi.Backend.
@@ -135,15 +137,7 @@
 	return fetchSnapshot(reply.State.State)
 }
 
-// command makes a call to the chain and waits for its answer.
-func (b backend) command(ctx context.Context, call func(core.Time, uint64) []core.Output) (core.Reply, error) {
-	request, answers := b.agent.requests.addCommand()
-	defer b.agent.requests.remove(request)
-	b.agent.post(func(now core.Time) { b.agent.execute(now, call(now, request)) })
-	select {
-	case answer := <-answers:
-		return answer, nil
-	case <-ctx.Done():
-		return core.Reply{}, ctx.Err()
-	}
+// command makes a call to the chain.
+func (b backend) command(ctx context.Context, call loopCall) (core.Reply, error) {
+	return callLoop(ctx, b.agent, b.agent.requests.commands, call)
 }
--- a/internal/node/controlapi/api.go
+++ b/internal/node/controlapi/api.go
@@ -98,16 +98,25 @@
 // router maps the paths to their methods.
 func (a *api) router() http.Handler {
 	router := chi.NewRouter()
-	router.Post(pathHeartbeat, a.heartbeat)
-	router.Post(pathDeregister, a.deregister)
-	router.Post(pathReplace, a.replaceConfig)
-	router.Post(pathUpdate, a.updateConfig)
+	router.Post(pathHeartbeat, handle(a.heartbeat))
+	router.Post(pathDeregister, handle(a.deregister))
+	router.Post(pathReplace, handle(a.replaceConfig))
+	router.Post(pathUpdate, handle(a.updateConfig))
 	router.Get(pathFetch, a.fetchConfig)
-	router.Post(pathVersionPut, a.putModelVersion)
+	router.Post(pathVersionPut, handle(a.putModelVersion))
 	router.Get(pathStatus, a.status)
 	return router
 }
 
+// handle adapts a handler that returns why it rejects a request, or nil if it has responded.
+func handle(handler func(w http.ResponseWriter, r *http.Request) *requestError) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if rejection := handler(w, r); rejection != nil {
+			rejection.write(w)
+		}
+	}
+}
+
 // callContext returns the context of a Backend call.
 func (a *api) callContext(r *http.Request) (context.Context, context.CancelFunc) {
 	return a.callContextForBody(r, 0)
--- a/internal/node/controlapi/heartbeat.go
+++ b/internal/node/controlapi/heartbeat.go
@@ -42,46 +42,44 @@
 }
 
 // heartbeat handles a broker's heartbeat.
-func (a *api) heartbeat(w http.ResponseWriter, r *http.Request) {
-	id, problem := instanceID(r)
-	if problem != nil {
-		problem.write(w)
-		return
+func (a *api) heartbeat(w http.ResponseWriter, r *http.Request) *requestError {
+	id, rejection := instanceID(r)
+	if rejection != nil {
+		return rejection
 	}
-	body, problem := readBody(w, r, maxSmallBodyBytes)
-	if problem != nil {
-		problem.write(w)
-		return
+	body, rejection := readBody(w, r, maxSmallBodyBytes)
+	if rejection != nil {
+		return rejection
 	}
-	instance, problem := decodeHeartbeat(id, body)
-	if problem != nil {
-		problem.write(w)
-		return
+	instance, rejection := decodeHeartbeat(id, body)
+	if rejection != nil {
+		return rejection
 	}
 	ctx, cancel := a.callContext(r)
 	defer cancel()
 	answer, err := a.backend.Heartbeat(ctx, instance)
 	if err != nil {
 		writeUnavailable(w, err.Error())
-		return
+		return nil
 	}
 	writeJSON(w, http.StatusOK, heartbeatReply(answer))
+	return nil
 }
 
 // deregister handles a broker's deregistration; its body, if any, is ignored.
-func (a *api) deregister(w http.ResponseWriter, r *http.Request) {
-	id, problem := instanceID(r)
-	if problem != nil {
-		problem.write(w)
-		return
+func (a *api) deregister(w http.ResponseWriter, r *http.Request) *requestError {
+	id, rejection := instanceID(r)
+	if rejection != nil {
+		return rejection
 	}
 	ctx, cancel := a.callContext(r)
 	defer cancel()
 	if err := a.backend.Deregister(ctx, id); err != nil {
 		writeUnavailable(w, err.Error())
-		return
+		return nil
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
+	return nil
 }
 
 // instanceID reads the broker's id from the path. chi matches the escaped path where there is one, so
--- a/internal/node/controlapi/operator.go
+++ b/internal/node/controlapi/operator.go
@@ -30,59 +30,55 @@
 }
 
 // replaceConfig handles a full replacement of the configuration.
-func (a *api) replaceConfig(w http.ResponseWriter, r *http.Request) {
-	a.changeConfig(w, r, pathReplace)
+func (a *api) replaceConfig(w http.ResponseWriter, r *http.Request) *requestError {
+	return a.changeConfig(w, r, pathReplace)
 }
 
 // updateConfig handles a partial update of the configuration.
-func (a *api) updateConfig(w http.ResponseWriter, r *http.Request) {
-	a.changeConfig(w, r, pathUpdate)
+func (a *api) updateConfig(w http.ResponseWriter, r *http.Request) *requestError {
+	return a.changeConfig(w, r, pathUpdate)
 }
 
 // changeConfig submits a configuration change without decoding it: the head of the chain validates it.
-func (a *api) changeConfig(w http.ResponseWriter, r *http.Request, path string) {
+func (a *api) changeConfig(w http.ResponseWriter, r *http.Request, path string) *requestError {
 	base, err := strconv.ParseUint(r.Header.Get(headerBaseVersion), 10, 64)
 	if err != nil {
-		badRequest(headerBaseVersion + ": is not a version").write(w)
-		return
+		return badRequest(headerBaseVersion + ": is not a version")
 	}
-	body, problem := readBody(w, r, a.maxBodyBytes)
-	if problem != nil {
-		problem.write(w)
-		return
+	body, rejection := readBody(w, r, a.maxBodyBytes)
+	if rejection != nil {
+		return rejection
 	}
 	change := &nodepb.ConfigChange{Replace: path == pathReplace, BaseVersion: base, Body: body}
 	a.submit(w, r, path, &nodepb.Command{
 		Id:     commandID(path, base, body),
 		Change: &nodepb.Command_ConfigChange{ConfigChange: change},
 	})
+	return nil
 }
 
 // putModelVersion handles the naming of new weights of a model.
-func (a *api) putModelVersion(w http.ResponseWriter, r *http.Request) {
-	body, problem := readBody(w, r, maxSmallBodyBytes)
-	if problem != nil {
-		problem.write(w)
-		return
+func (a *api) putModelVersion(w http.ResponseWriter, r *http.Request) *requestError {
+	body, rejection := readBody(w, r, maxSmallBodyBytes)
+	if rejection != nil {
+		return rejection
 	}
 	var named modelVersionBody
 	if err := json.Unmarshal(body, &named); err != nil {
-		badRequest("body: " + err.Error()).write(w)
-		return
+		return badRequest("body: " + err.Error())
 	}
 	if named.Model == "" {
-		badRequest("model: is missing").write(w)
-		return
+		return badRequest("model: is missing")
 	}
 	if named.Version == 0 {
-		badRequest("version: is missing; versions start at 1").write(w)
-		return
+		return badRequest("version: is missing; versions start at 1")
 	}
 	change := &nodepb.ModelVersionChange{Model: named.Model, Version: named.Version}
 	a.submit(w, r, pathVersionPut, &nodepb.Command{
 		Id:     commandID(pathVersionPut, named.Version, []byte(named.Model)),
 		Change: &nodepb.Command_ModelVersion{ModelVersion: change},
 	})
+	return nil
 }
 
 // submit submits a command to the chain and writes its result.
