--- a/internal/node/config/document.go
+++ b/internal/node/config/document.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// emptyDocument is the document before the first configuration. It is told apart by its address.
+// emptyDocument is the document before the first configuration. It is compared by address.
 var emptyDocument = &document{}
 
 // parseReplacement reads a full configuration; items that previous has as well are shared with it.
--- a/internal/node/rollout/advance.go
+++ b/internal/node/rollout/advance.go
@@ -86,7 +86,7 @@
 	b.phaseDeadline = now
 }
 
-// claim has the grant name a broker, so that whoever becomes head after this node knows that it may
+// claim has the grant name a broker, so that the next head knows that it may
 // have been ordered.
 func (r *Rollout) claim(now core.Time, b *broker, missing missingVersion) {
 	b.setTarget(missing)
--- a/internal/node/rollout/broker.go
+++ b/internal/node/rollout/broker.go
@@ -108,7 +108,7 @@
 	return b.observedVersions[b.targetModel] >= b.targetVersion
 }
 
-// inProgress reports whether the rollout is under way at the broker.
+// inProgress reports whether the rollout is in progress at the broker.
 func (b *broker) inProgress() bool { return b.phase != idle }
 
 // hasForeignMark reports whether the registry shows a mark that this machine has not set, or has
--- a/internal/node/rollout/brokers_test.go
+++ b/internal/node/rollout/brokers_test.go
@@ -21,7 +21,7 @@
 	runDuration     time.Duration // how long its running requests last
 	runsEndAt       core.Time     // when its runs have ended
 	loadLeft        time.Duration // left to load
-	sequence        uint64
+	ordersTaken     uint64
 	orders          []arrival
 	loads           map[uint64]int
 	recentReports   []Report // oldest first
@@ -54,7 +54,7 @@
 		w.wasted++
 		return 409
 	}
-	b.sequence++
+	b.ordersTaken++
 	b.busy = true
 	b.loadingVersion = body.Version
 	b.runsEndAt = w.now + b.runDuration
@@ -77,8 +77,8 @@
 	b.orders = append(b.orders, next)
 }
 
-// load advances the brokers: more than fullSpeedLoads of them at once load more slowly.
-func (w *world) load() {
+// advanceLoads advances the brokers: more than fullSpeedLoads of them at once load more slowly.
+func (w *world) advanceLoads() {
 	loading := 0
 	for _, b := range w.brokers {
 		if b.busy && w.now >= b.runsEndAt {
@@ -94,7 +94,7 @@
 			}
 		}
 		b.recentReports = append(b.recentReports, Report{
-			Models: []ReportedModel{{Name: testModel, Version: b.version}}, Busy: b.busy, Sequence: b.sequence,
+			Models: []ReportedModel{{Name: testModel, Version: b.version}}, Busy: b.busy, Sequence: b.ordersTaken,
 		})
 		if len(b.recentReports) > 20 {
 			b.recentReports = b.recentReports[1:]
--- a/internal/node/rollout/inputs.go
+++ b/internal/node/rollout/inputs.go
@@ -52,7 +52,8 @@
 }
 
 // orderAnswered judges the status of an answer. Any status that doesn't certainly tell whether the
-// order was taken has the report polled: an order must not be repeated while one may be under way.
+// order was taken has the report polled: an order must not be repeated while one may be in
+// progress.
 func (r *Rollout) orderAnswered(now core.Time, b *broker, status int) []core.Output {
 	switch status {
 	case http.StatusAccepted:
--- a/internal/node/rollout/orders/sender.go
+++ b/internal/node/rollout/orders/sender.go
@@ -74,10 +74,10 @@
 }
 
 // FetchReport fetches a report on a goroutine of its own; ReportDone takes the result.
-func (s *Sender) FetchReport(ask core.FetchReport) {
+func (s *Sender) FetchReport(fetch core.FetchReport) {
 	go func() {
-		report, err := s.fetchReport(ask)
-		s.options.ReportDone(ask.Token, report, err)
+		report, err := s.fetchReport(fetch)
+		s.options.ReportDone(fetch.Token, report, err)
 	}()
 }
 
@@ -113,24 +113,24 @@
 	return errNoResponse.Wrap(err, "send the order to broker %s", order.InstanceID)
 }
 
-func (s *Sender) fetchReport(ask core.FetchReport) (*rollout.Report, error) {
+func (s *Sender) fetchReport(fetch core.FetchReport) (*rollout.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	request, err := brokercall.NewRequest(ctx, http.MethodGet, ask.Address, reportPath, ask.InstanceID, nil)
+	request, err := brokercall.NewRequest(ctx, http.MethodGet, fetch.Address, reportPath, fetch.InstanceID, nil)
 	if err != nil {
-		return nil, errNoReport.Wrap(err, "build the report call to broker %s", ask.InstanceID)
+		return nil, errNoReport.Wrap(err, "build the report call to broker %s", fetch.InstanceID)
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return nil, errNoReport.Wrap(err, "fetch the report of broker %s", ask.InstanceID)
+		return nil, errNoReport.Wrap(err, "fetch the report of broker %s", fetch.InstanceID)
 	}
 	defer brokercall.Discard(response.Body, maxResponseBytes)
 	if response.StatusCode != http.StatusOK {
-		return nil, errNoReport.New("fetch the report of broker %s: status %d", ask.InstanceID, response.StatusCode)
+		return nil, errNoReport.New("fetch the report of broker %s: status %d", fetch.InstanceID, response.StatusCode)
 	}
 	report := &rollout.Report{}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(report); err != nil {
-		return nil, errNoReport.Wrap(err, "decode the report of broker %s", ask.InstanceID)
+		return nil, errNoReport.Wrap(err, "decode the report of broker %s", fetch.InstanceID)
 	}
 	return report, nil
 }
--- a/internal/node/rollout/rollout_test.go
+++ b/internal/node/rollout/rollout_test.go
@@ -19,8 +19,8 @@
 		w.run(6*time.Second, neverDone)
 		w.nameVersion(2)
 		namedAt := w.now
-		w.run(30*time.Second, w.everywhere)
-		assert.Assert(t, w.everywhere(), "%d brokers", brokers)
+		w.run(30*time.Second, w.loadedEverywhere)
+		assert.Assert(t, w.loadedEverywhere(), "%d brokers", brokers)
 		took := w.now - namedAt
 		assert.Assert(t, took <= testVersion, "%d brokers took %v", brokers, took)
 		for _, b := range w.brokers {
@@ -47,12 +47,12 @@
 		w.orderLoss, w.answerLoss = 0.05, 0.1
 		w.run(time.Duration(w.random.IntN(8000))*time.Millisecond, neverDone)
 		for range 12 {
-			w.disturb()
+			w.injectFault()
 			w.run(time.Duration(w.random.IntN(3500))*time.Millisecond, neverDone)
 		}
-		w.calm()
-		w.run(40*time.Second, w.everywhere)
-		assert.Assert(t, w.everywhere(), "seed %d: not everywhere", seed)
+		w.endFaults()
+		w.run(40*time.Second, w.loadedEverywhere)
+		assert.Assert(t, w.loadedEverywhere(), "seed %d: not everywhere", seed)
 		for _, b := range w.brokers {
 			orders += len(b.orders)
 		}
@@ -63,8 +63,8 @@
 	assert.Assert(t, orders > int(seeds)*9, "only %d orders", orders)
 }
 
-// disturb injects one fault, or names a version.
-func (w *world) disturb() {
+// injectFault injects one fault, or names a version.
+func (w *world) injectFault() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	head := w.nodes[w.head]
 	switch w.random.IntN(10) {
@@ -104,7 +104,7 @@
 	}
 }
 
-func (w *world) calm() {
+func (w *world) endFaults() {
 	w.orderLoss, w.answerLoss = 0, 0
 	for _, n := range w.nodes {
 		if n.frozen {
@@ -145,7 +145,7 @@
 	previousClaims := slices.Clone(w.grant.Targets)
 	assert.Assert(t, len(previousClaims) > 2 && len(previousClaims) < 12, "%v", previousClaims)
 	firstOrderAt := core.Never
-	w.run(30*time.Second, w.everywhere)
+	w.run(30*time.Second, w.loadedEverywhere)
 	// The core is stable again contactMs (3 s) after the fault; the version's bound counts from
 	// then.
 	assert.Assert(t, w.now <= electedAt+3*time.Second+testVersion, "%v", w.now-electedAt)
@@ -161,7 +161,7 @@
 		assert.Equal(t, b.loads[2], 1)
 	}
 	assert.Assert(t, firstOrderAt < electedAt+time.Second, "the first order came %v after the change", firstOrderAt-electedAt)
-	assert.Assert(t, w.everywhere())
+	assert.Assert(t, w.loadedEverywhere())
 }
 
 func TestNewHeadWithoutOpenGrantOrdersAtOnce(t *testing.T) {
@@ -185,7 +185,7 @@
 	w.run(4*time.Second, neverDone)
 	w.nameVersion(3)
 	namedAt := w.now
-	w.run(30*time.Second, w.everywhere)
+	w.run(30*time.Second, w.loadedEverywhere)
 	assert.Assert(t, w.now-namedAt <= testVersion)
 	twice := 0
 	for _, b := range w.brokers {
@@ -202,8 +202,8 @@
 		w.orderLoss, w.answerLoss = 0.2, 0.2
 		w.run(6*time.Second, neverDone)
 		w.nameVersion(2)
-		w.run(60*time.Second, w.everywhere)
-		assert.Assert(t, w.everywhere(), "seed %d", seed)
+		w.run(60*time.Second, w.loadedEverywhere)
+		assert.Assert(t, w.loadedEverywhere(), "seed %d", seed)
 		for _, b := range w.brokers {
 			assert.Equal(t, b.loads[2], 1)
 			assert.Equal(t, len(b.orders), 1, "seed %d", seed) // each order that arrived was taken
@@ -221,20 +221,20 @@
 	w.elect(1)
 	w.run(4500*time.Millisecond, neverDone)
 	w.thaw(w.nodes[0])
-	w.run(30*time.Second, w.everywhere)
-	assert.Assert(t, w.everywhere())
+	w.run(30*time.Second, w.loadedEverywhere)
+	assert.Assert(t, w.loadedEverywhere())
 }
 
 func TestVersionNamedRightAfterHeadChangeIsLoaded(t *testing.T) {
 	w := newWorld(t, 3, 3, 1)
 	w.run(6*time.Second, neverDone)
 	w.nameVersion(2)
-	w.run(20*time.Second, w.everywhere)
+	w.run(20*time.Second, w.loadedEverywhere)
 	w.run(50*time.Millisecond, neverDone)
 	w.elect(1)
 	w.run(50*time.Millisecond, neverDone)
 	w.nameVersion(3)
-	w.run(20*time.Second, w.everywhere)
-	assert.Assert(t, w.everywhere())
+	w.run(20*time.Second, w.loadedEverywhere)
+	assert.Assert(t, w.loadedEverywhere())
 	assert.Equal(t, len(w.brokers[0].orders), 2)
 }
--- a/internal/node/rollout/world_test.go
+++ b/internal/node/rollout/world_test.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// barriers renews the lease of the head, and confirms the control state to all nodes.
-func (w *world) barriers() {
+// completeBarriers renews the lease of the head, and confirms the control state to all nodes.
+func (w *world) completeBarriers() {
 	for _, n := range w.nodes {
 		if n.frozen || n.partitioned {
 			continue
@@ -234,9 +234,9 @@
 	for _, output := range outputs {
 		switch output := output.(type) {
 		case core.SendOrder:
-			n.later(time.Duration(w.random.IntN(4))*time.Millisecond, func() { n.write(output) })
+			n.later(time.Duration(w.random.IntN(4))*time.Millisecond, func() { n.writeOrder(output) })
 		case core.FetchReport:
-			n.later(w.delay(), func() { n.askReport(output) })
+			n.later(w.delay(), func() { n.answerReport(output) })
 		case core.MarkLoading:
 			n.later(w.delay(), func() {
 				w.broker(output.InstanceID).fence = output.FencingToken
@@ -300,46 +300,46 @@
 	return nil
 }
 
-// write is the shell: the lease is checked once more, then the order is sent to the broker.
-func (n *testNode) write(order core.SendOrder) {
+// writeOrder is the shell: the lease is checked once more, then the order is sent to the broker.
+func (n *testNode) writeOrder(order core.SendOrder) {
 	w := n.world
 	if w.now >= order.ValidUntil {
-		n.ordered(order.Token, 0, ErrNotSent.New("too late"), 0)
+		n.endOrder(order.Token, 0, ErrNotSent.New("too late"), 0)
 		return
 	}
 	if w.random.Float64() < w.orderLoss {
-		n.ordered(order.Token, 0, errors.New("timeout"), time.Second)
+		n.endOrder(order.Token, 0, errors.New("timeout"), time.Second)
 		return
 	}
 	w.later(w.delay(), func() {
 		status := w.takeOrder(order)
 		if w.random.Float64() < w.answerLoss {
-			n.ordered(order.Token, 0, errors.New("timeout"), time.Second)
+			n.endOrder(order.Token, 0, errors.New("timeout"), time.Second)
 			return
 		}
-		n.ordered(order.Token, status, nil, w.delay())
+		n.endOrder(order.Token, status, nil, w.delay())
 	})
 }
 
-func (n *testNode) ordered(token uint64, status int, err error, delay time.Duration) {
+func (n *testNode) endOrder(token uint64, status int, err error, delay time.Duration) {
 	n.later(delay, func() {
 		n.carryOut(n.machine.OrderDone(n.world.now, token, status, err))
 		n.step()
 	})
 }
 
-func (n *testNode) askReport(ask core.FetchReport) {
+func (n *testNode) answerReport(ask core.FetchReport) {
 	w := n.world
 	b := w.broker(ask.InstanceID)
 	if b.gone || w.random.Float64() < w.answerLoss {
-		n.reported(ask.Token, nil, errors.New("timeout"), time.Second)
+		n.endReport(ask.Token, nil, errors.New("timeout"), time.Second)
 		return
 	}
 	report := b.recentReports[0]
-	n.reported(ask.Token, &report, nil, w.delay())
+	n.endReport(ask.Token, &report, nil, w.delay())
 }
 
-func (n *testNode) reported(token uint64, report *Report, err error, delay time.Duration) {
+func (n *testNode) endReport(token uint64, report *Report, err error, delay time.Duration) {
 	n.later(delay, func() {
 		n.carryOut(n.machine.ReportDone(n.world.now, token, report, err))
 		n.step()
@@ -352,9 +352,9 @@
 	for w.now < end && !done() {
 		w.now += tick
 		if w.now%(200*time.Millisecond) == 0 {
-			w.barriers()
+			w.completeBarriers()
 		}
-		w.load()
+		w.advanceLoads()
 		w.deliver()
 		for _, n := range w.nodes {
 			if !n.frozen && n.machine.Deadline() <= w.now {
@@ -412,8 +412,8 @@
 	n.step()
 }
 
-// everywhere reports whether all brokers have the newest version and serve.
-func (w *world) everywhere() bool {
+// loadedEverywhere reports whether all brokers have the newest version and serve.
+func (w *world) loadedEverywhere() bool {
 	for _, b := range w.brokers {
 		if !b.gone && (b.version < w.target || b.registryVersion < w.target || b.fence != 0) {
 			return false
