--- a/internal/node/chain/barrier.go
+++ b/internal/node/chain/barrier.go
@@ -33,7 +33,7 @@
 
 // answers reports whether the view in force here acknowledges and answers.
 func (s *Store) answers() bool {
-	return s.member() && s.viewDurable && view.Acknowledges(s.view)
+	return s.member() && s.viewDurable && view.CanAcknowledge(s.view)
 }
 
 // startBarrier sends a barrier through the chain. It waits while an inherited entry is not committed, which may have been
--- a/internal/node/chain/founding.go
+++ b/internal/node/chain/founding.go
@@ -49,12 +49,12 @@
 			present++
 			continue
 		}
-		told := s.detector.Told(founder)
+		told := s.detector.LastReport(founder)
 		if told == nil {
 			continue
 		}
 		present++
-		if i < place && told.Counts && told.DiskHealthy {
+		if i < place && told.CountsForQuorum && told.DiskHealthy {
 			ahead++
 		}
 	}
@@ -69,15 +69,15 @@
 			voters = append(voters, voter)
 		}
 	}
-	return view.First(voters, s.options.Tolerance)
+	return view.FirstView(voters, s.options.Tolerance)
 }
 
 func (s *Store) founderVoter(founder string) *nodepb.Voter {
 	if founder == s.address() {
 		return s.options.Self
 	}
-	told := s.detector.Told(founder)
-	if told == nil || !told.Counts || !told.DiskHealthy {
+	told := s.detector.LastReport(founder)
+	if told == nil || !told.CountsForQuorum || !told.DiskHealthy {
 		return nil
 	}
 	return told.Voter
--- a/internal/node/chain/join.go
+++ b/internal/node/chain/join.go
@@ -68,7 +68,7 @@
 		return
 	}
 	voter := request.GetSelf()
-	if voter.GetDiskId() == "" || view.Position(s.view, voter.GetDiskId()) >= 0 || !s.connects(request.GetReachable()) {
+	if voter.GetDiskId() == "" || view.ChainIndex(s.view, voter.GetDiskId()) >= 0 || !s.connects(request.GetReachable()) {
 		return
 	}
 	j := s.joiners[voter.GetDiskId()]
@@ -264,7 +264,7 @@
 	j.last = position{index: message.GetLastIndex(), epoch: message.GetLastEpoch()}
 	j.done = true
 	j.doneAt = s.now
-	s.detector.Proven(from.Address, j.voter, j.sentAt)
+	s.detector.RecordRoundTrip(from.Address, j.voter, j.sentAt)
 	if j.last != s.last() {
 		s.holdUntil = max(s.holdUntil, s.now+holdForJoiner)
 		j.committed = position{}
@@ -282,7 +282,7 @@
 	}
 	var ready []*nodepb.Voter
 	for _, j := range s.joiners {
-		if j.done && s.now-j.doneAt <= view.MissingAfter && j.last == s.last() {
+		if j.done && s.now-j.doneAt <= view.FailureTimeout && j.last == s.last() {
 			ready = append(ready, j.voter)
 		}
 	}
--- a/internal/node/chain/member_test.go
+++ b/internal/node/chain/member_test.go
@@ -33,7 +33,7 @@
 
 // testView makes a view of the voters, each one letter, with the chain.
 func testView(epoch uint64, voters, chainOrder string) *nodepb.View {
-	v := &nodepb.View{Epoch: epoch, AcknowledgedBy: uint32(min(2, len(voters)))}
+	v := &nodepb.View{Epoch: epoch, MinChainLength: uint32(min(2, len(voters)))}
 	for _, name := range voters {
 		v.Voters = append(v.Voters, voter(string(name)))
 	}
@@ -153,13 +153,13 @@
 
 func prepareOf(epoch uint64, round uint64, base *nodepb.View) *nodepb.Envelope {
 	return &nodepb.Envelope{Body: &nodepb.Envelope_Prepare{Prepare: &nodepb.Prepare{
-		Epoch: epoch, Ballot: &nodepb.Ballot{Round: round, Proposer: "b"}, Base: base,
+		Epoch: epoch, Number: &nodepb.ProposalNumber{Counter: round, Proposer: "b"}, Base: base,
 	}}}
 }
 
 func acceptOf(epoch uint64, round uint64, value *nodepb.View) *nodepb.Envelope {
 	return &nodepb.Envelope{Body: &nodepb.Envelope_Accept{Accept: &nodepb.Accept{
-		Epoch: epoch, Ballot: &nodepb.Ballot{Round: round, Proposer: "b"}, View: value,
+		Epoch: epoch, Number: &nodepb.ProposalNumber{Counter: round, Proposer: "b"}, View: value,
 	}}}
 }
 
--- a/internal/node/chain/pings.go
+++ b/internal/node/chain/pings.go
@@ -25,21 +25,21 @@
 }
 
 // told is what this node says of itself.
-func (s *Store) told() view.Told {
-	return view.Told{
-		Voter:       s.options.Self,
-		Epoch:       view.Epoch(s.view),
-		Committed:   s.committed.index,
-		DiskHealthy: s.writer.healthy(s.now),
-		Counts:      s.diskID() != "",
-		Founding:    len(s.founders) > 0,
-		Wedged:      s.wedged,
-		Missing:     s.detector.MissingVoters(),
+func (s *Store) told() view.Report {
+	return view.Report{
+		Voter:             s.options.Self,
+		Epoch:             view.Epoch(s.view),
+		Committed:         s.committed.index,
+		DiskHealthy:       s.writer.healthy(s.now),
+		CountsForQuorum:   s.diskID() != "",
+		Founding:          len(s.founders) > 0,
+		Wedged:            s.wedged,
+		UnreachableVoters: s.detector.UnreachableVoters(),
 	}
 }
 
 func (s *Store) pingDue() {
-	due := s.detector.Due()
+	due := s.detector.DuePings()
 	if len(due) == 0 {
 		return
 	}
@@ -50,11 +50,11 @@
 }
 
 func (s *Store) ping(address string) {
-	s.sendPing(view.Probe{Address: address, Via: s.detector.Route(address)}, s.told())
+	s.sendPing(view.DuePing{Address: address, Via: s.detector.Route(address)}, s.told())
 }
 
-func (s *Store) sendPing(probe view.Probe, told view.Told) {
-	ping := s.detector.Ping(probe.Address, probe.Via, told)
+func (s *Store) sendPing(probe view.DuePing, told view.Report) {
+	ping := s.detector.NewPing(probe.Address, probe.Via, told)
 	ping.View = s.viewFor(probe.Address)
 	s.emit(core.Send{
 		To:      probe.Address,
@@ -72,7 +72,7 @@
 
 // viewFor is the view if the node at the address was last seen with an older one.
 func (s *Store) viewFor(address string) *nodepb.View {
-	told := s.detector.Told(address)
+	told := s.detector.LastReport(address)
 	if told == nil || s.view == nil || told.Epoch >= s.view.GetEpoch() {
 		return nil
 	}
@@ -80,7 +80,7 @@
 }
 
 func (s *Store) receivePing(from core.Peer, ping *nodepb.VoterPing) {
-	pong := s.detector.Pinged(from.Address, from.Via, ping, s.told())
+	pong := s.detector.ReceivePing(from.Address, from.Via, ping, s.told())
 	s.learn(ping.GetView())
 	pong.Epoch = view.Epoch(s.view)
 	pong.View = s.viewFor(from.Address)
@@ -93,7 +93,7 @@
 }
 
 func (s *Store) receivePong(from core.Peer, pong *nodepb.VoterPong) {
-	s.detector.Ponged(from.Address, from.Via, pong)
+	s.detector.ReceivePong(from.Address, from.Via, pong)
 	s.learn(pong.GetView())
 	if s.viewFor(from.Address) != nil {
 		s.sendView(from.Address)
--- a/internal/node/chain/protocol_test.go
+++ b/internal/node/chain/protocol_test.go
@@ -21,8 +21,8 @@
 	m.start()
 	m.receive("b", prepareOf(2, 4, base))
 	refusal := find(m, (*nodepb.Envelope).GetPromise)
-	assert.Assert(t, refusal.GetRefused())
-	assert.Equal(t, refusal.GetBallot().GetRound(), uint64(5))
+	assert.Assert(t, refusal.GetRejected())
+	assert.Equal(t, refusal.GetNumber().GetCounter(), uint64(5))
 }
 
 func TestAcceptanceIsDurableBeforeItIsTold(t *testing.T) {
@@ -38,7 +38,7 @@
 	m.receive("c", prepareOf(2, 9, base))
 	m.durable()
 	promise := find(m, (*nodepb.Envelope).GetPromise)
-	assert.Equal(t, promise.GetAcceptedBallot().GetRound(), uint64(3))
+	assert.Equal(t, promise.GetAcceptedNumber().GetCounter(), uint64(3))
 	assert.DeepEqual(t, promise.GetAcceptedView().GetChain(), []string{"b", "a"})
 }
 
@@ -57,7 +57,7 @@
 	assert.Equal(t, find(m, (*nodepb.Envelope).GetPromise).GetDecided().GetEpoch(), uint64(4))
 	m.receive("b", acceptOf(4, 5, testView(4, "abc", "c")))
 	accepted := find(m, (*nodepb.Envelope).GetAccepted)
-	assert.Assert(t, accepted.GetRefused())
+	assert.Assert(t, accepted.GetRejected())
 	assert.Equal(t, accepted.GetDecided().GetEpoch(), uint64(4))
 }
 
@@ -294,7 +294,7 @@
 // pingOf is a ping of another voter, which names the newest pong it got.
 func pingOf(name string, sequence, acknowledged uint64) *nodepb.Envelope {
 	return &nodepb.Envelope{Body: &nodepb.Envelope_VoterPing{VoterPing: &nodepb.VoterPing{
-		Sequence: sequence, Self: voter(name), Epoch: 1, DiskHealthy: true, Counts: true, Acknowledged: acknowledged,
+		Sequence: sequence, Self: voter(name), Epoch: 1, DiskHealthy: true, CountsForQuorum: true, AcknowledgedPong: acknowledged,
 	}}}
 }
 
@@ -334,9 +334,9 @@
 	}
 	assert.Assert(t, m.now <= 2*time.Second)
 	m.durable()
-	ballot := find(m, (*nodepb.Envelope).GetPrepare).GetBallot()
+	ballot := find(m, (*nodepb.Envelope).GetPrepare).GetNumber()
 	assert.Assert(t, !m.store.Status().Wedged)
-	promise := &nodepb.Promise{Epoch: 2, Ballot: ballot, Voter: "a"}
+	promise := &nodepb.Promise{Epoch: 2, Number: ballot, Acceptor: "a"}
 	m.receive("a", &nodepb.Envelope{Body: &nodepb.Envelope_Promise{Promise: promise}})
 	assert.Assert(t, m.store.Status().Wedged)
 	m.sent = nil
@@ -460,7 +460,7 @@
 	assert.Equal(t, after.Committed, uint64(1))
 	assert.Assert(t, after.Pending)
 	m.receive("c", prepareOf(2, 5, testView(1, "abc", "abc")))
-	assert.Assert(t, find(m, (*nodepb.Envelope).GetPromise).GetRefused())
+	assert.Assert(t, find(m, (*nodepb.Envelope).GetPromise).GetRejected())
 }
 
 func TestRoles(t *testing.T) {
--- a/internal/node/chain/reconfigure.go
+++ b/internal/node/chain/reconfigure.go
@@ -16,7 +16,7 @@
 
 // round is a ballot of this node for the next view.
 type round struct {
-	*view.Round
+	*view.Proposal
 	base      *nodepb.View // nil while founding
 	acceptors []acceptorAddress
 	started   core.Time
@@ -25,12 +25,12 @@
 }
 
 // situation is what this node knows for the choice of the next view.
-func (s *Store) situation() *view.Situation {
-	return &view.Situation{
+func (s *Store) situation() *view.Reconfiguration {
+	return &view.Reconfiguration{
 		View:      s.view,
 		Self:      s.diskID(),
 		Tolerance: s.options.Tolerance,
-		Reach:     s.detector,
+		Detector:  s.detector,
 		Joiners:   s.readyJoiners(),
 		Leaving:   s.now < s.leaving,
 		Wedged:    s.wedged,
@@ -48,7 +48,7 @@
 	}
 	s.evaluateAt = s.now + evaluateEvery
 	situation := s.situation()
-	if !situation.Wanted() {
+	if !situation.Needed() {
 		s.wantedSince = core.Never
 		return
 	}
@@ -59,20 +59,20 @@
 }
 
 // proposes reports whether this node may propose the next view, as it holds all that was acknowledged.
-func (s *Store) proposes() bool { return slices.Contains(view.Proposers(s.view), s.diskID()) }
+func (s *Store) proposes() bool { return slices.Contains(view.EligibleProposers(s.view), s.diskID()) }
 
-func (s *Store) mayPropose(situation *view.Situation) bool {
+func (s *Store) mayPropose(situation *view.Reconfiguration) bool {
 	switch {
 	case s.now < s.notBefore || !s.writer.healthy(s.now):
 		return false
 	case !situation.MajorityReachable():
 		return false
-	case !s.wedged && !situation.Settled():
+	case !s.wedged && !situation.ProposersKnown():
 		return false
-	case s.now < s.wantedSince+core.Time(situation.Rank())*rankDelay:
+	case s.now < s.wantedSince+core.Time(situation.ProposerRank())*rankDelay:
 		return false
 	default:
-		return situation.Next() != nil
+		return situation.NextView() != nil
 	}
 }
 
@@ -83,9 +83,9 @@
 	for i := range acceptors {
 		ids[i] = acceptors[i].id
 	}
-	ballot := &nodepb.Ballot{Round: max(s.acceptor.Round(), s.seenRound) + 1, Proposer: s.proposerID()}
+	ballot := &nodepb.ProposalNumber{Counter: max(s.acceptor.HighestCounter(), s.seenRound) + 1, Proposer: s.proposerID()}
 	r := &round{
-		Round:     view.NewRound(s.acceptor.Epoch, ballot, ids),
+		Proposal:  view.NewProposal(s.acceptor.Epoch, ballot, ids),
 		base:      s.view,
 		acceptors: acceptors,
 		started:   s.now,
@@ -93,14 +93,14 @@
 	}
 	s.round = r
 	promise, _ := s.acceptor.Prepare(ballot)
-	promise.Voter = s.acceptorID()
+	promise.Acceptor = s.acceptorID()
 	s.persist(kindAcceptor, s.acceptor.Record(), func() {
 		if s.round != r {
 			return
 		}
 		r.spoken = true
 		s.ask()
-		r.Promised(promise)
+		r.ReceivePromise(promise)
 		s.progress()
 	})
 }
@@ -129,17 +129,17 @@
 func (s *Store) ask() {
 	r := s.round
 	for _, acceptor := range r.acceptors {
-		if !r.Waiting(acceptor.id) || acceptor.id == s.acceptorID() {
+		if !r.Awaits(acceptor.id) || acceptor.id == s.acceptorID() {
 			continue
 		}
 		switch r.Phase() {
 		case view.Preparing:
 			s.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Prepare{Prepare: &nodepb.Prepare{
-				Epoch: r.Epoch, Ballot: r.Ballot, Base: r.base,
+				Epoch: r.Epoch, Number: r.Number, Base: r.base,
 			}}})
 		case view.Accepting:
 			s.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Accept{Accept: &nodepb.Accept{
-				Epoch: r.Epoch, Ballot: r.Ballot, View: r.Value(), Base: r.base,
+				Epoch: r.Epoch, Number: r.Number, View: r.Value(), Base: r.base,
 			}}})
 		}
 	}
@@ -180,7 +180,7 @@
 	if s.round == nil || !s.round.spoken {
 		return
 	}
-	s.round.Promised(promise)
+	s.round.ReceivePromise(promise)
 	s.progress()
 }
 
@@ -189,19 +189,19 @@
 	if s.round == nil || !s.round.spoken {
 		return
 	}
-	s.round.Accepted(accepted)
+	s.round.ReceiveAccepted(accepted)
 	s.progress()
 }
 
 // progress goes on after an answer.
 func (s *Store) progress() {
 	switch s.round.Phase() {
-	case view.Choosing:
+	case view.Prepared:
 		s.choose()
 	case view.Decided:
 		s.decide()
-	case view.Beaten:
-		s.raiseRound(s.round.HigherRound())
+	case view.Preempted:
+		s.raiseRound(s.round.PreemptedBy())
 		s.abandonRound()
 	}
 }
@@ -221,13 +221,13 @@
 		s.abandonRound()
 		return
 	}
-	r.Choose(value)
-	accepted, changed := s.acceptor.Accept(r.Ballot, value)
+	r.BeginAccept(value)
+	accepted, changed := s.acceptor.Accept(r.Number, value)
 	if !changed {
 		s.abandonRound()
 		return
 	}
-	accepted.Voter = s.acceptorID()
+	accepted.Acceptor = s.acceptorID()
 	r.spoken = false
 	s.persist(kindAcceptor, s.acceptor.Record(), func() {
 		if s.round != r {
@@ -235,7 +235,7 @@
 		}
 		r.spoken = true
 		s.ask()
-		r.Accepted(accepted)
+		r.ReceiveAccepted(accepted)
 		s.progress()
 	})
 }
@@ -247,10 +247,10 @@
 		return s.foundingView()
 	}
 	situation := s.situation()
-	if !situation.Wanted() || !situation.MajorityReachable() {
+	if !situation.Needed() || !situation.MajorityReachable() {
 		return nil
 	}
-	next := situation.Next()
+	next := situation.NextView()
 	if next != nil && !s.wedged && s.inChain() {
 		s.wedged = true
 		s.persist(kindWedge, &nodepb.WedgeRecord{Epoch: s.view.GetEpoch()}, nil)
--- a/internal/node/chain/replica.go
+++ b/internal/node/chain/replica.go
@@ -91,7 +91,7 @@
 
 // acknowledge commits the pending entry at the tail and answers it, if the chain is long enough.
 func (s *Store) acknowledge() {
-	if !view.Acknowledges(s.view) {
+	if !view.CanAcknowledge(s.view) {
 		return
 	}
 	entry := s.pending
--- a/internal/node/chain/store.go
+++ b/internal/node/chain/store.go
@@ -282,9 +282,9 @@
 	return s.view != nil && !s.wedged && s.inChain()
 }
 
-func (s *Store) inChain() bool { return view.Position(s.view, s.diskID()) >= 0 }
+func (s *Store) inChain() bool { return view.ChainIndex(s.view, s.diskID()) >= 0 }
 
-func (s *Store) isHead() bool { return view.Position(s.view, s.diskID()) == 0 }
+func (s *Store) isHead() bool { return view.ChainIndex(s.view, s.diskID()) == 0 }
 
 func (s *Store) isTail() bool {
 	return s.inChain() && view.Successor(s.view, s.diskID()) == nil
--- a/internal/node/chain/votes.go
+++ b/internal/node/chain/votes.go
@@ -23,16 +23,16 @@
 func (s *Store) receivePrepare(from core.Peer, message *nodepb.Prepare) {
 	s.learn(message.GetBase())
 	if message.GetEpoch() < s.acceptor.Epoch {
-		s.sendPromise(from.Address, &nodepb.Promise{Epoch: message.GetEpoch(), Refused: true, Decided: s.view})
+		s.sendPromise(from.Address, &nodepb.Promise{Epoch: message.GetEpoch(), Rejected: true, Decided: s.view})
 		return
 	}
 	id := s.acceptorID()
 	if id == "" || message.GetEpoch() != s.acceptor.Epoch {
 		return
 	}
-	promise, _ := s.acceptor.Prepare(message.GetBallot())
-	promise.Voter = id
-	if promise.GetRefused() {
+	promise, _ := s.acceptor.Prepare(message.GetNumber())
+	promise.Acceptor = id
+	if promise.GetRejected() {
 		s.sendPromise(from.Address, promise)
 		return
 	}
@@ -46,7 +46,7 @@
 func (s *Store) receiveAccept(from core.Peer, message *nodepb.Accept) {
 	s.learn(message.GetBase())
 	if message.GetEpoch() < s.acceptor.Epoch {
-		s.sendAccepted(from.Address, &nodepb.Accepted{Epoch: message.GetEpoch(), Refused: true, Decided: s.view})
+		s.sendAccepted(from.Address, &nodepb.Accepted{Epoch: message.GetEpoch(), Rejected: true, Decided: s.view})
 		return
 	}
 	id := s.acceptorID()
@@ -54,9 +54,9 @@
 	if id == "" || message.GetEpoch() != s.acceptor.Epoch || !proper {
 		return
 	}
-	accepted, _ := s.acceptor.Accept(message.GetBallot(), message.GetView())
-	accepted.Voter = id
-	if accepted.GetRefused() {
+	accepted, _ := s.acceptor.Accept(message.GetNumber(), message.GetView())
+	accepted.Acceptor = id
+	if accepted.GetRejected() {
 		s.sendAccepted(from.Address, accepted)
 		return
 	}
--- a/internal/node/control/exchange.go
+++ b/internal/node/control/exchange.go
@@ -50,7 +50,7 @@
 	if newest.GetEpoch() <= n.seen.view {
 		return
 	}
-	if n.seen.view > 0 && newest.LostMachine {
+	if n.seen.view > 0 && newest.MemberUnreachable {
 		n.emit(core.CoreDisturbed{At: now - detectionTime})
 	}
 	n.seen.view = newest.GetEpoch()
--- a/internal/node/view/acceptor_test.go
+++ b/internal/node/view/acceptor_test.go
@@ -8,53 +8,53 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-func ballot(round uint64, proposer string) *nodepb.Ballot {
-	return &nodepb.Ballot{Round: round, Proposer: proposer}
+func proposalNumber(round uint64, proposer string) *nodepb.ProposalNumber {
+	return &nodepb.ProposalNumber{Counter: round, Proposer: proposer}
 }
 
-func TestCompareBallots(t *testing.T) {
+func TestCompareNumbersOrdersByCounterThenProposer(t *testing.T) {
 	for _, c := range []struct {
-		a, b *nodepb.Ballot
+		a, b *nodepb.ProposalNumber
 		want int
 	}{
 		{nil, nil, 0},
-		{nil, ballot(1, "a"), -1},
-		{ballot(2, "a"), ballot(1, "z"), 1},
-		{ballot(2, "a"), ballot(2, "b"), -1},
-		{ballot(2, "b"), ballot(2, "b"), 0},
+		{nil, proposalNumber(1, "a"), -1},
+		{proposalNumber(2, "a"), proposalNumber(1, "z"), 1},
+		{proposalNumber(2, "a"), proposalNumber(2, "b"), -1},
+		{proposalNumber(2, "b"), proposalNumber(2, "b"), 0},
 	} {
-		assert.Equal(t, CompareBallots(c.a, c.b), c.want)
+		assert.Equal(t, CompareNumbers(c.a, c.b), c.want)
 	}
 }
 
 func TestAcceptorKeepsItsPromise(t *testing.T) {
 	a := NewAcceptor(2)
-	promise, changed := a.Prepare(ballot(3, "a"))
-	assert.Assert(t, changed && !promise.GetRefused())
-	promise, changed = a.Prepare(ballot(3, "a"))
-	assert.Assert(t, !changed && !promise.GetRefused(), "a repeat is promised again")
-	promise, _ = a.Prepare(ballot(2, "z"))
-	assert.Assert(t, promise.GetRefused())
-	assert.Equal(t, promise.GetBallot().GetRound(), uint64(3))
-
-	lower, changed := a.Accept(ballot(2, "z"), &nodepb.View{Epoch: 2})
-	assert.Assert(t, lower.GetRefused() && !changed)
+	promise, changed := a.Prepare(proposalNumber(3, "a"))
+	assert.Assert(t, changed && !promise.GetRejected())
+	promise, changed = a.Prepare(proposalNumber(3, "a"))
+	assert.Assert(t, !changed && !promise.GetRejected(), "a repeat is promised again")
+	promise, _ = a.Prepare(proposalNumber(2, "z"))
+	assert.Assert(t, promise.GetRejected())
+	assert.Equal(t, promise.GetNumber().GetCounter(), uint64(3))
+
+	lower, changed := a.Accept(proposalNumber(2, "z"), &nodepb.View{Epoch: 2})
+	assert.Assert(t, lower.GetRejected() && !changed)
 	value := &nodepb.View{Epoch: 2, Chain: []string{"x"}}
-	accepted, changed := a.Accept(ballot(3, "a"), value)
-	assert.Assert(t, !accepted.GetRefused() && changed)
-	_, changed = a.Accept(ballot(3, "a"), value)
+	accepted, changed := a.Accept(proposalNumber(3, "a"), value)
+	assert.Assert(t, !accepted.GetRejected() && changed)
+	_, changed = a.Accept(proposalNumber(3, "a"), value)
 	assert.Assert(t, !changed)
 
 	restored := RestoreAcceptor(a.Record())
-	promise, _ = restored.Prepare(ballot(4, "b"))
+	promise, _ = restored.Prepare(proposalNumber(4, "b"))
 	assert.Equal(t, promise.GetAcceptedView(), value)
-	assert.Equal(t, CompareBallots(promise.GetAcceptedBallot(), ballot(3, "a")), 0)
+	assert.Equal(t, CompareNumbers(promise.GetAcceptedNumber(), proposalNumber(3, "a")), 0)
 }
 
-func TestAcceptorPromisesByAccepting(t *testing.T) {
+func TestAcceptImpliesAPromise(t *testing.T) {
 	a := NewAcceptor(2)
-	_, changed := a.Accept(ballot(5, "a"), &nodepb.View{Epoch: 2})
+	_, changed := a.Accept(proposalNumber(5, "a"), &nodepb.View{Epoch: 2})
 	assert.Assert(t, changed)
-	promise, _ := a.Prepare(ballot(4, "b"))
-	assert.Assert(t, promise.GetRefused())
+	promise, _ := a.Prepare(proposalNumber(4, "b"))
+	assert.Assert(t, promise.GetRejected())
 }
--- a/internal/node/view/ballot.go
+++ b/internal/node/view/ballot.go
@@ -2,12 +2,12 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// CompareBallots orders ballots by round, then by proposer; nil is below all others. It returns -1, 0 or 1.
-func CompareBallots(a, b *nodepb.Ballot) int {
+// CompareNumbers orders ballots by round, then by proposer; nil is below all others. It returns -1, 0 or 1.
+func CompareNumbers(a, b *nodepb.ProposalNumber) int {
 	switch {
-	case a.GetRound() < b.GetRound():
+	case a.GetCounter() < b.GetCounter():
 		return -1
-	case a.GetRound() > b.GetRound():
+	case a.GetCounter() > b.GetCounter():
 		return 1
 	case a.GetProposer() < b.GetProposer():
 		return -1
--- a/internal/node/view/detector_test.go
+++ b/internal/node/view/detector_test.go
@@ -10,24 +10,24 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// pair is two voters that ping one another over links that can be cut each way.
-type pair struct {
-	now   core.Time
-	nodes map[string]*Detector
-	cut   map[string]bool // by sender
-	told  map[string]Told
-	sent  int
+// voterPair is two voters that ping one another over links that can be cut each way.
+type voterPair struct {
+	now     core.Time
+	nodes   map[string]*Detector
+	severed map[string]bool // by sender
+	reports map[string]Report
+	sent    int
 }
 
-func newPair(names ...string) *pair {
-	p := &pair{nodes: map[string]*Detector{}, cut: map[string]bool{}, told: map[string]Told{}}
+func newPair(names ...string) *voterPair {
+	p := &voterPair{nodes: map[string]*Detector{}, severed: map[string]bool{}, reports: map[string]Report{}}
 	var voters []*nodepb.Voter
 	var targets []Target
 	for _, name := range names {
 		voter := &nodepb.Voter{DiskId: name, Address: name, NodeId: name + "#1"}
 		voters = append(voters, voter)
 		targets = append(targets, Target{Address: name, DiskID: name})
-		p.told[name] = Told{Voter: voter, DiskHealthy: true, Counts: true}
+		p.reports[name] = Report{Voter: voter, DiskHealthy: true, CountsForQuorum: true}
 	}
 	for i, name := range names {
 		p.nodes[name] = NewDetector(0, voters[i], uint64(1000*(i+1)))
@@ -37,41 +37,41 @@
 }
 
 // step passes time by pings of all nodes.
-func (p *pair) step(d time.Duration) {
+func (p *voterPair) step(d time.Duration) {
 	for end := p.now + d; p.now < end; {
 		p.now += 50 * time.Millisecond
 		for name, node := range p.nodes {
 			node.Advance(p.now, 0)
-			for _, probe := range node.Due() {
+			for _, probe := range node.DuePings() {
 				p.ping(name, probe)
 			}
 		}
 	}
 }
 
-func (p *pair) ping(from string, probe Probe) {
+func (p *voterPair) ping(from string, probe DuePing) {
 	p.sent++
-	to, via := probe.Address, probe.Via
-	ping := p.nodes[from].Ping(to, via, p.told[from])
-	if p.lost(from, to, via) || p.nodes[to] == nil {
+	destination, via := probe.Address, probe.Via
+	ping := p.nodes[from].NewPing(destination, via, p.reports[from])
+	if p.isLost(from, destination, via) || p.nodes[destination] == nil {
 		return
 	}
-	pong := p.nodes[to].Pinged(from, via, ping, p.told[to])
-	if !p.lost(to, from, via) {
-		p.nodes[from].Ponged(to, via, pong)
+	pong := p.nodes[destination].ReceivePing(from, via, ping, p.reports[destination])
+	if !p.isLost(destination, from, via) {
+		p.nodes[from].ReceivePong(destination, via, pong)
 	}
 }
 
-// lost reports whether a message does not arrive: a cut sender is heard by relays alone, and a relay reaches those that it is
+// isLost reports whether a message does not arrive: a cut sender is heard by relays alone, and a relay reaches those that it is
 // not cut off from.
-func (p *pair) lost(from, to, via string) bool {
+func (p *voterPair) isLost(from, destination, via string) bool {
 	if via == "" {
-		return p.cut[from]
+		return p.severed[from]
 	}
-	return p.cut[from+">"+via] || p.cut[via+">"+to]
+	return p.severed[from+">"+via] || p.severed[via+">"+destination]
 }
 
-func TestRoundTripsProveBothWays(t *testing.T) {
+func TestRoundTripsProveBothDirections(t *testing.T) {
 	p := newPair("a", "b")
 	assert.Equal(t, p.nodes["a"].Condition("b"), Unknown)
 	p.step(600 * time.Millisecond)
@@ -82,26 +82,26 @@
 	assert.Assert(t, p.sent-before <= 41, "only one of the two pings, four times a second: %d", p.sent-before)
 }
 
-func TestOneWayCutIsSeenByBoth(t *testing.T) {
+func TestOneWayPartitionIsDetectedByBoth(t *testing.T) {
 	for _, mute := range []string{"a", "b"} {
 		p := newPair("a", "b")
 		p.step(time.Second)
-		p.cut[mute] = true
+		p.severed[mute] = true
 		p.step(1800 * time.Millisecond)
-		assert.Equal(t, p.nodes["a"].Condition("b"), Missing, "mute: %s", mute)
-		assert.Equal(t, p.nodes["b"].Condition("a"), Missing, "mute: %s", mute)
-		assert.DeepEqual(t, p.nodes["a"].MissingVoters(), []string{"b"})
+		assert.Equal(t, p.nodes["a"].Condition("b"), Failed, "mute: %s", mute)
+		assert.Equal(t, p.nodes["b"].Condition("a"), Failed, "mute: %s", mute)
+		assert.DeepEqual(t, p.nodes["a"].UnreachableVoters(), []string{"b"})
 		p.step(3 * time.Second)
-		assert.Assert(t, p.nodes["a"].MissingFor("b") > DropAfter)
-		p.cut[mute] = false
+		assert.Assert(t, p.nodes["a"].FailedFor("b") > RemovalTimeout)
+		p.severed[mute] = false
 		p.step(1500 * time.Millisecond)
 		assert.Equal(t, p.nodes["a"].Condition("b"), Reachable)
 		assert.Equal(t, p.nodes["b"].Condition("a"), Reachable)
-		assert.Equal(t, p.nodes["a"].MissingFor("b"), core.Time(0))
+		assert.Equal(t, p.nodes["a"].FailedFor("b"), core.Time(0))
 	}
 }
 
-func TestFrozenNodeBlamesNobodyAtOnce(t *testing.T) {
+func TestSuspendedNodeFailsNobodyAtOnce(t *testing.T) {
 	p := newPair("a", "b")
 	p.step(time.Second)
 	p.now += 5 * time.Second
@@ -112,41 +112,41 @@
 	assert.Equal(t, p.nodes["a"].Condition("b"), Reachable)
 }
 
-func TestDiskTroubleCountsAsMissing(t *testing.T) {
+func TestDiskFaultCountsAsFailed(t *testing.T) {
 	p := newPair("a", "b")
 	p.step(time.Second)
-	told := p.told["b"]
-	told.DiskHealthy = false
-	p.told["b"] = told
+	report := p.reports["b"]
+	report.DiskHealthy = false
+	p.reports["b"] = report
 	p.step(500 * time.Millisecond)
-	assert.Equal(t, p.nodes["a"].Condition("b"), Missing)
-	assert.Equal(t, len(p.nodes["a"].MissingVoters()), 0, "the link is sound")
+	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
+	assert.Equal(t, len(p.nodes["a"].UnreachableVoters()), 0, "the link is sound")
 	p.step(3 * time.Second)
-	assert.Assert(t, p.nodes["a"].MissingFor("b") >= 3*time.Second)
-	told.DiskHealthy = true
-	p.told["b"] = told
+	assert.Assert(t, p.nodes["a"].FailedFor("b") >= 3*time.Second)
+	report.DiskHealthy = true
+	p.reports["b"] = report
 	p.step(500 * time.Millisecond)
 	assert.Equal(t, p.nodes["a"].Condition("b"), Reachable)
 }
 
-func TestReplacedDiskIsLostAtOnce(t *testing.T) {
+func TestReplacedDiskHasFailedForever(t *testing.T) {
 	p := newPair("a", "b")
 	p.step(time.Second)
-	told := p.told["b"]
-	told.Voter = &nodepb.Voter{DiskId: "new", Address: "b", NodeId: "b#2"}
-	p.told["b"] = told
+	report := p.reports["b"]
+	report.Voter = &nodepb.Voter{DiskId: "new", Address: "b", NodeId: "b#2"}
+	p.reports["b"] = report
 	p.step(500 * time.Millisecond)
-	assert.Equal(t, p.nodes["a"].Condition("b"), Missing)
-	assert.Equal(t, p.nodes["a"].MissingFor("b"), core.Never)
+	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
+	assert.Equal(t, p.nodes["a"].FailedFor("b"), core.Never)
 }
 
-func TestLinksBetweenOthers(t *testing.T) {
+func TestLinkBrokenFollowsReportsOfPeers(t *testing.T) {
 	p := newPair("a", "b", "c")
 	p.step(time.Second)
 	assert.Assert(t, !p.nodes["a"].LinkBroken("b", "c"))
-	told := p.told["b"]
-	told.Missing = []string{"c"}
-	p.told["b"] = told
+	report := p.reports["b"]
+	report.UnreachableVoters = []string{"c"}
+	p.reports["b"] = report
 	p.step(500 * time.Millisecond)
 	assert.Assert(t, p.nodes["a"].LinkBroken("b", "c"))
 	assert.Assert(t, p.nodes["a"].LinkBroken("c", "b"))
@@ -155,45 +155,45 @@
 	assert.Assert(t, !p.nodes["a"].LinkBroken("b", "c"), "what one said that is silent now counts no more")
 }
 
-func TestStuckProposer(t *testing.T) {
+func TestWedgedProposerStalls(t *testing.T) {
 	p := newPair("a", "b")
 	p.step(time.Second)
-	told := p.told["b"]
-	told.Wedged = true
-	told.Epoch = 3
-	p.told["b"] = told
+	report := p.reports["b"]
+	report.Wedged = true
+	report.Epoch = 3
+	p.reports["b"] = report
 	p.step(300 * time.Millisecond)
-	assert.Assert(t, !p.nodes["a"].Stuck("b"))
+	assert.Assert(t, !p.nodes["a"].Stalled("b"))
 	p.step(time.Second)
-	assert.Assert(t, p.nodes["a"].Stuck("b"))
-	told.Epoch = 4
-	p.told["b"] = told
+	assert.Assert(t, p.nodes["a"].Stalled("b"))
+	report.Epoch = 4
+	p.reports["b"] = report
 	p.step(300 * time.Millisecond)
-	assert.Assert(t, !p.nodes["a"].Stuck("b"), "wedged anew")
+	assert.Assert(t, !p.nodes["a"].Stalled("b"), "wedged anew")
 }
 
-func TestPongToAFormerLifeProvesNothing(t *testing.T) {
+func TestPongToAnEarlierIncarnationProvesNothing(t *testing.T) {
 	p := newPair("a", "b")
-	old := p.nodes["a"].Ping("b", "", p.told["a"])
-	pong := p.nodes["b"].Pinged("a", "", old, p.told["b"])
-	restarted := NewDetector(0, p.told["a"].Voter, 777)
-	restarted.Watch(0, []Target{{Address: "b", DiskID: "b"}}, []*nodepb.Voter{p.told["a"].Voter, p.told["b"].Voter}, false)
-	restarted.Ping("b", "", p.told["a"])
-	restarted.Ponged("b", "", pong)
+	old := p.nodes["a"].NewPing("b", "", p.reports["a"])
+	pong := p.nodes["b"].ReceivePing("a", "", old, p.reports["b"])
+	restarted := NewDetector(0, p.reports["a"].Voter, 777)
+	restarted.Watch(0, []Target{{Address: "b", DiskID: "b"}}, []*nodepb.Voter{p.reports["a"].Voter, p.reports["b"].Voter}, false)
+	restarted.NewPing("b", "", p.reports["a"])
+	restarted.ReceivePong("b", "", pong)
 	assert.Equal(t, restarted.Condition("b"), Unknown)
-	assert.Equal(t, restarted.Ping("b", "", p.told["a"]).GetAcknowledged(), uint64(0))
+	assert.Equal(t, restarted.NewPing("b", "", p.reports["a"]).GetAcknowledgedPong(), uint64(0))
 }
 
-func TestRestartedPeerMustProveItselfAnew(t *testing.T) {
+func TestRestartedPeerNeedsANewRoundTrip(t *testing.T) {
 	p := newPair("a", "b")
 	p.step(time.Second)
-	told := p.told["b"]
-	told.Voter = &nodepb.Voter{DiskId: "b", Address: "b", NodeId: "b#2"}
-	p.nodes["a"].Pinged("b", "", &nodepb.VoterPing{Sequence: 1, Self: told.Voter, DiskHealthy: true}, p.told["a"])
+	report := p.reports["b"]
+	report.Voter = &nodepb.Voter{DiskId: "b", Address: "b", NodeId: "b#2"}
+	p.nodes["a"].ReceivePing("b", "", &nodepb.VoterPing{Sequence: 1, Self: report.Voter, DiskHealthy: true}, p.reports["a"])
 	assert.Equal(t, p.nodes["a"].Condition("b"), Unknown)
 }
 
-func TestSilentPeersArePingedLessOften(t *testing.T) {
+func TestUnresponsivePeersArePingedLessOften(t *testing.T) {
 	p := newPair("a", "b")
 	delete(p.nodes, "b")
 	p.step(6 * time.Second)
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -9,68 +9,68 @@
 
 // The times and bounds of relayed ways between voters. Source: docs/design/control.md, "Relays".
 const (
-	// relayAfter is how long the direct way to a peer may be unproven before this node, if it is the one of the two that
+	// relayTimeout is how long the direct way to a peer may be unproven before this node, if it is the one of the two that
 	// pings, pings by way of relays as well. It leaves time to find a relay before MissingAfter.
-	relayAfter = 400 * time.Millisecond
-	// passiveRelayAfter is the same for the other one, to which a way is proven one ping later. It is also how old the proof
+	relayTimeout = 400 * time.Millisecond
+	// passiveRelayTimeout is the same for the other one, to which a way is proven one ping later. It is also how old the proof
 	// of the direct way must be for messages to go by a relay.
-	passiveRelayAfter = 650 * time.Millisecond
-	// relaysTried is how many relays are pinged at a time while none is proven; else it is the proven one and another.
-	relaysTried = 3
+	passiveRelayTimeout = 650 * time.Millisecond
+	// maxRelayedPings is how many relays are pinged at a time while none is proven; else it is the proven one and another.
+	maxRelayedPings = 3
 )
 
-// Probe is a ping that is due: to whom, and by which relay.
-type Probe struct {
+// DuePing is a ping that is due: to whom, and by which relay.
+type DuePing struct {
 	Address string
 	Via     string // internal address of the relay; empty: directly
 }
 
 // paths are the ways to one peer and back, with the moments at which the newest message left that is known to have arrived.
 type paths struct {
-	direct core.Time            // or when the direct way began to be watched
-	relays map[string]core.Time // by address of the relay
-	turn   int                  // of the relay that is tried next
+	directProvenAt core.Time            // or when the direct way began to be watched
+	relayProvenAt  map[string]core.Time // by address of the relay
+	nextRelay      int                  // of the relay that is tried next
 }
 
-// proven notes that a message that left at the time has arrived by the relay, or directly.
-func (p *paths) proven(via string, at core.Time) {
+// recordProof notes that a message that left at the time has arrived by the relay, or directly.
+func (p *paths) recordProof(via string, sentAt core.Time) {
 	if via == "" {
-		p.direct = max(p.direct, at)
+		p.directProvenAt = max(p.directProvenAt, sentAt)
 		return
 	}
-	if p.relays == nil {
-		p.relays = make(map[string]core.Time)
+	if p.relayProvenAt == nil {
+		p.relayProvenAt = make(map[string]core.Time)
 	}
-	p.relays[via] = max(p.relays[via], at)
+	p.relayProvenAt[via] = max(p.relayProvenAt[via], sentAt)
 }
 
-// best is the relay with the newest proof that is no older than MissingAfter; empty: none.
-func (p *paths) best(now core.Time) (relay string, at core.Time) {
-	for candidate, confirmed := range p.relays {
+// bestRelay is the relay with the newest proof that is no older than MissingAfter; empty: none.
+func (p *paths) bestRelay(now core.Time) (relay string, provenAt core.Time) {
+	for candidate, candidateProvenAt := range p.relayProvenAt {
 		switch {
-		case now-confirmed > MissingAfter:
-			delete(p.relays, candidate)
-		case relay == "" || confirmed > at || confirmed == at && candidate < relay:
-			relay, at = candidate, confirmed
+		case now-candidateProvenAt > FailureTimeout:
+			delete(p.relayProvenAt, candidate)
+		case relay == "" || candidateProvenAt > provenAt || candidateProvenAt == provenAt && candidate < relay:
+			relay, provenAt = candidate, candidateProvenAt
 		}
 	}
-	return relay, at
+	return relay, provenAt
 }
 
-// tried lists the relays to ping by now: the best one and one that takes its turn, or some in turn where none is proven.
-func (p *paths) tried(now core.Time, relays []string, target string) []string {
+// selectRelays lists the relays to ping by now: the best one and one that takes its turn, or some in turn where none is proven.
+func (p *paths) selectRelays(now core.Time, relays []string, target string) []string {
 	var chosen []string
-	most := relaysTried
-	if best, _ := p.best(now); best != "" {
+	maxRelays := maxRelayedPings
+	if best, _ := p.bestRelay(now); best != "" {
 		chosen = append(chosen, best)
-		most = 2
+		maxRelays = 2
 	}
 	for range relays {
-		if len(chosen) >= most {
+		if len(chosen) >= maxRelays {
 			break
 		}
-		candidate := relays[p.turn%len(relays)]
-		p.turn++
+		candidate := relays[p.nextRelay%len(relays)]
+		p.nextRelay++
 		if candidate != target && !slices.Contains(chosen, candidate) {
 			chosen = append(chosen, candidate)
 		}
@@ -87,29 +87,29 @@
 // only while the direct way is unproven for long and a round trip by the relay is newer.
 func (d *Detector) Route(address string) string {
 	p := d.peers[address]
-	if p == nil || d.now-p.paths.direct <= passiveRelayAfter {
+	if p == nil || d.now-p.paths.directProvenAt <= passiveRelayTimeout {
 		return ""
 	}
-	relay, at := p.paths.best(d.now)
-	if at <= p.paths.direct {
+	relay, at := p.paths.bestRelay(d.now)
+	if at <= p.paths.directProvenAt {
 		return ""
 	}
 	return relay
 }
 
-// relayDue lists the relays by which the peer should be pinged now.
-func (d *Detector) relayDue(address string, p *peer) []string {
-	limit := relayAfter
+// relaysToPing lists the relays by which the peer should be pinged now.
+func (d *Detector) relaysToPing(address string, p *peer) []string {
+	timeout := relayTimeout
 	if d.passive(p) {
-		limit = passiveRelayAfter
+		timeout = passiveRelayTimeout
 	}
-	if len(d.relays) == 0 || d.now-p.paths.direct < limit || d.now < p.nextRelayed {
+	if len(d.relays) == 0 || d.now-p.paths.directProvenAt < timeout || d.now < p.nextRelayedPingAt {
 		return nil
 	}
-	tried := p.paths.tried(d.now, d.relays, address)
-	if d.now-p.heard > slowPingAfter {
-		p.nextRelayed = d.now + slowPing
-		return tried[:min(1, len(tried))]
+	selected := p.paths.selectRelays(d.now, d.relays, address)
+	if d.now-p.lastContact > slowPingTimeout {
+		p.nextRelayedPingAt = d.now + slowPingInterval
+		return selected[:min(1, len(selected))]
 	}
-	return tried
+	return selected
 }
--- a/internal/node/view/paths_test.go
+++ b/internal/node/view/paths_test.go
@@ -10,7 +10,7 @@
 )
 
 // relayedPair is a pair with two nodes that may relay between them.
-func relayedPair() *pair {
+func relayedPair() *voterPair {
 	p := newPair("a", "b")
 	for _, node := range p.nodes {
 		node.SetRelays([]string{"r1", "r2", "b", "a"})
@@ -19,7 +19,7 @@
 	return p
 }
 
-func TestNothingIsRelayedWhileTheDirectWayHolds(t *testing.T) {
+func TestNoRelayWhileTheDirectPathIsProven(t *testing.T) {
 	p := relayedPair()
 	before := p.sent
 	p.step(10 * time.Second)
@@ -28,11 +28,11 @@
 	assert.Equal(t, p.nodes["b"].Route("a"), "")
 }
 
-func TestRelayProvesTheWayBeforeThePeerIsMissed(t *testing.T) {
+func TestRelayProvesThePathBeforeThePeerFails(t *testing.T) {
 	for _, mute := range [][]string{{"a"}, {"b"}, {"a", "b"}} {
 		p := relayedPair()
 		for _, name := range mute {
-			p.cut[name] = true
+			p.severed[name] = true
 		}
 		for range 100 {
 			p.step(50 * time.Millisecond)
@@ -44,11 +44,11 @@
 	}
 }
 
-func TestDirectWayIsTakenAgainOnceItIsProven(t *testing.T) {
+func TestDirectPathIsUsedAgainOnceProven(t *testing.T) {
 	p := relayedPair()
-	p.cut["a"], p.cut["b"] = true, true
+	p.severed["a"], p.severed["b"] = true, true
 	p.step(12 * time.Second)
-	p.cut["a"], p.cut["b"] = false, false
+	p.severed["a"], p.severed["b"] = false, false
 	p.step(2 * time.Second)
 	assert.Equal(t, p.nodes["a"].Route("b"), "")
 	assert.Equal(t, p.nodes["b"].Route("a"), "")
@@ -57,12 +57,12 @@
 	assert.Assert(t, p.sent-before <= 41, "%d pings in ten seconds after the cut", p.sent-before)
 }
 
-func TestRelayThatIsCutOffItselfIsLeft(t *testing.T) {
+func TestPartitionedRelayIsReplaced(t *testing.T) {
 	p := relayedPair()
-	p.cut["a"], p.cut["b"] = true, true
+	p.severed["a"], p.severed["b"] = true, true
 	p.step(2 * time.Second)
 	chosen := p.nodes["a"].Route("b")
-	p.cut["a>"+chosen] = true
+	p.severed["a>"+chosen] = true
 	for range 60 {
 		p.step(50 * time.Millisecond)
 		assert.Equal(t, p.nodes["a"].Condition("b"), Reachable, "at %v", p.now)
@@ -71,14 +71,14 @@
 	assert.Assert(t, other != chosen && other != "", "%s after %s", other, chosen)
 }
 
-func TestAPeerThatNoWayReachesIsMissing(t *testing.T) {
+func TestPeerThatNoPathReachesHasFailed(t *testing.T) {
 	p := relayedPair()
-	p.cut["a"], p.cut["b"] = true, true
+	p.severed["a"], p.severed["b"] = true, true
 	for _, relay := range []string{"r1", "r2"} {
-		p.cut["a>"+relay], p.cut["b>"+relay] = true, true
+		p.severed["a>"+relay], p.severed["b>"+relay] = true, true
 	}
 	p.step(1500 * time.Millisecond)
-	assert.Equal(t, p.nodes["a"].Condition("b"), Missing)
+	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
 	assert.Equal(t, p.nodes["a"].Route("b"), "")
 	p.step(6 * time.Second)
 	before := p.sent
@@ -86,19 +86,19 @@
 	assert.Assert(t, p.sent-before <= 44, "%d pings of both, direct and relayed, in ten seconds", p.sent-before)
 }
 
-func TestRelayProvesNothingForAnotherLife(t *testing.T) {
+func TestRelayProvesNothingForAnotherIncarnation(t *testing.T) {
 	p := relayedPair()
-	p.cut["a"], p.cut["b"] = true, true
+	p.severed["a"], p.severed["b"] = true, true
 	p.step(2 * time.Second)
 	assert.Assert(t, p.nodes["a"].Route("b") != "")
 	restarted := &nodepb.Voter{DiskId: "b", Address: "b", NodeId: "b#2"}
-	p.nodes["a"].Pinged("b", "r1", &nodepb.VoterPing{Sequence: 1, Self: restarted, DiskHealthy: true}, p.told["a"])
+	p.nodes["a"].ReceivePing("b", "r1", &nodepb.VoterPing{Sequence: 1, Self: restarted, DiskHealthy: true}, p.reports["a"])
 	assert.Equal(t, p.nodes["a"].Route("b"), "")
 	assert.Equal(t, p.nodes["a"].Condition("b"), Unknown)
 }
 
-// TestNoRelayButThePeerItself: a silent peer that is the only other node known is pinged directly alone.
-func TestNoRelayButThePeerItself(t *testing.T) {
+// TestPeerIsNotItsOwnRelay: a silent peer that is the only other node known is pinged directly alone.
+func TestPeerIsNotItsOwnRelay(t *testing.T) {
 	p := newPair("a", "b")
 	for _, node := range p.nodes {
 		node.SetRelays([]string{"b", "a"})
@@ -106,6 +106,6 @@
 	p.step(time.Second)
 	delete(p.nodes, "b")
 	p.step(10 * time.Second)
-	assert.Equal(t, p.nodes["a"].Condition("b"), Missing)
+	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
 	assert.Equal(t, p.nodes["a"].Route("b"), "")
 }
--- a/internal/node/view/round.go
+++ b/internal/node/view/round.go
@@ -8,74 +8,74 @@
 // The phases of a round.
 const (
 	Preparing Phase = iota // asks for promises
-	Choosing               // has a majority's promises; its caller chooses a view where Bound is nil
+	Prepared               // has a majority's promises; its caller chooses a view where Bound is nil
 	Accepting              // asks to accept
 	Decided                // a majority accepted
-	Beaten                 // an acceptor knows a higher ballot
+	Preempted              // an acceptor knows a higher ballot
 )
 
-// Round is one ballot of a proposer in the Paxos of one epoch.
-type Round struct {
+// Proposal is one ballot of a proposer in the Paxos of one epoch.
+type Proposal struct {
 	Epoch  uint64
-	Ballot *nodepb.Ballot
+	Number *nodepb.ProposalNumber
 
-	phase     Phase
-	acceptors map[string]bool // value: answered in this phase
-	answered  int
-	bound     *nodepb.Ballot
-	value     *nodepb.View
-	higher    uint64
+	phase           Phase
+	answeredBy      map[string]bool // value: answered in this phase
+	answered        int
+	highestAccepted *nodepb.ProposalNumber
+	value           *nodepb.View
+	preemptedBy     uint64
 }
 
-// NewRound starts a ballot with the acceptors: disk ids, in epoch 1 the founders' addresses.
-func NewRound(epoch uint64, ballot *nodepb.Ballot, acceptors []string) *Round {
-	round := &Round{Epoch: epoch, Ballot: ballot, acceptors: make(map[string]bool, len(acceptors))}
+// NewProposal starts a ballot with the acceptors: disk ids, in epoch 1 the founders' addresses.
+func NewProposal(epoch uint64, number *nodepb.ProposalNumber, acceptors []string) *Proposal {
+	proposal := &Proposal{Epoch: epoch, Number: number, answeredBy: make(map[string]bool, len(acceptors))}
 	for _, acceptor := range acceptors {
-		round.acceptors[acceptor] = false
+		proposal.answeredBy[acceptor] = false
 	}
-	return round
+	return proposal
 }
 
 // Phase of the round.
-func (r *Round) Phase() Phase { return r.phase }
+func (r *Proposal) Phase() Phase { return r.phase }
 
 // Value is the view proposed; nil while none was chosen.
-func (r *Round) Value() *nodepb.View { return r.value }
+func (r *Proposal) Value() *nodepb.View { return r.value }
 
-// HigherRound is the round number that beat this one.
-func (r *Round) HigherRound() uint64 { return r.higher }
+// PreemptedBy is the round number that beat this one.
+func (r *Proposal) PreemptedBy() uint64 { return r.preemptedBy }
 
-// Waiting reports whether the acceptor has not answered in this phase.
-func (r *Round) Waiting(acceptor string) bool {
-	answered, known := r.acceptors[acceptor]
+// Awaits reports whether the acceptor has not answered in this phase.
+func (r *Proposal) Awaits(acceptor string) bool {
+	answered, known := r.answeredBy[acceptor]
 	return known && !answered
 }
 
-// Promised takes an acceptor's answer to Prepare. After it the phase may be Choosing: Value is then the view that
+// ReceivePromise takes an acceptor's answer to Prepare. After it the phase may be Choosing: Value is then the view that
 // must be proposed, or nil where the proposer is free.
-func (r *Round) Promised(promise *nodepb.Promise) {
+func (r *Proposal) ReceivePromise(promise *nodepb.Promise) {
 	if r.phase != Preparing || promise.GetEpoch() != r.Epoch {
 		return
 	}
-	if promise.GetRefused() {
-		r.beaten(promise.GetBallot())
+	if promise.GetRejected() {
+		r.preempt(promise.GetNumber())
 		return
 	}
-	if CompareBallots(promise.GetBallot(), r.Ballot) != 0 || !r.Waiting(promise.GetVoter()) {
+	if CompareNumbers(promise.GetNumber(), r.Number) != 0 || !r.Awaits(promise.GetAcceptor()) {
 		return
 	}
-	if promise.GetAcceptedView() != nil && CompareBallots(promise.GetAcceptedBallot(), r.bound) > 0 {
-		r.bound = promise.GetAcceptedBallot()
+	if promise.GetAcceptedView() != nil && CompareNumbers(promise.GetAcceptedNumber(), r.highestAccepted) > 0 {
+		r.highestAccepted = promise.GetAcceptedNumber()
 		r.value = promise.GetAcceptedView()
 	}
-	if r.count(promise.GetVoter()) {
-		r.phase = Choosing
+	if r.recordAnswer(promise.GetAcceptor()) {
+		r.phase = Prepared
 	}
 }
 
-// Choose starts the second phase with the view: Value where it isn't nil, any legitimate one else.
-func (r *Round) Choose(value *nodepb.View) {
-	if r.phase != Choosing {
+// BeginAccept starts the second phase with the view: Value where it isn't nil, any legitimate one else.
+func (r *Proposal) BeginAccept(value *nodepb.View) {
+	if r.phase != Prepared {
 		return
 	}
 	if r.value == nil {
@@ -83,39 +83,39 @@
 	}
 	r.phase = Accepting
 	r.answered = 0
-	for acceptor := range r.acceptors {
-		r.acceptors[acceptor] = false
+	for acceptor := range r.answeredBy {
+		r.answeredBy[acceptor] = false
 	}
 }
 
-// Accepted takes an acceptor's answer to Accept.
-func (r *Round) Accepted(accepted *nodepb.Accepted) {
+// ReceiveAccepted takes an acceptor's answer to Accept.
+func (r *Proposal) ReceiveAccepted(accepted *nodepb.Accepted) {
 	if r.phase != Accepting || accepted.GetEpoch() != r.Epoch {
 		return
 	}
-	if accepted.GetRefused() {
-		r.beaten(accepted.GetBallot())
+	if accepted.GetRejected() {
+		r.preempt(accepted.GetNumber())
 		return
 	}
-	if CompareBallots(accepted.GetBallot(), r.Ballot) != 0 || !r.Waiting(accepted.GetVoter()) {
+	if CompareNumbers(accepted.GetNumber(), r.Number) != 0 || !r.Awaits(accepted.GetAcceptor()) {
 		return
 	}
-	if r.count(accepted.GetVoter()) {
+	if r.recordAnswer(accepted.GetAcceptor()) {
 		r.phase = Decided
 	}
 }
 
-// count notes an answer and reports whether a majority has answered.
-func (r *Round) count(acceptor string) bool {
-	r.acceptors[acceptor] = true
+// recordAnswer notes an answer and reports whether a majority has answered.
+func (r *Proposal) recordAnswer(acceptor string) bool {
+	r.answeredBy[acceptor] = true
 	r.answered++
-	return r.answered >= Majority(len(r.acceptors))
+	return r.answered >= Majority(len(r.answeredBy))
 }
 
-func (r *Round) beaten(ballot *nodepb.Ballot) {
-	if CompareBallots(ballot, r.Ballot) <= 0 {
+func (r *Proposal) preempt(number *nodepb.ProposalNumber) {
+	if CompareNumbers(number, r.Number) <= 0 {
 		return
 	}
-	r.phase = Beaten
-	r.higher = ballot.GetRound()
+	r.phase = Preempted
+	r.preemptedBy = number.GetCounter()
 }
--- a/internal/node/view/round_test.go
+++ b/internal/node/view/round_test.go
@@ -8,56 +8,56 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-func promiseOf(b *nodepb.Ballot, voter string, acceptedBallot *nodepb.Ballot, accepted *nodepb.View) *nodepb.Promise {
-	return &nodepb.Promise{Epoch: 2, Ballot: b, Voter: voter, AcceptedBallot: acceptedBallot, AcceptedView: accepted}
+func promiseOf(number *nodepb.ProposalNumber, acceptor string, acceptedNumber *nodepb.ProposalNumber, accepted *nodepb.View) *nodepb.Promise {
+	return &nodepb.Promise{Epoch: 2, Number: number, Acceptor: acceptor, AcceptedNumber: acceptedNumber, AcceptedView: accepted}
 }
 
-func TestRoundNeedsAMajority(t *testing.T) {
-	mine := ballot(4, "a")
-	r := NewRound(2, mine, []string{"a", "b", "c", "d"})
-	r.Promised(promiseOf(mine, "a", nil, nil))
-	r.Promised(promiseOf(mine, "a", nil, nil))
-	r.Promised(promiseOf(mine, "stranger", nil, nil))
-	r.Promised(promiseOf(ballot(3, "a"), "b", nil, nil))
-	r.Promised(promiseOf(mine, "b", nil, nil))
+func TestProposalNeedsAMajority(t *testing.T) {
+	mine := proposalNumber(4, "a")
+	r := NewProposal(2, mine, []string{"a", "b", "c", "d"})
+	r.ReceivePromise(promiseOf(mine, "a", nil, nil))
+	r.ReceivePromise(promiseOf(mine, "a", nil, nil))
+	r.ReceivePromise(promiseOf(mine, "stranger", nil, nil))
+	r.ReceivePromise(promiseOf(proposalNumber(3, "a"), "b", nil, nil))
+	r.ReceivePromise(promiseOf(mine, "b", nil, nil))
 	assert.Equal(t, r.Phase(), Preparing, "two of four")
-	r.Promised(promiseOf(mine, "c", nil, nil))
-	assert.Equal(t, r.Phase(), Choosing)
+	r.ReceivePromise(promiseOf(mine, "c", nil, nil))
+	assert.Equal(t, r.Phase(), Prepared)
 	assert.Assert(t, r.Value() == nil, "free to choose")
 	value := &nodepb.View{Epoch: 2}
-	r.Choose(value)
+	r.BeginAccept(value)
 	for i, voter := range []string{"d", "d", "a", "b"} {
 		assert.Equal(t, r.Phase(), Accepting, "answer %d", i)
-		r.Accepted(&nodepb.Accepted{Epoch: 2, Ballot: mine, Voter: voter})
+		r.ReceiveAccepted(&nodepb.Accepted{Epoch: 2, Number: mine, Acceptor: voter})
 	}
 	assert.Equal(t, r.Phase(), Decided)
 	assert.Equal(t, r.Value(), value)
 }
 
-func TestRoundIsBoundToTheHighestAcceptance(t *testing.T) {
-	mine := ballot(9, "a")
+func TestProposalAdoptsTheHighestAcceptedView(t *testing.T) {
+	mine := proposalNumber(9, "a")
 	older := &nodepb.View{Epoch: 2, Chain: []string{"older"}}
 	newer := &nodepb.View{Epoch: 2, Chain: []string{"newer"}}
-	r := NewRound(2, mine, []string{"a", "b", "c"})
-	r.Promised(promiseOf(mine, "b", ballot(5, "b"), newer))
-	r.Promised(promiseOf(mine, "c", ballot(4, "c"), older))
-	assert.Equal(t, r.Phase(), Choosing)
-	r.Choose(&nodepb.View{Epoch: 2, Chain: []string{"own"}})
+	r := NewProposal(2, mine, []string{"a", "b", "c"})
+	r.ReceivePromise(promiseOf(mine, "b", proposalNumber(5, "b"), newer))
+	r.ReceivePromise(promiseOf(mine, "c", proposalNumber(4, "c"), older))
+	assert.Equal(t, r.Phase(), Prepared)
+	r.BeginAccept(&nodepb.View{Epoch: 2, Chain: []string{"own"}})
 	assert.Equal(t, r.Value(), newer)
 }
 
-func TestRoundIsBeatenByAHigherBallot(t *testing.T) {
-	mine := ballot(4, "a")
-	r := NewRound(2, mine, []string{"a", "b", "c"})
-	r.Promised(&nodepb.Promise{Epoch: 2, Refused: true, Ballot: ballot(3, "c"), Voter: "b"})
+func TestProposalIsPreemptedByAHigherNumber(t *testing.T) {
+	mine := proposalNumber(4, "a")
+	r := NewProposal(2, mine, []string{"a", "b", "c"})
+	r.ReceivePromise(&nodepb.Promise{Epoch: 2, Rejected: true, Number: proposalNumber(3, "c"), Acceptor: "b"})
 	assert.Equal(t, r.Phase(), Preparing, "a late word on an earlier ballot")
-	r.Promised(&nodepb.Promise{Epoch: 2, Refused: true, Ballot: ballot(7, "c"), Voter: "b"})
-	assert.Equal(t, r.Phase(), Beaten)
-	assert.Equal(t, r.HigherRound(), uint64(7))
-
-	r = NewRound(2, mine, []string{"a"})
-	r.Promised(promiseOf(mine, "a", nil, nil))
-	r.Choose(&nodepb.View{Epoch: 2})
-	r.Accepted(&nodepb.Accepted{Epoch: 2, Refused: true, Ballot: ballot(5, "b"), Voter: "a"})
-	assert.Equal(t, r.Phase(), Beaten)
+	r.ReceivePromise(&nodepb.Promise{Epoch: 2, Rejected: true, Number: proposalNumber(7, "c"), Acceptor: "b"})
+	assert.Equal(t, r.Phase(), Preempted)
+	assert.Equal(t, r.PreemptedBy(), uint64(7))
+
+	r = NewProposal(2, mine, []string{"a"})
+	r.ReceivePromise(promiseOf(mine, "a", nil, nil))
+	r.BeginAccept(&nodepb.View{Epoch: 2})
+	r.ReceiveAccepted(&nodepb.Accepted{Epoch: 2, Rejected: true, Number: proposalNumber(5, "b"), Acceptor: "a"})
+	assert.Equal(t, r.Phase(), Preempted)
 }
--- a/internal/node/view/view.go
+++ b/internal/node/view/view.go
@@ -14,8 +14,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// maxRemoved bounds the list of voters that were dropped lately.
-const maxRemoved = 16
+// maxRemovedVoters bounds the list of voters that were dropped lately.
+const maxRemovedVoters = 16
 
 // Majority is the smallest number of members of which any two sets of that size share one.
 func Majority(members int) int { return members/2 + 1 }
@@ -36,8 +36,8 @@
 // IsVoter reports whether the disk id is one of the view's voters.
 func IsVoter(v *nodepb.View, diskID string) bool { return FindVoter(v, diskID) != nil }
 
-// Position is the place of the disk id in the chain, 0 for the head, -1 for none.
-func Position(v *nodepb.View, diskID string) int { return slices.Index(v.GetChain(), diskID) }
+// ChainIndex is the place of the disk id in the chain, 0 for the head, -1 for none.
+func ChainIndex(v *nodepb.View, diskID string) int { return slices.Index(v.GetChain(), diskID) }
 
 // Head is the voter at the start of the chain, nil where there is no view.
 func Head(v *nodepb.View) *nodepb.Voter {
@@ -57,11 +57,11 @@
 
 // Successor is the voter after the disk id in the chain, nil for the tail and for those outside.
 func Successor(v *nodepb.View, diskID string) *nodepb.Voter {
-	position := Position(v, diskID)
-	if position < 0 || position+1 >= len(v.GetChain()) {
+	index := ChainIndex(v, diskID)
+	if index < 0 || index+1 >= len(v.GetChain()) {
 		return nil
 	}
-	return FindVoter(v, v.GetChain()[position+1])
+	return FindVoter(v, v.GetChain()[index+1])
 }
 
 // DiskIDs lists the voters' disk ids in their order.
@@ -95,27 +95,27 @@
 	return true
 }
 
-// needed is how many members a chain must have before it acknowledges anything: one more than may be lost at once, or all
+// requiredChainLength is how many members a chain must have before it acknowledges anything: one more than may be lost at once, or all
 // voters where there are fewer.
-func needed(voters, tolerance int) int { return min(tolerance+1, voters) }
+func requiredChainLength(voters, tolerance int) int { return min(tolerance+1, voters) }
 
-// Acknowledges reports whether the chain of the view is long enough to acknowledge and to answer.
-func Acknowledges(v *nodepb.View) bool {
-	return len(v.GetChain()) >= max(1, int(v.GetAcknowledgedBy()))
+// CanAcknowledge reports whether the chain of the view is long enough to acknowledge and to answer.
+func CanAcknowledge(v *nodepb.View) bool {
+	return len(v.GetChain()) >= max(1, int(v.GetMinChainLength()))
 }
 
-// Proposers lists who may propose the next view, as they hold all that was acknowledged: the members of the chain; where
+// EligibleProposers lists who may propose the next view, as they hold all that was acknowledged: the members of the chain; where
 // the view acknowledges nothing, its holders as well.
-func Proposers(v *nodepb.View) []string {
-	if Acknowledges(v) {
+func EligibleProposers(v *nodepb.View) []string {
+	if CanAcknowledge(v) {
 		return v.GetChain()
 	}
-	return append(slices.Clone(v.GetChain()), v.GetHolders()...)
+	return append(slices.Clone(v.GetChain()), v.GetOffChainReplicas()...)
 }
 
-// First is the view of epoch 1: all founders that count, in their order.
-func First(founders []*nodepb.Voter, tolerance int) *nodepb.View {
-	first := &nodepb.View{Epoch: 1, Voters: founders, AcknowledgedBy: uint32(needed(len(founders), tolerance))}
+// FirstView is the view of epoch 1: all founders that count, in their order.
+func FirstView(founders []*nodepb.Voter, tolerance int) *nodepb.View {
+	first := &nodepb.View{Epoch: 1, Voters: founders, MinChainLength: uint32(requiredChainLength(len(founders), tolerance))}
 	first.Chain = DiskIDs(first)
 	return first
 }
