--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -75,7 +75,7 @@
 		status.Voters = append(status.Voters, voter.DiskId+"@"+voter.Address)
 	}
 	if own, ok := a.control.StoreStatus(); ok {
-		status.Role, status.Committed, status.Pending, status.DiskFine = own.Role.String(), own.Committed, own.Pending, own.DiskHealthy
+		status.Role, status.Committed, status.Pending, status.DiskFine = own.Role.String(), own.Committed, own.HasPending, own.DiskHealthy
 	}
 	return status
 }
--- a/internal/node/chain/barrier.go
+++ b/internal/node/chain/barrier.go
@@ -8,240 +8,240 @@
 	"kestrelspread/internal/node/view"
 )
 
-// barrierStart is a barrier at the head: what for, and when.
-type barrierStart struct {
-	origin     *nodepb.Origin
-	rejection  *nodepb.CommandResult
-	turnedDown *submission // what the rejection is for
-	wantsState bool
-	knownIndex uint64 // of the state that the reader holds
-	nonce      uint64
-	expires    core.Time       // nobody waits for it any more
-	message    *nodepb.Barrier // once it has started
-	started    core.Time
-	repeatAt   core.Time
-}
-
-// confirmation is what the tail knows of the age of the committed state.
-type confirmation struct {
-	nonce   uint64
-	asked   core.Time
-	running bool
-	at      core.Time // as of when the committed state was the newest
-	once    bool
-}
-
-// answers reports whether the view in force here acknowledges and answers.
-func (s *Store) answers() bool {
-	return s.member() && s.viewDurable && view.CanAcknowledge(s.view)
+// headBarrier is a barrier at the head: what for, and when.
+type headBarrier struct {
+	origin          *nodepb.Origin
+	rejection       *nodepb.CommandResult
+	rejectedCommand *queuedCommand // what the rejection is for
+	wantsState      bool
+	knownIndex      uint64 // of the state that the reader holds
+	nonce           uint64
+	expiresAt       core.Time       // nobody waits for it any more
+	message         *nodepb.Barrier // once it has started
+	startedAt       core.Time
+	retransmitAt    core.Time
+}
+
+// tailConfirmation is what the tail knows of the age of the committed state.
+type tailConfirmation struct {
+	nonce         uint64
+	requestedAt   core.Time
+	outstanding   bool
+	confirmedAt   core.Time // as of when the committed state was the newest
+	everConfirmed bool
+}
+
+// canAnswer reports whether the view in force here acknowledges and answers.
+func (r *Replica) canAnswer() bool {
+	return r.isActiveMember() && r.viewDurable && view.CanAcknowledge(r.view)
 }
 
 // startBarrier sends a barrier through the chain. It waits while an inherited entry is not committed, which may have been
 // acknowledged, in a view that answers nothing, and while the view changes.
-func (s *Store) startBarrier(start barrierStart) {
-	if start.expires == 0 {
-		start.expires = s.now + queueWait
+func (r *Replica) startBarrier(barrier headBarrier) {
+	if barrier.expiresAt == 0 {
+		barrier.expiresAt = r.now + commandTimeout
 	}
-	if s.inherited || !s.isHead() || !s.answers() {
-		if len(s.waiting) < queueLimit {
-			s.waiting = append(s.waiting, start)
+	if r.pendingInherited || !r.isHead() || !r.canAnswer() {
+		if len(r.deferredBarriers) < maxQueuedCommands {
+			r.deferredBarriers = append(r.deferredBarriers, barrier)
 		}
 		return
 	}
-	s.barrierCount++
-	start.message = &nodepb.Barrier{
-		Epoch:          s.view.GetEpoch(),
-		Origin:         start.origin,
-		Rejection:      start.rejection,
-		Committed:      s.committed.index,
-		CommittedEpoch: s.committed.epoch,
-		LastIndex:      s.last().index,
-		Nonce:          start.nonce,
-		WantsState:     start.wantsState,
-		KnownIndex:     start.knownIndex,
-		Number:         s.barrierCount,
-	}
-	start.started = s.now
-	start.repeatAt = s.now + retransmitEvery
-	if len(s.barriers) >= barriersKept {
-		s.barriers = append(s.barriers[:0], s.barriers[1:]...)
-	}
-	s.barriers = append(s.barriers, start)
-	s.passBarrier(start.message)
-}
-
-// repeatBarriers forgets barriers that nobody waits for any more, and sends those again that have not come through.
-func (s *Store) repeatBarriers() {
-	expired := func(start barrierStart) bool { return s.now >= start.expires }
-	s.barriers = slices.DeleteFunc(s.barriers, expired)
-	s.waiting = slices.DeleteFunc(s.waiting, expired)
+	r.lastBarrierNumber++
+	barrier.message = &nodepb.Barrier{
+		Epoch:          r.view.GetEpoch(),
+		Origin:         barrier.origin,
+		Rejection:      barrier.rejection,
+		Committed:      r.committed.index,
+		CommittedEpoch: r.committed.epoch,
+		LastIndex:      r.lastPosition().index,
+		Nonce:          barrier.nonce,
+		WantsState:     barrier.wantsState,
+		KnownIndex:     barrier.knownIndex,
+		Number:         r.lastBarrierNumber,
+	}
+	barrier.startedAt = r.now
+	barrier.retransmitAt = r.now + retransmitInterval
+	if len(r.outstandingBarriers) >= maxOutstandingBarriers {
+		r.outstandingBarriers = append(r.outstandingBarriers[:0], r.outstandingBarriers[1:]...)
+	}
+	r.outstandingBarriers = append(r.outstandingBarriers, barrier)
+	r.forwardBarrier(barrier.message)
+}
+
+// retransmitBarriers forgets barriers that nobody waits for any more, and sends those again that have not come through.
+func (r *Replica) retransmitBarriers() {
+	expired := func(barrier headBarrier) bool { return r.now >= barrier.expiresAt }
+	r.outstandingBarriers = slices.DeleteFunc(r.outstandingBarriers, expired)
+	r.deferredBarriers = slices.DeleteFunc(r.deferredBarriers, expired)
 	var due []*nodepb.Barrier
-	for i := range s.barriers {
-		if start := &s.barriers[i]; s.now >= start.repeatAt {
-			start.repeatAt = s.now + retransmitEvery
-			due = append(due, start.message)
+	for i := range r.outstandingBarriers {
+		if barrier := &r.outstandingBarriers[i]; r.now >= barrier.retransmitAt {
+			barrier.retransmitAt = r.now + retransmitInterval
+			due = append(due, barrier.message)
 		}
 	}
 	for _, message := range due {
-		s.passBarrier(message)
+		r.forwardBarrier(message)
 	}
 }
 
 // barrierDeadline is when a barrier is to be repeated or forgotten.
-func (s *Store) barrierDeadline() core.Time {
+func (r *Replica) barrierDeadline() core.Time {
 	deadline := core.Never
-	for i := range s.barriers {
-		deadline = min(deadline, s.barriers[i].repeatAt, s.barriers[i].expires)
+	for i := range r.outstandingBarriers {
+		deadline = min(deadline, r.outstandingBarriers[i].retransmitAt, r.outstandingBarriers[i].expiresAt)
 	}
 	return deadline
 }
 
-// unanswered lists the reads that wait for a barrier, and the commands that were turned down by one.
-func (s *Store) unanswered() (reads []barrierStart, commands []submission) {
-	for _, start := range append(s.barriers, s.waiting...) {
+// unansweredRequests lists the reads that wait for a barrier, and the commands that were turned down by one.
+func (r *Replica) unansweredRequests() (reads []headBarrier, commands []queuedCommand) {
+	for _, barrier := range append(r.outstandingBarriers, r.deferredBarriers...) {
 		switch {
-		case s.now >= start.expires:
-		case start.turnedDown != nil:
-			commands = append(commands, *start.turnedDown)
-		case start.wantsState && start.origin != nil:
-			reads = append(reads, start)
+		case r.now >= barrier.expiresAt:
+		case barrier.rejectedCommand != nil:
+			commands = append(commands, *barrier.rejectedCommand)
+		case barrier.wantsState && barrier.origin != nil:
+			reads = append(reads, barrier)
 		}
 	}
 	return reads, commands
 }
 
-// startWaiting starts the barriers that waited for an inherited entry.
-func (s *Store) startWaiting() {
-	if s.inherited || !s.answers() {
+// startDeferredBarriers starts the barriers that waited for an inherited entry.
+func (r *Replica) startDeferredBarriers() {
+	if r.pendingInherited || !r.canAnswer() {
 		return
 	}
-	waiting := s.waiting
-	s.waiting = nil
-	for _, start := range waiting {
-		s.startBarrier(start)
+	deferred := r.deferredBarriers
+	r.deferredBarriers = nil
+	for _, barrier := range deferred {
+		r.startBarrier(barrier)
 	}
 }
 
-func (s *Store) receiveBarrier(from core.Peer, barrier *nodepb.Barrier) {
-	if !s.inForce(from, barrier.GetEpoch()) || !s.member() || s.isHead() {
+func (r *Replica) receiveBarrier(from core.Peer, barrier *nodepb.Barrier) {
+	if !r.isCurrentEpoch(from, barrier.GetEpoch()) || !r.isActiveMember() || r.isHead() {
 		return
 	}
-	s.commitUpTo(position{index: barrier.GetCommitted(), epoch: barrier.GetCommittedEpoch()})
-	if s.committed.index < barrier.GetCommitted() {
+	r.commitIfPending(position{index: barrier.GetCommitted(), epoch: barrier.GetCommittedEpoch()})
+	if r.committed.index < barrier.GetCommitted() {
 		return
 	}
-	if s.pending != nil && s.pending.GetIndex() > barrier.GetLastIndex() && s.pending.GetEpoch() < barrier.GetEpoch() {
-		s.dropPending(func() { s.passBarrier(barrier) })
+	if r.pending != nil && r.pending.GetIndex() > barrier.GetLastIndex() && r.pending.GetEpoch() < barrier.GetEpoch() {
+		r.discardPending(func() { r.forwardBarrier(barrier) })
 		return
 	}
-	s.passBarrier(barrier)
+	r.forwardBarrier(barrier)
 }
 
-// passBarrier passes a barrier on if its epoch is in force here; the tail answers it.
-func (s *Store) passBarrier(barrier *nodepb.Barrier) {
-	if !s.answers() || barrier.GetEpoch() != s.view.GetEpoch() {
+// forwardBarrier passes a barrier on if its epoch is in force here; the tail answers it.
+func (r *Replica) forwardBarrier(barrier *nodepb.Barrier) {
+	if !r.canAnswer() || barrier.GetEpoch() != r.view.GetEpoch() {
 		return
 	}
-	if s.isTail() {
-		s.answerBarrier(barrier)
+	if r.isTail() {
+		r.completeBarrier(barrier)
 		return
 	}
-	successor := view.Successor(s.view, s.diskID())
-	s.send(successor.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Barrier{Barrier: barrier}})
+	successor := view.Successor(r.view, r.diskID())
+	r.send(successor.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Barrier{Barrier: barrier}})
 }
 
-func (s *Store) answerBarrier(barrier *nodepb.Barrier) {
+func (r *Replica) completeBarrier(barrier *nodepb.Barrier) {
 	switch {
 	case barrier.GetWantsState():
-		s.answer(barrier.GetOrigin(), nil, s.stateFor(barrier.GetKnownIndex()))
+		r.reply(barrier.GetOrigin(), nil, r.readResult(barrier.GetKnownIndex()))
 	case barrier.GetRejection() != nil:
-		s.answer(barrier.GetOrigin(), barrier.GetRejection(), nil)
+		r.reply(barrier.GetOrigin(), barrier.GetRejection(), nil)
 	}
-	if s.confirm.running && barrier.GetNonce() == s.confirm.nonce {
-		s.confirm.running = false
-		s.confirmed(s.confirm.asked)
+	if r.confirmation.outstanding && barrier.GetNonce() == r.confirmation.nonce {
+		r.confirmation.outstanding = false
+		r.recordConfirmation(r.confirmation.requestedAt)
 	}
-	if s.isHead() {
-		s.barrierDone(barrier.GetNumber())
+	if r.isHead() {
+		r.recordBarrierCompletion(barrier.GetNumber())
 		return
 	}
-	s.notifyCommitted(barrier.GetNumber())
+	r.notifyCommitted(barrier.GetNumber())
 }
 
-// stateFor is the answer to a reader that holds the state of an index; where that is the newest, it needs no more than that word.
-func (s *Store) stateFor(knownIndex uint64) *nodepb.StateSnapshot {
-	if knownIndex > 0 && knownIndex >= s.committed.index {
-		return &nodepb.StateSnapshot{Index: s.committed.index}
+// readResult is the answer to a reader that holds the state of an index; where that is the newest, it needs no more than that word.
+func (r *Replica) readResult(knownIndex uint64) *nodepb.StateSnapshot {
+	if knownIndex > 0 && knownIndex >= r.committed.index {
+		return &nodepb.StateSnapshot{Index: r.committed.index}
 	}
-	return s.snapshot()
+	return r.snapshot()
 }
 
-func (s *Store) confirmed(at core.Time) {
-	s.confirm.at = max(s.confirm.at, at)
-	s.confirm.once = true
+func (r *Replica) recordConfirmation(asOf core.Time) {
+	r.confirmation.confirmedAt = max(r.confirmation.confirmedAt, asOf)
+	r.confirmation.everConfirmed = true
 }
 
-// barrierDone notes at the head that one of its barriers has passed every member.
-func (s *Store) barrierDone(number uint64) {
-	for i, start := range s.barriers {
-		if start.message.GetNumber() != number {
+// recordBarrierCompletion notes at the head that one of its barriers has passed every member.
+func (r *Replica) recordBarrierCompletion(number uint64) {
+	for i, barrier := range r.outstandingBarriers {
+		if barrier.message.GetNumber() != number {
 			continue
 		}
-		s.leaseFrom = max(s.leaseFrom, start.started)
-		s.leased = true
-		s.barriers = append(s.barriers[:i], s.barriers[i+1:]...)
+		r.leaseStart = max(r.leaseStart, barrier.startedAt)
+		r.hasLease = true
+		r.outstandingBarriers = append(r.outstandingBarriers[:i], r.outstandingBarriers[i+1:]...)
 		return
 	}
 }
 
-// WantConfirmation starts a barrier at the tail, for the age of its state, or at the head, for its lease, unless the last is
+// RequestConfirmation starts a barrier at the tail, for the age of its state, or at the head, for its lease, unless the last is
 // young enough or one is running.
-func (s *Store) WantConfirmation(now core.Time) []core.Output {
-	s.advance(now)
+func (r *Replica) RequestConfirmation(now core.Time) []core.Output {
+	r.advance(now)
 	switch {
-	case !s.answers():
-	case s.isTail():
-		s.wantConfirmationAtTail()
-	case s.isHead():
-		s.wantLease()
+	case !r.canAnswer():
+	case r.isTail():
+		r.requestConfirmationAtTail()
+	case r.isHead():
+		r.requestLease()
 	}
-	return s.finish()
+	return r.finish()
 }
 
-func (s *Store) wantConfirmationAtTail() {
-	if s.confirm.once && s.now-s.confirm.at < ConfirmEvery {
+func (r *Replica) requestConfirmationAtTail() {
+	if r.confirmation.everConfirmed && r.now-r.confirmation.confirmedAt < ConfirmInterval {
 		return
 	}
-	if s.confirm.running && s.now-s.confirm.asked < confirmTimeout {
+	if r.confirmation.outstanding && r.now-r.confirmation.requestedAt < confirmationTimeout {
 		return
 	}
-	s.confirm.nonce = s.random.Uint64() | 1
-	s.confirm.asked = s.now
-	s.confirm.running = true
-	if s.isHead() {
-		s.startBarrier(barrierStart{nonce: s.confirm.nonce})
+	r.confirmation.nonce = r.random.Uint64() | 1
+	r.confirmation.requestedAt = r.now
+	r.confirmation.outstanding = true
+	if r.isHead() {
+		r.startBarrier(headBarrier{nonce: r.confirmation.nonce})
 		return
 	}
-	head := view.Head(s.view)
-	s.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_BarrierRequest{BarrierRequest: &nodepb.BarrierRequest{
-		Epoch: s.view.GetEpoch(),
-		Nonce: s.confirm.nonce,
+	head := view.Head(r.view)
+	r.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_BarrierRequest{BarrierRequest: &nodepb.BarrierRequest{
+		Epoch: r.view.GetEpoch(),
+		Nonce: r.confirmation.nonce,
 	}}})
 }
 
-func (s *Store) wantLease() {
-	if s.leased && s.now-s.leaseFrom < ConfirmEvery || len(s.waiting) > 0 {
+func (r *Replica) requestLease() {
+	if r.hasLease && r.now-r.leaseStart < ConfirmInterval || len(r.deferredBarriers) > 0 {
 		return
 	}
-	if running := len(s.barriers); running > 0 && s.now-s.barriers[running-1].started < confirmTimeout {
+	if outstanding := len(r.outstandingBarriers); outstanding > 0 && r.now-r.outstandingBarriers[outstanding-1].startedAt < confirmationTimeout {
 		return
 	}
-	s.startBarrier(barrierStart{})
+	r.startBarrier(headBarrier{})
 }
 
-func (s *Store) receiveBarrierRequest(from core.Peer, request *nodepb.BarrierRequest) {
-	if !s.inForce(from, request.GetEpoch()) || !s.isHead() {
+func (r *Replica) receiveBarrierRequest(from core.Peer, request *nodepb.BarrierRequest) {
+	if !r.isCurrentEpoch(from, request.GetEpoch()) || !r.isHead() {
 		return
 	}
-	s.startBarrier(barrierStart{origin: request.GetOrigin(), nonce: request.GetNonce(), wantsState: request.GetWantsState()})
+	r.startBarrier(headBarrier{origin: request.GetOrigin(), nonce: request.GetNonce(), wantsState: request.GetWantsState()})
 }
--- a/internal/node/chain/commands.go
+++ b/internal/node/chain/commands.go
@@ -6,50 +6,50 @@
 	"kestrelspread/internal/node/view"
 )
 
-// submission is a command that waits at the head.
-type submission struct {
-	command *nodepb.Command
-	origin  *nodepb.Origin
-	hops    uint32
-	expires core.Time
+// queuedCommand is a command that waits at the head.
+type queuedCommand struct {
+	command   *nodepb.Command
+	origin    *nodepb.Origin
+	hops      uint32
+	expiresAt core.Time
 }
 
 // receiveSubmit takes a command or a read at the head; other nodes pass it on to the head they know.
-func (s *Store) receiveSubmit(from core.Peer, message *nodepb.Submit) {
+func (r *Replica) receiveSubmit(from core.Peer, message *nodepb.Submit) {
 	origin := message.GetOrigin()
 	if origin == nil {
 		origin = &nodepb.Origin{Address: from.Address, Request: message.GetRequest()}
 	}
 	switch {
-	case !s.isHead() && !s.passedByHead(from.Address, message):
-		s.passToHead(message, origin)
+	case !r.isHead() && !r.isForwardedByHead(from.Address, message):
+		r.forwardToHead(message, origin)
 	case message.GetRead():
-		s.startBarrier(barrierStart{origin: origin, wantsState: true, knownIndex: message.GetKnownIndex()})
-	case message.GetCommand() != nil && len(s.queue) < queueLimit:
-		s.queue = append(s.queue, submission{
-			command: message.GetCommand(),
-			origin:  origin,
-			hops:    message.GetHops(),
-			expires: s.now + queueWait,
+		r.startBarrier(headBarrier{origin: origin, wantsState: true, knownIndex: message.GetKnownIndex()})
+	case message.GetCommand() != nil && len(r.commandQueue) < maxQueuedCommands:
+		r.commandQueue = append(r.commandQueue, queuedCommand{
+			command:   message.GetCommand(),
+			origin:    origin,
+			hops:      message.GetHops(),
+			expiresAt: r.now + commandTimeout,
 		})
-		s.takeNext()
+		r.processQueue()
 	}
 }
 
-// passedByHead reports whether the node that this one takes for the head passed the message on: it knows of a newer view,
+// isForwardedByHead reports whether the node that this one takes for the head passed the message on: it knows of a newer view,
 // which is on its way here, and the message waits for that.
-func (s *Store) passedByHead(from string, message *nodepb.Submit) bool {
-	head := view.Head(s.view)
+func (r *Replica) isForwardedByHead(from string, message *nodepb.Submit) bool {
+	head := view.Head(r.view)
 	return head != nil && message.GetHops() > 0 && head.GetAddress() == from
 }
 
-// passToHead passes a command or read on to the head that this node knows.
-func (s *Store) passToHead(message *nodepb.Submit, origin *nodepb.Origin) {
-	head := view.Head(s.view)
-	if head == nil || message.GetHops() >= maxHops {
+// forwardToHead passes a command or read on to the head that this node knows.
+func (r *Replica) forwardToHead(message *nodepb.Submit, origin *nodepb.Origin) {
+	head := view.Head(r.view)
+	if head == nil || message.GetHops() >= maxCommandHops {
 		return
 	}
-	s.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: &nodepb.Submit{
+	r.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: &nodepb.Submit{
 		Request: message.GetRequest(),
 		Command: message.GetCommand(),
 		Read:    message.GetRead(),
@@ -60,86 +60,86 @@
 	}}})
 }
 
-// passQueueOn sends the commands that wait here to the new head.
-func (s *Store) passQueueOn() {
-	for _, waiting := range s.queue {
+// forwardQueue sends the commands that wait here to the new head.
+func (r *Replica) forwardQueue() {
+	for _, waiting := range r.commandQueue {
 		message := &nodepb.Submit{Request: waiting.origin.GetRequest(), Command: waiting.command, Hops: waiting.hops}
-		s.passToHead(message, waiting.origin)
+		r.forwardToHead(message, waiting.origin)
 	}
-	s.queue = nil
+	r.commandQueue = nil
 }
 
-func (s *Store) expireQueue() {
-	for len(s.queue) > 0 && s.queue[0].expires <= s.now {
-		s.queue = s.queue[1:]
+func (r *Replica) expireQueue() {
+	for len(r.commandQueue) > 0 && r.commandQueue[0].expiresAt <= r.now {
+		r.commandQueue = r.commandQueue[1:]
 	}
 }
 
-// takesEntries reports whether the head may take a new entry or turn a command down just now.
-func (s *Store) takesEntries() bool {
-	return s.isHead() && s.answers() && s.pending == nil && s.round == nil && s.now >= s.holdUntil
+// acceptsEntries reports whether the head may take a new entry or turn a command down just now.
+func (r *Replica) acceptsEntries() bool {
+	return r.isHead() && r.canAnswer() && r.pending == nil && r.proposal == nil && r.now >= r.entriesPausedUntil
 }
 
-// takeNext takes commands from the queue until one became an entry.
-func (s *Store) takeNext() {
-	for len(s.queue) > 0 && s.takesEntries() {
-		next := s.queue[0]
-		s.queue = s.queue[1:]
-		s.take(next)
+// processQueue takes commands from the queue until one became an entry.
+func (r *Replica) processQueue() {
+	for len(r.commandQueue) > 0 && r.acceptsEntries() {
+		next := r.commandQueue[0]
+		r.commandQueue = r.commandQueue[1:]
+		r.processCommand(next)
 	}
 }
 
-func (s *Store) take(next submission) {
-	result, take := s.options.Machine.Check(next.command)
-	if !take {
-		s.startBarrier(barrierStart{origin: next.origin, rejection: result, turnedDown: &next})
+func (r *Replica) processCommand(next queuedCommand) {
+	result, accept := r.options.StateMachine.Check(next.command)
+	if !accept {
+		r.startBarrier(headBarrier{origin: next.origin, rejection: result, rejectedCommand: &next})
 		return
 	}
-	s.taken = next
-	s.retransmitAt = s.now + retransmitEvery
-	s.replacePending(&nodepb.Entry{
-		Index:   s.committed.index + 1,
-		Epoch:   s.view.GetEpoch(),
+	r.lastProposed = next
+	r.retransmitAt = r.now + retransmitInterval
+	r.persistPending(&nodepb.Entry{
+		Index:   r.committed.index + 1,
+		Epoch:   r.view.GetEpoch(),
 		Command: next.command,
 		Origin:  next.origin,
 	})
 }
 
-// repeats reports whether the head has an entry to repeat.
-func (s *Store) repeats() bool {
-	return s.pending != nil && s.pendingDurable && s.isHead() && s.member() && !s.isTail()
+// hasEntryToRetransmit reports whether the head has an entry to repeat.
+func (r *Replica) hasEntryToRetransmit() bool {
+	return r.pending != nil && r.pendingDurable && r.isHead() && r.isActiveMember() && !r.isTail()
 }
 
 // retransmit repeats what isn't committed, and the barriers that have not come through.
-func (s *Store) retransmit() {
-	if s.repeats() && s.now >= s.retransmitAt {
-		s.retransmitAt = s.now + retransmitEvery
-		s.passPending()
+func (r *Replica) retransmit() {
+	if r.hasEntryToRetransmit() && r.now >= r.retransmitAt {
+		r.retransmitAt = r.now + retransmitInterval
+		r.forwardPending()
 	}
-	s.repeatBarriers()
+	r.retransmitBarriers()
 }
 
 // enterEpoch starts this node's part in the view that was installed; it is called again when the view is durable.
-func (s *Store) enterEpoch() {
-	if !s.member() || !s.viewDurable {
+func (r *Replica) enterEpoch() {
+	if !r.isActiveMember() || !r.viewDurable {
 		return
 	}
-	if !s.isHead() {
-		s.commitOwnAtTail()
+	if !r.isHead() {
+		r.commitRecoveredAtTail()
 		return
 	}
-	s.inherited = s.pending != nil
-	s.retransmitAt = s.now + retransmitEvery
-	s.passPending()
-	s.startWaiting()
-	s.takeNext()
+	r.pendingInherited = r.pending != nil
+	r.retransmitAt = r.now + retransmitInterval
+	r.forwardPending()
+	r.startDeferredBarriers()
+	r.processQueue()
 }
 
-// commitOwnAtTail commits, after a restart, the last entry at the tail if it is of the epoch in force: it had passed
+// commitRecoveredAtTail commits, after a restart, the last entry at the tail if it is of the epoch in force: it had passed
 // the whole chain and may have been acknowledged.
-func (s *Store) commitOwnAtTail() {
-	if s.isTail() && s.pending != nil && s.pending.GetEpoch() == s.view.GetEpoch() {
-		s.appended = s.view.GetEpoch()
-		s.passPending()
+func (r *Replica) commitRecoveredAtTail() {
+	if r.isTail() && r.pending != nil && r.pending.GetEpoch() == r.view.GetEpoch() {
+		r.pendingReceivedEpoch = r.view.GetEpoch()
+		r.forwardPending()
 	}
 }
--- a/internal/node/chain/faults_test.go
+++ b/internal/node/chain/faults_test.go
@@ -208,7 +208,7 @@
 func (w *world) allSettled() bool {
 	for _, address := range w.order[:w.settings.core] {
 		n := w.nodes[address]
-		if !n.running || n.frozenUntil > w.now || n.store.Status().Role == chain.None {
+		if !n.running || n.frozenUntil > w.now || n.store.Status().Role == chain.OutsideChain {
 			return false
 		}
 	}
@@ -236,7 +236,7 @@
 		return
 	}
 	w.logf("transfer %s", n.address)
-	n.input(func() { n.carryOut(n.store.Transfer(w.now)) })
+	n.input(func() { n.carryOut(n.store.Leave(w.now)) })
 	w.after(time.Second, func() { f.killed(n, f.short()) })
 }
 
--- a/internal/node/chain/firstview.go
+++ b/internal/node/chain/firstview.go
@@ -10,75 +10,75 @@
 
 // startFounding makes durable that this disk belongs to a system that has no view yet, so that a founder that restarts
 // before there is one goes on founding.
-func (s *Store) startFounding(recorded []string) {
+func (r *Replica) startFounding(recorded []string) {
 	switch {
-	case s.view != nil:
+	case r.view != nil:
 	case len(recorded) > 0:
-		s.founders = recorded
-	case s.options.Founding && len(s.options.Founders) > 0:
-		s.founders = slices.Clone(s.options.Founders)
-		s.persist(kindFounding, &nodepb.FoundingRecord{Founders: s.founders}, nil)
+		r.founders = recorded
+	case r.options.Founding && len(r.options.FounderAddresses) > 0:
+		r.founders = slices.Clone(r.options.FounderAddresses)
+		r.persist(kindFounding, &nodepb.FoundingRecord{Founders: r.founders}, nil)
 	}
 }
 
-// considerFounding proposes the first view, if this node is the first founder that is there. It waits a second for all
+// proposeFirstView proposes the first view, if this node is the first founder that is there. It waits a second for all
 // founders, then goes on with a majority of them.
-func (s *Store) considerFounding() {
-	place := slices.Index(s.founders, s.address())
-	if place < 0 || s.diskID() == "" || s.round != nil || s.now < s.notBefore || !s.writer.healthy(s.now) {
+func (r *Replica) proposeFirstView() {
+	index := slices.Index(r.founders, r.address())
+	if index < 0 || r.diskID() == "" || r.proposal != nil || r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now) {
 		return
 	}
-	present, ahead := s.foundersPresent(place)
-	if present < view.Majority(len(s.founders)) {
+	present, earlier := r.countFounders(index)
+	if present < view.Majority(len(r.founders)) {
 		return
 	}
-	waited := s.now - s.started
-	if present < len(s.founders) && waited < foundersWait {
+	waited := r.now - r.startedAt
+	if present < len(r.founders) && waited < founderTimeout {
 		return
 	}
-	if ahead > 0 && waited < foundersWait+core.Time(ahead)*foundingRank {
+	if earlier > 0 && waited < founderTimeout+core.Time(earlier)*founderRankDelay {
 		return
 	}
-	s.startRound()
+	r.startProposal()
 }
 
-// foundersPresent counts the founders that have been heard, and those of them that come before the place and count.
-func (s *Store) foundersPresent(place int) (present, ahead int) {
-	for i, founder := range s.founders {
-		if i == place {
+// countFounders counts the founders that have been heard, and those of them that come before the place and count.
+func (r *Replica) countFounders(index int) (present, earlier int) {
+	for i, founder := range r.founders {
+		if i == index {
 			present++
 			continue
 		}
-		told := s.detector.LastReport(founder)
-		if told == nil {
+		report := r.detector.LastReport(founder)
+		if report == nil {
 			continue
 		}
 		present++
-		if i < place && told.CountsForQuorum && told.DiskHealthy {
-			ahead++
+		if i < index && report.CountsForQuorum && report.DiskHealthy {
+			earlier++
 		}
 	}
-	return present, ahead
+	return present, earlier
 }
 
-// foundingView is the first view: the founders that are there and count, in the order of the seeds.
-func (s *Store) foundingView() *nodepb.View {
+// firstView is the first view: the founders that are there and count, in the order of the seeds.
+func (r *Replica) firstView() *nodepb.View {
 	var voters []*nodepb.Voter
-	for _, founder := range s.founders {
-		if voter := s.founderVoter(founder); voter != nil {
+	for _, founder := range r.founders {
+		if voter := r.founderVoter(founder); voter != nil {
 			voters = append(voters, voter)
 		}
 	}
-	return view.FirstView(voters, s.options.Tolerance)
+	return view.FirstView(voters, r.options.Tolerance)
 }
 
-func (s *Store) founderVoter(founder string) *nodepb.Voter {
-	if founder == s.address() {
-		return s.options.Self
+func (r *Replica) founderVoter(founder string) *nodepb.Voter {
+	if founder == r.address() {
+		return r.options.Self
 	}
-	told := s.detector.LastReport(founder)
-	if told == nil || !told.CountsForQuorum || !told.DiskHealthy {
+	report := r.detector.LastReport(founder)
+	if report == nil || !report.CountsForQuorum || !report.DiskHealthy {
 		return nil
 	}
-	return told.Voter
+	return report.Voter
 }
--- a/internal/node/chain/join.go
+++ b/internal/node/chain/join.go
@@ -10,82 +10,82 @@
 
 // joiner is what the head knows of a machine that wants into the chain.
 type joiner struct {
-	voter     *nodepb.Voter
-	committed position // that it has, as it said
-	sequence  uint64   // of the newest CatchUp
-	sentAt    core.Time
-	last      position // that it made durable
-	doneAt    core.Time
-	done      bool
+	voter           *nodepb.Voter
+	committed       position // that it has, as it said
+	catchUpSequence uint64   // of the newest CatchUp
+	catchUpSentAt   core.Time
+	durablePosition position // that it made durable
+	caughtUpAt      core.Time
+	caughtUp        bool
 }
 
-// joins reports whether this node should ask to join the chain.
-func (s *Store) joins() bool {
-	return s.view != nil && !s.inChain() && s.diskID() != "" && s.now >= s.leaving && s.writer.healthy(s.now)
+// wantsToJoin reports whether this node should ask to join the chain.
+func (r *Replica) wantsToJoin() bool {
+	return r.view != nil && !r.inChain() && r.diskID() != "" && r.now >= r.leavingUntil && r.writer.healthy(r.now)
 }
 
 // reachesChain reports whether there is a way to every member of the chain and back.
-func (s *Store) reachesChain() bool {
-	for _, diskID := range s.view.GetChain() {
-		if s.detector.Condition(diskID) != view.Reachable {
+func (r *Replica) reachesChain() bool {
+	for _, diskID := range r.view.GetChain() {
+		if r.detector.Condition(diskID) != view.Reachable {
 			return false
 		}
 	}
 	return true
 }
 
-// joinDue asks the head to be taken into the chain.
-func (s *Store) joinDue() {
-	if !s.joins() || s.now < s.joinAt || !s.reachesChain() {
+// sendJoinRequest asks the head to be taken into the chain.
+func (r *Replica) sendJoinRequest() {
+	if !r.wantsToJoin() || r.now < r.nextJoinRequestAt || !r.reachesChain() {
 		return
 	}
-	s.joinAt = s.now + joinEvery
+	r.nextJoinRequestAt = r.now + joinRequestInterval
 	request := &nodepb.JoinRequest{
-		Self:           s.options.Self,
-		Epoch:          s.view.GetEpoch(),
-		Committed:      s.committed.index,
-		CommittedEpoch: s.committed.epoch,
-		Reachable:      s.detector.ReachableVoters(),
+		Self:           r.options.Self,
+		Epoch:          r.view.GetEpoch(),
+		Committed:      r.committed.index,
+		CommittedEpoch: r.committed.epoch,
+		Reachable:      r.detector.ReachableVoters(),
 	}
-	if s.wholeState {
+	if r.needsSnapshot {
 		request.Committed = 0
 		request.CommittedEpoch = 0
 	}
-	head := view.Head(s.view)
-	s.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_JoinRequest{JoinRequest: request}})
+	head := view.Head(r.view)
+	r.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_JoinRequest{JoinRequest: request}})
 }
 
-func (s *Store) joinDeadline() core.Time {
-	if !s.joins() || !s.reachesChain() {
+func (r *Replica) joinDeadline() core.Time {
+	if !r.wantsToJoin() || !r.reachesChain() {
 		return core.Never
 	}
-	return max(s.joinAt, s.now)
+	return max(r.nextJoinRequestAt, r.now)
 }
 
 // receiveJoinRequest sends the state to a machine that reaches the whole chain.
-func (s *Store) receiveJoinRequest(from core.Peer, request *nodepb.JoinRequest) {
-	if !s.inForce(from, request.GetEpoch()) || !s.isHead() || s.now < s.leaving {
+func (r *Replica) receiveJoinRequest(from core.Peer, request *nodepb.JoinRequest) {
+	if !r.isCurrentEpoch(from, request.GetEpoch()) || !r.isHead() || r.now < r.leavingUntil {
 		return
 	}
 	voter := request.GetSelf()
-	if voter.GetDiskId() == "" || view.ChainIndex(s.view, voter.GetDiskId()) >= 0 || !s.connects(request.GetReachable()) {
+	if voter.GetDiskId() == "" || view.ChainIndex(r.view, voter.GetDiskId()) >= 0 || !r.coversChain(request.GetReachable()) {
 		return
 	}
-	j := s.joiners[voter.GetDiskId()]
-	if j == nil {
-		j = &joiner{sentAt: s.now - catchUpEvery}
-		s.joiners[voter.GetDiskId()] = j
+	requester := r.joiners[voter.GetDiskId()]
+	if requester == nil {
+		requester = &joiner{catchUpSentAt: r.now - catchUpInterval}
+		r.joiners[voter.GetDiskId()] = requester
 	}
-	j.voter = voter
-	j.committed = position{index: request.GetCommitted(), epoch: request.GetCommittedEpoch()}
-	if s.now-j.sentAt >= catchUpEvery {
-		s.sendCatchUp(j)
+	requester.voter = voter
+	requester.committed = position{index: request.GetCommitted(), epoch: request.GetCommittedEpoch()}
+	if r.now-requester.catchUpSentAt >= catchUpInterval {
+		r.sendCatchUp(requester)
 	}
 }
 
-// connects reports whether the list names every member of the chain.
-func (s *Store) connects(reachable []string) bool {
-	for _, diskID := range s.view.GetChain() {
+// coversChain reports whether the list names every member of the chain.
+func (r *Replica) coversChain(reachable []string) bool {
+	for _, diskID := range r.view.GetChain() {
 		if !slices.Contains(reachable, diskID) {
 			return false
 		}
@@ -95,52 +95,52 @@
 
 // sendCatchUp sends the committed state, as far as the joiner lacks it, and the pending entry. What is not durable here
 // is not sent: it could be another entry after a restart.
-func (s *Store) sendCatchUp(j *joiner) {
-	if !s.viewDurable || s.pending != nil && !s.pendingDurable {
+func (r *Replica) sendCatchUp(recipient *joiner) {
+	if !r.viewDurable || r.pending != nil && !r.pendingDurable {
 		return
 	}
-	j.sequence++
-	j.sentAt = s.now
+	recipient.catchUpSequence++
+	recipient.catchUpSentAt = r.now
 	message := &nodepb.CatchUp{
-		Epoch:          s.view.GetEpoch(),
-		Sequence:       j.sequence,
-		Committed:      s.committed.index,
-		CommittedEpoch: s.committed.epoch,
-		Pending:        s.pending,
+		Epoch:          r.view.GetEpoch(),
+		Sequence:       recipient.catchUpSequence,
+		Committed:      r.committed.index,
+		CommittedEpoch: r.committed.epoch,
+		Pending:        r.pending,
 	}
-	entries, enough := s.entriesAfter(j.committed)
+	entries, complete := r.entriesAfter(recipient.committed)
 	message.Entries = entries
-	if !enough {
+	if !complete {
 		message.HasSnapshot = true
-		message.Snapshot = s.encodedState()
+		message.Snapshot = r.joinerSnapshot()
 	}
-	s.send(j.voter.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUp{CatchUp: message}})
+	r.send(recipient.voter.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUp{CatchUp: message}})
 }
 
-// encodedState is the committed state, which is encoded once for all joiners that ask for it shortly after one another.
-func (s *Store) encodedState() []byte {
-	if s.encoded == nil || s.encodedAt != s.committed {
-		s.encoded, s.encodedAt = s.options.Machine.Snapshot(), s.committed
+// joinerSnapshot is the committed state, which is encoded once for all joiners that ask for it shortly after one another.
+func (r *Replica) joinerSnapshot() []byte {
+	if r.cachedSnapshot == nil || r.cachedSnapshotPosition != r.committed {
+		r.cachedSnapshot, r.cachedSnapshotPosition = r.options.StateMachine.Snapshot(), r.committed
 	}
-	s.encodedUntil = s.now + catchUpKept
-	return s.encoded
+	r.cachedSnapshotExpiry = r.now + snapshotCacheTTL
+	return r.cachedSnapshot
 }
 
-// dropEncodedState forgets the encoded state that no joiner asked for lately.
-func (s *Store) dropEncodedState() {
-	if s.now >= s.encodedUntil {
-		s.encoded = nil
+// evictCachedSnapshot forgets the encoded state that no joiner asked for lately.
+func (r *Replica) evictCachedSnapshot() {
+	if r.now >= r.cachedSnapshotExpiry {
+		r.cachedSnapshot = nil
 	}
 }
 
 // entriesAfter lists the committed entries after the position, if all are still kept.
-func (s *Store) entriesAfter(from position) (entries []*nodepb.Entry, enough bool) {
-	if from == s.committed || from.index > s.committed.index {
+func (r *Replica) entriesAfter(from position) (entries []*nodepb.Entry, complete bool) {
+	if from == r.committed || from.index > r.committed.index {
 		return nil, true
 	}
-	for i, entry := range s.recent {
+	for i, entry := range r.recentEntries {
 		if positionOf(entry) == from {
-			return slices.Clone(s.recent[i+1:]), true
+			return slices.Clone(r.recentEntries[i+1:]), true
 		}
 	}
 	return nil, false
@@ -148,142 +148,142 @@
 
 // receiveCatchUp takes the head's state. It must be the epoch that this node knows as the newest, and within an epoch
 // the state doesn't go back.
-func (s *Store) receiveCatchUp(from core.Peer, message *nodepb.CatchUp) {
-	if !s.inForce(from, message.GetEpoch()) || s.inChain() || from.Address != view.Head(s.view).GetAddress() {
+func (r *Replica) receiveCatchUp(from core.Peer, message *nodepb.CatchUp) {
+	if !r.isCurrentEpoch(from, message.GetEpoch()) || r.inChain() || from.Address != view.Head(r.view).GetAddress() {
 		return
 	}
 	last := position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()}
 	if message.GetPending() != nil {
 		last = positionOf(message.GetPending())
 	}
-	if s.caughtUp == message.GetEpoch() && last.index < s.last().index {
+	if r.caughtUpEpoch == message.GetEpoch() && last.index < r.lastPosition().index {
 		return
 	}
-	if !s.takeCommitted(message) {
-		s.wholeState = true
-		s.joinAt = s.now
+	if !r.applyCatchUp(message) {
+		r.needsSnapshot = true
+		r.nextJoinRequestAt = r.now
 		return
 	}
-	s.wholeState = false
-	s.takeOverPending(message.GetPending())
-	s.caughtUp = message.GetEpoch()
-	held := s.pending
-	s.persist(kindCaughtUp, &nodepb.CaughtUpRecord{Epoch: s.caughtUp}, func() { s.caughtUpDurable(message, held) })
+	r.needsSnapshot = false
+	r.adoptPending(message.GetPending())
+	r.caughtUpEpoch = message.GetEpoch()
+	pending := r.pending
+	r.persist(kindCaughtUp, &nodepb.CaughtUpRecord{Epoch: r.caughtUpEpoch}, func() { r.acknowledgeCatchUp(message, pending) })
 }
 
-// takeCommitted brings the committed state up to the head's; false: this node needs a snapshot for it.
-func (s *Store) takeCommitted(message *nodepb.CatchUp) bool {
-	told := position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()}
-	if message.GetHasSnapshot() && told.index > s.committed.index {
-		return s.install(told, message.GetSnapshot())
+// applyCatchUp brings the committed state up to the head's; false: this node needs a snapshot for it.
+func (r *Replica) applyCatchUp(message *nodepb.CatchUp) bool {
+	committed := position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()}
+	if message.GetHasSnapshot() && committed.index > r.committed.index {
+		return r.installSnapshot(committed, message.GetSnapshot())
 	}
 	for _, entry := range message.GetEntries() {
-		if entry.GetIndex() == s.committed.index+1 {
-			s.takeCommittedEntry(entry)
+		if entry.GetIndex() == r.committed.index+1 {
+			r.commitCatchUpEntry(entry)
 		}
 	}
-	if s.pending != nil && positionOf(s.pending) == told {
-		s.commit()
+	if r.pending != nil && positionOf(r.pending) == committed {
+		r.commit()
 	}
-	return s.committed.index >= told.index
+	return r.committed.index >= committed.index
 }
 
-func (s *Store) takeCommittedEntry(entry *nodepb.Entry) {
-	if s.pending == nil || positionOf(s.pending) != positionOf(entry) {
-		s.pending = entry
-		s.persist(kindEntry, entry, nil)
+func (r *Replica) commitCatchUpEntry(entry *nodepb.Entry) {
+	if r.pending == nil || positionOf(r.pending) != positionOf(entry) {
+		r.pending = entry
+		r.persist(kindEntry, entry, nil)
 	}
-	s.commit()
+	r.commit()
 }
 
-// install replaces the state by a newer committed one.
-func (s *Store) install(at position, snapshot []byte) bool {
-	if err := s.options.Machine.Restore(snapshot); err != nil {
-		s.emit(core.Log{Message: "control state: snapshot refused", Fields: []any{"index", at.index, "error", err}})
+// installSnapshot replaces the state by a newer committed one.
+func (r *Replica) installSnapshot(committed position, snapshot []byte) bool {
+	if err := r.options.StateMachine.Restore(snapshot); err != nil {
+		r.emit(core.Log{Message: "control state: snapshot refused", Fields: []any{"index", committed.index, "error", err}})
 		return false
 	}
-	s.committed = at
-	s.pending = nil
-	s.pendingDurable = false
-	s.recent = nil
-	s.recentBytes = 0
-	s.persist(kindState, s.stateRecord(), nil)
-	s.emit(core.Installed{Snapshot: s.snapshot()})
+	r.committed = committed
+	r.pending = nil
+	r.pendingDurable = false
+	r.recentEntries = nil
+	r.recentBytes = 0
+	r.persist(kindState, r.stateRecord(), nil)
+	r.emit(core.Installed{Snapshot: r.snapshot()})
 	return true
 }
 
-// takeOverPending makes the head's pending entry, or that there is none, this node's own.
-func (s *Store) takeOverPending(entry *nodepb.Entry) {
-	if entry.GetIndex() != s.committed.index+1 {
-		if s.pending != nil {
-			s.dropPending(nil)
+// adoptPending makes the head's pending entry, or that there is none, this node's own.
+func (r *Replica) adoptPending(entry *nodepb.Entry) {
+	if entry.GetIndex() != r.committed.index+1 {
+		if r.pending != nil {
+			r.discardPending(nil)
 		}
 		return
 	}
-	if s.pending != nil && positionOf(s.pending) == positionOf(entry) {
+	if r.pending != nil && positionOf(r.pending) == positionOf(entry) {
 		return
 	}
-	s.pending = entry
-	s.pendingDurable = false
-	s.persist(kindEntry, entry, nil)
+	r.pending = entry
+	r.pendingDurable = false
+	r.persist(kindEntry, entry, nil)
 }
 
-// caughtUpDurable answers the head once its whole state is durable here.
-func (s *Store) caughtUpDurable(message *nodepb.CatchUp, held *nodepb.Entry) {
-	if s.pending != held {
+// acknowledgeCatchUp answers the head once its whole state is durable here.
+func (r *Replica) acknowledgeCatchUp(message *nodepb.CatchUp, pending *nodepb.Entry) {
+	if r.pending != pending {
 		return
 	}
-	s.pendingDurable = held != nil
-	if s.view.GetEpoch() != message.GetEpoch() {
+	r.pendingDurable = pending != nil
+	if r.view.GetEpoch() != message.GetEpoch() {
 		return
 	}
-	last := s.last()
+	last := r.lastPosition()
 	done := &nodepb.CatchUpDone{
 		Epoch:        message.GetEpoch(),
 		Sequence:     message.GetSequence(),
-		Committed:    s.committed.index,
-		PendingIndex: s.pending.GetIndex(),
-		DiskId:       s.diskID(),
+		Committed:    r.committed.index,
+		PendingIndex: r.pending.GetIndex(),
+		DiskId:       r.diskID(),
 		LastIndex:    last.index,
 		LastEpoch:    last.epoch,
 	}
-	head := view.Head(s.view)
-	s.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUpDone{CatchUpDone: done}})
+	head := view.Head(r.view)
+	r.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUpDone{CatchUpDone: done}})
 }
 
 // receiveCatchUpDone notes what a joiner has durable. If an entry was taken meanwhile, the head holds back further ones for a
 // moment and sends that one too.
-func (s *Store) receiveCatchUpDone(from core.Peer, message *nodepb.CatchUpDone) {
-	if !s.inForce(from, message.GetEpoch()) || !s.isHead() {
+func (r *Replica) receiveCatchUpDone(from core.Peer, message *nodepb.CatchUpDone) {
+	if !r.isCurrentEpoch(from, message.GetEpoch()) || !r.isHead() {
 		return
 	}
-	j := s.joiners[message.GetDiskId()]
-	if j == nil || j.sequence != message.GetSequence() {
+	sender := r.joiners[message.GetDiskId()]
+	if sender == nil || sender.catchUpSequence != message.GetSequence() {
 		return
 	}
-	j.last = position{index: message.GetLastIndex(), epoch: message.GetLastEpoch()}
-	j.done = true
-	j.doneAt = s.now
-	s.detector.RecordRoundTrip(from.Address, j.voter, j.sentAt)
-	if j.last != s.last() {
-		s.holdUntil = max(s.holdUntil, s.now+holdForJoiner)
-		j.committed = position{}
-		s.sendCatchUp(j)
+	sender.durablePosition = position{index: message.GetLastIndex(), epoch: message.GetLastEpoch()}
+	sender.caughtUp = true
+	sender.caughtUpAt = r.now
+	r.detector.RecordRoundTrip(from.Address, sender.voter, sender.catchUpSentAt)
+	if sender.durablePosition != r.lastPosition() {
+		r.entriesPausedUntil = max(r.entriesPausedUntil, r.now+joinerGracePeriod)
+		sender.committed = position{}
+		r.sendCatchUp(sender)
 		return
 	}
-	s.evaluateAt = s.now
-	s.evaluate()
+	r.nextEvaluationAt = r.now
+	r.evaluateView()
 }
 
 // readyJoiners lists, at the head, the machines that have the whole state durable just now, in the order of their disk ids.
-func (s *Store) readyJoiners() []*nodepb.Voter {
-	if !s.isHead() {
+func (r *Replica) readyJoiners() []*nodepb.Voter {
+	if !r.isHead() {
 		return nil
 	}
 	var ready []*nodepb.Voter
-	for _, j := range s.joiners {
-		if j.done && s.now-j.doneAt <= view.FailureTimeout && j.last == s.last() {
-			ready = append(ready, j.voter)
+	for _, candidate := range r.joiners {
+		if candidate.caughtUp && r.now-candidate.caughtUpAt <= view.FailureTimeout && candidate.durablePosition == r.lastPosition() {
+			ready = append(ready, candidate.voter)
 		}
 	}
 	slices.SortFunc(ready, func(a, b *nodepb.Voter) int {
--- a/internal/node/chain/node_test.go
+++ b/internal/node/chain/node_test.go
@@ -25,7 +25,7 @@
 	running     bool
 	removed     bool // for good
 	frozenUntil core.Time
-	store       *chain.Store
+	store       *chain.Replica
 	machine     *register
 	client      *submit.Client
 	generation  int // of timers: older ones are void
@@ -41,7 +41,7 @@
 func (n *node) describe() string {
 	status := n.store.Status()
 	return fmt.Sprintf("disk=%s epoch=%d role=%v wedged=%v committed=%d pending=%v healthy=%v chain=%v voters=%d",
-		n.disk.id, status.Epoch, status.Role, status.Wedged, status.Committed, status.Pending, status.DiskHealthy,
+		n.disk.id, status.Epoch, status.Role, status.Wedged, status.Committed, status.HasPending, status.DiskHealthy,
 		status.View.GetChain(), len(status.View.GetVoters()))
 }
 
@@ -75,11 +75,11 @@
 	n.machine = newRegister()
 	n.machine.applied = func(entry *nodepb.Entry) { w.checks.applied(n, entry) }
 	store, outputs, err := chain.New(w.now, chain.Options{
-		Self:      &nodepb.Voter{DiskId: n.disk.id, Address: n.address, NodeId: n.nodeID()},
-		Founders:  w.founders,
-		Founding:  n.bootstrap,
-		Tolerance: w.settings.tolerance,
-		Machine:   n.machine,
+		Self:             &nodepb.Voter{DiskId: n.disk.id, Address: n.address, NodeId: n.nodeID()},
+		FounderAddresses: w.founders,
+		Founding:         n.bootstrap,
+		Tolerance:        w.settings.tolerance,
+		StateMachine:     n.machine,
 	}, slices.Clone(n.disk.records), rand.New(rand.NewPCG(w.random.Uint64(), 2)))
 	assert.NilError(w.t, err)
 	n.store = store
@@ -100,7 +100,7 @@
 	n.carryOut(n.client.SetCore(w.now, members))
 	if n.store != nil {
 		n.store.SetRelays(w.relays())
-		n.carryOut(n.store.SetPeers(w.now, members))
+		n.carryOut(n.store.SetQuorumMembers(w.now, members))
 	}
 	life := n.life
 	w.after(500*time.Millisecond, func() {
@@ -247,7 +247,7 @@
 		n.input(func() {
 			n.carryOut(n.store.Written(w.now, write.Token, err))
 			if len(n.disk.records) > 60 {
-				n.carryOut(n.store.Compact(w.now))
+				n.carryOut(n.store.RequestCheckpoint(w.now))
 			}
 		})
 	})
--- a/internal/node/chain/options.go
+++ b/internal/node/chain/options.go
@@ -25,42 +25,42 @@
 	// Self names this node's disk, internal address and life. A node without a disk id is no voter; it only takes part in the
 	// agreement on the first view, where it is a founder.
 	Self *nodepb.Voter
-	// Founders are the internal addresses of the seeds, used only where Founding.
-	Founders []string
+	// FounderAddresses are the internal addresses of the seeds, used only where Founding.
+	FounderAddresses []string
 	// Founding: this is the first start of the whole system, or the disk holds a record of one that did not end.
 	Founding bool
 	// Tolerance is faultTolerance.machines: how many may be lost at once.
 	Tolerance int
-	// Machine is the state that is replicated, as it is before the first entry.
-	Machine StateMachine
+	// StateMachine is the state that is replicated, as it is before the first entry.
+	StateMachine StateMachine
 }
 
 // The times of replication and of agreement on views.
 const (
-	// ConfirmEvery is how old a confirmation may get before WantConfirmation asks for another.
-	ConfirmEvery core.Time = 200 * time.Millisecond
+	// ConfirmInterval is how old a confirmation may get before WantConfirmation asks for another.
+	ConfirmInterval core.Time = 200 * time.Millisecond
 
-	retransmitEvery  = 150 * time.Millisecond // the head repeats what isn't committed
-	confirmTimeout   = 300 * time.Millisecond // a barrier for a confirmation is given up
-	queueWait        = 700 * time.Millisecond // a command waits at most this long at the head
-	joinEvery        = 200 * time.Millisecond // who is outside asks to join
-	holdForJoiner    = 300 * time.Millisecond // the head takes nothing while a joiner catches up with a late entry
-	catchUpEvery     = 150 * time.Millisecond // a joiner is sent the state at most this often
-	rankDelay        = 400 * time.Millisecond // lower places in the chain propose later
-	resendEvery      = 150 * time.Millisecond // a proposer asks again who hasn't answered
-	roundTimeout     = 600 * time.Millisecond // a proposer begins another ballot
-	backoffBase      = 50 * time.Millisecond  // what a proposer that was beaten waits at least
-	foundersWait     = time.Second            // for founders that don't answer
-	foundingRank     = 500 * time.Millisecond // later founders propose later
-	leaveFor         = 30 * time.Second       // how long a node that was told to stop stays out
-	writeTimeout     = time.Second            // a write that takes longer means a disk in trouble
-	writeRetry       = 500 * time.Millisecond // after a write that failed
-	healthyAfter     = time.Second            // without trouble, before a disk is called healthy again
-	evaluateEvery    = 100 * time.Millisecond // how often a view that should change is looked at
-	queueLimit       = 64                     // commands at the head
-	maxHops          = 3                      // of a command on its way to the head
-	barriersKept     = 32                     // started barriers whose end is awaited
-	recentEntries    = 256                    // committed entries kept for joiners
-	recentEntryBytes = 1 << 20                // and their size together
-	catchUpKept      = 2 * time.Second        // an encoded state is kept for joiners
+	retransmitInterval     = 150 * time.Millisecond // the head repeats what isn't committed
+	confirmationTimeout    = 300 * time.Millisecond // a barrier for a confirmation is given up
+	commandTimeout         = 700 * time.Millisecond // a command waits at most this long at the head
+	joinRequestInterval    = 200 * time.Millisecond // who is outside asks to join
+	joinerGracePeriod      = 300 * time.Millisecond // the head takes nothing while a joiner catches up with a late entry
+	catchUpInterval        = 150 * time.Millisecond // a joiner is sent the state at most this often
+	proposerRankDelay      = 400 * time.Millisecond // lower places in the chain propose later
+	proposalResendInterval = 150 * time.Millisecond // a proposer asks again who hasn't answered
+	proposalTimeout        = 600 * time.Millisecond // a proposer begins another ballot
+	minProposalBackoff     = 50 * time.Millisecond  // what a proposer that was beaten waits at least
+	founderTimeout         = time.Second            // for founders that don't answer
+	founderRankDelay       = 500 * time.Millisecond // later founders propose later
+	leaveDuration          = 30 * time.Second       // how long a node that was told to stop stays out
+	writeTimeout           = time.Second            // a write that takes longer means a disk in trouble
+	writeRetryBackoff      = 500 * time.Millisecond // after a write that failed
+	diskRecoveryPeriod     = time.Second            // without trouble, before a disk is called healthy again
+	evaluationInterval     = 100 * time.Millisecond // how often a view that should change is looked at
+	maxQueuedCommands      = 64                     // commands at the head
+	maxCommandHops         = 3                      // of a command on its way to the head
+	maxOutstandingBarriers = 32                     // started barriers whose end is awaited
+	maxRecentEntries       = 256                    // committed entries kept for joiners
+	maxRecentEntryBytes    = 1 << 20                // and their size together
+	snapshotCacheTTL       = 2 * time.Second        // an encoded state is kept for joiners
 )
--- a/internal/node/chain/pings.go
+++ b/internal/node/chain/pings.go
@@ -6,105 +6,105 @@
 	"kestrelspread/internal/node/view"
 )
 
-// watch tells the detector whom to watch: the voters; the founders while there is no view; and, while this node is outside
+// updateTargets tells the detector whom to watch: the voters; the founders while there is no view; and, while this node is outside
 // the chain, all that count.
-func (s *Store) watch() {
+func (r *Replica) updateTargets() {
 	var targets []view.Target
-	for _, voter := range s.view.GetVoters() {
+	for _, voter := range r.view.GetVoters() {
 		targets = append(targets, view.Target{Address: voter.GetAddress(), DiskID: voter.GetDiskId()})
 	}
-	for _, founder := range s.founders {
+	for _, founder := range r.founders {
 		targets = append(targets, view.Target{Address: founder})
 	}
-	if !s.inChain() {
-		for _, member := range s.peers {
+	if !r.inChain() {
+		for _, member := range r.quorumMembers {
 			targets = append(targets, view.Target{Address: member.GetAddress()})
 		}
 	}
-	s.detector.Watch(s.now, targets, s.view.GetVoters(), s.view == nil)
+	r.detector.Watch(r.now, targets, r.view.GetVoters(), r.view == nil)
 }
 
-// told is what this node says of itself.
-func (s *Store) told() view.Report {
+// selfReport is what this node says of itself.
+func (r *Replica) selfReport() view.Report {
 	return view.Report{
-		Voter:             s.options.Self,
-		Epoch:             view.Epoch(s.view),
-		Committed:         s.committed.index,
-		DiskHealthy:       s.writer.healthy(s.now),
-		CountsForQuorum:   s.diskID() != "",
-		Founding:          len(s.founders) > 0,
-		Wedged:            s.wedged,
-		UnreachableVoters: s.detector.UnreachableVoters(),
+		Voter:             r.options.Self,
+		Epoch:             view.Epoch(r.view),
+		Committed:         r.committed.index,
+		DiskHealthy:       r.writer.healthy(r.now),
+		CountsForQuorum:   r.diskID() != "",
+		Founding:          len(r.founders) > 0,
+		Wedged:            r.wedged,
+		UnreachableVoters: r.detector.UnreachableVoters(),
 	}
 }
 
-func (s *Store) pingDue() {
-	due := s.detector.DuePings()
+func (r *Replica) sendDuePings() {
+	due := r.detector.DuePings()
 	if len(due) == 0 {
 		return
 	}
-	told := s.told()
-	for _, probe := range due {
-		s.sendPing(probe, told)
+	report := r.selfReport()
+	for _, ping := range due {
+		r.sendPing(ping, report)
 	}
 }
 
-func (s *Store) ping(address string) {
-	s.sendPing(view.DuePing{Address: address, Via: s.detector.Route(address)}, s.told())
+func (r *Replica) sendPingNow(address string) {
+	r.sendPing(view.DuePing{Address: address, Via: r.detector.Route(address)}, r.selfReport())
 }
 
-func (s *Store) sendPing(probe view.DuePing, told view.Report) {
-	ping := s.detector.NewPing(probe.Address, probe.Via, told)
-	ping.View = s.viewFor(probe.Address)
-	s.emit(core.Send{
-		To:      probe.Address,
-		Via:     probe.Via,
+func (r *Replica) sendPing(due view.DuePing, report view.Report) {
+	ping := r.detector.NewPing(due.Address, due.Via, report)
+	ping.View = r.viewIfOutdated(due.Address)
+	r.emit(core.Send{
+		To:      due.Address,
+		Via:     due.Via,
 		Message: &nodepb.Envelope{Body: &nodepb.Envelope_VoterPing{VoterPing: ping}},
 	})
 }
 
 // SetRelays names the nodes that may relay messages to core machines that can't be reached directly, best first.
-func (s *Store) SetRelays(addresses []string) { s.detector.SetRelays(addresses) }
+func (r *Replica) SetRelays(addresses []string) { r.detector.SetRelays(addresses) }
 
 // Route is the internal address of the node by which messages to the address should go just now; empty: directly. Pings and
 // pongs take the way that they are to prove.
-func (s *Store) Route(address string) string { return s.detector.Route(address) }
+func (r *Replica) Route(address string) string { return r.detector.Route(address) }
 
-// viewFor is the view if the node at the address was last seen with an older one.
-func (s *Store) viewFor(address string) *nodepb.View {
-	told := s.detector.LastReport(address)
-	if told == nil || s.view == nil || told.Epoch >= s.view.GetEpoch() {
+// viewIfOutdated is the view if the node at the address was last seen with an older one.
+func (r *Replica) viewIfOutdated(address string) *nodepb.View {
+	report := r.detector.LastReport(address)
+	if report == nil || r.view == nil || report.Epoch >= r.view.GetEpoch() {
 		return nil
 	}
-	return s.view
+	return r.view
 }
 
-func (s *Store) receivePing(from core.Peer, ping *nodepb.VoterPing) {
-	pong := s.detector.ReceivePing(from.Address, from.Via, ping, s.told())
-	s.learn(ping.GetView())
-	pong.Epoch = view.Epoch(s.view)
-	pong.View = s.viewFor(from.Address)
-	s.emit(core.Send{
+func (r *Replica) receivePing(from core.Peer, ping *nodepb.VoterPing) {
+	pong := r.detector.ReceivePing(from.Address, from.Via, ping, r.selfReport())
+	r.installView(ping.GetView())
+	pong.Epoch = view.Epoch(r.view)
+	pong.View = r.viewIfOutdated(from.Address)
+	r.emit(core.Send{
 		To:      from.Address,
 		Via:     from.Via,
 		Message: &nodepb.Envelope{Body: &nodepb.Envelope_VoterPong{VoterPong: pong}},
 	})
-	s.heard(from, ping.GetEpoch())
+	r.afterContact(from, ping.GetEpoch())
 }
 
-func (s *Store) receivePong(from core.Peer, pong *nodepb.VoterPong) {
-	s.detector.ReceivePong(from.Address, from.Via, pong)
-	s.learn(pong.GetView())
-	if s.viewFor(from.Address) != nil {
-		s.sendView(from.Address)
+func (r *Replica) receivePong(from core.Peer, pong *nodepb.VoterPong) {
+	r.detector.ReceivePong(from.Address, from.Via, pong)
+	r.installView(pong.GetView())
+	if r.viewIfOutdated(from.Address) != nil {
+		r.sendView(from.Address)
 	}
-	s.heard(from, pong.GetEpoch())
+	r.afterContact(from, pong.GetEpoch())
 }
 
-// heard follows up on a ping or pong.
-func (s *Store) heard(from core.Peer, epoch uint64) {
-	if s.view == nil {
-		s.considerFounding()
+// afterContact follows up on a ping or pong.
+func (r *Replica) afterContact(from core.Peer, epoch uint64) {
+	if r.view == nil {
+		r.proposeFirstView()
 	}
-	s.joinDue()
+	r.sendJoinRequest()
 }
--- a/internal/node/chain/proposer.go
+++ b/internal/node/chain/proposer.go
@@ -8,274 +8,278 @@
 	"kestrelspread/internal/node/view"
 )
 
-// acceptorAddress is who is asked in a round; the id is the disk id, in epoch 1 the address.
-type acceptorAddress struct {
+// acceptor is who is asked in a round; the id is the disk id, in epoch 1 the address.
+type acceptor struct {
 	id      string
 	address string
 }
 
-// round is a ballot of this node for the next view.
-type round struct {
+// proposal is a ballot of this node for the next view.
+type proposal struct {
 	*view.Proposal
-	base      *nodepb.View // nil while founding
-	acceptors []acceptorAddress
-	started   core.Time
-	resendAt  core.Time
-	spoken    bool // this node's own vote of the phase is durable, so that the others may be asked
+	base           *nodepb.View // nil while founding
+	acceptors      []acceptor
+	startedAt      core.Time
+	resendAt       core.Time
+	ownVoteDurable bool // this node's own vote of the phase is durable, so that the others may be asked
 }
 
-// situation is what this node knows for the choice of the next view.
-func (s *Store) situation() *view.Reconfiguration {
+// reconfiguration is what this node knows for the choice of the next view.
+func (r *Replica) reconfiguration() *view.Reconfiguration {
 	return &view.Reconfiguration{
-		View:      s.view,
-		Self:      s.diskID(),
-		Tolerance: s.options.Tolerance,
-		Detector:  s.detector,
-		Joiners:   s.readyJoiners(),
-		Leaving:   s.now < s.leaving,
-		Wedged:    s.wedged,
+		View:      r.view,
+		Self:      r.diskID(),
+		Tolerance: r.options.Tolerance,
+		Detector:  r.detector,
+		Joiners:   r.readyJoiners(),
+		Leaving:   r.now < r.leavingUntil,
+		Wedged:    r.wedged,
 	}
 }
 
-// evaluate proposes a view if the one in force should change and this node is the one to do so.
-func (s *Store) evaluate() {
-	if s.view == nil {
-		s.considerFounding()
+// evaluateView proposes a view if the one in force should change and this node is the one to do so.
+func (r *Replica) evaluateView() {
+	if r.view == nil {
+		r.proposeFirstView()
 		return
 	}
-	if s.round != nil || !s.proposes() || !s.viewDurable || s.now < s.evaluateAt {
+	if r.proposal != nil || !r.isEligibleProposer() || !r.viewDurable || r.now < r.nextEvaluationAt {
 		return
 	}
-	s.evaluateAt = s.now + evaluateEvery
-	situation := s.situation()
-	if !situation.Needed() {
-		s.wantedSince = core.Never
+	r.nextEvaluationAt = r.now + evaluationInterval
+	reconfiguration := r.reconfiguration()
+	if !reconfiguration.Needed() {
+		r.changeNeededSince = core.Never
 		return
 	}
-	s.wantedSince = min(s.wantedSince, s.now)
-	if s.mayPropose(situation) {
-		s.startRound()
+	r.changeNeededSince = min(r.changeNeededSince, r.now)
+	if r.mayPropose(reconfiguration) {
+		r.startProposal()
 	}
 }
 
-// proposes reports whether this node may propose the next view, as it holds all that was acknowledged.
-func (s *Store) proposes() bool { return slices.Contains(view.EligibleProposers(s.view), s.diskID()) }
+// isEligibleProposer reports whether this node may propose the next view, as it holds all that was acknowledged.
+func (r *Replica) isEligibleProposer() bool {
+	return slices.Contains(view.EligibleProposers(r.view), r.diskID())
+}
 
-func (s *Store) mayPropose(situation *view.Reconfiguration) bool {
+func (r *Replica) mayPropose(reconfiguration *view.Reconfiguration) bool {
 	switch {
-	case s.now < s.notBefore || !s.writer.healthy(s.now):
+	case r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now):
 		return false
-	case !situation.MajorityReachable():
+	case !reconfiguration.MajorityReachable():
 		return false
-	case !s.wedged && !situation.ProposersKnown():
+	case !r.wedged && !reconfiguration.ProposersKnown():
 		return false
-	case s.now < s.wantedSince+core.Time(situation.ProposerRank())*rankDelay:
+	case r.now < r.changeNeededSince+core.Time(reconfiguration.ProposerRank())*proposerRankDelay:
 		return false
 	default:
-		return situation.NextView() != nil
+		return reconfiguration.NextView() != nil
 	}
 }
 
-// startRound begins a ballot: this node's own promise is durable before anyone else is asked.
-func (s *Store) startRound() {
-	acceptors := s.acceptors()
+// startProposal begins a ballot: this node's own promise is durable before anyone else is asked.
+func (r *Replica) startProposal() {
+	acceptors := r.acceptors()
 	ids := make([]string, len(acceptors))
 	for i := range acceptors {
 		ids[i] = acceptors[i].id
 	}
-	ballot := &nodepb.ProposalNumber{Counter: max(s.acceptor.HighestCounter(), s.seenRound) + 1, Proposer: s.proposerID()}
-	r := &round{
-		Proposal:  view.NewProposal(s.acceptor.Epoch, ballot, ids),
-		base:      s.view,
+	number := &nodepb.ProposalNumber{Counter: max(r.acceptor.HighestCounter(), r.highestSeenCounter) + 1, Proposer: r.proposerID()}
+	p := &proposal{
+		Proposal:  view.NewProposal(r.acceptor.Epoch, number, ids),
+		base:      r.view,
 		acceptors: acceptors,
-		started:   s.now,
-		resendAt:  s.now + resendEvery,
+		startedAt: r.now,
+		resendAt:  r.now + proposalResendInterval,
 	}
-	s.round = r
-	promise, _ := s.acceptor.Prepare(ballot)
-	promise.Acceptor = s.acceptorID()
-	s.persist(kindAcceptor, s.acceptor.Record(), func() {
-		if s.round != r {
+	r.proposal = p
+	promise, _ := r.acceptor.Prepare(number)
+	promise.Acceptor = r.acceptorID()
+	r.persist(kindAcceptor, r.acceptor.Record(), func() {
+		if r.proposal != p {
 			return
 		}
-		r.spoken = true
-		s.ask()
-		r.ReceivePromise(promise)
-		s.progress()
+		p.ownVoteDurable = true
+		r.sendPhaseRequests()
+		p.ReceivePromise(promise)
+		r.advanceProposal()
 	})
 }
 
 // proposerID makes ballots of different lives of a machine differ: a disk id is of one disk, and what was promised to
 // one's own ballots is durable.
-func (s *Store) proposerID() string {
-	if s.diskID() == "" {
-		return s.address()
+func (r *Replica) proposerID() string {
+	if r.diskID() == "" {
+		return r.address()
 	}
-	return s.diskID()
+	return r.diskID()
 }
 
-func (s *Store) acceptors() []acceptorAddress {
-	var acceptors []acceptorAddress
-	for _, voter := range s.view.GetVoters() {
-		acceptors = append(acceptors, acceptorAddress{voter.GetDiskId(), voter.GetAddress()})
+func (r *Replica) acceptors() []acceptor {
+	var acceptors []acceptor
+	for _, voter := range r.view.GetVoters() {
+		acceptors = append(acceptors, acceptor{voter.GetDiskId(), voter.GetAddress()})
 	}
-	for _, founder := range s.founders {
-		acceptors = append(acceptors, acceptorAddress{founder, founder})
+	for _, founder := range r.founders {
+		acceptors = append(acceptors, acceptor{founder, founder})
 	}
 	return acceptors
 }
 
-// ask sends the question of the phase to all who have not answered.
-func (s *Store) ask() {
-	r := s.round
-	for _, acceptor := range r.acceptors {
-		if !r.Awaits(acceptor.id) || acceptor.id == s.acceptorID() {
+// sendPhaseRequests sends the question of the phase to all who have not answered.
+func (r *Replica) sendPhaseRequests() {
+	p := r.proposal
+	for _, acceptor := range p.acceptors {
+		if !p.Awaits(acceptor.id) || acceptor.id == r.acceptorID() {
 			continue
 		}
-		switch r.Phase() {
+		switch p.Phase() {
 		case view.Preparing:
-			s.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Prepare{Prepare: &nodepb.Prepare{
-				Epoch: r.Epoch, Number: r.Number, Base: r.base,
+			r.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Prepare{Prepare: &nodepb.Prepare{
+				Epoch: p.Epoch, Number: p.Number, Base: p.base,
 			}}})
 		case view.Accepting:
-			s.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Accept{Accept: &nodepb.Accept{
-				Epoch: r.Epoch, Number: r.Number, View: r.Value(), Base: r.base,
+			r.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Accept{Accept: &nodepb.Accept{
+				Epoch: p.Epoch, Number: p.Number, View: p.Value(), Base: p.base,
 			}}})
 		}
 	}
 }
 
-// driveRound asks again, and gives up a ballot that takes too long.
-func (s *Store) driveRound() {
-	r := s.round
+// driveProposal asks again, and gives up a ballot that takes too long.
+func (r *Replica) driveProposal() {
+	p := r.proposal
 	switch {
-	case r == nil:
-	case s.now >= r.started+roundTimeout:
-		s.abandonRound()
-	case s.now >= r.resendAt:
-		r.resendAt = s.now + resendEvery
-		if r.spoken {
-			s.ask()
+	case p == nil:
+	case r.now >= p.startedAt+proposalTimeout:
+		r.abandonProposal()
+	case r.now >= p.resendAt:
+		p.resendAt = r.now + proposalResendInterval
+		if p.ownVoteDurable {
+			r.sendPhaseRequests()
 		}
 	}
 }
 
-func (s *Store) roundDeadline() core.Time {
-	if s.round == nil {
+func (r *Replica) proposalDeadline() core.Time {
+	if r.proposal == nil {
 		return core.Never
 	}
-	return min(s.round.resendAt, s.round.started+roundTimeout)
+	return min(r.proposal.resendAt, r.proposal.startedAt+proposalTimeout)
 }
 
-// abandonRound ends a ballot; the next waits for a random while, so that one of several proposers comes through.
-func (s *Store) abandonRound() {
-	s.round = nil
-	s.notBefore = s.now + backoffBase + core.Time(s.random.Int64N(int64(3*backoffBase)))
-	s.evaluateAt = s.notBefore
-	s.takeNext()
+// abandonProposal ends a ballot; the next waits for a random while, so that one of several proposers comes through.
+func (r *Replica) abandonProposal() {
+	r.proposal = nil
+	r.proposalBackoffUntil = r.now + minProposalBackoff + core.Time(r.random.Int64N(int64(3*minProposalBackoff)))
+	r.nextEvaluationAt = r.proposalBackoffUntil
+	r.processQueue()
 }
 
-func (s *Store) receivePromise(promise *nodepb.Promise) {
-	s.learn(promise.GetDecided())
-	if s.round == nil || !s.round.spoken {
+func (r *Replica) receivePromise(promise *nodepb.Promise) {
+	r.installView(promise.GetDecided())
+	if r.proposal == nil || !r.proposal.ownVoteDurable {
 		return
 	}
-	s.round.ReceivePromise(promise)
-	s.progress()
+	r.proposal.ReceivePromise(promise)
+	r.advanceProposal()
 }
 
-func (s *Store) receiveAccepted(accepted *nodepb.Accepted) {
-	s.learn(accepted.GetDecided())
-	if s.round == nil || !s.round.spoken {
+func (r *Replica) receiveAccepted(accepted *nodepb.Accepted) {
+	r.installView(accepted.GetDecided())
+	if r.proposal == nil || !r.proposal.ownVoteDurable {
 		return
 	}
-	s.round.ReceiveAccepted(accepted)
-	s.progress()
+	r.proposal.ReceiveAccepted(accepted)
+	r.advanceProposal()
 }
 
-// progress goes on after an answer.
-func (s *Store) progress() {
-	switch s.round.Phase() {
+// advanceProposal goes on after an answer.
+func (r *Replica) advanceProposal() {
+	switch r.proposal.Phase() {
 	case view.Prepared:
-		s.choose()
+		r.startAccept()
 	case view.Decided:
-		s.decide()
+		r.announceDecision()
 	case view.Preempted:
-		s.raiseRound(s.round.PreemptedBy())
-		s.abandonRound()
+		r.observeCounter(r.proposal.PreemptedBy())
+		r.abandonProposal()
 	}
 }
 
-// raiseRound lets the next ballot of this node be above one that was seen elsewhere.
-func (s *Store) raiseRound(higher uint64) { s.seenRound = max(s.seenRound, higher) }
+// observeCounter lets the next ballot of this node be above one that was seen elsewhere.
+func (r *Replica) observeCounter(counter uint64) {
+	r.highestSeenCounter = max(r.highestSeenCounter, counter)
+}
 
-// choose starts the second phase: with the view that another proposer may have got through, else with the one that is
+// startAccept starts the second phase: with the view that another proposer may have got through, else with the one that is
 // right now, once this node has wedged itself.
-func (s *Store) choose() {
-	r := s.round
-	value := r.Value()
+func (r *Replica) startAccept() {
+	p := r.proposal
+	value := p.Value()
 	if value == nil {
-		value = s.ownChoice()
+		value = r.chooseView()
 	}
 	if value == nil {
-		s.abandonRound()
+		r.abandonProposal()
 		return
 	}
-	r.BeginAccept(value)
-	accepted, changed := s.acceptor.Accept(r.Number, value)
+	p.BeginAccept(value)
+	accepted, changed := r.acceptor.Accept(p.Number, value)
 	if !changed {
-		s.abandonRound()
+		r.abandonProposal()
 		return
 	}
-	accepted.Acceptor = s.acceptorID()
-	r.spoken = false
-	s.persist(kindAcceptor, s.acceptor.Record(), func() {
-		if s.round != r {
+	accepted.Acceptor = r.acceptorID()
+	p.ownVoteDurable = false
+	r.persist(kindAcceptor, r.acceptor.Record(), func() {
+		if r.proposal != p {
 			return
 		}
-		r.spoken = true
-		s.ask()
-		r.ReceiveAccepted(accepted)
-		s.progress()
+		p.ownVoteDurable = true
+		r.sendPhaseRequests()
+		p.ReceiveAccepted(accepted)
+		r.advanceProposal()
 	})
 }
 
-// ownChoice is the view that this node proposes by itself; nil if there is none by now. From here on it passes on and
+// chooseView is the view that this node proposes by itself; nil if there is none by now. From here on it passes on and
 // acknowledges nothing of the epoch any more, and its last entry stays what it is.
-func (s *Store) ownChoice() *nodepb.View {
-	if s.view == nil {
-		return s.foundingView()
+func (r *Replica) chooseView() *nodepb.View {
+	if r.view == nil {
+		return r.firstView()
 	}
-	situation := s.situation()
-	if !situation.Needed() || !situation.MajorityReachable() {
+	reconfiguration := r.reconfiguration()
+	if !reconfiguration.Needed() || !reconfiguration.MajorityReachable() {
 		return nil
 	}
-	next := situation.NextView()
-	if next != nil && !s.wedged && s.inChain() {
-		s.wedged = true
-		s.persist(kindWedge, &nodepb.WedgeRecord{Epoch: s.view.GetEpoch()}, nil)
+	next := reconfiguration.NextView()
+	if next != nil && !r.wedged && r.inChain() {
+		r.wedged = true
+		r.persist(kindWedge, &nodepb.WedgeRecord{Epoch: r.view.GetEpoch()}, nil)
 	}
 	return next
 }
 
-// decide ends the round: a majority has accepted. The others are told first, so that what this node passes to the new head
+// announceDecision ends the round: a majority has accepted. The others are told first, so that what this node passes to the new head
 // finds it as such.
-func (s *Store) decide() {
-	r := s.round
-	decided := &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: r.Value()}}}
-	told := map[string]bool{s.address(): true}
-	for _, acceptor := range r.acceptors {
-		s.sendOnce(told, acceptor.address, decided)
+func (r *Replica) announceDecision() {
+	p := r.proposal
+	decided := &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: p.Value()}}}
+	notified := map[string]bool{r.address(): true}
+	for _, acceptor := range p.acceptors {
+		r.sendOnce(notified, acceptor.address, decided)
 	}
-	for _, voter := range r.Value().GetVoters() {
-		s.sendOnce(told, voter.GetAddress(), decided)
+	for _, voter := range p.Value().GetVoters() {
+		r.sendOnce(notified, voter.GetAddress(), decided)
 	}
-	s.learn(r.Value())
+	r.installView(p.Value())
 }
 
-func (s *Store) sendOnce(told map[string]bool, address string, envelope *nodepb.Envelope) {
-	if !told[address] {
-		told[address] = true
-		s.send(address, &nodepb.Envelope{Body: envelope.Body})
+func (r *Replica) sendOnce(notified map[string]bool, address string, envelope *nodepb.Envelope) {
+	if !notified[address] {
+		notified[address] = true
+		r.send(address, &nodepb.Envelope{Body: envelope.Body})
 	}
 }
--- a/internal/node/chain/protocol_test.go
+++ b/internal/node/chain/protocol_test.go
@@ -108,10 +108,10 @@
 	m.receive("api", submitOf(command("y", 0, 1)))
 	m.receive("api", &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: &nodepb.Submit{Request: 8, Read: true}}})
 	m.durable()
-	m.collect(m.store.WantConfirmation(m.now))
+	m.collect(m.store.RequestConfirmation(m.now))
 	assert.Equal(t, len(m.take()), 0)
 	assert.Equal(t, m.store.Status().Committed, uint64(0))
-	assert.Assert(t, m.store.Status().Pending && !m.store.Status().ConfirmedOnce)
+	assert.Assert(t, m.store.Status().HasPending && !m.store.Status().EverConfirmed)
 }
 
 func TestOnlyVoterAcknowledges(t *testing.T) {
@@ -138,7 +138,7 @@
 			m.receive("d", message(4))
 			m.durable()
 			assert.Equal(t, len(m.take()), 0, name)
-			assert.Assert(t, !m.store.Status().Pending, name)
+			assert.Assert(t, !m.store.Status().HasPending, name)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	m.durable()
 	assert.DeepEqual(t, m.take(), []string{"Barrier>addr-a"})
 	m.start()
-	assert.Assert(t, !m.store.Status().Pending)
+	assert.Assert(t, !m.store.Status().HasPending)
 }
 
 func TestEntryOfTheNewHeadReplacesAStaleOne(t *testing.T) {
@@ -240,7 +240,7 @@
 	m.receive("a", catchUpOf(1, 0, 0, nil, nil))
 	m.durable()
 	assert.Equal(t, len(m.take()), 0, "an older state of the same epoch")
-	assert.Assert(t, m.store.Status().Pending)
+	assert.Assert(t, m.store.Status().HasPending)
 	m.receive("b", catchUpOf(3, 0, 0, nil, nil))
 	m.durable()
 	assert.Equal(t, len(m.take()), 0, "not from the head")
@@ -385,21 +385,21 @@
 	m.now = 5 * time.Second
 	m.collect(m.store.Tick(m.now))
 	m.take()
-	m.collect(m.store.WantConfirmation(m.now))
+	m.collect(m.store.RequestConfirmation(m.now))
 	request := find(m, (*nodepb.Envelope).GetBarrierRequest)
 	m.take()
 	m.now += 20 * time.Millisecond
-	m.collect(m.store.WantConfirmation(m.now))
+	m.collect(m.store.RequestConfirmation(m.now))
 	assert.Equal(t, len(m.take()), 0, "one is running")
 	m.receive("b", &nodepb.Envelope{Body: &nodepb.Envelope_Barrier{Barrier: &nodepb.Barrier{
 		Epoch: 1, Nonce: request.GetNonce(), Number: 3,
 	}}})
 	assert.DeepEqual(t, m.take(), []string{"CommitNotice>addr-a"})
 	status := m.store.Status()
-	assert.Assert(t, status.ConfirmedOnce)
+	assert.Assert(t, status.EverConfirmed)
 	assert.Equal(t, status.ConfirmedAt, 5*time.Second, "as of when it was asked for")
 	m.now += 100 * time.Millisecond
-	m.collect(m.store.WantConfirmation(m.now))
+	m.collect(m.store.RequestConfirmation(m.now))
 	assert.Equal(t, len(m.take()), 0, "young enough")
 }
 
@@ -413,8 +413,8 @@
 	notice := &nodepb.CommitNotice{Epoch: 1, Barrier: barrier.GetNumber()}
 	m.receive("c", &nodepb.Envelope{Body: &nodepb.Envelope_CommitNotice{CommitNotice: notice}})
 	status := m.store.Status()
-	assert.Assert(t, status.Leased)
-	assert.Equal(t, status.LeaseFrom, 3*time.Second)
+	assert.Assert(t, status.HasLease)
+	assert.Equal(t, status.LeaseStart, 3*time.Second)
 }
 
 func TestSubmitsArePassedToTheHead(t *testing.T) {
@@ -450,7 +450,7 @@
 	m.durable()
 	m.receive("c", prepareOf(2, 6, testView(1, "abc", "abc")))
 	m.durable()
-	m.collect(m.store.Compact(m.now))
+	m.collect(m.store.RequestCheckpoint(m.now))
 	assert.Assert(t, m.write.Checkpoint)
 	m.durable()
 	before := m.store.Status()
@@ -458,14 +458,14 @@
 	after := m.store.Status()
 	assert.Equal(t, after.Epoch, before.Epoch)
 	assert.Equal(t, after.Committed, uint64(1))
-	assert.Assert(t, after.Pending)
+	assert.Assert(t, after.HasPending)
 	m.receive("c", prepareOf(2, 5, testView(1, "abc", "abc")))
 	assert.Assert(t, find(m, (*nodepb.Envelope).GetPromise).GetRejected())
 }
 
 func TestRoles(t *testing.T) {
-	for name, role := range map[string]chain.Role{"a": chain.HeadOf, "b": chain.Middle, "c": chain.TailOf, "d": chain.None} {
+	for name, role := range map[string]chain.MemberRole{"a": chain.Head, "b": chain.Middle, "c": chain.Tail, "d": chain.OutsideChain} {
 		assert.Equal(t, memberOf(t, name, testView(1, "abcd", "abc")).store.Status().Role, role)
 	}
-	assert.Equal(t, memberOf(t, "a", testView(1, "a", "a")).store.Status().Role, chain.Only)
+	assert.Equal(t, memberOf(t, "a", testView(1, "a", "a")).store.Status().Role, chain.SoleMember)
 }
--- a/internal/node/chain/read_test.go
+++ b/internal/node/chain/read_test.go
@@ -56,7 +56,7 @@
 		m.receive("a", appendOf(3, wrong, 1, 3))
 		m.durable()
 		assert.Equal(t, len(m.take()), 0)
-		assert.Assert(t, !m.store.Status().Pending)
+		assert.Assert(t, !m.store.Status().HasPending)
 	}
 	assert.Equal(t, m.store.Status().Committed, uint64(1))
 }
--- a/internal/node/chain/records.go
+++ b/internal/node/chain/records.go
@@ -17,7 +17,7 @@
 	kindWedge                     // WedgeRecord
 	kindState                     // StateRecord: replaces all entries before it
 	kindEntry                     // Entry: replaces the pending one, or shows that the one before is committed
-	kindDrop                      // DropRecord: the pending entry was never acknowledged
+	kindDiscard                   // DropRecord: the pending entry was never acknowledged
 	kindCaughtUp                  // CaughtUpRecord
 )
 
@@ -31,15 +31,15 @@
 	return position{index: entry.GetIndex(), epoch: entry.GetEpoch()}
 }
 
-// recovered is what the journal holds.
-type recovered struct {
-	founders  []string
-	view      *nodepb.View
-	acceptor  *nodepb.AcceptorRecord
-	wedged    uint64
-	caughtUp  uint64
-	committed position
-	pending   *nodepb.Entry
+// journalState is what the journal holds.
+type journalState struct {
+	founders      []string
+	view          *nodepb.View
+	acceptor      *nodepb.AcceptorRecord
+	wedgedEpoch   uint64
+	caughtUpEpoch uint64
+	committed     position
+	pending       *nodepb.Entry
 }
 
 // encode makes a record of a message. Messages of this schema can always be encoded.
@@ -52,121 +52,121 @@
 }
 
 // recover reads the records in their order, and brings the machine to the committed state.
-func recoverRecords(records []core.Record, machine StateMachine) (*recovered, error) {
-	r := &recovered{}
+func replayJournal(records []core.Record, machine StateMachine) (*journalState, error) {
+	state := &journalState{}
 	for i, record := range records {
-		if err := r.take(record, machine); err != nil {
+		if err := state.apply(record, machine); err != nil {
 			return nil, fmt.Errorf("record %d of kind %d: %w", i, record.Kind, err)
 		}
 	}
-	return r, nil
+	return state, nil
 }
 
-func (r *recovered) take(record core.Record, machine StateMachine) error {
+func (j *journalState) apply(record core.Record, machine StateMachine) error {
 	switch record.Kind {
 	case kindFounding:
 		message := &nodepb.FoundingRecord{}
 		err := proto.Unmarshal(record.Data, message)
-		r.founders = message.GetFounders()
+		j.founders = message.GetFounders()
 		return err
 	case kindView:
-		r.view = &nodepb.View{}
-		return proto.Unmarshal(record.Data, r.view)
+		j.view = &nodepb.View{}
+		return proto.Unmarshal(record.Data, j.view)
 	case kindAcceptor:
-		r.acceptor = &nodepb.AcceptorRecord{}
-		return proto.Unmarshal(record.Data, r.acceptor)
+		j.acceptor = &nodepb.AcceptorRecord{}
+		return proto.Unmarshal(record.Data, j.acceptor)
 	case kindWedge:
 		message := &nodepb.WedgeRecord{}
 		err := proto.Unmarshal(record.Data, message)
-		r.wedged = message.GetEpoch()
+		j.wedgedEpoch = message.GetEpoch()
 		return err
 	case kindCaughtUp:
 		message := &nodepb.CaughtUpRecord{}
 		err := proto.Unmarshal(record.Data, message)
-		r.caughtUp = message.GetEpoch()
+		j.caughtUpEpoch = message.GetEpoch()
 		return err
 	case kindState:
-		return r.takeState(record.Data, machine)
+		return j.applyState(record.Data, machine)
 	case kindEntry:
-		return r.takeEntry(record.Data, machine)
-	case kindDrop:
-		return r.takeDrop(record.Data)
+		return j.applyEntry(record.Data, machine)
+	case kindDiscard:
+		return j.applyDrop(record.Data)
 	default:
 		return fmt.Errorf("unknown kind")
 	}
 }
 
-func (r *recovered) takeState(data []byte, machine StateMachine) error {
+func (j *journalState) applyState(data []byte, machine StateMachine) error {
 	message := &nodepb.StateRecord{}
 	if err := proto.Unmarshal(data, message); err != nil {
 		return err
 	}
-	r.committed = position{index: message.GetIndex(), epoch: message.GetEpoch()}
-	r.pending = nil
+	j.committed = position{index: message.GetIndex(), epoch: message.GetEpoch()}
+	j.pending = nil
 	return machine.Restore(message.GetState())
 }
 
-// takeEntry commits the entry before: the next one is written only once that was committed.
-func (r *recovered) takeEntry(data []byte, machine StateMachine) error {
+// applyEntry commits the entry before: the next one is written only once that was committed.
+func (j *journalState) applyEntry(data []byte, machine StateMachine) error {
 	entry := &nodepb.Entry{}
 	if err := proto.Unmarshal(data, entry); err != nil {
 		return err
 	}
-	if entry.GetIndex() <= r.committed.index {
+	if entry.GetIndex() <= j.committed.index {
 		return nil
 	}
-	if r.pending != nil && r.pending.GetIndex()+1 == entry.GetIndex() {
-		machine.Apply(r.pending)
-		r.committed = positionOf(r.pending)
+	if j.pending != nil && j.pending.GetIndex()+1 == entry.GetIndex() {
+		machine.Apply(j.pending)
+		j.committed = positionOf(j.pending)
 	}
-	if entry.GetIndex() != r.committed.index+1 {
-		return fmt.Errorf("entry %d follows state %d", entry.GetIndex(), r.committed.index)
+	if entry.GetIndex() != j.committed.index+1 {
+		return fmt.Errorf("entry %d follows state %d", entry.GetIndex(), j.committed.index)
 	}
-	r.pending = entry
+	j.pending = entry
 	return nil
 }
 
-func (r *recovered) takeDrop(data []byte) error {
+func (j *journalState) applyDrop(data []byte) error {
 	message := &nodepb.DropRecord{}
 	if err := proto.Unmarshal(data, message); err != nil {
 		return err
 	}
-	dropped := position{index: message.GetIndex(), epoch: message.GetEpoch()}
-	if r.pending != nil && positionOf(r.pending) == dropped {
-		r.pending = nil
+	discarded := position{index: message.GetIndex(), epoch: message.GetEpoch()}
+	if j.pending != nil && positionOf(j.pending) == discarded {
+		j.pending = nil
 	}
 	return nil
 }
 
 // checkpoint lists everything that must survive.
-func (s *Store) checkpoint() []core.Record {
+func (r *Replica) checkpoint() []core.Record {
 	var records []core.Record
-	if s.view == nil && len(s.founders) > 0 {
-		records = append(records, encode(kindFounding, &nodepb.FoundingRecord{Founders: s.founders}))
+	if r.view == nil && len(r.founders) > 0 {
+		records = append(records, encode(kindFounding, &nodepb.FoundingRecord{Founders: r.founders}))
 	}
-	if s.view != nil {
-		records = append(records, encode(kindView, s.view))
+	if r.view != nil {
+		records = append(records, encode(kindView, r.view))
 	}
-	if !s.acceptor.Blank() {
-		records = append(records, encode(kindAcceptor, s.acceptor.Record()))
+	if !r.acceptor.Blank() {
+		records = append(records, encode(kindAcceptor, r.acceptor.Record()))
 	}
-	if s.wedged {
-		records = append(records, encode(kindWedge, &nodepb.WedgeRecord{Epoch: s.view.GetEpoch()}))
+	if r.wedged {
+		records = append(records, encode(kindWedge, &nodepb.WedgeRecord{Epoch: r.view.GetEpoch()}))
 	}
-	if s.caughtUp > 0 {
-		records = append(records, encode(kindCaughtUp, &nodepb.CaughtUpRecord{Epoch: s.caughtUp}))
+	if r.caughtUpEpoch > 0 {
+		records = append(records, encode(kindCaughtUp, &nodepb.CaughtUpRecord{Epoch: r.caughtUpEpoch}))
 	}
-	records = append(records, encode(kindState, s.stateRecord()))
-	if s.pending != nil {
-		records = append(records, encode(kindEntry, s.pending))
+	records = append(records, encode(kindState, r.stateRecord()))
+	if r.pending != nil {
+		records = append(records, encode(kindEntry, r.pending))
 	}
 	return records
 }
 
-func (s *Store) stateRecord() *nodepb.StateRecord {
+func (r *Replica) stateRecord() *nodepb.StateRecord {
 	return &nodepb.StateRecord{
-		Index: s.committed.index,
-		Epoch: s.committed.epoch,
-		State: s.options.Machine.Snapshot(),
+		Index: r.committed.index,
+		Epoch: r.committed.epoch,
+		State: r.options.StateMachine.Snapshot(),
 	}
 }
--- a/internal/node/chain/relay_test.go
+++ b/internal/node/chain/relay_test.go
@@ -36,7 +36,7 @@
 
 // TestCutMemberStaysByRelays cuts one member off from the rest of the core, both ways and each way alone.
 func TestCutMemberStaysByRelays(t *testing.T) {
-	for _, role := range []chain.Role{chain.HeadOf, chain.Middle, chain.TailOf} {
+	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		for _, ways := range []string{"both", "to it", "from it"} {
 			w, o := settled(t, four)
 			before := w.newestView().GetEpoch()
--- a/internal/node/chain/replica.go
+++ b/internal/node/chain/replica.go
@@ -18,290 +18,290 @@
 	ErrJournal = namespace.NewType("journal")
 )
 
-// Store is one core machine's part in the control state. Its methods are called by one goroutine.
-type Store struct {
-	options Options
-	random  *rand.Rand
-	now     core.Time
-	wakeAt  core.Time // the deadline last told
-	outputs []core.Output
-
-	writer   writer
-	detector *view.Detector
-	peers    []*nodepb.Member // members that count, from SWIM
+// Replica is one core machine's part in the control state. Its methods are called by one goroutine.
+type Replica struct {
+	options      Options
+	random       *rand.Rand
+	now          core.Time
+	wakeDeadline core.Time // the deadline last told
+	outputs      []core.Output
+
+	writer        writer
+	detector      *view.Detector
+	quorumMembers []*nodepb.Member // members that count, from SWIM
 
 	// The agreed view.
-	view        *nodepb.View
-	viewDurable bool
-	acceptor    view.Acceptor
-	wedged      bool // in the epoch of view
-	round       *round
-	seenRound   uint64    // of ballots seen elsewhere
-	wantedSince core.Time // since when the view should change; core.Never: it should not
-	notBefore   core.Time // backoff of proposals
-	evaluateAt  core.Time
-	leaving     core.Time // until when this node stays out; 0: it doesn't
-	founders    []string  // while founding
-	started     core.Time
+	view                 *nodepb.View
+	viewDurable          bool
+	acceptor             view.Acceptor
+	wedged               bool // in the epoch of view
+	proposal             *proposal
+	highestSeenCounter   uint64    // of ballots seen elsewhere
+	changeNeededSince    core.Time // since when the view should change; core.Never: it should not
+	proposalBackoffUntil core.Time // backoff of proposals
+	nextEvaluationAt     core.Time
+	leavingUntil         core.Time // until when this node stays out; 0: it doesn't
+	founders             []string  // while founding
+	startedAt            core.Time
 
 	// The replicated state.
-	committed      position
-	pending        *nodepb.Entry
-	pendingDurable bool
-	appended       uint64 // epoch in which pending was last passed to this node
-	caughtUp       uint64 // epoch in which the head last caught this node up
-	recent         []*nodepb.Entry
-	recentBytes    int
+	committed            position
+	pending              *nodepb.Entry
+	pendingDurable       bool
+	pendingReceivedEpoch uint64 // epoch in which pending was last passed to this node
+	caughtUpEpoch        uint64 // epoch in which the head last caught this node up
+	recentEntries        []*nodepb.Entry
+	recentBytes          int
 
 	// At the head.
-	inherited    bool // pending is from before this epoch or this life, and may have been acknowledged
-	retransmitAt core.Time
-	queue        []submission
-	taken        submission     // the newest that became an entry
-	waiting      []barrierStart // barriers that wait until the inherited entry is committed
-	barriers     []barrierStart // started, newest last
-	barrierCount uint64
-	leaseFrom    core.Time
-	leased       bool
-	joiners      map[string]*joiner
-	holdUntil    core.Time
-	encoded      []byte // the committed state at encodedAt, for joiners; nil: none is kept
-	encodedAt    position
-	encodedUntil core.Time
+	pendingInherited       bool // pending is from before this epoch or this life, and may have been acknowledged
+	retransmitAt           core.Time
+	commandQueue           []queuedCommand
+	lastProposed           queuedCommand // the newest that became an entry
+	deferredBarriers       []headBarrier // barriers that wait until the inherited entry is committed
+	outstandingBarriers    []headBarrier // started, newest last
+	lastBarrierNumber      uint64
+	leaseStart             core.Time
+	hasLease               bool
+	joiners                map[string]*joiner
+	entriesPausedUntil     core.Time
+	cachedSnapshot         []byte // the committed state at encodedAt, for joiners; nil: none is kept
+	cachedSnapshotPosition position
+	cachedSnapshotExpiry   core.Time
 
 	// At the tail.
-	confirm confirmation
+	confirmation tailConfirmation
 
 	// Outside the chain.
-	joinAt     core.Time
-	wholeState bool // ask for a snapshot
+	nextJoinRequestAt core.Time
+	needsSnapshot     bool // ask for a snapshot
 }
 
 // New makes a Store of what the journal holds.
-func New(now core.Time, options Options, records []core.Record, random *rand.Rand) (*Store, []core.Output, error) {
-	r, err := recoverRecords(records, options.Machine)
+func New(now core.Time, options Options, records []core.Record, random *rand.Rand) (*Replica, []core.Output, error) {
+	journaled, err := replayJournal(records, options.StateMachine)
 	if err != nil {
 		return nil, nil, ErrJournal.Wrap(err, "can't take up the journal")
 	}
-	s := &Store{
-		options:     options,
-		random:      random,
-		now:         now,
-		wakeAt:      core.Never,
-		writer:      newWriter(),
-		detector:    view.NewDetector(now, options.Self, uint64(random.Uint32())),
-		view:        r.view,
-		viewDurable: r.view != nil,
-		acceptor:    view.NewAcceptor(view.Epoch(r.view) + 1),
-		wedged:      r.view != nil && r.wedged == r.view.GetEpoch(),
-		wantedSince: core.Never,
-		started:     now,
-		committed:   r.committed,
-		pending:     r.pending,
-		caughtUp:    r.caughtUp,
-		joiners:     make(map[string]*joiner),
+	r := &Replica{
+		options:           options,
+		random:            random,
+		now:               now,
+		wakeDeadline:      core.Never,
+		writer:            newWriter(),
+		detector:          view.NewDetector(now, options.Self, uint64(random.Uint32())),
+		view:              journaled.view,
+		viewDurable:       journaled.view != nil,
+		acceptor:          view.NewAcceptor(view.Epoch(journaled.view) + 1),
+		wedged:            journaled.view != nil && journaled.wedgedEpoch == journaled.view.GetEpoch(),
+		changeNeededSince: core.Never,
+		startedAt:         now,
+		committed:         journaled.committed,
+		pending:           journaled.pending,
+		caughtUpEpoch:     journaled.caughtUpEpoch,
+		joiners:           make(map[string]*joiner),
 		// A late word on a barrier of a former life must not be taken for one of this life.
-		barrierCount: random.Uint64(),
+		lastBarrierNumber: random.Uint64(),
 	}
-	s.pendingDurable = s.pending != nil
-	if r.acceptor.GetEpoch() == s.acceptor.Epoch {
-		s.acceptor = view.RestoreAcceptor(r.acceptor)
+	r.pendingDurable = r.pending != nil
+	if journaled.acceptor.GetEpoch() == r.acceptor.Epoch {
+		r.acceptor = view.RestoreAcceptor(journaled.acceptor)
 	}
-	s.startFounding(r.founders)
-	s.watch()
-	s.publishRecovered()
-	s.enterEpoch()
-	return s, s.finish(), nil
+	r.startFounding(journaled.founders)
+	r.updateTargets()
+	r.publishRecovered()
+	r.enterEpoch()
+	return r, r.finish(), nil
 }
 
 // publishRecovered tells the data plane the state that the journal holds.
-func (s *Store) publishRecovered() {
-	if s.committed.index > 0 {
-		s.emit(core.Installed{Snapshot: s.snapshot()})
+func (r *Replica) publishRecovered() {
+	if r.committed.index > 0 {
+		r.emit(core.Installed{Snapshot: r.snapshot()})
 	}
 }
 
-func (s *Store) snapshot() *nodepb.StateSnapshot {
-	return &nodepb.StateSnapshot{Index: s.committed.index, State: s.options.Machine.Snapshot()}
+func (r *Replica) snapshot() *nodepb.StateSnapshot {
+	return &nodepb.StateSnapshot{Index: r.committed.index, State: r.options.StateMachine.Snapshot()}
 }
 
 // Tick does what is due.
-func (s *Store) Tick(now core.Time) []core.Output {
-	s.advance(now)
-	return s.finish()
+func (r *Replica) Tick(now core.Time) []core.Output {
+	r.advance(now)
+	return r.finish()
 }
 
 // Receive takes a message of another node. Messages that are not of this package are ignored.
-func (s *Store) Receive(now core.Time, from core.Peer, envelope *nodepb.Envelope) []core.Output {
-	s.advance(now)
-	s.dispatch(from, envelope)
-	return s.finish()
+func (r *Replica) Receive(now core.Time, from core.Peer, envelope *nodepb.Envelope) []core.Output {
+	r.advance(now)
+	r.dispatch(from, envelope)
+	return r.finish()
 }
 
 // Written takes the end of a Write.
-func (s *Store) Written(now core.Time, token uint64, err error) []core.Output {
-	s.advance(now)
+func (r *Replica) Written(now core.Time, token uint64, err error) []core.Output {
+	r.advance(now)
 	if err != nil {
-		s.emit(core.Log{Message: "control state: write failed", Fields: []any{"error", err}})
+		r.emit(core.Log{Message: "control state: write failed", Fields: []any{"error", err}})
 	}
-	for _, write := range s.writer.written(now, token, err) {
-		if write.done != nil {
-			write.done()
+	for _, write := range r.writer.complete(now, token, err) {
+		if write.onDurable != nil {
+			write.onDurable()
 		}
 	}
-	return s.finish()
+	return r.finish()
 }
 
-// SetPeers names the members that count, as SWIM knows them: whom to ask for the view.
-func (s *Store) SetPeers(now core.Time, members []*nodepb.Member) []core.Output {
-	s.advance(now)
-	s.peers = members
-	s.watch()
-	return s.finish()
+// SetQuorumMembers names the members that count, as SWIM knows them: whom to ask for the view.
+func (r *Replica) SetQuorumMembers(now core.Time, members []*nodepb.Member) []core.Output {
+	r.advance(now)
+	r.quorumMembers = members
+	r.updateTargets()
+	return r.finish()
 }
 
-// Compact writes everything that must survive as one checkpoint, because the journal is nearly full.
-func (s *Store) Compact(now core.Time) []core.Output {
-	s.advance(now)
-	s.writer.compact = s.checkpoint
-	return s.finish()
+// RequestCheckpoint writes everything that must survive as one checkpoint, because the journal is nearly full.
+func (r *Replica) RequestCheckpoint(now core.Time) []core.Output {
+	r.advance(now)
+	r.writer.buildCheckpoint = r.checkpoint
+	return r.finish()
 }
 
-// Transfer makes this node leave the chain, or at least its head, because it ends soon.
-func (s *Store) Transfer(now core.Time) []core.Output {
-	s.advance(now)
-	s.leaving = now + leaveFor
-	s.evaluateAt = now
-	return s.finish()
+// Leave makes this node leave the chain, or at least its head, because it ends soon.
+func (r *Replica) Leave(now core.Time) []core.Output {
+	r.advance(now)
+	r.leavingUntil = now + leaveDuration
+	r.nextEvaluationAt = now
+	return r.finish()
 }
 
 // advance notes the time and does what is due.
-func (s *Store) advance(now core.Time) {
-	late := core.Time(0)
-	if s.wakeAt != core.Never && now > s.wakeAt {
-		late = now - s.wakeAt
+func (r *Replica) advance(now core.Time) {
+	lateness := core.Time(0)
+	if r.wakeDeadline != core.Never && now > r.wakeDeadline {
+		lateness = now - r.wakeDeadline
 	}
-	s.now = now
-	if s.detector.Advance(now, late) {
-		s.wantedSince = core.Never
-		s.emit(core.Log{Message: "control state: this node was stopped", Fields: []any{"late", late}})
+	r.now = now
+	if r.detector.Advance(now, lateness) {
+		r.changeNeededSince = core.Never
+		r.emit(core.Log{Message: "control state: this node was stopped", Fields: []any{"late", lateness}})
 	}
-	s.pingDue()
-	s.retransmit()
-	s.expireQueue()
-	s.takeNext()
-	s.joinDue()
-	s.driveRound()
-	s.dropEncodedState()
-	s.evaluate()
+	r.sendDuePings()
+	r.retransmit()
+	r.expireQueue()
+	r.processQueue()
+	r.sendJoinRequest()
+	r.driveProposal()
+	r.evictCachedSnapshot()
+	r.evaluateView()
 }
 
 // finish hands out the outputs, with the next write, and fixes the next deadline.
-func (s *Store) finish() []core.Output {
-	if write, ok := s.writer.flush(s.now); ok {
-		s.emit(write)
+func (r *Replica) finish() []core.Output {
+	if write, ok := r.writer.flush(r.now); ok {
+		r.emit(write)
 	}
-	outputs := s.outputs
-	s.outputs = nil
-	s.wakeAt = s.nextDeadline()
+	outputs := r.outputs
+	r.outputs = nil
+	r.wakeDeadline = r.nextDeadline()
 	return outputs
 }
 
 // Deadline is when Tick wants to be called.
-func (s *Store) Deadline() core.Time { return s.wakeAt }
+func (r *Replica) Deadline() core.Time { return r.wakeDeadline }
 
-func (s *Store) nextDeadline() core.Time {
-	deadline := min(s.detector.Deadline(), s.writer.deadline(s.now), s.joinDeadline(), s.roundDeadline(), s.barrierDeadline())
-	if s.repeats() {
-		deadline = min(deadline, s.retransmitAt)
+func (r *Replica) nextDeadline() core.Time {
+	deadline := min(r.detector.Deadline(), r.writer.deadline(r.now), r.joinDeadline(), r.proposalDeadline(), r.barrierDeadline())
+	if r.hasEntryToRetransmit() {
+		deadline = min(deadline, r.retransmitAt)
 	}
-	if len(s.queue) > 0 {
-		deadline = min(deadline, s.queue[0].expires)
-		if s.holdUntil > s.now {
-			deadline = min(deadline, s.holdUntil)
+	if len(r.commandQueue) > 0 {
+		deadline = min(deadline, r.commandQueue[0].expiresAt)
+		if r.entriesPausedUntil > r.now {
+			deadline = min(deadline, r.entriesPausedUntil)
 		}
 	}
-	if s.wantedSince != core.Never && s.round == nil {
-		deadline = min(deadline, s.evaluateAt)
+	if r.changeNeededSince != core.Never && r.proposal == nil {
+		deadline = min(deadline, r.nextEvaluationAt)
 	}
 	return deadline
 }
 
-func (s *Store) dispatch(from core.Peer, envelope *nodepb.Envelope) {
+func (r *Replica) dispatch(from core.Peer, envelope *nodepb.Envelope) {
 	switch body := envelope.GetBody().(type) {
 	case *nodepb.Envelope_VoterPing:
-		s.receivePing(from, body.VoterPing)
+		r.receivePing(from, body.VoterPing)
 	case *nodepb.Envelope_VoterPong:
-		s.receivePong(from, body.VoterPong)
+		r.receivePong(from, body.VoterPong)
 	case *nodepb.Envelope_Prepare:
-		s.receivePrepare(from, body.Prepare)
+		r.receivePrepare(from, body.Prepare)
 	case *nodepb.Envelope_Promise:
-		s.receivePromise(body.Promise)
+		r.receivePromise(body.Promise)
 	case *nodepb.Envelope_Accept:
-		s.receiveAccept(from, body.Accept)
+		r.receiveAccept(from, body.Accept)
 	case *nodepb.Envelope_Accepted:
-		s.receiveAccepted(body.Accepted)
+		r.receiveAccepted(body.Accepted)
 	case *nodepb.Envelope_ViewDecided:
-		s.learn(body.ViewDecided.GetView())
+		r.installView(body.ViewDecided.GetView())
 	case *nodepb.Envelope_JoinRequest:
-		s.receiveJoinRequest(from, body.JoinRequest)
+		r.receiveJoinRequest(from, body.JoinRequest)
 	case *nodepb.Envelope_CatchUp:
-		s.receiveCatchUp(from, body.CatchUp)
+		r.receiveCatchUp(from, body.CatchUp)
 	case *nodepb.Envelope_CatchUpDone:
-		s.receiveCatchUpDone(from, body.CatchUpDone)
+		r.receiveCatchUpDone(from, body.CatchUpDone)
 	case *nodepb.Envelope_Append:
-		s.receiveAppend(from, body.Append)
+		r.receiveAppend(from, body.Append)
 	case *nodepb.Envelope_CommitNotice:
-		s.receiveCommitNotice(from, body.CommitNotice)
+		r.receiveCommitNotice(from, body.CommitNotice)
 	case *nodepb.Envelope_Barrier:
-		s.receiveBarrier(from, body.Barrier)
+		r.receiveBarrier(from, body.Barrier)
 	case *nodepb.Envelope_BarrierRequest:
-		s.receiveBarrierRequest(from, body.BarrierRequest)
+		r.receiveBarrierRequest(from, body.BarrierRequest)
 	case *nodepb.Envelope_Submit:
-		s.receiveSubmit(from, body.Submit)
+		r.receiveSubmit(from, body.Submit)
 	}
 }
 
-func (s *Store) emit(output core.Output) { s.outputs = append(s.outputs, output) }
+func (r *Replica) emit(output core.Output) { r.outputs = append(r.outputs, output) }
 
-func (s *Store) send(address string, envelope *nodepb.Envelope) {
-	s.emit(core.Send{To: address, Message: envelope})
+func (r *Replica) send(address string, envelope *nodepb.Envelope) {
+	r.emit(core.Send{To: address, Message: envelope})
 }
 
 // persist queues a record; done may be nil.
-func (s *Store) persist(kind uint8, message proto.Message, done func()) {
-	s.writer.append(encode(kind, message), done)
+func (r *Replica) persist(kind uint8, message proto.Message, onDurable func()) {
+	r.writer.append(encode(kind, message), onDurable)
 }
 
-func (s *Store) diskID() string { return s.options.Self.GetDiskId() }
+func (r *Replica) diskID() string { return r.options.Self.GetDiskId() }
 
-func (s *Store) address() string { return s.options.Self.GetAddress() }
+func (r *Replica) address() string { return r.options.Self.GetAddress() }
 
-// member reports whether this node passes messages of the epoch on.
-func (s *Store) member() bool {
-	return s.view != nil && !s.wedged && s.inChain()
+// isActiveMember reports whether this node passes messages of the epoch on.
+func (r *Replica) isActiveMember() bool {
+	return r.view != nil && !r.wedged && r.inChain()
 }
 
-func (s *Store) inChain() bool { return view.ChainIndex(s.view, s.diskID()) >= 0 }
+func (r *Replica) inChain() bool { return view.ChainIndex(r.view, r.diskID()) >= 0 }
 
-func (s *Store) isHead() bool { return view.ChainIndex(s.view, s.diskID()) == 0 }
+func (r *Replica) isHead() bool { return view.ChainIndex(r.view, r.diskID()) == 0 }
 
-func (s *Store) isTail() bool {
-	return s.inChain() && view.Successor(s.view, s.diskID()) == nil
+func (r *Replica) isTail() bool {
+	return r.inChain() && view.Successor(r.view, r.diskID()) == nil
 }
 
-// inForce checks the epoch of a message. A sender with an older one is told the view; one with a newer one is asked.
-func (s *Store) inForce(from core.Peer, epoch uint64) bool {
-	known := view.Epoch(s.view)
-	if epoch < known {
-		s.sendView(from.Address)
+// isCurrentEpoch checks the epoch of a message. A sender with an older one is told the view; one with a newer one is asked.
+func (r *Replica) isCurrentEpoch(from core.Peer, epoch uint64) bool {
+	currentEpoch := view.Epoch(r.view)
+	if epoch < currentEpoch {
+		r.sendView(from.Address)
 	}
-	if epoch > known {
-		s.ping(from.Address)
+	if epoch > currentEpoch {
+		r.sendPingNow(from.Address)
 	}
-	return epoch == known && epoch > 0
+	return epoch == currentEpoch && epoch > 0
 }
 
-func (s *Store) sendView(address string) {
-	s.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: s.view}}})
+func (r *Replica) sendView(address string) {
+	r.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: r.view}}})
 }
--- a/internal/node/chain/replica_test.go
+++ b/internal/node/chain/replica_test.go
@@ -17,7 +17,7 @@
 type member struct {
 	t       *testing.T
 	self    *nodepb.Voter
-	store   *chain.Store
+	store   *chain.Replica
 	machine *register
 	now     core.Time
 	records []core.Record
@@ -64,7 +64,7 @@
 	m.write = nil
 	m.sent = nil
 	store, outputs, err := chain.New(m.now, chain.Options{
-		Self: m.self, Tolerance: 1, Machine: m.machine,
+		Self: m.self, Tolerance: 1, StateMachine: m.machine,
 	}, m.records, rand.New(rand.NewPCG(1, 2)))
 	assert.NilError(m.t, err)
 	m.store = store
--- a/internal/node/chain/replication.go
+++ b/internal/node/chain/replication.go
@@ -8,188 +8,188 @@
 	"kestrelspread/internal/node/view"
 )
 
-// last is the newest entry this node holds.
-func (s *Store) last() position {
-	if s.pending != nil {
-		return positionOf(s.pending)
+// lastPosition is the newest entry this node holds.
+func (r *Replica) lastPosition() position {
+	if r.pending != nil {
+		return positionOf(r.pending)
 	}
-	return s.committed
+	return r.committed
 }
 
 // receiveAppend takes an entry from the member before, or the head's repeat of it.
-func (s *Store) receiveAppend(from core.Peer, message *nodepb.Append) {
-	if !s.inForce(from, message.GetEpoch()) || !s.member() || s.isHead() || message.GetEntry() == nil {
+func (r *Replica) receiveAppend(from core.Peer, message *nodepb.Append) {
+	if !r.isCurrentEpoch(from, message.GetEpoch()) || !r.isActiveMember() || r.isHead() || message.GetEntry() == nil {
 		return
 	}
-	s.commitUpTo(position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()})
+	r.commitIfPending(position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()})
 	entry := message.GetEntry()
-	at := positionOf(entry)
+	received := positionOf(entry)
 	switch {
-	case at == s.committed:
-		s.passCommitted(entry)
-	case at.index != s.committed.index+1:
+	case received == r.committed:
+		r.forwardCommitted(entry)
+	case received.index != r.committed.index+1:
 		return
-	case s.pending != nil && positionOf(s.pending) == at:
-		s.appended = message.GetEpoch()
-		s.passPending()
+	case r.pending != nil && positionOf(r.pending) == received:
+		r.pendingReceivedEpoch = message.GetEpoch()
+		r.forwardPending()
 	default:
-		s.replacePending(entry)
-		s.appended = message.GetEpoch()
+		r.persistPending(entry)
+		r.pendingReceivedEpoch = message.GetEpoch()
 	}
 }
 
-// replacePending makes an entry durable in the place of the one that is held, which was never acknowledged.
-func (s *Store) replacePending(entry *nodepb.Entry) {
-	s.pending = entry
-	s.pendingDurable = false
-	s.persist(kindEntry, entry, func() {
-		if s.pending != entry {
+// persistPending makes an entry durable in the place of the one that is held, which was never acknowledged.
+func (r *Replica) persistPending(entry *nodepb.Entry) {
+	r.pending = entry
+	r.pendingDurable = false
+	r.persist(kindEntry, entry, func() {
+		if r.pending != entry {
 			return
 		}
-		s.pendingDurable = true
-		s.passPending()
+		r.pendingDurable = true
+		r.forwardPending()
 	})
 }
 
-// passPending passes the pending entry on if it may: it is durable here and was sent in the epoch in force. The tail
+// forwardPending passes the pending entry on if it may: it is durable here and was sent in the epoch in force. The tail
 // commits it.
-func (s *Store) passPending() {
-	if !s.member() || !s.viewDurable || s.pending == nil || !s.pendingDurable {
+func (r *Replica) forwardPending() {
+	if !r.isActiveMember() || !r.viewDurable || r.pending == nil || !r.pendingDurable {
 		return
 	}
-	if !s.isHead() && s.appended != s.view.GetEpoch() {
+	if !r.isHead() && r.pendingReceivedEpoch != r.view.GetEpoch() {
 		return
 	}
-	if s.isTail() {
-		s.acknowledge()
+	if r.isTail() {
+		r.commitAtTail()
 		return
 	}
-	s.forward(s.pending)
+	r.sendToSuccessor(r.pending)
 }
 
-// passCommitted passes on a repeat of an entry that is committed here, for members that don't have it.
-func (s *Store) passCommitted(entry *nodepb.Entry) {
-	if !s.viewDurable {
+// forwardCommitted passes on a repeat of an entry that is committed here, for members that don't have it.
+func (r *Replica) forwardCommitted(entry *nodepb.Entry) {
+	if !r.viewDurable {
 		return
 	}
-	if s.isTail() {
-		s.notifyCommitted(0)
+	if r.isTail() {
+		r.notifyCommitted(0)
 		return
 	}
-	s.forward(entry)
+	r.sendToSuccessor(entry)
 }
 
-func (s *Store) forward(entry *nodepb.Entry) {
-	successor := view.Successor(s.view, s.diskID())
-	s.send(successor.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Append{Append: &nodepb.Append{
-		Epoch:          s.view.GetEpoch(),
+func (r *Replica) sendToSuccessor(entry *nodepb.Entry) {
+	successor := view.Successor(r.view, r.diskID())
+	r.send(successor.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Append{Append: &nodepb.Append{
+		Epoch:          r.view.GetEpoch(),
 		Entry:          entry,
-		Committed:      s.committed.index,
-		CommittedEpoch: s.committed.epoch,
+		Committed:      r.committed.index,
+		CommittedEpoch: r.committed.epoch,
 	}}})
 }
 
-// acknowledge commits the pending entry at the tail and answers it, if the chain is long enough.
-func (s *Store) acknowledge() {
-	if !view.CanAcknowledge(s.view) {
+// commitAtTail commits the pending entry at the tail and answers it, if the chain is long enough.
+func (r *Replica) commitAtTail() {
+	if !view.CanAcknowledge(r.view) {
 		return
 	}
-	entry := s.pending
-	result := s.commit()
-	s.answer(entry.GetOrigin(), result, nil)
-	s.notifyCommitted(0)
-	s.afterCommit()
+	entry := r.pending
+	result := r.commit()
+	r.reply(entry.GetOrigin(), result, nil)
+	r.notifyCommitted(0)
+	r.resumeAfterCommit()
 }
 
-// afterCommit goes on at the head with what waited for the commit.
-func (s *Store) afterCommit() {
-	if !s.isHead() {
+// resumeAfterCommit goes on at the head with what waited for the commit.
+func (r *Replica) resumeAfterCommit() {
+	if !r.isHead() {
 		return
 	}
-	s.startWaiting()
-	s.takeNext()
+	r.startDeferredBarriers()
+	r.processQueue()
 }
 
-// answer sends the result of a command, or the state of a read, to who asked.
-func (s *Store) answer(origin *nodepb.Origin, result *nodepb.CommandResult, state *nodepb.StateSnapshot) {
+// reply sends the result of a command, or the state of a read, to who asked.
+func (r *Replica) reply(origin *nodepb.Origin, result *nodepb.CommandResult, state *nodepb.StateSnapshot) {
 	if origin.GetAddress() == "" {
 		return
 	}
-	s.send(origin.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_SubmitReply{SubmitReply: &nodepb.SubmitReply{
+	r.send(origin.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_SubmitReply{SubmitReply: &nodepb.SubmitReply{
 		Request: origin.GetRequest(),
 		Result:  result,
-		View:    s.view,
+		View:    r.view,
 		State:   state,
 	}}})
 }
 
 // notifyCommitted tells the other members what is committed, and the head alone where a barrier came through.
-func (s *Store) notifyCommitted(barrier uint64) {
+func (r *Replica) notifyCommitted(barrier uint64) {
 	notice := &nodepb.CommitNotice{
-		Epoch:      s.view.GetEpoch(),
-		Index:      s.committed.index,
-		EntryEpoch: s.committed.epoch,
+		Epoch:      r.view.GetEpoch(),
+		Index:      r.committed.index,
+		EntryEpoch: r.committed.epoch,
 		Barrier:    barrier,
 	}
-	for i, diskID := range s.view.GetChain() {
-		if diskID == s.diskID() || barrier != 0 && i > 0 {
+	for i, diskID := range r.view.GetChain() {
+		if diskID == r.diskID() || barrier != 0 && i > 0 {
 			continue
 		}
-		address := view.FindVoter(s.view, diskID).GetAddress()
-		s.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_CommitNotice{CommitNotice: notice}})
+		address := view.FindVoter(r.view, diskID).GetAddress()
+		r.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_CommitNotice{CommitNotice: notice}})
 	}
 }
 
-func (s *Store) receiveCommitNotice(from core.Peer, notice *nodepb.CommitNotice) {
-	if !s.inForce(from, notice.GetEpoch()) || !s.inChain() {
+func (r *Replica) receiveCommitNotice(from core.Peer, notice *nodepb.CommitNotice) {
+	if !r.isCurrentEpoch(from, notice.GetEpoch()) || !r.inChain() {
 		return
 	}
-	s.commitUpTo(position{index: notice.GetIndex(), epoch: notice.GetEntryEpoch()})
+	r.commitIfPending(position{index: notice.GetIndex(), epoch: notice.GetEntryEpoch()})
 	if notice.GetBarrier() != 0 {
-		s.barrierDone(notice.GetBarrier())
+		r.recordBarrierCompletion(notice.GetBarrier())
 	}
 }
 
-// commitUpTo commits the pending entry if it is the one that was told to be committed.
-func (s *Store) commitUpTo(told position) {
-	if s.pending == nil || positionOf(s.pending) != told || !s.pendingDurable {
+// commitIfPending commits the pending entry if it is the one that was told to be committed.
+func (r *Replica) commitIfPending(committed position) {
+	if r.pending == nil || positionOf(r.pending) != committed || !r.pendingDurable {
 		return
 	}
-	s.commit()
-	s.afterCommit()
+	r.commit()
+	r.resumeAfterCommit()
 }
 
 // commit applies the pending entry.
-func (s *Store) commit() *nodepb.CommandResult {
-	entry := s.pending
-	s.pending = nil
-	s.pendingDurable = false
-	s.inherited = false
-	s.committed = positionOf(entry)
-	result := s.options.Machine.Apply(entry)
+func (r *Replica) commit() *nodepb.CommandResult {
+	entry := r.pending
+	r.pending = nil
+	r.pendingDurable = false
+	r.pendingInherited = false
+	r.committed = positionOf(entry)
+	result := r.options.StateMachine.Apply(entry)
 	if result.GetIndex() == 0 {
 		result = proto.CloneOf(result)
 		result.Index = entry.GetIndex()
 	}
-	s.remember(entry)
-	s.emit(core.Committed{Entry: entry, Result: result})
+	r.retainRecent(entry)
+	r.emit(core.Committed{Entry: entry, Result: result})
 	return result
 }
 
-// remember keeps the newest entries for joiners that lack only these.
-func (s *Store) remember(entry *nodepb.Entry) {
-	s.recent = append(s.recent, entry)
-	s.recentBytes += proto.Size(entry)
-	for len(s.recent) > recentEntries || s.recentBytes > recentEntryBytes && len(s.recent) > 0 {
-		s.recentBytes -= proto.Size(s.recent[0])
-		s.recent = append(s.recent[:0], s.recent[1:]...)
+// retainRecent keeps the newest entries for joiners that lack only these.
+func (r *Replica) retainRecent(entry *nodepb.Entry) {
+	r.recentEntries = append(r.recentEntries, entry)
+	r.recentBytes += proto.Size(entry)
+	for len(r.recentEntries) > maxRecentEntries || r.recentBytes > maxRecentEntryBytes && len(r.recentEntries) > 0 {
+		r.recentBytes -= proto.Size(r.recentEntries[0])
+		r.recentEntries = append(r.recentEntries[:0], r.recentEntries[1:]...)
 	}
 }
 
-// dropPending forgets an entry that the head doesn't have; done follows once that is durable.
-func (s *Store) dropPending(done func()) {
-	record := &nodepb.DropRecord{Index: s.pending.GetIndex(), Epoch: s.pending.GetEpoch()}
-	s.pending = nil
-	s.pendingDurable = false
-	s.persist(kindDrop, record, done)
+// discardPending forgets an entry that the head doesn't have; done follows once that is durable.
+func (r *Replica) discardPending(onDurable func()) {
+	record := &nodepb.DropRecord{Index: r.pending.GetIndex(), Epoch: r.pending.GetEpoch()}
+	r.pending = nil
+	r.pendingDurable = false
+	r.persist(kindDiscard, record, onDurable)
 }
--- a/internal/node/chain/scenario_test.go
+++ b/internal/node/chain/scenario_test.go
@@ -85,7 +85,7 @@
 
 var four = worldSettings{core: 4, founders: 3, proxies: 2, tolerance: 1}
 
-func (w *world) inRole(role chain.Role) *node {
+func (w *world) inRole(role chain.MemberRole) *node {
 	for _, n := range w.stores() {
 		if n.store.Status().Role == role {
 			return n
@@ -96,7 +96,7 @@
 }
 
 func TestKilledMemberReturns(t *testing.T) {
-	for _, role := range []chain.Role{chain.HeadOf, chain.Middle, chain.TailOf} {
+	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		for _, away := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second} {
 			w, o := settled(t, four)
 			n := w.inRole(role)
@@ -180,12 +180,12 @@
 
 func TestCutInTwo(t *testing.T) {
 	w, o := settled(t, worldSettings{core: 3, founders: 3, proxies: 1, tolerance: 1})
-	head := w.inRole(chain.HeadOf)
+	head := w.inRole(chain.Head)
 	for _, other := range w.order {
 		w.net.cutBoth(head.address, other)
 	}
 	w.runUntil("the majority goes on", 2500*time.Millisecond, o.acksAgain(5))
-	assert.Equal(t, head.store.Status().Role, chain.HeadOf, "the old head can't know")
+	assert.Equal(t, head.store.Status().Role, chain.Head, "the old head can't know")
 	assert.Assert(t, !head.store.Status().Wedged, "a minority doesn't wedge itself")
 	w.runFor(5 * time.Second)
 	w.net.heal()
@@ -236,7 +236,7 @@
 }
 
 func TestFrozenMember(t *testing.T) {
-	for _, role := range []chain.Role{chain.HeadOf, chain.Middle, chain.TailOf} {
+	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		for _, frozen := range []time.Duration{600 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 			w, o := settled(t, four)
 			n := w.inRole(role)
@@ -270,12 +270,12 @@
 		"hangs": func(w *world, n *node) { n.disk.hangUntil = w.now + 5*time.Second },
 	}
 	for name, trouble := range troubles {
-		for _, role := range []chain.Role{chain.HeadOf, chain.Middle, chain.TailOf} {
+		for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 			w, o := settled(t, four)
 			n := w.inRole(role)
 			trouble(w, n)
 			w.runFor(5 * time.Second)
-			assert.Equal(t, n.store.Status().Role, chain.None, "a disk in trouble leaves the chain")
+			assert.Equal(t, n.store.Status().Role, chain.OutsideChain, "a disk in trouble leaves the chain")
 			took := w.runUntil("whole again", 3*time.Second, w.allSettled)
 			t.Logf("disk of the %v %s: no acknowledgement for %v, whole %v after", role, name, o.longest, took)
 			assert.Assert(t, o.longest < 2500*time.Millisecond, "no acknowledgement for %v", o.longest)
@@ -284,12 +284,12 @@
 }
 
 func TestTransfer(t *testing.T) {
-	for _, role := range []chain.Role{chain.HeadOf, chain.Middle, chain.TailOf} {
+	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		w, o := settled(t, four)
 		n := w.inRole(role)
-		n.input(func() { n.carryOut(n.store.Transfer(w.now)) })
+		n.input(func() { n.carryOut(n.store.Leave(w.now)) })
 		w.runFor(500 * time.Millisecond)
-		assert.Equal(t, n.store.Status().Role, chain.None)
+		assert.Equal(t, n.store.Status().Role, chain.OutsideChain)
 		n.kill()
 		w.runFor(2 * time.Second)
 		t.Logf("%v handed over and ended: no acknowledgement for %v", role, o.longest)
@@ -301,10 +301,10 @@
 
 func TestTransferOfTwo(t *testing.T) {
 	w, o := settled(t, worldSettings{core: 2, founders: 2, proxies: 1, tolerance: 1})
-	head := w.inRole(chain.HeadOf)
-	head.input(func() { head.carryOut(head.store.Transfer(w.now)) })
+	head := w.inRole(chain.Head)
+	head.input(func() { head.carryOut(head.store.Leave(w.now)) })
 	w.runFor(500 * time.Millisecond)
-	assert.Equal(t, head.store.Status().Role, chain.TailOf, "the chain needs both, so that the head goes to its end")
+	assert.Equal(t, head.store.Status().Role, chain.Tail, "the chain needs both, so that the head goes to its end")
 	w.runUntil("acknowledges", time.Second, o.acksAgain(5))
 }
 
--- a/internal/node/chain/status.go
+++ b/internal/node/chain/status.go
@@ -6,67 +6,67 @@
 	"kestrelspread/internal/node/view"
 )
 
-// Role is a node's place in the chain.
-type Role uint8
+// MemberRole is a node's place in the chain.
+type MemberRole uint8
 
 // The places in the chain.
 const (
-	None   Role = iota // outside the chain, or no view known
-	Only               // head and tail at once
-	HeadOf             // takes commands
+	OutsideChain MemberRole = iota // outside the chain, or no view known
+	SoleMember                     // head and tail at once
+	Head                           // takes commands
 	Middle
-	TailOf // answers
+	Tail // answers
 )
 
-func (r Role) String() string {
+func (r MemberRole) String() string {
 	return [...]string{"none", "only", "head", "middle", "tail"}[r]
 }
 
 // Status is what other planes need to know.
 type Status struct {
-	Epoch     uint64
-	View      *nodepb.View // nil: none known
-	Role      Role
-	Wedged    bool   // the view is being changed by this node
-	Committed uint64 // index
-	Pending   bool
+	Epoch      uint64
+	View       *nodepb.View // nil: none known
+	Role       MemberRole
+	Wedged     bool   // the view is being changed by this node
+	Committed  uint64 // index
+	HasPending bool
 	// ConfirmedAt is when, by this node's clock, the committed state was known to be the newest; only a tail learns it.
 	ConfirmedAt   core.Time
-	ConfirmedOnce bool
+	EverConfirmed bool
 	DiskHealthy   bool
-	// LeaseFrom is when, at the head, the newest barrier that passed every member was started; Leased: there was one in
+	// LeaseStart is when, at the head, the newest barrier that passed every member was started; Leased: there was one in
 	// this epoch.
-	LeaseFrom core.Time
-	Leased    bool
+	LeaseStart core.Time
+	HasLease   bool
 }
 
 // Status tells how things stand.
-func (s *Store) Status() Status {
+func (r *Replica) Status() Status {
 	return Status{
-		Epoch:         view.Epoch(s.view),
-		View:          s.view,
-		Role:          s.role(),
-		Wedged:        s.wedged,
-		Committed:     s.committed.index,
-		Pending:       s.pending != nil,
-		ConfirmedAt:   s.confirm.at,
-		ConfirmedOnce: s.confirm.once,
-		DiskHealthy:   s.writer.healthy(s.now),
-		LeaseFrom:     s.leaseFrom,
-		Leased:        s.leased,
+		Epoch:         view.Epoch(r.view),
+		View:          r.view,
+		Role:          r.role(),
+		Wedged:        r.wedged,
+		Committed:     r.committed.index,
+		HasPending:    r.pending != nil,
+		ConfirmedAt:   r.confirmation.confirmedAt,
+		EverConfirmed: r.confirmation.everConfirmed,
+		DiskHealthy:   r.writer.healthy(r.now),
+		LeaseStart:    r.leaseStart,
+		HasLease:      r.hasLease,
 	}
 }
 
-func (s *Store) role() Role {
+func (r *Replica) role() MemberRole {
 	switch {
-	case !s.inChain():
-		return None
-	case s.isHead() && s.isTail():
-		return Only
-	case s.isHead():
-		return HeadOf
-	case s.isTail():
-		return TailOf
+	case !r.inChain():
+		return OutsideChain
+	case r.isHead() && r.isTail():
+		return SoleMember
+	case r.isHead():
+		return Head
+	case r.isTail():
+		return Tail
 	default:
 		return Middle
 	}
--- a/internal/node/chain/transfer_test.go
+++ b/internal/node/chain/transfer_test.go
@@ -26,8 +26,8 @@
 		for _, o := range operators {
 			o.slowest = 0
 		}
-		head := w.inRole(chain.HeadOf)
-		head.input(func() { head.carryOut(head.store.Transfer(w.now)) })
+		head := w.inRole(chain.Head)
+		head.input(func() { head.carryOut(head.store.Leave(w.now)) })
 		w.runFor(800 * time.Millisecond)
 		for _, o := range operators {
 			assert.Check(t, o.slowest < longest, "seed %d: a call of operator %s took %v", seed, o.name, o.slowest)
--- a/internal/node/chain/writer.go
+++ b/internal/node/chain/writer.go
@@ -6,96 +6,96 @@
 
 // pendingWrite is a record on its way to the disk, and what follows once it is durable.
 type pendingWrite struct {
-	record core.Record
-	done   func()
+	record    core.Record
+	onDurable func()
 }
 
 // writer hands records to the journal strictly in order: one Write is out at a time, all that comes meanwhile goes with the
 // next. A Write that failed is repeated, so nothing is ever durable before what was written earlier.
 type writer struct {
-	token    uint64
-	out      []pendingWrite // of the Write that is out
-	queue    []pendingWrite
-	started  core.Time // when the Write that is out began; core.Never: none is out
-	retryAt  core.Time
-	trouble  core.Time // when the disk was last seen in trouble; -1: never
-	failing  bool
-	compact  func() []core.Record // builds a checkpoint; nil: none is asked for
-	compacts bool                 // the Write that is out is a checkpoint
+	lastToken         uint64
+	inFlight          []pendingWrite // of the Write that is out
+	queue             []pendingWrite
+	writeStartedAt    core.Time // when the Write that is out began; core.Never: none is out
+	retryAt           core.Time
+	lastFaultAt       core.Time // when the disk was last seen in trouble; -1: never
+	failing           bool
+	buildCheckpoint   func() []core.Record // builds a checkpoint; nil: none is asked for
+	writingCheckpoint bool                 // the Write that is out is a checkpoint
 }
 
-func newWriter() writer { return writer{started: core.Never, trouble: -1} }
+func newWriter() writer { return writer{writeStartedAt: core.Never, lastFaultAt: -1} }
 
 // append queues a record; done may be nil.
-func (w *writer) append(record core.Record, done func()) {
-	w.queue = append(w.queue, pendingWrite{record, done})
+func (w *writer) append(record core.Record, onDurable func()) {
+	w.queue = append(w.queue, pendingWrite{record, onDurable})
 }
 
 // flush returns the next Write, if there is one to make now.
 func (w *writer) flush(now core.Time) (write core.Write, ok bool) {
-	idle := w.started == core.Never && now >= w.retryAt
-	if !idle || len(w.queue) == 0 && w.compact == nil {
+	idle := w.writeStartedAt == core.Never && now >= w.retryAt
+	if !idle || len(w.queue) == 0 && w.buildCheckpoint == nil {
 		return core.Write{}, false
 	}
-	w.token++
-	w.started = now
-	w.out = w.queue
+	w.lastToken++
+	w.writeStartedAt = now
+	w.inFlight = w.queue
 	w.queue = nil
-	write = core.Write{Token: w.token}
-	w.compacts = w.compact != nil
-	if w.compacts {
+	write = core.Write{Token: w.lastToken}
+	w.writingCheckpoint = w.buildCheckpoint != nil
+	if w.writingCheckpoint {
 		write.Checkpoint = true
-		write.Records = w.compact()
+		write.Records = w.buildCheckpoint()
 		return write, true
 	}
-	write.Records = make([]core.Record, len(w.out))
-	for i := range w.out {
-		write.Records[i] = w.out[i].record
+	write.Records = make([]core.Record, len(w.inFlight))
+	for i := range w.inFlight {
+		write.Records[i] = w.inFlight[i].record
 	}
 	return write, true
 }
 
-// written takes the end of a Write and returns what follows from it.
-func (w *writer) written(now core.Time, token uint64, err error) (done []pendingWrite) {
-	if w.started == core.Never || token != w.token {
+// complete takes the end of a Write and returns what follows from it.
+func (w *writer) complete(now core.Time, token uint64, err error) (done []pendingWrite) {
+	if w.writeStartedAt == core.Never || token != w.lastToken {
 		return nil
 	}
-	slow := now-w.started > writeTimeout
-	w.started = core.Never
+	slow := now-w.writeStartedAt > writeTimeout
+	w.writeStartedAt = core.Never
 	if err != nil {
 		w.failing = true
-		w.trouble = now
-		w.retryAt = now + writeRetry
-		w.queue = append(w.out, w.queue...)
-		w.out = nil
+		w.lastFaultAt = now
+		w.retryAt = now + writeRetryBackoff
+		w.queue = append(w.inFlight, w.queue...)
+		w.inFlight = nil
 		return nil
 	}
 	if slow {
-		w.trouble = now
+		w.lastFaultAt = now
 	}
 	w.failing = false
-	if w.compacts {
-		w.compact = nil
+	if w.writingCheckpoint {
+		w.buildCheckpoint = nil
 	}
-	done = w.out
-	w.out = nil
+	done = w.inFlight
+	w.inFlight = nil
 	return done
 }
 
 // healthy reports whether the disk takes writes in good time, and has for a while.
 func (w *writer) healthy(now core.Time) bool {
-	if w.failing || w.started != core.Never && now-w.started > writeTimeout {
+	if w.failing || w.writeStartedAt != core.Never && now-w.writeStartedAt > writeTimeout {
 		return false
 	}
-	return w.trouble < 0 || now-w.trouble >= healthyAfter
+	return w.lastFaultAt < 0 || now-w.lastFaultAt >= diskRecoveryPeriod
 }
 
 // deadline is when the writer wants to be looked at.
 func (w *writer) deadline(now core.Time) core.Time {
 	switch {
-	case w.started != core.Never && now-w.started <= writeTimeout:
-		return w.started + writeTimeout + 1
-	case w.started == core.Never && len(w.queue) > 0:
+	case w.writeStartedAt != core.Never && now-w.writeStartedAt <= writeTimeout:
+		return w.writeStartedAt + writeTimeout + 1
+	case w.writeStartedAt == core.Never && len(w.queue) > 0:
 		return w.retryAt
 	default:
 		return core.Never
--- a/internal/node/control/duty.go
+++ b/internal/node/control/duty.go
@@ -46,15 +46,15 @@
 	situation := &rollout.Situation{
 		Head:      isHead(status),
 		Epoch:     status.Epoch,
-		LeaseFrom: status.LeaseFrom,
+		LeaseFrom: status.LeaseStart,
 		Instances: n.registry.Instances(),
 		Holder:    n.self.Name,
 		Grant:     n.state.Duty(rollout.DutyName),
 	}
 	// A barrier of the head's own shows the same as a confirmation: all that was acknowledged before it began has been committed here.
-	situation.GrantAsOf = status.LeaseFrom
+	situation.GrantAsOf = status.LeaseStart
 	if at, ok := n.distribution.ConfirmedAt(); ok {
-		situation.GrantAsOf = max(at, status.LeaseFrom)
+		situation.GrantAsOf = max(at, status.LeaseStart)
 	}
 	for _, target := range n.targets {
 		situation.Targets = append(situation.Targets, target)
@@ -63,7 +63,7 @@
 }
 
 func isHead(status chain.Status) bool {
-	return status.Role == chain.HeadOf || status.Role == chain.Only
+	return status.Role == chain.Head || status.Role == chain.SoleMember
 }
 
 // carryOutDuty does what the duty's state machine asks of other planes; false: it is for the shell.
--- a/internal/node/control/exchange.go
+++ b/internal/node/control/exchange.go
@@ -34,7 +34,7 @@
 	n.coreAddresses = addressesOf(counting)
 	if n.store != nil {
 		n.store.SetRelays(n.relaysOf(members))
-		n.carryOut(now, n.store.SetPeers(now, counting))
+		n.carryOut(now, n.store.SetQuorumMembers(now, counting))
 	}
 	n.emit(core.MembersChanged{Members: members})
 }
@@ -62,7 +62,7 @@
 // exchangeConfirmation notes how fresh the state is.
 func (n *Node) exchangeConfirmation(now core.Time) {
 	if n.store != nil && n.distribution.Tail() {
-		if status := n.store.Status(); status.ConfirmedOnce {
+		if status := n.store.Status(); status.EverConfirmed {
 			n.distribution.LocalConfirmed(now, status.ConfirmedAt)
 		}
 	}
--- a/internal/node/control/inputs.go
+++ b/internal/node/control/inputs.go
@@ -64,7 +64,7 @@
 }
 
 func (n *Node) compact(now core.Time) {
-	outputs := n.store.Compact(now)
+	outputs := n.store.RequestCheckpoint(now)
 	for _, output := range outputs {
 		if write, ok := output.(core.Write); ok && write.Checkpoint {
 			n.compaction = write.Token
@@ -123,7 +123,7 @@
 // Transfer hands over this node's place in the chain, because it ends soon.
 func (n *Node) Transfer(now core.Time) []core.Output {
 	if n.store != nil {
-		n.carryOut(now, n.store.Transfer(now))
+		n.carryOut(now, n.store.Leave(now))
 	}
 	return n.take()
 }
--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -61,7 +61,7 @@
 	outputs []core.Output
 
 	membership   *membership.Membership
-	store        *chain.Store // nil until the disk is attached, and on machines that don't count
+	store        *chain.Replica // nil until the disk is attached, and on machines that don't count
 	submit       *submit.Client
 	state        *config.State // what distribution has brought here
 	compiled     *config.Compiled
@@ -140,11 +140,11 @@
 	machine := config.NewState(n.options.Checker)
 	machine.SetLimit(n.options.ConfigurationLimit)
 	store, outputs, err := chain.New(now, chain.Options{
-		Self:      &nodepb.Voter{DiskId: diskID, Address: n.self.Address, NodeId: n.self.NodeId},
-		Founders:  n.options.Seeds,
-		Founding:  n.options.Bootstrap && len(records) == 0,
-		Tolerance: n.options.Tolerance,
-		Machine:   machine,
+		Self:             &nodepb.Voter{DiskId: diskID, Address: n.self.Address, NodeId: n.self.NodeId},
+		FounderAddresses: n.options.Seeds,
+		Founding:         n.options.Bootstrap && len(records) == 0,
+		Tolerance:        n.options.Tolerance,
+		StateMachine:     machine,
 	}, records, derived(n.random))
 	if err != nil {
 		return nil, err
--- a/internal/node/control/planes.go
+++ b/internal/node/control/planes.go
@@ -65,7 +65,7 @@
 		n.stateChanged(now)
 	case core.ConfirmationWanted:
 		if n.store != nil {
-			n.carryOut(now, n.store.WantConfirmation(now))
+			n.carryOut(now, n.store.RequestConfirmation(now))
 		}
 	case core.TableChanged:
 		n.seen.brokersChanged = true
--- a/internal/rig/faultrun/world.go
+++ b/internal/rig/faultrun/world.go
@@ -123,7 +123,7 @@
 			return false
 		}
 		status, ok := m.node.StoreStatus()
-		if !ok || status.Role == chain.None || i > 0 && status.Epoch != epoch {
+		if !ok || status.Role == chain.OutsideChain || i > 0 && status.Epoch != epoch {
 			return false
 		}
 		epoch = status.Epoch
--- a/internal/rig/scale/node.go
+++ b/internal/rig/scale/node.go
@@ -159,9 +159,9 @@
 func (n *node) kill() { n.running = false }
 
 // role is the node's place in the chain.
-func (n *node) role() chain.Role {
+func (n *node) role() chain.MemberRole {
 	status, _ := n.control.StoreStatus()
 	return status.Role
 }
 
-func (n *node) isHead() bool { return n.role() == chain.HeadOf || n.role() == chain.Only }
+func (n *node) isHead() bool { return n.role() == chain.Head || n.role() == chain.SoleMember }
--- a/internal/rig/scale/results.go
+++ b/internal/rig/scale/results.go
@@ -110,7 +110,7 @@
 	case RoleMiddle:
 		return n.role() == chain.Middle
 	case RoleTail:
-		return n.role() == chain.TailOf
+		return n.role() == chain.Tail
 	case RoleBrokerHome:
 		return counted.calls.received > 0
 	case RoleIndexHome:
--- a/internal/rig/scale/troubles.go
+++ b/internal/rig/scale/troubles.go
@@ -160,10 +160,10 @@
 	f := m.fleet
 	m.result.CoreLoss.MiddleMs = m.loseCore(chain.Middle)
 	f.clock.runFor(deathSpan)
-	m.result.CoreLoss.HeadMs = m.loseCore(chain.HeadOf)
+	m.result.CoreLoss.HeadMs = m.loseCore(chain.Head)
 }
 
-func (m *measurement) loseCore(role chain.Role) float64 {
+func (m *measurement) loseCore(role chain.MemberRole) float64 {
 	f := m.fleet
 	for _, n := range f.nodes[:f.shape.Core] {
 		if n.running && n.role() == role {
