--- a/internal/node/chain/checks_test.go
+++ b/internal/node/chain/checks_test.go
@@ -10,27 +10,27 @@
 
 // checks watches the promises of the control state.
 type checks struct {
-	world    *world
-	byIndex  map[uint64]string // command id and epoch
-	byID     map[string]uint64 // index by command id
-	rejected map[string]string // command ids that were turned down for good, and how
-	acked    map[string]uint64 // index by command id
-	ackedBy  map[uint64]string // command id by base version
-	newest   uint64            // index that an answer has shown
-	views    map[uint64]string
-	version  uint64    // of the newest committed entry
-	since    core.Time // when that was committed
+	world              *world
+	byIndex            map[uint64]string // command id and epoch
+	byID               map[string]uint64 // index by command id
+	rejected           map[string]string // command ids that were turned down for good, and how
+	acknowledged       map[string]uint64 // index by command id
+	acknowledgedByBase map[uint64]string // command id by base version
+	newest             uint64            // index that an answer has shown
+	views              map[uint64]string
+	version            uint64    // of the newest committed entry
+	versionCommittedAt core.Time // when that was committed
 }
 
 func newChecks(w *world) *checks {
 	return &checks{
-		world:    w,
-		byIndex:  make(map[uint64]string),
-		byID:     make(map[string]uint64),
-		rejected: make(map[string]string),
-		acked:    make(map[string]uint64),
-		ackedBy:  make(map[uint64]string),
-		views:    make(map[uint64]string),
+		world:              w,
+		byIndex:            make(map[uint64]string),
+		byID:               make(map[string]uint64),
+		rejected:           make(map[string]string),
+		acknowledged:       make(map[string]uint64),
+		acknowledgedByBase: make(map[uint64]string),
+		views:              make(map[uint64]string),
 	}
 }
 
@@ -48,7 +48,7 @@
 	}
 	if version := entry.GetCommand().GetConfigChange().GetVersion(); version > c.version {
 		c.version = version
-		c.since = c.world.now
+		c.versionCommittedAt = c.world.now
 	}
 	c.byIndex[entry.GetIndex()] = name
 	c.byID[id] = entry.GetIndex()
@@ -85,7 +85,7 @@
 	id := command.GetId()
 	change := command.GetConfigChange()
 	code := reply.Result.GetCode()
-	if code == nodepb.ResultCode_CONFLICT && change.GetBaseVersion() == c.version && c.since <= asked {
+	if code == nodepb.ResultCode_CONFLICT && change.GetBaseVersion() == c.version && c.versionCommittedAt <= asked {
 		c.errorf("%s builds on the newest version %d and is turned down", id, c.version)
 	}
 	if code == nodepb.ResultCode_INVALID && change.GetVersion() > change.GetBaseVersion() {
@@ -109,11 +109,11 @@
 		c.errorf("%s acknowledged but not taken", id)
 	}
 	base := command.GetConfigChange().GetBaseVersion()
-	if other, ok := c.ackedBy[base]; ok && other != id {
+	if other, ok := c.acknowledgedByBase[base]; ok && other != id {
 		c.errorf("%s and %s both acknowledged on version %d", other, id, base)
 	}
-	c.ackedBy[base] = id
-	c.acked[id] = index
+	c.acknowledgedByBase[base] = id
+	c.acknowledged[id] = index
 	c.newest = max(c.newest, index)
 }
 
@@ -129,7 +129,7 @@
 	if reply.State.GetIndex() < floor {
 		c.errorf("read shows index %d, but %d was shown before it was asked", reply.State.GetIndex(), floor)
 	}
-	for id, index := range c.acked {
+	for id, index := range c.acknowledged {
 		if _, there := state.Taken[id]; !there && index <= reply.State.GetIndex() {
 			c.errorf("acknowledged %s (index %d) is missing from the state at %d", id, index, reply.State.GetIndex())
 		}
--- a/internal/node/chain/disk_test.go
+++ b/internal/node/chain/disk_test.go
@@ -18,8 +18,8 @@
 	sync      time.Duration
 	failing   bool
 	hangUntil core.Time
-	// out is the write under way.
-	out *core.Write
+	// inFlight is the write under way.
+	inFlight *core.Write
 }
 
 // end is when a write that begins now is over.
@@ -30,8 +30,8 @@
 
 // complete makes the write under way durable, or fails it with a part of it on the disk.
 func (d *disk) complete(random *rand.Rand) error {
-	write := d.out
-	d.out = nil
+	write := d.inFlight
+	d.inFlight = nil
 	if d.failing {
 		d.keepPart(write, random)
 		return errDisk
@@ -45,10 +45,10 @@
 
 // stop ends the write under way with the process or the power: a part of it may have come through.
 func (d *disk) stop(random *rand.Rand) {
-	if d.out != nil {
-		d.keepPart(d.out, random)
+	if d.inFlight != nil {
+		d.keepPart(d.inFlight, random)
 	}
-	d.out = nil
+	d.inFlight = nil
 }
 
 func (d *disk) keepPart(write *core.Write, random *rand.Rand) {
--- a/internal/node/chain/faults_test.go
+++ b/internal/node/chain/faults_test.go
@@ -18,12 +18,12 @@
 // faults plays troubles at random times. What must hold whatever happens is checked throughout; wipes stay within what
 // faultTolerance allows.
 type faults struct {
-	world *world
-	until core.Time
-	pause time.Duration // between two troubles, at most
-	wiped int           // disks lost since all machines were in the chain
-	// beyond: disks were lost while there were too few voters; what was acknowledged must hold even so.
-	beyond bool
+	world    *world
+	until    core.Time
+	interval time.Duration // between two troubles, at most
+	wiped    int           // disks lost since all machines were in the chain
+	// beyondTolerance: disks were lost while there were too few voters; what was acknowledged must hold even so.
+	beyondTolerance bool
 }
 
 func (f *faults) next() {
@@ -31,37 +31,37 @@
 	if w.now >= f.until {
 		return
 	}
-	f.one()
-	w.after(time.Duration(w.random.Int64N(int64(f.pause))), f.next)
+	f.inject()
+	w.after(time.Duration(w.random.Int64N(int64(f.interval))), f.next)
 }
 
-func (f *faults) one() {
+func (f *faults) inject() {
 	w := f.world
 	switch w.random.IntN(15) {
 	case 0, 1:
-		f.killed(f.pick(), f.short())
+		f.killFor(f.pick(), f.randomDuration())
 	case 2:
-		f.killedMany()
+		f.killMany()
 	case 3, 4:
-		f.pick().freeze(f.short())
+		f.pick().freeze(f.randomDuration())
 	case 5:
-		f.oneWayCut()
+		f.oneWayPartition()
 	case 6:
-		f.twoSidedCut()
+		f.twoSidedPartition()
 	case 7:
-		f.cutOff(f.pick())
+		f.isolate(f.pick())
 	case 8:
-		f.pairCut()
+		f.pairPartition()
 	case 9:
-		f.diskTrouble(f.pick())
+		f.diskFault(f.pick())
 	case 10:
-		f.wipe()
+		f.wipeDisks()
 	case 11:
-		f.noise()
+		f.lossyNetwork()
 	case 12:
-		f.transfer(f.pick())
+		f.leave(f.pick())
 	case 13:
-		f.sayAndDie()
+		f.crashAfterSending()
 	case 14:
 		f.replace()
 	}
@@ -72,42 +72,42 @@
 	return w.nodes[w.order[w.random.IntN(w.settings.core)]]
 }
 
-func (f *faults) short() time.Duration {
+func (f *faults) randomDuration() time.Duration {
 	return 50*time.Millisecond + time.Duration(f.world.random.Int64N(int64(5*time.Second)))
 }
 
-func (f *faults) killed(n *node, d time.Duration) {
+func (f *faults) killFor(n *node, d time.Duration) {
 	n.kill()
 	f.world.after(d, n.start)
 }
 
-func (f *faults) killedMany() {
+func (f *faults) killMany() {
 	w := f.world
-	d := f.short() / 2
+	d := f.randomDuration() / 2
 	for _, address := range w.order[:w.settings.core] {
 		if w.random.IntN(3) > 0 {
-			f.killed(w.nodes[address], d+time.Duration(w.random.Int64N(int64(time.Second))))
+			f.killFor(w.nodes[address], d+time.Duration(w.random.Int64N(int64(time.Second))))
 		}
 	}
 }
 
 func (f *faults) heal() { f.world.net.heal() }
 
-func (f *faults) oneWayCut() {
+func (f *faults) oneWayPartition() {
 	a, b := f.pick(), f.pick()
 	f.world.logf("cut %s -> %s", a.address, b.address)
-	f.world.net.cut(a.address, b.address)
-	f.world.after(f.short(), f.heal)
+	f.world.net.partition(a.address, b.address)
+	f.world.after(f.randomDuration(), f.heal)
 }
 
-func (f *faults) pairCut() {
+func (f *faults) pairPartition() {
 	a, b := f.pick(), f.pick()
 	f.world.logf("cut %s <-> %s", a.address, b.address)
-	f.world.net.cutBoth(a.address, b.address)
-	f.world.after(f.short(), f.heal)
+	f.world.net.partitionBoth(a.address, b.address)
+	f.world.after(f.randomDuration(), f.heal)
 }
 
-func (f *faults) twoSidedCut() {
+func (f *faults) twoSidedPartition() {
 	w := f.world
 	var sides [2][]string
 	for _, address := range w.order {
@@ -117,63 +117,63 @@
 	w.logf("cut %v | %v", sides[0], sides[1])
 	for _, a := range sides[0] {
 		for _, b := range sides[1] {
-			w.net.cutBoth(a, b)
+			w.net.partitionBoth(a, b)
 		}
 	}
-	w.after(f.short(), f.heal)
+	w.after(f.randomDuration(), f.heal)
 }
 
-func (f *faults) cutOff(n *node) {
+func (f *faults) isolate(n *node) {
 	w := f.world
 	w.logf("cut off %s", n.address)
 	for _, other := range w.order {
-		w.net.cutBoth(n.address, other)
+		w.net.partitionBoth(n.address, other)
 	}
-	w.after(f.short(), f.heal)
+	w.after(f.randomDuration(), f.heal)
 }
 
-func (f *faults) diskTrouble(n *node) {
+func (f *faults) diskFault(n *node) {
 	w := f.world
 	switch w.random.IntN(3) {
 	case 0:
 		w.logf("disk of %s fails", n.address)
 		d := n.disk
 		d.failing = true
-		w.after(f.short(), func() { d.failing = false })
+		w.after(f.randomDuration(), func() { d.failing = false })
 	case 1:
 		w.logf("disk of %s hangs", n.address)
-		n.disk.hangUntil = w.now + f.short()
+		n.disk.hangUntil = w.now + f.randomDuration()
 	case 2:
 		w.logf("disk of %s is slow", n.address)
 		d := n.disk
 		d.sync = 20 * w.sync
-		w.after(f.short(), func() { d.sync = w.sync })
+		w.after(f.randomDuration(), func() { d.sync = w.sync })
 	}
 }
 
-// wipe loses the disks of as many machines as may be lost until all are in the chain again; the others lose power at the
+// wipeDisks loses the disks of as many machines as may be lost until all are in the chain again; the others lose power at the
 // same time, some of the time.
-func (f *faults) wipe() {
+func (f *faults) wipeDisks() {
 	w := f.world
-	if w.allSettled() {
+	if w.allInChain() {
 		f.wiped = 0
 	}
 	power := w.random.IntN(2) == 0
 	lost := w.random.IntN(w.settings.tolerance - f.wiped + 1)
 	f.wiped += lost
 	if newest := w.newestView(); lost > 0 {
-		f.beyond = f.beyond || len(newest.GetVoters()) <= 2*w.settings.tolerance
+		f.beyondTolerance = f.beyondTolerance || len(newest.GetVoters()) <= 2*w.settings.tolerance
 	}
 	first := w.random.IntN(w.settings.core)
 	for i := range w.settings.core {
 		n := w.nodes[w.order[(first+i)%w.settings.core]]
 		if i < lost {
 			n.wipe()
-			w.after(f.short(), n.start)
+			w.after(f.randomDuration(), n.start)
 			continue
 		}
 		if power {
-			f.killed(n, f.short()/2)
+			f.killFor(n, f.randomDuration()/2)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 // replace removes a machine for good and adds another with an empty disk, as one of those that may be lost.
 func (f *faults) replace() {
 	w := f.world
-	if !w.allSettled() || w.settings.tolerance == 0 {
+	if !w.allInChain() || w.settings.tolerance == 0 {
 		return
 	}
 	f.wiped = 1
@@ -192,20 +192,20 @@
 	w.order = w.order[:len(w.order)-1]
 	w.logf("%s replaces %s", spare.address, w.order[i])
 	w.order[i] = spare.address
-	w.after(f.short(), spare.start)
+	w.after(f.randomDuration(), spare.start)
 }
 
-// sayAndDie kills machines right after they have said something that others rely on.
-func (f *faults) sayAndDie() {
+// crashAfterSending kills machines right after they have said something that others rely on.
+func (f *faults) crashAfterSending() {
 	w := f.world
 	w.logf("machines die as they speak")
-	w.net.dieAfter = 0.02
-	w.net.died = func(n *node) { f.killed(n, f.short()/4) }
-	w.after(f.short(), f.quiet)
+	w.net.crashProbability = 0.02
+	w.net.onCrash = func(n *node) { f.killFor(n, f.randomDuration()/4) }
+	w.after(f.randomDuration(), f.endNetworkFaults)
 }
 
-// allSettled reports whether every core machine runs and is in the chain, and nobody else is a voter.
-func (w *world) allSettled() bool {
+// allInChain reports whether every core machine runs and is in the chain, and nobody else is a voter.
+func (w *world) allInChain() bool {
 	for _, address := range w.order[:w.settings.core] {
 		n := w.nodes[address]
 		if !n.running || n.frozenUntil > w.now || n.store.Status().Role == chain.OutsideChain {
@@ -215,29 +215,29 @@
 	return w.chainLength() == w.settings.core && len(w.newestView().GetVoters()) == w.settings.core
 }
 
-func (f *faults) noise() {
+func (f *faults) lossyNetwork() {
 	w := f.world
 	w.logf("noise")
-	w.net.loss = 0.2 * w.random.Float64()
-	w.net.duplicate = 0.2 * w.random.Float64()
-	w.net.jitter = f.short() / 20
-	w.net.straggle = 0.03 * w.random.Float64()
-	w.after(f.short(), f.quiet)
+	w.net.lossProbability = 0.2 * w.random.Float64()
+	w.net.duplicateProbability = 0.2 * w.random.Float64()
+	w.net.jitter = f.randomDuration() / 20
+	w.net.delayProbability = 0.03 * w.random.Float64()
+	w.after(f.randomDuration(), f.endNetworkFaults)
 }
 
-func (f *faults) quiet() {
+func (f *faults) endNetworkFaults() {
 	w := f.world
-	w.net.loss, w.net.duplicate, w.net.jitter, w.net.straggle, w.net.dieAfter = 0, 0, 0, 0, 0
+	w.net.lossProbability, w.net.duplicateProbability, w.net.jitter, w.net.delayProbability, w.net.crashProbability = 0, 0, 0, 0, 0
 }
 
-func (f *faults) transfer(n *node) {
+func (f *faults) leave(n *node) {
 	w := f.world
 	if !n.running {
 		return
 	}
 	w.logf("transfer %s", n.address)
 	n.input(func() { n.carryOut(n.store.Leave(w.now)) })
-	w.after(time.Second, func() { f.killed(n, f.short()) })
+	w.after(time.Second, func() { f.killFor(n, f.randomDuration()) })
 }
 
 // playSeed runs a world with faults, then a calm time in which everything has to work again.
@@ -257,22 +257,22 @@
 	a := w.newOperator("a", pace)
 	b := w.newOperator("b", pace/2)
 	f := &faults{world: w, until: 20 * time.Second}
-	f.pause = 100*time.Millisecond + time.Duration(w.random.Int64N(int64(1500*time.Millisecond)))
+	f.interval = 100*time.Millisecond + time.Duration(w.random.Int64N(int64(1500*time.Millisecond)))
 	w.after(time.Duration(w.random.Int64N(int64(2*time.Second))), f.next)
 	w.run(f.until)
-	f.quiet()
+	f.endNetworkFaults()
 	f.heal()
 	w.run(f.until + 6*time.Second) // the last troubles end
-	if f.beyond {
+	if f.beyondTolerance {
 		w.runFor(5 * time.Second)
 		return
 	}
-	a.pause, b.pause = 10*time.Millisecond, 10*time.Millisecond
-	before := a.acked + b.acked
-	w.runUntil("acknowledges again", 4*time.Second, func() bool { return a.acked+b.acked > before })
-	w.runUntil("all in the chain again", 5*time.Second, w.allSettled)
+	a.interval, b.interval = 10*time.Millisecond, 10*time.Millisecond
+	before := a.acknowledged + b.acknowledged
+	w.runUntil("acknowledges again", 4*time.Second, func() bool { return a.acknowledged+b.acknowledged > before })
+	w.runUntil("all in the chain again", 5*time.Second, w.allInChain)
 	a.stopped = true
-	w.runUntil("the other operator is answered too", 5*time.Second, b.acksAgain(3))
+	w.runUntil("the other operator is answered too", 5*time.Second, b.acknowledgesMore(3))
 	b.stopped = true
 	w.runFor(2 * time.Second)
 	final := &operator{world: w, name: "final", stopped: true}
--- a/internal/node/chain/network_test.go
+++ b/internal/node/chain/network_test.go
@@ -11,32 +11,32 @@
 
 // network carries messages with delay, loss, repeats and cuts.
 type network struct {
-	world     *world
-	delay     time.Duration
-	jitter    time.Duration
-	loss      float64
-	duplicate float64
-	straggle  float64            // chance that a message takes seconds
-	cuts      map[[2]string]bool // from, to
-	dieAfter  float64            // chance that a machine dies right after it sent something
-	died      func(n *node)
-	sent      int
-	relayed   int
+	world                *world
+	delay                time.Duration
+	jitter               time.Duration
+	lossProbability      float64
+	duplicateProbability float64
+	delayProbability     float64            // chance that a message takes seconds
+	partitions           map[[2]string]bool // from, to
+	crashProbability     float64            // chance that a machine dies right after it sent something
+	onCrash              func(n *node)
+	sent                 int
+	relayed              int
 }
 
 func (t *network) send(from *node, output core.Send) {
 	t.sent++
 	t.deliver(from, output)
-	if t.world.random.Float64() < t.duplicate {
+	if t.world.random.Float64() < t.duplicateProbability {
 		t.deliver(from, output)
 	}
-	if t.dieAfter > 0 && weighty(output.Message) && t.world.random.Float64() < t.dieAfter {
-		t.world.after(0, func() { t.died(from) })
+	if t.crashProbability > 0 && bindsSender(output.Message) && t.world.random.Float64() < t.crashProbability {
+		t.world.after(0, func() { t.onCrash(from) })
 	}
 }
 
-// weighty reports whether others rely on the message.
-func weighty(envelope *nodepb.Envelope) bool {
+// bindsSender reports whether others rely on the message.
+func bindsSender(envelope *nodepb.Envelope) bool {
 	switch envelope.GetBody().(type) {
 	case *nodepb.Envelope_Promise, *nodepb.Envelope_Accepted, *nodepb.Envelope_Accept, *nodepb.Envelope_Append,
 		*nodepb.Envelope_SubmitReply, *nodepb.Envelope_CatchUpDone, *nodepb.Envelope_ViewDecided:
@@ -60,39 +60,39 @@
 }
 
 // carry brings something from one machine to another, if nothing is in the way when it is sent and when it comes.
-func (t *network) carry(from, address string, arrived func(to *node)) {
+func (t *network) carry(from, address string, arrived func(destination *node)) {
 	w := t.world
-	to := w.nodes[address]
+	destination := w.nodes[address]
 	way := [2]string{from, address}
-	if to == nil || w.random.Float64() < t.loss || t.cuts[way] {
+	if destination == nil || w.random.Float64() < t.lossProbability || t.partitions[way] {
 		return
 	}
 	delay := t.delay/2 + time.Duration(w.random.Int64N(int64(t.delay+t.jitter)+1))
-	if w.random.Float64() < t.straggle {
+	if w.random.Float64() < t.delayProbability {
 		delay += time.Duration(w.random.Int64N(int64(4 * time.Second)))
 	}
-	life := to.life
+	incarnation := destination.incarnation
 	w.after(delay, func() {
-		if to.life != life || !to.running || t.cuts[way] {
+		if destination.incarnation != incarnation || !destination.running || t.partitions[way] {
 			return
 		}
-		to.input(func() { arrived(to) })
+		destination.input(func() { arrived(destination) })
 	})
 }
 
-// cut stops messages from one machine to another.
-func (t *network) cut(from, to string) {
-	if t.cuts == nil {
-		t.cuts = make(map[[2]string]bool)
+// partition stops messages from one machine to another.
+func (t *network) partition(from, destination string) {
+	if t.partitions == nil {
+		t.partitions = make(map[[2]string]bool)
 	}
-	t.cuts[[2]string{from, to}] = true
+	t.partitions[[2]string{from, destination}] = true
 }
 
-// cutBoth stops messages between two machines.
-func (t *network) cutBoth(a, b string) {
-	t.cut(a, b)
-	t.cut(b, a)
+// partitionBoth stops messages between two machines.
+func (t *network) partitionBoth(a, b string) {
+	t.partition(a, b)
+	t.partition(b, a)
 }
 
 // heal joins everything again.
-func (t *network) heal() { t.cuts = nil }
+func (t *network) heal() { t.partitions = nil }
--- a/internal/node/chain/node_test.go
+++ b/internal/node/chain/node_test.go
@@ -21,7 +21,7 @@
 	counts  bool
 	disk    *disk
 
-	life        int
+	incarnation int
 	running     bool
 	removed     bool // for good
 	frozenUntil core.Time
@@ -51,7 +51,7 @@
 		return
 	}
 	w := n.world
-	n.life++
+	n.incarnation++
 	n.running = true
 	n.frozenUntil = 0
 	n.generation++
@@ -62,11 +62,11 @@
 	n.replies = make(map[uint64]func(core.Reply))
 	n.client = submit.New(submit.Options{Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))})
 	n.store = nil
-	w.logf("start %s life %d", n.address, n.life)
+	w.logf("start %s life %d", n.address, n.incarnation)
 	if n.counts {
 		n.startStore()
 	}
-	n.tellPeers()
+	n.notifyMembers()
 	n.arm()
 }
 
@@ -86,10 +86,10 @@
 	n.carryOut(outputs)
 }
 
-func (n *node) nodeID() string { return fmt.Sprintf("%s#%d", n.address, n.life) }
+func (n *node) nodeID() string { return fmt.Sprintf("%s#%d", n.address, n.incarnation) }
 
-// tellPeers names the core machines as membership would, which goes on while the process lives.
-func (n *node) tellPeers() {
+// notifyMembers names the core machines as membership would, which goes on while the process lives.
+func (n *node) notifyMembers() {
 	w := n.world
 	var members []*nodepb.Member
 	for _, address := range w.order {
@@ -97,15 +97,15 @@
 			members = append(members, &nodepb.Member{Address: address, CountsForQuorum: true, DiskId: other.disk.id})
 		}
 	}
-	n.carryOut(n.client.SetCore(w.now, members))
+	n.carryOut(n.client.SetCoreMembers(w.now, members))
 	if n.store != nil {
 		n.store.SetRelays(w.relays())
 		n.carryOut(n.store.SetQuorumMembers(w.now, members))
 	}
-	life := n.life
+	incarnation := n.incarnation
 	w.after(500*time.Millisecond, func() {
-		if n.running && n.life == life {
-			n.input(func() { n.tellPeers() })
+		if n.running && n.incarnation == incarnation {
+			n.input(func() { n.notifyMembers() })
 		}
 	})
 }
@@ -139,9 +139,9 @@
 		return
 	}
 	if n.frozenUntil > n.world.now {
-		life := n.life
+		incarnation := n.incarnation
 		n.world.at(n.frozenUntil, func() {
-			if n.life == life {
+			if n.incarnation == incarnation {
 				n.input(step)
 			}
 		})
@@ -177,10 +177,10 @@
 	n.wakeAt = deadline
 	n.generation++
 	generation := n.generation
-	life := n.life
+	incarnation := n.incarnation
 	late := time.Duration(n.world.random.Int64N(int64(2 * time.Millisecond)))
 	n.world.at(max(deadline, n.world.now)+late, func() {
-		if n.generation == generation && n.life == life {
+		if n.generation == generation && n.incarnation == incarnation {
 			n.input(n.tick)
 		}
 	})
@@ -234,13 +234,13 @@
 // write puts records on the disk; the process hears of it when that is over.
 func (n *node) write(write core.Write) {
 	w := n.world
-	if n.disk.out != nil {
+	if n.disk.inFlight != nil {
 		w.t.Errorf("%s: a write while another is out", n.address)
 	}
-	n.disk.out = &write
-	life := n.life
+	n.disk.inFlight = &write
+	incarnation := n.incarnation
 	w.at(n.disk.end(w.now, w.random), func() {
-		if n.life != life || !n.running || n.disk.out == nil {
+		if n.incarnation != incarnation || !n.running || n.disk.inFlight == nil {
 			return
 		}
 		err := n.disk.complete(w.random)
--- a/internal/node/chain/operator_test.go
+++ b/internal/node/chain/operator_test.go
@@ -11,23 +11,23 @@
 // operator sends changes and reads, one after another, through machines it picks at random. A change with no clear
 // answer is sent again as it was.
 type operator struct {
-	world   *world
-	name    string
-	through []string // addresses of the machines it may call; nil: all
-	pause   time.Duration
-	count   int
-	version uint64 // as it knows
-	stopped bool
-	command *nodepb.Command // without a clear answer yet
-	acked   int
-	ackedAt core.Time     // when the newest acknowledgement came
-	longest time.Duration // between two acknowledgements
-	reads   int
-	slowest core.Time // that a call took to be answered in any way
+	world          *world
+	name           string
+	through        []string // addresses of the machines it may call; nil: all
+	interval       time.Duration
+	count          int
+	version        uint64 // as it knows
+	stopped        bool
+	command        *nodepb.Command // without a clear answer yet
+	acknowledged   int
+	acknowledgedAt core.Time     // when the newest acknowledgement came
+	longestGap     time.Duration // between two acknowledgements
+	reads          int
+	slowestCall    core.Time // that a call took to be answered in any way
 }
 
-func (w *world) newOperator(name string, pause time.Duration) *operator {
-	o := &operator{world: w, name: name, pause: pause}
+func (w *world) newOperator(name string, interval time.Duration) *operator {
+	o := &operator{world: w, name: name, interval: interval}
 	w.after(time.Second, o.next)
 	return o
 }
@@ -57,35 +57,35 @@
 // giveUpAfter goes on where the machine dies before it answers.
 func (o *operator) giveUpAfter(n *node) {
 	w := o.world
-	round := o.count
+	attempt := o.count
 	o.count++
 	w.after(1500*time.Millisecond, func() {
-		if o.count == round+1 {
+		if o.count == attempt+1 {
 			o.next()
 		}
 	})
 }
 
-func (o *operator) again() {
+func (o *operator) scheduleNext() {
 	o.count++
-	o.world.after(time.Duration(o.world.random.Int64N(int64(2*o.pause)+1)), o.next)
+	o.world.after(time.Duration(o.world.random.Int64N(int64(2*o.interval)+1)), o.next)
 }
 
 func (o *operator) read(n *node) {
 	floor := o.world.checks.newest
-	round := o.count
+	attempt := o.count
 	asked := o.world.now
 	n.call(nil, func(reply core.Reply) {
-		o.slowest = max(o.slowest, o.world.now-asked)
+		o.slowestCall = max(o.slowestCall, o.world.now-asked)
 		state, ok := o.world.checks.readAnswer(floor, reply)
-		if o.count != round {
+		if o.count != attempt {
 			return
 		}
 		if ok {
 			o.version = state.Version
 			o.reads++
 		}
-		o.again()
+		o.scheduleNext()
 	})
 }
 
@@ -95,26 +95,26 @@
 		o.command = o.newCommand()
 	}
 	command := o.command
-	round := o.count
+	attempt := o.count
 	asked := w.now
 	n.call(command, func(reply core.Reply) {
-		o.slowest = max(o.slowest, w.now-asked)
+		o.slowestCall = max(o.slowestCall, w.now-asked)
 		w.checks.answered(command, asked, reply)
 		if o.command == command {
-			o.settle(reply.Result)
+			o.recordResult(reply.Result)
 		}
-		if o.count == round {
-			o.again()
+		if o.count == attempt {
+			o.scheduleNext()
 		}
 	})
 }
 
-func (o *operator) settle(result *nodepb.CommandResult) {
+func (o *operator) recordResult(result *nodepb.CommandResult) {
 	switch result.GetCode() {
 	case nodepb.ResultCode_TAKEN:
-		o.acked++
-		o.longest = max(o.longest, o.world.now-o.ackedAt)
-		o.ackedAt = o.world.now
+		o.acknowledged++
+		o.longestGap = max(o.longestGap, o.world.now-o.acknowledgedAt)
+		o.acknowledgedAt = o.world.now
 		o.version = o.command.GetConfigChange().GetVersion()
 		o.command = nil
 	case nodepb.ResultCode_CONFLICT:
--- a/internal/node/chain/protocol_test.go
+++ b/internal/node/chain/protocol_test.go
@@ -12,11 +12,11 @@
 
 func TestPromiseIsDurableBeforeItIsGiven(t *testing.T) {
 	base := testView(1, "abc", "abc")
-	m := memberOf(t, "a", base)
+	m := newTestReplicaInView(t, "a", base)
 	m.receive("b", prepareOf(2, 5, base))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Promise>addr-b"})
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Promise>addr-b"})
 
 	m.start()
 	m.receive("b", prepareOf(2, 4, base))
@@ -25,34 +25,34 @@
 	assert.Equal(t, refusal.GetNumber().GetCounter(), uint64(5))
 }
 
-func TestAcceptanceIsDurableBeforeItIsTold(t *testing.T) {
+func TestAcceptanceIsDurableBeforeItIsSent(t *testing.T) {
 	base := testView(1, "abc", "abc")
 	value := testView(2, "abc", "ba")
-	m := memberOf(t, "a", base)
+	m := newTestReplicaInView(t, "a", base)
 	m.receive("b", acceptOf(2, 3, value))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Accepted>addr-b"})
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Accepted>addr-b"})
 
 	m.start()
 	m.receive("c", prepareOf(2, 9, base))
-	m.durable()
+	m.completeWrites()
 	promise := find(m, (*nodepb.Envelope).GetPromise)
 	assert.Equal(t, promise.GetAcceptedNumber().GetCounter(), uint64(3))
 	assert.DeepEqual(t, promise.GetAcceptedView().GetChain(), []string{"b", "a"})
 }
 
-func TestAnEmptyDiskDoesNotVoteAsItsFormerSelf(t *testing.T) {
+func TestEmptyDiskDoesNotVoteForItsPredecessor(t *testing.T) {
 	base := testView(1, "abc", "abc")
-	m := newMember(t, &nodepb.Voter{DiskId: "new", Address: "addr-a", NodeId: "node-a"})
+	m := newTestReplica(t, &nodepb.Voter{DiskId: "new", Address: "addr-a", NodeId: "node-a"})
 	m.receive("b", prepareOf(2, 5, base))
 	m.receive("b", acceptOf(2, 5, testView(2, "abc", "bc")))
-	m.durable()
-	assert.Equal(t, len(m.take()), 0)
+	m.completeWrites()
+	assert.Equal(t, len(m.takeSent()), 0)
 }
 
-func TestVotesForDecidedEpochsTellTheView(t *testing.T) {
-	m := memberOf(t, "a", testView(4, "abc", "abc"))
+func TestVotesForDecidedEpochsReturnTheView(t *testing.T) {
+	m := newTestReplicaInView(t, "a", testView(4, "abc", "abc"))
 	m.receive("b", prepareOf(3, 5, nil))
 	assert.Equal(t, find(m, (*nodepb.Envelope).GetPromise).GetDecided().GetEpoch(), uint64(4))
 	m.receive("b", acceptOf(4, 5, testView(4, "abc", "c")))
@@ -61,68 +61,68 @@
 	assert.Equal(t, accepted.GetDecided().GetEpoch(), uint64(4))
 }
 
-func TestMiddlePassesOnOnlyWhatIsDurable(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+func TestMiddleForwardsOnlyDurableEntries(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Append>addr-c"})
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"})
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	assert.DeepEqual(t, m.take(), []string{"Append>addr-c"}) // a repeat goes on at once
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"}) // a repeat goes on at once
 	m.receive("c", noticeOf(1, 1, 1))
 	assert.Equal(t, m.store.Status().Committed, uint64(1))
 }
 
-func TestHeadPassesOnOnlyWhatIsDurable(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
+func TestHeadForwardsOnlyDurableEntries(t *testing.T) {
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
 	m.receive("api", submitOf(command("y", 0, 2)))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Append>addr-b"})
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"})
 	m.receive("c", noticeOf(1, 1, 1))
-	m.durable()
+	m.completeWrites()
 	assert.Equal(t, m.store.Status().Committed, uint64(1))
 	rejection := find(m, (*nodepb.Envelope).GetBarrier)
 	assert.Equal(t, rejection.GetRejection().GetCode(), nodepb.ResultCode_CONFLICT, "the second passes the chain as a rejection")
 }
 
-func TestTailAnswersWhatIsDurable(t *testing.T) {
-	m := memberOf(t, "c", testView(1, "abc", "abc"))
+func TestTailAnswersOnlyDurableEntries(t *testing.T) {
+	m := newTestReplicaInView(t, "c", testView(1, "abc", "abc"))
 	m.receive("b", appendOf(1, entry(1, 1, "x"), 0, 0))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"SubmitReply>addr-api", "CommitNotice>addr-a", "CommitNotice>addr-b"})
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"SubmitReply>addr-api", "CommitNotice>addr-a", "CommitNotice>addr-b"})
 	m.receive("b", appendOf(1, entry(1, 1, "x"), 0, 0))
-	assert.DeepEqual(t, m.take(), []string{"CommitNotice>addr-a", "CommitNotice>addr-b"}) // a repeat is not answered twice
+	assert.DeepEqual(t, m.takeSent(), []string{"CommitNotice>addr-a", "CommitNotice>addr-b"}) // a repeat is not answered twice
 }
 
 // TestShortChainAnswersNothing: neither is a new command taken, nor an inherited one acknowledged, nor a read answered.
 func TestShortChainAnswersNothing(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
-	m.durable()
-	m.take()
+	m.completeWrites()
+	m.takeSent()
 	m.receive("x", &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: testView(2, "abc", "a")}}})
 	m.receive("api", submitOf(command("y", 0, 1)))
 	m.receive("api", &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: &nodepb.Submit{Request: 8, Read: true}}})
-	m.durable()
+	m.completeWrites()
 	m.collect(m.store.RequestConfirmation(m.now))
-	assert.Equal(t, len(m.take()), 0)
+	assert.Equal(t, len(m.takeSent()), 0)
 	assert.Equal(t, m.store.Status().Committed, uint64(0))
 	assert.Assert(t, m.store.Status().HasPending && !m.store.Status().EverConfirmed)
 }
 
 func TestOnlyVoterAcknowledges(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "a", "a"))
+	m := newTestReplicaInView(t, "a", testView(1, "a", "a"))
 	m.receive("api", submitOf(command("x", 0, 1)))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"SubmitReply>addr-api"})
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"SubmitReply>addr-api"})
 }
 
-func TestOtherEpochsAreIgnored(t *testing.T) {
+func TestReplicaRejectsOtherEpochs(t *testing.T) {
 	messages := map[string]func(epoch uint64) *nodepb.Envelope{
 		"append":  func(epoch uint64) *nodepb.Envelope { return appendOf(epoch, entry(1, epoch, "x"), 0, 0) },
 		"barrier": func(epoch uint64) *nodepb.Envelope { return readBarrier(epoch, 0, 0, 0) },
@@ -131,92 +131,92 @@
 	}
 	for name, message := range messages {
 		for _, self := range []string{"a", "b", "c"} {
-			m := memberOf(t, self, testView(3, "abc", "abc"))
+			m := newTestReplicaInView(t, self, testView(3, "abc", "abc"))
 			m.receive("d", message(2))
-			m.durable()
-			assert.DeepEqual(t, m.take(), []string{"ViewDecided>addr-d"})
+			m.completeWrites()
+			assert.DeepEqual(t, m.takeSent(), []string{"ViewDecided>addr-d"})
 			m.receive("d", message(4))
-			m.durable()
-			assert.Equal(t, len(m.take()), 0, name)
+			m.completeWrites()
+			assert.Equal(t, len(m.takeSent()), 0, name)
 			assert.Assert(t, !m.store.Status().HasPending, name)
 		}
 	}
 }
 
-// TestTailCommitsItsOwnAfterARestart: it may have answered the entry, and the notices to the others may be lost.
-func TestTailCommitsItsOwnAfterARestart(t *testing.T) {
-	m := memberOf(t, "c", testView(1, "abc", "abc"))
+// TestRestartedTailCommitsItsLastEntry: it may have answered the entry, and the notices to the others may be lost.
+func TestRestartedTailCommitsItsLastEntry(t *testing.T) {
+	m := newTestReplicaInView(t, "c", testView(1, "abc", "abc"))
 	m.receive("b", appendOf(1, entry(1, 1, "x"), 0, 0))
-	m.durable()
-	m.take()
+	m.completeWrites()
+	m.takeSent()
 	m.start()
 	m.receive("b", readBarrier(1, 0, 0, 1))
 	reply := find(m, (*nodepb.Envelope).GetSubmitReply)
 	assert.Equal(t, reply.GetState().GetIndex(), uint64(1))
 }
 
-// TestHeadHoldsBarriersBackAfterARestart: its last entry may have been acknowledged.
-func TestHeadHoldsBarriersBackAfterARestart(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
+// TestRestartedHeadDefersBarriersUntilItsLastEntryCommits: its last entry may have been acknowledged.
+func TestRestartedHeadDefersBarriersUntilItsLastEntryCommits(t *testing.T) {
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
-	m.durable()
+	m.completeWrites()
 	m.start()
-	assert.DeepEqual(t, m.take(), []string{"Append>addr-b"}) // it repeats the entry
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"}) // it repeats the entry
 	m.receive("api", &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: &nodepb.Submit{Request: 8, Read: true}}})
-	assert.Equal(t, len(m.take()), 0)
+	assert.Equal(t, len(m.takeSent()), 0)
 	m.receive("c", noticeOf(1, 1, 1))
-	assert.DeepEqual(t, m.take(), []string{"Barrier>addr-b"})
+	assert.DeepEqual(t, m.takeSent(), []string{"Barrier>addr-b"})
 }
 
-func TestNewHeadCommitsWhatItInherits(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+func TestNewHeadCommitsItsInheritedEntryFirst(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	m.durable()
-	m.take()
+	m.completeWrites()
+	m.takeSent()
 	m.receive("x", &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: testView(2, "abc", "bc")}}})
-	assert.Equal(t, len(m.take()), 0, "not before the view is durable")
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Append>addr-c"})
+	assert.Equal(t, len(m.takeSent()), 0, "not before the view is durable")
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"})
 	m.receive("api", submitOf(command("y", 0, 1)))
-	m.durable()
-	assert.Equal(t, len(m.take()), 0)
+	m.completeWrites()
+	assert.Equal(t, len(m.takeSent()), 0)
 	m.receive("c", noticeOf(2, 1, 1))
 	barrier := find(m, (*nodepb.Envelope).GetBarrier)
 	assert.Equal(t, barrier.GetRejection().GetCode(), nodepb.ResultCode_CONFLICT)
 }
 
-func TestNoticeOfAnotherEntryIsNotTaken(t *testing.T) {
-	m := memberOf(t, "b", testView(3, "abc", "abc"))
+func TestCommitNoticeOfAnotherEntryIsIgnored(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(3, "abc", "abc"))
 	m.receive("a", appendOf(3, entry(1, 2, "x"), 0, 0))
-	m.durable()
+	m.completeWrites()
 	m.receive("c", noticeOf(3, 1, 3))
 	assert.Equal(t, m.store.Status().Committed, uint64(0))
 	m.receive("c", noticeOf(3, 1, 2))
 	assert.Equal(t, m.store.Status().Committed, uint64(1))
 }
 
-func TestBarrierDropsWhatTheHeadDoesNotHave(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+func TestBarrierDiscardsAnEntryTheHeadLacks(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	m.durable()
+	m.completeWrites()
 	m.receive("x", &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: testView(2, "abc", "cba")}}})
-	m.durable()
-	m.take()
+	m.completeWrites()
+	m.takeSent()
 	m.receive("c", readBarrier(2, 0, 0, 0))
-	assert.Equal(t, len(m.take()), 0, "not before it is durable that the entry is dropped")
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Barrier>addr-a"})
+	assert.Equal(t, len(m.takeSent()), 0, "not before it is durable that the entry is dropped")
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Barrier>addr-a"})
 	m.start()
 	assert.Assert(t, !m.store.Status().HasPending)
 }
 
 func TestEntryOfTheNewHeadReplacesAStaleOne(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	m.durable()
+	m.completeWrites()
 	m.receive("x", &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: testView(2, "abc", "cb")}}})
 	m.receive("c", appendOf(2, entry(1, 2, "y"), 0, 0))
-	m.durable()
+	m.completeWrites()
 	assert.Assert(t, m.machine.state.Taken["y"] == 1 && m.machine.state.Taken["x"] == 0, "%v", m.machine.state)
 }
 
@@ -227,60 +227,60 @@
 	}}}
 }
 
-func TestJoinerAnswersWhenDurableAndDoesNotGoBack(t *testing.T) {
-	m := memberOf(t, "d", testView(1, "abc", "abc"))
+func TestJoinerAcknowledgesDurableCatchUpAndNeverGoesBack(t *testing.T) {
+	m := newTestReplicaInView(t, "d", testView(1, "abc", "abc"))
 	m.receive("a", catchUpOf(2, 0, 0, nil, entry(1, 1, "x")))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
 	done := find(m, (*nodepb.Envelope).GetCatchUpDone)
 	assert.Equal(t, done.GetLastIndex(), uint64(1))
 	assert.Equal(t, done.GetLastEpoch(), uint64(1))
-	m.take()
+	m.takeSent()
 	m.start()
 	m.receive("a", catchUpOf(1, 0, 0, nil, nil))
-	m.durable()
-	assert.Equal(t, len(m.take()), 0, "an older state of the same epoch")
+	m.completeWrites()
+	assert.Equal(t, len(m.takeSent()), 0, "an older state of the same epoch")
 	assert.Assert(t, m.store.Status().HasPending)
 	m.receive("b", catchUpOf(3, 0, 0, nil, nil))
-	m.durable()
-	assert.Equal(t, len(m.take()), 0, "not from the head")
+	m.completeWrites()
+	assert.Equal(t, len(m.takeSent()), 0, "not from the head")
 }
 
-func TestJoinerAsksForASnapshotWhereEntriesAreNotEnough(t *testing.T) {
-	m := memberOf(t, "d", testView(1, "abc", "abc"))
+func TestJoinerRequestsASnapshotWhereEntriesDoNotSuffice(t *testing.T) {
+	m := newTestReplicaInView(t, "d", testView(1, "abc", "abc"))
 	m.receive("a", catchUpOf(1, 5, 1, nil, nil))
-	m.durable()
-	assert.Equal(t, len(m.take()), 0)
+	m.completeWrites()
+	assert.Equal(t, len(m.takeSent()), 0)
 	full := newRegister()
 	for index := uint64(1); index <= 5; index++ {
 		full.Apply(entry(index, 1, string(rune('u'+index))))
 	}
 	m.receive("a", catchUpOf(2, 5, 1, full.Snapshot(), entry(6, 1, "x")))
-	m.durable()
+	m.completeWrites()
 	done := find(m, (*nodepb.Envelope).GetCatchUpDone)
 	assert.Equal(t, done.GetCommitted(), uint64(5))
 	assert.Equal(t, done.GetLastIndex(), uint64(6))
 }
 
-func TestHeadSendsJoinersOnlyWhatIsDurable(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
+func TestHeadSendsJoinersOnlyDurableEntries(t *testing.T) {
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
 	m.receive("d", joinOf("d", 1, 0, 0, "a", "b", "c"))
-	assert.Equal(t, len(m.take()), 0)
-	m.durable()
-	m.take()
+	assert.Equal(t, len(m.takeSent()), 0)
+	m.completeWrites()
+	m.takeSent()
 	m.receive("d", joinOf("d", 1, 0, 0, "a", "b", "c"))
-	assert.DeepEqual(t, m.take(), []string{"CatchUp>addr-d"})
+	assert.DeepEqual(t, m.takeSent(), []string{"CatchUp>addr-d"})
 }
 
-func TestJoinerMustReachTheWholeChain(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
+func TestJoinerMustReachEveryChainMember(t *testing.T) {
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("d", joinOf("d", 1, 0, 0, "a", "b"))
-	assert.Equal(t, len(m.take()), 0)
+	assert.Equal(t, len(m.takeSent()), 0)
 }
 
-// quarter lets a quarter of a second pass, in which the member has a round trip with the voters named.
-func (m *member) quarter(names ...string) {
+// passQuarterSecond lets a quarter of a second pass, in which the member has a round trip with the voters named.
+func (m *testReplica) passQuarterSecond(names ...string) {
 	m.now += 250 * time.Millisecond
 	m.sent = nil
 	m.collect(m.store.Tick(m.now))
@@ -304,76 +304,76 @@
 	}}}
 }
 
-// TestJoinerIsNamedOnlyWithTheLastEntry: what a joiner lacks is sent again, and no entry is taken meanwhile.
-func TestJoinerIsNamedOnlyWithTheLastEntry(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
-	m.quarter("b", "c")
-	m.take()
+// TestJoinerIsAddedOnlyWithTheLastEntry: what a joiner lacks is sent again, and no entry is taken meanwhile.
+func TestJoinerIsAddedOnlyWithTheLastEntry(t *testing.T) {
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
+	m.passQuarterSecond("b", "c")
+	m.takeSent()
 	m.receive("d", joinOf("d", 1, 0, 0, "a", "b", "c"))
 	sequence := find(m, (*nodepb.Envelope).GetCatchUp).GetSequence()
 	m.receive("api", submitOf(command("x", 0, 1)))
-	m.durable()
-	m.take()
+	m.completeWrites()
+	m.takeSent()
 	m.receive("d", doneOf("d", sequence, 0, 0))
-	assert.DeepEqual(t, m.take(), []string{"CatchUp>addr-d"})
+	assert.DeepEqual(t, m.takeSent(), []string{"CatchUp>addr-d"})
 	m.receive("c", noticeOf(1, 1, 1))
 	m.receive("api", submitOf(command("y", 1, 2)))
-	m.durable()
-	assert.Equal(t, len(m.take()), 0, "held for the joiner")
+	m.completeWrites()
+	assert.Equal(t, len(m.takeSent()), 0, "held for the joiner")
 	m.receive("d", doneOf("d", sequence+1, 1, 1))
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Prepare>addr-b", "Prepare>addr-c"})
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Prepare>addr-b", "Prepare>addr-c"})
 }
 
-// TestWedgedMemberPassesNothing: from its own proposal on.
-func TestWedgedMemberPassesNothing(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
-	m.quarter("a", "c")
+// TestWedgedMemberForwardsNothing: from its own proposal on.
+func TestWedgedMemberForwardsNothing(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
+	m.passQuarterSecond("a", "c")
 	for m.write == nil {
-		m.quarter("a") // c is silent
+		m.passQuarterSecond("a") // c is silent
 	}
 	assert.Assert(t, m.now <= 2*time.Second)
-	m.durable()
-	ballot := find(m, (*nodepb.Envelope).GetPrepare).GetNumber()
+	m.completeWrites()
+	number := find(m, (*nodepb.Envelope).GetPrepare).GetNumber()
 	assert.Assert(t, !m.store.Status().Wedged)
-	promise := &nodepb.Promise{Epoch: 2, Number: ballot, Acceptor: "a"}
+	promise := &nodepb.Promise{Epoch: 2, Number: number, Acceptor: "a"}
 	m.receive("a", &nodepb.Envelope{Body: &nodepb.Envelope_Promise{Promise: promise}})
 	assert.Assert(t, m.store.Status().Wedged)
 	m.sent = nil
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	m.receive("a", readBarrier(1, 0, 0, 0))
-	assert.Equal(t, len(m.take()), 0, "nothing of the epoch, and no Accept before the wedge is durable")
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Accept>addr-a", "Accept>addr-c"})
+	assert.Equal(t, len(m.takeSent()), 0, "nothing of the epoch, and no Accept before the wedge is durable")
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Accept>addr-a", "Accept>addr-c"})
 	m.start()
 	assert.Assert(t, m.store.Status().Wedged, "also after a restart")
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	m.durable()
-	assert.Equal(t, len(m.take()), 0)
+	m.completeWrites()
+	assert.Equal(t, len(m.takeSent()), 0)
 }
 
-func TestFailedWriteIsRepeated(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+func TestFailedWriteIsRetried(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	failed := m.write
 	m.write = nil
 	m.collect(m.store.Written(m.now, failed.Token, errDisk))
 	assert.Assert(t, m.write == nil)
 	assert.Assert(t, !m.store.Status().DiskHealthy)
-	assert.Equal(t, len(m.take()), 0)
+	assert.Equal(t, len(m.takeSent()), 0)
 	m.now += 500 * time.Millisecond
 	m.collect(m.store.Tick(m.now))
 	assert.DeepEqual(t, m.write.Records, failed.Records)
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Append>addr-c"})
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"})
 	assert.Assert(t, !m.store.Status().DiskHealthy, "not at once")
 	m.now += time.Second
 	m.collect(m.store.Tick(m.now))
 	assert.Assert(t, m.store.Status().DiskHealthy)
 }
 
-func TestSlowWriteIsTrouble(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+func TestSlowWriteIsADiskFault(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	m.now += time.Second + time.Millisecond
 	m.collect(m.store.Tick(m.now))
@@ -381,30 +381,30 @@
 }
 
 func TestConfirmationAtTheTail(t *testing.T) {
-	m := memberOf(t, "c", testView(1, "abc", "abc"))
+	m := newTestReplicaInView(t, "c", testView(1, "abc", "abc"))
 	m.now = 5 * time.Second
 	m.collect(m.store.Tick(m.now))
-	m.take()
+	m.takeSent()
 	m.collect(m.store.RequestConfirmation(m.now))
 	request := find(m, (*nodepb.Envelope).GetBarrierRequest)
-	m.take()
+	m.takeSent()
 	m.now += 20 * time.Millisecond
 	m.collect(m.store.RequestConfirmation(m.now))
-	assert.Equal(t, len(m.take()), 0, "one is running")
+	assert.Equal(t, len(m.takeSent()), 0, "one is running")
 	m.receive("b", &nodepb.Envelope{Body: &nodepb.Envelope_Barrier{Barrier: &nodepb.Barrier{
 		Epoch: 1, Nonce: request.GetNonce(), Number: 3,
 	}}})
-	assert.DeepEqual(t, m.take(), []string{"CommitNotice>addr-a"})
+	assert.DeepEqual(t, m.takeSent(), []string{"CommitNotice>addr-a"})
 	status := m.store.Status()
 	assert.Assert(t, status.EverConfirmed)
 	assert.Equal(t, status.ConfirmedAt, 5*time.Second, "as of when it was asked for")
 	m.now += 100 * time.Millisecond
 	m.collect(m.store.RequestConfirmation(m.now))
-	assert.Equal(t, len(m.take()), 0, "young enough")
+	assert.Equal(t, len(m.takeSent()), 0, "young enough")
 }
 
 func TestLeaseOfTheHead(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.now = 3 * time.Second
 	m.receive("c", &nodepb.Envelope{Body: &nodepb.Envelope_BarrierRequest{BarrierRequest: &nodepb.BarrierRequest{Epoch: 1, Nonce: 77}}})
 	barrier := find(m, (*nodepb.Envelope).GetBarrier)
@@ -417,42 +417,42 @@
 	assert.Equal(t, status.LeaseStart, 3*time.Second)
 }
 
-func TestSubmitsArePassedToTheHead(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+func TestSubmitsAreForwardedToTheHead(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
 	passed := find(m, (*nodepb.Envelope).GetSubmit)
 	assert.Equal(t, passed.GetOrigin().GetAddress(), "addr-api")
 	assert.Equal(t, passed.GetOrigin().GetRequest(), uint64(7))
 	assert.Equal(t, passed.GetHops(), uint32(1))
-	m.take()
+	m.takeSent()
 	passed.Hops = 3
 	m.receive("c", &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: passed}})
-	assert.Equal(t, len(m.take()), 0)
+	assert.Equal(t, len(m.takeSent()), 0)
 }
 
 func TestQueueExpires(t *testing.T) {
-	m := memberOf(t, "a", testView(1, "abc", "abc"))
+	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
 	m.receive("api", submitOf(command("y", 0, 2)))
-	m.durable()
-	m.take()
+	m.completeWrites()
+	m.takeSent()
 	m.now += 701 * time.Millisecond
 	m.receive("c", noticeOf(1, 1, 1))
-	m.durable()
-	assert.DeepEqual(t, m.take(), []string{"Append>addr-b"}) // who waited too long is not answered
+	m.completeWrites()
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"}) // who waited too long is not answered
 }
 
-func TestCompactKeepsEverything(t *testing.T) {
-	m := memberOf(t, "b", testView(1, "abc", "abc"))
+func TestCheckpointKeepsEverything(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	m.durable()
+	m.completeWrites()
 	m.receive("a", appendOf(1, entry(2, 1, "y"), 1, 1))
-	m.durable()
+	m.completeWrites()
 	m.receive("c", prepareOf(2, 6, testView(1, "abc", "abc")))
-	m.durable()
+	m.completeWrites()
 	m.collect(m.store.RequestCheckpoint(m.now))
 	assert.Assert(t, m.write.Checkpoint)
-	m.durable()
+	m.completeWrites()
 	before := m.store.Status()
 	m.start()
 	after := m.store.Status()
@@ -465,7 +465,7 @@
 
 func TestRoles(t *testing.T) {
 	for name, role := range map[string]chain.MemberRole{"a": chain.Head, "b": chain.Middle, "c": chain.Tail, "d": chain.OutsideChain} {
-		assert.Equal(t, memberOf(t, name, testView(1, "abcd", "abc")).store.Status().Role, role)
+		assert.Equal(t, newTestReplicaInView(t, name, testView(1, "abcd", "abc")).store.Status().Role, role)
 	}
-	assert.Equal(t, memberOf(t, "a", testView(1, "a", "a")).store.Status().Role, chain.SoleMember)
+	assert.Equal(t, newTestReplicaInView(t, "a", testView(1, "a", "a")).store.Status().Role, chain.SoleMember)
 }
--- a/internal/node/chain/read_test.go
+++ b/internal/node/chain/read_test.go
@@ -10,9 +10,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// TestReadersThatHoldTheNewestStateAreToldSo: the answer names the index alone; a reader that lacks something gets all.
-func TestReadersThatHoldTheNewestStateAreToldSo(t *testing.T) {
-	w, o := settled(t, four)
+// TestReadOfTheNewestStateReturnsItsIndexAlone: the answer names the index alone; a reader that lacks something gets all.
+func TestReadOfTheNewestStateReturnsItsIndexAlone(t *testing.T) {
+	w, o := newRunningWorld(t, fourCoreMachines)
 	o.stopped = true
 	w.runFor(time.Second)
 	newest := w.checks.newest
@@ -28,34 +28,34 @@
 	}
 }
 
-// TestAMemberThatWasAwayForHundredsOfChanges comes back while changes go on: with its disk, and with an empty one.
-func TestAMemberThatWasAwayForHundredsOfChanges(t *testing.T) {
+// TestMemberCatchesUpAfterHundredsOfChanges comes back while changes go on: with its disk, and with an empty one.
+func TestMemberCatchesUpAfterHundredsOfChanges(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
-		w, o := settled(t, four)
+		w, o := newRunningWorld(t, fourCoreMachines)
 		n := w.nodes["core-2"]
 		n.kill()
 		if wiped {
 			n.wipe()
 		}
-		w.runUntil("four hundred changes", time.Minute, o.acksAgain(400))
+		w.runUntil("four hundred changes", time.Minute, o.acknowledgesMore(400))
 		n.start()
-		took := w.runUntil("in the chain again", 2*time.Second, w.allSettled)
+		took := w.runUntil("in the chain again", 2*time.Second, w.allInChain)
 		t.Logf("wiped: %v, in the chain after %v", wiped, took)
-		w.runUntil("goes on", time.Second, o.acksAgain(5))
+		w.runUntil("goes on", time.Second, o.acknowledgesMore(5))
 	}
 }
 
-// TestEntriesWithAGapAreNotTaken: neither one that skips an index, nor another one for an index that is committed.
-func TestEntriesWithAGapAreNotTaken(t *testing.T) {
-	m := memberOf(t, "b", testView(3, "abc", "abc"))
+// TestEntriesWithAGapAreRejected: neither one that skips an index, nor another one for an index that is committed.
+func TestEntriesWithAGapAreRejected(t *testing.T) {
+	m := newTestReplicaInView(t, "b", testView(3, "abc", "abc"))
 	m.receive("a", appendOf(3, entry(1, 3, "one"), 0, 0))
-	m.durable()
+	m.completeWrites()
 	m.receive("c", noticeOf(3, 1, 3))
-	m.take()
+	m.takeSent()
 	for _, wrong := range []*nodepb.Entry{entry(3, 3, "three"), entry(1, 2, "another")} {
 		m.receive("a", appendOf(3, wrong, 1, 3))
-		m.durable()
-		assert.Equal(t, len(m.take()), 0)
+		m.completeWrites()
+		assert.Equal(t, len(m.takeSent()), 0)
 		assert.Assert(t, !m.store.Status().HasPending)
 	}
 	assert.Equal(t, m.store.Status().Committed, uint64(1))
--- a/internal/node/chain/replica_test.go
+++ b/internal/node/chain/replica_test.go
@@ -13,8 +13,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// member is one Store alone, to which a test hands messages one by one, and whose disk the test completes.
-type member struct {
+// testReplica is one Store alone, to which a test hands messages one by one, and whose disk the test completes.
+type testReplica struct {
 	t       *testing.T
 	self    *nodepb.Voter
 	store   *chain.Replica
@@ -43,23 +43,23 @@
 	return v
 }
 
-func newMember(t *testing.T, self *nodepb.Voter) *member {
-	m := &member{t: t, self: self}
+func newTestReplica(t *testing.T, self *nodepb.Voter) *testReplica {
+	m := &testReplica{t: t, self: self}
 	m.start()
 	return m
 }
 
-// memberOf is a member that has the view on its disk.
-func memberOf(t *testing.T, name string, installed *nodepb.View) *member {
-	m := newMember(t, voter(name))
+// newTestReplicaInView is a member that has the view on its disk.
+func newTestReplicaInView(t *testing.T, name string, installed *nodepb.View) *testReplica {
+	m := newTestReplica(t, voter(name))
 	m.receive("x", &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: installed}}})
-	m.durable()
-	m.take()
+	m.completeWrites()
+	m.takeSent()
 	return m
 }
 
 // start begins a life of the member with what is on its disk.
-func (m *member) start() {
+func (m *testReplica) start() {
 	m.machine = newRegister()
 	m.write = nil
 	m.sent = nil
@@ -71,7 +71,7 @@
 	m.collect(outputs)
 }
 
-func (m *member) collect(outputs []core.Output) {
+func (m *testReplica) collect(outputs []core.Output) {
 	for _, output := range outputs {
 		switch output := output.(type) {
 		case core.Send:
@@ -84,12 +84,12 @@
 	}
 }
 
-func (m *member) receive(from string, envelope *nodepb.Envelope) {
+func (m *testReplica) receive(from string, envelope *nodepb.Envelope) {
 	m.collect(m.store.Receive(m.now, core.Peer{NodeID: "node-" + from, Address: "addr-" + from}, envelope))
 }
 
-// durable completes writes until none is under way.
-func (m *member) durable() {
+// completeWrites completes writes until none is under way.
+func (m *testReplica) completeWrites() {
 	for m.write != nil {
 		write := m.write
 		m.write = nil
@@ -101,8 +101,8 @@
 	}
 }
 
-// take returns what was sent since, each as "kind>address", without pings.
-func (m *member) take() []string {
+// takeSent returns what was sent since, each as "kind>address", without pings.
+func (m *testReplica) takeSent() []string {
 	var kinds []string
 	for _, output := range m.sent {
 		kind := fmt.Sprintf("%T", output.Message.GetBody())[len("*nodepb.Envelope_"):]
@@ -115,14 +115,14 @@
 }
 
 // find returns the newest message sent that the picker takes.
-func find[T any](m *member, pick func(*nodepb.Envelope) *T) *T {
+func find[T any](m *testReplica, pick func(*nodepb.Envelope) *T) *T {
 	for i := len(m.sent) - 1; i >= 0; i-- {
 		if found := pick(m.sent[i].Message); found != nil {
 			return found
 		}
 	}
 	m.t.Helper()
-	m.t.Fatalf("not sent, only %v", m.take())
+	m.t.Fatalf("not sent, only %v", m.takeSent())
 	return nil
 }
 
--- a/internal/node/chain/scenario_test.go
+++ b/internal/node/chain/scenario_test.go
@@ -43,13 +43,13 @@
 	return len(newest.GetChain())
 }
 
-func (w *world) whole(length int) func() bool {
+func (w *world) chainHasLength(length int) func() bool {
 	return func() bool { return w.chainLength() == length }
 }
 
-func (o *operator) acksAgain(count int) func() bool {
-	before := o.acked
-	return func() bool { return o.acked >= before+count }
+func (o *operator) acknowledgesMore(count int) func() bool {
+	before := o.acknowledged
+	return func() bool { return o.acknowledged >= before+count }
 }
 
 func TestFoundingAndFirstCommands(t *testing.T) {
@@ -60,30 +60,30 @@
 		{core: 8, founders: 3, proxies: 2, tolerance: 2},
 	} {
 		w := newWorld(t, 1, settings)
-		took := w.runUntil("all in the chain", 2*time.Second, w.whole(settings.core))
+		took := w.runUntil("all in the chain", 2*time.Second, w.chainHasLength(settings.core))
 		t.Logf("%d core machines in the chain after %v", settings.core, took)
 		o := w.newOperator("a", 5*time.Millisecond)
 		w.runFor(5 * time.Second)
-		assert.Assert(t, o.acked > 20, "acknowledged only %d", o.acked)
+		assert.Assert(t, o.acknowledged > 20, "acknowledged only %d", o.acknowledged)
 		assert.Assert(t, o.reads > 10, "read only %d", o.reads)
 	}
 }
 
-// settled is a world whose machines are all in the chain, and an operator that has begun.
-func settled(t *testing.T, settings worldSettings) (*world, *operator) {
+// newRunningWorld is a world whose machines are all in the chain, and an operator that has begun.
+func newRunningWorld(t *testing.T, settings worldSettings) (*world, *operator) {
 	t.Helper()
 	w := newWorld(t, *firstSeed+7, settings)
-	w.runUntil("all in the chain", 2*time.Second, w.whole(settings.core))
+	w.runUntil("all in the chain", 2*time.Second, w.chainHasLength(settings.core))
 	o := w.newOperator("a", 2*time.Millisecond)
 	if settings.proxies > 0 {
 		o.through = w.order[settings.core:]
 	}
-	w.runUntil("first acknowledgements", 3*time.Second, o.acksAgain(5))
-	o.longest = 0
+	w.runUntil("first acknowledgements", 3*time.Second, o.acknowledgesMore(5))
+	o.longestGap = 0
 	return w, o
 }
 
-var four = worldSettings{core: 4, founders: 3, proxies: 2, tolerance: 1}
+var fourCoreMachines = worldSettings{core: 4, founders: 3, proxies: 2, tolerance: 1}
 
 func (w *world) inRole(role chain.MemberRole) *node {
 	for _, n := range w.stores() {
@@ -97,16 +97,16 @@
 
 func TestKilledMemberReturns(t *testing.T) {
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
-		for _, away := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second} {
-			w, o := settled(t, four)
+		for _, downtime := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second} {
+			w, o := newRunningWorld(t, fourCoreMachines)
 			n := w.inRole(role)
 			n.kill()
-			w.runFor(away)
+			w.runFor(downtime)
 			n.start()
-			back := w.runUntil("in the chain again", 1500*time.Millisecond, w.allSettled)
-			w.runUntil("acknowledges", time.Second, o.acksAgain(5))
-			t.Logf("%v killed for %v: no acknowledgement for %v, in the chain again after %v", role, away, o.longest, back)
-			assert.Assert(t, o.longest < 2*time.Second, "no acknowledgement for %v", o.longest)
+			back := w.runUntil("in the chain again", 1500*time.Millisecond, w.allInChain)
+			w.runUntil("acknowledges", time.Second, o.acknowledgesMore(5))
+			t.Logf("%v killed for %v: no acknowledgement for %v, in the chain again after %v", role, downtime, o.longestGap, back)
+			assert.Assert(t, o.longestGap < 2*time.Second, "no acknowledgement for %v", o.longestGap)
 		}
 	}
 }
@@ -115,10 +115,10 @@
 	for _, settings := range []worldSettings{
 		{core: 1, founders: 1, proxies: 1, tolerance: 0},
 		{core: 3, founders: 3, proxies: 1, tolerance: 1},
-		four,
+		fourCoreMachines,
 		{core: 8, founders: 3, proxies: 1, tolerance: 2},
 	} {
-		w, o := settled(t, settings)
+		w, o := newRunningWorld(t, settings)
 		before := w.newestView().GetEpoch()
 		for _, n := range w.stores() {
 			n.kill()
@@ -128,7 +128,7 @@
 			w.after(time.Duration(w.random.Int64N(int64(100*time.Millisecond))), w.nodes[address].start)
 		}
 		w.runFor(100 * time.Millisecond)
-		took := w.runUntil("acknowledges", time.Second, o.acksAgain(1))
+		took := w.runUntil("acknowledges", time.Second, o.acknowledgesMore(1))
 		t.Logf("%d core machines: acknowledged %v after the last was back", settings.core, took)
 		w.runFor(3 * time.Second)
 		assert.Equal(t, w.newestView().GetEpoch(), before, "the view stays")
@@ -138,13 +138,13 @@
 func TestPowerLossAndLostDisks(t *testing.T) {
 	for _, settings := range []worldSettings{
 		{core: 3, founders: 3, proxies: 1, tolerance: 1},
-		four,
+		fourCoreMachines,
 		{core: 6, founders: 3, proxies: 1, tolerance: 2},
 		{core: 8, founders: 3, proxies: 1, tolerance: 2},
 	} {
 		for first := range settings.core {
-			w, o := settled(t, settings)
-			acked := o.acked
+			w, o := newRunningWorld(t, settings)
+			acked := o.acknowledged
 			for i := range settings.core {
 				n := w.nodes[w.order[(first+i)%settings.core]]
 				if i < settings.tolerance {
@@ -154,169 +154,169 @@
 				w.after(300*time.Millisecond, n.start)
 			}
 			w.runFor(300 * time.Millisecond)
-			took := w.runUntil("acknowledges", 3*time.Second, o.acksAgain(5))
-			whole := w.runUntil("all in the chain", 3*time.Second, w.allSettled)
-			t.Logf("%d core machines, disks lost from %d on: acknowledged after %v, whole %v later", settings.core, first, took, whole)
-			assert.Assert(t, len(w.checks.acked) > acked)
+			took := w.runUntil("acknowledges", 3*time.Second, o.acknowledgesMore(5))
+			rejoined := w.runUntil("all in the chain", 3*time.Second, w.allInChain)
+			t.Logf("%d core machines, disks lost from %d on: acknowledged after %v, whole %v later", settings.core, first, took, rejoined)
+			assert.Assert(t, len(w.checks.acknowledged) > acked)
 			assert.Equal(t, len(w.newestView().GetVoters()), settings.core)
 		}
 	}
 }
 
 func TestReplacedMachine(t *testing.T) {
-	for _, settings := range []worldSettings{{core: 3, founders: 3, proxies: 1, tolerance: 1}, four} {
-		w, o := settled(t, settings)
+	for _, settings := range []worldSettings{{core: 3, founders: 3, proxies: 1, tolerance: 1}, fourCoreMachines} {
+		w, o := newRunningWorld(t, settings)
 		w.nodes["core-1"].kill()
 		w.runFor(500 * time.Millisecond)
 		w.addNode("spare-1", true).start()
-		took := w.runUntil("the successor is in the chain", 3*time.Second, w.whole(settings.core))
+		took := w.runUntil("the successor is in the chain", 3*time.Second, w.chainHasLength(settings.core))
 		t.Logf("%d core machines: the successor is in the chain after %v", settings.core, took)
 		w.runFor(4 * time.Second)
 		assert.Equal(t, len(w.newestView().GetVoters()), settings.core, "the lost voter is dropped")
 		w.nodes["core-2"].kill()
-		w.runUntil("acknowledges with another one lost", 2*time.Second, o.acksAgain(5))
+		w.runUntil("acknowledges with another one lost", 2*time.Second, o.acknowledgesMore(5))
 	}
 }
 
-func TestCutInTwo(t *testing.T) {
-	w, o := settled(t, worldSettings{core: 3, founders: 3, proxies: 1, tolerance: 1})
+func TestMajorityContinuesWithoutAPartitionedHead(t *testing.T) {
+	w, o := newRunningWorld(t, worldSettings{core: 3, founders: 3, proxies: 1, tolerance: 1})
 	head := w.inRole(chain.Head)
 	for _, other := range w.order {
-		w.net.cutBoth(head.address, other)
+		w.net.partitionBoth(head.address, other)
 	}
-	w.runUntil("the majority goes on", 2500*time.Millisecond, o.acksAgain(5))
+	w.runUntil("the majority goes on", 2500*time.Millisecond, o.acknowledgesMore(5))
 	assert.Equal(t, head.store.Status().Role, chain.Head, "the old head can't know")
 	assert.Assert(t, !head.store.Status().Wedged, "a minority doesn't wedge itself")
 	w.runFor(5 * time.Second)
 	w.net.heal()
-	took := w.runUntil("whole again", 1500*time.Millisecond, w.allSettled)
+	took := w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
 	t.Logf("whole again %v after the cut healed", took)
 }
 
-// cutSides stops messages between every two machines of different sides.
-func (w *world) cutSides(a, b []string) {
+// partitionSides stops messages between every two machines of different sides.
+func (w *world) partitionSides(a, b []string) {
 	for _, one := range a {
 		for _, other := range b {
-			w.net.cutBoth(one, other)
+			w.net.partitionBoth(one, other)
 		}
 	}
 }
 
-// TestEvenCutStopsBothSides cuts the proxies as well, so that no machine reaches both sides.
-func TestEvenCutStopsBothSides(t *testing.T) {
-	w, o := settled(t, four)
-	w.cutSides([]string{"core-1", "core-2", "proxy-1"}, []string{"core-3", "core-4", "proxy-2"})
+// TestEvenPartitionStopsBothSides cuts the proxies as well, so that no machine reaches both sides.
+func TestEvenPartitionStopsBothSides(t *testing.T) {
+	w, o := newRunningWorld(t, fourCoreMachines)
+	w.partitionSides([]string{"core-1", "core-2", "proxy-1"}, []string{"core-3", "core-4", "proxy-2"})
 	w.runFor(100 * time.Millisecond)
-	before := o.acked
+	before := o.acknowledged
 	w.runFor(5 * time.Second)
-	assert.Equal(t, o.acked, before)
+	assert.Equal(t, o.acknowledged, before)
 	w.net.heal()
-	took := w.runUntil("acknowledges", 1500*time.Millisecond, o.acksAgain(5))
+	took := w.runUntil("acknowledges", 1500*time.Millisecond, o.acknowledgesMore(5))
 	t.Logf("acknowledges %v after the cut healed", took)
 }
 
-func TestCutBetweenTwoMembersDoesNotFlap(t *testing.T) {
+func TestPartitionBetweenTwoMembersDoesNotFlap(t *testing.T) {
 	for _, pair := range [][2]string{{"core-1", "core-2"}, {"core-1", "core-4"}, {"core-2", "core-3"}, {"core-3", "core-4"}} {
 		for _, oneWay := range []bool{false, true} {
-			w, o := settled(t, four)
+			w, o := newRunningWorld(t, fourCoreMachines)
 			before := w.newestView().GetEpoch()
-			w.net.cut(pair[0], pair[1])
+			w.net.partition(pair[0], pair[1])
 			if !oneWay {
-				w.net.cut(pair[1], pair[0])
+				w.net.partition(pair[1], pair[0])
 			}
 			w.runFor(20 * time.Second)
 			changes := w.newestView().GetEpoch() - before
-			t.Logf("cut %v one way %v: %d views, no acknowledgement for %v", pair, oneWay, changes, o.longest)
+			t.Logf("cut %v one way %v: %d views, no acknowledgement for %v", pair, oneWay, changes, o.longestGap)
 			assert.Assert(t, changes <= 2, "%d views", changes)
-			assert.Assert(t, o.longest < 3*time.Second, "no acknowledgement for %v", o.longest)
+			assert.Assert(t, o.longestGap < 3*time.Second, "no acknowledgement for %v", o.longestGap)
 			w.net.heal()
-			w.runUntil("whole again", 1500*time.Millisecond, w.allSettled)
+			w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
 		}
 	}
 }
 
-func TestFrozenMember(t *testing.T) {
+func TestSuspendedMemberRejoins(t *testing.T) {
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		for _, frozen := range []time.Duration{600 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
-			w, o := settled(t, four)
+			w, o := newRunningWorld(t, fourCoreMachines)
 			n := w.inRole(role)
 			n.freeze(frozen)
 			w.runFor(frozen)
-			took := w.runUntil("whole again", 1500*time.Millisecond, w.allSettled)
-			t.Logf("%v frozen for %v: no acknowledgement for %v, whole %v after", role, frozen, o.longest, took)
-			assert.Assert(t, o.longest < 2*time.Second, "no acknowledgement for %v", o.longest)
+			took := w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
+			t.Logf("%v frozen for %v: no acknowledgement for %v, whole %v after", role, frozen, o.longestGap, took)
+			assert.Assert(t, o.longestGap < 2*time.Second, "no acknowledgement for %v", o.longestGap)
 			assert.Equal(t, len(w.newestView().GetVoters()), 4)
 		}
 	}
 }
 
-func TestAllFrozenBlameNobody(t *testing.T) {
-	w, o := settled(t, four)
+func TestViewSurvivesSuspensionOfAllMembers(t *testing.T) {
+	w, o := newRunningWorld(t, fourCoreMachines)
 	before := w.newestView().GetEpoch()
 	for _, n := range w.stores() {
 		n.freeze(3 * time.Second)
 	}
 	w.runFor(5 * time.Second)
 	assert.Equal(t, w.newestView().GetEpoch(), before, "the view stays")
-	w.runUntil("acknowledges", time.Second, o.acksAgain(5))
+	w.runUntil("acknowledges", time.Second, o.acknowledgesMore(5))
 }
 
-func TestDiskTrouble(t *testing.T) {
-	troubles := map[string]func(w *world, n *node){
+func TestMemberWithADiskFaultLeavesTheChain(t *testing.T) {
+	faults := map[string]func(w *world, n *node){
 		"fails": func(w *world, n *node) {
 			n.disk.failing = true
 			w.after(5*time.Second, func() { n.disk.failing = false })
 		},
 		"hangs": func(w *world, n *node) { n.disk.hangUntil = w.now + 5*time.Second },
 	}
-	for name, trouble := range troubles {
+	for name, injectFault := range faults {
 		for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
-			w, o := settled(t, four)
+			w, o := newRunningWorld(t, fourCoreMachines)
 			n := w.inRole(role)
-			trouble(w, n)
+			injectFault(w, n)
 			w.runFor(5 * time.Second)
 			assert.Equal(t, n.store.Status().Role, chain.OutsideChain, "a disk in trouble leaves the chain")
-			took := w.runUntil("whole again", 3*time.Second, w.allSettled)
-			t.Logf("disk of the %v %s: no acknowledgement for %v, whole %v after", role, name, o.longest, took)
-			assert.Assert(t, o.longest < 2500*time.Millisecond, "no acknowledgement for %v", o.longest)
+			took := w.runUntil("whole again", 3*time.Second, w.allInChain)
+			t.Logf("disk of the %v %s: no acknowledgement for %v, whole %v after", role, name, o.longestGap, took)
+			assert.Assert(t, o.longestGap < 2500*time.Millisecond, "no acknowledgement for %v", o.longestGap)
 		}
 	}
 }
 
-func TestTransfer(t *testing.T) {
+func TestLeavingMemberHandsOver(t *testing.T) {
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
-		w, o := settled(t, four)
+		w, o := newRunningWorld(t, fourCoreMachines)
 		n := w.inRole(role)
 		n.input(func() { n.carryOut(n.store.Leave(w.now)) })
 		w.runFor(500 * time.Millisecond)
 		assert.Equal(t, n.store.Status().Role, chain.OutsideChain)
 		n.kill()
 		w.runFor(2 * time.Second)
-		t.Logf("%v handed over and ended: no acknowledgement for %v", role, o.longest)
-		assert.Assert(t, o.longest < 300*time.Millisecond, "no acknowledgement for %v", o.longest)
+		t.Logf("%v handed over and ended: no acknowledgement for %v", role, o.longestGap)
+		assert.Assert(t, o.longestGap < 300*time.Millisecond, "no acknowledgement for %v", o.longestGap)
 		n.start()
-		w.runUntil("whole again", 1500*time.Millisecond, w.allSettled)
+		w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
 	}
 }
 
-func TestTransferOfTwo(t *testing.T) {
-	w, o := settled(t, worldSettings{core: 2, founders: 2, proxies: 1, tolerance: 1})
+func TestLeavingHeadOfTwoBecomesTail(t *testing.T) {
+	w, o := newRunningWorld(t, worldSettings{core: 2, founders: 2, proxies: 1, tolerance: 1})
 	head := w.inRole(chain.Head)
 	head.input(func() { head.carryOut(head.store.Leave(w.now)) })
 	w.runFor(500 * time.Millisecond)
 	assert.Equal(t, head.store.Status().Role, chain.Tail, "the chain needs both, so that the head goes to its end")
-	w.runUntil("acknowledges", time.Second, o.acksAgain(5))
+	w.runUntil("acknowledges", time.Second, o.acknowledgesMore(5))
 }
 
 func TestMissingFounder(t *testing.T) {
 	for missing := range 3 {
 		w := newWorld(t, 3, worldSettings{core: 4, founders: 3, proxies: 1, tolerance: 1, late: missing + 1})
-		away := w.nodes[w.order[missing]]
+		late := w.nodes[w.order[missing]]
 		w.runUntil("a view without it", 3*time.Second, func() bool { return w.newestView() != nil })
 		w.runFor(2 * time.Second)
 		assert.Equal(t, len(w.newestView().GetChain()), 3)
-		away.start()
-		w.runUntil("it joins", 1500*time.Millisecond, w.whole(4))
+		late.start()
+		w.runUntil("it joins", 1500*time.Millisecond, w.chainHasLength(4))
 	}
 }
 
@@ -331,13 +331,13 @@
 		}
 		w.runFor(35 * time.Millisecond)
 	}
-	w.runUntil("all in the chain", 3*time.Second, w.whole(3))
+	w.runUntil("all in the chain", 3*time.Second, w.chainHasLength(3))
 }
 
 // TestQuietCost bounds what a core without commands sends.
 func TestQuietCost(t *testing.T) {
 	w := newWorld(t, 1, worldSettings{core: 8, founders: 3, tolerance: 2})
-	w.runUntil("all in the chain", 2*time.Second, w.whole(8))
+	w.runUntil("all in the chain", 2*time.Second, w.chainHasLength(8))
 	w.runFor(time.Second)
 	before := w.net.sent
 	w.runFor(10 * time.Second)
--- a/internal/node/chain/transfer_test.go
+++ b/internal/node/chain/transfer_test.go
@@ -9,28 +9,28 @@
 	"kestrelspread/internal/node/chain"
 )
 
-// TestCallsOutliveATransfer: what reaches a head that hands over is answered by its successor, not only when the caller asks
+// TestCallsSurviveAHandover: what reaches a head that hands over is answered by its successor, not only when the caller asks
 // another machine.
-func TestCallsOutliveATransfer(t *testing.T) {
-	const longest = 150 * time.Millisecond
+func TestCallsSurviveAHandover(t *testing.T) {
+	const maxCallTime = 150 * time.Millisecond
 	for seed := range uint64(40) {
-		w := newWorld(t, seed, four)
-		w.runUntil("all in the chain", 2*time.Second, w.whole(four.core))
+		w := newWorld(t, seed, fourCoreMachines)
+		w.runUntil("all in the chain", 2*time.Second, w.chainHasLength(fourCoreMachines.core))
 		var operators []*operator
 		for _, name := range []string{"a", "b", "c"} {
 			o := w.newOperator(name, time.Millisecond)
-			o.through = w.order[four.core:]
+			o.through = w.order[fourCoreMachines.core:]
 			operators = append(operators, o)
 		}
-		w.runUntil("first acknowledgements", 3*time.Second, operators[0].acksAgain(5))
+		w.runUntil("first acknowledgements", 3*time.Second, operators[0].acknowledgesMore(5))
 		for _, o := range operators {
-			o.slowest = 0
+			o.slowestCall = 0
 		}
 		head := w.inRole(chain.Head)
 		head.input(func() { head.carryOut(head.store.Leave(w.now)) })
 		w.runFor(800 * time.Millisecond)
 		for _, o := range operators {
-			assert.Check(t, o.slowest < longest, "seed %d: a call of operator %s took %v", seed, o.name, o.slowest)
+			assert.Check(t, o.slowestCall < maxCallTime, "seed %d: a call of operator %s took %v", seed, o.name, o.slowestCall)
 		}
 	}
 }
--- a/internal/node/control/exchange.go
+++ b/internal/node/control/exchange.go
@@ -30,7 +30,7 @@
 			counting = append(counting, member)
 		}
 	}
-	n.carryOut(now, n.submit.SetCore(now, counting))
+	n.carryOut(now, n.submit.SetCoreMembers(now, counting))
 	n.coreAddresses = addressesOf(counting)
 	if n.store != nil {
 		n.store.SetRelays(n.relaysOf(members))
--- a/internal/node/controlapi/api.go
+++ b/internal/node/controlapi/api.go
@@ -109,7 +109,7 @@
 
 // sizedCallContext bounds a call with a body of that many bytes, for which callers wait longer.
 func (a *api) sizedCallContext(r *http.Request, bytes int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(r.Context(), a.callTimeout+submit.ExtraTime(bytes))
+	return context.WithTimeout(r.Context(), a.callTimeout+submit.SizeAllowance(bytes))
 }
 
 func (a *api) status(w http.ResponseWriter, _ *http.Request) {
--- a/internal/node/submit/client.go
+++ b/internal/node/submit/client.go
@@ -16,17 +16,17 @@
 const (
 	// DefaultTimeout is when a call that got no answer is answered UNAVAILABLE.
 	DefaultTimeout core.Time = 800 * time.Millisecond
-	// tryElsewhereAfter is when a call that got no answer goes to another core machine as well.
-	tryElsewhereAfter = 250 * time.Millisecond
-	// extraBytesPerSecond is how fast large commands are taken to come to the head and through the chain.
-	extraBytesPerSecond = 2 << 20
-	// freeBytes of a command need no further time.
-	freeBytes = 128 << 10
+	// nextAttemptAfter is when a call that got no answer goes to another core machine as well.
+	nextAttemptAfter = 250 * time.Millisecond
+	// transferBytesPerSecond is how fast large commands are taken to come to the head and through the chain.
+	transferBytesPerSecond = 2 << 20
+	// allowanceFreeBytes of a command need no further time.
+	allowanceFreeBytes = 128 << 10
 )
 
-// ExtraTime is how much longer a call with a body of that many bytes may take.
-func ExtraTime(bytes int) core.Time {
-	return core.Time(max(0, bytes-freeBytes)) * time.Second / extraBytesPerSecond
+// SizeAllowance is how much longer a call with a body of that many bytes may take.
+func SizeAllowance(bytes int) core.Time {
+	return core.Time(max(0, bytes-allowanceFreeBytes)) * time.Second / transferBytesPerSecond
 }
 
 // Options of a Client.
@@ -40,22 +40,22 @@
 
 // call is one command or read under way.
 type call struct {
-	request uint64 // as this node's API names it
-	message *nodepb.Submit
-	tried   []string  // addresses
-	extra   core.Time // for its size
-	nextTry core.Time
-	expires core.Time
+	apiRequest    uint64 // as this node's API names it
+	message       *nodepb.Submit
+	attempted     []string  // addresses
+	sizeAllowance core.Time // for its size
+	nextAttempt   core.Time
+	expiresAt     core.Time
 }
 
 // Client is the state machine of a node's calls.
 type Client struct {
-	options Options
-	view    *nodepb.View
-	members []*nodepb.Member
-	calls   []*call // oldest first
-	counter uint64
-	outputs []core.Output
+	options     Options
+	view        *nodepb.View
+	coreMembers []*nodepb.Member
+	calls       []*call // oldest first
+	lastRequest uint64
+	outputs     []core.Output
 }
 
 // New makes a Client without calls.
@@ -63,16 +63,16 @@
 	if options.Timeout == 0 {
 		options.Timeout = DefaultTimeout
 	}
-	return &Client{options: options, counter: options.Random.Uint64()}
+	return &Client{options: options, lastRequest: options.Random.Uint64()}
 }
 
 // SetView tells the agreed view, if it is newer than the one known. Calls under way go to a new head at once.
 func (c *Client) SetView(now core.Time, agreed *nodepb.View) []core.Output {
-	c.learn(now, agreed)
+	c.installView(now, agreed)
 	return c.finish()
 }
 
-func (c *Client) learn(now core.Time, agreed *nodepb.View) {
+func (c *Client) installView(now core.Time, agreed *nodepb.View) {
 	if agreed.GetEpoch() <= c.view.GetEpoch() {
 		return
 	}
@@ -87,9 +87,9 @@
 	}
 }
 
-// SetCore names the members that count, to be tried where no head is known or it does not answer.
-func (c *Client) SetCore(now core.Time, members []*nodepb.Member) []core.Output {
-	c.members = members
+// SetCoreMembers names the members that count, to be tried where no head is known or it does not answer.
+func (c *Client) SetCoreMembers(now core.Time, members []*nodepb.Member) []core.Output {
+	c.coreMembers = members
 	return c.finish()
 }
 
@@ -107,12 +107,12 @@
 }
 
 func (c *Client) start(now core.Time, request uint64, message *nodepb.Submit) {
-	c.counter++
-	message.Request = c.counter
-	extra := ExtraTime(len(message.GetCommand().GetConfigChange().GetBody()))
-	call := &call{request: request, message: message, extra: extra, expires: now + c.options.Timeout + extra}
+	c.lastRequest++
+	message.Request = c.lastRequest
+	allowance := SizeAllowance(len(message.GetCommand().GetConfigChange().GetBody()))
+	call := &call{apiRequest: request, message: message, sizeAllowance: allowance, expiresAt: now + c.options.Timeout + allowance}
 	c.calls = append(c.calls, call)
-	c.try(now, call)
+	c.attempt(now, call)
 }
 
 // Receive takes the answer of a tail.
@@ -121,20 +121,20 @@
 	if reply == nil {
 		return nil
 	}
-	c.learn(now, reply.GetView())
+	c.installView(now, reply.GetView())
 	for i, call := range c.calls {
-		if call.message.GetRequest() != reply.GetRequest() || !answers(call.message, reply) {
+		if call.message.GetRequest() != reply.GetRequest() || !isAnswer(call.message, reply) {
 			continue
 		}
 		c.calls = append(c.calls[:i], c.calls[i+1:]...)
-		c.outputs = append(c.outputs, core.Reply{Request: call.request, Result: reply.GetResult(), State: reply.GetState()})
+		c.outputs = append(c.outputs, core.Reply{Request: call.apiRequest, Result: reply.GetResult(), State: reply.GetState()})
 		break
 	}
 	return c.finish()
 }
 
-// answers reports whether the reply says anything about the call.
-func answers(message *nodepb.Submit, reply *nodepb.SubmitReply) bool {
+// isAnswer reports whether the reply says anything about the call.
+func isAnswer(message *nodepb.Submit, reply *nodepb.SubmitReply) bool {
 	if message.GetRead() {
 		return reply.GetState() != nil
 	}
@@ -143,11 +143,11 @@
 
 // Tick tries other machines, and ends the calls whose time is over.
 func (c *Client) Tick(now core.Time) []core.Output {
-	kept := c.calls[:0]
+	pending := c.calls[:0]
 	for _, call := range c.calls {
-		if now >= call.expires {
+		if now >= call.expiresAt {
 			c.outputs = append(c.outputs, core.Reply{
-				Request: call.request,
+				Request: call.apiRequest,
 				Result: &nodepb.CommandResult{
 					Code: nodepb.ResultCode_UNAVAILABLE,
 					Text: "no answer from the core in time",
@@ -155,13 +155,13 @@
 			})
 			continue
 		}
-		kept = append(kept, call)
-		if now >= call.nextTry {
-			c.try(now, call)
+		pending = append(pending, call)
+		if now >= call.nextAttempt {
+			c.attempt(now, call)
 		}
 	}
-	clear(c.calls[len(kept):])
-	c.calls = kept
+	clear(c.calls[len(pending):])
+	c.calls = pending
 	return c.finish()
 }
 
@@ -169,38 +169,38 @@
 func (c *Client) Deadline() core.Time {
 	deadline := core.Never
 	for _, call := range c.calls {
-		deadline = min(deadline, call.expires, call.nextTry)
+		deadline = min(deadline, call.expiresAt, call.nextAttempt)
 	}
 	return deadline
 }
 
-// try sends the call to the head, or to the next machine that was not tried.
-func (c *Client) try(now core.Time, call *call) {
-	call.nextTry = now + tryElsewhereAfter + call.extra
-	if address := c.choose(call); address != "" {
+// attempt sends the call to the head, or to the next machine that was not tried.
+func (c *Client) attempt(now core.Time, call *call) {
+	call.nextAttempt = now + nextAttemptAfter + call.sizeAllowance
+	if address := c.nextAddress(call); address != "" {
 		c.sendTo(now, call, address)
 	}
 }
 
-func (c *Client) choose(call *call) string {
-	candidates := make([]string, 0, len(c.members)+len(c.view.GetVoters()))
+func (c *Client) nextAddress(call *call) string {
+	candidates := make([]string, 0, len(c.coreMembers)+len(c.view.GetVoters()))
 	if head := view.Head(c.view); head != nil {
 		candidates = append(candidates, head.GetAddress())
 	}
-	offset := int(call.message.GetRequest() % uint64(max(1, len(c.members))))
-	for i := range c.members {
-		candidates = append(candidates, c.members[(i+offset)%len(c.members)].GetAddress())
+	offset := int(call.message.GetRequest() % uint64(max(1, len(c.coreMembers))))
+	for i := range c.coreMembers {
+		candidates = append(candidates, c.coreMembers[(i+offset)%len(c.coreMembers)].GetAddress())
 	}
 	for _, voter := range c.view.GetVoters() {
 		candidates = append(candidates, voter.GetAddress())
 	}
-	return firstUntried(candidates, call.tried)
+	return firstUnattempted(candidates, call.attempted)
 }
 
-// firstUntried returns the first address that was not tried, or the first of all where each was.
-func firstUntried(candidates, tried []string) string {
+// firstUnattempted returns the first address that was not tried, or the first of all where each was.
+func firstUnattempted(candidates, attempted []string) string {
 	for _, candidate := range candidates {
-		if !slices.Contains(tried, candidate) {
+		if !slices.Contains(attempted, candidate) {
 			return candidate
 		}
 	}
@@ -211,8 +211,8 @@
 }
 
 func (c *Client) sendTo(now core.Time, call *call, address string) {
-	call.tried = append(call.tried, address)
-	call.nextTry = now + tryElsewhereAfter + call.extra
+	call.attempted = append(call.attempted, address)
+	call.nextAttempt = now + nextAttemptAfter + call.sizeAllowance
 	c.outputs = append(c.outputs, core.Send{
 		To:      address,
 		Message: &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: call.message}},
--- a/internal/node/submit/client_test.go
+++ b/internal/node/submit/client_test.go
@@ -23,8 +23,8 @@
 	return New(Options{Random: rand.New(rand.NewPCG(seed, 0))})
 }
 
-// sends lists where the outputs go, and the last message.
-func sends(t *testing.T, outputs []core.Output) (to []string, last *nodepb.Submit) {
+// sentTo lists where the outputs go, and the last message.
+func sentTo(t *testing.T, outputs []core.Output) (to []string, last *nodepb.Submit) {
 	t.Helper()
 	for _, output := range outputs {
 		send, ok := output.(core.Send)
@@ -46,7 +46,7 @@
 func TestCommandGoesToTheHead(t *testing.T) {
 	c := newClient(1)
 	c.SetView(0, viewOf(3, "a", "b", "c"))
-	to, message := sends(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
+	to, message := sentTo(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
 	assert.DeepEqual(t, to, []string{"addr-a"})
 	outputs := c.Receive(time.Millisecond, core.Peer{}, replyOf(message.GetRequest(), nodepb.ResultCode_TAKEN))
 	reply := outputs[0].(core.Reply)
@@ -56,16 +56,16 @@
 	assert.Equal(t, len(c.Receive(0, core.Peer{}, replyOf(message.GetRequest(), nodepb.ResultCode_TAKEN))), 0)
 }
 
-func TestOthersAreTriedThenUnavailable(t *testing.T) {
+func TestOtherMachinesAreAttemptedThenUnavailable(t *testing.T) {
 	c := newClient(2)
 	c.SetView(0, viewOf(3, "a", "b"))
-	c.SetCore(0, []*nodepb.Member{{Address: "addr-a"}, {Address: "addr-b"}, {Address: "addr-c"}})
+	c.SetCoreMembers(0, []*nodepb.Member{{Address: "addr-a"}, {Address: "addr-b"}, {Address: "addr-c"}})
 	tried := map[string]bool{}
-	to, _ := sends(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
+	to, _ := sentTo(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
 	tried[to[0]] = true
 	for range 2 {
 		now := c.Deadline()
-		to, _ = sends(t, c.Tick(now))
+		to, _ = sentTo(t, c.Tick(now))
 		tried[to[0]] = true
 	}
 	assert.Equal(t, len(tried), 3, "three machines in half a second: %v", tried)
@@ -75,12 +75,12 @@
 	assert.Equal(t, reply.Result.GetCode(), nodepb.ResultCode_UNAVAILABLE)
 }
 
-func TestWithoutViewACoreMemberIsAsked(t *testing.T) {
+func TestCoreMemberIsAskedWithoutAView(t *testing.T) {
 	c := newClient(3)
-	to, _ := sends(t, c.Submit(0, 1, &nodepb.Command{Id: "x"}))
+	to, _ := sentTo(t, c.Submit(0, 1, &nodepb.Command{Id: "x"}))
 	assert.Equal(t, len(to), 0, "nobody is known")
-	c.SetCore(0, []*nodepb.Member{{Address: "addr-b"}})
-	to, _ = sends(t, c.Tick(tryElsewhereAfter))
+	c.SetCoreMembers(0, []*nodepb.Member{{Address: "addr-b"}})
+	to, _ = sentTo(t, c.Tick(nextAttemptAfter))
 	assert.DeepEqual(t, to, []string{"addr-b"})
 }
 
@@ -88,18 +88,18 @@
 	c := newClient(4)
 	c.SetView(0, viewOf(3, "a", "b"))
 	c.Submit(0, 1, &nodepb.Command{Id: "x"})
-	to, _ := sends(t, c.SetView(10*time.Millisecond, viewOf(4, "b", "a")))
+	to, _ := sentTo(t, c.SetView(10*time.Millisecond, viewOf(4, "b", "a")))
 	assert.DeepEqual(t, to, []string{"addr-b"})
-	to, _ = sends(t, c.SetView(20*time.Millisecond, viewOf(5, "b")))
+	to, _ = sentTo(t, c.SetView(20*time.Millisecond, viewOf(5, "b")))
 	assert.Equal(t, len(to), 0, "the head is the same")
-	to, _ = sends(t, c.SetView(30*time.Millisecond, viewOf(4, "a")))
+	to, _ = sentTo(t, c.SetView(30*time.Millisecond, viewOf(4, "a")))
 	assert.Equal(t, len(to), 0, "older")
 }
 
 func TestReadNeedsAState(t *testing.T) {
 	c := newClient(5)
 	c.SetView(0, viewOf(3, "a"))
-	_, message := sends(t, c.Read(0, 8, 0))
+	_, message := sentTo(t, c.Read(0, 8, 0))
 	assert.Assert(t, message.GetRead())
 	assert.Equal(t, len(c.Receive(0, core.Peer{}, replyOf(message.GetRequest(), nodepb.ResultCode_TAKEN))), 0)
 	state := &nodepb.StateSnapshot{Index: 4}
@@ -109,19 +109,19 @@
 	assert.Equal(t, outputs[0].(core.Reply).State, state)
 }
 
-func TestAnswersToAFormerLifeAreNotTaken(t *testing.T) {
+func TestAnswersToAnEarlierIncarnationAreIgnored(t *testing.T) {
 	former, c := newClient(6), newClient(7)
 	for _, client := range []*Client{former, c} {
 		client.SetView(0, viewOf(3, "a"))
 	}
-	_, message := sends(t, former.Submit(0, 1, &nodepb.Command{Id: "x"}))
+	_, message := sentTo(t, former.Submit(0, 1, &nodepb.Command{Id: "x"}))
 	c.Submit(0, 1, &nodepb.Command{Id: "y"})
 	assert.Equal(t, len(c.Receive(0, core.Peer{}, replyOf(message.GetRequest(), nodepb.ResultCode_TAKEN))), 0)
 }
 
-func TestUnknownResultsAreNotTaken(t *testing.T) {
+func TestUnknownResultsAreIgnored(t *testing.T) {
 	c := newClient(8)
 	c.SetView(0, viewOf(3, "a"))
-	_, message := sends(t, c.Submit(0, 1, &nodepb.Command{Id: "x"}))
+	_, message := sentTo(t, c.Submit(0, 1, &nodepb.Command{Id: "x"}))
 	assert.Equal(t, len(c.Receive(0, core.Peer{}, replyOf(message.GetRequest(), nodepb.ResultCode_UNKNOWN))), 0)
 }
