--- a/internal/node/view/acceptor.go
+++ b/internal/node/view/acceptor.go
@@ -2,8 +2,9 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// Acceptor is a voter's part in the Paxos of one epoch. It doesn't check who asks, nor whether the epoch is the one
-// after the decided view: its caller does. Whatever changes it must be durable before the answer leaves.
+// Acceptor is the acceptor of single-decree Paxos for the view of one epoch. It checks neither the proposer nor whether
+// the epoch is the one after the newest decided view: its caller does. A change of it must be durable, as Record returns
+// it, before the answer is sent; otherwise a restarted acceptor could break its promise.
 type Acceptor struct {
 	Epoch          uint64
 	promisedNumber *nodepb.ProposalNumber
@@ -11,10 +12,10 @@
 	acceptedView   *nodepb.View
 }
 
-// NewAcceptor starts the part of an acceptor in the epoch.
+// NewAcceptor returns an acceptor that has promised and accepted nothing in the epoch.
 func NewAcceptor(epoch uint64) Acceptor { return Acceptor{Epoch: epoch} }
 
-// RestoreAcceptor takes up what was made durable.
+// RestoreAcceptor returns the acceptor of a durable record.
 func RestoreAcceptor(record *nodepb.AcceptorRecord) Acceptor {
 	return Acceptor{
 		Epoch:          record.GetEpoch(),
@@ -24,7 +25,7 @@
 	}
 }
 
-// Record is what has to be durable.
+// Record returns what has to be durable before an answer is sent.
 func (a *Acceptor) Record() *nodepb.AcceptorRecord {
 	return &nodepb.AcceptorRecord{Epoch: a.Epoch, PromisedNumber: a.promisedNumber, AcceptedNumber: a.acceptedNumber, AcceptedView: a.acceptedView}
 }
@@ -32,10 +33,11 @@
 // Blank reports whether nothing was promised or accepted.
 func (a *Acceptor) Blank() bool { return a.promisedNumber == nil && a.acceptedNumber == nil }
 
-// HighestCounter is the round of the highest ballot seen.
+// HighestCounter is the counter of the highest proposal number that was promised or accepted.
 func (a *Acceptor) HighestCounter() uint64 { return a.promisedNumber.GetCounter() }
 
-// Prepare answers a request for a promise. A repeat of the ballot that was promised is promised again.
+// Prepare answers a Prepare with a promise, or rejects it with the higher number that was promised before. A repeated
+// number is promised again. changed: the record must be made durable before the answer is sent.
 func (a *Acceptor) Prepare(number *nodepb.ProposalNumber) (promise *nodepb.Promise, changed bool) {
 	promise = &nodepb.Promise{Epoch: a.Epoch, Number: number}
 	order := CompareNumbers(number, a.promisedNumber)
@@ -52,7 +54,8 @@
 	return promise, order > 0
 }
 
-// Accept answers a request to accept a view.
+// Accept answers an Accept, or rejects it with the higher number that was promised before. It promises the number as well,
+// so that a proposal that was accepted without a Prepare is not followed by a lower one. changed is as for Prepare.
 func (a *Acceptor) Accept(number *nodepb.ProposalNumber, value *nodepb.View) (accepted *nodepb.Accepted, changed bool) {
 	accepted = &nodepb.Accepted{Epoch: a.Epoch, Number: number}
 	if CompareNumbers(number, a.promisedNumber) < 0 {
--- a/internal/node/view/detector_test.go
+++ b/internal/node/view/detector_test.go
@@ -10,17 +10,17 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// voterPair is two voters that ping one another over links that can be cut each way.
+// voterPair has voters that ping one another over links that can be partitioned in each direction.
 type voterPair struct {
-	now     core.Time
-	nodes   map[string]*Detector
-	severed map[string]bool // by sender
-	reports map[string]Report
-	sent    int
+	now         core.Time
+	nodes       map[string]*Detector
+	partitioned map[string]bool // by sender, or by relayed link as "sender>relay"
+	reports     map[string]Report
+	sent        int
 }
 
-func newPair(names ...string) *voterPair {
-	p := &voterPair{nodes: map[string]*Detector{}, severed: map[string]bool{}, reports: map[string]Report{}}
+func newVoterPair(names ...string) *voterPair {
+	p := &voterPair{nodes: map[string]*Detector{}, partitioned: map[string]bool{}, reports: map[string]Report{}}
 	var voters []*nodepb.Voter
 	var targets []Target
 	for _, name := range names {
@@ -36,22 +36,22 @@
 	return p
 }
 
-// step passes time by pings of all nodes.
+// step lets the time pass in steps of 50 ms, with the pings of all nodes.
 func (p *voterPair) step(d time.Duration) {
 	for end := p.now + d; p.now < end; {
 		p.now += 50 * time.Millisecond
 		for name, node := range p.nodes {
 			node.Advance(p.now, 0)
-			for _, probe := range node.DuePings() {
-				p.ping(name, probe)
+			for _, due := range node.DuePings() {
+				p.ping(name, due)
 			}
 		}
 	}
 }
 
-func (p *voterPair) ping(from string, probe DuePing) {
+func (p *voterPair) ping(from string, due DuePing) {
 	p.sent++
-	destination, via := probe.Address, probe.Via
+	destination, via := due.Address, due.Via
 	ping := p.nodes[from].NewPing(destination, via, p.reports[from])
 	if p.isLost(from, destination, via) || p.nodes[destination] == nil {
 		return
@@ -62,21 +62,21 @@
 	}
 }
 
-// isLost reports whether a message does not arrive: a cut sender is heard by relays alone, and a relay reaches those that it is
-// not cut off from.
+// isLost reports whether a message does not arrive: a partitioned sender reaches relays alone, and a relay reaches those
+// that it is not partitioned from.
 func (p *voterPair) isLost(from, destination, via string) bool {
 	if via == "" {
-		return p.severed[from]
+		return p.partitioned[from]
 	}
-	return p.severed[from+">"+via] || p.severed[via+">"+destination]
+	return p.partitioned[from+">"+via] || p.partitioned[via+">"+destination]
 }
 
 func TestRoundTripsProveBothDirections(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	assert.Equal(t, p.nodes["a"].Condition("b"), Unknown)
 	p.step(600 * time.Millisecond)
 	assert.Equal(t, p.nodes["a"].Condition("b"), Reachable)
-	assert.Equal(t, p.nodes["b"].Condition("a"), Reachable, "by the pong that the next ping names")
+	assert.Equal(t, p.nodes["b"].Condition("a"), Reachable, "by the pong that the next ping acknowledges")
 	before := p.sent
 	p.step(10 * time.Second)
 	assert.Assert(t, p.sent-before <= 41, "only one of the two pings, four times a second: %d", p.sent-before)
@@ -84,16 +84,16 @@
 
 func TestOneWayPartitionIsDetectedByBoth(t *testing.T) {
 	for _, mute := range []string{"a", "b"} {
-		p := newPair("a", "b")
+		p := newVoterPair("a", "b")
 		p.step(time.Second)
-		p.severed[mute] = true
+		p.partitioned[mute] = true
 		p.step(1800 * time.Millisecond)
 		assert.Equal(t, p.nodes["a"].Condition("b"), Failed, "mute: %s", mute)
 		assert.Equal(t, p.nodes["b"].Condition("a"), Failed, "mute: %s", mute)
 		assert.DeepEqual(t, p.nodes["a"].UnreachableVoters(), []string{"b"})
 		p.step(3 * time.Second)
 		assert.Assert(t, p.nodes["a"].FailedFor("b") > RemovalTimeout)
-		p.severed[mute] = false
+		p.partitioned[mute] = false
 		p.step(1500 * time.Millisecond)
 		assert.Equal(t, p.nodes["a"].Condition("b"), Reachable)
 		assert.Equal(t, p.nodes["b"].Condition("a"), Reachable)
@@ -102,7 +102,7 @@
 }
 
 func TestSuspendedNodeFailsNobodyAtOnce(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	p.step(time.Second)
 	p.now += 5 * time.Second
 	assert.Assert(t, p.nodes["a"].Advance(p.now, 5*time.Second))
@@ -113,14 +113,14 @@
 }
 
 func TestDiskFaultCountsAsFailed(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	p.step(time.Second)
 	report := p.reports["b"]
 	report.DiskHealthy = false
 	p.reports["b"] = report
 	p.step(500 * time.Millisecond)
 	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
-	assert.Equal(t, len(p.nodes["a"].UnreachableVoters()), 0, "the link is sound")
+	assert.Equal(t, len(p.nodes["a"].UnreachableVoters()), 0, "the link is healthy")
 	p.step(3 * time.Second)
 	assert.Assert(t, p.nodes["a"].FailedFor("b") >= 3*time.Second)
 	report.DiskHealthy = true
@@ -130,7 +130,7 @@
 }
 
 func TestReplacedDiskHasFailedForever(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	p.step(time.Second)
 	report := p.reports["b"]
 	report.Voter = &nodepb.Voter{DiskId: "new", Address: "b", NodeId: "b#2"}
@@ -141,7 +141,7 @@
 }
 
 func TestLinkBrokenFollowsReportsOfPeers(t *testing.T) {
-	p := newPair("a", "b", "c")
+	p := newVoterPair("a", "b", "c")
 	p.step(time.Second)
 	assert.Assert(t, !p.nodes["a"].LinkBroken("b", "c"))
 	report := p.reports["b"]
@@ -152,11 +152,11 @@
 	assert.Assert(t, p.nodes["a"].LinkBroken("c", "b"))
 	delete(p.nodes, "b")
 	p.step(1500 * time.Millisecond)
-	assert.Assert(t, !p.nodes["a"].LinkBroken("b", "c"), "what one said that is silent now counts no more")
+	assert.Assert(t, !p.nodes["a"].LinkBroken("b", "c"), "the report of an unresponsive peer counts no more")
 }
 
 func TestWedgedProposerStalls(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	p.step(time.Second)
 	report := p.reports["b"]
 	report.Wedged = true
@@ -169,13 +169,13 @@
 	report.Epoch = 4
 	p.reports["b"] = report
 	p.step(300 * time.Millisecond)
-	assert.Assert(t, !p.nodes["a"].Stalled("b"), "wedged anew")
+	assert.Assert(t, !p.nodes["a"].Stalled("b"), "wedged again, in a later epoch")
 }
 
 func TestPongToAnEarlierIncarnationProvesNothing(t *testing.T) {
-	p := newPair("a", "b")
-	old := p.nodes["a"].NewPing("b", "", p.reports["a"])
-	pong := p.nodes["b"].ReceivePing("a", "", old, p.reports["b"])
+	p := newVoterPair("a", "b")
+	earlier := p.nodes["a"].NewPing("b", "", p.reports["a"])
+	pong := p.nodes["b"].ReceivePing("a", "", earlier, p.reports["b"])
 	restarted := NewDetector(0, p.reports["a"].Voter, 777)
 	restarted.Watch(0, []Target{{Address: "b", DiskID: "b"}}, []*nodepb.Voter{p.reports["a"].Voter, p.reports["b"].Voter}, false)
 	restarted.NewPing("b", "", p.reports["a"])
@@ -185,7 +185,7 @@
 }
 
 func TestRestartedPeerNeedsANewRoundTrip(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	p.step(time.Second)
 	report := p.reports["b"]
 	report.Voter = &nodepb.Voter{DiskId: "b", Address: "b", NodeId: "b#2"}
@@ -194,7 +194,7 @@
 }
 
 func TestUnresponsivePeersArePingedLessOften(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	delete(p.nodes, "b")
 	p.step(6 * time.Second)
 	before := p.sent
--- a/internal/node/view/number.go
+++ b/internal/node/view/number.go
@@ -2,7 +2,8 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// CompareNumbers orders ballots by round, then by proposer; nil is below all others. It returns -1, 0 or 1.
+// CompareNumbers orders proposal numbers by counter, then by proposer; nil is below all others. It returns -1, 0 or 1.
+// Numbers of different proposers are never equal.
 func CompareNumbers(a, b *nodepb.ProposalNumber) int {
 	switch {
 	case a.GetCounter() < b.GetCounter():
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -7,32 +7,35 @@
 	"kestrelspread/internal/node/core"
 )
 
-// The times and bounds of relayed ways between voters. Source: docs/design/control.md, "Relays".
+// Timeouts and bounds of relayed paths between voters. Source: docs/design/control.md, "Relays".
 const (
-	// relayTimeout is how long the direct way to a peer may be unproven before this node, if it is the one of the two that
-	// pings, pings by way of relays as well. It leaves time to find a relay before MissingAfter.
+	// relayTimeout is how long the direct path to a peer may be unproven before this node, if it is the active one of the
+	// two, pings through relays as well. It leaves time to find a relay before FailureTimeout.
 	relayTimeout = 400 * time.Millisecond
-	// passiveRelayTimeout is the same for the other one, to which a way is proven one ping later. It is also how old the proof
-	// of the direct way must be for messages to go by a relay.
+	// passiveRelayTimeout is the same for the passive one, to which a path is proven one ping later. It is also the age of
+	// the proof of the direct path from which on messages go by a relay.
 	passiveRelayTimeout = 650 * time.Millisecond
-	// maxRelayedPings is how many relays are pinged at a time while none is proven; else it is the proven one and another.
+	// maxRelayedPings is how many relays are pinged at a time while none is proven.
 	maxRelayedPings = 3
+	// maxRelayedPingsProven is the same once one is proven: that one, and another in turn.
+	maxRelayedPingsProven = 2
 )
 
-// DuePing is a ping that is due: to whom, and by which relay.
+// DuePing is a ping to send now.
 type DuePing struct {
-	Address string
+	Address string // of the node to ping
 	Via     string // internal address of the relay; empty: directly
 }
 
-// paths are the ways to one peer and back, with the moments at which the newest message left that is known to have arrived.
+// paths are the round trips to one peer, direct and by relays. Each is proven as of the time at which the newest message
+// was sent that is known to have arrived.
 type paths struct {
-	directProvenAt core.Time            // or when the direct way began to be watched
+	directProvenAt core.Time            // or when the direct path began to be watched
 	relayProvenAt  map[string]core.Time // by address of the relay
-	nextRelay      int                  // of the relay that is tried next
+	nextRelay      int                  // counts the relays that were selected in turn
 }
 
-// recordProof notes that a message that left at the time has arrived by the relay, or directly.
+// recordProof records that a message sent at sentAt has arrived by the relay via, or directly where that is empty.
 func (p *paths) recordProof(via string, sentAt core.Time) {
 	if via == "" {
 		p.directProvenAt = max(p.directProvenAt, sentAt)
@@ -44,7 +47,8 @@
 	p.relayProvenAt[via] = max(p.relayProvenAt[via], sentAt)
 }
 
-// bestRelay is the relay with the newest proof that is no older than MissingAfter; empty: none.
+// bestRelay returns the relay with the newest proof, if that is no older than FailureTimeout, and else none. It forgets
+// relays with an older one.
 func (p *paths) bestRelay(now core.Time) (relay string, provenAt core.Time) {
 	for candidate, candidateProvenAt := range p.relayProvenAt {
 		switch {
@@ -57,47 +61,49 @@
 	return relay, provenAt
 }
 
-// selectRelays lists the relays to ping by now: the best one and one that takes its turn, or some in turn where none is proven.
+// selectRelays lists the relays to ping now: the best one and one in turn, or several in turn where none is proven. The peer
+// itself, at the address target, is no relay.
 func (p *paths) selectRelays(now core.Time, relays []string, target string) []string {
-	var chosen []string
+	var selected []string
 	maxRelays := maxRelayedPings
 	if best, _ := p.bestRelay(now); best != "" {
-		chosen = append(chosen, best)
-		maxRelays = 2
+		selected = append(selected, best)
+		maxRelays = maxRelayedPingsProven
 	}
 	for range relays {
-		if len(chosen) >= maxRelays {
+		if len(selected) >= maxRelays {
 			break
 		}
 		candidate := relays[p.nextRelay%len(relays)]
 		p.nextRelay++
-		if candidate != target && !slices.Contains(chosen, candidate) {
-			chosen = append(chosen, candidate)
+		if candidate != target && !slices.Contains(selected, candidate) {
+			selected = append(selected, candidate)
 		}
 	}
-	return chosen
+	return selected
 }
 
-// SetRelays names the nodes that may relay messages to peers that can't be reached directly, best first.
+// SetRelays sets the addresses of the nodes that may relay messages to peers without a direct path, best first.
 func (d *Detector) SetRelays(addresses []string) {
 	d.relays = slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == d.self.GetAddress() })
 }
 
-// Route is the internal address of the relay by which messages to the address should go; empty: directly. A relay is named
-// only while the direct way is unproven for long and a round trip by the relay is newer.
+// Route is the internal address of the relay by which messages to the address should go; empty: directly. It is a relay
+// only while the direct path has been unproven for passiveRelayTimeout and a round trip by the relay is newer.
 func (d *Detector) Route(address string) string {
 	p := d.peers[address]
 	if p == nil || d.now-p.paths.directProvenAt <= passiveRelayTimeout {
 		return ""
 	}
-	relay, at := p.paths.bestRelay(d.now)
-	if at <= p.paths.directProvenAt {
+	relay, provenAt := p.paths.bestRelay(d.now)
+	if provenAt <= p.paths.directProvenAt {
 		return ""
 	}
 	return relay
 }
 
-// relaysToPing lists the relays by which the peer should be pinged now.
+// relaysToPing lists the relays by which the peer should be pinged now. An unresponsive one is pinged by one relay at a
+// time, and less often.
 func (d *Detector) relaysToPing(address string, p *peer) []string {
 	timeout := relayTimeout
 	if d.passive(p) {
@@ -106,10 +112,10 @@
 	if len(d.relays) == 0 || d.now-p.paths.directProvenAt < timeout || d.now < p.nextRelayedPingAt {
 		return nil
 	}
-	selected := p.paths.selectRelays(d.now, d.relays, address)
+	relays := p.paths.selectRelays(d.now, d.relays, address)
 	if d.now-p.lastContact > slowPingTimeout {
 		p.nextRelayedPingAt = d.now + slowPingInterval
-		return selected[:min(1, len(selected))]
+		return relays[:min(1, len(relays))]
 	}
-	return selected
+	return relays
 }
--- a/internal/node/view/paths_test.go
+++ b/internal/node/view/paths_test.go
@@ -9,9 +9,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// relayedPair is a pair with two nodes that may relay between them.
+// relayedPair is a voterPair with two nodes that may relay between them.
 func relayedPair() *voterPair {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	for _, node := range p.nodes {
 		node.SetRelays([]string{"r1", "r2", "b", "a"})
 	}
@@ -32,7 +32,7 @@
 	for _, mute := range [][]string{{"a"}, {"b"}, {"a", "b"}} {
 		p := relayedPair()
 		for _, name := range mute {
-			p.severed[name] = true
+			p.partitioned[name] = true
 		}
 		for range 100 {
 			p.step(50 * time.Millisecond)
@@ -46,23 +46,23 @@
 
 func TestDirectPathIsUsedAgainOnceProven(t *testing.T) {
 	p := relayedPair()
-	p.severed["a"], p.severed["b"] = true, true
+	p.partitioned["a"], p.partitioned["b"] = true, true
 	p.step(12 * time.Second)
-	p.severed["a"], p.severed["b"] = false, false
+	p.partitioned["a"], p.partitioned["b"] = false, false
 	p.step(2 * time.Second)
 	assert.Equal(t, p.nodes["a"].Route("b"), "")
 	assert.Equal(t, p.nodes["b"].Route("a"), "")
 	before := p.sent
 	p.step(10 * time.Second)
-	assert.Assert(t, p.sent-before <= 41, "%d pings in ten seconds after the cut", p.sent-before)
+	assert.Assert(t, p.sent-before <= 41, "%d pings in ten seconds after the partition", p.sent-before)
 }
 
 func TestPartitionedRelayIsReplaced(t *testing.T) {
 	p := relayedPair()
-	p.severed["a"], p.severed["b"] = true, true
+	p.partitioned["a"], p.partitioned["b"] = true, true
 	p.step(2 * time.Second)
 	chosen := p.nodes["a"].Route("b")
-	p.severed["a>"+chosen] = true
+	p.partitioned["a>"+chosen] = true
 	for range 60 {
 		p.step(50 * time.Millisecond)
 		assert.Equal(t, p.nodes["a"].Condition("b"), Reachable, "at %v", p.now)
@@ -73,9 +73,9 @@
 
 func TestPeerThatNoPathReachesHasFailed(t *testing.T) {
 	p := relayedPair()
-	p.severed["a"], p.severed["b"] = true, true
+	p.partitioned["a"], p.partitioned["b"] = true, true
 	for _, relay := range []string{"r1", "r2"} {
-		p.severed["a>"+relay], p.severed["b>"+relay] = true, true
+		p.partitioned["a>"+relay], p.partitioned["b>"+relay] = true, true
 	}
 	p.step(1500 * time.Millisecond)
 	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
@@ -88,7 +88,7 @@
 
 func TestRelayProvesNothingForAnotherIncarnation(t *testing.T) {
 	p := relayedPair()
-	p.severed["a"], p.severed["b"] = true, true
+	p.partitioned["a"], p.partitioned["b"] = true, true
 	p.step(2 * time.Second)
 	assert.Assert(t, p.nodes["a"].Route("b") != "")
 	restarted := &nodepb.Voter{DiskId: "b", Address: "b", NodeId: "b#2"}
@@ -97,9 +97,9 @@
 	assert.Equal(t, p.nodes["a"].Condition("b"), Unknown)
 }
 
-// TestPeerIsNotItsOwnRelay: a silent peer that is the only other node known is pinged directly alone.
+// TestPeerIsNotItsOwnRelay: an unresponsive peer that is the only other node known is pinged directly alone.
 func TestPeerIsNotItsOwnRelay(t *testing.T) {
-	p := newPair("a", "b")
+	p := newVoterPair("a", "b")
 	for _, node := range p.nodes {
 		node.SetRelays([]string{"b", "a"})
 	}
--- a/internal/node/view/proposal.go
+++ b/internal/node/view/proposal.go
@@ -2,19 +2,21 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// Phase is how far a Round has come.
+// Phase is the progress of a Proposal.
 type Phase uint8
 
-// The phases of a round.
+// The phases of a proposal.
 const (
-	Preparing Phase = iota // asks for promises
-	Prepared               // has a majority's promises; its caller chooses a view where Bound is nil
-	Accepting              // asks to accept
-	Decided                // a majority accepted
-	Preempted              // an acceptor knows a higher ballot
+	Preparing Phase = iota // waits for promises
+	Prepared               // a majority has promised; the caller continues with BeginAccept
+	Accepting              // waits for acceptances
+	Decided                // a majority has accepted Value
+	Preempted              // an acceptor has promised a higher number
 )
 
-// Proposal is one ballot of a proposer in the Paxos of one epoch.
+// Proposal is one numbered proposal in the single-decree Paxos for the view of one epoch. It keeps Paxos' rule that a view
+// which may have been decided under a lower number is proposed again. It sends nothing: its caller sends Prepare and Accept
+// to the acceptors that Awaits names, and passes the answers on.
 type Proposal struct {
 	Epoch  uint64
 	Number *nodepb.ProposalNumber
@@ -27,7 +29,7 @@
 	preemptedBy     uint64
 }
 
-// NewProposal starts a ballot with the acceptors: disk ids, in epoch 1 the founders' addresses.
+// NewProposal starts a proposal to the acceptors, which are named by their disk ids, in epoch 1 by the founders' addresses.
 func NewProposal(epoch uint64, number *nodepb.ProposalNumber, acceptors []string) *Proposal {
 	proposal := &Proposal{Epoch: epoch, Number: number, answeredBy: make(map[string]bool, len(acceptors))}
 	for _, acceptor := range acceptors {
@@ -36,86 +38,87 @@
 	return proposal
 }
 
-// Phase of the round.
-func (r *Proposal) Phase() Phase { return r.phase }
+// Phase returns the progress.
+func (p *Proposal) Phase() Phase { return p.phase }
 
-// Value is the view proposed; nil while none was chosen.
-func (r *Proposal) Value() *nodepb.View { return r.value }
+// Value is the view that is proposed; while Preparing and Prepared, the one accepted under the highest number, if any.
+func (p *Proposal) Value() *nodepb.View { return p.value }
 
-// PreemptedBy is the round number that beat this one.
-func (r *Proposal) PreemptedBy() uint64 { return r.preemptedBy }
+// PreemptedBy is the counter of the number that preempted this proposal.
+func (p *Proposal) PreemptedBy() uint64 { return p.preemptedBy }
 
-// Awaits reports whether the acceptor has not answered in this phase.
-func (r *Proposal) Awaits(acceptor string) bool {
-	answered, known := r.answeredBy[acceptor]
+// Awaits reports whether the acceptor has yet to answer in this phase.
+func (p *Proposal) Awaits(acceptor string) bool {
+	answered, known := p.answeredBy[acceptor]
 	return known && !answered
 }
 
-// ReceivePromise takes an acceptor's answer to Prepare. After it the phase may be Choosing: Value is then the view that
-// must be proposed, or nil where the proposer is free.
-func (r *Proposal) ReceivePromise(promise *nodepb.Promise) {
-	if r.phase != Preparing || promise.GetEpoch() != r.Epoch {
+// ReceivePromise records an acceptor's answer to Prepare. If the phase is Prepared after it, Value is the view that must be
+// proposed, or nil where the proposer is free to choose.
+func (p *Proposal) ReceivePromise(promise *nodepb.Promise) {
+	if p.phase != Preparing || promise.GetEpoch() != p.Epoch {
 		return
 	}
 	if promise.GetRejected() {
-		r.preempt(promise.GetNumber())
+		p.preempt(promise.GetNumber())
 		return
 	}
-	if CompareNumbers(promise.GetNumber(), r.Number) != 0 || !r.Awaits(promise.GetAcceptor()) {
+	if CompareNumbers(promise.GetNumber(), p.Number) != 0 || !p.Awaits(promise.GetAcceptor()) {
 		return
 	}
-	if promise.GetAcceptedView() != nil && CompareNumbers(promise.GetAcceptedNumber(), r.highestAccepted) > 0 {
-		r.highestAccepted = promise.GetAcceptedNumber()
-		r.value = promise.GetAcceptedView()
+	if promise.GetAcceptedView() != nil && CompareNumbers(promise.GetAcceptedNumber(), p.highestAccepted) > 0 {
+		p.highestAccepted = promise.GetAcceptedNumber()
+		p.value = promise.GetAcceptedView()
 	}
-	if r.recordAnswer(promise.GetAcceptor()) {
-		r.phase = Prepared
+	if p.recordAnswer(promise.GetAcceptor()) {
+		p.phase = Prepared
 	}
 }
 
-// BeginAccept starts the second phase with the view: Value where it isn't nil, any legitimate one else.
-func (r *Proposal) BeginAccept(value *nodepb.View) {
-	if r.phase != Prepared {
+// BeginAccept starts the second phase: with Value where it isn't nil, else with the view given.
+func (p *Proposal) BeginAccept(value *nodepb.View) {
+	if p.phase != Prepared {
 		return
 	}
-	if r.value == nil {
-		r.value = value
+	if p.value == nil {
+		p.value = value
 	}
-	r.phase = Accepting
-	r.answered = 0
-	for acceptor := range r.answeredBy {
-		r.answeredBy[acceptor] = false
+	p.phase = Accepting
+	p.answered = 0
+	for acceptor := range p.answeredBy {
+		p.answeredBy[acceptor] = false
 	}
 }
 
-// ReceiveAccepted takes an acceptor's answer to Accept.
-func (r *Proposal) ReceiveAccepted(accepted *nodepb.Accepted) {
-	if r.phase != Accepting || accepted.GetEpoch() != r.Epoch {
+// ReceiveAccepted records an acceptor's answer to Accept.
+func (p *Proposal) ReceiveAccepted(accepted *nodepb.Accepted) {
+	if p.phase != Accepting || accepted.GetEpoch() != p.Epoch {
 		return
 	}
 	if accepted.GetRejected() {
-		r.preempt(accepted.GetNumber())
+		p.preempt(accepted.GetNumber())
 		return
 	}
-	if CompareNumbers(accepted.GetNumber(), r.Number) != 0 || !r.Awaits(accepted.GetAcceptor()) {
+	if CompareNumbers(accepted.GetNumber(), p.Number) != 0 || !p.Awaits(accepted.GetAcceptor()) {
 		return
 	}
-	if r.recordAnswer(accepted.GetAcceptor()) {
-		r.phase = Decided
+	if p.recordAnswer(accepted.GetAcceptor()) {
+		p.phase = Decided
 	}
 }
 
-// recordAnswer notes an answer and reports whether a majority has answered.
-func (r *Proposal) recordAnswer(acceptor string) bool {
-	r.answeredBy[acceptor] = true
-	r.answered++
-	return r.answered >= Majority(len(r.answeredBy))
+// recordAnswer records an answer and reports whether a majority has answered in this phase.
+func (p *Proposal) recordAnswer(acceptor string) bool {
+	p.answeredBy[acceptor] = true
+	p.answered++
+	return p.answered >= Majority(len(p.answeredBy))
 }
 
-func (r *Proposal) preempt(number *nodepb.ProposalNumber) {
-	if CompareNumbers(number, r.Number) <= 0 {
+// preempt ends the proposal where an acceptor rejects it for a higher number; a late answer to a lower one is ignored.
+func (p *Proposal) preempt(number *nodepb.ProposalNumber) {
+	if CompareNumbers(number, p.Number) <= 0 {
 		return
 	}
-	r.phase = Preempted
-	r.preemptedBy = number.GetCounter()
+	p.phase = Preempted
+	p.preemptedBy = number.GetCounter()
 }
--- a/internal/node/view/reconfiguration_test.go
+++ b/internal/node/view/reconfiguration_test.go
@@ -12,48 +12,47 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// fakeDetector is a stated picture of who is in reach.
+// fakeDetector is a failure detector with fixed results. Its strings name voters by one letter each.
 type fakeDetector struct {
-	unknown       string // one letter a voter
+	unknown       string
 	failed        string
-	failedForLong string // missing for long
+	failedForLong string // for RemovalTimeout
 	brokenLinks   []string
 	stalled       string
-	// diskFault voters answer, but their disks are in trouble: they count as missing all the same.
-	diskFault string
+	diskFault     string // of those that failed, the ones that are reachable
 }
 
-func (r fakeDetector) Condition(diskID string) Condition {
+func (f fakeDetector) Condition(diskID string) Condition {
 	switch {
-	case strings.Contains(r.failed+r.failedForLong, diskID):
+	case strings.Contains(f.failed+f.failedForLong, diskID):
 		return Failed
-	case strings.Contains(r.unknown, diskID):
+	case strings.Contains(f.unknown, diskID):
 		return Unknown
 	default:
 		return Reachable
 	}
 }
 
-func (r fakeDetector) FailedFor(diskID string) core.Time {
+func (f fakeDetector) FailedFor(diskID string) core.Time {
 	switch {
-	case strings.Contains(r.failedForLong, diskID):
+	case strings.Contains(f.failedForLong, diskID):
 		return RemovalTimeout
-	case strings.Contains(r.failed, diskID):
+	case strings.Contains(f.failed, diskID):
 		return 1500 * time.Millisecond
 	default:
 		return 0
 	}
 }
 
-func (r fakeDetector) Unreachable(diskID string) bool {
-	return strings.Contains(r.failed+r.failedForLong, diskID) && !strings.Contains(r.diskFault, diskID)
+func (f fakeDetector) Unreachable(diskID string) bool {
+	return strings.Contains(f.failed+f.failedForLong, diskID) && !strings.Contains(f.diskFault, diskID)
 }
 
-func (r fakeDetector) LinkBroken(a, b string) bool {
-	return slices.Contains(r.brokenLinks, a+b) || slices.Contains(r.brokenLinks, b+a)
+func (f fakeDetector) LinkBroken(a, b string) bool {
+	return slices.Contains(f.brokenLinks, a+b) || slices.Contains(f.brokenLinks, b+a)
 }
 
-func (r fakeDetector) Stalled(diskID string) bool { return strings.Contains(r.stalled, diskID) }
+func (f fakeDetector) Stalled(diskID string) bool { return strings.Contains(f.stalled, diskID) }
 
 func votersOf(names string) []*nodepb.Voter {
 	var voters []*nodepb.Voter
@@ -67,102 +66,112 @@
 	return &nodepb.View{Epoch: 4, Voters: votersOf(voters), Chain: strings.Split(chain, "")}
 }
 
-// TestNextViewFollowsTheRules are the rules for proposals: docs/design/system.md, "Control state".
+// nextViewRule is one situation of a proposer and the view that it must propose.
+type nextViewRule struct {
+	voters, chain string
+	self          string
+	tolerance     int
+	detector      fakeDetector
+	joiners       string
+	leaving       bool
+	wedged        bool
+	needed        bool
+	unknown       bool   // a proposer is Unknown: no view is proposed yet
+	next          string // chain and voters, empty for none
+}
+
+// nextViewRules are the rules for proposals: docs/design/system.md, "Control state".
+var nextViewRules = map[string]nextViewRule{
+	"nothing has failed":                            {voters: "abcd", chain: "abcd", self: "a", tolerance: 1},
+	"nothing has failed, seen from the tail":        {voters: "abcd", chain: "abcd", self: "d", tolerance: 1},
+	"a member has failed":                           {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, detector: fakeDetector{failed: "c"}, needed: true, next: "abd abcd"},
+	"the head has failed":                           {voters: "abcd", chain: "abcd", self: "b", tolerance: 1, detector: fakeDetector{failed: "a"}, needed: true, next: "bcd abcd"},
+	"the proposer becomes the head":                 {voters: "abcd", chain: "abcd", self: "c", tolerance: 1, detector: fakeDetector{failed: "d"}, needed: true, next: "cab abcd"},
+	"a voter outside the chain has failed":          {voters: "abcd", chain: "abc", self: "a", tolerance: 1, detector: fakeDetector{failed: "d"}},
+	"a voter outside the chain has failed for long": {voters: "abcd", chain: "abc", self: "a", tolerance: 1, detector: fakeDetector{failedForLong: "d"}, needed: true, next: "abc abc"},
+	"only the head removes voters":                  {voters: "abcd", chain: "abc", self: "b", tolerance: 1, detector: fakeDetector{failedForLong: "d"}},
+	"never fewer voters than 2f+1":                  {voters: "abc", chain: "ab", self: "a", tolerance: 1, detector: fakeDetector{failedForLong: "c"}},
+	"no removal with another voter unknown":         {voters: "abcde", chain: "abc", self: "a", tolerance: 1, detector: fakeDetector{failedForLong: "d", unknown: "e"}},
+	"no removal with another voter failed":          {voters: "abcde", chain: "abc", self: "a", tolerance: 1, detector: fakeDetector{failedForLong: "d", failed: "e"}},
+	"two failed for long of six":                    {voters: "abcdef", chain: "abcd", self: "a", tolerance: 2, detector: fakeDetector{failedForLong: "ef"}},
+	"two failed for long of eight":                  {voters: "abcdefgh", chain: "abcdef", self: "a", tolerance: 2, detector: fakeDetector{failedForLong: "gh"}, needed: true, next: "abcdef abcdef"},
+	"no majority":                                   {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, detector: fakeDetector{failed: "cd"}, needed: true},
+	"a joiner that is a voter":                      {voters: "abcd", chain: "abc", self: "a", tolerance: 1, joiners: "d", needed: true, next: "abcd abcd"},
+	"a new joiner":                                  {voters: "abc", chain: "abc", self: "a", tolerance: 1, joiners: "d", needed: true, next: "abcd abcd"},
+	"a joiner for a failed voter":                   {voters: "abc", chain: "ab", self: "a", tolerance: 1, detector: fakeDetector{failed: "c"}, joiners: "d", needed: true, next: "abd abd"},
+	"a joiner for a voter failed for long":          {voters: "abc", chain: "ab", self: "a", tolerance: 1, detector: fakeDetector{failedForLong: "c"}, joiners: "d", needed: true, next: "abd abd"},
+	"two joiners, one failed for long":              {voters: "abc", chain: "ab", self: "a", tolerance: 1, detector: fakeDetector{failedForLong: "c", failed: "de"}, joiners: "de", needed: true, next: "abde abde"},
+	"unknown members are left out":                  {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, detector: fakeDetector{failed: "d", unknown: "c"}, needed: true, unknown: true},
+	"a broken link":                                 {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, detector: fakeDetector{brokenLinks: []string{"bd"}}, needed: true, next: "abc abcd"},
+	"one with many broken links":                    {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, detector: fakeDetector{brokenLinks: []string{"bd", "bc"}}, needed: true, next: "acd abcd"},
+	"a broken link to itself":                       {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, detector: fakeDetector{brokenLinks: []string{"ab"}}, needed: true, next: "acd abcd"},
+	"too short while the other may return":          {voters: "abc", chain: "ab", self: "a", tolerance: 1, detector: fakeDetector{failed: "b"}, needed: true},
+	"short, the other has failed for long":          {voters: "abc", chain: "ab", self: "a", tolerance: 1, detector: fakeDetector{failedForLong: "b"}, needed: true, next: "a abc"},
+	"short, but with a joiner":                      {voters: "abc", chain: "ab", self: "a", tolerance: 1, detector: fakeDetector{failed: "b"}, joiners: "c", needed: true, next: "ac abc"},
+	"the head leaves":                               {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, leaving: true, needed: true, next: "bcd abcd"},
+	"the tail leaves":                               {voters: "abcd", chain: "abcd", self: "d", tolerance: 1, leaving: true, needed: true, next: "abc abcd"},
+	"the head leaves a short chain":                 {voters: "abc", chain: "ab", self: "a", tolerance: 1, leaving: true, needed: true, next: "ba abc"},
+	"the tail leaves a short chain":                 {voters: "abc", chain: "ab", self: "b", tolerance: 1, leaving: true},
+	"the only member stays":                         {voters: "a", chain: "a", self: "a", leaving: true},
+	"wedged, nothing has failed":                    {voters: "abc", chain: "abc", self: "b", tolerance: 1, wedged: true, needed: true, next: "bac abc"},
+	"the head has stalled":                          {voters: "abc", chain: "abc", self: "b", tolerance: 1, detector: fakeDetector{stalled: "a"}, needed: true, next: "bac abc"},
+}
+
 func TestNextViewFollowsTheRules(t *testing.T) {
-	for name, c := range map[string]struct {
-		voters, chain string
-		self          string
-		tolerance     int
-		reach         fakeDetector
-		joiners       string
-		leaving       bool
-		wedged        bool
-		wanted        bool
-		next          string // chain and voters, empty for none
-	}{
-		"calm":                         {voters: "abcd", chain: "abcd", self: "a", tolerance: 1},
-		"calm, seen from the tail":     {voters: "abcd", chain: "abcd", self: "d", tolerance: 1},
-		"a member is missing":          {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, reach: fakeDetector{failed: "c"}, wanted: true, next: "abd abcd"},
-		"the head is missing":          {voters: "abcd", chain: "abcd", self: "b", tolerance: 1, reach: fakeDetector{failed: "a"}, wanted: true, next: "bcd abcd"},
-		"the proposer is first":        {voters: "abcd", chain: "abcd", self: "c", tolerance: 1, reach: fakeDetector{failed: "d"}, wanted: true, next: "cab abcd"},
-		"a voter outside is missing":   {voters: "abcd", chain: "abc", self: "a", tolerance: 1, reach: fakeDetector{failed: "d"}},
-		"a voter outside is lost":      {voters: "abcd", chain: "abc", self: "a", tolerance: 1, reach: fakeDetector{failedForLong: "d"}, wanted: true, next: "abc abc"},
-		"only the head drops":          {voters: "abcd", chain: "abc", self: "b", tolerance: 1, reach: fakeDetector{failedForLong: "d"}},
-		"never below 2f+1":             {voters: "abc", chain: "ab", self: "a", tolerance: 1, reach: fakeDetector{failedForLong: "c"}},
-		"nor with another in doubt":    {voters: "abcde", chain: "abc", self: "a", tolerance: 1, reach: fakeDetector{failedForLong: "d", unknown: "e"}},
-		"nor with another missing":     {voters: "abcde", chain: "abc", self: "a", tolerance: 1, reach: fakeDetector{failedForLong: "d", failed: "e"}},
-		"two lost of six":              {voters: "abcdef", chain: "abcd", self: "a", tolerance: 2, reach: fakeDetector{failedForLong: "ef"}},
-		"two lost of eight":            {voters: "abcdefgh", chain: "abcdef", self: "a", tolerance: 2, reach: fakeDetector{failedForLong: "gh"}, wanted: true, next: "abcdef abcdef"},
-		"no majority":                  {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, reach: fakeDetector{failed: "cd"}, wanted: true},
-		"a joiner that is a voter":     {voters: "abcd", chain: "abc", self: "a", tolerance: 1, joiners: "d", wanted: true, next: "abcd abcd"},
-		"a new joiner":                 {voters: "abc", chain: "abc", self: "a", tolerance: 1, joiners: "d", wanted: true, next: "abcd abcd"},
-		"a joiner for a missing voter": {voters: "abc", chain: "ab", self: "a", tolerance: 1, reach: fakeDetector{failed: "c"}, joiners: "d", wanted: true, next: "abd abd"},
-		"a joiner for a lost voter":    {voters: "abc", chain: "ab", self: "a", tolerance: 1, reach: fakeDetector{failedForLong: "c"}, joiners: "d", wanted: true, next: "abd abd"},
-		"two joiners, one lost":        {voters: "abc", chain: "ab", self: "a", tolerance: 1, reach: fakeDetector{failedForLong: "c", failed: "de"}, joiners: "de", wanted: true, next: "abde abde"},
-		"in doubt is left out":         {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, reach: fakeDetector{failed: "d", unknown: "c"}, wanted: true},
-		"a broken link":                {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, reach: fakeDetector{brokenLinks: []string{"bd"}}, wanted: true, next: "abc abcd"},
-		"one with many broken links":   {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, reach: fakeDetector{brokenLinks: []string{"bd", "bc"}}, wanted: true, next: "acd abcd"},
-		"a broken link to itself":      {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, reach: fakeDetector{brokenLinks: []string{"ab"}}, wanted: true, next: "acd abcd"},
-		"too short for now":            {voters: "abc", chain: "ab", self: "a", tolerance: 1, reach: fakeDetector{failed: "b"}, wanted: true},
-		"short, the other is lost":     {voters: "abc", chain: "ab", self: "a", tolerance: 1, reach: fakeDetector{failedForLong: "b"}, wanted: true, next: "a abc"},
-		"short, but with a joiner":     {voters: "abc", chain: "ab", self: "a", tolerance: 1, reach: fakeDetector{failed: "b"}, joiners: "c", wanted: true, next: "ac abc"},
-		"the head leaves":              {voters: "abcd", chain: "abcd", self: "a", tolerance: 1, leaving: true, wanted: true, next: "bcd abcd"},
-		"the tail leaves":              {voters: "abcd", chain: "abcd", self: "d", tolerance: 1, leaving: true, wanted: true, next: "abc abcd"},
-		"the head leaves a short one":  {voters: "abc", chain: "ab", self: "a", tolerance: 1, leaving: true, wanted: true, next: "ba abc"},
-		"the tail leaves a short one":  {voters: "abc", chain: "ab", self: "b", tolerance: 1, leaving: true},
-		"alone it stays":               {voters: "a", chain: "a", self: "a", leaving: true},
-		"wedged, all well":             {voters: "abc", chain: "abc", self: "b", tolerance: 1, wedged: true, wanted: true, next: "bac abc"},
-		"the head is stuck":            {voters: "abc", chain: "abc", self: "b", tolerance: 1, reach: fakeDetector{stalled: "a"}, wanted: true, next: "bac abc"},
-	} {
-		situation := Reconfiguration{
-			View: viewOf(c.voters, c.chain), Self: c.self, Tolerance: c.tolerance, Detector: c.reach,
-			Joiners: votersOf(c.joiners), Leaving: c.leaving, Wedged: c.wedged,
-		}
-		assert.Equal(t, situation.Needed(), c.wanted, name)
-		if !c.wanted {
-			continue
-		}
-		got := ""
-		if next := situation.NextView(); next != nil {
-			assert.Assert(t, Valid(next), name)
-			assert.Equal(t, next.GetEpoch(), uint64(5), name)
-			got = strings.Join(next.GetChain(), "") + " " + strings.Join(DiskIDs(next), "")
-		}
-		if strings.Contains(name, "in doubt is left out") {
-			assert.Assert(t, !situation.ProposersKnown(), name)
-			continue
-		}
-		assert.Equal(t, got, c.next, name)
+	for name, rule := range nextViewRules {
+		t.Run(name, rule.check)
+	}
+}
+
+func (c nextViewRule) check(t *testing.T) {
+	reconfiguration := Reconfiguration{
+		View: viewOf(c.voters, c.chain), Self: c.self, Tolerance: c.tolerance, Detector: c.detector,
+		Joiners: votersOf(c.joiners), Leaving: c.leaving, Wedged: c.wedged,
+	}
+	assert.Equal(t, reconfiguration.Needed(), c.needed)
+	if !c.needed {
+		return
+	}
+	proposed := ""
+	if next := reconfiguration.NextView(); next != nil {
+		assert.Assert(t, Valid(next))
+		assert.Equal(t, next.GetEpoch(), uint64(5))
+		proposed = strings.Join(next.GetChain(), "") + " " + strings.Join(DiskIDs(next), "")
+	}
+	if c.unknown {
+		assert.Assert(t, !reconfiguration.ProposersKnown())
+		return
 	}
+	assert.Equal(t, proposed, c.next)
 }
 
-// TestJoinerReplacesTheVoterAtItsAddress: the joiner speaks at the address of a voter, whose disk is therefore gone.
+// TestJoinerReplacesTheVoterAtItsAddress: the joiner has the address of a voter, whose disk is therefore gone.
 func TestJoinerReplacesTheVoterAtItsAddress(t *testing.T) {
 	joiner := &nodepb.Voter{DiskId: "z", Address: "addr-c"}
-	situation := Reconfiguration{
+	reconfiguration := Reconfiguration{
 		View: viewOf("abc", "abc"), Self: "a", Tolerance: 1, Detector: fakeDetector{failed: "c"}, Joiners: []*nodepb.Voter{joiner},
 	}
-	next := situation.NextView()
+	next := reconfiguration.NextView()
 	assert.DeepEqual(t, next.GetChain(), []string{"a", "b", "z"})
 	assert.DeepEqual(t, DiskIDs(next), []string{"a", "b", "z"})
 	assert.DeepEqual(t, next.GetRemovedVoters(), []string{"c"})
 }
 
-// TestMemberUnreachableExcludesDiskFaults: a view says whether it leaves out a machine that can't be reached; one that leaves, or whose disk alone is in
-// trouble, is not lost.
+// TestMemberUnreachableExcludesDiskFaults: a view says whether it leaves out an unreachable member; one that leaves, or has
+// a disk fault alone, is not unreachable.
 func TestMemberUnreachableExcludesDiskFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		situation Reconfiguration
-		lost      bool
+		reconfiguration Reconfiguration
+		unreachable     bool
 	}{
-		"a member is lost":           {Reconfiguration{Self: "a", Detector: fakeDetector{failed: "b"}}, true},
-		"its disk fails":             {Reconfiguration{Self: "a", Detector: fakeDetector{failed: "b", diskFault: "b"}}, false},
-		"a joiner comes":             {Reconfiguration{Self: "a", Detector: fakeDetector{}, Joiners: votersOf("d")}, false},
-		"the proposer leaves":        {Reconfiguration{Self: "a", Detector: fakeDetector{}, Leaving: true}, false},
-		"another one is not reached": {Reconfiguration{Self: "a", Detector: fakeDetector{failed: "c"}, Leaving: true}, true},
+		"a member is unreachable":                     {Reconfiguration{Self: "a", Detector: fakeDetector{failed: "b"}}, true},
+		"its disk has a fault":                        {Reconfiguration{Self: "a", Detector: fakeDetector{failed: "b", diskFault: "b"}}, false},
+		"a joiner is added":                           {Reconfiguration{Self: "a", Detector: fakeDetector{}, Joiners: votersOf("d")}, false},
+		"the proposer leaves":                         {Reconfiguration{Self: "a", Detector: fakeDetector{}, Leaving: true}, false},
+		"the proposer leaves, another is unreachable": {Reconfiguration{Self: "a", Detector: fakeDetector{failed: "c"}, Leaving: true}, true},
 	} {
-		c.situation.View, c.situation.Tolerance = viewOf("abc", "abc"), 1
-		assert.Equal(t, c.situation.NextView().GetMemberUnreachable(), c.lost, name)
+		c.reconfiguration.View, c.reconfiguration.Tolerance = viewOf("abc", "abc"), 1
+		assert.Equal(t, c.reconfiguration.NextView().GetMemberUnreachable(), c.unreachable, name)
 	}
 }
 
@@ -172,14 +181,14 @@
 		v.RemovedVoters = append(v.RemovedVoters, "older")
 	}
 	v.RemovedVoters = append(v.RemovedVoters, "b")
-	situation := Reconfiguration{View: v, Self: "a", Tolerance: 1, Detector: fakeDetector{failedForLong: "d"}}
-	removed := situation.NextView().GetRemovedVoters()
+	reconfiguration := Reconfiguration{View: v, Self: "a", Tolerance: 1, Detector: fakeDetector{failedForLong: "d"}}
+	removed := reconfiguration.NextView().GetRemovedVoters()
 	assert.Equal(t, len(removed), maxRemovedVoters)
 	assert.Equal(t, removed[maxRemovedVoters-1], "d")
-	assert.Assert(t, !slices.Contains(removed, "b"), "who is a voter is not removed")
+	assert.Assert(t, !slices.Contains(removed, "b"), "a voter is not among the removed")
 }
 
-// TestOffChainReplicasOfAShortChainMayPropose: a view that acknowledges nothing does not keep those from proposing that hold the state.
+// TestOffChainReplicasOfAShortChainMayPropose: in a view that can't acknowledge, those that hold the state may propose too.
 func TestOffChainReplicasOfAShortChainMayPropose(t *testing.T) {
 	full := viewOf("abcdef", "abcd")
 	full.MinChainLength = 3
@@ -189,10 +198,10 @@
 	assert.DeepEqual(t, next.GetOffChainReplicas(), []string{"c", "d"})
 	assert.DeepEqual(t, EligibleProposers(next), []string{"a", "b", "c", "d"})
 
-	calm := &Reconfiguration{View: next, Self: "c", Tolerance: 2, Detector: fakeDetector{failedForLong: "a", failed: "b"}}
-	assert.Assert(t, calm.Needed(), "the chain is broken")
-	assert.Assert(t, calm.NextView() == nil, "one of it may return")
-	assert.Equal(t, calm.ProposerRank(), 0)
+	waiting := &Reconfiguration{View: next, Self: "c", Tolerance: 2, Detector: fakeDetector{failedForLong: "a", failed: "b"}}
+	assert.Assert(t, waiting.Needed(), "the chain is broken")
+	assert.Assert(t, waiting.NextView() == nil, "a member of the chain may return")
+	assert.Equal(t, waiting.ProposerRank(), 0)
 
 	rescue := (&Reconfiguration{View: next, Self: "c", Tolerance: 2, Detector: fakeDetector{failedForLong: "ab"}}).NextView()
 	assert.DeepEqual(t, rescue.GetChain(), []string{"c", "d"})
@@ -201,32 +210,32 @@
 	longer := &Reconfiguration{View: next, Self: "c", Tolerance: 2, Detector: fakeDetector{failedForLong: "a"}}
 	assert.Assert(t, longer.Needed())
 	assert.DeepEqual(t, longer.NextView().GetChain(), []string{"c", "b", "d"})
-	assert.Equal(t, len(longer.NextView().GetOffChainReplicas()), 0, "it acknowledges")
+	assert.Equal(t, len(longer.NextView().GetOffChainReplicas()), 0, "it can acknowledge")
 	assert.Equal(t, longer.ProposerRank(), 1)
 }
 
-// TestOffChainReplicasStayVoters: a machine that holds the state is neither dropped nor replaced by another, but gives way to its own
-// new disk.
+// TestOffChainReplicasStayVoters: a replica that holds the state is neither removed nor replaced by another machine, but by
+// a new disk at its own address.
 func TestOffChainReplicasStayVoters(t *testing.T) {
 	short := viewOf("abcd", "a")
 	short.MinChainLength = 2
 	short.OffChainReplicas = []string{"b"}
 	joiners := []*nodepb.Voter{{DiskId: "z", Address: "addr-z"}}
-	situation := Reconfiguration{View: short, Self: "a", Tolerance: 2, Detector: fakeDetector{failedForLong: "b"}, Joiners: joiners}
-	next := situation.NextView()
+	reconfiguration := Reconfiguration{View: short, Self: "a", Tolerance: 2, Detector: fakeDetector{failedForLong: "b"}, Joiners: joiners}
+	next := reconfiguration.NextView()
 	assert.DeepEqual(t, DiskIDs(next), []string{"a", "b", "c", "d", "z"})
 	assert.DeepEqual(t, next.GetOffChainReplicas(), []string{"b"})
 
-	situation.Joiners = []*nodepb.Voter{{DiskId: "y", Address: "addr-b"}}
-	next = situation.NextView()
+	reconfiguration.Joiners = []*nodepb.Voter{{DiskId: "y", Address: "addr-b"}}
+	next = reconfiguration.NextView()
 	assert.DeepEqual(t, DiskIDs(next), []string{"a", "y", "c", "d"})
 	assert.Equal(t, len(next.GetOffChainReplicas()), 0)
 }
 
 func TestProposerRankCountsReachableProposers(t *testing.T) {
-	rank := func(self string, r fakeDetector, leaving bool) int {
-		situation := Reconfiguration{View: viewOf("abcd", "abcd"), Self: self, Detector: r, Leaving: leaving}
-		return situation.ProposerRank()
+	rank := func(self string, detector fakeDetector, leaving bool) int {
+		reconfiguration := Reconfiguration{View: viewOf("abcd", "abcd"), Self: self, Detector: detector, Leaving: leaving}
+		return reconfiguration.ProposerRank()
 	}
 	assert.Equal(t, rank("a", fakeDetector{}, false), 0)
 	assert.Equal(t, rank("c", fakeDetector{}, false), 2)
@@ -247,9 +256,9 @@
 	for members, majority := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 6: 4, 8: 5} {
 		assert.Equal(t, Majority(members), majority)
 	}
-	for voters, by := range map[string]uint32{"a": 1, "ab": 2, "abc": 2} {
+	for voters, minLength := range map[string]uint32{"a": 1, "ab": 2, "abc": 2} {
 		first := FirstView(votersOf(voters), 1)
-		assert.Equal(t, first.GetMinChainLength(), by)
+		assert.Equal(t, first.GetMinChainLength(), minLength)
 		assert.Assert(t, Valid(first) && CanAcknowledge(first))
 	}
 }
@@ -257,7 +266,7 @@
 func TestValidRejectsMalformedViews(t *testing.T) {
 	assert.Assert(t, Valid(viewOf("abc", "ca")))
 	assert.Assert(t, !Valid(nil))
-	assert.Assert(t, !Valid(viewOf("abc", "ad")), "a chain of others")
+	assert.Assert(t, !Valid(viewOf("abc", "ad")), "a chain of strangers")
 	assert.Assert(t, !Valid(viewOf("abc", "aba")), "twice in the chain")
 	assert.Assert(t, !Valid(viewOf("aba", "a")), "twice a voter")
 	assert.Assert(t, !Valid(&nodepb.View{Epoch: 1, Voters: votersOf("a")}), "no chain")
