--- a/internal/node/chain/acceptor.go
+++ b/internal/node/chain/acceptor.go
@@ -8,7 +8,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// acceptorID is this node's name as an acceptor of the next epoch, empty if it is none.
+// acceptorID names this node as an acceptor of the next view: by its disk id, before the first view by its address; empty if
+// it is no acceptor.
 func (r *Replica) acceptorID() string {
 	switch {
 	case r.view == nil && slices.Contains(r.founders, r.address()):
@@ -20,6 +21,7 @@
 	}
 }
 
+// receivePrepare answers a proposer. The promise is durable before it is sent.
 func (r *Replica) receivePrepare(from core.Peer, message *nodepb.Prepare) {
 	r.installView(message.GetBase())
 	if message.GetEpoch() < r.acceptor.Epoch {
@@ -43,6 +45,7 @@
 	r.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_Promise{Promise: promise}})
 }
 
+// receiveAccept answers a proposer. The acceptance is durable before it is sent.
 func (r *Replica) receiveAccept(from core.Peer, message *nodepb.Accept) {
 	r.installView(message.GetBase())
 	if message.GetEpoch() < r.acceptor.Epoch {
@@ -50,8 +53,8 @@
 		return
 	}
 	id := r.acceptorID()
-	proper := view.Valid(message.GetView()) && message.GetView().GetEpoch() == message.GetEpoch()
-	if id == "" || message.GetEpoch() != r.acceptor.Epoch || !proper {
+	valid := view.Valid(message.GetView()) && message.GetView().GetEpoch() == message.GetEpoch()
+	if id == "" || message.GetEpoch() != r.acceptor.Epoch || !valid {
 		return
 	}
 	accepted, _ := r.acceptor.Accept(message.GetNumber(), message.GetView())
--- a/internal/node/chain/barrier.go
+++ b/internal/node/chain/barrier.go
@@ -8,48 +8,54 @@
 	"kestrelspread/internal/node/view"
 )
 
-// headBarrier is a barrier at the head: what for, and when.
+// headBarrier is a barrier at the head, started or deferred. It answers a read or a rejected command, or serves a confirmation
+// of the tail, or the lease of the head alone.
 type headBarrier struct {
-	origin          *nodepb.Origin
-	rejection       *nodepb.CommandResult
-	rejectedCommand *queuedCommand // what the rejection is for
-	wantsState      bool
-	knownIndex      uint64 // of the state that the reader holds
-	nonce           uint64
-	expiresAt       core.Time       // nobody waits for it any more
-	message         *nodepb.Barrier // once it has started
-	startedAt       core.Time
-	retransmitAt    core.Time
-}
+	origin          *nodepb.Origin        // of the read or command
+	rejection       *nodepb.CommandResult // of a command
+	rejectedCommand *queuedCommand        // the command of the rejection
+	wantsState      bool                  // a read
+	knownIndex      uint64                // of the state that the reader holds
+	nonce           uint64                // of the tail's confirmation
+	expiresAt       core.Time             // nobody waits for it any more
 
-// tailConfirmation is what the tail knows of the age of the committed state.
-type tailConfirmation struct {
-	nonce         uint64
-	requestedAt   core.Time
-	outstanding   bool
-	confirmedAt   core.Time // as of when the committed state was the newest
-	everConfirmed bool
+	message      *nodepb.Barrier // nil: not started
+	startedAt    core.Time
+	retransmitAt core.Time
 }
 
-// canAnswer reports whether the view in force here acknowledges and answers.
+// canAnswer reports whether this node may take part in acknowledging and answering: it is an active member of a durable view
+// with a chain that is long enough.
 func (r *Replica) canAnswer() bool {
 	return r.isActiveMember() && r.viewDurable && view.CanAcknowledge(r.view)
 }
 
-// startBarrier sends a barrier through the chain. It waits while an inherited entry is not committed, which may have been
-// acknowledged, in a view that answers nothing, and while the view changes.
+// startBarrier sends a barrier through the chain, or defers it: while an inherited entry is not committed, as that may have been
+// acknowledged and the answer must include it; while the chain is too short to answer; and while the view changes.
 func (r *Replica) startBarrier(barrier headBarrier) {
 	if barrier.expiresAt == 0 {
 		barrier.expiresAt = r.now + commandTimeout
 	}
-	if r.pendingInherited || !r.isHead() || !r.canAnswer() {
-		if len(r.deferredBarriers) < maxQueuedCommands {
-			r.deferredBarriers = append(r.deferredBarriers, barrier)
+	if r.head.pendingInherited || !r.isHead() || !r.canAnswer() {
+		if len(r.head.deferredBarriers) < maxQueuedCommands {
+			r.head.deferredBarriers = append(r.head.deferredBarriers, barrier)
 		}
 		return
 	}
-	r.lastBarrierNumber++
-	barrier.message = &nodepb.Barrier{
+	barrier.message = r.newBarrierMessage(&barrier)
+	barrier.startedAt = r.now
+	barrier.retransmitAt = r.now + retransmitInterval
+	if len(r.head.outstandingBarriers) >= maxOutstandingBarriers {
+		r.head.outstandingBarriers = append(r.head.outstandingBarriers[:0], r.head.outstandingBarriers[1:]...)
+	}
+	r.head.outstandingBarriers = append(r.head.outstandingBarriers, barrier)
+	r.forwardBarrier(barrier.message)
+}
+
+// newBarrierMessage numbers a barrier and makes its message.
+func (r *Replica) newBarrierMessage(barrier *headBarrier) *nodepb.Barrier {
+	r.head.lastBarrierNumber++
+	return &nodepb.Barrier{
 		Epoch:          r.view.GetEpoch(),
 		Origin:         barrier.origin,
 		Rejection:      barrier.rejection,
@@ -59,25 +65,18 @@
 		Nonce:          barrier.nonce,
 		WantsState:     barrier.wantsState,
 		KnownIndex:     barrier.knownIndex,
-		Number:         r.lastBarrierNumber,
-	}
-	barrier.startedAt = r.now
-	barrier.retransmitAt = r.now + retransmitInterval
-	if len(r.outstandingBarriers) >= maxOutstandingBarriers {
-		r.outstandingBarriers = append(r.outstandingBarriers[:0], r.outstandingBarriers[1:]...)
+		Number:         r.head.lastBarrierNumber,
 	}
-	r.outstandingBarriers = append(r.outstandingBarriers, barrier)
-	r.forwardBarrier(barrier.message)
 }
 
-// retransmitBarriers forgets barriers that nobody waits for any more, and sends those again that have not come through.
+// retransmitBarriers drops the barriers that have expired, and sends the outstanding ones again.
 func (r *Replica) retransmitBarriers() {
 	expired := func(barrier headBarrier) bool { return r.now >= barrier.expiresAt }
-	r.outstandingBarriers = slices.DeleteFunc(r.outstandingBarriers, expired)
-	r.deferredBarriers = slices.DeleteFunc(r.deferredBarriers, expired)
+	r.head.outstandingBarriers = slices.DeleteFunc(r.head.outstandingBarriers, expired)
+	r.head.deferredBarriers = slices.DeleteFunc(r.head.deferredBarriers, expired)
 	var due []*nodepb.Barrier
-	for i := range r.outstandingBarriers {
-		if barrier := &r.outstandingBarriers[i]; r.now >= barrier.retransmitAt {
+	for i := range r.head.outstandingBarriers {
+		if barrier := &r.head.outstandingBarriers[i]; r.now >= barrier.retransmitAt {
 			barrier.retransmitAt = r.now + retransmitInterval
 			due = append(due, barrier.message)
 		}
@@ -87,18 +86,18 @@
 	}
 }
 
-// barrierDeadline is when a barrier is to be repeated or forgotten.
+// barrierDeadline is when an outstanding barrier is to be sent again or dropped.
 func (r *Replica) barrierDeadline() core.Time {
 	deadline := core.Never
-	for i := range r.outstandingBarriers {
-		deadline = min(deadline, r.outstandingBarriers[i].retransmitAt, r.outstandingBarriers[i].expiresAt)
+	for i := range r.head.outstandingBarriers {
+		deadline = min(deadline, r.head.outstandingBarriers[i].retransmitAt, r.head.outstandingBarriers[i].expiresAt)
 	}
 	return deadline
 }
 
-// unansweredRequests lists the reads that wait for a barrier, and the commands that were turned down by one.
+// unansweredRequests lists the reads and the rejected commands whose barriers have not been completed.
 func (r *Replica) unansweredRequests() (reads []headBarrier, commands []queuedCommand) {
-	for _, barrier := range append(r.outstandingBarriers, r.deferredBarriers...) {
+	for _, barrier := range append(r.head.outstandingBarriers, r.head.deferredBarriers...) {
 		switch {
 		case r.now >= barrier.expiresAt:
 		case barrier.rejectedCommand != nil:
@@ -110,18 +109,21 @@
 	return reads, commands
 }
 
-// startDeferredBarriers starts the barriers that waited for an inherited entry.
+// startDeferredBarriers starts the deferred barriers, if none has to wait any longer.
 func (r *Replica) startDeferredBarriers() {
-	if r.pendingInherited || !r.canAnswer() {
+	if r.head.pendingInherited || !r.canAnswer() {
 		return
 	}
-	deferred := r.deferredBarriers
-	r.deferredBarriers = nil
+	deferred := r.head.deferredBarriers
+	r.head.deferredBarriers = nil
 	for _, barrier := range deferred {
 		r.startBarrier(barrier)
 	}
 }
 
+// receiveBarrier forwards a barrier at a member behind the head. A member that lacks a committed entry waits for it and
+// ignores the barrier, which the head sends again. A pending entry of an earlier epoch that the head does not have was never
+// acknowledged: it is discarded, durably, before the barrier goes on.
 func (r *Replica) receiveBarrier(from core.Peer, barrier *nodepb.Barrier) {
 	if !r.isCurrentEpoch(from, barrier.GetEpoch()) || !r.isActiveMember() || r.isHead() {
 		return
@@ -137,7 +139,7 @@
 	r.forwardBarrier(barrier)
 }
 
-// forwardBarrier passes a barrier on if its epoch is in force here; the tail answers it.
+// forwardBarrier sends a barrier of the epoch in force to the successor; the tail completes it.
 func (r *Replica) forwardBarrier(barrier *nodepb.Barrier) {
 	if !r.canAnswer() || barrier.GetEpoch() != r.view.GetEpoch() {
 		return
@@ -150,6 +152,7 @@
 	r.send(successor.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Barrier{Barrier: barrier}})
 }
 
+// completeBarrier answers, at the tail, a barrier that has passed every member.
 func (r *Replica) completeBarrier(barrier *nodepb.Barrier) {
 	switch {
 	case barrier.GetWantsState():
@@ -157,9 +160,9 @@
 	case barrier.GetRejection() != nil:
 		r.reply(barrier.GetOrigin(), barrier.GetRejection(), nil)
 	}
-	if r.confirmation.outstanding && barrier.GetNonce() == r.confirmation.nonce {
-		r.confirmation.outstanding = false
-		r.recordConfirmation(r.confirmation.requestedAt)
+	if r.tail.outstanding && barrier.GetNonce() == r.tail.nonce {
+		r.tail.outstanding = false
+		r.recordConfirmation(r.tail.requestedAt)
 	}
 	if r.isHead() {
 		r.recordBarrierCompletion(barrier.GetNumber())
@@ -168,7 +171,8 @@
 	r.notifyCommitted(barrier.GetNumber())
 }
 
-// readResult is the answer to a reader that holds the state of an index; where that is the newest, it needs no more than that word.
+// readResult is the answer to a reader that holds the state of knownIndex: the index alone where that is the newest, else the
+// complete state.
 func (r *Replica) readResult(knownIndex uint64) *nodepb.StateSnapshot {
 	if knownIndex > 0 && knownIndex >= r.committed.index {
 		return &nodepb.StateSnapshot{Index: r.committed.index}
@@ -176,72 +180,16 @@
 	return r.snapshot()
 }
 
-func (r *Replica) recordConfirmation(asOf core.Time) {
-	r.confirmation.confirmedAt = max(r.confirmation.confirmedAt, asOf)
-	r.confirmation.everConfirmed = true
-}
-
-// recordBarrierCompletion notes at the head that one of its barriers has passed every member.
+// recordBarrierCompletion records, at the head, that one of its barriers has passed every member. That extends the lease, which
+// counts from the start of the barrier: until then no other head was in force.
 func (r *Replica) recordBarrierCompletion(number uint64) {
-	for i, barrier := range r.outstandingBarriers {
+	for i, barrier := range r.head.outstandingBarriers {
 		if barrier.message.GetNumber() != number {
 			continue
 		}
-		r.leaseStart = max(r.leaseStart, barrier.startedAt)
-		r.hasLease = true
-		r.outstandingBarriers = append(r.outstandingBarriers[:i], r.outstandingBarriers[i+1:]...)
-		return
-	}
-}
-
-// RequestConfirmation starts a barrier at the tail, for the age of its state, or at the head, for its lease, unless the last is
-// young enough or one is running.
-func (r *Replica) RequestConfirmation(now core.Time) []core.Output {
-	r.advance(now)
-	switch {
-	case !r.canAnswer():
-	case r.isTail():
-		r.requestConfirmationAtTail()
-	case r.isHead():
-		r.requestLease()
-	}
-	return r.finish()
-}
-
-func (r *Replica) requestConfirmationAtTail() {
-	if r.confirmation.everConfirmed && r.now-r.confirmation.confirmedAt < ConfirmInterval {
-		return
-	}
-	if r.confirmation.outstanding && r.now-r.confirmation.requestedAt < confirmationTimeout {
-		return
-	}
-	r.confirmation.nonce = r.random.Uint64() | 1
-	r.confirmation.requestedAt = r.now
-	r.confirmation.outstanding = true
-	if r.isHead() {
-		r.startBarrier(headBarrier{nonce: r.confirmation.nonce})
-		return
-	}
-	head := view.Head(r.view)
-	r.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_BarrierRequest{BarrierRequest: &nodepb.BarrierRequest{
-		Epoch: r.view.GetEpoch(),
-		Nonce: r.confirmation.nonce,
-	}}})
-}
-
-func (r *Replica) requestLease() {
-	if r.hasLease && r.now-r.leaseStart < ConfirmInterval || len(r.deferredBarriers) > 0 {
-		return
-	}
-	if outstanding := len(r.outstandingBarriers); outstanding > 0 && r.now-r.outstandingBarriers[outstanding-1].startedAt < confirmationTimeout {
-		return
-	}
-	r.startBarrier(headBarrier{})
-}
-
-func (r *Replica) receiveBarrierRequest(from core.Peer, request *nodepb.BarrierRequest) {
-	if !r.isCurrentEpoch(from, request.GetEpoch()) || !r.isHead() {
+		r.head.leaseStart = max(r.head.leaseStart, barrier.startedAt)
+		r.head.hasLease = true
+		r.head.outstandingBarriers = append(r.head.outstandingBarriers[:i], r.head.outstandingBarriers[i+1:]...)
 		return
 	}
-	r.startBarrier(headBarrier{origin: request.GetOrigin(), nonce: request.GetNonce(), wantsState: request.GetWantsState()})
 }
--- a/internal/node/chain/faults_test.go
+++ b/internal/node/chain/faults_test.go
@@ -236,7 +236,7 @@
 		return
 	}
 	w.logf("transfer %s", n.address)
-	n.input(func() { n.carryOut(n.store.Leave(w.now)) })
+	n.input(func() { n.carryOut(n.store.HandOver(w.now)) })
 	w.after(time.Second, func() { f.killFor(n, f.randomDuration()) })
 }
 
--- a/internal/node/chain/install.go
+++ b/internal/node/chain/install.go
@@ -6,7 +6,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// installView installs a decided view if it is newer than the one known.
+// installView installs a decided view if it is newer than the one known. From here on messages of older epochs are ignored;
+// this node takes part in the new epoch once the view is durable.
 func (r *Replica) installView(decided *nodepb.View) {
 	if decided == nil || decided.GetEpoch() <= view.Epoch(r.view) || !view.Valid(decided) {
 		return
@@ -21,8 +22,7 @@
 	r.proposalBackoffUntil = 0
 	r.founders = nil
 	r.stepDown()
-	r.nextJoinRequestAt = r.now
-	r.needsSnapshot = false
+	r.joining = joiningState{nextRequestAt: r.now}
 	r.updateTargets()
 	r.persist(kindView, decided, func() {
 		if r.view != decided {
@@ -31,25 +31,25 @@
 		r.viewDurable = true
 		r.enterEpoch()
 	})
-	r.emit(core.Log{Message: "control state: view installed", Fields: []any{
+	r.emit(core.Log{Message: "chain: view installed", Fields: []any{
 		"epoch", decided.GetEpoch(), "chain", decided.GetChain(), "voters", len(decided.GetVoters()),
 	}})
 }
 
-// stepDown ends what this node did as the head of the epoch before. What was not answered begins anew, here or at the new
-// head: a command that was turned down is checked again, as this node may have been superseded when it checked it.
+// stepDown ends what this node did as the head of the previous epoch. What was not answered starts again, here or at the new
+// head: a rejected command is checked again, as this node may have been superseded when it checked it.
 func (r *Replica) stepDown() {
-	r.pendingInherited = false
+	r.head.pendingInherited = false
 	reads, commands := r.unansweredRequests()
-	r.deferredBarriers = nil
-	r.outstandingBarriers = nil
-	r.hasLease = false
-	r.leaseStart = 0
-	r.entriesPausedUntil = 0
-	clear(r.joiners)
-	r.commandQueue = append(r.withUncommitted(commands), r.commandQueue...)
+	r.head.deferredBarriers = nil
+	r.head.outstandingBarriers = nil
+	r.head.hasLease = false
+	r.head.leaseStart = 0
+	r.head.entriesPausedUntil = 0
+	clear(r.head.joiners)
+	r.head.commandQueue = append(r.withUncommitted(commands), r.head.commandQueue...)
 	if r.isHead() {
-		r.deferredBarriers = reads
+		r.head.deferredBarriers = reads
 		return
 	}
 	for _, read := range reads {
@@ -59,11 +59,11 @@
 	r.forwardQueue()
 }
 
-// withUncommitted adds the command of the entry that this node took and that is not committed, if another is the head now: the entry
-// may not have come through. Where it has, the new head knows the command by its id.
+// withUncommitted adds, in front, the command of this node's own uncommitted entry, if another node is the head now: the entry
+// may be lost. Where it is not, the new head knows the command by its id.
 func (r *Replica) withUncommitted(commands []queuedCommand) []queuedCommand {
-	if r.isHead() || r.pending == nil || r.pending.GetCommand() != r.lastProposed.command || r.now >= r.lastProposed.expiresAt {
+	if r.isHead() || r.pending == nil || r.pending.GetCommand() != r.head.lastProposed.command || r.now >= r.head.lastProposed.expiresAt {
 		return commands
 	}
-	return append([]queuedCommand{r.lastProposed}, commands...)
+	return append([]queuedCommand{r.head.lastProposed}, commands...)
 }
--- a/internal/node/chain/pings.go
+++ b/internal/node/chain/pings.go
@@ -6,8 +6,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// updateTargets tells the detector whom to watch: the voters; the founders while there is no view; and, while this node is outside
-// the chain, all that count.
+// updateTargets sets the nodes that the detector watches: the voters; the founders while there is no view; and, while this node
+// is outside the chain, all members that count for a quorum.
 func (r *Replica) updateTargets() {
 	var targets []view.Target
 	for _, voter := range r.view.GetVoters() {
@@ -24,7 +24,7 @@
 	r.detector.Watch(r.now, targets, r.view.GetVoters(), r.view == nil)
 }
 
-// selfReport is what this node says of itself.
+// selfReport is what this node reports of itself in pings and pongs.
 func (r *Replica) selfReport() view.Report {
 	return view.Report{
 		Voter:             r.options.Self,
@@ -49,6 +49,7 @@
 	}
 }
 
+// sendPingNow pings a node outside the usual interval.
 func (r *Replica) sendPingNow(address string) {
 	r.sendPing(view.DuePing{Address: address, Via: r.detector.Route(address)}, r.selfReport())
 }
@@ -63,14 +64,14 @@
 	})
 }
 
-// SetRelays names the nodes that may relay messages to core machines that can't be reached directly, best first.
+// SetRelays sets the addresses of the nodes that may relay messages to core machines without a direct path, best first.
 func (r *Replica) SetRelays(addresses []string) { r.detector.SetRelays(addresses) }
 
-// Route is the internal address of the node by which messages to the address should go just now; empty: directly. Pings and
-// pongs take the way that they are to prove.
+// Route is the internal address of the relay by which messages to the address should go at present; empty: directly. Pings and
+// pongs name the path that they are to prove themselves.
 func (r *Replica) Route(address string) string { return r.detector.Route(address) }
 
-// viewIfOutdated is the view if the node at the address was last seen with an older one.
+// viewIfOutdated is the view if the last report of the node at the address names an older one, else nil.
 func (r *Replica) viewIfOutdated(address string) *nodepb.View {
 	report := r.detector.LastReport(address)
 	if report == nil || r.view == nil || report.Epoch >= r.view.GetEpoch() {
@@ -89,7 +90,7 @@
 		Via:     from.Via,
 		Message: &nodepb.Envelope{Body: &nodepb.Envelope_VoterPong{VoterPong: pong}},
 	})
-	r.afterContact(from, ping.GetEpoch())
+	r.afterContact()
 }
 
 func (r *Replica) receivePong(from core.Peer, pong *nodepb.VoterPong) {
@@ -98,13 +99,13 @@
 	if r.viewIfOutdated(from.Address) != nil {
 		r.sendView(from.Address)
 	}
-	r.afterContact(from, pong.GetEpoch())
+	r.afterContact()
 }
 
-// afterContact follows up on a ping or pong.
-func (r *Replica) afterContact(from core.Peer, epoch uint64) {
+// afterContact does what a new report may allow: to propose the first view, or to join.
+func (r *Replica) afterContact() {
 	if r.view == nil {
-		r.proposeFirstView()
+		r.considerFirstView()
 	}
-	r.sendJoinRequest()
+	r.requestJoinIfDue()
 }
--- a/internal/node/chain/proposer.go
+++ b/internal/node/chain/proposer.go
@@ -1,84 +1,29 @@
 package chain
 
 import (
-	"slices"
-
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 	"kestrelspread/internal/node/view"
 )
 
-// acceptor is who is asked in a round; the id is the disk id, in epoch 1 the address.
+// acceptor is one acceptor of a proposal; the id is the disk id, in epoch 1 the address.
 type acceptor struct {
 	id      string
 	address string
 }
 
-// proposal is a ballot of this node for the next view.
+// proposal is this node's proposal of the next view.
 type proposal struct {
 	*view.Proposal
-	base           *nodepb.View // nil while founding
-	acceptors      []acceptor
-	startedAt      core.Time
-	resendAt       core.Time
-	ownVoteDurable bool // this node's own vote of the phase is durable, so that the others may be asked
-}
-
-// reconfiguration is what this node knows for the choice of the next view.
-func (r *Replica) reconfiguration() *view.Reconfiguration {
-	return &view.Reconfiguration{
-		View:      r.view,
-		Self:      r.diskID(),
-		Tolerance: r.options.Tolerance,
-		Detector:  r.detector,
-		Joiners:   r.readyJoiners(),
-		Leaving:   r.now < r.leavingUntil,
-		Wedged:    r.wedged,
-	}
-}
-
-// evaluateView proposes a view if the one in force should change and this node is the one to do so.
-func (r *Replica) evaluateView() {
-	if r.view == nil {
-		r.proposeFirstView()
-		return
-	}
-	if r.proposal != nil || !r.isEligibleProposer() || !r.viewDurable || r.now < r.nextEvaluationAt {
-		return
-	}
-	r.nextEvaluationAt = r.now + evaluationInterval
-	reconfiguration := r.reconfiguration()
-	if !reconfiguration.Needed() {
-		r.changeNeededSince = core.Never
-		return
-	}
-	r.changeNeededSince = min(r.changeNeededSince, r.now)
-	if r.mayPropose(reconfiguration) {
-		r.startProposal()
-	}
-}
-
-// isEligibleProposer reports whether this node may propose the next view, as it holds all that was acknowledged.
-func (r *Replica) isEligibleProposer() bool {
-	return slices.Contains(view.EligibleProposers(r.view), r.diskID())
-}
-
-func (r *Replica) mayPropose(reconfiguration *view.Reconfiguration) bool {
-	switch {
-	case r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now):
-		return false
-	case !reconfiguration.MajorityReachable():
-		return false
-	case !r.wedged && !reconfiguration.ProposersKnown():
-		return false
-	case r.now < r.changeNeededSince+core.Time(reconfiguration.ProposerRank())*proposerRankDelay:
-		return false
-	default:
-		return reconfiguration.NextView() != nil
-	}
+	base      *nodepb.View // whose voters are the acceptors; nil for the first view
+	acceptors []acceptor
+	startedAt core.Time
+	resendAt  core.Time
+	// ownVoteDurable: this node's own answer to the phase is durable, so that the other acceptors may be asked.
+	ownVoteDurable bool
 }
 
-// startProposal begins a ballot: this node's own promise is durable before anyone else is asked.
+// startProposal starts a proposal. This node's own promise is durable before any other acceptor is asked.
 func (r *Replica) startProposal() {
 	acceptors := r.acceptors()
 	ids := make([]string, len(acceptors))
@@ -107,8 +52,8 @@
 	})
 }
 
-// proposerID makes ballots of different lives of a machine differ: a disk id is of one disk, and what was promised to
-// one's own ballots is durable.
+// proposerID makes the proposal numbers of a machine's incarnations differ: a disk id is of one disk, on which the promises to
+// this node's own numbers are durable.
 func (r *Replica) proposerID() string {
 	if r.diskID() == "" {
 		return r.address()
@@ -116,6 +61,7 @@
 	return r.diskID()
 }
 
+// acceptors of the next view: the voters of the view in force, or the founders.
 func (r *Replica) acceptors() []acceptor {
 	var acceptors []acceptor
 	for _, voter := range r.view.GetVoters() {
@@ -127,7 +73,7 @@
 	return acceptors
 }
 
-// sendPhaseRequests sends the question of the phase to all who have not answered.
+// sendPhaseRequests sends the Prepare or Accept of the phase to the other acceptors that have not answered.
 func (r *Replica) sendPhaseRequests() {
 	p := r.proposal
 	for _, acceptor := range p.acceptors {
@@ -147,7 +93,7 @@
 	}
 }
 
-// driveProposal asks again, and gives up a ballot that takes too long.
+// driveProposal asks the acceptors again, and gives up a proposal that takes too long.
 func (r *Replica) driveProposal() {
 	p := r.proposal
 	switch {
@@ -162,6 +108,7 @@
 	}
 }
 
+// proposalDeadline is when the acceptors are to be asked again, or the proposal given up.
 func (r *Replica) proposalDeadline() core.Time {
 	if r.proposal == nil {
 		return core.Never
@@ -169,10 +116,10 @@
 	return min(r.proposal.resendAt, r.proposal.startedAt+proposalTimeout)
 }
 
-// abandonProposal ends a ballot; the next waits for a random while, so that one of several proposers comes through.
+// abandonProposal gives a proposal up. The next one waits for a random backoff, so that one of several proposers succeeds.
 func (r *Replica) abandonProposal() {
 	r.proposal = nil
-	r.proposalBackoffUntil = r.now + minProposalBackoff + core.Time(r.random.Int64N(int64(3*minProposalBackoff)))
+	r.proposalBackoffUntil = r.now + minProposalBackoff + core.Time(r.random.Int64N(int64(maxProposalJitter)))
 	r.nextEvaluationAt = r.proposalBackoffUntil
 	r.processQueue()
 }
@@ -195,7 +142,7 @@
 	r.advanceProposal()
 }
 
-// advanceProposal goes on after an answer.
+// advanceProposal continues after an answer, according to the phase.
 func (r *Replica) advanceProposal() {
 	switch r.proposal.Phase() {
 	case view.Prepared:
@@ -208,13 +155,13 @@
 	}
 }
 
-// observeCounter lets the next ballot of this node be above one that was seen elsewhere.
+// observeCounter makes this node's next proposal number higher than one that another proposer uses.
 func (r *Replica) observeCounter(counter uint64) {
 	r.highestSeenCounter = max(r.highestSeenCounter, counter)
 }
 
-// startAccept starts the second phase: with the view that another proposer may have got through, else with the one that is
-// right now, once this node has wedged itself.
+// startAccept starts the second phase: with the view that may have been decided under a lower number, else with this node's own
+// choice. Its own acceptance, and its wedge before that, are durable before any other acceptor is asked.
 func (r *Replica) startAccept() {
 	p := r.proposal
 	value := p.Value()
@@ -244,26 +191,8 @@
 	})
 }
 
-// chooseView is the view that this node proposes by itself; nil if there is none by now. From here on it passes on and
-// acknowledges nothing of the epoch any more, and its last entry stays what it is.
-func (r *Replica) chooseView() *nodepb.View {
-	if r.view == nil {
-		return r.firstView()
-	}
-	reconfiguration := r.reconfiguration()
-	if !reconfiguration.Needed() || !reconfiguration.MajorityReachable() {
-		return nil
-	}
-	next := reconfiguration.NextView()
-	if next != nil && !r.wedged && r.inChain() {
-		r.wedged = true
-		r.persist(kindWedge, &nodepb.WedgeRecord{Epoch: r.view.GetEpoch()}, nil)
-	}
-	return next
-}
-
-// announceDecision ends the round: a majority has accepted. The others are told first, so that what this node passes to the new head
-// finds it as such.
+// announceDecision ends a proposal that a majority has accepted. The others are notified before this node installs the view, so
+// that the commands it then forwards find the new head as such.
 func (r *Replica) announceDecision() {
 	p := r.proposal
 	decided := &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: p.Value()}}}
@@ -277,6 +206,7 @@
 	r.installView(p.Value())
 }
 
+// sendOnce sends a message to an address that has not been notified before.
 func (r *Replica) sendOnce(notified map[string]bool, address string, envelope *nodepb.Envelope) {
 	if !notified[address] {
 		notified[address] = true
--- a/internal/node/chain/records.go
+++ b/internal/node/chain/records.go
@@ -9,7 +9,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// The kinds of records in the journal. The last one of a kind counts, except that entries and states follow one another.
+// The kinds of records in the journal, stored as numbers. The last record of a kind counts, except that entries and states
+// follow one another.
 const (
 	kindFounding uint8 = iota + 1 // FoundingRecord
 	kindView                      // View that was decided
@@ -31,18 +32,7 @@
 	return position{index: entry.GetIndex(), epoch: entry.GetEpoch()}
 }
 
-// journalState is what the journal holds.
-type journalState struct {
-	founders      []string
-	view          *nodepb.View
-	acceptor      *nodepb.AcceptorRecord
-	wedgedEpoch   uint64
-	caughtUpEpoch uint64
-	committed     position
-	pending       *nodepb.Entry
-}
-
-// encode makes a record of a message. Messages of this schema can always be encoded.
+// encode makes a record of a message. It panics where the message can't be encoded, which messages of this schema always can.
 func encode(kind uint8, message proto.Message) core.Record {
 	data, err := proto.Marshal(message)
 	if err != nil {
@@ -51,94 +41,7 @@
 	return core.Record{Kind: kind, Data: data}
 }
 
-// recover reads the records in their order, and brings the machine to the committed state.
-func replayJournal(records []core.Record, machine StateMachine) (*journalState, error) {
-	state := &journalState{}
-	for i, record := range records {
-		if err := state.apply(record, machine); err != nil {
-			return nil, fmt.Errorf("record %d of kind %d: %w", i, record.Kind, err)
-		}
-	}
-	return state, nil
-}
-
-func (j *journalState) apply(record core.Record, machine StateMachine) error {
-	switch record.Kind {
-	case kindFounding:
-		message := &nodepb.FoundingRecord{}
-		err := proto.Unmarshal(record.Data, message)
-		j.founders = message.GetFounders()
-		return err
-	case kindView:
-		j.view = &nodepb.View{}
-		return proto.Unmarshal(record.Data, j.view)
-	case kindAcceptor:
-		j.acceptor = &nodepb.AcceptorRecord{}
-		return proto.Unmarshal(record.Data, j.acceptor)
-	case kindWedge:
-		message := &nodepb.WedgeRecord{}
-		err := proto.Unmarshal(record.Data, message)
-		j.wedgedEpoch = message.GetEpoch()
-		return err
-	case kindCaughtUp:
-		message := &nodepb.CaughtUpRecord{}
-		err := proto.Unmarshal(record.Data, message)
-		j.caughtUpEpoch = message.GetEpoch()
-		return err
-	case kindState:
-		return j.applyState(record.Data, machine)
-	case kindEntry:
-		return j.applyEntry(record.Data, machine)
-	case kindDiscard:
-		return j.applyDrop(record.Data)
-	default:
-		return fmt.Errorf("unknown kind")
-	}
-}
-
-func (j *journalState) applyState(data []byte, machine StateMachine) error {
-	message := &nodepb.StateRecord{}
-	if err := proto.Unmarshal(data, message); err != nil {
-		return err
-	}
-	j.committed = position{index: message.GetIndex(), epoch: message.GetEpoch()}
-	j.pending = nil
-	return machine.Restore(message.GetState())
-}
-
-// applyEntry commits the entry before: the next one is written only once that was committed.
-func (j *journalState) applyEntry(data []byte, machine StateMachine) error {
-	entry := &nodepb.Entry{}
-	if err := proto.Unmarshal(data, entry); err != nil {
-		return err
-	}
-	if entry.GetIndex() <= j.committed.index {
-		return nil
-	}
-	if j.pending != nil && j.pending.GetIndex()+1 == entry.GetIndex() {
-		machine.Apply(j.pending)
-		j.committed = positionOf(j.pending)
-	}
-	if entry.GetIndex() != j.committed.index+1 {
-		return fmt.Errorf("entry %d follows state %d", entry.GetIndex(), j.committed.index)
-	}
-	j.pending = entry
-	return nil
-}
-
-func (j *journalState) applyDrop(data []byte) error {
-	message := &nodepb.DropRecord{}
-	if err := proto.Unmarshal(data, message); err != nil {
-		return err
-	}
-	discarded := position{index: message.GetIndex(), epoch: message.GetEpoch()}
-	if j.pending != nil && positionOf(j.pending) == discarded {
-		j.pending = nil
-	}
-	return nil
-}
-
-// checkpoint lists everything that must survive.
+// checkpoint lists the records of everything that must survive.
 func (r *Replica) checkpoint() []core.Record {
 	var records []core.Record
 	if r.view == nil && len(r.founders) > 0 {
--- a/internal/node/chain/replication.go
+++ b/internal/node/chain/replication.go
@@ -8,7 +8,7 @@
 	"kestrelspread/internal/node/view"
 )
 
-// lastPosition is the newest entry this node holds.
+// lastPosition is the position of the newest entry that this node holds, committed or pending.
 func (r *Replica) lastPosition() position {
 	if r.pending != nil {
 		return positionOf(r.pending)
@@ -16,7 +16,7 @@
 	return r.committed
 }
 
-// receiveAppend takes an entry from the member before, or the head's repeat of it.
+// receiveAppend processes an entry of the predecessor, or a retransmission of it. Entries that leave a gap are ignored.
 func (r *Replica) receiveAppend(from core.Peer, message *nodepb.Append) {
 	if !r.isCurrentEpoch(from, message.GetEpoch()) || !r.isActiveMember() || r.isHead() || message.GetEntry() == nil {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// persistPending makes an entry durable in the place of the one that is held, which was never acknowledged.
+// persistPending makes an entry durable and then forwards it. It replaces a pending one, which was never acknowledged.
 func (r *Replica) persistPending(entry *nodepb.Entry) {
 	r.pending = entry
 	r.pendingDurable = false
@@ -51,8 +51,8 @@
 	})
 }
 
-// forwardPending passes the pending entry on if it may: it is durable here and was sent in the epoch in force. The tail
-// commits it.
+// forwardPending sends the pending entry to the successor if it is durable here and was received in the epoch in force; the
+// tail commits it.
 func (r *Replica) forwardPending() {
 	if !r.isActiveMember() || !r.viewDurable || r.pending == nil || !r.pendingDurable {
 		return
@@ -67,7 +67,7 @@
 	r.sendToSuccessor(r.pending)
 }
 
-// forwardCommitted passes on a repeat of an entry that is committed here, for members that don't have it.
+// forwardCommitted forwards a retransmission of an entry that is committed here, for members that lack it.
 func (r *Replica) forwardCommitted(entry *nodepb.Entry) {
 	if !r.viewDurable {
 		return
@@ -89,7 +89,7 @@
 	}}})
 }
 
-// commitAtTail commits the pending entry at the tail and answers it, if the chain is long enough.
+// commitAtTail commits the pending entry at the tail and answers its origin, if the chain is long enough to acknowledge.
 func (r *Replica) commitAtTail() {
 	if !view.CanAcknowledge(r.view) {
 		return
@@ -101,7 +101,7 @@
 	r.resumeAfterCommit()
 }
 
-// resumeAfterCommit goes on at the head with what waited for the commit.
+// resumeAfterCommit continues, at the head, with what waited for the commit.
 func (r *Replica) resumeAfterCommit() {
 	if !r.isHead() {
 		return
@@ -110,7 +110,7 @@
 	r.processQueue()
 }
 
-// reply sends the result of a command, or the state of a read, to who asked.
+// reply sends the result of a command, or the state of a read, to its origin.
 func (r *Replica) reply(origin *nodepb.Origin, result *nodepb.CommandResult, state *nodepb.StateSnapshot) {
 	if origin.GetAddress() == "" {
 		return
@@ -123,7 +123,7 @@
 	}}})
 }
 
-// notifyCommitted tells the other members what is committed, and the head alone where a barrier came through.
+// notifyCommitted notifies the other members of the committed position; a completed barrier, not 0, concerns the head alone.
 func (r *Replica) notifyCommitted(barrier uint64) {
 	notice := &nodepb.CommitNotice{
 		Epoch:      r.view.GetEpoch(),
@@ -140,6 +140,7 @@
 	}
 }
 
+// receiveCommitNotice commits what the tail has committed. A wedged member does so as well: it holds the entry.
 func (r *Replica) receiveCommitNotice(from core.Peer, notice *nodepb.CommitNotice) {
 	if !r.isCurrentEpoch(from, notice.GetEpoch()) || !r.inChain() {
 		return
@@ -150,7 +151,7 @@
 	}
 }
 
-// commitIfPending commits the pending entry if it is the one that was told to be committed.
+// commitIfPending commits the pending entry if it is the one at the committed position and durable here.
 func (r *Replica) commitIfPending(committed position) {
 	if r.pending == nil || positionOf(r.pending) != committed || !r.pendingDurable {
 		return
@@ -159,34 +160,24 @@
 	r.resumeAfterCommit()
 }
 
-// commit applies the pending entry.
+// commit applies the pending entry to the state machine.
 func (r *Replica) commit() *nodepb.CommandResult {
 	entry := r.pending
 	r.pending = nil
 	r.pendingDurable = false
-	r.pendingInherited = false
+	r.head.pendingInherited = false
 	r.committed = positionOf(entry)
 	result := r.options.StateMachine.Apply(entry)
 	if result.GetIndex() == 0 {
 		result = proto.CloneOf(result)
 		result.Index = entry.GetIndex()
 	}
-	r.retainRecent(entry)
+	r.recent.add(entry)
 	r.emit(core.Committed{Entry: entry, Result: result})
 	return result
 }
 
-// retainRecent keeps the newest entries for joiners that lack only these.
-func (r *Replica) retainRecent(entry *nodepb.Entry) {
-	r.recentEntries = append(r.recentEntries, entry)
-	r.recentBytes += proto.Size(entry)
-	for len(r.recentEntries) > maxRecentEntries || r.recentBytes > maxRecentEntryBytes && len(r.recentEntries) > 0 {
-		r.recentBytes -= proto.Size(r.recentEntries[0])
-		r.recentEntries = append(r.recentEntries[:0], r.recentEntries[1:]...)
-	}
-}
-
-// discardPending forgets an entry that the head doesn't have; done follows once that is durable.
+// discardPending discards a pending entry that the head doesn't have; onDurable runs once that is durable.
 func (r *Replica) discardPending(onDurable func()) {
 	record := &nodepb.DropRecord{Index: r.pending.GetIndex(), Epoch: r.pending.GetEpoch()}
 	r.pending = nil
--- a/internal/node/chain/ring_golden_test.go
+++ b/internal/node/chain/ring_golden_test.go
@@ -24,9 +24,9 @@
 
 // TestRingWithRecordsKeepsItsBytes freezes the file of a journal with the records of a voter.
 func TestRingWithRecordsKeepsItsBytes(t *testing.T) {
-	folder := t.TempDir()
+	directory := t.TempDir()
 	random := rand.NewChaCha8([32]byte{5, 2})
-	opened, _, err := journal.Open(journal.Options{Dir: folder, MaxBytes: goldenRingBytes, Random: random})
+	opened, _, err := journal.Open(journal.Options{Dir: directory, MaxBytes: goldenRingBytes, Random: random})
 	assert.NilError(t, err)
 	for _, c := range goldenCases(t) {
 		if c.name == goldenRingCase {
@@ -35,7 +35,7 @@
 		}
 	}
 	assert.NilError(t, opened.Close())
-	content, err := os.ReadFile(filepath.Join(folder, "journal-1"))
+	content, err := os.ReadFile(filepath.Join(directory, "journal-1"))
 	assert.NilError(t, err)
 	used := hex.EncodeToString(bytes.TrimRight(content, "\x00"))
 	golden.Assert(t, fmt.Sprintf("%s %d %s\n", opened.Identity(), len(content), used), goldenRing)
@@ -49,11 +49,11 @@
 	assert.NilError(t, err)
 	content, err := hex.DecodeString(digits)
 	assert.NilError(t, err)
-	folder := t.TempDir()
+	directory := t.TempDir()
 	content = append(content, make([]byte, size-len(content))...)
-	assert.NilError(t, os.WriteFile(filepath.Join(folder, "journal-1"), content, 0o644))
+	assert.NilError(t, os.WriteFile(filepath.Join(directory, "journal-1"), content, 0o644))
 
-	opened, found, err := journal.Open(journal.Options{Dir: folder, MaxBytes: goldenRingBytes})
+	opened, found, err := journal.Open(journal.Options{Dir: directory, MaxBytes: goldenRingBytes})
 	assert.NilError(t, err)
 	defer opened.Close()
 	assert.Equal(t, opened.Identity(), identity)
--- a/internal/node/chain/scenario_test.go
+++ b/internal/node/chain/scenario_test.go
@@ -287,7 +287,7 @@
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		w, o := newRunningWorld(t, fourCoreMachines)
 		n := w.inRole(role)
-		n.input(func() { n.carryOut(n.store.Leave(w.now)) })
+		n.input(func() { n.carryOut(n.store.HandOver(w.now)) })
 		w.runFor(500 * time.Millisecond)
 		assert.Equal(t, n.store.Status().Role, chain.OutsideChain)
 		n.kill()
@@ -302,7 +302,7 @@
 func TestLeavingHeadOfTwoBecomesTail(t *testing.T) {
 	w, o := newRunningWorld(t, worldSettings{core: 2, founders: 2, proxies: 1, tolerance: 1})
 	head := w.inRole(chain.Head)
-	head.input(func() { head.carryOut(head.store.Leave(w.now)) })
+	head.input(func() { head.carryOut(head.store.HandOver(w.now)) })
 	w.runFor(500 * time.Millisecond)
 	assert.Equal(t, head.store.Status().Role, chain.Tail, "the chain needs both, so that the head goes to its end")
 	w.runUntil("acknowledges", time.Second, o.acknowledgesMore(5))
--- a/internal/node/chain/status.go
+++ b/internal/node/chain/status.go
@@ -6,41 +6,43 @@
 	"kestrelspread/internal/node/view"
 )
 
-// MemberRole is a node's place in the chain.
+// MemberRole is a node's role in the chain.
 type MemberRole uint8
 
-// The places in the chain.
+// The roles in the chain.
 const (
-	OutsideChain MemberRole = iota // outside the chain, or no view known
+	OutsideChain MemberRole = iota // no member, or no view known
 	SoleMember                     // head and tail at once
-	Head                           // takes commands
-	Middle
-	Tail // answers
+	Head                           // accepts commands
+	Middle                         // forwards
+	Tail                           // commits and answers
 )
 
-func (r MemberRole) String() string {
-	return [...]string{"none", "only", "head", "middle", "tail"}[r]
+// String is the role as status pages show it.
+func (m MemberRole) String() string {
+	return [...]string{"none", "only", "head", "middle", "tail"}[m]
 }
 
-// Status is what other planes need to know.
+// Status is what the rest of the node needs to know of a Replica.
 type Status struct {
 	Epoch      uint64
 	View       *nodepb.View // nil: none known
 	Role       MemberRole
-	Wedged     bool   // the view is being changed by this node
-	Committed  uint64 // index
-	HasPending bool
-	// ConfirmedAt is when, by this node's clock, the committed state was known to be the newest; only a tail learns it.
+	Wedged     bool   // this node has proposed a successor of View, and forwards nothing
+	Committed  uint64 // index of the committed state
+	HasPending bool   // an entry is not committed
+	// ConfirmedAt is the time, by this node's clock, as of which the committed state was the newest, if EverConfirmed. Only a
+	// tail learns it.
 	ConfirmedAt   core.Time
 	EverConfirmed bool
 	DiskHealthy   bool
-	// LeaseStart is when, at the head, the newest barrier that passed every member was started; Leased: there was one in
+	// LeaseStart is when, at the head, the newest barrier that passed every member was started; HasLease: there was one in
 	// this epoch.
 	LeaseStart core.Time
 	HasLease   bool
 }
 
-// Status tells how things stand.
+// Status returns the present status.
 func (r *Replica) Status() Status {
 	return Status{
 		Epoch:         view.Epoch(r.view),
@@ -49,11 +51,11 @@
 		Wedged:        r.wedged,
 		Committed:     r.committed.index,
 		HasPending:    r.pending != nil,
-		ConfirmedAt:   r.confirmation.confirmedAt,
-		EverConfirmed: r.confirmation.everConfirmed,
+		ConfirmedAt:   r.tail.confirmedAt,
+		EverConfirmed: r.tail.everConfirmed,
 		DiskHealthy:   r.writer.healthy(r.now),
-		LeaseStart:    r.leaseStart,
-		HasLease:      r.hasLease,
+		LeaseStart:    r.head.leaseStart,
+		HasLease:      r.head.hasLease,
 	}
 }
 
--- a/internal/node/chain/transfer_test.go
+++ b/internal/node/chain/transfer_test.go
@@ -27,7 +27,7 @@
 			o.slowestCall = 0
 		}
 		head := w.inRole(chain.Head)
-		head.input(func() { head.carryOut(head.store.Leave(w.now)) })
+		head.input(func() { head.carryOut(head.store.HandOver(w.now)) })
 		w.runFor(800 * time.Millisecond)
 		for _, o := range operators {
 			assert.Check(t, o.slowestCall < maxCallTime, "seed %d: a call of operator %s took %v", seed, o.name, o.slowestCall)
--- a/internal/node/chain/writer.go
+++ b/internal/node/chain/writer.go
@@ -4,34 +4,35 @@
 	"kestrelspread/internal/node/core"
 )
 
-// pendingWrite is a record on its way to the disk, and what follows once it is durable.
+// pendingWrite is a record that is not durable yet; onDurable, which may be nil, runs once it is.
 type pendingWrite struct {
 	record    core.Record
 	onDurable func()
 }
 
-// writer hands records to the journal strictly in order: one Write is out at a time, all that comes meanwhile goes with the
-// next. A Write that failed is repeated, so nothing is ever durable before what was written earlier.
+// writer hands records to the journal strictly in order: one Write is in flight at a time, and all records that are queued
+// meanwhile go with the next. A Write that failed is retried, so that no record is durable before an earlier one.
 type writer struct {
 	lastToken         uint64
-	inFlight          []pendingWrite // of the Write that is out
-	queue             []pendingWrite
-	writeStartedAt    core.Time // when the Write that is out began; core.Never: none is out
-	retryAt           core.Time
-	lastFaultAt       core.Time // when the disk was last seen in trouble; -1: never
-	failing           bool
-	buildCheckpoint   func() []core.Record // builds a checkpoint; nil: none is asked for
-	writingCheckpoint bool                 // the Write that is out is a checkpoint
+	inFlight          []pendingWrite       // of the Write in flight
+	queue             []pendingWrite       // for the next Write
+	writeStartedAt    core.Time            // of the Write in flight; core.Never: there is none
+	retryAt           core.Time            // no Write before
+	lastFaultAt       core.Time            // of a failed or slow Write; -1: there was none
+	failing           bool                 // the last Write has failed
+	buildCheckpoint   func() []core.Record // makes the next Write a checkpoint; nil: no
+	writingCheckpoint bool                 // the Write in flight is a checkpoint
 }
 
 func newWriter() writer { return writer{writeStartedAt: core.Never, lastFaultAt: -1} }
 
-// append queues a record; done may be nil.
+// append queues a record; onDurable may be nil.
 func (w *writer) append(record core.Record, onDurable func()) {
 	w.queue = append(w.queue, pendingWrite{record, onDurable})
 }
 
-// flush returns the next Write, if there is one to make now.
+// flush returns the next Write, if one is due now. A checkpoint holds the effect of the queued records, so that they are durable
+// with it.
 func (w *writer) flush(now core.Time) (write core.Write, ok bool) {
 	idle := w.writeStartedAt == core.Never && now >= w.retryAt
 	if !idle || len(w.queue) == 0 && w.buildCheckpoint == nil {
@@ -55,8 +56,9 @@
 	return write, true
 }
 
-// complete takes the end of a Write and returns what follows from it.
-func (w *writer) complete(now core.Time, token uint64, err error) (done []pendingWrite) {
+// complete ends the Write in flight and returns the records that are durable now. The records of a failed one go to the front of
+// the queue. The end of an earlier Write is ignored.
+func (w *writer) complete(now core.Time, token uint64, err error) (durable []pendingWrite) {
 	if w.writeStartedAt == core.Never || token != w.lastToken {
 		return nil
 	}
@@ -77,12 +79,12 @@
 	if w.writingCheckpoint {
 		w.buildCheckpoint = nil
 	}
-	done = w.inFlight
+	durable = w.inFlight
 	w.inFlight = nil
-	return done
+	return durable
 }
 
-// healthy reports whether the disk takes writes in good time, and has for a while.
+// healthy reports whether the disk takes writes within writeTimeout, and has done so for diskRecoveryPeriod.
 func (w *writer) healthy(now core.Time) bool {
 	if w.failing || w.writeStartedAt != core.Never && now-w.writeStartedAt > writeTimeout {
 		return false
@@ -90,7 +92,7 @@
 	return w.lastFaultAt < 0 || now-w.lastFaultAt >= diskRecoveryPeriod
 }
 
-// deadline is when the writer wants to be looked at.
+// deadline is when the Write in flight becomes slow, or a failed one is to be retried.
 func (w *writer) deadline(now core.Time) core.Time {
 	switch {
 	case w.writeStartedAt != core.Never && now-w.writeStartedAt <= writeTimeout:
--- a/internal/node/control/inputs.go
+++ b/internal/node/control/inputs.go
@@ -123,7 +123,7 @@
 // Transfer hands over this node's place in the chain, because it ends soon.
 func (n *Node) Transfer(now core.Time) []core.Output {
 	if n.store != nil {
-		n.carryOut(now, n.store.Leave(now))
+		n.carryOut(now, n.store.HandOver(now))
 	}
 	return n.take()
 }
