--- a/internal/node/chain/checks_test.go
+++ b/internal/node/chain/checks_test.go
@@ -8,12 +8,12 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// checks watches the promises of the control state.
+// checks verifies the guarantees of the control state from outside.
 type checks struct {
 	world              *world
 	byIndex            map[uint64]string // command id and epoch
 	byID               map[string]uint64 // index by command id
-	rejected           map[string]string // command ids that were turned down for good, and how
+	rejected           map[string]string // result by id of a rejected command
 	acknowledged       map[string]uint64 // index by command id
 	acknowledgedByBase map[uint64]string // command id by base version
 	newest             uint64            // index that an answer has shown
@@ -39,7 +39,7 @@
 	c.world.t.Errorf(format, arguments...)
 }
 
-// applied is called at every node for every entry it applies, also while it takes up its journal.
+// applied is called at every node for every entry it applies, also while it replays its journal.
 func (c *checks) applied(n *node, entry *nodepb.Entry) {
 	id := entry.GetCommand().GetId()
 	name := fmt.Sprintf("%s@%d", id, entry.GetEpoch())
@@ -53,11 +53,11 @@
 	c.byIndex[entry.GetIndex()] = name
 	c.byID[id] = entry.GetIndex()
 	if how, ok := c.rejected[id]; ok {
-		c.errorf("%s commits %s, which was turned down: %s", n.address, id, how)
+		c.errorf("%s commits %s, which was rejected: %s", n.address, id, how)
 	}
 }
 
-// published is called for what goes to the data plane of a node.
+// published is called for each index that goes to the data plane of a node.
 func (c *checks) published(n *node, index uint64) {
 	if index < n.committed {
 		c.errorf("%s goes back from %d to %d", n.address, n.committed, index)
@@ -80,13 +80,13 @@
 	c.views[status.Epoch] = described
 }
 
-// answered takes the answer of a command that was brought at the time asked.
+// answered verifies the answer of a command that was submitted at the time asked.
 func (c *checks) answered(command *nodepb.Command, asked core.Time, reply core.Reply) {
 	id := command.GetId()
 	change := command.GetConfigChange()
 	code := reply.Result.GetCode()
 	if code == nodepb.ResultCode_CONFLICT && change.GetBaseVersion() == c.version && c.versionCommittedAt <= asked {
-		c.errorf("%s builds on the newest version %d and is turned down", id, c.version)
+		c.errorf("%s builds on the newest version %d and is rejected", id, c.version)
 	}
 	if code == nodepb.ResultCode_INVALID && change.GetVersion() > change.GetBaseVersion() {
 		c.errorf("%s is called invalid", id)
@@ -96,7 +96,7 @@
 		c.takenAnswer(command)
 	case nodepb.ResultCode_CONFLICT, nodepb.ResultCode_INVALID:
 		if _, taken := c.byID[id]; taken {
-			c.errorf("%s was taken and is turned down: %v", id, reply.Result)
+			c.errorf("%s was accepted and is rejected: %v", id, reply.Result)
 		}
 		c.rejected[id] = reply.Result.GetCode().String()
 	}
@@ -106,7 +106,7 @@
 	id := command.GetId()
 	index, taken := c.byID[id]
 	if !taken {
-		c.errorf("%s acknowledged but not taken", id)
+		c.errorf("%s acknowledged but not accepted", id)
 	}
 	base := command.GetConfigChange().GetBaseVersion()
 	if other, ok := c.acknowledgedByBase[base]; ok && other != id {
@@ -117,7 +117,7 @@
 	c.newest = max(c.newest, index)
 }
 
-// readAnswer takes the answer of a read that was asked when the newest index shown was floor.
+// readAnswer verifies the answer of a read that was sent when the newest index shown was floor.
 func (c *checks) readAnswer(floor uint64, reply core.Reply) (registerState, bool) {
 	if reply.State == nil {
 		return registerState{}, false
--- a/internal/node/chain/faults_test.go
+++ b/internal/node/chain/faults_test.go
@@ -15,12 +15,11 @@
 	firstSeed = flag.Uint64("first-seed", 0, "the first of them")
 )
 
-// faults plays troubles at random times. What must hold whatever happens is checked throughout; wipes stay within what
-// faultTolerance allows.
+// faults injects faults at random times. Safety is verified throughout; losses of disks stay within the fault tolerance.
 type faults struct {
 	world    *world
 	until    core.Time
-	interval time.Duration // between two troubles, at most
+	interval time.Duration // between two faults, at most
 	wiped    int           // disks lost since all machines were in the chain
 	// beyondTolerance: disks were lost while there were too few voters; what was acknowledged must hold even so.
 	beyondTolerance bool
@@ -43,7 +42,7 @@
 	case 2:
 		f.killMany()
 	case 3, 4:
-		f.pick().freeze(f.randomDuration())
+		f.pick().suspend(f.randomDuration())
 	case 5:
 		f.oneWayPartition()
 	case 6:
@@ -95,14 +94,14 @@
 
 func (f *faults) oneWayPartition() {
 	a, b := f.pick(), f.pick()
-	f.world.logf("cut %s -> %s", a.address, b.address)
+	f.world.logf("partition %s -> %s", a.address, b.address)
 	f.world.net.partition(a.address, b.address)
 	f.world.after(f.randomDuration(), f.heal)
 }
 
 func (f *faults) pairPartition() {
 	a, b := f.pick(), f.pick()
-	f.world.logf("cut %s <-> %s", a.address, b.address)
+	f.world.logf("partition %s <-> %s", a.address, b.address)
 	f.world.net.partitionBoth(a.address, b.address)
 	f.world.after(f.randomDuration(), f.heal)
 }
@@ -114,7 +113,7 @@
 		side := w.random.IntN(2)
 		sides[side] = append(sides[side], address)
 	}
-	w.logf("cut %v | %v", sides[0], sides[1])
+	w.logf("partition %v | %v", sides[0], sides[1])
 	for _, a := range sides[0] {
 		for _, b := range sides[1] {
 			w.net.partitionBoth(a, b)
@@ -125,7 +124,7 @@
 
 func (f *faults) isolate(n *node) {
 	w := f.world
-	w.logf("cut off %s", n.address)
+	w.logf("isolate %s", n.address)
 	for _, other := range w.order {
 		w.net.partitionBoth(n.address, other)
 	}
@@ -151,8 +150,8 @@
 	}
 }
 
-// wipeDisks loses the disks of as many machines as may be lost until all are in the chain again; the others lose power at the
-// same time, some of the time.
+// wipeDisks loses the disks of as many machines as may be lost until all are in the chain again. Half of the time the others
+// lose power at once.
 func (f *faults) wipeDisks() {
 	w := f.world
 	if w.allInChain() {
@@ -178,7 +177,7 @@
 	}
 }
 
-// replace removes a machine for good and adds another with an empty disk, as one of those that may be lost.
+// replace removes a machine and adds another with an empty disk; it counts as one of those that may be lost.
 func (f *faults) replace() {
 	w := f.world
 	if !w.allInChain() || w.settings.tolerance == 0 {
@@ -195,7 +194,7 @@
 	w.after(f.randomDuration(), spare.start)
 }
 
-// crashAfterSending kills machines right after they have said something that others rely on.
+// crashAfterSending kills machines right after they have sent something that others rely on.
 func (f *faults) crashAfterSending() {
 	w := f.world
 	w.logf("machines die as they speak")
@@ -208,7 +207,7 @@
 func (w *world) allInChain() bool {
 	for _, address := range w.order[:w.settings.core] {
 		n := w.nodes[address]
-		if !n.running || n.frozenUntil > w.now || n.store.Status().Role == chain.OutsideChain {
+		if !n.running || n.suspendedUntil > w.now || n.replica.Status().Role == chain.OutsideChain {
 			return false
 		}
 	}
@@ -236,11 +235,11 @@
 		return
 	}
 	w.logf("transfer %s", n.address)
-	n.input(func() { n.carryOut(n.store.HandOver(w.now)) })
+	n.input(func() { n.carryOut(n.replica.HandOver(w.now)) })
 	w.after(time.Second, func() { f.killFor(n, f.randomDuration()) })
 }
 
-// playSeed runs a world with faults, then a calm time in which everything has to work again.
+// playSeed runs a world with faults, and then a time without, in which everything has to recover.
 func playSeed(t testing.TB, seed uint64) {
 	sizes := []worldSettings{
 		{core: 3, founders: 3, proxies: 1, tolerance: 1},
@@ -262,7 +261,7 @@
 	w.run(f.until)
 	f.endNetworkFaults()
 	f.heal()
-	w.run(f.until + 6*time.Second) // the last troubles end
+	w.run(f.until + 6*time.Second) // the last faults end
 	if f.beyondTolerance {
 		w.runFor(5 * time.Second)
 		return
--- a/internal/node/chain/handover_test.go
+++ b/internal/node/chain/handover_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/chain"
 )
 
-// TestCallsSurviveAHandover: what reaches a head that hands over is answered by its successor, not only when the caller asks
+// TestCallsSurviveAHandover: what reaches a head that hands over is answered by the next head, before the caller asks
 // another machine.
 func TestCallsSurviveAHandover(t *testing.T) {
 	const maxCallTime = 150 * time.Millisecond
@@ -27,7 +27,7 @@
 			o.slowestCall = 0
 		}
 		head := w.inRole(chain.Head)
-		head.input(func() { head.carryOut(head.store.HandOver(w.now)) })
+		head.input(func() { head.carryOut(head.replica.HandOver(w.now)) })
 		w.runFor(800 * time.Millisecond)
 		for _, o := range operators {
 			assert.Check(t, o.slowestCall < maxCallTime, "seed %d: a call of operator %s took %v", seed, o.name, o.slowestCall)
--- a/internal/node/chain/network_test.go
+++ b/internal/node/chain/network_test.go
@@ -9,16 +9,16 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// network carries messages with delay, loss, repeats and cuts.
+// network carries messages with delay, loss, duplicates and partitions.
 type network struct {
 	world                *world
 	delay                time.Duration
 	jitter               time.Duration
 	lossProbability      float64
 	duplicateProbability float64
-	delayProbability     float64            // chance that a message takes seconds
-	partitions           map[[2]string]bool // from, to
-	crashProbability     float64            // chance that a machine dies right after it sent something
+	delayProbability     float64            // that a message takes seconds
+	partitions           map[[2]string]bool // by sender and destination
+	crashProbability     float64            // that a machine dies right after it has sent something
 	onCrash              func(n *node)
 	sent                 int
 	relayed              int
@@ -59,7 +59,7 @@
 	})
 }
 
-// carry brings something from one machine to another, if nothing is in the way when it is sent and when it comes.
+// carry brings a message from one machine to another, if no partition is between them when it is sent and when it arrives.
 func (t *network) carry(from, address string, arrived func(destination *node)) {
 	w := t.world
 	destination := w.nodes[address]
@@ -94,5 +94,5 @@
 	t.partition(b, a)
 }
 
-// heal joins everything again.
+// heal ends all partitions.
 func (t *network) heal() { t.partitions = nil }
--- a/internal/node/chain/node_test.go
+++ b/internal/node/chain/node_test.go
@@ -14,38 +14,38 @@
 	"kestrelspread/internal/node/submit"
 )
 
-// node is one machine: its disk and, while it runs, one life of its process.
+// node is one machine: its disk and, while it runs, one incarnation of its process.
 type node struct {
 	world   *world
 	address string
 	counts  bool
 	disk    *disk
 
-	incarnation int
-	running     bool
-	removed     bool // for good
-	frozenUntil core.Time
-	store       *chain.Replica
-	machine     *register
-	client      *submit.Client
-	generation  int // of timers: older ones are void
-	wakeAt      core.Time
-	replies     map[uint64]func(core.Reply)
-	requests    uint64
-	epoch       uint64
-	view        *nodepb.View
-	committed   uint64
-	bootstrap   bool
+	incarnation    int
+	running        bool
+	removed        bool // for good
+	suspendedUntil core.Time
+	replica        *chain.Replica
+	machine        *register
+	client         *submit.Client
+	generation     int // of timers: older ones are void
+	wakeAt         core.Time
+	replies        map[uint64]func(core.Reply)
+	requests       uint64
+	epoch          uint64
+	view           *nodepb.View
+	committed      uint64
+	bootstrap      bool
 }
 
 func (n *node) describe() string {
-	status := n.store.Status()
+	status := n.replica.Status()
 	return fmt.Sprintf("disk=%s epoch=%d role=%v wedged=%v committed=%d pending=%v healthy=%v chain=%v voters=%d",
 		n.disk.id, status.Epoch, status.Role, status.Wedged, status.Committed, status.HasPending, status.DiskHealthy,
 		status.View.GetChain(), len(status.View.GetVoters()))
 }
 
-// start begins a life of the node's process.
+// start begins an incarnation of the node's process.
 func (n *node) start() {
 	if n.running || n.removed {
 		return
@@ -53,7 +53,7 @@
 	w := n.world
 	n.incarnation++
 	n.running = true
-	n.frozenUntil = 0
+	n.suspendedUntil = 0
 	n.generation++
 	n.wakeAt = core.Never
 	n.epoch = 0
@@ -61,20 +61,20 @@
 	n.committed = 0
 	n.replies = make(map[uint64]func(core.Reply))
 	n.client = submit.New(submit.Options{Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))})
-	n.store = nil
-	w.logf("start %s life %d", n.address, n.incarnation)
+	n.replica = nil
+	w.logf("start %s incarnation %d", n.address, n.incarnation)
 	if n.counts {
-		n.startStore()
+		n.startReplica()
 	}
 	n.notifyMembers()
 	n.arm()
 }
 
-func (n *node) startStore() {
+func (n *node) startReplica() {
 	w := n.world
 	n.machine = newRegister()
 	n.machine.applied = func(entry *nodepb.Entry) { w.checks.applied(n, entry) }
-	store, outputs, err := chain.New(w.now, chain.Options{
+	replica, outputs, err := chain.New(w.now, chain.Options{
 		Self:             &nodepb.Voter{DiskId: n.disk.id, Address: n.address, NodeId: n.nodeID()},
 		FounderAddresses: w.founders,
 		Founding:         n.bootstrap,
@@ -82,13 +82,13 @@
 		StateMachine:     n.machine,
 	}, slices.Clone(n.disk.records), rand.New(rand.NewPCG(w.random.Uint64(), 2)))
 	assert.NilError(w.t, err)
-	n.store = store
+	n.replica = replica
 	n.carryOut(outputs)
 }
 
 func (n *node) nodeID() string { return fmt.Sprintf("%s#%d", n.address, n.incarnation) }
 
-// notifyMembers names the core machines as membership would, which goes on while the process lives.
+// notifyMembers names the core machines as membership would, again every half second.
 func (n *node) notifyMembers() {
 	w := n.world
 	var members []*nodepb.Member
@@ -98,9 +98,9 @@
 		}
 	}
 	n.carryOut(n.client.SetCoreMembers(w.now, members))
-	if n.store != nil {
-		n.store.SetRelays(w.relays())
-		n.carryOut(n.store.SetQuorumMembers(w.now, members))
+	if n.replica != nil {
+		n.replica.SetRelays(w.relays())
+		n.carryOut(n.replica.SetQuorumMembers(w.now, members))
 	}
 	incarnation := n.incarnation
 	w.after(500*time.Millisecond, func() {
@@ -127,20 +127,20 @@
 
 // route is the relay by which a message goes, as the shell of a node chooses it.
 func (n *node) route(output core.Send) string {
-	if output.Via != "" || n.store == nil || output.Message.GetVoterPing() != nil || output.Message.GetVoterPong() != nil {
+	if output.Via != "" || n.replica == nil || output.Message.GetVoterPing() != nil || output.Message.GetVoterPong() != nil {
 		return output.Via
 	}
-	return n.store.Route(output.To)
+	return n.replica.Route(output.To)
 }
 
-// input runs one step of the process: at once, or when it thaws.
+// input runs one step of the process: at once, or when its suspension ends.
 func (n *node) input(step func()) {
 	if !n.running {
 		return
 	}
-	if n.frozenUntil > n.world.now {
+	if n.suspendedUntil > n.world.now {
 		incarnation := n.incarnation
-		n.world.at(n.frozenUntil, func() {
+		n.world.at(n.suspendedUntil, func() {
 			if n.incarnation == incarnation {
 				n.input(step)
 			}
@@ -152,12 +152,12 @@
 	n.arm()
 }
 
-// observe hands the view to the client and lets the checks look.
+// observe hands the view to the client, and the status to the checks.
 func (n *node) observe() {
-	if n.store == nil {
+	if n.replica == nil {
 		return
 	}
-	status := n.store.Status()
+	status := n.replica.Status()
 	if status.Epoch > n.epoch {
 		n.epoch = status.Epoch
 		n.carryOut(n.client.SetView(n.world.now, status.View))
@@ -168,8 +168,8 @@
 // arm sets the timer to the node's next deadline.
 func (n *node) arm() {
 	deadline := n.client.Deadline()
-	if n.store != nil {
-		deadline = min(deadline, n.store.Deadline())
+	if n.replica != nil {
+		deadline = min(deadline, n.replica.Deadline())
 	}
 	if deadline == n.wakeAt || deadline == core.Never {
 		return
@@ -189,11 +189,11 @@
 func (n *node) tick() {
 	n.wakeAt = core.Never
 	n.carryOut(n.client.Tick(n.world.now))
-	if n.store == nil {
+	if n.replica == nil {
 		return
 	}
-	n.carryOut(n.store.Tick(n.world.now))
-	if n.store.Deadline() <= n.world.now {
+	n.carryOut(n.replica.Tick(n.world.now))
+	if n.replica.Deadline() <= n.world.now {
 		n.world.checks.errorf("%s wants to be woken again at once", n.address)
 	}
 }
@@ -203,8 +203,8 @@
 		n.carryOut(n.client.Receive(n.world.now, from, envelope))
 		return
 	}
-	if n.store != nil {
-		n.carryOut(n.store.Receive(n.world.now, from, envelope))
+	if n.replica != nil {
+		n.carryOut(n.replica.Receive(n.world.now, from, envelope))
 	}
 }
 
@@ -231,7 +231,7 @@
 	}
 }
 
-// write puts records on the disk; the process hears of it when that is over.
+// write puts records on the disk, and reports the end of that to the process.
 func (n *node) write(write core.Write) {
 	w := n.world
 	if n.disk.inFlight != nil {
@@ -245,15 +245,15 @@
 		}
 		err := n.disk.complete(w.random)
 		n.input(func() {
-			n.carryOut(n.store.Written(w.now, write.Token, err))
+			n.carryOut(n.replica.Written(w.now, write.Token, err))
 			if len(n.disk.records) > 60 {
-				n.carryOut(n.store.RequestCheckpoint(w.now))
+				n.carryOut(n.replica.RequestCheckpoint(w.now))
 			}
 		})
 	})
 }
 
-// kill ends the process; what was on its way to the disk may have arrived in part.
+// kill ends the process; a part of the write in flight may be on the disk.
 func (n *node) kill() {
 	if !n.running {
 		return
@@ -273,9 +273,9 @@
 	n.world.logf("wipe %s, now %s", n.address, n.disk.id)
 }
 
-func (n *node) freeze(d time.Duration) {
-	n.world.logf("freeze %s for %v", n.address, d)
-	n.frozenUntil = n.world.now + d
+func (n *node) suspend(d time.Duration) {
+	n.world.logf("suspend %s for %v", n.address, d)
+	n.suspendedUntil = n.world.now + d
 }
 
 // call submits a command, or reads where it is nil.
--- a/internal/node/chain/operator_test.go
+++ b/internal/node/chain/operator_test.go
@@ -8,19 +8,19 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// operator sends changes and reads, one after another, through machines it picks at random. A change with no clear
-// answer is sent again as it was.
+// operator sends changes and reads, one after another, through machines it picks at random. A change without a final
+// answer is sent again unchanged.
 type operator struct {
 	world          *world
 	name           string
 	through        []string // addresses of the machines it may call; nil: all
 	interval       time.Duration
 	count          int
-	version        uint64 // as it knows
+	version        uint64 // the newest that it knows
 	stopped        bool
-	command        *nodepb.Command // without a clear answer yet
+	command        *nodepb.Command // without a final answer yet
 	acknowledged   int
-	acknowledgedAt core.Time     // when the newest acknowledgement came
+	acknowledgedAt core.Time     // when the newest acknowledgement was received
 	longestGap     time.Duration // between two acknowledgements
 	reads          int
 	slowestCall    core.Time // that a call took to be answered in any way
@@ -54,7 +54,7 @@
 	o.change(n)
 }
 
-// giveUpAfter goes on where the machine dies before it answers.
+// giveUpAfter continues where the machine dies before it answers.
 func (o *operator) giveUpAfter(n *node) {
 	w := o.world
 	attempt := o.count
--- a/internal/node/chain/protocol_test.go
+++ b/internal/node/chain/protocol_test.go
@@ -69,9 +69,9 @@
 	m.completeWrites()
 	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"})
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
-	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"}) // a repeat goes on at once
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"}) // a retransmission is forwarded at once
 	m.receive("c", noticeOf(1, 1, 1))
-	assert.Equal(t, m.store.Status().Committed, uint64(1))
+	assert.Equal(t, m.replica.Status().Committed, uint64(1))
 }
 
 func TestHeadForwardsOnlyDurableEntries(t *testing.T) {
@@ -83,7 +83,7 @@
 	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"})
 	m.receive("c", noticeOf(1, 1, 1))
 	m.completeWrites()
-	assert.Equal(t, m.store.Status().Committed, uint64(1))
+	assert.Equal(t, m.replica.Status().Committed, uint64(1))
 	rejection := find(m, (*nodepb.Envelope).GetBarrier)
 	assert.Equal(t, rejection.GetRejection().GetCode(), nodepb.ResultCode_CONFLICT, "the second passes the chain as a rejection")
 }
@@ -95,10 +95,10 @@
 	m.completeWrites()
 	assert.DeepEqual(t, m.takeSent(), []string{"SubmitReply>addr-api", "CommitNotice>addr-a", "CommitNotice>addr-b"})
 	m.receive("b", appendOf(1, entry(1, 1, "x"), 0, 0))
-	assert.DeepEqual(t, m.takeSent(), []string{"CommitNotice>addr-a", "CommitNotice>addr-b"}) // a repeat is not answered twice
+	assert.DeepEqual(t, m.takeSent(), []string{"CommitNotice>addr-a", "CommitNotice>addr-b"}) // a retransmission is not answered again
 }
 
-// TestShortChainAnswersNothing: neither is a new command taken, nor an inherited one acknowledged, nor a read answered.
+// TestShortChainAnswersNothing: neither is a new command accepted, nor an inherited one acknowledged, nor a read answered.
 func TestShortChainAnswersNothing(t *testing.T) {
 	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
@@ -108,10 +108,10 @@
 	m.receive("api", submitOf(command("y", 0, 1)))
 	m.receive("api", &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: &nodepb.Submit{Request: 8, Read: true}}})
 	m.completeWrites()
-	m.collect(m.store.RequestConfirmation(m.now))
+	m.collect(m.replica.RequestConfirmation(m.now))
 	assert.Equal(t, len(m.takeSent()), 0)
-	assert.Equal(t, m.store.Status().Committed, uint64(0))
-	assert.Assert(t, m.store.Status().HasPending && !m.store.Status().EverConfirmed)
+	assert.Equal(t, m.replica.Status().Committed, uint64(0))
+	assert.Assert(t, m.replica.Status().HasPending && !m.replica.Status().EverConfirmed)
 }
 
 func TestOnlyVoterAcknowledges(t *testing.T) {
@@ -138,7 +138,7 @@
 			m.receive("d", message(4))
 			m.completeWrites()
 			assert.Equal(t, len(m.takeSent()), 0, name)
-			assert.Assert(t, !m.store.Status().HasPending, name)
+			assert.Assert(t, !m.replica.Status().HasPending, name)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	m.receive("api", submitOf(command("x", 0, 1)))
 	m.completeWrites()
 	m.start()
-	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"}) // it repeats the entry
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"}) // it retransmits the entry
 	m.receive("api", &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: &nodepb.Submit{Request: 8, Read: true}}})
 	assert.Equal(t, len(m.takeSent()), 0)
 	m.receive("c", noticeOf(1, 1, 1))
@@ -190,9 +190,9 @@
 	m.receive("a", appendOf(3, entry(1, 2, "x"), 0, 0))
 	m.completeWrites()
 	m.receive("c", noticeOf(3, 1, 3))
-	assert.Equal(t, m.store.Status().Committed, uint64(0))
+	assert.Equal(t, m.replica.Status().Committed, uint64(0))
 	m.receive("c", noticeOf(3, 1, 2))
-	assert.Equal(t, m.store.Status().Committed, uint64(1))
+	assert.Equal(t, m.replica.Status().Committed, uint64(1))
 }
 
 func TestBarrierDiscardsAnEntryTheHeadLacks(t *testing.T) {
@@ -207,7 +207,7 @@
 	m.completeWrites()
 	assert.DeepEqual(t, m.takeSent(), []string{"Barrier>addr-a"})
 	m.start()
-	assert.Assert(t, !m.store.Status().HasPending)
+	assert.Assert(t, !m.replica.Status().HasPending)
 }
 
 func TestEntryOfTheNewHeadReplacesAStaleOne(t *testing.T) {
@@ -240,7 +240,7 @@
 	m.receive("a", catchUpOf(1, 0, 0, nil, nil))
 	m.completeWrites()
 	assert.Equal(t, len(m.takeSent()), 0, "an older state of the same epoch")
-	assert.Assert(t, m.store.Status().HasPending)
+	assert.Assert(t, m.replica.Status().HasPending)
 	m.receive("b", catchUpOf(3, 0, 0, nil, nil))
 	m.completeWrites()
 	assert.Equal(t, len(m.takeSent()), 0, "not from the head")
@@ -279,11 +279,11 @@
 	assert.Equal(t, len(m.takeSent()), 0)
 }
 
-// passQuarterSecond lets a quarter of a second pass, in which the member has a round trip with the voters named.
+// passQuarterSecond lets a quarter of a second pass, in which the replica has a round trip with the voters named.
 func (m *testReplica) passQuarterSecond(names ...string) {
 	m.now += 250 * time.Millisecond
 	m.sent = nil
-	m.collect(m.store.Tick(m.now))
+	m.collect(m.replica.Tick(m.now))
 	for _, name := range names {
 		m.pings++
 		m.receive(name, pingOf(name, m.pings, m.pings-1))
@@ -291,7 +291,7 @@
 	}
 }
 
-// pingOf is a ping of another voter, which names the newest pong it got.
+// pingOf is a ping of another voter, which acknowledges a pong.
 func pingOf(name string, sequence, acknowledged uint64) *nodepb.Envelope {
 	return &nodepb.Envelope{Body: &nodepb.Envelope_VoterPing{VoterPing: &nodepb.VoterPing{
 		Sequence: sequence, Self: voter(name), Epoch: 1, DiskHealthy: true, CountsForQuorum: true, AcknowledgedPong: acknowledged,
@@ -304,7 +304,7 @@
 	}}}
 }
 
-// TestJoinerIsAddedOnlyWithTheLastEntry: what a joiner lacks is sent again, and no entry is taken meanwhile.
+// TestJoinerIsAddedOnlyWithTheLastEntry: what a joiner lacks is sent again, and no entry is made meanwhile.
 func TestJoinerIsAddedOnlyWithTheLastEntry(t *testing.T) {
 	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.passQuarterSecond("b", "c")
@@ -319,26 +319,26 @@
 	m.receive("c", noticeOf(1, 1, 1))
 	m.receive("api", submitOf(command("y", 1, 2)))
 	m.completeWrites()
-	assert.Equal(t, len(m.takeSent()), 0, "held for the joiner")
+	assert.Equal(t, len(m.takeSent()), 0, "paused for the joiner")
 	m.receive("d", doneOf("d", sequence+1, 1, 1))
 	m.completeWrites()
 	assert.DeepEqual(t, m.takeSent(), []string{"Prepare>addr-b", "Prepare>addr-c"})
 }
 
-// TestWedgedMemberForwardsNothing: from its own proposal on.
+// TestWedgedMemberForwardsNothing: from its own wedge on, also after a restart.
 func TestWedgedMemberForwardsNothing(t *testing.T) {
 	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.passQuarterSecond("a", "c")
 	for m.write == nil {
-		m.passQuarterSecond("a") // c is silent
+		m.passQuarterSecond("a") // c is unresponsive
 	}
 	assert.Assert(t, m.now <= 2*time.Second)
 	m.completeWrites()
 	number := find(m, (*nodepb.Envelope).GetPrepare).GetNumber()
-	assert.Assert(t, !m.store.Status().Wedged)
+	assert.Assert(t, !m.replica.Status().Wedged)
 	promise := &nodepb.Promise{Epoch: 2, Number: number, Acceptor: "a"}
 	m.receive("a", &nodepb.Envelope{Body: &nodepb.Envelope_Promise{Promise: promise}})
-	assert.Assert(t, m.store.Status().Wedged)
+	assert.Assert(t, m.replica.Status().Wedged)
 	m.sent = nil
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	m.receive("a", readBarrier(1, 0, 0, 0))
@@ -346,7 +346,7 @@
 	m.completeWrites()
 	assert.DeepEqual(t, m.takeSent(), []string{"Accept>addr-a", "Accept>addr-c"})
 	m.start()
-	assert.Assert(t, m.store.Status().Wedged, "also after a restart")
+	assert.Assert(t, m.replica.Status().Wedged, "also after a restart")
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	m.completeWrites()
 	assert.Equal(t, len(m.takeSent()), 0)
@@ -357,49 +357,49 @@
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	failed := m.write
 	m.write = nil
-	m.collect(m.store.Written(m.now, failed.Token, errDisk))
+	m.collect(m.replica.Written(m.now, failed.Token, errDisk))
 	assert.Assert(t, m.write == nil)
-	assert.Assert(t, !m.store.Status().DiskHealthy)
+	assert.Assert(t, !m.replica.Status().DiskHealthy)
 	assert.Equal(t, len(m.takeSent()), 0)
 	m.now += 500 * time.Millisecond
-	m.collect(m.store.Tick(m.now))
+	m.collect(m.replica.Tick(m.now))
 	assert.DeepEqual(t, m.write.Records, failed.Records)
 	m.completeWrites()
 	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-c"})
-	assert.Assert(t, !m.store.Status().DiskHealthy, "not at once")
+	assert.Assert(t, !m.replica.Status().DiskHealthy, "not at once")
 	m.now += time.Second
-	m.collect(m.store.Tick(m.now))
-	assert.Assert(t, m.store.Status().DiskHealthy)
+	m.collect(m.replica.Tick(m.now))
+	assert.Assert(t, m.replica.Status().DiskHealthy)
 }
 
 func TestSlowWriteIsADiskFault(t *testing.T) {
 	m := newTestReplicaInView(t, "b", testView(1, "abc", "abc"))
 	m.receive("a", appendOf(1, entry(1, 1, "x"), 0, 0))
 	m.now += time.Second + time.Millisecond
-	m.collect(m.store.Tick(m.now))
-	assert.Assert(t, !m.store.Status().DiskHealthy)
+	m.collect(m.replica.Tick(m.now))
+	assert.Assert(t, !m.replica.Status().DiskHealthy)
 }
 
 func TestConfirmationAtTheTail(t *testing.T) {
 	m := newTestReplicaInView(t, "c", testView(1, "abc", "abc"))
 	m.now = 5 * time.Second
-	m.collect(m.store.Tick(m.now))
+	m.collect(m.replica.Tick(m.now))
 	m.takeSent()
-	m.collect(m.store.RequestConfirmation(m.now))
+	m.collect(m.replica.RequestConfirmation(m.now))
 	request := find(m, (*nodepb.Envelope).GetBarrierRequest)
 	m.takeSent()
 	m.now += 20 * time.Millisecond
-	m.collect(m.store.RequestConfirmation(m.now))
+	m.collect(m.replica.RequestConfirmation(m.now))
 	assert.Equal(t, len(m.takeSent()), 0, "one is running")
 	m.receive("b", &nodepb.Envelope{Body: &nodepb.Envelope_Barrier{Barrier: &nodepb.Barrier{
 		Epoch: 1, Nonce: request.GetNonce(), Number: 3,
 	}}})
 	assert.DeepEqual(t, m.takeSent(), []string{"CommitNotice>addr-a"})
-	status := m.store.Status()
+	status := m.replica.Status()
 	assert.Assert(t, status.EverConfirmed)
 	assert.Equal(t, status.ConfirmedAt, 5*time.Second, "as of when it was asked for")
 	m.now += 100 * time.Millisecond
-	m.collect(m.store.RequestConfirmation(m.now))
+	m.collect(m.replica.RequestConfirmation(m.now))
 	assert.Equal(t, len(m.takeSent()), 0, "young enough")
 }
 
@@ -412,7 +412,7 @@
 	m.now += 15 * time.Millisecond
 	notice := &nodepb.CommitNotice{Epoch: 1, Barrier: barrier.GetNumber()}
 	m.receive("c", &nodepb.Envelope{Body: &nodepb.Envelope_CommitNotice{CommitNotice: notice}})
-	status := m.store.Status()
+	status := m.replica.Status()
 	assert.Assert(t, status.HasLease)
 	assert.Equal(t, status.LeaseStart, 3*time.Second)
 }
@@ -439,7 +439,7 @@
 	m.now += 701 * time.Millisecond
 	m.receive("c", noticeOf(1, 1, 1))
 	m.completeWrites()
-	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"}) // who waited too long is not answered
+	assert.DeepEqual(t, m.takeSent(), []string{"Append>addr-b"}) // an expired command is not answered
 }
 
 func TestCheckpointKeepsEverything(t *testing.T) {
@@ -450,12 +450,12 @@
 	m.completeWrites()
 	m.receive("c", prepareOf(2, 6, testView(1, "abc", "abc")))
 	m.completeWrites()
-	m.collect(m.store.RequestCheckpoint(m.now))
+	m.collect(m.replica.RequestCheckpoint(m.now))
 	assert.Assert(t, m.write.Checkpoint)
 	m.completeWrites()
-	before := m.store.Status()
+	before := m.replica.Status()
 	m.start()
-	after := m.store.Status()
+	after := m.replica.Status()
 	assert.Equal(t, after.Epoch, before.Epoch)
 	assert.Equal(t, after.Committed, uint64(1))
 	assert.Assert(t, after.HasPending)
@@ -465,7 +465,7 @@
 
 func TestRoles(t *testing.T) {
 	for name, role := range map[string]chain.MemberRole{"a": chain.Head, "b": chain.Middle, "c": chain.Tail, "d": chain.OutsideChain} {
-		assert.Equal(t, newTestReplicaInView(t, name, testView(1, "abcd", "abc")).store.Status().Role, role)
+		assert.Equal(t, newTestReplicaInView(t, name, testView(1, "abcd", "abc")).replica.Status().Role, role)
 	}
-	assert.Equal(t, newTestReplicaInView(t, "a", testView(1, "a", "a")).store.Status().Role, chain.SoleMember)
+	assert.Equal(t, newTestReplicaInView(t, "a", testView(1, "a", "a")).replica.Status().Role, chain.SoleMember)
 }
--- a/internal/node/chain/read_test.go
+++ b/internal/node/chain/read_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestMemberCatchesUpAfterHundredsOfChanges comes back while changes go on: with its disk, and with an empty one.
+// TestMemberCatchesUpAfterHundredsOfChanges restarts a member while changes continue: with its disk, and with an empty one.
 func TestMemberCatchesUpAfterHundredsOfChanges(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		w, o := newRunningWorld(t, fourCoreMachines)
@@ -56,7 +56,7 @@
 		m.receive("a", appendOf(3, wrong, 1, 3))
 		m.completeWrites()
 		assert.Equal(t, len(m.takeSent()), 0)
-		assert.Assert(t, !m.store.Status().HasPending)
+		assert.Assert(t, !m.replica.Status().HasPending)
 	}
-	assert.Equal(t, m.store.Status().Committed, uint64(1))
+	assert.Equal(t, m.replica.Status().Committed, uint64(1))
 }
--- a/internal/node/chain/relay_test.go
+++ b/internal/node/chain/relay_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/chain"
 )
 
-// TestEvenPartitionIsBridgedByRelays cuts the core in two while the proxies reach both halves: the chain and its view stay as they are.
+// TestEvenPartitionIsBridgedByRelays partitions the core into halves while the proxies reach both: chain and view stay.
 func TestEvenPartitionIsBridgedByRelays(t *testing.T) {
 	for _, settings := range []worldSettings{
 		{core: 3, founders: 3, proxies: 2, tolerance: 1},
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestIsolatedMemberStaysByRelays cuts one member off from the rest of the core, both ways and each way alone.
+// TestIsolatedMemberStaysByRelays partitions one member from the rest of the core, in both directions and in each alone.
 func TestIsolatedMemberStaysByRelays(t *testing.T) {
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		for _, ways := range []string{"both", "to it", "from it"} {
@@ -50,8 +50,8 @@
 				}
 			}
 			w.runFor(20 * time.Second)
-			assert.Equal(t, w.newestView().GetEpoch(), before, "%v cut off %s: the view stays", role, ways)
-			assert.Assert(t, o.longestGap < 1200*time.Millisecond, "%v cut off %s: no acknowledgement for %v", role, ways, o.longestGap)
+			assert.Equal(t, w.newestView().GetEpoch(), before, "%v isolated %s: the view stays", role, ways)
+			assert.Assert(t, o.longestGap < 1200*time.Millisecond, "%v isolated %s: no acknowledgement for %v", role, ways, o.longestGap)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	w.runUntil("acknowledges by the last relay", time.Second, o.acknowledgesMore(5))
 }
 
-// TestCoreMachineRelays: between two members that miss one another a third relays, without any proxy.
+// TestCoreMachineRelays: between two partitioned members a third one relays, without any proxy.
 func TestCoreMachineRelays(t *testing.T) {
 	w := newWorld(t, 11, worldSettings{core: 3, founders: 3, tolerance: 1})
 	w.runUntil("all in the chain", 2*time.Second, w.chainHasLength(3))
@@ -97,7 +97,7 @@
 		}
 		w.runFor(500 * time.Millisecond)
 		took := w.runUntil("acknowledges", 3*time.Second, o.acknowledgesMore(5))
-		rejoined := w.runUntil("whole again", 3*time.Second, w.allInChain)
-		t.Logf("%v restarted: acknowledges after %v, whole %v later", restarted, took, rejoined)
+		rejoined := w.runUntil("all in the chain again", 3*time.Second, w.allInChain)
+		t.Logf("%v restarted: acknowledges after %v, all in the chain %v later", restarted, took, rejoined)
 	}
 }
--- a/internal/node/chain/replica_test.go
+++ b/internal/node/chain/replica_test.go
@@ -13,16 +13,16 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// testReplica is one Store alone, to which a test hands messages one by one, and whose disk the test completes.
+// testReplica is one Replica alone, to which a test hands messages one by one, and whose writes the test completes.
 type testReplica struct {
 	t       *testing.T
 	self    *nodepb.Voter
-	store   *chain.Replica
+	replica *chain.Replica
 	machine *register
 	now     core.Time
 	records []core.Record
-	write   *core.Write // under way
-	sent    []core.Send // since last taken
+	write   *core.Write // in flight
+	sent    []core.Send // since the last takeSent
 	pings   uint64
 }
 
@@ -44,13 +44,15 @@
 }
 
 func newTestReplica(t *testing.T, self *nodepb.Voter) *testReplica {
+	t.Helper()
 	m := &testReplica{t: t, self: self}
 	m.start()
 	return m
 }
 
-// newTestReplicaInView is a member that has the view on its disk.
+// newTestReplicaInView is a replica that has the view on its disk.
 func newTestReplicaInView(t *testing.T, name string, installed *nodepb.View) *testReplica {
+	t.Helper()
 	m := newTestReplica(t, voter(name))
 	m.receive("x", &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: installed}}})
 	m.completeWrites()
@@ -58,16 +60,16 @@
 	return m
 }
 
-// start begins a life of the member with what is on its disk.
+// start begins an incarnation with what is on the disk.
 func (m *testReplica) start() {
 	m.machine = newRegister()
 	m.write = nil
 	m.sent = nil
-	store, outputs, err := chain.New(m.now, chain.Options{
+	replica, outputs, err := chain.New(m.now, chain.Options{
 		Self: m.self, Tolerance: 1, StateMachine: m.machine,
 	}, m.records, rand.New(rand.NewPCG(1, 2)))
 	assert.NilError(m.t, err)
-	m.store = store
+	m.replica = replica
 	m.collect(outputs)
 }
 
@@ -85,10 +87,10 @@
 }
 
 func (m *testReplica) receive(from string, envelope *nodepb.Envelope) {
-	m.collect(m.store.Receive(m.now, core.Peer{NodeID: "node-" + from, Address: "addr-" + from}, envelope))
+	m.collect(m.replica.Receive(m.now, core.Peer{NodeID: "node-" + from, Address: "addr-" + from}, envelope))
 }
 
-// completeWrites completes writes until none is under way.
+// completeWrites completes writes until none is in flight.
 func (m *testReplica) completeWrites() {
 	for m.write != nil {
 		write := m.write
@@ -97,7 +99,7 @@
 			m.records = nil
 		}
 		m.records = append(m.records, write.Records...)
-		m.collect(m.store.Written(m.now, write.Token, nil))
+		m.collect(m.replica.Written(m.now, write.Token, nil))
 	}
 }
 
--- a/internal/node/chain/scenario_test.go
+++ b/internal/node/chain/scenario_test.go
@@ -13,19 +13,19 @@
 // newestView is the newest view that a running machine knows.
 func (w *world) newestView() *nodepb.View {
 	var newest *nodepb.View
-	for _, n := range w.stores() {
-		if status := n.store.Status(); status.Epoch > newest.GetEpoch() {
+	for _, n := range w.replicas() {
+		if status := n.replica.Status(); status.Epoch > newest.GetEpoch() {
 			newest = status.View
 		}
 	}
 	return newest
 }
 
-// stores lists the core machines that run.
-func (w *world) stores() []*node {
+// replicas lists the core machines that run.
+func (w *world) replicas() []*node {
 	var running []*node
 	for _, address := range w.order {
-		if n := w.nodes[address]; n.store != nil && n.running {
+		if n := w.nodes[address]; n.replica != nil && n.running {
 			running = append(running, n)
 		}
 	}
@@ -35,8 +35,8 @@
 // chainLength is the length of the chain as all machines know it, 0 while they don't agree.
 func (w *world) chainLength() int {
 	newest := w.newestView()
-	for _, n := range w.stores() {
-		if n.store.Status().Epoch != newest.GetEpoch() {
+	for _, n := range w.replicas() {
+		if n.replica.Status().Epoch != newest.GetEpoch() {
 			return 0
 		}
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-// newRunningWorld is a world whose machines are all in the chain, and an operator that has begun.
+// newRunningWorld is a world whose machines are all in the chain, with an operator that has been acknowledged.
 func newRunningWorld(t *testing.T, settings worldSettings) (*world, *operator) {
 	t.Helper()
 	w := newWorld(t, *firstSeed+7, settings)
@@ -86,8 +86,8 @@
 var fourCoreMachines = worldSettings{core: 4, founders: 3, proxies: 2, tolerance: 1}
 
 func (w *world) inRole(role chain.MemberRole) *node {
-	for _, n := range w.stores() {
-		if n.store.Status().Role == role {
+	for _, n := range w.replicas() {
+		if n.replica.Status().Role == role {
 			return n
 		}
 	}
@@ -120,7 +120,7 @@
 	} {
 		w, o := newRunningWorld(t, settings)
 		before := w.newestView().GetEpoch()
-		for _, n := range w.stores() {
+		for _, n := range w.replicas() {
 			n.kill()
 		}
 		w.runFor(900 * time.Millisecond)
@@ -156,7 +156,7 @@
 			w.runFor(300 * time.Millisecond)
 			took := w.runUntil("acknowledges", 3*time.Second, o.acknowledgesMore(5))
 			rejoined := w.runUntil("all in the chain", 3*time.Second, w.allInChain)
-			t.Logf("%d core machines, disks lost from %d on: acknowledged after %v, whole %v later", settings.core, first, took, rejoined)
+			t.Logf("%d core machines, disks lost from %d on: acknowledged after %v, all in the chain %v later", settings.core, first, took, rejoined)
 			assert.Assert(t, len(w.checks.acknowledged) > acked)
 			assert.Equal(t, len(w.newestView().GetVoters()), settings.core)
 		}
@@ -185,15 +185,15 @@
 		w.net.partitionBoth(head.address, other)
 	}
 	w.runUntil("the majority goes on", 2500*time.Millisecond, o.acknowledgesMore(5))
-	assert.Equal(t, head.store.Status().Role, chain.Head, "the old head can't know")
-	assert.Assert(t, !head.store.Status().Wedged, "a minority doesn't wedge itself")
+	assert.Equal(t, head.replica.Status().Role, chain.Head, "the old head can't know")
+	assert.Assert(t, !head.replica.Status().Wedged, "a minority doesn't wedge itself")
 	w.runFor(5 * time.Second)
 	w.net.heal()
-	took := w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
-	t.Logf("whole again %v after the cut healed", took)
+	took := w.runUntil("all in the chain again", 1500*time.Millisecond, w.allInChain)
+	t.Logf("all in the chain again %v after the partition healed", took)
 }
 
-// partitionSides stops messages between every two machines of different sides.
+// partitionSides stops messages between all machines of different sides.
 func (w *world) partitionSides(a, b []string) {
 	for _, one := range a {
 		for _, other := range b {
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestEvenPartitionStopsBothSides cuts the proxies as well, so that no machine reaches both sides.
+// TestEvenPartitionStopsBothSides partitions the proxies as well, so that no machine reaches both sides.
 func TestEvenPartitionStopsBothSides(t *testing.T) {
 	w, o := newRunningWorld(t, fourCoreMachines)
 	w.partitionSides([]string{"core-1", "core-2", "proxy-1"}, []string{"core-3", "core-4", "proxy-2"})
@@ -212,7 +212,7 @@
 	assert.Equal(t, o.acknowledged, before)
 	w.net.heal()
 	took := w.runUntil("acknowledges", 1500*time.Millisecond, o.acknowledgesMore(5))
-	t.Logf("acknowledges %v after the cut healed", took)
+	t.Logf("acknowledges %v after the partition healed", took)
 }
 
 func TestPartitionBetweenTwoMembersDoesNotFlap(t *testing.T) {
@@ -226,24 +226,24 @@
 			}
 			w.runFor(20 * time.Second)
 			changes := w.newestView().GetEpoch() - before
-			t.Logf("cut %v one way %v: %d views, no acknowledgement for %v", pair, oneWay, changes, o.longestGap)
+			t.Logf("partition %v one way %v: %d views, no acknowledgement for %v", pair, oneWay, changes, o.longestGap)
 			assert.Assert(t, changes <= 2, "%d views", changes)
 			assert.Assert(t, o.longestGap < 3*time.Second, "no acknowledgement for %v", o.longestGap)
 			w.net.heal()
-			w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
+			w.runUntil("all in the chain again", 1500*time.Millisecond, w.allInChain)
 		}
 	}
 }
 
 func TestSuspendedMemberRejoins(t *testing.T) {
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
-		for _, frozen := range []time.Duration{600 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
+		for _, suspended := range []time.Duration{600 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 			w, o := newRunningWorld(t, fourCoreMachines)
 			n := w.inRole(role)
-			n.freeze(frozen)
-			w.runFor(frozen)
-			took := w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
-			t.Logf("%v frozen for %v: no acknowledgement for %v, whole %v after", role, frozen, o.longestGap, took)
+			n.suspend(suspended)
+			w.runFor(suspended)
+			took := w.runUntil("all in the chain again", 1500*time.Millisecond, w.allInChain)
+			t.Logf("%v suspended for %v: no acknowledgement for %v, all in the chain %v after", role, suspended, o.longestGap, took)
 			assert.Assert(t, o.longestGap < 2*time.Second, "no acknowledgement for %v", o.longestGap)
 			assert.Equal(t, len(w.newestView().GetVoters()), 4)
 		}
@@ -253,8 +253,8 @@
 func TestViewSurvivesSuspensionOfAllMembers(t *testing.T) {
 	w, o := newRunningWorld(t, fourCoreMachines)
 	before := w.newestView().GetEpoch()
-	for _, n := range w.stores() {
-		n.freeze(3 * time.Second)
+	for _, n := range w.replicas() {
+		n.suspend(3 * time.Second)
 	}
 	w.runFor(5 * time.Second)
 	assert.Equal(t, w.newestView().GetEpoch(), before, "the view stays")
@@ -275,9 +275,9 @@
 			n := w.inRole(role)
 			injectFault(w, n)
 			w.runFor(5 * time.Second)
-			assert.Equal(t, n.store.Status().Role, chain.OutsideChain, "a disk in trouble leaves the chain")
-			took := w.runUntil("whole again", 3*time.Second, w.allInChain)
-			t.Logf("disk of the %v %s: no acknowledgement for %v, whole %v after", role, name, o.longestGap, took)
+			assert.Equal(t, n.replica.Status().Role, chain.OutsideChain, "a member with a disk fault leaves the chain")
+			took := w.runUntil("all in the chain again", 3*time.Second, w.allInChain)
+			t.Logf("disk of the %v %s: no acknowledgement for %v, all in the chain %v after", role, name, o.longestGap, took)
 			assert.Assert(t, o.longestGap < 2500*time.Millisecond, "no acknowledgement for %v", o.longestGap)
 		}
 	}
@@ -287,24 +287,24 @@
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		w, o := newRunningWorld(t, fourCoreMachines)
 		n := w.inRole(role)
-		n.input(func() { n.carryOut(n.store.HandOver(w.now)) })
+		n.input(func() { n.carryOut(n.replica.HandOver(w.now)) })
 		w.runFor(500 * time.Millisecond)
-		assert.Equal(t, n.store.Status().Role, chain.OutsideChain)
+		assert.Equal(t, n.replica.Status().Role, chain.OutsideChain)
 		n.kill()
 		w.runFor(2 * time.Second)
 		t.Logf("%v handed over and ended: no acknowledgement for %v", role, o.longestGap)
 		assert.Assert(t, o.longestGap < 300*time.Millisecond, "no acknowledgement for %v", o.longestGap)
 		n.start()
-		w.runUntil("whole again", 1500*time.Millisecond, w.allInChain)
+		w.runUntil("all in the chain again", 1500*time.Millisecond, w.allInChain)
 	}
 }
 
 func TestLeavingHeadOfTwoBecomesTail(t *testing.T) {
 	w, o := newRunningWorld(t, worldSettings{core: 2, founders: 2, proxies: 1, tolerance: 1})
 	head := w.inRole(chain.Head)
-	head.input(func() { head.carryOut(head.store.HandOver(w.now)) })
+	head.input(func() { head.carryOut(head.replica.HandOver(w.now)) })
 	w.runFor(500 * time.Millisecond)
-	assert.Equal(t, head.store.Status().Role, chain.Tail, "the chain needs both, so that the head goes to its end")
+	assert.Equal(t, head.replica.Status().Role, chain.Tail, "the chain needs both, so that the head goes to its end")
 	w.runUntil("acknowledges", time.Second, o.acknowledgesMore(5))
 }
 
@@ -334,7 +334,7 @@
 	w.runUntil("all in the chain", 3*time.Second, w.chainHasLength(3))
 }
 
-// TestQuietCost bounds what a core without commands sends.
+// TestQuietCost bounds the messages of a core without commands.
 func TestQuietCost(t *testing.T) {
 	w := newWorld(t, 1, worldSettings{core: 8, founders: 3, tolerance: 2})
 	w.runUntil("all in the chain", 2*time.Second, w.chainHasLength(8))
--- a/internal/node/chain/world_test.go
+++ b/internal/node/chain/world_test.go
@@ -12,8 +12,8 @@
 	"kestrelspread/internal/node/core"
 )
 
-// world runs nodes under a virtual clock, with a network and disks that do what they are told. It checks after each
-// event that what was promised holds.
+// world runs nodes under a virtual clock, with a network and disks that fail on demand. After each event it
+// verifies that the guarantees hold.
 type world struct {
 	t        testing.TB
 	random   *rand.Rand
@@ -27,7 +27,7 @@
 	settings worldSettings
 	founders []string // addresses
 	disks    int
-	sync     time.Duration // of a disk in order
+	sync     time.Duration // of a healthy disk
 	trace    []string
 }
 
@@ -114,7 +114,7 @@
 
 func (w *world) after(delay time.Duration, run func()) { w.at(w.now+delay, run) }
 
-// run plays the events up to the time.
+// run runs the events up to the time.
 func (w *world) run(until core.Time) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		next := heap.Pop(&w.events).(event)
@@ -127,10 +127,10 @@
 	w.now = until
 }
 
-// runFor plays for a while.
+// runFor runs the events of a duration.
 func (w *world) runFor(d time.Duration) { w.run(w.now + d) }
 
-// runUntil plays until the condition holds, and fails the test if it doesn't by the limit.
+// runUntil runs until the condition holds, and fails the test if it doesn't by the limit.
 func (w *world) runUntil(what string, limit time.Duration, condition func() bool) time.Duration {
 	start := w.now
 	for !condition() {
@@ -148,8 +148,8 @@
 	w.t.Helper()
 	for _, address := range w.order {
 		n := w.nodes[address]
-		if n.store != nil {
-			w.logf("%s running=%v frozen=%v %s", address, n.running, w.now < n.frozenUntil, n.describe())
+		if n.replica != nil {
+			w.logf("%s running=%v suspended=%v %s", address, n.running, w.now < n.suspendedUntil, n.describe())
 		}
 	}
 	lines := w.trace[max(0, len(w.trace)-400):]
