--- a/internal/node/agent/loadhints.go
+++ b/internal/node/agent/loadhints.go
@@ -28,7 +28,7 @@
 // announceHint hands a hint to the control loop, or drops it while the inbox is full.
 func (a *Agent) announceHint(hint *nodepb.LoadHint) {
 	select {
-	case a.inbox <- func(now core.Time) { a.hints.Sent(now, hint) }:
+	case a.inbox <- func(now core.Time) { a.hints.RecordSent(now, hint) }:
 	default:
 	}
 }
--- a/internal/rig/itemsize/itemsize_test.go
+++ b/internal/rig/itemsize/itemsize_test.go
@@ -161,7 +161,7 @@
 		events.List = append(events.List, kvindex.Event{Salt: 1, Part: random.Uint64(), Tokens: minPartTokens + random.IntN(maxPartTokens)})
 	}
 	for _, output := range home.Tick(time.Second) {
-		if ask, ok := output.(core.AskEvents); ok {
+		if ask, ok := output.(core.FetchEvents); ok {
 			home.EventsDone(time.Second, ask.Token, events, nil)
 		}
 	}
@@ -197,7 +197,7 @@
 	for i := range services * routesPerService {
 		c.Routes = append(c.Routes, config.Route{
 			Name: fmt.Sprintf("route-%04d", i), Host: "api.example", PathPrefix: fmt.Sprintf("/v1/product-%04d/", i),
-			Kind: config.KindStreaming, TimeoutMs: 8000, TargetLatencyMs: 500, GapAimMs: 300, Priority: i % 3,
+			Kind: config.KindStreaming, TimeoutMs: 8000, TargetLatencyMs: 500, GapTargetMs: 300, Priority: i % 3,
 			Service: serviceName(i % services), MaxAttempts: 3, Sticky: true, Resumable: i%2 == 0,
 		})
 	}
