--- a/internal/node/chain/operator_test.go
+++ b/internal/node/chain/operator_test.go
@@ -46,7 +46,7 @@
 		w.after(50*time.Millisecond, o.next)
 		return
 	}
-	o.giveUpAfter(n)
+	o.continueAfterTimeout()
 	if o.command == nil && w.random.IntN(3) == 0 {
 		o.read(n)
 		return
@@ -54,8 +54,8 @@
 	o.change(n)
 }
 
-// giveUpAfter continues where the machine dies before it answers.
-func (o *operator) giveUpAfter(n *node) {
+// continueAfterTimeout continues where the machine dies before it answers.
+func (o *operator) continueAfterTimeout() {
 	w := o.world
 	attempt := o.count
 	o.count++
--- a/internal/node/submit/client.go
+++ b/internal/node/submit/client.go
@@ -1,5 +1,11 @@
-// Package submit brings commands and reads of this node's API to the head of the control state's chain, and their answers
-// back. It runs on every node.
+// Package submit sends the commands and reads of a node's API to the head of the control state's chain, and returns the
+// answers. It runs on every node. It neither judges commands nor keeps state of the chain but the newest view.
+//
+// Invariants: every call is answered exactly once, by a tail or, after its timeout, as UNAVAILABLE; an answer is accepted
+// for the call whose number it carries alone. A call that is sent to several machines is applied once: commands are
+// idempotent.
+//
+// Source: docs/design/system.md, "Control state".
 package submit
 
 import (
@@ -12,19 +18,19 @@
 	"kestrelspread/internal/node/view"
 )
 
-// The times of a call.
+// Timeouts of a call.
 const (
-	// DefaultTimeout is when a call that got no answer is answered UNAVAILABLE.
+	// DefaultTimeout is when a call without an answer is answered UNAVAILABLE.
 	DefaultTimeout core.Time = 800 * time.Millisecond
-	// nextAttemptAfter is when a call that got no answer goes to another core machine as well.
+	// nextAttemptAfter is when a call without an answer is sent to another core machine as well.
 	nextAttemptAfter = 250 * time.Millisecond
-	// transferBytesPerSecond is how fast large commands are taken to come to the head and through the chain.
+	// transferBytesPerSecond is the assumed rate at which a large command reaches the head and passes the chain.
 	transferBytesPerSecond = 2 << 20
-	// allowanceFreeBytes of a command need no further time.
+	// allowanceFreeBytes is the size up to which a command needs no further time.
 	allowanceFreeBytes = 128 << 10
 )
 
-// SizeAllowance is how much longer a call with a body of that many bytes may take.
+// SizeAllowance is how much longer a call with a body of so many bytes may take.
 func SizeAllowance(bytes int) core.Time {
 	return core.Time(max(0, bytes-allowanceFreeBytes)) * time.Second / transferBytesPerSecond
 }
@@ -33,32 +39,32 @@
 type Options struct {
 	// Timeout of a call; 0 means DefaultTimeout.
 	Timeout core.Time
-	// Random makes the numbers of calls differ between the lives of a process, so that a late answer to a former life
-	// is never taken for that of another command.
+	// Random makes the numbers of calls differ between the incarnations of a process, so that a late answer to an earlier
+	// incarnation is never taken for that of another command.
 	Random *rand.Rand
 }
 
-// call is one command or read under way.
+// call is one command or read without an answer yet.
 type call struct {
-	apiRequest    uint64 // as this node's API names it
-	message       *nodepb.Submit
-	attempted     []string  // addresses
-	sizeAllowance core.Time // for its size
-	nextAttempt   core.Time
+	apiRequest    uint64         // the number that this node's API gave it
+	message       *nodepb.Submit // with the number of this package
+	attempted     []string       // addresses it was sent to
+	sizeAllowance core.Time
+	nextAttemptAt core.Time
 	expiresAt     core.Time
 }
 
-// Client is the state machine of a node's calls.
+// Client is the state machine of a node's calls, in the sense of package core.
 type Client struct {
 	options     Options
 	view        *nodepb.View
 	coreMembers []*nodepb.Member
 	calls       []*call // oldest first
-	lastRequest uint64
+	lastRequest uint64  // number of the newest call
 	outputs     []core.Output
 }
 
-// New makes a Client without calls.
+// New returns a Client without calls.
 func New(options Options) *Client {
 	if options.Timeout == 0 {
 		options.Timeout = DefaultTimeout
@@ -66,20 +72,21 @@
 	return &Client{options: options, lastRequest: options.Random.Uint64()}
 }
 
-// SetView tells the agreed view, if it is newer than the one known. Calls under way go to a new head at once.
+// SetView installs a decided view if it is newer than the one known. Pending calls are sent to a new head at once.
 func (c *Client) SetView(now core.Time, agreed *nodepb.View) []core.Output {
 	c.installView(now, agreed)
 	return c.finish()
 }
 
+// installView installs a view as SetView does, without taking the outputs.
 func (c *Client) installView(now core.Time, agreed *nodepb.View) {
 	if agreed.GetEpoch() <= c.view.GetEpoch() {
 		return
 	}
-	before := view.Head(c.view).GetAddress()
+	previousHead := view.Head(c.view).GetAddress()
 	c.view = agreed
 	head := view.Head(agreed).GetAddress()
-	if head == before {
+	if head == previousHead {
 		return
 	}
 	for _, call := range c.calls {
@@ -87,36 +94,43 @@
 	}
 }
 
-// SetCoreMembers names the members that count, to be tried where no head is known or it does not answer.
-func (c *Client) SetCoreMembers(now core.Time, members []*nodepb.Member) []core.Output {
+// SetCoreMembers sets the members that count for a quorum; calls are sent to them where no head is known or it does not answer.
+func (c *Client) SetCoreMembers(_ core.Time, members []*nodepb.Member) []core.Output {
 	c.coreMembers = members
 	return c.finish()
 }
 
-// Submit brings a command to the head. The same command, named by its id, may be submitted again at any time.
+// Submit sends a command to the head. core.Reply with the request number follows. The same command, named by its id, may be
+// submitted again at any time.
 func (c *Client) Submit(now core.Time, request uint64, command *nodepb.Command) []core.Output {
 	c.start(now, request, &nodepb.Submit{Command: command})
 	return c.finish()
 }
 
-// Read asks the tail for the committed state. knownIndex is that of the state that this node holds: where it is the newest, the
-// answer names just the index.
+// Read reads the committed state at the tail. core.Reply with the request number follows. knownIndex is the index of the state
+// that this node holds: where that is the newest, the answer has the index alone.
 func (c *Client) Read(now core.Time, request, knownIndex uint64) []core.Output {
 	c.start(now, request, &nodepb.Submit{Read: true, KnownIndex: knownIndex})
 	return c.finish()
 }
 
+// start numbers a call and makes the first attempt.
 func (c *Client) start(now core.Time, request uint64, message *nodepb.Submit) {
 	c.lastRequest++
 	message.Request = c.lastRequest
 	allowance := SizeAllowance(len(message.GetCommand().GetConfigChange().GetBody()))
-	call := &call{apiRequest: request, message: message, sizeAllowance: allowance, expiresAt: now + c.options.Timeout + allowance}
+	call := &call{
+		apiRequest:    request,
+		message:       message,
+		sizeAllowance: allowance,
+		expiresAt:     now + c.options.Timeout + allowance,
+	}
 	c.calls = append(c.calls, call)
 	c.attempt(now, call)
 }
 
-// Receive takes the answer of a tail.
-func (c *Client) Receive(now core.Time, from core.Peer, envelope *nodepb.Envelope) []core.Output {
+// Receive processes the answer of a tail. Answers to no pending call are ignored.
+func (c *Client) Receive(now core.Time, _ core.Peer, envelope *nodepb.Envelope) []core.Output {
 	reply := envelope.GetSubmitReply()
 	if reply == nil {
 		return nil
@@ -133,7 +147,7 @@
 	return c.finish()
 }
 
-// isAnswer reports whether the reply says anything about the call.
+// isAnswer reports whether the reply is of the kind that answers the call: a read by a state, a command by a known result.
 func isAnswer(message *nodepb.Submit, reply *nodepb.SubmitReply) bool {
 	if message.GetRead() {
 		return reply.GetState() != nil
@@ -141,22 +155,16 @@
 	return reply.GetResult().GetCode() != nodepb.ResultCode_UNKNOWN
 }
 
-// Tick tries other machines, and ends the calls whose time is over.
+// Tick sends calls without an answer to other machines, and answers those that have expired as UNAVAILABLE.
 func (c *Client) Tick(now core.Time) []core.Output {
 	pending := c.calls[:0]
 	for _, call := range c.calls {
 		if now >= call.expiresAt {
-			c.outputs = append(c.outputs, core.Reply{
-				Request: call.apiRequest,
-				Result: &nodepb.CommandResult{
-					Code: nodepb.ResultCode_UNAVAILABLE,
-					Text: "no answer from the core in time",
-				},
-			})
+			c.outputs = append(c.outputs, unavailable(call))
 			continue
 		}
 		pending = append(pending, call)
-		if now >= call.nextAttempt {
+		if now >= call.nextAttemptAt {
 			c.attempt(now, call)
 		}
 	}
@@ -165,23 +173,36 @@
 	return c.finish()
 }
 
-// Deadline is when Tick wants to be called.
+// unavailable is the answer to a call without one.
+func unavailable(call *call) core.Reply {
+	return core.Reply{
+		Request: call.apiRequest,
+		Result: &nodepb.CommandResult{
+			Code: nodepb.ResultCode_UNAVAILABLE,
+			Text: "no answer from the core in time",
+		},
+	}
+}
+
+// Deadline is when Tick should be called next; core.Never without calls.
 func (c *Client) Deadline() core.Time {
 	deadline := core.Never
 	for _, call := range c.calls {
-		deadline = min(deadline, call.expiresAt, call.nextAttempt)
+		deadline = min(deadline, call.expiresAt, call.nextAttemptAt)
 	}
 	return deadline
 }
 
-// attempt sends the call to the head, or to the next machine that was not tried.
+// attempt sends the call to the next machine, if any is known.
 func (c *Client) attempt(now core.Time, call *call) {
-	call.nextAttempt = now + nextAttemptAfter + call.sizeAllowance
+	call.nextAttemptAt = now + nextAttemptAfter + call.sizeAllowance
 	if address := c.nextAddress(call); address != "" {
 		c.sendTo(now, call, address)
 	}
 }
 
+// nextAddress is the machine of the next attempt: the head, then the core members from a start that differs by call, then the
+// voters, each once. After all of them it is the first again.
 func (c *Client) nextAddress(call *call) string {
 	candidates := make([]string, 0, len(c.coreMembers)+len(c.view.GetVoters()))
 	if head := view.Head(c.view); head != nil {
@@ -197,7 +218,7 @@
 	return firstUnattempted(candidates, call.attempted)
 }
 
-// firstUnattempted returns the first address that was not tried, or the first of all where each was.
+// firstUnattempted returns the first candidate without an attempt, else the first one; empty where there is none.
 func firstUnattempted(candidates, attempted []string) string {
 	for _, candidate := range candidates {
 		if !slices.Contains(attempted, candidate) {
@@ -210,15 +231,17 @@
 	return candidates[0]
 }
 
+// sendTo sends the call to an address; the next attempt follows after its time.
 func (c *Client) sendTo(now core.Time, call *call, address string) {
 	call.attempted = append(call.attempted, address)
-	call.nextAttempt = now + nextAttemptAfter + call.sizeAllowance
+	call.nextAttemptAt = now + nextAttemptAfter + call.sizeAllowance
 	c.outputs = append(c.outputs, core.Send{
 		Destination: address,
 		Message:     &nodepb.Envelope{Body: &nodepb.Envelope_Submit{Submit: call.message}},
 	})
 }
 
+// finish returns the outputs of an input.
 func (c *Client) finish() []core.Output {
 	outputs := c.outputs
 	c.outputs = nil
--- a/internal/node/submit/client_test.go
+++ b/internal/node/submit/client_test.go
@@ -23,18 +23,18 @@
 	return New(Options{Random: rand.New(rand.NewPCG(seed, 0))})
 }
 
-// sentTo lists where the outputs go, and the last message.
-func sentTo(t *testing.T, outputs []core.Output) (to []string, last *nodepb.Submit) {
+// sentTo lists the destinations of the outputs, and returns the last message.
+func sentTo(t *testing.T, outputs []core.Output) (destinations []string, last *nodepb.Submit) {
 	t.Helper()
 	for _, output := range outputs {
 		send, ok := output.(core.Send)
 		if !ok {
 			t.Fatalf("%T", output)
 		}
-		to = append(to, send.Destination)
+		destinations = append(destinations, send.Destination)
 		last = send.Message.GetSubmit()
 	}
-	return to, last
+	return destinations, last
 }
 
 func replyOf(request uint64, code nodepb.ResultCode) *nodepb.Envelope {
@@ -46,8 +46,8 @@
 func TestCommandGoesToTheHead(t *testing.T) {
 	c := newClient(1)
 	c.SetView(0, viewOf(3, "a", "b", "c"))
-	to, message := sentTo(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
-	assert.DeepEqual(t, to, []string{"addr-a"})
+	destinations, message := sentTo(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
+	assert.DeepEqual(t, destinations, []string{"addr-a"})
 	outputs := c.Receive(time.Millisecond, core.Peer{}, replyOf(message.GetRequest(), nodepb.ResultCode_TAKEN))
 	reply := outputs[0].(core.Reply)
 	assert.Equal(t, reply.Request, uint64(5))
@@ -60,15 +60,15 @@
 	c := newClient(2)
 	c.SetView(0, viewOf(3, "a", "b"))
 	c.SetCoreMembers(0, []*nodepb.Member{{Address: "addr-a"}, {Address: "addr-b"}, {Address: "addr-c"}})
-	tried := map[string]bool{}
-	to, _ := sentTo(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
-	tried[to[0]] = true
+	attempted := map[string]bool{}
+	destinations, _ := sentTo(t, c.Submit(0, 5, &nodepb.Command{Id: "x"}))
+	attempted[destinations[0]] = true
 	for range 2 {
 		now := c.Deadline()
-		to, _ = sentTo(t, c.Tick(now))
-		tried[to[0]] = true
+		destinations, _ = sentTo(t, c.Tick(now))
+		attempted[destinations[0]] = true
 	}
-	assert.Equal(t, len(tried), 3, "three machines in half a second: %v", tried)
+	assert.Equal(t, len(attempted), 3, "three machines in half a second: %v", attempted)
 	c.Tick(c.Deadline())
 	assert.Equal(t, c.Deadline(), DefaultTimeout)
 	reply := c.Tick(DefaultTimeout)[0].(core.Reply)
@@ -77,23 +77,23 @@
 
 func TestCoreMemberIsAskedWithoutAView(t *testing.T) {
 	c := newClient(3)
-	to, _ := sentTo(t, c.Submit(0, 1, &nodepb.Command{Id: "x"}))
-	assert.Equal(t, len(to), 0, "nobody is known")
+	destinations, _ := sentTo(t, c.Submit(0, 1, &nodepb.Command{Id: "x"}))
+	assert.Equal(t, len(destinations), 0, "no machine is known")
 	c.SetCoreMembers(0, []*nodepb.Member{{Address: "addr-b"}})
-	to, _ = sentTo(t, c.Tick(nextAttemptAfter))
-	assert.DeepEqual(t, to, []string{"addr-b"})
+	destinations, _ = sentTo(t, c.Tick(nextAttemptAfter))
+	assert.DeepEqual(t, destinations, []string{"addr-b"})
 }
 
 func TestCallsFollowTheHead(t *testing.T) {
 	c := newClient(4)
 	c.SetView(0, viewOf(3, "a", "b"))
 	c.Submit(0, 1, &nodepb.Command{Id: "x"})
-	to, _ := sentTo(t, c.SetView(10*time.Millisecond, viewOf(4, "b", "a")))
-	assert.DeepEqual(t, to, []string{"addr-b"})
-	to, _ = sentTo(t, c.SetView(20*time.Millisecond, viewOf(5, "b")))
-	assert.Equal(t, len(to), 0, "the head is the same")
-	to, _ = sentTo(t, c.SetView(30*time.Millisecond, viewOf(4, "a")))
-	assert.Equal(t, len(to), 0, "older")
+	destinations, _ := sentTo(t, c.SetView(10*time.Millisecond, viewOf(4, "b", "a")))
+	assert.DeepEqual(t, destinations, []string{"addr-b"})
+	destinations, _ = sentTo(t, c.SetView(20*time.Millisecond, viewOf(5, "b")))
+	assert.Equal(t, len(destinations), 0, "the head is the same")
+	destinations, _ = sentTo(t, c.SetView(30*time.Millisecond, viewOf(4, "a")))
+	assert.Equal(t, len(destinations), 0, "older")
 }
 
 func TestReadNeedsAState(t *testing.T) {
@@ -110,11 +110,11 @@
 }
 
 func TestAnswersToAnEarlierIncarnationAreIgnored(t *testing.T) {
-	former, c := newClient(6), newClient(7)
-	for _, client := range []*Client{former, c} {
+	earlier, c := newClient(6), newClient(7)
+	for _, client := range []*Client{earlier, c} {
 		client.SetView(0, viewOf(3, "a"))
 	}
-	_, message := sentTo(t, former.Submit(0, 1, &nodepb.Command{Id: "x"}))
+	_, message := sentTo(t, earlier.Submit(0, 1, &nodepb.Command{Id: "x"}))
 	c.Submit(0, 1, &nodepb.Command{Id: "y"})
 	assert.Equal(t, len(c.Receive(0, core.Peer{}, replyOf(message.GetRequest(), nodepb.ResultCode_TAKEN))), 0)
 }
