--- a/internal/node/agent/loadhints.go
+++ b/internal/node/agent/loadhints.go
@@ -22,7 +22,7 @@
 
 // announceStep announces to the other proxies the decode step time that a stream showed of its broker.
 func (a *Agent) announceStep(seen *routing.StepSeen) {
-	a.announceHint(&nodepb.LoadHint{Instance: seen.Instance, PauseUs: uint32(seen.Pause.Microseconds())})
+	a.announceHint(&nodepb.LoadHint{Instance: seen.Instance, EventIntervalUs: uint32(seen.Pause.Microseconds())})
 }
 
 // announceHint hands a hint to the control loop, or drops it while the inbox is full.
@@ -37,8 +37,8 @@
 // else.
 func (a *Agent) applyHints(now core.Time, hints []*nodepb.LoadHint) {
 	for _, hint := range hints {
-		if hint.PauseUs > 0 {
-			a.router.PeerStep(routing.StepSeen{Instance: hint.Instance, Pause: time.Duration(hint.PauseUs) * time.Microsecond})
+		if hint.EventIntervalUs > 0 {
+			a.router.PeerStep(routing.StepSeen{Instance: hint.Instance, Pause: time.Duration(hint.EventIntervalUs) * time.Microsecond})
 			continue
 		}
 		a.router.PeerSent(now, sentOf(hint))
@@ -47,7 +47,7 @@
 
 // hintOf encodes a forwarded request as a hint.
 func hintOf(sent *routing.Sent) *nodepb.LoadHint {
-	hint := &nodepb.LoadHint{Instance: sent.Instance, Salt: sent.Salt, Unread: uint32(sent.Unread)}
+	hint := &nodepb.LoadHint{Instance: sent.Instance, Salt: sent.Salt, UnreadTokens: uint32(sent.Unread)}
 	for _, part := range sent.Parts {
 		hint.PartIds = append(hint.PartIds, part.ID)
 		hint.PartTokens = append(hint.PartTokens, uint32(part.Tokens))
@@ -57,7 +57,7 @@
 
 // sentOf decodes the forwarded request that a hint announces.
 func sentOf(hint *nodepb.LoadHint) routing.Sent {
-	sent := routing.Sent{Instance: hint.Instance, Salt: hint.Salt, Unread: int(hint.Unread)}
+	sent := routing.Sent{Instance: hint.Instance, Salt: hint.Salt, Unread: int(hint.UnreadTokens)}
 	for i := range min(len(hint.PartIds), len(hint.PartTokens)) {
 		sent.Parts = append(sent.Parts, routing.PromptPart{ID: hint.PartIds[i], Tokens: int(hint.PartTokens[i])})
 	}
--- a/internal/node/chain/replay.go
+++ b/internal/node/chain/replay.go
@@ -100,7 +100,7 @@
 }
 
 func (j *journalState) applyDiscard(data []byte) error {
-	message := &nodepb.DropRecord{}
+	message := &nodepb.DiscardRecord{}
 	if err := proto.Unmarshal(data, message); err != nil {
 		return err
 	}
--- a/internal/node/chain/replication.go
+++ b/internal/node/chain/replication.go
@@ -179,7 +179,7 @@
 
 // discardPending discards a pending entry that the head doesn't have; onDurable runs once that is durable.
 func (r *Replica) discardPending(onDurable func()) {
-	record := &nodepb.DropRecord{Index: r.pending.GetIndex(), Epoch: r.pending.GetEpoch()}
+	record := &nodepb.DiscardRecord{Index: r.pending.GetIndex(), Epoch: r.pending.GetEpoch()}
 	r.pending = nil
 	r.pendingDurable = false
 	r.persist(kindDiscard, record, onDurable)
--- a/internal/node/config/drains.go
+++ b/internal/node/config/drains.go
@@ -28,7 +28,7 @@
 		return s.invalidResult(err), false
 	}
 	current := s.drains[keyOfDrain(intent)]
-	unchanged := current != nil && current.GetByMs() == intent.GetByMs()
+	unchanged := current != nil && current.GetDeadlineMs() == intent.GetDeadlineMs()
 	if intent.GetCancelled() {
 		unchanged = current == nil
 	}
@@ -61,7 +61,7 @@
 		delete(s.drains, keyOfDrain(intent))
 	} else {
 		s.drains[keyOfDrain(intent)] = &nodepb.DrainIntent{
-			Subject: intent.GetSubject(), Kind: intent.GetKind(), ByMs: intent.GetByMs(),
+			Subject: intent.GetSubject(), Kind: intent.GetKind(), DeadlineMs: intent.GetDeadlineMs(),
 		}
 	}
 	return s.takenResult(s.index, s.document.version)
--- a/internal/node/config/drains_test.go
+++ b/internal/node/config/drains_test.go
@@ -10,7 +10,7 @@
 )
 
 func drainCommand(subject, kind string, byMs uint64, cancelled bool) *nodepb.Command {
-	intent := &nodepb.DrainIntent{Subject: subject, Kind: kind, ByMs: byMs, Cancelled: cancelled}
+	intent := &nodepb.DrainIntent{Subject: subject, Kind: kind, DeadlineMs: byMs, Cancelled: cancelled}
 	return &nodepb.Command{Change: &nodepb.Command_Drain{Drain: intent}}
 }
 
--- a/internal/node/config/grants.go
+++ b/internal/node/config/grants.go
@@ -16,21 +16,21 @@
 
 // Grant returns the newest grant of a role, released or not; nil: there was none. The caller must
 // not change it.
-func (s *State) Grant(role string) *nodepb.DutyChange { return s.grants[role] }
+func (s *State) Grant(role string) *nodepb.LeaseChange { return s.grants[role] }
 
 // Grants returns the newest grant of each role, sorted by role. The caller must not change them.
-func (s *State) Grants() []*nodepb.DutyChange { return sortedValues(s.grants, compareGrants) }
+func (s *State) Grants() []*nodepb.LeaseChange { return sortedValues(s.grants, compareGrants) }
 
-func compareGrants(a, b *nodepb.DutyChange) int { return cmp.Compare(a.GetDuty(), b.GetDuty()) }
+func compareGrants(a, b *nodepb.LeaseChange) int { return cmp.Compare(a.GetRole(), b.GetRole()) }
 
 // checkGrant judges a grant: a role's fence never falls, no two holders share one, and within a
 // fence claims are only added, so that a change that is committed late takes none back. Source:
 // RULES.md, "ONE".
-func (s *State) checkGrant(change *nodepb.DutyChange) (*nodepb.CommandResult, bool) {
+func (s *State) checkGrant(change *nodepb.LeaseChange) (*nodepb.CommandResult, bool) {
 	if err := s.validateGrant(change); err != nil {
 		return s.invalidResult(err), false
 	}
-	current := s.grants[change.GetDuty()]
+	current := s.grants[change.GetRole()]
 	if current == nil {
 		return nil, true
 	}
@@ -44,15 +44,15 @@
 }
 
 // grantConflict says why a grant can't follow the current one of its role; empty: it can.
-func grantConflict(current, change *nodepb.DutyChange) string {
+func grantConflict(current, change *nodepb.LeaseChange) string {
 	switch {
-	case change.GetFence() < current.GetFence():
+	case change.GetFencingToken() < current.GetFencingToken():
 		return "a higher fence was granted"
-	case change.GetFence() > current.GetFence():
+	case change.GetFencingToken() > current.GetFencingToken():
 		return ""
 	case change.GetHolder() != current.GetHolder():
 		return "the fence was granted to another holder"
-	case !change.GetReleased() && !containsAll(change.GetTargets(), current.GetTargets()):
+	case !change.GetReleased() && !containsAll(change.GetClaims(), current.GetClaims()):
 		return "more was granted under the fence"
 	default:
 		return ""
@@ -60,22 +60,22 @@
 }
 
 // validateGrant checks a grant by itself, and that one role more can be kept.
-func (s *State) validateGrant(change *nodepb.DutyChange) error {
-	if err := checkName("duty", change.GetDuty()); err != nil {
+func (s *State) validateGrant(change *nodepb.LeaseChange) error {
+	if err := checkName("duty", change.GetRole()); err != nil {
 		return err
 	}
 	if err := checkName("holder", change.GetHolder()); err != nil {
 		return err
 	}
-	if len(change.GetTargets()) > maxGrantTargets || len(change.GetFormer()) > maxGrantTargets {
+	if len(change.GetClaims()) > maxGrantTargets || len(change.GetInheritedClaims()) > maxGrantTargets {
 		return tooMany("target of a duty", maxGrantTargets)
 	}
-	for _, target := range slices.Concat(change.GetTargets(), change.GetFormer()) {
+	for _, target := range slices.Concat(change.GetClaims(), change.GetInheritedClaims()) {
 		if err := checkName("target", target); err != nil {
 			return err
 		}
 	}
-	if s.grants[change.GetDuty()] == nil && len(s.grants) >= maxRoles {
+	if s.grants[change.GetRole()] == nil && len(s.grants) >= maxRoles {
 		return tooMany("duty", maxRoles)
 	}
 	return nil
@@ -90,18 +90,18 @@
 	return !slices.ContainsFunc(names, func(name string) bool { return !listed[name] })
 }
 
-func (s *State) applyGrant(change *nodepb.DutyChange) *nodepb.CommandResult {
+func (s *State) applyGrant(change *nodepb.LeaseChange) *nodepb.CommandResult {
 	result, entryNeeded := s.checkGrant(change)
 	if !entryNeeded {
 		return result
 	}
-	s.grants[change.GetDuty()] = &nodepb.DutyChange{
-		Duty:     change.GetDuty(),
-		Holder:   change.GetHolder(),
-		Fence:    change.GetFence(),
-		Released: change.GetReleased(),
-		Targets:  slices.Clone(change.GetTargets()),
-		Former:   slices.Clone(change.GetFormer()),
+	s.grants[change.GetRole()] = &nodepb.LeaseChange{
+		Role:            change.GetRole(),
+		Holder:          change.GetHolder(),
+		FencingToken:    change.GetFencingToken(),
+		Released:        change.GetReleased(),
+		Claims:          slices.Clone(change.GetClaims()),
+		InheritedClaims: slices.Clone(change.GetInheritedClaims()),
 	}
 	return s.takenResult(s.index, s.document.version)
 }
--- a/internal/node/config/grants_test.go
+++ b/internal/node/config/grants_test.go
@@ -9,8 +9,8 @@
 )
 
 func grantCommand(holder string, fence uint64, released bool) *nodepb.Command {
-	change := &nodepb.DutyChange{Duty: "weights", Holder: holder, Fence: fence, Released: released}
-	return &nodepb.Command{Change: &nodepb.Command_Duty{Duty: change}}
+	change := &nodepb.LeaseChange{Role: "weights", Holder: holder, FencingToken: fence, Released: released}
+	return &nodepb.Command{Change: &nodepb.Command_Lease{Lease: change}}
 }
 
 // TestFencesOnlyRiseAndHaveOneHolder. Source: RULES.md, "ONE".
@@ -39,7 +39,7 @@
 		assert.Equal(t, r.Index() > before, step.entryNeeded, "%v", step)
 	}
 	assert.Equal(t, r.Grant("weights").GetHolder(), "b")
-	assert.Equal(t, r.Grant("weights").GetFence(), uint64(5))
+	assert.Equal(t, r.Grant("weights").GetFencingToken(), uint64(5))
 	assert.Equal(t, len(r.Grants()), 1)
 }
 
@@ -47,7 +47,7 @@
 func TestGrantOnlyGrowsWithinItsFence(t *testing.T) {
 	grant := func(fence uint64, released bool, targets ...string) *nodepb.Command {
 		command := grantCommand("a", fence, released)
-		command.GetDuty().Targets = targets
+		command.GetLease().Claims = targets
 		return command
 	}
 	r := newReplica(t)
@@ -73,10 +73,10 @@
 		assert.Equal(t, r.Index() > before, step.entryNeeded, "%v", step)
 	}
 	last := grant(7, false, "i-9")
-	last.GetDuty().Former = []string{"i-8"}
+	last.GetLease().InheritedClaims = []string{"i-8"}
 	r.mustTake(last)
 	restored := newReplica(t)
 	assert.NilError(t, restored.Restore(r.Snapshot()))
-	assert.DeepEqual(t, restored.Grant("weights").GetTargets(), []string{"i-9"})
-	assert.DeepEqual(t, restored.Grant("weights").GetFormer(), []string{"i-8"})
+	assert.DeepEqual(t, restored.Grant("weights").GetClaims(), []string{"i-9"})
+	assert.DeepEqual(t, restored.Grant("weights").GetInheritedClaims(), []string{"i-8"})
 }
--- a/internal/node/config/restore.go
+++ b/internal/node/config/restore.go
@@ -93,16 +93,16 @@
 }
 
 func (s *State) restoreGrant(text []byte) error {
-	grant := new(nodepb.DutyChange)
-	if err := decodeFields(text, &grant.Duty, &grant.Holder, &grant.Fence, &grant.Released); err != nil {
+	grant := new(nodepb.LeaseChange)
+	if err := decodeFields(text, &grant.Role, &grant.Holder, &grant.FencingToken, &grant.Released); err != nil {
 		return err
 	}
 	err := eachField(text, func(field field) error {
 		switch field.number {
 		case fieldGrantTarget:
-			grant.Targets = append(grant.Targets, string(field.bytes))
+			grant.Claims = append(grant.Claims, string(field.bytes))
 		case fieldGrantInherited:
-			grant.Former = append(grant.Former, string(field.bytes))
+			grant.InheritedClaims = append(grant.InheritedClaims, string(field.bytes))
 		}
 		return nil
 	})
@@ -112,13 +112,13 @@
 	if err := s.validateGrant(grant); err != nil {
 		return ErrSnapshot.Wrap(err, "duty")
 	}
-	s.grants[grant.GetDuty()] = grant
+	s.grants[grant.GetRole()] = grant
 	return nil
 }
 
 func (s *State) restoreDrain(text []byte) error {
 	intent := new(nodepb.DrainIntent)
-	if err := decodeFields(text, &intent.Subject, &intent.Kind, &intent.ByMs); err != nil {
+	if err := decodeFields(text, &intent.Subject, &intent.Kind, &intent.DeadlineMs); err != nil {
 		return err
 	}
 	if err := s.validateDrain(intent); err != nil {
--- a/internal/node/config/snapshot.go
+++ b/internal/node/config/snapshot.go
@@ -54,17 +54,17 @@
 		text = appendBytes(text, fieldGrant, encodeGrant(grant))
 	}
 	for _, drain := range s.DrainIntents() {
-		text = appendBytes(text, fieldDrain, encodeFields(drain.GetSubject(), drain.GetKind(), drain.GetByMs()))
+		text = appendBytes(text, fieldDrain, encodeFields(drain.GetSubject(), drain.GetKind(), drain.GetDeadlineMs()))
 	}
 	return protowire.AppendFixed32(text, crc32.Checksum(text, castagnoli))
 }
 
-func encodeGrant(grant *nodepb.DutyChange) []byte {
-	text := encodeFields(grant.GetDuty(), grant.GetHolder(), grant.GetFence(), grant.GetReleased())
-	for _, target := range grant.GetTargets() {
+func encodeGrant(grant *nodepb.LeaseChange) []byte {
+	text := encodeFields(grant.GetRole(), grant.GetHolder(), grant.GetFencingToken(), grant.GetReleased())
+	for _, target := range grant.GetClaims() {
 		text = appendBytes(text, fieldGrantTarget, []byte(target))
 	}
-	for _, inherited := range grant.GetFormer() {
+	for _, inherited := range grant.GetInheritedClaims() {
 		text = appendBytes(text, fieldGrantInherited, []byte(inherited))
 	}
 	return text
--- a/internal/node/config/snapshot_test.go
+++ b/internal/node/config/snapshot_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, restored.Grant("weights").GetReleased(), true)
 	assert.Equal(t, restored.Grant("weights").GetHolder(), "node-1")
 	assert.Equal(t, len(restored.DrainIntents()), 2)
-	assert.Equal(t, restored.DrainIntents()[1].GetByMs(), uint64(1500))
+	assert.Equal(t, restored.DrainIntents()[1].GetDeadlineMs(), uint64(1500))
 	assert.Equal(t, restored.Compile().Tenant("key-t").Name, "t")
 }
 
--- a/internal/node/config/state.go
+++ b/internal/node/config/state.go
@@ -19,7 +19,7 @@
 	document      *document
 	takenChanges  *takenChanges
 	modelVersions map[string]NamedVersion
-	grants        map[string]*nodepb.DutyChange
+	grants        map[string]*nodepb.LeaseChange
 	drains        map[drainKey]*nodepb.DrainIntent
 
 	prepared     *preparedChange // by Check, for the Apply that is likely next; nil: none
@@ -45,7 +45,7 @@
 	s.document = emptyDocument
 	s.takenChanges = newTakenChanges()
 	s.modelVersions = map[string]NamedVersion{}
-	s.grants = map[string]*nodepb.DutyChange{}
+	s.grants = map[string]*nodepb.LeaseChange{}
 	s.drains = map[drainKey]*nodepb.DrainIntent{}
 	s.prepared = nil
 }
@@ -65,8 +65,8 @@
 		return s.checkConfig(change.ConfigChange)
 	case *nodepb.Command_ModelVersion:
 		return s.checkModelVersion(change.ModelVersion)
-	case *nodepb.Command_Duty:
-		return s.checkGrant(change.Duty)
+	case *nodepb.Command_Lease:
+		return s.checkGrant(change.Lease)
 	case *nodepb.Command_Drain:
 		return s.checkDrain(change.Drain)
 	default:
@@ -89,8 +89,8 @@
 		return s.applyConfig(change.ConfigChange, prepared)
 	case *nodepb.Command_ModelVersion:
 		return s.applyModelVersion(change.ModelVersion)
-	case *nodepb.Command_Duty:
-		return s.applyGrant(change.Duty)
+	case *nodepb.Command_Lease:
+		return s.applyGrant(change.Lease)
 	case *nodepb.Command_Drain:
 		return s.applyDrain(change.Drain)
 	default:
--- a/internal/node/control/relay.go
+++ b/internal/node/control/relay.go
@@ -22,7 +22,7 @@
 		return
 	}
 	relay := &nodepb.Relay{
-		To:            output.Destination,
+		Destination:   output.Destination,
 		OriginId:      n.self.NodeId,
 		OriginAddress: n.self.Address,
 		Envelope:      output.Message,
@@ -47,16 +47,16 @@
 // destination. A relay forwards to core machines only, and only what it has from the origin itself:
 // no message takes two relays.
 func (n *Node) handleRelay(now core.Time, from core.Peer, relay *nodepb.Relay) {
-	if relay.GetTo() == n.self.Address {
+	if relay.GetDestination() == n.self.Address {
 		origin := core.Peer{NodeID: relay.GetOriginId(), Address: relay.GetOriginAddress(), Via: from.Address}
 		n.execute(now, n.dispatch(now, origin, relay.GetEnvelope()))
 		return
 	}
 	forwardedBefore := from.Address != relay.GetOriginAddress()
-	if forwardedBefore || !n.coreAddresses[relay.GetTo()] {
+	if forwardedBefore || !n.coreAddresses[relay.GetDestination()] {
 		return
 	}
-	n.emit(core.Send{Destination: relay.GetTo(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
+	n.emit(core.Send{Destination: relay.GetDestination(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
 // maxRelays bounds the relays of each kind: outside the core, and in it.
--- a/internal/node/control/relay_test.go
+++ b/internal/node/control/relay_test.go
@@ -37,7 +37,7 @@
 
 func relayed(origin, to string, envelope *nodepb.Envelope) *nodepb.Envelope {
 	return &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: &nodepb.Relay{
-		To: to, OriginId: origin + "/1", OriginAddress: origin, Envelope: envelope,
+		Destination: to, OriginId: origin + "/1", OriginAddress: origin, Envelope: envelope,
 	}}}
 }
 
--- a/internal/node/controlapi/heartbeat.go
+++ b/internal/node/controlapi/heartbeat.go
@@ -119,17 +119,17 @@
 	}
 	software, _ := heartbeat.Version.(string)
 	return &nodepb.Instance{
-		Id:              id,
-		Service:         heartbeat.Service,
-		Address:         heartbeat.Address,
-		Zone:            heartbeat.Zone,
-		Software:        software,
-		Slots:           ceilUint32(heartbeat.Slots),
-		State:           state,
-		ColdRemainingMs: ceilUint32(heartbeat.WarmUpRemainingMs),
-		Sequence:        heartbeat.Sequence,
-		Stage:           heartbeat.Stage,
-		Models:          modelsOnInstance(heartbeat.Models),
+		Id:                id,
+		Service:           heartbeat.Service,
+		Address:           heartbeat.Address,
+		Zone:              heartbeat.Zone,
+		Software:          software,
+		Slots:             ceilUint32(heartbeat.Slots),
+		State:             state,
+		WarmUpRemainingMs: ceilUint32(heartbeat.WarmUpRemainingMs),
+		Sequence:          heartbeat.Sequence,
+		Stage:             heartbeat.Stage,
+		Models:            modelsOnInstance(heartbeat.Models),
 	}, nil
 }
 
--- a/internal/node/controlapi/heartbeat_test.go
+++ b/internal/node/controlapi/heartbeat_test.go
@@ -27,7 +27,7 @@
 	}{
 		{"all fields", heartbeatExample, &nodepb.Instance{
 			Id: "i-5b", Service: "s1", Address: "10.9.0.4:8080", Zone: "b", Software: "v3", Slots: 16,
-			State: nodepb.InstanceState_READY, ColdRemainingMs: 250, Sequence: 4, Stage: "both",
+			State: nodepb.InstanceState_READY, WarmUpRemainingMs: 250, Sequence: 4, Stage: "both",
 			Models: []*nodepb.ModelOnInstance{{Name: "m1", Version: 2, Adapters: []string{"x"}}},
 		}},
 		{"no engine, draining", `{"service":"s1","address":"10.9.0.4:8080","state":"draining","sequence":5}`, &nodepb.Instance{
@@ -39,7 +39,7 @@
 		{"fractions and what is out of range",
 			`{"service":"s1","address":"10.9.0.4:8080","state":"ready","sequence":1,"slots":1e12,"coldRemainingMs":0.2}`,
 			&nodepb.Instance{
-				Id: "i-5b", Service: "s1", Address: "10.9.0.4:8080", Sequence: 1, Slots: 1<<32 - 1, ColdRemainingMs: 1,
+				Id: "i-5b", Service: "s1", Address: "10.9.0.4:8080", Sequence: 1, Slots: 1<<32 - 1, WarmUpRemainingMs: 1,
 			}},
 		{"texts of another form", `{"service":"s1","address":"10.9.0.4:8080","state":"ready","sequence":1,"version":3,` +
 			`"models":[{"name":"m1","version":1,"adapters":["x",{"name":"y"}]}]}`, &nodepb.Instance{
--- a/internal/node/kvindex/subscriber.go
+++ b/internal/node/kvindex/subscriber.go
@@ -52,7 +52,7 @@
 		return nil // a former home
 	}
 	switch {
-	case update.Whole && (update.Epoch != t.epoch || update.Sequence > t.sequence):
+	case update.Complete && (update.Epoch != t.epoch || update.Sequence > t.sequence):
 		return s.apply(now, t, update)
 	case update.Epoch == t.epoch && update.Sequence <= t.sequence:
 		return nil // already applied
@@ -79,7 +79,7 @@
 	t.epoch, t.sequence, t.lastUpdateAt = update.Epoch, update.Sequence, now
 	var outputs []core.Output
 	s.index.Update(func(index *Index) {
-		if update.Whole {
+		if update.Complete {
 			t.reset(index)
 		}
 		eachChange(update, func(name string, salt, part uint64, tokens uint32) {
--- a/internal/node/kvindex/topic.go
+++ b/internal/node/kvindex/topic.go
@@ -130,7 +130,7 @@
 func (t *topic) nextUpdate(now core.Time, maxBytes int) *nodepb.IndexUpdate {
 	t.nextBroadcastAt = now + broadcastInterval
 	selected := t.selectPending(now, maxBytes/bytesPerChange)
-	update := &nodepb.IndexUpdate{Service: t.key.service, Zone: t.key.zone, Epoch: t.epoch, Whole: !t.started}
+	update := &nodepb.IndexUpdate{Service: t.key.service, Zone: t.key.zone, Epoch: t.epoch, Complete: !t.started}
 	for _, name := range t.resetHolders {
 		update.Changes = append(update.Changes, resetChange(name))
 	}
@@ -247,7 +247,7 @@
 	}
 	slices.SortFunc(keys, compareHolderParts)
 	return &nodepb.IndexUpdate{
-		Service: t.key.service, Zone: t.key.zone, Epoch: t.epoch, Sequence: t.sequence, Whole: true,
+		Service: t.key.service, Zone: t.key.zone, Epoch: t.epoch, Sequence: t.sequence, Complete: true,
 		Changes: appendChanges(nil, keys, func(key holderPart) uint32 { return tokens[key] }),
 	}
 }
--- a/internal/node/loadhint/disseminator.go
+++ b/internal/node/loadhint/disseminator.go
@@ -245,10 +245,10 @@
 // scaled returns a hint that stands for this and others like it: its load is multiplied. The pause of a
 // stream is no load and stays.
 func scaled(hint *nodepb.LoadHint, factor float64) *nodepb.LoadHint {
-	unread := min(float64(hint.Unread)*factor, math.MaxUint32)
+	unread := min(float64(hint.UnreadTokens)*factor, math.MaxUint32)
 	return &nodepb.LoadHint{
-		Instance: hint.Instance, Salt: hint.Salt, PartIds: hint.PartIds, PartTokens: hint.PartTokens, Unread: uint32(unread),
-		PauseUs: hint.PauseUs,
+		Instance: hint.Instance, Salt: hint.Salt, PartIds: hint.PartIds, PartTokens: hint.PartTokens, UnreadTokens: uint32(unread),
+		EventIntervalUs: hint.EventIntervalUs,
 	}
 }
 
--- a/internal/node/loadhint/disseminator_test.go
+++ b/internal/node/loadhint/disseminator_test.go
@@ -70,7 +70,7 @@
 
 func hint(number int) *nodepb.LoadHint {
 	return &nodepb.LoadHint{
-		Instance: fmt.Sprintf("i-%d", number), Salt: 7, PartIds: []uint64{uint64(number)}, PartTokens: []uint32{800}, Unread: 1000,
+		Instance: fmt.Sprintf("i-%d", number), Salt: 7, PartIds: []uint64{uint64(number)}, PartTokens: []uint32{800}, UnreadTokens: 1000,
 	}
 }
 
@@ -95,7 +95,7 @@
 			received := map[string]int{}
 			for _, h := range node.received {
 				received[h.Instance]++
-				assert.Equal(t, h.Unread, uint32(1000))
+				assert.Equal(t, h.UnreadTokens, uint32(1000))
 			}
 			assert.Equal(t, len(received), len(c.nodes)-1, "zones %v, node %d", zones, number)
 			assert.Equal(t, received[hint(number).Instance], 0, "its own hint came back")
@@ -156,7 +156,7 @@
 	for _, node := range c.nodes {
 		unread := 0.0
 		for _, h := range node.received {
-			unread += float64(h.Unread)
+			unread += float64(h.UnreadTokens)
 		}
 		assert.Assert(t, node.isRelay() || len(node.received) <= perSecond*(span+1), "%d hints", len(node.received))
 		reported := unread / (1000 * 100 * span * float64(len(c.nodes)))
@@ -205,9 +205,9 @@
 
 // A hint that stands for others as well keeps what it is about.
 func TestScaledHintKeepsSubject(t *testing.T) {
-	sent := scaled(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 400}, 2.5)
-	assert.DeepEqual(t, sent, &nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, Unread: 1000}, protocmp.Transform())
-	seen := scaled(&nodepb.LoadHint{Instance: "i", PauseUs: 20000}, 3)
-	assert.Equal(t, seen.PauseUs, uint32(20000))
-	assert.Equal(t, seen.Unread, uint32(0))
+	sent := scaled(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, UnreadTokens: 400}, 2.5)
+	assert.DeepEqual(t, sent, &nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, UnreadTokens: 1000}, protocmp.Transform())
+	seen := scaled(&nodepb.LoadHint{Instance: "i", EventIntervalUs: 20000}, 3)
+	assert.Equal(t, seen.EventIntervalUs, uint32(20000))
+	assert.Equal(t, seen.UnreadTokens, uint32(0))
 }
--- a/internal/node/loadhint/size_test.go
+++ b/internal/node/loadhint/size_test.go
@@ -17,7 +17,7 @@
 		for range hints {
 			list.Hints = append(list.Hints, &nodepb.LoadHint{
 				Instance: "i-7f3a91c2e0", Salt: 1 << 60, PartIds: []uint64{0x5c1e07a2, 0x91bd3f06, 0xe4402b7d},
-				PartTokens: []uint32{2601, 1100, 2599}, Unread: 2890,
+				PartTokens: []uint32{2601, 1100, 2599}, UnreadTokens: 2890,
 			})
 		}
 		return proto.Size(&nodepb.Envelope{Body: &nodepb.Envelope_LoadHints{LoadHints: list}})
--- a/internal/node/registry/forward.go
+++ b/internal/node/registry/forward.go
@@ -96,5 +96,5 @@
 	}
 	call := r.forwards[index]
 	r.dropForward(call)
-	r.answerWith(call.origin, reply.Taken, reply.HomeControlAddress)
+	r.answerWith(call.origin, reply.Accepted, reply.HomeControlAddress)
 }
--- a/internal/node/registry/heartbeat.go
+++ b/internal/node/registry/heartbeat.go
@@ -35,7 +35,7 @@
 func heartbeatOf(instance *nodepb.Instance) *nodepb.Instance {
 	heartbeat := shallowCopy(instance)
 	heartbeat.Sequence = instance.Sequence
-	heartbeat.ColdRemainingMs = instance.ColdRemainingMs
+	heartbeat.WarmUpRemainingMs = instance.WarmUpRemainingMs
 	return heartbeat
 }
 
@@ -118,6 +118,6 @@
 		r.output(core.RegistryReply{Request: origin.request, Accepted: accepted, HeartbeatURL: home})
 		return
 	}
-	reply := &nodepb.HeartbeatForwardReply{Request: origin.request, Taken: accepted, HomeControlAddress: home}
+	reply := &nodepb.HeartbeatForwardReply{Request: origin.request, Accepted: accepted, HomeControlAddress: home}
 	r.send(origin.forwarder, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForwardReply{HeartbeatForwardReply: reply}})
 }
--- a/internal/node/registry/liveness.go
+++ b/internal/node/registry/liveness.go
@@ -24,11 +24,11 @@
 	if trust == ignoreLiveness || r.gone() {
 		return
 	}
-	if incoming.SilentMs == 0 {
+	if incoming.SinceHeartbeatMs == 0 {
 		r.unresponsive = false
 		return
 	}
-	lastContact := now - duration(incoming.SilentMs)
+	lastContact := now - duration(incoming.SinceHeartbeatMs)
 	if r.lastHeartbeatAt > lastContact {
 		return
 	}
@@ -39,7 +39,7 @@
 // refutes reports whether this node received a heartbeat within the timeout of a broker that
 // another node reports as unresponsive, and has not refuted that within refuteInterval.
 func (r *Registry) refutes(now core.Time, rec *record, incoming *nodepb.Instance) bool {
-	if incoming.SilentMs == 0 || rec.gone() || rec.unresponsive {
+	if incoming.SinceHeartbeatMs == 0 || rec.gone() || rec.unresponsive {
 		return false
 	}
 	return now-rec.lastHeartbeatAt < r.options.heartbeatTimeout() && now-rec.refutedAt >= refuteInterval
--- a/internal/node/registry/liveness_test.go
+++ b/internal/node/registry/liveness_test.go
@@ -134,7 +134,7 @@
 	c.network.Run(4 * time.Second)
 	home := c.home("llm", "a")
 	claim := home.registry.records[b.id()].message(home.Now())
-	claim.SilentMs = 4000
+	claim.SinceHeartbeatMs = 4000
 	for _, node := range c.nodes {
 		update := &nodepb.InstanceUpdate{Nonce: 1, Instances: []*nodepb.Instance{claim}}
 		node.registry.receiveUpdate(node.Now(), peerIn("node-x"), update)
--- a/internal/node/registry/merge.go
+++ b/internal/node/registry/merge.go
@@ -45,18 +45,18 @@
 		reported:        shallowCopy(incoming),
 		sequence:        incoming.Sequence,
 		revision:        incoming.Revision,
-		loadingToken:    incoming.LoadingFence,
+		loadingToken:    incoming.LoadingFencingToken,
 		loadingSince:    now,
 		learnedAt:       now,
 		lastHeartbeatAt: distantPast,
 		refutedAt:       distantPast,
-		warmingUpUntil:  now + duration(incoming.ColdRemainingMs),
+		warmingUpUntil:  now + duration(incoming.WarmUpRemainingMs),
 	}
 	if rec.gone() {
-		rec.goneAt = now - duration(incoming.SilentMs)
-	} else if incoming.SilentMs > 0 {
+		rec.goneAt = now - duration(incoming.SinceHeartbeatMs)
+	} else if incoming.SinceHeartbeatMs > 0 {
 		rec.unresponsive = true
-		rec.unresponsiveSince = now - duration(incoming.SilentMs)
+		rec.unresponsiveSince = now - duration(incoming.SinceHeartbeatMs)
 	}
 	r.records[incoming.Id] = rec
 	r.updateTopic(now, rec, nil)
@@ -70,9 +70,9 @@
 // expiredOnArrival reports whether the record of an unknown broker would expire at once.
 func expiredOnArrival(incoming *nodepb.Instance) bool {
 	if incoming.State == nodepb.InstanceState_GONE {
-		return duration(incoming.SilentMs) >= tombstoneRetention
+		return duration(incoming.SinceHeartbeatMs) >= tombstoneRetention
 	}
-	return duration(incoming.SilentMs) >= unresponsiveRetention
+	return duration(incoming.SinceHeartbeatMs) >= unresponsiveRetention
 }
 
 // countTombstone counts a record that has just become a tombstone, and keeps their number bounded.
@@ -93,7 +93,7 @@
 		}
 		gone := rec.message(now)
 		gone.State = nodepb.InstanceState_GONE
-		gone.SilentMs = 0
+		gone.SinceHeartbeatMs = 0
 		r.merge(now, gone, ignoreLiveness)
 		ids = append(ids, id)
 	}
--- a/internal/node/registry/merge_test.go
+++ b/internal/node/registry/merge_test.go
@@ -44,8 +44,8 @@
 	messages := []*nodepb.Instance{
 		instanceAt(1, isReady, nil),
 		instanceAt(2, isReady, func(i *nodepb.Instance) { i.Models[0].Version = 3 }),
-		instanceAt(3, isReady, func(i *nodepb.Instance) { i.Revision, i.LoadingFence = 1, 7 }),
-		instanceAt(3, isReady, func(i *nodepb.Instance) { i.Revision, i.LoadingFence = 2, 0 }),
+		instanceAt(3, isReady, func(i *nodepb.Instance) { i.Revision, i.LoadingFencingToken = 1, 7 }),
+		instanceAt(3, isReady, func(i *nodepb.Instance) { i.Revision, i.LoadingFencingToken = 2, 0 }),
 		instanceAt(4, isDraining, nil),
 		instanceAt(5, isReady, nil),
 	}
@@ -97,9 +97,9 @@
 
 func TestUnchangedHeartbeatLeavesTableUnchanged(t *testing.T) {
 	r := single()
-	r.Heartbeat(0, 1, instanceAt(1, isReady, func(i *nodepb.Instance) { i.Slots, i.ColdRemainingMs = 8, 5000 }))
+	r.Heartbeat(0, 1, instanceAt(1, isReady, func(i *nodepb.Instance) { i.Slots, i.WarmUpRemainingMs = 8, 5000 }))
 	before := r.Table()
-	again := instanceAt(2, isReady, func(i *nodepb.Instance) { i.Slots, i.ColdRemainingMs = 8, 4000 })
+	again := instanceAt(2, isReady, func(i *nodepb.Instance) { i.Slots, i.WarmUpRemainingMs = 8, 4000 })
 	outputs := r.Heartbeat(time.Second, 2, again)
 	assert.Equal(t, len(outputs), 1, "only the answer")
 	assert.Equal(t, r.Table(), before)
@@ -192,7 +192,7 @@
 // A lease holder that does not know of a mark, as it has just started, clears it all the same.
 func TestHolderClearsLoadingMarkItDoesNotKnow(t *testing.T) {
 	c := newCluster(t, 5, 4, "a")
-	marked := instanceAt(1, isReady, func(i *nodepb.Instance) { i.Revision, i.LoadingFence = 3, 41 })
+	marked := instanceAt(1, isReady, func(i *nodepb.Instance) { i.Revision, i.LoadingFencingToken = 3, 41 })
 	for _, node := range c.nodes[1:] {
 		node.registry.Receive(node.Now(), peerIn("x"), update(marked))
 	}
@@ -247,7 +247,7 @@
 func TestWarmBrokerHeartbeatsLeaveTableUnchanged(t *testing.T) {
 	r := single()
 	heartbeat := func(at time.Duration, sequence uint64, warmUpMs uint32) *Table {
-		r.Heartbeat(at, sequence, &nodepb.Instance{Id: "i", Service: "s", Zone: "a", Sequence: sequence, ColdRemainingMs: warmUpMs})
+		r.Heartbeat(at, sequence, &nodepb.Instance{Id: "i", Service: "s", Zone: "a", Sequence: sequence, WarmUpRemainingMs: warmUpMs})
 		return r.Table()
 	}
 	warmingUp := heartbeat(time.Second, 1, 3000)
--- a/internal/node/registry/record.go
+++ b/internal/node/registry/record.go
@@ -55,9 +55,9 @@
 	message := shallowCopy(r.reported)
 	message.Sequence = r.sequence
 	message.Revision = r.revision
-	message.LoadingFence = r.loadingToken
-	message.ColdRemainingMs = milliseconds(r.warmingUpUntil - now)
-	message.SilentMs = r.unresponsiveMilliseconds(now)
+	message.LoadingFencingToken = r.loadingToken
+	message.WarmUpRemainingMs = milliseconds(r.warmingUpUntil - now)
+	message.SinceHeartbeatMs = r.unresponsiveMilliseconds(now)
 	return message
 }
 
@@ -83,7 +83,7 @@
 	r.reported.State = incoming.State
 	r.leaveConfirmed = false
 	if r.gone() {
-		r.goneAt = now - duration(incoming.SilentMs)
+		r.goneAt = now - duration(incoming.SinceHeartbeatMs)
 	}
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	r.sequence = incoming.Sequence
-	r.warmingUpUntil = now + duration(incoming.ColdRemainingMs)
+	r.warmingUpUntil = now + duration(incoming.WarmUpRemainingMs)
 	if sameContent(r.reported, incoming) {
 		return
 	}
@@ -129,12 +129,12 @@
 // higher fencing token.
 func (r *record) mergeRevision(now core.Time, incoming *nodepb.Instance) {
 	older := incoming.Revision < r.revision
-	sameOrLower := incoming.Revision == r.revision && incoming.LoadingFence <= r.loadingToken
+	sameOrLower := incoming.Revision == r.revision && incoming.LoadingFencingToken <= r.loadingToken
 	if older || sameOrLower {
 		return
 	}
 	r.revision = incoming.Revision
-	r.setLoadingToken(now, incoming.LoadingFence)
+	r.setLoadingToken(now, incoming.LoadingFencingToken)
 }
 
 // setLoadingToken sets the loading mark; token 0 clears it.
--- a/internal/node/registry/restore.go
+++ b/internal/node/registry/restore.go
@@ -11,7 +11,7 @@
 func (r *Registry) Restore(now core.Time, instances []*nodepb.Instance) []core.Output {
 	for _, instance := range instances {
 		restored := deepCopy(instance)
-		restored.LoadingFence = 0
+		restored.LoadingFencingToken = 0
 		r.merge(now, restored, ignoreLiveness)
 	}
 	return r.takeOutputs()
--- a/internal/node/rollout/broker.go
+++ b/internal/node/rollout/broker.go
@@ -113,7 +113,7 @@
 
 // hasForeignMark reports whether the registry shows a mark that this machine has not set, or has
 // cleared.
-func (b *broker) hasForeignMark() bool { return b.instance.LoadingFence != 0 && !b.marked }
+func (b *broker) hasForeignMark() bool { return b.instance.LoadingFencingToken != 0 && !b.marked }
 
 // foreignMarkCountsAt is when a foreign mark counts as another holder's: one that this machine has
 // just cleared may show for a while.
--- a/internal/node/rollout/grant.go
+++ b/internal/node/rollout/grant.go
@@ -40,12 +40,12 @@
 	if h.requestedFence == 0 || h.releaseSubmitted {
 		h.beginGrant(now)
 	}
-	return h.submitChange(now, &nodepb.DutyChange{
-		Duty:    RoleName,
-		Holder:  h.holderID,
-		Fence:   h.requestedFence,
-		Targets: slices.Clone(h.claimedInstances),
-		Former:  slices.Clone(h.inheritedClaims),
+	return h.submitChange(now, &nodepb.LeaseChange{
+		Role:            RoleName,
+		Holder:          h.holderID,
+		FencingToken:    h.requestedFence,
+		Claims:          slices.Clone(h.claimedInstances),
+		InheritedClaims: slices.Clone(h.inheritedClaims),
 	}, outputs)
 }
 
@@ -125,21 +125,21 @@
 }
 
 func (h *leaseHolder) submitRelease(now core.Time, fence uint64, outputs []core.Output) []core.Output {
-	return h.submitChange(now, &nodepb.DutyChange{Duty: RoleName, Holder: h.holderID, Fence: fence, Released: true}, outputs)
+	return h.submitChange(now, &nodepb.LeaseChange{Role: RoleName, Holder: h.holderID, FencingToken: fence, Released: true}, outputs)
 }
 
-func (h *leaseHolder) submitChange(now core.Time, change *nodepb.DutyChange, outputs []core.Output) []core.Output {
+func (h *leaseHolder) submitChange(now core.Time, change *nodepb.LeaseChange, outputs []core.Output) []core.Output {
 	h.nextSubmitAt = now + submitTimeout
 	return append(outputs, core.SubmitCommand{Command: &nodepb.Command{
 		Id:     commandID(change),
-		Change: &nodepb.Command_Duty{Duty: change},
+		Change: &nodepb.Command_Lease{Lease: change},
 	}})
 }
 
 // commandID is the same for the same change, so that a repeated submission is recognised. Within a
 // fence claims are only added, so their number tells two changes apart.
-func commandID(change *nodepb.DutyChange) string {
-	id := change.Duty + "/" + change.Holder + "/" + strconv.FormatUint(change.Fence, 10) + "/" + strconv.Itoa(len(change.Targets))
+func commandID(change *nodepb.LeaseChange) string {
+	id := change.Role + "/" + change.Holder + "/" + strconv.FormatUint(change.FencingToken, 10) + "/" + strconv.Itoa(len(change.Claims))
 	if change.Released {
 		id += "/released"
 	}
--- a/internal/node/rollout/leaseholder.go
+++ b/internal/node/rollout/leaseholder.go
@@ -83,10 +83,10 @@
 	}
 	// An earlier incarnation of this machine is the same holder. What a holder before that may have
 	// ordered, it has listed in its own grant as inherited.
-	claims := s.Grant.Targets
+	claims := s.Grant.Claims
 	if s.Grant.Holder == s.HolderID {
-		claims = s.Grant.Former
-		p.ownClaims = s.Grant.Targets
+		claims = s.Grant.InheritedClaims
+		p.ownClaims = s.Grant.Claims
 	}
 	p.claims = map[string]bool{}
 	for _, id := range claims {
@@ -105,7 +105,7 @@
 func (h *leaseHolder) observe(now core.Time, s *Situation) bool {
 	h.holderID = s.HolderID
 	if s.Grant != nil {
-		h.maxFence = max(h.maxFence, s.Grant.Fence)
+		h.maxFence = max(h.maxFence, s.Grant.FencingToken)
 	}
 	if !s.Head {
 		h.isHead = false
@@ -160,10 +160,10 @@
 }
 
 // observeGrant finds out whether the committed grant is the one that this node requested.
-func (h *leaseHolder) observeGrant(grant *nodepb.DutyChange) {
+func (h *leaseHolder) observeGrant(grant *nodepb.LeaseChange) {
 	h.grantedFence = 0
 	h.grantedInstances = nil
-	if grant == nil || h.requestedFence == 0 || grant.Holder != h.holderID || grant.Fence != h.requestedFence {
+	if grant == nil || h.requestedFence == 0 || grant.Holder != h.holderID || grant.FencingToken != h.requestedFence {
 		return
 	}
 	if grant.Released {
@@ -171,8 +171,8 @@
 		return
 	}
 	h.grantedFence = h.requestedFence
-	h.grantedInstances = make(map[string]bool, len(grant.Targets))
-	for _, id := range grant.Targets {
+	h.grantedInstances = make(map[string]bool, len(grant.Claims))
+	for _, id := range grant.Claims {
 		h.grantedInstances[id] = true
 	}
 }
--- a/internal/node/rollout/leaseholder_test.go
+++ b/internal/node/rollout/leaseholder_test.go
@@ -28,7 +28,7 @@
 	barriersComplete bool // barriers of the head complete
 	grantsCommit     bool // submitted changes are committed
 	orders           []core.SendOrder
-	submitted        []*nodepb.DutyChange
+	submitted        []*nodepb.LeaseChange
 	marks            map[string]uint64
 	report           *Report // what brokers answer; nil: nothing
 }
@@ -72,7 +72,7 @@
 				d.carryOut(d.machine.ReportDone(d.now, output.Token, d.report, nil))
 			}
 		case core.SubmitCommand:
-			change := output.Command.GetDuty()
+			change := output.Command.GetLease()
 			d.submitted = append(d.submitted, change)
 			if d.grantsCommit {
 				d.situation.Grant = change
@@ -94,18 +94,18 @@
 // TestFirstOrderWaitsForPreviousHolder lists the grants that a node may find when it becomes head.
 // Source: RULES.md, ONE.
 func TestFirstOrderWaitsForPreviousHolder(t *testing.T) {
-	open := func(holder string) *nodepb.DutyChange {
-		return &nodepb.DutyChange{Duty: RoleName, Holder: holder, Fence: 6 << fenceEpochShift, Targets: []string{"i-0", "i-1"}}
+	open := func(holder string) *nodepb.LeaseChange {
+		return &nodepb.LeaseChange{Role: RoleName, Holder: holder, FencingToken: 6 << fenceEpochShift, Claims: []string{"i-0", "i-1"}}
 	}
 	elsewhere := open(other)
-	elsewhere.Targets = []string{"i-0", "i-2"}
+	elsewhere.Claims = []string{"i-0", "i-2"}
 	inherited := open(self)
-	inherited.Former = []string{"i-1"}
+	inherited.InheritedClaims = []string{"i-1"}
 	released := open(other)
 	released.Released = true
 	for _, test := range []struct {
 		name  string
-		grant *nodepb.DutyChange
+		grant *nodepb.LeaseChange
 		asOf  core.Time
 		waits bool
 	}{
@@ -189,7 +189,7 @@
 		d.situation.Targets = []Target{{Model: testModel, Version: version, KnownAt: d.now}}
 		assert.Assert(t, d.run(5*time.Second))
 		d.carryOut(d.machine.OrderDone(d.now, d.orders[len(d.orders)-1].Token, 200, nil))
-		fence := d.situation.Grant.Fence
+		fence := d.situation.Grant.FencingToken
 		assert.Assert(t, fence > last)
 		last = fence
 		d.run(6 * time.Second)
@@ -224,19 +224,19 @@
 	assert.Assert(t, !d.run(5*time.Second))
 	d.grantsCommit = true
 	assert.Assert(t, d.run(5*time.Second))
-	assert.Assert(t, d.situation.Grant.Fence > release.Fence)
+	assert.Assert(t, d.situation.Grant.FencingToken > release.FencingToken)
 }
 
 func TestHeadWaitsOnlyIfAnotherWasGrantedBetween(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		epoch uint64
-		grant *nodepb.DutyChange // committed by then; nil: this node's
+		grant *nodepb.LeaseChange // committed by then; nil: this node's
 		waits bool
 	}{
 		{"the next epoch", 8, nil, false},
 		{"another may have been head between, and was granted nothing", 9, nil, false},
-		{"another was granted the broker between", 9, &nodepb.DutyChange{Holder: other, Fence: 8 << fenceEpochShift, Targets: []string{"i-1"}}, true},
+		{"another was granted the broker between", 9, &nodepb.LeaseChange{Holder: other, FencingToken: 8 << fenceEpochShift, Claims: []string{"i-1"}}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := newHarness()
@@ -260,13 +260,13 @@
 func TestGrantLeftOpenByPreviousHolderIsReleased(t *testing.T) {
 	d := newHarness()
 	d.situation.Targets = nil
-	left := &nodepb.DutyChange{Duty: RoleName, Holder: other, Fence: 6 << fenceEpochShift, Targets: []string{"i-1"}}
+	left := &nodepb.LeaseChange{Role: RoleName, Holder: other, FencingToken: 6 << fenceEpochShift, Claims: []string{"i-1"}}
 	d.situation.Grant = left
 	d.run(takeoverWait - testStep)
 	assert.Equal(t, d.situation.Grant, left)
 	d.run(2 * time.Second)
 	assert.Assert(t, d.situation.Grant.Released)
-	assert.Assert(t, d.situation.Grant.Fence > left.Fence)
+	assert.Assert(t, d.situation.Grant.FencingToken > left.FencingToken)
 	d.step()
 	assert.Equal(t, d.machine.Deadline(), core.Never)
 	assert.Equal(t, len(d.submitted), 1)
@@ -276,13 +276,13 @@
 func TestHolderStopsAfterBrokerSawHigherFence(t *testing.T) {
 	d := newHarness()
 	assert.Assert(t, d.run(2*time.Second))
-	first := d.situation.Grant.Fence
+	first := d.situation.Grant.FencingToken
 	d.carryOut(d.machine.OrderDone(d.now, d.orders[0].Token, 412, nil))
 	assert.Equal(t, d.marks["i-1"], uint64(0))
 	refused := d.now
 	assert.Assert(t, d.run(20*time.Second))
 	assert.Assert(t, d.now-refused >= takeoverWait)
-	assert.Assert(t, d.situation.Grant.Fence > first+1)
+	assert.Assert(t, d.situation.Grant.FencingToken > first+1)
 }
 
 // TestMarkLeftByPreviousHolderIsCleared: a broker must not stay out of service, loaded or not.
@@ -304,7 +304,7 @@
 			if test.late {
 				d.run(time.Second)
 			}
-			instance.LoadingFence = 5
+			instance.LoadingFencingToken = 5
 			d.marks["i-1"] = 5
 			d.report = &Report{Models: []ReportedModel{{Name: testModel, Version: test.version}}}
 			d.run(8 * time.Second)
--- a/internal/node/rollout/rollout_test.go
+++ b/internal/node/rollout/rollout_test.go
@@ -142,7 +142,7 @@
 	w.nodes[0].frozen = true
 	w.elect(1)
 	electedAt := w.now
-	previousClaims := slices.Clone(w.grant.Targets)
+	previousClaims := slices.Clone(w.grant.Claims)
 	assert.Assert(t, len(previousClaims) > 2 && len(previousClaims) < 12, "%v", previousClaims)
 	firstOrderAt := core.Never
 	w.run(30*time.Second, w.everywhere)
--- a/internal/node/rollout/schedule.go
+++ b/internal/node/rollout/schedule.go
@@ -17,8 +17,8 @@
 // compareUrgency orders by the version's bound, the earliest first. Unresponsive brokers come last:
 // they are likely lost.
 func (c candidate) compareUrgency(other candidate) int {
-	unresponsive := c.broker.instance.SilentMs > 0
-	otherUnresponsive := other.broker.instance.SilentMs > 0
+	unresponsive := c.broker.instance.SinceHeartbeatMs > 0
+	otherUnresponsive := other.broker.instance.SinceHeartbeatMs > 0
 	if unresponsive != otherUnresponsive {
 		if unresponsive {
 			return 1
--- a/internal/node/rollout/schedule_test.go
+++ b/internal/node/rollout/schedule_test.go
@@ -63,7 +63,7 @@
 		{"with a newer version", func(i *nodepb.Instance) { i.Models[0].Version = 3 }, false},
 		{"without models", func(i *nodepb.Instance) { i.Models = nil }, false},
 		{"with another model", func(i *nodepb.Instance) { i.Models[0].Name = "other" }, false},
-		{"unresponsive", func(i *nodepb.Instance) { i.SilentMs = 4000 }, false},
+		{"unresponsive", func(i *nodepb.Instance) { i.SinceHeartbeatMs = 4000 }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := newHarness()
--- a/internal/node/rollout/situation.go
+++ b/internal/node/rollout/situation.go
@@ -48,7 +48,7 @@
 	// Instances are the known brokers; those in state GONE are ignored.
 	Instances []*nodepb.Instance
 	// Grant is the committed grant of RoleName, released or not; nil: there is none.
-	Grant *nodepb.DutyChange
+	Grant *nodepb.LeaseChange
 	// GrantAsOf is the time as of which Grant is known to be current (from the age of the
 	// distributed state); 0: not known.
 	GrantAsOf core.Time
--- a/internal/node/rollout/world_test.go
+++ b/internal/node/rollout/world_test.go
@@ -36,7 +36,7 @@
 	head           int
 	target         uint64
 	namedAt        map[uint64]core.Time
-	grant          *nodepb.DutyChange
+	grant          *nodepb.LeaseChange
 	history        []grantChange
 	fullSpeedLoads int // how many brokers load at full speed at once
 
@@ -54,7 +54,7 @@
 // grantChange is a committed state of the grant.
 type grantChange struct {
 	committedAt core.Time
-	grant       *nodepb.DutyChange
+	grant       *nodepb.LeaseChange
 }
 
 // testNode is one node with its machine.
@@ -190,8 +190,8 @@
 	}
 }
 
-func (n *testNode) seenGrant() *nodepb.DutyChange {
-	var grant *nodepb.DutyChange
+func (n *testNode) seenGrant() *nodepb.LeaseChange {
+	var grant *nodepb.LeaseChange
 	for _, change := range n.world.history {
 		if change.committedAt <= n.grantAsOf || n.head && change.committedAt <= n.world.now-20*time.Millisecond {
 			grant = change.grant
@@ -216,7 +216,7 @@
 			continue
 		}
 		s.Instances = append(s.Instances, &nodepb.Instance{
-			Id: b.id, Service: testService, Address: b.id, Zone: b.zone, LoadingFence: b.fence,
+			Id: b.id, Service: testService, Address: b.id, Zone: b.zone, LoadingFencingToken: b.fence,
 			Models: []*nodepb.ModelOnInstance{{Name: testModel, Version: b.registryVersion}},
 		})
 	}
@@ -261,7 +261,7 @@
 	n.later(w.delay(), func() {
 		result := &nodepb.CommandResult{Code: nodepb.ResultCode_UNAVAILABLE}
 		if epoch == w.epoch && !n.partitioned {
-			result.Code = w.commit(command.GetDuty())
+			result.Code = w.commit(command.GetLease())
 		}
 		if w.random.Float64() < w.answerLoss {
 			result = &nodepb.CommandResult{Code: nodepb.ResultCode_UNAVAILABLE}
@@ -273,14 +273,14 @@
 	})
 }
 
-func (w *world) commit(change *nodepb.DutyChange) nodepb.ResultCode {
+func (w *world) commit(change *nodepb.LeaseChange) nodepb.ResultCode {
 	if w.grant != nil {
-		same := w.grant.Fence == change.Fence && w.grant.Holder == change.Holder
-		if !same && (change.Released || change.Fence <= w.grant.Fence) {
+		same := w.grant.FencingToken == change.FencingToken && w.grant.Holder == change.Holder
+		if !same && (change.Released || change.FencingToken <= w.grant.FencingToken) {
 			return nodepb.ResultCode_CONFLICT
 		}
-		for _, id := range w.grant.Targets {
-			if same && !change.Released && !slices.Contains(change.Targets, id) {
+		for _, id := range w.grant.Claims {
+			if same && !change.Released && !slices.Contains(change.Claims, id) {
 				return nodepb.ResultCode_CONFLICT
 			}
 		}
