--- a/internal/node/controlapi/api.go
+++ b/internal/node/controlapi/api.go
@@ -116,7 +116,7 @@
 // callContextForBody returns the context of a Backend call with a body of so many bytes; callers wait
 // longer for large ones.
 func (a *api) callContextForBody(r *http.Request, bytes int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(r.Context(), a.callTimeout+submit.ExtraTime(bytes))
+	return context.WithTimeout(r.Context(), a.callTimeout+submit.SizeAllowance(bytes))
 }
 
 func (a *api) status(w http.ResponseWriter, _ *http.Request) {
