--- a/internal/fleet/lease/client/client.go
+++ b/internal/fleet/lease/client/client.go
@@ -1,11 +1,11 @@
-// Package client is an instance's part: it asks the voters for duties, does the work of those that it is granted, and stops on its
-// own before anybody may think that it has. Searches never wait for any of it. The rules are lease.Holder's; here are the
-// questions, the goroutines and the time.
+// Package client is an instance's part: it requests leases of the voters, does the work of the
+// roles that it is granted, and stops by itself before anybody may think that it has. Searches
+// never wait for any of it. The rules are lease.Holder's; here are the calls, the goroutines and
+// the time.
 package client
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -16,363 +16,250 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/fleet/lease"
-	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/transport"
 	"kestrelspread/internal/fleet/lease/voter"
 )
 
-// Job is a duty's work under one grant.
-type Job interface {
-	// Step does the next piece and tells after how long it wants to be called again. Whatever it does to others it does
-	// through a fenced receiver, under the grant's token. An error of fence.ErrOld or ErrLost ends the work; after any other
-	// it is called again.
-	Step(ctx context.Context, g *Grant) (again time.Duration, err error)
-}
-
-// ErrLeaseLost says that the duty is somebody else's by now.
-var ErrLeaseLost = errors.New("the duty is somebody else's")
-
-// Options are an instance's.
+// Options configure a client.
 type Options struct {
-	Name         string // one life of it: a restart under the same name is another
+	Name         string // an incarnation of the instance: a restart is another one
 	Voters       []voter.Address
 	Config       lease.Config
-	Jobs         map[string]func() Job // by duty
-	WatchedRoles []string              // duties of which Said is to hear how far they have come
-	OnProgress   func(list []replica.ProgressReport)
+	Jobs         map[string]func() Job // by role, for which the instance is eligible; one a grant
+	WatchedRoles []string              // whose progress OnProgress is to be told
+	OnProgress   func(reports []replica.ProgressReport)
 	Log          zerolog.Logger
 }
 
-// Client asks and works.
+const (
+	reportTimeout = time.Second // of a release or a definition
+	// retryDivisor shortens the interval after a failed request: the next voter is asked soon.
+	retryDivisor = 4
+)
+
+// Client requests leases and does the granted work. Start starts its goroutine, and Close ends
+// that and those of the grants.
 type Client struct {
-	options        Options
-	eligibleRoles  []string
+	options       Options
+	eligibleRoles []string // sorted; never nil, which would mean all roles
+	peers         []*transport.Peer
+	voterNames    []string // of peers, in their order
+	rolesDefined  atomic.Bool
+	quit          chan struct{} // closed by Close
+	done          chan struct{} // closed when the requests have ended
+	workers       sync.WaitGroup
+
 	mu             sync.Mutex
 	holder         *lease.Holder
-	grants         map[string]*Grant
-	peers          []*transport.Peer
-	voterNames     []string
-	currentPeer    int // voter that is asked
-	quit           chan struct{}
-	done           chan struct{}
-	workers        sync.WaitGroup
-	rolesDefined   atomic.Bool // the voters know of this instance's duties
-	leaderTimedOut bool        // nobody answers
-	Requests       atomic.Int64
-	LateSteps      atomic.Int64 // pieces of work that ended after the lease had run out
-}
-
-// Grant is a duty that is held.
-type Grant struct {
-	Role             string
-	Token            uint64
-	Progress         []byte // how far the work had come when it was granted
-	client           *Client
-	ctx              context.Context
-	cancel           context.CancelFunc
-	releaseRequested chan struct{}
-	releaseOnce      sync.Once
-	progressSeq      uint64 // said to the voters
+	grants         map[string]*Grant // by role
+	currentPeer    int               // whom to ask
+	leaderTimedOut bool              // as it was logged
 }
 
-// New makes one; Go starts it.
-func New(o Options) (*Client, error) {
-	n := &Client{options: o, holder: lease.NewHolder(o.Config), grants: map[string]*Grant{}, quit: make(chan struct{}), done: make(chan struct{})}
-	n.eligibleRoles = []string{}
-	for d := range o.Jobs {
-		n.eligibleRoles = append(n.eligibleRoles, d)
+// New returns a client that has not started. Which voter it asks first is left to chance: whichever
+// it is names the leader.
+func New(options Options) (*Client, error) {
+	c := &Client{
+		options:       options,
+		eligibleRoles: []string{},
+		holder:        lease.NewHolder(options.Config),
+		grants:        map[string]*Grant{},
+		quit:          make(chan struct{}),
+		done:          make(chan struct{}),
+	}
+	for role := range options.Jobs {
+		c.eligibleRoles = append(c.eligibleRoles, role)
 	}
-	slices.Sort(n.eligibleRoles)
-	for _, a := range o.Voters {
-		p, err := transport.Dial(a.Addr)
+	slices.Sort(c.eligibleRoles)
+	for _, address := range options.Voters {
+		peer, err := transport.Dial(address.Addr)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("lease client %s: %w", options.Name, err)
 		}
-		n.peers, n.voterNames = append(n.peers, p), append(n.voterNames, a.Name)
+		c.peers, c.voterNames = append(c.peers, peer), append(c.voterNames, address.Name)
 	}
-	n.currentPeer = rand.IntN(len(n.peers)) // which is asked first is nobody's decision: whoever it is names the one that leads
-	return n, nil
+	c.currentPeer = rand.IntN(len(c.peers))
+	return c, nil
 }
 
-// Go asks until Close.
-func (n *Client) Start() { go n.run() }
+// Start requests leases from now on, until Close.
+func (c *Client) Start() { go c.run() }
 
-func (n *Client) pollInterval() time.Duration {
-	return time.Duration(n.options.Config.PollIntervalMs() * 1e6)
-}
+// millis is a time of the configuration as a duration.
+func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+func (c *Client) pollInterval() time.Duration { return millis(c.options.Config.PollIntervalMs()) }
 
-func (n *Client) run() {
-	defer close(n.done)
+func (c *Client) run() {
+	defer close(c.done)
 	for {
-		wait := n.pollInterval()
-		if !n.requestLeases() {
-			wait /= 4 // another one at once, or nearly
+		interval := c.pollInterval()
+		if !c.requestLeases() {
+			interval /= retryDivisor
 		}
 		select {
-		case <-n.quit:
+		case <-c.quit:
 			return
-		case <-time.After(wait):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// requestLeases asks once, and does what the answer says. The time that counts is when the question went.
-func (n *Client) requestLeases() bool {
-	n.mu.Lock()
-	q := replica.Request{Instance: n.options.Name, SentAt: voter.Now(), HeldTokens: map[string]uint64{}, EligibleRoles: n.eligibleRoles, WatchedRoles: n.options.WatchedRoles}
-	n.applyActions(n.holder.ExpireLeases(q.SentAt))
-	for _, h := range n.holder.Leases() {
-		q.HeldTokens[h.Role] = h.Token
-	}
-	n.mu.Unlock()
-	ctx, end := context.WithTimeout(context.Background(), time.Duration(n.options.Config.RequestTimeoutMs()*1e6))
-	defer end()
-	n.Requests.Add(1)
-	a, err := n.peers[n.currentPeer].RequestLeases(ctx, q)
-	if err != nil || !a.OK {
-		n.mu.Lock()
-		if n.currentPeer = (n.currentPeer + 1) % len(n.peers); err == nil && a.LeaderName != "" {
-			if to := slices.Index(n.voterNames, a.LeaderName); to >= 0 {
-				n.currentPeer = to
-			}
-		}
-		n.applyActions(n.holder.ExpireLeases(voter.Now()))
-		if quiet := n.holder.LeaderTimedOut(voter.Now()); quiet != n.leaderTimedOut {
-			if n.leaderTimedOut = quiet; quiet {
-				n.options.Log.Warn().Msg("owner: no voter that leads answers; this instance does no duty, and searches go on")
-			}
-		}
-		n.mu.Unlock()
+// requestLeases sends one request, and carries the response out. Leases count from when the
+// request was sent.
+func (c *Client) requestLeases() bool {
+	peer, request := c.nextRequest()
+	ctx, cancel := context.WithTimeout(context.Background(), millis(c.options.Config.RequestTimeoutMs()))
+	defer cancel()
+	response, err := peer.RequestLeases(ctx, request)
+	if err != nil {
+		c.handleNoLeader("")
 		return false
 	}
-	if !n.rolesDefined.Load() {
-		n.defineRoles()
-	}
-	n.mu.Lock()
-	n.leaderTimedOut = false
-	n.holder.RecordLeaderContact(voter.Now())
-	for _, g := range a.Grants {
-		n.applyActions(n.holder.HandleGrant(voter.Now(), a.SentAt, g.Role, g.Token, g.Progress, g.ReleaseRequested))
+	if !response.OK {
+		c.handleNoLeader(response.LeaderName)
+		return false
 	}
-	for _, d := range n.eligibleRoles {
-		if token, lost := a.LostRoles[d]; lost {
-			n.applyActions(n.holder.HandleLost(d, token))
-		}
+	if !c.rolesDefined.Load() {
+		c.defineRoles(peer)
 	}
-	n.mu.Unlock()
-	if n.options.OnProgress != nil && len(a.ProgressReports) > 0 {
-		n.options.OnProgress(a.ProgressReports)
+	c.handleResponse(response)
+	if c.options.OnProgress != nil && len(response.ProgressReports) > 0 {
+		c.options.OnProgress(response.ProgressReports)
 	}
 	return true
 }
 
-// defineRoles has the voters know this instance's duties, once.
-func (n *Client) defineRoles() {
-	for _, d := range n.eligibleRoles {
-		ctx, end := context.WithTimeout(context.Background(), time.Second)
-		r, err := n.peers[n.currentPeer].SubmitCommand(ctx, lease.Command{Kind: lease.CommandDefine, Role: d})
-		end()
-		if err != nil || !r.OK {
-			return
-		}
+// nextRequest ends the leases that have run out, and says what is held after that.
+func (c *Client) nextRequest() (*transport.Peer, replica.Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request := replica.Request{
+		Instance:      c.options.Name,
+		SentAt:        voter.Now(),
+		HeldTokens:    map[string]uint64{},
+		EligibleRoles: c.eligibleRoles,
+		WatchedRoles:  c.options.WatchedRoles,
 	}
-	n.rolesDefined.Store(true)
+	c.applyActions(c.holder.ExpireLeases(request.SentAt))
+	for _, held := range c.holder.Leases() {
+		request.HeldTokens[held.Role] = held.Token
+	}
+	return c.peers[c.currentPeer], request
 }
 
-// applyActions carries out what the holder says. The lock is held.
-func (n *Client) applyActions(list []lease.Action) {
-	for _, a := range list {
-		switch {
-		case a.Start != nil:
-			n.startGrant(a.Start)
-		case a.Stop != nil:
-			if g := n.grants[a.Stop.Role]; g != nil && g.Token == a.Stop.Token {
-				n.options.Log.Warn().Str("duty", g.Role).Uint64("token", g.Token).Msg("owner: stopped, as the lease has run out or is another's")
-				g.cancel()
-				delete(n.grants, g.Role)
-			}
-		case a.ReportReleased != nil:
-			go n.reportReleased(a.ReportReleased.Role, a.ReportReleased.Token)
-		case a.Finish != nil:
-			if g := n.grants[a.Finish.Role]; g != nil {
-				g.requestRelease()
-			}
-		}
+// handleNoLeader turns to the leader where it is named, else to the next voter.
+func (c *Client) handleNoLeader(leaderName string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.currentPeer = (c.currentPeer + 1) % len(c.peers)
+	if leader := slices.Index(c.voterNames, leaderName); leaderName != "" && leader >= 0 {
+		c.currentPeer = leader
 	}
+	c.applyActions(c.holder.ExpireLeases(voter.Now()))
+	timedOut := c.holder.LeaderTimedOut(voter.Now())
+	if timedOut && !c.leaderTimedOut {
+		c.options.Log.Warn().Msg("owner: no voter that leads answers; this instance does no duty, and searches go on")
+	}
+	c.leaderTimedOut = timedOut
 }
 
-func (g *Grant) requestRelease() { g.releaseOnce.Do(func() { close(g.releaseRequested) }) }
-
-func (n *Client) startGrant(h *lease.Lease) {
-	job := n.options.Jobs[h.Role]
-	if job == nil {
-		return
+// handleResponse takes up what a leader has granted, renewed and taken away.
+func (c *Client) handleResponse(response transport.Response) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaderTimedOut = false
+	c.holder.RecordLeaderContact(voter.Now())
+	for _, g := range response.Grants {
+		c.applyActions(c.holder.HandleGrant(voter.Now(), response.SentAt, g.Role, g.Token, g.Progress, g.ReleaseRequested))
 	}
-	g := &Grant{Role: h.Role, Token: h.Token, Progress: h.Progress, client: n, releaseRequested: make(chan struct{})}
-	g.ctx, g.cancel = context.WithCancel(context.Background())
-	if h.ReleaseRequested {
-		g.requestRelease()
+	for _, role := range c.eligibleRoles {
+		if token, lost := response.LostRoles[role]; lost {
+			c.applyActions(c.holder.HandleLost(role, token))
+		}
 	}
-	n.grants[h.Role] = g
-	n.options.Log.Info().Str("duty", g.Role).Uint64("token", g.Token).Msg("owner: this instance has the duty")
-	n.workers.Add(1)
-	go n.runGrant(g, job())
 }
 
-// runGrant works until the grant ends, or until it is asked to let go and the step at hand is done.
-func (n *Client) runGrant(g *Grant, job Job) {
-	defer n.workers.Done()
-	defer g.cancel()
-	bad := ""
-	for {
-		select {
-		case <-g.releaseRequested:
-			n.releaseGrant(g)
-			return
-		default:
-		}
-		if g.ctx.Err() != nil {
-			return
-		}
-		again, err := job.Step(g.ctx, g)
-		if !g.MayAct() {
-			n.LateSteps.Add(1)
-		}
+// applyActions carries out what the holder demands. The lock is held.
+func (c *Client) applyActions(actions []lease.Action) {
+	for _, action := range actions {
 		switch {
-		case err == nil:
-			bad = ""
-		case errors.Is(err, fence.ErrStaleToken) || errors.Is(err, ErrLeaseLost):
-			n.options.Log.Warn().Str("duty", g.Role).Uint64("token", g.Token).Err(err).Msg("owner: an old token was refused")
-			n.dropGrant(g)
-			return
-		default:
-			again = max(again, n.pollInterval())
-			if text := err.Error(); text != bad && g.ctx.Err() == nil {
-				bad = text
-				n.options.Log.Warn().Str("duty", g.Role).Err(err).Msg("owner: a step failed; it is tried again")
+		case action.Start != nil:
+			c.startGrant(action.Start)
+		case action.Stop != nil:
+			c.stopGrant(action.Stop)
+		case action.ReportReleased != nil:
+			go c.reportReleased(action.ReportReleased.Role, action.ReportReleased.Token)
+		case action.Finish != nil:
+			if g := c.grants[action.Finish.Role]; g != nil {
+				g.requestRelease()
 			}
 		}
-		select {
-		case <-g.ctx.Done():
-			return
-		case <-g.releaseRequested:
-		case <-time.After(again):
-		}
 	}
 }
 
-// dropGrant lets go of a grant that is another's.
-func (n *Client) dropGrant(g *Grant) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.grants[g.Role] == g {
-		delete(n.grants, g.Role)
-		n.holder.MarkReleased(g.Role)
+// defineRoles makes this instance's roles known to the voters, once.
+func (c *Client) defineRoles(leader *transport.Peer) {
+	for _, role := range c.eligibleRoles {
+		if !defineRole(leader, role) {
+			return
+		}
 	}
+	c.rolesDefined.Store(true)
 }
 
-// releaseGrant lets go by itself: first here, then at the voters.
-func (n *Client) releaseGrant(g *Grant) {
-	n.dropGrant(g)
-	n.options.Log.Info().Str("duty", g.Role).Uint64("token", g.Token).Msg("owner: let go")
-	n.reportReleased(g.Role, g.Token)
-}
-
-// reportReleased says so to the voters. Where it is lost, their next answer brings it about again.
-func (n *Client) reportReleased(duty string, token uint64) {
-	ctx, end := context.WithTimeout(context.Background(), time.Second)
-	defer end()
-	n.submit(ctx, lease.Command{Kind: lease.CommandRelease, Role: duty, Token: token})
+func defineRole(leader *transport.Peer, role string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	defer cancel()
+	result, err := leader.SubmitCommand(ctx, lease.Command{Kind: lease.CommandDefine, Role: role})
+	return err == nil && result.OK
 }
 
-func (n *Client) submit(ctx context.Context, c lease.Command) (transport.CommandResult, error) {
+// submit submits a command to whichever voter leads, within a time.
+func (c *Client) submit(ctx context.Context, command lease.Command, timeout time.Duration) (transport.CommandResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
 	peers := map[string]*transport.Peer{}
-	for i, name := range n.voterNames {
-		peers[name] = n.peers[i]
+	for i, name := range c.voterNames {
+		peers[name] = c.peers[i]
 	}
-	n.mu.Lock()
-	first := n.voterNames[n.currentPeer]
-	n.mu.Unlock()
-	return transport.SubmitToLeader(ctx, peers, first, c)
-}
-
-// MayAct tells whether something may be begun now. A pause may come between this and the act: the receiver's fence is what counts.
-func (g *Grant) MayAct() bool {
-	g.client.mu.Lock()
-	defer g.client.mu.Unlock()
-	token, may := g.client.holder.MayAct(voter.Now(), g.Role)
-	return may && token == g.Token && g.client.grants[g.Role] == g
-}
-
-// Effect is one of this grant's.
-func (g *Grant) Effect(key string, body []byte) fence.Effect {
-	return fence.Effect{Role: g.Role, Token: g.Token, Key: key, Body: body}
+	c.mu.Lock()
+	first := c.voterNames[c.currentPeer]
+	c.mu.Unlock()
+	return transport.SubmitToLeader(ctx, peers, first, command)
 }
 
-// SaveProgress has the voters keep how far the work has come. The same said twice does no harm, so it is said until somebody
-// answers or the grant ends.
-func (g *Grant) SaveProgress(ctx context.Context, data []byte) error {
-	g.progressSeq++
-	for {
-		within, end := context.WithTimeout(ctx, time.Duration(g.client.options.Config.ProgressTimeoutMs()*1e6))
-		d, err := g.client.submit(within, lease.Command{Kind: lease.CommandProgress, Role: g.Role, Token: g.Token, Progress: data, ProgressSeq: g.progressSeq})
-		end()
-		switch {
-		case err == nil && d.OK:
-			g.Progress = data
-			return nil
-		case err == nil && d.OutcomeKnown:
-			return fmt.Errorf("%w: %s", ErrLeaseLost, d.Reason)
-		case ctx.Err() != nil:
-			return ctx.Err()
-		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(g.client.pollInterval() / 2):
-		}
+// Close hands over what is held: each grant finishes its step and is released. What has not been
+// released within the time is stopped, and its lease runs out at the voters.
+func (c *Client) Close(within time.Duration) {
+	close(c.quit) // nothing more is granted
+	c.eachGrant((*Grant).requestRelease)
+	released := make(chan struct{})
+	go func() {
+		c.workers.Wait()
+		close(released)
+	}()
+	waitFor(released, within)
+	c.eachGrant(func(g *Grant) { g.cancel() })
+	waitFor(c.done, within)
+	for _, peer := range c.peers {
+		peer.Close()
 	}
 }
 
-// HeldTokens gives what is held now.
-func (n *Client) HeldTokens() map[string]uint64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	list := map[string]uint64{}
-	for _, h := range n.holder.Leases() {
-		list[h.Role] = h.Token
+func (c *Client) eachGrant(do func(*Grant)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, g := range c.grants {
+		do(g)
 	}
-	return list
 }
 
-// Close hands over what is held: each duty ends its step and is let go, within a time; then nothing is asked any more.
-func (n *Client) Close(within time.Duration) {
-	close(n.quit) // nothing more is granted
-	n.mu.Lock()
-	for _, g := range n.grants {
-		g.requestRelease()
-	}
-	n.mu.Unlock()
-	done := make(chan struct{})
-	go func() {
-		n.workers.Wait()
-		close(done)
-	}()
-	select {
-	case <-done:
-	case <-time.After(within):
-	}
-	n.mu.Lock()
-	for _, g := range n.grants {
-		g.cancel()
-	}
-	n.mu.Unlock()
+// waitFor waits until a channel is closed, for a time at most.
+func waitFor(closed <-chan struct{}, within time.Duration) {
 	select {
-	case <-n.done:
+	case <-closed:
 	case <-time.After(within):
 	}
-	for _, p := range n.peers {
-		p.Close()
-	}
 }
