--- a/internal/fleet/lease/fence/dir/fencedir.go
+++ b/internal/fleet/lease/fence/dir/fencedir.go
@@ -1,6 +1,10 @@
-// Package fencedir is a receiver of effects that is a folder, perhaps on a disk that several machines share: numbered versions,
-// each made by a link that fails where the number is taken. So the check of a token and the effect are one step, whoever else
-// writes: who read the versions, slept and wrote finds its number taken, reads again, and learns that its token is old.
+// Package fencedir is a fenced receiver that is a directory, perhaps on a disk that several
+// machines share: numbered versions, each made by a link that fails where the number is taken. So
+// the check of the token and the effect are one step, whoever else writes: a holder that read the
+// versions, was paused and wrote finds its number taken, reads again, and learns that its token
+// is stale.
+//
+// File names and their JSON are a format that other programs read.
 package fencedir
 
 import (
@@ -14,135 +18,155 @@
 	"kestrelspread/internal/fleet/lease/fence"
 )
 
-// Version is one file: an effect, or, without a key that is new, only a token that has been seen.
+// Version is one file: an effect, or only a newer token for an effect that was done before.
 type Version struct {
 	Role      string          `json:"duty"`
 	Token     uint64          `json:"token"`
 	Key       string          `json:"key"`
-	TokenOnly bool            `json:"seen,omitempty"` // the effect was there already; the token is newer
+	TokenOnly bool            `json:"seen,omitempty"`
 	Body      json.RawMessage `json:"body,omitempty"`
 }
 
-// Receiver is one.
+// Receiver is a directory. One goroutine uses it; other processes may use the same directory.
 type Receiver struct {
 	dir         string
-	lastVersion uint64
+	lastVersion uint64 // read so far
 	fenceState  fence.State
-	// beforeWrite is called between the check and the act, for tests that have others write there.
-	beforeWrite func()
+	beforeWrite func() // in tests: others write between the check and the write
 }
 
-// Open reads a folder, or makes it.
+var _ fence.Receiver = (*Receiver)(nil)
+
+// Open reads a directory, or makes it.
 func Open(dir string) (*Receiver, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("open fenced directory: %w", err)
+	}
+	r := &Receiver{dir: dir}
+	return r, r.readNewVersions()
+}
+
+func versionPath(dir string, number uint64) string {
+	return filepath.Join(dir, fmt.Sprintf("v%012d.json", number))
+}
+
+// readVersion reads one version; exists false: it has not been written.
+func readVersion(dir string, number uint64) (v Version, exists bool, err error) {
+	path := versionPath(dir, number)
+	text, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return v, false, nil
 	}
-	f := &Receiver{dir: dir}
-	return f, f.read()
+	if err != nil {
+		return v, false, err
+	}
+	if err := json.Unmarshal(text, &v); err != nil {
+		return v, false, fmt.Errorf("%s: %w", path, err)
+	}
+	return v, true, nil
 }
 
-func (f *Receiver) path(no uint64) string {
-	return filepath.Join(f.dir, fmt.Sprintf("v%012d.json", no))
+// ReadVersions returns all versions of a directory, in order.
+func ReadVersions(dir string) (versions []Version, err error) {
+	for number := uint64(1); ; number++ {
+		v, exists, err := readVersion(dir, number)
+		if err != nil || !exists {
+			return versions, err
+		}
+		versions = append(versions, v)
+	}
 }
 
-// read takes up the versions that came since.
-func (f *Receiver) read() error {
+// readNewVersions takes up the versions written since the last time.
+func (r *Receiver) readNewVersions() error {
 	for {
-		text, err := os.ReadFile(f.path(f.lastVersion + 1))
-		if errors.Is(err, fs.ErrNotExist) {
-			return nil
-		} else if err != nil {
+		next := r.lastVersion + 1
+		v, exists, err := readVersion(r.dir, next)
+		if err != nil || !exists {
 			return err
 		}
-		var v Version
-		if err := json.Unmarshal(text, &v); err != nil {
-			return fmt.Errorf("%s: %w", f.path(f.lastVersion+1), err)
-		}
-		if _, err := f.fenceState.Admit(fence.Effect{Role: v.Role, Token: v.Token, Key: v.Key}); err != nil {
-			return fmt.Errorf("%s: %w", f.path(f.lastVersion+1), err)
+		if _, err := r.fenceState.Admit(fence.Effect{Role: v.Role, Token: v.Token, Key: v.Key}); err != nil {
+			return fmt.Errorf("%s: %w", versionPath(r.dir, next), err)
 		}
-		f.lastVersion++
+		r.lastVersion = next
 	}
 }
 
-// Apply does an effect once (fence.Receiver). Bodies are JSON.
-func (f *Receiver) Apply(e fence.Effect) (done bool, err error) {
+// Apply does an effect once (fence.Receiver). Its body has to be JSON.
+func (r *Receiver) Apply(e fence.Effect) (done bool, err error) {
 	if len(e.Body) > 0 && !json.Valid(e.Body) {
 		return false, errors.New("the effect's body is no JSON")
 	}
 	for {
-		if err := f.read(); err != nil {
+		if err := r.readNewVersions(); err != nil {
 			return false, err
 		}
-		had, newer, err := f.fenceState.Check(e)
+		done, newer, err := r.fenceState.Check(e)
 		if err != nil {
 			return false, err
 		}
-		if had && !newer {
+		if done && !newer {
 			return true, nil
 		}
-		if f.beforeWrite != nil {
-			f.beforeWrite()
+		if r.beforeWrite != nil {
+			r.beforeWrite()
 		}
-		v := Version{Role: e.Role, Token: e.Token, Key: e.Key, TokenOnly: had}
-		if !had {
+		v := Version{Role: e.Role, Token: e.Token, Key: e.Key, TokenOnly: done}
+		if !done {
 			v.Body = e.Body
 		}
-		taken, err := f.write(f.lastVersion+1, v)
+		taken, err := r.writeVersion(r.lastVersion+1, v)
 		if err != nil {
 			return false, err
 		}
 		if !taken {
-			return had, f.read()
+			return done, r.readNewVersions()
 		}
 	}
 }
 
-// write makes a version durable whole, or finds its number taken.
-func (f *Receiver) write(no uint64, v Version) (taken bool, err error) {
+// writeVersion makes a version durable as a whole, or finds its number taken: the file is written
+// and synced under another name first, and link fails where the name is taken.
+func (r *Receiver) writeVersion(number uint64, v Version) (taken bool, err error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return false, err
 	}
-	t, err := os.CreateTemp(f.dir, "new-*.tmp")
-	if err != nil {
-		return false, err
-	}
-	defer os.Remove(t.Name())
-	_, err = t.Write(append(text, '\n'))
-	if err == nil {
-		err = t.Sync()
+	temp, err := r.writeTemp(append(text, '\n'))
+	if temp != "" {
+		defer os.Remove(temp)
 	}
-	if err := errors.Join(err, t.Close()); err != nil {
+	if err != nil {
 		return false, err
 	}
-	if err := os.Link(t.Name(), f.path(no)); errors.Is(err, fs.ErrExist) {
+	err = os.Link(temp, versionPath(r.dir, number))
+	if errors.Is(err, fs.ErrExist) {
 		return true, nil
-	} else if err != nil {
-		return false, err
 	}
-	d, err := os.Open(f.dir)
 	if err != nil {
 		return false, err
 	}
-	return false, errors.Join(d.Sync(), d.Close())
+	return false, r.syncDir()
 }
 
-// ReadVersions gives all that a folder holds, in order.
-func ReadVersions(dir string) (list []Version, err error) {
-	for no := uint64(1); ; no++ {
-		text, err := os.ReadFile((&Receiver{dir: dir}).path(no))
-		if errors.Is(err, fs.ErrNotExist) {
-			return list, nil
-		} else if err != nil {
-			return list, err
-		}
-		var v Version
-		if err := json.Unmarshal(text, &v); err != nil {
-			return list, err
-		}
-		list = append(list, v)
+// writeTemp writes and syncs a temporary file, and returns its name, which the caller removes.
+func (r *Receiver) writeTemp(text []byte) (name string, err error) {
+	f, err := os.CreateTemp(r.dir, "new-*.tmp")
+	if err != nil {
+		return "", err
+	}
+	_, err = f.Write(text)
+	if err == nil {
+		err = f.Sync()
 	}
+	return f.Name(), errors.Join(err, f.Close())
 }
 
-var _ fence.Receiver = (*Receiver)(nil)
+// syncDir makes a new name durable.
+func (r *Receiver) syncDir() error {
+	d, err := os.Open(r.dir)
+	if err != nil {
+		return err
+	}
+	return errors.Join(d.Sync(), d.Close())
+}
--- a/internal/fleet/lease/fence/http/fencehttp.go
+++ b/internal/fleet/lease/fence/http/fencehttp.go
@@ -1,6 +1,7 @@
-// Package fencehttp brings effects to a receiver over HTTP. The receiver keeps the highest token of each duty and the keys it has had,
-// and answers 200 with whether it had the effect, or 409 where a newer owner has been there. Anything else, or nothing, says
-// nothing: the effect is offered again, and its key makes that harmless.
+// Package fencehttp brings effects to a fenced receiver over HTTP. The receiver keeps the highest
+// token of each role and the keys of the effects done. It answers 200 with whether the effect had
+// been done, or 409 where a higher token has been seen. Any other answer, or none, says nothing:
+// the effect is offered again, and its key makes that harmless.
 package fencehttp
 
 import (
@@ -14,44 +15,38 @@
 	"kestrelspread/internal/fleet/lease/fence"
 )
 
-// Receiver is one, as seen from here.
+// Receiver is a receiver at a URL. Its methods may be called concurrently.
 type Receiver struct {
 	URL    string
 	client http.Client
 }
 
+var _ fence.Receiver = (*Receiver)(nil)
+
 const (
-	requestTimeout      = 5 * time.Second
-	maxReplyBytes       = 4 << 10
-	maxIdleConnsPerHost = 32 // connections that are kept: with two, as the library has it, nearly each effect opened one of its own
+	requestTimeout = 5 * time.Second
+	maxReplyBytes  = 4 << 10
+	// maxIdleConnsPerHost is above the library's two, with which nearly each effect opened a
+	// connection of its own.
+	maxIdleConnsPerHost = 32
 )
 
-// New makes one.
+// New returns a receiver at a URL; nothing is sent yet.
 func New(url string) *Receiver {
-	t := http.DefaultTransport.(*http.Transport).Clone()
-	t.MaxIdleConnsPerHost = maxIdleConnsPerHost
-	return &Receiver{URL: url, client: http.Client{Timeout: requestTimeout, Transport: t}}
+	transport := http.DefaultTransport.(*http.Transport).Clone()
+	transport.MaxIdleConnsPerHost = maxIdleConnsPerHost
+	return &Receiver{URL: url, client: http.Client{Timeout: requestTimeout, Transport: transport}}
 }
 
-// Reply is what a receiver says.
+// Reply is the body of an answer.
 type Reply struct {
 	Done  bool   `json:"done"`
-	Token uint64 `json:"token"` // the highest it has seen
+	Token uint64 `json:"token"` // the highest seen
 }
 
 // Apply offers an effect (fence.Receiver).
 func (r *Receiver) Apply(e fence.Effect) (done bool, err error) {
-	b, err := json.Marshal(e)
-	if err != nil {
-		return false, err
-	}
-	q, err := http.NewRequest("POST", r.URL, bytes.NewReader(b))
-	if err != nil {
-		return false, err
-	}
-	q.GetBody = nil // the library does not offer it again by itself
-	q.Header.Set("Content-Type", "application/json")
-	resp, err := r.client.Do(q)
+	resp, err := r.post(e)
 	if err != nil {
 		return false, err
 	}
@@ -60,17 +55,32 @@
 	if err != nil {
 		return false, err
 	}
-	var says Reply
-	if err := json.Unmarshal(text, &says); err != nil && (resp.StatusCode == 200 || resp.StatusCode == 409) {
+	var reply Reply
+	err = json.Unmarshal(text, &reply)
+	judged := resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusConflict
+	if err != nil && judged {
 		return false, fmt.Errorf("the receiver's answer: %w", err)
 	}
 	switch {
-	case resp.StatusCode == 200 && says.Token >= e.Token:
-		return says.Done, nil
-	case resp.StatusCode == 409 && says.Token > e.Token:
-		return false, fmt.Errorf("%w: with token %d, this one has %d", fence.ErrStaleToken, says.Token, e.Token)
+	case resp.StatusCode == http.StatusOK && reply.Token >= e.Token:
+		return reply.Done, nil
+	case resp.StatusCode == http.StatusConflict && reply.Token > e.Token:
+		return false, fmt.Errorf("%w: with token %d, this one has %d", fence.ErrStaleToken, reply.Token, e.Token)
 	}
-	return false, fmt.Errorf("the receiver answers %s, token %d", resp.Status, says.Token)
+	return false, fmt.Errorf("the receiver answers %s, token %d", resp.Status, reply.Token)
 }
 
-var _ fence.Receiver = (*Receiver)(nil)
+// post sends an effect once.
+func (r *Receiver) post(e fence.Effect) (*http.Response, error) {
+	body, err := json.Marshal(e)
+	if err != nil {
+		return nil, err
+	}
+	request, err := http.NewRequest(http.MethodPost, r.URL, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.GetBody = nil // the library must not offer it again by itself
+	request.Header.Set("Content-Type", "application/json")
+	return r.client.Do(request)
+}
