--- a/internal/fleet/lease/explore_test.go
+++ b/internal/fleet/lease/explore_test.go
@@ -8,222 +8,252 @@
 	"testing"
 )
 
-var deep = flag.Int("deep", 0, "how many steps are explored whole, beyond those that CI does")
-
-// little is the smallest fleet: two instances, one duty, one leader at a time, a log whose commands wait to be agreed on, and
-// answers that wait on their way, may overtake each other and get lost. Its clocks drift apart as far as they may.
-type little struct {
-	state   *State
-	leader  *Lessor
-	pending []Command
-	index   uint64
-	at      int // time, in steps of two fifths of a lease
-	who     []*one
-	acted   []string // tokens under which somebody could act, in order
+var extraDepth = flag.Int("deep", 0, "steps explored exhaustively, beyond those of CI")
+
+// smallFleet is the smallest fleet: two instances, one role, one leader at a time, a log whose commands wait to be committed, and
+// responses that are delayed, overtake each other and get lost. Its clocks drift apart as far as they may.
+type smallFleet struct {
+	state     *State
+	lessor    *Lessor
+	log       []Command
+	index     uint64
+	time      int // in steps of two fifths of a lease
+	instances []*smallInstance
+	actors    []string // tokens and instances that could act, in order
 }
 
-type one struct {
-	name    string
-	rate    float64
-	holder  *Holder
-	answers []reply
+type smallInstance struct {
+	name      string
+	clockRate float64
+	holder    *Holder
+	responses []delayedResponse
 }
 
-type reply struct {
-	at   float64 // when the question went, on the instance's clock
-	own  bool
-	d    Role
-	lost bool
-	let  bool
+type delayedResponse struct {
+	sentAt  float64 // on the instance's clock
+	granted bool
+	role    Role
+	lost    bool
+	release bool
 }
 
-const answersMost = 2 // on their way to one instance
+const maxResponses = 2 // in flight to one instance
 
-func newLittle() *little {
-	rules := ConfigForLease(1000)
-	rules.MaxDrift, rules.FailureBackoffMs = 0.1, 0
-	w := &little{state: NewState()}
-	w.apply(Command{Kind: CommandDefine, Role: "d"})
-	w.leader = NewLessor(rules, w.state)
-	w.leader.BecomeLeader(w.clock(1 + rules.MaxDrift/2))
-	for i, rate := range []float64{1 - rules.MaxDrift/2, 1} {
-		w.who = append(w.who, &one{name: string(rune('a' + i)), rate: rate, holder: NewHolder(rules)})
+func newSmallFleet() *smallFleet {
+	config := ConfigForLease(1000)
+	config.MaxDrift, config.FailureBackoffMs = 0.1, 0
+	f := &smallFleet{state: NewState()}
+	f.apply(Command{Kind: CommandDefine, Role: "d"})
+	f.lessor = NewLessor(config, f.state)
+	f.lessor.BecomeLeader(f.clock(1 + config.MaxDrift/2))
+	for i, rate := range []float64{1 - config.MaxDrift/2, 1} {
+		f.instances = append(f.instances, &smallInstance{name: string(rune('a' + i)), clockRate: rate, holder: NewHolder(config)})
 	}
-	return w
+	return f
 }
 
-func (w *little) clock(rate float64) float64 { return 10000 + float64(w.at)*400*rate }
-func (w *little) leads() float64             { return w.clock(1 + w.leader.config.MaxDrift/2) }
-func (w *little) apply(c Command) {
-	w.index++
-	w.state.Apply(w.index, c.Encode())
+func (f *smallFleet) clock(rate float64) float64 { return 10000 + float64(f.time)*400*rate }
+
+func (f *smallFleet) lessorClock() float64 { return f.clock(1 + f.lessor.config.MaxDrift/2) }
+
+func (f *smallFleet) apply(c Command) {
+	f.index++
+	f.state.Apply(f.index, c.Encode())
 }
 
-// steps gives what may happen next, by name.
-func (w *little) steps() (list []string) {
-	list = append(list, "tick", "lead")
-	if len(w.pending) > 0 {
-		list = append(list, "agree")
+// Steps that may happen, followed by the number of an instance and that of a response.
+const (
+	stepTick    = "tick"
+	stepElect   = "elect"
+	stepCommit  = "commit"
+	stepRequest = "request"
+	stepRespond = "respond"
+	stepLose    = "lose"
+	stepRelease = "release"
+	stepExpire  = "expire"
+)
+
+// steps returns what may happen next, by name.
+func (f *smallFleet) steps() (names []string) {
+	names = append(names, stepTick, stepElect)
+	if len(f.log) > 0 {
+		names = append(names, stepCommit)
 	}
-	for i, o := range w.who {
-		if len(o.answers) < answersMost {
-			list = append(list, fmt.Sprint("ask ", i))
+	for i, instance := range f.instances {
+		if len(instance.responses) < maxResponses {
+			names = append(names, fmt.Sprint(stepRequest, " ", i))
 		}
-		for k := range o.answers {
-			list = append(list, fmt.Sprint("answer ", i, " ", k))
+		for k := range instance.responses {
+			names = append(names, fmt.Sprint(stepRespond, " ", i, " ", k))
 		}
-		if len(o.answers) > 0 {
-			list = append(list, fmt.Sprint("lose ", i))
+		if len(instance.responses) > 0 {
+			names = append(names, fmt.Sprint(stepLose, " ", i))
 		}
-		if len(o.holder.Leases()) > 0 {
-			list = append(list, fmt.Sprint("release ", i), fmt.Sprint("turn ", i))
+		if len(instance.holder.Leases()) > 0 {
+			names = append(names, fmt.Sprint(stepRelease, " ", i), fmt.Sprint(stepExpire, " ", i))
 		}
 	}
-	return list
+	return names
 }
 
-func (w *little) step(name string) {
-	var what string
+func (f *smallFleet) step(name string) {
+	var kind string
 	var i, k int
-	fmt.Sscan(name, &what, &i, &k)
-	o := w.who[i]
-	switch what {
-	case "tick":
-		w.at++
-		w.pending = append(w.pending, w.leader.DueCommands(w.leads())...)
-	case "lead": // another one is elected: all that waits to be agreed on is, or is lost with the old one
-		w.pending = nil
-		rules := w.leader.config
-		w.leader = NewLessor(rules, w.state)
-		w.leader.BecomeLeader(w.leads())
-	case "agree":
-		w.apply(w.pending[0])
-		w.pending = w.pending[1:]
-	case "ask":
-		q := reply{at: w.clock(o.rate)}
-		w.leader.RecordRequest(w.leads(), o.name, nil)
-		d := w.state.Roles["d"]
-		if d.Holder == o.name {
-			q.own, q.let = w.leader.Renew(w.leads(), "d", d.Token, o.name)
-		} else if len(o.holder.Leases()) > 0 {
-			q.lost = true
-		}
-		q.d = *d
-		o.answers = append(o.answers, q)
-		w.pending = append(w.pending, w.leader.DueCommands(w.leads())...)
-	case "lose":
-		o.answers = o.answers[1:]
-	case "answer":
-		a := o.answers[k]
-		o.answers = append(o.answers[:k:k], o.answers[k+1:]...)
-		if a.own {
-			o.holder.HandleGrant(w.clock(o.rate), a.at, "d", a.d.Token, a.d.Progress, a.let)
-		} else if a.lost {
-			o.holder.HandleLost("d", a.d.Token)
-		}
-	case "release":
-		h := o.holder.Leases()[0]
-		o.holder.MarkReleased("d")
-		w.pending = append(w.pending, Command{Kind: CommandRelease, Role: "d", Token: h.Token})
-	case "turn":
-		o.holder.ExpireLeases(w.clock(o.rate))
+	fmt.Sscan(name, &kind, &i, &k)
+	instance := f.instances[i]
+	switch kind {
+	case stepTick:
+		f.time++
+		f.log = append(f.log, f.lessor.DueCommands(f.lessorClock())...)
+	case stepElect: // another leader; what waited to be committed is lost with the one before
+		f.log = nil
+		f.lessor = NewLessor(f.lessor.config, f.state)
+		f.lessor.BecomeLeader(f.lessorClock())
+	case stepCommit:
+		f.apply(f.log[0])
+		f.log = f.log[1:]
+	case stepRequest:
+		f.request(instance)
+	case stepLose:
+		instance.responses = instance.responses[1:]
+	case stepRespond:
+		f.respond(instance, k)
+	case stepRelease:
+		held := instance.holder.Leases()[0]
+		instance.holder.MarkReleased("d")
+		f.log = append(f.log, Command{Kind: CommandRelease, Role: "d", Token: held.Token})
+	case stepExpire:
+		instance.holder.ExpireLeases(f.clock(instance.clockRate))
+	}
+}
+
+// request has the leader handle an instance's request, and puts its response in flight.
+func (f *smallFleet) request(instance *smallInstance) {
+	response := delayedResponse{sentAt: f.clock(instance.clockRate)}
+	f.lessor.RecordRequest(f.lessorClock(), instance.name, nil)
+	role := f.state.Roles["d"]
+	if role.Holder == instance.name {
+		response.granted, response.release = f.lessor.Renew(f.lessorClock(), "d", role.Token, instance.name)
+	} else if len(instance.holder.Leases()) > 0 {
+		response.lost = true
 	}
+	response.role = *role
+	instance.responses = append(instance.responses, response)
+	f.log = append(f.log, f.lessor.DueCommands(f.lessorClock())...)
 }
 
-// wrong tells what does not hold: one at most may act, and under tokens that rise.
-func (w *little) wrong() string {
+// respond delivers one of the responses in flight.
+func (f *smallFleet) respond(instance *smallInstance, k int) {
+	r := instance.responses[k]
+	instance.responses = append(instance.responses[:k:k], instance.responses[k+1:]...)
+	if r.granted {
+		instance.holder.HandleGrant(f.clock(instance.clockRate), r.sentAt, "d", r.role.Token, r.role.Progress, r.release)
+	} else if r.lost {
+		instance.holder.HandleLost("d", r.role.Token)
+	}
+}
+
+// violation says what doesn't hold of: one instance at most may act, and under tokens that rise.
+func (f *smallFleet) violation() string {
 	var may []string
-	for _, o := range w.who {
-		if token, ok := o.holder.MayAct(w.clock(o.rate), "d"); ok {
-			may = append(may, fmt.Sprint(token, o.name))
-			if n := len(w.acted); n == 0 || w.acted[n-1] != may[len(may)-1] {
-				w.acted = append(w.acted, may[len(may)-1])
-			}
+	for _, instance := range f.instances {
+		token, ok := instance.holder.MayAct(f.clock(instance.clockRate), "d")
+		if !ok {
+			continue
+		}
+		actor := fmt.Sprint(token, instance.name)
+		may = append(may, actor)
+		if n := len(f.actors); n == 0 || f.actors[n-1] != actor {
+			f.actors = append(f.actors, actor)
 		}
 	}
 	if len(may) > 1 {
 		return "two may act: " + strings.Join(may, ", ")
 	}
-	if !sort.StringsAreSorted(w.acted) || len(w.acted) > 1 && w.acted[len(w.acted)-1][:1] == w.acted[len(w.acted)-2][:1] {
-		return fmt.Sprint("tokens do not rise: ", w.acted)
+	n := len(f.actors)
+	sameToken := n > 1 && f.actors[n-1][:1] == f.actors[n-2][:1]
+	if !sort.StringsAreSorted(f.actors) || sameToken {
+		return fmt.Sprint("tokens do not rise: ", f.actors)
 	}
 	return ""
 }
 
-// key is the same for fleets to which the same can still happen.
-func (w *little) key() string {
+// stateKey is equal for fleets to which the same can still happen.
+func (f *smallFleet) stateKey() string {
 	var b strings.Builder
-	now := w.leads()
-	d := w.state.Roles["d"]
-	fmt.Fprint(&b, *d, w.pending, w.acted, w.leader.leadingSince-now, w.leader.proposed, w.leader.notBefore["d"]-now, w.leader.lastExpired["d"])
-	for _, l := range []string{"a", "b"} {
-		fmt.Fprint(&b, w.leader.lastRequestAt[l]-now, " ")
-	}
-	if l, ok := w.leader.expiries["d"]; ok {
-		fmt.Fprint(&b, l.token, l.expiresAt-now)
-	}
-	for k, v := range w.leader.proposedAt {
-		fmt.Fprint(&b, k, v-now)
-	}
-	for _, o := range w.who {
-		at := w.clock(o.rate)
-		for _, h := range o.holder.Leases() {
-			fmt.Fprint(&b, "|", h.Token, h.ExpiresAt-at, h.ReleaseRequested)
+	now := f.lessorClock()
+	fmt.Fprint(&b, *f.state.Roles["d"], f.log, f.actors, f.lessor.leadingSince-now, f.lessor.proposed, f.lessor.notBefore["d"]-now, f.lessor.lastExpired["d"])
+	for _, name := range []string{"a", "b"} {
+		fmt.Fprint(&b, f.lessor.lastRequestAt[name]-now, " ")
+	}
+	if current, ok := f.lessor.expiries["d"]; ok {
+		fmt.Fprint(&b, current.token, current.expiresAt-now)
+	}
+	for role, proposedAt := range f.lessor.proposedAt {
+		fmt.Fprint(&b, role, proposedAt-now)
+	}
+	for _, instance := range f.instances {
+		now := f.clock(instance.clockRate)
+		for _, held := range instance.holder.Leases() {
+			fmt.Fprint(&b, "|", held.Token, held.ExpiresAt-now, held.ReleaseRequested)
 		}
-		fmt.Fprint(&b, "/", o.holder.endedTokens["d"])
-		for _, a := range o.answers {
-			fmt.Fprint(&b, ";", a.at-at, a.own, a.lost, a.let, a.d.Token)
+		fmt.Fprint(&b, "/", instance.holder.endedTokens["d"])
+		for _, r := range instance.responses {
+			fmt.Fprint(&b, ";", r.sentAt-now, r.granted, r.lost, r.release, r.role.Token)
 		}
 	}
 	return b.String()
 }
 
-func (w *little) play(path []string) (*little, string) {
+func (f *smallFleet) play(path []string) (*smallFleet, string) {
 	for i, s := range path {
-		w.step(s)
-		if bad := w.wrong(); bad != "" {
-			return w, fmt.Sprintf("%s after %v", bad, path[:i+1])
+		f.step(s)
+		if violation := f.violation(); violation != "" {
+			return f, fmt.Sprintf("%s after %v", violation, path[:i+1])
 		}
 	}
-	return w, ""
+	return f, ""
 }
 
-// All that can happen in so many steps, in every order, happens: not a sample of it.
-func TestSmallSizesAreExploredWhole(t *testing.T) {
-	depth := 8 + *deep
+// All that can happen in so many steps is played, in every order: not a sample of it.
+func TestSmallSizesAreExploredExhaustively(t *testing.T) {
+	depth := 8 + *extraDepth
 	if testing.Short() {
 		depth = 7
 	}
-	// From where one has the duty and may act on.
-	begun := []string{"ask 0", "lose 0", "agree", "ask 0", "answer 0 0"}
-	w, _ := newLittle().play(begun)
-	if _, may := w.who[0].holder.MayAct(w.clock(w.who[0].rate), "d"); !may {
-		t.Fatal("nobody acts at the beginning")
+	// From where one holds the role and may act.
+	begun := []string{"request 0", "lose 0", "commit", "request 0", "respond 0 0"}
+	f, _ := newSmallFleet().play(begun)
+	if _, may := f.instances[0].holder.MayAct(f.clock(f.instances[0].clockRate), "d"); !may {
+		t.Fatal("nobody may act at the beginning")
 	}
-	level, seen, second := [][]string{begun}, map[string]bool{}, 0
+	level, seen, withSecond := [][]string{begun}, map[string]bool{}, 0
 	for n := range depth {
-		var next [][]string
+		var nextLevel [][]string
 		for _, path := range level {
-			w, _ := newLittle().play(path)
-			for _, s := range w.steps() {
-				p := append(path[:len(path):len(path)], s)
-				v, bad := newLittle().play(p)
-				if bad != "" {
-					t.Fatal(bad)
+			f, _ := newSmallFleet().play(path)
+			for _, step := range f.steps() {
+				longer := append(path[:len(path):len(path)], step)
+				next, violation := newSmallFleet().play(longer)
+				if violation != "" {
+					t.Fatal(violation)
+				}
+				key := next.stateKey()
+				if seen[key] {
+					continue
 				}
-				if key := v.key(); !seen[key] {
-					if seen[key] = true; len(v.acted) > 1 {
-						second++
-					}
-					next = append(next, p)
+				seen[key] = true
+				if len(next.actors) > 1 {
+					withSecond++
 				}
+				nextLevel = append(nextLevel, longer)
 			}
 		}
-		level = next
+		level = nextLevel
 		t.Logf("%d steps: %d states, %d in all", n+1, len(level), len(seen))
 	}
-	t.Logf("in %d of them a second owner has acted", second)
-	if len(seen) < 1000 || second == 0 && !testing.Short() {
+	t.Logf("in %d of them a second holder has acted", withSecond)
+	if len(seen) < 1000 || withSecond == 0 && !testing.Short() {
 		t.Error("hardly anything was explored:", len(seen))
 	}
 }
--- a/internal/fleet/lease/fence/dir/fencedir_test.go
+++ b/internal/fleet/lease/fence/dir/fencedir_test.go
@@ -27,7 +27,7 @@
 }
 
 // The old owner reads the folder, finds that it is the latest, and sleeps; the new one writes; the old one wakes up and writes.
-func TestAnOwnerThatSleptBetweenCheckAndActWritesNothing(t *testing.T) {
+func TestPausedHolderWritesNothing(t *testing.T) {
 	dir := t.TempDir()
 	late, next := open(t, dir), open(t, dir)
 	if done, err := late.Apply(effect(4, "a")); done || err != nil {
@@ -56,7 +56,7 @@
 }
 
 // Two writers who are both entitled (the token is the same, a call was lost and made again) do it once.
-func TestAnEffectThatComesTwiceCountsOnce(t *testing.T) {
+func TestRepeatedEffectCountsOnce(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir), open(t, dir)
 	a.beforeWrite = func() {
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestAReceiverByHTTP(t *testing.T) {
+func TestHTTPReceiverRejectsStaleTokens(t *testing.T) {
 	r := receiver.NewFenced(false)
 	defer r.Close()
 	to := fencehttp.New(r.URL)
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -5,143 +5,147 @@
 	"testing"
 )
 
-func do(t *testing.T, s *State, c Command) Result {
+// apply applies a command as the next entry of the log.
+func apply(t *testing.T, s *State, c Command) Result {
 	t.Helper()
 	return s.Apply(s.AppliedIndex+1, c.Encode())
 }
 
-func TestTokensRiseForEver(t *testing.T) {
+func TestTokensRiseStrictly(t *testing.T) {
 	s := NewState()
 	last := uint64(0)
 	for i := range 50 {
-		duty := fmt.Sprint("d", i%3)
-		d := s.Roles[duty]
+		role := fmt.Sprint("d", i%3)
 		seen := uint64(0)
-		if d != nil {
-			seen = d.Token
+		if known := s.Roles[role]; known != nil {
+			seen = known.Token
 		}
-		r := do(t, s, Command{Kind: CommandGrant, Role: duty, Token: seen, Target: "a"})
+		r := apply(t, s, Command{Kind: CommandGrant, Role: role, Token: seen, Target: "a"})
 		if !r.OK || r.Role.Token <= last {
 			t.Fatal(r, last)
 		}
 		last = r.Role.Token
-		if r := do(t, s, Command{Kind: CommandGrant, Role: duty, Token: last, Target: "b"}); r.OK {
-			t.Fatal("two owners")
+		if r := apply(t, s, Command{Kind: CommandGrant, Role: role, Token: last, Target: "b"}); r.OK {
+			t.Fatal("two holders")
 		}
-		if r := do(t, s, Command{Kind: CommandProgress, Role: duty, Token: seen, Progress: []byte("x")}); r.OK {
-			t.Fatal("an old owner got on")
+		if r := apply(t, s, Command{Kind: CommandProgress, Role: role, Token: seen, Progress: []byte("x")}); r.OK {
+			t.Fatal("a stale holder made progress")
 		}
-		again := NewState() // a snapshot keeps where tokens stand
-		if err := again.Restore(s.Snapshot()); err != nil {
+		restored := NewState() // a snapshot keeps the next token
+		if err := restored.Restore(s.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
-		s = again
-		if r := do(t, s, Command{Kind: []CommandKind{CommandRelease, CommandExpire, CommandRevoke}[i%3], Role: duty, Token: last, Target: ""}); !r.OK {
+		s = restored
+		if r := apply(t, s, Command{Kind: []CommandKind{CommandRelease, CommandExpire, CommandRevoke}[i%3], Role: role, Token: last, Target: ""}); !r.OK {
 			t.Fatal(r)
 		}
 	}
 }
 
-func TestTwoOperatorsDoNotUndoEachOther(t *testing.T) {
+func TestStaleOperatorCommandsAreRejected(t *testing.T) {
 	s := NewState()
-	token := do(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"}).Role.Token
-	if r := do(t, s, Command{Kind: CommandRevoke, Role: "d", Token: token, Target: "b"}); !r.OK {
+	token := apply(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"}).Role.Token
+	if r := apply(t, s, Command{Kind: CommandRevoke, Role: "d", Token: token, Target: "b"}); !r.OK {
 		t.Fatal(r)
 	}
 	for _, k := range []CommandKind{CommandRevoke, CommandRelease, CommandExpire} {
-		if r := do(t, s, Command{Kind: k, Role: "d", Token: token, Target: "c"}); r.OK || r.Reason != ReasonStaleToken {
+		if r := apply(t, s, Command{Kind: k, Role: "d", Token: token, Target: "c"}); r.OK || r.Reason != ReasonStaleToken {
 			t.Fatal(k, r)
 		}
 	}
-	if r := do(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: "c"}); r.OK {
-		t.Fatal("it is kept for b")
+	if r := apply(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: "c"}); r.OK {
+		t.Fatal("it is reserved for b")
 	}
-	if r := do(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: "b"}); !r.OK {
+	if r := apply(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: "b"}); !r.OK {
 		t.Fatal(r)
 	}
 }
 
-func TestUnsoundCommandsChangeNothing(t *testing.T) {
+func TestInvalidCommandsChangeNothing(t *testing.T) {
 	s := NewState()
-	do(t, s, Command{Kind: CommandDefine, Role: "d"})
-	was := string(s.Snapshot())
+	apply(t, s, Command{Kind: CommandDefine, Role: "d"})
+	before := string(s.Snapshot())
 	for i, text := range [][]byte{[]byte("{"), []byte(`{"kind":"grant"}`), Command{Kind: CommandRelease, Role: "nobody"}.Encode(),
 		Command{Kind: "dance", Role: "d"}.Encode(), Command{Kind: CommandProgress, Role: "d", Progress: make([]byte, maxProgressBytes+1)}.Encode()} {
 		if r := s.Apply(s.AppliedIndex, text); r.OK {
 			t.Error(i, r)
 		}
 	}
-	if now := string(s.Snapshot()); now != was {
-		t.Error(was, now)
+	if after := string(s.Snapshot()); after != before {
+		t.Error(before, after)
 	}
 	for i := range 3 * maxHistory {
 		token := s.Roles["d"].Token
-		do(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: fmt.Sprint(i)})
-		do(t, s, Command{Kind: CommandRelease, Role: "d", Token: s.Roles["d"].Token})
+		apply(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: fmt.Sprint(i)})
+		apply(t, s, Command{Kind: CommandRelease, Role: "d", Token: s.Roles["d"].Token})
 	}
 	if len(s.History) > maxHistory {
 		t.Error(len(s.History), "lines of history")
 	}
 }
 
-func TestFewDutiesMoveWhenAnInstanceComes(t *testing.T) {
-	among, moved := []string{"a", "b", "c", "d"}, 0
-	count := map[string]int{}
+func TestFewRolesMoveWhenAnInstanceJoins(t *testing.T) {
+	instances, moved := []string{"a", "b", "c", "d"}, 0
+	rolesOf := map[string]int{}
 	for i := range 1000 {
-		duty := fmt.Sprint(i)
-		count[PreferredInstance(duty, among)]++
-		if to := PreferredInstance(duty, append(among, "e")); to != PreferredInstance(duty, among) {
-			if moved++; to != "e" {
-				t.Fatal("moved to one that was there before")
-			}
+		role := fmt.Sprint(i)
+		before := PreferredInstance(role, instances)
+		rolesOf[before]++
+		after := PreferredInstance(role, append(instances, "e"))
+		if after == before {
+			continue
+		}
+		moved++
+		if after != "e" {
+			t.Fatal("moved to one that was there before")
 		}
 	}
-	if moved < 130 || moved > 270 || len(count) != 4 {
-		t.Error(moved, count)
+	if moved < 130 || moved > 270 || len(rolesOf) != 4 {
+		t.Error(moved, rolesOf)
 	}
 }
 
-func TestANewLeaderWaitsOutTheLongestLease(t *testing.T) {
+func TestNewLeaderWaitsOutRunningLeases(t *testing.T) {
 	s := NewState()
-	do(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"})
-	g := NewLessor(DefaultConfig, s)
-	g.BecomeLeader(1000)
-	if list := g.DueCommands(1000 + DefaultConfig.LeaseMs); len(list) > 0 {
-		t.Fatal("too soon: ", list)
+	apply(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"})
+	lessor := NewLessor(DefaultConfig, s)
+	lessor.BecomeLeader(1000)
+	if due := lessor.DueCommands(1000 + DefaultConfig.LeaseMs); len(due) > 0 {
+		t.Fatal("expired too soon: ", due)
 	}
-	if list := g.DueCommands(1001 + DefaultConfig.LeaseMs*(1+DefaultConfig.MaxDrift)); len(list) != 1 || list[0].Kind != CommandExpire {
-		t.Fatal(list)
+	if due := lessor.DueCommands(1001 + DefaultConfig.LeaseMs*(1+DefaultConfig.MaxDrift)); len(due) != 1 || due[0].Kind != CommandExpire {
+		t.Fatal(due)
 	}
-	if ok, _ := g.Renew(1002+DefaultConfig.LeaseMs*(1+DefaultConfig.MaxDrift), "d", 1, "a"); ok {
-		t.Fatal("renewed while its end is on its way")
+	if ok, _ := lessor.Renew(1002+DefaultConfig.LeaseMs*(1+DefaultConfig.MaxDrift), "d", 1, "a"); ok {
+		t.Fatal("renewed while its expiry may be in the log")
 	}
-	g.BecomeFollower()
-	if g.DueCommands(1e9) != nil {
+	lessor.BecomeFollower()
+	if lessor.DueCommands(1e9) != nil {
 		t.Fatal("it does not lead")
 	}
 }
 
-func TestADutyThatKillsItsOwnersIsHeldBack(t *testing.T) {
+func TestRoleBacksOffAfterHolderFailures(t *testing.T) {
 	s := NewState()
-	g := NewLessor(DefaultConfig, s)
-	do(t, s, Command{Kind: CommandDefine, Role: "d"})
+	lessor := NewLessor(DefaultConfig, s)
+	apply(t, s, Command{Kind: CommandDefine, Role: "d"})
 	now := 0.0
-	g.BecomeLeader(now)
+	lessor.BecomeLeader(now)
 	var waits []float64
-	for life := range 4 {
+	for incarnation := range 4 {
 		ended := now
 		for granted := false; !granted; now += 50 {
-			g.RecordRequest(now, fmt.Sprint("a.", life), nil)
-			for _, c := range g.DueCommands(now) {
-				r := do(t, s, c)
+			lessor.RecordRequest(now, fmt.Sprint("a.", incarnation), nil)
+			for _, c := range lessor.DueCommands(now) {
+				r := apply(t, s, c)
 				granted = granted || r.OK && c.Kind == CommandGrant
 			}
 		}
 		waits = append(waits, now-ended)
-		for s.Roles["d"].Holder != "" { // it dies
+		for s.Roles["d"].Holder != "" { // it fails
 			now += 50
-			for _, c := range g.DueCommands(now) {
-				do(t, s, c)
+			for _, c := range lessor.DueCommands(now) {
+				apply(t, s, c)
 			}
 		}
 	}
@@ -150,102 +154,102 @@
 	}
 }
 
-// An owner whose questions were lost for a lease is there again: the duty is not held back for it, neither now nor, twice as long,
-// the next time. One that comes back as another life, or only after the time for which its duty is held back, may have died of it.
-func TestWhoIsThereAgainWasNotKilledByItsDuty(t *testing.T) {
+// A holder whose requests were lost for a lease returns: its role doesn't back off for that, neither now nor, twice as long, the
+// next time. One that returns as another incarnation, or only after the backoff, may have failed of its work.
+func TestFailureIsForgivenWhenHolderReturns(t *testing.T) {
 	for _, c := range []struct {
-		life   string
-		silent float64 // ms after its lease ran out
-		spared bool
+		incarnation string
+		returnMs    float64 // after its lease has run out
+		forgiven    bool
 	}{{"a.1", 100, true}, {"a.2", 100, false}, {"a.1", DefaultConfig.FailureBackoffMs + 500, false}} {
 		s := NewState()
-		g := NewLessor(DefaultConfig, s)
-		g.BecomeLeader(0)
+		lessor := NewLessor(DefaultConfig, s)
+		lessor.BecomeLeader(0)
 		now := 0.0
 		turn := func() (granted bool) {
-			for _, c := range g.DueCommands(now) {
-				r := do(t, s, c)
+			for _, c := range lessor.DueCommands(now) {
+				r := apply(t, s, c)
 				granted = granted || r.OK && c.Kind == CommandGrant
 			}
 			return granted
 		}
-		do(t, s, Command{Kind: CommandDefine, Role: "d"})
-		for rounds := range 3 {
-			for g.RecordRequest(now, "a.1", nil); !turn(); now += 20 {
-				g.RecordRequest(now, "a.1", nil)
+		apply(t, s, Command{Kind: CommandDefine, Role: "d"})
+		for round := range 3 {
+			for lessor.RecordRequest(now, "a.1", nil); !turn(); now += 20 {
+				lessor.RecordRequest(now, "a.1", nil)
 			}
-			for s.Roles["d"].Holder != "" { // nothing of it is heard
+			for s.Roles["d"].Holder != "" { // its requests are lost
 				now += 20
 				turn()
 			}
 			ran, took := now, 0.0
-			now += c.silent
+			now += c.returnMs
 			for took == 0 {
-				g.RecordRequest(now, c.life, nil)
+				lessor.RecordRequest(now, c.incarnation, nil)
 				if turn() {
 					took = now - ran
 				}
 				now += 20
 			}
-			if c.spared && (took > c.silent+50 || s.Roles["d"].HolderFailures != 0) || !c.spared && rounds == 0 && (took < DefaultConfig.FailureBackoffMs || s.Roles["d"].HolderFailures != 1) {
-				t.Errorf("%+v: granted %.0f ms after the lease had run out, %d deaths", c, took, s.Roles["d"].HolderFailures)
+			if c.forgiven && (took > c.returnMs+50 || s.Roles["d"].HolderFailures != 0) || !c.forgiven && round == 0 && (took < DefaultConfig.FailureBackoffMs || s.Roles["d"].HolderFailures != 1) {
+				t.Errorf("%+v: granted %.0f ms after the lease had run out, %d failures", c, took, s.Roles["d"].HolderFailures)
 			}
-			if c.spared != (s.History[len(s.History)-2].Kind == "spared") {
+			if c.forgiven != (s.History[len(s.History)-2].Kind == eventForgiven) {
 				t.Errorf("%+v: %v", c, s.History)
 			}
-			if !c.spared {
+			if !c.forgiven {
 				break
 			}
-			do(t, s, Command{Kind: CommandRelease, Role: "d", Token: s.Roles["d"].Token})
+			apply(t, s, Command{Kind: CommandRelease, Role: "d", Token: s.Roles["d"].Token})
 			now += 20
 		}
 	}
 	s := NewState()
-	do(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"})
-	if r := do(t, s, Command{Kind: CommandForgive, Role: "d", Token: 1, Target: "a"}); r.OK {
-		t.Error("spared while it is owned")
+	apply(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"})
+	if r := apply(t, s, Command{Kind: CommandForgive, Role: "d", Token: 1, Target: "a"}); r.OK {
+		t.Error("forgiven while it is held")
 	}
-	do(t, s, Command{Kind: CommandRelease, Role: "d", Token: 1})
-	if r := do(t, s, Command{Kind: CommandForgive, Role: "d", Token: 1, Target: "a"}); r.OK {
-		t.Error("there was no death to spare")
+	apply(t, s, Command{Kind: CommandRelease, Role: "d", Token: 1})
+	if r := apply(t, s, Command{Kind: CommandForgive, Role: "d", Token: 1, Target: "a"}); r.OK {
+		t.Error("there was no failure to forgive")
 	}
 }
 
-func TestAHolderEndsBeforeItsGrantor(t *testing.T) {
+func TestHolderLeaseEndsBeforeLessorsDoes(t *testing.T) {
 	h := NewHolder(DefaultConfig)
-	acts := h.HandleGrant(500, 100, "d", 7, []byte("x"), false)
-	if len(acts) != 1 || acts[0].Start == nil || string(acts[0].Start.Progress) != "x" {
-		t.Fatal(acts)
+	actions := h.HandleGrant(500, 100, "d", 7, []byte("x"), false)
+	if len(actions) != 1 || actions[0].Start == nil || string(actions[0].Start.Progress) != "x" {
+		t.Fatal(actions)
 	}
 	end := 100 + DefaultConfig.LeaseMs*(1-DefaultConfig.MaxDrift)
 	if _, may := h.MayAct(end-1, "d"); !may {
 		t.Fatal("too soon")
 	}
 	if _, may := h.MayAct(end, "d"); may {
-		t.Fatal("the lease counts from the question")
+		t.Fatal("the lease counts from the request")
 	}
-	if acts = h.ExpireLeases(end); len(acts) != 1 || acts[0].Stop == nil {
-		t.Fatal(acts)
+	if actions = h.ExpireLeases(end); len(actions) != 1 || actions[0].Stop == nil {
+		t.Fatal(actions)
 	}
-	// What it has let run out it does not take up again, but lets the voters know, as they go on renewing it.
-	if acts = h.HandleGrant(end, end-10, "d", 7, nil, false); len(acts) != 1 || acts[0].ReportReleased == nil {
-		t.Fatal("an old answer brought it back: ", acts)
+	// A lease that ran out isn't taken up again, but reported as released, as the voters go on renewing it.
+	if actions = h.HandleGrant(end, end-10, "d", 7, nil, false); len(actions) != 1 || actions[0].ReportReleased == nil {
+		t.Fatal("a delayed response brought it back: ", actions)
 	}
-	if acts = h.HandleGrant(end, end-10, "d", 6, nil, false); len(acts) != 0 {
-		t.Fatal(acts)
+	if actions = h.HandleGrant(end, end-10, "d", 6, nil, false); len(actions) != 0 {
+		t.Fatal(actions)
 	}
 	h.HandleGrant(end, end-10, "e", 8, nil, false)
-	if acts = h.HandleGrant(end, end-5, "e", 8, nil, true); len(acts) != 1 || acts[0].Finish == nil {
-		t.Fatal(acts)
+	if actions = h.HandleGrant(end, end-5, "e", 8, nil, true); len(actions) != 1 || actions[0].Finish == nil {
+		t.Fatal(actions)
 	}
 	h.MarkReleased("e")
-	if acts = h.HandleGrant(end, end-1, "e", 8, nil, false); len(acts) != 1 || acts[0].ReportReleased == nil {
-		t.Fatal("an old answer brought it back: ", acts)
+	if actions = h.HandleGrant(end, end-1, "e", 8, nil, false); len(actions) != 1 || actions[0].ReportReleased == nil {
+		t.Fatal("a delayed response brought it back: ", actions)
 	}
-	if acts = h.HandleGrant(end, end-1, "d", 8, nil, false); len(acts) != 1 {
-		t.Fatal(acts)
+	if actions = h.HandleGrant(end, end-1, "d", 8, nil, false); len(actions) != 1 {
+		t.Fatal(actions)
 	}
-	if acts = h.HandleLost("d", 9); len(acts) != 1 || acts[0].Stop == nil {
-		t.Fatal(acts)
+	if actions = h.HandleLost("d", 9); len(actions) != 1 || actions[0].Stop == nil {
+		t.Fatal(actions)
 	}
 }
--- a/internal/fleet/lease/membership/membership_test.go
+++ b/internal/fleet/lease/membership/membership_test.go
@@ -11,7 +11,7 @@
 	return Hello{Name: name, VoterID: id, GroupID: group}
 }
 
-func TestAGroupIsFoundedOnceByTheFirst(t *testing.T) {
+func TestFirstVoterBootstrapsGroupOnce(t *testing.T) {
 	a, b := New(DefaultConfig, hello("a", 1, 0), names, 0), New(DefaultConfig, hello("b", 2, 0), names, 0)
 	a.HandleHello(100, hello("b", 2, 0))
 	if _, due := a.NextStep(200, View{}); due {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestALostDiskComesBackAsALearner(t *testing.T) {
+func TestLostDiskComesBackAsLearner(t *testing.T) {
 	r := New(DefaultConfig, hello("a", 1, 9), names, 0)
 	v := View{IsLeader: true, Voters: []uint64{1, 2, 3}, VoterNames: map[uint64]string{1: "a", 2: "b", 3: "c"}, CaughtUp: func(uint64) bool { return true }}
 	r.HandleHello(1000, hello("b", 2, 9))
@@ -83,7 +83,7 @@
 }
 
 // Two processes under one name: the one that votes is heard of, so the other stays a learner for good.
-func TestTwoOfOneNameDoNotPushEachOtherOut(t *testing.T) {
+func TestTwoVotersOfOneNameDoNotReplaceEachOther(t *testing.T) {
 	r := New(DefaultConfig, hello("a", 1, 9), names, 0)
 	v := View{IsLeader: true, Voters: []uint64{1, 2, 3}, Learners: []uint64{33}, VoterNames: map[uint64]string{1: "a", 2: "b", 3: "c", 33: "c"},
 		CaughtUp: func(uint64) bool { return true }}
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestWhoIsNotNamedOrOfAnotherGroupIsNotListenedTo(t *testing.T) {
+func TestHelloOfStrangerIsIgnored(t *testing.T) {
 	r := New(DefaultConfig, hello("a", 1, 9), names, 0)
 	v := View{IsLeader: true, Voters: []uint64{1, 2, 3}, VoterNames: map[uint64]string{1: "a", 2: "b", 3: "c"}, CaughtUp: func(uint64) bool { return true }}
 	r.HandleHello(100, hello("z", 7, 9))
--- a/internal/fleet/lease/storage/storage_test.go
+++ b/internal/fleet/lease/storage/storage_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// again closes and opens the disk, and gives the terms of its entries from the first on.
-func again(t *testing.T, fs vfs.FS, k *Store) (*Store, string) {
+// reopen closes and opens the disk, and gives the terms of its entries from the first on.
+func reopen(t *testing.T, fs vfs.FS, k *Store) (*Store, string) {
 	t.Helper()
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 
 // What a former leader left at the end of the log is gone where the next one's entries go over it, also after a restart, and
 // none of it comes back.
-func TestTheEndOfAFormerLeadersLogIsGone(t *testing.T) {
+func TestFormerLeadersEntriesAreRemoved(t *testing.T) {
 	fs := vfs.NewMem()
 	k := open(t, fs)
 	if err := k.JoinGroup(9, map[uint64]string{7: "v"}, consensus.DurableState{ID: 7, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}); err != nil {
@@ -56,12 +56,12 @@
 	}
 	save(t, k, 1, 2, 9)
 	save(t, k, 2, 5, 6) // 7 to 9 were never agreed on
-	k, got := again(t, fs, k)
+	k, got := reopen(t, fs, k)
 	if got != "1 11122" {
 		t.Fatal(got)
 	}
 	save(t, k, 3, 4, 4) // known from the disk: 5 and 6 go
-	k, got = again(t, fs, k)
+	k, got = reopen(t, fs, k)
 	if got != "1 113" {
 		t.Fatal(got)
 	}
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 	}
-	k, got = again(t, fs, k)
+	k, got = reopen(t, fs, k)
 	if got != "8 3333" {
 		t.Fatal(got)
 	}
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	save(t, k, 4, 21, 22)
-	if k, got = again(t, fs, k); got != "20 44" {
+	if k, got = reopen(t, fs, k); got != "20 44" {
 		t.Fatal(got)
 	}
 	k.Close()
@@ -87,7 +87,7 @@
 
 // A long log of single writes costs what as many plain writes cost. Where each write removed a range to the end of the log, 5,000
 // of them took a hundred times as long once the store's table was full, and every voter stood still for seconds at once.
-func TestALongLogDoesNotStandStill(t *testing.T) {
+func TestLongLogIsWrittenWithoutStall(t *testing.T) {
 	const writes = 5000
 	k := open(t, vfs.NewMem())
 	defer k.Close()
--- a/internal/fleet/lease/transport/transport_test.go
+++ b/internal/fleet/lease/transport/transport_test.go
@@ -13,7 +13,7 @@
 )
 
 // What waits goes together, in its order; what is cut short is refused and hurts nobody.
-func TestMessagesGoTogetherAndInOrder(t *testing.T) {
+func TestMessagesArriveBatchedAndInOrder(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/lease/voter/server_test.go
+++ b/internal/fleet/lease/voter/server_test.go
@@ -23,16 +23,16 @@
 	"kestrelspread/internal/fleet/lease/transport"
 )
 
-// group is voters in one process, each with a disk in memory.
-type group struct {
-	t      *testing.T
-	voters []Address
-	disks  []vfs.FS
-	seats  []*Server
+// testGroup is voters in one process, each with a disk in memory.
+type testGroup struct {
+	t       *testing.T
+	voters  []Address
+	disks   []vfs.FS
+	servers []*Server
 }
 
-func newGroup(t *testing.T, n int) *group {
-	g := &group{t: t, disks: make([]vfs.FS, n), seats: make([]*Server, n)}
+func newTestGroup(t *testing.T, n int) *testGroup {
+	g := &testGroup{t: t, disks: make([]vfs.FS, n), servers: make([]*Server, n)}
 	for i := range n {
 		l, err := net.Listen("tcp4", "127.0.0.1:0") // its number is kept by whoever listens there next
 		if err != nil {
@@ -46,7 +46,7 @@
 		g.start(i)
 	}
 	t.Cleanup(func() {
-		for _, s := range g.seats {
+		for _, s := range g.servers {
 			if s != nil {
 				s.Close()
 			}
@@ -55,7 +55,7 @@
 	return g
 }
 
-func (g *group) options(i int) Options {
+func (g *testGroup) options(i int) Options {
 	rules := lease.DefaultConfig
 	rules.LeaseMs = 500
 	quick := membership.Config{HelloTTLMs: 3000, ReplaceAfterMs: 1500, RetryIntervalMs: 200}
@@ -63,11 +63,11 @@
 		TickInterval: 20 * time.Millisecond, Log: zerolog.Nop()}
 }
 
-func (g *group) start(i int) {
+func (g *testGroup) start(i int) {
 	g.t.Helper()
 	var err error
 	for range 100 {
-		if g.seats[i], err = Start(g.options(i)); err == nil {
+		if g.servers[i], err = Start(g.options(i)); err == nil {
 			return
 		}
 		time.Sleep(20 * time.Millisecond) // its address may not be free yet
@@ -75,16 +75,16 @@
 	g.t.Fatal(err)
 }
 
-func (g *group) stop(i int) {
-	g.seats[i].Close()
-	g.seats[i] = nil
+func (g *testGroup) stop(i int) {
+	g.servers[i].Close()
+	g.servers[i] = nil
 }
 
-// until waits far longer than it takes, and gives the leader's view.
-func (g *group) until(what string, ok func(v transport.Status) bool) (v transport.Status) {
+// waitFor waits far longer than it takes, and gives the leader's view.
+func (g *testGroup) waitFor(what string, ok func(v transport.Status) bool) (v transport.Status) {
 	g.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-		for _, s := range g.seats {
+		for _, s := range g.servers {
 			if s == nil {
 				continue
 			}
@@ -99,7 +99,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for _, s := range g.seats {
+	for _, s := range g.servers {
 		if s != nil {
 			ctx, end := context.WithTimeout(context.Background(), time.Second)
 			now, err := s.Status(ctx)
@@ -112,9 +112,9 @@
 	return v
 }
 
-func (g *group) leader() *Server {
-	v := g.until("a leader", func(transport.Status) bool { return true })
-	for _, s := range g.seats {
+func (g *testGroup) leader() *Server {
+	v := g.waitFor("a leader", func(transport.Status) bool { return true })
+	for _, s := range g.servers {
 		if s != nil && s.options.Name == v.Name {
 			return s
 		}
@@ -123,7 +123,7 @@
 }
 
 // do gives a command to whoever leads.
-func (g *group) do(c lease.Command) transport.CommandResult {
+func (g *testGroup) submit(c lease.Command) transport.CommandResult {
 	g.t.Helper()
 	for range 500 {
 		if l := g.leader(); l != nil {
@@ -140,15 +140,15 @@
 	return transport.CommandResult{}
 }
 
-func votes(n int) func(v transport.Status) bool {
+func hasVoters(n int) func(v transport.Status) bool {
 	return func(v transport.Status) bool { return len(v.Voters) == n }
 }
 
-func TestAGroupIsFoundedAndKeepsItsTokensThroughRestarts(t *testing.T) {
-	g := newGroup(t, 3)
-	g.until("three voters", votes(3))
-	g.do(lease.Command{Kind: lease.CommandDefine, Role: "d"})
-	d := g.do(lease.Command{Kind: lease.CommandGrant, Role: "d", Target: "i.1"})
+func TestGroupKeepsTokensThroughRestarts(t *testing.T) {
+	g := newTestGroup(t, 3)
+	g.waitFor("three voters", hasVoters(3))
+	g.submit(lease.Command{Kind: lease.CommandDefine, Role: "d"})
+	d := g.submit(lease.Command{Kind: lease.CommandGrant, Role: "d", Target: "i.1"})
 	if !d.OK || d.Role.Token == 0 {
 		t.Fatal(d)
 	}
@@ -159,36 +159,36 @@
 		for i := range 3 {
 			g.start(i)
 		}
-		v := g.until("the duty is known again", func(v transport.Status) bool { return len(v.Roles) == 1 })
+		v := g.waitFor("the duty is known again", func(v transport.Status) bool { return len(v.Roles) == 1 })
 		if v.NextToken <= d.Role.Token {
 			t.Fatalf("the next token is %d after %d was given", v.NextToken, d.Role.Token)
 		}
 	}
 	// The owner is never heard of again: its lease runs out, and the token of the next is higher.
-	g.until("the lease runs out", func(v transport.Status) bool { return v.Roles[0].Holder == "" })
-	next := g.do(lease.Command{Kind: lease.CommandGrant, Role: "d", Token: d.Role.Token, Target: "i.2"})
+	g.waitFor("the lease runs out", func(v transport.Status) bool { return v.Roles[0].Holder == "" })
+	next := g.submit(lease.Command{Kind: lease.CommandGrant, Role: "d", Token: d.Role.Token, Target: "i.2"})
 	if !next.OK || next.Role.Token <= d.Role.Token {
 		t.Fatal(next)
 	}
-	if late := g.do(lease.Command{Kind: lease.CommandProgress, Role: "d", Token: d.Role.Token, Progress: []byte("late")}); late.OK {
+	if late := g.submit(lease.Command{Kind: lease.CommandProgress, Role: "d", Token: d.Role.Token, Progress: []byte("late")}); late.OK {
 		t.Fatal("an old owner's word was taken")
 	}
 }
 
-func TestAVoterWhoseDiskIsGoneLearnsUnderAnotherNumber(t *testing.T) {
-	g := newGroup(t, 3)
-	v := g.until("three voters", votes(3))
+func TestVoterWithLostDiskLearnsUnderNewID(t *testing.T) {
+	g := newTestGroup(t, 3)
+	v := g.waitFor("three voters", hasVoters(3))
 	old := map[string]uint64{}
 	for _, o := range v.Voters {
 		old[o.Name] = o.ID
 	}
-	g.do(lease.Command{Kind: lease.CommandDefine, Role: "d"})
+	g.submit(lease.Command{Kind: lease.CommandDefine, Role: "d"})
 	g.stop(2)
 	g.disks[2] = vfs.NewMem()
 	g.start(2)
 	// Twice in a row: that the change is over is with a majority once the second view was confirmed.
 	seen := 0
-	v = g.until("the new disk votes, the old one does not", func(v transport.Status) bool {
+	v = g.waitFor("the new disk votes, the old one does not", func(v transport.Status) bool {
 		over := len(v.Voters) == 3
 		for _, o := range v.Voters {
 			over = over && (o.Name != "v2" || !o.Learner && o.ID != old["v2"])
@@ -200,13 +200,13 @@
 	})
 	// It counts: with another voter down the two go on.
 	g.stop(0)
-	g.until("two of three go on", func(v transport.Status) bool { return v.Name != "v0" })
-	if d := g.do(lease.Command{Kind: lease.CommandGrant, Role: "d", Target: "i.1"}); !d.OK {
+	g.waitFor("two of three go on", func(v transport.Status) bool { return v.Name != "v0" })
+	if d := g.submit(lease.Command{Kind: lease.CommandGrant, Role: "d", Target: "i.1"}); !d.OK {
 		t.Fatal(d)
 	}
 }
 
-func TestAViewNamesWhoseVoteStillCountsDuringAChange(t *testing.T) {
+func TestStatusNamesLeavingVotersDuringChange(t *testing.T) {
 	// In the middle of the change that puts 4 in the place of 3.
 	disk := consensus.DurableState{ID: 1, HardState: raftpb.HardState{Term: 2, Commit: 6}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 6, Term: 2,
 		ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 4}, VotersOutgoing: []uint64{1, 2, 3}, AutoLeave: true}}}}
@@ -234,8 +234,8 @@
 	}
 }
 
-func TestASecondProcessOnOneDiskIsRefused(t *testing.T) {
-	g := newGroup(t, 1)
+func TestSecondProcessOnDiskIsRejected(t *testing.T) {
+	g := newTestGroup(t, 1)
 	o := g.options(0)
 	o.FS, o.Dir = vfs.Default, t.TempDir()
 	o.Listen = "127.0.0.1:0"
@@ -251,10 +251,10 @@
 }
 
 // A disk whose sync fails must not vote any more, as nobody knows what is on it; the others go on, and so does the process.
-func TestAVoterWhoseDiskFailsSaysNothing(t *testing.T) {
+func TestVoterWithFailedDiskHalts(t *testing.T) {
 	var fails atomic.Bool
-	g := newGroup(t, 3)
-	g.until("three voters", votes(3))
+	g := newTestGroup(t, 3)
+	g.waitFor("three voters", hasVoters(3))
 	g.stop(1)
 	g.disks[1] = errorfs.Wrap(g.disks[1], errorfs.InjectorFunc(func(op errorfs.Op) error {
 		if fails.Load() && (op.Kind == errorfs.OpFileSync || op.Kind == errorfs.OpFileSyncData) {
@@ -263,32 +263,32 @@
 		return nil
 	}))
 	g.start(1)
-	g.until("three voters again", votes(3))
+	g.waitFor("three voters again", hasVoters(3))
 	fails.Store(true)
 	for i := range 3 {
-		if d := g.do(lease.Command{Kind: lease.CommandDefine, Role: fmt.Sprint("d", i)}); !d.OK {
+		if d := g.submit(lease.Command{Kind: lease.CommandDefine, Role: fmt.Sprint("d", i)}); !d.OK {
 			t.Fatal(d)
 		}
 	}
 	for range 500 {
-		if g.seats[1].store.Fault() != "" {
+		if g.servers[1].store.Fault() != "" {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if g.seats[1].store.Fault() == "" {
+	if g.servers[1].store.Fault() == "" {
 		t.Error("nothing is said of the disk")
 	}
-	if v := g.until("the others go on", func(v transport.Status) bool { return v.Name != "v1" && len(v.Roles) == 3 }); v.Name == "v1" {
+	if v := g.waitFor("the others go on", func(v transport.Status) bool { return v.Name != "v1" && len(v.Roles) == 3 }); v.Name == "v1" {
 		t.Error("it leads")
 	}
 }
 
 // A question that is asked of a voter that does not lead is told whom to ask; what is too long is not taken.
-func TestQuestionsFindTheLeader(t *testing.T) {
-	g := newGroup(t, 3)
+func TestRequestsAreRedirectedToLeader(t *testing.T) {
+	g := newTestGroup(t, 3)
 	lead := g.leader()
-	for _, s := range g.seats {
+	for _, s := range g.servers {
 		ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 		a, err := s.handleRequest(ctx, replica.Request{Instance: "i.1", SentAt: 5})
 		end()
@@ -299,10 +299,10 @@
 			t.Errorf("%s names %s, %s leads", s.options.Name, a.LeaderName, lead.options.Name)
 		}
 	}
-	if d := g.do(lease.Command{Kind: lease.CommandDefine, Role: string(make([]byte, 4096))}); d.OK {
+	if d := g.submit(lease.Command{Kind: lease.CommandDefine, Role: string(make([]byte, 4096))}); d.OK {
 		t.Error("a name of 4 kB was taken")
 	}
-	if n := len(g.seats[0].events); n > 100 {
+	if n := len(g.servers[0].events); n > 100 {
 		t.Error(n, "events wait")
 	}
 }
