--- a/cmd/kestrelctl/scenario.go
+++ b/cmd/kestrelctl/scenario.go
@@ -94,7 +94,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n%v s, seed %d, %d servers, %d shards on %d each\n", f.Name, f.Says, f.Seconds, f.Seed, len(f.Layouts()), f.Places, f.Copies)
-			for _, s := range f.Schedule(func(p string, share float64) []string { return []string{p} }) {
+			for _, s := range f.Schedule(func(p string, _ float64) []string { return []string{p} }) {
 				fmt.Fprintln(cmd.OutOrStdout(), s)
 			}
 			return nil
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -15,6 +15,7 @@
 // Priority is a task's; a higher one has more of the time, none has all.
 type Priority uint8
 
+// The priorities, least first.
 const (
 	Idle Priority = iota
 	Low
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -76,42 +76,98 @@
 		parts: map[int]*part{}, places: 1, span: 1, tries: 1}
 }
 
+// QueryType implements decide.Port; it keeps the effect of a second run.
 func (b *Port) QueryType(_, _, _ float64, effect decide.Effect, _ float64) {
 	b.effects = append(b.effects, effect)
 }
-func (b *Port) Shares(int, float64, float64, float64, int)   {}
-func (b *Port) Customer(float64, float64)                    {}
+
+// Shares implements decide.Port; the policies have no use for it.
+func (b *Port) Shares(int, float64, float64, float64, int) {}
+
+// Customer implements decide.Port; the policies have no use for it.
+func (b *Port) Customer(float64, float64) {}
+
+// Fleet implements decide.Port; it keeps how shards are placed.
 func (b *Port) Fleet(places, span, _ int, _ float64, _ bool) { b.places, b.span = places, span }
-func (b *Port) Limits(tries, _ int, cancel, _ bool)          { b.tries, b.cancel = tries, cancel }
-func (b *Port) Advice(float64)                               {}
-func (b *Port) Cold(float64, float64, float64, float64)      {}
-func (b *Port) Budget(float64, float64, float64)             {}
-func (b *Port) Reports(bool, []decide.Field)                 {}
-func (b *Port) Probes()                                      {}
-func (b *Port) Discovery(bool)                               {}
-func (b *Port) Probed(int, bool, float64, []float64)         {}
-func (b *Port) Refused(int) []int                            { return nil }
-func (b *Port) Site(int, bool, float64)                      {}
-func (b *Port) Bears(float64, float64)                       {}
-func (b *Port) Counts(int) float64                           { return 0 }
-func (b *Port) Order(int, float64)                           {}
-func (b *Port) Weigh(int, float64)                           {}
-func (b *Port) Retries(float64)                              {}
-func (b *Port) Again(int)                                    {}
-func (b *Port) Unlisted()                                    {}
-func (b *Port) ComeBack(int) float64                         { return 0 }
-func (b *Port) Bell()                                        {}
-func (b *Port) Until(id int, until float64)                  { b.hasten(id, until) }
-func (b *Port) Open(int, bool)                               {}
-func (b *Port) Pushback(int, float64)                        {}
-func (b *Port) Begin(now float64)                            { b.now = now }
 
+// Limits implements decide.Port; it keeps how many sub-requests a part may have, and whether the rest are
+// called off.
+func (b *Port) Limits(tries, _ int, cancel, _ bool) { b.tries, b.cancel = tries, cancel }
+
+// Advice implements decide.Port; the policies have no use for it.
+func (b *Port) Advice(float64) {}
+
+// Cold implements decide.Port; the policies have no use for it.
+func (b *Port) Cold(float64, float64, float64, float64) {}
+
+// Budget implements decide.Port; the policies have no use for it.
+func (b *Port) Budget(float64, float64, float64) {}
+
+// Reports implements decide.Port; the policies have no use for it.
+func (b *Port) Reports(bool, []decide.Field) {}
+
+// Probes implements decide.Port; the policies have no use for it.
+func (b *Port) Probes() {}
+
+// Discovery implements decide.Port; the policies have no use for it.
+func (b *Port) Discovery(bool) {}
+
+// Probed implements decide.Port; the policies have no use for it.
+func (b *Port) Probed(int, bool, float64, []float64) {}
+
+// Refused implements decide.Port; the policies have no use for it.
+func (b *Port) Refused(int) []int { return nil }
+
+// Site implements decide.Port; the policies have no use for it.
+func (b *Port) Site(int, bool, float64) {}
+
+// Bears implements decide.Port; the policies have no use for it.
+func (b *Port) Bears(float64, float64) {}
+
+// Counts implements decide.Port; the policies have no use for it.
+func (b *Port) Counts(int) float64 { return 0 }
+
+// Order implements decide.Port; the policies have no use for it.
+func (b *Port) Order(int, float64) {}
+
+// Weigh implements decide.Port; the policies have no use for it.
+func (b *Port) Weigh(int, float64) {}
+
+// Retries implements decide.Port; the policies have no use for it.
+func (b *Port) Retries(float64) {}
+
+// Again implements decide.Port; the policies have no use for it.
+func (b *Port) Again(int) {}
+
+// Unlisted implements decide.Port; the policies have no use for it.
+func (b *Port) Unlisted() {}
+
+// ComeBack implements decide.Port; the policies have no use for it.
+func (b *Port) ComeBack(int) float64 { return 0 }
+
+// Bell implements decide.Port; the policies have no use for it.
+func (b *Port) Bell() {}
+
+// Until implements decide.Port; it moves the end of a search forward.
+func (b *Port) Until(id int, until float64) { b.hasten(id, until) }
+
+// Open implements decide.Port; the policies have no use for it.
+func (b *Port) Open(int, bool) {}
+
+// Pushback implements decide.Port; the policies have no use for it.
+func (b *Port) Pushback(int, float64) {}
+
+// Begin implements decide.Port; it keeps the time of the round.
+func (b *Port) Begin(now float64) { b.now = now }
+
+// Search implements decide.Port; it takes a search, whose parts follow.
 func (b *Port) Search(id, kind, _ int, until float64, _ int) {
 	q := &search{id: id, kind: kind, until: until}
 	b.searches[id] = q
 	b.live = append(b.live, q)
 }
 
+// Part implements decide.Port; it takes a part, which wants its first sub-request.
 func (b *Port) Part(id, p, shard int, _, _ float64, _ uint64) {
 	q := b.searches[id]
 	k := &part{id: p, shard: shard, q: q, fresh: true}
@@ -128,6 +184,7 @@
 // Home tells a failover policy its own hall.
 func (b *Port) Home(hall int) { b.hall = hall }
 
+// Server implements decide.Port; it takes what the list says of a server.
 func (b *Port) Server(id, hall, cell int, state decide.State, _, _ float64) {
 	for id >= len(b.servers) {
 		b.servers = append(b.servers, &server{})
@@ -136,9 +193,11 @@
 	s.cell, s.hall, s.ready = cell, hall, state == decide.Ready
 }
 
-func (b *Port) Drop(id int) bool { return true }
+// Drop implements decide.Port; nothing here still needs a server that is gone.
+func (b *Port) Drop(_ int) bool { return true }
 
-func (b *Port) Committed(id, no int, _ bool) bool {
+// Committed implements decide.Port; the first sub-request of a part keeps it.
+func (b *Port) Committed(id, _ int, _ bool) bool {
 	p := b.parts[id]
 	if p == nil || p.kept || p.in {
 		return false
@@ -147,6 +206,7 @@
 	return true
 }
 
+// Done implements decide.Port; a part that failed harmlessly is sent again, as far as the limit allows.
 func (b *Port) Done(id, no int, how decide.Outcome, _ []float64) {
 	p := b.parts[id]
 	if p == nil || no >= len(p.tries) || !p.tries[no].out {
@@ -169,6 +229,7 @@
 	b.forget(p.q)
 }
 
+// Lapsed implements decide.Port; the search ends, as its time is over.
 func (b *Port) Lapsed(id int) {
 	if q := b.searches[id]; q != nil && !q.over {
 		b.end(q)
@@ -199,6 +260,7 @@
 	b.out.Forget(q.id)
 }
 
+// End implements decide.Port; it sends what is fresh, answers what is in and ends what has come to its time.
 func (b *Port) End() {
 	kept := b.live[:0]
 	next := math.Inf(1)
--- a/internal/channels/channels.go
+++ b/internal/channels/channels.go
@@ -29,6 +29,7 @@
 // Why a stream got no place.
 type Why uint8
 
+// Reasons why a stream has no place.
 const (
 	Unreachable Why = iota // the server can't be connected to, or could not lately
 	NoPlace                // all its streams are taken, and as many wait as may
@@ -364,7 +365,7 @@
 	p.fill(now, at)
 }
 
-// Forgotten: the index of a server may stand for another one from now on.
+// Forgotten drops a server, whose index may stand for another one from now on. No stream may be waiting for it.
 func (p *Pool) Forgotten(at int) {
 	s := p.server(at)
 	must.Hold(len(s.waiting) == 0, "nobody waits for a server that is forgotten")
@@ -418,7 +419,7 @@
 	return next
 }
 
-// Channels, Streams and Waiting count what there is now.
+// Channels counts the connections that there are now, those that are being made among them.
 func (p *Pool) Channels() (n int) {
 	for _, c := range p.channels {
 		if c != nil {
@@ -428,6 +429,7 @@
 	return n
 }
 
+// Streams counts the streams open on all connections now.
 func (p *Pool) Streams() (n int) {
 	for _, c := range p.channels {
 		if c != nil {
@@ -437,6 +439,7 @@
 	return n
 }
 
+// Waiting counts the streams that wait for a place on a connection now.
 func (p *Pool) Waiting() (n int) {
 	for _, s := range p.servers {
 		if s != nil {
--- a/internal/channels/channels_test.go
+++ b/internal/channels/channels_test.go
@@ -191,7 +191,7 @@
 }
 
 func (s *script) say(form string, args ...any) { s.said = append(s.said, fmt.Sprintf(form, args...)) }
-func (s *script) Open(server, ch int) bool     { s.say("open %d", server); return !s.no }
+func (s *script) Open(server, _ int) bool      { s.say("open %d", server); return !s.no }
 func (s *script) Begin(ch int, t Token)        { s.say("begin %v on %d", t, ch) }
 func (s *script) Refuse(t Token, why Why)      { s.say("refuse %v %d", t, why) }
 func (s *script) Close(ch int)                 { s.say("close %d", ch) }
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -1,5 +1,5 @@
-// The decisions of a kestrelspread broker, all of them. Callers use it through Port (port.go): New, the
-// settings, then for each round Begin, the events, End; what is decided at End goes to Out.
+// Package decide takes the decisions of a kestrelspread broker, all of them. Callers use it through Port (port.go):
+// New, the settings, then for each round Begin, the events, End; what is decided at End goes to Out.
 //
 // The ordinary path is LinnOS's, as docs/design.md tells: predict slow replicas, skip them, send to the one
 // with the fewest own calls outstanding, copy a part past pX. Beside it stand at most six mechanisms:
@@ -94,6 +94,8 @@
 
 const wholeStages = 2 // stages that take a search; the others take its parts
 
+// New makes the module. Decisions go to out; seed is the source of its chance, brokers how many of its kind
+// there are, hall its own site.
 func New(out Out, seed uint64, brokers, hall int) *Broker {
 	b := &Broker{out: out, dice: dice{seed: seed}, brokers: max(brokers, 1), hall: hall, trialAfter: trialFirst,
 		lastWake: math.Inf(-1), lastLog: math.Inf(-1), shortAim: math.Inf(1), retries: 1}
@@ -109,6 +111,7 @@
 	return b
 }
 
+// Done implements Port; what a sub-request tells goes up through the stages, last first.
 func (b *Broker) Done(id, no int, how Outcome, report []float64) {
 	p := at(b.parts, id)
 	if p == nil || no >= len(p.tries) || !p.tries[no].out {
@@ -153,6 +156,7 @@
 	}
 }
 
+// Probed implements Port; it counts only for a server that is set aside as dead.
 func (b *Broker) Probed(id int, ok bool, elapsed float64, report []float64) {
 	s := b.servers[id]
 	if s.probing = false; ok {
@@ -171,6 +175,7 @@
 	}
 }
 
+// Server implements Port; a server of which it is the first news is added.
 func (b *Broker) Server(id, hall, cell int, state State, size, started float64) {
 	for len(b.servers) <= id {
 		b.servers = append(b.servers, nil)
@@ -208,6 +213,7 @@
 	}
 }
 
+// Begin implements Port; a round that begins late tells that this broker stood still.
 func (b *Broker) Begin(now float64) {
 	// A wake-up that comes late means that this broker stood still: what it did not hear meanwhile is no
 	// silence of servers.
@@ -217,12 +223,14 @@
 	b.now, b.round = now, b.round+1
 }
 
+// Unlisted implements Port; the list is asked for again after 0.5 to 1 s.
 func (b *Broker) Unlisted() {
 	if b.lister.ask {
 		b.lister.due, b.lister.at = true, b.now+500+500*b.dice.roll()
 	}
 }
 
+// End implements Port; here everything is decided.
 func (b *Broker) End() {
 	if b.lister.due && b.now >= b.lister.at {
 		b.lister.due = false
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -64,10 +64,10 @@
 	begin                                                           float64
 }
 
-func (n *note) Send(part, server int, within, begin float64) {
+func (n *note) Send(part, server int, _, begin float64) {
 	n.sent, n.to, n.begin = append(n.sent, part), append(n.to, server), begin
 }
-func (n *note) Cancel(part, try int) { n.cancelled = append(n.cancelled, part) }
+func (n *note) Cancel(part, _ int) { n.cancelled = append(n.cancelled, part) }
 func (n *note) Answer(search int, whole bool) {
 	n.answered, n.whole = append(n.answered, search), whole
 }
@@ -76,8 +76,8 @@
 func (n *note) Probe(server int)              { n.probed = append(n.probed, server) }
 func (n *note) Close(server int)              { n.closed = append(n.closed, server) }
 func (n *note) Subscribe()                    {}
-func (n *note) Wake(in float64)               {}
-func (n *note) Log(text string)               {}
+func (n *note) Wake(_ float64)                {}
+func (n *note) Log(_ string)                  {}
 func (n *note) Forget(search int)             { n.forgot = append(n.forgot, search) }
 
 func plain(servers int, set func(*Broker)) (*Broker, *note) {
--- a/internal/decide/port.go
+++ b/internal/decide/port.go
@@ -1,9 +1,9 @@
-// Package decide takes a broker's decisions: which search to take, where its parts go, when it is answered.
 package decide
 
 // Outcome tells how a sub-request ended.
 type Outcome uint8
 
+// The outcomes of a sub-request.
 const (
 	Answered  Outcome = iota
 	Errored           // the server returned an error; it may have run
@@ -21,6 +21,7 @@
 // Effect tells what a second run of a sub-request would do.
 type Effect uint8
 
+// The effects of a second run: none, none where the token is the same, a second effect.
 const (
 	Idempotent Effect = iota
 	Tokened
@@ -30,6 +31,7 @@
 // State of a server as its list tells it.
 type State uint8
 
+// The states of a server in its list.
 const (
 	Ready State = iota
 	Draining
@@ -39,6 +41,7 @@
 // Field names a value of a load report.
 type Field uint8
 
+// The fields of a load report; Other is read over.
 const (
 	Other Field = iota
 	Busy        // share of its cores in use
--- a/internal/decide/state.go
+++ b/internal/decide/state.go
@@ -24,6 +24,7 @@
 // Step tells why a search was refused or given up, in the order in which steps apply.
 type Step uint8
 
+// The steps, in the order in which they apply.
 const (
 	NoHolder  Step = iota // too few of its shards have a listed server
 	TooLate               // its client's time is over, or it is no sound search
@@ -73,8 +74,10 @@
 	}
 }
 
+// Bears implements Port; it holds from the next search on.
 func (b *Broker) Bears(worth, beyond float64) { b.borne.worth, b.borne.beyond = worth, beyond }
 
+// Counts implements Port; 0 for a search that is not known.
 func (b *Broker) Counts(id int) float64 {
 	if q := at(b.searches, id); q != nil && q.k != nil {
 		return b.value(q)
@@ -82,6 +85,7 @@
 	return 0
 }
 
+// Refused implements Port; nil for a type that is not known.
 func (b *Broker) Refused(kind int) []int {
 	if k := at(b.types, kind); k != nil {
 		return k.refused[:]
@@ -275,6 +279,7 @@
 	at       float64
 }
 
+// QueryType implements Port; it adds the next type.
 func (b *Broker) QueryType(aim, value, late float64, effect Effect, tokenFor float64) {
 	b.types = append(b.types, &queryType{aim: aim, value: value, late: late, tokenFor: tokenFor, effect: windowed(effect, tokenFor),
 		need: 1, floor: 1, lat: hist(lineSpan)})
@@ -284,37 +289,46 @@
 	}
 }
 
+// Shares implements Port; it sets which share of its parts a search of the type needs, and what less is worth.
 func (b *Broker) Shares(kind int, need, floor, partial float64, followUp int) {
 	k := b.types[kind]
 	k.need, k.floor, k.partial, k.followUp = need, min(floor, need), partial, followUp
 }
 
+// Customer implements Port; it adds the next customer, by its quota a second.
 func (b *Broker) Customer(quota, beyond float64) {
 	b.customers = append(b.customers, &customer{quota, beyond, 1, counts(quotaSpan)})
 }
 
+// Fleet implements Port; it sets how shards are placed on servers and what a call costs.
 func (b *Broker) Fleet(places, span, batch int, callWork float64, warmKeys bool) {
 	b.fleet = fleet{max(places, 1), max(span, 1), max(batch, 1), callWork, warmKeys}
 }
 
+// Limits implements Port; it sets how many sub-requests a part may have and how much may be held.
 func (b *Broker) Limits(tries, held int, cancel, copies bool) {
 	b.limits = limits{tries: tries, most: held, cancel: cancel, copies: copies}
 }
 
+// Probes implements Port; servers may be probed from now on.
 func (b *Broker) Probes() { b.reports.mayProbe = true }
 
+// Advice implements Port; it sets the longest time, in ms, after which a client is asked to come back.
 func (b *Broker) Advice(longest float64) { b.longestAdvice = longest }
 
+// Cold implements Port; it sets what a server bears that has just started.
 func (b *Broker) Cold(from, lasts, multiple, over float64) {
 	b.cold = coldGuard{share: from, lasts: lasts, multiple: multiple, over: max(over, 1),
 		did: counts(carrySpan)}
 }
 
+// Budget implements Port; it sets how many further sub-requests there may be for those asked for.
 func (b *Broker) Budget(spare, ratio, over float64) {
 	over = max(over, 1)
 	b.budget = budget{spare, ratio, over, counts(over), counts(over)}
 }
 
+// Reports implements Port; it sets which load reports come, and their fields.
 func (b *Broker) Reports(onAnswers bool, fields []Field) {
 	b.reports.onAnswers, b.reports.fields = onAnswers, fields
 }
@@ -327,10 +341,13 @@
 	}
 }
 
+// Weigh implements Port; it sets a customer's share.
 func (b *Broker) Weigh(customer int, share float64) { b.customers[customer].share = share }
 
+// Retries implements Port; it sets the share with which a search counts whose client asks again.
 func (b *Broker) Retries(share float64) { b.retries = share }
 
+// Again implements Port; it has no effect on a search that was taken already.
 func (b *Broker) Again(id int) {
 	if q := at(b.searches, id); q != nil && !q.admitted {
 		q.worth *= b.retries
@@ -349,8 +366,10 @@
 	}
 }
 
+// Discovery implements Port; where ask is set, the list has to be subscribed to.
 func (b *Broker) Discovery(ask bool) { b.lister = lister{ask: ask, due: ask} }
 
+// Search implements Port; it takes a search, whose parts follow in the same round.
 func (b *Broker) Search(id, kind, customer int, until float64, parts int) {
 	q := &search{id: id, born: b.now, customer: customer, until: until, want: parts, k: at(b.types, kind), worth: 1, lot: b.dice.roll()}
 	if q.k != nil {
@@ -366,6 +385,7 @@
 	}
 }
 
+// Part implements Port; parts of a search that is over are passed over.
 func (b *Broker) Part(search, id, shard int, weight, work float64, key uint64) {
 	b.budget.take(b.now)
 	q := at(b.searches, search)
@@ -421,6 +441,7 @@
 	}
 }
 
+// Drop implements Port; false while a probe or call of the server is out, or what it was sent still counts.
 func (b *Broker) Drop(id int) bool {
 	s := at(b.servers, id)
 	if s == nil {
@@ -584,8 +605,10 @@
 	return sum
 }
 
+// ComeBack implements Port; the same advice that a search gets which is shed here.
 func (b *Broker) ComeBack(kind int) float64 { return b.back(at(b.types, kind)) }
 
+// Bell implements Port; the wake-up that was asked for has come, so the next one is no late one.
 func (b *Broker) Bell() { b.lastWake = math.Inf(-1) }
 
 func (b *Broker) log(form string, args ...any) {
@@ -595,6 +618,7 @@
 	}
 }
 
+// Lapsed implements Port; the search ends, its client's time being over.
 func (b *Broker) Lapsed(id int) {
 	if q := at(b.searches, id); q != nil && !q.over {
 		b.finish(q)
@@ -602,6 +626,7 @@
 	}
 }
 
+// Until implements Port; it only ever moves the end forward.
 func (b *Broker) Until(id int, until float64) {
 	if q := at(b.searches, id); q != nil && !q.over {
 		q.until = min(q.until, until)
--- a/internal/decide/world_test.go
+++ b/internal/decide/world_test.go
@@ -260,7 +260,7 @@
 	w.final(id)
 }
 
-func (w *world) Shed(id int, comeBack float64) {
+func (w *world) Shed(id int, _ float64) {
 	q := w.final(id)
 	for _, at := range q.parts {
 		for _, y := range w.parts[at].tries {
@@ -280,10 +280,10 @@
 	w.probing = append(w.probing, server)
 }
 
-func (w *world) Close(server int) {}
-func (w *world) Subscribe()       {}
-func (w *world) Log(text string)  {}
-func (w *world) Wake(in float64)  { w.wake = w.now + in }
+func (w *world) Close(_ int)     {}
+func (w *world) Subscribe()      {}
+func (w *world) Log(_ string)    {}
+func (w *world) Wake(in float64) { w.wake = w.now + in }
 
 func (w *world) Forget(id int) {
 	q := w.searches[id]
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -85,31 +85,39 @@
 	return &file{f, d}, nil
 }
 
+// Create creates a file, as vfs.FS has it; it returns only once the disk has taken it.
 func (d *Disk) Create(name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
 	d.persist("create "+name, func() error { f, err = d.FS.Create(name, c); return err })
 	return d.wrap(f, nil)
 }
 
+// Open opens a file for reading, as vfs.FS has it.
 func (d *Disk) Open(name string, o ...vfs.OpenOption) (vfs.File, error) {
 	return d.wrap(d.FS.Open(name, o...))
 }
 
+// OpenReadWrite opens a file for reading and writing, as vfs.FS has it.
 func (d *Disk) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (vfs.File, error) {
 	return d.wrap(d.FS.OpenReadWrite(name, c, o...))
 }
 
+// OpenDir opens a directory for syncing, as vfs.FS has it.
 func (d *Disk) OpenDir(name string) (vfs.File, error) { return d.wrap(d.FS.OpenDir(name)) }
 
+// ReuseForWrite renames a file and opens it for writing, as vfs.FS has it; it returns only once the disk
+// has taken it.
 func (d *Disk) ReuseForWrite(from, to string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
 	d.persist("reuse "+from, func() error { f, err = d.FS.ReuseForWrite(from, to, c); return err })
 	return d.wrap(f, nil)
 }
 
+// Rename renames a file, as vfs.FS has it; it returns only once the disk has taken it.
 func (d *Disk) Rename(from, to string) error {
 	d.persist("rename "+from, func() error { return d.FS.Rename(from, to) })
 	return nil
 }
 
+// MkdirAll creates a directory and those above it, as vfs.FS has it.
 func (d *Disk) MkdirAll(dir string, perm os.FileMode) error { return d.FS.MkdirAll(dir, perm) }
 
 // Unwrap gives what lies below.
--- a/internal/docscheck/rules_test.go
+++ b/internal/docscheck/rules_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
+	"go/build"
 	"os"
 	"path"
 	"path/filepath"
 	"regexp"
-	"runtime"
 	"slices"
 	"strings"
 )
@@ -316,7 +316,7 @@
 }
 
 func standardPackage(name string) bool {
-	info, err := os.Stat(filepath.Join(runtime.GOROOT(), "src", filepath.FromSlash(name)))
+	info, err := os.Stat(filepath.Join(build.Default.GOROOT, "src", filepath.FromSlash(name)))
 	return err == nil && info.IsDir()
 }
 
--- a/internal/fleet/bear/bear.go
+++ b/internal/fleet/bear/bear.go
@@ -35,6 +35,7 @@
 // End is how a sub-request ended, as far as it tells of what its server bears.
 type End uint8
 
+// How a sub-request ended, as far as the plan has to know.
 const (
 	Well End = iota
 	Harm     // turned away, or late
@@ -90,7 +91,7 @@
 // Begin opens a turn. Times never fall.
 func (p *Plan) Begin(now float64) { p.now = now }
 
-// Asked: a search that counts so much came, with so many parts.
+// Asked counts a search that came, by what it is worth and its number of parts.
 func (p *Plan) Asked(worth float64, parts int) {
 	at := sort.Search(len(p.levels), func(i int) bool { return p.levels[i].worth >= worth })
 	if at == len(p.levels) || p.levels[at].worth != worth {
@@ -118,8 +119,8 @@
 	return false
 }
 
-// Ended: so many sub-requests came back, of the most valued type or of another. One of the most valued that is refused by
-// anything else than the line was harmed in all its parts.
+// Ended counts n sub-requests that came back, of the most valued type (top) or of another. One of the most
+// valued that is refused by anything else than the line was harmed in all its parts.
 func (p *Plan) Ended(how End, top bool, n float64) {
 	for i := range p.ended {
 		if how == Mute || i == ofTop && !top {
--- a/internal/fleet/bear/port.go
+++ b/internal/fleet/bear/port.go
@@ -45,11 +45,13 @@
 // Plan is for reports.
 func (p *Port) Plan() *Plan { return p.plan }
 
+// QueryType implements decide.Port; it keeps its latency target and value.
 func (p *Port) QueryType(aim, value, late float64, effect decide.Effect, tokenFor float64) {
 	p.aims, p.worth = append(p.aims, aim), append(p.worth, value)
 	p.Port.QueryType(aim, value, late, effect, tokenFor)
 }
 
+// Order implements decide.Port; it keeps what a type counts with in place of its value.
 func (p *Port) Order(kind int, worth float64) {
 	if kind >= 0 && kind < len(p.worth) {
 		p.worth[kind] = worth
@@ -62,12 +64,14 @@
 	return kind >= 0 && kind < len(p.worth) && p.worth[kind] >= slices.Max(p.worth)
 }
 
+// Begin implements decide.Port; it keeps the time of the round.
 func (p *Port) Begin(now float64) {
 	p.now = now
 	p.plan.Begin(now)
 	p.Port.Begin(now)
 }
 
+// Search implements decide.Port; it keeps its type and the number of its parts.
 func (p *Port) Search(id, kind, customer int, until float64, parts int) {
 	for len(p.kindOf) <= id {
 		p.kindOf, p.sizes = append(p.kindOf, -1), append(p.sizes, 0)
@@ -77,6 +81,7 @@
 	p.Port.Search(id, kind, customer, until, parts)
 }
 
+// Part implements decide.Port; it keeps for which type it is.
 func (p *Port) Part(search, id, shard int, weight, work float64, key uint64) {
 	for len(p.parts) <= id {
 		p.parts, p.aimOf, p.topOf = append(p.parts, nil), append(p.aimOf, 0), append(p.topOf, false)
@@ -88,6 +93,7 @@
 	p.Port.Part(search, id, shard, weight, work, key)
 }
 
+// Done implements decide.Port; it tells the plan how the sub-request ended.
 func (p *Port) Done(part, try int, how decide.Outcome, report []float64) {
 	if part < len(p.parts) && try < len(p.parts[part]) {
 		took := p.now - p.parts[part][try]
@@ -102,6 +108,7 @@
 	p.Port.Done(part, try, how, report)
 }
 
+// Server implements decide.Port; it keeps what the server can bear.
 func (p *Port) Server(id, hall, cell int, state decide.State, size, started float64) {
 	for len(p.servers) <= id {
 		p.servers = append(p.servers, holder{})
@@ -115,6 +122,7 @@
 	p.Port.Server(id, hall, cell, state, size, started)
 }
 
+// Site implements decide.Port; it measures anew what the halls that are left can bear.
 func (p *Port) Site(hall int, lost bool, spread float64) {
 	p.lost[hall] = lost
 	p.measure()
@@ -132,6 +140,7 @@
 	p.plan.Size(usable)
 }
 
+// End implements decide.Port; it has the plan draw its line before the module decides.
 func (p *Port) End() {
 	for _, c := range p.came { // only now is all known that it counts with
 		p.plan.Asked(p.Port.Counts(c.search), c.parts)
--- a/internal/fleet/plan/moment.go
+++ b/internal/fleet/plan/moment.go
@@ -34,7 +34,7 @@
 }
 
 // Lose takes sites away with all that is there; their searches come in at the others, alike.
-func (m *Moment) Lose(f *Fleet, sites ...int) *Moment {
+func (m *Moment) Lose(_ *Fleet, sites ...int) *Moment {
 	moved, left := 0.0, 0
 	gone := make([]bool, len(m.Share))
 	for _, s := range sites {
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -39,6 +39,7 @@
 // Step is why a search is refused, in the order in which steps apply.
 type Step string
 
+// The steps of the order in which searches are refused.
 const (
 	NoHolder Step = "a shard without a holder" // and too few of the others for a part answer
 	Value    Step = "least value first"        // what survivors can't bear
--- a/internal/fleet/site/port.go
+++ b/internal/fleet/site/port.go
@@ -33,17 +33,20 @@
 // Sight is the view, for reports.
 func (p *Port) Sight() *Sight { return p.sight }
 
+// QueryType implements decide.Port; it gives the sight a latency target.
 func (p *Port) QueryType(aim, value, late float64, effect decide.Effect, tokenFor float64) {
 	p.sight.Target(aim)
 	p.Port.QueryType(aim, value, late, effect, tokenFor)
 }
 
+// Begin implements decide.Port; it keeps the time of the round.
 func (p *Port) Begin(now float64) {
 	p.now = now
 	p.sight.Begin(now)
 	p.Port.Begin(now)
 }
 
+// Part implements decide.Port; it makes place for its sub-requests.
 func (p *Port) Part(search, id, shard int, weight, work float64, key uint64) {
 	for len(p.parts) <= id {
 		p.parts = append(p.parts, nil)
@@ -52,6 +55,7 @@
 	p.Port.Part(search, id, shard, weight, work, key)
 }
 
+// Done implements decide.Port; it tells the sight whether the server answered.
 func (p *Port) Done(part, try int, how decide.Outcome, report []float64) {
 	if part < len(p.parts) && try < len(p.parts[part]) {
 		if s := p.parts[part][try]; s.server >= 0 {
@@ -63,7 +67,7 @@
 	p.Port.Done(part, try, how, report)
 }
 
-// Committed: bytes of an answer have come.
+// Committed implements decide.Port; bytes of an answer show that the server lives.
 func (p *Port) Committed(part, try int, answering bool) bool {
 	if answering && part < len(p.parts) && try < len(p.parts[part]) && p.parts[part][try].server >= 0 {
 		p.sight.Alive(p.parts[part][try].server, p.parts[part][try].at)
@@ -71,6 +75,7 @@
 	return p.Port.Committed(part, try, answering)
 }
 
+// Probed implements decide.Port; it tells the sight of a server that answers.
 func (p *Port) Probed(server int, ok bool, elapsed float64, report []float64) {
 	if ok {
 		p.sight.Alive(server, p.now-elapsed)
@@ -78,11 +83,13 @@
 	p.Port.Probed(server, ok, elapsed, report)
 }
 
+// Server implements decide.Port; it tells the sight in which hall a server stands.
 func (p *Port) Server(id, hall, cell int, state decide.State, size, started float64) {
 	p.sight.Server(id, hall, state == decide.Ready)
 	p.Port.Server(id, hall, cell, state, size, started)
 }
 
+// Drop implements decide.Port; it drops the server from the sight too.
 func (p *Port) Drop(id int) bool {
 	if !p.Port.Drop(id) {
 		return false
@@ -91,6 +98,7 @@
 	return true
 }
 
+// End implements decide.Port; it passes on what has changed of whole sites before the module decides.
 func (p *Port) End() {
 	for _, c := range p.sight.End() {
 		if p.Changed != nil {
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -18,6 +18,7 @@
 // State is what a broker believes of a site.
 type State uint8
 
+// The states of a site.
 const (
 	Well      State = iota
 	Doubted         // some of it fails together, too few to tell
@@ -248,7 +249,7 @@
 	}
 }
 
-// Sent: a sub-request went to a server.
+// Sent counts a sub-request that went to a server.
 func (v *Sight) Sent(id int) {
 	s := &v.servers[id]
 	s.out++
@@ -263,8 +264,9 @@
 	}
 }
 
-// Done: one that went at a time ended. alive: an answer of any kind has come from the server; else failing where no more
-// need be waited for (unreachable, reset, timed out), and neither where it was called off or never sent.
+// Done counts the end of one that went at a time. alive: an answer of any kind has come from the server;
+// else failing where no more need be waited for (unreachable, reset, timed out), and neither where it was
+// called off or never sent.
 func (v *Sight) Done(id int, sent float64, alive, failing bool) {
 	s := &v.servers[id]
 	s.out = max(s.out-1, 0)
@@ -284,7 +286,7 @@
 	}
 }
 
-// Alive: a server answered what was sent at a time, a probe perhaps.
+// Alive tells that a server answered what was sent at a time, a probe perhaps.
 func (v *Sight) Alive(id int, sent float64) {
 	s := &v.servers[id]
 	s.failed = never
@@ -327,8 +329,9 @@
 	}
 }
 
-// Told: a peer saw a site lost, or heard of it, so many milliseconds ago. That is weaker than own sight: it can neither make a
-// loss nor end one. With several who say the same, fewer servers of a burst suffice, and trials come sooner.
+// Told takes what a peer reports: that it saw a site lost, or was told so, age milliseconds ago. That is
+// weaker than own sight: it can neither make a loss nor end one. With several who say the same, fewer
+// servers of a burst suffice, and trials come sooner.
 func (v *Sight) Told(peer string, at int, lost bool, age float64) {
 	if at < 0 || at >= len(v.sites) || v.sites[at] == nil || !(age >= 0 && age < v.rules.Told) {
 		return
@@ -349,8 +352,9 @@
 	p.told[peer] = told{lost, v.now - age}
 }
 
-// Staged: whoever paces the return of sites for the whole fleet says how far one has come, so many milliseconds ago. It slows
-// this broker's own return down, the less the older it is; it neither makes a loss nor ends one.
+// Staged takes what the pacer of the whole fleet's returns reports: how far a site had come age
+// milliseconds ago. It slows this broker's own return down, the less the older it is; it neither makes a
+// loss nor ends one.
 func (v *Sight) Staged(at int, share, age float64) {
 	if at < 0 || at >= len(v.sites) || v.sites[at] == nil || !(share >= 0 && share <= 1) || !(age >= 0 && age < v.rules.Told) {
 		return
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -78,7 +78,7 @@
 	return kept, err
 }
 
-// Saw: an instance says what it saw of a site, at a time.
+// Saw takes what an instance reports that it saw of a site, at a time.
 func (p *Pace) Saw(at float64, who string, no int, lost bool) {
 	if no < 0 {
 		return
--- a/internal/grpcwire/grpcwire.go
+++ b/internal/grpcwire/grpcwire.go
@@ -16,6 +16,7 @@
 // Status is a gRPC status code.
 type Status uint8
 
+// The status codes of gRPC, by their numbers on the wire.
 const (
 	OK Status = iota
 	Cancelled
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -45,7 +45,7 @@
 	return s
 }
 
-func (s *side) Headers(st *Stream, fields []Field, end bool) {
+func (s *side) Headers(st *Stream, _ []Field, end bool) {
 	s.heads[st.ID]++
 	if s.got[st.ID] == nil {
 		s.got[st.ID] = &bytes.Buffer{}
@@ -81,7 +81,7 @@
 	s.end(st, end)
 }
 
-func (s *side) Huge(st *Stream)             {}
+func (s *side) Huge(_ *Stream)              {}
 func (s *side) Reset(st *Stream, code Code) { s.resets[st.ID] = code }
 func (s *side) Unprocessed(st *Stream)      { s.resets[st.ID] = http2.ErrCodeRefusedStream }
 func (s *side) Leaving(Code)                { s.leaving = true }
@@ -230,7 +230,7 @@
 				err = s.c.Feed(b, 0)
 			}
 		}
-		var code Code = none
+		code := none
 		if e, ok := err.(*Err); ok {
 			code = e.Code
 		}
--- a/internal/ledger/calendar.go
+++ b/internal/ledger/calendar.go
@@ -14,6 +14,7 @@
 // Every is a kind of length.
 type Every uint8
 
+// The kinds of periods.
 const (
 	Hourly Every = iota // Hours at a time from the zone's midnight; the last of a day may be shorter or longer
 	Daily
--- a/internal/ledger/export/export.go
+++ b/internal/ledger/export/export.go
@@ -27,6 +27,7 @@
 // Kind of a step.
 type Kind uint8
 
+// What has to be done next.
 const (
 	Nothing    Kind = iota
 	SaveIntent      // make Intent durable, then tell Saved
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -16,6 +16,7 @@
 // Front tells how a search came.
 type Front uint8
 
+// The fronts by which a use came, and their number. Stored entries keep these values.
 const (
 	HTTP Front = iota
 	GRPC
@@ -25,6 +26,7 @@
 // Outcome is a search's one final answer.
 type Outcome uint8
 
+// How a search ended. Stored entries keep these values.
 const (
 	Answered Outcome = iota
 	Partial
@@ -149,8 +151,10 @@
 	h.waiting[at] = &c
 }
 
-// Len is how many keys wait; Uses how many uses were ever given.
-func (h *Hand) Len() int    { return len(h.waiting) }
+// Len is how many keys wait.
+func (h *Hand) Len() int { return len(h.waiting) }
+
+// Uses is how many uses were ever given.
 func (h *Hand) Uses() int64 { return h.uses }
 
 // Drawn is one key's sum.
@@ -192,6 +196,7 @@
 // Sort is a kind of entry.
 type Sort uint8
 
+// The sorts of entries. Stored entries keep these values.
 const (
 	Use        Sort = iota + 1
 	Correction      // who, why and of what stand with it
@@ -243,6 +248,7 @@
 // State of a period.
 type State uint8
 
+// The states of a period, in the order in which it takes them.
 const (
 	Open State = iota
 	Closing
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -165,7 +165,7 @@
 // Durable counts the searches in entries that are durable.
 func (r *Recorder) Durable() int64 { return r.durable.Load() }
 
-// ErrStopped: the recorder has ended, or its disk stands still.
+// ErrStopped tells that the recorder has ended, or that its disk stands still.
 var ErrStopped = errors.New("the ledger is not being written")
 
 // Do runs something beside the recording, never with it, and waits for its end.
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -211,7 +211,7 @@
 	s.at(s.now+hop, func() { s.reach(call) })
 }
 
-func (s *simulation) checkSend(c *simClient, a *Attempt) {
+func (s *simulation) checkSend(c *simClient, _ *Attempt) {
 	if c.settled && !c.request.Route.Idempotent() {
 		s.t.Fatalf("%s was sent again though it may have run", c.request.Route.Name)
 	}
--- a/internal/node/verdict/verdict.go
+++ b/internal/node/verdict/verdict.go
@@ -5,11 +5,12 @@
 type Verdict uint8
 
 const (
-	// NotRun: no byte of it left, or the receiver said so (X-Kestrelspread-Not-Executed, or status 421).
+	// NotRun holds where no byte of it left, or the receiver said so (X-Kestrelspread-Not-Executed, or status
+	// 421).
 	NotRun Verdict = iota
-	// MayHaveRun: it was sent, wholly or in part, and nothing tells what became of it.
+	// MayHaveRun holds where it was sent, wholly or in part, and nothing tells its result.
 	MayHaveRun
-	// Ran: an answer of the receiver shows that it worked on it.
+	// Ran holds where an answer of the receiver shows that it worked on it.
 	Ran
 )
 
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -125,8 +125,9 @@
 	f.tick()
 }
 
-// Late: what has been given to the network for a server that wants nothing new, and of which the network has taken none,
-// can only be taken back with its connection. Only one that stands still has such.
+// Late ends connections to a server that wants nothing new: what has been given to the network, and of
+// which the network has taken none, can only be taken back with its connection. Only one that stands still
+// has such.
 func (f *Front) Late(at int) {
 	for _, l := range append([]*line(nil), f.lines...) {
 		if l != nil && l.server == at && l.unbegun() {
@@ -135,7 +136,7 @@
 	}
 }
 
-// Forgotten: the index will be another server's.
+// Forgotten drops a server; its index will be another's.
 func (f *Front) Forgotten(at int) {
 	if at < len(f.servers) {
 		f.pool.Forgotten(at)
@@ -143,7 +144,8 @@
 	}
 }
 
-// Stopping: clients are told to go elsewhere, and still served. What is open has its last status before the end.
+// Stopping has clients go elsewhere, and still serves them. What is open has its last status before the
+// time killed.
 func (f *Front) Stopping(killed float64) {
 	f.killed = killed
 	for _, c := range f.inOrder() {
@@ -157,7 +159,7 @@
 	}
 }
 
-// Leaving: the address is closed, nothing more is taken on connections either.
+// Leaving tells that the address is closed; nothing more is taken on connections either.
 func (f *Front) Leaving() {
 	f.leaving = true
 	for _, c := range f.inOrder() {
--- a/internal/passthrough/hard_test.go
+++ b/internal/passthrough/hard_test.go
@@ -76,7 +76,7 @@
 	s := newScene(t, 6, 2, "")
 	for _, v := range s.servers {
 		v.Early = true
-		v.Script = func(k *p.Got) []p.Act { return acts(p.Head(1), p.Say(5, "first"), p.Say(50, "second"), p.End(60, 0)) }
+		v.Script = func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(5, "first"), p.Say(50, "second"), p.End(60, 0)) }
 	}
 	c := p.Dial(s.w, 1)
 	a := c.Call(&p.Ask{Path: "/quick.headers/Talk", Timeout: 2000, Open: true, Body: [][]byte{p.Message("a")}})
@@ -129,7 +129,7 @@
 
 func TestATokenedCallPastItsWindow(t *testing.T) {
 	s := newScene(t, 8, 2, "")
-	s.all(func(k *p.Got) []p.Act { return acts(p.Only(0, 14)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(0, 14)) })
 	c := p.Dial(s.w, 1)
 	a := c.Call(&p.Ask{Path: "/keyed.message/Put", Timeout: 900, Open: true, Body: [][]byte{p.Message("a")}})
 	s.w.Run(450)
@@ -148,8 +148,8 @@
 		for _, v := range s.servers {
 			v.Early = true
 		}
-		s.byAttempt(func(k *p.Got) []p.Act { return acts(p.Die(50)) },
-			func(k *p.Got) []p.Act { return acts(p.Head(100), p.Say(0, "ok"), p.End(0, 0)) })
+		s.byAttempt(func(_ *p.Got) []p.Act { return acts(p.Die(50)) },
+			func(_ *p.Got) []p.Act { return acts(p.Head(100), p.Say(0, "ok"), p.End(0, 0)) })
 		c := p.Dial(s.w, 1)
 		body := p.Message(strings.Repeat("x", sent))
 		a := c.Call(&p.Ask{Path: "/quick.message/Put", Timeout: 900, Open: true, Body: [][]byte{body}})
@@ -174,7 +174,7 @@
 
 func TestAClientThatLeavesFreesAll(t *testing.T) {
 	s := newScene(t, 10, 2, "")
-	s.all(func(k *p.Got) []p.Act {
+	s.all(func(_ *p.Got) []p.Act {
 		return acts(p.Head(1), p.Say(0, strings.Repeat("m", 30<<10)), p.Say(20, strings.Repeat("n", 60<<10)), p.Say(500, "x"), p.End(0, 0))
 	})
 	c := p.Dial(s.w, 1)
@@ -206,7 +206,7 @@
 	// The server's messages fill the client's window and its own; the rest of the answer waits there. The status needs no
 	// window.
 	s := newScene(t, 11, 2, "")
-	s.all(func(k *p.Got) []p.Act {
+	s.all(func(_ *p.Got) []p.Act {
 		list := acts(p.Head(1))
 		for range 20 {
 			list = append(list, p.Say(1, strings.Repeat("m", 30<<10)))
@@ -231,7 +231,7 @@
 
 func TestTimeRunsOutWhileARepeatIsOpened(t *testing.T) {
 	s := newScene(t, 12, 2, "")
-	s.all(func(k *p.Got) []p.Act { return acts(p.Only(270, 14)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(270, 14)) })
 	c := p.Dial(s.w, 1)
 	a := c.Call(&p.Ask{Path: quick, Timeout: 300, Body: [][]byte{p.Message("q")}})
 	s.w.Run(20)
@@ -253,7 +253,7 @@
 func TestAServerIsDrainedInTheMiddle(t *testing.T) {
 	// What runs there goes on, what waits for a channel goes elsewhere, nothing new begins.
 	s := newScene(t, 13, 2, "")
-	s.all(func(k *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(800, "b"), p.End(0, 0)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(800, "b"), p.End(0, 0)) })
 	c := p.Dial(s.w, 1)
 	a := c.Call(&p.Ask{Path: quick, Timeout: 3000, Body: [][]byte{p.Message("q")}})
 	s.w.Run(50)
@@ -346,7 +346,7 @@
 	// Channels take two streams each and twenty may wait: what comes beyond is refused at once, not kept.
 	s := newScene(t, 17, 1, "")
 	s.servers[0].Limits = h2Limits(2)
-	s.all(func(k *p.Got) []p.Act { return acts(p.Only(700, 0)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(700, 0)) })
 	c := p.Dial(s.w, 1)
 	var asks []*p.Ask
 	for range 60 {
@@ -373,7 +373,7 @@
 
 func TestReloadLeavesOpenCallsTheirRoute(t *testing.T) {
 	s := newScene(t, 18, 2, "")
-	s.all(func(k *p.Got) []p.Act {
+	s.all(func(_ *p.Got) []p.Act {
 		return acts(p.Head(1), p.Say(0, "a"), p.Say(300, strings.Repeat("b", 40<<10)), p.End(0, 0))
 	})
 	c := p.Dial(s.w, 1)
@@ -396,7 +396,7 @@
 
 func TestStopGivesEveryCallItsStatus(t *testing.T) {
 	s := newScene(t, 19, 2, "")
-	s.all(func(k *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(9000, "b"), p.End(0, 0)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(9000, "b"), p.End(0, 0)) })
 	c := p.Dial(s.w, 1)
 	long := c.Call(&p.Ask{Path: quick, Timeout: 5000, Body: [][]byte{p.Message("q")}})
 	s.w.Run(50)
@@ -405,7 +405,7 @@
 	if !c.Gone {
 		t.Error("no GOAWAY at once")
 	}
-	s.all(func(k *p.Got) []p.Act { return acts(p.Only(1, 0)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
 	short := p.Dial(s.w, 1)
 	a := short.Call(&p.Ask{Path: quick, Timeout: 300, Body: [][]byte{p.Message("q")}})
 	s.w.Run(4000)
@@ -467,7 +467,7 @@
 		v.Limits = h2Limits(100)
 		v.Limits.Window = 4 << 10
 	}
-	s.all(func(k *p.Got) []p.Act { return acts(p.Only(60, 0)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(60, 0)) })
 	c := p.Dial(s.w, 1)
 	var asks []*p.Ask
 	for range 12 {
@@ -617,7 +617,7 @@
 	if over < 3 || s.f.held > 100<<10 {
 		t.Errorf("%d of 6 turned away, %d bytes held", over, s.f.held)
 	}
-	s.all(func(k *p.Got) []p.Act { return acts(p.Only(1, 0)) })
+	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
 	if a := other.Call(&p.Ask{Path: quick, Timeout: 900}); true {
 		s.w.Run(50)
 		if a.Status != 0 {
--- a/internal/passthrough/random_test.go
+++ b/internal/passthrough/random_test.go
@@ -106,7 +106,7 @@
 		case 5:
 			return append(list, p.Raw(0, []byte{9, 9, 9, 9, 9, 9}))
 		case 6:
-			list = append(list, p.Act{After: 0, Do: func(s *p.Server, k *p.Got) {
+			list = append(list, p.Act{After: 0, Do: func(_ *p.Server, k *p.Got) {
 				c := k.Conn()
 				c.H.Farewell(http2.ErrCodeNo) // takes nothing new, goes on with what it has
 				c.Flush()
--- a/internal/passthrough/rare_test.go
+++ b/internal/passthrough/rare_test.go
@@ -10,7 +10,7 @@
 	// Each way to wait: for a connect, and as a head that stands before a network which takes nothing.
 	for _, how := range []string{"connect", "stands still"} {
 		s := newScene(t, 31, 1, "")
-		s.all(func(k *p.Got) []p.Act { return acts(p.Only(20, 0)) })
+		s.all(func(_ *p.Got) []p.Act { return acts(p.Only(20, 0)) })
 		c := p.Dial(s.w, 1)
 		first := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
 		s.w.Run(100)
@@ -47,7 +47,7 @@
 	// Its server turns it away and names a time to come back; where the client stays it goes again then.
 	for _, how := range []string{"stays", "closes", "resets"} {
 		s := newScene(t, 33, 1, "")
-		s.all(func(k *p.Got) []p.Act { return acts(p.Only(5, 14, "grpc-retry-pushback-ms", "300")) })
+		s.all(func(_ *p.Got) []p.Act { return acts(p.Only(5, 14, "grpc-retry-pushback-ms", "300")) })
 		c := p.Dial(s.w, 1)
 		a := c.Call(&p.Ask{Path: quick, Timeout: 1500, Body: [][]byte{p.Message("q")}})
 		s.w.Run(100)
--- a/internal/passthrough/table_test.go
+++ b/internal/passthrough/table_test.go
@@ -172,7 +172,7 @@
 	for _, r := range list {
 		t.Run(r.name, func(t *testing.T) {
 			s := newScene(t, 3, 2, "", tableRoutes()...)
-			s.byAttempt(func(k *p.Got) []p.Act { return r.acts }, func(k *p.Got) []p.Act {
+			s.byAttempt(func(_ *p.Got) []p.Act { return r.acts }, func(_ *p.Got) []p.Act {
 				if r.again != nil {
 					return r.again
 				}
--- a/internal/predict/predict.go
+++ b/internal/predict/predict.go
@@ -119,5 +119,6 @@
 	return max(min(CopyTop, 1-s.FalseRate(now)), CopyFloor)
 }
 
-// Crowded: slowness on most brokers together, where the design assumes short bursts on few. calm is the lowest median seen.
+// Crowded tells slowness on most brokers together, where the design assumes short bursts on few. calm is
+// the lowest median seen.
 func Crowded(median, calm float64) bool { return calm > 0 && median > CrowdTimes*calm }
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -84,9 +84,10 @@
 	return nil
 }
 
-// How a sub-request ended at its server.
+// End tells how a sub-request ended at its server, by the value on the wire.
 type End uint8
 
+// The ends of a sub-request.
 const (
 	OK End = iota
 	Errored
@@ -144,6 +145,8 @@
 // it goes with every sub-request of the part.
 func AppendCall(dst []byte) []byte { return append(dst, 0, 0, 0, 0, Call) }
 
+// AppendPart appends one sub-request to a call frame: its id and shard, the milliseconds that are left (at
+// least 1), an optional mark and the text of the search.
 func AppendPart(dst []byte, id string, shard int, wait float64, mark, text []byte) []byte {
 	dst = append(append(dst, id...), ' ')
 	dst = append(strconv.AppendInt(dst, int64(shard), 10), " d="...)
@@ -155,6 +158,7 @@
 	return append(dst, text...)
 }
 
+// EndFrame writes the length of a frame that began at from into its first four bytes.
 func EndFrame(dst []byte, from int) []byte {
 	binary.LittleEndian.PutUint32(dst[from:], uint32(len(dst)-from-4))
 	return dst
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -9,6 +9,7 @@
 	"unicode/utf8"
 )
 
+// Limits on what peers send, in bytes.
 const (
 	MaxHead  = 8 << 10
 	MaxBody  = 64 << 10
@@ -29,6 +30,7 @@
 // Step tells how far a message has come.
 type Step uint8
 
+// How far a message has come.
 const (
 	More   Step = iota // the bytes ended first
 	Headed             // its head is whole, a body follows
@@ -83,6 +85,7 @@
 // Next makes it ready for another message.
 func (m *HTTP) Next() { m.buf, m.at, m.head, m.final, m.chunked = m.buf[:0], inHead, 0, false, false }
 
+// Body gives the message's body as far as it has come; valid until Next or Feed.
 func (m *HTTP) Body() []byte { return m.buf[m.head:] }
 
 // Last tells whether the sender wants the connection closed after this message.
@@ -434,6 +437,7 @@
 	return l.depth <= 0 || l.quoted // no line ends within a string
 }
 
+// Feed takes the next bytes and calls each with every line that they complete; it ends at the first error.
 func (l *Lines) Feed(b []byte, each func(line []byte) error) error {
 	for {
 		line, rest, ended := bytes.Cut(b, []byte("\n"))
@@ -497,6 +501,7 @@
 	return append(dst, `,"matches":[`...)
 }
 
+// AppendMatch appends the value of one shard to an answer that is being written.
 func AppendMatch(dst []byte, shard int, value []byte) []byte {
 	if dst[len(dst)-1] != '[' {
 		dst = append(dst, ',')
@@ -507,6 +512,7 @@
 	return append(appendString(dst, value), '}')
 }
 
+// EndAnswer appends the end of an answer.
 func EndAnswer(dst []byte) []byte { return append(dst, "]}"...) }
 
 // unescape gives a JSON string's bytes.
--- a/internal/rig/faultrun/operator.go
+++ b/internal/rig/faultrun/operator.go
@@ -167,7 +167,7 @@
 }
 
 // answer brings an answer to its caller, unless it is lost or the machine goes as it leaves.
-func (w *World) answer(m *machine, arrived func()) {
+func (w *World) answer(_ *machine, arrived func()) {
 	if w.random.Float64() < w.checks.answerLoss {
 		return
 	}
--- a/internal/rig/fleet/layout.go
+++ b/internal/rig/fleet/layout.go
@@ -11,9 +11,9 @@
 
 var (
 	namespace = errorx.NewNamespace("fleet")
-	// NotStarted: the fleet could not be started.
+	// NotStarted is the type of errors of a fleet that could not be started.
 	NotStarted = namespace.NewType("not_started")
-	// TooLate: what was waited for did not come in time.
+	// TooLate is the type of errors of what was waited for and did not come in time.
 	TooLate = namespace.NewType("too_late")
 )
 
--- a/internal/rig/links/links.go
+++ b/internal/rig/links/links.go
@@ -36,6 +36,7 @@
 // Up is what holds for new connections.
 type Up uint8
 
+// What becomes of a connect.
 const (
 	Opens    Up = iota
 	Refuses     // at once
--- a/internal/rig/scenario/file.go
+++ b/internal/rig/scenario/file.go
@@ -49,6 +49,7 @@
 	slack float64 // ms by which an answer may come after its time: what runs beside takes its part of the machine
 }
 
+// Site is one site: how many servers and brokers stand there.
 type Site struct {
 	Name    string   `json:"name"`
 	Servers int      `json:"servers"`
@@ -56,6 +57,7 @@
 	Load    *float64 `json:"load"`
 }
 
+// Servers tells how servers work.
 type Servers struct {
 	Slots int     `json:"slots"`
 	Work  float64 `json:"work-ms"`
@@ -69,6 +71,7 @@
 	} `json:"cold"`
 }
 
+// Type is one query type and its load.
 type Type struct {
 	Name    string   `json:"name"`
 	PerS    float64  `json:"per-s"`
@@ -81,17 +84,20 @@
 	Effect  string   `json:"effect"`
 }
 
+// Clients tells how clients behave that are refused.
 type Clients struct {
 	Retries *int     `json:"retries"`
 	Honour  *float64 `json:"honour"`
 	Check   float64  `json:"check-ms"`
 }
 
+// Links are the ways within a site and between two.
 type Links struct {
 	Within  links.Way `json:"within"`
 	Between links.Way `json:"between"`
 }
 
+// List tells how soon the list of servers follows what happens.
 type List struct {
 	Gone float64 `json:"gone-ms"`
 	Back float64 `json:"back-ms"`
--- a/internal/rig/scenario/report.go
+++ b/internal/rig/scenario/report.go
@@ -230,19 +230,19 @@
 			if !s.Lost {
 				continue
 			}
-			true_ := false
+			isTrue := false
 			for i, sp := range w.lostEver {
 				// A site that brokers there hold the others to be lost for is cut off from them: that is no false alarm.
 				mine := sp.site == site || sp.site == b.site
 				if mine && s.At >= sp.from-5 && s.At <= sp.to+1000 {
-					true_ = true
+					isTrue = true
 					if i == 0 && sp.site == site {
 						heard[b.name] = true
 						r.Detect = max(r.Detect, 0)
 					}
 				}
 			}
-			if !true_ {
+			if !isTrue {
 				r.False++
 			}
 		}
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/rig/scenario/scenario_test.go
@@ -164,7 +164,7 @@
 
 func TestTheSameFileGivesTheSameSchedule(t *testing.T) {
 	line := `{"at-s":1,"for-s":0.5,"do":"kill","on":"brokers@north","spread-s":3},{"at-s":2,"for-s":0.4,"do":"cut","from":"*","to":"@south","every-s":1,"until-s":5}`
-	who := func(p string, share float64) []string { return []string{p + "-a", p + "-b"} }
+	who := func(p string, _ float64) []string { return []string{p + "-a", p + "-b"} }
 	one, two := fmt.Sprint(read(t, line).Schedule(who)), fmt.Sprint(read(t, line).Schedule(who))
 	if one != two {
 		t.Fatal("schedules differ")
@@ -238,7 +238,7 @@
 		if err := g.check(); err != nil {
 			t.Errorf("%s, short: %v", file, err)
 		}
-		for _, s := range g.Schedule(func(p string, share float64) []string { return []string{p} }) {
+		for _, s := range g.Schedule(func(p string, _ float64) []string { return []string{p} }) {
 			if s.At < 0 || s.At > g.Seconds {
 				t.Errorf("%s, short: %v of %v s", file, s, g.Seconds)
 			}
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -19,6 +19,7 @@
 // Commit tells what of a response the client may see before a repeat is ruled out.
 type Commit uint8
 
+// When an attempt is committed: from then on no other may take its place.
 const (
 	AtMessage Commit = iota // with its first message: initial metadata waits for that
 	AtHeaders               // with its initial metadata, for clients that wait for it before they send
--- a/internal/routing/front.go
+++ b/internal/routing/front.go
@@ -17,6 +17,7 @@
 // Ending is what a search's one final answer says.
 type Ending uint8
 
+// How a search ended.
 const (
 	Whole   Ending = iota
 	Partial        // at or over the floor, and said to be in part
@@ -211,7 +212,7 @@
 	return q
 }
 
-// Leave: nobody waits for a search any more.
+// Leave tells that nobody waits for a search any more.
 func (r *Router) Leave(q *Search) {
 	if !q.ended {
 		r.Count.Left++
--- a/internal/routing/lane.go
+++ b/internal/routing/lane.go
@@ -68,6 +68,7 @@
 	moved     bool // to another connection, when the first broke before it had begun
 }
 
+// Send implements decide.Out: one more sub-request of a part goes to a server.
 func (r *Router) Send(at, server int, within, begin float64) {
 	p := r.slots[at].part
 	s := &sub{part: p, no: len(p.subs), server: server, within: p.q.until, begin: math.Inf(1), began: r.now, class: p.classOf()}
@@ -330,6 +331,7 @@
 	r.outcomes = append(r.outcomes, outcome{s, how, report})
 }
 
+// Cancel implements decide.Out: a sub-request is called off.
 func (r *Router) Cancel(at, no int) {
 	p := r.slots[at].part
 	if must.Hold(no < len(p.subs), "only what was sent is called off"); no < len(p.subs) {
@@ -375,7 +377,7 @@
 			r.Count.CalledOff++
 			r.scratch = protocol.AppendShort(r.scratch[:0], protocol.Abandon, s.part.id)
 			r.tell(l, r.scratch)
-			r.timers.add(s.part.q.until+lateMost, func(r *Router) {
+			r.timers.add(s.part.q.until+lateMost, func(_ *Router) {
 				if l.subs[s.part.id] == s {
 					delete(l.subs, s.part.id)
 				}
@@ -387,6 +389,7 @@
 
 const lateMost = 10000 // after its search's time, no reply comes to what was called off
 
+// Probe implements decide.Out: a server that is set aside is probed over a connection of its own.
 func (r *Router) Probe(server int) {
 	l := r.connect(server) // what is open may be what does not answer
 	sent := r.now
--- a/internal/routing/meter.go
+++ b/internal/routing/meter.go
@@ -91,6 +91,8 @@
 	r.meter.Used(&u)
 }
 
-// Kinds and Customers name what Used numbers. A customer that no setting names is the first.
-func (r *Router) Kinds() []string     { return r.rules.kindNames }
+// Kinds names the query types that Used numbers.
+func (r *Router) Kinds() []string { return r.rules.kindNames }
+
+// Customers names the customers that Used numbers. A customer that no setting names is the first.
 func (r *Router) Customers() []string { return r.rules.customerNames }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -343,6 +343,8 @@
 // after has something done once a time has come.
 func (r *Router) after(in float64, due func(r *Router)) *timer { return r.timers.add(r.now+in, due) }
 
+// Told takes a word from another goroutine: that the process has to end, that the configuration was read,
+// and the like.
 func (r *Router) Told(what int32) {
 	switch what {
 	case Terminate:
@@ -467,6 +469,7 @@
 	}
 }
 
+// Opened implements transport.Handler: a connection that was asked for is up.
 func (r *Router) Opened(c transport.Conn) {
 	if l := r.peer(c).lane; l != nil {
 		r.laneOpened(l)
@@ -478,6 +481,7 @@
 	r.drain()
 }
 
+// Bytes implements transport.Handler: bytes came on a connection, at a time.
 func (r *Router) Bytes(c transport.Conn, b []byte, came float64) {
 	r.Count.BytesIn += int64(len(b))
 	if k := r.peer(c).client; k != nil {
@@ -492,6 +496,7 @@
 	r.drain()
 }
 
+// Written implements transport.Handler: the system has taken what was written on a connection up to there.
 func (r *Router) Written(c transport.Conn, upTo int64) {
 	if k := r.peer(c).client; k != nil {
 		k.written = upTo
@@ -506,6 +511,7 @@
 	}
 }
 
+// Closed implements transport.Handler: a connection is gone, and what was written behind upTo never left.
 func (r *Router) Closed(c transport.Conn, upTo int64) {
 	r.sockets--
 	r.closed = c
@@ -583,7 +589,7 @@
 	return len(r.slots) - 1
 }
 
-// Wake, Log: the rest of decide.Out is with what it concerns.
+// Wake implements decide.Out, as does Log; its other methods stand with what they concern.
 func (r *Router) Wake(in float64) { r.wake = min(r.wake, r.now+in) }
 
 // Log writes what the module has to say. News of a whole site must not be held back behind lines about single servers.
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -294,7 +294,7 @@
 	}
 }
 
-func (w *world) readFrames(c transport.Conn, e *end) {
+func (w *world) readFrames(_ transport.Conn, e *end) {
 	at := int(e.to.Addr().As4()[3]) - 1
 	for len(e.got) >= 4 {
 		n := int(binary.LittleEndian.Uint32(e.got)) + 4
--- a/internal/routing/search.go
+++ b/internal/routing/search.go
@@ -138,6 +138,7 @@
 	key         uint64
 }
 
+// Accepted implements transport.Handler: a client has connected.
 func (r *Router) Accepted(conn transport.Conn) {
 	r.Count.Accepted++
 	r.sockets++
@@ -161,6 +162,7 @@
 	return max(r.rules.limit-spareSockets-lanes, 1)
 }
 
+// AcceptFailed implements transport.Handler: no descriptor was left for a client.
 func (r *Router) AcceptFailed() { r.pause("no descriptor, %d held", r.sockets) }
 
 // pause stops accepting: who has connected and is not accepted waits, who has been idle gives way, and answers
@@ -520,6 +522,7 @@
 	return true
 }
 
+// Answer implements decide.Out: a search is answered from the parts that are in.
 func (r *Router) Answer(at int, allIn bool) {
 	q := r.slots[at].search
 	q.whole = allIn
@@ -555,11 +558,13 @@
 	r.end(q, 200, 0, r.body)
 }
 
+// Shed implements decide.Out: a search is refused, with advice when to ask again (0: none).
 func (r *Router) Shed(at int, comeBack float64) {
 	r.Count.Shed++
 	r.end(r.slots[at].search, 503, comeBack, nil)
 }
 
+// Fail implements decide.Out: a search ends in error.
 func (r *Router) Fail(at int) {
 	r.Count.Errored++
 	r.end(r.slots[at].search, 500, 0, nil)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -94,6 +94,7 @@
 	return int(min(max(v.Num(path, float64(missing)), math.MinInt32), math.MaxInt32))
 }
 
+// Flag tells whether the value at a path is true; false where there is none.
 func (v Values) Flag(path string) bool { return v[path] == "true" }
 
 func (v Values) has(path string) bool { return v[path] != "" }
--- a/internal/standin/crowd/crowd.go
+++ b/internal/standin/crowd/crowd.go
@@ -383,7 +383,7 @@
 }
 
 // Send is the module's wish.
-func (b *broker) Send(id, to int, within, _ float64) {
+func (b *broker) Send(id, to int, _, _ float64) {
 	w := b.w
 	p, s := b.slots[id].(*part), w.servers[to]
 	t := &try{p: p, no: len(p.tries), sv: s, life: b.life}
--- a/internal/standin/grpcpeer/client.go
+++ b/internal/standin/grpcpeer/client.go
@@ -194,6 +194,7 @@
 	}
 }
 
+// Headers implements h2.Events: the first headers of a stream, or its trailers, have come.
 func (c *Client) Headers(s *h2.Stream, fields []h2.Field, end bool) {
 	a := s.Of.(*Ask)
 	fields = append([]h2.Field(nil), fields...)
@@ -220,6 +221,7 @@
 	c.ended(a)
 }
 
+// Data implements h2.Events: bytes of a body have come.
 func (c *Client) Data(s *h2.Stream, b []byte, end bool) {
 	a := s.Of.(*Ask)
 	a.Got = append(a.Got, b...)
@@ -233,7 +235,10 @@
 	}
 }
 
+// Huge implements h2.Events: a block of headers was too large; nothing is done about it.
 func (c *Client) Huge(*h2.Stream) {}
+
+// Reset implements h2.Events: the peer has reset a stream.
 func (c *Client) Reset(s *h2.Stream, code h2.Code) {
 	a := s.Of.(*Ask)
 	if a.Finals == 0 {
@@ -241,10 +246,16 @@
 		c.ended(a)
 	}
 }
+
+// Unprocessed implements h2.Events: the peer says that it never looked at a stream.
 func (c *Client) Unprocessed(s *h2.Stream) {
 	a := s.Of.(*Ask)
 	a.WasReset, a.ResetBy, a.DoneAt = true, http2.ErrCodeRefusedStream, c.W.Now
 	c.ended(a)
 }
+
+// Leaving implements h2.Events: the peer takes no new streams.
 func (c *Client) Leaving(h2.Code) { c.Gone = true }
-func (c *Client) Settings()       {}
+
+// Settings implements h2.Events: the peer's settings have come; they are of no interest here.
+func (c *Client) Settings() {}
--- a/internal/standin/grpcpeer/grpcpeer.go
+++ b/internal/standin/grpcpeer/grpcpeer.go
@@ -99,6 +99,7 @@
 	return c
 }
 
+// Opened implements virtual.Peer: the broker has connected.
 func (c *Conn) Opened(*virtual.End) {
 	if c.S.Greet != nil && !c.S.Greet(c) {
 		c.H.Out()
@@ -108,6 +109,7 @@
 	c.Flush()
 }
 
+// Bytes implements virtual.Peer: bytes of the broker have come.
 func (c *Conn) Bytes(_ *virtual.End, b []byte) {
 	if c.Dead {
 		return
@@ -116,7 +118,7 @@
 	c.Flush()
 }
 
-// Closed: the broker has gone, and its calls with it.
+// Closed implements virtual.Peer: the broker has gone, and its calls with it.
 func (c *Conn) Closed(*virtual.End) {
 	if c.Dead {
 		return
@@ -149,6 +151,7 @@
 	c.End.Close()
 }
 
+// Headers implements h2.Events: the first headers of a stream, or its trailers, have come.
 func (c *Conn) Headers(s *h2.Stream, fields []h2.Field, end bool) {
 	if s.Of != nil {
 		return
@@ -164,6 +167,7 @@
 	}
 }
 
+// Data implements h2.Events: bytes of a body have come.
 func (c *Conn) Data(s *h2.Stream, b []byte, end bool) {
 	k := s.Of.(*Got)
 	k.Body = append(k.Body, b...)
@@ -181,7 +185,10 @@
 	}
 }
 
+// Huge implements h2.Events: a block of headers was too large; nothing is done about it.
 func (c *Conn) Huge(*h2.Stream) {}
+
+// Reset implements h2.Events: the peer has reset a stream.
 func (c *Conn) Reset(s *h2.Stream, _ h2.Code) {
 	if k, ok := s.Of.(*Got); ok {
 		k.Reset, k.ResetAt = true, c.S.W.Now
@@ -190,9 +197,15 @@
 		}
 	}
 }
+
+// Unprocessed implements h2.Events: the peer says that it never looked at a stream.
 func (c *Conn) Unprocessed(*h2.Stream) {}
-func (c *Conn) Leaving(h2.Code)        {}
-func (c *Conn) Settings()              {}
+
+// Leaving implements h2.Events: the peer takes no new streams.
+func (c *Conn) Leaving(h2.Code) {}
+
+// Settings implements h2.Events: the peer's settings have come; they are of no interest here.
+func (c *Conn) Settings() {}
 
 // act runs the script of a call.
 func (k *Got) act() {
@@ -240,7 +253,7 @@
 
 // Head sends initial metadata.
 func Head(after float64, fields ...string) Act {
-	return Act{after, func(s *Server, k *Got) {
+	return Act{after, func(_ *Server, k *Got) {
 		list := []h2.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
 		k.Conn().H.Respond(k.Stream, append(list, pairs(fields)...), false, k)
 	}}
@@ -258,7 +271,7 @@
 
 // Raw sends bytes of a body, whatever they are.
 func Raw(after float64, b []byte) Act {
-	return Act{after, func(s *Server, k *Got) {
+	return Act{after, func(_ *Server, k *Got) {
 		k.out = append(k.out, b)
 		k.Stream.Ready()
 	}}
@@ -266,7 +279,7 @@
 
 // End sends trailers with a status.
 func End(after float64, status int, fields ...string) Act {
-	return Act{after, func(s *Server, k *Got) {
+	return Act{after, func(_ *Server, k *Got) {
 		k.trail = append([]h2.Field{{Name: "grpc-status", Value: strconv.Itoa(status)}}, pairs(fields)...)
 		k.end = true
 		k.Stream.Ready()
@@ -275,7 +288,7 @@
 
 // EndBare ends the body without trailers.
 func EndBare(after float64) Act {
-	return Act{after, func(s *Server, k *Got) { k.end = true; k.Stream.Ready() }}
+	return Act{after, func(_ *Server, k *Got) { k.end = true; k.Stream.Ready() }}
 }
 
 // Only sends a response of nothing but a status.
@@ -286,17 +299,17 @@
 
 // OnlyFields sends one header block and the end.
 func OnlyFields(after float64, fields ...string) Act {
-	return Act{after, func(s *Server, k *Got) { k.Conn().H.Respond(k.Stream, pairs(fields), true, nil) }}
+	return Act{after, func(_ *Server, k *Got) { k.Conn().H.Respond(k.Stream, pairs(fields), true, nil) }}
 }
 
 // Reset resets the stream.
 func Reset(after float64, code http2.ErrCode) Act {
-	return Act{after, func(s *Server, k *Got) { k.Conn().H.Reset(k.Stream, code) }}
+	return Act{after, func(_ *Server, k *Got) { k.Conn().H.Reset(k.Stream, code) }}
 }
 
 // Die ends the process: all connections close, and nobody listens.
 func Die(after float64) Act {
-	return Act{after, func(s *Server, k *Got) {
+	return Act{after, func(s *Server, _ *Got) {
 		for _, c := range s.Conns {
 			if !c.Dead {
 				c.Kill()
@@ -307,7 +320,7 @@
 
 // Bytes sends what is no HTTP/2 down the call's connection.
 func Bytes(after float64, b []byte) Act {
-	return Act{after, func(s *Server, k *Got) {
+	return Act{after, func(_ *Server, k *Got) {
 		c := k.Conn()
 		c.Flush()
 		c.End.Send(b)
@@ -316,7 +329,7 @@
 
 // Bye says GOAWAY: takes only the streams so far, or none of those that it has not answered.
 func Bye(after float64, last uint32, code http2.ErrCode) Act {
-	return Act{after, func(s *Server, k *Got) {
+	return Act{after, func(_ *Server, k *Got) {
 		c := k.Conn()
 		c.Flush()
 		c.End.Send(GoAway(last, code))
--- a/internal/standin/receiver/receiver.go
+++ b/internal/standin/receiver/receiver.go
@@ -15,6 +15,7 @@
 // Mode is what it does with the next batch.
 type Mode int
 
+// How the receiver behaves.
 const (
 	Fine    Mode = iota
 	Lose         // takes it, and breaks the connection before its reply
--- a/internal/standin/rules/rules.go
+++ b/internal/standin/rules/rules.go
@@ -12,6 +12,7 @@
 // Effect is what a second run would do.
 type Effect uint8
 
+// The effects that a second run of a sub-request may have.
 const (
 	Idempotent Effect = iota
 	Tokened
@@ -71,7 +72,7 @@
 // Wrong puts down what another checker found.
 func (b *Book) Wrong(form string, args ...any) { b.wrong(form, args...) }
 
-// Asked: a search was sent whole, its client waits until a time.
+// Asked records that a search was sent whole; its client waits until a time.
 func (b *Book) Asked(id string, effect Effect, at, until float64) {
 	if b.asks[id] != nil {
 		b.wrong("two searches %s", id)
@@ -81,10 +82,10 @@
 	b.taken = append(b.taken, at)
 }
 
-// Left: its client waits no more.
+// Left records that a search's client waits no more.
 func (b *Book) Left(id string) { b.asks[id].left = true }
 
-// Sent: a server was sent a sub-request of a search's part.
+// Sent records that a server was sent a sub-request of a search's part.
 func (b *Book) Sent(id, part, server string, at float64) *Sub {
 	a := b.asks[id]
 	s := &Sub{Part: part, Server: server, At: at}
@@ -140,17 +141,18 @@
 	}
 }
 
-// NeverRan: the server proved to its broker that it had not looked at it.
+// NeverRan records that the server proved to its broker that it had not looked at the sub-request.
 func (s *Sub) NeverRan(at float64) { s.Never, s.NeverAt = true, at }
 
-// Answered: a server gave this for a search, whole.
+// Answered records what a server gave for a search, whole.
 func (b *Book) Answered(id string, value []byte) {
 	if a := b.asks[id]; a != nil {
 		a.answers = append(a.answers, append([]byte(nil), value...))
 	}
 }
 
-// Final: the client had a final answer. whole: it says that value is the whole of it. harmless: it invites asking again.
+// Final records the client's final answer. whole: it says that value is the whole of it. harmless: it
+// invites asking again.
 func (b *Book) Final(id string, at float64, whole bool, value []byte, harmless bool) {
 	a := b.asks[id]
 	if a == nil {
@@ -180,7 +182,7 @@
 	}
 }
 
-// Told: discovery has told the broker to send a server nothing new, or that it may again.
+// Told records that discovery told the broker to send a server nothing new, or that it may again.
 func (b *Book) Told(server string, drains bool, at float64) {
 	if !drains {
 		delete(b.drained, server)
@@ -189,7 +191,7 @@
 	}
 }
 
-// Cold: a server is cold for a time.
+// Cold records that a server is cold for a time.
 func (b *Book) Cold(server string, from, to float64) { b.cold[server] = [2]float64{from, to} }
 
 // Check gives what was found so far; at now, no search may be without its answer past its time.
--- a/internal/standin/sockets/sockets.go
+++ b/internal/standin/sockets/sockets.go
@@ -27,11 +27,16 @@
 // Raw passes messages of gRPC as bytes: *[]byte.
 type Raw struct{}
 
+// Marshal implements encoding.Codec: v is a *[]byte, whose bytes go as they are.
 func (Raw) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
+
+// Unmarshal implements encoding.Codec: v is a *[]byte, which takes a copy.
 func (Raw) Unmarshal(b []byte, v any) error {
 	*v.(*[]byte) = append((*v.(*[]byte))[:0], b...)
 	return nil
 }
+
+// Name implements encoding.Codec; peers take the bytes for protocol buffers.
 func (Raw) Name() string { return "proto" }
 
 var _ encoding.Codec = Raw{}
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/virtual/world.go
@@ -45,7 +45,7 @@
 	opened  float64
 }
 
-// Broker tells when the connection was made.
+// Since tells when the connection was made.
 func (e *End) Since() float64 { return e.opened }
 
 // World is the network, its clock and the broker in it.
@@ -289,6 +289,7 @@
 
 // What follows is the network as the broker uses it (routing.Net).
 
+// Connect implements routing.Net: the broker connects to an address, which may answer later or never.
 func (w *World) Connect(addr netip.AddrPort) transport.Conn {
 	e := w.take(&End{to: addr, door: -1})
 	accept := w.listen[addr]
@@ -331,6 +332,8 @@
 	w.mark(e)
 }
 
+// Retract implements routing.Net: it takes back what was written from there on, if the network has taken
+// none of it.
 func (w *World) Retract(c transport.Conn, from int64) bool {
 	e := w.end(c)
 	if !e.open || e.ended || from < e.upTo {
@@ -349,6 +352,7 @@
 	w.dirty = append(w.dirty, e)
 }
 
+// Finish implements routing.Net: what is written still goes out, then the connection closes.
 func (w *World) Finish(c transport.Conn) {
 	e := w.end(c)
 	e.ended = true
@@ -356,6 +360,7 @@
 	w.mark(e)
 }
 
+// Close implements routing.Net: the connection is gone at once.
 func (w *World) Close(c transport.Conn) {
 	e := w.end(c)
 	e.drop()
@@ -364,6 +369,7 @@
 	}
 }
 
+// Reading implements routing.Net: it stops or goes on to take bytes from a connection.
 func (w *World) Reading(c transport.Conn, on bool) {
 	e := w.end(c)
 	e.muted = !on
@@ -375,11 +381,22 @@
 	}
 }
 
-func (w *World) Accept(bool)               {}
-func (w *World) Unlisten() bool            { w.Deaf = true; return true }
-func (w *World) Arm(at float64)            { w.armed = at }
-func (w *World) Stop()                     { w.Stopped = true }
+// Accept implements routing.Net; connections are always accepted here.
+func (w *World) Accept(bool) {}
+
+// Unlisten implements routing.Net: nobody can connect to the broker any more.
+func (w *World) Unlisten() bool { w.Deaf = true; return true }
+
+// Arm implements routing.Net: the broker is woken at a time.
+func (w *World) Arm(at float64) { w.armed = at }
+
+// Stop implements routing.Net: the broker ends.
+func (w *World) Stop() { w.Stopped = true }
+
+// Door implements routing.Net: the number of the listening address by which a client came.
 func (w *World) Door(c transport.Conn) int { return w.end(c).door }
+
+// End is the broker's end of a connection.
 func (w *World) End(c transport.Conn) *End { return w.ends[c] }
 
 // give has the network take what the broker wrote, as far as it does.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -34,6 +34,8 @@
 	}
 }
 
-// Out is how many are out now, Top how many were at most.
+// Out is how many buffers are out now.
 func (p *Pool) Out() int { return p.out }
+
+// Top is how many buffers were out at once at the most.
 func (p *Pool) Top() int { return p.top }
--- a/internal/transport/rare_test.go
+++ b/internal/transport/rare_test.go
@@ -193,7 +193,7 @@
 	begun int
 }
 
-func (f *failing) Begin(now float64) {
+func (f *failing) Begin(_ float64) {
 	if f.begun++; f.begun == 1 {
 		panic("a defect")
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -92,6 +92,7 @@
 	Sockets            int // held now, the listener among them
 }
 
+// New makes a loop with an epoll instance and a timer of its own; buffers come from the pool.
 func New(pool *Pool) (*Loop, error) {
 	l := &Loop{pool: pool, start: time.Now(), scratch: make([]byte, pool.Size), oob: make([]byte, 64)}
 	var err error
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -80,7 +80,7 @@
 	}
 	s.took = func(Conn) { stall() } // what is written now is read in a later turn
 	tries := 0
-	s.bytes = func(_ Conn, b []byte, at float64) {
+	s.bytes = func(_ Conn, _ []byte, at float64) {
 		oldest = max(oldest, s.l.Now()-at)
 		// The kernel begins to stamp a little after it was first asked to.
 		if tries++; oldest > 55 || tries == 50 {
@@ -101,7 +101,7 @@
 	s, at := start(t)
 	c := dial(t, at)
 	answer := bytes.Repeat([]byte("0123456789abcdef"), 200) // more than the pool holds in one buffer
-	s.bytes = func(c Conn, b []byte, _ float64) {
+	s.bytes = func(c Conn, _ []byte, _ float64) {
 		s.l.Write(c, answer)
 		s.l.Finish(c)
 	}
@@ -197,7 +197,7 @@
 	s, at := start(t)
 	c := dial(t, at)
 	ended := false
-	s.bytes = func(c Conn, b []byte, _ float64) { s.l.Write(c, make([]byte, 64<<20)) } // no socket takes so much
+	s.bytes = func(c Conn, _ []byte, _ float64) { s.l.Write(c, make([]byte, 64<<20)) } // no socket takes so much
 	s.closed = func(Conn, int64) { ended = true; s.l.Stop() }
 	c.Write([]byte("x"))
 	if err := s.l.Run(s); err != nil || !ended || s.l.pool.Out() != 0 {
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -10,6 +10,7 @@
 	sum   []float64
 }
 
+// NewCounts makes a ring of buckets, each of which sums what came within width (in the caller's unit of time).
 func NewCounts(buckets int, width float64) *Counts {
 	c := &Counts{width: width, tick: make([]int64, buckets), sum: make([]float64, buckets)}
 	for i := range c.tick {
@@ -18,6 +19,7 @@
 	return c
 }
 
+// Add counts v at a time.
 func (c *Counts) Add(now, v float64) {
 	t := int64(math.Floor(now / c.width))
 	i := int(uint64(t) % uint64(len(c.tick)))
@@ -58,6 +60,8 @@
 	n                   int
 }
 
+// NewHist makes a ring of buckets, each of width; values from low on fall into bins whose bounds grow by
+// the factor step.
 func NewHist(buckets int, width, low, step float64, bins int) *Hist {
 	h := &Hist{width: width, low: low, logStep: math.Log(step), bins: bins, last: math.MinInt64,
 		tick: make([]int64, buckets), count: make([]int32, buckets*bins), total: make([]int32, bins)}
@@ -88,6 +92,7 @@
 	return t
 }
 
+// Add counts one value at a time.
 func (h *Hist) Add(now, v float64) {
 	t := h.advance(now)
 	i := int(uint64(t) % uint64(len(h.tick)))
