--- a/internal/node/coretest/network.go
+++ b/internal/node/coretest/network.go
@@ -1,5 +1,12 @@
-// Package coretest runs state machines of many nodes in tests, under a virtual clock and on a virtual network with
-// seeded delays, losses, copies, cuts, freezes and ends of nodes. Nothing in it waits for real time.
+// Package coretest runs the state machines of many nodes in tests, under a virtual clock and on a
+// virtual network with seeded delays, message loss, duplication and partitions, and with frozen and
+// killed nodes.
+//
+// It is for tests alone, and carries out no effect but core.Send: all other outputs go to the test.
+//
+// Invariants: nothing waits for real time; a run depends on the seed and the calls of the test
+// only, as all random draws are made in the order of the events, and events at the same time happen
+// in the order in which they were queued.
 package coretest
 
 import (
@@ -13,51 +20,54 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Machine is a node's state machine.
+// Machine is a node's state machine: see package core.
 type Machine interface {
 	Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output
 	Tick(now core.Time) []core.Output
 	Deadline() core.Time
 }
 
-// Network carries messages between nodes. Its time is true time; each node counts from its own start.
+// Network carries messages between nodes. Its clock shows true time, which starts at 0; each node's
+// own clock starts when the node is added.
 type Network struct {
-	Random    *rand.Rand
-	MinDelay  time.Duration
+	Random    *rand.Rand    // source of all random draws
+	MinDelay  time.Duration // bounds of the latency of a message
 	MaxDelay  time.Duration
-	Loss      float64 // share of messages that do not arrive
-	Duplicate float64 // share of messages that arrive twice
+	Loss      float64 // probability that a message doesn't arrive
+	Duplicate float64 // probability that a message is sent twice
 
-	now       time.Duration
-	nodes     []*Node
-	byAddress map[string]*Node
-	inFlight  deliveries
-	order     uint64
-	cuts      map[[2]string]bool
-	steps     []step
+	now        time.Duration
+	nodes      []*Node
+	byAddress  map[string]*Node
+	inFlight   deliveries
+	sequence   uint64
+	partitions map[[2]string]bool
+	scheduled  []scheduledCall
 }
 
-// step is something that a test does at a given time.
-type step struct {
-	at time.Duration
-	do func()
+// scheduledCall is a call of the test at a given true time.
+type scheduledCall struct {
+	dueAt time.Duration
+	call  func()
 }
 
-// NewNetwork returns a network without nodes, whose messages take 1 to 3 ms.
+// NewNetwork returns a network without nodes, whose messages take 1 to 3 ms and are neither lost
+// nor duplicated.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
-		Random:    rand.New(rand.NewPCG(seed, seed)),
-		MinDelay:  time.Millisecond,
-		MaxDelay:  3 * time.Millisecond,
-		byAddress: map[string]*Node{},
-		cuts:      map[[2]string]bool{},
+		Random:     rand.New(rand.NewPCG(seed, seed)),
+		MinDelay:   time.Millisecond,
+		MaxDelay:   3 * time.Millisecond,
+		byAddress:  map[string]*Node{},
+		partitions: map[[2]string]bool{},
 	}
 }
 
 // Now is the true time.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Add starts a node. OnOutput is given all outputs of its machine other than messages.
+// Add starts a node. onOutput gets all outputs of its machine other than core.Send; nil: they are
+// dropped.
 func (n *Network) Add(id, address string, machine Machine, onOutput func(now core.Time, output core.Output)) *Node {
 	node := &Node{ID: id, Address: address, Machine: machine, network: n, startedAt: n.now, onOutput: onOutput}
 	n.nodes = append(n.nodes, node)
@@ -65,50 +75,54 @@
 	return node
 }
 
-// Cut stops all messages between two addresses, Join lets them pass again.
-func (n *Network) Cut(a, b string) { n.cuts[[2]string{a, b}], n.cuts[[2]string{b, a}] = true, true }
+// Partition stops all messages between two addresses, Heal lets them pass again.
+func (n *Network) Partition(a, b string) {
+	n.partitions[[2]string{a, b}] = true
+	n.partitions[[2]string{b, a}] = true
+}
 
-// Join ends a cut.
-func (n *Network) Join(a, b string) {
-	delete(n.cuts, [2]string{a, b})
-	delete(n.cuts, [2]string{b, a})
+// Heal ends a partition between two addresses.
+func (n *Network) Heal(a, b string) {
+	delete(n.partitions, [2]string{a, b})
+	delete(n.partitions, [2]string{b, a})
 }
 
-// Isolate cuts an address off from all others, Rejoin ends that.
+// Isolate partitions an address from all others, HealAll ends that.
 func (n *Network) Isolate(address string) {
 	for other := range n.byAddress {
-		n.Cut(address, other)
+		n.Partition(address, other)
 	}
 }
 
-// Rejoin ends all cuts of an address.
-func (n *Network) Rejoin(address string) {
+// HealAll ends all partitions of an address.
+func (n *Network) HealAll(address string) {
 	for other := range n.byAddress {
-		n.Join(address, other)
+		n.Heal(address, other)
 	}
 }
 
-// Isolated reports whether an address is cut off from any other.
+// Isolated reports whether an address is partitioned from any other.
 func (n *Network) Isolated(address string) bool {
-	for cut := range n.cuts {
-		if cut[0] == address {
+	for pair := range n.partitions {
+		if pair[0] == address {
 			return true
 		}
 	}
 	return false
 }
 
-// After calls do at a time from now, between the events of that time.
-func (n *Network) After(delay time.Duration, do func()) {
-	n.steps = append(n.steps, step{at: n.now + delay, do: do})
+// After schedules a call; it comes before the arrivals and ticks that are due at the same time.
+func (n *Network) After(delay time.Duration, call func()) {
+	n.scheduled = append(n.scheduled, scheduledCall{dueAt: n.now + delay, call: call})
 }
 
-// Run lets a span of time pass.
+// Run lets a span of true time pass.
 func (n *Network) Run(span time.Duration) {
 	n.RunUntil(span, func() bool { return false })
 }
 
-// RunUntil lets time pass until the condition holds, or the span is over. It reports whether the condition holds.
+// RunUntil lets true time pass until the condition holds, or the span is over. It reports whether
+// the condition holds.
 func (n *Network) RunUntil(span time.Duration, done func() bool) bool {
 	end := n.now + span
 	for !done() {
@@ -118,18 +132,19 @@
 			return done()
 		}
 		n.now = max(n.now, next)
-		n.runEvents()
+		n.runDue()
 	}
 	return true
 }
 
+// nextEvent is the true time of the next arrival, scheduled call or tick.
 func (n *Network) nextEvent() time.Duration {
 	next := time.Duration(core.Never)
 	if len(n.inFlight) > 0 {
-		next = n.inFlight[0].at
+		next = n.inFlight[0].arrivesAt
 	}
-	for _, pending := range n.steps {
-		next = min(next, pending.at)
+	for _, pending := range n.scheduled {
+		next = min(next, pending.dueAt)
 	}
 	for _, node := range n.nodes {
 		next = min(next, node.nextTick())
@@ -137,10 +152,11 @@
 	return next
 }
 
-func (n *Network) runEvents() {
-	n.runSteps()
-	for len(n.inFlight) > 0 && n.inFlight[0].at <= n.now {
-		n.arrive(heap.Pop(&n.inFlight).(*delivery))
+// runDue runs what is due: scheduled calls, then arrivals, then ticks.
+func (n *Network) runDue() {
+	n.runScheduled()
+	for len(n.inFlight) > 0 && n.inFlight[0].arrivesAt <= n.now {
+		n.deliver(heap.Pop(&n.inFlight).(*delivery))
 	}
 	for _, node := range n.nodes {
 		if node.nextTick() <= n.now {
@@ -149,21 +165,23 @@
 	}
 }
 
-func (n *Network) runSteps() {
-	var later, due []step
-	for _, pending := range n.steps {
-		if pending.at <= n.now {
+// runScheduled makes the calls that are due. One that a call schedules is made in a later round.
+func (n *Network) runScheduled() {
+	var later, due []scheduledCall
+	for _, pending := range n.scheduled {
+		if pending.dueAt <= n.now {
 			due = append(due, pending)
 		} else {
 			later = append(later, pending)
 		}
 	}
-	n.steps = later
+	n.scheduled = later
 	for _, pending := range due {
-		pending.do()
+		pending.call()
 	}
 }
 
+// send sends a copy of the message, or two, under the sender's name.
 func (n *Network) send(from *Node, message core.Send) {
 	envelope := proto.Clone(message.Message).(*nodepb.Envelope)
 	envelope.SenderId, envelope.SenderAddress = from.ID, from.Address
@@ -176,50 +194,33 @@
 	}
 	for range copies {
 		if n.Random.Float64() >= n.Loss {
-			n.launch(from.Address, message.To, envelope)
+			n.transmit(from.Address, message.Destination, envelope)
 		}
 	}
 }
 
-func (n *Network) launch(from, to string, envelope *nodepb.Envelope) {
+// transmit queues a message for arrival after a random latency.
+func (n *Network) transmit(from, destination string, envelope *nodepb.Envelope) {
 	delay := n.MinDelay + time.Duration(n.Random.Int64N(int64(n.MaxDelay-n.MinDelay)+1))
-	n.order++
-	heap.Push(&n.inFlight, &delivery{at: n.now + delay, order: n.order, from: from, to: to, envelope: envelope})
-}
-
-func (n *Network) arrive(arrived *delivery) {
-	to := n.byAddress[arrived.to]
-	if to == nil || to.killed || n.cuts[[2]string{arrived.from, arrived.to}] {
+	n.sequence++
+	heap.Push(&n.inFlight, &delivery{
+		arrivesAt:   n.now + delay,
+		sequence:    n.sequence,
+		from:        from,
+		destination: destination,
+		envelope:    envelope,
+	})
+}
+
+// deliver hands over a message, unless its way is partitioned at the time of its arrival.
+func (n *Network) deliver(arrived *delivery) {
+	receiver := n.byAddress[arrived.destination]
+	if receiver == nil || receiver.killed || n.partitions[[2]string{arrived.from, arrived.destination}] {
 		return
 	}
-	if to.frozen {
-		to.held = append(to.held, arrived)
+	if receiver.frozen {
+		receiver.pending = append(receiver.pending, arrived)
 		return
 	}
-	to.receive(arrived)
-}
-
-// delivery is a message on its way.
-type delivery struct {
-	at       time.Duration
-	order    uint64
-	from, to string
-	envelope *nodepb.Envelope
-}
-
-type deliveries []*delivery
-
-func (d deliveries) Len() int      { return len(d) }
-func (d deliveries) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d deliveries) Less(i, j int) bool {
-	if d[i].at != d[j].at {
-		return d[i].at < d[j].at
-	}
-	return d[i].order < d[j].order
-}
-func (d *deliveries) Push(x any) { *d = append(*d, x.(*delivery)) }
-func (d *deliveries) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
-	return last
+	receiver.receive(arrived)
 }
--- a/internal/node/forward/framing.go
+++ b/internal/node/forward/framing.go
@@ -5,17 +5,18 @@
 	"errors"
 )
 
-// framing says how one request of a client was framed.
+// framing describes how one request of a client was framed.
 type framing struct {
-	// malformed: nobody can be sure where the request ends, so that another request could be smuggled inside it.
+	// malformed: it is ambiguous where the request ends, so that another request could be smuggled
+	// inside it.
 	malformed bool
 	headBytes int
 }
 
-// errChunks says that a body in chunks breaks the grammar of chunks.
+// errChunks says that a chunked body violates the grammar of chunks.
 var errChunks = errors.New("malformed chunk")
 
-// scanState is where a requestScanner stands.
+// scanState is what a requestScanner expects next.
 type scanState uint8
 
 const (
@@ -25,33 +26,35 @@
 	scanChunkData
 	scanChunkEnd
 	scanTrailer
-	// scanRefused: what follows a malformed head is not looked at.
-	scanRefused
+	// scanRejected: what follows a malformed head is not parsed.
+	scanRejected
 )
 
-// requestScanner follows the requests on a client's connection byte by byte. net/http parses them; the scanner sees what
-// net/http forgives and an intermediary must not (RFC 9112, sections 5.2, 6.1, 6.3 and 7.1): folded lines, lines that end in
-// a bare LF, a length beside chunks, a length given twice.
+// requestScanner follows the requests on a client's connection byte by byte. net/http parses them;
+// the scanner detects what net/http tolerates and an intermediary must not (RFC 9112, sections 5.2,
+// 6.1, 6.3 and 7.1): folded lines, lines that end in a bare LF, a length beside chunks, a length
+// given twice.
 type requestScanner struct {
 	state   scanState
 	current framing
-	started bool // some byte of the request has come
+	started bool // a byte of the request has arrived
 
-	line      []byte // the start of a line that hasn't come whole
-	lines     int    // of the head
+	line      []byte // the start of a line whose end hasn't arrived
+	headLines int
 	hasLength bool
 	length    int64
 	hasChunks bool
 	bodyLeft  int64
 }
 
-// maxLineBytes bounds a line that comes in several reads; net/http bounds heads as a whole.
+// maxLineBytes bounds a line that arrives in several reads; net/http bounds the complete head.
 const maxLineBytes = 1 << 20
 
-// maxChunkLineBytes bounds the line that gives the size of a chunk.
+// maxChunkLineBytes bounds the line with the size of a chunk.
 const maxChunkLineBytes = 256
 
-// scan looks at the next bytes. It stops at the end of a request: taken says how many of the bytes belong to it.
+// scan parses the next bytes. It stops at the end of a request: taken is how many of the bytes
+// belong to it.
 func (s *requestScanner) scan(data []byte) (taken int, err error) {
 	for taken < len(data) {
 		rest := data[taken:]
@@ -63,15 +66,15 @@
 			if s.bodyLeft == 0 && s.endData() {
 				return taken, nil
 			}
-		case scanRefused:
+		case scanRejected:
 			return len(data), nil
 		default:
-			line, step, whole := s.nextLine(rest)
+			line, step, complete := s.nextLine(rest)
 			taken += step
-			if !whole {
+			if !complete {
 				return taken, s.checkPartialLine()
 			}
-			ended, err := s.takeLine(line)
+			ended, err := s.parseLine(line)
 			if ended || err != nil {
 				return taken, err
 			}
@@ -80,31 +83,32 @@
 	return taken, nil
 }
 
-// between reports whether the connection rests between two requests.
-func (s *requestScanner) between() bool { return s.state == scanHead && !s.started }
+// betweenRequests reports whether no byte of the next request has arrived.
+func (s *requestScanner) betweenRequests() bool { return s.state == scanHead && !s.started }
 
-// endData ends a body with a length, which ends the request, or the data of a chunk.
+// endData ends the data of a chunk, or a body with a length, which ends the request.
 func (s *requestScanner) endData() (requestEnds bool) {
 	if s.state == scanChunkData {
 		s.state = scanChunkEnd
 		return false
 	}
-	s.next()
+	s.startNext()
 	return true
 }
 
-// next begins the next request.
-func (s *requestScanner) next() {
+// startNext starts the next request.
+func (s *requestScanner) startNext() {
 	*s = requestScanner{current: s.current, line: s.line[:0]}
 }
 
-// nextLine gives the next line with its end.
-func (s *requestScanner) nextLine(data []byte) (line []byte, taken int, whole bool) {
+// nextLine returns the next line with its end, and how many bytes of data it took. complete is
+// false where the end has not arrived.
+func (s *requestScanner) nextLine(data []byte) (line []byte, taken int, complete bool) {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
 		s.line = append(s.line, data...)
 		if s.state == scanHead {
-			s.begin()
+			s.markStarted()
 		}
 		return nil, len(data), false
 	}
@@ -117,6 +121,7 @@
 	return line, taken, true
 }
 
+// checkPartialLine bounds a line whose end has not arrived.
 func (s *requestScanner) checkPartialLine() error {
 	if s.state == scanChunkSize && len(s.line) > maxChunkLineBytes || len(s.line) > maxLineBytes {
 		return errChunks
@@ -124,21 +129,22 @@
 	return nil
 }
 
-// begin notes that the head of a request has begun.
-func (s *requestScanner) begin() {
+// markStarted records that the head of a request has started to arrive.
+func (s *requestScanner) markStarted() {
 	if !s.started {
 		s.started = true
 		s.current = framing{}
 	}
 }
 
-func (s *requestScanner) takeLine(line []byte) (requestEnds bool, err error) {
+// parseLine parses a complete line outside of bodies.
+func (s *requestScanner) parseLine(line []byte) (requestEnds bool, err error) {
 	content, crlf := bytes.CutSuffix(line, []byte("\r\n"))
 	switch s.state {
 	case scanHead:
-		return s.takeHeadLine(content, crlf, len(line)), nil
+		return s.parseHeadLine(content, crlf, len(line)), nil
 	case scanChunkSize:
-		return false, s.takeChunkSize(content, crlf)
+		return false, s.parseChunkSize(content, crlf)
 	case scanChunkEnd:
 		if len(content) > 0 || !crlf {
 			return false, errChunks
@@ -152,37 +158,38 @@
 		if len(content) > 0 {
 			return false, nil
 		}
-		s.next()
+		s.startNext()
 		return true, nil
 	}
 }
 
-func (s *requestScanner) takeHeadLine(content []byte, crlf bool, size int) (requestEnds bool) {
-	s.begin()
+// parseHeadLine parses a line of the head.
+func (s *requestScanner) parseHeadLine(content []byte, crlf bool, size int) (requestEnds bool) {
+	s.markStarted()
 	s.current.headBytes += size
 	if !crlf || bytes.IndexByte(content, '\r') >= 0 {
 		s.current.malformed = true
 	}
-	if len(content) == 0 && s.lines == 0 && crlf {
+	if len(content) == 0 && s.headLines == 0 && crlf {
 		return false // an empty line before the request line
 	}
 	if len(bytes.TrimRight(content, "\r\n")) == 0 {
 		return s.endHead()
 	}
-	s.lines++
-	if s.lines == 1 {
+	s.headLines++
+	if s.headLines == 1 {
 		return false
 	}
 	if content[0] == ' ' || content[0] == '\t' {
 		s.current.malformed = true
 		return false
 	}
-	s.takeField(content)
+	s.parseField(content)
 	return false
 }
 
-// takeField looks at a header line for what frames the body.
-func (s *requestScanner) takeField(line []byte) {
+// parseField parses a header line, of which only those that frame the body matter.
+func (s *requestScanner) parseField(line []byte) {
 	const (
 		lengthName = "Content-Length"
 		codingName = "Transfer-Encoding"
@@ -191,7 +198,7 @@
 	switch len(name) {
 	case len(lengthName):
 		if bytes.EqualFold(name, []byte(lengthName)) {
-			s.takeLength(bytes.Trim(value, " \t"))
+			s.parseLength(bytes.Trim(value, " \t"))
 		}
 	case len(codingName):
 		if bytes.EqualFold(name, []byte(codingName)) {
@@ -201,9 +208,10 @@
 	}
 }
 
-func (s *requestScanner) takeLength(text []byte) {
-	const mostDigits = 18
-	if s.hasLength || len(text) == 0 || len(text) > mostDigits {
+// parseLength parses the value of Content-Length.
+func (s *requestScanner) parseLength(text []byte) {
+	const maxDigits = 18
+	if s.hasLength || len(text) == 0 || len(text) > maxDigits {
 		s.current.malformed = true
 		return
 	}
@@ -217,13 +225,14 @@
 	}
 }
 
+// endHead decides at the end of the head what follows.
 func (s *requestScanner) endHead() (requestEnds bool) {
 	if s.hasLength && s.hasChunks {
 		s.current.malformed = true
 	}
 	switch {
 	case s.current.malformed:
-		s.state = scanRefused
+		s.state = scanRejected
 		return true
 	case s.hasChunks:
 		s.state = scanChunkSize
@@ -233,20 +242,21 @@
 		s.bodyLeft = s.length
 		return false
 	default:
-		s.next()
+		s.startNext()
 		return true
 	}
 }
 
-// takeChunkSize reads the line before a chunk's data: the size in hex, perhaps extensions after a semicolon.
-func (s *requestScanner) takeChunkSize(content []byte, crlf bool) error {
-	const mostDigits = 15
+// parseChunkSize parses the line before a chunk's data: the size in hex, and extensions after a
+// semicolon.
+func (s *requestScanner) parseChunkSize(content []byte, crlf bool) error {
+	const maxDigits = 15
 	if !crlf || len(content) > maxChunkLineBytes {
 		return errChunks
 	}
 	digits, _, _ := bytes.Cut(content, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
-	if len(digits) == 0 || len(digits) > mostDigits {
+	if len(digits) == 0 || len(digits) > maxDigits {
 		return errChunks
 	}
 	var size int64
@@ -265,6 +275,7 @@
 	return nil
 }
 
+// hexValue returns the value of a hex digit.
 func hexValue(digit byte) (int64, bool) {
 	switch {
 	case '0' <= digit && digit <= '9':
--- a/internal/node/forward/lifecycle_test.go
+++ b/internal/node/forward/lifecycle_test.go
@@ -18,8 +18,8 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// TestClientLeavesAStream: its broker is called off.
-func TestClientLeavesAStream(t *testing.T) {
+// TestStreamIsClosedWhenClientDisconnects: its broker is called off.
+func TestStreamIsClosedWhenClientDisconnects(t *testing.T) {
 	for _, path := range []string{"/stream/a", "/resumable/a"} {
 		closed := make(chan struct{})
 		only := newBroker(t, "i-1", func(e *exchange) {
@@ -30,7 +30,7 @@
 			close(closed)
 		})
 		second := newBroker(t, "i-2", streamOf(2, 3))
-		w := newWorld(t, newPort(only.instance, second.instance))
+		w := newWorld(t, newScriptedRouter(only.instance, second.instance))
 		c := w.client()
 		c.send(post(path, "r1", "prompt"))
 		_, err := c.reader.ReadString('\n')
@@ -43,11 +43,11 @@
 	}
 }
 
-// TestClientLeavesBeforeTheFirstEvent of its stream.
-func TestClientLeavesBeforeTheFirstEvent(t *testing.T) {
+// TestStreamIsClosedWhenClientDisconnectsBeforeFirstEvent of its stream.
+func TestStreamIsClosedWhenClientDisconnectsBeforeFirstEvent(t *testing.T) {
 	only, closed := silent(t, "i-1")
 	second := newBroker(t, "i-2", streamOf(1, 3))
-	w := newWorld(t, newPort(only.instance, second.instance))
+	w := newWorld(t, newScriptedRouter(only.instance, second.instance))
 	c := w.client()
 	c.send(post("/resumable/a", "r1", "prompt"))
 	only.next()
@@ -56,17 +56,17 @@
 	w.port.awaitEnds(t, 1)
 	assert.Assert(t, w.port.outcome(t, 0).Canceled)
 	assert.Equal(t, second.arrived(), 0)
-	assert.Equal(t, w.proxy.Metrics().ClientLeft, uint64(1))
+	assert.Equal(t, w.proxy.Metrics().ClientDisconnected, uint64(1))
 }
 
-// TestClientLeavesWhileItsBrokerWorks: the answer is let come for a while, and its connection is kept.
-func TestClientLeavesWhileItsBrokerWorks(t *testing.T) {
+// TestAnswerIsAwaitedForDisconnectGrace: the answer is let come for a while, and its connection is kept.
+func TestAnswerIsAwaitedForDisconnectGrace(t *testing.T) {
 	left := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-left
 		e.answer(200, "for nobody")
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	only.next()
@@ -76,11 +76,11 @@
 	assert.Equal(t, w.proxy.Metrics().ConnectionsIdle, 1)
 }
 
-// TestAnswerForNobodyIsNotAwaitedForever.
-func TestAnswerForNobodyIsNotAwaitedForever(t *testing.T) {
+// TestDisconnectGraceIsBounded.
+func TestDisconnectGraceIsBounded(t *testing.T) {
 	only, closed := silent(t, "i-1")
-	w := newWorld(t, newPort(only.instance), func(_ *world, options *Options) {
-		options.Bounds.FinishAfterLeave = time.Millisecond
+	w := newWorld(t, newScriptedRouter(only.instance), func(_ *world, options *Options) {
+		options.Bounds.DisconnectGrace = time.Millisecond
 	})
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
@@ -96,7 +96,7 @@
 // TestNothingIsSentForAClientThatHasLeft while its request was decided on.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	port := newPort(only.instance)
+	port := newScriptedRouter(only.instance)
 	w := newWorld(t, port)
 	c := w.client()
 	port.attempt = func(*routing.Attempt) {
@@ -126,11 +126,11 @@
 	return address
 }
 
-// TestClientLeavesWhileConnecting: nothing is sent, and the broker isn't blamed.
-func TestClientLeavesWhileConnecting(t *testing.T) {
+// TestDisconnectCancelsConnecting: nothing is sent, and the broker isn't blamed.
+func TestDisconnectCancelsConnecting(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(hung, second.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(hung, second.instance), func(_ *world, options *Options) {
 		options.Upstream.ConnectTimeout = time.Hour
 	})
 	c := w.client()
@@ -145,10 +145,10 @@
 	assert.Equal(t, second.arrived(), 0)
 }
 
-// TestDeadlineWhileConnecting: the request has not run, and the broker isn't blamed.
-func TestDeadlineWhileConnecting(t *testing.T) {
+// TestDeadlineBoundsConnecting: the request has not run, and the broker isn't blamed.
+func TestDeadlineBoundsConnecting(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
-	w := newWorld(t, newPort(hung), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(hung), func(_ *world, options *Options) {
 		options.Upstream.ConnectTimeout = time.Hour
 	})
 	got := w.do(post("/unsafe/a", "r1", "body", "X-Kestrelspread-Deadline-Ms: 30"))
@@ -160,11 +160,11 @@
 	assert.Assert(t, !outcome.ConnectFailed)
 }
 
-// TestConnectionThatDoesNotComeUp: another broker gets the request.
-func TestConnectionThatDoesNotComeUp(t *testing.T) {
+// TestFailedConnectGoesToAnotherBroker: another broker gets the request.
+func TestFailedConnectGoesToAnotherBroker(t *testing.T) {
 	hung := &registry.Instance{ID: "i-hung", Service: "service", Address: hungAddress(t)}
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "second") })
-	w := newWorld(t, newPort(hung, second.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(hung, second.instance), func(_ *world, options *Options) {
 		options.Upstream.ConnectTimeout = 20 * time.Millisecond
 	})
 	assert.Equal(t, w.do(post("/unsafe/a", "r1", "body")).body, "second")
@@ -172,9 +172,9 @@
 	assert.Assert(t, w.port.outcome(t, 0).ConnectFailed)
 }
 
-// TestBodyThatDoesNotCome: nobody waits for it, and nothing is sent on.
-func TestBodyThatDoesNotCome(t *testing.T) {
-	unready := func(_ *world, options *Options) { options.Config = func() *config.Compiled { return nil } }
+// TestStalledBodyIsDenied: nobody waits for it, and nothing is sent on.
+func TestStalledBodyIsDenied(t *testing.T) {
+	unready := func(_ *world, options *Options) { options.Configuration = func() *config.Compiled { return nil } }
 	for _, test := range []struct {
 		name, length, header string
 		setups               []setup
@@ -186,7 +186,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-			w := newWorld(t, newPort(only.instance), test.setups...)
+			w := newWorld(t, newScriptedRouter(only.instance), test.setups...)
 			c := w.client()
 			c.send("POST /unsafe/a HTTP/1.1\r\nHost: host.example\r\n" + headerRequestID + ": r1\r\n" + test.header +
 				"\r\nContent-Length: " + test.length + "\r\n\r\nstart")
@@ -198,14 +198,14 @@
 	}
 }
 
-// TestNoFurtherAttemptForAClientThatHasLeft.
-func TestNoFurtherAttemptForAClientThatHasLeft(t *testing.T) {
+// TestNoRetryAfterDisconnect.
+func TestNoRetryAfterDisconnect(t *testing.T) {
 	first := newBroker(t, "i-1", func(e *exchange) { e.reject(503) })
 	second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
-	port := newPort(first.instance, second.instance)
+	port := newScriptedRouter(first.instance, second.instance)
 	w := newWorld(t, port)
 	c := w.client()
-	port.again = func(routing.Outcome, bool) bool {
+	port.retries = func(routing.Outcome, bool) bool {
 		c.socket.Close()
 		<-(<-w.contexts).Done()
 		return true
@@ -215,12 +215,12 @@
 	assert.Equal(t, second.arrived(), 0)
 }
 
-// TestDeadlineOfWhatWasSent: what was sent may run on, so that its client gets no promise.
-func TestDeadlineOfWhatWasSent(t *testing.T) {
+// TestDeadlineEndsAttemptInProgress: what was sent may run on, so that its client gets no promise.
+func TestDeadlineEndsAttemptInProgress(t *testing.T) {
 	for _, path := range []string{"/unsafe/a", "/safe/a", "/stream/a", "/resumable/a"} {
 		only, closed := silent(t, "i-1")
 		second := newBroker(t, "i-2", func(e *exchange) { e.answer(200, "ok") })
-		w := newWorld(t, newPort(only.instance, second.instance), func(_ *world, options *Options) {
+		w := newWorld(t, newScriptedRouter(only.instance, second.instance), func(_ *world, options *Options) {
 			options.Bounds.AnswerGrace = time.Millisecond
 		})
 		got := w.do(post(path, "r1", "body", "X-Kestrelspread-Deadline-Ms: 30"))
@@ -233,8 +233,8 @@
 	}
 }
 
-// TestDeadlineInAStream ends it, never as complete.
-func TestDeadlineInAStream(t *testing.T) {
+// TestDeadlineEndsStream ends it, never as complete.
+func TestDeadlineEndsStream(t *testing.T) {
 	for _, path := range []string{"/stream/a", "/resumable/a"} {
 		only := newBroker(t, "i-1", func(e *exchange) {
 			e.streamHead()
@@ -242,7 +242,7 @@
 			e.awaitClose()
 			e.close()
 		})
-		w := newWorld(t, newPort(only.instance), func(_ *world, options *Options) {
+		w := newWorld(t, newScriptedRouter(only.instance), func(_ *world, options *Options) {
 			options.Bounds.AnswerGrace = time.Millisecond
 		})
 		got := w.do(post(path, "r1", "body", "X-Kestrelspread-Deadline-Ms: 30"))
@@ -252,17 +252,17 @@
 	}
 }
 
-// TestDeadlineThatHasPassed before anything was sent: the request has not run.
-func TestDeadlineThatHasPassed(t *testing.T) {
+// TestExpiredRequestIsRejected before anything was sent: the request has not run.
+func TestExpiredRequestIsRejected(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	got := w.do(post("/unsafe/a", "r1", "body", "X-Kestrelspread-Deadline-Ms: 0"))
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Equal(t, only.arrived(), 0)
 }
 
-// TestClientThatDoesNotRead cannot hold its request beyond the deadline.
-func TestClientThatDoesNotRead(t *testing.T) {
+// TestUnresponsiveClientIsClosed cannot hold its request beyond the deadline.
+func TestUnresponsiveClientIsClosed(t *testing.T) {
 	stuck := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		e.streamHead()
@@ -273,7 +273,7 @@
 		e.close()
 		close(stuck)
 	})
-	w := newWorld(t, newPort(only.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(only.instance), func(_ *world, options *Options) {
 		options.Bounds.AnswerGrace = time.Millisecond
 	})
 	c := w.client()
@@ -283,10 +283,10 @@
 	assert.Equal(t, w.proxy.Metrics().Aborted, uint64(1))
 }
 
-// TestDrain: each answer asks for the connection to be closed; those at rest stay until Shutdown.
-func TestDrain(t *testing.T) {
+// TestDrainClosesConnectionsWithNextAnswer: each answer asks for the connection to be closed; those at rest stay until Shutdown.
+func TestDrainClosesConnectionsWithNextAnswer(t *testing.T) {
 	only := newBroker(t, "i-1", func(e *exchange) { e.answer(200, "ok") })
-	w := newWorld(t, newPort(only.instance, only.instance, only.instance, only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance, only.instance, only.instance, only.instance))
 	resting, other := w.client(), w.client()
 	for _, c := range []*client{resting, other} {
 		c.send(get("/safe/a", "r1"))
@@ -314,7 +314,7 @@
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	only.next()
@@ -326,10 +326,10 @@
 	assert.NilError(t, <-down)
 }
 
-// TestShutdownEnds although a request is under way.
-func TestShutdownEnds(t *testing.T) {
+// TestShutdownAbortsRequestsAtItsDeadline although a request is under way.
+func TestShutdownAbortsRequestsAtItsDeadline(t *testing.T) {
 	only, closed := silent(t, "i-1")
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	c := w.client()
 	c.send(post("/stream/a", "r1", "body"))
 	only.next()
@@ -339,18 +339,18 @@
 	<-closed
 }
 
-// TestNewRequestsAreTurnedAwayLateInAStop: they would not be over in time. Those under way end as usual (RULES.md, LOST).
-func TestNewRequestsAreTurnedAwayLateInAStop(t *testing.T) {
+// TestNewRequestsAreRejectedLateInShutdown: they would not be over in time. Those under way end as usual (RULES.md, LOST).
+func TestNewRequestsAreRejectedLateInShutdown(t *testing.T) {
 	proceed := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance, only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance, only.instance))
 	c := w.client()
 	c.send(post("/unsafe/a", "r1", "body"))
 	only.next()
-	w.proxy.RefuseNew()
+	w.proxy.RejectNew()
 	got := w.do(post("/stream/a", "r2", "body"))
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Assert(t, got.Header.Get(headerRetryAfter) != "")
@@ -360,25 +360,25 @@
 	assert.Equal(t, c.read("POST").StatusCode, 200)
 }
 
-// TestClientTimeouts are those of the configuration with a margin, never less.
-func TestClientTimeouts(t *testing.T) {
-	w := newWorld(t, newPort())
+// TestClientTimeoutsFollowConfiguration are those of the configuration with a margin, never less.
+func TestClientTimeoutsFollowConfiguration(t *testing.T) {
+	w := newWorld(t, newScriptedRouter())
 	times := w.proxy.clientTimeouts()
 	assert.Equal(t, times.idle, 15*time.Second*5/4+time.Second)
 	assert.Equal(t, times.header, 3*time.Second*5/4+time.Second)
 }
 
-// TestSlowClients are let go: one that rests too long, and one that does not come to the end of a head.
-func TestSlowClients(t *testing.T) {
+// TestSlowClientsAreClosed are let go: one that rests too long, and one that does not come to the end of a head.
+func TestSlowClientsAreClosed(t *testing.T) {
 	for _, text := range []string{"", "GET /safe/a HT", get("/safe/a", "r1")[:60]} {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		assert.NilError(t, err)
-		w := newWorld(t, newPort())
+		w := newWorld(t, newScriptedRouter())
 		short := func() clientTimeouts { return clientTimeouts{idle: 5 * time.Millisecond, header: 5 * time.Millisecond} }
 		go w.proxy.server.Serve(&clientListener{TCPListener: listener.(*net.TCPListener), timeouts: short})
 		socket, err := net.Dial("tcp4", listener.Addr().String())
 		assert.NilError(t, err)
-		assert.NilError(t, socket.SetDeadline(time.Now().Add(patience)))
+		assert.NilError(t, socket.SetDeadline(time.Now().Add(testTimeout)))
 		_, err = socket.Write([]byte(text))
 		assert.NilError(t, err)
 		rest, err := io.ReadAll(socket)
@@ -390,14 +390,14 @@
 	}
 }
 
-// TestLongAnswersOutliveTheIdleTime: it is for clients at rest only.
-func TestLongAnswersOutliveTheIdleTime(t *testing.T) {
+// TestLongAnswerOutlivesIdleTimeout: it is for clients at rest only.
+func TestLongAnswerOutlivesIdleTimeout(t *testing.T) {
 	proceed := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance))
+	w := newWorld(t, newScriptedRouter(only.instance))
 	reads := make(chan struct{}, 100)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -419,14 +419,14 @@
 	assert.Equal(t, c.read("POST").StatusCode, 200)
 }
 
-// TestHeldBodiesAreBounded: beyond the bound requests are refused, not taken into memory.
-func TestHeldBodiesAreBounded(t *testing.T) {
+// TestBufferedBodiesAreBounded: beyond the bound requests are refused, not taken into memory.
+func TestBufferedBodiesAreBounded(t *testing.T) {
 	proceed := make(chan struct{})
 	only := newBroker(t, "i-1", func(e *exchange) {
 		<-proceed
 		e.answer(200, "ok")
 	})
-	w := newWorld(t, newPort(only.instance, only.instance, only.instance), func(_ *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(only.instance, only.instance, only.instance), func(_ *world, options *Options) {
 		options.Bounds.MaxBufferedBytes = 1000
 	})
 	c := w.client()
--- a/internal/node/membership/world_test.go
+++ b/internal/node/membership/simulation_test.go
@@ -18,7 +18,7 @@
 
 var seedsFlag = flag.Uint64("seeds", 0, "number of seeds of each test with faults; 0: a few")
 
-// seeds returns how many seeds a test is to play.
+// seeds returns how many seeds a test plays.
 func seeds(usual uint64) uint64 {
 	if *seedsFlag > 0 {
 		return *seedsFlag
@@ -29,36 +29,37 @@
 	return usual
 }
 
-// world runs many memberships under one virtual clock, on a network with seeded delays, losses and cuts.
+// world runs many memberships under one virtual clock, on a network with seeded latency, message
+// loss and partitions.
 type world struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	events   events
-	order    uint64
-	nodes    []*virtualNode // every life that was started
-	at       map[string]*virtualNode
-	seeds    []string
-	minDelay time.Duration
-	maxDelay time.Duration
-	loss     float64
-	// blocked reports whether messages from one address to another are lost; nil: none are.
-	blocked func(from, to string) bool
-	// inspect is called with each message that arrives; nil: nothing is looked at.
+	t         *testing.T
+	random    *rand.Rand
+	now       time.Duration
+	events    events
+	sequence  uint64
+	nodes     []*virtualNode // all processes that were started
+	byAddress map[string]*virtualNode
+	seeds     []string
+	minDelay  time.Duration
+	maxDelay  time.Duration
+	loss      float64
+	// partitioned reports whether all messages from one address to another are lost; nil: none.
+	partitioned func(from, to string) bool
+	// inspect is called with each message that arrives; nil: not called.
 	inspect func(from, to *virtualNode, message *nodepb.Envelope)
 	copies  map[*nodepb.Envelope]*nodepb.Envelope // where set: each message as it was sent
 }
 
-// virtualNode is one life of a node.
+// virtualNode is one process of a node.
 type virtualNode struct {
-	world   *world
-	id      string
-	address string
-	started time.Duration // its own clock starts here
-	list    *membership.Membership
-	dead    bool
-	frozen  bool
-	held    []func() // what arrived while it was frozen
+	world     *world
+	id        string
+	address   string
+	startedAt time.Duration // its own clock starts here
+	list      *membership.Membership
+	dead      bool
+	frozen    bool
+	pending   []func() // inputs that arrived while it was frozen
 
 	timerAt  time.Duration
 	messages int
@@ -67,18 +68,20 @@
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
+	t.Helper()
 	return &world{
-		t:        t,
-		random:   rand.New(rand.NewPCG(seed, 77)),
-		at:       map[string]*virtualNode{},
-		minDelay: 500 * time.Microsecond,
-		maxDelay: 3 * time.Millisecond,
+		t:         t,
+		random:    rand.New(rand.NewPCG(seed, 77)),
+		byAddress: map[string]*virtualNode{},
+		minDelay:  500 * time.Microsecond,
+		maxDelay:  3 * time.Millisecond,
 	}
 }
 
 func addressOf(i int) string { return fmt.Sprintf("10.%d.%d.%d:7560", 1+i%4, i/200, 1+i%200) }
 
-// startAll starts n nodes within 0.3 s in any order, the first three of them seeds, as DEPLOY.md has it.
+// startAll starts n nodes within 0.3 s in random order, the first three of which are seeds, as
+// DEPLOY.md has it.
 func (w *world) startAll(n int) {
 	w.seeds = nil
 	for i := range min(n, 3) {
@@ -90,32 +93,44 @@
 	w.run(300 * time.Millisecond)
 }
 
-// start begins a life of the node with that number.
+// start starts a process of the node with that number, and kills the previous one.
 func (w *world) start(i int) *virtualNode { return w.startWith(i, 1) }
 
 func (w *world) startWith(i int, incarnation uint64) *virtualNode {
 	address := addressOf(i)
-	if former := w.at[address]; former != nil {
-		former.dead = true
+	if previous := w.byAddress[address]; previous != nil {
+		previous.dead = true
 	}
 	name := fmt.Sprintf("front-%03d", i)
-	node := &virtualNode{world: w, id: fmt.Sprintf("%s/%06x", name, w.random.Uint32()>>8), address: address, started: w.now, timerAt: core.Never}
+	node := &virtualNode{
+		world:     w,
+		id:        fmt.Sprintf("%s/%06x", name, w.random.Uint32()>>8),
+		address:   address,
+		startedAt: w.now,
+		timerAt:   core.Never,
+	}
 	self := &nodepb.Member{
-		NodeId: node.id, Name: name, Address: address, ControlAddress: address[:len(address)-4] + "8381",
-		Zone: fmt.Sprintf("zone-%d", i%4), Region: "region", ServesFront: true, Incarnation: incarnation,
+		NodeId:         node.id,
+		Name:           name,
+		Address:        address,
+		ControlAddress: address[:len(address)-4] + "8381",
+		Zone:           fmt.Sprintf("zone-%d", i%4),
+		Region:         "region",
+		ServesFront:    true,
+		Incarnation:    incarnation,
 	}
 	options := membership.Options{Self: self, Seeds: w.seeds}
 	node.list = membership.New(0, options, rand.New(rand.NewPCG(w.random.Uint64(), 1)))
 	w.nodes = append(w.nodes, node)
-	w.at[address] = node
+	w.byAddress[address] = node
 	node.arm()
 	return node
 }
 
-// node returns the newest life of the node with that number.
-func (w *world) node(i int) *virtualNode { return w.at[addressOf(i)] }
+// node returns the newest process of the node with that number.
+func (w *world) node(i int) *virtualNode { return w.byAddress[addressOf(i)] }
 
-// alive returns the lives that run.
+// alive returns the processes that run.
 func (w *world) alive() []*virtualNode {
 	var alive []*virtualNode
 	for _, node := range w.nodes {
@@ -130,9 +145,9 @@
 	return time.Duration(w.random.Int64N(int64(below)))
 }
 
-func (w *world) after(delay time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now + delay, order: w.order, do: do})
+func (w *world) after(delay time.Duration, call func()) {
+	w.sequence++
+	heap.Push(&w.events, event{dueAt: w.now + delay, sequence: w.sequence, call: call})
 }
 
 // run lets a span of time pass.
@@ -146,7 +161,7 @@
 	begin := w.now
 	end := begin + bound
 	checked := begin - time.Second
-	for len(w.events) > 0 && w.events[0].at <= end {
+	for len(w.events) > 0 && w.events[0].dueAt <= end {
 		if w.now-checked >= 10*time.Millisecond {
 			checked = w.now
 			if holds() {
@@ -154,14 +169,15 @@
 			}
 		}
 		next := heap.Pop(&w.events).(event)
-		w.now = next.at
-		next.do()
+		w.now = next.dueAt
+		next.call()
 	}
 	w.now = end
 	return bound
 }
 
-// expect lets time pass until the condition holds, and fails the test where it doesn't within the bound.
+// expect lets time pass until the condition holds, and fails the test where it doesn't within the
+// bound.
 func (w *world) expect(bound time.Duration, what string, holds func() bool) time.Duration {
 	w.t.Helper()
 	taken := w.until(bound, holds)
@@ -178,42 +194,43 @@
 	}
 	delay := w.minDelay + w.span(w.maxDelay-w.minDelay)
 	w.after(delay, func() {
-		receiver := w.at[to]
-		if receiver == nil || receiver.dead || w.blocked != nil && w.blocked(from.address, to) {
+		receiver := w.byAddress[to]
+		if receiver == nil || receiver.dead || w.partitioned != nil && w.partitioned(from.address, to) {
 			return
 		}
 		receiver.take(func() {
 			if w.inspect != nil {
 				w.inspect(from, receiver, message)
 			}
-			receiver.carryOut(receiver.list.Receive(receiver.clock(), core.Peer{NodeID: from.id, Address: from.address}, message))
+			peer := core.Peer{NodeID: from.id, Address: from.address}
+			receiver.carryOut(receiver.list.Receive(receiver.clock(), peer, message))
 		})
 	})
 }
 
 // clock returns the node's own time.
-func (n *virtualNode) clock() core.Time { return n.world.now - n.started }
+func (n *virtualNode) clock() core.Time { return n.world.now - n.startedAt }
 
-// take runs an input, or holds it back while the node is frozen.
+// take runs an input, or queues it while the node is frozen.
 func (n *virtualNode) take(input func()) {
 	switch {
 	case n.dead:
 	case n.frozen:
-		n.held = append(n.held, input)
+		n.pending = append(n.pending, input)
 	default:
 		input()
 		n.arm()
 	}
 }
 
-// arm sets the timer to the deadline, if it isn't.
+// arm sets the timer to the deadline, unless it is set.
 func (n *virtualNode) arm() {
 	deadline := n.list.Deadline()
 	if deadline == core.Never {
 		n.timerAt = core.Never
 		return
 	}
-	at := n.started + deadline
+	at := n.startedAt + deadline
 	if at == n.timerAt {
 		return
 	}
@@ -240,22 +257,22 @@
 		if send, is := output.(core.Send); is {
 			n.messages++
 			n.bytes += proto.Size(send.Message)
-			n.world.carry(n, send.To, send.Message)
+			n.world.carry(n, send.Destination, send.Message)
 		}
 	}
 }
 
 func (n *virtualNode) freeze() { n.frozen = true }
 
-// thaw lets the node go on: what arrived meanwhile comes first, or the timer does.
+// thaw ends a freeze. Queued messages or the timer come first, at random.
 func (n *virtualNode) thaw() {
 	n.frozen = false
-	held := n.held
-	n.held = nil
+	pending := n.pending
+	n.pending = nil
 	if n.world.random.IntN(2) == 0 {
 		n.take(n.tick)
 	}
-	for _, input := range held {
+	for _, input := range pending {
 		n.take(input)
 	}
 	n.take(n.tick)
@@ -268,7 +285,8 @@
 	n.arm()
 }
 
-// watch looks at the lists of some nodes, each only where it has changed since the last time.
+// watch counts the members in the lists of some nodes, and reads each list only where its revision
+// has changed.
 type watch struct {
 	nodes  []*virtualNode
 	ids    map[string]bool
@@ -324,13 +342,13 @@
 // agree reports whether each of the nodes lists just these.
 func agree(nodes []*virtualNode) bool { return newWatch(nodes).agree() }
 
-// converged returns the condition that all lives that run list each other and nobody else.
+// converged returns the condition that all running processes list each other and nobody else.
 func (w *world) converged() func() bool {
 	return newWatch(w.alive()).agree
 }
 
-// settled starts n nodes and lets them find each other.
-func (w *world) settled(n int) {
+// startConverged starts n nodes and lets them converge.
+func (w *world) startConverged(n int) {
 	w.t.Helper()
 	w.startAll(n)
 	w.expect(3*time.Second, "start", w.converged())
@@ -338,16 +356,16 @@
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	dueAt    time.Duration
+	sequence uint64
+	call     func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].dueAt < e[j].dueAt || e[i].dueAt == e[j].dueAt && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
--- a/internal/node/rollout/world_test.go
+++ b/internal/node/rollout/world_test.go
@@ -22,7 +22,8 @@
 	testLoadTime = 760 * time.Millisecond
 )
 
-// world is a fleet under a virtual clock: nodes that run the duty, brokers, the control state and the links between them.
+// world is a fleet under a virtual clock: nodes that run the role, brokers, the control state and
+// the links between them.
 type world struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -31,53 +32,53 @@
 	nodes   []*testNode
 	brokers []*testBroker
 
-	epoch   uint64
-	head    int
-	target  uint64
-	named   map[uint64]core.Time
-	grant   *nodepb.DutyChange
-	history []grantChange
-	atOnce  int // brokers that load at full speed
+	epoch          uint64
+	head           int
+	target         uint64
+	namedAt        map[uint64]core.Time
+	grant          *nodepb.DutyChange
+	history        []grantChange
+	fullSpeedLoads int // how many brokers load at full speed at once
 
-	wasted int // orders that found nothing to do, or another under way
+	wasted int // orders that found the version loaded, or another order in progress
 
 	orderLoss, answerLoss float64
 }
 
-// event is something that happens later.
+// event is a scheduled action.
 type event struct {
-	at core.Time
-	do func()
+	dueAt core.Time
+	run   func()
 }
 
 // grantChange is a committed state of the grant.
 type grantChange struct {
-	at    core.Time
-	grant *nodepb.DutyChange
+	committedAt core.Time
+	grant       *nodepb.DutyChange
 }
 
 // testNode is one node with its machine.
 type testNode struct {
-	world   *world
-	index   int
-	life    int
-	machine *Rollout
-	epoch   uint64 // newest it knows of
-	head    bool
-	lease   core.Time
-	asOf    core.Time
-	frozen  bool
-	cut     bool     // off from the other nodes, not from the brokers
-	held    []func() // what came while it was frozen
-	missed  []func() // what came while it was cut off
-	lag     time.Duration
-	named   map[uint64]core.Time
+	world                  *world
+	index                  int
+	incarnation            int
+	machine                *Rollout
+	epoch                  uint64 // newest known to it
+	head                   bool
+	headLeaseStart         core.Time
+	grantAsOf              core.Time
+	frozen                 bool
+	partitioned            bool     // from the other nodes, not from the brokers
+	deferredWhileFrozen    []func() // actions that came due while it was frozen
+	missedWhilePartitioned []func() // messages that came while it was partitioned
+	stateLag               time.Duration
+	namedAt                map[uint64]core.Time
 }
 
 func newWorld(t *testing.T, seed uint64, nodes, brokers int) *world {
 	w := &world{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), epoch: 1, head: 0, target: 1,
-		named: map[uint64]core.Time{}, atOnce: max(1, (brokers+5)/6), now: time.Second,
+		namedAt: map[uint64]core.Time{}, fullSpeedLoads: max(1, (brokers+5)/6), now: time.Second,
 	}
 	for i := range nodes {
 		w.nodes = append(w.nodes, &testNode{world: w, index: i})
@@ -85,8 +86,8 @@
 	}
 	for i := range brokers {
 		w.brokers = append(w.brokers, &testBroker{
-			id: fmt.Sprintf("i-%03d", i), zone: fmt.Sprintf("zone-%d", i%3), version: 1, told: 1,
-			runs: time.Duration(w.random.IntN(900)) * time.Millisecond, loads: map[uint64]int{},
+			id: fmt.Sprintf("i-%03d", i), zone: fmt.Sprintf("zone-%d", i%3), version: 1, registryVersion: 1,
+			runDuration: time.Duration(w.random.IntN(900)) * time.Millisecond, loads: map[uint64]int{},
 		})
 	}
 	w.elect(0)
@@ -94,41 +95,43 @@
 }
 
 func (w *world) startNode(n *testNode) {
-	n.life++
-	n.machine = New(Options{Lease: testLease, Thaw: testThaw, Version: testVersion})
-	n.head, n.lease, n.asOf, n.frozen, n.held = false, 0, 0, false, nil
-	n.cut, n.missed = false, nil
-	n.lag = time.Duration(w.random.IntN(200)) * time.Millisecond
-	n.named = map[uint64]core.Time{}
+	n.incarnation++
+	n.machine = New(Options{Lease: testLease, ThawGrace: testThaw, VersionBound: testVersion})
+	n.head, n.headLeaseStart, n.grantAsOf, n.frozen, n.deferredWhileFrozen = false, 0, 0, false, nil
+	n.partitioned, n.missedWhilePartitioned = false, nil
+	n.stateLag = time.Duration(w.random.IntN(200)) * time.Millisecond
+	n.namedAt = map[uint64]core.Time{}
 }
 
 func (n *testNode) name() string { return fmt.Sprintf("node-%d", n.index) }
 
-// later has something happen after a delay.
+// later schedules an action.
 func (w *world) later(delay time.Duration, do func()) {
-	w.events = append(w.events, event{at: w.now + delay, do: do})
+	w.events = append(w.events, event{dueAt: w.now + delay, run: do})
 }
 
-// at a node, once it is not frozen; nothing where its process has ended meanwhile.
+// later schedules an action at a node: deferred while the node is frozen, dropped if its process
+// has ended meanwhile.
 func (n *testNode) later(delay time.Duration, do func()) {
-	life := n.life
+	incarnation := n.incarnation
 	n.world.later(delay, func() {
-		if n.life != life {
+		if n.incarnation != incarnation {
 			return
 		}
 		if n.frozen {
-			n.held = append(n.held, do)
+			n.deferredWhileFrozen = append(n.deferredWhileFrozen, do)
 			return
 		}
 		do()
 	})
 }
 
-// hear of something from another node: lost while this one is cut off, and made up for when it is not any more.
-func (n *testNode) hear(delay time.Duration, do func()) {
+// receive schedules the arrival of a message from another node: deferred while this one is
+// partitioned.
+func (n *testNode) receive(delay time.Duration, do func()) {
 	n.later(delay, func() {
-		if n.cut {
-			n.missed = append(n.missed, do)
+		if n.partitioned {
+			n.missedWhilePartitioned = append(n.missedWhilePartitioned, do)
 			return
 		}
 		do()
@@ -139,57 +142,58 @@
 	return time.Duration(1+w.random.IntN(15)) * time.Millisecond
 }
 
-// name a new version of the weights.
-func (w *world) name(version uint64) {
+// nameVersion names a new version of the weights.
+func (w *world) nameVersion(version uint64) {
 	w.target = version
-	w.named[version] = w.now
+	w.namedAt[version] = w.now
 	for _, n := range w.nodes {
-		n.hear(w.delay(), func() {
-			n.named[version] = w.now
+		n.receive(w.delay(), func() {
+			n.namedAt[version] = w.now
 			n.step()
 		})
 	}
 }
 
-// elect makes a node the head of the next epoch; the former head learns of it only if it is in reach, after a while.
+// elect makes a node the head of the next epoch; the previous head learns of it only if it is
+// reachable, after a while.
 func (w *world) elect(index int) {
 	w.epoch++
 	w.head = index
 	for _, n := range w.nodes {
 		epoch := w.epoch
-		n.hear(w.delay(), func() {
+		n.receive(w.delay(), func() {
 			if n.epoch < epoch {
 				n.epoch = epoch
 				n.head = n.index == index
-				n.lease = 0
+				n.headLeaseStart = 0
 				n.step()
 			}
 		})
 	}
 }
 
-// barriers lets the head confirm its lease, and all nodes hear of the control state.
+// barriers renews the lease of the head, and confirms the control state to all nodes.
 func (w *world) barriers() {
 	for _, n := range w.nodes {
-		if n.frozen || n.cut {
+		if n.frozen || n.partitioned {
 			continue
 		}
 		started := w.now
 		if n.head && n.epoch == w.epoch {
 			n.later(w.delay(), func() {
-				if n.head && n.epoch == w.epoch && !n.cut {
-					n.lease = started
+				if n.head && n.epoch == w.epoch && !n.partitioned {
+					n.headLeaseStart = started
 				}
 			})
 		}
-		n.later(n.lag, func() { n.asOf = started })
+		n.later(n.stateLag, func() { n.grantAsOf = started })
 	}
 }
 
 func (n *testNode) seenGrant() *nodepb.DutyChange {
 	var grant *nodepb.DutyChange
 	for _, change := range n.world.history {
-		if change.at <= n.asOf || n.head && change.at <= n.world.now-20*time.Millisecond {
+		if change.committedAt <= n.grantAsOf || n.head && change.committedAt <= n.world.now-20*time.Millisecond {
 			grant = change.grant
 		}
 	}
@@ -198,13 +202,13 @@
 
 func (n *testNode) situation() *Situation {
 	s := &Situation{
-		Head: n.head, Epoch: n.epoch, LeaseFrom: n.lease, Grant: n.seenGrant(), GrantAsOf: n.asOf, Holder: n.name(),
+		Head: n.head, Epoch: n.epoch, HeadLeaseStart: n.headLeaseStart, Grant: n.seenGrant(), GrantAsOf: n.grantAsOf, HolderID: n.name(),
 	}
-	for version, known := range n.named {
+	for version, known := range n.namedAt {
 		if len(s.Targets) == 0 {
-			s.Targets = []Target{{Model: testModel, Version: version, Known: known}}
+			s.Targets = []Target{{Model: testModel, Version: version, KnownAt: known}}
 		} else if s.Targets[0].Version < version {
-			s.Targets[0] = Target{Model: testModel, Version: version, Known: known}
+			s.Targets[0] = Target{Model: testModel, Version: version, KnownAt: known}
 		}
 	}
 	for _, b := range n.world.brokers {
@@ -213,7 +217,7 @@
 		}
 		s.Instances = append(s.Instances, &nodepb.Instance{
 			Id: b.id, Service: testService, Address: b.id, Zone: b.zone, LoadingFence: b.fence,
-			Models: []*nodepb.ModelOnInstance{{Name: testModel, Version: b.told}},
+			Models: []*nodepb.ModelOnInstance{{Name: testModel, Version: b.registryVersion}},
 		})
 	}
 	return s
@@ -229,21 +233,21 @@
 	w := n.world
 	for _, output := range outputs {
 		switch output := output.(type) {
-		case core.Order:
+		case core.SendOrder:
 			n.later(time.Duration(w.random.IntN(4))*time.Millisecond, func() { n.write(output) })
-		case core.AskReport:
+		case core.FetchReport:
 			n.later(w.delay(), func() { n.askReport(output) })
 		case core.MarkLoading:
 			n.later(w.delay(), func() {
-				w.broker(output.InstanceID).fence = output.Fence
+				w.broker(output.InstanceID).fence = output.FencingToken
 				for _, other := range w.nodes {
-					other.hear(w.delay(), other.step)
+					other.receive(w.delay(), other.step)
 				}
 				n.later(w.delay(), func() { n.machine.MarkDone(w.now, output.InstanceID) })
 			})
-		case core.LoadedVersion:
+		case core.VersionLoaded:
 			b := w.broker(output.InstanceID)
-			b.told = max(b.told, output.Version)
+			b.registryVersion = max(b.registryVersion, output.Version)
 		case core.SubmitCommand:
 			n.submit(output.Command)
 		}
@@ -256,7 +260,7 @@
 	epoch := n.epoch
 	n.later(w.delay(), func() {
 		result := &nodepb.CommandResult{Code: nodepb.ResultCode_UNAVAILABLE}
-		if epoch == w.epoch && !n.cut {
+		if epoch == w.epoch && !n.partitioned {
 			result.Code = w.commit(command.GetDuty())
 		}
 		if w.random.Float64() < w.answerLoss {
@@ -269,20 +273,20 @@
 	})
 }
 
-func (w *world) commit(duty *nodepb.DutyChange) nodepb.ResultCode {
+func (w *world) commit(change *nodepb.DutyChange) nodepb.ResultCode {
 	if w.grant != nil {
-		same := w.grant.Fence == duty.Fence && w.grant.Holder == duty.Holder
-		if !same && (duty.Released || duty.Fence <= w.grant.Fence) {
+		same := w.grant.Fence == change.Fence && w.grant.Holder == change.Holder
+		if !same && (change.Released || change.Fence <= w.grant.Fence) {
 			return nodepb.ResultCode_CONFLICT
 		}
 		for _, id := range w.grant.Targets {
-			if same && !duty.Released && !slices.Contains(duty.Targets, id) {
+			if same && !change.Released && !slices.Contains(change.Targets, id) {
 				return nodepb.ResultCode_CONFLICT
 			}
 		}
 	}
-	w.grant = duty
-	w.history = append(w.history, grantChange{at: w.now, grant: duty})
+	w.grant = change
+	w.history = append(w.history, grantChange{committedAt: w.now, grant: change})
 	return nodepb.ResultCode_TAKEN
 }
 
@@ -296,8 +300,8 @@
 	return nil
 }
 
-// write is the shell's: the lease is checked once more, then the order goes to the broker.
-func (n *testNode) write(order core.Order) {
+// write is the shell: the lease is checked once more, then the order is sent to the broker.
+func (n *testNode) write(order core.SendOrder) {
 	w := n.world
 	if w.now >= order.ValidUntil {
 		n.ordered(order.Token, 0, ErrNotSent.New("too late"), 0)
@@ -308,7 +312,7 @@
 		return
 	}
 	w.later(w.delay(), func() {
-		status := w.arrive(order)
+		status := w.takeOrder(order)
 		if w.random.Float64() < w.answerLoss {
 			n.ordered(order.Token, 0, errors.New("timeout"), time.Second)
 			return
@@ -324,14 +328,14 @@
 	})
 }
 
-func (n *testNode) askReport(ask core.AskReport) {
+func (n *testNode) askReport(ask core.FetchReport) {
 	w := n.world
 	b := w.broker(ask.InstanceID)
 	if b.gone || w.random.Float64() < w.answerLoss {
 		n.reported(ask.Token, nil, errors.New("timeout"), time.Second)
 		return
 	}
-	report := b.old[0]
+	report := b.recentReports[0]
 	n.reported(ask.Token, &report, nil, w.delay())
 }
 
@@ -342,7 +346,7 @@
 	})
 }
 
-// run lets the world go on for a time, or until done reports true.
+// run advances the world for a time, or until done reports true.
 func (w *world) run(length time.Duration, done func() bool) {
 	end := w.now + length
 	for w.now < end && !done() {
@@ -364,14 +368,14 @@
 	for {
 		next := -1
 		for i, e := range w.events {
-			if e.at <= w.now && (next < 0 || e.at < w.events[next].at) {
+			if e.dueAt <= w.now && (next < 0 || e.dueAt < w.events[next].dueAt) {
 				next = i
 			}
 		}
 		if next < 0 {
 			return
 		}
-		do := w.events[next].do
+		do := w.events[next].run
 		w.events = slices.Delete(w.events, next, next+1)
 		do()
 	}
@@ -379,29 +383,29 @@
 
 func (w *world) thaw(n *testNode) {
 	n.frozen = false
-	held := n.held
-	n.held = nil
-	for _, do := range held {
+	deferred := n.deferredWhileFrozen
+	n.deferredWhileFrozen = nil
+	for _, do := range deferred {
 		do()
 	}
 	n.step()
 }
 
 func (w *world) heal(n *testNode) {
-	n.cut = false
-	missed := n.missed
-	n.missed = nil
+	n.partitioned = false
+	missed := n.missedWhilePartitioned
+	n.missedWhilePartitioned = nil
 	for _, do := range missed {
 		do()
 	}
 	n.step()
 }
 
-// restart a node: it knows nothing but what the control state holds.
+// restart starts a node anew: it knows nothing but the control state.
 func (w *world) restart(n *testNode) {
 	w.startNode(n)
-	for version := range w.named {
-		n.named[version] = w.now
+	for version := range w.namedAt {
+		n.namedAt[version] = w.now
 	}
 	n.epoch = w.epoch
 	n.head = w.head == n.index
@@ -411,7 +415,7 @@
 // everywhere reports whether all brokers have the newest version and serve.
 func (w *world) everywhere() bool {
 	for _, b := range w.brokers {
-		if !b.gone && (b.version < w.target || b.told < w.target || b.fence != 0) {
+		if !b.gone && (b.version < w.target || b.registryVersion < w.target || b.fence != 0) {
 			return false
 		}
 	}
--- a/internal/standin/quorum/quorum_test.go
+++ b/internal/standin/leasesim/leasesim_test.go
@@ -1,4 +1,4 @@
-package quorum
+package leasesim
 
 import (
 	"os/exec"
@@ -8,12 +8,12 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"kestrelspread/internal/fleet/owner"
+	"kestrelspread/internal/fleet/lease"
 )
 
 func plan(seed uint64) Plan {
-	r := owner.Usual
-	r.HandOff, r.Held, r.HeldTop = 3000, 200, 2000
+	r := lease.DefaultConfig
+	r.HandoverMs, r.FailureBackoffMs, r.MaxFailureBackoffMs = 3000, 200, 2000
 	return Plan{Seed: seed, Voters: 3 + 2*int(seed%2), Instances: 6, Duties: 3, Until: 90000, Quiet: 25000, Faults: 1500, Rules: r, Drift: 0.009, Work: 300}
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// Thousands of seeds by hand: go test -run Seeds ./internal/standin/quorum -args -seeds 3000
+// Thousands of seeds by hand: go test -run Seeds ./internal/standin/leasesim -args -seeds 3000
 func TestSeeds(t *testing.T) {
 	n := *seeds
 	if testing.Short() {
@@ -61,7 +61,7 @@
 	if testing.Short() {
 		t.Skip("builds the package once for each")
 	}
-	// Two that show soon, here; the others take up to some hundred seeds: go test -run Planted ./internal/standin/quorum -args -planted
+	// Two that show soon, here; the others take up to some hundred seeds: go test -run Planted ./internal/standin/leasesim -args -planted
 	tags := []string{"plant_reuse", "plant_answertime"}
 	if *planted {
 		tags = append(tags, "plant_back", "plant_oldword", "plant_revive", "plant_oldprogress", "plant_nowait", "plant_longhold",
@@ -105,7 +105,7 @@
 	}
 }
 
-// Figures for docs/measure/owner.md, by hand: go test -v -run Figures ./internal/standin/quorum -args -figures
+// Figures for docs/measure/owner.md, by hand: go test -v -run Figures ./internal/standin/leasesim -args -figures
 func TestFigures(t *testing.T) {
 	if !*figures {
 		t.Skip("by hand")
@@ -121,7 +121,7 @@
 		false_, grants := 0, 0
 		for seed := range uint64(20) {
 			p := plan(seed)
-			p.Rules.Lease, p.Rules.Held = lease, lease
+			p.Rules.LeaseMs, p.Rules.FailureBackoffMs = lease, lease
 			p.Work, p.Until, p.Quiet, p.Faults = lease/10, 40*lease, 4*lease, 6*lease
 			r := Run(p)
 			list = append(list, r.Takeovers...)
