--- a/internal/node/agent/loop.go
+++ b/internal/node/agent/loop.go
@@ -129,7 +129,7 @@
 		a.publishTable(now)
 	case core.MembersChanged:
 		a.publishMembers(now, output.Members)
-	case core.CoreMemberLost:
+	case core.QuorumMemberLost:
 		a.router.CoreDisturbed(now, output.LostBy)
 	case core.LoadHintsReceived:
 		a.applyHints(now, output.Hints)
--- a/internal/node/control/propagate.go
+++ b/internal/node/control/propagate.go
@@ -54,7 +54,7 @@
 		return
 	}
 	if n.propagated.viewEpoch > 0 && newest.LostMachine {
-		n.emit(core.CoreMemberLost{LostBy: now - minDetectionTime})
+		n.emit(core.QuorumMemberLost{LostBy: now - minDetectionTime})
 	}
 	n.propagated.viewEpoch = newest.GetEpoch()
 	n.emit(core.Log{Message: "control: view changed", Fields: []any{"epoch", newest.Epoch, "chain", newest.Chain, "voters", len(newest.Voters)}})
--- a/internal/node/core/control.go
+++ b/internal/node/core/control.go
@@ -37,14 +37,15 @@
 // MembersChanged reports the nodes that are alive or suspected, this one included.
 type MembersChanged struct{ Members []*nodepb.Member }
 
-// CoreMemberLost reports that a member of the core has failed, at LostBy at the latest.
-type CoreMemberLost struct{ LostBy Time }
-
-func (Reply) isOutput()          {}
-func (Committed) isOutput()      {}
-func (Installed) isOutput()      {}
-func (StateChanged) isOutput()   {}
-func (RequestBarrier) isOutput() {}
-func (SubmitCommand) isOutput()  {}
-func (MembersChanged) isOutput() {}
-func (CoreMemberLost) isOutput() {}
+// QuorumMemberLost reports that the agreed view has dropped a failed node of the quorum. It failed
+// at LostBy at the latest.
+type QuorumMemberLost struct{ LostBy Time }
+
+func (Reply) isOutput()            {}
+func (Committed) isOutput()        {}
+func (Installed) isOutput()        {}
+func (StateChanged) isOutput()     {}
+func (RequestBarrier) isOutput()   {}
+func (SubmitCommand) isOutput()    {}
+func (MembersChanged) isOutput()   {}
+func (QuorumMemberLost) isOutput() {}
