--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -24,7 +24,8 @@
 // Never is the deadline of a machine that waits for nothing but input.
 const Never Time = 1<<63 - 1
 
-// Peer is the sender of a message: one incarnation of a node, and where replies to it go.
+// Peer is the sender of a message: a process of a node, whose id is a new one at every start, and
+// where replies to it go.
 type Peer struct {
 	NodeID  string
 	Address string // internal address, IP:port
--- a/internal/node/coretest/node.go
+++ b/internal/node/coretest/node.go
@@ -6,7 +6,7 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Node is one incarnation of a node of a Network.
+// Node is one process of a node of a Network.
 type Node struct {
 	ID      string
 	Address string
@@ -57,7 +57,7 @@
 	}
 }
 
-// Kill ends the node for good. A later incarnation is another Node.
+// Kill ends the node for good. Its next process is another Node.
 func (n *Node) Kill() { n.killed = true }
 
 // Running reports whether the node is neither frozen nor killed.
--- a/internal/node/journal/ring_golden_test.go
+++ b/internal/node/journal/ring_golden_test.go
@@ -23,8 +23,8 @@
 	goldenDisk     = 64 << 10 // bytes
 )
 
-// goldenRecords are records of every kind that voters write, of several sizes, in three parts: appended at first, of the
-// checkpoint after them, and appended to that.
+// goldenRecords are records of every kind that voters write, of several sizes, in three parts:
+// appended at first, of the checkpoint after them, and appended to that.
 func goldenRecords() (first, checkpoint, last []core.Record) {
 	sized := func(kind uint8, size int) core.Record {
 		data := make([]byte, size)
@@ -39,11 +39,12 @@
 	return first, checkpoint, last
 }
 
-// writeGoldenRing writes the ring of a disk whose identity and numbers of attempts follow from a seed.
-func writeGoldenRing(t *testing.T, folder string) (identity string) {
+// writeGoldenRing writes the ring of a disk whose identity and numbers of attempts follow from a
+// seed.
+func writeGoldenRing(t *testing.T, directory string) (identity string) {
 	t.Helper()
 	random := rand.NewChaCha8([32]byte{7, 5, 6, 0})
-	opened, found, err := journal.Open(journal.Options{Dir: folder, MaxBytes: goldenDisk, Random: random})
+	opened, found, err := journal.Open(journal.Options{Dir: directory, MaxBytes: goldenDisk, Random: random})
 	assert.NilError(t, err)
 	assert.Equal(t, len(found), 0)
 	first, checkpoint, last := goldenRecords()
@@ -58,21 +59,22 @@
 
 // TestRingKeepsItsBytes freezes the files of the ring, the identity of the disk in them.
 func TestRingKeepsItsBytes(t *testing.T) {
-	folder := t.TempDir()
-	identity := writeGoldenRing(t, folder)
-	golden.Assert(t, filesText(t, folder), goldenRing)
+	directory := t.TempDir()
+	identity := writeGoldenRing(t, directory)
+	golden.Assert(t, filesText(t, directory), goldenRing)
 	golden.Assert(t, identity+"\n", goldenIdentity)
 }
 
-// TestRingOfTheGoldenFileIsRead opens the ring as it was written once, goes on with it and opens it again.
+// TestRingOfTheGoldenFileIsRead opens the ring as it was written once, goes on with it and opens it
+// again.
 func TestRingOfTheGoldenFileIsRead(t *testing.T) {
-	folder := t.TempDir()
-	writeFiles(t, folder, string(golden.Get(t, goldenRing)))
+	directory := t.TempDir()
+	writeFiles(t, directory, string(golden.Get(t, goldenRing)))
 	identity := strings.TrimSpace(string(golden.Get(t, goldenIdentity)))
 	_, checkpoint, last := goldenRecords()
 	want := append(checkpoint, last...)
 	for range 3 {
-		opened, found, err := journal.Open(journal.Options{Dir: folder, MaxBytes: goldenDisk})
+		opened, found, err := journal.Open(journal.Options{Dir: directory, MaxBytes: goldenDisk})
 		assert.NilError(t, err)
 		assert.Assert(t, equalRecords(found, want))
 		assert.Equal(t, opened.Identity(), identity)
@@ -84,14 +86,15 @@
 	}
 }
 
-// filesText shows the files of a folder: name, size, and what stands before the zeros at the end, 32 bytes a line.
-func filesText(t *testing.T, folder string) string {
+// filesText shows the files of a directory: name, size, and the bytes before the trailing zeros, 32
+// bytes a line.
+func filesText(t *testing.T, directory string) string {
 	t.Helper()
-	entries, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(directory)
 	assert.NilError(t, err)
 	var text strings.Builder
 	for _, entry := range entries {
-		content, err := os.ReadFile(filepath.Join(folder, entry.Name()))
+		content, err := os.ReadFile(filepath.Join(directory, entry.Name()))
 		assert.NilError(t, err)
 		fmt.Fprintf(&text, "file %s %d\n", entry.Name(), len(content))
 		used := bytes.TrimRight(content, "\x00")
@@ -103,7 +106,7 @@
 }
 
 // writeFiles makes the files that filesText shows.
-func writeFiles(t *testing.T, folder, text string) {
+func writeFiles(t *testing.T, directory, text string) {
 	t.Helper()
 	var path string
 	var content []byte
@@ -118,7 +121,7 @@
 		var size int
 		if _, err := fmt.Sscanf(line, "file %s %d\n", &name, &size); err == nil {
 			flush()
-			path, content, offset = filepath.Join(folder, name), make([]byte, size), 0
+			path, content, offset = filepath.Join(directory, name), make([]byte, size), 0
 			continue
 		}
 		part, err := hex.DecodeString(strings.TrimSpace(line))
--- a/internal/node/membership/components_test.go
+++ b/internal/node/membership/components_test.go
@@ -19,7 +19,7 @@
 	return ids
 }
 
-func TestGossipSendsNewestAndLeastSentFirst(t *testing.T) {
+func TestGossipOrdersByAgeAndTransmissions(t *testing.T) {
 	members, _ := tableOf(4)
 	var g gossip
 	g.add("a/0", 3)
--- a/internal/node/membership/merge.go
+++ b/internal/node/membership/merge.go
@@ -21,7 +21,7 @@
 	known := m.table.entries[claim.NodeId]
 	switch {
 	case claim.NodeId == m.table.self.NodeId:
-		m.mergeSelf(from, claim)
+		m.mergeSelf(claim)
 	case claim.Address == m.table.self.Address:
 		m.mergePreviousSelf(claim)
 	case known == nil:
@@ -37,7 +37,7 @@
 }
 
 // mergeSelf refutes claims that this node is suspected or dead.
-func (m *Membership) mergeSelf(from core.Peer, claim *nodepb.Member) {
+func (m *Membership) mergeSelf(claim *nodepb.Member) {
 	if claim.State != nodepb.MemberState_SUSPECT && claim.State != nodepb.MemberState_DEAD {
 		return
 	}
