--- a/internal/node/coretest/node.go
+++ b/internal/node/coretest/node.go
@@ -87,6 +87,7 @@
 	panic("coretest: the deadline of " + n.ID + " stays in the past")
 }
 
+// receive gives a message that arrived to the machine.
 func (n *Node) receive(arrived *delivery) {
 	from := core.Peer{NodeID: arrived.envelope.SenderId, Address: arrived.from}
 	n.Do(func(now core.Time) []core.Output { return n.Machine.Receive(now, from, arrived.envelope) })
--- a/internal/node/journal/damage.go
+++ b/internal/node/journal/damage.go
@@ -90,7 +90,8 @@
 		framesInChunk, highestInChunk := s.countInChunk(read)
 		frames += framesInChunk
 		highest = max(highest, highestInChunk)
-		from += int64(len(read)) - headerBytes + 1 // a header across the chunk's end is complete in the next chunk
+		// Chunks overlap, so that a header across the end of one is complete in the next.
+		from += int64(len(read)) - headerBytes + 1
 	}
 	return frames, highest, nil
 }
--- a/internal/node/journal/filesystem.go
+++ b/internal/node/journal/filesystem.go
@@ -65,6 +65,7 @@
 // osFile is an open file of the operating system.
 type osFile struct{ *os.File }
 
+// openFile opens a file for File.
 func openFile(path string, flags int) (File, error) {
 	file, err := os.OpenFile(path, flags, fileMode)
 	if err != nil {
--- a/internal/node/journal/journal.go
+++ b/internal/node/journal/journal.go
@@ -53,7 +53,8 @@
 		_ = journal.Close()
 		return nil, nil, Unreadable.Wrap(err, "journal in %s", options.Dir)
 	}
-	journal.healthy.Store(journal.repair() == nil) // where the disk refuses this, the next write tries it again
+	// Where the disk refuses the repair, the next write tries it again.
+	journal.healthy.Store(journal.repair() == nil)
 	return journal, records, nil
 }
 
--- a/internal/node/journal/options.go
+++ b/internal/node/journal/options.go
@@ -38,6 +38,7 @@
 	Random io.Reader
 }
 
+// withDefaults returns the options with the defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.Random == nil {
 		o.Random = rand.Reader
--- a/internal/node/journal/reader_test.go
+++ b/internal/node/journal/reader_test.go
@@ -114,7 +114,7 @@
 	e := newEncoded(4, 77, 0)
 	for sequence := uint64(1); sequence <= 5; sequence++ {
 		e.header.BatchStart = sequence
-		e.add(bytes.Repeat([]byte{byte(sequence)}, 40_000)) // a chunk of the search ends in the midst
+		e.add(bytes.Repeat([]byte{byte(sequence)}, 40_000)) // longer than half a chunk of the search
 	}
 	size := int64(len(e.bytes))
 	cases := []struct {
--- a/internal/node/journal/recover.go
+++ b/internal/node/journal/recover.go
@@ -22,7 +22,9 @@
 		return nil, err
 	}
 	if j.recovery.Damaged {
-		j.nextSegment = (damagedSegment + 1) % ringSegments // keeps the damaged one until the new one is durable
+		// The other segment comes first, so that the damage can still be found until the new
+		// generation is durable: a crash before that must not bring the former identity back.
+		j.nextSegment = (damagedSegment + 1) % ringSegments
 		j.identity = j.newIdentity()
 		return nil, nil
 	}
--- a/internal/node/journal/segment.go
+++ b/internal/node/journal/segment.go
@@ -34,6 +34,7 @@
 	needsVoid bool
 }
 
+// newSegment returns the segment of that number, whose file isn't opened.
 func newSegment(fileSystem FileSystem, directory string, number int, limit int64) *segment {
 	name := "journal-" + strconv.Itoa(number)
 	return &segment{
@@ -96,6 +97,7 @@
 	return nil
 }
 
+// write writes without a sync.
 func (s *segment) write(b []byte, offset int64) error {
 	_, err := s.file.WriteAt(b, offset)
 	return err
@@ -153,6 +155,7 @@
 	return s.sync()
 }
 
+// close closes the file, if there is one.
 func (s *segment) close() error {
 	if s.file == nil {
 		return nil
--- a/internal/node/journal/writer_test.go
+++ b/internal/node/journal/writer_test.go
@@ -19,7 +19,7 @@
 // fakeLog takes writes one at a time, as the test lets it.
 type fakeLog struct {
 	calls   chan string // what was written
-	answers chan error  // the end of it
+	answers chan error  // the result of each write
 }
 
 func newFakeLog() *fakeLog {
@@ -37,21 +37,22 @@
 	return <-l.answers
 }
 
-// writerWorld is a writer on a fakeLog.
+// writerWorld is a writer on a fakeLog, and the results it reported.
 type writerWorld struct {
-	t      *testing.T
-	log    *fakeLog
-	writer *Writer
-	ends   chan string // token, and how its write ended
-	pauses chan time.Duration
+	t        *testing.T
+	log      *fakeLog
+	writer   *Writer
+	results  chan string // token and result of each write
+	backoffs chan time.Duration
 }
 
 func newWriterWorld(t *testing.T) *writerWorld {
-	w := &writerWorld{t: t, log: newFakeLog(), ends: make(chan string, 100), pauses: make(chan time.Duration, 100)}
+	t.Helper()
+	w := &writerWorld{t: t, log: newFakeLog(), results: make(chan string, 100), backoffs: make(chan time.Duration, 100)}
 	w.writer = newWriter(w.log, func(token uint64, err error) {
-		w.ends <- fmt.Sprintf("%d %s", token, outcome(err))
+		w.results <- fmt.Sprintf("%d %s", token, outcome(err))
 	})
-	w.writer.backoff = func(delay time.Duration) { w.pauses <- delay }
+	w.writer.backoff = func(delay time.Duration) { w.backoffs <- delay }
 	go w.writer.run()
 	t.Cleanup(func() {
 		close(w.log.answers)
@@ -76,15 +77,17 @@
 	w.writer.Submit(core.Write{Token: token, Records: []core.Record{record}, Checkpoint: checkpoint})
 }
 
+// called waits for the next call of the log.
 func (w *writerWorld) called(want string) {
 	w.t.Helper()
 	assert.Equal(w.t, <-w.log.calls, want)
 }
 
+// ended waits for the results of writes, in order.
 func (w *writerWorld) ended(want ...string) {
 	w.t.Helper()
 	for _, end := range want {
-		assert.Equal(w.t, <-w.ends, end)
+		assert.Equal(w.t, <-w.results, end)
 	}
 }
 
@@ -145,7 +148,7 @@
 
 	w.writer.Resume()
 	w.submit(5, false)
-	assert.Equal(t, <-w.pauses, retryDelay)
+	assert.Equal(t, <-w.backoffs, retryDelay)
 	w.called("append 5")
 	w.log.answers <- nil
 	w.ended("5 written")
@@ -153,7 +156,7 @@
 	w.called("append 6")
 	w.log.answers <- nil
 	w.ended("6 written")
-	assert.Equal(t, len(w.pauses), 0)
+	assert.Equal(t, len(w.backoffs), 0)
 }
 
 // TestResumeBetweenTwoSubmissions: what was submitted before it is skipped, what comes after is
--- a/internal/node/membership/doc.go
+++ b/internal/node/membership/doc.go
@@ -17,8 +17,8 @@
 //
 // Invariants:
 //   - This node is always a member of its own list.
-//   - A live member is declared dead only by this node's own timer, or because a process of a higher incarnation has
-//     taken its address; never because another node claims it.
+//   - A live member is declared dead only by this node's own timer, or because a process of a
+//     higher incarnation has taken its address; never because another node claims it.
 //   - Of two claims the higher incarnation wins; a node that has left stays so.
 //   - At most one live member has an address.
 //   - Members that were sent or returned are never modified; a change makes a new one.
--- a/internal/node/membership/health.go
+++ b/internal/node/membership/health.go
@@ -9,8 +9,10 @@
 const (
 	// maxAwareness bounds the awareness, and so how long a node that has recovered stays slow.
 	maxAwareness = 4
-	// unresponsiveMisses is the number of members missed in a row, without any contact, from which
-	// on the fault is taken for this node's own.
+	// Without any contact, the first of several members missed in a row is suspected as usual. From
+	// the second on (awarenessMisses) the awareness rises, and from the third on
+	// (unresponsiveMisses) the fault is taken for this node's own.
+	awarenessMisses    = 2
 	unresponsiveMisses = 3
 	// stallAfter is how late an input may come until this node is taken to have been stopped.
 	stallAfter = 500 * time.Millisecond
@@ -24,10 +26,10 @@
 	// own period and timeout grow with it.
 	awareness int
 
-	consecutiveMisses int // different members in a row whose probes were not answered
+	consecutiveMisses int // different members in a row whose probes got no ack
 	lastMissed        string
 	firstMissSentAt   core.Time // when the first of those probes was sent
-	lastContactAt     core.Time // when any message came last
+	lastContactAt     core.Time // when the last message came
 }
 
 // scale returns the span scaled by the awareness: up to three times as long.
@@ -70,13 +72,13 @@
 	}
 	h.consecutiveMisses++
 	h.lastMissed = target
-	silent := h.lastContactAt < h.firstMissSentAt
-	if !silent || h.consecutiveMisses < 2 {
+	hadContact := h.lastContactAt >= h.firstMissSentAt
+	if hadContact || h.consecutiveMisses < awarenessMisses {
 		return false
 	}
-	doubted := h.awareness == maxAwareness
+	wasAtMaximum := h.awareness == maxAwareness
 	h.raiseAwareness()
-	return h.consecutiveMisses >= unresponsiveMisses && !doubted
+	return h.consecutiveMisses >= unresponsiveMisses && !wasAtMaximum
 }
 
 // recoverFromStall handles that this node was stopped for so long. Acks that it missed meanwhile
--- a/internal/node/membership/options.go
+++ b/internal/node/membership/options.go
@@ -54,12 +54,14 @@
 	return o
 }
 
+// setDuration sets a field without a value to its default.
 func setDuration(field *time.Duration, value time.Duration) {
 	if *field <= 0 {
 		*field = value
 	}
 }
 
+// setInt sets a field without a value to its default.
 func setInt(field *int, value int) {
 	if *field <= 0 {
 		*field = value
--- a/internal/node/membership/probe.go
+++ b/internal/node/membership/probe.go
@@ -14,12 +14,12 @@
 // probes is the state of the probe of this period, and of the probes relayed for other nodes.
 type probes struct {
 	sequence     uint64
-	periodEndsAt core.Time // when the period ends; Never while there is nobody to probe
+	periodEndsAt core.Time // Never while there is no member to probe
 
 	targetID        string // node id; empty where no probe runs
-	awaitedSequence uint64 // its sequence
+	awaitedSequence uint64 // sequence number of the running probe
 	sentAt          core.Time
-	timeoutAt       core.Time // when others are asked; Never once they are
+	timeoutAt       core.Time // when other members are asked to probe; Never once they are
 
 	relays []relay
 }
@@ -28,10 +28,11 @@
 type relay struct {
 	sequence          uint64
 	requester         string // address
-	requesterSequence uint64 // the requester's sequence
+	requesterSequence uint64 // sequence number of the requester's probe
 	expiresAt         core.Time
 }
 
+// newProbes returns the state of a node that knows no member to probe.
 func newProbes(random *rand.Rand) probes {
 	// A random start keeps acks for a previous process from being taken for acks to this one.
 	return probes{sequence: uint64(random.Uint32()), periodEndsAt: core.Never, timeoutAt: core.Never}
--- a/internal/node/membership/push.go
+++ b/internal/node/membership/push.go
@@ -37,16 +37,18 @@
 	allowanceFullAt core.Time
 }
 
+// pushItem is a queued update about a node.
 type pushItem struct {
 	nodeID          string
-	isChange        bool
-	remainingRounds int // rounds left
+	isChange        bool // of the list; else a suspicion or a refutation
+	remainingRounds int
 }
 
 // add puts an update at the head of the queue; one about the same node is replaced.
 func (p *pushes) add(nodeID string, isChange bool) {
 	p.queue = slices.DeleteFunc(p.queue, func(other pushItem) bool { return other.nodeID == nodeID })
-	p.queue = slices.Insert(p.queue, 0, pushItem{nodeID: nodeID, isChange: isChange, remainingRounds: pushRounds})
+	item := pushItem{nodeID: nodeID, isChange: isChange, remainingRounds: pushRounds}
+	p.queue = slices.Insert(p.queue, 0, item)
 }
 
 // deadline returns when the next round is due.
--- a/internal/node/membership/sync.go
+++ b/internal/node/membership/sync.go
@@ -34,12 +34,12 @@
 // lists.
 type syncs struct {
 	nextExchangeAt core.Time // of the exchange with a random member
-	lastRequestAt  core.Time // of the last question out of an occasion; 0: none
+	lastRequestAt  core.Time // of the last request that an event caused; 0: none
 	awaitedLists   []awaitedList
 
-	joined             int       // members that came or came back since the last settling
-	convergeAt         core.Time // when the list is asked for as many came; Never where that isn't so
-	convergeRoundsLeft int       // how often
+	joined             int       // members that joined or rejoined since the last convergence round
+	convergeAt         core.Time // of the next convergence round; Never: none is due
+	convergeRoundsLeft int
 }
 
 // awaitedList is a list that was requested.
@@ -100,6 +100,7 @@
 	return interval/2 + m.randomSpan(interval)
 }
 
+// syncDeadline returns when the next exchange is due.
 func (m *Membership) syncDeadline() core.Time {
 	if len(m.table.ring) == 0 {
 		return core.Never
--- a/internal/node/membership/table.go
+++ b/internal/node/membership/table.go
@@ -42,6 +42,7 @@
 	revision      uint64
 }
 
+// newTable returns a table that holds this node only.
 func newTable(self *nodepb.Member) *table {
 	return &table{self: self, entries: map[string]*entry{}, idByAddress: map[string]string{}, revision: 1}
 }
