--- a/internal/node/coretest/network.go
+++ b/internal/node/coretest/network.go
@@ -10,7 +10,6 @@
 package coretest
 
 import (
-	"container/heap"
 	"math/rand/v2"
 	"time"
 
@@ -39,8 +38,7 @@
 	now        time.Duration
 	nodes      []*Node
 	byAddress  map[string]*Node
-	inFlight   deliveries
-	sequence   uint64
+	inFlight   Schedule // arrivals of messages
 	partitions map[[2]string]bool
 	scheduled  []scheduledCall
 }
@@ -139,10 +137,7 @@
 
 // nextEvent is the true time of the next arrival, scheduled call or tick.
 func (n *Network) nextEvent() time.Duration {
-	next := time.Duration(core.Never)
-	if len(n.inFlight) > 0 {
-		next = n.inFlight[0].arrivesAt
-	}
+	next := n.inFlight.Next()
 	for _, pending := range n.scheduled {
 		next = min(next, pending.dueAt)
 	}
@@ -155,8 +150,9 @@
 // runDue runs what is due: scheduled calls, then arrivals, then ticks.
 func (n *Network) runDue() {
 	n.runScheduled()
-	for len(n.inFlight) > 0 && n.inFlight[0].arrivesAt <= n.now {
-		n.deliver(heap.Pop(&n.inFlight).(*delivery))
+	for n.inFlight.Next() <= n.now {
+		_, arrive := n.inFlight.Take()
+		arrive()
 	}
 	for _, node := range n.nodes {
 		if node.nextTick() <= n.now {
@@ -202,14 +198,8 @@
 // transmit queues a message for arrival after a random latency.
 func (n *Network) transmit(from, destination string, envelope *nodepb.Envelope) {
 	delay := n.MinDelay + time.Duration(n.Random.Int64N(int64(n.MaxDelay-n.MinDelay)+1))
-	n.sequence++
-	heap.Push(&n.inFlight, &delivery{
-		arrivesAt:   n.now + delay,
-		sequence:    n.sequence,
-		from:        from,
-		destination: destination,
-		envelope:    envelope,
-	})
+	message := &delivery{from: from, destination: destination, envelope: envelope}
+	n.inFlight.Add(n.now+delay, func() { n.deliver(message) })
 }
 
 // deliver hands over a message, unless its way is partitioned at the time of its arrival.
--- a/internal/node/membership/simulation_test.go
+++ b/internal/node/membership/simulation_test.go
@@ -1,7 +1,6 @@
 package membership_test
 
 import (
-	"container/heap"
 	"flag"
 	"fmt"
 	"math/rand/v2"
@@ -12,6 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/coretest"
 	"kestrelspread/internal/node/membership"
 	"kestrelspread/internal/node/nodepb"
 )
@@ -35,8 +35,7 @@
 	t         *testing.T
 	random    *rand.Rand
 	now       time.Duration
-	events    events
-	sequence  uint64
+	events    coretest.Schedule
 	nodes     []*virtualNode // all processes that were started
 	byAddress map[string]*virtualNode
 	seeds     []string
@@ -146,8 +145,7 @@
 }
 
 func (w *world) after(delay time.Duration, call func()) {
-	w.sequence++
-	heap.Push(&w.events, event{dueAt: w.now + delay, sequence: w.sequence, call: call})
+	w.events.Add(w.now+delay, call)
 }
 
 // run lets a span of time pass.
@@ -161,16 +159,16 @@
 	begin := w.now
 	end := begin + bound
 	checked := begin - time.Second
-	for len(w.events) > 0 && w.events[0].dueAt <= end {
+	for w.events.Next() <= end {
 		if w.now-checked >= 10*time.Millisecond {
 			checked = w.now
 			if holds() {
 				return w.now - begin
 			}
 		}
-		next := heap.Pop(&w.events).(event)
-		w.now = next.dueAt
-		next.call()
+		dueAt, call := w.events.Take()
+		w.now = dueAt
+		call()
 	}
 	w.now = end
 	return bound
@@ -354,23 +352,3 @@
 	w.expect(3*time.Second, "start", w.converged())
 	w.run(10 * time.Second)
 }
-
-type event struct {
-	dueAt    time.Duration
-	sequence uint64
-	call     func()
-}
-
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].dueAt < e[j].dueAt || e[i].dueAt == e[j].dueAt && e[i].sequence < e[j].sequence
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return last
-}
--- a/internal/node/transfer/transfer_test.go
+++ b/internal/node/transfer/transfer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -12,6 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/coretest"
 	"kestrelspread/internal/node/nodepb"
 )
 
@@ -19,8 +19,7 @@
 type world struct {
 	random      *rand.Rand
 	now         core.Time
-	events      events
-	sequence    int
+	events      coretest.Schedule
 	nodes       map[string]*endpoint
 	bandwidth   int           // of each link, bytes per second
 	delay       time.Duration // latency of each message besides
@@ -40,26 +39,6 @@
 	received   []*nodepb.Envelope
 }
 
-type event struct {
-	dueAt    core.Time
-	sequence int
-	run      func()
-}
-
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].dueAt < e[j].dueAt || e[i].dueAt == e[j].dueAt && e[i].sequence < e[j].sequence
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return last
-}
-
 // newWorld returns nodes on links of 1 MiB/s.
 func newWorld(seed uint64, addresses ...string) *world {
 	w := &world{
@@ -82,19 +61,18 @@
 	node.transfers = New(rand.New(rand.NewPCG(w.random.Uint64(), 6)))
 }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.sequence++
-	heap.Push(&w.events, event{w.now + d, w.sequence, run})
+func (w *world) after(delay time.Duration, call func()) {
+	w.events.Add(w.now+delay, call)
 }
 
 // runUntil lets time pass until the condition holds, and reports whether it does within the limit.
 func (w *world) runUntil(limit time.Duration, condition func() bool) bool {
 	for end := w.now + limit; !condition(); {
 		due, from := w.nextDeadline()
-		if len(w.events) > 0 && w.events[0].dueAt <= due {
-			next := heap.Pop(&w.events).(event)
-			w.now = max(w.now, next.dueAt)
-			next.run()
+		if next := w.events.Next(); next != core.Never && next <= due {
+			dueAt, call := w.events.Take()
+			w.now = max(w.now, dueAt)
+			call()
 		} else {
 			w.now = max(w.now, due)
 			if w.now > end {
