--- a/internal/node/coretest/node.go
+++ b/internal/node/coretest/node.go
@@ -6,7 +6,7 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Node is one incarnation of a node of a Network.
+// Node is one process of a node of a Network.
 type Node struct {
 	ID      string
 	Address string
@@ -57,7 +57,7 @@
 	}
 }
 
-// Kill ends the node for good. A later incarnation is another Node.
+// Kill ends the node for good. Its next process is another Node.
 func (n *Node) Kill() { n.killed = true }
 
 // Running reports whether the node is neither frozen nor killed.
@@ -87,6 +87,7 @@
 	panic("coretest: the deadline of " + n.ID + " stays in the past")
 }
 
+// receive gives a message that arrived to the machine.
 func (n *Node) receive(arrived *delivery) {
 	from := core.Peer{NodeID: arrived.envelope.SenderId, Address: arrived.from}
 	n.Do(func(now core.Time) []core.Output { return n.Machine.Receive(now, from, arrived.envelope) })
