--- a/internal/docscheck/rules_test.go
+++ b/internal/docscheck/rules_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
+	"go/build"
 	"os"
 	"path"
 	"path/filepath"
 	"regexp"
-	"runtime"
 	"slices"
 	"strings"
 )
@@ -62,6 +62,12 @@
 
 // check gives what is wrong with one piece of code, none if all that it names exists.
 func (c *checker) check(at code) []string {
+	if at.link {
+		if c.paths[path.Join(path.Dir(at.page), at.text)] {
+			return nil
+		}
+		return []string{"the link leads nowhere"}
+	}
 	var wrong []string
 	words := strings.Fields(at.text)
 	tests := testWord.FindAllString(at.text, -1)
@@ -316,7 +322,7 @@
 }
 
 func standardPackage(name string) bool {
-	info, err := os.Stat(filepath.Join(runtime.GOROOT(), "src", filepath.FromSlash(name)))
+	info, err := os.Stat(filepath.Join(build.Default.GOROOT, "src", filepath.FromSlash(name)))
 	return err == nil && info.IsDir()
 }
 
--- a/internal/node/chain/records_golden_test.go
+++ b/internal/node/chain/records_golden_test.go
@@ -44,14 +44,14 @@
 
 // goldenCases have records of every kind, read and written.
 func goldenCases(t *testing.T) []goldenCase {
-	acceptor := wireRecord(goldenAcceptor, wireNumber(1, 8), wireMessage(2, wireBallot(9, "disk-a")),
-		wireMessage(3, wireBallot(4, "disk-c")), wireMessage(4, wireView(8, "disk-a", "disk-b")))
+	acceptor := wireRecord(goldenAcceptor, wireNumber(1, 8), wireMessage(2, wireProposalNumber(9, "disk-a")),
+		wireMessage(3, wireProposalNumber(4, "disk-c")), wireMessage(4, wireView(8, "disk-a", "disk-b")))
 	state := wireRecord(goldenState, wireNumber(1, 4), wireNumber(2, 6), wireText(3, stateOfEntries(t, 4)))
 	return []goldenCase{
 		{name: "first-start", founding: true},
 		{name: "founding", founding: true, records: []core.Record{
 			wireRecord(goldenFounding, wireText(1, "10.0.0.1:7560"), wireText(1, "10.0.0.2:7560"), wireText(1, "10.0.0.3:7560")),
-			wireRecord(goldenAcceptor, wireNumber(1, 1), wireMessage(2, wireBallot(3, "10.0.0.1:7560"))),
+			wireRecord(goldenAcceptor, wireNumber(1, 1), wireMessage(2, wireProposalNumber(3, "10.0.0.1:7560"))),
 		}},
 		{name: "member", records: []core.Record{
 			wireRecord(goldenView, wireView(6, "disk-a", "disk-b")),
@@ -79,8 +79,8 @@
 		}, messages: [][]byte{
 			wireCatchUp(wireNumber(3, 4), wireNumber(7, 6)), // the head lacks the entry
 			wireCatchUp(wireNumber(3, 9), wireNumber(7, 7), wireText(4, stateOfEntries(t, 9)), wireNumber(8, 1), wireMessage(6, wireGoldenEntry(10, 7))),
-			wireMessage(22, wireNumber(1, 8), wireMessage(2, wireBallot(2, "disk-a"))),
-			wireMessage(24, wireNumber(1, 8), wireMessage(2, wireBallot(2, "disk-a")), wireMessage(3, wireView(8, "disk-a", "disk-b", "disk-c"))),
+			wireMessage(22, wireNumber(1, 8), wireMessage(2, wireProposalNumber(2, "disk-a"))),
+			wireMessage(24, wireNumber(1, 8), wireMessage(2, wireProposalNumber(2, "disk-a")), wireMessage(3, wireView(8, "disk-a", "disk-b", "disk-c"))),
 			wireMessage(26, wireMessage(1, wireView(8, "disk-a", "disk-b", "disk-c"))),
 			wireMessage(40, wireNumber(1, 8), wireMessage(2, wireGoldenEntry(10, 8)), wireNumber(3, 9), wireNumber(4, 7)),
 			wireMessage(40, wireNumber(1, 8), wireMessage(2, wireGoldenEntry(11, 8)), wireNumber(3, 10), wireNumber(4, 8)),
@@ -140,30 +140,30 @@
 	now := core.Time(time.Second)
 	self := new(nodepb.Voter)
 	assert.NilError(t, proto.Unmarshal(wireVoter("disk-b"), self))
-	store, outputs, err := chain.New(now, chain.Options{
-		Self:      self,
-		Founders:  []string{"10.0.0.1:7560", "10.0.0.2:7560", "10.0.0.3:7560"},
-		Founding:  c.founding,
-		Tolerance: 1,
-		Machine:   config.NewState(nil),
+	replica, outputs, err := chain.New(now, chain.Options{
+		Self:             self,
+		FounderAddresses: []string{"10.0.0.1:7560", "10.0.0.2:7560", "10.0.0.3:7560"},
+		Founding:         c.founding,
+		Tolerance:        1,
+		StateMachine:     config.NewState(nil),
 	}, c.records, rand.New(rand.NewPCG(1, 2)))
 	assert.NilError(t, err, c.name)
-	written = writeAll(store, now, outputs)
+	written = writeAll(replica, now, outputs)
 	for _, message := range c.messages {
 		envelope := new(nodepb.Envelope)
 		assert.NilError(t, proto.Unmarshal(message, envelope))
-		outputs := store.Receive(now, core.Peer{Address: addressOfDisk("disk-a")}, envelope)
-		written = append(written, writeAll(store, now, outputs)...)
+		outputs := replica.Receive(now, core.Peer{Address: addressOfDisk("disk-a")}, envelope)
+		written = append(written, writeAll(replica, now, outputs)...)
 	}
-	return written, writeAll(store, now, store.Compact(now))
+	return written, writeAll(replica, now, replica.RequestCheckpoint(now))
 }
 
 // writeAll carries the writes of outputs out, and those that follow from them, and returns their records.
-func writeAll(store *chain.Store, now core.Time, outputs []core.Output) (records []core.Record) {
+func writeAll(replica *chain.Replica, now core.Time, outputs []core.Output) (records []core.Record) {
 	for len(outputs) > 0 {
 		if write, ok := outputs[0].(core.Write); ok {
 			records = append(records, write.Records...)
-			outputs = append(outputs, store.Written(now, write.Token, nil)...)
+			outputs = append(outputs, replica.Written(now, write.Token, nil)...)
 		}
 		outputs = outputs[1:]
 	}
@@ -235,8 +235,8 @@
 	return fmt.Sprintf("10.0.0.%d:7560", 1+disk[len(disk)-1]-'a')
 }
 
-func wireBallot(round uint64, proposer string) []byte {
-	return append(wireNumber(1, round), wireText(2, proposer)...)
+func wireProposalNumber(counter uint64, proposer string) []byte {
+	return append(wireNumber(1, counter), wireText(2, proposer)...)
 }
 
 func wireRecord(kind uint8, parts ...[]byte) core.Record {
--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -78,7 +78,7 @@
 	outputs []core.Output
 
 	membership   *membership.Membership
-	store        *chain.Store // nil until the disk is attached, and on nodes outside the core
+	store        *chain.Replica // nil until the disk is attached, and on nodes outside the core
 	submit       *submit.Client
 	state        *config.State // the newest state that distribution has delivered
 	compiled     *config.Compiled
@@ -159,11 +159,11 @@
 	state := config.NewState(n.options.Checker)
 	state.SetLimit(n.options.MaxConfigurationBytes)
 	store, outputs, err := chain.New(now, chain.Options{
-		Self:      &nodepb.Voter{DiskId: diskID, Address: n.self.Address, NodeId: n.self.NodeId},
-		Founders:  n.options.Seeds,
-		Founding:  n.options.Bootstrap && len(records) == 0,
-		Tolerance: n.options.FaultTolerance,
-		Machine:   state,
+		Self:             &nodepb.Voter{DiskId: diskID, Address: n.self.Address, NodeId: n.self.NodeId},
+		FounderAddresses: n.options.Seeds,
+		Founding:         n.options.Bootstrap && len(records) == 0,
+		Tolerance:        n.options.FaultTolerance,
+		StateMachine:     state,
 	}, records, deriveRandom(n.random))
 	if err != nil {
 		return nil, err
