--- a/internal/docscheck/page_test.go
+++ b/internal/docscheck/page_test.go
@@ -43,73 +43,90 @@
 	return found, err
 }
 
-// codeOf gives the code and the links of a page. Blocks are fenced, or indented by four columns after an empty line, outside lists.
-// Their shell comments and lines of JSON are left out; a line that ends with a backslash goes on.
+// reader goes through a page line by line.
+type reader struct {
+	page  string
+	found []code
+	// paragraph holds the lines of prose that were not looked at yet, with their numbers.
+	paragraph []string
+	numbers   []int
+
+	fenced, inBlock, inList, pathTable, afterEmpty bool
+}
+
+// codeOf gives the code and the links of a page. Blocks are fenced, or indented by four columns after an empty line,
+// outside lists. Their shell comments and lines of JSON are left out; a line that ends with a backslash goes on.
 func codeOf(page, text string) []code {
-	var found []code
-	var prose strings.Builder
-	proseLines := []int{}
-	fenced, inBlock, inList, pathTable, afterEmpty := false, false, false, false, true
-	addBlockLine := func(number int, line string) {
-		line = strings.TrimSpace(comment.ReplaceAllString(line, ""))
-		if last := len(found) - 1; last >= 0 && found[last].block && strings.HasSuffix(found[last].text, `\`) {
-			found[last].text = strings.TrimSuffix(found[last].text, `\`) + line
-		} else if line != "" {
-			found = append(found, code{page: page, line: number, text: line, block: true})
-		}
+	r := &reader{page: page, afterEmpty: true}
+	for i, line := range strings.Split(text, "\n") {
+		r.line(i+1, line)
 	}
-	flush := func() {
-		if prose.Len() > 0 {
-			found = append(found, spansOf(page, prose.String(), proseLines)...)
-			prose.Reset()
-			proseLines = proseLines[:0]
-		}
+	r.endParagraph()
+	return append(r.found, linksOf(page, text)...)
+}
+
+func (r *reader) line(number int, line string) {
+	empty := strings.TrimSpace(line) == ""
+	indented := strings.HasPrefix(line, "    ") && (r.inBlock || r.afterEmpty) && !r.inList
+	switch {
+	case strings.HasPrefix(strings.TrimSpace(line), "```"):
+		r.endParagraph()
+		r.fenced = !r.fenced
+	case r.fenced:
+		r.blockLine(number, line)
+	case empty:
+		r.endParagraph()
+		r.pathTable = false
+	case indented:
+		r.blockLine(number, line)
+	case strings.HasPrefix(line, "| path |"):
+		r.pathTable = true
+	case strings.HasPrefix(line, "|"):
+		r.endParagraph()
+		r.tableRow(number, line)
+	default:
+		r.prose(number, line)
 	}
-	for i, line := range strings.Split(text, "\n") {
-		number, empty := i+1, strings.TrimSpace(line) == ""
-		switch {
-		case strings.HasPrefix(strings.TrimSpace(line), "```"):
-			flush()
-			fenced = !fenced
-		case fenced:
-			addBlockLine(number, line)
-		case empty:
-			flush()
-			pathTable = false
-		case strings.HasPrefix(line, "    ") && (inBlock || afterEmpty) && !inList:
-			inBlock = true
-			addBlockLine(number, line)
-			afterEmpty = false
-			continue
-		case strings.HasPrefix(line, "| path |"):
-			pathTable = true
-		case strings.HasPrefix(line, "|"):
-			flush()
-			columns := strings.SplitN(line, "|", 3)
-			if len(columns) == 3 {
-				for _, c := range spansOf(page, columns[1], []int{number}) {
-					c.path = pathTable
-					found = append(found, c)
-				}
-				found = append(found, spansOf(page, columns[2], []int{number})...)
-			}
-		default:
-			if listItem.MatchString(line) {
-				flush()
-				inList = true
-			} else if line[0] != ' ' {
-				inList = false
-			}
-			prose.WriteString(line + "\n")
-			proseLines = append(proseLines, number)
-		}
-		if !empty {
-			inBlock = false
-		}
-		afterEmpty = empty
+	r.inBlock = !r.fenced && (indented || empty && r.inBlock)
+	r.afterEmpty = empty
+}
+
+func (r *reader) blockLine(number int, line string) {
+	line = strings.TrimSpace(comment.ReplaceAllString(line, ""))
+	if last := len(r.found) - 1; last >= 0 && r.found[last].block && strings.HasSuffix(r.found[last].text, `\`) {
+		r.found[last].text = strings.TrimSuffix(r.found[last].text, `\`) + line
+	} else if line != "" {
+		r.found = append(r.found, code{page: r.page, line: number, text: line, block: true})
+	}
+}
+
+func (r *reader) tableRow(number int, line string) {
+	columns := strings.SplitN(line, "|", 3)
+	if len(columns) < 3 {
+		return
+	}
+	for _, c := range spansOf(r.page, columns[1], []int{number}) {
+		c.path = r.pathTable
+		r.found = append(r.found, c)
+	}
+	r.found = append(r.found, spansOf(r.page, columns[2], []int{number})...)
+}
+
+func (r *reader) prose(number int, line string) {
+	if listItem.MatchString(line) {
+		r.endParagraph()
+		r.inList = true
+	} else if line[0] != ' ' {
+		r.inList = false
+	}
+	r.paragraph, r.numbers = append(r.paragraph, line), append(r.numbers, number)
+}
+
+func (r *reader) endParagraph() {
+	if len(r.paragraph) > 0 {
+		r.found = append(r.found, spansOf(r.page, strings.Join(r.paragraph, "\n"), r.numbers)...)
+		r.paragraph, r.numbers = nil, nil
 	}
-	flush()
-	return append(found, linksOf(page, text)...)
 }
 
 // linksOf gives the targets of a page's links that lead to files.
--- a/internal/docscheck/tree_test.go
+++ b/internal/docscheck/tree_test.go
@@ -114,9 +114,7 @@
 	if path.Ext(name) != ".go" {
 		t.addWords(string(text))
 		if path.Ext(name) == ".cue" {
-			for _, key := range word.FindAllString(string(text), -1) {
-				t.keys[key] = true
-			}
+			t.addKeysIn(string(text))
 		}
 		return nil
 	}
@@ -150,44 +148,71 @@
 		t.packages[path.Base(directory)] = names
 	}
 	ast.Inspect(parsed, func(node ast.Node) bool {
-		switch n := node.(type) {
-		case *ast.Ident:
-			t.words[n.Name] = true
-		case *ast.Field:
-			if n.Tag != nil {
-				for _, key := range word.FindAllString(n.Tag.Value, -1) {
-					t.keys[key] = true
-				}
-			}
-		case *ast.BasicLit:
-			if n.Kind == token.STRING {
-				t.addLiteral(n.Value, isTest)
-			}
-		case *ast.FuncDecl:
-			names[n.Name.Name] = true
-			if n.Recv != nil {
-				t.addMember(receiver(n), n.Name.Name)
-			} else if isTest && testName.MatchString(n.Name.Name) {
-				t.testFunctions[n.Name.Name] = append(t.testFunctions[n.Name.Name], directory)
-			}
-		case *ast.TypeSpec:
-			names[n.Name.Name] = true
-			t.addMember(n.Name.Name, "")
-			t.addFields(n, names)
-		case *ast.ValueSpec:
-			for _, declared := range n.Names {
-				names[declared.Name] = true
-			}
-		case *ast.CallExpr:
-			if flag, ok := definedFlag(n); ok && isTest {
-				t.testFlags[flag] = append(t.testFlags[flag], directory)
-			}
+		t.addUse(node, isTest)
+		t.addDeclaration(node, names)
+		if isTest {
+			t.addTest(node, directory)
 		}
 		return true
 	})
 	return nil
 }
 
+// addUse adds the words of a node.
+func (t *tree) addUse(node ast.Node, isTest bool) {
+	switch n := node.(type) {
+	case *ast.Ident:
+		t.words[n.Name] = true
+	case *ast.Field:
+		if n.Tag != nil {
+			t.addKeysIn(n.Tag.Value)
+		}
+	case *ast.BasicLit:
+		if n.Kind == token.STRING {
+			t.addLiteral(n.Value, isTest)
+		}
+	}
+}
+
+// addDeclaration adds what a node declares to the names of its package.
+func (t *tree) addDeclaration(node ast.Node, names map[string]bool) {
+	switch n := node.(type) {
+	case *ast.FuncDecl:
+		names[n.Name.Name] = true
+		if n.Recv != nil {
+			t.addMember(receiver(n), n.Name.Name)
+		}
+	case *ast.TypeSpec:
+		names[n.Name.Name] = true
+		t.addMember(n.Name.Name, "")
+		t.addFields(n, names)
+	case *ast.ValueSpec:
+		for _, declared := range n.Names {
+			names[declared.Name] = true
+		}
+	}
+}
+
+// addTest adds the test functions and flags that a test file defines.
+func (t *tree) addTest(node ast.Node, directory string) {
+	switch n := node.(type) {
+	case *ast.FuncDecl:
+		if n.Recv == nil && testName.MatchString(n.Name.Name) {
+			t.testFunctions[n.Name.Name] = append(t.testFunctions[n.Name.Name], directory)
+		}
+	case *ast.CallExpr:
+		if flag, ok := definedFlag(n); ok {
+			t.testFlags[flag] = append(t.testFlags[flag], directory)
+		}
+	}
+}
+
+func (t *tree) addKeysIn(text string) {
+	for _, key := range word.FindAllString(text, -1) {
+		t.keys[key] = true
+	}
+}
+
 func (t *tree) addLiteral(quoted string, isTest bool) {
 	value, err := strconv.Unquote(quoted)
 	if err != nil {
