--- a/internal/broker/full/ledger.go
+++ b/internal/broker/full/ledger.go
@@ -21,7 +21,10 @@
 // clocks are the system's and the loop's.
 type clocks struct{ loop *transport.Loop }
 
-func (c clocks) Wall() int64     { return time.Now().UnixMilli() }
+// Wall implements store.Clocks, by the system's clock.
+func (c clocks) Wall() int64 { return time.Now().UnixMilli() }
+
+// Steady implements store.Clocks, by the loop's clock.
 func (c clocks) Steady() float64 { return c.loop.Now() }
 
 // Calendar is the one that the operator's file names.
--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -124,4 +124,5 @@
 // nowhere is a receiver that can't be reached.
 type nowhere struct{ err error }
 
+// Apply takes nothing, and gives the error for which the receiver can't be reached.
 func (n nowhere) Apply(fence.Effect) (bool, error) { return false, n.err }
--- a/internal/decide/state.go
+++ b/internal/decide/state.go
@@ -39,6 +39,7 @@
 
 var stepNames = [Steps]string{"no_holder", "too_late", "out_of_room", "expected", "crowd", "borne", "hold_limit", "given_up"}
 
+// String gives the step's name, as counters have it.
 func (s Step) String() string { return stepNames[s] }
 
 // step tells which kept a search out on its arrival.
--- a/internal/disk/db.go
+++ b/internal/disk/db.go
@@ -47,8 +47,13 @@
 // goroutine stands still and the broker goes on.
 type quiet struct{ d *Disk }
 
-func (quiet) Infof(string, ...any)  {}
+// Infof writes nothing.
+func (quiet) Infof(string, ...any) {}
+
+// Errorf writes nothing.
 func (quiet) Errorf(string, ...any) {}
+
+// Fatalf keeps the text as the disk's fault, stops the disk and never returns.
 func (q quiet) Fatalf(form string, args ...any) {
 	text := fmt.Sprintf(form, args...)
 	q.d.Trouble.Store(&text)
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -140,6 +140,7 @@
 	return len(b), nil
 }
 
+// WriteAt writes all of b at an offset, as vfs.File has it; it returns only once the disk has taken it.
 func (f *file) WriteAt(b []byte, off int64) (int, error) {
 	at := 0
 	f.d.persist("write", func() error {
@@ -151,8 +152,13 @@
 	return len(b), nil
 }
 
-func (f *file) Sync() error     { return f.d.sync(f.File.Sync) }
+// Sync makes the file durable, as vfs.File has it.
+func (f *file) Sync() error { return f.d.sync(f.File.Sync) }
+
+// SyncData makes the file's bytes durable, as vfs.File has it.
 func (f *file) SyncData() error { return f.d.sync(f.File.SyncData) }
+
+// SyncTo makes the first n bytes durable, as vfs.File has it; full: the whole file is.
 func (f *file) SyncTo(n int64) (full bool, err error) {
 	err = f.d.sync(func() error { full, err = f.File.SyncTo(n); return err })
 	return full, err
--- a/internal/fleet/bear/port.go
+++ b/internal/fleet/bear/port.go
@@ -162,6 +162,7 @@
 	p *Port
 }
 
+// Send implements decide.Out; it keeps when the sub-request was sent and to which server.
 func (o *outward) Send(part, server int, within, begin float64) {
 	p := o.p
 	for len(p.parts) <= part {
@@ -171,11 +172,13 @@
 	o.Out.Send(part, server, within, begin)
 }
 
+// Shed implements decide.Out; it tells the plan of a search that was refused.
 func (o *outward) Shed(search int, comeBack float64) {
 	o.refused(search)
 	o.Out.Shed(search, comeBack)
 }
 
+// Fail implements decide.Out; it tells the plan of a search that ended in error.
 func (o *outward) Fail(search int) {
 	o.refused(search)
 	o.Out.Fail(search)
--- a/internal/fleet/site/port.go
+++ b/internal/fleet/site/port.go
@@ -128,6 +128,7 @@
 // outward hears what the module asks for.
 type outward Port
 
+// Send implements decide.Out; it tells the sight of the sub-request and passes it on.
 func (o *outward) Send(part, server int, within, begin float64) {
 	for len(o.parts) <= part {
 		o.parts = append(o.parts, nil)
@@ -137,16 +138,35 @@
 	o.out.Send(part, server, within, begin)
 }
 
-func (o *outward) Cancel(part, try int)              { o.out.Cancel(part, try) }
-func (o *outward) Answer(search int, whole bool)     { o.out.Answer(search, whole) }
+// Cancel implements decide.Out; it passes the decision on.
+func (o *outward) Cancel(part, try int) { o.out.Cancel(part, try) }
+
+// Answer implements decide.Out; it passes the decision on.
+func (o *outward) Answer(search int, whole bool) { o.out.Answer(search, whole) }
+
+// Shed implements decide.Out; it passes the decision on.
 func (o *outward) Shed(search int, comeBack float64) { o.out.Shed(search, comeBack) }
-func (o *outward) Fail(search int)                   { o.out.Fail(search) }
-func (o *outward) Probe(server int)                  { o.out.Probe(server) }
-func (o *outward) Close(server int)                  { o.out.Close(server) }
-func (o *outward) Subscribe()                        { o.out.Subscribe() }
-func (o *outward) Wake(in float64)                   { o.out.Wake(in) }
-func (o *outward) Log(text string)                   { o.out.Log(text) }
-func (o *outward) Forget(search int)                 { o.out.Forget(search) }
+
+// Fail implements decide.Out; it passes the decision on.
+func (o *outward) Fail(search int) { o.out.Fail(search) }
+
+// Probe implements decide.Out; it passes the decision on.
+func (o *outward) Probe(server int) { o.out.Probe(server) }
+
+// Close implements decide.Out; it passes the decision on.
+func (o *outward) Close(server int) { o.out.Close(server) }
+
+// Subscribe implements decide.Out; it passes the decision on.
+func (o *outward) Subscribe() { o.out.Subscribe() }
+
+// Wake implements decide.Out; it passes the decision on.
+func (o *outward) Wake(in float64) { o.out.Wake(in) }
+
+// Log implements decide.Out; it passes the decision on.
+func (o *outward) Log(text string) { o.out.Log(text) }
+
+// Forget implements decide.Out; it passes the decision on.
+func (o *outward) Forget(search int) { o.out.Forget(search) }
 
 var (
 	_ decide.Port = (*Port)(nil)
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -28,6 +28,7 @@
 
 var stateNames = [...]string{"well", "doubted", "lost", "returning"}
 
+// String gives the state's name, as log lines have it.
 func (s State) String() string { return stateNames[s] }
 
 // Rules are the thresholds. What they are in practice is measured in docs/measure/site.md.
--- a/internal/fleet/site/talk/talk.go
+++ b/internal/fleet/site/talk/talk.go
@@ -150,18 +150,30 @@
 	text []byte
 }
 
+// Invalidates implements memberlist.Broadcast: a later word of the same broker and site takes the place of an earlier one.
 func (w *word) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(*word)
 	return ok && o.key == w.key
 }
+
+// Message implements memberlist.Broadcast.
 func (w *word) Message() []byte { return w.text }
-func (w *word) Finished()       {}
+
+// Finished implements memberlist.Broadcast; nobody waits for it.
+func (w *word) Finished() {}
 
 type delegate Talk
 
-func (d *delegate) NodeMeta(int) []byte           { return nil }
-func (d *delegate) LocalState(bool) []byte        { return nil }
+// NodeMeta implements memberlist.Delegate; members carry no data.
+func (d *delegate) NodeMeta(int) []byte { return nil }
+
+// LocalState implements memberlist.Delegate; there is no state to exchange.
+func (d *delegate) LocalState(bool) []byte { return nil }
+
+// MergeRemoteState implements memberlist.Delegate; there is no state to exchange.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
+
+// GetBroadcasts implements memberlist.Delegate: what is still to be told, within limit bytes.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	if d.queue == nil {
 		return nil
--- a/internal/fleet/site/talk/via.go
+++ b/internal/fleet/site/talk/via.go
@@ -33,19 +33,23 @@
 	return at
 }
 
+// WriteTo sends a packet to the address that stands for addr.
 func (v *via) WriteTo(b []byte, addr string) (time.Time, error) {
 	return v.NetTransport.WriteTo(b, v.addr(addr))
 }
 
+// WriteToAddress sends a packet to the address that stands for the member's.
 func (v *via) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	a.Addr = v.addr(a.Addr)
 	return v.NetTransport.WriteToAddress(b, a)
 }
 
+// DialTimeout connects to the address that stands for addr.
 func (v *via) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
 	return v.NetTransport.DialTimeout(v.addr(addr), within)
 }
 
+// DialAddressTimeout connects to the address that stands for the member's.
 func (v *via) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
 	a.Addr = v.addr(a.Addr)
 	return v.NetTransport.DialAddressTimeout(a, within)
--- a/internal/grpcwire/grpcwire.go
+++ b/internal/grpcwire/grpcwire.go
@@ -42,6 +42,7 @@
 	"PERMISSION_DENIED", "RESOURCE_EXHAUSTED", "FAILED_PRECONDITION", "ABORTED", "OUT_OF_RANGE", "UNIMPLEMENTED", "INTERNAL",
 	"UNAVAILABLE", "DATA_LOSS", "UNAUTHENTICATED"}
 
+// String gives the status's name as gRPC spells it, or its number.
 func (s Status) String() string {
 	if int(s) < len(names) {
 		return names[s]
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -80,6 +80,7 @@
 	Why  string
 }
 
+// Error names the code and what was wrong.
 func (e *Err) Error() string { return fmt.Sprintf("%v: %s", e.Code, e.Why) }
 
 func fatal(code Code, why string) error { return &Err{code, why} }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -41,8 +41,10 @@
 	outcomeNames = [Outcomes]string{"answered", "partial", "shed", "errored", "left"}
 )
 
+// String gives the front's name, as exports have it.
 func (f Front) String() string { return frontNames[min(int(f), len(frontNames)-1)] }
 
+// String gives the outcome's name, as exports have it.
 func (o Outcome) String() string { return outcomeNames[min(int(o), len(outcomeNames)-1)] }
 
 // Key is what uses are added up by.
@@ -203,6 +205,7 @@
 	Close           // a period is closed: its total and the hash of its entries stand with it
 )
 
+// String gives the sort's name, as exports have it.
 func (s Sort) String() string {
 	switch s {
 	case Use:
@@ -255,6 +258,7 @@
 	Closed
 )
 
+// String gives the state's name.
 func (s State) String() string { return [...]string{"open", "closing", "closed"}[min(int(s), 2)] }
 
 // Period is what is known of one.
--- a/internal/node/verdict/verdict.go
+++ b/internal/node/verdict/verdict.go
@@ -22,6 +22,7 @@
 // (408, 421, 429, 503).
 func (v Verdict) MayPromise() bool { return v == NotRun }
 
+// String gives the verdict's name, as log lines have it.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -35,11 +35,13 @@
 // Finding is one thing that is wrong.
 type Finding struct{ Path, Why string }
 
+// String gives the path in the file and what is wrong there.
 func (f Finding) String() string { return f.Path + ": " + f.Why }
 
 // Findings are all that are wrong with a file, in the order of their paths.
 type Findings []Finding
 
+// Error gives all findings, a line each.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
--- a/internal/passthrough/client.go
+++ b/internal/passthrough/client.go
@@ -31,8 +31,10 @@
 	held    int // bytes of its calls
 }
 
+// Opened implements routing.Party: the connection is up.
 func (c *client) Opened() {}
 
+// Bytes implements routing.Party: bytes have come.
 func (c *client) Bytes(b []byte, came float64) {
 	if c.gone {
 		return
@@ -76,6 +78,7 @@
 	}
 }
 
+// Written implements routing.Party: the network has taken so many bytes.
 func (c *client) Written(upTo int64) {
 	c.written, c.moved = upTo, c.f.r.Now()
 	if c.h.Pending() {
@@ -83,6 +86,7 @@
 	}
 }
 
+// Closed implements routing.Party: the connection is gone.
 func (c *client) Closed(int64) {
 	c.end()
 }
@@ -152,10 +156,17 @@
 // parting is a connection that only waits for the other side to close.
 type parting client
 
-func (p *parting) Opened()               {}
+// Opened implements routing.Party: the connection is up.
+func (p *parting) Opened() {}
+
+// Bytes implements routing.Party: bytes have come.
 func (p *parting) Bytes([]byte, float64) {}
-func (p *parting) Written(int64)         {}
-func (p *parting) Closed(int64)          { p.gone = true; p.f.parting--; p.f.r.Forgo(p.timer) }
+
+// Written implements routing.Party: the network has taken so many bytes.
+func (p *parting) Written(int64) {}
+
+// Closed implements routing.Party: the connection is gone.
+func (p *parting) Closed(int64) { p.gone = true; p.f.parting--; p.f.r.Forgo(p.timer) }
 func (p *parting) hang() {
 	if !p.gone {
 		p.gone = true
@@ -234,12 +245,14 @@
 	c.refuse(s, grpcwire.ResourceExhausted, "metadata over the limit", -1)
 }
 
+// Data implements h2.Events: bytes of a body have come.
 func (c *client) Data(s *h2.Stream, b []byte, end bool) {
 	if k, ok := s.Of.(*call); ok {
 		k.fromClient(b, end)
 	}
 }
 
+// Reset implements h2.Events: the stream was reset.
 func (c *client) Reset(s *h2.Stream, _ h2.Code) {
 	c.f.Count.Resets++
 	if k, ok := s.Of.(*call); ok {
@@ -247,8 +260,11 @@
 	}
 }
 
+// Unprocessed implements h2.Events: the peer says that it never looked at the stream.
 func (c *client) Unprocessed(*h2.Stream) {}
-func (c *client) Settings()              {}
+
+// Settings implements h2.Events: the peer's settings have come.
+func (c *client) Settings() {}
 
 // Leaving: a client that says GOAWAY asks nothing new; what is open goes on.
 func (c *client) Leaving(h2.Code) {}
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -257,6 +257,7 @@
 
 func (o *carrier) front() *Front { return (*Front)(o) }
 
+// Open implements channels.Out: a connection to a server is begun.
 func (o *carrier) Open(server, channel int) bool {
 	f := o.front()
 	l := &line{f: f, server: server, channel: channel, attempts: map[*attempt]bool{}}
@@ -273,8 +274,10 @@
 	return true
 }
 
+// Begin implements channels.Out: an attempt has its place on a connection.
 func (o *carrier) Begin(channel int, t channels.Token) { o.front().lines[channel].begin(t.(*attempt)) }
 
+// Refuse implements channels.Out: an attempt gets no place, and ends.
 func (o *carrier) Refuse(t channels.Token, why channels.Why) {
 	a := t.(*attempt)
 	switch why {
@@ -293,6 +296,7 @@
 	}
 }
 
+// Close implements channels.Out: a connection is given up.
 func (o *carrier) Close(channel int) {
 	f := o.front()
 	l := f.lines[channel]
@@ -300,6 +304,7 @@
 	l.closing()
 }
 
+// Ping implements channels.Out: a connection is asked for a sign of life.
 func (o *carrier) Ping(channel int) {
 	f := o.front()
 	f.lines[channel].h.Ping()
--- a/internal/passthrough/line.go
+++ b/internal/passthrough/line.go
@@ -31,6 +31,7 @@
 	l.f.touch(l)
 }
 
+// Bytes implements routing.Party: bytes have come.
 func (l *line) Bytes(b []byte, came float64) {
 	if l.gone || b == nil {
 		return
@@ -45,6 +46,7 @@
 	l.f.touch(l)
 }
 
+// Written implements routing.Party: the network has taken so many bytes.
 func (l *line) Written(upTo int64) {
 	l.written = upTo
 	l.proceed()
@@ -53,6 +55,7 @@
 	}
 }
 
+// Closed implements routing.Party: the connection is gone.
 func (l *line) Closed(upTo int64) {
 	l.written = max(l.written, upTo)
 	l.lost(true)
@@ -242,6 +245,7 @@
 // Huge is metadata over the limit.
 func (l *line) Huge(s *h2.Stream) { s.Of.(*attempt).broken(grpcwire.HeadTooLong) }
 
+// Data implements h2.Events: bytes of a body have come.
 func (l *line) Data(s *h2.Stream, b []byte, end bool) {
 	a := s.Of.(*attempt)
 	if a.over {
@@ -259,12 +263,14 @@
 	}
 }
 
+// Reset implements h2.Events: the stream was reset.
 func (l *line) Reset(s *h2.Stream, code h2.Code) {
 	if a, ok := s.Of.(*attempt); ok {
 		a.ended(grpcwire.OfReset(code))
 	}
 }
 
+// Unprocessed implements h2.Events: the peer says that it never looked at the stream.
 func (l *line) Unprocessed(s *h2.Stream) {
 	if a, ok := s.Of.(*attempt); ok {
 		a.ended(grpcwire.Unprocessed)
@@ -282,4 +288,5 @@
 	}
 }
 
+// Settings implements h2.Events: the peer's settings have come.
 func (l *line) Settings() { l.f.pool.Up(l.f.r.Now(), l.channel, l.h.Most()) }
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -23,6 +23,7 @@
 	Why    string
 }
 
+// Error gives what is wrong with the message.
 func (e *Bad) Error() string { return e.Why }
 
 func bad(status int, why string) error { return &Bad{status, why} }
--- a/internal/rig/faultrun/clock.go
+++ b/internal/rig/faultrun/clock.go
@@ -14,12 +14,21 @@
 
 type eventHeap []event
 
+// Len implements heap.Interface.
 func (h eventHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
+
+// Swap implements heap.Interface.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+
+// Push implements heap.Interface.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/rig/faultrun/machine.go
+++ b/internal/rig/faultrun/machine.go
@@ -152,6 +152,7 @@
 // chanceReader draws bytes from a source of chance.
 type chanceReader struct{ random *rand.Rand }
 
+// Read implements io.Reader; it never fails.
 func (r chanceReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = byte(r.random.Uint32())
--- a/internal/rig/faultrun/operator.go
+++ b/internal/rig/faultrun/operator.go
@@ -285,4 +285,5 @@
 // noChecker checks no schema: configurations of these runs keep it.
 type noChecker struct{}
 
+// CheckItems finds nothing wrong.
 func (noChecker) CheckItems([]config.SchemaItem) error { return nil }
--- a/internal/rig/fleet/checks.go
+++ b/internal/rig/fleet/checks.go
@@ -16,6 +16,7 @@
 	Text string
 }
 
+// String gives the rule and how it was broken.
 func (b Breach) String() string { return b.Rule + ": " + b.Text }
 
 // evidence is all that was seen on sockets.
--- a/internal/rig/fleet/log.go
+++ b/internal/rig/fleet/log.go
@@ -23,6 +23,7 @@
 	return len(text), nil
 }
 
+// String gives what was written so far.
 func (l *logBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/rig/fleet/record.go
+++ b/internal/rig/fleet/record.go
@@ -17,6 +17,7 @@
 	kindCount
 )
 
+// String gives the kind's name, as configurations have it.
 func (k Kind) String() string { return [...]string{"safe", "unsafe", "streaming"}[k] }
 
 // Outcome is how one try of a client ended.
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -102,12 +102,14 @@
 	b    bytes.Buffer
 }
 
+// Write implements io.Writer, for several goroutines.
 func (l *lines) Write(b []byte) (int, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.b.Write(b)
 }
 
+// String gives what was written so far.
 func (l *lines) String() string {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/rig/scenario/file.go
+++ b/internal/rig/scenario/file.go
@@ -337,6 +337,7 @@
 	What  Fault
 }
 
+// String tells the step in words, as a schedule is printed.
 func (s Step) String() string {
 	word := "begins"
 	if s.Ends {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -68,6 +68,7 @@
 // Conflict names two routes of which either might be meant.
 type Conflict struct{ First, Second int }
 
+// Error names the two routes.
 func (e *Conflict) Error() string {
 	return fmt.Sprintf("routes %d and %d match the same calls, and neither is the longer", e.First, e.Second)
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -411,6 +411,7 @@
 func (b *broker) u64(v uint64)  { b.h.reply = binary.LittleEndian.AppendUint64(b.h.reply, v) }
 func (b *broker) f64(v float64) { b.u64(math.Float64bits(v)) }
 
+// Send implements decide.Out: one more sub-request goes to a server, by a frame to the simulator.
 func (b *broker) Send(part, server int, within, _ float64) {
 	b.say(1130)
 	b.u64(b.wire[part])
@@ -418,12 +419,14 @@
 	b.h.reply = append(b.h.reply, b.names[server][:]...)
 }
 
+// Cancel implements decide.Out: a sub-request is called off, by a frame to the simulator.
 func (b *broker) Cancel(part, try int) {
 	b.say(1100)
 	b.u64(b.wire[part])
 	b.h.reply = binary.LittleEndian.AppendUint16(b.h.reply, uint16(try))
 }
 
+// Answer implements decide.Out: a search is answered, by a frame to the simulator.
 func (b *broker) Answer(search int, whole bool) {
 	b.say(1080)
 	b.u64(b.wire[search])
@@ -434,43 +437,51 @@
 	b.h.reply = append(b.h.reply, mark)
 }
 
+// Shed implements decide.Out: a search is refused, by a frame to the simulator.
 func (b *broker) Shed(search int, comeBack float64) {
 	b.say(1010)
 	b.u64(b.wire[search])
 	b.f64(comeBack)
 }
 
+// Fail implements decide.Out: a search ends in error, by a frame to the simulator.
 func (b *broker) Fail(search int) {
 	b.say(1060)
 	b.u64(b.wire[search])
 }
 
+// Probe implements decide.Out: a server is probed, by a frame to the simulator.
 func (b *broker) Probe(server int) {
 	b.say(1050)
 	b.h.reply = append(b.h.reply, b.names[server][:]...)
 }
 
+// Close implements decide.Out: idle connections to a server are closed, by a frame to the simulator.
 func (b *broker) Close(server int) {
 	b.say(1000)
 	b.h.reply = append(b.h.reply, b.names[server][:]...)
 }
 
+// Subscribe implements decide.Out: the list is subscribed to, by a frame to the simulator.
 func (b *broker) Subscribe() {
 	b.say(1110)
 	b.h.reply = append(b.h.reply, 1)
 }
 
+// Wake implements decide.Out: the module wants a round after so many milliseconds, by a frame to the simulator.
 func (b *broker) Wake(in float64) {
 	b.say(1020)
 	b.f64(in)
 	b.u64(0)
 }
 
+// Log implements decide.Out: the module has a line for the log.
 func (b *broker) Log(text string) {
 	b.h.speak(b)
 	b.h.text(1120, text)
 }
 
+// Forget implements decide.Out: the indices of a search may be used again.
 func (b *broker) Forget(search int) {
 	for _, at := range append(b.members[search], search) {
 		delete(b.index, b.wire[at])
--- a/internal/standin/crowd/crowd.go
+++ b/internal/standin/crowd/crowd.go
@@ -89,12 +89,21 @@
 
 type queue []event
 
+// Len implements heap.Interface.
 func (q queue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
+
+// Swap implements heap.Interface.
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
+
+// Push implements heap.Interface.
+func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
@@ -480,6 +489,7 @@
 // Cancel ends a sub-request at once: servers drop what waits.
 func (b *broker) Cancel(id, no int) { b.done(b.slots[id].(*part).tries[no], decide.Cancelled) }
 
+// Answer implements decide.Out: a search is answered.
 func (b *broker) Answer(id int, _ bool) {
 	q := b.slots[id].(*search)
 	if q.over = true; b.w.now-q.begin <= b.w.Kinds[q.kind].Target {
@@ -496,6 +506,7 @@
 	}
 }
 
+// Shed implements decide.Out: a search is refused.
 func (b *broker) Shed(id int, back float64) {
 	q := b.slots[id].(*search)
 	q.over = true
@@ -514,11 +525,13 @@
 	w.res.Shed++
 }
 
+// Fail implements decide.Out: a search ends in error.
 func (b *broker) Fail(id int) {
 	b.slots[id].(*search).over = true
 	b.w.res.Failed++
 }
 
+// Probe implements decide.Out: a server is probed.
 func (b *broker) Probe(to int) {
 	w, s, at := b.w, b.w.servers[to], b.w.now
 	if !w.reaches(b, s) || s.bad {
@@ -528,9 +541,13 @@
 	w.after(2*w.Delay, func() { b.say(func(p decide.Port) { p.Probed(to, true, w.now-at, nil) }) })
 }
 
-func (b *broker) Close(int)  {}
+// Close implements decide.Out: idle connections to a server are closed.
+func (b *broker) Close(int) {}
+
+// Subscribe implements decide.Out: the list is subscribed to.
 func (b *broker) Subscribe() {}
 
+// Wake implements decide.Out: the module wants a round after so many milliseconds.
 func (b *broker) Wake(in float64) {
 	at := b.w.now + in
 	if at >= b.wake {
@@ -544,6 +561,7 @@
 	})
 }
 
+// Log implements decide.Out: the module has a line for the log.
 func (b *broker) Log(text string) {
 	word := text
 	if len(word) > 11 {
@@ -559,6 +577,7 @@
 	}
 }
 
+// Forget implements decide.Out: the indices of a search may be used again.
 func (b *broker) Forget(id int) {
 	q := b.slots[id].(*search)
 	for _, p := range q.parts {
--- a/internal/standin/grpcpeer/client.go
+++ b/internal/standin/grpcpeer/client.go
@@ -83,6 +83,7 @@
 
 type clientEnd Client
 
+// Opened implements virtual.Peer: the broker has taken the connection.
 func (e *clientEnd) Opened(*virtual.End) {
 	c := (*Client)(e)
 	for _, a := range c.wait {
@@ -92,12 +93,14 @@
 	c.Flush()
 }
 
+// Bytes implements virtual.Peer: bytes of the broker have come.
 func (e *clientEnd) Bytes(_ *virtual.End, b []byte) {
 	c := (*Client)(e)
 	c.H.Feed(b, c.W.Now)
 	c.Flush()
 }
 
+// Closed implements virtual.Peer: the connection is gone, and its calls with it.
 func (e *clientEnd) Closed(*virtual.End) {
 	c := (*Client)(e)
 	if c.Shut {
--- a/internal/standin/llmbroker/kvapi.go
+++ b/internal/standin/llmbroker/kvapi.go
@@ -52,6 +52,7 @@
 // serves reports whether a path is one of this API's.
 func (k *kvAPI) serves(path string) bool { return path == pathEvents || path == pathList }
 
+// ServeHTTP implements http.Handler; a call over the number that may be held at once is refused.
 func (k *kvAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case k.callers <- struct{}{}:
--- a/internal/standin/llmbroker/store.go
+++ b/internal/standin/llmbroker/store.go
@@ -34,6 +34,7 @@
 // Close ends the store and drops what it kept.
 func (s *Store) Close() { _ = s.server.Close() }
 
+// ServeHTTP implements http.Handler, for the calls of a store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case s.kv.serves(r.URL.Path):
--- a/internal/standin/receiver/fenced.go
+++ b/internal/standin/receiver/fenced.go
@@ -42,6 +42,7 @@
 	return r
 }
 
+// ServeHTTP implements http.Handler; a write under an old token is refused.
 func (r *Fenced) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	b, err := io.ReadAll(q.Body)
 	var e fence.Effect
--- a/internal/standin/receiver/receiver.go
+++ b/internal/standin/receiver/receiver.go
@@ -42,6 +42,7 @@
 	return r
 }
 
+// ServeHTTP implements http.Handler, by the mode that is set.
 func (r *Receiver) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	body, err := io.ReadAll(q.Body)
 	key, hash := q.Header.Get("Idempotency-Key"), q.Header.Get("Batch-Hash")
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/virtual/world.go
@@ -100,12 +100,21 @@
 
 type events []event
 
+// Len implements heap.Interface.
 func (q events) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q events) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].serial < q[j].serial
 }
+
+// Swap implements heap.Interface.
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(e any)   { *q = append(*q, e.(event)) }
+
+// Push implements heap.Interface.
+func (q *events) Push(e any) { *q = append(*q, e.(event)) }
+
+// Pop implements heap.Interface.
 func (q *events) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
@@ -154,7 +163,10 @@
 // lister is discovery's agent.
 type lister World
 
+// Opened implements Peer; the list is only sent once it is asked for.
 func (l *lister) Opened(*End) {}
+
+// Bytes implements Peer: the list is asked for, and answered with a stream of lists.
 func (l *lister) Bytes(e *End, _ []byte) {
 	w := (*World)(l)
 	line := w.line(true) + "\n"
@@ -172,6 +184,7 @@
 	})
 }
 
+// Closed implements Peer: the stream gets no further lists.
 func (l *lister) Closed(e *End) {
 	w := (*World)(l)
 	for i, o := range w.watches {
@@ -323,6 +336,7 @@
 	return w.ends[c]
 }
 
+// Write implements routing.Net: bytes go out as far as the network takes them.
 func (w *World) Write(c transport.Conn, b []byte) {
 	e := w.end(c)
 	if !e.open || e.ended {
