--- a/internal/node/chain/status.go
+++ b/internal/node/chain/status.go
@@ -6,67 +6,69 @@
 	"kestrelspread/internal/node/view"
 )
 
-// Role is a node's place in the chain.
-type Role uint8
+// MemberRole is a node's role in the chain.
+type MemberRole uint8
 
-// The places in the chain.
+// The roles in the chain.
 const (
-	None   Role = iota // outside the chain, or no view known
-	Only               // head and tail at once
-	HeadOf             // takes commands
-	Middle
-	TailOf // answers
+	OutsideChain MemberRole = iota // no member, or no view known
+	SoleMember                     // head and tail at once
+	Head                           // accepts commands
+	Middle                         // forwards
+	Tail                           // commits and answers
 )
 
-func (r Role) String() string {
-	return [...]string{"none", "only", "head", "middle", "tail"}[r]
+// String is the role as status pages show it.
+func (m MemberRole) String() string {
+	return [...]string{"none", "only", "head", "middle", "tail"}[m]
 }
 
-// Status is what other planes need to know.
+// Status is what the rest of the node needs to know of a Replica.
 type Status struct {
-	Epoch     uint64
-	View      *nodepb.View // nil: none known
-	Role      Role
-	Wedged    bool   // the view is being changed by this node
-	Committed uint64 // index
-	Pending   bool
-	// ConfirmedAt is when, by this node's clock, the committed state was known to be the newest; only a tail learns it.
+	Epoch      uint64
+	View       *nodepb.View // nil: none known
+	Role       MemberRole
+	Wedged     bool   // this node has proposed a successor of View, and forwards nothing
+	Committed  uint64 // index of the committed state
+	HasPending bool   // an entry is not committed
+	// ConfirmedAt is the time, by this node's clock, as of which the committed state was the newest, if EverConfirmed. Only a
+	// tail learns it.
 	ConfirmedAt   core.Time
-	ConfirmedOnce bool
+	EverConfirmed bool
 	DiskHealthy   bool
-	// LeaseFrom is when, at the head, the newest barrier that passed every member was started; Leased: there was one in
+	// LeaseStart is when, at the head, the newest barrier that passed every member was started; HasLease: there was one in
 	// this epoch.
-	LeaseFrom core.Time
-	Leased    bool
+	LeaseStart core.Time
+	HasLease   bool
 }
 
-// Status tells how things stand.
-func (s *Store) Status() Status {
+// Status returns the present status.
+func (r *Replica) Status() Status {
 	return Status{
-		Epoch:         view.Epoch(s.view),
-		View:          s.view,
-		Role:          s.role(),
-		Wedged:        s.wedged,
-		Committed:     s.committed.index,
-		Pending:       s.pending != nil,
-		ConfirmedAt:   s.confirm.at,
-		ConfirmedOnce: s.confirm.once,
-		DiskHealthy:   s.writer.healthy(s.now),
-		LeaseFrom:     s.leaseFrom,
-		Leased:        s.leased,
+		Epoch:         view.Epoch(r.view),
+		View:          r.view,
+		Role:          r.role(),
+		Wedged:        r.wedged,
+		Committed:     r.committed.index,
+		HasPending:    r.pending != nil,
+		ConfirmedAt:   r.tail.confirmedAt,
+		EverConfirmed: r.tail.everConfirmed,
+		DiskHealthy:   r.writer.healthy(r.now),
+		LeaseStart:    r.head.leaseStart,
+		HasLease:      r.head.hasLease,
 	}
 }
 
-func (s *Store) role() Role {
+func (r *Replica) role() MemberRole {
 	switch {
-	case !s.inChain():
-		return None
-	case s.isHead() && s.isTail():
-		return Only
-	case s.isHead():
-		return HeadOf
-	case s.isTail():
-		return TailOf
+	case !r.inChain():
+		return OutsideChain
+	case r.isHead() && r.isTail():
+		return SoleMember
+	case r.isHead():
+		return Head
+	case r.isTail():
+		return Tail
 	default:
 		return Middle
 	}
