--- a/internal/node/chain/acceptor.go
+++ b/internal/node/chain/acceptor.go
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// acceptorID names this node as an acceptor of the next view: by its disk id, before the first view by its address; empty if
-// it is no acceptor.
+// acceptorID names this node as an acceptor of the next view: by its disk id, before the first view
+// by its address; empty if it is no acceptor.
 func (r *Replica) acceptorID() string {
 	switch {
 	case r.view == nil && slices.Contains(r.founders, r.address()):
--- a/internal/node/chain/barrier.go
+++ b/internal/node/chain/barrier.go
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// headBarrier is a barrier at the head, started or deferred. It answers a read or a rejected command, or serves a confirmation
-// of the tail, or the lease of the head alone.
+// headBarrier is a barrier at the head, started or deferred. It answers a read or a rejected
+// command, or serves a confirmation of the tail, or the lease of the head alone.
 type headBarrier struct {
 	origin          *nodepb.Origin        // of the read or command
 	rejection       *nodepb.CommandResult // of a command
@@ -24,14 +24,15 @@
 	retransmitAt core.Time
 }
 
-// canAnswer reports whether this node may take part in acknowledging and answering: it is an active member of a durable view
-// with a chain that is long enough.
+// canAnswer reports whether this node may take part in acknowledging and answering: it is an active
+// member of a durable view with a chain that is long enough.
 func (r *Replica) canAnswer() bool {
 	return r.isActiveMember() && r.viewDurable && view.CanAcknowledge(r.view)
 }
 
-// startBarrier sends a barrier through the chain, or defers it: while an inherited entry is not committed, as that may have been
-// acknowledged and the answer must include it; while the chain is too short to answer; and while the view changes.
+// startBarrier sends a barrier through the chain, or defers it: while an inherited entry is not
+// committed, as that may have been acknowledged and the answer must include it; while the chain is
+// too short to answer; and while the view changes.
 func (r *Replica) startBarrier(barrier headBarrier) {
 	if barrier.expiresAt == 0 {
 		barrier.expiresAt = r.now + commandTimeout
@@ -95,7 +96,8 @@
 	return deadline
 }
 
-// unansweredRequests lists the reads and the rejected commands whose barriers have not been completed.
+// unansweredRequests lists the reads and the rejected commands whose barriers have not been
+// completed.
 func (r *Replica) unansweredRequests() (reads []headBarrier, commands []queuedCommand) {
 	for _, barrier := range append(r.head.outstandingBarriers, r.head.deferredBarriers...) {
 		switch {
@@ -121,9 +123,10 @@
 	}
 }
 
-// receiveBarrier forwards a barrier at a member behind the head. A member that lacks a committed entry waits for it and
-// ignores the barrier, which the head sends again. A pending entry of an earlier epoch that the head does not have was never
-// acknowledged: it is discarded, durably, before the barrier goes on.
+// receiveBarrier forwards a barrier at a member behind the head. A member that lacks a committed
+// entry waits for it and ignores the barrier, which the head sends again. A pending entry of an
+// earlier epoch that the head does not have was never acknowledged: it is discarded, durably,
+// before the barrier goes on.
 func (r *Replica) receiveBarrier(from core.Peer, barrier *nodepb.Barrier) {
 	if !r.isCurrentEpoch(from, barrier.GetEpoch()) || !r.isActiveMember() || r.isHead() {
 		return
@@ -171,8 +174,8 @@
 	r.notifyCommitted(barrier.GetNumber())
 }
 
-// readResult is the answer to a reader that holds the state of knownIndex: the index alone where that is the newest, else the
-// complete state.
+// readResult is the answer to a reader that holds the state of knownIndex: the index alone where
+// that is the newest, else the complete state.
 func (r *Replica) readResult(knownIndex uint64) *nodepb.StateSnapshot {
 	if knownIndex > 0 && knownIndex >= r.committed.index {
 		return &nodepb.StateSnapshot{Index: r.committed.index}
@@ -180,8 +183,9 @@
 	return r.snapshot()
 }
 
-// recordBarrierCompletion records, at the head, that one of its barriers has passed every member. That extends the lease, which
-// counts from the start of the barrier: until then no other head was in force.
+// recordBarrierCompletion records, at the head, that one of its barriers has passed every member.
+// That extends the lease, which counts from the start of the barrier: until then no other head was
+// in force.
 func (r *Replica) recordBarrierCompletion(number uint64) {
 	for i, barrier := range r.head.outstandingBarriers {
 		if barrier.message.GetNumber() != number {
--- a/internal/node/chain/catchup.go
+++ b/internal/node/chain/catchup.go
@@ -6,8 +6,9 @@
 	"kestrelspread/internal/node/view"
 )
 
-// receiveCatchUp takes over the head's state at a node outside the chain. It must come from the head of the newest view that
-// this node knows, and within an epoch the state never goes back. The head is answered once all of it is durable.
+// receiveCatchUp takes over the head's state at a node outside the chain. It must come from the
+// head of the newest view that this node knows, and within an epoch the state never goes back. The
+// head is answered once all of it is durable.
 func (r *Replica) receiveCatchUp(from core.Peer, message *nodepb.CatchUp) {
 	if !r.isCurrentEpoch(from, message.GetEpoch()) || r.inChain() || from.Address != view.Head(r.view).GetAddress() {
 		return
@@ -31,7 +32,8 @@
 	r.persist(kindCaughtUp, &nodepb.CaughtUpRecord{Epoch: r.caughtUpEpoch}, func() { r.acknowledgeCatchUp(message, pending) })
 }
 
-// applyCatchUp brings the committed state up to the head's; false: this node needs a snapshot for that.
+// applyCatchUp brings the committed state up to the head's; false: this node needs a snapshot for
+// that.
 func (r *Replica) applyCatchUp(message *nodepb.CatchUp) bool {
 	committed := position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()}
 	if message.GetHasSnapshot() && committed.index > r.committed.index {
@@ -48,7 +50,8 @@
 	return r.committed.index >= committed.index
 }
 
-// commitCatchUpEntry commits an entry that the head has committed, in place of the pending one if that is another.
+// commitCatchUpEntry commits an entry that the head has committed, in place of the pending one if
+// that is another.
 func (r *Replica) commitCatchUpEntry(entry *nodepb.Entry) {
 	if r.pending == nil || positionOf(r.pending) != positionOf(entry) {
 		r.pending = entry
@@ -72,7 +75,8 @@
 	return true
 }
 
-// adoptPending makes the head's pending entry this node's own; where the head has none, this node's is discarded.
+// adoptPending makes the head's pending entry this node's own; where the head has none, this node's
+// is discarded.
 func (r *Replica) adoptPending(entry *nodepb.Entry) {
 	if entry.GetIndex() != r.committed.index+1 {
 		if r.pending != nil {
@@ -88,7 +92,8 @@
 	r.persist(kindEntry, entry, nil)
 }
 
-// acknowledgeCatchUp reports to the head that its state is durable here, unless the pending entry has changed meanwhile.
+// acknowledgeCatchUp reports to the head that its state is durable here, unless the pending entry
+// has changed meanwhile.
 func (r *Replica) acknowledgeCatchUp(message *nodepb.CatchUp, pending *nodepb.Entry) {
 	if r.pending != pending {
 		return
--- a/internal/node/chain/commands.go
+++ b/internal/node/chain/commands.go
@@ -14,8 +14,9 @@
 	expiresAt core.Time
 }
 
-// receiveSubmit queues a command, or starts the barrier of a read, at the head; other nodes forward it to the head they know.
-// A command that finds the queue full is not answered: its sender tries again.
+// receiveSubmit queues a command, or starts the barrier of a read, at the head; other nodes forward
+// it to the head they know. A command that finds the queue full is not answered: its sender tries
+// again.
 func (r *Replica) receiveSubmit(from core.Peer, message *nodepb.Submit) {
 	origin := message.GetOrigin()
 	if origin == nil {
@@ -37,14 +38,15 @@
 	}
 }
 
-// isForwardedByHead reports whether the node that this one knows as the head forwarded the message. It knows a newer view then,
-// which is on its way here, and the message waits for that.
+// isForwardedByHead reports whether the node that this one knows as the head forwarded the message.
+// It knows a newer view then, which is on its way here, and the message waits for that.
 func (r *Replica) isForwardedByHead(from string, message *nodepb.Submit) bool {
 	head := view.Head(r.view)
 	return head != nil && message.GetHops() > 0 && head.GetAddress() == from
 }
 
-// forwardToHead forwards a command or read to the head that this node knows, unless it has come over maxCommandHops.
+// forwardToHead forwards a command or read to the head that this node knows, unless it has come
+// over maxCommandHops.
 func (r *Replica) forwardToHead(message *nodepb.Submit, origin *nodepb.Origin) {
 	head := view.Head(r.view)
 	if head == nil || message.GetHops() >= maxCommandHops {
@@ -80,7 +82,8 @@
 	return r.isHead() && r.canAnswer() && r.pending == nil && r.proposal == nil && r.now >= r.head.entriesPausedUntil
 }
 
-// processQueue processes the queued commands until one has become an entry, which must be committed first.
+// processQueue processes the queued commands until one has become an entry, which must be committed
+// first.
 func (r *Replica) processQueue() {
 	for len(r.head.commandQueue) > 0 && r.acceptsEntries() {
 		next := r.head.commandQueue[0]
@@ -89,8 +92,8 @@
 	}
 }
 
-// processCommand checks a command against the committed state. A rejection passes the chain as a barrier, so that this node is
-// known to have been the head when it was made.
+// processCommand checks a command against the committed state. A rejection passes the chain as a
+// barrier, so that this node is known to have been the head when it was made.
 func (r *Replica) processCommand(next queuedCommand) {
 	result, accept := r.options.StateMachine.Check(next.command)
 	if !accept {
@@ -121,7 +124,8 @@
 	r.retransmitBarriers()
 }
 
-// enterEpoch starts this node's part in the view in force once that is durable. A head forwards what it has inherited first.
+// enterEpoch starts this node's part in the view in force once that is durable. A head forwards
+// what it has inherited first.
 func (r *Replica) enterEpoch() {
 	if !r.isActiveMember() || !r.viewDurable {
 		return
@@ -137,8 +141,8 @@
 	r.processQueue()
 }
 
-// commitRecoveredAtTail commits, after a restart, the last entry at the tail if it is of the epoch in force: it had passed
-// every member and may have been acknowledged.
+// commitRecoveredAtTail commits, after a restart, the last entry at the tail if it is of the epoch
+// in force: it had passed every member and may have been acknowledged.
 func (r *Replica) commitRecoveredAtTail() {
 	if r.isTail() && r.pending != nil && r.pending.GetEpoch() == r.view.GetEpoch() {
 		r.pendingReceivedEpoch = r.view.GetEpoch()
--- a/internal/node/chain/confirmation.go
+++ b/internal/node/chain/confirmation.go
@@ -5,8 +5,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// tailConfirmation is what the tail knows of the age of the committed state: a barrier that the tail asked for at requestedAt
-// proves, once it has passed every member, that no newer state had been acknowledged then.
+// tailConfirmation is what the tail knows of the age of the committed state: a barrier that the
+// tail asked for at requestedAt proves, once it has passed every member, that no newer state had
+// been acknowledged then.
 type tailConfirmation struct {
 	nonce         uint64 // of the barrier requested last
 	requestedAt   core.Time
@@ -15,8 +16,8 @@
 	everConfirmed bool
 }
 
-// RequestConfirmation requests a barrier at the tail, to confirm the age of its state, or at the head, for its lease, unless
-// the last one is younger than ConfirmInterval or one is outstanding.
+// RequestConfirmation requests a barrier at the tail, to confirm the age of its state, or at the
+// head, for its lease, unless the last one is younger than ConfirmInterval or one is outstanding.
 func (r *Replica) RequestConfirmation(now core.Time) []core.Output {
 	r.advance(now)
 	switch {
@@ -29,8 +30,8 @@
 	return r.finish()
 }
 
-// requestConfirmationAtTail asks the head for a barrier; requestedAt is taken before anything is sent, so that a confirmation is
-// never taken for younger than it is.
+// requestConfirmationAtTail asks the head for a barrier; requestedAt is taken before anything is
+// sent, so that a confirmation is never taken for younger than it is.
 func (r *Replica) requestConfirmationAtTail() {
 	if r.tail.everConfirmed && r.now-r.tail.confirmedAt < ConfirmInterval {
 		return
--- a/internal/node/chain/faults_test.go
+++ b/internal/node/chain/faults_test.go
@@ -15,13 +15,15 @@
 	firstSeed = flag.Uint64("first-seed", 0, "the first of them")
 )
 
-// faults injects faults at random times. Safety is verified throughout; losses of disks stay within the fault tolerance.
+// faults injects faults at random times. Safety is verified throughout; losses of disks stay within
+// the fault tolerance.
 type faults struct {
 	world    *world
 	until    core.Time
 	interval time.Duration // between two faults, at most
 	wiped    int           // disks lost since all machines were in the chain
-	// beyondTolerance: disks were lost while there were too few voters; what was acknowledged must hold even so.
+	// beyondTolerance: disks were lost while there were too few voters; what was acknowledged must
+	// hold even so.
 	beyondTolerance bool
 }
 
@@ -150,8 +152,8 @@
 	}
 }
 
-// wipeDisks loses the disks of as many machines as may be lost until all are in the chain again. Half of the time the others
-// lose power at once.
+// wipeDisks loses the disks of as many machines as may be lost until all are in the chain again.
+// Half of the time the others lose power at once.
 func (f *faults) wipeDisks() {
 	w := f.world
 	if w.allInChain() {
@@ -177,7 +179,8 @@
 	}
 }
 
-// replace removes a machine and adds another with an empty disk; it counts as one of those that may be lost.
+// replace removes a machine and adds another with an empty disk; it counts as one of those that may
+// be lost.
 func (f *faults) replace() {
 	w := f.world
 	if !w.allInChain() || w.settings.tolerance == 0 {
@@ -203,7 +206,8 @@
 	w.after(f.randomDuration(), f.endNetworkFaults)
 }
 
-// allInChain reports whether every core machine runs and is in the chain, and nobody else is a voter.
+// allInChain reports whether every core machine runs and is in the chain, and nobody else is a
+// voter.
 func (w *world) allInChain() bool {
 	for _, address := range w.order[:w.settings.core] {
 		n := w.nodes[address]
--- a/internal/node/chain/firstview.go
+++ b/internal/node/chain/firstview.go
@@ -8,8 +8,9 @@
 	"kestrelspread/internal/node/view"
 )
 
-// startFounding makes durable that this disk belongs to a system without a view, so that a founder that restarts before there
-// is one remains a founder, and an empty disk never becomes one. recorded are the founders that the journal holds.
+// startFounding makes durable that this disk belongs to a system without a view, so that a founder
+// that restarts before there is one remains a founder, and an empty disk never becomes one.
+// recorded are the founders that the journal holds.
 func (r *Replica) startFounding(recorded []string) {
 	switch {
 	case r.view != nil:
@@ -21,8 +22,9 @@
 	}
 }
 
-// considerFirstView proposes the first view if this node is the first founder that is present. It waits for all founders, and
-// after founderTimeout goes on with a majority of them. Later founders wait longer, by founderRankDelay each.
+// considerFirstView proposes the first view if this node is the first founder that is present. It
+// waits for all founders, and after founderTimeout goes on with a majority of them. Later founders
+// wait longer, by founderRankDelay each.
 func (r *Replica) considerFirstView() {
 	index := slices.Index(r.founders, r.address())
 	if index < 0 || r.diskID() == "" || r.proposal != nil || r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now) {
@@ -42,8 +44,8 @@
 	r.startProposal()
 }
 
-// countFounders counts the founders that are present, this one at the index included, and those of them before the index that
-// could propose.
+// countFounders counts the founders that are present, this one at the index included, and those of
+// them before the index that could propose.
 func (r *Replica) countFounders(index int) (present, earlier int) {
 	for i, founder := range r.founders {
 		if i == index {
@@ -62,7 +64,8 @@
 	return present, earlier
 }
 
-// firstView is the first view to propose: the founders that are present and count, in the order of the seeds.
+// firstView is the first view to propose: the founders that are present and count, in the order of
+// the seeds.
 func (r *Replica) firstView() *nodepb.View {
 	var voters []*nodepb.Voter
 	for _, founder := range r.founders {
@@ -73,7 +76,8 @@
 	return view.FirstView(voters, r.options.Tolerance)
 }
 
-// founderVoter is the founder as a voter, nil if it is not present, doesn't count or has a disk fault.
+// founderVoter is the founder as a voter, nil if it is not present, doesn't count or has a disk
+// fault.
 func (r *Replica) founderVoter(founder string) *nodepb.Voter {
 	if founder == r.address() {
 		return r.options.Self
--- a/internal/node/chain/handover_test.go
+++ b/internal/node/chain/handover_test.go
@@ -9,8 +9,8 @@
 	"kestrelspread/internal/node/chain"
 )
 
-// TestCallsSurviveAHandover: what reaches a head that hands over is answered by the next head, before the caller asks
-// another machine.
+// TestCallsSurviveAHandover: what reaches a head that hands over is answered by the next head,
+// before the caller asks another machine.
 func TestCallsSurviveAHandover(t *testing.T) {
 	const maxCallTime = 150 * time.Millisecond
 	for seed := range uint64(40) {
--- a/internal/node/chain/headstate.go
+++ b/internal/node/chain/headstate.go
@@ -2,10 +2,11 @@
 
 import "kestrelspread/internal/node/core"
 
-// headState is what a node knows and has under way as the head. stepDown ends it with the epoch, except for the snapshot
-// and the numbers of barriers.
+// headState is what a node knows and has pending as the head. stepDown ends what belongs to the
+// epoch, and hands pending requests on; the cached snapshot and the numbering of barriers continue.
 type headState struct {
-	// pendingInherited: the pending entry is of an earlier epoch or incarnation, and may have been acknowledged.
+	// pendingInherited: the pending entry is of an earlier epoch or incarnation, and may have been
+	// acknowledged.
 	pendingInherited bool
 	retransmitAt     core.Time // of the pending entry
 
@@ -16,7 +17,8 @@
 	outstandingBarriers []headBarrier // started and not completed, oldest first
 	lastBarrierNumber   uint64
 
-	// hasLease: a barrier has passed every member in this epoch; leaseStart is when the newest such one was started.
+	// hasLease: a barrier has passed every member in this epoch; leaseStart is when the newest such
+	// one was started.
 	hasLease   bool
 	leaseStart core.Time
 
@@ -25,7 +27,8 @@
 	snapshot           snapshotCache
 }
 
-// snapshotCache keeps the encoded committed state for joiners that ask for it shortly after one another.
+// snapshotCache keeps the encoded committed state for joiners that ask for it shortly after one
+// another.
 type snapshotCache struct {
 	data      []byte // nil: none
 	committed position
--- a/internal/node/chain/install.go
+++ b/internal/node/chain/install.go
@@ -6,8 +6,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// installView installs a decided view if it is newer than the one known. From here on messages of older epochs are ignored;
-// this node takes part in the new epoch once the view is durable.
+// installView installs a decided view if it is newer than the one known. From here on messages of
+// older epochs are ignored; this node takes part in the new epoch once the view is durable.
 func (r *Replica) installView(decided *nodepb.View) {
 	if decided == nil || decided.GetEpoch() <= view.Epoch(r.view) || !view.Valid(decided) {
 		return
@@ -36,8 +36,9 @@
 	}})
 }
 
-// stepDown ends what this node did as the head of the previous epoch. What was not answered starts again, here or at the new
-// head: a rejected command is checked again, as this node may have been superseded when it checked it.
+// stepDown ends what this node did as the head of the previous epoch. What was not answered starts
+// again, here or at the new head: a rejected command is checked again, as this node may have been
+// superseded when it checked it.
 func (r *Replica) stepDown() {
 	r.head.pendingInherited = false
 	reads, commands := r.unansweredRequests()
@@ -59,8 +60,9 @@
 	r.forwardQueue()
 }
 
-// withUncommitted adds, in front, the command of this node's own uncommitted entry, if another node is the head now: the entry
-// may be lost. Where it is not, the new head knows the command by its id.
+// withUncommitted adds, in front, the command of this node's own uncommitted entry, if another node
+// is the head now: the entry may be lost. Where it is not, the new head knows the command by its
+// id.
 func (r *Replica) withUncommitted(commands []queuedCommand) []queuedCommand {
 	if r.isHead() || r.pending == nil || r.pending.GetCommand() != r.head.lastProposed.command || r.now >= r.head.lastProposed.expiresAt {
 		return commands
--- a/internal/node/chain/join.go
+++ b/internal/node/chain/join.go
@@ -68,7 +68,8 @@
 	return max(r.joining.nextRequestAt, r.now)
 }
 
-// receiveJoinRequest sends, at the head, the state to a machine that reaches every member of the chain.
+// receiveJoinRequest sends, at the head, the state to a machine that reaches every member of the
+// chain.
 func (r *Replica) receiveJoinRequest(from core.Peer, request *nodepb.JoinRequest) {
 	if !r.isCurrentEpoch(from, request.GetEpoch()) || !r.isHead() || r.now < r.leavingUntil {
 		return
@@ -100,8 +101,8 @@
 	return true
 }
 
-// sendCatchUp sends the committed state, as far as the joiner lacks it, and the pending entry. Nothing is sent while that is not
-// durable here: after a restart it could be another entry.
+// sendCatchUp sends the committed state, as far as the joiner lacks it, and the pending entry.
+// Nothing is sent while that is not durable here: after a restart it could be another entry.
 func (r *Replica) sendCatchUp(recipient *joiner) {
 	if !r.viewDurable || r.pending != nil && !r.pendingDurable {
 		return
@@ -124,7 +125,8 @@
 	r.send(recipient.voter.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUp{CatchUp: message}})
 }
 
-// entriesAfter lists the committed entries after the position; complete is false where the joiner needs a snapshot.
+// entriesAfter lists the committed entries after the position; complete is false where the joiner
+// needs a snapshot.
 func (r *Replica) entriesAfter(from position) (entries []*nodepb.Entry, complete bool) {
 	if from == r.committed || from.index > r.committed.index {
 		return nil, true
@@ -132,8 +134,9 @@
 	return r.recent.after(from)
 }
 
-// receiveCatchUpDone records what a joiner has made durable. If it lacks an entry that was made meanwhile, the head makes no
-// further ones for joinerGracePeriod and sends that one too; else the joiner is added by the next view.
+// receiveCatchUpDone records what a joiner has made durable. If it lacks an entry that was made
+// meanwhile, the head makes no further ones for joinerGracePeriod and sends that one too; else the
+// joiner is added by the next view.
 func (r *Replica) receiveCatchUpDone(from core.Peer, message *nodepb.CatchUpDone) {
 	if !r.isCurrentEpoch(from, message.GetEpoch()) || !r.isHead() {
 		return
--- a/internal/node/chain/messages.go
+++ b/internal/node/chain/messages.go
@@ -8,7 +8,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// dispatch hands a message to its receiver. Which epochs and senders it may come from, the receiver checks.
+// dispatch hands a message to its receiver. Which epochs and senders it may come from, the receiver
+// checks.
 func (r *Replica) dispatch(from core.Peer, envelope *nodepb.Envelope) {
 	switch body := envelope.GetBody().(type) {
 	case *nodepb.Envelope_VoterPing:
@@ -59,7 +60,8 @@
 
 func (r *Replica) address() string { return r.options.Self.GetAddress() }
 
-// isActiveMember reports whether this node forwards the messages of the epoch: it is in the chain and not wedged.
+// isActiveMember reports whether this node forwards the messages of the epoch: it is in the chain
+// and not wedged.
 func (r *Replica) isActiveMember() bool {
 	return r.view != nil && !r.wedged && r.inChain()
 }
@@ -72,8 +74,8 @@
 	return r.inChain() && view.Successor(r.view, r.diskID()) == nil
 }
 
-// isCurrentEpoch checks the epoch of a message: messages of other epochs are ignored. A sender with an older one is sent the
-// view; one with a newer one is pinged, and its pong brings the view.
+// isCurrentEpoch checks the epoch of a message: messages of other epochs are ignored. A sender with
+// an older one is sent the view; one with a newer one is pinged, and its pong brings the view.
 func (r *Replica) isCurrentEpoch(from core.Peer, epoch uint64) bool {
 	currentEpoch := view.Epoch(r.view)
 	if epoch < currentEpoch {
--- a/internal/node/chain/network_test.go
+++ b/internal/node/chain/network_test.go
@@ -59,7 +59,8 @@
 	})
 }
 
-// carry brings a message from one machine to another, if no partition is between them when it is sent and when it arrives.
+// carry brings a message from one machine to another, if no partition is between them when it is
+// sent and when it arrives.
 func (t *network) carry(from, address string, arrived func(destination *node)) {
 	w := t.world
 	destination := w.nodes[address]
--- a/internal/node/chain/operator_test.go
+++ b/internal/node/chain/operator_test.go
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// operator sends changes and reads, one after another, through machines it picks at random. A change without a final
-// answer is sent again unchanged.
+// operator sends changes and reads, one after another, through machines it picks at random. A
+// change without a final answer is sent again unchanged.
 type operator struct {
 	world          *world
 	name           string
--- a/internal/node/chain/pings.go
+++ b/internal/node/chain/pings.go
@@ -6,8 +6,8 @@
 	"kestrelspread/internal/node/view"
 )
 
-// updateTargets sets the nodes that the detector watches: the voters; the founders while there is no view; and, while this node
-// is outside the chain, all members that count for a quorum.
+// updateTargets sets the nodes that the detector watches: the voters; the founders while there is
+// no view; and, while this node is outside the chain, all members that count for a quorum.
 func (r *Replica) updateTargets() {
 	var targets []view.Target
 	for _, voter := range r.view.GetVoters() {
@@ -64,14 +64,16 @@
 	})
 }
 
-// SetRelays sets the addresses of the nodes that may relay messages to core machines without a direct path, best first.
+// SetRelays sets the addresses of the nodes that may relay messages to core machines without a
+// direct path, best first.
 func (r *Replica) SetRelays(addresses []string) { r.detector.SetRelays(addresses) }
 
-// Route is the internal address of the relay by which messages to the address should go at present; empty: directly. Pings and
-// pongs name the path that they are to prove themselves.
+// Route is the internal address of the relay by which messages to the address should go at present;
+// empty: directly. Pings and pongs name the path that they are to prove themselves.
 func (r *Replica) Route(address string) string { return r.detector.Route(address) }
 
-// viewIfOutdated is the view if the last report of the node at the address names an older one, else nil.
+// viewIfOutdated is the view if the last report of the node at the address names an older one, else
+// nil.
 func (r *Replica) viewIfOutdated(address string) *nodepb.View {
 	report := r.detector.LastReport(address)
 	if report == nil || r.view == nil || report.Epoch >= r.view.GetEpoch() {
--- a/internal/node/chain/proposer.go
+++ b/internal/node/chain/proposer.go
@@ -19,11 +19,13 @@
 	acceptors []acceptor
 	startedAt core.Time
 	resendAt  core.Time
-	// ownVoteDurable: this node's own answer to the phase is durable, so that the other acceptors may be asked.
+	// ownVoteDurable: this node's own answer to the phase is durable, so that the other acceptors
+	// may be asked.
 	ownVoteDurable bool
 }
 
-// startProposal starts a proposal. This node's own promise is durable before any other acceptor is asked.
+// startProposal starts a proposal. This node's own promise is durable before any other acceptor is
+// asked.
 func (r *Replica) startProposal() {
 	acceptors := r.acceptors()
 	ids := make([]string, len(acceptors))
@@ -52,8 +54,8 @@
 	})
 }
 
-// proposerID makes the proposal numbers of a machine's incarnations differ: a disk id is of one disk, on which the promises to
-// this node's own numbers are durable.
+// proposerID makes the proposal numbers of a machine's incarnations differ: a disk id is of one
+// disk, on which the promises to this node's own numbers are durable.
 func (r *Replica) proposerID() string {
 	if r.diskID() == "" {
 		return r.address()
@@ -73,7 +75,8 @@
 	return acceptors
 }
 
-// sendPhaseRequests sends the Prepare or Accept of the phase to the other acceptors that have not answered.
+// sendPhaseRequests sends the Prepare or Accept of the phase to the other acceptors that have not
+// answered.
 func (r *Replica) sendPhaseRequests() {
 	p := r.proposal
 	for _, acceptor := range p.acceptors {
@@ -116,7 +119,8 @@
 	return min(r.proposal.resendAt, r.proposal.startedAt+proposalTimeout)
 }
 
-// abandonProposal gives a proposal up. The next one waits for a random backoff, so that one of several proposers succeeds.
+// abandonProposal gives a proposal up. The next one waits for a random backoff, so that one of
+// several proposers succeeds.
 func (r *Replica) abandonProposal() {
 	r.proposal = nil
 	r.proposalBackoffUntil = r.now + minProposalBackoff + core.Time(r.random.Int64N(int64(maxProposalJitter)))
@@ -160,8 +164,9 @@
 	r.highestSeenCounter = max(r.highestSeenCounter, counter)
 }
 
-// startAccept starts the second phase: with the view that may have been decided under a lower number, else with this node's own
-// choice. Its own acceptance, and its wedge before that, are durable before any other acceptor is asked.
+// startAccept starts the second phase: with the view that may have been decided under a lower
+// number, else with this node's own choice. Its own acceptance, and its wedge before that, are
+// durable before any other acceptor is asked.
 func (r *Replica) startAccept() {
 	p := r.proposal
 	value := p.Value()
@@ -191,8 +196,8 @@
 	})
 }
 
-// announceDecision ends a proposal that a majority has accepted. The others are notified before this node installs the view, so
-// that the commands it then forwards find the new head as such.
+// announceDecision ends a proposal that a majority has accepted. The others are notified before
+// this node installs the view, so that the commands it then forwards find the new head as such.
 func (r *Replica) announceDecision() {
 	p := r.proposal
 	decided := &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: p.Value()}}}
--- a/internal/node/chain/protocol_test.go
+++ b/internal/node/chain/protocol_test.go
@@ -95,10 +95,12 @@
 	m.completeWrites()
 	assert.DeepEqual(t, m.takeSent(), []string{"SubmitReply>addr-api", "CommitNotice>addr-a", "CommitNotice>addr-b"})
 	m.receive("b", appendOf(1, entry(1, 1, "x"), 0, 0))
-	assert.DeepEqual(t, m.takeSent(), []string{"CommitNotice>addr-a", "CommitNotice>addr-b"}) // a retransmission is not answered again
+	// A retransmission is not answered again.
+	assert.DeepEqual(t, m.takeSent(), []string{"CommitNotice>addr-a", "CommitNotice>addr-b"})
 }
 
-// TestShortChainAnswersNothing: neither is a new command accepted, nor an inherited one acknowledged, nor a read answered.
+// TestShortChainAnswersNothing: neither is a new command accepted, nor an inherited one
+// acknowledged, nor a read answered.
 func TestShortChainAnswersNothing(t *testing.T) {
 	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
@@ -143,7 +145,8 @@
 	}
 }
 
-// TestRestartedTailCommitsItsLastEntry: it may have answered the entry, and the notices to the others may be lost.
+// TestRestartedTailCommitsItsLastEntry: it may have answered the entry, and the notices to the
+// others may be lost.
 func TestRestartedTailCommitsItsLastEntry(t *testing.T) {
 	m := newTestReplicaInView(t, "c", testView(1, "abc", "abc"))
 	m.receive("b", appendOf(1, entry(1, 1, "x"), 0, 0))
@@ -155,7 +158,8 @@
 	assert.Equal(t, reply.GetState().GetIndex(), uint64(1))
 }
 
-// TestRestartedHeadDefersBarriersUntilItsLastEntryCommits: its last entry may have been acknowledged.
+// TestRestartedHeadDefersBarriersUntilItsLastEntryCommits: its last entry may have been
+// acknowledged.
 func TestRestartedHeadDefersBarriersUntilItsLastEntryCommits(t *testing.T) {
 	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
@@ -279,7 +283,8 @@
 	assert.Equal(t, len(m.takeSent()), 0)
 }
 
-// passQuarterSecond lets a quarter of a second pass, in which the replica has a round trip with the voters named.
+// passQuarterSecond lets a quarter of a second pass, in which the replica has a round trip with the
+// voters named.
 func (m *testReplica) passQuarterSecond(names ...string) {
 	m.now += 250 * time.Millisecond
 	m.sent = nil
@@ -304,7 +309,8 @@
 	}}}
 }
 
-// TestJoinerIsAddedOnlyWithTheLastEntry: what a joiner lacks is sent again, and no entry is made meanwhile.
+// TestJoinerIsAddedOnlyWithTheLastEntry: what a joiner lacks is sent again, and no entry is made
+// meanwhile.
 func TestJoinerIsAddedOnlyWithTheLastEntry(t *testing.T) {
 	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.passQuarterSecond("b", "c")
--- a/internal/node/chain/read_test.go
+++ b/internal/node/chain/read_test.go
@@ -10,7 +10,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// TestReadOfTheNewestStateReturnsItsIndexAlone: the answer names the index alone; a reader that lacks something gets all.
+// TestReadOfTheNewestStateReturnsItsIndexAlone: the answer names the index alone; a reader that
+// lacks something gets all.
 func TestReadOfTheNewestStateReturnsItsIndexAlone(t *testing.T) {
 	w, o := newRunningWorld(t, fourCoreMachines)
 	o.stopped = true
@@ -28,7 +29,8 @@
 	}
 }
 
-// TestMemberCatchesUpAfterHundredsOfChanges restarts a member while changes continue: with its disk, and with an empty one.
+// TestMemberCatchesUpAfterHundredsOfChanges restarts a member while changes continue: with its
+// disk, and with an empty one.
 func TestMemberCatchesUpAfterHundredsOfChanges(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		w, o := newRunningWorld(t, fourCoreMachines)
@@ -45,7 +47,8 @@
 	}
 }
 
-// TestEntriesWithAGapAreRejected: neither one that skips an index, nor another one for an index that is committed.
+// TestEntriesWithAGapAreRejected: neither one that skips an index, nor another one for an index
+// that is committed.
 func TestEntriesWithAGapAreRejected(t *testing.T) {
 	m := newTestReplicaInView(t, "b", testView(3, "abc", "abc"))
 	m.receive("a", appendOf(3, entry(1, 3, "one"), 0, 0))
--- a/internal/node/chain/recent.go
+++ b/internal/node/chain/recent.go
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// recentEntries keeps the newest committed entries, oldest first, for joiners that lack only these. Its bounds are
-// maxRecentEntries and maxRecentEntryBytes.
+// recentEntries keeps the newest committed entries, oldest first, for joiners that lack only these.
+// Its bounds are maxRecentEntries and maxRecentEntryBytes.
 type recentEntries struct {
 	entries []*nodepb.Entry
 	bytes   int // encoded size of the entries
@@ -24,7 +24,8 @@
 	}
 }
 
-// after lists the entries after the position; complete is false where some of them are no longer kept.
+// after lists the entries after the position; complete is false where some of them are no longer
+// kept.
 func (e *recentEntries) after(from position) (entries []*nodepb.Entry, complete bool) {
 	for i, entry := range e.entries {
 		if positionOf(entry) == from {
--- a/internal/node/chain/reconfigure.go
+++ b/internal/node/chain/reconfigure.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// evaluateView starts a proposal if the view in force should change and this node is the one to propose.
+// evaluateView starts a proposal if the view in force should change and this node is the one to
+// propose.
 func (r *Replica) evaluateView() {
 	if r.view == nil {
 		r.considerFirstView()
@@ -42,13 +43,15 @@
 	}
 }
 
-// isEligibleProposer reports whether this node may propose the next view, as it holds all that was acknowledged.
+// isEligibleProposer reports whether this node may propose the next view, as it holds all that was
+// acknowledged.
 func (r *Replica) isEligibleProposer() bool {
 	return slices.Contains(view.EligibleProposers(r.view), r.diskID())
 }
 
-// mayPropose reports whether this node should propose now: a majority is reachable, and the eligible proposers before this one
-// have had their time. After its wedge a node proposes even while others are Unknown, as its epoch has ended here.
+// mayPropose reports whether this node should propose now: a majority is reachable, and the
+// eligible proposers before this one have had their time. After its wedge a node proposes even
+// while others are Unknown, as its epoch has ended here.
 func (r *Replica) mayPropose(reconfiguration *view.Reconfiguration) bool {
 	switch {
 	case r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now):
@@ -64,9 +67,9 @@
 	}
 }
 
-// chooseView is the view of this node's own choice, nil if there is none at present. A member of the chain wedges itself with it:
-// from here on it neither forwards nor acknowledges anything of the epoch, so that its last entry stays the last one that can
-// have been acknowledged.
+// chooseView is the view of this node's own choice, nil if there is none at present. A member of
+// the chain wedges itself with it: from here on it neither forwards nor acknowledges anything of
+// the epoch, so that its last entry stays the last one that can have been acknowledged.
 func (r *Replica) chooseView() *nodepb.View {
 	if r.view == nil {
 		return r.firstView()
--- a/internal/node/chain/records.go
+++ b/internal/node/chain/records.go
@@ -9,8 +9,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// The kinds of records in the journal, stored as numbers. The last record of a kind counts, except that entries and states
-// follow one another.
+// The kinds of records in the journal, stored as numbers. The last record of a kind counts, except
+// that entries and states follow one another.
 const (
 	kindFounding uint8 = iota + 1 // FoundingRecord
 	kindView                      // View that was decided
@@ -32,7 +32,8 @@
 	return position{index: entry.GetIndex(), epoch: entry.GetEpoch()}
 }
 
-// encode makes a record of a message. It panics where the message can't be encoded, which messages of this schema always can.
+// encode makes a record of a message. It panics where the message can't be encoded, which messages
+// of this schema always can.
 func encode(kind uint8, message proto.Message) core.Record {
 	data, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/node/chain/records_golden_test.go
+++ b/internal/node/chain/records_golden_test.go
@@ -34,7 +34,8 @@
 	goldenCaughtUp = 8
 )
 
-// goldenCase is one start of a voter: from records, written by the field numbers of the schema, and with messages after it.
+// goldenCase is one start of a voter: from records, written by the field numbers of the schema, and
+// with messages after it.
 type goldenCase struct {
 	name     string
 	founding bool
@@ -88,7 +89,8 @@
 	}
 }
 
-// TestRecordsKeepTheirBytes freezes what a voter writes to its journal, and what it makes of records of every kind.
+// TestRecordsKeepTheirBytes freezes what a voter writes to its journal, and what it makes of
+// records of every kind.
 func TestRecordsKeepTheirBytes(t *testing.T) {
 	var lines strings.Builder
 	for _, c := range goldenCases(t) {
@@ -106,7 +108,8 @@
 	golden.Assert(t, lines.String(), goldenRecords)
 }
 
-// TestRecordsOfTheGoldenFileAreRead starts voters from the records as they were written once: what they keep is the same.
+// TestRecordsOfTheGoldenFileAreRead starts voters from the records as they were written once: what
+// they keep is the same.
 func TestRecordsOfTheGoldenFileAreRead(t *testing.T) {
 	read, kept := map[string][]core.Record{}, map[string][]core.Record{}
 	kinds := map[uint8]bool{}
@@ -158,7 +161,8 @@
 	return written, writeAll(replica, now, replica.RequestCheckpoint(now))
 }
 
-// writeAll carries the writes of outputs out, and those that follow from them, and returns their records.
+// writeAll carries the writes of outputs out, and those that follow from them, and returns their
+// records.
 func writeAll(replica *chain.Replica, now core.Time, outputs []core.Output) (records []core.Record) {
 	for len(outputs) > 0 {
 		if write, ok := outputs[0].(core.Write); ok {
--- a/internal/node/chain/register_test.go
+++ b/internal/node/chain/register_test.go
@@ -6,7 +6,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// register is a small versioned state: a change names the version it builds on, as configurations do.
+// register is a small versioned state: a change names the version it builds on, as configurations
+// do.
 type register struct {
 	state   registerState
 	applied func(entry *nodepb.Entry)
--- a/internal/node/chain/relay_test.go
+++ b/internal/node/chain/relay_test.go
@@ -9,7 +9,8 @@
 	"kestrelspread/internal/node/chain"
 )
 
-// TestEvenPartitionIsBridgedByRelays partitions the core into halves while the proxies reach both: chain and view stay.
+// TestEvenPartitionIsBridgedByRelays partitions the core into halves while the proxies reach both:
+// chain and view stay.
 func TestEvenPartitionIsBridgedByRelays(t *testing.T) {
 	for _, settings := range []worldSettings{
 		{core: 3, founders: 3, proxies: 2, tolerance: 1},
@@ -34,7 +35,8 @@
 	}
 }
 
-// TestIsolatedMemberStaysByRelays partitions one member from the rest of the core, in both directions and in each alone.
+// TestIsolatedMemberStaysByRelays partitions one member from the rest of the core, in both
+// directions and in each alone.
 func TestIsolatedMemberStaysByRelays(t *testing.T) {
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		for _, ways := range []string{"both", "to it", "from it"} {
@@ -56,7 +58,8 @@
 	}
 }
 
-// TestRelaysFailDuringAPartition kills the relays one after the other; each time another takes over.
+// TestRelaysFailDuringAPartition kills the relays one after the other; each time another takes
+// over.
 func TestRelaysFailDuringAPartition(t *testing.T) {
 	w, o := newRunningWorld(t, worldSettings{core: 4, founders: 3, proxies: 4, tolerance: 1})
 	o.through = []string{"proxy-4"}
--- a/internal/node/chain/replay.go
+++ b/internal/node/chain/replay.go
@@ -24,7 +24,8 @@
 	pending       *nodepb.Entry
 }
 
-// replayJournal applies the records in their order, and brings the state machine to the committed state.
+// replayJournal applies the records in their order, and brings the state machine to the committed
+// state.
 func replayJournal(records []core.Record, machine StateMachine) (*journalState, error) {
 	state := &journalState{}
 	for i, record := range records {
--- a/internal/node/chain/replica.go
+++ b/internal/node/chain/replica.go
@@ -17,8 +17,9 @@
 	ErrJournal = namespace.NewType("journal")
 )
 
-// Replica is one core machine's part in the control state: an acceptor and perhaps a proposer of views, and while it is in the
-// chain a member of it. It is a state machine in the sense of package core; its methods are called by one goroutine.
+// Replica is one core machine's part in the control state: an acceptor and perhaps a proposer of
+// views, and while it is in the chain a member of it. It is a state machine in the sense of package
+// core; its methods are called by one goroutine.
 type Replica struct {
 	options      Options
 	random       *rand.Rand
@@ -59,8 +60,8 @@
 	joining joiningState
 }
 
-// New makes a Replica of the records of the journal, and returns the first outputs. random must differ between incarnations.
-// The error is of type ErrJournal.
+// New makes a Replica of the records of the journal, and returns the first outputs. random must
+// differ between incarnations. The error is of type ErrJournal.
 func New(now core.Time, options Options, records []core.Record, random *rand.Rand) (*Replica, []core.Output, error) {
 	journaled, err := replayJournal(records, options.StateMachine)
 	if err != nil {
@@ -84,7 +85,8 @@
 		caughtUpEpoch:     journaled.caughtUpEpoch,
 		head: headState{
 			joiners: make(map[string]*joiner),
-			// The completion of a barrier of an earlier incarnation must not be taken for that of one of this incarnation.
+			// The completion of a barrier of an earlier incarnation must not be taken for that of
+			// one of this incarnation.
 			lastBarrierNumber: random.Uint64(),
 		},
 	}
@@ -123,7 +125,8 @@
 	return r.finish()
 }
 
-// Written processes the result of the Write with the token. What depends on its records is done now, not before.
+// Written processes the result of the Write with the token. What depends on its records is done
+// now, not before.
 func (r *Replica) Written(now core.Time, token uint64, err error) []core.Output {
 	r.advance(now)
 	if err != nil {
@@ -137,8 +140,8 @@
 	return r.finish()
 }
 
-// SetQuorumMembers sets the members that count for a quorum, as membership knows them: the nodes to ask for the view while this
-// one is outside the chain.
+// SetQuorumMembers sets the members that count for a quorum, as membership knows them: the nodes to
+// ask for the view while this one is outside the chain.
 func (r *Replica) SetQuorumMembers(now core.Time, members []*nodepb.Member) []core.Output {
 	r.advance(now)
 	r.quorumMembers = members
@@ -146,14 +149,16 @@
 	return r.finish()
 }
 
-// RequestCheckpoint makes the next Write a checkpoint of everything that must survive, as the journal is nearly full.
+// RequestCheckpoint makes the next Write a checkpoint of everything that must survive, as the
+// journal is nearly full.
 func (r *Replica) RequestCheckpoint(now core.Time) []core.Output {
 	r.advance(now)
 	r.writer.buildCheckpoint = r.checkpoint
 	return r.finish()
 }
 
-// HandOver makes this node leave the chain, or at least the head of it, as its process is about to stop.
+// HandOver makes this node leave the chain, or at least the head of it, as its process is about to
+// stop.
 func (r *Replica) HandOver(now core.Time) []core.Output {
 	r.advance(now)
 	r.leavingUntil = now + leaveDuration
--- a/internal/node/chain/replica_test.go
+++ b/internal/node/chain/replica_test.go
@@ -13,7 +13,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// testReplica is one Replica alone, to which a test hands messages one by one, and whose writes the test completes.
+// testReplica is one Replica alone, to which a test hands messages one by one, and whose writes the
+// test completes.
 type testReplica struct {
 	t       *testing.T
 	self    *nodepb.Voter
--- a/internal/node/chain/replication.go
+++ b/internal/node/chain/replication.go
@@ -16,7 +16,8 @@
 	return r.committed
 }
 
-// receiveAppend processes an entry of the predecessor, or a retransmission of it. Entries that leave a gap are ignored.
+// receiveAppend processes an entry of the predecessor, or a retransmission of it. Entries that
+// leave a gap are ignored.
 func (r *Replica) receiveAppend(from core.Peer, message *nodepb.Append) {
 	if !r.isCurrentEpoch(from, message.GetEpoch()) || !r.isActiveMember() || r.isHead() || message.GetEntry() == nil {
 		return
@@ -38,7 +39,8 @@
 	}
 }
 
-// persistPending makes an entry durable and then forwards it. It replaces a pending one, which was never acknowledged.
+// persistPending makes an entry durable and then forwards it. It replaces a pending one, which was
+// never acknowledged.
 func (r *Replica) persistPending(entry *nodepb.Entry) {
 	r.pending = entry
 	r.pendingDurable = false
@@ -51,8 +53,8 @@
 	})
 }
 
-// forwardPending sends the pending entry to the successor if it is durable here and was received in the epoch in force; the
-// tail commits it.
+// forwardPending sends the pending entry to the successor if it is durable here and was received in
+// the epoch in force; the tail commits it.
 func (r *Replica) forwardPending() {
 	if !r.isActiveMember() || !r.viewDurable || r.pending == nil || !r.pendingDurable {
 		return
@@ -67,7 +69,8 @@
 	r.sendToSuccessor(r.pending)
 }
 
-// forwardCommitted forwards a retransmission of an entry that is committed here, for members that lack it.
+// forwardCommitted forwards a retransmission of an entry that is committed here, for members that
+// lack it.
 func (r *Replica) forwardCommitted(entry *nodepb.Entry) {
 	if !r.viewDurable {
 		return
@@ -89,7 +92,8 @@
 	}}})
 }
 
-// commitAtTail commits the pending entry at the tail and answers its origin, if the chain is long enough to acknowledge.
+// commitAtTail commits the pending entry at the tail and answers its origin, if the chain is long
+// enough to acknowledge.
 func (r *Replica) commitAtTail() {
 	if !view.CanAcknowledge(r.view) {
 		return
@@ -123,7 +127,8 @@
 	}}})
 }
 
-// notifyCommitted notifies the other members of the committed position; a completed barrier, not 0, concerns the head alone.
+// notifyCommitted notifies the other members of the committed position; a completed barrier, not 0,
+// concerns the head alone.
 func (r *Replica) notifyCommitted(barrier uint64) {
 	notice := &nodepb.CommitNotice{
 		Epoch:      r.view.GetEpoch(),
@@ -140,7 +145,8 @@
 	}
 }
 
-// receiveCommitNotice commits what the tail has committed. A wedged member does so as well: it holds the entry.
+// receiveCommitNotice commits what the tail has committed. A wedged member does so as well: it
+// holds the entry.
 func (r *Replica) receiveCommitNotice(from core.Peer, notice *nodepb.CommitNotice) {
 	if !r.isCurrentEpoch(from, notice.GetEpoch()) || !r.inChain() {
 		return
@@ -151,7 +157,8 @@
 	}
 }
 
-// commitIfPending commits the pending entry if it is the one at the committed position and durable here.
+// commitIfPending commits the pending entry if it is the one at the committed position and durable
+// here.
 func (r *Replica) commitIfPending(committed position) {
 	if r.pending == nil || positionOf(r.pending) != committed || !r.pendingDurable {
 		return
@@ -177,7 +184,8 @@
 	return result
 }
 
-// discardPending discards a pending entry that the head doesn't have; onDurable runs once that is durable.
+// discardPending discards a pending entry that the head doesn't have; onDurable runs once that is
+// durable.
 func (r *Replica) discardPending(onDurable func()) {
 	record := &nodepb.DiscardRecord{Index: r.pending.GetIndex(), Epoch: r.pending.GetEpoch()}
 	r.pending = nil
--- a/internal/node/chain/scenario_test.go
+++ b/internal/node/chain/scenario_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// newRunningWorld is a world whose machines are all in the chain, with an operator that has been acknowledged.
+// newRunningWorld is a world whose machines are all in the chain, with an operator that has been
+// acknowledged.
 func newRunningWorld(t *testing.T, settings worldSettings) (*world, *operator) {
 	t.Helper()
 	w := newWorld(t, *firstSeed+7, settings)
@@ -202,7 +203,8 @@
 	}
 }
 
-// TestEvenPartitionStopsBothSides partitions the proxies as well, so that no machine reaches both sides.
+// TestEvenPartitionStopsBothSides partitions the proxies as well, so that no machine reaches both
+// sides.
 func TestEvenPartitionStopsBothSides(t *testing.T) {
 	w, o := newRunningWorld(t, fourCoreMachines)
 	w.partitionSides([]string{"core-1", "core-2", "proxy-1"}, []string{"core-3", "core-4", "proxy-2"})
--- a/internal/node/chain/status.go
+++ b/internal/node/chain/status.go
@@ -31,13 +31,13 @@
 	Wedged     bool   // this node has proposed a successor of View, and forwards nothing
 	Committed  uint64 // index of the committed state
 	HasPending bool   // an entry is not committed
-	// ConfirmedAt is the time, by this node's clock, as of which the committed state was the newest, if EverConfirmed. Only a
-	// tail learns it.
+	// ConfirmedAt is the time, by this node's clock, as of which the committed state was the
+	// newest, if EverConfirmed. Only a tail learns it.
 	ConfirmedAt   core.Time
 	EverConfirmed bool
 	DiskHealthy   bool
-	// LeaseStart is when, at the head, the newest barrier that passed every member was started; HasLease: there was one in
-	// this epoch.
+	// LeaseStart is when, at the head, the newest barrier that passed every member was started;
+	// HasLease: there was one in this epoch.
 	LeaseStart core.Time
 	HasLease   bool
 }
--- a/internal/node/chain/world_test.go
+++ b/internal/node/chain/world_test.go
@@ -12,8 +12,8 @@
 	"kestrelspread/internal/node/core"
 )
 
-// world runs nodes under a virtual clock, with a network and disks that fail on demand. After each event it
-// verifies that the guarantees hold.
+// world runs nodes under a virtual clock, with a network and disks that fail on demand. After each
+// event it verifies that the guarantees hold.
 type world struct {
 	t        testing.TB
 	random   *rand.Rand
--- a/internal/node/chain/writer.go
+++ b/internal/node/chain/writer.go
@@ -10,8 +10,9 @@
 	onDurable func()
 }
 
-// writer hands records to the journal strictly in order: one Write is in flight at a time, and all records that are queued
-// meanwhile go with the next. A Write that failed is retried, so that no record is durable before an earlier one.
+// writer hands records to the journal strictly in order: one Write is in flight at a time, and all
+// records that are queued meanwhile go with the next. A Write that failed is retried, so that no
+// record is durable before an earlier one.
 type writer struct {
 	lastToken         uint64
 	inFlight          []pendingWrite       // of the Write in flight
@@ -31,8 +32,8 @@
 	w.queue = append(w.queue, pendingWrite{record, onDurable})
 }
 
-// flush returns the next Write, if one is due now. A checkpoint holds the effect of the queued records, so that they are durable
-// with it.
+// flush returns the next Write, if one is due now. A checkpoint holds the effect of the queued
+// records, so that they are durable with it.
 func (w *writer) flush(now core.Time) (write core.Write, ok bool) {
 	idle := w.writeStartedAt == core.Never && now >= w.retryAt
 	if !idle || len(w.queue) == 0 && w.buildCheckpoint == nil {
@@ -56,8 +57,8 @@
 	return write, true
 }
 
-// complete ends the Write in flight and returns the records that are durable now. The records of a failed one go to the front of
-// the queue. The end of an earlier Write is ignored.
+// complete ends the Write in flight and returns the records that are durable now. The records of a
+// failed one go to the front of the queue. The end of an earlier Write is ignored.
 func (w *writer) complete(now core.Time, token uint64, err error) (durable []pendingWrite) {
 	if w.writeStartedAt == core.Never || token != w.lastToken {
 		return nil
@@ -84,7 +85,8 @@
 	return durable
 }
 
-// healthy reports whether the disk takes writes within writeTimeout, and has done so for diskRecoveryPeriod.
+// healthy reports whether the disk takes writes within writeTimeout, and has done so for
+// diskRecoveryPeriod.
 func (w *writer) healthy(now core.Time) bool {
 	if w.failing || w.writeStartedAt != core.Never && now-w.writeStartedAt > writeTimeout {
 		return false
--- a/internal/node/submit/client.go
+++ b/internal/node/submit/client.go
@@ -1,9 +1,10 @@
-// Package submit sends the commands and reads of a node's API to the head of the control state's chain, and returns the
-// answers. It runs on every node. It neither judges commands nor keeps state of the chain but the newest view.
+// Package submit sends the commands and reads of a node's API to the head of the control state's
+// chain, and returns the answers. It runs on every node. It neither judges commands nor keeps state
+// of the chain but the newest view.
 //
-// Invariants: every call is answered exactly once, by a tail or, after its timeout, as UNAVAILABLE; an answer is accepted
-// for the call whose number it carries alone. A call that is sent to several machines is applied once: commands are
-// idempotent.
+// Invariants: every call is answered exactly once, by a tail or, after its timeout, as UNAVAILABLE;
+// an answer is accepted for the call whose number it carries alone. A call that is sent to several
+// machines is applied once: commands are idempotent.
 //
 // Source: docs/design/system.md, "Control state".
 package submit
@@ -24,7 +25,8 @@
 	DefaultTimeout core.Time = 800 * time.Millisecond
 	// nextAttemptAfter is when a call without an answer is sent to another core machine as well.
 	nextAttemptAfter = 250 * time.Millisecond
-	// transferBytesPerSecond is the assumed rate at which a large command reaches the head and passes the chain.
+	// transferBytesPerSecond is the assumed rate at which a large command reaches the head and
+	// passes the chain.
 	transferBytesPerSecond = 2 << 20
 	// allowanceFreeBytes is the size up to which a command needs no further time.
 	allowanceFreeBytes = 128 << 10
@@ -39,8 +41,8 @@
 type Options struct {
 	// Timeout of a call; 0 means DefaultTimeout.
 	Timeout core.Time
-	// Random makes the numbers of calls differ between the incarnations of a process, so that a late answer to an earlier
-	// incarnation is never taken for that of another command.
+	// Random makes the numbers of calls differ between the incarnations of a process, so that a
+	// late answer to an earlier incarnation is never taken for that of another command.
 	Random *rand.Rand
 }
 
@@ -72,7 +74,8 @@
 	return &Client{options: options, lastRequest: options.Random.Uint64()}
 }
 
-// SetView installs a decided view if it is newer than the one known. Pending calls are sent to a new head at once.
+// SetView installs a decided view if it is newer than the one known. Pending calls are sent to a
+// new head at once.
 func (c *Client) SetView(now core.Time, agreed *nodepb.View) []core.Output {
 	c.installView(now, agreed)
 	return c.finish()
@@ -94,21 +97,23 @@
 	}
 }
 
-// SetCoreMembers sets the members that count for a quorum; calls are sent to them where no head is known or it does not answer.
+// SetCoreMembers sets the members that count for a quorum; calls are sent to them where no head is
+// known or it does not answer.
 func (c *Client) SetCoreMembers(_ core.Time, members []*nodepb.Member) []core.Output {
 	c.coreMembers = members
 	return c.finish()
 }
 
-// Submit sends a command to the head. core.Reply with the request number follows. The same command, named by its id, may be
-// submitted again at any time.
+// Submit sends a command to the head. core.Reply with the request number follows. The same command,
+// named by its id, may be submitted again at any time.
 func (c *Client) Submit(now core.Time, request uint64, command *nodepb.Command) []core.Output {
 	c.start(now, request, &nodepb.Submit{Command: command})
 	return c.finish()
 }
 
-// Read reads the committed state at the tail. core.Reply with the request number follows. knownIndex is the index of the state
-// that this node holds: where that is the newest, the answer has the index alone.
+// Read reads the committed state at the tail. core.Reply with the request number follows.
+// knownIndex is the index of the state that this node holds: where that is the newest, the answer
+// has the index alone.
 func (c *Client) Read(now core.Time, request, knownIndex uint64) []core.Output {
 	c.start(now, request, &nodepb.Submit{Read: true, KnownIndex: knownIndex})
 	return c.finish()
@@ -147,7 +152,8 @@
 	return c.finish()
 }
 
-// isAnswer reports whether the reply is of the kind that answers the call: a read by a state, a command by a known result.
+// isAnswer reports whether the reply is of the kind that answers the call: a read by a state, a
+// command by a known result.
 func isAnswer(message *nodepb.Submit, reply *nodepb.SubmitReply) bool {
 	if message.GetRead() {
 		return reply.GetState() != nil
@@ -155,7 +161,8 @@
 	return reply.GetResult().GetCode() != nodepb.ResultCode_UNKNOWN
 }
 
-// Tick sends calls without an answer to other machines, and answers those that have expired as UNAVAILABLE.
+// Tick sends calls without an answer to other machines, and answers those that have expired as
+// UNAVAILABLE.
 func (c *Client) Tick(now core.Time) []core.Output {
 	pending := c.calls[:0]
 	for _, call := range c.calls {
@@ -201,8 +208,8 @@
 	}
 }
 
-// nextAddress is the machine of the next attempt: the head, then the core members from a start that differs by call, then the
-// voters, each once. After all of them it is the first again.
+// nextAddress is the machine of the next attempt: the head, then the core members from a start that
+// differs by call, then the voters, each once. After all of them it is the first again.
 func (c *Client) nextAddress(call *call) string {
 	candidates := make([]string, 0, len(c.coreMembers)+len(c.view.GetVoters()))
 	if head := view.Head(c.view); head != nil {
@@ -218,7 +225,8 @@
 	return firstUnattempted(candidates, call.attempted)
 }
 
-// firstUnattempted returns the first candidate without an attempt, else the first one; empty where there is none.
+// firstUnattempted returns the first candidate without an attempt, else the first one; empty where
+// there is none.
 func firstUnattempted(candidates, attempted []string) string {
 	for _, candidate := range candidates {
 		if !slices.Contains(attempted, candidate) {
--- a/internal/node/view/acceptor.go
+++ b/internal/node/view/acceptor.go
@@ -2,9 +2,10 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// Acceptor is the acceptor of single-decree Paxos for the view of one epoch. It checks neither the proposer nor whether
-// the epoch is the one after the newest decided view: its caller does. A change of it must be durable, as Record returns
-// it, before the answer is sent; otherwise a restarted acceptor could break its promise.
+// Acceptor is the acceptor of single-decree Paxos for the view of one epoch. It checks neither the
+// proposer nor whether the epoch is the one after the newest decided view: its caller does. A
+// change of it must be durable, as Record returns it, before the answer is sent; otherwise a
+// restarted acceptor could break its promise.
 type Acceptor struct {
 	Epoch          uint64
 	promisedNumber *nodepb.ProposalNumber
@@ -36,8 +37,9 @@
 // HighestCounter is the counter of the highest proposal number that was promised or accepted.
 func (a *Acceptor) HighestCounter() uint64 { return a.promisedNumber.GetCounter() }
 
-// Prepare answers a Prepare with a promise, or rejects it with the higher number that was promised before. A repeated
-// number is promised again. changed: the record must be made durable before the answer is sent.
+// Prepare answers a Prepare with a promise, or rejects it with the higher number that was promised
+// before. A repeated number is promised again. changed: the record must be made durable before the
+// answer is sent.
 func (a *Acceptor) Prepare(number *nodepb.ProposalNumber) (promise *nodepb.Promise, changed bool) {
 	promise = &nodepb.Promise{Epoch: a.Epoch, Number: number}
 	order := CompareNumbers(number, a.promisedNumber)
@@ -54,8 +56,9 @@
 	return promise, order > 0
 }
 
-// Accept answers an Accept, or rejects it with the higher number that was promised before. It promises the number as well,
-// so that a proposal that was accepted without a Prepare is not followed by a lower one. changed is as for Prepare.
+// Accept answers an Accept, or rejects it with the higher number that was promised before. It
+// promises the number as well, so that a proposal that was accepted without a Prepare is not
+// followed by a lower one. changed is as for Prepare.
 func (a *Acceptor) Accept(number *nodepb.ProposalNumber, value *nodepb.View) (accepted *nodepb.Accepted, changed bool) {
 	accepted = &nodepb.Accepted{Epoch: a.Epoch, Number: number}
 	if CompareNumbers(number, a.promisedNumber) < 0 {
--- a/internal/node/view/detector.go
+++ b/internal/node/view/detector.go
@@ -9,35 +9,44 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Timeouts and intervals of the failure detection among voters. Source: docs/design/system.md, "Control state".
+// Timeouts and intervals of the failure detection among voters. Source: docs/design/system.md,
+// "Control state".
 const (
 	// PingInterval is the time between two rounds of pings.
 	PingInterval core.Time = 250 * time.Millisecond
 	// FoundingPingInterval is the same while there is no view.
 	FoundingPingInterval core.Time = 100 * time.Millisecond
-	// FailureTimeout is the age of the last proven round trip from which on a voter counts as failed.
+	// FailureTimeout is the age of the last proven round trip from which on a voter counts as
+	// failed.
 	FailureTimeout core.Time = time.Second
-	// suspensionThreshold: a node that wakes this much later than it asked to was suspended itself, so that the
-	// silence of its peers proves nothing.
+	// suspensionThreshold: a node that wakes this much later than it asked to was suspended itself,
+	// so that the silence of its peers proves nothing.
 	suspensionThreshold = 500 * time.Millisecond
-	// passivePingTimeout: the passive one of two peers sends pings of its own after this time without contact.
+	// passivePingTimeout: the passive one of two peers sends pings of its own after this time
+	// without contact.
 	passivePingTimeout = 500 * time.Millisecond
-	// slowPingTimeout: a peer without direct contact for this long is pinged every slowPingInterval alone.
+	// slowPingTimeout: a peer without direct contact for this long is pinged every slowPingInterval
+	// alone.
 	slowPingTimeout  = 5 * time.Second
 	slowPingInterval = time.Second
-	// forgetTimeout is how long the state of a node that is watched no more is kept after the last contact.
+	// forgetTimeout is how long the state of a node that is watched no more is kept after the last
+	// contact.
 	forgetTimeout = 10 * time.Second
-	// stalledTimeout is how long a proposer may be wedged before another member of the chain proposes in its place.
+	// stalledTimeout is how long a proposer may be wedged before another member of the chain
+	// proposes in its place.
 	stalledTimeout = 600 * time.Millisecond
-	// sentHistory is how many of the newest messages to a peer are remembered by number until they are acknowledged.
+	// sentHistory is how many of the newest messages to a peer are remembered by number until they
+	// are acknowledged.
 	sentHistory = 32
 )
 
-// Detector is the failure detector among voters: it proves round trips by numbered pings. Of two voters the one with
-// the lower disk id is active and sends the pings. The pong proves a round trip to the active one; the next ping, which
-// acknowledges the pong, proves one to the passive one. A node that is no voter pings all that it watches.
+// Detector is the failure detector among voters: it proves round trips by numbered pings. Of two
+// voters the one with the lower disk id is active and sends the pings. The pong proves a round trip
+// to the active one; the next ping, which acknowledges the pong, proves one to the passive one. A
+// node that is no voter pings all that it watches.
 //
-// A Detector reads no clock and sends nothing: its caller passes the time to Advance and sends what DuePings lists.
+// A Detector reads no clock and sends nothing: its caller passes the time to Advance and sends what
+// DuePings lists.
 type Detector struct {
 	self           *nodepb.Voter
 	now            core.Time
@@ -51,8 +60,9 @@
 	firstSequence uint64
 }
 
-// NewDetector returns a Detector that watches nobody. Pings are numbered from firstSequence on, which should differ
-// between the incarnations of a process, so that a pong to an earlier incarnation proves nothing.
+// NewDetector returns a Detector that watches nobody. Pings are numbered from firstSequence on,
+// which should differ between the incarnations of a process, so that a pong to an earlier
+// incarnation proves nothing.
 func NewDetector(now core.Time, self *nodepb.Voter, firstSequence uint64) *Detector {
 	return &Detector{
 		self:           self,
@@ -66,8 +76,8 @@
 	}
 }
 
-// Watch sets the nodes to watch and the voters of the view. Nodes that were watched before keep their history.
-// founding selects the shorter ping interval.
+// Watch sets the nodes to watch and the voters of the view. Nodes that were watched before keep
+// their history. founding selects the shorter ping interval.
 func (d *Detector) Watch(now core.Time, targets []Target, voters []*nodepb.Voter, founding bool) {
 	d.now = now
 	d.setVoters(voters)
@@ -109,7 +119,8 @@
 	}
 }
 
-// peer returns the state of the node at the address; a new one starts with the timeouts of a fresh contact.
+// peer returns the state of the node at the address; a new one starts with the timeouts of a fresh
+// contact.
 func (d *Detector) peer(address string) *peer {
 	p := d.peers[address]
 	if p == nil {
@@ -128,8 +139,8 @@
 	return p
 }
 
-// Advance sets the time. lateness is how much later than asked the node woke; if it was suspended, the timeouts of all
-// peers start again.
+// Advance sets the time. lateness is how much later than asked the node woke; if it was suspended,
+// the timeouts of all peers start again.
 func (d *Detector) Advance(now, lateness core.Time) (suspended bool) {
 	d.now = now
 	if lateness <= suspensionThreshold {
@@ -143,7 +154,8 @@
 	return true
 }
 
-// DuePings lists the pings to send now, by address and relay; the caller sends for each what NewPing returns.
+// DuePings lists the pings to send now, by address and relay; the caller sends for each what
+// NewPing returns.
 func (d *Detector) DuePings() []DuePing {
 	if d.now < d.nextPingAt {
 		return nil
--- a/internal/node/view/detector_test.go
+++ b/internal/node/view/detector_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// isLost reports whether a message does not arrive: a partitioned sender reaches relays alone, and a relay reaches those
-// that it is not partitioned from.
+// isLost reports whether a message does not arrive: a partitioned sender reaches relays alone, and
+// a relay reaches those that it is not partitioned from.
 func (p *voterPair) isLost(from, destination, via string) bool {
 	if via == "" {
 		return p.partitioned[from]
--- a/internal/node/view/nextview.go
+++ b/internal/node/view/nextview.go
@@ -6,8 +6,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// NextView is the view to propose, nil if there is none at present. Its chain has only replicas that hold all that was
-// acknowledged, and joiners that have caught up; a majority of its voters is reachable.
+// NextView is the view to propose, nil if there is none at present. Its chain has only replicas
+// that hold all that was acknowledged, and joiners that have caught up; a majority of its voters is
+// reachable.
 func (r *Reconfiguration) NextView() *nodepb.View {
 	chain := r.nextChain()
 	if len(chain) == 0 {
@@ -32,15 +33,16 @@
 	return next
 }
 
-// leavesOutUnreachable reports whether a member of the chain in force is left out of the next one as it is unreachable.
+// leavesOutUnreachable reports whether a member of the chain in force is left out of the next one
+// as it is unreachable.
 func (r *Reconfiguration) leavesOutUnreachable(next []string) bool {
 	return slices.ContainsFunc(r.View.GetChain(), func(diskID string) bool {
 		return diskID != r.Self && !slices.Contains(next, diskID) && r.Detector.Unreachable(diskID)
 	})
 }
 
-// retainedReplicas lists the replicas outside the chain that hold all that was acknowledged, if the chain may be too short
-// to acknowledge: they stay voters then.
+// retainedReplicas lists the replicas outside the chain that hold all that was acknowledged, if the
+// chain may be too short to acknowledge: they stay voters then.
 func (r *Reconfiguration) retainedReplicas(chain []string) []string {
 	if len(chain) > r.Tolerance {
 		return nil
@@ -50,8 +52,9 @@
 	})
 }
 
-// tooShort reports whether the chain would be too short to acknowledge while replicas that it leaves out may soon return. A
-// short chain gains nothing then, and a loss of its disks would lose the state.
+// tooShort reports whether the chain would be too short to acknowledge while replicas that it
+// leaves out may soon return. A short chain gains nothing then, and a loss of its disks would lose
+// the state.
 func (r *Reconfiguration) tooShort(next *nodepb.View) bool {
 	if CanAcknowledge(next) {
 		return false
@@ -64,8 +67,9 @@
 	return false
 }
 
-// nextChain is this node as the head, the reachable eligible proposers in their order, and the joiners. A leaving node adds
-// no joiners, and becomes the tail, or leaves the chain if that is long enough without it.
+// nextChain is this node as the head, the reachable eligible proposers in their order, and the
+// joiners. A leaving node adds no joiners, and becomes the tail, or leaves the chain if that is
+// long enough without it.
 func (r *Reconfiguration) nextChain() []string {
 	var others []string
 	for _, diskID := range EligibleProposers(r.View) {
@@ -89,7 +93,8 @@
 	return chain
 }
 
-// withoutBrokenLinks removes the member with the most broken links, the later one of two, until there is none.
+// withoutBrokenLinks removes the member with the most broken links, the later one of two, until
+// there is none.
 func (r *Reconfiguration) withoutBrokenLinks(members []string) []string {
 	for {
 		worst, maxBroken := -1, 0
--- a/internal/node/view/nextvoters.go
+++ b/internal/node/view/nextvoters.go
@@ -6,8 +6,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// nextVoters adds the joiners, and then removes the voters that may be removed. Voters to be retained are neither removed
-// nor replaced by another machine.
+// nextVoters adds the joiners, and then removes the voters that may be removed. Voters to be
+// retained are neither removed nor replaced by another machine.
 func (r *Reconfiguration) nextVoters(retained []string) []*nodepb.Voter {
 	voters := slices.Clone(r.View.GetVoters())
 	if r.Leaving {
@@ -22,8 +22,8 @@
 	})
 }
 
-// addVoter adds a joiner in place of the voter with its disk, else of the one at its address, whose disk is gone, else of a
-// voter that has failed, else as one more.
+// addVoter adds a joiner in place of the voter with its disk, else of the one at its address, whose
+// disk is gone, else of a voter that has failed, else as one more.
 func (r *Reconfiguration) addVoter(voters []*nodepb.Voter, joiner *nodepb.Voter, retained []string) []*nodepb.Voter {
 	index := slices.IndexFunc(voters, func(voter *nodepb.Voter) bool {
 		return voter.GetDiskId() == joiner.GetDiskId()
@@ -55,8 +55,9 @@
 	return diskID != r.Self && r.Detector.FailedFor(diskID) >= RemovalTimeout
 }
 
-// removableVoters lists the voters that have failed for RemovalTimeout, if all others are reachable and enough of them
-// remain: 2 x tolerance + 1, so that a majority outlives the loss of as many machines as may be lost.
+// removableVoters lists the voters that have failed for RemovalTimeout, if all others are reachable
+// and enough of them remain: 2 x tolerance + 1, so that a majority outlives the loss of as many
+// machines as may be lost.
 func (r *Reconfiguration) removableVoters(voters []*nodepb.Voter) []string {
 	var removable []string
 	for _, voter := range voters {
@@ -79,7 +80,8 @@
 	return slices.ContainsFunc(r.Joiners, func(joiner *nodepb.Voter) bool { return joiner.GetDiskId() == diskID })
 }
 
-// reachesMajority reports whether a majority of the voters is reachable; joiners have just answered.
+// reachesMajority reports whether a majority of the voters is reachable; joiners have just
+// answered.
 func (r *Reconfiguration) reachesMajority(voters []*nodepb.Voter) bool {
 	reached := 0
 	for _, voter := range voters {
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -9,11 +9,13 @@
 
 // Timeouts and bounds of relayed paths between voters. Source: docs/design/control.md, "Relays".
 const (
-	// relayTimeout is how long the direct path to a peer may be unproven before this node, if it is the active one of the
-	// two, pings through relays as well. It leaves time to find a relay before FailureTimeout.
+	// relayTimeout is how long the direct path to a peer may be unproven before this node, if it is
+	// the active one of the two, pings through relays as well. It leaves time to find a relay
+	// before FailureTimeout.
 	relayTimeout = 400 * time.Millisecond
-	// passiveRelayTimeout is the same for the passive one, to which a path is proven one ping later. It is also the age of
-	// the proof of the direct path from which on messages go by a relay.
+	// passiveRelayTimeout is the same for the passive one, to which a path is proven one ping
+	// later. It is also the age of the proof of the direct path from which on messages go by a
+	// relay.
 	passiveRelayTimeout = 650 * time.Millisecond
 	// maxRelayedPings is how many relays are pinged at a time while none is proven.
 	maxRelayedPings = 3
@@ -27,15 +29,16 @@
 	Via     string // internal address of the relay; empty: directly
 }
 
-// paths are the round trips to one peer, direct and by relays. Each is proven as of the time at which the newest message
-// was sent that is known to have arrived.
+// paths are the round trips to one peer, direct and by relays. Each is proven as of the time at
+// which the newest message was sent that is known to have arrived.
 type paths struct {
 	directProvenAt core.Time            // or when the direct path began to be watched
 	relayProvenAt  map[string]core.Time // by address of the relay
 	nextRelay      int                  // counts the relays that were selected in turn
 }
 
-// recordProof records that a message sent at sentAt has arrived by the relay via, or directly where that is empty.
+// recordProof records that a message sent at sentAt has arrived by the relay via, or directly where
+// that is empty.
 func (p *paths) recordProof(via string, sentAt core.Time) {
 	if via == "" {
 		p.directProvenAt = max(p.directProvenAt, sentAt)
@@ -47,8 +50,8 @@
 	p.relayProvenAt[via] = max(p.relayProvenAt[via], sentAt)
 }
 
-// bestRelay returns the relay with the newest proof, if that is no older than FailureTimeout, and else none. It forgets
-// relays with an older one.
+// bestRelay returns the relay with the newest proof, if that is no older than FailureTimeout, and
+// else none. It forgets relays with an older one.
 func (p *paths) bestRelay(now core.Time) (relay string, provenAt core.Time) {
 	for candidate, candidateProvenAt := range p.relayProvenAt {
 		switch {
@@ -61,8 +64,8 @@
 	return relay, provenAt
 }
 
-// selectRelays lists the relays to ping now: the best one and one in turn, or several in turn where none is proven. The peer
-// itself, at the address target, is no relay.
+// selectRelays lists the relays to ping now: the best one and one in turn, or several in turn where
+// none is proven. The peer itself, at the address target, is no relay.
 func (p *paths) selectRelays(now core.Time, relays []string, target string) []string {
 	var selected []string
 	maxRelays := maxRelayedPings
@@ -83,13 +86,15 @@
 	return selected
 }
 
-// SetRelays sets the addresses of the nodes that may relay messages to peers without a direct path, best first.
+// SetRelays sets the addresses of the nodes that may relay messages to peers without a direct path,
+// best first.
 func (d *Detector) SetRelays(addresses []string) {
 	d.relays = slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == d.self.GetAddress() })
 }
 
-// Route is the internal address of the relay by which messages to the address should go; empty: directly. It is a relay
-// only while the direct path has been unproven for passiveRelayTimeout and a round trip by the relay is newer.
+// Route is the internal address of the relay by which messages to the address should go; empty:
+// directly. It is a relay only while the direct path has been unproven for passiveRelayTimeout and
+// a round trip by the relay is newer.
 func (d *Detector) Route(address string) string {
 	p := d.peers[address]
 	if p == nil || d.now-p.paths.directProvenAt <= passiveRelayTimeout {
@@ -102,8 +107,8 @@
 	return relay
 }
 
-// relaysToPing lists the relays by which the peer should be pinged now. An unresponsive one is pinged by one relay at a
-// time, and less often.
+// relaysToPing lists the relays by which the peer should be pinged now. An unresponsive one is
+// pinged by one relay at a time, and less often.
 func (d *Detector) relaysToPing(address string, p *peer) []string {
 	timeout := relayTimeout
 	if d.passive(p) {
--- a/internal/node/view/paths_test.go
+++ b/internal/node/view/paths_test.go
@@ -97,7 +97,8 @@
 	assert.Equal(t, p.nodes["a"].Condition("b"), Unknown)
 }
 
-// TestPeerIsNotItsOwnRelay: an unresponsive peer that is the only other node known is pinged directly alone.
+// TestPeerIsNotItsOwnRelay: an unresponsive peer that is the only other node known is pinged
+// directly alone.
 func TestPeerIsNotItsOwnRelay(t *testing.T) {
 	p := newVoterPair("a", "b")
 	for _, node := range p.nodes {
--- a/internal/node/view/peer.go
+++ b/internal/node/view/peer.go
@@ -16,7 +16,8 @@
 	CountsForQuorum bool
 	// Founding: it takes part in the agreement on the first view.
 	Founding bool
-	// Wedged: it has proposed a successor of the view of Epoch, and neither forwards nor acknowledges anything in it.
+	// Wedged: it has proposed a successor of the view of Epoch, and neither forwards nor
+	// acknowledges anything in it.
 	Wedged bool
 	// UnreachableVoters are the disk ids of the voters that it has no round trip with.
 	UnreachableVoters []string
@@ -70,7 +71,8 @@
 	lastContact   core.Time // when its newest message was received
 	// lastDirectContact is when the newest message was received that no relay brought.
 	lastDirectContact core.Time
-	// roundTripProven: this incarnation of the peer has answered a message, the newest of which was sent at lastRoundTrip.
+	// roundTripProven: this incarnation of the peer has answered a message, the newest of which was
+	// sent at lastRoundTrip.
 	roundTripProven bool
 	lastRoundTrip   core.Time
 
@@ -114,8 +116,8 @@
 	p.diskFaultSince = min(p.diskFaultSince, now)
 }
 
-// recordWedge keeps the time since when the peer has been wedged in one epoch. It must be called before the report
-// replaces the last one.
+// recordWedge keeps the time since when the peer has been wedged in one epoch. It must be called
+// before the report replaces the last one.
 func (p *peer) recordWedge(now core.Time, report *Report) {
 	if !report.Wedged || p.lastReport == nil || p.lastReport.Epoch != report.Epoch {
 		p.wedgedSince = core.Never
--- a/internal/node/view/pings.go
+++ b/internal/node/view/pings.go
@@ -5,8 +5,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// NewPing makes the next ping for the address, to be sent by the relay via, or directly where that is empty. self is this
-// node's own report.
+// NewPing makes the next ping for the address, to be sent by the relay via, or directly where that
+// is empty. self is this node's own report.
 func (d *Detector) NewPing(address, via string, self Report) *nodepb.VoterPing {
 	p := d.peer(address)
 	p.pingSequence++
@@ -31,8 +31,8 @@
 	}
 }
 
-// ReceivePing records a ping and makes the pong, which must return by the relay via that brought the ping: only then does
-// the acknowledgement of the pong prove that path.
+// ReceivePing records a ping and makes the pong, which must return by the relay via that brought
+// the ping: only then does the acknowledgement of the pong prove that path.
 func (d *Detector) ReceivePing(address, via string, ping *nodepb.VoterPing, self Report) *nodepb.VoterPong {
 	p := d.peer(address)
 	d.recordReport(p, via, reportOf(ping))
@@ -60,7 +60,8 @@
 	}
 }
 
-// RecordRoundTrip records a round trip that other messages have proven: one that was sent at sentAt has been answered.
+// RecordRoundTrip records a round trip that other messages have proven: one that was sent at sentAt
+// has been answered.
 func (d *Detector) RecordRoundTrip(address string, voter *nodepb.Voter, sentAt core.Time) {
 	p := d.peer(address)
 	if p.lastReport == nil || p.lastReport.Voter.GetDiskId() != voter.GetDiskId() {
@@ -71,8 +72,9 @@
 	p.lastRoundTrip = max(p.lastRoundTrip, sentAt)
 }
 
-// recordArrival records that the message with the sequence number has arrived. It reports false, and proves nothing, for a
-// number that this incarnation of the node did not send or no longer remembers.
+// recordArrival records that the message with the sequence number has arrived. It reports false,
+// and proves nothing, for a number that this incarnation of the node did not send or no longer
+// remembers.
 func (d *Detector) recordArrival(p *peer, message sentMessage, sequence uint64) bool {
 	if sequence == 0 || message.sequence != sequence {
 		return false
@@ -83,7 +85,8 @@
 	return true
 }
 
-// recordReport replaces the peer's last report by one that came by the relay via, or directly where that is empty.
+// recordReport replaces the peer's last report by one that came by the relay via, or directly where
+// that is empty.
 func (d *Detector) recordReport(p *peer, via string, report Report) {
 	if via == "" {
 		p.lastDirectContact = d.now
--- a/internal/node/view/proposal.go
+++ b/internal/node/view/proposal.go
@@ -14,9 +14,10 @@
 	Preempted              // an acceptor has promised a higher number
 )
 
-// Proposal is one numbered proposal in the single-decree Paxos for the view of one epoch. It keeps Paxos' rule that a view
-// which may have been decided under a lower number is proposed again. It sends nothing: its caller sends Prepare and Accept
-// to the acceptors that Awaits names, and passes the answers on.
+// Proposal is one numbered proposal in the single-decree Paxos for the view of one epoch. It keeps
+// Paxos' rule that a view which may have been decided under a lower number is proposed again. It
+// sends nothing: its caller sends Prepare and Accept to the acceptors that Awaits names, and passes
+// the answers on.
 type Proposal struct {
 	Epoch  uint64
 	Number *nodepb.ProposalNumber
@@ -29,7 +30,8 @@
 	preemptedBy     uint64
 }
 
-// NewProposal starts a proposal to the acceptors, which are named by their disk ids, in epoch 1 by the founders' addresses.
+// NewProposal starts a proposal to the acceptors, which are named by their disk ids, in epoch 1 by
+// the founders' addresses.
 func NewProposal(epoch uint64, number *nodepb.ProposalNumber, acceptors []string) *Proposal {
 	proposal := &Proposal{Epoch: epoch, Number: number, answeredBy: make(map[string]bool, len(acceptors))}
 	for _, acceptor := range acceptors {
@@ -41,7 +43,8 @@
 // Phase returns the progress.
 func (p *Proposal) Phase() Phase { return p.phase }
 
-// Value is the view that is proposed; while Preparing and Prepared, the one accepted under the highest number, if any.
+// Value is the view that is proposed; while Preparing and Prepared, the one accepted under the
+// highest number, if any.
 func (p *Proposal) Value() *nodepb.View { return p.value }
 
 // PreemptedBy is the counter of the number that preempted this proposal.
@@ -53,8 +56,8 @@
 	return known && !answered
 }
 
-// ReceivePromise records an acceptor's answer to Prepare. If the phase is Prepared after it, Value is the view that must be
-// proposed, or nil where the proposer is free to choose.
+// ReceivePromise records an acceptor's answer to Prepare. If the phase is Prepared after it, Value
+// is the view that must be proposed, or nil where the proposer is free to choose.
 func (p *Proposal) ReceivePromise(promise *nodepb.Promise) {
 	if p.phase != Preparing || promise.GetEpoch() != p.Epoch {
 		return
@@ -114,7 +117,8 @@
 	return p.answered >= Majority(len(p.answeredBy))
 }
 
-// preempt ends the proposal where an acceptor rejects it for a higher number; a late answer to a lower one is ignored.
+// preempt ends the proposal where an acceptor rejects it for a higher number; a late answer to a
+// lower one is ignored.
 func (p *Proposal) preempt(number *nodepb.ProposalNumber) {
 	if CompareNumbers(number, p.Number) <= 0 {
 		return
--- a/internal/node/view/reachability.go
+++ b/internal/node/view/reachability.go
@@ -15,25 +15,29 @@
 	Unknown Condition = iota
 	// Reachable: a round trip within FailureTimeout, and a healthy disk.
 	Reachable
-	// Failed: no round trip within FailureTimeout, or a disk fault, or another disk at the voter's address.
+	// Failed: no round trip within FailureTimeout, or a disk fault, or another disk at the voter's
+	// address.
 	Failed
 )
 
-// FailureDetector is what the choice of the next view needs to know of the other voters, each named by its disk id.
-// Detector implements it.
+// FailureDetector is what the choice of the next view needs to know of the other voters, each named
+// by its disk id. Detector implements it.
 type FailureDetector interface {
 	Condition(diskID string) Condition
 	// FailedFor is how long the voter has failed, 0 if it has not.
 	FailedFor(diskID string) core.Time
-	// Unreachable reports whether there is no round trip to the voter, whatever the health of its disk.
+	// Unreachable reports whether there is no round trip to the voter, whatever the health of its
+	// disk.
 	Unreachable(diskID string) bool
 	// LinkBroken reports whether one of the two reported that the other is unreachable.
 	LinkBroken(a, b string) bool
-	// Stalled reports whether the voter has been wedged in the current epoch for longer than a proposal takes.
+	// Stalled reports whether the voter has been wedged in the current epoch for longer than a
+	// proposal takes.
 	Stalled(diskID string) bool
 }
 
-// LastReport returns the last report of the node at the address, nil if none came within FailureTimeout.
+// LastReport returns the last report of the node at the address, nil if none came within
+// FailureTimeout.
 func (d *Detector) LastReport(address string) *Report {
 	p := d.peers[address]
 	if p == nil || p.lastReport == nil || d.now-p.lastContact > FailureTimeout {
@@ -97,8 +101,8 @@
 	return p != nil && p.wedgedSince != core.Never && d.now-p.wedgedSince > stalledTimeout
 }
 
-// UnreachableVoters lists the disk ids of the voters without a round trip, sorted; those with a disk fault alone are not
-// among them.
+// UnreachableVoters lists the disk ids of the voters without a round trip, sorted; those with a
+// disk fault alone are not among them.
 func (d *Detector) UnreachableVoters() []string {
 	var unreachable []string
 	for diskID, address := range d.voterAddresses {
--- a/internal/node/view/reconfiguration.go
+++ b/internal/node/view/reconfiguration.go
@@ -8,11 +8,12 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// RemovalTimeout is how long a voter must have failed before it may be removed without a replacement.
+// RemovalTimeout is how long a voter must have failed before it may be removed without a
+// replacement.
 const RemovalTimeout core.Time = 3 * time.Second
 
-// Reconfiguration decides whether the view in force should change, who proposes the next one, and what it is. It holds what
-// an eligible proposer knows at one moment, and has no state of its own.
+// Reconfiguration decides whether the view in force should change, who proposes the next one, and
+// what it is. It holds what an eligible proposer knows at one moment, and has no state of its own.
 type Reconfiguration struct {
 	View      *nodepb.View // in force
 	Self      string       // disk id of this node, one of EligibleProposers
@@ -22,7 +23,8 @@
 	Joiners []*nodepb.Voter
 	// Leaving: this node is about to stop.
 	Leaving bool
-	// Wedged: this node has proposed in this epoch before and wedged itself, so that the view must change.
+	// Wedged: this node has proposed in this epoch before and wedged itself, so that the view must
+	// change.
 	Wedged bool
 }
 
@@ -42,14 +44,15 @@
 	}
 }
 
-// restoresAcknowledgement reports whether a view that can't acknowledge could be followed by one that can, made of replicas
-// that hold the state already.
+// restoresAcknowledgement reports whether a view that can't acknowledge could be followed by one
+// that can, made of replicas that hold the state already.
 func (r *Reconfiguration) restoresAcknowledgement() bool {
 	next := r.NextView()
 	return next != nil && CanAcknowledge(next)
 }
 
-// MajorityReachable reports whether a majority of the acceptors is reachable, so that a proposal can succeed.
+// MajorityReachable reports whether a majority of the acceptors is reachable, so that a proposal
+// can succeed.
 func (r *Reconfiguration) MajorityReachable() bool { return r.reachesMajority(r.View.GetVoters()) }
 
 // ProposersKnown reports whether no eligible proposer is Unknown.
@@ -62,8 +65,9 @@
 	return true
 }
 
-// ProposerRank is the number of eligible proposers before this one that could propose in its place: the higher it is, the
-// longer this node waits. A leaving node proposes for itself and waits for nobody.
+// ProposerRank is the number of eligible proposers before this one that could propose in its place:
+// the higher it is, the longer this node waits. A leaving node proposes for itself and waits for
+// nobody.
 func (r *Reconfiguration) ProposerRank() int {
 	if r.Leaving {
 		return 0
@@ -88,7 +92,8 @@
 	return r.Detector.Condition(diskID)
 }
 
-// chainBroken reports whether a member of the chain has failed or stalled, or a link between two members is broken.
+// chainBroken reports whether a member of the chain has failed or stalled, or a link between two
+// members is broken.
 func (r *Reconfiguration) chainBroken() bool {
 	chain := r.View.GetChain()
 	for i, diskID := range chain {
--- a/internal/node/view/reconfiguration_test.go
+++ b/internal/node/view/reconfiguration_test.go
@@ -12,7 +12,8 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// fakeDetector is a failure detector with fixed results. Its strings name voters by one letter each.
+// fakeDetector is a failure detector with fixed results. Its strings name voters by one letter
+// each.
 type fakeDetector struct {
 	unknown       string
 	failed        string
@@ -145,7 +146,8 @@
 	assert.Equal(t, proposed, c.next)
 }
 
-// TestJoinerReplacesTheVoterAtItsAddress: the joiner has the address of a voter, whose disk is therefore gone.
+// TestJoinerReplacesTheVoterAtItsAddress: the joiner has the address of a voter, whose disk is
+// therefore gone.
 func TestJoinerReplacesTheVoterAtItsAddress(t *testing.T) {
 	joiner := &nodepb.Voter{DiskId: "z", Address: "addr-c"}
 	reconfiguration := Reconfiguration{
@@ -157,8 +159,8 @@
 	assert.DeepEqual(t, next.GetRemovedVoters(), []string{"c"})
 }
 
-// TestMemberUnreachableExcludesDiskFaults: a view says whether it leaves out an unreachable member; one that leaves, or has
-// a disk fault alone, is not unreachable.
+// TestMemberUnreachableExcludesDiskFaults: a view says whether it leaves out an unreachable member;
+// one that leaves, or has a disk fault alone, is not unreachable.
 func TestMemberUnreachableExcludesDiskFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		reconfiguration Reconfiguration
@@ -188,7 +190,8 @@
 	assert.Assert(t, !slices.Contains(removed, "b"), "a voter is not among the removed")
 }
 
-// TestOffChainReplicasOfAShortChainMayPropose: in a view that can't acknowledge, those that hold the state may propose too.
+// TestOffChainReplicasOfAShortChainMayPropose: in a view that can't acknowledge, those that hold
+// the state may propose too.
 func TestOffChainReplicasOfAShortChainMayPropose(t *testing.T) {
 	full := viewOf("abcdef", "abcd")
 	full.MinChainLength = 3
@@ -214,8 +217,8 @@
 	assert.Equal(t, longer.ProposerRank(), 1)
 }
 
-// TestOffChainReplicasStayVoters: a replica that holds the state is neither removed nor replaced by another machine, but by
-// a new disk at its own address.
+// TestOffChainReplicasStayVoters: a replica that holds the state is neither removed nor replaced by
+// another machine, but by a new disk at its own address.
 func TestOffChainReplicasStayVoters(t *testing.T) {
 	short := viewOf("abcd", "a")
 	short.MinChainLength = 2
