--- a/internal/node/forward/intake_test.go
+++ b/internal/node/forward/intake_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestRouterIsToldOfRequest of a request.
-func TestRouterIsToldOfRequest(t *testing.T) {
+// TestRouterReceivesRequestAttributes of a request.
+func TestRouterReceivesRequestAttributes(t *testing.T) {
 	urgent := 0
 	tenant := &config.Tenant{Name: "acme", Priority: &urgent}
 	w := newWorld(t, newScriptedRouter(), func(w *world, options *Options) {
@@ -216,7 +216,7 @@
 	reads := make(chan struct{}, 100)
 	current := first
 	changed := make(chan struct{})
-	w := newWorld(t, newScriptedRouter(b.instance), func(w *world, options *Options) {
+	w := newWorld(t, newScriptedRouter(b.instance), func(_ *world, options *Options) {
 		options.Configuration = func() *config.Compiled {
 			reads <- struct{}{}
 			select {
