--- a/internal/node/chain/protocol_test.go
+++ b/internal/node/chain/protocol_test.go
@@ -386,7 +386,7 @@
 	assert.Assert(t, !m.replica.Status().DiskHealthy)
 }
 
-func TestConfirmationAtTheTail(t *testing.T) {
+func TestConfirmationCountsFromTheRequestOfTheTail(t *testing.T) {
 	m := newTestReplicaInView(t, "c", testView(1, "abc", "abc"))
 	m.now = 5 * time.Second
 	m.collect(m.replica.Tick(m.now))
@@ -409,7 +409,7 @@
 	assert.Equal(t, len(m.takeSent()), 0, "young enough")
 }
 
-func TestLeaseOfTheHead(t *testing.T) {
+func TestLeaseCountsFromTheStartOfTheBarrier(t *testing.T) {
 	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.now = 3 * time.Second
 	m.receive("c", &nodepb.Envelope{Body: &nodepb.Envelope_BarrierRequest{BarrierRequest: &nodepb.BarrierRequest{Epoch: 1, Nonce: 77}}})
@@ -436,7 +436,7 @@
 	assert.Equal(t, len(m.takeSent()), 0)
 }
 
-func TestQueueExpires(t *testing.T) {
+func TestQueuedCommandExpires(t *testing.T) {
 	m := newTestReplicaInView(t, "a", testView(1, "abc", "abc"))
 	m.receive("api", submitOf(command("x", 0, 1)))
 	m.receive("api", submitOf(command("y", 0, 2)))
@@ -469,7 +469,7 @@
 	assert.Assert(t, find(m, (*nodepb.Envelope).GetPromise).GetRejected())
 }
 
-func TestRoles(t *testing.T) {
+func TestRoleFollowsThePositionInTheChain(t *testing.T) {
 	for name, role := range map[string]chain.MemberRole{"a": chain.Head, "b": chain.Middle, "c": chain.Tail, "d": chain.OutsideChain} {
 		assert.Equal(t, newTestReplicaInView(t, name, testView(1, "abcd", "abc")).replica.Status().Role, role)
 	}
--- a/internal/node/chain/scenario_test.go
+++ b/internal/node/chain/scenario_test.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func TestKilledMemberReturns(t *testing.T) {
+func TestKilledMemberRejoins(t *testing.T) {
 	for _, role := range []chain.MemberRole{chain.Head, chain.Middle, chain.Tail} {
 		for _, downtime := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second} {
 			w, o := newRunningWorld(t, fourCoreMachines)
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestAllKilledAtOnce(t *testing.T) {
+func TestViewSurvivesRestartOfAllMembers(t *testing.T) {
 	for _, settings := range []worldSettings{
 		{core: 1, founders: 1, proxies: 1, tolerance: 0},
 		{core: 3, founders: 3, proxies: 1, tolerance: 1},
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestPowerLossAndLostDisks(t *testing.T) {
+func TestAcknowledgedEntriesSurvivePowerLossAndLostDisks(t *testing.T) {
 	for _, settings := range []worldSettings{
 		{core: 3, founders: 3, proxies: 1, tolerance: 1},
 		fourCoreMachines,
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestReplacedMachine(t *testing.T) {
+func TestReplacementMachineJoins(t *testing.T) {
 	for _, settings := range []worldSettings{{core: 3, founders: 3, proxies: 1, tolerance: 1}, fourCoreMachines} {
 		w, o := newRunningWorld(t, settings)
 		w.nodes["core-1"].kill()
@@ -310,7 +310,7 @@
 	w.runUntil("acknowledges", time.Second, o.acknowledgesMore(5))
 }
 
-func TestMissingFounder(t *testing.T) {
+func TestFirstViewWithoutAMissingFounder(t *testing.T) {
 	for missing := range 3 {
 		w := newWorld(t, 3, worldSettings{core: 4, founders: 3, proxies: 1, tolerance: 1, late: missing + 1})
 		late := w.nodes[w.order[missing]]
@@ -336,8 +336,8 @@
 	w.runUntil("all in the chain", 3*time.Second, w.chainHasLength(3))
 }
 
-// TestQuietCost bounds the messages of a core without commands.
-func TestQuietCost(t *testing.T) {
+// TestIdleTrafficIsBounded bounds the messages of a core without commands.
+func TestIdleTrafficIsBounded(t *testing.T) {
 	w := newWorld(t, 1, worldSettings{core: 8, founders: 3, tolerance: 2})
 	w.runUntil("all in the chain", 2*time.Second, w.chainHasLength(8))
 	w.runFor(time.Second)
--- a/internal/node/view/reconfiguration_test.go
+++ b/internal/node/view/reconfiguration_test.go
@@ -247,7 +247,7 @@
 	assert.Equal(t, rank("d", fakeDetector{}, true), 0)
 }
 
-func TestViewLookups(t *testing.T) {
+func TestHeadTailAndSuccessorFollowTheChain(t *testing.T) {
 	v := viewOf("abcd", "cab")
 	assert.Equal(t, Head(v).GetDiskId(), "c")
 	assert.Equal(t, Tail(v).GetDiskId(), "b")
