--- a/internal/broker/full/full.go
+++ b/internal/broker/full/full.go
@@ -10,7 +10,7 @@
 
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/decide"
-	"kestrelspread/internal/fleet/site"
+	"kestrelspread/internal/fleet/zonefailure"
 	"kestrelspread/internal/operator"
 	"kestrelspread/internal/passthrough"
 	"kestrelspread/internal/routing"
@@ -88,7 +88,7 @@
 			p.Log.Info().Strs("first", s.Order.Text(Names(p.Set))).Msg("an order of refusals")
 		}
 		sees := &sightings{}
-		port, sighted := p.Router.Port().(*site.Port)
+		port, sighted := p.Router.Port().(*zonefailure.Port)
 		if sighted {
 			port.Changed = sees.changed
 		}
--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -15,12 +15,12 @@
 	"kestrelspread/internal/fleet/lease/fence/http"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
-	"kestrelspread/internal/fleet/site"
-	"kestrelspread/internal/fleet/site/talk"
 	"kestrelspread/internal/fleet/stage"
 	"kestrelspread/internal/fleet/stage/pace"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/fleet/statement/gather"
+	"kestrelspread/internal/fleet/zonefailure"
+	"kestrelspread/internal/fleet/zonefailure/talk"
 	"kestrelspread/internal/operator"
 )
 
@@ -34,7 +34,7 @@
 
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
-func duties(p *broker.Parts, o *operator.Owner, port *site.Port, sees *sightings) (end func(), err error) {
+func duties(p *broker.Parts, o *operator.Owner, port *zonefailure.Port, sees *sightings) (end func(), err error) {
 	rules := lease.ConfigForLease(o.Lease)
 	var list []voter.Address
 	votes := false
--- a/internal/broker/full/talk.go
+++ b/internal/broker/full/talk.go
@@ -2,13 +2,13 @@
 
 import (
 	"kestrelspread/internal/broker"
-	"kestrelspread/internal/fleet/site"
-	"kestrelspread/internal/fleet/site/talk"
+	"kestrelspread/internal/fleet/zonefailure"
+	"kestrelspread/internal/fleet/zonefailure/talk"
 	"kestrelspread/internal/operator"
 )
 
 // converse has a broker tell others what it sees of sites, and hear them.
-func converse(p *broker.Parts, o *operator.Talk, port *site.Port, sees *sightings) (end func(), err error) {
+func converse(p *broker.Parts, o *operator.Talk, port *zonefailure.Port, sees *sightings) (end func(), err error) {
 	t, err := talk.Start(talk.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, Via: o.Via, Heard: func(w talk.Word) {
 		// A full post loses hearsay, which is said again.
 		p.Router.Post(p.Loop.Tell, func() { port.Told(w.Peer, w.Site, w.Lost, w.Age) })
@@ -31,12 +31,12 @@
 func (s *sightings) add(f func(site int, lost bool)) { s.own = append(s.own, f) }
 
 // changed hears the port; in the loop.
-func (s *sightings) changed(c site.Change) {
-	if c.Hint || c.To != site.Lost && c.From != site.Lost {
+func (s *sightings) changed(c zonefailure.Change) {
+	if c.Hint || c.To != zonefailure.Lost && c.From != zonefailure.Lost {
 		return
 	}
 	for _, f := range s.own {
-		f(c.Site, c.To == site.Lost)
+		f(c.Site, c.To == zonefailure.Lost)
 	}
 }
 
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/zonefailure/detector.go
@@ -1,4 +1,4 @@
-// Package site tells the common failure of a whole site (hall, zone) from many single ones, by a broker's own sight, and
+// Package zonefailure tells the common failure of a whole site (hall, zone) from many single ones, by a broker's own sight, and
 // when and how fast it returns. It is a reducer: events in, changes out; no I/O, no clock, no chance. What a site's state
 // means for servers and searches is the module's to decide.
 //
@@ -7,7 +7,7 @@
 // them went, and other sites go on answering. Servers that are bad each for itself have mates that answer; a crowd is
 // slow everywhere; a broker that stood still heard nobody. So few servers suffice, and it takes the time of one burst,
 // where judging each server by itself takes one for each.
-package site
+package zonefailure
 
 import (
 	"math"
--- a/internal/fleet/site/site_test.go
+++ b/internal/fleet/zonefailure/detector_test.go
@@ -1,4 +1,4 @@
-package site
+package zonefailure
 
 import (
 	"fmt"
--- a/internal/fleet/site/crowd_test.go
+++ b/internal/fleet/zonefailure/fleet_test.go
@@ -1,11 +1,11 @@
-package site_test
+package zonefailure_test
 
 import (
 	"slices"
 	"testing"
 
 	"kestrelspread/internal/decide"
-	"kestrelspread/internal/fleet/site"
+	"kestrelspread/internal/fleet/zonefailure"
 	"kestrelspread/internal/standin/crowd"
 	"kestrelspread/internal/standin/station"
 )
@@ -20,7 +20,7 @@
 		module := func(out decide.Out) decide.Port { return decide.New(out, seed, p.Brokers, own) }
 		var port decide.Port
 		if sighted {
-			port = site.Watch(out, own, site.Usual, module)
+			port = zonefailure.Watch(out, own, zonefailure.Usual, module)
 		} else {
 			port = module(out)
 		}
--- a/internal/fleet/site/plant_beat.go
+++ b/internal/fleet/zonefailure/plant_beat.go
@@ -1,6 +1,6 @@
 //go:build plant_beat
 
-package site
+package zonefailure
 
 const (
 	plantStood   = false
--- a/internal/fleet/site/plant_clock.go
+++ b/internal/fleet/zonefailure/plant_clock.go
@@ -1,6 +1,6 @@
 //go:build plant_clock
 
-package site
+package zonefailure
 
 const (
 	plantStood   = false
--- a/internal/fleet/site/plant_late.go
+++ b/internal/fleet/zonefailure/plant_late.go
@@ -1,6 +1,6 @@
 //go:build plant_late
 
-package site
+package zonefailure
 
 const (
 	plantStood   = false
--- a/internal/fleet/site/plant_mates.go
+++ b/internal/fleet/zonefailure/plant_mates.go
@@ -1,6 +1,6 @@
 //go:build plant_mates
 
-package site
+package zonefailure
 
 const (
 	plantStood   = false
--- a/internal/fleet/site/plant_none.go
+++ b/internal/fleet/zonefailure/plant_none.go
@@ -1,6 +1,6 @@
 //go:build !plant_stood && !plant_clock && !plant_mates && !plant_relapse && !plant_late && !plant_deaf && !plant_beat && !plant_few
 
-package site
+package zonefailure
 
 // Planted defects, each behind a build tag: TestPlantedDefects shows that each is found.
 const (
--- a/internal/fleet/site/plant_stood.go
+++ b/internal/fleet/zonefailure/plant_stood.go
@@ -1,6 +1,6 @@
 //go:build plant_stood
 
-package site
+package zonefailure
 
 const (
 	plantStood   = true
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,7 +13,7 @@
 
 	"kestrelspread/internal/decide"
 	"kestrelspread/internal/fleet/bear"
-	"kestrelspread/internal/fleet/site"
+	"kestrelspread/internal/fleet/zonefailure"
 )
 
 // maxListed bounds a count of settings, against a text that states a huge one.
@@ -143,10 +143,10 @@
 	return p
 }
 
-// Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/site).
+// Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/zonefailure).
 func (v Values) Sighted(out decide.Out, seed uint64) decide.Port {
 	own := v.Whole("zone", 0)
-	p := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
+	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out decide.Out) decide.Port {
 		return decide.New(out, seed, v.Whole("balancers", 1), own)
 	})
 	v.Tell(p)
@@ -156,7 +156,7 @@
 // Planned gives one that is also told what servers bear while they are full (internal/fleet/bear).
 func (v Values) Planned(out decide.Out, seed uint64) decide.Port {
 	own := v.Whole("zone", 0)
-	p := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
+	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out decide.Out) decide.Port {
 		return bear.Watch(out, bear.Usual, func(out decide.Out) decide.Port {
 			return decide.New(out, seed, v.Whole("balancers", 1), own)
 		})
