--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -20,7 +20,7 @@
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/fleet/statement/gather"
 	"kestrelspread/internal/fleet/zonefailure"
-	"kestrelspread/internal/fleet/zonefailure/talk"
+	"kestrelspread/internal/fleet/zonefailure/gossip"
 	"kestrelspread/internal/operator"
 )
 
@@ -89,7 +89,7 @@
 	if o.Return && port != nil {
 		ears := &pace.Ears{}
 		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
-		sees.others = append(sees.others, func(w talk.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
+		sees.others = append(sees.others, func(w gossip.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
 		w.Jobs[returnDuty] = func() client.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
 		w.WatchedRoles = []string{returnDuty}
 		w.OnProgress = func(list []replica.ProgressReport) {
--- a/internal/broker/full/talk.go
+++ b/internal/broker/full/talk.go
@@ -3,13 +3,13 @@
 import (
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/fleet/zonefailure"
-	"kestrelspread/internal/fleet/zonefailure/talk"
+	"kestrelspread/internal/fleet/zonefailure/gossip"
 	"kestrelspread/internal/operator"
 )
 
 // converse has a broker tell others what it sees of sites, and hear them.
 func converse(p *broker.Parts, o *operator.Talk, port *zonefailure.Port, sees *sightings) (end func(), err error) {
-	t, err := talk.Start(talk.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, Via: o.Via, Heard: func(w talk.Word) {
+	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, Via: o.Via, Heard: func(w gossip.Word) {
 		// A full post loses hearsay, which is said again.
 		p.Router.Post(p.Loop.Tell, func() { port.Told(w.Peer, w.Site, w.Lost, w.Age) })
 		sees.heard(w)
@@ -25,7 +25,7 @@
 // sightings hand on what this broker sees of sites, and what others say, to whoever wants to know.
 type sightings struct {
 	own    []func(site int, lost bool)
-	others []func(w talk.Word)
+	others []func(w gossip.Word)
 }
 
 func (s *sightings) add(f func(site int, lost bool)) { s.own = append(s.own, f) }
@@ -40,7 +40,7 @@
 	}
 }
 
-func (s *sightings) heard(w talk.Word) {
+func (s *sightings) heard(w gossip.Word) {
 	for _, f := range s.others {
 		f(w)
 	}
--- a/internal/fleet/zonefailure/talk/talk.go
+++ b/internal/fleet/zonefailure/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package talk carries what brokers see of sites to each other, where an installation lets them talk: gossip by memberlist, on
+// Package gossip carries what brokers see of sites to each other, where an installation lets them talk: gossip by memberlist, on
 // an address of its own. What it brings is hearsay, with who said it and how old it is; internal/fleet/zonefailure says what it is
 // worth. Nothing waits for it, and without it brokers decide by own sight as ever. The platform bars it: it is off there.
-package talk
+package gossip
 
 import (
 	"encoding/json"
--- a/internal/fleet/zonefailure/talk/via.go
+++ b/internal/fleet/zonefailure/gossip/transport.go
@@ -1,4 +1,4 @@
-package talk
+package gossip
 
 import (
 	"net"
