--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -86,7 +86,7 @@
 	if own, ok := a.control.StoreStatus(); ok {
 		status.Role = own.Role.String()
 		status.Committed = own.Committed
-		status.Pending = own.Pending
+		status.Pending = own.HasPending
 		status.DiskHealthy = own.DiskHealthy
 	}
 	return status
--- a/internal/node/chain/join.go
+++ b/internal/node/chain/join.go
@@ -8,84 +8,92 @@
 	"kestrelspread/internal/node/view"
 )
 
-// joiner is what the head knows of a machine that wants into the chain.
+// joiner is what the head knows of a machine that has asked to join the chain.
 type joiner struct {
-	voter     *nodepb.Voter
-	committed position // that it has, as it said
-	sequence  uint64   // of the newest CatchUp
-	sentAt    core.Time
-	last      position // that it made durable
-	doneAt    core.Time
-	done      bool
+	voter           *nodepb.Voter
+	committed       position // that it reported; zero: it needs a snapshot
+	catchUpSequence uint64   // of the newest CatchUp sent to it
+	catchUpSentAt   core.Time
+	caughtUp        bool      // it has answered a CatchUp of this epoch, last at caughtUpAt
+	caughtUpAt      core.Time // when it reported durablePosition
+	durablePosition position  // of the newest entry that it has made durable
 }
 
-// joins reports whether this node should ask to join the chain.
-func (s *Store) joins() bool {
-	return s.view != nil && !s.inChain() && s.diskID() != "" && s.now >= s.leaving && s.writer.healthy(s.now)
+// joiningState is what a node outside the chain has under way to join it.
+type joiningState struct {
+	nextRequestAt core.Time
+	needsSnapshot bool // the entries that the head keeps do not suffice
 }
 
-// reachesChain reports whether there is a way to every member of the chain and back.
-func (s *Store) reachesChain() bool {
-	for _, diskID := range s.view.GetChain() {
-		if s.detector.Condition(diskID) != view.Reachable {
+// wantsToJoin reports whether this node is outside the chain and able to join it.
+func (r *Replica) wantsToJoin() bool {
+	return r.view != nil && !r.inChain() && r.diskID() != "" && r.now >= r.leavingUntil && r.writer.healthy(r.now)
+}
+
+// reachesChain reports whether every member of the chain is reachable from here.
+func (r *Replica) reachesChain() bool {
+	for _, diskID := range r.view.GetChain() {
+		if r.detector.Condition(diskID) != view.Reachable {
 			return false
 		}
 	}
 	return true
 }
 
-// joinDue asks the head to be taken into the chain.
-func (s *Store) joinDue() {
-	if !s.joins() || s.now < s.joinAt || !s.reachesChain() {
+// requestJoinIfDue asks the head to add this node to the chain.
+func (r *Replica) requestJoinIfDue() {
+	if !r.wantsToJoin() || r.now < r.joining.nextRequestAt || !r.reachesChain() {
 		return
 	}
-	s.joinAt = s.now + joinEvery
+	r.joining.nextRequestAt = r.now + joinRequestInterval
 	request := &nodepb.JoinRequest{
-		Self:           s.options.Self,
-		Epoch:          s.view.GetEpoch(),
-		Committed:      s.committed.index,
-		CommittedEpoch: s.committed.epoch,
-		Reachable:      s.detector.ReachableVoters(),
+		Self:           r.options.Self,
+		Epoch:          r.view.GetEpoch(),
+		Committed:      r.committed.index,
+		CommittedEpoch: r.committed.epoch,
+		Reachable:      r.detector.ReachableVoters(),
 	}
-	if s.wholeState {
+	if r.joining.needsSnapshot {
 		request.Committed = 0
 		request.CommittedEpoch = 0
 	}
-	head := view.Head(s.view)
-	s.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_JoinRequest{JoinRequest: request}})
+	r.sendToHead(&nodepb.Envelope{Body: &nodepb.Envelope_JoinRequest{JoinRequest: request}})
 }
 
-func (s *Store) joinDeadline() core.Time {
-	if !s.joins() || !s.reachesChain() {
+// joinDeadline is when the next join request is due.
+func (r *Replica) joinDeadline() core.Time {
+	if !r.wantsToJoin() || !r.reachesChain() {
 		return core.Never
 	}
-	return max(s.joinAt, s.now)
+	return max(r.joining.nextRequestAt, r.now)
 }
 
-// receiveJoinRequest sends the state to a machine that reaches the whole chain.
-func (s *Store) receiveJoinRequest(from core.Peer, request *nodepb.JoinRequest) {
-	if !s.inForce(from, request.GetEpoch()) || !s.isHead() || s.now < s.leaving {
+// receiveJoinRequest sends, at the head, the state to a machine that reaches every member of the
+// chain.
+func (r *Replica) receiveJoinRequest(from core.Peer, request *nodepb.JoinRequest) {
+	if !r.isCurrentEpoch(from, request.GetEpoch()) || !r.isHead() || r.now < r.leavingUntil {
 		return
 	}
 	voter := request.GetSelf()
-	if voter.GetDiskId() == "" || view.Position(s.view, voter.GetDiskId()) >= 0 || !s.connects(request.GetReachable()) {
+	diskID := voter.GetDiskId()
+	if diskID == "" || view.ChainIndex(r.view, diskID) >= 0 || !r.coversChain(request.GetReachable()) {
 		return
 	}
-	j := s.joiners[voter.GetDiskId()]
-	if j == nil {
-		j = &joiner{sentAt: s.now - catchUpEvery}
-		s.joiners[voter.GetDiskId()] = j
+	requester := r.head.joiners[diskID]
+	if requester == nil {
+		requester = &joiner{catchUpSentAt: r.now - catchUpInterval}
+		r.head.joiners[diskID] = requester
 	}
-	j.voter = voter
-	j.committed = position{index: request.GetCommitted(), epoch: request.GetCommittedEpoch()}
-	if s.now-j.sentAt >= catchUpEvery {
-		s.sendCatchUp(j)
+	requester.voter = voter
+	requester.committed = position{index: request.GetCommitted(), epoch: request.GetCommittedEpoch()}
+	if r.now-requester.catchUpSentAt >= catchUpInterval {
+		r.sendCatchUp(requester)
 	}
 }
 
-// connects reports whether the list names every member of the chain.
-func (s *Store) connects(reachable []string) bool {
-	for _, diskID := range s.view.GetChain() {
+// coversChain reports whether the disk ids include every member of the chain.
+func (r *Replica) coversChain(reachable []string) bool {
+	for _, diskID := range r.view.GetChain() {
 		if !slices.Contains(reachable, diskID) {
 			return false
 		}
@@ -93,197 +101,73 @@
 	return true
 }
 
-// sendCatchUp sends the committed state, as far as the joiner lacks it, and the pending entry. What is not durable here
-// is not sent: it could be another entry after a restart.
-func (s *Store) sendCatchUp(j *joiner) {
-	if !s.viewDurable || s.pending != nil && !s.pendingDurable {
+// sendCatchUp sends the committed state, as far as the joiner lacks it, and the pending entry.
+// Nothing is sent while that is not durable here: after a restart it could be another entry.
+func (r *Replica) sendCatchUp(recipient *joiner) {
+	if !r.viewDurable || r.pending != nil && !r.pendingDurable {
 		return
 	}
-	j.sequence++
-	j.sentAt = s.now
+	recipient.catchUpSequence++
+	recipient.catchUpSentAt = r.now
 	message := &nodepb.CatchUp{
-		Epoch:          s.view.GetEpoch(),
-		Sequence:       j.sequence,
-		Committed:      s.committed.index,
-		CommittedEpoch: s.committed.epoch,
-		Pending:        s.pending,
+		Epoch:          r.view.GetEpoch(),
+		Sequence:       recipient.catchUpSequence,
+		Committed:      r.committed.index,
+		CommittedEpoch: r.committed.epoch,
+		Pending:        r.pending,
 	}
-	entries, enough := s.entriesAfter(j.committed)
+	entries, complete := r.entriesAfter(recipient.committed)
 	message.Entries = entries
-	if !enough {
+	if !complete {
 		message.HasSnapshot = true
-		message.Snapshot = s.encodedState()
-	}
-	s.send(j.voter.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUp{CatchUp: message}})
-}
-
-// encodedState is the committed state, which is encoded once for all joiners that ask for it shortly after one another.
-func (s *Store) encodedState() []byte {
-	if s.encoded == nil || s.encodedAt != s.committed {
-		s.encoded, s.encodedAt = s.options.Machine.Snapshot(), s.committed
-	}
-	s.encodedUntil = s.now + catchUpKept
-	return s.encoded
-}
-
-// dropEncodedState forgets the encoded state that no joiner asked for lately.
-func (s *Store) dropEncodedState() {
-	if s.now >= s.encodedUntil {
-		s.encoded = nil
+		message.Snapshot = r.head.snapshot.get(r.now, r.committed, r.options.StateMachine.Snapshot)
 	}
+	r.send(recipient.voter.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUp{CatchUp: message}})
 }
 
-// entriesAfter lists the committed entries after the position, if all are still kept.
-func (s *Store) entriesAfter(from position) (entries []*nodepb.Entry, enough bool) {
-	if from == s.committed || from.index > s.committed.index {
+// entriesAfter lists the committed entries after the position; complete is false where the joiner
+// needs a snapshot.
+func (r *Replica) entriesAfter(from position) (entries []*nodepb.Entry, complete bool) {
+	if from == r.committed || from.index > r.committed.index {
 		return nil, true
 	}
-	for i, entry := range s.recent {
-		if positionOf(entry) == from {
-			return slices.Clone(s.recent[i+1:]), true
-		}
-	}
-	return nil, false
-}
-
-// receiveCatchUp takes the head's state. It must be the epoch that this node knows as the newest, and within an epoch
-// the state doesn't go back.
-func (s *Store) receiveCatchUp(from core.Peer, message *nodepb.CatchUp) {
-	if !s.inForce(from, message.GetEpoch()) || s.inChain() || from.Address != view.Head(s.view).GetAddress() {
-		return
-	}
-	last := position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()}
-	if message.GetPending() != nil {
-		last = positionOf(message.GetPending())
-	}
-	if s.caughtUp == message.GetEpoch() && last.index < s.last().index {
-		return
-	}
-	if !s.takeCommitted(message) {
-		s.wholeState = true
-		s.joinAt = s.now
-		return
-	}
-	s.wholeState = false
-	s.takeOverPending(message.GetPending())
-	s.caughtUp = message.GetEpoch()
-	held := s.pending
-	s.persist(kindCaughtUp, &nodepb.CaughtUpRecord{Epoch: s.caughtUp}, func() { s.caughtUpDurable(message, held) })
-}
-
-// takeCommitted brings the committed state up to the head's; false: this node needs a snapshot for it.
-func (s *Store) takeCommitted(message *nodepb.CatchUp) bool {
-	told := position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()}
-	if message.GetHasSnapshot() && told.index > s.committed.index {
-		return s.install(told, message.GetSnapshot())
-	}
-	for _, entry := range message.GetEntries() {
-		if entry.GetIndex() == s.committed.index+1 {
-			s.takeCommittedEntry(entry)
-		}
-	}
-	if s.pending != nil && positionOf(s.pending) == told {
-		s.commit()
-	}
-	return s.committed.index >= told.index
-}
-
-func (s *Store) takeCommittedEntry(entry *nodepb.Entry) {
-	if s.pending == nil || positionOf(s.pending) != positionOf(entry) {
-		s.pending = entry
-		s.persist(kindEntry, entry, nil)
-	}
-	s.commit()
-}
-
-// install replaces the state by a newer committed one.
-func (s *Store) install(at position, snapshot []byte) bool {
-	if err := s.options.Machine.Restore(snapshot); err != nil {
-		s.emit(core.Log{Message: "control state: snapshot refused", Fields: []any{"index", at.index, "error", err}})
-		return false
-	}
-	s.committed = at
-	s.pending = nil
-	s.pendingDurable = false
-	s.recent = nil
-	s.recentBytes = 0
-	s.persist(kindState, s.stateRecord(), nil)
-	s.emit(core.Installed{Snapshot: s.snapshot()})
-	return true
-}
-
-// takeOverPending makes the head's pending entry, or that there is none, this node's own.
-func (s *Store) takeOverPending(entry *nodepb.Entry) {
-	if entry.GetIndex() != s.committed.index+1 {
-		if s.pending != nil {
-			s.dropPending(nil)
-		}
-		return
-	}
-	if s.pending != nil && positionOf(s.pending) == positionOf(entry) {
-		return
-	}
-	s.pending = entry
-	s.pendingDurable = false
-	s.persist(kindEntry, entry, nil)
-}
-
-// caughtUpDurable answers the head once its whole state is durable here.
-func (s *Store) caughtUpDurable(message *nodepb.CatchUp, held *nodepb.Entry) {
-	if s.pending != held {
-		return
-	}
-	s.pendingDurable = held != nil
-	if s.view.GetEpoch() != message.GetEpoch() {
-		return
-	}
-	last := s.last()
-	done := &nodepb.CatchUpDone{
-		Epoch:        message.GetEpoch(),
-		Sequence:     message.GetSequence(),
-		Committed:    s.committed.index,
-		PendingIndex: s.pending.GetIndex(),
-		DiskId:       s.diskID(),
-		LastIndex:    last.index,
-		LastEpoch:    last.epoch,
-	}
-	head := view.Head(s.view)
-	s.send(head.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_CatchUpDone{CatchUpDone: done}})
+	return r.recent.after(from)
 }
 
-// receiveCatchUpDone notes what a joiner has durable. If an entry was taken meanwhile, the head holds back further ones for a
-// moment and sends that one too.
-func (s *Store) receiveCatchUpDone(from core.Peer, message *nodepb.CatchUpDone) {
-	if !s.inForce(from, message.GetEpoch()) || !s.isHead() {
+// receiveCatchUpDone records what a joiner has made durable. If it lacks an entry that was made
+// meanwhile, the head makes no further ones for joinerGracePeriod and sends that one too; else the
+// joiner is added by the next view.
+func (r *Replica) receiveCatchUpDone(from core.Peer, message *nodepb.CatchUpDone) {
+	if !r.isCurrentEpoch(from, message.GetEpoch()) || !r.isHead() {
 		return
 	}
-	j := s.joiners[message.GetDiskId()]
-	if j == nil || j.sequence != message.GetSequence() {
+	sender := r.head.joiners[message.GetDiskId()]
+	if sender == nil || sender.catchUpSequence != message.GetSequence() {
 		return
 	}
-	j.last = position{index: message.GetLastIndex(), epoch: message.GetLastEpoch()}
-	j.done = true
-	j.doneAt = s.now
-	s.detector.Proven(from.Address, j.voter, j.sentAt)
-	if j.last != s.last() {
-		s.holdUntil = max(s.holdUntil, s.now+holdForJoiner)
-		j.committed = position{}
-		s.sendCatchUp(j)
+	sender.durablePosition = position{index: message.GetLastIndex(), epoch: message.GetLastEpoch()}
+	sender.caughtUp = true
+	sender.caughtUpAt = r.now
+	r.detector.RecordRoundTrip(from.Address, sender.voter, sender.catchUpSentAt)
+	if sender.durablePosition != r.lastPosition() {
+		r.head.entriesPausedUntil = max(r.head.entriesPausedUntil, r.now+joinerGracePeriod)
+		sender.committed = position{}
+		r.sendCatchUp(sender)
 		return
 	}
-	s.evaluateAt = s.now
-	s.evaluate()
+	r.nextEvaluationAt = r.now
+	r.evaluateView()
 }
 
-// readyJoiners lists, at the head, the machines that have the whole state durable just now, in the order of their disk ids.
-func (s *Store) readyJoiners() []*nodepb.Voter {
-	if !s.isHead() {
+// readyJoiners lists, at the head, the joiners that have the complete state durable, by disk id.
+func (r *Replica) readyJoiners() []*nodepb.Voter {
+	if !r.isHead() {
 		return nil
 	}
 	var ready []*nodepb.Voter
-	for _, j := range s.joiners {
-		if j.done && s.now-j.doneAt <= view.MissingAfter && j.last == s.last() {
-			ready = append(ready, j.voter)
+	for _, candidate := range r.head.joiners {
+		if candidate.caughtUp && r.now-candidate.caughtUpAt <= view.FailureTimeout && candidate.durablePosition == r.lastPosition() {
+			ready = append(ready, candidate.voter)
 		}
 	}
 	slices.SortFunc(ready, func(a, b *nodepb.Voter) int {
--- a/internal/node/chain/reconfigure.go
+++ b/internal/node/chain/reconfigure.go
@@ -8,274 +8,80 @@
 	"kestrelspread/internal/node/view"
 )
 
-// acceptorAddress is who is asked in a round; the id is the disk id, in epoch 1 the address.
-type acceptorAddress struct {
-	id      string
-	address string
-}
-
-// round is a ballot of this node for the next view.
-type round struct {
-	*view.Round
-	base      *nodepb.View // nil while founding
-	acceptors []acceptorAddress
-	started   core.Time
-	resendAt  core.Time
-	spoken    bool // this node's own vote of the phase is durable, so that the others may be asked
-}
-
-// situation is what this node knows for the choice of the next view.
-func (s *Store) situation() *view.Situation {
-	return &view.Situation{
-		View:      s.view,
-		Self:      s.diskID(),
-		Tolerance: s.options.Tolerance,
-		Reach:     s.detector,
-		Joiners:   s.readyJoiners(),
-		Leaving:   s.now < s.leaving,
-		Wedged:    s.wedged,
-	}
-}
-
-// evaluate proposes a view if the one in force should change and this node is the one to do so.
-func (s *Store) evaluate() {
-	if s.view == nil {
-		s.considerFounding()
+// reconfiguration is what this node knows at present for the choice of the next view.
+func (r *Replica) reconfiguration() *view.Reconfiguration {
+	return &view.Reconfiguration{
+		View:      r.view,
+		Self:      r.diskID(),
+		Tolerance: r.options.Tolerance,
+		Detector:  r.detector,
+		Joiners:   r.readyJoiners(),
+		Leaving:   r.now < r.leavingUntil,
+		Wedged:    r.wedged,
+	}
+}
+
+// evaluateView starts a proposal if the view in force should change and this node is the one to
+// propose.
+func (r *Replica) evaluateView() {
+	if r.view == nil {
+		r.considerFirstView()
 		return
 	}
-	if s.round != nil || !s.proposes() || !s.viewDurable || s.now < s.evaluateAt {
+	if r.proposal != nil || !r.isEligibleProposer() || !r.viewDurable || r.now < r.nextEvaluationAt {
 		return
 	}
-	s.evaluateAt = s.now + evaluateEvery
-	situation := s.situation()
-	if !situation.Wanted() {
-		s.wantedSince = core.Never
+	r.nextEvaluationAt = r.now + evaluationInterval
+	reconfiguration := r.reconfiguration()
+	if !reconfiguration.Needed() {
+		r.changeNeededSince = core.Never
 		return
 	}
-	s.wantedSince = min(s.wantedSince, s.now)
-	if s.mayPropose(situation) {
-		s.startRound()
+	r.changeNeededSince = min(r.changeNeededSince, r.now)
+	if r.mayPropose(reconfiguration) {
+		r.startProposal()
 	}
 }
 
-// proposes reports whether this node may propose the next view, as it holds all that was acknowledged.
-func (s *Store) proposes() bool { return slices.Contains(view.Proposers(s.view), s.diskID()) }
+// isEligibleProposer reports whether this node may propose the next view, as it holds all that was
+// acknowledged.
+func (r *Replica) isEligibleProposer() bool {
+	return slices.Contains(view.EligibleProposers(r.view), r.diskID())
+}
 
-func (s *Store) mayPropose(situation *view.Situation) bool {
+// mayPropose reports whether this node should propose now: a majority is reachable, and the
+// eligible proposers before this one have had their time. After its wedge a node proposes even
+// while others are Unknown, as its epoch has ended here.
+func (r *Replica) mayPropose(reconfiguration *view.Reconfiguration) bool {
 	switch {
-	case s.now < s.notBefore || !s.writer.healthy(s.now):
+	case r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now):
 		return false
-	case !situation.MajorityReachable():
+	case !reconfiguration.MajorityReachable():
 		return false
-	case !s.wedged && !situation.Settled():
+	case !r.wedged && !reconfiguration.ProposersKnown():
 		return false
-	case s.now < s.wantedSince+core.Time(situation.Rank())*rankDelay:
+	case r.now < r.changeNeededSince+core.Time(reconfiguration.ProposerRank())*proposerRankDelay:
 		return false
 	default:
-		return situation.Next() != nil
-	}
-}
-
-// startRound begins a ballot: this node's own promise is durable before anyone else is asked.
-func (s *Store) startRound() {
-	acceptors := s.acceptors()
-	ids := make([]string, len(acceptors))
-	for i := range acceptors {
-		ids[i] = acceptors[i].id
-	}
-	ballot := &nodepb.Ballot{Round: max(s.acceptor.Round(), s.seenRound) + 1, Proposer: s.proposerID()}
-	r := &round{
-		Round:     view.NewRound(s.acceptor.Epoch, ballot, ids),
-		base:      s.view,
-		acceptors: acceptors,
-		started:   s.now,
-		resendAt:  s.now + resendEvery,
-	}
-	s.round = r
-	promise, _ := s.acceptor.Prepare(ballot)
-	promise.Voter = s.acceptorID()
-	s.persist(kindAcceptor, s.acceptor.Record(), func() {
-		if s.round != r {
-			return
-		}
-		r.spoken = true
-		s.ask()
-		r.Promised(promise)
-		s.progress()
-	})
-}
-
-// proposerID makes ballots of different lives of a machine differ: a disk id is of one disk, and what was promised to
-// one's own ballots is durable.
-func (s *Store) proposerID() string {
-	if s.diskID() == "" {
-		return s.address()
+		return reconfiguration.NextView() != nil
 	}
-	return s.diskID()
 }
 
-func (s *Store) acceptors() []acceptorAddress {
-	var acceptors []acceptorAddress
-	for _, voter := range s.view.GetVoters() {
-		acceptors = append(acceptors, acceptorAddress{voter.GetDiskId(), voter.GetAddress()})
+// chooseView is the view of this node's own choice, nil if there is none at present. A member of
+// the chain wedges itself with it: from here on it neither forwards nor acknowledges anything of
+// the epoch, so that its last entry stays the last one that can have been acknowledged.
+func (r *Replica) chooseView() *nodepb.View {
+	if r.view == nil {
+		return r.firstView()
 	}
-	for _, founder := range s.founders {
-		acceptors = append(acceptors, acceptorAddress{founder, founder})
-	}
-	return acceptors
-}
-
-// ask sends the question of the phase to all who have not answered.
-func (s *Store) ask() {
-	r := s.round
-	for _, acceptor := range r.acceptors {
-		if !r.Waiting(acceptor.id) || acceptor.id == s.acceptorID() {
-			continue
-		}
-		switch r.Phase() {
-		case view.Preparing:
-			s.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Prepare{Prepare: &nodepb.Prepare{
-				Epoch: r.Epoch, Ballot: r.Ballot, Base: r.base,
-			}}})
-		case view.Accepting:
-			s.send(acceptor.address, &nodepb.Envelope{Body: &nodepb.Envelope_Accept{Accept: &nodepb.Accept{
-				Epoch: r.Epoch, Ballot: r.Ballot, View: r.Value(), Base: r.base,
-			}}})
-		}
-	}
-}
-
-// driveRound asks again, and gives up a ballot that takes too long.
-func (s *Store) driveRound() {
-	r := s.round
-	switch {
-	case r == nil:
-	case s.now >= r.started+roundTimeout:
-		s.abandonRound()
-	case s.now >= r.resendAt:
-		r.resendAt = s.now + resendEvery
-		if r.spoken {
-			s.ask()
-		}
-	}
-}
-
-func (s *Store) roundDeadline() core.Time {
-	if s.round == nil {
-		return core.Never
-	}
-	return min(s.round.resendAt, s.round.started+roundTimeout)
-}
-
-// abandonRound ends a ballot; the next waits for a random while, so that one of several proposers comes through.
-func (s *Store) abandonRound() {
-	s.round = nil
-	s.notBefore = s.now + backoffBase + core.Time(s.random.Int64N(int64(3*backoffBase)))
-	s.evaluateAt = s.notBefore
-	s.takeNext()
-}
-
-func (s *Store) receivePromise(promise *nodepb.Promise) {
-	s.learn(promise.GetDecided())
-	if s.round == nil || !s.round.spoken {
-		return
-	}
-	s.round.Promised(promise)
-	s.progress()
-}
-
-func (s *Store) receiveAccepted(accepted *nodepb.Accepted) {
-	s.learn(accepted.GetDecided())
-	if s.round == nil || !s.round.spoken {
-		return
-	}
-	s.round.Accepted(accepted)
-	s.progress()
-}
-
-// progress goes on after an answer.
-func (s *Store) progress() {
-	switch s.round.Phase() {
-	case view.Choosing:
-		s.choose()
-	case view.Decided:
-		s.decide()
-	case view.Beaten:
-		s.raiseRound(s.round.HigherRound())
-		s.abandonRound()
-	}
-}
-
-// raiseRound lets the next ballot of this node be above one that was seen elsewhere.
-func (s *Store) raiseRound(higher uint64) { s.seenRound = max(s.seenRound, higher) }
-
-// choose starts the second phase: with the view that another proposer may have got through, else with the one that is
-// right now, once this node has wedged itself.
-func (s *Store) choose() {
-	r := s.round
-	value := r.Value()
-	if value == nil {
-		value = s.ownChoice()
-	}
-	if value == nil {
-		s.abandonRound()
-		return
-	}
-	r.Choose(value)
-	accepted, changed := s.acceptor.Accept(r.Ballot, value)
-	if !changed {
-		s.abandonRound()
-		return
-	}
-	accepted.Voter = s.acceptorID()
-	r.spoken = false
-	s.persist(kindAcceptor, s.acceptor.Record(), func() {
-		if s.round != r {
-			return
-		}
-		r.spoken = true
-		s.ask()
-		r.Accepted(accepted)
-		s.progress()
-	})
-}
-
-// ownChoice is the view that this node proposes by itself; nil if there is none by now. From here on it passes on and
-// acknowledges nothing of the epoch any more, and its last entry stays what it is.
-func (s *Store) ownChoice() *nodepb.View {
-	if s.view == nil {
-		return s.foundingView()
-	}
-	situation := s.situation()
-	if !situation.Wanted() || !situation.MajorityReachable() {
+	reconfiguration := r.reconfiguration()
+	if !reconfiguration.Needed() || !reconfiguration.MajorityReachable() {
 		return nil
 	}
-	next := situation.Next()
-	if next != nil && !s.wedged && s.inChain() {
-		s.wedged = true
-		s.persist(kindWedge, &nodepb.WedgeRecord{Epoch: s.view.GetEpoch()}, nil)
+	next := reconfiguration.NextView()
+	if next != nil && !r.wedged && r.inChain() {
+		r.wedged = true
+		r.persist(kindWedge, &nodepb.WedgeRecord{Epoch: r.view.GetEpoch()}, nil)
 	}
 	return next
 }
-
-// decide ends the round: a majority has accepted. The others are told first, so that what this node passes to the new head
-// finds it as such.
-func (s *Store) decide() {
-	r := s.round
-	decided := &nodepb.Envelope{Body: &nodepb.Envelope_ViewDecided{ViewDecided: &nodepb.ViewDecided{View: r.Value()}}}
-	told := map[string]bool{s.address(): true}
-	for _, acceptor := range r.acceptors {
-		s.sendOnce(told, acceptor.address, decided)
-	}
-	for _, voter := range r.Value().GetVoters() {
-		s.sendOnce(told, voter.GetAddress(), decided)
-	}
-	s.learn(r.Value())
-}
-
-func (s *Store) sendOnce(told map[string]bool, address string, envelope *nodepb.Envelope) {
-	if !told[address] {
-		told[address] = true
-		s.send(address, &nodepb.Envelope{Body: envelope.Body})
-	}
-}
--- a/internal/node/chain/replica.go
+++ b/internal/node/chain/replica.go
@@ -1,195 +1,220 @@
 package chain
 
 import (
-	"google.golang.org/protobuf/proto"
+	"math/rand/v2"
+
+	"github.com/joomcode/errorx"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 	"kestrelspread/internal/node/view"
 )
 
-// last is the newest entry this node holds.
-func (s *Store) last() position {
-	if s.pending != nil {
-		return positionOf(s.pending)
-	}
-	return s.committed
-}
+// Errors of this package.
+var (
+	namespace = errorx.NewNamespace("chain")
+	// ErrJournal: the records of the journal can't be the ones this package wrote.
+	ErrJournal = namespace.NewType("journal")
+)
 
-// receiveAppend takes an entry from the member before, or the head's repeat of it.
-func (s *Store) receiveAppend(from core.Peer, message *nodepb.Append) {
-	if !s.inForce(from, message.GetEpoch()) || !s.member() || s.isHead() || message.GetEntry() == nil {
-		return
-	}
-	s.commitUpTo(position{index: message.GetCommitted(), epoch: message.GetCommittedEpoch()})
-	entry := message.GetEntry()
-	at := positionOf(entry)
-	switch {
-	case at == s.committed:
-		s.passCommitted(entry)
-	case at.index != s.committed.index+1:
-		return
-	case s.pending != nil && positionOf(s.pending) == at:
-		s.appended = message.GetEpoch()
-		s.passPending()
-	default:
-		s.replacePending(entry)
-		s.appended = message.GetEpoch()
-	}
+// Replica is one core machine's part in the control state: an acceptor and perhaps a proposer of
+// views, and while it is in the chain a member of it. It is a state machine in the sense of package
+// core; its methods are called by one goroutine.
+type Replica struct {
+	options      Options
+	random       *rand.Rand
+	now          core.Time
+	startedAt    core.Time
+	wakeDeadline core.Time // the deadline returned last
+	outputs      []core.Output
+
+	writer        writer
+	detector      *view.Detector
+	quorumMembers []*nodepb.Member // as membership knows them: the nodes to ask for the view
+
+	// The agreed view.
+	view        *nodepb.View
+	viewDurable bool
+	wedged      bool // in the epoch of view
+	acceptor    view.Acceptor
+	founders    []string // addresses; only while there is no view
+
+	// The proposal of the next view.
+	proposal             *proposal // under way; nil: none
+	highestSeenCounter   uint64    // of the proposal numbers that preempted this node's proposals
+	changeNeededSince    core.Time // core.Never: the view should stay
+	proposalBackoffUntil core.Time
+	nextEvaluationAt     core.Time
+	leavingUntil         core.Time // until when this node neither joins nor adds joiners; 0: it is not leaving
+
+	// The replicated state. At most one entry is not committed.
+	committed            position
+	pending              *nodepb.Entry
+	pendingDurable       bool
+	pendingReceivedEpoch uint64 // epoch in which pending was last received
+	caughtUpEpoch        uint64 // epoch in which the head last caught this node up
+	recent               recentEntries
+
+	head    headState
+	tail    tailConfirmation
+	joining joiningState
 }
 
-// replacePending makes an entry durable in the place of the one that is held, which was never acknowledged.
-func (s *Store) replacePending(entry *nodepb.Entry) {
-	s.pending = entry
-	s.pendingDurable = false
-	s.persist(kindEntry, entry, func() {
-		if s.pending != entry {
-			return
-		}
-		s.pendingDurable = true
-		s.passPending()
-	})
+// New makes a Replica of the records of the journal, and returns the first outputs. random must
+// differ between incarnations. The error is of type ErrJournal.
+func New(now core.Time, options Options, records []core.Record, random *rand.Rand) (*Replica, []core.Output, error) {
+	journaled, err := replayJournal(records, options.StateMachine)
+	if err != nil {
+		return nil, nil, ErrJournal.Wrap(err, "replay the journal")
+	}
+	r := &Replica{
+		options:           options,
+		random:            random,
+		now:               now,
+		wakeDeadline:      core.Never,
+		writer:            newWriter(),
+		detector:          view.NewDetector(now, options.Self, uint64(random.Uint32())),
+		view:              journaled.view,
+		viewDurable:       journaled.view != nil,
+		acceptor:          view.NewAcceptor(view.Epoch(journaled.view) + 1),
+		wedged:            journaled.view != nil && journaled.wedgedEpoch == journaled.view.GetEpoch(),
+		changeNeededSince: core.Never,
+		startedAt:         now,
+		committed:         journaled.committed,
+		pending:           journaled.pending,
+		caughtUpEpoch:     journaled.caughtUpEpoch,
+		head: headState{
+			joiners: make(map[string]*joiner),
+			// The completion of a barrier of an earlier incarnation must not be taken for that of
+			// one of this incarnation.
+			lastBarrierNumber: random.Uint64(),
+		},
+	}
+	r.pendingDurable = r.pending != nil
+	if journaled.acceptor.GetEpoch() == r.acceptor.Epoch {
+		r.acceptor = view.RestoreAcceptor(journaled.acceptor)
+	}
+	r.startFounding(journaled.founders)
+	r.updateTargets()
+	r.publishRecovered()
+	r.enterEpoch()
+	return r, r.finish(), nil
 }
 
-// passPending passes the pending entry on if it may: it is durable here and was sent in the epoch in force. The tail
-// commits it.
-func (s *Store) passPending() {
-	if !s.member() || !s.viewDurable || s.pending == nil || !s.pendingDurable {
-		return
+// publishRecovered hands the state that the journal holds to the data plane.
+func (r *Replica) publishRecovered() {
+	if r.committed.index > 0 {
+		r.emit(core.Installed{Snapshot: r.snapshot()})
 	}
-	if !s.isHead() && s.appended != s.view.GetEpoch() {
-		return
-	}
-	if s.isTail() {
-		s.acknowledge()
-		return
-	}
-	s.forward(s.pending)
 }
 
-// passCommitted passes on a repeat of an entry that is committed here, for members that don't have it.
-func (s *Store) passCommitted(entry *nodepb.Entry) {
-	if !s.viewDurable {
-		return
-	}
-	if s.isTail() {
-		s.notifyCommitted(0)
-		return
-	}
-	s.forward(entry)
+func (r *Replica) snapshot() *nodepb.StateSnapshot {
+	return &nodepb.StateSnapshot{Index: r.committed.index, State: r.options.StateMachine.Snapshot()}
 }
 
-func (s *Store) forward(entry *nodepb.Entry) {
-	successor := view.Successor(s.view, s.diskID())
-	s.send(successor.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_Append{Append: &nodepb.Append{
-		Epoch:          s.view.GetEpoch(),
-		Entry:          entry,
-		Committed:      s.committed.index,
-		CommittedEpoch: s.committed.epoch,
-	}}})
+// Tick does what is due at the time.
+func (r *Replica) Tick(now core.Time) []core.Output {
+	r.advance(now)
+	return r.finish()
 }
 
-// acknowledge commits the pending entry at the tail and answers it, if the chain is long enough.
-func (s *Store) acknowledge() {
-	if !view.Acknowledges(s.view) {
-		return
-	}
-	entry := s.pending
-	result := s.commit()
-	s.answer(entry.GetOrigin(), result, nil)
-	s.notifyCommitted(0)
-	s.afterCommit()
+// Receive processes a message of another node. Messages that are not of this package are ignored.
+func (r *Replica) Receive(now core.Time, from core.Peer, envelope *nodepb.Envelope) []core.Output {
+	r.advance(now)
+	r.dispatch(from, envelope)
+	return r.finish()
 }
 
-// afterCommit goes on at the head with what waited for the commit.
-func (s *Store) afterCommit() {
-	if !s.isHead() {
-		return
+// Written processes the result of the Write with the token. What depends on its records is done
+// now, not before.
+func (r *Replica) Written(now core.Time, token uint64, err error) []core.Output {
+	r.advance(now)
+	if err != nil {
+		r.emit(core.Log{Message: "chain: journal write failed", Fields: []any{"error", err}})
 	}
-	s.startWaiting()
-	s.takeNext()
-}
-
-// answer sends the result of a command, or the state of a read, to who asked.
-func (s *Store) answer(origin *nodepb.Origin, result *nodepb.CommandResult, state *nodepb.StateSnapshot) {
-	if origin.GetAddress() == "" {
-		return
+	for _, write := range r.writer.complete(now, token, err) {
+		if write.onDurable != nil {
+			write.onDurable()
+		}
 	}
-	s.send(origin.GetAddress(), &nodepb.Envelope{Body: &nodepb.Envelope_SubmitReply{SubmitReply: &nodepb.SubmitReply{
-		Request: origin.GetRequest(),
-		Result:  result,
-		View:    s.view,
-		State:   state,
-	}}})
+	return r.finish()
 }
 
-// notifyCommitted tells the other members what is committed, and the head alone where a barrier came through.
-func (s *Store) notifyCommitted(barrier uint64) {
-	notice := &nodepb.CommitNotice{
-		Epoch:      s.view.GetEpoch(),
-		Index:      s.committed.index,
-		EntryEpoch: s.committed.epoch,
-		Barrier:    barrier,
-	}
-	for i, diskID := range s.view.GetChain() {
-		if diskID == s.diskID() || barrier != 0 && i > 0 {
-			continue
-		}
-		address := view.FindVoter(s.view, diskID).GetAddress()
-		s.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_CommitNotice{CommitNotice: notice}})
-	}
+// SetQuorumMembers sets the members that count for a quorum, as membership knows them: the nodes to
+// ask for the view while this one is outside the chain.
+func (r *Replica) SetQuorumMembers(now core.Time, members []*nodepb.Member) []core.Output {
+	r.advance(now)
+	r.quorumMembers = members
+	r.updateTargets()
+	return r.finish()
 }
 
-func (s *Store) receiveCommitNotice(from core.Peer, notice *nodepb.CommitNotice) {
-	if !s.inForce(from, notice.GetEpoch()) || !s.inChain() {
-		return
-	}
-	s.commitUpTo(position{index: notice.GetIndex(), epoch: notice.GetEntryEpoch()})
-	if notice.GetBarrier() != 0 {
-		s.barrierDone(notice.GetBarrier())
-	}
+// RequestCheckpoint makes the next Write a checkpoint of everything that must survive, as the
+// journal is nearly full.
+func (r *Replica) RequestCheckpoint(now core.Time) []core.Output {
+	r.advance(now)
+	r.writer.buildCheckpoint = r.checkpoint
+	return r.finish()
 }
 
-// commitUpTo commits the pending entry if it is the one that was told to be committed.
-func (s *Store) commitUpTo(told position) {
-	if s.pending == nil || positionOf(s.pending) != told || !s.pendingDurable {
-		return
-	}
-	s.commit()
-	s.afterCommit()
+// HandOver makes this node leave the chain, or at least the head of it, as its process is about to
+// stop.
+func (r *Replica) HandOver(now core.Time) []core.Output {
+	r.advance(now)
+	r.leavingUntil = now + leaveDuration
+	r.nextEvaluationAt = now
+	return r.finish()
 }
 
-// commit applies the pending entry.
-func (s *Store) commit() *nodepb.CommandResult {
-	entry := s.pending
-	s.pending = nil
-	s.pendingDurable = false
-	s.inherited = false
-	s.committed = positionOf(entry)
-	result := s.options.Machine.Apply(entry)
-	if result.GetIndex() == 0 {
-		result = proto.CloneOf(result)
-		result.Index = entry.GetIndex()
-	}
-	s.remember(entry)
-	s.emit(core.Committed{Entry: entry, Result: result})
-	return result
+// advance sets the time and does what is due.
+func (r *Replica) advance(now core.Time) {
+	lateness := core.Time(0)
+	if r.wakeDeadline != core.Never && now > r.wakeDeadline {
+		lateness = now - r.wakeDeadline
+	}
+	r.now = now
+	if r.detector.Advance(now, lateness) {
+		r.changeNeededSince = core.Never
+		r.emit(core.Log{Message: "chain: this node was suspended", Fields: []any{"late", lateness}})
+	}
+	r.sendDuePings()
+	r.retransmit()
+	r.expireQueue()
+	r.processQueue()
+	r.requestJoinIfDue()
+	r.driveProposal()
+	r.head.snapshot.evictExpired(r.now)
+	r.evaluateView()
 }
 
-// remember keeps the newest entries for joiners that lack only these.
-func (s *Store) remember(entry *nodepb.Entry) {
-	s.recent = append(s.recent, entry)
-	s.recentBytes += proto.Size(entry)
-	for len(s.recent) > recentEntries || s.recentBytes > recentEntryBytes && len(s.recent) > 0 {
-		s.recentBytes -= proto.Size(s.recent[0])
-		s.recent = append(s.recent[:0], s.recent[1:]...)
+// finish returns the outputs, the next write among them, and sets the next deadline.
+func (r *Replica) finish() []core.Output {
+	if write, ok := r.writer.flush(r.now); ok {
+		r.emit(write)
 	}
+	outputs := r.outputs
+	r.outputs = nil
+	r.wakeDeadline = r.nextDeadline()
+	return outputs
 }
 
-// dropPending forgets an entry that the head doesn't have; done follows once that is durable.
-func (s *Store) dropPending(done func()) {
-	record := &nodepb.DropRecord{Index: s.pending.GetIndex(), Epoch: s.pending.GetEpoch()}
-	s.pending = nil
-	s.pendingDurable = false
-	s.persist(kindDrop, record, done)
+// Deadline is when Tick should be called next; core.Never: not before the next message.
+func (r *Replica) Deadline() core.Time { return r.wakeDeadline }
+
+// nextDeadline is the earliest deadline of any part.
+func (r *Replica) nextDeadline() core.Time {
+	deadline := min(r.detector.Deadline(), r.writer.deadline(r.now), r.joinDeadline(), r.proposalDeadline(), r.barrierDeadline())
+	if r.hasEntryToRetransmit() {
+		deadline = min(deadline, r.head.retransmitAt)
+	}
+	if len(r.head.commandQueue) > 0 {
+		deadline = min(deadline, r.head.commandQueue[0].expiresAt)
+		if r.head.entriesPausedUntil > r.now {
+			deadline = min(deadline, r.head.entriesPausedUntil)
+		}
+	}
+	if r.changeNeededSince != core.Never && r.proposal == nil {
+		deadline = min(deadline, r.nextEvaluationAt)
+	}
+	return deadline
 }
--- a/internal/node/control/dispatch.go
+++ b/internal/node/control/dispatch.go
@@ -67,7 +67,7 @@
 		n.publishState(now)
 	case core.RequestBarrier:
 		if n.store != nil {
-			n.execute(now, n.store.WantConfirmation(now))
+			n.execute(now, n.store.RequestConfirmation(now))
 		}
 	case core.TableChanged:
 		n.propagated.brokersChanged = true
--- a/internal/node/control/propagate.go
+++ b/internal/node/control/propagate.go
@@ -32,11 +32,11 @@
 			counting = append(counting, member)
 		}
 	}
-	n.execute(now, n.submit.SetCore(now, counting))
+	n.execute(now, n.submit.SetCoreMembers(now, counting))
 	n.coreAddresses = addressesOf(counting)
 	if n.store != nil {
 		n.store.SetRelays(n.rankRelays(members))
-		n.execute(now, n.store.SetPeers(now, counting))
+		n.execute(now, n.store.SetQuorumMembers(now, counting))
 	}
 	n.emit(core.MembersChanged{Members: members})
 }
@@ -53,8 +53,8 @@
 	if newest.GetEpoch() <= n.propagated.viewEpoch {
 		return
 	}
-	if n.propagated.viewEpoch > 0 && newest.LostMachine {
-		n.emit(core.CoreMemberLost{LostBy: now - minDetectionTime})
+	if n.propagated.viewEpoch > 0 && newest.MemberUnreachable {
+		n.emit(core.QuorumMemberLost{LostBy: now - minDetectionTime})
 	}
 	n.propagated.viewEpoch = newest.GetEpoch()
 	n.emit(core.Log{Message: "control: view changed", Fields: []any{"epoch", newest.Epoch, "chain", newest.Chain, "voters", len(newest.Voters)}})
@@ -66,7 +66,7 @@
 // held here is.
 func (n *Node) propagateConfirmation(now core.Time) {
 	if n.store != nil && n.distribution.Tail() {
-		if status := n.store.Status(); status.ConfirmedOnce {
+		if status := n.store.Status(); status.EverConfirmed {
 			n.distribution.LocalConfirmed(now, status.ConfirmedAt)
 		}
 	}
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -125,8 +125,9 @@
 	f.tick()
 }
 
-// Late: what has been given to the network for a server that wants nothing new, and of which the network has taken none,
-// can only be taken back with its connection. Only one that stands still has such.
+// Late ends connections to a server that wants nothing new: what has been given to the network, and of
+// which the network has taken none, can only be taken back with its connection. Only one that stands still
+// has such.
 func (f *Front) Late(at int) {
 	for _, l := range append([]*line(nil), f.lines...) {
 		if l != nil && l.server == at && l.unbegun() {
@@ -135,7 +136,7 @@
 	}
 }
 
-// Forgotten: the index will be another server's.
+// Forgotten drops a server; its index will be another's.
 func (f *Front) Forgotten(at int) {
 	if at < len(f.servers) {
 		f.pool.Forgotten(at)
@@ -143,7 +144,8 @@
 	}
 }
 
-// Stopping: clients are told to go elsewhere, and still served. What is open has its last status before the end.
+// Stopping has clients go elsewhere, and still serves them. What is open has its last status before the
+// time killed.
 func (f *Front) Stopping(killed float64) {
 	f.killed = killed
 	for _, c := range f.inOrder() {
@@ -157,7 +159,7 @@
 	}
 }
 
-// Leaving: the address is closed, nothing more is taken on connections either.
+// Leaving tells that the address is closed; nothing more is taken on connections either.
 func (f *Front) Leaving() {
 	f.leaving = true
 	for _, c := range f.inOrder() {
@@ -255,6 +257,7 @@
 
 func (o *carrier) front() *Front { return (*Front)(o) }
 
+// Open implements channels.Out: a connection to a server is begun.
 func (o *carrier) Open(server, channel int) bool {
 	f := o.front()
 	l := &line{f: f, server: server, channel: channel, attempts: map[*attempt]bool{}}
@@ -271,8 +274,10 @@
 	return true
 }
 
+// Begin implements channels.Out: an attempt has its place on a connection.
 func (o *carrier) Begin(channel int, t channels.Token) { o.front().lines[channel].begin(t.(*attempt)) }
 
+// Refuse implements channels.Out: an attempt gets no place, and ends.
 func (o *carrier) Refuse(t channels.Token, why channels.Why) {
 	a := t.(*attempt)
 	switch why {
@@ -291,6 +296,7 @@
 	}
 }
 
+// Close implements channels.Out: a connection is given up.
 func (o *carrier) Close(channel int) {
 	f := o.front()
 	l := f.lines[channel]
@@ -298,6 +304,7 @@
 	l.closing()
 }
 
+// Ping implements channels.Out: a connection is asked for a sign of life.
 func (o *carrier) Ping(channel int) {
 	f := o.front()
 	f.lines[channel].h.Ping()
--- a/internal/rig/faultrun/operator.go
+++ b/internal/rig/faultrun/operator.go
@@ -167,7 +167,7 @@
 }
 
 // answer brings an answer to its caller, unless it is lost or the machine goes as it leaves.
-func (w *World) answer(m *machine, arrived func()) {
+func (w *World) answer(_ *machine, arrived func()) {
 	if w.random.Float64() < w.checks.answerLoss {
 		return
 	}
@@ -285,4 +285,5 @@
 // noChecker checks no schema: configurations of these runs keep it.
 type noChecker struct{}
 
+// CheckItems finds nothing wrong.
 func (noChecker) CheckItems([]config.SchemaItem) error { return nil }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -19,6 +19,7 @@
 // Commit tells what of a response the client may see before a repeat is ruled out.
 type Commit uint8
 
+// When an attempt is committed: from then on no other may take its place.
 const (
 	AtMessage Commit = iota // with its first message: initial metadata waits for that
 	AtHeaders               // with its initial metadata, for clients that wait for it before they send
@@ -67,6 +68,7 @@
 // Conflict names two routes of which either might be meant.
 type Conflict struct{ First, Second int }
 
+// Error names the two routes.
 func (e *Conflict) Error() string {
 	return fmt.Sprintf("routes %d and %d match the same calls, and neither is the longer", e.First, e.Second)
 }
