--- a/internal/node/forward/fixture_test.go
+++ b/internal/node/forward/fixture_test.go
@@ -20,6 +20,7 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/admission"
 )
 
 // testTimeout bounds every wait of the tests; a passing test never waits it out.
@@ -54,7 +55,7 @@
 func newScriptedRouter(instances ...*registry.Instance) *scriptedRouter {
 	return &scriptedRouter{
 		instances: instances,
-		refusal:   &routing.Refusal{RetryAfter: 250 * time.Millisecond, Reason: routing.RefusedFull},
+		refusal:   &routing.Refusal{RetryAfter: 250 * time.Millisecond, Reason: admission.Full},
 		endings:   make(chan struct{}, 1000),
 	}
 }
--- a/internal/node/kvindex/guarded.go
+++ b/internal/node/kvindex/guarded.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 )
 
@@ -12,17 +12,17 @@
 type Guarded struct {
 	mutex   sync.Mutex
 	index   *Index
-	results []routing.Holder // a copy of the Index's, which the next change may overwrite
+	results []prefixcache.Holder // a copy of the Index's, which the next change may overwrite
 }
 
-var _ routing.Index = (*Guarded)(nil)
+var _ prefixcache.Index = (*Guarded)(nil)
 
 // NewGuarded wraps an index, which must no longer be used directly.
 func NewGuarded(index *Index) *Guarded { return &Guarded{index: index} }
 
 // Holders is Index.Holders. Its callers must be serialised among themselves, as the router's are, as
 // the list is valid until the next call.
-func (g *Guarded) Holders(salt uint64, parts []prompt.Part) []routing.Holder {
+func (g *Guarded) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.results = append(g.results[:0], g.index.Holders(salt, parts)...)
--- a/internal/node/kvindex/index.go
+++ b/internal/node/kvindex/index.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 )
 
@@ -59,12 +59,12 @@
 	holders        []holder // by number
 	freeHolders    []uint32 // numbers of holders that are gone and have no records
 	holderByName   map[string]uint32
-	query          uint64           // number of the latest query
-	results        []routing.Holder // of the latest query
-	matchedHolders []uint32         // numbers of the holders that the latest query matched
+	query          uint64               // number of the latest query
+	results        []prefixcache.Holder // of the latest query
+	matchedHolders []uint32             // numbers of the holders that the latest query matched
 }
 
-var _ routing.Index = (*Index)(nil)
+var _ prefixcache.Index = (*Index)(nil)
 
 // NewIndex returns an empty index of at most maxRecords records, each of about 60 bytes.
 func NewIndex(maxRecords int) *Index {
--- a/internal/node/kvindex/index_test.go
+++ b/internal/node/kvindex/index_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 )
 
@@ -41,7 +41,7 @@
 				assert.Equal(t, len(found), 0)
 				return
 			}
-			assert.DeepEqual(t, found, []routing.Holder{{Instance: "i-1", Tokens: test.tokens}})
+			assert.DeepEqual(t, found, []prefixcache.Holder{{Instance: "i-1", Tokens: test.tokens}})
 		})
 	}
 }
@@ -52,7 +52,7 @@
 	index.Set("i-1", saltA, 1, 800)
 	index.Set(StoreName("10.0.0.1:80"), saltA, 1, 800)
 	index.Set(StoreName("10.0.0.1:80"), saltA, 2, 410)
-	assert.DeepEqual(t, index.Holders(saltA, promptParts), []routing.Holder{
+	assert.DeepEqual(t, index.Holders(saltA, promptParts), []prefixcache.Holder{
 		{Instance: "10.0.0.1:80", Store: true, Tokens: 1210},
 		{Instance: "i-1", Tokens: 800},
 		{Instance: "i-2", Tokens: 800},
--- a/internal/node/kvindex/lookup.go
+++ b/internal/node/kvindex/lookup.go
@@ -4,14 +4,14 @@
 	"cmp"
 	"slices"
 
-	"kestrelspread/internal/node/routing"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 )
 
 // Holders lists the holders that cache a prefix of a prompt under a salt, the longest prefix first. A
 // part counts only if every part before it is cached completely (PROTOCOL.md, "Requests"). The list
 // is valid until the next call.
-func (x *Index) Holders(salt uint64, parts []prompt.Part) []routing.Holder {
+func (x *Index) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
 	x.query++
 	x.matchedHolders = x.matchedHolders[:0]
 	for position, part := range parts {
@@ -23,7 +23,7 @@
 	for _, number := range x.matchedHolders {
 		x.results = append(x.results, routingHolder(&x.holders[number]))
 	}
-	slices.SortFunc(x.results, func(a, b routing.Holder) int {
+	slices.SortFunc(x.results, func(a, b prefixcache.Holder) int {
 		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.Instance, b.Instance))
 	})
 	return x.results
@@ -64,9 +64,9 @@
 }
 
 // routingHolder returns a match as the router sees it.
-func routingHolder(h *holder) routing.Holder {
+func routingHolder(h *holder) prefixcache.Holder {
 	if address, ok := storeAddress(h.name); ok {
-		return routing.Holder{Instance: address, Store: true, Tokens: h.matchedTokens}
+		return prefixcache.Holder{Instance: address, Store: true, Tokens: h.matchedTokens}
 	}
-	return routing.Holder{Instance: h.name, Tokens: h.matchedTokens}
+	return prefixcache.Holder{Instance: h.name, Tokens: h.matchedTokens}
 }
--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -7,6 +7,8 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/upstream"
 )
 
 // A request is refused only when every broker's places are taken, and is told to come back in a third of its time.
@@ -27,15 +29,15 @@
 	w.Finished(w.now, a.Request, a.Number, outcomeFull, false)
 	_, d := w.Begin(w.now, q)
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, RefusedFull)
+	assert.Equal(t, d.Refusal.Reason, admission.Full)
 	assert.Assert(t, d.Refusal.RetryAfter > 0 && d.Refusal.RetryAfter <= (q.Deadline-w.now)/3)
 
-	w.now += fullPause * 6 / 10
+	w.now += upstream.RefusalBackoff * 6 / 10
 	_, d = w.Begin(w.now, q)
 	assert.Assert(t, d.Refusal != nil)
 	urgent := w.request(onceRoute)
 	assert.Assert(t, w.begin(urgent) != nil, "the most urgent try sooner")
-	w.now += fullPause
+	w.now += upstream.RefusalBackoff
 	assert.Assert(t, w.begin(q) != nil)
 }
 
@@ -56,7 +58,7 @@
 	assert.Equal(t, a.Instance.ID, list[2].ID, "one that the registry misses is better than none")
 	w.SetTable(w.now, tableOf(list[:2]...))
 	_, d := w.Begin(w.now, w.request(safeRoute))
-	assert.Equal(t, d.Refusal.Reason, RefusedNoBroker)
+	assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
 }
 
 // An unsafe request isn't thrown after others that got no answer: it is promised not to have run, and may be served elsewhere.
@@ -67,7 +69,7 @@
 	w.now += 3 * time.Second
 	_, d := w.Begin(w.now, w.request(onceRoute))
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, RefusedUnhealthy)
+	assert.Equal(t, d.Refusal.Reason, admission.Unhealthy)
 	w.Started(w.now, lost.Request, lost.Number, nil)
 	assert.Assert(t, w.begin(w.request(onceRoute)) != nil, "a late answer is a sign of life")
 }
@@ -84,6 +86,6 @@
 
 func TestEnginePriority(t *testing.T) {
 	for urgency, want := range []int{0, 3, 6, 9, 9} {
-		assert.Equal(t, enginePriority(urgency), want)
+		assert.Equal(t, priorityHeader(urgency), want)
 	}
 }
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -6,14 +6,16 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/upstream"
 )
 
 // All proxies send prompts with the same shared parts to the same broker, without exchange.
 func TestProxiesAgreeOnAPromptsBroker(t *testing.T) {
 	list := instances(9)
 	first, second := newWorld(t, list), newWorld(t, list)
-	second.options.Zone = "z2"
+	second.moveTo("z2")
 	owners := map[string]int{}
 	for part := range uint64(300) {
 		a, b := first.begin(first.prompt(flowRoute, part)), second.begin(second.prompt(flowRoute, part))
@@ -67,11 +69,11 @@
 
 // fixedIndex names holders whatever is asked for, and notes what it is told.
 type fixedIndex struct {
-	holders  []Holder
+	holders  []prefixcache.Holder
 	observed []string
 }
 
-func (x *fixedIndex) Holders(uint64, []prompt.Part) []Holder { return x.holders }
+func (x *fixedIndex) Holders(uint64, []prompt.Part) []prefixcache.Holder { return x.holders }
 
 func (x *fixedIndex) Observed(id string, _ uint64, _ []prompt.Part) {
 	x.observed = append(x.observed, id)
@@ -82,19 +84,19 @@
 	w := newWorldWith(t, instances(8), index)
 	owner := w.begin(w.prompt(flowRoute, 5))
 	w.serve(owner, ms)
-	w.now += readsBelieved
+	w.now += prefixcache.PrefillBelieved
 	assert.DeepEqual(t, index.observed, []string{owner.Instance.ID})
 	for id := range w.brokers {
 		if id != owner.Instance.ID {
-			index.holders = []Holder{{Instance: id, Tokens: 1300}}
+			index.holders = []prefixcache.Holder{{Instance: id, Tokens: 1300}}
 			break
 		}
 	}
 	a := w.begin(w.prompt(flowRoute, 5))
 	assert.Equal(t, a.Instance.ID, index.holders[0].Instance)
 	w.serve(a, ms)
-	w.now += readsBelieved
-	index.holders = append(index.holders, Holder{Instance: owner.Instance.ID, Tokens: 1300})
+	w.now += prefixcache.PrefillBelieved
+	index.holders = append(index.holders, prefixcache.Holder{Instance: owner.Instance.ID, Tokens: 1300})
 	a = w.begin(w.prompt(flowRoute, 5))
 	assert.Equal(t, a.Instance.ID, owner.Instance.ID, "between equals the order decides that all proxies find")
 }
@@ -111,14 +113,16 @@
 		{"draining", func(_ *world, owner *registry.Instance) { owner.State = registry.Draining }, false},
 		{"loading", func(_ *world, owner *registry.Instance) { owner.Loading = true }, false},
 		{"another version", func(_ *world, owner *registry.Instance) { withVersion(owner, 2) }, false},
-		{"set aside", func(w *world, owner *registry.Instance) { w.setAside(w.now, w.brokers[owner.ID], erring) }, false},
+		{"set aside", func(w *world, owner *registry.Instance) {
+			w.ejector.Eject(w.now, w.brokers[owner.ID], upstream.Failing)
+		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, instances(5))
 			w.StoreSeen(w.now, storeAddress, false, false)
 			a := w.begin(w.prompt(flowRoute, 77))
 			w.serve(a, ms)
-			owner := w.brokers[a.Instance.ID].instance
+			owner := w.brokers[a.Instance.ID].Instance
 			w.PeerSent(w.now, Sent{Instance: owner.ID, Unread: 20000})
 			c.spoil(w, owner)
 			a = w.begin(w.prompt(flowRoute, 77))
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -6,31 +6,23 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
-	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/inflight"
+	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
 )
 
 // RequestID numbers the requests that a proxy holds.
-type RequestID uint64
+type RequestID = inflight.ID
 
 // Request is what the router needs to know of a client's request.
-type Request struct {
-	Route    *config.Route
-	Service  string // chosen by the caller where the route splits its traffic
-	Tenant   *config.Tenant
-	Urgency  int // priority in force, 0 first
-	Received core.Time
-	Deadline core.Time // the earlier of the client's and the route's
-	// ClientWait is how long the client said it will wait, counted from the receipt; 0: not told.
-	ClientWait core.Time
-	Model      string
-	Parts      []prompt.Part
-	TokensIn   int
-	TokensOut  int // the most it may generate
-	BodyBytes  int
-	// Resumes: the client takes a stream up again with Last-Event-Id.
-	Resumes bool
-}
+type Request = inflight.ClientRequest
+
+// Load is what a broker reports of itself in X-Kestrelspread-Server-Load.
+type Load = upstream.Load
+
+// RefusalReason says why a request was refused, for logs and counters.
+type RefusalReason = admission.Reason
 
 // Attempt asks for the request to be sent to a broker.
 type Attempt struct {
@@ -57,20 +49,6 @@
 	Reason     RefusalReason
 }
 
-// RefusalReason says why a request was refused, for logs and counters.
-type RefusalReason string
-
-// The reasons for refusals.
-const (
-	RefusedNoBroker  RefusalReason = "no broker known"
-	RefusedFull      RefusalReason = "all brokers full"
-	RefusedBudget    RefusalReason = "retry budget spent"
-	RefusedDeadline  RefusalReason = "deadline too close"
-	RefusedAttempts  RefusalReason = "no attempt left"
-	RefusedUnhealthy RefusalReason = "no broker in reach"
-	RefusedLate      RefusalReason = "too much waits"
-)
-
 // Decision is one of: an attempt to make, a refusal, or neither (nothing to do; the caller answers by what it has).
 type Decision struct {
 	Attempt *Attempt
@@ -79,9 +57,6 @@
 	StepSeen *StepSeen
 }
 
-// Load is what a broker tells of itself in X-Kestrelspread-Server-Load.
-type Load struct{ Running, Waiting, Slots int }
-
 // Outcome is how an attempt ended.
 type Outcome struct {
 	Verdict verdict.Verdict
@@ -132,17 +107,3 @@
 	// SetPeers: how many proxies share the retry budget, this one included.
 	SetPeers(now core.Time, proxies int)
 }
-
-// Index tells which broker keeps which parts of a prompt (package kvindex).
-type Index interface {
-	// Holders lists brokers that keep a prefix of the parts under the salt, with the tokens kept, best first, and
-	// whether a store does.
-	Holders(salt uint64, parts []prompt.Part) []Holder
-}
-
-// Holder is a broker or store that keeps the first tokens of a prompt.
-type Holder struct {
-	Instance string // instance id, or the store's address where Store
-	Store    bool
-	Tokens   int
-}
--- a/internal/node/routing/copies_test.go
+++ b/internal/node/routing/copies_test.go
@@ -72,7 +72,7 @@
 	w.now += time.Second
 	w.warm(safeRoute, 40, 60*ms)
 	a := w.late(w.request(safeRoute))
-	assert.Assert(t, w.pools[service].crowded())
+	assert.Assert(t, w.services[service].pool.Crowded())
 	assert.Assert(t, w.Copy(w.now, a.Request) == Decision{})
 	w.now += 3 * time.Second
 	assert.Assert(t, w.Copy(w.now, a.Request).Attempt != nil)
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -19,6 +19,7 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/verdict"
 )
@@ -283,15 +284,15 @@
 	list   []*registry.Instance
 }
 
-func (x *randomIndex) Holders(_ uint64, parts []prompt.Part) []Holder {
-	var found []Holder
+func (x *randomIndex) Holders(_ uint64, parts []prompt.Part) []prefixcache.Holder {
+	var found []prefixcache.Holder
 	for _, instance := range x.list {
 		if x.chance.IntN(4) == 0 {
-			found = append(found, Holder{Instance: instance.ID, Tokens: sumTokens(parts[:x.chance.IntN(len(parts))])})
+			found = append(found, prefixcache.Holder{Instance: instance.ID, Tokens: sumTokens(parts[:x.chance.IntN(len(parts))])})
 		}
 	}
 	for i := range 3 {
-		found = append(found, Holder{Instance: fmt.Sprintf("10.9.0.%d:9000", i), Store: true,
+		found = append(found, prefixcache.Holder{Instance: fmt.Sprintf("10.9.0.%d:9000", i), Store: true,
 			Tokens: sumTokens(parts[:x.chance.IntN(len(parts))])})
 	}
 	return found
@@ -315,7 +316,6 @@
 func traceEngines(t *testing.T, disabled mechanism.Set, name string) string {
 	t.Helper()
 	s := newEngineSim(t, 5, 9, true)
-	s.options.Index = s.index
 	s.renewProxies(disabled)
 	s.told = true
 	s.trace = newDecisionTrace()
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -14,6 +14,7 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/node/verdict"
@@ -89,16 +90,18 @@
 }
 
 func newEngineSim(t *testing.T, proxies, brokers int, indexed bool) *engineSim {
-	s := &engineSim{simulation: newSimulation(t, proxies, brokers), engines: map[string]*engine{}, byAddr: map[string]*engine{},
-		known: map[kvKey]bool{}, kinds: map[string]*kindResult{}}
-	s.store = &engine{sim: s, zone: "z0", parts: map[kvKey]*kvPart{}}
-	s.byAddr[storeAddress] = s.store
+	var index *lateIndex
+	sim := newSimulation
 	if indexed {
-		s.index = &lateIndex{}
-		for _, r := range s.proxies {
-			r.options.Index = s.index
+		index = &lateIndex{}
+		sim = func(t *testing.T, proxies, brokers int) *simulation {
+			return newSimulationWith(t, proxies, brokers, index)
 		}
 	}
+	s := &engineSim{simulation: sim(t, proxies, brokers), index: index, engines: map[string]*engine{}, byAddr: map[string]*engine{},
+		known: map[kvKey]bool{}, kinds: map[string]*kindResult{}}
+	s.store = &engine{sim: s, zone: "z0", parts: map[kvKey]*kvPart{}}
+	s.byAddr[storeAddress] = s.store
 	s.heartbeat()
 	for id, b := range s.brokers {
 		b.instance.Slots = engineBatch
@@ -123,12 +126,14 @@
 }
 
 // lateIndex is an index that is brought up to date once a second.
-type lateIndex struct{ holders map[kvKeyID][]Holder }
+type lateIndex struct {
+	holders map[kvKeyID][]prefixcache.Holder
+}
 
 type kvKeyID struct{ salt, part uint64 }
 
-func (x *lateIndex) Holders(salt uint64, parts []prompt.Part) []Holder {
-	var found []Holder
+func (x *lateIndex) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
+	var found []prefixcache.Holder
 	for i, part := range parts {
 		keep := x.holders[kvKeyID{salt, part.ID}]
 		if i == 0 {
@@ -158,8 +163,8 @@
 	if s.index == nil {
 		return
 	}
-	s.index.holders = map[kvKeyID][]Holder{}
-	note := func(e *engine, h Holder) {
+	s.index.holders = map[kvKeyID][]prefixcache.Holder{}
+	note := func(e *engine, h prefixcache.Holder) {
 		for key, part := range e.parts {
 			id := kvKeyID{cachesalt.ID(key.salt), key.part}
 			h.Tokens = part.tokens
@@ -167,9 +172,9 @@
 		}
 	}
 	for id, e := range s.engines {
-		note(e, Holder{Instance: id})
+		note(e, prefixcache.Holder{Instance: id})
 	}
-	note(s.store, Holder{Instance: storeAddress, Store: true})
+	note(s.store, prefixcache.Holder{Instance: storeAddress, Store: true})
 }
 
 // heartbeat gives the store's signs of life, and brings the index up to date.
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -2,16 +2,16 @@
 
 import (
 	"slices"
+	"time"
 
 	"kestrelspread/internal/node/core"
-	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/units"
+	"kestrelspread/internal/node/routing/upstream"
 )
 
-// Why answers of model brokers were late is counted by cause, and the newest ones are kept with what was believed of their broker, so
-// that on-call can tell a wrong choice from a broker that did not do what was expected of it.
-
-// LateCause says why an answer was late.
+// LateCause says why an answer of a model broker was late. Late answers are counted by cause, and the newest are kept
+// with what was believed of their broker, so that on-call can tell a wrong choice from a broker that did not do what was
+// expected of it.
 type LateCause string
 
 // The causes.
@@ -39,8 +39,11 @@
 	Reported     Load      // the broker's last report
 }
 
-// lateKept bounds the late answers that are kept.
-const lateKept = 32
+const (
+	lateKept = 32 // late answers that are kept
+	// longPromptLead is how long before a stream began a prompt may have been sent that is still read in it.
+	longPromptLead = 500 * time.Millisecond
+)
 
 // lateRecord counts late answers and keeps the newest.
 type lateRecord struct {
@@ -70,71 +73,49 @@
 // Late lists the newest late answers, the oldest first.
 func (r *Router) Late() []LateRequest { return r.late.list() }
 
-// noteFirst counts an answer whose first event came later than its route's target.
-func (r *Router) noteFirst(now core.Time, req *request, a *attempt) {
+// recordLateFirstEvent counts an answer whose first event came later than its route's target.
+func (r *Router) recordLateFirstEvent(now core.Time, req *request, c *upstream.Call) {
 	target := units.FromMilliseconds(req.Route.TargetLatencyMs)
-	if req.model == "" || target <= 0 || now-req.Received <= target {
+	if req.ServedModel == "" || target <= 0 || now-req.Received <= target {
 		return
 	}
-	perToken := req.pool.perToken(a.broker)
-	expected := units.FromMilliseconds(perToken * a.ahead)
+	perToken := req.Pool.PrefillPerToken(c.Broker)
+	expected := units.FromMilliseconds(perToken * c.BacklogAhead)
 	cause := LateUnforeseen
 	switch {
-	case a.sentAt-req.Received > target/2:
+	case c.SentAt-req.Received > target/2:
 		cause = LateByAttempts
-	case expected > target && perToken*float64(a.unread) > req.Route.TargetLatencyMs/2:
+	case expected > target && perToken*float64(c.PrefillTokens) > req.Route.TargetLatencyMs/2:
 		cause = LateByReading
 	case expected > target:
 		cause = LateByWaiting
 	}
-	late := describeLate(now, req, a, cause)
+	late := describeLate(now, req, c, cause)
 	late.First = now - req.Received
-	a.late = true
+	c.Late = true
 	r.late.add(late)
 }
 
-// notePauses counts an answer with a pause that is longer than its route allows, unless its first event was late already.
-func (r *Router) notePauses(now core.Time, req *request, a *attempt, pauses Pauses) {
+// recordLatePause counts an answer with a pause that is longer than its route allows, unless its first event was late
+// already.
+func (r *Router) recordLatePause(now core.Time, req *request, c *upstream.Call, pauses Pauses) {
 	allowed := units.FromMilliseconds(req.Route.GapTargetMs)
-	if req.model == "" || allowed <= 0 || pauses.Longest <= allowed || a.late {
+	if req.ServedModel == "" || allowed <= 0 || pauses.Longest <= allowed || c.Late {
 		return
 	}
-	largest := a.broker.longReads.largest(a.sentAt-longReadLead, now)
+	largest := c.Broker.LongPrompts.Largest(c.SentAt-longPromptLead, now)
 	cause := LateByOtherPause
 	if largest > 0 {
 		cause = LateByLongPrompt
 	}
-	late := describeLate(now, req, a, cause)
+	late := describeLate(now, req, c, cause)
 	late.Pause, late.LongestOther = pauses.Longest, largest
 	r.late.add(late)
 }
 
-func describeLate(now core.Time, req *request, a *attempt, cause LateCause) LateRequest {
+func describeLate(now core.Time, req *request, c *upstream.Call, cause LateCause) LateRequest {
 	return LateRequest{
-		At: now, Route: req.Route.Name, Instance: a.broker.instance.ID, Cause: cause,
-		Unread: a.unread, Ahead: int(a.ahead), Load: a.load, Reported: a.broker.report.load,
-	}
-}
-
-// countPrompt counts the shared tokens of a prompt by where they were expected to come from when it was sent.
-func (r *Router) countPrompt(req *request, chosen *candidate, out *Attempt) {
-	shared := prompt.SharedTokens(req.Parts)
-	held := min(chosen.kept, shared)
-	coming := max(min(chosen.coming, shared)-held, 0)
-	missing := shared - held - coming
-	moved := max(missing-chosen.anew, 0)
-	counts := &r.counters.Prompts
-	counts.Shared += uint64(shared)
-	counts.Held += uint64(held)
-	counts.Coming += uint64(coming)
-	if out.FetchFrom != "" && r.stores[out.FetchFrom] != nil {
-		counts.FromStore += uint64(moved)
-	} else {
-		counts.FromBroker += uint64(moved)
-	}
-	counts.Again += uint64(chosen.again)
-	counts.First += uint64(max(missing-moved-chosen.again, 0))
-	if out.FetchFrom != "" && moved == 0 {
-		counts.BlindFetches++
+		At: now, Route: req.Route.Name, Instance: c.Broker.Instance.ID, Cause: cause,
+		Unread: c.PrefillTokens, Ahead: int(c.BacklogAhead), Load: c.Load, Reported: c.Broker.LastReport(),
 	}
 }
--- a/internal/node/routing/lateness_test.go
+++ b/internal/node/routing/lateness_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/admission"
 )
 
 // paced is a world that knows how long brokers take for a token: 20 us.
@@ -15,7 +15,7 @@
 	for i := range 80 {
 		w.read(w.begin(w.sized(200 + 40*i)))
 	}
-	assert.Assert(t, w.pools[service].pace.known())
+	assert.Assert(t, w.services[service].pool.PrefillPaceKnown())
 	return w
 }
 
@@ -54,7 +54,7 @@
 			_, d := w.Begin(w.now, q)
 			assert.Equal(t, d.Refusal != nil, c.postponed)
 			if c.postponed {
-				assert.Equal(t, d.Refusal.Reason, RefusedLate)
+				assert.Equal(t, d.Refusal.Reason, admission.Late)
 				assert.Assert(t, d.Refusal.RetryAfter > c.least && d.Refusal.RetryAfter < c.top, "%v", d.Refusal.RetryAfter)
 			}
 		})
@@ -70,21 +70,3 @@
 	blind.wait(60000, 5)
 	assert.Assert(t, blind.begin(blind.sized(1000)) != nil)
 }
-
-// What counts as the time of a first try follows the clients, also downwards after a while.
-func TestFreshness(t *testing.T) {
-	c := newClass()
-	at := core.Time(0)
-	fresh := func(wait time.Duration) bool {
-		at += time.Second
-		return c.fresh(at, &Request{Received: at, Deadline: at + 2*time.Second, ClientWait: wait})
-	}
-	assert.Assert(t, fresh(4*time.Second))
-	assert.Assert(t, !fresh(3*time.Second))
-	assert.Assert(t, fresh(3990*ms))
-	assert.Assert(t, fresh(6*time.Second))
-	assert.Assert(t, !fresh(4*time.Second))
-	at += longestKept
-	assert.Assert(t, fresh(4*time.Second))
-	assert.Assert(t, !fresh(0), "the deadline counts where the client tells nothing")
-}
--- a/internal/node/routing/options.go
+++ b/internal/node/routing/options.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"kestrelspread/internal/node/routing/mechanism"
-	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/prefixcache"
 )
 
 // Options are the figures of a deployment, from its settings file (DEPLOY.md, "Settings of a process").
@@ -24,21 +24,17 @@
 	VersionGrace time.Duration
 	// VersionAll is versionAllMs, the same over all such stretches; 0: as VersionGrace.
 	VersionAll time.Duration
-	// Contact is contactMs: for so long after a trouble the core is not stable.
+	// Contact is contactMs: for so long after a fault the core is unstable.
 	Contact time.Duration
-	Random  *rand.Rand
-	// Index may be nil; then brokers are found by the hash of a prompt's parts alone. One that is an Observer too is told of
+	// Random decides what is left to chance; nil: a fixed seed.
+	Random *rand.Rand
+	// Index may be nil; then brokers are found by the hash of a prompt's parts alone. One that is a prefixcache.Observer too is notified of
 	// the prompts that brokers have begun to answer.
-	Index Index
+	Index prefixcache.Index
 	// Disabled names the mechanisms that are switched off.
 	Disabled mechanism.Set
 }
 
-// Observer is told what ran where: its parts are kept there now.
-type Observer interface {
-	Observed(instance string, salt uint64, parts []prompt.Part)
-}
-
 const defaultBudgetWindow = 10 * time.Second
 
 func (o *Options) withDefaults() {
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -6,12 +6,12 @@
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/units"
+	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
-	"kestrelspread/internal/predict"
 )
 
-// latencyLeast keeps latencies above 0, which stands for none; ms.
-const latencyLeast = 0.1
+// statusTimeout is a broker's answer at the request's deadline.
+const statusTimeout = 504
 
 // Started takes the head of an answer, for streams its first event: what the predictor learns from.
 func (r *Router) Started(now core.Time, id RequestID, number int, load *Load) {
@@ -19,70 +19,42 @@
 	if req == nil {
 		return
 	}
-	a := req.attempt(number)
-	if a == nil || a.ended || a.started {
+	c := req.Call(number)
+	if c == nil || c.Ended || c.Started {
 		return
 	}
-	a.started, req.answering = true, true
-	a.latency = max(a.age(now), latencyLeast)
-	b, p := a.broker, req.pool
-	b.begun(a)
-	b.told(now, load)
-	b.health.answered(now)
-	if a.sentAt > b.fullAt {
-		b.fullUntil, b.refusals = 0, 0 // it took a request after it had turned one away
-	}
-	if a.sentAt > b.orderedUntil-orderPause {
-		b.orderedUntil = 0
-	}
-	p.answeredAt = now
-	if a.salt != "" {
-		b.backlog.passed(a.queueEnd)
-		r.reads.note(now, now, b, cachesalt.ID(a.salt), prompt.SharedParts(req.Parts))
+	req.Answering = true
+	c.Start(now)
+	b := c.Broker
+	b.ReportLoad(now, load)
+	b.Accepted(c.SentAt)
+	r.ejector.Answered(now, req.Pool, b)
+	if c.Salt != "" {
+		b.PrefillPassed(c)
+		r.cache.RecordPrefill(now, now, b, cachesalt.ID(c.Salt), prompt.SharedParts(req.Parts))
 	}
 	if req.Route.Kind == config.KindStreaming {
-		r.noteFirst(now, req, a)
-		r.learn(now, req, a) // an event is no quick error
+		r.recordLateFirstEvent(now, req, c)
+		r.learn(now, req, c) // an event is no quick error
 	}
 }
 
 // learn takes an answer's latency into the measures, once it is known to be one that was worked for.
-func (r *Router) learn(now core.Time, req *request, a *attempt) {
-	if a.learnt || !a.started || a.sentAt < r.awakeAt {
+func (r *Router) learn(now core.Time, req *request, c *upstream.Call) {
+	if c.Learnt() || !c.Started || !r.ejector.Measurable(c) {
 		return
 	}
-	a.learnt = true
-	b, p := a.broker, req.pool
-	p.refresh(now)
-	slow := a.latency > p.lineOf(now, b)
-	p.teach(now, a, slow)
-	if a.fetchFrom != "" {
-		b.moves.done(now, slow)
-	}
-	if a.salt != "" {
-		p.pace.learn(a.ahead, a.latency*a.scale/p.slowness(b))
-		if p.seen >= predict.Few {
-			r.noteStore(now, a, p.median)
-		}
-	}
-	b.learnLatency(now, a)
-	p.latencies.Add(units.Milliseconds(now), a.latency)
-	if target := req.Route.TargetLatencyMs; target > 0 {
-		p.overload.ratios.Add(units.Milliseconds(now), units.Milliseconds(now-req.Received)/target)
-	}
-	req.class.latencies.Add(units.Milliseconds(now), a.latency*a.scale/req.work)
-	if observer, ok := r.options.Index.(Observer); ok && a.salt != "" {
-		observer.Observed(b.instance.ID, cachesalt.ID(a.salt), req.Parts)
+	pool := req.Pool
+	pool.Learn(now, c)
+	if c.Salt != "" && pool.MedianKnown() {
+		r.cache.LearnFetch(now, c, pool.Median())
 	}
-}
-
-// teachOverdue tells the predictor of an attempt that has been out for longer than the line already.
-func (r *Router) teachOverdue(now core.Time, p *pool, a *attempt) {
-	if a.started || a.sentAt < r.awakeAt {
-		return
+	if target := req.Route.TargetLatencyMs; target > 0 {
+		req.service.overload.Learn(now, units.Milliseconds(now-req.Received)/target)
 	}
-	if age := a.age(now); age > p.lineOf(now, a.broker) {
-		p.teach(now, a, true)
+	req.Class.Learn(now, c.Latency*c.Scale/req.Work)
+	if c.Salt != "" {
+		r.cache.Answered(&req.Request, c)
 	}
 }
 
@@ -92,80 +64,92 @@
 	if req == nil {
 		return Decision{}
 	}
-	a := req.attempt(number)
-	if a == nil || a.ended {
+	c := req.Call(number)
+	if c == nil || c.Ended {
 		return Decision{}
 	}
-	req.pool.refresh(now)
-	r.settle(now, req, a, &outcome)
+	req.Pool.Refresh(now)
+	r.callEnded(now, req, c, &outcome)
 	decision := r.afterwards(now, req, &outcome, resumable)
-	r.notePauses(now, req, a, outcome.Pauses)
-	decision.StepSeen = r.learnStep(req, a, outcome.Pauses)
+	r.recordLatePause(now, req, c, outcome.Pauses)
+	decision.StepSeen = r.learnStep(req, c, outcome.Pauses)
 	return decision
 }
 
 // afterwards decides on a further attempt once one has ended.
 func (r *Router) afterwards(now core.Time, req *request, outcome *Outcome, resumable bool) Decision {
-	if outcome.Answered || outcome.Canceled || req.outstanding() {
+	if outcome.Answered || outcome.Canceled || req.Outstanding() {
 		return Decision{}
 	}
-	if req.answering && !resumable && !outcome.failure() {
+	if req.Answering && !resumable && !outcome.failure() {
 		return Decision{}
 	}
-	return r.another(now, req, outcome)
+	return r.retry(now, req, outcome)
 }
 
-// failure reports whether the broker answered that it failed.
-func (o *Outcome) failure() bool { return o.Status >= 500 }
-
-// settle books what an attempt's end tells of its broker.
-func (r *Router) settle(now core.Time, req *request, a *attempt, outcome *Outcome) {
-	b, p := a.broker, req.pool
-	if !a.started && r.hangs(now, p, b) {
-		r.setAside(now, b, hanging) // nothing that waits there shows it any more
-	}
-	if outcome.unanswered() {
-		r.teachOverdue(now, p, a)
-		if age := a.age(now); !a.started && a.sentAt >= r.awakeAt && age > b.expected(now, p.median) {
-			b.tookLatency(now, age)
-		}
-	}
-	a.ended = true
-	a.verdict = outcome.Verdict
-	a.arrived = outcome.arrived()
-	b.ended(a)
-	b.told(now, outcome.Load)
-	if b.health.trial == a && outcome.Canceled {
-		b.health.calledOff(now + r.spread(b.health.backoff))
+// callEnded takes in what a call's end tells of its broker.
+func (r *Router) callEnded(now core.Time, req *request, c *upstream.Call, outcome *Outcome) {
+	b, pool := c.Broker, req.Pool
+	if !c.Started && r.ejector.TimedOut(now, pool, b) {
+		r.ejector.Eject(now, b, upstream.Unresponsive) // nothing that waits there shows it any more
+	}
+	if outcome.unanswered() && !c.Started && r.ejector.Measurable(c) {
+		pool.TeachOverdue(now, c)
+		b.ObserveUnanswered(now, c, pool.Median())
+	}
+	c.Ended = true
+	c.Verdict = outcome.Verdict
+	c.Arrived = outcome.arrived()
+	b.CallEnded(c)
+	b.ReportLoad(now, outcome.Load)
+	if outcome.Canceled {
+		r.ejector.CallCanceled(now, c)
 	}
 	switch {
 	case outcome.ConnectFailed:
-		req.unreachable++
+		req.Unreachable++
 	case outcome.NotExecuted && !outcome.Misdirected:
-		req.turnedAway++
-		switch {
-		case r.byOrder(req, b, outcome):
-			b.ordered(now)
-		case !req.oversized:
-			b.turnedAway(now, outcome)
-		}
-		if outcome.Status != 0 {
-			b.health.answered(now)
-			p.answeredAt = now
-		}
+		r.callRefused(now, req, b, outcome)
 	}
-	switch {
-	case outcome.speaksAgainst(a):
-		b.unlearn(a)
-		r.failed(now, b, a, outcome)
+	switch fault, faulty := outcome.fault(c); {
+	case faulty:
+		b.UnlearnLatency(c)
+		r.ejector.CallFailed(now, c, fault)
 	case outcome.Verdict == verdict.Ran && !outcome.Canceled:
-		r.learn(now, req, a)
-		b.health.succeeded(now)
+		r.learn(now, req, c)
+		b.Health.Succeeded(now)
 	}
 }
 
-// arrived reports whether the request may have reached the broker: not where no connection came up, nor where this proxy had
-// none to spare.
+// callRefused takes in that a call was turned away with X-Kestrelspread-Not-Executed.
+func (r *Router) callRefused(now core.Time, req *request, b *upstream.Broker, outcome *Outcome) {
+	req.Refused++
+	switch {
+	case r.refusedForRollout(req, b, outcome):
+		b.RefusedForRollout(now)
+	case !req.Oversized:
+		b.Refused(now, outcome.RetryAfter, outcome.Load)
+	}
+	if outcome.Status != 0 {
+		r.ejector.Answered(now, req.Pool, b)
+	}
+}
+
+// refusedForRollout reports whether a broker refused a request for new weights rather than for want of capacity: it
+// lacks a version that was named, and has slots.
+func (r *Router) refusedForRollout(req *request, b *upstream.Broker, outcome *Outcome) bool {
+	if req.ServedModel == "" || r.versions.VersionOf(b.Instance, req.ServedModel) >= r.versions.Newest(req.ServedModel) {
+		return false
+	}
+	load := outcome.Load
+	return load == nil || load.Waiting < load.Slots
+}
+
+// failure reports whether the broker answered that it failed.
+func (o *Outcome) failure() bool { return o.Status >= 500 }
+
+// arrived reports whether the request may have reached the broker: not where no connection came up, nor where this proxy
+// had none to spare.
 func (o *Outcome) arrived() bool {
 	return !o.ConnectFailed && !(o.NotExecuted && o.Status == 0)
 }
@@ -174,3 +158,21 @@
 func (o *Outcome) unanswered() bool {
 	return !o.NotExecuted && !o.ConnectFailed && !o.Misdirected && o.Status == 0
 }
+
+// fault tells whether a call's end speaks against its broker, and how. That an answer came too late does not, where the
+// broker answered others meanwhile: it has too much to do.
+func (o *Outcome) fault(c *upstream.Call) (fault upstream.Fault, faulty bool) {
+	switch {
+	case o.Misdirected:
+		return upstream.FaultMisdirected, true
+	case o.ConnectFailed:
+		return upstream.FaultConnect, true
+	case o.Canceled, o.NotExecuted, o.Status == statusTimeout:
+		return 0, false
+	case o.TimedOut:
+		return upstream.FaultFailure, !c.Broker.Health.AnsweredAfter(c.SentAt)
+	case o.failure():
+		return upstream.FaultFailure, true
+	}
+	return upstream.FaultFailure, o.Verdict == verdict.MayHaveRun && !o.Answered
+}
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/admission"
 	"kestrelspread/internal/node/routing/units"
 )
 
@@ -46,20 +47,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, instances(3))
 			w.answerLate(20, c.times, c.load)
-			o := &w.pools[service].overload
-			assert.Equal(t, o.shed > 0, c.shed)
+			o := &w.services[service].overload
+			assert.Equal(t, o.Shed() > 0, c.shed)
 			assert.Equal(t, len(w.Counters().Refusals) > 0, c.shed)
 			if !c.shed {
 				return
 			}
-			assert.Assert(t, o.chance(0) <= o.chance(1) && o.chance(1) <= o.chance(2))
-			assert.Assert(t, o.chance(0) < o.chance(2), "the most urgent are refused last")
+			assert.Assert(t, o.Chance(0) <= o.Chance(1) && o.Chance(1) <= o.Chance(2))
+			assert.Assert(t, o.Chance(0) < o.Chance(2), "the most urgent are refused last")
 			w.now += 3 * time.Second
 			for range 100 {
-				o.refresh(w.now, w.pools[service])
-				w.now += core.Time(overloadEvery)
+				o.Refresh(w.now, w.services[service].pool)
+				w.now += core.Time(admission.ShedInterval)
 			}
-			assert.Equal(t, o.shed, 0.0)
+			assert.Equal(t, o.Shed(), 0.0)
 		})
 	}
 }
--- a/internal/node/routing/pauses_test.go
+++ b/internal/node/routing/pauses_test.go
@@ -15,52 +15,6 @@
 var exactRoute = &config.Route{Name: "exact", Kind: config.KindStreaming, TimeoutMs: 15000, TargetLatencyMs: 400, MaxAttempts: 1,
 	Sticky: true, GapTargetMs: 400}
 
-// streamSeen tells a world of streams of other proxies at a broker.
-func (w *world) streamSeen(instance string, times int, usual time.Duration) {
-	for range times {
-		w.PeerStep(StepSeen{Instance: instance, Pause: usual})
-	}
-}
-
-// pacedWorld has brokers of which the first `slow` take half as long again, as streams have shown.
-func pacedWorld(t *testing.T, brokers, slow int) *world {
-	w := newWorld(t, instances(brokers))
-	for i, instance := range instances(brokers) {
-		usual := 20 * ms
-		if i < slow {
-			usual = 30 * ms
-		}
-		w.streamSeen(instance.ID, 2*stepsTrusted, usual)
-	}
-	w.Router.pool(service).refresh(w.now)
-	return w
-}
-
-func TestPaceOfBrokers(t *testing.T) {
-	w := pacedWorld(t, 9, 3)
-	p := w.Router.pool(service)
-	for i, instance := range instances(9) {
-		slowness := p.slowness(w.Router.brokers[instance.ID])
-		assert.Equal(t, slowness > 1.4, i < 3, "%s %f", instance.ID, slowness)
-		assert.Assert(t, i < 3 || slowness == 1)
-	}
-	one := w.Router.brokers["i08"]
-	w.streamSeen("i08", 1, 2*time.Second)
-	assert.Equal(t, p.slowness(one), 1.0, "a single stream that met reading all along moves it little")
-	w.streamSeen("i08", 30, 40*ms)
-	assert.Assert(t, p.slowness(one) > 1.5, "what many streams show is believed")
-}
-
-func TestPaceNeedsSeveralBrokersAndStreams(t *testing.T) {
-	w := newWorld(t, instances(9))
-	p := w.Router.pool(service)
-	w.streamSeen("i00", 20, 90*ms)
-	w.streamSeen("i01", 20, 20*ms)
-	w.now += time.Second
-	p.refresh(w.now)
-	assert.Equal(t, p.slowness(w.Router.brokers["i00"]), 1.0)
-}
-
 func TestOwnStreamsAreLearntAndSomeAreTold(t *testing.T) {
 	w := newWorld(t, instances(1))
 	told := 0
@@ -80,7 +34,7 @@
 		}
 	}
 	assert.Assert(t, told > streams/8 && told < streams/2, "%d", told)
-	assert.Equal(t, w.Router.brokers["i00"].step, 25.0)
+	assert.Equal(t, w.Router.brokers["i00"].StepTime(), 25.0)
 }
 
 // A pause that is too long is counted with the longest prompt that its broker was sent meanwhile.
--- /dev/null
+++ b/internal/node/routing/placement/bycost.go
@@ -0,0 +1,98 @@
+package placement
+
+import (
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/candidate"
+	"kestrelspread/internal/node/routing/inflight"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prefixcache"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/upstream"
+)
+
+// chooseByCost takes the candidate that is expected to begin its answer first, of those that aren't predicted slow; if
+// all are, the first of all.
+func (p *Placer) chooseByCost(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
+	owner := p.assess(now, req, s.Eligible)
+	chosen, slow := p.firstFast(now, req, s, cheapest)
+	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !slow && len(s.Eligible) > 1}
+	switch {
+	case slow:
+		choice.Reason = AllSlow
+	case s.AnySlow():
+		choice.Reason = ByPrediction
+	case chosen.Cached > 0 || chosen.Broker == owner:
+		choice.Reason = ByAffinity
+	}
+	return choice
+}
+
+// cheapest is the candidate with the lowest cost, of those not known to look slow or of all; nil where there is none.
+func cheapest(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
+	var best *candidate.Candidate
+	for i := range found {
+		if c := &found[i]; (withSlow || !c.Slow()) && (best == nil || c.Cost < best.Cost) {
+			best = c
+		}
+	}
+	return best
+}
+
+// assess fills in the candidates' plans and costs, and returns the broker that should cache the shared parts.
+func (p *Placer) assess(now core.Time, req *inflight.Request, found []candidate.Candidate) *upstream.Broker {
+	lookup := p.cache.Look(now, req, found)
+	var owner *upstream.Broker
+	if p.switches.On(mechanism.Affinity) {
+		owner = ownerOf(req, found)
+	}
+	for i := range found {
+		c := &found[i]
+		v := p.plan(req, lookup, c)
+		v.isOwner = c.Broker == owner
+		v.prefillWait = req.Pool.PrefillWait(now, c.Broker)
+		v.load = c.Load
+		v.slots = c.Broker.Instance.Slots
+		v.sameZone = c.Broker.Instance.Zone == p.zone
+		v.warmingUp = now < c.Broker.Instance.WarmingUpUntil
+		v.chance = p.random.Float64()
+		c.Cost = v.cost()
+	}
+	return owner
+}
+
+// plan fills in what a candidate has to read of the prompt, and returns that part of the view for its cost.
+func (p *Placer) plan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) view {
+	missing := max(lookup.SharedTokens-max(c.Cached, c.Arriving), 0)
+	fetched, perFetched := p.cache.Fetchable(req, lookup, c, missing)
+	shared := missing - fetched
+	repeated := max(shared-lookup.Version(c.Version).NewTokens, 0)
+	v := view{
+		perToken:       req.Pool.PrefillPerToken(c.Broker),
+		prefillTokens:  max(req.TokensIn-lookup.SharedTokens, 0) + shared,
+		sharedTokens:   shared,
+		repeatedTokens: repeated,
+		fetchedTokens:  fetched,
+		perFetched:     perFetched,
+	}
+	c.Plan = candidate.Plan{
+		PrefillTokens: v.prefillTokens, SharedTokens: shared, RepeatedTokens: repeated, PrefillTime: v.prompt(),
+	}
+	return v
+}
+
+// ownerOf is the candidate that should cache the prompt's parts, by the rendezvous order; nil where there is none.
+func ownerOf(req *inflight.Request, found []candidate.Candidate) *upstream.Broker {
+	part, ok := prompt.StickyPart(req.Parts)
+	if !ok {
+		return nil
+	}
+	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
+	var best *upstream.Broker
+	highest := uint64(0)
+	for i := range found {
+		if weight := prompt.RendezvousWeight(key, found[i].Broker.NameHash); best == nil || weight > highest {
+			best, highest = found[i].Broker, weight
+		}
+	}
+	return best
+}
--- a/internal/node/routing/placement_test.go
+++ b/internal/node/routing/placement_test.go
@@ -8,6 +8,7 @@
 
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 )
 
@@ -49,14 +50,14 @@
 func TestKeptPartsAgainstWaiting(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		holders []Holder
+		holders []prefixcache.Holder
 		waiting int // tokens at the broker that keeps the parts
 		stays   bool
 	}{
-		{"kept there alone, nothing waits", []Holder{{Instance: "i00", Tokens: 1300}}, 0, true},
-		{"kept there alone, a little waits", []Holder{{Instance: "i00", Tokens: 1300}}, 100, true},
-		{"kept there alone, as the rest can fetch, much waits", []Holder{{Instance: "i00", Tokens: 1300}}, 4000, false},
-		{"kept at the store too", []Holder{{Instance: "i00", Tokens: 1300}, {Instance: storeAddress, Store: true, Tokens: 1300}}, 2000, false},
+		{"kept there alone, nothing waits", []prefixcache.Holder{{Instance: "i00", Tokens: 1300}}, 0, true},
+		{"kept there alone, a little waits", []prefixcache.Holder{{Instance: "i00", Tokens: 1300}}, 100, true},
+		{"kept there alone, as the rest can fetch, much waits", []prefixcache.Holder{{Instance: "i00", Tokens: 1300}}, 4000, false},
+		{"kept at the store too", []prefixcache.Holder{{Instance: "i00", Tokens: 1300}, {Instance: storeAddress, Store: true, Tokens: 1300}}, 2000, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorldWith(t, instances(4), &fixedIndex{holders: c.holders})
@@ -81,7 +82,7 @@
 		return a.Sent.Unread
 	}
 	fresh := func(tokens int) *world {
-		return newWorldWith(t, instances(3), &fixedIndex{holders: []Holder{{Instance: storeAddress, Store: true, Tokens: tokens}}})
+		return newWorldWith(t, instances(3), &fixedIndex{holders: []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: tokens}}})
 	}
 	assert.Equal(t, unread(fresh(0)), 1600)
 	assert.Equal(t, unread(fresh(500)), 1100)
@@ -121,13 +122,13 @@
 	holders []string
 }
 
-func (x *versionedBrokers) Holders(salt uint64, parts []prompt.Part) []Holder {
+func (x *versionedBrokers) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
 	if salt != x.salt {
 		return nil
 	}
-	var list []Holder
+	var list []prefixcache.Holder
 	for _, id := range x.holders {
-		list = append(list, Holder{Instance: id, Tokens: sumTokens(parts[:len(parts)-1])})
+		list = append(list, prefixcache.Holder{Instance: id, Tokens: sumTokens(parts[:len(parts)-1])})
 	}
 	return list
 }
--- /dev/null
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -0,0 +1,166 @@
+package prefixcache
+
+import (
+	"kestrelspread/internal/node/config"
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/candidate"
+	"kestrelspread/internal/node/routing/inflight"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/upstream"
+)
+
+// Fetches of cached parts from other brokers and from the store (PROTOCOL.md, "KV cache"). A fetch is far cheaper than
+// reading the parts again, a miss costs a millisecond, and a source that is dead some hundred: so only sources that are
+// believed to be well are named.
+const (
+	// MinFetchTokens is the length from which parts are fetched: fewer tokens are read sooner.
+	MinFetchTokens = 256
+
+	blockSlack    = 64    // tokens: brokers cache parts by blocks
+	outdatedShare = 0.1   // of what the index tells of brokers was evicted meanwhile, about
+	assumedMove   = 0.001 // ms a token, where the configuration doesn't tell
+	bitsPerByte   = 8
+	bitsPerMsMbps = 1000 // bits in a ms at 1 Mbps
+	zoneFactor    = 2.0  // times as long between zones (PROTOCOL.md, "KV cache")
+)
+
+// FetchSource is the address that the chosen broker should fetch the prompt's shared parts from, or empty.
+//
+// A broker that has as much as the store goes first where that is known from what it was sent just now, or where the
+// store's link, which all share, is much slower: what the index tells of brokers is outdated at times, and a fetch that
+// finds nothing has the parts read again. Else it is the store, also where the index has the parts at the chosen broker
+// itself: brokers evict them within seconds and report it late. Where the store is down, it is the broker that should
+// have them by the rendezvous order.
+func (c *Cache) FetchSource(now core.Time, req *inflight.Request, eligible []candidate.Candidate, chosen *candidate.Candidate) string {
+	if prompt.SharedTokens(req.Parts) < MinFetchTokens || chosen.Broker.Fetches.Slow(now) {
+		return ""
+	}
+	var holder *candidate.Candidate
+	if c.switches.On(mechanism.KVFetch) {
+		holder = c.bestHolder(now, req, eligible, chosen)
+	}
+	store := c.storeFor(now, req)
+	switch {
+	case store != nil && (holder == nil || chosen.Stored > holder.Cached):
+		return store.KVStoreAddr
+	case store != nil && chosen.Stored == holder.Cached && !sentLately(holder) && c.storeIsNear(req, store, holder, chosen):
+		return store.KVStoreAddr
+	case holder != nil:
+		return holder.Broker.Instance.Address
+	}
+	if !c.switches.On(mechanism.KVFetch) {
+		return ""
+	}
+	if owner := c.fetchableOwner(now, req, chosen); owner != nil {
+		return owner.Instance.Address
+	}
+	return ""
+}
+
+// sentLately reports whether a broker was sent lately what it is believed to cache, so that it surely has it.
+func sentLately(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
+
+// storeIsNear reports whether fetching parts from the store takes so little more time than from a broker that the store
+// is better, as it surely has them.
+func (c *Cache) storeIsNear(req *inflight.Request, store *config.Service, holder, chosen *candidate.Candidate) bool {
+	engine := c.engine(req)
+	if store.LinkMbps <= 0 || engine.LinkMbps <= 0 {
+		return false
+	}
+	fromStore := moveTime(engine, store.LinkMbps, zonesFactor(store.Zone, chosen))
+	fromBroker := moveTime(engine, engine.LinkMbps, zonesFactor(holder.Broker.Instance.Zone, chosen))
+	return fromStore-fromBroker <= outdatedShare*req.Pool.PrefillPerToken(chosen.Broker)
+}
+
+// zonesFactor is how many times as long a fetch from a zone to the chosen broker takes as one within a zone.
+func zonesFactor(zone string, chosen *candidate.Candidate) float64 {
+	if zone == chosen.Broker.Instance.Zone {
+		return 1
+	}
+	return zoneFactor
+}
+
+// moveTime is how long moving a token takes over a link, ms.
+func moveTime(engine *config.Engine, mbps, times float64) float64 {
+	if mbps <= 0 || engine.KVTokenBytes <= 0 {
+		return assumedMove * times
+	}
+	return times * engine.KVTokenBytes * bitsPerByte / (mbps * bitsPerMsMbps)
+}
+
+// Fetchable is how many of a prompt's missing tokens a candidate can fetch, and what each takes, ms. It is an estimate
+// for placement; FetchSource names the source once the broker is chosen.
+func (c *Cache) Fetchable(req *inflight.Request, l *Lookup, chosen *candidate.Candidate, missing int) (tokens int, perToken float64) {
+	if missing < MinFetchTokens {
+		return 0, 0
+	}
+	cached := l.SharedTokens - missing
+	known := l.Version(chosen.Version)
+	engine := c.engine(req)
+	if known.MaxCached > cached && known.MaxCached >= chosen.Stored {
+		return known.MaxCached - cached, moveTime(engine, engine.LinkMbps, zoneFactor)
+	}
+	if l.Store == nil || chosen.Stored <= cached {
+		return 0, 0
+	}
+	return min(chosen.Stored-cached, missing), moveTime(engine, l.Store.LinkMbps, zonesFactor(l.Store.Zone, chosen))
+}
+
+// bestHolder is the candidate that caches clearly more of the prompt than the chosen one, one of the same zone first;
+// nil where none does.
+func (c *Cache) bestHolder(now core.Time, req *inflight.Request, eligible []candidate.Candidate, chosen *candidate.Candidate) *candidate.Candidate {
+	var best *candidate.Candidate
+	for i := range eligible {
+		holder := &eligible[i]
+		if holder.Cached < chosen.Cached+MinFetchTokens || best != nil && !fetchedSooner(holder, best, chosen) {
+			continue
+		}
+		if c.mayFetchFrom(now, req, chosen, holder.Broker) {
+			best = holder
+		}
+	}
+	return best
+}
+
+// fetchedSooner reports whether a source is better than another: it has more, or as much in the zone of the broker that
+// fetches, as fetches between zones take twice as long.
+func fetchedSooner(source, other, chosen *candidate.Candidate) bool {
+	if source.Cached != other.Cached {
+		return source.Cached > other.Cached
+	}
+	zone := chosen.Broker.Instance.Zone
+	return source.Broker.Instance.Zone == zone && other.Broker.Instance.Zone != zone
+}
+
+// fetchableOwner is the owner of the parts by the rendezvous order, among all brokers that can be fetched from; nil if
+// that is the chosen one, or the index has them there. Where the chosen one is new, it is the owner before it.
+func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *upstream.Broker {
+	part, ok := prompt.StickyPart(req.Parts)
+	if !ok || chosen.Cached >= prompt.SharedTokens(req.Parts)-blockSlack {
+		return nil
+	}
+	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
+	var best *upstream.Broker
+	highest := uint64(0)
+	if !chosen.Broker.New(now) {
+		highest = prompt.RendezvousWeight(key, chosen.Broker.NameHash)
+	}
+	for _, b := range req.Pool.Brokers {
+		if weight := prompt.RendezvousWeight(key, b.NameHash); weight > highest && c.mayFetchFrom(now, req, chosen, b) {
+			best, highest = b, weight
+		}
+	}
+	return best
+}
+
+// mayFetchFrom reports whether a broker is well enough to be named as a source, and has the same weights.
+func (c *Cache) mayFetchFrom(now core.Time, req *inflight.Request, chosen *candidate.Candidate, b *upstream.Broker) bool {
+	switch {
+	case b == chosen.Broker, req.Tried(b), !b.Instance.Usable(), b.Instance.Unresponsive, b.Health.Ejected():
+		return false
+	case b.Health.Misdirected(now), c.ejector.TimedOut(now, req.Pool, b):
+		return false
+	}
+	return c.versions.VersionOf(b.Instance, req.ServedModel) == chosen.Version
+}
--- /dev/null
+++ b/internal/node/routing/prefixcache/recent_test.go
@@ -0,0 +1,64 @@
+package prefixcache
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/upstream"
+)
+
+func newBroker(id string) *upstream.Broker {
+	return upstream.NewBroker(0, &registry.Instance{ID: id}, false)
+}
+
+// After a while the index has to know; after prefillRepeated a part counts as new.
+func TestRecentPrefillsFade(t *testing.T) {
+	const now = 20 * time.Second
+	b := newBroker("i00")
+	parts := []prompt.Part{{ID: 1, Tokens: 500}}
+	var r recentPrefills
+	r.record(now, now+time.Second, b, 7, parts)
+	prefills := r.of(now, 7, parts[0])
+	assert.Equal(t, prefills.brokers[0].broker, b)
+	assert.Assert(t, r.of(now, 8, parts[0]) == nil)
+	assert.Assert(t, r.of(now+prefillRepeated, 7, parts[0]) == nil)
+	r.record(now+prefillRepeated, 0, b, 7, []prompt.Part{{ID: 2}})
+	assert.Equal(t, len(r.newer), 1)
+	assert.Equal(t, len(r.older), 1)
+	r.record(now+2*prefillRepeated, 0, b, 7, []prompt.Part{{ID: 3}})
+	assert.Equal(t, len(r.older), 1, "two generations are kept")
+}
+
+// A part that is sent again to a broker that reads it is ready when the first reading ends, and the brokers are the latest.
+func TestBrokersOfAPart(t *testing.T) {
+	const now = 20 * time.Second
+	brokers := map[string]*upstream.Broker{}
+	for i := range maxBrokersKept + 2 {
+		id := fmt.Sprintf("i%02d", i)
+		brokers[id] = newBroker(id)
+	}
+	var r recentPrefills
+	part := prompt.Part{ID: 1, Tokens: 500}
+	note := func(id string, readyAt time.Duration) {
+		r.record(now, now+readyAt, brokers[id], 7, []prompt.Part{part})
+	}
+	note("i00", 100*time.Millisecond)
+	note("i01", 200*time.Millisecond)
+	note("i00", 900*time.Millisecond)
+	prefills := r.of(now, 7, part)
+	assert.Equal(t, prefills.brokers[0].broker.Instance.ID, "i00")
+	assert.Equal(t, prefills.brokers[0].readyAt, now+100*time.Millisecond)
+	assert.Equal(t, prefills.brokers[1].broker.Instance.ID, "i01")
+	note("i00", 0)
+	assert.Equal(t, prefills.brokers[0].readyAt, now, "its answer has begun")
+	for _, id := range []string{"i02", "i03", "i04", "i05"} {
+		note(id, 0)
+	}
+	assert.Equal(t, prefills.brokers[0].broker.Instance.ID, "i05")
+	assert.Equal(t, prefills.brokers[maxBrokersKept-1].broker.Instance.ID, "i02")
+}
--- a/internal/node/routing/reads_test.go
+++ b/internal/node/routing/reads_test.go
@@ -7,7 +7,6 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/routing/cachesalt"
-	"kestrelspread/internal/node/routing/prompt"
 )
 
 // What another proxy has just sent to a broker is known to come there: the same parts aren't read elsewhere at the same time,
@@ -56,45 +55,3 @@
 	fresh.PeerSent(fresh.now, Sent{Instance: other, Salt: cachesalt.ID(cachesalt.Text(model, 2, "")), Parts: q.Parts[:2], Unread: 10})
 	assert.Equal(t, fresh.begin(fresh.prompt(flowRoute, 5)).Instance.ID, owner)
 }
-
-// After a while the index has to know; after readsAgain a part counts as new.
-func TestReadsFade(t *testing.T) {
-	w := newWorld(t, instances(1))
-	b := w.Router.brokers["i00"]
-	parts := []prompt.Part{{ID: 1, Tokens: 500}}
-	var r recentReads
-	r.note(w.now, w.now+time.Second, b, 7, parts)
-	reads := r.of(w.now, 7, parts[0])
-	assert.Equal(t, reads.places[0].broker, b)
-	assert.Assert(t, r.of(w.now, 8, parts[0]) == nil)
-	assert.Assert(t, r.of(w.now+readsAgain, 7, parts[0]) == nil)
-	r.note(w.now+readsAgain, 0, b, 7, []prompt.Part{{ID: 2}})
-	assert.Equal(t, len(r.newer), 1)
-	assert.Equal(t, len(r.older), 1)
-	r.note(w.now+2*readsAgain, 0, b, 7, []prompt.Part{{ID: 3}})
-	assert.Equal(t, len(r.older), 1, "two generations are kept")
-}
-
-// A part that is sent again to a broker that reads it is ready when the first reading ends, and the places are the latest.
-func TestReadPlaces(t *testing.T) {
-	w := newWorld(t, instances(readsPlaces+2))
-	var r recentReads
-	part := prompt.Part{ID: 1, Tokens: 500}
-	note := func(id string, readyAt time.Duration) {
-		r.note(w.now, w.now+readyAt, w.Router.brokers[id], 7, []prompt.Part{part})
-	}
-	note("i00", 100*ms)
-	note("i01", 200*ms)
-	note("i00", 900*ms)
-	reads := r.of(w.now, 7, part)
-	assert.Equal(t, reads.places[0].broker.instance.ID, "i00")
-	assert.Equal(t, reads.places[0].readyAt, w.now+100*ms)
-	assert.Equal(t, reads.places[1].broker.instance.ID, "i01")
-	note("i00", 0)
-	assert.Equal(t, reads.places[0].readyAt, w.now, "its answer has begun")
-	for _, id := range []string{"i02", "i03", "i04", "i05"} {
-		note(id, 0)
-	}
-	assert.Equal(t, reads.places[0].broker.instance.ID, "i05")
-	assert.Equal(t, reads.places[readsPlaces-1].broker.instance.ID, "i02")
-}
--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -2,121 +2,143 @@
 
 import (
 	"kestrelspread/internal/node/core"
-	"kestrelspread/internal/node/routing/units"
+	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/candidate"
+	"kestrelspread/internal/node/routing/inflight"
+	"kestrelspread/internal/node/routing/placement"
+	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
-	"kestrelspread/internal/predict"
 )
 
 // request is one that this proxy holds.
 type request struct {
-	Request
-	id         RequestID
-	pool       *pool
-	class      *class
-	model      string  // the request's, where its service runs models
-	wall       string  // tenant whose kept prompts are its own, else empty
-	work       float64 // against the usual of its class
-	idempotent bool
-	oversized  bool // no broker's memory holds it
-	fresh      bool // its client's first try
-	copied     bool
-	answering  bool // an answer has begun
-	attempts   []*attempt
-
-	turnedAway  int // attempts that brokers had no room for
-	unreachable int // attempts without a connection
+	inflight.Request
+	service *serviceState
 }
 
-// attempt is one send to a broker.
-type attempt struct {
-	number        int
-	salt          string
-	fetchFrom     string // where parts are fetched from for it; empty: none are
-	broker        *broker
-	sentAt        core.Time
-	load          float64 // there, when it was sent
-	unread        int     // tokens of its prompt that the broker was to read
-	late          bool    // its first event was late
-	queueEnd      float64 // its place in the broker's backlog
-	ahead         float64 // tokens to be read before its first one, its own included, when it was sent
-	scale         float64 // expected latency against the usual of the pool
-	features      predict.Vector
-	predictedFast bool
-	taught        bool
-	started       bool
-	latency       float64 // ms, scaled, once started
-	learnt        bool
-	ended         bool
-	arrived       bool // false once it is known that no connection came up
-	verdict       verdict.Verdict
+// Begin takes a request and decides at once.
+func (r *Router) Begin(now core.Time, received Request) (RequestID, Decision) {
+	req := r.receive(now, received)
+	req.Pool.Refresh(now)
+	if req.Deadline-now < admission.MinTimeLeft {
+		return req.ID, r.refuse(now, req, admission.Deadline, core.Never)
+	}
+	found := r.finder.Find(now, &req.Request)
+	if len(found.Eligible) == 0 {
+		return req.ID, r.withoutEligible(now, req, found)
+	}
+	choice := r.choose(now, req, found)
+	overload := &req.service.overload
+	overload.Refresh(now, req.Pool)
+	if r.gate.Sheds(&req.Request, overload) {
+		return req.ID, r.refuse(now, req, admission.Full, core.Never)
+	}
+	if after, ok := r.gate.Postpones(now, &req.Request, found, choice.Candidate); ok {
+		r.counters.Refusals[admission.Late]++
+		return req.ID, Decision{Refusal: &Refusal{Reason: admission.Late, RetryAfter: after}}
+	}
+	if r.gate.Hopeless(now, &req.Request, choice.Candidate.Broker) {
+		return req.ID, r.refuse(now, req, admission.Deadline, core.Never)
+	}
+	return req.ID, r.send(now, req, found, choice)
 }
 
-// age is how long the attempt has been out, scaled to the usual work, ms.
-func (a *attempt) age(now core.Time) float64 { return units.Milliseconds(now-a.sentAt) / a.scale }
-
-func (q *request) attempt(number int) *attempt {
-	if number < 0 || number >= len(q.attempts) {
-		return nil
+// receive starts to hold a request.
+func (r *Router) receive(now core.Time, received Request) *request {
+	r.lastID++
+	r.counters.Requests++
+	s := r.service(received.Service)
+	req := &request{
+		Request: inflight.Request{
+			ClientRequest: received,
+			ID:            r.lastID,
+			Pool:          s.pool,
+			Class:         r.classes.Get(now, received.Route.Name),
+			Idempotent:    received.Route.Idempotent(),
+		},
+		service: s,
 	}
-	return q.attempts[number]
+	if r.runsModels(received.Service) && received.Model != "" {
+		req.ServedModel = received.Model
+		req.Oversized = r.oversized(&received)
+		req.IsolatedTenant = r.isolated.BoundaryOf(req.Tenant)
+	}
+	req.Class.Received(req.TokensIn)
+	req.FirstTry = req.Class.FirstTry(now, req.TimeLeft())
+	req.Work = req.Class.Work(req.TokensIn)
+	s.budget.Received(now)
+	s.overload.Received(now, req.Urgency)
+	r.requests[req.ID] = req
+	return req
 }
 
-// tried reports whether the broker has had the request already.
-func (q *request) tried(b *broker) bool {
-	for _, a := range q.attempts {
-		if a.broker == b {
-			return true
-		}
+// runsModels reports whether a service's brokers have an engine, and so versions of weights and cached prompts.
+func (r *Router) runsModels(service string) bool {
+	if r.compiled == nil {
+		return false
 	}
-	return false
+	s := r.compiled.Services[service]
+	return s != nil && s.Engine != nil
 }
 
-// runs counts the attempts that ran, may have run or may yet run: what maxAttempts bounds.
-func (q *request) runs() int {
-	n := 0
-	for _, a := range q.attempts {
-		if !a.ended || a.verdict != verdict.NotRun {
-			n++
-		}
-	}
-	return n
+// oversized reports whether a request is larger than a broker's memory, which refuses it as if it were full.
+func (r *Router) oversized(received *Request) bool {
+	capacity := r.compiled.Services[received.Service].Engine.KVCapacityTokens
+	return capacity > 0 && float64(received.TokensIn+received.TokensOut) > capacity
 }
 
-// arrivals counts the attempts that reached a broker, or may have: those beyond the first draw on the retry budget.
-func (q *request) arrivals() int {
-	n := 0
-	for _, a := range q.attempts {
-		if a.arrived {
-			n++
-		}
+// choose chooses among the eligible candidates and counts why.
+func (r *Router) choose(now core.Time, req *request, found *candidate.Set) placement.Choice {
+	choice := r.placer.Choose(now, &req.Request, found)
+	switch choice.Reason {
+	case placement.ByProbe:
+		r.counters.Trials++
+	case placement.ByAffinity:
+		r.counters.ByAffinity++
+	case placement.ByLoad:
+		r.counters.ByLoad++
+	case placement.ByPrediction:
+		r.counters.ByPrediction++
+	case placement.AllSlow:
+		r.counters.AllSlow++
 	}
-	return n
+	return choice
 }
 
-// outstanding reports whether an attempt is still out.
-func (q *request) outstanding() bool {
-	for _, a := range q.attempts {
-		if !a.ended {
-			return true
-		}
+// withoutEligible answers where no eligible broker is left for a request that was not sent yet.
+func (r *Router) withoutEligible(now core.Time, req *request, found *candidate.Set) Decision {
+	switch {
+	case found.BackingOff > 0:
+		return r.refuse(now, req, admission.Full, found.CapacityAt)
+	case len(found.Ejected) == 0:
+		return r.refuse(now, req, admission.NoBroker, core.Never)
+	}
+	ejected := found.FirstEjected()
+	if !req.Idempotent && ejected.Broker.Health.Reason() == upstream.Unresponsive {
+		return r.refuse(now, req, admission.Unhealthy, core.Never) // it would be lost, where another proxy may serve it
 	}
-	return false
+	r.counters.Fallback++
+	r.placer.Predict(now, &req.Request, found, ejected)
+	return r.send(now, req, found, placement.Choice{Candidate: ejected})
 }
 
-// onlyWaiting is the one attempt that is out, if no answer has begun.
-func (q *request) onlyWaiting() *attempt {
-	var only *attempt
-	for _, a := range q.attempts {
-		switch {
-		case a.ended:
-		case a.started, only != nil:
-			return nil
-		default:
-			only = a
+// refuse is the final answer to a request that has not run. capacityAt is when a broker may have capacity; core.Never:
+// not known.
+func (r *Router) refuse(now core.Time, req *request, reason RefusalReason, capacityAt core.Time) Decision {
+	r.counters.Refusals[reason]++
+	return Decision{Refusal: &Refusal{Reason: reason, RetryAfter: r.gate.Advice(now, &req.Request, reason, capacityAt)}}
+}
+
+// End forgets a request. What is still out of it counts as canceled.
+func (r *Router) End(now core.Time, id RequestID) {
+	req := r.requests[id]
+	if req == nil {
+		return
+	}
+	for _, c := range req.Calls {
+		if !c.Ended {
+			r.callEnded(now, req, c, &Outcome{Verdict: verdict.MayHaveRun, Canceled: true})
 		}
 	}
-	return only
+	delete(r.requests, id)
 }
-
-// mayHaveRun reports whether some attempt ran, or may have: then no promise can be given that it did not.
-func (q *request) mayHaveRun() bool { return q.runs() > 0 }
--- a/internal/node/routing/retry.go
+++ b/internal/node/routing/retry.go
@@ -1,24 +1,28 @@
 package routing
 
-import "kestrelspread/internal/node/core"
+import (
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/candidate"
+)
 
-// mostAttempts bounds the sends of one request, those included that brokers turned away.
-const mostAttempts = 5
+// maxSends bounds the attempts of one request, those included that brokers refused.
+const maxSends = 5
 
-// another decides on a further attempt for a request of which nothing is out any more.
-func (r *Router) another(now core.Time, req *request, outcome *Outcome) Decision {
-	if !outcome.Verdict.MayRepeat(req.idempotent) || req.mayHaveRun() && !req.idempotent {
+// retry decides on a further attempt for a request of which nothing is out any more.
+func (r *Router) retry(now core.Time, req *request, outcome *Outcome) Decision {
+	if !outcome.Verdict.MayRepeat(req.Idempotent) || req.MayHaveRun() && !req.Idempotent {
 		return Decision{}
 	}
 	reason := r.obstacle(now, req)
 	if reason == "" {
-		f := r.gather(now, req)
-		if len(f.sound) > 0 {
-			chosen, byPrediction := r.pick(now, req, f)
+		found := r.finder.Find(now, &req.Request)
+		if len(found.Eligible) > 0 {
+			choice := r.choose(now, req, found)
 			r.counters.Retries++
-			return r.send(now, req, chosen, byPrediction)
+			return r.send(now, req, found, choice)
 		}
-		reason = req.lacking(f)
+		reason = reasonWithoutEligible(req, found)
 	}
 	return r.giveUp(now, req, reason)
 }
@@ -26,38 +30,38 @@
 // obstacle names what keeps the request from a further attempt, or is empty.
 func (r *Router) obstacle(now core.Time, req *request) RefusalReason {
 	switch {
-	case req.Deadline-now < leastTime:
-		return RefusedDeadline
-	case req.runs() >= max(req.Route.MaxAttempts, 1), len(req.attempts) >= mostAttempts:
-		return RefusedAttempts
-	case req.turnedAway >= turnedAwayMost(req.Urgency):
-		return RefusedFull
-	case req.arrivals() > 0 && !r.limits.Affords(now, &req.pool.budget, retryShare(req.Urgency)):
-		return RefusedBudget
+	case req.Deadline-now < admission.MinTimeLeft:
+		return admission.Deadline
+	case req.Runs() >= max(req.Route.MaxAttempts, 1), len(req.Calls) >= maxSends:
+		return admission.Attempts
+	case req.Refused >= admission.MaxRefusals(req.Urgency):
+		return admission.Full
+	case req.Arrivals() > 0 && !r.limits.Affords(now, &req.service.budget, admission.RetryShare(req.Urgency)):
+		return admission.Budget
 	}
 	return ""
 }
 
-// lacking tells why no sound broker is left.
-func (q *request) lacking(f *field) RefusalReason {
+// reasonWithoutEligible tells why no eligible broker is left.
+func reasonWithoutEligible(req *request, found *candidate.Set) RefusalReason {
 	switch {
-	case f.full > 0 || q.turnedAway > 0:
-		return RefusedFull
-	case q.unreachable > 0 || len(f.doubtful) > 0:
-		return RefusedUnhealthy
+	case found.BackingOff > 0 || req.Refused > 0:
+		return admission.Full
+	case req.Unreachable > 0 || len(found.Ejected) > 0:
+		return admission.Unhealthy
 	default:
-		return RefusedNoBroker
+		return admission.NoBroker
 	}
 }
 
 // giveUp refuses where the request can't have run; where it may have, the caller answers by what it has, as a refusal
 // promises that it has not (verdict.MayPromise).
 func (r *Router) giveUp(now core.Time, req *request, reason RefusalReason) Decision {
-	if req.mayHaveRun() {
+	if req.MayHaveRun() {
 		return Decision{}
 	}
-	if req.turnedAway > 0 && reason == RefusedAttempts {
-		reason = RefusedFull
+	if req.Refused > 0 && reason == admission.Attempts {
+		reason = admission.Full
 	}
 	return r.refuse(now, req, reason, core.Never)
 }
--- a/internal/node/routing/rollout_test.go
+++ b/internal/node/routing/rollout_test.go
@@ -8,6 +8,8 @@
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/upstream"
 )
 
 // marked is a table of ten brokers of which the first n bear the mark that they load new weights.
@@ -28,9 +30,9 @@
 		used   bool      // are the marked brokers used
 	}{
 		{"few", 4, time.Minute, false},
-		{"many, lately", 5, markTrusted - ms, false},
-		{"many, for long", 5, markTrusted, true},
-		{"all, for long", 10, markTrusted, true},
+		{"many, lately", 5, upstream.LoadingTrusted - ms, false},
+		{"many, for long", 5, upstream.LoadingTrusted, true},
+		{"all, for long", 10, upstream.LoadingTrusted, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, instances(10))
@@ -92,11 +94,11 @@
 			outcome.Load = c.load
 			w.Finished(w.now, a.Request, a.Number, outcome, false)
 			w.End(w.now, a.Request)
-			w.now += orderPause - ms
+			w.now += upstream.RolloutBackoff - ms
 			_, d := w.Begin(w.now, w.prompt(flowRoute, 3))
 			assert.Equal(t, d.Attempt == nil, c.ordered)
 			if c.ordered {
-				assert.Equal(t, d.Refusal.Reason, RefusedFull)
+				assert.Equal(t, d.Refusal.Reason, admission.Full)
 				w.now += ms
 				assert.Assert(t, w.begin(w.prompt(flowRoute, 3)) != nil)
 			}
@@ -118,12 +120,12 @@
 func TestAdviceWithoutBrokers(t *testing.T) {
 	for _, c := range []struct {
 		since, least, most core.Time
-	}{{time.Second, adviceStarting, adviceStarted}, {startingSpan, adviceLeast, adviceShort}} {
+	}{{time.Second, admission.MinStartingAdvice, admission.MaxStartingAdvice}, {admission.StartingSpan, admission.MinAdvice, admission.ShortAdvice}} {
 		w := newWorld(t, nil)
-		w.startedAt = w.now - c.since
+		w.gate = admission.New(w.now-c.since, w.switches, w.options.Random)
 		for range 30 {
 			_, d := w.Begin(w.now, w.request(safeRoute))
-			assert.Equal(t, d.Refusal.Reason, RefusedNoBroker)
+			assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
 			assert.Assert(t, d.Refusal.RetryAfter >= c.least && d.Refusal.RetryAfter <= c.most, "%v", d.Refusal.RetryAfter)
 		}
 		short := w.request(safeRoute)
--- a/internal/node/routing/rollout_versions_test.go
+++ b/internal/node/routing/rollout_versions_test.go
@@ -8,7 +8,9 @@
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/admission"
 	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/modelversion"
 )
 
@@ -67,7 +69,7 @@
 			}
 			return n
 		}
-		w.now = until - newestFirstSpan - ms
+		w.now = until - candidate.NewestFirstSpan - ms
 		assert.Assert(t, older() > 0, "%d renewed", c.renewed)
 		w.now = until - time.Second
 		assert.Equal(t, older() > 0, c.older, "%d renewed", c.renewed)
@@ -88,7 +90,7 @@
 		}
 		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
 		until := w.now + 8*time.Second - modelversion.LearnMargin
-		lead := min(max(core.Time(startLeadFactor*float64(latency)), startLeadLeast), startLeadMost)
+		lead := min(max(core.Time(candidate.FirstTokenFactor*float64(latency)), candidate.MinFirstToken), candidate.MaxFirstToken)
 		w.now = until - lead*12/10 - 100*ms
 		assert.Equal(t, w.begin(w.prompt(flowRoute, 8)).ExpectVersion, uint64(1))
 		w.now = until - lead*8/10
@@ -104,7 +106,7 @@
 	w.now += 20 * time.Second
 	_, d := w.Begin(w.now, w.prompt(flowRoute, 4))
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, RefusedNoBroker)
+	assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
 }
 
 // A service without an engine runs no models, whatever its requests name.
--- a/internal/node/routing/router_test.go
+++ b/internal/node/routing/router_test.go
@@ -74,7 +74,7 @@
 	assert.Equal(t, w.Holding(), 1)
 	w.End(w.now, a.Request)
 	assert.Equal(t, w.Holding(), 0)
-	assert.Equal(t, w.Router.brokers[a.Instance.ID].out, 0)
+	assert.Equal(t, w.Router.brokers[a.Instance.ID].InFlight(), 0)
 	w.Started(w.now, a.Request, a.Number, nil)
 	assert.Equal(t, w.Finished(w.now, a.Request, a.Number, outcomeFull, false), Decision{})
 }
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -3,72 +3,113 @@
 import (
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/candidate"
+	"kestrelspread/internal/node/routing/placement"
 	"kestrelspread/internal/node/routing/prompt"
+	"kestrelspread/internal/node/routing/upstream"
 )
 
-// tellLeast is how many tokens a broker must have to read for an attempt for other proxies to be told.
-const tellLeast = 500
+const (
+	// minNotifyTokens is how many tokens a broker must have to read for an attempt for other proxies to be notified.
+	minNotifyTokens = 500
+	priorityPerRank = 3
+	lastPriority    = 9
+)
+
+// priorityHeader is the Priority header: 0 to 9, 0 first (PROTOCOL.md, "Requests").
+func priorityHeader(urgency int) int {
+	return min(max(urgency, 0)*priorityPerRank, lastPriority)
+}
 
 // send makes the attempt.
-func (r *Router) send(now core.Time, req *request, chosen *candidate, byPrediction bool) Decision {
-	b := chosen.broker
-	if req.arrivals() > 0 {
-		req.pool.budget.Spend(now)
+func (r *Router) send(now core.Time, req *request, found *candidate.Set, choice placement.Choice) Decision {
+	chosen := choice.Candidate
+	b := chosen.Broker
+	if req.Arrivals() > 0 {
+		req.service.budget.Spend(now)
 	}
-	a := &attempt{
-		number:        len(req.attempts),
-		broker:        b,
-		sentAt:        now,
-		load:          chosen.load,
-		scale:         req.class.scale(now, req.pool, req.TokensIn),
-		features:      chosen.features,
-		predictedFast: !chosen.slow,
-		arrived:       true,
-	}
-	if b.health.aside() && b.health.trial == nil {
-		b.health.trial = a
+	call := &upstream.Call{
+		Number:        len(req.Calls),
+		Broker:        b,
+		SentAt:        now,
+		Load:          chosen.Load,
+		Scale:         req.Class.Scale(now, req.Pool, req.TokensIn),
+		Features:      chosen.Prediction.Features,
+		PredictedFast: !chosen.Slow(),
+		Arrived:       true,
 	}
+	b.Health.BeginProbe(call)
 	out := &Attempt{
-		Request:      req.id,
-		Number:       a.number,
-		Instance:     b.instance,
-		Priority:     enginePriority(req.Urgency),
-		ByPrediction: byPrediction,
+		Request:      req.ID,
+		Number:       call.Number,
+		Instance:     b.Instance,
+		Priority:     priorityHeader(req.Urgency),
+		ByPrediction: choice.Predicted,
 	}
-	if req.model != "" {
-		r.describeModel(now, req, chosen, out)
-		a.salt, a.fetchFrom = out.Salt, out.FetchFrom
+	if req.ServedModel != "" {
+		r.describeModel(now, req, found, chosen, out)
+		call.Salt, call.FetchFrom = out.Salt, out.FetchFrom
 		r.countPrompt(req, chosen, out)
-		r.queue(now, req, a, out, chosen.unread)
+		r.enqueue(now, req, call, out, chosen.Plan.PrefillTokens)
 	}
-	req.attempts = append(req.attempts, a)
-	b.sent(a)
-	out.CopyAt = r.copyAt(now, req)
+	req.Calls = append(req.Calls, call)
+	b.CallSent(call)
+	out.CopyAt = r.hedgeAt(now, req)
 	return Decision{Attempt: out}
 }
 
-// describeModel fills in what a model broker is told: its version, the salt, and where kept parts come from and go.
-func (r *Router) describeModel(now core.Time, req *request, chosen *candidate, out *Attempt) {
-	out.ExpectVersion = chosen.version
-	out.Salt = cachesalt.Text(req.model, chosen.version, req.wall)
-	if out.FetchFrom = r.fetchSource(now, req, chosen); out.FetchFrom != "" {
+// describeModel fills in what a model broker is told: its version, the salt, and where cached parts come from and go.
+func (r *Router) describeModel(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, out *Attempt) {
+	out.ExpectVersion = chosen.Version
+	out.Salt = cachesalt.Text(req.ServedModel, chosen.Version, req.IsolatedTenant)
+	if out.FetchFrom = r.cache.FetchSource(now, &req.Request, found.Eligible, chosen); out.FetchFrom != "" {
 		r.counters.Fetches++
 	}
-	if out.SaveTo = r.saveTarget(now, req, chosen); out.SaveTo != "" {
+	if out.SaveTo = r.cache.SaveTarget(now, &req.Request, chosen); out.SaveTo != "" {
 		r.counters.Saves++
 	}
 }
 
-// queue puts the prompt of an attempt at the end of what its broker has to read.
-func (r *Router) queue(now core.Time, req *request, a *attempt, out *Attempt, unread int) {
-	if unread == 0 {
-		unread = req.TokensIn
+// enqueue puts the prompt of a call at the end of its broker's backlog.
+func (r *Router) enqueue(now core.Time, req *request, call *upstream.Call, out *Attempt, prefillTokens int) {
+	if prefillTokens == 0 {
+		prefillTokens = req.TokensIn
 	}
-	a.unread = unread
+	call.PrefillTokens = prefillTokens
 	salt, parts := cachesalt.ID(out.Salt), prompt.SharedParts(req.Parts)
-	a.queueEnd = r.noteSent(now, req.pool, a.broker, salt, parts, unread)
-	a.ahead = a.broker.backlog.tokens()
-	if unread >= tellLeast {
-		out.Sent = &Sent{Instance: out.Instance.ID, Salt: salt, Parts: parts, Unread: unread}
+	enqueued := r.recordSent(now, req.Pool, call.Broker, salt, parts, prefillTokens)
+	call.BacklogEnd, call.BacklogAhead = enqueued.End, enqueued.Ahead
+	if prefillTokens >= minNotifyTokens {
+		out.Sent = &Sent{Instance: out.Instance.ID, Salt: salt, Parts: parts, Unread: prefillTokens}
+	}
+}
+
+// recordSent takes in that a broker was sent a prompt, by this proxy or another.
+func (r *Router) recordSent(now core.Time, p *upstream.Pool, b *upstream.Broker, salt uint64, parts []prompt.Part, prefillTokens int) upstream.Enqueued {
+	enqueued := p.Enqueue(now, b, prefillTokens)
+	r.cache.RecordPrefill(now, enqueued.ReadyAt, b, salt, parts)
+	return enqueued
+}
+
+// countPrompt counts the shared tokens of a prompt by where they were expected to come from when it was sent.
+func (r *Router) countPrompt(req *request, chosen *candidate.Candidate, out *Attempt) {
+	shared := prompt.SharedTokens(req.Parts)
+	cached := min(chosen.Cached, shared)
+	arriving := max(min(chosen.Arriving, shared)-cached, 0)
+	missing := shared - cached - arriving
+	fetched := max(missing-chosen.Plan.SharedTokens, 0)
+	counts := &r.counters.Prompts
+	counts.Shared += uint64(shared)
+	counts.Held += uint64(cached)
+	counts.Coming += uint64(arriving)
+	if out.FetchFrom != "" && r.cache.IsStore(out.FetchFrom) {
+		counts.FromStore += uint64(fetched)
+	} else {
+		counts.FromBroker += uint64(fetched)
+	}
+	counts.Again += uint64(chosen.Plan.RepeatedTokens)
+	counts.First += uint64(max(missing-fetched-chosen.Plan.RepeatedTokens, 0))
+	if out.FetchFrom != "" && fetched == 0 {
+		counts.BlindFetches++
 	}
 }
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -11,6 +11,7 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/units"
 	"kestrelspread/internal/node/verdict"
@@ -106,8 +107,13 @@
 const hop = time.Millisecond
 
 func newSimulation(t *testing.T, proxies, brokers int) *simulation {
+	return newSimulationWith(t, proxies, brokers, nil)
+}
+
+// newSimulationWith has proxies that look parts up in an index.
+func newSimulationWith(t *testing.T, proxies, brokers int, index prefixcache.Index) *simulation {
 	s := &simulation{t: t, chance: rand.New(rand.NewPCG(11, uint64(proxies))), brokers: map[string]*simBroker{}}
-	s.options = Options{RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second, VersionGrace: 8 * time.Second}
+	s.options = Options{RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second, VersionGrace: 8 * time.Second, Index: index}
 	list := instances(brokers)
 	s.table = tableOf(list...)
 	for _, i := range list {
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -10,6 +10,7 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/routing/cachesalt"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 )
 
@@ -40,7 +41,7 @@
 			w.StoreSeen(w.now, storeAddress, !c.storeDown, false)
 			first := w.begin(w.prompt(flowRoute, 77))
 			w.read(first)
-			w.now += readsBelieved // so that the index decides
+			w.now += prefixcache.PrefillBelieved // so that the index decides
 			other, source := "i00", "i01"
 			if first.Instance.ID == other {
 				other = "i02"
@@ -50,16 +51,16 @@
 			}
 			w.PeerSent(w.now, Sent{Instance: first.Instance.ID, Unread: 50000})
 			w.PeerSent(w.now, Sent{Instance: source, Unread: 50000})
-			index.holders = []Holder{{Instance: storeAddress, Store: true, Tokens: c.stored}, {Instance: source, Tokens: c.peers}}
+			index.holders = []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: c.stored}, {Instance: source, Tokens: c.peers}}
 			if c.kept > 0 {
-				index.holders = append(index.holders, Holder{Instance: other, Tokens: c.kept})
+				index.holders = append(index.holders, prefixcache.Holder{Instance: other, Tokens: c.kept})
 			}
 			a := w.begin(w.prompt(flowRoute, 77))
 			assert.Assert(t, a.Instance.ID != first.Instance.ID && a.Instance.ID != source)
 			if c.kept > 0 {
 				assert.Equal(t, a.Instance.ID, other)
 			}
-			want := map[string]string{none: "", owner: first.Instance.Address, peer: w.Router.brokers[source].instance.Address,
+			want := map[string]string{none: "", owner: first.Instance.Address, peer: w.Router.brokers[source].Instance.Address,
 				storeAddress: storeAddress}[c.from]
 			assert.Equal(t, a.FetchFrom, want)
 			assert.Equal(t, a.SaveTo != "", c.saved)
@@ -86,11 +87,11 @@
 // versionedIndex has all parts at the store under one salt.
 type versionedIndex struct{ kept uint64 }
 
-func (x *versionedIndex) Holders(salt uint64, parts []prompt.Part) []Holder {
+func (x *versionedIndex) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
 	if salt != x.kept {
 		return nil
 	}
-	return []Holder{{Instance: storeAddress, Store: true, Tokens: sumTokens(parts)}}
+	return []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: sumTokens(parts)}}
 }
 
 // A store that was not asked yet is believed to be well; one that is down gets nothing, until it is back.
@@ -133,7 +134,7 @@
 			if othersLate {
 				others = 400 * ms
 			}
-			for range storeLateFew {
+			for range prefixcache.MinLateFetches {
 				a := w.begin(fresh())
 				assert.Equal(t, a.FetchFrom, storeAddress)
 				w.serve(a, 400*ms)
@@ -142,7 +143,7 @@
 			a := w.begin(fresh())
 			assert.Equal(t, a.FetchFrom == storeAddress, othersLate)
 			w.serve(a, 30*ms)
-			w.now += storeRest
+			w.now += prefixcache.StoreBackoff
 			assert.Equal(t, w.begin(fresh()).FetchFrom, storeAddress, "it is tried again")
 		})
 	}
@@ -167,7 +168,7 @@
 		saved := map[string]bool{}
 		for _, zone := range []string{"z0", "z1", "z2"} {
 			w := newWorld(t, instances(6))
-			w.Router.options.Zone = zone
+			w.moveTo(zone)
 			w.SetConfig(w.now, threeStores())
 			a := w.begin(w.prompt(flowRoute, part+10))
 			assert.Equal(t, a.FetchFrom, a.SaveTo)
@@ -190,7 +191,7 @@
 	own := w.begin(w.prompt(flowRoute, 5)).SaveTo
 	for i := range 3 {
 		address := fmt.Sprintf("10.9.0.%d:9000", i)
-		index.holders = []Holder{{Instance: address, Store: true, Tokens: 1300}}
+		index.holders = []prefixcache.Holder{{Instance: address, Store: true, Tokens: 1300}}
 		a := w.begin(w.prompt(flowRoute, 5))
 		assert.Equal(t, a.FetchFrom, own)
 		assert.Equal(t, a.SaveTo == "", address == own, "what is kept where it belongs is not sent again")
@@ -226,7 +227,7 @@
 			w.read(first)
 			w.now += c.sentFor
 			w.PeerSent(w.now, Sent{Instance: first.Instance.ID, Unread: 90000})
-			index.holders = []Holder{{Instance: storeAddress, Store: true, Tokens: 1300}, {Instance: first.Instance.ID, Tokens: 1300}}
+			index.holders = []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: 1300}, {Instance: first.Instance.ID, Tokens: 1300}}
 			a := w.begin(w.prompt(flowRoute, 7))
 			assert.Assert(t, a.Instance.ID != first.Instance.ID)
 			assert.Equal(t, a.FetchFrom == storeAddress, c.fromStore)
--- a/internal/node/routing/switches_test.go
+++ b/internal/node/routing/switches_test.go
@@ -6,6 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prefixcache"
 )
 
 // Requests are served with any mechanism off, and with all of them.
@@ -16,9 +17,8 @@
 	}
 	for _, info := range append(mechanism.All(), mechanism.Info{Mechanism: all, Name: "all"}) {
 		t.Run(info.Name, func(t *testing.T) {
-			index := &fixedIndex{holders: []Holder{{Instance: "i02", Tokens: 1300}, {Instance: storeAddress, Store: true, Tokens: 1300}}}
-			w := newWorldWith(t, instances(5), index)
-			w.Router.switches = mechanism.NewSwitches(info.Mechanism)
+			index := &fixedIndex{holders: []prefixcache.Holder{{Instance: "i02", Tokens: 1300}, {Instance: storeAddress, Store: true, Tokens: 1300}}}
+			w := newWorldWithout(t, instances(5), index, info.Mechanism)
 			for part := range uint64(30) {
 				w.read(w.begin(w.prompt(againRoute, part)))
 				w.serve(w.begin(w.request(safeRoute)), 20*ms)
--- a/internal/node/routing/unreachable_test.go
+++ b/internal/node/routing/unreachable_test.go
@@ -4,6 +4,8 @@
 	"testing"
 
 	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/routing/admission"
 )
 
 // A broker that takes no connection has had no arrival: the next is the first.
@@ -15,5 +17,5 @@
 	assert.Assert(t, d.Attempt != nil)
 	d = w.Finished(w.now, a.Request, d.Attempt.Number, outcomeFull, false)
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, RefusedBudget)
+	assert.Equal(t, d.Refusal.Reason, admission.Budget)
 }
--- a/internal/node/routing/backlog_test.go
+++ b/internal/node/routing/upstream/backlog_test.go
@@ -1,4 +1,4 @@
-package routing
+package upstream
 
 import (
 	"math"
@@ -29,44 +29,44 @@
 func TestBacklogByOwnRequests(t *testing.T) {
 	const perMillisecond = 50
 	var q backlog
-	first := &attempt{queueEnd: q.add(0, 5000, perMillisecond, nil)}
+	first := &Call{BacklogEnd: q.add(0, 5000, perMillisecond, nil)}
 	q.add(0, 2000, perMillisecond, first)
 	q.advance(time.Second, perMillisecond, first)
-	assert.Equal(t, q.tokens(), 2000.0+stillToRead)
-	q.passed(first.queueEnd)
+	assert.Equal(t, q.tokens(), 2000.0+minToRead)
+	q.passed(first.BacklogEnd)
 	assert.Equal(t, q.tokens(), 2000.0)
 	q.passed(1000)
 	assert.Equal(t, q.tokens(), 2000.0, "the front never goes back")
 }
 
 // The pace is the slope of latencies over the tokens before them, whatever else each answer takes.
-func TestReadingPace(t *testing.T) {
+func TestPrefillPace(t *testing.T) {
 	chance := rand.New(rand.NewPCG(3, 8))
 	for _, c := range []struct{ perToken, fixed, noise, want float64 }{
 		{0.018, 30, 20, 0.018},
 		{0.031, 80, 40, 0.031},
-		{5, 10, 0, paceMost},
-		{0, 10, 0, paceLeast},
+		{5, 10, 0, maxPace},
+		{0, 10, 0, minPace},
 	} {
-		var p readingPace
-		assert.Equal(t, p.perToken(), paceAssumed)
+		var p prefillPace
+		assert.Equal(t, p.perToken(), assumedPace)
 		for range 400 {
 			tokens := 200 + 9000*chance.Float64()
 			p.learn(tokens, c.fixed+c.perToken*tokens+c.noise*chance.Float64())
 		}
 		assert.Assert(t, math.Abs(p.perToken()-c.want) <= 0.1*c.want, "%v for %v", p.perToken(), c.want)
 	}
-	var same readingPace
+	var same prefillPace
 	for range 400 {
 		same.learn(1000, 50)
 	}
-	assert.Assert(t, math.Abs(same.perToken()-paceAssumed) < 1e-6, "nothing to tell it from")
+	assert.Assert(t, math.Abs(same.perToken()-assumedPace) < 1e-6, "nothing to tell it from")
 }
 
 // After some ten answers the pace is about right.
-func TestReadingPaceIsLearntSoon(t *testing.T) {
+func TestPrefillPaceIsLearntSoon(t *testing.T) {
 	chance := rand.New(rand.NewPCG(3, 8))
-	var p readingPace
+	var p prefillPace
 	for range 12 {
 		tokens := 200 + 9000*chance.Float64()
 		p.learn(tokens, 60+0.05*tokens+60*chance.Float64())
@@ -76,9 +76,9 @@
 }
 
 // The pace follows a change within some hundred answers.
-func TestReadingPaceFades(t *testing.T) {
+func TestPrefillPaceFades(t *testing.T) {
 	chance := rand.New(rand.NewPCG(3, 8))
-	var p readingPace
+	var p prefillPace
 	for i := range 3000 {
 		perToken := 0.02
 		if i >= 1500 {
--- a/internal/node/routing/world_test.go
+++ b/internal/node/routing/world_test.go
@@ -11,6 +11,9 @@
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/placement"
+	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/verdict"
 )
@@ -74,16 +77,27 @@
 	return newWorldWith(t, list, nil)
 }
 
-func newWorldWith(t *testing.T, list []*registry.Instance, index Index) *world {
+func newWorldWith(t *testing.T, list []*registry.Instance, index prefixcache.Index) *world {
+	t.Helper()
+	return newWorldWithout(t, list, index, 0)
+}
+
+// newWorldWithout has some mechanisms disabled.
+func newWorldWithout(t *testing.T, list []*registry.Instance, index prefixcache.Index, disabled mechanism.Set) *world {
 	t.Helper()
 	r := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second,
-		VersionGrace: 8 * time.Second, Random: rand.New(rand.NewPCG(7, 9)), Index: index})
+		VersionGrace: 8 * time.Second, Random: rand.New(rand.NewPCG(7, 9)), Index: index, Disabled: disabled})
 	r.SetPeers(0, 1)
 	r.SetConfig(0, configOf(nil))
 	r.SetTable(0, tableOf(list...))
 	return &world{t: t, now: 20 * time.Second, Router: r}
 }
 
+// moveTo puts the proxy into a zone.
+func (w *world) moveTo(zone string) {
+	w.placer = placement.New(w.switches, zone, w.options.Random, w.cache)
+}
+
 func (w *world) request(route *config.Route) Request {
 	return Request{Route: route, Service: service, Received: w.now, Deadline: w.now + 4*time.Second, TokensIn: 1000}
 }
