--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -45,9 +45,10 @@
 	if p.switches.On(mechanism.Affinity) {
 		owner = ownerOf(req, found)
 	}
+	var v view
 	for i := range found {
 		c := &found[i]
-		v := p.plan(req, lookup, c)
+		v.plan(req, lookup, c)
 		v.isOwner = c.Broker == owner
 		v.prefillWait = req.Pool.PrefillWait(now, c.Broker)
 		v.load = c.Load
@@ -60,24 +61,17 @@
 	return owner
 }
 
-// plan fills in what a candidate has to read of the prompt, and returns that part of the view for its cost.
-func (p *Placer) plan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) view {
+// plan fills in what a candidate has to fetch and read of the prompt, there and in the view for its cost.
+func (v *view) plan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) {
 	missing := max(lookup.SharedTokens-max(c.Cached, c.Arriving), 0)
-	fetched, perFetched := p.cache.Fetchable(req, lookup, c, missing)
-	shared := missing - fetched
-	repeated := max(shared-lookup.Version(c.Version).NewTokens, 0)
-	v := view{
-		perToken:       req.Pool.PrefillPerToken(c.Broker),
-		prefillTokens:  max(req.TokensIn-lookup.SharedTokens, 0) + shared,
-		sharedTokens:   shared,
-		repeatedTokens: repeated,
-		fetchedTokens:  fetched,
-		perFetched:     perFetched,
-	}
+	v.fetchedTokens, v.perFetched = lookup.Fetchable(c, missing)
+	v.sharedTokens = missing - v.fetchedTokens
+	v.repeatedTokens = max(v.sharedTokens-lookup.Version(c.Version).NewTokens, 0)
+	v.prefillTokens = max(req.TokensIn-lookup.SharedTokens, 0) + v.sharedTokens
+	v.perToken = req.Pool.PrefillPerToken(c.Broker)
 	c.Plan = candidate.Plan{
-		PrefillTokens: v.prefillTokens, SharedTokens: shared, RepeatedTokens: repeated, PrefillTime: v.prompt(),
+		PrefillTokens: v.prefillTokens, SharedTokens: v.sharedTokens, RepeatedTokens: v.repeatedTokens, PrefillTime: v.prompt(),
 	}
-	return v
 }
 
 // ownerOf is the candidate that should cache the prompt's parts, by the rendezvous order; nil where there is none.
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -90,21 +90,20 @@
 }
 
 // Fetchable is how many of a prompt's missing tokens a candidate can fetch, and what each takes, ms. It is an estimate
-// for placement; FetchSource names the source once the broker is chosen.
-func (c *Cache) Fetchable(req *inflight.Request, l *Lookup, chosen *candidate.Candidate, missing int) (tokens int, perToken float64) {
+// for placement; Cache.FetchSource names the source once the broker is chosen.
+func (l *Lookup) Fetchable(chosen *candidate.Candidate, missing int) (tokens int, perToken float64) {
 	if missing < MinFetchTokens {
 		return 0, 0
 	}
 	cached := l.SharedTokens - missing
 	known := l.Version(chosen.Version)
-	engine := c.engine(req)
 	if known.MaxCached > cached && known.MaxCached >= chosen.Stored {
-		return known.MaxCached - cached, moveTime(engine, engine.LinkMbps, zoneFactor)
+		return known.MaxCached - cached, moveTime(l.engine, l.engine.LinkMbps, zoneFactor)
 	}
 	if l.Store == nil || chosen.Stored <= cached {
 		return 0, 0
 	}
-	return min(chosen.Stored-cached, missing), moveTime(engine, l.Store.LinkMbps, zonesFactor(l.Store.Zone, chosen))
+	return min(chosen.Stored-cached, missing), moveTime(l.engine, l.Store.LinkMbps, zonesFactor(l.Store.Zone, chosen))
 }
 
 // bestHolder is the candidate that caches clearly more of the prompt than the chosen one, one of the same zone first;
--- a/internal/node/routing/prefixcache/lookup.go
+++ b/internal/node/routing/prefixcache/lookup.go
@@ -16,6 +16,7 @@
 	Store        *config.Service // that caches them; nil: there is none that is well
 	SharedTokens int
 
+	engine   *config.Engine // of the request's service
 	versions []VersionCoverage
 }
 
@@ -43,6 +44,7 @@
 	l := &c.lookup
 	l.Store = c.storeFor(now, req)
 	l.SharedTokens = prompt.SharedTokens(req.Parts)
+	l.engine = c.engine(req)
 	l.versions = l.versions[:0]
 	for i := range found {
 		if version := found[i].Version; l.Version(version) == nil {
--- a/internal/node/routing/upstream/broker.go
+++ b/internal/node/routing/upstream/broker.go
@@ -21,23 +21,26 @@
 	NameHash uint64
 	// Health is what this proxy makes of the broker by its answers.
 	Health Health
-	// LongPrompts are the latest long prompts that were sent there.
-	LongPrompts LongPrompts
-	// Fetches counts its slow fetches of cached prompt parts.
-	Fetches Fetches
 
-	inFlight  int     // own calls there
-	awaiting  []*Call // those without an answer yet, the oldest first
-	report    loadReport
-	backlog   backlog
-	stepTime  float64 // ms between two events of a stream while it reads no other prompt
-	steps     int     // streams that stepTime was learnt from
-	latencies latencies
-	refusals  refusals
+	// What each choice looks at stands together, as a choice looks at all brokers of a service.
+
+	refusals refusals
+	inFlight int     // own calls there
+	awaiting []*Call // those without an answer yet, the oldest first
+	report   loadReport
+	backlog  backlog
+	stepTime float64 // ms between two events of a stream while it reads no other prompt
+	steps    int     // streams that stepTime was learnt from
 	// loadingSince is when the mark that it loads new weights was first seen.
 	loadingSince core.Time
 	// newUntil: it has joined lately.
-	newUntil core.Time
+	newUntil  core.Time
+	latencies latencies
+
+	// Fetches counts its slow fetches of cached prompt parts.
+	Fetches Fetches
+	// LongPrompts are the latest long prompts that were sent there.
+	LongPrompts LongPrompts
 }
 
 // NewBroker makes the state of an instance that nothing is known of yet. joined: it came after the first table of
--- a/internal/node/routing/upstream/prefillpace.go
+++ b/internal/node/routing/upstream/prefillpace.go
@@ -6,6 +6,7 @@
 type prefillPace struct {
 	// weighted sums over the answers
 	weight, tokens, latency, tokensSquared, tokensLatency float64
+	slope                                                 float64 // of these, ms a token; 0: not computed yet
 }
 
 const (
@@ -25,13 +26,21 @@
 	p.latency = paceFade*p.latency + latency
 	p.tokensSquared = paceFade*p.tokensSquared + tokens*tokens
 	p.tokensLatency = paceFade*p.tokensLatency + tokens*latency
+	p.slope = 0
 }
 
 // known reports whether enough was learnt.
 func (p *prefillPace) known() bool { return p.weight >= minPaceAnswers }
 
-// perToken is the slope, ms a token.
+// perToken is the slope, ms a token. It is asked for each broker at each choice, so it is computed once an answer.
 func (p *prefillPace) perToken() float64 {
+	if p.slope == 0 {
+		p.slope = p.computeSlope()
+	}
+	return p.slope
+}
+
+func (p *prefillPace) computeSlope() float64 {
 	const belief = assumedWeight * assumedSpread * assumedSpread
 	spread, covariance := 0.0, 0.0
 	if p.weight > 0 {
