--- a/internal/fleet/lease/fence/dir/fencedir_test.go
+++ b/internal/fleet/lease/fence/dir/fencedir_test.go
@@ -26,25 +26,26 @@
 	return f
 }
 
-// The old owner reads the folder, finds that it is the latest, and sleeps; the new one writes; the old one wakes up and writes.
+// The stale holder reads the directory, finds its token to be the highest, and is paused; the new holder writes; the stale one goes on
+// and writes.
 func TestPausedHolderWritesNothing(t *testing.T) {
 	dir := t.TempDir()
 	late, next := open(t, dir), open(t, dir)
 	if done, err := late.Apply(effect(4, "a")); done || err != nil {
 		t.Fatal(done, err)
 	}
-	slept := false
+	paused := false
 	late.beforeWrite = func() {
-		if slept {
+		if paused {
 			return
 		}
-		slept = true
+		paused = true
 		if done, err := next.Apply(effect(5, "b")); done || err != nil {
 			t.Fatal(done, err)
 		}
 	}
 	if _, err := late.Apply(effect(4, "b")); !errors.Is(err, fence.ErrStaleToken) {
-		t.Fatal("it wrote, or: ", err)
+		t.Fatal("the stale holder wrote, or: ", err)
 	}
 	if _, err := late.Apply(effect(4, "c")); !errors.Is(err, fence.ErrStaleToken) {
 		t.Fatal(err)
@@ -55,7 +56,7 @@
 	}
 }
 
-// Two writers who are both entitled (the token is the same, a call was lost and made again) do it once.
+// Two writers under one token (a call was lost and made again) do an effect once.
 func TestRepeatedEffectCountsOnce(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir), open(t, dir)
@@ -68,7 +69,7 @@
 	if done, err := a.Apply(effect(4, "a")); !done || err != nil {
 		t.Fatal(done, err)
 	}
-	// The next owner finds it done, and its token is kept all the same: who was before it may not come back.
+	// The next holder finds it done, and its token is stored all the same: the holder before it must not come back.
 	if done, err := open(t, dir).Apply(effect(6, "a")); !done || err != nil {
 		t.Fatal(done, err)
 	}
@@ -79,7 +80,7 @@
 		t.Fatal(list)
 	}
 	if _, err := b.Apply(fence.Effect{Role: "close", Token: 7, Key: "q", Body: []byte("{")}); err == nil {
-		t.Fatal("half a body was taken")
+		t.Fatal("half a body was accepted")
 	}
 }
 
@@ -101,7 +102,7 @@
 	if p := r.Audit(); len(p.Broken) > 0 || p.Counted != 2 || p.Refused != 1 || r.OldCame() != 1 {
 		t.Errorf("%+v", p)
 	}
-	// What says neither is no answer: the effect is offered again.
+	// Any other reply is no answer: the effect is offered again.
 	for _, says := range []string{`{"done":false,"token":2}`, `thanks`, `{}`} {
 		bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(says)) }))
 		if _, err := fencehttp.New(bad.URL).Apply(effect(5, "3")); err == nil || errors.Is(err, fence.ErrStaleToken) {
@@ -116,6 +117,6 @@
 	to.Apply(effect(5, "1"))
 	to.Apply(effect(4, "2"))
 	if p := open.Audit(); len(p.Broken) == 0 {
-		t.Error("an old owner's effect counted, and the audit found nothing")
+		t.Error("a stale holder's effect counted, and the audit found nothing")
 	}
 }
--- a/internal/fleet/lease/lessor.go
+++ b/internal/fleet/lease/lessor.go
@@ -250,8 +250,8 @@
 	if known && now-requestedAt <= l.config.LeaseMs {
 		return l.propose(now, Command{Kind: CommandGrant, Role: role.Name, Token: role.Token, Target: role.NextHolder})
 	}
-	away := !known || now-requestedAt > l.config.HandoverMs
-	if now-l.leadingSince <= l.config.HandoverMs || !away {
+	absent := !known || now-requestedAt > l.config.HandoverMs
+	if now-l.leadingSince <= l.config.HandoverMs || !absent {
 		return Command{}, false
 	}
 	return l.propose(now, Command{Kind: CommandTransfer, Role: role.Name, Token: role.Token})
--- a/internal/fleet/lease/membership/membership_test.go
+++ b/internal/fleet/lease/membership/membership_test.go
@@ -15,7 +15,7 @@
 	a, b := New(DefaultConfig, hello("a", 1, 0), names, 0), New(DefaultConfig, hello("b", 2, 0), names, 0)
 	a.HandleHello(100, hello("b", 2, 0))
 	if _, due := a.NextStep(200, View{}); due {
-		t.Fatal("c has not spoken")
+		t.Fatal("c has not said hello")
 	}
 	a.HandleHello(300, hello("c", 3, 0))
 	s, due := a.NextStep(400, View{})
@@ -31,13 +31,13 @@
 	if s, due := b.NextStep(600, View{}); !due || s.Kind != StepJoin || s.GroupID != 9 || len(s.Founders) != 3 {
 		t.Fatal(s, due)
 	}
-	// Who lost its disk between its word and the founding is not named by it: it learns.
+	// A voter that lost its disk between its hello and the founding is not named by it: it learns.
 	lost := New(DefaultConfig, hello("c", 4, 0), names, 0)
 	lost.HandleHello(500, Hello{Name: "a", VoterID: 1, GroupID: 9, Founders: s.Founders})
 	if s, due := lost.NextStep(600, View{}); !due || s.Kind != StepJoin || s.Founders != nil {
 		t.Fatal(s, due)
 	}
-	// A copied disk founds nothing.
+	// With a copied disk no group is founded.
 	twice := New(DefaultConfig, hello("a", 1, 0), names, 0)
 	twice.HandleHello(100, hello("b", 2, 0))
 	twice.HandleHello(100, hello("c", 2, 0))
@@ -52,7 +52,7 @@
 	r.HandleHello(1000, hello("b", 2, 9))
 	r.HandleHello(1000, hello("c", 3, 9))
 	if s, due := r.NextStep(1000, v); due {
-		t.Fatal("all is well, and yet: ", s)
+		t.Fatal("all voters are members, and yet: ", s)
 	}
 	now := 2000.0
 	var steps []StepKind
@@ -82,7 +82,7 @@
 	}
 }
 
-// Two processes under one name: the one that votes is heard of, so the other stays a learner for good.
+// Two processes under one name: the one that votes says hello, so the other stays a learner for good.
 func TestTwoVotersOfOneNameDoNotReplaceEachOther(t *testing.T) {
 	r := New(DefaultConfig, hello("a", 1, 9), names, 0)
 	v := View{IsLeader: true, Voters: []uint64{1, 2, 3}, Learners: []uint64{33}, VoterNames: map[uint64]string{1: "a", 2: "b", 3: "c", 33: "c"},
@@ -108,6 +108,6 @@
 		}
 	}
 	if r.VoterID("z") != 0 || r.VoterName(8) != "c" || r.VoterID("c") != 8 {
-		t.Error("what was heard of c is", r.VoterID("c"))
+		t.Error("the latest id of c is", r.VoterID("c"))
 	}
 }
--- a/internal/fleet/lease/transport/transport_test.go
+++ b/internal/fleet/lease/transport/transport_test.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/fleet/lease"
 )
 
-// What waits goes together, in its order; what is cut short is refused and hurts nobody.
+// Messages that wait go in one call, in order; what is cut short is rejected and does no harm.
 func TestMessagesArriveBatchedAndInOrder(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 	if err := p.SendRaft(ctx, 7, list); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.SendRaft(ctx, 8, list); err != nil { // another group's: who reads them drops them
+	if err := p.SendRaft(ctx, 8, list); err != nil { // another group's: the reader drops them
 		t.Fatal(err)
 	}
 	if len(got) != 300 {
@@ -61,10 +61,10 @@
 	}
 	for _, bad := range [][]byte{{0xff}, {5, 1}, {2, 0xff, 0xff}} {
 		if err := p.SendRaft(ctx, 7, [][]byte{bad}); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("%v was accepted", bad)
 		}
 	}
-	// A command goes on to who is said to lead, and where nobody does that is told, not tried for ever.
+	// A command follows the named leader, and where no voter leads that is an error, not retried for ever.
 	d, err := SubmitToLeader(ctx, map[string]*Peer{"a": p}, "", lease.Command{Kind: lease.CommandDefine, Role: "d"})
 	if err == nil || d.OK {
 		t.Error(d, err)
--- a/internal/fleet/lease/voter/server_test.go
+++ b/internal/fleet/lease/voter/server_test.go
@@ -34,7 +34,7 @@
 func newTestGroup(t *testing.T, n int) *testGroup {
 	g := &testGroup{t: t, disks: make([]vfs.FS, n), servers: make([]*Server, n)}
 	for i := range n {
-		l, err := net.Listen("tcp4", "127.0.0.1:0") // its number is kept by whoever listens there next
+		l, err := net.Listen("tcp4", "127.0.0.1:0") // the port is taken by the voter that listens there next
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,10 +56,10 @@
 }
 
 func (g *testGroup) options(i int) Options {
-	rules := lease.DefaultConfig
-	rules.LeaseMs = 500
-	quick := membership.Config{HelloTTLMs: 3000, ReplaceAfterMs: 1500, RetryIntervalMs: 200}
-	return Options{Name: g.voters[i].Name, Listen: g.voters[i].Addr, Dir: "voter", FS: g.disks[i], Voters: g.voters, LeaseConfig: rules, MembershipConfig: quick,
+	leaseConfig := lease.DefaultConfig
+	leaseConfig.LeaseMs = 500
+	membershipConfig := membership.Config{HelloTTLMs: 3000, ReplaceAfterMs: 1500, RetryIntervalMs: 200}
+	return Options{Name: g.voters[i].Name, Listen: g.voters[i].Addr, Dir: "voter", FS: g.disks[i], Voters: g.voters, LeaseConfig: leaseConfig, MembershipConfig: membershipConfig,
 		TickInterval: 20 * time.Millisecond, Log: zerolog.Nop()}
 }
 
@@ -70,7 +70,7 @@
 		if g.servers[i], err = Start(g.options(i)); err == nil {
 			return
 		}
-		time.Sleep(20 * time.Millisecond) // its address may not be free yet
+		time.Sleep(20 * time.Millisecond) // the address may not be free yet
 	}
 	g.t.Fatal(err)
 }
@@ -80,7 +80,7 @@
 	g.servers[i] = nil
 }
 
-// waitFor waits far longer than it takes, and gives the leader's view.
+// waitFor waits, far longer than it takes, for a leader's confirmed status to fulfil a condition.
 func (g *testGroup) waitFor(what string, ok func(v transport.Status) bool) (v transport.Status) {
 	g.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
@@ -105,7 +105,7 @@
 			now, err := s.Status(ctx)
 			end()
 			now.History = nil
-			g.t.Logf("%s: %+v %v, failed %q, trouble %q", s.options.Name, now, err, s.fault, s.store.Fault())
+			g.t.Logf("%s: %+v %v, fault %q, disk fault %q", s.options.Name, now, err, s.fault, s.store.Fault())
 		}
 	}
 	g.t.Fatalf("never: %s; the latest is %+v", what, v)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// do gives a command to whoever leads.
+// submit submits a command to whichever voter leads, until its outcome is known.
 func (g *testGroup) submit(c lease.Command) transport.CommandResult {
 	g.t.Helper()
 	for range 500 {
@@ -159,19 +159,19 @@
 		for i := range 3 {
 			g.start(i)
 		}
-		v := g.waitFor("the duty is known again", func(v transport.Status) bool { return len(v.Roles) == 1 })
+		v := g.waitFor("the role is known again", func(v transport.Status) bool { return len(v.Roles) == 1 })
 		if v.NextToken <= d.Role.Token {
-			t.Fatalf("the next token is %d after %d was given", v.NextToken, d.Role.Token)
+			t.Fatalf("the next token is %d after %d was granted", v.NextToken, d.Role.Token)
 		}
 	}
-	// The owner is never heard of again: its lease runs out, and the token of the next is higher.
+	// The holder sends no request: its lease runs out, and the next token is higher.
 	g.waitFor("the lease runs out", func(v transport.Status) bool { return v.Roles[0].Holder == "" })
 	next := g.submit(lease.Command{Kind: lease.CommandGrant, Role: "d", Token: d.Role.Token, Target: "i.2"})
 	if !next.OK || next.Role.Token <= d.Role.Token {
 		t.Fatal(next)
 	}
 	if late := g.submit(lease.Command{Kind: lease.CommandProgress, Role: "d", Token: d.Role.Token, Progress: []byte("late")}); late.OK {
-		t.Fatal("an old owner's word was taken")
+		t.Fatal("a stale holder's progress was stored")
 	}
 }
 
@@ -188,7 +188,7 @@
 	g.start(2)
 	// Twice in a row: that the change is over is with a majority once the second view was confirmed.
 	seen := 0
-	v = g.waitFor("the new disk votes, the old one does not", func(v transport.Status) bool {
+	v = g.waitFor("the new disk votes, the lost one does not", func(v transport.Status) bool {
 		over := len(v.Voters) == 3
 		for _, o := range v.Voters {
 			over = over && (o.Name != "v2" || !o.Learner && o.ID != old["v2"])
@@ -250,21 +250,21 @@
 	}
 }
 
-// A disk whose sync fails must not vote any more, as nobody knows what is on it; the others go on, and so does the process.
+// A voter whose disk fails to sync must not vote any more, as nobody knows what is on it. The others go on, and so does the process.
 func TestVoterWithFailedDiskHalts(t *testing.T) {
-	var fails atomic.Bool
+	var syncFails atomic.Bool
 	g := newTestGroup(t, 3)
 	g.waitFor("three voters", hasVoters(3))
 	g.stop(1)
 	g.disks[1] = errorfs.Wrap(g.disks[1], errorfs.InjectorFunc(func(op errorfs.Op) error {
-		if fails.Load() && (op.Kind == errorfs.OpFileSync || op.Kind == errorfs.OpFileSyncData) {
+		if syncFails.Load() && (op.Kind == errorfs.OpFileSync || op.Kind == errorfs.OpFileSyncData) {
 			return errors.New("the disk is gone")
 		}
 		return nil
 	}))
 	g.start(1)
 	g.waitFor("three voters again", hasVoters(3))
-	fails.Store(true)
+	syncFails.Store(true)
 	for i := range 3 {
 		if d := g.submit(lease.Command{Kind: lease.CommandDefine, Role: fmt.Sprint("d", i)}); !d.OK {
 			t.Fatal(d)
@@ -277,14 +277,14 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if g.servers[1].store.Fault() == "" {
-		t.Error("nothing is said of the disk")
+		t.Error("the status has no disk fault")
 	}
 	if v := g.waitFor("the others go on", func(v transport.Status) bool { return v.Name != "v1" && len(v.Roles) == 3 }); v.Name == "v1" {
 		t.Error("it leads")
 	}
 }
 
-// A question that is asked of a voter that does not lead is told whom to ask; what is too long is not taken.
+// A voter that does not lead names the leader; what is too long is rejected.
 func TestRequestsAreRedirectedToLeader(t *testing.T) {
 	g := newTestGroup(t, 3)
 	lead := g.leader()
@@ -300,7 +300,7 @@
 		}
 	}
 	if d := g.submit(lease.Command{Kind: lease.CommandDefine, Role: string(make([]byte, 4096))}); d.OK {
-		t.Error("a name of 4 kB was taken")
+		t.Error("a name of 4 kB was accepted")
 	}
 	if n := len(g.servers[0].events); n > 100 {
 		t.Error(n, "events wait")
--- a/internal/standin/leasesim/checks.go
+++ b/internal/standin/leasesim/checks.go
@@ -46,7 +46,7 @@
 			if _, may := n.holder.MayAct(n.clock(s.now), name); !may {
 				continue
 			}
-			if holder != "" && !s.revokedLately(name) {
+			if holder != "" && !s.recentlyRevoked(name) {
 				s.violation("%s: %s and %s both may act", name, holder, n.name)
 			}
 			holder = n.name
@@ -54,8 +54,8 @@
 	}
 }
 
-// revokedLately tells whether a lease of before the revocation may still run.
-func (s *simulation) revokedLately(role string) bool {
+// recentlyRevoked tells whether a lease of before the revocation may still run.
+func (s *simulation) recentlyRevoked(role string) bool {
 	revokedAt, revoked := s.checker.revokedAt[role]
 	return revoked && s.now < revokedAt+s.Config.LeaseMs*(1+s.Config.MaxDrift)
 }
--- a/internal/standin/leasesim/faults.go
+++ b/internal/standin/leasesim/faults.go
@@ -8,13 +8,13 @@
 type faultKind int
 
 const (
-	pauseInstance faultKind = iota
-	pauseInstanceToo
+	suspendInstance faultKind = iota
+	suspendInstanceToo // a second number, so that it is twice as likely
 	killInstance
-	pauseVoter
+	suspendVoter
 	killVoter
 	killAllVoters
-	cutOneWay
+	partitionOneWay
 	isolateVoter
 	isolateInstance
 	slowNetwork
@@ -24,10 +24,10 @@
 	faultKinds
 )
 
-// Link faults are the kinds from cutOneWay to slowNetwork.
+// Link faults are the kinds from partitionOneWay to slowNetwork.
 const (
-	firstLinkFault = cutOneWay
-	linkFaults     = slowNetwork - cutOneWay + 1
+	firstLinkFault = partitionOneWay
+	linkFaults     = slowNetwork - partitionOneWay + 1
 )
 
 // scheduleFault draws the time of the next fault, and so on until the part without faults.
@@ -49,22 +49,22 @@
 // injectFault begins a fault, which ends by itself after the span.
 func (s *simulation) injectFault(kind faultKind, span float64) {
 	switch kind {
-	case pauseInstance, pauseInstanceToo:
+	case suspendInstance, suspendInstanceToo:
 		n := s.anyInstance()
-		s.stop(&n.process, 10*s.Config.LeaseMs*s.rng.Float64())
+		s.suspend(&n.process, 10*s.Config.LeaseMs*s.rng.Float64())
 	case killInstance:
 		s.killInstance(span)
-	case pauseVoter:
-		s.stop(&s.anyVoter().process, span)
+	case suspendVoter:
+		s.suspend(&s.anyVoter().process, span)
 	case killVoter:
 		s.killVoter(span)
 	case killAllVoters:
 		if s.rng.IntN(4) == 0 { // rarely, as nothing goes on meanwhile
 			s.killAllVoters(span)
 		}
-	case cutOneWay:
+	case partitionOneWay:
 		from, to := s.anyParty(), s.anyParty()
-		s.cut(from, to, span)
+		s.partition(from, to, span)
 	case isolateVoter:
 		s.isolateVoter(span)
 	case isolateInstance:
@@ -125,33 +125,33 @@
 	}
 }
 
-// cut partitions one party from another, one way.
-func (s *simulation) cut(from, to string, span float64) {
+// partition partitions one party from another, one way.
+func (s *simulation) partition(from, to string, span float64) {
 	way := [2]string{from, to}
 	s.partitions[way] = true
 	s.after(span, func() { delete(s.partitions, way) })
 }
 
-func (s *simulation) cutBothWays(a, b string, span float64) {
-	s.cut(a, b, span)
-	s.cut(b, a, span)
+func (s *simulation) partitionBothWays(a, b string, span float64) {
+	s.partition(a, b, span)
+	s.partition(b, a, span)
 }
 
-// isolateVoter cuts a voter off from the others, not from instances.
+// isolateVoter partitions a voter from the others, not from instances.
 func (s *simulation) isolateVoter(span float64) {
 	v := s.anyVoter()
 	for _, other := range s.voters {
 		if other != v {
-			s.cutBothWays(v.party(), other.party(), span)
+			s.partitionBothWays(v.party(), other.party(), span)
 		}
 	}
 }
 
-// isolateInstance cuts an instance off from all voters, not from the receiver.
+// isolateInstance partitions an instance from all voters, not from the receiver.
 func (s *simulation) isolateInstance(span float64) {
 	n := s.anyInstance()
 	for _, v := range s.voters {
-		s.cutBothWays(n.party(), v.party(), span)
+		s.partitionBothWays(n.party(), v.party(), span)
 	}
 }
 
@@ -174,7 +174,7 @@
 // drainInstance has an instance release all that it holds.
 func (s *simulation) drainInstance() {
 	n := s.anyInstance()
-	if n.down || n.stoppedUntil > s.now {
+	if n.down || n.suspendedUntil > s.now {
 		return
 	}
 	for _, held := range n.holder.Leases() {
--- a/internal/standin/leasesim/history.go
+++ b/internal/standin/leasesim/history.go
@@ -30,8 +30,8 @@
 
 // roleState is the model's state of one role.
 type roleState struct {
-	held  bool
-	token uint64
+	isHeld bool
+	token  uint64
 }
 
 const (
@@ -67,10 +67,10 @@
 // of it.
 func stepModel(state, input, output any) (possible bool, next any) {
 	role, o := state.(roleState), input.(operation)
-	isHolder := role.held && o.token == role.token
+	isHolder := role.isHeld && o.token == role.token
 	switch o.kind {
 	case eventGranted:
-		return !role.held && o.token > role.token, roleState{true, o.token}
+		return !role.isHeld && o.token > role.token, roleState{true, o.token}
 	case eventExpired, eventReleased, eventRevoked:
 		return isHolder, roleState{false, role.token}
 	case operationProgress:
--- a/internal/standin/leasesim/instances.go
+++ b/internal/standin/leasesim/instances.go
@@ -30,8 +30,8 @@
 const (
 	responseTimeoutMs = 400.0 // after which another voter is asked
 	effectTimeoutMs   = 600.0 // after which an effect is offered again
-	// pauseOdds: one in so many effects has its process paused between check and effect.
-	pauseOdds    = 60
+	// suspendOdds: in one of so many effects the process is suspended between check and effect.
+	suspendOdds  = 60
 	receiverName = "r"
 )
 
@@ -80,7 +80,7 @@
 		}
 	})
 	respond := func(response replica.Response) {
-		s.sendHeldUp(v.party(), n.party(), heldUpResponseOdds, func() {
+		s.sendDelayed(v.party(), n.party(), responseDelayOdds, func() {
 			if n.incarnation != incarnation {
 				return
 			}
@@ -163,7 +163,7 @@
 	s.result.Commands++
 	calledAt := s.now
 	v := s.voters[n.currentVoter%len(s.voters)]
-	s.sendHeldUp(n.party(), v.party(), heldUpCommandOdds, func() {
+	s.sendDelayed(n.party(), v.party(), commandDelayOdds, func() {
 		incarnation := v.incarnation
 		s.handle(&v.process, func() {
 			v.replica.Submit(v.clock(s.now), c, func(result lease.Result) {
@@ -206,8 +206,8 @@
 	}
 	incarnation := n.incarnation
 	e := fence.Effect{Role: j.lease.Role, Token: token, Key: strconv.Itoa(j.completed + 1)}
-	if s.faultsOn() && !s.LinkFaultsOnly && s.rng.IntN(pauseOdds) == 0 {
-		s.stop(&n.process, 10*s.Config.LeaseMs*s.rng.Float64())
+	if s.faultsOn() && !s.LinkFaultsOnly && s.rng.IntN(suspendOdds) == 0 {
+		s.suspend(&n.process, 10*s.Config.LeaseMs*s.rng.Float64())
 	}
 	s.handle(&n.process, func() {
 		if _, still := n.holder.MayAct(n.clock(s.now), e.Role); !still {
@@ -280,7 +280,7 @@
 		return
 	}
 	if number <= j.completed {
-		return // a reply that was held up
+		return // a delayed reply, of an effect that is done
 	}
 	j.completed = number
 	j.progressSeq++
--- a/internal/standin/leasesim/simulation.go
+++ b/internal/standin/leasesim/simulation.go
@@ -1,6 +1,6 @@
 // Package leasesim simulates the leases of singleton roles: voters, instances and a fenced
 // receiver on a virtual clock, with faults drawn from a seed. Messages are late, lost or cut one
-// way; processes are stopped between a check and its effect, or killed; disks are lost; clocks
+// way; processes are suspended between a check and its effect, or killed; disks are lost; clocks
 // drift. What must hold is checked after every event, from outside: at the receiver, and over all
 // processes at once.
 //
@@ -33,7 +33,7 @@
 	Config           lease.Config
 	ClockDrift       float64 // that clocks really have; Config.MaxDrift is what the leases allow for
 	EffectIntervalMs float64 // between two effects of a holder, on average
-	LinkFaultsOnly   bool    // partitions and delays alone: nothing is stopped, killed or lost
+	LinkFaultsOnly   bool    // partitions and delays alone: nothing is suspended, killed or lost
 }
 
 // Result is the outcome of a run.
@@ -101,10 +101,10 @@
 	}
 	for s.Len() > 0 && len(s.result.Violations) < maxViolations {
 		e := s.next()
-		if e.at > p.DurationMs {
+		if e.time > p.DurationMs {
 			break
 		}
-		s.now = e.at
+		s.now = e.time
 		if !s.faultFree && s.now > p.DurationMs-p.FaultFreeMs {
 			s.endFaults()
 		}
@@ -135,7 +135,7 @@
 
 // event is something that happens at a time.
 type event struct {
-	at       float64
+	time     float64
 	sequence int // breaks ties: events of one time happen in the order they were scheduled
 	run      func()
 }
@@ -155,20 +155,22 @@
 
 func (q *eventQueue) next() event { return heap.Pop(q).(event) }
 
-// Len, Less, Swap, Push and Pop are heap.Interface's.
+// Len is the number of events that wait (heap.Interface).
 func (q *eventQueue) Len() int { return len(q.events) }
 
+// Less orders events by time, then by sequence (heap.Interface).
 func (q *eventQueue) Less(i, j int) bool {
 	a, b := q.events[i], q.events[j]
-	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
+	return a.time < b.time || a.time == b.time && a.sequence < b.sequence
 }
 
+// Swap swaps two events (heap.Interface).
 func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
 
-// Push adds an event at the end.
+// Push adds an event at the end (heap.Interface).
 func (q *eventQueue) Push(x any) { q.events = append(q.events, x.(event)) }
 
-// Pop removes the event at the end.
+// Pop removes the event at the end (heap.Interface).
 func (q *eventQueue) Pop() any {
 	last := len(q.events) - 1
 	e := q.events[last]
@@ -178,12 +180,12 @@
 
 // process is a voter or an instance: a steady clock of its own, and whether it runs.
 type process struct {
-	rate         float64 // of its clock against the true one
-	offset       float64
-	stoppedUntil float64
-	down         bool
-	incarnation  int
-	deferred     []func() // what arrived while it was stopped
+	rate           float64 // of its clock against the true one
+	offset         float64
+	suspendedUntil float64
+	down           bool
+	incarnation    int
+	deferred       []func() // what arrived while it was suspended
 }
 
 func (s *simulation) newProcess() process {
@@ -195,12 +197,12 @@
 
 // start begins another incarnation.
 func (p *process) start() {
-	p.down, p.deferred, p.stoppedUntil = false, nil, 0
+	p.down, p.deferred, p.suspendedUntil = false, nil, 0
 	p.incarnation++
 }
 
 func (p *process) kill() {
-	p.down, p.deferred, p.stoppedUntil = true, nil, 0
+	p.down, p.deferred, p.suspendedUntil = true, nil, 0
 	p.incarnation++
 }
 
@@ -208,25 +210,25 @@
 func (s *simulation) handle(p *process, do func()) {
 	switch {
 	case p.down:
-	case p.stoppedUntil > s.now:
+	case p.suspendedUntil > s.now:
 		p.deferred = append(p.deferred, do)
 	default:
 		do()
 	}
 }
 
-// stop stops a process for a time. What arrives meanwhile it handles after that.
-func (s *simulation) stop(p *process, span float64) {
-	if p.down || p.stoppedUntil > s.now {
+// suspend suspends a process for a time. What arrives meanwhile it handles after that.
+func (s *simulation) suspend(p *process, span float64) {
+	if p.down || p.suspendedUntil > s.now {
 		return
 	}
-	p.stoppedUntil = s.now + span
+	p.suspendedUntil = s.now + span
 	incarnation := p.incarnation
 	s.after(span, func() {
 		if p.incarnation != incarnation || p.down {
 			return
 		}
-		p.stoppedUntil = 0
+		p.suspendedUntil = 0
 		deferred := p.deferred
 		p.deferred = nil
 		for _, do := range deferred {
@@ -238,20 +240,20 @@
 	})
 }
 
-// One in so many messages is held up for leases, and arrives behind newer ones.
+// One in so many messages is delayed for leases, and arrives behind newer ones.
 const (
-	heldUpOdds         = 200
-	heldUpResponseOdds = 60
-	heldUpCommandOdds  = 25
+	delayOdds         = 200
+	responseDelayOdds = 60
+	commandDelayOdds  = 25
 )
 
 // send delivers something from one party to another, late, or not at all.
 func (s *simulation) send(from, to string, deliver func()) {
-	s.sendHeldUp(from, to, heldUpOdds, deliver)
+	s.sendDelayed(from, to, delayOdds, deliver)
 }
 
-// sendHeldUp is send with odds of its own for being held up.
-func (s *simulation) sendHeldUp(from, to string, odds int, deliver func()) {
+// sendDelayed is send with odds of its own for a long delay.
+func (s *simulation) sendDelayed(from, to string, odds int, deliver func()) {
 	s.result.Messages++
 	if s.partitions[[2]string{from, to}] {
 		return
--- a/internal/standin/leasesim/voters.go
+++ b/internal/standin/leasesim/voters.go
@@ -35,7 +35,7 @@
 
 // leads tells whether the voter runs, leads, and may act as the lessor.
 func (s *simulation) leads(v *simVoter) bool {
-	running := !v.down && v.stoppedUntil <= s.now
+	running := !v.down && v.suspendedUntil <= s.now
 	return running && v.replica.IsLeader() && v.replica.Lessor.IsLeader()
 }
 
--- a/internal/standin/singlevoter/singlevoter.go
+++ b/internal/standin/singlevoter/singlevoter.go
@@ -1,4 +1,5 @@
-// Package singlevoter is one voter by itself, with a disk in memory, for tests of what asks voters.
+// Package singlevoter runs one voter by itself, with its disk in memory, for tests of clients and
+// operators' commands. It says nothing of agreement between voters.
 package singlevoter
 
 import (
@@ -13,22 +14,43 @@
 	"kestrelspread/internal/fleet/lease/voter"
 )
 
-// Start runs one until the test ends, and gives what instances need to find it.
-func Start(t testing.TB, leaseMs float64) (v *voter.Server, voters []voter.Address, rules lease.Config) {
+const (
+	tickInterval     = 20 * time.Millisecond
+	failureBackoffMs = 100
+)
+
+// Start runs a voter with leases of so many ms until the test ends, and returns what clients need
+// to find it.
+func Start(t testing.TB, leaseMs float64) (server *voter.Server, voters []voter.Address, config lease.Config) {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0") // its number is kept by whoever listens there next
+	config = lease.ConfigForLease(leaseMs)
+	config.FailureBackoffMs = failureBackoffMs
+	addr := freeAddr(t)
+	voters = []voter.Address{{Name: "v0", Addr: addr}}
+	server, err := voter.Start(voter.Options{
+		Name:         "v0",
+		Listen:       addr,
+		Dir:          "voter",
+		FS:           vfs.NewMem(),
+		Voters:       voters,
+		LeaseConfig:  config,
+		TickInterval: tickInterval,
+		Log:          zerolog.Nop(),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := l.Addr().String()
-	l.Close()
-	rules = lease.ConfigForLease(leaseMs)
-	rules.FailureBackoffMs = 100
-	voters = []voter.Address{{Name: "v0", Addr: at}}
-	v, err = voter.Start(voter.Options{Name: "v0", Listen: at, Dir: "voter", FS: vfs.NewMem(), Voters: voters, LeaseConfig: rules, TickInterval: 20 * time.Millisecond, Log: zerolog.Nop()})
+	t.Cleanup(server.Close)
+	return server, voters, config
+}
+
+// freeAddr returns a loopback address that nobody listens at.
+func freeAddr(t testing.TB) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(v.Close)
-	return v, voters, rules
+	defer listener.Close()
+	return listener.Addr().String()
 }
