--- a/internal/standin/leasesim/faults.go
+++ b/internal/standin/leasesim/faults.go
@@ -8,8 +8,8 @@
 type faultKind int
 
 const (
-	suspendInstance faultKind = iota
-	suspendInstanceToo // a second number, so that it is twice as likely
+	suspendInstance    faultKind = iota
+	suspendInstanceToo           // a second number, so that it is twice as likely
 	killInstance
 	suspendVoter
 	killVoter
