--- a/internal/node/chain/pings.go
+++ b/internal/node/chain/pings.go
@@ -6,105 +6,106 @@
 	"kestrelspread/internal/node/view"
 )
 
-// watch tells the detector whom to watch: the voters; the founders while there is no view; and, while this node is outside
-// the chain, all that count.
-func (s *Store) watch() {
+// updateTargets sets the nodes that the detector watches: the voters; the founders while there is no view; and, while this node
+// is outside the chain, all members that count for a quorum.
+func (r *Replica) updateTargets() {
 	var targets []view.Target
-	for _, voter := range s.view.GetVoters() {
+	for _, voter := range r.view.GetVoters() {
 		targets = append(targets, view.Target{Address: voter.GetAddress(), DiskID: voter.GetDiskId()})
 	}
-	for _, founder := range s.founders {
+	for _, founder := range r.founders {
 		targets = append(targets, view.Target{Address: founder})
 	}
-	if !s.inChain() {
-		for _, member := range s.peers {
+	if !r.inChain() {
+		for _, member := range r.quorumMembers {
 			targets = append(targets, view.Target{Address: member.GetAddress()})
 		}
 	}
-	s.detector.Watch(s.now, targets, s.view.GetVoters(), s.view == nil)
+	r.detector.Watch(r.now, targets, r.view.GetVoters(), r.view == nil)
 }
 
-// told is what this node says of itself.
-func (s *Store) told() view.Told {
-	return view.Told{
-		Voter:       s.options.Self,
-		Epoch:       view.Epoch(s.view),
-		Committed:   s.committed.index,
-		DiskHealthy: s.writer.healthy(s.now),
-		Counts:      s.diskID() != "",
-		Founding:    len(s.founders) > 0,
-		Wedged:      s.wedged,
-		Missing:     s.detector.MissingVoters(),
+// selfReport is what this node reports of itself in pings and pongs.
+func (r *Replica) selfReport() view.Report {
+	return view.Report{
+		Voter:             r.options.Self,
+		Epoch:             view.Epoch(r.view),
+		Committed:         r.committed.index,
+		DiskHealthy:       r.writer.healthy(r.now),
+		CountsForQuorum:   r.diskID() != "",
+		Founding:          len(r.founders) > 0,
+		Wedged:            r.wedged,
+		UnreachableVoters: r.detector.UnreachableVoters(),
 	}
 }
 
-func (s *Store) pingDue() {
-	due := s.detector.Due()
+func (r *Replica) sendDuePings() {
+	due := r.detector.DuePings()
 	if len(due) == 0 {
 		return
 	}
-	told := s.told()
-	for _, probe := range due {
-		s.sendPing(probe, told)
+	report := r.selfReport()
+	for _, ping := range due {
+		r.sendPing(ping, report)
 	}
 }
 
-func (s *Store) ping(address string) {
-	s.sendPing(view.Probe{Address: address, Via: s.detector.Route(address)}, s.told())
+// sendPingNow pings a node outside the usual interval.
+func (r *Replica) sendPingNow(address string) {
+	r.sendPing(view.DuePing{Address: address, Via: r.detector.Route(address)}, r.selfReport())
 }
 
-func (s *Store) sendPing(probe view.Probe, told view.Told) {
-	ping := s.detector.Ping(probe.Address, probe.Via, told)
-	ping.View = s.viewFor(probe.Address)
-	s.emit(core.Send{
-		Destination: probe.Address,
-		Via:         probe.Via,
+func (r *Replica) sendPing(due view.DuePing, report view.Report) {
+	ping := r.detector.NewPing(due.Address, due.Via, report)
+	ping.View = r.viewIfOutdated(due.Address)
+	r.emit(core.Send{
+		Destination: due.Address,
+		Via:         due.Via,
 		Message:     &nodepb.Envelope{Body: &nodepb.Envelope_VoterPing{VoterPing: ping}},
 	})
 }
 
-// SetRelays names the nodes that may relay messages to core machines that can't be reached directly, best first.
-func (s *Store) SetRelays(addresses []string) { s.detector.SetRelays(addresses) }
+// SetRelays sets the addresses of the nodes that may relay messages to core machines without a direct path, best first.
+func (r *Replica) SetRelays(addresses []string) { r.detector.SetRelays(addresses) }
 
-// Route is the internal address of the node by which messages to the address should go just now; empty: directly. Pings and
-// pongs take the way that they are to prove.
-func (s *Store) Route(address string) string { return s.detector.Route(address) }
+// Route is the internal address of the relay by which messages to the address should go at present; empty: directly. Pings and
+// pongs name the path that they are to prove themselves.
+func (r *Replica) Route(address string) string { return r.detector.Route(address) }
 
-// viewFor is the view if the node at the address was last seen with an older one.
-func (s *Store) viewFor(address string) *nodepb.View {
-	told := s.detector.Told(address)
-	if told == nil || s.view == nil || told.Epoch >= s.view.GetEpoch() {
+// viewIfOutdated is the view if the last report of the node at the address names an older one, else nil.
+func (r *Replica) viewIfOutdated(address string) *nodepb.View {
+	report := r.detector.LastReport(address)
+	if report == nil || r.view == nil || report.Epoch >= r.view.GetEpoch() {
 		return nil
 	}
-	return s.view
+	return r.view
 }
 
-func (s *Store) receivePing(from core.Peer, ping *nodepb.VoterPing) {
-	pong := s.detector.Pinged(from.Address, from.Via, ping, s.told())
-	s.learn(ping.GetView())
-	pong.Epoch = view.Epoch(s.view)
-	pong.View = s.viewFor(from.Address)
-	s.emit(core.Send{
+func (r *Replica) receivePing(from core.Peer, ping *nodepb.VoterPing) {
+	pong := r.detector.ReceivePing(from.Address, from.Via, ping, r.selfReport())
+	r.installView(ping.GetView())
+	pong.Epoch = view.Epoch(r.view)
+	pong.View = r.viewIfOutdated(from.Address)
+	r.emit(core.Send{
 		Destination: from.Address,
 		Via:         from.Via,
 		Message:     &nodepb.Envelope{Body: &nodepb.Envelope_VoterPong{VoterPong: pong}},
 	})
-	s.heard(from, ping.GetEpoch())
+	r.afterContact()
 }
 
-func (s *Store) receivePong(from core.Peer, pong *nodepb.VoterPong) {
-	s.detector.Ponged(from.Address, from.Via, pong)
-	s.learn(pong.GetView())
-	if s.viewFor(from.Address) != nil {
-		s.sendView(from.Address)
+func (r *Replica) receivePong(from core.Peer, pong *nodepb.VoterPong) {
+	r.detector.ReceivePong(from.Address, from.Via, pong)
+	r.installView(pong.GetView())
+	if r.viewIfOutdated(from.Address) != nil {
+		r.sendView(from.Address)
 	}
-	s.heard(from, pong.GetEpoch())
+	r.afterContact()
 }
 
-// heard follows up on a ping or pong.
-func (s *Store) heard(from core.Peer, epoch uint64) {
-	if s.view == nil {
-		s.considerFounding()
+// afterContact does what a new report may allow: to propose the first view, or to join.
+func (r *Replica) afterContact() {
+	if r.view == nil {
+		r.considerFirstView()
 	}
-	s.joinDue()
+	r.requestJoinIfDue()
 }
--- a/internal/node/control/inputs.go
+++ b/internal/node/control/inputs.go
@@ -67,7 +67,7 @@
 
 // compact writes a checkpoint. At most one is in flight: checkpointToken is its token until Written.
 func (n *Node) compact(now core.Time) {
-	outputs := n.store.Compact(now)
+	outputs := n.store.RequestCheckpoint(now)
 	for _, output := range outputs {
 		if write, ok := output.(core.Write); ok && write.Checkpoint {
 			n.checkpointToken = write.Token
@@ -129,7 +129,7 @@
 // HandOver makes this node leave the chain, or at least give up its head, before it shuts down.
 func (n *Node) HandOver(now core.Time) []core.Output {
 	if n.store != nil {
-		n.execute(now, n.store.Transfer(now))
+		n.execute(now, n.store.HandOver(now))
 	}
 	return n.takeOutputs()
 }
--- a/internal/node/rollout/broker.go
+++ b/internal/node/rollout/broker.go
@@ -108,12 +108,12 @@
 	return b.observedVersions[b.targetModel] >= b.targetVersion
 }
 
-// inProgress reports whether the rollout is under way at the broker.
+// inProgress reports whether the rollout is in progress at the broker.
 func (b *broker) inProgress() bool { return b.phase != idle }
 
 // hasForeignMark reports whether the registry shows a mark that this machine has not set, or has
 // cleared.
-func (b *broker) hasForeignMark() bool { return b.instance.LoadingFence != 0 && !b.marked }
+func (b *broker) hasForeignMark() bool { return b.instance.LoadingFencingToken != 0 && !b.marked }
 
 // foreignMarkCountsAt is when a foreign mark counts as another holder's: one that this machine has
 // just cleared may show for a while.
