--- a/internal/fleet/bear/bear.go
+++ b/internal/fleet/capacity/capacity.go
@@ -1,11 +1,11 @@
-// Package bear learns which share of what is asked servers bear while they are full, and plans with it: below which worth
+// Package capacity learns which share of what is asked servers bear while they are full, and plans with it: below which worth
 // searches are refused. It is a reducer: what was asked and how it ended goes in, a line comes out; no I/O, no clock, no chance.
 //
 // A broker sees only its own part of the load, and knows nothing of a server's capacity. What it can see is harm: its work
 // turned away, or late. So it gives a share of what is asked back, the least of worth first, for as long as harm lasts, and
 // feels its way up again. All brokers see the same servers and go by the same steps, each of its own: the shares come out
 // alike, and the sum is what servers bear. When a site is lost, the share is held against what is left at once.
-package bear
+package capacity
 
 import (
 	"math"
--- a/internal/fleet/bear/plant_blind.go
+++ b/internal/fleet/capacity/plant_blind.go
@@ -1,6 +1,6 @@
 //go:build plant_blind
 
-package bear
+package capacity
 
 const (
 	plantMost  = false
--- a/internal/fleet/bear/plant_most.go
+++ b/internal/fleet/capacity/plant_most.go
@@ -1,6 +1,6 @@
 //go:build plant_most
 
-package bear
+package capacity
 
 const (
 	plantMost  = true
--- a/internal/fleet/bear/plant_none.go
+++ b/internal/fleet/capacity/plant_none.go
@@ -1,6 +1,6 @@
 //go:build !plant_most && !plant_stuck && !plant_blind
 
-package bear
+package capacity
 
 // Planted defects, each behind a build tag: TestPlantedDefects shows that each is found.
 const (
--- a/internal/fleet/bear/plant_stuck.go
+++ b/internal/fleet/capacity/plant_stuck.go
@@ -1,6 +1,6 @@
 //go:build plant_stuck
 
-package bear
+package capacity
 
 const (
 	plantMost  = false
--- a/internal/fleet/bear/port.go
+++ b/internal/fleet/capacity/port.go
@@ -1,4 +1,4 @@
-package bear
+package capacity
 
 import (
 	"fmt"
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/shedding/shedding.go
@@ -1,7 +1,7 @@
-// Package order is the one written order in which searches are refused where not all can be taken: whoever is on call can
+// Package shedding is the one written order in which searches are refused where not all can be taken: whoever is on call can
 // read it before the day on which it acts. It makes of the settings and the operator's file what each search counts with; who
 // is refused by that, and when, is the module's to decide. Pure.
-package order
+package shedding
 
 import (
 	"fmt"
--- a/internal/fleet/order/order_test.go
+++ b/internal/fleet/shedding/shedding_test.go
@@ -1,4 +1,4 @@
-package order
+package shedding
 
 import (
 	"flag"
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,7 +24,7 @@
 
 	"kestrelspread/deploy"
 	"kestrelspread/internal/channels"
-	"kestrelspread/internal/fleet/order"
+	"kestrelspread/internal/fleet/shedding"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/passthrough"
@@ -55,7 +55,7 @@
 	Talk   *Talk
 	Sites  bool // whole sites are watched; talk needs it
 	Borne  bool // and what servers bear while they are full is learnt
-	Order  *order.Worths
+	Order  *shedding.Worths
 	Owner  *Owner
 }
 
@@ -357,7 +357,7 @@
 	}
 	if o := f.Order; o != nil {
 		values, kinds, customers := types(set)
-		r := order.Rules{Retries: o.Retries}
+		r := shedding.Rules{Retries: o.Retries}
 		place := func(path, name string, among map[string]int, what string) int {
 			at, known := among[name]
 			if !known {
@@ -383,7 +383,7 @@
 			r.Bulk = append(r.Bulk, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
 		}
 		if len(bad) == 0 {
-			w := order.Of(values, set.Count("customers"), r)
+			w := shedding.Of(values, set.Count("customers"), r)
 			s.Order = &w
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"kestrelspread/internal/decide"
-	"kestrelspread/internal/fleet/bear"
+	"kestrelspread/internal/fleet/capacity"
 	"kestrelspread/internal/fleet/site"
 )
 
@@ -153,11 +153,11 @@
 	return p
 }
 
-// Planned gives one that is also told what servers bear while they are full (internal/fleet/bear).
+// Planned gives one that is also told what servers bear while they are full (internal/fleet/capacity).
 func (v Values) Planned(out decide.Out, seed uint64) decide.Port {
 	own := v.Whole("zone", 0)
 	p := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
-		return bear.Watch(out, bear.Usual, func(out decide.Out) decide.Port {
+		return capacity.Watch(out, capacity.Usual, func(out decide.Out) decide.Port {
 			return decide.New(out, seed, v.Whole("balancers", 1), own)
 		})
 	})
--- a/internal/standin/crowd/crowd_test.go
+++ b/internal/standin/crowd/crowd_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"kestrelspread/internal/decide"
-	"kestrelspread/internal/fleet/bear"
-	"kestrelspread/internal/fleet/order"
+	"kestrelspread/internal/fleet/capacity"
+	"kestrelspread/internal/fleet/shedding"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/standin/station"
 )
@@ -134,13 +134,13 @@
 	p := half(1000)
 	p.Kinds = []Kind{{Share: 0.4, Parts: 10, Target: 500, Timeout: 1500}, {Share: 0.4, Parts: 10, Target: 500, Timeout: 1500},
 		{Share: 0.2, Parts: 10, Target: 500, Timeout: 1500, Customer: 1}}
-	run := func(p Plan, planned bool, r order.Rules) (in []float64, all float64) {
+	run := func(p Plan, planned bool, r shedding.Rules) (in []float64, all float64) {
 		q := p
 		q.Port = func(out decide.Out, seed uint64, own int) decide.Port {
 			module := func(out decide.Out) decide.Port { return decide.New(out, seed, p.Brokers, own) }
 			port := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
 				if planned {
-					return bear.Watch(out, bear.Usual, module)
+					return capacity.Watch(out, capacity.Usual, module)
 				}
 				return module(out)
 			})
@@ -155,7 +155,7 @@
 			port.Advice(500)
 			port.Cold(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
 			port.Probes()
-			order.Of([]float64{1, 1, 1}, 2, r).Tell(port)
+			shedding.Of([]float64{1, 1, 1}, 2, r).Tell(port)
 			return port
 		}
 		res := Run(q)
@@ -171,8 +171,8 @@
 		}
 		return in, share(res, 5, 11)
 	}
-	first := order.Rules{First: [][]int{{0}}, Bulk: []int{1}}
-	plain, _ := run(p, false, order.Rules{})
+	first := shedding.Rules{First: [][]int{{0}}, Bulk: []int{1}}
+	plain, _ := run(p, false, shedding.Rules{})
 	ordered, _ := run(p, false, first)
 	t.Logf("in time by type: %.2f without an order, %.2f with the first type refused first and all of one customer before it", plain, ordered)
 	if plain[1] > 0.95 {
