--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -48,7 +48,7 @@
 			}
 			if s.Order != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), "order: refused first, where not all can be taken")
-				for i, line := range s.Order.Text(full.Names(set)) {
+				for i, line := range s.Order.Describe(full.Names(set)) {
 					fmt.Fprintf(cmd.OutOrStdout(), "  %d. %s\n", i+1, line)
 				}
 			}
--- a/internal/broker/full/full.go
+++ b/internal/broker/full/full.go
@@ -84,8 +84,8 @@
 			p.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
 		}
 		if s.Order != nil {
-			s.Order.Tell(p.Router.Port())
-			p.Log.Info().Strs("first", s.Order.Text(Names(p.Set))).Msg("an order of refusals")
+			s.Order.Apply(p.Router.Port())
+			p.Log.Info().Strs("first", s.Order.Describe(Names(p.Set))).Msg("an order of refusals")
 		}
 		sees := &sightings{}
 		port, sighted := p.Router.Port().(*site.Port)
--- a/internal/fleet/capacity/capacity.go
+++ b/internal/fleet/capacity/capacity.go
@@ -14,104 +14,104 @@
 	"kestrelspread/internal/window"
 )
 
-// Rules are the steps. What they bring is measured in docs/measure/site.md.
-type Rules struct {
-	Span   float64 // ms over which it is told who asks for what
-	Every  float64 // ms between two steps
-	Few    float64 // sub-requests that ended, under which a step waits
-	Harm   float64 // share of them that were turned away or late: over it, back
-	Calm   float64 // under it, up. Servers' queues differ by chance: where some are full, others are idle still
-	Strict float64 // harm that is too much while less valued ones are still taken
-	Down   float64 // a step back
-	Up     float64
-	Least  float64 // share that is always taken, or nothing would be heard of servers again
-	Late   float64 // share of its latency target past which one sub-request is harm: its search waits for the slowest
-	Levels int     // of worth that are told apart, at most
+// Config are the steps. What they bring is measured in docs/measure/site.md.
+type Config struct {
+	WindowMs       float64 // ms over which it is told who asks for what
+	StepIntervalMs float64 // ms between two steps
+	MinOutcomes    float64 // sub-requests that ended, under which a step waits
+	MaxHarm        float64 // share of them that were turned away or late: over it, back
+	LowHarm        float64 // under it, up. Servers' queues differ by chance: where some are full, others are idle still
+	MaxHarmOfTop   float64 // harm that is too much while less valued ones are still taken
+	DecreaseFactor float64 // a step back
+	IncreaseFactor float64
+	MinShare       float64 // share that is always taken, or nothing would be heard of servers again
+	LateFraction   float64 // share of its latency target past which one sub-request is harm: its search waits for the slowest
+	MaxLevels      int     // of worth that are told apart, at most
 }
 
-// Usual are the rules that brokers go by.
-var Usual = Rules{Span: 8000, Every: 250, Few: 12, Harm: 0.4, Calm: 0.3, Strict: 0.2, Down: 0.95, Up: 1.02, Least: 0.05, Late: 0.6, Levels: 64}
+// DefaultConfig are the rules that brokers go by.
+var DefaultConfig = Config{WindowMs: 8000, StepIntervalMs: 250, MinOutcomes: 12, MaxHarm: 0.4, LowHarm: 0.3, MaxHarmOfTop: 0.2, DecreaseFactor: 0.95, IncreaseFactor: 1.02, MinShare: 0.05, LateFraction: 0.6, MaxLevels: 64}
 
-// End is how a sub-request ended, as far as it tells of what its server bears.
-type End uint8
+// Outcome is how a sub-request ended, as far as it tells of what its server bears.
+type Outcome uint8
 
 // How a sub-request ended, as far as the plan has to know.
 const (
-	Well End = iota
-	Harm     // turned away, or late
-	Mute     // it tells nothing: unreachable, reset, called off early
+	OutcomeOK      Outcome = iota
+	OutcomeHarmed          // turned away, or late
+	OutcomeUnknown         // it tells nothing: unreachable, reset, called off early
 )
 
-// Line is what servers bear: searches worth less than Worth are beyond it, and of those worth just that the share Beyond.
+// Threshold is what servers bear: searches worth less than Worth are beyond it, and of those worth just that the share Beyond.
 // Worth 0: all are borne, or nothing is known.
-type Line struct{ Worth, Beyond float64 }
+type Threshold struct{ Value, RejectedShare float64 }
 
 type level struct {
-	worth float64
-	asked *window.Counts // sub-requests that searches of this worth need
-	at    float64        // the latest
+	value        float64
+	demand       *window.Counts // sub-requests that searches of this worth need
+	lastDemandAt float64        // the latest
 }
 
-// Plan is one broker's.
-type Plan struct {
-	rules       Rules
-	now         float64
-	at          float64 // of the latest step
-	levels      []level // by worth, the least first
-	size        float64
-	share       float64    // of what is asked; 1: no line
-	ended, hurt [2]float64 // since the latest step: of all, and of the most valued type
-	line        Line
-	Back        int // steps back, for reports
+// Estimator is one broker's.
+type Estimator struct {
+	config           Config
+	now              float64
+	lastStepAt       float64 // of the latest step
+	levels           []level // by worth, the least first
+	usable           float64
+	admittedShare    float64    // of what is asked; 1: no line
+	outcomes, harmed [2]float64 // since the latest step: of all, and of the most valued type
+	threshold        Threshold
+	Decreases        int // steps back, for reports
 }
 
 // New makes a plan without a line.
-func New(rules Rules) *Plan {
-	return &Plan{rules: rules, at: math.Inf(-1), share: 1}
+func New(rules Config) *Estimator {
+	return &Estimator{config: rules, lastStepAt: math.Inf(-1), admittedShare: 1}
 }
 
-// Size is how much there is to carry it: of what is listed, ready and at no lost site, in the units of the list. Where a line is
+// SetUsable is how much there is to carry it: of what is listed, ready and at no lost site, in the units of the list. Where a line is
 // drawn already and half of that goes, half of the share is what is left: nobody has to meet the crowd first.
-func (p *Plan) Size(usable float64) {
+func (p *Estimator) SetUsable(usable float64) {
 	if usable <= 0 {
 		return // nothing can be asked then, and of nothing no share of what comes back could be told
 	}
-	if p.share < 1 && p.size > 0 && usable != p.size && !plantBlind {
-		p.share = min(max(p.share*usable/p.size, p.rules.Least), 1)
+	if p.admittedShare < 1 && p.usable > 0 && usable != p.usable && !plantBlind {
+		p.admittedShare = min(max(p.admittedShare*usable/p.usable, p.config.MinShare), 1)
 	}
-	p.size = usable
+	p.usable = usable
 }
 
-// Share is what of all that is asked is taken.
-func (p *Plan) Share() float64 { return p.share }
+// AdmittedShare is what of all that is asked is taken.
+func (p *Estimator) AdmittedShare() float64 { return p.admittedShare }
 
-// Line is the latest.
-func (p *Plan) Line() Line { return p.line }
+// Threshold is the latest.
+func (p *Estimator) Threshold() Threshold { return p.threshold }
 
-// Begin opens a turn. Times never fall.
-func (p *Plan) Begin(now float64) { p.now = now }
+// BeginTurn opens a turn. Times never fall.
+func (p *Estimator) BeginTurn(now float64) { p.now = now }
 
-// Asked counts a search that came, by what it is worth and its number of parts.
-func (p *Plan) Asked(worth float64, parts int) {
-	at := sort.Search(len(p.levels), func(i int) bool { return p.levels[i].worth >= worth })
-	if at == len(p.levels) || p.levels[at].worth != worth {
-		if len(p.levels) >= p.rules.Levels && !p.forget() {
+// RecordDemand counts a search that came, by what it is worth and its number of parts.
+func (p *Estimator) RecordDemand(worth float64, parts int) {
+	at := sort.Search(len(p.levels), func(i int) bool { return p.levels[i].value >= worth })
+	if at == len(p.levels) || p.levels[at].value != worth {
+		if len(p.levels) >= p.config.MaxLevels && !p.dropStaleLevel() {
 			at = max(min(at, len(p.levels))-1, 0) // counted with the next lower one
 		} else {
-			at = sort.Search(len(p.levels), func(i int) bool { return p.levels[i].worth >= worth })
+			at = sort.Search(len(p.levels), func(i int) bool { return p.levels[i].value >= worth })
 			p.levels = append(p.levels, level{})
 			copy(p.levels[at+1:], p.levels[at:])
-			p.levels[at] = level{worth: worth, asked: window.NewCounts(10, p.rules.Span/8)}
+			p.levels[at] = level{value: worth, demand: window.NewCounts(10, p.config.WindowMs/8)}
 		}
 	}
-	p.levels[at].asked.Add(p.now, float64(parts))
-	p.levels[at].at = p.now
+	p.levels[at].demand.Add(p.now, float64(parts))
+	p.levels[at].lastDemandAt = p.now
 }
 
-// forget drops a level that nobody has asked at for long.
-func (p *Plan) forget() bool {
+// dropStaleLevel drops a level that nobody has asked at for long.
+func (p *Estimator) dropStaleLevel() bool {
 	for i := range p.levels {
-		if p.now-p.levels[i].at > 2*p.rules.Span {
+		if p.now-p.levels[i].lastDemandAt > 2*p.config.WindowMs {
 			p.levels = append(p.levels[:i], p.levels[i+1:]...)
 			return true
 		}
@@ -119,79 +119,79 @@
 	return false
 }
 
-// Ended counts n sub-requests that came back, of the most valued type (top) or of another. One of the most
+// RecordOutcomes counts n sub-requests that came back, of the most valued type (top) or of another. One of the most
 // valued that is refused by anything else than the line was harmed in all its parts.
-func (p *Plan) Ended(how End, top bool, n float64) {
-	for i := range p.ended {
-		if how == Mute || i == ofTop && !top {
+func (p *Estimator) RecordOutcomes(how Outcome, top bool, n float64) {
+	for i := range p.outcomes {
+		if how == OutcomeUnknown || i == measureTop && !top {
 			break
 		}
-		if p.ended[i] += n; how == Harm {
-			p.hurt[i] += n
+		if p.outcomes[i] += n; how == OutcomeHarmed {
+			p.harmed[i] += n
 		}
 	}
 }
 
 const (
-	ofAll = 0
-	ofTop = 1
+	measureAll = 0
+	measureTop = 1
 )
 
-// Strict tells whether less valued searches are taken still: then the most valued are to come to no harm by them.
-func (p *Plan) Strict() bool {
+// AdmitsLowerValues tells whether less valued searches are taken still: then the most valued are to come to no harm by them.
+func (p *Estimator) AdmitsLowerValues() bool {
 	n := len(p.levels)
-	return n > 1 && p.line.Worth < p.levels[n-1].worth
+	return n > 1 && p.threshold.Value < p.levels[n-1].value
 }
 
-// End closes a turn: true where the line has moved.
-func (p *Plan) End() bool {
-	if p.now < p.at+p.rules.Every {
+// EndTurn closes a turn: true where the line has moved.
+func (p *Estimator) EndTurn() bool {
+	if p.now < p.lastStepAt+p.config.StepIntervalMs {
 		return false
 	}
-	p.at = p.now
-	if p.ended[ofAll] >= p.rules.Few {
-		most, calm, of := p.rules.Harm, p.rules.Calm, ofAll
-		if p.Strict() {
+	p.lastStepAt = p.now
+	if p.outcomes[measureAll] >= p.config.MinOutcomes {
+		most, calm, of := p.config.MaxHarm, p.config.LowHarm, measureAll
+		if p.AdmitsLowerValues() {
 			// What is slow to one type is quick to another: while there are enough of the most valued, they are the measure.
-			if most, calm = p.rules.Strict, p.rules.Strict/2; p.ended[ofTop] >= p.rules.Few/2 {
-				of = ofTop
+			if most, calm = p.config.MaxHarmOfTop, p.config.MaxHarmOfTop/2; p.outcomes[measureTop] >= p.config.MinOutcomes/2 {
+				of = measureTop
 			}
 		}
-		switch harm := p.hurt[of] / p.ended[of]; {
+		switch harm := p.harmed[of] / p.outcomes[of]; {
 		case harm > most:
-			p.share = max(p.share*p.rules.Down, p.rules.Least)
-			p.Back++
+			p.admittedShare = max(p.admittedShare*p.config.DecreaseFactor, p.config.MinShare)
+			p.Decreases++
 		case harm < calm && !plantStuck:
-			p.share = min(p.share*p.rules.Up, 1)
+			p.admittedShare = min(p.admittedShare*p.config.IncreaseFactor, 1)
 		}
-		p.ended, p.hurt = [2]float64{}, [2]float64{}
-	} else if p.ended[ofAll] == 0 && p.share < 1 {
-		p.share = min(p.share*p.rules.Up, 1) // nothing is heard: whoever asks now is to find out
+		p.outcomes, p.harmed = [2]float64{}, [2]float64{}
+	} else if p.outcomes[measureAll] == 0 && p.admittedShare < 1 {
+		p.admittedShare = min(p.admittedShare*p.config.IncreaseFactor, 1) // nothing is heard: whoever asks now is to find out
 	}
-	was := p.line
-	p.line = p.draw()
-	return p.line != was
+	was := p.threshold
+	p.threshold = p.findThreshold()
+	return p.threshold != was
 }
 
-// draw finds the worth under which what is beyond the share lies.
-func (p *Plan) draw() Line {
-	if p.share >= 1 {
-		return Line{}
+// findThreshold finds the worth under which what is beyond the share lies.
+func (p *Estimator) findThreshold() Threshold {
+	if p.admittedShare >= 1 {
+		return Threshold{}
 	}
 	all := 0.0
 	for i := range p.levels {
-		all += p.levels[i].asked.Sum(p.now, p.rules.Span)
+		all += p.levels[i].demand.Sum(p.now, p.config.WindowMs)
 	}
-	beyond := (1 - p.share) * all
+	beyond := (1 - p.admittedShare) * all
 	for i := range p.levels {
 		if plantMost {
 			i = len(p.levels) - 1 - i
 		}
-		asked := p.levels[i].asked.Sum(p.now, p.rules.Span)
+		asked := p.levels[i].demand.Sum(p.now, p.config.WindowMs)
 		if asked > 0 && asked >= beyond {
-			return Line{p.levels[i].worth, beyond / asked}
+			return Threshold{p.levels[i].value, beyond / asked}
 		}
 		beyond -= asked
 	}
-	return Line{}
+	return Threshold{}
 }
--- a/internal/fleet/capacity/capacity_test.go
+++ b/internal/fleet/capacity/capacity_test.go
@@ -8,173 +8,173 @@
 	"testing"
 )
 
-// fleet is a plan before servers that bear so many sub-requests a second: what is taken beyond it comes to harm.
-type fleet struct {
-	*Plan
-	t       *testing.T
-	rng     *rand.Rand
-	now     float64
-	bears   float64
-	rates   []float64
-	worths  []float64
-	taken   []float64 // of each, in the last stretch
-	harmful float64
+// simulatedFleet is a plan before servers that bear so many sub-requests a second: what is taken beyond it comes to harm.
+type simulatedFleet struct {
+	*Estimator
+	t              *testing.T
+	rng            *rand.Rand
+	now            float64
+	serverCapacity float64
+	rates          []float64
+	values         []float64
+	admitted       []float64 // of each, in the last stretch
+	harmful        float64
 }
 
-func newFleet(t *testing.T, bears float64, rates ...float64) *fleet {
-	f := &fleet{Plan: New(Usual), t: t, rng: rand.New(rand.NewPCG(1, 1)), now: 1000, bears: bears, rates: rates}
+func newFleet(t *testing.T, bears float64, rates ...float64) *simulatedFleet {
+	f := &simulatedFleet{Estimator: New(DefaultConfig), t: t, rng: rand.New(rand.NewPCG(1, 1)), now: 1000, serverCapacity: bears, rates: rates}
 	for i := range rates {
-		f.worths = append(f.worths, float64(i+1))
+		f.values = append(f.values, float64(i+1))
 	}
-	f.Size(100)
+	f.SetUsable(100)
 	return f
 }
 
 // run plays so many seconds and leaves in taken what share of each type was taken.
-func (f *fleet) run(seconds float64) {
-	f.taken, f.harmful = make([]float64, len(f.rates)), 0
+func (f *simulatedFleet) run(seconds float64) {
+	f.admitted, f.harmful = make([]float64, len(f.rates)), 0
 	steps := int(seconds * 20)
 	for range steps {
 		f.now += 50
-		f.Begin(f.now)
+		f.BeginTurn(f.now)
 		sent := 0.0
 		for i, r := range f.rates {
-			f.Asked(f.worths[i], int(r/20))
-			l, share := f.Line(), 1.0
-			if l.Worth > f.worths[i] {
+			f.RecordDemand(f.values[i], int(r/20))
+			l, share := f.Threshold(), 1.0
+			if l.Value > f.values[i] {
 				share = 0
-			} else if l.Worth == f.worths[i] {
-				share = 1 - l.Beyond
+			} else if l.Value == f.values[i] {
+				share = 1 - l.RejectedShare
 			}
-			f.taken[i] += share / float64(steps)
+			f.admitted[i] += share / float64(steps)
 			sent += share * r
 		}
 		// Harm rises as servers come near to what they bear, as queues differ by chance.
-		harm := min(max(1-f.bears/max(sent, 1e-9), 0)+max(sent/f.bears-0.8, 0), 1)
+		harm := min(max(1-f.serverCapacity/max(sent, 1e-9), 0)+max(sent/f.serverCapacity-0.8, 0), 1)
 		f.harmful += harm / float64(steps)
 		for range int(sent / 20) {
 			if f.rng.Float64() < harm {
-				f.Ended(Harm, f.rng.Float64() < 0.4, 1)
+				f.RecordOutcomes(OutcomeHarmed, f.rng.Float64() < 0.4, 1)
 			} else {
-				f.Ended(Well, f.rng.Float64() < 0.4, 1)
+				f.RecordOutcomes(OutcomeOK, f.rng.Float64() < 0.4, 1)
 			}
 		}
-		f.End()
+		f.EndTurn()
 	}
 }
 
-func TestAQuietFleetHasNoLine(t *testing.T) {
+func TestFleetBelowCapacityRejectsNothing(t *testing.T) {
 	f := newFleet(t, 2000, 400, 400)
 	f.run(60)
-	if f.Share() != 1 || f.Line() != (Line{}) || f.Back > 0 {
-		t.Error(f.Share(), f.Line(), f.Back)
+	if f.AdmittedShare() != 1 || f.Threshold() != (Threshold{}) || f.Decreases > 0 {
+		t.Error(f.AdmittedShare(), f.Threshold(), f.Decreases)
 	}
 	// A morning of four times as much that servers bear is no crowd either.
 	f.rates = []float64{900, 700}
 	f.run(20)
-	if min(f.taken[0], f.taken[1]) < 0.999 {
-		t.Error("refused without harm", f.taken)
+	if min(f.admitted[0], f.admitted[1]) < 0.999 {
+		t.Error("refused without harm", f.admitted)
 	}
 }
 
-func TestTheLeastValuedAreRefusedFirst(t *testing.T) {
+func TestLowestValuesAreRejectedFirst(t *testing.T) {
 	f := newFleet(t, 1000, 500, 500, 500)
 	f.run(20)
 	f.run(30)
-	if f.taken[2] < 0.999 {
-		t.Errorf("the most valued type, which servers bear alone: %.3f taken", f.taken[2])
+	if f.admitted[2] < 0.999 {
+		t.Errorf("the most valued type, which servers bear alone: %.3f taken", f.admitted[2])
 	}
-	if f.taken[1] < 0.3 || f.taken[0] > 0.1 {
-		t.Errorf("taken %.2f", f.taken)
+	if f.admitted[1] < 0.3 || f.admitted[0] > 0.1 {
+		t.Errorf("taken %.2f", f.admitted)
 	}
-	if all := (f.taken[0] + f.taken[1] + f.taken[2]) * 500; all < 700 || all > 1100 {
+	if all := (f.admitted[0] + f.admitted[1] + f.admitted[2]) * 500; all < 700 || all > 1100 {
 		t.Errorf("%.0f a second are taken of 1,000 that servers bear", all)
 	}
 	// The crowd goes.
 	f.rates = []float64{200, 200, 200}
 	f.run(30)
 	f.run(10)
-	if f.Share() < 1 || f.taken[0] < 0.999 {
-		t.Errorf("the crowd has gone, and %.2f is taken: %v", f.Share(), f.taken)
+	if f.AdmittedShare() < 1 || f.admitted[0] < 0.999 {
+		t.Errorf("the crowd has gone, and %.2f is taken: %v", f.AdmittedShare(), f.admitted)
 	}
 }
 
 // Where the most valued alone are more than servers bear, as many of them are taken as do well, and none of the others.
-func TestTooManyOfTheMostValued(t *testing.T) {
+func TestTopValueAboveCapacityIsAdmittedInPart(t *testing.T) {
 	f := newFleet(t, 1000, 400, 1600)
 	f.run(30)
 	f.run(30)
-	if f.taken[0] > 0.02 || f.taken[1] < 0.5 || f.taken[1] > 0.85 {
-		t.Errorf("taken %.2f", f.taken)
+	if f.admitted[0] > 0.02 || f.admitted[1] < 0.5 || f.admitted[1] > 0.85 {
+		t.Errorf("taken %.2f", f.admitted)
 	}
 }
 
-func TestHalfOfWhatIsLeftIsHalfOfTheShare(t *testing.T) {
+func TestLostCapacityScalesAdmittedShare(t *testing.T) {
 	f := newFleet(t, 1000, 800, 800)
 	f.run(30)
-	was := f.Share()
-	f.bears = 500
-	f.Size(50)
-	if s := f.Share(); math.Abs(s-was/2) > 1e-9 {
+	was := f.AdmittedShare()
+	f.serverCapacity = 500
+	f.SetUsable(50)
+	if s := f.AdmittedShare(); math.Abs(s-was/2) > 1e-9 {
 		t.Fatalf("half of it is lost: %.3f of what is asked, %.3f before", s, was)
 	}
 	f.run(2)
 	if f.harmful > 0.45 {
 		t.Errorf("%.2f came to harm in the two seconds after the loss", f.harmful)
 	}
-	f.Size(100)
-	if f.Share() < was*0.9 {
-		t.Errorf("it is back, and %.2f of what is asked is taken, %.2f before", f.Share(), was)
+	f.SetUsable(100)
+	if f.AdmittedShare() < was*0.9 {
+		t.Errorf("it is back, and %.2f of what is asked is taken, %.2f before", f.AdmittedShare(), was)
 	}
-	was = f.Share()
-	f.Size(0) // all gone for a moment: what comes back is not met with the least share for half a minute
-	f.Size(100)
-	if f.Share() != was {
-		t.Errorf("all was gone for a moment: %.2f of what is asked is taken, %.2f before", f.Share(), was)
+	was = f.AdmittedShare()
+	f.SetUsable(0) // all gone for a moment: what comes back is not met with the least share for half a minute
+	f.SetUsable(100)
+	if f.AdmittedShare() != was {
+		t.Errorf("all was gone for a moment: %.2f of what is asked is taken, %.2f before", f.AdmittedShare(), was)
 	}
 	quiet := newFleet(t, 2000, 300)
 	quiet.run(5)
-	quiet.Size(50)
-	quiet.Size(0)
-	quiet.Size(100)
-	if quiet.Share() != 1 {
+	quiet.SetUsable(50)
+	quiet.SetUsable(0)
+	quiet.SetUsable(100)
+	if quiet.AdmittedShare() != 1 {
 		t.Error("there was no line, and one is drawn by a loss alone")
 	}
 }
 
 // Worths without end, as quotas make them: what is kept is bounded, and nothing of what is asked goes uncounted.
 func TestLevelsAreBounded(t *testing.T) {
-	p := New(Usual)
-	p.share = 0.5
+	p := New(DefaultConfig)
+	p.admittedShare = 0.5
 	rng := rand.New(rand.NewPCG(2, 2))
 	for i := range 20000 {
-		p.Begin(1000 + float64(i)/10)
-		p.Asked(0.1+rng.Float64(), 1)
-		if len(p.levels) > Usual.Levels {
+		p.BeginTurn(1000 + float64(i)/10)
+		p.RecordDemand(0.1+rng.Float64(), 1)
+		if len(p.levels) > DefaultConfig.MaxLevels {
 			t.Fatal(len(p.levels))
 		}
-		p.End()
+		p.EndTurn()
 	}
 	sum, last := 0.0, 0.0
 	for _, l := range p.levels {
-		if l.worth <= last {
+		if l.value <= last {
 			t.Fatal("out of order")
 		}
-		last = l.worth
-		sum += l.asked.Sum(p.now, Usual.Span)
+		last = l.value
+		sum += l.demand.Sum(p.now, DefaultConfig.WindowMs)
 	}
 	if sum != 20000 {
 		t.Errorf("%v of 20,000 counted", sum)
 	}
-	if l := p.Line(); l.Worth < 0.3 || l.Worth > 0.9 { // half of worths spread alike over 0.1 to 1.1
+	if l := p.Threshold(); l.Value < 0.3 || l.Value > 0.9 { // half of worths spread alike over 0.1 to 1.1
 		t.Errorf("the line lies at %v", l)
 	}
-	p.Begin(60000) // what nobody asks at any more makes room
-	for i := range Usual.Levels {
-		p.Asked(10+float64(i), 1)
+	p.BeginTurn(60000) // what nobody asks at any more makes room
+	for i := range DefaultConfig.MaxLevels {
+		p.RecordDemand(10+float64(i), 1)
 	}
-	if n := len(p.levels); n > Usual.Levels || p.levels[n-1].worth != 10+float64(n-1) && p.levels[n-1].worth < 10 {
-		t.Error(n, p.levels[n-1].worth)
+	if n := len(p.levels); n > DefaultConfig.MaxLevels || p.levels[n-1].value != 10+float64(n-1) && p.levels[n-1].value < 10 {
+		t.Error(n, p.levels[n-1].value)
 	}
 }
 
--- a/internal/fleet/shedding/shedding.go
+++ b/internal/fleet/shedding/shedding.go
@@ -9,30 +9,30 @@
 	"strings"
 )
 
-// Rules are the operator's.
-type Rules struct {
-	First   [][]int // query types by group, those refused first in front; who stands in none follows, least valued first
-	Bulk    []int   // customers whose searches are refused before everybody else's, whatever their type
-	Retries float64 // share of its worth with which a search counts whose client says that it asks again; 0: as the first
+// Config are the operator's.
+type Config struct {
+	ShedFirst     [][]int // query types by group, those refused first in front; who stands in none follows, least valued first
+	BulkCustomers []int   // customers whose searches are refused before everybody else's, whatever their type
+	RetryWeight   float64 // share of its worth with which a search counts whose client says that it asks again; 0: as the first
 }
 
-// Worths are what searches count with. Types: 1 for those refused last. Customers: a share of that.
-type Worths struct {
-	Types     []float64
-	Customers []float64
-	Retries   float64
-	groups    [][]int
+// Weights are what searches count with. Types: 1 for those refused last. Customers: a share of that.
+type Weights struct {
+	Types       []float64
+	Customers   []float64
+	RetryWeight float64
+	groups      [][]int
 }
 
 // Of puts types in their places. values are the settings' by type, customers how many there are. Places are evenly apart:
 // what lies between two of them leaves the module as much room to tell them apart at any size.
-func Of(values []float64, customers int, r Rules) Worths {
-	w := Worths{Types: make([]float64, len(values)), Customers: make([]float64, customers), Retries: 1}
-	if r.Retries > 0 {
-		w.Retries = r.Retries
+func NewWeights(values []float64, customers int, r Config) Weights {
+	w := Weights{Types: make([]float64, len(values)), Customers: make([]float64, customers), RetryWeight: 1}
+	if r.RetryWeight > 0 {
+		w.RetryWeight = r.RetryWeight
 	}
 	placed := make([]bool, len(values))
-	for _, g := range r.First {
+	for _, g := range r.ShedFirst {
 		var group []int
 		for _, k := range g {
 			if !placed[k] {
@@ -68,14 +68,14 @@
 	for c := range w.Customers {
 		w.Customers[c] = 1
 	}
-	for _, c := range r.Bulk {
+	for _, c := range r.BulkCustomers {
 		w.Customers[c] = 1 / (2 * n) // the last of bulk before the first of the others
 	}
 	return w
 }
 
-// Tell hands the order to the module, after the settings and before its first round.
-func (w Worths) Tell(p interface {
+// Apply hands the order to the module, after the settings and before its first round.
+func (w Weights) Apply(p interface {
 	Order(kind int, worth float64)
 	Weigh(customer int, share float64)
 	Retries(share float64)
@@ -86,11 +86,11 @@
 	for c, v := range w.Customers {
 		p.Weigh(c, v)
 	}
-	p.Retries(w.Retries)
+	p.Retries(w.RetryWeight)
 }
 
-// Text writes the order down, a line for each step, those refused first in front.
-func (w Worths) Text(types, customers []string) (lines []string) {
+// Describe writes the order down, a line for each step, those refused first in front.
+func (w Weights) Describe(types, customers []string) (lines []string) {
 	lines = append(lines, "what no holder is left for, and what can't be in time any more")
 	var bulk []string
 	for c, v := range w.Customers {
@@ -112,8 +112,8 @@
 		}
 		lines = append(lines, line)
 	}
-	if w.Retries < 1 {
-		lines = append(lines, fmt.Sprintf("of each type, whoever says that it asks again counts with %.2f of it", w.Retries))
+	if w.RetryWeight < 1 {
+		lines = append(lines, fmt.Sprintf("of each type, whoever says that it asks again counts with %.2f of it", w.RetryWeight))
 	}
 	return append(lines, "of each type, customers over their quota count with what the settings leave them beyond it")
 }
--- a/internal/fleet/shedding/shedding_test.go
+++ b/internal/fleet/shedding/shedding_test.go
@@ -11,8 +11,8 @@
 // The same cases each time, so that a verdict stays; others with -rapid.seed.
 func init() { flag.Set("rapid.seed", "1") }
 
-func TestThePlacesOfTheOrder(t *testing.T) {
-	w := Of([]float64{3, 1, 1, 2}, 3, Rules{First: [][]int{{0}}, Bulk: []int{2}, Retries: 0.75})
+func TestWeightsFollowTheOperatorsOrder(t *testing.T) {
+	w := NewWeights([]float64{3, 1, 1, 2}, 3, Config{ShedFirst: [][]int{{0}}, BulkCustomers: []int{2}, RetryWeight: 0.75})
 	// Refused first: type 0, whatever it is worth; then 1 and 2 alike, then 3; all of customer 2 before any of that.
 	if !(w.Types[0] < w.Types[1] && w.Types[1] == w.Types[2] && w.Types[2] < w.Types[3] && w.Types[3] == 1) {
 		t.Error(w.Types)
@@ -20,7 +20,7 @@
 	if most := w.Types[3] * w.Customers[2]; most >= w.Types[0] {
 		t.Errorf("the most valued bulk counts with %.2f, the least of the others with %.2f", most, w.Types[0])
 	}
-	text := strings.Join(w.Text([]string{"a", "b", "c", "d"}, []string{"all", "desk", "run"}), "\n")
+	text := strings.Join(w.Describe([]string{"a", "b", "c", "d"}, []string{"all", "desk", "run"}), "\n")
 	for _, want := range []string{"from run\na\nb, c\nd (untouched", "counts with 0.75"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q is not in\n%s", want, text)
@@ -28,10 +28,10 @@
 	}
 }
 
-func TestWithoutAFileTheOrderIsThatOfValues(t *testing.T) {
+func TestWithoutOperatorsOrderWeightsFollowValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.5, 1, 2, 3}), 1, 8).Draw(t, "values")
-		w := Of(values, 2, Rules{})
+		w := NewWeights(values, 2, Config{})
 		for i := range values {
 			for j := range values {
 				if (values[i] < values[j]) != (w.Types[i] < w.Types[j]) {
@@ -39,7 +39,7 @@
 				}
 			}
 		}
-		if w.Retries != 1 || w.Customers[0] != 1 || w.Customers[1] != 1 {
+		if w.RetryWeight != 1 || w.Customers[0] != 1 || w.Customers[1] != 1 {
 			t.Fatal(w)
 		}
 	})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -55,7 +55,7 @@
 	Talk   *Talk
 	Sites  bool // whole sites are watched; talk needs it
 	Borne  bool // and what servers bear while they are full is learnt
-	Order  *shedding.Worths
+	Order  *shedding.Weights
 	Owner  *Owner
 }
 
@@ -357,7 +357,7 @@
 	}
 	if o := f.Order; o != nil {
 		values, kinds, customers := types(set)
-		r := shedding.Rules{Retries: o.Retries}
+		r := shedding.Config{RetryWeight: o.Retries}
 		place := func(path, name string, among map[string]int, what string) int {
 			at, known := among[name]
 			if !known {
@@ -377,13 +377,13 @@
 				seen[k] = path
 				group = append(group, k)
 			}
-			r.First = append(r.First, group)
+			r.ShedFirst = append(r.ShedFirst, group)
 		}
 		for i, name := range o.Bulk {
-			r.Bulk = append(r.Bulk, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
+			r.BulkCustomers = append(r.BulkCustomers, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
 		}
 		if len(bad) == 0 {
-			w := shedding.Of(values, set.Count("customers"), r)
+			w := shedding.NewWeights(values, set.Count("customers"), r)
 			s.Order = &w
 		}
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o := s.Order; o.Types[1] >= o.Types[0] || o.Customers[1] >= o.Customers[0] || o.Retries != 0.5 {
+	if o := s.Order; o.Types[1] >= o.Types[0] || o.Customers[1] >= o.Customers[0] || o.RetryWeight != 0.5 {
 		t.Errorf("%+v", o)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -157,7 +157,7 @@
 func (v Values) Planned(out decide.Out, seed uint64) decide.Port {
 	own := v.Whole("zone", 0)
 	p := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
-		return capacity.Watch(out, capacity.Usual, func(out decide.Out) decide.Port {
+		return capacity.Wrap(out, capacity.DefaultConfig, func(out decide.Out) decide.Port {
 			return decide.New(out, seed, v.Whole("balancers", 1), own)
 		})
 	})
--- a/internal/standin/crowd/crowd_test.go
+++ b/internal/standin/crowd/crowd_test.go
@@ -134,13 +134,13 @@
 	p := half(1000)
 	p.Kinds = []Kind{{Share: 0.4, Parts: 10, Target: 500, Timeout: 1500}, {Share: 0.4, Parts: 10, Target: 500, Timeout: 1500},
 		{Share: 0.2, Parts: 10, Target: 500, Timeout: 1500, Customer: 1}}
-	run := func(p Plan, planned bool, r shedding.Rules) (in []float64, all float64) {
+	run := func(p Plan, planned bool, r shedding.Config) (in []float64, all float64) {
 		q := p
 		q.Port = func(out decide.Out, seed uint64, own int) decide.Port {
 			module := func(out decide.Out) decide.Port { return decide.New(out, seed, p.Brokers, own) }
 			port := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
 				if planned {
-					return capacity.Watch(out, capacity.Usual, module)
+					return capacity.Wrap(out, capacity.DefaultConfig, module)
 				}
 				return module(out)
 			})
@@ -155,7 +155,7 @@
 			port.Advice(500)
 			port.Cold(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
 			port.Probes()
-			shedding.Of([]float64{1, 1, 1}, 2, r).Tell(port)
+			shedding.NewWeights([]float64{1, 1, 1}, 2, r).Apply(port)
 			return port
 		}
 		res := Run(q)
@@ -171,8 +171,8 @@
 		}
 		return in, share(res, 5, 11)
 	}
-	first := shedding.Rules{First: [][]int{{0}}, Bulk: []int{1}}
-	plain, _ := run(p, false, shedding.Rules{})
+	first := shedding.Config{ShedFirst: [][]int{{0}}, BulkCustomers: []int{1}}
+	plain, _ := run(p, false, shedding.Config{})
 	ordered, _ := run(p, false, first)
 	t.Logf("in time by type: %.2f without an order, %.2f with the first type refused first and all of one customer before it", plain, ordered)
 	if plain[1] > 0.95 {
