--- a/internal/fleet/capacity/capacity.go
+++ b/internal/fleet/capacity/capacity.go
@@ -1,10 +1,13 @@
-// Package capacity learns which share of what is asked servers bear while they are full, and plans with it: below which worth
-// searches are refused. It is a reducer: what was asked and how it ended goes in, a line comes out; no I/O, no clock, no chance.
+// Package capacity learns which share of the demand the servers can carry while they are at
+// capacity, and derives a threshold from it: below which value searches are rejected. It is a
+// reducer: demand and outcomes go in, a threshold comes out; no I/O, no clock, no randomness.
 //
-// A broker sees only its own part of the load, and knows nothing of a server's capacity. What it can see is harm: its work
-// turned away, or late. So it gives a share of what is asked back, the least of worth first, for as long as harm lasts, and
-// feels its way up again. All brokers see the same servers and go by the same steps, each of its own: the shares come out
-// alike, and the sum is what servers bear. When a site is lost, the share is held against what is left at once.
+// A broker sees only its own part of the load, and does not know a server's capacity. What it can
+// see is harm: its work rejected by a server, or late. So the admitted share decreases for as long
+// as harm lasts, the lowest values first, and increases again in small steps (multiplicative
+// decrease and increase). All brokers see the same servers and take the same steps, each of its
+// own: their shares converge, and the sum is what the servers carry. When a site is lost, the
+// share is scaled to what is left at once.
 package capacity
 
 import (
@@ -14,184 +17,251 @@
 	"kestrelspread/internal/window"
 )
 
-// Config are the steps. What they bring is measured in docs/measure/site.md.
+// Config has the steps of the estimator. Their effect is measured in docs/measure/site.md.
 type Config struct {
-	WindowMs       float64 // ms over which it is told who asks for what
-	StepIntervalMs float64 // ms between two steps
-	MinOutcomes    float64 // sub-requests that ended, under which a step waits
-	MaxHarm        float64 // share of them that were turned away or late: over it, back
-	LowHarm        float64 // under it, up. Servers' queues differ by chance: where some are full, others are idle still
-	MaxHarmOfTop   float64 // harm that is too much while less valued ones are still taken
-	DecreaseFactor float64 // a step back
+	WindowMs       float64 // over which demand is summed
+	StepIntervalMs float64
+	MinOutcomes    float64 // sub-requests that ended, below which a step waits
+	MaxHarm        float64 // harmed share of the outcomes above which the admitted share decreases
+	// LowHarm is the harmed share below which the admitted share increases. Servers' queues differ
+	// by chance: where some are full, others are idle still.
+	LowHarm        float64
+	MaxHarmOfTop   float64 // in place of MaxHarm while lower values are admitted
+	DecreaseFactor float64
 	IncreaseFactor float64
-	MinShare       float64 // share that is always taken, or nothing would be heard of servers again
-	LateFraction   float64 // share of its latency target past which one sub-request is harm: its search waits for the slowest
-	MaxLevels      int     // of worth that are told apart, at most
+	// MinShare is always admitted: without any outcomes the estimator would learn nothing again.
+	MinShare float64
+	// LateFraction is the fraction of the latency target past which one sub-request counts as
+	// late: its search waits for the slowest.
+	LateFraction float64
+	MaxLevels    int // of values that are told apart
 }
 
-// DefaultConfig are the rules that brokers go by.
-var DefaultConfig = Config{WindowMs: 8000, StepIntervalMs: 250, MinOutcomes: 12, MaxHarm: 0.4, LowHarm: 0.3, MaxHarmOfTop: 0.2, DecreaseFactor: 0.95, IncreaseFactor: 1.02, MinShare: 0.05, LateFraction: 0.6, MaxLevels: 64}
+// DefaultConfig is what brokers use.
+var DefaultConfig = Config{
+	WindowMs:       8000,
+	StepIntervalMs: 250,
+	MinOutcomes:    12,
+	MaxHarm:        0.4,
+	LowHarm:        0.3,
+	MaxHarmOfTop:   0.2,
+	DecreaseFactor: 0.95,
+	IncreaseFactor: 1.02,
+	MinShare:       0.05,
+	LateFraction:   0.6,
+	MaxLevels:      64,
+}
+
+// A level's demand is counted in buckets of an eighth of the window, and more of them than eight,
+// so that they cover the window also while a bucket begins.
+const (
+	demandBuckets    = 10
+	bucketsPerWindow = 8
+)
 
-// Outcome is how a sub-request ended, as far as it tells of what its server bears.
+// Outcome is how a sub-request ended, as far as it tells of its server's capacity.
 type Outcome uint8
 
-// How a sub-request ended, as far as the plan has to know.
+// The outcomes.
 const (
 	OutcomeOK      Outcome = iota
-	OutcomeHarmed          // turned away, or late
-	OutcomeUnknown         // it tells nothing: unreachable, reset, called off early
+	OutcomeHarmed          // rejected by the server, or late
+	OutcomeUnknown         // it tells nothing: unreachable, reset, cancelled early
 )
 
-// Threshold is what servers bear: searches worth less than Worth are beyond it, and of those worth just that the share Beyond.
-// Worth 0: all are borne, or nothing is known.
+// Threshold is what is beyond the servers' capacity: searches of less than Value, and of those of
+// just that Value the RejectedShare. A Value of 0 rejects nothing.
 type Threshold struct{ Value, RejectedShare float64 }
 
+// level is the demand at one value.
 type level struct {
 	value        float64
-	demand       *window.Counts // sub-requests that searches of this worth need
-	lastDemandAt float64        // the latest
+	demand       *window.Counts // sub-requests that its searches need
+	lastDemandAt float64
 }
 
-// Estimator is one broker's.
+// tally counts outcomes since the latest step.
+type tally struct{ ended, harmed float64 }
+
+func (t *tally) harm() float64 { return t.harmed / t.ended }
+
+// Estimator is one broker's. Times are ms and never fall.
 type Estimator struct {
-	config           Config
-	now              float64
-	lastStepAt       float64 // of the latest step
-	levels           []level // by worth, the least first
-	usable           float64
-	admittedShare    float64    // of what is asked; 1: no line
-	outcomes, harmed [2]float64 // since the latest step: of all, and of the most valued type
-	threshold        Threshold
-	Decreases        int // steps back, for reports
+	config        Config
+	now           float64
+	lastStepAt    float64
+	levels        []level // by value, the lowest first
+	usable        float64 // capacity, in the units of the server list
+	admittedShare float64 // of the demand; 1: no threshold
+	all           tally
+	top           tally // of the highest value alone
+	threshold     Threshold
+	Decreases     int // steps down so far, for reports
 }
 
-// New makes a plan without a line.
-func New(rules Config) *Estimator {
-	return &Estimator{config: rules, lastStepAt: math.Inf(-1), admittedShare: 1}
+// New returns an estimator that admits all.
+func New(config Config) *Estimator {
+	return &Estimator{config: config, lastStepAt: math.Inf(-1), admittedShare: 1}
 }
 
-// SetUsable is how much there is to carry it: of what is listed, ready and at no lost site, in the units of the list. Where a line is
-// drawn already and half of that goes, half of the share is what is left: nobody has to meet the crowd first.
-func (p *Estimator) SetUsable(usable float64) {
+// SetUsable sets how much there is to carry the demand: what is listed, ready and at no lost site,
+// in the units of the list. While there is a threshold, the admitted share is scaled with it: when
+// half of the servers go, half of the share is left at once. (At 0 nothing can be served, and no
+// share of what comes back could be derived.)
+func (e *Estimator) SetUsable(usable float64) {
 	if usable <= 0 {
-		return // nothing can be asked then, and of nothing no share of what comes back could be told
+		return
 	}
-	if p.admittedShare < 1 && p.usable > 0 && usable != p.usable && !plantBlind {
-		p.admittedShare = min(max(p.admittedShare*usable/p.usable, p.config.MinShare), 1)
+	changed := e.usable > 0 && usable != e.usable
+	if e.admittedShare < 1 && changed && !plantBlind {
+		e.admittedShare = min(max(e.admittedShare*usable/e.usable, e.config.MinShare), 1)
 	}
-	p.usable = usable
+	e.usable = usable
 }
 
-// AdmittedShare is what of all that is asked is taken.
-func (p *Estimator) AdmittedShare() float64 { return p.admittedShare }
+// AdmittedShare is the share of the demand that is admitted.
+func (e *Estimator) AdmittedShare() float64 { return e.admittedShare }
 
-// Threshold is the latest.
-func (p *Estimator) Threshold() Threshold { return p.threshold }
+// Threshold is the latest threshold.
+func (e *Estimator) Threshold() Threshold { return e.threshold }
 
-// BeginTurn opens a turn. Times never fall.
-func (p *Estimator) BeginTurn(now float64) { p.now = now }
+// BeginTurn opens a turn at a time.
+func (e *Estimator) BeginTurn(now float64) { e.now = now }
 
-// RecordDemand counts a search that came, by what it is worth and its number of parts.
-func (p *Estimator) RecordDemand(worth float64, parts int) {
-	at := sort.Search(len(p.levels), func(i int) bool { return p.levels[i].value >= worth })
-	if at == len(p.levels) || p.levels[at].value != worth {
-		if len(p.levels) >= p.config.MaxLevels && !p.dropStaleLevel() {
-			at = max(min(at, len(p.levels))-1, 0) // counted with the next lower one
-		} else {
-			at = sort.Search(len(p.levels), func(i int) bool { return p.levels[i].value >= worth })
-			p.levels = append(p.levels, level{})
-			copy(p.levels[at+1:], p.levels[at:])
-			p.levels[at] = level{value: worth, demand: window.NewCounts(10, p.config.WindowMs/8)}
-		}
+// RecordDemand records that a search of a value arrived, which needs so many sub-requests.
+func (e *Estimator) RecordDemand(value float64, parts int) {
+	i := e.levelFor(value)
+	l := &e.levels[i]
+	l.demand.Add(e.now, float64(parts))
+	l.lastDemandAt = e.now
+}
+
+// levelFor is the index of a value's level, which it makes where there is room. Without room the
+// value counts with the next lower one.
+func (e *Estimator) levelFor(value float64) int {
+	i := e.searchLevel(value)
+	if i < len(e.levels) && e.levels[i].value == value {
+		return i
 	}
-	p.levels[at].demand.Add(p.now, float64(parts))
-	p.levels[at].lastDemandAt = p.now
+	if len(e.levels) >= e.config.MaxLevels && !e.dropStaleLevel() {
+		return max(min(i, len(e.levels))-1, 0)
+	}
+	i = e.searchLevel(value) // a level may have gone
+	e.levels = append(e.levels, level{})
+	copy(e.levels[i+1:], e.levels[i:])
+	e.levels[i] = level{value: value, demand: window.NewCounts(demandBuckets, e.config.WindowMs/bucketsPerWindow)}
+	return i
 }
 
-// dropStaleLevel drops a level that nobody has asked at for long.
-func (p *Estimator) dropStaleLevel() bool {
-	for i := range p.levels {
-		if p.now-p.levels[i].lastDemandAt > 2*p.config.WindowMs {
-			p.levels = append(p.levels[:i], p.levels[i+1:]...)
+// searchLevel is the index of the first level of at least a value.
+func (e *Estimator) searchLevel(value float64) int {
+	return sort.Search(len(e.levels), func(i int) bool { return e.levels[i].value >= value })
+}
+
+// dropStaleLevel drops a level without demand for two windows, if there is one.
+func (e *Estimator) dropStaleLevel() bool {
+	for i := range e.levels {
+		if e.now-e.levels[i].lastDemandAt > 2*e.config.WindowMs {
+			e.levels = append(e.levels[:i], e.levels[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// RecordOutcomes counts n sub-requests that came back, of the most valued type (top) or of another. One of the most
-// valued that is refused by anything else than the line was harmed in all its parts.
-func (p *Estimator) RecordOutcomes(how Outcome, top bool, n float64) {
-	for i := range p.outcomes {
-		if how == OutcomeUnknown || i == measureTop && !top {
-			break
-		}
-		if p.outcomes[i] += n; how == OutcomeHarmed {
-			p.harmed[i] += n
-		}
+// RecordOutcomes records the outcomes of so many sub-requests, of the highest value or of another.
+// A search of the highest value that is rejected otherwise than by the threshold was harmed in
+// all its parts.
+func (e *Estimator) RecordOutcomes(outcome Outcome, isTop bool, count float64) {
+	if outcome == OutcomeUnknown {
+		return
+	}
+	e.all.add(outcome, count)
+	if isTop {
+		e.top.add(outcome, count)
 	}
 }
 
-const (
-	measureAll = 0
-	measureTop = 1
-)
+func (t *tally) add(outcome Outcome, count float64) {
+	t.ended += count
+	if outcome == OutcomeHarmed {
+		t.harmed += count
+	}
+}
 
-// AdmitsLowerValues tells whether less valued searches are taken still: then the most valued are to come to no harm by them.
-func (p *Estimator) AdmitsLowerValues() bool {
-	n := len(p.levels)
-	return n > 1 && p.threshold.Value < p.levels[n-1].value
+// AdmitsLowerValues tells whether searches below the highest value are admitted still. Then those
+// of the highest are to come to no harm by them.
+func (e *Estimator) AdmitsLowerValues() bool {
+	n := len(e.levels)
+	return n > 1 && e.threshold.Value < e.levels[n-1].value
 }
 
-// EndTurn closes a turn: true where the line has moved.
-func (p *Estimator) EndTurn() bool {
-	if p.now < p.lastStepAt+p.config.StepIntervalMs {
+// EndTurn closes a turn, and takes a step where one is due. It returns true where the threshold
+// has moved.
+func (e *Estimator) EndTurn() bool {
+	if e.now < e.lastStepAt+e.config.StepIntervalMs {
 		return false
 	}
-	p.lastStepAt = p.now
-	if p.outcomes[measureAll] >= p.config.MinOutcomes {
-		most, calm, of := p.config.MaxHarm, p.config.LowHarm, measureAll
-		if p.AdmitsLowerValues() {
-			// What is slow to one type is quick to another: while there are enough of the most valued, they are the measure.
-			if most, calm = p.config.MaxHarmOfTop, p.config.MaxHarmOfTop/2; p.outcomes[measureTop] >= p.config.MinOutcomes/2 {
-				of = measureTop
-			}
-		}
-		switch harm := p.harmed[of] / p.outcomes[of]; {
-		case harm > most:
-			p.admittedShare = max(p.admittedShare*p.config.DecreaseFactor, p.config.MinShare)
-			p.Decreases++
-		case harm < calm && !plantStuck:
-			p.admittedShare = min(p.admittedShare*p.config.IncreaseFactor, 1)
+	e.lastStepAt = e.now
+	switch {
+	case e.all.ended >= e.config.MinOutcomes:
+		e.adjustShare()
+		e.all, e.top = tally{}, tally{}
+	case e.all.ended == 0 && e.admittedShare < 1: // whoever comes now is to find out
+		e.increaseShare()
+	}
+	before := e.threshold
+	e.threshold = e.findThreshold()
+	return e.threshold != before
+}
+
+// adjustShare takes a step down or up by the harm seen. While lower values are admitted, the bound
+// is lower, and the highest value alone is the measure where enough of it has ended: what is slow
+// to one type is quick to another.
+func (e *Estimator) adjustShare() {
+	maxHarm, lowHarm, measured := e.config.MaxHarm, e.config.LowHarm, e.all
+	if e.AdmitsLowerValues() {
+		maxHarm, lowHarm = e.config.MaxHarmOfTop, e.config.MaxHarmOfTop/2
+		if e.top.ended >= e.config.MinOutcomes/2 {
+			measured = e.top
 		}
-		p.outcomes, p.harmed = [2]float64{}, [2]float64{}
-	} else if p.outcomes[measureAll] == 0 && p.admittedShare < 1 {
-		p.admittedShare = min(p.admittedShare*p.config.IncreaseFactor, 1) // nothing is heard: whoever asks now is to find out
 	}
-	was := p.threshold
-	p.threshold = p.findThreshold()
-	return p.threshold != was
+	harm := measured.harm()
+	switch {
+	case harm > maxHarm:
+		e.admittedShare = max(e.admittedShare*e.config.DecreaseFactor, e.config.MinShare)
+		e.Decreases++
+	case harm < lowHarm && !plantStuck:
+		e.increaseShare()
+	}
 }
 
-// findThreshold finds the worth under which what is beyond the share lies.
-func (p *Estimator) findThreshold() Threshold {
-	if p.admittedShare >= 1 {
+func (e *Estimator) increaseShare() {
+	e.admittedShare = min(e.admittedShare*e.config.IncreaseFactor, 1)
+}
+
+// findThreshold finds the value below which the demand beyond the admitted share lies.
+func (e *Estimator) findThreshold() Threshold {
+	if e.admittedShare >= 1 {
 		return Threshold{}
 	}
-	all := 0.0
-	for i := range p.levels {
-		all += p.levels[i].demand.Sum(p.now, p.config.WindowMs)
+	total := 0.0
+	for i := range e.levels {
+		total += e.demandAt(i)
 	}
-	beyond := (1 - p.admittedShare) * all
-	for i := range p.levels {
+	beyond := (1 - e.admittedShare) * total
+	for i := range e.levels {
 		if plantMost {
-			i = len(p.levels) - 1 - i
+			i = len(e.levels) - 1 - i
 		}
-		asked := p.levels[i].demand.Sum(p.now, p.config.WindowMs)
-		if asked > 0 && asked >= beyond {
-			return Threshold{p.levels[i].value, beyond / asked}
+		demand := e.demandAt(i)
+		if demand > 0 && demand >= beyond {
+			return Threshold{e.levels[i].value, beyond / demand}
 		}
-		beyond -= asked
+		beyond -= demand
 	}
 	return Threshold{}
 }
+
+// demandAt is the demand at a level, over the window.
+func (e *Estimator) demandAt(i int) float64 { return e.levels[i].demand.Sum(e.now, e.config.WindowMs) }
--- a/internal/fleet/capacity/capacity_test.go
+++ b/internal/fleet/capacity/capacity_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// simulatedFleet is a plan before servers that bear so many sub-requests a second: what is taken beyond it comes to harm.
+// simulatedFleet is an estimator before servers that carry so many sub-requests a second: what is admitted beyond comes to harm.
 type simulatedFleet struct {
 	*Estimator
 	t              *testing.T
@@ -17,7 +17,7 @@
 	serverCapacity float64
 	rates          []float64
 	values         []float64
-	admitted       []float64 // of each, in the last stretch
+	admitted       []float64 // share of each type, in the last run
 	harmful        float64
 }
 
@@ -30,7 +30,7 @@
 	return f
 }
 
-// run plays so many seconds and leaves in taken what share of each type was taken.
+// run plays so many seconds, and leaves in admitted what share of each type was admitted.
 func (f *simulatedFleet) run(seconds float64) {
 	f.admitted, f.harmful = make([]float64, len(f.rates)), 0
 	steps := int(seconds * 20)
@@ -49,7 +49,7 @@
 			f.admitted[i] += share / float64(steps)
 			sent += share * r
 		}
-		// Harm rises as servers come near to what they bear, as queues differ by chance.
+		// Harm rises near to the capacity already, as queues differ by chance.
 		harm := min(max(1-f.serverCapacity/max(sent, 1e-9), 0)+max(sent/f.serverCapacity-0.8, 0), 1)
 		f.harmful += harm / float64(steps)
 		for range int(sent / 20) {
@@ -69,11 +69,11 @@
 	if f.AdmittedShare() != 1 || f.Threshold() != (Threshold{}) || f.Decreases > 0 {
 		t.Error(f.AdmittedShare(), f.Threshold(), f.Decreases)
 	}
-	// A morning of four times as much that servers bear is no crowd either.
+	// Four times as much that servers can carry is no overload either.
 	f.rates = []float64{900, 700}
 	f.run(20)
 	if min(f.admitted[0], f.admitted[1]) < 0.999 {
-		t.Error("refused without harm", f.admitted)
+		t.Error("rejected without harm", f.admitted)
 	}
 }
 
@@ -82,30 +82,30 @@
 	f.run(20)
 	f.run(30)
 	if f.admitted[2] < 0.999 {
-		t.Errorf("the most valued type, which servers bear alone: %.3f taken", f.admitted[2])
+		t.Errorf("the highest value, which servers can carry alone: %.3f admitted", f.admitted[2])
 	}
 	if f.admitted[1] < 0.3 || f.admitted[0] > 0.1 {
-		t.Errorf("taken %.2f", f.admitted)
+		t.Errorf("admitted %.2f", f.admitted)
 	}
 	if all := (f.admitted[0] + f.admitted[1] + f.admitted[2]) * 500; all < 700 || all > 1100 {
-		t.Errorf("%.0f a second are taken of 1,000 that servers bear", all)
+		t.Errorf("%.0f a second are admitted, and servers carry 1,000", all)
 	}
-	// The crowd goes.
+	// The overload ends.
 	f.rates = []float64{200, 200, 200}
 	f.run(30)
 	f.run(10)
 	if f.AdmittedShare() < 1 || f.admitted[0] < 0.999 {
-		t.Errorf("the crowd has gone, and %.2f is taken: %v", f.AdmittedShare(), f.admitted)
+		t.Errorf("the overload has ended, and %.2f is admitted: %v", f.AdmittedShare(), f.admitted)
 	}
 }
 
-// Where the most valued alone are more than servers bear, as many of them are taken as do well, and none of the others.
+// Where the highest value alone is above the capacity, as much of it is admitted as does well, and nothing of the others.
 func TestTopValueAboveCapacityIsAdmittedInPart(t *testing.T) {
 	f := newFleet(t, 1000, 400, 1600)
 	f.run(30)
 	f.run(30)
 	if f.admitted[0] > 0.02 || f.admitted[1] < 0.5 || f.admitted[1] > 0.85 {
-		t.Errorf("taken %.2f", f.admitted)
+		t.Errorf("admitted %.2f", f.admitted)
 	}
 }
 
@@ -116,7 +116,7 @@
 	f.serverCapacity = 500
 	f.SetUsable(50)
 	if s := f.AdmittedShare(); math.Abs(s-was/2) > 1e-9 {
-		t.Fatalf("half of it is lost: %.3f of what is asked, %.3f before", s, was)
+		t.Fatalf("half of the servers are lost: %.3f of the demand is admitted, %.3f before", s, was)
 	}
 	f.run(2)
 	if f.harmful > 0.45 {
@@ -124,13 +124,13 @@
 	}
 	f.SetUsable(100)
 	if f.AdmittedShare() < was*0.9 {
-		t.Errorf("it is back, and %.2f of what is asked is taken, %.2f before", f.AdmittedShare(), was)
+		t.Errorf("the servers are back, and %.2f of the demand is admitted, %.2f before", f.AdmittedShare(), was)
 	}
 	was = f.AdmittedShare()
-	f.SetUsable(0) // all gone for a moment: what comes back is not met with the least share for half a minute
+	f.SetUsable(0) // all gone for a moment: what comes back must not meet the minimum share for half a minute
 	f.SetUsable(100)
 	if f.AdmittedShare() != was {
-		t.Errorf("all was gone for a moment: %.2f of what is asked is taken, %.2f before", f.AdmittedShare(), was)
+		t.Errorf("all servers were gone for a moment: %.2f of the demand is admitted, %.2f before", f.AdmittedShare(), was)
 	}
 	quiet := newFleet(t, 2000, 300)
 	quiet.run(5)
@@ -138,43 +138,43 @@
 	quiet.SetUsable(0)
 	quiet.SetUsable(100)
 	if quiet.AdmittedShare() != 1 {
-		t.Error("there was no line, and one is drawn by a loss alone")
+		t.Error("there was no threshold, and a loss alone made one")
 	}
 }
 
-// Worths without end, as quotas make them: what is kept is bounded, and nothing of what is asked goes uncounted.
+// Values without end, as quotas make them: the levels are bounded, and no demand goes uncounted.
 func TestLevelsAreBounded(t *testing.T) {
-	p := New(DefaultConfig)
-	p.admittedShare = 0.5
+	e := New(DefaultConfig)
+	e.admittedShare = 0.5
 	rng := rand.New(rand.NewPCG(2, 2))
 	for i := range 20000 {
-		p.BeginTurn(1000 + float64(i)/10)
-		p.RecordDemand(0.1+rng.Float64(), 1)
-		if len(p.levels) > DefaultConfig.MaxLevels {
-			t.Fatal(len(p.levels))
+		e.BeginTurn(1000 + float64(i)/10)
+		e.RecordDemand(0.1+rng.Float64(), 1)
+		if len(e.levels) > DefaultConfig.MaxLevels {
+			t.Fatal(len(e.levels))
 		}
-		p.EndTurn()
+		e.EndTurn()
 	}
 	sum, last := 0.0, 0.0
-	for _, l := range p.levels {
+	for _, l := range e.levels {
 		if l.value <= last {
 			t.Fatal("out of order")
 		}
 		last = l.value
-		sum += l.demand.Sum(p.now, DefaultConfig.WindowMs)
+		sum += l.demand.Sum(e.now, DefaultConfig.WindowMs)
 	}
 	if sum != 20000 {
 		t.Errorf("%v of 20,000 counted", sum)
 	}
-	if l := p.Threshold(); l.Value < 0.3 || l.Value > 0.9 { // half of worths spread alike over 0.1 to 1.1
-		t.Errorf("the line lies at %v", l)
+	if l := e.Threshold(); l.Value < 0.3 || l.Value > 0.9 { // half of the values, which are even over 0.1 to 1.1
+		t.Errorf("the threshold is %v", l)
 	}
-	p.BeginTurn(60000) // what nobody asks at any more makes room
+	e.BeginTurn(60000) // levels without demand make room
 	for i := range DefaultConfig.MaxLevels {
-		p.RecordDemand(10+float64(i), 1)
+		e.RecordDemand(10+float64(i), 1)
 	}
-	if n := len(p.levels); n > DefaultConfig.MaxLevels || p.levels[n-1].value != 10+float64(n-1) && p.levels[n-1].value < 10 {
-		t.Error(n, p.levels[n-1].value)
+	if n := len(e.levels); n > DefaultConfig.MaxLevels || e.levels[n-1].value != 10+float64(n-1) && e.levels[n-1].value < 10 {
+		t.Error(n, e.levels[n-1].value)
 	}
 }
 
--- a/internal/fleet/capacity/plant_none.go
+++ b/internal/fleet/capacity/plant_none.go
@@ -4,8 +4,8 @@
 
 // Planted defects, each behind a build tag: TestPlantedDefects shows that each is found.
 const (
-	plantMost  = false // the most valued are refused first
-	plantStuck = false // a line once drawn stays
-	plantBlind = false // what is left after a loss is not looked at
+	plantMost  = false // the highest values are rejected first
+	plantStuck = false // a threshold once set stays
+	plantBlind = false // the share is not scaled after a loss
 )
 const plantAny = false
--- a/internal/fleet/capacity/port.go
+++ b/internal/fleet/capacity/port.go
@@ -7,71 +7,85 @@
 	"kestrelspread/internal/decide"
 )
 
-// Port stands between a caller and the module: it hears what is asked, how sub-requests end and what the list holds, and
-// tells the module below which worth servers bear no more. It decides nothing else and changes no call.
+// Port stands between a caller and the decision module, as the estimator's eyes and hands: it
+// observes demand, outcomes and the server list, and tells the module the threshold. It changes no
+// call, and decides nothing else. (The module's words are those of decide.Port: a search's kind is
+// its type, a try an attempt, a hall a site.)
 type Port struct {
 	decide.Port
-	estimator         *Estimator
-	now               float64
-	latencyTargets    []float64 // by type
-	typeValues        []float64
-	searchParts       []int  // by search, its parts
-	partIsTop         []bool // by part
-	servers           []server
-	lostHalls         map[int]bool // by hall
-	attemptSentAt     [][]float64  // by part: when each of its sub-requests went
-	searchType        []int        // by search
-	partLatencyTarget []float64    // by part
-	arrivals          []arrival    // in this turn
-	out               decide.Out
-	thresholdSet      bool
+	out       decide.Out
+	estimator *Estimator
+	now       float64
+
+	latencyTargets []float64 // by type
+	typeValues     []float64 // by type
+
+	searchType  []int // by search; -1: not known
+	searchParts []int // by search
+	arrivals    []arrival
+
+	partIsTop         []bool      // by part: its search is of the highest value
+	partLatencyTarget []float64   // by part; 0: none
+	attemptSentAt     [][]float64 // by part and attempt
+
+	servers      []server     // by id
+	lostHalls    map[int]bool // by hall
+	thresholdSet bool         // as it was logged
 }
 
+// arrival is a search of this turn.
 type arrival struct{ search, parts int }
 
+// server is what counts towards the usable capacity.
 type server struct {
 	hall     int
 	capacity float64
 	ready    bool
 }
 
-// Wrap puts a plan before the module that module makes of the given way out.
-func Wrap(out decide.Out, rules Config, module func(decide.Out) decide.Port) *Port {
-	p := &Port{estimator: New(rules), lostHalls: map[int]bool{}, out: out}
-	p.Port = module(&outbound{out, p})
+var (
+	_ decide.Port = (*Port)(nil)
+	_ decide.Out  = (*outbound)(nil)
+)
+
+// Wrap puts an estimator before the module that newModule makes of the given output.
+func Wrap(out decide.Out, config Config, newModule func(decide.Out) decide.Port) *Port {
+	p := &Port{out: out, estimator: New(config), lostHalls: map[int]bool{}}
+	p.Port = newModule(&outbound{out, p})
 	return p
 }
 
-// Estimator is for reports.
+// Estimator is the port's, for reports.
 func (p *Port) Estimator() *Estimator { return p.estimator }
 
-// QueryType implements decide.Port; it keeps its latency target and value.
-func (p *Port) QueryType(aim, value, late float64, effect decide.Effect, tokenFor float64) {
-	p.latencyTargets, p.typeValues = append(p.latencyTargets, aim), append(p.typeValues, value)
-	p.Port.QueryType(aim, value, late, effect, tokenFor)
+// QueryType takes up a type's latency target and value (decide.Port).
+func (p *Port) QueryType(latencyTarget, value, late float64, effect decide.Effect, tokenFor float64) {
+	p.latencyTargets = append(p.latencyTargets, latencyTarget)
+	p.typeValues = append(p.typeValues, value)
+	p.Port.QueryType(latencyTarget, value, late, effect, tokenFor)
 }
 
-// Order implements decide.Port; it keeps what a type counts with in place of its value.
-func (p *Port) Order(kind int, worth float64) {
+// Order takes up what a type counts with in place of its value (decide.Port).
+func (p *Port) Order(kind int, value float64) {
 	if kind >= 0 && kind < len(p.typeValues) {
-		p.typeValues[kind] = worth
+		p.typeValues[kind] = value
 	}
-	p.Port.Order(kind, worth)
+	p.Port.Order(kind, value)
 }
 
-// isTopType tells whether no type is worth more.
+// isTopType tells whether no type has a higher value.
 func (p *Port) isTopType(kind int) bool {
 	return kind >= 0 && kind < len(p.typeValues) && p.typeValues[kind] >= slices.Max(p.typeValues)
 }
 
-// Begin implements decide.Port; it keeps the time of the round.
+// Begin opens a turn (decide.Port).
 func (p *Port) Begin(now float64) {
 	p.now = now
 	p.estimator.BeginTurn(now)
 	p.Port.Begin(now)
 }
 
-// Search implements decide.Port; it keeps its type and the number of its parts.
+// Search takes up a search that arrived (decide.Port).
 func (p *Port) Search(id, kind, customer int, until float64, parts int) {
 	for len(p.searchType) <= id {
 		p.searchType, p.searchParts = append(p.searchType, -1), append(p.searchParts, 0)
@@ -81,55 +95,71 @@
 	p.Port.Search(id, kind, customer, until, parts)
 }
 
-// Part implements decide.Port; it keeps for which type it is.
+// Part takes up a part of a search (decide.Port).
 func (p *Port) Part(search, id, shard int, weight, work float64, key uint64) {
-	for len(p.attemptSentAt) <= id {
-		p.attemptSentAt, p.partLatencyTarget, p.partIsTop = append(p.attemptSentAt, nil), append(p.partLatencyTarget, 0), append(p.partIsTop, false)
-	}
+	p.growParts(id)
 	p.attemptSentAt[id], p.partLatencyTarget[id], p.partIsTop[id] = p.attemptSentAt[id][:0], 0, false
-	if k := p.searchType[search]; k >= 0 && k < len(p.latencyTargets) {
-		p.partLatencyTarget[id], p.partIsTop[id] = p.latencyTargets[k], p.isTopType(k)
+	if kind := p.searchType[search]; kind >= 0 && kind < len(p.latencyTargets) {
+		p.partLatencyTarget[id], p.partIsTop[id] = p.latencyTargets[kind], p.isTopType(kind)
 	}
 	p.Port.Part(search, id, shard, weight, work, key)
 }
 
-// Done implements decide.Port; it tells the plan how the sub-request ended.
+// growParts makes room for a part's id.
+func (p *Port) growParts(id int) {
+	for len(p.attemptSentAt) <= id {
+		p.attemptSentAt = append(p.attemptSentAt, nil)
+		p.partLatencyTarget = append(p.partLatencyTarget, 0)
+		p.partIsTop = append(p.partIsTop, false)
+	}
+}
+
+// Done records how an attempt ended (decide.Port).
 func (p *Port) Done(part, try int, how decide.Outcome, report []float64) {
 	if part < len(p.attemptSentAt) && try < len(p.attemptSentAt[part]) {
-		took := p.now - p.attemptSentAt[part][try]
-		late := p.partLatencyTarget[part] > 0 && took > p.estimator.config.LateFraction*p.partLatencyTarget[part]
-		switch {
-		case how == decide.Full, late && (how == decide.Answered || how == decide.Cancelled):
-			p.estimator.RecordOutcomes(OutcomeHarmed, p.partIsTop[part], 1)
-		case how == decide.Answered:
-			p.estimator.RecordOutcomes(OutcomeOK, p.partIsTop[part], 1)
-		}
+		outcome := p.classify(part, p.now-p.attemptSentAt[part][try], how)
+		p.estimator.RecordOutcomes(outcome, p.partIsTop[part], 1)
 	}
 	p.Port.Done(part, try, how, report)
 }
 
-// Server implements decide.Port; it keeps what the server can bear.
+// classify says what the end of an attempt tells of its server's capacity.
+func (p *Port) classify(part int, tookMs float64, how decide.Outcome) Outcome {
+	target := p.partLatencyTarget[part]
+	late := target > 0 && tookMs > p.estimator.config.LateFraction*target
+	switch {
+	case how == decide.Full:
+		return OutcomeHarmed
+	case late && (how == decide.Answered || how == decide.Cancelled):
+		return OutcomeHarmed
+	case how == decide.Answered:
+		return OutcomeOK
+	}
+	return OutcomeUnknown
+}
+
+// Server takes up a server of the list (decide.Port).
 func (p *Port) Server(id, hall, cell int, state decide.State, size, started float64) {
 	for len(p.servers) <= id {
 		p.servers = append(p.servers, server{})
 	}
-	if s := &p.servers[id]; state != decide.Gone {
-		s.hall, s.capacity, s.ready = hall, max(size, 0), state == decide.Ready
-	} else {
-		s.ready = false
+	s := &p.servers[id]
+	s.ready = state == decide.Ready
+	if state != decide.Gone {
+		s.hall, s.capacity = hall, max(size, 0)
 	}
 	p.updateUsable()
 	p.Port.Server(id, hall, cell, state, size, started)
 }
 
-// Site implements decide.Port; it measures anew what the halls that are left can bear.
+// Site takes up that a hall is lost, or is back (decide.Port).
 func (p *Port) Site(hall int, lost bool, spread float64) {
 	p.lostHalls[hall] = lost
 	p.updateUsable()
 	p.Port.Site(hall, lost, spread)
 }
 
-// updateUsable adds up what is there to carry.
+// updateUsable adds up the capacity of the servers that are ready and at no lost site.
 func (p *Port) updateUsable() {
 	usable := 0.0
 	for _, s := range p.servers {
@@ -140,55 +170,61 @@
 	p.estimator.SetUsable(usable)
 }
 
-// End implements decide.Port; it has the plan draw its line before the module decides.
+// End records the turn's demand, and passes on a threshold that has moved (decide.Port). Only now
+// is all known that a search counts with.
 func (p *Port) End() {
-	for _, c := range p.arrivals { // only now is all known that it counts with
-		p.estimator.RecordDemand(p.Port.Counts(c.search), c.parts)
+	for _, a := range p.arrivals {
+		p.estimator.RecordDemand(p.Port.Counts(a.search), a.parts)
 	}
-	if p.arrivals = p.arrivals[:0]; p.estimator.EndTurn() {
-		l := p.estimator.Threshold()
-		p.Port.Bears(l.Value, l.RejectedShare)
-		if on := l.Value > 0; on != p.thresholdSet {
-			p.thresholdSet = on
-			p.out.Log(fmt.Sprintf("servers bear %.2f of what is asked; refused: what counts under %.3g", p.estimator.AdmittedShare(), l.Value))
-		}
+	p.arrivals = p.arrivals[:0]
+	if p.estimator.EndTurn() {
+		threshold := p.estimator.Threshold()
+		p.Port.Bears(threshold.Value, threshold.RejectedShare)
+		p.logThreshold(threshold)
 	}
 	p.Port.End()
 }
 
-// outbound hears what the module asks for.
+// logThreshold logs when a threshold is set, and when it is lifted.
+func (p *Port) logThreshold(threshold Threshold) {
+	set := threshold.Value > 0
+	if set == p.thresholdSet {
+		return
+	}
+	p.thresholdSet = set
+	p.out.Log(fmt.Sprintf("servers bear %.2f of what is asked; refused: what counts under %.3g",
+		p.estimator.AdmittedShare(), threshold.Value))
+}
+
+// outbound observes what the module does.
 type outbound struct {
 	decide.Out
 	port *Port
 }
 
+// Send records when an attempt was sent (decide.Out).
 func (o *outbound) Send(part, server int, within, begin float64) {
-	p := o.port
-	for len(p.attemptSentAt) <= part {
-		p.attemptSentAt, p.partLatencyTarget, p.partIsTop = append(p.attemptSentAt, nil), append(p.partLatencyTarget, 0), append(p.partIsTop, false)
-	}
-	p.attemptSentAt[part] = append(p.attemptSentAt[part], p.now)
+	o.port.growParts(part)
+	o.port.attemptSentAt[part] = append(o.port.attemptSentAt[part], o.port.now)
 	o.Out.Send(part, server, within, begin)
 }
 
+// Shed records a search that was rejected (decide.Out).
 func (o *outbound) Shed(search int, comeBack float64) {
-	o.recordRejection(search)
+	o.port.recordRejection(search)
 	o.Out.Shed(search, comeBack)
 }
 
+// Fail records a search that failed (decide.Out).
 func (o *outbound) Fail(search int) {
-	o.recordRejection(search)
+	o.port.recordRejection(search)
 	o.Out.Fail(search)
 }
 
-// recordRejection: while others are taken, one of the most valued that is not is harm done to it.
-func (o *outbound) recordRejection(search int) {
-	if p := o.port; search < len(p.searchType) && p.estimator.AdmitsLowerValues() && p.isTopType(p.searchType[search]) {
+// recordRejection records harm in all parts where a search of the highest value was not served
+// while lower values are admitted.
+func (p *Port) recordRejection(search int) {
+	if search < len(p.searchType) && p.estimator.AdmitsLowerValues() && p.isTopType(p.searchType[search]) {
 		p.estimator.RecordOutcomes(OutcomeHarmed, true, float64(p.searchParts[search]))
 	}
 }
-
-var (
-	_ decide.Port = (*Port)(nil)
-	_ decide.Out  = (*outbound)(nil)
-)
--- a/internal/fleet/shedding/shedding.go
+++ b/internal/fleet/shedding/shedding.go
@@ -1,6 +1,7 @@
-// Package shedding is the one written order in which searches are refused where not all can be taken: whoever is on call can
-// read it before the day on which it acts. It makes of the settings and the operator's file what each search counts with; who
-// is refused by that, and when, is the module's to decide. Pure.
+// Package shedding is the one written order in which searches are rejected where not all can be
+// served: whoever is on call can read it before the day on which it acts. It derives from the
+// settings and the operator's file with which weight each search counts. Who is rejected by that,
+// and when, is the decision module's to decide. Pure.
 package shedding
 
 import (
@@ -9,102 +10,114 @@
 	"strings"
 )
 
-// Config are the operator's.
+// Config is the operator's order.
 type Config struct {
-	ShedFirst     [][]int // query types by group, those refused first in front; who stands in none follows, least valued first
-	BulkCustomers []int   // customers whose searches are refused before everybody else's, whatever their type
-	RetryWeight   float64 // share of its worth with which a search counts whose client says that it asks again; 0: as the first
+	// ShedFirst has groups of query types, by index, those rejected first in front. Types that
+	// stand in no group follow, the lowest value first.
+	ShedFirst [][]int
+	// BulkCustomers are rejected before all others, whatever their type.
+	BulkCustomers []int
+	// RetryWeight is the share of its weight with which a search counts whose client says that it
+	// retries; 0: as the first attempt.
+	RetryWeight float64
 }
 
-// Weights are what searches count with. Types: 1 for those refused last. Customers: a share of that.
+// Weights are what searches count with.
 type Weights struct {
-	Types       []float64
-	Customers   []float64
-	RetryWeight float64
-	groups      [][]int
+	Types       []float64 // by type; 1: rejected last
+	Customers   []float64 // by customer, a share of the type's
+	RetryWeight float64   // of a retry, a share of that
+	groups      [][]int   // of types, those rejected first in front
 }
 
-// Of puts types in their places. values are the settings' by type, customers how many there are. Places are evenly apart:
-// what lies between two of them leaves the module as much room to tell them apart at any size.
-func NewWeights(values []float64, customers int, r Config) Weights {
-	w := Weights{Types: make([]float64, len(values)), Customers: make([]float64, customers), RetryWeight: 1}
-	if r.RetryWeight > 0 {
-		w.RetryWeight = r.RetryWeight
+// NewWeights orders the types of the settings' values, and derives the weights. The groups'
+// weights are evenly apart, which leaves the module as much room between any two of them.
+func NewWeights(values []float64, customers int, c Config) Weights {
+	w := Weights{
+		Types:       make([]float64, len(values)),
+		Customers:   make([]float64, customers),
+		RetryWeight: 1,
+		groups:      groupTypes(values, c.ShedFirst),
+	}
+	if c.RetryWeight > 0 {
+		w.RetryWeight = c.RetryWeight
+	}
+	groups := float64(len(w.groups))
+	for i, group := range w.groups {
+		for _, kind := range group {
+			w.Types[kind] = float64(i+1) / groups
+		}
+	}
+	for customer := range w.Customers {
+		w.Customers[customer] = 1
 	}
+	for _, customer := range c.BulkCustomers {
+		w.Customers[customer] = 1 / (2 * groups) // bulk of the last group before all else of the first
+	}
+	return w
+}
+
+// groupTypes puts each type into one group: first the operator's, then one for each value.
+func groupTypes(values []float64, shedFirst [][]int) (groups [][]int) {
 	placed := make([]bool, len(values))
-	for _, g := range r.ShedFirst {
+	for _, listed := range shedFirst {
 		var group []int
-		for _, k := range g {
-			if !placed[k] {
-				placed[k] = true
-				group = append(group, k)
+		for _, kind := range listed {
+			if !placed[kind] {
+				placed[kind] = true
+				group = append(group, kind)
 			}
 		}
 		if len(group) > 0 {
-			w.groups = append(w.groups, group)
+			groups = append(groups, group)
 		}
 	}
 	var rest []int
-	for k := range values {
-		if !placed[k] {
-			rest = append(rest, k)
+	for kind := range values {
+		if !placed[kind] {
+			rest = append(rest, kind)
 		}
 	}
 	sort.SliceStable(rest, func(i, j int) bool { return values[rest[i]] < values[rest[j]] })
-	for i, k := range rest {
-		if i > 0 && values[rest[i-1]] == values[k] {
-			last := len(w.groups) - 1
-			w.groups[last] = append(w.groups[last], k)
+	for i, kind := range rest {
+		if i > 0 && values[rest[i-1]] == values[kind] {
+			last := len(groups) - 1
+			groups[last] = append(groups[last], kind)
 			continue
 		}
-		w.groups = append(w.groups, []int{k})
-	}
-	n := float64(len(w.groups))
-	for place, g := range w.groups {
-		for _, k := range g {
-			w.Types[k] = float64(place+1) / n
-		}
+		groups = append(groups, []int{kind})
 	}
-	for c := range w.Customers {
-		w.Customers[c] = 1
-	}
-	for _, c := range r.BulkCustomers {
-		w.Customers[c] = 1 / (2 * n) // the last of bulk before the first of the others
-	}
-	return w
+	return groups
 }
 
-// Apply hands the order to the module, after the settings and before its first round.
-func (w Weights) Apply(p interface {
-	Order(kind int, worth float64)
+// Module is what of the decision module takes weights (decide.Port).
+type Module interface {
+	Order(kind int, weight float64)
 	Weigh(customer int, share float64)
 	Retries(share float64)
-}) {
-	for k, v := range w.Types {
-		p.Order(k, v)
+}
+
+// Apply hands the weights to the module, after the settings and before its first turn.
+func (w Weights) Apply(module Module) {
+	for kind, weight := range w.Types {
+		module.Order(kind, weight)
 	}
-	for c, v := range w.Customers {
-		p.Weigh(c, v)
+	for customer, weight := range w.Customers {
+		module.Weigh(customer, weight)
 	}
-	p.Retries(w.RetryWeight)
+	module.Retries(w.RetryWeight)
 }
 
-// Describe writes the order down, a line for each step, those refused first in front.
+// Describe writes the order down, a line for each step, those rejected first in front.
 func (w Weights) Describe(types, customers []string) (lines []string) {
 	lines = append(lines, "what no holder is left for, and what can't be in time any more")
-	var bulk []string
-	for c, v := range w.Customers {
-		if v < 1 {
-			bulk = append(bulk, customers[c])
-		}
-	}
-	if len(bulk) > 0 {
+	if bulk := w.bulkCustomers(customers); len(bulk) > 0 {
 		lines = append(lines, "all that comes from "+strings.Join(bulk, ", "))
 	}
-	for i, g := range w.groups {
+	for i, group := range w.groups {
 		var names []string
-		for _, k := range g {
-			names = append(names, types[k])
+		for _, kind := range group {
+			names = append(names, types[kind])
 		}
 		line := strings.Join(names, ", ")
 		if i == len(w.groups)-1 {
@@ -117,3 +130,12 @@
 	}
 	return append(lines, "of each type, customers over their quota count with what the settings leave them beyond it")
 }
+
+func (w Weights) bulkCustomers(names []string) (bulk []string) {
+	for customer, weight := range w.Customers {
+		if weight < 1 {
+			bulk = append(bulk, names[customer])
+		}
+	}
+	return bulk
+}
--- a/internal/fleet/shedding/shedding_test.go
+++ b/internal/fleet/shedding/shedding_test.go
@@ -13,12 +13,12 @@
 
 func TestWeightsFollowTheOperatorsOrder(t *testing.T) {
 	w := NewWeights([]float64{3, 1, 1, 2}, 3, Config{ShedFirst: [][]int{{0}}, BulkCustomers: []int{2}, RetryWeight: 0.75})
-	// Refused first: type 0, whatever it is worth; then 1 and 2 alike, then 3; all of customer 2 before any of that.
+	// Rejected first: type 0, whatever its value; then 1 and 2 alike, then 3; all of customer 2 before any of that.
 	if !(w.Types[0] < w.Types[1] && w.Types[1] == w.Types[2] && w.Types[2] < w.Types[3] && w.Types[3] == 1) {
 		t.Error(w.Types)
 	}
-	if most := w.Types[3] * w.Customers[2]; most >= w.Types[0] {
-		t.Errorf("the most valued bulk counts with %.2f, the least of the others with %.2f", most, w.Types[0])
+	if bulk := w.Types[3] * w.Customers[2]; bulk >= w.Types[0] {
+		t.Errorf("the highest bulk counts with %.2f, the lowest of the others with %.2f", bulk, w.Types[0])
 	}
 	text := strings.Join(w.Describe([]string{"a", "b", "c", "d"}, []string{"all", "desk", "run"}), "\n")
 	for _, want := range []string{"from run\na\nb, c\nd (untouched", "counts with 0.75"} {
