--- a/internal/fleet/site/talk/talk.go
+++ b/internal/fleet/zonefailure/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package talk carries what brokers see of sites to each other, where an installation lets them talk: gossip by memberlist, on
-// an address of its own. What it brings is hearsay, with who said it and how old it is; internal/fleet/site says what it is
+// Package gossip carries what brokers see of sites to each other, where an installation lets them talk: gossip by memberlist, on
+// an address of its own. What it brings is hearsay, with who said it and how old it is; internal/fleet/zonefailure says what it is
 // worth. Nothing waits for it, and without it brokers decide by own sight as ever. The platform bars it: it is off there.
-package talk
+package gossip
 
 import (
 	"encoding/json"
@@ -150,18 +150,30 @@
 	text []byte
 }
 
+// Invalidates implements memberlist.Broadcast: a later word of the same broker and site takes the place of an earlier one.
 func (w *word) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(*word)
 	return ok && o.key == w.key
 }
+
+// Message implements memberlist.Broadcast.
 func (w *word) Message() []byte { return w.text }
-func (w *word) Finished()       {}
+
+// Finished implements memberlist.Broadcast; nobody waits for it.
+func (w *word) Finished() {}
 
 type delegate Talk
 
-func (d *delegate) NodeMeta(int) []byte           { return nil }
-func (d *delegate) LocalState(bool) []byte        { return nil }
+// NodeMeta implements memberlist.Delegate; members carry no data.
+func (d *delegate) NodeMeta(int) []byte { return nil }
+
+// LocalState implements memberlist.Delegate; there is no state to exchange.
+func (d *delegate) LocalState(bool) []byte { return nil }
+
+// MergeRemoteState implements memberlist.Delegate; there is no state to exchange.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
+
+// GetBroadcasts implements memberlist.Delegate: what is still to be told, within limit bytes.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	if d.queue == nil {
 		return nil
