--- a/cmd/kestrelnode/main.go
+++ b/cmd/kestrelnode/main.go
@@ -3,124 +3,142 @@
 package main
 
 import (
-	"context"
-	"flag"
+	"errors"
 	"fmt"
 	"os"
 
-	"github.com/google/subcommands"
+	"github.com/spf13/cobra"
 
 	"kestrelspread/internal/node/agent"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/settings"
 )
 
-func main() {
-	subcommands.Register(subcommands.HelpCommand(), "")
-	subcommands.Register(&runCommand{}, "")
-	subcommands.Register(&checkCommand{}, "")
-	subcommands.Register(&mechanismsCommand{}, "")
-	flag.Parse()
-	os.Exit(int(subcommands.Execute(context.Background())))
-}
-
-// settingsPath returns the path of the settings file, which the environment has to name (DEPLOY.md).
-func settingsPath() (string, error) {
-	path := os.Getenv(settings.EnvironmentVariable)
-	if path == "" {
-		return "", fmt.Errorf("%s is not set: it names the settings file", settings.EnvironmentVariable)
-	}
-	return path, nil
-}
-
-// runCommand runs a node until it is stopped.
-type runCommand struct {
-	disable string // names of mechanisms, separated by commas
-}
+// Exit statuses.
+const (
+	exitFailure    = 1
+	exitUsageError = 2
+)
 
-// Name implements subcommands.Command.
-func (*runCommand) Name() string { return "run" }
+// usageError is a command line that the program doesn't take.
+type usageError struct{ error }
 
-// Synopsis implements subcommands.Command.
-func (*runCommand) Synopsis() string { return "run one node until SIGTERM" }
+// Unwrap returns the error of the command line.
+func (e usageError) Unwrap() error { return e.error }
 
-// Usage implements subcommands.Command.
-func (*runCommand) Usage() string {
-	return "run [--disable NAME,...]: run one node; " + settings.EnvironmentVariable + " names its settings file\n"
-}
-
-// SetFlags implements subcommands.Command.
-func (c *runCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&c.disable, "disable", "", "mechanisms of the decisions to switch off, see `kestrelnode mechanisms`")
+func main() {
+	root := newRootCommand()
+	root.SetArgs(doubleDashes(os.Args[1:]))
+	os.Exit(exitStatus(root.Execute()))
 }
 
-// Execute implements subcommands.Command.
-func (c *runCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	path, err := settingsPath()
-	var disabled mechanism.Set
+// exitStatus prints the error of a command and returns the program's exit status.
+func exitStatus(err error) int {
 	if err == nil {
-		disabled, err = mechanism.Parse(c.disable)
+		return 0
 	}
-	if err == nil {
-		err = agent.Run(ctx, path, disabled, os.Stderr)
+	fmt.Fprintln(os.Stderr, "kestrelnode:", err)
+	var usage usageError
+	if errors.As(err, &usage) {
+		return exitUsageError
 	}
-	return report(err)
+	return exitFailure
 }
 
-// mechanismsCommand lists the mechanisms of the decisions.
-type mechanismsCommand struct{}
-
-// Name implements subcommands.Command.
-func (*mechanismsCommand) Name() string { return "mechanisms" }
-
-// Synopsis implements subcommands.Command.
-func (*mechanismsCommand) Synopsis() string { return "list the mechanisms that --disable switches off" }
-
-// Usage implements subcommands.Command.
-func (*mechanismsCommand) Usage() string {
-	return "mechanisms: a line for each mechanism of the decisions\n"
+// doubleDashes gives flags that are written with one dash, as -disable, the second one: both forms are
+// accepted.
+func doubleDashes(arguments []string) []string {
+	accepted := make([]string, len(arguments))
+	for i, argument := range arguments {
+		if len(argument) > 2 && argument[0] == '-' && argument[1] != '-' {
+			argument = "-" + argument
+		}
+		accepted[i] = argument
+	}
+	return accepted
 }
 
-// SetFlags implements subcommands.Command.
-func (*mechanismsCommand) SetFlags(*flag.FlagSet) {}
-
-// Execute implements subcommands.Command.
-func (*mechanismsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	for _, mechanism := range mechanism.All() {
-		fmt.Printf("%-16s %s\n", mechanism.Name, mechanism.About)
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:           "kestrelnode",
+		Short:         "One node of the router fleet",
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		Args: func(_ *cobra.Command, arguments []string) error {
+			if len(arguments) > 0 {
+				return usageError{fmt.Errorf("unknown command %q", arguments[0])}
+			}
+			return nil
+		},
+		RunE: func(command *cobra.Command, _ []string) error {
+			command.SetOut(os.Stderr)
+			return usageError{errors.Join(errors.New("a command is needed"), command.Help())}
+		},
 	}
-	return subcommands.ExitSuccess
+	root.CompletionOptions.DisableDefaultCmd = true
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
+	root.AddCommand(newRunCommand(), newCheckCommand(), newMechanismsCommand())
+	return root
 }
 
-// checkCommand validates the settings file.
-type checkCommand struct{}
-
-// Name implements subcommands.Command.
-func (*checkCommand) Name() string { return "check" }
-
-// Synopsis implements subcommands.Command.
-func (*checkCommand) Synopsis() string { return "check a settings file" }
-
-// Usage implements subcommands.Command.
-func (*checkCommand) Usage() string { return "check: say what is wrong with the settings file\n" }
+// newRunCommand returns the command that runs a node until it is stopped.
+func newRunCommand() *cobra.Command {
+	var disabledNames string
+	command := &cobra.Command{
+		Use:   "run",
+		Short: "Run one node until SIGTERM",
+		Long:  "Run one node until SIGTERM. " + settings.EnvironmentVariable + " names its settings file.",
+		RunE: func(command *cobra.Command, _ []string) error {
+			path, err := settingsPath()
+			if err != nil {
+				return err
+			}
+			disabled, err := mechanism.Parse(disabledNames)
+			if err != nil {
+				return err
+			}
+			return agent.Run(command.Context(), path, disabled, os.Stderr)
+		},
+	}
+	command.Flags().StringVar(&disabledNames, "disable", "",
+		"mechanisms of the decisions to switch off, separated by commas, see `kestrelnode mechanisms`")
+	return command
+}
 
-// SetFlags implements subcommands.Command.
-func (*checkCommand) SetFlags(*flag.FlagSet) {}
+// newCheckCommand returns the command that validates the settings file.
+func newCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check",
+		Short: "Say what is wrong with the settings file",
+		RunE: func(*cobra.Command, []string) error {
+			path, err := settingsPath()
+			if err != nil {
+				return err
+			}
+			_, err = settings.Load(path)
+			return err
+		},
+	}
+}
 
-// Execute implements subcommands.Command.
-func (*checkCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	path, err := settingsPath()
-	if err == nil {
-		_, err = settings.Load(path)
+// newMechanismsCommand returns the command that lists the mechanisms of the decisions.
+func newMechanismsCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "mechanisms",
+		Short: "List the mechanisms that --disable switches off, a line each",
+		Run: func(command *cobra.Command, _ []string) {
+			for _, info := range mechanism.All() {
+				fmt.Fprintf(command.OutOrStdout(), "%-16s %s\n", info.Name, info.About)
+			}
+		},
 	}
-	return report(err)
 }
 
-// report prints the error of a command and returns its exit status.
-func report(err error) subcommands.ExitStatus {
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "kestrelnode:", err)
-		return subcommands.ExitFailure
+// settingsPath returns the path of the settings file, which the environment has to name (DEPLOY.md).
+func settingsPath() (string, error) {
+	path := os.Getenv(settings.EnvironmentVariable)
+	if path == "" {
+		return "", fmt.Errorf("%s is not set: it names the settings file", settings.EnvironmentVariable)
 	}
-	return subcommands.ExitSuccess
+	return path, nil
 }
