--- a/internal/fleet/capacity/capacity.go
+++ b/internal/fleet/capacity/capacity.go
@@ -34,7 +34,7 @@
 	// LateFraction is the fraction of the latency target past which one sub-request counts as
 	// late: its search waits for the slowest.
 	LateFraction float64
-	MaxLevels    int // of values that are told apart
+	MaxLevels    int // of values that are kept apart
 }
 
 // DefaultConfig is what brokers use.
--- a/internal/fleet/capacity/capacity_test.go
+++ b/internal/fleet/capacity/capacity_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// simulatedFleet is an estimator before servers that carry so many sub-requests a second: what is admitted beyond comes to harm.
+// simulatedFleet is an estimator before servers that carry so many sub-requests a second: what is
+// admitted beyond comes to harm.
 type simulatedFleet struct {
 	*Estimator
 	t              *testing.T
@@ -99,7 +100,8 @@
 	}
 }
 
-// Where the highest value alone is above the capacity, as much of it is admitted as does well, and nothing of the others.
+// Where the highest value alone is above the capacity, as much of it is admitted as does well, and
+// nothing of the others.
 func TestTopValueAboveCapacityIsAdmittedInPart(t *testing.T) {
 	f := newFleet(t, 1000, 400, 1600)
 	f.run(30)
--- a/internal/fleet/lease/client/client.go
+++ b/internal/fleet/lease/client/client.go
@@ -27,7 +27,7 @@
 	Voters       []voter.Address
 	Config       lease.Config
 	Jobs         map[string]func() Job // by role, for which the instance is eligible; one a grant
-	WatchedRoles []string              // whose progress OnProgress is to be told
+	WatchedRoles []string              // whose progress OnProgress receives
 	OnProgress   func(reports []replica.ProgressReport)
 	Log          zerolog.Logger
 }
--- a/internal/fleet/lease/explore_test.go
+++ b/internal/fleet/lease/explore_test.go
@@ -10,8 +10,9 @@
 
 var extraDepth = flag.Int("deep", 0, "steps explored exhaustively, beyond those of CI")
 
-// smallFleet is the smallest fleet: two instances, one role, one leader at a time, a log whose commands wait to be committed, and
-// responses that are delayed, overtake each other and get lost. Its clocks drift apart as far as they may.
+// smallFleet is the smallest fleet: two instances, one role, one leader at a time, a log whose
+// commands wait to be committed, and responses that are delayed, overtake each other and get lost.
+// Its clocks drift apart as far as they may.
 type smallFleet struct {
 	state     *State
 	lessor    *Lessor
--- a/internal/fleet/lease/fence/dir/fencedir_test.go
+++ b/internal/fleet/lease/fence/dir/fencedir_test.go
@@ -26,8 +26,8 @@
 	return f
 }
 
-// The stale holder reads the directory, finds its token to be the highest, and is paused; the new holder writes; the stale one goes on
-// and writes.
+// The stale holder reads the directory, finds its token to be the highest, and is paused; the new
+// holder writes; the stale one goes on and writes.
 func TestPausedHolderWritesNothing(t *testing.T) {
 	dir := t.TempDir()
 	late, next := open(t, dir), open(t, dir)
@@ -69,7 +69,8 @@
 	if done, err := a.Apply(effect(4, "a")); !done || err != nil {
 		t.Fatal(done, err)
 	}
-	// The next holder finds it done, and its token is stored all the same: the holder before it must not come back.
+	// The next holder finds it done, and its token is stored all the same: the holder before it
+	// must not come back.
 	if done, err := open(t, dir).Apply(effect(6, "a")); !done || err != nil {
 		t.Fatal(done, err)
 	}
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -154,8 +154,9 @@
 	}
 }
 
-// A holder whose requests were lost for a lease returns: its role doesn't back off for that, neither now nor, twice as long, the
-// next time. One that returns as another incarnation, or only after the backoff, may have failed of its work.
+// A holder whose requests were lost for a lease returns: its role doesn't back off for that,
+// neither now nor, twice as long, the next time. One that returns as another incarnation, or only
+// after the backoff, may have failed of its work.
 func TestFailureIsForgivenWhenHolderReturns(t *testing.T) {
 	for _, c := range []struct {
 		incarnation string
--- a/internal/fleet/lease/membership/plant_none.go
+++ b/internal/fleet/lease/membership/plant_none.go
@@ -2,5 +2,6 @@
 
 package membership
 
-// plantByName is a planted defect, behind a build tag: TestPlantedDefects of internal/standin/leasesim shows that it is found.
+// plantByName is a planted defect, behind a build tag: TestPlantedDefects of
+// internal/standin/leasesim shows that it is found.
 const plantByName = false
--- a/internal/fleet/lease/storage/storage_test.go
+++ b/internal/fleet/lease/storage/storage_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// reopen closes and opens the disk, and returns the snapshot's index with the terms of the entries after it.
+// reopen closes and opens the disk, and returns the snapshot's index with the terms of the entries
+// after it.
 func reopen(t *testing.T, fs vfs.FS, s *Store) (*Store, string) {
 	t.Helper()
 	if err := s.Close(); err != nil {
@@ -46,8 +47,8 @@
 	return s, fmt.Sprint(s.Durable.Snapshot.Metadata.Index, " ", terms)
 }
 
-// What a former leader left at the end of the log is removed where the next one's entries replace it, also after a restart, and
-// none of it comes back.
+// What a former leader left at the end of the log is removed where the next one's entries replace
+// it, also after a restart, and none of it comes back.
 func TestFormerLeadersEntriesAreRemoved(t *testing.T) {
 	fs := vfs.NewMem()
 	s := open(t, fs)
@@ -85,8 +86,9 @@
 	s.Close()
 }
 
-// A long log of single writes costs what as many plain writes cost. When each write removed a range to the end of the log, 5,000
-// of them took a hundred times as long once the store's table was full, and every voter stalled for seconds at once.
+// A long log of single writes costs what as many plain writes cost. When each write removed a range
+// to the end of the log, 5,000 of them took a hundred times as long once the store's table was
+// full, and every voter stalled for seconds at once.
 func TestLongLogIsWrittenWithoutStall(t *testing.T) {
 	const writes = 5000
 	s := open(t, vfs.NewMem())
--- a/internal/fleet/lease/voter/server_test.go
+++ b/internal/fleet/lease/voter/server_test.go
@@ -250,7 +250,8 @@
 	}
 }
 
-// A voter whose disk fails to sync must not vote any more, as nobody knows what is on it. The others go on, and so does the process.
+// A voter whose disk fails to sync must not vote any more, as nobody knows what is on it. The
+// others go on, and so does the process.
 func TestVoterWithFailedDiskHalts(t *testing.T) {
 	var syncFails atomic.Bool
 	g := newTestGroup(t, 3)
--- a/internal/fleet/shedding/shedding_test.go
+++ b/internal/fleet/shedding/shedding_test.go
@@ -13,7 +13,8 @@
 
 func TestWeightsFollowTheOperatorsOrder(t *testing.T) {
 	w := NewWeights([]float64{3, 1, 1, 2}, 3, Config{ShedFirst: [][]int{{0}}, BulkCustomers: []int{2}, RetryWeight: 0.75})
-	// Rejected first: type 0, whatever its value; then 1 and 2 alike, then 3; all of customer 2 before any of that.
+	// Rejected first: type 0, whatever its value; then 1 and 2 alike, then 3; all of customer 2
+	// before any of that.
 	if !(w.Types[0] < w.Types[1] && w.Types[1] == w.Types[2] && w.Types[2] < w.Types[3] && w.Types[3] == 1) {
 		t.Error(w.Types)
 	}
--- a/internal/standin/leasesim/history.go
+++ b/internal/standin/leasesim/history.go
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/fleet/lease"
 )
 
-// The history of grants has to be linearizable: what the voters committed, and what instances were
-// told of their progress, is held against one role that one instance at a time holds. An
+// The history of grants has to be linearizable: what the voters committed, and the results of
+// instances' progress, is checked against one role that one instance at a time holds. An
 // instance's progress is stored if and only if it holds the role at some moment between the call
 // and its return.
 
--- a/internal/standin/leasesim/leasesim_test.go
+++ b/internal/standin/leasesim/leasesim_test.go
@@ -77,7 +77,8 @@
 	if testing.Short() {
 		t.Skip("builds the package once for each")
 	}
-	// Two that show soon, here; the others take up to some hundred seeds: go test -run Planted ./internal/standin/leasesim -args -planted
+	// Two that show soon, here; the others take up to some hundred seeds: go test -run Planted
+	// ./internal/standin/leasesim -args -planted
 	tags := []string{"plant_reuse", "plant_answertime"}
 	if *planted {
 		tags = append(tags, "plant_back", "plant_oldword", "plant_revive", "plant_oldprogress", "plant_nowait", "plant_longhold",
@@ -127,7 +128,8 @@
 	}
 }
 
-// Figures for docs/measure/owner.md, by hand: go test -v -run Figures ./internal/standin/leasesim -args -figures
+// Figures for docs/measure/owner.md, by hand: go test -v -run Figures ./internal/standin/leasesim
+// -args -figures
 func TestFigures(t *testing.T) {
 	if !*figures {
 		t.Skip("by hand")
--- a/internal/standin/leasesim/voters.go
+++ b/internal/standin/leasesim/voters.go
@@ -169,8 +169,8 @@
 	s.startVoter(v)
 }
 
-// handleReady does what a voter's replica asks for, until that is nothing more, and checks what
-// was agreed on.
+// handleReady does what a voter's replica asks for, until that is nothing more, and checks the
+// replicated state.
 func (s *simulation) handleReady(v *simVoter) {
 	for range maxReadySteps {
 		ready := v.replica.Ready()
