--- a/internal/routing/meter.go
+++ b/internal/aggregator/engine/meter.go
@@ -1,4 +1,4 @@
-package routing
+package engine
 
 import "kestrelspread/internal/must"
 
--- a/internal/routing/router.go
+++ b/internal/aggregator/engine/router.go
@@ -1,7 +1,7 @@
-// Package routing is the broker's one reducer: each event changes its state and asks for effects. It has no
+// Package engine is the broker's one reducer: each event changes its state and asks for effects. It has no
 // socket and no clock, and decides nothing about searches: that is the module's, which it drives through
 // policy.Port and whose decisions it carries out as policy.Out.
-package routing
+package engine
 
 import (
 	"math"
--- a/internal/routing/timers.go
+++ b/internal/aggregator/engine/timers.go
@@ -1,4 +1,4 @@
-package routing
+package engine
 
 // timer says whom a time concerns. One that no longer matters is taken back, or it would keep alive what it concerns:
 // most times are seconds off, and what they stand for is over within milliseconds.
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -21,8 +21,8 @@
 
 	"github.com/rs/zerolog"
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/protocol"
-	"kestrelspread/internal/routing"
 	"kestrelspread/internal/settings"
 	"kestrelspread/internal/transport"
 )
@@ -46,7 +46,7 @@
 type Parts struct {
 	Name   string
 	Loop   *transport.Loop
-	Router *routing.Router
+	Router *engine.Router
 	Set    settings.Values
 	Seed   uint64
 	Memory int64 // bytes that this process may take
@@ -128,7 +128,7 @@
 type reloads struct {
 	filed  plan
 	log    zerolog.Logger
-	router *routing.Router
+	router *engine.Router
 	loop   *transport.Loop
 	extra  []func()
 }
@@ -146,7 +146,7 @@
 		Msg("configuration read again")
 	if next.discovery != r.filed.discovery {
 		r.router.Discovery.Store(&next.discovery)
-		r.loop.Tell(routing.Move)
+		r.loop.Tell(engine.Move)
 	}
 	r.filed.discovery = next.discovery
 }
@@ -197,7 +197,7 @@
 		flush(waiting)
 		return err
 	}
-	router := routing.New(loop, pool, log, c.set, c.seed, sockets, c.Known, c.discovery, loop.Epoch())
+	router := engine.New(loop, pool, log, c.set, c.seed, sockets, c.Known, c.discovery, loop.Epoch())
 
 	var extra, ends []func()
 	for _, a := range attach {
@@ -228,9 +228,9 @@
 		for {
 			select {
 			case <-stops:
-				loop.Tell(routing.Terminate)
+				loop.Tell(engine.Terminate)
 			case <-reports:
-				loop.Tell(routing.Report)
+				loop.Tell(engine.Report)
 			}
 		}
 	}()
--- a/internal/broker/full/full.go
+++ b/internal/broker/full/full.go
@@ -8,12 +8,12 @@
 	"time"
 	_ "time/tzdata" // a small machine may have no zones
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/operator"
 	"kestrelspread/internal/passthrough"
-	"kestrelspread/internal/routing"
 	"kestrelspread/internal/settings"
 )
 
@@ -144,7 +144,7 @@
 					Msg("operator's file read again")
 				fit(p, next.GRPC)
 				front.Next.Store(next.GRPC.Rules)
-				p.Loop.Tell(routing.Reread)
+				p.Loop.Tell(engine.Reread)
 			}
 		}
 		return on, nil
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/ledger"
-	"kestrelspread/internal/routing"
 )
 
 // Clocks are the two that the recorder reads.
@@ -70,18 +70,18 @@
 	return r.start
 }
 
-// Used takes a use (routing.Meter). It belongs to the period in which its answer was given, which may have been a while
+// Used takes a use (engine.Meter). It belongs to the period in which its answer was given, which may have been a while
 // before what was out of it came to its end.
-func (r *Recorder) Used(u *routing.Used) {
+func (r *Recorder) Used(u *engine.Used) {
 	how := ledger.Errored
 	switch {
 	case u.Left:
 		how = ledger.Left
-	case u.How == routing.Whole:
+	case u.How == engine.Whole:
 		how = ledger.Answered
-	case u.How == routing.Partial:
+	case u.How == engine.Partial:
 		how = ledger.Partial
-	case u.How == routing.Shed:
+	case u.How == engine.Shed:
 		how = ledger.Shed
 	}
 	front := ledger.HTTP
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -15,10 +15,10 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/disk"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/export"
-	"kestrelspread/internal/routing"
 )
 
 const hour = int64(3600e3)
@@ -52,7 +52,7 @@
 }
 
 func use(r *Recorder, c *clocks, customer int) {
-	r.Used(&routing.Used{Customer: customer, How: routing.Whole, At: c.Steady(), Parts: 2, First: 2, Copy: 1, In: 10, Out: 100, Work: 1.5, Server: 20})
+	r.Used(&engine.Used{Customer: customer, How: engine.Whole, At: c.Steady(), Parts: 2, First: 2, Copy: 1, In: 10, Out: 100, Work: 1.5, Server: 20})
 }
 
 // use here, as no disk of the machine is part of these tests: all faults are made.
--- a/internal/passthrough/call.go
+++ b/internal/passthrough/call.go
@@ -5,12 +5,12 @@
 
 	"golang.org/x/net/http2"
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
 	"kestrelspread/internal/routes"
-	"kestrelspread/internal/routing"
 )
 
 // call is one gRPC call: a search of one part. What its client has sent is kept once for all sub-requests, each of which
@@ -25,7 +25,7 @@
 	customer int
 	until    float64
 	head     []h2.Field
-	q        *routing.Search
+	q        *engine.Search
 
 	req      queue
 	reqScan  grpcwire.Scan
@@ -40,7 +40,7 @@
 	trailers []h2.Field // that end what goes to the client
 	told     bool       // the client's side has its end
 	owes     bool
-	timer    routing.Timer
+	timer    engine.Timer
 }
 
 // queue holds bytes from a place on. What was given out is not changed: pieces are let go of whole.
@@ -108,7 +108,7 @@
 
 // start makes a search of the call.
 func (k *call) start(shard int, look routes.Lookup) {
-	pieces := [1]routing.Piece{{Shard: shard, Share: 1, Work: k.route.Work, Key: k.route.About(look)}}
+	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.Work, Key: k.route.About(look)}}
 	q := k.f.r.Ask(k.route.Kind, k.customer, k.until, grpcwire.Repeated(look), pieces[:], k)
 	if k.q = q; !k.final && !k.reqEnd {
 		k.f.r.Open(q, true)
@@ -245,8 +245,8 @@
 	k.f.touch(k.c)
 }
 
-// Send begins a sub-request (routing.Call).
-func (k *call) Send(s *routing.Sub) {
+// Send begins a sub-request (engine.Call).
+func (k *call) Send(s *engine.Sub) {
 	a := &attempt{k: k, sub: s, server: s.Server()}
 	k.attempts = append(k.attempts, a)
 	k.f.Count.Sent++
@@ -260,10 +260,10 @@
 	k.f.pool.Want(k.f.r.Now(), a.server, a)
 }
 
-// Door is where gRPC comes in (routing.Call).
+// Door is where gRPC comes in (engine.Call).
 func (k *call) Door() int { return 1 }
 
-// Bytes are those of the client's messages and of the messages that it is given (routing.Call).
+// Bytes are those of the client's messages and of the messages that it is given (engine.Call).
 func (k *call) Bytes() (in, out int64) {
 	if w := k.winner; w != nil {
 		out = w.resp.to
@@ -271,8 +271,8 @@
 	return k.req.to, out
 }
 
-// TakeBack stops one whose outcome is known (routing.Call).
-func (k *call) TakeBack(s *routing.Sub) {
+// TakeBack stops one whose outcome is known (engine.Call).
+func (k *call) TakeBack(s *engine.Sub) {
 	for _, a := range k.attempts {
 		if a.sub == s {
 			a.stop()
@@ -281,8 +281,8 @@
 	}
 }
 
-// Final is the module's one final answer (routing.Call).
-func (k *call) Final(how routing.Ending, back float64) {
+// Final is the module's one final answer (engine.Call).
+func (k *call) Final(how engine.Ending, back float64) {
 	must.Hold(!k.final, "a call has one final answer")
 	k.final = true
 	if k.told {
@@ -290,7 +290,7 @@
 	}
 	late := k.f.r.Now() >= k.until-timeIsUp
 	switch how {
-	case routing.Whole, routing.Partial:
+	case engine.Whole, engine.Partial:
 		k.f.Count.Answered++
 		if k.winner == nil {
 			k.winner = k.answered
@@ -300,7 +300,7 @@
 			return
 		}
 		k.finish(grpcwire.Internal, "no answer is there", -1)
-	case routing.Shed:
+	case engine.Shed:
 		k.f.Count.Shed++
 		k.fail(late, back)
 	default:
@@ -454,7 +454,7 @@
 // attempt is one sub-request of a call on its way.
 type attempt struct {
 	k      *call
-	sub    *routing.Sub
+	sub    *engine.Sub
 	server int
 	l      *line // nil: it waits for its channel
 	s      *h2.Stream
@@ -472,7 +472,7 @@
 	said   bool // by its server or its connection, not called off
 	// trailers are what the server ended with, nil where it did not
 	trailers []h2.Field
-	by       routing.Timer // until when it may begin
+	by       engine.Timer // until when it may begin
 }
 
 // Next gives the server's stream what the client has sent (h2.Source).
--- a/internal/passthrough/client.go
+++ b/internal/passthrough/client.go
@@ -5,10 +5,10 @@
 
 	"golang.org/x/net/http2"
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
-	"kestrelspread/internal/routing"
 	"kestrelspread/internal/transport"
 )
 
@@ -24,7 +24,7 @@
 	heard   float64
 	came    float64 // when the bytes at hand did
 	half    float64 // since when half a frame waits
-	timer   routing.Timer
+	timer   engine.Timer
 	timerAt float64
 	ending  bool // nothing more is read
 	gone    bool
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -14,12 +14,12 @@
 
 	"golang.org/x/net/http2"
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/channels"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
-	"kestrelspread/internal/routing"
 	"kestrelspread/internal/transport"
 )
 
@@ -28,7 +28,7 @@
 	Next  atomic.Pointer[Rules] // set by others before they tell Reread
 	Count Counters
 
-	r       *routing.Router
+	r       *engine.Router
 	rules   *Rules
 	shards  int
 	pool    *channels.Pool
@@ -42,7 +42,7 @@
 	held    int         // bytes
 	owing   []*call     // whose credit waits until less is held
 	dirty   []flusher
-	timer   routing.Timer
+	timer   engine.Timer
 	tickAt  float64
 	killed  float64
 	leaving bool
@@ -61,7 +61,7 @@
 type flusher interface{ flush() }
 
 // New makes the front of a broker; shards is how many there are, seed draws the backoff's jitter.
-func New(r *routing.Router, rules *Rules, shards int, seed uint64) *Front {
+func New(r *engine.Router, rules *Rules, shards int, seed uint64) *Front {
 	f := &Front{r: r, rules: rules, shards: shards, rand: seed | 1, clients: map[*client]bool{}, byOwner: map[int]int{},
 		killed: math.Inf(1), tickAt: math.Inf(1)}
 	f.pool = channels.New((*carrier)(f), rules.Channels, f.roll)
--- a/internal/passthrough/random_test.go
+++ b/internal/passthrough/random_test.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/net/http2"
 
-	"kestrelspread/internal/routing"
+	"kestrelspread/internal/aggregator/engine"
 	p "kestrelspread/internal/standin/grpcpeer"
 	"kestrelspread/internal/standin/rules"
 	"kestrelspread/internal/standin/virtual"
@@ -35,7 +35,7 @@
 // meter adds up what it is told.
 type meter struct{ searches, subs, left, in, out int64 }
 
-func (m *meter) Used(u *routing.Used) {
+func (m *meter) Used(u *engine.Used) {
 	m.searches++
 	m.subs += int64(u.First + u.Repeat + u.Copy)
 	m.in, m.out = m.in+u.In, m.out+u.Out
--- a/internal/passthrough/settings.go
+++ b/internal/passthrough/settings.go
@@ -5,11 +5,11 @@
 
 	"github.com/rs/zerolog"
 
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/channels"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/routes"
-	"kestrelspread/internal/routing"
 )
 
 // Limits bound what clients and servers may have this broker hold. Bytes, and milliseconds.
@@ -116,5 +116,5 @@
 		Int64("bytes_held_most", c.Top).Msg("grpc connections")
 }
 
-var _ routing.Front = (*Front)(nil)
+var _ engine.Front = (*Front)(nil)
 var _ = policy.Answered
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/virtual/world.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/routing"
+	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/settings"
 	"kestrelspread/internal/transport"
 )
@@ -51,7 +51,7 @@
 // World is the network, its clock and the broker in it.
 type World struct {
 	Now      float64
-	R        *routing.Router
+	R        *engine.Router
 	Pool     *transport.Pool
 	Rand     *rand.Rand
 	Delay    float64                 // of each piece, one way
@@ -117,7 +117,7 @@
 	w := &World{Now: 1e6, Rand: rand.New(rand.NewPCG(seed, 11)), Delay: 0.2, listen: map[netip.AddrPort]func(*End) Peer{},
 		Refuse: map[netip.AddrPort]bool{}, Swallow: map[netip.AddrPort]bool{}, armed: math.Inf(1), list: list,
 		Pool: &transport.Pool{Size: 80 << 10, Most: 400}, Log: &bytes.Buffer{}}
-	w.R = routing.New(w, w.Pool, zerolog.New(io.MultiWriter(w.Log)), set, seed, sockets, []byte(w.line(true)), Discovery, 0)
+	w.R = engine.New(w, w.Pool, zerolog.New(io.MultiWriter(w.Log)), set, seed, sockets, []byte(w.line(true)), Discovery, 0)
 	w.listen[Discovery] = func(*End) Peer { return (*lister)(w) }
 	return w
 }
@@ -287,7 +287,7 @@
 // Gone tells whether the connection is no more.
 func (e *End) Gone() bool { return e.gone }
 
-// What follows is the network as the broker uses it (routing.Net).
+// What follows is the network as the broker uses it (engine.Net).
 
 func (w *World) Connect(addr netip.AddrPort) transport.Conn {
 	e := w.take(&End{to: addr, door: -1})
