--- a/cmd/kestrelctl/ledger.go
+++ b/cmd/kestrelctl/ledger.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/broker/full"
+	"kestrelspread/internal/aggregator/server/full"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/store"
 	"kestrelspread/internal/operator"
--- a/cmd/kestrelctl/main.go
+++ b/cmd/kestrelctl/main.go
@@ -9,9 +9,9 @@
 	"github.com/spf13/cobra"
 
 	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/aggregator/server"
+	"kestrelspread/internal/aggregator/server/full"
 	"kestrelspread/internal/baseline"
-	"kestrelspread/internal/broker"
-	"kestrelspread/internal/broker/full"
 	"kestrelspread/internal/rig"
 )
 
@@ -85,31 +85,31 @@
 	var operator, policyName string
 	c := &cobra.Command{Use: "broker", Short: "Run a broker, with another policy in the module's place if one is named", Hidden: true,
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			var list []broker.Attach
+			var list []server.Attach
 			if policyName == "sighted" || policyName == "planned" {
-				list = append(list, func(p *broker.Parts) (broker.Attached, error) {
+				list = append(list, func(p *server.Parts) (server.Attached, error) {
 					view := p.Set.Sighted
 					if policyName == "planned" {
 						view = p.Set.Planned
 					}
 					p.Router.Replace(func(out policy.Out) policy.Port { return view(out, p.Seed) })
-					return broker.Attached{}, nil
+					return server.Attached{}, nil
 				})
 			} else if policyName != "" {
-				list = append(list, func(p *broker.Parts) (broker.Attached, error) {
+				list = append(list, func(p *server.Parts) (server.Attached, error) {
 					p.Router.Replace(func(out policy.Out) policy.Port {
 						b := baseline.New(policyName, out, p.Seed)
 						b.Home(p.Set.Whole("zone", 0))
 						p.Set.Tell(b)
 						return b
 					})
-					return broker.Attached{}, nil
+					return server.Attached{}, nil
 				})
 			}
 			if operator != "" {
 				list = append(list, full.Attach(operator))
 			}
-			return broker.Run(os.Stderr, list...)
+			return server.Run(os.Stderr, list...)
 		}}
 	c.Flags().StringVar(&operator, "operator", "", "")
 	c.Flags().StringVar(&policyName, "policy", "", "")
--- a/cmd/kestrellean/main.go
+++ b/cmd/kestrellean/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"kestrelspread/internal/broker"
+	"kestrelspread/internal/aggregator/server"
 )
 
 func main() {
-	if err := broker.Run(os.Stderr); err != nil {
+	if err := server.Run(os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "kestrelspread:", err)
 		os.Exit(1)
 	}
--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/broker"
-	"kestrelspread/internal/broker/full"
+	"kestrelspread/internal/aggregator/server"
+	"kestrelspread/internal/aggregator/server/full"
 )
 
 func main() {
@@ -25,15 +25,15 @@
 		SilenceErrors: true, SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if file == "" {
-				return broker.Run(os.Stderr)
+				return server.Run(os.Stderr)
 			}
-			return broker.Run(os.Stderr, full.Attach(file))
+			return server.Run(os.Stderr, full.Attach(file))
 		}}
 	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's own file; its form is deploy/operator.schema.json")
 	root.AddCommand(&cobra.Command{Use: "check", Short: "Say what is wrong with an operator's file, and exit with 1 if anything is",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, err := broker.Settings()
+			set, err := server.Settings()
 			if err != nil {
 				return fmt.Errorf("the broker's settings are needed for the check: %w", err)
 			}
--- a/internal/aggregator/engine/rare_test.go
+++ b/internal/aggregator/engine/rare_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/settings"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/transport"
 )
 
--- a/internal/aggregator/engine/routing_test.go
+++ b/internal/aggregator/engine/routing_test.go
@@ -16,8 +16,8 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/must"
-	"kestrelspread/internal/settings"
 	"kestrelspread/internal/transport"
 )
 
--- a/internal/broker/broker.go
+++ b/internal/aggregator/server/broker.go
@@ -1,7 +1,7 @@
-// Package broker is the program of one broker: searches in over HTTP, their parts out to the servers that the module
+// Package server is the program of one broker: searches in over HTTP, their parts out to the servers that the module
 // chooses. What it is told stands in the environment and in the file that RELAY_CONFIG names; see README.md. It links
 // nothing but what every broker needs: further fronts are attached by those commands that have them.
-package broker
+package server
 
 import (
 	"encoding/json"
@@ -22,8 +22,8 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/aggregator/engine"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/protocol"
-	"kestrelspread/internal/settings"
 	"kestrelspread/internal/transport"
 )
 
--- a/internal/broker/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -10,11 +10,11 @@
 
 	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/broker"
+	"kestrelspread/internal/aggregator/server"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/operator"
 	"kestrelspread/internal/passthrough"
-	"kestrelspread/internal/settings"
 )
 
 // Read reads an operator's file and checks it whole.
@@ -50,7 +50,7 @@
 }
 
 // fit keeps what calls may hold within the broker's memory, whatever the file says: past that the broker is killed.
-func fit(p *broker.Parts, g *operator.GRPC) {
+func fit(p *server.Parts, g *operator.GRPC) {
 	l := &g.Rules.Limits
 	most := max(int(p.Memory/memoryShare), l.Window)
 	if l.Held > most {
@@ -63,13 +63,13 @@
 const memoryShare = 4
 
 // Attach switches on what the operator's file names. At SIGHUP a new file is taken whole or not at all.
-func Attach(file string) broker.Attach {
-	return func(p *broker.Parts) (broker.Attached, error) {
+func Attach(file string) server.Attach {
+	return func(p *server.Parts) (server.Attached, error) {
 		s, err := Read(file, p.Set)
 		if err != nil {
-			return broker.Attached{}, err
+			return server.Attached{}, err
 		}
-		var on broker.Attached
+		var on server.Attached
 		if s.Ledger != nil {
 			if on.End, err = keep(p, s.Ledger); err != nil {
 				return on, err
--- a/internal/broker/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -8,9 +8,9 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
+	"kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/background"
 	"kestrelspread/internal/background/run"
-	"kestrelspread/internal/broker"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
 	"kestrelspread/internal/ledger/store"
@@ -46,7 +46,7 @@
 
 // keep opens the ledger and has the router tell it of each search. The broker does not start on a ledger that can't be proved:
 // an operator is to look at it first.
-func keep(p *broker.Parts, o *operator.Ledger) (end func(), err error) {
+func keep(p *server.Parts, o *operator.Ledger) (end func(), err error) {
 	c, err := Calendar(o)
 	if err != nil {
 		return nil, err
--- a/internal/broker/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"kestrelspread/internal/broker"
+	"kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/fleet/lease"
 	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/exercise"
@@ -34,7 +34,7 @@
 
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
-func duties(p *broker.Parts, o *operator.Owner, port *site.Port, sees *sightings) (end func(), err error) {
+func duties(p *server.Parts, o *operator.Owner, port *site.Port, sees *sightings) (end func(), err error) {
 	rules := lease.ConfigForLease(o.Lease)
 	var list []voter.Address
 	votes := false
--- a/internal/broker/full/talk.go
+++ b/internal/aggregator/server/full/talk.go
@@ -1,14 +1,14 @@
 package full
 
 import (
-	"kestrelspread/internal/broker"
+	"kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/fleet/site/talk"
 	"kestrelspread/internal/operator"
 )
 
 // converse has a broker tell others what it sees of sites, and hear them.
-func converse(p *broker.Parts, o *operator.Talk, port *site.Port, sees *sightings) (end func(), err error) {
+func converse(p *server.Parts, o *operator.Talk, port *site.Port, sees *sightings) (end func(), err error) {
 	t, err := talk.Start(talk.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, Via: o.Via, Heard: func(w talk.Word) {
 		// A full post loses hearsay, which is said again.
 		p.Router.Post(p.Loop.Tell, func() { port.Told(w.Peer, w.Site, w.Lost, w.Age) })
--- a/internal/broker/lines.go
+++ b/internal/aggregator/server/lines.go
@@ -1,4 +1,4 @@
-package broker
+package server
 
 import (
 	"io"
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -23,13 +23,13 @@
 	"golang.org/x/text/message"
 
 	"kestrelspread/deploy"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/channels"
 	"kestrelspread/internal/fleet/order"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/passthrough"
 	"kestrelspread/internal/routes"
-	"kestrelspread/internal/settings"
 )
 
 // Finding is one thing that is wrong.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"kestrelspread/deploy"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/routes"
-	"kestrelspread/internal/settings"
 )
 
 const facts = `{"classes":[{"name":"quick","deadline-ms":3000},{"name":"once"}],"customers":[{"name":"all"},{"name":"desk"}],
--- a/internal/passthrough/world_test.go
+++ b/internal/passthrough/world_test.go
@@ -7,12 +7,12 @@
 	"testing"
 
 	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/channels"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
 	"kestrelspread/internal/routes"
-	"kestrelspread/internal/settings"
 	"kestrelspread/internal/standin/grpcpeer"
 	"kestrelspread/internal/standin/virtual"
 )
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/rig/scenario/scenario_test.go
@@ -8,18 +8,18 @@
 	"strings"
 	"testing"
 
-	"kestrelspread/internal/broker"
-	"kestrelspread/internal/broker/full"
+	aggregator "kestrelspread/internal/aggregator/server"
+	"kestrelspread/internal/aggregator/server/full"
 )
 
 // The test program is a broker, too: what is played is several processes.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "broker" {
-		var parts []broker.Attach
+		var parts []aggregator.Attach
 		if len(os.Args) > 3 && os.Args[2] == "--operator" {
 			parts = append(parts, full.Attach(os.Args[3]))
 		}
-		if err := broker.Run(os.Stderr, parts...); err != nil {
+		if err := aggregator.Run(os.Stderr, parts...); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -11,7 +11,7 @@
 	"math"
 
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/settings"
+	"kestrelspread/internal/aggregator/settings"
 )
 
 const (
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/virtual/world.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/aggregator/engine"
-	"kestrelspread/internal/settings"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/transport"
 )
 
