--- a/internal/node/control/rollout.go
+++ b/internal/node/control/rollout.go
@@ -51,16 +51,16 @@
 	situation := &rollout.Situation{
 		Head:           isHead(status),
 		Epoch:          status.Epoch,
-		HeadLeaseStart: status.LeaseFrom,
+		HeadLeaseStart: status.LeaseStart,
 		Instances:      n.registry.Instances(),
 		HolderID:       n.self.Name,
 		Grant:          n.state.Grant(rollout.RoleName),
 	}
 	// A barrier of the head's own proves the same as a confirmation: everything acknowledged before
 	// the barrier began is committed here.
-	situation.GrantAsOf = status.LeaseFrom
+	situation.GrantAsOf = status.LeaseStart
 	if confirmedAt, ok := n.distribution.ConfirmedAt(); ok {
-		situation.GrantAsOf = max(confirmedAt, status.LeaseFrom)
+		situation.GrantAsOf = max(confirmedAt, status.LeaseStart)
 	}
 	for _, target := range n.targetVersions {
 		situation.Targets = append(situation.Targets, target)
@@ -70,7 +70,7 @@
 
 // isHead reports whether the chain's member is its head, alone or not.
 func isHead(status chain.Status) bool {
-	return status.Role == chain.HeadOf || status.Role == chain.Only
+	return status.Role == chain.Head || status.Role == chain.SoleMember
 }
 
 // executeForRollout executes the outputs of the rollout that other planes take. It reports false for
