--- a/internal/aggregator/engine/catalog.go
+++ b/internal/aggregator/engine/catalog.go
@@ -190,7 +190,7 @@
 	k.watch = nil
 	r.Count.WatchesLost++
 	r.log.warn("watch lost", "%s, version %d", why, k.version)
-	r.port.Unlisted()
+	r.port.DiscoveryFailed()
 	// The next is opened at once: what is told meanwhile counts. Only those that keep on ending at once are asked less often,
 	// and discovery that has to be asked is not on this machine: it ends its answers, and what all ask of it adds up.
 	if k.lost++; why == "silent" || r.now >= w.began+lasted {
@@ -345,7 +345,7 @@
 		return // it came back and went again: a later look is on its way
 	}
 	r.Close(at)
-	if len(v.lanes) > 0 || len(v.planned) > 0 || !r.port.Drop(at) {
+	if len(v.lanes) > 0 || len(v.planned) > 0 || !r.port.RemoveServer(at) {
 		r.after(askForgo, func(r *Router) { r.forgo(at, v) })
 		return
 	}
--- a/internal/aggregator/engine/count.go
+++ b/internal/aggregator/engine/count.go
@@ -13,7 +13,7 @@
 type Counters struct {
 	Searches, Whole, Partial, Shed, Errored, Left, OverHeld, TooLong, BadRequests int64
 	Sent, Calls, CalledOff, LateReplies, Moved, Pushbacks, Asked, Metered         int64
-	Outcomes                                                                      [policy.Moot + 1]int64
+	Outcomes                                                                      [policy.NeverSent + 1]int64
 	Accepted, GaveWay, Paused, Stuck, Silent, Idle                                int64
 	Connects, ConnectTimeouts, Broken, IdleClosed, NoSocket, NoBuffer             int64
 	Unbegun, Ajar                                                                 int64
@@ -51,9 +51,9 @@
 		Msg("rest")
 	for kind, name := range r.rules.kindNames {
 		e, any := line().Str("type", name), false
-		for step, n := range r.port.Refused(kind) {
+		for step, n := range r.port.Refusals(kind) {
 			if n > 0 {
-				e, any = e.Int(policy.Step(step).String(), n), true
+				e, any = e.Int(policy.RefusalReason(step).String(), n), true
 			}
 		}
 		if any {
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -196,7 +196,7 @@
 	}
 	if r.rules.most > 0 && r.held >= r.rules.most {
 		r.Count.OverHeld++
-		r.end(q, 503, r.port.ComeBack(kind), nil)
+		r.end(q, 503, r.port.RetryAfter(kind), nil)
 		return q
 	}
 	r.drafts = r.drafts[:0]
@@ -207,7 +207,7 @@
 	}
 	r.enlist(q, kind, customer, sum, 0)
 	if again {
-		r.port.Again(q.at)
+		r.port.MarkRetry(q.at)
 	}
 	return q
 }
@@ -220,7 +220,7 @@
 		r.release(q)
 		r.letGo(q)
 		if len(q.parts) > 0 {
-			r.port.Lapsed(q.at)
+			r.port.ClientGone(q.at)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 func (r *Router) Open(q *Search, open bool) {
 	if !q.ended && len(q.parts) > 0 {
 		for _, p := range q.parts {
-			r.port.Open(p.at, open)
+			r.port.ClientSending(p.at, open)
 		}
 	}
 }
--- a/internal/aggregator/engine/lane.go
+++ b/internal/aggregator/engine/lane.go
@@ -84,7 +84,7 @@
 	holds := ((v.cell-p.shard)%r.rules.places+r.rules.places)%r.rules.places < r.rules.span
 	must.Hold(holds, "a part goes to a server that holds its shard")
 	if !holds || p.q.ended || s.within <= r.now {
-		r.over(s, policy.Moot, nil)
+		r.over(s, policy.NeverSent, nil)
 		return
 	}
 	if p.q.call != nil {
@@ -129,7 +129,7 @@
 	}
 	if at == nil {
 		for _, s := range k.subs {
-			r.over(s, policy.NoConnect, nil)
+			r.over(s, policy.ConnectFailed, nil)
 		}
 		return
 	}
@@ -272,7 +272,7 @@
 	for _, s := range k.subs {
 		if s.state == waiting && (late || r.now > s.begin || s.part.q.ended) {
 			delete(l.subs, s.part.id) // no reply can come: kept, it would be held as long as the connection lasts
-			r.over(s, policy.Moot, nil)
+			r.over(s, policy.NeverSent, nil)
 		}
 		left = left || s.state == waiting
 	}
@@ -454,7 +454,7 @@
 	// have been dropped for a reply that nobody understood. Once, it goes over another.
 	var again []*sub
 	for _, s := range l.inOrder() {
-		how := policy.NoConnect
+		how := policy.ConnectFailed
 		if s.state == out && s.end <= l.written {
 			how = policy.Reset
 		} else if l.open && !s.moved && v.state == policy.Ready && s.within > r.now {
@@ -568,7 +568,7 @@
 	case protocol.Errored:
 		how = policy.Errored
 	case protocol.TurnedAway:
-		how = policy.Full
+		how = policy.Rejected
 	default:
 		if p := s.part; !p.got {
 			p.got, p.value = true, append([]byte(nil), value...)
--- a/internal/aggregator/engine/router.go
+++ b/internal/aggregator/engine/router.go
@@ -295,14 +295,14 @@
 	}
 	for _, q := range r.lapses {
 		if !q.forgotten && len(q.parts) > 0 {
-			r.port.Lapsed(q.at)
+			r.port.ClientGone(q.at)
 		}
 	}
 	r.lapses = r.lapses[:0]
 	r.drain()
 	if r.now >= r.wake {
 		r.wake = math.Inf(1)
-		r.port.Bell()
+		r.port.Woken()
 	}
 	r.port.End()
 	r.dispatch()
@@ -438,7 +438,7 @@
 	q.until = until
 	r.timers.drop(q.limit)
 	r.limit(q)
-	r.port.Until(q.at, until)
+	r.port.ShortenDeadline(q.at, until)
 	for _, p := range q.parts {
 		for _, s := range p.subs {
 			if s.state != over && s.within > until {
--- a/internal/aggregator/engine/routing_test.go
+++ b/internal/aggregator/engine/routing_test.go
@@ -1284,7 +1284,7 @@
 		t.Fatal(len(w.lanes()), second.status)
 	}
 	w.answered(second)
-	if second.status != 200 || w.r.Count.Moved != 1 || w.r.Count.Outcomes[policy.NoConnect] != 0 {
+	if second.status != 200 || w.r.Count.Moved != 1 || w.r.Count.Outcomes[policy.ConnectFailed] != 0 {
 		t.Errorf("what never began: %d, %d moved", second.status, w.r.Count.Moved)
 	}
 }
@@ -1403,7 +1403,7 @@
 	w.pass(20)
 	w.open()
 	w.pass(1)
-	if w.r.Count.Sent != 0 || w.r.Count.Outcomes[policy.Moot] == 0 {
+	if w.r.Count.Sent != 0 || w.r.Count.Outcomes[policy.NeverSent] == 0 {
 		t.Errorf("%d sent, outcomes %v", w.r.Count.Sent, w.r.Count.Outcomes)
 	}
 }
@@ -1443,7 +1443,7 @@
 	again int
 }
 
-func (m *marks) Again(int) { m.again++ }
+func (m *marks) MarkRetry(int) { m.again++ }
 
 func TestAMarkedRetryIsTold(t *testing.T) {
 	w := newWorld(t, 1, 4)
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -460,7 +460,7 @@
 	if r.rules.most > 0 && r.held >= r.rules.most {
 		r.Count.OverHeld++
 		r.unstore(c)
-		r.end(q, 503, r.port.ComeBack(kind), nil)
+		r.end(q, 503, r.port.RetryAfter(kind), nil)
 		return nil
 	}
 	key := protocol.Key(c.in.Cookie("k"))
@@ -469,7 +469,7 @@
 	r.unstore(c)
 	r.enlist(q, kind, customer, sum, key)
 	if again {
-		r.port.Again(q.at)
+		r.port.MarkRetry(q.at)
 	}
 	return nil
 }
@@ -488,7 +488,7 @@
 		if d.key == 0 && key != 0 {
 			d.key = mixed(key, d.shard)
 		}
-		r.port.Part(q.at, p.at, d.shard, d.share/sum, d.work, d.key)
+		r.port.ShardRequest(q.at, p.at, d.shard, d.share/sum, d.work, d.key)
 	}
 	r.limit(q)
 }
--- a/internal/aggregator/policy/commit_test.go
+++ b/internal/aggregator/policy/commit_test.go
@@ -4,17 +4,17 @@
 
 // What stands here is of parts whose bytes reach the client before they are whole, and of those it is still sending.
 
-func (b *Broker) part(id int) *part { return at(b.parts, id) }
+func (p *Policy) part(id int) *shardRequest { return getAt(p.requests, id) }
 
 func TestACommittedPartHasNoOther(t *testing.T) {
 	b, n := plain(4, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 1, 1)
-	to := b.part(2).tries[0].server
-	for b.Begin(now + 150); len(b.part(2).tries) < 2 && b.now < now+900; b.Begin(b.now + 10) {
+	to := b.part(2).attempts[0].server
+	for b.Begin(now + 150); len(b.part(2).attempts) < 2 && b.now < now+900; b.Begin(b.now + 10) {
 		b.End()
 	}
-	if len(b.part(2).tries) != 2 {
+	if len(b.part(2).attempts) != 2 {
 		t.Fatal("no copy")
 	}
 	n.cancelled = nil
@@ -35,20 +35,20 @@
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 1, 1)
-	s := b.servers[b.part(2).tries[0].server]
+	s := b.servers[b.part(2).attempts[0].server]
 	b.Begin(now + 50)
 	b.Committed(2, 0, true)
 	b.End()
 	for ; b.now < now+2900; b.Begin(b.now + 20) {
 		b.End()
 	}
-	failIf(t, s.aside || b.expect(s) > 200, "aside %v, expected %.0f ms", s.aside, b.expect(s))
-	failIf(t, s.calls != 1 || s.parked != 1, "%d calls, %d parked", s.calls, s.parked)
+	failIf(t, s.ejected || b.expectedLatency(s) > 200, "aside %v, expected %.0f ms", s.ejected, b.expectedLatency(s))
+	failIf(t, s.batches != 1 || s.parkedBatches != 1, "%d calls, %d parked", s.batches, s.parkedBatches)
 	b.Begin(now + 2910)
 	b.Done(2, 0, Answered, nil)
 	b.End()
 	same(t, "answered", n.answered[len(n.answered)-1:], 1)
-	failIf(t, s.calls != 0 || s.parked != 0 || b.expect(s) > 200, "%d calls, %d parked, expected %.0f", s.calls, s.parked, b.expect(s))
+	failIf(t, s.batches != 0 || s.parkedBatches != 0 || b.expectedLatency(s) > 200, "%d calls, %d parked, expected %.0f", s.batches, s.parkedBatches, b.expectedLatency(s))
 }
 
 func TestWhoWaitsForItsClientIsNotSlow(t *testing.T) {
@@ -57,21 +57,21 @@
 	for i := range 40 { // as many as a flood of bodies that come byte by byte
 		b.Begin(now)
 		b.Search(10+2*i, 0, 0, now+1000, 1)
-		b.Part(10+2*i, 11+2*i, 0, 1, 100, 0)
-		b.Open(11+2*i, true)
+		b.ShardRequest(10+2*i, 11+2*i, 0, 1, 100, 0)
+		b.ClientSending(11+2*i, true)
 		b.End()
 	}
 	for ; b.now < now+990; b.Begin(b.now + 20) {
 		b.End()
 	}
 	for i := range 40 {
-		failIf(t, len(b.part(11+2*i).tries) != 1, "sent %d times", len(b.part(11+2*i).tries))
+		failIf(t, len(b.part(11+2*i).attempts) != 1, "sent %d times", len(b.part(11+2*i).attempts))
 		b.Done(11+2*i, 0, Cancelled, nil)
 	}
 	b.End()
 	for i, s := range b.servers {
-		failIf(t, s.aside || b.expect(s) > 200 || s.calls != 0 || s.parked != 0, "server %d: aside %v, expected %.0f ms, %d calls, %d parked",
-			i, s.aside, b.expect(s), s.calls, s.parked)
+		failIf(t, s.ejected || b.expectedLatency(s) > 200 || s.batches != 0 || s.parkedBatches != 0, "server %d: aside %v, expected %.0f ms, %d calls, %d parked",
+			i, s.ejected, b.expectedLatency(s), s.batches, s.parkedBatches)
 	}
 	shed := len(n.shed)
 	ask(b, now+1000, 1, 1)
@@ -79,15 +79,15 @@
 	// From its end on the clock runs.
 	b.Begin(now + 1100)
 	b.Search(3, 0, 0, now+4000, 1)
-	b.Part(3, 4, 0, 1, 100, 0)
-	b.Open(4, true)
+	b.ShardRequest(3, 4, 0, 1, 100, 0)
+	b.ClientSending(4, true)
 	b.End()
 	b.Begin(now + 1600)
-	b.Open(4, false)
+	b.ClientSending(4, false)
 	b.End()
-	s := b.servers[b.part(4).tries[0].server]
-	failIf(t, s.parked != 0 || len(s.tries) == 0, "its server is not waited for")
-	failIf(t, b.part(4).tries[0].at != now+1600 || b.part(4).tries[0].sent != now+1100, "its times")
+	s := b.servers[b.part(4).attempts[0].server]
+	failIf(t, s.parkedBatches != 0 || len(s.waiting) == 0, "its server is not waited for")
+	failIf(t, b.part(4).attempts[0].startedAt != now+1600 || b.part(4).attempts[0].sentAt != now+1100, "its times")
 }
 
 func TestPushbackIsObeyed(t *testing.T) {
@@ -114,17 +114,17 @@
 }
 
 func TestATokenedPartBeginsInItsWindow(t *testing.T) {
-	b, n := plain(2, func(b *Broker) { b.QueryType(1000, 1, 0.3, Tokened, 400) })
+	b, n := plain(2, func(b *Policy) { b.QueryType(1000, 1, 0.3, Tokened, 400) })
 	now := warm(b, 1000, 30)
 	b.Begin(now)
 	b.Search(1, 1, 0, now+3000, 1)
-	b.Part(1, 2, 0, 1, 100, 0)
+	b.ShardRequest(1, 2, 0, 1, 100, 0)
 	b.End()
-	failIf(t, n.begin != 400-margin, "the first may begin for %.0f ms", n.begin)
+	failIf(t, n.begin != 400-answerMargin, "the first may begin for %.0f ms", n.begin)
 	b.Begin(now + 100)
 	b.Done(2, 0, Reset, nil)
 	b.End()
-	failIf(t, n.begin != 300-margin, "the second may begin for %.0f ms", n.begin)
+	failIf(t, n.begin != 300-answerMargin, "the second may begin for %.0f ms", n.begin)
 	ask(b, now+200, 5, 1)
 	failIf(t, n.begin != 0, "an idempotent one has a limit")
 }
--- a/internal/aggregator/policy/decide_test.go
+++ b/internal/aggregator/policy/decide_test.go
@@ -80,7 +80,7 @@
 func (n *note) Log(_ string)                  {}
 func (n *note) Forget(search int)             { n.forgot = append(n.forgot, search) }
 
-func plain(servers int, set func(*Broker)) (*Broker, *note) {
+func plain(servers int, set func(*Policy)) (*Policy, *note) {
 	n := &note{}
 	b := New(n, 1, 2, 0)
 	b.QueryType(1000, 1, 0.3, Idempotent, 0)
@@ -97,26 +97,26 @@
 	return b, n
 }
 
-func ask(b *Broker, now float64, id, parts int) {
+func ask(b *Policy, now float64, id, parts int) {
 	b.Begin(now)
 	b.Search(id, 0, 0, now+3000, parts)
 	for i := range parts {
-		b.Part(id, id+1+i, 0, 1/float64(parts), 100, 0)
+		b.ShardRequest(id, id+1+i, 0, 1/float64(parts), 100, 0)
 	}
 	b.End()
 }
 
-func finish(b *Broker, now float64, how Outcome, parts ...int) {
+func finish(b *Policy, now float64, how Outcome, parts ...int) {
 	b.Begin(now)
 	for _, id := range parts {
-		if p := at(b.parts, id); p != nil {
-			b.Done(id, len(p.tries)-1, how, nil)
+		if p := getAt(b.requests, id); p != nil {
+			b.Done(id, len(p.attempts)-1, how, nil)
 		}
 	}
 	b.End()
 }
 
-func warm(b *Broker, now float64, searches int) float64 {
+func warm(b *Policy, now float64, searches int) float64 {
 	for range searches {
 		ask(b, now, 500, 1)
 		finish(b, now+100, Answered, 501)
@@ -146,8 +146,8 @@
 	for _, to := range n.to[1:] {
 		failIf(t, to != n.to[0], "parts went to %v: joining an open call adds nothing outstanding", n.to)
 	}
-	if s := b.servers[n.to[0]]; s.calls != 1 {
-		t.Fatalf("%d calls outstanding, want 1", s.calls)
+	if s := b.servers[n.to[0]]; s.batches != 1 {
+		t.Fatalf("%d calls outstanding, want 1", s.batches)
 	}
 	ask(b, 1001, 10, 1)
 	failIf(t, n.to[4] == n.to[0], "the next round went to the server with more calls outstanding")
@@ -157,22 +157,22 @@
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 30)
 	s := b.servers[0]
-	for i := range s.hist {
-		s.hist[i] = sample{900, now, 0}
+	for i := range s.history {
+		s.history[i] = latencySample{900, now, 0}
 	}
-	b.servers[1].calls, b.calls = 5, 5
+	b.servers[1].batches, b.batches = 5, 5
 	n.to = nil
 	ask(b, now+1, 0, 1)
 	same(t, "sent past the slow replica to", n.to, 1)
 	finish(b, now+2, Answered, 1)
-	ask(b, now+histLife+50, 10, 1)
+	ask(b, now+historyLife+50, 10, 1)
 	same(t, "sent after the expiry to", n.to, 1, 0)
 	for _, o := range b.servers {
-		for i := range o.hist {
-			o.hist[i] = sample{900, now + histLife + 100, 0}
+		for i := range o.history {
+			o.history[i] = latencySample{900, now + historyLife + 100, 0}
 		}
 	}
-	ask(b, now+histLife+101, 20, 1)
+	ask(b, now+historyLife+101, 20, 1)
 	same(t, "sent when all look slow to", n.to, 1, 0, 0)
 }
 
@@ -181,7 +181,7 @@
 	b, _ := plain(1, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 0, 1)
-	s, g := b.servers[0], &b.predict
+	s, g := b.servers[0], &b.predictor
 	if x := g.features(now+50, s, 0); g.score(x) > 0.5 {
 		t.Fatal("a part just sent reads as slow")
 	}
@@ -193,15 +193,15 @@
 func TestLineIsTheServersOwnUnderTheFleets(t *testing.T) {
 	b, _ := plain(2, nil)
 	for i := 1; i <= 100; i++ {
-		b.predict.pool.Add(1000, float64(i))
-		b.servers[0].line.Add(1000, 1000)
-		b.servers[1].line.Add(1000, 50)
+		b.predictor.latencies.Add(1000, float64(i))
+		b.servers[0].latencies.Add(1000, 1000)
+		b.servers[1].latencies.Add(1000, 50)
 	}
 	b.End()
-	if got := b.predict.line(1000, b.servers[0]); got < 130 || got > 140 {
+	if got := b.predictor.line(1000, b.servers[0]); got < 130 || got > 140 {
 		t.Fatalf("line of a server that is always slow: %.0f, want one and a half times the fleet's 90", got)
 	}
-	if got := b.predict.line(1000, b.servers[1]); got > 55 {
+	if got := b.predictor.line(1000, b.servers[1]); got > 55 {
 		t.Fatalf("line of a fast server: %.0f, want its own", got)
 	}
 }
@@ -222,9 +222,9 @@
 func TestFalseSubmitsLowerTheCopyShare(t *testing.T) {
 	b, _ := plain(1, nil)
 	for i := range 100 {
-		b.predict.teach(1000, &try{x: vector{1}, fast: true}, i < 7)
+		b.predictor.teach(1000, &attemptState{features: vector{1}, predictedFast: true}, i < 7)
 	}
-	if got := b.predict.falseRate(1000); math.Abs(got-0.07) > 1e-9 {
+	if got := b.predictor.falseRate(1000); math.Abs(got-0.07) > 1e-9 {
 		t.Fatalf("false-submit rate %.3f, want 0.07", got)
 	}
 }
@@ -233,7 +233,7 @@
 func TestFullServerRests(t *testing.T) {
 	b, n := plain(2, nil)
 	ask(b, 1000, 0, 1)
-	finish(b, 1002, Full, 1)
+	finish(b, 1002, Rejected, 1)
 	failIf(t, len(n.to) != 2 || n.to[1] == n.to[0], "sent to %v: want the other server after a refusal", n.to)
 	ask(b, 1003, 10, 1)
 	failIf(t, n.to[2] == n.to[0], "sent to a full server again at once")
@@ -246,10 +246,10 @@
 	ask(b, now, 0, 1)
 	for at := now + 10; at <= now+600; at += 10 {
 		b.Begin(at)
-		b.Bell()
+		b.Woken()
 		b.End()
 	}
-	if s := b.servers[n.to[0]]; !s.aside || !s.dead {
+	if s := b.servers[n.to[0]]; !s.ejected || !s.unresponsive {
 		t.Fatal("a server that answers nothing is not set aside")
 	}
 	failIf(t, len(n.to) != 2 || n.to[1] == n.to[0], "sent to %v: want the part taken off the silent server", n.to)
@@ -258,7 +258,7 @@
 // A trial that this broker called off told nothing, yet kept a sound server aside for most of a day.
 func TestCalledOffTrialStaysDue(t *testing.T) {
 	b, n := plain(1, nil)
-	b.setAside(0, true, "test")
+	b.eject(0, true, "test")
 	s := b.servers[0]
 	s.trialAt = 2500
 	ask(b, 2500, 0, 1)
@@ -271,15 +271,15 @@
 // A crowd read as silence came back throttled as cold for long; a broken connection may mean a restart.
 func TestReturnIsGentleOnlyWhereARestartIsLikely(t *testing.T) {
 	for _, broke := range []bool{false, true} {
-		b, n := plain(1, func(b *Broker) { b.Cold(0.2, 10000, 2, 2000) })
-		b.setAside(0, true, "test")
-		b.servers[0].broke, b.servers[0].trialAt = broke, 2500
+		b, n := plain(1, func(b *Policy) { b.WarmUp(0.2, 10000, 2, 2000) })
+		b.eject(0, true, "test")
+		b.servers[0].connectFailed, b.servers[0].trialAt = broke, 2500
 		for i := 0; len(n.sent) == 0 && i < 100; i++ { // by chance, where a restart is likely
 			ask(b, 2500, 10*i, 1)
 		}
 		finish(b, 2600, Answered, n.sent[0])
 		s := b.servers[0]
-		failIf(t, s.aside || (s.coldTo > 2600) != broke || s.coldTo > 2600+newsLast, "broken connection %v: aside %v, cold until %.0f", broke, s.aside, s.coldTo)
+		failIf(t, s.ejected || (s.warmUpUntil > 2600) != broke || s.warmUpUntil > 2600+restartReportDelay, "broken connection %v: aside %v, cold until %.0f", broke, s.ejected, s.warmUpUntil)
 	}
 }
 
@@ -289,10 +289,10 @@
 	for _, silent := range []bool{false, true} {
 		got, warm := 0, 0
 		for seed := range uint64(100) {
-			b, n := plain(4, func(b *Broker) { b.dice.seed = seed; b.brokers = 100; b.Cold(0.2, 10000, 2, 2000) })
+			b, n := plain(4, func(b *Policy) { b.random.seed = seed; b.aggregators = 100; b.WarmUp(0.2, 10000, 2, 2000) })
 			b.Begin(9000)
 			if silent { // nobody told of a restart
-				b.servers[0].aside, b.servers[0].dead, b.servers[0].broke = true, true, true
+				b.servers[0].ejected, b.servers[0].unresponsive, b.servers[0].connectFailed = true, true, true
 			} else {
 				b.Server(0, 0, 0, Ready, 1, 8900)
 			}
@@ -315,17 +315,17 @@
 func TestALotIsTheSearchsAndFallsAmongHoldersInReach(t *testing.T) {
 	taken, sent := 0, make([]int, 4)
 	for seed := range uint64(200) {
-		b, n := plain(4, func(b *Broker) {
-			b.dice.seed = seed
-			b.brokers = 100
+		b, n := plain(4, func(b *Policy) {
+			b.random.seed = seed
+			b.aggregators = 100
 			b.Fleet(8, 8, 4, 0, false)
-			b.Cold(0.5, 10000, 2, 2000)
+			b.WarmUp(0.5, 10000, 2, 2000)
 		})
 		b.Begin(9000)
 		for i := range 4 {
 			if b.Server(i, 0, i, Ready, 1, 8900); i >= 2 {
 				b.Server(i, 1, i, Ready, 1, 0)
-				b.servers[i].aside, b.servers[i].dead, b.servers[i].broke = true, true, true
+				b.servers[i].ejected, b.servers[i].unresponsive, b.servers[i].connectFailed = true, true, true
 				b.servers[i].trialAt = 20000
 			}
 		}
@@ -344,32 +344,32 @@
 // One of eight servers failed at once, and the parts of a search that had no other place just then spent all their tries
 // on it within ten milliseconds: 95 of 100 parts were in when such a search was given up.
 func TestTriesAreNotSpentAtOnceOnWhoFails(t *testing.T) {
-	b, n := plain(2, func(b *Broker) { b.Limits(4, 100, true, true) })
-	b.setAside(0, false, "test")
-	b.servers[1].fullUntil = 1300
+	b, n := plain(2, func(b *Policy) { b.Limits(4, 100, true, true) })
+	b.eject(0, false, "test")
+	b.servers[1].rejectsUntil = 1300
 	ask(b, 1000, 0, 1)
 	same(t, "the first", n.to, 0)
 	finish(b, 1005, Errored, 1)
 	for at := 1010.; at < 1290; at += 10 {
 		b.Begin(at)
-		b.Bell()
+		b.Woken()
 		b.End()
 	}
 	same(t, "within the pause", n.to, 0)
 	b.Begin(1310)
-	b.Bell()
+	b.Woken()
 	b.End()
 	same(t, "once the other has room", n.to, 0, 1)
 }
 
 // A search that could not come to its least share any more was held until its other parts were in.
 func TestWhatCannotComeToItsLeastShareIsGivenUpAtOnce(t *testing.T) {
-	b, n := plain(4, func(b *Broker) { b.Limits(1, 100, true, false) })
+	b, n := plain(4, func(b *Policy) { b.Limits(1, 100, true, false) })
 	ask(b, 1000, 0, 4)
 	finish(b, 1010, Errored, 2)
 	failIf(t, len(n.shed)+len(n.failed) != 1, "shed %v, failed %v", n.shed, n.failed)
 	// One whose floor can still be met goes on.
-	b, n = plain(4, func(b *Broker) { b.Limits(1, 100, true, false); b.Shares(0, 1, 0.5, 0.8, 0) })
+	b, n = plain(4, func(b *Policy) { b.Limits(1, 100, true, false); b.Shares(0, 1, 0.5, 0.8, 0) })
 	ask(b, 1000, 0, 4)
 	finish(b, 1010, Errored, 2)
 	failIf(t, len(n.shed)+len(n.failed) != 0, "shed %v, failed %v", n.shed, n.failed)
@@ -377,11 +377,11 @@
 
 // All who were shed in one moment were told the same time, and came back as one.
 func TestTimesToComeBackAreSpread(t *testing.T) {
-	b, _ := plain(2, func(b *Broker) { b.Advice(1e6) })
-	aim, seen := b.types[0].aim, map[float64]bool{}
+	b, _ := plain(2, func(b *Policy) { b.MaxRetryAfter(1e6) })
+	aim, seen := b.queryTypes[0].latencyTarget, map[float64]bool{}
 	for range 20 {
-		back := b.ComeBack(0)
-		failIf(t, back < 0.5*backShare*aim || back > 1.5*backShare*aim, "back in %.0f", back)
+		back := b.RetryAfter(0)
+		failIf(t, back < 0.5*retryAfterShare*aim || back > 1.5*retryAfterShare*aim, "back in %.0f", back)
 		seen[math.Round(back)] = true
 	}
 	failIf(t, len(seen) < 10, "only %d different times", len(seen))
@@ -394,19 +394,19 @@
 	for i := range 20 {
 		b.Server(i, i%2, i, Ready, 1, 0)
 	}
-	b.Site(1, true, 5000)
+	b.ZoneChanged(1, true, 5000)
 	b.End()
 	early := 0
 	for i, s := range b.servers {
-		failIf(t, s.aside != (i%2 == 1), "server %d aside: %v", i, s.aside)
-		if s.aside && s.trialAt < 7500 {
+		failIf(t, s.ejected != (i%2 == 1), "server %d aside: %v", i, s.ejected)
+		if s.ejected && s.trialAt < 7500 {
 			early++
 		}
 	}
 	failIf(t, early < 1 || early > 9, "%d of 10 trials in the first half", early)
-	b.Site(1, false, 200)
+	b.ZoneChanged(1, false, 200)
 	for i, s := range b.servers {
-		failIf(t, s.aside && s.trialAt > 5200, "server %d is tried at %.0f", i, s.trialAt)
+		failIf(t, s.ejected && s.trialAt > 5200, "server %d is tried at %.0f", i, s.trialAt)
 	}
 }
 
@@ -417,20 +417,20 @@
 	for i := range 20 {
 		b.Server(i, i%2, i, Ready, 1, 0)
 	}
-	b.setAside(1, true, "silent")
-	b.setAside(3, false, "errors")
+	b.eject(1, true, "silent")
+	b.eject(3, false, "errors")
 	b.End()
 	b.Begin(5000)
-	b.Site(1, true, 5000)
-	b.servers[5].broke = true // a connect failed there since: that stays
+	b.ZoneChanged(1, true, 5000)
+	b.servers[5].connectFailed = true // a connect failed there since: that stays
 	b.End()
 	b.Begin(5080)
-	b.Site(1, false, -80)
+	b.ZoneChanged(1, false, -80)
 	b.End()
 	for i, s := range b.servers {
-		failIf(t, s.aside != (i == 1 || i == 5), "server %d aside: %v", i, s.aside)
+		failIf(t, s.ejected != (i == 1 || i == 5), "server %d aside: %v", i, s.ejected)
 	}
-	failIf(t, b.outage != 0, "an outage since %.0f", b.outage)
+	failIf(t, b.outageSince != 0, "an outage since %.0f", b.outageSince)
 }
 
 // In a crowd all are slow, and who looks fast is who was left alone: the fewest own calls decide there, and nowhere else.
@@ -438,62 +438,62 @@
 	b, _ := plain(2, nil)
 	b.Begin(1000)
 	slow, quick := b.servers[0], b.servers[1]
-	b.predict.seen, b.predict.top, b.predict.mid, b.predict.calm, b.predict.avgLoad = 100, 50, 30, 30, 3
-	for i := range slow.hist {
-		slow.hist[i] = sample{400, 990, 1}
-		quick.hist[i] = sample{10, 990, 1}
+	b.predictor.samples, b.predictor.fleetLine, b.predictor.median, b.predictor.minMedian, b.predictor.avgLoad = 100, 50, 30, 30, 3
+	for i := range slow.history {
+		slow.history[i] = latencySample{400, 990, 1}
+		quick.history[i] = latencySample{10, 990, 1}
 	}
-	quick.calls = 3
+	quick.batches = 3
 	choose := func() int {
-		y := &turn{q: &search{k: b.types[0]}, p: &part{}, cands: []int{0, 1}}
-		b.pick(y)
-		return y.to
+		y := &placement{search: &searchState{kind: b.queryTypes[0]}, request: &shardRequest{}, candidates: []int{0, 1}}
+		b.chooseServer(y)
+		return y.server
 	}
-	failIf(t, !b.slow(b.predict.features(1000, slow, 1)) || b.slow(b.predict.features(1000, quick, 1)), "the two are not told apart")
+	failIf(t, !b.predictedSlow(b.predictor.features(1000, slow, 1)) || b.predictedSlow(b.predictor.features(1000, quick, 1)), "the two are not told apart")
 	failIf(t, choose() != 1, "calm: a slow one was chosen")
-	b.predict.mid = 60
+	b.predictor.median = 60
 	failIf(t, choose() != 0, "crowd: the one with more calls out was chosen")
 }
 
 // What servers do not bear is refused from the least valued up, a share of those at the line.
 func TestWhatIsNotBorneIsRefused(t *testing.T) {
 	b, n := plain(2, nil)
-	b.Bears(0.5, 0.9) // all count 1 here: above the line
+	b.CapacityFloor(0.5, 0.9) // all count 1 here: above the line
 	ask(b, 1000, 0, 1)
-	failIf(t, len(n.shed) != 0 || len(b.parts[1].tries) == 0, "above the line: %v shed", n.shed)
+	failIf(t, len(n.shed) != 0 || len(b.requests[1].attempts) == 0, "above the line: %v shed", n.shed)
 	finish(b, 1050, Answered, 1)
-	b.Bears(1.5, 0)
+	b.CapacityFloor(1.5, 0)
 	ask(b, 1100, 2, 1)
-	failIf(t, len(n.shed) != 1 || b.Refused(0)[Borne] != 1, "under the line: %v shed, %v", n.shed, b.Refused(0))
-	b.Bears(1, 0.5)
+	failIf(t, len(n.shed) != 1 || b.Refusals(0)[OverCapacity] != 1, "under the line: %v shed, %v", n.shed, b.Refusals(0))
+	b.CapacityFloor(1, 0.5)
 	for i := range 200 {
 		ask(b, 1200+float64(i), 4+2*i, 1)
 		finish(b, 1200.5+float64(i), Answered, 5+2*i)
 	}
-	failIf(t, b.Refused(0)[Borne] < 70 || b.Refused(0)[Borne] > 140, "at the line, half of it: %d of 200 shed, %v", b.Refused(0)[Borne]-1, b.Refused(0))
-	was := b.Refused(0)[Borne]
-	b.Bears(0, 0)
+	failIf(t, b.Refusals(0)[OverCapacity] < 70 || b.Refusals(0)[OverCapacity] > 140, "at the line, half of it: %d of 200 shed, %v", b.Refusals(0)[OverCapacity]-1, b.Refusals(0))
+	was := b.Refusals(0)[OverCapacity]
+	b.CapacityFloor(0, 0)
 	ask(b, 1500, 1000, 1)
-	failIf(t, len(n.shed) < 1 || b.Refused(0)[Borne] != was, "no line, and one is refused for it")
+	failIf(t, len(n.shed) < 1 || b.Refusals(0)[OverCapacity] != was, "no line, and one is refused for it")
 }
 
 // The guard must not feed on its own effect: a fleet that is held back carries little.
 func TestCarryIsRemembered(t *testing.T) {
-	b, _ := plain(1, func(b *Broker) { b.Cold(0.2, 10000, 2, 2000) })
-	g := &b.cold
-	g.did.Add(1000, 1250)
-	g.tend(3000, 4, 4)
-	best := g.carry
-	g.tend(15000, 4, 4)
-	failIf(t, best <= 0 || g.carry < best/2, "carry %.3f after 13 s, %.3f before", g.carry, best)
+	b, _ := plain(1, func(b *Policy) { b.WarmUp(0.2, 10000, 2, 2000) })
+	g := &b.warmUp
+	g.warmWork.Add(1000, 1250)
+	g.measure(3000, 4, 4)
+	best := g.maxRate
+	g.measure(15000, 4, 4)
+	failIf(t, best <= 0 || g.maxRate < best/2, "carry %.3f after 13 s, %.3f before", g.maxRate, best)
 }
 
 func TestPartAnswerAtTheLatencyTarget(t *testing.T) {
-	b, n := plain(2, func(b *Broker) { b.Shares(0, 1, 0.5, 0.8, 0) })
+	b, n := plain(2, func(b *Policy) { b.Shares(0, 1, 0.5, 0.8, 0) })
 	ask(b, 1000, 0, 4)
 	finish(b, 1100, Answered, 1, 2, 3)
 	same(t, "before the target", n.answered)
-	finish(b, 1000+1000-margin, Answered)
+	finish(b, 1000+1000-answerMargin, Answered)
 	same(t, "at the target", n.answered, 0)
 	failIf(t, n.whole, "three of four parts marked whole")
 }
@@ -513,14 +513,14 @@
 		{"unknown query type and customer", 1, 9, 1, 1, 4, 0, 0, 4000},
 		{"negative numbers", 1, -1, -1, 1, -1, -1, -3, -1},
 	} {
-		b, n := plain(c.servers, func(b *Broker) {
+		b, n := plain(c.servers, func(b *Policy) {
 			b.Fleet(c.places, 1, 1, 0, false)
 			b.Limits(c.tries, c.held, true, true)
 		})
 		b.Begin(1000)
 		b.Search(0, c.kind, c.kind, c.until, c.parts)
 		for i := range c.parts {
-			b.Part(0, 1+i, c.shard, 1/float64(c.parts), 100, 0)
+			b.ShardRequest(0, 1+i, c.shard, 1/float64(c.parts), 100, 0)
 		}
 		b.End()
 		if len(n.shed)+len(n.failed) != 1 || len(n.forgot) != 1 || len(n.sent) != 0 {
@@ -531,7 +531,7 @@
 
 // One search may be more than the hold limit; where nothing else is held it is served all the same.
 func TestHoldLimitSmallerThanASearch(t *testing.T) {
-	b, n := plain(2, func(b *Broker) { b.Limits(4, 2, true, true) })
+	b, n := plain(2, func(b *Policy) { b.Limits(4, 2, true, true) })
 	ask(b, 1000, 0, 4)
 	failIf(t, len(n.sent) != 4, "sent %v, want all four parts of the most valued search", n.sent)
 }
@@ -542,21 +542,21 @@
 	now := warm(b, 1000, 30)
 	b.Begin(now)
 	b.Search(0, 0, 0, now+3000, 1)
-	b.Part(0, 1, 0, 1, 180, 0)
+	b.ShardRequest(0, 1, 0, 1, 180, 0)
 	b.End()
 	finish(b, now+180, Answered, 1)
-	if got := b.servers[0].hist[0].lat; got > 110 {
+	if got := b.servers[0].history[0].latency; got > 110 {
 		t.Fatalf("a part of 180 ms work, answered in 180, counts as %.0f against the usual 100", got)
 	}
 }
 
 func TestShedNamesATimeToComeBack(t *testing.T) {
-	b, n := plain(1, func(b *Broker) { b.Advice(200) })
+	b, n := plain(1, func(b *Policy) { b.MaxRetryAfter(200) })
 	now := warm(b, 1000, 30)
-	b.servers[0].took = 5000
+	b.servers[0].meanLatency = 5000
 	ask(b, now, 0, 1)
 	same(t, "shed", n.shed, 0)
-	failIf(t, n.back > 200 || n.back < 0.5*backShare*b.types[0].aim, "come back in %.0f ms, the longest advice is 200", n.back)
+	failIf(t, n.back > 200 || n.back < 0.5*retryAfterShare*b.queryTypes[0].latencyTarget, "come back in %.0f ms, the longest advice is 200", n.back)
 }
 
 // Clients that gave up early and asked again: the work was done for nobody.
@@ -565,7 +565,7 @@
 	now := warm(b, 1000, 30)
 	b.Begin(now)
 	b.Search(0, 0, 0, now+60, 1)
-	b.Part(0, 1, 0, 1, 100, 0)
+	b.ShardRequest(0, 1, 0, 1, 100, 0)
 	b.End()
 	same(t, "shed where 60 ms are left and answers take 100", n.shed, 0)
 }
@@ -576,7 +576,7 @@
 	now := warm(b, 1000, 30)
 	ask(b, now, 0, 1)
 	finish(b, now+2000, Answered)
-	if s := b.servers[n.to[len(n.to)-1]]; s.aside {
+	if s := b.servers[n.to[len(n.to)-1]]; s.ejected {
 		t.Fatal("a server is set aside for this broker's own stall")
 	}
 }
@@ -588,7 +588,7 @@
 	ask(b, now, 0, 4)
 	finish(b, now+10, Reset, 1, 2, 3, 4)
 	for i, s := range b.servers {
-		failIf(t, s.aside, "server %d is set aside for one broken connection", i)
+		failIf(t, s.ejected, "server %d is set aside for one broken connection", i)
 	}
 }
 
@@ -598,38 +598,38 @@
 	now := warm(b, 1000, 30)
 	for i := range 8 {
 		ask(b, now, 20*i, 1)
-		b.Bell()
+		b.Woken()
 		b.Begin(now + 450)
-		b.Lapsed(20 * i)
+		b.ClientGone(20 * i)
 		b.Done(20*i+1, 0, Cancelled, nil)
 		b.End()
 		now += 460
 	}
-	failIf(t, b.expect(b.servers[0]) < 350, "expected %.0f ms where nothing came in 450", b.expect(b.servers[0]))
+	failIf(t, b.expectedLatency(b.servers[0]) < 350, "expected %.0f ms where nothing came in 450", b.expectedLatency(b.servers[0]))
 }
 
 // Parts that went round a full set kept all of its queues full.
 func TestPartTurnedAwayTwiceIsGivenUp(t *testing.T) {
 	b, n := plain(4, nil)
 	ask(b, 1000, 0, 1)
-	finish(b, 1002, Full, 1)
-	finish(b, 1004, Full, 1)
+	finish(b, 1002, Rejected, 1)
+	finish(b, 1004, Rejected, 1)
 	failIf(t, len(n.sent) != 2 || len(n.shed) != 1, "sent %v, shed %v: want two tries and a prompt final answer", n.sent, n.shed)
 }
 
 func TestPartsExpectedPastTheLimitAreLeftOut(t *testing.T) {
 	for _, floor := range []float64{0.5, 1} {
-		b, n := plain(4, func(b *Broker) { b.Fleet(4, 1, 1, 0, false); b.Shares(0, 1, floor, 0.8, 0) })
+		b, n := plain(4, func(b *Policy) { b.Fleet(4, 1, 1, 0, false); b.Shares(0, 1, floor, 0.8, 0) })
 		b.Begin(1001)
 		for i := range 4 {
 			b.Server(i, 0, i, Ready, 1, 0)
 		}
 		b.End()
-		b.servers[3].took, b.servers[3].tookAt = 5000, 1002
+		b.servers[3].meanLatency, b.servers[3].latencyAt = 5000, 1002
 		b.Begin(1002)
 		b.Search(0, 0, 0, 4000, 4)
 		for i := range 4 {
-			b.Part(0, 1+i, i, 0.25, 100, 0)
+			b.ShardRequest(0, 1+i, i, 0.25, 100, 0)
 		}
 		b.End()
 		failIf(t, len(n.sent) != map[float64]int{0.5: 3, 1: 0}[floor], "least share %.1f: sent %v", floor, n.sent)
@@ -641,20 +641,20 @@
 	for _, idle := range []bool{true, false} { // lost on idle connections alone, or on all: then the server hangs
 		b, n := plain(2, nil)
 		now := warm(b, 1000, 30) + 1500
-		b.servers[0].answered, b.servers[1].answered = now-1500, now-1500
-		for range idleFew {
-			b.links.note(now, &try{idle: idle}, true)
-			b.links.note(now, &try{}, !idle)
+		b.servers[0].answeredAt, b.servers[1].answeredAt = now-1500, now-1500
+		for range minIdleLost {
+			b.connections.record(now, &attemptState{overIdle: idle}, true)
+			b.connections.record(now, &attemptState{}, !idle)
 		}
 		ask(b, now, 0, 1)
 		failIf(t, len(n.closed) > 0 != idle, "lost on idle connections %v: closed %v", idle, n.closed)
-		b.links.was = false
-		b.setAside(0, true, "test")
-		b.setAside(1, true, "test")
+		b.connections.wasFaulty = false
+		b.eject(0, true, "test")
+		b.eject(1, true, "test")
 		finish(b, now+100, Answered, 1)
 		n.closed = nil
 		s := b.servers[0]
-		if !s.aside {
+		if !s.ejected {
 			s = b.servers[1]
 		}
 		failIf(t, s.trialAt <= now+100 != idle, "lost on idle connections %v: tried in %.0f ms", idle, s.trialAt-now)
@@ -665,11 +665,11 @@
 func TestTrialsComeNoSoonerThanTheBrokerWouldByItself(t *testing.T) {
 	b, _ := plain(20, nil)
 	now := warm(b, 1000, 90) // about one a server in two seconds
-	b.setAside(0, true, "test")
+	b.eject(0, true, "test")
 	first := b.servers[0].trialAt - now
-	b.retreat(b.servers[0])
-	failIf(t, first < 1500 || first > 4000 || b.servers[0].backoff < 1.5*first, "trials after %.0f and %.0f ms", first,
-		b.servers[0].backoff)
+	b.backOffTrial(b.servers[0])
+	failIf(t, first < 1500 || first > 4000 || b.servers[0].trialBackoff < 1.5*first, "trials after %.0f and %.0f ms", first,
+		b.servers[0].trialBackoff)
 }
 
 // Each part looked quick enough, and the search of fifty was late each time.
@@ -678,7 +678,7 @@
 		b, n := plain(4, nil)
 		now := warm(b, 1000, 30)
 		for i := range 100 {
-			b.predict.late.Add(now, 100+float64(i/97)*4900)
+			b.predictor.recentLatencies.Add(now, 100+float64(i/97)*4900)
 		}
 		taken := 0
 		for i := range 20 {
@@ -694,12 +694,12 @@
 func TestEmptyHistoryCountsAsFastWhateverTheWeights(t *testing.T) {
 	b, n := plain(20, nil) // the broker comes to a server once in two seconds
 	now := warm(b, 1000, 90)
-	b.predict.weights[0] = 5
+	b.predictor.weights[0] = 5
 	n.to = nil
 	ask(b, now+1500, 0, 1)
 	for at := now + 1510; at <= now+3400; at += 10 {
 		b.Begin(at)
-		b.Bell()
+		b.Woken()
 		b.End()
 	}
 	failIf(t, len(n.to) != 2 || n.to[0] == n.to[1], "sent to %v: want the part taken off the silent server", n.to)
@@ -711,42 +711,42 @@
 	now := warm(b, 1000, 30)
 	for i := range 10 {
 		ask(b, now, 100*i, 2)
-		finish(b, now+1, Full, 100*i+1, 100*i+2)
-		finish(b, now+2, Full, 100*i+1, 100*i+2)
+		finish(b, now+1, Rejected, 100*i+1, 100*i+2)
+		finish(b, now+2, Rejected, 100*i+1, 100*i+2)
 		now += 400
 	}
-	if v, _ := b.predict.late.Quantile(now, 0.9); v < 900 || len(n.shed) < 5 {
+	if v, _ := b.predictor.recentLatencies.Quantile(now, 0.9); v < 900 || len(n.shed) < 5 {
 		t.Fatalf("the slowest tenth took %.0f ms after refusals, %d shed", v, len(n.shed))
 	}
 }
 
 func TestADroppedServerLeavesNothingToItsIndex(t *testing.T) {
-	b, n := plain(2, func(b *Broker) {
+	b, n := plain(2, func(b *Policy) {
 		b.Reports(true, []Field{InFlight})
-		b.Cold(0.2, 5000, 2, 2000)
+		b.WarmUp(0.2, 5000, 2, 2000)
 	})
 	now := warm(b, 1000, 30)
 	ask(b, now, 1, 1)
 	at := n.to[len(n.to)-1]
 	b.Begin(now + 10)
 	b.Server(at, 0, 0, Gone, 0, 0)
-	failIf(t, b.Drop(at), "dropped with a part out")
-	b.Done(2, 0, NoConnect, []float64{9}) // which sets it aside, and reports what counts no more
+	failIf(t, b.RemoveServer(at), "dropped with a part out")
+	b.Done(2, 0, ConnectFailed, []float64{9}) // which sets it aside, and reports what counts no more
 	b.End()
 	b.Begin(now + 10)
-	failIf(t, b.Drop(at), "dropped while what it was sent counts")
+	failIf(t, b.RemoveServer(at), "dropped while what it was sent counts")
 	b.End()
 	now += 5000
 	b.Begin(now)
-	failIf(t, !b.servers[at].aside || !b.Drop(at) || !b.Drop(at), "not dropped with nothing out")
-	failIf(t, b.predict.heard != 0 || b.predict.loads != 0, "what it reported stays: %v", b.predict.loads)
+	failIf(t, !b.servers[at].ejected || !b.RemoveServer(at) || !b.RemoveServer(at), "not dropped with nothing out")
+	failIf(t, b.predictor.reporting != 0 || b.predictor.reportedLoad != 0, "what it reported stays: %v", b.predictor.reportedLoad)
 	b.End()
 	b.Begin(now + 30)
 	b.Server(at, 0, 0, Ready, 1, 0) // another, under the same index
 	b.Server(1-at, 0, 0, Gone, 0, 0)
 	b.End()
 	s := b.servers[at]
-	failIf(t, s.aside || s.took != 0 || slices.Contains(b.tending, at), "the new one is taken for the old: %+v, %v", s, b.tending)
+	failIf(t, s.ejected || s.meanLatency != 0 || slices.Contains(b.watched, at), "the new one is taken for the old: %+v, %v", s, b.watched)
 	sent := len(n.to)
 	ask(b, now+40, 10, 1)
 	same(t, "sent to the new one", n.to[sent:], at)
@@ -756,8 +756,8 @@
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 40)
 	b.Begin(now)
-	b.setAside(0, false, "errors")
-	b.setAside(1, false, "errors")
+	b.eject(0, false, "errors")
+	b.eject(1, false, "errors")
 	b.End()
 	sent := len(n.to)
 	ask(b, now, 10, 1)
@@ -776,7 +776,7 @@
 	for _, ms := range []float64{20, 40, 60} {
 		finish(b, now+ms, Answered)
 	}
-	failIf(t, !b.servers[0].aside || !b.servers[0].dead, "not silent after three times what it takes")
+	failIf(t, !b.servers[0].ejected || !b.servers[0].unresponsive, "not silent after three times what it takes")
 	sent := len(n.to)
 	ask(b, now+80, 10, 1)
 	failIf(t, len(n.shed) > 0 || len(n.to) != sent, "a search that a trial may serve in time: %d shed, %d sent", len(n.shed),
--- a/internal/aggregator/policy/port.go
+++ b/internal/aggregator/policy/port.go
@@ -5,18 +5,18 @@
 
 // The outcomes of a sub-request.
 const (
-	Answered  Outcome = iota
-	Errored           // the server returned an error; it may have run
-	Full              // turned away unseen
-	TimedOut          // no answer in time; it may have run
-	NoConnect         // no connection: it never ran
-	Reset             // the connection broke; it may have run
-	Cancelled         // called off by this broker; it may have run
-	Moot              // never sent
+	Answered      Outcome = iota
+	Errored               // the server returned an error; it may have run
+	Rejected              // turned away unseen
+	TimedOut              // no answer in time; it may have run
+	ConnectFailed         // no connection: it never ran
+	Reset                 // the connection broke; it may have run
+	Cancelled             // called off by this broker; it may have run
+	NeverSent             // never sent
 )
 
 // NeverRan holds where the outcome proves that the sub-request had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == NoConnect || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
 
 // Effect tells what a second run of a sub-request would do.
 type Effect uint8
@@ -75,47 +75,47 @@
 	Customer(quotaPerSecond, beyond float64) // beyond: what a search past the quota is worth
 	Fleet(places, span, batch int, callWork float64, warmKeys bool)
 	Limits(tries, held int, cancel, copies bool)
-	Advice(longest float64)
-	Cold(from, lasts, multiple, over float64)
+	MaxRetryAfter(longest float64)
+	WarmUp(from, lasts, multiple, over float64)
 	Budget(spare, ratio, over float64)
 	Reports(onAnswers bool, fields []Field)
 	Probes()
 	Discovery(ask bool)
-	// Order: what a search of a type counts with where not all can be taken, in place of its value. Weigh: the share of
+	// Priority: what a search of a type counts with where not all can be taken, in place of its value. Weigh: the share of
 	// that with which a customer's counts; Retries: with which one does whose client says that it asks again.
-	Order(kind int, worth float64)
-	Weigh(customer int, share float64)
-	Retries(share float64)
+	Priority(kind int, worth float64)
+	CustomerWeight(customer int, share float64)
+	RetryWeight(share float64)
 
 	Begin(now float64)
 	Search(id, kind, customer int, until float64, parts int)
-	Part(search, id, shard int, weight, work float64, key uint64)
-	Again(search int) // its client says that it asks again; between Search and End
+	ShardRequest(search, id, shard int, weight, work float64, key uint64)
+	MarkRetry(search int) // its client says that it asks again; between Search and End
 	Done(part, try int, how Outcome, report []float64)
 	// Committed: bytes of this sub-request have reached the client (answering), or what it was sent can't be sent again:
 	// no other may take its place from here on. Its Done still follows. False: another was first, this one is to be
 	// called off.
 	Committed(part, try int, answering bool) bool
-	// Open: the client is still sending what the part carries, so who lets wait may be the client. False: it has ended.
-	Open(part int, open bool)
+	// ClientSending: the client is still sending what the part carries, so who lets wait may be the client. False: it has ended.
+	ClientSending(part int, open bool)
 	// Pushback: a server asks that the part be sent again no sooner than in so many milliseconds, or, below 0, never.
 	Pushback(part int, wait float64)
 	Probed(server int, ok bool, elapsed float64, report []float64)
-	Lapsed(search int)
-	Until(search int, until float64) // its client can be answered no later than that, sooner than was said
+	ClientGone(search int)
+	ShortenDeadline(search int, until float64) // its client can be answered no later than that, sooner than was said
 	Server(id, hall, cell int, state State, size, started float64)
-	Drop(id int) bool // one that is gone: its index may be used again. False, and nothing done, while it matters still
-	// Site: all that a hall holds has failed together, or some of it answers again. spread: its servers are tried over so
+	RemoveServer(id int) bool // one that is gone: its index may be used again. False, and nothing done, while it matters still
+	// ZoneChanged: all that a hall holds has failed together, or some of it answers again. spread: its servers are tried over so
 	// many milliseconds from now. Said again of a hall that is lost, it only has them tried.
-	Site(hall int, lost bool, spread float64)
-	// Counts: what a search counts with where not all can be taken, its client's asking again and its customer's quota in it.
-	Counts(search int) float64
-	// Bears: servers bear no search that counts less than worth, and of those that count just that a share less. Worth 0:
+	ZoneChanged(hall int, lost bool, spread float64)
+	// SearchValue: what a search counts with where not all can be taken, its client's asking again and its customer's quota in it.
+	SearchValue(search int) float64
+	// CapacityFloor: servers bear no search that counts less than worth, and of those that count just that a share less. Worth 0:
 	// that is not known.
-	Bears(worth, beyond float64)
-	Unlisted()                 // asking for the list failed, or the subscription broke
-	ComeBack(kind int) float64 // advice for a search that the hold limit keeps from here; 0: none
-	Refused(kind int) []int    // by Step, how many searches of the type were refused or given up since the start; nil: not known
-	Bell()
+	CapacityFloor(worth, beyond float64)
+	DiscoveryFailed()            // asking for the list failed, or the subscription broke
+	RetryAfter(kind int) float64 // advice for a search that the hold limit keeps from here; 0: none
+	Refusals(kind int) []int     // by Step, how many searches of the type were refused or given up since the start; nil: not known
+	Woken()
 	End()
 }
--- a/internal/aggregator/policy/state.go
+++ b/internal/aggregator/policy/state.go
@@ -16,486 +16,488 @@
 type verdict uint8
 
 const (
-	pass verdict = iota
-	keep
-	end
+	proceed verdict = iota
+	skip
+	finished
 )
 
-// Step tells why a search was refused or given up, in the order in which steps apply.
-type Step uint8
+// RefusalReason tells why a search was refused or given up, in the order in which steps apply.
+type RefusalReason uint8
 
 // The steps, in the order in which they apply.
 const (
-	NoHolder  Step = iota // too few of its shards have a listed server
-	TooLate               // its client's time is over, or it is no sound search
-	OutOfRoom             // some shard's servers are out of reach, or cold with no room
-	Expected              // some part is expected past what its value may take of the latency target
-	Crowd                 // the slowest of so many parts took too long lately
-	Borne                 // servers were seen to bear no more
-	HoldLimit             // so much is held that only the most valued are taken
-	GivenUp               // it was taken, and could not come to its least share in time
-	Steps
+	NoHolder       RefusalReason = iota // too few of its shards have a listed server
+	TooLate                             // its client's time is over, or it is no sound search
+	NoCapacity                          // some shard's servers are out of reach, or cold with no room
+	TargetExceeded                      // some part is expected past what its value may take of the latency target
+	SlowTail                            // the slowest of so many parts took too long lately
+	OverCapacity                        // servers were seen to bear no more
+	PendingLimit                        // so much is held that only the most valued are taken
+	GivenUp                             // it was taken, and could not come to its least share in time
+	RefusalReasons
 )
 
-var stepNames = [Steps]string{"no_holder", "too_late", "out_of_room", "expected", "crowd", "borne", "hold_limit", "given_up"}
+var refusalNames = [RefusalReasons]string{"no_holder", "too_late", "out_of_room", "expected", "crowd", "borne", "hold_limit", "given_up"}
 
-func (s Step) String() string { return stepNames[s] }
+func (s RefusalReason) String() string { return refusalNames[s] }
 
-// step tells which kept a search out on its arrival.
-func (b *Broker) step(q *search, enough, slow, full bool) Step {
+// refusalReason tells which kept a search out on its arrival.
+func (p *Policy) refusalReason(search *searchState, enough, slow, full bool) RefusalReason {
 	if enough {
 		if full {
-			return Borne
+			return OverCapacity
 		}
 		if slow {
-			return Crowd
+			return SlowTail
 		}
-		return HoldLimit
+		return PendingLimit
 	}
-	for _, p := range q.parts {
-		if math.IsInf(p.expect, 1) {
-			return OutOfRoom
+	for _, req := range search.requests {
+		if math.IsInf(req.expected, 1) {
+			return NoCapacity
 		}
 	}
-	return Expected
+	return TargetExceeded
 }
 
-// unsound tells why a search is not even looked at.
-func (b *Broker) unsound(q *search) Step {
-	if q.k != nil && q.want > 0 && b.now < q.until-margin {
+// invalidReason tells why a search is not even looked at.
+func (p *Policy) invalidReason(search *searchState) RefusalReason {
+	if search.kind != nil && search.expected > 0 && p.now < search.deadline-answerMargin {
 		return NoHolder
 	}
 	return TooLate
 }
 
-func (q *search) refused(why Step) {
-	if q.k != nil {
-		q.k.refused[why]++
+func (search *searchState) countRefusal(why RefusalReason) {
+	if search.kind != nil {
+		search.kind.refusals[why]++
 	}
 }
 
-// Bears implements Port; it holds from the next search on.
-func (b *Broker) Bears(worth, beyond float64) { b.borne.worth, b.borne.beyond = worth, beyond }
+// CapacityFloor implements Port; it holds from the next search on.
+func (p *Policy) CapacityFloor(worth, beyond float64) {
+	p.capacityFloor.worth, p.capacityFloor.beyond = worth, beyond
+}
 
-// Counts implements Port; 0 for a search that is not known.
-func (b *Broker) Counts(id int) float64 {
-	if q := at(b.searches, id); q != nil && q.k != nil {
-		return b.value(q)
+// SearchValue implements Port; 0 for a search that is not known.
+func (p *Policy) SearchValue(id int) float64 {
+	if search := getAt(p.searches, id); search != nil && search.kind != nil {
+		return p.value(search)
 	}
 	return 0
 }
 
-// Refused implements Port; nil for a type that is not known.
-func (b *Broker) Refused(kind int) []int {
-	if k := at(b.types, kind); k != nil {
-		return k.refused[:]
+// Refusals implements Port; nil for a type that is not known.
+func (p *Policy) Refusals(kind int) []int {
+	if qt := getAt(p.queryTypes, kind); qt != nil {
+		return qt.refusals[:]
 	}
 	return nil
 }
 
-// turn is what walks down the chain: a search, then each of its parts.
-type turn struct {
-	q     *search
-	p     *part
-	copy  bool
-	spare bool // it has a sub-request out: another is worth it only at a server that looks fast
-	cands []int
-	to    int
+// placement is what walks down the chain: a search, then each of its parts.
+type placement struct {
+	search     *searchState
+	request    *shardRequest
+	hedge      bool
+	replace    bool // it has a sub-request out: another is worth it only at a server that looks fast
+	candidates []int
+	server     int
 }
 
 type stage struct {
-	down func(*turn) verdict
-	up   func(*try, Outcome)
+	decide  func(*placement) verdict
+	observe func(*attemptState, Outcome)
 }
 
 type queryType struct {
-	aim, value, late, partial, tokenFor float64
-	need, floor, work, hints, given     float64
-	effect                              Effect
-	followUp                            int
-	lat                                 *window.Hist
-	refused                             [Steps]int
+	latencyTarget, value, lateValue, partialValue, tokenWindow float64
+	need, floor, meanWork, hints, clientTime                   float64
+	effect                                                     Effect
+	followUp                                                   int
+	latencies                                                  *window.Hist
+	refusals                                                   [RefusalReasons]int
 }
 
 type customer struct {
-	quota, beyond float64
-	share         float64 // of a type's worth, with which its searches count
-	came          *window.Counts
-}
-
-type search struct {
-	id, customer, want, step, copies, out int
-	born, until, aim                      float64
-	worth                                 float64 // share of its type's with which it counts
-	lot                                   float64 // its chance at cold servers, drawn once: asking again must not help
-	k                                     *queryType
-	parts                                 []*part
-	admitted, over, firstWhole            bool
-}
-
-type part struct {
-	fulls            int
-	id, shard, step  int
-	weight, work     float64
-	key              uint64
-	q                *search
-	tries            []*try
-	expect           float64 // at admission
-	kept             *try    // the one that is committed
-	open             bool    // its client is still sending
-	notBefore, ended float64 // a server's wish; when the latest of its sub-requests came back
-	in, copied, skip bool
+	quota, overQuotaWeight float64
+	weight                 float64 // of a type's worth, with which its searches count
+	arrivals               *window.Counts
+}
+
+type searchState struct {
+	id, customer, expected, phase, hedges, inFlight int
+	arrivedAt, deadline, targetAt                   float64
+	weight                                          float64 // share of its type's with which it counts
+	warmUpDraw                                      float64 // its chance at cold servers, drawn once: asking again must not help
+	kind                                            *queryType
+	requests                                        []*shardRequest
+	admitted, finished, firstComplete               bool
+}
+
+type shardRequest struct {
+	rejections                int
+	id, shard, phase          int
+	weight, work              float64
+	key                       uint64
+	search                    *searchState
+	attempts                  []*attemptState
+	expected                  float64       // at admission
+	committed                 *attemptState // the one that is committed
+	clientSending             bool          // its client is still sending
+	notBefore, lastEndedAt    float64       // a server's wish; when the latest of its sub-requests came back
+	answered, hedged, skipped bool
 }
 
 type vector = predict.Vector
 
-type try struct {
-	p                               *part
-	no, server, calls               int
-	at, load, extra                 float64
-	sent                            float64 // at, or before it where the client was still sending then: effects count from here
-	x                               vector
-	fast, out, noted, called, never bool
-	begun                           bool // committed, and learnt from as an answer
-	quiet                           bool // its client is still sending: its age tells nothing
-	idle, fresh                     bool // sent when nothing had been heard for long; over a new connection
-	call                            *call
+type attemptState struct {
+	request                                              *shardRequest
+	number, server, batches                              int
+	startedAt, loadAtSend, hintedExtra                   float64
+	sentAt                                               float64 // at, or before it where the client was still sending then: effects count from here
+	features                                             vector
+	predictedFast, inFlight, taught, cancelled, neverRan bool
+	answering                                            bool // committed, and learnt from as an answer
+	clientSending                                        bool // its client is still sending: its age tells nothing
+	overIdle, freshConnection                            bool // sent when nothing had been heard for long; over a new connection
+	batch                                                *batch
 }
 
-// call is what one round sends to one server: its parts count as one. parked are those of its parts that wait for their
+// batch is what one round sends to one server: its parts count as one. parked are those of its parts that wait for their
 // client, or answer already: they stand in nobody's way at the server.
-type call struct{ size, left, parked int }
-
-type sample struct{ lat, at, load float64 }
-
-type server struct {
-	listed, watched                   bool
-	state                             State
-	hall, cell                        int
-	size, started                     float64
-	calls, parked                     int // own calls out, and of them those with nothing but parked parts
-	tries                             []*try
-	open                              *call
-	openRound                         int
-	hist                              [histSize]sample
-	line                              *window.Hist
-	load, loadAt                      float64
-	loadOwn                           int
-	took, tookCalls                   float64
-	errs, oks, sent                   *window.Counts
-	answered, resetAt, tookAt, sureAt float64
-	fullUntil                         float64
-	aside, dead, broke, probing, sure bool
-	since, trialAt, backoff           float64
-	trial                             *try
-	streak                            int
-	coldFrom, coldTo                  float64
-}
-
-// Broker is one instance. Each of its parts holds its own settings.
-type Broker struct {
-	out                           Out
-	now, lastWake, lastLog, awake float64
-	brokers, hall, round          int
-	dice                          dice
-	fleet                         fleet
-	limits                        limits
-	longestAdvice                 float64
-	cold                          coldGuard
-	budget                        budget
-	reports                       reports
-	lister                        lister
-	predict                       predictor
-	links                         links
-	sends                         *window.Counts
-	types                         []*queryType
-	customers                     []*customer
-	searches                      []*search
-	parts                         []*part
-	live                          []*search
-	servers                       []*server
-	holders                       [][]int // by shard modulo places: who may be sent its parts; nil: to be found anew
-	tending                       []int   // servers with something out or due
-	ready, readyMost              int     // servers that the list has as ready, and had at most
-	calls, parked                 int     // out at all servers
-	stages                        []stage
-	shortAim, topValue            float64
-	retries                       float64                         // share of its worth with which a marked retry counts
-	lost                          []bool                          // by hall
-	outage                        float64                         // since when some hall has been lost; 0: none is
-	borne                         struct{ worth, beyond float64 } // what servers do not bear: less than that, and a share of just that
-	trialAfter                    float64                         // how long after it was set aside a server has its first trial
-}
-
-type coldGuard struct {
-	share, lasts, multiple, over, carry, at, warm float64
-	did                                           *window.Counts // work of warm servers, over their size
-}
-
-type budget struct {
-	spare, ratio, over float64
-	taken, further     *window.Counts
+type batch struct{ size, inFlight, parked int }
+
+type latencySample struct{ latency, receivedAt, load float64 }
+
+type serverState struct {
+	listed, watched                                            bool
+	state                                                      State
+	zone, position                                             int
+	size, startedAt                                            float64
+	batches, parkedBatches                                     int // own calls out, and of them those with nothing but parked parts
+	waiting                                                    []*attemptState
+	openBatch                                                  *batch
+	openRound                                                  int
+	history                                                    [historySize]latencySample
+	latencies                                                  *window.Hist
+	load, loadReportedAt                                       float64
+	inFlightAtReport                                           int
+	meanLatency, meanBatches                                   float64
+	errors, successes, sentWork                                *window.Counts
+	answeredAt, resetAt, latencyAt, provedAt                   float64
+	rejectsUntil                                               float64
+	ejected, unresponsive, connectFailed, probing, provedAlive bool
+	ejectedAt, trialAt, trialBackoff                           float64
+	trial                                                      *attemptState
+	successStreak                                              int
+	warmUpFrom, warmUpUntil                                    float64
+}
+
+// Policy is one instance. Each of its parts holds its own settings.
+type Policy struct {
+	out                                 Out
+	now, wakeDueAt, loggedAt, resumedAt float64
+	aggregators, zone, round            int
+	random                              random
+	fleet                               fleetShape
+	limits                              limits
+	maxRetryAfter                       float64
+	warmUp                              warmUpGuard
+	budget                              retryBudget
+	reports                             loadReports
+	discovery                           discovery
+	predictor                           predictor
+	connections                         connectionHealth
+	sent                                *window.Counts
+	queryTypes                          []*queryType
+	customers                           []*customer
+	searches                            []*searchState
+	requests                            []*shardRequest
+	liveSearches                        []*searchState
+	servers                             []*serverState
+	holders                             [][]int // by shard modulo places: who may be sent its parts; nil: to be found anew
+	watched                             []int   // servers with something out or due
+	readyServers, maxReadyServers       int     // servers that the list has as ready, and had at most
+	batches, parkedBatches              int     // out at all servers
+	stages                              []stage
+	shortestTarget, maxValue            float64
+	retryWeight                         float64                         // share of its worth with which a marked retry counts
+	lostZones                           []bool                          // by hall
+	outageSince                         float64                         // since when some hall has been lost; 0: none is
+	capacityFloor                       struct{ worth, beyond float64 } // what servers do not bear: less than that, and a share of just that
+	firstTrialAfter                     float64                         // how long after it was set aside a server has its first trial
+}
+
+type warmUpGuard struct {
+	initialShare, duration, multiple, window, maxRate, measuredAt, warmSize float64
+	warmWork                                                                *window.Counts // work of warm servers, over their size
+}
+
+type retryBudget struct {
+	allowance, ratio, window float64
+	requests, retries        *window.Counts
 }
 
 // predictor is the design's score, online: one set of weights for all servers.
 type predictor struct {
-	weights       predict.Weights
-	submits       predict.Submits
-	pool, late    *window.Hist // all servers' latencies, the second for a shorter time
-	avgLoad, calm float64
-	loads, heard  float64 // sum of the latest reports, and how many
-	mid, top      float64 // median and line of the pool, as of this round's start
-	seen          int
+	weights                    predict.Weights
+	submits                    predict.Submits
+	latencies, recentLatencies *window.Hist // all servers' latencies, the second for a shorter time
+	avgLoad, minMedian         float64
+	reportedLoad, reporting    float64 // sum of the latest reports, and how many
+	median, fleetLine          float64 // median and line of the pool, as of this round's start
+	samples                    int
 }
 
-type links struct {
-	lost, fine [2]*window.Counts // on connections in use, on idle ones
-	was        bool              // found at fault when last looked at
+type connectionHealth struct {
+	lost, answered [2]*window.Counts // on connections in use, on idle ones
+	wasFaulty      bool              // found at fault when last looked at
 }
 
-func (g *predictor) score(x vector) float64 { return g.weights.Score(&x) }
+func (pr *predictor) score(x vector) float64 { return pr.weights.Score(&x) }
 
-func (g *predictor) falseRate(now float64) float64 { return g.submits.FalseRate(now) }
+func (pr *predictor) falseRate(now float64) float64 { return pr.submits.FalseRate(now) }
 
-// reports tells where load reports come from.
-type reports struct {
+// loadReports tells where load reports come from.
+type loadReports struct {
 	onAnswers, mayProbe bool
 	fields              []Field
 }
 
-type fleet struct {
-	places, span, batch int
-	callWork            float64
-	warmKeys            bool
+type fleetShape struct {
+	positions, replicas, maxBatch int
+	batchWork                     float64
+	warmKeys                      bool
 }
 
 type limits struct {
-	tries, most, held int
-	cancel, copies    bool
+	maxAttempts, maxPending, pending int
+	mayCancel, mayHedge              bool
 }
 
-type lister struct {
-	ask, due bool
-	at       float64
+type discovery struct {
+	enabled, due bool
+	dueAt        float64
 }
 
 // QueryType implements Port; it adds the next type.
-func (b *Broker) QueryType(aim, value, late float64, effect Effect, tokenFor float64) {
-	b.types = append(b.types, &queryType{aim: aim, value: value, late: late, tokenFor: tokenFor, effect: windowed(effect, tokenFor),
-		need: 1, floor: 1, lat: hist(lineSpan)})
-	b.topValue = max(b.topValue, value)
+func (p *Policy) QueryType(aim, value, late float64, effect Effect, tokenFor float64) {
+	p.queryTypes = append(p.queryTypes, &queryType{latencyTarget: aim, value: value, lateValue: late, tokenWindow: tokenFor, effect: effectiveEffect(effect, tokenFor),
+		need: 1, floor: 1, latencies: newHistogram(latencySpan)})
+	p.maxValue = max(p.maxValue, value)
 	if aim > 0 {
-		b.shortAim = min(b.shortAim, aim)
+		p.shortestTarget = min(p.shortestTarget, aim)
 	}
 }
 
 // Shares implements Port; it sets which share of its parts a search of the type needs, and what less is worth.
-func (b *Broker) Shares(kind int, need, floor, partial float64, followUp int) {
-	k := b.types[kind]
-	k.need, k.floor, k.partial, k.followUp = need, min(floor, need), partial, followUp
+func (p *Policy) Shares(kind int, need, floor, partial float64, followUp int) {
+	qt := p.queryTypes[kind]
+	qt.need, qt.floor, qt.partialValue, qt.followUp = need, min(floor, need), partial, followUp
 }
 
 // Customer implements Port; it adds the next customer, by its quota a second.
-func (b *Broker) Customer(quota, beyond float64) {
-	b.customers = append(b.customers, &customer{quota, beyond, 1, counts(quotaSpan)})
+func (p *Policy) Customer(quota, beyond float64) {
+	p.customers = append(p.customers, &customer{quota, beyond, 1, newCounts(quotaSpan)})
 }
 
 // Fleet implements Port; it sets how shards are placed on servers and what a call costs.
-func (b *Broker) Fleet(places, span, batch int, callWork float64, warmKeys bool) {
-	b.fleet = fleet{max(places, 1), max(span, 1), max(batch, 1), callWork, warmKeys}
+func (p *Policy) Fleet(places, span, batch int, callWork float64, warmKeys bool) {
+	p.fleet = fleetShape{max(places, 1), max(span, 1), max(batch, 1), callWork, warmKeys}
 }
 
 // Limits implements Port; it sets how many sub-requests a part may have and how much may be held.
-func (b *Broker) Limits(tries, held int, cancel, copies bool) {
-	b.limits = limits{tries: tries, most: held, cancel: cancel, copies: copies}
+func (p *Policy) Limits(tries, held int, cancel, copies bool) {
+	p.limits = limits{maxAttempts: tries, maxPending: held, mayCancel: cancel, mayHedge: copies}
 }
 
 // Probes implements Port; servers may be probed from now on.
-func (b *Broker) Probes() { b.reports.mayProbe = true }
+func (p *Policy) Probes() { p.reports.mayProbe = true }
 
-// Advice implements Port; it sets the longest time, in ms, after which a client is asked to come back.
-func (b *Broker) Advice(longest float64) { b.longestAdvice = longest }
+// MaxRetryAfter implements Port; it sets the longest time, in ms, after which a client is asked to come back.
+func (p *Policy) MaxRetryAfter(longest float64) { p.maxRetryAfter = longest }
 
-// Cold implements Port; it sets what a server bears that has just started.
-func (b *Broker) Cold(from, lasts, multiple, over float64) {
-	b.cold = coldGuard{share: from, lasts: lasts, multiple: multiple, over: max(over, 1),
-		did: counts(carrySpan)}
+// WarmUp implements Port; it sets what a server bears that has just started.
+func (p *Policy) WarmUp(from, lasts, multiple, over float64) {
+	p.warmUp = warmUpGuard{initialShare: from, duration: lasts, multiple: multiple, window: max(over, 1),
+		warmWork: newCounts(rateSpan)}
 }
 
 // Budget implements Port; it sets how many further sub-requests there may be for those asked for.
-func (b *Broker) Budget(spare, ratio, over float64) {
+func (p *Policy) Budget(spare, ratio, over float64) {
 	over = max(over, 1)
-	b.budget = budget{spare, ratio, over, counts(over), counts(over)}
+	p.budget = retryBudget{spare, ratio, over, newCounts(over), newCounts(over)}
 }
 
 // Reports implements Port; it sets which load reports come, and their fields.
-func (b *Broker) Reports(onAnswers bool, fields []Field) {
-	b.reports.onAnswers, b.reports.fields = onAnswers, fields
+func (p *Policy) Reports(onAnswers bool, fields []Field) {
+	p.reports.onAnswers, p.reports.fields = onAnswers, fields
 }
 
-// Order stands for the operator's own order of refusals: types count with places in it, not with their values.
-func (b *Broker) Order(kind int, worth float64) {
-	b.types[kind].value, b.topValue = worth, 0
-	for _, k := range b.types {
-		b.topValue = max(b.topValue, k.value)
+// Priority stands for the operator's own order of refusals: types count with places in it, not with their values.
+func (p *Policy) Priority(kind int, worth float64) {
+	p.queryTypes[kind].value, p.maxValue = worth, 0
+	for _, qt := range p.queryTypes {
+		p.maxValue = max(p.maxValue, qt.value)
 	}
 }
 
-// Weigh implements Port; it sets a customer's share.
-func (b *Broker) Weigh(customer int, share float64) { b.customers[customer].share = share }
+// CustomerWeight implements Port; it sets a customer's share.
+func (p *Policy) CustomerWeight(customer int, share float64) { p.customers[customer].weight = share }
 
-// Retries implements Port; it sets the share with which a search counts whose client asks again.
-func (b *Broker) Retries(share float64) { b.retries = share }
+// RetryWeight implements Port; it sets the share with which a search counts whose client asks again.
+func (p *Policy) RetryWeight(share float64) { p.retryWeight = share }
 
-// Again implements Port; it has no effect on a search that was taken already.
-func (b *Broker) Again(id int) {
-	if q := at(b.searches, id); q != nil && !q.admitted {
-		q.worth *= b.retries
+// MarkRetry implements Port; it has no effect on a search that was taken already.
+func (p *Policy) MarkRetry(id int) {
+	if search := getAt(p.searches, id); search != nil && !search.admitted {
+		search.weight *= p.retryWeight
 	}
 }
 
-// noteHall keeps since when some hall has been lost.
-func (b *Broker) noteHall(hall int, lost bool) {
-	for len(b.lost) <= hall {
-		b.lost = append(b.lost, false)
+// recordZone keeps since when some hall has been lost.
+func (p *Policy) recordZone(hall int, lost bool) {
+	for len(p.lostZones) <= hall {
+		p.lostZones = append(p.lostZones, false)
 	}
-	if b.lost[hall] = lost; !slices.Contains(b.lost, true) {
-		b.outage = 0
-	} else if b.outage == 0 {
-		b.outage = b.now
+	if p.lostZones[hall] = lost; !slices.Contains(p.lostZones, true) {
+		p.outageSince = 0
+	} else if p.outageSince == 0 {
+		p.outageSince = p.now
 	}
 }
 
 // Discovery implements Port; where ask is set, the list has to be subscribed to.
-func (b *Broker) Discovery(ask bool) { b.lister = lister{ask: ask, due: ask} }
+func (p *Policy) Discovery(ask bool) { p.discovery = discovery{enabled: ask, due: ask} }
 
 // Search implements Port; it takes a search, whose parts follow in the same round.
-func (b *Broker) Search(id, kind, customer int, until float64, parts int) {
-	q := &search{id: id, born: b.now, customer: customer, until: until, want: parts, k: at(b.types, kind), worth: 1, lot: b.dice.roll()}
-	if q.k != nil {
-		q.aim = b.now + q.k.aim
-	}
-	b.searches = put(b.searches, id, q)
-	b.live = append(b.live, q)
-	b.limits.held++
-	b.budget.take(b.now)
-	if c := at(b.customers, customer); c != nil {
-		c.came.Add(b.now, 1)
-		q.worth = c.share
-	}
-}
-
-// Part implements Port; parts of a search that is over are passed over.
-func (b *Broker) Part(search, id, shard int, weight, work float64, key uint64) {
-	b.budget.take(b.now)
-	q := at(b.searches, search)
-	if q == nil || q.over {
+func (p *Policy) Search(id, kind, customer int, until float64, parts int) {
+	search := &searchState{id: id, arrivedAt: p.now, customer: customer, deadline: until, expected: parts, kind: getAt(p.queryTypes, kind), weight: 1, warmUpDraw: p.random.next()}
+	if search.kind != nil {
+		search.targetAt = p.now + search.kind.latencyTarget
+	}
+	p.searches = setAt(p.searches, id, search)
+	p.liveSearches = append(p.liveSearches, search)
+	p.limits.pending++
+	p.budget.countRequest(p.now)
+	if customer := getAt(p.customers, customer); customer != nil {
+		customer.arrivals.Add(p.now, 1)
+		search.weight = customer.weight
+	}
+}
+
+// ShardRequest implements Port; parts of a search that is over are passed over.
+func (p *Policy) ShardRequest(searchID, id, shard int, weight, work float64, key uint64) {
+	p.budget.countRequest(p.now)
+	search := getAt(p.searches, searchID)
+	if search == nil || search.finished {
 		return
 	}
-	p := &part{id: id, shard: shard, step: q.step, weight: weight, work: work, key: key, q: q}
-	b.parts = put(b.parts, id, p)
-	q.parts = append(q.parts, p)
-	b.limits.held++
-	if q.k != nil && work > 0 {
-		q.k.hints++
-		q.k.work += (work - q.k.work) / q.k.hints
+	req := &shardRequest{id: id, shard: shard, phase: search.phase, weight: weight, work: work, key: key, search: search}
+	p.requests = setAt(p.requests, id, req)
+	search.requests = append(search.requests, req)
+	p.limits.pending++
+	if search.kind != nil && work > 0 {
+		search.kind.hints++
+		search.kind.meanWork += (work - search.kind.meanWork) / search.kind.hints
 	}
 }
 
 // forget lets a search go once it is over and nothing of it is out.
-func (b *Broker) forget(q *search) {
-	if !q.over || q.out > 0 || b.searches[q.id] != q {
+func (p *Policy) forget(search *searchState) {
+	if !search.finished || search.inFlight > 0 || p.searches[search.id] != search {
 		return
 	}
-	b.searches[q.id] = nil
-	for _, p := range q.parts {
-		b.parts[p.id] = nil
+	p.searches[search.id] = nil
+	for _, req := range search.requests {
+		p.requests[req.id] = nil
 	}
-	b.out.Forget(q.id)
+	p.out.Forget(search.id)
 }
 
-// holds lists who may be sent parts of a shard, found anew only after news of its cells.
-func (b *Broker) holds(shard int) []int {
-	f := &b.fleet
-	at := (shard%f.places + f.places) % f.places
-	if len(b.holders) != f.places {
-		b.holders = make([][]int, f.places)
+// holdersOf lists who may be sent parts of a shard, found anew only after news of its cells.
+func (p *Policy) holdersOf(shard int) []int {
+	fleet := &p.fleet
+	at := (shard%fleet.positions + fleet.positions) % fleet.positions
+	if len(p.holders) != fleet.positions {
+		p.holders = make([][]int, fleet.positions)
 	}
-	if b.holders[at] == nil {
+	if p.holders[at] == nil {
 		list := make([]int, 0, 4)
-		for i, s := range b.servers {
-			if s != nil && s.listed && s.state == Ready && ((s.cell-at)%f.places+f.places)%f.places < f.span {
+		for i, server := range p.servers {
+			if server != nil && server.listed && server.state == Ready && ((server.position-at)%fleet.positions+fleet.positions)%fleet.positions < fleet.replicas {
 				list = append(list, i)
 			}
 		}
-		b.holders[at] = list
+		p.holders[at] = list
 	}
-	return b.holders[at]
+	return p.holders[at]
 }
 
-// unindex drops the lists that a server of this cell stands in.
-func (b *Broker) unindex(cell int) {
-	f := &b.fleet
-	for j := 0; j < min(f.span, f.places) && len(b.holders) == f.places; j++ {
-		b.holders[((cell-j)%f.places+f.places)%f.places] = nil
+// dropHolders drops the lists that a server of this cell stands in.
+func (p *Policy) dropHolders(cell int) {
+	fleet := &p.fleet
+	for j := 0; j < min(fleet.replicas, fleet.positions) && len(p.holders) == fleet.positions; j++ {
+		p.holders[((cell-j)%fleet.positions+fleet.positions)%fleet.positions] = nil
 	}
 }
 
-// Drop implements Port; false while a probe or call of the server is out, or what it was sent still counts.
-func (b *Broker) Drop(id int) bool {
-	s := at(b.servers, id)
-	if s == nil {
+// RemoveServer implements Port; false while a probe or call of the server is out, or what it was sent still counts.
+func (p *Policy) RemoveServer(id int) bool {
+	server := getAt(p.servers, id)
+	if server == nil {
 		return true
 	}
-	if s.listed || s.probing || s.calls > 0 || s.sent.Sum(b.now, b.cold.over) > 0 {
+	if server.listed || server.probing || server.batches > 0 || server.sentWork.Sum(p.now, p.warmUp.window) > 0 {
 		return false // what it was sent counts, should it come back cold
 	}
-	if !math.IsInf(s.loadAt, -1) { // a late answer may have told it
-		b.predict.heard--
-		b.predict.loads -= s.load
+	if !math.IsInf(server.loadReportedAt, -1) { // a late answer may have told it
+		p.predictor.reporting--
+		p.predictor.reportedLoad -= server.load
 	}
-	kept := b.tending[:0]
-	for _, i := range b.tending {
+	kept := p.watched[:0]
+	for _, i := range p.watched {
 		if i != id {
 			kept = append(kept, i)
 		}
 	}
-	b.tending, b.servers[id] = kept, nil
-	b.unindex(s.cell)
+	p.watched, p.servers[id] = kept, nil
+	p.dropHolders(server.position)
 	return true
 }
 
-// watch puts a server on the list of those that have something out or due.
-func (b *Broker) watch(id int) {
-	if s := b.servers[id]; !s.watched {
-		s.watched = true
-		b.tending = append(b.tending, id)
+// watchServer puts a server on the list of those that have something out or due.
+func (p *Policy) watchServer(id int) {
+	if server := p.servers[id]; !server.watched {
+		server.watched = true
+		p.watched = append(p.watched, id)
 	}
 }
 
-func (r *reports) any() bool { return len(r.fields) > 0 && r.onAnswers }
+func (r *loadReports) available() bool { return len(r.fields) > 0 && r.onAnswers }
 
-// mayRun is the first sub-request that is out or may have run.
-func (p *part) mayRun() *try {
-	for _, y := range p.tries {
-		if !y.never {
-			return y
+// firstPossiblyRun is the first sub-request that is out or may have run.
+func (req *shardRequest) firstPossiblyRun() *attemptState {
+	for _, attempt := range req.attempts {
+		if !attempt.neverRan {
+			return attempt
 		}
 	}
 	return nil
 }
 
-// dice draws from an instance's seed and a counter alone.
-type dice struct{ seed, draws uint64 }
+// random draws from an instance's seed and a counter alone.
+type random struct{ seed, draws uint64 }
 
-func (d *dice) roll() float64 {
-	d.draws++
+func (r *random) next() float64 {
+	r.draws++
 	h := fnv.New64a()
-	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, d.seed), d.draws))
+	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, r.seed), r.draws))
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-func put[T any](list []*T, i int, v *T) []*T {
+func setAt[T any](list []*T, i int, v *T) []*T {
 	for len(list) <= i {
 		list = append(list, nil)
 	}
@@ -503,143 +505,143 @@
 	return list
 }
 
-func at[T any](list []*T, i int) *T {
+func getAt[T any](list []*T, i int) *T {
 	if i >= 0 && i < len(list) {
 		return list[i]
 	}
 	return nil
 }
 
-// returned frees what a sub-request held.
-func (b *Broker) returned(y *try, how Outcome) {
-	s := b.servers[y.server]
-	y.out, y.p.ended = false, b.now
-	y.p.q.out--
-	b.count(s, y.call, -1, -y.parked())
-	if y.call.left == 0 {
-		s.calls--
-		b.calls--
+// release frees what a sub-request held.
+func (p *Policy) release(attempt *attemptState, how Outcome) {
+	server := p.servers[attempt.server]
+	attempt.inFlight, attempt.request.lastEndedAt = false, p.now
+	attempt.request.search.inFlight--
+	p.adjustBatch(server, attempt.batch, -1, -attempt.parked())
+	if attempt.batch.inFlight == 0 {
+		server.batches--
+		p.batches--
 	}
-	s.lose(y)
-	y.never = how.NeverRan() && !y.begun
+	server.stopWaiting(attempt)
+	attempt.neverRan = how.NeverRan() && !attempt.answering
 }
 
-// Open starts the clock of what is out once the client has sent all: a server that waits for its client is not slow.
-func (b *Broker) Open(id int, open bool) {
-	p := at(b.parts, id)
-	if p == nil || p.open == open {
+// ClientSending starts the clock of what is out once the client has sent all: a server that waits for its client is not slow.
+func (p *Policy) ClientSending(id int, open bool) {
+	req := getAt(p.requests, id)
+	if req == nil || req.clientSending == open {
 		return
 	}
-	p.open = open
-	for _, y := range p.tries {
-		if y.quiet && y.out && !y.begun && !open {
-			b.count(b.servers[y.server], y.call, 0, -1)
-			y.quiet, y.at = false, b.now
-			b.servers[y.server].tries = append(b.servers[y.server].tries, y)
+	req.clientSending = open
+	for _, attempt := range req.attempts {
+		if attempt.clientSending && attempt.inFlight && !attempt.answering && !open {
+			p.adjustBatch(p.servers[attempt.server], attempt.batch, 0, -1)
+			attempt.clientSending, attempt.startedAt = false, p.now
+			p.servers[attempt.server].waiting = append(p.servers[attempt.server].waiting, attempt)
 		}
 	}
 }
 
-func (y *try) parked() int {
-	if y.quiet || y.begun {
+func (attempt *attemptState) parked() int {
+	if attempt.clientSending || attempt.answering {
 		return 1
 	}
 	return 0
 }
 
-// count keeps what is out at a server, in all and parked.
-func (b *Broker) count(s *server, c *call, left, parked int) {
-	if c.left > 0 && c.left == c.parked {
-		s.parked--
-		b.parked--
+// adjustBatch keeps what is out at a server, in all and parked.
+func (p *Policy) adjustBatch(server *serverState, batch *batch, left, parked int) {
+	if batch.inFlight > 0 && batch.inFlight == batch.parked {
+		server.parkedBatches--
+		p.parkedBatches--
 	}
-	c.left, c.parked = c.left+left, c.parked+parked
-	if c.left > 0 && c.left == c.parked {
-		s.parked++
-		b.parked++
+	batch.inFlight, batch.parked = batch.inFlight+left, batch.parked+parked
+	if batch.inFlight > 0 && batch.inFlight == batch.parked {
+		server.parkedBatches++
+		p.parkedBatches++
 	}
 }
 
-func (s *server) lose(y *try) {
-	for i, o := range s.tries {
-		if o == y {
-			s.tries = append(s.tries[:i], s.tries[i+1:]...)
+func (server *serverState) stopWaiting(attempt *attemptState) {
+	for i, o := range server.waiting {
+		if o == attempt {
+			server.waiting = append(server.waiting[:i], server.waiting[i+1:]...)
 			break
 		}
 	}
 }
 
-// note counts what was lost and what was answered on old connections, apart for idle ones: servers that hang
+// record counts what was lost and what was answered on old connections, apart for idle ones: servers that hang
 // or refuse lose both alike.
-func (g *links) note(now float64, y *try, lost bool) {
-	i, c := 0, &g.fine
-	if y.idle && !y.fresh {
-		i = 1
+func (c *connectionHealth) record(now float64, attempt *attemptState, lost bool) {
+	use, counts := 0, &c.answered
+	if attempt.overIdle && !attempt.freshConnection {
+		use = 1
 	}
 	if lost {
-		c = &g.lost
+		counts = &c.lost
 	}
-	c[i].Add(now, 1)
+	counts[use].Add(now, 1)
 }
 
-func (g *budget) take(now float64) {
-	if g.over > 0 {
-		g.taken.Add(now, 1)
+func (b *retryBudget) countRequest(now float64) {
+	if b.window > 0 {
+		b.requests.Add(now, 1)
 	}
 }
 
-func (g *budget) spend(now float64) {
-	if g.over > 0 {
-		g.further.Add(now, 1)
+func (b *retryBudget) countRetry(now float64) {
+	if b.window > 0 {
+		b.retries.Add(now, 1)
 	}
 }
 
-// reach is the weight of the parts that some listed server holds.
-func (b *Broker) reach(q *search) float64 {
+// reachableWeight is the weight of the parts that some listed server holds.
+func (p *Policy) reachableWeight(search *searchState) float64 {
 	sum := 0.0
-	for _, p := range q.parts {
-		if p.in || len(b.holds(p.shard)) > 0 {
-			sum += p.weight
+	for _, req := range search.requests {
+		if req.answered || len(p.holdersOf(req.shard)) > 0 {
+			sum += req.weight
 		}
 	}
 	return sum
 }
 
-// ComeBack implements Port; the same advice that a search gets which is shed here.
-func (b *Broker) ComeBack(kind int) float64 { return b.back(at(b.types, kind)) }
+// RetryAfter implements Port; the same advice that a search gets which is shed here.
+func (p *Policy) RetryAfter(kind int) float64 { return p.retryAfter(getAt(p.queryTypes, kind)) }
 
-// Bell implements Port; the wake-up that was asked for has come, so the next one is no late one.
-func (b *Broker) Bell() { b.lastWake = math.Inf(-1) }
+// Woken implements Port; the wake-up that was asked for has come, so the next one is no late one.
+func (p *Policy) Woken() { p.wakeDueAt = math.Inf(-1) }
 
-func (b *Broker) log(form string, args ...any) {
-	if b.now-b.lastLog >= logEvery {
-		b.lastLog = b.now
-		b.out.Log(fmt.Sprintf(form, args...))
+func (p *Policy) log(form string, args ...any) {
+	if p.now-p.loggedAt >= logInterval {
+		p.loggedAt = p.now
+		p.out.Log(fmt.Sprintf(form, args...))
 	}
 }
 
-// Lapsed implements Port; the search ends, its client's time being over.
-func (b *Broker) Lapsed(id int) {
-	if q := at(b.searches, id); q != nil && !q.over {
-		b.finish(q)
-		b.forget(q)
+// ClientGone implements Port; the search ends, its client's time being over.
+func (p *Policy) ClientGone(id int) {
+	if search := getAt(p.searches, id); search != nil && !search.finished {
+		p.finish(search)
+		p.forget(search)
 	}
 }
 
-// Until implements Port; it only ever moves the end forward.
-func (b *Broker) Until(id int, until float64) {
-	if q := at(b.searches, id); q != nil && !q.over {
-		q.until = min(q.until, until)
+// ShortenDeadline implements Port; it only ever moves the end forward.
+func (p *Policy) ShortenDeadline(id int, until float64) {
+	if search := getAt(p.searches, id); search != nil && !search.finished {
+		search.deadline = min(search.deadline, until)
 	}
 }
 
-func (b *Broker) finish(q *search) {
-	q.over = true
-	b.limits.held--
-	for _, p := range q.parts {
-		if !p.in {
-			b.limits.held--
+func (p *Policy) finish(search *searchState) {
+	search.finished = true
+	p.limits.pending--
+	for _, req := range search.requests {
+		if !req.answered {
+			p.limits.pending--
 		}
 	}
-	b.stop(q)
+	p.cancelSearch(search)
 }
--- a/internal/aggregator/policy/world_test.go
+++ b/internal/aggregator/policy/world_test.go
@@ -44,7 +44,7 @@
 type world struct {
 	t                                    testing.TB
 	rnd                                  *rand.Rand
-	b                                    *Broker
+	b                                    *Policy
 	now, wake, lasts, multiple, over     float64
 	from, aim, timeout, tokenFor, spare  float64
 	ratio, budgetOver, peak              float64
@@ -101,9 +101,9 @@
 	b.Customer(float64(w.rnd.Intn(3)), 0.1)
 	b.Fleet(w.places, w.span, 1+w.rnd.Intn(4), 10, true)
 	b.Limits(w.tries, w.most, w.cancel, w.copies)
-	b.Advice(500)
+	b.MaxRetryAfter(500)
 	if w.lasts > 0 {
-		b.Cold(w.from, w.lasts, w.multiple, w.over)
+		b.WarmUp(w.from, w.lasts, w.multiple, w.over)
 	}
 	if w.budgets {
 		b.Budget(w.spare, w.ratio, w.budgetOver)
@@ -173,8 +173,8 @@
 	s.sent = append(s.sent, spent{w.now, 100.0 + 10})
 	if age := w.now - s.started; s.started > 0 && age < w.lasts {
 		share := w.from + (1-w.from)*age/w.lasts
-		few := min(max(float64(w.brokers)/50, 1), 4)                                // by lot, which many even out
-		if sum > few*(100.0+10) && sum > w.multiple*share*w.peak/busyTaken*w.over { // what servers can do, if so busy
+		few := min(max(float64(w.brokers)/50, 1), 4)                                       // by lot, which many even out
+		if sum > few*(100.0+10) && sum > w.multiple*share*w.peak/assumedBusyShare*w.over { // what servers can do, if so busy
 			w.fault("server %d sent %.0f of work while cold", server, sum)
 		}
 	}
@@ -312,12 +312,12 @@
 	for id := 0; stalled && id <= w.next; id++ { // who waited too long has left
 		if q := w.searches[id]; q != nil && q.finals == 0 && !q.client && w.now > q.until {
 			q.client = true
-			w.b.Lapsed(id)
+			w.b.ClientGone(id)
 		}
 	}
 	if w.wake >= 0 && w.now >= w.wake {
 		w.wake = -1
-		w.b.Bell()
+		w.b.Woken()
 	}
 	hall, fleet := r.Intn(500), r.Intn(900) == 0 // a hall in one mood, the whole fleet restarted or drained
 	for i, s := range w.servers {
@@ -333,12 +333,12 @@
 		}
 	}
 	for i, s := range w.servers { // its index may be used again: here, by the same one
-		if s.state == Gone && r.Intn(40) == 0 && w.b.Drop(i) && w.b.servers[i] != nil {
+		if s.state == Gone && r.Intn(40) == 0 && w.b.RemoveServer(i) && w.b.servers[i] != nil {
 			w.fault("server %d is dropped and known", i)
 		}
 	}
 	if r.Intn(200) == 0 {
-		w.b.Unlisted()
+		w.b.DiscoveryFailed()
 	}
 	if r.Intn(500) == 0 && len(w.servers) < 40 { // a wave: every other server goes and another takes its place
 		for i, s := range w.servers[:len(w.servers):len(w.servers)] {
@@ -391,7 +391,7 @@
 		w.order = append(w.order, id)
 		q.parts = append(q.parts, id)
 		w.taken = append(w.taken, w.now)
-		w.b.Part(search, id, p.shard, p.weight, 100.0, uint64(w.rnd.Intn(4)))
+		w.b.ShardRequest(search, id, p.shard, p.weight, 100.0, uint64(w.rnd.Intn(4)))
 	}
 }
 
@@ -411,7 +411,7 @@
 			if !y.out || !y.called && w.now < q.until && (mood == 1 || mood == 0 && w.rnd.Intn(12) > 0) {
 				continue
 			}
-			y.how = [...]Outcome{Answered, TimedOut, Errored, Full, NoConnect}[mood]
+			y.how = [...]Outcome{Answered, TimedOut, Errored, Rejected, ConnectFailed}[mood]
 			if y.called && w.rnd.Intn(8) > 0 {
 				y.how = Cancelled
 			} else if w.now >= q.until {
@@ -434,7 +434,7 @@
 		if p := w.parts[id]; p != nil && w.rnd.Intn(3000) == 0 {
 			if q := w.searches[p.search]; q.finals == 0 && !q.client {
 				q.client = true
-				w.b.Lapsed(p.search)
+				w.b.ClientGone(p.search)
 			}
 		}
 	}
--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -190,10 +190,10 @@
 	p.Limits(v.Whole(lim+"attempts-cap", 1), v.Whole(lim+"most-held", 0), v.Flag(lim+"cancel"),
 		v.Flag(lim+"parallel-tries"))
 	if v.Flag(lim + "retry-after") {
-		p.Advice(v.Num(lim+"max-retry-after-ms", 0))
+		p.MaxRetryAfter(v.Num(lim+"max-retry-after-ms", 0))
 	}
 	if v.has(safe + "tip-multiple") {
-		p.Cold(v.Num(safe+"cold-from", 0), v.Num(safe+"cold-ms", 0), v.Num(safe+"tip-multiple", 0),
+		p.WarmUp(v.Num(safe+"cold-from", 0), v.Num(safe+"cold-ms", 0), v.Num(safe+"tip-multiple", 0),
 			v.Num(safe+"tip-after-ms", 0))
 	}
 	if v.has(safe + "further-ratio") {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -94,11 +94,11 @@
 // called off.
 func (b *Port) Limits(tries, _ int, cancel, _ bool) { b.tries, b.cancel = tries, cancel }
 
-// Advice implements policy.Port; the policies have no use for it.
-func (b *Port) Advice(float64) {}
+// MaxRetryAfter implements policy.Port; the policies have no use for it.
+func (b *Port) MaxRetryAfter(float64) {}
 
-// Cold implements policy.Port; the policies have no use for it.
-func (b *Port) Cold(float64, float64, float64, float64) {}
+// WarmUp implements policy.Port; the policies have no use for it.
+func (b *Port) WarmUp(float64, float64, float64, float64) {}
 
 // Budget implements policy.Port; the policies have no use for it.
 func (b *Port) Budget(float64, float64, float64) {}
@@ -115,44 +115,44 @@
 // Probed implements policy.Port; the policies have no use for it.
 func (b *Port) Probed(int, bool, float64, []float64) {}
 
-// Refused implements policy.Port; the policies have no use for it.
-func (b *Port) Refused(int) []int { return nil }
+// Refusals implements policy.Port; the policies have no use for it.
+func (b *Port) Refusals(int) []int { return nil }
 
-// Site implements policy.Port; the policies have no use for it.
-func (b *Port) Site(int, bool, float64) {}
+// ZoneChanged implements policy.Port; the policies have no use for it.
+func (b *Port) ZoneChanged(int, bool, float64) {}
 
-// Bears implements policy.Port; the policies have no use for it.
-func (b *Port) Bears(float64, float64) {}
+// CapacityFloor implements policy.Port; the policies have no use for it.
+func (b *Port) CapacityFloor(float64, float64) {}
 
-// Counts implements policy.Port; the policies have no use for it.
-func (b *Port) Counts(int) float64 { return 0 }
+// SearchValue implements policy.Port; the policies have no use for it.
+func (b *Port) SearchValue(int) float64 { return 0 }
 
-// Order implements policy.Port; the policies have no use for it.
-func (b *Port) Order(int, float64) {}
+// Priority implements policy.Port; the policies have no use for it.
+func (b *Port) Priority(int, float64) {}
 
-// Weigh implements policy.Port; the policies have no use for it.
-func (b *Port) Weigh(int, float64) {}
+// CustomerWeight implements policy.Port; the policies have no use for it.
+func (b *Port) CustomerWeight(int, float64) {}
 
-// Retries implements policy.Port; the policies have no use for it.
-func (b *Port) Retries(float64) {}
+// RetryWeight implements policy.Port; the policies have no use for it.
+func (b *Port) RetryWeight(float64) {}
 
-// Again implements policy.Port; the policies have no use for it.
-func (b *Port) Again(int) {}
+// MarkRetry implements policy.Port; the policies have no use for it.
+func (b *Port) MarkRetry(int) {}
 
-// Unlisted implements policy.Port; the policies have no use for it.
-func (b *Port) Unlisted() {}
+// DiscoveryFailed implements policy.Port; the policies have no use for it.
+func (b *Port) DiscoveryFailed() {}
 
-// ComeBack implements policy.Port; the policies have no use for it.
-func (b *Port) ComeBack(int) float64 { return 0 }
+// RetryAfter implements policy.Port; the policies have no use for it.
+func (b *Port) RetryAfter(int) float64 { return 0 }
 
-// Bell implements policy.Port; the policies have no use for it.
-func (b *Port) Bell() {}
+// Woken implements policy.Port; the policies have no use for it.
+func (b *Port) Woken() {}
 
-// Until implements policy.Port; it moves the end of a search forward.
-func (b *Port) Until(id int, until float64) { b.hasten(id, until) }
+// ShortenDeadline implements policy.Port; it moves the end of a search forward.
+func (b *Port) ShortenDeadline(id int, until float64) { b.hasten(id, until) }
 
-// Open implements policy.Port; the policies have no use for it.
-func (b *Port) Open(int, bool) {}
+// ClientSending implements policy.Port; the policies have no use for it.
+func (b *Port) ClientSending(int, bool) {}
 
 // Pushback implements policy.Port; the policies have no use for it.
 func (b *Port) Pushback(int, float64) {}
@@ -167,8 +167,8 @@
 	b.live = append(b.live, q)
 }
 
-// Part implements policy.Port; it takes a part, which wants its first sub-request.
-func (b *Port) Part(id, p, shard int, _, _ float64, _ uint64) {
+// ShardRequest implements policy.Port; it takes a part, which wants its first sub-request.
+func (b *Port) ShardRequest(id, p, shard int, _, _ float64, _ uint64) {
 	q := b.searches[id]
 	k := &part{id: p, shard: shard, q: q, fresh: true}
 	b.parts[p] = k
@@ -193,8 +193,8 @@
 	s.cell, s.hall, s.ready = cell, hall, state == policy.Ready
 }
 
-// Drop implements policy.Port; nothing here still needs a server that is gone.
-func (b *Port) Drop(_ int) bool { return true }
+// RemoveServer implements policy.Port; nothing here still needs a server that is gone.
+func (b *Port) RemoveServer(_ int) bool { return true }
 
 // Committed implements policy.Port; the first sub-request of a part keeps it.
 func (b *Port) Committed(id, _ int, _ bool) bool {
@@ -216,7 +216,7 @@
 	y.out, y.never = false, how.NeverRan()
 	p.q.out--
 	switch how {
-	case policy.NoConnect, policy.TimedOut, policy.Reset:
+	case policy.ConnectFailed, policy.TimedOut, policy.Reset:
 		b.servers[y.server].badUntil = b.now + downFor
 	case policy.Answered:
 		b.servers[y.server].badUntil = 0
@@ -229,8 +229,8 @@
 	b.forget(p.q)
 }
 
-// Lapsed implements policy.Port; the search ends, as its time is over.
-func (b *Port) Lapsed(id int) {
+// ClientGone implements policy.Port; the search ends, as its time is over.
+func (b *Port) ClientGone(id int) {
 	if q := b.searches[id]; q != nil && !q.over {
 		b.end(q)
 	}
--- a/internal/fleet/bear/port.go
+++ b/internal/fleet/bear/port.go
@@ -51,12 +51,12 @@
 	p.Port.QueryType(aim, value, late, effect, tokenFor)
 }
 
-// Order implements policy.Port; it keeps what a type counts with in place of its value.
-func (p *Port) Order(kind int, worth float64) {
+// Priority implements policy.Port; it keeps what a type counts with in place of its value.
+func (p *Port) Priority(kind int, worth float64) {
 	if kind >= 0 && kind < len(p.worth) {
 		p.worth[kind] = worth
 	}
-	p.Port.Order(kind, worth)
+	p.Port.Priority(kind, worth)
 }
 
 // top tells whether no type is worth more.
@@ -81,8 +81,8 @@
 	p.Port.Search(id, kind, customer, until, parts)
 }
 
-// Part implements policy.Port; it keeps for which type it is.
-func (p *Port) Part(search, id, shard int, weight, work float64, key uint64) {
+// ShardRequest implements policy.Port; it keeps for which type it is.
+func (p *Port) ShardRequest(search, id, shard int, weight, work float64, key uint64) {
 	for len(p.parts) <= id {
 		p.parts, p.aimOf, p.topOf = append(p.parts, nil), append(p.aimOf, 0), append(p.topOf, false)
 	}
@@ -90,7 +90,7 @@
 	if k := p.kindOf[search]; k >= 0 && k < len(p.aims) {
 		p.aimOf[id], p.topOf[id] = p.aims[k], p.top(k)
 	}
-	p.Port.Part(search, id, shard, weight, work, key)
+	p.Port.ShardRequest(search, id, shard, weight, work, key)
 }
 
 // Done implements policy.Port; it tells the plan how the sub-request ended.
@@ -99,7 +99,7 @@
 		took := p.now - p.parts[part][try]
 		late := p.aimOf[part] > 0 && took > p.plan.rules.Late*p.aimOf[part]
 		switch {
-		case how == policy.Full, late && (how == policy.Answered || how == policy.Cancelled):
+		case how == policy.Rejected, late && (how == policy.Answered || how == policy.Cancelled):
 			p.plan.Ended(Harm, p.topOf[part], 1)
 		case how == policy.Answered:
 			p.plan.Ended(Well, p.topOf[part], 1)
@@ -122,11 +122,11 @@
 	p.Port.Server(id, hall, cell, state, size, started)
 }
 
-// Site implements policy.Port; it measures anew what the halls that are left can bear.
-func (p *Port) Site(hall int, lost bool, spread float64) {
+// ZoneChanged implements policy.Port; it measures anew what the halls that are left can bear.
+func (p *Port) ZoneChanged(hall int, lost bool, spread float64) {
 	p.lost[hall] = lost
 	p.measure()
-	p.Port.Site(hall, lost, spread)
+	p.Port.ZoneChanged(hall, lost, spread)
 }
 
 // measure adds up what is there to carry.
@@ -143,11 +143,11 @@
 // End implements policy.Port; it has the plan draw its line before the module decides.
 func (p *Port) End() {
 	for _, c := range p.came { // only now is all known that it counts with
-		p.plan.Asked(p.Port.Counts(c.search), c.parts)
+		p.plan.Asked(p.Port.SearchValue(c.search), c.parts)
 	}
 	if p.came = p.came[:0]; p.plan.End() {
 		l := p.plan.Line()
-		p.Port.Bears(l.Worth, l.Beyond)
+		p.Port.CapacityFloor(l.Worth, l.Beyond)
 		if on := l.Worth > 0; on != p.drawn {
 			p.drawn = on
 			p.out.Log(fmt.Sprintf("servers bear %.2f of what is asked; refused: what counts under %.3g", p.plan.Share(), l.Worth))
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -76,17 +76,17 @@
 
 // Tell hands the order to the module, after the settings and before its first round.
 func (w Worths) Tell(p interface {
-	Order(kind int, worth float64)
-	Weigh(customer int, share float64)
-	Retries(share float64)
+	Priority(kind int, worth float64)
+	CustomerWeight(customer int, share float64)
+	RetryWeight(share float64)
 }) {
 	for k, v := range w.Types {
-		p.Order(k, v)
+		p.Priority(k, v)
 	}
 	for c, v := range w.Customers {
-		p.Weigh(c, v)
+		p.CustomerWeight(c, v)
 	}
-	p.Retries(w.Retries)
+	p.RetryWeight(w.Retries)
 }
 
 // Text writes the order down, a line for each step, those refused first in front.
--- a/internal/fleet/site/crowd_test.go
+++ b/internal/fleet/site/crowd_test.go
@@ -28,8 +28,8 @@
 		port.Shares(0, 1, 1, 0, 0)
 		port.Fleet(p.Places, p.Copies, 4, 0, false)
 		port.Limits(p.Tries, 300, true, true)
-		port.Advice(500)
-		port.Cold(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
+		port.MaxRetryAfter(500)
+		port.WarmUp(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
 		port.Probes()
 		return port
 	}
--- a/internal/fleet/site/port.go
+++ b/internal/fleet/site/port.go
@@ -46,13 +46,13 @@
 	p.Port.Begin(now)
 }
 
-// Part implements policy.Port; it makes place for its sub-requests.
-func (p *Port) Part(search, id, shard int, weight, work float64, key uint64) {
+// ShardRequest implements policy.Port; it makes place for its sub-requests.
+func (p *Port) ShardRequest(search, id, shard int, weight, work float64, key uint64) {
 	for len(p.parts) <= id {
 		p.parts = append(p.parts, nil)
 	}
 	p.parts[id] = p.parts[id][:0]
-	p.Port.Part(search, id, shard, weight, work, key)
+	p.Port.ShardRequest(search, id, shard, weight, work, key)
 }
 
 // Done implements policy.Port; it tells the sight whether the server answered.
@@ -60,8 +60,8 @@
 	if part < len(p.parts) && try < len(p.parts[part]) {
 		if s := p.parts[part][try]; s.server >= 0 {
 			p.parts[part][try].server = -1
-			alive := how == policy.Answered || how == policy.Errored || how == policy.Full
-			p.sight.Done(s.server, s.at, alive, how == policy.TimedOut || how == policy.NoConnect || how == policy.Reset)
+			alive := how == policy.Answered || how == policy.Errored || how == policy.Rejected
+			p.sight.Done(s.server, s.at, alive, how == policy.TimedOut || how == policy.ConnectFailed || how == policy.Reset)
 		}
 	}
 	p.Port.Done(part, try, how, report)
@@ -89,9 +89,9 @@
 	p.Port.Server(id, hall, cell, state, size, started)
 }
 
-// Drop implements policy.Port; it drops the server from the sight too.
-func (p *Port) Drop(id int) bool {
-	if !p.Port.Drop(id) {
+// RemoveServer implements policy.Port; it drops the server from the sight too.
+func (p *Port) RemoveServer(id int) bool {
+	if !p.Port.RemoveServer(id) {
 		return false
 	}
 	p.sight.Drop(id)
@@ -107,13 +107,13 @@
 		switch {
 		case c.Wrong > 0:
 			p.out.Log(fmt.Sprintf("site %d was not lost: it answers what was sent before, after %.0f ms", c.Site, c.Wrong))
-			p.Port.Site(c.Site, false, -c.Wrong)
+			p.Port.ZoneChanged(c.Site, false, -c.Wrong)
 		case c.Hint:
-			p.Port.Site(c.Site, true, c.Spread)
+			p.Port.ZoneChanged(c.Site, true, c.Spread)
 		case c.To == Lost || c.To == Returning:
 			p.out.Log(fmt.Sprintf("site %d %v after %v: %d servers failed together, %.0f ms mute, alone %v", c.Site, c.To, c.From,
 				c.Failed, c.Mute, c.Alone))
-			p.Port.Site(c.Site, c.To == Lost, c.Spread)
+			p.Port.ZoneChanged(c.Site, c.To == Lost, c.Spread)
 		}
 	}
 	p.Port.End()
--- a/internal/fleet/site/random_test.go
+++ b/internal/fleet/site/random_test.go
@@ -122,10 +122,10 @@
 func (mute) Begin(float64)                                        {}
 func (mute) End()                                                 {}
 func (mute) Search(int, int, int, float64, int)                   {}
-func (mute) Part(int, int, int, float64, float64, uint64)         {}
+func (mute) ShardRequest(int, int, int, float64, float64, uint64) {}
 func (mute) Done(int, int, policy.Outcome, []float64)             {}
 func (mute) Server(int, int, int, policy.State, float64, float64) {}
-func (mute) Site(int, bool, float64)                              {}
+func (mute) ZoneChanged(int, bool, float64)                       {}
 
 // BenchmarkSearch is what sight costs for a search of ten parts, at so many sites of twenty servers.
 func BenchmarkSearch(b *testing.B) {
@@ -146,7 +146,7 @@
 				port.Begin(now)
 				port.Search(0, 0, 0, math.Inf(1), 10)
 				for k := range 10 {
-					port.Part(0, k+1, k, 0.1, 0, 0)
+					port.ShardRequest(0, k+1, k, 0.1, 0, 0)
 					if n > 0 {
 						(*outward)(port.(*Port)).sight.Sent((i*10 + k) % (20 * n))
 						q := port.(*Port)
--- a/internal/grpcwire/grpcwire.go
+++ b/internal/grpcwire/grpcwire.go
@@ -94,7 +94,7 @@
 		e.Message = Unescape(m)
 	}
 	if e.Status != OK && messages == 0 && unseen&(1<<e.Status) != 0 {
-		e.How = policy.Full
+		e.How = policy.Rejected
 	}
 	return e
 }
@@ -124,7 +124,7 @@
 	e := End{Internal, "the server reset the stream: " + code.String(), policy.Errored}
 	switch code {
 	case http2.ErrCodeRefusedStream: // it has not been looked at, RFC 9113, 8.7
-		e.Status, e.How = Unavailable, policy.Full
+		e.Status, e.How = Unavailable, policy.Rejected
 	case http2.ErrCodeCancel:
 		e.Status = Cancelled
 	case http2.ErrCodeEnhanceYourCalm:
@@ -139,12 +139,12 @@
 
 // The other ends.
 var (
-	Unprocessed = End{Unavailable, "the server takes no more streams on this connection", policy.Moot}
-	NeverBegun  = End{Unavailable, "the connection broke before the call was sent", policy.Moot}
-	NoConnect   = End{Unavailable, "no connection to the server", policy.NoConnect}
-	NoPlace     = End{Unavailable, "the server's streams are all taken", policy.Full}
-	Withdrawn   = End{Unavailable, "the server is draining", policy.Moot}
-	NoAddress   = End{Unavailable, "the server has no gRPC address", policy.Moot}
+	Unprocessed = End{Unavailable, "the server takes no more streams on this connection", policy.NeverSent}
+	NeverBegun  = End{Unavailable, "the connection broke before the call was sent", policy.NeverSent}
+	NoConnect   = End{Unavailable, "no connection to the server", policy.ConnectFailed}
+	NoPlace     = End{Unavailable, "the server's streams are all taken", policy.Rejected}
+	Withdrawn   = End{Unavailable, "the server is draining", policy.NeverSent}
+	NoAddress   = End{Unavailable, "the server has no gRPC address", policy.NeverSent}
 	Broken      = End{Unavailable, "the connection to the server broke", policy.Reset}
 	Malformed   = End{Internal, "the server sent what is no gRPC message", policy.Errored}
 	CutShort    = End{Internal, "the server's last message is not whole", policy.Errored}
--- a/internal/passthrough/hard_test.go
+++ b/internal/passthrough/hard_test.go
@@ -336,7 +336,7 @@
 	c := p.Dial(s.w, 1)
 	a := c.Call(&p.Ask{Path: once, Timeout: 400, Body: [][]byte{p.Message("q")}})
 	s.w.Run(600)
-	if a.Finals != 1 || a.Status == 0 || s.subs() != 0 || s.w.R.Count.Outcomes[policy.NoConnect] == 0 {
+	if a.Finals != 1 || a.Status == 0 || s.subs() != 0 || s.w.R.Count.Outcomes[policy.ConnectFailed] == 0 {
 		t.Errorf("%d finals, status %d, outcomes %v", a.Finals, a.Status, s.w.R.Count.Outcomes)
 	}
 	s.end(c)
--- a/internal/passthrough/world_test.go
+++ b/internal/passthrough/world_test.go
@@ -113,7 +113,7 @@
 }
 
 // told is what the module heard since a mark.
-func (s *scene) told(since [policy.Moot + 1]int64) (list []string) {
+func (s *scene) told(since [policy.NeverSent + 1]int64) (list []string) {
 	names := []string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
 	for i, n := range s.w.R.Count.Outcomes {
 		for range n - since[i] {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -217,8 +217,8 @@
 }
 
 // outcomes holds the wire's numbers in tens.
-var outcomes = [...]policy.Outcome{1: policy.Answered, 2: policy.Errored, 3: policy.Full, 4: policy.TimedOut,
-	5: policy.NoConnect, 6: policy.Reset, 7: policy.Cancelled, 8: policy.Moot}
+var outcomes = [...]policy.Outcome{1: policy.Answered, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
+	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.NeverSent}
 
 func (b *broker) round() {
 	if !b.inRound {
@@ -252,7 +252,7 @@
 			return nil
 		}
 		if kind == 3 {
-			b.port.Unlisted()
+			b.port.DiscoveryFailed()
 			return nil
 		}
 		if int(list) >= len(b.h.lists) || kind > 3 {
@@ -275,7 +275,7 @@
 		}
 	case 1060:
 		if at, held := b.index[c.u64()]; held && !c.broken {
-			b.port.Lapsed(at)
+			b.port.ClientGone(at)
 		}
 	case 1000:
 		node, how, elapsed := c.node(), c.u8(), c.f64()
@@ -291,7 +291,7 @@
 	case 1110:
 		c.u64()
 		if !c.broken {
-			b.port.Bell()
+			b.port.Woken()
 		}
 	}
 	return nil
@@ -359,7 +359,7 @@
 	if search, held := b.jobs[job]; held {
 		at := b.take(id)
 		b.members[search] = append(b.members[search], at)
-		b.port.Part(search, at, segment, share, work, key)
+		b.port.ShardRequest(search, at, segment, share, work, key)
 	}
 }
 
--- a/internal/standin/crowd/crowd.go
+++ b/internal/standin/crowd/crowd.go
@@ -286,10 +286,10 @@
 			y := &part{q: q, shard: (q.first + n) % w.Places}
 			y.id = b.take(y)
 			q.parts = append(q.parts, y)
-			p.Part(q.id, y.id, y.shard, 1/float64(k.Parts), 0, 0)
+			p.ShardRequest(q.id, y.id, y.shard, 1/float64(k.Parts), 0, 0)
 		}
 		if q.again {
-			p.Again(q.id)
+			p.MarkRetry(q.id)
 		}
 	})
 }
@@ -357,7 +357,7 @@
 		}
 		if b.w.now >= b.wake {
 			b.wake = math.Inf(1)
-			b.port.Bell()
+			b.port.Woken()
 		}
 		b.port.End()
 	})
@@ -391,7 +391,7 @@
 	w.res.Sent++
 	if !w.reaches(b, s) {
 		if w.res.ToLost++; !b.opened[to] {
-			w.after(w.Connect, func() { b.done(t, policy.NoConnect) })
+			w.after(w.Connect, func() { b.done(t, policy.ConnectFailed) })
 		}
 		return
 	}
@@ -410,7 +410,7 @@
 			return
 		}
 		if len(s.waiting) >= w.Kind.Queue {
-			w.after(w.Delay, func() { b.done(t, policy.Full) })
+			w.after(w.Delay, func() { b.done(t, policy.Rejected) })
 			return
 		}
 		s.run(w, t, func() {
--- a/internal/standin/crowd/crowd_test.go
+++ b/internal/standin/crowd/crowd_test.go
@@ -21,8 +21,8 @@
 		port.Shares(0, 1, 1, 0, 0)
 		port.Fleet(p.Places, p.Copies, 4, 0, false)
 		port.Limits(p.Tries, 216, true, true)
-		port.Advice(500)
-		port.Cold(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
+		port.MaxRetryAfter(500)
+		port.WarmUp(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
 		port.Probes()
 		return port
 	}
@@ -152,8 +152,8 @@
 			port.Customer(0, 1)
 			port.Fleet(p.Places, p.Copies, 4, 0, false)
 			port.Limits(p.Tries, 216, true, true)
-			port.Advice(500)
-			port.Cold(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
+			port.MaxRetryAfter(500)
+			port.WarmUp(p.Kind.ColdFrom, p.Kind.ColdFor, p.Kind.Multiple, p.Kind.Over)
 			port.Probes()
 			order.Of([]float64{1, 1, 1}, 2, r).Tell(port)
 			return port
