--- a/internal/routing/router.go
+++ b/internal/aggregator/engine/router.go
@@ -1,7 +1,7 @@
-// Package routing is the broker's one reducer: each event changes its state and asks for effects. It has no
+// Package engine is the broker's one reducer: each event changes its state and asks for effects. It has no
 // socket and no clock, and decides nothing about searches: that is the module's, which it drives through
-// decide.Port and whose decisions it carries out as decide.Out.
-package routing
+// policy.Port and whose decisions it carries out as policy.Out.
+package engine
 
 import (
 	"math"
@@ -12,9 +12,9 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/must"
-	"kestrelspread/internal/settings"
 	"kestrelspread/internal/transport"
 )
 
@@ -84,7 +84,7 @@
 	net     Net
 	pool    *transport.Pool
 	log     *notes
-	port    decide.Port
+	port    policy.Port
 	Count   Counters
 	now     float64
 	wake    float64
@@ -185,7 +185,7 @@
 
 type outcome struct {
 	s      *sub
-	how    decide.Outcome
+	how    policy.Outcome
 	report []float64
 }
 
@@ -260,7 +260,7 @@
 }
 
 // Port is the module, or what stands before it.
-func (r *Router) Port() decide.Port { return r.port }
+func (r *Router) Port() policy.Port { return r.port }
 
 // Begin opens a turn: all its events are one round of the module.
 func (r *Router) Begin(now float64) {
@@ -295,14 +295,14 @@
 	}
 	for _, q := range r.lapses {
 		if !q.forgotten && len(q.parts) > 0 {
-			r.port.Lapsed(q.at)
+			r.port.ClientGone(q.at)
 		}
 	}
 	r.lapses = r.lapses[:0]
 	r.drain()
 	if r.now >= r.wake {
 		r.wake = math.Inf(1)
-		r.port.Bell()
+		r.port.Woken()
 	}
 	r.port.End()
 	r.dispatch()
@@ -325,7 +325,7 @@
 	for i := 0; i < len(r.outcomes); i++ {
 		o := r.outcomes[i]
 		p := o.s.part
-		if o.how == decide.Answered && !p.in {
+		if o.how == policy.Answered && !p.in {
 			if p.in = true; !p.q.ended {
 				r.held--
 			}
@@ -438,7 +438,7 @@
 	q.until = until
 	r.timers.drop(q.limit)
 	r.limit(q)
-	r.port.Until(q.at, until)
+	r.port.ShortenDeadline(q.at, until)
 	for _, p := range q.parts {
 		for _, s := range p.subs {
 			if s.state != over && s.within > until {
@@ -589,7 +589,7 @@
 	return len(r.slots) - 1
 }
 
-// Wake implements decide.Out, as does Log; its other methods stand with what they concern.
+// Wake implements policy.Out, as does Log; its other methods stand with what they concern.
 func (r *Router) Wake(in float64) { r.wake = min(r.wake, r.now+in) }
 
 // Log writes what the module has to say. News of a whole site must not be held back behind lines about single servers.
--- a/internal/routing/search.go
+++ b/internal/aggregator/engine/search.go
@@ -1,4 +1,4 @@
-package routing
+package engine
 
 import (
 	"bytes"
@@ -460,7 +460,7 @@
 	if r.rules.most > 0 && r.held >= r.rules.most {
 		r.Count.OverHeld++
 		r.unstore(c)
-		r.end(q, 503, r.port.ComeBack(kind), nil)
+		r.end(q, 503, r.port.RetryAfter(kind), nil)
 		return nil
 	}
 	key := protocol.Key(c.in.Cookie("k"))
@@ -469,7 +469,7 @@
 	r.unstore(c)
 	r.enlist(q, kind, customer, sum, key)
 	if again {
-		r.port.Again(q.at)
+		r.port.MarkRetry(q.at)
 	}
 	return nil
 }
@@ -488,7 +488,7 @@
 		if d.key == 0 && key != 0 {
 			d.key = mixed(key, d.shard)
 		}
-		r.port.Part(q.at, p.at, d.shard, d.share/sum, d.work, d.key)
+		r.port.ShardRequest(q.at, p.at, d.shard, d.share/sum, d.work, d.key)
 	}
 	r.limit(q)
 }
@@ -522,7 +522,7 @@
 	return true
 }
 
-// Answer implements decide.Out: a search is answered from the parts that are in.
+// Answer implements policy.Out: a search is answered from the parts that are in.
 func (r *Router) Answer(at int, allIn bool) {
 	q := r.slots[at].search
 	q.whole = allIn
@@ -558,13 +558,13 @@
 	r.end(q, 200, 0, r.body)
 }
 
-// Shed implements decide.Out: a search is refused, with advice when to ask again (0: none).
+// Shed implements policy.Out: a search is refused, with advice when to ask again (0: none).
 func (r *Router) Shed(at int, comeBack float64) {
 	r.Count.Shed++
 	r.end(r.slots[at].search, 503, comeBack, nil)
 }
 
-// Fail implements decide.Out: a search ends in error.
+// Fail implements policy.Out: a search ends in error.
 func (r *Router) Fail(at int) {
 	r.Count.Errored++
 	r.end(r.slots[at].search, 500, 0, nil)
