--- a/internal/fleet/shedding/shedding.go
+++ b/internal/fleet/shedding/shedding.go
@@ -90,22 +90,22 @@
 	return groups
 }
 
-// Module is what of the decision module takes weights (decide.Port).
+// Module is what of the decision module takes weights (policy.Port).
 type Module interface {
-	Order(kind int, weight float64)
-	Weigh(customer int, share float64)
-	Retries(share float64)
+	Priority(kind int, weight float64)
+	CustomerWeight(customer int, share float64)
+	RetryWeight(share float64)
 }
 
 // Apply hands the weights to the module, after the settings and before its first turn.
 func (w Weights) Apply(module Module) {
 	for kind, weight := range w.Types {
-		module.Order(kind, weight)
+		module.Priority(kind, weight)
 	}
 	for customer, weight := range w.Customers {
-		module.Weigh(customer, weight)
+		module.CustomerWeight(customer, weight)
 	}
-	module.Retries(w.RetryWeight)
+	module.RetryWeight(w.RetryWeight)
 }
 
 // Describe writes the order down, a line for each step, those rejected first in front.
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -14,12 +14,12 @@
 
 	"golang.org/x/net/http2"
 
+	"kestrelspread/internal/aggregator/engine"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/channels"
-	"kestrelspread/internal/decide"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
-	"kestrelspread/internal/routing"
 	"kestrelspread/internal/transport"
 )
 
@@ -28,7 +28,7 @@
 	Next  atomic.Pointer[Rules] // set by others before they tell Reread
 	Count Counters
 
-	r       *routing.Router
+	r       *engine.Router
 	rules   *Rules
 	shards  int
 	pool    *channels.Pool
@@ -42,7 +42,7 @@
 	held    int         // bytes
 	owing   []*call     // whose credit waits until less is held
 	dirty   []flusher
-	timer   routing.Timer
+	timer   engine.Timer
 	tickAt  float64
 	killed  float64
 	leaving bool
@@ -55,13 +55,13 @@
 	listed netip.AddrPort
 	addr   netip.AddrPort
 	has    bool
-	state  decide.State
+	state  policy.State
 }
 
 type flusher interface{ flush() }
 
 // New makes the front of a broker; shards is how many there are, seed draws the backoff's jitter.
-func New(r *routing.Router, rules *Rules, shards int, seed uint64) *Front {
+func New(r *engine.Router, rules *Rules, shards int, seed uint64) *Front {
 	f := &Front{r: r, rules: rules, shards: shards, rand: seed | 1, clients: map[*client]bool{}, byOwner: map[int]int{},
 		killed: math.Inf(1), tickAt: math.Inf(1)}
 	f.pool = channels.New((*carrier)(f), rules.Channels, f.roll)
@@ -94,9 +94,9 @@
 }
 
 // Server is news of the list.
-func (f *Front) Server(at int, id string, addr netip.AddrPort, state decide.State) {
+func (f *Front) Server(at int, id string, addr netip.AddrPort, state policy.State) {
 	for at >= len(f.servers) {
-		f.servers = append(f.servers, target{state: decide.Gone})
+		f.servers = append(f.servers, target{state: policy.Gone})
 	}
 	t := &f.servers[at]
 	t.id, t.state = id, state
@@ -114,8 +114,8 @@
 	}
 	was := t.addr
 	t.addr, t.has = f.rules.Addresses.Of(t.id, t.listed)
-	f.pool.Server(f.r.Now(), at, t.has && (t.state == decide.Ready || plantDrain), was.IsValid() && was != t.addr)
-	if !t.has || t.state != decide.Ready {
+	f.pool.Server(f.r.Now(), at, t.has && (t.state == policy.Ready || plantDrain), was.IsValid() && was != t.addr)
+	if !t.has || t.state != policy.Ready {
 		for _, l := range append([]*line(nil), f.lines...) {
 			if l != nil && l.server == at {
 				l.withdraw()
@@ -140,7 +140,7 @@
 func (f *Front) Forgotten(at int) {
 	if at < len(f.servers) {
 		f.pool.Forgotten(at)
-		f.servers[at] = target{state: decide.Gone}
+		f.servers[at] = target{state: policy.Gone}
 	}
 }
 
