--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -7,7 +7,7 @@
 	"math"
 	"math/rand/v2"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 )
 
 // Names are the policies that New knows.
@@ -51,13 +51,13 @@
 
 // Port is a policy.
 type Port struct {
-	out          decide.Out
+	out          policy.Out
 	rng          *rand.Rand
 	inTurn       bool
 	failover     bool // own hall first, then the next in order; in turn within a hall
 	hall         int
 	now          float64
-	effects      []decide.Effect
+	effects      []policy.Effect
 	places, span int
 	tries        int
 	cancel       bool
@@ -68,107 +68,107 @@
 	live         []*search
 }
 
-var _ decide.Port = (*Port)(nil)
+var _ policy.Port = (*Port)(nil)
 
 // New makes the policy of a name; the seed draws its chance.
-func New(name string, out decide.Out, seed uint64) *Port {
+func New(name string, out policy.Out, seed uint64) *Port {
 	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), inTurn: name != "random", failover: name == "failover", searches: map[int]*search{},
 		parts: map[int]*part{}, places: 1, span: 1, tries: 1}
 }
 
-// QueryType implements decide.Port; it keeps the effect of a second run.
-func (b *Port) QueryType(_, _, _ float64, effect decide.Effect, _ float64) {
+// QueryType implements policy.Port; it keeps the effect of a second run.
+func (b *Port) QueryType(_, _, _ float64, effect policy.Effect, _ float64) {
 	b.effects = append(b.effects, effect)
 }
 
-// Shares implements decide.Port; the policies have no use for it.
+// Shares implements policy.Port; the policies have no use for it.
 func (b *Port) Shares(int, float64, float64, float64, int) {}
 
-// Customer implements decide.Port; the policies have no use for it.
+// Customer implements policy.Port; the policies have no use for it.
 func (b *Port) Customer(float64, float64) {}
 
-// Fleet implements decide.Port; it keeps how shards are placed.
+// Fleet implements policy.Port; it keeps how shards are placed.
 func (b *Port) Fleet(places, span, _ int, _ float64, _ bool) { b.places, b.span = places, span }
 
-// Limits implements decide.Port; it keeps how many sub-requests a part may have, and whether the rest are
+// Limits implements policy.Port; it keeps how many sub-requests a part may have, and whether the rest are
 // called off.
 func (b *Port) Limits(tries, _ int, cancel, _ bool) { b.tries, b.cancel = tries, cancel }
 
-// Advice implements decide.Port; the policies have no use for it.
-func (b *Port) Advice(float64) {}
+// MaxRetryAfter implements policy.Port; the policies have no use for it.
+func (b *Port) MaxRetryAfter(float64) {}
 
-// Cold implements decide.Port; the policies have no use for it.
-func (b *Port) Cold(float64, float64, float64, float64) {}
+// WarmUp implements policy.Port; the policies have no use for it.
+func (b *Port) WarmUp(float64, float64, float64, float64) {}
 
-// Budget implements decide.Port; the policies have no use for it.
+// Budget implements policy.Port; the policies have no use for it.
 func (b *Port) Budget(float64, float64, float64) {}
 
-// Reports implements decide.Port; the policies have no use for it.
-func (b *Port) Reports(bool, []decide.Field) {}
+// Reports implements policy.Port; the policies have no use for it.
+func (b *Port) Reports(bool, []policy.Field) {}
 
-// Probes implements decide.Port; the policies have no use for it.
+// Probes implements policy.Port; the policies have no use for it.
 func (b *Port) Probes() {}
 
-// Discovery implements decide.Port; the policies have no use for it.
+// Discovery implements policy.Port; the policies have no use for it.
 func (b *Port) Discovery(bool) {}
 
-// Probed implements decide.Port; the policies have no use for it.
+// Probed implements policy.Port; the policies have no use for it.
 func (b *Port) Probed(int, bool, float64, []float64) {}
 
-// Refused implements decide.Port; the policies have no use for it.
-func (b *Port) Refused(int) []int { return nil }
+// Refusals implements policy.Port; the policies have no use for it.
+func (b *Port) Refusals(int) []int { return nil }
 
-// Site implements decide.Port; the policies have no use for it.
-func (b *Port) Site(int, bool, float64) {}
+// ZoneChanged implements policy.Port; the policies have no use for it.
+func (b *Port) ZoneChanged(int, bool, float64) {}
 
-// Bears implements decide.Port; the policies have no use for it.
-func (b *Port) Bears(float64, float64) {}
+// CapacityFloor implements policy.Port; the policies have no use for it.
+func (b *Port) CapacityFloor(float64, float64) {}
 
-// Counts implements decide.Port; the policies have no use for it.
-func (b *Port) Counts(int) float64 { return 0 }
+// SearchValue implements policy.Port; the policies have no use for it.
+func (b *Port) SearchValue(int) float64 { return 0 }
 
-// Order implements decide.Port; the policies have no use for it.
-func (b *Port) Order(int, float64) {}
+// Priority implements policy.Port; the policies have no use for it.
+func (b *Port) Priority(int, float64) {}
 
-// Weigh implements decide.Port; the policies have no use for it.
-func (b *Port) Weigh(int, float64) {}
+// CustomerWeight implements policy.Port; the policies have no use for it.
+func (b *Port) CustomerWeight(int, float64) {}
 
-// Retries implements decide.Port; the policies have no use for it.
-func (b *Port) Retries(float64) {}
+// RetryWeight implements policy.Port; the policies have no use for it.
+func (b *Port) RetryWeight(float64) {}
 
-// Again implements decide.Port; the policies have no use for it.
-func (b *Port) Again(int) {}
+// MarkRetry implements policy.Port; the policies have no use for it.
+func (b *Port) MarkRetry(int) {}
 
-// Unlisted implements decide.Port; the policies have no use for it.
-func (b *Port) Unlisted() {}
+// DiscoveryFailed implements policy.Port; the policies have no use for it.
+func (b *Port) DiscoveryFailed() {}
 
-// ComeBack implements decide.Port; the policies have no use for it.
-func (b *Port) ComeBack(int) float64 { return 0 }
+// RetryAfter implements policy.Port; the policies have no use for it.
+func (b *Port) RetryAfter(int) float64 { return 0 }
 
-// Bell implements decide.Port; the policies have no use for it.
-func (b *Port) Bell() {}
+// Woken implements policy.Port; the policies have no use for it.
+func (b *Port) Woken() {}
 
-// Until implements decide.Port; it moves the end of a search forward.
-func (b *Port) Until(id int, until float64) { b.hasten(id, until) }
+// ShortenDeadline implements policy.Port; it moves the end of a search forward.
+func (b *Port) ShortenDeadline(id int, until float64) { b.hasten(id, until) }
 
-// Open implements decide.Port; the policies have no use for it.
-func (b *Port) Open(int, bool) {}
+// ClientSending implements policy.Port; the policies have no use for it.
+func (b *Port) ClientSending(int, bool) {}
 
-// Pushback implements decide.Port; the policies have no use for it.
+// Pushback implements policy.Port; the policies have no use for it.
 func (b *Port) Pushback(int, float64) {}
 
-// Begin implements decide.Port; it keeps the time of the round.
+// Begin implements policy.Port; it keeps the time of the round.
 func (b *Port) Begin(now float64) { b.now = now }
 
-// Search implements decide.Port; it takes a search, whose parts follow.
+// Search implements policy.Port; it takes a search, whose parts follow.
 func (b *Port) Search(id, kind, _ int, until float64, _ int) {
 	q := &search{id: id, kind: kind, until: until}
 	b.searches[id] = q
 	b.live = append(b.live, q)
 }
 
-// Part implements decide.Port; it takes a part, which wants its first sub-request.
-func (b *Port) Part(id, p, shard int, _, _ float64, _ uint64) {
+// ShardRequest implements policy.Port; it takes a part, which wants its first sub-request.
+func (b *Port) ShardRequest(id, p, shard int, _, _ float64, _ uint64) {
 	q := b.searches[id]
 	k := &part{id: p, shard: shard, q: q, fresh: true}
 	b.parts[p] = k
@@ -184,19 +184,19 @@
 // Home tells a failover policy its own hall.
 func (b *Port) Home(hall int) { b.hall = hall }
 
-// Server implements decide.Port; it takes what the list says of a server.
-func (b *Port) Server(id, hall, cell int, state decide.State, _, _ float64) {
+// Server implements policy.Port; it takes what the list says of a server.
+func (b *Port) Server(id, hall, cell int, state policy.State, _, _ float64) {
 	for id >= len(b.servers) {
 		b.servers = append(b.servers, &server{})
 	}
 	s := b.servers[id]
-	s.cell, s.hall, s.ready = cell, hall, state == decide.Ready
+	s.cell, s.hall, s.ready = cell, hall, state == policy.Ready
 }
 
-// Drop implements decide.Port; nothing here still needs a server that is gone.
-func (b *Port) Drop(_ int) bool { return true }
+// RemoveServer implements policy.Port; nothing here still needs a server that is gone.
+func (b *Port) RemoveServer(_ int) bool { return true }
 
-// Committed implements decide.Port; the first sub-request of a part keeps it.
+// Committed implements policy.Port; the first sub-request of a part keeps it.
 func (b *Port) Committed(id, _ int, _ bool) bool {
 	p := b.parts[id]
 	if p == nil || p.kept || p.in {
@@ -206,8 +206,8 @@
 	return true
 }
 
-// Done implements decide.Port; a part that failed harmlessly is sent again, as far as the limit allows.
-func (b *Port) Done(id, no int, how decide.Outcome, _ []float64) {
+// Done implements policy.Port; a part that failed harmlessly is sent again, as far as the limit allows.
+func (b *Port) Done(id, no int, how policy.Outcome, _ []float64) {
 	p := b.parts[id]
 	if p == nil || no >= len(p.tries) || !p.tries[no].out {
 		return
@@ -216,21 +216,21 @@
 	y.out, y.never = false, how.NeverRan()
 	p.q.out--
 	switch how {
-	case decide.NoConnect, decide.TimedOut, decide.Reset:
+	case policy.ConnectFailed, policy.TimedOut, policy.Reset:
 		b.servers[y.server].badUntil = b.now + downFor
-	case decide.Answered:
+	case policy.Answered:
 		b.servers[y.server].badUntil = 0
 	}
-	if how == decide.Answered {
+	if how == policy.Answered {
 		p.in = true
-	} else if !p.q.over && !p.kept && len(p.tries) < b.tries && (how.NeverRan() || b.effects[p.q.kind] == decide.Idempotent) {
+	} else if !p.q.over && !p.kept && len(p.tries) < b.tries && (how.NeverRan() || b.effects[p.q.kind] == policy.Idempotent) {
 		p.fresh = true
 	}
 	b.forget(p.q)
 }
 
-// Lapsed implements decide.Port; the search ends, as its time is over.
-func (b *Port) Lapsed(id int) {
+// ClientGone implements policy.Port; the search ends, as its time is over.
+func (b *Port) ClientGone(id int) {
 	if q := b.searches[id]; q != nil && !q.over {
 		b.end(q)
 	}
@@ -260,7 +260,7 @@
 	b.out.Forget(q.id)
 }
 
-// End implements decide.Port; it sends what is fresh, answers what is in and ends what has come to its time.
+// End implements policy.Port; it sends what is fresh, answers what is in and ends what has come to its time.
 func (b *Port) End() {
 	kept := b.live[:0]
 	next := math.Inf(1)
@@ -311,7 +311,7 @@
 		harmless := true
 		for _, p := range q.parts {
 			for _, y := range p.tries {
-				harmless = harmless && !p.kept && (y.never || b.effects[q.kind] == decide.Idempotent)
+				harmless = harmless && !p.kept && (y.never || b.effects[q.kind] == policy.Idempotent)
 			}
 		}
 		if harmless {
--- a/internal/standin/crowd/crowd.go
+++ b/internal/standin/crowd/crowd.go
@@ -8,7 +8,7 @@
 	"math"
 	"math/rand/v2"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/standin/station"
 )
 
@@ -31,7 +31,7 @@
 	Lose             []Loss
 	Bad              float64 // share of servers that answer nothing, each by itself
 	Err              float64 // and that answer every sub-request with an error, at once
-	Port             func(out decide.Out, seed uint64, site int) decide.Port
+	Port             func(out policy.Out, seed uint64, site int) policy.Port
 	Kinds            []Kind  // none: one, of Parts, Target and Timeout
 	Sleep            []Sleep // brokers that stand still
 	Shrug            float64 // share of shed clients that come again when they like, not when they are told
@@ -138,11 +138,11 @@
 type broker struct {
 	w        *world
 	id, site int
-	port     decide.Port
+	port     policy.Port
 	free     []int
 	slots    []any
 	wake     float64
-	queued   []func(p decide.Port)
+	queued   []func(p policy.Port)
 	turn     bool
 	life     int
 	opened   map[int]bool
@@ -207,7 +207,7 @@
 				w.after(l.From-w.now+1000, func() { b.asleep = w.now })
 				w.after(l.To-w.now+1000, func() {
 					b.asleep = math.Inf(1)
-					b.say(func(decide.Port) {})
+					b.say(func(policy.Port) {})
 				})
 			}
 		}
@@ -231,9 +231,9 @@
 	b.free, b.slots, b.queued, b.turn, b.wake, b.opened = nil, nil, nil, false, math.Inf(1), map[int]bool{}
 	out := &life{b, b.life}
 	b.port = w.Port(out, w.Seed*1000+uint64(b.id)+uint64(b.life)<<32, b.site)
-	b.say(func(port decide.Port) {
+	b.say(func(port policy.Port) {
 		for _, s := range w.servers {
-			port.Server(s.id, s.site, s.cell, decide.Ready, 1, 0)
+			port.Server(s.id, s.site, s.cell, policy.Ready, 1, 0)
 		}
 	})
 }
@@ -288,17 +288,17 @@
 	}
 	q.born = w.now
 	k := w.Kinds[q.kind]
-	b.say(func(p decide.Port) {
+	b.say(func(p policy.Port) {
 		q.id = b.take(q)
 		p.Search(q.id, q.kind, k.Customer, q.until, k.Parts)
 		for n := range k.Parts {
 			y := &part{q: q, shard: (q.first + n) % w.Places}
 			y.id = b.take(y)
 			q.parts = append(q.parts, y)
-			p.Part(q.id, y.id, y.shard, 1/float64(k.Parts), 0, 0)
+			p.ShardRequest(q.id, y.id, y.shard, 1/float64(k.Parts), 0, 0)
 		}
 		if q.again {
-			p.Again(q.id)
+			p.MarkRetry(q.id)
 		}
 	})
 }
@@ -336,7 +336,7 @@
 			w.after(w.Notice*(0.5+w.rng.Float64()), func() {
 				s.told = w.now
 				for _, b := range w.brokers {
-					b.say(func(p decide.Port) { p.Server(s.id, s.site, s.cell, decide.Ready, 1, started) })
+					b.say(func(p policy.Port) { p.Server(s.id, s.site, s.cell, policy.Ready, 1, started) })
 				}
 			})
 		}
@@ -344,7 +344,7 @@
 }
 
 // say has a broker's module told something, in a round of its own at this moment, with whatever else comes now.
-func (b *broker) say(what func(p decide.Port)) {
+func (b *broker) say(what func(p policy.Port)) {
 	b.queued = append(b.queued, what)
 	if b.turn || b.w.now >= b.asleep {
 		return
@@ -366,7 +366,7 @@
 		}
 		if b.w.now >= b.wake {
 			b.wake = math.Inf(1)
-			b.port.Bell()
+			b.port.Woken()
 		}
 		b.port.End()
 	})
@@ -383,12 +383,12 @@
 	return len(b.slots) - 1
 }
 
-func (b *broker) done(t *try, how decide.Outcome) {
+func (b *broker) done(t *try, how policy.Outcome) {
 	if t.over || t.life != b.life {
 		return
 	}
 	t.over = true
-	b.say(func(p decide.Port) { p.Done(t.p.id, t.no, how, nil) })
+	b.say(func(p policy.Port) { p.Done(t.p.id, t.no, how, nil) })
 }
 
 // Send is the module's wish.
@@ -400,7 +400,7 @@
 	w.res.Sent++
 	if !w.reaches(b, s) {
 		if w.res.ToLost++; !b.opened[to] {
-			w.after(w.Connect, func() { b.done(t, decide.NoConnect) })
+			w.after(w.Connect, func() { b.done(t, policy.ConnectFailed) })
 		}
 		return
 	}
@@ -415,17 +415,17 @@
 		}
 		if s.errs {
 			w.res.Errors++
-			w.after(w.Delay, func() { b.done(t, decide.Errored) })
+			w.after(w.Delay, func() { b.done(t, policy.Errored) })
 			return
 		}
 		if len(s.waiting) >= w.Kind.Queue {
-			w.after(w.Delay, func() { b.done(t, decide.Full) })
+			w.after(w.Delay, func() { b.done(t, policy.Rejected) })
 			return
 		}
 		s.run(w, t, func() {
 			w.after(w.Delay, func() {
 				if w.reaches(b, s) {
-					b.done(t, decide.Answered)
+					b.done(t, policy.Answered)
 				}
 			})
 		})
@@ -487,9 +487,9 @@
 }
 
 // Cancel ends a sub-request at once: servers drop what waits.
-func (b *broker) Cancel(id, no int) { b.done(b.slots[id].(*part).tries[no], decide.Cancelled) }
+func (b *broker) Cancel(id, no int) { b.done(b.slots[id].(*part).tries[no], policy.Cancelled) }
 
-// Answer implements decide.Out: a search is answered.
+// Answer implements policy.Out: a search is answered.
 func (b *broker) Answer(id int, _ bool) {
 	q := b.slots[id].(*search)
 	if q.over = true; b.w.now-q.begin <= b.w.Kinds[q.kind].Target {
@@ -506,7 +506,7 @@
 	}
 }
 
-// Shed implements decide.Out: a search is refused.
+// Shed implements policy.Out: a search is refused.
 func (b *broker) Shed(id int, back float64) {
 	q := b.slots[id].(*search)
 	q.over = true
@@ -525,29 +525,29 @@
 	w.res.Shed++
 }
 
-// Fail implements decide.Out: a search ends in error.
+// Fail implements policy.Out: a search ends in error.
 func (b *broker) Fail(id int) {
 	b.slots[id].(*search).over = true
 	b.w.res.Failed++
 }
 
-// Probe implements decide.Out: a server is probed.
+// Probe implements policy.Out: a server is probed.
 func (b *broker) Probe(to int) {
 	w, s, at := b.w, b.w.servers[to], b.w.now
 	if !w.reaches(b, s) || s.bad {
-		w.after(w.Connect, func() { b.say(func(p decide.Port) { p.Probed(to, false, w.now-at, nil) }) })
+		w.after(w.Connect, func() { b.say(func(p policy.Port) { p.Probed(to, false, w.now-at, nil) }) })
 		return
 	}
-	w.after(2*w.Delay, func() { b.say(func(p decide.Port) { p.Probed(to, true, w.now-at, nil) }) })
+	w.after(2*w.Delay, func() { b.say(func(p policy.Port) { p.Probed(to, true, w.now-at, nil) }) })
 }
 
-// Close implements decide.Out: idle connections to a server are closed.
+// Close implements policy.Out: idle connections to a server are closed.
 func (b *broker) Close(int) {}
 
-// Subscribe implements decide.Out: the list is subscribed to.
+// Subscribe implements policy.Out: the list is subscribed to.
 func (b *broker) Subscribe() {}
 
-// Wake implements decide.Out: the module wants a round after so many milliseconds.
+// Wake implements policy.Out: the module wants a round after so many milliseconds.
 func (b *broker) Wake(in float64) {
 	at := b.w.now + in
 	if at >= b.wake {
@@ -556,12 +556,12 @@
 	b.wake = at
 	b.w.after(in, func() {
 		if b.wake == at {
-			b.say(func(decide.Port) {})
+			b.say(func(policy.Port) {})
 		}
 	})
 }
 
-// Log implements decide.Out: the module has a line for the log.
+// Log implements policy.Out: the module has a line for the log.
 func (b *broker) Log(text string) {
 	word := text
 	if len(word) > 11 {
@@ -577,7 +577,7 @@
 	}
 }
 
-// Forget implements decide.Out: the indices of a search may be used again.
+// Forget implements policy.Out: the indices of a search may be used again.
 func (b *broker) Forget(id int) {
 	q := b.slots[id].(*search)
 	for _, p := range q.parts {
--- a/internal/standin/leasesim/voters.go
+++ b/internal/standin/leasesim/voters.go
@@ -35,7 +35,7 @@
 
 // leads tells whether the voter runs, leads, and may act as the lessor.
 func (s *simulation) leads(v *simVoter) bool {
-	running := !v.down && v.stoppedUntil <= s.now
+	running := !v.down && v.suspendedUntil <= s.now
 	return running && v.replica.IsLeader() && v.replica.Lessor.IsLeader()
 }
 
@@ -169,8 +169,8 @@
 	s.startVoter(v)
 }
 
-// handleReady does what a voter's replica asks for, until that is nothing more, and checks what
-// was agreed on.
+// handleReady does what a voter's replica asks for, until that is nothing more, and checks the
+// replicated state.
 func (s *simulation) handleReady(v *simVoter) {
 	for range maxReadySteps {
 		ready := v.replica.Ready()
