--- a/internal/node/routing/admission/admission.go
+++ b/internal/node/routing/admission/admission.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/predict"
 )
 
@@ -51,7 +51,7 @@
 
 // Hopeless reports whether a request can't be answered in the time left: even the quickest of the recent answers took
 // longer, and requests wait at the broker.
-func (g *Gate) Hopeless(now core.Time, req *inflight.Request, b *upstream.Broker) bool {
+func (g *Gate) Hopeless(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
 	if load, recent := b.RecentReport(now, hopelessReportAge); !recent || load.Waiting == 0 {
 		return false
 	}
--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/window"
 )
 
@@ -64,7 +64,7 @@
 func (o *Overload) Learn(now core.Time, ratio float64) { o.ratios.Add(units.Milliseconds(now), ratio) }
 
 // Refresh raises or lowers the share to be shed, at most once in each ShedInterval.
-func (o *Overload) Refresh(now core.Time, p *upstream.Pool) {
+func (o *Overload) Refresh(now core.Time, p *brokerstate.Pool) {
 	if now < o.refreshedAt+ShedInterval {
 		return
 	}
@@ -82,7 +82,7 @@
 
 // busy reports whether most brokers with a recent report have requests waiting, or half of their slots taken: else a
 // refusal would be one that isn't needed.
-func busy(now core.Time, p *upstream.Pool) bool {
+func busy(now core.Time, p *brokerstate.Pool) bool {
 	reports, busy := 0, 0
 	for _, b := range p.Brokers {
 		load, recent := b.RecentReport(now, reportAge)
--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -8,7 +8,7 @@
 
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/admission"
-	"kestrelspread/internal/node/routing/upstream"
+	"kestrelspread/internal/node/routing/brokerstate"
 )
 
 // A request is refused only when every broker's places are taken, and is told to come back in a third of its time.
@@ -32,12 +32,12 @@
 	assert.Equal(t, d.Refusal.Reason, admission.Full)
 	assert.Assert(t, d.Refusal.RetryAfter > 0 && d.Refusal.RetryAfter <= (q.Deadline-w.now)/3)
 
-	w.now += upstream.RefusalBackoff * 6 / 10
+	w.now += brokerstate.RefusalBackoff * 6 / 10
 	_, d = w.Begin(w.now, q)
 	assert.Assert(t, d.Refusal != nil)
 	urgent := w.request(onceRoute)
 	assert.Assert(t, w.begin(urgent) != nil, "the most urgent try sooner")
-	w.now += upstream.RefusalBackoff
+	w.now += brokerstate.RefusalBackoff
 	assert.Assert(t, w.begin(q) != nil)
 }
 
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // All proxies send prompts with the same shared parts to the same broker, without exchange.
@@ -114,7 +114,7 @@
 		{"loading", func(_ *world, owner *registry.Instance) { owner.Loading = true }, false},
 		{"another version", func(_ *world, owner *registry.Instance) { withVersion(owner, 2) }, false},
 		{"set aside", func(w *world, owner *registry.Instance) {
-			w.ejector.Eject(w.now, w.brokers[owner.ID], upstream.Failing)
+			w.ejector.Eject(w.now, w.brokers[owner.ID], brokerstate.Failing)
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -7,8 +7,8 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/inflight"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -19,7 +19,7 @@
 type Request = inflight.ClientRequest
 
 // Load is what a broker reports of itself in X-Kestrelspread-Server-Load.
-type Load = upstream.Load
+type Load = brokerstate.Load
 
 // RefusalReason says why a request was refused, for logs and counters.
 type RefusalReason = admission.Reason
--- a/internal/node/routing/upstream/fetches.go
+++ b/internal/node/routing/brokerstate/fetches.go
@@ -1,4 +1,4 @@
-package upstream
+package brokerstate
 
 import (
 	"kestrelspread/internal/node/core"
--- a/internal/node/routing/upstream/prefillpace.go
+++ b/internal/node/routing/brokerstate/prefillpace.go
@@ -1,4 +1,4 @@
-package upstream
+package brokerstate
 
 // prefillPace learns how long the brokers of a service take for each prompt token: the slope of a weighted linear
 // regression of latency over the tokens read before each first token. Older answers fade. An assumed slope stands for
--- a/internal/node/routing/candidate/candidate.go
+++ b/internal/node/routing/candidate/candidate.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"kestrelspread/internal/node/core"
-	"kestrelspread/internal/node/routing/upstream"
+	"kestrelspread/internal/node/routing/brokerstate"
 )
 
 // warmUpFactor is what each request counts at a broker that is in slow start.
@@ -16,7 +16,7 @@
 // Candidate is a broker that a request may go to. Package candidate fills in what stands first, prefixcache the
 // coverage, placement the rest.
 type Candidate struct {
-	Broker  *upstream.Broker
+	Broker  *brokerstate.Broker
 	Version uint64  // of the model's weights there; 0: the service runs no models
 	Load    float64 // estimated requests there
 	// Probe: the broker was ejected, and the request would be its probe.
@@ -31,7 +31,7 @@
 
 	// Predicted: Prediction is filled in.
 	Predicted  bool
-	Prediction upstream.Prediction
+	Prediction brokerstate.Prediction
 	// TieBreak orders brokers with as many own requests, where the service runs no models.
 	TieBreak float64
 	// Plan is what the broker has to do for the prompt, where the service runs models.
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/modelversion"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/predict"
 )
 
@@ -31,12 +31,12 @@
 type Finder struct {
 	switches mechanism.Switches
 	versions *modelversion.Tracker
-	ejector  *upstream.Ejector
+	ejector  *brokerstate.Ejector
 	found    Set // reused
 }
 
 // NewFinder makes a finder.
-func NewFinder(switches mechanism.Switches, versions *modelversion.Tracker, ejector *upstream.Ejector) *Finder {
+func NewFinder(switches mechanism.Switches, versions *modelversion.Tracker, ejector *brokerstate.Ejector) *Finder {
 	return &Finder{switches: switches, versions: versions, ejector: ejector}
 }
 
@@ -61,7 +61,7 @@
 }
 
 // permitted reports whether the rules let the request go to the broker at all.
-func (f *Finder) permitted(now, startsAt core.Time, req *inflight.Request, b *upstream.Broker) (Candidate, bool) {
+func (f *Finder) permitted(now, startsAt core.Time, req *inflight.Request, b *brokerstate.Broker) (Candidate, bool) {
 	c := Candidate{Broker: b}
 	if !req.Pool.Usable(now, b) || b.Health.Misdirected(now) {
 		return c, false
@@ -97,12 +97,12 @@
 // mayProbe reports whether the request can be the probe of an ejected broker: a first attempt, of an idempotent
 // request, or to a broker that takes no connection at all, as then it can't run unseen; any request after a longer
 // wait, where no other came by. A broker that the registry misses as well is not probed.
-func mayProbe(now core.Time, req *inflight.Request, b *upstream.Broker) bool {
+func mayProbe(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
 	h := &b.Health
 	if !h.ProbeDue(now) || b.Instance.Unresponsive || len(req.Calls) > 0 {
 		return false
 	}
-	return req.Idempotent || h.Reason() == upstream.Unreachable || h.ProbeOverdue(now)
+	return req.Idempotent || h.Reason() == brokerstate.Unreachable || h.ProbeOverdue(now)
 }
 
 // newestFirst leaves only brokers with the newest weights shortly before the time of older ones ends, if they are
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/hints.go
@@ -2,9 +2,9 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // Proxies notify one another of what they send to model brokers and of how fast these are, so that each knows the
@@ -49,7 +49,7 @@
 
 // learnStep takes what a stream of this proxy showed of its broker, and returns what the other proxies are to be told;
 // nil: nothing. Which streams they are told of is chance, so that they don't learn only of what is unusual.
-func (r *Router) learnStep(req *request, c *upstream.Call, pauses EventGaps) *StepReport {
+func (r *Router) learnStep(req *request, c *brokerstate.Call, pauses EventGaps) *StepReport {
 	if req.ServedModel == "" || pauses.Count < minIntervals || pauses.Usual <= 0 || !r.ejector.Measurable(c) {
 		return nil
 	}
--- a/internal/node/routing/inflight/inflight.go
+++ b/internal/node/routing/inflight/inflight.go
@@ -5,9 +5,9 @@
 import (
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/routeclass"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -45,7 +45,7 @@
 type Request struct {
 	ClientRequest
 	ID    ID
-	Pool  *upstream.Pool
+	Pool  *brokerstate.Pool
 	Class *routeclass.Class
 	// ServedModel is the request's model where its service runs models, else empty.
 	ServedModel string
@@ -57,14 +57,14 @@
 	FirstTry       bool // of its client
 	Hedged         bool // a hedged request has gone out
 	Answering      bool // an answer has begun
-	Calls          []*upstream.Call
+	Calls          []*brokerstate.Call
 
 	Refused     int // calls that brokers had no capacity for
 	Unreachable int // calls without a connection
 }
 
 // Call is the call of an attempt's number, nil where there is none.
-func (r *Request) Call(number int) *upstream.Call {
+func (r *Request) Call(number int) *brokerstate.Call {
 	if number < 0 || number >= len(r.Calls) {
 		return nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // Tried reports whether the broker has had the request already.
-func (r *Request) Tried(b *upstream.Broker) bool {
+func (r *Request) Tried(b *brokerstate.Broker) bool {
 	for _, c := range r.Calls {
 		if c.Broker == b {
 			return true
@@ -114,8 +114,8 @@
 }
 
 // OnlyAwaiting is the one call that is out, if no answer has begun; nil otherwise.
-func (r *Request) OnlyAwaiting() *upstream.Call {
-	var only *upstream.Call
+func (r *Request) OnlyAwaiting() *brokerstate.Call {
+	var only *brokerstate.Call
 	for _, c := range r.Calls {
 		switch {
 		case c.Ended:
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // LateCause says why an answer of a model broker was late. Late answers are counted by cause, and the newest are kept
@@ -74,7 +74,7 @@
 func (r *Router) Late() []LateRequest { return r.late.list() }
 
 // recordLateFirstEvent counts an answer whose first event came later than its route's target.
-func (r *Router) recordLateFirstEvent(now core.Time, req *request, c *upstream.Call) {
+func (r *Router) recordLateFirstEvent(now core.Time, req *request, c *brokerstate.Call) {
 	target := units.FromMilliseconds(req.Route.TargetLatencyMs)
 	if req.ServedModel == "" || target <= 0 || now-req.Received <= target {
 		return
@@ -98,7 +98,7 @@
 
 // recordLateGap counts an answer with a pause that is longer than its route allows, unless its first event was late
 // already.
-func (r *Router) recordLateGap(now core.Time, req *request, c *upstream.Call, pauses EventGaps) {
+func (r *Router) recordLateGap(now core.Time, req *request, c *brokerstate.Call, pauses EventGaps) {
 	allowed := units.FromMilliseconds(req.Route.GapTargetMs)
 	if req.ServedModel == "" || allowed <= 0 || pauses.Max <= allowed || c.Late {
 		return
@@ -113,7 +113,7 @@
 	r.late.add(late)
 }
 
-func describeLate(now core.Time, req *request, c *upstream.Call, cause LateCause) LateRequest {
+func describeLate(now core.Time, req *request, c *brokerstate.Call, cause LateCause) LateRequest {
 	return LateRequest{
 		DetectedAt: now, Route: req.Route.Name, Instance: c.Broker.Instance.ID, Cause: cause,
 		PrefillTokens: c.PrefillTokens, QueuedPrefillTokens: int(c.BacklogAhead), Load: c.Load, Reported: c.Broker.LastReport(),
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -3,10 +3,10 @@
 import (
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -40,7 +40,7 @@
 }
 
 // learn takes an answer's latency into the measures, once it is known to be one that was worked for.
-func (r *Router) learn(now core.Time, req *request, c *upstream.Call) {
+func (r *Router) learn(now core.Time, req *request, c *brokerstate.Call) {
 	if c.Learnt() || !c.Started || !r.ejector.Measurable(c) {
 		return
 	}
@@ -88,10 +88,10 @@
 }
 
 // callEnded takes in what a call's end tells of its broker.
-func (r *Router) callEnded(now core.Time, req *request, c *upstream.Call, outcome *Outcome) {
+func (r *Router) callEnded(now core.Time, req *request, c *brokerstate.Call, outcome *Outcome) {
 	b, pool := c.Broker, req.Pool
 	if !c.Started && r.ejector.TimedOut(now, pool, b) {
-		r.ejector.Eject(now, b, upstream.Unresponsive) // nothing that waits there shows it any more
+		r.ejector.Eject(now, b, brokerstate.Unresponsive) // nothing that waits there shows it any more
 	}
 	if outcome.unanswered() && !c.Started && r.ejector.Measurable(c) {
 		pool.TeachOverdue(now, c)
@@ -122,7 +122,7 @@
 }
 
 // callRefused takes in that a call was turned away with X-Kestrelspread-Not-Executed.
-func (r *Router) callRefused(now core.Time, req *request, b *upstream.Broker, outcome *Outcome) {
+func (r *Router) callRefused(now core.Time, req *request, b *brokerstate.Broker, outcome *Outcome) {
 	req.Refused++
 	switch {
 	case r.refusedForRollout(req, b, outcome):
@@ -137,7 +137,7 @@
 
 // refusedForRollout reports whether a broker refused a request for new weights rather than for want of capacity: it
 // lacks a version that was named, and has slots.
-func (r *Router) refusedForRollout(req *request, b *upstream.Broker, outcome *Outcome) bool {
+func (r *Router) refusedForRollout(req *request, b *brokerstate.Broker, outcome *Outcome) bool {
 	if req.ServedModel == "" || r.versions.VersionOf(b.Instance, req.ServedModel) >= r.versions.Newest(req.ServedModel) {
 		return false
 	}
@@ -161,18 +161,18 @@
 
 // fault tells whether a call's end speaks against its broker, and how. That an answer came too late does not, where the
 // broker answered others meanwhile: it has too much to do.
-func (o *Outcome) fault(c *upstream.Call) (fault upstream.Fault, faulty bool) {
+func (o *Outcome) fault(c *brokerstate.Call) (fault brokerstate.Fault, faulty bool) {
 	switch {
 	case o.Misdirected:
-		return upstream.FaultMisdirected, true
+		return brokerstate.FaultMisdirected, true
 	case o.ConnectFailed:
-		return upstream.FaultConnect, true
+		return brokerstate.FaultConnect, true
 	case o.Canceled, o.NotExecuted, o.Status == statusTimeout:
 		return 0, false
 	case o.TimedOut:
-		return upstream.FaultFailure, !c.Broker.Health.AnsweredAfter(c.SentAt)
+		return brokerstate.FaultFailure, !c.Broker.Health.AnsweredAfter(c.SentAt)
 	case o.failure():
-		return upstream.FaultFailure, true
+		return brokerstate.FaultFailure, true
 	}
-	return upstream.FaultFailure, o.Verdict == verdict.MayHaveRun && !o.Answered
+	return brokerstate.FaultFailure, o.Verdict == verdict.MayHaveRun && !o.Answered
 }
--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -2,12 +2,12 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // chooseByCost takes the candidate that is expected to begin its answer first, of those that aren't predicted slow; if
@@ -39,9 +39,9 @@
 }
 
 // assess fills in the candidates' plans and costs, and returns the broker that should cache the shared parts.
-func (p *Placer) assess(now core.Time, req *inflight.Request, found []candidate.Candidate) *upstream.Broker {
+func (p *Placer) assess(now core.Time, req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
 	lookup := p.cache.Look(now, req, found)
-	var owner *upstream.Broker
+	var owner *brokerstate.Broker
 	if p.switches.On(mechanism.Affinity) {
 		owner = ownerOf(req, found)
 	}
@@ -75,13 +75,13 @@
 }
 
 // ownerOf is the candidate that should cache the prompt's parts, by the rendezvous order; nil where there is none.
-func ownerOf(req *inflight.Request, found []candidate.Candidate) *upstream.Broker {
+func ownerOf(req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok {
 		return nil
 	}
 	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
-	var best *upstream.Broker
+	var best *brokerstate.Broker
 	highest := uint64(0)
 	for i := range found {
 		if weight := prompt.RendezvousWeight(key, found[i].Broker.NameHash); best == nil || weight > highest {
--- a/internal/node/routing/prefixcache/cache.go
+++ b/internal/node/routing/prefixcache/cache.go
@@ -2,11 +2,11 @@
 
 import (
 	"kestrelspread/internal/node/config"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/modelversion"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // Cache is this proxy's view of the caches of a deployment.
@@ -15,7 +15,7 @@
 	index    Index    // nil: none
 	observer Observer // nil: the index is none
 	versions *modelversion.Tracker
-	ejector  *upstream.Ejector
+	ejector  *brokerstate.Ejector
 	compiled *config.Compiled // nil before the first configuration
 
 	recent  recentPrefills
@@ -25,7 +25,7 @@
 }
 
 // New makes a cache view. index may be nil; then brokers are found by the rendezvous order of a prompt's parts alone.
-func New(switches mechanism.Switches, index Index, versions *modelversion.Tracker, ejector *upstream.Ejector) *Cache {
+func New(switches mechanism.Switches, index Index, versions *modelversion.Tracker, ejector *brokerstate.Ejector) *Cache {
 	observer, _ := index.(Observer)
 	return &Cache{switches: switches, index: index, observer: observer, versions: versions, ejector: ejector,
 		stores: make(map[string]*storeState)}
@@ -35,7 +35,7 @@
 func (c *Cache) SetConfig(compiled *config.Compiled) { c.compiled = compiled }
 
 // Answered takes in that a broker has answered a model request, so it caches all parts of the prompt.
-func (c *Cache) Answered(req *inflight.Request, call *upstream.Call) {
+func (c *Cache) Answered(req *inflight.Request, call *brokerstate.Call) {
 	if c.observer != nil {
 		c.observer.Observed(call.Broker.Instance.ID, cachesalt.ID(call.Salt), req.Parts)
 	}
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -3,11 +3,11 @@
 import (
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // Fetches of cached parts from other brokers and from the store (PROTOCOL.md, "KV cache"). A fetch is far cheaper than
@@ -134,13 +134,13 @@
 
 // fetchableOwner is the owner of the parts by the rendezvous order, among all brokers that can be fetched from; nil if
 // that is the chosen one, or the index has them there. Where the chosen one is new, it is the owner before it.
-func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *upstream.Broker {
+func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok || chosen.Cached >= prompt.SharedTokens(req.Parts)-blockSlack {
 		return nil
 	}
 	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
-	var best *upstream.Broker
+	var best *brokerstate.Broker
 	highest := uint64(0)
 	if !chosen.Broker.New(now) {
 		highest = prompt.RendezvousWeight(key, chosen.Broker.NameHash)
@@ -154,7 +154,7 @@
 }
 
 // mayFetchFrom reports whether a broker is well enough to be named as a source, and has the same weights.
-func (c *Cache) mayFetchFrom(now core.Time, req *inflight.Request, chosen *candidate.Candidate, b *upstream.Broker) bool {
+func (c *Cache) mayFetchFrom(now core.Time, req *inflight.Request, chosen *candidate.Candidate, b *brokerstate.Broker) bool {
 	switch {
 	case b == chosen.Broker, req.Tried(b), !b.Instance.Usable(), b.Instance.Unresponsive, b.Health.Ejected():
 		return false
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // prefill is a broker that a part was sent to, and when it is to have read it.
 type prefill struct {
-	broker  *upstream.Broker
+	broker  *brokerstate.Broker
 	sentAt  core.Time
 	readyAt core.Time
 }
@@ -42,7 +42,7 @@
 func partKey(salt uint64, part prompt.Part) uint64 { return prompt.Mix(salt ^ prompt.Mix(part.ID)) }
 
 // record takes in that shared parts of a prompt were sent to a broker, which is to have read them at readyAt.
-func (r *recentPrefills) record(now, readyAt core.Time, b *upstream.Broker, salt uint64, parts []prompt.Part) {
+func (r *recentPrefills) record(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	r.rotate(now)
 	for _, part := range parts {
 		key := partKey(salt, part)
@@ -66,7 +66,7 @@
 	r.newerSince = now
 }
 
-func (p *partPrefills) record(now, readyAt core.Time, b *upstream.Broker) {
+func (p *partPrefills) record(now, readyAt core.Time, b *brokerstate.Broker) {
 	p.sentAt = now
 	last := maxBrokersKept - 1
 	for i := range p.brokers {
@@ -98,6 +98,6 @@
 
 // RecordPrefill takes in that shared parts of a prompt were sent to a broker, by this proxy or another, and when it is
 // to have read them.
-func (c *Cache) RecordPrefill(now, readyAt core.Time, b *upstream.Broker, salt uint64, parts []prompt.Part) {
+func (c *Cache) RecordPrefill(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	c.recent.record(now, readyAt, b, salt, parts)
 }
--- a/internal/node/routing/prefixcache/recent_test.go
+++ b/internal/node/routing/prefixcache/recent_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
-func newBroker(id string) *upstream.Broker {
-	return upstream.NewBroker(0, &registry.Instance{ID: id}, false)
+func newBroker(id string) *brokerstate.Broker {
+	return brokerstate.NewBroker(0, &registry.Instance{ID: id}, false)
 }
 
 // After a while the index has to know; after prefillRepeated a part counts as new.
@@ -37,7 +37,7 @@
 // A part that is sent again to a broker that reads it is ready when the first reading ends, and the brokers are the latest.
 func TestBrokersOfAPart(t *testing.T) {
 	const now = 20 * time.Second
-	brokers := map[string]*upstream.Broker{}
+	brokers := map[string]*brokerstate.Broker{}
 	for i := range maxBrokersKept + 2 {
 		id := fmt.Sprintf("i%02d", i)
 		brokers[id] = newBroker(id)
--- a/internal/node/routing/prefixcache/stores.go
+++ b/internal/node/routing/prefixcache/stores.go
@@ -5,11 +5,11 @@
 
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 const (
@@ -88,7 +88,7 @@
 
 // LearnFetch learns from an answer whether a store delivers: if fetches from it delay answers, one after the other,
 // while others come in time, it is left alone for a while. usual is the median of the pool, ms.
-func (c *Cache) LearnFetch(now core.Time, call *upstream.Call, usual float64) {
+func (c *Cache) LearnFetch(now core.Time, call *brokerstate.Call, usual float64) {
 	late := (call.Latency-usual)*call.Scale > storeLateBy
 	state := c.stores[call.FetchFrom]
 	if state == nil {
--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -3,10 +3,10 @@
 import (
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/placement"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -114,7 +114,7 @@
 		return r.refuse(now, req, admission.NoBroker, core.Never)
 	}
 	ejected := found.FirstEjected()
-	if !req.Idempotent && ejected.Broker.Health.Reason() == upstream.Unresponsive {
+	if !req.Idempotent && ejected.Broker.Health.Reason() == brokerstate.Unresponsive {
 		return r.refuse(now, req, admission.Unhealthy, core.Never) // it would be lost, where another proxy may serve it
 	}
 	r.counters.Fallback++
--- a/internal/node/routing/rollout_test.go
+++ b/internal/node/routing/rollout_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/admission"
-	"kestrelspread/internal/node/routing/upstream"
+	"kestrelspread/internal/node/routing/brokerstate"
 )
 
 // marked is a table of ten brokers of which the first n bear the mark that they load new weights.
@@ -30,9 +30,9 @@
 		used   bool      // are the marked brokers used
 	}{
 		{"few", 4, time.Minute, false},
-		{"many, lately", 5, upstream.LoadingTrusted - ms, false},
-		{"many, for long", 5, upstream.LoadingTrusted, true},
-		{"all, for long", 10, upstream.LoadingTrusted, true},
+		{"many, lately", 5, brokerstate.LoadingTrusted - ms, false},
+		{"many, for long", 5, brokerstate.LoadingTrusted, true},
+		{"all, for long", 10, brokerstate.LoadingTrusted, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, instances(10))
@@ -94,7 +94,7 @@
 			outcome.Load = c.load
 			w.Finished(w.now, a.Request, a.Number, outcome, false)
 			w.End(w.now, a.Request)
-			w.now += upstream.RolloutBackoff - ms
+			w.now += brokerstate.RolloutBackoff - ms
 			_, d := w.Begin(w.now, w.prompt(flowRoute, 3))
 			assert.Equal(t, d.Attempt == nil, c.ordered)
 			if c.ordered {
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/predict"
 	"kestrelspread/internal/window"
 )
@@ -39,7 +39,7 @@
 }
 
 // New makes the class of a route that nothing is known of.
-func New() *Class { return &Class{latencies: upstream.NewHistogram(), refreshedAt: -refreshInterval} }
+func New() *Class { return &Class{latencies: brokerstate.NewHistogram(), refreshedAt: -refreshInterval} }
 
 // Received takes in the length of a request's prompt.
 func (c *Class) Received(tokens int) {
@@ -59,7 +59,7 @@
 
 // Scale is how much longer a request of the class takes than the usual one of the pool, so that all answers of a
 // service can be measured against one line.
-func (c *Class) Scale(now core.Time, p *upstream.Pool, tokens int) float64 {
+func (c *Class) Scale(now core.Time, p *brokerstate.Pool, tokens int) float64 {
 	if now >= c.refreshedAt+refreshInterval {
 		c.refreshedAt = now
 		c.median, c.answers = c.Quantile(now, 0.5)
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -7,6 +7,7 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/mechanism"
@@ -15,7 +16,6 @@
 	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/retrybudget"
 	"kestrelspread/internal/node/routing/routeclass"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // Router decides for one proxy. It holds the requests and the state of the brokers, and passes each question on to the
@@ -28,13 +28,13 @@
 	versions modelversion.Tracker
 	isolated cachesalt.IsolatedTenants
 	limits   retrybudget.Limits
-	ejector  *upstream.Ejector
+	ejector  *brokerstate.Ejector
 	cache    *prefixcache.Cache
 	finder   *candidate.Finder
 	placer   *placement.Placer
 	gate     *admission.Gate
 
-	brokers  map[string]*upstream.Broker // by instance id
+	brokers  map[string]*brokerstate.Broker // by instance id
 	services map[string]*serviceState    // by name
 	classes  routeclass.Classes
 	requests map[RequestID]*request
@@ -46,7 +46,7 @@
 
 // serviceState is what is known of a service of brokers.
 type serviceState struct {
-	pool     *upstream.Pool
+	pool     *brokerstate.Pool
 	budget   retrybudget.Budget
 	overload admission.Overload
 }
@@ -65,12 +65,12 @@
 		}),
 		limits:   retrybudget.NewLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
 		gate:     admission.New(now, switches, options.Random),
-		brokers:  make(map[string]*upstream.Broker),
+		brokers:  make(map[string]*brokerstate.Broker),
 		services: make(map[string]*serviceState),
 		requests: make(map[RequestID]*request),
 		counters: Counters{Refusals: make(map[RefusalReason]uint64)},
 	}
-	r.ejector = upstream.NewEjector(switches, options.Random, options.Heartbeat, &r.limits.Proxies)
+	r.ejector = brokerstate.NewEjector(switches, options.Random, options.Heartbeat, &r.limits.Proxies)
 	r.cache = prefixcache.New(switches, options.Index, &r.versions, r.ejector)
 	r.finder = candidate.NewFinder(switches, &r.versions, r.ejector)
 	r.placer = placement.New(switches, options.Zone, options.Random, r.cache)
@@ -136,10 +136,10 @@
 }
 
 // broker is the state of an instance. joined: the instance, if it is new here, has just joined the fleet.
-func (r *Router) broker(now core.Time, instance *registry.Instance, joined bool) *upstream.Broker {
+func (r *Router) broker(now core.Time, instance *registry.Instance, joined bool) *brokerstate.Broker {
 	b := r.brokers[instance.ID]
 	if b == nil {
-		b = upstream.NewBroker(now, instance, joined)
+		b = brokerstate.NewBroker(now, instance, joined)
 		r.brokers[instance.ID] = b
 	}
 	b.Update(now, instance)
@@ -150,7 +150,7 @@
 func (r *Router) service(name string) *serviceState {
 	s := r.services[name]
 	if s == nil {
-		s = &serviceState{pool: upstream.NewPool(r.switches), budget: r.limits.NewBudget(), overload: admission.NewOverload()}
+		s = &serviceState{pool: brokerstate.NewPool(r.switches), budget: r.limits.NewBudget(), overload: admission.NewOverload()}
 		r.services[name] = s
 	}
 	return s
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -2,11 +2,11 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/placement"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 const (
@@ -28,7 +28,7 @@
 	if req.Arrivals() > 0 {
 		req.service.budget.Spend(now)
 	}
-	call := &upstream.Call{
+	call := &brokerstate.Call{
 		Number:        len(req.Calls),
 		Broker:        b,
 		SentAt:        now,
@@ -71,7 +71,7 @@
 }
 
 // enqueue puts the prompt of a call at the end of its broker's backlog.
-func (r *Router) enqueue(now core.Time, req *request, call *upstream.Call, out *Attempt, prefillTokens int) {
+func (r *Router) enqueue(now core.Time, req *request, call *brokerstate.Call, out *Attempt, prefillTokens int) {
 	if prefillTokens == 0 {
 		prefillTokens = req.TokensIn
 	}
@@ -85,7 +85,7 @@
 }
 
 // recordSent takes in that a broker was sent a prompt, by this proxy or another.
-func (r *Router) recordSent(now core.Time, p *upstream.Pool, b *upstream.Broker, salt uint64, parts []prompt.Part, prefillTokens int) upstream.Enqueued {
+func (r *Router) recordSent(now core.Time, p *brokerstate.Pool, b *brokerstate.Broker, salt uint64, parts []prompt.Part, prefillTokens int) brokerstate.Enqueued {
 	enqueued := p.Enqueue(now, b, prefillTokens)
 	r.cache.RecordPrefill(now, enqueued.ReadyAt, b, salt, parts)
 	return enqueued
