--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -82,9 +82,9 @@
 
 // EventGaps are those between the events of a stream, as they came from its broker.
 type EventGaps struct {
-	Count   int
-	Usual   core.Time // while the broker reads no other prompt
-	Max core.Time
+	Count int
+	Usual core.Time // while the broker reads no other prompt
+	Max   core.Time
 }
 
 // Port is what package forward calls; Router implements it. Calls are serialised by the caller.
--- a/internal/node/routing/counters.go
+++ b/internal/node/routing/counters.go
@@ -9,7 +9,7 @@
 	AllSlow      uint64 // all were predicted slow, and the first took it
 	Fallback     uint64 // sent to a broker that was set aside, full or silent, as nothing better was left
 	Probes       uint64 // of brokers set aside
-	Ejections     uint64 // brokers, for what came back from them
+	Ejections    uint64 // brokers, for what came back from them
 	Hedges       uint64
 	Retries      uint64
 	BudgetDenied uint64
@@ -23,12 +23,12 @@
 // PromptCounters count the shared tokens of prompts that were sent to model brokers, by where they were expected to come from.
 type PromptCounters struct {
 	Shared     uint64 // in all
-	Cached       uint64 // kept by the chosen broker
-	Arriving     uint64 // being read there for an earlier request
+	Cached     uint64 // kept by the chosen broker
+	Arriving   uint64 // being read there for an earlier request
 	FromBroker uint64 // fetched from another broker
 	FromStore  uint64 // fetched from a store
-	FirstSeen      uint64 // to be read, not sent to any broker lately
-	Repeated      uint64 // to be read, though some broker was sent them lately
+	FirstSeen  uint64 // to be read, not sent to any broker lately
+	Repeated   uint64 // to be read, though some broker was sent them lately
 	// BlindFetches counts fetches that were named though nobody was known to keep what is missing.
 	BlindFetches uint64
 }
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -82,7 +82,7 @@
 	known   map[kvKey]bool // parts that some broker has read
 
 	index            *lateIndex
-	notifies             bool // proxies tell one another what they send
+	notifies         bool // proxies tell one another what they send
 	store            *engine
 	kinds            map[string]*kindResult
 	readAgain, moved int
--- a/internal/node/routing/guarded.go
+++ b/internal/node/routing/guarded.go
@@ -13,7 +13,7 @@
 	mutex  sync.Mutex
 	router *Router
 	// What other proxies are to be told is given to these; they must not wait.
-	notifySent     func(*SentPrompt)
+	notifySent func(*SentPrompt)
 	notifyStep func(*StepReport)
 }
 
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/hints.go
@@ -27,8 +27,8 @@
 
 // StepReport is what other proxies are told of a stream that has ended.
 type StepReport struct {
-	Instance string    // instance id
-	EventInterval    core.Time // between two events while the broker reads no other prompt
+	Instance      string    // instance id
+	EventInterval core.Time // between two events while the broker reads no other prompt
 }
 
 // PeerSentPrompt tells what another proxy has sent to a model broker.
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -16,27 +16,27 @@
 
 // The causes.
 const (
-	LateByAttempts   LateCause = "earlier attempts"         // time went by before it was sent to the broker that answered
-	LateByBacklog    LateCause = "waited for other prompts" // as was foreseen
-	LateByPrefill    LateCause = "its prompt was long"      // as was foreseen
-	LateUnexpected   LateCause = "first event unforeseen"   // the estimate at the send was in time
+	LateByAttempts    LateCause = "earlier attempts"         // time went by before it was sent to the broker that answered
+	LateByBacklog     LateCause = "waited for other prompts" // as was foreseen
+	LateByPrefill     LateCause = "its prompt was long"      // as was foreseen
+	LateUnexpected    LateCause = "first event unforeseen"   // the estimate at the send was in time
 	LateByLongPrefill LateCause = "pause: a long prompt was read"
-	LateByUnknownGap LateCause = "pause: nothing known"
+	LateByUnknownGap  LateCause = "pause: nothing known"
 )
 
 // LateRequest is an answer that was late, with what was believed of its broker when it was sent.
 type LateRequest struct {
-	DetectedAt           core.Time // when it showed
-	Route        string
-	Instance     string
-	Cause        LateCause
-	FirstEvent        core.Time // from the receipt to the first event
-	MaxGap        core.Time // the longest between two events; 0: not known yet
+	DetectedAt          core.Time // when it showed
+	Route               string
+	Instance            string
+	Cause               LateCause
+	FirstEvent          core.Time // from the receipt to the first event
+	MaxGap              core.Time // the longest between two events; 0: not known yet
 	PrefillTokens       int       // tokens of its prompt that the broker was to read
-	QueuedPrefillTokens        int       // tokens that the broker was to read before the first event, its own included
-	LongestOtherPrompt int       // tokens of the longest prompt that the broker was sent meanwhile
-	Load         float64   // of the broker, as believed
-	Reported     Load      // the broker's last report
+	QueuedPrefillTokens int       // tokens that the broker was to read before the first event, its own included
+	LongestOtherPrompt  int       // tokens of the longest prompt that the broker was sent meanwhile
+	Load                float64   // of the broker, as believed
+	Reported            Load      // the broker's last report
 }
 
 const (
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -39,7 +39,9 @@
 }
 
 // New makes the class of a route that nothing is known of.
-func New() *Class { return &Class{latencies: brokerstate.NewHistogram(), refreshedAt: -refreshInterval} }
+func New() *Class {
+	return &Class{latencies: brokerstate.NewHistogram(), refreshedAt: -refreshInterval}
+}
 
 // Received takes in the length of a request's prompt.
 func (c *Class) Received(tokens int) {
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -35,7 +35,7 @@
 	gate     *admission.Gate
 
 	brokers  map[string]*brokerstate.Broker // by instance id
-	services map[string]*serviceState    // by name
+	services map[string]*serviceState       // by name
 	classes  routeclass.Classes
 	requests map[RequestID]*request
 	lastID   RequestID
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -54,15 +54,15 @@
 }
 
 type simClient struct {
-	proxy    int
-	id       RequestID
-	request  Request
-	calls    []*simCall
-	ran      int
-	done     bool
+	proxy      int
+	id         RequestID
+	request    Request
+	calls      []*simCall
+	ran        int
+	done       bool
 	retried    bool // its client was refused before
-	answered bool
-	mayHaveRun  bool // something may have run, so no further send may follow on unsafe routes
+	answered   bool
+	mayHaveRun bool // something may have run, so no further send may follow on unsafe routes
 }
 
 type event struct {
@@ -100,7 +100,7 @@
 
 	clients                           []*simClient
 	requests, served, refused, failed int
-	requestTimes, retryTimes        []core.Time
+	requestTimes, retryTimes          []core.Time
 	latencies                         []core.Time
 }
 
