--- a/internal/channels/channels.go
+++ b/internal/connpool/pool.go
@@ -1,11 +1,11 @@
-// Package channels decides over which connection to a server a stream goes, when one is opened, held back, closed or
+// Package connpool decides over which connection to a server a stream goes, when one is opened, held back, closed or
 // given up. Which server it is, and whether anything is tried again, is the decision module's. Pure: events in, effects
 // out, the time with each event.
 //
 // What it guards against: a server that is down costs one connect for each backoff, not one for each call; a server that
 // says GOAWAY, or is listed as draining, gets nothing new while what runs there goes on; streams over what a peer takes
 // wait, a bounded number of them, or are refused at once; a peer that no longer speaks is found out by a ping.
-package channels
+package connpool
 
 import (
 	"math"
--- a/internal/channels/channels_test.go
+++ b/internal/connpool/pool_test.go
@@ -1,4 +1,4 @@
-package channels
+package connpool
 
 import (
 	"fmt"
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -23,7 +23,7 @@
 	"golang.org/x/text/message"
 
 	"kestrelspread/deploy"
-	"kestrelspread/internal/channels"
+	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/fleet/order"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/ledger"
@@ -465,7 +465,7 @@
 			Metadata: kb * or(l.Metadata, 16), Resets: or(l.Resets, 100), Controls: or(l.Controls, 200),
 			Handshake: or(l.Handshake, 2000), Idle: or(l.Idle, 300e3), Half: or(l.Half, 5000), Stuck: or(l.Stuck, 20e3),
 			Lag: kb * or(l.Lag, 64)},
-		Channels: channels.Settings{Most: or(ch.Most, 2), Streams: or(ch.Streams, 100), Waiting: or(ch.Waiting, 100),
+		Channels: connpool.Settings{Most: or(ch.Most, 2), Streams: or(ch.Streams, 100), Waiting: or(ch.Waiting, 100),
 			Connect: or(ch.Connect, 500), Idle: or(ch.Idle, 60e3), Backoff: or(ch.Backoff, 100),
 			BackoffMost: or(ch.BackoffMost, 5000), Ping: or(ch.Ping, 10e3), PingWait: or(ch.PingWait, 2000)},
 		Addresses: passthrough.Addresses{Offset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/net/http2"
 
-	"kestrelspread/internal/channels"
+	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/decide"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
@@ -31,7 +31,7 @@
 	r       *routing.Router
 	rules   *Rules
 	shards  int
-	pool    *channels.Pool
+	pool    *connpool.Pool
 	rand    uint64
 	servers []target
 	lines   []*line // by channel
@@ -64,7 +64,7 @@
 func New(r *routing.Router, rules *Rules, shards int, seed uint64) *Front {
 	f := &Front{r: r, rules: rules, shards: shards, rand: seed | 1, clients: map[*client]bool{}, byOwner: map[int]int{},
 		killed: math.Inf(1), tickAt: math.Inf(1)}
-	f.pool = channels.New((*carrier)(f), rules.Channels, f.roll)
+	f.pool = connpool.New((*carrier)(f), rules.Channels, f.roll)
 	return f
 }
 
@@ -257,7 +257,7 @@
 
 func (o *carrier) front() *Front { return (*Front)(o) }
 
-// Open implements channels.Out: a connection to a server is begun.
+// Open implements connpool.Out: a connection to a server is begun.
 func (o *carrier) Open(server, channel int) bool {
 	f := o.front()
 	l := &line{f: f, server: server, channel: channel, attempts: map[*attempt]bool{}}
@@ -274,18 +274,18 @@
 	return true
 }
 
-// Begin implements channels.Out: an attempt has its place on a connection.
-func (o *carrier) Begin(channel int, t channels.Token) { o.front().lines[channel].begin(t.(*attempt)) }
+// Begin implements connpool.Out: an attempt has its place on a connection.
+func (o *carrier) Begin(channel int, t connpool.Token) { o.front().lines[channel].begin(t.(*attempt)) }
 
-// Refuse implements channels.Out: an attempt gets no place, and ends.
-func (o *carrier) Refuse(t channels.Token, why channels.Why) {
+// Refuse implements connpool.Out: an attempt gets no place, and ends.
+func (o *carrier) Refuse(t connpool.Token, why connpool.Why) {
 	a := t.(*attempt)
 	switch why {
-	case channels.Unreachable:
+	case connpool.Unreachable:
 		a.ended(grpcwire.NoConnect)
-	case channels.NoPlace:
+	case connpool.NoPlace:
 		a.ended(grpcwire.NoPlace)
-	case channels.NoSocket:
+	case connpool.NoSocket:
 		a.ended(grpcwire.NeverBegun)
 	default:
 		if !o.front().servers[a.server].has {
@@ -296,7 +296,7 @@
 	}
 }
 
-// Close implements channels.Out: a connection is given up.
+// Close implements connpool.Out: a connection is given up.
 func (o *carrier) Close(channel int) {
 	f := o.front()
 	l := f.lines[channel]
@@ -304,7 +304,7 @@
 	l.closing()
 }
 
-// Ping implements channels.Out: a connection is asked for a sign of life.
+// Ping implements connpool.Out: a connection is asked for a sign of life.
 func (o *carrier) Ping(channel int) {
 	f := o.front()
 	f.lines[channel].h.Ping()
--- a/internal/passthrough/settings.go
+++ b/internal/passthrough/settings.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/channels"
+	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/decide"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/routes"
@@ -54,7 +54,7 @@
 type Rules struct {
 	Table     *routes.Table
 	Limits    Limits
-	Channels  channels.Settings
+	Channels  connpool.Settings
 	Addresses Addresses
 }
 
