--- a/internal/broker/full/full.go
+++ b/internal/broker/full/full.go
@@ -11,8 +11,8 @@
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/decide"
 	"kestrelspread/internal/fleet/zonefailure"
+	"kestrelspread/internal/grpcproxy"
 	"kestrelspread/internal/operator"
-	"kestrelspread/internal/passthrough"
 	"kestrelspread/internal/routing"
 	"kestrelspread/internal/settings"
 )
@@ -128,7 +128,7 @@
 		if err := p.Loop.Listen(listen); err != nil {
 			return on, fmt.Errorf("%s: %w", listen, err)
 		}
-		front := passthrough.New(p.Router, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
+		front := grpcproxy.New(p.Router, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
 		p.Router.Add(front)
 		p.Log.Info().Str("listen", fmt.Sprintf("%v:%d", listen.Addr(), p.Loop.Port(1))).
 			Int("routes", s.GRPC.Rules.Table.Len()).Msg("serving gRPC")
--- a/internal/docscheck/planted_test.go
+++ b/internal/docscheck/planted_test.go
@@ -29,7 +29,7 @@
 		{"continued line", "\n    kestrelctl site plan \\\n      --nowhere", "kestrelctl site plan has no flag --nowhere"},
 		{"program", "`bin/kestrelnowhere run`", "no command kestrelnowhere is built"},
 		{"pattern of go test", "`go test -run Nowhere ./internal/decide`", "no test of internal/decide matches -run Nowhere"},
-		{"flag of a test", "`go test ./internal/passthrough -args -nowhere 3`", "no test of internal/passthrough defines the flag -nowhere"},
+		{"flag of a test", "`go test ./internal/grpcproxy -args -nowhere 3`", "no test of internal/grpcproxy defines the flag -nowhere"},
 		{"build tag", "`go test -tags nowhere ./internal/decide`", "no file has the build tag nowhere"},
 		{"member", "`decide.Nowhere`", "decide has no Nowhere"},
 		{"type", "`Nowhere.Step`", "no package, type or key Nowhere"},
--- a/internal/passthrough/front.go
+++ b/internal/grpcproxy/front.go
@@ -1,11 +1,11 @@
-// Package passthrough is the gRPC front and its carrier: calls in over HTTP/2, each a search of one part, and on to the
+// Package grpcproxy is the gRPC front and its carrier: calls in over HTTP/2, each a search of one part, and on to the
 // servers that the module chooses. It is a reducer like routing, in the same loop: connections' bytes in, effects out,
 // no goroutine, no clock and no socket of its own, so that it runs unchanged under a virtual clock.
 //
 // It decides nothing about servers. Which gets a call, whether a call is repeated, copied or shed is the module's, asked
 // through routing; which connection a stream takes is the channels' pool's; what is said of a call is its route's. What is
 // here is the bytes: they pass as they came, messages are never taken apart.
-package passthrough
+package grpcproxy
 
 import (
 	"math"
--- a/internal/passthrough/line.go
+++ b/internal/grpcproxy/line.go
@@ -1,4 +1,4 @@
-package passthrough
+package grpcproxy
 
 import (
 	"golang.org/x/net/http2"
--- a/internal/passthrough/plant_drain.go
+++ b/internal/grpcproxy/plant_drain.go
@@ -1,6 +1,6 @@
 //go:build plant_drain
 
-package passthrough
+package grpcproxy
 
 const (
 	plantRepeat = false
--- a/internal/passthrough/plant_lost.go
+++ b/internal/grpcproxy/plant_lost.go
@@ -1,6 +1,6 @@
 //go:build plant_lost
 
-package passthrough
+package grpcproxy
 
 const (
 	plantRepeat = false
--- a/internal/passthrough/plant_none.go
+++ b/internal/grpcproxy/plant_none.go
@@ -1,6 +1,6 @@
 //go:build !plant_repeat && !plant_lost && !plant_drain
 
-package passthrough
+package grpcproxy
 
 // Defects that tests plant to see that their checkers find them; see TestPlantedDefects. Off, they are compiled away.
 const (
--- a/internal/passthrough/plant_repeat.go
+++ b/internal/grpcproxy/plant_repeat.go
@@ -1,6 +1,6 @@
 //go:build plant_repeat
 
-package passthrough
+package grpcproxy
 
 const (
 	plantRepeat = true
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -14,7 +14,7 @@
 
 // cores are pure: neither sockets nor files, clocks, goroutines or shells. transport's types are allowed to those that
 // speak to the loop, as they name connections.
-var cores = []string{"decide", "predict", "window", "protocol", "routing", "h2", "grpcwire", "routes", "connpool", "passthrough", "settings", "operator",
+var cores = []string{"decide", "predict", "window", "protocol", "routing", "h2", "grpcwire", "routes", "connpool", "grpcproxy", "settings", "operator",
 	"ledger", "background", "fleet/zonefailure", "fleet/bear", "fleet/order", "fleet/plan", "fleet/stage", "fleet/statement", "fleet/lease", "fleet/lease/replica", "fleet/lease/fence", "fleet/lease/membership"}
 
 var barred = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "sync": true, "context": true,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -25,9 +25,9 @@
 	"kestrelspread/deploy"
 	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/fleet/order"
+	"kestrelspread/internal/grpcproxy"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/ledger"
-	"kestrelspread/internal/passthrough"
 	"kestrelspread/internal/routes"
 	"kestrelspread/internal/settings"
 )
@@ -114,7 +114,7 @@
 // GRPC is the gRPC front.
 type GRPC struct {
 	Listen netip.AddrPort
-	Rules  *passthrough.Rules
+	Rules  *grpcproxy.Rules
 }
 
 var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
@@ -458,8 +458,8 @@
 		return at
 	}
 	l, ch := &g.Limits, &g.Channels
-	r := &passthrough.Rules{
-		Limits: passthrough.Limits{Connections: or(l.Connections, 256), PerConn: or(l.PerConn, 100), Calls: or(l.Calls, 1000),
+	r := &grpcproxy.Rules{
+		Limits: grpcproxy.Limits{Connections: or(l.Connections, 256), PerConn: or(l.PerConn, 100), Calls: or(l.Calls, 1000),
 			PerCustomer: or(l.PerCustomer, 0), Held: kb * or(l.Held, 16384),
 			HeldPerConn: kb * or(l.HeldPerConn, or(l.Held, 16384)), Window: kb * or(l.Window, 64),
 			Metadata: kb * or(l.Metadata, 16), Resets: or(l.Resets, 100), Controls: or(l.Controls, 200),
@@ -468,7 +468,7 @@
 		Channels: connpool.Settings{Most: or(ch.Most, 2), Streams: or(ch.Streams, 100), Waiting: or(ch.Waiting, 100),
 			Connect: or(ch.Connect, 500), Idle: or(ch.Idle, 60e3), Backoff: or(ch.Backoff, 100),
 			BackoffMost: or(ch.BackoffMost, 5000), Ping: or(ch.Ping, 10e3), PingWait: or(ch.PingWait, 2000)},
-		Addresses: passthrough.Addresses{Offset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
+		Addresses: grpcproxy.Addresses{Offset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
 	}
 	out := &GRPC{Listen: address("listen", g.Listen), Rules: r}
 	for id, text := range g.Servers.ByID {
