--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -2,9 +2,14 @@
 
 import (
 	"fmt"
+	"hash/fnv"
+	"io"
 	"math"
 	"math/rand/v2"
+	"strings"
 	"testing"
+
+	"gotest.tools/v3/golden"
 )
 
 // peer is the network as a random run has it, with checks of what the pool may do.
@@ -22,9 +27,11 @@
 	opens    map[int][]float64
 	seen     map[Token]int
 	most     map[int]int
+	trace    io.Writer // each effect, for the golden test
 }
 
 func (n *peer) Open(server, channel int) bool {
+	n.log("open", server, channel)
 	if n.draining[server] {
 		n.t.Fatalf("opened to server %d, which is draining", server)
 	}
@@ -43,6 +50,7 @@
 }
 
 func (n *peer) Begin(channel int, t Token) {
+	n.log("begin", channel, t)
 	s, up := n.up[channel]
 	if !up || n.draining[s] {
 		n.t.Fatalf("a stream begins on channel %d: up %v, server %d draining %v", channel, up, s, n.draining[s])
@@ -55,16 +63,28 @@
 	delete(n.waiting, t)
 }
 
-func (n *peer) Refuse(t Token, _ Why) { n.refused++; n.seen[t]++; delete(n.waiting, t) }
+func (n *peer) Refuse(t Token, why Why) {
+	n.log("refuse", t, int(why))
+	n.refused++
+	n.seen[t]++
+	delete(n.waiting, t)
+}
 
 func (n *peer) Close(channel int) {
+	n.log("close", channel)
 	n.sockets++
 	delete(n.opening, channel)
 	delete(n.up, channel)
 	delete(n.streams, channel)
 }
 
-func (n *peer) Ping(int) {}
+func (n *peer) Ping(channel int) { n.log("ping", channel) }
+
+func (n *peer) log(effect string, subjects ...any) {
+	if n.trace != nil {
+		fmt.Fprintln(n.trace, n.now, effect, subjects)
+	}
+}
 
 func pick[K comparable, V any](rng *rand.Rand, m map[K]V, less func(a, b K) bool) (best K, ok bool) {
 	i := rng.IntN(max(len(m), 1))
@@ -84,10 +104,13 @@
 
 func TestRandomPools(t *testing.T) {
 	less := func(a, b int) bool { return a < b }
+	var traces strings.Builder
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		n := &peer{t: t, up: map[int]int{}, opening: map[int]int{}, streams: map[int]map[Token]bool{}, waiting: map[Token]int{},
 			draining: map[int]bool{}, sockets: 8, opens: map[int][]float64{}, seen: map[Token]int{}, most: map[int]int{}}
+		trace := fnv.New64a()
+		n.trace = trace
 		set := Settings{Most: 2, Streams: 4, Waiting: 5, Connect: 50, Idle: 300, Backoff: 20, BackoffMost: 200, Ping: 100, PingWait: 50}
 		n.p = New(n, set, rng.Float64)
 		const servers = 3
@@ -166,6 +189,9 @@
 				t.Fatalf("seed %d: %d streams, the pool says %d", seed, streams, n.p.Streams())
 			}
 		}
+		// What follows runs in a map's order.
+		n.trace = nil
+		fmt.Fprintf(&traces, "%d: effects %x, counters %v\n", seed, trace.Sum64(), n.p.Count)
 		// At rest nothing waits for ever.
 		for range 400 {
 			n.now += 10
@@ -182,6 +208,7 @@
 			t.Fatalf("seed %d: at rest %d wait, %d channels, %d descriptors", seed, len(n.waiting), n.p.Channels(), n.sockets)
 		}
 	}
+	golden.Assert(t, traces.String(), "golden/traces.txt")
 }
 
 // script notes effects.
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -30,6 +30,7 @@
 	done  map[*p.Ask]bool
 	next  int
 	meter *meter
+	onAsk func(id string, a *p.Ask) // may be nil
 }
 
 // meter adds up what it is told.
@@ -147,6 +148,9 @@
 		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
 	y.asks[id] = a
 	y.book.Asked(id, []rules.Effect{rules.Idempotent, rules.NonIdempotent, rules.Tokened}[kind], y.w.Now, y.w.Now+a.Timeout)
+	if y.onAsk != nil {
+		y.onAsk(id, a)
+	}
 	c.Call(a)
 	if a.Open {
 		n := y.rng.IntN(3)
--- /dev/null
+++ b/internal/grpcproxy/trace_golden_test.go
@@ -0,0 +1,71 @@
+package grpcproxy
+
+import (
+	"fmt"
+	"hash/fnv"
+	"reflect"
+	"strings"
+	"testing"
+
+	"golang.org/x/net/http2"
+	"gotest.tools/v3/golden"
+
+	p "kestrelspread/internal/standin/grpcpeer"
+)
+
+// goldenSeeds is how many random scripts the golden file holds.
+const goldenSeeds = 40
+
+// values lists a struct of counters without its fields' names.
+func values(counters any) string { return fmt.Sprint(reflect.ValueOf(counters).Interface()) }
+
+// TestRandomScriptsKeepTheirTraces freezes what clients and servers get, byte by byte and with its
+// time, and the counters, for a number of random scripts.
+func TestRandomScriptsKeepTheirTraces(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(goldenSeeds) {
+		y := newPlay(t, seed)
+		all := map[string]*p.Ask{}
+		y.onAsk = func(id string, a *p.Ask) { all[id] = a }
+		y.run(2000)
+		clients, servers := fnv.New64a(), fnv.New64a()
+		for n := 1; n <= len(all); n++ {
+			a := all[fmt.Sprint("c", n)]
+			fmt.Fprintln(clients, n, a.At, a.Head, a.Got, a.Trailers, a.Status, a.HTTP, a.Finals, a.DoneAt, a.ResetBy, a.WasReset, a.Lost, a.Left, a.Sent)
+		}
+		for _, v := range y.servers {
+			for _, k := range v.Calls {
+				fmt.Fprintln(servers, v.Name, k.Fields, k.Body, k.EndIn, k.At, k.Ran, k.Reset, k.ResetAt)
+			}
+		}
+		fmt.Fprintf(&text, "%d: %d calls, clients %x, servers %x, %s, %s\n", seed, len(all), clients.Sum64(), servers.Sum64(),
+			values(y.f.Count), values(y.f.pool.Count))
+	}
+	golden.Assert(t, text.String(), "golden/traces.txt")
+}
+
+// TestRowsKeepTheirFields freezes the fields and bytes that a client gets for each thing that a server
+// can do.
+func TestRowsKeepTheirFields(t *testing.T) {
+	var text strings.Builder
+	for _, r := range rows() {
+		if strings.HasPrefix(r.name, "HTTP ") {
+			continue // these come in a map's order
+		}
+		s := newScene(t, 3, 2, "", tableRoutes()...)
+		s.byAttempt(func(_ *p.Got) []p.Act { return r.acts }, func(_ *p.Got) []p.Act {
+			if r.again != nil {
+				return r.again
+			}
+			return acts(p.Head(1), p.Say(0, "ok"), p.End(0, 0))
+		})
+		for _, v := range s.servers {
+			v.Early = r.early
+		}
+		c := p.Dial(s.w, 1)
+		a := c.Call(&p.Ask{Path: r.path, Timeout: 900, Body: [][]byte{p.Message("ask")}})
+		s.w.Run(1500)
+		fmt.Fprintf(&text, "%s: %q %q %v %v %v\n", r.name, a.Head, a.Trailers, a.Got, a.DoneAt, http2.ErrCode(a.ResetBy))
+	}
+	golden.Assert(t, text.String(), "golden/rows.txt")
+}
