--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -382,12 +382,12 @@
 	if k.told {
 		return
 	}
-	if plantLost && !k.s.Began() {
+	if plantLost && !k.s.HeadersSent() {
 		k.over()
 		return
 	}
-	if k.s.Began() {
-		k.c.h.Cut(k.s, trailers)
+	if k.s.HeadersSent() {
+		k.c.h.EndWithTrailers(k.s, trailers)
 	} else {
 		k.c.h.Respond(k.s, append(grpcwire.Head(), trailers...), true, nil)
 	}
@@ -568,7 +568,7 @@
 	if k.told || k.winner != a || a.head == nil {
 		return
 	}
-	if !k.s.Began() {
+	if !k.s.HeadersSent() {
 		k.c.h.Respond(k.s, a.head, false, k)
 	}
 	k.s.Ready()
--- a/internal/grpcproxy/client.go
+++ b/internal/grpcproxy/client.go
@@ -43,16 +43,16 @@
 	if c.ending || b == nil {
 		return // it is being turned away: what it still sends goes nowhere
 	}
-	was := c.h.Half()
+	was := c.h.Incomplete()
 	if err := c.h.Feed(b, came); err != nil {
 		c.f.Count.Rude++
 		c.f.r.Note("bad gRPC client", "%v", err)
 		c.abandon()
 		return
 	}
-	if !was && c.h.Half() {
+	if !was && c.h.Incomplete() {
 		c.half = c.heard
-	} else if !c.h.Half() {
+	} else if !c.h.Incomplete() {
 		c.half = 0
 	} else if c.half == 0 {
 		c.half = c.heard
@@ -71,8 +71,8 @@
 
 // leave ends all calls: nobody is there to hear of them.
 func (c *client) leave() {
-	for _, s := range c.h.All() {
-		if k, ok := s.Of.(*call); ok {
+	for _, s := range c.h.Streams() {
+		if k, ok := s.UserData.(*call); ok {
 			k.left()
 		}
 	}
@@ -81,7 +81,7 @@
 // Written implements routing.Party: the network has taken so many bytes.
 func (c *client) Written(upTo int64) {
 	c.written, c.moved = upTo, c.f.r.Now()
-	if c.h.Pending() {
+	if c.h.HasPendingOutput() {
 		c.f.touch(c)
 	}
 }
@@ -116,7 +116,7 @@
 		return
 	}
 	c.h.Pump(c.f.rules.Limits.Lag - int(c.asked-c.written))
-	if b := c.h.Out(); len(b) > 0 {
+	if b := c.h.TakeOutput(); len(b) > 0 {
 		if c.asked == c.written {
 			c.moved = c.f.r.Now()
 		}
@@ -128,12 +128,12 @@
 		c.hang()
 		return
 	}
-	if c.h.Open() > 0 {
+	if c.h.OpenStreams() > 0 {
 		c.since = 0
 	} else if c.since == 0 {
 		c.since = c.f.r.Now()
 	}
-	if c.ending || c.h.Gone() && c.h.Open() == 0 {
+	if c.ending || c.h.GoAwaySent() && c.h.OpenStreams() == 0 {
 		c.finish()
 		return
 	}
@@ -179,7 +179,7 @@
 func (c *client) patience() float64 {
 	m := &c.f.rules.Limits
 	at := math.Inf(1)
-	if !c.h.Settled() {
+	if !c.h.SettingsReceived() {
 		at = c.since + m.Handshake
 	} else if c.since > 0 {
 		at = c.since + m.Idle
@@ -215,29 +215,29 @@
 	case c.asked > c.written && now >= c.moved+m.Stuck:
 		c.f.Count.Stuck++
 		c.hang()
-	case !c.h.Settled() || c.half > 0 && now >= c.half+m.Half:
+	case !c.h.SettingsReceived() || c.half > 0 && now >= c.half+m.Half:
 		c.f.Count.Mute++
-		c.h.Farewell(http2.ErrCodeEnhanceYourCalm)
+		c.h.GoAway(http2.ErrCodeEnhanceYourCalm)
 		c.abandon()
 	default:
 		c.f.Count.Idle++
-		c.h.Farewell(http2.ErrCodeNo)
+		c.h.GoAway(http2.ErrCodeNo)
 		c.f.touch(c)
 	}
 }
 
-// Headers begins a call, or is what no gRPC client sends: trailers.
-func (c *client) Headers(s *h2.Stream, fields []h2.Field, end bool) {
-	if k, ok := s.Of.(*call); ok {
+// HeadersReceived begins a call, or is what no gRPC client sends: trailers.
+func (c *client) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
+	if k, ok := s.UserData.(*call); ok {
 		k.fromClient(nil, end) // trailers of a request say nothing in gRPC
 		return
 	}
 	c.begin(s, fields, end)
 }
 
-// Huge is metadata over the limit.
-func (c *client) Huge(s *h2.Stream) {
-	if k, ok := s.Of.(*call); ok {
+// HeaderListTooLarge is metadata over the limit.
+func (c *client) HeaderListTooLarge(s *h2.Stream) {
+	if k, ok := s.UserData.(*call); ok {
 		k.finish(grpcwire.ResourceExhausted, "metadata over the limit", -1)
 		return
 	}
@@ -245,29 +245,29 @@
 	c.refuse(s, grpcwire.ResourceExhausted, "metadata over the limit", -1)
 }
 
-// Data implements h2.Events: bytes of a body have come.
-func (c *client) Data(s *h2.Stream, b []byte, end bool) {
-	if k, ok := s.Of.(*call); ok {
+// DataReceived implements h2.Events: bytes of a body have come.
+func (c *client) DataReceived(s *h2.Stream, b []byte, end bool) {
+	if k, ok := s.UserData.(*call); ok {
 		k.fromClient(b, end)
 	}
 }
 
-// Reset implements h2.Events: the stream was reset.
-func (c *client) Reset(s *h2.Stream, _ h2.Code) {
+// StreamReset implements h2.Events: the stream was reset.
+func (c *client) StreamReset(s *h2.Stream, _ h2.ErrorCode) {
 	c.f.Count.Resets++
-	if k, ok := s.Of.(*call); ok {
+	if k, ok := s.UserData.(*call); ok {
 		k.left()
 	}
 }
 
-// Unprocessed implements h2.Events: the peer says that it never looked at the stream.
-func (c *client) Unprocessed(*h2.Stream) {}
+// StreamUnprocessed implements h2.Events: the peer says that it never looked at the stream.
+func (c *client) StreamUnprocessed(*h2.Stream) {}
 
-// Settings implements h2.Events: the peer's settings have come.
-func (c *client) Settings() {}
+// SettingsReceived implements h2.Events: the peer's settings have come.
+func (c *client) SettingsReceived() {}
 
-// Leaving: a client that says GOAWAY asks nothing new; what is open goes on.
-func (c *client) Leaving(h2.Code) {}
+// GoAwayReceived: a client that says GOAWAY asks nothing new; what is open goes on.
+func (c *client) GoAwayReceived(h2.ErrorCode) {}
 
 // refuse ends a call that no search was made of.
 func (c *client) refuse(s *h2.Stream, code grpcwire.Status, why string, back float64) {
@@ -352,7 +352,7 @@
 	}
 	k := &call{f: f, c: c, s: s, route: route, rules: f.rules, customer: customer, until: c.came + timeout,
 		head: append([]h2.Field(nil), fields...), reqEnd: end}
-	s.Of = k
+	s.UserData = k
 	f.open++
 	f.byOwner[customer]++
 	must.Hold(f.open <= m.Calls, "no more calls are open than may be")
--- a/internal/grpcproxy/front.go
+++ b/internal/grpcproxy/front.go
@@ -149,10 +149,10 @@
 func (f *Front) Stopping(killed float64) {
 	f.killed = killed
 	for _, c := range f.inOrder() {
-		c.h.Warn()
+		c.h.StartGracefulShutdown()
 		f.touch(c)
-		for _, s := range c.h.All() {
-			if k, ok := s.Of.(*call); ok {
+		for _, s := range c.h.Streams() {
+			if k, ok := s.UserData.(*call); ok {
 				k.mind()
 			}
 		}
@@ -163,7 +163,7 @@
 func (f *Front) Leaving() {
 	f.leaving = true
 	for _, c := range f.inOrder() {
-		c.h.Farewell(http2.ErrCodeNo)
+		c.h.GoAway(http2.ErrCodeNo)
 		f.touch(c)
 	}
 }
@@ -196,11 +196,11 @@
 	}
 	if len(f.clients) > min(f.rules.Limits.Connections, f.r.Room()) || f.leaving {
 		f.Count.Refused++
-		c.h.Farewell(http2.ErrCodeEnhanceYourCalm)
+		c.h.GoAway(http2.ErrCodeEnhanceYourCalm)
 		c.ending = true
 	}
 	if !math.IsInf(f.killed, 1) {
-		c.h.Warn()
+		c.h.StartGracefulShutdown()
 	}
 	f.touch(c)
 	c.mind()
--- a/internal/grpcproxy/hard_test.go
+++ b/internal/grpcproxy/hard_test.go
@@ -465,7 +465,7 @@
 	s.rules.Limits.Calls, s.rules.Limits.PerCustomer = 10, 6
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
-		v.Limits.Window = 4 << 10
+		v.Limits.InitialWindowSize = 4 << 10
 	}
 	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(60, 0)) })
 	c := p.Dial(s.w, 1)
@@ -598,7 +598,7 @@
 	s.rules.Limits.HeldPerConn = 100 << 10
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
-		v.Limits.Window = 4 << 10
+		v.Limits.InitialWindowSize = 4 << 10
 		v.Holds = true
 		v.Script = func(*p.Got) []p.Act { return nil }
 	}
--- a/internal/grpcproxy/line.go
+++ b/internal/grpcproxy/line.go
@@ -50,7 +50,7 @@
 func (l *line) Written(upTo int64) {
 	l.written = upTo
 	l.proceed()
-	if l.h.Pending() {
+	if l.h.HasPendingOutput() {
 		l.f.touch(l)
 	}
 }
@@ -87,8 +87,8 @@
 	if int(l.channel) < len(l.f.lines) && l.f.lines[l.channel] == l {
 		l.f.lines[l.channel] = nil
 	}
-	for _, s := range l.h.All() {
-		a, ok := s.Of.(*attempt)
+	for _, s := range l.h.Streams() {
+		a, ok := s.UserData.(*attempt)
 		if !ok || a.over {
 			continue
 		}
@@ -139,7 +139,7 @@
 	if l.asked == l.written {
 		l.clear = l.f.r.Now()
 	}
-	for len(l.waiting) > 0 && l.clear == l.f.r.Now() && !l.gone && l.h.Room() {
+	for len(l.waiting) > 0 && l.clear == l.f.r.Now() && !l.gone && l.h.CanStartStream() {
 		a := l.waiting[0]
 		l.waiting = append(l.waiting[:0], l.waiting[1:]...)
 		l.send(a)
@@ -153,14 +153,14 @@
 	// What is pumped before goes out first, so that the places of this head are known.
 	l.put()
 	a.start = l.asked
-	a.s = l.h.Begin(grpcwire.Onward(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
+	a.s = l.h.StartStream(grpcwire.Onward(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
 	l.put()
 	a.begun = l.asked
 	f.touch(l)
 }
 
 // end takes a call off, and its stream down if that is still open.
-func (l *line) end(a *attempt, code h2.Code) {
+func (l *line) end(a *attempt, code h2.ErrorCode) {
 	if !l.attempts[a] {
 		return
 	}
@@ -175,7 +175,7 @@
 		return
 	}
 	if a.s != nil {
-		l.h.Reset(a.s, code)
+		l.h.ResetStream(a.s, code)
 	}
 	l.f.touch(l)
 	l.f.pool.Done(l.f.r.Now(), l.channel)
@@ -183,7 +183,7 @@
 }
 
 func (l *line) put() {
-	if b := l.h.Out(); len(b) > 0 {
+	if b := l.h.TakeOutput(); len(b) > 0 {
 		l.asked += int64(len(b))
 		l.f.r.Put(l.conn, b)
 	}
@@ -193,7 +193,7 @@
 	if l.gone || !l.up {
 		return
 	}
-	if l.h.Worn() {
+	if l.h.StreamIDsRunningOut() {
 		l.f.pool.Leaving(l.f.r.Now(), l.channel)
 		if l.gone {
 			return
@@ -207,13 +207,13 @@
 	}
 }
 
-// Headers is the beginning of a response, or its end.
-func (l *line) Headers(s *h2.Stream, fields []h2.Field, end bool) {
-	a := s.Of.(*attempt)
+// HeadersReceived is the beginning of a response, or its end.
+func (l *line) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
+	a := s.UserData.(*attempt)
 	if a.over {
 		return
 	}
-	if s.Heads() > 1 && a.head != nil {
+	if s.HeaderBlocks() > 1 && a.head != nil {
 		if !end {
 			a.broken(grpcwire.Malformed)
 			return
@@ -242,12 +242,12 @@
 	}
 }
 
-// Huge is metadata over the limit.
-func (l *line) Huge(s *h2.Stream) { s.Of.(*attempt).broken(grpcwire.HeadTooLong) }
+// HeaderListTooLarge is metadata over the limit.
+func (l *line) HeaderListTooLarge(s *h2.Stream) { s.UserData.(*attempt).broken(grpcwire.HeadTooLong) }
 
-// Data implements h2.Events: bytes of a body have come.
-func (l *line) Data(s *h2.Stream, b []byte, end bool) {
-	a := s.Of.(*attempt)
+// DataReceived implements h2.Events: bytes of a body have come.
+func (l *line) DataReceived(s *h2.Stream, b []byte, end bool) {
+	a := s.UserData.(*attempt)
 	if a.over {
 		return
 	}
@@ -263,22 +263,22 @@
 	}
 }
 
-// Reset implements h2.Events: the stream was reset.
-func (l *line) Reset(s *h2.Stream, code h2.Code) {
-	if a, ok := s.Of.(*attempt); ok {
+// StreamReset implements h2.Events: the stream was reset.
+func (l *line) StreamReset(s *h2.Stream, code h2.ErrorCode) {
+	if a, ok := s.UserData.(*attempt); ok {
 		a.ended(grpcwire.OfReset(code))
 	}
 }
 
-// Unprocessed implements h2.Events: the peer says that it never looked at the stream.
-func (l *line) Unprocessed(s *h2.Stream) {
-	if a, ok := s.Of.(*attempt); ok {
+// StreamUnprocessed implements h2.Events: the peer says that it never looked at the stream.
+func (l *line) StreamUnprocessed(s *h2.Stream) {
+	if a, ok := s.UserData.(*attempt); ok {
 		a.ended(grpcwire.Unprocessed)
 	}
 }
 
-// Leaving: what runs goes on, nothing new begins here.
-func (l *line) Leaving(code h2.Code) {
+// GoAwayReceived: what runs goes on, nothing new begins here.
+func (l *line) GoAwayReceived(code h2.ErrorCode) {
 	if code != http2.ErrCodeNo {
 		l.f.r.Note("gRPC server leaves", "%s: %v", l.f.servers[l.server].addr, code)
 	}
@@ -288,5 +288,7 @@
 	}
 }
 
-// Settings implements h2.Events: the peer's settings have come.
-func (l *line) Settings() { l.f.pool.Up(l.f.r.Now(), l.channel, l.h.Most()) }
+// SettingsReceived implements h2.Events: the peer's settings have come.
+func (l *line) SettingsReceived() {
+	l.f.pool.Up(l.f.r.Now(), l.channel, l.h.PeerMaxConcurrentStreams())
+}
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -109,7 +109,7 @@
 		case 6:
 			list = append(list, p.Act{After: 0, Do: func(_ *p.Server, k *p.Got) {
 				c := k.Conn()
-				c.H.Farewell(http2.ErrCodeNo) // takes nothing new, goes on with what it has
+				c.H.GoAway(http2.ErrCodeNo) // takes nothing new, goes on with what it has
 				c.Flush()
 			}})
 		}
@@ -132,7 +132,7 @@
 		v.Script = y.script
 		v.Early = y.chance(0.3)
 		v.Limits = h2Limits([]int{1, 2, 100}[y.rng.IntN(3)])
-		v.Limits.Window = 1 << (8 + y.rng.IntN(9))
+		v.Limits.InitialWindowSize = 1 << (8 + y.rng.IntN(9))
 		v.OnCall = func(k *p.Got) { y.subs[k] = y.book.Sent(k.Get("x-id"), "", v.Name, y.w.Now) }
 	}
 	return y
@@ -191,8 +191,8 @@
 	held, open, streams := 0, 0, 0
 	seen := map[*call]bool{}
 	for c := range y.f.clients {
-		for _, s := range c.h.All() {
-			if k, ok := s.Of.(*call); ok && !k.told && !seen[k] {
+		for _, s := range c.h.Streams() {
+			if k, ok := s.UserData.(*call); ok && !k.told && !seen[k] {
 				seen[k] = true
 				open++
 				held += k.req.size()
--- a/internal/grpcproxy/settings.go
+++ b/internal/grpcproxy/settings.go
@@ -60,12 +60,12 @@
 
 // toServers are the limits on what servers send.
 func (r *Rules) toServers() h2.Limits {
-	return h2.Limits{Window: r.Limits.Window, Headers: r.Limits.Metadata, Resets: 1 << 30, Controls: r.Limits.Controls}
+	return h2.Limits{InitialWindowSize: r.Limits.Window, MaxHeaderListSize: r.Limits.Metadata, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: r.Limits.Controls}
 }
 
 func (r *Rules) toClients() h2.Limits {
-	return h2.Limits{Streams: r.Limits.PerConn, Window: r.Limits.Window, Headers: r.Limits.Metadata,
-		Resets: r.Limits.Resets, Controls: r.Limits.Controls}
+	return h2.Limits{MaxConcurrentStreams: r.Limits.PerConn, InitialWindowSize: r.Limits.Window, MaxHeaderListSize: r.Limits.Metadata,
+		MaxResetsPerSecond: r.Limits.Resets, MaxControlFramesPerSecond: r.Limits.Controls}
 }
 
 // What the operators' page states, and no operator sets.
--- a/internal/grpcproxy/world_test.go
+++ b/internal/grpcproxy/world_test.go
@@ -166,5 +166,5 @@
 func netipFrom(a netip.Addr, port uint16) netip.AddrPort { return netip.AddrPortFrom(a, port) }
 
 func h2Limits(streams int) h2.Limits {
-	return h2.Limits{Streams: streams, Window: 64 << 10, Headers: 64 << 10, Resets: 1 << 30, Controls: 1 << 30}
+	return h2.Limits{MaxConcurrentStreams: streams, InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}
 }
--- a/internal/grpcwire/grpcwire.go
+++ b/internal/grpcwire/grpcwire.go
@@ -121,7 +121,7 @@
 }
 
 // OfReset is a stream that its server reset, by gRPC's table of HTTP/2 error codes.
-func OfReset(code h2.Code) End {
+func OfReset(code h2.ErrorCode) End {
 	e := End{Internal, "the server reset the stream: " + code.String(), decide.Errored}
 	switch code {
 	case http2.ErrCodeRefusedStream: // it has not been looked at, RFC 9113, 8.7
--- a/internal/h2/frames_golden_test.go
+++ b/internal/h2/frames_golden_test.go
@@ -22,7 +22,7 @@
 func (l *frameLog) add(what string, conn *Conn) []byte {
 	l.t.Helper()
 	conn.Pump(1 << 20)
-	written := append([]byte(nil), conn.Out()...)
+	written := append([]byte(nil), conn.TakeOutput()...)
 	fmt.Fprintf(&l.text, "%s: %s\n", what, hex.EncodeToString(written))
 	return written
 }
@@ -34,7 +34,7 @@
 }
 
 func goldenLimits() Limits {
-	return Limits{Streams: 3, Window: 1 << 10, Headers: 32 << 10, Resets: 1, Controls: 20}
+	return Limits{MaxConcurrentStreams: 3, InitialWindowSize: 1 << 10, MaxHeaderListSize: 32 << 10, MaxResetsPerSecond: 1, MaxControlFramesPerSecond: 20}
 }
 
 // TestFramesKeepTheirBytes freezes each kind of frame and header block that a connection writes.
@@ -43,43 +43,43 @@
 	log := &frameLog{t: t}
 	server, client := newSide(t, true, rng, goldenLimits()), newSide(t, false, rng, goldenLimits())
 
-	fromClient := log.add("client preface", client.c)
-	fromServer := log.add("server preface", server.c)
-	log.pass(fromClient, server.c)
-	log.pass(fromServer, client.c)
-	log.pass(log.add("server acknowledges", server.c), client.c)
-	log.pass(log.add("client acknowledges", client.c), server.c)
+	fromClient := log.add("client preface", client.conn)
+	fromServer := log.add("server preface", server.conn)
+	log.pass(fromClient, server.conn)
+	log.pass(fromServer, client.conn)
+	log.pass(log.add("server acknowledges", server.conn), client.conn)
+	log.pass(log.add("client acknowledges", client.conn), server.conn)
 
 	request := []Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/x"},
 		{Name: "te", Value: "trailers"}}
-	client.c.Begin(request, &body{b: []byte("question"), end: true}, nil)
-	log.pass(log.add("request", client.c), server.c)
-	log.pass(log.add("response with trailers", server.c), client.c)
+	client.conn.StartStream(request, &body{data: []byte("question"), end: true}, nil)
+	log.pass(log.add("request", client.conn), server.conn)
+	log.pass(log.add("response with trailers", server.conn), client.conn)
 
 	long := append(request[:len(request):len(request)], Field{Name: "x-long", Value: strings.Repeat("\x7f", 20000)})
-	client.c.Begin(long, &body{b: make([]byte, 900)}, nil)
-	log.pass(log.add("request with CONTINUATION", client.c), server.c)
-	log.add("response that goes on", server.c)
-	second := server.c.All()[0]
+	client.conn.StartStream(long, &body{data: make([]byte, 900)}, nil)
+	log.pass(log.add("request with CONTINUATION", client.conn), server.conn)
+	log.add("response that goes on", server.conn)
+	second := server.conn.Streams()[0]
 	second.Credit(900)
-	log.add("window update", server.c)
-	server.c.Cut(second, []Field{{Name: "grpc-status", Value: "4"}})
-	log.pass(log.add("trailers at once", server.c), client.c)
+	log.add("window update", server.conn)
+	server.conn.EndWithTrailers(second, []Field{{Name: "grpc-status", Value: "4"}})
+	log.pass(log.add("trailers at once", server.conn), client.conn)
 
-	third := client.c.Begin(request, &body{}, nil)
-	log.pass(log.add("third request", client.c), server.c)
-	client.c.Reset(third, http2.ErrCodeCancel)
-	log.pass(log.add("reset", client.c), server.c)
-	client.c.Begin(request, &body{}, nil)
-	log.pass(log.add("fourth request", client.c), server.c)
-	server.c.Respond(server.c.All()[0], []Field{{Name: ":status", Value: "405"}}, true, nil)
-	server.c.Ping()
-	log.pass(log.add("ping", server.c), client.c)
-	log.pass(log.add("ping acknowledged", client.c), server.c)
-	server.c.Warn()
-	log.pass(log.add("graceful GOAWAY", server.c), client.c)
-	server.c.Farewell(http2.ErrCodeNo)
-	log.add("last GOAWAY", server.c)
+	third := client.conn.StartStream(request, &body{}, nil)
+	log.pass(log.add("third request", client.conn), server.conn)
+	client.conn.ResetStream(third, http2.ErrCodeCancel)
+	log.pass(log.add("reset", client.conn), server.conn)
+	client.conn.StartStream(request, &body{}, nil)
+	log.pass(log.add("fourth request", client.conn), server.conn)
+	server.conn.Respond(server.conn.Streams()[0], []Field{{Name: ":status", Value: "405"}}, true, nil)
+	server.conn.Ping()
+	log.pass(log.add("ping", server.conn), client.conn)
+	log.pass(log.add("ping acknowledged", client.conn), server.conn)
+	server.conn.StartGracefulShutdown()
+	log.pass(log.add("graceful GOAWAY", server.conn), client.conn)
+	server.conn.GoAway(http2.ErrCodeNo)
+	log.add("last GOAWAY", server.conn)
 
 	golden.Assert(t, log.text.String(), "golden/frames.txt")
 }
@@ -97,7 +97,7 @@
 func TestAnswersToBrokenPeersKeepTheirBytes(t *testing.T) {
 	hello := append([]byte(http2.ClientPreface), goldenFrame(http2.FrameSettings, 0, 0)...)
 	hello = hello[:len(hello):len(hello)] // appends copy
-	get := []byte{0x83, 0x86, 0x84} // POST, http, /
+	get := []byte{0x83, 0x86, 0x84}       // POST, http, /
 	headers := goldenFrame(http2.FrameHeaders, 5, 1, get...)
 	open := goldenFrame(http2.FrameHeaders, 4, 1, get...)
 	widest := []byte{0x7f, 0xff, 0xff, 0xff}
@@ -149,9 +149,9 @@
 		{"GOAWAY", true, append(goldenFrame(http2.FrameSettings, 0, 0), goldenFrame(http2.FrameGoAway, 0, 0, make([]byte, 8)...)...)},
 	} {
 		s := newSide(t, !c.client, rand.New(rand.NewPCG(1, 1)), goldenLimits())
-		s.c.Out()
-		err := s.c.Feed(c.frames, 0)
-		fmt.Fprintf(&text, "%s: %v: %s\n", c.name, err, hex.EncodeToString(s.c.Out()))
+		s.conn.TakeOutput()
+		err := s.conn.Feed(c.frames, 0)
+		fmt.Fprintf(&text, "%s: %v: %s\n", c.name, err, hex.EncodeToString(s.conn.TakeOutput()))
 	}
 	golden.Assert(t, text.String(), "golden/violations.txt")
 }
--- a/internal/standin/grpcpeer/client.go
+++ b/internal/standin/grpcpeer/client.go
@@ -76,7 +76,7 @@
 // Dial connects to the broker's gRPC door.
 func Dial(w *virtual.World, door int) *Client {
 	c := &Client{W: w}
-	c.H = h2.New(false, h2.Limits{Window: 64 << 10, Headers: 64 << 10, Resets: 1 << 30, Controls: 1 << 30}, c)
+	c.H = h2.New(false, h2.Limits{InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}, c)
 	c.E = w.Dial(door, (*clientEnd)(c))
 	return c
 }
@@ -111,8 +111,8 @@
 		a.Lost, a.DoneAt = true, c.W.Now
 		c.ended(a)
 	}
-	for _, s := range c.H.All() {
-		a := s.Of.(*Ask)
+	for _, s := range c.H.Streams() {
+		a := s.UserData.(*Ask)
 		if !a.Done() {
 			a.Lost, a.DoneAt = true, c.W.Now
 			c.ended(a)
@@ -138,7 +138,7 @@
 		return
 	}
 	c.H.Pump(1 << 20)
-	if b := c.H.Out(); len(b) > 0 {
+	if b := c.H.TakeOutput(); len(b) > 0 {
 		c.E.Send(b)
 	}
 }
@@ -163,12 +163,12 @@
 	if a.Timeout > 0 {
 		list = append(list, h2.Field{Name: "grpc-timeout", Value: strconv.Itoa(int(a.Timeout)) + "m"})
 	}
-	if !c.H.Room() {
+	if !c.H.CanStartStream() {
 		a.Lost, a.DoneAt = true, c.W.Now
 		c.ended(a)
 		return
 	}
-	a.s = c.H.Begin(append(list, pairs(a.Fields)...), a, a)
+	a.s = c.H.StartStream(append(list, pairs(a.Fields)...), a, a)
 }
 
 // Write sends more of an open call.
@@ -192,16 +192,16 @@
 func (a *Ask) Cancel() {
 	if !a.Done() && a.s != nil {
 		a.Left = true
-		a.c.H.Reset(a.s, http2.ErrCodeCancel)
+		a.c.H.ResetStream(a.s, http2.ErrCodeCancel)
 		a.c.Flush()
 	}
 }
 
-// Headers implements h2.Events: the first headers of a stream, or its trailers, have come.
-func (c *Client) Headers(s *h2.Stream, fields []h2.Field, end bool) {
-	a := s.Of.(*Ask)
+// HeadersReceived implements h2.Events: the first headers of a stream, or its trailers, have come.
+func (c *Client) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
+	a := s.UserData.(*Ask)
 	fields = append([]h2.Field(nil), fields...)
-	if s.Heads() == 1 {
+	if s.HeaderBlocks() == 1 {
 		a.Head = fields
 		for _, f := range fields {
 			if f.Name == ":status" {
@@ -224,9 +224,9 @@
 	c.ended(a)
 }
 
-// Data implements h2.Events: bytes of a body have come.
-func (c *Client) Data(s *h2.Stream, b []byte, end bool) {
-	a := s.Of.(*Ask)
+// DataReceived implements h2.Events: bytes of a body have come.
+func (c *Client) DataReceived(s *h2.Stream, b []byte, end bool) {
+	a := s.UserData.(*Ask)
 	a.Got = append(a.Got, b...)
 	if !a.Slow {
 		s.Credit(len(b))
@@ -238,27 +238,27 @@
 	}
 }
 
-// Huge implements h2.Events: a block of headers was too large; nothing is done about it.
-func (c *Client) Huge(*h2.Stream) {}
+// HeaderListTooLarge implements h2.Events: a block of headers was too large; nothing is done about it.
+func (c *Client) HeaderListTooLarge(*h2.Stream) {}
 
-// Reset implements h2.Events: the peer has reset a stream.
-func (c *Client) Reset(s *h2.Stream, code h2.Code) {
-	a := s.Of.(*Ask)
+// StreamReset implements h2.Events: the peer has reset a stream.
+func (c *Client) StreamReset(s *h2.Stream, code h2.ErrorCode) {
+	a := s.UserData.(*Ask)
 	if a.Finals == 0 {
 		a.WasReset, a.ResetBy, a.DoneAt = true, code, c.W.Now
 		c.ended(a)
 	}
 }
 
-// Unprocessed implements h2.Events: the peer says that it never looked at a stream.
-func (c *Client) Unprocessed(s *h2.Stream) {
-	a := s.Of.(*Ask)
+// StreamUnprocessed implements h2.Events: the peer says that it never looked at a stream.
+func (c *Client) StreamUnprocessed(s *h2.Stream) {
+	a := s.UserData.(*Ask)
 	a.WasReset, a.ResetBy, a.DoneAt = true, http2.ErrCodeRefusedStream, c.W.Now
 	c.ended(a)
 }
 
-// Leaving implements h2.Events: the peer takes no new streams.
-func (c *Client) Leaving(h2.Code) { c.Gone = true }
+// GoAwayReceived implements h2.Events: the peer takes no new streams.
+func (c *Client) GoAwayReceived(h2.ErrorCode) { c.Gone = true }
 
-// Settings implements h2.Events: the peer's settings have come; they are of no interest here.
-func (c *Client) Settings() {}
+// SettingsReceived implements h2.Events: the peer's settings have come; they are of no interest here.
+func (c *Client) SettingsReceived() {}
--- a/internal/standin/grpcpeer/grpcpeer.go
+++ b/internal/standin/grpcpeer/grpcpeer.go
@@ -90,8 +90,8 @@
 
 // Accept is for World.Listen.
 func (s *Server) Accept(e *virtual.End) virtual.Peer {
-	if s.Limits.Window == 0 {
-		s.Limits = h2.Limits{Streams: 100, Window: 64 << 10, Headers: 64 << 10, Resets: 1 << 30, Controls: 1 << 30}
+	if s.Limits.InitialWindowSize == 0 {
+		s.Limits = h2.Limits{MaxConcurrentStreams: 100, InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}
 	}
 	c := &Conn{S: s, End: e}
 	c.H = h2.New(true, s.Limits, c)
@@ -102,7 +102,7 @@
 // Opened implements virtual.Peer: the broker has connected.
 func (c *Conn) Opened(*virtual.End) {
 	if c.S.Greet != nil && !c.S.Greet(c) {
-		c.H.Out()
+		c.H.TakeOutput()
 		c.Dead = true
 		return
 	}
@@ -124,8 +124,8 @@
 		return
 	}
 	c.Dead = true
-	for _, s := range c.H.All() {
-		if k, ok := s.Of.(*Got); ok && !k.Reset {
+	for _, s := range c.H.Streams() {
+		if k, ok := s.UserData.(*Got); ok && !k.Reset {
 			k.Reset, k.ResetAt = true, c.S.W.Now
 			if c.S.OnReset != nil {
 				c.S.OnReset(k)
@@ -140,7 +140,7 @@
 		return
 	}
 	c.H.Pump(1 << 20)
-	if b := c.H.Out(); len(b) > 0 {
+	if b := c.H.TakeOutput(); len(b) > 0 {
 		c.End.Send(b)
 	}
 }
@@ -151,13 +151,13 @@
 	c.End.Close()
 }
 
-// Headers implements h2.Events: the first headers of a stream, or its trailers, have come.
-func (c *Conn) Headers(s *h2.Stream, fields []h2.Field, end bool) {
-	if s.Of != nil {
+// HeadersReceived implements h2.Events: the first headers of a stream, or its trailers, have come.
+func (c *Conn) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
+	if s.UserData != nil {
 		return
 	}
 	k := &Got{S: c.S, Stream: s, Fields: append([]h2.Field(nil), fields...), EndIn: end, At: c.S.W.Now}
-	s.Of = k
+	s.UserData = k
 	c.S.Calls = append(c.S.Calls, k)
 	if c.S.OnCall != nil {
 		c.S.OnCall(k)
@@ -167,9 +167,9 @@
 	}
 }
 
-// Data implements h2.Events: bytes of a body have come.
-func (c *Conn) Data(s *h2.Stream, b []byte, end bool) {
-	k := s.Of.(*Got)
+// DataReceived implements h2.Events: bytes of a body have come.
+func (c *Conn) DataReceived(s *h2.Stream, b []byte, end bool) {
+	k := s.UserData.(*Got)
 	k.Body = append(k.Body, b...)
 	if !c.S.Holds {
 		s.Credit(len(b))
@@ -185,12 +185,12 @@
 	}
 }
 
-// Huge implements h2.Events: a block of headers was too large; nothing is done about it.
-func (c *Conn) Huge(*h2.Stream) {}
+// HeaderListTooLarge implements h2.Events: a block of headers was too large; nothing is done about it.
+func (c *Conn) HeaderListTooLarge(*h2.Stream) {}
 
-// Reset implements h2.Events: the peer has reset a stream.
-func (c *Conn) Reset(s *h2.Stream, _ h2.Code) {
-	if k, ok := s.Of.(*Got); ok {
+// StreamReset implements h2.Events: the peer has reset a stream.
+func (c *Conn) StreamReset(s *h2.Stream, _ h2.ErrorCode) {
+	if k, ok := s.UserData.(*Got); ok {
 		k.Reset, k.ResetAt = true, c.S.W.Now
 		if c.S.OnReset != nil {
 			c.S.OnReset(k)
@@ -198,14 +198,14 @@
 	}
 }
 
-// Unprocessed implements h2.Events: the peer says that it never looked at a stream.
-func (c *Conn) Unprocessed(*h2.Stream) {}
+// StreamUnprocessed implements h2.Events: the peer says that it never looked at a stream.
+func (c *Conn) StreamUnprocessed(*h2.Stream) {}
 
-// Leaving implements h2.Events: the peer takes no new streams.
-func (c *Conn) Leaving(h2.Code) {}
+// GoAwayReceived implements h2.Events: the peer takes no new streams.
+func (c *Conn) GoAwayReceived(h2.ErrorCode) {}
 
-// Settings implements h2.Events: the peer's settings have come; they are of no interest here.
-func (c *Conn) Settings() {}
+// SettingsReceived implements h2.Events: the peer's settings have come; they are of no interest here.
+func (c *Conn) SettingsReceived() {}
 
 // act runs the script of a call.
 func (k *Got) act() {
@@ -234,7 +234,7 @@
 // Conn finds the connection of a call.
 func (k *Got) Conn() *Conn {
 	for _, c := range k.S.Conns {
-		for _, s := range c.H.All() {
+		for _, s := range c.H.Streams() {
 			if s == k.Stream {
 				return c
 			}
@@ -304,7 +304,7 @@
 
 // Reset resets the stream.
 func Reset(after float64, code http2.ErrCode) Act {
-	return Act{after, func(_ *Server, k *Got) { k.Conn().H.Reset(k.Stream, code) }}
+	return Act{after, func(_ *Server, k *Got) { k.Conn().H.ResetStream(k.Stream, code) }}
 }
 
 // Die ends the process: all connections close, and nobody listens.
