--- a/internal/h2/h2_test.go
+++ b/internal/h2/conn_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/http2"
 )
 
-// side is one end of a connection, echoing what comes where it is the server.
+// side is one side of a connection. A server's echoes the bodies that it gets.
 type side struct {
 	t              testing.TB
 	conn           *Conn
@@ -19,20 +19,19 @@
 	ended          map[uint32]bool
 	resets         map[uint32]ErrorCode
 	bodies         map[uint32]*body
-	credit         bool
 	uncredited     map[*Stream]int
 	goAwayReceived bool
 }
 
-// body is a source that gives what it is given, in pieces, once it is ready.
+// body is a DataSource that a test fills.
 type body struct {
 	data     []byte
 	end      bool
 	trailers []Field
 }
 
-func (s *body) Next(most int) ([]byte, bool, []Field) {
-	n := min(most, len(s.data))
+func (s *body) Next(maxBytes int) ([]byte, bool, []Field) {
+	n := min(maxBytes, len(s.data))
 	out := s.data[:n:n]
 	s.data = s.data[n:]
 	return out, s.end && len(s.data) == 0, s.trailers
@@ -40,7 +39,7 @@
 
 func newSide(t testing.TB, server bool, rng *rand.Rand, limits Limits) *side {
 	s := &side{t: t, rng: rng, received: map[uint32]*bytes.Buffer{}, headerBlocks: map[uint32]int{}, ended: map[uint32]bool{},
-		resets: map[uint32]ErrorCode{}, bodies: map[uint32]*body{}, credit: true, uncredited: map[*Stream]int{}}
+		resets: map[uint32]ErrorCode{}, bodies: map[uint32]*body{}, uncredited: map[*Stream]int{}}
 	s.conn = New(server, limits, s)
 	return s
 }
@@ -88,11 +87,11 @@
 func (s *side) SettingsReceived()                      {}
 
 // transfer hands over what one side writes, in pieces of any size.
-func transfer(from, destination *side, maxOutput int) error {
-	from.conn.Pump(maxOutput)
-	b := append([]byte(nil), from.conn.TakeOutput()...)
+func transfer(source, destination *side, maxOutput int) error {
+	source.conn.Pump(maxOutput)
+	b := append([]byte(nil), source.conn.TakeOutput()...)
 	for len(b) > 0 {
-		n := 1 + from.rng.IntN(len(b))
+		n := 1 + source.rng.IntN(len(b))
 		if err := destination.conn.Feed(b[:n], 0); err != nil {
 			return err
 		}
@@ -105,12 +104,20 @@
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		limits := func() Limits {
-			return Limits{MaxConcurrentStreams: 1 + rng.IntN(8), InitialWindowSize: 64 + rng.IntN(1<<uint(1+rng.IntN(17))), MaxHeaderListSize: 32 << 10, MaxResetsPerSecond: 1000, MaxControlFramesPerSecond: 1 << 30}
+			return Limits{
+				MaxConcurrentStreams:      1 + rng.IntN(8),
+				InitialWindowSize:         64 + rng.IntN(1<<uint(1+rng.IntN(17))),
+				MaxHeaderListSize:         32 << 10,
+				MaxResetsPerSecond:        1000,
+				MaxControlFramesPerSecond: 1 << 30,
+			}
 		}
 		server, client := newSide(t, true, rng, limits()), newSide(t, false, rng, limits())
 		sent := map[uint32][]byte{}
 		for step := 0; step < 40000; step++ {
-			if len(sent) < 20 && client.conn.SettingsReceived() && client.conn.CanStartStream() && client.conn.LocalStreams() < server.conn.limits.MaxConcurrentStreams && rng.IntN(3) == 0 {
+			mayStart := len(sent) < 20 && client.conn.SettingsReceived() && client.conn.CanStartStream() &&
+				client.conn.localStreams < server.conn.limits.MaxConcurrentStreams
+			if mayStart && rng.IntN(3) == 0 {
 				b := make([]byte, rng.IntN(1<<uint(rng.IntN(17))))
 				for i := range b {
 					b[i] = byte(rng.Uint32())
@@ -141,7 +148,7 @@
 		}
 		for id, b := range sent {
 			if !client.ended[id] || !bytes.Equal(client.received[id].Bytes(), b) || client.headerBlocks[id] != 2 {
-				t.Fatalf("seed %d: stream %d: %d bytes came back of %d, ended %v, reset %v", seed, id, client.received[id].Len(), len(b),
+				t.Fatalf("seed %d: stream %d: %d bytes echoed of %d, ended %v, reset %v", seed, id, client.received[id].Len(), len(b),
 					client.ended[id], client.resets)
 			}
 		}
@@ -152,7 +159,7 @@
 }
 
 func TestStalledStreamLeavesConnectionWindowToOthers(t *testing.T) {
-	// One stream stands still with its window full; another goes on past the connection's.
+	// One stream stalls with its window full; another sends more than the connection's window.
 	rng := rand.New(rand.NewPCG(1, 1))
 	limits := Limits{MaxConcurrentStreams: 10, InitialWindowSize: 512 << 10, MaxHeaderListSize: 8 << 10, MaxResetsPerSecond: 10, MaxControlFramesPerSecond: 1000}
 	server, client := newSide(t, true, rng, limits), newSide(t, false, rng, limits)
@@ -161,7 +168,7 @@
 		transfer(client, server, 1<<20)
 		transfer(server, client, 1<<20)
 	}
-	still := client.conn.StartStream(head, &body{data: make([]byte, 2<<20)}, nil)
+	stalled := client.conn.StartStream(head, &body{data: make([]byte, 2<<20)}, nil)
 	for range 20 {
 		transfer(client, server, 1<<20)
 		transfer(server, client, 1<<20)
@@ -184,8 +191,8 @@
 	if n := server.received[moving.ID].Len(); n != 4<<20 {
 		t.Errorf("%d bytes of the moving stream", n)
 	}
-	if n := server.received[still.ID].Len(); n != 512<<10 {
-		t.Errorf("%d bytes of the one that stands still", n)
+	if n := server.received[stalled.ID].Len(); n != 512<<10 {
+		t.Errorf("%d bytes of the stalled stream", n)
 	}
 }
 
@@ -200,28 +207,28 @@
 	for _, r := range []struct {
 		name string
 		send [][]byte
-		code ErrorCode // of the connection; -1: it goes on
+		code ErrorCode // of the connection; noError: it goes on
 		rst  bool      // the stream is reset
 	}{
-		{"a sound request", [][]byte{frame(http2.FrameHeaders, 5, 1, get...)}, noError, false},
+		{"a valid request", [][]byte{frame(http2.FrameHeaders, 5, 1, get...)}, noError, false},
 		{"a request without path", [][]byte{frame(http2.FrameHeaders, 5, 1, 0x83, 0x86)}, noError, true},
 		{"a status in a request", [][]byte{frame(http2.FrameHeaders, 5, 1, 0x83, 0x86, 0x84, 0x88)}, noError, true},
 		{"upper case", [][]byte{frame(http2.FrameHeaders, 5, 1, append(get[:3:3], 0, 1, 'A', 1, 'x')...)}, noError, true},
 		{"connection", [][]byte{frame(http2.FrameHeaders, 5, 1, append(append(get[:3:3], 0, 10), "connection\x01x"...)...)}, noError, true},
-		{"a line end in a value", [][]byte{frame(http2.FrameHeaders, 5, 1, append(get[:3:3], 0, 1, 'a', 1, '\n')...)}, noError, true},
+		{"a line feed in a value", [][]byte{frame(http2.FrameHeaders, 5, 1, append(get[:3:3], 0, 1, 'a', 1, '\n')...)}, noError, true},
 		{"data after the end", [][]byte{frame(http2.FrameHeaders, 5, 1, get...), frame(http2.FrameData, 0, 1, 'x')}, noError, true},
-		{"a stream that goes back", [][]byte{frame(http2.FrameHeaders, 5, 3, get...), frame(http2.FrameHeaders, 5, 1, get...)}, noError, false},
+		{"a stream with a lower identifier", [][]byte{frame(http2.FrameHeaders, 5, 3, get...), frame(http2.FrameHeaders, 5, 1, get...)}, noError, false},
 		{"stream 0", [][]byte{frame(http2.FrameHeaders, 5, 0, get...)}, http2.ErrCodeProtocol, false},
 		{"data on stream 0", [][]byte{frame(http2.FrameData, 0, 0, 'x')}, http2.ErrCodeProtocol, false},
 		{"another frame within a header block", [][]byte{frame(http2.FrameHeaders, 1, 1, get...), frame(http2.FramePing, 0, 0, make([]byte, 8)...)}, http2.ErrCodeProtocol, false},
-		{"CONTINUATION of nothing", [][]byte{frame(http2.FrameContinuation, 4, 1, get...)}, http2.ErrCodeProtocol, false},
+		{"CONTINUATION without HEADERS", [][]byte{frame(http2.FrameContinuation, 4, 1, get...)}, http2.ErrCodeProtocol, false},
 		{"a PING of 7 bytes", [][]byte{frame(http2.FramePing, 0, 0, make([]byte, 7)...)}, http2.ErrCodeFrameSize, false},
-		{"a window update of nothing", [][]byte{frame(http2.FrameWindowUpdate, 0, 0, 0, 0, 0, 0)}, http2.ErrCodeProtocol, false},
-		{"and on a stream", [][]byte{frame(http2.FrameHeaders, 4, 1, get...), frame(http2.FrameWindowUpdate, 0, 1, 0, 0, 0, 0)}, noError, true},
+		{"a window update of 0", [][]byte{frame(http2.FrameWindowUpdate, 0, 0, 0, 0, 0, 0)}, http2.ErrCodeProtocol, false},
+		{"a window update of 0 on a stream", [][]byte{frame(http2.FrameHeaders, 4, 1, get...), frame(http2.FrameWindowUpdate, 0, 1, 0, 0, 0, 0)}, noError, true},
 		{"reset of an idle stream", [][]byte{frame(http2.FrameRSTStream, 0, 1, 0, 0, 0, 0)}, http2.ErrCodeProtocol, false},
-		{"padding past the frame", [][]byte{frame(http2.FrameData, 8, 1, 9, 'x')}, http2.ErrCodeProtocol, false},
-		{"an initial window over the most", [][]byte{frame(http2.FrameSettings, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff)}, http2.ErrCodeFlowControl, false},
-		{"a frame of no known kind", [][]byte{frame(0xcc, 0, 0, 'x')}, noError, false},
+		{"padding longer than the frame", [][]byte{frame(http2.FrameData, 8, 1, 9, 'x')}, http2.ErrCodeProtocol, false},
+		{"an initial window over the maximum", [][]byte{frame(http2.FrameSettings, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff)}, http2.ErrCodeFlowControl, false},
+		{"a frame of an unknown type", [][]byte{frame(0xcc, 0, 0, 'x')}, noError, false},
 	} {
 		s := newSide(t, true, rand.New(rand.NewPCG(1, 1)), Limits{MaxConcurrentStreams: 10, InitialWindowSize: 1 << 16, MaxHeaderListSize: 8 << 10, MaxResetsPerSecond: 10, MaxControlFramesPerSecond: 100})
 		err := s.conn.Feed(hello, 0)
@@ -246,6 +253,7 @@
 	}
 }
 
+// noError stands for a connection that goes on.
 const noError ErrorCode = 1 << 30
 
 func FuzzFeed(f *testing.F) {
