--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -10,8 +10,8 @@
 	"io"
 	"math"
 
-	"kestrelspread/internal/decide"
-	"kestrelspread/internal/settings"
+	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/aggregator/settings"
 )
 
 const (
@@ -35,7 +35,7 @@
 	num     uint16
 	alive   bool
 	h       *host
-	port    decide.Port
+	port    policy.Port
 	wire    []uint64 // request index to id
 	index   map[uint64]int
 	free    []int
@@ -217,8 +217,8 @@
 }
 
 // outcomes holds the wire's numbers in tens.
-var outcomes = [...]decide.Outcome{1: decide.Answered, 2: decide.Errored, 3: decide.Full, 4: decide.TimedOut,
-	5: decide.NoConnect, 6: decide.Reset, 7: decide.Cancelled, 8: decide.Moot}
+var outcomes = [...]policy.Outcome{1: policy.Answered, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
+	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.NeverSent}
 
 func (b *broker) round() {
 	if !b.inRound {
@@ -252,7 +252,7 @@
 			return nil
 		}
 		if kind == 3 {
-			b.port.Unlisted()
+			b.port.DiscoveryFailed()
 			return nil
 		}
 		if int(list) >= len(b.h.lists) || kind > 3 {
@@ -275,7 +275,7 @@
 		}
 	case 1060:
 		if at, held := b.index[c.u64()]; held && !c.broken {
-			b.port.Lapsed(at)
+			b.port.ClientGone(at)
 		}
 	case 1000:
 		node, how, elapsed := c.node(), c.u8(), c.f64()
@@ -291,7 +291,7 @@
 	case 1110:
 		c.u64()
 		if !c.broken {
-			b.port.Bell()
+			b.port.Woken()
 		}
 	}
 	return nil
@@ -320,14 +320,14 @@
 			b.listed = append(b.listed, false)
 			seen = append(seen, false)
 		}
-		as := decide.Ready
+		as := policy.Ready
 		switch state {
 		case 1:
-			as = decide.Draining
+			as = policy.Draining
 		case 3:
-			as = decide.Gone
+			as = policy.Gone
 		}
-		seen[at], b.listed[at] = true, as != decide.Gone
+		seen[at], b.listed[at] = true, as != policy.Gone
 		b.port.Server(at, int(hall), int(cell), as, size, started)
 	}
 	if !whole {
@@ -336,7 +336,7 @@
 	for at, was := range seen {
 		if !was && b.listed[at] {
 			b.listed[at] = false
-			b.port.Server(at, 0, 0, decide.Gone, 0, 0)
+			b.port.Server(at, 0, 0, policy.Gone, 0, 0)
 		}
 	}
 }
@@ -359,7 +359,7 @@
 	if search, held := b.jobs[job]; held {
 		at := b.take(id)
 		b.members[search] = append(b.members[search], at)
-		b.port.Part(search, at, segment, share, work, key)
+		b.port.ShardRequest(search, at, segment, share, work, key)
 	}
 }
 
@@ -411,7 +411,7 @@
 func (b *broker) u64(v uint64)  { b.h.reply = binary.LittleEndian.AppendUint64(b.h.reply, v) }
 func (b *broker) f64(v float64) { b.u64(math.Float64bits(v)) }
 
-// Send implements decide.Out: one more sub-request goes to a server, by a frame to the simulator.
+// Send implements policy.Out: one more sub-request goes to a server, by a frame to the simulator.
 func (b *broker) Send(part, server int, within, _ float64) {
 	b.say(1130)
 	b.u64(b.wire[part])
@@ -419,14 +419,14 @@
 	b.h.reply = append(b.h.reply, b.names[server][:]...)
 }
 
-// Cancel implements decide.Out: a sub-request is called off, by a frame to the simulator.
+// Cancel implements policy.Out: a sub-request is called off, by a frame to the simulator.
 func (b *broker) Cancel(part, try int) {
 	b.say(1100)
 	b.u64(b.wire[part])
 	b.h.reply = binary.LittleEndian.AppendUint16(b.h.reply, uint16(try))
 }
 
-// Answer implements decide.Out: a search is answered, by a frame to the simulator.
+// Answer implements policy.Out: a search is answered, by a frame to the simulator.
 func (b *broker) Answer(search int, whole bool) {
 	b.say(1080)
 	b.u64(b.wire[search])
@@ -437,51 +437,51 @@
 	b.h.reply = append(b.h.reply, mark)
 }
 
-// Shed implements decide.Out: a search is refused, by a frame to the simulator.
+// Shed implements policy.Out: a search is refused, by a frame to the simulator.
 func (b *broker) Shed(search int, comeBack float64) {
 	b.say(1010)
 	b.u64(b.wire[search])
 	b.f64(comeBack)
 }
 
-// Fail implements decide.Out: a search ends in error, by a frame to the simulator.
+// Fail implements policy.Out: a search ends in error, by a frame to the simulator.
 func (b *broker) Fail(search int) {
 	b.say(1060)
 	b.u64(b.wire[search])
 }
 
-// Probe implements decide.Out: a server is probed, by a frame to the simulator.
+// Probe implements policy.Out: a server is probed, by a frame to the simulator.
 func (b *broker) Probe(server int) {
 	b.say(1050)
 	b.h.reply = append(b.h.reply, b.names[server][:]...)
 }
 
-// Close implements decide.Out: idle connections to a server are closed, by a frame to the simulator.
+// Close implements policy.Out: idle connections to a server are closed, by a frame to the simulator.
 func (b *broker) Close(server int) {
 	b.say(1000)
 	b.h.reply = append(b.h.reply, b.names[server][:]...)
 }
 
-// Subscribe implements decide.Out: the list is subscribed to, by a frame to the simulator.
+// Subscribe implements policy.Out: the list is subscribed to, by a frame to the simulator.
 func (b *broker) Subscribe() {
 	b.say(1110)
 	b.h.reply = append(b.h.reply, 1)
 }
 
-// Wake implements decide.Out: the module wants a round after so many milliseconds, by a frame to the simulator.
+// Wake implements policy.Out: the module wants a round after so many milliseconds, by a frame to the simulator.
 func (b *broker) Wake(in float64) {
 	b.say(1020)
 	b.f64(in)
 	b.u64(0)
 }
 
-// Log implements decide.Out: the module has a line for the log.
+// Log implements policy.Out: the module has a line for the log.
 func (b *broker) Log(text string) {
 	b.h.speak(b)
 	b.h.text(1120, text)
 }
 
-// Forget implements decide.Out: the indices of a search may be used again.
+// Forget implements policy.Out: the indices of a search may be used again.
 func (b *broker) Forget(search int) {
 	for _, at := range append(b.members[search], search) {
 		delete(b.index, b.wire[at])
