--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -28,7 +28,7 @@
 	q        *engine.Search
 
 	req      queue
-	reqScan  grpcwire.Scan
+	reqScan  grpcwire.MessageScanner
 	reqEnd   bool
 	credited int64 // of what has come, told to the client as room
 
@@ -109,7 +109,7 @@
 // start makes a search of the call.
 func (k *call) start(shard int, look routes.Lookup) {
 	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.Work, Key: k.route.About(look)}}
-	q := k.f.r.Ask(k.route.Kind, k.customer, k.until, grpcwire.Repeated(look), pieces[:], k)
+	q := k.f.r.Ask(k.route.Kind, k.customer, k.until, grpcwire.IsRetry(look), pieces[:], k)
 	if k.q = q; !k.final && !k.reqEnd {
 		k.f.r.Open(q, true)
 	}
@@ -139,16 +139,16 @@
 		return
 	}
 	switch k.reqScan.Feed(b, k.route.Message) {
-	case grpcwire.Over:
+	case grpcwire.MessageOverLimit:
 		k.f.Count.TooLong++
 		k.finish(grpcwire.ResourceExhausted, "the message is over the limit", -1)
 		return
-	case grpcwire.BadFlag:
+	case grpcwire.InvalidFlag:
 		k.f.Count.Unsound++
 		k.finish(grpcwire.Internal, "no gRPC message", -1)
 		return
 	}
-	if end && !k.reqScan.Between() {
+	if end && !k.reqScan.AtBoundary() {
 		k.f.Count.Unsound++
 		k.finish(grpcwire.Internal, "the last message is not whole", -1)
 		return
@@ -319,7 +319,7 @@
 	switch {
 	case late && (a == nil || a != k.winner):
 		k.tell(grpcwire.DeadlineExceeded, "the client's time is up", 0)
-	case a != nil && a.trailers != nil && a.end.How != policy.Answered:
+	case a != nil && a.trailers != nil && a.end.Outcome != policy.Answered:
 		// The server's own words, its details included; only the advice is the broker's, who knows what was tried.
 		t := make([]h2.Field, 0, len(a.trailers)+1)
 		for _, f := range a.trailers {
@@ -327,22 +327,22 @@
 				t = append(t, f)
 			}
 		}
-		if _, found := grpcwire.Get(t, "grpc-status"); !found {
+		if _, found := grpcwire.FirstValue(t, "grpc-status"); !found {
 			k.tell(a.end.Status, a.end.Message, back)
 			return
 		}
 		// Whoever wants the longer rest has it; a server that wants no repeat at all is not overruled.
-		if wish, found := grpcwire.Pushback(a.trailers); found && (wish < 0 || back >= 0 && wish > back) {
+		if wish, found := grpcwire.RetryPushback(a.trailers); found && (wish < 0 || back >= 0 && wish > back) {
 			back = wish
 		}
 		if back != 0 {
-			t = append(t, grpcwire.Trailers(nil, 0, "", back)[1])
+			t = append(t, grpcwire.AppendTrailers(nil, 0, "", back)[1])
 		}
 		k.f.Count.Statuses[a.end.Status]++
 		k.close(t)
 	case a != nil:
 		k.f.Count.Statuses[a.end.Status]++
-		k.close(grpcwire.Trailers(nil, a.end.Status, a.end.Message, back))
+		k.close(grpcwire.AppendTrailers(nil, a.end.Status, a.end.Message, back))
 	case back < 0:
 		k.tell(grpcwire.Unavailable, "no server answered", back)
 	default:
@@ -364,7 +364,7 @@
 
 func (k *call) tell(code grpcwire.Status, why string, back float64) {
 	k.f.Count.Statuses[code]++
-	k.cut(grpcwire.Trailers(nil, code, why, back))
+	k.cut(grpcwire.AppendTrailers(nil, code, why, back))
 }
 
 // close ends the client's side once it has what came before the end.
@@ -389,7 +389,7 @@
 	if k.s.HeadersSent() {
 		k.c.h.EndWithTrailers(k.s, trailers)
 	} else {
-		k.c.h.Respond(k.s, append(grpcwire.Head(), trailers...), true, nil)
+		k.c.h.Respond(k.s, append(grpcwire.NewResponseHeaders(), trailers...), true, nil)
 	}
 	k.f.touch(k.c)
 	k.over()
@@ -465,10 +465,10 @@
 	resp   queue
 	given  int64 // to the client
 	owed   int64 // credited
-	scan   grpcwire.Scan
+	scan   grpcwire.MessageScanner
 	whole  bool // the server has sent all
 	over   bool
-	end    grpcwire.End
+	end    grpcwire.Result
 	said   bool // by its server or its connection, not called off
 	// trailers are what the server ended with, nil where it did not
 	trailers []h2.Field
@@ -495,7 +495,7 @@
 func (a *attempt) tooLate() {
 	switch {
 	case a.s == nil:
-		a.ended(grpcwire.NeverBegun)
+		a.ended(grpcwire.NotSent)
 	case a.start >= a.l.written:
 		a.l.drop("too late to begin")
 	}
@@ -522,17 +522,17 @@
 	if !k.hold(len(b)) {
 		k.hold(-len(b))
 		k.f.Count.OverHeld++
-		a.broken(grpcwire.End{Status: grpcwire.ResourceExhausted, Message: "too much is held", How: policy.Answered})
+		a.broken(grpcwire.Result{Status: grpcwire.ResourceExhausted, Message: "too much is held", Outcome: policy.Answered})
 		return
 	}
 	a.resp.add(b)
 	switch a.scan.Feed(b, k.route.Message) {
-	case grpcwire.BadFlag:
-		a.broken(grpcwire.Malformed)
+	case grpcwire.InvalidFlag:
+		a.broken(grpcwire.MalformedResponse)
 		return
-	case grpcwire.Over:
+	case grpcwire.MessageOverLimit:
 		k.f.Count.TooLong++
-		a.broken(grpcwire.TooLong)
+		a.broken(grpcwire.MessageTooLarge)
 		return
 	}
 	if k.route.Commit == routes.AtEnd && a.resp.size() <= k.route.Hold {
@@ -578,7 +578,7 @@
 // finish: the module has the answer; the client has it once all has gone out.
 func (a *attempt) finish() {
 	k := a.k
-	if a.end.How == policy.Answered && a.trailers != nil {
+	if a.end.Outcome == policy.Answered && a.trailers != nil {
 		k.f.Count.Statuses[a.end.Status]++
 		if a.head == nil { // nothing but a status, as it came
 			k.c.h.Respond(k.s, a.trailers, true, nil)
@@ -617,27 +617,27 @@
 	}
 	a.whole = true
 	k := a.k
-	e := grpcwire.OfTrailers(trailers, k.route.Unseen, a.scan.Messages)
+	e := grpcwire.ResultFromTrailers(trailers, k.route.Unseen, a.scan.CompleteMessages)
 	a.trailers = trailers
-	if e.How == policy.Answered && !a.scan.Between() {
-		e, a.trailers = grpcwire.CutShort, nil
+	if e.Outcome == policy.Answered && !a.scan.AtBoundary() {
+		e, a.trailers = grpcwire.TruncatedMessage, nil
 	}
-	if wait, found := grpcwire.Pushback(trailers); found && e.How != policy.Answered && k.winner == nil {
+	if wait, found := grpcwire.RetryPushback(trailers); found && e.Outcome != policy.Answered && k.winner == nil {
 		k.f.r.Pushback(a.sub, wait)
 	}
 	a.ended(e)
 }
 
 // broken ends one from this side, for what its server sent.
-func (a *attempt) broken(e grpcwire.End) {
-	if e.How != policy.Answered {
+func (a *attempt) broken(e grpcwire.Result) {
+	if e.Outcome != policy.Answered {
 		a.k.f.Count.BadServers++
 	}
 	a.ended(e)
 }
 
 // ended tells the module how a sub-request ended. The first word counts.
-func (a *attempt) ended(e grpcwire.End) {
+func (a *attempt) ended(e grpcwire.Result) {
 	if a.over {
 		return
 	}
@@ -645,9 +645,9 @@
 	a.end, a.said = e, true
 	a.stop()
 	switch {
-	case e.How == policy.Answered && (k.winner == nil || k.winner == a) && k.answered == nil:
+	case e.Outcome == policy.Answered && (k.winner == nil || k.winner == a) && k.answered == nil:
 		k.answered = a
-	case e.How == policy.Answered && k.winner != a:
+	case e.Outcome == policy.Answered && k.winner != a:
 		k.f.Count.LateAnswers++
 		a.free()
 	default:
@@ -656,7 +656,7 @@
 			a.free()
 		}
 	}
-	k.f.r.Ended(a.sub, e.How)
+	k.f.r.Ended(a.sub, e.Outcome)
 }
 
 // stop ends the stream, if it is open, and lets go of its place. What has come of its response stays for who answered.
@@ -685,7 +685,7 @@
 	} else {
 		k.f.pool.Forget(a.server, a)
 	}
-	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.How == policy.Answered) {
+	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.Outcome == policy.Answered) {
 		a.free()
 	}
 	if !k.told {
--- a/internal/grpcproxy/client.go
+++ b/internal/grpcproxy/client.go
@@ -277,7 +277,7 @@
 	} else {
 		c.f.Count.Errored++
 	}
-	c.h.Respond(s, grpcwire.Trailers(grpcwire.Head(), code, why, back), true, nil)
+	c.h.Respond(s, grpcwire.AppendTrailers(grpcwire.NewResponseHeaders(), code, why, back), true, nil)
 	c.f.touch(c)
 }
 
@@ -285,9 +285,9 @@
 func (c *client) begin(s *h2.Stream, fields []h2.Field, end bool) {
 	f := c.f
 	f.Count.Calls++
-	path, _ := grpcwire.Get(fields, ":path")
-	method, _ := grpcwire.Get(fields, ":method")
-	kind, _ := grpcwire.Get(fields, "content-type")
+	path, _ := grpcwire.FirstValue(fields, ":path")
+	method, _ := grpcwire.FirstValue(fields, ":method")
+	kind, _ := grpcwire.FirstValue(fields, "content-type")
 	unsound := func(status string) {
 		f.Count.Unsound++
 		f.Count.Errored++
@@ -297,11 +297,11 @@
 	case method != "POST":
 		unsound("405")
 		return
-	case !grpcwire.IsGRPC(kind):
+	case !grpcwire.IsGRPCContentType(kind):
 		unsound("415")
 		return
 	}
-	look := func(key string) (string, bool) { return grpcwire.Get(fields, key) }
+	look := func(key string) (string, bool) { return grpcwire.FirstValue(fields, key) }
 	route := f.rules.Table.Find(path, look)
 	if route == nil {
 		f.Count.Unrouted++
@@ -311,7 +311,7 @@
 	timeout := route.Timeout
 	if v, found := look("grpc-timeout"); found {
 		var ok bool
-		if timeout, ok = grpcwire.Timeout(v); !ok {
+		if timeout, ok = grpcwire.ParseTimeout(v); !ok {
 			f.Count.Unsound++
 			c.refuse(s, grpcwire.InvalidArgument, "grpc-timeout can't be read", -1)
 			return
--- a/internal/grpcproxy/front.go
+++ b/internal/grpcproxy/front.go
@@ -282,17 +282,17 @@
 	a := t.(*attempt)
 	switch why {
 	case connpool.Unreachable:
-		a.ended(grpcwire.NoConnect)
+		a.ended(grpcwire.ConnectFailed)
 	case connpool.NoPlace:
-		a.ended(grpcwire.NoPlace)
+		a.ended(grpcwire.NoStreamAvailable)
 	case connpool.NoSocket:
-		a.ended(grpcwire.NeverBegun)
+		a.ended(grpcwire.NotSent)
 	default:
 		if !o.front().servers[a.server].has {
 			a.ended(grpcwire.NoAddress)
 			return
 		}
-		a.ended(grpcwire.Withdrawn)
+		a.ended(grpcwire.ServerDraining)
 	}
 }
 
--- a/internal/grpcproxy/line.go
+++ b/internal/grpcproxy/line.go
@@ -93,13 +93,13 @@
 			continue
 		}
 		if l.written >= a.begun {
-			a.ended(grpcwire.Broken)
+			a.ended(grpcwire.ConnectionLost)
 		} else {
-			a.ended(grpcwire.NeverBegun)
+			a.ended(grpcwire.NotSent)
 		}
 	}
 	for _, a := range append([]*attempt(nil), l.waiting...) {
-		a.ended(grpcwire.NeverBegun)
+		a.ended(grpcwire.NotSent)
 	}
 	if tell {
 		l.f.pool.Lost(l.f.r.Now(), l.channel)
@@ -109,7 +109,7 @@
 // withdraw takes back the calls of which nothing has begun.
 func (l *line) withdraw() {
 	for _, a := range append([]*attempt(nil), l.waiting...) {
-		a.ended(grpcwire.Withdrawn)
+		a.ended(grpcwire.ServerDraining)
 	}
 }
 
@@ -153,7 +153,7 @@
 	// What is pumped before goes out first, so that the places of this head are known.
 	l.put()
 	a.start = l.asked
-	a.s = l.h.StartStream(grpcwire.Onward(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
+	a.s = l.h.StartStream(grpcwire.ForwardedRequestHeaders(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
 	l.put()
 	a.begun = l.asked
 	f.touch(l)
@@ -215,26 +215,26 @@
 	}
 	if s.HeaderBlocks() > 1 && a.head != nil {
 		if !end {
-			a.broken(grpcwire.Malformed)
+			a.broken(grpcwire.MalformedResponse)
 			return
 		}
-		a.status(grpcwire.Backward(fields))
+		a.status(grpcwire.ForwardedResponseHeaders(fields))
 		return
 	}
-	status, _ := grpcwire.Get(fields, ":status")
-	kind, _ := grpcwire.Get(fields, "content-type")
-	_, says := grpcwire.Get(fields, "grpc-status")
+	status, _ := grpcwire.FirstValue(fields, ":status")
+	kind, _ := grpcwire.FirstValue(fields, "content-type")
+	_, says := grpcwire.FirstValue(fields, "grpc-status")
 	switch {
 	case len(status) == 3 && status[0] == '1' && !end: // an interim response
 		return
-	case status != "200" && !says, status == "200" && !grpcwire.IsGRPC(kind) && !says:
-		a.broken(grpcwire.OfHTTP(status))
+	case status != "200" && !says, status == "200" && !grpcwire.IsGRPCContentType(kind) && !says:
+		a.broken(grpcwire.ResultFromHTTPStatus(status))
 		return
 	case end:
-		a.status(grpcwire.Backward(fields))
+		a.status(grpcwire.ForwardedResponseHeaders(fields))
 		return
 	}
-	a.head = grpcwire.Backward(fields)
+	a.head = grpcwire.ForwardedResponseHeaders(fields)
 	if a.k.winner == a || a.k.route.Commit == routes.AtHeaders {
 		if a.commit(); !a.over {
 			a.release()
@@ -243,7 +243,9 @@
 }
 
 // HeaderListTooLarge is metadata over the limit.
-func (l *line) HeaderListTooLarge(s *h2.Stream) { s.UserData.(*attempt).broken(grpcwire.HeadTooLong) }
+func (l *line) HeaderListTooLarge(s *h2.Stream) {
+	s.UserData.(*attempt).broken(grpcwire.MetadataTooLarge)
+}
 
 // DataReceived implements h2.Events: bytes of a body have come.
 func (l *line) DataReceived(s *h2.Stream, b []byte, end bool) {
@@ -252,7 +254,7 @@
 		return
 	}
 	if a.head == nil {
-		a.broken(grpcwire.Malformed)
+		a.broken(grpcwire.MalformedResponse)
 		return
 	}
 	if len(b) > 0 {
@@ -266,7 +268,7 @@
 // StreamReset implements h2.Events: the stream was reset.
 func (l *line) StreamReset(s *h2.Stream, code h2.ErrorCode) {
 	if a, ok := s.UserData.(*attempt); ok {
-		a.ended(grpcwire.OfReset(code))
+		a.ended(grpcwire.ResultFromReset(code))
 	}
 }
 
--- a/internal/grpcproxy/table_test.go
+++ b/internal/grpcproxy/table_test.go
@@ -30,7 +30,7 @@
 	if k.Get("x-a") != "1" || k.Get("b-bin") != "AAEC" || k.Get("te") != "trailers" || k.Get(":authority") != "api" {
 		t.Error("not passed on as it came:", k.Fields)
 	}
-	if ms, ok := grpcwire.Timeout(k.Get("grpc-timeout")); !ok || ms > 495 || ms < 450 {
+	if ms, ok := grpcwire.ParseTimeout(k.Get("grpc-timeout")); !ok || ms > 495 || ms < 450 {
 		t.Error("the server was told", k.Get("grpc-timeout"))
 	}
 	c.E.Close()
@@ -84,7 +84,7 @@
 	}
 	// HTTP/2 error codes.
 	for code := http2.ErrCodeNo; code <= http2.ErrCodeInadequateSecurity; code++ {
-		end := grpcwire.OfReset(code)
+		end := grpcwire.ResultFromReset(code)
 		if code == http2.ErrCodeRefusedStream {
 			add(row{name: "refused stream", path: quick, acts: acts(p.Reset(1, code)), got: "ok", subs: 2, told: "answered full"})
 			add(row{name: "refused stream, once", path: once, acts: acts(p.Reset(1, code)), got: "ok", subs: 2, told: "answered full"})
--- a/internal/grpcwire/grpcwire.go
+++ b/internal/grpcwire/grpcwire.go
@@ -35,24 +35,24 @@
 	Unavailable
 	DataLoss
 	Unauthenticated
-	Statuses // how many there are
+	StatusCount // how many there are
 )
 
-var names = [...]string{"OK", "CANCELLED", "UNKNOWN", "INVALID_ARGUMENT", "DEADLINE_EXCEEDED", "NOT_FOUND", "ALREADY_EXISTS",
+var statusNames = [...]string{"OK", "CANCELLED", "UNKNOWN", "INVALID_ARGUMENT", "DEADLINE_EXCEEDED", "NOT_FOUND", "ALREADY_EXISTS",
 	"PERMISSION_DENIED", "RESOURCE_EXHAUSTED", "FAILED_PRECONDITION", "ABORTED", "OUT_OF_RANGE", "UNIMPLEMENTED", "INTERNAL",
 	"UNAVAILABLE", "DATA_LOSS", "UNAUTHENTICATED"}
 
 // String gives the status's name as gRPC spells it, or its number.
 func (s Status) String() string {
-	if int(s) < len(names) {
-		return names[s]
+	if int(s) < len(statusNames) {
+		return statusNames[s]
 	}
 	return "UNKNOWN"
 }
 
-// ByName finds a status by its name in capitals.
-func ByName(name string) (Status, bool) {
-	for i, n := range names {
+// StatusByName finds a status by its name in capitals.
+func StatusByName(name string) (Status, bool) {
+	for i, n := range statusNames {
 		if n == name {
 			return Status(i), true
 		}
@@ -60,17 +60,17 @@
 	return Unknown, false
 }
 
-// End is how a sub-request ended, as its server or its connection told: what the client is to hear if this is the last
+// Result is how a sub-request ended, as its server or its connection told: what the client is to hear if this is the last
 // word, what it tells the module, and why.
-type End struct {
+type Result struct {
 	Status  Status
 	Message string
-	How     policy.Outcome
+	Outcome policy.Outcome
 }
 
-// ofStatus says of each status what it tells. An application that refuses has answered, and its health is not in
+// outcomeByStatus says of each status what it tells. An application that refuses has answered, and its health is not in
 // question; whatever may come from the server's own trouble counts as an error that may have run.
-var ofStatus = [Statuses]policy.Outcome{
+var outcomeByStatus = [StatusCount]policy.Outcome{
 	OK: policy.Answered, Cancelled: policy.Errored, Unknown: policy.Errored, InvalidArgument: policy.Answered,
 	DeadlineExceeded: policy.TimedOut, NotFound: policy.Answered, AlreadyExists: policy.Answered,
 	PermissionDenied: policy.Answered, ResourceExhausted: policy.Errored, FailedPrecondition: policy.Answered,
@@ -78,31 +78,31 @@
 	Unavailable: policy.Errored, DataLoss: policy.Errored, Unauthenticated: policy.Answered,
 }
 
-// OfTrailers reads a status from trailers, or from the header block of a response that has nothing else. unseen are
+// ResultFromTrailers reads a status from trailers, or from the header block of a response that has nothing else. unseen are
 // the statuses, a bit each, of which the operator knows that they come before anything has run; that counts only where
 // no message came with them.
-func OfTrailers(fields []h2.Field, unseen uint32, messages int) End {
-	code, found := Get(fields, "grpc-status")
+func ResultFromTrailers(fields []h2.Field, rejectedUnprocessed uint32, messages int) Result {
+	code, found := FirstValue(fields, "grpc-status")
 	if !found {
-		return End{Unknown, "the server closed the stream without a status", policy.Errored}
+		return Result{Unknown, "the server closed the stream without a status", policy.Errored}
 	}
 	n, err := strconv.ParseUint(code, 10, 32)
-	e := End{Status: Unknown, How: policy.Errored}
-	if err == nil && n < uint64(Statuses) {
-		e.Status, e.How = Status(n), ofStatus[n]
+	e := Result{Status: Unknown, Outcome: policy.Errored}
+	if err == nil && n < uint64(StatusCount) {
+		e.Status, e.Outcome = Status(n), outcomeByStatus[n]
 	}
-	if m, ok := Get(fields, "grpc-message"); ok {
-		e.Message = Unescape(m)
+	if m, ok := FirstValue(fields, "grpc-message"); ok {
+		e.Message = DecodeMessage(m)
 	}
-	if e.Status != OK && messages == 0 && unseen&(1<<e.Status) != 0 {
-		e.How = policy.Rejected
+	if e.Status != OK && messages == 0 && rejectedUnprocessed&(1<<e.Status) != 0 {
+		e.Outcome = policy.Rejected
 	}
 	return e
 }
 
-// OfHTTP is a response that is none of gRPC's, by gRPC's page on HTTP statuses.
-func OfHTTP(status string) End {
-	e := End{Unknown, "the server answered with HTTP status " + status, policy.Errored}
+// ResultFromHTTPStatus is a response that is none of gRPC's, by gRPC's page on HTTP statuses.
+func ResultFromHTTPStatus(status string) Result {
+	e := Result{Unknown, "the server answered with HTTP status " + status, policy.Errored}
 	switch status {
 	case "400":
 		e.Status = Internal
@@ -120,12 +120,12 @@
 	return e
 }
 
-// OfReset is a stream that its server reset, by gRPC's table of HTTP/2 error codes.
-func OfReset(code h2.ErrorCode) End {
-	e := End{Internal, "the server reset the stream: " + code.String(), policy.Errored}
+// ResultFromReset is a stream that its server reset, by gRPC's table of HTTP/2 error codes.
+func ResultFromReset(code h2.ErrorCode) Result {
+	e := Result{Internal, "the server reset the stream: " + code.String(), policy.Errored}
 	switch code {
 	case http2.ErrCodeRefusedStream: // it has not been looked at, RFC 9113, 8.7
-		e.Status, e.How = Unavailable, policy.Rejected
+		e.Status, e.Outcome = Unavailable, policy.Rejected
 	case http2.ErrCodeCancel:
 		e.Status = Cancelled
 	case http2.ErrCodeEnhanceYourCalm:
@@ -140,21 +140,21 @@
 
 // The other ends.
 var (
-	Unprocessed = End{Unavailable, "the server takes no more streams on this connection", policy.NeverSent}
-	NeverBegun  = End{Unavailable, "the connection broke before the call was sent", policy.NeverSent}
-	NoConnect   = End{Unavailable, "no connection to the server", policy.ConnectFailed}
-	NoPlace     = End{Unavailable, "the server's streams are all taken", policy.Rejected}
-	Withdrawn   = End{Unavailable, "the server is draining", policy.NeverSent}
-	NoAddress   = End{Unavailable, "the server has no gRPC address", policy.NeverSent}
-	Broken      = End{Unavailable, "the connection to the server broke", policy.Reset}
-	Malformed   = End{Internal, "the server sent what is no gRPC message", policy.Errored}
-	CutShort    = End{Internal, "the server's last message is not whole", policy.Errored}
-	TooLong     = End{ResourceExhausted, "the server's message is over the limit", policy.Answered}
-	HeadTooLong = End{ResourceExhausted, "the server's metadata is over the limit", policy.Answered}
+	Unprocessed       = Result{Unavailable, "the server takes no more streams on this connection", policy.NeverSent}
+	NotSent           = Result{Unavailable, "the connection broke before the call was sent", policy.NeverSent}
+	ConnectFailed     = Result{Unavailable, "no connection to the server", policy.ConnectFailed}
+	NoStreamAvailable = Result{Unavailable, "the server's streams are all taken", policy.Rejected}
+	ServerDraining    = Result{Unavailable, "the server is draining", policy.NeverSent}
+	NoAddress         = Result{Unavailable, "the server has no gRPC address", policy.NeverSent}
+	ConnectionLost    = Result{Unavailable, "the connection to the server broke", policy.Reset}
+	MalformedResponse = Result{Internal, "the server sent what is no gRPC message", policy.Errored}
+	TruncatedMessage  = Result{Internal, "the server's last message is not whole", policy.Errored}
+	MessageTooLarge   = Result{ResourceExhausted, "the server's message is over the limit", policy.Answered}
+	MetadataTooLarge  = Result{ResourceExhausted, "the server's metadata is over the limit", policy.Answered}
 )
 
-// Get finds a field; of several the first.
-func Get(fields []h2.Field, name string) (string, bool) {
+// FirstValue finds a field; of several the first.
+func FirstValue(fields []h2.Field, name string) (string, bool) {
 	for i := range fields {
 		if fields[i].Name == name {
 			return fields[i].Value, true
@@ -163,9 +163,9 @@
 	return "", false
 }
 
-// Pushback reads a server's wish, in milliseconds: below 0, or not to be read, it wants no repeat.
-func Pushback(fields []h2.Field) (wait float64, found bool) {
-	v, found := Get(fields, "grpc-retry-pushback-ms")
+// RetryPushback reads a server's wish, in milliseconds: below 0, or not to be read, it wants no repeat.
+func RetryPushback(fields []h2.Field) (wait float64, found bool) {
+	v, found := FirstValue(fields, "grpc-retry-pushback-ms")
 	if !found {
 		return 0, false
 	}
@@ -176,15 +176,15 @@
 	return float64(n), true
 }
 
-// Repeated tells whether a call's client says that it has tried before (A6).
-func Repeated(look func(name string) (string, bool)) bool {
-	v, found := look("grpc-previous-rpc-attempts")
+// IsRetry tells whether a call's client says that it has tried before (A6).
+func IsRetry(lookup func(name string) (string, bool)) bool {
+	v, found := lookup("grpc-previous-rpc-attempts")
 	n, err := strconv.ParseUint(v, 10, 32)
 	return found && err == nil && n > 0
 }
 
-// Timeout reads grpc-timeout, in milliseconds: at most eight digits and a unit.
-func Timeout(v string) (ms float64, ok bool) {
+// ParseTimeout reads grpc-timeout, in milliseconds: at most eight digits and a unit.
+func ParseTimeout(v string) (ms float64, ok bool) {
 	if len(v) < 2 || len(v) > 9 {
 		return 0, false
 	}
@@ -226,8 +226,8 @@
 	return "99999999H"
 }
 
-// Escape writes a message as grpc-message has it.
-func Escape(s string) string {
+// EncodeMessage writes a message as grpc-message has it.
+func EncodeMessage(s string) string {
 	var b strings.Builder
 	for i := range len(s) {
 		if c := s[i]; c >= ' ' && c <= '~' && c != '%' {
@@ -241,8 +241,8 @@
 	return b.String()
 }
 
-// Unescape reads it; what can't be read stays as it is.
-func Unescape(s string) string {
+// DecodeMessage reads it; what can't be read stays as it is.
+func DecodeMessage(s string) string {
 	if !strings.Contains(s, "%") {
 		return s
 	}
@@ -260,15 +260,15 @@
 	return b.String()
 }
 
-// IsGRPC tells whether a content-type is gRPC's.
-func IsGRPC(kind string) bool {
-	rest, ok := strings.CutPrefix(strings.ToLower(kind), "application/grpc")
+// IsGRPCContentType tells whether a content-type is gRPC's.
+func IsGRPCContentType(contentType string) bool {
+	rest, ok := strings.CutPrefix(strings.ToLower(contentType), "application/grpc")
 	return ok && (rest == "" || rest[0] == '+' || rest[0] == ';')
 }
 
-// Onward gives the header block for a server: as the client sent it, without what belongs to its hop. It counts the
+// ForwardedRequestHeaders gives the header block for a server: as the client sent it, without what belongs to its hop. It counts the
 // attempts before this one on top of those that the client tells of.
-func Onward(fields []h2.Field, timeout float64, attempts int) []h2.Field {
+func ForwardedRequestHeaders(fields []h2.Field, timeout float64, attempts int) []h2.Field {
 	to := make([]h2.Field, 0, len(fields)+2)
 	for _, f := range fields {
 		switch f.Name {
@@ -288,8 +288,8 @@
 	return to
 }
 
-// Backward gives a server's fields for the client, without what belongs to its hop.
-func Backward(fields []h2.Field) []h2.Field {
+// ForwardedResponseHeaders gives a server's fields for the client, without what belongs to its hop.
+func ForwardedResponseHeaders(fields []h2.Field) []h2.Field {
 	to := make([]h2.Field, 0, len(fields))
 	for _, f := range fields {
 		if f.Name != "content-length" {
@@ -299,71 +299,71 @@
 	return to
 }
 
-// Trailers writes a status of the broker's own. back: above 0 when to come again, below 0 not at all, 0 without advice.
-func Trailers(to []h2.Field, s Status, message string, back float64) []h2.Field {
-	to = append(to, h2.Field{Name: "grpc-status", Value: strconv.Itoa(int(s))})
+// AppendTrailers writes a status of the broker's own. back: above 0 when to come again, below 0 not at all, 0 without advice.
+func AppendTrailers(fields []h2.Field, s Status, message string, pushback float64) []h2.Field {
+	fields = append(fields, h2.Field{Name: "grpc-status", Value: strconv.Itoa(int(s))})
 	if message != "" {
-		to = append(to, h2.Field{Name: "grpc-message", Value: Escape(message)})
+		fields = append(fields, h2.Field{Name: "grpc-message", Value: EncodeMessage(message)})
 	}
-	if back > 0 {
-		to = append(to, h2.Field{Name: "grpc-retry-pushback-ms", Value: strconv.Itoa(int(math.Ceil(back)))})
-	} else if back < 0 {
-		to = append(to, h2.Field{Name: "grpc-retry-pushback-ms", Value: "-1"})
+	if pushback > 0 {
+		fields = append(fields, h2.Field{Name: "grpc-retry-pushback-ms", Value: strconv.Itoa(int(math.Ceil(pushback)))})
+	} else if pushback < 0 {
+		fields = append(fields, h2.Field{Name: "grpc-retry-pushback-ms", Value: "-1"})
 	}
-	return to
+	return fields
 }
 
-// Head is the header block of a response of the broker's own.
-func Head() []h2.Field {
+// NewResponseHeaders is the header block of a response of the broker's own.
+func NewResponseHeaders() []h2.Field {
 	return []h2.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
 }
 
-// Scan follows the length-prefixed messages of a body as its bytes come, in whatever pieces.
-type Scan struct {
-	Messages int // whole ones
-	head     [5]byte
-	have     int
-	left     int
+// MessageScanner follows the length-prefixed messages of a body as its bytes come, in whatever pieces.
+type MessageScanner struct {
+	CompleteMessages int // whole ones
+	prefix           [5]byte
+	prefixBytes      int
+	remaining        int
 }
 
 // What Feed finds wrong.
 const (
-	Sound = iota
-	BadFlag
-	Over
+	ScanOK = iota
+	InvalidFlag
+	MessageOverLimit
 )
 
 // Feed reads on. A message over most bytes is found by its head, before any of it has come.
-func (m *Scan) Feed(b []byte, most int) (wrong int) {
+func (m *MessageScanner) Feed(b []byte, maxMessageBytes int) (wrong int) {
 	for len(b) > 0 {
-		if m.left > 0 {
-			n := min(m.left, len(b))
-			m.left -= n
-			if b = b[n:]; m.left == 0 {
-				m.Messages++
+		if m.remaining > 0 {
+			n := min(m.remaining, len(b))
+			m.remaining -= n
+			if b = b[n:]; m.remaining == 0 {
+				m.CompleteMessages++
 			}
 			continue
 		}
-		n := copy(m.head[m.have:], b)
-		m.have += n
+		n := copy(m.prefix[m.prefixBytes:], b)
+		m.prefixBytes += n
 		b = b[n:]
-		if m.head[0] > 1 {
-			return BadFlag
+		if m.prefix[0] > 1 {
+			return InvalidFlag
 		}
-		if m.have < len(m.head) {
-			return Sound
+		if m.prefixBytes < len(m.prefix) {
+			return ScanOK
 		}
-		m.have = 0
-		size := uint64(m.head[1])<<24 | uint64(m.head[2])<<16 | uint64(m.head[3])<<8 | uint64(m.head[4])
-		if size > uint64(most) {
-			return Over
+		m.prefixBytes = 0
+		size := uint64(m.prefix[1])<<24 | uint64(m.prefix[2])<<16 | uint64(m.prefix[3])<<8 | uint64(m.prefix[4])
+		if size > uint64(maxMessageBytes) {
+			return MessageOverLimit
 		}
-		if m.left = int(size); m.left == 0 {
-			m.Messages++
+		if m.remaining = int(size); m.remaining == 0 {
+			m.CompleteMessages++
 		}
 	}
-	return Sound
+	return ScanOK
 }
 
-// Between tells whether no message has come in part.
-func (m *Scan) Between() bool { return m.have == 0 && m.left == 0 }
+// AtBoundary tells whether no message has come in part.
+func (m *MessageScanner) AtBoundary() bool { return m.prefixBytes == 0 && m.remaining == 0 }
--- a/internal/grpcwire/grpcwire_test.go
+++ b/internal/grpcwire/grpcwire_test.go
@@ -7,21 +7,21 @@
 	"kestrelspread/internal/h2"
 )
 
-func TestTimeouts(t *testing.T) {
+func TestTimeoutsAreParsedAndFormatted(t *testing.T) {
 	for text, want := range map[string]float64{"1H": 3600e3, "2M": 120e3, "3S": 3000, "250m": 250, "1500u": 1.5, "5000000n": 5,
 		"0n": 0, "99999999H": 99999999 * 3600e3} {
-		if ms, ok := Timeout(text); !ok || ms < want*0.999999 || ms > want*1.000001 {
+		if ms, ok := ParseTimeout(text); !ok || ms < want*0.999999 || ms > want*1.000001 {
 			t.Error(text, ms, ok)
 		}
 	}
 	for _, text := range []string{"", "S", "1", "1s", "123456789S", "-1S", "1.5S", " 1S", "1 S", "+1S"} {
-		if _, ok := Timeout(text); ok {
+		if _, ok := ParseTimeout(text); ok {
 			t.Errorf("%q is read", text)
 		}
 	}
 	for range 1000 {
 		ms := rand.ExpFloat64() * 1e6
-		if got, ok := Timeout(FormatTimeout(ms)); !ok || got > ms*1.000001 || got < ms*0.999-0.01 {
+		if got, ok := ParseTimeout(FormatTimeout(ms)); !ok || got > ms*1.000001 || got < ms*0.999-0.01 {
 			t.Fatal(ms, FormatTimeout(ms), got)
 		}
 	}
@@ -30,65 +30,65 @@
 	}
 }
 
-func TestMessagesAreEscaped(t *testing.T) {
+func TestStatusMessagesArePercentEncoded(t *testing.T) {
 	for _, s := range []string{"", "plain", "é%\n", "%41", "100%"} {
-		if got := Unescape(Escape(s)); got != s {
+		if got := DecodeMessage(EncodeMessage(s)); got != s {
 			t.Errorf("%q became %q", s, got)
 		}
 	}
-	if Unescape("%4") != "%4" || Unescape("%zz") != "%zz" {
+	if DecodeMessage("%4") != "%4" || DecodeMessage("%zz") != "%zz" {
 		t.Error("what can't be read stays")
 	}
 }
 
-func TestScanFindsMessagesInAnyPieces(t *testing.T) {
+func TestScannerFindsMessagesInAnyFragments(t *testing.T) {
 	body := []byte{0, 0, 0, 0, 3, 'a', 'b', 'c', 1, 0, 0, 0, 0, 0, 0, 0, 0, 1, 'x'}
 	for range 300 {
-		var m Scan
+		var m MessageScanner
 		for rest := body; len(rest) > 0; {
 			n := 1 + rand.IntN(len(rest))
-			if wrong := m.Feed(rest[:n], 3); wrong != Sound {
+			if wrong := m.Feed(rest[:n], 3); wrong != ScanOK {
 				t.Fatal(wrong)
 			}
 			rest = rest[n:]
 		}
-		if m.Messages != 3 || !m.Between() {
+		if m.CompleteMessages != 3 || !m.AtBoundary() {
 			t.Fatal(m)
 		}
 	}
-	var m Scan
-	if m.Feed(body[:8], 2) != Over {
+	var m MessageScanner
+	if m.Feed(body[:8], 2) != MessageOverLimit {
 		t.Error("over the limit")
 	}
-	m = Scan{}
-	if m.Feed([]byte{2}, 9) != BadFlag {
+	m = MessageScanner{}
+	if m.Feed([]byte{2}, 9) != InvalidFlag {
 		t.Error("a wrong flag")
 	}
-	m = Scan{}
-	if m.Feed(body[:6], 9); m.Between() {
+	m = MessageScanner{}
+	if m.Feed(body[:6], 9); m.AtBoundary() {
 		t.Error("half a message")
 	}
 }
 
-func TestHeadsPassOnward(t *testing.T) {
+func TestRequestHeadersAreForwarded(t *testing.T) {
 	in := []h2.Field{{Name: ":path", Value: "/a/b"}, {Name: "te", Value: "trailers"}, {Name: "grpc-timeout", Value: "1S"},
 		{Name: "content-length", Value: "5"}, {Name: "grpc-encoding", Value: "gzip"}, {Name: "x", Value: "1"}, {Name: "x", Value: "2"},
 		{Name: "grpc-previous-rpc-attempts", Value: "2"}}
-	out := Onward(in, 20, 1)
+	out := ForwardedRequestHeaders(in, 20, 1)
 	count := map[string]int{}
 	for _, f := range out {
 		count[f.Name]++
 	}
-	attempts, _ := Get(out, "grpc-previous-rpc-attempts")
-	timeout, _ := Get(out, "grpc-timeout")
+	attempts, _ := FirstValue(out, "grpc-previous-rpc-attempts")
+	timeout, _ := FirstValue(out, "grpc-timeout")
 	if count["x"] != 2 || count["te"] != 1 || count["content-length"] != 0 || count["grpc-timeout"] != 1 || attempts != "3" || timeout != "20000u" {
 		t.Error(out)
 	}
 }
 
-func TestRepeatedCallsSaySo(t *testing.T) {
+func TestRetriesOfTheClientAreRecognised(t *testing.T) {
 	for v, want := range map[string]bool{"": false, "0": false, "1": true, "7": true, "-1": false, "x": false} {
-		if Repeated(func(string) (string, bool) { return v, v != "" }) != want {
+		if IsRetry(func(string) (string, bool) { return v, v != "" }) != want {
 			t.Errorf("%q: want %v", v, want)
 		}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -526,7 +526,7 @@
 			to.Commit = routes.AtEnd
 		}
 		for _, name := range f.Unseen {
-			code, _ := grpcwire.ByName(name)
+			code, _ := grpcwire.StatusByName(name)
 			to.Unseen |= 1 << code
 		}
 		for _, m := range f.Match.Metadata {
