--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -108,8 +108,8 @@
 
 // start makes a search of the call.
 func (k *call) start(shard int, look routes.Lookup) {
-	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.Work, Key: k.route.About(look)}}
-	q := k.f.r.Ask(k.route.Kind, k.customer, k.until, grpcwire.IsRetry(look), pieces[:], k)
+	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.WorkHint, Key: k.route.AffinityHash(look)}}
+	q := k.f.r.Ask(k.route.QueryType, k.customer, k.until, grpcwire.IsRetry(look), pieces[:], k)
 	if k.q = q; !k.final && !k.reqEnd {
 		k.f.r.Open(q, true)
 	}
@@ -138,7 +138,7 @@
 	if k.told {
 		return
 	}
-	switch k.reqScan.Feed(b, k.route.Message) {
+	switch k.reqScan.Feed(b, k.route.MaxMessageBytes) {
 	case grpcwire.MessageOverLimit:
 		k.f.Count.TooLong++
 		k.finish(grpcwire.ResourceExhausted, "the message is over the limit", -1)
@@ -176,7 +176,7 @@
 // outgrow commits the one sub-request that is out once the repeat buffer is full: what is needed to begin another will be
 // gone. Where two are out, the one that has got further goes on.
 func (k *call) outgrow() {
-	if k.winner != nil || k.req.to <= int64(k.route.Repeat) {
+	if k.winner != nil || k.req.to <= int64(k.route.RetryBufferBytes) {
 		return
 	}
 	var far *attempt
@@ -189,7 +189,7 @@
 		k.f.Count.Outgrown++
 		k.winner = far
 		k.trim()
-		if far.s != nil && far.head != nil && k.route.Commit != routes.AtEnd {
+		if far.s != nil && far.head != nil && k.route.CommitPoint != routes.AtEnd {
 			far.release()
 		}
 	}
@@ -526,7 +526,7 @@
 		return
 	}
 	a.resp.add(b)
-	switch a.scan.Feed(b, k.route.Message) {
+	switch a.scan.Feed(b, k.route.MaxMessageBytes) {
 	case grpcwire.InvalidFlag:
 		a.broken(grpcwire.MalformedResponse)
 		return
@@ -535,7 +535,7 @@
 		a.broken(grpcwire.MessageTooLarge)
 		return
 	}
-	if k.route.Commit == routes.AtEnd && a.resp.size() <= k.route.Hold {
+	if k.route.CommitPoint == routes.AtEnd && a.resp.size() <= k.route.ResponseBufferBytes {
 		a.credit()
 		return
 	}
@@ -617,7 +617,7 @@
 	}
 	a.whole = true
 	k := a.k
-	e := grpcwire.ResultFromTrailers(trailers, k.route.Unseen, a.scan.CompleteMessages)
+	e := grpcwire.ResultFromTrailers(trailers, k.route.RejectedUnprocessed, a.scan.CompleteMessages)
 	a.trailers = trailers
 	if e.Outcome == policy.Answered && !a.scan.AtBoundary() {
 		e, a.trailers = grpcwire.TruncatedMessage, nil
--- a/internal/grpcproxy/client.go
+++ b/internal/grpcproxy/client.go
@@ -308,7 +308,7 @@
 		c.refuse(s, grpcwire.Unimplemented, "no route for "+path, 0)
 		return
 	}
-	timeout := route.Timeout
+	timeout := route.DefaultTimeout
 	if v, found := look("grpc-timeout"); found {
 		var ok bool
 		if timeout, ok = grpcwire.ParseTimeout(v); !ok {
@@ -317,7 +317,7 @@
 			return
 		}
 	}
-	if timeout = min(timeout, route.TimeoutMost); timeout <= lastCall {
+	if timeout = min(timeout, route.MaxTimeout); timeout <= lastCall {
 		f.Count.Expired++
 		c.refuse(s, grpcwire.DeadlineExceeded, "no time is left", 0)
 		return
@@ -328,9 +328,9 @@
 		c.refuse(s, grpcwire.InvalidArgument, err.Error(), -1)
 		return
 	}
-	customer := route.Customer
-	if route.CustomerKey != "" {
-		if v, found := look(route.CustomerKey); found {
+	customer := route.DefaultCustomer
+	if route.CustomerMetadata != "" {
+		if v, found := look(route.CustomerMetadata); found {
 			customer = f.r.Customer(v)
 		}
 	}
--- a/internal/grpcproxy/hard_test.go
+++ b/internal/grpcproxy/hard_test.go
@@ -379,7 +379,7 @@
 	c := p.Dial(s.w, 1)
 	a := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
 	s.w.Run(50)
-	next := defaultRules(&routes.Route{Name: "other", Service: "other", Timeout: 500, TimeoutMost: 500, Message: 1 << 10})
+	next := defaultRules(&routes.Route{Name: "other", Service: "other", DefaultTimeout: 500, MaxTimeout: 500, MaxMessageBytes: 1 << 10})
 	s.f.Next.Store(next)
 	s.w.After(0, s.f.Reload)
 	s.w.Run(5)
@@ -424,8 +424,8 @@
 }
 
 func TestUnsoundCalls(t *testing.T) {
-	s := newScene(t, 20, 2, "", append(tableRoutes(), &routes.Route{Name: "by key", Service: "shards", Timeout: 500, TimeoutMost: 500,
-		Message: 1 << 10, Shard: routes.Shard{Metadata: "x-shard"}})...)
+	s := newScene(t, 20, 2, "", append(tableRoutes(), &routes.Route{Name: "by key", Service: "shards", DefaultTimeout: 500, MaxTimeout: 500,
+		MaxMessageBytes: 1 << 10, Shard: routes.ShardRule{MetadataKey: "x-shard"}})...)
 	c := p.Dial(s.w, 1)
 	for _, r := range []struct {
 		name   string
--- a/internal/grpcproxy/line.go
+++ b/internal/grpcproxy/line.go
@@ -235,7 +235,7 @@
 		return
 	}
 	a.head = grpcwire.ForwardedResponseHeaders(fields)
-	if a.k.winner == a || a.k.route.Commit == routes.AtHeaders {
+	if a.k.winner == a || a.k.route.CommitPoint == routes.AtHeaders {
 		if a.commit(); !a.over {
 			a.release()
 		}
--- a/internal/grpcproxy/world_test.go
+++ b/internal/grpcproxy/world_test.go
@@ -155,12 +155,12 @@
 func tableRoutes() (list []*routes.Route) {
 	for kind, name := range []string{"quick", "once", "keyed"} {
 		for commit, how := range []string{"message", "headers", "end"} {
-			list = append(list, &routes.Route{Name: name + how, Service: name + "." + how, Kind: kind, Timeout: 1000,
-				TimeoutMost: 5000, Message: 64 << 10, Repeat: 4 << 10, Hold: 16 << 10, Commit: routes.Commit(commit)})
+			list = append(list, &routes.Route{Name: name + how, Service: name + "." + how, QueryType: kind, DefaultTimeout: 1000,
+				MaxTimeout: 5000, MaxMessageBytes: 64 << 10, RetryBufferBytes: 4 << 10, ResponseBufferBytes: 16 << 10, CommitPoint: routes.CommitPoint(commit)})
 		}
 	}
-	return append(list, &routes.Route{Name: "unseen", Service: "unseen.once", Kind: 1, Timeout: 1000, TimeoutMost: 5000,
-		Message: 64 << 10, Repeat: 4 << 10, Unseen: 1 << grpcwire.ResourceExhausted})
+	return append(list, &routes.Route{Name: "unseen", Service: "unseen.once", QueryType: 1, DefaultTimeout: 1000, MaxTimeout: 5000,
+		MaxMessageBytes: 64 << 10, RetryBufferBytes: 4 << 10, RejectedUnprocessed: 1 << grpcwire.ResourceExhausted})
 }
 
 func netipFrom(a netip.Addr, port uint16) netip.AddrPort { return netip.AddrPortFrom(a, port) }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -499,17 +499,17 @@
 			wrong(at+"query-type", "the settings name no query type %q", f.QueryType)
 		}
 		deadline := set.Num("classes."+strconv.Itoa(kind)+".deadline-ms", 3000)
-		to := &routes.Route{Name: f.Name, Service: f.Match.Service, Method: f.Match.Method, Prefix: f.Match.Prefix, Kind: kind,
-			CustomerKey: f.Customer.Metadata, KeyOf: f.About,
-			Shard:   routes.Shard{Metadata: f.Shard.Metadata, Hash: f.Shard.Hash, Blocks: f.Shard.Blocks, Fixed: f.Shard.Fixed},
-			Timeout: or(f.Timeout, deadline), Message: kb * or(f.Message, 4096), Repeat: kb * or(f.Repeat, 64),
-			Hold: kb * or(f.Hold, 64), Work: f.Work}
-		to.TimeoutMost = or(f.TimeoutMost, max(to.Timeout, deadline))
-		if to.TimeoutMost < to.Timeout {
+		to := &routes.Route{Name: f.Name, Service: f.Match.Service, Method: f.Match.Method, Prefix: f.Match.Prefix, QueryType: kind,
+			CustomerMetadata: f.Customer.Metadata, AffinityMetadata: f.About,
+			Shard:          routes.ShardRule{MetadataKey: f.Shard.Metadata, Hash: f.Shard.Hash, BlockCount: f.Shard.Blocks, FixedShard: f.Shard.Fixed},
+			DefaultTimeout: or(f.Timeout, deadline), MaxMessageBytes: kb * or(f.Message, 4096), RetryBufferBytes: kb * or(f.Repeat, 64),
+			ResponseBufferBytes: kb * or(f.Hold, 64), WorkHint: f.Work}
+		to.MaxTimeout = or(f.TimeoutMost, max(to.DefaultTimeout, deadline))
+		if to.MaxTimeout < to.DefaultTimeout {
 			wrong(at+"timeout-most-ms", "under timeout-ms")
 		}
 		if f.Customer.Name != "" {
-			if to.Customer, known = customers[f.Customer.Name]; !known {
+			if to.DefaultCustomer, known = customers[f.Customer.Name]; !known {
 				wrong(at+"customer/name", "the settings name no customer %q", f.Customer.Name)
 			}
 		}
@@ -521,16 +521,16 @@
 		}
 		switch f.Commit {
 		case "headers":
-			to.Commit = routes.AtHeaders
+			to.CommitPoint = routes.AtHeaders
 		case "end":
-			to.Commit = routes.AtEnd
+			to.CommitPoint = routes.AtEnd
 		}
 		for _, name := range f.Unseen {
 			code, _ := grpcwire.StatusByName(name)
-			to.Unseen |= 1 << code
+			to.RejectedUnprocessed |= 1 << code
 		}
 		for _, m := range f.Match.Metadata {
-			c := routes.Condition{Key: m.Key, Any: m.Value == nil}
+			c := routes.Condition{Key: m.Key, AnyValue: m.Value == nil}
 			if m.Value != nil {
 				c.Value = *m.Value
 			}
@@ -542,7 +542,7 @@
 		return nil, bad
 	}
 	table, err := routes.New(list)
-	var c *routes.Conflict
+	var c *routes.ConflictError
 	if errors.As(err, &c) {
 		wrong("routes/"+strconv.Itoa(c.Second)+"/match", "matches the same calls as route %d, %q, and neither is the longer",
 			c.First, list[c.First].Name)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("%+v", s.GRPC)
 	}
 	r := s.GRPC.Rules.Table.Find("/pension.Balances/Get", func(string) (string, bool) { return "", false })
-	if r == nil || r.Commit != routes.AtEnd || r.Timeout != 1000 || r.TimeoutMost != 3000 || r.Hold != 256<<10 {
+	if r == nil || r.CommitPoint != routes.AtEnd || r.DefaultTimeout != 1000 || r.MaxTimeout != 3000 || r.ResponseBufferBytes != 256<<10 {
 		t.Errorf("%+v", r)
 	}
 	if s, err := Read([]byte(`{}`), set(t)); err != nil || s.GRPC != nil {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func meta(list ...string) Lookup {
+func metadata(list ...string) Lookup {
 	return func(key string) (string, bool) {
 		for i := 0; i+1 < len(list); i += 2 {
 			if list[i] == key {
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestTheLongestMatchWins(t *testing.T) {
+func TestLongestMatchWins(t *testing.T) {
 	table, err := New([]*Route{
 		{Name: "root", Prefix: "/"},
 		{Name: "pension", Prefix: "/pension."},
@@ -27,7 +27,7 @@
 		{Name: "get", Service: "pension.Balances", Method: "Get"},
 		{Name: "get trial", Service: "pension.Balances", Method: "Get", Metadata: []Condition{{Key: "x-trial", Value: "yes"}}},
 		{Name: "get trial no", Service: "pension.Balances", Method: "Get", Metadata: []Condition{{Key: "x-trial", Value: "no"}}},
-		{Name: "get both", Service: "pension.Balances", Method: "Get", Metadata: []Condition{{Key: "x-trial", Value: "yes"}, {Key: "x-any", Any: true}}},
+		{Name: "get both", Service: "pension.Balances", Method: "Get", Metadata: []Condition{{Key: "x-trial", Value: "yes"}, {Key: "x-any", AnyValue: true}}},
 		{Name: "gets", Prefix: "/pension.Balances/Get"},
 		{Name: "only with", Prefix: "/pension.History", Metadata: []Condition{{Key: "x-env", Value: "prod"}}},
 	})
@@ -38,43 +38,43 @@
 		path, want string
 		meta       Lookup
 	}{
-		{"/pension.Balances/Get", "get", meta()},
-		{"/pension.Balances/Get", "get trial", meta("x-trial", "yes")},
-		{"/pension.Balances/Get", "get trial no", meta("x-trial", "no")},
-		{"/pension.Balances/Get", "get both", meta("x-trial", "yes", "x-any", "")},
-		{"/pension.Balances/Get", "get", meta("x-trial", "maybe")},
-		{"/pension.Balances/GetAll", "gets", meta()},
-		{"/pension.Balances/Put", "balances", meta()},
-		{"/pension.BalancesX/Put", "pension", meta()},
-		{"/pension.History/Get", "only with", meta("x-env", "prod")},
-		{"/pension.History/Get", "pension", meta()},
-		{"/other", "root", meta()},
-		{"/", "root", meta()},
-		{"", "", meta()},
-		{"x", "", meta()},
+		{"/pension.Balances/Get", "get", metadata()},
+		{"/pension.Balances/Get", "get trial", metadata("x-trial", "yes")},
+		{"/pension.Balances/Get", "get trial no", metadata("x-trial", "no")},
+		{"/pension.Balances/Get", "get both", metadata("x-trial", "yes", "x-any", "")},
+		{"/pension.Balances/Get", "get", metadata("x-trial", "maybe")},
+		{"/pension.Balances/GetAll", "gets", metadata()},
+		{"/pension.Balances/Put", "balances", metadata()},
+		{"/pension.BalancesX/Put", "pension", metadata()},
+		{"/pension.History/Get", "only with", metadata("x-env", "prod")},
+		{"/pension.History/Get", "pension", metadata()},
+		{"/other", "root", metadata()},
+		{"/", "root", metadata()},
+		{"", "", metadata()},
+		{"x", "", metadata()},
 	} {
 		r := table.Find(c.path, c.meta)
-		if got := name(r); got != c.want {
+		if got := routeName(r); got != c.want {
 			t.Errorf("%s: %q, want %q", c.path, got, c.want)
 		}
 	}
 }
 
-func name(r *Route) string {
+func routeName(r *Route) string {
 	if r == nil {
 		return ""
 	}
 	return r.Name
 }
 
-func TestConflictsAreRefused(t *testing.T) {
+func TestConflictingRoutesAreRejected(t *testing.T) {
 	for i, list := range [][]*Route{
 		{{Service: "a"}, {Prefix: "/a/"}},
 		{{Service: "a", Method: "b"}, {Service: "a", Method: "b"}},
 		{{Prefix: "/", Metadata: []Condition{{Key: "x", Value: "1"}}}, {Prefix: "/", Metadata: []Condition{{Key: "y", Value: "1"}}}},
-		{{Prefix: "/", Metadata: []Condition{{Key: "x", Any: true}}}, {Prefix: "/", Metadata: []Condition{{Key: "x", Value: "1"}}}},
+		{{Prefix: "/", Metadata: []Condition{{Key: "x", AnyValue: true}}}, {Prefix: "/", Metadata: []Condition{{Key: "x", Value: "1"}}}},
 	} {
-		var c *Conflict
+		var c *ConflictError
 		if _, err := New(list); !errors.As(err, &c) || c.First != 0 || c.Second != 1 {
 			t.Error(i, err)
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// scan is the plain way: all routes, the best that fits.
-func scan(list []*Route, path string, m Lookup) *Route {
+// linearScan is the plain way: all routes, the best that fits.
+func linearScan(list []*Route, path string, m Lookup) *Route {
 	var best *Route
 	score := func(r *Route) int {
 		p, exact := r.pattern()
@@ -97,14 +97,14 @@
 	}
 	for _, r := range list {
 		p, exact := r.pattern()
-		if (exact && path == p || !exact && strings.HasPrefix(path, p)) && r.meets(m) && (best == nil || score(r) > score(best)) {
+		if (exact && path == p || !exact && strings.HasPrefix(path, p)) && r.matchesMetadata(m) && (best == nil || score(r) > score(best)) {
 			best = r
 		}
 	}
 	return best
 }
 
-func TestRandomTablesAgreeWithAScan(t *testing.T) {
+func TestRandomTablesAgreeWithLinearScan(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		word := func() string {
@@ -138,31 +138,31 @@
 		}
 		for range 200 {
 			path := "/" + word() + "/" + word()
-			m := meta("k", fmt.Sprint(rng.IntN(3)))
-			if got, want := table.Find(path, m), scan(list, path, m); got != want {
-				t.Fatalf("seed %d, %s: %q, want %q", seed, path, name(got), name(want))
+			m := metadata("k", fmt.Sprint(rng.IntN(3)))
+			if got, want := table.Find(path, m), linearScan(list, path, m); got != want {
+				t.Fatalf("seed %d, %s: %q, want %q", seed, path, routeName(got), routeName(want))
 			}
 		}
 	}
 }
 
-func TestShards(t *testing.T) {
-	by := func(s Shard, m Lookup) (int, error) { return (&Route{Shard: s}).ShardOf(m, 8) }
-	if n, err := by(Shard{Fixed: 3}, meta()); n != 3 || err != nil {
+func TestShardsAreFixedNamedOrHashed(t *testing.T) {
+	by := func(s ShardRule, m Lookup) (int, error) { return (&Route{Shard: s}).ShardOf(m, 8) }
+	if n, err := by(ShardRule{FixedShard: 3}, metadata()); n != 3 || err != nil {
 		t.Error(n, err)
 	}
 	for _, v := range []string{"8", "-1", "x", ""} {
-		if _, err := by(Shard{Metadata: "s"}, meta("s", v)); err == nil {
+		if _, err := by(ShardRule{MetadataKey: "s"}, metadata("s", v)); err == nil {
 			t.Errorf("%q is a shard", v)
 		}
 	}
-	if _, err := by(Shard{Metadata: "s"}, meta()); err == nil {
+	if _, err := by(ShardRule{MetadataKey: "s"}, metadata()); err == nil {
 		t.Error("none is a shard")
 	}
 	for _, hash := range []string{"fnv1a", "xxh64"} {
 		seen := map[int]int{}
 		for i := range 4000 {
-			n, err := by(Shard{Metadata: "s", Hash: hash, Blocks: 8}, meta("s", fmt.Sprint("person", i)))
+			n, err := by(ShardRule{MetadataKey: "s", Hash: hash, BlockCount: 8}, metadata("s", fmt.Sprint("person", i)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -174,8 +174,8 @@
 			}
 		}
 		// Binary metadata is its bytes, padded or not.
-		a, _ := by(Shard{Metadata: "s-bin", Hash: hash, Blocks: 8}, meta("s-bin", "AAEC/w=="))
-		b, _ := by(Shard{Metadata: "s-bin", Hash: hash, Blocks: 8}, meta("s-bin", "AAEC/w"))
+		a, _ := by(ShardRule{MetadataKey: "s-bin", Hash: hash, BlockCount: 8}, metadata("s-bin", "AAEC/w=="))
+		b, _ := by(ShardRule{MetadataKey: "s-bin", Hash: hash, BlockCount: 8}, metadata("s-bin", "AAEC/w"))
 		if a != b {
 			t.Error("padding moves a key")
 		}
@@ -186,7 +186,7 @@
 	}
 }
 
-func many(n int) (list []*Route, paths []string) {
+func manyRoutes(n int) (list []*Route, paths []string) {
 	for i := range n {
 		service := fmt.Sprintf("org.unit%d.pack%d.Service%d", i%7, i%100, i/4)
 		list = append(list, &Route{Name: fmt.Sprint(i), Service: service, Method: fmt.Sprintf("Method%d", i%4)})
@@ -197,12 +197,12 @@
 
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		list, paths := many(n)
+		list, paths := manyRoutes(n)
 		table, err := New(list)
 		if err != nil {
 			b.Fatal(err)
 		}
-		m := meta("x", "y")
+		m := metadata("x", "y")
 		b.Run(fmt.Sprintf("tree-%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -213,7 +213,7 @@
 		b.Run(fmt.Sprintf("scan-%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				scan(list, paths[i*7919%n], m)
+				linearScan(list, paths[i*7919%n], m)
 			}
 		})
 		exact := map[string][]*Route{}
@@ -226,7 +226,7 @@
 			for i := 0; b.Loop(); i++ {
 				path := paths[i*7919%n]
 				for _, r := range exact[path] {
-					if r.meets(m) {
+					if r.matchesMetadata(m) {
 						break
 					}
 				}
