--- a/internal/routes/routes_test.go
+++ b/internal/routes/table_test.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"strings"
 	"testing"
+	"unsafe"
 )
 
 func metadata(list ...string) Lookup {
@@ -85,7 +86,12 @@
 	}
 }
 
-// linearScan is the plain way: all routes, the best that fits.
+// sizeBytes is what a table takes beside its routes.
+func sizeBytes(t *Table) int {
+	return cap(t.nodes)*int(unsafe.Sizeof(node{})) + len(t.labels) + 4*cap(t.routeRefs) + 8*cap(t.routes)
+}
+
+// linearScan is the oracle: of all routes, the best that matches.
 func linearScan(list []*Route, path string, m Lookup) *Route {
 	var best *Route
 	score := func(r *Route) int {
@@ -146,6 +152,29 @@
 	}
 }
 
+func TestShortestOfTooManyPrefixesAreForgotten(t *testing.T) {
+	const prefixes = maxPrefixes + 6
+	var list []*Route
+	for n := 1; n <= prefixes; n++ {
+		list = append(list, &Route{Name: fmt.Sprint(n), Prefix: "/" + strings.Repeat("a", n),
+			Metadata: []Condition{{Key: "length", Value: fmt.Sprint(n)}}})
+	}
+	table, err := New(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := "/" + strings.Repeat("a", prefixes+1)
+	for n := 1; n <= prefixes; n++ {
+		want := ""
+		if n > prefixes-maxPrefixes {
+			want = fmt.Sprint(n)
+		}
+		if got := routeName(table.Find(path, metadata("length", fmt.Sprint(n)))); got != want {
+			t.Errorf("prefix of %d: %q, want %q", n, got, want)
+		}
+	}
+}
+
 func TestShardsAreFixedNamedOrHashed(t *testing.T) {
 	by := func(s ShardRule, m Lookup) (int, error) { return (&Route{Shard: s}).ShardOf(m, 8) }
 	if n, err := by(ShardRule{FixedShard: 3}, metadata()); n != 3 || err != nil {
@@ -208,7 +237,7 @@
 			for i := 0; b.Loop(); i++ {
 				table.Find(paths[i*7919%n], m)
 			}
-			b.ReportMetric(float64(table.bytes())/float64(n), "bytes/route")
+			b.ReportMetric(float64(sizeBytes(table))/float64(n), "bytes/route")
 		})
 		b.Run(fmt.Sprintf("scan-%d", n), func(b *testing.B) {
 			b.ReportAllocs()
