--- a/internal/docscheck/planted_test.go
+++ b/internal/docscheck/planted_test.go
@@ -30,7 +30,7 @@
 		{"continued line", "\n    kestrelctl site plan \\\n      --nowhere", "kestrelctl site plan has no flag --nowhere"},
 		{"program", "`bin/kestrelnowhere run`", "no command kestrelnowhere is built"},
 		{"pattern of go test", "`go test -run Nowhere ./internal/aggregator/policy`", "no test of internal/aggregator/policy matches -run Nowhere"},
-		{"flag of a test", "`go test ./internal/passthrough -args -nowhere 3`", "no test of internal/passthrough defines the flag -nowhere"},
+		{"flag of a test", "`go test ./internal/grpcproxy -args -nowhere 3`", "no test of internal/grpcproxy defines the flag -nowhere"},
 		{"build tag", "`go test -tags nowhere ./internal/aggregator/policy`", "no file has the build tag nowhere"},
 		{"member", "`policy.Nowhere`", "policy has no Nowhere"},
 		{"type", "`Nowhere.Step`", "no package, type or key Nowhere"},
