--- a/internal/rig/faultrun/broker.go
+++ b/internal/rig/faultrun/broker.go
@@ -14,68 +14,71 @@
 )
 
 const (
-	brokersAtStart = 5
-	model          = "m0"
-	loadTime       = 700 * time.Millisecond
+	initialBrokers = 5
+	modelName      = "m0"
+	modelLoadTime  = 700 * time.Millisecond
 	reportLag      = 200 * time.Millisecond
 )
 
 var errNoAnswer = errors.New("no answer")
 
-// broker is a model broker: it announces itself, takes orders and leaves.
+// broker is a simulated model server: it sends heartbeats, loads the weights that it is ordered to, and drains.
 type broker struct {
-	world    *World
-	id       string
-	address  string
-	zone     string
-	sequence uint64
-	draining bool
-	gone     bool
-	home     string        // control address for the next heartbeat; empty: any
-	ackedAt  time.Duration // of its word that it leaves; -1: never
-	version  uint64
-	busy     bool
-	orders   uint64
-	fence    uint64 // the highest seen
-	arrivals []arrival
+	sim             *simulation
+	id              string
+	address         string
+	zone            string
+	sequence        uint64
+	draining        bool
+	terminated      bool
+	controlAddress  string        // for the next heartbeat; empty: any machine
+	drainAckedAt    time.Duration // -1: its drain was not acknowledged
+	weightsVersion  uint64
+	loading         bool
+	orderCount      uint64
+	maxFencingToken uint64 // highest fencing token seen
+	arrivals        []orderArrival
 }
 
-// arrival is an order that reached a broker.
-type arrival struct {
-	at     time.Duration
-	holder string
-	fence  uint64
+// orderArrival records an order that reached a broker.
+type orderArrival struct {
+	receivedAt   time.Duration
+	leaseHolder  string
+	fencingToken uint64
 }
 
-// orderBody is what an order says. Source: PROTOCOL.md, "Requests".
+// orderBody is the body of an order. Source: PROTOCOL.md, "Requests".
 type orderBody struct {
-	Version uint64 `json:"version"`
-	Holder  string `json:"holder"`
-	Fence   uint64 `json:"fence"`
+	Version      uint64 `json:"version"`
+	LeaseHolder  string `json:"holder"`
+	FencingToken uint64 `json:"fence"`
 }
 
-func (w *World) startBrokers() {
-	for i := range brokersAtStart {
-		w.after(500*time.Millisecond+time.Duration(i)*50*time.Millisecond, func() { w.addBroker(zoneOf(i)) })
+// startBrokers adds the first brokers, one after another.
+func (sim *simulation) startBrokers() {
+	for i := range initialBrokers {
+		sim.after(500*time.Millisecond+time.Duration(i)*50*time.Millisecond, func() { sim.addBroker(zoneOf(i)) })
 	}
 }
 
-func (w *World) addBroker(zone string) {
-	number := len(w.brokers) + 1
+// addBroker adds a broker, which announces itself until it ends.
+func (sim *simulation) addBroker(zone string) {
+	number := len(sim.brokers) + 1
 	b := &broker{
-		world: w, id: fmt.Sprintf("i-%d", number), address: fmt.Sprintf("10.0.0.%d:80", number), zone: zone, ackedAt: -1, version: w.checks.weights,
+		sim: sim, id: fmt.Sprintf("i-%d", number), address: fmt.Sprintf("10.0.0.%d:80", number), zone: zone,
+		drainAckedAt: -1, weightsVersion: max(sim.checks.ackedWeights, 1),
 	}
-	b.version = max(b.version, 1)
-	w.brokers = append(w.brokers, b)
+	sim.brokers = append(sim.brokers, b)
 	b.heartbeat()
-	w.every(heartbeatTime, func() bool {
-		if !b.gone {
+	sim.every(heartbeatInterval, func() bool {
+		if !b.terminated {
 			b.heartbeat()
 		}
-		return !b.gone
+		return !b.terminated
 	})
 }
 
+// instance is the content of the next heartbeat.
 func (b *broker) instance() *nodepb.Instance {
 	state := nodepb.InstanceState_READY
 	if b.draining {
@@ -84,156 +87,164 @@
 	b.sequence++
 	return &nodepb.Instance{
 		Id: b.id, Service: "s", Address: b.address, Zone: b.zone, Slots: 4, State: state, Sequence: b.sequence, Stage: "both",
-		Models: []*nodepb.ModelOnInstance{{Name: model, Version: b.version}},
+		Models: []*nodepb.ModelOnInstance{{Name: modelName, Version: b.weightsVersion}},
 	}
 }
 
-// heartbeat announces the broker to its home, or to another machine where that does not answer.
+// heartbeat announces the broker to the machine named last, or to another one where that does not answer.
 func (b *broker) heartbeat() { b.announce(b.instance(), 4) }
 
+// announce sends one heartbeat, with at most so many attempts.
 func (b *broker) announce(instance *nodepb.Instance, attempts int) {
-	w := b.world
-	m := w.pick()
-	for _, named := range w.machines {
-		if b.home != "" && named.controlAddress() == b.home {
-			m = named
+	sim := b.sim
+	m := sim.pickMachine()
+	for _, candidate := range sim.machines {
+		if b.controlAddress != "" && candidate.controlAddress() == b.controlAddress {
+			m = candidate
 		}
 	}
-	moved := false
-	elsewhere := func() {
-		b.home = ""
-		if !moved && attempts > 1 && !b.gone {
-			moved = true
+	finished := false
+	retryElsewhere := func() {
+		b.controlAddress = ""
+		if !finished && attempts > 1 && !b.terminated {
+			finished = true
 			b.announce(instance, attempts-1)
 		}
 	}
-	w.after(callTimeout, elsewhere)
-	w.callMachine(m, elsewhere, func(request uint64) func(core.Time) {
-		m.answers[request] = func(answer core.RegistryReply) {
-			w.after(w.network.transit(), func() {
+	sim.after(callTimeout, retryElsewhere)
+	sim.callMachine(m, retryElsewhere, func(request uint64) func(core.Time) {
+		m.pendingRegistryReplies[request] = func(answer core.RegistryReply) {
+			sim.after(sim.network.transitTime(), func() {
 				if !answer.Accepted {
-					elsewhere()
+					retryElsewhere()
 					return
 				}
-				moved = true
-				b.home = answer.HeartbeatURL
-				if instance.State == nodepb.InstanceState_DRAINING && b.ackedAt < 0 {
-					b.ackedAt = w.now
-					w.logf("%s: drain of %s acknowledged", m.name, b.id)
+				finished = true
+				b.controlAddress = answer.HeartbeatURL
+				if instance.State == nodepb.InstanceState_DRAINING && b.drainAckedAt < 0 {
+					b.drainAckedAt = sim.now
+					sim.logf("%s: drain of %s acknowledged", m.name, b.id)
 				}
 			})
 		}
-		return func(now core.Time) { m.carryOut(m.node.Heartbeat(now, request, instance)) }
+		return func(now core.Time) { m.execute(m.node.Heartbeat(now, request, instance)) }
 	})
 }
 
-// leave has the broker say that it drains, and end a while after that is acknowledged. at names the machine it tells first.
-func (b *broker) leave(at *machine) {
-	w := b.world
-	if b.draining || b.gone {
+// drain has the broker announce that it drains, and end 8 s later, with a new broker in its zone.
+// firstNotified is the machine that the first announcement goes to; nil: as for any heartbeat.
+func (b *broker) drain(firstNotified *machine) {
+	sim := b.sim
+	if b.draining || b.terminated {
 		return
 	}
 	b.draining = true
-	if at != nil {
-		b.home = at.controlAddress()
+	if firstNotified != nil {
+		b.controlAddress = firstNotified.controlAddress()
 	}
-	w.logf("%s drains", b.id)
+	sim.logf("%s drains", b.id)
 	b.heartbeat()
-	w.after(8*time.Second, func() {
-		b.gone = true
-		w.addBroker(b.zone)
+	sim.after(8*time.Second, func() {
+		b.terminated = true
+		sim.addBroker(b.zone)
 	})
 }
 
-// order brings an order of a machine to a broker. It is sent only while it is valid by the machine's clock.
-func (w *World) order(m *machine, sent core.SendOrder) {
-	life := m.life
+// deliverOrder sends an order of a machine to a broker, and the result back to the incarnation that
+// sent it. An order is sent only while it is valid by the machine's clock.
+func (sim *simulation) deliverOrder(m *machine, sent core.SendOrder) {
+	incarnation := m.incarnation
 	if m.now() >= sent.ValidUntil {
-		m.input(func(now core.Time) {
-			m.carryOut(m.node.OrderDone(now, sent.Token, 0, rollout.ErrNotSent.New("too late")))
+		m.step(func(now core.Time) {
+			m.execute(m.node.OrderDone(now, sent.Token, 0, rollout.ErrNotSent.New("too late")))
 		})
 		return
 	}
-	w.after(w.network.transit(), func() {
-		at := slices.IndexFunc(w.brokers, func(b *broker) bool { return b.id == sent.InstanceID && !b.gone })
+	sim.after(sim.network.transitTime(), func() {
+		index := slices.IndexFunc(sim.brokers, func(b *broker) bool { return b.id == sent.InstanceID && !b.terminated })
 		status, err := 0, error(nil)
-		if at < 0 {
+		if index < 0 {
 			err = errNoAnswer
 		} else {
-			status = w.brokers[at].take(m, sent)
+			status = sim.brokers[index].handleOrder(m, sent)
 		}
-		w.after(w.network.transit(), func() {
-			if m.life == life {
-				m.input(func(now core.Time) { m.carryOut(m.node.OrderDone(now, sent.Token, status, err)) })
+		sim.after(sim.network.transitTime(), func() {
+			if m.incarnation == incarnation {
+				m.step(func(now core.Time) { m.execute(m.node.OrderDone(now, sent.Token, status, err)) })
 			}
 		})
 	})
 }
 
-// take is a broker that gets an order.
-func (b *broker) take(m *machine, sent core.SendOrder) int {
-	w := b.world
+// handleOrder answers an order with the HTTP status of a model server.
+func (b *broker) handleOrder(m *machine, sent core.SendOrder) int {
+	sim := b.sim
 	var body orderBody
 	if err := json.Unmarshal(sent.Body, &body); err != nil {
-		w.fail("order that can't be read: %v", err)
+		sim.fail("order can't be decoded: %v", err)
 	}
-	b.judge(m, arrival{at: w.now, holder: m.name, fence: body.Fence})
+	b.checkExclusivity(m, orderArrival{receivedAt: sim.now, leaseHolder: m.name, fencingToken: body.FencingToken})
 	switch {
-	case w.plan.Fencing && body.Fence < b.fence:
+	case sim.plan.Fencing && body.FencingToken < b.maxFencingToken:
 		return http.StatusPreconditionFailed
-	case b.version == body.Version:
+	case b.weightsVersion == body.Version:
 		return http.StatusOK
-	case b.busy:
+	case b.loading:
 		return http.StatusConflict
 	}
-	b.fence = max(b.fence, body.Fence)
-	b.busy = true
-	b.orders++
-	w.after(loadTime+time.Duration(w.random.Int64N(int64(loadTime))), func() {
-		b.busy = false
-		b.version = body.Version
+	b.maxFencingToken = max(b.maxFencingToken, body.FencingToken)
+	b.loading = true
+	b.orderCount++
+	sim.after(modelLoadTime+time.Duration(sim.random.Int64N(int64(modelLoadTime))), func() {
+		b.loading = false
+		b.weightsVersion = body.Version
 	})
 	return http.StatusAccepted
 }
 
-// judge holds an order against the rule ONE. Source: RULES.md, "Model brokers".
-func (b *broker) judge(m *machine, next arrival) {
-	w := b.world
-	if w.now-m.troubleAt < thawTime {
+// checkExclusivity checks that orders of two lease holders don't interleave. Source: RULES.md, "Model brokers".
+func (b *broker) checkExclusivity(m *machine, next orderArrival) {
+	sim := b.sim
+	if sim.now-m.faultChangedAt < thawGrace {
 		return
 	}
-	for _, last := range b.arrivals {
+	for _, previous := range b.arrivals {
 		switch {
-		case last.holder != next.holder && last.fence == next.fence:
-			w.fail("%s and %s share fence %d at %s", last.holder, next.holder, next.fence, b.id)
-		case !w.plan.Fencing && next.fence < last.fence:
-			w.fail("fence %d of %s after %d of %s at %s", next.fence, next.holder, last.fence, last.holder, b.id)
-		case last.holder != next.holder && next.at-last.at < leaseTime && (!w.plan.Fencing || w.health.inTouch(m)):
-			w.fail("%s and %s take turns within %v at %s", last.holder, next.holder, next.at-last.at, b.id)
+		case previous.leaseHolder != next.leaseHolder && previous.fencingToken == next.fencingToken:
+			sim.fail("%s and %s share fencing token %d at %s", previous.leaseHolder, next.leaseHolder, next.fencingToken, b.id)
+		case !sim.plan.Fencing && next.fencingToken < previous.fencingToken:
+			sim.fail("fencing token %d of %s after %d of %s at %s",
+				next.fencingToken, next.leaseHolder, previous.fencingToken, previous.leaseHolder, b.id)
+		case previous.leaseHolder != next.leaseHolder && next.receivedAt-previous.receivedAt < leaseDuration &&
+			(!sim.plan.Fencing || sim.health.inContact(m)):
+			sim.fail("orders of %s and %s within %v at %s",
+				previous.leaseHolder, next.leaseHolder, next.receivedAt-previous.receivedAt, b.id)
 		}
 	}
 	b.arrivals = append(b.arrivals, next)
 }
 
-// askReport brings a broker's report, as it stood a moment ago, to a machine.
-func (w *World) askReport(m *machine, asked core.FetchReport) {
-	life := m.life
-	w.after(2*w.network.transit(), func() {
-		if m.life != life {
+// deliverReport sends a broker's report to the incarnation of a machine that asked for it. It is
+// reportLag old as it arrives.
+func (sim *simulation) deliverReport(m *machine, request core.FetchReport) {
+	incarnation := m.incarnation
+	sim.after(2*sim.network.transitTime(), func() {
+		if m.incarnation != incarnation {
 			return
 		}
-		at := slices.IndexFunc(w.brokers, func(b *broker) bool { return b.id == asked.InstanceID && !b.gone })
-		if at < 0 {
-			m.input(func(now core.Time) { m.carryOut(m.node.ReportDone(now, asked.Token, nil, errNoAnswer)) })
+		index := slices.IndexFunc(sim.brokers, func(b *broker) bool { return b.id == request.InstanceID && !b.terminated })
+		if index < 0 {
+			m.step(func(now core.Time) { m.execute(m.node.ReportDone(now, request.Token, nil, errNoAnswer)) })
 			return
 		}
-		b := w.brokers[at]
+		b := sim.brokers[index]
 		report := &rollout.Report{
-			Stage: "both", Models: []rollout.ReportedModel{{Name: model, Version: b.version}}, Busy: b.busy, Sequence: b.orders,
+			Stage: "both", Models: []rollout.ReportedModel{{Name: modelName, Version: b.weightsVersion}},
+			Busy: b.loading, Sequence: b.orderCount,
 		}
-		w.after(reportLag, func() {
-			if m.life == life {
-				m.input(func(now core.Time) { m.carryOut(m.node.ReportDone(now, asked.Token, report, nil)) })
+		sim.after(reportLag, func() {
+			if m.incarnation == incarnation {
+				m.step(func(now core.Time) { m.execute(m.node.ReportDone(now, request.Token, report, nil)) })
 			}
 		})
 	})
--- a/internal/rig/faultrun/campaign.go
+++ b/internal/rig/faultrun/campaign.go
@@ -14,110 +14,111 @@
 // Errors of this package.
 var (
 	namespace = errorx.NewNamespace("faultrun")
-	// ErrBroken says that a run broke what is promised.
-	ErrBroken = namespace.NewType("broken")
-	// ErrPlan says that a plan can't be read.
+	// ErrViolation says that a run violated what is promised.
+	ErrViolation = namespace.NewType("broken")
+	// ErrPlan says that a plan can't be decoded or encoded.
 	ErrPlan = namespace.NewType("plan")
 )
 
-// CampaignOptions say which seeds are played.
+// CampaignOptions say which seeds are run.
 type CampaignOptions struct {
-	First, Last uint64
-	Jobs        int // runs at a time
-	ShrinkPlays int // how many plays a failing plan may take to be cut down
+	First, Last uint64 // seeds, both included
+	Jobs        int    // concurrent runs
+	ShrinkPlays int    // bound on the runs that reduce one plan
 }
 
 const (
-	progressEvery = 10 * time.Second
-	traceLines    = 60
+	progressInterval = 10 * time.Second
+	maxTraceLines    = 60
 )
 
-// campaign is what the runs of a campaign have shown so far.
+// campaign accumulates the results of the runs.
 type campaign struct {
-	mutex   sync.Mutex
-	out     io.Writer
-	next    uint64
-	played  int
-	unclear int
-	changes int
-	longest time.Duration
-	broken  []*Result
-	toldAt  time.Time
+	mutex              sync.Mutex
+	out                io.Writer
+	nextSeed           uint64
+	playedRuns         int
+	uncheckedHistories int
+	ackedChanges       int
+	maxOrderWait       time.Duration
+	violations         []*Result
+	progressReportedAt time.Time
 }
 
-// Campaign plays seeds, tells how far it has come, and cuts down and prints each plan that breaks something. The error is
-// ErrBroken where one did.
+// Campaign runs the plans of seeds, prints its progress, and reduces and prints each plan with a violation. The error is
+// ErrViolation if there is one.
 func Campaign(ctx context.Context, out io.Writer, options CampaignOptions) error {
-	c := &campaign{out: out, next: options.First, toldAt: time.Now()}
+	c := &campaign{out: out, nextSeed: options.First, progressReportedAt: time.Now()}
 	var running sync.WaitGroup
 	for range max(options.Jobs, 1) {
 		running.Go(func() {
-			for seed, ok := c.take(options.Last); ok && ctx.Err() == nil; seed, ok = c.take(options.Last) {
-				c.note(Play(PlanOf(seed), false))
+			for seed, ok := c.takeSeed(options.Last); ok && ctx.Err() == nil; seed, ok = c.takeSeed(options.Last) {
+				c.record(Play(PlanOf(seed), false))
 			}
 		})
 	}
 	running.Wait()
 	fmt.Fprintf(out, "%d runs, %d changes acknowledged, longest wait for an answer %v, %d histories too long, %d broken\n",
-		c.played, c.changes, c.longest.Round(time.Millisecond), c.unclear, len(c.broken))
-	for _, r := range c.broken {
-		if err := explain(out, r.Plan, options.ShrinkPlays); err != nil {
+		c.playedRuns, c.ackedChanges, c.maxOrderWait.Round(time.Millisecond), c.uncheckedHistories, len(c.violations))
+	for _, r := range c.violations {
+		if err := reportViolation(out, r.Plan, options.ShrinkPlays); err != nil {
 			return err
 		}
 	}
-	if len(c.broken) > 0 {
-		return ErrBroken.New("%d of %d runs", len(c.broken), c.played)
+	if len(c.violations) > 0 {
+		return ErrViolation.New("%d of %d runs", len(c.violations), c.playedRuns)
 	}
 	return ctx.Err()
 }
 
-// take hands out the next seed.
-func (c *campaign) take(last uint64) (seed uint64, ok bool) {
+// takeSeed returns the next seed to run.
+func (c *campaign) takeSeed(last uint64) (seed uint64, ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.next > last {
+	if c.nextSeed > last {
 		return 0, false
 	}
-	c.next++
-	return c.next - 1, true
+	c.nextSeed++
+	return c.nextSeed - 1, true
 }
 
-func (c *campaign) note(r *Result) {
+// record adds the result of a run, and prints a violation and, now and then, the progress.
+func (c *campaign) record(r *Result) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.played++
-	c.changes += r.Changes
-	c.longest = max(c.longest, r.Longest)
-	if r.Unclear {
-		c.unclear++
+	c.playedRuns++
+	c.ackedChanges += r.AckedChanges
+	c.maxOrderWait = max(c.maxOrderWait, r.MaxOrderWait)
+	if r.HistoryUnchecked {
+		c.uncheckedHistories++
 	}
-	if r.Breach != "" {
-		c.broken = append(c.broken, r)
-		fmt.Fprintf(c.out, "seed %d: %s\n", r.Plan.Seed, r.Breach)
+	if r.Violation != "" {
+		c.violations = append(c.violations, r)
+		fmt.Fprintf(c.out, "seed %d: %s\n", r.Plan.Seed, r.Violation)
 	}
-	if time.Since(c.toldAt) >= progressEvery {
-		c.toldAt = time.Now()
-		fmt.Fprintf(c.out, "%d runs played, %d broken\n", c.played, len(c.broken))
+	if time.Since(c.progressReportedAt) >= progressInterval {
+		c.progressReportedAt = time.Now()
+		fmt.Fprintf(c.out, "%d runs played, %d broken\n", c.playedRuns, len(c.violations))
 	}
 }
 
-// explain cuts a plan down and prints it, with the last of what happened.
-func explain(out io.Writer, plan *Plan, plays int) error {
-	smaller := Shrink(plan, plays)
-	text, err := json.Marshal(smaller)
+// reportViolation reduces a plan and prints it, with the end of its trace.
+func reportViolation(out io.Writer, plan *Plan, maxPlays int) error {
+	reduced := Shrink(plan, maxPlays)
+	text, err := json.Marshal(reduced)
 	if err != nil {
 		return ErrPlan.Wrap(err, "seed %d", plan.Seed)
 	}
-	r := Play(smaller, true)
-	fmt.Fprintf(out, "\nseed %d, cut down from %d troubles to %d: %s\n", plan.Seed, len(plan.Troubles), len(smaller.Troubles), r.Breach)
-	for _, line := range r.Trace[max(0, len(r.Trace)-traceLines):] {
+	r := Play(reduced, true)
+	fmt.Fprintf(out, "\nseed %d, cut down from %d troubles to %d: %s\n", plan.Seed, len(plan.Faults), len(reduced.Faults), r.Violation)
+	for _, line := range r.Trace[max(0, len(r.Trace)-maxTraceLines):] {
 		fmt.Fprintln(out, line)
 	}
 	fmt.Fprintf(out, "%s\n", text)
 	return nil
 }
 
-// Replay plays a plan that was printed, and prints what happened. The error is ErrBroken where it breaks something.
+// Replay runs a plan that was printed, and prints its trace. The error is ErrViolation if it violates something.
 func Replay(out io.Writer, text []byte) error {
 	plan := new(Plan)
 	if err := json.Unmarshal(text, plan); err != nil {
@@ -127,8 +128,8 @@
 	for _, line := range r.Trace {
 		fmt.Fprintln(out, line)
 	}
-	if r.Breach != "" {
-		return ErrBroken.New("%s", r.Breach)
+	if r.Violation != "" {
+		return ErrViolation.New("%s", r.Violation)
 	}
 	return nil
 }
--- a/internal/rig/faultrun/campaign_test.go
+++ b/internal/rig/faultrun/campaign_test.go
@@ -11,15 +11,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCampaign(t *testing.T) {
+func TestCampaignReportsItsRuns(t *testing.T) {
 	var out strings.Builder
 	assert.NilError(t, Campaign(context.Background(), &out, CampaignOptions{First: 3, Last: 5, Jobs: 2, ShrinkPlays: 1}))
 	assert.Assert(t, strings.Contains(out.String(), "3 runs, "), out.String()) // lines on its progress may stand before
 	assert.Assert(t, strings.Contains(out.String(), " 0 broken"), out.String())
 }
 
-// TestReplay plays a plan as it was printed: one that holds, one that can't be read, and one that asks for too much.
-func TestReplay(t *testing.T) {
+// TestReplayReportsInvalidPlansAndViolations replays a printed plan without violation, one that can't be decoded, and one with a violation.
+func TestReplayReportsInvalidPlansAndViolations(t *testing.T) {
 	var out strings.Builder
 	plan := PlanOf(4)
 	text, err := json.Marshal(plan)
@@ -27,19 +27,21 @@
 	assert.NilError(t, Replay(&out, text))
 	assert.Assert(t, errorx.IsOfType(Replay(&out, []byte("{")), ErrPlan))
 
-	plan.Troubles = []Trouble{{At: 4 * time.Second, Kind: Forget}}
+	plan.Faults = []Fault{{InjectAt: 4 * time.Second, Kind: TotalDiskLoss}}
 	text, err = json.Marshal(plan)
 	assert.NilError(t, err)
-	assert.Assert(t, errorx.IsOfType(Replay(&out, text), ErrBroken))
+	assert.Assert(t, errorx.IsOfType(Replay(&out, text), ErrViolation))
 }
 
-// TestShrink cuts a plan down to the one trouble that breaks something.
-func TestShrink(t *testing.T) {
+// TestShrinkKeepsOnlyTheViolatingFault reduces a plan to the one fault that violates something.
+func TestShrinkKeepsOnlyTheViolatingFault(t *testing.T) {
 	plan := PlanOf(4)
-	plan.Troubles = []Trouble{
-		{At: 3 * time.Second, Kind: Freeze, A: 5, For: time.Second}, {At: 4 * time.Second, Kind: Forget}, {At: 5 * time.Second, Kind: Burst, For: time.Second},
+	plan.Faults = []Fault{
+		{InjectAt: 3 * time.Second, Kind: ProcessFreeze, TargetA: 5, Duration: time.Second},
+		{InjectAt: 4 * time.Second, Kind: TotalDiskLoss},
+		{InjectAt: 5 * time.Second, Kind: OperatorBurst, Duration: time.Second},
 	}
-	smaller := Shrink(plan, 20)
-	assert.Equal(t, len(smaller.Troubles), 1)
-	assert.Equal(t, smaller.Troubles[0].Kind, Forget)
+	reduced := Shrink(plan, 20)
+	assert.Equal(t, len(reduced.Faults), 1)
+	assert.Equal(t, reduced.Faults[0].Kind, TotalDiskLoss)
 }
--- a/internal/rig/faultrun/checks.go
+++ b/internal/rig/faultrun/checks.go
@@ -3,164 +3,175 @@
 import (
 	"hash/crc32"
 	"net/http"
+	"slices"
 	"time"
 
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 )
 
-// acknowledgement is a change that an operator got acknowledged.
+// acknowledgement is an acknowledged change, as it reached its operator.
 type acknowledgement struct {
-	at      time.Duration
-	version uint64
-	id      string
+	receivedAt time.Duration
+	version    uint64
+	id         string
 }
 
-// checks holds what the nodes do against what the pages promise.
+// checks compares the behaviour of the nodes with the promises of the pages.
 type checks struct {
-	world      *World
-	acks       []acknowledgement // in the order in which they came
-	byBase     map[uint64]string // id of the change acknowledged on a version
-	byVersion  map[uint64]string // and under a version
-	refused    map[string]int    // status by id
-	taken      map[string]bool   // ids that a machine answered 200, whether or not it arrived
-	states     map[uint64]uint32 // checksum of the state by index
-	answerLoss float64
-	lossEnded  time.Duration    // when answers were last lost
-	weights    uint64           // newest version of weights acknowledged
-	onAck      func(m *machine) // once, as a machine acknowledges
-	longest    time.Duration    // that an order waited for its acknowledgement
+	sim               *simulation
+	acknowledgements  []acknowledgement // in order of arrival; versions rise
+	ackedByBase       map[uint64]string // order ID by the version that it builds on
+	ackedByVersion    map[uint64]string // order ID by the version that it made
+	rejectedStatus    map[string]int    // by order ID
+	accepted          map[string]bool   // order IDs that a machine answered 200, whether or not that arrived
+	stateChecksums    map[uint64]uint32 // by index of the state
+	answerLossRate    float64
+	answerLossEndedAt time.Duration    // when answers were last lost
+	ackedWeights      uint64           // newest acknowledged version of the weights
+	onAck             func(m *machine) // runs once, as a machine acknowledges a change
+	maxOrderWait      time.Duration    // for an acknowledgement
 }
 
-func newChecks(w *World) *checks {
+// newChecks has seen nothing yet.
+func newChecks(sim *simulation) *checks {
 	return &checks{
-		world: w, byBase: map[uint64]string{}, byVersion: map[uint64]string{}, refused: map[string]int{}, taken: map[string]bool{},
-		states: map[uint64]uint32{},
+		sim:            sim,
+		ackedByBase:    map[uint64]string{},
+		ackedByVersion: map[uint64]string{},
+		rejectedStatus: map[string]int{},
+		accepted:       map[string]bool{},
+		stateChecksums: map[uint64]uint32{},
 	}
 }
 
 // newestAcked is the highest version acknowledged so far.
-func (c *checks) newestAcked() uint64 { return c.ackedBefore(c.world.now) }
+func (c *checks) newestAcked() uint64 { return c.ackedBefore(c.sim.now) }
 
 // ackedBefore is the highest version acknowledged at a moment or before.
-func (c *checks) ackedBefore(at time.Duration) uint64 {
-	newest := uint64(0)
-	for i := len(c.acks) - 1; i >= 0; i-- {
-		if c.acks[i].at <= at {
-			newest = max(newest, c.acks[i].version)
-			break // versions acknowledged rise, see acknowledged
+func (c *checks) ackedBefore(moment time.Duration) uint64 {
+	for _, ack := range slices.Backward(c.acknowledgements) {
+		if ack.receivedAt <= moment {
+			return ack.version
 		}
 	}
-	return newest
+	return 0
 }
 
-// answered is called as a machine answers an order, whether or not that arrives.
-func (c *checks) answered(m *machine, sent *order, status int) {
-	w := c.world
+// answered is called as a machine answers an order, whether or not that arrives. An order must not
+// be both accepted and rejected.
+func (c *checks) answered(m *machine, sent *operatorOrder, status int) {
+	sim := c.sim
 	switch {
 	case status == http.StatusOK:
-		c.taken[sent.id] = true
-		if how, refused := c.refused[sent.id]; refused {
-			w.fail("%s acknowledges %s, which was answered %d before", m.name, sent.id, how)
+		c.accepted[sent.id] = true
+		if earlier, rejected := c.rejectedStatus[sent.id]; rejected {
+			sim.fail("%s acknowledges %s, which was answered %d before", m.name, sent.id, earlier)
 		}
 		if hook := c.onAck; hook != nil {
 			c.onAck = nil
 			hook(m)
 		}
 	case status/100 == 4:
-		c.refused[sent.id] = status
-		if c.taken[sent.id] {
-			w.fail("%s answers %d to %s, which was taken", m.name, status, sent.id)
+		c.rejectedStatus[sent.id] = status
+		if c.accepted[sent.id] {
+			sim.fail("%s answers %d to %s, which was accepted", m.name, status, sent.id)
 		}
-		if status == http.StatusBadRequest && sent.version > sent.base {
-			w.fail("%s calls %s invalid, which builds on %d with version %d", m.name, sent.id, sent.base, sent.version)
+		if status == http.StatusBadRequest && sent.version > sent.baseVersion {
+			sim.fail("%s calls %s invalid, which builds on %d with version %d", m.name, sent.id, sent.baseVersion, sent.version)
 		}
 	}
 }
 
-// acknowledged takes an acknowledgement that reached its operator.
-func (c *checks) acknowledged(sent *order) {
-	w := c.world
-	if other, ok := c.byBase[sent.base]; ok && other != sent.id {
-		w.fail("%s and %s are both acknowledged on version %d", other, sent.id, sent.base)
+// acknowledged is called as an acknowledgement reaches its operator. At most one change may be acknowledged on a version, and one as
+// a version.
+func (c *checks) acknowledged(sent *operatorOrder) {
+	sim := c.sim
+	if other, ok := c.ackedByBase[sent.baseVersion]; ok && other != sent.id {
+		sim.fail("%s and %s are both acknowledged on version %d", other, sent.id, sent.baseVersion)
 	}
-	if other, ok := c.byVersion[sent.version]; ok && other != sent.id {
-		w.fail("%s and %s are both acknowledged as version %d", other, sent.id, sent.version)
+	if other, ok := c.ackedByVersion[sent.version]; ok && other != sent.id {
+		sim.fail("%s and %s are both acknowledged as version %d", other, sent.id, sent.version)
 	}
-	c.byBase[sent.base], c.byVersion[sent.version] = sent.id, sent.id
+	c.ackedByBase[sent.baseVersion], c.ackedByVersion[sent.version] = sent.id, sent.id
 	version := sent.version
-	if len(c.acks) > 0 {
-		version = max(version, c.acks[len(c.acks)-1].version)
+	if len(c.acknowledgements) > 0 {
+		version = max(version, c.acknowledgements[len(c.acknowledgements)-1].version)
 	}
-	c.acks = append(c.acks, acknowledgement{at: w.now, version: version, id: sent.id})
+	c.acknowledgements = append(c.acknowledgements, acknowledgement{receivedAt: sim.now, version: version, id: sent.id})
 }
 
-// stateChanged is called when a node holds another state than before.
+// stateChanged is called as a node replaces its state. The index must not go back, and states of one index must be equal.
 func (c *checks) stateChanged(m *machine) {
-	w := c.world
+	sim := c.sim
 	state := m.node.State()
-	if state.Index() < m.index {
-		w.fail("%s goes from state %d to %d", m.name, m.index, state.Index())
+	if state.Index() < m.stateIndex {
+		sim.fail("%s goes from state %d to %d", m.name, m.stateIndex, state.Index())
 	}
-	m.index = state.Index()
+	m.stateIndex = state.Index()
 	sum := crc32.ChecksumIEEE(state.Snapshot())
-	if known, ok := c.states[state.Index()]; ok && known != sum {
-		w.fail("%s holds another state %d than others", m.name, state.Index())
+	if known, ok := c.stateChecksums[state.Index()]; ok && known != sum {
+		sim.fail("%s has another state %d than others", m.name, state.Index())
 	}
-	c.states[state.Index()] = sum
+	c.stateChecksums[state.Index()] = sum
 }
 
-// readBack takes the answer to a read that was sent when the newest version acknowledged was floor.
-func (c *checks) readBack(m *machine, reply core.Reply, floor uint64, _ time.Duration) (document, bool) {
-	w := c.world
+// checkRead decodes the answer to a read, if it has a configuration. The version must be at least minVersion, the newest that was
+// acknowledged when the read was sent, and made by an order that was not rejected.
+func (c *checks) checkRead(m *machine, reply core.Reply, minVersion uint64) (configDocument, bool) {
+	sim := c.sim
 	if reply.State == nil || len(reply.State.GetState()) == 0 {
-		return document{}, false
+		return configDocument{}, false
 	}
-	read, there, err := documentOf(reply.State.GetState())
+	read, found, err := decodeDocument(reply.State.GetState())
 	switch {
 	case err != nil:
-		w.fail("%s reads a state that can't be read: %v", m.name, err)
-	case !there && floor > 0:
-		w.fail("%s reads no configuration, but %d was acknowledged", m.name, floor)
-	case read.Version < floor:
-		w.fail("%s reads version %d, but %d was acknowledged before", m.name, read.Version, floor)
+		sim.fail("%s reads a state that can't be decoded: %v", m.name, err)
+	case !found && minVersion > 0:
+		sim.fail("%s reads no configuration, but %d was acknowledged", m.name, minVersion)
+	case read.Version < minVersion:
+		sim.fail("%s reads version %d, but %d was acknowledged before", m.name, read.Version, minVersion)
 	}
-	if id, ok := c.byVersion[read.Version]; ok && id != read.Note {
-		w.fail("%s reads %s as version %d, but %s was acknowledged", m.name, read.Note, read.Version, id)
+	if id, ok := c.ackedByVersion[read.Version]; ok && id != read.OrderID {
+		sim.fail("%s reads %s as version %d, but %s was acknowledged", m.name, read.OrderID, read.Version, id)
 	}
-	if status, refused := c.refused[read.Note]; refused {
-		w.fail("%s reads %s, which was answered %d", m.name, read.Note, status)
+	if status, rejected := c.rejectedStatus[read.OrderID]; rejected {
+		sim.fail("%s reads %s, which was answered %d", m.name, read.OrderID, status)
 	}
-	return read, there
+	return read, found
 }
 
-// sample looks at what each node's data plane would do just now.
+// sample checks what each node's data plane would do now.
 func (c *checks) sample() {
-	w := c.world
-	w.health.sample()
-	stale, applied := c.ackedBefore(w.now-revokeTime), c.ackedBefore(w.now-applyTime)
-	for _, m := range w.machines {
-		if !m.up() || m.node == nil {
+	sim := c.sim
+	sim.health.sample()
+	minServedVersion := c.ackedBefore(sim.now - revokeTimeout)
+	minAppliedVersion := c.ackedBefore(sim.now - applyTimeout)
+	for _, m := range sim.machines {
+		if !m.isUp() || m.node == nil {
 			continue
 		}
-		inTouch := w.health.inTouch(m)
+		inContact := sim.health.inContact(m)
 		compiled := m.node.Compiled()
 		confirmed, _ := m.node.ConfirmedAt()
-		serves := bounds(w).MayServe(m.now(), compiled, confirmed, false)
-		if w.plan.GlobalRevocation && serves && compiled.Version < stale {
-			w.fail("%s serves keys of version %d, %d was acknowledged over %v ago", m.name, compiled.Version, stale, revokeTime)
+		serves := controlBounds(sim).MayServe(m.now(), compiled, confirmed, false)
+		if sim.plan.GlobalRevocation && serves && compiled.Version < minServedVersion {
+			sim.fail("%s serves keys of version %d, %d was acknowledged over %v ago",
+				m.name, compiled.Version, minServedVersion, revokeTimeout)
 		}
-		if inTouch && serves && versionOf(compiled) < applied {
-			w.fail("%s is in touch with version %d, %d was acknowledged over %v ago", m.name, versionOf(compiled), applied, applyTime)
+		if inContact && serves && versionOf(compiled) < minAppliedVersion {
+			sim.fail("%s is in contact with version %d, %d was acknowledged over %v ago",
+				m.name, versionOf(compiled), minAppliedVersion, applyTimeout)
 		}
-		if inTouch && !serves && applied > 0 && !w.health.rests() {
-			w.fail("%s is in touch and does not serve", m.name)
+		if inContact && !serves && minAppliedVersion > 0 && !sim.health.maySuspendService() {
+			sim.fail("%s is in contact and does not serve", m.name)
 		}
-		c.sampleDrains(m, inTouch)
+		c.checkDrains(m, inContact)
 	}
-	c.sampleOrders()
+	c.checkOrders()
 }
 
+// versionOf is the version of a configuration; 0: none.
 func versionOf(compiled *config.Compiled) uint64 {
 	if compiled == nil {
 		return 0
@@ -168,33 +179,33 @@
 	return compiled.Version
 }
 
-// sampleDrains: no machine in touch sends requests to a broker whose word that it leaves was acknowledged.
-func (c *checks) sampleDrains(m *machine, inTouch bool) {
-	w := c.world
-	for _, b := range w.brokers {
-		if !inTouch || b.ackedAt < 0 || w.now < b.ackedAt+drainTime {
+// checkDrains checks that no machine in contact uses a broker whose drain was acknowledged drainTimeout ago.
+func (c *checks) checkDrains(m *machine, inContact bool) {
+	sim := c.sim
+	for _, b := range sim.brokers {
+		if !inContact || b.drainAckedAt < 0 || sim.now < b.drainAckedAt+drainTimeout {
 			continue
 		}
 		if instance := m.node.Registry().Table().ByID[b.id]; instance != nil && instance.Usable() {
-			w.fail("%s still uses %s, whose drain was acknowledged %v ago", m.name, b.id, w.now-b.ackedAt)
+			sim.fail("%s still uses %s, whose drain was acknowledged %v ago", m.name, b.id, sim.now-b.drainAckedAt)
 		}
 	}
 }
 
-// sampleOrders: an order is acknowledged or refused within ackMs of a time in which the core is stable.
-func (c *checks) sampleOrders() {
-	w := c.world
-	for _, o := range w.operators {
-		sent := o.current
-		if sent == nil || sent.over {
+// checkOrders checks that an order is answered within ackTimeout of a time in which the core is stable.
+func (c *checks) checkOrders() {
+	sim := c.sim
+	for _, o := range sim.operators {
+		sent := o.currentOrder
+		if sent == nil || sent.finished {
 			continue
 		}
-		c.longest = max(c.longest, w.now-sent.sentAt)
-		if w.health.stableSince < 0 || w.health.rests() || c.answerLoss > 0 {
+		c.maxOrderWait = max(c.maxOrderWait, sim.now-sent.sentAt)
+		if sim.health.stableSince < 0 || sim.health.maySuspendService() || c.answerLossRate > 0 {
 			continue
 		}
-		if waited := w.now - max(sent.sentAt, w.health.stableSince, c.lossEnded); waited > ackTime {
-			w.fail("%s has no answer after %v in which the core was stable", sent.id, waited)
+		if waited := sim.now - max(sent.sentAt, sim.health.stableSince, c.answerLossEndedAt); waited > ackTimeout {
+			sim.fail("%s has no answer after %v in which the core was stable", sent.id, waited)
 		}
 	}
 }
--- a/internal/rig/faultrun/clock.go
+++ b/internal/rig/faultrun/clock.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// event is something that happens at a moment of the run.
+// event is a function that runs at a moment of the run.
 type event struct {
-	at       time.Duration
+	runAt    time.Duration
 	sequence int
 	run      func()
 }
 
+// eventHeap orders events by their time, and those of one time by the order in which they were scheduled.
 type eventHeap []event
 
 // Len implements heap.Interface.
@@ -19,7 +20,7 @@
 
 // Less implements heap.Interface.
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
+	return h[i].runAt < h[j].runAt || h[i].runAt == h[j].runAt && h[i].sequence < h[j].sequence
 }
 
 // Swap implements heap.Interface.
@@ -35,21 +36,23 @@
 	return last
 }
 
-// clock is the time of a run.
+// clock is the virtual clock of a run, with its scheduled events.
 type clock struct {
 	now      time.Duration
 	events   eventHeap
 	sequence int
 }
 
-func (c *clock) at(at time.Duration, run func()) {
+// schedule runs a function at a moment, or now if that has passed.
+func (c *clock) schedule(moment time.Duration, run func()) {
 	c.sequence++
-	heap.Push(&c.events, event{max(at, c.now), c.sequence, run})
+	heap.Push(&c.events, event{max(moment, c.now), c.sequence, run})
 }
 
-func (c *clock) after(delay time.Duration, run func()) { c.at(c.now+delay, run) }
+// after runs a function after a delay.
+func (c *clock) after(delay time.Duration, run func()) { c.schedule(c.now+delay, run) }
 
-// every runs something again and again while it returns true.
+// every runs a function at an interval, as long as it returns true.
 func (c *clock) every(interval time.Duration, run func() bool) {
 	c.after(interval, func() {
 		if run() {
@@ -58,14 +61,14 @@
 	})
 }
 
-// play runs events up to the moment, while goOn holds.
-func (c *clock) play(until time.Duration, goOn func() bool) {
-	for len(c.events) > 0 && c.events[0].at <= until && goOn() {
+// runUntil runs the events up to a moment, as long as continues returns true.
+func (c *clock) runUntil(until time.Duration, continues func() bool) {
+	for len(c.events) > 0 && c.events[0].runAt <= until && continues() {
 		next := heap.Pop(&c.events).(event)
-		c.now = next.at
+		c.now = next.runAt
 		next.run()
 	}
-	if goOn() {
+	if continues() {
 		c.now = until
 	}
 }
--- a/internal/rig/faultrun/doc.go
+++ b/internal/rig/faultrun/doc.go
@@ -1,10 +1,14 @@
-// Package faultrun plays whole fleets under a virtual clock: the control side of each node as the program runs it (package control)
-// with its journal on a disk that fails (package diskfault), operators, brokers, and a network that loses, doubles, delays and is
-// cut in every shape that the operators' pages know. Everything follows from a seed.
+// Package faultrun is a deterministic simulation of whole fleets under a virtual clock: the control plane of each node as the program
+// runs it (package control), with its journal on a faulty disk (package diskfault), operators, brokers, and a network that loses,
+// duplicates, delays and partitions. A run follows from its plan, and a plan from its seed: all random draws are made in the order
+// of the events, so that a run can be repeated event by event.
 //
-// While a run goes on, what the pages promise is checked after each step or every 100 ms, from what operators, brokers and the
-// data plane see: nothing acknowledged is lost, one winner for each version built on, no version back, no old read, no stale key, fences
-// that rise, drains that are kept. At the end the history of changes and reads is checked for linearizability.
+// While a run goes on, the promises of the pages are checked after each step or every 100 ms, from what operators, brokers and the
+// data plane see: acknowledged changes are never lost, of the changes on one version one is acknowledged, versions never go
+// back, reads are never stale, revoked keys are not served, fencing tokens rise, and drains are kept. At the end the history of changes
+// and reads is checked for linearizability.
 //
-// A run that fails is cut down to the troubles that it needs (Shrink), and can be played again from its printed plan.
+// A plan that violates something is reduced to the faults that it needs (Shrink), and can be replayed as it was printed (Replay).
+//
+// The package checks the control plane alone: forwarding of requests, real sockets, disks and clocks are not part of it.
 package faultrun
--- a/internal/rig/faultrun/health.go
+++ b/internal/rig/faultrun/health.go
@@ -2,105 +2,112 @@
 
 import "time"
 
-// health tells which machines are in touch, as RULES.md words it: promises with a time bound hold for these alone.
+// health determines which machines are in contact, by the definitions of RULES.md: promises with a time bound apply to these alone.
 type health struct {
-	world       *World
-	coreAt      time.Duration // when something was last done to the core
-	stableSince time.Duration // the core is stable since then; -1: it isn't
-	restUntil   time.Duration // more was lost at a time than is tolerated: service may rest until then
+	sim             *simulation
+	coreFaultAt     time.Duration // when a fault of the core last started or ended
+	stableSince     time.Duration // -1: the core is not stable
+	maySuspendUntil time.Duration // more machines were lost than tolerated: service may be suspended until then
 }
 
-func (h *health) coreTroubled() {
-	h.coreAt = h.world.now
+// recordCoreFault records that a fault of the core starts or ends now.
+func (h *health) recordCoreFault() {
+	h.coreFaultAt = h.sim.now
 	h.stableSince = -1
 }
 
-// stable reports whether the core is stable.
-func (h *health) stable() bool {
-	w := h.world
-	if w.now-h.coreAt < contactTime {
+// isCoreStable reports whether nothing has been done to the core for contactTimeout, no faulty machine with an impaired disk runs, and
+// some machine reaches a majority.
+func (h *health) isCoreStable() bool {
+	sim := h.sim
+	if sim.now-h.coreFaultAt < contactTimeout {
 		return false
 	}
-	counting := w.core()
-	connected := false
-	for _, m := range counting {
-		if m.troubles > 0 && m.running && w.now >= m.frozenUntil && m.diskTroubled() {
+	core := sim.coreMachines()
+	majorityExists := false
+	for _, m := range core {
+		if m.activeFaults > 0 && m.running && sim.now >= m.frozenUntil && m.diskImpaired() {
 			return false
 		}
-		connected = connected || h.reachesMajority(m)
+		majorityExists = majorityExists || h.reachesMajority(m)
 	}
-	return connected
+	return majorityExists
 }
 
-func (m *machine) up() bool { return m.running && m.world.now >= m.frozenUntil }
+// isUp reports whether the process runs and is not frozen.
+func (m *machine) isUp() bool { return m.running && m.sim.now >= m.frozenUntil }
 
-func (m *machine) diskTroubled() bool { return m.hangUntil > m.world.now || m.sync > m.world.plan.Sync }
+// diskImpaired reports whether the disk hangs or is slow.
+func (m *machine) diskImpaired() bool {
+	return m.diskHangsUntil > m.sim.now || m.syncDuration > m.sim.plan.SyncDuration
+}
 
-// linked reports whether there is a path between two machines, both ways.
-func (h *health) linked(a, b *machine) bool {
-	return a == b || !h.world.network.cut(a, b) && !h.world.network.cut(b, a)
+// connected reports whether the links between two machines are up in both directions.
+func (h *health) connected(a, b *machine) bool {
+	return a == b || !h.sim.network.isPartitioned(a, b) && !h.sim.network.isPartitioned(b, a)
 }
 
 // reachesMajority reports whether a core machine runs and reaches more than half of the core, itself included.
 func (h *health) reachesMajority(m *machine) bool {
-	if !m.up() {
+	if !m.isUp() {
 		return false
 	}
-	counting := h.world.core()
+	core := h.sim.coreMachines()
 	reached := 0
-	for _, other := range counting {
-		if other.up() && h.linked(m, other) {
+	for _, other := range core {
+		if other.isUp() && h.connected(m, other) {
 			reached++
 		}
 	}
-	return 2*reached > len(counting)
+	return 2*reached > len(core)
 }
 
-// sample follows the time since when the core is stable, and whether more is lost than is tolerated.
+// sample updates since when the core is stable, and until when service may be suspended.
 func (h *health) sample() {
-	if h.lost() > h.world.plan.Tolerance {
-		h.restUntil = h.world.now + recoveryTime
+	if h.lostMachines() > h.sim.plan.Tolerance {
+		h.maySuspendUntil = h.sim.now + recoveryTimeout
 	}
 	switch {
-	case !h.stable():
+	case !h.isCoreStable():
 		h.stableSince = -1
 	case h.stableSince < 0:
-		h.stableSince = h.world.now
+		h.stableSince = h.sim.now
 	}
 }
 
-// lost counts the machines that count as lost: those in trouble, and for catchUpS after it.
-func (h *health) lost() int {
+// lostMachines counts the core machines that are lost: those with a fault, and for catchUpTimeout after it.
+func (h *health) lostMachines() int {
 	lost := 0
-	for _, m := range h.world.core() {
-		if !m.up() || m.troubles > 0 || h.world.now-m.troubleAt < catchUpTime || h.cutOff(m) {
+	for _, m := range h.sim.coreMachines() {
+		if !m.isUp() || m.activeFaults > 0 || h.sim.now-m.faultChangedAt < catchUpTimeout || h.isPartitioned(m) {
 			lost++
 		}
 	}
 	return lost
 }
 
-// cutOff reports whether the machine is cut off from another one of the core.
-func (h *health) cutOff(m *machine) bool {
-	for _, other := range h.world.core() {
-		if !h.linked(m, other) {
+// isPartitioned reports whether the machine is partitioned from another one of the core.
+func (h *health) isPartitioned(m *machine) bool {
+	for _, other := range h.sim.coreMachines() {
+		if !h.connected(m, other) {
 			return true
 		}
 	}
 	return false
 }
 
-// rests reports whether service may rest, as losses have overlapped beyond what is tolerated.
-func (h *health) rests() bool { return h.world.now < h.restUntil }
+// maySuspendService reports whether service may be suspended, as more machines were lost at a time than is tolerated.
+func (h *health) maySuspendService() bool { return h.sim.now < h.maySuspendUntil }
 
-// inTouch reports whether the machine is in touch just now.
-func (h *health) inTouch(m *machine) bool {
-	w := h.world
-	if !m.up() || m.troubles > 0 || w.now-m.troubleAt < contactTime || h.stableSince < 0 {
+// inContact reports whether the machine is in contact: up, without a fault for contactTimeout, in a stable core, and connected to each
+// core machine that reaches a majority.
+func (h *health) inContact(m *machine) bool {
+	sim := h.sim
+	if !m.isUp() || m.activeFaults > 0 || sim.now-m.faultChangedAt < contactTimeout || h.stableSince < 0 {
 		return false
 	}
-	for _, other := range w.core() {
-		if other != m && h.reachesMajority(other) && !h.linked(m, other) {
+	for _, other := range sim.coreMachines() {
+		if other != m && h.reachesMajority(other) && !h.connected(m, other) {
 			return false
 		}
 	}
--- a/internal/rig/faultrun/history.go
+++ b/internal/rig/faultrun/history.go
@@ -7,92 +7,97 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// history is what operators did and saw: changes that build on a version, and reads.
+// history records the calls of operators and their results: changes that build on a version, and reads.
 type history struct {
 	operations []porcupine.Operation
-	open       map[*order]bool
+	openOrders map[*operatorOrder]bool // without a definite answer
 }
 
-// change is a change or, without id, a read.
-type change struct {
-	id      string
-	base    uint64
-	version uint64
+// operation is the input of a change or, without an order ID, of a read.
+type operation struct {
+	orderID     string
+	baseVersion uint64
+	version     uint64
 }
 
-// outcome is what became of it.
-type outcome struct {
-	status int // of a change; 0: no clear answer
-	read   document
+// operationResult is the output of an operation.
+type operationResult struct {
+	status int // of a change; 0: unknown
+	read   configDocument
 }
 
-func (h *history) begin(sent *order) {
-	if h.open == nil {
-		h.open = map[*order]bool{}
+// recordCall records that an order is submitted.
+func (h *history) recordCall(sent *operatorOrder) {
+	if h.openOrders == nil {
+		h.openOrders = map[*operatorOrder]bool{}
 	}
-	h.open[sent] = true
+	h.openOrders[sent] = true
 }
 
-func (h *history) end(sent *order) {
+// recordReturn records the end of an order.
+func (h *history) recordReturn(sent *operatorOrder) {
 	if sent.status == 0 {
-		return // it may come through later: closed at the end of the run
+		return // it may take effect later, and stays open to the end of the run
 	}
-	delete(h.open, sent)
-	h.add(sent, sent.endedAt)
+	delete(h.openOrders, sent)
+	h.appendOrder(sent, sent.endedAt)
 }
 
-func (h *history) add(sent *order, returned time.Duration) {
+// appendOrder adds an order that returned at a moment.
+func (h *history) appendOrder(sent *operatorOrder, returned time.Duration) {
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: sent.operator, Call: int64(sent.sentAt), Return: int64(returned),
-		Input:  change{id: sent.id, base: sent.base, version: sent.version},
-		Output: outcome{status: sent.status},
+		Input:  operation{orderID: sent.id, baseVersion: sent.baseVersion, version: sent.version},
+		Output: operationResult{status: sent.status},
 	})
 }
 
-func (h *history) read(client int, called, returned time.Duration, read document) {
+// recordRead adds a read that was answered.
+func (h *history) recordRead(client int, called, returned time.Duration, read configDocument) {
 	h.operations = append(h.operations, porcupine.Operation{
-		ClientId: client, Call: int64(called), Return: int64(returned), Input: change{}, Output: outcome{read: read},
+		ClientId: client, Call: int64(called), Return: int64(returned), Input: operation{}, Output: operationResult{read: read},
 	})
 }
 
 // historyTimeout bounds the search for an order of the operations.
 const historyTimeout = 20 * time.Second
 
-// linearizable reports whether the operations can have happened one after another, each between its call and its return.
+// linearizable checks that the operations can have taken effect one after another, each between its call and its return. Orders
+// without an answer may have taken effect at any time after their call, or never.
 func (h *history) linearizable(now time.Duration) porcupine.CheckResult {
-	for sent := range h.open {
+	for sent := range h.openOrders {
 		sent.status = 0
-		h.add(sent, now+time.Hour)
+		h.appendOrder(sent, now+time.Hour)
 	}
-	h.open = nil
+	h.openOrders = nil
 	// Operations without an answer overlap what their client did next.
 	for i := range h.operations {
 		h.operations[i].ClientId = i
 	}
-	return porcupine.CheckOperationsTimeout(configurations.ToModel(), h.operations, historyTimeout)
+	return porcupine.CheckOperationsTimeout(configurationModel.ToModel(), h.operations, historyTimeout)
 }
 
-// configurations is the control state as operators see it: the newest version and whose it is.
-var configurations = &porcupine.NondeterministicModel{
-	Init: func() []any { return []any{document{}} },
+// configurationModel is the sequential specification of the control state: the newest version, and the order that made it.
+var configurationModel = &porcupine.NondeterministicModel{
+	Init: func() []any { return []any{configDocument{}} },
 	Step: func(state, input, output any) []any {
-		current, asked, seen := state.(document), input.(change), output.(outcome)
-		if asked.id == "" {
-			if seen.read == current {
+		current, call, result := state.(configDocument), input.(operation), output.(operationResult)
+		if call.orderID == "" {
+			if result.read == current {
 				return []any{current}
 			}
 			return nil
 		}
-		next := document{Version: asked.version, Note: asked.id}
-		fits := asked.base == current.Version && asked.version > asked.base
+		next := configDocument{Version: call.version, OrderID: call.orderID}
+		matches := call.baseVersion == current.Version && call.version > call.baseVersion
 		switch {
-		case seen.status == http.StatusOK && fits:
+		case result.status == http.StatusOK && matches:
 			return []any{next}
-		case seen.status == http.StatusOK:
+		case result.status == http.StatusOK:
 			return nil
-		case seen.status == 0 && fits:
+		case result.status == 0 && matches:
 			return []any{current, next}
-		case seen.status == http.StatusPreconditionFailed && asked.base == current.Version:
+		case result.status == http.StatusPreconditionFailed && call.baseVersion == current.Version:
 			return nil
 		default:
 			return []any{current}
--- a/internal/rig/faultrun/machine.go
+++ b/internal/rig/faultrun/machine.go
@@ -14,306 +14,334 @@
 )
 
 const (
-	diskBytes     = 4 << 20
-	diskRetry     = 500 * time.Millisecond
-	timerLateness = 3 * time.Millisecond
+	diskBytes         = 4 << 20
+	diskRetryInterval = 500 * time.Millisecond
+	maxTimerLateness  = 3 * time.Millisecond
+	maxStepsOfKill    = 5 // steps that a write in flight may still take at a disk as its process is killed
 )
 
-// machine is one machine: its disk and, while it runs, one life of its process.
+// Streams of the random sources that are seeded by the run's.
+const (
+	diskStream = 11
+	nodeStream = 12
+)
+
+// machine is one machine: its disk and, while it runs, one incarnation of its process.
 type machine struct {
-	world   *World
+	sim     *simulation
 	name    string
 	address string
 	zone    string
-	counts  bool
+	isCore  bool
 
-	life        int
-	running     bool
-	removed     bool // for good
-	leaving     bool // it will be removed: its successor is there already
-	bootstrap   bool // as its settings say
-	startedAt   time.Duration
-	frozenUntil time.Duration
-	node        *control.Node
-	generation  int // of timers: older ones are void
-	wakeAt      core.Time
+	incarnation     int
+	running         bool
+	removed         bool // for good
+	beingReplaced   bool // its replacement is there already
+	bootstrap       bool // the setting, for the first start
+	startedAt       time.Duration
+	frozenUntil     time.Duration
+	node            *control.Node
+	timerGeneration int // timers of older generations do nothing
+	wakeAt          core.Time
 
-	disk      *diskfault.Disk
-	journal   *journal.Journal
-	sync      time.Duration
-	hangUntil time.Duration
-	out       *core.Write // on its way to the disk
+	disk           *diskfault.Disk
+	journal        *journal.Journal
+	syncDuration   time.Duration
+	diskHangsUntil time.Duration
+	writeInFlight  *core.Write // nil: none
 
-	troubleAt time.Duration // when its newest trouble began or ended
-	troubles  int           // that last
-	requests  uint64
-	replies   map[uint64]func(core.Reply)
-	answers   map[uint64]func(core.RegistryReply)
-	index     uint64 // of the state that it held last, in this life
+	faultChangedAt         time.Duration // when a fault last started or ended
+	activeFaults           int           // how many last
+	lastRequest            uint64
+	pendingReplies         map[uint64]func(core.Reply)
+	pendingRegistryReplies map[uint64]func(core.RegistryReply)
+	stateIndex             uint64 // of its last state, in this incarnation
 }
 
-func (m *machine) nodeID() string { return fmt.Sprintf("%s/%d", m.name, m.life) }
+// nodeID names one incarnation of the process.
+func (m *machine) nodeID() string { return fmt.Sprintf("%s/%d", m.name, m.incarnation) }
 
+// controlAddress is the address that brokers send heartbeats to.
 func (m *machine) controlAddress() string { return m.name + ":2" }
 
+// newDisk gives the machine an empty disk.
 func (m *machine) newDisk() {
-	w := m.world
-	m.disk = diskfault.New(rand.New(rand.NewPCG(w.random.Uint64(), 11)))
-	m.sync = w.plan.Sync
-	m.hangUntil = 0
-	w.disks++
+	sim := m.sim
+	m.disk = diskfault.New(rand.New(rand.NewPCG(sim.random.Uint64(), diskStream)))
+	m.syncDuration = sim.plan.SyncDuration
+	m.diskHangsUntil = 0
+	sim.diskCount++
 }
 
-// troubled notes that something is done to the machine just now.
-func (m *machine) troubled() { m.troubleAt = m.world.now }
+// recordFault records that a fault of the machine starts or ends now.
+func (m *machine) recordFault() { m.faultChangedAt = m.sim.now }
 
-// trouble notes a trouble that lasts; end is to be called at its end.
-func (m *machine) trouble() (end func()) {
-	m.troubles++
-	m.troubled()
-	if m.counts {
-		m.world.health.coreTroubled()
+// beginFault starts a fault that lasts until end is called.
+func (m *machine) beginFault() (end func()) {
+	m.activeFaults++
+	m.recordFault()
+	if m.isCore {
+		m.sim.health.recordCoreFault()
 	}
 	return func() {
-		m.troubles--
-		m.troubled()
-		if m.counts {
-			m.world.health.coreTroubled()
+		m.activeFaults--
+		m.recordFault()
+		if m.isCore {
+			m.sim.health.recordCoreFault()
 		}
 	}
 }
 
-// now is the steady time of the process.
-func (m *machine) now() core.Time { return m.world.now - m.startedAt }
+// now is the monotonic time of the process.
+func (m *machine) now() core.Time { return m.sim.now - m.startedAt }
 
-// start begins a life of the process.
+// start begins an incarnation of the process, unless one runs.
 func (m *machine) start() {
 	if m.running || m.removed {
 		return
 	}
-	w := m.world
-	m.life++
+	sim := m.sim
+	m.resetProcess()
+	m.recordFault()
+	if m.isCore {
+		sim.health.recordCoreFault()
+	}
+	sim.logf("start %s incarnation %d", m.name, m.incarnation)
+	m.node = control.New(0, m.nodeOptions(), rand.New(rand.NewPCG(sim.random.Uint64(), nodeStream)))
+	m.bootstrap = false
+	if m.isCore {
+		m.openDisk(m.incarnation)
+	}
+	m.armTimer()
+}
+
+// resetProcess sets what belongs to one incarnation to that of a new one.
+func (m *machine) resetProcess() {
+	m.incarnation++
 	m.running = true
-	m.startedAt = w.now
+	m.startedAt = m.sim.now
 	m.frozenUntil = 0
-	m.generation++
+	m.timerGeneration++
 	m.wakeAt = core.Never
-	m.journal, m.out = nil, nil
-	m.replies, m.answers = map[uint64]func(core.Reply){}, map[uint64]func(core.RegistryReply){}
-	m.index = 0
-	m.troubled()
-	if m.counts {
-		w.health.coreTroubled()
-	}
-	w.logf("start %s life %d", m.name, m.life)
-	m.node = control.New(0, control.Options{
+	m.journal = nil
+	m.writeInFlight = nil
+	m.pendingReplies = map[uint64]func(core.Reply){}
+	m.pendingRegistryReplies = map[uint64]func(core.RegistryReply){}
+	m.stateIndex = 0
+}
+
+// nodeOptions are the settings of the process.
+func (m *machine) nodeOptions() control.Options {
+	sim := m.sim
+	return control.Options{
 		Self: &nodepb.Member{
 			NodeId: m.nodeID(), Name: m.name, Address: m.address, ControlAddress: m.controlAddress(), Zone: m.zone, Region: "r",
-			CountsForQuorum: m.counts, ServesFront: true, Incarnation: 1,
+			CountsForQuorum: m.isCore, ServesFront: true, Incarnation: 1,
 		},
-		Seeds:                 slices.Clone(w.seeds),
+		Seeds:                 slices.Clone(sim.seeds),
 		Bootstrap:             m.bootstrap,
-		FaultTolerance:        w.plan.Tolerance,
+		FaultTolerance:        sim.plan.Tolerance,
 		MaxConfigurationBytes: int(journal.LargestState(diskBytes)),
-		Checker:               noChecker{},
-		HeartbeatInterval:     heartbeatTime,
+		Checker:               acceptAllChecker{},
+		HeartbeatInterval:     heartbeatInterval,
 		Bounds: control.Bounds{
-			Contact: contactTime, GlobalRevocation: w.plan.GlobalRevocation, Revoke: revokeTime, Lease: leaseTime, Thaw: thawTime, Version: versionTime,
+			Contact: contactTimeout, GlobalRevocation: sim.plan.GlobalRevocation, Revoke: revokeTimeout, Lease: leaseDuration,
+			Thaw: thawGrace, Version: versionTimeout,
 		},
-	}, rand.New(rand.NewPCG(w.random.Uint64(), 12)))
-	m.bootstrap = false
-	if m.counts {
-		m.openDisk(m.life)
 	}
-	m.arm()
 }
 
-// openDisk reads the journal, again and again while the disk can't be read or takes no writes, and attaches it.
-func (m *machine) openDisk(life int) {
-	w := m.world
-	w.at(max(w.now+m.sync, m.hangUntil), func() {
-		if m.life != life || !m.running {
+// openDisk opens the journal and attaches it to the node, with retries while the disk can't be read or written.
+func (m *machine) openDisk(incarnation int) {
+	sim := m.sim
+	sim.schedule(max(sim.now+m.syncDuration, m.diskHangsUntil), func() {
+		if m.incarnation != incarnation || !m.running {
 			return
 		}
 		opened, records, err := journal.Open(journal.Options{
-			Dir: "/data", MaxBytes: diskBytes, FileSystem: m.disk, Random: chanceReader{w.random},
+			Dir: "/data", MaxBytes: diskBytes, FileSystem: m.disk, Random: randomReader{sim.random},
 		})
 		if err == nil && !opened.Healthy() {
 			err = opened.Append(nil)
 		}
 		if err != nil {
-			w.after(diskRetry, func() { m.openDisk(life) })
+			sim.after(diskRetryInterval, func() { m.openDisk(incarnation) })
 			return
 		}
-		m.input(func(now core.Time) { m.attach(now, opened, records) })
+		m.step(func(now core.Time) { m.attach(now, opened, records) })
 	})
 }
 
-// chanceReader draws bytes from a source of chance.
-type chanceReader struct{ random *rand.Rand }
+// randomReader reads bytes from a random source.
+type randomReader struct{ random *rand.Rand }
 
 // Read implements io.Reader; it never fails.
-func (r chanceReader) Read(b []byte) (int, error) {
+func (r randomReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = byte(r.random.Uint32())
 	}
 	return len(b), nil
 }
 
+// attach hands the journal's records to the node.
 func (m *machine) attach(now core.Time, opened *journal.Journal, records []core.Record) {
 	outputs, err := m.node.AttachStore(now, opened.Identity(), records)
 	if err != nil {
-		m.world.fail("%s can't take up its journal: %v", m.name, err)
+		m.sim.fail("%s can't attach its journal: %v", m.name, err)
 		return
 	}
 	m.journal = opened
-	m.world.logf("%s: disk attached, %d records", m.name, len(records))
-	m.carryOut(outputs)
+	m.sim.logf("%s: disk attached, %d records", m.name, len(records))
+	m.execute(outputs)
 }
 
-// input runs one step of the process: at once, or when it thaws.
-func (m *machine) input(step func(now core.Time)) {
-	w := m.world
+// step runs one step of the process and what follows from it: at once, or when it is no longer frozen.
+func (m *machine) step(run func(now core.Time)) {
+	sim := m.sim
 	if !m.running {
 		return
 	}
-	if m.frozenUntil > w.now {
-		life := m.life
-		w.at(m.frozenUntil, func() {
-			if m.life == life {
-				m.input(step)
+	if m.frozenUntil > sim.now {
+		incarnation := m.incarnation
+		sim.schedule(m.frozenUntil, func() {
+			if m.incarnation == incarnation {
+				m.step(run)
 			}
 		})
 		return
 	}
-	step(m.now())
-	m.carryOut(m.node.Tick(m.now()))
-	m.arm()
+	run(m.now())
+	m.execute(m.node.Tick(m.now()))
+	m.armTimer()
 }
 
-// arm sets the timer to the node's next deadline.
-func (m *machine) arm() {
+// armTimer sets the timer to the node's next deadline.
+func (m *machine) armTimer() {
 	deadline := m.node.Deadline()
 	if deadline == m.wakeAt || deadline == core.Never {
 		return
 	}
-	w := m.world
+	sim := m.sim
 	m.wakeAt = deadline
-	m.generation++
-	generation, life := m.generation, m.life
-	late := time.Duration(w.random.Int64N(int64(timerLateness)))
-	w.at(max(m.startedAt+deadline, w.now)+late, func() {
-		if m.generation == generation && m.life == life {
+	m.timerGeneration++
+	generation, incarnation := m.timerGeneration, m.incarnation
+	lateness := time.Duration(sim.random.Int64N(int64(maxTimerLateness)))
+	sim.schedule(max(m.startedAt+deadline, sim.now)+lateness, func() {
+		if m.timerGeneration == generation && m.incarnation == incarnation {
 			m.wakeAt = core.Never
-			m.input(func(core.Time) {})
+			m.step(func(core.Time) {})
 		}
 	})
 }
 
-// carryOut does what the node asks for.
-func (m *machine) carryOut(outputs []core.Output) {
-	w := m.world
+// execute carries out the outputs of the node, in their order.
+func (m *machine) execute(outputs []core.Output) {
+	sim := m.sim
 	for _, output := range outputs {
 		switch output := output.(type) {
 		case core.Send:
-			w.network.send(m, output.Destination, output.Message)
+			sim.network.send(m, output.Destination, output.Message)
 		case core.Write:
 			m.write(output)
 		case core.Reply:
-			if reply := m.replies[output.Request]; reply != nil {
-				delete(m.replies, output.Request)
+			if reply := m.pendingReplies[output.Request]; reply != nil {
+				delete(m.pendingReplies, output.Request)
 				reply(output)
 			}
 		case core.RegistryReply:
-			if answer := m.answers[output.Request]; answer != nil {
-				delete(m.answers, output.Request)
+			if answer := m.pendingRegistryReplies[output.Request]; answer != nil {
+				delete(m.pendingRegistryReplies, output.Request)
 				answer(output)
 			}
 		case core.StateChanged:
-			w.checks.stateChanged(m)
+			sim.checks.stateChanged(m)
 		case core.SendOrder:
-			w.order(m, output)
+			sim.deliverOrder(m, output)
 		case core.FetchReport:
-			w.askReport(m, output)
+			sim.deliverReport(m, output)
 		case core.Log:
-			w.logf("%s: %s %v", m.name, output.Message, output.Fields)
+			sim.logf("%s: %s %v", m.name, output.Message, output.Fields)
 		}
 	}
 }
 
-// write puts records on the disk; the process hears of it when that is over.
+// write starts a write to the disk; the node is notified of its end.
 func (m *machine) write(write core.Write) {
-	w := m.world
-	if m.out != nil {
-		w.fail("%s: a write while another is out", m.name)
+	sim := m.sim
+	if m.writeInFlight != nil {
+		sim.fail("%s: a write while another is in flight", m.name)
 	}
-	m.out = &write
-	life := m.life
-	took := m.sync/2 + time.Duration(w.random.Int64N(int64(m.sync)+1))
-	w.at(max(w.now+took, m.hangUntil), func() {
-		if m.life == life && m.running && m.out == &write {
-			m.written()
+	m.writeInFlight = &write
+	incarnation := m.incarnation
+	duration := m.syncDuration/2 + time.Duration(sim.random.Int64N(int64(m.syncDuration)+1))
+	sim.schedule(max(sim.now+duration, m.diskHangsUntil), func() {
+		if m.incarnation == incarnation && m.running && m.writeInFlight == &write {
+			m.completeWrite()
 		}
 	})
 }
 
-func (m *machine) written() {
-	write := m.out
-	m.out = nil
-	err := m.perform(write)
+// completeWrite performs the write in flight and notifies the node.
+func (m *machine) completeWrite() {
+	write := m.writeInFlight
+	m.writeInFlight = nil
+	err := m.writeToDisk(write)
 	needsCheckpoint := m.journal.NeedsCheckpoint()
-	m.input(func(now core.Time) { m.carryOut(m.node.Written(now, write.Token, err, needsCheckpoint)) })
+	m.step(func(now core.Time) { m.execute(m.node.Written(now, write.Token, err, needsCheckpoint)) })
 }
 
-func (m *machine) perform(write *core.Write) error {
+// writeToDisk performs a write.
+func (m *machine) writeToDisk(write *core.Write) error {
 	if write.Checkpoint {
 		return m.journal.Checkpoint(write.Records)
 	}
 	return m.journal.Append(write.Records)
 }
 
-// kill ends the process. With power the machine loses what its disk had not synced. A write that is under way may have come
-// through in part or whole.
-func (m *machine) kill(power bool) {
+// kill ends the process. With powerLoss the disk loses what was not synced. A write in flight may have been performed in part or
+// completely.
+func (m *machine) kill(powerLoss bool) {
 	if !m.running {
 		return
 	}
-	w := m.world
-	w.logf("kill %s power %v", m.name, power)
+	sim := m.sim
+	sim.logf("kill %s power %v", m.name, powerLoss)
 	m.running = false
-	m.troubled()
-	if m.counts {
-		w.health.coreTroubled()
+	m.recordFault()
+	if m.isCore {
+		sim.health.recordCoreFault()
 	}
 	if m.disk == nil {
 		return
 	}
-	if m.out != nil && m.journal != nil && w.random.IntN(3) > 0 {
-		m.disk.StopAt(m.disk.Steps() + 1 + w.random.IntN(5))
-		_ = m.perform(m.out)
+	if m.writeInFlight != nil && m.journal != nil && sim.random.IntN(3) > 0 {
+		m.disk.StopAt(m.disk.Steps() + 1 + sim.random.IntN(maxStepsOfKill))
+		_ = m.writeToDisk(m.writeInFlight)
 	}
-	m.out, m.journal = nil, nil
-	if power {
-		m.disk.LosePower([]diskfault.Loss{diskfault.SomeLost, diskfault.AllLost}[w.random.IntN(2)])
+	m.writeInFlight, m.journal = nil, nil
+	if powerLoss {
+		m.disk.LosePower([]diskfault.Loss{diskfault.SomeLost, diskfault.AllLost}[sim.random.IntN(2)])
 	} else {
 		m.disk.Restart()
 	}
 }
 
-// wipe ends the process and empties the disk.
-func (m *machine) wipe() {
+// eraseDisk ends the process and replaces the disk by an empty one.
+func (m *machine) eraseDisk() {
 	m.kill(true)
 	m.newDisk()
 	m.bootstrap = false
-	m.world.logf("wipe %s", m.name)
+	m.sim.logf("erase disk of %s", m.name)
 }
 
-func (m *machine) freeze(span time.Duration) {
+// freeze suspends the process for a while.
+func (m *machine) freeze(duration time.Duration) {
 	if !m.running {
 		return
 	}
-	w := m.world
-	w.logf("freeze %s for %v", m.name, span)
-	m.frozenUntil = max(m.frozenUntil, w.now+span)
-	w.after(span, m.trouble())
+	sim := m.sim
+	sim.logf("freeze %s for %v", m.name, duration)
+	m.frozenUntil = max(m.frozenUntil, sim.now+duration)
+	sim.after(duration, m.beginFault())
 }
--- a/internal/rig/faultrun/network.go
+++ b/internal/rig/faultrun/network.go
@@ -9,87 +9,97 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// way leads from one machine to another.
-type way struct{ from, to string }
+// link is one direction between two machines, by their addresses.
+type link struct{ source, destination string }
 
-// network carries messages between machines.
+// maxStraggle bounds what a straggling message takes longer than others.
+const maxStraggle = 4 * time.Second
+
+// network transmits messages between machines.
 type network struct {
-	world     *World
-	delay     time.Duration
-	jitter    time.Duration
-	loss      float64
-	duplicate float64
-	straggle  float64     // chance that a message takes seconds
-	cuts      map[way]int // how many troubles cut it
-	relayed   int
-	sent      int
+	sim             *simulation
+	delay           time.Duration
+	jitter          time.Duration
+	lossRate        float64
+	duplicateRate   float64
+	stragglerRate   float64      // probability that a message takes seconds
+	partitions      map[link]int // how many faults partition the link
+	relayedMessages int
+	sentMessages    int
 }
 
-func (n *network) send(from *machine, to string, message *nodepb.Envelope) {
-	n.sent++
+// send transmits a message once, or twice.
+func (n *network) send(from *machine, address string, message *nodepb.Envelope) {
+	n.sentMessages++
 	if message.GetRelay() != nil {
-		n.relayed++
+		n.relayedMessages++
 	}
-	n.carry(from, to, message)
-	if n.world.random.Float64() < n.duplicate {
-		n.carry(from, to, message)
+	n.deliver(from, address, message)
+	if n.sim.random.Float64() < n.duplicateRate {
+		n.deliver(from, address, message)
 	}
 }
 
-// carry brings a message over, if nothing is in the way when it is sent and when it comes.
-func (n *network) carry(from *machine, address string, message *nodepb.Envelope) {
-	w := n.world
-	to := w.byAddress[address]
-	if to == nil || w.random.Float64() < n.loss || n.cut(from, to) {
+// deliver transmits one copy of a message, if the link is up when it is sent and when it arrives. It reaches whichever incarnation of
+// the destination runs by then.
+func (n *network) deliver(from *machine, address string, message *nodepb.Envelope) {
+	sim := n.sim
+	destination := sim.machinesByAddress[address]
+	if destination == nil || sim.random.Float64() < n.lossRate || n.isPartitioned(from, destination) {
 		return
 	}
 	sender := core.Peer{NodeID: from.nodeID(), Address: from.address}
-	copied := proto.CloneOf(message)
-	w.after(n.transit(), func() { // also to another life of the process
-		if to.running && !n.cut(from, to) {
-			to.input(func(now core.Time) { to.carryOut(to.node.Receive(now, sender, copied)) })
+	received := proto.CloneOf(message)
+	sim.after(n.transitTime(), func() {
+		if destination.running && !n.isPartitioned(from, destination) {
+			destination.step(func(now core.Time) { destination.execute(destination.node.Receive(now, sender, received)) })
 		}
 	})
 }
 
-func (n *network) transit() time.Duration {
-	random := n.world.random
+// transitTime draws the time that a message or a call is in transit.
+func (n *network) transitTime() time.Duration {
+	random := n.sim.random
 	delay := n.delay/2 + time.Duration(random.Int64N(int64(n.delay+n.jitter)+1))
-	if random.Float64() < n.straggle {
-		delay += time.Duration(random.Int64N(int64(4 * time.Second)))
+	if random.Float64() < n.stragglerRate {
+		delay += time.Duration(random.Int64N(int64(maxStraggle)))
 	}
 	return delay
 }
 
-func (n *network) cut(from, to *machine) bool { return n.cuts[way{from.address, to.address}] > 0 }
+// isPartitioned reports whether messages between two machines are lost, in this direction.
+func (n *network) isPartitioned(from, to *machine) bool {
+	return n.partitions[link{from.address, to.address}] > 0
+}
 
-// separate cuts the ways from some machines to others, and back unless oneWay, for a while.
-func (n *network) separate(a, b []*machine, oneWay bool, span time.Duration) {
-	var cut []way
-	for _, one := range a {
-		for _, other := range b {
+// partition takes down the links from the machines of one side to those of the other, and back unless oneWay, for a while.
+func (n *network) partition(sideA, sideB []*machine, oneWay bool, duration time.Duration) {
+	var links []link
+	for _, one := range sideA {
+		for _, other := range sideB {
 			if one == other {
 				continue
 			}
-			cut = append(cut, way{one.address, other.address})
+			links = append(links, link{one.address, other.address})
 			if !oneWay {
-				cut = append(cut, way{other.address, one.address})
+				links = append(links, link{other.address, one.address})
 			}
 		}
 	}
-	n.change(cut, 1)
-	n.world.after(span, func() { n.change(cut, -1) })
+	n.changePartitions(links, 1)
+	n.sim.after(duration, func() { n.changePartitions(links, -1) })
 }
 
-func (n *network) change(ways []way, by int) {
-	w := n.world
-	for _, cut := range ways {
-		n.cuts[cut] += by
-		from, to := w.byAddress[cut.from], w.byAddress[cut.to]
-		from.troubled()
-		to.troubled()
-		if from.counts && to.counts {
-			w.health.coreTroubled()
+// changePartitions adds delta to the count of faults that partition each link, and records the fault at both ends.
+func (n *network) changePartitions(links []link, delta int) {
+	sim := n.sim
+	for _, affected := range links {
+		n.partitions[affected] += delta
+		from, to := sim.machinesByAddress[affected.source], sim.machinesByAddress[affected.destination]
+		from.recordFault()
+		to.recordFault()
+		if from.isCore && to.isCore {
+			sim.health.recordCoreFault()
 		}
 	}
 }
--- a/internal/rig/faultrun/operator.go
+++ b/internal/rig/faultrun/operator.go
@@ -13,168 +13,173 @@
 )
 
 const (
-	callTimeout  = time.Second // an operator waits so long for an answer
-	callPause    = 120 * time.Millisecond
-	mostAttempts = 25
-	givenUp      = 30 * time.Second
+	callTimeout  = time.Second // for an answer, before the next attempt
+	retryBackoff = 120 * time.Millisecond
+	maxAttempts  = 25
+	giveUpAfter  = 30 * time.Second // together with maxAttempts
 )
 
-// order is one change of an operator, with all attempts to bring it.
-type order struct {
-	operator  int
-	id        string
-	command   *nodepb.Command
-	base      uint64
-	version   uint64
-	sentAt    time.Duration
-	attempts  int
-	over      bool // it has a clear answer, or was given up
-	status    int  // that answer; 0: none
-	endedAt   time.Duration
-	reachedAt string // the machine that answered
+// operatorOrder is one change of an operator, with all attempts to submit it.
+type operatorOrder struct {
+	operator    int
+	id          string
+	command     *nodepb.Command
+	baseVersion uint64
+	version     uint64
+	sentAt      time.Duration
+	attempts    int
+	finished    bool // it has a definite answer, or was given up
+	status      int  // of the answer; 0: none
+	endedAt     time.Duration
+	answeredBy  string // the machine that answered
 }
 
-// operator sends changes and reads, one after another, through machines that it picks by chance. One without a clear answer is
-// sent again as it was, to another machine.
+// operator submits changes and reads, one after another, to machines that it picks at random. One without a definite answer is
+// retried unchanged, at another machine.
 type operator struct {
-	world   *World
-	number  int
-	pause   time.Duration
-	count   int
-	known   uint64 // version
-	current *order
-	stopped bool
-	acked   int
-	reads   int
+	sim            *simulation
+	number         int
+	interval       time.Duration
+	operationCount int
+	knownVersion   uint64 // the newest that it got acknowledged or read
+	currentOrder   *operatorOrder
+	stopped        bool
+	ackedCount     int
+	readCount      int
 }
 
-func (w *World) startOperator(number int) {
-	o := &operator{world: w, number: number, pause: w.plan.Pause * time.Duration(1+number)}
-	w.operators = append(w.operators, o)
-	w.after(600*time.Millisecond+time.Duration(number)*3*time.Second, o.next)
+// startOperator starts an operator; the second one starts later and is slower.
+func (sim *simulation) startOperator(number int) {
+	o := &operator{sim: sim, number: number, interval: sim.plan.OperatorInterval * time.Duration(1+number)}
+	sim.operators = append(sim.operators, o)
+	sim.after(600*time.Millisecond+time.Duration(number)*3*time.Second, o.next)
 }
 
-func (o *operator) again() {
-	o.world.after(time.Duration(o.world.random.Int64N(int64(2*o.pause)+1)), o.next)
+// scheduleNext schedules the next operation after a random interval.
+func (o *operator) scheduleNext() {
+	o.sim.after(time.Duration(o.sim.random.Int64N(int64(2*o.interval)+1)), o.next)
 }
 
+// next starts the next operation.
 func (o *operator) next() {
-	switch w := o.world; {
+	switch sim := o.sim; {
 	case o.stopped:
-	case o.known > 0 && w.random.IntN(4) == 0:
+	case o.knownVersion > 0 && sim.random.IntN(4) == 0:
 		o.read()
 	default:
-		o.change()
+		o.submitChange()
 	}
 }
 
-// pick is a machine to call: the list of these lags, so that it may be gone.
-func (w *World) pick() *machine {
+// pickMachine picks a machine to call. The list of these lags: one that does not run is picked at times.
+func (sim *simulation) pickMachine() *machine {
 	for {
-		m := w.machines[w.random.IntN(len(w.machines))]
-		if m.running || w.random.IntN(8) == 0 {
+		m := sim.machines[sim.random.IntN(len(sim.machines))]
+		if m.running || sim.random.IntN(8) == 0 {
 			return m
 		}
 	}
 }
 
-func (o *operator) change() {
-	o.count++
-	w := o.world
-	version := o.known + 1 + uint64(w.random.IntN(3))
-	if w.random.IntN(25) == 0 {
-		version = max(o.known, 1)
+// submitChange submits a change on the newest version that the operator knows; few have a version that does not rise.
+func (o *operator) submitChange() {
+	o.operationCount++
+	sim := o.sim
+	version := o.knownVersion + 1 + uint64(sim.random.IntN(3))
+	if sim.random.IntN(25) == 0 {
+		version = max(o.knownVersion, 1)
 	}
-	id := fmt.Sprintf("o%d-%d", o.number, o.count)
-	body := w.updateBody(version, id)
-	if o.known == 0 {
-		body = w.wholeBody(version, id)
+	id := fmt.Sprintf("o%d-%d", o.number, o.operationCount)
+	body := sim.updateBody(version, id)
+	if o.knownVersion == 0 {
+		body = sim.completeBody(version, id)
 	}
-	change := &nodepb.ConfigChange{Replace: o.known == 0, BaseVersion: o.known, Body: []byte(body)}
-	o.current = &order{
-		operator: o.number, id: id, base: o.known, version: version, sentAt: w.now,
+	change := &nodepb.ConfigChange{Replace: o.knownVersion == 0, BaseVersion: o.knownVersion, Body: []byte(body)}
+	o.currentOrder = &operatorOrder{
+		operator: o.number, id: id, baseVersion: o.knownVersion, version: version, sentAt: sim.now,
 		command: &nodepb.Command{Id: id, Change: &nodepb.Command_ConfigChange{ConfigChange: change}},
 	}
-	w.history.begin(o.current)
-	o.attempt(o.current)
+	sim.history.recordCall(o.currentOrder)
+	o.attempt(o.currentOrder)
 }
 
-// wholeBody is a configuration, of a size by the plan.
-func (w *World) wholeBody(version uint64, id string) string {
+// completeBody is a complete configuration, padded by the plan.
+func (sim *simulation) completeBody(version uint64, id string) string {
 	return fmt.Sprintf(`{"version":%d,"note":%q,"pad":%q,"routes":[{"name":"r","host":"a","pathPrefix":"/","timeoutMs":1000,"service":"s"}],`+
 		`"services":[{"name":"s","engine":{"slots":4,"models":[{"name":"m0"}]}}],"tenants":[{"name":"t","apiKeys":["k-%s"]}]}`,
-		version, id, strings.Repeat("x", w.plan.Padding), id)
+		version, id, strings.Repeat("x", sim.plan.MaxPadding), id)
 }
 
-func (w *World) updateBody(version uint64, id string) string {
+// updateBody is a change of a configuration, of random size.
+func (sim *simulation) updateBody(version uint64, id string) string {
 	return fmt.Sprintf(`{"version":%d,"note":%q,"pad":%q,"upsert":{"tenants":[{"name":"t","apiKeys":["k-%s"]}]}}`,
-		version, id, strings.Repeat("x", w.random.IntN(w.plan.Padding+1)), id)
+		version, id, strings.Repeat("x", sim.random.IntN(sim.plan.MaxPadding+1)), id)
 }
 
-// attempt sends the order to a machine, and to the next one where no clear answer comes in time.
-func (o *operator) attempt(sent *order) {
-	w := o.world
-	if sent.over {
+// attempt submits the order to a machine, and to another one if no definite answer arrives in time.
+func (o *operator) attempt(sent *operatorOrder) {
+	sim := o.sim
+	if sent.finished {
 		return
 	}
 	sent.attempts++
-	if sent.attempts > mostAttempts && w.now-sent.sentAt > givenUp {
-		o.end(sent, 0, "")
+	if sent.attempts > maxAttempts && sim.now-sent.sentAt > giveUpAfter {
+		o.finish(sent, 0, "")
 		return
 	}
-	m := w.pick()
-	w.logf("%s goes to %s", sent.id, m.name)
-	number, moved := sent.attempts, false
-	goOn := func(after time.Duration) {
-		if !moved && sent.attempts == number {
-			moved = true
-			w.after(after, func() { o.attempt(sent) })
+	m := sim.pickMachine()
+	sim.logf("%s sent to %s", sent.id, m.name)
+	number, retried := sent.attempts, false
+	retry := func(delay time.Duration) {
+		if !retried && sent.attempts == number {
+			retried = true
+			sim.after(delay, func() { o.attempt(sent) })
 		}
 	}
-	w.after(callTimeout, func() { goOn(0) })
-	w.callMachine(m, func() { goOn(callPause) }, func(request uint64) func(core.Time) {
-		m.replies[request] = func(reply core.Reply) {
+	sim.after(callTimeout, func() { retry(0) })
+	sim.callMachine(m, func() { retry(retryBackoff) }, func(request uint64) func(core.Time) {
+		m.pendingReplies[request] = func(reply core.Reply) {
 			status := statusOf(reply.Result)
-			w.logf("%s answers %d to %s: %s", m.name, status, sent.id, reply.Result.GetText())
-			w.checks.answered(m, sent, status)
-			w.answer(m, func() {
+			sim.logf("%s answers %d to %s: %s", m.name, status, sent.id, reply.Result.GetText())
+			sim.checks.answered(m, sent, status)
+			sim.deliverAnswer(func() {
 				if status == http.StatusServiceUnavailable {
-					goOn(callPause)
+					retry(retryBackoff)
 					return
 				}
-				o.end(sent, status, m.name)
+				o.finish(sent, status, m.name)
 			})
 		}
-		return func(now core.Time) { m.carryOut(m.node.Submit(now, request, sent.command)) }
+		return func(now core.Time) { m.execute(m.node.Submit(now, request, sent.command)) }
 	})
 }
 
-// callMachine brings a call to a machine's API; refused runs where nobody listens there.
-func (w *World) callMachine(m *machine, refused func(), call func(request uint64) func(core.Time)) {
-	life := m.life
-	w.after(w.network.transit(), func() {
-		if !m.running || m.life != life {
+// callMachine calls the API of a machine; refused runs where the connection is refused or reset.
+func (sim *simulation) callMachine(m *machine, refused func(), call func(request uint64) func(core.Time)) {
+	incarnation := m.incarnation
+	sim.after(sim.network.transitTime(), func() {
+		if !m.running || m.incarnation != incarnation {
 			refused()
 			return
 		}
-		if w.random.Float64() < w.plan.CallLoss {
-			refused() // reset on its way
+		if sim.random.Float64() < sim.plan.CallLossRate {
+			refused() // reset in transit
 			return
 		}
-		m.requests++
-		m.input(call(m.requests))
+		m.lastRequest++
+		m.step(call(m.lastRequest))
 	})
 }
 
-// answer brings an answer to its caller, unless it is lost or the machine goes as it leaves.
-func (w *World) answer(_ *machine, arrived func()) {
-	if w.random.Float64() < w.checks.answerLoss {
+// deliverAnswer sends an answer to its caller, unless it is lost.
+func (sim *simulation) deliverAnswer(arrived func()) {
+	if sim.random.Float64() < sim.checks.answerLossRate {
 		return
 	}
-	w.after(w.network.transit(), arrived)
+	sim.after(sim.network.transitTime(), arrived)
 }
 
-// statusOf is the HTTP status of a result, as package controlapi words it.
+// statusOf is the HTTP status of a result, as in package controlapi.
 func statusOf(result *nodepb.CommandResult) int {
 	switch result.GetCode() {
 	case nodepb.ResultCode_TAKEN:
@@ -190,100 +195,99 @@
 	}
 }
 
-// end takes the clear answer to an order; status 0: it was given up without one.
-func (o *operator) end(sent *order, status int, by string) {
-	w := o.world
-	if sent.over {
+// finish ends an order with its definite answer; status 0: it was given up without one. The operator then reads the newest version,
+// unless its own was acknowledged.
+func (o *operator) finish(sent *operatorOrder, status int, answeredBy string) {
+	sim := o.sim
+	if sent.finished {
 		return
 	}
-	sent.over, sent.status, sent.endedAt, sent.reachedAt = true, status, w.now, by
-	w.history.end(sent)
-	switch status {
-	case http.StatusOK:
-		o.known = sent.version
-		o.acked++
-		w.checks.acknowledged(sent)
-		if w.random.IntN(10) == 0 {
-			w.repeat(sent)
-		}
-	case 0:
+	sent.finished = true
+	sent.status = status
+	sent.endedAt = sim.now
+	sent.answeredBy = answeredBy
+	sim.history.recordReturn(sent)
+	if status != http.StatusOK {
 		o.read()
 		return
-	default:
-		o.read() // another version is in place
-		return
 	}
-	o.again()
+	o.knownVersion = sent.version
+	o.ackedCount++
+	sim.checks.acknowledged(sent)
+	if sim.random.IntN(10) == 0 {
+		sim.resubmit(sent)
+	}
+	o.scheduleNext()
 }
 
-// repeat sends an acknowledged order once more, a while later.
-func (w *World) repeat(sent *order) {
-	w.after(time.Duration(w.random.Int64N(int64(3*time.Second))), func() {
-		m := w.pick()
-		w.callMachine(m, func() {}, func(request uint64) func(core.Time) {
-			m.replies[request] = func(reply core.Reply) {
+// resubmit submits an acknowledged order once more, a while later: it must not be rejected.
+func (sim *simulation) resubmit(sent *operatorOrder) {
+	sim.after(time.Duration(sim.random.Int64N(int64(3*time.Second))), func() {
+		m := sim.pickMachine()
+		sim.callMachine(m, func() {}, func(request uint64) func(core.Time) {
+			m.pendingReplies[request] = func(reply core.Reply) {
 				if status := statusOf(reply.Result); status/100 == 4 {
-					w.fail("%s answers %d to %s, which was acknowledged before", m.name, status, sent.id)
+					sim.fail("%s answers %d to %s, which was acknowledged before", m.name, status, sent.id)
 				}
 			}
-			return func(now core.Time) { m.carryOut(m.node.Submit(now, request, sent.command)) }
+			return func(now core.Time) { m.execute(m.node.Submit(now, request, sent.command)) }
 		})
 	})
 }
 
-// document is what a configuration that was read back holds.
-type document struct {
+// configDocument is the part of a configuration that the checks compare.
+type configDocument struct {
 	Version uint64 `json:"version"`
-	Note    string `json:"note"`
+	OrderID string `json:"note"`
 }
 
-// read asks machines for the configuration until one answers.
+// read reads the configuration, with retries until a machine answers.
 func (o *operator) read() {
-	w := o.world
-	o.count++
-	count, sentAt := o.count, w.now
-	floor := w.checks.newestAcked()
-	m := w.pick()
-	goOn := func(after time.Duration) {
-		if o.count == count {
-			o.count++
-			w.after(after, o.read)
+	sim := o.sim
+	o.operationCount++
+	count, sentAt := o.operationCount, sim.now
+	minVersion := sim.checks.newestAcked()
+	m := sim.pickMachine()
+	retry := func(delay time.Duration) {
+		if o.operationCount == count {
+			o.operationCount++
+			sim.after(delay, o.read)
 		}
 	}
-	w.after(callTimeout, func() { goOn(0) })
-	w.callMachine(m, func() { goOn(callPause) }, func(request uint64) func(core.Time) {
-		m.replies[request] = func(reply core.Reply) {
-			read, ok := w.checks.readBack(m, reply, floor, sentAt)
-			w.answer(m, func() {
+	sim.after(callTimeout, func() { retry(0) })
+	sim.callMachine(m, func() { retry(retryBackoff) }, func(request uint64) func(core.Time) {
+		m.pendingReplies[request] = func(reply core.Reply) {
+			read, ok := sim.checks.checkRead(m, reply, minVersion)
+			sim.deliverAnswer(func() {
 				switch {
 				case !ok:
-					goOn(callPause)
-				case o.count == count:
-					o.count++
-					o.known = read.Version
-					o.reads++
-					w.history.read(o.number, sentAt, w.now, read)
-					o.again()
+					retry(retryBackoff)
+				case o.operationCount == count:
+					o.operationCount++
+					o.knownVersion = read.Version
+					o.readCount++
+					sim.history.recordRead(o.number, sentAt, sim.now, read)
+					o.scheduleNext()
 				}
 			})
 		}
-		return func(now core.Time) { m.carryOut(m.node.Read(now, request)) }
+		return func(now core.Time) { m.execute(m.node.Read(now, request)) }
 	})
 }
 
-// documentOf reads what a state holds; false: no configuration was taken.
-func documentOf(state []byte) (document, bool, error) {
+// decodeDocument decodes the configuration of a snapshot; false: there is none yet.
+func decodeDocument(state []byte) (configDocument, bool, error) {
 	body, err := config.FetchFromSnapshot(state)
 	if err != nil || len(body) == 0 {
-		return document{}, false, err
+		return configDocument{}, false, err
 	}
-	var read document
+	var read configDocument
 	err = json.Unmarshal(body, &read)
 	return read, true, err
 }
 
-// noChecker checks no schema: configurations of these runs keep it.
-type noChecker struct{}
+// acceptAllChecker checks no schema: configurations of these runs match it.
+type acceptAllChecker struct{}
 
-// CheckItems finds nothing wrong.
-func (noChecker) CheckItems([]config.SchemaItem) error { return nil }
+// CheckItems implements the checker of package control; it accepts all items.
+func (acceptAllChecker) CheckItems([]config.SchemaItem) error { return nil }
--- a/internal/rig/faultrun/plan.go
+++ b/internal/rig/faultrun/plan.go
@@ -5,136 +5,146 @@
 	"time"
 )
 
-// Plan is what is played: the size of the fleet, its conduct, and the troubles. It follows from a seed, and can be cut down.
+// Plan is the input of a run: the fleet, its parameters, and the faults. It follows from a seed, and can be reduced. Its JSON, which is
+// printed for a plan that violates something, keeps its keys.
 type Plan struct {
-	Seed             uint64
-	Core             int // machines that count
-	Proxies          int
-	Tolerance        int
-	GlobalRevocation bool
-	Fencing          bool
-	Delay            time.Duration // of a message
-	Sync             time.Duration // of a disk
-	Pause            time.Duration // between two calls of an operator
-	Padding          int           // most bytes that a change adds to its size
-	CallLoss         float64       // calls that are reset on their way
-	Length           time.Duration // of the troubles
-	Troubles         []Trouble
+	Seed             uint64        `json:"Seed"`
+	CoreSize         int           `json:"Core"` // machines that count for a quorum
+	ProxyCount       int           `json:"Proxies"`
+	Tolerance        int           `json:"Tolerance"`
+	GlobalRevocation bool          `json:"GlobalRevocation"`
+	Fencing          bool          `json:"Fencing"`
+	MessageDelay     time.Duration `json:"Delay"`    // mean transit time of a message
+	SyncDuration     time.Duration `json:"Sync"`     // mean time of a write to a disk
+	OperatorInterval time.Duration `json:"Pause"`    // mean time between two calls of the first operator
+	MaxPadding       int           `json:"Padding"`  // bytes that a change may add to its size
+	CallLossRate     float64       `json:"CallLoss"` // share of calls that are reset in transit
+	FaultPhase       time.Duration `json:"Length"`   // faults start within it
+	Faults           []Fault       `json:"Troubles"`
 }
 
-// Trouble is one thing that happens. A and B pick machines, by their place among those that it can happen to.
-type Trouble struct {
-	At   time.Duration
-	Kind Kind
-	A, B int
-	For  time.Duration
-	X    int // variant
+// Fault is one injected fault. TargetA and TargetB select machines, modulo the number of those that can have it.
+type Fault struct {
+	InjectAt time.Duration `json:"At"`
+	Kind     FaultKind     `json:"Kind"`
+	TargetA  int           `json:"A"`
+	TargetB  int           `json:"B"`
+	Duration time.Duration `json:"For"`
+	Variant  int           `json:"X"` // meaning by kind
 }
 
-// Kind is a kind of trouble; they follow the list of the operators' bench.
-type Kind string
+// FaultKind is a kind of fault. The kinds follow the fault list of the operators' bench, and their values are those of printed plans.
+type FaultKind string
 
-// The kinds of troubles.
+// The kinds of faults.
 const (
-	Kill        Kind = "kill"         // a process
-	PowerLoss   Kind = "power_loss"   // of a machine
-	Herd        Kind = "herd"         // many at once; X: kill, power, all machines
-	Freeze      Kind = "freeze"       // a process stands still
-	CutOff      Kind = "cut_off"      // a core machine from the core; X: from the core, other zones too, all; both ways or one way
-	EvenCut     Kind = "even_cut"     // the core in two; X: others reach both, others are cut as well
-	PairCut     Kind = "pair_cut"     // two machines; X: one way
-	ProxyCut    Kind = "proxy_cut"    // a proxy from the core
-	BothRestart Kind = "both_restart" // cut off ones are restarted, then the others
-	Relieve     Kind = "relieve"      // after a cut heals, the others are killed
-	Behind      Kind = "behind"       // a minority misses changes, one of the others loses its disk, the rest are dark for a while
-	DiskFull    Kind = "disk_full"
-	DiskFails   Kind = "disk_fails"
-	DiskHangs   Kind = "disk_hangs"
-	DiskSlow    Kind = "disk_slow"
-	Wipe        Kind = "wipe"      // a machine loses its disk; X: the others lose power at the same time
-	AfterAck    Kind = "after_ack" // right after an acknowledgement the machine goes; X: killed, power, disk, all power, disk and all power
-	Replace     Kind = "replace"   // a core machine is replaced by an empty one; X: after it, before it with a stop
-	Stop        Kind = "stop"      // SIGTERM, and a start
-	Noise       Kind = "noise"     // messages are lost, doubled, late
-	AnswerLoss  Kind = "answer_loss"
-	Seeds       Kind = "seeds"   // the settings name others; X: and a machine restarts
-	Drain       Kind = "drain"   // a broker leaves; X: it tells a core machine first
-	Weights     Kind = "weights" // new ones are named
-	Burst       Kind = "burst"   // the operators hurry
-	// Forget is no trouble that is borne: all disks are lost at once. It shows that a loss is found.
-	Forget Kind = "forget"
+	ProcessKill                FaultKind = "kill"         // a process
+	PowerLoss                  FaultKind = "power_loss"   // of a machine
+	MassRestart                FaultKind = "herd"         // many at once; Variant: kill, power, all machines
+	ProcessFreeze              FaultKind = "freeze"       // a process is suspended
+	CoreMachineIsolated        FaultKind = "cut_off"      // Variant: from the core, other zones too, all; both directions or one
+	CoreHalvesPartitioned      FaultKind = "even_cut"     // Variant: proxies reach both halves, or are split as well
+	CorePairPartitioned        FaultKind = "pair_cut"     // two machines; Variant: one direction
+	ProxyIsolated              FaultKind = "proxy_cut"    // a proxy from the core
+	RestartDuringPartition     FaultKind = "both_restart" // machines of one half are restarted, then those of the other
+	KillAfterHeal              FaultKind = "relieve"      // after an isolated machine is back, the others are killed
+	DiskLossWithLaggingReplica FaultKind = "behind"       // a machine misses changes, another loses its disk, the rest restart
+	DiskFull                   FaultKind = "disk_full"
+	DiskFailing                FaultKind = "disk_fails"
+	DiskHanging                FaultKind = "disk_hangs"
+	DiskSlow                   FaultKind = "disk_slow"
+	DiskLoss                   FaultKind = "wipe"      // Variant: the others lose power at the same time
+	FaultAfterAck              FaultKind = "after_ack" // Variant: kill, power, disk, power of all, disk and power of all
+	MachineReplacement         FaultKind = "replace"   // by an empty one; Variant: added after the removal, or before
+	GracefulStop               FaultKind = "stop"      // SIGTERM and a restart
+	NetworkNoise               FaultKind = "noise"     // messages are lost, duplicated, late
+	ResponseLoss               FaultKind = "answer_loss"
+	SeedsChange                FaultKind = "seeds"   // the settings name others; Variant: a machine restarts
+	BrokerDrain                FaultKind = "drain"   // Variant: it notifies a core machine first
+	WeightsUpdate              FaultKind = "weights" // a new version is submitted
+	OperatorBurst              FaultKind = "burst"   // operators call every few milliseconds
+	// TotalDiskLoss exceeds every tolerance: all disks are lost at once. No seed has it; tests show with it that loss is detected.
+	TotalDiskLoss FaultKind = "forget"
 )
 
-var allKinds = []Kind{
-	Kill, Kill, PowerLoss, Herd, Freeze, Freeze, CutOff, CutOff, EvenCut, EvenCut, PairCut, ProxyCut, BothRestart, Relieve, Behind,
-	DiskFull, DiskFails, DiskHangs, DiskSlow, Wipe, Wipe, AfterAck, AfterAck, Replace, Stop, Noise, AnswerLoss, Seeds, Drain, Drain,
-	Weights, Burst,
+// weightedKinds are the kinds that plans draw from; those that stand twice come twice as often.
+var weightedKinds = []FaultKind{
+	ProcessKill, ProcessKill, PowerLoss, MassRestart, ProcessFreeze, ProcessFreeze,
+	CoreMachineIsolated, CoreMachineIsolated, CoreHalvesPartitioned, CoreHalvesPartitioned, CorePairPartitioned, ProxyIsolated,
+	RestartDuringPartition, KillAfterHeal, DiskLossWithLaggingReplica,
+	DiskFull, DiskFailing, DiskHanging, DiskSlow, DiskLoss, DiskLoss,
+	FaultAfterAck, FaultAfterAck, MachineReplacement, GracefulStop, NetworkNoise, ResponseLoss, SeedsChange, BrokerDrain, BrokerDrain,
+	WeightsUpdate, OperatorBurst,
 }
 
-// calmTail is how long the last troubles of a plan may go on, and calmTime what passes after them.
+// maxFaultDuration is how long the last faults of a plan may last, and recoveryPhase the time without faults after them.
 const (
-	calmTail = 7 * time.Second
-	calmTime = 16 * time.Second
+	maxFaultDuration = 7 * time.Second
+	recoveryPhase    = 16 * time.Second
 )
 
-// paddings are by how much changes may add to their size at the most, in bytes; few runs have large ones, as they take long.
-var paddings = []int{10, 10, 10, 10, 500, 500, 500, 4000, 4000, 4000, 20_000, 180_000}
+// paddingLimits are the values of Plan.MaxPadding, in bytes; few runs have large ones, as they take long.
+var paddingLimits = []int{10, 10, 10, 10, 500, 500, 500, 4000, 4000, 4000, 20_000, 180_000}
 
-// firstTrouble: troubles begin once the first view has been agreed, as on the operators' days.
-const firstTrouble = 2 * time.Second
+// firstFaultAt is after the first view has been agreed, as on the operators' bench.
+const firstFaultAt = 2 * time.Second
 
-// PlanOf is the plan of a seed.
+// planStream tells the random source of a plan from that of its run, which has the same seed.
+const planStream = 0x706c616e
+
+// PlanOf draws the plan of a seed. The order of draws is fixed, as seeds are named in issues and tests.
 func PlanOf(seed uint64) *Plan {
-	random := rand.New(rand.NewPCG(seed, 0x706c616e))
+	random := rand.New(rand.NewPCG(seed, planStream))
 	sizes := []Plan{
-		{Core: 3, Proxies: 3, Tolerance: 1}, {Core: 4, Proxies: 2, Tolerance: 1}, {Core: 4, Proxies: 3, Tolerance: 1},
-		{Core: 6, Proxies: 3, Tolerance: 2}, {Core: 5, Proxies: 2, Tolerance: 2}, {Core: 8, Proxies: 3, Tolerance: 2},
-		{Core: 3, Proxies: 2, Tolerance: 1}, {Core: 2, Proxies: 2, Tolerance: 0},
+		{CoreSize: 3, ProxyCount: 3, Tolerance: 1}, {CoreSize: 4, ProxyCount: 2, Tolerance: 1}, {CoreSize: 4, ProxyCount: 3, Tolerance: 1},
+		{CoreSize: 6, ProxyCount: 3, Tolerance: 2}, {CoreSize: 5, ProxyCount: 2, Tolerance: 2}, {CoreSize: 8, ProxyCount: 3, Tolerance: 2},
+		{CoreSize: 3, ProxyCount: 2, Tolerance: 1}, {CoreSize: 2, ProxyCount: 2, Tolerance: 0},
 	}
 	plan := sizes[random.IntN(len(sizes))]
 	plan.Seed = seed
 	plan.GlobalRevocation = random.IntN(2) == 0
 	plan.Fencing = random.IntN(2) == 0
-	plan.Delay = 300*time.Microsecond + time.Duration(random.Int64N(int64(5*time.Millisecond)))
-	plan.Sync = 500*time.Microsecond + time.Duration(random.Int64N(int64(8*time.Millisecond)))
-	plan.Pause = 15*time.Millisecond + time.Duration(random.Int64N(int64(120*time.Millisecond)))
-	plan.Padding = paddings[random.IntN(len(paddings))]
-	plan.CallLoss = []float64{0, 0, 0.02, 0.1}[random.IntN(4)]
-	plan.Length = 12*time.Second + time.Duration(random.Int64N(int64(20*time.Second)))
-	if plan.Padding > 100_000 {
-		plan.Pause *= 4
+	plan.MessageDelay = 300*time.Microsecond + time.Duration(random.Int64N(int64(5*time.Millisecond)))
+	plan.SyncDuration = 500*time.Microsecond + time.Duration(random.Int64N(int64(8*time.Millisecond)))
+	plan.OperatorInterval = 15*time.Millisecond + time.Duration(random.Int64N(int64(120*time.Millisecond)))
+	plan.MaxPadding = paddingLimits[random.IntN(len(paddingLimits))]
+	plan.CallLossRate = []float64{0, 0, 0.02, 0.1}[random.IntN(4)]
+	plan.FaultPhase = 12*time.Second + time.Duration(random.Int64N(int64(20*time.Second)))
+	if plan.MaxPadding > 100_000 {
+		plan.OperatorInterval *= 4
 	}
-	pace := 300*time.Millisecond + time.Duration(random.Int64N(int64(3500*time.Millisecond)))
+	meanGap := 300*time.Millisecond + time.Duration(random.Int64N(int64(3500*time.Millisecond)))
 	if random.IntN(3) == 0 {
-		plan.spread(random)
+		plan.scheduleSequentialFaults(random)
 		return &plan
 	}
-	for at := firstTrouble + time.Duration(random.Int64N(int64(2*time.Second))); at < plan.Length; {
-		plan.Troubles = append(plan.Troubles, Trouble{
-			At: at, Kind: allKinds[random.IntN(len(allKinds))], A: random.IntN(1000), B: random.IntN(1000), X: random.IntN(60),
-			For: 50*time.Millisecond + time.Duration(random.Int64N(int64(calmTail-time.Second))),
+	for injectAt := firstFaultAt + time.Duration(random.Int64N(int64(2*time.Second))); injectAt < plan.FaultPhase; {
+		plan.Faults = append(plan.Faults, Fault{
+			InjectAt: injectAt, Kind: weightedKinds[random.IntN(len(weightedKinds))], TargetA: random.IntN(1000), TargetB: random.IntN(1000), Variant: random.IntN(60),
+			Duration: 50*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultDuration-time.Second))),
 		})
-		at += time.Duration(random.Int64N(int64(2 * pace)))
+		injectAt += time.Duration(random.Int64N(int64(2 * meanGap)))
 	}
 	return &plan
 }
 
-// singleKinds are troubles that one at a time are borne whole.
-var singleKinds = []Kind{
-	Kill, PowerLoss, Freeze, CutOff, EvenCut, PairCut, ProxyCut, DiskFull, DiskFails, DiskHangs, DiskSlow, Wipe, AfterAck, Replace, Stop,
-	AnswerLoss, Seeds, Drain, Weights, Burst,
+// toleratedKinds are faults whose effects are bounded as long as they come one at a time.
+var toleratedKinds = []FaultKind{
+	ProcessKill, PowerLoss, ProcessFreeze, CoreMachineIsolated, CoreHalvesPartitioned, CorePairPartitioned, ProxyIsolated,
+	DiskFull, DiskFailing, DiskHanging, DiskSlow, DiskLoss, FaultAfterAck, MachineReplacement, GracefulStop,
+	ResponseLoss, SeedsChange, BrokerDrain, WeightsUpdate, OperatorBurst,
 }
 
-// spread makes a plan of troubles that come one after the other, each when the one before is over: what is promised of machines in touch
-// holds throughout.
-func (p *Plan) spread(random *rand.Rand) {
-	p.Length = 60 * time.Second
-	for at := 4 * time.Second; at < p.Length; {
-		t := Trouble{
-			At: at, Kind: singleKinds[random.IntN(len(singleKinds))], A: random.IntN(1000), B: random.IntN(1000), X: random.IntN(60),
-			For: 50*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))),
+// scheduleSequentialFaults draws faults of which each starts after the one before has ended and been recovered from, so that the promises
+// for machines in contact apply throughout.
+func (p *Plan) scheduleSequentialFaults(random *rand.Rand) {
+	p.FaultPhase = 60 * time.Second
+	for injectAt := 4 * time.Second; injectAt < p.FaultPhase; {
+		fault := Fault{
+			InjectAt: injectAt, Kind: toleratedKinds[random.IntN(len(toleratedKinds))], TargetA: random.IntN(1000), TargetB: random.IntN(1000), Variant: random.IntN(60),
+			Duration: 50*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))),
 		}
-		p.Troubles = append(p.Troubles, t)
-		at += t.For + catchUpTime + time.Duration(random.Int64N(int64(5*time.Second)))
+		p.Faults = append(p.Faults, fault)
+		injectAt += fault.Duration + catchUpTimeout + time.Duration(random.Int64N(int64(5*time.Second)))
 	}
 }
--- a/internal/rig/faultrun/run.go
+++ b/internal/rig/faultrun/run.go
@@ -9,83 +9,89 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Result is what a run showed.
+// Result is the result of a run.
 type Result struct {
-	Plan    *Plan
-	Breach  string // the first; empty: nothing was broken
-	Trace   []string
-	Changes int // acknowledged
-	Reads   int
-	Relayed int           // messages
-	Longest time.Duration // that an order waited for its answer, troubles included
-	Unclear bool          // the history was too long to be checked whole
+	Plan             *Plan
+	Violation        string // the first violation; empty: none
+	Trace            []string
+	AckedChanges     int
+	Reads            int
+	RelayedMessages  int           // between nodes, by way of a third
+	MaxOrderWait     time.Duration // for an answer to an order, faults included
+	HistoryUnchecked bool          // the check of the history took too long
 }
 
-// Play plays a plan. traced keeps a log of what happened.
-func Play(plan *Plan, traced bool) *Result {
-	w := newWorld(plan, traced)
-	for _, t := range plan.Troubles {
-		w.at(t.At, func() { w.bring(t) })
+// Play runs a plan. traceEnabled keeps a log of the run in the result.
+func Play(plan *Plan, traceEnabled bool) *Result {
+	sim := newSimulation(plan, traceEnabled)
+	for _, fault := range plan.Faults {
+		sim.schedule(fault.InjectAt, func() { sim.inject(fault) })
 	}
-	w.play(plan.Length+calmTail, w.goesOn)
-	w.calm()
-	return w.result()
+	sim.runUntil(plan.FaultPhase+maxFaultDuration, sim.holds)
+	sim.recover()
+	return sim.result()
 }
 
-// calm ends all troubles, and holds that everything works again within its time.
-func (w *World) calm() {
-	if !w.goesOn() {
+// recover ends all faults, and checks that the core is complete and acknowledges changes again in time.
+func (sim *simulation) recover() {
+	if !sim.holds() {
 		return
 	}
-	w.checks.answerLoss, w.checks.onAck = 0, nil
-	w.quiet()
-	clear(w.network.cuts)
-	for _, m := range w.machines {
+	sim.endFaults()
+	startedAt := sim.now
+	acked := sim.checks.newestAcked()
+	if sim.toleranceExceeded {
+		sim.runUntil(startedAt+recoveryPhase, sim.holds)
+		return
+	}
+	sim.runUntil(startedAt+recoveryPhase/2, sim.holds)
+	if sim.holds() && !sim.isComplete() {
+		sim.fail("the core is not complete %v after the last fault: %v", recoveryPhase/2, sim.describeCore())
+	}
+	sim.runUntil(startedAt+recoveryPhase, sim.holds)
+	if sim.holds() && sim.checks.newestAcked() == acked {
+		sim.fail("nothing was acknowledged in %v after the last fault", recoveryPhase)
+	}
+	sim.checkFinalRead()
+}
+
+// endFaults repairs the network and the disks, and starts each process that does not run.
+func (sim *simulation) endFaults() {
+	sim.checks.answerLossRate, sim.checks.onAck = 0, nil
+	sim.endNetworkNoise()
+	clear(sim.network.partitions)
+	for _, m := range sim.machines {
 		if m.disk != nil && !m.removed {
 			m.disk.SetFull(false)
 			m.disk.SetFailing(false)
-			m.sync, m.hangUntil = w.plan.Sync, min(m.hangUntil, w.now)
+			m.syncDuration, m.diskHangsUntil = sim.plan.SyncDuration, min(m.diskHangsUntil, sim.now)
 		}
 		m.start()
 	}
-	began := w.now
-	acked := w.checks.newestAcked()
-	if w.beyond {
-		w.play(began+calmTime, w.goesOn)
-		return
-	}
-	w.play(began+calmTime/2, w.goesOn)
-	if w.goesOn() && !w.whole() {
-		w.fail("the core is not whole %v after the last trouble: %v", calmTime/2, w.describe())
-	}
-	w.play(began+calmTime, w.goesOn)
-	if w.goesOn() && w.checks.newestAcked() == acked {
-		w.fail("nothing was acknowledged in %v after the last trouble", calmTime)
-	}
-	w.endOrders()
 }
 
-// endOrders stops the operators and holds that the newest version can be read, at any machine.
-func (w *World) endOrders() {
-	for _, o := range w.operators {
+// checkFinalRead stops the operators and checks that the newest version can be read, at any machine.
+func (sim *simulation) checkFinalRead() {
+	for _, o := range sim.operators {
 		o.stopped = true
 	}
-	w.play(w.now+2*time.Second, w.goesOn)
-	floor := w.checks.newestAcked()
-	reader := &operator{world: w, number: 9, stopped: true}
-	for range w.machines {
+	sim.runUntil(sim.now+2*time.Second, sim.holds)
+	minVersion := sim.checks.newestAcked()
+	reader := &operator{sim: sim, number: 9, stopped: true}
+	for range sim.machines {
 		reader.read()
-		w.play(w.now+1500*time.Millisecond, w.goesOn)
+		sim.runUntil(sim.now+1500*time.Millisecond, sim.holds)
 	}
-	if w.goesOn() && reader.known < floor {
-		w.fail("the newest version %d is not read at the end, only %d", floor, reader.known)
+	if sim.holds() && reader.knownVersion < minVersion {
+		sim.fail("the newest version %d is not read at the end, only %d", minVersion, reader.knownVersion)
 	}
 }
 
-func (w *World) describe() string {
+// describeCore is the state of each core machine, for the trace.
+func (sim *simulation) describeCore() string {
 	var lines []string
-	for _, m := range w.machines {
-		if !m.counts || m.removed {
+	for _, m := range sim.machines {
+		if !m.isCore || m.removed {
 			continue
 		}
 		line := fmt.Sprintf("%s running %v", m.name, m.running)
@@ -99,33 +105,35 @@
 	return strings.Join(lines, "; ")
 }
 
-func (w *World) result() *Result {
-	r := &Result{Plan: w.plan, Trace: w.trace, Relayed: w.network.relayed, Longest: w.checks.longest}
-	for _, o := range w.operators {
-		r.Changes += o.acked
-		r.Reads += o.reads
+// result checks the history and sums up the run.
+func (sim *simulation) result() *Result {
+	r := &Result{Plan: sim.plan, Trace: sim.trace, RelayedMessages: sim.network.relayedMessages, MaxOrderWait: sim.checks.maxOrderWait}
+	for _, o := range sim.operators {
+		r.AckedChanges += o.ackedCount
+		r.Reads += o.readCount
 	}
-	if w.goesOn() {
-		switch w.history.linearizable(w.now) {
+	if sim.holds() {
+		switch sim.history.linearizable(sim.now) {
 		case porcupine.Illegal:
-			w.fail("no order of the changes and reads explains what operators saw")
+			sim.fail("the history of changes and reads is not linearizable")
 		case porcupine.Unknown:
-			r.Unclear = true
+			r.HistoryUnchecked = true
 		}
 	}
-	r.Breach = w.breach
+	r.Violation = sim.violation
 	return r
 }
 
-// Shrink cuts a plan that breaks something down to troubles without which nothing is broken. most bounds the plays.
-func Shrink(plan *Plan, most int) *Plan {
-	for width := max(1, len(plan.Troubles)/2); width >= 1; width /= 2 {
-		for at := 0; at+width <= len(plan.Troubles) && most > 0; {
+// Shrink reduces a plan with a violation to faults without which there is none, by delta debugging: it drops ever smaller ranges of faults.
+// maxPlays bounds the runs that it takes.
+func Shrink(plan *Plan, maxPlays int) *Plan {
+	for count := max(1, len(plan.Faults)/2); count >= 1; count /= 2 {
+		for start := 0; start+count <= len(plan.Faults) && maxPlays > 0; {
 			smaller := *plan
-			smaller.Troubles = slices.Delete(slices.Clone(plan.Troubles), at, at+width)
-			most--
-			if Play(&smaller, false).Breach == "" {
-				at += width
+			smaller.Faults = slices.Delete(slices.Clone(plan.Faults), start, start+count)
+			maxPlays--
+			if Play(&smaller, false).Violation == "" {
+				start += count
 				continue
 			}
 			plan = &smaller
--- a/internal/rig/faultrun/run_test.go
+++ b/internal/rig/faultrun/run_test.go
@@ -28,13 +28,13 @@
 				return
 			}
 			r := Play(PlanOf(seed), false)
-			if r.Breach == "" {
-				t.Logf("%d changes, %d reads, %d relayed, longest %v, unclear %v", r.Changes, r.Reads, r.Relayed, r.Longest, r.Unclear)
+			if r.Violation == "" {
+				t.Logf("%d changes, %d reads, %d relayed, longest %v, unclear %v", r.AckedChanges, r.Reads, r.RelayedMessages, r.MaxOrderWait, r.HistoryUnchecked)
 				return
 			}
 			broken.Store(true)
-			t.Errorf("seed %d (core %d, tolerance %d, padding %d, pause %v, delay %v): %s", seed, r.Plan.Core, r.Plan.Tolerance, r.Plan.Padding,
-				r.Plan.Pause, r.Plan.Delay, r.Breach)
+			t.Errorf("seed %d (core %d, tolerance %d, padding %d, pause %v, delay %v): %s", seed, r.Plan.CoreSize, r.Plan.Tolerance, r.Plan.MaxPadding,
+				r.Plan.OperatorInterval, r.Plan.MessageDelay, r.Violation)
 			if testing.Verbose() {
 				t.Log(strings.Join(Play(r.Plan, true).Trace, "\n"))
 			}
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestARunFollowsFromItsSeed: played twice, the same happens.
-func TestARunFollowsFromItsSeed(t *testing.T) {
+// TestRunIsDeterministic runs plans twice and compares the traces.
+func TestRunIsDeterministic(t *testing.T) {
 	seeds := uint64(3)
 	if testing.Short() {
 		seeds = 1
