--- a/internal/routing/rare_test.go
+++ b/internal/aggregator/engine/rare_test.go
@@ -1,4 +1,4 @@
-package routing
+package engine
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/settings"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/transport"
 )
 
--- a/internal/broker/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -8,13 +8,13 @@
 	"time"
 	_ "time/tzdata" // a small machine may have no zones
 
-	"kestrelspread/internal/broker"
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/engine"
+	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/aggregator/server"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/fleet/zonefailure"
 	"kestrelspread/internal/operator"
 	"kestrelspread/internal/passthrough"
-	"kestrelspread/internal/routing"
-	"kestrelspread/internal/settings"
 )
 
 // Read reads an operator's file and checks it whole.
@@ -50,7 +50,7 @@
 }
 
 // fit keeps what calls may hold within the broker's memory, whatever the file says: past that the broker is killed.
-func fit(p *broker.Parts, g *operator.GRPC) {
+func fit(p *server.Parts, g *operator.GRPC) {
 	l := &g.Rules.Limits
 	most := max(int(p.Memory/memoryShare), l.Window)
 	if l.Held > most {
@@ -63,13 +63,13 @@
 const memoryShare = 4
 
 // Attach switches on what the operator's file names. At SIGHUP a new file is taken whole or not at all.
-func Attach(file string) broker.Attach {
-	return func(p *broker.Parts) (broker.Attached, error) {
+func Attach(file string) server.Attach {
+	return func(p *server.Parts) (server.Attached, error) {
 		s, err := Read(file, p.Set)
 		if err != nil {
-			return broker.Attached{}, err
+			return server.Attached{}, err
 		}
-		var on broker.Attached
+		var on server.Attached
 		if s.Ledger != nil {
 			if on.End, err = keep(p, s.Ledger); err != nil {
 				return on, err
@@ -80,7 +80,7 @@
 			if s.Borne {
 				view = p.Set.Planned
 			}
-			p.Router.Replace(func(out decide.Out) decide.Port { return view(out, p.Seed) })
+			p.Router.Replace(func(out policy.Out) policy.Port { return view(out, p.Seed) })
 			p.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
 		}
 		if s.Order != nil {
@@ -144,7 +144,7 @@
 					Msg("operator's file read again")
 				fit(p, next.GRPC)
 				front.Next.Store(next.GRPC.Rules)
-				p.Loop.Tell(routing.Reread)
+				p.Loop.Tell(engine.Reread)
 			}
 		}
 		return on, nil
