--- a/internal/broker/full/full.go
+++ b/internal/broker/full/full.go
@@ -88,9 +88,9 @@
 			p.Log.Info().Strs("first", s.Order.Text(Names(p.Set))).Msg("an order of refusals")
 		}
 		sees := &sightings{}
-		port, sighted := p.Router.Port().(*zonefailure.Port)
+		port, sighted := p.Router.Port().(*zonefailure.Interceptor)
 		if sighted {
-			port.Changed = sees.changed
+			port.OnChange = sees.changed
 		}
 		last := func(end func()) {
 			before := on.End
--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -34,7 +34,7 @@
 
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
-func duties(p *broker.Parts, o *operator.Owner, port *zonefailure.Port, sees *sightings) (end func(), err error) {
+func duties(p *broker.Parts, o *operator.Owner, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
 	rules := lease.ConfigForLease(o.Lease)
 	var list []voter.Address
 	votes := false
@@ -89,7 +89,7 @@
 	if o.Return && port != nil {
 		ears := &pace.Ears{}
 		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
-		sees.others = append(sees.others, func(w gossip.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
+		sees.others = append(sees.others, func(w gossip.Report) { ears.Saw(w.Peer, w.Site, w.Lost, w.AgeMs) })
 		w.Jobs[returnDuty] = func() client.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
 		w.WatchedRoles = []string{returnDuty}
 		w.OnProgress = func(list []replica.ProgressReport) {
@@ -101,7 +101,7 @@
 				// A full post loses it, as it is said again.
 				p.Router.Post(p.Loop.Tell, func() {
 					for _, one := range stages {
-						port.Staged(one.Site, one.Share, s.AgeMs)
+						port.HandleRecoveryShare(one.Site, one.Share, s.AgeMs)
 					}
 				})
 			}
--- a/internal/broker/full/talk.go
+++ b/internal/broker/full/talk.go
@@ -8,16 +8,16 @@
 )
 
 // converse has a broker tell others what it sees of sites, and hear them.
-func converse(p *broker.Parts, o *operator.Talk, port *zonefailure.Port, sees *sightings) (end func(), err error) {
-	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, Via: o.Via, Heard: func(w gossip.Word) {
+func converse(p *broker.Parts, o *operator.Talk, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
+	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.Via, OnReport: func(w gossip.Report) {
 		// A full post loses hearsay, which is said again.
-		p.Router.Post(p.Loop.Tell, func() { port.Told(w.Peer, w.Site, w.Lost, w.Age) })
+		p.Router.Post(p.Loop.Tell, func() { port.HandlePeerReport(w.Peer, w.Site, w.Lost, w.AgeMs) })
 		sees.heard(w)
 	}})
 	if err != nil {
 		return nil, err
 	}
-	sees.add(t.Saw)
+	sees.add(t.Observe)
 	p.Log.Info().Str("listen", o.Listen.String()).Strs("join", o.Join).Msg("talking to other brokers")
 	return func() { t.Close() }, nil
 }
@@ -25,14 +25,14 @@
 // sightings hand on what this broker sees of sites, and what others say, to whoever wants to know.
 type sightings struct {
 	own    []func(site int, lost bool)
-	others []func(w gossip.Word)
+	others []func(w gossip.Report)
 }
 
 func (s *sightings) add(f func(site int, lost bool)) { s.own = append(s.own, f) }
 
 // changed hears the port; in the loop.
 func (s *sightings) changed(c zonefailure.Change) {
-	if c.Hint || c.To != zonefailure.Lost && c.From != zonefailure.Lost {
+	if c.ProbeHint || c.To != zonefailure.Lost && c.From != zonefailure.Lost {
 		return
 	}
 	for _, f := range s.own {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (s *sightings) heard(w gossip.Word) {
+func (s *sightings) heard(w gossip.Report) {
 	for _, f := range s.others {
 		f(w)
 	}
--- a/internal/fleet/zonefailure/detector_test.go
+++ b/internal/fleet/zonefailure/detector_test.go
@@ -10,20 +10,20 @@
 
 // play is a broker's sight with servers at sites, and what it was told to change.
 type play struct {
-	*Sight
+	*Detector
 	at      float64
 	changes []Change
 	sites   [][]int
 }
 
 // sites gives each site so many servers.
-func sites(rules Rules, own int, servers ...int) *play {
-	p := &play{Sight: New(rules, own), at: 1000}
+func sites(rules Config, own int, servers ...int) *play {
+	p := &play{Detector: New(rules, own), at: 1000}
 	id := 0
 	for at, n := range servers {
 		p.sites = append(p.sites, nil)
 		for range n {
-			p.Server(id, at, true)
+			p.SetServer(id, at, true)
 			p.sites[at] = append(p.sites[at], id)
 			id++
 		}
@@ -35,27 +35,27 @@
 func (p *play) to(at float64) {
 	for p.at < at {
 		p.at = min(p.at+10, at)
-		p.Begin(p.at)
-		p.changes = append(p.changes, p.End()...)
+		p.BeginTurn(p.at)
+		p.changes = append(p.changes, p.EndTurn()...)
 	}
 }
 
 // burst sends one sub-request to each of some servers, and gives when.
 func (p *play) burst(ids ...int) float64 {
-	p.Begin(p.at)
+	p.BeginTurn(p.at)
 	for _, id := range ids {
-		p.Sent(id)
+		p.RecordSent(id)
 	}
-	p.changes = append(p.changes, p.End()...)
+	p.changes = append(p.changes, p.EndTurn()...)
 	return p.at
 }
 
 func (p *play) answer(sent float64, ids ...int) {
-	p.Begin(p.at)
+	p.BeginTurn(p.at)
 	for _, id := range ids {
-		p.Done(id, sent, true, false)
+		p.RecordDone(id, sent, true, false)
 	}
-	p.changes = append(p.changes, p.End()...)
+	p.changes = append(p.changes, p.EndTurn()...)
 }
 
 // usual has all sites answer in some 20 to 40 ms for a while.
@@ -97,28 +97,28 @@
 }
 
 func TestABurstThatNobodyOfASiteAnswersIsALoss(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
-	if p.Line() < 25 || p.Line() > 100 {
-		t.Fatal("line", p.Line())
+	if p.TimeoutMs() < 25 || p.TimeoutMs() > 100 {
+		t.Fatal("line", p.TimeoutMs())
 	}
 	p.want(t, 1)
 	sent := p.burst(append(p.sites[0][:6:6], p.sites[1][:6]...)...)
 	p.to(sent + 30)
 	p.answer(sent, p.sites[0][:6]...)
-	p.to(sent + p.Line() + 15)
+	p.to(sent + p.TimeoutMs() + 15)
 	p.want(t, 0)
 	if p.State(1) != Lost || p.lost(1) != 1 {
 		t.Fatal("after one burst: ", p.State(1), p.changes)
 	}
 	c := p.changes[len(p.changes)-1]
-	if c.Failed != 6 || !c.Alone || c.Spread < 2000 {
+	if c.FailedServers != 6 || !c.Isolated || c.ProbeSpreadMs < 2000 {
 		t.Fatalf("%+v", c)
 	}
 }
 
 func TestWhoHasMatesThatAnswerFailsByItself(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	for range 40 { // six of ten are silent for good, the others answer
 		sent := p.burst(append(p.sites[0][:4:4], p.sites[1]...)...)
@@ -132,7 +132,7 @@
 }
 
 func TestACrowdAndAStandstillAreNoLoss(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	// All are slow alike: nobody answers in time, here or there.
 	sent := p.burst(append(p.sites[0], p.sites[1]...)...)
@@ -146,11 +146,11 @@
 	// This broker stands still for two seconds with answers unread, and reads those of one site first.
 	sent = p.burst(append(p.sites[0], p.sites[1]...)...)
 	p.at += 2000
-	p.Begin(p.at)
+	p.BeginTurn(p.at)
 	for _, id := range p.sites[0] {
-		p.Done(id, sent, true, false)
+		p.RecordDone(id, sent, true, false)
 	}
-	p.changes = append(p.changes, p.End()...)
+	p.changes = append(p.changes, p.EndTurn()...)
 	p.to(p.at + 10)
 	p.answer(sent, p.sites[1]...)
 	if p.lost(1) > 0 {
@@ -159,7 +159,7 @@
 }
 
 func TestWhoHearsNobodyCondemnsNobody(t *testing.T) {
-	p := sites(Usual, 0, 8, 8, 8)
+	p := sites(DefaultConfig, 0, 8, 8, 8)
 	p.usual(10)
 	for range 10 {
 		var all []int
@@ -168,11 +168,11 @@
 		}
 		p.burst(all...)
 		p.to(p.at + 500)
-		p.Begin(p.at)
+		p.BeginTurn(p.at)
 		for _, id := range all {
-			p.Done(id, p.at-500, false, false) // given up
+			p.RecordDone(id, p.at-500, false, false) // given up
 		}
-		p.changes = append(p.changes, p.End()...)
+		p.changes = append(p.changes, p.EndTurn()...)
 	}
 	for at := range p.sites {
 		if p.lost(at) > 0 {
@@ -189,12 +189,12 @@
 		sent := p.burst(append(p.sites[0][:6:6], p.sites[1][:6]...)...)
 		p.to(p.at + 30)
 		p.answer(sent, p.sites[0][:6]...)
-		p.to(p.at + p.Line() + 20)
+		p.to(p.at + p.TimeoutMs() + 20)
 		if p.lost(1) > was {
 			return
 		}
 	}
-	t.Fatalf("not lost: %v, line %.0f, %v", p.State(1), p.Line(), p.changes)
+	t.Fatalf("not lost: %v, line %.0f, %v", p.State(1), p.TimeoutMs(), p.changes)
 }
 
 // back has servers of site 1 answer trials.
@@ -207,7 +207,7 @@
 }
 
 func TestAReturnTakesProofAndTime(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	p.lose(t)
 	p.to(p.at + 3000)
@@ -215,22 +215,22 @@
 		t.Fatal("back without an answer: ", p.State(1))
 	}
 	p.back(p.sites[1][0])
-	if p.State(1) != Returning {
+	if p.State(1) != Recovering {
 		t.Fatal("not returning: ", p.State(1))
 	}
 	p.to(p.at + 5000)
 	p.back(p.sites[1][0])
-	if p.State(1) != Returning {
+	if p.State(1) != Recovering {
 		t.Fatal("well by the clock alone, with two answers")
 	}
 	p.back(p.sites[1][1:5]...)
-	if p.State(1) != Well {
+	if p.State(1) != Healthy {
 		t.Fatal("not well after five answers: ", p.State(1))
 	}
 }
 
 func TestEachRelapseMakesTheReturnSlowerAndACalmForgets(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	var steps []float64
 	for range 3 {
@@ -238,8 +238,8 @@
 		p.to(p.at + 200)
 		p.back(p.sites[1][:4]...)
 		for _, c := range p.changes {
-			if c.To == Returning {
-				steps = append(steps, c.Spread)
+			if c.To == Recovering {
+				steps = append(steps, c.ProbeSpreadMs)
 			}
 		}
 		p.changes = nil
@@ -251,26 +251,26 @@
 		t.Fatal("steps", steps)
 	}
 	p.usual(300) // more than a minute
-	if p.Losses(1) != 0 {
-		t.Fatal("losses are not forgotten: ", p.Losses(1))
+	if p.RecentLosses(1) != 0 {
+		t.Fatal("losses are not forgotten: ", p.RecentLosses(1))
 	}
 }
 
 func TestALateAnswerShowsThatThereWasNoLoss(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	sent := p.burst(append(p.sites[0][:6:6], p.sites[1][:6]...)...)
 	p.to(sent + 30)
 	p.answer(sent, p.sites[0][:6]...)
-	p.to(sent + 10*p.Line())
+	p.to(sent + 10*p.TimeoutMs())
 	if p.State(1) != Lost {
 		t.Fatal("not lost")
 	}
 	p.answer(sent, p.sites[1][:6]...) // ten times as slow
-	if p.State(1) == Lost || p.False != 1 || p.Losses(1) != 0 {
-		t.Fatal("a slow site stays lost: ", p.State(1), p.False, p.Losses(1))
+	if p.State(1) == Lost || p.FalseAlarms != 1 || p.RecentLosses(1) != 0 {
+		t.Fatal("a slow site stays lost: ", p.State(1), p.FalseAlarms, p.RecentLosses(1))
 	}
-	if last := p.changes[len(p.changes)-1]; last.To != Well || last.Wrong <= 0 || last.Wrong > Usual.Brief {
+	if last := p.changes[len(p.changes)-1]; last.To != Healthy || last.FalseAlarmMs <= 0 || last.FalseAlarmMs > DefaultConfig.FalseAlarmMs {
 		t.Errorf("it is not undone at once: %+v", last)
 	}
 	// What stood still for longer comes back in steps, though it answers what was sent before.
@@ -278,9 +278,9 @@
 	sent = p.burst(append(p.sites[0][:6:6], p.sites[1][:6]...)...)
 	p.to(sent + 30)
 	p.answer(sent, p.sites[0][:6]...)
-	p.to(sent + 10*p.Line() + Usual.Brief)
+	p.to(sent + 10*p.TimeoutMs() + DefaultConfig.FalseAlarmMs)
 	p.answer(sent, p.sites[1][:6]...)
-	if p.State(1) != Returning || p.False != 2 {
+	if p.State(1) != Recovering || p.FalseAlarms != 2 {
 		t.Errorf("a stall of seconds ends in %v", p.State(1))
 	}
 }
@@ -288,18 +288,18 @@
 // Where work takes seconds, nothing is said of a site that has not answered for a quarter of one.
 func TestTheUnprovenLineFollowsTheTarget(t *testing.T) {
 	for target, want := range map[float64]float64{200: 250, 2000: 1000} {
-		p := New(Usual, 0)
-		p.Target(5 * target)
-		p.Target(target)
-		p.Target(3 * target)
-		if p.Line() != want {
-			t.Errorf("a target of %.0f: %v", target, p.Line())
+		p := New(DefaultConfig, 0)
+		p.SetLatencyTarget(5 * target)
+		p.SetLatencyTarget(target)
+		p.SetLatencyTarget(3 * target)
+		if p.TimeoutMs() != want {
+			t.Errorf("a target of %.0f: %v", target, p.TimeoutMs())
 		}
 	}
 }
 
 func TestAFewAreNoSite(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	for range 5 { // two that are bad, and nobody else of their site is asked
 		sent := p.burst(append(p.sites[0][:6:6], p.sites[1][:3]...)...)
@@ -307,7 +307,7 @@
 		p.answer(sent, p.sites[0][:6]...)
 		p.to(p.at + 500)
 	}
-	p.want(t, 1, Doubted)
+	p.want(t, 1, Suspected)
 }
 
 func TestPeersMakeOwnSightSufficeSooner(t *testing.T) {
@@ -316,10 +316,10 @@
 		p.to(p.at + 30)
 		p.answer(sent, p.sites[0][:6]...)
 	}
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	for _, peer := range []string{"a", "b", "c"} {
-		p.Told(peer, 1, true, 100)
+		p.HandlePeerReport(peer, 1, true, 100)
 	}
 	p.to(p.at + 1000)
 	if p.lost(1) > 0 {
@@ -327,7 +327,7 @@
 	}
 	three(p)
 	for _, peer := range []string{"a", "b"} {
-		p.Told(peer, 1, true, 20)
+		p.HandlePeerReport(peer, 1, true, 20)
 	}
 	p.to(p.at + 400)
 	if p.lost(1) != 1 {
@@ -335,17 +335,21 @@
 	}
 	// One peer, old words, and words from before the site was last heard count for nothing.
 	for name, tell := range map[string]func(p *play){
-		"one": func(p *play) { p.Told("a", 1, true, 0); p.Told("a", 1, true, 0) },
-		"old": func(p *play) { p.Told("a", 1, true, 4000); p.Told("b", 1, true, 9000) },
-		"odd": func(p *play) { p.Told("a", 1, true, -5); p.Told("b", 7, true, 1); p.Told("c", -1, true, 1) },
+		"one": func(p *play) { p.HandlePeerReport("a", 1, true, 0); p.HandlePeerReport("a", 1, true, 0) },
+		"old": func(p *play) { p.HandlePeerReport("a", 1, true, 4000); p.HandlePeerReport("b", 1, true, 9000) },
+		"odd": func(p *play) {
+			p.HandlePeerReport("a", 1, true, -5)
+			p.HandlePeerReport("b", 7, true, 1)
+			p.HandlePeerReport("c", -1, true, 1)
+		},
 		"both": func(p *play) {
-			p.Told("a", 1, true, 1)
-			p.Told("b", 1, true, 1)
-			p.Told("c", 1, false, 1)
-			p.Told("d", 1, false, 1)
+			p.HandlePeerReport("a", 1, true, 1)
+			p.HandlePeerReport("b", 1, true, 1)
+			p.HandlePeerReport("c", 1, false, 1)
+			p.HandlePeerReport("d", 1, false, 1)
 		},
 	} {
-		q := sites(Usual, 0, 10, 10)
+		q := sites(DefaultConfig, 0, 10, 10)
 		q.usual(10)
 		three(q)
 		tell(q)
@@ -357,19 +361,19 @@
 }
 
 func TestPeersThatHearAReturnBringTrialsForward(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(10)
 	p.lose(t)
 	p.changes = nil
-	p.Told("a", 1, false, 10)
+	p.HandlePeerReport("a", 1, false, 10)
 	p.to(p.at + 100)
 	if len(p.changes) > 0 {
 		t.Fatal("one peer suffices: ", p.changes)
 	}
-	p.Told("a", 1, false, 10)
-	p.Told("b", 1, false, 10)
+	p.HandlePeerReport("a", 1, false, 10)
+	p.HandlePeerReport("b", 1, false, 10)
 	p.to(p.at + 100)
-	if len(p.changes) != 1 || !p.changes[0].Hint || p.State(1) != Lost {
+	if len(p.changes) != 1 || !p.changes[0].ProbeHint || p.State(1) != Lost {
 		t.Fatal("hints: ", p.changes, p.State(1))
 	}
 	p.to(p.at + 100)
@@ -379,56 +383,56 @@
 }
 
 func TestWhatPeersSayIsBounded(t *testing.T) {
-	p := sites(Usual, 0, 10, 10)
+	p := sites(DefaultConfig, 0, 10, 10)
 	p.usual(1)
-	for i := range 10 * peersMost {
-		p.Told(fmt.Sprint(i), 1, true, 0)
+	for i := range 10 * maxPeerReports {
+		p.HandlePeerReport(fmt.Sprint(i), 1, true, 0)
 	}
-	if n := len(p.Sight.sites[1].told); n > peersMost {
+	if n := len(p.Detector.sites[1].peerReports); n > maxPeerReports {
 		t.Fatal(n, "words held")
 	}
 	p.to(p.at + 6000)
-	p.Told("x", 1, true, 0)
-	if n := len(p.Sight.sites[1].told); n != 1 {
+	p.HandlePeerReport("x", 1, true, 0)
+	if n := len(p.Detector.sites[1].peerReports); n != 1 {
 		t.Fatal(n, "words held after all were old")
 	}
 }
 
 func TestUnreachableServersNeedNoWait(t *testing.T) {
-	p := sites(Usual, 0, 10, 4)
+	p := sites(DefaultConfig, 0, 10, 4)
 	p.usual(10)
 	sent := p.burst(append(p.sites[0][:4:4], p.sites[1]...)...)
 	p.to(p.at + 10)
 	p.answer(sent, p.sites[0][:4]...)
-	p.Begin(p.at)
+	p.BeginTurn(p.at)
 	for _, id := range p.sites[1] {
-		p.Done(id, sent, false, true)
+		p.RecordDone(id, sent, false, true)
 	}
-	p.changes = append(p.changes, p.End()...)
+	p.changes = append(p.changes, p.EndTurn()...)
 	if p.State(1) != Lost { // a site of four needs all four
 		t.Fatal(p.State(1))
 	}
-	if c := p.changes[len(p.changes)-1]; c.Failed != 4 {
+	if c := p.changes[len(p.changes)-1]; c.FailedServers != 4 {
 		t.Fatalf("%+v", c)
 	}
 }
 
 func TestServersComeAndGo(t *testing.T) {
-	p := sites(Usual, -1, 6, 6)
+	p := sites(DefaultConfig, -1, 6, 6)
 	p.usual(3)
 	p.burst(p.sites[1]...)
 	for _, id := range p.sites[1] {
-		p.Server(id, 1, false)
+		p.SetServer(id, 1, false)
 	}
 	p.to(p.at + 2000)
 	if p.lost(1) > 0 {
 		t.Fatal("a site without servers is lost")
 	}
-	p.Drop(p.sites[1][0])
-	p.Server(p.sites[1][0], 0, true) // its index stands for another
-	p.Begin(p.at)
-	p.Done(p.sites[1][1], p.at-5, true, false) // a late answer of one that is gone
-	p.End()
+	p.RemoveServer(p.sites[1][0])
+	p.SetServer(p.sites[1][0], 0, true) // its index stands for another
+	p.BeginTurn(p.at)
+	p.RecordDone(p.sites[1][1], p.at-5, true, false) // a late answer of one that is gone
+	p.EndTurn()
 }
 
 // Weeks of ordinary trouble: one of eight servers silent by itself, crowds, pauses of the broker, slow halves. Sped up by
@@ -439,7 +443,7 @@
 		days = 2
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	p := sites(Usual, 0, 40, 40, 40)
+	p := sites(DefaultConfig, 0, 40, 40, 40)
 	bad := make([]bool, 120)
 	alarms, searches := 0, 0
 	for p.at = 1000; p.at < float64(days)*86400_000; {
@@ -467,26 +471,26 @@
 				step = 250
 			}
 			p.at = sent + step
-			p.Begin(p.at)
+			p.BeginTurn(p.at)
 			for i, id := range ids {
 				if took[i] >= 0 && took[i] <= step && !bad[id] {
 					took[i] = -1
-					p.Done(id, sent, true, false)
+					p.RecordDone(id, sent, true, false)
 				}
 			}
-			for _, c := range p.End() {
+			for _, c := range p.EndTurn() {
 				if c.To == Lost {
 					alarms++
 				}
 			}
 		}
-		p.Begin(p.at)
+		p.BeginTurn(p.at)
 		for i, id := range ids {
 			if took[i] >= 0 {
-				p.Done(id, sent, false, false)
+				p.RecordDone(id, sent, false, false)
 			}
 		}
-		p.End()
+		p.EndTurn()
 		p.at += 60_000 * rng.ExpFloat64()
 	}
 	t.Logf("%d false alarms in %d searches over %d days", alarms, searches, days)
@@ -495,11 +499,11 @@
 	}
 }
 
-func TestPlantedDefects(t *testing.T) {
-	if testing.Short() || plantAny {
+func TestMutantsAreFound(t *testing.T) {
+	if testing.Short() || mutantAny {
 		t.Skip("builds the package once for each")
 	}
-	for _, tag := range []string{"plant_stood", "plant_clock", "plant_mates", "plant_relapse", "plant_late", "plant_deaf", "plant_beat", "plant_few"} {
+	for _, tag := range []string{"mutant_stall", "mutant_clock", "mutant_siblings", "mutant_relapse", "mutant_late_answer", "mutant_hearsay", "mutant_probe_burst", "mutant_few"} {
 		out, err := exec.Command("go", "test", "-count=1", "-short", "-tags", tag, ".").CombinedOutput()
 		if err == nil || !strings.Contains(string(out), "--- FAIL") {
 			t.Errorf("%s was not found: %v\n%.1000s", tag, err, out)
--- a/internal/fleet/zonefailure/fleet_test.go
+++ b/internal/fleet/zonefailure/fleet_test.go
@@ -20,7 +20,7 @@
 		module := func(out decide.Out) decide.Port { return decide.New(out, seed, p.Brokers, own) }
 		var port decide.Port
 		if sighted {
-			port = zonefailure.Watch(out, own, zonefailure.Usual, module)
+			port = zonefailure.Intercept(out, own, zonefailure.DefaultConfig, module)
 		} else {
 			port = module(out)
 		}
--- a/internal/fleet/zonefailure/gossip/gossip_test.go
+++ b/internal/fleet/zonefailure/gossip/gossip_test.go
@@ -11,10 +11,10 @@
 // ear keeps what a broker heard.
 type ear struct {
 	lock  sync.Mutex
-	words []Word
+	words []Report
 }
 
-func (e *ear) hear(w Word) {
+func (e *ear) hear(w Report) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.words = append(e.words, w)
@@ -42,10 +42,10 @@
 	t.Fatal("never: ", what)
 }
 
-func company(t *testing.T, n int, key []byte) (list []*Talk, ears []*ear) {
+func company(t *testing.T, n int, key []byte) (list []*Gossip, ears []*ear) {
 	for i := range n {
 		e := &ear{}
-		o := Options{Name: fmt.Sprint("b", i), Listen: netip.MustParseAddrPort("127.0.0.1:0"), Heard: e.hear, Every: 100 * time.Millisecond, Key: key}
+		o := Options{Name: fmt.Sprint("b", i), Listen: netip.MustParseAddrPort("127.0.0.1:0"), OnReport: e.hear, ResendInterval: 100 * time.Millisecond, Key: key}
 		if i > 0 {
 			o.Join = []string{list[0].Addr()}
 		}
@@ -65,7 +65,7 @@
 
 func TestEverybodyHears(t *testing.T) {
 	list, ears := company(t, 5, []byte("0123456789abcdef"))
-	list[3].Saw(1, true)
+	list[3].Observe(1, true)
 	for i, e := range ears {
 		if i != 3 {
 			until(t, fmt.Sprint(i, " hears of the loss"), func() bool { return e.has("b3", 1, true) })
@@ -74,7 +74,7 @@
 	if ears[3].has("b3", 1, true) {
 		t.Error("it heard itself")
 	}
-	list[3].Saw(1, false)
+	list[3].Observe(1, false)
 	until(t, "the return is heard", func() bool { return ears[0].has("b3", 1, false) })
 }
 
@@ -84,8 +84,8 @@
 	for _, b := range []string{"", "{", `{"p":"","s":1}`, `{"p":"x","s":-1}`, `{"p":"x","s":1,"a":-3}`, `{"p":"x","s":1,"l":"` + string(make([]byte, 600)) + `"}`, `[1]`} {
 		d.NotifyMsg([]byte(b))
 	}
-	if list[0].Bad != 7 || len(ears[0].words) != 0 {
-		t.Fatal(list[0].Bad, ears[0].words)
+	if list[0].Malformed != 7 || len(ears[0].words) != 0 {
+		t.Fatal(list[0].Malformed, ears[0].words)
 	}
 	d.NotifyMsg([]byte(`{"p":"x","s":1,"l":true,"a":3,"n":5}`))
 	d.NotifyMsg([]byte(`{"p":"x","s":1,"l":false,"a":3,"n":4}`)) // older, by another way
@@ -93,20 +93,20 @@
 	if len(ears[0].words) != 1 {
 		t.Fatal(ears[0].words)
 	}
-	for i := range 2 * seenMost {
+	for i := range 2 * maxSeenReports {
 		d.NotifyMsg(fmt.Appendf(nil, `{"p":"x%d","s":1,"l":true,"a":3,"n":5}`, i))
 	}
-	if len(list[0].seen) > seenMost {
-		t.Fatal(len(list[0].seen), "held")
+	if len(list[0].seenSequences) > maxSeenReports {
+		t.Fatal(len(list[0].seenSequences), "held")
 	}
 }
 
 func TestNobodyThereIsNoError(t *testing.T) {
-	k, err := Start(Options{Name: "alone", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: []string{"127.0.0.1:1"}, Heard: func(Word) {}})
+	k, err := Start(Options{Name: "alone", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: []string{"127.0.0.1:1"}, OnReport: func(Report) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.Saw(0, true)
+	k.Observe(0, true)
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/zonefailure/gossip/transport.go
+++ b/internal/fleet/zonefailure/gossip/transport.go
@@ -7,14 +7,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// via reaches peers by other addresses than those they go by. Their answers come to this broker's own address, as each
+// redirectingTransport reaches peers by other addresses than those they go by. Their answers come to this broker's own address, as each
 // message of memberlist's names where its sender wants to be answered.
-type via struct {
+type redirectingTransport struct {
 	*memberlist.NetTransport
-	to map[string]string
+	redirectedAddresses map[string]string
 }
 
-func overVia(c *memberlist.Config, to map[string]string) (memberlist.Transport, error) {
+func newRedirectingTransport(c *memberlist.Config, to map[string]string) (memberlist.Transport, error) {
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{c.BindAddr}, BindPort: c.BindPort})
 	if err != nil {
 		return nil, err
@@ -23,32 +23,32 @@
 		c.BindPort = t.GetAutoBindPort()
 		c.AdvertisePort = c.BindPort
 	}
-	return &via{t, to}, nil
+	return &redirectingTransport{t, to}, nil
 }
 
-func (v *via) addr(at string) string {
-	if to, known := v.to[at]; known {
+func (v *redirectingTransport) redirect(at string) string {
+	if to, known := v.redirectedAddresses[at]; known {
 		return to
 	}
 	return at
 }
 
-func (v *via) WriteTo(b []byte, addr string) (time.Time, error) {
-	return v.NetTransport.WriteTo(b, v.addr(addr))
+func (v *redirectingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	return v.NetTransport.WriteTo(b, v.redirect(addr))
 }
 
-func (v *via) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = v.addr(a.Addr)
+func (v *redirectingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	a.Addr = v.redirect(a.Addr)
 	return v.NetTransport.WriteToAddress(b, a)
 }
 
-func (v *via) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	return v.NetTransport.DialTimeout(v.addr(addr), within)
+func (v *redirectingTransport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
+	return v.NetTransport.DialTimeout(v.redirect(addr), within)
 }
 
-func (v *via) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	a.Addr = v.addr(a.Addr)
+func (v *redirectingTransport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
+	a.Addr = v.redirect(a.Addr)
 	return v.NetTransport.DialAddressTimeout(a, within)
 }
 
-var _ memberlist.NodeAwareTransport = (*via)(nil)
+var _ memberlist.NodeAwareTransport = (*redirectingTransport)(nil)
--- a/internal/fleet/zonefailure/gossip/wire_golden_test.go
+++ b/internal/fleet/zonefailure/gossip/wire_golden_test.go
@@ -20,9 +20,9 @@
 	if len(lines) != 2 {
 		t.Fatal(len(lines), "golden messages")
 	}
-	k := &Talk{opt: Options{Name: "b1"}, held: map[int]said{}, queue: &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 1 }, RetransmitMult: 1}}
-	k.Saw(3, true)
-	k.Saw(2, false)
+	k := &Gossip{options: Options{Name: "b1"}, ownObservations: map[int]observation{}, queue: &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 1 }, RetransmitMult: 1}}
+	k.Observe(3, true)
+	k.Observe(2, false)
 	blank := regexp.MustCompile(`"n":\d+`)
 	sent := map[string]bool{}
 	for _, b := range k.queue.GetBroadcasts(0, 1400) {
@@ -31,12 +31,12 @@
 	if !sent[string(lines[0])] || !sent[string(lines[1])] || len(sent) != 2 {
 		t.Errorf("sent %v, not %s", sent, lines)
 	}
-	var got []Word
-	r := &Talk{opt: Options{Name: "b2", Heard: func(w Word) { got = append(got, w) }}, seen: map[string]int64{}}
+	var got []Report
+	r := &Gossip{options: Options{Name: "b2", OnReport: func(w Report) { got = append(got, w) }}, seenSequences: map[string]int64{}}
 	for _, b := range lines {
 		(*delegate)(r).NotifyMsg(b)
 	}
-	if len(got) != 2 || got[0] != (Word{Peer: "b1", Site: 3, Lost: true, Age: 0, No: 7}) || got[1] != (Word{Peer: "b1", Site: 2, Lost: false, Age: 0, No: 7}) {
+	if len(got) != 2 || got[0] != (Report{Peer: "b1", Site: 3, Lost: true, AgeMs: 0, Sequence: 7}) || got[1] != (Report{Peer: "b1", Site: 2, Lost: false, AgeMs: 0, Sequence: 7}) {
 		t.Errorf("read %+v", got)
 	}
 }
--- a/internal/fleet/zonefailure/random_test.go
+++ b/internal/fleet/zonefailure/random_test.go
@@ -37,7 +37,7 @@
 	for i := range sizes {
 		sizes[i] = 5 + rng.IntN(30)
 	}
-	p := sites(Usual, rng.IntN(len(sizes)), sizes...)
+	p := sites(DefaultConfig, rng.IntN(len(sizes)), sizes...)
 	p.usual(6)
 	p.changes = nil
 	bad := map[int]bool{}
@@ -86,18 +86,18 @@
 			}
 		}
 		for _, c := range p.changes {
-			if c.To == Lost && !c.Hint && !(lost && c.Site == gone) {
+			if c.To == Lost && !c.ProbeHint && !(lost && c.Site == gone) {
 				wrong++
 			}
 		}
 		p.changes = nil
-		p.Begin(p.at)
+		p.BeginTurn(p.at)
 		for _, id := range ids {
 			if _, out := took[id]; out {
-				p.Done(id, sent, false, false)
+				p.RecordDone(id, sent, false, false)
 			}
 		}
-		p.End()
+		p.EndTurn()
 		p.to(p.at + 200*rng.Float64())
 		if !lost && was != Lost && p.State(gone) == Lost && burst > to+1 && asked >= 5 {
 			t.Errorf("seed %d: lost though it answers", seed)
@@ -109,8 +109,8 @@
 		}
 	}
 	for id := range p.servers {
-		if p.servers[id].out < 0 {
-			t.Errorf("seed %d: %d out at a server", seed, p.servers[id].out)
+		if p.servers[id].inFlight < 0 {
+			t.Errorf("seed %d: %d out at a server", seed, p.servers[id].inFlight)
 		}
 	}
 	return found, losses, wrong
@@ -134,7 +134,7 @@
 			var out decide.Out
 			var port decide.Port = mute{}
 			if n > 0 {
-				port = Watch(nil, 0, Usual, func(o decide.Out) decide.Port { out = o; return mute{} })
+				port = Intercept(nil, 0, DefaultConfig, func(o decide.Out) decide.Port { out = o; return mute{} })
 			}
 			for id := range 20 * n {
 				port.Server(id, id%max(n, 1), 0, decide.Ready, 1, 0)
@@ -148,9 +148,9 @@
 				for k := range 10 {
 					port.Part(0, k+1, k, 0.1, 0, 0)
 					if n > 0 {
-						(*outward)(port.(*Port)).sight.Sent((i*10 + k) % (20 * n))
-						q := port.(*Port)
-						q.parts[k+1] = append(q.parts[k+1], sent{(i*10 + k) % (20 * n), now})
+						(*moduleOutput)(port.(*Interceptor)).detector.RecordSent((i*10 + k) % (20 * n))
+						q := port.(*Interceptor)
+						q.attempts[k+1] = append(q.attempts[k+1], attempt{(i*10 + k) % (20 * n), now})
 					}
 				}
 				port.End()
--- a/internal/fleet/zonefailure/trace_golden_test.go
+++ b/internal/fleet/zonefailure/trace_golden_test.go
@@ -19,9 +19,9 @@
 	for i := range sizes {
 		sizes[i] = 2 + rng.IntN(20)
 	}
-	p := sites(Usual, rng.IntN(len(sizes)+1)-1, sizes...)
+	p := sites(DefaultConfig, rng.IntN(len(sizes)+1)-1, sizes...)
 	if rng.IntN(2) == 0 {
-		p.Target(100 + 2000*rng.Float64())
+		p.SetLatencyTarget(100 + 2000*rng.Float64())
 	}
 	p.usual(rng.IntN(8))
 	dead := map[int]bool{}
@@ -33,11 +33,11 @@
 		case 1:
 			delete(dead, at)
 		case 2:
-			p.Told(fmt.Sprint("peer", rng.IntN(4)), at, rng.IntN(2) == 0, 6000*rng.Float64())
+			p.HandlePeerReport(fmt.Sprint("peer", rng.IntN(4)), at, rng.IntN(2) == 0, 6000*rng.Float64())
 		case 3:
-			p.Staged(at, rng.Float64(), 6000*rng.Float64())
+			p.HandleRecoveryShare(at, rng.Float64(), 6000*rng.Float64())
 		case 4:
-			p.Server(p.sites[at][rng.IntN(len(p.sites[at]))], at, rng.IntN(3) > 0)
+			p.SetServer(p.sites[at][rng.IntN(len(p.sites[at]))], at, rng.IntN(3) > 0)
 		case 5:
 			p.at += 300 * rng.Float64()
 		}
@@ -51,28 +51,28 @@
 		}
 		sent := p.burst(ids...)
 		p.to(p.at + 60*rng.Float64())
-		p.Begin(p.at)
+		p.BeginTurn(p.at)
 		for _, id := range ids {
 			alive := !dead[id%len(sizes)] && !dead[p.servers[id].site] && rng.IntN(12) > 0
-			p.Done(id, sent, alive, !alive && rng.IntN(4) == 0)
+			p.RecordDone(id, sent, alive, !alive && rng.IntN(4) == 0)
 		}
-		p.changes = append(p.changes, p.End()...)
+		p.changes = append(p.changes, p.EndTurn()...)
 		p.to(p.at + 900*rng.Float64())
 	}
 	var b bytes.Buffer
 	for _, c := range p.changes {
-		fmt.Fprintln(&b, c.Site, c.From, c.To, c.Spread, c.Failed, c.Mute, c.Alone, c.Wrong, c.Hint)
+		fmt.Fprintln(&b, c.Site, c.From, c.To, c.ProbeSpreadMs, c.FailedServers, c.SilentMs, c.Isolated, c.FalseAlarmMs, c.ProbeHint)
 	}
 	for at := range sizes {
-		fmt.Fprintln(&b, p.State(at), p.Losses(at))
+		fmt.Fprintln(&b, p.State(at), p.RecentLosses(at))
 	}
-	fmt.Fprintln(&b, p.Line(), p.False)
+	fmt.Fprintln(&b, p.TimeoutMs(), p.FalseAlarms)
 	return b.String()
 }
 
 // TestGoldenTrace freezes what the detector decides, to the digit: a digest of all changes for each of 200 random scripts.
 func TestGoldenTrace(t *testing.T) {
-	if plantAny {
+	if mutantAny {
 		t.Skip("mutants decide otherwise; the tests of behaviour find them")
 	}
 	var got bytes.Buffer
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -146,7 +146,7 @@
 // Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/zonefailure).
 func (v Values) Sighted(out decide.Out, seed uint64) decide.Port {
 	own := v.Whole("zone", 0)
-	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out decide.Out) decide.Port {
+	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out decide.Out) decide.Port {
 		return decide.New(out, seed, v.Whole("balancers", 1), own)
 	})
 	v.Tell(p)
@@ -156,7 +156,7 @@
 // Planned gives one that is also told what servers bear while they are full (internal/fleet/bear).
 func (v Values) Planned(out decide.Out, seed uint64) decide.Port {
 	own := v.Whole("zone", 0)
-	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out decide.Out) decide.Port {
+	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out decide.Out) decide.Port {
 		return bear.Watch(out, bear.Usual, func(out decide.Out) decide.Port {
 			return decide.New(out, seed, v.Whole("balancers", 1), own)
 		})
--- a/internal/standin/crowd/crowd_test.go
+++ b/internal/standin/crowd/crowd_test.go
@@ -16,7 +16,7 @@
 		Kind:  station.Kind{Slots: 2, Work: 25, CV: 0.4, Queue: 24, ColdFrom: 0.4, ColdFor: 12000, Multiple: 2.5, Over: 2000},
 		Delay: 0.5, Connect: 250, Tries: 4, Retries: 1, Notice: 1500, Until: 16000}
 	p.Port = func(out decide.Out, seed uint64, own int) decide.Port {
-		port := zonefailure.Watch(out, own, zonefailure.Usual, func(out decide.Out) decide.Port { return decide.New(out, seed, p.Brokers, own) })
+		port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out decide.Out) decide.Port { return decide.New(out, seed, p.Brokers, own) })
 		port.QueryType(p.Target, 1, 0.3, decide.Idempotent, 0)
 		port.Shares(0, 1, 1, 0, 0)
 		port.Fleet(p.Places, p.Copies, 4, 0, false)
@@ -138,7 +138,7 @@
 		q := p
 		q.Port = func(out decide.Out, seed uint64, own int) decide.Port {
 			module := func(out decide.Out) decide.Port { return decide.New(out, seed, p.Brokers, own) }
-			port := zonefailure.Watch(out, own, zonefailure.Usual, func(out decide.Out) decide.Port {
+			port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out decide.Out) decide.Port {
 				if planned {
 					return bear.Watch(out, bear.Usual, module)
 				}
