--- a/internal/fleet/zonefailure/gossip/transport.go
+++ b/internal/fleet/zonefailure/gossip/transport.go
@@ -7,48 +7,48 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// redirectingTransport reaches peers by other addresses than those they go by. Their answers come to this broker's own address, as each
-// message of memberlist's names where its sender wants to be answered.
+// redirectingTransport reaches peers by other addresses than those they advertise. Their answers come to this broker's own
+// address, as each of memberlist's messages names where its sender wants to be answered.
 type redirectingTransport struct {
 	*memberlist.NetTransport
 	redirectedAddresses map[string]string
 }
 
-func newRedirectingTransport(c *memberlist.Config, to map[string]string) (memberlist.Transport, error) {
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{c.BindAddr}, BindPort: c.BindPort})
+func newRedirectingTransport(config *memberlist.Config, redirected map[string]string) (memberlist.Transport, error) {
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{config.BindAddr}, BindPort: config.BindPort})
 	if err != nil {
 		return nil, err
 	}
-	if c.BindPort == 0 {
-		c.BindPort = t.GetAutoBindPort()
-		c.AdvertisePort = c.BindPort
+	if config.BindPort == 0 {
+		config.BindPort = transport.GetAutoBindPort()
+		config.AdvertisePort = config.BindPort
 	}
-	return &redirectingTransport{t, to}, nil
+	return &redirectingTransport{transport, redirected}, nil
 }
 
-func (v *redirectingTransport) redirect(at string) string {
-	if to, known := v.redirectedAddresses[at]; known {
-		return to
+func (t *redirectingTransport) redirect(advertised string) string {
+	if address, known := t.redirectedAddresses[advertised]; known {
+		return address
 	}
-	return at
+	return advertised
 }
 
-func (v *redirectingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return v.NetTransport.WriteTo(b, v.redirect(addr))
+func (t *redirectingTransport) WriteTo(message []byte, address string) (time.Time, error) {
+	return t.NetTransport.WriteTo(message, t.redirect(address))
 }
 
-func (v *redirectingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = v.redirect(a.Addr)
-	return v.NetTransport.WriteToAddress(b, a)
+func (t *redirectingTransport) WriteToAddress(message []byte, address memberlist.Address) (time.Time, error) {
+	address.Addr = t.redirect(address.Addr)
+	return t.NetTransport.WriteToAddress(message, address)
 }
 
-func (v *redirectingTransport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	return v.NetTransport.DialTimeout(v.redirect(addr), within)
+func (t *redirectingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	return t.NetTransport.DialTimeout(t.redirect(address), timeout)
 }
 
-func (v *redirectingTransport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	a.Addr = v.redirect(a.Addr)
-	return v.NetTransport.DialAddressTimeout(a, within)
+func (t *redirectingTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	address.Addr = t.redirect(address.Addr)
+	return t.NetTransport.DialAddressTimeout(address, timeout)
 }
 
 var _ memberlist.NodeAwareTransport = (*redirectingTransport)(nil)
