--- a/internal/fleet/zonefailure/gossip/gossip.go
+++ b/internal/fleet/zonefailure/gossip/gossip.go
@@ -177,10 +177,16 @@
 // delegate is what memberlist calls.
 type delegate Gossip
 
-func (d *delegate) NodeMeta(int) []byte           { return nil }
-func (d *delegate) LocalState(bool) []byte        { return nil }
+// NodeMeta implements memberlist.Delegate; members carry no data.
+func (d *delegate) NodeMeta(int) []byte { return nil }
+
+// LocalState implements memberlist.Delegate; there is no state to exchange.
+func (d *delegate) LocalState(bool) []byte { return nil }
+
+// MergeRemoteState implements memberlist.Delegate; there is no state to exchange.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
+// GetBroadcasts implements memberlist.Delegate: queued messages that fit into limit bytes.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	if d.queue == nil { // memberlist may call before Start has made it
 		return nil
--- a/internal/fleet/zonefailure/gossip/report.go
+++ b/internal/fleet/zonefailure/gossip/report.go
@@ -35,10 +35,14 @@
 
 func broadcastKey(peer string, site int) string { return fmt.Sprint(peer, " ", site) }
 
+// Invalidates implements memberlist.Broadcast: a later report of the same peer and site replaces an earlier one.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(*broadcast)
 	return ok && o.key == b.key
 }
 
+// Message implements memberlist.Broadcast.
 func (b *broadcast) Message() []byte { return b.payload }
-func (b *broadcast) Finished()       {}
+
+// Finished implements memberlist.Broadcast; nobody waits for it.
+func (b *broadcast) Finished() {}
--- a/internal/fleet/zonefailure/gossip/transport.go
+++ b/internal/fleet/zonefailure/gossip/transport.go
@@ -33,19 +33,23 @@
 	return advertised
 }
 
+// WriteTo sends a packet to the redirected address.
 func (t *redirectingTransport) WriteTo(message []byte, address string) (time.Time, error) {
 	return t.NetTransport.WriteTo(message, t.redirect(address))
 }
 
+// WriteToAddress sends a packet to a member's redirected address.
 func (t *redirectingTransport) WriteToAddress(message []byte, address memberlist.Address) (time.Time, error) {
 	address.Addr = t.redirect(address.Addr)
 	return t.NetTransport.WriteToAddress(message, address)
 }
 
+// DialTimeout connects to the redirected address.
 func (t *redirectingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	return t.NetTransport.DialTimeout(t.redirect(address), timeout)
 }
 
+// DialAddressTimeout connects to a member's redirected address.
 func (t *redirectingTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	address.Addr = t.redirect(address.Addr)
 	return t.NetTransport.DialAddressTimeout(address, timeout)
--- a/internal/fleet/zonefailure/interceptor.go
+++ b/internal/fleet/zonefailure/interceptor.go
@@ -156,6 +156,7 @@
 // moduleOutput observes what the module sends, and passes all on.
 type moduleOutput Interceptor
 
+// Send implements decide.Out; it tells the detector of the sub-request and passes it on.
 func (o *moduleOutput) Send(part, server int, within, begin float64) {
 	(*Interceptor)(o).growAttempts(part)
 	o.attempts[part] = append(o.attempts[part], attempt{server, o.now})
@@ -163,16 +164,35 @@
 	o.out.Send(part, server, within, begin)
 }
 
-func (o *moduleOutput) Cancel(part, try int)                { o.out.Cancel(part, try) }
-func (o *moduleOutput) Answer(search int, complete bool)    { o.out.Answer(search, complete) }
+// Cancel implements decide.Out; it passes the call on.
+func (o *moduleOutput) Cancel(part, try int) { o.out.Cancel(part, try) }
+
+// Answer implements decide.Out; it passes the call on.
+func (o *moduleOutput) Answer(search int, complete bool) { o.out.Answer(search, complete) }
+
+// Shed implements decide.Out; it passes the call on.
 func (o *moduleOutput) Shed(search int, retryAfter float64) { o.out.Shed(search, retryAfter) }
-func (o *moduleOutput) Fail(search int)                     { o.out.Fail(search) }
-func (o *moduleOutput) Probe(server int)                    { o.out.Probe(server) }
-func (o *moduleOutput) Close(server int)                    { o.out.Close(server) }
-func (o *moduleOutput) Subscribe()                          { o.out.Subscribe() }
-func (o *moduleOutput) Wake(in float64)                     { o.out.Wake(in) }
-func (o *moduleOutput) Log(text string)                     { o.out.Log(text) }
-func (o *moduleOutput) Forget(search int)                   { o.out.Forget(search) }
+
+// Fail implements decide.Out; it passes the call on.
+func (o *moduleOutput) Fail(search int) { o.out.Fail(search) }
+
+// Probe implements decide.Out; it passes the call on.
+func (o *moduleOutput) Probe(server int) { o.out.Probe(server) }
+
+// Close implements decide.Out; it passes the call on.
+func (o *moduleOutput) Close(server int) { o.out.Close(server) }
+
+// Subscribe implements decide.Out; it passes the call on.
+func (o *moduleOutput) Subscribe() { o.out.Subscribe() }
+
+// Wake implements decide.Out; it passes the call on.
+func (o *moduleOutput) Wake(in float64) { o.out.Wake(in) }
+
+// Log implements decide.Out; it passes the call on.
+func (o *moduleOutput) Log(text string) { o.out.Log(text) }
+
+// Forget implements decide.Out; it passes the call on.
+func (o *moduleOutput) Forget(search int) { o.out.Forget(search) }
 
 var (
 	_ decide.Port = (*Interceptor)(nil)
--- a/internal/fleet/zonefailure/state.go
+++ b/internal/fleet/zonefailure/state.go
@@ -16,6 +16,7 @@
 // stateNames are the words of the log.
 var stateNames = [...]string{"well", "doubted", "lost", "returning"}
 
+// String returns the state's word in the log.
 func (s State) String() string { return stateNames[s] }
 
 // Change is one change of a site's state, or a hint to probe it.
--- a/internal/node/routing/options.go
+++ b/internal/node/routing/options.go
@@ -4,7 +4,8 @@
 	"math/rand/v2"
 	"time"
 
-	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prompt"
 )
 
 // Options are the figures of a deployment, from its settings file (DEPLOY.md, "Settings of a process").
@@ -30,12 +31,12 @@
 	// the prompts that brokers have begun to answer.
 	Index Index
 	// Disabled names the mechanisms that are switched off.
-	Disabled Mechanism
+	Disabled mechanism.Set
 }
 
 // Observer is told what ran where: its parts are kept there now.
 type Observer interface {
-	Observed(instance string, salt uint64, parts []PromptPart)
+	Observed(instance string, salt uint64, parts []prompt.Part)
 }
 
 const defaultBudgetWindow = 10 * time.Second
@@ -48,9 +49,3 @@
 		o.Random = rand.New(rand.NewPCG(1, 2))
 	}
 }
-
-// milliseconds converts a steady time into the unit of packages predict and window.
-func milliseconds(t core.Time) float64 { return float64(t) / float64(time.Millisecond) }
-
-// fromMilliseconds converts a figure of the configuration into a time.
-func fromMilliseconds(ms float64) core.Time { return core.Time(ms * float64(time.Millisecond)) }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,7 +24,7 @@
 
 	"kestrelspread/deploy"
 	"kestrelspread/internal/channels"
-	"kestrelspread/internal/fleet/order"
+	"kestrelspread/internal/fleet/shedding"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/passthrough"
@@ -35,11 +35,13 @@
 // Finding is one thing that is wrong.
 type Finding struct{ Path, Why string }
 
+// String gives the path in the file and what is wrong there.
 func (f Finding) String() string { return f.Path + ": " + f.Why }
 
 // Findings are all that are wrong with a file, in the order of their paths.
 type Findings []Finding
 
+// Error gives all findings, a line each.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -55,7 +57,7 @@
 	Talk   *Talk
 	Sites  bool // whole sites are watched; talk needs it
 	Borne  bool // and what servers bear while they are full is learnt
-	Order  *order.Worths
+	Order  *shedding.Weights
 	Owner  *Owner
 }
 
@@ -357,7 +359,7 @@
 	}
 	if o := f.Order; o != nil {
 		values, kinds, customers := types(set)
-		r := order.Rules{Retries: o.Retries}
+		r := shedding.Config{RetryWeight: o.Retries}
 		place := func(path, name string, among map[string]int, what string) int {
 			at, known := among[name]
 			if !known {
@@ -377,13 +379,13 @@
 				seen[k] = path
 				group = append(group, k)
 			}
-			r.First = append(r.First, group)
+			r.ShedFirst = append(r.ShedFirst, group)
 		}
 		for i, name := range o.Bulk {
-			r.Bulk = append(r.Bulk, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
+			r.BulkCustomers = append(r.BulkCustomers, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
 		}
 		if len(bad) == 0 {
-			w := order.Of(values, set.Count("customers"), r)
+			w := shedding.NewWeights(values, set.Count("customers"), r)
 			s.Order = &w
 		}
 	}
