--- a/cmd/kestrelctl/scenario.go
+++ b/cmd/kestrelctl/scenario.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/fleet/plan"
+	"kestrelspread/internal/fleet/lossplan"
 	"kestrelspread/internal/rig/scenario"
 )
 
@@ -225,7 +225,7 @@
 	return root
 }
 
-func printPlan(cmd *cobra.Command, list []*plan.Outcome) error {
+func printPlan(cmd *cobra.Command, list []*lossplan.Outcome) error {
 	out := cmd.OutOrStdout()
 	for _, o := range list {
 		name := "nothing lost"
--- a/internal/fleet/plan/moment_test.go
+++ b/internal/fleet/lossplan/bound_test.go
@@ -1,4 +1,4 @@
-package plan
+package lossplan
 
 import (
 	"math/rand/v2"
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/lossplan/outcome.go
@@ -1,7 +1,7 @@
-// Package plan tells beforehand what a fleet serves once some of its sites are gone, and by which arithmetic: what the
+// Package lossplan tells beforehand what a fleet serves once some of its sites are gone, and by which arithmetic: what the
 // survivors bear, which shards are left without a holder, and what is refused under which step of the order. It is the
 // bound that a run is held against, too. Pure: figures in, figures out.
-package plan
+package lossplan
 
 import (
 	"fmt"
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/lossplan/outcome_test.go
@@ -1,4 +1,4 @@
-package plan
+package lossplan
 
 import (
 	"flag"
--- a/internal/rig/scenario/bound.go
+++ b/internal/rig/scenario/bound.go
@@ -4,7 +4,7 @@
 	"math"
 	"sort"
 
-	"kestrelspread/internal/fleet/plan"
+	"kestrelspread/internal/fleet/lossplan"
 	"kestrelspread/internal/rig/links"
 )
 
@@ -33,7 +33,7 @@
 }
 
 // moment is what one who sees everything knows of a time of the run: cuts, lost sites, slow, silent and cold servers.
-func (w *world) moment(at float64) *plan.Moment {
+func (w *world) moment(at float64) *lossplan.Moment {
 	f := w.Fleet()
 	m := f.Moment()
 	load := 0.0
@@ -91,13 +91,13 @@
 // second in which something changed counts by the time that each lasted.
 func (w *world) bounds() [][]float64 {
 	f, known := w.Fleet(), map[string][]float64{}
-	most := func(m *plan.Moment) []float64 {
+	most := func(m *lossplan.Moment) []float64 {
 		key := m.Key()
 		if known[key] == nil {
 			b, err := f.Most(m)
 			if err != nil { // the programme did not come to an end: nothing is claimed to be out of reach then
 				w.opt.Say("no bound: %v", err)
-				b = &plan.Best{Served: make([]float64, len(w.Types))}
+				b = &lossplan.Best{Served: make([]float64, len(w.Types))}
 				for i := range b.Served {
 					b.Served[i] = 1
 				}
