--- a/internal/fleet/lossplan/outcome.go
+++ b/internal/fleet/lossplan/outcome.go
@@ -36,22 +36,13 @@
 	Loads          []Load
 }
 
-// Step is why a search is refused, in the order in which steps apply.
-type Step string
-
-// The steps of the order in which searches are refused.
-const (
-	NoHolder Step = "a shard without a holder" // and too few of the others for a part answer
-	Value    Step = "least value first"        // what survivors can't bear
-)
-
 // Share is what becomes of one query type, as shares of its searches.
 type Share struct {
-	Name     string
-	Whole    float64
-	Part     float64 // answered in part: some shards have no holder, the floor is met
-	NoHolder float64
-	Value    float64 // refused as least valued
+	Name     string  `json:"Name"`
+	Whole    float64 `json:"Whole"`
+	Part     float64 `json:"Part"` // answered in part: some shards have no holder, the floor is met
+	NoHolder float64 `json:"NoHolder"`
+	Value    float64 `json:"Value"` // refused as least valued
 }
 
 // Served is what is answered at all.
@@ -59,15 +50,15 @@
 
 // Outcome is what a loss of sites leaves.
 type Outcome struct {
-	Lost    []string
-	Orphans []int   // shards without a holder
-	Bears   float64 // sub-requests a second that the survivors bear as shards lie, with headroom
-	Asked   float64 // sub-requests a second that are asked of shards with a holder
-	Tight   []string
-	Types   []Share // in the order of the fleet's loads
-	Goodput float64 // value a second
-	Best    float64 // value a second that the best choice of searches would serve, whatever the order
-	Why     []string
+	Lost    []string `json:"Lost"`
+	Orphans []int    `json:"Orphans"` // shards without a holder
+	Bears   float64  `json:"Bears"`   // sub-requests a second that the survivors bear as shards lie, with headroom
+	Asked   float64  `json:"Asked"`   // sub-requests a second that are asked of shards with a holder
+	Tight   []string `json:"Tight"`
+	Types   []Share  `json:"Types"`   // in the order of the fleet's loads
+	Goodput float64  `json:"Goodput"` // value a second
+	Best    float64  `json:"Best"`    // value a second that the best choice of searches would serve, whatever the order
+	Why     []string `json:"Why"`
 }
 
 // Check tells what is wrong with a fleet.
@@ -82,12 +73,12 @@
 	}
 	for i, s := range f.Servers {
 		if s.Site < 0 || s.Site >= len(f.Sites) || s.Cell < 0 || s.Cell >= f.Places || s.Bears <= 0 {
-			return fmt.Errorf("server %d: %+v", i, s)
+			return fmt.Errorf("server %d: {Site:%d Cell:%d Bears:%v}", i, s.Site, s.Cell, s.Bears)
 		}
 	}
 	for _, l := range f.Loads {
 		if l.Parts < 1 || l.Parts > f.Places || l.PerS < 0 || l.Value <= 0 {
-			return fmt.Errorf("load %+v", l)
+			return fmt.Errorf("load {Name:%s PerS:%v Parts:%d Value:%v Floor:%v}", l.Name, l.PerS, l.Parts, l.Value, l.Floor)
 		}
 	}
 	return nil
