--- a/cmd/kestrelctl/scenario.go
+++ b/cmd/kestrelctl/scenario.go
@@ -149,7 +149,7 @@
 			if err != nil {
 				return err
 			}
-			list, err := f.Fleet().All()
+			list, err := f.Fleet().AllLosses()
 			if err != nil {
 				return err
 			}
@@ -185,7 +185,7 @@
 			}
 			f.Line = []scenario.Fault{{At: seconds, For: seconds, Do: "lose", On: "@" + lost, Share: 1, Way: "both"}}
 			f.Seconds = 3 * seconds
-			o, err := f.Fleet().Lose(at)
+			o, err := f.Fleet().WithoutSites(at)
 			if err != nil {
 				return err
 			}
@@ -229,20 +229,20 @@
 	out := cmd.OutOrStdout()
 	for _, o := range list {
 		name := "nothing lost"
-		if len(o.Lost) > 0 {
-			name = "without " + strings.Join(o.Lost, " and ")
+		if len(o.LostSites) > 0 {
+			name = "without " + strings.Join(o.LostSites, " and ")
 		}
-		fmt.Fprintf(out, "%s: the survivors bear %.0f sub-requests a second, %.0f are asked; value %.1f a second (at best %.1f)\n", name, o.Bears, o.Asked, o.Goodput, o.Best)
-		if len(o.Orphans) > 0 {
-			fmt.Fprintf(out, "  shards without a holder: %v\n", o.Orphans)
+		fmt.Fprintf(out, "%s: the survivors bear %.0f sub-requests a second, %.0f are asked; value %.1f a second (at best %.1f)\n", name, o.CapacityPerS, o.DemandPerS, o.Goodput, o.BestGoodput)
+		if len(o.UnavailableShards) > 0 {
+			fmt.Fprintf(out, "  shards without a holder: %v\n", o.UnavailableShards)
 		}
 		t := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(t, "  type\twhole\tin part\tno holder\tleast value first\t")
 		for _, s := range o.Types {
-			fmt.Fprintf(t, "  %s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", s.Name, s.Whole, s.Part, s.NoHolder, s.Value)
+			fmt.Fprintf(t, "  %s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", s.Name, s.Complete, s.Partial, s.NoReplica, s.Shed)
 		}
 		t.Flush()
-		for _, why := range o.Why {
+		for _, why := range o.Explanation {
 			fmt.Fprintln(out, "  -", why)
 		}
 	}
--- a/internal/fleet/lossplan/bound.go
+++ b/internal/fleet/lossplan/bound.go
@@ -8,41 +8,41 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Moment is what holds in one stretch of time, as one who sees everything would know it: what each server bears now (slow,
+// Conditions is what holds in one stretch of time, as one who sees everything would know it: what each server bears now (slow,
 // cold or gone), whom the brokers of each site get answers from, and at which sites' brokers clients' searches come in.
-type Moment struct {
-	Bears []float64 // by server, sub-requests a second
-	Reach [][]bool  // by the brokers' site, then the servers'
-	Share []float64 // of all searches that come in there; what is missing to 1 finds no broker
+type Conditions struct {
+	CapacityPerS []float64 // by server, sub-requests a second
+	Reachable    [][]bool  // by the brokers' site, then the servers'
+	ArrivalShare []float64 // of all searches that come in there; what is missing to 1 finds no broker
 }
 
-// Moment gives the fleet at its best: everybody reaches everybody, and load comes in alike at all sites.
-func (f *Fleet) Moment() *Moment {
-	m := &Moment{}
+// IdealConditions gives the fleet at its best: everybody reaches everybody, and load comes in alike at all sites.
+func (f *Fleet) IdealConditions() *Conditions {
+	m := &Conditions{}
 	for _, s := range f.Servers {
-		m.Bears = append(m.Bears, s.Bears)
+		m.CapacityPerS = append(m.CapacityPerS, s.CapacityPerS)
 	}
 	for range f.Sites {
 		row := make([]bool, len(f.Sites))
 		for i := range row {
 			row[i] = true
 		}
-		m.Reach = append(m.Reach, row)
-		m.Share = append(m.Share, 1/float64(len(f.Sites)))
+		m.Reachable = append(m.Reachable, row)
+		m.ArrivalShare = append(m.ArrivalShare, 1/float64(len(f.Sites)))
 	}
 	return m
 }
 
-// Lose takes sites away with all that is there; their searches come in at the others, alike.
-func (m *Moment) Lose(_ *Fleet, sites ...int) *Moment {
+// LoseSites takes sites away with all that is there; their searches come in at the others, alike.
+func (m *Conditions) LoseSites(_ *Fleet, sites ...int) *Conditions {
 	moved, left := 0.0, 0
-	gone := make([]bool, len(m.Share))
+	gone := make([]bool, len(m.ArrivalShare))
 	for _, s := range sites {
 		gone[s] = true
-		moved += m.Share[s]
-		m.Share[s] = 0
-		for at := range m.Reach {
-			m.Reach[at][s], m.Reach[s][at] = false, false
+		moved += m.ArrivalShare[s]
+		m.ArrivalShare[s] = 0
+		for at := range m.Reachable {
+			m.Reachable[at][s], m.Reachable[s][at] = false, false
 		}
 	}
 	for at := range gone {
@@ -50,49 +50,49 @@
 			left++
 		}
 	}
-	for at := range m.Share {
+	for at := range m.ArrivalShare {
 		if !gone[at] {
-			m.Share[at] += moved / float64(left)
+			m.ArrivalShare[at] += moved / float64(left)
 		}
 	}
 	return m
 }
 
-// Cut is a way that brings no answers: brokers of one site get nothing from servers of another.
-func (m *Moment) Cut(from, to int) *Moment {
-	m.Reach[from][to] = false
+// Partition is a way that brings no answers: brokers of one site get nothing from servers of another.
+func (m *Conditions) Partition(from, to int) *Conditions {
+	m.Reachable[from][to] = false
 	return m
 }
 
 // Key is the same for moments that are alike to a hundredth of what servers bear.
-func (m *Moment) Key() string {
-	rough := make([]int, len(m.Bears))
-	for i, b := range m.Bears {
+func (m *Conditions) Key() string {
+	rough := make([]int, len(m.CapacityPerS))
+	for i, b := range m.CapacityPerS {
 		rough[i] = int(100*b + 0.5)
 	}
-	return fmt.Sprint(rough, m.Reach, m.Share)
+	return fmt.Sprint(rough, m.Reachable, m.ArrivalShare)
 }
 
-// Best is the most that can be served of each type in a moment, the most valued type first, then the next: Served by type,
+// Bound is the most that can be served of each type in a moment, the most valued type first, then the next: Served by type,
 // ByFront by the site at which searches come in, then by type. A linear programme of which searches are taken and where
 // their parts go, at most what each server bears. An upper bound: queues and chance are not part of it, and whoever
 // may be answered in part is asked for all that is in reach.
-type Best struct {
-	Served  []float64
-	ByFront [][]float64
-	Goodput float64 // value a second
+type Bound struct {
+	Served       []float64
+	ServedBySite [][]float64
+	Goodput      float64 // value a second
 }
 
 // A type counts so many times more than the next less valued one: no choice gives up one of it for that.
-const rank = 100
+const valueRankFactor = 100
 
-// Most gives the most that a moment allows.
-func (f *Fleet) Most(m *Moment) (*Best, error) {
+// UpperBound gives the most that a moment allows.
+func (f *Fleet) UpperBound(m *Conditions) (*Bound, error) {
 	if err := f.Check(); err != nil {
 		return nil, err
 	}
-	if len(m.Bears) != len(f.Servers) || len(m.Reach) != len(f.Sites) || len(m.Share) != len(f.Sites) {
-		return nil, fmt.Errorf("a moment of %d servers and %d sites for a fleet of %d and %d", len(m.Bears), len(m.Reach), len(f.Servers), len(f.Sites))
+	if len(m.CapacityPerS) != len(f.Servers) || len(m.Reachable) != len(f.Sites) || len(m.ArrivalShare) != len(f.Sites) {
+		return nil, fmt.Errorf("a moment of %d servers and %d sites for a fleet of %d and %d", len(m.CapacityPerS), len(m.Reachable), len(f.Servers), len(f.Sites))
 	}
 	// Servers of one cell at one site are alike to everybody: they count as one.
 	type spot struct{ site, cell int }
@@ -103,9 +103,9 @@
 		if _, known := bears[at]; !known {
 			spots = append(spots, at)
 		}
-		bears[at] += m.Bears[i] * f.Headroom
+		bears[at] += m.CapacityPerS[i] * f.Headroom
 	}
-	weight := f.ranks()
+	weight := f.valueWeights()
 	type kind struct {
 		front, load, from int
 		parts             []int // in reach
@@ -117,27 +117,27 @@
 	var rows []need
 	type flow struct{ need, spot int }
 	var flows []flow
-	for front, share := range m.Share {
+	for front, share := range m.ArrivalShare {
 		if share <= 0 {
 			continue
 		}
-		held := make([][]int, f.Places)
-		for p := range f.Places {
+		held := make([][]int, f.Shards)
+		for p := range f.Shards {
 			for i, s := range spots {
-				if m.Reach[front][s.site] && bears[s] > 0 && f.holds(s.cell, p) {
+				if m.Reachable[front][s.site] && bears[s] > 0 && f.hasReplica(s.cell, p) {
 					held[p] = append(held[p], i)
 				}
 			}
 		}
 		for i, l := range f.Loads {
-			for from := range f.Places {
-				k := kind{front: front, load: i, from: from, rate: share * l.PerS / float64(f.Places)}
-				for n := range l.Parts {
-					if p := (from + n) % f.Places; len(held[p]) > 0 {
+			for from := range f.Shards {
+				k := kind{front: front, load: i, from: from, rate: share * l.SearchesPerS / float64(f.Shards)}
+				for n := range l.ShardsPerSearch {
+					if p := (from + n) % f.Shards; len(held[p]) > 0 {
 						k.parts = append(k.parts, p)
 					}
 				}
-				if have := len(k.parts); have == 0 || have < l.Parts && float64(have) < l.Floor*float64(l.Parts)-1e-9 || k.rate <= 0 {
+				if have := len(k.parts); have == 0 || have < l.ShardsPerSearch && float64(have) < l.MinAnsweredShare*float64(l.ShardsPerSearch)-1e-9 || k.rate <= 0 {
 					continue
 				}
 				for _, p := range k.parts {
@@ -154,14 +154,14 @@
 			}
 		}
 	}
-	b := &Best{Served: make([]float64, len(f.Loads))}
+	b := &Bound{Served: make([]float64, len(f.Loads))}
 	for range f.Sites {
-		b.ByFront = append(b.ByFront, make([]float64, len(f.Loads)))
+		b.ServedBySite = append(b.ServedBySite, make([]float64, len(f.Loads)))
 	}
 	if len(kinds) == 0 {
 		return b, nil
 	}
-	taken, err := solve(len(rows), len(spots), len(kinds), len(flows), func(j int) (need, to int) { return flows[j].need, flows[j].spot },
+	taken, err := solveFlow(len(rows), len(spots), len(kinds), len(flows), func(j int) (need, to int) { return flows[j].need, flows[j].spot },
 		func(j int, each func(row int)) (rate, worth float64) {
 			for _, p := range kinds[j].parts {
 				each(needs[need{kinds[j].front, p}])
@@ -173,15 +173,15 @@
 	}
 	for j, k := range kinds {
 		l := f.Loads[k.load]
-		b.ByFront[k.front][k.load] += taken[j] / (m.Share[k.front] * l.PerS)
-		b.Served[k.load] += taken[j] / l.PerS
+		b.ServedBySite[k.front][k.load] += taken[j] / (m.ArrivalShare[k.front] * l.SearchesPerS)
+		b.Served[k.load] += taken[j] / l.SearchesPerS
 		b.Goodput += taken[j] * l.Value
 	}
 	return b, nil
 }
 
-// ranks weighs each type so that the most valued goes before all others.
-func (f *Fleet) ranks() []float64 {
+// valueWeights weighs each type so that the most valued goes before all others.
+func (f *Fleet) valueWeights() []float64 {
 	order := make([]int, len(f.Loads))
 	for i := range order {
 		order[i] = i
@@ -190,16 +190,16 @@
 	w, weight := 1.0, make([]float64, len(f.Loads))
 	for n, i := range order {
 		if n > 0 && f.Loads[i].Value > f.Loads[order[n-1]].Value {
-			w *= rank
+			w *= valueRankFactor
 		}
 		weight[i] = w
 	}
 	return weight
 }
 
-// solve is the programme. Rows: what is asked at a place by a front goes somewhere; a spot takes no more than it bears; no
+// solveFlow is the programme. Rows: what is asked at a place by a front goes somewhere; a spot takes no more than it bears; no
 // kind is taken more often than it comes. Each has a slack of its own, and these are the basis to begin with: nothing is taken.
-func solve(needs, spots, kinds, flows int, flow func(j int) (need, spot int), kind func(j int, each func(row int)) (rate, worth float64), bears func(i int) float64) ([]float64, error) {
+func solveFlow(needs, spots, kinds, flows int, flow func(j int) (need, spot int), kind func(j int, each func(row int)) (rate, worth float64), bears func(i int) float64) ([]float64, error) {
 	rows, cols := needs+spots+kinds, kinds+flows+needs+spots+kinds
 	a, rhs, cost := mat.NewDense(rows, cols, nil), make([]float64, rows), make([]float64, cols)
 	scale := 1e-9
--- a/internal/fleet/lossplan/lossplan_golden_test.go
+++ b/internal/fleet/lossplan/lossplan_golden_test.go
@@ -31,11 +31,11 @@
 
 // TestGoldenOutcomes freezes the JSON that `scenario plan --json` prints, and its figures.
 func TestGoldenOutcomes(t *testing.T) {
-	f := fleet()
-	f.Copies = 1
-	f.Loads[0].Floor = 0.6
+	f := testFleet()
+	f.Replicas = 1
+	f.Loads[0].MinAnsweredShare = 0.6
 	f.Headroom = 0.75
-	list, err := f.All()
+	list, err := f.AllLosses()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,24 +51,24 @@
 	var got bytes.Buffer
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 6))
-		f := fleet()
-		f.Copies = 1 + rng.IntN(3)
-		f.Loads[1].Floor = rng.Float64()
-		m := f.Moment()
-		for i := range m.Bears {
-			m.Bears[i] *= rng.Float64()
+		f := testFleet()
+		f.Replicas = 1 + rng.IntN(3)
+		f.Loads[1].MinAnsweredShare = rng.Float64()
+		m := f.IdealConditions()
+		for i := range m.CapacityPerS {
+			m.CapacityPerS[i] *= rng.Float64()
 		}
 		if rng.IntN(2) == 0 {
-			m.Cut(rng.IntN(3), rng.IntN(3))
+			m.Partition(rng.IntN(3), rng.IntN(3))
 		}
 		if rng.IntN(3) == 0 {
-			m.Lose(f, rng.IntN(3))
+			m.LoseSites(f, rng.IntN(3))
 		}
-		b, err := f.Most(m)
+		b, err := f.UpperBound(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintln(&got, seed, m.Key(), b.Served, b.ByFront, b.Goodput)
+		fmt.Fprintln(&got, seed, m.Key(), b.Served, b.ServedBySite, b.Goodput)
 	}
 	checkGolden(t, "bounds.txt", got.Bytes())
 }
@@ -77,19 +77,19 @@
 func TestGoldenErrors(t *testing.T) {
 	var got bytes.Buffer
 	for _, spoil := range []func(f *Fleet){
-		func(f *Fleet) { f.Copies = 9 },
+		func(f *Fleet) { f.Replicas = 9 },
 		func(f *Fleet) { f.Headroom = 1.5 },
 		func(f *Fleet) { f.Servers = nil },
 		func(f *Fleet) { f.Servers[2].Site = 7 },
-		func(f *Fleet) { f.Servers[1].Bears = -2.5 },
-		func(f *Fleet) { f.Loads[1].Parts = 0 },
+		func(f *Fleet) { f.Servers[1].CapacityPerS = -2.5 },
+		func(f *Fleet) { f.Loads[1].ShardsPerSearch = 0 },
 		func(f *Fleet) { f.Loads[0].Value = 0 },
 	} {
-		f := fleet()
+		f := testFleet()
 		spoil(f)
 		fmt.Fprintln(&got, f.Check())
 	}
-	_, err := fleet().Most(&Moment{})
+	_, err := testFleet().UpperBound(&Conditions{})
 	fmt.Fprintln(&got, err)
 	checkGolden(t, "errors.txt", got.Bytes())
 }
--- a/internal/fleet/lossplan/outcome_test.go
+++ b/internal/fleet/lossplan/outcome_test.go
@@ -12,83 +12,83 @@
 func init() { flag.Set("rapid.seed", "1") }
 
 // three sites, each with two servers of each of four cells' neighbours: mixed, so that a loss leaves holders.
-func fleet() *Fleet {
-	f := &Fleet{Sites: []string{"n", "m", "s"}, Places: 6, Copies: 3, Headroom: 1,
+func testFleet() *Fleet {
+	f := &Fleet{Sites: []string{"n", "m", "s"}, Shards: 6, Replicas: 3, Headroom: 1,
 		Loads: []Load{{"quick", 20, 3, 5, 1}, {"bulk", 30, 3, 1, 1}}}
 	for i := range 6 {
-		f.Servers = append(f.Servers, Server{Site: i % 3, Cell: i, Bears: 30})
+		f.Servers = append(f.Servers, Server{Site: i % 3, Cell: i, CapacityPerS: 30})
 	}
 	return f
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func requireNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-6*max(1, math.Abs(want)) {
 		t.Errorf("%s: %v, not %v", what, got, want)
 	}
 }
 
-func TestWhatIsLeftWithoutASite(t *testing.T) {
-	f := fleet()
-	o, err := f.Lose()
+func TestOutcomeWithoutSites(t *testing.T) {
+	f := testFleet()
+	o, err := f.WithoutSites()
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "all bear", o.Bears, 180)
-	near(t, "served", o.Types[1].Whole, 1)
-	near(t, "goodput", o.Goodput, 130)
-	o, err = f.Lose(2)
+	requireNear(t, "all bear", o.CapacityPerS, 180)
+	requireNear(t, "served", o.Types[1].Complete, 1)
+	requireNear(t, "goodput", o.Goodput, 130)
+	o, err = f.WithoutSites(2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "survivors bear", o.Bears, 120) // four of six
-	near(t, "quick", o.Types[0].Whole, 1)
-	near(t, "bulk", o.Types[1].Whole, 60./90)
-	near(t, "bulk refused", o.Types[1].Value, 30./90)
-	near(t, "goodput", o.Goodput, 100+20)
-	near(t, "best", o.Best, 120)
-	o, err = f.Lose(1, 2)
+	requireNear(t, "survivors bear", o.CapacityPerS, 120) // four of six
+	requireNear(t, "quick", o.Types[0].Complete, 1)
+	requireNear(t, "bulk", o.Types[1].Complete, 60./90)
+	requireNear(t, "bulk refused", o.Types[1].Shed, 30./90)
+	requireNear(t, "goodput", o.Goodput, 100+20)
+	requireNear(t, "best", o.BestGoodput, 120)
+	o, err = f.WithoutSites(1, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.Orphans) != 0 {
-		t.Error("orphans", o.Orphans)
+	if len(o.UnavailableShards) != 0 {
+		t.Error("orphans", o.UnavailableShards)
 	}
-	near(t, "quick alone", o.Types[0].Whole, 1)
-	near(t, "no bulk", o.Types[1].Whole, 0)
+	requireNear(t, "quick alone", o.Types[0].Complete, 1)
+	requireNear(t, "no bulk", o.Types[1].Complete, 0)
 }
 
-func TestShardsThatOnlyTheLostSiteHeld(t *testing.T) {
-	f := fleet()
-	f.Copies = 1
-	o, err := f.Lose(0)
+func TestShardsOfOneReplicaAreUnavailable(t *testing.T) {
+	f := testFleet()
+	f.Replicas = 1
+	o, err := f.WithoutSites(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.Orphans) != 2 { // cells 0 and 3
-		t.Fatal("orphans", o.Orphans)
+	if len(o.UnavailableShards) != 2 { // cells 0 and 3
+		t.Fatal("orphans", o.UnavailableShards)
 	}
-	near(t, "no three neighbours are held", o.Types[0].NoHolder, 1)
-	f.Loads[0].Floor = 0.6 // two of three
-	if o, err = f.Lose(0); err != nil {
+	requireNear(t, "no three neighbours are held", o.Types[0].NoReplica, 1)
+	f.Loads[0].MinAnsweredShare = 0.6 // two of three
+	if o, err = f.WithoutSites(0); err != nil {
 		t.Fatal(err)
 	}
-	near(t, "in part", o.Types[0].Part, 1)
+	requireNear(t, "in part", o.Types[0].Partial, 1)
 }
 
-func TestAPlanNeverPromisesMoreThanSurvivorsBear(t *testing.T) {
+func TestOutcomeNeverExceedsSurvivorsCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &Fleet{Places: rapid.IntRange(1, 8).Draw(t, "places"), Headroom: rapid.Float64Range(0.1, 1).Draw(t, "headroom")}
-		f.Copies = rapid.IntRange(1, f.Places).Draw(t, "copies")
+		f := &Fleet{Shards: rapid.IntRange(1, 8).Draw(t, "places"), Headroom: rapid.Float64Range(0.1, 1).Draw(t, "headroom")}
+		f.Replicas = rapid.IntRange(1, f.Shards).Draw(t, "copies")
 		for range rapid.IntRange(1, 4).Draw(t, "sites") {
 			f.Sites = append(f.Sites, "x")
 		}
 		for range rapid.IntRange(1, 16).Draw(t, "servers") {
 			f.Servers = append(f.Servers, Server{rapid.IntRange(0, len(f.Sites)-1).Draw(t, "site"),
-				rapid.IntRange(0, f.Places-1).Draw(t, "cell"), rapid.Float64Range(1, 50).Draw(t, "bears")})
+				rapid.IntRange(0, f.Shards-1).Draw(t, "cell"), rapid.Float64Range(1, 50).Draw(t, "bears")})
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "loads") {
-			f.Loads = append(f.Loads, Load{"l", rapid.Float64Range(0, 40).Draw(t, "rate"), rapid.IntRange(1, f.Places).Draw(t, "parts"),
+			f.Loads = append(f.Loads, Load{"l", rapid.Float64Range(0, 40).Draw(t, "rate"), rapid.IntRange(1, f.Shards).Draw(t, "parts"),
 				rapid.Float64Range(0.1, 9).Draw(t, "value"), rapid.Float64Range(0, 1).Draw(t, "floor")})
 		}
 		lost := rapid.IntRange(-1, len(f.Sites)-1).Draw(t, "lost")
@@ -96,26 +96,26 @@
 		if lost >= 0 {
 			sites = []int{lost}
 		}
-		o, err := f.Lose(sites...)
+		o, err := f.WithoutSites(sites...)
 		if err != nil {
 			t.Fatal(err)
 		}
 		all := 0.0
 		for _, s := range f.Servers {
 			if s.Site != lost {
-				all += s.Bears * f.Headroom
+				all += s.CapacityPerS * f.Headroom
 			}
 		}
-		if o.Bears > all+1e-6 {
-			t.Fatal("more than all bear: ", o.Bears, all)
+		if o.CapacityPerS > all+1e-6 {
+			t.Fatal("more than all bear: ", o.CapacityPerS, all)
 		}
 		for i, s := range o.Types {
-			if sum := s.Whole + s.Part + s.NoHolder + s.Value; math.Abs(sum-1) > 1e-6 {
+			if sum := s.Complete + s.Partial + s.NoReplica + s.Shed; math.Abs(sum-1) > 1e-6 {
 				t.Fatal("shares of ", i, " add up to ", sum)
 			}
 		}
-		if o.Goodput > o.Best+1e-6 {
-			t.Fatal("the order serves more than the best: ", o.Goodput, o.Best)
+		if o.Goodput > o.BestGoodput+1e-6 {
+			t.Fatal("the order serves more than the best: ", o.Goodput, o.BestGoodput)
 		}
 		top := 0
 		for i, l := range f.Loads {
@@ -124,7 +124,7 @@
 			}
 		}
 		for i, s := range o.Types {
-			if f.Loads[i].Value < f.Loads[top].Value && s.Served() > 1e-6 && o.Types[top].Value > 1e-6 && f.Loads[i].PerS > 0 && f.Loads[top].PerS > 0 {
+			if f.Loads[i].Value < f.Loads[top].Value && s.Served() > 1e-6 && o.Types[top].Shed > 1e-6 && f.Loads[i].SearchesPerS > 0 && f.Loads[top].SearchesPerS > 0 {
 				t.Fatal("a less valued type is served while the most valued is refused")
 			}
 		}
@@ -132,17 +132,17 @@
 }
 
 // What is left by rounding after the most valued type is not what a type that asks next to nothing is served by.
-func TestRoundingIsNoRoom(t *testing.T) {
-	f := &Fleet{Places: 1, Copies: 1, Headroom: 0.10000000000000003, Sites: []string{"x", "y"}}
+func TestRoundingIsNoCapacity(t *testing.T) {
+	f := &Fleet{Shards: 1, Replicas: 1, Headroom: 0.10000000000000003, Sites: []string{"x", "y"}}
 	for _, bears := range []float64{1, 4.25, 9, 18, 27.00006103515625, 3.002197265625} {
 		f.Servers = append(f.Servers, Server{0, 0, bears})
 	}
 	f.Loads = []Load{{"a", 1, 1, 0.5, 1}, {"b", 4.656612873077393e-10, 1, 1, 1}, {"c", 9, 1, 1.5, 1}}
-	o, err := f.Lose()
+	o, err := f.WithoutSites()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Types[2].Value <= 0 || o.Types[1].Served() > 1e-6 {
+	if o.Types[2].Shed <= 0 || o.Types[1].Served() > 1e-6 {
 		t.Fatalf("%+v", o.Types)
 	}
 }
--- a/internal/rig/scenario/bound.go
+++ b/internal/rig/scenario/bound.go
@@ -33,20 +33,20 @@
 }
 
 // moment is what one who sees everything knows of a time of the run: cuts, lost sites, slow, silent and cold servers.
-func (w *world) moment(at float64) *lossplan.Moment {
+func (w *world) moment(at float64) *lossplan.Conditions {
 	f := w.Fleet()
-	m := f.Moment()
+	m := f.IdealConditions()
 	load := 0.0
 	for _, s := range w.Sites {
 		load += *s.Load
 	}
 	for i, s := range w.Sites {
-		m.Share[i] = *s.Load / load
+		m.ArrivalShare[i] = *s.Load / load
 	}
 	for i, s := range w.servers {
 		bears, silent := s.station.Could(at)
-		if m.Bears[i] = bears; silent {
-			m.Bears[i] = 0
+		if m.CapacityPerS[i] = bears; silent {
+			m.CapacityPerS[i] = 0
 		}
 	}
 	var lost, moved []int
@@ -69,35 +69,35 @@
 			}
 			for b := range w.Sites {
 				if w.whole(t.From, a) && w.whole(t.To, b) || w.whole(t.From, b) && w.whole(t.To, a) {
-					m.Cut(a, b) // a handshake and an answer need both ways
+					m.Partition(a, b) // a handshake and an answer need both ways
 				}
 			}
 		}
 	}
 	for _, at := range moved {
-		share := m.Share[at]
-		m.Share[at] = 0
-		for i := range m.Share {
+		share := m.ArrivalShare[at]
+		m.ArrivalShare[at] = 0
+		for i := range m.ArrivalShare {
 			if i != at {
-				m.Share[i] += share / float64(len(m.Share)-1)
+				m.ArrivalShare[i] += share / float64(len(m.ArrivalShare)-1)
 			}
 		}
 	}
 	sort.Ints(lost)
-	return m.Lose(f, lost...)
+	return m.LoseSites(f, lost...)
 }
 
 // bounds gives by second and query type the most that could be served of it, by whoever knows all that holds at any moment. A
 // second in which something changed counts by the time that each lasted.
 func (w *world) bounds() [][]float64 {
 	f, known := w.Fleet(), map[string][]float64{}
-	most := func(m *lossplan.Moment) []float64 {
+	most := func(m *lossplan.Conditions) []float64 {
 		key := m.Key()
 		if known[key] == nil {
-			b, err := f.Most(m)
+			b, err := f.UpperBound(m)
 			if err != nil { // the programme did not come to an end: nothing is claimed to be out of reach then
 				w.opt.Say("no bound: %v", err)
-				b = &lossplan.Best{Served: make([]float64, len(w.Types))}
+				b = &lossplan.Bound{Served: make([]float64, len(w.Types))}
 				for i := range b.Served {
 					b.Served[i] = 1
 				}
--- a/internal/rig/scenario/play.go
+++ b/internal/rig/scenario/play.go
@@ -328,15 +328,15 @@
 
 // Fleet is the file's fleet as a plan sees it.
 func (f *File) Fleet() *lossplan.Fleet {
-	p := &lossplan.Fleet{Places: f.Places, Copies: f.Copies, Headroom: f.Headroom}
+	p := &lossplan.Fleet{Shards: f.Places, Replicas: f.Copies, Headroom: f.Headroom}
 	for _, s := range f.Sites {
 		p.Sites = append(p.Sites, s.Name)
 	}
 	for _, s := range f.Layouts() {
-		p.Servers = append(p.Servers, lossplan.Server{Site: s.Site, Cell: s.Cell, Bears: f.Kind().Bears()})
+		p.Servers = append(p.Servers, lossplan.Server{Site: s.Site, Cell: s.Cell, CapacityPerS: f.Kind().Bears()})
 	}
 	for _, t := range f.Types {
-		p.Loads = append(p.Loads, lossplan.Load{Name: t.Name, PerS: t.PerS, Parts: t.Parts, Value: t.Value, Floor: *t.Floor})
+		p.Loads = append(p.Loads, lossplan.Load{Name: t.Name, SearchesPerS: t.PerS, ShardsPerSearch: t.Parts, Value: t.Value, MinAnsweredShare: *t.Floor})
 	}
 	return p
 }
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/rig/scenario/scenario_test.go
@@ -246,7 +246,7 @@
 		if g.Seconds > 0.6*f.Seconds+2 || len(g.Line) != len(f.Line) {
 			t.Errorf("%s, short: %v s, %d faults", file, g.Seconds, len(g.Line))
 		}
-		if _, err := f.Fleet().All(); err != nil {
+		if _, err := f.Fleet().AllLosses(); err != nil {
 			t.Errorf("%s: %v", file, err)
 		}
 	}
