--- a/internal/fleet/lossplan/bound.go
+++ b/internal/fleet/lossplan/bound.go
@@ -3,179 +3,46 @@
 import (
 	"fmt"
 	"sort"
-
-	"gonum.org/v1/gonum/mat"
-	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Conditions is what holds in one stretch of time, as one who sees everything would know it: what each server bears now (slow,
-// cold or gone), whom the brokers of each site get answers from, and at which sites' brokers clients' searches come in.
-type Conditions struct {
-	CapacityPerS []float64 // by server, sub-requests a second
-	Reachable    [][]bool  // by the brokers' site, then the servers'
-	ArrivalShare []float64 // of all searches that come in there; what is missing to 1 finds no broker
-}
-
-// IdealConditions gives the fleet at its best: everybody reaches everybody, and load comes in alike at all sites.
-func (f *Fleet) IdealConditions() *Conditions {
-	m := &Conditions{}
-	for _, s := range f.Servers {
-		m.CapacityPerS = append(m.CapacityPerS, s.CapacityPerS)
-	}
-	for range f.Sites {
-		row := make([]bool, len(f.Sites))
-		for i := range row {
-			row[i] = true
-		}
-		m.Reachable = append(m.Reachable, row)
-		m.ArrivalShare = append(m.ArrivalShare, 1/float64(len(f.Sites)))
-	}
-	return m
-}
-
-// LoseSites takes sites away with all that is there; their searches come in at the others, alike.
-func (m *Conditions) LoseSites(_ *Fleet, sites ...int) *Conditions {
-	moved, left := 0.0, 0
-	gone := make([]bool, len(m.ArrivalShare))
-	for _, s := range sites {
-		gone[s] = true
-		moved += m.ArrivalShare[s]
-		m.ArrivalShare[s] = 0
-		for at := range m.Reachable {
-			m.Reachable[at][s], m.Reachable[s][at] = false, false
-		}
-	}
-	for at := range gone {
-		if !gone[at] {
-			left++
-		}
-	}
-	for at := range m.ArrivalShare {
-		if !gone[at] {
-			m.ArrivalShare[at] += moved / float64(left)
-		}
-	}
-	return m
-}
-
-// Partition is a way that brings no answers: brokers of one site get nothing from servers of another.
-func (m *Conditions) Partition(from, to int) *Conditions {
-	m.Reachable[from][to] = false
-	return m
-}
-
-// Key is the same for moments that are alike to a hundredth of what servers bear.
-func (m *Conditions) Key() string {
-	rough := make([]int, len(m.CapacityPerS))
-	for i, b := range m.CapacityPerS {
-		rough[i] = int(100*b + 0.5)
-	}
-	return fmt.Sprint(rough, m.Reachable, m.ArrivalShare)
-}
-
-// Bound is the most that can be served of each type in a moment, the most valued type first, then the next: Served by type,
-// ByFront by the site at which searches come in, then by type. A linear programme of which searches are taken and where
-// their parts go, at most what each server bears. An upper bound: queues and chance are not part of it, and whoever
-// may be answered in part is asked for all that is in reach.
+// Bound is the most that can be served of each type under given conditions, the most valued type first, then the next. A linear
+// programme of which searches are taken and where their sub-requests go, within each server's capacity. An upper bound:
+// queues and chance are not part of it, and a search that accepts a partial answer takes all shards in reach.
 type Bound struct {
-	Served       []float64
-	ServedBySite [][]float64
-	Goodput      float64 // value a second
+	Served       []float64   // by type, share of its searches
+	ServedBySite [][]float64 // by the site at which searches arrive, then by type
+	Goodput      float64     // value a second
 }
 
-// A type counts so many times more than the next less valued one: no choice gives up one of it for that.
+// valueRankFactor is how many times more a type counts than the next less valued one: no choice gives one of it up for that.
 const valueRankFactor = 100
 
-// UpperBound gives the most that a moment allows.
-func (f *Fleet) UpperBound(m *Conditions) (*Bound, error) {
+// UpperBound returns the most that conditions allow.
+func (f *Fleet) UpperBound(c *Conditions) (*Bound, error) {
 	if err := f.Check(); err != nil {
 		return nil, err
 	}
-	if len(m.CapacityPerS) != len(f.Servers) || len(m.Reachable) != len(f.Sites) || len(m.ArrivalShare) != len(f.Sites) {
-		return nil, fmt.Errorf("a moment of %d servers and %d sites for a fleet of %d and %d", len(m.CapacityPerS), len(m.Reachable), len(f.Servers), len(f.Sites))
-	}
-	// Servers of one cell at one site are alike to everybody: they count as one.
-	type spot struct{ site, cell int }
-	bears := map[spot]float64{}
-	var spots []spot
-	for i, s := range f.Servers {
-		at := spot{s.Site, s.Cell}
-		if _, known := bears[at]; !known {
-			spots = append(spots, at)
-		}
-		bears[at] += m.CapacityPerS[i] * f.Headroom
-	}
-	weight := f.valueWeights()
-	type kind struct {
-		front, load, from int
-		parts             []int // in reach
-		rate              float64
-	}
-	var kinds []kind
-	type need struct{ front, place int }
-	needs := map[need]int{}
-	var rows []need
-	type flow struct{ need, spot int }
-	var flows []flow
-	for front, share := range m.ArrivalShare {
-		if share <= 0 {
-			continue
-		}
-		held := make([][]int, f.Shards)
-		for p := range f.Shards {
-			for i, s := range spots {
-				if m.Reachable[front][s.site] && bears[s] > 0 && f.hasReplica(s.cell, p) {
-					held[p] = append(held[p], i)
-				}
-			}
-		}
-		for i, l := range f.Loads {
-			for from := range f.Shards {
-				k := kind{front: front, load: i, from: from, rate: share * l.SearchesPerS / float64(f.Shards)}
-				for n := range l.ShardsPerSearch {
-					if p := (from + n) % f.Shards; len(held[p]) > 0 {
-						k.parts = append(k.parts, p)
-					}
-				}
-				if have := len(k.parts); have == 0 || have < l.ShardsPerSearch && float64(have) < l.MinAnsweredShare*float64(l.ShardsPerSearch)-1e-9 || k.rate <= 0 {
-					continue
-				}
-				for _, p := range k.parts {
-					n := need{front, p}
-					if _, known := needs[n]; !known {
-						needs[n] = len(rows)
-						rows = append(rows, n)
-						for _, s := range held[p] {
-							flows = append(flows, flow{needs[n], s})
-						}
-					}
-				}
-				kinds = append(kinds, k)
-			}
-		}
+	if len(c.CapacityPerS) != len(f.Servers) || len(c.Reachable) != len(f.Sites) || len(c.ArrivalShare) != len(f.Sites) {
+		return nil, fmt.Errorf("a moment of %d servers and %d sites for a fleet of %d and %d",
+			len(c.CapacityPerS), len(c.Reachable), len(f.Servers), len(f.Sites))
 	}
+	n := f.newNetwork(c)
 	b := &Bound{Served: make([]float64, len(f.Loads))}
 	for range f.Sites {
 		b.ServedBySite = append(b.ServedBySite, make([]float64, len(f.Loads)))
 	}
-	if len(kinds) == 0 {
+	if len(n.searches) == 0 {
 		return b, nil
 	}
-	taken, err := solveFlow(len(rows), len(spots), len(kinds), len(flows), func(j int) (need, to int) { return flows[j].need, flows[j].spot },
-		func(j int, each func(row int)) (rate, worth float64) {
-			for _, p := range kinds[j].parts {
-				each(needs[need{kinds[j].front, p}])
-			}
-			return kinds[j].rate, weight[kinds[j].load]
-		}, func(i int) float64 { return bears[spots[i]] })
+	taken, err := n.solve(f.valueWeights())
 	if err != nil {
 		return nil, fmt.Errorf("what can be served: %w", err)
 	}
-	for j, k := range kinds {
-		l := f.Loads[k.load]
-		b.ServedBySite[k.front][k.load] += taken[j] / (m.ArrivalShare[k.front] * l.SearchesPerS)
-		b.Served[k.load] += taken[j] / l.SearchesPerS
-		b.Goodput += taken[j] * l.Value
+	for j, s := range n.searches {
+		load := f.Loads[s.load]
+		b.ServedBySite[s.site][s.load] += taken[j] / (c.ArrivalShare[s.site] * load.SearchesPerS)
+		b.Served[s.load] += taken[j] / load.SearchesPerS
+		b.Goodput += taken[j] * load.Value
 	}
 	return b, nil
 }
@@ -187,53 +54,119 @@
 		order[i] = i
 	}
 	sort.SliceStable(order, func(a, b int) bool { return f.Loads[order[a]].Value < f.Loads[order[b]].Value })
-	w, weight := 1.0, make([]float64, len(f.Loads))
+	weight, weights := 1.0, make([]float64, len(f.Loads))
 	for n, i := range order {
 		if n > 0 && f.Loads[i].Value > f.Loads[order[n-1]].Value {
-			w *= valueRankFactor
+			weight *= valueRankFactor
 		}
-		weight[i] = w
+		weights[i] = weight
 	}
-	return weight
+	return weights
 }
 
-// solveFlow is the programme. Rows: what is asked at a place by a front goes somewhere; a spot takes no more than it bears; no
-// kind is taken more often than it comes. Each has a slack of its own, and these are the basis to begin with: nothing is taken.
-func solveFlow(needs, spots, kinds, flows int, flow func(j int) (need, spot int), kind func(j int, each func(row int)) (rate, worth float64), bears func(i int) float64) ([]float64, error) {
-	rows, cols := needs+spots+kinds, kinds+flows+needs+spots+kinds
-	a, rhs, cost := mat.NewDense(rows, cols, nil), make([]float64, rows), make([]float64, cols)
-	scale := 1e-9
-	for i := range spots {
-		scale = max(scale, bears(i))
-	}
-	for j := range kinds {
-		rate, worth := kind(j, func(row int) { a.Set(row, j, a.At(row, j)+1) })
-		a.Set(needs+spots+j, j, 1)
-		rhs[needs+spots+j] = rate / scale
-		cost[j] = -worth
-	}
-	for j := range flows {
-		need, spot := flow(j)
-		a.Set(need, kinds+j, -1)
-		a.Set(needs+spot, kinds+j, 1)
-	}
-	basic := make([]int, rows)
-	for i := range rows {
-		basic[i] = kinds + flows + i
-		a.Set(i, kinds+flows+i, 1)
-	}
-	for i := range needs {
-		rhs[i] = 1e-7 * (1 + float64(i)/float64(needs)) // all nothing, steps would go nowhere and turn in a circle
-	}
-	for i := range spots {
-		rhs[needs+i] = bears(i) / scale
-	}
-	_, x, err := lp.Simplex(cost, a, rhs, 1e-9, basic)
-	if err != nil {
-		return nil, err
+// network is the flow of sub-requests from searches by way of shards to servers.
+type network struct {
+	searches []searchClass
+	pools    []serverPool
+	demands  []shardDemand
+	flows    []flow
+
+	poolIndex   map[poolKey]int
+	demandIndex map[shardDemand]int
+}
+
+// searchClass are alike: of one type, from one site's brokers, from the same first shard on.
+type searchClass struct {
+	site     int
+	load     int
+	shards   []int // in reach
+	ratePerS float64
+}
+
+// serverPool are the servers of one cell at one site: alike to everybody, they count as one.
+type serverPool struct {
+	poolKey
+	capacityPerS float64
+}
+
+type poolKey struct{ site, cell int }
+
+// shardDemand is what one site's brokers ask of a shard.
+type shardDemand struct{ site, shard int }
+
+// flow is the way of a demand to a pool that holds its shard.
+type flow struct{ demand, pool int }
+
+func (f *Fleet) newNetwork(c *Conditions) *network {
+	n := &network{poolIndex: map[poolKey]int{}, demandIndex: map[shardDemand]int{}}
+	for i, s := range f.Servers {
+		n.addServer(poolKey{s.Site, s.Cell}, c.CapacityPerS[i]*f.Headroom)
+	}
+	for site, share := range c.ArrivalShare {
+		if share <= 0 {
+			continue
+		}
+		holders := f.holders(n.pools, c.Reachable[site])
+		for load := range f.Loads {
+			for first := range f.Shards {
+				f.addSearches(n, site, load, first, share, holders)
+			}
+		}
+	}
+	return n
+}
+
+func (n *network) addServer(key poolKey, capacityPerS float64) {
+	index, known := n.poolIndex[key]
+	if !known {
+		index = len(n.pools)
+		n.poolIndex[key] = index
+		n.pools = append(n.pools, serverPool{poolKey: key})
+	}
+	n.pools[index].capacityPerS += capacityPerS
+}
+
+// holders returns, by shard, the pools that hold it and are reachable.
+func (f *Fleet) holders(pools []serverPool, reachable []bool) [][]int {
+	holders := make([][]int, f.Shards)
+	for shard := range f.Shards {
+		for i, pool := range pools {
+			if reachable[pool.site] && pool.capacityPerS > 0 && f.hasReplica(pool.cell, shard) {
+				holders[shard] = append(holders[shard], i)
+			}
+		}
+	}
+	return holders
+}
+
+// addSearches adds the searches of one type at one site from a first shard on, where they find enough of their shards.
+func (f *Fleet) addSearches(n *network, site, load, first int, arrivalShare float64, holders [][]int) {
+	l := &f.Loads[load]
+	class := searchClass{site: site, load: load, ratePerS: arrivalShare * l.SearchesPerS / float64(f.Shards)}
+	for i := range l.ShardsPerSearch {
+		if shard := (first + i) % f.Shards; len(holders[shard]) > 0 {
+			class.shards = append(class.shards, shard)
+		}
+	}
+	found := len(class.shards)
+	enough := found == l.ShardsPerSearch || found > 0 && l.acceptsPartial(found)
+	if !enough || class.ratePerS <= 0 {
+		return
+	}
+	for _, shard := range class.shards {
+		n.addDemand(shardDemand{site, shard}, holders[shard])
+	}
+	n.searches = append(n.searches, class)
+}
+
+func (n *network) addDemand(d shardDemand, pools []int) {
+	if _, known := n.demandIndex[d]; known {
+		return
 	}
-	for j := range kinds {
-		x[j] *= scale
+	index := len(n.demands)
+	n.demandIndex[d] = index
+	n.demands = append(n.demands, d)
+	for _, pool := range pools {
+		n.flows = append(n.flows, flow{index, pool})
 	}
-	return x[:kinds], nil
 }
--- a/internal/fleet/lossplan/bound_test.go
+++ b/internal/fleet/lossplan/bound_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Whoever sees all serves no less than the plan that asks all shards alike, and the same where that is exact.
+// The bound is no less than the outcome, which asks all shards alike, and the same where that is exact.
 func TestBoundIsNoLessThanOutcome(t *testing.T) {
 	f := testFleet()
 	for _, lost := range [][]int{nil, {2}, {0}, {1, 2}} {
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireNear(t, "a third of the cut front's is out of reach", b.ServedBySite[0][0], 2./3)
+	requireNear(t, "a third of the partitioned site's is out of reach", b.ServedBySite[0][0], 2./3)
 	requireNear(t, "others have all", b.ServedBySite[1][0], 1)
 	requireNear(t, "all", b.Served[0], 1-1./9)
 	// Slow servers bear less, and the most valued type goes first.
@@ -92,8 +92,8 @@
 			if s < -1e-6 || s > 1+1e-6 {
 				t.Error(seed, "served", b.Served)
 			}
-			least := float64(f.Loads[i].ShardsPerSearch) * f.Loads[i].MinAnsweredShare
-			asked += s * f.Loads[i].SearchesPerS * least
+			minShards := float64(f.Loads[i].ShardsPerSearch) * f.Loads[i].MinAnsweredShare
+			asked += s * f.Loads[i].SearchesPerS * minShards
 		}
 		if asked > all*0.9+1e-3 {
 			t.Errorf("seed %d: %v asked of %v", seed, asked, all)
--- a/internal/fleet/lossplan/outcome_test.go
+++ b/internal/fleet/lossplan/outcome_test.go
@@ -11,7 +11,7 @@
 // The same cases each time, so that a verdict stays; others with -rapid.seed.
 func init() { flag.Set("rapid.seed", "1") }
 
-// three sites, each with two servers of each of four cells' neighbours: mixed, so that a loss leaves holders.
+// testFleet has three sites of two servers each, mixed by cell, so that a loss leaves replicas.
 func testFleet() *Fleet {
 	f := &Fleet{Sites: []string{"n", "m", "s"}, Shards: 6, Replicas: 3, Headroom: 1,
 		Loads: []Load{{"quick", 20, 3, 5, 1}, {"bulk", 30, 3, 1, 1}}}
