--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -15,12 +15,12 @@
 	"kestrelspread/internal/fleet/lease/fence/http"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
-	"kestrelspread/internal/fleet/stage"
-	"kestrelspread/internal/fleet/stage/pace"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/fleet/statement/gather"
 	"kestrelspread/internal/fleet/zonefailure"
 	"kestrelspread/internal/fleet/zonefailure/gossip"
+	"kestrelspread/internal/fleet/zonerecovery"
+	"kestrelspread/internal/fleet/zonerecovery/coordinator"
 	"kestrelspread/internal/operator"
 )
 
@@ -87,14 +87,14 @@
 		}
 	}
 	if o.Return && port != nil {
-		ears := &pace.Ears{}
+		ears := &coordinator.Ears{}
 		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
 		sees.others = append(sees.others, func(w gossip.Report) { ears.Saw(w.Peer, w.Site, w.Lost, w.AgeMs) })
-		w.Jobs[returnDuty] = func() client.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
+		w.Jobs[returnDuty] = func() client.Job { return &coordinator.Job{Ears: ears, Rules: zonerecovery.Usual, Every: paceEvery} }
 		w.WatchedRoles = []string{returnDuty}
 		w.OnProgress = func(list []replica.ProgressReport) {
 			for _, s := range list {
-				stages, err := stage.Read(s.Progress)
+				stages, err := zonerecovery.Read(s.Progress)
 				if err != nil || s.Role != returnDuty {
 					continue
 				}
--- a/internal/fleet/stage/pace/pace.go
+++ b/internal/fleet/zonerecovery/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package pace is the work of the duty "return": the owner hears what instances see of sites and publishes how far each has come
+// Package coordinator is the work of the duty "return": the owner hears what instances see of sites and publishes how far each has come
 // back. What that is, is package stage's.
-package pace
+package coordinator
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/voter"
-	"kestrelspread/internal/fleet/stage"
+	"kestrelspread/internal/fleet/zonerecovery"
 )
 
 // Ears hold what was seen until the owner's next look. On an instance that is not the owner it is let go of.
@@ -48,16 +48,16 @@
 // Job is one owner's work.
 type Job struct {
 	Ears  *Ears
-	Rules stage.Rules
+	Rules zonerecovery.Rules
 	Every time.Duration
-	pace  *stage.Pace
+	pace  *zonerecovery.Pace
 }
 
 // Step looks once.
 func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
 	now := voter.Now()
 	if j.pace == nil {
-		j.pace = stage.New(j.Rules, g.Progress, now)
+		j.pace = zonerecovery.New(j.Rules, g.Progress, now)
 	}
 	for _, w := range j.Ears.take() {
 		j.pace.Saw(w.at, w.who, w.site, w.lost)
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/zonerecovery/schedule.go
@@ -1,8 +1,8 @@
-// Package stage paces a site's return once for the whole fleet: from nothing to its full share by steps that go on only while
+// Package zonerecovery paces a site's return once for the whole fleet: from nothing to its full share by steps that go on only while
 // nobody says that the site is lost again, and that get longer each time it falls. It is a reducer: what instances saw and times
 // go in, stages come out. What a broker makes of a stage is its own sight's to decide (package site): a stage can slow its
 // return down, and neither brings it about nor ends it.
-package stage
+package zonerecovery
 
 import (
 	"encoding/json"
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/zonerecovery/schedule_test.go
@@ -1,4 +1,4 @@
-package stage
+package zonerecovery
 
 import (
 	"flag"
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -15,7 +15,7 @@
 // cores are pure: neither sockets nor files, clocks, goroutines or shells. transport's types are allowed to those that
 // speak to the loop, as they name connections.
 var cores = []string{"decide", "predict", "window", "protocol", "routing", "h2", "grpcwire", "routes", "channels", "passthrough", "settings", "operator",
-	"ledger", "background", "fleet/zonefailure", "fleet/capacity", "fleet/shedding", "fleet/lossplan", "fleet/stage", "fleet/statement", "fleet/lease", "fleet/lease/replica", "fleet/lease/fence", "fleet/lease/membership"}
+	"ledger", "background", "fleet/zonefailure", "fleet/capacity", "fleet/shedding", "fleet/lossplan", "fleet/zonerecovery", "fleet/statement", "fleet/lease", "fleet/lease/replica", "fleet/lease/fence", "fleet/lease/membership"}
 
 var barred = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "sync": true, "context": true,
 	"syscall": true, "time": true, "golang.org/x/sys/unix": true, "google.golang.org/grpc": true, "math/rand": true, "math/rand/v2": true}
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/owners.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"kestrelspread/internal/fleet/lease/transport"
-	"kestrelspread/internal/fleet/stage"
+	"kestrelspread/internal/fleet/zonerecovery"
 	"kestrelspread/internal/rig/links"
 	"kestrelspread/internal/standin/receiver"
 )
@@ -78,7 +78,7 @@
 		}
 		word = v.AppliedIndex
 		for _, d := range v.Roles {
-			list, err := stage.Read([]byte(d.Progress))
+			list, err := zonerecovery.Read([]byte(d.Progress))
 			if d.Name != "return" || err != nil {
 				continue
 			}
