--- a/internal/broker/full/owner.go
+++ b/internal/broker/full/owner.go
@@ -87,14 +87,16 @@
 		}
 	}
 	if o.Return && port != nil {
-		ears := &coordinator.Ears{}
-		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
-		sees.others = append(sees.others, func(w gossip.Report) { ears.Saw(w.Peer, w.Site, w.Lost, w.AgeMs) })
-		w.Jobs[returnDuty] = func() client.Job { return &coordinator.Job{Ears: ears, Rules: zonerecovery.Usual, Every: paceEvery} }
+		ears := &coordinator.Inbox{}
+		sees.add(func(site int, lost bool) { ears.Add(p.Name, site, lost, 0) })
+		sees.others = append(sees.others, func(w gossip.Report) { ears.Add(w.Peer, w.Site, w.Lost, w.AgeMs) })
+		w.Jobs[returnDuty] = func() client.Job {
+			return &coordinator.Job{Inbox: ears, Config: zonerecovery.DefaultConfig, Interval: paceEvery}
+		}
 		w.WatchedRoles = []string{returnDuty}
 		w.OnProgress = func(list []replica.ProgressReport) {
 			for _, s := range list {
-				stages, err := zonerecovery.Read(s.Progress)
+				stages, err := zonerecovery.ParseStages(s.Progress)
 				if err != nil || s.Role != returnDuty {
 					continue
 				}
--- a/internal/fleet/zonerecovery/coordinator/coordinator.go
+++ b/internal/fleet/zonerecovery/coordinator/coordinator.go
@@ -12,58 +12,58 @@
 	"kestrelspread/internal/fleet/zonerecovery"
 )
 
-// Ears hold what was seen until the owner's next look. On an instance that is not the owner it is let go of.
-type Ears struct {
-	lock  sync.Mutex
-	words []word
+// Inbox hold what was seen until the owner's next look. On an instance that is not the owner it is let go of.
+type Inbox struct {
+	lock    sync.Mutex
+	reports []queuedReport
 }
 
-type word struct {
-	who  string
-	site int
-	lost bool
-	at   float64
+type queuedReport struct {
+	instance string
+	site     int
+	lost     bool
+	seenAt   float64
 }
 
-const wordsMost = 4096
+const maxQueuedReports = 4096
 
-// Saw is told what an instance saw of a site, so many milliseconds ago.
-func (e *Ears) Saw(who string, site int, lost bool, age float64) {
+// Add is told what an instance saw of a site, so many milliseconds ago.
+func (e *Inbox) Add(who string, site int, lost bool, age float64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if len(e.words) >= wordsMost { // what lasts is said again
-		e.words = append(e.words[:0], e.words[wordsMost/2:]...)
+	if len(e.reports) >= maxQueuedReports { // what lasts is said again
+		e.reports = append(e.reports[:0], e.reports[maxQueuedReports/2:]...)
 	}
-	e.words = append(e.words, word{who, site, lost, voter.Now() - age})
+	e.reports = append(e.reports, queuedReport{who, site, lost, voter.Now() - age})
 }
 
-func (e *Ears) take() []word {
+func (e *Inbox) take() []queuedReport {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	list := e.words
-	e.words = nil
+	list := e.reports
+	e.reports = nil
 	return list
 }
 
 // Job is one owner's work.
 type Job struct {
-	Ears  *Ears
-	Rules zonerecovery.Rules
-	Every time.Duration
-	pace  *zonerecovery.Pace
+	Inbox    *Inbox
+	Config   zonerecovery.Config
+	Interval time.Duration
+	schedule *zonerecovery.Schedule
 }
 
 // Step looks once.
 func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
 	now := voter.Now()
-	if j.pace == nil {
-		j.pace = zonerecovery.New(j.Rules, g.Progress, now)
+	if j.schedule == nil {
+		j.schedule = zonerecovery.New(j.Config, g.Progress, now)
 	}
-	for _, w := range j.Ears.take() {
-		j.pace.Saw(w.at, w.who, w.site, w.lost)
+	for _, w := range j.Inbox.take() {
+		j.schedule.Observe(w.seenAt, w.instance, w.site, w.lost)
 	}
-	if data, changed := j.pace.Turn(now); changed && g.MayAct() {
-		return j.Every, g.SaveProgress(ctx, data)
+	if data, changed := j.schedule.Advance(now); changed && g.MayAct() {
+		return j.Interval, g.SaveProgress(ctx, data)
 	}
-	return j.Every, nil
+	return j.Interval, nil
 }
--- a/internal/fleet/zonerecovery/schedule.go
+++ b/internal/fleet/zonerecovery/schedule.go
@@ -9,63 +9,63 @@
 	"slices"
 )
 
-// Rules are times in ms.
-type Rules struct {
-	Steps   int     // from the first trials to the full share
-	Step    float64 // the shortest
-	Longest float64
-	Heed    int     // instances that have to say that a site is lost
-	Fresh   float64 // what was said so long ago counts no more
-	Calm    float64 // at the full share, after which falls are forgotten
-	Repeat  float64 // a stage under the full share is said again, as what is old counts for little
+// Config are times in ms.
+type Config struct {
+	Steps         int     // from the first trials to the full share
+	MinStepMs     float64 // the shortest
+	MaxStepMs     float64
+	MinReporters  int     // instances that have to say that a site is lost
+	ReportFreshMs float64 // what was said so long ago counts no more
+	LossMemoryMs  float64 // at the full share, after which falls are forgotten
+	RepublishMs   float64 // a stage under the full share is said again, as what is old counts for little
 }
 
-// Usual are the rules that owners go by.
-var Usual = Rules{Steps: 4, Step: 1000, Longest: 16000, Heed: 2, Fresh: 10000, Calm: 60000, Repeat: 2000}
+// DefaultConfig are the rules that owners go by.
+var DefaultConfig = Config{Steps: 4, MinStepMs: 1000, MaxStepMs: 16000, MinReporters: 2, ReportFreshMs: 10000, LossMemoryMs: 60000, RepublishMs: 2000}
 
 // Stage is how far a site has come back. Share 0: it is lost; 1: it is back.
 type Stage struct {
-	Site  int     `json:"site"`
-	Share float64 `json:"share"`
-	Falls int     `json:"falls"` // lately; each doubles the steps
+	Site         int     `json:"site"`
+	Share        float64 `json:"share"`
+	RecentLosses int     `json:"falls"` // lately; each doubles the steps
 }
 
-type word struct {
-	lost bool
-	at   float64
+type report struct {
+	lost   bool
+	seenAt float64
 }
 
-type site struct {
+type siteState struct {
 	Stage
-	words map[string]word // by instance, the latest
-	since float64         // when this stage began, here
+	reports    map[string]report // by instance, the latest
+	stageSince float64           // when this stage began, here
 }
 
-// Pace is the reducer.
-type Pace struct {
-	rules Rules
-	sites map[int]*site
-	dirty bool
-	said  float64
+// Schedule is the reducer.
+type Schedule struct {
+	config      Config
+	sites       map[int]*siteState
+	changed     bool
+	publishedAt float64
 }
 
-const wordsMost = 1000 // of a site
+const maxReportsPerSite = 1000 // of a site
 
 // New goes on from what the owner before had published, at a time: each stage has begun just now, as nobody knows better.
-func New(rules Rules, data []byte, now float64) *Pace {
-	p := &Pace{rules: rules, sites: map[int]*site{}}
-	list, err := Read(data)
+func New(rules Config, data []byte, now float64) *Schedule {
+	p := &Schedule{config: rules, sites: map[int]*siteState{}}
+	list, err := ParseStages(data)
 	if err != nil {
 		return p // what can't be read paces nothing
 	}
 	for _, s := range list {
-		p.sites[s.Site] = &site{Stage: s, words: map[string]word{}, since: now}
+		p.sites[s.Site] = &siteState{Stage: s, reports: map[string]report{}, stageSince: now}
 	}
 	return p
 }
 
-// Read reads stages that were published.
-func Read(data []byte) (list []Stage, err error) {
+// ParseStages reads stages that were published.
+func ParseStages(data []byte) (list []Stage, err error) {
 	if len(data) > 0 {
 		err = json.Unmarshal(data, &list)
 	}
@@ -78,8 +78,8 @@
 	return kept, err
 }
 
-// Saw takes what an instance reports that it saw of a site, at a time.
-func (p *Pace) Saw(at float64, who string, no int, lost bool) {
+// Observe takes what an instance reports that it saw of a site, at a time.
+func (p *Schedule) Observe(at float64, who string, no int, lost bool) {
 	if no < 0 {
 		return
 	}
@@ -88,54 +88,54 @@
 		if !lost {
 			return // no stage is needed for what nobody held to be lost
 		}
-		s = &site{Stage: Stage{Site: no, Share: 1}, words: map[string]word{}, since: at}
+		s = &siteState{Stage: Stage{Site: no, Share: 1}, reports: map[string]report{}, stageSince: at}
 		p.sites[no] = s
 	}
-	if was, known := s.words[who]; known && was.at > at || !known && len(s.words) >= wordsMost {
+	if was, known := s.reports[who]; known && was.seenAt > at || !known && len(s.reports) >= maxReportsPerSite {
 		return
 	}
-	s.words[who] = word{lost, at}
+	s.reports[who] = report{lost, at}
 }
 
-// Turn gives what is to be published at a time; false where nothing has changed.
-func (p *Pace) Turn(now float64) (data []byte, changed bool) {
+// Advance gives what is to be published at a time; false where nothing has changed.
+func (p *Schedule) Advance(now float64) (data []byte, changed bool) {
 	for no, s := range p.sites {
 		lost, heard := 0, 0
-		for who, w := range s.words {
+		for who, w := range s.reports {
 			switch {
-			case now-w.at > p.rules.Fresh:
-				delete(s.words, who)
-			case w.lost && w.at >= s.since:
+			case now-w.seenAt > p.config.ReportFreshMs:
+				delete(s.reports, who)
+			case w.lost && w.seenAt >= s.stageSince:
 				lost++
 			case !w.lost:
 				heard++
 			}
 		}
-		step := p.rules.Step
-		for n := 1; n < s.Falls && step < p.rules.Longest; n++ {
+		step := p.config.MinStepMs
+		for n := 1; n < s.RecentLosses && step < p.config.MaxStepMs; n++ {
 			step *= 2
 		}
-		step = min(step, p.rules.Longest)
+		step = min(step, p.config.MaxStepMs)
 		switch {
-		case s.Share > 0 && lost >= p.rules.Heed:
-			s.Share, s.since, p.dirty = 0, now, true
-			s.Falls++
+		case s.Share > 0 && lost >= p.config.MinReporters:
+			s.Share, s.stageSince, p.changed = 0, now, true
+			s.RecentLosses++
 		case s.Share == 0 && heard > 0 && heard >= lost:
-			s.Share, s.since, p.dirty = 1/float64(p.rules.Steps), now, true
-		case s.Share > 0 && s.Share < 1 && now >= s.since+step:
-			s.Share, s.since, p.dirty = min(s.Share+1/float64(p.rules.Steps), 1), now, true
-		case s.Share >= 1 && now >= s.since+p.rules.Calm && len(s.words) == 0:
+			s.Share, s.stageSince, p.changed = 1/float64(p.config.Steps), now, true
+		case s.Share > 0 && s.Share < 1 && now >= s.stageSince+step:
+			s.Share, s.stageSince, p.changed = min(s.Share+1/float64(p.config.Steps), 1), now, true
+		case s.Share >= 1 && now >= s.stageSince+p.config.LossMemoryMs && len(s.reports) == 0:
 			delete(p.sites, no)
-			p.dirty = true
+			p.changed = true
 		}
 	}
 	for _, s := range p.sites {
-		p.dirty = p.dirty || s.Share < 1 && now >= p.said+p.rules.Repeat
+		p.changed = p.changed || s.Share < 1 && now >= p.publishedAt+p.config.RepublishMs
 	}
-	if !p.dirty {
+	if !p.changed {
 		return nil, false
 	}
-	p.dirty, p.said = false, now
+	p.changed, p.publishedAt = false, now
 	list := make([]Stage, 0, len(p.sites))
 	for _, s := range p.sites {
 		list = append(list, s.Stage)
--- a/internal/fleet/zonerecovery/schedule_golden_test.go
+++ b/internal/fleet/zonerecovery/schedule_golden_test.go
@@ -17,17 +17,17 @@
 	var got bytes.Buffer
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		p, now := New(Usual, []byte(`[{"site":2,"share":0.5,"falls":2},{"site":-1,"share":1,"falls":0},{"site":0,"share":1.5,"falls":0}]`), 100), 100.0
+		p, now := New(DefaultConfig, []byte(`[{"site":2,"share":0.5,"falls":2},{"site":-1,"share":1,"falls":0},{"site":0,"share":1.5,"falls":0}]`), 100), 100.0
 		sum := fnv.New64a()
 		for range 300 {
 			now += 1500 * rng.Float64()
 			for range rng.IntN(4) {
-				p.Saw(now-3000*rng.Float64(), fmt.Sprint("n", rng.IntN(5)), rng.IntN(4)-1, rng.IntN(3) == 0)
+				p.Observe(now-3000*rng.Float64(), fmt.Sprint("n", rng.IntN(5)), rng.IntN(4)-1, rng.IntN(3) == 0)
 			}
 			if rng.IntN(40) == 0 {
 				now += 90000
 			}
-			data, changed := p.Turn(now)
+			data, changed := p.Advance(now)
 			fmt.Fprintln(sum, changed, string(data))
 			if seed == 0 && changed && got.Len() < 4000 {
 				fmt.Fprintln(&got, string(data))
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/owners.go
@@ -78,7 +78,7 @@
 		}
 		word = v.AppliedIndex
 		for _, d := range v.Roles {
-			list, err := zonerecovery.Read([]byte(d.Progress))
+			list, err := zonerecovery.ParseStages([]byte(d.Progress))
 			if d.Name != "return" || err != nil {
 				continue
 			}
