--- a/internal/fleet/zonerecovery/coordinator/coordinator.go
+++ b/internal/fleet/zonerecovery/coordinator/coordinator.go
@@ -1,5 +1,5 @@
-// Package coordinator is the work of the duty "return": the owner hears what instances see of sites and publishes how far each has come
-// back. What that is, is package stage's.
+// Package coordinator is the work of the singleton role "return": its holder collects what instances observe of sites and
+// publishes how far each has recovered. The decisions are those of package zonerecovery.
 package coordinator
 
 import (
@@ -12,7 +12,8 @@
 	"kestrelspread/internal/fleet/zonerecovery"
 )
 
-// Inbox hold what was seen until the owner's next look. On an instance that is not the owner it is let go of.
+// Inbox queues reports until the holder's next step. On an instance that doesn't hold the role nobody takes them; it stays
+// bounded.
 type Inbox struct {
 	lock    sync.Mutex
 	reports []queuedReport
@@ -22,48 +23,49 @@
 	instance string
 	site     int
 	lost     bool
-	seenAt   float64
+	seenAt   float64 // on voter.Now's clock, ms
 }
 
 const maxQueuedReports = 4096
 
-// Add is told what an instance saw of a site, so many milliseconds ago.
-func (e *Inbox) Add(who string, site int, lost bool, age float64) {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	if len(e.reports) >= maxQueuedReports { // what lasts is said again
-		e.reports = append(e.reports[:0], e.reports[maxQueuedReports/2:]...)
+// Add queues an instance's observation of a site, ageMs ago. Of a full inbox the older half goes: what lasts is reported again.
+func (i *Inbox) Add(instance string, site int, lost bool, ageMs float64) {
+	i.lock.Lock()
+	defer i.lock.Unlock()
+	if len(i.reports) >= maxQueuedReports {
+		i.reports = append(i.reports[:0], i.reports[maxQueuedReports/2:]...)
 	}
-	e.reports = append(e.reports, queuedReport{who, site, lost, voter.Now() - age})
+	i.reports = append(i.reports, queuedReport{instance, site, lost, voter.Now() - ageMs})
 }
 
-func (e *Inbox) take() []queuedReport {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	list := e.reports
-	e.reports = nil
-	return list
+func (i *Inbox) takeAll() []queuedReport {
+	i.lock.Lock()
+	defer i.lock.Unlock()
+	reports := i.reports
+	i.reports = nil
+	return reports
 }
 
-// Job is one owner's work.
+// Job is the work of one holder of the role, under one lease.
 type Job struct {
 	Inbox    *Inbox
 	Config   zonerecovery.Config
 	Interval time.Duration
+
 	schedule *zonerecovery.Schedule
 }
 
-// Step looks once.
-func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
+// Step takes queued reports up and publishes stages that have changed, while the lease lasts.
+func (j *Job) Step(ctx context.Context, grant *client.Grant) (time.Duration, error) {
 	now := voter.Now()
 	if j.schedule == nil {
-		j.schedule = zonerecovery.New(j.Config, g.Progress, now)
+		j.schedule = zonerecovery.New(j.Config, grant.Progress, now)
 	}
-	for _, w := range j.Inbox.take() {
-		j.schedule.Observe(w.seenAt, w.instance, w.site, w.lost)
+	for _, report := range j.Inbox.takeAll() {
+		j.schedule.Observe(report.seenAt, report.instance, report.site, report.lost)
 	}
-	if data, changed := j.schedule.Advance(now); changed && g.MayAct() {
-		return j.Interval, g.SaveProgress(ctx, data)
+	if data, changed := j.schedule.Advance(now); changed && grant.MayAct() {
+		return j.Interval, grant.SaveProgress(ctx, data)
 	}
 	return j.Interval, nil
 }
--- a/internal/fleet/zonerecovery/schedule.go
+++ b/internal/fleet/zonerecovery/schedule.go
@@ -1,7 +1,10 @@
-// Package zonerecovery paces a site's return once for the whole fleet: from nothing to its full share by steps that go on only while
-// nobody says that the site is lost again, and that get longer each time it falls. It is a reducer: what instances saw and times
-// go in, stages come out. What a broker makes of a stage is its own sight's to decide (package site): a stage can slow its
-// return down, and neither brings it about nor ends it.
+// Package zonerecovery schedules a lost site's recovery once for the whole fleet: from no load to its full share by steps that
+// go on only while nobody reports it lost again, and that get longer with each loss. It is a reducer: instances'
+// observations and times go in, stages come out; no I/O, no clock. What a broker makes of a stage is for its own detector to
+// decide (package zonefailure): a stage can slow that broker's recovery down, and neither begins nor ends it.
+//
+// Invariants: a share rises by one step at a time, and never sooner than a step after the last change; one instance alone
+// takes no site back to share 0.
 package zonerecovery
 
 import (
@@ -9,138 +12,138 @@
 	"slices"
 )
 
-// Config are times in ms.
-type Config struct {
-	Steps         int     // from the first trials to the full share
-	MinStepMs     float64 // the shortest
-	MaxStepMs     float64
-	MinReporters  int     // instances that have to say that a site is lost
-	ReportFreshMs float64 // what was said so long ago counts no more
-	LossMemoryMs  float64 // at the full share, after which falls are forgotten
-	RepublishMs   float64 // a stage under the full share is said again, as what is old counts for little
-}
-
-// DefaultConfig are the rules that owners go by.
-var DefaultConfig = Config{Steps: 4, MinStepMs: 1000, MaxStepMs: 16000, MinReporters: 2, ReportFreshMs: 10000, LossMemoryMs: 60000, RepublishMs: 2000}
-
-// Stage is how far a site has come back. Share 0: it is lost; 1: it is back.
-type Stage struct {
-	Site         int     `json:"site"`
-	Share        float64 `json:"share"`
-	RecentLosses int     `json:"falls"` // lately; each doubles the steps
-}
-
+// report is what an instance last observed of a site.
 type report struct {
 	lost   bool
 	seenAt float64
 }
 
+// siteState is a site that was reported lost lately.
 type siteState struct {
 	Stage
 	reports    map[string]report // by instance, the latest
-	stageSince float64           // when this stage began, here
+	stageSince float64           // when this stage began, by this process' clock
 }
 
-// Schedule is the reducer.
+// maxReportsPerSite bounds the instances whose reports are kept for a site.
+const maxReportsPerSite = 1000
+
+// Schedule is the state of all recoveries.
 type Schedule struct {
 	config      Config
 	sites       map[int]*siteState
-	changed     bool
+	changed     bool // since the last publication
 	publishedAt float64
 }
 
-const maxReportsPerSite = 1000 // of a site
-
-// New goes on from what the owner before had published, at a time: each stage has begun just now, as nobody knows better.
-func New(rules Config, data []byte, now float64) *Schedule {
-	p := &Schedule{config: rules, sites: map[int]*siteState{}}
-	list, err := ParseStages(data)
+// New continues from what the previous holder of the role had published. Each stage counts from now, as nobody knows when it
+// began. Data that can't be read holds no site back.
+func New(config Config, published []byte, now float64) *Schedule {
+	s := &Schedule{config: config, sites: map[int]*siteState{}}
+	stages, err := ParseStages(published)
 	if err != nil {
-		return p // what can't be read paces nothing
+		return s
 	}
-	for _, s := range list {
-		p.sites[s.Site] = &siteState{Stage: s, reports: map[string]report{}, stageSince: now}
+	for _, stage := range stages {
+		s.sites[stage.Site] = newSiteState(stage, now)
 	}
-	return p
+	return s
 }
 
-// ParseStages reads stages that were published.
-func ParseStages(data []byte) (list []Stage, err error) {
-	if len(data) > 0 {
-		err = json.Unmarshal(data, &list)
-	}
-	kept := list[:0]
-	for _, s := range list {
-		if s.Site >= 0 && s.Share >= 0 && s.Share <= 1 {
-			kept = append(kept, s)
-		}
-	}
-	return kept, err
+func newSiteState(stage Stage, since float64) *siteState {
+	return &siteState{Stage: stage, reports: map[string]report{}, stageSince: since}
 }
 
-// Observe takes what an instance reports that it saw of a site, at a time.
-func (p *Schedule) Observe(at float64, who string, no int, lost bool) {
-	if no < 0 {
+// Observe takes an instance's observation of a site at seenAt. A site that nobody has reported lost needs no stage.
+func (s *Schedule) Observe(seenAt float64, instance string, siteIndex int, lost bool) {
+	if siteIndex < 0 {
 		return
 	}
-	s := p.sites[no]
-	if s == nil {
+	site := s.sites[siteIndex]
+	if site == nil {
 		if !lost {
-			return // no stage is needed for what nobody held to be lost
+			return
 		}
-		s = &siteState{Stage: Stage{Site: no, Share: 1}, reports: map[string]report{}, stageSince: at}
-		p.sites[no] = s
+		site = newSiteState(Stage{Site: siteIndex, Share: 1}, seenAt)
+		s.sites[siteIndex] = site
 	}
-	if was, known := s.reports[who]; known && was.seenAt > at || !known && len(s.reports) >= maxReportsPerSite {
-		return
+	previous, known := site.reports[instance]
+	switch {
+	case known && previous.seenAt > seenAt: // overtaken on its way by a newer one
+	case !known && len(site.reports) >= maxReportsPerSite:
+	default:
+		site.reports[instance] = report{lost, seenAt}
 	}
-	s.reports[who] = report{lost, at}
 }
 
-// Advance gives what is to be published at a time; false where nothing has changed.
-func (p *Schedule) Advance(now float64) (data []byte, changed bool) {
-	for no, s := range p.sites {
-		lost, heard := 0, 0
-		for who, w := range s.reports {
-			switch {
-			case now-w.seenAt > p.config.ReportFreshMs:
-				delete(s.reports, who)
-			case w.lost && w.seenAt >= s.stageSince:
-				lost++
-			case !w.lost:
-				heard++
-			}
-		}
-		step := p.config.MinStepMs
-		for n := 1; n < s.RecentLosses && step < p.config.MaxStepMs; n++ {
-			step *= 2
-		}
-		step = min(step, p.config.MaxStepMs)
-		switch {
-		case s.Share > 0 && lost >= p.config.MinReporters:
-			s.Share, s.stageSince, p.changed = 0, now, true
-			s.RecentLosses++
-		case s.Share == 0 && heard > 0 && heard >= lost:
-			s.Share, s.stageSince, p.changed = 1/float64(p.config.Steps), now, true
-		case s.Share > 0 && s.Share < 1 && now >= s.stageSince+step:
-			s.Share, s.stageSince, p.changed = min(s.Share+1/float64(p.config.Steps), 1), now, true
-		case s.Share >= 1 && now >= s.stageSince+p.config.LossMemoryMs && len(s.reports) == 0:
-			delete(p.sites, no)
-			p.changed = true
-		}
+// Advance moves all recoveries on to now. It returns the stages to be published, or false where nothing has changed.
+func (s *Schedule) Advance(now float64) (data []byte, changed bool) {
+	for index, site := range s.sites {
+		s.advanceSite(now, index, site)
 	}
-	for _, s := range p.sites {
-		p.changed = p.changed || s.Share < 1 && now >= p.publishedAt+p.config.RepublishMs
+	for _, site := range s.sites {
+		s.changed = s.changed || site.Share < 1 && now >= s.publishedAt+s.config.RepublishMs
 	}
-	if !p.changed {
+	if !s.changed {
 		return nil, false
 	}
-	p.changed, p.publishedAt = false, now
-	list := make([]Stage, 0, len(p.sites))
-	for _, s := range p.sites {
-		list = append(list, s.Stage)
+	s.changed, s.publishedAt = false, now
+	return s.marshal(), true
+}
+
+func (s *Schedule) advanceSite(now float64, index int, site *siteState) {
+	lost, healthy := site.countReports(now, s.config.ReportFreshMs)
+	firstShare := 1 / float64(s.config.Steps)
+	switch {
+	case site.Share > 0 && lost >= s.config.MinReporters:
+		s.enterStage(now, site, 0)
+		site.RecentLosses++
+	case site.Share == 0 && healthy > 0 && healthy >= lost:
+		s.enterStage(now, site, firstShare)
+	case site.Share > 0 && site.Share < 1 && now >= site.stageSince+s.stepMs(site):
+		s.enterStage(now, site, min(site.Share+firstShare, 1))
+	case site.Share >= 1 && now >= site.stageSince+s.config.LossMemoryMs && len(site.reports) == 0:
+		delete(s.sites, index)
+		s.changed = true
+	}
+}
+
+func (s *Schedule) enterStage(now float64, site *siteState, share float64) {
+	site.Share, site.stageSince = share, now
+	s.changed = true
+}
+
+// countReports drops expired reports and counts the others: losses only since the present stage began, as earlier ones brought
+// it about.
+func (s *siteState) countReports(now, freshMs float64) (lost, healthy int) {
+	for instance, report := range s.reports {
+		switch {
+		case now-report.seenAt > freshMs:
+			delete(s.reports, instance)
+		case report.lost && report.seenAt >= s.stageSince:
+			lost++
+		case !report.lost:
+			healthy++
+		}
+	}
+	return lost, healthy
+}
+
+// stepMs doubles with each recent loss after the first.
+func (s *Schedule) stepMs(site *siteState) float64 {
+	step := s.config.MinStepMs
+	for n := 1; n < site.RecentLosses && step < s.config.MaxStepMs; n++ {
+		step *= 2
+	}
+	return min(step, s.config.MaxStepMs)
+}
+
+func (s *Schedule) marshal() []byte {
+	stages := make([]Stage, 0, len(s.sites))
+	for _, site := range s.sites {
+		stages = append(stages, site.Stage)
 	}
-	slices.SortFunc(list, func(a, b Stage) int { return a.Site - b.Site })
-	data, _ = json.Marshal(list)
-	return data, true
+	slices.SortFunc(stages, func(a, b Stage) int { return a.Site - b.Site })
+	data, _ := json.Marshal(stages) // finite numbers can't fail
+	return data
 }
