--- a/internal/routing/front.go
+++ b/internal/aggregator/engine/front.go
@@ -1,11 +1,11 @@
-package routing
+package engine
 
 import (
 	"net/netip"
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/must"
 	"kestrelspread/internal/transport"
 )
@@ -51,7 +51,7 @@
 type Front interface {
 	Accepted(c transport.Conn)
 	// Server is news of one server of the list.
-	Server(at int, id string, addr netip.AddrPort, state decide.State)
+	Server(at int, id string, addr netip.AddrPort, state policy.State)
 	// Late: the server has been draining or gone for so long that what has not begun there must not begin.
 	Late(at int)
 	// Forgotten: the index may stand for another server from now on.
@@ -100,7 +100,7 @@
 }
 
 // Replace puts a policy to be measured in the module's place, before the loop runs.
-func (r *Router) Replace(policy func(out decide.Out) decide.Port) { r.port = policy(r) }
+func (r *Router) Replace(policy func(out policy.Out) policy.Port) { r.port = policy(r) }
 
 // Add registers a front; connections of the door by its number from 1 are its own. Before the loop runs.
 func (r *Router) Add(f Front) { r.fronts = append(r.fronts, f) }
@@ -196,7 +196,7 @@
 	}
 	if r.rules.most > 0 && r.held >= r.rules.most {
 		r.Count.OverHeld++
-		r.end(q, 503, r.port.ComeBack(kind), nil)
+		r.end(q, 503, r.port.RetryAfter(kind), nil)
 		return q
 	}
 	r.drafts = r.drafts[:0]
@@ -207,7 +207,7 @@
 	}
 	r.enlist(q, kind, customer, sum, 0)
 	if again {
-		r.port.Again(q.at)
+		r.port.MarkRetry(q.at)
 	}
 	return q
 }
@@ -220,14 +220,14 @@
 		r.release(q)
 		r.letGo(q)
 		if len(q.parts) > 0 {
-			r.port.Lapsed(q.at)
+			r.port.ClientGone(q.at)
 		}
 	}
 }
 
 // Ended tells how a sub-request ended; only the first outcome counts.
-func (r *Router) Ended(s *Sub, how decide.Outcome) {
-	if s.state != over && how == decide.Answered {
+func (r *Router) Ended(s *Sub, how policy.Outcome) {
+	if s.state != over && how == policy.Answered {
 		s.part.got = true
 	}
 	r.over(s, how, nil)
@@ -252,7 +252,7 @@
 func (r *Router) Open(q *Search, open bool) {
 	if !q.ended && len(q.parts) > 0 {
 		for _, p := range q.parts {
-			r.port.Open(p.at, open)
+			r.port.ClientSending(p.at, open)
 		}
 	}
 }
--- a/internal/fleet/capacity/port.go
+++ b/internal/fleet/capacity/port.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"slices"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 )
 
 // Port stands between a caller and the decision module, as the estimator's eyes and hands: it
 // observes demand, outcomes and the server list, and tells the module the threshold. It changes no
-// call, and decides nothing else. (The module's words are those of decide.Port: a search's kind is
+// call, and decides nothing else. (The module's words are those of policy.Port: a search's kind is
 // its type, a try an attempt, a hall a site.)
 type Port struct {
-	decide.Port
-	out       decide.Out
+	policy.Port
+	out       policy.Out
 	estimator *Estimator
 	now       float64
 
@@ -44,12 +44,12 @@
 }
 
 var (
-	_ decide.Port = (*Port)(nil)
-	_ decide.Out  = (*outbound)(nil)
+	_ policy.Port = (*Port)(nil)
+	_ policy.Out  = (*outbound)(nil)
 )
 
 // Wrap puts an estimator before the module that newModule makes of the given output.
-func Wrap(out decide.Out, config Config, newModule func(decide.Out) decide.Port) *Port {
+func Wrap(out policy.Out, config Config, newModule func(policy.Out) policy.Port) *Port {
 	p := &Port{out: out, estimator: New(config), lostHalls: map[int]bool{}}
 	p.Port = newModule(&outbound{out, p})
 	return p
@@ -58,19 +58,19 @@
 // Estimator is the port's, for reports.
 func (p *Port) Estimator() *Estimator { return p.estimator }
 
-// QueryType takes up a type's latency target and value (decide.Port).
-func (p *Port) QueryType(latencyTarget, value, late float64, effect decide.Effect, tokenFor float64) {
+// QueryType takes up a type's latency target and value (policy.Port).
+func (p *Port) QueryType(latencyTarget, value, late float64, effect policy.Effect, tokenFor float64) {
 	p.latencyTargets = append(p.latencyTargets, latencyTarget)
 	p.typeValues = append(p.typeValues, value)
 	p.Port.QueryType(latencyTarget, value, late, effect, tokenFor)
 }
 
-// Order takes up what a type counts with in place of its value (decide.Port).
-func (p *Port) Order(kind int, value float64) {
+// Priority takes up what a type counts with in place of its value (policy.Port).
+func (p *Port) Priority(kind int, value float64) {
 	if kind >= 0 && kind < len(p.typeValues) {
 		p.typeValues[kind] = value
 	}
-	p.Port.Order(kind, value)
+	p.Port.Priority(kind, value)
 }
 
 // isTopType tells whether no type has a higher value.
@@ -78,14 +78,14 @@
 	return kind >= 0 && kind < len(p.typeValues) && p.typeValues[kind] >= slices.Max(p.typeValues)
 }
 
-// Begin opens a turn (decide.Port).
+// Begin opens a turn (policy.Port).
 func (p *Port) Begin(now float64) {
 	p.now = now
 	p.estimator.BeginTurn(now)
 	p.Port.Begin(now)
 }
 
-// Search takes up a search that arrived (decide.Port).
+// Search takes up a search that arrived (policy.Port).
 func (p *Port) Search(id, kind, customer int, until float64, parts int) {
 	for len(p.searchType) <= id {
 		p.searchType, p.searchParts = append(p.searchType, -1), append(p.searchParts, 0)
@@ -95,14 +95,14 @@
 	p.Port.Search(id, kind, customer, until, parts)
 }
 
-// Part takes up a part of a search (decide.Port).
-func (p *Port) Part(search, id, shard int, weight, work float64, key uint64) {
+// ShardRequest takes up a part of a search (policy.Port).
+func (p *Port) ShardRequest(search, id, shard int, weight, work float64, key uint64) {
 	p.growParts(id)
 	p.attemptSentAt[id], p.partLatencyTarget[id], p.partIsTop[id] = p.attemptSentAt[id][:0], 0, false
 	if kind := p.searchType[search]; kind >= 0 && kind < len(p.latencyTargets) {
 		p.partLatencyTarget[id], p.partIsTop[id] = p.latencyTargets[kind], p.isTopType(kind)
 	}
-	p.Port.Part(search, id, shard, weight, work, key)
+	p.Port.ShardRequest(search, id, shard, weight, work, key)
 }
 
 // growParts makes room for a part's id.
@@ -114,8 +114,8 @@
 	}
 }
 
-// Done records how an attempt ended (decide.Port).
-func (p *Port) Done(part, try int, how decide.Outcome, report []float64) {
+// Done records how an attempt ended (policy.Port).
+func (p *Port) Done(part, try int, how policy.Outcome, report []float64) {
 	if part < len(p.attemptSentAt) && try < len(p.attemptSentAt[part]) {
 		outcome := p.classify(part, p.now-p.attemptSentAt[part][try], how)
 		p.estimator.RecordOutcomes(outcome, p.partIsTop[part], 1)
@@ -124,39 +124,39 @@
 }
 
 // classify says what the end of an attempt tells of its server's capacity.
-func (p *Port) classify(part int, tookMs float64, how decide.Outcome) Outcome {
+func (p *Port) classify(part int, tookMs float64, how policy.Outcome) Outcome {
 	target := p.partLatencyTarget[part]
 	late := target > 0 && tookMs > p.estimator.config.LateFraction*target
 	switch {
-	case how == decide.Full:
+	case how == policy.Rejected:
 		return OutcomeHarmed
-	case late && (how == decide.Answered || how == decide.Cancelled):
+	case late && (how == policy.Answered || how == policy.Cancelled):
 		return OutcomeHarmed
-	case how == decide.Answered:
+	case how == policy.Answered:
 		return OutcomeOK
 	}
 	return OutcomeUnknown
 }
 
-// Server takes up a server of the list (decide.Port).
-func (p *Port) Server(id, hall, cell int, state decide.State, size, started float64) {
+// Server takes up a server of the list (policy.Port).
+func (p *Port) Server(id, hall, cell int, state policy.State, size, started float64) {
 	for len(p.servers) <= id {
 		p.servers = append(p.servers, server{})
 	}
 	s := &p.servers[id]
-	s.ready = state == decide.Ready
-	if state != decide.Gone {
+	s.ready = state == policy.Ready
+	if state != policy.Gone {
 		s.hall, s.capacity = hall, max(size, 0)
 	}
 	p.updateUsable()
 	p.Port.Server(id, hall, cell, state, size, started)
 }
 
-// Site takes up that a hall is lost, or is back (decide.Port).
-func (p *Port) Site(hall int, lost bool, spread float64) {
+// ZoneChanged takes up that a hall is lost, or is back (policy.Port).
+func (p *Port) ZoneChanged(hall int, lost bool, spread float64) {
 	p.lostHalls[hall] = lost
 	p.updateUsable()
-	p.Port.Site(hall, lost, spread)
+	p.Port.ZoneChanged(hall, lost, spread)
 }
 
 // updateUsable adds up the capacity of the servers that are ready and at no lost site.
@@ -170,16 +170,16 @@
 	p.estimator.SetUsable(usable)
 }
 
-// End records the turn's demand, and passes on a threshold that has moved (decide.Port). Only now
+// End records the turn's demand, and passes on a threshold that has moved (policy.Port). Only now
 // is all known that a search counts with.
 func (p *Port) End() {
 	for _, a := range p.arrivals {
-		p.estimator.RecordDemand(p.Port.Counts(a.search), a.parts)
+		p.estimator.RecordDemand(p.Port.SearchValue(a.search), a.parts)
 	}
 	p.arrivals = p.arrivals[:0]
 	if p.estimator.EndTurn() {
 		threshold := p.estimator.Threshold()
-		p.Port.Bears(threshold.Value, threshold.RejectedShare)
+		p.Port.CapacityFloor(threshold.Value, threshold.RejectedShare)
 		p.logThreshold(threshold)
 	}
 	p.Port.End()
@@ -198,24 +198,24 @@
 
 // outbound observes what the module does.
 type outbound struct {
-	decide.Out
+	policy.Out
 	port *Port
 }
 
-// Send records when an attempt was sent (decide.Out).
+// Send records when an attempt was sent (policy.Out).
 func (o *outbound) Send(part, server int, within, begin float64) {
 	o.port.growParts(part)
 	o.port.attemptSentAt[part] = append(o.port.attemptSentAt[part], o.port.now)
 	o.Out.Send(part, server, within, begin)
 }
 
-// Shed records a search that was rejected (decide.Out).
+// Shed records a search that was rejected (policy.Out).
 func (o *outbound) Shed(search int, comeBack float64) {
 	o.port.recordRejection(search)
 	o.Out.Shed(search, comeBack)
 }
 
-// Fail records a search that failed (decide.Out).
+// Fail records a search that failed (policy.Out).
 func (o *outbound) Fail(search int) {
 	o.port.recordRejection(search)
 	o.Out.Fail(search)
--- a/internal/fleet/zonefailure/random_test.go
+++ b/internal/fleet/zonefailure/random_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 )
 
 // Random scripts against the truth: sites come and go, servers fail by themselves, answers take their times. What must hold:
@@ -145,27 +145,27 @@
 }
 
 // silentModule is a module that does nothing, so that what is measured is the detector.
-type silentModule struct{ decide.Port }
+type silentModule struct{ policy.Port }
 
 func (silentModule) Begin(float64)                                        {}
 func (silentModule) End()                                                 {}
 func (silentModule) Search(int, int, int, float64, int)                   {}
-func (silentModule) Part(int, int, int, float64, float64, uint64)         {}
-func (silentModule) Done(int, int, decide.Outcome, []float64)             {}
-func (silentModule) Server(int, int, int, decide.State, float64, float64) {}
-func (silentModule) Site(int, bool, float64)                              {}
+func (silentModule) ShardRequest(int, int, int, float64, float64, uint64) {}
+func (silentModule) Done(int, int, policy.Outcome, []float64)             {}
+func (silentModule) Server(int, int, int, policy.State, float64, float64) {}
+func (silentModule) ZoneChanged(int, bool, float64)                       {}
 
 // BenchmarkSearch measures what detection costs in a search of ten parts, at so many sites of twenty servers.
 func BenchmarkSearch(b *testing.B) {
 	for _, n := range []int{0, 3, 10, 50} {
 		b.Run(fmt.Sprint(n, " sites"), func(b *testing.B) {
-			var out decide.Out
-			var port decide.Port = silentModule{}
+			var out policy.Out
+			var port policy.Port = silentModule{}
 			if n > 0 {
-				port = Intercept(nil, 0, DefaultConfig, func(o decide.Out) decide.Port { out = o; return silentModule{} })
+				port = Intercept(nil, 0, DefaultConfig, func(o policy.Out) policy.Port { out = o; return silentModule{} })
 			}
 			for id := range 20 * n {
-				port.Server(id, id%max(n, 1), 0, decide.Ready, 1, 0)
+				port.Server(id, id%max(n, 1), 0, policy.Ready, 1, 0)
 			}
 			b.ReportAllocs()
 			now := 1000.0
@@ -174,7 +174,7 @@
 				port.Begin(now)
 				port.Search(0, 0, 0, math.Inf(1), 10)
 				for k := range 10 {
-					port.Part(0, k+1, k, 0.1, 0, 0)
+					port.ShardRequest(0, k+1, k, 0.1, 0, 0)
 					if n > 0 {
 						(*moduleOutput)(port.(*Interceptor)).detector.RecordSent((i*10 + k) % (20 * n))
 						q := port.(*Interceptor)
@@ -185,7 +185,7 @@
 				now += 1
 				port.Begin(now)
 				for k := range 10 {
-					port.Done(k+1, 0, decide.Answered, nil)
+					port.Done(k+1, 0, policy.Answered, nil)
 				}
 				port.End()
 			}
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -14,8 +14,32 @@
 
 // cores are pure: neither sockets nor files, clocks, goroutines or shells. transport's types are allowed to those that
 // speak to the loop, as they name connections.
-var cores = []string{"decide", "predict", "window", "protocol", "routing", "h2", "grpcwire", "routes", "channels", "passthrough", "settings", "operator",
-	"ledger", "background", "fleet/zonefailure", "fleet/capacity", "fleet/shedding", "fleet/lossplan", "fleet/zonerecovery", "fleet/statement", "fleet/lease", "fleet/lease/replica", "fleet/lease/fence", "fleet/lease/membership"}
+var cores = []string{
+	"aggregator/policy",
+	"predict",
+	"window",
+	"protocol",
+	"aggregator/engine",
+	"h2",
+	"grpcwire",
+	"routes",
+	"channels",
+	"passthrough",
+	"aggregator/settings",
+	"operator",
+	"ledger",
+	"background",
+	"fleet/zonefailure",
+	"fleet/capacity",
+	"fleet/shedding",
+	"fleet/lossplan",
+	"fleet/zonerecovery",
+	"fleet/statement",
+	"fleet/lease",
+	"fleet/lease/replica",
+	"fleet/lease/fence",
+	"fleet/lease/membership",
+}
 
 var barred = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "sync": true, "context": true,
 	"syscall": true, "time": true, "golang.org/x/sys/unix": true, "google.golang.org/grpc": true, "math/rand": true, "math/rand/v2": true}
@@ -43,6 +67,9 @@
 	seen := 0
 	for _, core := range cores {
 		files, _ := filepath.Glob("../" + core + "/*.go")
+		if len(files) == 0 {
+			t.Errorf("no package %s: the list must follow it", core)
+		}
 		for _, file := range files {
 			if strings.HasSuffix(file, "_test.go") {
 				continue
@@ -79,9 +106,9 @@
 }
 
 func TestWhatIsLinked(t *testing.T) {
-	for _, pkg := range strings.Fields(deps(t, "kestrelspread/internal/decide")) {
+	for _, pkg := range strings.Fields(deps(t, "kestrelspread/internal/aggregator/policy")) {
 		switch pkg {
-		case "kestrelspread/internal/decide", "kestrelspread/internal/predict", "kestrelspread/internal/window":
+		case "kestrelspread/internal/aggregator/policy", "kestrelspread/internal/predict", "kestrelspread/internal/window":
 		default:
 			if strings.HasPrefix(pkg, "kestrelspread/") {
 				t.Error("the module imports", pkg)
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/virtual/world.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/routing"
-	"kestrelspread/internal/settings"
+	"kestrelspread/internal/aggregator/engine"
+	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/transport"
 )
 
@@ -51,7 +51,7 @@
 // World is the network, its clock and the broker in it.
 type World struct {
 	Now      float64
-	R        *routing.Router
+	R        *engine.Router
 	Pool     *transport.Pool
 	Rand     *rand.Rand
 	Delay    float64                 // of each piece, one way
@@ -126,7 +126,7 @@
 	w := &World{Now: 1e6, Rand: rand.New(rand.NewPCG(seed, 11)), Delay: 0.2, listen: map[netip.AddrPort]func(*End) Peer{},
 		Refuse: map[netip.AddrPort]bool{}, Swallow: map[netip.AddrPort]bool{}, armed: math.Inf(1), list: list,
 		Pool: &transport.Pool{Size: 80 << 10, Most: 400}, Log: &bytes.Buffer{}}
-	w.R = routing.New(w, w.Pool, zerolog.New(io.MultiWriter(w.Log)), set, seed, sockets, []byte(w.line(true)), Discovery, 0)
+	w.R = engine.New(w, w.Pool, zerolog.New(io.MultiWriter(w.Log)), set, seed, sockets, []byte(w.line(true)), Discovery, 0)
 	w.listen[Discovery] = func(*End) Peer { return (*lister)(w) }
 	return w
 }
@@ -300,9 +300,9 @@
 // Gone tells whether the connection is no more.
 func (e *End) Gone() bool { return e.gone }
 
-// What follows is the network as the broker uses it (routing.Net).
+// What follows is the network as the broker uses it (engine.Net).
 
-// Connect implements routing.Net: the broker connects to an address, which may answer later or never.
+// Connect implements engine.Net: the broker connects to an address, which may answer later or never.
 func (w *World) Connect(addr netip.AddrPort) transport.Conn {
 	e := w.take(&End{to: addr, door: -1})
 	accept := w.listen[addr]
@@ -346,7 +346,7 @@
 	w.mark(e)
 }
 
-// Retract implements routing.Net: it takes back what was written from there on, if the network has taken
+// Retract implements engine.Net: it takes back what was written from there on, if the network has taken
 // none of it.
 func (w *World) Retract(c transport.Conn, from int64) bool {
 	e := w.end(c)
@@ -366,7 +366,7 @@
 	w.dirty = append(w.dirty, e)
 }
 
-// Finish implements routing.Net: what is written still goes out, then the connection closes.
+// Finish implements engine.Net: what is written still goes out, then the connection closes.
 func (w *World) Finish(c transport.Conn) {
 	e := w.end(c)
 	e.ended = true
@@ -374,7 +374,7 @@
 	w.mark(e)
 }
 
-// Close implements routing.Net: the connection is gone at once.
+// Close implements engine.Net: the connection is gone at once.
 func (w *World) Close(c transport.Conn) {
 	e := w.end(c)
 	e.drop()
@@ -383,7 +383,7 @@
 	}
 }
 
-// Reading implements routing.Net: it stops or goes on to take bytes from a connection.
+// Reading implements engine.Net: it stops or goes on to take bytes from a connection.
 func (w *World) Reading(c transport.Conn, on bool) {
 	e := w.end(c)
 	e.muted = !on
@@ -398,16 +398,16 @@
 // Accept implements routing.Net; connections are always accepted here.
 func (w *World) Accept(bool) {}
 
-// Unlisten implements routing.Net: nobody can connect to the broker any more.
+// Unlisten implements engine.Net: nobody can connect to the broker any more.
 func (w *World) Unlisten() bool { w.Deaf = true; return true }
 
-// Arm implements routing.Net: the broker is woken at a time.
+// Arm implements engine.Net: the broker is woken at a time.
 func (w *World) Arm(at float64) { w.armed = at }
 
-// Stop implements routing.Net: the broker ends.
+// Stop implements engine.Net: the broker ends.
 func (w *World) Stop() { w.Stopped = true }
 
-// Door implements routing.Net: the number of the listening address by which a client came.
+// Door implements engine.Net: the number of the listening address by which a client came.
 func (w *World) Door(c transport.Conn) int { return w.end(c).door }
 
 // End is the broker's end of a connection.
