--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -16,7 +16,7 @@
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
 	"kestrelspread/internal/fleet/statement"
-	"kestrelspread/internal/fleet/statement/gather"
+	"kestrelspread/internal/fleet/statement/collector"
 	"kestrelspread/internal/fleet/zonefailure"
 	"kestrelspread/internal/fleet/zonefailure/gossip"
 	"kestrelspread/internal/fleet/zonerecovery"
@@ -74,7 +74,7 @@
 				p.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
 				r = nowhere{err}
 			}
-			return &gather.Job{Folders: c.Collect, Rules: statement.Rules{Expect: c.Expect, Wait: int64(c.Wait)}, To: r, Log: p.Log,
+			return &collector.Job{Folders: c.Collect, Rules: statement.Rules{Expect: c.Expect, Wait: int64(c.Wait)}, To: r, Log: p.Log,
 				Every: time.Duration(c.Every * 1e6), Wall: func() int64 { return time.Now().UnixMilli() }}
 		}
 	}
--- a/internal/fleet/statement/gather/gather.go
+++ b/internal/fleet/statement/collector/collector.go
@@ -1,6 +1,6 @@
-// Package gather is the work of the duty "close": it reads what the instances' ledgers have exported to their folders and
+// Package collector is the work of the duty "close": it reads what the instances' ledgers have exported to their folders and
 // publishes the fleet's statements. What is due and what it says is package statement's.
-package gather
+package collector
 
 import (
 	"bytes"
--- a/internal/fleet/statement/gather/gather_test.go
+++ b/internal/fleet/statement/collector/collector_test.go
@@ -1,4 +1,4 @@
-package gather
+package collector
 
 import (
 	"context"
