--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -146,7 +146,7 @@
 // Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/zonefailure).
 func (v Values) Sighted(out policy.Out, seed uint64) policy.Port {
 	own := v.Whole("zone", 0)
-	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out policy.Out) policy.Port {
+	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
 		return policy.New(out, seed, v.Whole("balancers", 1), own)
 	})
 	v.Tell(p)
@@ -156,7 +156,7 @@
 // Planned gives one that is also told what servers bear while they are full (internal/fleet/capacity).
 func (v Values) Planned(out policy.Out, seed uint64) policy.Port {
 	own := v.Whole("zone", 0)
-	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out policy.Out) policy.Port {
+	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
 		return capacity.Wrap(out, capacity.DefaultConfig, func(out policy.Out) policy.Port {
 			return policy.New(out, seed, v.Whole("balancers", 1), own)
 		})
