--- /dev/null
+++ b/internal/simwire/frames_golden_test.go
@@ -0,0 +1,270 @@
+package simwire_test
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"kestrelspread/internal/simwire"
+)
+
+const (
+	goldenFrames  = 400
+	goldenShown   = 40 // frames whose replies stand whole in the golden file
+	goldenServers = 24
+)
+
+const goldenFacts = `balancers=2
+classes.count=3
+classes.0.aim-ms=400
+classes.0.importance=3
+classes.0.late-value=0.2
+classes.0.effect=repeatable
+classes.0.window-ms=100
+classes.1.aim-ms=900
+classes.1.effect=by_key
+classes.1.group=all
+classes.2.aim-ms=1500
+classes.2.effect=once
+customers.count=2
+customers.0.quota-per-s=30
+customers.1.quota-per-s=5
+over-share-worth=0.5
+family-info.class-need=1,0.5,0.8
+family-info.class-floor=0.6,0.3,0.5
+family-info.incomplete-worth=0.4,0.2,0.1
+family-info.follow-up=1,0,0
+family-info.places=6
+family-info.span=4
+family-info.batch=2
+family-info.call-ms=3
+family-info.warm-keys=true
+limits.attempts-cap=3
+limits.most-held=40
+limits.cancel=true
+limits.parallel-tries=true
+limits.retry-after=true
+limits.max-retry-after-ms=2000
+limits.may-probe=true
+safety.cold-from=0.5
+safety.cold-ms=2000
+safety.tip-multiple=4
+safety.tip-after-ms=500
+safety.spare-attempts=10
+safety.further-ratio=0.2
+safety.counted-over-ms=1000
+report.via=answers
+report.fields=active,cpu,waiting
+discovery=ask`
+
+// goldenBench plays the bench's part: it sends frames that follow from a seed and from the replies to those before.
+type goldenBench struct {
+	random  *rand.Rand
+	now     float64
+	jobs    int
+	due     []goldenEvent // in order of their making
+	records map[uint16]int
+}
+
+type goldenEvent struct {
+	at     float64
+	broker uint16
+	record []byte
+}
+
+// littleEndian puts values one after another.
+func littleEndian(values ...any) []byte {
+	var b bytes.Buffer
+	for _, value := range values {
+		if text, ok := value.(string); ok {
+			b.WriteString(text)
+			continue
+		}
+		_ = binary.Write(&b, binary.LittleEndian, value)
+	}
+	return b.Bytes()
+}
+
+func serverID(server int) string {
+	return string([]byte{10, 0, byte(server / 8), byte(server), 0x1f, 0x90})
+}
+
+func (g *goldenBench) rows(list uint8, whole bool) []byte {
+	var rows []byte
+	count := uint32(0)
+	for server := range goldenServers {
+		if !whole && g.random.IntN(6) > 0 {
+			continue
+		}
+		state := []uint8{2, 2, 2, 2, 2, 2, 1, 3}[g.random.IntN(8)]
+		rows = append(rows, littleEndian(serverID(server), uint8(server/8), uint8(0), uint16(server%6), state, float32(1+server%2), float64(-50*server))...)
+		count++
+	}
+	kind := uint8(0)
+	if whole {
+		kind = 2
+	}
+	return append(littleEndian(uint16(1090), list, count), append(rows, littleEndian(uint16(1050), uint16(1), uint16(1030), list, uint32(1), kind)...)...)
+}
+
+// frame makes the next frame.
+func (g *goldenBench) frame(number int) []byte {
+	g.now += float64(g.random.IntN(12))
+	var body []byte
+	switch {
+	case number == 0 || number == 300:
+		for broker := range uint16(2) {
+			body = append(body, littleEndian(uint16(1050), broker, uint16(1040), uint64(9+broker), uint32(len(goldenFacts)), goldenFacts)...)
+		}
+		body = append(body, g.rows(0, true)...)
+		body = append(body, littleEndian(uint16(1050), uint16(0), uint16(1030), uint8(0), uint32(1), uint8(2))...)
+	case number == 290:
+		g.due = slices.DeleteFunc(g.due, func(event goldenEvent) bool { return event.broker == 1 })
+		return g.framed(littleEndian(uint16(1050), uint16(1), uint16(1020), uint16(1040), uint64(77), uint32(len(goldenFacts)), goldenFacts))
+	case number%25 == 24:
+		body = append(body, g.rows(uint8(number/25%3), false)...)
+	}
+	var later []goldenEvent
+	for _, event := range g.due {
+		if event.at > g.now {
+			later = append(later, event)
+			continue
+		}
+		body = append(append(body, littleEndian(uint16(1050), event.broker)...), event.record...)
+	}
+	g.due = later
+	for range g.random.IntN(3) {
+		body = append(body, g.search()...)
+	}
+	return g.framed(body)
+}
+
+func (g *goldenBench) framed(body []byte) []byte {
+	return append(littleEndian(uint32(len(body)), g.now), body...)
+}
+
+// search makes a search of one to four parts at one of the brokers.
+func (g *goldenBench) search() []byte {
+	g.jobs++
+	broker, class, customer := uint16(g.random.IntN(2)), uint8(g.random.IntN(3)), uint16(g.random.IntN(2))
+	parts := 1 + g.random.IntN(4)
+	until := g.now + 200 + float64(g.random.IntN(1500))
+	body := littleEndian(uint16(1050), broker)
+	arrival := func(id uint64, segment, share float32) {
+		body = append(body, littleEndian(uint16(1070), id, class, customer, uint64(g.random.IntN(9)), until,
+			float64(g.random.IntN(40)), float32(g.jobs), segment, share, uint8(g.random.IntN(2)))...)
+	}
+	id := uint64(g.jobs * 10)
+	arrival(id, -1, float32(parts))
+	for part := range parts {
+		arrival(id+1+uint64(part), float32(part), 1/float32(parts))
+	}
+	lapsed := littleEndian(uint16(1060), id)
+	g.due = append(g.due, goldenEvent{until, broker, lapsed})
+	return body
+}
+
+// take reads a reply, and has events follow from it.
+func (g *goldenBench) take(t *testing.T, reply []byte) {
+	t.Helper()
+	sizes := map[uint16]int{1000: 6, 1010: 16, 1020: 16, 1050: 6, 1060: 8, 1070: 2, 1080: 9, 1100: 10, 1110: 1, 1130: 22}
+	count := binary.LittleEndian.Uint32(reply)
+	rest := reply[8:]
+	broker := uint16(0)
+	for range count {
+		code := binary.LittleEndian.Uint16(rest)
+		size, fixed := sizes[code]
+		if !fixed { // a text
+			size = 2 + int(binary.LittleEndian.Uint16(rest[2:]))
+		}
+		record := rest[2 : 2+size]
+		rest = rest[2+size:]
+		g.records[code]++
+		assert.Assert(t, code != 1030, "%q", record) // the decision code failed
+		switch code {
+		case 1070:
+			broker = binary.LittleEndian.Uint16(record)
+		case 1130:
+			g.served(broker, record[:8], record[16:22])
+		case 1050:
+			result := append(littleEndian(uint16(1000)), record...)
+			result = append(result, littleEndian(uint8(10+10*g.random.IntN(2)), float64(g.random.IntN(30)), uint8(3), float32(2), float32(0.5), float32(1))...)
+			g.due = append(g.due, goldenEvent{g.now + 5, broker, result})
+		case 1020:
+			wait := math.Float64frombits(binary.LittleEndian.Uint64(record))
+			g.due = append(g.due, goldenEvent{g.now + wait, broker, littleEndian(uint16(1110), uint64(0))})
+		}
+	}
+	assert.Equal(t, len(rest), 0)
+}
+
+// served has a server answer a part.
+func (g *goldenBench) served(broker uint16, part, server []byte) {
+	how := uint8(10)
+	if g.random.IntN(5) == 0 {
+		how = uint8(10 * (1 + g.random.IntN(8)))
+	}
+	took := float64(10 + g.random.IntN(60)*(1+int(server[3])%5))
+	record := append(littleEndian(uint16(1100)), part...)
+	record = append(record, how)
+	record = append(record, server...)
+	record = append(record, littleEndian(uint16(0), uint8(0), took, uint8(3), float32(g.random.IntN(9)), float32(0.4), float32(1))...)
+	g.due = append(g.due, goldenEvent{g.now + took, broker, record})
+}
+
+// TestFramesKeepTheirBytes plays a bench against two brokers and freezes what they reply.
+func TestFramesKeepTheirBytes(t *testing.T) {
+	toRun, input := io.Pipe()
+	output, fromRun := io.Pipe()
+	ended := make(chan error, 1)
+	go func() {
+		err := simwire.Run(toRun, fromRun)
+		_ = fromRun.CloseWithError(err)
+		ended <- err
+	}()
+
+	bench := &goldenBench{random: rand.New(rand.NewPCG(52, 1)), now: 1000, records: map[uint16]int{}}
+	sent, got := sha256.New(), sha256.New()
+	var text strings.Builder
+	for number := range goldenFrames {
+		frame := bench.frame(number)
+		sent.Write(frame)
+		_, err := input.Write(frame)
+		assert.NilError(t, err)
+		head := make([]byte, 8)
+		_, err = io.ReadFull(output, head)
+		assert.NilError(t, err)
+		reply := append(head, make([]byte, binary.LittleEndian.Uint32(head[4:]))...)
+		_, err = io.ReadFull(output, reply[8:])
+		assert.NilError(t, err)
+		got.Write(reply)
+		bench.take(t, reply)
+		if number < goldenShown {
+			fmt.Fprintf(&text, "%d %s\n", number, hex.EncodeToString(reply))
+		}
+	}
+	assert.NilError(t, input.Close())
+	assert.NilError(t, <-ended)
+
+	var codes []uint16
+	for code := range bench.records {
+		codes = append(codes, code)
+	}
+	slices.Sort(codes)
+	for _, code := range codes {
+		fmt.Fprintf(&text, "records %d: %d\n", code, bench.records[code])
+	}
+	fmt.Fprintf(&text, "sent %x\ngot %x\n", sent.Sum(nil), got.Sum(nil))
+	golden.Assert(t, text.String(), "golden/frames.txt")
+}
