--- a/internal/aggregator/policy/state.go
+++ b/internal/aggregator/policy/state.go
@@ -39,6 +39,7 @@
 
 var refusalNames = [RefusalReasons]string{"no_holder", "too_late", "out_of_room", "expected", "crowd", "borne", "hold_limit", "given_up"}
 
+// String gives the reason as counters name it.
 func (s RefusalReason) String() string { return refusalNames[s] }
 
 // refusalReason tells which kept a search out on its arrival.
--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -15,12 +15,12 @@
 	"kestrelspread/internal/fleet/lease/fence/http"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
-	"kestrelspread/internal/fleet/site"
-	"kestrelspread/internal/fleet/site/talk"
 	"kestrelspread/internal/fleet/stage"
 	"kestrelspread/internal/fleet/stage/pace"
 	"kestrelspread/internal/fleet/statement"
 	"kestrelspread/internal/fleet/statement/gather"
+	"kestrelspread/internal/fleet/zonefailure"
+	"kestrelspread/internal/fleet/zonefailure/gossip"
 	"kestrelspread/internal/operator"
 )
 
@@ -34,7 +34,7 @@
 
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
-func duties(p *server.Parts, o *operator.Owner, port *site.Port, sees *sightings) (end func(), err error) {
+func duties(p *server.Parts, o *operator.Owner, port *zonefailure.Port, sees *sightings) (end func(), err error) {
 	rules := lease.ConfigForLease(o.Lease)
 	var list []voter.Address
 	votes := false
@@ -89,7 +89,7 @@
 	if o.Return && port != nil {
 		ears := &pace.Ears{}
 		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
-		sees.others = append(sees.others, func(w talk.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
+		sees.others = append(sees.others, func(w gossip.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
 		w.Jobs[returnDuty] = func() client.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
 		w.WatchedRoles = []string{returnDuty}
 		w.OnProgress = func(list []replica.ProgressReport) {
@@ -124,4 +124,5 @@
 // nowhere is a receiver that can't be reached.
 type nowhere struct{ err error }
 
+// Apply takes nothing, and gives the error for which the receiver can't be reached.
 func (n nowhere) Apply(fence.Effect) (bool, error) { return false, n.err }
--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -13,7 +13,7 @@
 
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/fleet/bear"
-	"kestrelspread/internal/fleet/site"
+	"kestrelspread/internal/fleet/zonefailure"
 )
 
 // maxListed bounds a count of settings, against a text that states a huge one.
@@ -143,10 +143,10 @@
 	return p
 }
 
-// Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/site).
+// Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/zonefailure).
 func (v Values) Sighted(out policy.Out, seed uint64) policy.Port {
 	own := v.Whole("zone", 0)
-	p := site.Watch(out, own, site.Usual, func(out policy.Out) policy.Port {
+	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out policy.Out) policy.Port {
 		return policy.New(out, seed, v.Whole("balancers", 1), own)
 	})
 	v.Tell(p)
@@ -156,7 +156,7 @@
 // Planned gives one that is also told what servers bear while they are full (internal/fleet/bear).
 func (v Values) Planned(out policy.Out, seed uint64) policy.Port {
 	own := v.Whole("zone", 0)
-	p := site.Watch(out, own, site.Usual, func(out policy.Out) policy.Port {
+	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out policy.Out) policy.Port {
 		return bear.Watch(out, bear.Usual, func(out policy.Out) policy.Port {
 			return policy.New(out, seed, v.Whole("balancers", 1), own)
 		})
