--- a/internal/aggregator/policy/commit_test.go
+++ b/internal/aggregator/policy/commit_test.go
@@ -6,7 +6,7 @@
 
 func (p *Policy) part(id int) *shardRequest { return getAt(p.requests, id) }
 
-func TestACommittedPartHasNoOther(t *testing.T) {
+func TestCommittedRequestHasNoOtherAttempt(t *testing.T) {
 	b, n := plain(4, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 1, 1)
@@ -31,7 +31,7 @@
 	failIf(t, len(n.shed) > 0 || to < 0, "shed")
 }
 
-func TestALongStreamIsNoSilence(t *testing.T) {
+func TestLongStreamIsNoTimeout(t *testing.T) {
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 1, 1)
@@ -51,7 +51,7 @@
 	failIf(t, s.batches != 0 || s.parkedBatches != 0 || b.expectedLatency(s) > 200, "%d calls, %d parked, expected %.0f", s.batches, s.parkedBatches, b.expectedLatency(s))
 }
 
-func TestWhoWaitsForItsClientIsNotSlow(t *testing.T) {
+func TestServerThatWaitsForItsClientIsNotSlow(t *testing.T) {
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 30)
 	for i := range 40 { // as many as a flood of bodies that come byte by byte
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestATokenedPartBeginsInItsWindow(t *testing.T) {
+func TestTokenedRequestBeginsInItsWindow(t *testing.T) {
 	b, n := plain(2, func(b *Policy) { b.QueryType(1000, 1, 0.3, Tokened, 400) })
 	now := warm(b, 1000, 30)
 	b.Begin(now)
--- a/internal/aggregator/policy/decide_test.go
+++ b/internal/aggregator/policy/decide_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"testing"
+
+	"kestrelspread/internal/predict"
 )
 
 // FuzzRules plays random runs over random settings, failures and lists, and looks at the rules after every step.
@@ -140,7 +142,7 @@
 	}
 }
 
-func TestPartsOfOneRoundShareACall(t *testing.T) {
+func TestRequestsOfOneRoundShareABatch(t *testing.T) {
 	b, n := plain(2, nil)
 	ask(b, 1000, 0, 4)
 	for _, to := range n.to[1:] {
@@ -177,7 +179,7 @@
 }
 
 // A hang must not read as fast: nothing comes back from it, and nothing outstanding is the fewest.
-func TestUnansweredPartReadsAsSlow(t *testing.T) {
+func TestUnansweredAttemptReadsAsSlow(t *testing.T) {
 	b, _ := plain(1, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 0, 1)
@@ -185,7 +187,7 @@
 	if x := g.features(now+50, s, 0); g.score(x) > 0.5 {
 		t.Fatal("a part just sent reads as slow")
 	}
-	if x := g.features(now+900, s, 0); x[2] != featureCap || g.score(x) <= 0.5 {
+	if x := g.features(now+900, s, 0); x[2] != predict.FeatureCap || g.score(x) <= 0.5 {
 		t.Fatalf("a part out for nine lines reads as fast: %v", x)
 	}
 }
@@ -206,7 +208,7 @@
 	}
 }
 
-func TestCopyPastTheLatencyShareAndItsLoserCancelled(t *testing.T) {
+func TestHedgePastLatencyQuantileAndLoserCancelled(t *testing.T) {
 	b, n := plain(3, nil)
 	now := warm(b, 1000, 30)
 	n.sent, n.to, n.cancelled = nil, nil, nil
@@ -219,7 +221,7 @@
 	same(t, "cancelled", n.cancelled, n.sent[4])
 }
 
-func TestFalseSubmitsLowerTheCopyShare(t *testing.T) {
+func TestFalseSubmitsLowerTheHedgeShare(t *testing.T) {
 	b, _ := plain(1, nil)
 	for i := range 100 {
 		b.predictor.teach(1000, &attemptState{features: vector{1}, predictedFast: true}, i < 7)
@@ -230,7 +232,7 @@
 }
 
 // Refusals are quick, and free their place at once: without a rest everything goes to whoever refuses.
-func TestFullServerRests(t *testing.T) {
+func TestServerThatRejectsIsLeftAlone(t *testing.T) {
 	b, n := plain(2, nil)
 	ask(b, 1000, 0, 1)
 	finish(b, 1002, Rejected, 1)
@@ -239,7 +241,7 @@
 	failIf(t, n.to[2] == n.to[0], "sent to a full server again at once")
 }
 
-func TestSilentServerIsSetAsideAndItsPartTakenOff(t *testing.T) {
+func TestUnresponsiveServerIsEjectedAndItsRequestRetried(t *testing.T) {
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 30)
 	n.sent, n.to = nil, nil
@@ -256,7 +258,7 @@
 }
 
 // A trial that this broker called off told nothing, yet kept a sound server aside for most of a day.
-func TestCalledOffTrialStaysDue(t *testing.T) {
+func TestCancelledTrialStaysDue(t *testing.T) {
 	b, n := plain(1, nil)
 	b.eject(0, true, "test")
 	s := b.servers[0]
@@ -269,7 +271,7 @@
 }
 
 // A crowd read as silence came back throttled as cold for long; a broken connection may mean a restart.
-func TestReturnIsGentleOnlyWhereARestartIsLikely(t *testing.T) {
+func TestReturnWarmsUpOnlyWhereRestartIsLikely(t *testing.T) {
 	for _, broke := range []bool{false, true} {
 		b, n := plain(1, func(b *Policy) { b.WarmUp(0.2, 10000, 2, 2000) })
 		b.eject(0, true, "test")
@@ -285,7 +287,7 @@
 
 // A hundred brokers with "at least one each" pushed every server over that came back. Here the four holders
 // would get 25 parts each, all they can do; the cold one bears 2 times a fifth of that.
-func TestColdServerBearsTheSumOverAllBrokers(t *testing.T) {
+func TestWarmingServerTakesTheSumOverAllAggregators(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		got, warm := 0, 0
 		for seed := range uint64(100) {
@@ -312,7 +314,7 @@
 
 // Searches have many parts and need them all: where each part drew its own lot, a broker with nothing but cold holders in
 // reach shed every search, and with three hundred brokers a hall that had returned cold served nothing for ten seconds.
-func TestALotIsTheSearchsAndFallsAmongHoldersInReach(t *testing.T) {
+func TestWarmUpDrawIsTheSearchsAmongReachableHolders(t *testing.T) {
 	taken, sent := 0, make([]int, 4)
 	for seed := range uint64(200) {
 		b, n := plain(4, func(b *Policy) {
@@ -343,7 +345,7 @@
 
 // One of eight servers failed at once, and the parts of a search that had no other place just then spent all their tries
 // on it within ten milliseconds: 95 of 100 parts were in when such a search was given up.
-func TestTriesAreNotSpentAtOnceOnWhoFails(t *testing.T) {
+func TestAttemptsAreNotSpentAtOnceOnFailingServers(t *testing.T) {
 	b, n := plain(2, func(b *Policy) { b.Limits(4, 100, true, true) })
 	b.eject(0, false, "test")
 	b.servers[1].rejectsUntil = 1300
@@ -363,7 +365,7 @@
 }
 
 // A search that could not come to its least share any more was held until its other parts were in.
-func TestWhatCannotComeToItsLeastShareIsGivenUpAtOnce(t *testing.T) {
+func TestSearchThatCannotReachItsFloorIsGivenUpAtOnce(t *testing.T) {
 	b, n := plain(4, func(b *Policy) { b.Limits(1, 100, true, false) })
 	ask(b, 1000, 0, 4)
 	finish(b, 1010, Errored, 2)
@@ -376,7 +378,7 @@
 }
 
 // All who were shed in one moment were told the same time, and came back as one.
-func TestTimesToComeBackAreSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	b, _ := plain(2, func(b *Policy) { b.MaxRetryAfter(1e6) })
 	aim, seen := b.queryTypes[0].latencyTarget, map[float64]bool{}
 	for range 20 {
@@ -388,7 +390,7 @@
 }
 
 // A hall that went took searches with it server by server, and what was called off there read as a crowd.
-func TestAHallIsTakenAsideAtOnceAndItsTrialsAreSpread(t *testing.T) {
+func TestLostZoneIsEjectedAtOnceAndItsTrialsAreSpread(t *testing.T) {
 	b, _ := plain(20, nil)
 	b.Begin(5000)
 	for i := range 20 {
@@ -411,7 +413,7 @@
 }
 
 // A slow hall that was held to be lost for a moment is as before at once: tried server by server it was out of use for seconds.
-func TestALossThatWasNoneIsUndone(t *testing.T) {
+func TestFalseZoneLossIsUndone(t *testing.T) {
 	b, _ := plain(20, nil)
 	b.Begin(4000)
 	for i := range 20 {
@@ -434,7 +436,7 @@
 }
 
 // In a crowd all are slow, and who looks fast is who was left alone: the fewest own calls decide there, and nowhere else.
-func TestInACrowdThePredictionDoesNotChoose(t *testing.T) {
+func TestPredictionDoesNotChooseInOverload(t *testing.T) {
 	b, _ := plain(2, nil)
 	b.Begin(1000)
 	slow, quick := b.servers[0], b.servers[1]
@@ -456,7 +458,7 @@
 }
 
 // What servers do not bear is refused from the least valued up, a share of those at the line.
-func TestWhatIsNotBorneIsRefused(t *testing.T) {
+func TestSearchUnderTheCapacityFloorIsRefused(t *testing.T) {
 	b, n := plain(2, nil)
 	b.CapacityFloor(0.5, 0.9) // all count 1 here: above the line
 	ask(b, 1000, 0, 1)
@@ -478,7 +480,7 @@
 }
 
 // The guard must not feed on its own effect: a fleet that is held back carries little.
-func TestCarryIsRemembered(t *testing.T) {
+func TestHighestRateIsRemembered(t *testing.T) {
 	b, _ := plain(1, func(b *Policy) { b.WarmUp(0.2, 10000, 2, 2000) })
 	g := &b.warmUp
 	g.warmWork.Add(1000, 1250)
@@ -488,7 +490,7 @@
 	failIf(t, best <= 0 || g.maxRate < best/2, "carry %.3f after 13 s, %.3f before", g.maxRate, best)
 }
 
-func TestPartAnswerAtTheLatencyTarget(t *testing.T) {
+func TestPartialAnswerAtTheLatencyTarget(t *testing.T) {
 	b, n := plain(2, func(b *Policy) { b.Shares(0, 1, 0.5, 0.8, 0) })
 	ask(b, 1000, 0, 4)
 	finish(b, 1100, Answered, 1, 2, 3)
@@ -498,7 +500,7 @@
 	failIf(t, n.whole, "three of four parts marked whole")
 }
 
-func TestOddSettingsAndArrivals(t *testing.T) {
+func TestExtremeSettingsAndArrivals(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
 		servers, kind, parts, places int
@@ -530,7 +532,7 @@
 }
 
 // One search may be more than the hold limit; where nothing else is held it is served all the same.
-func TestHoldLimitSmallerThanASearch(t *testing.T) {
+func TestPendingLimitSmallerThanASearch(t *testing.T) {
 	b, n := plain(2, func(b *Policy) { b.Limits(4, 2, true, true) })
 	ask(b, 1000, 0, 4)
 	failIf(t, len(n.sent) != 4, "sent %v, want all four parts of the most valued search", n.sent)
@@ -550,7 +552,7 @@
 	}
 }
 
-func TestShedNamesATimeToComeBack(t *testing.T) {
+func TestShedGivesRetryAfter(t *testing.T) {
 	b, n := plain(1, func(b *Policy) { b.MaxRetryAfter(200) })
 	now := warm(b, 1000, 30)
 	b.servers[0].meanLatency = 5000
@@ -560,7 +562,7 @@
 }
 
 // Clients that gave up early and asked again: the work was done for nobody.
-func TestAdmissionGoesByTheTimeTheClientHas(t *testing.T) {
+func TestAdmissionGoesByTheClientsTime(t *testing.T) {
 	b, n := plain(1, nil)
 	now := warm(b, 1000, 30)
 	b.Begin(now)
@@ -571,7 +573,7 @@
 }
 
 // A broker that stood still heard nothing meanwhile, and took all its servers for silent at once.
-func TestOwnStallIsNoSilenceOfServers(t *testing.T) {
+func TestOwnStallIsNoTimeoutOfServers(t *testing.T) {
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 0, 1)
@@ -582,7 +584,7 @@
 }
 
 // Connections that broke here and there set sound servers aside as dead, and throttled them as restarted.
-func TestBrokenConnectionIsOneErrorAndNoDeath(t *testing.T) {
+func TestBrokenConnectionIsOneErrorAndEjectsNobody(t *testing.T) {
 	b, _ := plain(2, nil)
 	now := warm(b, 1000, 30)
 	ask(b, now, 0, 4)
@@ -593,7 +595,7 @@
 }
 
 // Clients that left early took all long ages with them: only quick parts were heard of, and a jam read as calm.
-func TestCalledOffPartsTeachThatTheyTookAtLeastSoLong(t *testing.T) {
+func TestCancelledAttemptsTeachTheirMinimumLatency(t *testing.T) {
 	b, _ := plain(1, nil)
 	now := warm(b, 1000, 30)
 	for i := range 8 {
@@ -609,7 +611,7 @@
 }
 
 // Parts that went round a full set kept all of its queues full.
-func TestPartTurnedAwayTwiceIsGivenUp(t *testing.T) {
+func TestRequestRejectedTwiceIsGivenUp(t *testing.T) {
 	b, n := plain(4, nil)
 	ask(b, 1000, 0, 1)
 	finish(b, 1002, Rejected, 1)
@@ -617,7 +619,7 @@
 	failIf(t, len(n.sent) != 2 || len(n.shed) != 1, "sent %v, shed %v: want two tries and a prompt final answer", n.sent, n.shed)
 }
 
-func TestPartsExpectedPastTheLimitAreLeftOut(t *testing.T) {
+func TestRequestsExpectedPastTheLimitAreSkipped(t *testing.T) {
 	for _, floor := range []float64{0.5, 1} {
 		b, n := plain(4, func(b *Policy) { b.Fleet(4, 1, 1, 0, false); b.Shares(0, 1, floor, 0.8, 0) })
 		b.Begin(1001)
@@ -637,7 +639,7 @@
 }
 
 // Connections dropped unseen lost every part that came after a pause, its trials too.
-func TestIdleConnectionsAreClosedWhereWhatGoesOverThemIsLost(t *testing.T) {
+func TestFaultyIdleConnectionsAreClosedBeforeSend(t *testing.T) {
 	for _, idle := range []bool{true, false} { // lost on idle connections alone, or on all: then the server hangs
 		b, n := plain(2, nil)
 		now := warm(b, 1000, 30) + 1500
@@ -662,7 +664,7 @@
 }
 
 // Trials each second were all that a broker sent to a server set aside, and as much as it sends to any.
-func TestTrialsComeNoSoonerThanTheBrokerWouldByItself(t *testing.T) {
+func TestTrialsComeNoSoonerThanOrdinarySends(t *testing.T) {
 	b, _ := plain(20, nil)
 	now := warm(b, 1000, 90) // about one a server in two seconds
 	b.eject(0, true, "test")
@@ -673,7 +675,7 @@
 }
 
 // Each part looked quick enough, and the search of fifty was late each time.
-func TestAdmissionGoesByTheSlowestOfSoManyParts(t *testing.T) {
+func TestAdmissionGoesByTheSlowestRequest(t *testing.T) {
 	for _, parts := range []int{1, 50} {
 		b, n := plain(4, nil)
 		now := warm(b, 1000, 30)
@@ -691,7 +693,7 @@
 }
 
 // In bad times the bias alone made every server that nothing was heard of read as slow, and no part was sent again.
-func TestEmptyHistoryCountsAsFastWhateverTheWeights(t *testing.T) {
+func TestEmptyHistoryIsPredictedFast(t *testing.T) {
 	b, n := plain(20, nil) // the broker comes to a server once in two seconds
 	now := warm(b, 1000, 90)
 	b.predictor.weights[0] = 5
@@ -706,7 +708,7 @@
 }
 
 // Refusals are quick answers of a kind, and admission saw nothing of queues so long that no more fitted.
-func TestRefusalCountsAsALatePartForAdmission(t *testing.T) {
+func TestRejectionCountsAsLateAnswerForAdmission(t *testing.T) {
 	b, n := plain(4, nil)
 	now := warm(b, 1000, 30)
 	for i := range 10 {
@@ -720,7 +722,7 @@
 	}
 }
 
-func TestADroppedServerLeavesNothingToItsIndex(t *testing.T) {
+func TestRemovedServerLeavesNothingToItsIndex(t *testing.T) {
 	b, n := plain(2, func(b *Policy) {
 		b.Reports(true, []Field{InFlight})
 		b.WarmUp(0.2, 5000, 2, 2000)
@@ -752,7 +754,7 @@
 	same(t, "sent to the new one", n.to[sent:], at)
 }
 
-func TestHoldersThatFailSomePartsAreAskedRatherThanShed(t *testing.T) {
+func TestHoldersThatFailSomeRequestsAreAskedBeforeShedding(t *testing.T) {
 	b, n := plain(2, nil)
 	now := warm(b, 1000, 40)
 	b.Begin(now)
@@ -764,7 +766,7 @@
 	failIf(t, len(n.shed) > 0 || len(n.to) != sent+1, "%d shed, %d sent", len(n.shed), len(n.to)-sent)
 }
 
-func TestAPausedServerIsTriedSoonAndItsPartsWait(t *testing.T) {
+func TestPausedServerIsTriedSoonAndItsRequestsWait(t *testing.T) {
 	b, n := plain(1, nil)
 	now := 1000.0
 	for range 60 {
--- /dev/null
+++ b/internal/aggregator/policy/prediction.go
@@ -0,0 +1,172 @@
+package policy
+
+import (
+	"kestrelspread/internal/predict"
+	"kestrelspread/internal/window"
+)
+
+const (
+	historySize      = predict.HistorySize
+	historyLife      = predict.HistoryLife
+	latencySpan      = predict.LineSpan
+	hintTrust        = 0.5    // hints are rough: a small shard request is taken to be at least so big
+	slowScore        = 0.5    // a score over it predicts slow
+	latencyFadeSpan  = 10000. // ms after which a server's own latency tells nothing
+	latencyNewWeight = 0.5    // of the newest answer in a server's mean latency
+	minLatency       = 1      // ms; latencies are kept on a logarithmic scale
+	medianShare      = 0.5    // of latencies
+	historyKnown     = 2      // feature that is over 0 where a server's history isn't empty
+)
+
+type vector = predict.Vector
+
+// latencySample is one answer of a server.
+type latencySample struct{ latency, receivedAt, load float64 }
+
+// predictor is the design's score, online: one set of weights for all servers.
+type predictor struct {
+	weights                    predict.Weights
+	submits                    predict.Submits
+	latencies, recentLatencies *window.Hist // of all servers, the second over a shorter time
+	avgLoad                    float64
+	minMedian                  float64 // lowest median seen: the fleet without load
+	reportedLoad, reporting    float64 // sum of the latest load reports, and how many they are
+	median, fleetLine          float64 // of latencies, as of this round's start; over the line is slow
+	samples                    int
+}
+
+func (pr *predictor) score(x vector) float64 { return pr.weights.Score(&x) }
+
+func (pr *predictor) falseRate(now float64) float64 { return pr.submits.FalseRate(now) }
+
+// line is the latency over which an answer of the server is slow.
+func (pr *predictor) line(now float64, server *serverState) float64 {
+	return predict.Line(now, server.latencies, pr.fleetLine, pr.samples)
+}
+
+// features describe a server by its recent answers. A hang must not read as fast: an attempt in flight for longer
+// than the line stands for the latest latency.
+func (pr *predictor) features(now float64, server *serverState, load float64) vector {
+	line := pr.line(now, server)
+	f := predict.NewFeatures(line, pr.avgLoad, load)
+	if len(server.waiting) > 0 {
+		oldest := server.waiting[0]
+		if age := now - oldest.startedAt - oldest.hintedExtra; age > line {
+			f.Add(age, oldest.loadAtSend)
+		}
+	}
+	for _, answer := range server.history {
+		if answer.receivedAt > 0 && now-answer.receivedAt < historyLife {
+			f.Add(answer.latency, answer.load)
+		}
+	}
+	return f.X
+}
+
+// teach moves the weights by one attempt whose slowness is known.
+func (pr *predictor) teach(now float64, attempt *attemptState, slow bool) {
+	attempt.taught = true
+	pr.weights.Teach(&attempt.features, slow, attempt.predictedFast)
+	if attempt.predictedFast {
+		pr.submits.Note(now, slow)
+	}
+}
+
+// overloaded: slowness on most replicas together, where the design assumes short bursts on few. A hedge then takes
+// from another shard request what it gives to its own.
+func (pr *predictor) overloaded() bool { return predict.Crowded(pr.median, pr.minMedian) }
+
+// measureFleet takes the fleet's latencies and load at a round's start.
+func (p *Policy) measureFleet() {
+	pr := &p.predictor
+	pr.median, _ = pr.latencies.Quantile(p.now, medianShare)
+	pr.fleetLine, pr.samples = pr.latencies.Quantile(p.now, predict.LineShare)
+	if pr.samples >= minSamples && (pr.minMedian == 0 || pr.median < pr.minMedian) {
+		pr.minMedian = pr.median
+	}
+	if p.reports.available() {
+		pr.avgLoad = pr.reportedLoad / max(pr.reporting, 1)
+	} else {
+		pr.avgLoad = float64(p.batches) / float64(max(p.readyServers, 1))
+	}
+}
+
+// predictedSlow: an empty history counts as fast. Where this aggregator comes to each server within the expiry, it
+// is empty because the server was passed over, and the score's bias decides; at full size most are empty for want
+// of searches, and in bad times the bias made all servers slow, so that nothing was sent again.
+func (p *Policy) predictedSlow(x vector) bool {
+	return (x[historyKnown] > 0 || p.sendInterval() < historyLife) && p.predictor.score(x) > slowScore
+}
+
+// teachPredictor teaches the predictor by what was sent, and only by answers: errors are no quick answers.
+func (p *Policy) teachPredictor(attempt *attemptState, how Outcome) {
+	if p.now == p.resumedAt {
+		return // what waited for this aggregator to move tells nothing of its server
+	}
+	server := p.servers[attempt.server]
+	latency := max(p.now-attempt.startedAt-attempt.hintedExtra, minLatency)
+	if how == Cancelled && !attempt.request.answered && attempt.parked() == 0 && latency > p.expectedLatency(server) {
+		// Cancelled, it would have taken longer still. Where clients leave before they are answered, only the
+		// quick answers were received, and a jam read as calm.
+		p.recordLatency(attempt, latency)
+	}
+	if how != Answered || attempt.answering || attempt.clientSending {
+		return
+	}
+	if !attempt.taught {
+		p.predictor.teach(p.now, attempt, latency > p.predictor.line(p.now, server))
+	}
+	copy(server.history[1:], server.history[:historySize-1])
+	server.history[0] = latencySample{latency, p.now, attempt.loadAtSend}
+	server.latencies.Add(p.now, latency)
+	p.countWarmWork(server, attempt.request)
+	attempt.request.search.kind.latencies.Add(p.now, latency)
+	p.recordLatency(attempt, latency)
+}
+
+// teachLate teaches that what is in flight for longer than the line is slow.
+func (p *Policy) teachLate(server *serverState) {
+	line := p.predictor.line(p.now, server)
+	for _, attempt := range server.waiting {
+		if !attempt.taught && p.now-max(attempt.startedAt, p.resumedAt)-attempt.hintedExtra > line {
+			p.predictor.teach(p.now, attempt, true)
+		}
+	}
+}
+
+// recordLatency counts a latency for the fleet and in the server's mean.
+func (p *Policy) recordLatency(attempt *attemptState, latency float64) {
+	server := p.servers[attempt.server]
+	p.predictor.latencies.Add(p.now, latency)
+	p.predictor.recentLatencies.Add(p.now, latency)
+	if p.now-server.latencyAt > latencyFadeSpan || server.latencyAt == 0 {
+		server.meanLatency, server.meanBatches = p.predictor.median, float64(attempt.batches)
+	}
+	server.latencyAt = p.now
+	server.meanLatency += latencyNewWeight * (latency - server.meanLatency)
+	server.meanBatches += latencyNewWeight * (float64(attempt.batches) - server.meanBatches)
+}
+
+// expectedLatency is what answers took recently or, if longer, the age of what is in flight; of a server that has
+// not answered for long, the median: shedding on old observations would keep itself true.
+func (p *Policy) expectedLatency(server *serverState) float64 {
+	weight := max(1-(p.now-server.latencyAt)/latencyFadeSpan, 0)
+	if server.latencyAt == 0 {
+		weight = 0
+	}
+	latency := weight*server.meanLatency + (1-weight)*p.predictor.median
+	if len(server.waiting) > 0 {
+		oldest := server.waiting[0]
+		latency = max(latency, p.now-oldest.startedAt-oldest.hintedExtra)
+	}
+	return latency
+}
+
+// hintedExtra is a shard request's hinted work over its query type's: a big one takes longer without being slow, by
+// its work and not by what it waits.
+func (p *Policy) hintedExtra(req *shardRequest) float64 {
+	if qt := req.search.kind; req.work > 0 {
+		return min(max(req.work-qt.meanWork, -hintTrust*qt.meanWork), qt.meanWork)
+	}
+	return 0
+}
