--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/fleet/bear"
+	"kestrelspread/internal/fleet/capacity"
 	"kestrelspread/internal/fleet/zonefailure"
 )
 
@@ -153,11 +153,11 @@
 	return p
 }
 
-// Planned gives one that is also told what servers bear while they are full (internal/fleet/bear).
+// Planned gives one that is also told what servers bear while they are full (internal/fleet/capacity).
 func (v Values) Planned(out policy.Out, seed uint64) policy.Port {
 	own := v.Whole("zone", 0)
 	p := zonefailure.Watch(out, own, zonefailure.Usual, func(out policy.Out) policy.Port {
-		return bear.Watch(out, bear.Usual, func(out policy.Out) policy.Port {
+		return capacity.Wrap(out, capacity.DefaultConfig, func(out policy.Out) policy.Port {
 			return policy.New(out, seed, v.Whole("balancers", 1), own)
 		})
 	})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -25,7 +25,7 @@
 	"kestrelspread/deploy"
 	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/channels"
-	"kestrelspread/internal/fleet/order"
+	"kestrelspread/internal/fleet/shedding"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/passthrough"
@@ -57,7 +57,7 @@
 	Talk   *Talk
 	Sites  bool // whole sites are watched; talk needs it
 	Borne  bool // and what servers bear while they are full is learnt
-	Order  *order.Worths
+	Order  *shedding.Weights
 	Owner  *Owner
 }
 
@@ -359,7 +359,7 @@
 	}
 	if o := f.Order; o != nil {
 		values, kinds, customers := types(set)
-		r := order.Rules{Retries: o.Retries}
+		r := shedding.Config{RetryWeight: o.Retries}
 		place := func(path, name string, among map[string]int, what string) int {
 			at, known := among[name]
 			if !known {
@@ -379,13 +379,13 @@
 				seen[k] = path
 				group = append(group, k)
 			}
-			r.First = append(r.First, group)
+			r.ShedFirst = append(r.ShedFirst, group)
 		}
 		for i, name := range o.Bulk {
-			r.Bulk = append(r.Bulk, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
+			r.BulkCustomers = append(r.BulkCustomers, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
 		}
 		if len(bad) == 0 {
-			w := order.Of(values, set.Count("customers"), r)
+			w := shedding.NewWeights(values, set.Count("customers"), r)
 			s.Order = &w
 		}
 	}
