--- a/internal/aggregator/policy/admission.go
+++ b/internal/aggregator/policy/admission.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Limits of admission. Shares are of the latency target, first for the least valued search, then for the
-// most valued; the limit of each other lies between, by its value.
+// Limits of admission. Shares are of the latency target, first for the least valued search, then
+// for the most valued; the limit of each other lies between, by its value.
 const (
 	admitMinShare      = 0.52 // latency that a search may be expected to have, least valued
 	admitMaxShare      = 0.88 // and most valued
@@ -20,11 +20,11 @@
 	minValue        = 1e-9 // keeps a division sound where no query type has a value
 )
 
-// admit sheds a search on arrival: later, work is lost with it. What it will take is estimated from what
-// servers took recently for each of their batches; a queue that nobody reports shows there, whatever
-// caused it.
-func (p *Policy) admit(place *placement) verdict {
-	search, qt := place.search, place.search.kind
+// admit sheds a search on arrival: later, work is lost with it. What it will take is estimated from
+// what servers took recently for each of their batches; a queue that nobody reports shows there,
+// whatever caused it.
+func (p *Policy) admit(placement *placement) verdict {
+	search, qt := placement.search, placement.search.kind
 	if search.admitted {
 		return proceed
 	}
@@ -49,8 +49,9 @@
 	return proceed
 }
 
-// estimateTarget sets when the search should be answered. The time that is missing to what its type usually
-// has tells how long it waited, at a client that retries or at this aggregator while it stood still.
+// estimateTarget sets when the search should be answered. The time that is missing to what its type
+// usually has tells how long it waited, at a client that retries or at this aggregator while it
+// stood still.
 func (p *Policy) estimateTarget(search *searchState) {
 	qt := search.kind
 	if qt == nil {
@@ -71,8 +72,8 @@
 	return sum
 }
 
-// estimateRequests sets the expected latency of each shard request, infinite where no server may take it,
-// and returns the highest finite one.
+// estimateRequests sets the expected latency of each shard request, infinite where no server may
+// take it, and returns the highest finite one.
 func (p *Policy) estimateRequests(search *searchState, target float64) (worst float64) {
 	for _, req := range search.requests {
 		req.expected = p.estimateRequest(req, target)
@@ -83,8 +84,8 @@
 	return worst
 }
 
-// estimateRequest is the latency of the shard's quickest holder, scaled by the growth of its holders' queues:
-// with more in flight than when the latest answers were asked for, a queue grows.
+// estimateRequest is the latency of the shard's quickest holder, scaled by the growth of its
+// holders' queues: with more in flight than when the latest answers were asked for, a queue grows.
 func (p *Policy) estimateRequest(req *shardRequest, target float64) float64 {
 	best, batches, batchesThen, expected := math.Inf(1), 0.0, 0.0, math.Inf(1)
 	holders := p.holdersOf(req.shard)
@@ -113,8 +114,9 @@
 		(server.connectFailed || server.trialBackoff > admitMinShare*target)
 }
 
-// skipSlowRequests leaves out what is not worth waiting for where a partial answer will do: a shard whose
-// holders are all busy is left to the searches that need it. It returns the weight of the others.
+// skipSlowRequests leaves out what is not worth waiting for where a partial answer will do: a shard
+// whose holders are all busy is left to the searches that need it. It returns the weight of the
+// others.
 func (p *Policy) skipSlowRequests(search *searchState, target, worst float64) (usable float64) {
 	limit := admitMinShare + (admitMaxShare-admitMinShare)*p.value(search)/max(p.maxValue, minValue)
 	limit *= target
@@ -134,9 +136,10 @@
 	return usable
 }
 
-// tailTooSlow: a search waits for its slowest shard, and the more it has the slower that is; a fleet's
-// overload shows there first. Past the limit the refusal is random, as aggregators that shed all at once
-// admit all at once again. Where it is known what servers can take, that decides (overCapacity).
+// tailTooSlow: a search waits for its slowest shard, and the more it has the slower that is; a
+// fleet's overload shows there first. Past the limit the refusal is random, as aggregators that
+// shed all at once admit all at once again. Where it is known what servers can take, that decides
+// (overCapacity).
 func (p *Policy) tailTooSlow(search *searchState, target float64) bool {
 	median := math.Pow(0.5, 1/float64(search.expected)) // of the slowest of so many
 	tail, n := p.predictor.recentLatencies.Quantile(p.now, median)
@@ -145,7 +148,8 @@
 		p.random.next() > math.Pow(limit/tail, tailPower)
 }
 
-// overCapacity: what servers can take is known by the harm done, and the least valued are refused first.
+// overCapacity: what servers can take is known by the harm done, and the least valued are refused
+// first.
 func (p *Policy) overCapacity(search *searchState) bool {
 	missing := p.capacityFloor.value - p.value(search)
 	return missing > 0 ||
--- a/internal/aggregator/policy/answer.go
+++ b/internal/aggregator/policy/answer.go
@@ -3,7 +3,7 @@
 // Shares of weight are sums of rounded numbers.
 const (
 	shareTolerance = 1e-5
-	leastShare     = 1e-3 // an answer from less than that of a search's weight is none
+	minShare       = 1e-3 // an answer from less than that of a search's weight is none
 )
 
 // progress of a search in its present phase.
@@ -12,17 +12,18 @@
 	answers, open      int     // how many they are
 }
 
-// finishSearch ends a search: completely as soon as it is complete, partially at its latency target where
-// that is worth more than waiting, and given up while the client can still hear of it.
-func (p *Policy) finishSearch(place *placement) verdict {
-	search, qt := place.search, place.search.kind
+// finishSearch ends a search: completely as soon as it is complete, partially at its latency target
+// where that is worth more than waiting, and given up while the client can still hear of it.
+func (p *Policy) finishSearch(placement *placement) verdict {
+	search, qt := placement.search, placement.search.kind
 	done := p.progressOf(search)
 	need, floor := search.neededShares()
 	complete := search.phase == 0 && done.weight >= need-shareTolerance ||
 		search.phase > 0 && done.answers >= search.expected
 	lastMoment := p.now >= search.deadline-answerMargin
-	some := done.weight >= max(floor, leastShare)-shareTolerance && done.answers > 0
-	// What can't reach its least share any more is over, whatever is in flight: that work is for nobody.
+	some := done.weight >= max(floor, minShare)-shareTolerance && done.answers > 0
+	// What can't reach its least share any more is over, whatever is in flight: that work is for
+	// nobody.
 	over := len(search.requests) > 0 &&
 		(done.open == 0 || search.phase == 0 && done.weight+done.openWeight < floor-weightTolerance)
 	due := p.now >= search.targetAt-answerMargin && qt.partialValue*done.weight >= qt.lateValue*need
@@ -52,8 +53,9 @@
 	return done
 }
 
-// neededShares are the shares of a search's weight that make its answer complete, and that it needs at least.
-// In a follow-up phase all is needed for the first, and the floor holds where it demands completeness.
+// neededShares are the shares of a search's weight that make its answer complete, and that it needs
+// at least. In a follow-up phase all is needed for the first, and the floor holds where it demands
+// completeness.
 func (search *searchState) neededShares() (need, floor float64) {
 	qt := search.kind
 	if search.phase == 0 {
@@ -106,8 +108,8 @@
 	p.cancelAttempts(req)
 }
 
-// giveUp ends a search at once. It may be shed, which means that asking again is harmless, only where no
-// attempt can have had an effect; otherwise it fails.
+// giveUp ends a search at once. It may be shed, which means that asking again is harmless, only
+// where no attempt can have had an effect; otherwise it fails.
 func (p *Policy) giveUp(search *searchState, why RefusalReason) {
 	harmless := true
 	for _, req := range search.requests {
@@ -142,8 +144,8 @@
 	}
 }
 
-// cancelAttempts cancels what is in flight for a shard request, but the committed attempt of a search that
-// goes on.
+// cancelAttempts cancels what is in flight for a shard request, but the committed attempt of a
+// search that goes on.
 func (p *Policy) cancelAttempts(req *shardRequest) {
 	if !p.limits.mayCancel {
 		return
--- a/internal/aggregator/policy/candidates.go
+++ b/internal/aggregator/policy/candidates.go
@@ -6,11 +6,11 @@
 	maxRejections     = 2    // a shard request that two servers rejected is not worth a third's place
 )
 
-// filterCandidates leaves the servers that may get this shard request: listed, healthy, and with capacity
-// while they warm up.
-func (p *Policy) filterCandidates(place *placement) verdict {
-	req := place.request
-	place.candidates = place.candidates[:0]
+// filterCandidates leaves the servers that may get this shard request: listed, healthy, and with
+// capacity while they warm up.
+func (p *Policy) filterCandidates(placement *placement) verdict {
+	req := placement.request
+	placement.candidates = placement.candidates[:0]
 	var again, failing []int
 	holders := p.holdersOf(req.shard)
 	for _, id := range holders {
@@ -28,30 +28,31 @@
 		case tried:
 			again = append(again, id)
 		default:
-			place.candidates = append(place.candidates, id)
+			placement.candidates = append(placement.candidates, id)
 		}
 	}
-	if len(place.candidates) == 0 && p.mayAskAgain(place) {
-		place.candidates = append(place.candidates, again...)
-		if len(place.candidates) == 0 {
-			place.candidates = append(place.candidates, failing...) // some quick errors beat no answer
+	if len(placement.candidates) == 0 && p.mayAskAgain(placement) {
+		placement.candidates = append(placement.candidates, again...)
+		if len(placement.candidates) == 0 {
+			placement.candidates = append(placement.candidates, failing...) // some quick errors beat no answer
 		}
 	}
-	if len(place.candidates) == 0 {
+	if len(placement.candidates) == 0 {
 		return skip
 	}
 	return proceed
 }
 
-// mayAskAgain: whoever has failed this shard request, or fails others, is asked again only after a while. Its
-// attempts would be gone within milliseconds, and with them all of its search, where a place that is full or
-// slow would have been free soon.
-func (p *Policy) mayAskAgain(place *placement) bool {
-	req := place.request
-	return !place.hedge && (len(req.attempts) == 0 || p.now >= req.lastEndedAt+sameServerBackoff)
+// mayAskAgain: whoever has failed this shard request, or fails others, is asked again only after a
+// while. Its attempts would be gone within milliseconds, and with them all of its search, where a
+// place that is full or slow would have been free soon.
+func (p *Policy) mayAskAgain(placement *placement) bool {
+	req := placement.request
+	return !placement.hedge && (len(req.attempts) == 0 || p.now >= req.lastEndedAt+sameServerBackoff)
 }
 
-// attemptsAt tells whether a server had an attempt of this shard request, and whether it has one in flight.
+// attemptsAt tells whether a server had an attempt of this shard request, and whether it has one in
+// flight.
 func (req *shardRequest) attemptsAt(server int) (tried, inFlight bool) {
 	for _, attempt := range req.attempts {
 		if attempt.server == server {
--- a/internal/aggregator/policy/configure.go
+++ b/internal/aggregator/policy/configure.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// Shares implements Port; it sets which share of its weight a search of the type needs, and what less is worth.
+// Shares implements Port; it sets which share of its weight a search of the type needs, and what
+// less is worth.
 func (p *Policy) Shares(kind int, need, floor, partialValue float64, followUp int) {
 	qt := p.queryTypes[kind]
 	qt.need, qt.floor, qt.partialValue, qt.followUp = need, min(floor, need), partialValue, followUp
@@ -37,12 +38,14 @@
 	p.fleet = fleetShape{max(positions, 1), max(replicas, 1), max(maxBatch, 1), batchWork, warmKeys}
 }
 
-// Limits implements Port; it sets how many attempts a shard request may have and how much may be pending.
+// Limits implements Port; it sets how many attempts a shard request may have and how much may be
+// pending.
 func (p *Policy) Limits(maxAttempts, maxPending int, mayCancel, mayHedge bool) {
 	p.limits = limits{maxAttempts: maxAttempts, maxPending: maxPending, mayCancel: mayCancel, mayHedge: mayHedge}
 }
 
-// MaxRetryAfter implements Port; it sets the longest time, in ms, after which a client is asked to come back.
+// MaxRetryAfter implements Port; it sets the longest time, in ms, after which a client is asked to
+// come back.
 func (p *Policy) MaxRetryAfter(longest float64) { p.maxRetryAfter = longest }
 
 // WarmUp implements Port; it sets what a server can take that has just started.
@@ -69,8 +72,8 @@
 // Discovery implements Port; where ask is set, the list has to be subscribed to.
 func (p *Policy) Discovery(ask bool) { p.discovery = discovery{enabled: ask, due: ask} }
 
-// Priority implements Port. It stands for the operator's own order of refusals: types count with it, not with their
-// values.
+// Priority implements Port. It stands for the operator's own order of refusals: types count with
+// it, not with their values.
 func (p *Policy) Priority(kind int, priority float64) {
 	p.queryTypes[kind].value, p.maxValue = priority, 0
 	for _, qt := range p.queryTypes {
@@ -78,7 +81,8 @@
 	}
 }
 
-// CustomerWeight implements Port; it sets the share of a type's value with which a customer's searches count.
+// CustomerWeight implements Port; it sets the share of a type's value with which a customer's
+// searches count.
 func (p *Policy) CustomerWeight(customer int, weight float64) { p.customers[customer].weight = weight }
 
 // RetryWeight implements Port; it sets the share with which a search counts whose client retries.
--- a/internal/aggregator/policy/connections.go
+++ b/internal/aggregator/policy/connections.go
@@ -16,14 +16,15 @@
 	connectionUses
 )
 
-// connectionHealth counts what was lost and what was answered on connections that are in use and on idle ones.
+// connectionHealth counts what was lost and what was answered on connections that are in use and on
+// idle ones.
 type connectionHealth struct {
 	lost, answered [connectionUses]*window.Counts
 	wasFaulty      bool // idle ones were found faulty when last looked at
 }
 
-// idleFaulty tells whether idle connections are dropped unseen on the way: attempts over them are lost, and more
-// than twice as often as over those in use.
+// idleFaulty tells whether idle connections are dropped unseen on the way: attempts over them are
+// lost, and more than twice as often as over those in use.
 func (c *connectionHealth) idleFaulty(now float64) bool {
 	lost, answered := c.lost[idle].Sum(now, idleSpan), c.answered[idle].Sum(now, idleSpan)
 	lostInUse, answeredInUse := c.lost[inUse].Sum(now, idleSpan), c.answered[inUse].Sum(now, idleSpan)
@@ -31,7 +32,8 @@
 		lost*(lostInUse+answeredInUse+1) > 2*lostInUse*(lost+answered)
 }
 
-// record counts an attempt's end, apart for idle connections: servers that hang or reject lose both alike.
+// record counts an attempt's end, apart for idle connections: servers that hang or reject lose both
+// alike.
 func (c *connectionHealth) record(now float64, attempt *attemptState, lost bool) {
 	use, counts := inUse, &c.answered
 	if attempt.overIdle && !attempt.freshConnection {
@@ -43,7 +45,8 @@
 	counts[use].Add(now, 1)
 }
 
-// recordConnection learns from an attempt's end. A new connection that fails speaks against the age of idle ones.
+// recordConnection learns from an attempt's end. A new connection that fails speaks against the age
+// of idle ones.
 func (p *Policy) recordConnection(attempt *attemptState, how Outcome) {
 	if how != Answered && how != Reset && how != ConnectFailed {
 		return
@@ -52,8 +55,8 @@
 	p.connections.record(p.now, attempt, how != Answered)
 }
 
-// chooseConnection closes the idle connections to the attempt's server where they may have been dropped unseen.
-// Trials take a new one too, unless new ones failed there.
+// chooseConnection closes the idle connections to the attempt's server where they may have been
+// dropped unseen. Trials take a new one too, unless new ones failed there.
 func (p *Policy) chooseConnection(attempt *attemptState) {
 	server := p.servers[attempt.server]
 	attempt.overIdle = len(server.waiting) == 0 && server.answeredAt > 0 && p.now-server.answeredAt >= minIdle
--- a/internal/aggregator/policy/deadlines.go
+++ b/internal/aggregator/policy/deadlines.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// beginLimit is how long an attempt may wait on its way before it must not run any more; 0: no limit. The first
-// attempt of a tokened shard request has one too: delayed, it could arrive when the next one's window is over.
+// beginLimit is how long an attempt may wait on its way before it must not run any more; 0: no
+// limit. The first attempt of a tokened shard request has one too: delayed, it could arrive when
+// the next one's window is over.
 func (p *Policy) beginLimit(req *shardRequest) float64 {
 	if req.search.kind.effect != Tokened {
 		return 0
@@ -37,8 +38,8 @@
 	return limit
 }
 
-// attemptLimit is an attempt's own time limit; 0: until the client gives up. It is set where nothing else could
-// take the shard request off an unresponsive server.
+// attemptLimit is an attempt's own time limit; 0: until the client gives up. It is set where
+// nothing else could take the shard request off an unresponsive server.
 func (p *Policy) attemptLimit(search *searchState) float64 {
 	if p.limits.mayCancel || p.limits.mayHedge {
 		return 0
@@ -46,9 +47,9 @@
 	return min(search.deadline-p.now, attemptShare*search.kind.latencyTarget)
 }
 
-// retryAfter is when a client that was shed may come again: at random, or those who were shed together would come
-// together. While a zone is lost it is spread over the outage, which is taken to last as long again, and never all
-// at the longest advice: that would be one burst for all.
+// retryAfter is when a client that was shed may come again: at random, or those who were shed
+// together would come together. While a zone is lost it is spread over the outage, which is taken
+// to last as long again, and never all at the longest advice: that would be one burst for all.
 func (p *Policy) retryAfter(qt *queryType) float64 {
 	if qt == nil {
 		return 0
@@ -60,11 +61,12 @@
 	return min(p.maxRetryAfter, spread*(0.5+p.random.next()))
 }
 
-// RetryAfter implements Port: the advice that a search gets which is shed here, for those that the limit on pending
-// work sheds before they come here.
+// RetryAfter implements Port: the advice that a search gets which is shed here, for those that the
+// limit on pending work sheds before they come here.
 func (p *Policy) RetryAfter(kind int) float64 { return p.retryAfter(getAt(p.queryTypes, kind)) }
 
-// Pushback implements Port; the latest wish of a server holds, and one that says never is not overruled.
+// Pushback implements Port; the latest wish of a server holds, and one that says never is not
+// overruled.
 func (p *Policy) Pushback(id int, wait float64) {
 	req := getAt(p.requests, id)
 	if req == nil {
--- a/internal/aggregator/policy/hedging.go
+++ b/internal/aggregator/policy/hedging.go
@@ -12,8 +12,9 @@
 	hedgeRounding = 1e-9        // a tenth of ten is one, not two
 )
 
-// hedgeDue is the design's: a second attempt once the first is in flight for longer than the pX of its query type,
-// as far as a search's share of hedges goes and the fleet is not overloaded as a whole.
+// hedgeDue is the design's: a second attempt once the first is in flight for longer than the pX of
+// its query type, as far as a search's share of hedges goes and the fleet is not overloaded as a
+// whole.
 func (p *Policy) hedgeDue(req *shardRequest, last *attemptState) bool {
 	search, qt := req.search, req.search.kind
 	if req.hedged || req.clientSending || !p.limits.mayHedge || qt.effect != Idempotent {
--- a/internal/aggregator/policy/inflight.go
+++ b/internal/aggregator/policy/inflight.go
@@ -1,7 +1,8 @@
 package policy
 
-// batch is what one round sends to one server: its shard requests count as one in flight. Parked are those that wait
-// for their client, or answer already: they stand in nobody's way at the server.
+// batch is what one round sends to one server: its shard requests count as one in flight. Parked
+// are those that wait for their client, or answer already: they stand in nobody's way at the
+// server.
 type batch struct{ size, inFlight, parked int }
 
 // addToBatch puts an attempt in the batch that is open at its server in this round, or in a new one.
@@ -62,8 +63,8 @@
 	}
 }
 
-// ClientSending implements Port. It starts the clock of what is in flight once the client has sent all: a server
-// that waits for its client is not slow.
+// ClientSending implements Port. It starts the clock of what is in flight once the client has sent
+// all: a server that waits for its client is not slow.
 func (p *Policy) ClientSending(id int, sending bool) {
 	req := getAt(p.requests, id)
 	if req == nil || req.clientSending == sending {
@@ -80,8 +81,9 @@
 	}
 }
 
-// Committed implements Port. It learns from an attempt as from an answer, now: how long the client goes on reading
-// tells nothing of the server, and a stream that lasts must not read as unresponsive. The attempt stays in flight.
+// Committed implements Port. It learns from an attempt as from an answer, now: how long the client
+// goes on reading tells nothing of the server, and a stream that lasts must not read as
+// unresponsive. The attempt stays in flight.
 func (p *Policy) Committed(id, number int, answering bool) bool {
 	attempt := p.attemptInFlight(id, number)
 	if attempt == nil || attempt.cancelled {
--- a/internal/aggregator/policy/commit_test.go
+++ b/internal/aggregator/policy/inflight_test.go
@@ -2,14 +2,15 @@
 
 import "testing"
 
-// What stands here is of parts whose bytes reach the client before they are whole, and of those it is still sending.
+// What stands here is of parts whose bytes reach the client before they are whole, and of those it
+// is still sending.
 
 func (p *Policy) part(id int) *shardRequest { return getAt(p.requests, id) }
 
 func TestCommittedRequestHasNoOtherAttempt(t *testing.T) {
-	b, n := plain(4, nil)
-	now := warm(b, 1000, 30)
-	ask(b, now, 1, 1)
+	b, n := newTestPolicy(4, nil)
+	now := runAnsweredSearches(b, 1000, 30)
+	runSearch(b, now, 1, 1)
 	to := b.part(2).attempts[0].server
 	for b.Begin(now + 150); len(b.part(2).attempts) < 2 && b.now < now+900; b.Begin(b.now + 10) {
 		b.End()
@@ -19,7 +20,7 @@
 	}
 	n.cancelled = nil
 	failIf(t, !b.Committed(2, 1, true), "the copy may not answer")
-	same(t, "the loser is called off", n.cancelled, 2)
+	wantInts(t, "the loser is called off", n.cancelled, 2)
 	failIf(t, b.Committed(2, 0, true), "two of one part reach the client")
 	b.End()
 	// It breaks in the middle: nothing goes again, and it can't be called harmless to ask again.
@@ -27,14 +28,14 @@
 	b.Done(2, 0, Cancelled, nil)
 	b.Done(2, 1, Reset, nil)
 	b.End()
-	same(t, "errored", n.failed, 1)
+	wantInts(t, "errored", n.failed, 1)
 	failIf(t, len(n.shed) > 0 || to < 0, "shed")
 }
 
 func TestLongStreamIsNoTimeout(t *testing.T) {
-	b, n := plain(2, nil)
-	now := warm(b, 1000, 30)
-	ask(b, now, 1, 1)
+	b, n := newTestPolicy(2, nil)
+	now := runAnsweredSearches(b, 1000, 30)
+	runSearch(b, now, 1, 1)
 	s := b.servers[b.part(2).attempts[0].server]
 	b.Begin(now + 50)
 	b.Committed(2, 0, true)
@@ -47,13 +48,13 @@
 	b.Begin(now + 2910)
 	b.Done(2, 0, Answered, nil)
 	b.End()
-	same(t, "answered", n.answered[len(n.answered)-1:], 1)
+	wantInts(t, "answered", n.answered[len(n.answered)-1:], 1)
 	failIf(t, s.batches != 0 || s.parkedBatches != 0 || b.expectedLatency(s) > 200, "%d calls, %d parked, expected %.0f", s.batches, s.parkedBatches, b.expectedLatency(s))
 }
 
 func TestServerThatWaitsForItsClientIsNotSlow(t *testing.T) {
-	b, n := plain(2, nil)
-	now := warm(b, 1000, 30)
+	b, n := newTestPolicy(2, nil)
+	now := runAnsweredSearches(b, 1000, 30)
 	for i := range 40 { // as many as a flood of bodies that come byte by byte
 		b.Begin(now)
 		b.Search(10+2*i, 0, 0, now+1000, 1)
@@ -74,7 +75,7 @@
 			i, s.ejected, b.expectedLatency(s), s.batches, s.parkedBatches)
 	}
 	shed := len(n.shed)
-	ask(b, now+1000, 1, 1)
+	runSearch(b, now+1000, 1, 1)
 	failIf(t, len(n.shed) != shed, "others are shed for them")
 	// From its end on the clock runs.
 	b.Begin(now + 1100)
@@ -92,9 +93,9 @@
 
 func TestPushbackIsObeyed(t *testing.T) {
 	for wait, again := range map[float64]bool{100: true, -1: false, 5000: false} {
-		b, n := plain(2, nil)
-		now := warm(b, 1000, 30)
-		ask(b, now, 1, 1)
+		b, n := newTestPolicy(2, nil)
+		now := runAnsweredSearches(b, 1000, 30)
+		runSearch(b, now, 1, 1)
 		b.Begin(now + 10)
 		b.Pushback(2, wait)
 		b.Done(2, 0, Errored, nil)
@@ -114,8 +115,8 @@
 }
 
 func TestTokenedRequestBeginsInItsWindow(t *testing.T) {
-	b, n := plain(2, func(b *Policy) { b.QueryType(1000, 1, 0.3, Tokened, 400) })
-	now := warm(b, 1000, 30)
+	b, n := newTestPolicy(2, func(b *Policy) { b.QueryType(1000, 1, 0.3, Tokened, 400) })
+	now := runAnsweredSearches(b, 1000, 30)
 	b.Begin(now)
 	b.Search(1, 1, 0, now+3000, 1)
 	b.ShardRequest(1, 2, 0, 1, 100, 0)
@@ -125,6 +126,6 @@
 	b.Done(2, 0, Reset, nil)
 	b.End()
 	failIf(t, n.begin != 300-answerMargin, "the second may begin for %.0f ms", n.begin)
-	ask(b, now+200, 5, 1)
+	runSearch(b, now+200, 5, 1)
 	failIf(t, n.begin != 0, "an idempotent one has a limit")
 }
--- a/internal/aggregator/policy/load.go
+++ b/internal/aggregator/policy/load.go
@@ -39,9 +39,9 @@
 	server.load, server.loadReportedAt = 0, math.Inf(-1)
 }
 
-// estimatedLoad is the last reported count with what this aggregator changed since; its own batches where no report
-// comes with answers, as a health check for one tells of a queue that has passed, and costs; the average for a
-// server that has not reported.
+// estimatedLoad is the last reported count with what this aggregator changed since; its own batches
+// where no report comes with answers, as a health check for one tells of a queue that has passed,
+// and costs; the average for a server that has not reported.
 func (p *Policy) estimatedLoad(server *serverState) float64 {
 	if !p.reports.available() {
 		return float64(server.batches)
@@ -54,8 +54,8 @@
 	return max(weight*reported+(1-weight)*p.predictor.avgLoad, 0)
 }
 
-// freshness fades a server's last report to the average: a queue that was long is not long for ever, and a server
-// that is skipped for it does not report again.
+// freshness fades a server's last report to the average: a queue that was long is not long for
+// ever, and a server that is skipped for it does not report again.
 func (p *Policy) freshness(reportedAt float64) float64 {
-	return min(max(1-(p.now-reportedAt-historyLife)/reportFadeSpan, 0), 1)
+	return min(max(1-(p.now-reportedAt-historyExpiry)/reportFadeSpan, 0), 1)
 }
--- a/internal/aggregator/policy/outliers.go
+++ b/internal/aggregator/policy/outliers.go
@@ -14,8 +14,8 @@
 	restartLikelyAfter  = 5000. // ms; unresponsive for longer, a server may have restarted unannounced
 )
 
-// observeHealth judges a server by its outcomes, never by the list alone: a list is late, and tells only of
-// processes.
+// observeHealth judges a server by its outcomes, never by the list alone: a list is late, and tells
+// only of processes.
 func (p *Policy) observeHealth(attempt *attemptState, how Outcome) {
 	server := p.servers[attempt.server]
 	p.endTrial(server, attempt, how)
@@ -34,7 +34,8 @@
 	}
 }
 
-// observeAnswer takes an ejected server back. An answer that was judged when it began counts for its time alone.
+// observeAnswer takes an ejected server back. An answer that was judged when it began counts for
+// its time alone.
 func (p *Policy) observeAnswer(server *serverState, attempt *attemptState) {
 	server.answeredAt = p.now
 	if attempt.answering {
@@ -52,17 +53,18 @@
 	p.log("server %d back after %.0f ms", attempt.server, p.now-server.ejectedAt)
 }
 
-// restartLikely: the server may have restarted and no list has told yet. An answer to what was sent before its
-// ejection disproves that; without a list's word in time it was a hang or an overload, and the guard lets go.
+// restartLikely: the server may have restarted and no list has told yet. An answer to what was sent
+// before its ejection disproves that; without a list's word in time it was a hang or an overload,
+// and the guard lets go.
 func (p *Policy) restartLikely(server *serverState, attempt *attemptState) bool {
 	return attempt.startedAt > server.ejectedAt &&
 		(server.connectFailed || server.unresponsive && p.now-server.ejectedAt > restartLikelyAfter) &&
 		p.now >= server.warmUpUntil
 }
 
-// observeError ejects a server for its share of errors. Attempts that share a connection break together: one event,
-// and no proof that the server is gone. Where this aggregator comes by seldom, two errors seldom fall into one span,
-// and one costs a search an attempt.
+// observeError ejects a server for its share of errors. Attempts that share a connection break
+// together: one event, and no proof that the server is gone. Where this aggregator comes by seldom,
+// two errors seldom fall into one span, and one costs a search an attempt.
 func (p *Policy) observeError(server *serverState, id int, how Outcome) {
 	server.successStreak = 0
 	if how != Reset || server.resetAt != p.now {
@@ -81,10 +83,10 @@
 	}
 }
 
-// observeRejection: a rejection is quick, and frees this aggregator's place there at once; without a pause, the
-// choice of the fewest in flight would send everything to whoever rejects it. It counts as a late answer: the queue
-// is so long that no more fits. Where a whole set of replicas is full, a third attempt only takes the place of
-// another shard request.
+// observeRejection: a rejection is quick, and frees this aggregator's place there at once; without
+// a pause, the choice of the fewest in flight would send everything to whoever rejects it. It
+// counts as a late answer: the queue is so long that no more fits. Where a whole set of replicas is
+// full, a third attempt only takes the place of another shard request.
 func (p *Policy) observeRejection(server *serverState, req *shardRequest) {
 	server.rejectsUntil = p.now + rejectionBackoff
 	p.predictor.recentLatencies.Add(p.now, req.search.kind.latencyTarget)
@@ -94,7 +96,8 @@
 	}
 }
 
-// eject keeps a server from getting anything but trials. One that was ejected as unresponsive stays so.
+// eject keeps a server from getting anything but trials. One that was ejected as unresponsive stays
+// so.
 func (p *Policy) eject(id int, unresponsive bool, why string) {
 	server := p.servers[id]
 	if server.ejected && (server.unresponsive || !unresponsive) {
@@ -111,8 +114,8 @@
 	p.log("server %d aside: %s", id, why)
 }
 
-// checkServers looks at what has not come: attempts older than the line are evidence of slowness, and a server with
-// attempts in flight that answers nothing is unresponsive, hung or lost alike.
+// checkServers looks at what has not come: attempts older than the line are evidence of slowness,
+// and a server with attempts in flight that answers nothing is unresponsive, hung or lost alike.
 func (p *Policy) checkServers() {
 	p.measureFleet()
 	timeout := p.serverTimeout()
@@ -137,8 +140,8 @@
 	p.measureWarmServers()
 }
 
-// serverTimeout is how long a server with attempts in flight may go without an answer; it sets when the first trial
-// of a server comes that is ejected now.
+// serverTimeout is how long a server with attempts in flight may go without an answer; it sets when
+// the first trial of a server comes that is ejected now.
 func (p *Policy) serverTimeout() float64 {
 	line := p.predictor.fleetLine
 	if p.predictor.samples < minSamples {
@@ -149,8 +152,9 @@
 	return max(timeoutMinLines*line, min(timeoutLines*line, timeoutTargetShare*p.shortestTarget))
 }
 
-// checkServer ends a trial that takes too long and ejects a server that is unresponsive. Slow in answering is not
-// unresponsive, and the time for which this aggregator itself stood still doesn't count.
+// checkServer ends a trial that takes too long and ejects a server that is unresponsive. Slow in
+// answering is not unresponsive, and the time for which this aggregator itself stood still doesn't
+// count.
 func (p *Policy) checkServer(id int, timeout float64) {
 	server := p.servers[id]
 	if len(server.waiting) > 0 && p.now-server.answeredAt < reportFadeSpan {
--- a/internal/aggregator/policy/placement.go
+++ b/internal/aggregator/policy/placement.go
@@ -1,7 +1,7 @@
 package policy
 
-// Weights between servers that are equal by the design, in average loads: a choice that saves work is worth less
-// than one that saves a wait.
+// Weights between servers that are equal by the design, in average loads: a choice that saves work
+// is worth less than one that saves a wait.
 const (
 	tieOpenBatch = 1.1 // a batch that is open anyway: more than its own load and chance make of it
 	tieLatency   = 2.0 // its recent latency, in medians
@@ -28,28 +28,28 @@
 	return a.batches < b.batches || a.batches == b.batches && a.tie < b.tie
 }
 
-// chooseServer is the design's: skip the predicted-slow, then the fewest own batches in flight, also when all look
-// slow.
-func (p *Policy) chooseServer(place *placement) verdict {
+// chooseServer is the design's: skip the predicted-slow, then the fewest own batches in flight,
+// also when all look slow.
+func (p *Policy) chooseServer(placement *placement) verdict {
 	best := -1
 	var bestPreference preference
 	overloaded := p.predictor.overloaded()
-	for _, id := range place.candidates {
+	for _, id := range placement.candidates {
 		preference := p.preferenceOf(p.servers[id], overloaded)
 		if best < 0 || preference.better(bestPreference) {
 			best, bestPreference = id, preference
 		}
 	}
-	if place.replace && (bestPreference.slow || !p.replacementPays(place.request, best)) {
+	if placement.replace && (bestPreference.slow || !p.replacementPays(placement.request, best)) {
 		return skip
 	}
-	place.server = best
+	placement.server = best
 	return proceed
 }
 
-// preferenceOf draws once for each candidate. In an overload, what looks fast is who was left alone for a second,
-// and all aggregators come at once: there the prediction doesn't choose. But who takes far longer than even in an
-// overload, as one that warms up, is slow there too.
+// preferenceOf draws once for each candidate. In an overload, what looks fast is who was left alone
+// for a second, and all aggregators come at once: there the prediction doesn't choose. But who
+// takes far longer than even in an overload, as one that warms up, is slow there too.
 func (p *Policy) preferenceOf(server *serverState, overloaded bool) preference {
 	slow := p.predictedSlow(p.predictor.features(p.now, server, p.estimatedLoad(server))) &&
 		!(overloaded && p.expectedLatency(server) < overloadSlowFactor*p.predictor.median)
@@ -71,8 +71,8 @@
 	return preference{slow, batches, tie}
 }
 
-// replacementPays: two attempts in slow places keep an overload up, as what a shard request gains there, another
-// loses.
+// replacementPays: two attempts in slow places keep an overload up, as what a shard request gains
+// there, another loses.
 func (p *Policy) replacementPays(req *shardRequest, server int) bool {
 	last := req.attempts[len(req.attempts)-1]
 	return !(p.expectedLatency(p.servers[server]) > replacementGain*(p.now-last.startedAt))
@@ -84,9 +84,9 @@
 }
 
 // send makes the attempt at the chosen server.
-func (p *Policy) send(place *placement) verdict {
-	req, search, server := place.request, place.search, p.servers[place.server]
-	attempt := p.newAttempt(req, place.server)
+func (p *Policy) send(placement *placement) verdict {
+	req, search, server := placement.request, placement.search, p.servers[placement.server]
+	attempt := p.newAttempt(req, placement.server)
 	p.chooseConnection(attempt)
 	attempt.features = p.predictor.features(p.now, server, attempt.loadAtSend)
 	attempt.predictedFast = !p.predictedSlow(attempt.features)
@@ -95,7 +95,7 @@
 	if len(req.attempts) > 0 {
 		p.budget.countRetry(p.now)
 	}
-	if place.hedge {
+	if placement.hedge {
 		req.hedged = true
 		search.hedges++
 	}
@@ -108,9 +108,9 @@
 		server.waiting = append(server.waiting, attempt)
 	}
 	p.sent.Add(p.now, 1)
-	p.watchServer(place.server)
+	p.watchServer(placement.server)
 	search.inFlight++
-	p.out.Send(req.id, place.server, p.attemptLimit(search), begin)
+	p.out.Send(req.id, placement.server, p.attemptLimit(search), begin)
 	return proceed
 }
 
--- a/internal/aggregator/policy/policy.go
+++ b/internal/aggregator/policy/policy.go
@@ -61,8 +61,8 @@
 	capacityFloor capacityFloor
 }
 
-// New makes the module. Decisions go to out; seed is its source of chance, aggregators how many of its kind there
-// are, zone its own.
+// New makes the module. Decisions go to out; seed is its source of chance, aggregators how many of
+// its kind there are, zone its own.
 func New(out Out, seed uint64, aggregators, zone int) *Policy {
 	p := &Policy{
 		out:             out,
@@ -108,7 +108,8 @@
 	return window.NewCounts(countPhases, span/histogramPhases)
 }
 
-// verdict of a stage: on to the next one, nothing more for this shard request or search now, or the search is over.
+// verdict of a stage: on to the next one, nothing more for this shard request or search now, or the
+// search is over.
 type verdict uint8
 
 const (
@@ -117,7 +118,8 @@
 	finished
 )
 
-// stage decides on the way down, for a search or each of its shard requests, and observes outcomes on the way up.
+// stage decides on the way down, for a search or each of its shard requests, and observes outcomes
+// on the way up.
 type stage struct {
 	decide  func(*placement) verdict
 	observe func(*attemptState, Outcome)
@@ -133,8 +135,8 @@
 	server     int
 }
 
-// Begin implements Port. A wake-up that comes late means that this aggregator stood still: what it did not hear
-// meanwhile is no unresponsiveness of servers.
+// Begin implements Port. A wake-up that comes late means that this aggregator stood still: what it
+// did not hear meanwhile is no unresponsiveness of servers.
 func (p *Policy) Begin(now float64) {
 	if !math.IsInf(p.wakeDueAt, 0) && now > p.wakeDueAt+stallAfter {
 		p.resumedAt = now
@@ -167,16 +169,16 @@
 
 // runStages takes a search through its stages, then each of its shard requests through theirs.
 func (p *Policy) runStages(search *searchState) {
-	place := &placement{search: search}
+	placement := &placement{search: search}
 	for _, stage := range p.stages[:searchStages] {
-		if search.finished || stage.decide(place) != proceed {
+		if search.finished || stage.decide(placement) != proceed {
 			return
 		}
 	}
 	for _, req := range search.requests {
-		place.request, place.hedge, place.replace, place.server = req, false, false, -1
+		placement.request, placement.hedge, placement.replace, placement.server = req, false, false, -1
 		for _, stage := range p.stages[searchStages:] {
-			if stage.decide(place) != proceed {
+			if stage.decide(placement) != proceed {
 				break
 			}
 		}
--- a/internal/aggregator/policy/prediction.go
+++ b/internal/aggregator/policy/prediction.go
@@ -7,7 +7,7 @@
 
 const (
 	historySize      = predict.HistorySize
-	historyLife      = predict.HistoryLife
+	historyExpiry    = predict.HistoryLife
 	latencySpan      = predict.LineSpan
 	hintTrust        = 0.5    // hints are rough: a small shard request is taken to be at least so big
 	slowScore        = 0.5    // a score over it predicts slow
@@ -44,8 +44,8 @@
 	return predict.Line(now, server.latencies, pr.fleetLine, pr.samples)
 }
 
-// features describe a server by its recent answers. A hang must not read as fast: an attempt in flight for longer
-// than the line stands for the latest latency.
+// features describe a server by its recent answers. A hang must not read as fast: an attempt in
+// flight for longer than the line stands for the latest latency.
 func (pr *predictor) features(now float64, server *serverState, load float64) vector {
 	line := pr.line(now, server)
 	f := predict.NewFeatures(line, pr.avgLoad, load)
@@ -56,7 +56,7 @@
 		}
 	}
 	for _, answer := range server.history {
-		if answer.receivedAt > 0 && now-answer.receivedAt < historyLife {
+		if answer.receivedAt > 0 && now-answer.receivedAt < historyExpiry {
 			f.Add(answer.latency, answer.load)
 		}
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// overloaded: slowness on most replicas together, where the design assumes short bursts on few. A hedge then takes
-// from another shard request what it gives to its own.
+// overloaded: slowness on most replicas together, where the design assumes short bursts on few. A
+// hedge then takes from another shard request what it gives to its own.
 func (pr *predictor) overloaded() bool { return predict.Crowded(pr.median, pr.minMedian) }
 
 // measureFleet takes the fleet's latencies and load at a round's start.
@@ -91,14 +91,16 @@
 	}
 }
 
-// predictedSlow: an empty history counts as fast. Where this aggregator comes to each server within the expiry, it
-// is empty because the server was passed over, and the score's bias decides; at full size most are empty for want
-// of searches, and in bad times the bias made all servers slow, so that nothing was sent again.
+// predictedSlow: an empty history counts as fast. Where this aggregator comes to each server within
+// the expiry, it is empty because the server was passed over, and the score's bias decides; at full
+// size most are empty for want of searches, and in bad times the bias made all servers slow, so
+// that nothing was sent again.
 func (p *Policy) predictedSlow(x vector) bool {
-	return (x[historyKnown] > 0 || p.sendInterval() < historyLife) && p.predictor.score(x) > slowScore
+	return (x[historyKnown] > 0 || p.sendInterval() < historyExpiry) && p.predictor.score(x) > slowScore
 }
 
-// teachPredictor teaches the predictor by what was sent, and only by answers: errors are no quick answers.
+// teachPredictor teaches the predictor by what was sent, and only by answers: errors are no quick
+// answers.
 func (p *Policy) teachPredictor(attempt *attemptState, how Outcome) {
 	if p.now == p.resumedAt {
 		return // what waited for this aggregator to move tells nothing of its server
@@ -106,8 +108,8 @@
 	server := p.servers[attempt.server]
 	latency := max(p.now-attempt.startedAt-attempt.hintedExtra, minLatency)
 	if how == Cancelled && !attempt.request.answered && attempt.parked() == 0 && latency > p.expectedLatency(server) {
-		// Cancelled, it would have taken longer still. Where clients leave before they are answered, only the
-		// quick answers were received, and a jam read as calm.
+		// Cancelled, it would have taken longer still. Where clients leave before they are
+		// answered, only the quick answers were received, and a jam read as calm.
 		p.recordLatency(attempt, latency)
 	}
 	if how != Answered || attempt.answering || attempt.clientSending {
@@ -147,8 +149,9 @@
 	server.meanBatches += latencyNewWeight * (float64(attempt.batches) - server.meanBatches)
 }
 
-// expectedLatency is what answers took recently or, if longer, the age of what is in flight; of a server that has
-// not answered for long, the median: shedding on old observations would keep itself true.
+// expectedLatency is what answers took recently or, if longer, the age of what is in flight; of a
+// server that has not answered for long, the median: shedding on old observations would keep itself
+// true.
 func (p *Policy) expectedLatency(server *serverState) float64 {
 	weight := max(1-(p.now-server.latencyAt)/latencyFadeSpan, 0)
 	if server.latencyAt == 0 {
@@ -162,8 +165,8 @@
 	return latency
 }
 
-// hintedExtra is a shard request's hinted work over its query type's: a big one takes longer without being slow, by
-// its work and not by what it waits.
+// hintedExtra is a shard request's hinted work over its query type's: a big one takes longer
+// without being slow, by its work and not by what it waits.
 func (p *Policy) hintedExtra(req *shardRequest) float64 {
 	if qt := req.search.kind; req.work > 0 {
 		return min(max(req.work-qt.meanWork, -hintTrust*qt.meanWork), qt.meanWork)
--- a/internal/aggregator/policy/probing.go
+++ b/internal/aggregator/policy/probing.go
@@ -9,8 +9,8 @@
 	refusalProbeTime   = 100.   // ms; a health check that fails after longer was not refused
 )
 
-// trialDue tells whether an ejected server may get one attempt; where health checks are allowed, an unresponsive one
-// must have passed one before.
+// trialDue tells whether an ejected server may get one attempt; where health checks are allowed, an
+// unresponsive one must have passed one before.
 func (p *Policy) trialDue(server *serverState) bool {
 	return p.now >= server.trialAt && server.trial == nil &&
 		(server.provedAlive || !server.unresponsive || !p.reports.mayProbe)
@@ -34,8 +34,9 @@
 	server.trialAt = p.now + server.trialBackoff
 }
 
-// sendInterval is how long this aggregator leaves a server alone by itself: at full size, trials sooner than that
-// would be all that it sends there, and an ejected server would get as much as ever.
+// sendInterval is how long this aggregator leaves a server alone by itself: at full size, trials
+// sooner than that would be all that it sends there, and an ejected server would get as much as
+// ever.
 func (p *Policy) sendInterval() float64 {
 	ready := float64(p.readyServers)
 	return min(sendSpan*ready/max(p.sent.Sum(p.now, sendSpan), ready/minSendsShare), sendSpan)
@@ -51,8 +52,8 @@
 	}
 }
 
-// Probed implements Port; the result counts only for a server that is ejected as unresponsive. No answer to a health
-// check that waits in a queue proves nothing, so only a quick failure is one.
+// Probed implements Port; the result counts only for a server that is ejected as unresponsive. No
+// answer to a health check that waits in a queue proves nothing, so only a quick failure is one.
 func (p *Policy) Probed(id int, ok bool, elapsed float64, report []float64) {
 	server := p.servers[id]
 	server.probing = false
--- a/internal/aggregator/policy/retry.go
+++ b/internal/aggregator/policy/retry.go
@@ -2,11 +2,11 @@
 
 import "kestrelspread/internal/window"
 
-// attemptNeeded decides whether a shard request gets an attempt: its first, a retry after a failure, one that
-// replaces an attempt at an unresponsive server, or the design's hedge.
-func (p *Policy) attemptNeeded(place *placement) verdict {
-	req := place.request
-	if req.answered || req.skipped || req.phase != place.search.phase || len(req.attempts) >= p.limits.maxAttempts ||
+// attemptNeeded decides whether a shard request gets an attempt: its first, a retry after a
+// failure, one that replaces an attempt at an unresponsive server, or the design's hedge.
+func (p *Policy) attemptNeeded(placement *placement) verdict {
+	req := placement.request
+	if req.answered || req.skipped || req.phase != placement.search.phase || len(req.attempts) >= p.limits.maxAttempts ||
 		!p.mayRetry(req) || p.now < req.notBefore {
 		return skip
 	}
@@ -18,16 +18,17 @@
 	case inFlight == 0:
 		return proceed
 	case inFlight == unresponsive && inFlight < 2:
-		return p.replaceAttempt(place, last)
+		return p.replaceAttempt(placement, last)
 	case inFlight > 1 || !p.hedgeDue(req, last):
 		return skip
 	}
-	place.hedge, place.replace = true, true
+	placement.hedge, placement.replace = true, true
 	return proceed
 }
 
-// attemptsInFlight counts a shard request's attempts in flight, and of those the ones at servers that are ejected
-// as unresponsive; the trial of such a server is not one of them. last is the latest in flight.
+// attemptsInFlight counts a shard request's attempts in flight, and of those the ones at servers
+// that are ejected as unresponsive; the trial of such a server is not one of them. last is the
+// latest in flight.
 func (p *Policy) attemptsInFlight(req *shardRequest) (inFlight, unresponsive int, last *attemptState) {
 	for _, attempt := range req.attempts {
 		if !attempt.inFlight {
@@ -42,22 +43,23 @@
 	return inFlight, unresponsive, last
 }
 
-// replaceAttempt takes a shard request off an unresponsive server. Where no two attempts may be in flight, the one
-// there is cancelled, and the next goes when it has ended.
-func (p *Policy) replaceAttempt(place *placement, last *attemptState) verdict {
+// replaceAttempt takes a shard request off an unresponsive server. Where no two attempts may be in
+// flight, the one there is cancelled, and the next goes when it has ended.
+func (p *Policy) replaceAttempt(placement *placement, last *attemptState) verdict {
 	if p.limits.mayHedge {
-		place.replace = true
+		placement.replace = true
 		return proceed
 	}
 	if p.limits.mayCancel && !last.cancelled {
 		last.cancelled = true
-		p.out.Cancel(place.request.id, last.number)
+		p.out.Cancel(placement.request.id, last.number)
 	}
 	return skip
 }
 
-// mayRetry keeps an effect from happening twice: only an attempt proved not to have run may be followed by another,
-// unless a second run does no harm or is still dropped by whoever holds the shard.
+// mayRetry keeps an effect from happening twice: only an attempt proved not to have run may be
+// followed by another, unless a second run does no harm or is still dropped by whoever holds the
+// shard.
 func (p *Policy) mayRetry(req *shardRequest) bool {
 	if req.committed != nil || req.notBefore >= req.search.deadline-answerMargin {
 		return false
@@ -76,8 +78,9 @@
 	return nil
 }
 
-// effectiveEffect: a token window that ends before a retry could be sent is none, and the type's shard requests may
-// not run twice. Taken for one, it would leave the first attempt no time to begin either.
+// effectiveEffect: a token window that ends before a retry could be sent is none, and the type's
+// shard requests may not run twice. Taken for one, it would leave the first attempt no time to
+// begin either.
 func effectiveEffect(effect Effect, window float64) Effect {
 	if effect == Tokened && window <= 2*answerMargin {
 		return NonIdempotent
@@ -85,14 +88,16 @@
 	return effect
 }
 
-// retryBudget is the stated limit on retries and hedges in a window: allowance and ratio of the requests in it.
+// retryBudget is the stated limit on retries and hedges in a window: allowance and ratio of the
+// requests in it.
 type retryBudget struct {
 	allowance, ratio, window float64 // window 0: no budget
 	requests, retries        *window.Counts
 }
 
-// allows tells whether one more retry stays in the budget. Retries are counted a little longer than the window and
-// the searches and shard requests that earn them a little shorter, so that no window of its length is overdrawn.
+// allows tells whether one more retry stays in the budget. Retries are counted a little longer than
+// the window and the searches and shard requests that earn them a little shorter, so that no window
+// of its length is overdrawn.
 func (b *retryBudget) allows(now float64) bool {
 	return b.window == 0 ||
 		b.retries.Sum(now, b.window)+1 <= b.allowance+b.ratio*b.requests.Inside(now, b.window)
--- a/internal/aggregator/policy/servers.go
+++ b/internal/aggregator/policy/servers.go
@@ -23,7 +23,7 @@
 	p.countReady(server, position, state)
 	if state != Gone {
 		server.zone, server.position, server.size = zone, position, max(size, 0)
-		p.noteStart(server, startedAt)
+		p.recordStart(server, startedAt)
 	}
 	server.listed, server.state = state != Gone, state
 	if state == Gone {
@@ -47,8 +47,9 @@
 	}
 }
 
-// noteStart has a server that was started anew warm up; one that is ejected as unresponsive is tried at once.
-func (p *Policy) noteStart(server *serverState, startedAt float64) {
+// recordStart has a server that was started anew warm up; one that is ejected as unresponsive is
+// tried at once.
+func (p *Policy) recordStart(server *serverState, startedAt float64) {
 	if startedAt <= server.startedAt || startedAt <= 0 {
 		return
 	}
@@ -59,8 +60,8 @@
 	}
 }
 
-// RemoveServer implements Port; false while a health check or batch is in flight there, or while what it was sent
-// still counts, should it come back and warm up.
+// RemoveServer implements Port; false while a health check or batch is in flight there, or while
+// what it was sent still counts, should it come back and warm up.
 func (p *Policy) RemoveServer(id int) bool {
 	server := getAt(p.servers, id)
 	if server == nil {
@@ -89,8 +90,8 @@
 	}
 }
 
-// holdersOf lists who may be sent requests to a shard: ready servers of the positions that hold it. The list is made
-// anew only after a change of its positions.
+// holdersOf lists who may be sent requests to a shard: ready servers of the positions that hold it.
+// The list is made anew only after a change of its positions.
 func (p *Policy) holdersOf(shard int) []int {
 	fleet := &p.fleet
 	first := fleet.position(shard)
--- a/internal/aggregator/policy/state.go
+++ b/internal/aggregator/policy/state.go
@@ -72,7 +72,8 @@
 	batch           *batch
 }
 
-// serverState is what is known of one server: by the list, by its answers, and by what is in flight there.
+// serverState is what is known of one server: by the list, by its answers, and by what is in flight
+// there.
 type serverState struct {
 	listed, watched bool
 	state           State
@@ -101,8 +102,8 @@
 	warmUpFrom, warmUpUntil              float64
 }
 
-// fleetShape tells how shards are placed: on a ring of positions, each server holding the shards of the positions
-// before its own, so many of them.
+// fleetShape tells how shards are placed: on a ring of positions, each server holding the shards of
+// the positions before its own, so many of them.
 type fleetShape struct {
 	positions, replicas, maxBatch int
 	batchWork                     float64
@@ -120,7 +121,8 @@
 	dueAt        float64
 }
 
-// capacityFloor is the least value that servers were seen to take, and the share of just that value that they don't.
+// capacityFloor is the least value that servers were seen to take, and the share of just that value
+// that they don't.
 type capacityFloor struct{ value, excess float64 }
 
 // Search implements Port; it takes a search, whose shard requests follow in the same round.
--- a/internal/aggregator/policy/warmup.go
+++ b/internal/aggregator/policy/warmup.go
@@ -18,9 +18,9 @@
 	defaultWorkShare   = 0.1    // of the latency target: work of a shard request without a hint
 )
 
-// warmUpGuard limits what goes to a server that has just started (slow start). The settings state its share of a
-// warm server's capacity at first, how long it takes to reach all of it, and the multiple of that capacity that all
-// aggregators together must stay under in a window.
+// warmUpGuard limits what goes to a server that has just started (slow start). The settings state
+// its share of a warm server's capacity at first, how long it takes to reach all of it, and the
+// multiple of that capacity that all aggregators together must stay under in a window.
 type warmUpGuard struct {
 	initialShare, duration, multiple, window float64 // multiple 0: no guard
 	maxRate                                  float64 // highest rate of warm servers for this aggregator, per size; it fades
@@ -28,14 +28,15 @@
 	warmWork                                 *window.Counts // work of warm servers, over their size
 }
 
-// hasCapacity keeps a server that has just come back from being overloaded: all aggregators together must stay
-// under a multiple of what it can do, and each knows only itself.
+// hasCapacity keeps a server that has just come back from being overloaded: all aggregators
+// together must stay under a multiple of what it can do, and each knows only itself.
 //
-// What warm servers carried for this aggregator at best, taken as fairly busy, is its part of what one can do: the
-// parts of all aggregators add up to no more. With many aggregators that is less than one shard request, and one
-// from each would overload the server: then a draw admits, of what a warm holder would get, the share that one
-// warming up can take, and the sum is right without knowing the others. A server that was unreachable or
-// unresponsive for long may have restarted: its trials count too.
+// What warm servers carried for this aggregator at best, taken as fairly busy, is its part of what
+// one can do: the parts of all aggregators add up to no more. With many aggregators that is less
+// than one shard request, and one from each would overload the server: then a draw admits, of what
+// a warm holder would get, the share that one warming up can take, and the sum is right without
+// knowing the others. A server that was unreachable or unresponsive for long may have restarted:
+// its trials count too.
 func (p *Policy) hasCapacity(server *serverState, holders []int, req *shardRequest) bool {
 	share, guarded := p.warmUpShare(server)
 	if !guarded {
@@ -51,7 +52,8 @@
 	return sent+work <= maxDrawn*work && p.drawn(server, holders, req, safe)
 }
 
-// warmUpShare is the share of a warm server's capacity that this one has by now; guarded false: all of it.
+// warmUpShare is the share of a warm server's capacity that this one has by now; guarded false: all
+// of it.
 func (p *Policy) warmUpShare(server *serverState) (share float64, guarded bool) {
 	guard := &p.warmUp
 	share = guard.initialShare
@@ -71,11 +73,12 @@
 	return share, true
 }
 
-// drawn tells whether the search's draw falls on this holder, with probability safe. The draw is the search's, not
-// the shard request's: drawn apart, a search of many shards would hardly ever have them all, and whoever has only
-// servers that warm up in reach would shed everything. It falls among the holders that this aggregator can use: who
-// can't be reached takes no share. Where those are under half of what there were, some of it falls to nobody, as
-// each then gets more than twice what a warm one usually does.
+// drawn tells whether the search's draw falls on this holder, with probability safe. The draw is
+// the search's, not the shard request's: drawn apart, a search of many shards would hardly ever
+// have them all, and whoever has only servers that warm up in reach would shed everything. It falls
+// among the holders that this aggregator can use: who can't be reached takes no share. Where those
+// are under half of what there were, some of it falls to nobody, as each then gets more than twice
+// what a warm one usually does.
 func (p *Policy) drawn(server *serverState, holders []int, req *shardRequest, safe float64) bool {
 	usable, index := 0.0, 0.0
 	for _, id := range holders {
@@ -111,8 +114,8 @@
 	p.warmUp.measure(p.now, warm, size)
 }
 
-// measure raises the highest rate only while most servers are warm: what the last few carry tells nothing of what
-// one can.
+// measure raises the highest rate only while most servers are warm: what the last few carry tells
+// nothing of what one can.
 func (guard *warmUpGuard) measure(now, warm, size float64) {
 	guard.maxRate *= math.Exp((guard.measuredAt - now) / rateMemory)
 	guard.measuredAt, guard.warmSize = now, warm
@@ -121,8 +124,8 @@
 	}
 }
 
-// countWarmWork counts an answer of a warm server over the size of those that shared the work then: a zone may
-// restart within the span.
+// countWarmWork counts an answer of a warm server over the size of those that shared the work then:
+// a zone may restart within the span.
 func (p *Policy) countWarmWork(server *serverState, req *shardRequest) {
 	if p.warmUp.warmSize > 0 && p.now >= server.warmUpUntil {
 		p.warmUp.warmWork.Add(p.now, p.expectedWork(req)/p.warmUp.warmSize)
--- a/internal/aggregator/policy/zones.go
+++ b/internal/aggregator/policy/zones.go
@@ -7,9 +7,9 @@
 
 const sameEjection = 1 // ms between a zone's failure and an ejection that came with it
 
-// ZoneChanged implements Port. It ejects all servers of a zone, or has them tried, at once: judged each by itself,
-// each would take searches with it. Trials are spread at random, so that neither one aggregator's nor all
-// aggregators' come as one.
+// ZoneChanged implements Port. It ejects all servers of a zone, or has them tried, at once: judged
+// each by itself, each would take searches with it. Trials are spread at random, so that neither
+// one aggregator's nor all aggregators' come as one.
 func (p *Policy) ZoneChanged(zone int, lost bool, spread float64) {
 	p.recordZone(zone, lost)
 	for id, server := range p.servers {
