--- a/internal/node/routing/admission/refusal.go
+++ b/internal/node/routing/admission/refusal.go
@@ -22,13 +22,15 @@
 )
 
 const (
-	// MinAdvice is the shortest advice, and ShortAdvice the longest where another proxy may do better at once.
-	MinAdvice   = 20 * time.Millisecond
+	// MinAdvice is the shortest advice.
+	MinAdvice = 20 * time.Millisecond
+	// ShortAdvice is the longest advice where another proxy may do better at once.
 	ShortAdvice = 120 * time.Millisecond
-	// For StartingSpan after its start this node may still have to learn of the brokers. Then advice lies between
-	// MinStartingAdvice and MaxStartingAdvice.
-	StartingSpan      = 3 * time.Second
+	// StartingSpan is how long after its start this node may still have to learn of the brokers.
+	StartingSpan = 3 * time.Second
+	// MinStartingAdvice is the shortest advice in that span, where no broker is known.
 	MinStartingAdvice = 600 * time.Millisecond
+	// MaxStartingAdvice is the longest advice in that span, where no broker is known.
 	MaxStartingAdvice = time.Second
 
 	maxAdvice    = 1200 * time.Millisecond
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -16,11 +16,12 @@
 const (
 	// NewestFirstSpan is how long before the time of older weights ends brokers with the newest ones go first.
 	NewestFirstSpan = 3 * time.Second
-	// A request's first token is expected after the quantile firstTokenShare of latencies, times FirstTokenFactor,
-	// within these bounds.
+	// FirstTokenFactor is how many times the quantile firstTokenShare of latencies a first token is taken to need.
 	FirstTokenFactor = 1.5
-	MinFirstToken    = 800 * time.Millisecond
-	MaxFirstToken    = 3 * time.Second
+	// MinFirstToken is the least time that a first token is taken to need.
+	MinFirstToken = 800 * time.Millisecond
+	// MaxFirstToken is the most time that a first token is taken to need.
+	MaxFirstToken = 3 * time.Second
 
 	newestFirstShare = 2.0 / 3 // of the brokers must have the newest weights
 	firstTokenShare  = 0.9
--- a/internal/node/routing/counters.go
+++ b/internal/node/routing/counters.go
@@ -3,13 +3,13 @@
 // Counters tell what was decided since the start, for metrics.
 type Counters struct {
 	Requests     uint64
-	ByAffinity   uint64 // sent to the broker that keeps the prompt's parts, or should
-	ByPrediction uint64 // a broker was skipped because it was predicted slow
+	ByAffinity   uint64 // sent to the broker that caches the prompt's parts, or should
+	ByPrediction uint64 // a broker was passed over because it was predicted slow
 	ByLoad       uint64 // sent to the one with the fewest requests
 	AllSlow      uint64 // all were predicted slow, and the first took it
-	Fallback     uint64 // sent to a broker that was set aside, full or silent, as nothing better was left
-	Probes       uint64 // of brokers set aside
-	Ejections    uint64 // brokers, for what came back from them
+	Fallback     uint64 // sent to an ejected broker, as nothing better was left
+	Probes       uint64 // of ejected brokers
+	Ejections    uint64 // of brokers, by how their calls ended
 	Hedges       uint64
 	Retries      uint64
 	BudgetDenied uint64
@@ -20,16 +20,17 @@
 	Late         map[LateCause]uint64 // answers of model brokers
 }
 
-// PromptCounters count the shared tokens of prompts that were sent to model brokers, by where they were expected to come from.
+// PromptCounters count the shared tokens of prompts that were sent to model brokers, by where they were expected to come
+// from.
 type PromptCounters struct {
 	Shared     uint64 // in all
-	Cached     uint64 // kept by the chosen broker
+	Cached     uint64 // by the chosen broker
 	Arriving   uint64 // being read there for an earlier request
 	FromBroker uint64 // fetched from another broker
 	FromStore  uint64 // fetched from a store
 	FirstSeen  uint64 // to be read, not sent to any broker lately
 	Repeated   uint64 // to be read, though some broker was sent them lately
-	// BlindFetches counts fetches that were named though nobody was known to keep what is missing.
+	// BlindFetches counts fetches that were named though nobody was known to cache what is missing.
 	BlindFetches uint64
 }
 
--- a/internal/node/routing/guarded.go
+++ b/internal/node/routing/guarded.go
@@ -12,20 +12,20 @@
 type Guarded struct {
 	mutex  sync.Mutex
 	router *Router
-	// What other proxies are to be told is given to these; they must not wait.
+	// Both notify the other proxies and must not block; nil: nobody is notified.
 	notifySent func(*SentPrompt)
 	notifyStep func(*StepReport)
 }
 
 var _ Port = (*Guarded)(nil)
 
-// NewGuarded wraps a router, which must not be used directly any more. tell is called with each Attempt.Sent, tellStep with each
-// Decision.StepSeen; they must not wait. nil: nobody is told.
+// NewGuarded wraps a router, which must not be used directly any more. notifySent is called with each
+// Attempt.SentPrompt, notifyStep with each Decision.StepReport; they must not block. nil: nobody is notified.
 func NewGuarded(router *Router, notifySent func(*SentPrompt), notifyStep func(*StepReport)) *Guarded {
 	return &Guarded{router: router, notifySent: notifySent, notifyStep: notifyStep}
 }
 
-// notify passes a decision on, and tells what other proxies are to know of it.
+// notify passes a decision on, and notifies the other proxies of it.
 func (g *Guarded) notify(decision Decision) Decision {
 	if g.notifySent != nil && decision.Attempt != nil && decision.Attempt.SentPrompt != nil {
 		g.notifySent(decision.Attempt.SentPrompt)
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/hints.go
@@ -15,7 +15,7 @@
 	notifiedShare = 0.25 // share of the streams that the other proxies are notified of
 )
 
-// SentPrompt is what other proxies are told of an attempt at a model broker.
+// SentPrompt is what other proxies are notified of when an attempt goes to a model broker.
 type SentPrompt struct {
 	Instance string // instance id
 	Salt     uint64 // cachesalt.ID of Cache-Salt
@@ -25,7 +25,7 @@
 	PrefillTokens int
 }
 
-// StepReport is what other proxies are told of a stream that has ended.
+// StepReport is what other proxies are notified of when a stream has ended.
 type StepReport struct {
 	Instance      string    // instance id
 	EventInterval core.Time // between two events while the broker reads no other prompt
@@ -49,13 +49,13 @@
 
 // learnStep takes what a stream of this proxy showed of its broker, and returns what the other proxies are to be told;
 // nil: nothing. Which streams they are told of is chance, so that they don't learn only of what is unusual.
-func (r *Router) learnStep(req *request, c *brokerstate.Call, pauses EventGaps) *StepReport {
-	if req.ServedModel == "" || pauses.Count < minIntervals || pauses.Usual <= 0 || !r.ejector.Measurable(c) {
+func (r *Router) learnStep(req *request, c *brokerstate.Call, gaps EventGaps) *StepReport {
+	if req.ServedModel == "" || gaps.Count < minIntervals || gaps.Usual <= 0 || !r.ejector.Measurable(c) {
 		return nil
 	}
-	c.Broker.ObserveStep(units.Milliseconds(pauses.Usual))
+	c.Broker.ObserveStep(units.Milliseconds(gaps.Usual))
 	if r.options.Random.Float64() >= notifiedShare {
 		return nil
 	}
-	return &StepReport{Instance: c.Broker.Instance.ID, EventInterval: pauses.Usual}
+	return &StepReport{Instance: c.Broker.Instance.ID, EventInterval: gaps.Usual}
 }
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -17,8 +17,8 @@
 // The causes.
 const (
 	LateByAttempts    LateCause = "earlier attempts"         // time went by before it was sent to the broker that answered
-	LateByBacklog     LateCause = "waited for other prompts" // as was foreseen
-	LateByPrefill     LateCause = "its prompt was long"      // as was foreseen
+	LateByBacklog     LateCause = "waited for other prompts" // as expected at the send
+	LateByPrefill     LateCause = "its prompt was long"      // as expected at the send
 	LateUnexpected    LateCause = "first event unforeseen"   // the estimate at the send was in time
 	LateByLongPrefill LateCause = "pause: a long prompt was read"
 	LateByUnknownGap  LateCause = "pause: nothing known"
@@ -48,10 +48,11 @@
 // lateAnswers counts late answers and keeps the newest.
 type lateAnswers struct {
 	counts map[LateCause]uint64
-	newest []LateRequest // in a ring
+	newest []LateRequest // a ring
 	next   int
 }
 
+// add counts a late answer and keeps it in place of the oldest.
 func (l *lateAnswers) add(late LateRequest) {
 	if l.counts == nil {
 		l.counts = make(map[LateCause]uint64)
@@ -96,11 +97,11 @@
 	r.late.add(late)
 }
 
-// recordLateGap counts an answer with a pause that is longer than its route allows, unless its first event was late
-// already.
-func (r *Router) recordLateGap(now core.Time, req *request, c *brokerstate.Call, pauses EventGaps) {
+// recordLateGap counts an answer with a gap between events that is longer than its route allows, unless its first event
+// was late already.
+func (r *Router) recordLateGap(now core.Time, req *request, c *brokerstate.Call, gaps EventGaps) {
 	allowed := units.FromMilliseconds(req.Route.GapTargetMs)
-	if req.ServedModel == "" || allowed <= 0 || pauses.Max <= allowed || c.Late {
+	if req.ServedModel == "" || allowed <= 0 || gaps.Max <= allowed || c.Late {
 		return
 	}
 	largest := c.Broker.LongPrompts.Largest(c.SentAt-longPromptLead, now)
@@ -109,10 +110,11 @@
 		cause = LateByLongPrefill
 	}
 	late := describeLate(now, req, c, cause)
-	late.MaxGap, late.LongestOtherPrompt = pauses.Max, largest
+	late.MaxGap, late.LongestOtherPrompt = gaps.Max, largest
 	r.late.add(late)
 }
 
+// describeLate is a late answer with what was believed of its broker at the send.
 func describeLate(now core.Time, req *request, c *brokerstate.Call, cause LateCause) LateRequest {
 	return LateRequest{
 		DetectedAt: now, Route: req.Route.Name, Instance: c.Broker.Instance.ID, Cause: cause,
--- a/internal/node/routing/prefixcache/stores.go
+++ b/internal/node/routing/prefixcache/stores.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// MinLateFetches is how many answers in a row must come late with fetches from a store, before it is left alone
-	// for StoreBackoff.
+	// MinLateFetches is how many answers in a row must come late with fetches from a store before it is left alone.
 	MinLateFetches = 4
-	StoreBackoff   = 2 * time.Second
+	// StoreBackoff is how long such a store is left alone.
+	StoreBackoff = 2 * time.Second
 
 	storeLateBy = 200.0 // ms beyond the usual: a dead source costs some hundred
 )
