--- /dev/null
+++ b/internal/node/routing/admission/admission_test.go
@@ -0,0 +1,66 @@
+package admission
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/inflight"
+	"kestrelspread/internal/node/routing/mechanism"
+)
+
+// The least urgent give up first and leave the more of the retry budget.
+func TestUrgentRequestsTryLonger(t *testing.T) {
+	for urgency, want := range []struct {
+		refusals int
+		share    float64
+	}{{4, 1}, {3, 0.9}, {2, 0.8}, {2, 0.7}, {2, 0.7}} {
+		assert.Equal(t, MaxRefusals(urgency), want.refusals)
+		difference := RetryShare(urgency) - want.share
+		assert.Assert(t, difference > -1e-9 && difference < 1e-9, "urgency %d: %v", urgency, RetryShare(urgency))
+	}
+}
+
+// Advice lies within a third of the time left, and not before a broker may have capacity, as far as that allows.
+func TestAdviceIsWithinAThirdOfTheTimeLeft(t *testing.T) {
+	const now = 20 * time.Second
+	g := New(0, mechanism.NewSwitches(0), rand.New(rand.NewPCG(1, 2)))
+	for _, c := range []struct {
+		name        string
+		left        core.Time
+		reason      Reason
+		capacityAt  core.Time
+		least, most core.Time
+	}{
+		{"plenty of time", 9 * time.Second, Full, core.Never, MinAdvice, maxAdvice},
+		{"little time", 300 * time.Millisecond, Full, core.Never, MinAdvice, 100 * time.Millisecond},
+		{"no time", -time.Second, Deadline, core.Never, 0, 0},
+		{"capacity soon", 3 * time.Second, Full, now + 200*time.Millisecond, 200 * time.Millisecond, time.Second},
+		{"capacity late", 3 * time.Second, Full, now + 5*time.Second, 500 * time.Millisecond, time.Second},
+		{"another proxy may do better", 3 * time.Second, Unhealthy, core.Never, MinAdvice, ShortAdvice},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for range 100 {
+				req := &inflight.Request{ClientRequest: inflight.ClientRequest{Deadline: now + c.left}}
+				advice := g.Advice(now, req, c.reason, c.capacityAt)
+				assert.Assert(t, advice >= c.least && advice <= c.most, "%v", advice)
+			}
+		})
+	}
+}
+
+// Of the most urgent requests none is shed before half of the least urgent are.
+func TestMostUrgentAreShedLast(t *testing.T) {
+	for _, c := range []struct{ shed, most, least float64 }{{0, 0, 0}, {0.3, 0, 0.3}, {0.5, 0, 0.5}, {0.75, 0.5, 0.75}} {
+		o := NewOverload()
+		o.Received(time.Second, 0)
+		o.Received(time.Second, 2)
+		o.shed = c.shed
+		assert.Equal(t, o.Chance(0), c.most)
+		assert.Equal(t, o.Chance(1), c.least)
+		assert.Equal(t, o.Chance(2), c.least)
+	}
+}
--- /dev/null
+++ b/internal/node/routing/brokerstate/refusals_test.go
@@ -0,0 +1,51 @@
+package brokerstate
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/registry"
+)
+
+// The backoff doubles with refusals in a row, follows the broker's advice within bounds, and ends with an answer.
+func TestBackoffAfterRefusals(t *testing.T) {
+	const now = 20 * time.Second
+	newBroker := func() *Broker { return NewBroker(0, &registry.Instance{ID: "i00"}, false) }
+	for _, c := range []struct {
+		name       string
+		refusals   int
+		retryAfter core.Time
+		load       *Load
+		want       time.Duration
+	}{
+		{"one", 1, 0, nil, RefusalBackoff},
+		{"two in a row", 2, 0, nil, 2 * RefusalBackoff},
+		{"many in a row", 9, 0, nil, maxRefusalBackoff},
+		{"advice", 1, 600 * ms, nil, 600 * ms},
+		{"short advice", 1, ms, nil, RefusalBackoff / 2},
+		{"long advice", 1, time.Minute, nil, maxRefusalBackoff},
+		{"slots are free", 1, 0, &Load{Running: 3, Slots: 64}, RefusalBackoff / 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newBroker()
+			for range c.refusals {
+				b.Refused(now, c.retryAfter, c.load)
+			}
+			assert.Equal(t, b.BackoffUntil(), now+c.want)
+			assert.Assert(t, b.BacksOff(now+c.want-1, 1))
+			assert.Assert(t, !b.BacksOff(now+c.want, 1))
+			assert.Assert(t, !b.BacksOff(now+c.want/2, 0), "the most urgent try sooner")
+			b.Accepted(now)
+			assert.Assert(t, b.BacksOff(now+1, 1), "the answer to an earlier request says nothing")
+			b.Accepted(now + 1)
+			assert.Assert(t, !b.BacksOff(now+1, 1))
+		})
+	}
+	b := newBroker()
+	b.RefusedForRollout(now)
+	assert.Assert(t, b.BacksOff(now+RolloutBackoff-1, 0), "by the most urgent too")
+	assert.Assert(t, !b.BacksOff(now+RolloutBackoff, 0))
+}
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -2,16 +2,10 @@
 
 import (
 	"cmp"
-	"fmt"
-	"math"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
 
-	"gotest.tools/v3/assert"
-
-	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/prefixcache"
@@ -494,129 +488,3 @@
 		})
 	}
 }
-
-func lognormal(r *rand.Rand, mean, spread, most float64) int {
-	return int(min(mean*math.Exp(spread*r.NormFloat64()-spread*spread/2), most)) + 1
-}
-
-var (
-	verdictRoute = &config.Route{Name: "verdict", Kind: config.KindStreaming, TimeoutMs: 4000, TargetLatencyMs: 500, MaxAttempts: 1,
-		Sticky: true, Priority: 1}
-	letterRoute = &config.Route{Name: "letter", Kind: config.KindStreaming, TimeoutMs: 12000, TargetLatencyMs: 300, MaxAttempts: 2,
-		Sticky: true, Resumable: true}
-)
-
-// prompts makes the requests of two kinds: few long ones with much that is shared, and many short ones.
-func (s *engineSim) prompts() func() (Request, int) {
-	r := rand.New(rand.NewPCG(3, 4))
-	long := make([]int, 313)
-	for i := range long {
-		long[i] = lognormal(r, 3780, 0.7, 11300)
-	}
-	own := uint64(1 << 40)
-	return func() (Request, int) {
-		own++
-		if s.random.Float64() < 0.44 {
-			thing := int(313 * math.Pow(s.random.Float64(), 1.3))
-			parts := []prompt.Part{{ID: uint64(1 + thing%4), Tokens: 2520}, {ID: uint64(1000 + thing), Tokens: long[thing]},
-				{ID: own, Tokens: lognormal(s.random, 2890, 1, 39600)}}
-			return promptOf(verdictRoute, 1, parts), lognormal(s.random, 9, 1, 35)
-		}
-		thing := int(394 * math.Pow(s.random.Float64(), 1.3))
-		parts := []prompt.Part{{ID: uint64(10 + thing%8), Tokens: 119}, {ID: uint64(2000 + thing), Tokens: 79},
-			{ID: own, Tokens: lognormal(s.random, 628, 1, 3310)}}
-		return promptOf(letterRoute, 0, parts), lognormal(s.random, 49, 0.7, 159)
-	}
-}
-
-func promptOf(route *config.Route, urgency int, parts []prompt.Part) Request {
-	q := Request{Route: route, Service: service, Model: model, Urgency: urgency, Parts: parts}
-	for _, p := range parts {
-		q.TokensIn += p.Tokens
-	}
-	return q
-}
-
-// value is the share of what was owed that was earned: all for an answer in time, less after a refusal or for a late one.
-func (k *kindResult) value() float64 {
-	return (float64(k.inTime) + 0.65*float64(k.afterRefusal) + 0.3*float64(k.late)) / float64(max(k.owed, 1))
-}
-
-func (k *kindResult) served() float64 {
-	return float64(k.inTime+k.afterRefusal+k.late) / float64(max(k.owed, 1))
-}
-
-func (k *kindResult) quantile(share float64) float64 {
-	if len(k.ttfb) == 0 {
-		return 0
-	}
-	slices.Sort(k.ttfb)
-	return k.ttfb[int(share*float64(len(k.ttfb)-1))]
-}
-
-func (s *engineSim) summary() string {
-	text := ""
-	for _, name := range []string{"verdict", "letter"} {
-		k := s.kinds[name]
-		text += fmt.Sprintf("%s owed %d value %.3f served %.3f first tokens %.0f %.0f %.0f; ", name, k.owed, k.value(), k.served(),
-			k.quantile(0.5), k.quantile(0.95), k.quantile(0.99))
-	}
-	var c Counters
-	for _, r := range s.proxies {
-		one := r.Counters()
-		c.Hedges += one.Hedges
-		c.ByAffinity += one.ByAffinity
-		c.ByPrediction += one.ByPrediction
-		c.ByLoad += one.ByLoad
-		c.AllSlow += one.AllSlow
-	}
-	return text + fmt.Sprintf("read %dk again %dk moved %dk saved %dk, refused %d failed %d copies %d affinity %d prediction %d load %d slow %d",
-		s.readAll/1000, s.readAgain/1000, s.moved/1000, s.saved/1000, s.refused, s.failed, c.Hedges, c.ByAffinity, c.ByPrediction, c.ByLoad, c.AllSlow)
-}
-
-// At the usual load, and somewhat above it, prompts go where their parts are kept, few are read again, and nearly all is
-// answered in time.
-func TestPromptsAreReadOnce(t *testing.T) {
-	for _, c := range []struct {
-		load    float64 // of the usual
-		indexed bool
-		value   float64 // of what was owed, at least
-		again   float64 // of what was read, at most
-	}{
-		{0.6, false, 0.97, 0.15},
-		{1.1, false, 0.95, 0.25},
-		{0.6, true, 0.97, 0.05},
-		{1.1, true, 0.96, 0.10},
-		{1.6, true, 0.92, 0.15},
-	} {
-		t.Run(fmt.Sprintf("load %v indexed %v", c.load, c.indexed), func(t *testing.T) {
-			s := newEngineSim(t, 10, 18, c.indexed)
-			s.run(12 * time.Second)
-			s.generate(125*c.load, 42*time.Second, s.prompts())
-			s.run(57 * time.Second)
-			t.Log(s.summary())
-			for name, kind := range s.kinds {
-				assert.Assert(t, kind.value() >= c.value, "%s earned %.3f", name, kind.value())
-			}
-			assert.Assert(t, float64(s.readAgain) <= c.again*float64(s.readAll))
-			assert.Equal(t, s.refused+s.failed, 0)
-		})
-	}
-}
-
-// A store that goes down costs nobody its answer, and brokers that go down cost only what they were at.
-func TestPromptsWhileSourcesDie(t *testing.T) {
-	s := newEngineSim(t, 10, 18, true)
-	s.run(12 * time.Second)
-	s.generate(125, 42*time.Second, s.prompts())
-	s.run(20 * time.Second)
-	s.store.dead = true
-	s.run(25 * time.Second)
-	for _, id := range []string{"i03", "i11"} {
-		s.engines[id].dead = true
-	}
-	s.run(57 * time.Second)
-	t.Log(s.summary())
-	assert.Assert(t, s.kinds["letter"].served() > 0.995)
-	assert.Assert(t, s.kinds["verdict"].served() > 0.97)
-}
--- a/internal/node/routing/hedge_test.go
+++ b/internal/node/routing/hedge_test.go
@@ -10,7 +10,7 @@
 	"kestrelspread/internal/node/core"
 )
 
-// awaitHedge begins a request that gets no answer by the time at which a copy is due.
+// awaitHedge begins a request that gets no answer by the time at which it is hedged.
 func (w *world) awaitHedge(q Request) *Attempt {
 	w.t.Helper()
 	a := w.begin(q)
@@ -20,7 +20,7 @@
 	return a
 }
 
-// The design's copy: one, of what may be repeated, past pX of its class, within maxAttempts.
+// The design's hedged request: one, of idempotent requests, past pX of its class, within maxAttempts.
 func TestHedgeOfIdempotentRequests(t *testing.T) {
 	single := *safeRoute
 	single.MaxAttempts = 1
@@ -48,10 +48,10 @@
 			if !c.want {
 				return
 			}
-			assert.Assert(t, a.HedgeAt-from >= 17*ms && a.HedgeAt-from < 40*ms, "copied after %v", a.HedgeAt-from)
+			assert.Assert(t, a.HedgeAt-from >= 17*ms && a.HedgeAt-from < 40*ms, "hedged after %v", a.HedgeAt-from)
 			assert.Assert(t, d.Attempt.Instance != a.Instance)
 			assert.Equal(t, d.Attempt.HedgeAt, core.Never)
-			assert.Assert(t, w.Hedge(w.now+time.Second, a.Request) == Decision{}, "a second copy")
+			assert.Assert(t, w.Hedge(w.now+time.Second, a.Request) == Decision{}, "a second hedge")
 		})
 	}
 }
@@ -64,7 +64,7 @@
 	assert.Assert(t, w.Hedge(w.now, a.Request) == Decision{})
 }
 
-// Where all are slow, a copy takes from another request what it gives to its own; a hang is copied all the same.
+// Where all are slow, a hedged request takes from another what it gives to its own; a timeout is hedged all the same.
 func TestNoHedgeInACrowd(t *testing.T) {
 	w := newWorld(t, instances(4))
 	w.warm(safeRoute, 60, 10*ms)
