--- a/internal/node/routing/admission/admission.go
+++ b/internal/node/routing/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides which requests are turned away rather than sent: load shedding while a service is
-// overloaded, first tries that would be late and are postponed, requests whose deadline can't be met; and what a refused
-// client is advised to do.
+// Package admission decides which requests are turned away rather than sent: load shedding while a
+// service is overloaded, first tries that would be late and are postponed, requests whose deadline
+// can't be met; and what a refused client is advised to do.
 package admission
 
 import (
@@ -40,8 +40,8 @@
 	return &Gate{switches: switches, random: random, startedAt: now}
 }
 
-// MaxRefusals is how many brokers may turn a request away before it gives its place at one more to another request: the
-// least urgent give up first.
+// MaxRefusals is how many brokers may turn a request away before it gives its place at one more to
+// another request: the least urgent give up first.
 func MaxRefusals(urgency int) int { return max(maxRefusalsTopUrgency-urgency, minMaxRefusals) }
 
 // RetryShare is the part of the retry budget that requests of an urgency may use up.
@@ -49,8 +49,8 @@
 	return max(1-retryShareStep*float64(max(urgency, 0)), minRetryShare)
 }
 
-// Hopeless reports whether a request can't be answered in the time left: even the quickest of the recent answers took
-// longer, and requests wait at the broker.
+// Hopeless reports whether a request can't be answered in the time left: even the quickest of the
+// recent answers took longer, and requests wait at the broker.
 func (g *Gate) Hopeless(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
 	if load, recent := b.RecentReport(now, hopelessReportAge); !recent || load.Waiting == 0 {
 		return false
--- a/internal/node/routing/admission/admission_test.go
+++ b/internal/node/routing/admission/admission_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// Advice lies within a third of the time left, and not before a broker may have capacity, as far as that allows.
+// Advice lies within a third of the time left, and not before a broker may have capacity, as far as
+// that allows.
 func TestAdviceIsWithinAThirdOfTheTimeLeft(t *testing.T) {
 	const now = 20 * time.Second
 	g := New(0, mechanism.NewSwitches(0), rand.New(rand.NewPCG(1, 2)))
--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -34,9 +34,9 @@
 
 // Overload measures whether a service's answers are late, over all its routes.
 //
-// A service that is asked for more than it can do answers all too late, as each request waits behind others that are
-// late already. Then some are shed, the least urgent first, so that the rest is in time (RULES.md, "Worth" and
-// "Prices").
+// A service that is asked for more than it can do answers all too late, as each request waits
+// behind others that are late already. Then some are shed, the least urgent first, so that the rest
+// is in time (RULES.md, "Worth" and "Prices").
 type Overload struct {
 	ratios        *window.Hist // latency over target
 	shed          float64      // share of the least urgent requests to be refused
@@ -80,8 +80,8 @@
 // Shed is the share of the least urgent requests to be refused.
 func (o *Overload) Shed() float64 { return o.shed }
 
-// busy reports whether most brokers with a recent report have requests waiting, or half of their slots taken: else a
-// refusal would be one that isn't needed.
+// busy reports whether most brokers with a recent report have requests waiting, or half of their
+// slots taken: else a refusal would be one that isn't needed.
 func busy(now core.Time, p *brokerstate.Pool) bool {
 	reports, busy := 0, 0
 	for _, b := range p.Brokers {
@@ -97,7 +97,8 @@
 	return reports > 0 && float64(busy) >= busyShare*float64(reports)
 }
 
-// Chance is the share of requests of an urgency to be refused: of the most urgent none before half of the least are.
+// Chance is the share of requests of an urgency to be refused: of the most urgent none before half
+// of the least are.
 func (o *Overload) Chance(urgency int) float64 {
 	if o.shed == 0 {
 		return 0
--- a/internal/node/routing/admission/postpone.go
+++ b/internal/node/routing/admission/postpone.go
@@ -15,11 +15,13 @@
 	waitingShare  = 0.5 // of the brokers with a recent report must have requests waiting
 )
 
-// Postpones reports whether a client's first try is to be sent back, and after which time it should come again.
+// Postpones reports whether a client's first try is to be sent back, and after which time it should
+// come again.
 //
-// A request whose answer would begin too late, because of the backlog of every broker, earns more if it is refused at
-// once and served in time when it comes again (RULES.md, "Worth"), and the others wait less. So such first tries are
-// advised to come back when the brokers will have read their backlog. Who comes again is served, however late.
+// A request whose answer would begin too late, because of the backlog of every broker, earns more
+// if it is refused at once and served in time when it comes again (RULES.md, "Worth"), and the
+// others wait less. So such first tries are advised to come back when the brokers will have read
+// their backlog. Who comes again is served, however late.
 func (g *Gate) Postpones(now core.Time, req *inflight.Request, s *candidate.Set, chosen *candidate.Candidate) (after core.Time, ok bool) {
 	target := req.Route.TargetLatencyMs
 	if req.ServedModel == "" || !g.switches.On(mechanism.Postponing) || !req.FirstTry || target <= 0 || !req.Pool.PrefillPaceKnown() {
@@ -35,8 +37,8 @@
 	return after, after <= (req.Deadline-now)/adviceFactor
 }
 
-// requestsWait reports whether most candidates with a recent report have requests waiting: else a refusal would be one
-// while slots are free (RULES.md, "Prices").
+// requestsWait reports whether most candidates with a recent report have requests waiting: else a
+// refusal would be one while slots are free (RULES.md, "Prices").
 func requestsWait(now core.Time, s *candidate.Set) bool {
 	reports, waiting := 0, 0
 	for i := range s.Eligible {
--- a/internal/node/routing/admission/refusal.go
+++ b/internal/node/routing/admission/refusal.go
@@ -37,9 +37,9 @@
 	adviceFactor = 3 // clients follow advice of up to a third of the time they have left
 )
 
-// Advice is when a refused client should come again (Retry-After): within a third of the time it has left, spread by
-// chance so that those who were refused together don't come together. capacityAt is when a broker may have capacity;
-// core.Never: not known.
+// Advice is when a refused client should come again (Retry-After): within a third of the time it
+// has left, spread by chance so that those who were refused together don't come together.
+// capacityAt is when a broker may have capacity; core.Never: not known.
 func (g *Gate) Advice(now core.Time, req *inflight.Request, reason Reason, capacityAt core.Time) core.Time {
 	most := min(max(req.Deadline-now, 0)/adviceFactor, maxAdvice)
 	if reason == Unhealthy || reason == Attempts || reason == NoBroker {
--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -11,7 +11,8 @@
 	"kestrelspread/internal/node/routing/brokerstate"
 )
 
-// A request is refused only when every broker's places are taken, and is told to come back in a third of its time.
+// A request is refused only when every broker's places are taken, and is told to come back in a
+// third of its time.
 func TestRefusedWhenAllAreFull(t *testing.T) {
 	w := newWorld(t, instances(2))
 	turnAway := func() Decision {
@@ -61,7 +62,8 @@
 	assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
 }
 
-// An unsafe request isn't thrown after others that got no answer: it is promised not to have run, and may be served elsewhere.
+// An unsafe request isn't thrown after others that got no answer: it is promised not to have run,
+// and may be served elsewhere.
 func TestUnsafeRequestAndHangingBrokers(t *testing.T) {
 	w := newWorld(t, instances(1))
 	w.warm(safeRoute, 40, 10*ms)
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// A broker that has clearly more to read than the rest is passed over, and the prompt's parts are fetched from it.
+// A broker that has clearly more to read than the rest is passed over, and the prompt's parts are
+// fetched from it.
 func TestBusyBrokerIsPassedOver(t *testing.T) {
 	for _, c := range []struct {
 		waiting int // tokens
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -1,8 +1,9 @@
-// Package routing decides what becomes of a request: which broker gets it, when a hedged request or a retry goes out,
-// when it is refused. It is a state machine without I/O; package forward carries its decisions out.
+// Package routing decides what becomes of a request: which broker gets it, when a hedged request or
+// a retry goes out, when it is refused. It is a state machine without I/O; package forward carries
+// its decisions out.
 //
-// Router holds the requests and the brokers' state and wires the packages below, of which each imports only those
-// above it in this list, so that none calls back up:
+// Router holds the requests and the brokers' state and wires the packages below, of which each
+// imports only those above it in this list, so that none calls back up:
 //
 //	units, mechanism, cachesalt, modelversion, retrybudget, prompt   leaves
 //	brokerstate   brokers as this proxy sees them: latencies, backlog, health and ejection, prediction
@@ -49,7 +50,8 @@
 	FetchFrom     string // Kv-Fetch; empty: none
 	SaveTo        string // Kv-Save; empty: none
 	Priority      int    // the Priority header, 0 to 9
-	// SentPrompt is what the other proxies are to be notified of at once, by PeerSentPrompt; nil: nothing.
+	// SentPrompt is what the other proxies are to be notified of at once, by PeerSentPrompt; nil:
+	// nothing.
 	SentPrompt *SentPrompt
 	// HedgeAt is when to call Hedge if no answer has begun by then; core.Never: no hedged request.
 	HedgeAt core.Time
@@ -63,7 +65,8 @@
 	Reason     RefusalReason
 }
 
-// Decision is one of: an attempt to make, a refusal, or neither (nothing to do; the caller answers by what it has).
+// Decision is one of: an attempt to make, a refusal, or neither (nothing to do; the caller answers
+// by what it has).
 type Decision struct {
 	Attempt *Attempt
 	Refusal *Refusal
@@ -74,7 +77,8 @@
 // Outcome is how an attempt ended.
 type Outcome struct {
 	Verdict verdict.Verdict
-	// Answered: a complete answer or stream of the broker's own came (of whatever status) and went to the client.
+	// Answered: a complete answer or stream of the broker's own came (of whatever status) and went
+	// to the client.
 	Answered bool
 	Status   int // 0: none came
 	// NotExecuted: refused with X-Kestrelspread-Not-Executed.
@@ -105,12 +109,13 @@
 type Port interface {
 	// Begin takes a request: an attempt or a refusal follows at once. Nothing is queued.
 	Begin(now core.Time, request Request) (RequestID, Decision)
-	// Hedge is called at Attempt.HedgeAt if no byte of an answer has come; it may decide on a hedged request.
+	// Hedge is called at Attempt.HedgeAt if no byte of an answer has come; it may decide on a
+	// hedged request.
 	Hedge(now core.Time, request RequestID) Decision
 	// Started reports the head of an answer (for streams: the first event) of an attempt.
 	Started(now core.Time, request RequestID, attempt int, load *Load)
-	// Finished reports the end of an attempt and may decide on another. resumable: the stream had begun and may be taken
-	// up again elsewhere with Last-Event-Id.
+	// Finished reports the end of an attempt and may decide on another. resumable: the stream had
+	// begun and may be taken up again elsewhere with Last-Event-Id.
 	Finished(now core.Time, request RequestID, attempt int, outcome Outcome, resumable bool) Decision
 	// End forgets a request, once its final answer is out or its client has gone.
 	End(now core.Time, request RequestID)
--- a/internal/node/routing/brokerstate/backlog.go
+++ b/internal/node/routing/brokerstate/backlog.go
@@ -5,16 +5,16 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// minToRead is what an own call that waits for its first token is taken to lack, tokens, however long ago it should
-// have had it.
+// minToRead is what an own call that waits for its first token is taken to lack, tokens, however
+// long ago it should have had it.
 const minToRead = 64
 
 // backlog estimates how many prompt tokens a model broker reads before a new request's turn.
 //
-// Brokers read prompts one after the other, so it is a queue: what is sent adds to its end, and time takes from its
-// front. Own calls that still wait for their first token hold the front back, and one that has its first token shows
-// that everything before it was read. Offsets count tokens since the broker is known. Invariant: the front never goes
-// back and never passes the end.
+// Brokers read prompts one after the other, so it is a queue: what is sent adds to its end, and
+// time takes from its front. Own calls that still wait for their first token hold the front back,
+// and one that has its first token shows that everything before it was read. Offsets count tokens
+// since the broker is known. Invariant: the front never goes back and never passes the end.
 type backlog struct {
 	end     float64
 	front   float64 // at frontAt
@@ -28,7 +28,8 @@
 	return q.end
 }
 
-// advance moves the front by what can have been read since, but not past the oldest own call that waits.
+// advance moves the front by what can have been read since, but not past the oldest own call that
+// waits.
 func (q *backlog) advance(now core.Time, perMillisecond float64, oldest *Call) {
 	front := q.front + perMillisecond*units.Milliseconds(now-q.frontAt)
 	if oldest != nil {
@@ -44,5 +45,6 @@
 // tokens is how much is left to read.
 func (q *backlog) tokens() float64 { return q.end - q.front }
 
-// PrefillPassed takes in that a call has its first token, so its prompt and everything before it was read.
+// PrefillPassed takes in that a call has its first token, so its prompt and everything before it
+// was read.
 func (b *Broker) PrefillPassed(c *Call) { b.backlog.passed(c.BacklogEnd) }
--- a/internal/node/routing/brokerstate/backlog_test.go
+++ b/internal/node/routing/brokerstate/backlog_test.go
@@ -24,8 +24,8 @@
 	assert.Equal(t, q.tokens(), 700.0)
 }
 
-// An own request without its first token shows that the broker is slower than thought; one that has it, that all before it
-// was read.
+// An own request without its first token shows that the broker is slower than thought; one that has
+// it, that all before it was read.
 func TestBacklogByOwnRequests(t *testing.T) {
 	const perMillisecond = 50
 	var q backlog
--- a/internal/node/routing/brokerstate/broker.go
+++ b/internal/node/routing/brokerstate/broker.go
@@ -9,11 +9,12 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// newFor is how long a broker counts as newly joined: others may still cache the parts of its prompts.
+// newFor is how long a broker counts as newly joined: others may still cache the parts of its
+// prompts.
 const newFor = 20 * time.Second
 
-// Broker is what this proxy knows of one instance. Every proxy learns for itself; only what Pool.Enqueue and
-// Broker.ObserveStep take in may come from other proxies.
+// Broker is what this proxy knows of one instance. Every proxy learns for itself; only what
+// Pool.Enqueue and Broker.ObserveStep take in may come from other proxies.
 type Broker struct {
 	// Instance is the registry's entry. It is replaced by Update.
 	Instance *registry.Instance
@@ -43,8 +44,8 @@
 	LongPrompts LongPrompts
 }
 
-// NewBroker makes the state of an instance that nothing is known of yet. joined: it came after the first table of
-// brokers, so it is new in the fleet and not only to this proxy.
+// NewBroker makes the state of an instance that nothing is known of yet. joined: it came after the
+// first table of brokers, so it is new in the fleet and not only to this proxy.
 func NewBroker(now core.Time, instance *registry.Instance, joined bool) *Broker {
 	b := &Broker{
 		Instance:     instance,
@@ -58,7 +59,8 @@
 	return b
 }
 
-// Update takes a newer entry of the instance: other weights end the doubt that a 421 or a refusal for a rollout left.
+// Update takes a newer entry of the instance: other weights end the doubt that a 421 or a refusal
+// for a rollout left.
 func (b *Broker) Update(now core.Time, instance *registry.Instance) {
 	for model, version := range instance.Versions {
 		if b.Instance.Versions[model] != version {
@@ -72,7 +74,8 @@
 	b.Instance = instance
 }
 
-// New reports whether the broker has joined lately, so that others may still cache the parts it owns.
+// New reports whether the broker has joined lately, so that others may still cache the parts it
+// owns.
 func (b *Broker) New(now core.Time) bool { return now < b.newUntil }
 
 // InFlight is the number of this proxy's calls that are out there.
--- a/internal/node/routing/brokerstate/call.go
+++ b/internal/node/routing/brokerstate/call.go
@@ -10,8 +10,8 @@
 // minLatency keeps measured latencies above 0, which stands for none; ms.
 const minLatency = 0.1
 
-// Call is one attempt of a request as its broker's state sees it, from the send to the end. The fields up to
-// PredictedFast are set at the send and don't change.
+// Call is one attempt of a request as its broker's state sees it, from the send to the end. The
+// fields up to PredictedFast are set at the send and don't change.
 type Call struct {
 	Number int // of the attempt within its request, from 0
 	Broker *Broker
@@ -26,8 +26,8 @@
 	PrefillTokens int
 	// BacklogEnd is where its prompt ends in the broker's prefill backlog.
 	BacklogEnd float64
-	// BacklogAhead is how many tokens the broker reads before the first token of the answer, those of the prompt
-	// included.
+	// BacklogAhead is how many tokens the broker reads before the first token of the answer, those
+	// of the prompt included.
 	BacklogAhead float64
 	// Scale is the expected latency against the usual one of the pool.
 	Scale float64
--- a/internal/node/routing/brokerstate/ejector.go
+++ b/internal/node/routing/brokerstate/ejector.go
@@ -46,17 +46,18 @@
 	ejections uint64
 }
 
-// NewEjector makes an ejector. heartbeat is how often brokers report to the registry; proxies is how many proxies
-// probe the same brokers.
+// NewEjector makes an ejector. heartbeat is how often brokers report to the registry; proxies is
+// how many proxies probe the same brokers.
 func NewEjector(switches mechanism.Switches, random *rand.Rand, heartbeat time.Duration, proxies *retrybudget.ProxyCount) *Ejector {
 	return &Ejector{switches: switches, random: random, heartbeat: heartbeat, proxies: proxies}
 }
 
-// Resumed takes in that this process stood still until now: what it didn't receive meanwhile is no timeout of brokers,
-// and latencies that span it mean nothing.
+// Resumed takes in that this process stood still until now: what it didn't receive meanwhile is no
+// timeout of brokers, and latencies that span it mean nothing.
 func (e *Ejector) Resumed(now core.Time) { e.resumedAt = now }
 
-// Measurable reports whether the time since a call's send is one that its broker took, not this process.
+// Measurable reports whether the time since a call's send is one that its broker took, not this
+// process.
 func (e *Ejector) Measurable(c *Call) bool { return c.SentAt >= e.resumedAt }
 
 // Ejections is how many brokers were ejected since the start.
@@ -83,7 +84,8 @@
 	return othersAnswer || waited > aloneTimeoutMore*timeout
 }
 
-// timeout is how long nothing may come from a broker with a call out, scaled ms, before it counts as unresponsive.
+// timeout is how long nothing may come from a broker with a call out, scaled ms, before it counts
+// as unresponsive.
 func (p *Pool) timeout(now core.Time, b *Broker) float64 {
 	if p.answers < predict.LineFew {
 		return unknownTimeout
@@ -112,8 +114,8 @@
 	}
 }
 
-// CallCanceled takes in that this proxy or its client ended a call. If it was a probe, it says little of the broker,
-// and another follows.
+// CallCanceled takes in that this proxy or its client ended a call. If it was a probe, it says
+// little of the broker, and another follows.
 func (e *Ejector) CallCanceled(now core.Time, c *Call) {
 	if h := &c.Broker.Health; h.probe == c {
 		h.probe = nil
--- a/internal/node/routing/brokerstate/fetches.go
+++ b/internal/node/routing/brokerstate/fetches.go
@@ -12,8 +12,8 @@
 	slowFetchShare = 0.5   // of the fetches: with more slow ones, the broker is asked for none
 )
 
-// Fetches counts the answers of a broker that had cached prompt parts to fetch, and the slow ones among them: a link
-// may become so slow that reading the parts again is quicker.
+// Fetches counts the answers of a broker that had cached prompt parts to fetch, and the slow ones
+// among them: a link may become so slow that reading the parts again is quicker.
 type Fetches struct{ all, slow *window.Counts }
 
 func (f *Fetches) observe(now core.Time, slow bool) {
--- a/internal/node/routing/brokerstate/health.go
+++ b/internal/node/routing/brokerstate/health.go
@@ -26,8 +26,8 @@
 	Failing                     // it fails too many requests, and quickly perhaps
 )
 
-// Health is what this proxy makes of a broker by its answers, never by the registry alone. An ejected broker gets no
-// requests but single probes, each after a longer backoff.
+// Health is what this proxy makes of a broker by its answers, never by the registry alone. An
+// ejected broker gets no requests but single probes, each after a longer backoff.
 type Health struct {
 	reason       EjectionReason
 	probeAt      core.Time // when the next probe is due
@@ -47,7 +47,8 @@
 // Reason is why the broker was ejected.
 func (h *Health) Reason() EjectionReason { return h.reason }
 
-// Misdirected reports whether the broker has lately said that requests were for another instance or version.
+// Misdirected reports whether the broker has lately said that requests were for another instance or
+// version.
 func (h *Health) Misdirected(now core.Time) bool { return now < h.misdirectedUntil }
 
 // AnsweredAfter reports whether the broker has answered after a time.
--- a/internal/node/routing/brokerstate/latencies.go
+++ b/internal/node/routing/brokerstate/latencies.go
@@ -9,8 +9,8 @@
 	"kestrelspread/internal/window"
 )
 
-// Histograms of latencies: times are resolved to a tenth of the window, values to a seventh, which keeps a broker's
-// memory small.
+// Histograms of latencies: times are resolved to a tenth of the window, values to a seventh, which
+// keeps a broker's memory small.
 const (
 	latencyBuckets = 10
 	latencyLow     = 1.0 // ms
@@ -39,8 +39,8 @@
 	smoothedAt core.Time
 }
 
-// sample is a latency, when it was measured, when its request was sent, and the load then. A latency of 0 stands for
-// none.
+// sample is a latency, when it was measured, when its request was sent, and the load then. A
+// latency of 0 stands for none.
 type sample struct {
 	latency float64
 	at      core.Time
@@ -61,7 +61,8 @@
 	b.smoothLatency(now, c.Latency)
 }
 
-// UnlearnLatency takes back the latency of a call that turned out a failure: quick errors must not read as fast.
+// UnlearnLatency takes back the latency of a call that turned out a failure: quick errors must not
+// read as fast.
 func (b *Broker) UnlearnLatency(c *Call) {
 	if c.learnt && b.latencies.history[0].sentAt == c.SentAt {
 		b.latencies.history[0].latency = 0
@@ -78,16 +79,17 @@
 	l.smoothedAt = now
 }
 
-// ObserveUnanswered takes in that a call ended without an answer: had it gone on, it would have taken longer still,
-// so its age counts where it is more than was expected. median is that of the pool, ms.
+// ObserveUnanswered takes in that a call ended without an answer: had it gone on, it would have
+// taken longer still, so its age counts where it is more than was expected. median is that of the
+// pool, ms.
 func (b *Broker) ObserveUnanswered(now core.Time, c *Call, median float64) {
 	if age := c.Age(now); age > b.ExpectedLatency(now, median) {
 		b.smoothLatency(now, age)
 	}
 }
 
-// ExpectedLatency is what an answer of the usual work would take here, ms. median is that of the pool, to which a
-// broker without recent answers fades.
+// ExpectedLatency is what an answer of the usual work would take here, ms. median is that of the
+// pool, to which a broker without recent answers fades.
 func (b *Broker) ExpectedLatency(now core.Time, median float64) float64 {
 	l := &b.latencies
 	expected := median
@@ -101,8 +103,8 @@
 	return expected
 }
 
-// longestWait is the scaled age, ms, of the call that has waited longest for its answer to begin, and the load at its
-// send; 0 where none waits.
+// longestWait is the scaled age, ms, of the call that has waited longest for its answer to begin,
+// and the load at its send; 0 where none waits.
 func (b *Broker) longestWait(now core.Time) (age, load float64) {
 	if len(b.awaiting) == 0 {
 		return 0, 0
--- a/internal/node/routing/brokerstate/load.go
+++ b/internal/node/routing/brokerstate/load.go
@@ -9,8 +9,8 @@
 // reportFade is the time, ms, over which an expired report fades to the average.
 const reportFade = 3000.0
 
-// Load is what a broker reports of itself in X-Kestrelspread-Server-Load: requests that run there, requests that
-// wait for a slot, and slots in all.
+// Load is what a broker reports of itself in X-Kestrelspread-Server-Load: requests that run there,
+// requests that wait for a slot, and slots in all.
 type Load struct{ Running, Waiting, Slots int }
 
 // loadReport is a broker's last report, with this proxy's own requests there at that time.
@@ -40,8 +40,8 @@
 	return b.report.load, true
 }
 
-// EstimatedLoad is the last reported number of requests, corrected by what this proxy sent and finished since, and
-// how far it can be trusted: 1 while the report is fresh, fading to 0.
+// EstimatedLoad is the last reported number of requests, corrected by what this proxy sent and
+// finished since, and how far it can be trusted: 1 while the report is fresh, fading to 0.
 func (b *Broker) EstimatedLoad(now core.Time) (load, trust float64) {
 	if !b.report.known {
 		return 0, 0
--- a/internal/node/routing/brokerstate/longprompts.go
+++ b/internal/node/routing/brokerstate/longprompts.go
@@ -11,9 +11,9 @@
 
 // LongPrompts are the latest long prompts that a broker was sent.
 //
-// While a broker reads a long prompt, the streams that run there pause: a decode step that carries a chunk of a prefill
-// takes many times as long as one that doesn't, and an event spans several steps. So a pause that is too long can be
-// told from one without a known cause.
+// While a broker reads a long prompt, the streams that run there pause: a decode step that carries
+// a chunk of a prefill takes many times as long as one that doesn't, and an event spans several
+// steps. So a pause that is too long can be told from one without a known cause.
 type LongPrompts struct {
 	prompts [longPromptsKept]longPrompt // a ring
 	next    int
@@ -33,7 +33,8 @@
 	l.next = (l.next + 1) % longPromptsKept
 }
 
-// Largest is the size, tokens, of the largest one that was sent in a span of time; 0 where none was.
+// Largest is the size, tokens, of the largest one that was sent in a span of time; 0 where none
+// was.
 func (l *LongPrompts) Largest(from, to core.Time) int {
 	largest := 0
 	for i := range l.prompts {
--- a/internal/node/routing/brokerstate/pool.go
+++ b/internal/node/routing/brokerstate/pool.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// LoadingTrusted is how long a mark that a broker loads new weights is believed where brokers are scarce: longer
-	// than a broker usually takes to load.
+	// LoadingTrusted is how long a mark that a broker loads new weights is believed where brokers
+	// are scarce: longer than a broker usually takes to load.
 	LoadingTrusted = 5 * time.Second
 
 	scarceShare     = 0.6 // of the brokers that don't drain: with fewer free of the mark, they are scarce
@@ -80,8 +80,8 @@
 // Crowded reports whether the service as a whole is slower than it can be.
 func (p *Pool) Crowded() bool { return predict.Crowded(p.median, p.lowestMedian) }
 
-// manyLoading reports whether fewer brokers than the rest can do without are free of the mark that they load new
-// weights.
+// manyLoading reports whether fewer brokers than the rest can do without are free of the mark that
+// they load new weights.
 func (p *Pool) manyLoading() bool {
 	ready, free := 0, 0
 	for _, b := range p.Brokers {
@@ -96,9 +96,9 @@
 	return float64(free) < scarceShare*float64(ready)
 }
 
-// Usable reports whether new requests may be sent to a broker. A mark that it loads new weights may have been left
-// behind by a lost lease holder: where brokers are scarce it is believed for a while only, as a broker that does load
-// refuses requests by itself.
+// Usable reports whether new requests may be sent to a broker. A mark that it loads new weights may
+// have been left behind by a lost lease holder: where brokers are scarce it is believed for a while
+// only, as a broker that does load refuses requests by itself.
 func (p *Pool) Usable(now core.Time, b *Broker) bool {
 	if b.Instance.State != registry.Ready {
 		return false
@@ -106,8 +106,8 @@
 	return !p.switches.On(mechanism.LoadingMarks) || !b.Instance.Loading || p.scarce && now >= b.loadingSince+LoadingTrusted
 }
 
-// Learn takes a call's latency into all measures, once it is known to be one that was worked for. It must be called
-// once a call.
+// Learn takes a call's latency into all measures, once it is known to be one that was worked for.
+// It must be called once a call.
 func (p *Pool) Learn(now core.Time, c *Call) {
 	c.learnt = true
 	b := c.Broker
--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -18,13 +18,13 @@
 	Slow     bool
 }
 
-// Predict tells whether a request that is sent to the broker now would be answered late (LinnOS's predictor). load is
-// the broker's, average that of the brokers in question.
+// Predict tells whether a request that is sent to the broker now would be answered late (LinnOS's
+// predictor). load is the broker's, average that of the brokers in question.
 func (p *Pool) Predict(now core.Time, b *Broker, load, average float64) Prediction {
 	features := p.features(now, b, load, average)
 	slow := p.switches.On(mechanism.Prediction) && p.predictsSlow(&features)
-	// In a crowd all are slow, and who looks fast is who got no requests: only who is far slower than the rest is
-	// passed over.
+	// In a crowd all are slow, and who looks fast is who got no requests: only who is far slower
+	// than the rest is passed over.
 	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < crowdSlowness*p.median {
 		slow = false
 	}
@@ -40,7 +40,8 @@
 func (p *Pool) features(now core.Time, b *Broker, load, average float64) predict.Vector {
 	line := p.SlowLine(now, b)
 	features := predict.NewFeatures(line, average, load)
-	// A timeout must not read as fast: a call that is out for longer than the line stands for the latest latency.
+	// A timeout must not read as fast: a call that is out for longer than the line stands for the
+	// latest latency.
 	if age, loadThen := b.longestWait(now); age > line {
 		features.Add(age, loadThen)
 	}
@@ -87,8 +88,8 @@
 	}
 }
 
-// HedgeQuantile is the quantile of latencies after which a call is hedged: the design's pX, lower where many
-// predictions of fast answers were wrong.
+// HedgeQuantile is the quantile of latencies after which a call is hedged: the design's pX, lower
+// where many predictions of fast answers were wrong.
 func (p *Pool) HedgeQuantile(now core.Time) float64 {
 	return p.submits.CopyShare(units.Milliseconds(now))
 }
--- a/internal/node/routing/brokerstate/prefill.go
+++ b/internal/node/routing/brokerstate/prefill.go
@@ -25,7 +25,8 @@
 	ReadyAt core.Time // when it is to have been read
 }
 
-// Enqueue takes in that a broker was sent a prompt, by this proxy or another, of which it has to read so many tokens.
+// Enqueue takes in that a broker was sent a prompt, by this proxy or another, of which it has to
+// read so many tokens.
 func (p *Pool) Enqueue(now core.Time, b *Broker, tokens int) Enqueued {
 	perToken := p.PrefillPerToken(b)
 	b.LongPrompts.record(now, tokens)
--- a/internal/node/routing/brokerstate/prefillpace.go
+++ b/internal/node/routing/brokerstate/prefillpace.go
@@ -1,8 +1,8 @@
 package brokerstate
 
-// prefillPace learns how long the brokers of a service take for each prompt token: the slope of a weighted linear
-// regression of latency over the tokens read before each first token. Older answers fade. An assumed slope stands for
-// some answers, until there are more.
+// prefillPace learns how long the brokers of a service take for each prompt token: the slope of a
+// weighted linear regression of latency over the tokens read before each first token. Older answers
+// fade. An assumed slope stands for some answers, until there are more.
 type prefillPace struct {
 	// weighted sums over the answers
 	weight, tokens, latency, tokensSquared, tokensLatency float64
@@ -19,7 +19,8 @@
 	maxPace        = 0.5
 )
 
-// learn takes an answer in: the tokens that were read before its first one, its own included, and the latency, ms.
+// learn takes an answer in: the tokens that were read before its first one, its own included, and
+// the latency, ms.
 func (p *prefillPace) learn(tokens, latency float64) {
 	p.weight = paceFade*p.weight + 1
 	p.tokens = paceFade*p.tokens + tokens
@@ -32,7 +33,8 @@
 // known reports whether enough was learnt.
 func (p *prefillPace) known() bool { return p.weight >= minPaceAnswers }
 
-// perToken is the slope, ms a token. It is asked for each broker at each choice, so it is computed once an answer.
+// perToken is the slope, ms a token. It is asked for each broker at each choice, so it is computed
+// once an answer.
 func (p *prefillPace) perToken() float64 {
 	if p.slope == 0 {
 		p.slope = p.computeSlope()
--- a/internal/node/routing/brokerstate/refusals.go
+++ b/internal/node/routing/brokerstate/refusals.go
@@ -27,8 +27,8 @@
 	rolloutUntil core.Time
 }
 
-// Refused takes in that a broker had no capacity, as it said. retryAfter is the advice it gave (0: none), load its
-// report (nil: none).
+// Refused takes in that a broker had no capacity, as it said. retryAfter is the advice it gave (0:
+// none), load its report (nil: none).
 func (b *Broker) Refused(now, retryAfter core.Time, load *Load) {
 	r := &b.refusals
 	backoff := min(RefusalBackoff<<min(r.inRow, maxRefusalDoubling), maxRefusalBackoff)
@@ -42,10 +42,12 @@
 	r.refusedAt, r.backoffUntil = now, now+backoff
 }
 
-// RefusedForRollout takes in that a broker refused a request as new weights are being brought to it.
+// RefusedForRollout takes in that a broker refused a request as new weights are being brought to
+// it.
 func (b *Broker) RefusedForRollout(now core.Time) { b.refusals.rolloutUntil = now + RolloutBackoff }
 
-// Accepted takes in that the broker answers a request that was sent at a time: refusals before that no longer count.
+// Accepted takes in that the broker answers a request that was sent at a time: refusals before that
+// no longer count.
 func (b *Broker) Accepted(sentAt core.Time) {
 	r := &b.refusals
 	if sentAt > r.refusedAt {
@@ -56,8 +58,8 @@
 	}
 }
 
-// BacksOff reports whether a request of an urgency (0: most urgent) should leave the broker alone, as it refused
-// lately.
+// BacksOff reports whether a request of an urgency (0: most urgent) should leave the broker alone,
+// as it refused lately.
 func (b *Broker) BacksOff(now core.Time, urgency int) bool {
 	r := &b.refusals
 	if now < r.rolloutUntil {
--- a/internal/node/routing/brokerstate/refusals_test.go
+++ b/internal/node/routing/brokerstate/refusals_test.go
@@ -10,7 +10,8 @@
 	"kestrelspread/internal/node/registry"
 )
 
-// The backoff doubles with refusals in a row, follows the broker's advice within bounds, and ends with an answer.
+// The backoff doubles with refusals in a row, follows the broker's advice within bounds, and ends
+// with an answer.
 func TestBackoffAfterRefusals(t *testing.T) {
 	const now = 20 * time.Second
 	newBroker := func() *Broker { return NewBroker(0, &registry.Instance{ID: "i00"}, false) }
--- a/internal/node/routing/brokerstate/steppace.go
+++ b/internal/node/routing/brokerstate/steppace.go
@@ -2,11 +2,13 @@
 
 import "slices"
 
-// Brokers of a service differ in speed. The time of a broker's decode steps shows in the intervals between the events of
-// its streams, the shorter ones of which contain no chunk of another prompt. One stream shows enough, so proxies notify
-// one another; prompts are read slower there in the same proportion.
+// Brokers of a service differ in speed. The time of a broker's decode steps shows in the intervals
+// between the events of its streams, the shorter ones of which contain no chunk of another prompt.
+// One stream shows enough, so proxies notify one another; prompts are read slower there in the same
+// proportion.
 const (
-	// MinStepStreams is how many streams must have been observed before a broker's step time counts.
+	// MinStepStreams is how many streams must have been observed before a broker's step time
+	// counts.
 	MinStepStreams = 4
 
 	shorterStepWeight = 0.2  // weight of the newest stream in the step time, if it shows a shorter one
@@ -18,8 +20,8 @@
 	maxSlowness       = 3.0
 )
 
-// ObserveStep takes in the step time, ms, that a stream showed. Beyond the first streams, a single one moves the
-// average little: it may have met prefills all along.
+// ObserveStep takes in the step time, ms, that a stream showed. Beyond the first streams, a single
+// one moves the average little: it may have met prefills all along.
 func (b *Broker) ObserveStep(stepTime float64) {
 	b.steps++
 	if b.steps <= MinStepStreams {
--- a/internal/node/routing/cachesalt/cachesalt.go
+++ b/internal/node/routing/cachesalt/cachesalt.go
@@ -1,8 +1,9 @@
-// Package cachesalt makes the salts that keep apart what prefix caches must not share (RULES.md, STALE and WALL).
+// Package cachesalt makes the salts that keep apart what prefix caches must not share (RULES.md,
+// STALE and WALL).
 //
-// A broker finds cached parts of prompts only under the very salt under which they were computed. A salt names
-// the model and the version of its weights and, for an isolated tenant, the tenant too. Invariant: different
-// triples of model, version and tenant have different texts.
+// A broker finds cached parts of prompts only under the very salt under which they were computed. A
+// salt names the model and the version of its weights and, for an isolated tenant, the tenant too.
+// Invariant: different triples of model, version and tenant have different texts.
 package cachesalt
 
 import (
@@ -13,7 +14,8 @@
 // separator stands between the fields of a salt; no escaped name holds it.
 const separator = '|'
 
-// Text is the value of the Cache-Salt header. tenant is empty unless the request's tenant is isolated.
+// Text is the value of the Cache-Salt header. tenant is empty unless the request's tenant is
+// isolated.
 func Text(model string, version uint64, tenant string) string {
 	var text strings.Builder
 	text.Grow(len(model) + len(tenant) + 12)
@@ -27,7 +29,8 @@
 	return text.String()
 }
 
-// writeEscaped writes a name in such a way that different names have different texts and none holds the separator.
+// writeEscaped writes a name in such a way that different names have different texts and none holds
+// the separator.
 func writeEscaped(text *strings.Builder, name string) {
 	const hex = "0123456789abcdef"
 	for i := range len(name) {
--- a/internal/node/routing/cachesalt/cachesalt_test.go
+++ b/internal/node/routing/cachesalt/cachesalt_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// While an older configuration may be in force somewhere, a tenant that was isolated shares nothing here either.
+// While an older configuration may be in force somewhere, a tenant that was isolated shares nothing
+// here either.
 func TestWallOutlivesItsConfiguration(t *testing.T) {
 	var w IsolatedTenants
 	was := &config.Tenant{Name: "c", Isolated: true}
--- a/internal/node/routing/cachesalt/tenants.go
+++ b/internal/node/routing/cachesalt/tenants.go
@@ -2,9 +2,9 @@
 
 import "kestrelspread/internal/node/config"
 
-// IsolatedTenants remembers which tenants were ever isolated. While a configuration that isolates a tenant may
-// still be in force at another proxy, its requests must not share cached prefixes with others, so a tenant stays
-// isolated here for the life of the process.
+// IsolatedTenants remembers which tenants were ever isolated. While a configuration that isolates a
+// tenant may still be in force at another proxy, its requests must not share cached prefixes with
+// others, so a tenant stays isolated here for the life of the process.
 type IsolatedTenants struct {
 	names map[string]bool
 }
@@ -25,8 +25,8 @@
 	t.names[tenant] = true
 }
 
-// BoundaryOf is the tenant that the salt of a request must name: its own if that is or ever was isolated, else
-// empty, which stands for the prefixes that all other tenants share.
+// BoundaryOf is the tenant that the salt of a request must name: its own if that is or ever was
+// isolated, else empty, which stands for the prefixes that all other tenants share.
 func (t *IsolatedTenants) BoundaryOf(tenant *config.Tenant) string {
 	if tenant == nil || !tenant.Isolated && !t.names[tenant.Name] {
 		return ""
--- a/internal/node/routing/candidate/candidate.go
+++ b/internal/node/routing/candidate/candidate.go
@@ -1,6 +1,7 @@
-// Package candidate finds the brokers that a request may go to: those that the rules permit (lifecycle, versions of
-// weights), that haven't had the request yet, that don't back off after a refusal, and that aren't ejected. Which of
-// them gets the request is for package placement to choose.
+// Package candidate finds the brokers that a request may go to: those that the rules permit
+// (lifecycle, versions of weights), that haven't had the request yet, that don't back off after a
+// refusal, and that aren't ejected. Which of them gets the request is for package placement to
+// choose.
 package candidate
 
 import (
@@ -13,8 +14,8 @@
 // warmUpFactor is what each request counts at a broker that is in slow start.
 const warmUpFactor = 2.0
 
-// Candidate is a broker that a request may go to. Package candidate fills in what stands first, prefixcache the
-// coverage, placement the rest.
+// Candidate is a broker that a request may go to. Package candidate fills in what stands first,
+// prefixcache the coverage, placement the rest.
 type Candidate struct {
 	Broker  *brokerstate.Broker
 	Version uint64  // of the model's weights there; 0: the service runs no models
@@ -22,7 +23,8 @@
 	// Probe: the broker was ejected, and the request would be its probe.
 	Probe bool
 
-	// Cached is how many tokens of the prompt the broker has, by the index and by what was sent there lately.
+	// Cached is how many tokens of the prompt the broker has, by the index and by what was sent
+	// there lately.
 	Cached int
 	// Arriving is how many it has or will have read before a new request's turn.
 	Arriving int
@@ -57,7 +59,8 @@
 	Eligible []Candidate
 	// Ejected candidates are not to be used unless nothing better is left.
 	Ejected []Candidate
-	// BackingOff is how many brokers refused requests lately, and CapacityAt when the first of them may have capacity.
+	// BackingOff is how many brokers refused requests lately, and CapacityAt when the first of them
+	// may have capacity.
 	BackingOff int
 	CapacityAt core.Time
 	// AverageLoad of the eligible ones.
@@ -94,8 +97,8 @@
 	return slices.ContainsFunc(s.Eligible, func(c Candidate) bool { return c.Prediction.Slow })
 }
 
-// estimateLoads fills in the eligible candidates' loads: the last report corrected by own calls, faded to the average
-// as it ages; own calls where no broker reports.
+// estimateLoads fills in the eligible candidates' loads: the last report corrected by own calls,
+// faded to the average as it ages; own calls where no broker reports.
 func (s *Set) estimateLoads(now core.Time) {
 	sum, trusts, own := 0.0, 0.0, 0
 	for i := range s.Eligible {
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -14,9 +14,11 @@
 )
 
 const (
-	// NewestFirstSpan is how long before the time of older weights ends brokers with the newest ones go first.
+	// NewestFirstSpan is how long before the time of older weights ends brokers with the newest
+	// ones go first.
 	NewestFirstSpan = 3 * time.Second
-	// FirstTokenFactor is how many times the quantile firstTokenShare of latencies a first token is taken to need.
+	// FirstTokenFactor is how many times the quantile firstTokenShare of latencies a first token is
+	// taken to need.
 	FirstTokenFactor = 1.5
 	// MinFirstToken is the least time that a first token is taken to need.
 	MinFirstToken = 800 * time.Millisecond
@@ -95,9 +97,10 @@
 	}
 }
 
-// mayProbe reports whether the request can be the probe of an ejected broker: a first attempt, of an idempotent
-// request, or to a broker that takes no connection at all, as then it can't run unseen; any request after a longer
-// wait, where no other came by. A broker that the registry misses as well is not probed.
+// mayProbe reports whether the request can be the probe of an ejected broker: a first attempt, of
+// an idempotent request, or to a broker that takes no connection at all, as then it can't run
+// unseen; any request after a longer wait, where no other came by. A broker that the registry
+// misses as well is not probed.
 func mayProbe(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
 	h := &b.Health
 	if !h.ProbeDue(now) || b.Instance.Unresponsive || len(req.Calls) > 0 {
@@ -106,8 +109,9 @@
 	return req.Idempotent || h.Reason() == brokerstate.Unreachable || h.ProbeOverdue(now)
 }
 
-// newestFirst leaves only brokers with the newest weights shortly before the time of older ones ends, if they are
-// enough for all requests. Where they are few, the older ones are used to the last, as all would wait at the few.
+// newestFirst leaves only brokers with the newest weights shortly before the time of older ones
+// ends, if they are enough for all requests. Where they are few, the older ones are used to the
+// last, as all would wait at the few.
 func (f *Finder) newestFirst(now core.Time, req *inflight.Request, eligible []Candidate) []Candidate {
 	if req.ServedModel == "" || !f.switches.On(mechanism.NewestFirst) ||
 		!f.versions.AnyExpiresWithin(now, req.ServedModel, NewestFirstSpan) {
@@ -126,8 +130,9 @@
 	return slices.DeleteFunc(eligible, func(c Candidate) bool { return c.Version < newest })
 }
 
-// firstTokenAt is when a request that is sent now has its first token, by recent latencies: what goes to a broker with
-// older weights must start before their time ends. It is estimated only where that matters.
+// firstTokenAt is when a request that is sent now has its first token, by recent latencies: what
+// goes to a broker with older weights must start before their time ends. It is estimated only where
+// that matters.
 func (f *Finder) firstTokenAt(now core.Time, req *inflight.Request) core.Time {
 	if req.ServedModel == "" || !f.versions.AnyExpiresWithin(now, req.ServedModel, MaxFirstToken) {
 		return now
--- a/internal/node/routing/counters.go
+++ b/internal/node/routing/counters.go
@@ -20,8 +20,8 @@
 	Late         map[LateCause]uint64 // answers of model brokers
 }
 
-// PromptCounters count the shared tokens of prompts that were sent to model brokers, by where they were expected to come
-// from.
+// PromptCounters count the shared tokens of prompts that were sent to model brokers, by where they
+// were expected to come from.
 type PromptCounters struct {
 	Shared     uint64 // in all
 	Cached     uint64 // by the chosen broker
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -24,9 +24,10 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// The golden file holds one line per seed and set of disabled mechanisms: how many decisions were traced, and the SHA-256 of
-// the trace. A trace has every decision to the digit, so a changed line means that routing behaves differently. The digits are
-// those of amd64; where the compiler fuses multiplications and additions, they may differ.
+// The golden file holds one line per seed and set of disabled mechanisms: how many decisions were
+// traced, and the SHA-256 of the trace. A trace has every decision to the digit, so a changed line
+// means that routing behaves differently. The digits are those of amd64; where the compiler fuses
+// multiplications and additions, they may differ.
 
 var updateDecisions = flag.Bool("update-decisions", false, "write testdata/golden/decisions.txt anew")
 
@@ -56,7 +57,8 @@
 	assert.Equal(t, got, string(want))
 }
 
-// decisionTrace hashes what a router decides. Values are written without field names, so that a rename changes no line.
+// decisionTrace hashes what a router decides. Values are written without field names, so that a
+// rename changes no line.
 type decisionTrace struct {
 	hash      hash.Hash
 	decisions int
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -14,8 +14,9 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// A simulation of model brokers: requests run in batches, prompts are read piece by piece between other requests' tokens, and
-// the memory keeps parts until room is needed. It shows what the router's choices mean for reading prompts again.
+// A simulation of model brokers: requests run in batches, prompts are read piece by piece between
+// other requests' tokens, and the memory keeps parts until room is needed. It shows what the
+// router's choices mean for reading prompts again.
 
 const (
 	engineStep      = 3.0 // ms a step
--- a/internal/node/routing/engineload_test.go
+++ b/internal/node/routing/engineload_test.go
@@ -21,7 +21,8 @@
 		Sticky: true, Resumable: true}
 )
 
-// prompts makes the requests of two kinds: few long ones with much that is shared, and many short ones.
+// prompts makes the requests of two kinds: few long ones with much that is shared, and many short
+// ones.
 func (s *engineSim) prompts() func() (Request, int) {
 	r := rand.New(rand.NewPCG(3, 4))
 	long := make([]int, 313)
@@ -52,7 +53,8 @@
 	return q
 }
 
-// value is the share of what was owed that was earned: all for an answer in time, less after a refusal or for a late one.
+// value is the share of what was owed that was earned: all for an answer in time, less after a
+// refusal or for a late one.
 func (k *kindResult) value() float64 {
 	return (float64(k.inTime) + 0.65*float64(k.afterRefusal) + 0.3*float64(k.late)) / float64(max(k.owed, 1))
 }
--- a/internal/node/routing/engineprompts_test.go
+++ b/internal/node/routing/engineprompts_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// At the usual load, and somewhat above it, prompts go where their parts are kept, few are read again, and nearly all is
-// answered in time.
+// At the usual load, and somewhat above it, prompts go where their parts are kept, few are read
+// again, and nearly all is answered in time.
 func TestPromptsAreReadOnce(t *testing.T) {
 	for _, c := range []struct {
 		load    float64 // of the usual
@@ -38,7 +38,8 @@
 	}
 }
 
-// A store that goes down costs nobody its answer, and brokers that go down cost only what they were at.
+// A store that goes down costs nobody its answer, and brokers that go down cost only what they were
+// at.
 func TestPromptsWhileSourcesDie(t *testing.T) {
 	s := newEngineSim(t, 10, 18, true)
 	s.run(12 * time.Second)
--- a/internal/node/routing/faults_test.go
+++ b/internal/node/routing/faults_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Every condition at once, at a load that the brokers can't bear: the checks of the simulation hold, and no window of the
-// retry budget is overdrawn by all proxies together (RULES.md, BUDGET).
+// Every condition at once, at a load that the brokers can't bear: the checks of the simulation
+// hold, and no window of the retry budget is overdrawn by all proxies together (RULES.md, BUDGET).
 func TestBudgetHoldsAcrossProxies(t *testing.T) {
 	for _, proxies := range []int{1, 10, 70} {
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Proxies that are killed and come back forget what they spent: the windows hold all the same, also where they then know few
-// others.
+// Proxies that are killed and come back forget what they spent: the windows hold all the same, also
+// where they then know few others.
 func TestBudgetHoldsAcrossRestarts(t *testing.T) {
 	const proxies = 20
 	s := newSimulation(t, proxies, 8)
--- a/internal/node/routing/gaps_test.go
+++ b/internal/node/routing/gaps_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// The first event's lateness is told by what was foreseen at the send, and only the newest late answers are kept.
+// The first event's lateness is told by what was foreseen at the send, and only the newest late
+// answers are kept.
 func TestLateFirstEvents(t *testing.T) {
 	w := newWorld(t, instances(1))
 	late := func(unread, ahead int) LateCause {
--- a/internal/node/routing/guarded.go
+++ b/internal/node/routing/guarded.go
@@ -8,7 +8,8 @@
 	"kestrelspread/internal/node/registry"
 )
 
-// Guarded serialises the calls to a Router, so that requests on many connections can share it. Each call is short.
+// Guarded serialises the calls to a Router, so that requests on many connections can share it. Each
+// call is short.
 type Guarded struct {
 	mutex  sync.Mutex
 	router *Router
@@ -19,8 +20,9 @@
 
 var _ Port = (*Guarded)(nil)
 
-// NewGuarded wraps a router, which must not be used directly any more. notifySent is called with each
-// Attempt.SentPrompt, notifyStep with each Decision.StepReport; they must not block. nil: nobody is notified.
+// NewGuarded wraps a router, which must not be used directly any more. notifySent is called with
+// each Attempt.SentPrompt, notifyStep with each Decision.StepReport; they must not block. nil:
+// nobody is notified.
 func NewGuarded(router *Router, notifySent func(*SentPrompt), notifyStep func(*StepReport)) *Guarded {
 	return &Guarded{router: router, notifySent: notifySent, notifyStep: notifyStep}
 }
--- a/internal/node/routing/hedge.go
+++ b/internal/node/routing/hedge.go
@@ -16,7 +16,8 @@
 	minHedgeRemain = 0.1  // share of the time left that a hedged request must have to be of use
 )
 
-// hedgeAt is when an attempt whose answer has not begun may be hedged: past pX of its class's latencies.
+// hedgeAt is when an attempt whose answer has not begun may be hedged: past pX of its class's
+// latencies.
 func (r *Router) hedgeAt(now core.Time, req *request) core.Time {
 	if !r.switches.On(mechanism.Hedging) || !req.Idempotent || req.Hedged || req.Runs() >= req.Route.MaxAttempts {
 		return core.Never
@@ -34,8 +35,8 @@
 	return at
 }
 
-// Hedge decides on the design's hedged request: one, to the next broker that looks fast, within maxAttempts and the
-// retry budget.
+// Hedge decides on the design's hedged request: one, to the next broker that looks fast, within
+// maxAttempts and the retry budget.
 func (r *Router) Hedge(now core.Time, id RequestID) Decision {
 	req := r.requests[id]
 	if req == nil || !r.switches.On(mechanism.Hedging) {
--- a/internal/node/routing/hedge_test.go
+++ b/internal/node/routing/hedge_test.go
@@ -20,7 +20,8 @@
 	return a
 }
 
-// The design's hedged request: one, of idempotent requests, past pX of its class, within maxAttempts.
+// The design's hedged request: one, of idempotent requests, past pX of its class, within
+// maxAttempts.
 func TestHedgeOfIdempotentRequests(t *testing.T) {
 	single := *safeRoute
 	single.MaxAttempts = 1
@@ -64,7 +65,8 @@
 	assert.Assert(t, w.Hedge(w.now, a.Request) == Decision{})
 }
 
-// Where all are slow, a hedged request takes from another what it gives to its own; a timeout is hedged all the same.
+// Where all are slow, a hedged request takes from another what it gives to its own; a timeout is
+// hedged all the same.
 func TestNoHedgeInACrowd(t *testing.T) {
 	w := newWorld(t, instances(4))
 	w.warm(safeRoute, 60, 10*ms)
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/hints.go
@@ -7,8 +7,8 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// Proxies notify one another of what they send to model brokers and of how fast these are, so that each knows the
-// brokers nearly as well as if all requests passed through it.
+// Proxies notify one another of what they send to model brokers and of how fast these are, so that
+// each knows the brokers nearly as well as if all requests passed through it.
 
 const (
 	minIntervals  = 6    // intervals of a stream before they tell a broker's step time
@@ -19,7 +19,8 @@
 type SentPrompt struct {
 	Instance string // instance id
 	Salt     uint64 // cachesalt.ID of Cache-Salt
-	// Parts are the prompt's shared parts, in order. The broker caches them once it has read the prompt.
+	// Parts are the prompt's shared parts, in order. The broker caches them once it has read the
+	// prompt.
 	Parts []prompt.Part
 	// PrefillTokens is how many tokens of the prompt the broker has to read.
 	PrefillTokens int
@@ -47,8 +48,9 @@
 	}
 }
 
-// learnStep takes what a stream of this proxy showed of its broker, and returns what the other proxies are to be told;
-// nil: nothing. Which streams they are told of is chance, so that they don't learn only of what is unusual.
+// learnStep takes what a stream of this proxy showed of its broker, and returns what the other
+// proxies are to be told; nil: nothing. Which streams they are told of is chance, so that they
+// don't learn only of what is unusual.
 func (r *Router) learnStep(req *request, c *brokerstate.Call, gaps EventGaps) *StepReport {
 	if req.ServedModel == "" || gaps.Count < minIntervals || gaps.Usual <= 0 || !r.ejector.Measurable(c) {
 		return nil
--- a/internal/node/routing/inflight/inflight.go
+++ b/internal/node/routing/inflight/inflight.go
@@ -1,5 +1,5 @@
-// Package inflight describes the requests that a proxy holds, with the attempts that were made for each. Packages that
-// decide something of a request read it; only the router changes it.
+// Package inflight describes the requests that a proxy holds, with the attempts that were made for
+// each. Packages that decide something of a request read it; only the router changes it.
 package inflight
 
 import (
@@ -92,7 +92,8 @@
 	return n
 }
 
-// Arrivals counts the calls that reached a broker, or may have: those beyond the first draw on the retry budget.
+// Arrivals counts the calls that reached a broker, or may have: those beyond the first draw on the
+// retry budget.
 func (r *Request) Arrivals() int {
 	n := 0
 	for _, c := range r.Calls {
@@ -128,5 +129,6 @@
 	return only
 }
 
-// MayHaveRun reports whether some call ran, or may have: then no promise can be given that the request did not.
+// MayHaveRun reports whether some call ran, or may have: then no promise can be given that the
+// request did not.
 func (r *Request) MayHaveRun() bool { return r.Runs() > 0 }
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -9,9 +9,9 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// LateCause says why an answer of a model broker was late. Late answers are counted by cause, and the newest are kept
-// with what was believed of their broker, so that on-call can tell a wrong choice from a broker that did not do what was
-// expected of it.
+// LateCause says why an answer of a model broker was late. Late answers are counted by cause, and
+// the newest are kept with what was believed of their broker, so that on-call can tell a wrong
+// choice from a broker that did not do what was expected of it.
 type LateCause string
 
 // The causes.
@@ -41,7 +41,8 @@
 
 const (
 	maxLateKept = 32 // late answers that are kept
-	// longPromptLead is how long before a stream began a prompt may have been sent that is still read in it.
+	// longPromptLead is how long before a stream began a prompt may have been sent that is still
+	// read in it.
 	longPromptLead = 500 * time.Millisecond
 )
 
@@ -97,8 +98,8 @@
 	r.late.add(late)
 }
 
-// recordLateGap counts an answer with a gap between events that is longer than its route allows, unless its first event
-// was late already.
+// recordLateGap counts an answer with a gap between events that is longer than its route allows,
+// unless its first event was late already.
 func (r *Router) recordLateGap(now core.Time, req *request, c *brokerstate.Call, gaps EventGaps) {
 	allowed := units.FromMilliseconds(req.Route.GapTargetMs)
 	if req.ServedModel == "" || allowed <= 0 || gaps.Max <= allowed || c.Late {
--- a/internal/node/routing/layers_test.go
+++ b/internal/node/routing/layers_test.go
@@ -13,7 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// layers are the packages of routing, as the package comment lists them: each imports only those before it.
+// layers are the packages of routing, as the package comment lists them: each imports only those
+// before it.
 var layers = []string{
 	"units", "mechanism", "cachesalt", "modelversion", "prompt", "retrybudget", "brokerstate", "routeclass", "inflight",
 	"candidate", "prefixcache", "placement", "admission",
--- a/internal/node/routing/mechanism/mechanism.go
+++ b/internal/node/routing/mechanism/mechanism.go
@@ -1,6 +1,7 @@
 // Package mechanism names the parts of the routing decisions that can be switched off one by one.
 //
-// The printed names are an interface of the command kestrelnode and of scenario files, and stay as they are.
+// The printed names are an interface of the command kestrelnode and of scenario files, and stay as
+// they are.
 package mechanism
 
 import (
@@ -8,8 +9,8 @@
 	"strings"
 )
 
-// Set is a set of mechanisms, one bit each: parts of the decisions that can be switched off by name, so that
-// their effect can be measured and on-call can rule them out.
+// Set is a set of mechanisms, one bit each: parts of the decisions that can be switched off by
+// name, so that their effect can be measured and on-call can rule them out.
 type Set uint32
 
 // The mechanisms.
@@ -59,7 +60,8 @@
 	}
 }
 
-// Parse returns the set of the mechanisms that a comma-separated list names. An unknown name is an error.
+// Parse returns the set of the mechanisms that a comma-separated list names. An unknown name is an
+// error.
 func Parse(names string) (Set, error) {
 	var set Set
 	for name := range strings.SplitSeq(names, ",") {
--- a/internal/node/routing/modelversion/modelversion.go
+++ b/internal/node/routing/modelversion/modelversion.go
@@ -1,5 +1,6 @@
-// Package modelversion tells on which versions of a model's weights a request may start (RULES.md, VERSION): on
-// the newest, and on an older one until the time since this node learnt of the next one is over.
+// Package modelversion tells on which versions of a model's weights a request may start (RULES.md,
+// VERSION): on the newest, and on an older one until the time since this node learnt of the next
+// one is over.
 //
 // Invariant: the time of a version that is over never begins again.
 package modelversion
@@ -14,20 +15,21 @@
 )
 
 const (
-	// firstVersion is what a model without a named version is at (PROTOCOL.md, "The operator's API").
+	// firstVersion is what a model without a named version is at (PROTOCOL.md, "The operator's
+	// API").
 	firstVersion = 1
-	// LearnMargin is subtracted for the time between the acknowledgement of a version and this node's learning
-	// of it.
+	// LearnMargin is subtracted for the time between the acknowledgement of a version and this
+	// node's learning of it.
 	LearnMargin = 700 * time.Millisecond
-	// stretchesMargin is subtracted from the bound of all stable stretches together, which are counted here
-	// without the gaps between them.
+	// stretchesMargin is subtracted from the bound of all stable stretches together, which are
+	// counted here without the gaps between them.
 	stretchesMargin = 2 * time.Second
-	// disturbanceMargin is subtracted from the time for which the core is unstable after a disturbance, as that
-	// may have begun sooner than is known.
+	// disturbanceMargin is subtracted from the time for which the core is unstable after a
+	// disturbance, as that may have begun sooner than is known.
 	disturbanceMargin = time.Second
-	// startGrace, from the start of this node, is the time of versions before those that were named earlier, as
-	// it can't know when. A node isn't in touch before it has run for contactMs (RULES.md, "In touch"), which is
-	// longer.
+	// startGrace, from the start of this node, is the time of versions before those that were named
+	// earlier, as it can't know when. A node isn't in touch before it has run for contactMs
+	// (RULES.md, "In touch"), which is longer.
 	startGrace = 2500 * time.Millisecond
 	// maxRemembered bounds how many versions of a model are remembered.
 	maxRemembered = 16
@@ -35,15 +37,18 @@
 
 // Bounds are a deployment's bounds on the use of older weights (RULES.md, VERSION).
 type Bounds struct {
-	// SingleStretch is versionMs: since the acknowledgement, within one stretch during which the core is stable.
+	// SingleStretch is versionMs: since the acknowledgement, within one stretch during which the
+	// core is stable.
 	SingleStretch time.Duration
 	// AllStretches is versionAllMs, over all such stretches; 0: as SingleStretch.
 	AllStretches time.Duration
-	// UnstableFor is contactMs: how long the core is unstable after a fault (RULES.md, "Stable"); 0: not known.
+	// UnstableFor is contactMs: how long the core is unstable after a fault (RULES.md, "Stable");
+	// 0: not known.
 	UnstableFor time.Duration
 }
 
-// Tracker knows which versions of each model's weights requests may start on. Make one with NewTracker.
+// Tracker knows which versions of each model's weights requests may start on. Make one with
+// NewTracker.
 type Tracker struct {
 	bounds     Bounds
 	startedAt  core.Time
@@ -102,8 +107,8 @@
 	return from + max(t.bounds.SingleStretch-LearnMargin, 0)
 }
 
-// CoreDisturbed takes in that the core was unstable at a time: the single stretch counts anew from there, for
-// versions whose time isn't over yet.
+// CoreDisturbed takes in that the core was unstable at a time: the single stretch counts anew from
+// there, for versions whose time isn't over yet.
 func (t *Tracker) CoreDisturbed(now, at core.Time) {
 	for _, m := range t.models {
 		for i := range m.named {
@@ -115,8 +120,8 @@
 	}
 }
 
-// extendLimit takes the time after a disturbance, in which the core was unstable, out of the bound of all
-// stretches. Disturbances that follow one another within that time count once.
+// extendLimit takes the time after a disturbance, in which the core was unstable, out of the bound
+// of all stretches. Disturbances that follow one another within that time count once.
 func (t *Tracker) extendLimit(named *namedVersion, at core.Time) {
 	unstable := t.bounds.UnstableFor - disturbanceMargin
 	if unstable <= 0 || named.disturbedAt != 0 && at < named.disturbedAt+t.bounds.UnstableFor {
@@ -174,8 +179,8 @@
 	return m != nil && slices.ContainsFunc(m.named, func(n namedVersion) bool { return now < n.startsUntil && n.startsUntil <= now+span })
 }
 
-// VersionOf is the version that an instance has of a model: the reported one, else the newest, with which new
-// instances start.
+// VersionOf is the version that an instance has of a model: the reported one, else the newest, with
+// which new instances start.
 func (t *Tracker) VersionOf(instance *registry.Instance, model string) uint64 {
 	if version := instance.Versions[model]; version != 0 {
 		return version
--- a/internal/node/routing/modelversion/modelversion_test.go
+++ b/internal/node/routing/modelversion/modelversion_test.go
@@ -52,8 +52,9 @@
 	assert.Assert(t, !v.AnyExpiresWithin(24*time.Second+grace, model, time.Second))
 }
 
-// The time is counted within a single stretch during which the core was stable, and over all of them up to another bound: a
-// disturbance begins it anew, but never once it was over, nor beyond the bound of all.
+// The time is counted within a single stretch during which the core was stable, and over all of
+// them up to another bound: a disturbance begins it anew, but never once it was over, nor beyond
+// the bound of all.
 func TestVersionsWhileTheCoreIsDisturbed(t *testing.T) {
 	const named = 20 * time.Second
 	for _, c := range []struct {
@@ -104,8 +105,8 @@
 	assert.Assert(t, v.MayStart(30200*ms, model, 1), "an earlier one shortens nothing")
 }
 
-// A node that starts can't know when a version was named: the one before has its time only until the node is in touch, and no
-// disturbance makes that longer.
+// A node that starts can't know when a version was named: the one before has its time only until
+// the node is in touch, and no disturbance makes that longer.
 func TestVersionsAtTheStart(t *testing.T) {
 	v := NewTracker(time.Second, testBounds)
 	v.Observe(2*time.Second, configWith(map[string]uint64{model: 5}))
--- a/internal/node/routing/notify_test.go
+++ b/internal/node/routing/notify_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Proxies that tell one another at once what they send serve far above the usual load in time, and read less again.
+// Proxies that tell one another at once what they send serve far above the usual load in time, and
+// read less again.
 func TestProxiesThatNotifyOneAnother(t *testing.T) {
 	play := func(told bool, load float64) *engineSim {
 		s := newEngineSim(t, 10, 18, true)
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// learn takes an answer's latency into the measures, once it is known to be one that was worked for.
+// learn takes an answer's latency into the measures, once it is known to be one that was worked
+// for.
 func (r *Router) learn(now core.Time, req *request, c *brokerstate.Call) {
 	if c.Learnt() || !c.Started || !r.ejector.Measurable(c) {
 		return
@@ -135,8 +136,8 @@
 	}
 }
 
-// refusedForRollout reports whether a broker refused a request for new weights rather than for want of capacity: it
-// lacks a version that was named, and has slots.
+// refusedForRollout reports whether a broker refused a request for new weights rather than for want
+// of capacity: it lacks a version that was named, and has slots.
 func (r *Router) refusedForRollout(req *request, b *brokerstate.Broker, outcome *Outcome) bool {
 	if req.ServedModel == "" || r.versions.VersionOf(b.Instance, req.ServedModel) >= r.versions.Newest(req.ServedModel) {
 		return false
@@ -148,8 +149,8 @@
 // failure reports whether the broker answered that it failed.
 func (o *Outcome) failure() bool { return o.Status >= 500 }
 
-// arrived reports whether the request may have reached the broker: not where no connection came up, nor where this proxy
-// had none to spare.
+// arrived reports whether the request may have reached the broker: not where no connection came up,
+// nor where this proxy had none to spare.
 func (o *Outcome) arrived() bool {
 	return !o.ConnectFailed && !(o.NotExecuted && o.Status == 0)
 }
@@ -159,8 +160,8 @@
 	return !o.NotExecuted && !o.ConnectFailed && !o.Misdirected && o.Status == 0
 }
 
-// fault tells whether a call's end speaks against its broker, and how. That an answer came too late does not, where the
-// broker answered others meanwhile: it has too much to do.
+// fault tells whether a call's end speaks against its broker, and how. That an answer came too late
+// does not, where the broker answered others meanwhile: it has too much to do.
 func (o *Outcome) fault(c *brokerstate.Call) (fault brokerstate.Fault, faulty bool) {
 	switch {
 	case o.Misdirected:
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -12,7 +12,8 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// answerLate has requests answered, twenty at a time, at so many times their target by brokers that tell of this load.
+// answerLate has requests answered, twenty at a time, at so many times their target by brokers that
+// tell of this load.
 func (w *world) answerLate(rounds int, times float64, load Load) {
 	for range rounds {
 		var sent []*Attempt
@@ -31,7 +32,8 @@
 	}
 }
 
-// Requests are refused only where most answers are late and the brokers' places are taken (RULES.md, "Prices").
+// Requests are refused only where most answers are late and the brokers' places are taken
+// (RULES.md, "Prices").
 func TestOverloadShedsLeastUrgentFirst(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -10,8 +10,8 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// chooseByCost takes the candidate that is expected to begin its answer first, of those that aren't predicted slow; if
-// all are, the first of all.
+// chooseByCost takes the candidate that is expected to begin its answer first, of those that aren't
+// predicted slow; if all are, the first of all.
 func (p *Placer) chooseByCost(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
 	owner := p.assess(now, req, s.Eligible)
 	chosen, slow := p.firstFast(now, req, s, cheapest)
@@ -27,7 +27,8 @@
 	return choice
 }
 
-// cheapest is the candidate with the lowest cost, of those not known to look slow or of all; nil where there is none.
+// cheapest is the candidate with the lowest cost, of those not known to look slow or of all; nil
+// where there is none.
 func cheapest(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
 	var best *candidate.Candidate
 	for i := range found {
@@ -38,7 +39,8 @@
 	return best
 }
 
-// assess fills in the candidates' plans and costs, and returns the broker that should cache the shared parts.
+// assess fills in the candidates' plans and costs, and returns the broker that should cache the
+// shared parts.
 func (p *Placer) assess(now core.Time, req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
 	lookup := p.cache.Look(now, req, found)
 	var owner *brokerstate.Broker
@@ -61,7 +63,8 @@
 	return owner
 }
 
-// plan fills in what a candidate has to fetch and read of the prompt, there and in the view for its cost.
+// plan fills in what a candidate has to fetch and read of the prompt, there and in the view for its
+// cost.
 func (v *view) plan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) {
 	missing := max(lookup.SharedTokens-max(c.Cached, c.Arriving), 0)
 	v.fetchedTokens, v.perFetched = lookup.Fetchable(c, missing)
@@ -74,7 +77,8 @@
 	}
 }
 
-// ownerOf is the candidate that should cache the prompt's parts, by the rendezvous order; nil where there is none.
+// ownerOf is the candidate that should cache the prompt's parts, by the rendezvous order; nil where
+// there is none.
 func ownerOf(req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok {
--- a/internal/node/routing/placement/byload.go
+++ b/internal/node/routing/placement/byload.go
@@ -13,8 +13,9 @@
 	chanceTie    = 0.1 // at most, by chance
 )
 
-// chooseByLoad is the design's choice: predicted-slow brokers are passed over, and of the rest the one with the fewest
-// own requests takes it; ties go by load, latency, the own zone and chance. If all look slow, the first still takes it.
+// chooseByLoad is the design's choice: predicted-slow brokers are passed over, and of the rest the
+// one with the fewest own requests takes it; ties go by load, latency, the own zone and chance. If
+// all look slow, the first still takes it.
 func (p *Placer) chooseByLoad(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
 	for i := range s.Eligible {
 		s.Eligible[i].TieBreak = p.tieBreak(now, req, s, &s.Eligible[i])
@@ -30,8 +31,8 @@
 	return choice
 }
 
-// leastLoaded is the candidate with the fewest own requests, of those not known to look slow or of all; nil where there
-// is none.
+// leastLoaded is the candidate with the fewest own requests, of those not known to look slow or of
+// all; nil where there is none.
 func leastLoaded(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
 	var best *candidate.Candidate
 	for i := range found {
--- a/internal/node/routing/placement/cost.go
+++ b/internal/node/routing/placement/cost.go
@@ -1,12 +1,13 @@
 package placement
 
-// A model broker's answer begins when it has read the prompts that were sent there before, and then the request's own.
-// So the cost of a candidate is the expected time until the first token, ms, as far as candidates differ in it. Counts of
-// requests tell little of it, as one prompt may be a hundred times another.
+// A model broker's answer begins when it has read the prompts that were sent there before, and then
+// the request's own. So the cost of a candidate is the expected time until the first token, ms, as
+// far as candidates differ in it. Counts of requests tell little of it, as one prompt may be a
+// hundred times another.
 //
-// To add a term: give view what it looks at, fill that in in Placer.assess, write the term as a method of view with a
-// comment that says why it counts, and add it in view.cost. The order and grouping of the sums there decide on the last
-// digits, so keep those of the terms that exist.
+// To add a term: give view what it looks at, fill that in in Placer.assess, write the term as a
+// method of view with a comment that says why it counts, and add it in view.cost. The order and
+// grouping of the sums there decide on the last digits, so keep those of the terms that exist.
 const (
 	repeatedFactor = 3.0  // what a token counts more that was read lately elsewhere
 	ownerShare     = 0.5  // of the shared prefill is taken off at the owner
@@ -19,8 +20,8 @@
 	warmUpFactor   = 2.0  // times all
 )
 
-// view is all that the cost terms of one candidate may look at. It holds copies, so a term can change neither the
-// candidate nor its broker.
+// view is all that the cost terms of one candidate may look at. It holds copies, so a term can
+// change neither the candidate nor its broker.
 type view struct {
 	perToken       float64 // ms to read a token there
 	prefillTokens  int     // of the prompt, to be read there
@@ -57,12 +58,13 @@
 	return prefill
 }
 
-// repetition is what reading tokens costs that were read lately elsewhere: it holds up others' requests, and repeated
-// prefills are priced (RULES.md, "Prices").
+// repetition is what reading tokens costs that were read lately elsewhere: it holds up others'
+// requests, and repeated prefills are priced (RULES.md, "Prices").
 func (v *view) repetition() float64 { return v.perToken * repeatedFactor * float64(v.repeatedTokens) }
 
-// ownerCredit is taken off at the broker that should cache the shared parts: what it reads now is of use to later
-// requests. A part is taken off always, so that proxies agree where costs are nearly equal.
+// ownerCredit is taken off at the broker that should cache the shared parts: what it reads now is
+// of use to later requests. A part is taken off always, so that proxies agree where costs are
+// nearly equal.
 func (v *view) ownerCredit() float64 {
 	return minOwnerCredit + ownerShare*v.perToken*(float64(v.sharedTokens)+repeatedFactor*float64(v.repeatedTokens))
 }
@@ -85,13 +87,16 @@
 // decodeLoad is for the requests that run there: each makes every decode step longer.
 func (v *view) decodeLoad() float64 { return requestCost * v.load }
 
-// spread is chance, so that proxies don't all send to the same one of several brokers with equal costs.
+// spread is chance, so that proxies don't all send to the same one of several brokers with equal
+// costs.
 func (v *view) spread() float64 { return maxChanceCost * v.chance }
 
-// full reports whether all slots are taken: then the request waits for one to be free, or is refused.
+// full reports whether all slots are taken: then the request waits for one to be free, or is
+// refused.
 func (v *view) full() bool { return v.slots > 0 && v.load >= float64(v.slots) }
 
-// slowStart multiplies the whole for a broker in slow start, which takes fewer requests until it is warm.
+// slowStart multiplies the whole for a broker in slow start, which takes fewer requests until it is
+// warm.
 func (v *view) slowStart(cost float64) float64 {
 	if v.warmingUp {
 		return warmUpFactor * cost
--- a/internal/node/routing/placement/cost_test.go
+++ b/internal/node/routing/placement/cost_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// What each term adds to the cost of a candidate that has a prompt of 1,000 tokens to read at 0.02 ms each.
+// What each term adds to the cost of a candidate that has a prompt of 1,000 tokens to read at 0.02
+// ms each.
 func TestCostTerms(t *testing.T) {
 	base := view{perToken: 0.02, prefillTokens: 1000, sameZone: true, slots: 64}
 	for _, c := range []struct {
--- a/internal/node/routing/placement/placement.go
+++ b/internal/node/routing/placement/placement.go
@@ -1,8 +1,9 @@
 // Package placement chooses, among the candidates for a request, the broker that gets it.
 //
-// For services that run models, it is the candidate with the lowest cost: the expected time until the first token, as
-// the sum of the terms in file cost.go. For other services it is the candidate with the fewest own requests. In both
-// cases candidates that are predicted slow are passed over (LinnOS's predictor), unless all are.
+// For services that run models, it is the candidate with the lowest cost: the expected time until
+// the first token, as the sum of the terms in file cost.go. For other services it is the candidate
+// with the fewest own requests. In both cases candidates that are predicted slow are passed over
+// (LinnOS's predictor), unless all are.
 package placement
 
 import (
@@ -69,8 +70,8 @@
 	c.Prediction = req.Pool.Predict(now, c.Broker, c.Load, s.AverageLoad)
 }
 
-// firstFast takes the best candidate by an order that isn't predicted slow; if all are, the best of all. best returns
-// nil where no candidate is left. slow: all were predicted slow.
+// firstFast takes the best candidate by an order that isn't predicted slow; if all are, the best of
+// all. best returns nil where no candidate is left. slow: all were predicted slow.
 func (p *Placer) firstFast(now core.Time, req *inflight.Request, s *candidate.Set,
 	best func(found []candidate.Candidate, withSlow bool) *candidate.Candidate,
 ) (chosen *candidate.Candidate, slow bool) {
--- a/internal/node/routing/placement_test.go
+++ b/internal/node/routing/placement_test.go
@@ -46,7 +46,8 @@
 	assert.Equal(t, w.begin(w.sized(600)).Instance.ID, "i01")
 }
 
-// Whether a prompt's parts are at a broker, can be moved or must be read anew is weighed against what waits there.
+// Whether a prompt's parts are at a broker, can be moved or must be read anew is weighed against
+// what waits there.
 func TestCachedPartsAgainstBacklog(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -94,7 +95,8 @@
 	assert.Equal(t, w.begin(w.request(safeRoute)).SentPrompt, (*SentPrompt)(nil), "no model")
 }
 
-// Renewed brokers have nothing of a prompt yet: they get requests as the old ones, which have it, fill up.
+// Renewed brokers have nothing of a prompt yet: they get requests as the old ones, which have it,
+// fill up.
 func TestRenewedBrokersFillUp(t *testing.T) {
 	list := instances(6)
 	for _, instance := range list[:3] {
@@ -133,7 +135,8 @@
 	return list
 }
 
-// A broker that is predicted slow is passed over by model requests too; where all are, the first by work takes it.
+// A broker that is predicted slow is passed over by model requests too; where all are, the first by
+// work takes it.
 func TestSlowModelBrokersArePassedOver(t *testing.T) {
 	w := newWorld(t, instances(3))
 	slow := map[string]bool{"i00": true}
--- a/internal/node/routing/prefill_test.go
+++ b/internal/node/routing/prefill_test.go
@@ -9,8 +9,8 @@
 	"kestrelspread/internal/node/routing/cachesalt"
 )
 
-// What another proxy has just sent to a broker is known to come there: the same parts aren't read elsewhere at the same time,
-// nor fetched before they are read.
+// What another proxy has just sent to a broker is known to come there: the same parts aren't read
+// elsewhere at the same time, nor fetched before they are read.
 func TestPartsInPrefill(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/node/routing/prefixcache/cache.go
+++ b/internal/node/routing/prefixcache/cache.go
@@ -24,7 +24,8 @@
 	queried []uint64               // versions that the index was asked for; reused
 }
 
-// New makes a cache view. index may be nil; then brokers are found by the rendezvous order of a prompt's parts alone.
+// New makes a cache view. index may be nil; then brokers are found by the rendezvous order of a
+// prompt's parts alone.
 func New(switches mechanism.Switches, index Index, versions *modelversion.Tracker, ejector *brokerstate.Ejector) *Cache {
 	observer, _ := index.(Observer)
 	return &Cache{switches: switches, index: index, observer: observer, versions: versions, ejector: ejector,
@@ -34,7 +35,8 @@
 // SetConfig takes a newer configuration, which names the stores.
 func (c *Cache) SetConfig(compiled *config.Compiled) { c.compiled = compiled }
 
-// Answered takes in that a broker has answered a model request, so it caches all parts of the prompt.
+// Answered takes in that a broker has answered a model request, so it caches all parts of the
+// prompt.
 func (c *Cache) Answered(req *inflight.Request, call *brokerstate.Call) {
 	if c.observer != nil {
 		c.observer.Observed(call.Broker.Instance.ID, cachesalt.ID(call.Salt), req.Parts)
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -10,9 +10,9 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// Fetches of cached parts from other brokers and from the store (PROTOCOL.md, "KV cache"). A fetch is far cheaper than
-// reading the parts again, a miss costs a millisecond, and a source that is dead some hundred: so only sources that are
-// believed to be well are named.
+// Fetches of cached parts from other brokers and from the store (PROTOCOL.md, "KV cache"). A fetch
+// is far cheaper than reading the parts again, a miss costs a millisecond, and a source that is
+// dead some hundred: so only sources that are believed to be well are named.
 const (
 	// MinFetchTokens is the length from which parts are fetched: fewer tokens are read sooner.
 	MinFetchTokens = 256
@@ -25,13 +25,15 @@
 	zoneFactor    = 2.0  // times as long between zones (PROTOCOL.md, "KV cache")
 )
 
-// FetchSource is the address that the chosen broker should fetch the prompt's shared parts from, or empty.
+// FetchSource is the address that the chosen broker should fetch the prompt's shared parts from, or
+// empty.
 //
-// A broker that has as much as the store goes first where that is known from what it was sent just now, or where the
-// store's link, which all share, is much slower: what the index tells of brokers is outdated at times, and a fetch that
-// finds nothing has the parts read again. Else it is the store, also where the index has the parts at the chosen broker
-// itself: brokers evict them within seconds and report it late. Where the store is down, it is the broker that should
-// have them by the rendezvous order.
+// A broker that has as much as the store goes first where that is known from what it was sent just
+// now, or where the store's link, which all share, is much slower: what the index tells of brokers
+// is outdated at times, and a fetch that finds nothing has the parts read again. Else it is the
+// store, also where the index has the parts at the chosen broker itself: brokers evict them within
+// seconds and report it late. Where the store is down, it is the broker that should have them by
+// the rendezvous order.
 func (c *Cache) FetchSource(now core.Time, req *inflight.Request, eligible []candidate.Candidate, chosen *candidate.Candidate) string {
 	if prompt.SharedTokens(req.Parts) < MinFetchTokens || chosen.Broker.Fetches.Slow(now) {
 		return ""
@@ -58,11 +60,12 @@
 	return ""
 }
 
-// sentLately reports whether a broker was sent lately what it is believed to cache, so that it surely has it.
+// sentLately reports whether a broker was sent lately what it is believed to cache, so that it
+// surely has it.
 func sentLately(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
 
-// storeIsNear reports whether fetching parts from the store takes so little more time than from a broker that the store
-// is better, as it surely has them.
+// storeIsNear reports whether fetching parts from the store takes so little more time than from a
+// broker that the store is better, as it surely has them.
 func (c *Cache) storeIsNear(req *inflight.Request, store *config.Service, holder, chosen *candidate.Candidate) bool {
 	engine := c.engine(req)
 	if store.LinkMbps <= 0 || engine.LinkMbps <= 0 {
@@ -73,7 +76,8 @@
 	return fromStore-fromBroker <= outdatedShare*req.Pool.PrefillPerToken(chosen.Broker)
 }
 
-// zonesFactor is how many times as long a fetch from a zone to the chosen broker takes as one within a zone.
+// zonesFactor is how many times as long a fetch from a zone to the chosen broker takes as one
+// within a zone.
 func zonesFactor(zone string, chosen *candidate.Candidate) float64 {
 	if zone == chosen.Broker.Instance.Zone {
 		return 1
@@ -89,8 +93,9 @@
 	return times * engine.KVTokenBytes * bitsPerByte / (mbps * bitsPerMsMbps)
 }
 
-// Fetchable is how many of a prompt's missing tokens a candidate can fetch, and what each takes, ms. It is an estimate
-// for placement; Cache.FetchSource names the source once the broker is chosen.
+// Fetchable is how many of a prompt's missing tokens a candidate can fetch, and what each takes,
+// ms. It is an estimate for placement; Cache.FetchSource names the source once the broker is
+// chosen.
 func (l *Lookup) Fetchable(chosen *candidate.Candidate, missing int) (tokens int, perToken float64) {
 	if missing < MinFetchTokens {
 		return 0, 0
@@ -106,8 +111,8 @@
 	return min(chosen.Stored-cached, missing), moveTime(l.engine, l.Store.LinkMbps, zonesFactor(l.Store.Zone, chosen))
 }
 
-// bestHolder is the candidate that caches clearly more of the prompt than the chosen one, one of the same zone first;
-// nil where none does.
+// bestHolder is the candidate that caches clearly more of the prompt than the chosen one, one of
+// the same zone first; nil where none does.
 func (c *Cache) bestHolder(now core.Time, req *inflight.Request, eligible []candidate.Candidate, chosen *candidate.Candidate) *candidate.Candidate {
 	var best *candidate.Candidate
 	for i := range eligible {
@@ -122,8 +127,8 @@
 	return best
 }
 
-// fetchedSooner reports whether a source is better than another: it has more, or as much in the zone of the broker that
-// fetches, as fetches between zones take twice as long.
+// fetchedSooner reports whether a source is better than another: it has more, or as much in the
+// zone of the broker that fetches, as fetches between zones take twice as long.
 func fetchedSooner(source, other, chosen *candidate.Candidate) bool {
 	if source.Cached != other.Cached {
 		return source.Cached > other.Cached
@@ -132,8 +137,9 @@
 	return source.Broker.Instance.Zone == zone && other.Broker.Instance.Zone != zone
 }
 
-// fetchableOwner is the owner of the parts by the rendezvous order, among all brokers that can be fetched from; nil if
-// that is the chosen one, or the index has them there. Where the chosen one is new, it is the owner before it.
+// fetchableOwner is the owner of the parts by the rendezvous order, among all brokers that can be
+// fetched from; nil if that is the chosen one, or the index has them there. Where the chosen one is
+// new, it is the owner before it.
 func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok || chosen.Cached >= prompt.SharedTokens(req.Parts)-blockSlack {
@@ -153,7 +159,8 @@
 	return best
 }
 
-// mayFetchFrom reports whether a broker is well enough to be named as a source, and has the same weights.
+// mayFetchFrom reports whether a broker is well enough to be named as a source, and has the same
+// weights.
 func (c *Cache) mayFetchFrom(now core.Time, req *inflight.Request, chosen *candidate.Candidate, b *brokerstate.Broker) bool {
 	switch {
 	case b == chosen.Broker, req.Tried(b), !b.Instance.Usable(), b.Instance.Unresponsive, b.Health.Ejected():
--- a/internal/node/routing/prefixcache/lookup.go
+++ b/internal/node/routing/prefixcache/lookup.go
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// Look finds what is known of the prompt's shared parts, and fills in how many tokens each candidate caches. The result
-// is valid until the next call.
+// Look finds what is known of the prompt's shared parts, and fills in how many tokens each
+// candidate caches. The result is valid until the next call.
 func (c *Cache) Look(now core.Time, req *inflight.Request, found []candidate.Candidate) *Lookup {
 	c.askIndex(now, req, found)
 	l := &c.lookup
@@ -59,8 +59,8 @@
 	return l
 }
 
-// askIndex fills in how many tokens of the prompt each candidate caches, and its store under the candidate's version,
-// as far as the index knows.
+// askIndex fills in how many tokens of the prompt each candidate caches, and its store under the
+// candidate's version, as far as the index knows.
 func (c *Cache) askIndex(now core.Time, req *inflight.Request, found []candidate.Candidate) {
 	if c.index == nil || req.ServedModel == "" || !c.switches.On(mechanism.PromptIndex) {
 		return
@@ -97,8 +97,9 @@
 	}
 }
 
-// markRecent fills in, at the candidates of a version, what they are reading or have just read of the prompt, and
-// returns how many tokens at the end of the shared ones were not sent to any broker lately.
+// markRecent fills in, at the candidates of a version, what they are reading or have just read of
+// the prompt, and returns how many tokens at the end of the shared ones were not sent to any broker
+// lately.
 func (c *Cache) markRecent(now core.Time, req *inflight.Request, found []candidate.Candidate, version uint64) (newTokens int) {
 	salt := saltID(req, version)
 	tokens := 0
@@ -120,8 +121,8 @@
 	return newTokens
 }
 
-// markPrefill fills in that a broker has so many tokens of the prompt, or will have them before its next request's
-// turn.
+// markPrefill fills in that a broker has so many tokens of the prompt, or will have them before its
+// next request's turn.
 func markPrefill(now core.Time, found []candidate.Candidate, sent *prefill, tokens int) {
 	for i := range found {
 		c := &found[i]
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// PrefillBelieved is how long a broker that was sent a part is believed to have it; then the index is to know.
+	// PrefillBelieved is how long a broker that was sent a part is believed to have it; then the
+	// index is to know.
 	PrefillBelieved = 2500 * time.Millisecond
 
 	prefillRepeated = 10 * time.Second // a part that is read anew within that time is read repeatedly
 	maxBrokersKept  = 4                // brokers that are remembered for a part
 )
 
-// recentPrefills remembers for each part under a salt the brokers that it was sent to lately, by this proxy and by
-// others: which parts brokers are reading just now is known before the index can tell. So the same part isn't read
-// twice at once, and what was read lately is told from what is new.
+// recentPrefills remembers for each part under a salt the brokers that it was sent to lately, by
+// this proxy and by others: which parts brokers are reading just now is known before the index can
+// tell. So the same part isn't read twice at once, and what was read lately is told from what is
+// new.
 //
 // Of two generations the older is dropped when the newer is as old as prefillRepeated.
 type recentPrefills struct {
@@ -41,7 +43,8 @@
 
 func partKey(salt uint64, part prompt.Part) uint64 { return prompt.Mix(salt ^ prompt.Mix(part.ID)) }
 
-// record takes in that shared parts of a prompt were sent to a broker, which is to have read them at readyAt.
+// record takes in that shared parts of a prompt were sent to a broker, which is to have read them
+// at readyAt.
 func (r *recentPrefills) record(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	r.rotate(now)
 	for _, part := range parts {
@@ -96,8 +99,8 @@
 	return prefills
 }
 
-// RecordPrefill takes in that shared parts of a prompt were sent to a broker, by this proxy or another, and when it is
-// to have read them.
+// RecordPrefill takes in that shared parts of a prompt were sent to a broker, by this proxy or
+// another, and when it is to have read them.
 func (c *Cache) RecordPrefill(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	c.recent.record(now, readyAt, b, salt, parts)
 }
--- a/internal/node/routing/prefixcache/recent_test.go
+++ b/internal/node/routing/prefixcache/recent_test.go
@@ -34,7 +34,8 @@
 	assert.Equal(t, len(r.older), 1, "two generations are kept")
 }
 
-// A part that is sent again to a broker that reads it is ready when the first reading ends, and the brokers are the latest.
+// A part that is sent again to a broker that reads it is ready when the first reading ends, and the
+// brokers are the latest.
 func TestBrokersOfAPart(t *testing.T) {
 	const now = 20 * time.Second
 	brokers := map[string]*brokerstate.Broker{}
--- a/internal/node/routing/prefixcache/stores.go
+++ b/internal/node/routing/prefixcache/stores.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// MinLateFetches is how many answers in a row must come late with fetches from a store before it is left alone.
+	// MinLateFetches is how many answers in a row must come late with fetches from a store before
+	// it is left alone.
 	MinLateFetches = 4
 	// StoreBackoff is how long such a store is left alone.
 	StoreBackoff = 2 * time.Second
@@ -21,9 +22,9 @@
 	storeLateBy = 200.0 // ms beyond the usual: a dead source costs some hundred
 )
 
-// storeState is the health of a store. A store is believed to be well until there is a reason against it: its home node
-// asks it each second, and a store that fails in between shows by answers that come late whenever parts were to be
-// fetched from it.
+// storeState is the health of a store. A store is believed to be well until there is a reason
+// against it: its home node asks it each second, and a store that fails in between shows by answers
+// that come late whenever parts were to be fetched from it.
 type storeState struct {
 	dead         bool      // it was asked and gave no sign of life
 	lateInRow    int       // answers in a row that came late with a fetch from it
@@ -31,9 +32,10 @@
 	backoffUntil core.Time // it isn't fetched from before
 }
 
-// storeFor is the store that caches the shared parts of a request's prompt: of those that are well, the first in the
-// rendezvous order of its sticky part. So each part is kept in one store, by whatever proxy it is saved, and the stores
-// together hold as much as all of their memory. nil: there is none.
+// storeFor is the store that caches the shared parts of a request's prompt: of those that are well,
+// the first in the rendezvous order of its sticky part. So each part is kept in one store, by
+// whatever proxy it is saved, and the stores together hold as much as all of their memory. nil:
+// there is none.
 func (c *Cache) storeFor(now core.Time, req *inflight.Request) *config.Service {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok || c.compiled == nil || !c.switches.On(mechanism.KVStore) {
@@ -66,8 +68,8 @@
 	return !state.dead && now >= state.backoffUntil
 }
 
-// SaveTarget is the address of the store that the chosen broker should send the prompt's parts to, or empty where the
-// index has the shared parts there: what is sent in vain evicts what is of use.
+// SaveTarget is the address of the store that the chosen broker should send the prompt's parts to,
+// or empty where the index has the shared parts there: what is sent in vain evicts what is of use.
 func (c *Cache) SaveTarget(now core.Time, req *inflight.Request, chosen *candidate.Candidate) string {
 	store := c.storeFor(now, req)
 	shared := prompt.SharedTokens(req.Parts)
@@ -86,8 +88,9 @@
 	state.dead = !alive
 }
 
-// LearnFetch learns from an answer whether a store delivers: if fetches from it delay answers, one after the other,
-// while others come in time, it is left alone for a while. usual is the median of the pool, ms.
+// LearnFetch learns from an answer whether a store delivers: if fetches from it delay answers, one
+// after the other, while others come in time, it is left alone for a while. usual is the median of
+// the pool, ms.
 func (c *Cache) LearnFetch(now core.Time, call *brokerstate.Call, usual float64) {
 	late := (call.Latency-usual)*call.Scale > storeLateBy
 	state := c.stores[call.FetchFrom]
--- a/internal/node/routing/prompt/prompt.go
+++ b/internal/node/routing/prompt/prompt.go
@@ -1,5 +1,5 @@
-// Package prompt describes the parts of a prompt and the rendezvous order by which all proxies find, without an
-// exchange of messages, the broker or store that should keep its shared parts.
+// Package prompt describes the parts of a prompt and the rendezvous order by which all proxies
+// find, without an exchange of messages, the broker or store that should keep its shared parts.
 package prompt
 
 import "kestrelspread/internal/node/routing/cachesalt"
@@ -10,8 +10,8 @@
 	Tokens int
 }
 
-// StickyPart is the part that decides on a prompt's owner: the deepest shared one, as the last part belongs to
-// the request or its session (PROTOCOL.md, "Requests"). false: the prompt has no parts.
+// StickyPart is the part that decides on a prompt's owner: the deepest shared one, as the last part
+// belongs to the request or its session (PROTOCOL.md, "Requests"). false: the prompt has no parts.
 func StickyPart(parts []Part) (Part, bool) {
 	switch n := len(parts); n {
 	case 0:
@@ -40,8 +40,8 @@
 	return tokens
 }
 
-// AffinityKey names what should be kept together: a part under a model and an isolated tenant (empty: none),
-// whatever the version of the weights.
+// AffinityKey names what should be kept together: a part under a model and an isolated tenant
+// (empty: none), whatever the version of the weights.
 func AffinityKey(part Part, model, isolatedTenant string) uint64 {
 	key := part.ID ^ HashText(model)
 	if isolatedTenant != "" {
@@ -50,8 +50,9 @@
 	return Mix(key)
 }
 
-// RendezvousWeight is the weight of a broker or store in the rendezvous order (highest random weight) of a key;
-// nameHash is HashText of its name. The one with the highest weight owns the key, and every proxy finds the same.
+// RendezvousWeight is the weight of a broker or store in the rendezvous order (highest random
+// weight) of a key; nameHash is HashText of its name. The one with the highest weight owns the key,
+// and every proxy finds the same.
 func RendezvousWeight(key, nameHash uint64) uint64 { return Mix(key ^ nameHash) }
 
 // HashText is a well spread hash of a name.
--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -72,7 +72,8 @@
 	return req
 }
 
-// runsModels reports whether a service's brokers have an engine, and so versions of weights and cached prompts.
+// runsModels reports whether a service's brokers have an engine, and so versions of weights and
+// cached prompts.
 func (r *Router) runsModels(service string) bool {
 	if r.compiled == nil {
 		return false
@@ -81,7 +82,8 @@
 	return s != nil && s.Engine != nil
 }
 
-// oversized reports whether a request is larger than a broker's memory, which refuses it as if it were full.
+// oversized reports whether a request is larger than a broker's memory, which refuses it as if it
+// were full.
 func (r *Router) oversized(received *Request) bool {
 	capacity := r.compiled.Services[received.Service].Engine.KVCapacityTokens
 	return capacity > 0 && float64(received.TokensIn+received.TokensOut) > capacity
@@ -122,8 +124,8 @@
 	return r.send(now, req, found, placement.Choice{Candidate: ejected})
 }
 
-// refuse is the final answer to a request that has not run. capacityAt is when a broker may have capacity; core.Never:
-// not known.
+// refuse is the final answer to a request that has not run. capacityAt is when a broker may have
+// capacity; core.Never: not known.
 func (r *Router) refuse(now core.Time, req *request, reason RefusalReason, capacityAt core.Time) Decision {
 	r.counters.Refusals[reason]++
 	return Decision{Refusal: &Refusal{Reason: reason, RetryAfter: r.gate.Advice(now, &req.Request, reason, capacityAt)}}
--- a/internal/node/routing/retry.go
+++ b/internal/node/routing/retry.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// giveUp refuses where the request can't have run; where it may have, the caller answers by what it has, as a refusal
-// promises that it has not (verdict.MayPromise).
+// giveUp refuses where the request can't have run; where it may have, the caller answers by what it
+// has, as a refusal promises that it has not (verdict.MayPromise).
 func (r *Router) giveUp(now core.Time, req *request, reason RefusalReason) Decision {
 	if req.MayHaveRun() {
 		return Decision{}
--- a/internal/node/routing/retrybudget/retrybudget.go
+++ b/internal/node/routing/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget bounds the attempts beyond the first arrival of each request that this proxy may cause, as
-// its part of the bound that all proxies together keep (RULES.md, "Retries").
+// Package retrybudget bounds the attempts beyond the first arrival of each request that this proxy
+// may cause, as its part of the bound that all proxies together keep (RULES.md, "Retries").
 package retrybudget
 
 import (
@@ -11,7 +11,8 @@
 )
 
 const (
-	// HedgeShare is the share of the budget that hedged requests may use up; the rest is left for retries.
+	// HedgeShare is the share of the budget that hedged requests may use up; the rest is left for
+	// retries.
 	HedgeShare = 0.5
 
 	safetyMargin  = 0.9 // share of what the rules allow that is spent
@@ -21,8 +22,8 @@
 	minProxies = 4
 )
 
-// ProxyCount is how many proxies share the budget of a service: the maximum that was known within the last
-// minute, so that a partitioned proxy doesn't take the whole budget for itself.
+// ProxyCount is how many proxies share the budget of a service: the maximum that was known within
+// the last minute, so that a partitioned proxy doesn't take the whole budget for itself.
 type ProxyCount struct {
 	// counts are the maxima that still matter: falling in number, rising in time.
 	counts []observedCount
@@ -61,17 +62,18 @@
 	return p.counts[0].count
 }
 
-// Budget counts the requests of one service and the arrivals beyond the first of each that they caused.
+// Budget counts the requests of one service and the arrivals beyond the first of each that they
+// caused.
 //
-// Arrivals are counted over slightly more than the window, requests over slightly less, so that no window of that
-// length can be overdrawn whatever the bucket boundaries.
+// Arrivals are counted over slightly more than the window, requests over slightly less, so that no
+// window of that length can be overdrawn whatever the bucket boundaries.
 type Budget struct {
 	requests *window.Counts
 	retries  *window.Counts // arrivals beyond the first, hedged requests included
 }
 
-// Limits are a deployment's bounds on what all proxies together send beyond first arrivals (RULES.md, "Retries"),
-// and this proxy's part in them.
+// Limits are a deployment's bounds on what all proxies together send beyond first arrivals
+// (RULES.md, "Retries"), and this proxy's part in them.
 type Limits struct {
 	// Ratio is the number of arrivals beyond the first that each request of a service allows.
 	Ratio float64
@@ -83,8 +85,8 @@
 	Denied uint64
 
 	window time.Duration
-	// slackFrom is when this proxy's share of the slack counts: not in the first window after its start, as the
-	// process may have spent it before a restart.
+	// slackFrom is when this proxy's share of the slack counts: not in the first window after its
+	// start, as the process may have spent it before a restart.
 	slackFrom core.Time
 }
 
@@ -112,7 +114,8 @@
 	return safetyMargin * allowed
 }
 
-// Affords reports whether one more arrival is within the given share of the allowance, and counts a denial if not.
+// Affords reports whether one more arrival is within the given share of the allowance, and counts a
+// denial if not.
 func (l *Limits) Affords(now core.Time, b *Budget, share float64) bool {
 	spent := b.retries.Sum(units.Milliseconds(now), units.Milliseconds(l.window))
 	if spent+1 <= share*l.allowance(now, b) {
--- a/internal/node/routing/rollout_test.go
+++ b/internal/node/routing/rollout_test.go
@@ -21,7 +21,8 @@
 	return tableOf(list...)
 }
 
-// A mark that a lost holder of the duty left behind is believed for a while only, and only where it matters.
+// A mark that a lost holder of the duty left behind is believed for a while only, and only where it
+// matters.
 func TestStaleLoadingMarks(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -72,8 +73,8 @@
 	}
 }
 
-// A broker that turns requests away while it lacks a named version is left alone for longer than a full one, by the most urgent
-// too, until its new version is known or it takes a request.
+// A broker that turns requests away while it lacks a named version is left alone for longer than a
+// full one, by the most urgent too, until its new version is known or it takes a request.
 func TestRefusalsForRollouts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -116,7 +117,8 @@
 	assert.Equal(t, w.begin(w.prompt(flowRoute, 3)).ExpectVersion, uint64(2))
 }
 
-// A node that has just started tells clients to come back when it knows the brokers; later another node may do better at once.
+// A node that has just started tells clients to come back when it knows the brokers; later another
+// node may do better at once.
 func TestAdviceWithoutBrokers(t *testing.T) {
 	for _, c := range []struct {
 		since, least, most core.Time
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -1,5 +1,5 @@
-// Package routeclass knows what is usual of one route's requests: the kind of requests that the design's percentile of
-// latencies is taken over.
+// Package routeclass knows what is usual of one route's requests: the kind of requests that the
+// design's percentile of latencies is taken over.
 package routeclass
 
 import (
@@ -51,7 +51,8 @@
 	c.tokens += tokensWeight * (float64(tokens) - c.tokens)
 }
 
-// Work is a request's expected work against the usual of its class: latency follows the tokens of its prompt.
+// Work is a request's expected work against the usual of its class: latency follows the tokens of
+// its prompt.
 func (c *Class) Work(tokens int) float64 {
 	if c.tokens <= 0 || tokens <= 0 {
 		return 1
@@ -59,8 +60,8 @@
 	return min(max(fixedWork+(1-fixedWork)*float64(tokens)/c.tokens, minWork), maxWork)
 }
 
-// Scale is how much longer a request of the class takes than the usual one of the pool, so that all answers of a
-// service can be measured against one line.
+// Scale is how much longer a request of the class takes than the usual one of the pool, so that all
+// answers of a service can be measured against one line.
 func (c *Class) Scale(now core.Time, p *brokerstate.Pool, tokens int) float64 {
 	if now >= c.refreshedAt+refreshInterval {
 		c.refreshedAt = now
@@ -78,13 +79,14 @@
 	c.latencies.Add(units.Milliseconds(now), latency)
 }
 
-// Quantile is a quantile of the recent latencies, ms, for the usual work, and how many answers it stands on.
+// Quantile is a quantile of the recent latencies, ms, for the usual work, and how many answers it
+// stands on.
 func (c *Class) Quantile(now core.Time, share float64) (latency float64, answers int) {
 	return c.latencies.Quantile(units.Milliseconds(now), share)
 }
 
-// FirstTry reports whether a request is its client's first try: as much time is left for it as any of the class had
-// lately. A client that tries again has less.
+// FirstTry reports whether a request is its client's first try: as much time is left for it as any
+// of the class had lately. A client that tries again has less.
 func (c *Class) FirstTry(now, left core.Time) bool {
 	if left >= c.longestWait || now > c.longestWaitAt+LongestWaitKept {
 		c.longestWait, c.longestWaitAt = left, now
@@ -110,7 +112,8 @@
 	return class
 }
 
-// forgetIdle drops the classes of routes without recent requests, so that a day of many changes leaves nothing behind.
+// forgetIdle drops the classes of routes without recent requests, so that a day of many changes
+// leaves nothing behind.
 func (c *Classes) forgetIdle(now core.Time) {
 	for name, class := range c.byRoute {
 		if now-class.usedAt > idleKept {
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -18,8 +18,8 @@
 	"kestrelspread/internal/node/routing/routeclass"
 )
 
-// Router decides for one proxy. It holds the requests and the state of the brokers, and passes each question on to the
-// package whose concern it is. It isn't safe for concurrent use: see Guarded.
+// Router decides for one proxy. It holds the requests and the state of the brokers, and passes each
+// question on to the package whose concern it is. It isn't safe for concurrent use: see Guarded.
 type Router struct {
 	options  Options
 	switches mechanism.Switches
@@ -104,13 +104,14 @@
 	r.isolated.Observe(compiled)
 }
 
-// CoreDisturbed tells that the core was unstable at a time: a machine of it was lost, and the agreed view dropped it.
-// The time for older weights is counted anew from there. at must not be later than the fault may have been, which lasts
-// for contactMs (RULES.md, "Stable"); a fault of disks alone is none.
+// CoreDisturbed tells that the core was unstable at a time: a machine of it was lost, and the
+// agreed view dropped it. The time for older weights is counted anew from there. at must not be
+// later than the fault may have been, which lasts for contactMs (RULES.md, "Stable"); a fault of
+// disks alone is none.
 func (r *Router) CoreDisturbed(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
 
-// Resumed tells that this process stood still until now: what it didn't receive meanwhile is no timeout of brokers, and
-// latencies that span it mean nothing.
+// Resumed tells that this process stood still until now: what it didn't receive meanwhile is no
+// timeout of brokers, and latencies that span it mean nothing.
 func (r *Router) Resumed(now core.Time) { r.ejector.Resumed(now) }
 
 // SetTable takes a newer picture of the brokers.
@@ -135,7 +136,8 @@
 	}
 }
 
-// broker is the state of an instance. joined: the instance, if it is new here, has just joined the fleet.
+// broker is the state of an instance. joined: the instance, if it is new here, has just joined the
+// fleet.
 func (r *Router) broker(now core.Time, instance *registry.Instance, joined bool) *brokerstate.Broker {
 	b := r.brokers[instance.ID]
 	if b == nil {
@@ -163,8 +165,8 @@
 	}
 }
 
-// StoreSeen tells of a sign of life of a store, or that it was asked and gave none. lost: what it cached is gone, which
-// the index reports as well.
+// StoreSeen tells of a sign of life of a store, or that it was asked and gave none. lost: what it
+// cached is gone, which the index reports as well.
 func (r *Router) StoreSeen(_ core.Time, address string, alive, _ bool) {
 	r.cache.StoreSeen(address, alive)
 }
--- a/internal/node/routing/router_test.go
+++ b/internal/node/routing/router_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// RULES.md TWICE, REFUSED, BUDGET: what may follow an attempt, by the kind of route and by what is known of it.
+// RULES.md TWICE, REFUSED, BUDGET: what may follow an attempt, by the kind of route and by what is
+// known of it.
 func TestWhatFollowsAnAttempt(t *testing.T) {
 	type next int
 	const (
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// minNotifyTokens is how many tokens a broker must have to read for an attempt for other proxies to be notified.
+	// minNotifyTokens is how many tokens a broker must have to read for an attempt for other
+	// proxies to be notified.
 	minNotifyTokens = 500
 	priorityPerRank = 3
 	lastPriority    = 9
@@ -58,7 +59,8 @@
 	return Decision{Attempt: out}
 }
 
-// describeModel fills in what a model broker is told: its version, the salt, and where cached parts come from and go.
+// describeModel fills in what a model broker is told: its version, the salt, and where cached parts
+// come from and go.
 func (r *Router) describeModel(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, out *Attempt) {
 	out.ExpectVersion = chosen.Version
 	out.Salt = cachesalt.Text(req.ServedModel, chosen.Version, req.IsolatedTenant)
@@ -91,7 +93,8 @@
 	return enqueued
 }
 
-// countPrompt counts the shared tokens of a prompt by where they were expected to come from when it was sent.
+// countPrompt counts the shared tokens of a prompt by where they were expected to come from when it
+// was sent.
 func (r *Router) countPrompt(req *request, chosen *candidate.Candidate, out *Attempt) {
 	shared := prompt.SharedTokens(req.Parts)
 	cached := min(chosen.Cached, shared)
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -17,8 +17,8 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// A simulation of many proxies and brokers on a virtual clock. It plays the part of package forward: it carries attempts to
-// simulated brokers and reports what becomes of them.
+// A simulation of many proxies and brokers on a virtual clock. It plays the part of package
+// forward: it carries attempts to simulated brokers and reports what becomes of them.
 
 // condition is how a simulated broker behaves.
 type condition int
@@ -299,7 +299,8 @@
 // arrived reports whether a call has reached a broker that takes connections.
 func (call *simCall) arrived() bool { return call.broker.condition != crashed }
 
-// checkMemory checks that the salt is that of one version, and of one tenant where that is isolated.
+// checkMemory checks that the salt is that of one version, and of one tenant where that is
+// isolated.
 func (s *simulation) checkMemory(call *simCall) {
 	b, salt := call.broker, call.attempt.Salt
 	if salt == "" {
@@ -439,7 +440,8 @@
 	r.End(s.now, c.id)
 }
 
-// checkBudget looks at every window: arrivals beyond the first against the requests of that very window.
+// checkBudget looks at every window: arrivals beyond the first against the requests of that very
+// window.
 func (s *simulation) checkBudget() {
 	s.t.Helper()
 	requests, from, requestFrom := 0, 0, 0
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -14,7 +14,8 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// Where parts are fetched from and sent to, by what the index knows of the prompt's 1,300 shared tokens.
+// Where parts are fetched from and sent to, by what the index knows of the prompt's 1,300 shared
+// tokens.
 func TestFetchAndSaveByTheIndex(t *testing.T) {
 	const none, owner, peer = "", "owner", "peer"
 	for _, c := range []struct {
@@ -94,7 +95,8 @@
 	return []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: sumTokens(parts)}}
 }
 
-// A store that was not asked yet is believed to be well; one that is down gets nothing, until it is back.
+// A store that was not asked yet is believed to be well; one that is down gets nothing, until it is
+// back.
 func TestDeadStoreIsNotUsed(t *testing.T) {
 	w := newWorld(t, instances(5))
 	check := func(from, to string) {
@@ -111,8 +113,8 @@
 	check(storeAddress, storeAddress)
 }
 
-// Answers that come late one after the other, wherever parts were to be fetched from the store, while others come in time,
-// show that the store went down; being late like all others does not.
+// Answers that come late one after the other, wherever parts were to be fetched from the store,
+// while others come in time, show that the store went down; being late like all others does not.
 func TestStoreThatDelaysAnswersBacksOff(t *testing.T) {
 	for _, othersLate := range []bool{false, true} {
 		t.Run(fmt.Sprint("others late: ", othersLate), func(t *testing.T) {
@@ -161,7 +163,8 @@
 	return compiled
 }
 
-// Several stores keep each part once, whichever proxy it comes by, so that together they hold as much as their memory.
+// Several stores keep each part once, whichever proxy it comes by, so that together they hold as
+// much as their memory.
 func TestEachPartHasOneStore(t *testing.T) {
 	targets := map[string]int{}
 	for part := range uint64(60) {
@@ -183,7 +186,8 @@
 	}
 }
 
-// What another store keeps counts for nothing, as it isn't fetched from; one that is down is replaced by the next in the order.
+// What another store keeps counts for nothing, as it isn't fetched from; one that is down is
+// replaced by the next in the order.
 func TestOnlyThePromptsStoreCounts(t *testing.T) {
 	index := &fixedIndex{}
 	w := newWorldWith(t, instances(6), index)
@@ -202,8 +206,8 @@
 	assert.Equal(t, next.SaveTo, next.FetchFrom)
 }
 
-// What the index tells of a broker is old at times: where the store's link is about as quick, parts come from the store, unless the broker
-// was sent them lately.
+// What the index tells of a broker is old at times: where the store's link is about as quick, parts
+// come from the store, unless the broker was sent them lately.
 func TestStoreBeforeBrokersThatMayHaveDroppedParts(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/node/routing/units/units.go
+++ b/internal/node/routing/units/units.go
@@ -1,5 +1,5 @@
-// Package units converts between steady times and the milliseconds in which packages predict and window
-// and the configuration count.
+// Package units converts between steady times and the milliseconds in which packages predict and
+// window and the configuration count.
 package units
 
 import (
--- a/internal/node/routing/versions_test.go
+++ b/internal/node/routing/versions_test.go
@@ -19,7 +19,8 @@
 	return i
 }
 
-// During a rollout, each attempt expects the version that its broker has, and the salt holds that very version.
+// During a rollout, each attempt expects the version that its broker has, and the salt holds that
+// very version.
 func TestAttemptNamesItsBrokersVersion(t *testing.T) {
 	list := instances(6)
 	for i, instance := range list {
@@ -44,8 +45,8 @@
 	}
 }
 
-// Brokers with older weights are used to the last while those with new ones are few; where these are enough for all, they get
-// what would be sent shortly before.
+// Brokers with older weights are used to the last while those with new ones are few; where these
+// are enough for all, they get what would be sent shortly before.
 func TestOlderWeightsAreUsedToTheLast(t *testing.T) {
 	for _, c := range []struct {
 		renewed int // of nine brokers
--- a/internal/node/routing/world_test.go
+++ b/internal/node/routing/world_test.go
@@ -18,7 +18,8 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// What the tests of this package share: a router on a virtual clock, and the entries that it is told of.
+// What the tests of this package share: a router on a virtual clock, and the entries that it is
+// told of.
 
 const (
 	ms      = time.Millisecond
