--- a/internal/node/routing/admission/admission.go
+++ b/internal/node/routing/admission/admission.go
@@ -1,4 +1,4 @@
-// Package admission decides which requests are turned away rather than sent: load shedding while a
+// Package admission decides which requests are rejected rather than sent: load shedding while a
 // service is overloaded, first tries that would be late and are postponed, requests whose deadline
 // can't be met; and what a refused client is advised to do.
 package admission
--- a/internal/node/routing/admission/admission_test.go
+++ b/internal/node/routing/admission/admission_test.go
@@ -60,8 +60,8 @@
 		o.Received(time.Second, 0)
 		o.Received(time.Second, 2)
 		o.shed = c.shed
-		assert.Equal(t, o.Chance(0), c.most)
-		assert.Equal(t, o.Chance(1), c.least)
-		assert.Equal(t, o.Chance(2), c.least)
+		assert.Equal(t, o.ShedProbability(0), c.most)
+		assert.Equal(t, o.ShedProbability(1), c.least)
+		assert.Equal(t, o.ShedProbability(2), c.least)
 	}
 }
--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -38,12 +38,12 @@
 // behind others that are late already. Then some are shed, the least urgent first, so that the rest
 // is in time (RULES.md, "Worth" and "Prices").
 type Overload struct {
-	ratios        *window.Hist // latency over target
-	shed          float64      // share of the least urgent requests to be refused
-	refreshedAt   core.Time
-	leastUrgent   int // urgency of the least urgent request lately; urgencies count from 0, the most urgent
-	mostUrgent    int
-	lastArrivalAt core.Time
+	ratios          *window.Hist // latency over target
+	shed            float64      // share of the least urgent requests to be refused
+	refreshedAt     core.Time
+	lowestPriority  int // urgency of the least urgent request recently; urgencies count from 0, the most urgent
+	highestPriority int
+	lastArrivalAt   core.Time
 }
 
 // NewOverload makes the measure of a service without answers.
@@ -54,10 +54,10 @@
 // Received takes in a request's urgency.
 func (o *Overload) Received(now core.Time, urgency int) {
 	if now-o.lastArrivalAt > urgencyKept || o.lastArrivalAt == 0 {
-		o.leastUrgent, o.mostUrgent = urgency, urgency
+		o.lowestPriority, o.highestPriority = urgency, urgency
 	}
 	o.lastArrivalAt = now
-	o.leastUrgent, o.mostUrgent = max(o.leastUrgent, urgency), min(o.mostUrgent, urgency)
+	o.lowestPriority, o.highestPriority = max(o.lowestPriority, urgency), min(o.highestPriority, urgency)
 }
 
 // Learn takes in a latency as a ratio of its route's target.
@@ -97,13 +97,13 @@
 	return reports > 0 && float64(busy) >= busyShare*float64(reports)
 }
 
-// Chance is the share of requests of an urgency to be refused: of the most urgent none before half
-// of the least are.
-func (o *Overload) Chance(urgency int) float64 {
+// ShedProbability is the share of requests of an urgency to be refused: of the most urgent none
+// before half of the least are.
+func (o *Overload) ShedProbability(urgency int) float64 {
 	if o.shed == 0 {
 		return 0
 	}
-	if o.leastUrgent > o.mostUrgent && urgency == o.mostUrgent {
+	if o.lowestPriority > o.highestPriority && urgency == o.highestPriority {
 		return max(topUrgencyFactor*o.shed-1, 0)
 	}
 	return o.shed
@@ -111,6 +111,6 @@
 
 // Sheds decides by chance whether a request is refused as its service is overloaded.
 func (g *Gate) Sheds(req *inflight.Request, o *Overload) bool {
-	chance := o.Chance(req.Urgency)
-	return g.switches.On(mechanism.Overload) && chance > 0 && g.random.Float64() < chance
+	probability := o.ShedProbability(req.Urgency)
+	return g.switches.On(mechanism.Overload) && probability > 0 && g.random.Float64() < probability
 }
--- a/internal/node/routing/admission/refusal.go
+++ b/internal/node/routing/admission/refusal.go
@@ -41,18 +41,18 @@
 // has left, spread by chance so that those who were refused together don't come together.
 // capacityAt is when a broker may have capacity; core.Never: not known.
 func (g *Gate) Advice(now core.Time, req *inflight.Request, reason Reason, capacityAt core.Time) core.Time {
-	most := min(max(req.Deadline-now, 0)/adviceFactor, maxAdvice)
+	longest := min(max(req.Deadline-now, 0)/adviceFactor, maxAdvice)
 	if reason == Unhealthy || reason == Attempts || reason == NoBroker {
-		most = min(most, ShortAdvice)
+		longest = min(longest, ShortAdvice)
 	}
-	least := min(MinAdvice, most)
+	shortest := min(MinAdvice, longest)
 	if reason == NoBroker && now < g.startedAt+StartingSpan {
-		most = min(max(req.Deadline-now, 0)/adviceFactor, MaxStartingAdvice)
-		least = min(MinStartingAdvice, most)
+		longest = min(max(req.Deadline-now, 0)/adviceFactor, MaxStartingAdvice)
+		shortest = min(MinStartingAdvice, longest)
 	}
-	chance := g.random.Float64()
+	draw := g.random.Float64()
 	if capacityAt != core.Never && capacityAt > now {
-		least = max(least, min(capacityAt-now, most/2))
+		shortest = max(shortest, min(capacityAt-now, longest/2))
 	}
-	return least + core.Time(chance*float64(most-least))
+	return shortest + core.Time(draw*float64(longest-shortest))
 }
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -59,7 +59,7 @@
 	ByPrediction bool
 }
 
-// Refusal is the final answer to a request that was given up and has not run.
+// Refusal is the final answer to a request that was abandoned and has not run.
 type Refusal struct {
 	RetryAfter core.Time
 	Reason     RefusalReason
--- a/internal/node/routing/brokerstate/broker.go
+++ b/internal/node/routing/brokerstate/broker.go
@@ -34,7 +34,7 @@
 	steps    int     // streams that stepTime was learnt from
 	// loadingSince is when the mark that it loads new weights was first seen.
 	loadingSince core.Time
-	// newUntil: it has joined lately.
+	// newUntil: it has joined recently.
 	newUntil  core.Time
 	latencies latencies
 
@@ -74,7 +74,7 @@
 	b.Instance = instance
 }
 
-// New reports whether the broker has joined lately, so that others may still cache the parts it
+// New reports whether the broker has joined recently, so that others may still cache the parts it
 // owns.
 func (b *Broker) New(now core.Time) bool { return now < b.newUntil }
 
--- a/internal/node/routing/brokerstate/fetches.go
+++ b/internal/node/routing/brokerstate/fetches.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Slow reports whether most of the broker's fetches were slow lately.
+// Slow reports whether most of the broker's fetches were slow recently.
 func (f *Fetches) Slow(now core.Time) bool {
 	if f.all == nil {
 		return false
--- a/internal/node/routing/brokerstate/health.go
+++ b/internal/node/routing/brokerstate/health.go
@@ -47,8 +47,8 @@
 // Reason is why the broker was ejected.
 func (h *Health) Reason() EjectionReason { return h.reason }
 
-// Misdirected reports whether the broker has lately said that requests were for another instance or
-// version.
+// Misdirected reports whether the broker has recently said that requests were for another instance
+// or version.
 func (h *Health) Misdirected(now core.Time) bool { return now < h.misdirectedUntil }
 
 // AnsweredAfter reports whether the broker has answered after a time.
@@ -96,7 +96,7 @@
 	}
 }
 
-// fails reports whether too large a share of what was sent lately failed.
+// fails reports whether too large a share of what was sent recently failed.
 func (h *Health) fails(now core.Time) bool {
 	failures := recentCount(h.failures, now)
 	return failures >= minFailures && failures > failureShare*(failures+recentCount(h.successes, now))
--- a/internal/node/routing/brokerstate/latencies.go
+++ b/internal/node/routing/brokerstate/latencies.go
@@ -42,17 +42,17 @@
 // sample is a latency, when it was measured, when its request was sent, and the load then. A
 // latency of 0 stands for none.
 type sample struct {
-	latency float64
-	at      core.Time
-	sentAt  core.Time
-	load    float64
+	latency    float64
+	measuredAt core.Time
+	sentAt     core.Time
+	load       float64
 }
 
 // learnLatency keeps a call's latency.
 func (b *Broker) learnLatency(now core.Time, c *Call) {
 	l := &b.latencies
 	copy(l.history[1:], l.history[:])
-	l.history[0] = sample{latency: c.Latency, at: now, sentAt: c.SentAt, load: c.Load}
+	l.history[0] = sample{latency: c.Latency, measuredAt: now, sentAt: c.SentAt, load: c.Load}
 	if l.recent == nil {
 		l.recent = NewHistogram()
 	}
--- a/internal/node/routing/brokerstate/longprompts.go
+++ b/internal/node/routing/brokerstate/longprompts.go
@@ -13,7 +13,7 @@
 //
 // While a broker reads a long prompt, the streams that run there pause: a decode step that carries
 // a chunk of a prefill takes many times as long as one that doesn't, and an event spans several
-// steps. So a pause that is too long can be told from one without a known cause.
+// steps. So a pause that is too long can be distinguished from one without a known cause.
 type LongPrompts struct {
 	prompts [longPromptsKept]longPrompt // a ring
 	next    int
--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	slowScore     = 0.5 // score from which an answer is predicted slow
-	crowdSlowness = 2.0 // medians that a broker takes which is slow even where all are
+	slowScore       = 0.5 // score from which an answer is predicted slow
+	crowdedSlowness = 2.0 // medians that a broker takes which is slow even where all are
 )
 
 // Prediction is whether an answer would be slow, and what it was predicted from.
@@ -25,7 +25,7 @@
 	slow := p.switches.On(mechanism.Prediction) && p.predictsSlow(&features)
 	// In a crowd all are slow, and who looks fast is who got no requests: only who is far slower
 	// than the rest is passed over.
-	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < crowdSlowness*p.median {
+	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < crowdedSlowness*p.median {
 		slow = false
 	}
 	return Prediction{features, slow}
@@ -47,7 +47,7 @@
 	}
 	expires := p.switches.On(mechanism.HistoryExpiry)
 	for _, past := range b.latencies.history {
-		if past.latency > 0 && (!expires || units.Milliseconds(now-past.at) < predict.HistoryLife) {
+		if past.latency > 0 && (!expires || units.Milliseconds(now-past.measuredAt) < predict.HistoryLife) {
 			features.Add(past.latency, past.load)
 		}
 	}
--- a/internal/node/routing/brokerstate/refusals.go
+++ b/internal/node/routing/brokerstate/refusals.go
@@ -59,7 +59,7 @@
 }
 
 // BacksOff reports whether a request of an urgency (0: most urgent) should leave the broker alone,
-// as it refused lately.
+// as it refused recently.
 func (b *Broker) BacksOff(now core.Time, urgency int) bool {
 	r := &b.refusals
 	if now < r.rolloutUntil {
--- a/internal/node/routing/candidate/candidate.go
+++ b/internal/node/routing/candidate/candidate.go
@@ -24,7 +24,7 @@
 	Probe bool
 
 	// Cached is how many tokens of the prompt the broker has, by the index and by what was sent
-	// there lately.
+	// there recently.
 	Cached int
 	// Arriving is how many it has or will have read before a new request's turn.
 	Arriving int
@@ -46,7 +46,7 @@
 type Plan struct {
 	PrefillTokens  int     // it has to read
 	SharedTokens   int     // shared ones of these
-	RepeatedTokens int     // those of the shared ones that some broker was sent lately
+	RepeatedTokens int     // those of the shared ones that some broker was sent recently
 	PrefillTime    float64 // ms to fetch and read the prompt
 }
 
@@ -59,8 +59,8 @@
 	Eligible []Candidate
 	// Ejected candidates are not to be used unless nothing better is left.
 	Ejected []Candidate
-	// BackingOff is how many brokers refused requests lately, and CapacityAt when the first of them
-	// may have capacity.
+	// BackingOff is how many brokers refused requests recently, and CapacityAt when the first of
+	// them may have capacity.
 	BackingOff int
 	CapacityAt core.Time
 	// AverageLoad of the eligible ones.
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -27,7 +27,7 @@
 
 	newestFirstShare = 2.0 / 3 // of the brokers must have the newest weights
 	firstTokenShare  = 0.9
-	answeredLately   = time.Second // a broker that the registry misses is used if it has answered within that time
+	recentAnswerSpan = time.Second // a broker that the registry misses is used if it has answered within that time
 )
 
 // Finder finds candidates. It may eject brokers that answer nothing; it changes nothing else.
@@ -90,7 +90,7 @@
 		s.Eligible = append(s.Eligible, c)
 	case h.Ejected():
 		s.Ejected = append(s.Ejected, c)
-	case b.Instance.Unresponsive && !h.AnsweredWithin(now, answeredLately):
+	case b.Instance.Unresponsive && !h.AnsweredWithin(now, recentAnswerSpan):
 		s.unresponsive = append(s.unresponsive, c)
 	default:
 		s.Eligible = append(s.Eligible, c)
--- a/internal/node/routing/counters.go
+++ b/internal/node/routing/counters.go
@@ -28,8 +28,8 @@
 	Arriving   uint64 // being read there for an earlier request
 	FromBroker uint64 // fetched from another broker
 	FromStore  uint64 // fetched from a store
-	FirstSeen  uint64 // to be read, not sent to any broker lately
-	Repeated   uint64 // to be read, though some broker was sent them lately
+	FirstSeen  uint64 // to be read, not sent to any broker recently
+	Repeated   uint64 // to be read, though some broker was sent them recently
 	// BlindFetches counts fetches that were named though nobody was known to cache what is missing.
 	BlindFetches uint64
 }
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/hints.go
@@ -49,7 +49,7 @@
 }
 
 // learnStep takes what a stream of this proxy showed of its broker, and returns what the other
-// proxies are to be told; nil: nothing. Which streams they are told of is chance, so that they
+// proxies are to be notified of; nil: nothing. Which streams these are is chance, so that they
 // don't learn only of what is unusual.
 func (r *Router) learnStep(req *request, c *brokerstate.Call, gaps EventGaps) *StepReport {
 	if req.ServedModel == "" || gaps.Count < minIntervals || gaps.Usual <= 0 || !r.ejector.Measurable(c) {
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// callRefused takes in that a call was turned away with X-Kestrelspread-Not-Executed.
+// callRefused takes in that a call was rejected with X-Kestrelspread-Not-Executed.
 func (r *Router) callRefused(now core.Time, req *request, b *brokerstate.Broker, outcome *Outcome) {
 	req.Refused++
 	switch {
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -55,8 +55,8 @@
 			if !c.shed {
 				return
 			}
-			assert.Assert(t, o.Chance(0) <= o.Chance(1) && o.Chance(1) <= o.Chance(2))
-			assert.Assert(t, o.Chance(0) < o.Chance(2), "the most urgent are refused last")
+			assert.Assert(t, o.ShedProbability(0) <= o.ShedProbability(1) && o.ShedProbability(1) <= o.ShedProbability(2))
+			assert.Assert(t, o.ShedProbability(0) < o.ShedProbability(2), "the most urgent are refused last")
 			w.now += 3 * time.Second
 			for range 100 {
 				o.Refresh(w.now, w.services[service].pool)
--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -57,7 +57,7 @@
 		v.slots = c.Broker.Instance.Slots
 		v.sameZone = c.Broker.Instance.Zone == p.zone
 		v.warmingUp = now < c.Broker.Instance.WarmingUpUntil
-		v.chance = p.random.Float64()
+		v.random = p.random.Float64()
 		c.Cost = v.cost()
 	}
 	return owner
--- a/internal/node/routing/placement/byload.go
+++ b/internal/node/routing/placement/byload.go
@@ -10,7 +10,7 @@
 const (
 	otherZoneTie = 0.6 // a broker in another zone
 	latencyTie   = 0.5 // each median of its latency
-	chanceTie    = 0.1 // at most, by chance
+	maxRandomTie = 0.1 // at most, by chance
 )
 
 // chooseByLoad is the design's choice: predicted-slow brokers are passed over, and of the rest the
@@ -20,7 +20,7 @@
 	for i := range s.Eligible {
 		s.Eligible[i].TieBreak = p.tieBreak(now, req, s, &s.Eligible[i])
 	}
-	chosen, slow := p.firstFast(now, req, s, leastLoaded)
+	chosen, slow := p.firstFast(now, req, s, fewestRequests)
 	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !slow && len(s.Eligible) > 1}
 	switch {
 	case slow:
@@ -31,9 +31,9 @@
 	return choice
 }
 
-// leastLoaded is the candidate with the fewest own requests, of those not known to look slow or of
-// all; nil where there is none.
-func leastLoaded(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
+// fewestRequests is the candidate with the fewest own requests, of those not known to look slow or
+// of all; nil where there is none.
+func fewestRequests(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
 	var best *candidate.Candidate
 	for i := range found {
 		c := &found[i]
@@ -56,5 +56,5 @@
 	if c.Broker.Instance.Zone != p.zone {
 		tie += otherZoneTie
 	}
-	return tie + chanceTie*p.random.Float64()
+	return tie + maxRandomTie*p.random.Float64()
 }
--- a/internal/node/routing/placement/cost.go
+++ b/internal/node/routing/placement/cost.go
@@ -9,12 +9,12 @@
 // method of view with a comment that says why it counts, and add it in view.cost. The order and
 // grouping of the sums there decide on the last digits, so keep those of the terms that exist.
 const (
-	repeatedFactor = 3.0  // what a token counts more that was read lately elsewhere
+	repeatedFactor = 3.0  // what a token counts more that was read recently elsewhere
 	ownerShare     = 0.5  // of the shared prefill is taken off at the owner
 	minOwnerCredit = 4.0  // ms that are taken off there at least
 	fetchFixed     = 3.0  // ms for any fetch
 	requestCost    = 0.3  // ms for each request
-	maxChanceCost  = 1.0  // ms
+	maxRandomCost  = 1.0  // ms
 	otherZoneCost  = 2.0  // ms
 	fullCost       = 200. // ms
 	warmUpFactor   = 2.0  // times all
@@ -26,7 +26,7 @@
 	perToken       float64 // ms to read a token there
 	prefillTokens  int     // of the prompt, to be read there
 	sharedTokens   int     // of these, such as others cache too
-	repeatedTokens int     // of the shared ones, such as some broker was sent lately
+	repeatedTokens int     // of the shared ones, such as some broker was sent recently
 	fetchedTokens  int     // of the prompt, to be fetched
 	perFetched     float64 // ms to fetch a token
 	prefillWait    float64 // ms until the broker has read what was sent there before
@@ -35,7 +35,7 @@
 	isOwner        bool    // by the rendezvous order it should cache the shared parts
 	sameZone       bool    // as this proxy
 	warmingUp      bool    // slow start
-	chance         float64 // from 0 to 1
+	random         float64 // from 0 to 1
 }
 
 // cost is the sum of the terms, ms.
@@ -58,7 +58,7 @@
 	return prefill
 }
 
-// repetition is what reading tokens costs that were read lately elsewhere: it holds up others'
+// repetition is what reading tokens costs that were read recently elsewhere: it holds up others'
 // requests, and repeated prefills are priced (RULES.md, "Prices").
 func (v *view) repetition() float64 { return v.perToken * repeatedFactor * float64(v.repeatedTokens) }
 
@@ -89,7 +89,7 @@
 
 // spread is chance, so that proxies don't all send to the same one of several brokers with equal
 // costs.
-func (v *view) spread() float64 { return maxChanceCost * v.chance }
+func (v *view) spread() float64 { return maxRandomCost * v.random }
 
 // full reports whether all slots are taken: then the request waits for one to be free, or is
 // refused.
--- a/internal/node/routing/placement/cost_test.go
+++ b/internal/node/routing/placement/cost_test.go
@@ -25,7 +25,7 @@
 		{"another zone", func(v *view) { v.sameZone = false }, 20 + otherZoneCost},
 		{"no slot free", func(v *view) { v.load = 64 }, 20 + 64*requestCost + fullCost},
 		{"slots not known", func(v *view) { v.slots, v.load = 0, 64 }, 20 + 64*requestCost},
-		{"chance", func(v *view) { v.chance = 0.5 }, 20 + maxChanceCost/2},
+		{"chance", func(v *view) { v.random = 0.5 }, 20 + maxRandomCost/2},
 		{"slow start", func(v *view) { v.warmingUp = true }, 20 * warmUpFactor},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -46,7 +46,7 @@
 	switch {
 	case store != nil && (holder == nil || chosen.Stored > holder.Cached):
 		return store.KVStoreAddr
-	case store != nil && chosen.Stored == holder.Cached && !sentLately(holder) && c.storeIsNear(req, store, holder, chosen):
+	case store != nil && chosen.Stored == holder.Cached && !sentRecently(holder) && c.storeIsNear(req, store, holder, chosen):
 		return store.KVStoreAddr
 	case holder != nil:
 		return holder.Broker.Instance.Address
@@ -60,9 +60,9 @@
 	return ""
 }
 
-// sentLately reports whether a broker was sent lately what it is believed to cache, so that it
+// sentRecently reports whether a broker was sent recently what it is believed to cache, so that it
 // surely has it.
-func sentLately(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
+func sentRecently(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
 
 // storeIsNear reports whether fetching parts from the store takes so little more time than from a
 // broker that the store is better, as it surely has them.
--- a/internal/node/routing/prefixcache/lookup.go
+++ b/internal/node/routing/prefixcache/lookup.go
@@ -24,7 +24,7 @@
 type VersionCoverage struct {
 	Version   uint64
 	MaxCached int // the most tokens that any candidate caches
-	NewTokens int // tokens at the end that no broker was sent lately
+	NewTokens int // tokens at the end that no broker was sent recently
 }
 
 // Version is the coverage under a candidate's version; nil where no candidate has it.
@@ -99,7 +99,7 @@
 
 // markRecent fills in, at the candidates of a version, what they are reading or have just read of
 // the prompt, and returns how many tokens at the end of the shared ones were not sent to any broker
-// lately.
+// recently.
 func (c *Cache) markRecent(now core.Time, req *inflight.Request, found []candidate.Candidate, version uint64) (newTokens int) {
 	salt := saltID(req, version)
 	tokens := 0
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -17,10 +17,10 @@
 	maxBrokersKept  = 4                // brokers that are remembered for a part
 )
 
-// recentPrefills remembers for each part under a salt the brokers that it was sent to lately, by
+// recentPrefills remembers for each part under a salt the brokers that it was sent to recently, by
 // this proxy and by others: which parts brokers are reading just now is known before the index can
-// tell. So the same part isn't read twice at once, and what was read lately is told from what is
-// new.
+// tell. So the same part isn't read twice at once, and what was read recently is distinguished from
+// what is new.
 //
 // Of two generations the older is dropped when the newer is as old as prefillRepeated.
 type recentPrefills struct {
@@ -86,7 +86,7 @@
 	p.brokers[0] = prefill{broker: b, sentAt: now, readyAt: readyAt}
 }
 
-// of is what is remembered of a part, nil where it wasn't sent lately.
+// of is what is remembered of a part, nil where it wasn't sent recently.
 func (r *recentPrefills) of(now core.Time, salt uint64, part prompt.Part) *partPrefills {
 	key := partKey(salt, part)
 	prefills := r.newer[key]
--- a/internal/node/routing/prefixcache/stores.go
+++ b/internal/node/routing/prefixcache/stores.go
@@ -33,7 +33,7 @@
 }
 
 // storeFor is the store that caches the shared parts of a request's prompt: of those that are well,
-// the first in the rendezvous order of its sticky part. So each part is kept in one store, by
+// the first in the rendezvous order of its sticky part. So each part is cached in one store, by
 // whatever proxy it is saved, and the stores together hold as much as all of their memory. nil:
 // there is none.
 func (c *Cache) storeFor(now core.Time, req *inflight.Request) *config.Service {
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -33,7 +33,8 @@
 	answers     int          // that it stands on
 	refreshedAt core.Time
 	usedAt      core.Time
-	// longestWait is the most time that a client had lately for a request, and longestWaitAt when.
+	// longestWait is the most time that a client had recently for a request, and longestWaitAt
+	// when.
 	longestWait   core.Time
 	longestWaitAt core.Time
 }
@@ -86,7 +87,7 @@
 }
 
 // FirstTry reports whether a request is its client's first try: as much time is left for it as any
-// of the class had lately. A client that tries again has less.
+// of the class had recently. A client that tries again has less.
 func (c *Class) FirstTry(now, left core.Time) bool {
 	if left >= c.longestWait || now > c.longestWaitAt+LongestWaitKept {
 		c.longestWait, c.longestWaitAt = left, now
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -59,8 +59,8 @@
 	return Decision{Attempt: out}
 }
 
-// describeModel fills in what a model broker is told: its version, the salt, and where cached parts
-// come from and go.
+// describeModel fills in the headers for a model broker: its version, the salt, and where cached
+// parts come from and go.
 func (r *Router) describeModel(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, out *Attempt) {
 	out.ExpectVersion = chosen.Version
 	out.Salt = cachesalt.Text(req.ServedModel, chosen.Version, req.IsolatedTenant)
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -207,7 +207,7 @@
 }
 
 // What the index tells of a broker is old at times: where the store's link is about as quick, parts
-// come from the store, unless the broker was sent them lately.
+// come from the store, unless the broker was sent them recently.
 func TestStoreBeforeBrokersThatMayHaveDroppedParts(t *testing.T) {
 	for _, c := range []struct {
 		name      string
