--- /dev/null
+++ b/internal/node/routing/brokerstate/ejector_test.go
@@ -0,0 +1,119 @@
+package brokerstate
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/retrybudget"
+)
+
+func newEjector(disabled mechanism.Set) *Ejector {
+	return NewEjector(mechanism.NewSwitches(disabled), rand.New(rand.NewPCG(1, 2)), time.Second, &retrybudget.ProxyCount{})
+}
+
+// sendCall sends a call to a broker.
+func sendCall(b *Broker, now core.Time) *Call {
+	c := &Call{Broker: b, SentAt: now, Scale: 1, Arrived: true}
+	b.CallSent(c)
+	return c
+}
+
+// A call without an answer speaks against its broker after a time, which is longer where no other
+// broker answers.
+func TestCallWithoutAnswerTimesOut(t *testing.T) {
+	const sent = 20 * time.Second
+	timeout := time.Duration(unknownTimeout) * ms
+	for _, c := range []struct {
+		name         string
+		after        time.Duration
+		othersAnswer bool
+		itAnswers    bool
+		resumed      bool
+		want         bool
+	}{
+		{"soon", timeout, true, false, false, false},
+		{"long, others answer", timeout + ms, true, false, false, true},
+		{"long, nobody answers", timeout + ms, false, false, false, false},
+		{"for very long", aloneTimeoutMore*timeout + ms, false, false, false, true},
+		{"it has answered another call", timeout + ms, true, true, false, false},
+		{"this process stood still", timeout + ms, true, false, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p, e := newPool(2), newEjector(0)
+			sendCall(p.Brokers[0], sent)
+			if c.othersAnswer {
+				e.Answered(sent+ms, p, p.Brokers[1])
+			}
+			if c.itAnswers {
+				e.Answered(sent+ms, p, p.Brokers[0])
+			}
+			now := sent + c.after
+			if c.resumed {
+				e.Resumed(now - ms)
+			}
+			assert.Equal(t, e.TimedOut(now, p, p.Brokers[0]), c.want)
+		})
+	}
+}
+
+// A broker that fails probes is probed ever more seldom, up to a bound; an answer readmits it,
+// unless it was failing.
+func TestProbesBackOff(t *testing.T) {
+	p, e := newPool(1), newEjector(0)
+	b := p.Brokers[0]
+	now := 20 * time.Second
+	e.CallFailed(now, sendCall(b, now), FaultConnect)
+	assert.Equal(t, b.Health.Reason(), Unreachable)
+	assert.Equal(t, e.Ejections(), uint64(1))
+	last := b.Health.backoff
+	for range 6 {
+		now = b.Health.ProbeAt()
+		probe := sendCall(b, now)
+		b.Health.BeginProbe(probe)
+		assert.Assert(t, !b.Health.ProbeDue(now), "one probe at a time")
+		e.CallFailed(now, probe, FaultConnect)
+		assert.Equal(t, b.Health.backoff, min(2*last, maxProbeBackoff))
+		wait := b.Health.ProbeAt() - now
+		assert.Assert(t, wait >= b.Health.backoff*3/4 && wait <= b.Health.backoff*5/4)
+		last = b.Health.backoff
+	}
+	assert.Equal(t, e.Ejections(), uint64(1))
+	e.Answered(now, p, b)
+	assert.Assert(t, !b.Health.Ejected())
+}
+
+// A broker that fails too large a share of its calls is ejected until one succeeds.
+func TestFailingBrokerMustSucceed(t *testing.T) {
+	for _, c := range []struct {
+		successes, failures int
+		ejected             bool
+	}{{0, 1, false}, {0, 2, true}, {4, 2, true}, {5, 2, false}} {
+		p, e := newPool(1), newEjector(0)
+		b := p.Brokers[0]
+		const now = 20 * time.Second
+		for range c.successes {
+			b.Health.Succeeded(now)
+		}
+		for range c.failures {
+			e.CallFailed(now, sendCall(b, now), FaultFailure)
+		}
+		assert.Equal(t, b.Health.Ejected(), c.ejected, "%d failures, %d successes", c.failures, c.successes)
+		if c.ejected {
+			e.Answered(now, p, b)
+			assert.Assert(t, b.Health.Ejected(), "an answer alone is no success")
+			b.Health.Succeeded(now)
+			assert.Assert(t, !b.Health.Ejected())
+		}
+	}
+}
+
+func TestNoEjectionWhereItIsDisabled(t *testing.T) {
+	p, e := newPool(1), newEjector(mechanism.OutlierEjection)
+	e.Eject(time.Second, p.Brokers[0], Unreachable)
+	assert.Assert(t, !p.Brokers[0].Health.Ejected())
+}
