--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -3,10 +3,10 @@
 import (
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/placement"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -72,7 +72,8 @@
 	return req
 }
 
-// runsModels reports whether a service's brokers have an engine, and so versions of weights and cached prompts.
+// runsModels reports whether a service's brokers have an engine, and so versions of weights and
+// cached prompts.
 func (r *Router) runsModels(service string) bool {
 	if r.compiled == nil {
 		return false
@@ -81,7 +82,8 @@
 	return s != nil && s.Engine != nil
 }
 
-// oversized reports whether a request is larger than a broker's memory, which refuses it as if it were full.
+// oversized reports whether a request is larger than a broker's memory, which refuses it as if it
+// were full.
 func (r *Router) oversized(received *Request) bool {
 	capacity := r.compiled.Services[received.Service].Engine.KVCapacityTokens
 	return capacity > 0 && float64(received.TokensIn+received.TokensOut) > capacity
@@ -92,7 +94,7 @@
 	choice := r.placer.Choose(now, &req.Request, found)
 	switch choice.Reason {
 	case placement.ByProbe:
-		r.counters.Trials++
+		r.counters.Probes++
 	case placement.ByAffinity:
 		r.counters.ByAffinity++
 	case placement.ByLoad:
@@ -114,7 +116,7 @@
 		return r.refuse(now, req, admission.NoBroker, core.Never)
 	}
 	ejected := found.FirstEjected()
-	if !req.Idempotent && ejected.Broker.Health.Reason() == upstream.Unresponsive {
+	if !req.Idempotent && ejected.Broker.Health.Reason() == brokerstate.Unresponsive {
 		return r.refuse(now, req, admission.Unhealthy, core.Never) // it would be lost, where another proxy may serve it
 	}
 	r.counters.Fallback++
@@ -122,8 +124,8 @@
 	return r.send(now, req, found, placement.Choice{Candidate: ejected})
 }
 
-// refuse is the final answer to a request that has not run. capacityAt is when a broker may have capacity; core.Never:
-// not known.
+// refuse is the final answer to a request that has not run. capacityAt is when a broker may have
+// capacity; core.Never: not known.
 func (r *Router) refuse(now core.Time, req *request, reason RefusalReason, capacityAt core.Time) Decision {
 	r.counters.Refusals[reason]++
 	return Decision{Refusal: &Refusal{Reason: reason, RetryAfter: r.gate.Advice(now, &req.Request, reason, capacityAt)}}
