--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -15,193 +15,193 @@
 
 // Settings are an operator's. Times are milliseconds.
 type Settings struct {
-	Most        int     // channels to a server at once, those that are running out not counted
-	Streams     int     // streams on a channel, or fewer where the peer says so
-	Waiting     int     // streams that wait for a place at a server
-	Connect     float64 // from opening to the peer's SETTINGS
-	Idle        float64 // without a stream
-	Backoff     float64 // after a failed connect, doubled for each that follows
-	BackoffMost float64
-	Ping        float64 // asked for a sign of life after so long without one while streams are open; 0: never
-	PingWait    float64 // and given up so long after that
+	MaxConnections   int     // channels to a server at once, those that are running out not counted
+	MaxStreams       int     // streams on a channel, or fewer where the peer says so
+	MaxWaiting       int     // streams that wait for a place at a server
+	ConnectTimeout   float64 // from opening to the peer's SETTINGS
+	IdleTimeout      float64 // without a stream
+	InitialBackoff   float64 // after a failed connect, doubled for each that follows
+	MaxBackoff       float64
+	KeepaliveTime    float64 // asked for a sign of life after so long without one while streams are open; 0: never
+	KeepaliveTimeout float64 // and given up so long after that
 }
 
-// Why a stream got no place.
-type Why uint8
+// Reason a stream got no place.
+type Reason uint8
 
 // Reasons why a stream has no place.
 const (
-	Unreachable Why = iota // the server can't be connected to, or could not lately
-	NoPlace                // all its streams are taken, and as many wait as may
-	Withdrawn              // it is draining, gone, or has no address
-	NoSocket               // this broker has no descriptor left
+	Unreachable  Reason = iota // the server can't be connected to, or could not lately
+	QueueFull                  // all its streams are taken, and as many wait as may
+	NotAccepting               // it is draining, gone, or has no address
+	NoDescriptor               // this broker has no descriptor left
 )
 
-// Token stands for a stream that wants a place; the caller's.
-type Token any
+// StreamRequest stands for a stream that wants a place; the caller's.
+type StreamRequest any
 
-// Out carries effects out. Effects may come within any call of the pool, which must not be called from them.
-type Out interface {
-	Open(server, channel int) bool // false: no descriptor
-	Begin(channel int, t Token)
-	Refuse(t Token, why Why)
+// Effects carries effects out. Effects may come within any call of the pool, which must not be called from them.
+type Effects interface {
+	Dial(server, channel int) bool // false: no descriptor
+	StartStream(channel int, t StreamRequest)
+	Reject(t StreamRequest, why Reason)
 	Close(channel int) // Done is not called for streams that were on it
 	Ping(channel int)
 }
 
-type state uint8
+type connState uint8
 
 const (
-	opening state = iota
+	connecting connState = iota
 	ready
-	ending // takes nothing new; closed when its last stream is over
+	draining // takes nothing new; closed when its last stream is over
 )
 
-type channel struct {
-	id, server int
-	state      state
-	streams    int
-	peerMost   int
-	due        float64 // to be up, or when it has been idle for too long
-	heard      float64
-	asked      float64 // a ping is out since, or 0
+type connection struct {
+	id, serverIndex int
+	state           connState
+	streams         int
+	peerMaxStreams  int
+	deadline        float64 // to be up, or when it has been idle for too long
+	lastReceivedAt  float64
+	pingSentAt      float64 // a ping is out since, or 0
 }
 
 type server struct {
-	channels []*channel
-	waiting  []Token
-	refusing bool // draining, gone, or without an address
-	failures int
-	notUntil float64
+	connections     []*connection
+	waiting         []StreamRequest
+	notAccepting    bool // draining, gone, or without an address
+	connectFailures int
+	nextConnectAt   float64
 }
 
 // Counters since the start.
 type Counters struct {
-	Opened, Failed, Lost, Goaways, Backoffs, NoPlace, Withdrawn, IdleClosed, Pings, Mute int64
+	Opened, ConnectFailed, Lost, GoAways, Backoffs, QueueFull, NotAccepting, IdleClosed, Pings, KeepaliveTimeouts int64
 }
 
 // Pool is all channels of one broker.
 type Pool struct {
-	Count    Counters
-	out      Out
-	set      Settings
-	dice     func() float64 // from 0 to 1
-	servers  []*server
-	channels []*channel
-	free     []int
+	Counters    Counters
+	effects     Effects
+	settings    Settings
+	random      func() float64 // from 0 to 1
+	servers     []*server
+	connections []*connection
+	freeIDs     []int
 }
 
 // New makes an empty pool. dice gives chance for the backoff, so that brokers do not connect in step.
-func New(out Out, set Settings, dice func() float64) *Pool {
-	return &Pool{out: out, set: set, dice: dice}
+func New(effects Effects, settings Settings, random func() float64) *Pool {
+	return &Pool{effects: effects, settings: settings, random: random}
 }
 
-// Set takes other settings; channels that are open obey them from now on.
-func (p *Pool) Set(set Settings) { p.set = set }
+// UpdateSettings takes other settings; channels that are open obey them from now on.
+func (p *Pool) UpdateSettings(settings Settings) { p.settings = settings }
 
-func (p *Pool) server(at int) *server {
+func (p *Pool) serverAt(at int) *server {
 	for at >= len(p.servers) {
 		p.servers = append(p.servers, nil)
 	}
 	if p.servers[at] == nil {
-		p.servers[at] = &server{refusing: true}
+		p.servers[at] = &server{notAccepting: true}
 	}
 	return p.servers[at]
 }
 
-func (p *Pool) most(c *channel) int { return min(p.set.Streams, c.peerMost) }
+func (p *Pool) maxStreams(c *connection) int { return min(p.settings.MaxStreams, c.peerMaxStreams) }
 
-// Want asks for a place at a server: at once where a channel is up and has room, the one with the fewest streams; else
+// RequestStream asks for a place at a server: at once where a channel is up and has room, the one with the fewest streams; else
 // when one comes up or a stream ends.
-func (p *Pool) Want(now float64, at int, t Token) {
-	s := p.server(at)
-	if s.refusing {
-		p.Count.Withdrawn++
-		p.out.Refuse(t, Withdrawn)
+func (p *Pool) RequestStream(now float64, at int, t StreamRequest) {
+	s := p.serverAt(at)
+	if s.notAccepting {
+		p.Counters.NotAccepting++
+		p.effects.Reject(t, NotAccepting)
 		return
 	}
-	if c := p.best(s); c != nil && len(s.waiting) == 0 {
-		p.begin(c, t)
+	if c := p.leastLoaded(s); c != nil && len(s.waiting) == 0 {
+		p.startStream(c, t)
 		return
 	}
 	up, coming := 0, 0
-	for _, c := range s.channels {
+	for _, c := range s.connections {
 		switch c.state {
 		case ready:
 			up++
-		case opening:
+		case connecting:
 			coming++
 		}
 	}
 	// One connect at a time: what a cold server is asked for first is one channel, and one that is down one attempt.
-	if coming == 0 && up < p.set.Most {
-		if now < s.notUntil {
+	if coming == 0 && up < p.settings.MaxConnections {
+		if now < s.nextConnectAt {
 			if up == 0 {
-				p.Count.Backoffs++
-				p.out.Refuse(t, Unreachable)
+				p.Counters.Backoffs++
+				p.effects.Reject(t, Unreachable)
 				return
 			}
-		} else if !p.open(now, at) && up == 0 {
-			p.out.Refuse(t, NoSocket)
+		} else if !p.dial(now, at) && up == 0 {
+			p.effects.Reject(t, NoDescriptor)
 			return
 		}
 	}
-	if len(s.waiting) >= p.set.Waiting {
-		p.Count.NoPlace++
-		p.out.Refuse(t, NoPlace)
+	if len(s.waiting) >= p.settings.MaxWaiting {
+		p.Counters.QueueFull++
+		p.effects.Reject(t, QueueFull)
 		return
 	}
 	s.waiting = append(s.waiting, t)
 }
 
-func (p *Pool) best(s *server) (best *channel) {
-	for _, c := range s.channels {
-		if c.state == ready && c.streams < p.most(c) && (best == nil || c.streams < best.streams) {
-			best = c
+func (p *Pool) leastLoaded(s *server) (leastLoaded *connection) {
+	for _, c := range s.connections {
+		if c.state == ready && c.streams < p.maxStreams(c) && (leastLoaded == nil || c.streams < leastLoaded.streams) {
+			leastLoaded = c
 		}
 	}
-	return best
+	return leastLoaded
 }
 
-func (p *Pool) begin(c *channel, t Token) {
+func (p *Pool) startStream(c *connection, t StreamRequest) {
 	c.streams++
-	c.due = math.Inf(1)
-	p.out.Begin(c.id, t)
+	c.deadline = math.Inf(1)
+	p.effects.StartStream(c.id, t)
 }
 
-func (p *Pool) open(now float64, at int) bool {
-	c := &channel{id: len(p.channels), server: at, peerMost: p.set.Streams, due: now + p.set.Connect, heard: now}
-	if n := len(p.free); n > 0 {
-		c.id, p.free = p.free[n-1], p.free[:n-1]
-		p.channels[c.id] = c
+func (p *Pool) dial(now float64, at int) bool {
+	c := &connection{id: len(p.connections), serverIndex: at, peerMaxStreams: p.settings.MaxStreams, deadline: now + p.settings.ConnectTimeout, lastReceivedAt: now}
+	if n := len(p.freeIDs); n > 0 {
+		c.id, p.freeIDs = p.freeIDs[n-1], p.freeIDs[:n-1]
+		p.connections[c.id] = c
 	} else {
-		p.channels = append(p.channels, c)
+		p.connections = append(p.connections, c)
 	}
-	s := p.server(at)
-	s.channels = append(s.channels, c)
-	if p.Count.Opened++; p.out.Open(at, c.id) {
+	s := p.serverAt(at)
+	s.connections = append(s.connections, c)
+	if p.Counters.Opened++; p.effects.Dial(at, c.id) {
 		return true
 	}
-	p.drop(c)
+	p.remove(c)
 	return false
 }
 
-// drop forgets a channel.
-func (p *Pool) drop(c *channel) {
-	s := p.servers[c.server]
-	for i, o := range s.channels {
+// remove forgets a channel.
+func (p *Pool) remove(c *connection) {
+	s := p.servers[c.serverIndex]
+	for i, o := range s.connections {
 		if o == c {
-			s.channels = append(s.channels[:i], s.channels[i+1:]...)
+			s.connections = append(s.connections[:i], s.connections[i+1:]...)
 			break
 		}
 	}
-	p.channels[c.id] = nil
-	p.free = append(p.free, c.id)
+	p.connections[c.id] = nil
+	p.freeIDs = append(p.freeIDs, c.id)
 }
 
-// Forget takes back a stream that waits.
-func (p *Pool) Forget(at int, t Token) {
-	s := p.server(at)
+// CancelRequest takes back a stream that waits.
+func (p *Pool) CancelRequest(at int, t StreamRequest) {
+	s := p.serverAt(at)
 	for i, o := range s.waiting {
 		if o == t {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
@@ -211,167 +211,167 @@
 }
 
 // Up tells that a channel's peer has said its SETTINGS: most is how many streams it takes.
-func (p *Pool) Up(now float64, id, most int) {
-	c := p.channels[id]
-	c.peerMost, c.heard = most, now
-	if c.state == opening {
-		c.state, c.due = ready, now+p.set.Idle
-		p.servers[c.server].failures = 0
-	}
-	p.fill(now, c.server)
+func (p *Pool) Connected(now float64, id, most int) {
+	c := p.connections[id]
+	c.peerMaxStreams, c.lastReceivedAt = most, now
+	if c.state == connecting {
+		c.state, c.deadline = ready, now+p.settings.IdleTimeout
+		p.servers[c.serverIndex].connectFailures = 0
+	}
+	p.serveWaiting(now, c.serverIndex)
 }
 
-// Heard tells that something came on a channel.
-func (p *Pool) Heard(now float64, id int) {
-	if c := p.channels[id]; c != nil {
-		c.heard, c.asked = now, 0
+// Received tells that something came on a channel.
+func (p *Pool) Received(now float64, id int) {
+	if c := p.connections[id]; c != nil {
+		c.lastReceivedAt, c.pingSentAt = now, 0
 	}
 }
 
-// fill gives who waits at a server the places that there are.
-func (p *Pool) fill(now float64, at int) {
-	s := p.server(at)
+// serveWaiting gives who waits at a server the places that there are.
+func (p *Pool) serveWaiting(now float64, at int) {
+	s := p.serverAt(at)
 	for len(s.waiting) > 0 {
-		c := p.best(s)
+		c := p.leastLoaded(s)
 		if c == nil {
 			break
 		}
 		t := s.waiting[0]
 		s.waiting = append(s.waiting[:0], s.waiting[1:]...)
-		p.begin(c, t)
+		p.startStream(c, t)
 	}
-	if len(s.waiting) == 0 || s.refusing {
+	if len(s.waiting) == 0 || s.notAccepting {
 		return
 	}
 	up, coming := 0, 0
-	for _, c := range s.channels {
+	for _, c := range s.connections {
 		if c.state == ready {
 			up++
-		} else if c.state == opening {
+		} else if c.state == connecting {
 			coming++
 		}
 	}
 	switch {
-	case coming > 0 || up >= p.set.Most:
-	case now < s.notUntil:
+	case coming > 0 || up >= p.settings.MaxConnections:
+	case now < s.nextConnectAt:
 		if up == 0 {
-			p.refuseAll(s, Unreachable) // nothing will bring them a place
+			p.rejectAll(s, Unreachable) // nothing will bring them a place
 		}
-	case !p.open(now, at) && up == 0:
-		p.refuseAll(s, NoSocket)
+	case !p.dial(now, at) && up == 0:
+		p.rejectAll(s, NoDescriptor)
 	}
 }
 
-func (p *Pool) refuseAll(s *server, why Why) {
+func (p *Pool) rejectAll(s *server, why Reason) {
 	waiting := s.waiting
 	s.waiting = nil
 	for _, t := range waiting {
-		p.out.Refuse(t, why)
+		p.effects.Reject(t, why)
 	}
 }
 
-// Lost tells that a channel's connection is gone, or never came up. Its streams are the caller's to end.
-func (p *Pool) Lost(now float64, id int) {
-	c := p.channels[id]
+// ConnectionLost tells that a channel's connection is gone, or never came up. Its streams are the caller's to end.
+func (p *Pool) ConnectionLost(now float64, id int) {
+	c := p.connections[id]
 	if c == nil {
 		return
 	}
-	s := p.servers[c.server]
+	s := p.servers[c.serverIndex]
 	was := c.state
-	p.drop(c)
-	if was == opening {
-		p.Count.Failed++
-		p.failed(now, s)
+	p.remove(c)
+	if was == connecting {
+		p.Counters.ConnectFailed++
+		p.connectFailed(now, s)
 		return
 	}
-	p.Count.Lost++
-	p.fill(now, c.server)
+	p.Counters.Lost++
+	p.serveWaiting(now, c.serverIndex)
 }
 
-// failed waits before the next connect, longer each time, and refuses who has no channel to hope for.
-func (p *Pool) failed(now float64, s *server) {
-	wait := min(p.set.Backoff*math.Pow(2, float64(min(s.failures, 30))), p.set.BackoffMost)
-	s.failures++
-	s.notUntil = now + wait*(0.8+0.4*p.dice())
-	for _, c := range s.channels {
+// connectFailed waits before the next connect, longer each time, and refuses who has no channel to hope for.
+func (p *Pool) connectFailed(now float64, s *server) {
+	wait := min(p.settings.InitialBackoff*math.Pow(2, float64(min(s.connectFailures, 30))), p.settings.MaxBackoff)
+	s.connectFailures++
+	s.nextConnectAt = now + wait*(0.8+0.4*p.random())
+	for _, c := range s.connections {
 		if c.state == ready {
 			return
 		}
 	}
-	p.refuseAll(s, Unreachable)
+	p.rejectAll(s, Unreachable)
 }
 
-// Leaving tells that the peer takes no new streams on a channel.
-func (p *Pool) Leaving(now float64, id int) {
-	c := p.channels[id]
-	if c == nil || c.state == ending {
+// GoAway tells that the peer takes no new streams on a channel.
+func (p *Pool) GoAway(now float64, id int) {
+	c := p.connections[id]
+	if c == nil || c.state == draining {
 		return
 	}
-	p.Count.Goaways++
+	p.Counters.GoAways++
 	was := c.state
-	c.state = ending
-	if was == opening {
-		p.failed(now, p.servers[c.server])
+	c.state = draining
+	if was == connecting {
+		p.connectFailed(now, p.servers[c.serverIndex])
 	}
-	p.endIfIdle(c)
-	p.fill(now, c.server)
+	p.closeIfDrained(c)
+	p.serveWaiting(now, c.serverIndex)
 }
 
-func (p *Pool) endIfIdle(c *channel) {
-	if c.state == ending && c.streams == 0 {
-		p.drop(c)
-		p.out.Close(c.id)
+func (p *Pool) closeIfDrained(c *connection) {
+	if c.state == draining && c.streams == 0 {
+		p.remove(c)
+		p.effects.Close(c.id)
 	}
 }
 
-// Done tells that a stream on a channel is over.
-func (p *Pool) Done(now float64, id int) {
-	c := p.channels[id]
+// StreamDone tells that a stream on a channel is over.
+func (p *Pool) StreamDone(now float64, id int) {
+	c := p.connections[id]
 	if c == nil {
 		return
 	}
 	must.Hold(c.streams > 0, "a stream that is over was begun")
 	if c.streams--; c.streams == 0 {
-		c.due = now + p.set.Idle
+		c.deadline = now + p.settings.IdleTimeout
 	}
-	p.endIfIdle(c)
-	p.fill(now, c.server)
+	p.closeIfDrained(c)
+	p.serveWaiting(now, c.serverIndex)
 }
 
-// Server is news of a server. Not ready, it gets nothing new from now on: who waits is refused, what runs goes on. moved:
+// UpdateServer is news of a server. Not ready, it gets nothing new from now on: who waits is refused, what runs goes on. moved:
 // its address is another one, so that what is open leads to the wrong place.
-func (p *Pool) Server(now float64, at int, ready, moved bool) {
-	s := p.server(at)
-	s.refusing = !ready
+func (p *Pool) UpdateServer(now float64, at int, ready, moved bool) {
+	s := p.serverAt(at)
+	s.notAccepting = !ready
 	if !ready {
-		p.Count.Withdrawn += int64(len(s.waiting))
-		p.refuseAll(s, Withdrawn)
+		p.Counters.NotAccepting += int64(len(s.waiting))
+		p.rejectAll(s, NotAccepting)
 	}
 	if ready && !moved {
 		return
 	}
 	if moved {
-		s.failures, s.notUntil = 0, 0
+		s.connectFailures, s.nextConnectAt = 0, 0
 	}
-	for _, c := range append([]*channel(nil), s.channels...) {
-		if c.state == opening {
-			p.drop(c)
-			p.out.Close(c.id)
+	for _, c := range append([]*connection(nil), s.connections...) {
+		if c.state == connecting {
+			p.remove(c)
+			p.effects.Close(c.id)
 			continue
 		}
-		c.state = ending
-		p.endIfIdle(c)
+		c.state = draining
+		p.closeIfDrained(c)
 	}
-	p.fill(now, at)
+	p.serveWaiting(now, at)
 }
 
-// Forgotten drops a server, whose index may stand for another one from now on. No stream may be waiting for it.
-func (p *Pool) Forgotten(at int) {
-	s := p.server(at)
+// RemoveServer drops a server, whose index may stand for another one from now on. No stream may be waiting for it.
+func (p *Pool) RemoveServer(at int) {
+	s := p.serverAt(at)
 	must.Hold(len(s.waiting) == 0, "nobody waits for a server that is forgotten")
-	for _, c := range append([]*channel(nil), s.channels...) {
-		p.drop(c)
-		p.out.Close(c.id)
+	for _, c := range append([]*connection(nil), s.connections...) {
+		p.remove(c)
+		p.effects.Close(c.id)
 	}
 	p.servers[at] = nil
 }
@@ -379,49 +379,49 @@
 // Tick does what is due, and tells when something will be, or +Inf.
 func (p *Pool) Tick(now float64) (next float64) {
 	next = math.Inf(1)
-	for _, c := range p.channels {
+	for _, c := range p.connections {
 		if c == nil {
 			continue
 		}
 		switch {
-		case c.state == opening && now >= c.due:
+		case c.state == connecting && now >= c.deadline:
 			// Silence while it comes up is a failed connect: what waits there must not wait for ever.
-			p.drop(c)
-			p.out.Close(c.id)
-			p.Count.Failed++
-			p.failed(now, p.servers[c.server])
+			p.remove(c)
+			p.effects.Close(c.id)
+			p.Counters.ConnectFailed++
+			p.connectFailed(now, p.servers[c.serverIndex])
 			continue
-		case c.state == ready && c.streams == 0 && now >= c.due:
-			p.Count.IdleClosed++
-			p.drop(c)
-			p.out.Close(c.id)
+		case c.state == ready && c.streams == 0 && now >= c.deadline:
+			p.Counters.IdleClosed++
+			p.remove(c)
+			p.effects.Close(c.id)
 			continue
-		case c.asked > 0 && now >= c.asked+p.set.PingWait:
-			p.Count.Mute++
-			p.drop(c)
-			p.out.Close(c.id)
-			p.fill(now, c.server)
+		case c.pingSentAt > 0 && now >= c.pingSentAt+p.settings.KeepaliveTimeout:
+			p.Counters.KeepaliveTimeouts++
+			p.remove(c)
+			p.effects.Close(c.id)
+			p.serveWaiting(now, c.serverIndex)
 			continue
-		case p.set.Ping > 0 && c.asked == 0 && c.streams > 0 && now >= c.heard+p.set.Ping:
-			p.Count.Pings++
-			c.asked = now
-			p.out.Ping(c.id)
+		case p.settings.KeepaliveTime > 0 && c.pingSentAt == 0 && c.streams > 0 && now >= c.lastReceivedAt+p.settings.KeepaliveTime:
+			p.Counters.Pings++
+			c.pingSentAt = now
+			p.effects.Ping(c.id)
 		}
 		switch {
-		case c.asked > 0:
-			next = min(next, c.asked+p.set.PingWait)
-		case c.state == opening || c.state == ready && c.streams == 0:
-			next = min(next, c.due)
-		case p.set.Ping > 0:
-			next = min(next, c.heard+p.set.Ping)
+		case c.pingSentAt > 0:
+			next = min(next, c.pingSentAt+p.settings.KeepaliveTimeout)
+		case c.state == connecting || c.state == ready && c.streams == 0:
+			next = min(next, c.deadline)
+		case p.settings.KeepaliveTime > 0:
+			next = min(next, c.lastReceivedAt+p.settings.KeepaliveTime)
 		}
 	}
 	return next
 }
 
-// Channels counts the connections that there are now, those that are being made among them.
-func (p *Pool) Channels() (n int) {
-	for _, c := range p.channels {
+// Connections counts the connections that there are now, those that are being made among them.
+func (p *Pool) Connections() (n int) {
+	for _, c := range p.connections {
 		if c != nil {
 			n++
 		}
@@ -431,7 +431,7 @@
 
 // Streams counts the streams open on all connections now.
 func (p *Pool) Streams() (n int) {
-	for _, c := range p.channels {
+	for _, c := range p.connections {
 		if c != nil {
 			n += c.streams
 		}
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -12,75 +12,75 @@
 	"gotest.tools/v3/golden"
 )
 
-// peer is the network as a random run has it, with checks of what the pool may do.
-type peer struct {
-	t        *testing.T
-	p        *Pool
-	now      float64
-	up       map[int]int // channel to server; negative server: still opening
-	opening  map[int]int
-	streams  map[int]map[Token]bool
-	waiting  map[Token]int
-	draining map[int]bool
-	refused  int
-	sockets  int
-	opens    map[int][]float64
-	seen     map[Token]int
-	most     map[int]int
-	trace    io.Writer // each effect, for the golden test
+// network is the network as a random run has it, with checks of what the pool may do.
+type network struct {
+	t           *testing.T
+	pool        *Pool
+	now         float64
+	connected   map[int]int // channel to server; negative server: still opening
+	connecting  map[int]int
+	streams     map[int]map[StreamRequest]bool
+	waiting     map[StreamRequest]int
+	draining    map[int]bool
+	rejected    int
+	descriptors int
+	dials       map[int][]float64
+	outcomes    map[StreamRequest]int
+	maxStreams  map[int]int
+	trace       io.Writer // each effect, for the golden test
 }
 
-func (n *peer) Open(server, channel int) bool {
+func (n *network) Dial(server, channel int) bool {
 	n.log("open", server, channel)
 	if n.draining[server] {
 		n.t.Fatalf("opened to server %d, which is draining", server)
 	}
-	if n.sockets <= 0 {
+	if n.descriptors <= 0 {
 		return false
 	}
-	n.sockets--
-	for _, s := range n.opening {
+	n.descriptors--
+	for _, s := range n.connecting {
 		if s == server {
 			n.t.Fatalf("two connects to server %d at a time", server)
 		}
 	}
-	n.opening[channel] = server
-	n.opens[server] = append(n.opens[server], n.now)
+	n.connecting[channel] = server
+	n.dials[server] = append(n.dials[server], n.now)
 	return true
 }
 
-func (n *peer) Begin(channel int, t Token) {
+func (n *network) StartStream(channel int, t StreamRequest) {
 	n.log("begin", channel, t)
-	s, up := n.up[channel]
+	s, up := n.connected[channel]
 	if !up || n.draining[s] {
 		n.t.Fatalf("a stream begins on channel %d: up %v, server %d draining %v", channel, up, s, n.draining[s])
 	}
-	if len(n.streams[channel]) >= n.most[channel] {
+	if len(n.streams[channel]) >= n.maxStreams[channel] {
 		n.t.Fatalf("channel %d has %d streams", channel, len(n.streams[channel]))
 	}
 	n.streams[channel][t] = true
-	n.seen[t]++
+	n.outcomes[t]++
 	delete(n.waiting, t)
 }
 
-func (n *peer) Refuse(t Token, why Why) {
+func (n *network) Reject(t StreamRequest, why Reason) {
 	n.log("refuse", t, int(why))
-	n.refused++
-	n.seen[t]++
+	n.rejected++
+	n.outcomes[t]++
 	delete(n.waiting, t)
 }
 
-func (n *peer) Close(channel int) {
+func (n *network) Close(channel int) {
 	n.log("close", channel)
-	n.sockets++
-	delete(n.opening, channel)
-	delete(n.up, channel)
+	n.descriptors++
+	delete(n.connecting, channel)
+	delete(n.connected, channel)
 	delete(n.streams, channel)
 }
 
-func (n *peer) Ping(channel int) { n.log("ping", channel) }
+func (n *network) Ping(channel int) { n.log("ping", channel) }
 
-func (n *peer) log(effect string, subjects ...any) {
+func (n *network) log(effect string, subjects ...any) {
 	if n.trace != nil {
 		fmt.Fprintln(n.trace, n.now, effect, subjects)
 	}
@@ -107,15 +107,15 @@
 	var traces strings.Builder
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		n := &peer{t: t, up: map[int]int{}, opening: map[int]int{}, streams: map[int]map[Token]bool{}, waiting: map[Token]int{},
-			draining: map[int]bool{}, sockets: 8, opens: map[int][]float64{}, seen: map[Token]int{}, most: map[int]int{}}
+		n := &network{t: t, connected: map[int]int{}, connecting: map[int]int{}, streams: map[int]map[StreamRequest]bool{}, waiting: map[StreamRequest]int{},
+			draining: map[int]bool{}, descriptors: 8, dials: map[int][]float64{}, outcomes: map[StreamRequest]int{}, maxStreams: map[int]int{}}
 		trace := fnv.New64a()
 		n.trace = trace
-		set := Settings{Most: 2, Streams: 4, Waiting: 5, Connect: 50, Idle: 300, Backoff: 20, BackoffMost: 200, Ping: 100, PingWait: 50}
-		n.p = New(n, set, rng.Float64)
+		set := Settings{MaxConnections: 2, MaxStreams: 4, MaxWaiting: 5, ConnectTimeout: 50, IdleTimeout: 300, InitialBackoff: 20, MaxBackoff: 200, KeepaliveTime: 100, KeepaliveTimeout: 50}
+		n.pool = New(n, set, rng.Float64)
 		const servers = 3
 		for s := range servers {
-			n.p.Server(0, s, true, false)
+			n.pool.UpdateServer(0, s, true, false)
 		}
 		asked := 0
 		for range 3000 {
@@ -124,117 +124,119 @@
 			case 0, 1, 2, 3:
 				asked++
 				n.waiting[asked] = rng.IntN(servers)
-				n.p.Want(n.now, n.waiting[asked], asked)
+				n.pool.RequestStream(n.now, n.waiting[asked], asked)
 			case 4, 5, 6:
 				if ch, ok := pick(rng, n.streams, less); ok && len(n.streams[ch]) > 0 {
-					tk, _ := pick(rng, n.streams[ch], func(a, b Token) bool { return a.(int) < b.(int) })
+					tk, _ := pick(rng, n.streams[ch], func(a, b StreamRequest) bool { return a.(int) < b.(int) })
 					delete(n.streams[ch], tk)
-					n.p.Done(n.now, ch)
+					n.pool.StreamDone(n.now, ch)
 				}
 			case 7, 8:
-				if ch, ok := pick(rng, n.opening, less); ok {
-					s := n.opening[ch]
-					if delete(n.opening, ch); rng.IntN(3) == 0 {
-						n.sockets++
-						n.p.Lost(n.now, ch)
+				if ch, ok := pick(rng, n.connecting, less); ok {
+					s := n.connecting[ch]
+					if delete(n.connecting, ch); rng.IntN(3) == 0 {
+						n.descriptors++
+						n.pool.ConnectionLost(n.now, ch)
 					} else {
-						n.up[ch], n.streams[ch] = s, map[Token]bool{}
-						n.most[ch] = min(set.Streams, 1+rng.IntN(6))
-						n.p.Up(n.now, ch, n.most[ch])
+						n.connected[ch], n.streams[ch] = s, map[StreamRequest]bool{}
+						n.maxStreams[ch] = min(set.MaxStreams, 1+rng.IntN(6))
+						n.pool.Connected(n.now, ch, n.maxStreams[ch])
 					}
 				}
 			case 9:
-				if ch, ok := pick(rng, n.up, less); ok && rng.IntN(4) == 0 {
-					if delete(n.up, ch); rng.IntN(2) == 0 {
+				if ch, ok := pick(rng, n.connected, less); ok && rng.IntN(4) == 0 {
+					if delete(n.connected, ch); rng.IntN(2) == 0 {
 						delete(n.streams, ch)
-						n.sockets++
-						n.p.Lost(n.now, ch)
+						n.descriptors++
+						n.pool.ConnectionLost(n.now, ch)
 					} else {
-						n.up[ch] = 0 // it still counts as open
-						n.p.Leaving(n.now, ch)
+						n.connected[ch] = 0 // it still counts as open
+						n.pool.GoAway(n.now, ch)
 					}
 				}
 			case 10:
 				if s := rng.IntN(servers); rng.IntN(6) == 0 {
 					if n.draining[s] {
 						delete(n.draining, s)
-						n.p.Server(n.now, s, true, false)
+						n.pool.UpdateServer(n.now, s, true, false)
 					} else {
 						n.draining[s] = true
-						n.p.Server(n.now, s, false, false)
+						n.pool.UpdateServer(n.now, s, false, false)
 					}
 				}
 			case 11:
-				for ch := range n.up {
-					n.p.Heard(n.now, ch)
+				for ch := range n.connected {
+					n.pool.Received(n.now, ch)
 				}
 			}
-			n.p.Tick(n.now)
-			for tk, times := range n.seen {
+			n.pool.Tick(n.now)
+			for tk, times := range n.outcomes {
 				if times > 1 {
 					t.Fatalf("seed %d: stream %v had %d places or refusals", seed, tk, times)
 				}
 			}
-			if len(n.waiting) != n.p.Waiting() {
-				t.Fatalf("seed %d: %d wait, the pool says %d", seed, len(n.waiting), n.p.Waiting())
+			if len(n.waiting) != n.pool.Waiting() {
+				t.Fatalf("seed %d: %d wait, the pool says %d", seed, len(n.waiting), n.pool.Waiting())
 			}
-			if got := n.p.Channels(); got != len(n.up)+len(n.opening) {
-				t.Fatalf("seed %d: %d channels, the pool says %d", seed, len(n.up)+len(n.opening), got)
+			if got := n.pool.Connections(); got != len(n.connected)+len(n.connecting) {
+				t.Fatalf("seed %d: %d channels, the pool says %d", seed, len(n.connected)+len(n.connecting), got)
 			}
 			streams := 0
 			for _, list := range n.streams {
 				streams += len(list)
 			}
-			if streams != n.p.Streams() {
-				t.Fatalf("seed %d: %d streams, the pool says %d", seed, streams, n.p.Streams())
+			if streams != n.pool.Streams() {
+				t.Fatalf("seed %d: %d streams, the pool says %d", seed, streams, n.pool.Streams())
 			}
 		}
 		// What follows runs in a map's order.
 		n.trace = nil
-		fmt.Fprintf(&traces, "%d: effects %x, counters %v\n", seed, trace.Sum64(), n.p.Count)
+		fmt.Fprintf(&traces, "%d: effects %x, counters %v\n", seed, trace.Sum64(), n.pool.Counters)
 		// At rest nothing waits for ever.
 		for range 400 {
 			n.now += 10
-			for ch := range n.up {
-				n.p.Heard(n.now, ch)
+			for ch := range n.connected {
+				n.pool.Received(n.now, ch)
 				for tk := range n.streams[ch] {
 					delete(n.streams[ch], tk)
-					n.p.Done(n.now, ch)
+					n.pool.StreamDone(n.now, ch)
 				}
 			}
-			n.p.Tick(n.now)
+			n.pool.Tick(n.now)
 		}
-		if len(n.waiting) > 0 || n.p.Channels() > 0 || n.sockets != 8 || !math.IsInf(n.p.Tick(n.now), 1) {
-			t.Fatalf("seed %d: at rest %d wait, %d channels, %d descriptors", seed, len(n.waiting), n.p.Channels(), n.sockets)
+		if len(n.waiting) > 0 || n.pool.Connections() > 0 || n.descriptors != 8 || !math.IsInf(n.pool.Tick(n.now), 1) {
+			t.Fatalf("seed %d: at rest %d wait, %d channels, %d descriptors", seed, len(n.waiting), n.pool.Connections(), n.descriptors)
 		}
 	}
 	golden.Assert(t, traces.String(), "golden/traces.txt")
 }
 
-// script notes effects.
-type script struct {
-	said []string
-	no   bool
+// effectLog notes effects.
+type effectLog struct {
+	effects      []string
+	noDescriptor bool
 }
 
-func (s *script) say(form string, args ...any) { s.said = append(s.said, fmt.Sprintf(form, args...)) }
-func (s *script) Open(server, _ int) bool      { s.say("open %d", server); return !s.no }
-func (s *script) Begin(ch int, t Token)        { s.say("begin %v on %d", t, ch) }
-func (s *script) Refuse(t Token, why Why)      { s.say("refuse %v %d", t, why) }
-func (s *script) Close(ch int)                 { s.say("close %d", ch) }
-func (s *script) Ping(ch int)                  { s.say("ping %d", ch) }
+func (s *effectLog) add(form string, args ...any) {
+	s.effects = append(s.effects, fmt.Sprintf(form, args...))
+}
+func (s *effectLog) Dial(server, _ int) bool             { s.add("open %d", server); return !s.noDescriptor }
+func (s *effectLog) StartStream(ch int, t StreamRequest) { s.add("begin %v on %d", t, ch) }
+func (s *effectLog) Reject(t StreamRequest, why Reason)  { s.add("refuse %v %d", t, why) }
+func (s *effectLog) Close(ch int)                        { s.add("close %d", ch) }
+func (s *effectLog) Ping(ch int)                         { s.add("ping %d", ch) }
 
 func TestBackoffGrowsAndEnds(t *testing.T) {
-	s := &script{}
-	p := New(s, Settings{Most: 1, Streams: 10, Waiting: 9, Connect: 10, Idle: 1e6, Backoff: 100, BackoffMost: 400}, func() float64 { return 0.5 })
-	p.Server(0, 0, true, false)
+	s := &effectLog{}
+	p := New(s, Settings{MaxConnections: 1, MaxStreams: 10, MaxWaiting: 9, ConnectTimeout: 10, IdleTimeout: 1e6, InitialBackoff: 100, MaxBackoff: 400}, func() float64 { return 0.5 })
+	p.UpdateServer(0, 0, true, false)
 	opened := 0
 	for now := 0.0; now < 2000; now += 5 {
-		before := p.Count.Opened
-		p.Want(now, 0, now)
-		if p.Count.Opened > before {
+		before := p.Counters.Opened
+		p.RequestStream(now, 0, now)
+		if p.Counters.Opened > before {
 			opened++
-			p.Lost(now, 0)
+			p.ConnectionLost(now, 0)
 		}
 	}
 	if opened != 7 { // at 0, 100, 300, 700, 1100, 1500, 1900
@@ -245,13 +247,13 @@
 	}
 }
 
-func TestAMutePeerIsPingedAndLetGo(t *testing.T) {
-	s := &script{}
-	p := New(s, Settings{Most: 1, Streams: 10, Waiting: 9, Connect: 10, Idle: 1e6, Backoff: 1, BackoffMost: 1, Ping: 100, PingWait: 50},
+func TestUnresponsivePeerIsPingedThenClosed(t *testing.T) {
+	s := &effectLog{}
+	p := New(s, Settings{MaxConnections: 1, MaxStreams: 10, MaxWaiting: 9, ConnectTimeout: 10, IdleTimeout: 1e6, InitialBackoff: 1, MaxBackoff: 1, KeepaliveTime: 100, KeepaliveTimeout: 50},
 		func() float64 { return 0.5 })
-	p.Server(0, 0, true, false)
-	p.Want(0, 0, "a")
-	p.Up(1, 0, 10)
+	p.UpdateServer(0, 0, true, false)
+	p.RequestStream(0, 0, "a")
+	p.Connected(1, 0, 10)
 	for now := 1.0; now <= 200; {
 		next := p.Tick(now)
 		if math.IsInf(next, 1) {
@@ -259,17 +261,17 @@
 		}
 		now = max(next, now+1)
 	}
-	if fmt.Sprint(s.said) != "[open 0 begin a on 0 ping 0 close 0]" {
-		t.Error(s.said)
+	if fmt.Sprint(s.effects) != "[open 0 begin a on 0 ping 0 close 0]" {
+		t.Error(s.effects)
 	}
 }
 
-func TestWithoutDescriptors(t *testing.T) {
-	s := &script{no: true}
-	p := New(s, Settings{Most: 1, Streams: 10, Waiting: 9}, func() float64 { return 0.5 })
-	p.Server(0, 0, true, false)
-	p.Want(0, 0, "a")
-	if fmt.Sprint(s.said) != "[open 0 refuse a 3]" || p.Channels() != 0 {
-		t.Error(s.said)
+func TestStreamIsRejectedWithoutDescriptor(t *testing.T) {
+	s := &effectLog{noDescriptor: true}
+	p := New(s, Settings{MaxConnections: 1, MaxStreams: 10, MaxWaiting: 9}, func() float64 { return 0.5 })
+	p.UpdateServer(0, 0, true, false)
+	p.RequestStream(0, 0, "a")
+	if fmt.Sprint(s.effects) != "[open 0 refuse a 3]" || p.Connections() != 0 {
+		t.Error(s.effects)
 	}
 }
--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -257,7 +257,7 @@
 	if by := s.Begin(); !math.IsInf(by, 1) {
 		a.by = k.f.r.After(by-k.f.r.Now(), a.tooLate)
 	}
-	k.f.pool.Want(k.f.r.Now(), a.server, a)
+	k.f.pool.RequestStream(k.f.r.Now(), a.server, a)
 }
 
 // Door is where gRPC comes in (engine.Call).
@@ -683,7 +683,7 @@
 	if a.l != nil {
 		a.l.end(a, http2.ErrCodeCancel)
 	} else {
-		k.f.pool.Forget(a.server, a)
+		k.f.pool.CancelRequest(a.server, a)
 	}
 	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.Outcome == policy.Answered) {
 		a.free()
--- a/internal/grpcproxy/front.go
+++ b/internal/grpcproxy/front.go
@@ -86,7 +86,7 @@
 		return
 	}
 	f.rules = next
-	f.pool.Set(next.Channels)
+	f.pool.UpdateSettings(next.Channels)
 	for i := range f.servers {
 		f.aim(i)
 	}
@@ -114,7 +114,7 @@
 	}
 	was := t.addr
 	t.addr, t.has = f.rules.Addresses.Of(t.id, t.listed)
-	f.pool.Server(f.r.Now(), at, t.has && (t.state == policy.Ready || plantDrain), was.IsValid() && was != t.addr)
+	f.pool.UpdateServer(f.r.Now(), at, t.has && (t.state == policy.Ready || plantDrain), was.IsValid() && was != t.addr)
 	if !t.has || t.state != policy.Ready {
 		for _, l := range append([]*line(nil), f.lines...) {
 			if l != nil && l.server == at {
@@ -139,7 +139,7 @@
 // Forgotten drops a server; its index will be another's.
 func (f *Front) Forgotten(at int) {
 	if at < len(f.servers) {
-		f.pool.Forgotten(at)
+		f.pool.RemoveServer(at)
 		f.servers[at] = target{state: policy.Gone}
 	}
 }
@@ -257,8 +257,8 @@
 
 func (o *carrier) front() *Front { return (*Front)(o) }
 
-// Open implements connpool.Out: a connection to a server is begun.
-func (o *carrier) Open(server, channel int) bool {
+// Dial implements connpool.Out: a connection to a server is begun.
+func (o *carrier) Dial(server, channel int) bool {
 	f := o.front()
 	l := &line{f: f, server: server, channel: channel, attempts: map[*attempt]bool{}}
 	l.h = h2.New(false, f.rules.toServers(), l)
@@ -274,18 +274,20 @@
 	return true
 }
 
-// Begin implements connpool.Out: an attempt has its place on a connection.
-func (o *carrier) Begin(channel int, t connpool.Token) { o.front().lines[channel].begin(t.(*attempt)) }
+// StartStream implements connpool.Out: an attempt has its place on a connection.
+func (o *carrier) StartStream(channel int, t connpool.StreamRequest) {
+	o.front().lines[channel].begin(t.(*attempt))
+}
 
-// Refuse implements connpool.Out: an attempt gets no place, and ends.
-func (o *carrier) Refuse(t connpool.Token, why connpool.Why) {
+// Reject implements connpool.Out: an attempt gets no place, and ends.
+func (o *carrier) Reject(t connpool.StreamRequest, why connpool.Reason) {
 	a := t.(*attempt)
 	switch why {
 	case connpool.Unreachable:
 		a.ended(grpcwire.ConnectFailed)
-	case connpool.NoPlace:
+	case connpool.QueueFull:
 		a.ended(grpcwire.NoStreamAvailable)
-	case connpool.NoSocket:
+	case connpool.NoDescriptor:
 		a.ended(grpcwire.NotSent)
 	default:
 		if !o.front().servers[a.server].has {
--- a/internal/grpcproxy/hard_test.go
+++ b/internal/grpcproxy/hard_test.go
@@ -313,7 +313,7 @@
 	for _, x := range s.servers[0].Conns {
 		x.Kill()
 	}
-	before := s.f.pool.Count.Opened
+	before := s.f.pool.Counters.Opened
 	c := p.Dial(s.w, 1)
 	for range 200 {
 		a := c.Call(&p.Ask{Path: quick, Timeout: 500, Body: [][]byte{p.Message("q")}})
@@ -322,7 +322,7 @@
 			t.Fatalf("status %d: %v", a.Status, a.Trailers)
 		}
 	}
-	if n := s.f.pool.Count.Opened - before; n > 15 {
+	if n := s.f.pool.Counters.Opened - before; n > 15 {
 		t.Errorf("%d connects in a second", n)
 	}
 	s.end(c)
@@ -365,7 +365,7 @@
 			t.Fatalf("call %d: %d finals", i, a.Finals)
 		}
 	}
-	if s.f.pool.Count.NoPlace == 0 {
+	if s.f.pool.Counters.QueueFull == 0 {
 		t.Error("none was refused for want of a place")
 	}
 	s.end(c)
--- a/internal/grpcproxy/line.go
+++ b/internal/grpcproxy/line.go
@@ -36,7 +36,7 @@
 	if l.gone || b == nil {
 		return
 	}
-	l.f.pool.Heard(l.f.r.Now(), l.channel)
+	l.f.pool.Received(l.f.r.Now(), l.channel)
 	if err := l.h.Feed(b, came); err != nil && !l.gone {
 		l.f.Count.BadServers++
 		l.f.r.Note("bad gRPC server", "%s: %v", l.f.servers[l.server].addr, err)
@@ -102,7 +102,7 @@
 		a.ended(grpcwire.NotSent)
 	}
 	if tell {
-		l.f.pool.Lost(l.f.r.Now(), l.channel)
+		l.f.pool.ConnectionLost(l.f.r.Now(), l.channel)
 	}
 }
 
@@ -178,7 +178,7 @@
 		l.h.ResetStream(a.s, code)
 	}
 	l.f.touch(l)
-	l.f.pool.Done(l.f.r.Now(), l.channel)
+	l.f.pool.StreamDone(l.f.r.Now(), l.channel)
 	l.proceed()
 }
 
@@ -194,7 +194,7 @@
 		return
 	}
 	if l.h.StreamIDsRunningOut() {
-		l.f.pool.Leaving(l.f.r.Now(), l.channel)
+		l.f.pool.GoAway(l.f.r.Now(), l.channel)
 		if l.gone {
 			return
 		}
@@ -284,7 +284,7 @@
 	if code != http2.ErrCodeNo {
 		l.f.r.Note("gRPC server leaves", "%s: %v", l.f.servers[l.server].addr, code)
 	}
-	l.f.pool.Leaving(l.f.r.Now(), l.channel)
+	l.f.pool.GoAway(l.f.r.Now(), l.channel)
 	for _, a := range append([]*attempt(nil), l.waiting...) {
 		a.ended(grpcwire.Unprocessed)
 	}
@@ -292,5 +292,5 @@
 
 // SettingsReceived implements h2.Events: the peer's settings have come.
 func (l *line) SettingsReceived() {
-	l.f.pool.Up(l.f.r.Now(), l.channel, l.h.PeerMaxConcurrentStreams())
+	l.f.pool.Connected(l.f.r.Now(), l.channel, l.h.PeerMaxConcurrentStreams())
 }
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -275,7 +275,7 @@
 	if m := y.meter; m.searches != c.Searches || m.subs != c.Asked || m.left != c.Left || c.Asked != y.f.Count.Sent {
 		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.Asked, c.Left, y.f.Count.Sent)
 	}
-	if n := y.f.pool.Channels(); n != 0 {
+	if n := y.f.pool.Connections(); n != 0 {
 		y.t.Errorf("%d channels at rest", n)
 	}
 }
--- a/internal/grpcproxy/settings.go
+++ b/internal/grpcproxy/settings.go
@@ -92,7 +92,7 @@
 
 // Print writes the counters.
 func (f *Front) Print(log zerolog.Logger, why string) {
-	c, p := &f.Count, &f.pool.Count
+	c, p := &f.Count, &f.pool.Counters
 	line := func() *zerolog.Event { return log.Info().Str("why", why) }
 	e := line().Int64("calls", c.Calls).Int64("answered", c.Answered).Int64("shed", c.Shed).Int64("errored", c.Errored).
 		Int64("left", c.Left).Int64("expired", c.Expired).Int64("stopped", c.Stopped).Int64("unrouted", c.Unrouted).
@@ -106,10 +106,10 @@
 	e.Int("open", f.open).Msg("grpc calls")
 	line().Int64("sent", c.Sent).Int64("begun", c.Begun).Int64("committed", c.Committed).Int64("outgrown", c.Outgrown).
 		Int64("late_answers", c.LateAnswers).Int64("resets", c.Resets).Int64("bad_servers", c.BadServers).
-		Int64("channels_opened", p.Opened).Int64("channels_failed", p.Failed).Int64("channels_lost", p.Lost).
-		Int64("goaways", p.Goaways).Int64("backoffs", p.Backoffs).Int64("no_place", p.NoPlace).
-		Int64("withdrawn", p.Withdrawn).Int64("channels_idle", p.IdleClosed).Int64("pings", p.Pings).
-		Int64("channels_mute", p.Mute).Int("channels", f.pool.Channels()).Int("streams", f.pool.Streams()).
+		Int64("channels_opened", p.Opened).Int64("channels_failed", p.ConnectFailed).Int64("channels_lost", p.Lost).
+		Int64("goaways", p.GoAways).Int64("backoffs", p.Backoffs).Int64("no_place", p.QueueFull).
+		Int64("withdrawn", p.NotAccepting).Int64("channels_idle", p.IdleClosed).Int64("pings", p.Pings).
+		Int64("channels_mute", p.KeepaliveTimeouts).Int("channels", f.pool.Connections()).Int("streams", f.pool.Streams()).
 		Int("waiting", f.pool.Waiting()).Msg("grpc sub-requests")
 	line().Int64("accepted", c.Accepted).Int64("refused", c.Refused).Int64("idle", c.Idle).Int64("mute", c.Mute).
 		Int64("rude", c.Rude).Int64("stuck", c.Stuck).Int("clients", len(f.clients)).Int("bytes_held", f.held).
--- a/internal/grpcproxy/world_test.go
+++ b/internal/grpcproxy/world_test.go
@@ -39,8 +39,8 @@
 	r := &Rules{
 		Limits: Limits{Connections: 50, PerConn: 100, Calls: 1000, Held: 4 << 20, HeldPerConn: 4 << 20, Window: 64 << 10, Metadata: 8 << 10, Resets: 50,
 			Controls: 100, Handshake: 2000, Idle: 5000, Half: 1000, Stuck: 3000, Lag: 64 << 10},
-		Channels: connpool.Settings{Most: 2, Streams: 50, Waiting: 20, Connect: 100, Idle: 3000, Backoff: 50, BackoffMost: 1000,
-			Ping: 2000, PingWait: 500},
+		Channels: connpool.Settings{MaxConnections: 2, MaxStreams: 50, MaxWaiting: 20, ConnectTimeout: 100, IdleTimeout: 3000, InitialBackoff: 50, MaxBackoff: 1000,
+			KeepaliveTime: 2000, KeepaliveTimeout: 500},
 		Addresses: Addresses{Offset: 1000},
 	}
 	if len(list) == 0 {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -465,16 +465,16 @@
 			Metadata: kb * or(l.Metadata, 16), Resets: or(l.Resets, 100), Controls: or(l.Controls, 200),
 			Handshake: or(l.Handshake, 2000), Idle: or(l.Idle, 300e3), Half: or(l.Half, 5000), Stuck: or(l.Stuck, 20e3),
 			Lag: kb * or(l.Lag, 64)},
-		Channels: connpool.Settings{Most: or(ch.Most, 2), Streams: or(ch.Streams, 100), Waiting: or(ch.Waiting, 100),
-			Connect: or(ch.Connect, 500), Idle: or(ch.Idle, 60e3), Backoff: or(ch.Backoff, 100),
-			BackoffMost: or(ch.BackoffMost, 5000), Ping: or(ch.Ping, 10e3), PingWait: or(ch.PingWait, 2000)},
+		Channels: connpool.Settings{MaxConnections: or(ch.Most, 2), MaxStreams: or(ch.Streams, 100), MaxWaiting: or(ch.Waiting, 100),
+			ConnectTimeout: or(ch.Connect, 500), IdleTimeout: or(ch.Idle, 60e3), InitialBackoff: or(ch.Backoff, 100),
+			MaxBackoff: or(ch.BackoffMost, 5000), KeepaliveTime: or(ch.Ping, 10e3), KeepaliveTimeout: or(ch.PingWait, 2000)},
 		Addresses: grpcproxy.Addresses{Offset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
 	}
 	out := &GRPC{Listen: address("listen", g.Listen), Rules: r}
 	for id, text := range g.Servers.ByID {
 		r.Addresses.ByID[id] = address("servers/by-id/"+id, text)
 	}
-	if r.Channels.Backoff > r.Channels.BackoffMost {
+	if r.Channels.InitialBackoff > r.Channels.MaxBackoff {
 		wrong("channels/backoff-ms", "over backoff-most-ms")
 	}
 	if r.Limits.HeldPerConn > r.Limits.Held {
