--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -15,12 +15,12 @@
 	"kestrelspread/internal/fleet/lease/fence/http"
 	"kestrelspread/internal/fleet/lease/replica"
 	"kestrelspread/internal/fleet/lease/voter"
-	"kestrelspread/internal/fleet/stage"
-	"kestrelspread/internal/fleet/stage/pace"
 	"kestrelspread/internal/fleet/statement"
-	"kestrelspread/internal/fleet/statement/gather"
+	"kestrelspread/internal/fleet/statement/collector"
 	"kestrelspread/internal/fleet/zonefailure"
 	"kestrelspread/internal/fleet/zonefailure/gossip"
+	"kestrelspread/internal/fleet/zonerecovery"
+	"kestrelspread/internal/fleet/zonerecovery/coordinator"
 	"kestrelspread/internal/operator"
 )
 
@@ -34,7 +34,7 @@
 
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
-func duties(p *server.Parts, o *operator.Owner, port *zonefailure.Port, sees *sightings) (end func(), err error) {
+func duties(p *server.Parts, o *operator.Owner, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
 	rules := lease.ConfigForLease(o.Lease)
 	var list []voter.Address
 	votes := false
@@ -74,7 +74,7 @@
 				p.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
 				r = nowhere{err}
 			}
-			return &gather.Job{Folders: c.Collect, Rules: statement.Rules{Expect: c.Expect, Wait: int64(c.Wait)}, To: r, Log: p.Log,
+			return &collector.Job{Folders: c.Collect, Rules: statement.Rules{Expect: c.Expect, Wait: int64(c.Wait)}, To: r, Log: p.Log,
 				Every: time.Duration(c.Every * 1e6), Wall: func() int64 { return time.Now().UnixMilli() }}
 		}
 	}
@@ -87,21 +87,23 @@
 		}
 	}
 	if o.Return && port != nil {
-		ears := &pace.Ears{}
-		sees.add(func(site int, lost bool) { ears.Saw(p.Name, site, lost, 0) })
-		sees.others = append(sees.others, func(w gossip.Word) { ears.Saw(w.Peer, w.Site, w.Lost, w.Age) })
-		w.Jobs[returnDuty] = func() client.Job { return &pace.Job{Ears: ears, Rules: stage.Usual, Every: paceEvery} }
+		ears := &coordinator.Inbox{}
+		sees.add(func(site int, lost bool) { ears.Add(p.Name, site, lost, 0) })
+		sees.others = append(sees.others, func(w gossip.Report) { ears.Add(w.Peer, w.Site, w.Lost, w.AgeMs) })
+		w.Jobs[returnDuty] = func() client.Job {
+			return &coordinator.Job{Inbox: ears, Config: zonerecovery.DefaultConfig, Interval: paceEvery}
+		}
 		w.WatchedRoles = []string{returnDuty}
 		w.OnProgress = func(list []replica.ProgressReport) {
 			for _, s := range list {
-				stages, err := stage.Read(s.Progress)
+				stages, err := zonerecovery.ParseStages(s.Progress)
 				if err != nil || s.Role != returnDuty {
 					continue
 				}
 				// A full post loses it, as it is said again.
 				p.Router.Post(p.Loop.Tell, func() {
 					for _, one := range stages {
-						port.Staged(one.Site, one.Share, s.AgeMs)
+						port.HandleRecoveryShare(one.Site, one.Share, s.AgeMs)
 					}
 				})
 			}
