--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -42,7 +42,7 @@
 				return err
 			}
 			if s.GRPC != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "grpc: on, listening on %v, %d routes\n", s.GRPC.Listen, s.GRPC.Rules.Table.Len())
+				fmt.Fprintf(cmd.OutOrStdout(), "grpc: on, listening on %v, %d routes\n", s.GRPC.Listen, s.GRPC.Rules.Routes.Len())
 			} else {
 				fmt.Fprintln(cmd.OutOrStdout(), "grpc: off")
 			}
--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -52,12 +52,12 @@
 // fit keeps what calls may hold within the broker's memory, whatever the file says: past that the broker is killed.
 func fit(p *server.Parts, g *operator.GRPC) {
 	l := &g.Rules.Limits
-	most := max(int(p.Memory/memoryShare), l.Window)
-	if l.Held > most {
+	most := max(int(p.Memory/memoryShare), l.StreamWindowBytes)
+	if l.MaxBufferedBytes > most {
 		p.Log.Warn().Int("held_kb", most>>10).Msg("grpc/limits/held-kb is more than a quarter of the memory; less is held")
-		l.Held = most
+		l.MaxBufferedBytes = most
 	}
-	l.HeldPerConn = min(l.HeldPerConn, l.Held)
+	l.MaxBufferedBytesPerConnection = min(l.MaxBufferedBytesPerConnection, l.MaxBufferedBytes)
 }
 
 const memoryShare = 4
@@ -131,7 +131,7 @@
 		front := grpcproxy.New(p.Router, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
 		p.Router.Add(front)
 		p.Log.Info().Str("listen", fmt.Sprintf("%v:%d", listen.Addr(), p.Loop.Port(1))).
-			Int("routes", s.GRPC.Rules.Table.Len()).Msg("serving gRPC")
+			Int("routes", s.GRPC.Rules.Routes.Len()).Msg("serving gRPC")
 		on.Reload = func() {
 			next, err := Read(file, p.Set)
 			switch {
@@ -140,10 +140,10 @@
 			case next.GRPC == nil:
 				p.Log.Warn().Msg("operator's file not taken over: gRPC is switched off by a restart")
 			default:
-				p.Log.Info().Int("routes", next.GRPC.Rules.Table.Len()).Bool("need_restart", next.GRPC.Listen != listen).
+				p.Log.Info().Int("routes", next.GRPC.Rules.Routes.Len()).Bool("need_restart", next.GRPC.Listen != listen).
 					Msg("operator's file read again")
 				fit(p, next.GRPC)
-				front.Next.Store(next.GRPC.Rules)
+				front.NextSettings.Store(next.GRPC.Rules)
 				p.Loop.Tell(engine.Reread)
 			}
 		}
--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -17,57 +17,57 @@
 // has its own place in it. Until one sub-request is committed all of it is kept, up to the route's repeat buffer; from
 // then on only what is still to go out.
 type call struct {
-	f        *Front
-	c        *client
-	s        *h2.Stream
-	route    *routes.Route
-	rules    *Rules // those that it began under
-	customer int
-	until    float64
-	head     []h2.Field
-	q        *engine.Search
-
-	req      queue
-	reqScan  grpcwire.MessageScanner
-	reqEnd   bool
-	credited int64 // of what has come, told to the client as room
-
-	attempts []*attempt // not over
-	winner   *attempt   // whose bytes reach the client
-	answered *attempt   // that the module counts as the answer, where none was committed before
-	last     *attempt   // the latest that ended otherwise
-	final    bool       // the one final answer is given, or nobody waits for it
-	trailers []h2.Field // that end what goes to the client
-	told     bool       // the client's side has its end
-	owes     bool
-	timer    engine.Timer
-}
-
-// queue holds bytes from a place on. What was given out is not changed: pieces are let go of whole.
-type queue struct {
-	pieces [][]byte
-	from   int64
-	to     int64
-}
-
-func (q *queue) add(b []byte) {
-	q.to += int64(len(b))
-	if n := len(q.pieces); n > 0 {
-		if last := q.pieces[n-1]; cap(last)-len(last) >= len(b) {
-			q.pieces[n-1] = append(last, b...)
+	proxy          *Proxy
+	client         *clientConn
+	stream         *h2.Stream
+	route          *routes.Route
+	settings       *Settings // those that it began under
+	customer       int
+	deadline       float64
+	requestHeaders []h2.Field
+	search         *engine.Search
+
+	request        byteQueue
+	requestScanner grpcwire.MessageScanner
+	requestEnded   bool
+	creditedBytes  int64 // of what has come, told to the client as room
+
+	attempts       []*attempt // not over
+	committed      *attempt   // whose bytes reach the client
+	answered       *attempt   // that the module counts as the answer, where none was committed before
+	lastFailed     *attempt   // the latest that ended otherwise
+	decided        bool       // the one final answer is given, or nobody waits for it
+	finalTrailers  []h2.Field // that end what goes to the client
+	ended          bool       // the client's side has its end
+	creditDeferred bool
+	deadlineTimer  engine.Timer
+}
+
+// byteQueue holds bytes from a place on. What was given out is not changed: pieces are let go of whole.
+type byteQueue struct {
+	chunks [][]byte
+	start  int64
+	end    int64
+}
+
+func (q *byteQueue) append(b []byte) {
+	q.end += int64(len(b))
+	if n := len(q.chunks); n > 0 {
+		if last := q.chunks[n-1]; cap(last)-len(last) >= len(b) {
+			q.chunks[n-1] = append(last, b...)
 			return
 		}
 		// A body that comes byte by byte must not cost a slice for each.
-		q.pieces = append(q.pieces, append(make([]byte, 0, max(len(b), pieceLeast)), b...))
+		q.chunks = append(q.chunks, append(make([]byte, 0, max(len(b), minChunkBytes)), b...))
 		return
 	}
-	q.pieces = append(q.pieces, append([]byte(nil), b...))
+	q.chunks = append(q.chunks, append([]byte(nil), b...))
 }
 
 // at gives what stands at a place, at most so many bytes of it.
-func (q *queue) at(place int64, most int) []byte {
-	skip := place - q.from
-	for _, p := range q.pieces {
+func (q *byteQueue) peek(place int64, most int) []byte {
+	skip := place - q.start
+	for _, p := range q.chunks {
 		if skip < int64(len(p)) {
 			return p[skip:min(int64(len(p)), skip+int64(most))]
 		}
@@ -76,188 +76,188 @@
 	return nil
 }
 
-// drop lets go of whole pieces before a place, and tells how many bytes that frees.
-func (q *queue) drop(place int64) (freed int) {
-	for len(q.pieces) > 0 && q.from+int64(len(q.pieces[0])) <= place {
-		n := len(q.pieces[0])
-		q.pieces[0] = nil
-		q.pieces = q.pieces[1:]
-		q.from += int64(n)
+// discard lets go of whole pieces before a place, and tells how many bytes that frees.
+func (q *byteQueue) discard(place int64) (freed int) {
+	for len(q.chunks) > 0 && q.start+int64(len(q.chunks[0])) <= place {
+		n := len(q.chunks[0])
+		q.chunks[0] = nil
+		q.chunks = q.chunks[1:]
+		q.start += int64(n)
 		freed += n
 	}
-	if len(q.pieces) == 0 {
-		q.pieces = nil
+	if len(q.chunks) == 0 {
+		q.chunks = nil
 	}
 	return freed
 }
 
 const (
-	pieceLeast  = 1 << 10
-	standsStill = 200. // ms
+	minChunkBytes    = 1 << 10
+	stalledConnGrace = 200. // ms
 )
 
-func (q *queue) size() int { return int(q.to - q.from) }
+func (q *byteQueue) size() int { return int(q.end - q.start) }
 
-// hold accounts for bytes of the call, and tells whether there is room for them: at this broker, and for its connection, so
+// addBuffered accounts for bytes of the call, and tells whether there is room for them: at this broker, and for its connection, so
 // that one client does not take what is for all.
-func (k *call) hold(n int) bool {
-	k.c.held += n
-	must.Hold(k.c.held >= 0, "what a client holds is accounted for")
-	return k.f.hold(n) && k.c.held <= k.rules.Limits.HeldPerConn
+func (k *call) addBuffered(n int) bool {
+	k.client.bufferedBytes += n
+	must.Hold(k.client.bufferedBytes >= 0, "what a client holds is accounted for")
+	return k.proxy.addBuffered(n) && k.client.bufferedBytes <= k.settings.Limits.MaxBufferedBytesPerConnection
 }
 
 // start makes a search of the call.
 func (k *call) start(shard int, look routes.Lookup) {
 	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.WorkHint, Key: k.route.AffinityHash(look)}}
-	q := k.f.r.Ask(k.route.QueryType, k.customer, k.until, grpcwire.IsRetry(look), pieces[:], k)
-	if k.q = q; !k.final && !k.reqEnd {
-		k.f.r.Open(q, true)
+	q := k.proxy.router.Ask(k.route.QueryType, k.customer, k.deadline, grpcwire.IsRetry(look), pieces[:], k)
+	if k.search = q; !k.decided && !k.requestEnded {
+		k.proxy.router.Open(q, true)
 	}
 }
 
-// mind has the call ended in time, whatever else goes wrong: also where its last bytes wait for a window that its client
+// armDeadline has the call ended in time, whatever else goes wrong: also where its last bytes wait for a window that its client
 // never opens, or the broker is to be killed sooner.
-func (k *call) mind() {
-	k.f.r.Forgo(k.timer)
-	k.timer = k.f.r.After(max(min(k.until-lastCall, k.f.killed)-k.f.r.Now(), 0), func() {
-		if k.told {
+func (k *call) armDeadline() {
+	k.proxy.router.Forgo(k.deadlineTimer)
+	k.deadlineTimer = k.proxy.router.After(max(min(k.deadline-finalStatusMargin, k.proxy.killAt)-k.proxy.router.Now(), 0), func() {
+		if k.ended {
 			return
 		}
-		if k.f.r.Now() < k.until-timeIsUp {
-			k.f.Count.Stopped++
-			k.finish(grpcwire.Unavailable, "the broker is stopping", -1)
+		if k.proxy.router.Now() < k.deadline-nearDeadline {
+			k.proxy.Counters.EndedByShutdown++
+			k.terminate(grpcwire.Unavailable, "the broker is stopping", -1)
 			return
 		}
-		k.f.Count.Expired++
-		k.finish(grpcwire.DeadlineExceeded, "the client's time is up", 0)
+		k.proxy.Counters.DeadlineExceeded++
+		k.terminate(grpcwire.DeadlineExceeded, "the client's time is up", 0)
 	})
 }
 
-// fromClient takes what the client sends.
-func (k *call) fromClient(b []byte, end bool) {
-	if k.told {
+// dataFromClient takes what the client sends.
+func (k *call) dataFromClient(b []byte, end bool) {
+	if k.ended {
 		return
 	}
-	switch k.reqScan.Feed(b, k.route.MaxMessageBytes) {
+	switch k.requestScanner.Feed(b, k.route.MaxMessageBytes) {
 	case grpcwire.MessageOverLimit:
-		k.f.Count.TooLong++
-		k.finish(grpcwire.ResourceExhausted, "the message is over the limit", -1)
+		k.proxy.Counters.MessageTooLarge++
+		k.terminate(grpcwire.ResourceExhausted, "the message is over the limit", -1)
 		return
 	case grpcwire.InvalidFlag:
-		k.f.Count.Unsound++
-		k.finish(grpcwire.Internal, "no gRPC message", -1)
+		k.proxy.Counters.InvalidCalls++
+		k.terminate(grpcwire.Internal, "no gRPC message", -1)
 		return
 	}
-	if end && !k.reqScan.AtBoundary() {
-		k.f.Count.Unsound++
-		k.finish(grpcwire.Internal, "the last message is not whole", -1)
+	if end && !k.requestScanner.AtBoundary() {
+		k.proxy.Counters.InvalidCalls++
+		k.terminate(grpcwire.Internal, "the last message is not whole", -1)
 		return
 	}
 	if len(b) > 0 {
-		k.req.add(b)
-		if !k.hold(len(b)) {
+		k.request.append(b)
+		if !k.addBuffered(len(b)) {
 			// The last guard: what all hold together may not pass the limit, however it came about.
-			k.f.Count.OverHeld++
-			k.finish(grpcwire.ResourceExhausted, "too much is held", -1)
+			k.proxy.Counters.OverBufferLimit++
+			k.terminate(grpcwire.ResourceExhausted, "too much is held", -1)
 			return
 		}
 	}
-	if end && !k.reqEnd {
-		k.reqEnd = true
-		k.f.r.Open(k.q, false)
+	if end && !k.requestEnded {
+		k.requestEnded = true
+		k.proxy.router.Open(k.search, false)
 	}
-	k.outgrow()
+	k.commitIfBufferExceeded()
 	for _, a := range k.attempts {
 		a.ready()
 	}
-	k.credit()
+	k.creditClient()
 }
 
-// outgrow commits the one sub-request that is out once the repeat buffer is full: what is needed to begin another will be
+// commitIfBufferExceeded commits the one sub-request that is out once the repeat buffer is full: what is needed to begin another will be
 // gone. Where two are out, the one that has got further goes on.
-func (k *call) outgrow() {
-	if k.winner != nil || k.req.to <= int64(k.route.RetryBufferBytes) {
+func (k *call) commitIfBufferExceeded() {
+	if k.committed != nil || k.request.end <= int64(k.route.RetryBufferBytes) {
 		return
 	}
 	var far *attempt
 	for _, a := range k.attempts {
-		if a.s != nil && (far == nil || a.place > far.place) {
+		if a.stream != nil && (far == nil || a.forwardedOffset > far.forwardedOffset) {
 			far = a
 		}
 	}
-	if far != nil && k.f.r.Committed(far.sub, false) {
-		k.f.Count.Outgrown++
-		k.winner = far
-		k.trim()
-		if far.s != nil && far.head != nil && k.route.CommitPoint != routes.AtEnd {
-			far.release()
+	if far != nil && k.proxy.router.Committed(far.sub, false) {
+		k.proxy.Counters.RetryBufferExceeded++
+		k.committed = far
+		k.discardForwarded()
+		if far.stream != nil && far.responseHeaders != nil && k.route.CommitPoint != routes.AtEnd {
+			far.deliver()
 		}
 	}
 }
 
-// gone tells how far all that are out have got: nothing before it is still to go.
-func (k *call) gone() int64 {
-	if k.winner != nil {
-		if k.winner.over {
-			return k.req.to
+// forwardedOffset tells how far all that are out have got: nothing before it is still to go.
+func (k *call) forwardedOffset() int64 {
+	if k.committed != nil {
+		if k.committed.ended {
+			return k.request.end
 		}
-		return k.winner.place
+		return k.committed.forwardedOffset
 	}
 	if len(k.attempts) == 0 {
-		return k.req.from
+		return k.request.start
 	}
 	place := int64(math.MaxInt64)
 	for _, a := range k.attempts {
-		place = min(place, a.place)
+		place = min(place, a.forwardedOffset)
 	}
 	return place
 }
 
-// trim lets go of what no sub-request will need.
-func (k *call) trim() {
-	if k.winner != nil || k.final {
-		if freed := k.req.drop(k.gone()); freed > 0 {
-			k.hold(-freed)
+// discardForwarded lets go of what no sub-request will need.
+func (k *call) discardForwarded() {
+	if k.committed != nil || k.decided {
+		if freed := k.request.discard(k.forwardedOffset()); freed > 0 {
+			k.addBuffered(-freed)
 		}
 	}
 }
 
-// credit lets the client send on as what it sent goes out. A server that does not read thus costs its client's window
+// creditClient lets the client send on as what it sent goes out. A server that does not read thus costs its client's window
 // and no more; where too much is held here, nobody is given room.
-func (k *call) credit() {
-	if k.told {
+func (k *call) creditClient() {
+	if k.ended {
 		return
 	}
-	k.trim()
-	due := k.gone() - k.credited
+	k.discardForwarded()
+	due := k.forwardedOffset() - k.creditedBytes
 	if due <= 0 {
 		return
 	}
-	if k.f.tight() {
-		if !k.owes {
-			k.owes = true
-			k.f.owing = append(k.f.owing, k)
+	if k.proxy.aboveSoftLimit() {
+		if !k.creditDeferred {
+			k.creditDeferred = true
+			k.proxy.deferredCredit = append(k.proxy.deferredCredit, k)
 		}
 		return
 	}
-	k.credited += due
-	k.s.Credit(int(due))
-	k.f.touch(k.c)
+	k.creditedBytes += due
+	k.stream.Credit(int(due))
+	k.proxy.scheduleFlush(k.client)
 }
 
 // Send begins a sub-request (engine.Call).
 func (k *call) Send(s *engine.Sub) {
-	a := &attempt{k: k, sub: s, server: s.Server()}
+	a := &attempt{call: k, sub: s, serverIndex: s.Server()}
 	k.attempts = append(k.attempts, a)
-	k.f.Count.Sent++
-	if at := k.f.servers; a.server >= len(at) || !at[a.server].has {
-		a.ended(grpcwire.NoAddress)
+	k.proxy.Counters.Attempts++
+	if at := k.proxy.servers; a.serverIndex >= len(at) || !at[a.serverIndex].hasAddress {
+		a.finish(grpcwire.NoAddress)
 		return
 	}
 	if by := s.Begin(); !math.IsInf(by, 1) {
-		a.by = k.f.r.After(by-k.f.r.Now(), a.tooLate)
+		a.startTimer = k.proxy.router.After(by-k.proxy.router.Now(), a.startTimedOut)
 	}
-	k.f.pool.RequestStream(k.f.r.Now(), a.server, a)
+	k.proxy.pool.RequestStream(k.proxy.router.Now(), a.serverIndex, a)
 }
 
 // Door is where gRPC comes in (engine.Call).
@@ -265,10 +265,10 @@
 
 // Bytes are those of the client's messages and of the messages that it is given (engine.Call).
 func (k *call) Bytes() (in, out int64) {
-	if w := k.winner; w != nil {
-		out = w.resp.to
+	if w := k.committed; w != nil {
+		out = w.response.end
 	}
-	return k.req.to, out
+	return k.request.end, out
 }
 
 // TakeBack stops one whose outcome is known (engine.Call).
@@ -283,43 +283,43 @@
 
 // Final is the module's one final answer (engine.Call).
 func (k *call) Final(how engine.Ending, back float64) {
-	must.Hold(!k.final, "a call has one final answer")
-	k.final = true
-	if k.told {
+	must.Hold(!k.decided, "a call has one final answer")
+	k.decided = true
+	if k.ended {
 		return
 	}
-	late := k.f.r.Now() >= k.until-timeIsUp
+	late := k.proxy.router.Now() >= k.deadline-nearDeadline
 	switch how {
 	case engine.Whole, engine.Partial:
-		k.f.Count.Answered++
-		if k.winner == nil {
-			k.winner = k.answered
+		k.proxy.Counters.Answered++
+		if k.committed == nil {
+			k.committed = k.answered
 		}
-		if w := k.winner; w != nil {
-			w.finish()
+		if w := k.committed; w != nil {
+			w.complete()
 			return
 		}
-		k.finish(grpcwire.Internal, "no answer is there", -1)
+		k.terminate(grpcwire.Internal, "no answer is there", -1)
 	case engine.Shed:
-		k.f.Count.Shed++
-		k.fail(late, back)
+		k.proxy.Counters.Shed++
+		k.endFailed(late, back)
 	default:
-		k.f.Count.Errored++
-		k.fail(late, -1)
+		k.proxy.Counters.Errored++
+		k.endFailed(late, -1)
 	}
 }
 
-// fail ends a call that was shed or errored: with what its last server said, if one said anything. -1: asking again is not
+// endFailed ends a call that was shed or errored: with what its last server said, if one said anything. -1: asking again is not
 // known to be harmless.
-func (k *call) fail(late bool, back float64) {
-	a := k.winner
-	if a == nil || !a.over {
-		a = k.last
+func (k *call) endFailed(late bool, back float64) {
+	a := k.committed
+	if a == nil || !a.ended {
+		a = k.lastFailed
 	}
 	switch {
-	case late && (a == nil || a != k.winner):
-		k.tell(grpcwire.DeadlineExceeded, "the client's time is up", 0)
-	case a != nil && a.trailers != nil && a.end.Outcome != policy.Answered:
+	case late && (a == nil || a != k.committed):
+		k.endWithStatus(grpcwire.DeadlineExceeded, "the client's time is up", 0)
+	case a != nil && a.trailers != nil && a.result.Outcome != policy.Answered:
 		// The server's own words, its details included; only the advice is the broker's, who knows what was tried.
 		t := make([]h2.Field, 0, len(a.trailers)+1)
 		for _, f := range a.trailers {
@@ -328,7 +328,7 @@
 			}
 		}
 		if _, found := grpcwire.FirstValue(t, "grpc-status"); !found {
-			k.tell(a.end.Status, a.end.Message, back)
+			k.endWithStatus(a.result.Status, a.result.Message, back)
 			return
 		}
 		// Whoever wants the longer rest has it; a server that wants no repeat at all is not overruled.
@@ -338,341 +338,341 @@
 		if back != 0 {
 			t = append(t, grpcwire.AppendTrailers(nil, 0, "", back)[1])
 		}
-		k.f.Count.Statuses[a.end.Status]++
-		k.close(t)
+		k.proxy.Counters.Statuses[a.result.Status]++
+		k.endAfterResponse(t)
 	case a != nil:
-		k.f.Count.Statuses[a.end.Status]++
-		k.close(grpcwire.AppendTrailers(nil, a.end.Status, a.end.Message, back))
+		k.proxy.Counters.Statuses[a.result.Status]++
+		k.endAfterResponse(grpcwire.AppendTrailers(nil, a.result.Status, a.result.Message, back))
 	case back < 0:
-		k.tell(grpcwire.Unavailable, "no server answered", back)
+		k.endWithStatus(grpcwire.Unavailable, "no server answered", back)
 	default:
-		k.tell(grpcwire.Unavailable, "shed", back)
+		k.endWithStatus(grpcwire.Unavailable, "shed", back)
 	}
 }
 
-// finish ends a call from here, whatever the module would do: the client broke a limit, or time is up.
-func (k *call) finish(code grpcwire.Status, why string, back float64) {
-	if !k.final {
-		k.final = true
-		k.f.Count.Errored++
-		if k.q != nil {
-			k.f.r.Leave(k.q)
+// terminate ends a call from here, whatever the module would do: the client broke a limit, or time is up.
+func (k *call) terminate(code grpcwire.Status, why string, back float64) {
+	if !k.decided {
+		k.decided = true
+		k.proxy.Counters.Errored++
+		if k.search != nil {
+			k.proxy.router.Leave(k.search)
 		}
 	}
-	k.tell(code, why, back)
+	k.endWithStatus(code, why, back)
 }
 
-func (k *call) tell(code grpcwire.Status, why string, back float64) {
-	k.f.Count.Statuses[code]++
-	k.cut(grpcwire.AppendTrailers(nil, code, why, back))
+func (k *call) endWithStatus(code grpcwire.Status, why string, back float64) {
+	k.proxy.Counters.Statuses[code]++
+	k.endNow(grpcwire.AppendTrailers(nil, code, why, back))
 }
 
-// close ends the client's side once it has what came before the end.
-func (k *call) close(trailers []h2.Field) {
-	if w := k.winner; w != nil && w.head != nil && w.given < w.resp.to {
-		k.trailers = trailers
-		w.release()
+// endAfterResponse ends the client's side once it has what came before the end.
+func (k *call) endAfterResponse(trailers []h2.Field) {
+	if w := k.committed; w != nil && w.responseHeaders != nil && w.deliveredOffset < w.response.end {
+		k.finalTrailers = trailers
+		w.deliver()
 		return
 	}
-	k.cut(trailers)
+	k.endNow(trailers)
 }
 
-// cut ends the client's side now, whatever still waits to be sent: a status that is not OK tells that it is not whole.
-func (k *call) cut(trailers []h2.Field) {
-	if k.told {
+// endNow ends the client's side now, whatever still waits to be sent: a status that is not OK tells that it is not whole.
+func (k *call) endNow(trailers []h2.Field) {
+	if k.ended {
 		return
 	}
-	if plantLost && !k.s.HeadersSent() {
-		k.over()
+	if plantLost && !k.stream.HeadersSent() {
+		k.release()
 		return
 	}
-	if k.s.HeadersSent() {
-		k.c.h.EndWithTrailers(k.s, trailers)
+	if k.stream.HeadersSent() {
+		k.client.http2.EndWithTrailers(k.stream, trailers)
 	} else {
-		k.c.h.Respond(k.s, append(grpcwire.NewResponseHeaders(), trailers...), true, nil)
+		k.client.http2.Respond(k.stream, append(grpcwire.NewResponseHeaders(), trailers...), true, nil)
 	}
-	k.f.touch(k.c)
-	k.over()
+	k.proxy.scheduleFlush(k.client)
+	k.release()
 }
 
-// left: the client has gone, or given this call up.
-func (k *call) left() {
-	if k.told {
+// clientCancelled: the client has gone, or given this call up.
+func (k *call) clientCancelled() {
+	if k.ended {
 		return
 	}
-	if !k.final {
-		k.final = true
-		k.f.Count.Left++
-		if k.q != nil {
-			k.f.r.Leave(k.q)
+	if !k.decided {
+		k.decided = true
+		k.proxy.Counters.ClientCancelled++
+		if k.search != nil {
+			k.proxy.router.Leave(k.search)
 		}
 	}
-	k.over()
+	k.release()
 }
 
-// over gives back all that a call holds. It comes once, when its client has its end or has gone.
-func (k *call) over() {
-	must.Hold(!k.told, "a call is over once")
-	k.told = true
-	k.f.r.Forgo(k.timer)
-	k.f.open--
-	if k.f.byOwner[k.customer]--; k.f.byOwner[k.customer] == 0 {
-		delete(k.f.byOwner, k.customer)
+// release gives back all that a call holds. It comes once, when its client has its end or has gone.
+func (k *call) release() {
+	must.Hold(!k.ended, "a call is over once")
+	k.ended = true
+	k.proxy.router.Forgo(k.deadlineTimer)
+	k.proxy.openCalls--
+	if k.proxy.callsByCustomer[k.customer]--; k.proxy.callsByCustomer[k.customer] == 0 {
+		delete(k.proxy.callsByCustomer, k.customer)
 	}
 	for _, a := range append([]*attempt(nil), k.attempts...) {
 		// The module has called them off, as the search is over; one that it counts as answered may still be sending.
 		a.stop()
 	}
-	if w := k.winner; w != nil {
-		w.free()
+	if w := k.committed; w != nil {
+		w.discardResponse()
 	}
 	if a := k.answered; a != nil {
-		a.free()
+		a.discardResponse()
 	}
-	k.hold(-k.req.size())
-	k.req = queue{from: k.req.to, to: k.req.to}
+	k.addBuffered(-k.request.size())
+	k.request = byteQueue{start: k.request.end, end: k.request.end}
 }
 
 // Next gives the client's stream what the winner has brought (h2.Source).
 func (k *call) Next(most int) (b []byte, end bool, trailers []h2.Field) {
-	w := k.winner
-	if w == nil || k.told {
+	w := k.committed
+	if w == nil || k.ended {
 		return nil, false, nil
 	}
-	if b = w.resp.at(w.given, most); len(b) > 0 {
-		w.given += int64(len(b))
-		k.hold(-w.resp.drop(w.given))
-		w.credit()
+	if b = w.response.peek(w.deliveredOffset, most); len(b) > 0 {
+		w.deliveredOffset += int64(len(b))
+		k.addBuffered(-w.response.discard(w.deliveredOffset))
+		w.creditServer()
 	}
-	if k.trailers == nil || w.given < w.resp.to {
+	if k.finalTrailers == nil || w.deliveredOffset < w.response.end {
 		return b, false, nil
 	}
-	k.over()
-	return b, true, k.trailers
+	k.release()
+	return b, true, k.finalTrailers
 }
 
 // attempt is one sub-request of a call on its way.
 type attempt struct {
-	k      *call
-	sub    *engine.Sub
-	server int
-	l      *line // nil: it waits for its channel
-	s      *h2.Stream
-	place  int64 // how far of the request it has gone
-	start  int64 // of its head in what the connection was given, and its end
-	begun  int64
-	head   []h2.Field
-	resp   queue
-	given  int64 // to the client
-	owed   int64 // credited
-	scan   grpcwire.MessageScanner
-	whole  bool // the server has sent all
-	over   bool
-	end    grpcwire.Result
-	said   bool // by its server or its connection, not called off
+	call            *call
+	sub             *engine.Sub
+	serverIndex     int
+	conn            *serverConn // nil: it waits for its channel
+	stream          *h2.Stream
+	forwardedOffset int64 // how far of the request it has gone
+	headersStart    int64 // of its head in what the connection was given, and its end
+	headersEnd      int64
+	responseHeaders []h2.Field
+	response        byteQueue
+	deliveredOffset int64 // to the client
+	creditedOffset  int64 // credited
+	scanner         grpcwire.MessageScanner
+	whole           bool // the server has sent all
+	ended           bool
+	result          grpcwire.Result
+	reported        bool // by its server or its connection, not called off
 	// trailers are what the server ended with, nil where it did not
-	trailers []h2.Field
-	by       engine.Timer // until when it may begin
+	trailers   []h2.Field
+	startTimer engine.Timer // until when it may begin
 }
 
 // Next gives the server's stream what the client has sent (h2.Source).
 func (a *attempt) Next(most int) (b []byte, end bool, trailers []h2.Field) {
-	k := a.k
-	if k.outgrow(); a.over {
+	k := a.call
+	if k.commitIfBufferExceeded(); a.ended {
 		return nil, false, nil
 	}
-	b = k.req.at(a.place, most)
-	a.place += int64(len(b))
-	end = k.reqEnd && a.place == k.req.to
+	b = k.request.peek(a.forwardedOffset, most)
+	a.forwardedOffset += int64(len(b))
+	end = k.requestEnded && a.forwardedOffset == k.request.end
 	if len(b) > 0 {
-		k.credit()
+		k.creditClient()
 	}
 	return b, end, nil
 }
 
-// tooLate takes back what has not begun in its time; where its head stands in a connection that takes nothing, that is
+// startTimedOut takes back what has not begun in its time; where its head stands in a connection that takes nothing, that is
 // the only way to take it back.
-func (a *attempt) tooLate() {
+func (a *attempt) startTimedOut() {
 	switch {
-	case a.s == nil:
-		a.ended(grpcwire.NotSent)
-	case a.start >= a.l.written:
-		a.l.drop("too late to begin")
+	case a.stream == nil:
+		a.finish(grpcwire.NotSent)
+	case a.headersStart >= a.conn.sentBytes:
+		a.conn.abort("too late to begin")
 	}
 }
 
 func (a *attempt) ready() {
-	if a.s != nil && !a.over {
-		a.s.Ready()
-		a.k.f.touch(a.l)
+	if a.stream != nil && !a.ended {
+		a.stream.Ready()
+		a.call.proxy.scheduleFlush(a.conn)
 	}
 }
 
-// fromServer takes a piece of the response.
-func (a *attempt) fromServer(b []byte) {
-	k := a.k
-	if a.over {
+// dataFromServer takes a piece of the response.
+func (a *attempt) dataFromServer(b []byte) {
+	k := a.call
+	if a.ended {
 		return
 	}
-	if k.winner != nil && k.winner != a {
+	if k.committed != nil && k.committed != a {
 		// Two answered at once, and this one was second: it is being called off.
-		k.f.Count.LateAnswers++
+		k.proxy.Counters.LateResponses++
 		return
 	}
-	if !k.hold(len(b)) {
-		k.hold(-len(b))
-		k.f.Count.OverHeld++
-		a.broken(grpcwire.Result{Status: grpcwire.ResourceExhausted, Message: "too much is held", Outcome: policy.Answered})
+	if !k.addBuffered(len(b)) {
+		k.addBuffered(-len(b))
+		k.proxy.Counters.OverBufferLimit++
+		a.fail(grpcwire.Result{Status: grpcwire.ResourceExhausted, Message: "too much is held", Outcome: policy.Answered})
 		return
 	}
-	a.resp.add(b)
-	switch a.scan.Feed(b, k.route.MaxMessageBytes) {
+	a.response.append(b)
+	switch a.scanner.Feed(b, k.route.MaxMessageBytes) {
 	case grpcwire.InvalidFlag:
-		a.broken(grpcwire.MalformedResponse)
+		a.fail(grpcwire.MalformedResponse)
 		return
 	case grpcwire.MessageOverLimit:
-		k.f.Count.TooLong++
-		a.broken(grpcwire.MessageTooLarge)
+		k.proxy.Counters.MessageTooLarge++
+		a.fail(grpcwire.MessageTooLarge)
 		return
 	}
-	if k.route.CommitPoint == routes.AtEnd && a.resp.size() <= k.route.ResponseBufferBytes {
-		a.credit()
+	if k.route.CommitPoint == routes.AtEnd && a.response.size() <= k.route.ResponseBufferBytes {
+		a.creditServer()
 		return
 	}
 	a.commit()
-	if !a.over {
-		a.release()
+	if !a.ended {
+		a.deliver()
 	}
 }
 
 // commit makes this the one whose bytes reach the client, if the module says so.
 func (a *attempt) commit() {
-	k := a.k
-	if k.winner != nil {
+	k := a.call
+	if k.committed != nil {
 		return
 	}
-	if !plantRepeat && !k.f.r.Committed(a.sub, true) {
-		k.f.Count.LateAnswers++
+	if !plantRepeat && !k.proxy.router.Committed(a.sub, true) {
+		k.proxy.Counters.LateResponses++
 		a.stop()
-		k.f.r.Ended(a.sub, policy.Cancelled)
+		k.proxy.router.Ended(a.sub, policy.Cancelled)
 		return
 	}
-	k.f.Count.Committed++
-	k.winner = a
-	k.trim()
+	k.proxy.Counters.Committed++
+	k.committed = a
+	k.discardForwarded()
 }
 
-// release lets the client have what has come.
-func (a *attempt) release() {
-	k := a.k
-	if k.told || k.winner != a || a.head == nil {
+// deliver lets the client have what has come.
+func (a *attempt) deliver() {
+	k := a.call
+	if k.ended || k.committed != a || a.responseHeaders == nil {
 		return
 	}
-	if !k.s.HeadersSent() {
-		k.c.h.Respond(k.s, a.head, false, k)
+	if !k.stream.HeadersSent() {
+		k.client.http2.Respond(k.stream, a.responseHeaders, false, k)
 	}
-	k.s.Ready()
-	k.f.touch(k.c)
+	k.stream.Ready()
+	k.proxy.scheduleFlush(k.client)
 }
 
-// finish: the module has the answer; the client has it once all has gone out.
-func (a *attempt) finish() {
-	k := a.k
-	if a.end.Outcome == policy.Answered && a.trailers != nil {
-		k.f.Count.Statuses[a.end.Status]++
-		if a.head == nil { // nothing but a status, as it came
-			k.c.h.Respond(k.s, a.trailers, true, nil)
-			k.f.touch(k.c)
-			k.over()
+// complete: the module has the answer; the client has it once all has gone out.
+func (a *attempt) complete() {
+	k := a.call
+	if a.result.Outcome == policy.Answered && a.trailers != nil {
+		k.proxy.Counters.Statuses[a.result.Status]++
+		if a.responseHeaders == nil { // nothing but a status, as it came
+			k.client.http2.Respond(k.stream, a.trailers, true, nil)
+			k.proxy.scheduleFlush(k.client)
+			k.release()
 			return
 		}
-		k.trailers = a.trailers
-		a.release()
+		k.finalTrailers = a.trailers
+		a.deliver()
 		return
 	}
 	// An answer over this broker's limits: it has run, and is not passed on.
-	k.tell(a.end.Status, a.end.Message, -1)
+	k.endWithStatus(a.result.Status, a.result.Message, -1)
 }
 
-// credit lets the server send on as the client takes, or as long as all is held back for the end.
-func (a *attempt) credit() {
-	if a.s == nil || a.over {
+// creditServer lets the server send on as the client takes, or as long as all is held back for the end.
+func (a *attempt) creditServer() {
+	if a.stream == nil || a.ended {
 		return
 	}
-	to := a.given
-	if a.k.winner == nil {
-		to = a.resp.to // held back for its end, within the route's hold
+	to := a.deliveredOffset
+	if a.call.committed == nil {
+		to = a.response.end // held back for its end, within the route's hold
 	}
-	if n := to - a.owed; n > 0 {
-		a.owed = to
-		a.s.Credit(int(n))
-		a.k.f.touch(a.l)
+	if n := to - a.creditedOffset; n > 0 {
+		a.creditedOffset = to
+		a.stream.Credit(int(n))
+		a.call.proxy.scheduleFlush(a.conn)
 	}
 }
 
-// status is the server's end.
-func (a *attempt) status(trailers []h2.Field) {
-	if a.over {
+// statusReceived is the server's end.
+func (a *attempt) statusReceived(trailers []h2.Field) {
+	if a.ended {
 		return
 	}
 	a.whole = true
-	k := a.k
-	e := grpcwire.ResultFromTrailers(trailers, k.route.RejectedUnprocessed, a.scan.CompleteMessages)
+	k := a.call
+	e := grpcwire.ResultFromTrailers(trailers, k.route.RejectedUnprocessed, a.scanner.CompleteMessages)
 	a.trailers = trailers
-	if e.Outcome == policy.Answered && !a.scan.AtBoundary() {
+	if e.Outcome == policy.Answered && !a.scanner.AtBoundary() {
 		e, a.trailers = grpcwire.TruncatedMessage, nil
 	}
-	if wait, found := grpcwire.RetryPushback(trailers); found && e.Outcome != policy.Answered && k.winner == nil {
-		k.f.r.Pushback(a.sub, wait)
+	if wait, found := grpcwire.RetryPushback(trailers); found && e.Outcome != policy.Answered && k.committed == nil {
+		k.proxy.router.Pushback(a.sub, wait)
 	}
-	a.ended(e)
+	a.finish(e)
 }
 
-// broken ends one from this side, for what its server sent.
-func (a *attempt) broken(e grpcwire.Result) {
+// fail ends one from this side, for what its server sent.
+func (a *attempt) fail(e grpcwire.Result) {
 	if e.Outcome != policy.Answered {
-		a.k.f.Count.BadServers++
+		a.call.proxy.Counters.ServerProtocolErrors++
 	}
-	a.ended(e)
+	a.finish(e)
 }
 
-// ended tells the module how a sub-request ended. The first word counts.
-func (a *attempt) ended(e grpcwire.Result) {
-	if a.over {
+// finish tells the module how a sub-request ended. The first word counts.
+func (a *attempt) finish(e grpcwire.Result) {
+	if a.ended {
 		return
 	}
-	k := a.k
-	a.end, a.said = e, true
+	k := a.call
+	a.result, a.reported = e, true
 	a.stop()
 	switch {
-	case e.Outcome == policy.Answered && (k.winner == nil || k.winner == a) && k.answered == nil:
+	case e.Outcome == policy.Answered && (k.committed == nil || k.committed == a) && k.answered == nil:
 		k.answered = a
-	case e.Outcome == policy.Answered && k.winner != a:
-		k.f.Count.LateAnswers++
-		a.free()
+	case e.Outcome == policy.Answered && k.committed != a:
+		k.proxy.Counters.LateResponses++
+		a.discardResponse()
 	default:
-		k.last = a
-		if k.winner != a {
-			a.free()
+		k.lastFailed = a
+		if k.committed != a {
+			a.discardResponse()
 		}
 	}
-	k.f.r.Ended(a.sub, e.Outcome)
+	k.proxy.router.Ended(a.sub, e.Outcome)
 }
 
 // stop ends the stream, if it is open, and lets go of its place. What has come of its response stays for who answered.
 func (a *attempt) stop() {
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
-	k := a.k
-	if a.s == nil || a.start < a.l.written {
-		k.f.r.Forgo(a.by) // else it could still begin, called off or not
-	} else if k.final && !a.l.gone {
+	a.ended = true
+	k := a.call
+	if a.stream == nil || a.headersStart < a.conn.sentBytes {
+		k.proxy.router.Forgo(a.startTimer) // else it could still begin, called off or not
+	} else if k.decided && !a.conn.closed {
 		// Its client is gone or has its end. What the network takes later would begin for nobody; heads can't be taken back
 		// one by one, as each says what the next may leave out, so a connection that goes on standing still is dropped.
-		k.f.r.Forgo(a.by)
-		a.by = k.f.r.After(min(standsStill, max(a.sub.Begin()-k.f.r.Now(), 0)), a.tooLate)
+		k.proxy.router.Forgo(a.startTimer)
+		a.startTimer = k.proxy.router.After(min(stalledConnGrace, max(a.sub.Begin()-k.proxy.router.Now(), 0)), a.startTimedOut)
 	}
 	for i, o := range k.attempts {
 		if o == a {
@@ -680,22 +680,22 @@
 			break
 		}
 	}
-	if a.l != nil {
-		a.l.end(a, http2.ErrCodeCancel)
+	if a.conn != nil {
+		a.conn.removeAttempt(a, http2.ErrCodeCancel)
 	} else {
-		k.f.pool.CancelRequest(a.server, a)
+		k.proxy.pool.CancelRequest(a.serverIndex, a)
 	}
-	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.Outcome == policy.Answered) {
-		a.free()
+	if k.ended || k.answered != a && k.committed != a && !(a.reported && a.result.Outcome == policy.Answered) {
+		a.discardResponse()
 	}
-	if !k.told {
-		k.credit()
+	if !k.ended {
+		k.creditClient()
 	}
 }
 
-// free lets go of what has come of the response.
-func (a *attempt) free() {
-	a.k.hold(-a.resp.size())
-	a.resp = queue{from: a.resp.to, to: a.resp.to}
-	a.given = a.resp.to
+// discardResponse lets go of what has come of the response.
+func (a *attempt) discardResponse() {
+	a.call.addBuffered(-a.response.size())
+	a.response = byteQueue{start: a.response.end, end: a.response.end}
+	a.deliveredOffset = a.response.end
 }
--- a/internal/grpcproxy/client.go
+++ b/internal/grpcproxy/client.go
@@ -12,286 +12,290 @@
 	"kestrelspread/internal/transport"
 )
 
-// client is a connection on which calls come.
-type client struct {
-	f       *Front
-	conn    transport.Conn
-	h       *h2.Conn
-	asked   int64
-	written int64
-	moved   float64 // when the network last took something
-	since   float64 // when it came to have no call, or connected
-	heard   float64
-	came    float64 // when the bytes at hand did
-	half    float64 // since when half a frame waits
-	timer   engine.Timer
-	timerAt float64
-	ending  bool // nothing more is read
-	gone    bool
-	held    int // bytes of its calls
+// clientConn is a connection on which calls come.
+type clientConn struct {
+	proxy          *Proxy
+	conn           transport.Conn
+	http2          *h2.Conn
+	queuedBytes    int64
+	sentBytes      int64
+	lastSentAt     float64 // when the network last took something
+	idleSince      float64 // when it came to have no call, or connected
+	lastReceivedAt float64
+	arrivedAt      float64 // when the bytes at hand did
+	partialSince   float64 // since when half a frame waits
+	timer          engine.Timer
+	timerAt        float64
+	readStopped    bool // nothing more is read
+	closed         bool
+	bufferedBytes  int // bytes of its calls
 }
 
 // Opened implements routing.Party: the connection is up.
-func (c *client) Opened() {}
+func (c *clientConn) Opened() {}
 
 // Bytes implements routing.Party: bytes have come.
-func (c *client) Bytes(b []byte, came float64) {
-	if c.gone {
+func (c *clientConn) Bytes(b []byte, came float64) {
+	if c.closed {
 		return
 	}
-	c.heard, c.came = c.f.r.Now(), came
-	if c.ending || b == nil {
+	c.lastReceivedAt, c.arrivedAt = c.proxy.router.Now(), came
+	if c.readStopped || b == nil {
 		return // it is being turned away: what it still sends goes nowhere
 	}
-	was := c.h.Incomplete()
-	if err := c.h.Feed(b, came); err != nil {
-		c.f.Count.Rude++
-		c.f.r.Note("bad gRPC client", "%v", err)
-		c.abandon()
+	was := c.http2.Incomplete()
+	if err := c.http2.Feed(b, came); err != nil {
+		c.proxy.Counters.ProtocolErrors++
+		c.proxy.router.Note("bad gRPC client", "%v", err)
+		c.closeAfterGoAway()
 		return
 	}
-	if !was && c.h.Incomplete() {
-		c.half = c.heard
-	} else if !c.h.Incomplete() {
-		c.half = 0
-	} else if c.half == 0 {
-		c.half = c.heard
+	if !was && c.http2.Incomplete() {
+		c.partialSince = c.lastReceivedAt
+	} else if !c.http2.Incomplete() {
+		c.partialSince = 0
+	} else if c.partialSince == 0 {
+		c.partialSince = c.lastReceivedAt
 	}
-	c.f.touch(c)
-	c.mind()
+	c.proxy.scheduleFlush(c)
+	c.armTimer()
 }
 
-// abandon turns a client away that can't be read any more: its calls are over, and the GOAWAY that tells why is out before
+// closeAfterGoAway turns a client away that can't be read any more: its calls are over, and the GOAWAY that tells why is out before
 // the connection closes.
-func (c *client) abandon() {
-	c.leave()
-	c.ending = true
-	c.f.touch(c)
+func (c *clientConn) closeAfterGoAway() {
+	c.cancelCalls()
+	c.readStopped = true
+	c.proxy.scheduleFlush(c)
 }
 
-// leave ends all calls: nobody is there to hear of them.
-func (c *client) leave() {
-	for _, s := range c.h.Streams() {
+// cancelCalls ends all calls: nobody is there to hear of them.
+func (c *clientConn) cancelCalls() {
+	for _, s := range c.http2.Streams() {
 		if k, ok := s.UserData.(*call); ok {
-			k.left()
+			k.clientCancelled()
 		}
 	}
 }
 
 // Written implements routing.Party: the network has taken so many bytes.
-func (c *client) Written(upTo int64) {
-	c.written, c.moved = upTo, c.f.r.Now()
-	if c.h.HasPendingOutput() {
-		c.f.touch(c)
+func (c *clientConn) Written(upTo int64) {
+	c.sentBytes, c.lastSentAt = upTo, c.proxy.router.Now()
+	if c.http2.HasPendingOutput() {
+		c.proxy.scheduleFlush(c)
 	}
 }
 
 // Closed implements routing.Party: the connection is gone.
-func (c *client) Closed(int64) {
-	c.end()
+func (c *clientConn) Closed(int64) {
+	c.teardown()
 }
 
-func (c *client) end() {
-	if c.gone {
+func (c *clientConn) teardown() {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	c.leave()
-	delete(c.f.clients, c)
-	c.f.r.Forgo(c.timer)
+	c.closed = true
+	c.cancelCalls()
+	delete(c.proxy.clientConns, c)
+	c.proxy.router.Forgo(c.timer)
 }
 
-// hang drops the connection.
-func (c *client) hang() {
-	if c.gone {
+// abort drops the connection.
+func (c *clientConn) abort() {
+	if c.closed {
 		return
 	}
-	c.end()
-	c.f.r.Hang(c.conn)
+	c.teardown()
+	c.proxy.router.Hang(c.conn)
 }
 
 // flush lets streams send, as far as the client reads, and closes a connection that is done with.
-func (c *client) flush() {
-	if c.gone {
+func (c *clientConn) flush() {
+	if c.closed {
 		return
 	}
-	c.h.Pump(c.f.rules.Limits.Lag - int(c.asked-c.written))
-	if b := c.h.TakeOutput(); len(b) > 0 {
-		if c.asked == c.written {
-			c.moved = c.f.r.Now()
+	c.http2.Pump(c.proxy.settings.Limits.WriteBufferBytes - int(c.queuedBytes-c.sentBytes))
+	if b := c.http2.TakeOutput(); len(b) > 0 {
+		if c.queuedBytes == c.sentBytes {
+			c.lastSentAt = c.proxy.router.Now()
 		}
-		c.asked += int64(len(b))
-		c.f.r.Put(c.conn, b)
+		c.queuedBytes += int64(len(b))
+		c.proxy.router.Put(c.conn, b)
 	}
-	if c.asked-c.written > lagMost {
-		c.f.Count.Stuck++
-		c.hang()
+	if c.queuedBytes-c.sentBytes > maxUnsentBytes {
+		c.proxy.Counters.WriteTimeouts++
+		c.abort()
 		return
 	}
-	if c.h.OpenStreams() > 0 {
-		c.since = 0
-	} else if c.since == 0 {
-		c.since = c.f.r.Now()
+	if c.http2.OpenStreams() > 0 {
+		c.idleSince = 0
+	} else if c.idleSince == 0 {
+		c.idleSince = c.proxy.router.Now()
 	}
-	if c.ending || c.h.GoAwaySent() && c.h.OpenStreams() == 0 {
-		c.finish()
+	if c.readStopped || c.http2.GoAwaySent() && c.http2.OpenStreams() == 0 {
+		c.closeGracefully()
 		return
 	}
-	c.mind()
+	c.armTimer()
 }
 
-// finish closes so that what was written arrives.
-func (c *client) finish() {
-	c.end()
-	c.f.parting++
-	c.f.r.Seat(c.conn, (*parting)(c))
-	c.f.r.FinishParty(c.conn)
+// closeGracefully closes so that what was written arrives.
+func (c *clientConn) closeGracefully() {
+	c.teardown()
+	c.proxy.closingConns++
+	c.proxy.router.Seat(c.conn, (*closingConn)(c))
+	c.proxy.router.FinishParty(c.conn)
 	// Who is turned away may still be sending for long, at full speed: it is not read any more, so that it stands still
 	// until it closes or is cut off.
-	c.f.r.Reading(c.conn, false)
-	c.timer = c.f.r.After(c.f.rules.Limits.Handshake, func() { (*parting)(c).hang() })
-	c.gone = false
+	c.proxy.router.Reading(c.conn, false)
+	c.timer = c.proxy.router.After(c.proxy.settings.Limits.HandshakeTimeout, func() { (*closingConn)(c).abort() })
+	c.closed = false
 }
 
-// parting is a connection that only waits for the other side to close.
-type parting client
+// closingConn is a connection that only waits for the other side to close.
+type closingConn clientConn
 
 // Opened implements routing.Party: the connection is up.
-func (p *parting) Opened() {}
+func (p *closingConn) Opened() {}
 
 // Bytes implements routing.Party: bytes have come.
-func (p *parting) Bytes([]byte, float64) {}
+func (p *closingConn) Bytes([]byte, float64) {}
 
 // Written implements routing.Party: the network has taken so many bytes.
-func (p *parting) Written(int64) {}
+func (p *closingConn) Written(int64) {}
 
 // Closed implements routing.Party: the connection is gone.
-func (p *parting) Closed(int64) { p.gone = true; p.f.parting--; p.f.r.Forgo(p.timer) }
-func (p *parting) hang() {
-	if !p.gone {
-		p.gone = true
-		p.f.parting--
-		p.f.r.Hang(p.conn)
+func (p *closingConn) Closed(int64) {
+	p.closed = true
+	p.proxy.closingConns--
+	p.proxy.router.Forgo(p.timer)
+}
+func (p *closingConn) abort() {
+	if !p.closed {
+		p.closed = true
+		p.proxy.closingConns--
+		p.proxy.router.Hang(p.conn)
 	}
 }
 
-// patience tells when something is amiss or the connection has been idle for too long.
-func (c *client) patience() float64 {
-	m := &c.f.rules.Limits
+// nextTimeout tells when something is amiss or the connection has been idle for too long.
+func (c *clientConn) nextTimeout() float64 {
+	m := &c.proxy.settings.Limits
 	at := math.Inf(1)
-	if !c.h.SettingsReceived() {
-		at = c.since + m.Handshake
-	} else if c.since > 0 {
-		at = c.since + m.Idle
+	if !c.http2.SettingsReceived() {
+		at = c.idleSince + m.HandshakeTimeout
+	} else if c.idleSince > 0 {
+		at = c.idleSince + m.IdleTimeout
 	}
-	if c.half > 0 {
-		at = min(at, c.half+m.Half)
+	if c.partialSince > 0 {
+		at = min(at, c.partialSince+m.PartialFrameTimeout)
 	}
-	if c.asked > c.written {
-		at = min(at, c.moved+m.Stuck)
+	if c.queuedBytes > c.sentBytes {
+		at = min(at, c.lastSentAt+m.WriteTimeout)
 	}
 	return at
 }
 
-// mind has it looked at when patience ends; one timer is enough, and it may come too soon.
-func (c *client) mind() {
-	at := c.patience()
-	if c.gone || c.timerAt > 0 && c.timerAt <= at || math.IsInf(at, 1) {
+// armTimer has it looked at when patience ends; one timer is enough, and it may come too soon.
+func (c *clientConn) armTimer() {
+	at := c.nextTimeout()
+	if c.closed || c.timerAt > 0 && c.timerAt <= at || math.IsInf(at, 1) {
 		return
 	}
-	c.f.r.Forgo(c.timer)
+	c.proxy.router.Forgo(c.timer)
 	c.timerAt = at
-	c.timer = c.f.r.After(max(at-c.f.r.Now(), firstLook), func() { c.weary() })
+	c.timer = c.proxy.router.After(max(at-c.proxy.router.Now(), minTimerDelay), func() { c.timerFired() })
 }
 
-func (c *client) weary() {
-	if c.timerAt = 0; c.gone {
+func (c *clientConn) timerFired() {
+	if c.timerAt = 0; c.closed {
 		return
 	}
-	now, m := c.f.r.Now(), &c.f.rules.Limits
+	now, m := c.proxy.router.Now(), &c.proxy.settings.Limits
 	switch {
-	case now < c.patience():
-		c.mind()
-	case c.asked > c.written && now >= c.moved+m.Stuck:
-		c.f.Count.Stuck++
-		c.hang()
-	case !c.h.SettingsReceived() || c.half > 0 && now >= c.half+m.Half:
-		c.f.Count.Mute++
-		c.h.GoAway(http2.ErrCodeEnhanceYourCalm)
-		c.abandon()
+	case now < c.nextTimeout():
+		c.armTimer()
+	case c.queuedBytes > c.sentBytes && now >= c.lastSentAt+m.WriteTimeout:
+		c.proxy.Counters.WriteTimeouts++
+		c.abort()
+	case !c.http2.SettingsReceived() || c.partialSince > 0 && now >= c.partialSince+m.PartialFrameTimeout:
+		c.proxy.Counters.Unresponsive++
+		c.http2.GoAway(http2.ErrCodeEnhanceYourCalm)
+		c.closeAfterGoAway()
 	default:
-		c.f.Count.Idle++
-		c.h.GoAway(http2.ErrCodeNo)
-		c.f.touch(c)
+		c.proxy.Counters.IdleClosed++
+		c.http2.GoAway(http2.ErrCodeNo)
+		c.proxy.scheduleFlush(c)
 	}
 }
 
 // HeadersReceived begins a call, or is what no gRPC client sends: trailers.
-func (c *client) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
+func (c *clientConn) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
 	if k, ok := s.UserData.(*call); ok {
-		k.fromClient(nil, end) // trailers of a request say nothing in gRPC
+		k.dataFromClient(nil, end) // trailers of a request say nothing in gRPC
 		return
 	}
-	c.begin(s, fields, end)
+	c.startCall(s, fields, end)
 }
 
 // HeaderListTooLarge is metadata over the limit.
-func (c *client) HeaderListTooLarge(s *h2.Stream) {
+func (c *clientConn) HeaderListTooLarge(s *h2.Stream) {
 	if k, ok := s.UserData.(*call); ok {
-		k.finish(grpcwire.ResourceExhausted, "metadata over the limit", -1)
+		k.terminate(grpcwire.ResourceExhausted, "metadata over the limit", -1)
 		return
 	}
-	c.f.Count.Calls++
-	c.refuse(s, grpcwire.ResourceExhausted, "metadata over the limit", -1)
+	c.proxy.Counters.Calls++
+	c.rejectCall(s, grpcwire.ResourceExhausted, "metadata over the limit", -1)
 }
 
 // DataReceived implements h2.Events: bytes of a body have come.
-func (c *client) DataReceived(s *h2.Stream, b []byte, end bool) {
+func (c *clientConn) DataReceived(s *h2.Stream, b []byte, end bool) {
 	if k, ok := s.UserData.(*call); ok {
-		k.fromClient(b, end)
+		k.dataFromClient(b, end)
 	}
 }
 
 // StreamReset implements h2.Events: the stream was reset.
-func (c *client) StreamReset(s *h2.Stream, _ h2.ErrorCode) {
-	c.f.Count.Resets++
+func (c *clientConn) StreamReset(s *h2.Stream, _ h2.ErrorCode) {
+	c.proxy.Counters.ClientResets++
 	if k, ok := s.UserData.(*call); ok {
-		k.left()
+		k.clientCancelled()
 	}
 }
 
 // StreamUnprocessed implements h2.Events: the peer says that it never looked at the stream.
-func (c *client) StreamUnprocessed(*h2.Stream) {}
+func (c *clientConn) StreamUnprocessed(*h2.Stream) {}
 
 // SettingsReceived implements h2.Events: the peer's settings have come.
-func (c *client) SettingsReceived() {}
+func (c *clientConn) SettingsReceived() {}
 
 // GoAwayReceived: a client that says GOAWAY asks nothing new; what is open goes on.
-func (c *client) GoAwayReceived(h2.ErrorCode) {}
+func (c *clientConn) GoAwayReceived(h2.ErrorCode) {}
 
-// refuse ends a call that no search was made of.
-func (c *client) refuse(s *h2.Stream, code grpcwire.Status, why string, back float64) {
-	c.f.Count.Statuses[code]++
+// rejectCall ends a call that no search was made of.
+func (c *clientConn) rejectCall(s *h2.Stream, code grpcwire.Status, why string, back float64) {
+	c.proxy.Counters.Statuses[code]++
 	if code == grpcwire.Unavailable || code == grpcwire.ResourceExhausted && back > 0 {
-		c.f.Count.Shed++
+		c.proxy.Counters.Shed++
 	} else {
-		c.f.Count.Errored++
+		c.proxy.Counters.Errored++
 	}
-	c.h.Respond(s, grpcwire.AppendTrailers(grpcwire.NewResponseHeaders(), code, why, back), true, nil)
-	c.f.touch(c)
+	c.http2.Respond(s, grpcwire.AppendTrailers(grpcwire.NewResponseHeaders(), code, why, back), true, nil)
+	c.proxy.scheduleFlush(c)
 }
 
-// begin takes a call, once its head has proved sound.
-func (c *client) begin(s *h2.Stream, fields []h2.Field, end bool) {
-	f := c.f
-	f.Count.Calls++
+// startCall takes a call, once its head has proved sound.
+func (c *clientConn) startCall(s *h2.Stream, fields []h2.Field, end bool) {
+	f := c.proxy
+	f.Counters.Calls++
 	path, _ := grpcwire.FirstValue(fields, ":path")
 	method, _ := grpcwire.FirstValue(fields, ":method")
 	kind, _ := grpcwire.FirstValue(fields, "content-type")
 	unsound := func(status string) {
-		f.Count.Unsound++
-		f.Count.Errored++
-		c.h.Respond(s, []h2.Field{{Name: ":status", Value: status}}, true, nil)
+		f.Counters.InvalidCalls++
+		f.Counters.Errored++
+		c.http2.Respond(s, []h2.Field{{Name: ":status", Value: status}}, true, nil)
 	}
 	switch {
 	case method != "POST":
@@ -302,63 +306,63 @@
 		return
 	}
 	look := func(key string) (string, bool) { return grpcwire.FirstValue(fields, key) }
-	route := f.rules.Table.Find(path, look)
+	route := f.settings.Routes.Find(path, look)
 	if route == nil {
-		f.Count.Unrouted++
-		c.refuse(s, grpcwire.Unimplemented, "no route for "+path, 0)
+		f.Counters.Unrouted++
+		c.rejectCall(s, grpcwire.Unimplemented, "no route for "+path, 0)
 		return
 	}
 	timeout := route.DefaultTimeout
 	if v, found := look("grpc-timeout"); found {
 		var ok bool
 		if timeout, ok = grpcwire.ParseTimeout(v); !ok {
-			f.Count.Unsound++
-			c.refuse(s, grpcwire.InvalidArgument, "grpc-timeout can't be read", -1)
+			f.Counters.InvalidCalls++
+			c.rejectCall(s, grpcwire.InvalidArgument, "grpc-timeout can't be read", -1)
 			return
 		}
 	}
-	if timeout = min(timeout, route.MaxTimeout); timeout <= lastCall {
-		f.Count.Expired++
-		c.refuse(s, grpcwire.DeadlineExceeded, "no time is left", 0)
+	if timeout = min(timeout, route.MaxTimeout); timeout <= finalStatusMargin {
+		f.Counters.DeadlineExceeded++
+		c.rejectCall(s, grpcwire.DeadlineExceeded, "no time is left", 0)
 		return
 	}
 	shard, err := route.ShardOf(look, f.shards)
 	if err != nil {
-		f.Count.Unsound++
-		c.refuse(s, grpcwire.InvalidArgument, err.Error(), -1)
+		f.Counters.InvalidCalls++
+		c.rejectCall(s, grpcwire.InvalidArgument, err.Error(), -1)
 		return
 	}
 	customer := route.DefaultCustomer
 	if route.CustomerMetadata != "" {
 		if v, found := look(route.CustomerMetadata); found {
-			customer = f.r.Customer(v)
+			customer = f.router.Customer(v)
 		}
 	}
 	// Over a limit of this broker's own the call has not begun anywhere, and a little later there may be room.
-	m := &f.rules.Limits
+	m := &f.settings.Limits
 	switch {
-	case f.open >= m.Calls:
-		f.Count.OverCalls++
-		c.refuse(s, grpcwire.Unavailable, "too many calls are open", f.later())
+	case f.openCalls >= m.MaxCalls:
+		f.Counters.OverCallLimit++
+		c.rejectCall(s, grpcwire.Unavailable, "too many calls are open", f.retryPushback())
 		return
-	case m.PerCustomer > 0 && f.byOwner[customer] >= m.PerCustomer:
-		f.Count.OverCustomer++
-		c.refuse(s, grpcwire.ResourceExhausted, "too many calls of this customer are open", f.later())
+	case m.MaxCallsPerCustomer > 0 && f.callsByCustomer[customer] >= m.MaxCallsPerCustomer:
+		f.Counters.OverCustomerLimit++
+		c.rejectCall(s, grpcwire.ResourceExhausted, "too many calls of this customer are open", f.retryPushback())
 		return
-	case f.tight():
-		f.Count.OverHeld++
-		c.refuse(s, grpcwire.Unavailable, "too much is held", f.later())
+	case f.aboveSoftLimit():
+		f.Counters.OverBufferLimit++
+		c.rejectCall(s, grpcwire.Unavailable, "too much is held", f.retryPushback())
 		return
 	}
-	k := &call{f: f, c: c, s: s, route: route, rules: f.rules, customer: customer, until: c.came + timeout,
-		head: append([]h2.Field(nil), fields...), reqEnd: end}
+	k := &call{proxy: f, client: c, stream: s, route: route, settings: f.settings, customer: customer, deadline: c.arrivedAt + timeout,
+		requestHeaders: append([]h2.Field(nil), fields...), requestEnded: end}
 	s.UserData = k
-	f.open++
-	f.byOwner[customer]++
-	must.Hold(f.open <= m.Calls, "no more calls are open than may be")
-	k.mind()
+	f.openCalls++
+	f.callsByCustomer[customer]++
+	must.Hold(f.openCalls <= m.MaxCalls, "no more calls are open than may be")
+	k.armDeadline()
 	k.start(shard, look)
 }
 
-// later is a time to come back, spread so that those turned away together do not come together.
-func (f *Front) later() float64 { return laterLeast + laterMore*f.roll() }
+// retryPushback is a time to come back, spread so that those turned away together do not come together.
+func (f *Proxy) retryPushback() float64 { return minPushback + pushbackSpread*f.random() }
--- a/internal/grpcproxy/front.go
+++ b/internal/grpcproxy/front.go
@@ -23,292 +23,294 @@
 	"kestrelspread/internal/transport"
 )
 
-// Front is all of a broker's gRPC.
-type Front struct {
-	Next  atomic.Pointer[Rules] // set by others before they tell Reread
-	Count Counters
-
-	r       *engine.Router
-	rules   *Rules
-	shards  int
-	pool    *connpool.Pool
-	rand    uint64
-	servers []target
-	lines   []*line // by channel
-	clients map[*client]bool
-	order   []*client
-	open    int
-	byOwner map[int]int // calls open, by customer
-	held    int         // bytes
-	owing   []*call     // whose credit waits until less is held
-	dirty   []flusher
-	timer   engine.Timer
-	tickAt  float64
-	killed  float64
-	leaving bool
-	parting int // connections that wait for the other side to close
+// Proxy is all of a broker's gRPC.
+type Proxy struct {
+	NextSettings atomic.Pointer[Settings] // set by others before they tell Reread
+	Counters     Counters
+
+	router           *engine.Router
+	settings         *Settings
+	shards           int
+	pool             *connpool.Pool
+	randomState      uint64
+	servers          []serverEntry
+	serverConns      []*serverConn // by channel
+	clientConns      map[*clientConn]bool
+	clientOrder      []*clientConn
+	openCalls        int
+	callsByCustomer  map[int]int // calls open, by customer
+	bufferedBytes    int         // bytes
+	deferredCredit   []*call     // whose credit waits until less is held
+	pendingFlush     []flusher
+	poolTimer        engine.Timer
+	poolTimerAt      float64
+	killAt           float64
+	stoppedAccepting bool
+	closingConns     int // connections that wait for the other side to close
 }
 
-// target is a server of the list.
-type target struct {
-	id     string
-	listed netip.AddrPort
-	addr   netip.AddrPort
-	has    bool
-	state  policy.State
+// serverEntry is a server of the list.
+type serverEntry struct {
+	id         string
+	listed     netip.AddrPort
+	addr       netip.AddrPort
+	hasAddress bool
+	state      policy.State
 }
 
 type flusher interface{ flush() }
 
 // New makes the front of a broker; shards is how many there are, seed draws the backoff's jitter.
-func New(r *engine.Router, rules *Rules, shards int, seed uint64) *Front {
-	f := &Front{r: r, rules: rules, shards: shards, rand: seed | 1, clients: map[*client]bool{}, byOwner: map[int]int{},
-		killed: math.Inf(1), tickAt: math.Inf(1)}
-	f.pool = connpool.New((*carrier)(f), rules.Channels, f.roll)
+func New(r *engine.Router, rules *Settings, shards int, seed uint64) *Proxy {
+	f := &Proxy{router: r, settings: rules, shards: shards, randomState: seed | 1, clientConns: map[*clientConn]bool{}, callsByCustomer: map[int]int{},
+		killAt: math.Inf(1), poolTimerAt: math.Inf(1)}
+	f.pool = connpool.New((*poolEffects)(f), rules.ConnPool, f.random)
 	return f
 }
 
-// roll draws from the seed alone (xorshift64*), so that a run replays.
-func (f *Front) roll() float64 {
-	f.rand ^= f.rand >> 12
-	f.rand ^= f.rand << 25
-	f.rand ^= f.rand >> 27
-	return float64((f.rand*2685821657736338717)>>11) / (1 << 53)
+// random draws from the seed alone (xorshift64*), so that a run replays.
+func (f *Proxy) random() float64 {
+	f.randomState ^= f.randomState >> 12
+	f.randomState ^= f.randomState << 25
+	f.randomState ^= f.randomState >> 27
+	return float64((f.randomState*2685821657736338717)>>11) / (1 << 53)
 }
 
 func statusName(i int) string { return grpcwire.Status(i).String() }
 
 // Reload takes new rules whole. Calls that are open keep the ones they began under; connections that are open keep their
 // limits, which they have told the other side.
-func (f *Front) Reload() {
-	next := f.Next.Swap(nil)
+func (f *Proxy) Reload() {
+	next := f.NextSettings.Swap(nil)
 	if next == nil {
 		return
 	}
-	f.rules = next
-	f.pool.UpdateSettings(next.Channels)
+	f.settings = next
+	f.pool.UpdateSettings(next.ConnPool)
 	for i := range f.servers {
-		f.aim(i)
+		f.updateServer(i)
 	}
-	f.tick()
+	f.tickPool()
 }
 
 // Server is news of the list.
-func (f *Front) Server(at int, id string, addr netip.AddrPort, state policy.State) {
+func (f *Proxy) Server(at int, id string, addr netip.AddrPort, state policy.State) {
 	for at >= len(f.servers) {
-		f.servers = append(f.servers, target{state: policy.Gone})
+		f.servers = append(f.servers, serverEntry{state: policy.Gone})
 	}
 	t := &f.servers[at]
 	t.id, t.state = id, state
 	if addr.IsValid() {
 		t.listed = addr
 	}
-	f.aim(at)
+	f.updateServer(at)
 }
 
-// aim tells the pool where a server is.
-func (f *Front) aim(at int) {
+// updateServer tells the pool where a server is.
+func (f *Proxy) updateServer(at int) {
 	t := &f.servers[at]
 	if t.id == "" {
 		return
 	}
 	was := t.addr
-	t.addr, t.has = f.rules.Addresses.Of(t.id, t.listed)
-	f.pool.UpdateServer(f.r.Now(), at, t.has && (t.state == policy.Ready || plantDrain), was.IsValid() && was != t.addr)
-	if !t.has || t.state != policy.Ready {
-		for _, l := range append([]*line(nil), f.lines...) {
-			if l != nil && l.server == at {
-				l.withdraw()
+	t.addr, t.hasAddress = f.settings.Addresses.AddressOf(t.id, t.listed)
+	f.pool.UpdateServer(f.router.Now(), at, t.hasAddress && (t.state == policy.Ready || plantDrain), was.IsValid() && was != t.addr)
+	if !t.hasAddress || t.state != policy.Ready {
+		for _, l := range append([]*serverConn(nil), f.serverConns...) {
+			if l != nil && l.serverIndex == at {
+				l.withdrawWaiting()
 			}
 		}
 	}
-	f.tick()
+	f.tickPool()
 }
 
 // Late ends connections to a server that wants nothing new: what has been given to the network, and of
 // which the network has taken none, can only be taken back with its connection. Only one that stands still
 // has such.
-func (f *Front) Late(at int) {
-	for _, l := range append([]*line(nil), f.lines...) {
-		if l != nil && l.server == at && l.unbegun() {
-			l.drop("draining")
+func (f *Proxy) Late(at int) {
+	for _, l := range append([]*serverConn(nil), f.serverConns...) {
+		if l != nil && l.serverIndex == at && l.hasUnsentHeaders() {
+			l.abort("draining")
 		}
 	}
 }
 
 // Forgotten drops a server; its index will be another's.
-func (f *Front) Forgotten(at int) {
+func (f *Proxy) Forgotten(at int) {
 	if at < len(f.servers) {
 		f.pool.RemoveServer(at)
-		f.servers[at] = target{state: policy.Gone}
+		f.servers[at] = serverEntry{state: policy.Gone}
 	}
 }
 
 // Stopping has clients go elsewhere, and still serves them. What is open has its last status before the
 // time killed.
-func (f *Front) Stopping(killed float64) {
-	f.killed = killed
-	for _, c := range f.inOrder() {
-		c.h.StartGracefulShutdown()
-		f.touch(c)
-		for _, s := range c.h.Streams() {
+func (f *Proxy) Stopping(killed float64) {
+	f.killAt = killed
+	for _, c := range f.clientsInOrder() {
+		c.http2.StartGracefulShutdown()
+		f.scheduleFlush(c)
+		for _, s := range c.http2.Streams() {
 			if k, ok := s.UserData.(*call); ok {
-				k.mind()
+				k.armDeadline()
 			}
 		}
 	}
 }
 
 // Leaving tells that the address is closed; nothing more is taken on connections either.
-func (f *Front) Leaving() {
-	f.leaving = true
-	for _, c := range f.inOrder() {
-		c.h.GoAway(http2.ErrCodeNo)
-		f.touch(c)
+func (f *Proxy) Leaving() {
+	f.stoppedAccepting = true
+	for _, c := range f.clientsInOrder() {
+		c.http2.GoAway(http2.ErrCodeNo)
+		f.scheduleFlush(c)
 	}
 }
 
 // Idle tells whether no client is connected.
-func (f *Front) Idle() bool { return len(f.clients)+f.parting == 0 }
+func (f *Proxy) Idle() bool { return len(f.clientConns)+f.closingConns == 0 }
 
-func (f *Front) inOrder() []*client {
-	kept := f.order[:0]
-	for _, c := range f.order {
-		if f.clients[c] {
+func (f *Proxy) clientsInOrder() []*clientConn {
+	kept := f.clientOrder[:0]
+	for _, c := range f.clientOrder {
+		if f.clientConns[c] {
 			kept = append(kept, c)
 		}
 	}
-	clear(f.order[len(kept):])
-	f.order = kept
-	return append([]*client(nil), kept...)
+	clear(f.clientOrder[len(kept):])
+	f.clientOrder = kept
+	return append([]*clientConn(nil), kept...)
 }
 
 // Accepted is a new client. Over the limit it is told so at once, in the few bytes that this takes.
-func (f *Front) Accepted(conn transport.Conn) {
-	f.Count.Accepted++
-	c := &client{f: f, conn: conn, since: f.r.Now(), heard: f.r.Now()}
-	c.h = h2.New(true, f.rules.toClients(), c)
-	f.r.Seat(conn, c)
-	f.clients[c] = true
-	f.order = append(f.order, c)
-	if len(f.order) > 2*len(f.clients)+16 {
-		f.inOrder()
+func (f *Proxy) Accepted(conn transport.Conn) {
+	f.Counters.Accepted++
+	c := &clientConn{proxy: f, conn: conn, idleSince: f.router.Now(), lastReceivedAt: f.router.Now()}
+	c.http2 = h2.New(true, f.settings.clientLimits(), c)
+	f.router.Seat(conn, c)
+	f.clientConns[c] = true
+	f.clientOrder = append(f.clientOrder, c)
+	if len(f.clientOrder) > 2*len(f.clientConns)+16 {
+		f.clientsInOrder()
 	}
-	if len(f.clients) > min(f.rules.Limits.Connections, f.r.Room()) || f.leaving {
-		f.Count.Refused++
-		c.h.GoAway(http2.ErrCodeEnhanceYourCalm)
-		c.ending = true
+	if len(f.clientConns) > min(f.settings.Limits.MaxConnections, f.router.Room()) || f.stoppedAccepting {
+		f.Counters.ConnectionsRejected++
+		c.http2.GoAway(http2.ErrCodeEnhanceYourCalm)
+		c.readStopped = true
 	}
-	if !math.IsInf(f.killed, 1) {
-		c.h.StartGracefulShutdown()
+	if !math.IsInf(f.killAt, 1) {
+		c.http2.StartGracefulShutdown()
 	}
-	f.touch(c)
-	c.mind()
+	f.scheduleFlush(c)
+	c.armTimer()
 }
 
-func (f *Front) touch(w flusher) { f.dirty = append(f.dirty, w) }
+func (f *Proxy) scheduleFlush(w flusher) { f.pendingFlush = append(f.pendingFlush, w) }
 
 // Flush writes what this turn has brought. What pumping one connection frees may have another go on.
-func (f *Front) Flush() {
-	for i := 0; i < len(f.dirty); i++ {
-		f.dirty[i].flush()
+func (f *Proxy) Flush() {
+	for i := 0; i < len(f.pendingFlush); i++ {
+		f.pendingFlush[i].flush()
 	}
-	clear(f.dirty)
-	f.dirty = f.dirty[:0]
-	f.tick()
+	clear(f.pendingFlush)
+	f.pendingFlush = f.pendingFlush[:0]
+	f.tickPool()
 }
 
-// tick has the pool look after its channels.
-func (f *Front) tick() {
-	next := f.pool.Tick(f.r.Now())
-	if next == f.tickAt {
+// tickPool has the pool look after its channels.
+func (f *Proxy) tickPool() {
+	next := f.pool.Tick(f.router.Now())
+	if next == f.poolTimerAt {
 		return
 	}
-	f.r.Forgo(f.timer)
-	if f.tickAt = next; !math.IsInf(next, 1) {
-		f.timer = f.r.After(next-f.r.Now(), func() {
-			f.tickAt = math.Inf(1)
-			f.tick()
+	f.router.Forgo(f.poolTimer)
+	if f.poolTimerAt = next; !math.IsInf(next, 1) {
+		f.poolTimer = f.router.After(next-f.router.Now(), func() {
+			f.poolTimerAt = math.Inf(1)
+			f.tickPool()
 		})
 	}
 }
 
-// hold accounts for bytes that are held, and tells whether there is room for them.
-func (f *Front) hold(n int) bool {
-	f.held += n
-	must.Hold(f.held >= 0, "what is held is accounted for")
-	f.Count.Top = max(f.Count.Top, int64(f.held))
-	if n < 0 && len(f.owing) > 0 && !f.tight() {
-		owing := f.owing
-		f.owing = nil
+// addBuffered accounts for bytes that are held, and tells whether there is room for them.
+func (f *Proxy) addBuffered(n int) bool {
+	f.bufferedBytes += n
+	must.Hold(f.bufferedBytes >= 0, "what is held is accounted for")
+	f.Counters.MaxBufferedBytes = max(f.Counters.MaxBufferedBytes, int64(f.bufferedBytes))
+	if n < 0 && len(f.deferredCredit) > 0 && !f.aboveSoftLimit() {
+		owing := f.deferredCredit
+		f.deferredCredit = nil
 		for _, k := range owing {
-			k.owes = false
-			k.credit()
+			k.creditDeferred = false
+			k.creditClient()
 		}
 	}
-	return f.held <= f.rules.Limits.Held
+	return f.bufferedBytes <= f.settings.Limits.MaxBufferedBytes
 }
 
-// tight: so much is held that nobody is given more room.
-func (f *Front) tight() bool { return float64(f.held) > fillSoft*float64(f.rules.Limits.Held) }
+// aboveSoftLimit: so much is held that nobody is given more room.
+func (f *Proxy) aboveSoftLimit() bool {
+	return float64(f.bufferedBytes) > softLimitRatio*float64(f.settings.Limits.MaxBufferedBytes)
+}
 
-// carrier is the front as the pool's way out.
-type carrier Front
+// poolEffects is the front as the pool's way out.
+type poolEffects Proxy
 
-func (o *carrier) front() *Front { return (*Front)(o) }
+func (o *poolEffects) proxy() *Proxy { return (*Proxy)(o) }
 
 // Dial implements connpool.Out: a connection to a server is begun.
-func (o *carrier) Dial(server, channel int) bool {
-	f := o.front()
-	l := &line{f: f, server: server, channel: channel, attempts: map[*attempt]bool{}}
-	l.h = h2.New(false, f.rules.toServers(), l)
-	conn, ok := f.r.Connect(l, f.servers[server].addr)
+func (o *poolEffects) Dial(server, channel int) bool {
+	f := o.proxy()
+	l := &serverConn{proxy: f, serverIndex: server, poolID: channel, attempts: map[*attempt]bool{}}
+	l.http2 = h2.New(false, f.settings.serverLimits(), l)
+	conn, ok := f.router.Connect(l, f.servers[server].addr)
 	if !ok {
 		return false
 	}
 	l.conn = conn
-	for channel >= len(f.lines) {
-		f.lines = append(f.lines, nil)
+	for channel >= len(f.serverConns) {
+		f.serverConns = append(f.serverConns, nil)
 	}
-	f.lines[channel] = l
+	f.serverConns[channel] = l
 	return true
 }
 
 // StartStream implements connpool.Out: an attempt has its place on a connection.
-func (o *carrier) StartStream(channel int, t connpool.StreamRequest) {
-	o.front().lines[channel].begin(t.(*attempt))
+func (o *poolEffects) StartStream(channel int, t connpool.StreamRequest) {
+	o.proxy().serverConns[channel].enqueue(t.(*attempt))
 }
 
 // Reject implements connpool.Out: an attempt gets no place, and ends.
-func (o *carrier) Reject(t connpool.StreamRequest, why connpool.Reason) {
+func (o *poolEffects) Reject(t connpool.StreamRequest, why connpool.Reason) {
 	a := t.(*attempt)
 	switch why {
 	case connpool.Unreachable:
-		a.ended(grpcwire.ConnectFailed)
+		a.finish(grpcwire.ConnectFailed)
 	case connpool.QueueFull:
-		a.ended(grpcwire.NoStreamAvailable)
+		a.finish(grpcwire.NoStreamAvailable)
 	case connpool.NoDescriptor:
-		a.ended(grpcwire.NotSent)
+		a.finish(grpcwire.NotSent)
 	default:
-		if !o.front().servers[a.server].has {
-			a.ended(grpcwire.NoAddress)
+		if !o.proxy().servers[a.serverIndex].hasAddress {
+			a.finish(grpcwire.NoAddress)
 			return
 		}
-		a.ended(grpcwire.ServerDraining)
+		a.finish(grpcwire.ServerDraining)
 	}
 }
 
 // Close implements connpool.Out: a connection is given up.
-func (o *carrier) Close(channel int) {
-	f := o.front()
-	l := f.lines[channel]
-	f.lines[channel] = nil
-	l.closing()
+func (o *poolEffects) Close(channel int) {
+	f := o.proxy()
+	l := f.serverConns[channel]
+	f.serverConns[channel] = nil
+	l.closeByPool()
 }
 
 // Ping implements connpool.Out: a connection is asked for a sign of life.
-func (o *carrier) Ping(channel int) {
-	f := o.front()
-	f.lines[channel].h.Ping()
-	f.touch(f.lines[channel])
+func (o *poolEffects) Ping(channel int) {
+	f := o.proxy()
+	f.serverConns[channel].http2.Ping()
+	f.scheduleFlush(f.serverConns[channel])
 }
--- a/internal/grpcproxy/hard_test.go
+++ b/internal/grpcproxy/hard_test.go
@@ -63,8 +63,8 @@
 	if a.Finals != 1 || a.Status != 0 || texts(a.Got) != "one" && texts(a.Got) != "two" {
 		t.Errorf("%d finals, status %d, %q", a.Finals, a.Status, a.Got)
 	}
-	if told := strings.Join(s.told(since), " "); s.f.Count.LateAnswers == 0 && told != "answered cancelled" {
-		t.Errorf("told %q, %d late answers", told, s.f.Count.LateAnswers)
+	if told := strings.Join(s.told(since), " "); s.f.Counters.LateResponses == 0 && told != "answered cancelled" {
+		t.Errorf("told %q, %d late answers", told, s.f.Counters.LateResponses)
 	}
 	if s.subs() < 2 {
 		t.Error("no second sub-request")
@@ -190,15 +190,15 @@
 			}
 		}
 	}
-	if s.f.open != 0 || s.f.held != 0 {
-		t.Errorf("%d open, %d bytes held", s.f.open, s.f.held)
+	if s.f.openCalls != 0 || s.f.bufferedBytes != 0 {
+		t.Errorf("%d open, %d bytes held", s.f.openCalls, s.f.bufferedBytes)
 	}
 	// And with its connection.
 	c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
 	s.w.Run(10)
 	s.end(c)
-	if s.f.Count.Left != 2 {
-		t.Error("left:", s.f.Count.Left)
+	if s.f.Counters.ClientCancelled != 2 {
+		t.Error("left:", s.f.Counters.ClientCancelled)
 	}
 }
 
@@ -217,8 +217,8 @@
 	a := c.Call(&p.Ask{Path: quick, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
 	b := c.Call(&p.Ask{Path: whole, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
 	s.w.Run(300)
-	if s.f.held > 2*(64<<10+32<<10) {
-		t.Errorf("%d bytes held for two calls", s.f.held)
+	if s.f.bufferedBytes > 2*(64<<10+32<<10) {
+		t.Errorf("%d bytes held for two calls", s.f.bufferedBytes)
 	}
 	s.w.Run(700)
 	for _, a := range []*p.Ask{a, b} {
@@ -380,7 +380,7 @@
 	a := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
 	s.w.Run(50)
 	next := defaultRules(&routes.Route{Name: "other", Service: "other", DefaultTimeout: 500, MaxTimeout: 500, MaxMessageBytes: 1 << 10})
-	s.f.Next.Store(next)
+	s.f.NextSettings.Store(next)
 	s.w.After(0, s.f.Reload)
 	s.w.Run(5)
 	b := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
@@ -462,7 +462,7 @@
 
 func TestLimitsOfCallsAndBytes(t *testing.T) {
 	s := newScene(t, 21, 2, "")
-	s.rules.Limits.Calls, s.rules.Limits.PerCustomer = 10, 6
+	s.rules.Limits.MaxCalls, s.rules.Limits.MaxCallsPerCustomer = 10, 6
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
 		v.Limits.InitialWindowSize = 4 << 10
@@ -486,7 +486,7 @@
 		t.Errorf("%d answered, %d over the limit", ok, over)
 	}
 	// Bytes: bodies that nobody takes in are bounded in all, not only each.
-	s.rules.Limits.PerCustomer, s.rules.Limits.Held = 0, 256<<10
+	s.rules.Limits.MaxCallsPerCustomer, s.rules.Limits.MaxBufferedBytes = 0, 256<<10
 	for _, v := range s.servers {
 		v.Holds, v.Early = true, true
 		v.Script = func(*p.Got) []p.Act { return nil }
@@ -495,8 +495,8 @@
 		c.Call(&p.Ask{Path: quick, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 60<<10))}})
 		s.w.Run(5)
 	}
-	if s.f.held > 256<<10 || s.f.Count.OverHeld == 0 {
-		t.Errorf("%d bytes held, %d turned away; %+v", s.f.held, s.f.Count.OverHeld, s.f.Count)
+	if s.f.bufferedBytes > 256<<10 || s.f.Counters.OverBufferLimit == 0 {
+		t.Errorf("%d bytes held, %d turned away; %+v", s.f.bufferedBytes, s.f.Counters.OverBufferLimit, s.f.Counters)
 	}
 	s.w.Run(1000)
 	s.end(c)
@@ -584,18 +584,18 @@
 		}
 	}
 	s.w.Run(50)
-	if !c.Gone || s.f.Count.Rude != 1 {
-		t.Errorf("still welcome after 400 resets; rude %d", s.f.Count.Rude)
+	if !c.Gone || s.f.Counters.ProtocolErrors != 1 {
+		t.Errorf("still welcome after 400 resets; rude %d", s.f.Counters.ProtocolErrors)
 	}
-	if s.f.Count.Calls > 120 {
-		t.Errorf("%d calls were looked at", s.f.Count.Calls)
+	if s.f.Counters.Calls > 120 {
+		t.Errorf("%d calls were looked at", s.f.Counters.Calls)
 	}
 	s.end(c)
 }
 
 func TestOneConnectionDoesNotTakeWhatIsForAll(t *testing.T) {
 	s := newScene(t, 24, 2, "")
-	s.rules.Limits.HeldPerConn = 100 << 10
+	s.rules.Limits.MaxBufferedBytesPerConnection = 100 << 10
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
 		v.Limits.InitialWindowSize = 4 << 10
@@ -614,8 +614,8 @@
 			over++
 		}
 	}
-	if over < 3 || s.f.held > 100<<10 {
-		t.Errorf("%d of 6 turned away, %d bytes held", over, s.f.held)
+	if over < 3 || s.f.bufferedBytes > 100<<10 {
+		t.Errorf("%d of 6 turned away, %d bytes held", over, s.f.bufferedBytes)
 	}
 	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
 	if a := other.Call(&p.Ask{Path: quick, Timeout: 900}); true {
--- a/internal/grpcproxy/line.go
+++ b/internal/grpcproxy/line.go
@@ -9,158 +9,158 @@
 	"kestrelspread/internal/transport"
 )
 
-// line is a channel's connection to a server.
-type line struct {
-	f        *Front
-	conn     transport.Conn
-	h        *h2.Conn
-	server   int
-	channel  int
-	up       bool // connected
-	asked    int64
-	written  int64
-	attempts map[*attempt]bool
-	waiting  []*attempt // none of their head is given to the network
-	clear    float64    // when the network had last taken all
-	gone     bool
+// serverConn is a channel's connection to a server.
+type serverConn struct {
+	proxy       *Proxy
+	conn        transport.Conn
+	http2       *h2.Conn
+	serverIndex int
+	poolID      int
+	connected   bool // connected
+	queuedBytes int64
+	sentBytes   int64
+	attempts    map[*attempt]bool
+	waiting     []*attempt // none of their head is given to the network
+	drainedAt   float64    // when the network had last taken all
+	closed      bool
 }
 
 // Opened: connected; the channel is up when the server's SETTINGS have come.
-func (l *line) Opened() {
-	l.up = true
-	l.f.touch(l)
+func (l *serverConn) Opened() {
+	l.connected = true
+	l.proxy.scheduleFlush(l)
 }
 
 // Bytes implements routing.Party: bytes have come.
-func (l *line) Bytes(b []byte, came float64) {
-	if l.gone || b == nil {
+func (l *serverConn) Bytes(b []byte, came float64) {
+	if l.closed || b == nil {
 		return
 	}
-	l.f.pool.Received(l.f.r.Now(), l.channel)
-	if err := l.h.Feed(b, came); err != nil && !l.gone {
-		l.f.Count.BadServers++
-		l.f.r.Note("bad gRPC server", "%s: %v", l.f.servers[l.server].addr, err)
-		l.drop(err.Error())
+	l.proxy.pool.Received(l.proxy.router.Now(), l.poolID)
+	if err := l.http2.Feed(b, came); err != nil && !l.closed {
+		l.proxy.Counters.ServerProtocolErrors++
+		l.proxy.router.Note("bad gRPC server", "%s: %v", l.proxy.servers[l.serverIndex].addr, err)
+		l.abort(err.Error())
 		return
 	}
-	l.f.touch(l)
+	l.proxy.scheduleFlush(l)
 }
 
 // Written implements routing.Party: the network has taken so many bytes.
-func (l *line) Written(upTo int64) {
-	l.written = upTo
-	l.proceed()
-	if l.h.HasPendingOutput() {
-		l.f.touch(l)
+func (l *serverConn) Written(upTo int64) {
+	l.sentBytes = upTo
+	l.sendWaiting()
+	if l.http2.HasPendingOutput() {
+		l.proxy.scheduleFlush(l)
 	}
 }
 
 // Closed implements routing.Party: the connection is gone.
-func (l *line) Closed(upTo int64) {
-	l.written = max(l.written, upTo)
-	l.lost(true)
+func (l *serverConn) Closed(upTo int64) {
+	l.sentBytes = max(l.sentBytes, upTo)
+	l.teardown(true)
 }
 
-// drop closes a connection that is of no further use, and ends what was on it.
-func (l *line) drop(string) {
-	if l.gone {
+// abort closes a connection that is of no further use, and ends what was on it.
+func (l *serverConn) abort(string) {
+	if l.closed {
 		return
 	}
 	conn := l.conn
-	l.lost(true)
-	l.f.r.Hang(conn)
+	l.teardown(true)
+	l.proxy.router.Hang(conn)
 }
 
-// closing: the pool has let the channel go.
-func (l *line) closing() {
+// closeByPool: the pool has let the channel go.
+func (l *serverConn) closeByPool() {
 	conn := l.conn
-	l.lost(false)
-	l.f.r.Hang(conn)
+	l.teardown(false)
+	l.proxy.router.Hang(conn)
 }
 
-// lost ends what was on a connection: a call whose head was written whole may have run, the rest never did.
-func (l *line) lost(tell bool) {
-	if l.gone {
+// teardown ends what was on a connection: a call whose head was written whole may have run, the rest never did.
+func (l *serverConn) teardown(tell bool) {
+	if l.closed {
 		return
 	}
-	l.gone = true
-	if int(l.channel) < len(l.f.lines) && l.f.lines[l.channel] == l {
-		l.f.lines[l.channel] = nil
+	l.closed = true
+	if int(l.poolID) < len(l.proxy.serverConns) && l.proxy.serverConns[l.poolID] == l {
+		l.proxy.serverConns[l.poolID] = nil
 	}
-	for _, s := range l.h.Streams() {
+	for _, s := range l.http2.Streams() {
 		a, ok := s.UserData.(*attempt)
-		if !ok || a.over {
+		if !ok || a.ended {
 			continue
 		}
-		if l.written >= a.begun {
-			a.ended(grpcwire.ConnectionLost)
+		if l.sentBytes >= a.headersEnd {
+			a.finish(grpcwire.ConnectionLost)
 		} else {
-			a.ended(grpcwire.NotSent)
+			a.finish(grpcwire.NotSent)
 		}
 	}
 	for _, a := range append([]*attempt(nil), l.waiting...) {
-		a.ended(grpcwire.NotSent)
+		a.finish(grpcwire.NotSent)
 	}
 	if tell {
-		l.f.pool.ConnectionLost(l.f.r.Now(), l.channel)
+		l.proxy.pool.ConnectionLost(l.proxy.router.Now(), l.poolID)
 	}
 }
 
-// withdraw takes back the calls of which nothing has begun.
-func (l *line) withdraw() {
+// withdrawWaiting takes back the calls of which nothing has begun.
+func (l *serverConn) withdrawWaiting() {
 	for _, a := range append([]*attempt(nil), l.waiting...) {
-		a.ended(grpcwire.ServerDraining)
+		a.finish(grpcwire.ServerDraining)
 	}
 }
 
-// unbegun tells whether the head of some call waits here of which the network has taken nothing.
-func (l *line) unbegun() bool {
-	if l.asked == l.written {
+// hasUnsentHeaders tells whether the head of some call waits here of which the network has taken nothing.
+func (l *serverConn) hasUnsentHeaders() bool {
+	if l.queuedBytes == l.sentBytes {
 		return false
 	}
 	for a := range l.attempts {
-		if a.s != nil && a.start >= l.written {
+		if a.stream != nil && a.headersStart >= l.sentBytes {
 			return true
 		}
 	}
 	return false
 }
 
-// begin gives a call its place. While the network takes nothing its head waits here, from where it can be taken back.
-func (l *line) begin(a *attempt) {
-	a.l = l
+// enqueue gives a call its place. While the network takes nothing its head waits here, from where it can be taken back.
+func (l *serverConn) enqueue(a *attempt) {
+	a.conn = l
 	l.attempts[a] = true
 	l.waiting = append(l.waiting, a)
-	l.proceed()
+	l.sendWaiting()
 }
 
-// proceed begins what waits, as long as the network has taken all that came before this turn.
-func (l *line) proceed() {
-	if l.asked == l.written {
-		l.clear = l.f.r.Now()
+// sendWaiting begins what waits, as long as the network has taken all that came before this turn.
+func (l *serverConn) sendWaiting() {
+	if l.queuedBytes == l.sentBytes {
+		l.drainedAt = l.proxy.router.Now()
 	}
-	for len(l.waiting) > 0 && l.clear == l.f.r.Now() && !l.gone && l.h.CanStartStream() {
+	for len(l.waiting) > 0 && l.drainedAt == l.proxy.router.Now() && !l.closed && l.http2.CanStartStream() {
 		a := l.waiting[0]
 		l.waiting = append(l.waiting[:0], l.waiting[1:]...)
-		l.send(a)
+		l.sendHeaders(a)
 	}
 }
 
-// send sends a call's head.
-func (l *line) send(a *attempt) {
-	f, now := l.f, l.f.r.Now()
-	f.Count.Begun++
+// sendHeaders sends a call's head.
+func (l *serverConn) sendHeaders(a *attempt) {
+	f, now := l.proxy, l.proxy.router.Now()
+	f.Counters.AttemptsStarted++
 	// What is pumped before goes out first, so that the places of this head are known.
-	l.put()
-	a.start = l.asked
-	a.s = l.h.StartStream(grpcwire.ForwardedRequestHeaders(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
-	l.put()
-	a.begun = l.asked
-	f.touch(l)
+	l.writeOutput()
+	a.headersStart = l.queuedBytes
+	a.stream = l.http2.StartStream(grpcwire.ForwardedRequestHeaders(a.call.requestHeaders, a.sub.Until()-now-deadlineMargin, a.sub.No()), a, a)
+	l.writeOutput()
+	a.headersEnd = l.queuedBytes
+	f.scheduleFlush(l)
 }
 
-// end takes a call off, and its stream down if that is still open.
-func (l *line) end(a *attempt, code h2.ErrorCode) {
+// removeAttempt takes a call off, and its stream down if that is still open.
+func (l *serverConn) removeAttempt(a *attempt, code h2.ErrorCode) {
 	if !l.attempts[a] {
 		return
 	}
@@ -171,54 +171,54 @@
 			break
 		}
 	}
-	if l.gone {
+	if l.closed {
 		return
 	}
-	if a.s != nil {
-		l.h.ResetStream(a.s, code)
+	if a.stream != nil {
+		l.http2.ResetStream(a.stream, code)
 	}
-	l.f.touch(l)
-	l.f.pool.StreamDone(l.f.r.Now(), l.channel)
-	l.proceed()
+	l.proxy.scheduleFlush(l)
+	l.proxy.pool.StreamDone(l.proxy.router.Now(), l.poolID)
+	l.sendWaiting()
 }
 
-func (l *line) put() {
-	if b := l.h.TakeOutput(); len(b) > 0 {
-		l.asked += int64(len(b))
-		l.f.r.Put(l.conn, b)
+func (l *serverConn) writeOutput() {
+	if b := l.http2.TakeOutput(); len(b) > 0 {
+		l.queuedBytes += int64(len(b))
+		l.proxy.router.Put(l.conn, b)
 	}
 }
 
-func (l *line) flush() {
-	if l.gone || !l.up {
+func (l *serverConn) flush() {
+	if l.closed || !l.connected {
 		return
 	}
-	if l.h.StreamIDsRunningOut() {
-		l.f.pool.GoAway(l.f.r.Now(), l.channel)
-		if l.gone {
+	if l.http2.StreamIDsRunningOut() {
+		l.proxy.pool.GoAway(l.proxy.router.Now(), l.poolID)
+		if l.closed {
 			return
 		}
 	}
-	l.h.Pump(l.f.rules.Limits.Lag - int(l.asked-l.written))
-	l.put()
-	if l.asked-l.written > lagMost {
-		l.f.Count.Stuck++
-		l.drop("it reads nothing")
+	l.http2.Pump(l.proxy.settings.Limits.WriteBufferBytes - int(l.queuedBytes-l.sentBytes))
+	l.writeOutput()
+	if l.queuedBytes-l.sentBytes > maxUnsentBytes {
+		l.proxy.Counters.WriteTimeouts++
+		l.abort("it reads nothing")
 	}
 }
 
 // HeadersReceived is the beginning of a response, or its end.
-func (l *line) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
+func (l *serverConn) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
 	a := s.UserData.(*attempt)
-	if a.over {
+	if a.ended {
 		return
 	}
-	if s.HeaderBlocks() > 1 && a.head != nil {
+	if s.HeaderBlocks() > 1 && a.responseHeaders != nil {
 		if !end {
-			a.broken(grpcwire.MalformedResponse)
+			a.fail(grpcwire.MalformedResponse)
 			return
 		}
-		a.status(grpcwire.ForwardedResponseHeaders(fields))
+		a.statusReceived(grpcwire.ForwardedResponseHeaders(fields))
 		return
 	}
 	status, _ := grpcwire.FirstValue(fields, ":status")
@@ -228,69 +228,69 @@
 	case len(status) == 3 && status[0] == '1' && !end: // an interim response
 		return
 	case status != "200" && !says, status == "200" && !grpcwire.IsGRPCContentType(kind) && !says:
-		a.broken(grpcwire.ResultFromHTTPStatus(status))
+		a.fail(grpcwire.ResultFromHTTPStatus(status))
 		return
 	case end:
-		a.status(grpcwire.ForwardedResponseHeaders(fields))
+		a.statusReceived(grpcwire.ForwardedResponseHeaders(fields))
 		return
 	}
-	a.head = grpcwire.ForwardedResponseHeaders(fields)
-	if a.k.winner == a || a.k.route.CommitPoint == routes.AtHeaders {
-		if a.commit(); !a.over {
-			a.release()
+	a.responseHeaders = grpcwire.ForwardedResponseHeaders(fields)
+	if a.call.committed == a || a.call.route.CommitPoint == routes.AtHeaders {
+		if a.commit(); !a.ended {
+			a.deliver()
 		}
 	}
 }
 
 // HeaderListTooLarge is metadata over the limit.
-func (l *line) HeaderListTooLarge(s *h2.Stream) {
-	s.UserData.(*attempt).broken(grpcwire.MetadataTooLarge)
+func (l *serverConn) HeaderListTooLarge(s *h2.Stream) {
+	s.UserData.(*attempt).fail(grpcwire.MetadataTooLarge)
 }
 
 // DataReceived implements h2.Events: bytes of a body have come.
-func (l *line) DataReceived(s *h2.Stream, b []byte, end bool) {
+func (l *serverConn) DataReceived(s *h2.Stream, b []byte, end bool) {
 	a := s.UserData.(*attempt)
-	if a.over {
+	if a.ended {
 		return
 	}
-	if a.head == nil {
-		a.broken(grpcwire.MalformedResponse)
+	if a.responseHeaders == nil {
+		a.fail(grpcwire.MalformedResponse)
 		return
 	}
 	if len(b) > 0 {
-		a.fromServer(b)
+		a.dataFromServer(b)
 	}
-	if end && !a.over {
-		a.status(nil)
+	if end && !a.ended {
+		a.statusReceived(nil)
 	}
 }
 
 // StreamReset implements h2.Events: the stream was reset.
-func (l *line) StreamReset(s *h2.Stream, code h2.ErrorCode) {
+func (l *serverConn) StreamReset(s *h2.Stream, code h2.ErrorCode) {
 	if a, ok := s.UserData.(*attempt); ok {
-		a.ended(grpcwire.ResultFromReset(code))
+		a.finish(grpcwire.ResultFromReset(code))
 	}
 }
 
 // StreamUnprocessed implements h2.Events: the peer says that it never looked at the stream.
-func (l *line) StreamUnprocessed(s *h2.Stream) {
+func (l *serverConn) StreamUnprocessed(s *h2.Stream) {
 	if a, ok := s.UserData.(*attempt); ok {
-		a.ended(grpcwire.Unprocessed)
+		a.finish(grpcwire.Unprocessed)
 	}
 }
 
 // GoAwayReceived: what runs goes on, nothing new begins here.
-func (l *line) GoAwayReceived(code h2.ErrorCode) {
+func (l *serverConn) GoAwayReceived(code h2.ErrorCode) {
 	if code != http2.ErrCodeNo {
-		l.f.r.Note("gRPC server leaves", "%s: %v", l.f.servers[l.server].addr, code)
+		l.proxy.router.Note("gRPC server leaves", "%s: %v", l.proxy.servers[l.serverIndex].addr, code)
 	}
-	l.f.pool.GoAway(l.f.r.Now(), l.channel)
+	l.proxy.pool.GoAway(l.proxy.router.Now(), l.poolID)
 	for _, a := range append([]*attempt(nil), l.waiting...) {
-		a.ended(grpcwire.Unprocessed)
+		a.finish(grpcwire.Unprocessed)
 	}
 }
 
 // SettingsReceived implements h2.Events: the peer's settings have come.
-func (l *line) SettingsReceived() {
-	l.f.pool.Connected(l.f.r.Now(), l.channel, l.h.PeerMaxConcurrentStreams())
+func (l *serverConn) SettingsReceived() {
+	l.proxy.pool.Connected(l.proxy.router.Now(), l.poolID, l.http2.PeerMaxConcurrentStreams())
 }
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -190,43 +190,43 @@
 func (y *play) conserved() {
 	held, open, streams := 0, 0, 0
 	seen := map[*call]bool{}
-	for c := range y.f.clients {
-		for _, s := range c.h.Streams() {
-			if k, ok := s.UserData.(*call); ok && !k.told && !seen[k] {
+	for c := range y.f.clientConns {
+		for _, s := range c.http2.Streams() {
+			if k, ok := s.UserData.(*call); ok && !k.ended && !seen[k] {
 				seen[k] = true
 				open++
-				held += k.req.size()
+				held += k.request.size()
 				hold := map[*attempt]bool{}
-				for _, a := range append([]*attempt{k.winner, k.answered, k.last}, k.attempts...) {
+				for _, a := range append([]*attempt{k.committed, k.answered, k.lastFailed}, k.attempts...) {
 					if a != nil && !hold[a] {
 						hold[a] = true
-						held += a.resp.size()
+						held += a.response.size()
 					}
 				}
 			}
 		}
 	}
-	for _, l := range y.f.lines {
+	for _, l := range y.f.serverConns {
 		if l != nil {
 			streams += len(l.attempts)
 		}
 	}
-	if held != y.f.held || open != y.f.open || streams != y.f.pool.Streams() {
-		y.t.Fatalf("conservation: %d bytes held of %d, %d calls open of %d, %d streams of %d", held, y.f.held, open, y.f.open,
+	if held != y.f.bufferedBytes || open != y.f.openCalls || streams != y.f.pool.Streams() {
+		y.t.Fatalf("conservation: %d bytes held of %d, %d calls open of %d, %d streams of %d", held, y.f.bufferedBytes, open, y.f.openCalls,
 			streams, y.f.pool.Streams())
 	}
 	sum := 0
-	for _, q := range y.f.order {
-		if q.gone {
+	for _, q := range y.f.clientOrder {
+		if q.closed {
 			continue
 		}
-		sum += q.held
-		if n := q.asked - q.written; n > lagMost+100<<10 {
+		sum += q.bufferedBytes
+		if n := q.queuedBytes - q.sentBytes; n > maxUnsentBytes+100<<10 {
 			y.t.Fatalf("%d bytes wait for a client", n)
 		}
 	}
-	if sum != y.f.held {
-		y.t.Fatalf("clients hold %d bytes, all together %d", sum, y.f.held)
+	if sum != y.f.bufferedBytes {
+		y.t.Fatalf("clients hold %d bytes, all together %d", sum, y.f.bufferedBytes)
 	}
 }
 
@@ -272,8 +272,8 @@
 	y.clean()
 	// What the meter was told is what was counted, by the front's own book as well.
 	c := &y.w.R.Count
-	if m := y.meter; m.searches != c.Searches || m.subs != c.Asked || m.left != c.Left || c.Asked != y.f.Count.Sent {
-		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.Asked, c.Left, y.f.Count.Sent)
+	if m := y.meter; m.searches != c.Searches || m.subs != c.Asked || m.left != c.Left || c.Asked != y.f.Counters.Attempts {
+		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.Asked, c.Left, y.f.Counters.Attempts)
 	}
 	if n := y.f.pool.Connections(); n != 0 {
 		y.t.Errorf("%d channels at rest", n)
--- a/internal/grpcproxy/trace_golden_test.go
+++ b/internal/grpcproxy/trace_golden_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 		fmt.Fprintf(&text, "%d: %d calls, clients %x, servers %x, %s, %s\n", seed, len(all), clients.Sum64(), servers.Sum64(),
-			values(y.f.Count), values(y.f.pool.Counters))
+			values(y.f.Counters), values(y.f.pool.Counters))
 	}
 	golden.Assert(t, text.String(), "golden/traces.txt")
 }
--- a/internal/grpcproxy/world_test.go
+++ b/internal/grpcproxy/world_test.go
@@ -30,24 +30,24 @@
 type scene struct {
 	t       testing.TB
 	w       *virtual.World
-	f       *Front
+	f       *Proxy
 	servers []*grpcpeer.Server
-	rules   *Rules
+	rules   *Settings
 }
 
-func defaultRules(list ...*routes.Route) *Rules {
-	r := &Rules{
-		Limits: Limits{Connections: 50, PerConn: 100, Calls: 1000, Held: 4 << 20, HeldPerConn: 4 << 20, Window: 64 << 10, Metadata: 8 << 10, Resets: 50,
-			Controls: 100, Handshake: 2000, Idle: 5000, Half: 1000, Stuck: 3000, Lag: 64 << 10},
-		Channels: connpool.Settings{MaxConnections: 2, MaxStreams: 50, MaxWaiting: 20, ConnectTimeout: 100, IdleTimeout: 3000, InitialBackoff: 50, MaxBackoff: 1000,
+func defaultRules(list ...*routes.Route) *Settings {
+	r := &Settings{
+		Limits: Limits{MaxConnections: 50, MaxCallsPerConnection: 100, MaxCalls: 1000, MaxBufferedBytes: 4 << 20, MaxBufferedBytesPerConnection: 4 << 20, StreamWindowBytes: 64 << 10, MaxMetadataBytes: 8 << 10, MaxResetsPerSecond: 50,
+			MaxControlFramesPerSecond: 100, HandshakeTimeout: 2000, IdleTimeout: 5000, PartialFrameTimeout: 1000, WriteTimeout: 3000, WriteBufferBytes: 64 << 10},
+		ConnPool: connpool.Settings{MaxConnections: 2, MaxStreams: 50, MaxWaiting: 20, ConnectTimeout: 100, IdleTimeout: 3000, InitialBackoff: 50, MaxBackoff: 1000,
 			KeepaliveTime: 2000, KeepaliveTimeout: 500},
-		Addresses: Addresses{Offset: 1000},
+		Addresses: Addresses{PortOffset: 1000},
 	}
 	if len(list) == 0 {
 		list = tableRoutes()
 	}
 	var err error
-	if r.Table, err = routes.New(list); err != nil {
+	if r.Routes, err = routes.New(list); err != nil {
 		panic(err)
 	}
 	return r
@@ -127,8 +127,8 @@
 func (s *scene) clean() {
 	s.t.Helper()
 	f := s.f
-	if f.open != 0 || f.held != 0 || len(f.byOwner) != 0 || f.pool.Waiting() != 0 || f.pool.Streams() != 0 {
-		s.t.Errorf("at rest: %d calls open, %d bytes held, %d owners, %d waiting, %d streams", f.open, f.held, len(f.byOwner),
+	if f.openCalls != 0 || f.bufferedBytes != 0 || len(f.callsByCustomer) != 0 || f.pool.Waiting() != 0 || f.pool.Streams() != 0 {
+		s.t.Errorf("at rest: %d calls open, %d bytes held, %d owners, %d waiting, %d streams", f.openCalls, f.bufferedBytes, len(f.callsByCustomer),
 			f.pool.Waiting(), f.pool.Streams())
 	}
 	if strings.Contains(s.w.Log.String(), "an event failed") {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -114,7 +114,7 @@
 // GRPC is the gRPC front.
 type GRPC struct {
 	Listen netip.AddrPort
-	Rules  *grpcproxy.Rules
+	Rules  *grpcproxy.Settings
 }
 
 var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
@@ -458,29 +458,29 @@
 		return at
 	}
 	l, ch := &g.Limits, &g.Channels
-	r := &grpcproxy.Rules{
-		Limits: grpcproxy.Limits{Connections: or(l.Connections, 256), PerConn: or(l.PerConn, 100), Calls: or(l.Calls, 1000),
-			PerCustomer: or(l.PerCustomer, 0), Held: kb * or(l.Held, 16384),
-			HeldPerConn: kb * or(l.HeldPerConn, or(l.Held, 16384)), Window: kb * or(l.Window, 64),
-			Metadata: kb * or(l.Metadata, 16), Resets: or(l.Resets, 100), Controls: or(l.Controls, 200),
-			Handshake: or(l.Handshake, 2000), Idle: or(l.Idle, 300e3), Half: or(l.Half, 5000), Stuck: or(l.Stuck, 20e3),
-			Lag: kb * or(l.Lag, 64)},
-		Channels: connpool.Settings{MaxConnections: or(ch.Most, 2), MaxStreams: or(ch.Streams, 100), MaxWaiting: or(ch.Waiting, 100),
+	r := &grpcproxy.Settings{
+		Limits: grpcproxy.Limits{MaxConnections: or(l.Connections, 256), MaxCallsPerConnection: or(l.PerConn, 100), MaxCalls: or(l.Calls, 1000),
+			MaxCallsPerCustomer: or(l.PerCustomer, 0), MaxBufferedBytes: kb * or(l.Held, 16384),
+			MaxBufferedBytesPerConnection: kb * or(l.HeldPerConn, or(l.Held, 16384)), StreamWindowBytes: kb * or(l.Window, 64),
+			MaxMetadataBytes: kb * or(l.Metadata, 16), MaxResetsPerSecond: or(l.Resets, 100), MaxControlFramesPerSecond: or(l.Controls, 200),
+			HandshakeTimeout: or(l.Handshake, 2000), IdleTimeout: or(l.Idle, 300e3), PartialFrameTimeout: or(l.Half, 5000), WriteTimeout: or(l.Stuck, 20e3),
+			WriteBufferBytes: kb * or(l.Lag, 64)},
+		ConnPool: connpool.Settings{MaxConnections: or(ch.Most, 2), MaxStreams: or(ch.Streams, 100), MaxWaiting: or(ch.Waiting, 100),
 			ConnectTimeout: or(ch.Connect, 500), IdleTimeout: or(ch.Idle, 60e3), InitialBackoff: or(ch.Backoff, 100),
 			MaxBackoff: or(ch.BackoffMost, 5000), KeepaliveTime: or(ch.Ping, 10e3), KeepaliveTimeout: or(ch.PingWait, 2000)},
-		Addresses: grpcproxy.Addresses{Offset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
+		Addresses: grpcproxy.Addresses{PortOffset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
 	}
 	out := &GRPC{Listen: address("listen", g.Listen), Rules: r}
 	for id, text := range g.Servers.ByID {
 		r.Addresses.ByID[id] = address("servers/by-id/"+id, text)
 	}
-	if r.Channels.InitialBackoff > r.Channels.MaxBackoff {
+	if r.ConnPool.InitialBackoff > r.ConnPool.MaxBackoff {
 		wrong("channels/backoff-ms", "over backoff-most-ms")
 	}
-	if r.Limits.HeldPerConn > r.Limits.Held {
+	if r.Limits.MaxBufferedBytesPerConnection > r.Limits.MaxBufferedBytes {
 		wrong("limits/held-per-connection-kb", "over held-kb")
 	}
-	if r.Limits.Window > r.Limits.Held {
+	if r.Limits.StreamWindowBytes > r.Limits.MaxBufferedBytes {
 		wrong("limits/window-kb", "over held-kb: one stream alone could hold more than all may")
 	}
 	_, kinds, customers := types(set)
@@ -548,6 +548,6 @@
 			c.First, list[c.First].Name)
 		return nil, bad
 	}
-	r.Table = table
+	r.Routes = table
 	return out, nil
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,10 +25,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.GRPC == nil || s.GRPC.Rules.Table.Len() != 3 || s.GRPC.Rules.Limits.Window != 64<<10 || s.GRPC.Rules.Limits.Resets != 100 {
+	if s.GRPC == nil || s.GRPC.Rules.Routes.Len() != 3 || s.GRPC.Rules.Limits.StreamWindowBytes != 64<<10 || s.GRPC.Rules.Limits.MaxResetsPerSecond != 100 {
 		t.Errorf("%+v", s.GRPC)
 	}
-	r := s.GRPC.Rules.Table.Find("/pension.Balances/Get", func(string) (string, bool) { return "", false })
+	r := s.GRPC.Rules.Routes.Find("/pension.Balances/Get", func(string) (string, bool) { return "", false })
 	if r == nil || r.CommitPoint != routes.AtEnd || r.DefaultTimeout != 1000 || r.MaxTimeout != 3000 || r.ResponseBufferBytes != 256<<10 {
 		t.Errorf("%+v", r)
 	}
