--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -74,8 +74,8 @@
 				p.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
 				r = nowhere{err}
 			}
-			return &collector.Job{Folders: c.Collect, Rules: statement.Rules{Expect: c.Expect, Wait: int64(c.Wait)}, To: r, Log: p.Log,
-				Every: time.Duration(c.Every * 1e6), Wall: func() int64 { return time.Now().UnixMilli() }}
+			return &collector.Job{Directories: c.Collect, Config: statement.Config{ExpectedInstances: c.Expect, WaitMs: int64(c.Wait)}, Receiver: r, Log: p.Log,
+				Interval: time.Duration(c.Every * 1e6), WallClockMs: func() int64 { return time.Now().UnixMilli() }}
 		}
 	}
 	if d := o.Drill; d != nil {
--- a/internal/fleet/statement/collector/collector.go
+++ b/internal/fleet/statement/collector/collector.go
@@ -24,85 +24,85 @@
 
 // Job is one owner's work.
 type Job struct {
-	Folders []string // patterns
-	Rules   statement.Rules
-	To      fence.Receiver
-	Every   time.Duration
-	Log     zerolog.Logger
-	Wall    func() int64 // Unix ms
+	Directories []string // patterns
+	Config      statement.Config
+	Receiver    fence.Receiver
+	Interval    time.Duration
+	Log         zerolog.Logger
+	WallClockMs func() int64 // Unix ms
 
-	book *statement.Book
-	mark statement.Mark
-	bad  map[string]string
+	collection *statement.Collection
+	progress   statement.Progress
+	readErrors map[string]string
 }
 
 // Step publishes one statement, or reads what came.
 func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
-	if j.book == nil {
+	if j.collection == nil {
 		var err error
-		if j.mark, err = statement.ReadMark(g.Progress); err != nil {
-			return j.Every, fmt.Errorf("how far the fleet's statements have come can't be read: %w", err)
+		if j.progress, err = statement.ParseProgress(g.Progress); err != nil {
+			return j.Interval, fmt.Errorf("how far the fleet's statements have come can't be read: %w", err)
 		}
-		j.book, j.bad = statement.NewBook(), map[string]string{}
+		j.collection, j.readErrors = statement.NewCollection(), map[string]string{}
 	}
-	if err := j.read(); err != nil {
-		return j.Every, err
+	if err := j.readExports(); err != nil {
+		return j.Interval, err
 	}
-	i := j.book.Due(j.mark, j.Rules, j.Wall())
+	i := j.collection.NextIntent(j.progress, j.Config, j.WallClockMs())
 	if i == nil || !g.MayAct() {
-		return j.Every, nil
+		return j.Interval, nil
 	}
-	if j.mark.Intent == nil {
-		next := j.mark
+	if j.progress.Intent == nil {
+		next := j.progress
 		next.Intent = i
-		if err := g.SaveProgress(ctx, next.Text()); err != nil {
-			return j.Every, err
+		if err := g.SaveProgress(ctx, next.Marshal()); err != nil {
+			return j.Interval, err
 		}
-		j.mark = next
+		j.progress = next
 	}
-	s, err := j.book.Statement(i)
+	s, err := j.collection.Build(i)
 	if err != nil {
-		return j.Every, err
+		return j.Interval, err
 	}
 	body, err := json.Marshal(s)
 	if err != nil {
-		return j.Every, err
+		return j.Interval, err
 	}
-	if _, err := j.To.Apply(g.Effect(i.Key(), body)); err != nil {
-		return j.Every, err
+	if _, err := j.Receiver.Apply(g.Effect(i.EffectKey(), body)); err != nil {
+		return j.Interval, err
 	}
-	done := j.mark.Done()
-	if err := g.SaveProgress(ctx, done.Text()); err != nil {
-		return j.Every, err
+	done := j.progress.IntentPublished()
+	if err := g.SaveProgress(ctx, done.Marshal()); err != nil {
+		return j.Interval, err
 	}
-	j.mark = done
-	if n := j.book.Forgotten(j.mark); n > 0 {
-		j.book.Drop(j.mark)
+	j.progress = done
+	if n := j.collection.UnpublishableParts(j.progress); n > 0 {
+		j.collection.Forget(j.progress)
 	}
 	for _, p := range s.Parts {
-		if p.Wrong != "" {
-			j.Log.Warn().Str("instance", p.Instance).Int64("period", s.Period).Str("why", p.Wrong).Msg("fleet's statement: an instance's entries do not reconcile")
+		if p.Discrepancy != "" {
+			j.Log.Warn().Str("instance", p.Instance).Int64("period", s.Period).Str("why", p.Discrepancy).Msg("fleet's statement: an instance's entries do not reconcile")
 		}
 	}
-	j.Log.Info().Int64("period", s.Period).Bool("late", s.Late).Int("parts", len(s.Parts)).Strs("missing", s.Missing).Msg("fleet's statement is published")
+	j.Log.Info().Int64("period", s.Period).Bool("late", s.Late).Int("parts", len(s.Parts)).Strs("missing", s.MissingInstances).Msg("fleet's statement is published")
 	return 0, nil
 }
 
-// read takes up what has been exported since. A folder that can't be read is told of once, and waited for: nothing is published
+// readExports takes up what has been exported since. A folder that can't be read is told of once, and waited for: nothing is published
 // without what was fixed to be in it.
-func (j *Job) read() error {
-	for _, pattern := range j.Folders {
+func (j *Job) readExports() error {
+	for _, pattern := range j.Directories {
 		dirs, err := filepath.Glob(pattern)
 		if err != nil {
 			return err
 		}
 		for _, dir := range dirs {
 			text := ""
-			if err := j.readFolder(dir); err != nil {
+			if err := j.readDirectory(dir); err != nil {
 				text = err.Error()
 			}
-			if was := j.bad[dir]; text != was {
-				if j.bad[dir] = text; text != "" {
+			if was := j.readErrors[dir]; text != was {
+				if j.readErrors[dir] = text; text != "" {
 					j.Log.Warn().Str("folder", dir).Str("why", text).Msg("fleet's statement: an export can't be read")
 				}
 			}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (j *Job) readFolder(dir string) error {
+func (j *Job) readDirectory(dir string) error {
 	text, err := os.ReadFile(filepath.Join(dir, "manifest.jsonl"))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -123,7 +123,7 @@
 		if err := json.Unmarshal(line, &b); err != nil {
 			return fmt.Errorf("the manifest: %w", err)
 		}
-		if b.To < j.book.Next(b.Instance, b.Epoch) || len(b.Files) == 0 {
+		if b.To < j.collection.NextSequence(b.Instance, b.Epoch) || len(b.Files) == 0 {
 			continue
 		}
 		rows, err := os.ReadFile(filepath.Join(dir, filepath.Base(b.Files[0])))
@@ -135,7 +135,7 @@
 			if err := json.Unmarshal(line, &r); err != nil {
 				return fmt.Errorf("%s: %w", b.Files[0], err)
 			}
-			if err := j.book.Take(rowOf(&r)); err != nil {
+			if err := j.collection.Add(rowFromExport(&r)); err != nil {
 				return fmt.Errorf("%s: %w", b.Files[0], err)
 			}
 		}
@@ -143,8 +143,8 @@
 	return nil
 }
 
-func rowOf(r *sink.Row) statement.Row {
-	return statement.Row{Instance: r.Instance, Epoch: r.Epoch, Seq: r.Seq, Sort: r.Sort, Period: r.Period, At: r.At, Customer: r.Customer,
+func rowFromExport(r *sink.Row) statement.Row {
+	return statement.Row{Instance: r.Instance, Epoch: r.Epoch, Sequence: r.Seq, Kind: r.Sort, Period: r.Period, RecordedAt: r.At, Customer: r.Customer,
 		QueryType: r.QueryType, Front: r.Front, Outcome: r.Outcome, Refers: r.Refers, Counts: ledger.Counts{ledger.Searches: r.Searches,
 			ledger.Parts: r.Parts, ledger.First: r.First, ledger.Repeat: r.Repeat, ledger.Copy: r.Copy, ledger.CalledOff: r.CalledOff,
 			ledger.Work: r.Work, ledger.BytesIn: r.BytesIn, ledger.BytesOut: r.BytesOut, ledger.Server: r.Server}}
--- a/internal/fleet/statement/collector/collector_test.go
+++ b/internal/fleet/statement/collector/collector_test.go
@@ -20,8 +20,8 @@
 	"kestrelspread/internal/standin/singlevoter"
 )
 
-// instance exports a ledger of some closed periods to a folder of its own.
-func instance(t *testing.T, dir, name string, periods int) {
+// exportInstance exports a ledger of some closed periods to a folder of its own.
+func exportInstance(t *testing.T, dir, name string, periods int) {
 	t.Helper()
 	s, err := store.Open(vfs.NewMem(), "ledger", name, time.Now())
 	if err != nil {
@@ -58,10 +58,10 @@
 }
 
 // Two instances beside one voter: one closes the fleet's periods and is ended in the middle, the other goes on from there.
-func TestTheFleetsPeriodsAreClosedAcrossOwners(t *testing.T) {
+func TestPeriodsAreClosedOnceAcrossHolders(t *testing.T) {
 	dir, out := t.TempDir(), t.TempDir()
 	for i := range 3 {
-		instance(t, dir, fmt.Sprint("n", i), 6)
+		exportInstance(t, dir, fmt.Sprint("n", i), 6)
 	}
 	v, voters, rules := singlevoter.Start(t, 400)
 	start := func(name string) *client.Client {
@@ -70,8 +70,8 @@
 			if err != nil {
 				t.Error(err)
 			}
-			return &Job{Folders: []string{filepath.Join(dir, "*")}, Rules: statement.Rules{Expect: []string{"n0", "n1", "n2", "n3"}, Wait: 1000}, To: to,
-				Every: 10 * time.Millisecond, Log: zerolog.Nop(), Wall: func() int64 { return time.Now().UnixMilli() }}
+			return &Job{Directories: []string{filepath.Join(dir, "*")}, Config: statement.Config{ExpectedInstances: []string{"n0", "n1", "n2", "n3"}, WaitMs: 1000}, Receiver: to,
+				Interval: 10 * time.Millisecond, Log: zerolog.Nop(), WallClockMs: func() int64 { return time.Now().UnixMilli() }}
 		}
 		n, err := client.New(client.Options{Name: name, Voters: voters, Config: rules, Jobs: map[string]func() client.Job{"close": job}, Log: zerolog.Nop()})
 		if err != nil {
@@ -114,11 +114,11 @@
 		if err != nil || len(view.Roles) != 1 {
 			return false
 		}
-		m, _ := statement.ReadMark(view.Roles[0].Progress)
-		return m.UpTo == 6*3600e3 && m.Intent == nil
+		m, _ := statement.ParseProgress(view.Roles[0].Progress)
+		return m.PublishedUpTo == 6*3600e3 && m.Intent == nil
 	})
 	for i, s := range statements() {
-		if s.Period != int64(i+1)*3600e3 || len(s.Parts) != 3 || len(s.Missing) != 1 || len(s.Totals) != 1 || s.Totals[0].Counts["searches"] != 18 {
+		if s.Period != int64(i+1)*3600e3 || len(s.Parts) != 3 || len(s.MissingInstances) != 1 || len(s.Totals) != 1 || s.Totals[0].Counts["searches"] != 18 {
 			t.Fatalf("%d: %+v", i, s)
 		}
 	}
--- a/internal/fleet/statement/statement.go
+++ b/internal/fleet/statement/statement.go
@@ -28,9 +28,9 @@
 // Row is one exported entry.
 type Row struct {
 	Instance                            string
-	Epoch, Seq                          uint64
-	Sort                                string // use, correction, close
-	Period, At                          int64  // Unix ms
+	Epoch, Sequence                     uint64
+	Kind                                string // use, correction, close
+	Period, RecordedAt                  int64  // Unix ms
 	Customer, QueryType, Front, Outcome string
 	Counts                              ledger.Counts
 	Refers                              int64
@@ -55,197 +55,199 @@
 	Counts map[string]int64 `json:"counts"`
 }
 
-// Part is one instance's part of a statement. An instance whose disk was lost has several, an epoch each.
-type Part struct {
-	Instance string           `json:"instance"`
-	Epoch    uint64           `json:"epoch"`
-	Counts   map[string]int64 `json:"counts"`          // of its entries
-	Wrong    string           `json:"wrong,omitempty"` // where its own closing count says otherwise
+// InstanceUse is one instance's part of a statement. An instance whose disk was lost has several, an epoch each.
+type InstanceUse struct {
+	Instance    string           `json:"instance"`
+	Epoch       uint64           `json:"epoch"`
+	Counts      map[string]int64 `json:"counts"`          // of its entries
+	Discrepancy string           `json:"wrong,omitempty"` // where its own closing count says otherwise
 }
 
 // Statement is the fleet's use in one period, or a part of it that came late.
 type Statement struct {
-	Period    int64    `json:"period_ms"`
-	Late      bool     `json:"late,omitempty"`
-	Parts     []Part   `json:"parts"`
-	Missing   []string `json:"missing,omitempty"` // instances that were expected and had not closed it
-	Totals    []Total  `json:"totals"`
-	Corrected []Total  `json:"corrected,omitempty"` // by corrections posted to the period, wherever they refer to
+	Period           int64         `json:"period_ms"`
+	Late             bool          `json:"late,omitempty"`
+	Parts            []InstanceUse `json:"parts"`
+	MissingInstances []string      `json:"missing,omitempty"` // instances that were expected and had not closed it
+	Totals           []Total       `json:"totals"`
+	Corrections      []Total       `json:"corrected,omitempty"` // by corrections posted to the period, wherever they refer to
 }
 
-// Rules are the operator's.
-type Rules struct {
-	Expect []string // instances
-	Wait   int64    // ms after the first instance has closed a period until it is published without those that have not
+// Config are the operator's.
+type Config struct {
+	ExpectedInstances []string // instances
+	WaitMs            int64    // ms after the first instance has closed a period until it is published without those that have not
 }
 
-// Mark is how far the work has come. It goes from owner to owner.
-type Mark struct {
-	UpTo   int64              `json:"upto"`  // the latest period that is published
-	Parts  map[int64][]string `json:"parts"` // of the latest periods, what their statements are made of
-	Intent *Intent            `json:"intent,omitempty"`
+// Progress is how far the work has come. It goes from owner to owner.
+type Progress struct {
+	PublishedUpTo  int64              `json:"upto"`  // the latest period that is published
+	PublishedParts map[int64][]string `json:"parts"` // of the latest periods, what their statements are made of
+	Intent         *Intent            `json:"intent,omitempty"`
 }
 
 // Intent is what is published next.
 type Intent struct {
-	Period  int64    `json:"period"`
-	Parts   []string `json:"parts"`
-	Missing []string `json:"missing,omitempty"`
-	Late    bool     `json:"late,omitempty"`
+	Period           int64    `json:"period"`
+	Parts            []string `json:"parts"`
+	MissingInstances []string `json:"missing,omitempty"`
+	Late             bool     `json:"late,omitempty"`
 }
 
-// Key names the effect for good.
-func (i *Intent) Key() string {
+// EffectKey names the effect for good.
+func (i *Intent) EffectKey() string {
 	if i.Late {
 		return fmt.Sprintf("late/%d/%s", i.Period, strings.Join(i.Parts, ","))
 	}
 	return fmt.Sprint("statement/", i.Period)
 }
 
-// ReadMark reads one; nothing is the first owner's.
-func ReadMark(b []byte) (m Mark, err error) {
+// ParseProgress reads one; nothing is the first owner's.
+func ParseProgress(b []byte) (m Progress, err error) {
 	if len(b) > 0 {
 		err = json.Unmarshal(b, &m)
 	}
-	if m.Parts == nil {
-		m.Parts = map[int64][]string{}
+	if m.PublishedParts == nil {
+		m.PublishedParts = map[int64][]string{}
 	}
 	return m, err
 }
 
-const markMost = 12 << 10 // bytes, well under what may be handed on
+const maxProgressBytes = 12 << 10 // bytes, well under what may be handed on
 
-// Text writes it; the oldest periods' parts are forgotten where it would be too long.
-func (m Mark) Text() []byte {
+// Marshal writes it; the oldest periods' parts are forgotten where it would be too long.
+func (m Progress) Marshal() []byte {
 	for {
 		b, err := json.Marshal(m)
 		if err != nil {
 			panic(err)
 		}
-		if len(b) <= markMost || len(m.Parts) <= 1 {
+		if len(b) <= maxProgressBytes || len(m.PublishedParts) <= 1 {
 			return b
 		}
 		oldest := int64(1<<63 - 1)
-		for p := range m.Parts {
+		for p := range m.PublishedParts {
 			oldest = min(oldest, p)
 		}
-		parts := make(map[int64][]string, len(m.Parts))
-		for p, list := range m.Parts {
+		parts := make(map[int64][]string, len(m.PublishedParts))
+		for p, list := range m.PublishedParts {
 			if p != oldest {
 				parts[p] = list
 			}
 		}
-		m.Parts = parts
+		m.PublishedParts = parts
 	}
 }
 
-// Done gives the mark once the intent is published.
-func (m Mark) Done() Mark {
+// IntentPublished gives the mark once the intent is published.
+func (m Progress) IntentPublished() Progress {
 	i := m.Intent
 	parts := map[int64][]string{}
-	for p, list := range m.Parts {
+	for p, list := range m.PublishedParts {
 		parts[p] = list
 	}
 	parts[i.Period] = append(slices.Clone(parts[i.Period]), i.Parts...)
-	return Mark{UpTo: max(m.UpTo, i.Period), Parts: parts}
+	return Progress{PublishedUpTo: max(m.PublishedUpTo, i.Period), PublishedParts: parts}
 }
 
-// part is what one epoch of an instance says of a period.
-type part struct {
-	instance  string
-	epoch     uint64
-	totals    map[Key]*ledger.Counts
-	corrected map[Key]*ledger.Counts
-	sum       ledger.Counts
-	closed    bool
-	closedAt  int64
-	sealed    ledger.Counts
+// instancePeriod is what one epoch of an instance says of a period.
+type instancePeriod struct {
+	instance      string
+	epoch         uint64
+	totals        map[Key]*ledger.Counts
+	corrected     map[Key]*ledger.Counts
+	total         ledger.Counts
+	closed        bool
+	closedAt      int64
+	closingCounts ledger.Counts
 }
 
 // id is short, as marks hold many.
-func (p *part) id() string {
+func (p *instancePeriod) id() string {
 	return fmt.Sprintf("%08x", uint32(xxhash.Sum64String(fmt.Sprint(p.instance, "\x00", p.epoch))))
 }
 
-type stream struct {
-	next    uint64
-	periods map[int64]*part
+type instanceStream struct {
+	nextSequence uint64
+	periods      map[int64]*instancePeriod
 }
 
-// Book is all that was read.
-type Book struct {
-	streams map[string]*stream // by instance and epoch
-	periods map[int64][]*part  // those that were closed
+// Collection is all that was read.
+type Collection struct {
+	streams map[string]*instanceStream  // by instance and epoch
+	periods map[int64][]*instancePeriod // those that were closed
 }
 
-// NewBook has read nothing.
-func NewBook() *Book { return &Book{streams: map[string]*stream{}, periods: map[int64][]*part{}} }
+// NewCollection has read nothing.
+func NewCollection() *Collection {
+	return &Collection{streams: map[string]*instanceStream{}, periods: map[int64][]*instancePeriod{}}
+}
 
-// ErrGap says that rows are missing before one.
-var ErrGap = errors.New("rows are missing")
+// ErrMissingRows says that rows are missing before one.
+var ErrMissingRows = errors.New("rows are missing")
 
-// Next is the sequence number that is due from an instance's epoch.
-func (b *Book) Next(instance string, epoch uint64) uint64 {
+// NextSequence is the sequence number that is due from an instance's epoch.
+func (b *Collection) NextSequence(instance string, epoch uint64) uint64 {
 	if s := b.streams[fmt.Sprint(instance, "\x00", epoch)]; s != nil {
-		return s.next
+		return s.nextSequence
 	}
 	return 1
 }
 
-// Take reads the next row of its instance's epoch; one that was read already changes nothing.
-func (b *Book) Take(r Row) error {
+// Add reads the next row of its instance's epoch; one that was read already changes nothing.
+func (b *Collection) Add(r Row) error {
 	name := fmt.Sprint(r.Instance, "\x00", r.Epoch)
 	s := b.streams[name]
 	if s == nil {
-		s = &stream{next: 1, periods: map[int64]*part{}}
+		s = &instanceStream{nextSequence: 1, periods: map[int64]*instancePeriod{}}
 		b.streams[name] = s
 	}
 	switch {
-	case r.Seq < s.next:
+	case r.Sequence < s.nextSequence:
 		return nil
-	case r.Seq > s.next:
-		return fmt.Errorf("%w: %s has %d where %d is due", ErrGap, r.Instance, r.Seq, s.next)
+	case r.Sequence > s.nextSequence:
+		return fmt.Errorf("%w: %s has %d where %d is due", ErrMissingRows, r.Instance, r.Sequence, s.nextSequence)
 	}
-	s.next++
+	s.nextSequence++
 	p := s.periods[r.Period]
 	if p == nil {
-		p = &part{instance: r.Instance, epoch: r.Epoch, totals: map[Key]*ledger.Counts{}, corrected: map[Key]*ledger.Counts{}}
+		p = &instancePeriod{instance: r.Instance, epoch: r.Epoch, totals: map[Key]*ledger.Counts{}, corrected: map[Key]*ledger.Counts{}}
 		s.periods[r.Period] = p
 	}
 	k := Key{r.Customer, r.QueryType, r.Front, r.Outcome}
-	switch r.Sort {
+	switch r.Kind {
 	case "use":
-		add(p.totals, k, r.Counts)
-		p.sum.Add(r.Counts)
+		addCounts(p.totals, k, r.Counts)
+		p.total.Add(r.Counts)
 	case "correction":
-		add(p.corrected, k, r.Counts)
+		addCounts(p.corrected, k, r.Counts)
 	case "close":
 		if !p.closed {
-			p.closed, p.closedAt, p.sealed = true, r.At, r.Counts
+			p.closed, p.closedAt, p.closingCounts = true, r.RecordedAt, r.Counts
 			b.periods[r.Period] = append(b.periods[r.Period], p)
 		}
 	default:
-		return fmt.Errorf("%s has a row of the sort %q", r.Instance, r.Sort)
+		return fmt.Errorf("%s has a row of the sort %q", r.Instance, r.Kind)
 	}
 	return nil
 }
 
-func add(to map[Key]*ledger.Counts, k Key, c ledger.Counts) {
+func addCounts(to map[Key]*ledger.Counts, k Key, c ledger.Counts) {
 	if to[k] == nil {
 		to[k] = &ledger.Counts{}
 	}
 	to[k].Add(c)
 }
 
-// Due gives what is to be published next at a time (Unix ms), or nil. Periods go in order; what came late follows once nothing
+// NextIntent gives what is to be published next at a time (Unix ms), or nil. Periods go in order; what came late follows once nothing
 // else is due.
-func (b *Book) Due(m Mark, r Rules, now int64) *Intent {
+func (b *Collection) NextIntent(m Progress, r Config, now int64) *Intent {
 	if m.Intent != nil {
 		return m.Intent
 	}
-	for _, start := range b.starts() {
+	for _, start := range b.sortedPeriods() {
 		parts := b.periods[start]
-		if start <= m.UpTo {
+		if start <= m.PublishedUpTo {
 			continue
 		}
 		i := &Intent{Period: start}
@@ -256,21 +258,21 @@
 			have[p.instance] = true
 			i.Parts = append(i.Parts, p.id())
 		}
-		for _, who := range r.Expect {
+		for _, who := range r.ExpectedInstances {
 			if !have[who] {
-				i.Missing = append(i.Missing, who)
+				i.MissingInstances = append(i.MissingInstances, who)
 			}
 		}
-		if len(i.Missing) > 0 && now < first+r.Wait {
+		if len(i.MissingInstances) > 0 && now < first+r.WaitMs {
 			return nil // an older one is never published after a newer one
 		}
 		slices.Sort(i.Parts)
-		slices.Sort(i.Missing)
+		slices.Sort(i.MissingInstances)
 		return i
 	}
-	for _, start := range b.starts() {
-		published, known := m.Parts[start]
-		if start > m.UpTo || !known {
+	for _, start := range b.sortedPeriods() {
+		published, known := m.PublishedParts[start]
+		if start > m.PublishedUpTo || !known {
 			continue // too long ago to tell what its statement was made of
 		}
 		for _, p := range b.periods[start] {
@@ -282,7 +284,7 @@
 	return nil
 }
 
-func (b *Book) starts() []int64 {
+func (b *Collection) sortedPeriods() []int64 {
 	list := make([]int64, 0, len(b.periods))
 	for start := range b.periods {
 		list = append(list, start)
@@ -291,10 +293,10 @@
 	return list
 }
 
-// Drop lets go of what was read of periods whose statements are out and that no late part can follow any more.
-func (b *Book) Drop(m Mark) {
+// Forget lets go of what was read of periods whose statements are out and that no late part can follow any more.
+func (b *Collection) Forget(m Progress) {
 	for start := range b.periods {
-		if _, known := m.Parts[start]; start > m.UpTo || known {
+		if _, known := m.PublishedParts[start]; start > m.PublishedUpTo || known {
 			continue
 		}
 		delete(b.periods, start)
@@ -306,22 +308,22 @@
 	}
 }
 
-// Forgotten counts what was closed for periods that are published and of which the mark tells no more.
-func (b *Book) Forgotten(m Mark) (parts int) {
+// UnpublishableParts counts what was closed for periods that are published and of which the mark tells no more.
+func (b *Collection) UnpublishableParts(m Progress) (parts int) {
 	for start, list := range b.periods {
-		if _, known := m.Parts[start]; start <= m.UpTo && !known {
+		if _, known := m.PublishedParts[start]; start <= m.PublishedUpTo && !known {
 			parts += len(list)
 		}
 	}
 	return parts
 }
 
-// ErrUnread says that a part of an intent has not been read here yet: it has to be waited for, not left out.
-var ErrUnread = errors.New("a part that was fixed has not been read here")
+// ErrPartNotRead says that a part of an intent has not been read here yet: it has to be waited for, not left out.
+var ErrPartNotRead = errors.New("a part that was fixed has not been read here")
 
-// Statement makes what an intent says.
-func (b *Book) Statement(i *Intent) (*Statement, error) {
-	s := &Statement{Period: i.Period, Late: i.Late, Missing: i.Missing, Totals: []Total{}}
+// Build makes what an intent says.
+func (b *Collection) Build(i *Intent) (*Statement, error) {
+	s := &Statement{Period: i.Period, Late: i.Late, MissingInstances: i.MissingInstances, Totals: []Total{}}
 	totals, corrected := map[Key]*ledger.Counts{}, map[Key]*ledger.Counts{}
 	found := 0
 	for _, p := range b.periods[i.Period] {
@@ -329,29 +331,29 @@
 			continue
 		}
 		found++
-		one := Part{Instance: p.instance, Epoch: p.epoch, Counts: named(p.sum)}
-		if p.sum != p.sealed {
-			one.Wrong = fmt.Sprintf("its entries add up to %v, it closed with %v", p.sum, p.sealed)
+		one := InstanceUse{Instance: p.instance, Epoch: p.epoch, Counts: nonZeroCounts(p.total)}
+		if p.total != p.closingCounts {
+			one.Discrepancy = fmt.Sprintf("its entries add up to %v, it closed with %v", p.total, p.closingCounts)
 		}
 		s.Parts = append(s.Parts, one)
 		for k, c := range p.totals {
-			add(totals, k, *c)
+			addCounts(totals, k, *c)
 		}
 		for k, c := range p.corrected {
-			add(corrected, k, *c)
+			addCounts(corrected, k, *c)
 		}
 	}
 	if found < len(i.Parts) {
-		return nil, fmt.Errorf("%w: %d of %d", ErrUnread, found, len(i.Parts))
+		return nil, fmt.Errorf("%w: %d of %d", ErrPartNotRead, found, len(i.Parts))
 	}
 	sort.Slice(s.Parts, func(a, b int) bool {
 		return s.Parts[a].Instance < s.Parts[b].Instance || s.Parts[a].Instance == s.Parts[b].Instance && s.Parts[a].Epoch < s.Parts[b].Epoch
 	})
-	s.Totals, s.Corrected = list(totals), list(corrected)
+	s.Totals, s.Corrections = sortedTotals(totals), sortedTotals(corrected)
 	return s, nil
 }
 
-func list(of map[Key]*ledger.Counts) []Total {
+func sortedTotals(of map[Key]*ledger.Counts) []Total {
 	keys := make([]Key, 0, len(of))
 	for k := range of {
 		keys = append(keys, k)
@@ -359,12 +361,12 @@
 	sort.Slice(keys, func(i, j int) bool { return keys[i].less(keys[j]) })
 	out := make([]Total, 0, len(keys))
 	for _, k := range keys {
-		out = append(out, Total{k, named(*of[k])})
+		out = append(out, Total{k, nonZeroCounts(*of[k])})
 	}
 	return out
 }
 
-func named(c ledger.Counts) map[string]int64 {
+func nonZeroCounts(c ledger.Counts) map[string]int64 {
 	m := map[string]int64{}
 	for i, n := range c {
 		if n != 0 {
--- a/internal/fleet/statement/statement_golden_test.go
+++ b/internal/fleet/statement/statement_golden_test.go
@@ -19,24 +19,24 @@
 	var got bytes.Buffer
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 8))
-		rows := export(rng, 4, 5)
+		rows := exportedRows(rng, 4, 5)
 		if seed%4 == 1 {
 			rows[3].Counts[ledger.Searches]++ // no longer what its instance closed with
 		}
-		r := Rules{Expect: []string{"n0", "n1", "n2", "n3", "n4"}, Wait: 300}
-		f, read, now := &fleet{keys: map[string]string{}}, map[string]int{}, int64(1000)
+		r := Config{ExpectedInstances: []string{"n0", "n1", "n2", "n3", "n4"}, WaitMs: 300}
+		f, read, now := &receiver{keys: map[string]string{}}, map[string]int{}, int64(1000)
 		sum := fnv.New64a()
 		for range 80 {
 			now += int64(rng.IntN(200))
 			for _, row := range rows {
-				if row.At <= now && rng.IntN(3) > 0 && int(row.Seq) == read[row.Instance]+1 {
+				if row.RecordedAt <= now && rng.IntN(3) > 0 && int(row.Sequence) == read[row.Instance]+1 {
 					read[row.Instance]++
 				}
 			}
-			f.owner(t, rows, read, r, now, rng.IntN(9), false)
-			fmt.Fprintln(sum, string(f.mark))
+			f.runHolder(t, rows, read, r, now, rng.IntN(9), false)
+			fmt.Fprintln(sum, string(f.progress))
 			if seed == 1 {
-				fmt.Fprintln(&got, string(f.mark))
+				fmt.Fprintln(&got, string(f.progress))
 			}
 		}
 		for _, key := range f.order {
--- a/internal/fleet/statement/statement_test.go
+++ b/internal/fleet/statement/statement_test.go
@@ -11,13 +11,13 @@
 	"kestrelspread/internal/ledger"
 )
 
-// export makes the rows of some instances over some periods, and when each row may be read.
-func export(rng *rand.Rand, instances, periods int) (rows []Row) {
+// exportedRows makes the rows of some instances over some periods, and when each row may be read.
+func exportedRows(rng *rand.Rand, instances, periods int) (rows []Row) {
 	for i := range instances {
 		r := Row{Instance: fmt.Sprint("n", i), Epoch: 7}
 		add := func(sort string, period int64, c ledger.Counts) {
-			r.Seq++
-			r.Sort, r.Period, r.Counts, r.At = sort, period, c, period+100+int64(rng.IntN(50))
+			r.Sequence++
+			r.Kind, r.Period, r.Counts, r.RecordedAt = sort, period, c, period+100+int64(rng.IntN(50))
 			r.Customer, r.QueryType, r.Front, r.Outcome = fmt.Sprint("c", rng.IntN(2)), "quick", "http", "answered"
 			rows = append(rows, r)
 		}
@@ -37,25 +37,25 @@
 	return rows
 }
 
-// fleet is a receiver that takes each key once, and the mark that the voters keep.
-type fleet struct {
-	mark    []byte
-	keys    map[string]string
-	order   []string
-	changed int // offered again under its key with another content: what must not be
+// receiver is a receiver that takes each key once, and the mark that the voters keep.
+type receiver struct {
+	progress []byte
+	keys     map[string]string
+	order    []string
+	changed  int // offered again under its key with another content: what must not be
 }
 
-// owner works until it dies at a step, or there is nothing to do. It has read of each instance up to a row.
-func (f *fleet) owner(t *testing.T, rows []Row, upTo map[string]int, r Rules, now int64, steps int, forget bool) (done bool) {
-	b := NewBook()
+// runHolder works until it dies at a step, or there is nothing to do. It has read of each instance up to a row.
+func (f *receiver) runHolder(t *testing.T, rows []Row, upTo map[string]int, r Config, now int64, steps int, forget bool) (done bool) {
+	b := NewCollection()
 	for _, row := range rows {
-		if int(row.Seq) <= upTo[row.Instance] {
-			if err := b.Take(row); err != nil {
+		if int(row.Sequence) <= upTo[row.Instance] {
+			if err := b.Add(row); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	m, err := ReadMark(f.mark)
+	m, err := ParseProgress(f.progress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 		m.Intent = nil // a defect: whoever is next does not go by what was fixed
 	}
 	for {
-		i := b.Due(m, r, now)
+		i := b.NextIntent(m, r, now)
 		if i == nil {
 			return true
 		}
@@ -72,10 +72,10 @@
 				return false
 			}
 			steps--
-			f.mark = m.Text()
+			f.progress = m.Marshal()
 		}
-		s, err := b.Statement(i)
-		if errors.Is(err, ErrUnread) {
+		s, err := b.Build(i)
+		if errors.Is(err, ErrPartNotRead) {
 			return false
 		} else if err != nil {
 			t.Fatal(err)
@@ -85,9 +85,9 @@
 		}
 		steps--
 		text, _ := json.Marshal(s)
-		if was, had := f.keys[i.Key()]; !had {
-			f.keys[i.Key()] = string(text)
-			f.order = append(f.order, i.Key())
+		if was, had := f.keys[i.EffectKey()]; !had {
+			f.keys[i.EffectKey()] = string(text)
+			f.order = append(f.order, i.EffectKey())
 		} else if was != string(text) {
 			f.changed++
 		}
@@ -95,24 +95,24 @@
 			return false
 		}
 		steps--
-		m = m.Done()
-		f.mark = m.Text()
-		m, _ = ReadMark(f.mark)
+		m = m.IntentPublished()
+		f.progress = m.Marshal()
+		m, _ = ParseProgress(f.progress)
 	}
 }
 
-// play has owners of all kinds of fates, each of which has read something else, publish a fleet's periods.
-func play(t *testing.T, seed uint64, forget bool) (f *fleet, rows []Row) {
+// playHolders has owners of all kinds of fates, each of which has read something else, publish a fleet's periods.
+func playHolders(t *testing.T, seed uint64, forget bool) (f *receiver, rows []Row) {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	rows = export(rng, 4, 5)
-	r := Rules{Expect: []string{"n0", "n1", "n2", "n3"}, Wait: 500}
-	f = &fleet{keys: map[string]string{}}
+	rows = exportedRows(rng, 4, 5)
+	r := Config{ExpectedInstances: []string{"n0", "n1", "n2", "n3"}, WaitMs: 500}
+	f = &receiver{keys: map[string]string{}}
 	read := map[string]int{}
 	now := int64(1000)
 	for range 60 {
 		now += int64(rng.IntN(300))
 		for _, row := range rows {
-			if row.At <= now && rng.IntN(3) > 0 && int(row.Seq) == read[row.Instance]+1 {
+			if row.RecordedAt <= now && rng.IntN(3) > 0 && int(row.Sequence) == read[row.Instance]+1 {
 				read[row.Instance]++
 			}
 		}
@@ -123,12 +123,12 @@
 				seen[who] = rng.IntN(n + 1)
 			}
 		}
-		f.owner(t, rows, seen, r, now, rng.IntN(8), forget)
+		f.runHolder(t, rows, seen, r, now, rng.IntN(8), forget)
 	}
 	for _, row := range rows {
-		read[row.Instance] = max(read[row.Instance], int(row.Seq))
+		read[row.Instance] = max(read[row.Instance], int(row.Sequence))
 	}
-	if !f.owner(t, rows, read, r, now+1e6, 1e6, forget) {
+	if !f.runHolder(t, rows, read, r, now+1e6, 1e6, forget) {
 		t.Fatal("seed", seed, ": it does not come to an end")
 	}
 	return f, rows
@@ -136,13 +136,13 @@
 
 // Whatever ends owners at whichever step, and whatever each of them has read: each instance's closed period is in exactly one
 // statement, periods go out in order, and nothing is offered under one key with two contents.
-func TestStatementsGoOutOnceAndAlike(t *testing.T) {
+func TestStatementsArePublishedOnceAndAlike(t *testing.T) {
 	late, seeds := 0, uint64(300)
 	if testing.Short() {
 		seeds = 40
 	}
 	for seed := range seeds {
-		f, rows := play(t, seed, false)
+		f, rows := playHolders(t, seed, false)
 		if f.changed > 0 {
 			t.Fatalf("seed %d: %d times another content under one key", seed, f.changed)
 		}
@@ -153,8 +153,8 @@
 			for _, p := range s.Parts {
 				parts[fmt.Sprint(p.Instance, p.Epoch, s.Period)]++
 				sum += p.Counts["searches"]
-				if p.Wrong != "" {
-					t.Fatal(p.Wrong)
+				if p.Discrepancy != "" {
+					t.Fatal(p.Discrepancy)
 				}
 			}
 			if !s.Late && s.Period <= last {
@@ -168,10 +168,10 @@
 		}
 		want := int64(0)
 		for _, r := range rows {
-			if r.Sort == "use" {
+			if r.Kind == "use" {
 				want += r.Counts[ledger.Searches]
 			}
-			if r.Sort == "close" && parts[fmt.Sprint(r.Instance, r.Epoch, r.Period)] != 1 {
+			if r.Kind == "close" && parts[fmt.Sprint(r.Instance, r.Epoch, r.Period)] != 1 {
 				t.Fatalf("seed %d: %s's period %d is in %d statements", seed, r.Instance, r.Period, parts[fmt.Sprint(r.Instance, r.Epoch, r.Period)])
 			}
 		}
@@ -185,10 +185,10 @@
 }
 
 // The check finds an owner that does not go by what the one before had fixed.
-func TestAnOwnerThatForgetsWhatWasFixedIsFound(t *testing.T) {
+func TestHolderThatIgnoresIntentIsFound(t *testing.T) {
 	changed := 0
 	for seed := range uint64(30) {
-		f, _ := play(t, seed, true)
+		f, _ := playHolders(t, seed, true)
 		changed += f.changed
 	}
 	if changed == 0 {
@@ -196,49 +196,49 @@
 	}
 }
 
-func TestWhatDoesNotReconcileIsTold(t *testing.T) {
-	b := NewBook()
-	r := Row{Instance: "n0", Epoch: 1, Seq: 1, Sort: "use", Period: 1000, Counts: ledger.Counts{3}}
-	if err := b.Take(r); err != nil {
+func TestDiscrepancyIsReported(t *testing.T) {
+	b := NewCollection()
+	r := Row{Instance: "n0", Epoch: 1, Sequence: 1, Kind: "use", Period: 1000, Counts: ledger.Counts{3}}
+	if err := b.Add(r); err != nil {
 		t.Fatal(err)
 	}
-	r.Seq = 3
-	if err := b.Take(r); !errors.Is(err, ErrGap) {
+	r.Sequence = 3
+	if err := b.Add(r); !errors.Is(err, ErrMissingRows) {
 		t.Fatal("a gap is taken:", err)
 	}
-	r.Seq, r.Sort, r.Counts = 2, "close", ledger.Counts{4}
-	if err := b.Take(r); err != nil {
+	r.Sequence, r.Kind, r.Counts = 2, "close", ledger.Counts{4}
+	if err := b.Add(r); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Take(r); err != nil { // read again: nothing changes
+	if err := b.Add(r); err != nil { // read again: nothing changes
 		t.Fatal(err)
 	}
-	s, err := b.Statement(b.Due(Mark{}, Rules{Expect: []string{"n0", "n1"}}, 1e9))
-	if err != nil || !strings.Contains(s.Parts[0].Wrong, "add up to") || len(s.Missing) != 1 || s.Missing[0] != "n1" {
+	s, err := b.Build(b.NextIntent(Progress{}, Config{ExpectedInstances: []string{"n0", "n1"}}, 1e9))
+	if err != nil || !strings.Contains(s.Parts[0].Discrepancy, "add up to") || len(s.MissingInstances) != 1 || s.MissingInstances[0] != "n1" {
 		t.Fatalf("%+v %v", s, err)
 	}
-	r.Seq, r.Sort = 3, "gift"
-	if b.Take(r) == nil {
+	r.Sequence, r.Kind = 3, "gift"
+	if b.Add(r) == nil {
 		t.Error("an unknown sort is taken")
 	}
 }
 
-func TestAMarkStaysShort(t *testing.T) {
-	m := Mark{Parts: map[int64][]string{}}
+func TestProgressStaysShort(t *testing.T) {
+	m := Progress{PublishedParts: map[int64][]string{}}
 	for p := range int64(500) {
 		var parts []string
 		for i := range 100 {
 			parts = append(parts, fmt.Sprintf("%08x", i))
 		}
 		m.Intent = &Intent{Period: p + 1, Parts: parts}
-		m = m.Done()
-		b := m.Text()
-		if len(b) > markMost {
+		m = m.IntentPublished()
+		b := m.Marshal()
+		if len(b) > maxProgressBytes {
 			t.Fatal(len(b))
 		}
-		m, _ = ReadMark(b)
+		m, _ = ParseProgress(b)
 	}
-	if m.UpTo != 500 || len(m.Parts) < 2 {
-		t.Fatal(m.UpTo, len(m.Parts))
+	if m.PublishedUpTo != 500 || len(m.PublishedParts) < 2 {
+		t.Fatal(m.PublishedUpTo, len(m.PublishedParts))
 	}
 }
