--- a/internal/fleet/statement/collector/collector.go
+++ b/internal/fleet/statement/collector/collector.go
@@ -1,16 +1,11 @@
-// Package collector is the work of the duty "close": it reads what the instances' ledgers have exported to their folders and
-// publishes the fleet's statements. What is due and what it says is package statement's.
+// Package collector is the work of the singleton role "close": its holder reads what the instances' ledgers have exported to their
+// directories and publishes the fleet's statements. Which statement is next and what it says is package statement's.
 package collector
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
-	"os"
-	"path/filepath"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -18,134 +13,97 @@
 	"kestrelspread/internal/fleet/lease/client"
 	"kestrelspread/internal/fleet/lease/fence"
 	"kestrelspread/internal/fleet/statement"
-	"kestrelspread/internal/ledger"
-	"kestrelspread/internal/ledger/sink"
 )
 
-// Job is one owner's work.
+// Job is the work of one holder of the role, under one lease.
 type Job struct {
-	Directories []string // patterns
+	Directories []string // patterns of filepath.Glob, of the exports
 	Config      statement.Config
 	Receiver    fence.Receiver
-	Interval    time.Duration
+	Interval    time.Duration // between steps that had nothing to publish
 	Log         zerolog.Logger
 	WallClockMs func() int64 // Unix ms
 
 	collection *statement.Collection
 	progress   statement.Progress
-	readErrors map[string]string
+	readErrors map[string]string // by directory, the last one logged
 }
 
-// Step publishes one statement, or reads what came.
-func (j *Job) Step(ctx context.Context, g *client.Grant) (time.Duration, error) {
-	if j.collection == nil {
-		var err error
-		if j.progress, err = statement.ParseProgress(g.Progress); err != nil {
-			return j.Interval, fmt.Errorf("how far the fleet's statements have come can't be read: %w", err)
-		}
-		j.collection, j.readErrors = statement.NewCollection(), map[string]string{}
+// Step reads what was exported since, and publishes one statement where one is due. The order of its writes is what keeps
+// statements published once: see package statement.
+func (j *Job) Step(ctx context.Context, grant *client.Grant) (time.Duration, error) {
+	if err := j.load(grant); err != nil {
+		return j.Interval, err
 	}
 	if err := j.readExports(); err != nil {
 		return j.Interval, err
 	}
-	i := j.collection.NextIntent(j.progress, j.Config, j.WallClockMs())
-	if i == nil || !g.MayAct() {
+	intent := j.collection.NextIntent(j.progress, j.Config, j.WallClockMs())
+	if intent == nil || !grant.MayAct() {
 		return j.Interval, nil
 	}
-	if j.progress.Intent == nil {
-		next := j.progress
-		next.Intent = i
-		if err := g.SaveProgress(ctx, next.Marshal()); err != nil {
-			return j.Interval, err
-		}
-		j.progress = next
-	}
-	s, err := j.collection.Build(i)
+	published, err := j.publish(ctx, grant, intent)
 	if err != nil {
 		return j.Interval, err
 	}
-	body, err := json.Marshal(s)
-	if err != nil {
-		return j.Interval, err
-	}
-	if _, err := j.Receiver.Apply(g.Effect(i.EffectKey(), body)); err != nil {
-		return j.Interval, err
-	}
-	done := j.progress.IntentPublished()
-	if err := g.SaveProgress(ctx, done.Marshal()); err != nil {
-		return j.Interval, err
-	}
-	j.progress = done
-	if n := j.collection.UnpublishableParts(j.progress); n > 0 {
-		j.collection.Forget(j.progress)
+	j.collection.Forget(j.progress)
+	j.logPublished(published)
+	return 0, nil
+}
+
+// load takes up the previous holder's progress, at the first step.
+func (j *Job) load(grant *client.Grant) error {
+	if j.collection != nil {
+		return nil
 	}
-	for _, p := range s.Parts {
-		if p.Discrepancy != "" {
-			j.Log.Warn().Str("instance", p.Instance).Int64("period", s.Period).Str("why", p.Discrepancy).Msg("fleet's statement: an instance's entries do not reconcile")
-		}
+	var err error
+	if j.progress, err = statement.ParseProgress(grant.Progress); err != nil {
+		return fmt.Errorf("how far the fleet's statements have come can't be read: %w", err)
 	}
-	j.Log.Info().Int64("period", s.Period).Bool("late", s.Late).Int("parts", len(s.Parts)).Strs("missing", s.MissingInstances).Msg("fleet's statement is published")
-	return 0, nil
+	j.collection = statement.NewCollection()
+	j.readErrors = map[string]string{}
+	return nil
 }
 
-// readExports takes up what has been exported since. A folder that can't be read is told of once, and waited for: nothing is published
-// without what was fixed to be in it.
-func (j *Job) readExports() error {
-	for _, pattern := range j.Directories {
-		dirs, err := filepath.Glob(pattern)
-		if err != nil {
-			return err
-		}
-		for _, dir := range dirs {
-			text := ""
-			if err := j.readDirectory(dir); err != nil {
-				text = err.Error()
-			}
-			if was := j.readErrors[dir]; text != was {
-				if j.readErrors[dir] = text; text != "" {
-					j.Log.Warn().Str("folder", dir).Str("why", text).Msg("fleet's statement: an export can't be read")
-				}
-			}
+// publish fixes the intent, has the receiver take its statement, and marks it published, each durable before the next.
+func (j *Job) publish(ctx context.Context, grant *client.Grant, intent *statement.Intent) (*statement.Statement, error) {
+	if j.progress.Intent == nil {
+		fixed := j.progress
+		fixed.Intent = intent
+		if err := j.save(ctx, grant, fixed); err != nil {
+			return nil, err
 		}
 	}
-	return nil
+	built, err := j.collection.Build(intent)
+	if err != nil {
+		return nil, err
+	}
+	body, err := json.Marshal(built)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := j.Receiver.Apply(grant.Effect(intent.EffectKey(), body)); err != nil {
+		return nil, err
+	}
+	return built, j.save(ctx, grant, j.progress.IntentPublished())
 }
 
-func (j *Job) readDirectory(dir string) error {
-	text, err := os.ReadFile(filepath.Join(dir, "manifest.jsonl"))
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil
-	} else if err != nil {
+// save makes progress durable with the voters before it counts here.
+func (j *Job) save(ctx context.Context, grant *client.Grant, progress statement.Progress) error {
+	if err := grant.SaveProgress(ctx, progress.Marshal()); err != nil {
 		return err
 	}
-	for line := range bytes.Lines(text) {
-		var b sink.Batch
-		if err := json.Unmarshal(line, &b); err != nil {
-			return fmt.Errorf("the manifest: %w", err)
-		}
-		if b.To < j.collection.NextSequence(b.Instance, b.Epoch) || len(b.Files) == 0 {
-			continue
-		}
-		rows, err := os.ReadFile(filepath.Join(dir, filepath.Base(b.Files[0])))
-		if err != nil {
-			return err
-		}
-		for line := range bytes.Lines(rows) {
-			var r sink.Row
-			if err := json.Unmarshal(line, &r); err != nil {
-				return fmt.Errorf("%s: %w", b.Files[0], err)
-			}
-			if err := j.collection.Add(rowFromExport(&r)); err != nil {
-				return fmt.Errorf("%s: %w", b.Files[0], err)
-			}
-		}
-	}
+	j.progress = progress
 	return nil
 }
 
-func rowFromExport(r *sink.Row) statement.Row {
-	return statement.Row{Instance: r.Instance, Epoch: r.Epoch, Sequence: r.Seq, Kind: r.Sort, Period: r.Period, RecordedAt: r.At, Customer: r.Customer,
-		QueryType: r.QueryType, Front: r.Front, Outcome: r.Outcome, Refers: r.Refers, Counts: ledger.Counts{ledger.Searches: r.Searches,
-			ledger.Parts: r.Parts, ledger.First: r.First, ledger.Repeat: r.Repeat, ledger.Copy: r.Copy, ledger.CalledOff: r.CalledOff,
-			ledger.Work: r.Work, ledger.BytesIn: r.BytesIn, ledger.BytesOut: r.BytesOut, ledger.Server: r.Server}}
+func (j *Job) logPublished(s *statement.Statement) {
+	for _, part := range s.Parts {
+		if part.Discrepancy != "" {
+			j.Log.Warn().Str("instance", part.Instance).Int64("period", s.Period).Str("why", part.Discrepancy).
+				Msg("fleet's statement: an instance's entries do not reconcile")
+		}
+	}
+	j.Log.Info().Int64("period", s.Period).Bool("late", s.Late).Int("parts", len(s.Parts)).Strs("missing", s.MissingInstances).
+		Msg("fleet's statement is published")
 }
--- a/internal/fleet/statement/collector/collector_test.go
+++ b/internal/fleet/statement/collector/collector_test.go
@@ -20,7 +20,7 @@
 	"kestrelspread/internal/standin/singlevoter"
 )
 
-// exportInstance exports a ledger of some closed periods to a folder of its own.
+// exportInstance exports a ledger of some closed periods to a directory of its own.
 func exportInstance(t *testing.T, dir, name string, periods int) {
 	t.Helper()
 	s, err := store.Open(vfs.NewMem(), "ledger", name, time.Now())
@@ -57,6 +57,31 @@
 	}
 }
 
+// readStatements reads what a fenced directory has received.
+func readStatements(t *testing.T, directory string) (list []statement.Statement) {
+	t.Helper()
+	versions, err := fencedir.ReadVersions(directory)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, v := range versions {
+		var s statement.Statement
+		if json.Unmarshal(v.Body, &s) == nil && !v.TokenOnly {
+			list = append(list, s)
+		}
+	}
+	return list
+}
+
+func waitFor(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("never: ", what)
+		}
+	}
+}
+
 // Two instances beside one voter: one closes the fleet's periods and is ended in the middle, the other goes on from there.
 func TestPeriodsAreClosedOnceAcrossHolders(t *testing.T) {
 	dir, out := t.TempDir(), t.TempDir()
@@ -80,36 +105,16 @@
 		n.Start()
 		return n
 	}
-	statements := func() (list []statement.Statement) {
-		versions, err := fencedir.ReadVersions(out)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, v := range versions {
-			var s statement.Statement
-			if json.Unmarshal(v.Body, &s) == nil && !v.TokenOnly {
-				list = append(list, s)
-			}
-		}
-		return list
-	}
-	wait := func(what string, ok func() bool) {
-		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal("never: ", what)
-			}
-		}
-	}
+	statements := func() []statement.Statement { return readStatements(t, out) }
 	one := start("a.1")
-	wait("a first statement", func() bool { return len(statements()) > 0 })
+	waitFor(t, "a first statement", func() bool { return len(statements()) > 0 })
 	one.Close(time.Second) // hands over between two steps, wherever it is
 	two := start("b.1")
 	defer two.Close(time.Second)
-	wait("all six", func() bool { return len(statements()) == 6 })
+	waitFor(t, "all six", func() bool { return len(statements()) == 6 })
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
-	wait("the voters know", func() bool {
+	waitFor(t, "the voters have the progress", func() bool {
 		view, err := v.Status(ctx)
 		if err != nil || len(view.Roles) != 1 {
 			return false
--- /dev/null
+++ b/internal/fleet/statement/collector/exports.go
@@ -0,0 +1,117 @@
+package collector
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+
+	"kestrelspread/internal/fleet/statement"
+	"kestrelspread/internal/ledger"
+	"kestrelspread/internal/ledger/sink"
+)
+
+// manifestName is the file in which an export lists its batches, one JSON object a line.
+const manifestName = "manifest.jsonl"
+
+// readExports takes up what has been exported since. An unreadable directory is logged once and waited for: nothing is
+// published without the parts that its intent has fixed.
+func (j *Job) readExports() error {
+	for _, pattern := range j.Directories {
+		directories, err := filepath.Glob(pattern)
+		if err != nil {
+			return err
+		}
+		for _, directory := range directories {
+			j.logReadError(directory, j.readDirectory(directory))
+		}
+	}
+	return nil
+}
+
+// logReadError logs a directory's error where it differs from the last one.
+func (j *Job) logReadError(directory string, err error) {
+	text := ""
+	if err != nil {
+		text = err.Error()
+	}
+	if text == j.readErrors[directory] {
+		return
+	}
+	j.readErrors[directory] = text
+	if text != "" {
+		j.Log.Warn().Str("folder", directory).Str("why", text).Msg("fleet's statement: an export can't be read")
+	}
+}
+
+// readDirectory reads the batches of one instance's export that were not read yet. No manifest is an export that has not begun.
+func (j *Job) readDirectory(directory string) error {
+	manifest, err := os.ReadFile(filepath.Join(directory, manifestName))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	for line := range bytes.Lines(manifest) {
+		var batch sink.Batch
+		if err := json.Unmarshal(line, &batch); err != nil {
+			return fmt.Errorf("the manifest: %w", err)
+		}
+		if batch.To < j.collection.NextSequence(batch.Instance, batch.Epoch) || len(batch.Files) == 0 {
+			continue
+		}
+		if err := j.readBatch(directory, batch.Files[0]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// readBatch reads a batch's file of JSON rows.
+func (j *Job) readBatch(directory, file string) error {
+	rows, err := os.ReadFile(filepath.Join(directory, filepath.Base(file)))
+	if err != nil {
+		return err
+	}
+	for line := range bytes.Lines(rows) {
+		var row sink.Row
+		if err := json.Unmarshal(line, &row); err != nil {
+			return fmt.Errorf("%s: %w", file, err)
+		}
+		if err := j.collection.Add(rowFromExport(&row)); err != nil {
+			return fmt.Errorf("%s: %w", file, err)
+		}
+	}
+	return nil
+}
+
+func rowFromExport(r *sink.Row) statement.Row {
+	return statement.Row{
+		Instance:   r.Instance,
+		Epoch:      r.Epoch,
+		Sequence:   r.Seq,
+		Kind:       r.Sort,
+		Period:     r.Period,
+		RecordedAt: r.At,
+		Customer:   r.Customer,
+		QueryType:  r.QueryType,
+		Front:      r.Front,
+		Outcome:    r.Outcome,
+		Counts: ledger.Counts{
+			ledger.Searches:  r.Searches,
+			ledger.Parts:     r.Parts,
+			ledger.First:     r.First,
+			ledger.Repeat:    r.Repeat,
+			ledger.Copy:      r.Copy,
+			ledger.CalledOff: r.CalledOff,
+			ledger.Work:      r.Work,
+			ledger.BytesIn:   r.BytesIn,
+			ledger.BytesOut:  r.BytesOut,
+			ledger.Server:    r.Server,
+		},
+	}
+}
--- a/internal/fleet/statement/statement_test.go
+++ b/internal/fleet/statement/statement_test.go
@@ -37,7 +37,7 @@
 	return rows
 }
 
-// receiver is a receiver that takes each key once, and the mark that the voters keep.
+// receiver takes each key once, and keeps the progress as voters do.
 type receiver struct {
 	progress []byte
 	keys     map[string]string
@@ -46,63 +46,75 @@
 }
 
 // runHolder works until it dies at a step, or there is nothing to do. It has read of each instance up to a row.
-func (f *receiver) runHolder(t *testing.T, rows []Row, upTo map[string]int, r Config, now int64, steps int, forget bool) (done bool) {
-	b := NewCollection()
+// ignoreIntent is the defect of a holder that doesn't go by what the previous one had fixed.
+func (f *receiver) runHolder(t *testing.T, rows []Row, upTo map[string]int, config Config, now int64, steps int, ignoreIntent bool) (done bool) {
+	t.Helper()
+	collection := NewCollection()
 	for _, row := range rows {
 		if int(row.Sequence) <= upTo[row.Instance] {
-			if err := b.Add(row); err != nil {
+			if err := collection.Add(row); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	m, err := ParseProgress(f.progress)
+	progress, err := ParseProgress(f.progress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if forget {
-		m.Intent = nil // a defect: whoever is next does not go by what was fixed
+	if ignoreIntent {
+		progress.Intent = nil
+	}
+	dies := func() bool {
+		steps--
+		return steps < 0
 	}
 	for {
-		i := b.NextIntent(m, r, now)
-		if i == nil {
+		intent := collection.NextIntent(progress, config, now)
+		if intent == nil {
 			return true
 		}
-		if m.Intent == nil {
-			if m.Intent = i; steps == 0 {
+		if progress.Intent == nil {
+			progress.Intent = intent
+			if dies() {
 				return false
 			}
-			steps--
-			f.progress = m.Marshal()
+			f.progress = progress.Marshal()
 		}
-		s, err := b.Build(i)
+		built, err := collection.Build(intent)
 		if errors.Is(err, ErrPartNotRead) {
 			return false
-		} else if err != nil {
+		}
+		if err != nil {
 			t.Fatal(err)
 		}
-		if steps == 0 {
+		if dies() {
 			return false
 		}
-		steps--
-		text, _ := json.Marshal(s)
-		if was, had := f.keys[i.EffectKey()]; !had {
-			f.keys[i.EffectKey()] = string(text)
-			f.order = append(f.order, i.EffectKey())
-		} else if was != string(text) {
-			f.changed++
-		}
-		if steps == 0 {
+		f.apply(intent.EffectKey(), built)
+		if dies() {
 			return false
 		}
-		steps--
-		m = m.IntentPublished()
-		f.progress = m.Marshal()
-		m, _ = ParseProgress(f.progress)
+		f.progress = progress.IntentPublished().Marshal()
+		progress, _ = ParseProgress(f.progress)
+	}
+}
+
+// apply takes each key's first statement.
+func (f *receiver) apply(key string, built *Statement) {
+	body, _ := json.Marshal(built)
+	first, known := f.keys[key]
+	switch {
+	case !known:
+		f.keys[key] = string(body)
+		f.order = append(f.order, key)
+	case first != string(body):
+		f.changed++
 	}
 }
 
-// playHolders has owners of all kinds of fates, each of which has read something else, publish a fleet's periods.
-func playHolders(t *testing.T, seed uint64, forget bool) (f *receiver, rows []Row) {
+// playHolders has holders that end at any step, each of which has read something else, publish a fleet's periods.
+func playHolders(t *testing.T, seed uint64, ignoreIntent bool) (f *receiver, rows []Row) {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
 	rows = exportedRows(rng, 4, 5)
 	r := Config{ExpectedInstances: []string{"n0", "n1", "n2", "n3"}, WaitMs: 500}
@@ -117,24 +129,24 @@
 			}
 		}
 		seen := map[string]int{}
-		for who, n := range read { // a new owner may have read less so far than the one before
-			seen[who] = n
+		for instance, n := range read { // a new holder may have read less so far than the previous one
+			seen[instance] = n
 			if rng.IntN(4) == 0 {
-				seen[who] = rng.IntN(n + 1)
+				seen[instance] = rng.IntN(n + 1)
 			}
 		}
-		f.runHolder(t, rows, seen, r, now, rng.IntN(8), forget)
+		f.runHolder(t, rows, seen, r, now, rng.IntN(8), ignoreIntent)
 	}
 	for _, row := range rows {
 		read[row.Instance] = max(read[row.Instance], int(row.Sequence))
 	}
-	if !f.runHolder(t, rows, read, r, now+1e6, 1e6, forget) {
+	if !f.runHolder(t, rows, read, r, now+1e6, 1e6, ignoreIntent) {
 		t.Fatal("seed", seed, ": it does not come to an end")
 	}
 	return f, rows
 }
 
-// Whatever ends owners at whichever step, and whatever each of them has read: each instance's closed period is in exactly one
+// Whatever ends holders at whichever step, and whatever each of them has read: each instance's closed period is in exactly one
 // statement, periods go out in order, and nothing is offered under one key with two contents.
 func TestStatementsArePublishedOnceAndAlike(t *testing.T) {
 	late, seeds := 0, uint64(300)
@@ -184,7 +196,7 @@
 	}
 }
 
-// The check finds an owner that does not go by what the one before had fixed.
+// The check finds a holder that does not go by what the previous one had fixed.
 func TestHolderThatIgnoresIntentIsFound(t *testing.T) {
 	changed := 0
 	for seed := range uint64(30) {
