--- a/internal/node/forward/attempt.go
+++ b/internal/node/forward/attempt.go
@@ -72,7 +72,7 @@
 		}
 		a.closeConn()
 		// A reused connection that took no byte is dead. Nothing was sent: try another connection.
-		if errorx.IsOfType(err, upstream.Unsent) && conn.Reused() {
+		if errorx.IsOfType(err, upstream.ErrUnsent) && conn.Reused() {
 			continue
 		}
 		if errorx.IsOfType(err, errNotSent) {
--- a/internal/node/forward/events.go
+++ b/internal/node/forward/events.go
@@ -56,7 +56,7 @@
 func (e *eventReader) ready() bool { return e.complete > e.consumed || e.ended }
 
 // errEventTooLarge says that an event exceeds maxEventBytes.
-var errEventTooLarge = upstream.InvalidAnswer.New("event of a stream is too large")
+var errEventTooLarge = upstream.ErrInvalidAnswer.New("event of a stream is too large")
 
 // maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
--- a/internal/node/forward/result.go
+++ b/internal/node/forward/result.go
@@ -75,7 +75,7 @@
 
 // invalidAnswer ends an attempt whose answer is not the broker's to the request.
 func (a *attempt) invalidAnswer(why string) *attemptResult {
-	return a.failed(upstream.InvalidAnswer.New("%s", why))
+	return a.failed(upstream.ErrInvalidAnswer.New("%s", why))
 }
 
 // notResumed ends an attempt to resume a stream that the broker did not resume.
@@ -96,7 +96,7 @@
 	if a.events != nil {
 		a.events.release()
 	}
-	if errorx.IsOfType(err, upstream.InvalidAnswer) {
+	if errorx.IsOfType(err, upstream.ErrInvalidAnswer) {
 		a.call.proxy.counters.invalidAnswers.Add(1)
 	}
 	return &attemptResult{attempt: a, outcome: a.failedOutcome(err), err: err}
@@ -105,14 +105,14 @@
 // failedOutcome describes an attempt that failed by an error of the exchange.
 func (a *attempt) failedOutcome(err error) routing.Outcome {
 	outcome := a.outcome(upstream.VerdictOf(err))
-	outcome.TimedOut = errorx.IsOfType(err, upstream.TimedOut)
+	outcome.TimedOut = errorx.IsOfType(err, upstream.ErrTimedOut)
 	if a.endedFromHere(err) {
 		outcome.Canceled = true
 		return outcome
 	}
-	outcome.ConnectFailed = errorx.IsOfType(err, upstream.ConnectFailed) || errorx.IsOfType(err, upstream.Unsent)
+	outcome.ConnectFailed = errorx.IsOfType(err, upstream.ErrConnectFailed) || errorx.IsOfType(err, upstream.ErrUnsent)
 	// Both mean that the broker accepts no more connections, just as a full one accepts no more requests.
-	outcome.NotExecuted = errorx.IsOfType(err, upstream.Exhausted) || errorx.IsOfType(err, upstream.Rejected)
+	outcome.NotExecuted = errorx.IsOfType(err, upstream.ErrExhausted) || errorx.IsOfType(err, upstream.ErrRejected)
 	return outcome
 }
 
@@ -122,13 +122,13 @@
 	if a.wasCanceled() || a.context.Err() != nil {
 		return true
 	}
-	return errorx.IsOfType(err, upstream.ConnectFailed) && a.call.now() >= a.call.intake.deadline
+	return errorx.IsOfType(err, upstream.ErrConnectFailed) && a.call.now() >= a.call.intake.deadline
 }
 
 // brokenStreamOutcome describes an attempt whose stream broke off.
 func (a *attempt) brokenStreamOutcome(err error, clientGone bool) routing.Outcome {
 	outcome := a.outcome(verdict.Ran)
-	outcome.TimedOut = errorx.IsOfType(err, upstream.TimedOut)
+	outcome.TimedOut = errorx.IsOfType(err, upstream.ErrTimedOut)
 	outcome.Canceled = clientGone
 	return outcome
 }
--- a/internal/node/forward/upstream/answer.go
+++ b/internal/node/forward/upstream/answer.go
@@ -48,7 +48,7 @@
 
 // ReadHead reads the head of the answer to the request with the id and method given. Answers to
 // earlier requests, which a faulty broker may send late, are discarded. Errors are of type
-// InvalidAnswer, Broken or TimedOut; the connection must then be closed.
+// ErrInvalidAnswer, ErrBroken or ErrTimedOut; the connection must then be closed.
 func (c *Conn) ReadHead(method, id string) (*Answer, error) {
 	request := requestWithBody
 	if method == http.MethodHead {
@@ -61,7 +61,7 @@
 		}
 		if answer.Status < http.StatusOK {
 			if answer.Status == http.StatusSwitchingProtocols {
-				return nil, InvalidAnswer.New("protocol switched")
+				return nil, ErrInvalidAnswer.New("protocol switched")
 			}
 			continue
 		}
@@ -73,7 +73,7 @@
 			return nil, err
 		}
 	}
-	return nil, InvalidAnswer.New("too many answers before the one that is due")
+	return nil, ErrInvalidAnswer.New("too many answers before the one that is due")
 }
 
 // belongsTo reports whether the answer is to the request with the id. A broker that rejects a
@@ -92,17 +92,17 @@
 	c.pool.Counters.Surplus.Add(1)
 	c.desynchronized = true
 	if len(answer.Header[HeaderRequestID]) != 1 {
-		return InvalidAnswer.New("answer without the id of a request")
+		return ErrInvalidAnswer.New("answer without the id of a request")
 	}
 	count, err := io.CopyN(io.Discard, answer, maxSkippedBytes)
 	if err == nil || count == maxSkippedBytes {
-		return InvalidAnswer.New("surplus answer is too large")
+		return ErrInvalidAnswer.New("surplus answer is too large")
 	}
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
 	if answer.closeAfter {
-		return Broken.New("closed after a surplus answer")
+		return ErrBroken.New("closed after a surplus answer")
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 	}
 	if answer.Length < 0 && len(response.TransferEncoding) == 0 {
 		c.pool.Counters.Unframed.Add(1)
-		return nil, InvalidAnswer.New("answer without a length")
+		return nil, ErrInvalidAnswer.New("answer without a length")
 	}
 	return answer, nil
 }
@@ -139,16 +139,16 @@
 	var network interface{ Timeout() bool }
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return TimedOut.Wrap(err, "head of an answer")
+		return ErrTimedOut.Wrap(err, "head of an answer")
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
-		return Broken.Wrap(err, "head of an answer")
+		return ErrBroken.Wrap(err, "head of an answer")
 	default:
-		return InvalidAnswer.Wrap(err, "head of an answer")
+		return ErrInvalidAnswer.Wrap(err, "head of an answer")
 	}
 }
 
 // Read implements io.Reader. io.EOF comes only after the complete body; a truncated one gives
-// Broken.
+// ErrBroken.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	if a.complete {
 		return 0, io.EOF
--- a/internal/node/forward/upstream/conn.go
+++ b/internal/node/forward/upstream/conn.go
@@ -97,21 +97,21 @@
 		deadline = limit
 	}
 	err := c.Await(deadline)
-	if errorx.IsOfType(err, TimedOut) {
+	if errorx.IsOfType(err, ErrTimedOut) {
 		return nil
 	}
 	if err == nil {
-		return Rejected.New("bytes came before a request was sent")
+		return ErrRejected.New("bytes came before a request was sent")
 	}
-	return Rejected.Wrap(err, "new connection")
+	return ErrRejected.Wrap(err, "new connection")
 }
 
 // maxRoundTrip bounds what AwaitReset takes for a round trip, as connecting may also take long
 // because a packet was lost.
 const maxRoundTrip = 10 * time.Millisecond
 
-// Send writes a request once, until the deadline at the latest. The error is Unsent where the
-// connection took no byte of it, else SentInPart.
+// Send writes a request once, until the deadline at the latest. The error is ErrUnsent where the
+// connection took no byte of it, else ErrSentInPart.
 func (c *Conn) Send(head, body []byte, deadline time.Time) error {
 	c.SetDeadline(deadline)
 	c.sentAt, c.answersAtSend = time.Now(), c.answersRead
@@ -120,9 +120,9 @@
 		return nil
 	}
 	if written == 0 {
-		return Unsent.Wrap(err, "request")
+		return ErrUnsent.Wrap(err, "request")
 	}
-	return SentInPart.Wrap(err, "request: %d bytes left", written)
+	return ErrSentInPart.Wrap(err, "request: %d bytes left", written)
 }
 
 // write writes head and body, and returns how many bytes the connection took.
@@ -135,7 +135,7 @@
 	return buffers.WriteTo(c.socket)
 }
 
-// Await waits until an unread byte has arrived. At the deadline it returns TimedOut, after which
+// Await waits until an unread byte has arrived. At the deadline it returns ErrTimedOut, after which
 // the connection can still be used: a broker that takes long is no fault.
 func (c *Conn) Await(deadline time.Time) error {
 	if c.reader.Buffered() > 0 {
@@ -219,9 +219,9 @@
 // readError tells a deadline that passed from a connection that broke.
 func readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return TimedOut.Wrap(err, "answer")
+		return ErrTimedOut.Wrap(err, "answer")
 	}
-	return Broken.Wrap(err, "answer")
+	return ErrBroken.Wrap(err, "answer")
 }
 
 // errHeadTooLarge says that the head of an answer exceeds Options.MaxHeadBytes.
--- a/internal/node/forward/upstream/dial.go
+++ b/internal/node/forward/upstream/dial.go
@@ -49,7 +49,7 @@
 
 // open opens a connection, and waits for it several times as long as connections usually take,
 // twice as long for each earlier attempt of the request, but not beyond the deadline. The error is
-// of type Exhausted or ConnectFailed.
+// of type ErrExhausted or ErrConnectFailed.
 func (p *Pool) open(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	h, err := p.reserve(target)
 	if err != nil {
@@ -60,7 +60,7 @@
 	conn, err := d.await(ctx, p.connectWait(target.EarlierAttempts), deadline)
 	if err != nil {
 		p.Counters.Failed.Add(1)
-		return nil, ConnectFailed.Wrap(err, "connection to %s", target.InstanceID)
+		return nil, ErrConnectFailed.Wrap(err, "connection to %s", target.InstanceID)
 	}
 	return conn, nil
 }
--- a/internal/node/forward/upstream/dial_test.go
+++ b/internal/node/forward/upstream/dial_test.go
@@ -97,7 +97,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
 			blocked := blockDials(pool)
-			assert.Assert(t, errorx.IsOfType(test.get(pool), ConnectFailed))
+			assert.Assert(t, errorx.IsOfType(test.get(pool), ErrConnectFailed))
 			open, idle := openAndIdle(pool)
 			assert.Equal(t, open, 1, "one that is still opened counts")
 			assert.Equal(t, idle, 0)
@@ -134,7 +134,7 @@
 	pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: 20 * time.Millisecond})
 	blockDials(pool)
 	_, err := pool.Get(t.Context(), p.target("i-1"), soon())
-	assert.Assert(t, errorx.IsOfType(err, ConnectFailed))
+	assert.Assert(t, errorx.IsOfType(err, ErrConnectFailed))
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	limit := time.After(testTimeout)
@@ -156,7 +156,7 @@
 	pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
 	blocked := blockDials(pool)
 	_, err := pool.Get(t.Context(), p.target("i-1"), soon())
-	assert.Assert(t, errorx.IsOfType(err, ConnectFailed))
+	assert.Assert(t, errorx.IsOfType(err, ErrConnectFailed))
 	pool.Close()
 	close(blocked.release)
 	socket := <-p.sockets
--- a/internal/node/forward/upstream/errors.go
+++ b/internal/node/forward/upstream/errors.go
@@ -16,23 +16,23 @@
 
 // The types of failures of an exchange with a broker.
 var (
-	// ConnectFailed says that no connection was established.
-	ConnectFailed = namespace.NewType("connect_failed", traitNotRun)
-	// Exhausted says that this proxy already has as many connections to the broker as it may.
-	Exhausted = namespace.NewType("exhausted", traitNotRun)
-	// Rejected says that the broker closed a new connection before anything was sent on it, as it does
+	// ErrConnectFailed says that no connection was established.
+	ErrConnectFailed = namespace.NewType("connect_failed", traitNotRun)
+	// ErrExhausted says that this proxy already has as many connections to the broker as it may.
+	ErrExhausted = namespace.NewType("exhausted", traitNotRun)
+	// ErrRejected says that the broker closed a new connection before anything was sent on it, as it does
 	// beyond maxConnections.
-	Rejected = namespace.NewType("rejected", traitNotRun)
-	// Unsent says that the connection took no byte of the request.
-	Unsent = namespace.NewType("unsent", traitNotRun)
-	// SentInPart says that the connection broke after it took some bytes of the request.
-	SentInPart = namespace.NewType("sent_in_part")
-	// Broken says that the connection ended or broke before the answer was complete.
-	Broken = namespace.NewType("cut")
-	// TimedOut says that the deadline passed.
-	TimedOut = namespace.NewType("timed_out", errorx.Timeout())
-	// InvalidAnswer says that what arrived is no valid answer to the request.
-	InvalidAnswer = namespace.NewType("garbled")
+	ErrRejected = namespace.NewType("rejected", traitNotRun)
+	// ErrUnsent says that the connection took no byte of the request.
+	ErrUnsent = namespace.NewType("unsent", traitNotRun)
+	// ErrSentInPart says that the connection broke after it took some bytes of the request.
+	ErrSentInPart = namespace.NewType("sent_in_part")
+	// ErrBroken says that the connection ended or broke before the answer was complete.
+	ErrBroken = namespace.NewType("cut")
+	// ErrTimedOut says that the deadline passed.
+	ErrTimedOut = namespace.NewType("timed_out", errorx.Timeout())
+	// ErrInvalidAnswer says that what arrived is no valid answer to the request.
+	ErrInvalidAnswer = namespace.NewType("garbled")
 )
 
 // VerdictOf returns what an error of this package says about whether the request ran.
--- a/internal/node/forward/upstream/pool.go
+++ b/internal/node/forward/upstream/pool.go
@@ -157,7 +157,7 @@
 
 // Get returns a connection without a request in progress: the idle one that was used last, or a new
 // one, which must be established before the deadline and while the context lasts. The error is of
-// type Exhausted or ConnectFailed.
+// type ErrExhausted or ErrConnectFailed.
 func (p *Pool) Get(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	now := time.Now()
 	for {
@@ -225,7 +225,7 @@
 	}
 	h.target = target
 	if target.MaxConnections > 0 && h.open >= target.MaxConnections {
-		return nil, Exhausted.New("%d connections to %s are open", h.open, target.InstanceID)
+		return nil, ErrExhausted.New("%d connections to %s are open", h.open, target.InstanceID)
 	}
 	h.open++
 	return h, nil
--- a/internal/node/journal/writer.go
+++ b/internal/node/journal/writer.go
@@ -167,7 +167,7 @@
 func (w *Writer) write(batch []queuedWrite) error {
 	resumeCount := batch[0].resumeCount
 	if resumeCount < w.minResumeCount {
-		return Skipped.New("write: an earlier write failed")
+		return ErrSkipped.New("write: an earlier write failed")
 	}
 	if w.lastWriteFailed {
 		w.backoff(retryDelay)
--- a/internal/node/journal/writer_test.go
+++ b/internal/node/journal/writer_test.go
@@ -65,7 +65,7 @@
 	switch {
 	case err == nil:
 		return "written"
-	case errorx.IsOfType(err, Skipped):
+	case errorx.IsOfType(err, ErrSkipped):
 		return "skipped"
 	default:
 		return "refused"
--- a/internal/node/nodestatus/read.go
+++ b/internal/node/nodestatus/read.go
@@ -17,32 +17,32 @@
 
 var (
 	namespace = errorx.NewNamespace("nodestatus")
-	// Unreachable says that a node returned no status.
-	Unreachable = namespace.NewType("unreachable")
+	// ErrUnreachable says that a node returned no status.
+	ErrUnreachable = namespace.NewType("unreachable")
 )
 
 // Fetch returns the status of the node at a control address, "IP:port". The error is of type
-// Unreachable.
+// ErrUnreachable.
 func Fetch(ctx context.Context, address string) (*Status, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
-		return nil, Unreachable.Wrap(err, "%s", address)
+		return nil, ErrUnreachable.Wrap(err, "%s", address)
 	}
 	request.Close = true
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
-		return nil, Unreachable.Wrap(err, "%s", address)
+		return nil, ErrUnreachable.Wrap(err, "%s", address)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, Unreachable.New("%s: status %d", address, response.StatusCode)
+		return nil, ErrUnreachable.New("%s: status %d", address, response.StatusCode)
 	}
 	status := &Status{}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(status); err != nil {
-		return nil, Unreachable.Wrap(err, "%s: what came is no status", address)
+		return nil, ErrUnreachable.Wrap(err, "%s: what came is no status", address)
 	}
 	if status.ID == "" {
-		return nil, Unreachable.New("%s: the node is too busy to tell", address)
+		return nil, ErrUnreachable.New("%s: the node is too busy to tell", address)
 	}
 	return status, nil
 }
--- a/internal/node/nodestatus/status_test.go
+++ b/internal/node/nodestatus/status_test.go
@@ -68,7 +68,7 @@
 			t.Cleanup(server.Close)
 			status, err := Fetch(context.Background(), strings.TrimPrefix(server.URL, "http://"))
 			if !test.fine {
-				assert.Assert(t, errorx.IsOfType(err, Unreachable), "%v", err)
+				assert.Assert(t, errorx.IsOfType(err, ErrUnreachable), "%v", err)
 				return
 			}
 			assert.NilError(t, err)
--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -12,21 +12,21 @@
 // The errors of this package.
 var (
 	namespace = errorx.NewNamespace("settings")
-	// Unreadable says that the file could not be read.
-	Unreadable = namespace.NewType("unreadable")
-	// Malformed says that the content is not as DEPLOY.md specifies; the message names the path of the field.
-	Malformed = namespace.NewType("malformed")
+	// ErrUnreadable says that the file could not be read.
+	ErrUnreadable = namespace.NewType("unreadable")
+	// ErrMalformed says that the content is not as DEPLOY.md specifies; the message names the path of the field.
+	ErrMalformed = namespace.NewType("malformed")
 )
 
 // maxFileBytes bounds the settings file; the example of DEPLOY.md is under 2 KiB.
 const maxFileBytes = 1 << 20
 
-// Load reads and validates the settings file at path. The error is of type Unreadable or Malformed, and
+// Load reads and validates the settings file at path. The error is of type ErrUnreadable or ErrMalformed, and
 // names the path.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Unreadable.Wrap(err, "settings file %s", path)
+		return nil, ErrUnreadable.Wrap(err, "settings file %s", path)
 	}
 	settings, err := Parse(content)
 	if err != nil {
@@ -35,10 +35,10 @@
 	return settings, nil
 }
 
-// Parse decodes and validates the content of a settings file. The error is of type Malformed.
+// Parse decodes and validates the content of a settings file. The error is of type ErrMalformed.
 func Parse(content []byte) (*Settings, error) {
 	if len(content) > maxFileBytes {
-		return nil, Malformed.New("the file has %d bytes, more than %d", len(content), maxFileBytes)
+		return nil, ErrMalformed.New("the file has %d bytes, more than %d", len(content), maxFileBytes)
 	}
 	var decoded document
 	if err := json.Unmarshal(content, &decoded); err != nil {
@@ -46,7 +46,7 @@
 	}
 	settings, err := decoded.settings()
 	if err != nil {
-		return nil, Malformed.New("%s", err.Error())
+		return nil, ErrMalformed.New("%s", err.Error())
 	}
 	return settings, nil
 }
@@ -55,9 +55,9 @@
 func malformedJSON(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		return Malformed.New("field %s: %s where %s is expected", wrongType.Field, wrongType.Value, kindName(wrongType))
+		return ErrMalformed.New("field %s: %s where %s is expected", wrongType.Field, wrongType.Value, kindName(wrongType))
 	}
-	return Malformed.New("not a JSON object: %s", err.Error())
+	return ErrMalformed.New("not a JSON object: %s", err.Error())
 }
 
 // kindName returns what JSON calls the type that a field must have.
--- a/internal/node/wireproto/errors.go
+++ b/internal/node/wireproto/errors.go
@@ -7,31 +7,31 @@
 
 // Types of errors of frames and streams.
 var (
-	// Truncated says that the stream ended, or its deadline passed, inside a frame.
-	Truncated = namespace.NewType("truncated")
-	// Oversized says that a frame is, or by its header claims to be, larger than MaxFrame.
-	Oversized = namespace.NewType("oversized")
-	// NotAFrame says that the header has another magic byte or another version of the framing.
-	NotAFrame = namespace.NewType("not_a_frame")
-	// OtherProtocol says that the frame is complete, but its sender uses another version of the schema.
-	OtherProtocol = namespace.NewType("other_protocol")
-	// Undecodable says that the frame is complete, but contains no envelope with a body that this node knows.
-	Undecodable = namespace.NewType("undecodable")
-	// Unencodable says that an envelope can't be encoded, as one of its strings is not UTF-8.
-	Unencodable = namespace.NewType("unencodable")
+	// ErrTruncated says that the stream ended, or its deadline passed, inside a frame.
+	ErrTruncated = namespace.NewType("truncated")
+	// ErrOversized says that a frame is, or by its header claims to be, larger than MaxFrame.
+	ErrOversized = namespace.NewType("oversized")
+	// ErrNotAFrame says that the header has another magic byte or another version of the framing.
+	ErrNotAFrame = namespace.NewType("not_a_frame")
+	// ErrOtherProtocol says that the frame is complete, but its sender uses another version of the schema.
+	ErrOtherProtocol = namespace.NewType("other_protocol")
+	// ErrUndecodable says that the frame is complete, but contains no envelope with a body that this node knows.
+	ErrUndecodable = namespace.NewType("undecodable")
+	// ErrUnencodable says that an envelope can't be encoded, as one of its strings is not UTF-8.
+	ErrUnencodable = namespace.NewType("unencodable")
 )
 
 // Skippable reports whether err concerns a single frame that was read to its end, so that the next frame
 // of the stream can be read. After any other error the stream can't be used.
 func Skippable(err error) bool {
-	return errorx.IsOfType(err, OtherProtocol) || errorx.IsOfType(err, Undecodable)
+	return errorx.IsOfType(err, ErrOtherProtocol) || errorx.IsOfType(err, ErrUndecodable)
 }
 
-// IsOtherProtocol reports whether err is of type OtherProtocol.
-func IsOtherProtocol(err error) bool { return errorx.IsOfType(err, OtherProtocol) }
+// IsOtherProtocol reports whether err is of type ErrOtherProtocol.
+func IsOtherProtocol(err error) bool { return errorx.IsOfType(err, ErrOtherProtocol) }
 
 // IsBrokenStream reports whether err says that a stream ended inside a frame or doesn't consist of
 // frames.
 func IsBrokenStream(err error) bool {
-	return errorx.IsOfType(err, Truncated) || errorx.IsOfType(err, Oversized) || errorx.IsOfType(err, NotAFrame)
+	return errorx.IsOfType(err, ErrTruncated) || errorx.IsOfType(err, ErrOversized) || errorx.IsOfType(err, ErrNotAFrame)
 }
--- a/internal/node/wireproto/frame.go
+++ b/internal/node/wireproto/frame.go
@@ -40,7 +40,7 @@
 )
 
 // Append appends the envelope to dst as one frame, with protocol and sender as the envelope has them. On
-// an error (Oversized, Unencodable) dst is returned unchanged.
+// an error (ErrOversized, ErrUnencodable) dst is returned unchanged.
 func Append(dst []byte, envelope *nodepb.Envelope) ([]byte, error) {
 	return appendFrame(dst, envelope, nil)
 }
@@ -54,18 +54,18 @@
 }
 
 // NewSender returns the encoder of the node with the id, which receives replies at address. The error is
-// of type Unencodable.
+// of type ErrUnencodable.
 func NewSender(nodeID, address string) (*Sender, error) {
 	header := &nodepb.Envelope{Protocol: Protocol, SenderId: nodeID, SenderAddress: address}
 	fields, err := proto.Marshal(header)
 	if err != nil {
-		return nil, Unencodable.Wrap(err, "sender %q at %q", nodeID, address)
+		return nil, ErrUnencodable.Wrap(err, "sender %q at %q", nodeID, address)
 	}
 	return &Sender{fields: fields}, nil
 }
 
 // Append appends the envelope to dst as one frame, with protocol and sender filled in. On an error
-// (Oversized, Unencodable) dst is returned unchanged.
+// (ErrOversized, ErrUnencodable) dst is returned unchanged.
 func (s *Sender) Append(dst []byte, envelope *nodepb.Envelope) ([]byte, error) {
 	return appendFrame(dst, envelope, s.fields)
 }
@@ -76,12 +76,12 @@
 	frame := append(dst, 0, 0, 0, 0, frameMagic, frameVersion)
 	frame, err := proto.MarshalOptions{}.MarshalAppend(frame, envelope)
 	if err != nil {
-		return dst, Unencodable.Wrap(err, "kind %s", KindOf(envelope))
+		return dst, ErrUnencodable.Wrap(err, "kind %s", KindOf(envelope))
 	}
 	frame = append(frame, fields...)
 	length := len(frame) - start - HeaderSize
 	if length > MaxFrame {
-		return dst, Oversized.New("kind %s: %d bytes, the bound is %d", KindOf(envelope), length, MaxFrame)
+		return dst, ErrOversized.New("kind %s: %d bytes, the bound is %d", KindOf(envelope), length, MaxFrame)
 	}
 	binary.BigEndian.PutUint32(frame[start:], uint32(length))
 	return frame, nil
--- a/internal/node/wireproto/frame_test.go
+++ b/internal/node/wireproto/frame_test.go
@@ -109,8 +109,8 @@
 		envelope *nodepb.Envelope
 		want     *errorx.Type
 	}{
-		"too large": {snapshot(wireproto.MaxFrame), wireproto.Oversized},
-		"not UTF-8": {notText, wireproto.Unencodable},
+		"too large": {snapshot(wireproto.MaxFrame), wireproto.ErrOversized},
+		"not UTF-8": {notText, wireproto.ErrUnencodable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 		})
 	}
 	_, err := wireproto.NewSender("\xff", "")
-	assert.Assert(t, errorx.IsOfType(err, wireproto.Unencodable), "%v", err)
+	assert.Assert(t, errorx.IsOfType(err, wireproto.ErrUnencodable), "%v", err)
 }
 
 func TestReaderErrorsAreTyped(t *testing.T) {
@@ -134,18 +134,18 @@
 		want    *errorx.Type
 		skipped bool
 	}{
-		"cut within the header":   {complete[:4], wireproto.Truncated, false},
-		"cut within the envelope": {complete[:len(complete)-1], wireproto.Truncated, false},
-		"cut within a large one":  {frame(t, snapshot(200<<10))[:100<<10], wireproto.Truncated, false},
-		"length above the bound":  {header(wireproto.MaxFrame+1, 0xB7, 1), wireproto.Oversized, false},
-		"length of 4 GiB":         {header(1<<32-1, 0xB7, 1), wireproto.Oversized, false},
-		"another magic byte":      {header(3, 0xB8, 1), wireproto.NotAFrame, false},
-		"another framing":         {header(3, 0xB7, 2), wireproto.NotAFrame, false},
-		"HTTP":                    {[]byte("GET / HTTP/1.1\r\n\r\n"), wireproto.NotAFrame, false},
-		"another protocol":        {frame(t, otherProtocol), wireproto.OtherProtocol, true},
-		"an empty envelope":       {header(0, 0xB7, 1), wireproto.OtherProtocol, true},
-		"no protobuf":             {append(header(3, 0xB7, 1), 0xff, 0xff, 0xff), wireproto.Undecodable, true},
-		"no body":                 {frame(t, withoutBody), wireproto.Undecodable, true},
+		"cut within the header":   {complete[:4], wireproto.ErrTruncated, false},
+		"cut within the envelope": {complete[:len(complete)-1], wireproto.ErrTruncated, false},
+		"cut within a large one":  {frame(t, snapshot(200<<10))[:100<<10], wireproto.ErrTruncated, false},
+		"length above the bound":  {header(wireproto.MaxFrame+1, 0xB7, 1), wireproto.ErrOversized, false},
+		"length of 4 GiB":         {header(1<<32-1, 0xB7, 1), wireproto.ErrOversized, false},
+		"another magic byte":      {header(3, 0xB8, 1), wireproto.ErrNotAFrame, false},
+		"another framing":         {header(3, 0xB7, 2), wireproto.ErrNotAFrame, false},
+		"HTTP":                    {[]byte("GET / HTTP/1.1\r\n\r\n"), wireproto.ErrNotAFrame, false},
+		"another protocol":        {frame(t, otherProtocol), wireproto.ErrOtherProtocol, true},
+		"an empty envelope":       {header(0, 0xB7, 1), wireproto.ErrOtherProtocol, true},
+		"no protobuf":             {append(header(3, 0xB7, 1), 0xff, 0xff, 0xff), wireproto.ErrUndecodable, true},
+		"no body":                 {frame(t, withoutBody), wireproto.ErrUndecodable, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 	allocated := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			_, err := wireproto.NewReader(bytes.NewReader(stream)).Next()
-			if !errorx.IsOfType(err, wireproto.Truncated) {
+			if !errorx.IsOfType(err, wireproto.ErrTruncated) {
 				b.Fatal(err)
 			}
 		}
--- a/internal/node/wireproto/link/network.go
+++ b/internal/node/wireproto/link/network.go
@@ -35,13 +35,13 @@
 }
 
 // New listens on options.ListenAddress and starts to receive. Close ends it. The error is of type
-// CannotListen or wireproto.Unencodable.
+// ErrCannotListen or wireproto.ErrUnencodable.
 func New(options Options) (*Network, error) {
 	options = options.withDefaults()
 	configuration := net.ListenConfig{KeepAliveConfig: keepAlive(options)}
 	listener, err := configuration.Listen(context.Background(), "tcp4", options.ListenAddress)
 	if err != nil {
-		return nil, CannotListen.Wrap(err, "on %s", options.ListenAddress)
+		return nil, ErrCannotListen.Wrap(err, "on %s", options.ListenAddress)
 	}
 	if options.SelfAddress == "" {
 		options.SelfAddress = listener.Addr().String()
--- a/internal/node/wireproto/link/options.go
+++ b/internal/node/wireproto/link/options.go
@@ -75,8 +75,8 @@
 
 var namespace = errorx.NewNamespace("link")
 
-// CannotListen is the error of New where the listener can't be opened.
-var CannotListen = namespace.NewType("cannot_listen")
+// ErrCannotListen is the error of New where the listener can't be opened.
+var ErrCannotListen = namespace.NewType("cannot_listen")
 
 // withDefaults replaces values that aren't set.
 func (o Options) withDefaults() Options {
--- a/internal/node/wireproto/reader.go
+++ b/internal/node/wireproto/reader.go
@@ -49,7 +49,7 @@
 	}
 	body, err := r.readBody(length)
 	if err != nil {
-		return nil, Truncated.Wrap(err, "within the %d bytes of an envelope", length)
+		return nil, ErrTruncated.Wrap(err, "within the %d bytes of an envelope", length)
 	}
 	r.frameSize = HeaderSize + length
 	return decode(body)
@@ -69,14 +69,14 @@
 		if len(header) == 0 {
 			return 0, err
 		}
-		return 0, Truncated.Wrap(err, "within a header")
+		return 0, ErrTruncated.Wrap(err, "within a header")
 	}
 	if header[magicOffset] != frameMagic || header[versionOffset] != frameVersion {
-		return 0, NotAFrame.New("header % x", header)
+		return 0, ErrNotAFrame.New("header % x", header)
 	}
 	length := binary.BigEndian.Uint32(header)
 	if length > MaxFrame {
-		return 0, Oversized.New("an envelope of %d bytes, the bound is %d", length, MaxFrame)
+		return 0, ErrOversized.New("an envelope of %d bytes, the bound is %d", length, MaxFrame)
 	}
 	_, err = r.source.Discard(HeaderSize)
 	return int(length), err
@@ -135,13 +135,13 @@
 	envelope := new(nodepb.Envelope)
 	err := proto.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(body, envelope)
 	if err != nil {
-		return nil, Undecodable.Wrap(err, "an envelope of %d bytes", len(body))
+		return nil, ErrUndecodable.Wrap(err, "an envelope of %d bytes", len(body))
 	}
 	if envelope.GetProtocol() != Protocol {
-		return nil, OtherProtocol.New("protocol %d, this node speaks %d", envelope.GetProtocol(), Protocol)
+		return nil, ErrOtherProtocol.New("protocol %d, this node speaks %d", envelope.GetProtocol(), Protocol)
 	}
 	if envelope.GetBody() == nil {
-		return nil, Undecodable.New("an envelope without a known body")
+		return nil, ErrUndecodable.New("an envelope without a known body")
 	}
 	return envelope, nil
 }
