--- a/internal/node/journal/errors.go
+++ b/internal/node/journal/errors.go
@@ -1,19 +1,18 @@
 package journal
 
-import "github.com/joomcode/errorx"
+import "errors"
 
-var namespace = errorx.NewNamespace("journal")
-
-// The types of errors of this package; test them by errorx.IsOfType.
+// The errors of this package; test for them with errors.Is. They wrap the system's error where
+// there is one.
 var (
 	// ErrUnreadable: the disk can't be read, so that nothing is known of its contents.
-	ErrUnreadable = namespace.NewType("unreadable")
+	ErrUnreadable = errors.New("journal: disk unreadable")
 	// ErrWriteFailed: the disk refused a write or a sync. The same write may be tried again.
-	ErrWriteFailed = namespace.NewType("write_failed")
+	ErrWriteFailed = errors.New("journal: write failed")
 	// ErrFull: the segment has no space left for the records; a checkpoint frees space.
-	ErrFull = namespace.NewType("full")
+	ErrFull = errors.New("journal: segment full")
 	// ErrTooLarge: the records of a checkpoint don't fit into a segment.
-	ErrTooLarge = namespace.NewType("too_large")
+	ErrTooLarge = errors.New("journal: checkpoint too large")
 	// ErrSkipped: a write was not tried, as an earlier one had failed.
-	ErrSkipped = namespace.NewType("skipped")
+	ErrSkipped = errors.New("journal: write skipped")
 )
--- a/internal/node/journal/journal.go
+++ b/internal/node/journal/journal.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"encoding/hex"
 	"errors"
+	"fmt"
 	"io"
 	"sync/atomic"
 
@@ -35,7 +36,7 @@
 
 // Open opens the journal in a directory and returns its records: those of the newest complete
 // checkpoint, and those appended after it, in order. On a disk that refuses writes, Open succeeds
-// and writes fail until the disk takes them again. The error is of type ErrUnreadable: the disk can't
+// and writes fail until the disk takes them again. The error is ErrUnreadable: the disk can't
 // be read, so that nothing is known of its state.
 func Open(options Options) (*Journal, []core.Record, error) {
 	options = options.withDefaults()
@@ -51,7 +52,7 @@
 	records, err := journal.recoverRing()
 	if err != nil {
 		_ = journal.Close()
-		return nil, nil, ErrUnreadable.Wrap(err, "journal in %s", options.Dir)
+		return nil, nil, fmt.Errorf("%w: open %s: %w", ErrUnreadable, options.Dir, err)
 	}
 	// Where the disk refuses the repair, the next write tries it again.
 	journal.healthy.Store(journal.repair() == nil)
@@ -73,7 +74,7 @@
 // NeedsCheckpoint reports whether a checkpoint is due. The next segment always has space for one.
 func (j *Journal) NeedsCheckpoint() bool { return j.needsCheckpoint.Load() }
 
-// Append makes records durable after the existing ones. After an error of type ErrWriteFailed the
+// Append makes records durable after the existing ones. After an ErrWriteFailed the
 // records may or may not be found at the next start; a later Append overwrites them. An error of
 // type Full means that nothing was written and that a checkpoint is needed first. Without records,
 // Append makes sure that the recovered ones are durable.
@@ -83,19 +84,19 @@
 	}
 	if err := j.repair(); err != nil {
 		j.healthy.Store(false)
-		return ErrWriteFailed.Wrap(err, "append")
+		return fmt.Errorf("%w: append: %w", ErrWriteFailed, err)
 	}
 	end := j.end.offset + framesBytes(records)
 	if end > j.currentSegment.limit {
 		j.needsCheckpoint.Store(true)
-		return ErrFull.New("append: %d bytes of %d are in use", j.end.offset, j.currentSegment.limit)
+		return fmt.Errorf("%w: append: %d bytes of %d are in use", ErrFull, j.end.offset, j.currentSegment.limit)
 	}
 	if err := j.appendBatch(records, end); err != nil {
 		// A new attempt number keeps the remains of this write from being read as part of the next
 		// one.
 		j.attempt = j.randomNumber()
 		j.healthy.Store(false)
-		return ErrWriteFailed.Wrap(err, "append")
+		return fmt.Errorf("%w: append: %w", ErrWriteFailed, err)
 	}
 	j.healthy.Store(true)
 	j.setNeedsCheckpoint()
@@ -130,7 +131,7 @@
 	}
 	limit := j.segments[j.nextSegment].limit
 	if bytes := headerBytes + startPayloadBytes + framesBytes(records); bytes > limit {
-		return ErrTooLarge.New("checkpoint: %d bytes, and a segment has %d", bytes, limit)
+		return fmt.Errorf("%w: %d bytes, and a segment has %d", ErrTooLarge, bytes, limit)
 	}
 	err := j.repair()
 	if err == nil {
@@ -138,7 +139,7 @@
 	}
 	j.healthy.Store(err == nil)
 	if err != nil {
-		return ErrWriteFailed.Wrap(err, "checkpoint")
+		return fmt.Errorf("%w: checkpoint: %w", ErrWriteFailed, err)
 	}
 	j.setNeedsCheckpoint()
 	return nil
--- a/internal/node/journal/journal_test.go
+++ b/internal/node/journal/journal_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/core"
@@ -49,7 +49,7 @@
 	file := filepath.Join(t.TempDir(), "file")
 	assert.NilError(t, os.WriteFile(file, nil, 0o600))
 	_, _, err := journal.Open(journal.Options{Dir: filepath.Join(file, "node")})
-	assert.Assert(t, errorx.IsOfType(err, journal.ErrUnreadable))
+	assert.Assert(t, errors.Is(err, journal.ErrUnreadable))
 }
 
 func TestFirstStartPreallocatesOneStep(t *testing.T) {
@@ -87,7 +87,7 @@
 	for err == nil {
 		err = opened.Append(list("a"))
 	}
-	assert.Assert(t, errorx.IsOfType(err, journal.ErrFull))
+	assert.Assert(t, errors.Is(err, journal.ErrFull))
 	assert.Assert(t, opened.NeedsCheckpoint())
 	assert.NilError(t, opened.Checkpoint(list("s")))
 	assert.NilError(t, opened.Append(list("a")))
@@ -99,7 +99,7 @@
 	large := core.Record{Data: make([]byte, 15<<10)}
 	assert.NilError(t, opened.Append(list("a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l")))
 	assert.Assert(t, !opened.NeedsCheckpoint())
-	assert.Assert(t, errorx.IsOfType(opened.Append([]core.Record{large}), journal.ErrFull))
+	assert.Assert(t, errors.Is(opened.Append([]core.Record{large}), journal.ErrFull))
 	assert.Assert(t, opened.NeedsCheckpoint())
 	assert.NilError(t, opened.Checkpoint(list("s")))
 	assert.NilError(t, opened.Append([]core.Record{large}))
@@ -110,7 +110,7 @@
 	opened, _ := open(t, disk)
 	assert.NilError(t, opened.Append(list("a")))
 	err := opened.Checkpoint([]core.Record{{Data: make([]byte, smallDisk)}})
-	assert.Assert(t, errorx.IsOfType(err, journal.ErrTooLarge))
+	assert.Assert(t, errors.Is(err, journal.ErrTooLarge))
 	assert.NilError(t, opened.Append(list("b")))
 	_, records := open(t, disk)
 	assertRecords(t, records, "a", "b")
--- a/internal/node/journal/writer.go
+++ b/internal/node/journal/writer.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"sync"
 	"time"
 
@@ -167,7 +168,7 @@
 func (w *Writer) write(batch []queuedWrite) error {
 	resumeCount := batch[0].resumeCount
 	if resumeCount < w.minResumeCount {
-		return ErrSkipped.New("write: an earlier write failed")
+		return fmt.Errorf("%w: an earlier write failed", ErrSkipped)
 	}
 	if w.lastWriteFailed {
 		w.backoff(retryDelay)
--- a/internal/node/journal/writer_test.go
+++ b/internal/node/journal/writer_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/core"
@@ -65,7 +64,7 @@
 	switch {
 	case err == nil:
 		return "written"
-	case errorx.IsOfType(err, ErrSkipped):
+	case errors.Is(err, ErrSkipped):
 		return "skipped"
 	default:
 		return "refused"
