--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -5,40 +5,37 @@
 	"errors"
 	"fmt"
 	"os"
-
-	"github.com/joomcode/errorx"
 )
 
 // The errors of this package.
 var (
-	namespace = errorx.NewNamespace("settings")
 	// ErrUnreadable says that the file could not be read.
-	ErrUnreadable = namespace.NewType("unreadable")
+	ErrUnreadable = errors.New("settings: unreadable")
 	// ErrMalformed says that the content is not as DEPLOY.md specifies; the message names the path of the field.
-	ErrMalformed = namespace.NewType("malformed")
+	ErrMalformed = errors.New("settings: malformed")
 )
 
 // maxFileBytes bounds the settings file; the example of DEPLOY.md is under 2 KiB.
 const maxFileBytes = 1 << 20
 
-// Load reads and validates the settings file at path. The error is of type ErrUnreadable or ErrMalformed, and
+// Load reads and validates the settings file at path. The error is ErrUnreadable or ErrMalformed, and
 // names the path.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, ErrUnreadable.Wrap(err, "settings file %s", path)
+		return nil, fmt.Errorf("%w: file %s: %w", ErrUnreadable, path, err)
 	}
 	settings, err := Parse(content)
 	if err != nil {
-		return nil, errorx.Decorate(err, "settings file %s", path)
+		return nil, fmt.Errorf("settings file %s: %w", path, err)
 	}
 	return settings, nil
 }
 
-// Parse decodes and validates the content of a settings file. The error is of type ErrMalformed.
+// Parse decodes and validates the content of a settings file. The error is ErrMalformed.
 func Parse(content []byte) (*Settings, error) {
 	if len(content) > maxFileBytes {
-		return nil, ErrMalformed.New("the file has %d bytes, more than %d", len(content), maxFileBytes)
+		return nil, fmt.Errorf("%w: the file has %d bytes, more than %d", ErrMalformed, len(content), maxFileBytes)
 	}
 	var decoded document
 	if err := json.Unmarshal(content, &decoded); err != nil {
@@ -46,7 +43,7 @@
 	}
 	settings, err := decoded.settings()
 	if err != nil {
-		return nil, ErrMalformed.New("%s", err.Error())
+		return nil, fmt.Errorf("%w: %s", ErrMalformed, err.Error())
 	}
 	return settings, nil
 }
@@ -55,9 +52,9 @@
 func malformedJSON(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		return ErrMalformed.New("field %s: %s where %s is expected", wrongType.Field, wrongType.Value, kindName(wrongType))
+		return fmt.Errorf("%w: field %s: %s where %s is expected", ErrMalformed, wrongType.Field, wrongType.Value, kindName(wrongType))
 	}
-	return ErrMalformed.New("not a JSON object: %s", err.Error())
+	return fmt.Errorf("%w: not a JSON object: %s", ErrMalformed, err.Error())
 }
 
 // kindName returns what JSON calls the type that a field must have.
--- a/internal/node/settings/settings_test.go
+++ b/internal/node/settings/settings_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 )
 
@@ -178,30 +178,30 @@
 	for _, c := range cases {
 		_, err := Parse(withField(t, c.path, c.value))
 		assert.ErrorContains(t, err, "field "+c.path+":", "%s = %s", c.path, c.value)
-		assert.Assert(t, errorx.IsOfType(err, ErrMalformed))
+		assert.Assert(t, errors.Is(err, ErrMalformed))
 	}
 }
 
 func TestNonObjectIsMalformed(t *testing.T) {
 	for _, content := range []string{"", "null", "[]", "7", example[:len(example)/2], example + "}", "{}"} {
 		_, err := Parse([]byte(content))
-		assert.Assert(t, errorx.IsOfType(err, ErrMalformed), "%.20q", content)
+		assert.Assert(t, errors.Is(err, ErrMalformed), "%.20q", content)
 	}
 }
 
 func TestOversizedFileIsMalformed(t *testing.T) {
 	_, err := Parse(make([]byte, maxFileBytes+1))
-	assert.Assert(t, errorx.IsOfType(err, ErrMalformed))
+	assert.Assert(t, errors.Is(err, ErrMalformed))
 }
 
 func TestLoadTellsUnreadableFromMalformed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	_, err := Load(path)
-	assert.Assert(t, errorx.IsOfType(err, ErrUnreadable))
+	assert.Assert(t, errors.Is(err, ErrUnreadable))
 
 	write(t, path, `{"nodeName": 7}`)
 	_, err = Load(path)
-	assert.Assert(t, errorx.IsOfType(err, ErrMalformed))
+	assert.Assert(t, errors.Is(err, ErrMalformed))
 	assert.ErrorContains(t, err, path)
 
 	write(t, path, example)
@@ -224,7 +224,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		settings, err := Parse(content)
 		if err != nil {
-			assert.Assert(t, errorx.IsOfType(err, ErrMalformed))
+			assert.Assert(t, errors.Is(err, ErrMalformed))
 			return
 		}
 		assert.Equal(t, len(settings.SeedInternalAddresses()), len(settings.Seeds))
