--- a/internal/node/nodestatus/read.go
+++ b/internal/node/nodestatus/read.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"io"
 	"net/http"
-
-	"github.com/joomcode/errorx"
 )
 
 // Path is the path of the status at a node's control address.
@@ -16,9 +16,8 @@
 const maxStatusBytes = 64 << 20
 
 var (
-	namespace = errorx.NewNamespace("nodestatus")
 	// ErrUnreachable says that a node returned no status.
-	ErrUnreachable = namespace.NewType("unreachable")
+	ErrUnreachable = errors.New("node status: unreachable")
 )
 
 // Fetch returns the status of the node at a control address, "IP:port". The error is of type
@@ -26,23 +25,23 @@
 func Fetch(ctx context.Context, address string) (*Status, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
-		return nil, ErrUnreachable.Wrap(err, "%s", address)
+		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, address, err)
 	}
 	request.Close = true
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
-		return nil, ErrUnreachable.Wrap(err, "%s", address)
+		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, address, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, ErrUnreachable.New("%s: status %d", address, response.StatusCode)
+		return nil, fmt.Errorf("%w: %s: status %d", ErrUnreachable, address, response.StatusCode)
 	}
 	status := &Status{}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(status); err != nil {
-		return nil, ErrUnreachable.Wrap(err, "%s: what came is no status", address)
+		return nil, fmt.Errorf("%w: %s: what came is no status: %w", ErrUnreachable, address, err)
 	}
 	if status.ID == "" {
-		return nil, ErrUnreachable.New("%s: the node is too busy to tell", address)
+		return nil, fmt.Errorf("%w: %s: the node is too busy to tell", ErrUnreachable, address)
 	}
 	return status, nil
 }
--- a/internal/node/nodestatus/status_test.go
+++ b/internal/node/nodestatus/status_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 )
 
@@ -68,7 +68,7 @@
 			t.Cleanup(server.Close)
 			status, err := Fetch(context.Background(), strings.TrimPrefix(server.URL, "http://"))
 			if !test.fine {
-				assert.Assert(t, errorx.IsOfType(err, ErrUnreachable), "%v", err)
+				assert.Assert(t, errors.Is(err, ErrUnreachable), "%v", err)
 				return
 			}
 			assert.NilError(t, err)
