--- a/internal/node/kvindex/events.go
+++ b/internal/node/kvindex/events.go
@@ -2,18 +2,15 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
 	"strconv"
 
-	"github.com/joomcode/errorx"
-
 	"kestrelspread/internal/node/routing/cachesalt"
 )
 
-// Errors is the namespace of errors of the index and its shell.
-var Errors = errorx.NewNamespace("kvindex")
-
-// ErrEvent is the type of the errors of a malformed event.
-var ErrEvent = Errors.NewType("event")
+// ErrEvent says that an event is malformed.
+var ErrEvent = errors.New("kvindex: malformed event")
 
 // Events is the answer to GET /kestrelspread/kv-events. Source: PROTOCOL.md, "KV cache".
 type Events struct {
@@ -43,10 +40,10 @@
 func (e *Event) UnmarshalJSON(text []byte) error {
 	var fields []json.RawMessage
 	if err := json.Unmarshal(text, &fields); err != nil {
-		return ErrEvent.Wrap(err, "decode cache event")
+		return fmt.Errorf("%w: decode cache event: %w", ErrEvent, err)
 	}
 	if len(fields) < minFields {
-		return ErrEvent.New("decode cache event: %d fields, at least %d expected", len(fields), minFields)
+		return fmt.Errorf("%w: decode cache event: %d fields, at least %d expected", ErrEvent, len(fields), minFields)
 	}
 	var sign, salt, part string
 	for _, field := range []struct {
@@ -54,19 +51,19 @@
 		text  *string
 	}{{fieldSign, &sign}, {fieldSalt, &salt}, {fieldPart, &part}} {
 		if err := json.Unmarshal(fields[field.index], field.text); err != nil {
-			return ErrEvent.Wrap(err, "decode cache event: field %d", field.index)
+			return fmt.Errorf("%w: decode cache event: field %d: %w", ErrEvent, field.index, err)
 		}
 	}
 	tokens, err := strconv.Atoi(string(fields[fieldTokens]))
 	if err != nil {
-		return ErrEvent.Wrap(err, "decode cache event: tokens")
+		return fmt.Errorf("%w: decode cache event: tokens: %w", ErrEvent, err)
 	}
 	partID, err := strconv.ParseUint(part, 16, 64)
 	if err != nil {
-		return ErrEvent.Wrap(err, "decode cache event: part")
+		return fmt.Errorf("%w: decode cache event: part: %w", ErrEvent, err)
 	}
 	if sign != "+" && sign != "-" {
-		return ErrEvent.New("decode cache event: sign %q", sign)
+		return fmt.Errorf("%w: decode cache event: sign %q", ErrEvent, sign)
 	}
 	*e = Event{Salt: cachesalt.ID(salt), Part: partID, Tokens: max(tokens, 0)}
 	return nil
--- a/internal/node/kvindex/feed/poller.go
+++ b/internal/node/kvindex/feed/poller.go
@@ -8,6 +8,8 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -31,8 +33,8 @@
 	waitHeader = "Wait-Ms"
 )
 
-// errNoEvents is the type of the errors of a failed call.
-var errNoEvents = kvindex.Errors.NewType("no_events")
+// errNoEvents says that a call failed.
+var errNoEvents = errors.New("kvindex: no events")
 
 // Poller makes the calls. It is safe for concurrent use.
 type Poller struct {
@@ -64,20 +66,20 @@
 	path := eventsPath + "?since=" + strconv.FormatUint(call.Since, 10)
 	request, err := brokercall.NewRequest(ctx, http.MethodGet, call.Address, path, call.Instance, nil)
 	if err != nil {
-		return nil, errNoEvents.Wrap(err, "fetch events of %s: build request", call.Address)
+		return nil, fmt.Errorf("%w: fetch events of %s: build request: %w", errNoEvents, call.Address, err)
 	}
 	request.Header.Set(waitHeader, strconv.FormatInt(call.Wait.Milliseconds(), 10))
 	response, err := p.client.Do(request)
 	if err != nil {
-		return nil, errNoEvents.Wrap(err, "fetch events of %s", call.Address)
+		return nil, fmt.Errorf("%w: fetch events of %s: %w", errNoEvents, call.Address, err)
 	}
 	defer brokercall.Discard(response.Body, maxResponseBytes)
 	if response.StatusCode != http.StatusOK {
-		return nil, errNoEvents.New("fetch events of %s: status %d", call.Address, response.StatusCode)
+		return nil, fmt.Errorf("%w: fetch events of %s: status %d", errNoEvents, call.Address, response.StatusCode)
 	}
 	events := &kvindex.Events{}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(events); err != nil {
-		return nil, errNoEvents.Wrap(err, "fetch events of %s: decode response", call.Address)
+		return nil, fmt.Errorf("%w: fetch events of %s: decode response: %w", errNoEvents, call.Address, err)
 	}
 	return events, nil
 }
