--- a/internal/node/registry/saved/saved.go
+++ b/internal/node/registry/saved/saved.go
@@ -11,12 +11,13 @@
 
 import (
 	"encoding/binary"
+	"errors"
+	"fmt"
 	"hash/crc32"
 	"os"
 	"path/filepath"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
 
 	"kestrelspread/internal/node/nodepb"
@@ -38,10 +39,8 @@
 // keep tombstones, so that an old snapshot does not revive a gone broker.
 const MaxAge = 40 * time.Second
 
-var namespace = errorx.NewNamespace("registry_saved")
-
-// ErrUnusable is the type of the errors of a snapshot that is missing, damaged, too old or too large.
-var ErrUnusable = namespace.NewType("unusable")
+// ErrUnusable says that a snapshot is missing, damaged, too old or too large.
+var ErrUnusable = errors.New("registry snapshot: unusable")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -65,7 +64,7 @@
 		return err
 	}
 	if len(body) > maxBytes {
-		return ErrUnusable.New("save snapshot: %d bytes, the limit is %d", len(body), maxBytes)
+		return fmt.Errorf("%w: save snapshot: %d bytes, the limit is %d", ErrUnusable, len(body), maxBytes)
 	}
 	slot := f.nextSlot
 	f.nextSlot = (f.nextSlot + 1) % slotCount
@@ -113,9 +112,9 @@
 	}
 	switch {
 	case newest == nil:
-		return nil, ErrUnusable.New("load snapshot: no complete snapshot")
+		return nil, fmt.Errorf("%w: load snapshot: no complete snapshot", ErrUnusable)
 	case now.Sub(newestAt).Abs() > MaxAge:
-		return nil, ErrUnusable.New("load snapshot: the newest was saved at %v", newestAt)
+		return nil, fmt.Errorf("%w: load snapshot: the newest was saved at %v", ErrUnusable, newestAt)
 	}
 	return newest.Instances, nil
 }
@@ -127,15 +126,15 @@
 		return nil, time.Time{}, err
 	}
 	if len(content) < headerSize || binary.BigEndian.Uint64(content) != magic {
-		return nil, time.Time{}, ErrUnusable.New("read %s: no header", path)
+		return nil, time.Time{}, fmt.Errorf("%w: read %s: no header", ErrUnusable, path)
 	}
 	length := int(binary.BigEndian.Uint32(content[lengthOffset:]))
 	if length > maxBytes || headerSize+length > len(content) {
-		return nil, time.Time{}, ErrUnusable.New("read %s: truncated", path)
+		return nil, time.Time{}, fmt.Errorf("%w: read %s: truncated", ErrUnusable, path)
 	}
 	body := content[headerSize : headerSize+length]
 	if checksum(content, body) != binary.BigEndian.Uint32(content[checksumOffset:]) {
-		return nil, time.Time{}, ErrUnusable.New("read %s: wrong checksum", path)
+		return nil, time.Time{}, fmt.Errorf("%w: read %s: wrong checksum", ErrUnusable, path)
 	}
 	snapshot := &nodepb.RegistrySnapshot{}
 	if err := proto.Unmarshal(body, snapshot); err != nil {
