--- a/internal/node/chain/replica.go
+++ b/internal/node/chain/replica.go
@@ -1,10 +1,10 @@
 package chain
 
 import (
+	"errors"
+	"fmt"
 	"math/rand/v2"
 
-	"github.com/joomcode/errorx"
-
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 	"kestrelspread/internal/node/view"
@@ -12,9 +12,8 @@
 
 // Errors of this package.
 var (
-	namespace = errorx.NewNamespace("chain")
 	// ErrJournal: the records of the journal can't be the ones this package wrote.
-	ErrJournal = namespace.NewType("journal")
+	ErrJournal = errors.New("chain: unknown journal content")
 )
 
 // Replica is one core machine's part in the control state: an acceptor and perhaps a proposer of
@@ -65,7 +64,7 @@
 func New(now core.Time, options Options, records []core.Record, random *rand.Rand) (*Replica, []core.Output, error) {
 	journaled, err := replayJournal(records, options.StateMachine)
 	if err != nil {
-		return nil, nil, ErrJournal.Wrap(err, "replay the journal")
+		return nil, nil, fmt.Errorf("%w: replay the journal: %w", ErrJournal, err)
 	}
 	r := &Replica{
 		options:           options,
