--- a/internal/node/wireproto/errors.go
+++ b/internal/node/wireproto/errors.go
@@ -1,37 +1,34 @@
 package wireproto
 
-import "github.com/joomcode/errorx"
+import "errors"
 
-// namespace holds the errors of this package, without stack traces: broken streams are ordinary events.
-var namespace = errorx.NewNamespace("wireproto").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
-
-// Types of errors of frames and streams.
+// The errors of frames and streams; test for them with errors.Is. A broken stream is an ordinary event.
 var (
 	// ErrTruncated says that the stream ended, or its deadline passed, inside a frame.
-	ErrTruncated = namespace.NewType("truncated")
+	ErrTruncated = errors.New("wireproto: stream ended within a frame")
 	// ErrOversized says that a frame is, or by its header claims to be, larger than MaxFrame.
-	ErrOversized = namespace.NewType("oversized")
+	ErrOversized = errors.New("wireproto: frame too large")
 	// ErrNotAFrame says that the header has another magic byte or another version of the framing.
-	ErrNotAFrame = namespace.NewType("not_a_frame")
+	ErrNotAFrame = errors.New("wireproto: not a frame")
 	// ErrOtherProtocol says that the frame is complete, but its sender uses another version of the schema.
-	ErrOtherProtocol = namespace.NewType("other_protocol")
+	ErrOtherProtocol = errors.New("wireproto: other protocol")
 	// ErrUndecodable says that the frame is complete, but contains no envelope with a body that this node knows.
-	ErrUndecodable = namespace.NewType("undecodable")
+	ErrUndecodable = errors.New("wireproto: undecodable envelope")
 	// ErrUnencodable says that an envelope can't be encoded, as one of its strings is not UTF-8.
-	ErrUnencodable = namespace.NewType("unencodable")
+	ErrUnencodable = errors.New("wireproto: unencodable envelope")
 )
 
 // Skippable reports whether err concerns a single frame that was read to its end, so that the next frame
 // of the stream can be read. After any other error the stream can't be used.
 func Skippable(err error) bool {
-	return errorx.IsOfType(err, ErrOtherProtocol) || errorx.IsOfType(err, ErrUndecodable)
+	return errors.Is(err, ErrOtherProtocol) || errors.Is(err, ErrUndecodable)
 }
 
-// IsOtherProtocol reports whether err is of type ErrOtherProtocol.
-func IsOtherProtocol(err error) bool { return errorx.IsOfType(err, ErrOtherProtocol) }
+// IsOtherProtocol reports whether err is ErrOtherProtocol.
+func IsOtherProtocol(err error) bool { return errors.Is(err, ErrOtherProtocol) }
 
 // IsBrokenStream reports whether err says that a stream ended inside a frame or doesn't consist of
 // frames.
 func IsBrokenStream(err error) bool {
-	return errorx.IsOfType(err, ErrTruncated) || errorx.IsOfType(err, ErrOversized) || errorx.IsOfType(err, ErrNotAFrame)
+	return errors.Is(err, ErrTruncated) || errors.Is(err, ErrOversized) || errors.Is(err, ErrNotAFrame)
 }
--- a/internal/node/wireproto/frame.go
+++ b/internal/node/wireproto/frame.go
@@ -13,6 +13,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 
 	"google.golang.org/protobuf/proto"
 
@@ -59,7 +60,7 @@
 	header := &nodepb.Envelope{Protocol: Protocol, SenderId: nodeID, SenderAddress: address}
 	fields, err := proto.Marshal(header)
 	if err != nil {
-		return nil, ErrUnencodable.Wrap(err, "sender %q at %q", nodeID, address)
+		return nil, fmt.Errorf("%w: sender %q at %q: %w", ErrUnencodable, nodeID, address, err)
 	}
 	return &Sender{fields: fields}, nil
 }
@@ -76,12 +77,12 @@
 	frame := append(dst, 0, 0, 0, 0, frameMagic, frameVersion)
 	frame, err := proto.MarshalOptions{}.MarshalAppend(frame, envelope)
 	if err != nil {
-		return dst, ErrUnencodable.Wrap(err, "kind %s", KindOf(envelope))
+		return dst, fmt.Errorf("%w: kind %s: %w", ErrUnencodable, KindOf(envelope), err)
 	}
 	frame = append(frame, fields...)
 	length := len(frame) - start - HeaderSize
 	if length > MaxFrame {
-		return dst, ErrOversized.New("kind %s: %d bytes, the bound is %d", KindOf(envelope), length, MaxFrame)
+		return dst, fmt.Errorf("%w: kind %s: %d bytes, the bound is %d", ErrOversized, KindOf(envelope), length, MaxFrame)
 	}
 	binary.BigEndian.PutUint32(frame[start:], uint32(length))
 	return frame, nil
--- a/internal/node/wireproto/frame_test.go
+++ b/internal/node/wireproto/frame_test.go
@@ -9,7 +9,6 @@
 	"testing"
 	"testing/iotest"
 
-	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
@@ -107,7 +106,7 @@
 	notText.SenderId = "\xff"
 	tests := map[string]struct {
 		envelope *nodepb.Envelope
-		want     *errorx.Type
+		want     error
 	}{
 		"too large": {snapshot(wireproto.MaxFrame), wireproto.ErrOversized},
 		"not UTF-8": {notText, wireproto.ErrUnencodable},
@@ -116,12 +115,12 @@
 		t.Run(name, func(t *testing.T) {
 			buffer := []byte("kept")
 			got, err := wireproto.Append(buffer, test.envelope)
-			assert.Assert(t, errorx.IsOfType(err, test.want), "%v", err)
+			assert.Assert(t, errors.Is(err, test.want), "%v", err)
 			assert.Equal(t, string(got), "kept")
 		})
 	}
 	_, err := wireproto.NewSender("\xff", "")
-	assert.Assert(t, errorx.IsOfType(err, wireproto.ErrUnencodable), "%v", err)
+	assert.Assert(t, errors.Is(err, wireproto.ErrUnencodable), "%v", err)
 }
 
 func TestReaderErrorsAreTyped(t *testing.T) {
@@ -131,7 +130,7 @@
 	withoutBody := &nodepb.Envelope{Protocol: wireproto.Protocol, SenderId: "x"}
 	tests := map[string]struct {
 		stream  []byte
-		want    *errorx.Type
+		want    error
 		skipped bool
 	}{
 		"cut within the header":   {complete[:4], wireproto.ErrTruncated, false},
@@ -151,7 +150,7 @@
 		t.Run(name, func(t *testing.T) {
 			reader := wireproto.NewReader(bytes.NewReader(append(test.stream[:len(test.stream):len(test.stream)], tail(t, test.skipped)...)))
 			_, err := reader.Next()
-			assert.Assert(t, errorx.IsOfType(err, test.want), "%v", err)
+			assert.Assert(t, errors.Is(err, test.want), "%v", err)
 			assert.Equal(t, wireproto.Skippable(err), test.skipped)
 			if test.skipped {
 				assert.Assert(t, reader.FrameSize() > 0)
@@ -187,7 +186,7 @@
 	allocated := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			_, err := wireproto.NewReader(bytes.NewReader(stream)).Next()
-			if !errorx.IsOfType(err, wireproto.ErrTruncated) {
+			if !errors.Is(err, wireproto.ErrTruncated) {
 				b.Fatal(err)
 			}
 		}
--- a/internal/node/wireproto/link/network.go
+++ b/internal/node/wireproto/link/network.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"sync"
 
@@ -41,7 +42,7 @@
 	configuration := net.ListenConfig{KeepAliveConfig: keepAlive(options)}
 	listener, err := configuration.Listen(context.Background(), "tcp4", options.ListenAddress)
 	if err != nil {
-		return nil, ErrCannotListen.Wrap(err, "on %s", options.ListenAddress)
+		return nil, fmt.Errorf("%w: on %s: %w", ErrCannotListen, options.ListenAddress, err)
 	}
 	if options.SelfAddress == "" {
 		options.SelfAddress = listener.Addr().String()
--- a/internal/node/wireproto/link/options.go
+++ b/internal/node/wireproto/link/options.go
@@ -10,11 +10,10 @@
 package link
 
 import (
+	"errors"
 	"log/slog"
 	"time"
 
-	"github.com/joomcode/errorx"
-
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
@@ -73,10 +72,8 @@
 	MaxAccepted int
 }
 
-var namespace = errorx.NewNamespace("link")
-
 // ErrCannotListen is the error of New where the listener can't be opened.
-var ErrCannotListen = namespace.NewType("cannot_listen")
+var ErrCannotListen = errors.New("link: cannot_listen")
 
 // withDefaults replaces values that aren't set.
 func (o Options) withDefaults() Options {
--- a/internal/node/wireproto/reader.go
+++ b/internal/node/wireproto/reader.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/binary"
+	"fmt"
 	"io"
 
 	"google.golang.org/protobuf/proto"
@@ -49,7 +50,7 @@
 	}
 	body, err := r.readBody(length)
 	if err != nil {
-		return nil, ErrTruncated.Wrap(err, "within the %d bytes of an envelope", length)
+		return nil, fmt.Errorf("%w: within the %d bytes of an envelope: %w", ErrTruncated, length, err)
 	}
 	r.frameSize = HeaderSize + length
 	return decode(body)
@@ -69,14 +70,14 @@
 		if len(header) == 0 {
 			return 0, err
 		}
-		return 0, ErrTruncated.Wrap(err, "within a header")
+		return 0, fmt.Errorf("%w: within a header: %w", ErrTruncated, err)
 	}
 	if header[magicOffset] != frameMagic || header[versionOffset] != frameVersion {
-		return 0, ErrNotAFrame.New("header % x", header)
+		return 0, fmt.Errorf("%w: header % x", ErrNotAFrame, header)
 	}
 	length := binary.BigEndian.Uint32(header)
 	if length > MaxFrame {
-		return 0, ErrOversized.New("an envelope of %d bytes, the bound is %d", length, MaxFrame)
+		return 0, fmt.Errorf("%w: an envelope of %d bytes, the bound is %d", ErrOversized, length, MaxFrame)
 	}
 	_, err = r.source.Discard(HeaderSize)
 	return int(length), err
@@ -135,13 +136,13 @@
 	envelope := new(nodepb.Envelope)
 	err := proto.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(body, envelope)
 	if err != nil {
-		return nil, ErrUndecodable.Wrap(err, "an envelope of %d bytes", len(body))
+		return nil, fmt.Errorf("%w: an envelope of %d bytes: %w", ErrUndecodable, len(body), err)
 	}
 	if envelope.GetProtocol() != Protocol {
-		return nil, ErrOtherProtocol.New("protocol %d, this node speaks %d", envelope.GetProtocol(), Protocol)
+		return nil, fmt.Errorf("%w: protocol %d, this node speaks %d", ErrOtherProtocol, envelope.GetProtocol(), Protocol)
 	}
 	if envelope.GetBody() == nil {
-		return nil, ErrUndecodable.New("an envelope without a known body")
+		return nil, fmt.Errorf("%w: an envelope without a known body", ErrUndecodable)
 	}
 	return envelope, nil
 }
