--- a/internal/node/rollout/errors.go
+++ b/internal/node/rollout/errors.go
@@ -1,12 +1,9 @@
 package rollout
 
-import "github.com/joomcode/errorx"
-
-// Errors is the namespace of the errors of the role and of the calls that its shell makes.
-var Errors = errorx.NewNamespace("rollout")
+import "errors"
 
 // ErrNotSent says that no byte of an order's body left this node, so that the broker can't have
 // taken it.
-var ErrNotSent = Errors.NewType("not_sent")
+var ErrNotSent = errors.New("rollout: order not sent")
 
-func wasNotSent(err error) bool { return errorx.IsOfType(err, ErrNotSent) }
+func wasNotSent(err error) bool { return errors.Is(err, ErrNotSent) }
--- a/internal/node/rollout/orders/sender.go
+++ b/internal/node/rollout/orders/sender.go
@@ -11,6 +11,8 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"time"
@@ -33,8 +35,8 @@
 )
 
 var (
-	errNoResponse = rollout.Errors.NewType("unanswered")
-	errNoReport   = rollout.Errors.NewType("no_report")
+	errNoResponse = errors.New("rollout: order not answered")
+	errNoReport   = errors.New("rollout: no report")
 )
 
 // Options are what a Sender needs. The callbacks run on goroutines of the Sender, one of them once
@@ -42,7 +44,7 @@
 type Options struct {
 	// Clock is the steady clock that core.SendOrder.ValidUntil is compared with.
 	Clock func() core.Time
-	// OrderDone takes the HTTP status of an order. An error of type rollout.ErrNotSent says that
+	// OrderDone takes the HTTP status of an order. A rollout.ErrNotSent says that
 	// the broker can't have taken it; after any other error it may have.
 	OrderDone func(token uint64, status int, err error)
 	// ReportDone takes a report, or the error why there is none.
@@ -92,7 +94,7 @@
 	}
 	request, err := brokercall.NewRequest(ctx, http.MethodPost, order.Address, orderPath, order.InstanceID, body)
 	if err != nil {
-		return 0, rollout.ErrNotSent.Wrap(err, "build the order to broker %s", order.InstanceID)
+		return 0, fmt.Errorf("%w: build the order to broker %s: %w", rollout.ErrNotSent, order.InstanceID, err)
 	}
 	request.ContentLength = int64(len(order.Body))
 	request.Header.Set("Content-Type", "application/json")
@@ -108,9 +110,9 @@
 // sent.
 func orderError(err error, order core.SendOrder, body *guardedBody) error {
 	if !body.checked.Load() {
-		return rollout.ErrNotSent.Wrap(err, "send the order to broker %s", order.InstanceID)
+		return fmt.Errorf("%w: send the order to broker %s: %w", rollout.ErrNotSent, order.InstanceID, err)
 	}
-	return errNoResponse.Wrap(err, "send the order to broker %s", order.InstanceID)
+	return fmt.Errorf("%w: send the order to broker %s: %w", errNoResponse, order.InstanceID, err)
 }
 
 func (s *Sender) fetchReport(fetch core.FetchReport) (*rollout.Report, error) {
@@ -118,19 +120,19 @@
 	defer cancel()
 	request, err := brokercall.NewRequest(ctx, http.MethodGet, fetch.Address, reportPath, fetch.InstanceID, nil)
 	if err != nil {
-		return nil, errNoReport.Wrap(err, "build the report call to broker %s", fetch.InstanceID)
+		return nil, fmt.Errorf("%w: build the report call to broker %s: %w", errNoReport, fetch.InstanceID, err)
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return nil, errNoReport.Wrap(err, "fetch the report of broker %s", fetch.InstanceID)
+		return nil, fmt.Errorf("%w: fetch the report of broker %s: %w", errNoReport, fetch.InstanceID, err)
 	}
 	defer brokercall.Discard(response.Body, maxResponseBytes)
 	if response.StatusCode != http.StatusOK {
-		return nil, errNoReport.New("fetch the report of broker %s: status %d", fetch.InstanceID, response.StatusCode)
+		return nil, fmt.Errorf("%w: fetch the report of broker %s: status %d", errNoReport, fetch.InstanceID, response.StatusCode)
 	}
 	report := &rollout.Report{}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(report); err != nil {
-		return nil, errNoReport.Wrap(err, "decode the report of broker %s", fetch.InstanceID)
+		return nil, fmt.Errorf("%w: decode the report of broker %s: %w", errNoReport, fetch.InstanceID, err)
 	}
 	return report, nil
 }
--- a/internal/node/rollout/orders/sender_test.go
+++ b/internal/node/rollout/orders/sender_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -11,7 +12,6 @@
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/core"
@@ -104,7 +104,7 @@
 			}()
 			h := newHarness(t)
 			got := h.order(listener.Addr().String(), endLease(h))
-			assert.Assert(t, errorx.IsOfType(got.err, rollout.ErrNotSent), "%v", got.err)
+			assert.Assert(t, errors.Is(got.err, rollout.ErrNotSent), "%v", got.err)
 			assert.NilError(t, listener.Close())
 			assert.Assert(t, !strings.Contains(<-came, "{"))
 		})
@@ -124,7 +124,7 @@
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
 	got := newHarness(t).order(address, nil)
-	assert.Assert(t, errorx.IsOfType(got.err, rollout.ErrNotSent), "%v", got.err)
+	assert.Assert(t, errors.Is(got.err, rollout.ErrNotSent), "%v", got.err)
 }
 
 // TestOrderIsNeverRepeated closes a kept connection after the second order was read: it may have
@@ -148,7 +148,7 @@
 	assert.Equal(t, first.status, 202)
 	second := h.order(listener.Addr().String(), nil)
 	assert.Assert(t, second.err != nil)
-	assert.Assert(t, !errorx.IsOfType(second.err, rollout.ErrNotSent))
+	assert.Assert(t, !errors.Is(second.err, rollout.ErrNotSent))
 	assert.NilError(t, listener.Close())
 	count := 0
 	for range arrivals {
--- a/internal/node/rollout/world_test.go
+++ b/internal/node/rollout/world_test.go
@@ -304,7 +304,7 @@
 func (n *testNode) writeOrder(order core.SendOrder) {
 	w := n.world
 	if w.now >= order.ValidUntil {
-		n.endOrder(order.Token, 0, ErrNotSent.New("too late"), 0)
+		n.endOrder(order.Token, 0, fmt.Errorf("%w: too late", ErrNotSent), 0)
 		return
 	}
 	if w.random.Float64() < w.orderLoss {
--- a/internal/rig/faultrun/broker.go
+++ b/internal/rig/faultrun/broker.go
@@ -150,7 +150,7 @@
 	life := m.life
 	if m.now() >= sent.ValidUntil {
 		m.input(func(now core.Time) {
-			m.carryOut(m.node.OrderDone(now, sent.Token, 0, rollout.ErrNotSent.New("too late")))
+			m.carryOut(m.node.OrderDone(now, sent.Token, 0, fmt.Errorf("%w: too late", rollout.ErrNotSent)))
 		})
 		return
 	}
