--- a/internal/node/config/checker.go
+++ b/internal/node/config/checker.go
@@ -22,6 +22,6 @@
 // Checker checks single items against a schema. It sees only new and changed items, and only at the
 // head of the chain. Package config/schema implements it.
 type Checker interface {
-	// CheckItems returns an error of type ErrInvalid about the first item that violates the schema.
+	// CheckItems returns an *InvalidError about the first item that violates the schema.
 	CheckItems(items []SchemaItem) error
 }
--- a/internal/node/config/errors.go
+++ b/internal/node/config/errors.go
@@ -1,29 +1,40 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 
-	"github.com/joomcode/errorx"
+	"kestrelspread/internal/node/config/rawjson"
 )
 
-var errorNamespace = errorx.NewNamespace("config")
+// ErrSnapshot says that a snapshot can't be read; test for it with errors.Is.
+var ErrSnapshot = errors.New("config: snapshot")
 
-// ErrInvalid is the type of errors about commands that are rejected as invalid; the message begins
-// with the path of the offending item or field.
-var ErrInvalid = errorNamespace.NewType("invalid").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
+// InvalidError says why a command is rejected as invalid.
+type InvalidError struct {
+	// Reason is what the operator reads. It begins with the path of the offending item or field.
+	Reason string
+}
 
-// ErrSnapshot is the type of errors about snapshots that can't be read.
-var ErrSnapshot = errorNamespace.NewType("snapshot").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
+// Error implements error.
+func (e *InvalidError) Error() string { return "config: invalid: " + e.Reason }
 
-// invalid returns an error of type ErrInvalid about the item or field at path.
+// invalid returns an InvalidError about the item or field at path.
 func invalid(path, format string, arguments ...any) error {
-	return ErrInvalid.New("%s: %s", path, fmt.Sprintf(format, arguments...))
+	return &InvalidError{Reason: path + ": " + fmt.Sprintf(format, arguments...)}
 }
 
-// reasonOf returns the message of an error without the name of its type.
+// reasonOf returns the part of an error's text that the operator reads: without the package's and
+// the kind's name.
 func reasonOf(err error) string {
-	if typed := errorx.Cast(err); typed != nil {
-		return typed.Message()
+	var invalid *InvalidError
+	var malformed *rawjson.MalformedError
+	switch {
+	case errors.As(err, &invalid):
+		return invalid.Reason
+	case errors.As(err, &malformed):
+		return malformed.Reason
+	default:
+		return err.Error()
 	}
-	return err.Error()
 }
--- a/internal/node/config/rawjson/rawjson.go
+++ b/internal/node/config/rawjson/rawjson.go
@@ -8,31 +8,35 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"strconv"
 	"unicode/utf8"
-
-	"github.com/joomcode/errorx"
 )
 
-// ErrMalformed is the type of errors about text that is not one JSON value in UTF-8, or too deep.
-var ErrMalformed = errorx.NewNamespace("rawjson").NewType("malformed").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
+// MalformedError says why a text is not one JSON value in UTF-8, or too deep.
+type MalformedError struct {
+	Reason string
+}
+
+// Error implements error.
+func (e *MalformedError) Error() string { return "rawjson: malformed: " + e.Reason }
 
 // MaxDepth bounds the nesting of arrays and objects, as their readers recurse.
 const MaxDepth = 200
 
 // Compact checks that text is exactly one JSON value in UTF-8, no deeper than MaxDepth, and returns
-// a copy of it without white space. Errors are of type ErrMalformed.
+// a copy of it without white space. The error is a *MalformedError.
 func Compact(text []byte) ([]byte, error) {
 	if !utf8.Valid(text) {
-		return nil, ErrMalformed.New("not UTF-8")
+		return nil, &MalformedError{Reason: "not UTF-8"}
 	}
 	if depthOf(text) > MaxDepth {
-		return nil, ErrMalformed.New("deeper than %d lists and objects", MaxDepth)
+		return nil, &MalformedError{Reason: fmt.Sprintf("deeper than %d lists and objects", MaxDepth)}
 	}
 	var compacted bytes.Buffer
 	compacted.Grow(len(text))
 	if err := json.Compact(&compacted, text); err != nil {
-		return nil, ErrMalformed.New("%v", err)
+		return nil, &MalformedError{Reason: err.Error()}
 	}
 	return compacted.Bytes(), nil
 }
--- a/internal/node/config/rawjson/rawjson_test.go
+++ b/internal/node/config/rawjson/rawjson_test.go
@@ -3,19 +3,25 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"strings"
 	"testing"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/config/rawjson"
 )
 
+func isMalformed(err error) bool {
+	var malformed *rawjson.MalformedError
+	return errors.As(err, &malformed)
+}
+
 func TestCompactRejectsAnythingButOneValue(t *testing.T) {
 	for _, text := range []string{"", " ", "{", `{"a":}`, "{} {}", "{}x", `"\x"`, "01", "nul", `{"a":1,}`, "\xef\xbb\xbf{}", "\"\xff\"", "'a'", `{a:1}`, "NaN"} {
 		_, err := rawjson.Compact([]byte(text))
-		assert.Assert(t, errorx.IsOfType(err, rawjson.ErrMalformed), "%q: %v", text, err)
+		assert.Assert(t, isMalformed(err), "%q: %v", text, err)
 	}
 }
 
@@ -26,7 +32,7 @@
 	_, err := rawjson.Compact(nested(rawjson.MaxDepth))
 	assert.NilError(t, err)
 	_, err = rawjson.Compact(nested(rawjson.MaxDepth + 1))
-	assert.Assert(t, errorx.IsOfType(err, rawjson.ErrMalformed))
+	assert.Assert(t, isMalformed(err))
 }
 
 func TestCompactLeavesItsArgument(t *testing.T) {
@@ -82,7 +88,7 @@
 		list := []any{}
 		_ = rawjson.EachElement(value, func(index int, element []byte) error {
 			if index != len(list) {
-				return rawjson.ErrMalformed.New("index %d of %d", index, len(list))
+				return fmt.Errorf("index %d of %d", index, len(list))
 			}
 			list = append(list, rebuild(element))
 			return nil
--- a/internal/node/config/restore.go
+++ b/internal/node/config/restore.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"fmt"
+
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"kestrelspread/internal/node/config/rawjson"
@@ -8,7 +10,7 @@
 )
 
 // Restore replaces the state by that of a snapshot. Checker and limit stay, and unchanged items are
-// shared with the state before. After an error, which is of type ErrSnapshot, the state is as it
+// shared with the state before. After an error, which matches ErrSnapshot, the state is as it
 // was.
 func (s *State) Restore(snapshot []byte) error {
 	text, err := openSnapshot(snapshot)
@@ -48,15 +50,15 @@
 
 func (s *State) restoreDocument(text []byte, previous *document) error {
 	if len(text) > MaxBodyBytes {
-		return ErrSnapshot.New("configuration longer than %d bytes", MaxBodyBytes)
+		return fmt.Errorf("%w: configuration longer than %d bytes", ErrSnapshot, MaxBodyBytes)
 	}
 	body, err := rawjson.Compact(text)
 	if err != nil {
-		return ErrSnapshot.Wrap(err, "configuration")
+		return fmt.Errorf("%w: configuration: %w", ErrSnapshot, err)
 	}
 	document, _, err := parseReplacement(body, previous)
 	if err != nil {
-		return ErrSnapshot.Wrap(err, "configuration")
+		return fmt.Errorf("%w: configuration: %w", ErrSnapshot, err)
 	}
 	s.document = document
 	return nil
@@ -69,11 +71,11 @@
 		return err
 	}
 	if len(digest) != len(change.digest) {
-		return ErrSnapshot.New("digest of %d bytes", len(digest))
+		return fmt.Errorf("%w: digest of %d bytes", ErrSnapshot, len(digest))
 	}
 	copy(change.digest[:], digest)
 	if _, duplicate := s.takenChanges.find(change.digest); duplicate {
-		return ErrSnapshot.New("the same change twice")
+		return fmt.Errorf("%w: the same change twice", ErrSnapshot)
 	}
 	s.takenChanges.add(change)
 	return nil
@@ -86,7 +88,7 @@
 	}
 	change := &nodepb.ModelVersionChange{Model: named.Model, Version: named.Version}
 	if err := s.validateModelVersion(change); err != nil {
-		return ErrSnapshot.Wrap(err, "version of weights")
+		return fmt.Errorf("%w: version of weights: %w", ErrSnapshot, err)
 	}
 	s.modelVersions[named.Model] = named
 	return nil
@@ -110,7 +112,7 @@
 		return err
 	}
 	if err := s.validateGrant(grant); err != nil {
-		return ErrSnapshot.Wrap(err, "duty")
+		return fmt.Errorf("%w: duty: %w", ErrSnapshot, err)
 	}
 	s.grants[grant.GetRole()] = grant
 	return nil
@@ -122,7 +124,7 @@
 		return err
 	}
 	if err := s.validateDrain(intent); err != nil {
-		return ErrSnapshot.Wrap(err, "drain")
+		return fmt.Errorf("%w: drain: %w", ErrSnapshot, err)
 	}
 	s.drains[keyOfDrain(intent)] = intent
 	return nil
--- a/internal/node/config/rules.go
+++ b/internal/node/config/rules.go
@@ -16,7 +16,7 @@
 	splitStep   = pathStep{name: "trafficSplit"}
 )
 
-// checkRules returns an error of type ErrInvalid about the first rule that next violates. Only what
+// checkRules returns an *InvalidError about the first rule that next violates. Only what
 // differs from previous is checked, as previous was checked before it was taken.
 func checkRules(next, previous *document, changes *changes) error {
 	for _, changed := range changes.routes {
--- a/internal/node/config/schema/schema.go
+++ b/internal/node/config/schema/schema.go
@@ -58,7 +58,7 @@
 // NewChecker returns a checker that has compiled nothing yet.
 func NewChecker() *Checker { return &Checker{} }
 
-// CheckItems returns an error of type config.ErrInvalid about the first item that violates the
+// CheckItems returns a *config.InvalidError about the first item that violates the
 // schema.
 func (c *Checker) CheckItems(items []config.SchemaItem) error {
 	if err := c.compile(); err != nil {
@@ -83,7 +83,7 @@
 	for kind, name := range definitionNames {
 		definition, err := newDefinition(schema.LookupPath(cue.ParsePath(name)))
 		if err != nil {
-			return config.ErrInvalid.Wrap(err, "schema.cue")
+			return &config.InvalidError{Reason: fmt.Sprintf("schema.cue: %v", err)}
 		}
 		definitions[kind] = definition
 	}
@@ -114,11 +114,11 @@
 		return nil
 	}
 	if !rawjson.IsObject(item.JSON) {
-		return config.ErrInvalid.New("%v: must be an object", item.Path)
+		return &config.InvalidError{Reason: fmt.Sprintf("%v: must be an object", item.Path)}
 	}
 	for _, name := range definition.required {
 		if value := rawjson.Member(item.JSON, name); value == nil || rawjson.IsNull(value) {
-			return config.ErrInvalid.New("%v.%s: is missing", item.Path, name)
+			return &config.InvalidError{Reason: fmt.Sprintf("%v.%s: is missing", item.Path, name)}
 		}
 	}
 	return rawjson.EachMember(item.JSON, func(name, value []byte) error {
@@ -126,7 +126,7 @@
 			return nil
 		}
 		if err := c.checkMember(definition, name, value); err != nil {
-			return config.ErrInvalid.New("%v.%s", item.Path, describeError(string(name), err))
+			return &config.InvalidError{Reason: fmt.Sprintf("%v.%s", item.Path, describeError(string(name), err))}
 		}
 		return nil
 	})
--- a/internal/node/config/schema/schema_test.go
+++ b/internal/node/config/schema/schema_test.go
@@ -1,11 +1,11 @@
 package schema_test
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/config"
@@ -75,9 +75,9 @@
 	} {
 		for range 2 {
 			err := checker.CheckItems([]config.SchemaItem{validItems[0], item(test.kind, test.text)})
-			assert.Assert(t, errorx.IsOfType(err, config.ErrInvalid), "%s: %v", test.text, err)
-			message := errorx.Cast(err).Message()
-			assert.Assert(t, strings.HasPrefix(message, test.wanted), "%s: %q", test.text, message)
+			var invalid *config.InvalidError
+			assert.Assert(t, errors.As(err, &invalid), "%s: %v", test.text, err)
+			assert.Assert(t, strings.HasPrefix(invalid.Reason, test.wanted), "%s: %q", test.text, invalid.Reason)
 		}
 	}
 }
--- a/internal/node/config/snapshot.go
+++ b/internal/node/config/snapshot.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"fmt"
 	"hash/crc32"
 
 	"google.golang.org/protobuf/encoding/protowire"
@@ -113,7 +114,7 @@
 	for len(text) > 0 {
 		number, wireType, length := protowire.ConsumeTag(text)
 		if length < 0 {
-			return ErrSnapshot.New("field: %v", protowire.ParseError(length))
+			return fmt.Errorf("%w: field: %v", ErrSnapshot, protowire.ParseError(length))
 		}
 		text = text[length:]
 		parsed := field{number: number}
@@ -126,7 +127,7 @@
 			length = protowire.ConsumeFieldValue(number, wireType, text)
 		}
 		if length < 0 {
-			return ErrSnapshot.New("field %d: %v", number, protowire.ParseError(length))
+			return fmt.Errorf("%w: field %d: %v", ErrSnapshot, number, protowire.ParseError(length))
 		}
 		text = text[length:]
 		if err := visit(parsed); err != nil {
@@ -139,21 +140,21 @@
 // openSnapshot checks size, format and checksum of a snapshot, and returns its encoded fields.
 func openSnapshot(snapshot []byte) ([]byte, error) {
 	if len(snapshot) > MaxSnapshotBytes {
-		return nil, ErrSnapshot.New("longer than %d bytes", MaxSnapshotBytes)
+		return nil, fmt.Errorf("%w: longer than %d bytes", ErrSnapshot, MaxSnapshotBytes)
 	}
 	if len(snapshot) < len(snapshotMagic)+checksumBytes || string(snapshot[:len(snapshotMagic)]) != snapshotMagic {
-		return nil, ErrSnapshot.New("not a snapshot of this form")
+		return nil, fmt.Errorf("%w: not a snapshot of this form", ErrSnapshot)
 	}
 	end := len(snapshot) - checksumBytes
 	checksum, _ := protowire.ConsumeFixed32(snapshot[end:])
 	if checksum != crc32.Checksum(snapshot[:end], castagnoli) {
-		return nil, ErrSnapshot.New("checksum differs")
+		return nil, fmt.Errorf("%w: checksum differs", ErrSnapshot)
 	}
 	return snapshot[len(snapshotMagic):end], nil
 }
 
 // FetchFromSnapshot returns what State.Fetch would after the snapshot was restored, without
-// decoding the rest. Errors are of type ErrSnapshot.
+// decoding the rest. Errors match ErrSnapshot.
 func FetchFromSnapshot(snapshot []byte) ([]byte, error) {
 	text, err := openSnapshot(snapshot)
 	if err != nil {
--- a/internal/node/config/snapshot_test.go
+++ b/internal/node/config/snapshot_test.go
@@ -1,9 +1,9 @@
 package config_test
 
 import (
+	"errors"
 	"testing"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/config"
@@ -66,9 +66,9 @@
 	check := func(damaged []byte, what string, arguments ...any) {
 		t.Helper()
 		err := r.Restore(damaged)
-		assert.Assert(t, errorx.IsOfType(err, config.ErrSnapshot), append([]any{what}, arguments...)...)
+		assert.Assert(t, errors.Is(err, config.ErrSnapshot), append([]any{what}, arguments...)...)
 		_, err = config.FetchFromSnapshot(damaged)
-		assert.Assert(t, errorx.IsOfType(err, config.ErrSnapshot), append([]any{what}, arguments...)...)
+		assert.Assert(t, errors.Is(err, config.ErrSnapshot), append([]any{what}, arguments...)...)
 	}
 	for length := range good {
 		check(good[:length], "truncated after %d bytes", length)
