--- a/internal/node/forward/attempt.go
+++ b/internal/node/forward/attempt.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"time"
 
-	"github.com/joomcode/errorx"
-
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/forward/upstream"
 	"kestrelspread/internal/node/routing"
@@ -72,10 +72,10 @@
 		}
 		a.closeConn()
 		// A reused connection that took no byte is dead. Nothing was sent: try another connection.
-		if errorx.IsOfType(err, upstream.ErrUnsent) && conn.Reused() {
+		if errors.Is(err, upstream.ErrUnsent) && conn.Reused() {
 			continue
 		}
-		if errorx.IsOfType(err, errNotSent) {
+		if errors.Is(err, errNotSent) {
 			return a.notSent()
 		}
 		return a.failed(err)
@@ -83,7 +83,7 @@
 }
 
 // errNotSent says that the request must not be sent any more.
-var errNotSent = errorx.NewNamespace("forward").ApplyModifiers(errorx.TypeModifierOmitStackTrace).NewType("withheld")
+var errNotSent = errors.New("forward: request withheld")
 
 // awaitReset waits until a new connection can't be reset any more for being one too many.
 // Idempotent requests don't need that: they are repeated.
@@ -103,7 +103,7 @@
 	head.bytes = a.appendHead(head.bytes, now)
 	head.grow(min(len(c.bodyBytes()), upstream.MaxJoinedBytes))
 	if c.clientGone() || now >= c.intake.deadline || !c.proxy.mayServe(now, c.intake.route.Public) {
-		return errNotSent.New("client left, deadline passed or configuration too old")
+		return fmt.Errorf("%w: client left, deadline passed or configuration too old", errNotSent)
 	}
 	return conn.Send(head.bytes, c.bodyBytes(), c.answerDeadline())
 }
--- a/internal/node/forward/events.go
+++ b/internal/node/forward/events.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"strconv"
 
@@ -56,7 +57,7 @@
 func (e *eventReader) ready() bool { return e.complete > e.consumed || e.ended }
 
 // errEventTooLarge says that an event exceeds maxEventBytes.
-var errEventTooLarge = upstream.ErrInvalidAnswer.New("event of a stream is too large")
+var errEventTooLarge = fmt.Errorf("%w: event of a stream is too large", upstream.ErrInvalidAnswer)
 
 // maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
--- a/internal/node/forward/receive.go
+++ b/internal/node/forward/receive.go
@@ -1,12 +1,11 @@
 package forward
 
 import (
+	"errors"
 	"net/http"
 	"strings"
 	"time"
 
-	"github.com/joomcode/errorx"
-
 	"kestrelspread/internal/node/forward/upstream"
 	"kestrelspread/internal/node/verdict"
 )
@@ -41,7 +40,7 @@
 
 // failedOrPending tells the time until which receive was to wait from a failure.
 func (a *attempt) failedOrPending(err error, until, limit time.Time) (*attemptResult, bool) {
-	if errorx.IsOfType(err, upstream.ErrTimedOut) && until.Before(limit) && !a.wasCanceled() {
+	if errors.Is(err, upstream.ErrTimedOut) && until.Before(limit) && !a.wasCanceled() {
 		return nil, true
 	}
 	return a.failed(err), false
--- a/internal/node/forward/result.go
+++ b/internal/node/forward/result.go
@@ -1,10 +1,10 @@
 package forward
 
 import (
+	"errors"
+	"fmt"
 	"net/http"
 
-	"github.com/joomcode/errorx"
-
 	"kestrelspread/internal/node/forward/upstream"
 	"kestrelspread/internal/node/routing"
 	"kestrelspread/internal/node/verdict"
@@ -75,7 +75,7 @@
 
 // invalidAnswer ends an attempt whose answer is not the broker's to the request.
 func (a *attempt) invalidAnswer(why string) *attemptResult {
-	return a.failed(upstream.ErrInvalidAnswer.New("%s", why))
+	return a.failed(fmt.Errorf("%w: %s", upstream.ErrInvalidAnswer, why))
 }
 
 // notResumed ends an attempt to resume a stream that the broker did not resume.
@@ -96,7 +96,7 @@
 	if a.events != nil {
 		a.events.release()
 	}
-	if errorx.IsOfType(err, upstream.ErrInvalidAnswer) {
+	if errors.Is(err, upstream.ErrInvalidAnswer) {
 		a.call.proxy.counters.invalidAnswers.Add(1)
 	}
 	return &attemptResult{attempt: a, outcome: a.failedOutcome(err), err: err}
@@ -105,14 +105,14 @@
 // failedOutcome describes an attempt that failed by an error of the exchange.
 func (a *attempt) failedOutcome(err error) routing.Outcome {
 	outcome := a.outcome(upstream.VerdictOf(err))
-	outcome.TimedOut = errorx.IsOfType(err, upstream.ErrTimedOut)
+	outcome.TimedOut = errors.Is(err, upstream.ErrTimedOut)
 	if a.endedFromHere(err) {
 		outcome.Canceled = true
 		return outcome
 	}
-	outcome.ConnectFailed = errorx.IsOfType(err, upstream.ErrConnectFailed) || errorx.IsOfType(err, upstream.ErrUnsent)
+	outcome.ConnectFailed = errors.Is(err, upstream.ErrConnectFailed) || errors.Is(err, upstream.ErrUnsent)
 	// Both mean that the broker accepts no more connections, just as a full one accepts no more requests.
-	outcome.NotExecuted = errorx.IsOfType(err, upstream.ErrExhausted) || errorx.IsOfType(err, upstream.ErrRejected)
+	outcome.NotExecuted = errors.Is(err, upstream.ErrExhausted) || errors.Is(err, upstream.ErrRejected)
 	return outcome
 }
 
@@ -122,13 +122,13 @@
 	if a.wasCanceled() || a.context.Err() != nil {
 		return true
 	}
-	return errorx.IsOfType(err, upstream.ErrConnectFailed) && a.call.now() >= a.call.intake.deadline
+	return errors.Is(err, upstream.ErrConnectFailed) && a.call.now() >= a.call.intake.deadline
 }
 
 // brokenStreamOutcome describes an attempt whose stream broke off.
 func (a *attempt) brokenStreamOutcome(err error, clientGone bool) routing.Outcome {
 	outcome := a.outcome(verdict.Ran)
-	outcome.TimedOut = errorx.IsOfType(err, upstream.ErrTimedOut)
+	outcome.TimedOut = errors.Is(err, upstream.ErrTimedOut)
 	outcome.Canceled = clientGone
 	return outcome
 }
--- a/internal/node/forward/server.go
+++ b/internal/node/forward/server.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
 	"time"
 
-	"github.com/joomcode/errorx"
-
 	"kestrelspread/internal/node/config"
 )
 
@@ -49,13 +48,13 @@
 func (p *Proxy) Serve(listener net.Listener) error {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		return errorx.IllegalArgument.New("clients connect over TCP, not %s", listener.Addr().Network())
+		return fmt.Errorf("forward: clients connect over TCP, not %s", listener.Addr().Network())
 	}
 	err := p.server.Serve(&clientListener{TCPListener: tcp, timeouts: p.clientTimeouts})
 	if err == nil || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return errorx.Decorate(err, "front server")
+	return fmt.Errorf("front server: %w", err)
 }
 
 // clientTimeouts returns the time-outs of the configuration in force. They are never shorter than
@@ -105,7 +104,7 @@
 		return nil
 	}
 	p.server.Close()
-	return errorx.Decorate(err, "requests were under way")
+	return fmt.Errorf("requests were under way: %w", err)
 }
 
 // configuration returns the configuration in force; nil: none.
--- a/internal/node/forward/upstream/answer.go
+++ b/internal/node/forward/upstream/answer.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"os"
@@ -61,7 +62,7 @@
 		}
 		if answer.Status < http.StatusOK {
 			if answer.Status == http.StatusSwitchingProtocols {
-				return nil, ErrInvalidAnswer.New("protocol switched")
+				return nil, fmt.Errorf("%w: protocol switched", ErrInvalidAnswer)
 			}
 			continue
 		}
@@ -73,7 +74,7 @@
 			return nil, err
 		}
 	}
-	return nil, ErrInvalidAnswer.New("too many answers before the one that is due")
+	return nil, fmt.Errorf("%w: too many answers before the one that is due", ErrInvalidAnswer)
 }
 
 // belongsTo reports whether the answer is to the request with the id. A broker that rejects a
@@ -92,17 +93,17 @@
 	c.pool.Counters.Surplus.Add(1)
 	c.desynchronized = true
 	if len(answer.Header[HeaderRequestID]) != 1 {
-		return ErrInvalidAnswer.New("answer without the id of a request")
+		return fmt.Errorf("%w: answer without the id of a request", ErrInvalidAnswer)
 	}
 	count, err := io.CopyN(io.Discard, answer, maxSkippedBytes)
 	if err == nil || count == maxSkippedBytes {
-		return ErrInvalidAnswer.New("surplus answer is too large")
+		return fmt.Errorf("%w: surplus answer is too large", ErrInvalidAnswer)
 	}
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
 	if answer.closeAfter {
-		return ErrBroken.New("closed after a surplus answer")
+		return fmt.Errorf("%w: closed after a surplus answer", ErrBroken)
 	}
 	return nil
 }
@@ -129,7 +130,7 @@
 	}
 	if answer.Length < 0 && len(response.TransferEncoding) == 0 {
 		c.pool.Counters.Unframed.Add(1)
-		return nil, ErrInvalidAnswer.New("answer without a length")
+		return nil, fmt.Errorf("%w: answer without a length", ErrInvalidAnswer)
 	}
 	return answer, nil
 }
@@ -139,11 +140,11 @@
 	var network interface{ Timeout() bool }
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return ErrTimedOut.Wrap(err, "head of an answer")
+		return failure(ErrTimedOut, "head of an answer", err)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
-		return ErrBroken.Wrap(err, "head of an answer")
+		return failure(ErrBroken, "head of an answer", err)
 	default:
-		return ErrInvalidAnswer.Wrap(err, "head of an answer")
+		return failure(ErrInvalidAnswer, "head of an answer", err)
 	}
 }
 
--- a/internal/node/forward/upstream/conn.go
+++ b/internal/node/forward/upstream/conn.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"os"
@@ -10,8 +11,6 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"github.com/joomcode/errorx"
 )
 
 // readBufferBytes is the size of a connection's read buffer.
@@ -97,13 +96,13 @@
 		deadline = limit
 	}
 	err := c.Await(deadline)
-	if errorx.IsOfType(err, ErrTimedOut) {
+	if errors.Is(err, ErrTimedOut) {
 		return nil
 	}
 	if err == nil {
-		return ErrRejected.New("bytes came before a request was sent")
+		return fmt.Errorf("%w: bytes came before a request was sent", ErrRejected)
 	}
-	return ErrRejected.Wrap(err, "new connection")
+	return failure(ErrRejected, "new connection", err)
 }
 
 // maxRoundTrip bounds what AwaitReset takes for a round trip, as connecting may also take long
@@ -120,9 +119,9 @@
 		return nil
 	}
 	if written == 0 {
-		return ErrUnsent.Wrap(err, "request")
+		return failure(ErrUnsent, "request", err)
 	}
-	return ErrSentInPart.Wrap(err, "request: %d bytes left", written)
+	return failure(ErrSentInPart, fmt.Sprintf("request: %d bytes left", written), err)
 }
 
 // write writes head and body, and returns how many bytes the connection took.
@@ -219,9 +218,9 @@
 // readError tells a deadline that passed from a connection that broke.
 func readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return ErrTimedOut.Wrap(err, "answer")
+		return failure(ErrTimedOut, "answer", err)
 	}
-	return ErrBroken.Wrap(err, "answer")
+	return failure(ErrBroken, "answer", err)
 }
 
 // errHeadTooLarge says that the head of an answer exceeds Options.MaxHeadBytes.
--- a/internal/node/forward/upstream/conn_test.go
+++ b/internal/node/forward/upstream/conn_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -8,7 +9,6 @@
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"golang.org/x/sys/unix"
 	"gotest.tools/v3/assert"
 
@@ -66,7 +66,7 @@
 		assert.NilError(t, err)
 		end(<-p.sockets)
 		err = conn.AwaitReset(soon())
-		assert.Assert(t, errorx.IsOfType(err, ErrRejected), "%v", err)
+		assert.Assert(t, errors.Is(err, ErrRejected), "%v", err)
 		assert.Equal(t, VerdictOf(err), verdict.NotRun)
 		conn.Close()
 	}
@@ -81,7 +81,7 @@
 		assert.NilError(t, err)
 		conn.Interrupt()
 		err = conn.Send(request("r1"), []byte(body), soon())
-		assert.Assert(t, errorx.IsOfType(err, ErrUnsent), "%v", err)
+		assert.Assert(t, errors.Is(err, ErrUnsent), "%v", err)
 		assert.Equal(t, VerdictOf(err), verdict.NotRun)
 		conn.Close()
 	}
@@ -97,7 +97,7 @@
 	assert.NilError(t, err)
 	defer conn.Close()
 	err = conn.Send(request("r1"), make([]byte, 64<<20), time.Now().Add(20*time.Millisecond))
-	assert.Assert(t, errorx.IsOfType(err, ErrSentInPart), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrSentInPart), "%v", err)
 	assert.Equal(t, VerdictOf(err), verdict.MayHaveRun)
 }
 
@@ -114,7 +114,7 @@
 	assert.NilError(t, conn.Send(request("r1"), nil, soon()))
 	for range 3 {
 		err = conn.Await(time.Now().Add(time.Millisecond))
-		assert.Assert(t, errorx.IsOfType(err, ErrTimedOut), "%v", err)
+		assert.Assert(t, errors.Is(err, ErrTimedOut), "%v", err)
 	}
 	close(proceed)
 	assert.NilError(t, conn.Await(soon()))
@@ -153,7 +153,7 @@
 	<-received
 	conn.SetWaitLimit(time.Now().Add(time.Millisecond))
 	err = conn.Await(soon())
-	assert.Assert(t, errorx.IsOfType(err, ErrTimedOut), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrTimedOut), "%v", err)
 	conn.Close()
 }
 
@@ -170,7 +170,7 @@
 		conn.Interrupt()
 	}()
 	err = conn.Await(soon())
-	assert.Assert(t, errorx.IsOfType(err, ErrBroken), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrBroken), "%v", err)
 	assert.Equal(t, VerdictOf(err), verdict.MayHaveRun)
 	conn.Close()
 	conn.Close()
--- a/internal/node/forward/upstream/dial.go
+++ b/internal/node/forward/upstream/dial.go
@@ -60,7 +60,7 @@
 	conn, err := d.await(ctx, p.connectWait(target.EarlierAttempts), deadline)
 	if err != nil {
 		p.Counters.Failed.Add(1)
-		return nil, ErrConnectFailed.Wrap(err, "connection to %s", target.InstanceID)
+		return nil, failure(ErrConnectFailed, "connection to "+target.InstanceID, err)
 	}
 	return conn, nil
 }
--- a/internal/node/forward/upstream/dial_test.go
+++ b/internal/node/forward/upstream/dial_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 )
 
@@ -97,7 +97,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
 			blocked := blockDials(pool)
-			assert.Assert(t, errorx.IsOfType(test.get(pool), ErrConnectFailed))
+			assert.Assert(t, errors.Is(test.get(pool), ErrConnectFailed))
 			open, idle := openAndIdle(pool)
 			assert.Equal(t, open, 1, "one that is still opened counts")
 			assert.Equal(t, idle, 0)
@@ -134,7 +134,7 @@
 	pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: 20 * time.Millisecond})
 	blockDials(pool)
 	_, err := pool.Get(t.Context(), p.target("i-1"), soon())
-	assert.Assert(t, errorx.IsOfType(err, ErrConnectFailed))
+	assert.Assert(t, errors.Is(err, ErrConnectFailed))
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	limit := time.After(testTimeout)
@@ -156,7 +156,7 @@
 	pool := newPool(t, Options{InitialConnectWait: time.Millisecond, MinConnectWait: time.Millisecond, ConnectTimeout: testTimeout})
 	blocked := blockDials(pool)
 	_, err := pool.Get(t.Context(), p.target("i-1"), soon())
-	assert.Assert(t, errorx.IsOfType(err, ErrConnectFailed))
+	assert.Assert(t, errors.Is(err, ErrConnectFailed))
 	pool.Close()
 	close(blocked.release)
 	socket := <-p.sockets
--- a/internal/node/forward/upstream/pool.go
+++ b/internal/node/forward/upstream/pool.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -225,7 +226,7 @@
 	}
 	h.target = target
 	if target.MaxConnections > 0 && h.open >= target.MaxConnections {
-		return nil, ErrExhausted.New("%d connections to %s are open", h.open, target.InstanceID)
+		return nil, fmt.Errorf("%w: %d connections to %s are open", ErrExhausted, h.open, target.InstanceID)
 	}
 	h.open++
 	return h, nil
--- a/internal/node/forward/upstream/pool_test.go
+++ b/internal/node/forward/upstream/pool_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -10,7 +11,6 @@
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/verdict"
@@ -211,7 +211,7 @@
 	second, err := pool.Get(t.Context(), target, soon())
 	assert.NilError(t, err)
 	_, err = pool.Get(t.Context(), target, soon())
-	assert.Assert(t, errorx.IsOfType(err, ErrExhausted))
+	assert.Assert(t, errors.Is(err, ErrExhausted))
 	assert.Equal(t, VerdictOf(err), verdict.NotRun)
 	finish(t, first)
 	finish(t, second)
@@ -240,17 +240,17 @@
 	target := Target{InstanceID: "i-1", Address: hungAddress(t)}
 	pool := newPool(t, Options{ConnectTimeout: time.Hour})
 	_, err := pool.Get(t.Context(), target, time.Now().Add(5*time.Millisecond))
-	assert.Assert(t, errorx.IsOfType(err, ErrConnectFailed))
+	assert.Assert(t, errors.Is(err, ErrConnectFailed))
 	assert.Equal(t, VerdictOf(err), verdict.NotRun)
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = pool.Get(ctx, target, soon())
-	assert.Assert(t, errorx.IsOfType(err, ErrConnectFailed))
+	assert.Assert(t, errors.Is(err, ErrConnectFailed))
 
 	pool = newPool(t, Options{ConnectTimeout: 5 * time.Millisecond})
 	_, err = pool.Get(t.Context(), target, soon())
-	assert.Assert(t, errorx.IsOfType(err, ErrConnectFailed))
+	assert.Assert(t, errors.Is(err, ErrConnectFailed))
 	open, _ := openAndIdle(pool)
 	assert.Equal(t, open, 0)
 	assert.Equal(t, pool.Counters.Failed.Load(), uint64(1))
