--- a/internal/passthrough/hard_test.go
+++ b/internal/grpcproxy/hard_test.go
@@ -1,4 +1,4 @@
-package passthrough
+package grpcproxy
 
 import (
 	"bytes"
@@ -379,7 +379,7 @@
 	c := p.Dial(s.w, 1)
 	a := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
 	s.w.Run(50)
-	next := defaultRules(&routes.Route{Name: "other", Service: "other", Timeout: 500, TimeoutMost: 500, Message: 1 << 10})
+	next := defaultRules(&routes.Route{Name: "other", Service: "other", DefaultTimeout: 500, MaxTimeout: 500, MaxMessageBytes: 1 << 10})
 	s.f.Next.Store(next)
 	s.w.After(0, s.f.Reload)
 	s.w.Run(5)
@@ -424,8 +424,8 @@
 }
 
 func TestUnsoundCalls(t *testing.T) {
-	s := newScene(t, 20, 2, "", append(tableRoutes(), &routes.Route{Name: "by key", Service: "shards", Timeout: 500, TimeoutMost: 500,
-		Message: 1 << 10, Shard: routes.Shard{Metadata: "x-shard"}})...)
+	s := newScene(t, 20, 2, "", append(tableRoutes(), &routes.Route{Name: "by key", Service: "shards", DefaultTimeout: 500, MaxTimeout: 500,
+		MaxMessageBytes: 1 << 10, Shard: routes.ShardRule{MetadataKey: "x-shard"}})...)
 	c := p.Dial(s.w, 1)
 	for _, r := range []struct {
 		name   string
@@ -465,7 +465,7 @@
 	s.rules.Limits.Calls, s.rules.Limits.PerCustomer = 10, 6
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
-		v.Limits.Window = 4 << 10
+		v.Limits.InitialWindowSize = 4 << 10
 	}
 	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(60, 0)) })
 	c := p.Dial(s.w, 1)
@@ -598,7 +598,7 @@
 	s.rules.Limits.HeldPerConn = 100 << 10
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
-		v.Limits.Window = 4 << 10
+		v.Limits.InitialWindowSize = 4 << 10
 		v.Holds = true
 		v.Script = func(*p.Got) []p.Act { return nil }
 	}
