--- a/internal/rig/faultrun/campaign.go
+++ b/internal/rig/faultrun/campaign.go
@@ -3,21 +3,19 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"sync"
 	"time"
-
-	"github.com/joomcode/errorx"
 )
 
 // Errors of this package.
 var (
-	namespace = errorx.NewNamespace("faultrun")
 	// ErrViolation says that a run violated what is promised.
-	ErrViolation = namespace.NewType("broken")
+	ErrViolation = errors.New("faultrun: broken")
 	// ErrPlan says that a plan can't be decoded or encoded.
-	ErrPlan = namespace.NewType("plan")
+	ErrPlan = errors.New("faultrun: plan")
 )
 
 // CampaignOptions say which seeds are run.
@@ -66,7 +64,7 @@
 		}
 	}
 	if len(c.violations) > 0 {
-		return ErrViolation.New("%d of %d runs", len(c.violations), c.playedRuns)
+		return fmt.Errorf("%w: %d of %d runs", ErrViolation, len(c.violations), c.playedRuns)
 	}
 	return ctx.Err()
 }
@@ -107,7 +105,7 @@
 	reduced := Shrink(plan, maxPlays)
 	text, err := json.Marshal(reduced)
 	if err != nil {
-		return ErrPlan.Wrap(err, "seed %d", plan.Seed)
+		return fmt.Errorf("%w: seed %d: %w", ErrPlan, plan.Seed, err)
 	}
 	r := Play(reduced, true)
 	fmt.Fprintf(out, "\nseed %d, cut down from %d troubles to %d: %s\n", plan.Seed, len(plan.Faults), len(reduced.Faults), r.Violation)
@@ -122,14 +120,14 @@
 func Replay(out io.Writer, text []byte) error {
 	plan := new(Plan)
 	if err := json.Unmarshal(text, plan); err != nil {
-		return ErrPlan.Wrap(err, "not a plan")
+		return fmt.Errorf("%w: not a plan: %w", ErrPlan, err)
 	}
 	r := Play(plan, true)
 	for _, line := range r.Trace {
 		fmt.Fprintln(out, line)
 	}
 	if r.Violation != "" {
-		return ErrViolation.New("%s", r.Violation)
+		return fmt.Errorf("%w: %s", ErrViolation, r.Violation)
 	}
 	return nil
 }
--- a/internal/rig/faultrun/campaign_test.go
+++ b/internal/rig/faultrun/campaign_test.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 )
 
@@ -25,12 +25,12 @@
 	text, err := json.Marshal(plan)
 	assert.NilError(t, err)
 	assert.NilError(t, Replay(&out, text))
-	assert.Assert(t, errorx.IsOfType(Replay(&out, []byte("{")), ErrPlan))
+	assert.Assert(t, errors.Is(Replay(&out, []byte("{")), ErrPlan))
 
 	plan.Faults = []Fault{{InjectAt: 4 * time.Second, Kind: TotalDiskLoss}}
 	text, err = json.Marshal(plan)
 	assert.NilError(t, err)
-	assert.Assert(t, errorx.IsOfType(Replay(&out, text), ErrViolation))
+	assert.Assert(t, errors.Is(Replay(&out, text), ErrViolation))
 }
 
 // TestShrinkKeepsOnlyTheViolatingFault reduces a plan to the one fault that violates something.
