--- a/internal/rig/fleet/faults_test.go
+++ b/internal/rig/fleet/faults_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/standin/fleetoperator"
@@ -191,7 +191,7 @@
 		} else {
 			loser = theirs.err
 		}
-		assert.Assert(t, errorx.IsOfType(loser, fleetoperator.Conflict), "%v", loser)
+		assert.Assert(t, errors.Is(loser, fleetoperator.ErrConflict), "%v", loser)
 	}
 	s.settle()
 }
--- a/internal/standin/fleetoperator/errors.go
+++ b/internal/standin/fleetoperator/errors.go
@@ -1,16 +1,18 @@
 package fleetoperator
 
-import "github.com/joomcode/errorx"
+import (
+	"errors"
+	"fmt"
+)
 
-// The errors of this package.
+// The errors of this package; test for them with errors.Is.
 var (
-	namespace = errorx.NewNamespace("fleetoperator")
-	// Refused: the nodes turned a change down for good.
-	Refused = namespace.NewType("refused")
-	// Conflict: another version is current; it is a Refused.
-	Conflict = Refused.NewSubtype("conflict")
-	// Unclear: the change got no clear answer in time; it may or may not be in force.
-	Unclear = namespace.NewType("unclear")
-	// Lost: what can be read back is not what was acknowledged.
-	Lost = namespace.NewType("lost")
+	// ErrRefused: the nodes turned a change down for good.
+	ErrRefused = errors.New("fleetoperator: refused")
+	// ErrConflict: another version is current; it is an ErrRefused.
+	ErrConflict = fmt.Errorf("%w: conflict", ErrRefused)
+	// ErrUnclear: the change got no clear answer in time; it may or may not be in force.
+	ErrUnclear = errors.New("fleetoperator: unclear")
+	// ErrLost: what can be read back is not what was acknowledged.
+	ErrLost = errors.New("fleetoperator: lost")
 )
--- a/internal/standin/fleetoperator/operator.go
+++ b/internal/standin/fleetoperator/operator.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"slices"
 	"sync"
@@ -69,7 +70,7 @@
 		o.mutex.Lock()
 		o.unclear = append(o.unclear, result)
 		o.mutex.Unlock()
-		return Acknowledgement{}, Unclear.Wrap(err, "configuration %d", result.Version)
+		return Acknowledgement{}, fmt.Errorf("%w: configuration %d: %w", ErrUnclear, result.Version, err)
 	}
 	if err := refusal(given); err != nil {
 		return Acknowledgement{}, err
@@ -93,9 +94,9 @@
 	case given.status/100 == 2:
 		return nil
 	case given.status == http.StatusPreconditionFailed:
-		return Conflict.New("status %d: %s", given.status, given.body)
+		return fmt.Errorf("%w: status %d: %s", ErrConflict, given.status, given.body)
 	default:
-		return Refused.New("status %d: %s", given.status, given.body)
+		return fmt.Errorf("%w: status %d: %s", ErrRefused, given.status, given.body)
 	}
 }
 
@@ -114,7 +115,7 @@
 	sent := time.Now()
 	given, err := o.sender.send(ctx, call{method: http.MethodPost, path: pathVersionPut, body: text})
 	if err != nil {
-		return Acknowledgement{}, Unclear.Wrap(err, "version %d of %s", version, model)
+		return Acknowledgement{}, fmt.Errorf("%w: version %d of %s: %w", ErrUnclear, version, model, err)
 	}
 	if err := refusal(given); err != nil {
 		return Acknowledgement{}, err
--- a/internal/standin/fleetoperator/operator_test.go
+++ b/internal/standin/fleetoperator/operator_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -12,7 +13,6 @@
 	"testing"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/config"
@@ -74,18 +74,18 @@
 	for _, test := range []struct {
 		name   string
 		script []func(http.ResponseWriter, *http.Request)
-		kind   *errorx.Type // nil: acknowledged
+		kind   error // nil: acknowledged
 		calls  int
 	}{
 		{"taken", []func(http.ResponseWriter, *http.Request){status(200)}, nil, 1},
 		{"503 first", []func(http.ResponseWriter, *http.Request){status(503), status(200)}, nil, 2},
 		{"408 and 429 first", []func(http.ResponseWriter, *http.Request){status(408), status(429), status(408), status(200)}, nil, 4},
 		{"answer lost", []func(http.ResponseWriter, *http.Request){cut, status(200)}, nil, 2},
-		{"412", []func(http.ResponseWriter, *http.Request){status(412)}, Conflict, 1},
-		{"400", []func(http.ResponseWriter, *http.Request){status(400)}, Refused, 1},
-		{"409", []func(http.ResponseWriter, *http.Request){status(409)}, Refused, 1},
+		{"412", []func(http.ResponseWriter, *http.Request){status(412)}, ErrConflict, 1},
+		{"400", []func(http.ResponseWriter, *http.Request){status(400)}, ErrRefused, 1},
+		{"409", []func(http.ResponseWriter, *http.Request){status(409)}, ErrRefused, 1},
 		{"404 twice", []func(http.ResponseWriter, *http.Request){status(404), status(404), status(200)}, nil, 3},
-		{"404 three times", []func(http.ResponseWriter, *http.Request){status(404)}, Refused, 3},
+		{"404 three times", []func(http.ResponseWriter, *http.Request){status(404)}, ErrRefused, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			o, n := operatorOf(t, test.script...)
@@ -94,7 +94,7 @@
 				assert.NilError(t, err)
 				assert.Equal(t, o.Current().Version, uint64(3))
 			} else {
-				assert.Assert(t, errorx.IsOfType(err, test.kind), "%v", err)
+				assert.Assert(t, errors.Is(err, test.kind), "%v", err)
 				assert.Equal(t, len(o.Acknowledged()), 0)
 			}
 			assert.Equal(t, len(n.calls), test.calls)
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := o.Replace(ctx, 0, first)
-	assert.Assert(t, errorx.IsOfType(err, Unclear), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrUnclear), "%v", err)
 }
 
 func TestVersionsAreNamedToBrokersFirst(t *testing.T) {
@@ -164,7 +164,7 @@
 			o.note(Acknowledgement{Configuration: first})
 			o.note(Acknowledgement{Configuration: second})
 			err = o.CheckReadBack(within(t))
-			assert.Equal(t, errorx.IsOfType(err, Lost), test.lost, "%v", err)
+			assert.Equal(t, errors.Is(err, ErrLost), test.lost, "%v", err)
 		})
 	}
 }
--- a/internal/standin/fleetoperator/readback.go
+++ b/internal/standin/fleetoperator/readback.go
@@ -3,34 +3,35 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"reflect"
 )
 
-// CheckReadBack asks for the newest configuration, and returns an error of type Lost where it is older than the newest
+// CheckReadBack asks for the newest configuration, and returns ErrLost where it is older than the newest
 // acknowledged one, or differs from what was sent under its number (RULES.md, CONFIG).
 func (o *Operator) CheckReadBack(ctx context.Context) error {
 	given, err := o.sender.send(ctx, call{method: http.MethodGet, path: pathFetch})
 	if err != nil {
-		return Lost.Wrap(err, "no configuration can be read back")
+		return fmt.Errorf("%w: no configuration can be read back: %w", ErrLost, err)
 	}
 	if given.status != http.StatusOK {
-		return Lost.New("reading back: status %d: %s", given.status, given.body)
+		return fmt.Errorf("%w: reading back: status %d: %s", ErrLost, given.status, given.body)
 	}
 	var read Configuration
 	if err := json.Unmarshal(given.body, &read); err != nil {
-		return Lost.Wrap(err, "what is read back is no configuration")
+		return fmt.Errorf("%w: what is read back is no configuration: %w", ErrLost, err)
 	}
 	newest := o.Current().Version
 	if read.Version < newest {
-		return Lost.New("version %d is read back, %d was acknowledged", read.Version, newest)
+		return fmt.Errorf("%w: version %d is read back, %d was acknowledged", ErrLost, read.Version, newest)
 	}
 	for _, sent := range o.sentAs(read.Version) {
 		if same(read, sent) {
 			return nil
 		}
 	}
-	return Lost.New("version %d as it is read back was never sent", read.Version)
+	return fmt.Errorf("%w: version %d as it is read back was never sent", ErrLost, read.Version)
 }
 
 // sentAs gives the configurations that changes under a number would have put in force.
