--- a/internal/node/agent/lifecycle.go
+++ b/internal/node/agent/lifecycle.go
@@ -116,36 +116,63 @@
 }
 
 // startServers starts the servers that the settings name. A server's goroutine ends with its listener.
+// Where one can't listen, the others are closed.
 func (a *Agent) startServers() (*servers, error) {
 	started := &servers{}
-	listen := a.settings.Listen
-	if listen.Control != "" {
-		listener, err := net.Listen("tcp", listen.Control)
-		if err != nil {
-			return nil, fmt.Errorf("listen for brokers and operators: %w", err)
+	for _, start := range []func(*servers) error{a.startControl, a.startReadiness, a.startFront} {
+		if err := start(started); err != nil {
+			started.close()
+			return nil, err
 		}
-		started.control = controlapi.NewServer(controlapi.Handler(backend{a}, controlapi.Options{
-			Log: a.log, MaxBodyBytes: int64(a.maxConfigurationBytes()),
-		}))
-		go func() { _ = started.control.Serve(listener) }()
 	}
-	if listen.Readiness != "" {
-		listener, err := net.Listen("tcp", listen.Readiness)
-		if err != nil {
-			return nil, fmt.Errorf("listen for readiness checks: %w", err)
-		}
-		started.readiness = controlapi.NewServer(controlapi.ReadinessHandler(a.ready))
-		go func() { _ = started.readiness.Serve(listener) }()
+	return started, nil
+}
+
+// startControl starts the server for brokers and operators.
+func (a *Agent) startControl(started *servers) error {
+	address := a.settings.Listen.Control
+	if address == "" {
+		return nil
 	}
-	if listen.Front != "" {
-		listener, err := listenPlain(listen.Front)
-		if err != nil {
-			return nil, fmt.Errorf("listen for clients: %w", err)
-		}
-		started.front = listener
-		go func() { _ = a.proxy.Serve(listener) }()
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return fmt.Errorf("listen for brokers and operators: %w", err)
 	}
-	return started, nil
+	started.control = controlapi.NewServer(controlapi.Handler(backend{a}, controlapi.Options{
+		Log: a.log, MaxBodyBytes: int64(a.maxConfigurationBytes()),
+	}))
+	go func() { _ = started.control.Serve(listener) }()
+	return nil
+}
+
+// startReadiness starts the server for readiness checks.
+func (a *Agent) startReadiness(started *servers) error {
+	address := a.settings.Listen.Readiness
+	if address == "" {
+		return nil
+	}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return fmt.Errorf("listen for readiness checks: %w", err)
+	}
+	started.readiness = controlapi.NewServer(controlapi.ReadinessHandler(a.ready))
+	go func() { _ = started.readiness.Serve(listener) }()
+	return nil
+}
+
+// startFront starts the proxy's server for clients.
+func (a *Agent) startFront(started *servers) error {
+	address := a.settings.Listen.Front
+	if address == "" {
+		return nil
+	}
+	listener, err := listenPlain(address)
+	if err != nil {
+		return fmt.Errorf("listen for clients: %w", err)
+	}
+	started.front = listener
+	go func() { _ = a.proxy.Serve(listener) }()
+	return nil
 }
 
 // listenPlain listens without the keep-alive settings that net.Listen makes on each connection: the
--- a/internal/node/agent/lifecycle_test.go
+++ b/internal/node/agent/lifecycle_test.go
@@ -1,10 +1,14 @@
 package agent
 
 import (
+	"log/slog"
+	"net"
 	"testing"
 	"time"
 
 	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/settings"
 )
 
 // The platform needs two seconds to notice a shutdown. The time from the last accepted request until
@@ -20,3 +24,43 @@
 		assert.Equal(t, stopTimesOf(grace), want)
 	}
 }
+
+func TestServersAreClosedWhereALaterOneCannotListen(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	defer func() { _ = taken.Close() }()
+	loaded := &settings.Settings{}
+	loaded.NodeName = "node-1"
+	loaded.Listen.Control = freeAddress(t)
+	loaded.Listen.Readiness = freeAddress(t)
+	loaded.Listen.Front = taken.Addr().String()
+
+	_, err = New(loaded, 0, slog.New(slog.DiscardHandler)).startServers()
+	assert.ErrorContains(t, err, "listen for clients")
+	for _, address := range []string{loaded.Listen.Control, loaded.Listen.Readiness} {
+		again, err := listenSoon(address)
+		assert.NilError(t, err)
+		assert.NilError(t, again.Close())
+	}
+}
+
+// freeAddress returns an address of this machine that nothing listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	assert.NilError(t, listener.Close())
+	return listener.Addr().String()
+}
+
+// listenSoon listens at an address; a server that was closed before it began to serve closes its
+// listener only then, so that it tries for a while.
+func listenSoon(address string) (listener net.Listener, err error) {
+	for range 100 {
+		if listener, err = net.Listen("tcp", address); err == nil {
+			return listener, nil
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	return nil, err
+}
