--- a/internal/node/brokercall/client.go
+++ b/internal/node/brokercall/client.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"kestrelspread/internal/node/sockopt"
 )
 
 // ExpectInstanceHeader names the broker that a call is for: any other one at the address answers
@@ -71,12 +71,7 @@
 // nothing any more, also while sent data waits. See tcp(7), TCP_USER_TIMEOUT.
 func withUserTimeout(limit time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var optionErr error
-		err := raw.Control(func(descriptor uintptr) {
-			milliseconds := int(limit.Milliseconds())
-			optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
-		})
-		return errors.Join(err, optionErr)
+		return sockopt.SetUserTimeout(raw, limit)
 	}
 }
 
