--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -5,8 +5,9 @@
 // its shell is to carry out in that order. The same machine therefore runs in the program, in table
 // tests, under a virtual clock with injected faults, and many to one process in simulations.
 //
-// The package holds the types that several machines and shells share. It holds no logic, and it
-// isn't the place for messages between nodes (nodepb) nor for types that one subsystem alone uses.
+// The package holds the types that several machines and shells share. It holds no logic but
+// the conversion of time spans on the wire. It isn't the place for messages between nodes (nodepb)
+// nor for types that one subsystem alone uses.
 //
 // Invariants: an output is a value that its emitter doesn't change afterwards; an output that
 // expects a result carries a token, and the shell reports the result once under the same token.
--- a/internal/node/distribution/options.go
+++ b/internal/node/distribution/options.go
@@ -1,10 +1,8 @@
 package distribution
 
 import (
-	"math"
 	"time"
 
-	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
 )
 
@@ -107,11 +105,3 @@
 	}
 	return o.ConfirmationAge
 }
-
-// milliseconds rounds a time span up, so that no age is understated.
-func milliseconds(span core.Time) uint32 {
-	if span <= 0 {
-		return 0
-	}
-	return uint32(min((span+time.Millisecond-1)/time.Millisecond, math.MaxUint32))
-}
--- a/internal/node/distribution/subscribers.go
+++ b/internal/node/distribution/subscribers.go
@@ -35,7 +35,7 @@
 	reply := &nodepb.StatePollReply{Nonce: poll.Nonce, Index: d.state.Index()}
 	if d.attached(now) {
 		reply.Confirmed = true
-		reply.AgeMs = milliseconds(now - d.confirmedAt)
+		reply.AgeMs = core.Milliseconds(now - d.confirmedAt)
 	}
 	if d.view.GetEpoch() > poll.ViewEpoch {
 		reply.View = d.view
--- a/internal/node/registry/liveness.go
+++ b/internal/node/registry/liveness.go
@@ -28,7 +28,7 @@
 		r.unresponsive = false
 		return
 	}
-	lastContact := now - duration(incoming.SinceHeartbeatMs)
+	lastContact := now - core.Duration(incoming.SinceHeartbeatMs)
 	if r.lastHeartbeatAt > lastContact {
 		return
 	}
--- a/internal/node/registry/merge.go
+++ b/internal/node/registry/merge.go
@@ -50,13 +50,13 @@
 		learnedAt:       now,
 		lastHeartbeatAt: distantPast,
 		refutedAt:       distantPast,
-		warmingUpUntil:  now + duration(incoming.WarmUpRemainingMs),
+		warmingUpUntil:  now + core.Duration(incoming.WarmUpRemainingMs),
 	}
 	if rec.gone() {
-		rec.goneAt = now - duration(incoming.SinceHeartbeatMs)
+		rec.goneAt = now - core.Duration(incoming.SinceHeartbeatMs)
 	} else if incoming.SinceHeartbeatMs > 0 {
 		rec.unresponsive = true
-		rec.unresponsiveSince = now - duration(incoming.SinceHeartbeatMs)
+		rec.unresponsiveSince = now - core.Duration(incoming.SinceHeartbeatMs)
 	}
 	r.records[incoming.Id] = rec
 	r.updateTopic(now, rec, nil)
@@ -70,9 +70,9 @@
 // expiredOnArrival reports whether the record of an unknown broker would expire at once.
 func expiredOnArrival(incoming *nodepb.Instance) bool {
 	if incoming.State == nodepb.InstanceState_GONE {
-		return duration(incoming.SinceHeartbeatMs) >= tombstoneRetention
+		return core.Duration(incoming.SinceHeartbeatMs) >= tombstoneRetention
 	}
-	return duration(incoming.SinceHeartbeatMs) >= unresponsiveRetention
+	return core.Duration(incoming.SinceHeartbeatMs) >= unresponsiveRetention
 }
 
 // countTombstone counts a record that has just become a tombstone, and keeps their number bounded.
--- a/internal/node/registry/record.go
+++ b/internal/node/registry/record.go
@@ -1,9 +1,7 @@
 package registry
 
 import (
-	"math"
 	"slices"
-	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -56,7 +54,7 @@
 	message.Sequence = r.sequence
 	message.Revision = r.revision
 	message.LoadingFencingToken = r.loadingToken
-	message.WarmUpRemainingMs = milliseconds(r.warmingUpUntil - now)
+	message.WarmUpRemainingMs = core.Milliseconds(r.warmingUpUntil - now)
 	message.SinceHeartbeatMs = r.unresponsiveMilliseconds(now)
 	return message
 }
@@ -66,9 +64,9 @@
 func (r *record) unresponsiveMilliseconds(now core.Time) uint32 {
 	switch {
 	case r.gone():
-		return milliseconds(now - r.goneAt)
+		return core.Milliseconds(now - r.goneAt)
 	case r.unresponsive:
-		return max(milliseconds(now-r.unresponsiveSince), 1)
+		return max(core.Milliseconds(now-r.unresponsiveSince), 1)
 	default:
 		return 0
 	}
@@ -83,7 +81,7 @@
 	r.reported.State = incoming.State
 	r.leaveConfirmed = false
 	if r.gone() {
-		r.goneAt = now - duration(incoming.SinceHeartbeatMs)
+		r.goneAt = now - core.Duration(incoming.SinceHeartbeatMs)
 	}
 }
 
@@ -95,7 +93,7 @@
 		return
 	}
 	r.sequence = incoming.Sequence
-	r.warmingUpUntil = now + duration(incoming.WarmUpRemainingMs)
+	r.warmingUpUntil = now + core.Duration(incoming.WarmUpRemainingMs)
 	if sameContent(r.reported, incoming) {
 		return
 	}
@@ -170,15 +168,3 @@
 func deepCopy(instance *nodepb.Instance) *nodepb.Instance {
 	return proto.Clone(instance).(*nodepb.Instance)
 }
-
-// milliseconds rounds a time span up to whole milliseconds; a negative one counts as 0.
-func milliseconds(span time.Duration) uint32 {
-	if span <= 0 {
-		return 0
-	}
-	return uint32(min((span+time.Millisecond-1)/time.Millisecond, math.MaxUint32))
-}
-
-func duration(milliseconds uint32) time.Duration {
-	return time.Duration(milliseconds) * time.Millisecond
-}
