--- a/internal/node/controlapi/server.go
+++ b/internal/node/controlapi/server.go
@@ -1,9 +1,7 @@
 package controlapi
 
 import (
-	"context"
 	"log/slog"
-	"net"
 	"net/http"
 	"time"
 )
@@ -29,31 +27,3 @@
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
 	}
 }
-
-// Listen opens a listener for such a server at "IP:port". TCP keep-alive is off: the server's own
-// time-outs close connections to machines that are gone.
-func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: -1}
-	return config.Listen(ctx, "tcp4", address)
-}
-
-// Serve serves until ctx ends. Then it accepts no more connections, and requests in flight have
-// closeTimeout to end. It returns the error of the listener or of the shutdown.
-func Serve(ctx context.Context, listener net.Listener, handler http.Handler, closeTimeout time.Duration) error {
-	server := NewServer(handler)
-	serveErr := make(chan error, 1)
-	go func() { serveErr <- server.Serve(listener) }()
-	select {
-	case err := <-serveErr:
-		return err
-	case <-ctx.Done():
-	}
-	shutdownContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
-	defer cancel()
-	err := server.Shutdown(shutdownContext)
-	if err != nil {
-		_ = server.Close()
-	}
-	<-serveErr
-	return err
-}
--- a/internal/node/controlapi/server_test.go
+++ b/internal/node/controlapi/server_test.go
@@ -22,13 +22,41 @@
 	ended   chan error
 }
 
+// listen opens a listener for such a server at "IP:port". TCP keep-alive is off: the server's own
+// time-outs close connections to machines that are gone.
+func listen(ctx context.Context, address string) (net.Listener, error) {
+	config := net.ListenConfig{KeepAlive: -1}
+	return config.Listen(ctx, "tcp4", address)
+}
+
+// serveUntilDone serves until ctx ends. Then it accepts no more connections, and requests in flight have
+// closeTimeout to end. It returns the error of the listener or of the shutdown.
+func serveUntilDone(ctx context.Context, listener net.Listener, handler http.Handler, closeTimeout time.Duration) error {
+	server := NewServer(handler)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
+	select {
+	case err := <-serveErr:
+		return err
+	case <-ctx.Done():
+	}
+	shutdownContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
+	defer cancel()
+	err := server.Shutdown(shutdownContext)
+	if err != nil {
+		_ = server.Close()
+	}
+	<-serveErr
+	return err
+}
+
 func serve(t *testing.T, handler http.Handler, closeTimeout time.Duration) *served {
 	t.Helper()
-	listener, err := Listen(t.Context(), "127.0.0.1:0")
+	listener, err := listen(t.Context(), "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &served{address: listener.Addr().String(), cancel: cancel, ended: make(chan error, 1)}
-	go func() { s.ended <- Serve(ctx, listener, handler, closeTimeout) }()
+	go func() { s.ended <- serveUntilDone(ctx, listener, handler, closeTimeout) }()
 	t.Cleanup(cancel)
 	return s
 }
@@ -129,10 +157,10 @@
 }
 
 func TestServeReturnsListenerError(t *testing.T) {
-	listener, err := Listen(t.Context(), "127.0.0.1:0")
+	listener, err := listen(t.Context(), "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
-	assert.ErrorContains(t, Serve(t.Context(), listener, http.NotFoundHandler(), time.Minute), "closed")
+	assert.ErrorContains(t, serveUntilDone(t.Context(), listener, http.NotFoundHandler(), time.Minute), "closed")
 }
 
 func TestBodyErrors(t *testing.T) {
