--- a/internal/node/chain/world_test.go
+++ b/internal/node/chain/world_test.go
@@ -1,7 +1,6 @@
 package chain_test
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,6 +9,7 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/coretest"
 )
 
 // world runs nodes under a virtual clock, with a network and disks that fail on demand. After each
@@ -18,8 +18,7 @@
 	t        testing.TB
 	random   *rand.Rand
 	now      core.Time
-	events   eventHeap
-	sequence int
+	events   coretest.Schedule
 	nodes    map[string]*node // by address
 	order    []string
 	net      network
@@ -40,30 +39,6 @@
 	late      int // number of the core machine, from 1 on, that the test starts itself
 }
 
-type event struct {
-	at       core.Time
-	sequence int
-	run      func()
-}
-
-type eventHeap []event
-
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
-	}
-	return h[i].sequence < h[j].sequence
-}
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
-	old := *h
-	last := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return last
-}
-
 // newWorld starts all machines within 0.3 s, with empty disks.
 func newWorld(t testing.TB, seed uint64, settings worldSettings) *world {
 	w := &world{
@@ -108,18 +83,17 @@
 }
 
 func (w *world) at(at core.Time, run func()) {
-	w.sequence++
-	heap.Push(&w.events, event{at: max(at, w.now), sequence: w.sequence, run: run})
+	w.events.Add(max(at, w.now), run)
 }
 
 func (w *world) after(delay time.Duration, run func()) { w.at(w.now+delay, run) }
 
 // run runs the events up to the time.
 func (w *world) run(until core.Time) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		next := heap.Pop(&w.events).(event)
-		w.now = next.at
-		next.run()
+	for w.events.Next() <= until {
+		dueAt, call := w.events.Take()
+		w.now = dueAt
+		call()
 		if w.t.Failed() {
 			w.fail()
 		}
@@ -134,12 +108,12 @@
 func (w *world) runUntil(what string, limit time.Duration, condition func() bool) time.Duration {
 	start := w.now
 	for !condition() {
-		if w.now-start > limit || len(w.events) == 0 {
+		if w.now-start > limit || w.events.Next() == core.Never {
 			w.logf("not within %v: %s", limit, what)
 			w.t.Errorf("not within %v: %s", limit, what)
 			w.fail()
 		}
-		w.run(w.events[0].at)
+		w.run(w.events.Next())
 	}
 	return w.now - start
 }
