--- a/internal/node/forward/upstream/conn.go
+++ b/internal/node/forward/upstream/conn.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"os"
@@ -10,8 +11,6 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"github.com/joomcode/errorx"
 )
 
 // readBufferBytes is the size of a connection's read buffer.
@@ -97,21 +96,21 @@
 		deadline = limit
 	}
 	err := c.Await(deadline)
-	if errorx.IsOfType(err, TimedOut) {
+	if errors.Is(err, ErrTimedOut) {
 		return nil
 	}
 	if err == nil {
-		return Rejected.New("bytes came before a request was sent")
+		return fmt.Errorf("%w: bytes came before a request was sent", ErrRejected)
 	}
-	return Rejected.Wrap(err, "new connection")
+	return failure(ErrRejected, "new connection", err)
 }
 
 // maxRoundTrip bounds what AwaitReset takes for a round trip, as connecting may also take long
 // because a packet was lost.
 const maxRoundTrip = 10 * time.Millisecond
 
-// Send writes a request once, until the deadline at the latest. The error is Unsent where the
-// connection took no byte of it, else SentInPart.
+// Send writes a request once, until the deadline at the latest. The error is ErrUnsent where the
+// connection took no byte of it, else ErrSentInPart.
 func (c *Conn) Send(head, body []byte, deadline time.Time) error {
 	c.SetDeadline(deadline)
 	c.sentAt, c.answersAtSend = time.Now(), c.answersRead
@@ -120,9 +119,9 @@
 		return nil
 	}
 	if written == 0 {
-		return Unsent.Wrap(err, "request")
+		return failure(ErrUnsent, "request", err)
 	}
-	return SentInPart.Wrap(err, "request: %d bytes left", written)
+	return failure(ErrSentInPart, fmt.Sprintf("request: %d bytes left", written), err)
 }
 
 // write writes head and body, and returns how many bytes the connection took.
@@ -135,7 +134,7 @@
 	return buffers.WriteTo(c.socket)
 }
 
-// Await waits until an unread byte has arrived. At the deadline it returns TimedOut, after which
+// Await waits until an unread byte has arrived. At the deadline it returns ErrTimedOut, after which
 // the connection can still be used: a broker that takes long is no fault.
 func (c *Conn) Await(deadline time.Time) error {
 	if c.reader.Buffered() > 0 {
@@ -219,9 +218,9 @@
 // readError tells a deadline that passed from a connection that broke.
 func readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return TimedOut.Wrap(err, "answer")
+		return failure(ErrTimedOut, "answer", err)
 	}
-	return Broken.Wrap(err, "answer")
+	return failure(ErrBroken, "answer", err)
 }
 
 // errHeadTooLarge says that the head of an answer exceeds Options.MaxHeadBytes.
