--- a/cmd/kestrelctl/ledger.go
+++ b/cmd/kestrelctl/ledger.go
@@ -50,15 +50,15 @@
 				}
 				fmt.Fprintln(w, "\tcorrected searches")
 			}
-			for _, p := range s.Book.Periods() {
+			for _, p := range s.Ledger.Periods() {
 				for _, k := range p.Keys() {
-					used, corrected := p.Of(k)
+					used, corrected := p.Counts(k)
 					if asJSON {
 						json.NewEncoder(out).Encode(map[string]any{"period": p.Start, "state": p.State.String(), "customer": k.Customer,
-							"query_type": k.Kind, "front": k.Front.String(), "outcome": k.Outcome.String(), "used": used, "corrected": corrected})
+							"query_type": k.QueryType, "front": k.Front.String(), "outcome": k.Outcome.String(), "used": used, "corrected": corrected})
 						continue
 					}
-					fmt.Fprintf(w, "%s\t%v\t%s\t%s\t%v\t%v", time.UnixMilli(p.Start).UTC().Format(time.RFC3339), p.State, k.Customer, k.Kind, k.Front, k.Outcome)
+					fmt.Fprintf(w, "%s\t%v\t%s\t%s\t%v\t%v", time.UnixMilli(p.Start).UTC().Format(time.RFC3339), p.State, k.Customer, k.QueryType, k.Front, k.Outcome)
 					for _, n := range used {
 						fmt.Fprint(w, "\t", n)
 					}
@@ -69,14 +69,14 @@
 		})}
 	show := &cobra.Command{Use: "show", Short: "The entries, one a line", Args: cobra.NoArgs,
 		RunE: with(func(out io.Writer, s *store.Store) error {
-			return s.Each(1, func(e *ledger.Entry) error { return json.NewEncoder(out).Encode(e) })
+			return s.EachEntry(1, func(e *ledger.Entry) error { return json.NewEncoder(out).Encode(e) })
 		})}
 	verify := &cobra.Command{Use: "verify", Short: "Prove checksums, sequence, seals and totals", Args: cobra.NoArgs,
 		RunE: with(func(out io.Writer, s *store.Store) error {
 			if err := s.Verify(); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "sound: %q, epoch %d, %d entries, %d periods\n", s.Instance, s.Epoch, s.Book.Next-1, len(s.Book.Periods()))
+			fmt.Fprintf(out, "sound: %q, epoch %d, %d entries, %d periods\n", s.Instance, s.Epoch, s.Ledger.NextSequence-1, len(s.Ledger.Periods()))
 			return nil
 		})}
 	root.AddCommand(totals, show, verify, correct(with), closePeriods(with))
@@ -96,7 +96,7 @@
 	c.MarkFlagRequired("every")
 	c.MarkFlagRequired("zone")
 	return func() (*ledger.Calendar, error) {
-		kinds := map[string]ledger.Every{"hours": ledger.Hourly, "day": ledger.Daily, "month": ledger.Monthly}
+		kinds := map[string]ledger.PeriodUnit{"hours": ledger.Hourly, "day": ledger.Daily, "month": ledger.Monthly}
 		kind, known := kinds[every]
 		if !known {
 			return nil, fmt.Errorf("--every is hours, day or month, not %q", every)
@@ -108,36 +108,36 @@
 
 // correct posts a correction. The period is named by any moment in it.
 func correct(with opener) *cobra.Command {
-	var a ledger.Ask
+	var a ledger.CorrectionRequest
 	var period, outcome, front string
 	amounts := map[string]int64{}
 	c := &cobra.Command{Use: "correct", Short: "Post a correction; the same one given twice counts once", Args: cobra.NoArgs}
 	calendar := calendarFlags(c)
 	f := c.Flags()
-	f.StringVar(&a.ID, "key", "", "the correction's own key")
+	f.StringVar(&a.CorrectionID, "key", "", "the correction's own key")
 	f.StringVar(&a.Author, "author", "", "who answers for it")
 	f.StringVar(&a.Reason, "reason", "", "why")
 	f.StringVar(&a.Reference, "reference", "", "the bill or ticket it is about")
-	f.StringVar(&a.Of, "of", "", "the key of a correction that this one takes back, in place of all below")
+	f.StringVar(&a.Reverts, "of", "", "the key of a correction that this one takes back, in place of all below")
 	f.StringVar(&period, "period", "", "a moment in the period, as in 2026-03-01T00:00:00Z")
 	f.StringVar(&a.Key.Customer, "customer", "", "")
-	f.StringVar(&a.Key.Kind, "query-type", "", "")
+	f.StringVar(&a.Key.QueryType, "query-type", "", "")
 	f.StringVar(&front, "front", "http", "http or grpc")
 	f.StringVar(&outcome, "outcome", "answered", "answered, partial, shed, errored or left")
-	f.BoolVar(&a.Force, "below-zero", false, "allow a total below 0")
+	f.BoolVar(&a.AllowNegative, "below-zero", false, "allow a total below 0")
 	f.StringToInt64Var(&amounts, "add", nil, "what is added, below 0 taken away, as in searches=-3,parts=-6")
 	c.RunE = with(func(out io.Writer, s *store.Store) error {
 		cal, err := calendar()
 		if err != nil {
 			return err
 		}
-		now := max(time.Now().UnixMilli(), s.Highest)
-		if a.Of == "" {
+		now := max(time.Now().UnixMilli(), s.HighestTime)
+		if a.Reverts == "" {
 			at, err := time.Parse(time.RFC3339, period)
 			if err != nil {
 				return fmt.Errorf("--period: %w", err)
 			}
-			a.Period = cal.Period(at.UnixMilli())
+			a.Period = cal.PeriodStart(at.UnixMilli())
 			if a.Key.Front, a.Key.Outcome, err = keyOf(front, outcome); err != nil {
 				return err
 			}
@@ -149,7 +149,7 @@
 				a.Counts[i] = n
 			}
 		}
-		e, known, err := s.Book.Correct(a, cal.Period(now), now)
+		e, known, err := s.Ledger.CorrectionEntry(a, cal.PeriodStart(now), now)
 		if err != nil {
 			return err
 		}
@@ -158,18 +158,18 @@
 				return err
 			}
 		}
-		fmt.Fprintf(out, "entry %d, posted to %s, known before: %v\n", e.Seq, time.UnixMilli(e.Period).UTC().Format(time.RFC3339), known)
+		fmt.Fprintf(out, "entry %d, posted to %s, known before: %v\n", e.Sequence, time.UnixMilli(e.Period).UTC().Format(time.RFC3339), known)
 		return nil
 	})
 	return c
 }
 
 func keyOf(front, outcome string) (f ledger.Front, o ledger.Outcome, err error) {
-	for f = 0; f < ledger.Fronts && f.String() != front; f++ {
+	for f = 0; f < ledger.FrontCount && f.String() != front; f++ {
 	}
-	for o = 0; o < ledger.Outcomes && o.String() != outcome; o++ {
+	for o = 0; o < ledger.OutcomeCount && o.String() != outcome; o++ {
 	}
-	if f == ledger.Fronts || o == ledger.Outcomes {
+	if f == ledger.FrontCount || o == ledger.OutcomeCount {
 		return 0, 0, fmt.Errorf("no front %q or no outcome %q", front, outcome)
 	}
 	return f, o, nil
@@ -184,8 +184,8 @@
 		if err != nil {
 			return err
 		}
-		now := max(time.Now().UnixMilli(), s.Highest)
-		due := s.Book.Due(cal, now)
+		now := max(time.Now().UnixMilli(), s.HighestTime)
+		due := s.Ledger.CloseEntries(cal, now)
 		if len(due) > 0 {
 			if err := s.Commit(due, now); err != nil {
 				return err
--- a/cmd/kestrelctl/ledger_test.go
+++ b/cmd/kestrelctl/ledger_test.go
@@ -20,8 +20,8 @@
 		t.Fatal(err)
 	}
 	day := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
-	if err := s.Commit([]*ledger.Entry{{Instance: "n0", Epoch: s.Epoch, Seq: 1, Sort: ledger.Use, Period: day.UnixMilli(),
-		Key: ledger.Key{Customer: "desk", Kind: "quick"}, Counts: ledger.Counts{10, 20}}}, day.UnixMilli()); err != nil {
+	if err := s.Commit([]*ledger.Entry{{Instance: "n0", Epoch: s.Epoch, Sequence: 1, Kind: ledger.Use, Period: day.UnixMilli(),
+		Key: ledger.Key{Customer: "desk", QueryType: "quick"}, Counts: ledger.Counts{10, 20}}}, day.UnixMilli()); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
--- a/cmd/kestrelspread/ledger_test.go
+++ b/cmd/kestrelspread/ledger_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	x, err := s.Export("folder")
+	x, err := s.LoadExport("folder")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,19 +67,19 @@
 			if err := json.Unmarshal([]byte(l), &r); err != nil {
 				t.Fatal(err)
 			}
-			if _, twice := rows[r.Seq]; twice || r.Epoch != s.Epoch || n >= len(columns) || columns[n] != r {
-				t.Fatalf("entry %d: twice %v, %+v", r.Seq, twice, r)
+			if _, twice := rows[r.Sequence]; twice || r.Epoch != s.Epoch || n >= len(columns) || columns[n] != r {
+				t.Fatalf("entry %d: twice %v, %+v", r.Sequence, twice, r)
 			}
-			rows[r.Seq] = r
+			rows[r.Sequence] = r
 			n++
 		}
 	}
-	if last < x.Cursor.Seq || uint64(len(rows)) != last {
-		t.Fatalf("the folder has %d entries up to %d, the cursor stands at %d", len(rows), last, x.Cursor.Seq)
+	if last < x.Cursor.Sequence || uint64(len(rows)) != last {
+		t.Fatalf("the folder has %d entries up to %d, the cursor stands at %d", len(rows), last, x.Cursor.Sequence)
 	}
-	if err := s.Each(1, func(e *ledger.Entry) error {
-		if r, left := rows[e.Seq]; left && (r.Searches != e.Counts[ledger.Searches] || r.Customer != e.Key.Customer || r.At != e.At) {
-			return fmt.Errorf("entry %d left as %+v", e.Seq, r)
+	if err := s.EachEntry(1, func(e *ledger.Entry) error {
+		if r, left := rows[e.Sequence]; left && (r.Searches != e.Counts[ledger.Searches] || r.Customer != e.Key.Customer || r.RecordedAt != e.RecordedAt) {
+			return fmt.Errorf("entry %d left as %+v", e.Sequence, r)
 		}
 		return nil
 	}); err != nil {
@@ -99,7 +99,7 @@
 	if err := s.Verify(); err != nil {
 		t.Fatal(err)
 	}
-	return s.Book.Sum()
+	return s.Ledger.TotalUse()
 }
 
 func TestALedgerThroughKills(t *testing.T) {
@@ -154,7 +154,7 @@
 		b.cmd.Process.Wait()
 		durable := int64(0)
 		for _, at := range answered {
-			if at.Before(killed.Add(-store.Window - *slack)) {
+			if at.Before(killed.Add(-store.DurabilityWindow - *slack)) {
 				durable++
 			}
 		}
@@ -164,7 +164,7 @@
 		} else if n < int64(len(answered)) {
 			lost++
 		}
-		if got[ledger.First] != 2*got[ledger.Searches] || got[ledger.Parts] != 2*got[ledger.Searches] {
+		if got[ledger.FirstAttempts] != 2*got[ledger.Searches] || got[ledger.ShardRequests] != 2*got[ledger.Searches] {
 			t.Fatalf("kill %d: %v", round, got)
 		}
 		before = got[ledger.Searches]
--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -21,11 +21,11 @@
 // clocks are the system's and the loop's.
 type clocks struct{ loop *transport.Loop }
 
-// Wall implements store.Clocks, by the system's clock.
-func (c clocks) Wall() int64 { return time.Now().UnixMilli() }
+// WallMs implements store.Clocks, by the system's clock.
+func (c clocks) WallMs() int64 { return time.Now().UnixMilli() }
 
-// Steady implements store.Clocks, by the loop's clock.
-func (c clocks) Steady() float64 { return c.loop.Now() }
+// SteadyMs implements store.Clocks, by the loop's clock.
+func (c clocks) SteadyMs() float64 { return c.loop.Now() }
 
 // Calendar is the one that the operator's file names.
 func Calendar(o *operator.Ledger) (*ledger.Calendar, error) {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &ledger.Calendar{Zone: zone, Every: o.Every, Hours: o.Hours, Grace: int64(o.Grace)}, nil
+	return &ledger.Calendar{Zone: zone, Unit: o.Every, Hours: o.Hours, GraceMs: int64(o.Grace)}, nil
 }
 
 const (
@@ -64,13 +64,13 @@
 	}
 	r := store.NewRecorder(s, c, clocks{p.Loop}, p.Router.Kinds(), p.Router.Customers())
 	p.Router.Measure(r)
-	r.Go()
-	p.Log.Info().Str("instance", s.Instance).Uint64("epoch", s.Epoch).Bool("new", s.Recovery.New).Int("entries", s.Recovery.Entries).
-		Dur("took", s.Recovery.Took).Msg("ledger is kept")
+	r.Start()
+	p.Log.Info().Str("instance", s.Instance).Uint64("epoch", s.Epoch).Bool("new", s.Recovery.Created).Int("entries", s.Recovery.Entries).
+		Dur("took", s.Recovery.Duration).Msg("ledger is kept")
 	var work *run.Runner
 	sinks := map[string]sink.Sink{}
 	if o.Export != "" {
-		to, err := sink.OpenFolder(o.Export)
+		to, err := sink.OpenDirectory(o.Export)
 		if err != nil {
 			r.Stop(lastWords)
 			s.Close()
@@ -90,14 +90,14 @@
 				s.Close()
 				return nil, fmt.Errorf("the ledger's export: %w", err)
 			}
-			x.Failed = func(err error) { p.Log.Warn().Err(err).Str("to", name).Msg("ledger is not exported; entries wait") }
+			x.OnFailure = func(err error) { p.Log.Warn().Err(err).Str("to", name).Msg("ledger is not exported; entries wait") }
 			work.Add("export to "+name, background.Low, 0, x.Step)
 		}
 		if o.Keep > 0 {
 			names := slices.Sorted(maps.Keys(sinks))
 			work.Add("retention", background.Idle, retireEvery, func() (bytes, again float64) {
 				n := 0
-				err := r.Do(lastWords, func(s *store.Store) (err error) {
+				err := r.Exclusive(lastWords, func(s *store.Store) (err error) {
 					n, err = s.Retire(c, time.Now().UnixMilli()-int64(o.Keep), retireMost, names...)
 					return err
 				})
@@ -129,7 +129,7 @@
 			}
 			if now != was {
 				if was = now; now != "" {
-					keys, _ := r.Waiting()
+					keys, _ := r.Pending()
 					p.Log.Warn().Str("trouble", now).Int("keys_waiting", keys).Msg("ledger is not written; uses wait")
 				} else {
 					p.Log.Info().Msg("ledger is written again")
@@ -143,8 +143,8 @@
 			return // it stands still with the disk: what is durable stays so
 		}
 		whole := r.Stop(lastWords)
-		_, uses := r.Waiting()
-		p.Log.Info().Bool("whole", whole).Int64("uses", uses).Int64("durable", r.Durable()).Msg("ledger is closed")
+		_, uses := r.Pending()
+		p.Log.Info().Bool("whole", whole).Int64("uses", uses).Int64("durable", r.DurableSearches()).Msg("ledger is closed")
 		if whole {
 			s.Close()
 		}
--- a/internal/fleet/statement/collector/collector_test.go
+++ b/internal/fleet/statement/collector/collector_test.go
@@ -30,21 +30,21 @@
 	defer s.Close()
 	for p := range periods {
 		start := int64(p+1) * 3600e3
-		k := ledger.Key{Customer: "desk", Kind: "quick"}
+		k := ledger.Key{Customer: "desk", QueryType: "quick"}
 		for range 3 {
-			e := &ledger.Entry{Instance: name, Epoch: s.Epoch, Seq: s.Book.Next, Sort: ledger.Use, Period: start, At: start + 5, Key: k, Counts: ledger.Counts{2, 4}}
-			if err := s.Commit([]*ledger.Entry{e}, e.At); err != nil {
+			e := &ledger.Entry{Instance: name, Epoch: s.Epoch, Sequence: s.Ledger.NextSequence, Kind: ledger.Use, Period: start, RecordedAt: start + 5, Key: k, Counts: ledger.Counts{2, 4}}
+			if err := s.Commit([]*ledger.Entry{e}, e.RecordedAt); err != nil {
 				t.Fatal(err)
 			}
 		}
-		at := s.Book.Period(start)
-		e := &ledger.Entry{Instance: name, Epoch: s.Epoch, Seq: s.Book.Next, Sort: ledger.Close, Period: start, At: start + 3700e3, Counts: at.Total,
-			Entries: at.Entries, Hash: at.Hash}
-		if err := s.Commit([]*ledger.Entry{e}, e.At); err != nil {
+		at := s.Ledger.Period(start)
+		e := &ledger.Entry{Instance: name, Epoch: s.Epoch, Sequence: s.Ledger.NextSequence, Kind: ledger.Close, Period: start, RecordedAt: start + 3700e3, Counts: at.Total,
+			SealedEntries: at.Entries, SealedHash: at.Hash}
+		if err := s.Commit([]*ledger.Entry{e}, e.RecordedAt); err != nil {
 			t.Fatal(err)
 		}
 	}
-	to, err := sink.OpenFolder(filepath.Join(dir, name))
+	to, err := sink.OpenDirectory(filepath.Join(dir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ledger/calendar.go
+++ b/internal/ledger/calendar.go
@@ -5,27 +5,27 @@
 // Calendar divides time into periods of an operator's length in an operator's zone. It reads no clock: times are Unix
 // milliseconds, given.
 type Calendar struct {
-	Zone  *time.Location
-	Every Every
-	Hours int   // of a period where Every is Hourly
-	Grace int64 // ms after its end until a period is closed
+	Zone    *time.Location
+	Unit    PeriodUnit
+	Hours   int   // of a period where Every is Hourly
+	GraceMs int64 // ms after its end until a period is closed
 }
 
-// Every is a kind of length.
-type Every uint8
+// PeriodUnit is a kind of length.
+type PeriodUnit uint8
 
 // The kinds of periods.
 const (
-	Hourly Every = iota // Hours at a time from the zone's midnight; the last of a day may be shorter or longer
+	Hourly PeriodUnit = iota // Hours at a time from the zone's midnight; the last of a day may be shorter or longer
 	Daily
 	Monthly
 )
 
-// Period gives the beginning of the period that a time is in.
-func (c *Calendar) Period(at int64) int64 {
+// PeriodStart gives the beginning of the period that a time is in.
+func (c *Calendar) PeriodStart(at int64) int64 {
 	t := time.UnixMilli(at).In(c.Zone)
 	y, m, d := t.Date()
-	switch c.Every {
+	switch c.Unit {
 	case Monthly:
 		return time.Date(y, m, 1, 0, 0, 0, 0, c.Zone).UnixMilli()
 	case Daily:
@@ -42,11 +42,11 @@
 	return start
 }
 
-// End gives the end of the period that begins at a time.
-func (c *Calendar) End(start int64) int64 {
+// PeriodEnd gives the end of the period that begins at a time.
+func (c *Calendar) PeriodEnd(start int64) int64 {
 	t := time.UnixMilli(start).In(c.Zone)
 	y, m, d := t.Date()
-	switch c.Every {
+	switch c.Unit {
 	case Monthly:
 		return time.Date(y, m+1, 1, 0, 0, 0, 0, c.Zone).UnixMilli()
 	case Daily:
@@ -60,70 +60,70 @@
 // before it stands; one that jumps ahead is believed once it has stayed there for a while, so that a wrong second does not
 // close a month.
 type Clock struct {
-	Step   int64 // ms: a difference under it is the ordinary drift of clocks
-	Settle int64 // ms by the steady clock for which a jump ahead must last
-	last   int64 // the ledger's time
-	steady int64
-	ahead  int64 // since when, by the steady clock, the wall has been ahead; 0: it is not
-	begun  bool
-	stood  int64 // ms by the steady clock since it stands
-	Back   int64 // how far the wall clock is behind now, 0 where it is not
-	Jumps  int64 // jumps ahead that were believed
-	Backs  int64 // times that it was found to be set back
+	MaxDriftMs    int64 // ms: a difference under it is the ordinary drift of clocks
+	JumpConfirmMs int64 // ms by the steady clock for which a jump ahead must last
+	lastNow       int64 // the ledger's time
+	lastSteady    int64
+	aheadSince    int64 // since when, by the steady clock, the wall has been ahead; 0: it is not
+	started       bool
+	stoodMs       int64 // ms by the steady clock since it stands
+	BehindMs      int64 // how far the wall clock is behind now, 0 where it is not
+	JumpsAccepted int64 // jumps ahead that were believed
+	TimesSetBack  int64 // times that it was found to be set back
 }
 
-// Start goes on from the highest time that was ever recorded, 0 where there is none.
-func (k *Clock) Start(highest int64) { k.last = highest }
+// Resume goes on from the highest time that was ever recorded, 0 where there is none.
+func (k *Clock) Resume(highest int64) { k.lastNow = highest }
 
 // Now gives the ledger's time. steady only ever grows; wall may do as it likes.
 func (k *Clock) Now(wall, steady int64) int64 {
-	if !k.begun {
-		k.begun, k.steady = true, steady
-		if wall >= k.last {
-			k.last = wall
+	if !k.started {
+		k.started, k.lastSteady = true, steady
+		if wall >= k.lastNow {
+			k.lastNow = wall
 		} else {
-			k.Back, k.Backs = k.last-wall, k.Backs+1
+			k.BehindMs, k.TimesSetBack = k.lastNow-wall, k.TimesSetBack+1
 		}
-		return k.last
+		return k.lastNow
 	}
-	passed := max(steady-k.steady, 0)
-	k.steady = max(steady, k.steady)
-	due := k.last + passed
-	if k.Back > 0 {
+	passed := max(steady-k.lastSteady, 0)
+	k.lastSteady = max(steady, k.lastSteady)
+	due := k.lastNow + passed
+	if k.BehindMs > 0 {
 		// It stands until the wall has come up to it; how long that took is no drift of the wall's.
-		k.stood += passed
-		if wall < k.last {
-			k.Back = k.last - wall
-			return k.last
+		k.stoodMs += passed
+		if wall < k.lastNow {
+			k.BehindMs = k.lastNow - wall
+			return k.lastNow
 		}
-		due, k.Back, k.stood = k.last+k.stood, 0, 0
-		if wall <= due+k.Step {
-			k.last = wall
-			return k.last
+		due, k.BehindMs, k.stoodMs = k.lastNow+k.stoodMs, 0, 0
+		if wall <= due+k.MaxDriftMs {
+			k.lastNow = wall
+			return k.lastNow
 		}
 	}
 	switch {
-	case wall > due+k.Step:
-		if k.ahead == 0 {
-			k.ahead = max(steady, 1)
+	case wall > due+k.MaxDriftMs:
+		if k.aheadSince == 0 {
+			k.aheadSince = max(steady, 1)
 		}
-		if steady-k.ahead >= k.Settle {
-			k.Jumps++
-			k.ahead, k.last = 0, wall
-			k.Back = 0
-			return k.last
+		if steady-k.aheadSince >= k.JumpConfirmMs {
+			k.JumpsAccepted++
+			k.aheadSince, k.lastNow = 0, wall
+			k.BehindMs = 0
+			return k.lastNow
 		}
-		k.last = due
-	case wall < due-k.Step:
+		k.lastNow = due
+	case wall < due-k.MaxDriftMs:
 		// Set back. The ledger's time stands, or the same hour would be counted into two periods.
-		if k.Back == 0 {
-			k.Backs++
+		if k.BehindMs == 0 {
+			k.TimesSetBack++
 		}
-		k.ahead = 0
-		k.Back = max(k.last-wall, 1)
+		k.aheadSince = 0
+		k.BehindMs = max(k.lastNow-wall, 1)
 	default:
-		k.ahead, k.Back = 0, 0
-		k.last = max(wall, k.last)
+		k.aheadSince, k.BehindMs = 0, 0
+		k.lastNow = max(wall, k.lastNow)
 	}
-	return k.last
+	return k.lastNow
 }
--- a/internal/ledger/export/export.go
+++ b/internal/ledger/export/export.go
@@ -24,39 +24,41 @@
 
 // Cursor is how far a sink has the entries, in how many batches.
 type Cursor struct {
-	Seq   uint64 `json:"Seq"`
-	Batch uint64 `json:"Batch"`
+	Sequence uint64 `json:"Seq"`
+	Batch    uint64 `json:"Batch"`
 }
 
-// Kind of a step.
-type Kind uint8
+// StepKind of a step.
+type StepKind uint8
 
 // What has to be done next.
 const (
-	Nothing    Kind = iota
-	SaveIntent      // make Intent durable, then tell Saved
-	Put             // offer Intent's entries to the sink, then tell Answer, if an answer comes
-	SaveCursor      // make Cursor durable and the intent gone, in one write, then tell Saved
+	Idle       StepKind = iota
+	SaveIntent          // make Intent durable, then tell Saved
+	Put                 // offer Intent's entries to the sink, then tell Answer, if an answer comes
+	SaveCursor          // make Cursor durable and the intent gone, in one write, then tell Saved
 )
 
 // Step is what is to be done next.
 type Step struct {
-	Kind   Kind
+	Kind   StepKind
 	Intent Intent
 	Cursor Cursor
 }
 
 // Machine is the state of one sink.
 type Machine struct {
-	cursor  Cursor
-	intent  *Intent
-	durable bool // the intent is
-	held    bool // the sink has said so
-	Refused int64
+	cursor          Cursor
+	intent          *Intent
+	intentDurable   bool // the intent is
+	delivered       bool // the sink has said so
+	RejectedAnswers int64
 }
 
 // New goes on from what is durable.
-func New(c Cursor, i *Intent) *Machine { return &Machine{cursor: c, intent: i, durable: i != nil} }
+func New(c Cursor, i *Intent) *Machine {
+	return &Machine{cursor: c, intent: i, intentDurable: i != nil}
+}
 
 // Cursor is the one that is durable.
 func (m *Machine) Cursor() Cursor { return m.cursor }
@@ -65,44 +67,44 @@
 // the same until something was told: a put whose answer was lost is done again.
 func (m *Machine) Next(last uint64, most int, hash func(from, to uint64) uint64) Step {
 	switch {
-	case m.intent == nil && last <= m.cursor.Seq:
+	case m.intent == nil && last <= m.cursor.Sequence:
 		return Step{}
 	case m.intent == nil:
-		from := m.cursor.Seq + 1
-		to := min(last, m.cursor.Seq+uint64(max(most, 1)))
-		m.intent, m.durable = &Intent{m.cursor.Batch + 1, from, to, hash(from, to)}, plantEarly
+		from := m.cursor.Sequence + 1
+		to := min(last, m.cursor.Sequence+uint64(max(most, 1)))
+		m.intent, m.intentDurable = &Intent{m.cursor.Batch + 1, from, to, hash(from, to)}, mutantEarlyPut
 	}
 	switch {
-	case !m.durable:
+	case !m.intentDurable:
 		return Step{Kind: SaveIntent, Intent: *m.intent}
-	case !m.held && !plantCursor:
+	case !m.delivered && !mutantEarlyCursor:
 		return Step{Kind: Put, Intent: *m.intent}
 	}
 	return Step{Kind: SaveCursor, Intent: *m.intent, Cursor: Cursor{m.intent.To, m.intent.Batch}}
 }
 
-// Saved tells that what Next asked for is durable.
-func (m *Machine) Saved(s Step) {
+// HandleSaved tells that what Next asked for is durable.
+func (m *Machine) HandleSaved(s Step) {
 	switch {
 	case m.intent == nil || s.Intent != *m.intent:
 	case s.Kind == SaveIntent:
-		m.durable = true
+		m.intentDurable = true
 	case s.Kind == SaveCursor:
-		m.cursor, m.intent, m.durable, m.held = s.Cursor, nil, false, false
+		m.cursor, m.intent, m.intentDurable, m.delivered = s.Cursor, nil, false, false
 	}
 }
 
-// Answer is what a sink says: that it holds a batch with a hash. One about another batch, an older one say, proves nothing of
+// HandleAnswer is what a sink says: that it holds a batch with a hash. One about another batch, an older one say, proves nothing of
 // this one. One about this batch with another hash is an error: the sink has something else under its number.
-func (m *Machine) Answer(batch, hash uint64) error {
-	if m.intent == nil || !m.durable || batch != m.intent.Batch {
-		m.Refused++
+func (m *Machine) HandleAnswer(batch, hash uint64) error {
+	if m.intent == nil || !m.intentDurable || batch != m.intent.Batch {
+		m.RejectedAnswers++
 		return nil
 	}
 	if hash != m.intent.Hash {
-		m.Refused++
+		m.RejectedAnswers++
 		return fmt.Errorf("the sink holds another batch %d: hash %x, ours is %x", batch, hash, m.intent.Hash)
 	}
-	m.held = true
+	m.delivered = true
 	return nil
 }
--- a/internal/ledger/export/export_test.go
+++ b/internal/ledger/export/export_test.go
@@ -53,7 +53,7 @@
 func (w world) key() string {
 	has := w.m.intent != nil
 	w.m.intent = nil
-	w.m.Refused = 0
+	w.m.RejectedAnswers = 0
 	return fmt.Sprint(w, has)
 }
 
@@ -72,7 +72,7 @@
 		case SaveIntent: // written, and told
 			n.intent = s.Intent
 			list = append(list, n.crash()...) // killed between the write and its being told
-			m.Saved(s)
+			m.HandleSaved(s)
 			list = append(list, n.with(m))
 		case Put:
 			for i, p := range n.puts {
@@ -85,7 +85,7 @@
 		case SaveCursor:
 			n.cursor, n.intent = s.Cursor, Intent{}
 			list = append(list, n.crash()...)
-			m.Saved(s)
+			m.HandleSaved(s)
 			list = append(list, n.with(m))
 		}
 	}
@@ -123,12 +123,12 @@
 		n.answers[i] = Intent{}
 		list = append(list, n)
 		m := n.machine()
-		m.Answer(a.Batch, a.Hash)
+		m.HandleAnswer(a.Batch, a.Hash)
 		list = append(list, n.with(m))
 	}
 	if w.lies < mostLies && w.cursor.Batch > 0 { // a receiver that says 200 about an older batch
 		m := w.machine()
-		m.Answer(w.cursor.Batch, w.sink[w.cursor.Batch-1].Hash)
+		m.HandleAnswer(w.cursor.Batch, w.sink[w.cursor.Batch-1].Hash)
 		n := w.with(m)
 		n.lies++
 		list = append(list, n)
@@ -162,8 +162,8 @@
 		}
 		next = b.To + 1
 	}
-	if w.cursor.Seq >= next {
-		return fmt.Sprintf("the cursor stands at %d, the sink has entries up to %d", w.cursor.Seq, next-1)
+	if w.cursor.Sequence >= next {
+		return fmt.Sprintf("the cursor stands at %d, the sink has entries up to %d", w.cursor.Sequence, next-1)
 	}
 	return ""
 }
@@ -174,8 +174,8 @@
 	for range 40 {
 		s := m.Next(w.entries, 3, hash)
 		switch s.Kind {
-		case Nothing:
-			return m.Cursor().Seq == w.entries && w.wrong() == ""
+		case Idle:
+			return m.Cursor().Sequence == w.entries && w.wrong() == ""
 		case Put:
 			if int(s.Intent.Batch) > len(w.sink) {
 				return true // the model's sink is full
@@ -183,12 +183,12 @@
 			if w.sink[s.Intent.Batch-1].Batch == 0 {
 				w.sink[s.Intent.Batch-1] = s.Intent
 			}
-			m.Answer(s.Intent.Batch, w.sink[s.Intent.Batch-1].Hash)
+			m.HandleAnswer(s.Intent.Batch, w.sink[s.Intent.Batch-1].Hash)
 		case SaveCursor:
 			w.cursor = s.Cursor
-			m.Saved(s)
+			m.HandleSaved(s)
 		default:
-			m.Saved(s)
+			m.HandleSaved(s)
 		}
 	}
 	return false
@@ -224,10 +224,10 @@
 }
 
 func TestPlantedDefectsAreFound(t *testing.T) {
-	if testing.Short() || plantEarly || plantCursor {
+	if testing.Short() || mutantEarlyPut || mutantEarlyCursor {
 		t.Skip("builds the package twice")
 	}
-	for _, tag := range []string{"plant_early", "plant_cursor"} {
+	for _, tag := range []string{"mutant_early_put", "mutant_early_cursor"} {
 		out, err := exec.Command("go", "test", "-count=1", "-tags", tag, "-run", "TestEvery").CombinedOutput()
 		if err == nil || !strings.Contains(string(out), "FAIL: TestEvery") {
 			t.Errorf("%s was not found: %v\n%.1000s", tag, err, out)
--- a/internal/ledger/export/plant_cursor.go
+++ /dev/null
@@ -1,8 +0,0 @@
-//go:build plant_cursor
-
-package export
-
-const (
-	plantEarly  = false
-	plantCursor = true
-)
--- a/internal/ledger/export/plant_early.go
+++ /dev/null
@@ -1,8 +0,0 @@
-//go:build plant_early
-
-package export
-
-const (
-	plantEarly  = true
-	plantCursor = false
-)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -20,7 +20,7 @@
 const (
 	HTTP Front = iota
 	GRPC
-	Fronts
+	FrontCount
 )
 
 // Outcome is a search's one final answer.
@@ -32,13 +32,13 @@
 	Partial
 	Shed
 	Errored
-	Left // its client had gone before
-	Outcomes
+	ClientCancelled // its client had gone before
+	OutcomeCount
 )
 
 var (
-	frontNames   = [Fronts]string{"http", "grpc"}
-	outcomeNames = [Outcomes]string{"answered", "partial", "shed", "errored", "left"}
+	frontNames   = [FrontCount]string{"http", "grpc"}
+	outcomeNames = [OutcomeCount]string{"answered", "partial", "shed", "errored", "left"}
 )
 
 // String gives the front's name, as exports have it.
@@ -49,10 +49,10 @@
 
 // Key is what uses are added up by.
 type Key struct {
-	Customer string  `json:"Customer"`
-	Kind     string  `json:"Kind"`
-	Front    Front   `json:"Front"`
-	Outcome  Outcome `json:"Outcome"`
+	Customer  string  `json:"Customer"`
+	QueryType string  `json:"Kind"`
+	Front     Front   `json:"Front"`
+	Outcome   Outcome `json:"Outcome"`
 }
 
 // Less orders keys by customer, query type, front and outcome.
@@ -60,34 +60,34 @@
 	switch {
 	case k.Customer != o.Customer:
 		return k.Customer < o.Customer
-	case k.Kind != o.Kind:
-		return k.Kind < o.Kind
+	case k.QueryType != o.QueryType:
+		return k.QueryType < o.QueryType
 	case k.Front != o.Front:
 		return k.Front < o.Front
 	}
 	return k.Outcome < o.Outcome
 }
 
-// Fields of Counts, in their order everywhere: in memory, in the store and in exports.
+// FieldCount of Counts, in their order everywhere: in memory, in the store and in exports.
 const (
 	Searches = iota
-	Parts
-	First     // sub-requests that were a part's first
-	Repeat    // that followed one that had ended
-	Copy      // that went beside one still out
-	CalledOff // of all, those that this broker called off
-	Work      // hinted, µs
-	BytesIn   // of clients
-	BytesOut  // to clients
-	Server    // µs between sending a sub-request and its end, added up
-	Fields
+	ShardRequests
+	FirstAttempts // sub-requests that were a part's first
+	Retries       // that followed one that had ended
+	Hedges        // that went beside one still out
+	Cancelled     // of all, those that this broker called off
+	WorkMicros    // hinted, µs
+	BytesIn       // of clients
+	BytesOut      // to clients
+	ServerMicros  // µs between sending a sub-request and its end, added up
+	FieldCount
 )
 
 // FieldNames are those of exports and tables.
-var FieldNames = [Fields]string{"searches", "parts", "first", "repeat", "copy", "called_off", "work_us", "bytes_in", "bytes_out", "server_us"}
+var FieldNames = [FieldCount]string{"searches", "parts", "first", "repeat", "copy", "called_off", "work_us", "bytes_in", "bytes_out", "server_us"}
 
 // Counts are what was used. Whole numbers, so that sums are exact in any order.
-type Counts [Fields]int64
+type Counts [FieldCount]int64
 
 // Add adds, and tells whether all sums could be held.
 func (c *Counts) Add(o Counts) bool {
@@ -103,19 +103,19 @@
 	return ok
 }
 
-// Neg gives the opposite.
-func (c Counts) Neg() Counts {
+// Negated gives the opposite.
+func (c Counts) Negated() Counts {
 	for i := range c {
 		c[i] = -c[i]
 	}
 	return c
 }
 
-// Zero tells whether nothing was used.
-func (c Counts) Zero() bool { return c == Counts{} }
+// IsZero tells whether nothing was used.
+func (c Counts) IsZero() bool { return c == Counts{} }
 
-// Negative tells whether any count is below 0.
-func (c Counts) Negative() bool {
+// HasNegative tells whether any count is below 0.
+func (c Counts) HasNegative() bool {
 	for _, n := range c {
 		if n < 0 {
 			return true
@@ -124,27 +124,27 @@
 	return false
 }
 
-// Hand is the hand-off between the broker's loop, which must not wait, and the disk, which may be slow: uses of one key and
+// Buffer is the hand-off between the broker's loop, which must not wait, and the disk, which may be slow: uses of one key and
 // period merge, so that what waits is bounded by the keys that are live and nothing is ever dropped.
-type Hand struct {
-	waiting map[handKey]*Counts
+type Buffer struct {
+	waiting map[bufferKey]*Counts
 	uses    int64
 }
 
-type handKey struct {
+type bufferKey struct {
 	period int64
 	key    Key
 }
 
-// NewHand makes an empty hand-off.
-func NewHand() *Hand { return &Hand{waiting: map[handKey]*Counts{}} }
+// NewBuffer makes an empty hand-off.
+func NewBuffer() *Buffer { return &Buffer{waiting: map[bufferKey]*Counts{}} }
 
-// Give adds a use.
-func (h *Hand) Give(period int64, k Key, c Counts) {
+// Add adds a use.
+func (h *Buffer) Add(period int64, k Key, c Counts) {
 	h.uses++
-	at := handKey{period, k}
+	at := bufferKey{period, k}
 	if w := h.waiting[at]; w != nil {
-		if plantMerge {
+		if mutantMerge {
 			*w = c // a defect to be found: what was there is overwritten
 			return
 		}
@@ -154,24 +154,24 @@
 	h.waiting[at] = &c
 }
 
-// Len is how many keys wait.
-func (h *Hand) Len() int { return len(h.waiting) }
+// Keys is how many keys wait.
+func (h *Buffer) Keys() int { return len(h.waiting) }
 
 // Uses is how many uses were ever given.
-func (h *Hand) Uses() int64 { return h.uses }
+func (h *Buffer) Uses() int64 { return h.uses }
 
-// Drawn is one key's sum.
-type Drawn struct {
+// BufferedUse is one key's sum.
+type BufferedUse struct {
 	Period int64
 	Key    Key
 	Counts Counts
 }
 
-// Draw takes all that waits, in order.
-func (h *Hand) Draw() []Drawn {
-	list := make([]Drawn, 0, len(h.waiting))
+// TakeAll takes all that waits, in order.
+func (h *Buffer) TakeAll() []BufferedUse {
+	list := make([]BufferedUse, 0, len(h.waiting))
 	for at, c := range h.waiting {
-		list = append(list, Drawn{at.period, at.key, *c})
+		list = append(list, BufferedUse{at.period, at.key, *c})
 	}
 	sort.Slice(list, func(i, j int) bool {
 		if list[i].Period != list[j].Period {
@@ -183,10 +183,10 @@
 	return list
 }
 
-// Return gives back what was drawn and could not be made durable; it merges with what has come since.
-func (h *Hand) Return(list []Drawn) {
+// PutBack gives back what was drawn and could not be made durable; it merges with what has come since.
+func (h *Buffer) PutBack(list []BufferedUse) {
 	for _, d := range list {
-		at := handKey{d.Period, d.Key}
+		at := bufferKey{d.Period, d.Key}
 		if w := h.waiting[at]; w != nil {
 			w.Add(d.Counts)
 			continue
@@ -196,18 +196,18 @@
 	}
 }
 
-// Sort is a kind of entry.
-type Sort uint8
+// EntryKind is a kind of entry.
+type EntryKind uint8
 
 // The sorts of entries. Stored entries keep these values.
 const (
-	Use        Sort = iota + 1
-	Correction      // who, why and of what stand with it
-	Close           // a period is closed: its total and the hash of its entries stand with it
+	Use        EntryKind = iota + 1
+	Correction           // who, why and of what stand with it
+	Close                // a period is closed: its total and the hash of its entries stand with it
 )
 
 // String gives the sort's name, as exports have it.
-func (s Sort) String() string {
+func (s EntryKind) String() string {
 	switch s {
 	case Use:
 		return "use"
@@ -221,31 +221,31 @@
 
 // Entry is one line of the ledger. (Instance, Epoch, Seq) names it for good.
 type Entry struct {
-	Instance string `json:"Instance"`
-	Epoch    uint64 `json:"Epoch"`
-	Seq      uint64 `json:"Seq"` // from 1, without gaps
-	Sort     Sort   `json:"Sort"`
-	Period   int64  `json:"Period"` // its beginning, Unix ms: what it is posted to
-	At       int64  `json:"At"`     // Unix ms when it was written
-	Key      Key    `json:"Key"`
-	Counts   Counts `json:"Counts"`
+	Instance   string    `json:"Instance"`
+	Epoch      uint64    `json:"Epoch"`
+	Sequence   uint64    `json:"Seq"` // from 1, without gaps
+	Kind       EntryKind `json:"Sort"`
+	Period     int64     `json:"Period"` // its beginning, Unix ms: what it is posted to
+	RecordedAt int64     `json:"At"`     // Unix ms when it was written
+	Key        Key       `json:"Key"`
+	Counts     Counts    `json:"Counts"`
 	// Of a correction.
-	ID        string `json:"ID"` // its own key: given twice it counts once
-	Author    string `json:"Author"`
-	Reason    string `json:"Reason"`
-	Reference string `json:"Reference"` // the bill, ticket or correction that it is about
-	Refers    int64  `json:"Refers"`    // the period that it corrects: another than Period where that was closed
-	Forced    bool   `json:"Forced"`    // it may leave a total below 0
+	CorrectionID    string `json:"ID"` // its own key: given twice it counts once
+	Author          string `json:"Author"`
+	Reason          string `json:"Reason"`
+	Reference       string `json:"Reference"` // the bill, ticket or correction that it is about
+	CorrectedPeriod int64  `json:"Refers"`    // the period that it corrects: another than Period where that was closed
+	NegativeAllowed bool   `json:"Forced"`    // it may leave a total below 0
 	// Of a close.
-	Entries uint64 `json:"Entries"` // posted to the period
-	Hash    uint64 `json:"Hash"`    // of them in their order
+	SealedEntries uint64 `json:"Entries"` // posted to the period
+	SealedHash    uint64 `json:"Hash"`    // of them in their order
 }
 
 // hash of what an entry says, chained over a period's entries.
-func (e *Entry) chain(before uint64) uint64 {
+func (e *Entry) chainHash(before uint64) uint64 {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%x|%s|%d|%d|%d|%d|%s|%s|%d|%d|%v|%s|%s|%s|%s|%d|%v", before, e.Instance, e.Epoch, e.Seq, e.Sort, e.Period, e.Key.Customer,
-		e.Key.Kind, e.Key.Front, e.Key.Outcome, e.Counts, e.ID, e.Author, e.Reason, e.Reference, e.Refers, e.Forced)
+	fmt.Fprintf(h, "%x|%s|%d|%d|%d|%d|%s|%s|%d|%d|%v|%s|%s|%s|%s|%d|%v", before, e.Instance, e.Epoch, e.Sequence, e.Kind, e.Period, e.Key.Customer,
+		e.Key.QueryType, e.Key.Front, e.Key.Outcome, e.Counts, e.CorrectionID, e.Author, e.Reason, e.Reference, e.CorrectedPeriod, e.NegativeAllowed)
 	return h.Sum64()
 }
 
@@ -264,14 +264,14 @@
 
 // Period is what is known of one.
 type Period struct {
-	Start     int64
-	State     State
-	Entries   uint64
-	Hash      uint64
-	Total     Counts
-	Corrected Counts // of corrections that refer to it, wherever they are posted
-	totals    map[Key]*Counts
-	corrected map[Key]*Counts
+	Start       int64
+	State       State
+	Entries     uint64
+	Hash        uint64
+	Total       Counts
+	Corrections Counts // of corrections that refer to it, wherever they are posted
+	totals      map[Key]*Counts
+	corrections map[Key]*Counts
 }
 
 // Keys gives the keys of a period in order.
@@ -280,7 +280,7 @@
 	for k := range p.totals {
 		seen[k] = true
 	}
-	for k := range p.corrected {
+	for k := range p.corrections {
 		seen[k] = true
 	}
 	list := make([]Key, 0, len(seen))
@@ -292,57 +292,57 @@
 }
 
 // Of gives what a key used in a period, before corrections, and what corrections add.
-func (p *Period) Of(k Key) (used, corrected Counts) {
+func (p *Period) Counts(k Key) (used, corrected Counts) {
 	if c := p.totals[k]; c != nil {
 		used = *c
 	}
-	if c := p.corrected[k]; c != nil {
+	if c := p.corrections[k]; c != nil {
 		corrected = *c
 	}
 	return used, corrected
 }
 
-// Book is all that the entries say.
-type Book struct {
-	Instance    string
-	Epoch       uint64
-	Next        uint64 // the sequence number of the next entry
-	periods     map[int64]*Period
-	corrections map[string]*Entry
+// Ledger is all that the entries say.
+type Ledger struct {
+	Instance     string
+	Epoch        uint64
+	NextSequence uint64 // the sequence number of the next entry
+	periods      map[int64]*Period
+	corrections  map[string]*Entry
 }
 
-// NewBook makes an empty one; its first entry is number 1.
-func NewBook(instance string, epoch uint64) *Book {
-	return &Book{Instance: instance, Epoch: epoch, Next: 1, periods: map[int64]*Period{}, corrections: map[string]*Entry{}}
+// New makes an empty one; its first entry is number 1.
+func New(instance string, epoch uint64) *Ledger {
+	return &Ledger{Instance: instance, Epoch: epoch, NextSequence: 1, periods: map[int64]*Period{}, corrections: map[string]*Entry{}}
 }
 
 // What Apply and Correct refuse.
 var (
-	ErrGap      = errors.New("the sequence has a gap")
-	ErrClosed   = errors.New("the period is closed")
-	ErrSealed   = errors.New("the period's entries are not those that were sealed")
-	ErrNegative = errors.New("a total would be below 0")
-	ErrOverflow = errors.New("a total does not fit")
-	ErrOther    = errors.New("an entry of another instance or epoch")
-	ErrUnknown  = errors.New("an unknown sort of entry")
-	ErrConflict = errors.New("another correction has that key")
-	ErrVague    = errors.New("a correction needs a key, an author, a reason and a reference")
+	ErrSequenceGap          = errors.New("the sequence has a gap")
+	ErrPeriodClosed         = errors.New("the period is closed")
+	ErrSealMismatch         = errors.New("the period's entries are not those that were sealed")
+	ErrNegativeTotal        = errors.New("a total would be below 0")
+	ErrOverflow             = errors.New("a total does not fit")
+	ErrForeignEntry         = errors.New("an entry of another instance or epoch")
+	ErrUnknownKind          = errors.New("an unknown sort of entry")
+	ErrCorrectionConflict   = errors.New("another correction has that key")
+	ErrIncompleteCorrection = errors.New("a correction needs a key, an author, a reason and a reference")
 )
 
-func (b *Book) period(start int64) *Period {
+func (b *Ledger) ensurePeriod(start int64) *Period {
 	p := b.periods[start]
 	if p == nil {
-		p = &Period{Start: start, totals: map[Key]*Counts{}, corrected: map[Key]*Counts{}}
+		p = &Period{Start: start, totals: map[Key]*Counts{}, corrections: map[Key]*Counts{}}
 		b.periods[start] = p
 	}
 	return p
 }
 
 // Period gives one, or nil.
-func (b *Book) Period(start int64) *Period { return b.periods[start] }
+func (b *Ledger) Period(start int64) *Period { return b.periods[start] }
 
 // Periods gives all, in order.
-func (b *Book) Periods() []*Period {
+func (b *Ledger) Periods() []*Period {
 	list := make([]*Period, 0, len(b.periods))
 	for _, p := range b.periods {
 		list = append(list, p)
@@ -352,52 +352,52 @@
 }
 
 // Correction finds one by its own key.
-func (b *Book) Correction(id string) *Entry { return b.corrections[id] }
+func (b *Ledger) Correction(id string) *Entry { return b.corrections[id] }
 
 // Apply takes the next entry, whole or not at all.
-func (b *Book) Apply(e *Entry) error {
+func (b *Ledger) Apply(e *Entry) error {
 	switch {
 	case e.Instance != b.Instance || e.Epoch != b.Epoch:
-		return ErrOther
-	case e.Seq != b.Next:
-		return fmt.Errorf("%w: %d where %d was due", ErrGap, e.Seq, b.Next)
+		return ErrForeignEntry
+	case e.Sequence != b.NextSequence:
+		return fmt.Errorf("%w: %d where %d was due", ErrSequenceGap, e.Sequence, b.NextSequence)
 	}
-	p := b.period(e.Period)
+	p := b.ensurePeriod(e.Period)
 	if p.State == Closed {
-		return fmt.Errorf("%w: entry %d", ErrClosed, e.Seq)
+		return fmt.Errorf("%w: entry %d", ErrPeriodClosed, e.Sequence)
 	}
-	switch e.Sort {
+	switch e.Kind {
 	case Use:
-		if !add(p.totals, e.Key, e.Counts, &p.Total) {
+		if !addCounts(p.totals, e.Key, e.Counts, &p.Total) {
 			return ErrOverflow
 		}
 	case Correction:
-		if b.corrections[e.ID] != nil {
-			return fmt.Errorf("%w: %s", ErrConflict, e.ID)
+		if b.corrections[e.CorrectionID] != nil {
+			return fmt.Errorf("%w: %s", ErrCorrectionConflict, e.CorrectionID)
 		}
-		of := b.period(e.Refers)
-		if !add(of.corrected, e.Key, e.Counts, &of.Corrected) {
+		of := b.ensurePeriod(e.CorrectedPeriod)
+		if !addCounts(of.corrections, e.Key, e.Counts, &of.Corrections) {
 			return ErrOverflow
 		}
 		kept := *e
-		b.corrections[e.ID] = &kept
+		b.corrections[e.CorrectionID] = &kept
 	case Close:
-		if e.Entries != p.Entries || e.Hash != p.Hash || e.Counts != p.Total {
-			return fmt.Errorf("%w: %d entries, hash %x, sealed %d, %x", ErrSealed, p.Entries, p.Hash, e.Entries, e.Hash)
+		if e.SealedEntries != p.Entries || e.SealedHash != p.Hash || e.Counts != p.Total {
+			return fmt.Errorf("%w: %d entries, hash %x, sealed %d, %x", ErrSealMismatch, p.Entries, p.Hash, e.SealedEntries, e.SealedHash)
 		}
 		p.State = Closed
 	default:
-		return ErrUnknown
+		return ErrUnknownKind
 	}
-	b.Next++
-	if e.Sort != Close {
+	b.NextSequence++
+	if e.Kind != Close {
 		p.Entries++
-		p.Hash = e.chain(p.Hash)
+		p.Hash = e.chainHash(p.Hash)
 	}
 	return nil
 }
 
-func add(to map[Key]*Counts, k Key, c Counts, total *Counts) bool {
+func addCounts(to map[Key]*Counts, k Key, c Counts, total *Counts) bool {
 	sum := *total
 	if !sum.Add(c) {
 		return false
@@ -415,54 +415,54 @@
 	return true
 }
 
-// Record makes entries of what was drawn, without applying them. What belongs to a period that was closed meanwhile goes to
+// UseEntries makes entries of what was drawn, without applying them. What belongs to a period that was closed meanwhile goes to
 // the open one: a closed one is never added to, and no use is lost.
-func (b *Book) Record(list []Drawn, open, at int64) []*Entry {
+func (b *Ledger) UseEntries(list []BufferedUse, open, at int64) []*Entry {
 	entries := make([]*Entry, 0, len(list))
 	for _, d := range list {
 		period := d.Period
 		if p := b.periods[period]; p != nil && p.State == Closed {
 			period = open
 		}
-		entries = append(entries, &Entry{Instance: b.Instance, Epoch: b.Epoch, Seq: b.Next + uint64(len(entries)), Sort: Use, Period: period,
-			At: at, Key: d.Key, Counts: d.Counts})
+		entries = append(entries, &Entry{Instance: b.Instance, Epoch: b.Epoch, Sequence: b.NextSequence + uint64(len(entries)), Kind: Use, Period: period,
+			RecordedAt: at, Key: d.Key, Counts: d.Counts})
 	}
 	return entries
 }
 
-// Ask is a correction as somebody wishes it.
-type Ask struct {
-	ID, Author, Reason, Reference string
-	Period                        int64
-	Key                           Key
-	Counts                        Counts // added; below 0 takes away
-	Of                            string // the key of a correction that this one takes back, in place of Period, Key and Counts
-	Force                         bool
+// CorrectionRequest is a correction as somebody wishes it.
+type CorrectionRequest struct {
+	CorrectionID, Author, Reason, Reference string
+	Period                                  int64
+	Key                                     Key
+	Counts                                  Counts // added; below 0 takes away
+	Reverts                                 string // the key of a correction that this one takes back, in place of Period, Key and Counts
+	AllowNegative                           bool
 }
 
-// Correct makes the entry of a correction, without applying it, or gives the one that has its key already.
-func (b *Book) Correct(a Ask, open, at int64) (e *Entry, known bool, err error) {
-	if strings.TrimSpace(a.ID) == "" || strings.TrimSpace(a.Author) == "" || strings.TrimSpace(a.Reason) == "" ||
+// CorrectionEntry makes the entry of a correction, without applying it, or gives the one that has its key already.
+func (b *Ledger) CorrectionEntry(a CorrectionRequest, open, at int64) (e *Entry, known bool, err error) {
+	if strings.TrimSpace(a.CorrectionID) == "" || strings.TrimSpace(a.Author) == "" || strings.TrimSpace(a.Reason) == "" ||
 		strings.TrimSpace(a.Reference) == "" {
-		return nil, false, ErrVague
+		return nil, false, ErrIncompleteCorrection
 	}
-	if a.Of != "" {
-		was := b.corrections[a.Of]
+	if a.Reverts != "" {
+		was := b.corrections[a.Reverts]
 		if was == nil {
-			return nil, false, fmt.Errorf("no correction has the key %q", a.Of)
+			return nil, false, fmt.Errorf("no correction has the key %q", a.Reverts)
 		}
-		a.Period, a.Key, a.Counts = was.Refers, was.Key, was.Counts.Neg()
+		a.Period, a.Key, a.Counts = was.CorrectedPeriod, was.Key, was.Counts.Negated()
 	}
 	post := a.Period
 	if p := b.periods[a.Period]; p != nil && p.State == Closed {
 		post = open
 	}
-	e = &Entry{Instance: b.Instance, Epoch: b.Epoch, Seq: b.Next, Sort: Correction, Period: post, At: at, Key: a.Key, Counts: a.Counts,
-		ID: a.ID, Author: a.Author, Reason: a.Reason, Reference: a.Reference, Refers: a.Period, Forced: a.Force}
-	if was := b.corrections[a.ID]; was != nil {
-		if was.Refers != e.Refers || was.Key != e.Key || was.Counts != e.Counts || was.Author != e.Author || was.Reason != e.Reason ||
+	e = &Entry{Instance: b.Instance, Epoch: b.Epoch, Sequence: b.NextSequence, Kind: Correction, Period: post, RecordedAt: at, Key: a.Key, Counts: a.Counts,
+		CorrectionID: a.CorrectionID, Author: a.Author, Reason: a.Reason, Reference: a.Reference, CorrectedPeriod: a.Period, NegativeAllowed: a.AllowNegative}
+	if was := b.corrections[a.CorrectionID]; was != nil {
+		if was.CorrectedPeriod != e.CorrectedPeriod || was.Key != e.Key || was.Counts != e.Counts || was.Author != e.Author || was.Reason != e.Reason ||
 			was.Reference != e.Reference {
-			return nil, false, fmt.Errorf("%w: %s", ErrConflict, a.ID)
+			return nil, false, fmt.Errorf("%w: %s", ErrCorrectionConflict, a.CorrectionID)
 		}
 		return was, true, nil
 	}
@@ -473,58 +473,58 @@
 		}
 		p = &Period{}
 	}
-	used, corrected := p.Of(a.Key)
+	used, corrected := p.Counts(a.Key)
 	used.Add(corrected)
 	if !used.Add(a.Counts) {
 		return nil, false, ErrOverflow
 	}
-	if used.Negative() && !a.Force {
-		return nil, false, fmt.Errorf("%w: %v", ErrNegative, used)
+	if used.HasNegative() && !a.AllowNegative {
+		return nil, false, fmt.Errorf("%w: %v", ErrNegativeTotal, used)
 	}
 	return e, false, nil
 }
 
-// Due gives the closes that are due at a time of the calendar: periods whose end and grace have passed, the oldest first.
-func (b *Book) Due(c *Calendar, now int64) (list []*Entry) {
+// CloseEntries gives the closes that are due at a time of the calendar: periods whose end and grace have passed, the oldest first.
+func (b *Ledger) CloseEntries(c *Calendar, now int64) (list []*Entry) {
 	for _, p := range b.Periods() {
-		if p.State != Closed && p.Start != c.Period(now) && now >= c.End(p.Start)+c.Grace {
-			list = append(list, &Entry{Instance: b.Instance, Epoch: b.Epoch, Seq: b.Next + uint64(len(list)), Sort: Close, Period: p.Start, At: now,
-				Counts: p.Total, Entries: p.Entries, Hash: p.Hash})
+		if p.State != Closed && p.Start != c.PeriodStart(now) && now >= c.PeriodEnd(p.Start)+c.GraceMs {
+			list = append(list, &Entry{Instance: b.Instance, Epoch: b.Epoch, Sequence: b.NextSequence + uint64(len(list)), Kind: Close, Period: p.Start, RecordedAt: now,
+				Counts: p.Total, SealedEntries: p.Entries, SealedHash: p.Hash})
 		}
 	}
 	return list
 }
 
-// Mark names the state that a period has at a time.
-func (b *Book) Mark(c *Calendar, now int64) {
+// MarkClosing names the state that a period has at a time.
+func (b *Ledger) MarkClosing(c *Calendar, now int64) {
 	for _, p := range b.periods {
-		if p.State == Open && now >= c.End(p.Start) {
+		if p.State == Open && now >= c.PeriodEnd(p.Start) {
 			p.State = Closing
 		}
 	}
 }
 
-// Sum adds up all entries of all periods, without corrections: what the broker's own counters must say.
-func (b *Book) Sum() (all Counts) {
+// TotalUse adds up all entries of all periods, without corrections: what the broker's own counters must say.
+func (b *Ledger) TotalUse() (all Counts) {
 	for _, p := range b.periods {
 		all.Add(p.Total)
 	}
 	return all
 }
 
-// Rest is how many keys are held in all.
-func (b *Book) Rest() (keys int) {
+// KeyCount is how many keys are held in all.
+func (b *Ledger) KeyCount() (keys int) {
 	for _, p := range b.periods {
-		keys += len(p.totals) + len(p.corrected)
+		keys += len(p.totals) + len(p.corrections)
 	}
 	return keys
 }
 
-// Drop forgets closed periods that ended before a time: their entries have left and are past their retention. Corrections
+// DropPeriods forgets closed periods that ended before a time: their entries have left and are past their retention. Corrections
 // stay known by their keys as long as the period that they were posted to.
-func (b *Book) Drop(c *Calendar, before int64) (dropped []int64) {
+func (b *Ledger) DropPeriods(c *Calendar, before int64) (dropped []int64) {
 	for _, p := range b.Periods() {
-		if p.State == Closed && c.End(p.Start) <= before {
+		if p.State == Closed && c.PeriodEnd(p.Start) <= before {
 			delete(b.periods, p.Start)
 			dropped = append(dropped, p.Start)
 		}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-func one(n int64) (c Counts) {
-	c[Searches], c[First], c[BytesOut] = n, 2*n, 10*n
+func countsOf(n int64) (c Counts) {
+	c[Searches], c[FirstAttempts], c[BytesOut] = n, 2*n, 10*n
 	return c
 }
 
-func key(name string) Key { return Key{Customer: name, Kind: "quick"} }
+func key(name string) Key { return Key{Customer: name, QueryType: "quick"} }
 
-func must(t *testing.T, b *Book, list ...*Entry) {
+func mustApply(t *testing.T, b *Ledger, list ...*Entry) {
 	t.Helper()
 	for _, e := range list {
 		if err := b.Apply(e); err != nil {
@@ -26,145 +26,145 @@
 	}
 }
 
-var utc = &Calendar{Zone: time.UTC, Every: Hourly, Hours: 1, Grace: 60e3}
+var utc = &Calendar{Zone: time.UTC, Unit: Hourly, Hours: 1, GraceMs: 60e3}
 
 const hour = int64(3600e3)
 
-func TestUsesMergeAndNothingIsLost(t *testing.T) {
+func TestUsesMergeWithoutLoss(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	h, b := NewHand(), NewBook("i", 1)
+	h, b := NewBuffer(), New("i", 1)
 	want := map[Key]Counts{}
 	var given int64
 	for range 20000 {
 		k := key(fmt.Sprint("c", rng.IntN(30)))
-		c := one(1 + rng.Int64N(5))
-		h.Give(0, k, c)
+		c := countsOf(1 + rng.Int64N(5))
+		h.Add(0, k, c)
 		w := want[k]
 		w.Add(c)
 		want[k] = w
 		given += c[Searches]
-		if h.Len() > 30 {
-			t.Fatal(h.Len(), "wait for thirty customers")
+		if h.Keys() > 30 {
+			t.Fatal(h.Keys(), "wait for thirty customers")
 		}
 		if rng.IntN(500) == 0 {
-			list := h.Draw()
+			list := h.TakeAll()
 			if rng.IntN(2) == 0 { // the disk refused it
-				h.Return(list)
+				h.PutBack(list)
 				continue
 			}
-			must(t, b, b.Record(list, 0, 5)...)
+			mustApply(t, b, b.UseEntries(list, 0, 5)...)
 		}
 	}
-	must(t, b, b.Record(h.Draw(), 0, 6)...)
+	mustApply(t, b, b.UseEntries(h.TakeAll(), 0, 6)...)
 	for k, w := range want {
-		if got, _ := b.Period(0).Of(k); got != w {
+		if got, _ := b.Period(0).Counts(k); got != w {
 			t.Errorf("%v: %v, want %v", k, got, w)
 		}
 	}
-	if b.Sum()[Searches] != given {
-		t.Errorf("%d searches in all, want %d", b.Sum()[Searches], given)
+	if b.TotalUse()[Searches] != given {
+		t.Errorf("%d searches in all, want %d", b.TotalUse()[Searches], given)
 	}
 }
 
-func TestAMergeThatOverwritesIsFound(t *testing.T) {
-	if testing.Short() || plantMerge {
+func TestMutantMergeIsFound(t *testing.T) {
+	if testing.Short() || mutantMerge {
 		t.Skip("builds the package")
 	}
-	out, err := exec.Command("go", "test", "-count=1", "-tags", "plant_merge", "-run", "TestUsesMerge").CombinedOutput()
+	out, err := exec.Command("go", "test", "-count=1", "-tags", "mutant_merge", "-run", "TestUsesMerge").CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "searches in all") {
 		t.Errorf("not found: %v\n%s", err, out)
 	}
 }
 
-func TestAClosedPeriodStaysAsItIs(t *testing.T) {
-	b := NewBook("i", 1)
-	must(t, b, b.Record([]Drawn{{0, key("a"), one(3)}, {0, key("b"), one(4)}}, 0, 1)...)
-	if due := b.Due(utc, hour+utc.Grace-1); len(due) != 0 {
+func TestClosedPeriodIsImmutable(t *testing.T) {
+	b := New("i", 1)
+	mustApply(t, b, b.UseEntries([]BufferedUse{{0, key("a"), countsOf(3)}, {0, key("b"), countsOf(4)}}, 0, 1)...)
+	if due := b.CloseEntries(utc, hour+utc.GraceMs-1); len(due) != 0 {
 		t.Error("closed within its grace")
 	}
-	b.Mark(utc, hour)
+	b.MarkClosing(utc, hour)
 	if b.Period(0).State != Closing {
 		t.Error(b.Period(0).State)
 	}
-	due := b.Due(utc, hour+utc.Grace)
+	due := b.CloseEntries(utc, hour+utc.GraceMs)
 	if len(due) != 1 {
 		t.Fatal(due)
 	}
 	spoilt := *due[0]
 	spoilt.Counts[Searches]++
-	if err := b.Apply(&spoilt); !errors.Is(err, ErrSealed) {
+	if err := b.Apply(&spoilt); !errors.Is(err, ErrSealMismatch) {
 		t.Error("a seal that does not fit:", err)
 	}
-	must(t, b, due...)
+	mustApply(t, b, due...)
 	// A use that comes late goes to the open one; an entry by force does not.
-	late := b.Record([]Drawn{{0, key("a"), one(1)}}, hour, hour+utc.Grace+1)
+	late := b.UseEntries([]BufferedUse{{0, key("a"), countsOf(1)}}, hour, hour+utc.GraceMs+1)
 	if late[0].Period != hour {
 		t.Error("posted to", late[0].Period)
 	}
-	must(t, b, late...)
-	if err := b.Apply(&Entry{Instance: "i", Epoch: 1, Seq: b.Next, Sort: Use, Period: 0, Key: key("a"), Counts: one(1)}); !errors.Is(err, ErrClosed) {
+	mustApply(t, b, late...)
+	if err := b.Apply(&Entry{Instance: "i", Epoch: 1, Sequence: b.NextSequence, Kind: Use, Period: 0, Key: key("a"), Counts: countsOf(1)}); !errors.Is(err, ErrPeriodClosed) {
 		t.Error(err)
 	}
-	if err := b.Apply(&Entry{Instance: "i", Epoch: 1, Seq: b.Next + 1, Sort: Use, Period: hour}); !errors.Is(err, ErrGap) {
+	if err := b.Apply(&Entry{Instance: "i", Epoch: 1, Sequence: b.NextSequence + 1, Kind: Use, Period: hour}); !errors.Is(err, ErrSequenceGap) {
 		t.Error(err)
 	}
-	if err := b.Apply(&Entry{Instance: "i", Epoch: 2, Seq: b.Next, Sort: Use, Period: hour}); !errors.Is(err, ErrOther) {
+	if err := b.Apply(&Entry{Instance: "i", Epoch: 2, Sequence: b.NextSequence, Kind: Use, Period: hour}); !errors.Is(err, ErrForeignEntry) {
 		t.Error(err)
 	}
 }
 
-func TestCorrections(t *testing.T) {
-	b := NewBook("i", 1)
-	must(t, b, b.Record([]Drawn{{0, key("a"), one(10)}}, 0, 1)...)
-	must(t, b, b.Due(utc, 2*hour)...)
-	must(t, b, b.Record([]Drawn{{hour, key("a"), one(5)}}, hour, 2)...)
-	ask := Ask{ID: "k1", Author: "x", Reason: "billed twice", Reference: "bill 7", Period: 0, Key: key("a"), Counts: one(4).Neg()}
-	e, known, err := b.Correct(ask, hour, 3)
-	if err != nil || known || e.Period != hour || e.Refers != 0 {
+func TestCorrectionsArePostedOnceAndBounded(t *testing.T) {
+	b := New("i", 1)
+	mustApply(t, b, b.UseEntries([]BufferedUse{{0, key("a"), countsOf(10)}}, 0, 1)...)
+	mustApply(t, b, b.CloseEntries(utc, 2*hour)...)
+	mustApply(t, b, b.UseEntries([]BufferedUse{{hour, key("a"), countsOf(5)}}, hour, 2)...)
+	ask := CorrectionRequest{CorrectionID: "k1", Author: "x", Reason: "billed twice", Reference: "bill 7", Period: 0, Key: key("a"), Counts: countsOf(4).Negated()}
+	e, known, err := b.CorrectionEntry(ask, hour, 3)
+	if err != nil || known || e.Period != hour || e.CorrectedPeriod != 0 {
 		t.Fatal(e, known, err)
 	}
-	must(t, b, e)
-	if _, known, err := b.Correct(ask, 2*hour, 4); err != nil || !known {
+	mustApply(t, b, e)
+	if _, known, err := b.CorrectionEntry(ask, 2*hour, 4); err != nil || !known {
 		t.Error("given twice:", known, err)
 	}
 	other := ask
 	other.Reason = "another"
-	if _, _, err := b.Correct(other, hour, 4); !errors.Is(err, ErrConflict) {
+	if _, _, err := b.CorrectionEntry(other, hour, 4); !errors.Is(err, ErrCorrectionConflict) {
 		t.Error(err)
 	}
-	if used, corrected := b.Period(0).Of(key("a")); used != one(10) || corrected != one(4).Neg() || b.Period(0).Total != one(10) {
+	if used, corrected := b.Period(0).Counts(key("a")); used != countsOf(10) || corrected != countsOf(4).Negated() || b.Period(0).Total != countsOf(10) {
 		t.Error(used, corrected)
 	}
 	more := ask
-	more.ID, more.Counts = "k2", one(7).Neg()
-	if _, _, err := b.Correct(more, hour, 5); !errors.Is(err, ErrNegative) {
+	more.CorrectionID, more.Counts = "k2", countsOf(7).Negated()
+	if _, _, err := b.CorrectionEntry(more, hour, 5); !errors.Is(err, ErrNegativeTotal) {
 		t.Error(err)
 	}
-	more.Force = true
-	if e, _, err = b.Correct(more, hour, 5); err != nil {
+	more.AllowNegative = true
+	if e, _, err = b.CorrectionEntry(more, hour, 5); err != nil {
 		t.Fatal(err)
 	}
-	must(t, b, e)
+	mustApply(t, b, e)
 	// A correction of a correction takes it back, once.
-	back := Ask{ID: "k3", Author: "x", Reason: "was right", Reference: "k1", Of: "k1"}
-	if e, _, err = b.Correct(back, hour, 6); err != nil || e.Counts != one(4) || e.Refers != 0 {
+	back := CorrectionRequest{CorrectionID: "k3", Author: "x", Reason: "was right", Reference: "k1", Reverts: "k1"}
+	if e, _, err = b.CorrectionEntry(back, hour, 6); err != nil || e.Counts != countsOf(4) || e.CorrectedPeriod != 0 {
 		t.Fatal(e, err)
 	}
-	must(t, b, e)
-	if _, known, err := b.Correct(back, hour, 7); !known || err != nil {
+	mustApply(t, b, e)
+	if _, known, err := b.CorrectionEntry(back, hour, 7); !known || err != nil {
 		t.Error(known, err)
 	}
-	if _, corrected := b.Period(0).Of(key("a")); corrected != one(7).Neg() {
+	if _, corrected := b.Period(0).Counts(key("a")); corrected != countsOf(7).Negated() {
 		t.Error(corrected)
 	}
-	for _, a := range []Ask{{}, {ID: "x", Author: "x", Reason: "x"}, {ID: "x", Author: "x", Reason: "x", Reference: "x", Period: 99},
-		{ID: "x", Author: "x", Reason: "x", Reference: "x", Of: "none"}} {
-		if _, _, err := b.Correct(a, hour, 8); err == nil {
+	for _, a := range []CorrectionRequest{{}, {CorrectionID: "x", Author: "x", Reason: "x"}, {CorrectionID: "x", Author: "x", Reason: "x", Reference: "x", Period: 99},
+		{CorrectionID: "x", Author: "x", Reason: "x", Reference: "x", Reverts: "none"}} {
+		if _, _, err := b.CorrectionEntry(a, hour, 8); err == nil {
 			t.Error(a, "is taken")
 		}
 	}
 	// To the open period, where nothing was used yet.
-	if e, _, err := b.Correct(Ask{ID: "k5", Author: "x", Reason: "x", Reference: "x", Period: 5 * hour, Key: key("z"), Counts: one(1)}, 5*hour, 9); err != nil ||
+	if e, _, err := b.CorrectionEntry(CorrectionRequest{CorrectionID: "k5", Author: "x", Reason: "x", Reference: "x", Period: 5 * hour, Key: key("z"), Counts: countsOf(1)}, 5*hour, 9); err != nil ||
 		e.Period != 5*hour {
 		t.Error(e, err)
 	}
@@ -175,31 +175,31 @@
 	if err != nil {
 		t.Skip("no zones on this machine:", err)
 	}
-	for _, c := range []*Calendar{{Zone: zone, Every: Daily}, {Zone: zone, Every: Monthly}, {Zone: zone, Every: Hourly, Hours: 1},
-		{Zone: zone, Every: Hourly, Hours: 7}} {
+	for _, c := range []*Calendar{{Zone: zone, Unit: Daily}, {Zone: zone, Unit: Monthly}, {Zone: zone, Unit: Hourly, Hours: 1},
+		{Zone: zone, Unit: Hourly, Hours: 7}} {
 		// Over both changes of the clock: periods touch, and each time is in the one that begins before it.
 		from := time.Date(2026, 3, 27, 0, 0, 0, 0, zone).UnixMilli()
-		at := c.Period(from)
+		at := c.PeriodStart(from)
 		for range 10000 {
-			end := c.End(at)
-			if end <= at || c.Period(end) != end || c.Period(end-1) != at || c.Period(at) != at {
-				t.Fatalf("%v %d: from %v to %v; there begins %v, a moment before %v", c.Every, c.Hours, time.UnixMilli(at).In(zone),
-					time.UnixMilli(end).In(zone), time.UnixMilli(c.Period(end)).In(zone), time.UnixMilli(c.Period(end-1)).In(zone))
+			end := c.PeriodEnd(at)
+			if end <= at || c.PeriodStart(end) != end || c.PeriodStart(end-1) != at || c.PeriodStart(at) != at {
+				t.Fatalf("%v %d: from %v to %v; there begins %v, a moment before %v", c.Unit, c.Hours, time.UnixMilli(at).In(zone),
+					time.UnixMilli(end).In(zone), time.UnixMilli(c.PeriodStart(end)).In(zone), time.UnixMilli(c.PeriodStart(end-1)).In(zone))
 			}
 			if at = end; at > from+300*24*hour {
 				break
 			}
 		}
 	}
-	day := &Calendar{Zone: zone, Every: Daily}
+	day := &Calendar{Zone: zone, Unit: Daily}
 	spring := time.Date(2026, 3, 29, 0, 0, 0, 0, zone).UnixMilli()
-	if n := day.End(spring) - spring; n != 23*hour {
+	if n := day.PeriodEnd(spring) - spring; n != 23*hour {
 		t.Error(n/hour, "hours")
 	}
 }
 
-func TestTheClock(t *testing.T) {
-	k := &Clock{Step: 2000, Settle: 60e3}
+func TestClockNeverGoesBack(t *testing.T) {
+	k := &Clock{MaxDriftMs: 2000, JumpConfirmMs: 60e3}
 	wall, steady := int64(1e9), int64(0)
 	last := k.Now(wall, steady)
 	step := func(w, s int64) int64 {
@@ -222,8 +222,8 @@
 			t.Fatal("it goes on while the wall is behind")
 		}
 	}
-	if k.Backs != 1 || k.Back == 0 {
-		t.Error(k.Backs, k.Back)
+	if k.TimesSetBack != 1 || k.BehindMs == 0 {
+		t.Error(k.TimesSetBack, k.BehindMs)
 	}
 	step(hour, hour)
 	if step(1000, 1000) != wall {
@@ -246,13 +246,13 @@
 	for range 62 {
 		step(1000, 1000)
 	}
-	if last != wall || k.Jumps != 1 {
-		t.Error("a jump that lasts is not believed:", wall-last, k.Jumps)
+	if last != wall || k.JumpsAccepted != 1 {
+		t.Error("a jump that lasts is not believed:", wall-last, k.JumpsAccepted)
 	}
 	// It goes on from what was recorded, after a start with a clock that is behind.
-	again := &Clock{Step: 2000, Settle: 60e3}
-	again.Start(last)
-	if again.Now(last-hour, 5) != last || again.Backs != 1 {
+	again := &Clock{MaxDriftMs: 2000, JumpConfirmMs: 60e3}
+	again.Resume(last)
+	if again.Now(last-hour, 5) != last || again.TimesSetBack != 1 {
 		t.Error("a start goes back")
 	}
 	// Random clocks never make it go back.
@@ -266,35 +266,35 @@
 	}
 }
 
-func TestTenThousandCustomers(t *testing.T) {
-	h, b := NewHand(), NewBook("i", 1)
+func TestLedgerOfTenThousandCustomers(t *testing.T) {
+	h, b := NewBuffer(), New("i", 1)
 	for i := range 10000 {
 		times := 1
 		if i < 1000 {
 			times = 20
 		}
 		for range times {
-			h.Give(0, key(fmt.Sprint("c", i)), one(1))
+			h.Add(0, key(fmt.Sprint("c", i)), countsOf(1))
 		}
 	}
-	must(t, b, b.Record(h.Draw(), 0, 1)...)
-	if b.Sum()[Searches] != 29000 || b.Rest() != 10000 {
-		t.Error(b.Sum(), b.Rest())
+	mustApply(t, b, b.UseEntries(h.TakeAll(), 0, 1)...)
+	if b.TotalUse()[Searches] != 29000 || b.KeyCount() != 10000 {
+		t.Error(b.TotalUse(), b.KeyCount())
 	}
-	must(t, b, b.Due(utc, 9*hour)...)
-	if dropped := b.Drop(utc, 9*hour); len(dropped) != 1 || b.Rest() != 0 {
-		t.Error(dropped, b.Rest())
+	mustApply(t, b, b.CloseEntries(utc, 9*hour)...)
+	if dropped := b.DropPeriods(utc, 9*hour); len(dropped) != 1 || b.KeyCount() != 0 {
+		t.Error(dropped, b.KeyCount())
 	}
 }
 
-func BenchmarkGive(b *testing.B) {
-	h := NewHand()
+func BenchmarkBufferAdd(b *testing.B) {
+	h := NewBuffer()
 	keys := make([]Key, 1000)
 	for i := range keys {
 		keys[i] = key(fmt.Sprint("c", i))
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		h.Give(0, keys[i%1000], one(1))
+		h.Add(0, keys[i%1000], countsOf(1))
 	}
 }
--- /dev/null
+++ b/internal/ledger/mutant_merge.go
@@ -0,0 +1,5 @@
+//go:build mutant_merge
+
+package ledger
+
+const mutantMerge = true
--- a/internal/ledger/plant_merge.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build plant_merge
-
-package ledger
-
-const plantMerge = true
--- a/internal/ledger/sink/files_golden_test.go
+++ b/internal/ledger/sink/files_golden_test.go
@@ -27,18 +27,18 @@
 func goldenEntries() []*ledger.Entry {
 	counts := ledger.Counts{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}
 	return []*ledger.Entry{
-		{Instance: "n0", Epoch: 7, Seq: 4, Sort: ledger.Use, Period: 360000000, At: 360000010,
-			Key: ledger.Key{Customer: "bulk", Kind: "once", Front: ledger.GRPC, Outcome: ledger.Partial}, Counts: counts},
-		{Instance: "n0", Epoch: 7, Seq: 5, Sort: ledger.Correction, Period: 360000000, At: 360000030,
-			Key: ledger.Key{Customer: "desk", Kind: "quick"}, Counts: counts.Neg(),
-			ID: "c-1", Author: "ops", Reason: "twice", Reference: "bill 9", Refers: 356400000, Forced: true},
+		{Instance: "n0", Epoch: 7, Sequence: 4, Kind: ledger.Use, Period: 360000000, RecordedAt: 360000010,
+			Key: ledger.Key{Customer: "bulk", QueryType: "once", Front: ledger.GRPC, Outcome: ledger.Partial}, Counts: counts},
+		{Instance: "n0", Epoch: 7, Sequence: 5, Kind: ledger.Correction, Period: 360000000, RecordedAt: 360000030,
+			Key: ledger.Key{Customer: "desk", QueryType: "quick"}, Counts: counts.Negated(),
+			CorrectionID: "c-1", Author: "ops", Reason: "twice", Reference: "bill 9", CorrectedPeriod: 356400000, NegativeAllowed: true},
 	}
 }
 
 // TestFilesKeepTheirForm freezes the names of a batch's files, the manifest, the JSON lines, and the Parquet schema and rows.
 func TestFilesKeepTheirForm(t *testing.T) {
 	dir := t.TempDir()
-	folder, err := sink.OpenFolder(dir)
+	folder, err := sink.OpenDirectory(dir)
 	assert.NilError(t, err)
 	_, _, _, err = folder.Put("n0", 7, goldenIntent, goldenEntries())
 	assert.NilError(t, err)
@@ -71,7 +71,7 @@
 	assert.Assert(t, found)
 	manifest, _, _ := strings.Cut(rest, "file ")
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, "manifest.jsonl"), []byte(manifest), 0o644))
-	folder, err := sink.OpenFolder(dir)
+	folder, err := sink.OpenDirectory(dir)
 	assert.NilError(t, err)
 	batch, hash, written, err := folder.Put("n0", 7, goldenIntent, goldenEntries())
 	assert.NilError(t, err)
--- a/internal/ledger/sink/http.go
+++ b/internal/ledger/sink/http.go
@@ -22,19 +22,19 @@
 }
 
 const (
-	replyWithin = 10 * time.Second
-	replyMost   = 4 << 10
+	responseTimeout  = 10 * time.Second
+	maxResponseBytes = 4 << 10
 )
 
 // NewHTTP makes one.
-func NewHTTP(url string) *HTTP { return &HTTP{URL: url, client: http.Client{Timeout: replyWithin}} }
+func NewHTTP(url string) *HTTP { return &HTTP{URL: url, client: http.Client{Timeout: responseTimeout}} }
 
 // Put offers a batch.
 func (h *HTTP) Put(instance string, epoch uint64, i export.Intent, entries []*ledger.Entry) (batch, hash uint64, n int, err error) {
 	var lines bytes.Buffer
 	to := json.NewEncoder(&lines)
 	for _, e := range entries {
-		if err := to.Encode(rowOf(e)); err != nil {
+		if err := to.Encode(rowFromEntry(e)); err != nil {
 			return 0, 0, 0, err
 		}
 	}
@@ -45,14 +45,14 @@
 	}
 	q.GetBody = nil // the library does not offer it again by itself
 	q.Header.Set("Content-Type", "application/x-ndjson")
-	q.Header.Set("Idempotency-Key", name(instance, epoch, i.Batch))
+	q.Header.Set("Idempotency-Key", batchName(instance, epoch, i.Batch))
 	q.Header.Set("Batch-Hash", strconv.FormatUint(i.Hash, 16))
 	resp, err := h.client.Do(q)
 	if err != nil {
 		return 0, 0, n, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, replyMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, 0, n, err
 	}
--- a/internal/ledger/sink/sink.go
+++ b/internal/ledger/sink/sink.go
@@ -20,40 +20,40 @@
 
 // Row is one entry in a batch's files.
 type Row struct {
-	Instance  string `parquet:"instance,dict" json:"instance"`
-	Epoch     uint64 `parquet:"epoch" json:"epoch"`
-	Seq       uint64 `parquet:"seq" json:"seq"`
-	Sort      string `parquet:"sort,dict" json:"sort"`
-	Period    int64  `parquet:"period_ms" json:"period_ms"`
-	At        int64  `parquet:"at_ms" json:"at_ms"`
-	Customer  string `parquet:"customer,dict" json:"customer"`
-	QueryType string `parquet:"query_type,dict" json:"query_type"`
-	Front     string `parquet:"front,dict" json:"front"`
-	Outcome   string `parquet:"outcome,dict" json:"outcome"`
-	Searches  int64  `parquet:"searches" json:"searches"`
-	Parts     int64  `parquet:"parts" json:"parts"`
-	First     int64  `parquet:"first" json:"first"`
-	Repeat    int64  `parquet:"repeat" json:"repeat"`
-	Copy      int64  `parquet:"copy" json:"copy"`
-	CalledOff int64  `parquet:"called_off" json:"called_off"`
-	Work      int64  `parquet:"work_us" json:"work_us"`
-	BytesIn   int64  `parquet:"bytes_in" json:"bytes_in"`
-	BytesOut  int64  `parquet:"bytes_out" json:"bytes_out"`
-	Server    int64  `parquet:"server_us" json:"server_us"`
-	ID        string `parquet:"correction" json:"correction,omitempty"`
-	Author    string `parquet:"author" json:"author,omitempty"`
-	Reason    string `parquet:"reason" json:"reason,omitempty"`
-	Reference string `parquet:"reference" json:"reference,omitempty"`
-	Refers    int64  `parquet:"refers_ms" json:"refers_ms,omitempty"`
+	Instance        string `parquet:"instance,dict" json:"instance"`
+	Epoch           uint64 `parquet:"epoch" json:"epoch"`
+	Sequence        uint64 `parquet:"seq" json:"seq"`
+	Kind            string `parquet:"sort,dict" json:"sort"`
+	Period          int64  `parquet:"period_ms" json:"period_ms"`
+	RecordedAt      int64  `parquet:"at_ms" json:"at_ms"`
+	Customer        string `parquet:"customer,dict" json:"customer"`
+	QueryType       string `parquet:"query_type,dict" json:"query_type"`
+	Front           string `parquet:"front,dict" json:"front"`
+	Outcome         string `parquet:"outcome,dict" json:"outcome"`
+	Searches        int64  `parquet:"searches" json:"searches"`
+	ShardRequests   int64  `parquet:"parts" json:"parts"`
+	FirstAttempts   int64  `parquet:"first" json:"first"`
+	Retries         int64  `parquet:"repeat" json:"repeat"`
+	Hedges          int64  `parquet:"copy" json:"copy"`
+	Cancelled       int64  `parquet:"called_off" json:"called_off"`
+	WorkMicros      int64  `parquet:"work_us" json:"work_us"`
+	BytesIn         int64  `parquet:"bytes_in" json:"bytes_in"`
+	BytesOut        int64  `parquet:"bytes_out" json:"bytes_out"`
+	ServerMicros    int64  `parquet:"server_us" json:"server_us"`
+	CorrectionID    string `parquet:"correction" json:"correction,omitempty"`
+	Author          string `parquet:"author" json:"author,omitempty"`
+	Reason          string `parquet:"reason" json:"reason,omitempty"`
+	Reference       string `parquet:"reference" json:"reference,omitempty"`
+	CorrectedPeriod int64  `parquet:"refers_ms" json:"refers_ms,omitempty"`
 }
 
-func rowOf(e *ledger.Entry) Row {
+func rowFromEntry(e *ledger.Entry) Row {
 	c := &e.Counts
-	return Row{Instance: e.Instance, Epoch: e.Epoch, Seq: e.Seq, Sort: e.Sort.String(), Period: e.Period, At: e.At, Customer: e.Key.Customer,
-		QueryType: e.Key.Kind, Front: e.Key.Front.String(), Outcome: e.Key.Outcome.String(), Searches: c[ledger.Searches], Parts: c[ledger.Parts],
-		First: c[ledger.First], Repeat: c[ledger.Repeat], Copy: c[ledger.Copy], CalledOff: c[ledger.CalledOff], Work: c[ledger.Work],
-		BytesIn: c[ledger.BytesIn], BytesOut: c[ledger.BytesOut], Server: c[ledger.Server], ID: e.ID, Author: e.Author, Reason: e.Reason,
-		Reference: e.Reference, Refers: e.Refers}
+	return Row{Instance: e.Instance, Epoch: e.Epoch, Sequence: e.Sequence, Kind: e.Kind.String(), Period: e.Period, RecordedAt: e.RecordedAt, Customer: e.Key.Customer,
+		QueryType: e.Key.QueryType, Front: e.Key.Front.String(), Outcome: e.Key.Outcome.String(), Searches: c[ledger.Searches], ShardRequests: c[ledger.ShardRequests],
+		FirstAttempts: c[ledger.FirstAttempts], Retries: c[ledger.Retries], Hedges: c[ledger.Hedges], Cancelled: c[ledger.Cancelled], WorkMicros: c[ledger.WorkMicros],
+		BytesIn: c[ledger.BytesIn], BytesOut: c[ledger.BytesOut], ServerMicros: c[ledger.ServerMicros], CorrectionID: e.CorrectionID, Author: e.Author, Reason: e.Reason,
+		Reference: e.Reference, CorrectedPeriod: e.CorrectedPeriod}
 }
 
 // Batch is one line of the manifest.
@@ -64,40 +64,40 @@
 	Files []string `json:"Files"`
 }
 
-// Folder is the sink.
-type Folder struct {
-	Dir string
-	has map[string]Batch // by instance, epoch and number
+// Directory is the sink.
+type Directory struct {
+	Path    string
+	batches map[string]Batch // by instance, epoch and number
 }
 
-const manifest = "manifest.jsonl"
+const manifestName = "manifest.jsonl"
 
-func name(instance string, epoch, batch uint64) string {
+func batchName(instance string, epoch, batch uint64) string {
 	return fmt.Sprintf("%s-%x-%08d", instance, epoch, batch)
 }
 
-// OpenFolder reads a folder's manifest, or makes the folder.
-func OpenFolder(dir string) (*Folder, error) {
-	f := &Folder{Dir: dir, has: map[string]Batch{}}
+// OpenDirectory reads a folder's manifest, or makes the folder.
+func OpenDirectory(dir string) (*Directory, error) {
+	f := &Directory{Path: dir, batches: map[string]Batch{}}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	text, err := os.ReadFile(filepath.Join(dir, manifest))
+	text, err := os.ReadFile(filepath.Join(dir, manifestName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
 	for line := range bytes.Lines(text) {
 		var b Batch
 		if err := json.Unmarshal(line, &b); err != nil {
-			return nil, fmt.Errorf("%s: %w", manifest, err)
+			return nil, fmt.Errorf("%s: %w", manifestName, err)
 		}
-		f.has[name(b.Instance, b.Epoch, b.Batch)] = b
+		f.batches[batchName(b.Instance, b.Epoch, b.Batch)] = b
 	}
 	return f, nil
 }
 
-// durably writes a file so that it is there whole or not at all.
-func durably(path string, content []byte) error {
+// writeAtomically writes a file so that it is there whole or not at all.
+func writeAtomically(path string, content []byte) error {
 	t, err := os.Create(path + ".tmp")
 	if err != nil {
 		return err
@@ -126,16 +126,16 @@
 
 // Put takes a batch, or finds that it is there, and gives the hash of what is. Nothing is there before the manifest names it:
 // files that a crash left behind are written again.
-func (f *Folder) Put(instance string, epoch uint64, i export.Intent, entries []*ledger.Entry) (batch, hash uint64, bytesOut int, err error) {
-	at := name(instance, epoch, i.Batch)
-	if b, found := f.has[at]; found {
+func (f *Directory) Put(instance string, epoch uint64, i export.Intent, entries []*ledger.Entry) (batch, hash uint64, bytesOut int, err error) {
+	at := batchName(instance, epoch, i.Batch)
+	if b, found := f.batches[at]; found {
 		return b.Batch, b.Hash, 0, nil
 	}
 	rows := make([]Row, len(entries))
 	var lines, columns bytes.Buffer
 	to := json.NewEncoder(&lines)
 	for n, e := range entries {
-		rows[n] = rowOf(e)
+		rows[n] = rowFromEntry(e)
 		if err := to.Encode(rows[n]); err != nil {
 			return 0, 0, 0, err
 		}
@@ -144,31 +144,31 @@
 		return 0, 0, 0, err
 	}
 	b := Batch{instance, epoch, i, []string{at + ".jsonl", at + ".parquet"}}
-	if err := errors.Join(durably(filepath.Join(f.Dir, b.Files[0]), lines.Bytes()), durably(filepath.Join(f.Dir, b.Files[1]), columns.Bytes())); err != nil {
+	if err := errors.Join(writeAtomically(filepath.Join(f.Path, b.Files[0]), lines.Bytes()), writeAtomically(filepath.Join(f.Path, b.Files[1]), columns.Bytes())); err != nil {
 		return 0, 0, 0, err
 	}
-	was, err := os.ReadFile(filepath.Join(f.Dir, manifest))
+	was, err := os.ReadFile(filepath.Join(f.Path, manifestName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, 0, 0, err
 	}
 	line, _ := json.Marshal(b)
-	if err := durably(filepath.Join(f.Dir, manifest), append(append(was, line...), '\n')); err != nil {
+	if err := writeAtomically(filepath.Join(f.Path, manifestName), append(append(was, line...), '\n')); err != nil {
 		return 0, 0, 0, err
 	}
-	f.has[at] = b
+	f.batches[at] = b
 	return i.Batch, i.Hash, lines.Len() + columns.Len() + len(was), nil
 }
 
 // Exporter takes a store's entries to a folder, in steps of background work.
 type Exporter struct {
-	Failed func(error) // told once each time it begins to fail
-	s      *store.Store
-	to     Sink
-	name   string
-	m      *export.Machine
-	most   int
-	every  float64
-	bad    bool
+	OnFailure  func(error) // told once each time it begins to fail
+	store      *store.Store
+	sink       Sink
+	name       string
+	machine    *export.Machine
+	maxEntries int
+	intervalMs float64
+	failing    bool
 }
 
 // Sink takes a batch, once however often it is offered, and tells which batch it holds and its hash.
@@ -178,19 +178,19 @@
 
 // NewExporter goes on where the store says for the sink of a name.
 func NewExporter(s *store.Store, name string, to Sink, most int, every float64) (*Exporter, error) {
-	x, err := s.Export(name)
+	x, err := s.LoadExport(name)
 	if err != nil {
 		return nil, err
 	}
-	return &Exporter{s: s, name: name, to: to, m: export.New(x.Cursor, x.Intent), most: most, every: every}, nil
+	return &Exporter{store: s, name: name, sink: to, machine: export.New(x.Cursor, x.Intent), maxEntries: most, intervalMs: every}, nil
 }
 
 // entries reads a range, and its hash.
 func (x *Exporter) entries(from, to uint64) (list []*ledger.Entry, hash uint64, err error) {
 	h := xxhash.New()
 	done := errors.New("done")
-	err = x.s.Each(from, func(e *ledger.Entry) error {
-		if e.Seq > to {
+	err = x.store.EachEntry(from, func(e *ledger.Entry) error {
+		if e.Sequence > to {
 			return done
 		}
 		list = append(list, e)
@@ -209,31 +209,31 @@
 // Step does one step of the protocol (run.Step).
 func (x *Exporter) Step() (cost, again float64) {
 	n, idle, err := x.step()
-	if err != nil && !x.bad && x.Failed != nil {
-		x.Failed(err)
+	if err != nil && !x.failing && x.OnFailure != nil {
+		x.OnFailure(err)
 	}
-	if x.bad = err != nil; idle || x.bad {
-		return float64(n), x.every
+	if x.failing = err != nil; idle || x.failing {
+		return float64(n), x.intervalMs
 	}
 	return float64(n), 0
 }
 
 func (x *Exporter) step() (n int, idle bool, err error) {
-	s := x.m.Next(x.s.Last(), x.most, func(from, to uint64) uint64 {
+	s := x.machine.Next(x.store.LastSequence(), x.maxEntries, func(from, to uint64) uint64 {
 		_, hash, e := x.entries(from, to)
 		err = errors.Join(err, e)
 		return hash
 	})
 	if err != nil {
-		x.m = export.New(x.m.Cursor(), nil) // what was to be fixed could not be read: nothing of it is durable
+		x.machine = export.New(x.machine.Cursor(), nil) // what was to be fixed could not be read: nothing of it is durable
 		return 0, true, err
 	}
 	switch s.Kind {
 	case export.SaveIntent:
-		if err := x.s.SaveExport(x.name, store.Export{Cursor: x.m.Cursor(), Intent: &s.Intent}); err != nil {
+		if err := x.store.SaveExport(x.name, store.ExportState{Cursor: x.machine.Cursor(), Intent: &s.Intent}); err != nil {
 			return 0, true, err
 		}
-		x.m.Saved(s)
+		x.machine.HandleSaved(s)
 	case export.Put:
 		list, hash, err := x.entries(s.Intent.From, s.Intent.To)
 		if err == nil && hash != s.Intent.Hash {
@@ -242,11 +242,11 @@
 		if err != nil {
 			return 0, true, err
 		}
-		batch, held, n, err := x.to.Put(x.s.Instance, x.s.Epoch, s.Intent, list)
+		batch, held, n, err := x.sink.Put(x.store.Instance, x.store.Epoch, s.Intent, list)
 		if err != nil {
 			return n, true, err
 		}
-		if err := x.m.Answer(batch, held); err != nil {
+		if err := x.machine.HandleAnswer(batch, held); err != nil {
 			return n, true, err
 		}
 		if batch != s.Intent.Batch {
@@ -254,10 +254,10 @@
 		}
 		return n, false, nil
 	case export.SaveCursor:
-		if err := x.s.SaveExport(x.name, store.Export{Cursor: s.Cursor}); err != nil {
+		if err := x.store.SaveExport(x.name, store.ExportState{Cursor: s.Cursor}); err != nil {
 			return 0, true, err
 		}
-		x.m.Saved(s)
+		x.machine.HandleSaved(s)
 	default:
 		return 0, true, nil
 	}
--- a/internal/ledger/sink/sink_test.go
+++ b/internal/ledger/sink/sink_test.go
@@ -14,10 +14,10 @@
 	"kestrelspread/internal/standin/receiver"
 )
 
-func grow(t *testing.T, s *store.Store, n int) {
+func appendEntries(t *testing.T, s *store.Store, n int) {
 	var list []*ledger.Entry
 	for i := range n {
-		list = append(list, &ledger.Entry{Instance: "n0", Epoch: s.Epoch, Seq: s.Book.Next + uint64(i), Sort: ledger.Use,
+		list = append(list, &ledger.Entry{Instance: "n0", Epoch: s.Epoch, Sequence: s.Ledger.NextSequence + uint64(i), Kind: ledger.Use,
 			Key: ledger.Key{Customer: fmt.Sprint("c", i)}, Counts: ledger.Counts{1}})
 	}
 	if err := s.Commit(list, 1); err != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestAReceiverThatDoesWrong(t *testing.T) {
+func TestFaultyReceiverGetsEachEntryOnce(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		r := receiver.New()
@@ -36,7 +36,7 @@
 		}
 		failed := 0
 		for range 6 {
-			grow(t, s, 1+rng.IntN(20))
+			appendEntries(t, s, 1+rng.IntN(20))
 			for range rng.IntN(4) {
 				r.Do(receiver.Mode(rng.IntN(5)))
 			}
@@ -44,7 +44,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			x.Failed = func(error) { failed++ }
+			x.OnFailure = func(error) { failed++ }
 			for range rng.IntN(12) {
 				x.Step()
 			}
@@ -65,12 +65,12 @@
 			x.Step()
 		}
 		lines := r.Lines()
-		if uint64(len(lines)) != s.Last() {
-			t.Fatalf("seed %d: %d records of %d; %v", seed, len(lines), s.Last(), r)
+		if uint64(len(lines)) != s.LastSequence() {
+			t.Fatalf("seed %d: %d records of %d; %v", seed, len(lines), s.LastSequence(), r)
 		}
 		for i, line := range lines {
 			var row Row
-			if json.Unmarshal([]byte(line), &row); row.Seq != uint64(i+1) || row.Epoch != s.Epoch {
+			if json.Unmarshal([]byte(line), &row); row.Sequence != uint64(i+1) || row.Epoch != s.Epoch {
 				t.Fatalf("seed %d: record %d is %s", seed, i, line)
 			}
 		}
@@ -79,38 +79,38 @@
 	}
 }
 
-func TestAFolderThatCannotBeWritten(t *testing.T) {
+func TestUnwritableDirectoryIsRetried(t *testing.T) {
 	dir := t.TempDir()
-	f, err := OpenFolder(dir)
+	f, err := OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Dir = dir + "/gone"
+	f.Path = dir + "/gone"
 	s, err := store.Open(vfs.NewMem(), "ledger", "n0", time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	grow(t, s, 10)
+	appendEntries(t, s, 10)
 	x, err := NewExporter(s, "folder", f, 4, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	failed := 0
-	x.Failed = func(error) { failed++ }
+	x.OnFailure = func(error) { failed++ }
 	for range 5 {
 		if _, again := x.Step(); failed > 0 && again != 1000 {
 			t.Error("tried again after", again)
 		}
 	}
-	if failed != 1 || x.m.Cursor().Seq != 0 {
-		t.Error(failed, x.m.Cursor())
+	if failed != 1 || x.machine.Cursor().Sequence != 0 {
+		t.Error(failed, x.machine.Cursor())
 	}
-	f.Dir = dir
+	f.Path = dir
 	for range 20 {
 		x.Step()
 	}
-	if again, _ := OpenFolder(dir); x.m.Cursor().Seq != 10 || len(again.has) != 3 {
-		t.Error(x.m.Cursor(), len(again.has))
+	if again, _ := OpenDirectory(dir); x.machine.Cursor().Sequence != 10 || len(again.batches) != 3 {
+		t.Error(x.machine.Cursor(), len(again.batches))
 	}
 }
--- a/internal/ledger/store/codec.go
+++ b/internal/ledger/store/codec.go
@@ -12,8 +12,8 @@
 	"kestrelspread/internal/ledger"
 )
 
-// version of a record's form. A newer program reads all older ones; an older one refuses newer ones.
-const version = 2
+// recordVersion of a record's form. A newer program reads all older ones; an older one refuses newer ones.
+const recordVersion = 2
 
 // What Decode finds.
 var (
@@ -21,47 +21,47 @@
 	ErrNewer = disk.ErrNewer
 )
 
-// entryV1 is the first form: corrections had no reference of their own and none was forced.
-type entryV1 struct {
-	Instance string        `json:"Instance"`
-	Epoch    uint64        `json:"Epoch"`
-	Seq      uint64        `json:"Seq"`
-	Sort     ledger.Sort   `json:"Sort"`
-	Period   int64         `json:"Period"`
-	At       int64         `json:"At"`
-	Key      ledger.Key    `json:"Key"`
-	Counts   ledger.Counts `json:"Counts"`
-	ID       string        `json:"ID"`
-	Author   string        `json:"Author"`
-	Reason   string        `json:"Reason"`
-	Refers   int64         `json:"Refers"`
-	Entries  uint64        `json:"Entries"`
-	Hash     uint64        `json:"Hash"`
+// entryVersion1 is the first form: corrections had no reference of their own and none was forced.
+type entryVersion1 struct {
+	Instance string           `json:"Instance"`
+	Epoch    uint64           `json:"Epoch"`
+	Seq      uint64           `json:"Seq"`
+	Sort     ledger.EntryKind `json:"Sort"`
+	Period   int64            `json:"Period"`
+	At       int64            `json:"At"`
+	Key      ledger.Key       `json:"Key"`
+	Counts   ledger.Counts    `json:"Counts"`
+	ID       string           `json:"ID"`
+	Author   string           `json:"Author"`
+	Reason   string           `json:"Reason"`
+	Refers   int64            `json:"Refers"`
+	Entries  uint64           `json:"Entries"`
+	Hash     uint64           `json:"Hash"`
 }
 
 // seal puts a version and a checksum before a payload.
-func seal(kind byte, payload []byte) []byte { return disk.Seal(version, kind, payload) }
+func seal(kind byte, payload []byte) []byte { return disk.Seal(recordVersion, kind, payload) }
 
-// open checks a record and gives its payload and version.
-func open(kind byte, b []byte) (payload []byte, v byte, err error) {
-	return disk.Unseal(version, kind, b)
+// unseal checks a record and gives its payload and version.
+func unseal(kind byte, b []byte) (payload []byte, v byte, err error) {
+	return disk.Unseal(recordVersion, kind, b)
 }
 
 // Kinds of records.
 const (
-	anEntry      = 'e'
-	anIdentity   = 'i'
-	aCheckpoint  = 'c'
-	aCursor      = 'x'
-	theHighest   = 'h'
-	entryKeys    = "e/"
-	identityKey  = "identity"
-	highestKey   = "highest"
-	checkpointAt = "checkpoint"
-	cursorKeys   = "cursor/"
+	entryRecord       = 'e'
+	identityRecord    = 'i'
+	checkpointRecord  = 'c'
+	exportRecord      = 'x'
+	highestTimeRecord = 'h'
+	entryKeyPrefix    = "e/"
+	identityKey       = "identity"
+	highestTimeKey    = "highest"
+	checkpointKey     = "checkpoint"
+	exportKeyPrefix   = "cursor/"
 )
 
-func entryKey(seq uint64) []byte { return binary.BigEndian.AppendUint64([]byte(entryKeys), seq) }
+func entryKey(seq uint64) []byte { return binary.BigEndian.AppendUint64([]byte(entryKeyPrefix), seq) }
 
 // Encode writes an entry.
 func Encode(e *ledger.Entry) []byte {
@@ -69,23 +69,23 @@
 	if err != nil { // its fields are plain values
 		panic(err)
 	}
-	return seal(anEntry, b)
+	return seal(entryRecord, b)
 }
 
 // Decode reads an entry of any version up to this one's.
 func Decode(b []byte) (*ledger.Entry, error) {
-	payload, v, err := open(anEntry, b)
+	payload, v, err := unseal(entryRecord, b)
 	if err != nil {
 		return nil, err
 	}
 	if v == 1 {
-		var o entryV1
+		var o entryVersion1
 		if err := json.Unmarshal(payload, &o); err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrTorn, err)
 		}
-		e := &ledger.Entry{Instance: o.Instance, Epoch: o.Epoch, Seq: o.Seq, Sort: o.Sort, Period: o.Period, At: o.At, Key: o.Key, Counts: o.Counts,
-			ID: o.ID, Author: o.Author, Reason: o.Reason, Refers: o.Refers, Entries: o.Entries, Hash: o.Hash}
-		if e.Sort == ledger.Correction {
+		e := &ledger.Entry{Instance: o.Instance, Epoch: o.Epoch, Sequence: o.Seq, Kind: o.Sort, Period: o.Period, RecordedAt: o.At, Key: o.Key, Counts: o.Counts,
+			CorrectionID: o.ID, Author: o.Author, Reason: o.Reason, CorrectedPeriod: o.Refers, SealedEntries: o.Entries, SealedHash: o.Hash}
+		if e.Kind == ledger.Correction {
 			e.Reference = "before version 2"
 		}
 		return e, nil
--- a/internal/ledger/store/records_golden_test.go
+++ b/internal/ledger/store/records_golden_test.go
@@ -36,24 +36,24 @@
 	`"Counts":[1,2,3,4,5,6,7,8,9,10],"ID":"c-1","Author":"ops","Reason":"twice","Refers":356400000,"Entries":0,"Hash":0}`
 
 // goldenLedger has entries of every sort: two uses, a correction, and the close that the book itself writes.
-func goldenLedger(t *testing.T, epoch uint64) ([]*ledger.Entry, *ledger.Book) {
+func goldenLedger(t *testing.T, epoch uint64) ([]*ledger.Entry, *ledger.Ledger) {
 	t.Helper()
-	book := ledger.NewBook("n0", epoch)
+	book := ledger.New("n0", epoch)
 	counts := ledger.Counts{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}
 	entries := []*ledger.Entry{
-		{Instance: "n0", Epoch: epoch, Seq: 1, Sort: ledger.Use, Period: 100 * goldenHour, At: 100*goldenHour + 10,
-			Key: ledger.Key{Customer: "bulk", Kind: "once", Front: ledger.GRPC, Outcome: ledger.Shed}, Counts: counts},
-		{Instance: "n0", Epoch: epoch, Seq: 2, Sort: ledger.Use, Period: 100 * goldenHour, At: 100*goldenHour + 20,
-			Key: ledger.Key{Customer: "desk", Kind: "quick", Front: ledger.HTTP, Outcome: ledger.Answered}, Counts: counts},
-		{Instance: "n0", Epoch: epoch, Seq: 3, Sort: ledger.Correction, Period: 100 * goldenHour, At: 100*goldenHour + 30,
-			Key: ledger.Key{Customer: "bulk", Kind: "once", Front: ledger.GRPC, Outcome: ledger.Shed}, Counts: counts.Neg(),
-			ID: "c-1", Author: "ops", Reason: "twice \u00e9", Reference: "bill 9", Refers: 99 * goldenHour, Forced: true},
+		{Instance: "n0", Epoch: epoch, Sequence: 1, Kind: ledger.Use, Period: 100 * goldenHour, RecordedAt: 100*goldenHour + 10,
+			Key: ledger.Key{Customer: "bulk", QueryType: "once", Front: ledger.GRPC, Outcome: ledger.Shed}, Counts: counts},
+		{Instance: "n0", Epoch: epoch, Sequence: 2, Kind: ledger.Use, Period: 100 * goldenHour, RecordedAt: 100*goldenHour + 20,
+			Key: ledger.Key{Customer: "desk", QueryType: "quick", Front: ledger.HTTP, Outcome: ledger.Answered}, Counts: counts},
+		{Instance: "n0", Epoch: epoch, Sequence: 3, Kind: ledger.Correction, Period: 100 * goldenHour, RecordedAt: 100*goldenHour + 30,
+			Key: ledger.Key{Customer: "bulk", QueryType: "once", Front: ledger.GRPC, Outcome: ledger.Shed}, Counts: counts.Negated(),
+			CorrectionID: "c-1", Author: "ops", Reason: "twice \u00e9", Reference: "bill 9", CorrectedPeriod: 99 * goldenHour, NegativeAllowed: true},
 	}
 	for _, entry := range entries {
 		assert.NilError(t, book.Apply(entry))
 	}
-	calendar := &ledger.Calendar{Zone: time.UTC, Every: ledger.Hourly, Hours: 1, Grace: 60e3}
-	closing := book.Due(calendar, 102*goldenHour)
+	calendar := &ledger.Calendar{Zone: time.UTC, Unit: ledger.Hourly, Hours: 1, GraceMs: 60e3}
+	closing := book.CloseEntries(calendar, 102*goldenHour)
 	assert.Equal(t, len(closing), 2) // the correction's own period, and the one that it refers to
 	for _, entry := range closing {
 		assert.NilError(t, book.Apply(entry))
@@ -69,10 +69,10 @@
 		fmt.Fprintln(&text, hex.EncodeToString(store.Encode(entry)))
 	}
 	fmt.Fprintln(&text, hex.EncodeToString(disk.Seal(1, 'e', []byte(goldenV1))))
-	exported, err := json.Marshal(store.Export{Cursor: export.Cursor{Seq: 3, Batch: 2}, Intent: &export.Intent{Batch: 3, From: 4, To: 9, Hash: 1 << 63}})
+	exported, err := json.Marshal(store.ExportState{Cursor: export.Cursor{Sequence: 3, Batch: 2}, Intent: &export.Intent{Batch: 3, From: 4, To: 9, Hash: 1 << 63}})
 	assert.NilError(t, err)
 	fmt.Fprintln(&text, string(exported))
-	identity, err := json.Marshal(store.Identity{Instance: "n0", Epoch: 7, Made: 5})
+	identity, err := json.Marshal(store.Identity{Instance: "n0", Epoch: 7, CreatedAt: 5})
 	assert.NilError(t, err)
 	fmt.Fprintln(&text, string(identity))
 	golden.Assert(t, text.String(), goldenEntries)
@@ -98,17 +98,17 @@
 		assert.Equal(t, entry.Reference, "before version 2")
 		assert.Equal(t, fmt.Sprint(*entry), "{n0 7 3 correction 360000000 360000500 {bulk once grpc shed} [1 2 3 4 5 6 7 8 9 10] c-1 ops twice before version 2 356400000 false 0 0}")
 	}
-	var exported store.Export
+	var exported store.ExportState
 	assert.NilError(t, json.Unmarshal([]byte(lines[len(want)+1]), &exported))
 	assert.Equal(t, fmt.Sprint(exported.Cursor, *exported.Intent), fmt.Sprintf("{3 2} {3 4 9 %d}", uint64(1<<63)))
 
-	restored := ledger.NewBook("n0", 7)
+	restored := ledger.New("n0", 7)
 	written := strings.TrimSpace(string(golden.Get(t, goldenBook)))
 	assert.NilError(t, restored.Restore([]byte(written)))
 	snapshot, err := restored.Snapshot()
 	assert.NilError(t, err)
 	assert.Equal(t, string(snapshot), written)
-	assert.DeepEqual(t, restored.Sum(), book.Sum())
+	assert.DeepEqual(t, restored.TotalUse(), book.TotalUse())
 }
 
 // TestStoreOfTheGoldenFileIsRead opens a store as it was left on a disk once: entries after a checkpoint, and a sink's
@@ -119,10 +119,10 @@
 		made, err := store.Open(vfs.Default, dir, "n0", time.UnixMilli(100*goldenHour))
 		assert.NilError(t, err)
 		entries, _ := goldenLedger(t, made.Epoch)
-		assert.NilError(t, made.Commit(entries[:2], entries[1].At))
+		assert.NilError(t, made.Commit(entries[:2], entries[1].RecordedAt))
 		assert.NilError(t, made.Checkpoint(0))
-		assert.NilError(t, made.Commit(entries[2:], entries[len(entries)-1].At))
-		assert.NilError(t, made.SaveExport("folder", store.Export{Cursor: export.Cursor{Seq: 2, Batch: 1}, Intent: &export.Intent{Batch: 2, From: 3, To: 4, Hash: 77}}))
+		assert.NilError(t, made.Commit(entries[2:], entries[len(entries)-1].RecordedAt))
+		assert.NilError(t, made.SaveExport("folder", store.ExportState{Cursor: export.Cursor{Sequence: 2, Batch: 1}, Intent: &export.Intent{Batch: 2, From: 3, To: 4, Hash: 77}}))
 		assert.NilError(t, made.Close())
 		golden.AssertBytes(t, packed(t, dir), goldenFolder)
 	}
@@ -134,15 +134,15 @@
 	assert.NilError(t, opened.Verify())
 	want, book := goldenLedger(t, opened.Epoch)
 	var got []*ledger.Entry
-	assert.NilError(t, opened.Each(1, func(entry *ledger.Entry) error {
+	assert.NilError(t, opened.EachEntry(1, func(entry *ledger.Entry) error {
 		got = append(got, entry)
 		return nil
 	}))
 	assert.DeepEqual(t, got, want)
-	assert.DeepEqual(t, opened.Book.Sum(), book.Sum())
-	assert.Equal(t, opened.Made, 100*goldenHour)
-	assert.Equal(t, opened.Highest, want[len(want)-1].At)
-	exported, err := opened.Export("folder")
+	assert.DeepEqual(t, opened.Ledger.TotalUse(), book.TotalUse())
+	assert.Equal(t, opened.CreatedAt, 100*goldenHour)
+	assert.Equal(t, opened.HighestTime, want[len(want)-1].RecordedAt)
+	exported, err := opened.LoadExport("folder")
 	assert.NilError(t, err)
 	assert.Equal(t, fmt.Sprint(exported.Cursor, *exported.Intent), "{2 1} {2 3 4 77}")
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -102,7 +102,7 @@
 // Ledger is the ledger of use. The zone is checked by who knows zones.
 type Ledger struct {
 	Folder, Instance, Zone string
-	Every                  ledger.Every
+	Every                  ledger.PeriodUnit
 	Hours                  int
 	Grace                  float64 // ms
 	Export, URL            string  // a folder, a receiver's address; "": none
@@ -423,7 +423,7 @@
 				bad = append(bad, Finding{"/ledger/export/folder", "is the ledger's own"})
 			}
 		}
-		s.Ledger.Every = map[string]ledger.Every{"hours": ledger.Hourly, "day": ledger.Daily, "month": ledger.Monthly}[l.Period.Every]
+		s.Ledger.Every = map[string]ledger.PeriodUnit{"hours": ledger.Hourly, "day": ledger.Daily, "month": ledger.Monthly}[l.Period.Every]
 	}
 	if len(bad) > 0 {
 		sort.SliceStable(bad, func(i, j int) bool { return bad[i].Path < bad[j].Path })
