--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -5,38 +5,41 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/modelversion"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/predict"
 )
 
 const (
-	// NewestFirstSpan is how long before the time of older weights ends brokers with the newest ones go first.
+	// NewestFirstSpan is how long before the time of older weights ends brokers with the newest
+	// ones go first.
 	NewestFirstSpan = 3 * time.Second
-	// A request's first token is expected after the quantile firstTokenShare of latencies, times FirstTokenFactor,
-	// within these bounds.
+	// FirstTokenFactor is how many times the quantile firstTokenShare of latencies a first token is
+	// taken to need.
 	FirstTokenFactor = 1.5
-	MinFirstToken    = 800 * time.Millisecond
-	MaxFirstToken    = 3 * time.Second
+	// MinFirstToken is the least time that a first token is taken to need.
+	MinFirstToken = 800 * time.Millisecond
+	// MaxFirstToken is the most time that a first token is taken to need.
+	MaxFirstToken = 3 * time.Second
 
 	newestFirstShare = 2.0 / 3 // of the brokers must have the newest weights
 	firstTokenShare  = 0.9
-	answeredLately   = time.Second // a broker that the registry misses is used if it has answered within that time
+	recentAnswerSpan = time.Second // a broker that the registry misses is used if it has answered within that time
 )
 
 // Finder finds candidates. It may eject brokers that answer nothing; it changes nothing else.
 type Finder struct {
 	switches mechanism.Switches
 	versions *modelversion.Tracker
-	ejector  *upstream.Ejector
+	ejector  *brokerstate.Ejector
 	found    Set // reused
 }
 
 // NewFinder makes a finder.
-func NewFinder(switches mechanism.Switches, versions *modelversion.Tracker, ejector *upstream.Ejector) *Finder {
+func NewFinder(switches mechanism.Switches, versions *modelversion.Tracker, ejector *brokerstate.Ejector) *Finder {
 	return &Finder{switches: switches, versions: versions, ejector: ejector}
 }
 
@@ -61,7 +64,7 @@
 }
 
 // permitted reports whether the rules let the request go to the broker at all.
-func (f *Finder) permitted(now, startsAt core.Time, req *inflight.Request, b *upstream.Broker) (Candidate, bool) {
+func (f *Finder) permitted(now, startsAt core.Time, req *inflight.Request, b *brokerstate.Broker) (Candidate, bool) {
 	c := Candidate{Broker: b}
 	if !req.Pool.Usable(now, b) || b.Health.Misdirected(now) {
 		return c, false
@@ -87,26 +90,28 @@
 		s.Eligible = append(s.Eligible, c)
 	case h.Ejected():
 		s.Ejected = append(s.Ejected, c)
-	case b.Instance.Unresponsive && !h.AnsweredWithin(now, answeredLately):
+	case b.Instance.Unresponsive && !h.AnsweredWithin(now, recentAnswerSpan):
 		s.unresponsive = append(s.unresponsive, c)
 	default:
 		s.Eligible = append(s.Eligible, c)
 	}
 }
 
-// mayProbe reports whether the request can be the probe of an ejected broker: a first attempt, of an idempotent
-// request, or to a broker that takes no connection at all, as then it can't run unseen; any request after a longer
-// wait, where no other came by. A broker that the registry misses as well is not probed.
-func mayProbe(now core.Time, req *inflight.Request, b *upstream.Broker) bool {
+// mayProbe reports whether the request can be the probe of an ejected broker: a first attempt, of
+// an idempotent request, or to a broker that takes no connection at all, as then it can't run
+// unseen; any request after a longer wait, where no other came by. A broker that the registry
+// misses as well is not probed.
+func mayProbe(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
 	h := &b.Health
 	if !h.ProbeDue(now) || b.Instance.Unresponsive || len(req.Calls) > 0 {
 		return false
 	}
-	return req.Idempotent || h.Reason() == upstream.Unreachable || h.ProbeOverdue(now)
+	return req.Idempotent || h.Reason() == brokerstate.Unreachable || h.ProbeOverdue(now)
 }
 
-// newestFirst leaves only brokers with the newest weights shortly before the time of older ones ends, if they are
-// enough for all requests. Where they are few, the older ones are used to the last, as all would wait at the few.
+// newestFirst leaves only brokers with the newest weights shortly before the time of older ones
+// ends, if they are enough for all requests. Where they are few, the older ones are used to the
+// last, as all would wait at the few.
 func (f *Finder) newestFirst(now core.Time, req *inflight.Request, eligible []Candidate) []Candidate {
 	if req.ServedModel == "" || !f.switches.On(mechanism.NewestFirst) ||
 		!f.versions.AnyExpiresWithin(now, req.ServedModel, NewestFirstSpan) {
@@ -125,8 +130,9 @@
 	return slices.DeleteFunc(eligible, func(c Candidate) bool { return c.Version < newest })
 }
 
-// firstTokenAt is when a request that is sent now has its first token, by recent latencies: what goes to a broker with
-// older weights must start before their time ends. It is estimated only where that matters.
+// firstTokenAt is when a request that is sent now has its first token, by recent latencies: what
+// goes to a broker with older weights must start before their time ends. It is estimated only where
+// that matters.
 func (f *Finder) firstTokenAt(now core.Time, req *inflight.Request) core.Time {
 	if req.ServedModel == "" || !f.versions.AnyExpiresWithin(now, req.ServedModel, MaxFirstToken) {
 		return now
