--- /dev/null
+++ b/internal/ledger/buffer.go
@@ -0,0 +1,73 @@
+package ledger
+
+import "sort"
+
+// Buffer stands between the broker's loop, which must not wait, and the disk, which may be slow: uses of one key and period
+// merge, so that what is pending is bounded by the number of live keys and nothing is ever dropped.
+type Buffer struct {
+	pending map[bufferKey]*Counts
+	uses    int64
+}
+
+type bufferKey struct {
+	period int64
+	key    Key
+}
+
+// NewBuffer returns an empty buffer.
+func NewBuffer() *Buffer { return &Buffer{pending: map[bufferKey]*Counts{}} }
+
+// Add adds a use in the period that begins at a time.
+func (b *Buffer) Add(period int64, key Key, counts Counts) {
+	b.uses++
+	if mutantMerge {
+		b.pending[bufferKey{period, key}] = &counts // overwrites what was pending
+		return
+	}
+	b.merge(period, key, counts)
+}
+
+func (b *Buffer) merge(period int64, key Key, counts Counts) {
+	at := bufferKey{period, key}
+	if sum := b.pending[at]; sum != nil {
+		sum.Add(counts)
+		return
+	}
+	b.pending[at] = &counts
+}
+
+// Keys is the number of pending keys.
+func (b *Buffer) Keys() int { return len(b.pending) }
+
+// Uses is the number of uses that were ever added.
+func (b *Buffer) Uses() int64 { return b.uses }
+
+// BufferedUse is the sum of one key and period.
+type BufferedUse struct {
+	Period int64
+	Key    Key
+	Counts Counts
+}
+
+// TakeAll takes all that is pending, in order.
+func (b *Buffer) TakeAll() []BufferedUse {
+	list := make([]BufferedUse, 0, len(b.pending))
+	for at, counts := range b.pending {
+		list = append(list, BufferedUse{at.period, at.key, *counts})
+	}
+	sort.Slice(list, func(i, j int) bool {
+		if list[i].Period != list[j].Period {
+			return list[i].Period < list[j].Period
+		}
+		return list[i].Key.Less(list[j].Key)
+	})
+	clear(b.pending)
+	return list
+}
+
+// PutBack returns what was taken and could not be made durable; it merges with what was added since.
+func (b *Buffer) PutBack(list []BufferedUse) {
+	for _, use := range list {
+		b.merge(use.Period, use.Key, use.Counts)
+	}
+}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -48,7 +48,7 @@
 		}
 		if rng.IntN(500) == 0 {
 			list := h.TakeAll()
-			if rng.IntN(2) == 0 { // the disk refused it
+			if rng.IntN(2) == 0 { // the disk rejected it
 				h.PutBack(list)
 				continue
 			}
@@ -96,7 +96,7 @@
 		t.Error("a seal that does not fit:", err)
 	}
 	mustApply(t, b, due...)
-	// A use that comes late goes to the open one; an entry by force does not.
+	// A use that is late goes to the open period; an entry made by hand is rejected.
 	late := b.UseEntries([]BufferedUse{{0, key("a"), countsOf(1)}}, hour, hour+utc.GraceMs+1)
 	if late[0].Period != hour {
 		t.Error("posted to", late[0].Period)
@@ -212,9 +212,9 @@
 		return now
 	}
 	if step(1000, 1000) != 1e9+1000 || step(1500, 1000) != 1e9+2500 {
-		t.Error("it drifts with the wall:", last)
+		t.Error("it drifts with the wall clock:", last)
 	}
-	// Set back by an hour: it stands, and goes on when the wall has come up.
+	// Set back by an hour: it stands, and continues when the wall clock has come up.
 	at := last
 	step(-hour, 10)
 	for range 100 {
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -5,24 +5,24 @@
 	"sort"
 )
 
-// A checkpoint's form.
+// snapshot is a checkpoint's form. Its JSON is stored.
 type snapshot struct {
-	Instance    string           `json:"Instance"`
-	Epoch       uint64           `json:"Epoch"`
-	Next        uint64           `json:"Next"`
-	Periods     []snapshotPeriod `json:"Periods"`
-	Corrections []*Entry         `json:"Corrections"`
+	Instance     string           `json:"Instance"`
+	Epoch        uint64           `json:"Epoch"`
+	NextSequence uint64           `json:"Next"`
+	Periods      []snapshotPeriod `json:"Periods"`
+	Corrections  []*Entry         `json:"Corrections"`
 }
 
 type snapshotPeriod struct {
-	Start     int64            `json:"Start"`
-	State     State            `json:"State"`
-	Entries   uint64           `json:"Entries"`
-	Hash      uint64           `json:"Hash"`
-	Total     Counts           `json:"Total"`
-	Corrected Counts           `json:"Corrected"`
-	Used      []snapshotCounts `json:"Used"`
-	Added     []snapshotCounts `json:"Added"`
+	Start          int64            `json:"Start"`
+	State          State            `json:"State"`
+	Entries        uint64           `json:"Entries"`
+	Hash           uint64           `json:"Hash"`
+	Total          Counts           `json:"Total"`
+	Corrections    Counts           `json:"Corrected"`
+	KeyTotals      []snapshotCounts `json:"Used"`
+	KeyCorrections []snapshotCounts `json:"Added"`
 }
 
 type snapshotCounts struct {
@@ -30,52 +30,66 @@
 	Counts Counts `json:"Counts"`
 }
 
-func sortedCounts(m map[Key]*Counts) (list []snapshotCounts) {
-	for k, c := range m {
-		list = append(list, snapshotCounts{k, *c})
+func sortedCounts(sums map[Key]*Counts) (list []snapshotCounts) {
+	for key, counts := range sums {
+		list = append(list, snapshotCounts{key, *counts})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Key.Less(list[j].Key) })
 	return list
 }
 
-// Snapshot writes the book as it is, the same bytes for the same book.
-func (b *Ledger) Snapshot() ([]byte, error) {
-	s := snapshot{Instance: b.Instance, Epoch: b.Epoch, Next: b.NextSequence}
-	for _, p := range b.Periods() {
-		s.Periods = append(s.Periods, snapshotPeriod{p.Start, p.State, p.Entries, p.Hash, p.Total, p.Corrections, sortedCounts(p.totals), sortedCounts(p.corrections)})
+func restoreCounts(sums map[Key]*Counts, list []snapshotCounts) {
+	for _, one := range list {
+		counts := one.Counts
+		sums[one.Key] = &counts
 	}
-	for _, e := range b.corrections {
-		s.Corrections = append(s.Corrections, e)
+}
+
+// Snapshot writes the ledger as it is, the same bytes for the same state.
+func (l *Ledger) Snapshot() ([]byte, error) {
+	s := snapshot{Instance: l.Instance, Epoch: l.Epoch, NextSequence: l.NextSequence}
+	for _, p := range l.Periods() {
+		s.Periods = append(s.Periods, snapshotPeriod{
+			Start:          p.Start,
+			State:          p.State,
+			Entries:        p.Entries,
+			Hash:           p.Hash,
+			Total:          p.Total,
+			Corrections:    p.Corrections,
+			KeyTotals:      sortedCounts(p.totals),
+			KeyCorrections: sortedCounts(p.corrections),
+		})
+	}
+	for _, correction := range l.corrections {
+		s.Corrections = append(s.Corrections, correction)
 	}
 	sort.Slice(s.Corrections, func(i, j int) bool { return s.Corrections[i].Sequence < s.Corrections[j].Sequence })
 	return json.Marshal(s)
 }
 
-// Restore makes the book what a snapshot of the same instance and epoch says.
-func (b *Ledger) Restore(text []byte) error {
+// Restore makes the ledger what a snapshot of the same instance and epoch says.
+func (l *Ledger) Restore(text []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
-	if s.Instance != b.Instance || s.Epoch != b.Epoch {
+	if s.Instance != l.Instance || s.Epoch != l.Epoch {
 		return ErrForeignEntry
 	}
-	*b = *New(s.Instance, s.Epoch)
-	b.NextSequence = s.Next
-	for _, o := range s.Periods {
-		p := b.ensurePeriod(o.Start)
-		p.State, p.Entries, p.Hash, p.Total, p.Corrections = o.State, o.Entries, o.Hash, o.Total, o.Corrected
-		for _, k := range o.Used {
-			c := k.Counts
-			p.totals[k.Key] = &c
-		}
-		for _, k := range o.Added {
-			c := k.Counts
-			p.corrections[k.Key] = &c
-		}
+	*l = *New(s.Instance, s.Epoch)
+	l.NextSequence = s.NextSequence
+	for _, stored := range s.Periods {
+		p := l.ensurePeriod(stored.Start)
+		p.State = stored.State
+		p.Entries = stored.Entries
+		p.Hash = stored.Hash
+		p.Total = stored.Total
+		p.Corrections = stored.Corrections
+		restoreCounts(p.totals, stored.KeyTotals)
+		restoreCounts(p.corrections, stored.KeyCorrections)
 	}
-	for _, e := range s.Corrections {
-		b.corrections[e.CorrectionID] = e
+	for _, correction := range s.Corrections {
+		l.corrections[correction.CorrectionID] = correction
 	}
 	return nil
 }
