--- a/internal/node/routing/prefixcache/cache.go
+++ b/internal/node/routing/prefixcache/cache.go
@@ -43,9 +43,18 @@
 	}
 }
 
-// engine is the engine of the request's service.
+// unknownEngine stands for the engine of a service that the configuration no longer has: moving a
+// token is assumed to take what it usually does.
+var unknownEngine = &config.Engine{}
+
+// engine is the engine of the request's service. A newer configuration may have removed the engine
+// or the service since the request began.
 func (c *Cache) engine(req *inflight.Request) *config.Engine {
-	return c.compiled.Services[req.Service].Engine
+	service := c.compiled.Services[req.Service]
+	if service == nil || service.Engine == nil {
+		return unknownEngine
+	}
+	return service.Engine
 }
 
 // saltID is the salt of the request at a broker with a version of the weights.
--- a/internal/node/routing/retry_test.go
+++ b/internal/node/routing/retry_test.go
@@ -5,6 +5,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/routing/admission"
 )
 
@@ -19,3 +20,22 @@
 	assert.Assert(t, d.Refusal != nil)
 	assert.Equal(t, d.Refusal.Reason, admission.Budget)
 }
+
+// A request keeps what it began with: a configuration that drops its service, or the service's
+// engine, meanwhile neither ends the process nor keeps the request from another attempt.
+func TestRetryOutlivesItsServicesRemoval(t *testing.T) {
+	withoutEngine := configOf(nil)
+	withoutEngine.Services[service] = &config.Service{Name: service}
+	withoutService := configOf(nil)
+	withoutService.Services = map[string]*config.Service{}
+	for name, changed := range map[string]*config.Compiled{"engine": withoutEngine, "service": withoutService} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorld(t, instances(3))
+			first := w.begin(w.prompt(flowRoute, 10))
+			w.SetConfig(w.now, changed)
+			decision := w.Finished(w.now, first.Request, first.Number, outcomeFull, false)
+			assert.Assert(t, decision.Attempt != nil)
+			assert.Assert(t, decision.Attempt.Instance.ID != first.Instance.ID)
+		})
+	}
+}
