--- a/internal/grpcproxy/hard_test.go
+++ b/internal/grpcproxy/hard_test.go
@@ -236,7 +236,7 @@
 	a := c.Call(&p.Ask{Path: quick, Timeout: 300, Body: [][]byte{p.Message("q")}})
 	s.w.Run(20)
 	for i := range s.servers { // whoever is connected to next does not come up
-		s.w.Swallow[s.f.servers[i].addr] = true
+		s.w.Swallow[s.f.servers[i].address] = true
 		for _, x := range s.servers[i].Conns {
 			if len(s.servers[i].Calls) == 0 {
 				x.Kill()
@@ -283,7 +283,7 @@
 func TestAServerMovesAndOneIsReplaced(t *testing.T) {
 	s := newScene(t, 14, 2, "")
 	s.warm(5)
-	moved := s.f.servers[0].addr.Addr().Next().Next().Next()
+	moved := s.f.servers[0].address.Addr().Next().Next().Next()
 	s.w.Tell(func(list []virtual.Listed) []virtual.Listed {
 		list[0].Addr = netipFrom(moved, 80)
 		return list
@@ -309,7 +309,7 @@
 func TestAServerThatIsDownCostsFewConnects(t *testing.T) {
 	s := newScene(t, 15, 2, "")
 	s.warm(10)
-	s.w.Refuse[s.f.servers[0].addr] = true
+	s.w.Refuse[s.f.servers[0].address] = true
 	for _, x := range s.servers[0].Conns {
 		x.Kill()
 	}
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -284,7 +284,7 @@
 func (y *play) trouble() {
 	i := y.rng.IntN(len(y.servers))
 	v := y.servers[i]
-	addr := y.f.servers[i].addr
+	addr := y.f.servers[i].address
 	switch y.rng.IntN(4) {
 	case 0: // drained for a while
 		y.w.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "draining"; return list })
