--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -8,10 +8,11 @@
 
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/admission"
-	"kestrelspread/internal/node/routing/upstream"
+	"kestrelspread/internal/node/routing/brokerstate"
 )
 
-// A request is refused only when every broker's places are taken, and is told to come back in a third of its time.
+// A request is refused only when every broker's places are taken, and is told to come back in a
+// third of its time.
 func TestRefusedWhenAllAreFull(t *testing.T) {
 	w := newWorld(t, instances(2))
 	turnAway := func() Decision {
@@ -32,12 +33,12 @@
 	assert.Equal(t, d.Refusal.Reason, admission.Full)
 	assert.Assert(t, d.Refusal.RetryAfter > 0 && d.Refusal.RetryAfter <= (q.Deadline-w.now)/3)
 
-	w.now += upstream.RefusalBackoff * 6 / 10
+	w.now += brokerstate.RefusalBackoff * 6 / 10
 	_, d = w.Begin(w.now, q)
 	assert.Assert(t, d.Refusal != nil)
 	urgent := w.request(onceRoute)
 	assert.Assert(t, w.begin(urgent) != nil, "the most urgent try sooner")
-	w.now += upstream.RefusalBackoff
+	w.now += brokerstate.RefusalBackoff
 	assert.Assert(t, w.begin(q) != nil)
 }
 
@@ -61,7 +62,8 @@
 	assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
 }
 
-// An unsafe request isn't thrown after others that got no answer: it is promised not to have run, and may be served elsewhere.
+// An unsafe request isn't thrown after others that got no answer: it is promised not to have run,
+// and may be served elsewhere.
 func TestUnsafeRequestAndHangingBrokers(t *testing.T) {
 	w := newWorld(t, instances(1))
 	w.warm(safeRoute, 40, 10*ms)
@@ -75,7 +77,7 @@
 }
 
 // What this process did not hear while it stood still is no silence of brokers.
-func TestStandingStillBlamesNobody(t *testing.T) {
+func TestResumedProcessBlamesNobody(t *testing.T) {
 	w := newWorld(t, instances(1))
 	w.warm(safeRoute, 40, 10*ms)
 	w.begin(w.request(onceRoute))
@@ -84,7 +86,7 @@
 	assert.Assert(t, w.begin(w.request(onceRoute)) != nil)
 }
 
-func TestEnginePriority(t *testing.T) {
+func TestPriorityHeader(t *testing.T) {
 	for urgency, want := range []int{0, 3, 6, 9, 9} {
 		assert.Equal(t, priorityHeader(urgency), want)
 	}
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -3,10 +3,10 @@
 import (
 	"kestrelspread/internal/node/config"
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/prompt"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/node/verdict"
 )
 
@@ -39,8 +39,9 @@
 	}
 }
 
-// learn takes an answer's latency into the measures, once it is known to be one that was worked for.
-func (r *Router) learn(now core.Time, req *request, c *upstream.Call) {
+// learn takes an answer's latency into the measures, once it is known to be one that was worked
+// for.
+func (r *Router) learn(now core.Time, req *request, c *brokerstate.Call) {
 	if c.Learnt() || !c.Started || !r.ejector.Measurable(c) {
 		return
 	}
@@ -71,8 +72,8 @@
 	req.Pool.Refresh(now)
 	r.callEnded(now, req, c, &outcome)
 	decision := r.afterwards(now, req, &outcome, resumable)
-	r.recordLatePause(now, req, c, outcome.Pauses)
-	decision.StepSeen = r.learnStep(req, c, outcome.Pauses)
+	r.recordLateGap(now, req, c, outcome.Gaps)
+	decision.StepReport = r.learnStep(req, c, outcome.Gaps)
 	return decision
 }
 
@@ -88,10 +89,10 @@
 }
 
 // callEnded takes in what a call's end tells of its broker.
-func (r *Router) callEnded(now core.Time, req *request, c *upstream.Call, outcome *Outcome) {
+func (r *Router) callEnded(now core.Time, req *request, c *brokerstate.Call, outcome *Outcome) {
 	b, pool := c.Broker, req.Pool
 	if !c.Started && r.ejector.TimedOut(now, pool, b) {
-		r.ejector.Eject(now, b, upstream.Unresponsive) // nothing that waits there shows it any more
+		r.ejector.Eject(now, b, brokerstate.Unresponsive) // nothing that waits there shows it any more
 	}
 	if outcome.unanswered() && !c.Started && r.ejector.Measurable(c) {
 		pool.TeachOverdue(now, c)
@@ -121,8 +122,8 @@
 	}
 }
 
-// callRefused takes in that a call was turned away with X-Kestrelspread-Not-Executed.
-func (r *Router) callRefused(now core.Time, req *request, b *upstream.Broker, outcome *Outcome) {
+// callRefused takes in that a call was rejected with X-Kestrelspread-Not-Executed.
+func (r *Router) callRefused(now core.Time, req *request, b *brokerstate.Broker, outcome *Outcome) {
 	req.Refused++
 	switch {
 	case r.refusedForRollout(req, b, outcome):
@@ -135,9 +136,9 @@
 	}
 }
 
-// refusedForRollout reports whether a broker refused a request for new weights rather than for want of capacity: it
-// lacks a version that was named, and has slots.
-func (r *Router) refusedForRollout(req *request, b *upstream.Broker, outcome *Outcome) bool {
+// refusedForRollout reports whether a broker refused a request for new weights rather than for want
+// of capacity: it lacks a version that was named, and has slots.
+func (r *Router) refusedForRollout(req *request, b *brokerstate.Broker, outcome *Outcome) bool {
 	if req.ServedModel == "" || r.versions.VersionOf(b.Instance, req.ServedModel) >= r.versions.Newest(req.ServedModel) {
 		return false
 	}
@@ -148,8 +149,8 @@
 // failure reports whether the broker answered that it failed.
 func (o *Outcome) failure() bool { return o.Status >= 500 }
 
-// arrived reports whether the request may have reached the broker: not where no connection came up, nor where this proxy
-// had none to spare.
+// arrived reports whether the request may have reached the broker: not where no connection came up,
+// nor where this proxy had none to spare.
 func (o *Outcome) arrived() bool {
 	return !o.ConnectFailed && !(o.NotExecuted && o.Status == 0)
 }
@@ -159,20 +160,20 @@
 	return !o.NotExecuted && !o.ConnectFailed && !o.Misdirected && o.Status == 0
 }
 
-// fault tells whether a call's end speaks against its broker, and how. That an answer came too late does not, where the
-// broker answered others meanwhile: it has too much to do.
-func (o *Outcome) fault(c *upstream.Call) (fault upstream.Fault, faulty bool) {
+// fault tells whether a call's end speaks against its broker, and how. That an answer came too late
+// does not, where the broker answered others meanwhile: it has too much to do.
+func (o *Outcome) fault(c *brokerstate.Call) (fault brokerstate.Fault, faulty bool) {
 	switch {
 	case o.Misdirected:
-		return upstream.FaultMisdirected, true
+		return brokerstate.FaultMisdirected, true
 	case o.ConnectFailed:
-		return upstream.FaultConnect, true
+		return brokerstate.FaultConnect, true
 	case o.Canceled, o.NotExecuted, o.Status == statusTimeout:
 		return 0, false
 	case o.TimedOut:
-		return upstream.FaultFailure, !c.Broker.Health.AnsweredAfter(c.SentAt)
+		return brokerstate.FaultFailure, !c.Broker.Health.AnsweredAfter(c.SentAt)
 	case o.failure():
-		return upstream.FaultFailure, true
+		return brokerstate.FaultFailure, true
 	}
-	return upstream.FaultFailure, o.Verdict == verdict.MayHaveRun && !o.Answered
+	return brokerstate.FaultFailure, o.Verdict == verdict.MayHaveRun && !o.Answered
 }
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -4,21 +4,23 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 const (
-	// PrefillBelieved is how long a broker that was sent a part is believed to have it; then the index is to know.
+	// PrefillBelieved is how long a broker that was sent a part is believed to have it; then the
+	// index is to know.
 	PrefillBelieved = 2500 * time.Millisecond
 
 	prefillRepeated = 10 * time.Second // a part that is read anew within that time is read repeatedly
 	maxBrokersKept  = 4                // brokers that are remembered for a part
 )
 
-// recentPrefills remembers for each part under a salt the brokers that it was sent to lately, by this proxy and by
-// others: which parts brokers are reading just now is known before the index can tell. So the same part isn't read
-// twice at once, and what was read lately is told from what is new.
+// recentPrefills remembers for each part under a salt the brokers that it was sent to recently, by
+// this proxy and by others: which parts brokers are reading just now is known before the index can
+// tell. So the same part isn't read twice at once, and what was read recently is distinguished from
+// what is new.
 //
 // Of two generations the older is dropped when the newer is as old as prefillRepeated.
 type recentPrefills struct {
@@ -34,15 +36,16 @@
 
 // prefill is a broker that a part was sent to, and when it is to have read it.
 type prefill struct {
-	broker  *upstream.Broker
+	broker  *brokerstate.Broker
 	sentAt  core.Time
 	readyAt core.Time
 }
 
 func partKey(salt uint64, part prompt.Part) uint64 { return prompt.Mix(salt ^ prompt.Mix(part.ID)) }
 
-// record takes in that shared parts of a prompt were sent to a broker, which is to have read them at readyAt.
-func (r *recentPrefills) record(now, readyAt core.Time, b *upstream.Broker, salt uint64, parts []prompt.Part) {
+// record takes in that shared parts of a prompt were sent to a broker, which is to have read them
+// at readyAt.
+func (r *recentPrefills) record(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	r.rotate(now)
 	for _, part := range parts {
 		key := partKey(salt, part)
@@ -66,7 +69,7 @@
 	r.newerSince = now
 }
 
-func (p *partPrefills) record(now, readyAt core.Time, b *upstream.Broker) {
+func (p *partPrefills) record(now, readyAt core.Time, b *brokerstate.Broker) {
 	p.sentAt = now
 	last := maxBrokersKept - 1
 	for i := range p.brokers {
@@ -83,7 +86,7 @@
 	p.brokers[0] = prefill{broker: b, sentAt: now, readyAt: readyAt}
 }
 
-// of is what is remembered of a part, nil where it wasn't sent lately.
+// of is what is remembered of a part, nil where it wasn't sent recently.
 func (r *recentPrefills) of(now core.Time, salt uint64, part prompt.Part) *partPrefills {
 	key := partKey(salt, part)
 	prefills := r.newer[key]
@@ -96,8 +99,8 @@
 	return prefills
 }
 
-// RecordPrefill takes in that shared parts of a prompt were sent to a broker, by this proxy or another, and when it is
-// to have read them.
-func (c *Cache) RecordPrefill(now, readyAt core.Time, b *upstream.Broker, salt uint64, parts []prompt.Part) {
+// RecordPrefill takes in that shared parts of a prompt were sent to a broker, by this proxy or
+// another, and when it is to have read them.
+func (c *Cache) RecordPrefill(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	c.recent.record(now, readyAt, b, salt, parts)
 }
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -1,13 +1,13 @@
-// Package routeclass knows what is usual of one route's requests: the kind of requests that the design's percentile of
-// latencies is taken over.
+// Package routeclass knows what is usual of one route's requests: the kind of requests that the
+// design's percentile of latencies is taken over.
 package routeclass
 
 import (
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/predict"
 	"kestrelspread/internal/window"
 )
@@ -33,13 +33,16 @@
 	answers     int          // that it stands on
 	refreshedAt core.Time
 	usedAt      core.Time
-	// longestWait is the most time that a client had lately for a request, and longestWaitAt when.
+	// longestWait is the most time that a client had recently for a request, and longestWaitAt
+	// when.
 	longestWait   core.Time
 	longestWaitAt core.Time
 }
 
 // New makes the class of a route that nothing is known of.
-func New() *Class { return &Class{latencies: upstream.NewHistogram(), refreshedAt: -refreshInterval} }
+func New() *Class {
+	return &Class{latencies: brokerstate.NewHistogram(), refreshedAt: -refreshInterval}
+}
 
 // Received takes in the length of a request's prompt.
 func (c *Class) Received(tokens int) {
@@ -49,7 +52,8 @@
 	c.tokens += tokensWeight * (float64(tokens) - c.tokens)
 }
 
-// Work is a request's expected work against the usual of its class: latency follows the tokens of its prompt.
+// Work is a request's expected work against the usual of its class: latency follows the tokens of
+// its prompt.
 func (c *Class) Work(tokens int) float64 {
 	if c.tokens <= 0 || tokens <= 0 {
 		return 1
@@ -57,9 +61,9 @@
 	return min(max(fixedWork+(1-fixedWork)*float64(tokens)/c.tokens, minWork), maxWork)
 }
 
-// Scale is how much longer a request of the class takes than the usual one of the pool, so that all answers of a
-// service can be measured against one line.
-func (c *Class) Scale(now core.Time, p *upstream.Pool, tokens int) float64 {
+// Scale is how much longer a request of the class takes than the usual one of the pool, so that all
+// answers of a service can be measured against one line.
+func (c *Class) Scale(now core.Time, p *brokerstate.Pool, tokens int) float64 {
 	if now >= c.refreshedAt+refreshInterval {
 		c.refreshedAt = now
 		c.median, c.answers = c.Quantile(now, 0.5)
@@ -76,13 +80,14 @@
 	c.latencies.Add(units.Milliseconds(now), latency)
 }
 
-// Quantile is a quantile of the recent latencies, ms, for the usual work, and how many answers it stands on.
+// Quantile is a quantile of the recent latencies, ms, for the usual work, and how many answers it
+// stands on.
 func (c *Class) Quantile(now core.Time, share float64) (latency float64, answers int) {
 	return c.latencies.Quantile(units.Milliseconds(now), share)
 }
 
-// FirstTry reports whether a request is its client's first try: as much time is left for it as any of the class had
-// lately. A client that tries again has less.
+// FirstTry reports whether a request is its client's first try: as much time is left for it as any
+// of the class had recently. A client that tries again has less.
 func (c *Class) FirstTry(now, left core.Time) bool {
 	if left >= c.longestWait || now > c.longestWaitAt+LongestWaitKept {
 		c.longestWait, c.longestWaitAt = left, now
@@ -108,7 +113,8 @@
 	return class
 }
 
-// forgetIdle drops the classes of routes without recent requests, so that a day of many changes leaves nothing behind.
+// forgetIdle drops the classes of routes without recent requests, so that a day of many changes
+// leaves nothing behind.
 func (c *Classes) forgetIdle(now core.Time) {
 	for name, class := range c.byRoute {
 		if now-class.usedAt > idleKept {
--- a/internal/node/routing/rollout_versions_test.go
+++ b/internal/node/routing/versions_test.go
@@ -19,7 +19,8 @@
 	return i
 }
 
-// During a rollout, each attempt expects the version that its broker has, and the salt holds that very version.
+// During a rollout, each attempt expects the version that its broker has, and the salt holds that
+// very version.
 func TestAttemptNamesItsBrokersVersion(t *testing.T) {
 	list := instances(6)
 	for i, instance := range list {
@@ -44,8 +45,8 @@
 	}
 }
 
-// Brokers with older weights are used to the last while those with new ones are few; where these are enough for all, they get
-// what would be sent shortly before.
+// Brokers with older weights are used to the last while those with new ones are few; where these
+// are enough for all, they get what would be sent shortly before.
 func TestOlderWeightsAreUsedToTheLast(t *testing.T) {
 	for _, c := range []struct {
 		renewed int // of nine brokers
@@ -65,7 +66,7 @@
 				if a.ExpectVersion < 2 {
 					n++
 				}
-				w.answer(a)
+				w.answerNow(a)
 			}
 			return n
 		}
@@ -86,7 +87,7 @@
 		}
 		w.now += latency
 		for _, a := range sent {
-			w.answer(a)
+			w.answerNow(a)
 		}
 		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
 		until := w.now + 8*time.Second - modelversion.LearnMargin
--- a/internal/rig/faultrun/broker.go
+++ b/internal/rig/faultrun/broker.go
@@ -156,7 +156,7 @@
 	incarnation := m.incarnation
 	if m.now() >= sent.ValidUntil {
 		m.step(func(now core.Time) {
-			m.execute(m.node.OrderDone(now, sent.Token, 0, rollout.ErrNotSent.New("too late")))
+			m.execute(m.node.OrderDone(now, sent.Token, 0, fmt.Errorf("%w: too late", rollout.ErrNotSent)))
 		})
 		return
 	}
