--- a/internal/grpcproxy/hard_test.go
+++ b/internal/grpcproxy/hard_test.go
@@ -13,31 +13,31 @@
 	"kestrelspread/internal/standin/virtual"
 )
 
-func (s *scene) subs() (n int) {
+func (s *harness) attemptsSeen() (n int) {
 	for _, v := range s.servers {
 		n += len(v.Calls)
 	}
 	return n
 }
 
-func (s *scene) all(script func(k *p.Got) []p.Act) {
+func (s *harness) scriptAll(script func(k *p.Got) []p.Act) {
 	for _, v := range s.servers {
 		v.Script = script
 	}
 }
 
-func (s *scene) end(c *p.Client) {
+func (s *harness) closeAndCheck(c *p.Client) {
 	s.t.Helper()
 	c.E.Close()
-	s.w.Run(100)
-	s.clean()
+	s.world.Run(100)
+	s.checkReleased()
 }
 
-func TestACopyAndTheFirstAnswerAtOnce(t *testing.T) {
+func TestHedgeAndFirstAttemptAnswerInOneTurn(t *testing.T) {
 	// Both begin to answer in the same turn: one reaches the client, the other is called off, whichever it is.
-	s := newScene(t, 5, 2, "")
-	s.warm(60)
-	s.all(func(k *p.Got) []p.Act {
+	s := newHarness(t, 5, 2, "")
+	s.warmUp(60)
+	s.scriptAll(func(k *p.Got) []p.Act {
 		if k.Get("grpc-previous-rpc-attempts") == "" {
 			return acts(p.Act{After: 0})
 		}
@@ -56,44 +56,44 @@
 		}
 		return append(list, p.Head(0), p.Say(0, "two"), p.End(0, 0))
 	})
-	c := p.Dial(s.w, 1)
-	since := s.w.R.Count.Outcomes
+	c := p.Dial(s.world, 1)
+	since := s.world.R.Count.Outcomes
 	a := c.Call(&p.Ask{Path: "/quick.message/Get", Fields: []string{"x-id", "7"}, Body: [][]byte{p.Message("q")}})
-	s.w.Run(1100)
-	if a.Finals != 1 || a.Status != 0 || texts(a.Got) != "one" && texts(a.Got) != "two" {
+	s.world.Run(1100)
+	if a.Finals != 1 || a.Status != 0 || messagesOf(a.Got) != "one" && messagesOf(a.Got) != "two" {
 		t.Errorf("%d finals, status %d, %q", a.Finals, a.Status, a.Got)
 	}
-	if told := strings.Join(s.told(since), " "); s.f.Counters.LateResponses == 0 && told != "answered cancelled" {
-		t.Errorf("told %q, %d late answers", told, s.f.Counters.LateResponses)
+	if told := strings.Join(s.outcomesSince(since), " "); s.proxy.Counters.LateResponses == 0 && told != "answered cancelled" {
+		t.Errorf("told %q, %d late answers", told, s.proxy.Counters.LateResponses)
 	}
-	if s.subs() < 2 {
+	if s.attemptsSeen() < 2 {
 		t.Error("no second sub-request")
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestAStreamBothWays(t *testing.T) {
-	s := newScene(t, 6, 2, "")
+func TestBidirectionalStream(t *testing.T) {
+	s := newHarness(t, 6, 2, "")
 	for _, v := range s.servers {
 		v.Early = true
 		v.Script = func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(5, "first"), p.Say(50, "second"), p.End(60, 0)) }
 	}
-	c := p.Dial(s.w, 1)
+	c := p.Dial(s.world, 1)
 	a := c.Call(&p.Ask{Path: "/quick.headers/Talk", Timeout: 2000, Open: true, Body: [][]byte{p.Message("a")}})
-	s.w.Run(30)
-	if texts(a.Got) != "first" || a.Done() {
+	s.world.Run(30)
+	if messagesOf(a.Got) != "first" || a.Done() {
 		t.Fatalf("%q while open", a.Got)
 	}
 	a.Write(p.Message("b"))
 	a.End()
-	s.w.Run(300)
-	if a.Status != 0 || texts(a.Got) != "first,second" || texts(s.gotBody()) != "a,b" {
-		t.Errorf("status %d, client %q, server %q", a.Status, a.Got, s.gotBody())
+	s.world.Run(300)
+	if a.Status != 0 || messagesOf(a.Got) != "first,second" || messagesOf(s.requestBody()) != "a,b" {
+		t.Errorf("status %d, client %q, server %q", a.Status, a.Got, s.requestBody())
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func (s *scene) gotBody() []byte {
+func (s *harness) requestBody() []byte {
 	for _, v := range s.servers {
 		for _, k := range v.Calls {
 			return k.Body
@@ -102,62 +102,62 @@
 	return nil
 }
 
-func TestAClientThatIsSlowToEndIsNoSlowServer(t *testing.T) {
+func TestSlowClientStreamDoesNotCountAgainstServer(t *testing.T) {
 	// A client stream stays open for most of a second, on one server after the other: none of them is set aside for it, and
 	// no copy is made. When the client has ended, the server's clock begins.
-	s := newScene(t, 7, 2, "")
-	s.warm(60)
-	c := p.Dial(s.w, 1)
+	s := newHarness(t, 7, 2, "")
+	s.warmUp(60)
+	c := p.Dial(s.world, 1)
 	for range 4 {
-		before := s.subs()
+		before := s.attemptsSeen()
 		a := c.Call(&p.Ask{Path: "/quick.message/Put", Timeout: 1000, Open: true, Body: [][]byte{p.Message("a")}})
-		s.w.Run(700)
-		if n := s.subs() - before; n != 1 {
+		s.world.Run(700)
+		if n := s.attemptsSeen() - before; n != 1 {
 			t.Fatalf("%d sub-requests while the client was sending", n)
 		}
 		a.End()
-		s.w.Run(100)
+		s.world.Run(100)
 		if a.Status != 0 {
 			t.Fatal("status", a.Status)
 		}
 	}
-	if strings.Contains(s.w.Log.String(), "aside") {
-		t.Error("a server was set aside:", s.w.Log)
+	if strings.Contains(s.world.Log.String(), "aside") {
+		t.Error("a server was set aside:", s.world.Log)
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestATokenedCallPastItsWindow(t *testing.T) {
-	s := newScene(t, 8, 2, "")
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(0, 14)) })
-	c := p.Dial(s.w, 1)
+func TestTokenedCallIsNotRetriedPastItsWindow(t *testing.T) {
+	s := newHarness(t, 8, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(0, 14)) })
+	c := p.Dial(s.world, 1)
 	a := c.Call(&p.Ask{Path: "/keyed.message/Put", Timeout: 900, Open: true, Body: [][]byte{p.Message("a")}})
-	s.w.Run(450)
+	s.world.Run(450)
 	a.End()
-	s.w.Run(300)
-	if a.Status != 14 || s.subs() != 1 || a.Get("grpc-retry-pushback-ms") != "-1" {
-		t.Errorf("status %d, %d sub-requests, pushback %q", a.Status, s.subs(), a.Get("grpc-retry-pushback-ms"))
+	s.world.Run(300)
+	if a.Status != 14 || s.attemptsSeen() != 1 || a.Get("grpc-retry-pushback-ms") != "-1" {
+		t.Errorf("status %d, %d sub-requests, pushback %q", a.Status, s.attemptsSeen(), a.Get("grpc-retry-pushback-ms"))
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestTheRepeatBufferOutgrown(t *testing.T) {
+func TestCallIsCommittedPastRetryBuffer(t *testing.T) {
 	// 4 KiB are kept. A server that dies before that is replaced and gets all of it; after that it is not.
 	for _, sent := range []int{3 << 10, 6 << 10} {
-		s := newScene(t, 9, 2, "")
+		s := newHarness(t, 9, 2, "")
 		for _, v := range s.servers {
 			v.Early = true
 		}
-		s.byAttempt(func(_ *p.Got) []p.Act { return acts(p.Die(50)) },
+		s.scriptByAttempt(func(_ *p.Got) []p.Act { return acts(p.Die(50)) },
 			func(_ *p.Got) []p.Act { return acts(p.Head(100), p.Say(0, "ok"), p.End(0, 0)) })
-		c := p.Dial(s.w, 1)
+		c := p.Dial(s.world, 1)
 		body := p.Message(strings.Repeat("x", sent))
 		a := c.Call(&p.Ask{Path: "/quick.message/Put", Timeout: 900, Open: true, Body: [][]byte{body}})
-		s.w.Run(80)
+		s.world.Run(80)
 		a.End()
-		s.w.Run(600)
-		if small := sent < 4<<10; small && (a.Status != 0 || s.subs() != 2) || !small && (a.Status != 14 || s.subs() != 1) {
-			t.Errorf("%d sent: status %d, %d sub-requests", sent, a.Status, s.subs())
+		s.world.Run(600)
+		if small := sent < 4<<10; small && (a.Status != 0 || s.attemptsSeen() != 2) || !small && (a.Status != 14 || s.attemptsSeen() != 1) {
+			t.Errorf("%d sent: status %d, %d sub-requests", sent, a.Status, s.attemptsSeen())
 		}
 		if sent < 4<<10 {
 			for _, v := range s.servers {
@@ -168,21 +168,21 @@
 				}
 			}
 		}
-		s.end(c)
+		s.closeAndCheck(c)
 	}
 }
 
-func TestAClientThatLeavesFreesAll(t *testing.T) {
-	s := newScene(t, 10, 2, "")
-	s.all(func(_ *p.Got) []p.Act {
+func TestCancelledCallReleasesEverything(t *testing.T) {
+	s := newHarness(t, 10, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act {
 		return acts(p.Head(1), p.Say(0, strings.Repeat("m", 30<<10)), p.Say(20, strings.Repeat("n", 60<<10)), p.Say(500, "x"), p.End(0, 0))
 	})
-	c := p.Dial(s.w, 1)
-	half := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
-	s.w.Run(10)
-	at := s.w.Now
+	c := p.Dial(s.world, 1)
+	half := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	s.world.Run(10)
+	at := s.world.Now
 	half.Cancel()
-	s.w.Run(5)
+	s.world.Run(5)
 	for _, v := range s.servers {
 		for _, k := range v.Calls {
 			if !k.Reset || k.ResetAt > at+2 {
@@ -190,86 +190,86 @@
 			}
 		}
 	}
-	if s.f.openCalls != 0 || s.f.bufferedBytes != 0 {
-		t.Errorf("%d open, %d bytes held", s.f.openCalls, s.f.bufferedBytes)
+	if s.proxy.openCalls != 0 || s.proxy.bufferedBytes != 0 {
+		t.Errorf("%d open, %d bytes held", s.proxy.openCalls, s.proxy.bufferedBytes)
 	}
 	// And with its connection.
-	c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
-	s.w.Run(10)
-	s.end(c)
-	if s.f.Counters.ClientCancelled != 2 {
-		t.Error("left:", s.f.Counters.ClientCancelled)
+	c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	s.world.Run(10)
+	s.closeAndCheck(c)
+	if s.proxy.Counters.ClientCancelled != 2 {
+		t.Error("left:", s.proxy.Counters.ClientCancelled)
 	}
 }
 
-func TestAClientThatReadsNothingHasItsStatusInTime(t *testing.T) {
+func TestStalledClientGetsStatusBeforeDeadline(t *testing.T) {
 	// The server's messages fill the client's window and its own; the rest of the answer waits there. The status needs no
 	// window.
-	s := newScene(t, 11, 2, "")
-	s.all(func(_ *p.Got) []p.Act {
+	s := newHarness(t, 11, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act {
 		list := acts(p.Head(1))
 		for range 20 {
 			list = append(list, p.Say(1, strings.Repeat("m", 30<<10)))
 		}
 		return append(list, p.End(0, 0))
 	})
-	c := p.Dial(s.w, 1)
-	a := c.Call(&p.Ask{Path: quick, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
-	b := c.Call(&p.Ask{Path: whole, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
-	s.w.Run(300)
-	if s.f.bufferedBytes > 2*(64<<10+32<<10) {
-		t.Errorf("%d bytes held for two calls", s.f.bufferedBytes)
-	}
-	s.w.Run(700)
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: quickPath, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
+	b := c.Call(&p.Ask{Path: quickAtEnd, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
+	s.world.Run(300)
+	if s.proxy.bufferedBytes > 2*(64<<10+32<<10) {
+		t.Errorf("%d bytes held for two calls", s.proxy.bufferedBytes)
+	}
+	s.world.Run(700)
 	for _, a := range []*p.Ask{a, b} {
 		if a.Finals != 1 || a.Status != 4 || a.DoneAt > a.At+600 {
 			t.Errorf("%d finals, status %d after %.1f ms", a.Finals, a.Status, a.DoneAt-a.At)
 		}
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestTimeRunsOutWhileARepeatIsOpened(t *testing.T) {
-	s := newScene(t, 12, 2, "")
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(270, 14)) })
-	c := p.Dial(s.w, 1)
-	a := c.Call(&p.Ask{Path: quick, Timeout: 300, Body: [][]byte{p.Message("q")}})
-	s.w.Run(20)
+func TestDeadlinePassesWhileRetryConnects(t *testing.T) {
+	s := newHarness(t, 12, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(270, 14)) })
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: quickPath, Timeout: 300, Body: [][]byte{p.Message("q")}})
+	s.world.Run(20)
 	for i := range s.servers { // whoever is connected to next does not come up
-		s.w.Swallow[s.f.servers[i].address] = true
+		s.world.Swallow[s.proxy.servers[i].address] = true
 		for _, x := range s.servers[i].Conns {
 			if len(s.servers[i].Calls) == 0 {
 				x.Kill()
 			}
 		}
 	}
-	s.w.Run(600)
+	s.world.Run(600)
 	if a.Finals != 1 || a.DoneAt > a.At+300 || a.Status == 0 {
 		t.Errorf("%d finals, status %d after %.1f", a.Finals, a.Status, a.DoneAt-a.At)
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestAServerIsDrainedInTheMiddle(t *testing.T) {
+func TestDrainingServerGetsNothingNew(t *testing.T) {
 	// What runs there goes on, what waits for a channel goes elsewhere, nothing new begins.
-	s := newScene(t, 13, 2, "")
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(800, "b"), p.End(0, 0)) })
-	c := p.Dial(s.w, 1)
-	a := c.Call(&p.Ask{Path: quick, Timeout: 3000, Body: [][]byte{p.Message("q")}})
-	s.w.Run(50)
+	s := newHarness(t, 13, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(800, "b"), p.End(0, 0)) })
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: quickPath, Timeout: 3000, Body: [][]byte{p.Message("q")}})
+	s.world.Run(50)
 	at := 0
 	if len(s.servers[1].Calls) > 0 {
 		at = 1
 	}
-	s.w.Tell(func(list []virtual.Listed) []virtual.Listed { list[at].State = "draining"; return list })
-	told := s.w.Now
-	s.w.Run(1)
+	s.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[at].State = "draining"; return list })
+	told := s.world.Now
+	s.world.Run(1)
 	for range 20 {
-		c.Call(&p.Ask{Path: quick, Timeout: 500, Body: [][]byte{p.Message("q")}})
-		s.w.Run(30)
+		c.Call(&p.Ask{Path: quickPath, Timeout: 500, Body: [][]byte{p.Message("q")}})
+		s.world.Run(30)
 	}
-	s.w.Run(2000)
-	if a.Status != 0 || texts(a.Got) != "a,b" {
+	s.world.Run(2000)
+	if a.Status != 0 || messagesOf(a.Got) != "a,b" {
 		t.Errorf("the running call: status %d, %q", a.Status, a.Got)
 	}
 	for _, k := range s.servers[at].Calls {
@@ -277,25 +277,25 @@
 			t.Errorf("begun %.1f ms after the server was told to drain", k.At-told)
 		}
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestAServerMovesAndOneIsReplaced(t *testing.T) {
-	s := newScene(t, 14, 2, "")
-	s.warm(5)
-	moved := s.f.servers[0].address.Addr().Next().Next().Next()
-	s.w.Tell(func(list []virtual.Listed) []virtual.Listed {
+func TestMovedServerIsCalledAtNewAddress(t *testing.T) {
+	s := newHarness(t, 14, 2, "")
+	s.warmUp(5)
+	moved := s.proxy.servers[0].address.Addr().Next().Next().Next()
+	s.world.Tell(func(list []virtual.Listed) []virtual.Listed {
 		list[0].Addr = netipFrom(moved, 80)
 		return list
 	})
-	next := &p.Server{W: s.w, Name: "moved", Script: echo}
-	s.w.Listen(netipFrom(moved, 1080), next.Accept)
+	next := &p.Server{W: s.world, Name: "moved", Script: echo}
+	s.world.Listen(netipFrom(moved, 1080), next.Accept)
 	old := len(s.servers[0].Calls)
-	s.w.Run(5)
-	c := p.Dial(s.w, 1)
+	s.world.Run(5)
+	c := p.Dial(s.world, 1)
 	for range 30 {
-		a := c.Call(&p.Ask{Path: quick, Body: [][]byte{p.Message("q")}})
-		s.w.Run(10)
+		a := c.Call(&p.Ask{Path: quickPath, Body: [][]byte{p.Message("q")}})
+		s.world.Run(10)
 		if a.Status != 0 {
 			t.Fatal(a.Status)
 		}
@@ -303,149 +303,149 @@
 	if len(s.servers[0].Calls) != old || len(next.Calls) == 0 {
 		t.Errorf("%d calls at the old address, %d at the new", len(s.servers[0].Calls)-old, len(next.Calls))
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestAServerThatIsDownCostsFewConnects(t *testing.T) {
-	s := newScene(t, 15, 2, "")
-	s.warm(10)
-	s.w.Refuse[s.f.servers[0].address] = true
+func TestUnreachableServerCostsFewConnects(t *testing.T) {
+	s := newHarness(t, 15, 2, "")
+	s.warmUp(10)
+	s.world.Refuse[s.proxy.servers[0].address] = true
 	for _, x := range s.servers[0].Conns {
 		x.Kill()
 	}
-	before := s.f.pool.Counters.Opened
-	c := p.Dial(s.w, 1)
+	before := s.proxy.pool.Counters.Opened
+	c := p.Dial(s.world, 1)
 	for range 200 {
-		a := c.Call(&p.Ask{Path: quick, Timeout: 500, Body: [][]byte{p.Message("q")}})
-		s.w.Run(5)
+		a := c.Call(&p.Ask{Path: quickPath, Timeout: 500, Body: [][]byte{p.Message("q")}})
+		s.world.Run(5)
 		if a.Status != 0 {
 			t.Fatalf("status %d: %v", a.Status, a.Trailers)
 		}
 	}
-	if n := s.f.pool.Counters.Opened - before; n > 15 {
+	if n := s.proxy.pool.Counters.Opened - before; n > 15 {
 		t.Errorf("%d connects in a second", n)
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestAServerThatSpeaksNoHTTP2NeverGetsACall(t *testing.T) {
-	s := newScene(t, 16, 2, "")
+func TestServerWithoutHTTP2GetsNoCall(t *testing.T) {
+	s := newHarness(t, 16, 2, "")
 	for _, v := range s.servers {
 		v.Greet = func(c *p.Conn) bool { c.End.Send([]byte("SSH-2.0-x\r\n\r\n")); return false }
 	}
-	c := p.Dial(s.w, 1)
-	a := c.Call(&p.Ask{Path: once, Timeout: 400, Body: [][]byte{p.Message("q")}})
-	s.w.Run(600)
-	if a.Finals != 1 || a.Status == 0 || s.subs() != 0 || s.w.R.Count.Outcomes[policy.ConnectFailed] == 0 {
-		t.Errorf("%d finals, status %d, outcomes %v", a.Finals, a.Status, s.w.R.Count.Outcomes)
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: oncePath, Timeout: 400, Body: [][]byte{p.Message("q")}})
+	s.world.Run(600)
+	if a.Finals != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.R.Count.Outcomes[policy.ConnectFailed] == 0 {
+		t.Errorf("%d finals, status %d, outcomes %v", a.Finals, a.Status, s.world.R.Count.Outcomes)
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestWhatWaitsAtAServerIsBounded(t *testing.T) {
+func TestWaitingAttemptsAreBounded(t *testing.T) {
 	// Channels take two streams each and twenty may wait: what comes beyond is refused at once, not kept.
-	s := newScene(t, 17, 1, "")
+	s := newHarness(t, 17, 1, "")
 	s.servers[0].Limits = h2Limits(2)
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(700, 0)) })
-	c := p.Dial(s.w, 1)
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(700, 0)) })
+	c := p.Dial(s.world, 1)
 	var asks []*p.Ask
 	for range 60 {
-		asks = append(asks, c.Call(&p.Ask{Path: once, Timeout: 900, Body: [][]byte{p.Message("q")}}))
+		asks = append(asks, c.Call(&p.Ask{Path: oncePath, Timeout: 900, Body: [][]byte{p.Message("q")}}))
 	}
-	s.w.Run(100)
-	if n := s.f.pool.Waiting(); n > 20 || n == 0 {
+	s.world.Run(100)
+	if n := s.proxy.pool.Waiting(); n > 20 || n == 0 {
 		t.Errorf("%d wait", n)
 	}
-	if s.subs() > 4 {
-		t.Errorf("%d streams at a server that takes two on each of two channels", s.subs())
+	if s.attemptsSeen() > 4 {
+		t.Errorf("%d streams at a server that takes two on each of two channels", s.attemptsSeen())
 	}
-	s.w.Run(1500)
+	s.world.Run(1500)
 	for i, a := range asks {
 		if a.Finals != 1 {
 			t.Fatalf("call %d: %d finals", i, a.Finals)
 		}
 	}
-	if s.f.pool.Counters.QueueFull == 0 {
+	if s.proxy.pool.Counters.QueueFull == 0 {
 		t.Error("none was refused for want of a place")
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestReloadLeavesOpenCallsTheirRoute(t *testing.T) {
-	s := newScene(t, 18, 2, "")
-	s.all(func(_ *p.Got) []p.Act {
+func TestReloadKeepsRoutesOfOpenCalls(t *testing.T) {
+	s := newHarness(t, 18, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act {
 		return acts(p.Head(1), p.Say(0, "a"), p.Say(300, strings.Repeat("b", 40<<10)), p.End(0, 0))
 	})
-	c := p.Dial(s.w, 1)
-	a := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
-	s.w.Run(50)
-	next := defaultRules(&routes.Route{Name: "other", Service: "other", DefaultTimeout: 500, MaxTimeout: 500, MaxMessageBytes: 1 << 10})
-	s.f.NextSettings.Store(next)
-	s.w.After(0, s.f.Reload)
-	s.w.Run(5)
-	b := c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
-	s.w.Run(900)
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	s.world.Run(50)
+	next := defaultSettings(&routes.Route{Name: "other", Service: "other", DefaultTimeout: 500, MaxTimeout: 500, MaxMessageBytes: 1 << 10})
+	s.proxy.NextSettings.Store(next)
+	s.world.After(0, s.proxy.Reload)
+	s.world.Run(5)
+	b := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	s.world.Run(900)
 	if a.Status != 0 || len(a.Got) < 40<<10 {
 		t.Errorf("the open call: status %d, %d bytes", a.Status, len(a.Got))
 	}
 	if b.Status != 12 {
 		t.Errorf("its route is gone: status %d", b.Status)
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestStopGivesEveryCallItsStatus(t *testing.T) {
-	s := newScene(t, 19, 2, "")
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(9000, "b"), p.End(0, 0)) })
-	c := p.Dial(s.w, 1)
-	long := c.Call(&p.Ask{Path: quick, Timeout: 5000, Body: [][]byte{p.Message("q")}})
-	s.w.Run(50)
-	s.w.After(0, func() { s.w.R.Told(0) })
-	s.w.Run(50)
+func TestShutdownGivesEveryCallAStatus(t *testing.T) {
+	s := newHarness(t, 19, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(9000, "b"), p.End(0, 0)) })
+	c := p.Dial(s.world, 1)
+	long := c.Call(&p.Ask{Path: quickPath, Timeout: 5000, Body: [][]byte{p.Message("q")}})
+	s.world.Run(50)
+	s.world.After(0, func() { s.world.R.Told(0) })
+	s.world.Run(50)
 	if !c.Gone {
 		t.Error("no GOAWAY at once")
 	}
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
-	short := p.Dial(s.w, 1)
-	a := short.Call(&p.Ask{Path: quick, Timeout: 300, Body: [][]byte{p.Message("q")}})
-	s.w.Run(4000)
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
+	short := p.Dial(s.world, 1)
+	a := short.Call(&p.Ask{Path: quickPath, Timeout: 300, Body: [][]byte{p.Message("q")}})
+	s.world.Run(4000)
 	if a.Status != 0 {
 		t.Errorf("a call in the grace: status %d", a.Status)
 	}
-	if long.Finals != 1 || long.Status != 14 || texts(long.Got) != "a" {
+	if long.Finals != 1 || long.Status != 14 || messagesOf(long.Got) != "a" {
 		t.Errorf("the long call: %d finals, status %d, %q", long.Finals, long.Status, long.Got)
 	}
-	if !s.w.Stopped {
+	if !s.world.Stopped {
 		t.Error("the broker has not ended")
 	}
-	if long.DoneAt > s.w.R.Now() {
+	if long.DoneAt > s.world.R.Now() {
 		t.Error("after the end")
 	}
 }
 
-func TestUnsoundCalls(t *testing.T) {
-	s := newScene(t, 20, 2, "", append(tableRoutes(), &routes.Route{Name: "by key", Service: "shards", DefaultTimeout: 500, MaxTimeout: 500,
+func TestInvalidCallsAreRejected(t *testing.T) {
+	s := newHarness(t, 20, 2, "", append(testRoutes(), &routes.Route{Name: "by key", Service: "shards", DefaultTimeout: 500, MaxTimeout: 500,
 		MaxMessageBytes: 1 << 10, Shard: routes.ShardRule{MetadataKey: "x-shard"}})...)
-	c := p.Dial(s.w, 1)
+	c := p.Dial(s.world, 1)
 	for _, r := range []struct {
 		name   string
 		ask    p.Ask
 		status int
 	}{
 		{"no route", p.Ask{Path: "/none/Get"}, 12},
-		{"a time that can't be read", p.Ask{Path: quick, Fields: []string{"grpc-timeout", "soon"}}, 3},
-		{"no time", p.Ask{Path: quick, Fields: []string{"grpc-timeout", "0n"}}, 4},
+		{"a time that can't be read", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "soon"}}, 3},
+		{"no time", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "0n"}}, 4},
 		{"no shard", p.Ask{Path: "/shards/Get"}, 3},
 		{"a shard that is none", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "4"}}, 3},
 		{"a shard", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "3"}}, 0},
 		{"a message over the limit", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "3"}, Body: [][]byte{p.Message(strings.Repeat("x", 2<<10))}}, 8},
-		{"a wrong flag", p.Ask{Path: quick, Body: [][]byte{{9, 0, 0, 0, 0}}}, 13},
-		{"half a message", p.Ask{Path: quick, Body: [][]byte{{0, 0, 0, 0, 5, 1}}}, 13},
-		{"metadata over the limit", p.Ask{Path: quick, Fields: []string{"x-big", strings.Repeat("y", 9<<10)}}, 8},
-		{"a huge time", p.Ask{Path: quick, Fields: []string{"grpc-timeout", "99999999H"}}, 0},
+		{"a wrong flag", p.Ask{Path: quickPath, Body: [][]byte{{9, 0, 0, 0, 0}}}, 13},
+		{"half a message", p.Ask{Path: quickPath, Body: [][]byte{{0, 0, 0, 0, 5, 1}}}, 13},
+		{"metadata over the limit", p.Ask{Path: quickPath, Fields: []string{"x-big", strings.Repeat("y", 9<<10)}}, 8},
+		{"a huge time", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "99999999H"}}, 0},
 	} {
 		a := c.Call(&r.ask)
-		s.w.Run(300)
+		s.world.Run(300)
 		if a.Status != r.status || a.Finals != 1 {
 			t.Errorf("%s: %d finals, status %d, want %d", r.name, a.Finals, a.Status, r.status)
 		}
@@ -457,23 +457,23 @@
 			}
 		}
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestLimitsOfCallsAndBytes(t *testing.T) {
-	s := newScene(t, 21, 2, "")
-	s.rules.Limits.MaxCalls, s.rules.Limits.MaxCallsPerCustomer = 10, 6
+func TestCallsAndBufferedBytesAreLimited(t *testing.T) {
+	s := newHarness(t, 21, 2, "")
+	s.settings.Limits.MaxCalls, s.settings.Limits.MaxCallsPerCustomer = 10, 6
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
 		v.Limits.InitialWindowSize = 4 << 10
 	}
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(60, 0)) })
-	c := p.Dial(s.w, 1)
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(60, 0)) })
+	c := p.Dial(s.world, 1)
 	var asks []*p.Ask
 	for range 12 {
-		asks = append(asks, c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}}))
+		asks = append(asks, c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}}))
 	}
-	s.w.Run(800)
+	s.world.Run(800)
 	ok, over := 0, 0
 	for _, a := range asks {
 		if a.Status == 0 {
@@ -486,23 +486,23 @@
 		t.Errorf("%d answered, %d over the limit", ok, over)
 	}
 	// Bytes: bodies that nobody takes in are bounded in all, not only each.
-	s.rules.Limits.MaxCallsPerCustomer, s.rules.Limits.MaxBufferedBytes = 0, 256<<10
+	s.settings.Limits.MaxCallsPerCustomer, s.settings.Limits.MaxBufferedBytes = 0, 256<<10
 	for _, v := range s.servers {
 		v.Holds, v.Early = true, true
 		v.Script = func(*p.Got) []p.Act { return nil }
 	}
 	for range 10 {
-		c.Call(&p.Ask{Path: quick, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 60<<10))}})
-		s.w.Run(5)
+		c.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 60<<10))}})
+		s.world.Run(5)
 	}
-	if s.f.bufferedBytes > 256<<10 || s.f.Counters.OverBufferLimit == 0 {
-		t.Errorf("%d bytes held, %d turned away; %+v", s.f.bufferedBytes, s.f.Counters.OverBufferLimit, s.f.Counters)
+	if s.proxy.bufferedBytes > 256<<10 || s.proxy.Counters.OverBufferLimit == 0 {
+		t.Errorf("%d bytes held, %d turned away; %+v", s.proxy.bufferedBytes, s.proxy.Counters.OverBufferLimit, s.proxy.Counters)
 	}
-	s.w.Run(1000)
-	s.end(c)
+	s.world.Run(1000)
+	s.closeAndCheck(c)
 }
 
-func TestRudeClients(t *testing.T) {
+func TestClientsThatViolateTheProtocolAreClosed(t *testing.T) {
 	preface := []byte(http2.ClientPreface)
 	settings := p.Frame(http2.FrameSettings, 0, 0, nil)
 	hello := append(append([]byte(nil), preface...), settings...)
@@ -542,109 +542,109 @@
 		{"a header block that can't be read", append(hello, p.Frame(http2.FrameHeaders, 5, 1, []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff})...), 50},
 	} {
 		t.Run(r.name, func(t *testing.T) {
-			s := newScene(t, 22, 2, "")
-			good := p.Dial(s.w, 1)
-			got := &rude{}
-			e := s.w.Dial(1, got)
-			s.w.Run(2)
-			at := s.w.Now
+			s := newHarness(t, 22, 2, "")
+			good := p.Dial(s.world, 1)
+			got := &recordingPeer{}
+			e := s.world.Dial(1, got)
+			s.world.Run(2)
+			at := s.world.Now
 			e.Send(r.send)
-			a := good.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
-			s.w.Run(r.within)
+			a := good.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+			s.world.Run(r.within)
 			if got.closed == 0 || got.closed > at+r.within {
 				t.Errorf("not closed after %.0f ms", r.within)
 			}
 			if a.Status != 0 || a.DoneAt > a.At+20 {
 				t.Errorf("another client: status %d after %.1f ms", a.Status, a.DoneAt-a.At)
 			}
-			s.end(good)
+			s.closeAndCheck(good)
 		})
 	}
 }
 
-// rude takes what comes and notes when it was closed.
-type rude struct {
+// recordingPeer takes what comes and notes when it was closed.
+type recordingPeer struct {
 	got    []byte
 	closed float64
 }
 
-func (r *rude) Opened(*virtual.End)            {}
-func (r *rude) Bytes(_ *virtual.End, b []byte) { r.got = append(r.got, b...) }
-func (r *rude) Closed(e *virtual.End)          { r.closed = e.Now() }
+func (r *recordingPeer) Opened(*virtual.End)            {}
+func (r *recordingPeer) Bytes(_ *virtual.End, b []byte) { r.got = append(r.got, b...) }
+func (r *recordingPeer) Closed(e *virtual.End)          { r.closed = e.Now() }
 
-func TestRapidResets(t *testing.T) {
-	s := newScene(t, 23, 2, "")
-	c := p.Dial(s.w, 1)
-	s.w.Run(2)
+func TestRapidResetsCloseTheConnection(t *testing.T) {
+	s := newHarness(t, 23, 2, "")
+	c := p.Dial(s.world, 1)
+	s.world.Run(2)
 	for i := range 400 {
-		a := c.Call(&p.Ask{Path: quick, Timeout: 900, Open: true})
+		a := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true})
 		a.Cancel()
 		if i%10 == 9 {
-			s.w.Run(1)
+			s.world.Run(1)
 		}
 	}
-	s.w.Run(50)
-	if !c.Gone || s.f.Counters.ProtocolErrors != 1 {
-		t.Errorf("still welcome after 400 resets; rude %d", s.f.Counters.ProtocolErrors)
+	s.world.Run(50)
+	if !c.Gone || s.proxy.Counters.ProtocolErrors != 1 {
+		t.Errorf("still welcome after 400 resets; rude %d", s.proxy.Counters.ProtocolErrors)
 	}
-	if s.f.Counters.Calls > 120 {
-		t.Errorf("%d calls were looked at", s.f.Counters.Calls)
+	if s.proxy.Counters.Calls > 120 {
+		t.Errorf("%d calls were looked at", s.proxy.Counters.Calls)
 	}
-	s.end(c)
+	s.closeAndCheck(c)
 }
 
-func TestOneConnectionDoesNotTakeWhatIsForAll(t *testing.T) {
-	s := newScene(t, 24, 2, "")
-	s.rules.Limits.MaxBufferedBytesPerConnection = 100 << 10
+func TestOneConnectionCannotUseTheWholeBuffer(t *testing.T) {
+	s := newHarness(t, 24, 2, "")
+	s.settings.Limits.MaxBufferedBytesPerConnection = 100 << 10
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
 		v.Limits.InitialWindowSize = 4 << 10
 		v.Holds = true
 		v.Script = func(*p.Got) []p.Act { return nil }
 	}
-	greedy, other := p.Dial(s.w, 1), p.Dial(s.w, 1)
+	greedy, other := p.Dial(s.world, 1), p.Dial(s.world, 1)
 	var asks []*p.Ask
 	for range 6 {
-		asks = append(asks, greedy.Call(&p.Ask{Path: quick, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 50<<10))}}))
+		asks = append(asks, greedy.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 50<<10))}}))
 	}
-	s.w.Run(20)
+	s.world.Run(20)
 	over := 0
 	for _, a := range asks {
 		if a.Status == 8 {
 			over++
 		}
 	}
-	if over < 3 || s.f.bufferedBytes > 100<<10 {
-		t.Errorf("%d of 6 turned away, %d bytes held", over, s.f.bufferedBytes)
+	if over < 3 || s.proxy.bufferedBytes > 100<<10 {
+		t.Errorf("%d of 6 turned away, %d bytes held", over, s.proxy.bufferedBytes)
 	}
-	s.all(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
-	if a := other.Call(&p.Ask{Path: quick, Timeout: 900}); true {
-		s.w.Run(50)
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
+	if a := other.Call(&p.Ask{Path: quickPath, Timeout: 900}); true {
+		s.world.Run(50)
 		if a.Status != 0 {
 			t.Error("another connection:", a.Status)
 		}
 	}
 	greedy.Hang()
-	s.w.Run(50)
-	s.end(other)
+	s.world.Run(50)
+	s.closeAndCheck(other)
 }
 
-func TestAServerThatRestartsColdMidStream(t *testing.T) {
+func TestRestartedServerIsWarmedUp(t *testing.T) {
 	// It dies with streams on it and comes back cold: streams that were committed end with a status, the others go on
 	// elsewhere, and for its cold time it gets no more than the guard allows, by the module alone.
 	const cold = `,"cold-from":0.2,"cold-ms":3000,"tip-multiple":1.2,"tip-after-ms":1000`
 	counts := map[string]int{}
 	for _, safety := range []string{"", cold} {
-		s := newScene(t, 25, 4, safety)
-		c := p.Dial(s.w, 1)
+		s := newHarness(t, 25, 4, safety)
+		c := p.Dial(s.world, 1)
 		ask := func(n int) {
 			for range n {
-				c.Call(&p.Ask{Path: quick, Timeout: 900, Body: [][]byte{p.Message("q")}})
-				s.w.Run(10)
+				c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+				s.world.Run(10)
 			}
 		}
 		ask(600) // what it can do is known by what it did
-		s.all(func(k *p.Got) []p.Act {
+		s.scriptAll(func(k *p.Got) []p.Act {
 			if k.Get("x-long") != "" {
 				return acts(p.Head(1), p.Say(0, "a"), p.Say(2000, "b"), p.End(0, 0))
 			}
@@ -652,9 +652,9 @@
 		})
 		var long []*p.Ask
 		for range 8 {
-			long = append(long, c.Call(&p.Ask{Path: quick, Timeout: 4000, Fields: []string{"x-long", "1"}}))
+			long = append(long, c.Call(&p.Ask{Path: quickPath, Timeout: 4000, Fields: []string{"x-long", "1"}}))
 		}
-		s.w.Run(100)
+		s.world.Run(100)
 		dead := s.servers[1]
 		had := 0
 		for _, k := range dead.Calls {
@@ -667,12 +667,12 @@
 				x.Kill()
 			}
 		}
-		back := s.w.Now
-		s.w.Tell(func(list []virtual.Listed) []virtual.Listed { list[1].Started = back; return list })
+		back := s.world.Now
+		s.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[1].Started = back; return list })
 		before := len(dead.Calls)
 		ask(100)
 		counts[safety] = len(dead.Calls) - before
-		s.w.Run(4000)
+		s.world.Run(4000)
 		broke := 0
 		for _, a := range long {
 			if a.Finals != 1 || a.Status != 0 && a.Status != 14 {
@@ -685,7 +685,7 @@
 		if had == 0 || broke != had {
 			t.Errorf("%d streams were on it, %d broke", had, broke)
 		}
-		s.end(c)
+		s.closeAndCheck(c)
 	}
 	if counts[cold] == 0 || 2*counts[cold] > counts[""] {
 		t.Errorf("in its cold second it got %d calls, without a guard %d", counts[cold], counts[""])
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -20,23 +20,23 @@
 
 const budgetFacts = `,"spare-attempts":12,"further-ratio":0.3,"counted-over-ms":4000`
 
-// play is one random script: clients of all kinds, servers in all sorts of trouble, a list that changes.
-type play struct {
-	*scene
-	rng   *rand.Rand
-	book  *rules.Book
-	subs  map[*p.Got]*rules.Sub
-	asks  map[string]*p.Ask
-	done  map[*p.Ask]bool
-	next  int
-	meter *meter
-	onAsk func(id string, a *p.Ask) // may be nil
+// randomRun is one random script: clients of all kinds, servers in all sorts of trouble, a list that changes.
+type randomRun struct {
+	*harness
+	rng          *rand.Rand
+	rules        *rules.Book
+	attempts     map[*p.Got]*rules.Sub
+	pendingCalls map[string]*p.Ask
+	reported     map[*p.Ask]bool
+	callNumber   int
+	usage        *usageMeter
+	onCall       func(id string, a *p.Ask) // may be nil
 }
 
-// meter adds up what it is told.
-type meter struct{ searches, subs, left, in, out int64 }
+// usageMeter adds up what it is told.
+type usageMeter struct{ searches, subs, left, in, out int64 }
 
-func (m *meter) Used(u *engine.Used) {
+func (m *usageMeter) Used(u *engine.Used) {
 	m.searches++
 	m.subs += int64(u.First + u.Repeat + u.Copy)
 	m.in, m.out = m.in+u.In, m.out+u.Out
@@ -48,17 +48,17 @@
 	}
 }
 
-func (y *play) chance(x float64) bool { return y.rng.Float64() < x }
+func (y *randomRun) probability(x float64) bool { return y.rng.Float64() < x }
 
-// script draws what a server does with a call.
-func (y *play) script(k *p.Got) []p.Act {
+// serverScript draws what a server does with a call.
+func (y *randomRun) serverScript(k *p.Got) []p.Act {
 	id, wait := k.Get("x-id"), func(most float64) float64 { return most * y.rng.Float64() }
-	if y.chance(0.05) { // slow
+	if y.probability(0.05) { // slow
 		wait = func(most float64) float64 { return 20 * most * y.rng.Float64() }
 	}
 	var list []p.Act
 	never := func(a p.Act) []p.Act {
-		return append(list, p.Act{After: a.After, Do: func(s *p.Server, k *p.Got) { y.subs[k].NeverRan(y.w.Now); a.Do(s, k) }})
+		return append(list, p.Act{After: a.After, Do: func(s *p.Server, k *p.Got) { y.attempts[k].NeverRan(y.world.Now); a.Do(s, k) }})
 	}
 	switch y.rng.IntN(24) {
 	case 0:
@@ -87,7 +87,7 @@
 	for n := y.rng.IntN(4); n >= 0; n-- {
 		m := p.Message(fmt.Sprintf("%s by %s %s", id, k.S.Name, strings.Repeat("x", y.rng.IntN(1<<uint(y.rng.IntN(15))))))
 		body = append(body, m...)
-		if y.chance(0.2) { // in two pieces
+		if y.probability(0.2) { // in two pieces
 			at := 1 + y.rng.IntN(len(m)-1)
 			list = append(list, p.Raw(wait(10), m[:at]))
 			m = m[at:]
@@ -114,83 +114,83 @@
 			}})
 		}
 	}
-	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.book.Answered(id, body) }}, p.End(wait(5), 0))
+	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.rules.Answered(id, body) }}, p.End(wait(5), 0))
 }
 
-func newPlay(t testing.TB, seed uint64) *play {
-	y := &play{rng: rand.New(rand.NewPCG(seed, 3)), book: rules.New(), subs: map[*p.Got]*rules.Sub{},
-		asks: map[string]*p.Ask{}, done: map[*p.Ask]bool{}}
-	y.meter = &meter{}
-	y.scene = newScene(t, seed, 2+y.rng.IntN(4), budgetFacts)
-	y.w.R.Measure(y.meter)
-	y.book.Spare, y.book.Ratio, y.book.Over, y.book.Window = 12, 0.3, 4000, 400
-	y.book.Strict = true
-	y.w.Pieces = y.chance(0.5)
-	y.w.Delay = 0.1 + 2*y.rng.Float64()
-	y.book.Slack = y.w.Delay + 1
+func newRandomRun(t testing.TB, seed uint64) *randomRun {
+	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: rules.New(), attempts: map[*p.Got]*rules.Sub{},
+		pendingCalls: map[string]*p.Ask{}, reported: map[*p.Ask]bool{}}
+	y.usage = &usageMeter{}
+	y.harness = newHarness(t, seed, 2+y.rng.IntN(4), budgetFacts)
+	y.world.R.Measure(y.usage)
+	y.rules.Spare, y.rules.Ratio, y.rules.Over, y.rules.Window = 12, 0.3, 4000, 400
+	y.rules.Strict = true
+	y.world.Pieces = y.probability(0.5)
+	y.world.Delay = 0.1 + 2*y.rng.Float64()
+	y.rules.Slack = y.world.Delay + 1
 	for _, v := range y.servers {
-		v.Script = y.script
-		v.Early = y.chance(0.3)
+		v.Script = y.serverScript
+		v.Early = y.probability(0.3)
 		v.Limits = h2Limits([]int{1, 2, 100}[y.rng.IntN(3)])
 		v.Limits.InitialWindowSize = 1 << (8 + y.rng.IntN(9))
-		v.OnCall = func(k *p.Got) { y.subs[k] = y.book.Sent(k.Get("x-id"), "", v.Name, y.w.Now) }
+		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.Sent(k.Get("x-id"), "", v.Name, y.world.Now) }
 	}
 	return y
 }
 
-// ask has a client make a call of some kind.
-func (y *play) ask(c *p.Client) {
+// startCall has a client make a call of some kind.
+func (y *randomRun) startCall(c *p.Client) {
 	kind := y.rng.IntN(3)
-	y.next++
-	id := fmt.Sprint("c", y.next)
+	y.callNumber++
+	id := fmt.Sprint("c", y.callNumber)
 	a := &p.Ask{Path: "/" + []string{"quick", "once", "keyed"}[kind] + "." + []string{"message", "headers", "end"}[y.rng.IntN(3)] + "/X",
-		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.chance(0.2), Slow: y.chance(0.05),
+		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.probability(0.2), Slow: y.probability(0.05),
 		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
-	y.asks[id] = a
-	y.book.Asked(id, []rules.Effect{rules.Idempotent, rules.NonIdempotent, rules.Tokened}[kind], y.w.Now, y.w.Now+a.Timeout)
-	if y.onAsk != nil {
-		y.onAsk(id, a)
+	y.pendingCalls[id] = a
+	y.rules.Asked(id, []rules.Effect{rules.Idempotent, rules.NonIdempotent, rules.Tokened}[kind], y.world.Now, y.world.Now+a.Timeout)
+	if y.onCall != nil {
+		y.onCall(id, a)
 	}
 	c.Call(a)
 	if a.Open {
 		n := y.rng.IntN(3)
 		for i := range n {
-			y.w.After(float64(i*30), func() { a.Write(p.Message(strings.Repeat("w", y.rng.IntN(3000)))) })
+			y.world.After(float64(i*30), func() { a.Write(p.Message(strings.Repeat("w", y.rng.IntN(3000)))) })
 		}
-		y.w.After(float64(n*30)+100*y.rng.Float64(), a.End)
+		y.world.After(float64(n*30)+100*y.rng.Float64(), a.End)
 	}
-	if y.chance(0.1) {
-		y.w.After(300*y.rng.Float64(), func() {
+	if y.probability(0.1) {
+		y.world.After(300*y.rng.Float64(), func() {
 			if !a.Done() {
-				y.book.Left(id)
+				y.rules.Left(id)
 				a.Cancel()
 			}
 		})
 	}
 }
 
-// heard notes what clients were told.
-func (y *play) heard() {
-	for id, a := range y.asks {
-		if !a.Done() || y.done[a] {
+// reportEnded notes what clients were told.
+func (y *randomRun) reportEnded() {
+	for id, a := range y.pendingCalls {
+		if !a.Done() || y.reported[a] {
 			continue
 		}
-		y.done[a] = true
-		delete(y.asks, id)
+		y.reported[a] = true
+		delete(y.pendingCalls, id)
 		if a.Left || a.Lost {
-			y.book.Left(id)
+			y.rules.Left(id)
 			continue
 		}
 		back := a.Get("grpc-retry-pushback-ms")
-		y.book.Final(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, back != "" && back[0] != '-')
+		y.rules.Final(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, back != "" && back[0] != '-')
 	}
 }
 
-// conserved: what the front counts is what there is.
-func (y *play) conserved() {
+// checkCounts: what the front counts is what there is.
+func (y *randomRun) checkCounts() {
 	held, open, streams := 0, 0, 0
 	seen := map[*call]bool{}
-	for c := range y.f.clientConns {
+	for c := range y.proxy.clientConns {
 		for _, s := range c.http2.Streams() {
 			if k, ok := s.UserData.(*call); ok && !k.ended && !seen[k] {
 				seen[k] = true
@@ -206,17 +206,17 @@
 			}
 		}
 	}
-	for _, l := range y.f.serverConns {
+	for _, l := range y.proxy.serverConns {
 		if l != nil {
 			streams += len(l.attempts)
 		}
 	}
-	if held != y.f.bufferedBytes || open != y.f.openCalls || streams != y.f.pool.Streams() {
-		y.t.Fatalf("conservation: %d bytes held of %d, %d calls open of %d, %d streams of %d", held, y.f.bufferedBytes, open, y.f.openCalls,
-			streams, y.f.pool.Streams())
+	if held != y.proxy.bufferedBytes || open != y.proxy.openCalls || streams != y.proxy.pool.Streams() {
+		y.t.Fatalf("conservation: %d bytes held of %d, %d calls open of %d, %d streams of %d", held, y.proxy.bufferedBytes, open, y.proxy.openCalls,
+			streams, y.proxy.pool.Streams())
 	}
 	sum := 0
-	for _, q := range y.f.clientOrder {
+	for _, q := range y.proxy.clientOrder {
 		if q.closed {
 			continue
 		}
@@ -225,73 +225,73 @@
 			y.t.Fatalf("%d bytes wait for a client", n)
 		}
 	}
-	if sum != y.f.bufferedBytes {
-		y.t.Fatalf("clients hold %d bytes, all together %d", sum, y.f.bufferedBytes)
+	if sum != y.proxy.bufferedBytes {
+		y.t.Fatalf("clients hold %d bytes, all together %d", sum, y.proxy.bufferedBytes)
 	}
 }
 
-func (y *play) run(ms float64) {
-	y.w.OnTurn = func() {
-		y.heard()
-		y.conserved()
-		if found := y.book.Check(y.w.Now); len(found) > 0 {
-			for id, a := range y.asks {
+func (y *randomRun) run(ms float64) {
+	y.world.OnTurn = func() {
+		y.reportEnded()
+		y.checkCounts()
+		if found := y.rules.Check(y.world.Now); len(found) > 0 {
+			for id, a := range y.pendingCalls {
 				if strings.Contains(found[0], id+" ") {
 					y.t.Logf("%+v", *a)
 				}
 			}
-			y.t.Fatalf("at %.1f: %s", y.w.Now, strings.Join(found, "\n"))
+			y.t.Fatalf("at %.1f: %s", y.world.Now, strings.Join(found, "\n"))
 		}
 	}
 	var clients []*p.Client
 	for range 1 + y.rng.IntN(3) {
-		clients = append(clients, p.Dial(y.w, 1))
+		clients = append(clients, p.Dial(y.world, 1))
 	}
-	until := y.w.Now + ms
-	for y.w.Now < until {
-		y.w.Run(20 * y.rng.Float64())
+	until := y.world.Now + ms
+	for y.world.Now < until {
+		y.world.Run(20 * y.rng.Float64())
 		i := y.rng.IntN(len(clients))
 		if clients[i].Shut || clients[i].Gone {
-			clients[i] = p.Dial(y.w, 1)
+			clients[i] = p.Dial(y.world, 1)
 		}
 		for range y.rng.IntN(3) {
-			y.ask(clients[i])
+			y.startCall(clients[i])
 		}
 		switch y.rng.IntN(120) {
 		case 0:
 			clients[i].Hang()
 		case 1, 2:
-			y.trouble()
+			y.injectFault()
 		}
 	}
-	y.w.Run(2500)
+	y.world.Run(2500)
 	for _, c := range clients {
 		c.Hang()
 	}
-	y.w.Run(5000) // channels end their idle time
-	y.clean()
+	y.world.Run(5000) // channels end their idle time
+	y.checkReleased()
 	// What the meter was told is what was counted, by the front's own book as well.
-	c := &y.w.R.Count
-	if m := y.meter; m.searches != c.Searches || m.subs != c.Asked || m.left != c.Left || c.Asked != y.f.Counters.Attempts {
-		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.Asked, c.Left, y.f.Counters.Attempts)
+	c := &y.world.R.Count
+	if m := y.usage; m.searches != c.Searches || m.subs != c.Asked || m.left != c.Left || c.Asked != y.proxy.Counters.Attempts {
+		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.Asked, c.Left, y.proxy.Counters.Attempts)
 	}
-	if n := y.f.pool.Connections(); n != 0 {
+	if n := y.proxy.pool.Connections(); n != 0 {
 		y.t.Errorf("%d channels at rest", n)
 	}
 }
 
-// trouble happens to a server or the list.
-func (y *play) trouble() {
+// injectFault happens to a server or the list.
+func (y *randomRun) injectFault() {
 	i := y.rng.IntN(len(y.servers))
 	v := y.servers[i]
-	addr := y.f.servers[i].address
+	addr := y.proxy.servers[i].address
 	switch y.rng.IntN(4) {
 	case 0: // drained for a while
-		y.w.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "draining"; return list })
-		y.book.Told(v.Name, true, y.w.Now+y.w.Delay)
-		y.w.After(700+1500*y.rng.Float64(), func() {
-			y.book.Told(v.Name, false, y.w.Now)
-			y.w.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "ready"; return list })
+		y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "draining"; return list })
+		y.rules.Told(v.Name, true, y.world.Now+y.world.Delay)
+		y.world.After(700+1500*y.rng.Float64(), func() {
+			y.rules.Told(v.Name, false, y.world.Now)
+			y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "ready"; return list })
 		})
 	case 1: // restarts
 		for _, c := range v.Conns {
@@ -299,17 +299,17 @@
 				c.Kill()
 			}
 		}
-		y.w.Refuse[addr] = true
-		y.w.After(300*y.rng.Float64(), func() { delete(y.w.Refuse, addr) })
+		y.world.Refuse[addr] = true
+		y.world.After(300*y.rng.Float64(), func() { delete(y.world.Refuse, addr) })
 	case 2: // connects do not come up
-		y.w.Swallow[addr] = true
-		y.w.After(500*y.rng.Float64(), func() { delete(y.w.Swallow, addr) })
+		y.world.Swallow[addr] = true
+		y.world.After(500*y.rng.Float64(), func() { delete(y.world.Swallow, addr) })
 	case 3: // the network to it stands still
-		y.book.Strict = false
+		y.rules.Strict = false
 		for _, c := range v.Conns {
 			if !c.Dead && !c.End.Gone() {
 				c.End.Stuck = true
-				y.w.After(400*y.rng.Float64(), c.End.Unstick)
+				y.world.After(400*y.rng.Float64(), c.End.Unstick)
 			}
 		}
 	}
@@ -317,7 +317,7 @@
 
 func TestRandomScripts(t *testing.T) {
 	for seed := range uint64(*seeds) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { newPlay(t, seed).run(4000) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { newRandomRun(t, seed).run(4000) })
 	}
 }
 
--- a/internal/grpcproxy/trace_golden_test.go
+++ b/internal/grpcproxy/trace_golden_test.go
@@ -24,9 +24,9 @@
 func TestRandomScriptsKeepTheirTraces(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(goldenSeeds) {
-		y := newPlay(t, seed)
+		y := newRandomRun(t, seed)
 		all := map[string]*p.Ask{}
-		y.onAsk = func(id string, a *p.Ask) { all[id] = a }
+		y.onCall = func(id string, a *p.Ask) { all[id] = a }
 		y.run(2000)
 		clients, servers := fnv.New64a(), fnv.New64a()
 		for n := 1; n <= len(all); n++ {
@@ -39,32 +39,32 @@
 			}
 		}
 		fmt.Fprintf(&text, "%d: %d calls, clients %x, servers %x, %s, %s\n", seed, len(all), clients.Sum64(), servers.Sum64(),
-			values(y.f.Counters), values(y.f.pool.Counters))
+			values(y.proxy.Counters), values(y.proxy.pool.Counters))
 	}
 	golden.Assert(t, text.String(), "golden/traces.txt")
 }
 
-// TestRowsKeepTheirFields freezes the fields and bytes that a client gets for each thing that a server
+// TestServerBehavioursKeepTheirFields freezes the fields and bytes that a client gets for each thing that a server
 // can do.
-func TestRowsKeepTheirFields(t *testing.T) {
+func TestServerBehavioursKeepTheirFields(t *testing.T) {
 	var text strings.Builder
-	for _, r := range rows() {
+	for _, r := range serverBehaviours() {
 		if strings.HasPrefix(r.name, "HTTP ") {
 			continue // these come in a map's order
 		}
-		s := newScene(t, 3, 2, "", tableRoutes()...)
-		s.byAttempt(func(_ *p.Got) []p.Act { return r.acts }, func(_ *p.Got) []p.Act {
-			if r.again != nil {
-				return r.again
+		s := newHarness(t, 3, 2, "", testRoutes()...)
+		s.scriptByAttempt(func(_ *p.Got) []p.Act { return r.acts }, func(_ *p.Got) []p.Act {
+			if r.laterActs != nil {
+				return r.laterActs
 			}
 			return acts(p.Head(1), p.Say(0, "ok"), p.End(0, 0))
 		})
 		for _, v := range s.servers {
 			v.Early = r.early
 		}
-		c := p.Dial(s.w, 1)
+		c := p.Dial(s.world, 1)
 		a := c.Call(&p.Ask{Path: r.path, Timeout: 900, Body: [][]byte{p.Message("ask")}})
-		s.w.Run(1500)
+		s.world.Run(1500)
 		fmt.Fprintf(&text, "%s: %q %q %v %v %v\n", r.name, a.Head, a.Trailers, a.Got, a.DoneAt, http2.ErrCode(a.ResetBy))
 	}
 	golden.Assert(t, text.String(), "golden/rows.txt")
--- a/internal/grpcproxy/world_test.go
+++ b/internal/grpcproxy/world_test.go
@@ -17,7 +17,7 @@
 	"kestrelspread/internal/standin/virtual"
 )
 
-const facts = `{"balancers":1,"classes":[
+const settingsJSON = `{"balancers":1,"classes":[
 {"aim-ms":300,"deadline-ms":1000,"effect":"repeatable","importance":1,"name":"quick","late-value":0.3},
 {"aim-ms":300,"deadline-ms":1000,"effect":"once","importance":3,"name":"once"},
 {"aim-ms":300,"deadline-ms":1000,"effect":"by_key","group":"all","window-ms":400,"importance":1,"name":"keyed"}],
@@ -26,16 +26,16 @@
 "connect-timeout-ms":100,"conn-idle-ms":2000,"streams-per-conn":20,"most-held":4000,"retry-after":true,
 "max-retry-after-ms":500},"safety":{"drain-grace-ms":500%s},"zone":0}`
 
-// scene is a broker with its gRPC front in a virtual network.
-type scene struct {
-	t       testing.TB
-	w       *virtual.World
-	f       *Proxy
-	servers []*grpcpeer.Server
-	rules   *Settings
+// harness is a broker with its gRPC front in a virtual network.
+type harness struct {
+	t        testing.TB
+	world    *virtual.World
+	proxy    *Proxy
+	servers  []*grpcpeer.Server
+	settings *Settings
 }
 
-func defaultRules(list ...*routes.Route) *Settings {
+func defaultSettings(list ...*routes.Route) *Settings {
 	r := &Settings{
 		Limits: Limits{MaxConnections: 50, MaxCallsPerConnection: 100, MaxCalls: 1000, MaxBufferedBytes: 4 << 20, MaxBufferedBytesPerConnection: 4 << 20, StreamWindowBytes: 64 << 10, MaxMetadataBytes: 8 << 10, MaxResetsPerSecond: 50,
 			MaxControlFramesPerSecond: 100, HandshakeTimeout: 2000, IdleTimeout: 5000, PartialFrameTimeout: 1000, WriteTimeout: 3000, WriteBufferBytes: 64 << 10},
@@ -44,7 +44,7 @@
 		Addresses: Addresses{PortOffset: 1000},
 	}
 	if len(list) == 0 {
-		list = tableRoutes()
+		list = testRoutes()
 	}
 	var err error
 	if r.Routes, err = routes.New(list); err != nil {
@@ -53,8 +53,8 @@
 	return r
 }
 
-func newScene(t testing.TB, seed uint64, servers int, safety string, list ...*routes.Route) *scene {
-	set, err := settings.FromJSON(fmt.Appendf(nil, facts, safety))
+func newHarness(t testing.TB, seed uint64, servers int, safety string, list ...*routes.Route) *harness {
+	set, err := settings.FromJSON(fmt.Appendf(nil, settingsJSON, safety))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,13 +63,13 @@
 		all = append(all, virtual.Listed{ID: fmt.Sprintf("s%d", i), State: "ready", Cell: i % 2,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i + 1)}), 80)})
 	}
-	s := &scene{t: t, w: virtual.New(set, seed, 300, all), rules: defaultRules(list...)}
-	s.f = New(s.w.R, s.rules, 4, seed)
-	s.w.R.Add(s.f)
+	s := &harness{t: t, world: virtual.New(set, seed, 300, all), settings: defaultSettings(list...)}
+	s.proxy = New(s.world.R, s.settings, 4, seed)
+	s.world.R.Add(s.proxy)
 	for i := range servers {
-		p := &grpcpeer.Server{W: s.w, Name: fmt.Sprintf("s%d", i), Script: echo}
+		p := &grpcpeer.Server{W: s.world, Name: fmt.Sprintf("s%d", i), Script: echo}
 		s.servers = append(s.servers, p)
-		s.w.Listen(netip.AddrPortFrom(all[i].Addr.Addr(), 1080), p.Accept)
+		s.world.Listen(netip.AddrPortFrom(all[i].Addr.Addr(), 1080), p.Accept)
 	}
 	before := must.Broken()
 	t.Cleanup(func() {
@@ -77,7 +77,7 @@
 			t.Error("must broken")
 		}
 	})
-	s.w.Run(10)
+	s.world.Run(10)
 	return s
 }
 
@@ -86,8 +86,8 @@
 	return []grpcpeer.Act{grpcpeer.Head(2, "x-by", k.S.Name), grpcpeer.Raw(0, k.Body), grpcpeer.End(0, 0)}
 }
 
-// byAttempt has the servers do one thing with a call's first sub-request and another with its further ones.
-func (s *scene) byAttempt(first, later func(k *grpcpeer.Got) []grpcpeer.Act) {
+// scriptByAttempt has the servers do one thing with a call's first sub-request and another with its further ones.
+func (s *harness) scriptByAttempt(first, later func(k *grpcpeer.Got) []grpcpeer.Act) {
 	for _, p := range s.servers {
 		p.Script = func(k *grpcpeer.Got) []grpcpeer.Act {
 			if k.Get("grpc-previous-rpc-attempts") == "" {
@@ -98,24 +98,24 @@
 	}
 }
 
-// warm has every server answer often enough for the module to know what is usual.
-func (s *scene) warm(n int) {
-	c := grpcpeer.Dial(s.w, 1)
+// warmUp has every server answer often enough for the module to know what is usual.
+func (s *harness) warmUp(n int) {
+	c := grpcpeer.Dial(s.world, 1)
 	for i := range n {
 		a := c.Call(&grpcpeer.Ask{Path: "/quick.end/Warm", Body: [][]byte{grpcpeer.Message("w")}})
-		s.w.Run(8)
+		s.world.Run(8)
 		if a.Status != 0 {
-			s.t.Fatalf("warming %d: status %d\n%s", i, a.Status, s.w.Log)
+			s.t.Fatalf("warming %d: status %d\n%s", i, a.Status, s.world.Log)
 		}
 	}
 	c.E.Close()
-	s.w.Run(5)
+	s.world.Run(5)
 }
 
-// told is what the module heard since a mark.
-func (s *scene) told(since [policy.NeverSent + 1]int64) (list []string) {
+// outcomesSince is what the module heard since a mark.
+func (s *harness) outcomesSince(since [policy.NeverSent + 1]int64) (list []string) {
 	names := []string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
-	for i, n := range s.w.R.Count.Outcomes {
+	for i, n := range s.world.R.Count.Outcomes {
 		for range n - since[i] {
 			list = append(list, names[i])
 		}
@@ -123,20 +123,20 @@
 	return list
 }
 
-// clean checks that nothing is held once all is over.
-func (s *scene) clean() {
+// checkReleased checks that nothing is held once all is over.
+func (s *harness) checkReleased() {
 	s.t.Helper()
-	f := s.f
+	f := s.proxy
 	if f.openCalls != 0 || f.bufferedBytes != 0 || len(f.callsByCustomer) != 0 || f.pool.Waiting() != 0 || f.pool.Streams() != 0 {
 		s.t.Errorf("at rest: %d calls open, %d bytes held, %d owners, %d waiting, %d streams", f.openCalls, f.bufferedBytes, len(f.callsByCustomer),
 			f.pool.Waiting(), f.pool.Streams())
 	}
-	if strings.Contains(s.w.Log.String(), "an event failed") {
-		s.t.Errorf("an event failed:\n%s", s.w.Log)
+	if strings.Contains(s.world.Log.String(), "an event failed") {
+		s.t.Errorf("an event failed:\n%s", s.world.Log)
 	}
 }
 
-func texts(body []byte) string {
+func messagesOf(body []byte) string {
 	var list []string
 	for len(body) >= 5 {
 		n := int(body[1])<<24 | int(body[2])<<16 | int(body[3])<<8 | int(body[4])
@@ -151,8 +151,8 @@
 	return strings.Join(list, ",")
 }
 
-// tableRoutes are the usual ones and one whose servers give RESOURCE_EXHAUSTED unseen.
-func tableRoutes() (list []*routes.Route) {
+// testRoutes are the usual ones and one whose servers give RESOURCE_EXHAUSTED unseen.
+func testRoutes() (list []*routes.Route) {
 	for kind, name := range []string{"quick", "once", "keyed"} {
 		for commit, how := range []string{"message", "headers", "end"} {
 			list = append(list, &routes.Route{Name: name + how, Service: name + "." + how, QueryType: kind, DefaultTimeout: 1000,
