--- a/internal/grpcproxy/table_test.go
+++ b/internal/grpcproxy/behaviours_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -38,16 +39,16 @@
 	s.checkReleased()
 }
 
-// serverBehaviour is one thing that a server does to a call's first sub-request; further ones are answered.
+// serverBehaviour is what a server does with a call's first attempt; later ones are answered.
 type serverBehaviour struct {
 	name      string
 	path      string
 	acts      []p.Act
 	status    int    // that the client gets
 	got       string // messages
-	attempts  int    // sub-requests that servers saw
-	outcomes  string // outcomes, in the module's order
-	pushback  string // pushback that the client gets
+	attempts  int    // that servers saw
+	outcomes  string // in the policy's order
+	pushback  string // that the client gets
 	message   string // in grpc-message
 	laterActs []p.Act
 	early     bool
@@ -63,26 +64,37 @@
 
 func acts(a ...p.Act) []p.Act { return a }
 
-func serverBehaviours() (list []serverBehaviour) {
+// serverBehaviours are all of them.
+func serverBehaviours() []serverBehaviour {
+	return slices.Concat(statusBehaviours(), resetBehaviours(), httpBehaviours(), responseBehaviours(),
+		connectionBehaviours(), retryBehaviours())
+}
+
+// statusBehaviours end with each status, alone and after a message. What an application says is an
+// answer; the rest is retried where that does no harm, and passed on where it does.
+func statusBehaviours() (list []serverBehaviour) {
 	add := func(r serverBehaviour) { list = append(list, r) }
-	// Each status, alone and after a message. What an application says is an answer; the rest is repeated where that does
-	// no harm, and passed on where it does.
-	repeats := map[int]string{1: "errored", 2: "errored", 4: "timed_out", 8: "errored", 13: "errored", 14: "errored", 15: "errored"}
+	retried := map[int]string{1: "errored", 2: "errored", 4: "timed_out", 8: "errored", 13: "errored", 14: "errored", 15: "errored"}
 	for code := 1; code <= 16; code++ {
 		name := grpcwire.Status(code).String()
-		if how, again := repeats[code]; again {
-			add(serverBehaviour{name: "only " + name, path: quickPath, acts: acts(p.Only(1, code)), got: "ok", attempts: 2, outcomes: "answered " + how})
+		if outcome, again := retried[code]; again {
+			add(serverBehaviour{name: "only " + name, path: quickPath, acts: acts(p.Only(1, code)), got: "ok", attempts: 2, outcomes: "answered " + outcome})
 			add(serverBehaviour{name: "only " + name + ", once", path: oncePath, acts: acts(p.Only(1, code, "grpc-message", "why")), status: code,
-				attempts: 1, outcomes: how, pushback: "-1", message: "why"})
+				attempts: 1, outcomes: outcome, pushback: "-1", message: "why"})
 			add(serverBehaviour{name: name + " after a message", path: quickPath, acts: acts(p.Head(1), p.Say(0, "a"), p.End(1, code)), status: code,
-				got: "a", attempts: 1, outcomes: how, pushback: "-1"})
+				got: "a", attempts: 1, outcomes: outcome, pushback: "-1"})
 		} else {
 			add(serverBehaviour{name: "only " + name, path: quickPath, acts: acts(p.Only(1, code, "grpc-message", "no%20such")), status: code, attempts: 1,
 				outcomes: "answered", message: "no%20such"})
 			add(serverBehaviour{name: name + " in trailers", path: quickPath, acts: acts(p.Head(1), p.End(1, code)), status: code, attempts: 1, outcomes: "answered"})
 		}
 	}
-	// HTTP/2 error codes.
+	return list
+}
+
+// resetBehaviours reset the stream with each error code of HTTP/2.
+func resetBehaviours() (list []serverBehaviour) {
+	add := func(r serverBehaviour) { list = append(list, r) }
 	for code := http2.ErrCodeNo; code <= http2.ErrCodeInadequateSecurity; code++ {
 		end := grpcwire.ResultFromReset(code)
 		if code == http2.ErrCodeRefusedStream {
@@ -94,10 +106,20 @@
 		add(serverBehaviour{name: "reset " + code.String() + ", once", path: oncePath, acts: acts(p.Reset(1, code)), status: int(end.Status), attempts: 1,
 			outcomes: "errored", pushback: "-1"})
 	}
+	return list
+}
+
+// httpBehaviours are responses that aren't gRPC's.
+func httpBehaviours() (list []serverBehaviour) {
 	for http, code := range map[string]int{"400": 13, "401": 16, "403": 7, "404": 12, "429": 14, "502": 14, "503": 14, "504": 14, "500": 2} {
-		add(serverBehaviour{name: "HTTP " + http, path: oncePath, acts: acts(p.OnlyFields(1, ":status", http)), status: code, attempts: 1, outcomes: "errored", pushback: "-1"})
+		list = append(list, serverBehaviour{name: "HTTP " + http, path: oncePath, acts: acts(p.OnlyFields(1, ":status", http)), status: code, attempts: 1, outcomes: "errored", pushback: "-1"})
 	}
-	more := []serverBehaviour{
+	return list
+}
+
+// responseBehaviours are incomplete and invalid responses.
+func responseBehaviours() []serverBehaviour {
+	return []serverBehaviour{
 		{name: "an unknown status", path: oncePath, acts: acts(p.Only(1, 99)), status: 99, attempts: 1, outcomes: "errored", pushback: "-1"},
 		{name: "no gRPC", path: quickPath, acts: acts(p.OnlyFields(1, ":status", "200", "content-type", "text/html")), got: "ok", attempts: 2,
 			outcomes: "answered errored"},
@@ -130,6 +152,12 @@
 		{name: "data before headers", path: quickPath, acts: acts(p.Bytes(1, p.Frame(http2.FrameData, 0, 1, []byte("x")))), got: "ok", attempts: 2,
 			outcomes: "answered errored"},
 		{name: "headers twice", path: quickAtEnd, acts: acts(p.Head(1), p.Head(1)), got: "ok", attempts: 2, outcomes: "answered errored"},
+	}
+}
+
+// connectionBehaviours are faults of the connection, and GOAWAY.
+func connectionBehaviours() []serverBehaviour {
+	return []serverBehaviour{
 		{name: "a frame that is too long", path: quickPath, acts: acts(p.Bytes(1, p.Frame(http2.FrameData, 0, 1, make([]byte, 17<<10)))),
 			got: "ok", attempts: 2, outcomes: "answered reset"},
 		{name: "a header block that can't be read", path: quickPath, acts: acts(p.Bytes(1, p.Frame(http2.FrameHeaders, 4, 1, []byte{0xff, 0xff,
@@ -143,6 +171,12 @@
 			got: "late", attempts: 1, outcomes: "answered"},
 		{name: "GOAWAY after the stream, then death", path: oncePath, acts: acts(p.Bye(1, 1, http2.ErrCodeNo), p.Die(5)), status: 14, attempts: 1,
 			outcomes: "reset", pushback: "-1"},
+	}
+}
+
+// retryBehaviours are about pushback and about what is retried.
+func retryBehaviours() []serverBehaviour {
+	return []serverBehaviour{
 		{name: "pushback without a time", path: quickPath, acts: acts(p.Only(1, 14, "grpc-retry-pushback-ms", "-1")), status: 14, attempts: 1,
 			outcomes: "errored", pushback: "-1"},
 		{name: "pushback that can't be read", path: quickPath, acts: acts(p.Only(1, 14, "grpc-retry-pushback-ms", "soon")), status: 14, attempts: 1,
@@ -161,7 +195,6 @@
 			outcomes: "errored errored errored", pushback: "37-113"},
 		{name: "answers before the client has ended", path: quickPath, acts: acts(p.Only(0, 5)), early: true, status: 5, attempts: 1, outcomes: "answered"},
 	}
-	return append(list, more...)
 }
 
 func TestServerBehaviours(t *testing.T) {
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -20,7 +20,8 @@
 
 const budgetFacts = `,"spare-attempts":12,"further-ratio":0.3,"counted-over-ms":4000`
 
-// randomRun is one random script: clients of all kinds, servers in all sorts of trouble, a list that changes.
+// randomRun is one random script: clients of all kinds, servers with all kinds of faults, and a list
+// of servers that changes.
 type randomRun struct {
 	*harness
 	rng          *rand.Rand
@@ -33,88 +34,107 @@
 	onCall       func(id string, a *p.Ask) // may be nil
 }
 
-// usageMeter adds up what it is told.
-type usageMeter struct{ searches, subs, left, in, out int64 }
+// usageMeter adds up what the engine meters.
+type usageMeter struct{ searches, attempts, left, in, out int64 }
 
 func (m *usageMeter) Used(u *engine.Used) {
 	m.searches++
-	m.subs += int64(u.First + u.Repeat + u.Copy)
+	m.attempts += int64(u.First + u.Repeat + u.Copy)
 	m.in, m.out = m.in+u.In, m.out+u.Out
 	if u.Left {
 		m.left++
 	}
 	if u.Front != 1 || u.Parts != 1 || u.First > 1 || u.Server < 0 {
-		panic("a use that can't be")
+		panic("impossible usage")
 	}
 }
 
-func (y *randomRun) probability(x float64) bool { return y.rng.Float64() < x }
+func (y *randomRun) happens(x float64) bool { return y.rng.Float64() < x }
 
 // serverScript draws what a server does with a call.
 func (y *randomRun) serverScript(k *p.Got) []p.Act {
-	id, wait := k.Get("x-id"), func(most float64) float64 { return most * y.rng.Float64() }
-	if y.probability(0.05) { // slow
-		wait = func(most float64) float64 { return 20 * most * y.rng.Float64() }
+	id := k.Get("x-id")
+	wait := func(maxMillis float64) float64 { return maxMillis * y.rng.Float64() }
+	if y.happens(0.05) { // slow
+		wait = func(maxMillis float64) float64 { return 20 * maxMillis * y.rng.Float64() }
 	}
-	var list []p.Act
-	never := func(a p.Act) []p.Act {
-		return append(list, p.Act{After: a.After, Do: func(s *p.Server, k *p.Got) { y.attempts[k].NeverRan(y.world.Now); a.Do(s, k) }})
+	if list, drawn := y.actsWithoutMessages(wait); drawn {
+		return list
 	}
+	list := []p.Act{p.Head(wait(10))}
+	var body []byte
+	for n := y.rng.IntN(4); n >= 0; n-- {
+		m := p.Message(fmt.Sprintf("%s by %s %s", id, k.S.Name, strings.Repeat("x", y.rng.IntN(1<<uint(y.rng.IntN(15))))))
+		body = append(body, m...)
+		if y.happens(0.2) { // in two fragments
+			at := 1 + y.rng.IntN(len(m)-1)
+			list = append(list, p.Raw(wait(10), m[:at]))
+			m = m[at:]
+		}
+		list = append(list, p.Raw(wait(10), m))
+		more, last := y.actsAfterMessage(wait)
+		list = append(list, more...)
+		if last {
+			return list
+		}
+	}
+	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.rules.Answered(id, body) }}, p.End(wait(5), 0))
+}
+
+// actsWithoutMessages draws what a server does that sends no message, if it is one.
+func (y *randomRun) actsWithoutMessages(wait func(maxMillis float64) float64) (list []p.Act, drawn bool) {
 	switch y.rng.IntN(24) {
 	case 0:
-		return nil // silence
+		return nil, true // it never responds
 	case 1:
-		return never(p.Reset(wait(10), http2.ErrCodeRefusedStream))
+		refuse := p.Reset(wait(10), http2.ErrCodeRefusedStream)
+		return acts(p.Act{After: refuse.After, Do: func(s *p.Server, k *p.Got) {
+			y.attempts[k].NeverRan(y.world.Now)
+			refuse.Do(s, k)
+		}}), true
 	case 2:
 		code := http2.ErrCode(y.rng.IntN(14))
 		if code == http2.ErrCodeRefusedStream {
 			code = http2.ErrCodeCancel
 		}
-		return append(list, p.Reset(wait(10), code))
+		return acts(p.Reset(wait(10), code)), true
 	case 3:
-		return append(list, p.Only(wait(10), []int{1, 2, 8, 13, 14, 15}[y.rng.IntN(6)]))
+		return acts(p.Only(wait(10), []int{1, 2, 8, 13, 14, 15}[y.rng.IntN(6)])), true
 	case 4:
-		return append(list, p.Only(wait(10), 14, "grpc-retry-pushback-ms", fmt.Sprint(y.rng.IntN(100)-20)))
+		return acts(p.Only(wait(10), 14, "grpc-retry-pushback-ms", fmt.Sprint(y.rng.IntN(100)-20))), true
 	case 5:
-		return append(list, p.Die(wait(20)))
+		return acts(p.Die(wait(20))), true
 	case 6:
-		return append(list, p.OnlyFields(wait(10), ":status", "503"))
+		return acts(p.OnlyFields(wait(10), ":status", "503")), true
 	case 7:
-		return append(list, p.Only(wait(10), 5))
+		return acts(p.Only(wait(10), 5)), true
 	}
-	list = append(list, p.Head(wait(10)))
-	var body []byte
-	for n := y.rng.IntN(4); n >= 0; n-- {
-		m := p.Message(fmt.Sprintf("%s by %s %s", id, k.S.Name, strings.Repeat("x", y.rng.IntN(1<<uint(y.rng.IntN(15))))))
-		body = append(body, m...)
-		if y.probability(0.2) { // in two pieces
-			at := 1 + y.rng.IntN(len(m)-1)
-			list = append(list, p.Raw(wait(10), m[:at]))
-			m = m[at:]
-		}
-		list = append(list, p.Raw(wait(10), m))
-		switch y.rng.IntN(30) {
-		case 0:
-			return append(list, p.Die(wait(10)))
-		case 1:
-			return append(list, p.End(wait(5), 14))
-		case 2:
-			return list // stalls
-		case 3:
-			return append(list, p.Reset(wait(5), http2.ErrCodeInternal))
-		case 4:
-			return append(list, p.EndBare(wait(5)))
-		case 5:
-			return append(list, p.Raw(0, []byte{9, 9, 9, 9, 9, 9}))
-		case 6:
-			list = append(list, p.Act{After: 0, Do: func(_ *p.Server, k *p.Got) {
-				c := k.Conn()
-				c.H.GoAway(http2.ErrCodeNo) // takes nothing new, goes on with what it has
-				c.Flush()
-			}})
-		}
+	return nil, false
+}
+
+// actsAfterMessage draws what happens after a message, and whether that is the last.
+func (y *randomRun) actsAfterMessage(wait func(maxMillis float64) float64) (list []p.Act, last bool) {
+	switch y.rng.IntN(30) {
+	case 0:
+		return acts(p.Die(wait(10))), true
+	case 1:
+		return acts(p.End(wait(5), 14)), true
+	case 2:
+		return nil, true // it stalls
+	case 3:
+		return acts(p.Reset(wait(5), http2.ErrCodeInternal)), true
+	case 4:
+		return acts(p.EndBare(wait(5))), true
+	case 5:
+		return acts(p.Raw(0, []byte{9, 9, 9, 9, 9, 9})), true
+	case 6:
+		return acts(p.Act{After: 0, Do: func(_ *p.Server, k *p.Got) {
+			c := k.Conn()
+			c.H.GoAway(http2.ErrCodeNo) // it accepts nothing new, and goes on with what it has
+			c.Flush()
+		}}), false
 	}
-	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.rules.Answered(id, body) }}, p.End(wait(5), 0))
+	return nil, false
 }
 
 func newRandomRun(t testing.TB, seed uint64) *randomRun {
@@ -125,12 +145,12 @@
 	y.world.R.Measure(y.usage)
 	y.rules.Spare, y.rules.Ratio, y.rules.Over, y.rules.Window = 12, 0.3, 4000, 400
 	y.rules.Strict = true
-	y.world.Pieces = y.probability(0.5)
+	y.world.Pieces = y.happens(0.5)
 	y.world.Delay = 0.1 + 2*y.rng.Float64()
 	y.rules.Slack = y.world.Delay + 1
 	for _, v := range y.servers {
 		v.Script = y.serverScript
-		v.Early = y.probability(0.3)
+		v.Early = y.happens(0.3)
 		v.Limits = h2Limits([]int{1, 2, 100}[y.rng.IntN(3)])
 		v.Limits.InitialWindowSize = 1 << (8 + y.rng.IntN(9))
 		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.Sent(k.Get("x-id"), "", v.Name, y.world.Now) }
@@ -144,7 +164,7 @@
 	y.callNumber++
 	id := fmt.Sprint("c", y.callNumber)
 	a := &p.Ask{Path: "/" + []string{"quick", "once", "keyed"}[kind] + "." + []string{"message", "headers", "end"}[y.rng.IntN(3)] + "/X",
-		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.probability(0.2), Slow: y.probability(0.05),
+		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.happens(0.2), Slow: y.happens(0.05),
 		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
 	y.pendingCalls[id] = a
 	y.rules.Asked(id, []rules.Effect{rules.Idempotent, rules.NonIdempotent, rules.Tokened}[kind], y.world.Now, y.world.Now+a.Timeout)
@@ -159,7 +179,7 @@
 		}
 		y.world.After(float64(n*30)+100*y.rng.Float64(), a.End)
 	}
-	if y.probability(0.1) {
+	if y.happens(0.1) {
 		y.world.After(300*y.rng.Float64(), func() {
 			if !a.Done() {
 				y.rules.Left(id)
@@ -169,7 +189,7 @@
 	}
 }
 
-// reportEnded notes what clients were told.
+// reportEnded reports to the rules what clients got.
 func (y *randomRun) reportEnded() {
 	for id, a := range y.pendingCalls {
 		if !a.Done() || y.reported[a] {
@@ -181,68 +201,90 @@
 			y.rules.Left(id)
 			continue
 		}
-		back := a.Get("grpc-retry-pushback-ms")
-		y.rules.Final(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, back != "" && back[0] != '-')
+		pushback := a.Get("grpc-retry-pushback-ms")
+		y.rules.Final(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, pushback != "" && pushback[0] != '-')
 	}
 }
 
-// checkCounts: what the front counts is what there is.
+// checkCounts compares what the proxy counts with what there is.
 func (y *randomRun) checkCounts() {
-	held, open, streams := 0, 0, 0
-	seen := map[*call]bool{}
+	buffered, open, streams := 0, 0, 0
 	for c := range y.proxy.clientConns {
 		for _, s := range c.http2.Streams() {
-			if k, ok := s.UserData.(*call); ok && !k.ended && !seen[k] {
-				seen[k] = true
+			if k, ok := s.UserData.(*call); ok && !k.ended {
 				open++
-				held += k.request.size()
-				hold := map[*attempt]bool{}
-				for _, a := range append([]*attempt{k.committed, k.answered, k.lastFailed}, k.attempts...) {
-					if a != nil && !hold[a] {
-						hold[a] = true
-						held += a.response.size()
-					}
-				}
+				buffered += bufferedBytesOf(k)
 			}
 		}
 	}
-	for _, l := range y.proxy.serverConns {
-		if l != nil {
-			streams += len(l.attempts)
+	for _, conn := range y.proxy.serverConns {
+		if conn != nil {
+			streams += len(conn.attempts)
 		}
 	}
-	if held != y.proxy.bufferedBytes || open != y.proxy.openCalls || streams != y.proxy.pool.Streams() {
-		y.t.Fatalf("conservation: %d bytes held of %d, %d calls open of %d, %d streams of %d", held, y.proxy.bufferedBytes, open, y.proxy.openCalls,
-			streams, y.proxy.pool.Streams())
+	if buffered != y.proxy.bufferedBytes || open != y.proxy.openCalls || streams != y.proxy.pool.Streams() {
+		y.t.Fatalf("conservation: %d bytes buffered of %d, %d calls open of %d, %d streams of %d", buffered,
+			y.proxy.bufferedBytes, open, y.proxy.openCalls, streams, y.proxy.pool.Streams())
+	}
+	y.checkClientConns()
+}
+
+// bufferedBytesOf counts the bytes that are buffered for a call.
+func bufferedBytesOf(k *call) int {
+	buffered := k.request.size()
+	counted := map[*attempt]bool{}
+	for _, a := range append([]*attempt{k.committed, k.answered, k.lastFailed}, k.attempts...) {
+		if a != nil && !counted[a] {
+			counted[a] = true
+			buffered += a.response.size()
+		}
 	}
+	return buffered
+}
+
+func (y *randomRun) checkClientConns() {
 	sum := 0
-	for _, q := range y.proxy.clientOrder {
-		if q.closed {
+	for _, c := range y.proxy.clientOrder {
+		if c.closed {
 			continue
 		}
-		sum += q.bufferedBytes
-		if n := q.queuedBytes - q.sentBytes; n > maxUnsentBytes+100<<10 {
-			y.t.Fatalf("%d bytes wait for a client", n)
+		sum += c.bufferedBytes
+		if unsent := c.queuedBytes - c.sentBytes; unsent > maxUnsentBytes+100<<10 {
+			y.t.Fatalf("%d bytes wait for a client", unsent)
 		}
 	}
 	if sum != y.proxy.bufferedBytes {
-		y.t.Fatalf("clients hold %d bytes, all together %d", sum, y.proxy.bufferedBytes)
+		y.t.Fatalf("client connections have %d bytes buffered, the proxy %d", sum, y.proxy.bufferedBytes)
 	}
 }
 
-func (y *randomRun) run(ms float64) {
-	y.world.OnTurn = func() {
-		y.reportEnded()
-		y.checkCounts()
-		if found := y.rules.Check(y.world.Now); len(found) > 0 {
-			for id, a := range y.pendingCalls {
-				if strings.Contains(found[0], id+" ") {
-					y.t.Logf("%+v", *a)
-				}
-			}
-			y.t.Fatalf("at %.1f: %s", y.world.Now, strings.Join(found, "\n"))
+// checkTurn checks the rules and the counts after a turn.
+func (y *randomRun) checkTurn() {
+	y.reportEnded()
+	y.checkCounts()
+	found := y.rules.Check(y.world.Now)
+	if len(found) == 0 {
+		return
+	}
+	for id, a := range y.pendingCalls {
+		if strings.Contains(found[0], id+" ") {
+			y.t.Logf("%+v", *a)
 		}
 	}
+	y.t.Fatalf("at %.1f: %s", y.world.Now, strings.Join(found, "\n"))
+}
+
+// checkUsage compares what was metered with what the engine and the proxy count.
+func (y *randomRun) checkUsage() {
+	m, c := y.usage, &y.world.R.Count
+	if m.searches != c.Searches || m.attempts != c.Asked || m.left != c.Left || c.Asked != y.proxy.Counters.Attempts {
+		y.t.Errorf("metered %+v; %d searches, %d attempts asked, %d left; the proxy made %d", *m, c.Searches, c.Asked,
+			c.Left, y.proxy.Counters.Attempts)
+	}
+}
+
+func (y *randomRun) run(ms float64) {
+	y.world.OnTurn = y.checkTurn
 	var clients []*p.Client
 	for range 1 + y.rng.IntN(3) {
 		clients = append(clients, p.Dial(y.world, 1))
@@ -268,19 +310,15 @@
 	for _, c := range clients {
 		c.Hang()
 	}
-	y.world.Run(5000) // channels end their idle time
+	y.world.Run(5000) // connections reach their idle timeout
 	y.checkReleased()
-	// What the meter was told is what was counted, by the front's own book as well.
-	c := &y.world.R.Count
-	if m := y.usage; m.searches != c.Searches || m.subs != c.Asked || m.left != c.Left || c.Asked != y.proxy.Counters.Attempts {
-		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.Asked, c.Left, y.proxy.Counters.Attempts)
-	}
+	y.checkUsage()
 	if n := y.proxy.pool.Connections(); n != 0 {
-		y.t.Errorf("%d channels at rest", n)
+		y.t.Errorf("%d connections at rest", n)
 	}
 }
 
-// injectFault happens to a server or the list.
+// injectFault has a fault happen to a server or the list.
 func (y *randomRun) injectFault() {
 	i := y.rng.IntN(len(y.servers))
 	v := y.servers[i]
