--- a/internal/rig/fleet/agreement.go
+++ b/internal/rig/fleet/agreement.go
@@ -9,8 +9,8 @@
 	"kestrelspread/internal/node/nodestatus"
 )
 
-// AwaitAgreement waits until all running nodes see the same view, members and state and call themselves ready, each knows
-// the others' newest lives and no more, and all nodes with a disk that run are in the chain.
+// AwaitAgreement waits until all running nodes agree on view, members and state and are ready, each knows the current
+// incarnations of the others and no more, and all running nodes with a disk are in the chain.
 func (f *Fleet) AwaitAgreement(ctx context.Context) error {
 	return f.Await(ctx, "agreement of all running nodes", func(ctx context.Context) error {
 		statuses, err := f.Statuses(ctx)
@@ -20,12 +20,12 @@
 		if different := nodestatus.Disagreements(statuses); len(different) > 0 {
 			return errors.New(string(different[0].Subject) + ": " + different[0].Text)
 		}
-		return f.settled(statuses)
+		return f.checkComplete(statuses)
 	})
 }
 
-// settled says what is missing until nodes that agree are also complete.
-func (f *Fleet) settled(statuses []*nodestatus.Status) error {
+// checkComplete returns what is missing: nodes that agree may still lack a member.
+func (f *Fleet) checkComplete(statuses []*nodestatus.Status) error {
 	inChain := 0
 	for _, status := range statuses {
 		if !status.Ready || status.Chain == nil {
@@ -42,7 +42,7 @@
 		}
 		for _, other := range statuses {
 			if !slices.ContainsFunc(status.Members, func(m nodestatus.Member) bool { return m.ID == other.ID }) {
-				return fmt.Errorf("%s does not know the life of %s", status.Node, other.Node)
+				return fmt.Errorf("%s does not know the incarnation of %s", status.Node, other.Node)
 			}
 		}
 	}
--- a/internal/rig/fleet/answer.go
+++ b/internal/rig/fleet/answer.go
@@ -13,13 +13,14 @@
 	"kestrelspread/internal/standin/llmbroker"
 )
 
-// seal is the stamp of an answer, read.
+// seal is the parsed seal of an answer: which run of which broker made it, and what its body must match.
 type seal struct {
 	instance string
 	run      string
-	check    uint64
+	check    uint64 // hash of the body; of a stream the number of events
 }
 
+// parseSeal parses the header of an answer.
 func parseSeal(text string) (seal, bool) {
 	fields := strings.Split(text, ".")
 	if len(fields) != 3 {
@@ -29,8 +30,8 @@
 	return seal{instance: fields[0], run: fields[1], check: check}, err == nil
 }
 
-// checkWhole reads a body that is no stream, and says what is wrong with the answer. An error: it was cut off.
-func checkWhole(answer *http.Response) (problem string, err error) {
+// checkBody reads a body that is not a stream, and returns what is wrong with the answer. An error: the body is truncated.
+func checkBody(answer *http.Response) (defect string, err error) {
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
 		return "", err
@@ -38,36 +39,36 @@
 	if answer.StatusCode != http.StatusOK {
 		return "", nil
 	}
-	stamp, ok := parseSeal(answer.Header.Get(llmbroker.HeaderSeal))
+	parsed, ok := parseSeal(answer.Header.Get(llmbroker.HeaderSeal))
 	if !ok {
 		return "MIXED: a success without a broker's seal", nil
 	}
-	if stamp.check != llmbroker.Hash(body) {
+	if parsed.check != llmbroker.Hash(body) {
 		return "MIXED: a success whose body is not that of its seal", nil
 	}
 	return "", nil
 }
 
-// streamReader reads a stream, and notes what is wrong with it.
+// streamReader reads a stream, and records what is wrong with it in the attempt.
 type streamReader struct {
-	record  *Record
-	request *request
-	seal    seal
-	started time.Time // of the client's first try
-	aim     time.Duration
-	gap     time.Duration
-	last    int // id of the newest event; 0: none
-	lastAt  time.Time
-	run     string // that the events of a stream name that may not be resumed
+	attempt        *Attempt
+	request        *request
+	seal           seal
+	firstAttemptAt time.Time
+	latencyTarget  time.Duration
+	gapTarget      time.Duration
+	lastEvent      int // ID of the newest event; 0: none
+	lastEventAt    time.Time
+	lastRun        string // named by the newest event; streams that may not be resumed come from one run
 }
 
-// read reads a stream to its end. An error: it was cut off.
+// read reads a stream to its end. An error: it is truncated.
 func (s *streamReader) read(answer *http.Response) error {
-	stamp, ok := parseSeal(answer.Header.Get(llmbroker.HeaderSeal))
+	parsed, ok := parseSeal(answer.Header.Get(llmbroker.HeaderSeal))
 	if !ok {
-		s.record.Problem = "MIXED: a stream without a broker's seal"
+		s.attempt.Defect = "MIXED: a stream without a broker's seal"
 	}
-	s.seal = stamp
+	s.seal = parsed
 	reader := bufio.NewReader(answer.Body)
 	for {
 		event, err := readEvent(reader)
@@ -77,15 +78,15 @@
 		if err != nil {
 			return err
 		}
-		s.event(event)
+		s.handleEvent(event)
 	}
-	if uint64(s.last) != stamp.check && s.record.Problem == "" {
-		s.record.Problem = fmt.Sprintf("ORDER: a stream ends as complete after event %d of %d", s.last, stamp.check)
+	if uint64(s.lastEvent) != parsed.check && s.attempt.Defect == "" {
+		s.attempt.Defect = fmt.Sprintf("ORDER: a stream ends as complete after event %d of %d", s.lastEvent, parsed.check)
 	}
 	return nil
 }
 
-// readEvent reads up to the empty line behind an event. io.EOF: the stream has ended properly.
+// readEvent reads up to the empty line after an event. io.EOF: the stream has ended properly.
 func readEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -103,38 +104,39 @@
 	}
 }
 
-// event checks one event: each comes once, in order, with the text that every run gives it.
-func (s *streamReader) event(event []byte) {
+// handleEvent parses one event, and records whether it is late.
+func (s *streamReader) handleEvent(handleEvent []byte) {
 	now := time.Now()
-	if s.last == 0 && now.Sub(s.started) > s.aim || s.last > 0 && now.Sub(s.lastAt) > s.gap {
-		s.record.Late = true
+	if s.lastEvent == 0 && now.Sub(s.firstAttemptAt) > s.latencyTarget || s.lastEvent > 0 && now.Sub(s.lastEventAt) > s.gapTarget {
+		s.attempt.Late = true
 	}
-	s.lastAt = now
+	s.lastEventAt = now
 	var id int
-	var piece, run string
-	for line := range strings.Lines(string(event)) {
+	var text, run string
+	for line := range strings.Lines(string(handleEvent)) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		switch name {
 		case "id":
 			id, _ = strconv.Atoi(value)
 		case "data":
-			piece, run, _ = strings.Cut(value, " ")
+			text, run, _ = strings.Cut(value, " ")
 		}
 	}
-	s.check(id, piece, run)
+	s.checkEvent(id, text, run)
 }
 
-func (s *streamReader) check(id int, piece, run string) {
+// checkEvent checks that each event arrives once, in order, with the text that every run gives it.
+func (s *streamReader) checkEvent(id int, text, run string) {
 	switch {
-	case s.record.Problem != "":
-	case id != s.last+1:
-		s.record.Problem = fmt.Sprintf("ORDER: event %d follows event %d", id, s.last)
-	case piece != llmbroker.Piece(s.request.uri, s.request.body, id):
-		s.record.Problem = fmt.Sprintf("MIXED: event %d belongs to another request", id)
-	case s.run != "" && run != s.run && !s.record.idempotent():
-		s.record.Problem = fmt.Sprintf("ORDER: events of the runs %s and %s are joined", s.run, run)
-	case s.last == 0 && run != s.seal.instance+"."+s.seal.run:
-		s.record.Problem = fmt.Sprintf("MIXED: the seal of %s.%s stands on run %s", s.seal.instance, s.seal.run, run)
+	case s.attempt.Defect != "":
+	case id != s.lastEvent+1:
+		s.attempt.Defect = fmt.Sprintf("ORDER: event %d follows event %d", id, s.lastEvent)
+	case text != llmbroker.Piece(s.request.uri, s.request.body, id):
+		s.attempt.Defect = fmt.Sprintf("MIXED: event %d belongs to another request", id)
+	case s.lastRun != "" && run != s.lastRun && !s.attempt.idempotent():
+		s.attempt.Defect = fmt.Sprintf("ORDER: events of the runs %s and %s are joined", s.lastRun, run)
+	case s.lastEvent == 0 && run != s.seal.instance+"."+s.seal.run:
+		s.attempt.Defect = fmt.Sprintf("MIXED: the seal of %s.%s stands on run %s", s.seal.instance, s.seal.run, run)
 	}
-	s.last, s.run = id, run
+	s.lastEvent, s.lastRun = id, run
 }
--- a/internal/rig/fleet/brokers_test.go
+++ b/internal/rig/fleet/brokers_test.go
@@ -12,28 +12,28 @@
 	"kestrelspread/internal/standin/llmbroker"
 )
 
-// TestABrokerCrashes in the middle of streams: those that may be resumed go on at another broker, and the others end
-// without looking complete (checked at each client). A new broker takes its place.
-func TestABrokerCrashes(t *testing.T) {
+// TestStreamsResumeAfterBrokerCrash crashes brokers with streams in flight: those that may be resumed continue at another broker, and the
+// others are truncated and do not look complete (checked at each client). A new broker replaces each one.
+func TestStreamsResumeAfterBrokerCrash(t *testing.T) {
 	s := newScenario(t, func(bounds *Bounds) { bounds.BudgetWindow = time.Second })
 	s.must(s.load.AwaitAnswers(s.ctx, 20)) // nodes spend their share of the slack after the first window only
 	for range rounds() {
-		broker := s.awaitRunning(prefixDraft)
+		broker := s.awaitRunningRequest(prefixDraft)
 		s.Crash(broker)
 		_, err := s.StartBroker(serviceModel, broker.Zone())
 		s.must(err)
 		s.must(s.load.AwaitAnswers(s.ctx, 10))
 	}
-	s.settle()
-	for _, record := range s.load.Book.Records() {
-		if record.Prefix == prefixDraft {
-			assert.Assert(t, record.Outcome != Closed, "%+v", record)
+	s.finish()
+	for _, attempt := range s.load.Attempts.All() {
+		if attempt.Prefix == prefixDraft {
+			assert.Assert(t, attempt.Outcome != ConnectionClosed, "%+v", attempt)
 		}
 	}
 }
 
-// awaitRunning waits for a request that runs on a route, and gives the broker that runs it.
-func (s *scenario) awaitRunning(prefix string) *llmbroker.Broker {
+// awaitRunningRequest waits until a request of a route runs, and returns its broker.
+func (s *scenario) awaitRunningRequest(prefix string) *llmbroker.Broker {
 	s.t.Helper()
 	var found *llmbroker.Broker
 	s.must(s.Await(s.ctx, "a request on "+prefix, func(context.Context) error {
@@ -53,9 +53,9 @@
 	return found
 }
 
-// TestTheHeadLeavesWhileWeightsAreBrought: once it is killed, and once it is stopped. Holders do not take turns at a
-// broker within the lease (checked by settle), and all brokers get the weights.
-func TestTheHeadLeavesWhileWeightsAreBrought(t *testing.T) {
+// TestWeightsUpdateSurvivesHeadLoss kills the head, and then stops it gracefully, while an update is in progress. No broker receives
+// orders of two lease holders within a lease (checked by finish), and all brokers get the weights.
+func TestWeightsUpdateSurvivesHeadLoss(t *testing.T) {
 	s := newScenario(t, nil)
 	for version, leave := range []func(*Node){
 		func(head *Node) { head.Kill() },
@@ -78,5 +78,5 @@
 		s.must(s.AwaitAgreement(s.ctx))
 		s.must(s.load.AwaitAnswers(s.ctx, 2))
 	}
-	s.settle()
+	s.finish()
 }
--- a/internal/rig/fleet/client.go
+++ b/internal/rig/fleet/client.go
@@ -15,25 +15,25 @@
 
 // Source of this file: PROTOCOL.md, "Requests" and "Answers".
 
-// client sends one request after the other, and keeps a connection between them, or not.
+// client sends one request after another. It may keep a connection between them.
 type client struct {
-	load   *Load
-	number int
-	zone   string
-	keeps  bool
-	random *mathrand.Rand
-	kept   *connection
+	load            *Load
+	number          int
+	zone            string
+	keepsConnection bool
+	random          *mathrand.Rand
+	keptConnection  *connection
 }
 
-// mostTries is how often a client sends a request.
-const mostTries = 4
+// maxAttempts bounds how often a client sends a request.
+const maxAttempts = 4
 
-// clientSlack is how long beyond its deadline a client waits for the rest of an answer.
-const clientSlack = time.Second
+// responseSlack is how long after its deadline a client still waits for the rest of an answer.
+const responseSlack = time.Second
 
 // run sends requests until ctx ends.
 func (c *client) run(ctx context.Context) {
-	defer c.drop()
+	defer c.closeKept()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -42,75 +42,77 @@
 			return
 		case <-timer.C:
 		}
-		c.send(c.load.plan(c.random))
-		timer.Reset(time.Duration(c.random.Float64() * 2 * float64(c.load.Pause)))
+		c.send(c.load.drawRequest(c.random))
+		timer.Reset(time.Duration(c.random.Float64() * 2 * float64(c.load.Interval)))
 	}
 }
 
-func (c *client) drop() {
-	if c.kept != nil {
-		_ = c.kept.Close()
-		c.kept = nil
+func (c *client) closeKept() {
+	if c.keptConnection != nil {
+		_ = c.keptConnection.Close()
+		c.keptConnection = nil
 	}
 }
 
-// planned is a request that is to be sent, in as many tries as it takes.
-type planned struct {
-	kind     Kind
-	prefix   string
-	key      string
-	deadline time.Duration
-	aim      time.Duration
-	gap      time.Duration
-	request  request // without the headers that differ from try to try
+// plannedRequest is a request to be sent, in several attempts if need be.
+type plannedRequest struct {
+	kind          RequestKind
+	prefix        string
+	key           string
+	deadline      time.Duration
+	latencyTarget time.Duration
+	gapTarget     time.Duration
+	request       request // without the headers that differ between attempts
 }
 
-// send makes tries until one settles the request.
-func (c *client) send(p planned) {
+// send makes attempts until one ends the request.
+func (c *client) send(p plannedRequest) {
 	started := time.Now()
-	phase := c.load.Book.currentPhase()
+	phase := c.load.Attempts.currentPhase()
 	until := started.Add(p.deadline)
-	for try := range mostTries {
-		record := c.try(p, started, until, try)
-		record.Phase = phase
-		c.load.Book.add(record)
-		if !c.mayRetry(&record) || !c.wait(until, record.askedToWait) {
+	for number := range maxAttempts {
+		attempt := c.attempt(p, started, until, number)
+		attempt.Phase = phase
+		c.load.Attempts.add(attempt)
+		if !c.mayRetry(&attempt) || !c.awaitRetry(until, attempt.retryAfter) {
 			return
 		}
 	}
 }
 
-// wait waits before another try, and reports whether there is time for one.
-func (c *client) wait(until time.Time, asked time.Duration) bool {
+// awaitRetry waits before a retry, and reports whether there is time for one.
+func (c *client) awaitRetry(until time.Time, requested time.Duration) bool {
 	left := time.Until(until)
-	if left < minimalTime {
+	if left < minRetryTime {
 		return false
 	}
-	timer := time.NewTimer(min(max(asked, minimalPause), left/3))
+	timer := time.NewTimer(min(max(requested, minRetryBackoff), left/3))
 	defer timer.Stop()
 	<-timer.C
 	return true
 }
 
+// Bounds of retries.
 const (
-	minimalTime  = 50 * time.Millisecond
-	minimalPause = 10 * time.Millisecond
+	minRetryTime    = 50 * time.Millisecond
+	minRetryBackoff = 10 * time.Millisecond
 )
 
-// mayRetry reports whether a client sends a request once more.
-func (c *client) mayRetry(r *Record) bool {
+// mayRetry reports whether a client retries a request.
+func (c *client) mayRetry(r *Attempt) bool {
 	switch r.Outcome {
-	case Answered, Denied:
+	case Answered, ClientError:
 		return false
-	case Refused, Unsent:
+	case Rejected, Unsent:
 		return true
-	case Closed:
+	case ConnectionClosed:
 		return r.idempotent() || len(c.load.fleet.Ledger.Of(r.ID)) == 0 && r.EndedAt.Sub(r.SentAt) < c.load.fleet.options.Bounds.LossSlack
 	default:
 		return r.idempotent()
 	}
 }
 
+// newID is a random request ID.
 func newID() string {
 	var bytes [8]byte
 	if _, err := rand.Read(bytes[:]); err != nil {
@@ -119,105 +121,108 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// try sends a request once.
-func (c *client) try(p planned, started, until time.Time, number int) Record {
-	record := Record{
+// attempt sends a request once, and returns the record of that.
+func (c *client) attempt(p plannedRequest, started, until time.Time, number int) Attempt {
+	attempt := Attempt{
 		ID: newID(), Kind: p.kind, Prefix: p.prefix, Method: p.request.method, URI: p.request.uri, Key: p.key,
-		Try: number, FirstTry: started, Outcome: Unsent,
+		Number: number, FirstAttemptAt: started, Outcome: Unsent,
 	}
 	conn := c.connection(number)
 	if conn == nil {
-		return ended(record)
+		return withEnd(attempt)
 	}
-	record.Node, record.KeptAlive = conn.node.Name, conn.served > 0
+	attempt.Node, attempt.KeptAlive = conn.node.Name, conn.requestCount > 0
 	sending := p.request
 	left := time.Until(until)
 	sending.headers = append([]header{
-		{llmbroker.HeaderRequestID, record.ID},
+		{llmbroker.HeaderRequestID, attempt.ID},
 		{llmbroker.HeaderDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10)},
 		{"Authorization", "Bearer " + p.key},
 	}, sending.headers...)
-	answer, sentAt, err := conn.exchange(&sending, until.Add(clientSlack))
-	record.SentAt = sentAt
+	answer, sentAt, err := conn.exchange(&sending, until.Add(responseSlack))
+	attempt.SentAt = sentAt
 	if err != nil {
 		_ = conn.Close()
 		if !sentAt.IsZero() {
-			record.Outcome = Closed
+			attempt.Outcome = ConnectionClosed
 		}
-		return ended(record)
+		return withEnd(attempt)
 	}
-	c.read(conn, answer, p, &sending, &record)
-	return ended(record)
+	c.read(conn, answer, p, &sending, &attempt)
+	return withEnd(attempt)
 }
 
-func ended(r Record) Record {
+// withEnd sets the end of an attempt to now.
+func withEnd(r Attempt) Attempt {
 	r.EndedAt = time.Now()
 	return r
 }
 
-// connection takes the kept connection for a first try, or opens one.
-func (c *client) connection(try int) *connection {
-	kept := c.kept
-	c.kept = nil
-	if try == 0 && kept.usable(time.Now()) {
+// connection takes the kept connection for a first attempt, or opens one.
+func (c *client) connection(number int) *connection {
+	kept := c.keptConnection
+	c.keptConnection = nil
+	if number == 0 && kept.usable(time.Now()) {
 		return kept
 	}
 	if kept != nil {
 		_ = kept.Close()
 	}
-	conn, err := connect(c.load.fleet.platform.pick(c.zone, c.number, try))
+	conn, err := connect(c.load.fleet.platform.pickNode(c.zone, c.number, number))
 	if err != nil {
 		return nil
 	}
 	return conn
 }
 
-// read reads an answer and keeps the connection where that may be.
-func (c *client) read(conn *connection, answer *http.Response, p planned, sent *request, record *Record) {
-	record.Status = answer.StatusCode
-	record.Outcome = outcomeOf(answer.StatusCode)
-	if id := answer.Header.Get(llmbroker.HeaderRequestID); record.Outcome == Answered && id != record.ID {
-		record.Problem = fmt.Sprintf("MIXED: the answer to %q came", id)
+// read reads an answer, and keeps the connection if that is allowed.
+func (c *client) read(conn *connection, answer *http.Response, p plannedRequest, sent *request, attempt *Attempt) {
+	attempt.Status = answer.StatusCode
+	attempt.Outcome = outcomeOf(answer.StatusCode)
+	if id := answer.Header.Get(llmbroker.HeaderRequestID); attempt.Outcome == Answered && id != attempt.ID {
+		attempt.Defect = fmt.Sprintf("MIXED: the answer to %q came", id)
 	}
 	var err error
-	if record.Outcome == Answered && p.kind == Streaming {
-		stream := &streamReader{record: record, request: sent, started: record.FirstTry, aim: p.aim, gap: p.gap}
+	if attempt.Outcome == Answered && p.kind == Streaming {
+		stream := &streamReader{attempt: attempt, request: sent, firstAttemptAt: attempt.FirstAttemptAt, latencyTarget: p.latencyTarget, gapTarget: p.gapTarget}
 		err = stream.read(answer)
 	} else {
-		var problem string
-		problem, err = checkWhole(answer)
-		if record.Problem == "" {
-			record.Problem = problem
+		var defect string
+		defect, err = checkBody(answer)
+		if attempt.Defect == "" {
+			attempt.Defect = defect
 		}
-		record.Late = record.Outcome == Answered && time.Since(record.FirstTry) > p.aim
+		attempt.Late = attempt.Outcome == Answered && time.Since(attempt.FirstAttemptAt) > p.latencyTarget
 	}
 	if err != nil {
-		record.Outcome = Closed
+		attempt.Outcome = ConnectionClosed
 		_ = conn.Close()
 		return
 	}
-	record.askedToWait = retryAfter(answer)
-	if conn.rest(answer) && c.keeps && record.Outcome == Answered {
-		c.kept = conn
+	attempt.retryAfter = parseRetryAfter(answer)
+	if conn.finishExchange(answer) && c.keepsConnection && attempt.Outcome == Answered {
+		c.keptConnection = conn
 		return
 	}
 	_ = conn.Close()
 }
 
+// outcomeOf is the outcome of a complete answer.
 func outcomeOf(status int) Outcome {
 	switch {
 	case status/100 == 2:
 		return Answered
 	case status == 408, status == 421, status == 429, status == 503:
-		return Refused
+		return Rejected
 	case status >= 500:
-		return Failed
+		return ServerError
 	default:
-		return Denied
+		return ClientError
 	}
 }
 
-func retryAfter(answer *http.Response) time.Duration {
+// parseRetryAfter is the backoff that an answer asks for; 0: none.
+func parseRetryAfter(answer *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(answer.Header.Get(llmbroker.HeaderRetryAfter), 64)
 	if err != nil || seconds < 0 {
 		return 0
--- a/internal/rig/fleet/connection.go
+++ b/internal/rig/fleet/connection.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// connection is one of a client's. net/http's own client repeats requests by itself, so it is not used here.
+// connection is a connection of a client. It does not use net/http's client, which retries requests by itself.
 type connection struct {
 	net.Conn
-	reader    *bufio.Reader
-	node      *Node
-	served    int       // requests
-	restedAt  time.Time // the end of the last one
-	mayRestIn time.Duration
+	reader       *bufio.Reader
+	node         *Node
+	requestCount int       // that were answered
+	idleSince    time.Time // the end of the last request
 }
 
-// connectTimeout is how long a new connection may take to come up (PROTOCOL.md, "Answers").
+// connectTimeout bounds the setup of a connection. Source: PROTOCOL.md, "Answers".
 const connectTimeout = time.Second
 
-// longestRest is four fifths of the configuration's idleTimeoutMs: how long a connection may rest.
-const longestRest = 12 * time.Second
+// maxIdleTime is how long a client keeps an idle connection: four fifths of the configuration's idleTimeoutMs.
+const maxIdleTime = 12 * time.Second
 
+// connect opens a connection to a node.
 func connect(node *Node) (*connection, error) {
 	conn, err := net.DialTimeout("tcp", node.Front(), connectTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: conn, reader: bufio.NewReader(conn), node: node, mayRestIn: longestRest}, nil
+	return &connection{Conn: conn, reader: bufio.NewReader(conn), node: node}, nil
 }
 
-// usable reports whether the connection may take one more request.
+// usable reports whether the connection exists and may carry another request.
 func (c *connection) usable(now time.Time) bool {
-	return c != nil && now.Sub(c.restedAt) < c.mayRestIn
+	return c != nil && now.Sub(c.idleSince) < maxIdleTime
 }
 
-// request is what a client sends.
+// request is a request of a client.
 type request struct {
 	method  string
 	uri     string
@@ -48,10 +48,10 @@
 
 type header struct{ name, value string }
 
-// bytes is the request on the wire.
+// bytes is the request in its wire format.
 func (r *request) bytes() []byte {
 	var text bytes.Buffer
-	text.WriteString(r.method + " " + r.uri + " HTTP/1.1\r\nHost: " + host + "\r\n")
+	text.WriteString(r.method + " " + r.uri + " HTTP/1.1\r\nHost: " + routeHost + "\r\n")
 	for _, h := range r.headers {
 		text.WriteString(h.name + ": " + h.value + "\r\n")
 	}
@@ -63,7 +63,7 @@
 	return text.Bytes()
 }
 
-// exchange sends a request and reads the head of the answer. sentAt is when the last byte was written; zero: it was not.
+// exchange sends a request and reads the header of the answer. sentAt is when the last byte was written; zero: it was not.
 func (c *connection) exchange(r *request, deadline time.Time) (answer *http.Response, sentAt time.Time, err error) {
 	if err := c.SetDeadline(deadline); err != nil {
 		return nil, time.Time{}, err
@@ -76,9 +76,9 @@
 	return answer, sentAt, err
 }
 
-// rest notes the end of an exchange; it reports whether the connection may be kept.
-func (c *connection) rest(answer *http.Response) bool {
-	c.served++
-	c.restedAt = time.Now()
+// finishExchange records the end of an exchange, and reports whether the connection may be kept.
+func (c *connection) finishExchange(answer *http.Response) bool {
+	c.requestCount++
+	c.idleSince = time.Now()
 	return !answer.Close
 }
--- a/internal/rig/fleet/demo_test.go
+++ b/internal/rig/fleet/demo_test.go
@@ -9,18 +9,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTheDemonstration ends well, and tells of each phase and kind.
-func TestTheDemonstration(t *testing.T) {
+// TestDemoCompletesWithoutViolations: the output names each phase and kind.
+func TestDemoCompletesWithoutViolations(t *testing.T) {
 	t.Parallel()
-	atOnce <- struct{}{}
-	t.Cleanup(func() { <-atOnce })
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	t.Cleanup(cancel)
 	var out bytes.Buffer
-	breaches, err := Demo(ctx, &out, DemoOptions{Binary: binary, Dir: folder(t), Seconds: 6})
+	violations, err := Demo(ctx, &out, DemoOptions{Binary: binary, Dir: diskDir(t), Seconds: 6})
 	t.Log(out.String())
 	assert.NilError(t, err)
-	assert.Equal(t, len(breaches), 0, "%v", breaches)
+	assert.Equal(t, len(violations), 0, "%v", violations)
 	for _, word := range []string{"calm", "node stopped", "safe", "unsafe", "streaming", "read back"} {
 		assert.Assert(t, strings.Contains(out.String(), word), word)
 	}
--- a/internal/rig/fleet/demosteps.go
+++ b/internal/rig/fleet/demosteps.go
@@ -9,8 +9,9 @@
 	"kestrelspread/internal/standin/fleetoperator"
 )
 
-// The steps of a demonstration, one to a phase.
+// The steps of a demonstration, one per phase. Each returns the line that the phase prints.
 
+// changeConfiguration sends a change and waits until all nodes apply it.
 func (d *demo) changeConfiguration(ctx context.Context) (string, error) {
 	sent := time.Now()
 	acknowledged, err := d.Operator.Update(ctx, d.Operator.Current(), RoutesChange(d.Operator.Current()))
@@ -22,7 +23,7 @@
 		acknowledged.At.Sub(sent).Round(time.Millisecond), since(acknowledged.At)), err
 }
 
-// CheckRoutesChange probes each node for what RoutesChange brings, and says what is not as it should be.
+// CheckRoutesChange probes each node for the effects of RoutesChange. The error names the first that is missing.
 func (l *Load) CheckRoutesChange() error {
 	for _, node := range l.fleet.Nodes {
 		for _, expected := range []struct {
@@ -41,7 +42,8 @@
 	return nil
 }
 
-func (d *demo) nameWeights(ctx context.Context) (string, error) {
+// updateWeights submits a new version of the weights and waits until all model brokers have it.
+func (d *demo) updateWeights(ctx context.Context) (string, error) {
 	const version = 2
 	acknowledged, err := d.Operator.PutVersion(ctx, modelName, version)
 	if err != nil {
@@ -51,6 +53,7 @@
 	return fmt.Sprintf("all %d model brokers have version %d %v after its acknowledgement", modelBrokers, version, since(acknowledged.At)), err
 }
 
+// killHead kills the head of the chain, submits a change, and waits until the node has rejoined.
 func (d *demo) killHead(ctx context.Context) (string, error) {
 	head, err := d.Head(ctx)
 	if err != nil {
@@ -72,9 +75,10 @@
 		head.Name, acknowledged.At.Sub(killed).Round(time.Millisecond), since(started)), err
 }
 
+// drainBroker drains a model broker and ends it.
 func (d *demo) drainBroker(ctx context.Context) (string, error) {
 	broker := d.Serving(serviceModel)[0]
-	at, err := d.Drain(ctx, broker)
+	ackedAt, err := d.Drain(ctx, broker)
 	if err != nil {
 		return "", err
 	}
@@ -88,9 +92,10 @@
 		}
 	}
 	return fmt.Sprintf("%s says that it leaves: the last request reached it %v after the acknowledgement, %v are allowed",
-		broker.ID(), last.Sub(at).Round(time.Millisecond), d.options.Bounds.Drain), nil
+		broker.ID(), last.Sub(ackedAt).Round(time.Millisecond), d.options.Bounds.Drain), nil
 }
 
+// stopNode stops a node gracefully and waits until it serves again.
 func (d *demo) stopNode(ctx context.Context) (string, error) {
 	node := d.Nodes[nodeCount-1]
 	sent := time.Now()
--- a/internal/rig/fleet/disks_test.go
+++ b/internal/rig/fleet/disks_test.go
@@ -13,8 +13,8 @@
 	s.must(os.RemoveAll(filepath.Join(s.dir, node.Name, "data")))
 }
 
-// TestADiskIsLost right after an acknowledgement: first that of the tail, then that of the head.
-func TestADiskIsLost(t *testing.T) {
+// TestAcknowledgedChangeSurvivesDiskLoss right after an acknowledgement: first that of the tail, then that of the head.
+func TestAcknowledgedChangeSurvivesDiskLoss(t *testing.T) {
 	s := newScenario(t, nil)
 	for range rounds() {
 		for _, find := range []func() (*Node, error){
@@ -31,11 +31,11 @@
 			s.must(s.load.AwaitAnswers(s.ctx, 2))
 		}
 	}
-	s.settle()
+	s.finish()
 }
 
-// TestAllNodesAreKilledAtOnce right after an acknowledgement: it is read back.
-func TestAllNodesAreKilledAtOnce(t *testing.T) {
+// TestAcknowledgedChangeSurvivesKillOfAllNodes right after an acknowledgement: it is read back.
+func TestAcknowledgedChangeSurvivesKillOfAllNodes(t *testing.T) {
 	s := newScenario(t, nil)
 	for range rounds() {
 		s.change()
@@ -49,11 +49,11 @@
 		s.must(s.AwaitAgreement(s.ctx))
 		s.must(s.load.AwaitAnswers(s.ctx, 2))
 	}
-	s.settle()
+	s.finish()
 }
 
-// TestACoreNodeIsGone: with two of three left, changes go on, and are read back once the third is there again.
-func TestACoreNodeIsGone(t *testing.T) {
+// TestChangesContinueWithoutOneCoreNode: with two of three left, changes go on, and are read back once the third is there again.
+func TestChangesContinueWithoutOneCoreNode(t *testing.T) {
 	s := newScenario(t, nil)
 	gone := s.Core()[1]
 	gone.Kill()
@@ -64,5 +64,5 @@
 	s.must(gone.Start())
 	s.must(s.AwaitAgreement(s.ctx))
 	s.change()
-	s.servesOn(s.settle())
+	s.requireFewRejections(s.finish())
 }
--- a/internal/rig/fleet/faults_test.go
+++ b/internal/rig/fleet/faults_test.go
@@ -11,7 +11,7 @@
 	"kestrelspread/internal/standin/fleetoperator"
 )
 
-// rounds is how often a trouble comes in a test.
+// rounds is how often a test injects its fault.
 func rounds() int {
 	if testing.Short() {
 		return 1
@@ -19,7 +19,7 @@
 	return 3
 }
 
-// change has the operator change the configuration.
+// change submits a change of the configuration, and requires its acknowledgement.
 func (s *scenario) change() fleetoperator.Acknowledgement {
 	s.t.Helper()
 	before := s.Operator.Current()
@@ -28,9 +28,8 @@
 	return acknowledged
 }
 
-// TestTheHeadIsKilled: the chain goes on without its head, nothing that was acknowledged is lost, and the machine joins
-// again.
-func TestTheHeadIsKilled(t *testing.T) {
+// TestChangesContinueAfterHeadKill: the chain continues without its head, no acknowledged change is lost, and the machine rejoins.
+func TestChangesContinueAfterHeadKill(t *testing.T) {
 	s := newScenario(t, nil)
 	for range rounds() {
 		s.change()
@@ -45,11 +44,12 @@
 		s.must(s.AwaitAgreement(s.ctx))
 		s.change()
 	}
-	s.servesOn(s.settle())
+	s.requireFewRejections(s.finish())
 }
 
-// TestACoreNodeIsFrozen for four seconds: changes and requests go on, and it comes back with the newest state.
-func TestACoreNodeIsFrozen(t *testing.T) {
+// TestChangesContinueWhileTailIsFrozen freezes the tail for four seconds: changes and requests continue, and it returns with the newest
+// state.
+func TestChangesContinueWhileTailIsFrozen(t *testing.T) {
 	const span = 4 * time.Second
 	s := newScenario(t, nil)
 	for range rounds() {
@@ -68,25 +68,25 @@
 		s.change()
 		s.must(s.AwaitAgreement(s.ctx))
 	}
-	s.servesOn(s.settle())
+	s.requireFewRejections(s.finish())
 }
 
-// TestABrokerDrains: after the bound no request reaches it (checked by settle), and none is lost meanwhile.
-func TestABrokerDrains(t *testing.T) {
+// TestDrainedBrokerReceivesNoRequests: no request reaches it after the bound (checked by finish), and none is lost before.
+func TestDrainedBrokerReceivesNoRequests(t *testing.T) {
 	s := newScenario(t, nil)
 	for _, prefix := range []string{prefixVerdict, prefixPrint} {
-		broker := s.awaitRunning(prefix)
+		broker := s.awaitRunningRequest(prefix)
 		at, err := s.Drain(s.ctx, broker)
 		s.must(err)
 		s.must(broker.Leave(s.ctx))
 		s.must(s.load.AwaitAnswers(s.ctx, 5))
 		t.Logf("%s: the last request came %v after the acknowledgement", broker.Service(), s.lastArrival(broker.ID()).Sub(at).Round(time.Millisecond))
-		s.must(s.AwaitBrokers(s.ctx, s.running()))
+		s.must(s.AwaitBrokers(s.ctx, s.expectedBrokers()))
 	}
-	s.servesOn(s.settle())
+	s.requireFewRejections(s.finish())
 }
 
-// arrivalsAt gives when requests reached a broker.
+// arrivalsAt returns when requests reached a broker.
 func (s *scenario) arrivalsAt(instance string) []time.Time {
 	var times []time.Time
 	for _, arrival := range s.Ledger.Arrivals() {
@@ -102,11 +102,11 @@
 	return times[len(times)-1]
 }
 
-// running is how many brokers have not been drained.
-func (s *scenario) running() int { return modelBrokers + plainBrokers - len(s.drains) }
+// expectedBrokers is how many brokers have not been drained.
+func (s *scenario) expectedBrokers() int { return modelBrokers + plainBrokers - len(s.drainedBrokers) }
 
-// TestNodesAreStoppedInTurn: SIGTERM loses nothing, wherever it comes, and each process ends within its grace.
-func TestNodesAreStoppedInTurn(t *testing.T) {
+// TestGracefulStopLosesNothing: SIGTERM loses no request at any node, and each process ends within its grace.
+func TestGracefulStopLosesNothing(t *testing.T) {
 	s := newScenario(t, nil)
 	head, err := s.Head(s.ctx)
 	s.must(err)
@@ -122,11 +122,11 @@
 		s.must(node.Start())
 		s.must(s.AwaitAgreement(s.ctx))
 	}
-	s.servesOn(s.settle())
+	s.requireFewRejections(s.finish())
 }
 
-// TestTheCoreIsKilledAtOnce: all processes of the core end at the same moment and start again with their disks.
-func TestTheCoreIsKilledAtOnce(t *testing.T) {
+// TestAcknowledgedChangeSurvivesKillOfCore kills all processes of the core at once; they restart with their disks.
+func TestAcknowledgedChangeSurvivesKillOfCore(t *testing.T) {
 	s := newScenario(t, nil)
 	for range rounds() {
 		s.change()
@@ -143,11 +143,11 @@
 		s.must(s.AwaitAgreement(s.ctx))
 		s.change()
 	}
-	s.settle()
+	s.finish()
 }
 
-// TestAChangeIsInForceEverywhere within the bound: routes come and go, and a key is taken away.
-func TestAChangeIsInForceEverywhere(t *testing.T) {
+// TestChangeAppliesAtAllNodesInTime adds a route, removes one and revokes a key, within the bound.
+func TestChangeAppliesAtAllNodesInTime(t *testing.T) {
 	s := newScenario(t, nil)
 	acknowledged, err := s.Operator.Update(s.ctx, s.Operator.Current(), RoutesChange(s.Operator.Current()))
 	s.must(err)
@@ -157,10 +157,10 @@
 	assert.Assert(t, took < s.options.Bounds.ConfigApply)
 	s.must(s.load.AwaitAnswers(s.ctx, 5))
 	s.must(s.load.CheckRoutesChange())
-	s.servesOn(s.settle())
+	s.requireFewRejections(s.finish())
 }
 
-// TestNewWeightsReachAllBrokers within the bound; no request starts on older ones after it (checked by settle).
+// TestNewWeightsReachAllBrokers within the bound; no request starts on older ones after it (checked by finish).
 func TestNewWeightsReachAllBrokers(t *testing.T) {
 	s := newScenario(t, nil)
 	for version := range uint64(rounds()) {
@@ -170,19 +170,19 @@
 		t.Logf("all brokers have version %d %v after its acknowledgement", version+2, time.Since(acknowledged.At).Round(time.Millisecond))
 		s.must(s.load.AwaitAnswers(s.ctx, 5))
 	}
-	s.servesOn(s.settle())
+	s.requireFewRejections(s.finish())
 }
 
-// TestOneOfTwoOperatorsWins: two changes that build on the same version are not both acknowledged.
-func TestOneOfTwoOperatorsWins(t *testing.T) {
+// TestOneOfTwoConflictingChangesIsAcknowledged: two changes that build on the same version are not both acknowledged.
+func TestOneOfTwoConflictingChangesIsAcknowledged(t *testing.T) {
 	s := newScenario(t, nil)
 	other := fleetoperator.New(s.controlAddresses, nil)
 	t.Cleanup(other.Close)
 	for range 3 * rounds() {
 		before := s.Operator.Current()
-		rival := make(chan attempt, 1)
-		go func() { rival <- s.attempt(other, before, RoutesChange(before)) }()
-		own := s.attempt(s.Operator, before, fleetoperator.Update{Version: nextVersion(before)})
+		rival := make(chan changeResult, 1)
+		go func() { rival <- s.attemptChange(other, before, RoutesChange(before)) }()
+		own := s.attemptChange(s.Operator, before, fleetoperator.Update{Version: nextVersion(before)})
 		theirs := <-rival
 		assert.Assert(t, (own.err == nil) != (theirs.err == nil), "%v; %v", own.err, theirs.err)
 		loser := own.err
@@ -193,16 +193,16 @@
 		}
 		assert.Assert(t, errorx.IsOfType(loser, fleetoperator.Conflict), "%v", loser)
 	}
-	s.settle()
+	s.finish()
 }
 
-// attempt is a change that may lose.
-type attempt struct {
+// changeResult is the result of a change that may conflict with another one.
+type changeResult struct {
 	acknowledgement fleetoperator.Acknowledgement
 	err             error
 }
 
-func (s *scenario) attempt(operator *fleetoperator.Operator, before fleetoperator.Configuration, update fleetoperator.Update) attempt {
+func (s *scenario) attemptChange(operator *fleetoperator.Operator, before fleetoperator.Configuration, update fleetoperator.Update) changeResult {
 	acknowledgement, err := operator.Update(s.ctx, before, update)
-	return attempt{acknowledgement, err}
+	return changeResult{acknowledgement, err}
 }
--- a/internal/rig/fleet/fleet.go
+++ b/internal/rig/fleet/fleet.go
@@ -13,7 +13,7 @@
 	"kestrelspread/internal/standin/llmbroker"
 )
 
-// Zones are where the machines of the fleet stand.
+// Zones are the zones that the machines are distributed over.
 var Zones = []string{"zone-a", "zone-b", "zone-c"}
 
 // The size of the fleet.
@@ -25,11 +25,11 @@
 // Options describe a fleet.
 type Options struct {
 	Binary string // path of kestrelnode
-	Dir    string // for settings, disks and logs; empty: a temporary folder that Close removes
+	Dir    string // for settings, disks and logs; empty: a temporary directory that Close removes
 	Bounds Bounds
 }
 
-// Fleet is the nodes, and all that stands around them.
+// Fleet is the nodes with the operator, the brokers and the platform around them.
 type Fleet struct {
 	Nodes    []*Node
 	Operator *fleetoperator.Operator
@@ -38,23 +38,26 @@
 	Store    *llmbroker.Store
 	Brokers  []*llmbroker.Broker
 
-	options  Options
-	dir      string
-	keepDir  bool
-	layout   layout
-	spawner  *spawner
-	platform *platform
-	life     context.Context
-	end      context.CancelFunc
-	started  int // brokers, over all
-	drains   []drained
-	crashed  []string // brokers that ended without a word
+	options        Options
+	dir            string
+	keepsDir       bool
+	layout         layout
+	spawner        *spawner
+	platform       *platform
+	lifetime       context.Context
+	cancel         context.CancelFunc
+	startedBrokers int // brokers that were ever started
+	drainedBrokers []drainedBroker
+	crashedBrokers []string // IDs of brokers that ended without draining
 }
 
-// Start starts the nodes and the brokers; no configuration is sent yet.
+// Start starts the nodes and the brokers. They have no configuration yet, see Bootstrap.
 func Start(options Options) (*Fleet, error) {
-	f := &Fleet{options: options, dir: options.Dir, keepDir: options.Dir != "", Weights: llmbroker.NewWeights(), Ledger: llmbroker.NewLedger()}
-	f.life, f.end = context.WithCancel(context.Background())
+	f := &Fleet{
+		options: options, dir: options.Dir, keepsDir: options.Dir != "",
+		Weights: llmbroker.NewWeights(), Ledger: llmbroker.NewLedger(),
+	}
+	f.lifetime, f.cancel = context.WithCancel(context.Background())
 	f.spawner = newSpawner()
 	if err := f.start(); err != nil {
 		f.Close()
@@ -63,22 +66,23 @@
 	return f, nil
 }
 
+// start starts all parts; Close ends those that were started before an error.
 func (f *Fleet) start() error {
 	var err error
 	if f.dir == "" {
 		if f.dir, err = os.MkdirTemp("", "kestrelfleet"); err != nil {
-			return NotStarted.Wrap(err, "folder")
+			return ErrNotStarted.Wrap(err, "create directory")
 		}
 	}
 	if f.dir, err = filepath.Abs(f.dir); err != nil {
-		return NotStarted.Wrap(err, "folder")
+		return ErrNotStarted.Wrap(err, "create directory")
 	}
 	if f.layout, err = newLayout(nodeCount); err != nil {
 		return err
 	}
 	for i := range nodeCount {
 		f.Nodes = append(f.Nodes, &Node{
-			Name: fmt.Sprintf("node-%d", i+1), Zone: Zones[i%len(Zones)], HasDisk: i < diskCount, ip: f.layout.node(i), fleet: f,
+			Name: fmt.Sprintf("node-%d", i+1), Zone: Zones[i%len(Zones)], HasDisk: i < diskCount, ipAddress: f.layout.node(i), fleet: f,
 		})
 	}
 	for _, node := range f.Nodes {
@@ -88,18 +92,18 @@
 	}
 	f.Operator = fleetoperator.New(f.controlAddresses, f.Weights)
 	f.platform = newPlatform(f.Nodes)
-	go f.platform.run(f.life)
+	go f.platform.run(f.lifetime)
 	return f.startServices()
 }
 
 // Close ends all processes and servers of the fleet.
 func (f *Fleet) Close() {
-	f.end()
+	f.cancel()
 	for _, node := range f.Nodes {
 		if node.Running() {
 			node.Kill()
 		}
-		if f.keepDir {
+		if f.keepsDir {
 			_ = node.saveLog()
 		}
 	}
@@ -113,15 +117,15 @@
 	if f.Operator != nil {
 		f.Operator.Close()
 	}
-	if !f.keepDir && f.dir != "" {
+	if !f.keepsDir && f.dir != "" {
 		_ = os.RemoveAll(f.dir)
 	}
 }
 
-// Core are the nodes with a disk.
+// Core is the nodes with a disk.
 func (f *Fleet) Core() []*Node { return f.Nodes[:diskCount] }
 
-// seeds are the control addresses that each node is told of.
+// seeds are the control addresses in the settings of each node.
 func (f *Fleet) seeds() []string {
 	var seeds []string
 	for _, node := range f.Core() {
@@ -130,6 +134,7 @@
 	return seeds
 }
 
+// controlAddresses are those of all nodes.
 func (f *Fleet) controlAddresses() []string {
 	var addresses []string
 	for _, node := range f.Nodes {
@@ -138,10 +143,11 @@
 	return addresses
 }
 
-// pollInterval lies between two looks at something that is waited for.
+// pollInterval is the time between two checks of a condition that is waited for.
 const pollInterval = 50 * time.Millisecond
 
-// Await looks again and again until condition returns nil, a process ends by itself, or ctx ends.
+// Await checks the condition until it returns nil. It fails with ErrTimeout when a process ends unexpectedly or ctx ends; what names the
+// condition in the error.
 func (f *Fleet) Await(ctx context.Context, what string, condition func(context.Context) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -150,28 +156,29 @@
 		if err == nil {
 			return nil
 		}
-		if ended := f.endedByThemselves(); len(ended) > 0 {
-			return TooLate.New("%s: %s", what, ended[0])
+		if ended := f.unexpectedExits(); len(ended) > 0 {
+			return ErrTimeout.New("%s: %s", what, ended[0])
 		}
 		select {
 		case <-ctx.Done():
-			return TooLate.Wrap(errors.Join(err, ctx.Err()), "%s", what)
+			return ErrTimeout.Wrap(errors.Join(err, ctx.Err()), "%s", what)
 		case <-ticker.C:
 		}
 	}
 }
 
-func (f *Fleet) endedByThemselves() []string {
-	var list []string
+// unexpectedExits describes the processes that ended though this package did not end them.
+func (f *Fleet) unexpectedExits() []string {
+	var exits []string
 	for _, node := range f.Nodes {
-		if text, ended := node.endedByItself(); ended {
-			list = append(list, text)
+		if text, ended := node.unexpectedExit(); ended {
+			exits = append(exits, text)
 		}
 	}
-	return list
+	return exits
 }
 
-// Statuses asks all nodes that run.
+// Statuses fetches the status of all running nodes.
 func (f *Fleet) Statuses(ctx context.Context) ([]*nodestatus.Status, error) {
 	var statuses []*nodestatus.Status
 	for _, node := range f.Nodes {
@@ -187,12 +194,13 @@
 	return statuses, nil
 }
 
-// Head is the node at the head of the chain, by its own word.
+// Head is the node at the head of the chain, by its own status.
 func (f *Fleet) Head(ctx context.Context) (*Node, error) { return f.withRole(ctx, "head", "only") }
 
-// Tail is the node at the tail of the chain, by its own word.
+// Tail is the node at the tail of the chain, by its own status.
 func (f *Fleet) Tail(ctx context.Context) (*Node, error) { return f.withRole(ctx, "tail", "only") }
 
+// withRole waits for a core node with one of two roles.
 func (f *Fleet) withRole(ctx context.Context, roles ...string) (*Node, error) {
 	var found *Node
 	err := f.Await(ctx, "a node at the "+roles[0], func(ctx context.Context) error {
--- a/internal/rig/fleet/fleet_test.go
+++ b/internal/rig/fleet/fleet_test.go
@@ -36,13 +36,13 @@
 	return run()
 }
 
-// patience bounds every wait of the tests; a passing test never waits it out.
-const patience = 40 * time.Second
+// testTimeout bounds a test; one that passes does not reach it.
+const testTimeout = 40 * time.Second
 
-// atOnce bounds how many fleets run at the same time: each has five processes.
-var atOnce = make(chan struct{}, 3)
+// fleetSlots bounds the number of concurrent fleets: each has five processes.
+var fleetSlots = make(chan struct{}, 3)
 
-// testBounds keep the waits that the rules ask for short.
+// testBounds shorten the waits that the rules require.
 func testBounds() Bounds {
 	bounds := DefaultBounds()
 	bounds.Heartbeat = 500 * time.Millisecond
@@ -59,36 +59,35 @@
 	load *Load
 }
 
-// newScenario starts a fleet, has it serve the first configuration, and loads it. alter changes its bounds; it may be nil.
+// newScenario starts a fleet with the first configuration and load. alter changes its bounds; it may be nil.
 func newScenario(t *testing.T, alter func(*Bounds)) *scenario {
 	t.Helper()
 	t.Parallel()
-	atOnce <- struct{}{}
-	t.Cleanup(func() { <-atOnce })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	bounds := testBounds()
 	if alter != nil {
 		alter(&bounds)
 	}
-	started, err := Start(Options{Binary: binary, Dir: folder(t), Bounds: bounds})
+	started, err := Start(Options{Binary: binary, Dir: diskDir(t), Bounds: bounds})
 	assert.NilError(t, err)
 	s := &scenario{Fleet: started, t: t, ctx: ctx}
 	t.Cleanup(s.end)
-	s.must(s.FirstSteps(ctx))
+	s.must(s.Bootstrap(ctx))
 	s.load = s.StartLoad(200 * time.Millisecond)
 	return s
 }
 
-// memoryFolder is a file system in memory, where this machine has one.
-const memoryFolder = "/dev/shm"
+// memoryDir is a file system in memory, if the machine has one.
+const memoryDir = "/dev/shm"
 
-// folder gives the nodes' disks a place. Where it can be, that is in memory: a machine that is busy with other work takes
-// seconds for a sync now and then, and the core is built to bear one trouble at a time, which is the test's. Disks in trouble
-// have tests of their own in package journal.
-func folder(t *testing.T) string {
+// diskDir creates a directory for the nodes' disks, in memory if possible: a busy machine takes seconds for a sync now and then, and the
+// core tolerates one fault at a time, which is the test's. Faulty disks have tests of their own in package journal.
+func diskDir(t *testing.T) string {
 	t.Helper()
-	dir, err := os.MkdirTemp(memoryFolder, "kestrelfleet")
+	dir, err := os.MkdirTemp(memoryDir, "kestrelfleet")
 	if err != nil {
 		return t.TempDir()
 	}
@@ -96,13 +95,13 @@
 	return dir
 }
 
-// must ends the test where something did not come to pass.
+// must ends the test on an error.
 func (s *scenario) must(err error) {
 	s.t.Helper()
 	assert.NilError(s.t, err)
 }
 
-// end closes the fleet, and shows what the nodes wrote where the test failed.
+// end closes the fleet, and shows the logs of the nodes if the test failed.
 func (s *scenario) end() {
 	if s.load != nil {
 		s.load.Stop()
@@ -116,18 +115,18 @@
 	}
 }
 
-// settle stops the load, checks the rules and the configuration, and returns the counts.
-func (s *scenario) settle() Tally {
+// finish stops the load, checks the rules and the configuration, and returns the counts.
+func (s *scenario) finish() Tally {
 	s.t.Helper()
 	s.load.Stop()
 	s.must(s.Operator.CheckReadBack(s.ctx))
-	for _, breach := range s.Check(s.load) {
-		s.t.Error(breach)
+	for _, violation := range s.Check(s.load) {
+		s.t.Error(violation)
 	}
-	for _, record := range s.load.Book.Records() {
-		if record.Phase >= 0 && (record.Outcome == Failed || record.Outcome == Denied) {
-			s.t.Logf("%s on %s at %s: status %d after %v, arrivals %+v", clock(record.SentAt), record.Prefix, record.Node, record.Status,
-				record.EndedAt.Sub(record.SentAt).Round(time.Millisecond), s.Ledger.Of(record.ID))
+	for _, attempt := range s.load.Attempts.All() {
+		if attempt.Phase >= 0 && (attempt.Outcome == ServerError || attempt.Outcome == ClientError) {
+			s.t.Logf("%s on %s at %s: status %d after %v, arrivals %+v", formatTime(attempt.SentAt), attempt.Prefix, attempt.Node, attempt.Status,
+				attempt.EndedAt.Sub(attempt.SentAt).Round(time.Millisecond), s.Ledger.Of(attempt.ID))
 		}
 	}
 	counts := s.Count(s.load, 1)
@@ -136,17 +135,17 @@
 	return total
 }
 
-// servesOn checks that what the fleet is built to bear leads to few refusals.
-func (s *scenario) servesOn(total Tally) {
+// requireFewRejections checks that tolerated faults lead to few rejections.
+func (s *scenario) requireFewRejections(total Tally) {
 	s.t.Helper()
-	const most = 0.05 // share of what was sent
-	assert.Assert(s.t, float64(total.Refused) <= most*float64(total.Sent), "%+v", total)
+	const maxShare = 0.05 // share of what was sent
+	assert.Assert(s.t, float64(total.Rejected) <= maxShare*float64(total.Sent), "%+v", total)
 }
 
 func TestFirstConfigurationAndRequests(t *testing.T) {
 	s := newScenario(t, nil)
 	s.must(s.load.AwaitAnswers(s.ctx, 20))
-	total := s.settle()
+	total := s.finish()
 	assert.Equal(t, total.Failed, 0)
-	assert.Equal(t, total.Cut, 0)
+	assert.Equal(t, total.Interrupted, 0)
 }
--- a/internal/rig/fleet/layout.go
+++ b/internal/rig/fleet/layout.go
@@ -11,39 +11,39 @@
 
 var (
 	namespace = errorx.NewNamespace("fleet")
-	// NotStarted is the type of errors of a fleet that could not be started.
-	NotStarted = namespace.NewType("not_started")
-	// TooLate is the type of errors of what was waited for and did not come in time.
-	TooLate = namespace.NewType("too_late")
+	// ErrNotStarted says that a part of the fleet could not be started.
+	ErrNotStarted = namespace.NewType("not_started")
+	// ErrTimeout says that a condition was not reached in time.
+	ErrTimeout = namespace.NewType("too_late")
 )
 
 // ports are the same on every machine.
 type ports struct{ front, readiness, control, internal int }
 
-// layout gives machines their addresses: NETWORK.1 and up for nodes, NETWORK.101 and up for brokers.
+// layout assigns the machines their addresses: NETWORK.1 and up for nodes, NETWORK.101 and up for brokers.
 type layout struct {
 	network string // first three bytes of the addresses
 	ports   ports
 }
 
 const (
-	firstBrokerHost = 101
-	lastHost        = 254
-	layoutTries     = 20
+	firstBrokerHost   = 101
+	lastHost          = 254
+	maxLayoutAttempts = 20
 )
 
-// newLayout picks a network of 127.0.0.0/8 and ports that are free on all of its first hosts.
+// newLayout chooses a network of 127.0.0.0/8 and ports that are free on all of its first hosts.
 func newLayout(nodes int) (layout, error) {
-	for range layoutTries {
+	for range maxLayoutAttempts {
 		l := layout{network: fmt.Sprintf("127.%d.%d", 64+rand.IntN(128), rand.IntN(256))}
 		if l.pickPorts() && l.isFree(nodes) {
 			return l, nil
 		}
 	}
-	return layout{}, NotStarted.New("no ports of 127.0.0.0/8 are free")
+	return layout{}, ErrNotStarted.New("no ports of 127.0.0.0/8 are free")
 }
 
-// pickPorts takes ports that the system finds free on the first host.
+// pickPorts chooses ports that the system finds free on the first host.
 func (l *layout) pickPorts() bool {
 	var listeners []net.Listener
 	defer func() {
@@ -62,10 +62,11 @@
 	return true
 }
 
+// isFree reports whether the ports are free on all nodes.
 func (l *layout) isFree(nodes int) bool {
 	for i := range nodes {
 		for _, port := range []int{l.ports.front, l.ports.readiness, l.ports.control, l.ports.internal} {
-			listener, err := net.Listen("tcp", at(l.node(i), port))
+			listener, err := net.Listen("tcp", hostPort(l.node(i), port))
 			if err != nil {
 				return false
 			}
@@ -75,11 +76,13 @@
 	return true
 }
 
+// node is the address of a node.
 func (l *layout) node(index int) string { return fmt.Sprintf("%s.%d", l.network, 1+index) }
 
-// broker is the address of a broker or store; those that come later than the addresses last use them again.
+// broker is the address of a broker or store; addresses are reused once all were assigned.
 func (l *layout) broker(index int) string {
 	return fmt.Sprintf("%s.%d", l.network, firstBrokerHost+index%(lastHost-firstBrokerHost))
 }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+// hostPort joins an address and a port.
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
--- a/internal/rig/fleet/load.go
+++ b/internal/rig/fleet/load.go
@@ -14,72 +14,72 @@
 	"kestrelspread/internal/standin/llmbroker"
 )
 
-// Load is the clients of the fleet.
+// Load is the clients of the fleet, and what they record.
 type Load struct {
-	Book  *Book
-	Pause time.Duration // that a client makes between two requests, on average
-	fleet *Fleet
-	keys  []string
-	tasks sync.WaitGroup
-	end   context.CancelFunc
+	Attempts *AttemptLog
+	Interval time.Duration // mean time between two requests of a client
+	fleet    *Fleet
+	apiKeys  []string
+	clients  sync.WaitGroup
+	cancel   context.CancelFunc
 }
 
-// clientCount is how many clients send at the same time.
+// clientCount is the number of concurrent clients.
 const clientCount = 24
 
-// StartLoad has clients send requests of the three kinds until Stop.
-func (f *Fleet) StartLoad(pause time.Duration) *Load {
-	load := &Load{Book: &Book{}, Pause: pause, fleet: f, keys: []string{keyShared, keyIsolated}}
-	ctx, end := context.WithCancel(f.life)
-	load.end = end
+// StartLoad starts clients that send requests of the three kinds until Stop.
+func (f *Fleet) StartLoad(interval time.Duration) *Load {
+	load := &Load{Attempts: &AttemptLog{}, Interval: interval, fleet: f, apiKeys: []string{keyShared, keyIsolated}}
+	ctx, end := context.WithCancel(f.lifetime)
+	load.cancel = end
 	for i := range clientCount {
 		c := &client{
-			load: load, number: i, zone: Zones[i%len(Zones)], keeps: i%3 != 0,
+			load: load, number: i, zone: Zones[i%len(Zones)], keepsConnection: i%3 != 0,
 			random: rand.New(rand.NewPCG(uint64(i), 7)),
 		}
-		load.tasks.Go(func() { c.run(ctx) })
+		load.clients.Go(func() { c.run(ctx) })
 	}
 	return load
 }
 
-// Stop lets the clients finish what they have sent.
+// Stop ends the clients, after their requests in flight.
 func (l *Load) Stop() {
-	l.end()
-	l.tasks.Wait()
+	l.cancel()
+	l.clients.Wait()
 }
 
-// AwaitAnswers waits until clients have sent so many more requests of each kind that were answered.
+// AwaitAnswers waits until count more requests of each kind were answered.
 func (l *Load) AwaitAnswers(ctx context.Context, count int) error {
-	before := len(l.Book.Records())
+	previous := len(l.Attempts.All())
 	return l.fleet.Await(ctx, "answers to clients", func(context.Context) error {
-		var answered [kindCount]int
-		for _, record := range l.Book.Records()[before:] {
-			if record.Outcome == Answered {
-				answered[record.Kind]++
+		var answered [requestKinds]int
+		for _, attempt := range l.Attempts.All()[previous:] {
+			if attempt.Outcome == Answered {
+				answered[attempt.Kind]++
 			}
 		}
 		for kind, got := range answered {
 			if got < count {
-				return fmt.Errorf("%d %s requests are answered of %d", got, Kind(kind), count)
+				return fmt.Errorf("%d %s requests are answered of %d", got, RequestKind(kind), count)
 			}
 		}
 		return nil
 	})
 }
 
-// The shapes of prompts: what many share, what a session has for itself, and what is generated.
+// The shape of prompts: tokens that many share, tokens of one session, and generated events.
 const (
 	sharedTokens  = 1200
 	sessionTokens = 400
 	sharedPrompts = 4
-	mostEvents    = 40
+	maxEvents     = 40
 )
 
-// plan draws a request.
-func (l *Load) plan(random *rand.Rand) planned {
+// drawRequest draws a request at random.
+func (l *Load) drawRequest(random *rand.Rand) plannedRequest {
 	prefix := [...]string{prefixLookup, prefixPrint, prefixDraft, prefixPrint, prefixVerdict, prefixLookup}[random.IntN(6)]
-	p := planOf(prefix)
-	p.key = l.keys[random.IntN(len(l.keys))]
+	p := routeRequest(prefix)
+	p.key = l.apiKeys[random.IntN(len(l.apiKeys))]
 	name := strconv.FormatUint(random.Uint64(), 36)
 	p.request.uri = prefix + name + "?q=" + strconv.Itoa(random.IntN(1000))
 	if p.kind == Streaming {
@@ -91,12 +91,12 @@
 	return p
 }
 
-// planOf gives what the requests of a route have in common.
-func planOf(prefix string) planned {
+// routeRequest is what the requests of a route have in common.
+func routeRequest(prefix string) plannedRequest {
 	r := route(prefix)
-	p := planned{
+	p := plannedRequest{
 		prefix: prefix, deadline: 1500 * time.Millisecond, request: request{method: http.MethodPost},
-		aim: time.Duration(r.TargetLatencyMs) * time.Millisecond, gap: time.Duration(r.GapTargetMs) * time.Millisecond,
+		latencyTarget: time.Duration(r.TargetLatencyMs) * time.Millisecond, gapTarget: time.Duration(r.GapTargetMs) * time.Millisecond,
 	}
 	switch r.Kind {
 	case config.KindUnsafe:
@@ -109,9 +109,9 @@
 	return p
 }
 
-// promptHeaders describe a prompt whose first part many share.
+// promptHeaders describe a prompt with a shared prefix.
 func promptHeaders(random *rand.Rand) []header {
-	events := 1 + random.IntN(mostEvents)
+	events := 1 + random.IntN(maxEvents)
 	parts := fmt.Sprintf("%x:%d,%x:%d", 0xabc0+random.IntN(sharedPrompts), sharedTokens, random.Uint32(), sessionTokens)
 	return []header{
 		{llmbroker.HeaderModel, modelName},
@@ -120,9 +120,9 @@
 	}
 }
 
-// Probe sends one request on a safe route with a key straight to a node, and gives the status; 0: no answer.
+// Probe sends one request on a safe route with an API key to one node, and returns the status; 0: no answer.
 func (l *Load) Probe(node *Node, prefix, key string) int {
-	p := planOf(prefix)
+	p := routeRequest(prefix)
 	p.request.uri = prefix + "probe"
 	p.key = key
 	conn, err := connect(node)
@@ -130,23 +130,23 @@
 		return 0
 	}
 	defer func() { _ = conn.Close() }()
-	record := Record{ID: newID(), Prefix: prefix, Method: p.request.method, URI: p.request.uri, Key: key, Node: node.Name,
-		FirstTry: time.Now(), Phase: probePhase}
-	p.request.headers = []header{{llmbroker.HeaderRequestID, record.ID}, {"Authorization", "Bearer " + key},
+	attempt := Attempt{ID: newID(), Prefix: prefix, Method: p.request.method, URI: p.request.uri, Key: key, Node: node.Name,
+		FirstAttemptAt: time.Now(), Phase: probePhase}
+	p.request.headers = []header{{llmbroker.HeaderRequestID, attempt.ID}, {"Authorization", "Bearer " + key},
 		{llmbroker.HeaderDeadline, strconv.FormatInt(p.deadline.Milliseconds(), 10)}}
 	answer, sentAt, err := conn.exchange(&p.request, time.Now().Add(p.deadline))
-	record.SentAt = sentAt
+	attempt.SentAt = sentAt
 	if err == nil {
-		record.Status = answer.StatusCode
-		record.Outcome = outcomeOf(answer.StatusCode)
-		record.Problem, err = checkWhole(answer)
+		attempt.Status = answer.StatusCode
+		attempt.Outcome = outcomeOf(answer.StatusCode)
+		attempt.Defect, err = checkBody(answer)
 	}
 	if err != nil {
-		record.Outcome = Closed
+		attempt.Outcome = ConnectionClosed
 	}
-	l.Book.add(ended(record))
-	return record.Status
+	l.Attempts.add(withEnd(attempt))
+	return attempt.Status
 }
 
-// probePhase marks requests that are no part of the load.
+// probePhase marks requests that are not part of the load.
 const probePhase = -1
--- a/internal/rig/fleet/log.go
+++ b/internal/rig/fleet/log.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// maxLogBytes bounds what is kept of what a node writes.
+// maxLogBytes bounds the retained log of a node.
 const maxLogBytes = 1 << 20
 
-// logBuffer keeps the newest of what a node writes, in all its lives. It is kept in memory, so that a slow disk of this
-// machine does not hold a node up that logs.
+// logBuffer retains the newest output of a node, of all its incarnations. It is in memory, so that a slow disk of this machine
+// does not block a node that logs.
 type logBuffer struct {
 	mutex sync.Mutex
 	text  []byte
@@ -23,7 +23,7 @@
 	return len(text), nil
 }
 
-// String gives what was written so far.
+// String returns what is retained.
 func (l *logBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/rig/fleet/node.go
+++ b/internal/rig/fleet/node.go
@@ -14,83 +14,84 @@
 	"kestrelspread/internal/node/nodestatus"
 )
 
-// TroubleKind is what was done to a node.
-type TroubleKind uint8
+// NodeFaultKind is the kind of an injected fault.
+type NodeFaultKind uint8
 
-// The kinds of trouble. Stopping with SIGTERM is planned work.
+// The kinds of faults. A stop with SIGTERM excuses nothing: nodes must lose no request then.
 const (
-	Killed TroubleKind = iota
+	Killed NodeFaultKind = iota
 	Frozen
 	Stopped
 )
 
-// Trouble is a span in which a node was in trouble, to its next start or thaw; a zero Until: it still is.
-type Trouble struct {
-	Node  string
-	Kind  TroubleKind
-	From  time.Time
-	Until time.Time
+// NodeFault is a fault of a node. It ends with the next start or thaw; EndedAt is zero before.
+type NodeFault struct {
+	Node      string
+	Kind      NodeFaultKind
+	StartedAt time.Time
+	EndedAt   time.Time
 }
 
 // Node is one machine of the fleet with its node process.
 type Node struct {
-	Name    string
-	Zone    string
-	HasDisk bool
-	ip      string
-	fleet   *Fleet
-	lives   int
-	log     logBuffer
-
-	mutex    sync.Mutex
-	process  *process // nil before the first start
-	expected bool     // the end of the process is this package's doing
-	troubles []Trouble
+	Name         string
+	Zone         string
+	HasDisk      bool
+	ipAddress    string
+	fleet        *Fleet
+	incarnations int
+	log          logBuffer
+
+	mutex        sync.Mutex
+	process      *process // nil before the first start
+	exitExpected bool     // this package ended the process
+	faults       []NodeFault
 }
 
-// Front is where it serves clients.
-func (n *Node) Front() string { return at(n.ip, n.fleet.layout.ports.front) }
+// Front is the address for clients.
+func (n *Node) Front() string { return hostPort(n.ipAddress, n.fleet.layout.ports.front) }
 
-// Control is where it serves brokers and the operator.
-func (n *Node) Control() string { return at(n.ip, n.fleet.layout.ports.control) }
+// Control is the address for brokers and the operator.
+func (n *Node) Control() string { return hostPort(n.ipAddress, n.fleet.layout.ports.control) }
 
-func (n *Node) readiness() string { return at(n.ip, n.fleet.layout.ports.readiness) }
+// readiness is the address for the platform's checks.
+func (n *Node) readiness() string { return hostPort(n.ipAddress, n.fleet.layout.ports.readiness) }
 
-// Start starts the node's process. Its disk is as the last one left it.
+// Start starts the node's process, on the disk of the previous one.
 func (n *Node) Start() error {
 	path, err := n.fleet.writeSettings(n)
 	if err != nil {
-		return NotStarted.Wrap(err, "settings of %s", n.Name)
+		return ErrNotStarted.Wrap(err, "settings of %s", n.Name)
 	}
-	n.lives++
+	n.incarnations++
 	environment := []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "KESTRELSPREAD_SETTINGS=" + path}
 	started, err := n.fleet.spawner.start(n.fleet.options.Binary, []string{"run"}, environment, &n.log)
 	if err != nil {
-		return NotStarted.Wrap(err, "%s", n.Name)
+		return ErrNotStarted.Wrap(err, "%s", n.Name)
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.process, n.expected = started, false
-	n.endTrouble(time.Now())
+	n.process, n.exitExpected = started, false
+	n.endFaults(time.Now())
 	return nil
 }
 
-// Log is the newest of what the node has written, in all its lives.
+// Log is the newest output of the node, of all its incarnations.
 func (n *Node) Log() string { return n.log.String() }
 
-// saveLog writes the log into the fleet's folder.
+// saveLog writes the log to the fleet's directory.
 func (n *Node) saveLog() error {
 	return os.WriteFile(filepath.Join(n.fleet.dir, n.Name+".log"), []byte(n.Log()), 0o600)
 }
 
-// Kill ends the node's process at once, as a loss of the machine's process does.
+// Kill ends the node's process at once, with SIGKILL.
 func (n *Node) Kill() {
-	n.beginTrouble(Killed, true).kill()
+	n.beginFault(Killed, true).kill()
 }
 
 // Terminate sends SIGTERM, and SIGKILL after the grace. killed reports whether that was needed.
 func (n *Node) Terminate() (killed bool) {
-	p := n.beginTrouble(Stopped, true)
+	p := n.beginFault(Stopped, true)
 	_ = p.signal(syscall.SIGTERM)
 	timer := time.NewTimer(n.fleet.options.Bounds.Grace)
 	defer timer.Stop()
@@ -103,69 +104,72 @@
 	}
 }
 
-// Freeze stops the process where it is, and returns once it stands still.
+// Freeze suspends the process, and returns once it is suspended.
 func (n *Node) Freeze() error {
-	p := n.beginTrouble(Frozen, false)
+	p := n.beginFault(Frozen, false)
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	return p.awaitStopped()
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (n *Node) Thaw() error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.endTrouble(time.Now())
+	n.endFaults(time.Now())
 	return n.process.signal(syscall.SIGCONT)
 }
 
-func (n *Node) beginTrouble(kind TroubleKind, ends bool) *process {
+// beginFault records a fault, and returns the process to inject it into; exits says that the process is to end.
+func (n *Node) beginFault(kind NodeFaultKind, exits bool) *process {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.expected = n.expected || ends
-	n.troubles = append(n.troubles, Trouble{Node: n.Name, Kind: kind, From: time.Now()})
+	n.exitExpected = n.exitExpected || exits
+	n.faults = append(n.faults, NodeFault{Node: n.Name, Kind: kind, StartedAt: time.Now()})
 	return n.process
 }
 
-func (n *Node) endTrouble(now time.Time) {
-	for i := range n.troubles {
-		if n.troubles[i].Until.IsZero() {
-			n.troubles[i].Until = now
+// endFaults ends the faults that last; n.mutex must be held.
+func (n *Node) endFaults(now time.Time) {
+	for i := range n.faults {
+		if n.faults[i].EndedAt.IsZero() {
+			n.faults[i].EndedAt = now
 		}
 	}
 }
 
-// Troubles lists what was done to the node.
-func (n *Node) Troubles() []Trouble {
+// Faults lists the faults of the node so far.
+func (n *Node) Faults() []NodeFault {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return slices.Clone(n.troubles)
+	return slices.Clone(n.faults)
 }
 
-// Running reports whether the process is there, frozen or not.
+// Running reports whether the process exists, frozen or not.
 func (n *Node) Running() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.process != nil && n.process.running()
 }
 
-// endedByItself says how the process ended, where that was not this package's doing.
-func (n *Node) endedByItself() (string, bool) {
+// unexpectedExit describes the end of the process, if this package did not end it.
+func (n *Node) unexpectedExit() (string, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.process == nil || n.process.running() || n.expected {
+	if n.process == nil || n.process.running() || n.exitExpected {
 		return "", false
 	}
-	return fmt.Sprintf("%s ended by itself: %v; its log ends with:\n%s", n.Name, n.process.err, lastLines(n.Log(), 12)), true
+	return fmt.Sprintf("%s ended unexpectedly: %v; its log ends with:\n%s", n.Name, n.process.err, lastLines(n.Log(), 12)), true
 }
 
+// lastLines is the last count lines.
 func lastLines(text string, count int) string {
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	return strings.Join(lines[max(0, len(lines)-count):], "\n")
 }
 
-// Status asks the node for its picture of the fleet.
+// Status fetches the node's view of the fleet.
 func (n *Node) Status(ctx context.Context) (*nodestatus.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/rig/fleet/platform.go
+++ b/internal/rig/fleet/platform.go
@@ -10,25 +10,25 @@
 
 // Source of this file: PROTOCOL.md, "Ingress".
 
-// checkInterval lies between two readiness checks of a node.
-const checkInterval = time.Second
+// readinessInterval is the time between two readiness checks of a node.
+const readinessInterval = time.Second
 
-// missesOut is after how many missed checks in a row a node receives no new connections.
-const missesOut = 2
+// maxMisses is the number of failed checks in a row after which a node receives no new connections.
+const maxMisses = 2
 
-// platform hands clients' new connections to nodes that say they are ready.
+// platform is the platform's load balancer: it assigns new connections of clients to nodes that are ready.
 type platform struct {
 	nodes  []*Node
 	client *http.Client
 
 	mutex  sync.Mutex
-	misses map[string]int // by node; a node that was never ready has missesOut
+	misses map[string]int // failed checks in a row, by node; initially maxMisses
 }
 
 func newPlatform(nodes []*Node) *platform {
-	p := &platform{nodes: nodes, misses: map[string]int{}, client: &http.Client{Timeout: checkInterval}}
+	p := &platform{nodes: nodes, misses: map[string]int{}, client: &http.Client{Timeout: readinessInterval}}
 	for _, node := range nodes {
-		p.misses[node.Name] = missesOut
+		p.misses[node.Name] = maxMisses
 	}
 	return p
 }
@@ -36,7 +36,7 @@
 // run checks the nodes until ctx ends.
 func (p *platform) run(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
-	ticker := time.NewTicker(checkInterval)
+	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
 	for {
 		for _, node := range p.nodes {
@@ -50,6 +50,7 @@
 	}
 }
 
+// check checks a node once, and counts a failure.
 func (p *platform) check(ctx context.Context, node *Node) {
 	ready := p.isReady(ctx, node)
 	p.mutex.Lock()
@@ -61,6 +62,7 @@
 	}
 }
 
+// isReady reports whether the readiness check succeeds.
 func (p *platform) isReady(ctx context.Context, node *Node) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.readiness()+"/kestrelspread/readyz", nil)
 	if err != nil {
@@ -74,19 +76,19 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// isIn reports whether a node receives new connections by its own checks.
-func (p *platform) isIn(node *Node) bool {
+// receivesTraffic reports whether a node receives new connections by its own checks.
+func (p *platform) receivesTraffic(node *Node) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.misses[node.Name] < missesOut
+	return p.misses[node.Name] < maxMisses
 }
 
-// pick gives the node for a new connection of a client; retries reach other nodes.
-func (p *platform) pick(zone string, client, try int) *Node {
+// pickNode assigns a node to a new connection of a client: of its zone first; retries reach other nodes.
+func (p *platform) pickNode(zone string, client, attempt int) *Node {
 	var candidates []*Node
 	start := max(slices.Index(Zones, zone), 0)
 	for i := range Zones {
-		receiving := p.receiving(Zones[(start+i)%len(Zones)])
+		receiving := p.receivingNodes(Zones[(start+i)%len(Zones)])
 		for j := range receiving {
 			candidates = append(candidates, receiving[(client+j)%len(receiving)])
 		}
@@ -94,16 +96,16 @@
 	if len(candidates) == 0 {
 		candidates = p.nodes
 	}
-	return candidates[try%len(candidates)]
+	return candidates[attempt%len(candidates)]
 }
 
-// receiving lists the nodes of a zone that receive new connections: those that are in, or all where fewer than half are;
-// none where none is in.
-func (p *platform) receiving(zone string) []*Node {
+// receivingNodes lists the nodes of a zone that receive new connections: those that pass their checks, or all if fewer than half do;
+// none if none does.
+func (p *platform) receivingNodes(zone string) []*Node {
 	all := slices.DeleteFunc(slices.Clone(p.nodes), func(n *Node) bool { return n.Zone != zone })
-	in := slices.DeleteFunc(slices.Clone(all), func(n *Node) bool { return !p.isIn(n) })
-	if len(in) > 0 && 2*len(in) < len(all) {
+	receiving := slices.DeleteFunc(slices.Clone(all), func(n *Node) bool { return !p.receivesTraffic(n) })
+	if len(receiving) > 0 && 2*len(receiving) < len(all) {
 		return all
 	}
-	return in
+	return receiving
 }
--- a/internal/rig/fleet/platform_test.go
+++ b/internal/rig/fleet/platform_test.go
@@ -18,7 +18,7 @@
 		out    string // nodes that missed their checks
 		zone   string
 		client int
-		picks  string // by try
+		picks  string // by attempt
 	}{
 		{"own zone first", "", "zone-a", 0, "1 4 2 5 3 1"},
 		{"another client", "", "zone-a", 1, "4 1 5 2 3 4"},
@@ -31,10 +31,10 @@
 			p := newPlatform(nodes)
 			clear(p.misses)
 			for name := range strings.FieldsSeq(test.out) {
-				p.misses[name] = missesOut
+				p.misses[name] = maxMisses
 			}
-			for try, expected := range strings.Fields(test.picks) {
-				assert.Equal(t, p.pick(test.zone, test.client, try).Name, expected)
+			for attempt, expected := range strings.Fields(test.picks) {
+				assert.Equal(t, p.pickNode(test.zone, test.client, attempt).Name, expected)
 			}
 		})
 	}
--- a/internal/rig/fleet/process.go
+++ b/internal/rig/fleet/process.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// spawner starts processes that end when this one does. The kernel ties that to the thread that started them, so all are
-// started on one thread that lives as long as the spawner.
+// spawner starts processes that end when this one does. The kernel ties that to the thread that started them (Pdeathsig), so all
+// are started on one thread that exists as long as the spawner.
 type spawner struct {
 	jobs chan func()
 	done chan struct{}
@@ -31,20 +31,20 @@
 	return s
 }
 
-// close ends the thread, and with it whatever it started that still runs.
+// close ends the thread, and with it the processes that still run.
 func (s *spawner) close() {
 	close(s.jobs)
 	<-s.done
 }
 
-// process is one life of a node process.
+// process is one incarnation of a node process.
 type process struct {
 	command *exec.Cmd
 	ended   chan struct{} // closed once the process is gone
-	err     error         // how it ended; to be read after ended
+	err     error         // of the exit; valid once ended is closed
 }
 
-// start runs a program. What it writes goes to log.
+// start runs a program; log receives its output.
 func (s *spawner) start(program string, arguments, environment []string, log io.Writer) (*process, error) {
 	command := exec.Command(program, arguments...)
 	command.Env = environment
@@ -63,7 +63,7 @@
 	return p, nil
 }
 
-// signal sends a signal to the process; one that is gone takes none.
+// signal sends a signal to the process; it is no error if that has ended.
 func (p *process) signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -103,12 +103,13 @@
 	return strings.HasPrefix(state, "T")
 }
 
-// kill ends the process at once, also where it is stopped, and waits for its end.
+// kill ends the process at once, even if it is stopped, and waits for its end.
 func (p *process) kill() {
 	_ = p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
+// running reports whether the process has not ended.
 func (p *process) running() bool {
 	select {
 	case <-p.ended:
--- a/internal/rig/fleet/random_test.go
+++ b/internal/rig/fleet/random_test.go
@@ -9,13 +9,13 @@
 
 // The size of the random scenarios.
 const (
-	seeds      = 4
-	shortSeeds = 1
-	steps      = 6 // of one scenario
+	seeds             = 4
+	shortSeeds        = 1
+	faultsPerScenario = 6 // of one scenario
 )
 
-// TestTroublesInAnyOrder draws troubles and changes by a seed, one at a time.
-func TestTroublesInAnyOrder(t *testing.T) {
+// TestRandomFaultSequences injects faults and changes drawn from a seed, one at a time.
+func TestRandomFaultSequences(t *testing.T) {
 	count := seeds
 	if testing.Short() {
 		count = shortSeeds
@@ -25,13 +25,13 @@
 	}
 }
 
-// trouble is one that can be drawn.
-type trouble struct {
+// randomFault is a fault or change that can be drawn.
+type randomFault struct {
 	name string
 	play func(*scenario, *rand.Rand)
 }
 
-var troubles = []trouble{
+var randomFaults = []randomFault{
 	{"kill a node", func(s *scenario, random *rand.Rand) {
 		node := s.anyNode(random)
 		node.Kill()
@@ -95,12 +95,12 @@
 
 func (s *scenario) anyNode(random *rand.Rand) *Node { return s.Nodes[random.IntN(nodeCount)] }
 
-// playRandom plays the troubles of one seed.
+// playRandom runs the scenario of one seed.
 func playRandom(t *testing.T, seed uint64) {
 	s := newScenario(t, nil)
 	random := rand.New(rand.NewPCG(seed, 1))
-	for range steps {
-		drawn := troubles[random.IntN(len(troubles))]
+	for range faultsPerScenario {
+		drawn := randomFaults[random.IntN(len(randomFaults))]
 		begun := time.Now()
 		drawn.play(s, random)
 		s.must(s.AwaitAgreement(s.ctx))
@@ -108,5 +108,5 @@
 		t.Logf("%s: done after %v", drawn.name, time.Since(begun).Round(time.Millisecond))
 	}
 	s.must(s.AwaitWeights(s.ctx, s.Weights.Newest(modelName)))
-	s.settle()
+	s.finish()
 }
--- a/internal/rig/fleet/services.go
+++ b/internal/rig/fleet/services.go
@@ -15,30 +15,30 @@
 const (
 	serviceModel = "assistant" // model brokers
 	servicePlain = "printer"   // plain brokers
-	serviceStore = "prompts"   // the store of kept parts
+	serviceStore = "prompts"   // the store of cached prefixes
 	modelName    = "assistant-8b"
 )
 
-// host is the host of all routes.
-const host = "demo.example"
+// routeHost is the host of all routes.
+const routeHost = "demo.example"
 
 // The sizes of the services.
 const (
-	modelBrokers  = 4
-	plainBrokers  = 3
-	modelSlots    = 16
-	plainSlots    = 6
-	queueLength   = 8
-	connections   = 200
-	storeTokens   = 200_000
-	brokerTokens  = 100_000
-	eventCallers  = 12
-	kvTokenBytes  = 18_432
-	brokerLink    = 550_000 // Mbit/s
-	plainWork     = 25 * time.Millisecond
-	firstEvent    = 40 * time.Millisecond
-	eventPause    = 20 * time.Millisecond
-	loadOfWeights = 300 * time.Millisecond
+	modelBrokers     = 4
+	plainBrokers     = 3
+	modelSlots       = 16
+	plainSlots       = 6
+	queueLength      = 8
+	connections      = 200
+	storeTokens      = 200_000
+	brokerTokens     = 100_000
+	maxConcurrency   = 12
+	kvTokenBytes     = 18_432
+	brokerLinkMbps   = 550_000 // Mbit/s
+	plainServiceTime = 25 * time.Millisecond
+	firstEventDelay  = 40 * time.Millisecond
+	eventInterval    = 20 * time.Millisecond
+	weightsLoadTime  = 300 * time.Millisecond
 )
 
 // The prefixes of the routes.
@@ -46,7 +46,7 @@
 	prefixLookup  = "/lookup/"  // safe
 	prefixPrint   = "/print/"   // unsafe
 	prefixDraft   = "/draft/"   // a stream that may be resumed
-	prefixVerdict = "/verdict/" // a stream that may not
+	prefixVerdict = "/verdict/" // a stream that may not be resumed
 	prefixOld     = "/old/"     // safe; a later configuration removes it
 	prefixNew     = "/new/"     // safe; a later configuration adds it
 )
@@ -54,10 +54,10 @@
 // FirstVersion is the version of the first configuration.
 const FirstVersion = 5
 
-// route gives a route of the fleet by its prefix.
+// route is the route of a prefix.
 func route(prefix string) config.Route {
 	r := config.Route{
-		Name: "r" + prefix[:len(prefix)-1], Host: host, PathPrefix: prefix, Kind: config.KindSafe, TimeoutMs: 2000,
+		Name: "r" + prefix[:len(prefix)-1], Host: routeHost, PathPrefix: prefix, Kind: config.KindSafe, TimeoutMs: 2000,
 		TargetLatencyMs: 300, Priority: 1, Service: servicePlain, MaxAttempts: 3,
 	}
 	switch prefix {
@@ -76,14 +76,14 @@
 	tenantShared   = "north"
 	tenantIsolated = "south"
 	keyShared      = "key-north-1"
-	keyRevoked     = "key-north-2" // a later configuration takes it away
+	keyRevoked     = "key-north-2" // a later configuration revokes it
 	keyIsolated    = "key-south-1"
 )
 
-// tenantOf names the tenant of a key.
+// tenantOf is the tenant by API key.
 var tenantOf = map[string]string{keyShared: tenantShared, keyRevoked: tenantShared, keyIsolated: tenantIsolated}
 
-// FirstConfiguration is what the operator sends first.
+// FirstConfiguration is the configuration that the operator sends first.
 func (f *Fleet) FirstConfiguration() fleetoperator.Configuration {
 	c := fleetoperator.Configuration{
 		Version: FirstVersion,
@@ -99,19 +99,19 @@
 	c.Services = []config.Service{
 		{Name: servicePlain, HealthCheck: "/healthz", MaxConnections: connections, Protocol: "h1"},
 		{Name: serviceModel, HealthCheck: "/healthz", MaxConnections: connections, Protocol: "h1", Engine: &config.Engine{
-			Slots: modelSlots, KVCapacityTokens: brokerTokens, KVTokenBytes: kvTokenBytes, LinkMbps: brokerLink, Stride: 1,
-			MaxConcurrency: eventCallers, Models: []config.EngineModel{{Name: modelName}},
+			Slots: modelSlots, KVCapacityTokens: brokerTokens, KVTokenBytes: kvTokenBytes, LinkMbps: brokerLinkMbps, Stride: 1,
+			MaxConcurrency: maxConcurrency, Models: []config.EngineModel{{Name: modelName}},
 		}},
 		{Name: serviceStore, KVStoreAddr: f.Store.Address(), Zone: Zones[0], KVCapacityTokens: storeTokens,
-			LinkMbps: brokerLink, MaxConcurrency: eventCallers},
+			LinkMbps: brokerLinkMbps, MaxConcurrency: maxConcurrency},
 	}
 	return c
 }
 
-// nextVersion is a number above that of a configuration; versions climb in uneven steps.
+// nextVersion is a version above that of a configuration; versions rise in uneven steps.
 func nextVersion(c fleetoperator.Configuration) uint64 { return c.Version + 2 + c.Version%3 }
 
-// RoutesChange removes the old route, adds the new one and takes a key away.
+// RoutesChange removes the old route, adds the new one and revokes a key.
 func RoutesChange(before fleetoperator.Configuration) fleetoperator.Update {
 	return fleetoperator.Update{
 		Version: nextVersion(before),
@@ -126,8 +126,8 @@
 // startServices starts the store and the brokers.
 func (f *Fleet) startServices() error {
 	var err error
-	if f.Store, err = llmbroker.StartStore(f.layout.broker(lastHost-firstBrokerHost-1)+":0", storeTokens, eventCallers); err != nil {
-		return NotStarted.Wrap(err, "store")
+	if f.Store, err = llmbroker.StartStore(f.layout.broker(lastHost-firstBrokerHost-1)+":0", storeTokens, maxConcurrency); err != nil {
+		return ErrNotStarted.Wrap(err, "store")
 	}
 	for i := range modelBrokers {
 		if _, err := f.StartBroker(serviceModel, Zones[i%len(Zones)]); err != nil {
@@ -145,56 +145,56 @@
 // StartBroker starts one more broker of a service.
 func (f *Fleet) StartBroker(service, zone string) (*llmbroker.Broker, error) {
 	options := llmbroker.Options{
-		Service: service, Zone: zone, Listen: f.layout.broker(f.started) + ":0", Slots: plainSlots, Queue: queueLength,
-		MaxConnections: connections, TellsLoad: true, Work: plainWork, Heartbeat: f.options.Bounds.Heartbeat,
+		Service: service, Zone: zone, Listen: f.layout.broker(f.startedBrokers) + ":0", Slots: plainSlots, Queue: queueLength,
+		MaxConnections: connections, TellsLoad: true, Work: plainServiceTime, Heartbeat: f.options.Bounds.Heartbeat,
 		Control: f.controlAddresses, Drain: f.options.Bounds.Drain, Ledger: f.Ledger,
 	}
 	if service == serviceModel {
 		options.Slots = modelSlots
 		options.Engine = &llmbroker.Engine{
-			Weights: f.Weights, Model: modelName, FirstEvent: firstEvent, EventPause: eventPause, Load: loadOfWeights,
-			Fencing: true, KVCapacityTokens: brokerTokens, MaxConcurrency: eventCallers,
+			Weights: f.Weights, Model: modelName, FirstEvent: firstEventDelay, EventPause: eventInterval, Load: weightsLoadTime,
+			Fencing: true, KVCapacityTokens: brokerTokens, MaxConcurrency: maxConcurrency,
 		}
 	}
 	broker, err := llmbroker.Start(options)
 	if err != nil {
-		return nil, NotStarted.Wrap(err, "broker of %s", service)
+		return nil, ErrNotStarted.Wrap(err, "broker of %s", service)
 	}
-	f.started++
+	f.startedBrokers++
 	f.Brokers = append(f.Brokers, broker)
 	return broker, nil
 }
 
-// drained is a broker whose draining was acknowledged.
-type drained struct {
+// drainedBroker is a broker whose drain was acknowledged.
+type drainedBroker struct {
 	instance string
-	at       time.Time
+	ackedAt  time.Time
 }
 
-// Drain has a broker say that it leaves, and gives the time of the acknowledgement. It still runs; see llmbroker.Leave.
+// Drain has a broker announce that it drains, and returns the time of the acknowledgement. It still runs; see llmbroker.Leave.
 func (f *Fleet) Drain(ctx context.Context, broker *llmbroker.Broker) (time.Time, error) {
-	at, err := broker.Drain(ctx)
+	ackedAt, err := broker.Drain(ctx)
 	if err == nil {
-		f.drains = append(f.drains, drained{instance: broker.ID(), at: at})
+		f.drainedBrokers = append(f.drainedBrokers, drainedBroker{instance: broker.ID(), ackedAt: ackedAt})
 	}
-	return at, err
+	return ackedAt, err
 }
 
-// Crash ends a broker without a word.
+// Crash ends a broker without draining.
 func (f *Fleet) Crash(broker *llmbroker.Broker) {
-	f.crashed = append(f.crashed, broker.ID())
+	f.crashedBrokers = append(f.crashedBrokers, broker.ID())
 	broker.Crash()
 }
 
-// Serving gives the brokers of a service that neither leave nor have ended.
+// Serving returns the brokers of a service that neither drain nor have ended.
 func (f *Fleet) Serving(service string) []*llmbroker.Broker {
 	return slices.DeleteFunc(slices.Clone(f.Brokers), func(b *llmbroker.Broker) bool {
-		leaves := slices.ContainsFunc(f.drains, func(d drained) bool { return d.instance == b.ID() })
-		return b.Service() != service || leaves || slices.Contains(f.crashed, b.ID())
+		drains := slices.ContainsFunc(f.drainedBrokers, func(d drainedBroker) bool { return d.instance == b.ID() })
+		return b.Service() != service || drains || slices.Contains(f.crashedBrokers, b.ID())
 	})
 }
 
-// AwaitBrokers waits until all nodes know so many brokers that are ready.
+// AwaitBrokers waits until all nodes know count ready brokers.
 func (f *Fleet) AwaitBrokers(ctx context.Context, count int) error {
 	return f.Await(ctx, "all nodes knowing all brokers", func(ctx context.Context) error {
 		statuses, err := f.Statuses(ctx)
@@ -228,8 +228,8 @@
 	})
 }
 
-// FirstSteps sends the first configuration, and waits until all nodes serve it and know all brokers.
-func (f *Fleet) FirstSteps(ctx context.Context) error {
+// Bootstrap sends the first configuration, and waits until all nodes serve it, know all brokers and receive clients.
+func (f *Fleet) Bootstrap(ctx context.Context) error {
 	if _, err := f.Operator.Replace(ctx, 0, f.FirstConfiguration()); err != nil {
 		return err
 	}
@@ -241,8 +241,8 @@
 	}
 	return f.Await(ctx, "the platform sending clients to all nodes", func(context.Context) error {
 		for _, node := range f.Nodes {
-			if !f.platform.isIn(node) {
-				return fmt.Errorf("%s is out", node.Name)
+			if !f.platform.receivesTraffic(node) {
+				return fmt.Errorf("%s receives no clients", node.Name)
 			}
 		}
 		return nil
--- a/internal/rig/fleet/settings.go
+++ b/internal/rig/fleet/settings.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Bounds are the figures of the rules that the fleet is run with. Source: DEPLOY.md and RULES.md.
+// Bounds are the limits of the rules that the fleet is run with. Source: DEPLOY.md and RULES.md.
 type Bounds struct {
 	Heartbeat        time.Duration
 	Contact          time.Duration
@@ -26,7 +26,7 @@
 	BudgetWindow     time.Duration
 }
 
-// DefaultBounds are like those of the sites, with a shorter grace.
+// DefaultBounds are those of the operators' sites, with a shorter grace.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Heartbeat: 1200 * time.Millisecond, Contact: 3 * time.Second, Ack: 4 * time.Second, Drain: 2 * time.Second,
@@ -37,7 +37,7 @@
 	}
 }
 
-// settingsFile is a node's settings as DEPLOY.md, "Settings of a process", words them.
+// settingsFile is a node's settings file. Source: DEPLOY.md, "Settings of a process".
 type settingsFile struct {
 	NodeName        string            `json:"nodeName"`
 	Role            string            `json:"role"`
@@ -60,12 +60,14 @@
 	Bounds          map[string]any    `json:"bounds"`
 }
 
+// listenFile is the addresses that a node listens on.
 type listenFile struct {
 	Front     string `json:"front"`
 	Readiness string `json:"readiness"`
 	Control   string `json:"control"`
 }
 
+// limitsFile is the resources of a machine.
 type limitsFile struct {
 	CPUShare float64 `json:"cpuShare"`
 	Cores    float64 `json:"cores"`
@@ -75,12 +77,14 @@
 	DiskMB   int     `json:"diskMb,omitempty"`
 }
 
+// toleranceFile is how many losses at a time are tolerated.
 type toleranceFile struct {
 	Machines int `json:"machines"`
 	Zones    int `json:"zones"`
 	Regions  int `json:"regions"`
 }
 
+// file is the bounds in the form of the settings file.
 func (b Bounds) file() map[string]any {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	return map[string]any{
@@ -94,7 +98,7 @@
 	}
 }
 
-// The limits that nodes are told of; nobody enforces them here.
+// The limits in the settings of nodes. They are not enforced here.
 const (
 	cpuShare    = 1
 	memoryMB    = 284
@@ -103,16 +107,17 @@
 	linkMbps    = 1000
 )
 
+// region is the one region of the fleet.
 const region = "loopback"
 
-// settings gives a node's settings file.
+// settings is the content of a node's settings file.
 func (f *Fleet) settings(n *Node) settingsFile {
 	p := f.layout.ports
 	file := settingsFile{
 		NodeName: n.Name, Role: "node", MachineClass: "front", Serves: []string{"front", "control"},
-		IP: n.ip, Zone: n.Zone, Region: region, Zones: map[string]string{},
-		Listen:    listenFile{Front: at(n.ip, p.front), Readiness: at(n.ip, p.readiness), Control: at(n.ip, p.control)},
-		PortRange: [2]int{p.internal, p.internal}, Seeds: f.seeds(), Bootstrap: n.lives == 0,
+		IP: n.ipAddress, Zone: n.Zone, Region: region, Zones: map[string]string{},
+		Listen:    listenFile{Front: hostPort(n.ipAddress, p.front), Readiness: hostPort(n.ipAddress, p.readiness), Control: hostPort(n.ipAddress, p.control)},
+		PortRange: [2]int{p.internal, p.internal}, Seeds: f.seeds(), Bootstrap: n.incarnations == 0,
 		CountsForQuorum: n.HasDisk,
 		Limits:          limitsFile{CPUShare: cpuShare, Cores: 1, MemoryMB: memoryMB, MaxFDs: descriptors, LinkMbps: linkMbps},
 		HeartbeatMs:     float64(f.options.Bounds.Heartbeat.Milliseconds()),
@@ -128,16 +133,16 @@
 	return file
 }
 
-// writeSettings writes a node's settings file anew and gives its path.
+// writeSettings writes a node's settings file and returns its path.
 func (f *Fleet) writeSettings(n *Node) (string, error) {
 	text, err := json.MarshalIndent(f.settings(n), "", "  ")
 	if err != nil {
 		return "", err
 	}
-	folder := filepath.Join(f.dir, n.Name)
-	if err := os.MkdirAll(filepath.Join(folder, "data"), 0o700); err != nil {
+	directory := filepath.Join(f.dir, n.Name)
+	if err := os.MkdirAll(filepath.Join(directory, "data"), 0o700); err != nil {
 		return "", err
 	}
-	path := filepath.Join(folder, "settings.json")
+	path := filepath.Join(directory, "settings.json")
 	return path, os.WriteFile(path, text, 0o600)
 }
--- a/internal/rig/fleet/tally.go
+++ b/internal/rig/fleet/tally.go
@@ -6,23 +6,24 @@
 	"text/tabwriter"
 )
 
-// Tally counts tries of clients.
+// Tally counts attempts of clients.
 type Tally struct {
-	Sent     int
-	Answered int
-	Late     int // of those answered
-	Refused  int // not run, to be sent again
-	Failed   int // 5xx beside 503, and 4xx
-	Cut      int // the node that had it was killed or frozen
-	Unread   int // the connection ended before the node had read it
-	Doubled  int // ran more than once, though it must not
-	Lost     int // read, and no final answer
+	Sent        int
+	Answered    int
+	Late        int // of the answered ones
+	Rejected    int // did not run, to be retried
+	Failed      int // 5xx but 503, and 4xx
+	Interrupted int // its node was killed or frozen
+	NotRead     int // the connection ended before the node had read the request
+	Duplicated  int // ran more than once, but must not
+	Lost        int // read by the node, but got no final answer
 }
 
-func (t *Tally) add(e *evidence, r *Record) {
+// add counts an attempt.
+func (t *Tally) add(e *evidence, r *Attempt) {
 	t.Sent++
-	if e.doubled(r) {
-		t.Doubled++
+	if e.duplicated(r) {
+		t.Duplicated++
 	}
 	switch r.Outcome {
 	case Answered:
@@ -30,20 +31,20 @@
 		if r.Late {
 			t.Late++
 		}
-	case Refused:
-		t.Refused++
-	case Denied, Failed:
+	case Rejected:
+		t.Rejected++
+	case ClientError, ServerError:
 		t.Failed++
 	case Unsent:
-		t.Unread++
-	case Closed:
+		t.NotRead++
+	case ConnectionClosed:
 		switch {
 		case e.lost(r):
 			t.Lost++
 		case e.wasRead(r):
-			t.Cut++
+			t.Interrupted++
 		default:
-			t.Unread++
+			t.NotRead++
 		}
 	}
 }
@@ -51,15 +52,15 @@
 // Counts are the tallies of a run, by phase and by kind.
 type Counts struct {
 	Phases []Tally
-	Kinds  [kindCount]Tally
+	Kinds  [requestKinds]Tally
 }
 
-// Count tallies the tries of a load over so many phases.
+// Count tallies the attempts of a load in a number of phases.
 func (f *Fleet) Count(load *Load, phases int) Counts {
 	e := f.evidence(load)
 	counts := Counts{Phases: make([]Tally, phases)}
-	for i := range e.records {
-		r := &e.records[i]
+	for i := range e.attempts {
+		r := &e.attempts[i]
 		if r.Phase < 0 || r.Phase >= phases {
 			continue
 		}
@@ -69,12 +70,12 @@
 	return counts
 }
 
-// Print writes two tables.
+// Print writes two tables: by phase and by kind.
 func (c *Counts) Print(out io.Writer, phases []string) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	line := func(name string, t Tally) {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n",
-			name, t.Sent, t.Answered, t.Late, t.Refused, t.Failed, t.Cut, t.Unread, t.Doubled, t.Lost)
+			name, t.Sent, t.Answered, t.Late, t.Rejected, t.Failed, t.Interrupted, t.NotRead, t.Duplicated, t.Lost)
 	}
 	head := "sent\tanswered\tlate\trefused\tfailed\tcut\tunread\tdoubled\tlost\t"
 	fmt.Fprintln(table, "phase\t"+head)
@@ -84,23 +85,23 @@
 	fmt.Fprintln(table, "\t\t\t\t\t\t\t\t\t\t")
 	fmt.Fprintln(table, "kind\t"+head)
 	for kind, t := range c.Kinds {
-		line(Kind(kind).String(), t)
+		line(RequestKind(kind).String(), t)
 	}
 	return table.Flush()
 }
 
-// Total sums the phases up.
+// Total is the sum over the phases.
 func (c *Counts) Total() Tally {
 	var sum Tally
 	for _, t := range c.Phases {
 		sum.Sent += t.Sent
 		sum.Answered += t.Answered
 		sum.Late += t.Late
-		sum.Refused += t.Refused
+		sum.Rejected += t.Rejected
 		sum.Failed += t.Failed
-		sum.Cut += t.Cut
-		sum.Unread += t.Unread
-		sum.Doubled += t.Doubled
+		sum.Interrupted += t.Interrupted
+		sum.NotRead += t.NotRead
+		sum.Duplicated += t.Duplicated
 		sum.Lost += t.Lost
 	}
 	return sum
