--- a/internal/rig/links/datagrams.go
+++ b/internal/rig/links/datagrams.go
@@ -7,92 +7,102 @@
 	"time"
 )
 
-const datagramsMost = 1024 // on the way at once: past that they are lost, as in a router's queue
+const (
+	maxDatagramsInFlight = 1024 // on one link; more are lost, as in a router's queue
+	maxDatagramBytes     = 64 << 10
+	maxPortAttempts      = 20 // a port that is free for TCP may not be for UDP
+)
 
-// AddBoth makes a link that carries datagrams as well, at the same address. Those go one way alone: who answers does so over
-// a link of its own. A cut or a loss takes them for good, as a network does.
-func (n *Net) AddBoth(from, to Party, target string) (*Link, error) {
+// AddWithDatagrams adds a link that relays datagrams as well, at the same address. These go forward alone: answers take a link of
+// their own. Partition and loss discard datagrams, as a network does.
+func (n *Network) AddWithDatagrams(source, destination Endpoint, target string) (*Link, error) {
 	var last error
-	for range 20 { // the port that was free for one may not be for the other
-		l, err := n.Add(from, to, target)
+	for range maxPortAttempts {
+		l, err := n.Add(source, destination, target)
 		if err != nil {
 			return nil, err
 		}
-		if last = l.takeDatagrams(); last == nil {
+		if last = l.listenDatagrams(); last == nil {
 			return l, nil
 		}
 		n.remove(l)
 	}
-	return nil, fmt.Errorf("no port that is free for both: %w", last)
+	return nil, fmt.Errorf("no port is free for both TCP and UDP: %w", last)
 }
 
-func (n *Net) remove(l *Link) {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	l.lock.Lock()
-	l.closed = true
-	l.quiet()
-	l.lock.Unlock()
-	for i, o := range n.links {
-		if o == l {
-			n.links = append(n.links[:i], n.links[i+1:]...)
-			break
-		}
-	}
-}
-
-func (l *Link) takeDatagrams() error {
-	at, err := net.ResolveUDPAddr("udp4", l.addr)
+// listenDatagrams starts the relay of datagrams.
+func (l *Link) listenDatagrams() error {
+	address, err := net.ResolveUDPAddr("udp4", l.address)
 	if err != nil {
 		return err
 	}
-	in, err := net.ListenUDP("udp4", at)
+	source, err := net.ListenUDP("udp4", address)
 	if err != nil {
 		return err
 	}
-	out, err := net.Dial("udp4", l.target)
+	target, err := net.Dial("udp4", l.target)
 	if err != nil {
-		in.Close()
+		source.Close()
 		return err
 	}
-	l.lock.Lock()
-	l.datagrams = in
-	l.lock.Unlock()
-	go l.pass(in, out)
+	l.mutex.Lock()
+	l.datagrams = source
+	l.mutex.Unlock()
+	go l.forwardDatagrams(source, target)
 	return nil
 }
 
-func (l *Link) pass(in *net.UDPConn, out net.Conn) {
-	defer out.Close()
-	b := make([]byte, 64<<10)
+// closeDatagrams ends the relay of datagrams. l.mutex must be held.
+func (l *Link) closeDatagrams() {
+	if l.datagrams != nil {
+		l.datagrams.Close()
+	}
+}
+
+// forwardDatagrams relays datagrams until the link is closed.
+func (l *Link) forwardDatagrams(source *net.UDPConn, target net.Conn) {
+	defer target.Close()
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, err := in.Read(b)
+		n, err := source.Read(buffer)
 		if err != nil {
-			if strings.Contains(err.Error(), "refused") { // an earlier one found nobody
+			if strings.Contains(err.Error(), "refused") { // of an earlier datagram, to a target that does not run
 				continue
 			}
 			return
 		}
-		l.lock.Lock()
-		w := l.ways[0]
-		lost := w.Cut || l.up == Refuses || l.flying >= datagramsMost || w.Loss > 0 && l.rng.Float64() < w.Loss
-		delay := w.Delay + w.Jitter*l.rng.Float64()
-		if l.Bytes[0] += int64(n); !lost {
-			l.flying++
-		}
-		l.lock.Unlock()
+		delay, lost := l.admitDatagram(n)
 		if lost {
 			continue
 		}
-		one := append([]byte(nil), b[:n]...)
-		time.AfterFunc(time.Duration(delay*1e6), func() {
-			l.lock.Lock()
-			l.flying--
-			gone := l.ways[0].Cut || l.closed
-			l.lock.Unlock()
-			if !gone {
-				out.Write(one)
+		datagram := append([]byte(nil), buffer[:n]...)
+		time.AfterFunc(delay, func() {
+			if l.releaseDatagram() {
+				target.Write(datagram)
 			}
 		})
 	}
 }
+
+// admitDatagram counts a datagram, and draws whether it is lost, and else its delay.
+func (l *Link) admitDatagram(bytes int) (delay time.Duration, lost bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	conditions := l.conditions[0]
+	lost = conditions.Partitioned || l.connectMode == ConnectRefused || l.datagramsInFlight >= maxDatagramsInFlight ||
+		conditions.LossRate > 0 && l.random.Float64() < conditions.LossRate
+	delay = milliseconds(conditions.DelayMs + conditions.JitterMs*l.random.Float64())
+	l.byteCount[0] += int64(bytes)
+	if !lost {
+		l.datagramsInFlight++
+	}
+	return delay, lost
+}
+
+// releaseDatagram ends the transit of a datagram, and reports whether it arrives.
+func (l *Link) releaseDatagram() bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.datagramsInFlight--
+	return !l.conditions[0].Partitioned && !l.closed
+}
--- a/internal/rig/links/links_test.go
+++ b/internal/rig/links/links_test.go
@@ -10,11 +10,11 @@
 )
 
 var (
-	a = Party{"a", "north"}
-	b = Party{"b", "south"}
+	a = Endpoint{"a", "north"}
+	b = Endpoint{"b", "south"}
 )
 
-// echo answers every byte.
+// echo starts a server that returns every byte, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,8 @@
 	return l.Addr().String()
 }
 
-func world(t *testing.T) (*Net, *Link) {
+// newTestLink is a network with one link from a to b, to an echo server.
+func newTestLink(t *testing.T) (*Network, *Link) {
 	n := New(1)
 	t.Cleanup(n.Close)
 	l, err := n.Add(a, b, echo(t))
@@ -46,8 +47,9 @@
 	return n, l
 }
 
+// dial connects through a link.
 func dial(t *testing.T, l *Link) net.Conn {
-	c, err := net.DialTimeout("tcp4", l.Addr(), 5*time.Second)
+	c, err := net.DialTimeout("tcp4", l.Address(), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,24 +57,25 @@
 	return c
 }
 
-// ask sends one byte and waits for it, or until a time-out.
-func ask(c net.Conn, within time.Duration) (time.Duration, error) {
+// echoByte sends one byte and waits until it returns, or a time-out.
+func echoByte(c net.Conn, within time.Duration) (time.Duration, error) {
 	start := time.Now()
 	if _, err := c.Write([]byte("x")); err != nil {
 		return 0, err
 	}
-	return hear(c, start, within)
+	return receiveByte(c, start, within)
 }
 
-func hear(c net.Conn, start time.Time, within time.Duration) (time.Duration, error) {
+// receiveByte waits for one byte, and returns the time since start.
+func receiveByte(c net.Conn, start time.Time, within time.Duration) (time.Duration, error) {
 	c.SetReadDeadline(time.Now().Add(within))
 	_, err := io.ReadFull(c, make([]byte, 1))
 	return time.Since(start), err
 }
 
 const (
-	soon  = 10 * time.Second // what must come comes far sooner, also on a busy machine
-	never = 150 * time.Millisecond
+	receiveTimeout = 10 * time.Second // what must come comes far sooner, also on a busy machine
+	silenceTimeout = 150 * time.Millisecond
 )
 
 func must(t *testing.T, err error) {
@@ -82,29 +85,30 @@
 	}
 }
 
-func silent(t *testing.T, err error) {
+// requireTimeout fails the test unless a read has timed out.
+func requireTimeout(t *testing.T, err error) {
 	t.Helper()
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal("not silent: ", err)
+		t.Fatal("no time-out: ", err)
 	}
 }
 
 func TestDelaysAddUpAndKeepOrder(t *testing.T) {
-	n, l := world(t)
-	n.Base = Between(Way{}, Way{Delay: 5})
-	lift := n.Lay(Fault{From: "@north", To: "b", There: Way{Delay: 20, Jitter: 10}})
+	n, l := newTestLink(t)
+	n.Base = BySite(Conditions{}, Conditions{DelayMs: 5})
+	remove := n.Inject(Fault{Source: "@north", Destination: "b", Forward: Conditions{DelayMs: 20, JitterMs: 10}})
 	c := dial(t, l)
-	took, err := ask(c, soon)
+	took, err := echoByte(c, receiveTimeout)
 	must(t, err)
 	if took < 30*time.Millisecond {
 		t.Error("only", took)
 	}
-	for i := range 50 { // chance must not turn bytes round
+	for i := range 50 { // jitter must not reorder bytes
 		c.Write([]byte{byte(i)})
 		time.Sleep(time.Millisecond / 2)
 	}
 	got := make([]byte, 50)
-	c.SetReadDeadline(time.Now().Add(soon))
+	c.SetReadDeadline(time.Now().Add(receiveTimeout))
 	_, err = io.ReadFull(c, got)
 	must(t, err)
 	for i, v := range got {
@@ -112,41 +116,41 @@
 			t.Fatal("order", got)
 		}
 	}
-	lift()
+	remove()
 	if opened, there, back := n.Stats("*", "@south"); opened != 1 || there != 51 || back != 51 {
 		t.Error("counted", opened, there, back)
 	}
 }
 
-func TestACutWithoutAWordHoldsBytesBackAndConnectsNeverComeUp(t *testing.T) {
-	n, l := world(t)
+func TestPartitionBlocksBytesAndConnects(t *testing.T) {
+	n, l := newTestLink(t)
 	c := dial(t, l)
-	_, err := ask(c, soon)
+	_, err := echoByte(c, receiveTimeout)
 	must(t, err)
-	lift := n.Lay(Fault{From: "@south", To: "@north", There: Way{Cut: true}, Back: Way{Cut: true}})
+	remove := n.Inject(Fault{Source: "@south", Destination: "@north", Forward: Conditions{Partitioned: true}, Reverse: Conditions{Partitioned: true}})
 	start := time.Now()
-	_, err = ask(c, never)
-	silent(t, err)
-	if d, err := net.DialTimeout("tcp4", l.Addr(), never); err == nil {
+	_, err = echoByte(c, silenceTimeout)
+	requireTimeout(t, err)
+	if d, err := net.DialTimeout("tcp4", l.Address(), silenceTimeout); err == nil {
 		d.Close()
 		t.Fatal("a connection came up")
 	}
-	lift()
-	_, err = hear(c, start, soon) // what was held back arrives
+	remove()
+	_, err = receiveByte(c, start, receiveTimeout) // the blocked byte arrives
 	must(t, err)
-	_, err = ask(dial(t, l), soon)
+	_, err = echoByte(dial(t, l), receiveTimeout)
 	must(t, err)
 }
 
-func TestOneWay(t *testing.T) {
-	n, l := world(t)
+func TestPartitionOfOneDirection(t *testing.T) {
+	n, l := newTestLink(t)
 	c := dial(t, l)
-	_, err := ask(c, soon)
+	_, err := echoByte(c, receiveTimeout)
 	must(t, err)
-	lift := n.Lay(Fault{From: "a", To: "b", Back: Way{Cut: true}}) // requests arrive, answers don't
-	_, err = ask(c, never)
-	silent(t, err)
-	for range 200 { // until the far end has it
+	remove := n.Inject(Fault{Source: "a", Destination: "b", Reverse: Conditions{Partitioned: true}}) // requests arrive, answers don't
+	_, err = echoByte(c, silenceTimeout)
+	requireTimeout(t, err)
+	for range 200 { // until the target has it
 		if _, there, _ := n.Stats("a", "b"); there >= 2 {
 			break
 		}
@@ -155,76 +159,76 @@
 	if _, there, _ := n.Stats("a", "b"); there != 2 {
 		t.Error("the request did not pass:", there)
 	}
-	lift()
-	_, err = hear(c, time.Now(), soon)
+	remove()
+	_, err = receiveByte(c, time.Now(), receiveTimeout)
 	must(t, err)
 }
 
 func TestRefusalsResetsAndHalfOpen(t *testing.T) {
-	n, l := world(t)
+	n, l := newTestLink(t)
 	c := dial(t, l)
-	_, err := ask(c, soon)
+	_, err := echoByte(c, receiveTimeout)
 	must(t, err)
-	lift := n.Lay(Fault{From: "a", To: "b", Connect: Refuses})
-	if _, err = net.DialTimeout("tcp4", l.Addr(), soon); err == nil {
+	remove := n.Inject(Fault{Source: "a", Destination: "b", Connect: ConnectRefused})
+	if _, err = net.DialTimeout("tcp4", l.Address(), receiveTimeout); err == nil {
 		t.Fatal("not refused")
 	}
-	_, err = ask(c, soon) // who is connected is not concerned
+	_, err = echoByte(c, receiveTimeout) // open connections are not affected
 	must(t, err)
-	lift()
+	remove()
 	d := dial(t, l)
-	_, err = ask(d, soon)
+	_, err = echoByte(d, receiveTimeout)
 	must(t, err)
-	if broken := n.Break("a", "b"); broken != 2 {
+	if broken := n.ResetConnections("a", "b"); broken != 2 {
 		t.Error("broke", broken)
 	}
-	if _, err = hear(c, time.Now(), soon); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err = receiveByte(c, time.Now(), receiveTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error("not reset: ", err)
 	}
 	e := dial(t, l)
-	_, err = ask(e, soon)
+	_, err = echoByte(e, receiveTimeout)
 	must(t, err)
-	if n.HalfOpen("a", "b") == 0 {
+	if n.MakeHalfOpen("a", "b") == 0 {
 		t.Error("nothing half open")
 	}
 }
 
 func TestRateAndLoss(t *testing.T) {
-	n, l := world(t)
+	n, l := newTestLink(t)
 	c := dial(t, l)
-	_, err := ask(c, soon)
+	_, err := echoByte(c, receiveTimeout)
 	must(t, err)
-	lift := n.Lay(Fault{From: "a", To: "b", There: Way{Rate: 1000}})
+	remove := n.Inject(Fault{Source: "a", Destination: "b", Forward: Conditions{RateKBps: 1000}})
 	start := time.Now()
 	go c.Write(make([]byte, 100<<10))
-	c.SetReadDeadline(time.Now().Add(soon))
+	c.SetReadDeadline(time.Now().Add(receiveTimeout))
 	_, err = io.ReadFull(c, make([]byte, 100<<10))
 	must(t, err)
 	if took := time.Since(start); took < 90*time.Millisecond {
 		t.Error("100 KB at 1 MB/s took", took)
 	}
-	lift()
-	n.Lay(Fault{From: "*", To: "*", There: Way{Loss: 1, Stall: 60}})
-	if took, err := ask(c, soon); err != nil || took < 60*time.Millisecond {
+	remove()
+	n.Inject(Fault{Source: "*", Destination: "*", Forward: Conditions{LossRate: 1, RetransmitMs: 60}})
+	if took, err := echoByte(c, receiveTimeout); err != nil || took < 60*time.Millisecond {
 		t.Error("a lost packet cost", took, err)
 	}
-	if (Way{Loss: 2}).Valid() == nil || (Way{Delay: -1}).Valid() == nil || (Way{Delay: 3, Loss: 0.5}).Valid() != nil {
+	if (Conditions{LossRate: 2}).Validate() == nil || (Conditions{DelayMs: -1}).Validate() == nil || (Conditions{DelayMs: 3, LossRate: 0.5}).Validate() != nil {
 		t.Error("unsound ways")
 	}
 }
 
-func TestDatagramsPassUntilACut(t *testing.T) {
+func TestPartitionDropsDatagrams(t *testing.T) {
 	in, err := net.ListenPacket("udp4", echo(t)) // the same address takes connections
 	must(t, err)
 	defer in.Close()
 	n := New(1)
 	t.Cleanup(n.Close)
-	l, err := n.AddBoth(a, b, in.LocalAddr().String())
+	l, err := n.AddWithDatagrams(a, b, in.LocalAddr().String())
 	must(t, err)
-	out, err := net.Dial("udp4", l.Addr())
+	out, err := net.Dial("udp4", l.Address())
 	must(t, err)
 	defer out.Close()
-	hears := func(within time.Duration) error {
+	receive := func(within time.Duration) error {
 		in.SetReadDeadline(time.Now().Add(within))
 		_, _, err := in.ReadFrom(make([]byte, 10))
 		return err
@@ -234,30 +238,30 @@
 		_, err := out.Write([]byte("x"))
 		must(t, err)
 	}
-	lift := n.Lay(Fault{From: "a", To: "b", There: Way{Delay: 30}})
+	remove := n.Inject(Fault{Source: "a", Destination: "b", Forward: Conditions{DelayMs: 30}})
 	start := time.Now()
 	send()
-	must(t, hears(soon))
+	must(t, receive(receiveTimeout))
 	if took := time.Since(start); took < 30*time.Millisecond {
 		t.Error("only", took)
 	}
-	lift()
-	lift = n.Lay(Fault{From: "a", To: "b", There: Way{Cut: true}})
+	remove()
+	remove = n.Inject(Fault{Source: "a", Destination: "b", Forward: Conditions{Partitioned: true}})
 	send()
-	silent(t, hears(never))
-	lift()
-	silent(t, hears(never)) // a datagram that met a cut is gone, where a connection's bytes would come now
-	back := n.Lay(Fault{From: "a", To: "b", Back: Way{Cut: true}})
+	requireTimeout(t, receive(silenceTimeout))
+	remove()
+	requireTimeout(t, receive(silenceTimeout)) // a datagram that was blocked is lost, where a connection's bytes would arrive now
+	back := n.Inject(Fault{Source: "a", Destination: "b", Reverse: Conditions{Partitioned: true}})
 	send()
-	must(t, hears(soon)) // the other way is another link's
+	must(t, receive(receiveTimeout)) // the other direction takes another link
 	back()
 	if _, there, _ := n.Stats("a", "b"); there != 3 {
 		t.Error("counted", there)
 	}
-	lift = n.Lay(Fault{From: "a", To: "b", There: Way{Loss: 1}})
+	remove = n.Inject(Fault{Source: "a", Destination: "b", Forward: Conditions{LossRate: 1}})
 	send()
-	silent(t, hears(never))
-	lift()
-	_, err = ask(dial(t, l), soon)
+	requireTimeout(t, receive(silenceTimeout))
+	remove()
+	_, err = echoByte(dial(t, l), receiveTimeout)
 	must(t, err)
 }
--- a/internal/rig/scenario/bound.go
+++ b/internal/rig/scenario/bound.go
@@ -54,9 +54,9 @@
 		if at < t.from || at >= t.to {
 			continue
 		}
-		if t.To == "" {
+		if t.Destination == "" {
 			for i := range w.Sites {
-				if w.whole(t.From, i) {
+				if w.whole(t.Source, i) {
 					lost = append(lost, i)
 				}
 			}
@@ -64,11 +64,11 @@
 		}
 		for a := range w.Sites {
 			// Clients of a site whose own brokers they do not reach come in at the others'.
-			if (t.From == "*" || t.From == "clients-"+w.Sites[a].Name) && w.whole(t.To, a) {
+			if (t.Source == "*" || t.Source == "clients-"+w.Sites[a].Name) && w.whole(t.Destination, a) {
 				moved = append(moved, a)
 			}
 			for b := range w.Sites {
-				if w.whole(t.From, a) && w.whole(t.To, b) || w.whole(t.From, b) && w.whole(t.To, a) {
+				if w.whole(t.Source, a) && w.whole(t.Destination, b) || w.whole(t.Source, b) && w.whole(t.Destination, a) {
 					m.Cut(a, b) // a handshake and an answer need both ways
 				}
 			}
--- a/internal/rig/scenario/clients.go
+++ b/internal/rig/scenario/clients.go
@@ -40,7 +40,7 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 5 * time.Second,
 			DialContext: (&net.Dialer{Timeout: 250 * time.Millisecond}).DialContext}}}
 	for _, b := range w.brokers {
-		l, err := w.net.Add(links.Party{Name: "clients-" + w.Sites[site].Name, Site: "outside"}, links.Party{Name: b.name, Site: w.Sites[b.site].Name}, b.listen)
+		l, err := w.net.Add(links.Endpoint{Name: "clients-" + w.Sites[site].Name, Site: "outside"}, links.Endpoint{Name: b.name, Site: w.Sites[b.site].Name}, b.listen)
 		if err != nil {
 			return nil, err
 		}
@@ -75,7 +75,7 @@
 func (f *front) check(at int) {
 	ctx, end := context.WithTimeout(context.Background(), time.Duration(max(f.w.Clients.Check, 100)*1e6))
 	defer end()
-	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+f.links[at].Addr()+"/ready", nil)
+	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+f.links[at].Address()+"/ready", nil)
 	resp, err := f.client.Do(req)
 	if err == nil {
 		io.Copy(io.Discard, resp.Body)
@@ -228,7 +228,7 @@
 			break
 		}
 		ctx, end := context.WithTimeout(context.Background(), time.Duration((left+300)*1e6))
-		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.links[at].Addr()+"/api", strings.NewReader(body.String()))
+		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.links[at].Address()+"/api", strings.NewReader(body.String()))
 		req.Header.Set("X-Call-Id", id)
 		req.Header.Set("X-Call-Class", t.Name)
 		req.Header.Set("X-Budget-Ms", strconv.Itoa(int(left)))
@@ -267,7 +267,7 @@
 		}
 		// What a stopped process or a cut on the way to its client kept past its time is no broker's late word: it could not
 		// say it sooner, or has. The client has left by then.
-		if w.now() > until && (w.brokers[at].stood(sent) || f.links[at].Held(sent)) {
+		if w.now() > until && (w.brokers[at].stood(sent) || f.links[at].PartitionedSince(sent)) {
 			w.lock.Lock()
 			w.book.Left(id)
 			w.lock.Unlock()
--- a/internal/rig/scenario/faults.go
+++ b/internal/rig/scenario/faults.go
@@ -29,26 +29,26 @@
 	case "lose":
 		undo = w.lose(l)
 	case "cut":
-		f := links.Fault{From: l.From, To: l.To}
-		f.There.Cut, f.Back.Cut = l.Way != "back", l.Way != "there"
+		f := links.Fault{Source: l.From, Destination: l.To}
+		f.Forward.Partitioned, f.Reverse.Partitioned = l.Way != "back", l.Way != "there"
 		w.lost(l.From, l.To, true)
 		over := w.truth(f)
-		lift := w.net.Lay(f)
+		lift := w.net.Inject(f)
 		undo = func() {
 			lift()
 			over()
 			w.lost(l.From, l.To, false)
 		}
 	case "links":
-		undo = w.net.Lay(links.Fault{From: l.From, To: l.To, There: l.Link, Back: l.Link})
+		undo = w.net.Inject(links.Fault{Source: l.From, Destination: l.To, Forward: l.Link, Reverse: l.Link})
 	case "refuse":
-		undo = w.net.Lay(links.Fault{From: l.From, To: l.To, Connect: links.Refuses})
+		undo = w.net.Inject(links.Fault{Source: l.From, Destination: l.To, Connect: links.ConnectRefused})
 	case "sleep-owner":
 		undo, err = w.quorum.sleepOwner()
 	case "reset":
-		w.net.Break(l.From, l.To)
+		w.net.ResetConnections(l.From, l.To)
 	case "half-open":
-		w.net.HalfOpen(l.From, l.To)
+		w.net.MakeHalfOpen(l.From, l.To)
 	case "load":
 		w.lock.Lock()
 		w.times = l.Times
@@ -140,10 +140,10 @@
 		}
 	}
 	w.mark(at, true, false)
-	over := w.truth(links.Fault{From: l.On})
-	cut := links.Way{Cut: true}
-	lift := w.net.Lay(links.Fault{From: "*", To: l.On, There: cut, Back: cut})
-	liftToo := w.net.Lay(links.Fault{From: l.On, To: "*", There: cut, Back: cut})
+	over := w.truth(links.Fault{Source: l.On})
+	cut := links.Conditions{Partitioned: true}
+	lift := w.net.Inject(links.Fault{Source: "*", Destination: l.On, Forward: cut, Reverse: cut})
+	liftToo := w.net.Inject(links.Fault{Source: l.On, Destination: "*", Forward: cut, Reverse: cut})
 	var mine []*server
 	for _, s := range w.servers {
 		if s.Site == at {
@@ -161,8 +161,8 @@
 		for _, s := range mine {
 			s.frames.Die()
 		}
-		w.net.Break("*", l.On)
-		w.net.Break(l.On, "*")
+		w.net.ResetConnections("*", l.On)
+		w.net.ResetConnections(l.On, "*")
 		for _, s := range mine {
 			w.rise(s, l.NewIDs)
 		}
--- a/internal/rig/scenario/file.go
+++ b/internal/rig/scenario/file.go
@@ -93,8 +93,8 @@
 
 // Links are the ways within a site and between two.
 type Links struct {
-	Within  links.Way `json:"within"`
-	Between links.Way `json:"between"`
+	Within  links.Conditions `json:"within"`
+	Between links.Conditions `json:"between"`
 }
 
 // List tells how soon the list of servers follows what happens.
@@ -115,7 +115,7 @@
 	Share  float64   `json:"share,omitempty"`
 	Times  float64   `json:"times,omitempty"`
 	Ms     float64   `json:"ms,omitempty"`
-	Link   links.Way `json:"link,omitzero"`
+	Link   links.Conditions `json:"link,omitzero"`
 	NewIDs bool      `json:"new-ids,omitempty"`
 	Every  float64   `json:"every-s,omitempty"`
 	Until  float64   `json:"until-s,omitempty"`
@@ -248,7 +248,7 @@
 	needs := map[string]string{"lose": "on", "cut": "from to", "links": "from to link", "refuse": "from to", "reset": "from to", "half-open": "from to",
 		"slow": "on times", "mute": "on", "fail": "on", "kill": "on", "stop": "on", "freeze-list": "on", "late-list": "on ms", "load": "times", "sleep-owner": "", "lose-disk": "on"}
 	for i, l := range f.Line {
-		have := map[string]bool{"on": l.On != "", "from": l.From != "", "to": l.To != "", "times": l.Times > 0, "ms": l.Ms > 0, "link": l.Link != links.Way{}}
+		have := map[string]bool{"on": l.On != "", "from": l.From != "", "to": l.To != "", "times": l.Times > 0, "ms": l.Ms > 0, "link": l.Link != links.Conditions{}}
 		for _, need := range strings.Fields(needs[l.Do]) {
 			if !have[need] {
 				wrong("/line/%d: %s needs %s", i, l.Do, need)
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/owners.go
@@ -115,7 +115,7 @@
 	o := q.w.Owners
 	var voters []m
 	mine := false
-	here := links.Party{Name: b.name, Site: q.w.Sites[b.site].Name}
+	here := links.Endpoint{Name: b.name, Site: q.w.Sites[b.site].Name}
 	for k := range o.Voters {
 		v := q.voter(k)
 		if v == b {
@@ -123,18 +123,18 @@
 			voters = append(voters, m{"name": v.name, "address": q.talkAt(v)})
 			continue
 		}
-		l, err := q.w.net.Add(here, links.Party{Name: v.name, Site: q.w.Sites[v.site].Name}, q.talkAt(v))
+		l, err := q.w.net.Add(here, links.Endpoint{Name: v.name, Site: q.w.Sites[v.site].Name}, q.talkAt(v))
 		if err != nil {
 			return nil, err
 		}
-		voters = append(voters, m{"name": v.name, "address": l.Addr()})
+		voters = append(voters, m{"name": v.name, "address": l.Address()})
 	}
-	l, err := q.w.net.Add(here, links.Party{Name: "receiver", Site: "outside"}, q.to.Listener.Addr().String())
+	l, err := q.w.net.Add(here, links.Endpoint{Name: "receiver", Site: "outside"}, q.to.Listener.Addr().String())
 	if err != nil {
 		return nil, err
 	}
 	part := m{"voters": voters, "lease-ms": o.Lease,
-		"duties": m{"drill": m{"url": "http://" + l.Addr() + "/", "count": o.Duties, "every-ms": o.Every, "marks": 3}}}
+		"duties": m{"drill": m{"url": "http://" + l.Address() + "/", "count": o.Duties, "every-ms": o.Every, "marks": 3}}}
 	if o.Return {
 		part["duties"].(m)["return"] = m{}
 	}
@@ -173,7 +173,7 @@
 	if b == nil {
 		return nil, fmt.Errorf("nobody owns anything")
 	}
-	lift := q.w.net.Lay(links.Fault{From: b.name, To: "receiver", There: links.Way{Cut: true}})
+	lift := q.w.net.Inject(links.Fault{Source: b.name, Destination: "receiver", Forward: links.Conditions{Partitioned: true}})
 	q.w.afterMs(3*q.w.Owners.Every, func() { b.signal(syscall.SIGSTOP) })
 	return func() {
 		lift()
--- a/internal/rig/scenario/play.go
+++ b/internal/rig/scenario/play.go
@@ -30,7 +30,7 @@
 	*File
 	opt      Options
 	zero     time.Time
-	net      *links.Net
+	net      *links.Network
 	servers  []*server
 	brokers  []*process
 	fronts   []*front
@@ -79,7 +79,7 @@
 	w := &world{File: f, opt: opt, zero: time.Now(), net: links.New(f.Seed), book: rules.New(), times: 1, undo: map[string]func(){},
 		rng: rand.New(rand.NewPCG(f.Seed, 5)), frozen: map[string]bool{}, late: map[string]float64{}}
 	w.book.Slack = f.slack // this process's own scheduling and the links' are no fault of a broker's
-	w.net.Base = links.Between(f.Links.Within, f.Links.Between)
+	w.net.Base = links.BySite(f.Links.Within, f.Links.Between)
 	for range f.Sites {
 		w.lostNow, w.cutNow = append(w.lostNow, math.Inf(-1)), append(w.cutNow, false)
 	}
@@ -147,7 +147,7 @@
 	}
 	for i, b := range w.brokers {
 		for _, s := range w.servers {
-			l, err := w.net.Add(links.Party{Name: b.name, Site: w.Sites[b.site].Name}, links.Party{Name: s.Name, Site: w.Sites[s.Site].Name}, s.frames.Addr().String())
+			l, err := w.net.Add(links.Endpoint{Name: b.name, Site: w.Sites[b.site].Name}, links.Endpoint{Name: s.Name, Site: w.Sites[s.Site].Name}, s.frames.Addr().String())
 			if err != nil {
 				return err
 			}
@@ -175,11 +175,11 @@
 				if i == j {
 					continue
 				}
-				l, err := w.net.AddBoth(links.Party{Name: b.name, Site: w.Sites[b.site].Name}, links.Party{Name: o.name, Site: w.Sites[o.site].Name}, w.talker(j))
+				l, err := w.net.AddWithDatagrams(links.Endpoint{Name: b.name, Site: w.Sites[b.site].Name}, links.Endpoint{Name: o.name, Site: w.Sites[o.site].Name}, w.talker(j))
 				if err != nil {
 					return err
 				}
-				b.via[w.talker(j)] = l.Addr()
+				b.via[w.talker(j)] = l.Address()
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 func (w *world) entry(s *server, broker int) sockets.Instance {
-	e := sockets.Instance{ID: s.id, Addr: s.links[broker].Addr(), Zone: w.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.state, Weight: 1}
+	e := sockets.Instance{ID: s.id, Addr: s.links[broker].Address(), Zone: w.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.state, Weight: 1}
 	if s.started > 0 {
 		e.Started = w.zero.UnixMilli() + int64(s.started)
 	}
