--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -13,8 +13,8 @@
 	"kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/aggregator/settings"
 	"kestrelspread/internal/fleet/zonefailure"
+	"kestrelspread/internal/grpcproxy"
 	"kestrelspread/internal/operator"
-	"kestrelspread/internal/passthrough"
 )
 
 // Read reads an operator's file and checks it whole.
@@ -88,9 +88,9 @@
 			p.Log.Info().Strs("first", s.Order.Describe(Names(p.Set))).Msg("an order of refusals")
 		}
 		sees := &sightings{}
-		port, sighted := p.Router.Port().(*zonefailure.Port)
+		port, sighted := p.Router.Port().(*zonefailure.Interceptor)
 		if sighted {
-			port.Changed = sees.changed
+			port.OnChange = sees.changed
 		}
 		last := func(end func()) {
 			before := on.End
@@ -128,7 +128,7 @@
 		if err := p.Loop.Listen(listen); err != nil {
 			return on, fmt.Errorf("%s: %w", listen, err)
 		}
-		front := passthrough.New(p.Router, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
+		front := grpcproxy.New(p.Router, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
 		p.Router.Add(front)
 		p.Log.Info().Str("listen", fmt.Sprintf("%v:%d", listen.Addr(), p.Loop.Port(1))).
 			Int("routes", s.GRPC.Rules.Table.Len()).Msg("serving gRPC")
--- a/internal/passthrough/front.go
+++ b/internal/grpcproxy/front.go
@@ -1,11 +1,11 @@
-// Package passthrough is the gRPC front and its carrier: calls in over HTTP/2, each a search of one part, and on to the
+// Package grpcproxy is the gRPC front and its carrier: calls in over HTTP/2, each a search of one part, and on to the
 // servers that the module chooses. It is a reducer like routing, in the same loop: connections' bytes in, effects out,
 // no goroutine, no clock and no socket of its own, so that it runs unchanged under a virtual clock.
 //
 // It decides nothing about servers. Which gets a call, whether a call is repeated, copied or shed is the module's, asked
 // through routing; which connection a stream takes is the channels' pool's; what is said of a call is its route's. What is
 // here is the bytes: they pass as they came, messages are never taken apart.
-package passthrough
+package grpcproxy
 
 import (
 	"math"
@@ -16,7 +16,7 @@
 
 	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/channels"
+	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
@@ -31,7 +31,7 @@
 	r       *engine.Router
 	rules   *Rules
 	shards  int
-	pool    *channels.Pool
+	pool    *connpool.Pool
 	rand    uint64
 	servers []target
 	lines   []*line // by channel
@@ -64,7 +64,7 @@
 func New(r *engine.Router, rules *Rules, shards int, seed uint64) *Front {
 	f := &Front{r: r, rules: rules, shards: shards, rand: seed | 1, clients: map[*client]bool{}, byOwner: map[int]int{},
 		killed: math.Inf(1), tickAt: math.Inf(1)}
-	f.pool = channels.New((*carrier)(f), rules.Channels, f.roll)
+	f.pool = connpool.New((*carrier)(f), rules.Channels, f.roll)
 	return f
 }
 
@@ -149,10 +149,10 @@
 func (f *Front) Stopping(killed float64) {
 	f.killed = killed
 	for _, c := range f.inOrder() {
-		c.h.Warn()
+		c.h.StartGracefulShutdown()
 		f.touch(c)
-		for _, s := range c.h.All() {
-			if k, ok := s.Of.(*call); ok {
+		for _, s := range c.h.Streams() {
+			if k, ok := s.UserData.(*call); ok {
 				k.mind()
 			}
 		}
@@ -163,7 +163,7 @@
 func (f *Front) Leaving() {
 	f.leaving = true
 	for _, c := range f.inOrder() {
-		c.h.Farewell(http2.ErrCodeNo)
+		c.h.GoAway(http2.ErrCodeNo)
 		f.touch(c)
 	}
 }
@@ -196,11 +196,11 @@
 	}
 	if len(f.clients) > min(f.rules.Limits.Connections, f.r.Room()) || f.leaving {
 		f.Count.Refused++
-		c.h.Farewell(http2.ErrCodeEnhanceYourCalm)
+		c.h.GoAway(http2.ErrCodeEnhanceYourCalm)
 		c.ending = true
 	}
 	if !math.IsInf(f.killed, 1) {
-		c.h.Warn()
+		c.h.StartGracefulShutdown()
 	}
 	f.touch(c)
 	c.mind()
@@ -257,7 +257,7 @@
 
 func (o *carrier) front() *Front { return (*Front)(o) }
 
-// Open implements channels.Out: a connection to a server is begun.
+// Open implements connpool.Out: a connection to a server is begun.
 func (o *carrier) Open(server, channel int) bool {
 	f := o.front()
 	l := &line{f: f, server: server, channel: channel, attempts: map[*attempt]bool{}}
@@ -274,29 +274,29 @@
 	return true
 }
 
-// Begin implements channels.Out: an attempt has its place on a connection.
-func (o *carrier) Begin(channel int, t channels.Token) { o.front().lines[channel].begin(t.(*attempt)) }
+// Begin implements connpool.Out: an attempt has its place on a connection.
+func (o *carrier) Begin(channel int, t connpool.Token) { o.front().lines[channel].begin(t.(*attempt)) }
 
-// Refuse implements channels.Out: an attempt gets no place, and ends.
-func (o *carrier) Refuse(t channels.Token, why channels.Why) {
+// Refuse implements connpool.Out: an attempt gets no place, and ends.
+func (o *carrier) Refuse(t connpool.Token, why connpool.Why) {
 	a := t.(*attempt)
 	switch why {
-	case channels.Unreachable:
-		a.ended(grpcwire.NoConnect)
-	case channels.NoPlace:
-		a.ended(grpcwire.NoPlace)
-	case channels.NoSocket:
-		a.ended(grpcwire.NeverBegun)
+	case connpool.Unreachable:
+		a.ended(grpcwire.ConnectFailed)
+	case connpool.NoPlace:
+		a.ended(grpcwire.NoStreamAvailable)
+	case connpool.NoSocket:
+		a.ended(grpcwire.NotSent)
 	default:
 		if !o.front().servers[a.server].has {
 			a.ended(grpcwire.NoAddress)
 			return
 		}
-		a.ended(grpcwire.Withdrawn)
+		a.ended(grpcwire.ServerDraining)
 	}
 }
 
-// Close implements channels.Out: a connection is given up.
+// Close implements connpool.Out: a connection is given up.
 func (o *carrier) Close(channel int) {
 	f := o.front()
 	l := f.lines[channel]
@@ -304,7 +304,7 @@
 	l.closing()
 }
 
-// Ping implements channels.Out: a connection is asked for a sign of life.
+// Ping implements connpool.Out: a connection is asked for a sign of life.
 func (o *carrier) Ping(channel int) {
 	f := o.front()
 	f.lines[channel].h.Ping()
--- a/internal/rig/scenario/count.go
+++ b/internal/rig/scenario/count.go
@@ -4,30 +4,36 @@
 
 // counts is what clients saw, by query type and by the second in which they asked first.
 type counts struct {
-	types []kindCounts
+	types []typeCounts
 	file  *File
 }
 
-type kindCounts struct {
-	seconds []Tally
-	took    *hdrhistogram.Histogram // ms, of those that were answered
+type typeCounts struct {
+	seconds   []Tally
+	latencyMs *hdrhistogram.Histogram // ms, of those that were answered
 }
 
 // Tally is what became of the searches that began in a second.
 type Tally struct {
-	Offered, InTime, Late, InPart, Shed, Errored, Nobody int
-	Value                                                float64
+	Offered    int     `json:"Offered"`
+	InTime     int     `json:"InTime"`
+	Late       int     `json:"Late"`
+	Incomplete int     `json:"InPart"` // incomplete, and in time
+	Shed       int     `json:"Shed"`
+	Errored    int     `json:"Errored"`
+	NoBroker   int     `json:"Nobody"` // no broker accepted the search
+	Value      float64 `json:"Value"`
 }
 
 func newCounts(f *File) *counts {
-	c := &counts{types: make([]kindCounts, len(f.Types)), file: f}
+	c := &counts{types: make([]typeCounts, len(f.Types)), file: f}
 	for i := range c.types {
-		c.types[i].took = hdrhistogram.New(1, 120000, 2)
+		c.types[i].latencyMs = hdrhistogram.New(1, 120000, 2)
 	}
 	return c
 }
 
-func (c *counts) at(kind int, ms float64) *Tally {
+func (c *counts) tally(kind int, ms float64) *Tally {
 	k, i := &c.types[kind], max(int(ms/1000), 0)
 	for len(k.seconds) <= i {
 		k.seconds = append(k.seconds, Tally{})
@@ -35,35 +41,35 @@
 	return &k.seconds[i]
 }
 
-func (c *counts) offered(kind int, begin float64) { c.at(kind, begin).Offered++ }
+func (c *counts) offered(kind int, begin float64) { c.tally(kind, begin).Offered++ }
 
-func (c *counts) ended(kind int, begin, took float64, end how) {
-	t, at := c.file.Types[kind], c.at(kind, begin)
-	if end == answered || end == inPart {
-		c.types[kind].took.RecordValue(max(int64(took), 1))
+func (c *counts) ended(kind int, begin, took float64, end attemptOutcome) {
+	t, at := c.file.Types[kind], c.tally(kind, begin)
+	if end == answered || end == incomplete {
+		c.types[kind].latencyMs.RecordValue(max(int64(took), 1))
 	}
 	switch {
 	case end == shed:
 		at.Shed++
-	case end == errored:
+	case end == failed:
 		at.Errored++
-	case end == nobody:
-		at.Nobody++
-	case took <= t.Target:
+	case end == noBroker:
+		at.NoBroker++
+	case took <= t.TargetMs:
 		at.InTime++
 		at.Value += t.Value
-		if end == inPart {
-			at.InPart++
+		if end == incomplete {
+			at.Incomplete++
 		}
 	default:
 		at.Late++
-		at.Value += t.Value * *t.Late
+		at.Value += t.Value * *t.LateValue
 	}
 }
 
 // quantile of the times that answers took, in ms.
 func (c *counts) quantile(kind int, percent float64) float64 {
-	return float64(c.types[kind].took.ValueAtQuantile(percent))
+	return float64(c.types[kind].latencyMs.ValueAtQuantile(percent))
 }
 
 // sum adds up some seconds.
@@ -73,10 +79,10 @@
 			s.Offered += t.Offered
 			s.InTime += t.InTime
 			s.Late += t.Late
-			s.InPart += t.InPart
+			s.Incomplete += t.Incomplete
 			s.Shed += t.Shed
 			s.Errored += t.Errored
-			s.Nobody += t.Nobody
+			s.NoBroker += t.NoBroker
 			s.Value += t.Value
 		}
 	}
--- a/internal/rig/scenario/faults.go
+++ b/internal/rig/scenario/faults.go
@@ -9,14 +9,14 @@
 	"kestrelspread/internal/rig/links"
 )
 
-// take carries out one step of the schedule.
-func (w *world) take(s Step) error {
-	l, key := s.What, fmt.Sprint(s.Fault, ".", s.Party)
+// applyStep carries out one step of the schedule.
+func (run *runner) applyStep(s Step) error {
+	l, key := s.Fault, fmt.Sprint(s.FaultIndex, ".", s.Target)
 	if s.Ends {
-		w.lock.Lock()
-		u := w.undo[key]
-		delete(w.undo, key)
-		w.lock.Unlock()
+		run.mutex.Lock()
+		u := run.activeFaults[key]
+		delete(run.activeFaults, key)
+		run.mutex.Unlock()
 		if u != nil {
 			u()
 		}
@@ -24,135 +24,135 @@
 	}
 	var undo func()
 	var err error
-	v, b := w.server(s.Party), w.broker(s.Party)
-	switch l.Do {
+	v, b := run.server(s.Target), run.broker(s.Target)
+	switch l.Action {
 	case "lose":
-		undo = w.lose(l)
+		undo = run.loseSite(l)
 	case "cut":
-		f := links.Fault{Source: l.From, Destination: l.To}
-		f.Forward.Partitioned, f.Reverse.Partitioned = l.Way != "back", l.Way != "there"
-		w.lost(l.From, l.To, true)
-		over := w.truth(f)
-		lift := w.net.Inject(f)
+		f := links.Fault{Source: l.Source, Destination: l.Destination}
+		f.Forward.Partitioned, f.Reverse.Partitioned = l.Direction != "back", l.Direction != "there"
+		run.recordPartition(l.Source, l.Destination, true)
+		over := run.recordFault(f)
+		lift := run.network.Inject(f)
 		undo = func() {
 			lift()
 			over()
-			w.lost(l.From, l.To, false)
+			run.recordPartition(l.Source, l.Destination, false)
 		}
 	case "links":
-		undo = w.net.Inject(links.Fault{Source: l.From, Destination: l.To, Forward: l.Link, Reverse: l.Link})
+		undo = run.network.Inject(links.Fault{Source: l.Source, Destination: l.Destination, Forward: l.Conditions, Reverse: l.Conditions})
 	case "refuse":
-		undo = w.net.Inject(links.Fault{Source: l.From, Destination: l.To, Connect: links.ConnectRefused})
+		undo = run.network.Inject(links.Fault{Source: l.Source, Destination: l.Destination, Connect: links.ConnectRefused})
 	case "sleep-owner":
-		undo, err = w.quorum.sleepOwner()
+		undo, err = run.leases.suspendHolder()
 	case "reset":
-		w.net.ResetConnections(l.From, l.To)
+		run.network.ResetConnections(l.Source, l.Destination)
 	case "half-open":
-		w.net.MakeHalfOpen(l.From, l.To)
+		run.network.MakeHalfOpen(l.Source, l.Destination)
 	case "load":
-		w.lock.Lock()
-		w.times = l.Times
-		w.lock.Unlock()
+		run.mutex.Lock()
+		run.loadFactor = l.Factor
+		run.mutex.Unlock()
 		undo = func() {
-			w.lock.Lock()
-			w.times = 1
-			w.lock.Unlock()
+			run.mutex.Lock()
+			run.loadFactor = 1
+			run.mutex.Unlock()
 		}
 	case "freeze-list", "late-list":
-		w.lock.Lock()
-		defer w.lock.Unlock()
-		if v != nil && l.Do == "freeze-list" {
-			w.frozen[v.Name] = true
+		run.mutex.Lock()
+		defer run.mutex.Unlock()
+		if v != nil && l.Action == "freeze-list" {
+			run.frozenServers[v.Name] = true
 			undo = func() {
-				w.lock.Lock()
-				delete(w.frozen, v.Name)
-				w.lock.Unlock()
-				w.tell(v, 0)
+				run.mutex.Lock()
+				delete(run.frozenServers, v.Name)
+				run.mutex.Unlock()
+				run.updateDiscovery(v, 0)
 			}
 		} else if b != nil {
-			w.late[b.name] = l.Ms
-			if l.Do == "freeze-list" {
-				w.late[b.name] = math.Inf(1)
+			run.discoveryLagMs[b.name] = l.DelayMs
+			if l.Action == "freeze-list" {
+				run.discoveryLagMs[b.name] = math.Inf(1)
 			}
 			undo = func() {
-				w.lock.Lock()
-				delete(w.late, b.name)
-				w.lock.Unlock()
-				for _, s := range w.servers {
-					w.tellOne(s, b, 0)
+				run.mutex.Lock()
+				delete(run.discoveryLagMs, b.name)
+				run.mutex.Unlock()
+				for _, s := range run.servers {
+					run.updateDiscoveryAt(s, b, 0)
 				}
 			}
 		}
-		w.undo[key] = undo
+		run.activeFaults[key] = undo
 		return nil
 	default:
 		switch {
 		case v != nil:
-			undo, err = w.hurt(v, l)
-		case b != nil && l.Do == "lose-disk":
-			undo, err = w.quorum.loseDisk(b)
+			undo, err = run.injectServerFault(v, l)
+		case b != nil && l.Action == "lose-disk":
+			undo, err = run.leases.loseDisk(b)
 		case b != nil:
-			undo, err = b.hurt(l)
+			undo, err = b.injectFault(l)
 		default:
-			err = fmt.Errorf("nobody is called %q", s.Party)
+			err = fmt.Errorf("nobody is called %q", s.Target)
 		}
 	}
 	if undo != nil {
-		w.lock.Lock()
-		w.undo[key] = undo
-		w.lock.Unlock()
+		run.mutex.Lock()
+		run.activeFaults[key] = undo
+		run.mutex.Unlock()
 	}
 	return err
 }
 
-// lost notes that what lies at a site can't be reached from elsewhere, for the bound and for false alarms.
-func (w *world) lost(from, to string, on bool) {
-	for at, s := range w.Sites {
+// recordPartition notes that what lies at a site can't be reached from elsewhere, for the bound and for false alarms.
+func (run *runner) recordPartition(from, to string, on bool) {
+	for at, s := range run.Sites {
 		if name := "@" + s.Name; name != from && name != to || from == "*" && to == "*" {
 			continue
 		}
-		if name := "@" + s.Name; name == to && from != "*" && len(w.Sites) > 2 && from != name {
+		if name := "@" + s.Name; name == to && from != "*" && len(run.Sites) > 2 && from != name {
 			continue // a way between two sites: both serve their own
 		}
-		w.mark(at, on, true)
+		run.recordSiteLoss(at, on, true)
 	}
 }
 
-func (w *world) mark(at int, on, cut bool) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
+func (run *runner) recordSiteLoss(at int, on, cut bool) {
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
 	switch {
-	case on && math.IsInf(w.lostNow[at], -1):
-		w.lostNow[at], w.cutNow[at] = w.now(), cut
-	case !on && !math.IsInf(w.lostNow[at], -1):
-		w.lostEver = append(w.lostEver, span{at, w.lostNow[at], w.now(), w.cutNow[at]})
-		w.lostNow[at] = math.Inf(-1)
+	case on && math.IsInf(run.siteLostSinceMs[at], -1):
+		run.siteLostSinceMs[at], run.sitePartitioned[at] = run.now(), cut
+	case !on && !math.IsInf(run.siteLostSinceMs[at], -1):
+		run.siteLosses = append(run.siteLosses, siteLoss{at, run.siteLostSinceMs[at], run.now(), run.sitePartitioned[at]})
+		run.siteLostSinceMs[at] = math.Inf(-1)
 	}
 }
 
-// lose takes a site's machines away without a word, and its brokers with them. They return cold.
-func (w *world) lose(l Fault) func() {
-	name := strings.TrimPrefix(l.On, "@")
+// loseSite takes a site's machines away without a word, and its brokers with them. They return cold.
+func (run *runner) loseSite(l Fault) func() {
+	name := strings.TrimPrefix(l.Target, "@")
 	at := 0
-	for i, s := range w.Sites {
+	for i, s := range run.Sites {
 		if s.Name == name {
 			at = i
 		}
 	}
-	w.mark(at, true, false)
-	over := w.truth(links.Fault{Source: l.On})
+	run.recordSiteLoss(at, true, false)
+	over := run.recordFault(links.Fault{Source: l.Target})
 	cut := links.Conditions{Partitioned: true}
-	lift := w.net.Inject(links.Fault{Source: "*", Destination: l.On, Forward: cut, Reverse: cut})
-	liftToo := w.net.Inject(links.Fault{Source: l.On, Destination: "*", Forward: cut, Reverse: cut})
+	lift := run.network.Inject(links.Fault{Source: "*", Destination: l.Target, Forward: cut, Reverse: cut})
+	liftToo := run.network.Inject(links.Fault{Source: l.Target, Destination: "*", Forward: cut, Reverse: cut})
 	var mine []*server
-	for _, s := range w.servers {
+	for _, s := range run.servers {
 		if s.Site == at {
 			mine = append(mine, s)
-			s.station.Silent(true)
-			w.change(s, "gone", w.List.Gone)
+			s.model.Silent(true)
+			run.scheduleDiscovery(s, "gone", run.Discovery.RemovalMs)
 		}
 	}
-	for _, b := range w.brokers {
+	for _, b := range run.brokers {
 		if b.site == at {
 			b.kill()
 		}
@@ -161,102 +161,102 @@
 		for _, s := range mine {
 			s.frames.Die()
 		}
-		w.net.ResetConnections("*", l.On)
-		w.net.ResetConnections(l.On, "*")
+		run.network.ResetConnections("*", l.Target)
+		run.network.ResetConnections(l.Target, "*")
 		for _, s := range mine {
-			w.rise(s, l.NewIDs)
+			run.restartServer(s, l.NewIDs)
 		}
 		lift()
 		liftToo()
 		over()
-		w.mark(at, false, false)
-		for _, b := range w.brokers {
+		run.recordSiteLoss(at, false, false)
+		for _, b := range run.brokers {
 			if b.site == at {
-				b.startAgain()
+				b.restart()
 			}
 		}
 	}
 }
 
-// rise has a server start anew: cold, and the list tells of it in time.
-func (w *world) rise(s *server, newID bool) {
+// restartServer has a server start anew: cold, and the list tells of it in time.
+func (run *runner) restartServer(s *server, newID bool) {
 	if err := s.frames.Rise(); err != nil {
-		w.opt.Say("%s does not rise: %v", s.Name, err)
+		run.options.Printf("%s does not rise: %v", s.Name, err)
 		return
 	}
-	s.station.Silent(false)
-	s.station.Start()
-	w.lock.Lock()
+	s.model.Silent(false)
+	s.model.Start()
+	run.mutex.Lock()
 	old := *s
-	s.started = w.now()
+	s.startedAtMs = run.now()
 	if newID {
-		s.serial++
-		s.id = fmt.Sprintf("%s-%d", s.Name, s.serial)
+		s.idGeneration++
+		s.id = fmt.Sprintf("%s-%d", s.Name, s.idGeneration)
 	}
-	w.lock.Unlock()
+	run.mutex.Unlock()
 	if newID {
-		for _, b := range w.brokers {
-			gone := w.entry(&old, b.at)
+		for _, b := range run.brokers {
+			gone := run.entry(&old, b.index)
 			gone.Lifecycle = "gone"
-			b.agent.tell(gone)
+			b.agent.update(gone)
 		}
 	}
-	w.change(s, "ready", w.List.Back)
+	run.scheduleDiscovery(s, "ready", run.Discovery.ReturnMs)
 }
 
-// change has the list tell of a server after a time.
-func (w *world) change(s *server, state string, after float64) {
-	w.lock.Lock()
-	s.state = state
-	s.gen++
-	gen := s.gen
-	w.lock.Unlock()
+// scheduleDiscovery has the list tell of a server after a time.
+func (run *runner) scheduleDiscovery(s *server, state string, after float64) {
+	run.mutex.Lock()
+	s.lifecycle = state
+	s.discoveryGeneration++
+	gen := s.discoveryGeneration
+	run.mutex.Unlock()
 	time.AfterFunc(time.Duration(after*1e6), func() {
-		w.lock.Lock()
-		mine := s.gen == gen && !w.frozen[s.Name]
-		w.lock.Unlock()
+		run.mutex.Lock()
+		mine := s.discoveryGeneration == gen && !run.frozenServers[s.Name]
+		run.mutex.Unlock()
 		if mine {
-			w.tell(s, 0)
+			run.updateDiscovery(s, 0)
 		}
 	})
 }
 
-func (w *world) tell(s *server, more float64) {
-	for _, b := range w.brokers {
-		w.tellOne(s, b, more)
+func (run *runner) updateDiscovery(s *server, more float64) {
+	for _, b := range run.brokers {
+		run.updateDiscoveryAt(s, b, more)
 	}
 }
 
-func (w *world) tellOne(s *server, b *process, more float64) {
-	w.lock.Lock()
-	e, late := w.entry(s, b.at), w.late[b.name]+more
-	w.lock.Unlock()
+func (run *runner) updateDiscoveryAt(s *server, b *brokerProcess, more float64) {
+	run.mutex.Lock()
+	e, late := run.entry(s, b.index), run.discoveryLagMs[b.name]+more
+	run.mutex.Unlock()
 	switch {
 	case math.IsInf(late, 1):
 	case late > 0:
-		time.AfterFunc(time.Duration(late*1e6), func() { b.agent.tell(e) })
+		time.AfterFunc(time.Duration(late*1e6), func() { b.agent.update(e) })
 	default:
-		b.agent.tell(e)
+		b.agent.update(e)
 	}
 }
 
-// hurt brings one server into trouble.
-func (w *world) hurt(s *server, l Fault) (undo func(), err error) {
-	switch l.Do {
+// injectServerFault brings one server into trouble.
+func (run *runner) injectServerFault(s *server, l Fault) (undo func(), err error) {
+	switch l.Action {
 	case "slow":
-		s.station.Slow(l.Times)
-		return func() { s.station.Slow(1) }, nil
+		s.model.Slow(l.Factor)
+		return func() { s.model.Slow(1) }, nil
 	case "mute", "stop":
-		s.station.Silent(true)
-		return func() { s.station.Silent(false) }, nil
+		s.model.Silent(true)
+		return func() { s.model.Silent(false) }, nil
 	case "fail":
-		s.station.Failing(0.7)
-		return func() { s.station.Failing(0) }, nil
+		s.model.Failing(0.7)
+		return func() { s.model.Failing(0) }, nil
 	case "kill":
 		s.frames.Die()
-		s.station.Silent(true)
-		w.change(s, "gone", w.List.Gone)
-		return func() { w.rise(s, l.NewIDs) }, nil
+		s.model.Silent(true)
+		run.scheduleDiscovery(s, "gone", run.Discovery.RemovalMs)
+		return func() { run.restartServer(s, l.NewIDs) }, nil
 	}
-	return nil, fmt.Errorf("%s is nothing for a server", l.Do)
+	return nil, fmt.Errorf("%s is nothing for a server", l.Action)
 }
--- a/internal/rig/scenario/play.go
+++ b/internal/rig/scenario/play.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"kestrelspread/internal/fleet/plan"
+	"kestrelspread/internal/fleet/lossplan"
 	"kestrelspread/internal/rig/links"
 	"kestrelspread/internal/standin/rules"
 	"kestrelspread/internal/standin/sockets"
@@ -22,277 +22,277 @@
 	Program []string // a broker and its arguments; Policy goes behind them
 	Policy  string   // in the module's place; none: the module
 	Dir     string   // for configurations and logs; it is kept
-	Say     func(form string, args ...any)
+	Printf  func(form string, args ...any)
 }
 
-// world is a run.
-type world struct {
+// runner is a run.
+type runner struct {
 	*File
-	opt      Options
-	zero     time.Time
-	net      *links.Network
-	servers  []*server
-	brokers  []*process
-	fronts   []*front
-	lock     sync.Mutex
-	book     *rules.Book
-	counts   *counts
-	times    float64 // of the load
-	undo     map[string]func()
-	lostNow  []float64 // by site: since when it is lost, or negative infinity
-	cutNow   []bool    // and whether only the way to it is
-	lostEver []span
-	truths   []truth
-	rng      *rand.Rand
-	frozen   map[string]bool
-	late     map[string]float64 // by broker, ms
-	asked    sync.WaitGroup
-	quorum   *quorum
+	options         Options
+	startedAt       time.Time
+	network         *links.Network
+	servers         []*server
+	brokers         []*brokerProcess
+	fronts          []*frontEnd
+	mutex           sync.Mutex
+	invariants      *rules.Book
+	counts          *counts
+	loadFactor      float64 // of the load
+	activeFaults    map[string]func()
+	siteLostSinceMs []float64 // by site: since when it is lost, or negative infinity
+	sitePartitioned []bool    // and whether only the way to it is
+	siteLosses      []siteLoss
+	injectedFaults  []injectedFault
+	random          *rand.Rand
+	frozenServers   map[string]bool
+	discoveryLagMs  map[string]float64 // by broker, ms
+	tasks           sync.WaitGroup
+	leases          *leaseRun
 }
 
-// span is when a site was lost, in ms of the run. cut: only the way there was, and both sides served what they hold.
-type span struct {
-	site     int
-	from, to float64
-	cut      bool
+// siteLoss is when a site was lost, in ms of the run. cut: only the way there was, and both sides served what they hold.
+type siteLoss struct {
+	site           int
+	startMs, endMs float64
+	partitioned    bool
 }
 
 type server struct {
 	Server
-	id      string
-	station *station.Station
-	frames  *sockets.Frames
-	links   []*links.Link // by broker
-	state   string
-	started float64
-	gen     int
-	serial  int
+	id                  string
+	model               *station.Station
+	frames              *sockets.Frames
+	links               []*links.Link // by broker
+	lifecycle           string
+	startedAtMs         float64
+	discoveryGeneration int
+	idGeneration        int
 }
 
-func (w *world) now() float64 { return float64(time.Since(w.zero).Microseconds()) / 1000 }
+func (run *runner) now() float64 { return float64(time.Since(run.startedAt).Microseconds()) / 1000 }
 
 // Play runs a scenario to its end and tells what happened.
 func Play(ctx context.Context, f *File, opt Options) (*Report, error) {
-	if opt.Say == nil {
-		opt.Say = func(string, ...any) {}
+	if opt.Printf == nil {
+		opt.Printf = func(string, ...any) {}
 	}
-	w := &world{File: f, opt: opt, zero: time.Now(), net: links.New(f.Seed), book: rules.New(), times: 1, undo: map[string]func(){},
-		rng: rand.New(rand.NewPCG(f.Seed, 5)), frozen: map[string]bool{}, late: map[string]float64{}}
-	w.book.Slack = f.slack // this process's own scheduling and the links' are no fault of a broker's
-	w.net.Base = links.BySite(f.Links.Within, f.Links.Between)
+	run := &runner{File: f, options: opt, startedAt: time.Now(), network: links.New(f.Seed), invariants: rules.New(), loadFactor: 1, activeFaults: map[string]func(){},
+		random: rand.New(rand.NewPCG(f.Seed, 5)), frozenServers: map[string]bool{}, discoveryLagMs: map[string]float64{}}
+	run.invariants.Slack = f.answerSlackMs // this process's own scheduling and the links' are no fault of a broker's
+	run.network.Base = links.BySite(f.Links.Within, f.Links.Between)
 	for range f.Sites {
-		w.lostNow, w.cutNow = append(w.lostNow, math.Inf(-1)), append(w.cutNow, false)
+		run.siteLostSinceMs, run.sitePartitioned = append(run.siteLostSinceMs, math.Inf(-1)), append(run.sitePartitioned, false)
 	}
-	defer w.close()
-	if err := w.start(); err != nil {
+	defer run.close()
+	if err := run.start(); err != nil {
 		return nil, err
 	}
-	w.run(ctx)
-	return w.report(), ctx.Err()
+	run.run(ctx)
+	return run.report(), ctx.Err()
 }
 
-func (w *world) close() {
-	for _, b := range w.brokers {
-		b.end()
+func (run *runner) close() {
+	for _, b := range run.brokers {
+		b.shutDown()
 	}
-	for _, b := range w.brokers {
+	for _, b := range run.brokers {
 		b.agent.close()
 	}
-	w.net.Close()
-	for _, s := range w.servers {
+	run.network.Close()
+	for _, s := range run.servers {
 		s.frames.Die()
 	}
-	if w.quorum != nil {
-		w.quorum.to.CloseClientConnections()
-		w.quorum.to.Close()
+	if run.leases != nil {
+		run.leases.receiver.CloseClientConnections()
+		run.leases.receiver.Close()
 	}
-	for _, f := range w.fronts {
+	for _, f := range run.fronts {
 		f.close()
 	}
 }
 
-func (w *world) start() error {
-	for i, s := range w.Layouts() {
+func (run *runner) start() error {
+	for i, s := range run.ServerLayout() {
 		f, err := sockets.StartFrames(0, 0)
 		if err != nil {
 			return err
 		}
-		v := &server{Server: s, id: s.Name, frames: f, state: "ready", station: station.New(w.Kind(), w.zero, w.Seed*1000+uint64(i))}
-		f.Work = v.station.Work
+		v := &server{Server: s, id: s.Name, frames: f, lifecycle: "ready", model: station.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(i))}
+		f.Work = v.model.Work
 		f.Seen = func(id string) func(how string) {
 			search, part, _ := strings.Cut(id, ".")
-			w.lock.Lock()
-			defer w.lock.Unlock()
-			if w.counts != nil {
-				s := w.book.Sent(search, part, v.Name, w.now())
+			run.mutex.Lock()
+			defer run.mutex.Unlock()
+			if run.counts != nil {
+				s := run.invariants.Sent(search, part, v.Name, run.now())
 				return func(how string) {
 					if how == "REJECTED" { // its queue was full: that was never begun, and may go elsewhere
-						w.lock.Lock()
-						s.Never, s.NeverAt = true, w.now()
-						w.lock.Unlock()
+						run.mutex.Lock()
+						s.Never, s.NeverAt = true, run.now()
+						run.mutex.Unlock()
 					}
 				}
 			}
 			return nil
 		}
-		w.servers = append(w.servers, v)
+		run.servers = append(run.servers, v)
 	}
 	n := 0
-	for at, s := range w.Sites {
+	for at, s := range run.Sites {
 		for range s.Brokers {
-			b := &process{w: w, name: fmt.Sprintf("b%d", n), site: at, dir: w.opt.Dir}
+			b := &brokerProcess{run: run, name: fmt.Sprintf("b%d", n), site: at, dir: run.options.Dir}
 			n++
-			w.brokers = append(w.brokers, b)
+			run.brokers = append(run.brokers, b)
 		}
 	}
-	for i, b := range w.brokers {
-		for _, s := range w.servers {
-			l, err := w.net.Add(links.Endpoint{Name: b.name, Site: w.Sites[b.site].Name}, links.Endpoint{Name: s.Name, Site: w.Sites[s.Site].Name}, s.frames.Addr().String())
+	for i, b := range run.brokers {
+		for _, s := range run.servers {
+			l, err := run.network.Add(links.Endpoint{Name: b.name, Site: run.Sites[b.site].Name}, links.Endpoint{Name: s.Name, Site: run.Sites[s.Site].Name}, s.frames.Addr().String())
 			if err != nil {
 				return err
 			}
 			s.links = append(s.links, l)
 		}
-		b.at = i
+		b.index = i
 		var err error
-		if b.agent, err = newAgent(w.entries(i)); err != nil {
+		if b.agent, err = newAgent(run.entries(i)); err != nil {
 			return err
 		}
 	}
-	w.addOwners()
-	if w.quorum != nil {
-		for _, b := range w.brokers {
+	run.startLeases()
+	if run.leases != nil {
+		for _, b := range run.brokers {
 			var err error
-			if b.owner, err = w.quorum.part(b); err != nil {
+			if b.leaseConfig, err = run.leases.operatorConfig(b); err != nil {
 				return err
 			}
 		}
 	}
-	if w.Talk {
-		for i, b := range w.brokers {
-			b.via = map[string]string{}
-			for j, o := range w.brokers {
+	if run.Gossip {
+		for i, b := range run.brokers {
+			b.gossipLinks = map[string]string{}
+			for j, o := range run.brokers {
 				if i == j {
 					continue
 				}
-				l, err := w.net.AddWithDatagrams(links.Endpoint{Name: b.name, Site: w.Sites[b.site].Name}, links.Endpoint{Name: o.name, Site: w.Sites[o.site].Name}, w.talker(j))
+				l, err := run.network.AddWithDatagrams(links.Endpoint{Name: b.name, Site: run.Sites[b.site].Name}, links.Endpoint{Name: o.name, Site: run.Sites[o.site].Name}, run.gossipAddress(j))
 				if err != nil {
 					return err
 				}
-				b.via[w.talker(j)] = l.Address()
+				b.gossipLinks[run.gossipAddress(j)] = l.Address()
 			}
 		}
 	}
-	for _, b := range w.brokers {
+	for _, b := range run.brokers {
 		if err := b.start(); err != nil {
 			return err
 		}
 	}
-	for at, s := range w.Sites {
-		f, err := w.newFront(at)
+	for at, s := range run.Sites {
+		f, err := run.newFront(at)
 		if err != nil {
 			return err
 		}
-		w.fronts = append(w.fronts, f)
+		run.fronts = append(run.fronts, f)
 		_ = s
 	}
 	return nil
 }
 
 // entries is the list as one broker is to find it.
-func (w *world) entries(broker int) (list []sockets.Instance) {
-	for _, s := range w.servers {
-		list = append(list, w.entry(s, broker))
+func (run *runner) entries(broker int) (list []sockets.Instance) {
+	for _, s := range run.servers {
+		list = append(list, run.entry(s, broker))
 	}
 	return list
 }
 
-func (w *world) entry(s *server, broker int) sockets.Instance {
-	e := sockets.Instance{ID: s.id, Addr: s.links[broker].Address(), Zone: w.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.state, Weight: 1}
-	if s.started > 0 {
-		e.Started = w.zero.UnixMilli() + int64(s.started)
+func (run *runner) entry(s *server, broker int) sockets.Instance {
+	e := sockets.Instance{ID: s.id, Addr: s.links[broker].Address(), Zone: run.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.lifecycle, Weight: 1}
+	if s.startedAtMs > 0 {
+		e.Started = run.startedAt.UnixMilli() + int64(s.startedAtMs)
 	}
 	return e
 }
 
 // run plays the time line under load.
-func (w *world) run(ctx context.Context) {
-	w.lock.Lock()
-	w.zeroCounts()
-	w.lock.Unlock()
-	ctx, end := context.WithTimeout(ctx, time.Duration(w.Seconds*1e9))
+func (run *runner) run(ctx context.Context) {
+	run.mutex.Lock()
+	run.resetCounts()
+	run.mutex.Unlock()
+	ctx, end := context.WithTimeout(ctx, time.Duration(run.Seconds*1e9))
 	defer end()
-	for _, f := range w.fronts {
-		f.load(ctx)
+	for _, f := range run.fronts {
+		f.generateLoad(ctx)
 	}
-	if w.quorum != nil {
-		w.asked.Go(func() { w.quorum.watch(ctx) })
+	if run.leases != nil {
+		run.tasks.Go(func() { run.leases.watchReturnStages(ctx) })
 	}
-	steps := w.Schedule(w.parties)
+	steps := run.Schedule(run.resolvePattern)
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for at := 0; ; {
 		wait := time.Hour
 		if at < len(steps) {
-			wait = time.Duration((steps[at].At*1000 - w.now()) * 1e6)
+			wait = time.Duration((steps[at].AtS*1000 - run.now()) * 1e6)
 		}
 		t := time.NewTimer(max(wait, 0))
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			w.lift()
-			w.asked.Wait()
+			run.removeFaults()
+			run.tasks.Wait()
 			return
 		case <-tick.C:
 			t.Stop()
-			w.progress()
+			run.printProgress()
 		case <-t.C:
-			w.opt.Say("%v", steps[at])
-			if err := w.take(steps[at]); err != nil {
-				w.opt.Say("that failed: %v", err)
+			run.options.Printf("%v", steps[at])
+			if err := run.applyStep(steps[at]); err != nil {
+				run.options.Printf("that failed: %v", err)
 			}
 			at++
 		}
 	}
 }
 
-// lift undoes what is still laid, so that the last searches end.
-func (w *world) lift() {
-	w.lock.Lock()
-	list := w.undo
-	w.undo = map[string]func(){}
-	w.lock.Unlock()
+// removeFaults undoes what is still laid, so that the last searches end.
+func (run *runner) removeFaults() {
+	run.mutex.Lock()
+	list := run.activeFaults
+	run.activeFaults = map[string]func(){}
+	run.mutex.Unlock()
 	for _, u := range list {
 		u()
 	}
 }
 
-// zeroCounts starts the clock of what is counted: brokers took their time to come up. The lock is held.
-func (w *world) zeroCounts() {
-	w.zero = time.Now()
-	w.counts = newCounts(w.File)
-	for i, s := range w.servers {
-		s.station = station.New(w.Kind(), w.zero, w.Seed*1000+uint64(i))
-		s.frames.Work = s.station.Work
+// resetCounts starts the clock of what is counted: brokers took their time to come up. The lock is held.
+func (run *runner) resetCounts() {
+	run.startedAt = time.Now()
+	run.counts = newCounts(run.File)
+	for i, s := range run.servers {
+		s.model = station.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(i))
+		s.frames.Work = s.model.Work
 	}
 }
 
-// parties gives the names that a pattern stands for.
-func (w *world) parties(pattern string, share float64) (list []string) {
+// resolvePattern gives the names that a pattern stands for.
+func (run *runner) resolvePattern(pattern string, share float64) (list []string) {
 	kind, site, _ := strings.Cut(pattern, "@")
 	if kind != "" && kind != "*" && kind != "servers" && kind != "brokers" {
 		return []string{pattern}
 	}
-	here := func(at int) bool { return site == "" || w.Sites[at].Name == site }
+	here := func(at int) bool { return site == "" || run.Sites[at].Name == site }
 	if kind != "brokers" {
-		for _, s := range w.servers {
+		for _, s := range run.servers {
 			if here(s.Site) {
 				list = append(list, s.Name)
 			}
 		}
 	}
 	if kind != "servers" {
-		for _, b := range w.brokers {
+		for _, b := range run.brokers {
 			if here(b.site) {
 				list = append(list, b.name)
 			}
@@ -301,8 +301,8 @@
 	return list[:int(math.Ceil(share*float64(len(list))))]
 }
 
-func (w *world) server(name string) *server {
-	for _, s := range w.servers {
+func (run *runner) server(name string) *server {
+	for _, s := range run.servers {
 		if s.Name == name {
 			return s
 		}
@@ -310,8 +310,8 @@
 	return nil
 }
 
-func (w *world) broker(name string) *process {
-	for _, b := range w.brokers {
+func (run *runner) broker(name string) *brokerProcess {
+	for _, b := range run.brokers {
 		if b.name == name {
 			return b
 		}
@@ -319,24 +319,24 @@
 	return nil
 }
 
-// talker is where a broker talks to others: an address of its own in this process's part of the loopback range. What is said
+// gossipAddress is where a broker talks to others: an address of its own in this process's part of the loopback range. What is said
 // there passes links, as each reaches the others by addresses of its own.
-func (w *world) talker(broker int) string {
+func (run *runner) gossipAddress(broker int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:7946", 16+pid%200, pid/200%250, broker+1)
 }
 
 // Fleet is the file's fleet as a plan sees it.
-func (f *File) Fleet() *plan.Fleet {
-	p := &plan.Fleet{Places: f.Places, Copies: f.Copies, Headroom: f.Headroom}
+func (f *File) Fleet() *lossplan.Fleet {
+	p := &lossplan.Fleet{Shards: f.ShardCount, Replicas: f.ReplicaCount, Headroom: f.Headroom}
 	for _, s := range f.Sites {
 		p.Sites = append(p.Sites, s.Name)
 	}
-	for _, s := range f.Layouts() {
-		p.Servers = append(p.Servers, plan.Server{Site: s.Site, Cell: s.Cell, Bears: f.Kind().Bears()})
+	for _, s := range f.ServerLayout() {
+		p.Servers = append(p.Servers, lossplan.Server{Site: s.Site, Cell: s.Cell, CapacityPerS: f.ServerModel().Bears()})
 	}
 	for _, t := range f.Types {
-		p.Loads = append(p.Loads, plan.Load{Name: t.Name, PerS: t.PerS, Parts: t.Parts, Value: t.Value, Floor: *t.Floor})
+		p.Loads = append(p.Loads, lossplan.Load{Name: t.Name, SearchesPerS: t.RatePerS, ShardsPerSearch: t.ShardsPerQuery, Value: t.Value, MinAnsweredShare: *t.MinCompleteness})
 	}
 	return p
 }
