--- a/internal/ledger/buffer.go
+++ b/internal/ledger/buffer.go
@@ -20,20 +20,20 @@
 // Add adds a use in the period that begins at a time.
 func (b *Buffer) Add(period int64, key Key, counts Counts) {
 	b.uses++
-	if mutantMerge {
-		b.pending[bufferKey{period, key}] = &counts // overwrites what was pending
-		return
-	}
-	b.merge(period, key, counts)
+	b.merge(bufferKey{period, key}, &counts)
 }
 
-func (b *Buffer) merge(period int64, key Key, counts Counts) {
-	at := bufferKey{period, key}
-	if sum := b.pending[at]; sum != nil {
-		sum.Add(counts)
-		return
+// merge copies counts only where the key is new: most uses cost no allocation.
+func (b *Buffer) merge(key bufferKey, counts *Counts) {
+	sum := b.pending[key]
+	if sum == nil {
+		sum = &Counts{}
+		b.pending[key] = sum
+	}
+	if mutantMerge {
+		*sum = Counts{} // loses what was pending
 	}
-	b.pending[at] = &counts
+	sum.Add(*counts)
 }
 
 // Keys is the number of pending keys.
@@ -68,6 +68,6 @@
 // PutBack returns what was taken and could not be made durable; it merges with what was added since.
 func (b *Buffer) PutBack(list []BufferedUse) {
 	for _, use := range list {
-		b.merge(use.Period, use.Key, use.Counts)
+		b.merge(bufferKey{use.Period, use.Key}, &use.Counts)
 	}
 }
--- a/internal/ledger/sink/files_golden_test.go
+++ b/internal/ledger/sink/files_golden_test.go
@@ -38,9 +38,9 @@
 // TestFilesKeepTheirForm freezes the names of a batch's files, the manifest, the JSON lines, and the Parquet schema and rows.
 func TestFilesKeepTheirForm(t *testing.T) {
 	dir := t.TempDir()
-	folder, err := sink.OpenDirectory(dir)
+	directory, err := sink.OpenDirectory(dir)
 	assert.NilError(t, err)
-	_, _, _, err = folder.Put("n0", 7, goldenIntent, goldenEntries())
+	_, _, _, err = directory.Put("n0", 7, goldenIntent, goldenEntries())
 	assert.NilError(t, err)
 	entries, err := os.ReadDir(dir)
 	assert.NilError(t, err)
@@ -64,16 +64,16 @@
 	assert.Equal(t, columnsText(t, golden.Get(t, goldenColumns)), columnsText(t, contentOf(t, dir, ".parquet")))
 }
 
-// TestManifestOfTheGoldenFileIsRead offers a batch again to a folder as it was left once: it has it.
+// TestManifestOfTheGoldenFileIsRead offers a batch again to a directory as it was left once: it has it.
 func TestManifestOfTheGoldenFileIsRead(t *testing.T) {
 	dir := t.TempDir()
 	_, rest, found := strings.Cut(string(golden.Get(t, goldenText)), "file manifest.jsonl\n")
 	assert.Assert(t, found)
 	manifest, _, _ := strings.Cut(rest, "file ")
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, "manifest.jsonl"), []byte(manifest), 0o644))
-	folder, err := sink.OpenDirectory(dir)
+	directory, err := sink.OpenDirectory(dir)
 	assert.NilError(t, err)
-	batch, hash, written, err := folder.Put("n0", 7, goldenIntent, goldenEntries())
+	batch, hash, written, err := directory.Put("n0", 7, goldenIntent, goldenEntries())
 	assert.NilError(t, err)
 	assert.Equal(t, fmt.Sprint(batch, hash, written), fmt.Sprint(uint64(3), uint64(1<<63+9), 0))
 }
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -16,7 +16,19 @@
 	SteadyMs() float64 // ms of the broker's loop, which never go back
 }
 
-// Recorder stands between the loop, which tells of uses and never waits, and the store, which may.
+const (
+	// DurabilityWindow is for how long at most a use is not yet durable while the disk is healthy: a kill loses no more.
+	DurabilityWindow = time.Second
+
+	// Of the ledger's clock, ms: ordinary drift, and how long a jump ahead must last.
+	maxDriftMs    = 5000
+	jumpConfirmMs = 60000
+
+	// maxQueuedRequests may wait for the recorder's goroutine before callers of Exclusive block.
+	maxQueuedRequests = 16
+)
+
+// Recorder stands between the loop, which reports uses and never waits, and the store, which may.
 type Recorder struct {
 	store         *Store
 	calendar      *ledger.Calendar
@@ -25,43 +37,52 @@
 	queryTypes    []string
 	customers     []string
 
-	lock                   sync.Mutex // held for a map's entry at most
-	buffer                 *ledger.Buffer
-	clock                  ledger.Clock
-	periodStart, periodEnd int64 // of the period that was found last
+	lock        sync.Mutex // held for a map's entry at most
+	buffer      *ledger.Buffer
+	clock       ledger.Clock
+	periodStart int64 // of the period that was found last
+	periodEnd   int64
 
 	requests chan func()
 	stop     chan struct{}
-	stopped  chan struct{}
-	durable  atomic.Int64 // uses in entries that are durable
+	stopped  chan struct{} // closed once the goroutine has ended
+	durable  atomic.Int64  // searches in entries that are durable
 	Commits  atomic.Int64
 }
 
-// DurabilityWindow is for how long at most a use is not yet durable, as long as the disk is well: a kill loses no more.
-const DurabilityWindow = time.Second
-
-// NewRecorder makes one; Go starts it. Names are those of the broker's settings.
-func NewRecorder(s *Store, c *ledger.Calendar, clocks Clocks, kinds, customers []string) *Recorder {
-	r := &Recorder{store: s, calendar: c, clocks: clocks, flushInterval: DurabilityWindow / 4, queryTypes: kinds, customers: customers, buffer: ledger.NewBuffer(),
-		clock: ledger.Clock{MaxDriftMs: 5000, JumpConfirmMs: 60000}, requests: make(chan func(), 16), stop: make(chan struct{}), stopped: make(chan struct{})}
+// NewRecorder returns a recorder; Start starts it. The names are those of the broker's settings.
+func NewRecorder(s *Store, c *ledger.Calendar, clocks Clocks, queryTypes, customers []string) *Recorder {
+	r := &Recorder{
+		store:         s,
+		calendar:      c,
+		clocks:        clocks,
+		flushInterval: DurabilityWindow / 4,
+		queryTypes:    queryTypes,
+		customers:     customers,
+		buffer:        ledger.NewBuffer(),
+		clock:         ledger.Clock{MaxDriftMs: maxDriftMs, JumpConfirmMs: jumpConfirmMs},
+		requests:      make(chan func(), maxQueuedRequests),
+		stop:          make(chan struct{}),
+		stopped:       make(chan struct{}),
+	}
 	r.clock.Resume(s.HighestTime)
 	return r
 }
 
-func nameAt(list []string, i int) string {
-	if i >= 0 && i < len(list) {
-		return list[i]
+func nameAt(names []string, i int) string {
+	if i >= 0 && i < len(names) {
+		return names[i]
 	}
 	return ""
 }
 
-// now gives the ledger's time; the lock is held.
-func (r *Recorder) now() (at int64, steady float64) {
-	steady = r.clocks.SteadyMs()
-	return r.clock.Now(r.clocks.WallMs(), int64(steady)), steady
+// now returns the ledger's time and the loop's. The lock is held.
+func (r *Recorder) now() (ledgerMs int64, steadyMs float64) {
+	steadyMs = r.clocks.SteadyMs()
+	return r.clock.Now(r.clocks.WallMs(), int64(steadyMs)), steadyMs
 }
 
-// period finds the one that a time is in; uses come by the thousand to one period.
+// period finds the period that holds a time; uses come by the thousand to one period.
 func (r *Recorder) period(at int64) int64 {
 	if at < r.periodStart || at >= r.periodEnd {
 		r.periodStart = r.calendar.PeriodStart(at)
@@ -70,87 +91,108 @@
 	return r.periodStart
 }
 
-// Used takes a use (engine.Meter). It belongs to the period in which its answer was given, which may have been a while
-// before what was out of it came to its end.
+// Used implements engine.Meter: it takes a use. That belongs to the period in which its answer was given, which may have been a
+// while before its last sub-request ended.
 func (r *Recorder) Used(u *engine.Used) {
-	how := ledger.Errored
+	key, counts := r.keyOf(u), countsOf(u)
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	now, steadyMs := r.now()
+	answeredAt := now - int64(max(steadyMs-u.At, 0))
+	r.buffer.Add(r.period(answeredAt), key, counts)
+}
+
+func (r *Recorder) keyOf(u *engine.Used) ledger.Key {
+	front := ledger.HTTP
+	if u.Front == 1 {
+		front = ledger.GRPC
+	}
+	return ledger.Key{
+		Customer:  nameAt(r.customers, u.Customer),
+		QueryType: nameAt(r.queryTypes, u.Kind),
+		Front:     front,
+		Outcome:   outcomeOf(u),
+	}
+}
+
+func outcomeOf(u *engine.Used) ledger.Outcome {
 	switch {
 	case u.Left:
-		how = ledger.ClientCancelled
+		return ledger.ClientCancelled
 	case u.How == engine.Whole:
-		how = ledger.Answered
+		return ledger.Answered
 	case u.How == engine.Partial:
-		how = ledger.Partial
+		return ledger.Partial
 	case u.How == engine.Shed:
-		how = ledger.Shed
+		return ledger.Shed
 	}
-	front := ledger.HTTP
-	if u.Front == 1 {
-		front = ledger.GRPC
+	return ledger.Errored
+}
+
+func countsOf(u *engine.Used) ledger.Counts {
+	return ledger.Counts{
+		ledger.Searches:      1,
+		ledger.ShardRequests: int64(u.Parts),
+		ledger.FirstAttempts: int64(u.First),
+		ledger.Retries:       int64(u.Repeat),
+		ledger.Hedges:        int64(u.Copy),
+		ledger.Cancelled:     int64(u.CalledOff),
+		ledger.WorkMicros:    ledger.Micros(u.Work),
+		ledger.BytesIn:       u.In,
+		ledger.BytesOut:      u.Out,
+		ledger.ServerMicros:  ledger.Micros(u.Server),
 	}
-	k := ledger.Key{Customer: nameAt(r.customers, u.Customer), QueryType: nameAt(r.queryTypes, u.Kind), Front: front, Outcome: how}
-	c := ledger.Counts{ledger.Searches: 1, ledger.ShardRequests: int64(u.Parts), ledger.FirstAttempts: int64(u.First), ledger.Retries: int64(u.Repeat),
-		ledger.Hedges: int64(u.Copy), ledger.Cancelled: int64(u.CalledOff), ledger.WorkMicros: ledger.Micros(u.Work), ledger.BytesIn: u.In,
-		ledger.BytesOut: u.Out, ledger.ServerMicros: ledger.Micros(u.Server)}
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	at, steady := r.now()
-	r.buffer.Add(r.period(at-int64(max(steady-u.At, 0))), k, c)
 }
 
-// Pending tells how many keys wait for the disk, and how many uses were ever taken.
+// Pending returns how many keys wait for the disk, and how many uses were ever taken.
 func (r *Recorder) Pending() (keys int, uses int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.buffer.Keys(), r.buffer.Uses()
 }
 
-// Go records until Stop.
-func (r *Recorder) Start() {
-	go func() {
-		defer close(r.stopped)
-		t := time.NewTicker(r.flushInterval)
-		defer t.Stop()
-		for {
-			select {
-			case <-t.C:
-				r.flush()
-			case do := <-r.requests:
-				r.flush() // what was used before counts before
-				do()
-			case <-r.stop:
-				r.flush()
-				return
-			}
+// Start records in a goroutine of its own until Stop.
+func (r *Recorder) Start() { go r.run() }
+
+func (r *Recorder) run() {
+	defer close(r.stopped)
+	ticker := time.NewTicker(r.flushInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			r.flush()
+		case request := <-r.requests:
+			r.flush() // what was used before counts before
+			request()
+		case <-r.stop:
+			r.flush()
+			return
 		}
-	}()
+	}
 }
 
-// flush makes what waits durable, and closes what is due.
+// flush makes what is buffered durable, and closes the periods that are due. What could not be written stays buffered.
 func (r *Recorder) flush() error {
 	r.lock.Lock()
-	list := r.buffer.TakeAll()
-	at, _ := r.now()
+	uses := r.buffer.TakeAll()
+	now, _ := r.now()
 	r.lock.Unlock()
-	open := r.calendar.PeriodStart(at)
-	r.store.Ledger.MarkClosing(r.calendar, at)
-	if err := r.commit(r.store.Ledger.UseEntries(list, open, at), at); err != nil {
+	r.store.Ledger.MarkClosing(r.calendar, now)
+	if err := r.commit(r.store.Ledger.UseEntries(uses, r.calendar.PeriodStart(now), now), now); err != nil {
 		r.lock.Lock()
-		r.buffer.PutBack(list)
+		r.buffer.PutBack(uses)
 		r.lock.Unlock()
 		return err
 	}
-	if due := r.store.Ledger.CloseEntries(r.calendar, at); len(due) > 0 {
-		return r.commit(due, at)
-	}
-	return nil
+	return r.commit(r.store.Ledger.CloseEntries(r.calendar, now), now)
 }
 
-func (r *Recorder) commit(entries []*ledger.Entry, at int64) error {
+func (r *Recorder) commit(entries []*ledger.Entry, now int64) error {
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := r.store.Commit(entries, at); err != nil {
+	if err := r.store.Commit(entries, now); err != nil {
 		return err
 	}
 	r.Commits.Add(1)
@@ -165,19 +207,19 @@
 // DurableSearches counts the searches in entries that are durable.
 func (r *Recorder) DurableSearches() int64 { return r.durable.Load() }
 
-// ErrStopped tells that the recorder has ended, or that its disk stands still.
+// ErrStopped tells that the recorder has ended, or that its disk doesn't respond.
 var ErrStopped = errors.New("the ledger is not being written")
 
-// Do runs something beside the recording, never with it, and waits for its end.
-func (r *Recorder) Exclusive(within time.Duration, do func(s *Store) error) error {
+// Exclusive runs do on the recorder's goroutine, between two commits, and waits for its end, for timeout at most.
+func (r *Recorder) Exclusive(timeout time.Duration, do func(s *Store) error) error {
 	done := make(chan error, 1)
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case r.requests <- func() { done <- do(r.store) }:
 	case <-r.stopped:
 		return ErrStopped
-	case <-late.C:
+	case <-timer.C:
 		return ErrStopped
 	}
 	select {
@@ -185,32 +227,34 @@
 		return err
 	case <-r.stopped:
 		return ErrStopped
-	case <-late.C:
+	case <-timer.C:
 		return ErrStopped
 	}
 }
 
 // Correct posts a correction; known: it was there already.
-func (r *Recorder) Correct(within time.Duration, a ledger.CorrectionRequest) (e *ledger.Entry, known bool, err error) {
-	err = r.Exclusive(within, func(s *Store) (err error) {
+func (r *Recorder) Correct(timeout time.Duration, request ledger.CorrectionRequest) (entry *ledger.Entry, known bool, err error) {
+	err = r.Exclusive(timeout, func(s *Store) (err error) {
 		r.lock.Lock()
-		at, _ := r.now()
+		now, _ := r.now()
 		r.lock.Unlock()
-		if e, known, err = s.Ledger.CorrectionEntry(a, r.calendar.PeriodStart(at), at); err != nil || known {
+		entry, known, err = s.Ledger.CorrectionEntry(request, r.calendar.PeriodStart(now), now)
+		if err != nil || known {
 			return err
 		}
-		return r.commit([]*ledger.Entry{e}, at)
+		return r.commit([]*ledger.Entry{entry}, now)
 	})
-	return e, known, err
+	return entry, known, err
 }
 
-// Stop makes what waits durable and ends, or gives up after a while: the disk may stand still.
-func (r *Recorder) Stop(within time.Duration) bool {
+// Stop makes what is buffered durable and ends, or gives up after timeout, as the disk may not respond. It tells whether it
+// ended.
+func (r *Recorder) Stop(timeout time.Duration) bool {
 	close(r.stop)
 	select {
 	case <-r.stopped:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/internal/ledger/store/records_golden_test.go
+++ b/internal/ledger/store/records_golden_test.go
@@ -26,8 +26,8 @@
 
 const (
 	goldenEntries = "golden/entries.txt"
-	goldenBook    = "golden/book.json"
-	goldenFolder  = "golden/store.tar.gz"
+	goldenCheckpoint    = "golden/book.json"
+	goldenStore  = "golden/store.tar.gz"
 	goldenHour    = int64(3600e3)
 )
 
@@ -35,10 +35,10 @@
 const goldenV1 = `{"Instance":"n0","Epoch":7,"Seq":3,"Sort":2,"Period":360000000,"At":360000500,"Key":{"Customer":"bulk","Kind":"once","Front":1,"Outcome":2},` +
 	`"Counts":[1,2,3,4,5,6,7,8,9,10],"ID":"c-1","Author":"ops","Reason":"twice","Refers":356400000,"Entries":0,"Hash":0}`
 
-// goldenLedger has entries of every sort: two uses, a correction, and the close that the book itself writes.
+// goldenLedger has entries of every sort: two uses, a correction, and the close that the ledger itself writes.
 func goldenLedger(t *testing.T, epoch uint64) ([]*ledger.Entry, *ledger.Ledger) {
 	t.Helper()
-	book := ledger.New("n0", epoch)
+	state := ledger.New("n0", epoch)
 	counts := ledger.Counts{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}
 	entries := []*ledger.Entry{
 		{Instance: "n0", Epoch: epoch, Sequence: 1, Kind: ledger.Use, Period: 100 * goldenHour, RecordedAt: 100*goldenHour + 10,
@@ -50,20 +50,20 @@
 			CorrectionID: "c-1", Author: "ops", Reason: "twice \u00e9", Reference: "bill 9", CorrectedPeriod: 99 * goldenHour, NegativeAllowed: true},
 	}
 	for _, entry := range entries {
-		assert.NilError(t, book.Apply(entry))
+		assert.NilError(t, state.Apply(entry))
 	}
 	calendar := &ledger.Calendar{Zone: time.UTC, Unit: ledger.Hourly, Hours: 1, GraceMs: 60e3}
-	closing := book.CloseEntries(calendar, 102*goldenHour)
+	closing := state.CloseEntries(calendar, 102*goldenHour)
 	assert.Equal(t, len(closing), 2) // the correction's own period, and the one that it refers to
 	for _, entry := range closing {
-		assert.NilError(t, book.Apply(entry))
+		assert.NilError(t, state.Apply(entry))
 	}
-	return append(entries, closing...), book
+	return append(entries, closing...), state
 }
 
-// TestEntriesKeepTheirBytes freezes the records of entries, a checkpoint of the book, and a sink's state.
+// TestEntriesKeepTheirBytes freezes the records of entries, a checkpoint of the ledger, and a sink's state.
 func TestEntriesKeepTheirBytes(t *testing.T) {
-	entries, book := goldenLedger(t, 7)
+	entries, state := goldenLedger(t, 7)
 	var text strings.Builder
 	for _, entry := range entries {
 		fmt.Fprintln(&text, hex.EncodeToString(store.Encode(entry)))
@@ -76,14 +76,14 @@
 	assert.NilError(t, err)
 	fmt.Fprintln(&text, string(identity))
 	golden.Assert(t, text.String(), goldenEntries)
-	snapshot, err := book.Snapshot()
+	snapshot, err := state.Snapshot()
 	assert.NilError(t, err)
-	golden.Assert(t, string(snapshot)+"\n", goldenBook)
+	golden.Assert(t, string(snapshot)+"\n", goldenCheckpoint)
 }
 
 // TestEntriesOfTheGoldenFileAreRead reads them as they were written once.
 func TestEntriesOfTheGoldenFileAreRead(t *testing.T) {
-	want, book := goldenLedger(t, 7)
+	want, state := goldenLedger(t, 7)
 	lines := strings.Split(strings.TrimSpace(string(golden.Get(t, goldenEntries))), "\n")
 	assert.Equal(t, len(lines), len(want)+3)
 	for i, line := range lines[:len(want)+1] {
@@ -103,12 +103,12 @@
 	assert.Equal(t, fmt.Sprint(exported.Cursor, *exported.Intent), fmt.Sprintf("{3 2} {3 4 9 %d}", uint64(1<<63)))
 
 	restored := ledger.New("n0", 7)
-	written := strings.TrimSpace(string(golden.Get(t, goldenBook)))
+	written := strings.TrimSpace(string(golden.Get(t, goldenCheckpoint)))
 	assert.NilError(t, restored.Restore([]byte(written)))
 	snapshot, err := restored.Snapshot()
 	assert.NilError(t, err)
 	assert.Equal(t, string(snapshot), written)
-	assert.DeepEqual(t, restored.TotalUse(), book.TotalUse())
+	assert.DeepEqual(t, restored.TotalUse(), state.TotalUse())
 }
 
 // TestStoreOfTheGoldenFileIsRead opens a store as it was left on a disk once: entries after a checkpoint, and a sink's
@@ -124,22 +124,22 @@
 		assert.NilError(t, made.Commit(entries[2:], entries[len(entries)-1].RecordedAt))
 		assert.NilError(t, made.SaveExport("folder", store.ExportState{Cursor: export.Cursor{Sequence: 2, Batch: 1}, Intent: &export.Intent{Batch: 2, From: 3, To: 4, Hash: 77}}))
 		assert.NilError(t, made.Close())
-		golden.AssertBytes(t, packed(t, dir), goldenFolder)
+		golden.AssertBytes(t, packed(t, dir), goldenStore)
 	}
 	dir := t.TempDir()
-	unpack(t, golden.Get(t, goldenFolder), dir)
+	unpack(t, golden.Get(t, goldenStore), dir)
 	opened, err := store.Open(vfs.Default, dir, "n0", time.UnixMilli(500*goldenHour))
 	assert.NilError(t, err)
 	defer opened.Close()
 	assert.NilError(t, opened.Verify())
-	want, book := goldenLedger(t, opened.Epoch)
+	want, state := goldenLedger(t, opened.Epoch)
 	var got []*ledger.Entry
 	assert.NilError(t, opened.EachEntry(1, func(entry *ledger.Entry) error {
 		got = append(got, entry)
 		return nil
 	}))
 	assert.DeepEqual(t, got, want)
-	assert.DeepEqual(t, opened.Ledger.TotalUse(), book.TotalUse())
+	assert.DeepEqual(t, opened.Ledger.TotalUse(), state.TotalUse())
 	assert.Equal(t, opened.CreatedAt, 100*goldenHour)
 	assert.Equal(t, opened.HighestTime, want[len(want)-1].RecordedAt)
 	exported, err := opened.LoadExport("folder")
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -55,7 +55,7 @@
 	r.Used(&engine.Used{Customer: customer, How: engine.Whole, At: c.SteadyMs(), Parts: 2, First: 2, Copy: 1, In: 10, Out: 100, Work: 1.5, Server: 20})
 }
 
-// use here, as no disk of the machine is part of these tests: all faults are made.
+// No disk of the machine is part of these tests: all faults are injected.
 func TestUsesSurviveRestart(t *testing.T) {
 	fs, c := vfs.NewMem(), newClocks()
 	s := must(t, mustOpen(Open(fs, "ledger", "n0", time.UnixMilli(c.WallMs()))), nil)
@@ -83,7 +83,7 @@
 	if again.Epoch != epoch || again.Ledger.TotalUse() != sum || again.Recovery.Created || again.HighestTime != c.WallMs() {
 		t.Errorf("%+v %v, want %v", again.Identity, again.Ledger.TotalUse(), sum)
 	}
-	// A clock that was set back over the period's end: what is used now goes on in the period that has begun.
+	// A clock that was set back over the period's end: what is used now counts in the period that has begun.
 	c.wall.Add(-2 * hour)
 	r = newRecorder(again, c)
 	recordUse(r, c, 1)
@@ -201,7 +201,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if s.Disk.Trouble.Load() == nil || !strings.Contains(*s.Disk.Trouble.Load(), "no space") {
-		t.Error("it does not say so")
+		t.Error("it does not report the fault")
 	}
 	for range 100000 { // the loop goes on, and what waits stays bounded
 		recordUse(r, c, 1)
