--- a/cmd/kestrelctl/scenario.go
+++ b/cmd/kestrelctl/scenario.go
@@ -62,8 +62,8 @@
 						r.Print(cmd.OutOrStdout())
 						fmt.Fprintln(cmd.OutOrStdout())
 					}
-					if bad += len(r.Broken); r.Policy == "sighted" { // who else misses what is expected is there to compare with
-						bad += len(r.Missed)
+					if bad += len(r.Violations); r.Policy == "sighted" { // who else misses what is expected is there to compare with
+						bad += len(r.FailedExpectations)
 					}
 				}
 				if plot != "" {
@@ -93,7 +93,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n%v s, seed %d, %d servers, %d shards on %d each\n", f.Name, f.Says, f.Seconds, f.Seed, len(f.Layouts()), f.Places, f.Copies)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n%v s, seed %d, %d servers, %d shards on %d each\n", f.Name, f.Description, f.Seconds, f.Seed, len(f.ServerLayout()), f.ShardCount, f.ReplicaCount)
 			for _, s := range f.Schedule(func(p string, _ float64) []string { return []string{p} }) {
 				fmt.Fprintln(cmd.OutOrStdout(), s)
 			}
@@ -130,7 +130,7 @@
 			}
 		}
 		r, err := scenario.Play(ctx, f, scenario.Options{Program: []string{self, "broker"}, Policy: p, Dir: at,
-			Say: func(form string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), form+"\n", args...) }})
+			Printf: func(form string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), form+"\n", args...) }})
 		if err != nil {
 			return list, err
 		}
@@ -183,7 +183,7 @@
 			if at < 0 {
 				return fmt.Errorf("no site %q", lost)
 			}
-			f.Line = []scenario.Fault{{At: seconds, For: seconds, Do: "lose", On: "@" + lost, Share: 1, Way: "both"}}
+			f.Timeline = []scenario.Fault{{AtS: seconds, DurationS: seconds, Action: "lose", Target: "@" + lost, Share: 1, Direction: "both"}}
 			f.Seconds = 3 * seconds
 			o, err := f.Fleet().WithoutSites(at)
 			if err != nil {
@@ -204,7 +204,7 @@
 					continue
 				}
 				for i, s := range o.Types {
-					fmt.Fprintf(t, "%s served\t%.3f\t%.3f\t\n", s.Name, s.Served(), p.Served[i])
+					fmt.Fprintf(t, "%s served\t%.3f\t%.3f\t\n", s.Name, s.Served(), p.ServedShares[i])
 				}
 			}
 			t.Flush()
@@ -213,8 +213,8 @@
 					return err
 				}
 			}
-			if len(r.Broken) > 0 {
-				return fmt.Errorf("%d rules broken", len(r.Broken))
+			if len(r.Violations) > 0 {
+				return fmt.Errorf("%d rules broken", len(r.Violations))
 			}
 			return nil
 		}}
--- a/internal/rig/scenario/report.go
+++ b/internal/rig/scenario/report.go
@@ -21,159 +21,161 @@
 
 // Report is what a run brought, as clients and servers counted it.
 type Report struct {
-	Name    string        `json:"name"`
-	Says    string        `json:"says"`
-	Policy  string        `json:"policy"`
-	Seconds []Second      `json:"seconds"`
-	Types   []TypeReport  `json:"types"`
-	Servers []Load        `json:"servers"`
-	Broken  []string      `json:"broken,omitempty"`
-	Sights  []Sight       `json:"sights,omitempty"`
-	Detect  float64       `json:"detect_ms"` // until half of the brokers that could hear held the first lost site to be lost; -1: never
-	False   int           `json:"false_alarms"`
-	Worst   float64       `json:"worst_cold"` // what a cold server was sent, against what it bears
-	Phases  []Phase       `json:"phases"`
-	Missed  []string      `json:"missed,omitempty"` // of what the file expects
-	Said    int64         `json:"said_bytes"`       // among brokers
-	Owners  *OwnersReport `json:"owners,omitempty"`
-	Logs    []string      `json:"-"` // by broker
+	Name               string         `json:"name"`
+	Description        string         `json:"says"`
+	Policy             string         `json:"policy"`
+	Seconds            []Second       `json:"seconds"`
+	Types              []TypeReport   `json:"types"`
+	Servers            []ServerReport `json:"servers"`
+	Violations         []string       `json:"broken,omitempty"`
+	SiteReports        []SiteReport   `json:"sights,omitempty"`
+	DetectionMs        float64        `json:"detect_ms"` // until half of the brokers that could hear held the first lost site to be lost; -1: never
+	FalseAlarms        int            `json:"false_alarms"`
+	MaxWarmUpLoad      float64        `json:"worst_cold"` // what a cold server was sent, against what it bears
+	Phases             []Phase        `json:"phases"`
+	FailedExpectations []string       `json:"missed,omitempty"` // of what the file expects
+	GossipBytes        int64          `json:"said_bytes"`       // among brokers
+	Leases             *LeaseReport   `json:"owners,omitempty"`
+	Logs               []string       `json:"-"` // by broker
 }
 
 // Second is the value served in one second, against the bound, and what became of the searches.
 type Second struct {
-	Value   float64 `json:"value"`
-	Bound   float64 `json:"bound"`
-	Tally   []Tally `json:"by_type"`
-	Busiest float64 `json:"busiest"` // server: answered against what it bears
+	Value         float64 `json:"value"`
+	Bound         float64 `json:"bound"`
+	Tally         []Tally `json:"by_type"`
+	MaxServerLoad float64 `json:"busiest"` // server: answered against what it bears
 }
 
 // TypeReport is one query type's whole run.
 type TypeReport struct {
 	Name string `json:"name"`
 	Tally
-	P50, P99 float64 // ms, of those that were answered
+	P50Ms float64 `json:"P50"` // of answered searches
+	P99Ms float64 `json:"P99"`
 }
 
-// Load is what one server was sent.
-type Load struct {
-	Name, Site string
-	Came       int
-	Turned     int
-	Worst      float64 // busiest second: came against what it bears
+// ServerReport is what one server was sent.
+type ServerReport struct {
+	Name     string  `json:"Name"`
+	Site     string  `json:"Site"`
+	Received int     `json:"Came"`   // requests received
+	Rejected int     `json:"Turned"` // of which the server rejected
+	MaxLoad  float64 `json:"Worst"`  // busiest second: received requests per capacity
 }
 
-// Sight is what a broker said of a site. It explains; it is no result.
-type Sight struct {
-	Broker string  `json:"broker"`
-	At     float64 `json:"at_ms"`
-	Site   int     `json:"site"`
-	Text   string  `json:"text"`
-	Lost   bool    `json:"lost"`
-	Own    bool    `json:"own_site"`
+// SiteReport is what a broker said of a site. It explains; it is no result.
+type SiteReport struct {
+	Broker  string  `json:"broker"`
+	AtMs    float64 `json:"at_ms"`
+	Site    int     `json:"site"`
+	Text    string  `json:"text"`
+	Lost    bool    `json:"lost"`
+	OwnSite bool    `json:"own_site"`
 }
 
 // Phase is a stretch of the run, against the bound of the same stretch.
 type Phase struct {
-	Name     string    `json:"name"`
-	From, To float64   `json:"-"`
-	Value    float64   `json:"value"`
-	Bound    float64   `json:"bound"`
-	Served   []float64 `json:"served"` // in time, of what was offered, by type
-	Top      float64   `json:"top"`    // the most valued type's share served in time, against the bound's
+	Name         string    `json:"name"`
+	StartS, EndS float64   `json:"-"`
+	Value        float64   `json:"value"`
+	Bound        float64   `json:"bound"`
+	ServedShares []float64 `json:"served"` // in time, of what was offered, by type
+	TopTypeShare float64   `json:"top"`    // the most valued type's share served in time, against the bound's
 }
 
-func (w *world) progress() {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	at := int(w.now()/1000) - 1
+func (run *runner) printProgress() {
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	at := int(run.now()/1000) - 1
 	line := ""
-	for i, t := range w.Types {
-		s := w.counts.sum(i, at-1, at)
-		line += fmt.Sprintf("  %s %d of %d in time, %d shed", t.Name, s.InTime, s.Offered, s.Shed+s.Nobody)
+	for i, t := range run.Types {
+		s := run.counts.sum(i, at-1, at)
+		line += fmt.Sprintf("  %s %d of %d in time, %d shed", t.Name, s.InTime, s.Offered, s.Shed+s.NoBroker)
 	}
-	w.opt.Say("%8.3f s%s", w.now()/1000, line)
+	run.options.Printf("%8.3f s%s", run.now()/1000, line)
 }
 
-func (w *world) report() *Report {
-	for at := range w.lostNow {
-		w.mark(at, false, false)
-	}
-	bounds := w.bounds()
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	r := &Report{Name: w.Name, Says: w.Says, Policy: w.opt.Policy, Detect: -1}
-	r.Broken = append(r.Broken, w.book.Check(w.now()+1e6)...)
-	for i, t := range w.Types {
-		r.Types = append(r.Types, TypeReport{t.Name, w.counts.sum(i, 0, math.MaxInt), w.counts.quantile(i, 50), w.counts.quantile(i, 99)})
-	}
-	seconds := int(w.Seconds)
-	books := make([][]float64, 0, len(w.servers))
-	for _, s := range w.servers {
-		l := Load{Name: s.Name, Site: w.Sites[s.Site].Name}
+func (run *runner) report() *Report {
+	for at := range run.siteLostSinceMs {
+		run.recordSiteLoss(at, false, false)
+	}
+	bounds := run.upperBounds()
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	r := &Report{Name: run.Name, Description: run.Description, Policy: run.options.Policy, DetectionMs: -1}
+	r.Violations = append(r.Violations, run.invariants.Check(run.now()+1e6)...)
+	for i, t := range run.Types {
+		r.Types = append(r.Types, TypeReport{t.Name, run.counts.sum(i, 0, math.MaxInt), run.counts.quantile(i, 50), run.counts.quantile(i, 99)})
+	}
+	seconds := int(run.Seconds)
+	books := make([][]float64, 0, len(run.servers))
+	for _, s := range run.servers {
+		l := ServerReport{Name: s.Name, Site: run.Sites[s.Site].Name}
 		var busy []float64
-		for _, sec := range s.station.Book() {
-			l.Came, l.Turned = l.Came+sec.Came, l.Turned+sec.Turned
+		for _, sec := range s.model.Book() {
+			l.Received, l.Rejected = l.Received+sec.Came, l.Rejected+sec.Turned
 			ratio := float64(sec.Came) / math.Max(sec.Bears, 1e-9)
 			busy = append(busy, ratio)
-			l.Worst = max(l.Worst, ratio)
+			l.MaxLoad = max(l.MaxLoad, ratio)
 		}
 		books = append(books, busy)
 		r.Servers = append(r.Servers, l)
-		_, worst := s.station.Fell()
-		r.Worst = max(r.Worst, worst)
+		_, worst := s.model.Fell()
+		r.MaxWarmUpLoad = max(r.MaxWarmUpLoad, worst)
 	}
 	top := 0
-	for i, t := range w.Types {
-		if t.Value > w.Types[top].Value {
+	for i, t := range run.Types {
+		if t.Value > run.Types[top].Value {
 			top = i
 		}
 	}
 	for sec := range seconds {
 		s := Second{}
-		for i := range w.Types {
-			t := w.counts.sum(i, sec, sec+1)
+		for i := range run.Types {
+			t := run.counts.sum(i, sec, sec+1)
 			s.Tally = append(s.Tally, t)
 			s.Value += t.Value
 			// The bound of what was really offered in this second.
-			s.Bound += bounds[sec][i] * float64(t.Offered) * w.Types[i].Value
+			s.Bound += bounds[sec][i] * float64(t.Offered) * run.Types[i].Value
 		}
 		for _, busy := range books {
 			if sec < len(busy) {
-				s.Busiest = max(s.Busiest, busy[sec])
+				s.MaxServerLoad = max(s.MaxServerLoad, busy[sec])
 			}
 		}
 		r.Seconds = append(r.Seconds, s)
 	}
-	first := w.First()
+	first := run.FirstFaultS()
 	if math.IsInf(first, 1) {
-		first = w.Seconds
+		first = run.Seconds
 	}
 	end := first
-	for _, l := range w.Line {
-		until := l.At + l.For
-		if l.For == 0 {
-			until = w.Seconds
+	for _, l := range run.Timeline {
+		until := l.AtS + l.DurationS
+		if l.DurationS == 0 {
+			until = run.Seconds
 		}
-		if l.Every > 0 {
-			until = l.Until
+		if l.PeriodS > 0 {
+			until = l.UntilS
 		}
-		end = max(end, min(until+l.Spread, w.Seconds))
+		end = max(end, min(until+l.SpreadS, run.Seconds))
 	}
 	phase := func(name string, from, to float64) {
 		from, to = math.Ceil(from), math.Floor(to)
 		if to <= from {
 			return
 		}
-		p := Phase{Name: name, From: from, To: to}
-		for i := range w.Types {
-			t := w.counts.sum(i, int(from), int(to))
-			p.Served = append(p.Served, float64(t.InTime)/math.Max(float64(t.Offered), 1))
+		p := Phase{Name: name, StartS: from, EndS: to}
+		for i := range run.Types {
+			t := run.counts.sum(i, int(from), int(to))
+			p.ServedShares = append(p.ServedShares, float64(t.InTime)/math.Max(float64(t.Offered), 1))
 			if i == top {
 				could := 0.0
 				for sec := int(from); sec < int(to); sec++ {
-					could += bounds[sec][i] * float64(w.counts.sum(i, sec, sec+1).Offered)
+					could += bounds[sec][i] * float64(run.counts.sum(i, sec, sec+1).Offered)
 				}
-				p.Top = float64(t.InTime) / math.Max(could, 1)
+				p.TopTypeShare = float64(t.InTime) / math.Max(could, 1)
 			}
 		}
 		for sec := int(from); sec < int(to) && sec < len(r.Seconds); sec++ {
@@ -182,33 +184,33 @@
 		r.Phases = append(r.Phases, p)
 	}
 	phase("before", 0, first)
-	phase("first seconds", first, min(first+w.Expect.Settled, end))
-	phase("settled", first+w.Expect.Settled, end)
-	phase("return", end, w.Seconds)
-	for _, b := range w.brokers {
-		for _, o := range w.brokers {
-			_, there, _ := w.net.Stats(b.name, o.name)
-			r.Said += there
+	phase("first seconds", first, min(first+run.Expect.SettleS, end))
+	phase("settled", first+run.Expect.SettleS, end)
+	phase("return", end, run.Seconds)
+	for _, b := range run.brokers {
+		for _, o := range run.brokers {
+			_, there, _ := run.network.Stats(b.name, o.name)
+			r.GossipBytes += there
 		}
 	}
-	if w.quorum != nil {
-		r.Owners = w.quorum.report()
-		for _, b := range r.Owners.Broken {
-			r.Broken = append(r.Broken, "owners: "+b)
+	if run.leases != nil {
+		r.Leases = run.leases.report()
+		for _, b := range r.Leases.Broken {
+			r.Violations = append(r.Violations, "owners: "+b)
 		}
 	}
-	w.sights(r)
-	r.Missed = w.missed(r)
+	run.collectSiteReports(r)
+	r.FailedExpectations = run.failedExpectations(r)
 	return r
 }
 
-var siteLine = regexp.MustCompile(`^site (\d+) (lost|returning) `)
+var siteLogLine = regexp.MustCompile(`^site (\d+) (lost|returning) `)
 
-// sights reads what brokers said of sites.
-func (w *world) sights(r *Report) {
-	zero := float64(w.zero.UnixMicro()) / 1000
+// collectSiteReports reads what brokers said of sites.
+func (run *runner) collectSiteReports(r *Report) {
+	zero := float64(run.startedAt.UnixMicro()) / 1000
 	heard := map[string]bool{}
-	for _, b := range w.brokers {
+	for _, b := range run.brokers {
 		text, _ := os.ReadFile(b.log.Name())
 		r.Logs = append(r.Logs, string(text))
 		for line := range strings.Lines(string(text)) {
@@ -216,7 +218,7 @@
 			if json.Unmarshal([]byte(line), &said) != nil {
 				continue
 			}
-			m := siteLine.FindStringSubmatch(said.Message)
+			m := siteLogLine.FindStringSubmatch(said.Message)
 			if m == nil {
 				continue
 			}
@@ -225,83 +227,83 @@
 				continue
 			}
 			site, _ := strconv.Atoi(m[1])
-			s := Sight{Broker: b.name, At: float64(at.UnixMicro())/1000 - zero, Site: site, Text: said.Message, Lost: m[2] == "lost", Own: site == b.site}
-			r.Sights = append(r.Sights, s)
+			s := SiteReport{Broker: b.name, AtMs: float64(at.UnixMicro())/1000 - zero, Site: site, Text: said.Message, Lost: m[2] == "lost", OwnSite: site == b.site}
+			r.SiteReports = append(r.SiteReports, s)
 			if !s.Lost {
 				continue
 			}
 			isTrue := false
-			for i, sp := range w.lostEver {
+			for i, sp := range run.siteLosses {
 				// A site that brokers there hold the others to be lost for is cut off from them: that is no false alarm.
 				mine := sp.site == site || sp.site == b.site
-				if mine && s.At >= sp.from-5 && s.At <= sp.to+1000 {
+				if mine && s.AtMs >= sp.startMs-5 && s.AtMs <= sp.endMs+1000 {
 					isTrue = true
 					if i == 0 && sp.site == site {
 						heard[b.name] = true
-						r.Detect = max(r.Detect, 0)
+						r.DetectionMs = max(r.DetectionMs, 0)
 					}
 				}
 			}
 			if !isTrue {
-				r.False++
+				r.FalseAlarms++
 			}
 		}
 	}
-	if len(w.lostEver) == 0 {
+	if len(run.siteLosses) == 0 {
 		return
 	}
-	first := w.lostEver[0]
+	first := run.siteLosses[0]
 	var times []float64
 	could := 0
-	for _, b := range w.brokers {
+	for _, b := range run.brokers {
 		if b.site != first.site {
 			could++
 		}
 	}
 	seen := map[string]bool{}
-	for _, s := range r.Sights {
-		if s.Lost && s.Site == first.site && s.At >= first.from && s.At <= first.to && !seen[s.Broker] {
+	for _, s := range r.SiteReports {
+		if s.Lost && s.Site == first.site && s.AtMs >= first.startMs && s.AtMs <= first.endMs && !seen[s.Broker] {
 			seen[s.Broker] = true
-			times = append(times, s.At-first.from)
+			times = append(times, s.AtMs-first.startMs)
 		}
 	}
 	sort.Float64s(times)
-	r.Detect = -1
+	r.DetectionMs = -1
 	if half := (could + 1) / 2; half > 0 && len(times) >= half {
-		r.Detect = times[half-1]
+		r.DetectionMs = times[half-1]
 	}
 }
 
-// missed tells which of the file's expectations do not hold.
-func (w *world) missed(r *Report) (list []string) {
-	e := w.Expect
+// failedExpectations tells which of the file's expectations do not hold.
+func (run *runner) failedExpectations(r *Report) (list []string) {
+	e := run.Expect
 	miss := func(form string, args ...any) { list = append(list, fmt.Sprintf(form, args...)) }
 	for _, p := range r.Phases {
 		if p.Name != "settled" && p.Name != "return" {
 			continue
 		}
-		if share := p.Value / math.Max(p.Bound, 1e-9); e.All != nil && share < *e.All {
-			miss("%s: %.3f of the bound's value, %.3f wanted", p.Name, share, *e.All)
+		if share := p.Value / math.Max(p.Bound, 1e-9); e.MinValueShare != nil && share < *e.MinValueShare {
+			miss("%s: %.3f of the bound's value, %.3f wanted", p.Name, share, *e.MinValueShare)
 		}
-		if e.Top != nil && p.Top < *e.Top {
-			miss("%s: %.3f of the bound for the most valued type, %.3f wanted", p.Name, p.Top, *e.Top)
+		if e.MinTopTypeShare != nil && p.TopTypeShare < *e.MinTopTypeShare {
+			miss("%s: %.3f of the bound for the most valued type, %.3f wanted", p.Name, p.TopTypeShare, *e.MinTopTypeShare)
 		}
-		if p.Name == "return" && e.Dip != nil {
-			for sec := int(p.From); sec < int(p.To) && sec < len(r.Seconds); sec++ {
-				if s := r.Seconds[sec]; s.Value < (1-*e.Dip)*s.Bound {
+		if p.Name == "return" && e.MaxReturnDip != nil {
+			for sec := int(p.StartS); sec < int(p.EndS) && sec < len(r.Seconds); sec++ {
+				if s := r.Seconds[sec]; s.Value < (1-*e.MaxReturnDip)*s.Bound {
 					miss("second %d of the return: %.3f of the bound's value", sec, s.Value/math.Max(s.Bound, 1e-9))
 				}
 			}
 		}
 	}
-	if e.Over != nil && r.Worst > *e.Over {
-		miss("a cold server was sent %.2f of what it bears, %.2f is the most", r.Worst, *e.Over)
+	if e.MaxWarmUpLoad != nil && r.MaxWarmUpLoad > *e.MaxWarmUpLoad {
+		miss("a cold server was sent %.2f of what it bears, %.2f is the most", r.MaxWarmUpLoad, *e.MaxWarmUpLoad)
 	}
-	if e.Detect != nil && (r.Detect < 0 || r.Detect > *e.Detect) {
-		miss("half of the brokers held the site to be lost after %.0f ms, %.0f wanted", r.Detect, *e.Detect)
+	if e.MaxDetectionMs != nil && (r.DetectionMs < 0 || r.DetectionMs > *e.MaxDetectionMs) {
+		miss("half of the brokers held the site to be lost after %.0f ms, %.0f wanted", r.DetectionMs, *e.MaxDetectionMs)
 	}
-	if e.FalseAlarms != nil && r.False > *e.FalseAlarms {
-		miss("%d false alarms, %d allowed", r.False, *e.FalseAlarms)
+	if e.MaxFalseAlarms != nil && r.FalseAlarms > *e.MaxFalseAlarms {
+		miss("%d false alarms, %d allowed", r.FalseAlarms, *e.MaxFalseAlarms)
 	}
 	return list
 }
@@ -312,11 +314,11 @@
 	if policy == "" {
 		policy = "the module"
 	}
-	fmt.Fprintf(out, "%s, by %s: %s\n\n", r.Name, policy, r.Says)
+	fmt.Fprintf(out, "%s, by %s: %s\n\n", r.Name, policy, r.Description)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "type\toffered\tin time\tlate\tin part\tshed\terrored\tno broker\t")
 	for _, k := range r.Types {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", k.Name, k.Offered, k.InTime, k.Late, k.InPart, k.Shed, k.Errored, k.Nobody)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", k.Name, k.Offered, k.InTime, k.Late, k.Incomplete, k.Shed, k.Errored, k.NoBroker)
 	}
 	t.Flush()
 	fmt.Fprintln(out)
@@ -327,8 +329,8 @@
 	}
 	fmt.Fprintln(t)
 	for _, p := range r.Phases {
-		fmt.Fprintf(t, "%s\t%.0f\t%.0f\t%.0f\t%.3f\t%.3f\t", p.Name, p.From, p.To, p.Value, p.Value/math.Max(p.Bound, 1e-9), p.Top)
-		for _, v := range p.Served {
+		fmt.Fprintf(t, "%s\t%.0f\t%.0f\t%.0f\t%.3f\t%.3f\t", p.Name, p.StartS, p.EndS, p.Value, p.Value/math.Max(p.Bound, 1e-9), p.TopTypeShare)
+		for _, v := range p.ServedShares {
 			fmt.Fprintf(t, "%.3f\t", v)
 		}
 		fmt.Fprintln(t)
@@ -336,25 +338,25 @@
 	t.Flush()
 	worst := 0.0
 	for _, s := range r.Servers {
-		worst = max(worst, s.Worst)
+		worst = max(worst, s.MaxLoad)
 	}
-	fmt.Fprintf(out, "\nbusiest second of a server: %.2f of what it bears; cold servers: at most %.2f of what they bear; ", worst, r.Worst)
-	fmt.Fprintf(out, "lost after %.0f ms (half of the brokers), %d false alarms\n", r.Detect, r.False)
-	if o := r.Owners; o != nil {
+	fmt.Fprintf(out, "\nbusiest second of a server: %.2f of what it bears; cold servers: at most %.2f of what they bear; ", worst, r.MaxWarmUpLoad)
+	fmt.Fprintf(out, "lost after %.0f ms (half of the brokers), %d false alarms\n", r.DetectionMs, r.FalseAlarms)
+	if o := r.Leases; o != nil {
 		fmt.Fprintf(out, "owners: %d effects counted, %d take-overs (gap p50 %.0f ms, p99 %.0f ms), %d effects of old owners refused, %d repeated; %d came after a newer owner's\n",
-			o.Counted, o.Takeovers, quantile(o.Gaps, 0.5), quantile(o.Gaps, 0.99), o.Refused, o.Again, o.Unfenced)
+			o.Counted, o.Takeovers, quantile(o.GapsMs, 0.5), quantile(o.GapsMs, 0.99), o.Refused, o.Again, o.StaleEffects)
 	}
 	for _, k := range r.Types {
-		fmt.Fprintf(out, "%s: p50 %.0f ms, p99 %.0f ms of what was answered\n", k.Name, k.P50, k.P99)
+		fmt.Fprintf(out, "%s: p50 %.0f ms, p99 %.0f ms of what was answered\n", k.Name, k.P50Ms, k.P99Ms)
 	}
-	for i, b := range r.Broken {
+	for i, b := range r.Violations {
 		if i == 10 {
-			fmt.Fprintf(out, "and %d more\n", len(r.Broken)-i)
+			fmt.Fprintf(out, "and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintln(out, "BROKEN:", b)
 	}
-	for _, m := range r.Missed {
+	for _, m := range r.FailedExpectations {
 		fmt.Fprintln(out, "missed:", m)
 	}
 }
