--- a/internal/ledger/export/export.go
+++ b/internal/ledger/export/export.go
@@ -16,13 +16,17 @@
 
 // Intent is a batch that was fixed.
 type Intent struct {
-	Batch    uint64 // from 1
-	From, To uint64 // entries, both included
-	Hash     uint64 // of them
+	Batch uint64 `json:"Batch"` // from 1
+	From  uint64 `json:"From"`  // the first entry, included
+	To    uint64 `json:"To"`    // the last, included
+	Hash  uint64 `json:"Hash"`  // of them
 }
 
 // Cursor is how far a sink has the entries, in how many batches.
-type Cursor struct{ Seq, Batch uint64 }
+type Cursor struct {
+	Seq   uint64 `json:"Seq"`
+	Batch uint64 `json:"Batch"`
+}
 
 // Kind of a step.
 type Kind uint8
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -45,9 +45,10 @@
 
 // Key is what uses are added up by.
 type Key struct {
-	Customer, Kind string
-	Front          Front
-	Outcome        Outcome
+	Customer string  `json:"Customer"`
+	Kind     string  `json:"Kind"`
+	Front    Front   `json:"Front"`
+	Outcome  Outcome `json:"Outcome"`
 }
 
 // Less orders keys by customer, query type, front and outcome.
@@ -212,24 +213,24 @@
 
 // Entry is one line of the ledger. (Instance, Epoch, Seq) names it for good.
 type Entry struct {
-	Instance string
-	Epoch    uint64
-	Seq      uint64 // from 1, without gaps
-	Sort     Sort
-	Period   int64 // its beginning, Unix ms: what it is posted to
-	At       int64 // Unix ms when it was written
-	Key      Key
-	Counts   Counts
+	Instance string `json:"Instance"`
+	Epoch    uint64 `json:"Epoch"`
+	Seq      uint64 `json:"Seq"` // from 1, without gaps
+	Sort     Sort   `json:"Sort"`
+	Period   int64  `json:"Period"` // its beginning, Unix ms: what it is posted to
+	At       int64  `json:"At"`     // Unix ms when it was written
+	Key      Key    `json:"Key"`
+	Counts   Counts `json:"Counts"`
 	// Of a correction.
-	ID        string // its own key: given twice it counts once
-	Author    string
-	Reason    string
-	Reference string // the bill, ticket or correction that it is about
-	Refers    int64  // the period that it corrects: another than Period where that was closed
-	Forced    bool   // it may leave a total below 0
+	ID        string `json:"ID"` // its own key: given twice it counts once
+	Author    string `json:"Author"`
+	Reason    string `json:"Reason"`
+	Reference string `json:"Reference"` // the bill, ticket or correction that it is about
+	Refers    int64  `json:"Refers"`    // the period that it corrects: another than Period where that was closed
+	Forced    bool   `json:"Forced"`    // it may leave a total below 0
 	// Of a close.
-	Entries uint64 // posted to the period
-	Hash    uint64 // of them in their order
+	Entries uint64 `json:"Entries"` // posted to the period
+	Hash    uint64 `json:"Hash"`    // of them in their order
 }
 
 // hash of what an entry says, chained over a period's entries.
--- a/internal/ledger/sink/sink.go
+++ b/internal/ledger/sink/sink.go
@@ -58,10 +58,10 @@
 
 // Batch is one line of the manifest.
 type Batch struct {
-	Instance string
-	Epoch    uint64
+	Instance string `json:"Instance"`
+	Epoch    uint64 `json:"Epoch"`
 	export.Intent
-	Files []string
+	Files []string `json:"Files"`
 }
 
 // Folder is the sink.
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -7,23 +7,27 @@
 
 // A checkpoint's form.
 type snapshot struct {
-	Instance    string
-	Epoch, Next uint64
-	Periods     []snapPeriod
-	Corrections []*Entry
+	Instance    string       `json:"Instance"`
+	Epoch       uint64       `json:"Epoch"`
+	Next        uint64       `json:"Next"`
+	Periods     []snapPeriod `json:"Periods"`
+	Corrections []*Entry     `json:"Corrections"`
 }
 
 type snapPeriod struct {
-	Start            int64
-	State            State
-	Entries, Hash    uint64
-	Total, Corrected Counts
-	Used, Added      []snapKey
+	Start     int64     `json:"Start"`
+	State     State     `json:"State"`
+	Entries   uint64    `json:"Entries"`
+	Hash      uint64    `json:"Hash"`
+	Total     Counts    `json:"Total"`
+	Corrected Counts    `json:"Corrected"`
+	Used      []snapKey `json:"Used"`
+	Added     []snapKey `json:"Added"`
 }
 
 type snapKey struct {
-	Key    Key
-	Counts Counts
+	Key    Key    `json:"Key"`
+	Counts Counts `json:"Counts"`
 }
 
 func listOf(m map[Key]*Counts) (list []snapKey) {
--- a/internal/ledger/store/codec.go
+++ b/internal/ledger/store/codec.go
@@ -23,17 +23,20 @@
 
 // entryV1 is the first form: corrections had no reference of their own and none was forced.
 type entryV1 struct {
-	Instance   string
-	Epoch, Seq uint64
-	Sort       ledger.Sort
-	Period, At int64
-	Key        ledger.Key
-	Counts     ledger.Counts
-	ID, Author string
-	Reason     string
-	Refers     int64
-	Entries    uint64
-	Hash       uint64
+	Instance string        `json:"Instance"`
+	Epoch    uint64        `json:"Epoch"`
+	Seq      uint64        `json:"Seq"`
+	Sort     ledger.Sort   `json:"Sort"`
+	Period   int64         `json:"Period"`
+	At       int64         `json:"At"`
+	Key      ledger.Key    `json:"Key"`
+	Counts   ledger.Counts `json:"Counts"`
+	ID       string        `json:"ID"`
+	Author   string        `json:"Author"`
+	Reason   string        `json:"Reason"`
+	Refers   int64         `json:"Refers"`
+	Entries  uint64        `json:"Entries"`
+	Hash     uint64        `json:"Hash"`
 }
 
 // seal puts a version and a checksum before a payload.
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -21,9 +21,9 @@
 // Identity is who wrote a store's entries. An epoch begins with each store that is made: one whose disk was lost must not
 // give out the same names again, so it is drawn from the time and from chance.
 type Identity struct {
-	Instance string
-	Epoch    uint64
-	Made     int64 // Unix ms
+	Instance string `json:"Instance"`
+	Epoch    uint64 `json:"Epoch"`
+	Made     int64  `json:"Made"` // Unix ms
 }
 
 // Store is one ledger on a disk.
@@ -179,8 +179,8 @@
 // Export is a sink's state: its cursor and the batch that was fixed, if one is. Both are in one record, so that one write
 // moves the cursor and ends the intent.
 type Export struct {
-	Cursor export.Cursor
-	Intent *export.Intent
+	Cursor export.Cursor  `json:"Cursor"`
+	Intent *export.Intent `json:"Intent"`
 }
 
 // Export reads a sink's state.
