--- /dev/null
+++ b/internal/protocol/wire_golden_test.go
@@ -0,0 +1,94 @@
+package protocol_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"kestrelspread/internal/protocol"
+)
+
+// TestWhatIsWrittenKeepsItsBytes freezes frames to servers, answers to clients and the question to discovery.
+func TestWhatIsWrittenKeepsItsBytes(t *testing.T) {
+	var text strings.Builder
+	show := func(what string, content []byte) { fmt.Fprintf(&text, "%s %q\n", what, content) }
+
+	frame := protocol.AppendCall(nil)
+	frame = protocol.AppendPart(frame, "17-0", 3, 249.9, nil, []byte("two words"))
+	frame = protocol.AppendPart(frame, "17-1", 0, 0.2, []byte("again-9"), []byte("\u00e9"))
+	show("call", protocol.EndFrame(frame, 0))
+	show("abandon", protocol.AppendShort(nil, protocol.Abandon, "17-1"))
+	show("alive", protocol.AppendShort(nil, protocol.Alive, ""))
+	show("letters", []byte{protocol.Call, protocol.Abandon, protocol.Alive, protocol.Load, protocol.Reply, protocol.Unusual})
+
+	body := protocol.AppendAnswer(nil, true)
+	body = protocol.AppendMatch(body, 2, []byte("plain"))
+	body = protocol.EndAnswer(protocol.AppendMatch(body, 5, []byte("quote \" back \\ \u00e9")))
+	show("whole answer", protocol.AppendResponse(nil, 200, "application/json", false, 0, body))
+	show("partial answer", protocol.AppendResponse(nil, 200, "application/json", true, 0, protocol.EndAnswer(protocol.AppendAnswer(nil, false))))
+	for _, status := range []int{400, 404, 405, 408, 409, 411, 413, 417, 431, 500, 501, 503, 505} {
+		show("answer", protocol.AppendResponse(nil, status, "text/plain", status != 503, float64(status/503*1234), []byte("why")))
+	}
+	show("continue", []byte(protocol.Continue))
+	show("watch", protocol.AppendWatch(nil, "10.0.0.1:80", 41))
+	golden.Assert(t, text.String(), "golden/written.txt")
+}
+
+// TestWhatIsReadIsUnderstoodAsBefore freezes what is made of the frames of servers, searches of clients and lists of
+// discovery.
+func TestWhatIsReadIsUnderstoodAsBefore(t *testing.T) {
+	var text strings.Builder
+	var frames protocol.Frames
+	frames.Store(make([]byte, 0, protocol.MaxFrame+4))
+	input := protocol.AppendShort(nil, 'Y', "17-0 OK 12 active=3,cpu=0.5\nvalue \u00e9")
+	input = protocol.AppendShort(input, 'Y', "17-1 ERROR - -\n")
+	input = protocol.AppendShort(input, 'Y', "17-2 REJECTED 0 waiting=4\nfull")
+	input = protocol.AppendShort(input, 'Y', "17-3 FINE 0 -\n")
+	input = protocol.AppendShort(input, 'T', "active=7,cpu=0.25,waiting=2")
+	input = protocol.AppendShort(input, 'G', "")
+	input = protocol.AppendShort(input, 'N', "anything")
+	for len(input) > 0 {
+		part := input[:min(5, len(input))]
+		input = input[len(part):]
+		err := frames.Feed(part, func(letter byte, rest []byte) error {
+			fmt.Fprintf(&text, "frame %c %q", letter, rest)
+			report := rest
+			if letter == 'Y' {
+				id, end, reported, value, err := protocol.ReadReply(rest)
+				fmt.Fprintf(&text, ": %q %d %q %q %t", id, end, reported, value, err == nil)
+				report = reported
+			}
+			if letter == 'Y' || letter == 'T' {
+				err := protocol.ReadReport(report, func(name []byte, value float64) { fmt.Fprintf(&text, " %s:%v", name, value) })
+				fmt.Fprintf(&text, " %t", err == nil)
+			}
+			text.WriteString("\n")
+			return nil
+		})
+		assert.NilError(t, err)
+	}
+
+	search := `{"text":"two \u0077ords","segments":[{"segment":0,"boost":0.25,"work":1500,"affinity":"ff"},{"segment":3,"boost":0.75,"other":null}]}`
+	content, sum, err := protocol.Search([]byte(search), 4, func(shard int, share, work float64, key uint64) {
+		fmt.Fprintf(&text, "part %d %v %v %d\n", shard, share, work, key)
+	})
+	assert.NilError(t, err)
+	fmt.Fprintf(&text, "search %q %v\n", content, sum)
+	for _, broken := range []string{`{}`, `{"text":"a","segments":[]}`, `{"text":"a","segments":[{"segment":4,"boost":1}]}`} {
+		_, _, err := protocol.Search([]byte(broken), 4, func(int, float64, float64, uint64) {})
+		assert.Assert(t, err != nil, broken)
+	}
+
+	list := `{"generation":12,"reset":true,"instances":[` +
+		`{"instanceId":"i-1","hostPort":"10.0.0.5:8080","lifecycle":"ready","zone":"a","cell":3,"weight":1.5,"startedAtMs":1700000000000},` +
+		`{"instanceId":"i-2","hostPort":"10.0.0.6:8080","lifecycle":"draining"},{"instanceId":"i-3","lifecycle":"gone"}]}`
+	version, full, err := protocol.List([]byte(list), func(id, addr, zone []byte, cell int, state uint8, weight, started float64) {
+		fmt.Fprintf(&text, "server %q %q %q %d %d %v %v\n", id, addr, zone, cell, state, weight, started)
+	})
+	assert.NilError(t, err)
+	fmt.Fprintf(&text, "list %d %t\n", version, full)
+	golden.Assert(t, text.String(), "golden/read.txt")
+}
