--- a/internal/node/nodepb/descriptor_golden_test.go
+++ b/internal/node/nodepb/descriptor_golden_test.go
@@ -111,3 +111,14 @@
 	}
 	return strings.Join(words, " ") + names
 }
+
+// TestStatesAreCalledAsOperatorsReadThem: the status of a node shows the names of this enum.
+func TestStatesAreCalledAsOperatorsReadThem(t *testing.T) {
+	envelope := (&nodepb.Envelope{}).ProtoReflect().Descriptor()
+	instance := envelope.Fields().ByNumber(72).Message().Fields().ByNumber(2).Message()
+	states := instance.Fields().ByNumber(7).Enum().Values()
+	for number, name := range []string{"READY", "DRAINING", "GONE"} {
+		assert.Equal(t, string(states.ByNumber(protoreflect.EnumNumber(number)).Name()), name)
+	}
+	assert.Equal(t, states.Len(), 3)
+}
--- a/internal/node/nodestatus/status_golden_test.go
+++ b/internal/node/nodestatus/status_golden_test.go
@@ -77,3 +77,12 @@
 		assert.Equal(t, string(text)+"\n", written)
 	}
 }
+
+// TestSubjectsAreCalledAsScriptsReadThem: `kestrelctl fleet status --json` names what nodes see differently by these words.
+func TestSubjectsAreCalledAsScriptsReadThem(t *testing.T) {
+	for word, subject := range map[string]nodestatus.Subject{
+		"the view": nodestatus.TheView, "the members": nodestatus.TheMembers, "the state in force": nodestatus.TheState,
+	} {
+		assert.Equal(t, string(subject), word)
+	}
+}
