--- a/internal/routing/search.go
+++ b/internal/aggregator/engine/search.go
@@ -1,4 +1,4 @@
-package routing
+package engine
 
 import (
 	"bytes"
@@ -138,6 +138,7 @@
 	key         uint64
 }
 
+// Accepted implements transport.Handler: a client has connected.
 func (r *Router) Accepted(conn transport.Conn) {
 	r.Count.Accepted++
 	r.sockets++
@@ -161,6 +162,7 @@
 	return max(r.rules.limit-spareSockets-lanes, 1)
 }
 
+// AcceptFailed implements transport.Handler: no descriptor was left for a client.
 func (r *Router) AcceptFailed() { r.pause("no descriptor, %d held", r.sockets) }
 
 // pause stops accepting: who has connected and is not accepted waits, who has been idle gives way, and answers
@@ -458,7 +460,7 @@
 	if r.rules.most > 0 && r.held >= r.rules.most {
 		r.Count.OverHeld++
 		r.unstore(c)
-		r.end(q, 503, r.port.ComeBack(kind), nil)
+		r.end(q, 503, r.port.RetryAfter(kind), nil)
 		return nil
 	}
 	key := protocol.Key(c.in.Cookie("k"))
@@ -467,7 +469,7 @@
 	r.unstore(c)
 	r.enlist(q, kind, customer, sum, key)
 	if again {
-		r.port.Again(q.at)
+		r.port.MarkRetry(q.at)
 	}
 	return nil
 }
@@ -486,7 +488,7 @@
 		if d.key == 0 && key != 0 {
 			d.key = mixed(key, d.shard)
 		}
-		r.port.Part(q.at, p.at, d.shard, d.share/sum, d.work, d.key)
+		r.port.ShardRequest(q.at, p.at, d.shard, d.share/sum, d.work, d.key)
 	}
 	r.limit(q)
 }
@@ -520,6 +522,7 @@
 	return true
 }
 
+// Answer implements policy.Out: a search is answered from the parts that are in.
 func (r *Router) Answer(at int, allIn bool) {
 	q := r.slots[at].search
 	q.whole = allIn
@@ -555,11 +558,13 @@
 	r.end(q, 200, 0, r.body)
 }
 
+// Shed implements policy.Out: a search is refused, with advice when to ask again (0: none).
 func (r *Router) Shed(at int, comeBack float64) {
 	r.Count.Shed++
 	r.end(r.slots[at].search, 503, comeBack, nil)
 }
 
+// Fail implements policy.Out: a search ends in error.
 func (r *Router) Fail(at int) {
 	r.Count.Errored++
 	r.end(r.slots[at].search, 500, 0, nil)
--- a/internal/passthrough/call.go
+++ b/internal/grpcproxy/call.go
@@ -1,16 +1,16 @@
-package passthrough
+package grpcproxy
 
 import (
 	"math"
 
 	"golang.org/x/net/http2"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/engine"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
 	"kestrelspread/internal/routes"
-	"kestrelspread/internal/routing"
 )
 
 // call is one gRPC call: a search of one part. What its client has sent is kept once for all sub-requests, each of which
@@ -25,10 +25,10 @@
 	customer int
 	until    float64
 	head     []h2.Field
-	q        *routing.Search
+	q        *engine.Search
 
 	req      queue
-	reqScan  grpcwire.Scan
+	reqScan  grpcwire.MessageScanner
 	reqEnd   bool
 	credited int64 // of what has come, told to the client as room
 
@@ -40,7 +40,7 @@
 	trailers []h2.Field // that end what goes to the client
 	told     bool       // the client's side has its end
 	owes     bool
-	timer    routing.Timer
+	timer    engine.Timer
 }
 
 // queue holds bytes from a place on. What was given out is not changed: pieces are let go of whole.
@@ -108,8 +108,8 @@
 
 // start makes a search of the call.
 func (k *call) start(shard int, look routes.Lookup) {
-	pieces := [1]routing.Piece{{Shard: shard, Share: 1, Work: k.route.Work, Key: k.route.About(look)}}
-	q := k.f.r.Ask(k.route.Kind, k.customer, k.until, grpcwire.Repeated(look), pieces[:], k)
+	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.WorkHint, Key: k.route.AffinityHash(look)}}
+	q := k.f.r.Ask(k.route.QueryType, k.customer, k.until, grpcwire.IsRetry(look), pieces[:], k)
 	if k.q = q; !k.final && !k.reqEnd {
 		k.f.r.Open(q, true)
 	}
@@ -138,17 +138,17 @@
 	if k.told {
 		return
 	}
-	switch k.reqScan.Feed(b, k.route.Message) {
-	case grpcwire.Over:
+	switch k.reqScan.Feed(b, k.route.MaxMessageBytes) {
+	case grpcwire.MessageOverLimit:
 		k.f.Count.TooLong++
 		k.finish(grpcwire.ResourceExhausted, "the message is over the limit", -1)
 		return
-	case grpcwire.BadFlag:
+	case grpcwire.InvalidFlag:
 		k.f.Count.Unsound++
 		k.finish(grpcwire.Internal, "no gRPC message", -1)
 		return
 	}
-	if end && !k.reqScan.Between() {
+	if end && !k.reqScan.AtBoundary() {
 		k.f.Count.Unsound++
 		k.finish(grpcwire.Internal, "the last message is not whole", -1)
 		return
@@ -176,7 +176,7 @@
 // outgrow commits the one sub-request that is out once the repeat buffer is full: what is needed to begin another will be
 // gone. Where two are out, the one that has got further goes on.
 func (k *call) outgrow() {
-	if k.winner != nil || k.req.to <= int64(k.route.Repeat) {
+	if k.winner != nil || k.req.to <= int64(k.route.RetryBufferBytes) {
 		return
 	}
 	var far *attempt
@@ -189,7 +189,7 @@
 		k.f.Count.Outgrown++
 		k.winner = far
 		k.trim()
-		if far.s != nil && far.head != nil && k.route.Commit != routes.AtEnd {
+		if far.s != nil && far.head != nil && k.route.CommitPoint != routes.AtEnd {
 			far.release()
 		}
 	}
@@ -245,8 +245,8 @@
 	k.f.touch(k.c)
 }
 
-// Send begins a sub-request (routing.Call).
-func (k *call) Send(s *routing.Sub) {
+// Send begins a sub-request (engine.Call).
+func (k *call) Send(s *engine.Sub) {
 	a := &attempt{k: k, sub: s, server: s.Server()}
 	k.attempts = append(k.attempts, a)
 	k.f.Count.Sent++
@@ -260,10 +260,10 @@
 	k.f.pool.Want(k.f.r.Now(), a.server, a)
 }
 
-// Door is where gRPC comes in (routing.Call).
+// Door is where gRPC comes in (engine.Call).
 func (k *call) Door() int { return 1 }
 
-// Bytes are those of the client's messages and of the messages that it is given (routing.Call).
+// Bytes are those of the client's messages and of the messages that it is given (engine.Call).
 func (k *call) Bytes() (in, out int64) {
 	if w := k.winner; w != nil {
 		out = w.resp.to
@@ -271,8 +271,8 @@
 	return k.req.to, out
 }
 
-// TakeBack stops one whose outcome is known (routing.Call).
-func (k *call) TakeBack(s *routing.Sub) {
+// TakeBack stops one whose outcome is known (engine.Call).
+func (k *call) TakeBack(s *engine.Sub) {
 	for _, a := range k.attempts {
 		if a.sub == s {
 			a.stop()
@@ -281,8 +281,8 @@
 	}
 }
 
-// Final is the module's one final answer (routing.Call).
-func (k *call) Final(how routing.Ending, back float64) {
+// Final is the module's one final answer (engine.Call).
+func (k *call) Final(how engine.Ending, back float64) {
 	must.Hold(!k.final, "a call has one final answer")
 	k.final = true
 	if k.told {
@@ -290,7 +290,7 @@
 	}
 	late := k.f.r.Now() >= k.until-timeIsUp
 	switch how {
-	case routing.Whole, routing.Partial:
+	case engine.Whole, engine.Partial:
 		k.f.Count.Answered++
 		if k.winner == nil {
 			k.winner = k.answered
@@ -300,7 +300,7 @@
 			return
 		}
 		k.finish(grpcwire.Internal, "no answer is there", -1)
-	case routing.Shed:
+	case engine.Shed:
 		k.f.Count.Shed++
 		k.fail(late, back)
 	default:
@@ -319,7 +319,7 @@
 	switch {
 	case late && (a == nil || a != k.winner):
 		k.tell(grpcwire.DeadlineExceeded, "the client's time is up", 0)
-	case a != nil && a.trailers != nil && a.end.How != decide.Answered:
+	case a != nil && a.trailers != nil && a.end.Outcome != policy.Answered:
 		// The server's own words, its details included; only the advice is the broker's, who knows what was tried.
 		t := make([]h2.Field, 0, len(a.trailers)+1)
 		for _, f := range a.trailers {
@@ -327,22 +327,22 @@
 				t = append(t, f)
 			}
 		}
-		if _, found := grpcwire.Get(t, "grpc-status"); !found {
+		if _, found := grpcwire.FirstValue(t, "grpc-status"); !found {
 			k.tell(a.end.Status, a.end.Message, back)
 			return
 		}
 		// Whoever wants the longer rest has it; a server that wants no repeat at all is not overruled.
-		if wish, found := grpcwire.Pushback(a.trailers); found && (wish < 0 || back >= 0 && wish > back) {
+		if wish, found := grpcwire.RetryPushback(a.trailers); found && (wish < 0 || back >= 0 && wish > back) {
 			back = wish
 		}
 		if back != 0 {
-			t = append(t, grpcwire.Trailers(nil, 0, "", back)[1])
+			t = append(t, grpcwire.AppendTrailers(nil, 0, "", back)[1])
 		}
 		k.f.Count.Statuses[a.end.Status]++
 		k.close(t)
 	case a != nil:
 		k.f.Count.Statuses[a.end.Status]++
-		k.close(grpcwire.Trailers(nil, a.end.Status, a.end.Message, back))
+		k.close(grpcwire.AppendTrailers(nil, a.end.Status, a.end.Message, back))
 	case back < 0:
 		k.tell(grpcwire.Unavailable, "no server answered", back)
 	default:
@@ -364,7 +364,7 @@
 
 func (k *call) tell(code grpcwire.Status, why string, back float64) {
 	k.f.Count.Statuses[code]++
-	k.cut(grpcwire.Trailers(nil, code, why, back))
+	k.cut(grpcwire.AppendTrailers(nil, code, why, back))
 }
 
 // close ends the client's side once it has what came before the end.
@@ -382,14 +382,14 @@
 	if k.told {
 		return
 	}
-	if plantLost && !k.s.Began() {
+	if plantLost && !k.s.HeadersSent() {
 		k.over()
 		return
 	}
-	if k.s.Began() {
-		k.c.h.Cut(k.s, trailers)
+	if k.s.HeadersSent() {
+		k.c.h.EndWithTrailers(k.s, trailers)
 	} else {
-		k.c.h.Respond(k.s, append(grpcwire.Head(), trailers...), true, nil)
+		k.c.h.Respond(k.s, append(grpcwire.NewResponseHeaders(), trailers...), true, nil)
 	}
 	k.f.touch(k.c)
 	k.over()
@@ -454,7 +454,7 @@
 // attempt is one sub-request of a call on its way.
 type attempt struct {
 	k      *call
-	sub    *routing.Sub
+	sub    *engine.Sub
 	server int
 	l      *line // nil: it waits for its channel
 	s      *h2.Stream
@@ -465,14 +465,14 @@
 	resp   queue
 	given  int64 // to the client
 	owed   int64 // credited
-	scan   grpcwire.Scan
+	scan   grpcwire.MessageScanner
 	whole  bool // the server has sent all
 	over   bool
-	end    grpcwire.End
+	end    grpcwire.Result
 	said   bool // by its server or its connection, not called off
 	// trailers are what the server ended with, nil where it did not
 	trailers []h2.Field
-	by       routing.Timer // until when it may begin
+	by       engine.Timer // until when it may begin
 }
 
 // Next gives the server's stream what the client has sent (h2.Source).
@@ -495,7 +495,7 @@
 func (a *attempt) tooLate() {
 	switch {
 	case a.s == nil:
-		a.ended(grpcwire.NeverBegun)
+		a.ended(grpcwire.NotSent)
 	case a.start >= a.l.written:
 		a.l.drop("too late to begin")
 	}
@@ -522,20 +522,20 @@
 	if !k.hold(len(b)) {
 		k.hold(-len(b))
 		k.f.Count.OverHeld++
-		a.broken(grpcwire.End{Status: grpcwire.ResourceExhausted, Message: "too much is held", How: decide.Answered})
+		a.broken(grpcwire.Result{Status: grpcwire.ResourceExhausted, Message: "too much is held", Outcome: policy.Answered})
 		return
 	}
 	a.resp.add(b)
-	switch a.scan.Feed(b, k.route.Message) {
-	case grpcwire.BadFlag:
-		a.broken(grpcwire.Malformed)
+	switch a.scan.Feed(b, k.route.MaxMessageBytes) {
+	case grpcwire.InvalidFlag:
+		a.broken(grpcwire.MalformedResponse)
 		return
-	case grpcwire.Over:
+	case grpcwire.MessageOverLimit:
 		k.f.Count.TooLong++
-		a.broken(grpcwire.TooLong)
+		a.broken(grpcwire.MessageTooLarge)
 		return
 	}
-	if k.route.Commit == routes.AtEnd && a.resp.size() <= k.route.Hold {
+	if k.route.CommitPoint == routes.AtEnd && a.resp.size() <= k.route.ResponseBufferBytes {
 		a.credit()
 		return
 	}
@@ -554,7 +554,7 @@
 	if !plantRepeat && !k.f.r.Committed(a.sub, true) {
 		k.f.Count.LateAnswers++
 		a.stop()
-		k.f.r.Ended(a.sub, decide.Cancelled)
+		k.f.r.Ended(a.sub, policy.Cancelled)
 		return
 	}
 	k.f.Count.Committed++
@@ -568,7 +568,7 @@
 	if k.told || k.winner != a || a.head == nil {
 		return
 	}
-	if !k.s.Began() {
+	if !k.s.HeadersSent() {
 		k.c.h.Respond(k.s, a.head, false, k)
 	}
 	k.s.Ready()
@@ -578,7 +578,7 @@
 // finish: the module has the answer; the client has it once all has gone out.
 func (a *attempt) finish() {
 	k := a.k
-	if a.end.How == decide.Answered && a.trailers != nil {
+	if a.end.Outcome == policy.Answered && a.trailers != nil {
 		k.f.Count.Statuses[a.end.Status]++
 		if a.head == nil { // nothing but a status, as it came
 			k.c.h.Respond(k.s, a.trailers, true, nil)
@@ -617,27 +617,27 @@
 	}
 	a.whole = true
 	k := a.k
-	e := grpcwire.OfTrailers(trailers, k.route.Unseen, a.scan.Messages)
+	e := grpcwire.ResultFromTrailers(trailers, k.route.RejectedUnprocessed, a.scan.CompleteMessages)
 	a.trailers = trailers
-	if e.How == decide.Answered && !a.scan.Between() {
-		e, a.trailers = grpcwire.CutShort, nil
+	if e.Outcome == policy.Answered && !a.scan.AtBoundary() {
+		e, a.trailers = grpcwire.TruncatedMessage, nil
 	}
-	if wait, found := grpcwire.Pushback(trailers); found && e.How != decide.Answered && k.winner == nil {
+	if wait, found := grpcwire.RetryPushback(trailers); found && e.Outcome != policy.Answered && k.winner == nil {
 		k.f.r.Pushback(a.sub, wait)
 	}
 	a.ended(e)
 }
 
 // broken ends one from this side, for what its server sent.
-func (a *attempt) broken(e grpcwire.End) {
-	if e.How != decide.Answered {
+func (a *attempt) broken(e grpcwire.Result) {
+	if e.Outcome != policy.Answered {
 		a.k.f.Count.BadServers++
 	}
 	a.ended(e)
 }
 
 // ended tells the module how a sub-request ended. The first word counts.
-func (a *attempt) ended(e grpcwire.End) {
+func (a *attempt) ended(e grpcwire.Result) {
 	if a.over {
 		return
 	}
@@ -645,9 +645,9 @@
 	a.end, a.said = e, true
 	a.stop()
 	switch {
-	case e.How == decide.Answered && (k.winner == nil || k.winner == a) && k.answered == nil:
+	case e.Outcome == policy.Answered && (k.winner == nil || k.winner == a) && k.answered == nil:
 		k.answered = a
-	case e.How == decide.Answered && k.winner != a:
+	case e.Outcome == policy.Answered && k.winner != a:
 		k.f.Count.LateAnswers++
 		a.free()
 	default:
@@ -656,7 +656,7 @@
 			a.free()
 		}
 	}
-	k.f.r.Ended(a.sub, e.How)
+	k.f.r.Ended(a.sub, e.Outcome)
 }
 
 // stop ends the stream, if it is open, and lets go of its place. What has come of its response stays for who answered.
@@ -685,7 +685,7 @@
 	} else {
 		k.f.pool.Forget(a.server, a)
 	}
-	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.How == decide.Answered) {
+	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.Outcome == policy.Answered) {
 		a.free()
 	}
 	if !k.told {
--- a/internal/passthrough/front.go
+++ b/internal/grpcproxy/front.go
@@ -1,11 +1,11 @@
-// Package passthrough is the gRPC front and its carrier: calls in over HTTP/2, each a search of one part, and on to the
+// Package grpcproxy is the gRPC front and its carrier: calls in over HTTP/2, each a search of one part, and on to the
 // servers that the module chooses. It is a reducer like routing, in the same loop: connections' bytes in, effects out,
 // no goroutine, no clock and no socket of its own, so that it runs unchanged under a virtual clock.
 //
 // It decides nothing about servers. Which gets a call, whether a call is repeated, copied or shed is the module's, asked
 // through routing; which connection a stream takes is the channels' pool's; what is said of a call is its route's. What is
 // here is the bytes: they pass as they came, messages are never taken apart.
-package passthrough
+package grpcproxy
 
 import (
 	"math"
@@ -14,12 +14,12 @@
 
 	"golang.org/x/net/http2"
 
-	"kestrelspread/internal/channels"
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/engine"
+	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
-	"kestrelspread/internal/routing"
 	"kestrelspread/internal/transport"
 )
 
@@ -28,10 +28,10 @@
 	Next  atomic.Pointer[Rules] // set by others before they tell Reread
 	Count Counters
 
-	r       *routing.Router
+	r       *engine.Router
 	rules   *Rules
 	shards  int
-	pool    *channels.Pool
+	pool    *connpool.Pool
 	rand    uint64
 	servers []target
 	lines   []*line // by channel
@@ -42,7 +42,7 @@
 	held    int         // bytes
 	owing   []*call     // whose credit waits until less is held
 	dirty   []flusher
-	timer   routing.Timer
+	timer   engine.Timer
 	tickAt  float64
 	killed  float64
 	leaving bool
@@ -55,16 +55,16 @@
 	listed netip.AddrPort
 	addr   netip.AddrPort
 	has    bool
-	state  decide.State
+	state  policy.State
 }
 
 type flusher interface{ flush() }
 
 // New makes the front of a broker; shards is how many there are, seed draws the backoff's jitter.
-func New(r *routing.Router, rules *Rules, shards int, seed uint64) *Front {
+func New(r *engine.Router, rules *Rules, shards int, seed uint64) *Front {
 	f := &Front{r: r, rules: rules, shards: shards, rand: seed | 1, clients: map[*client]bool{}, byOwner: map[int]int{},
 		killed: math.Inf(1), tickAt: math.Inf(1)}
-	f.pool = channels.New((*carrier)(f), rules.Channels, f.roll)
+	f.pool = connpool.New((*carrier)(f), rules.Channels, f.roll)
 	return f
 }
 
@@ -94,9 +94,9 @@
 }
 
 // Server is news of the list.
-func (f *Front) Server(at int, id string, addr netip.AddrPort, state decide.State) {
+func (f *Front) Server(at int, id string, addr netip.AddrPort, state policy.State) {
 	for at >= len(f.servers) {
-		f.servers = append(f.servers, target{state: decide.Gone})
+		f.servers = append(f.servers, target{state: policy.Gone})
 	}
 	t := &f.servers[at]
 	t.id, t.state = id, state
@@ -114,8 +114,8 @@
 	}
 	was := t.addr
 	t.addr, t.has = f.rules.Addresses.Of(t.id, t.listed)
-	f.pool.Server(f.r.Now(), at, t.has && (t.state == decide.Ready || plantDrain), was.IsValid() && was != t.addr)
-	if !t.has || t.state != decide.Ready {
+	f.pool.Server(f.r.Now(), at, t.has && (t.state == policy.Ready || plantDrain), was.IsValid() && was != t.addr)
+	if !t.has || t.state != policy.Ready {
 		for _, l := range append([]*line(nil), f.lines...) {
 			if l != nil && l.server == at {
 				l.withdraw()
@@ -125,8 +125,9 @@
 	f.tick()
 }
 
-// Late: what has been given to the network for a server that wants nothing new, and of which the network has taken none,
-// can only be taken back with its connection. Only one that stands still has such.
+// Late ends connections to a server that wants nothing new: what has been given to the network, and of
+// which the network has taken none, can only be taken back with its connection. Only one that stands still
+// has such.
 func (f *Front) Late(at int) {
 	for _, l := range append([]*line(nil), f.lines...) {
 		if l != nil && l.server == at && l.unbegun() {
@@ -135,33 +136,34 @@
 	}
 }
 
-// Forgotten: the index will be another server's.
+// Forgotten drops a server; its index will be another's.
 func (f *Front) Forgotten(at int) {
 	if at < len(f.servers) {
 		f.pool.Forgotten(at)
-		f.servers[at] = target{state: decide.Gone}
+		f.servers[at] = target{state: policy.Gone}
 	}
 }
 
-// Stopping: clients are told to go elsewhere, and still served. What is open has its last status before the end.
+// Stopping has clients go elsewhere, and still serves them. What is open has its last status before the
+// time killed.
 func (f *Front) Stopping(killed float64) {
 	f.killed = killed
 	for _, c := range f.inOrder() {
-		c.h.Warn()
+		c.h.StartGracefulShutdown()
 		f.touch(c)
-		for _, s := range c.h.All() {
-			if k, ok := s.Of.(*call); ok {
+		for _, s := range c.h.Streams() {
+			if k, ok := s.UserData.(*call); ok {
 				k.mind()
 			}
 		}
 	}
 }
 
-// Leaving: the address is closed, nothing more is taken on connections either.
+// Leaving tells that the address is closed; nothing more is taken on connections either.
 func (f *Front) Leaving() {
 	f.leaving = true
 	for _, c := range f.inOrder() {
-		c.h.Farewell(http2.ErrCodeNo)
+		c.h.GoAway(http2.ErrCodeNo)
 		f.touch(c)
 	}
 }
@@ -194,11 +196,11 @@
 	}
 	if len(f.clients) > min(f.rules.Limits.Connections, f.r.Room()) || f.leaving {
 		f.Count.Refused++
-		c.h.Farewell(http2.ErrCodeEnhanceYourCalm)
+		c.h.GoAway(http2.ErrCodeEnhanceYourCalm)
 		c.ending = true
 	}
 	if !math.IsInf(f.killed, 1) {
-		c.h.Warn()
+		c.h.StartGracefulShutdown()
 	}
 	f.touch(c)
 	c.mind()
@@ -255,6 +257,7 @@
 
 func (o *carrier) front() *Front { return (*Front)(o) }
 
+// Open implements connpool.Out: a connection to a server is begun.
 func (o *carrier) Open(server, channel int) bool {
 	f := o.front()
 	l := &line{f: f, server: server, channel: channel, attempts: map[*attempt]bool{}}
@@ -271,26 +274,29 @@
 	return true
 }
 
-func (o *carrier) Begin(channel int, t channels.Token) { o.front().lines[channel].begin(t.(*attempt)) }
+// Begin implements connpool.Out: an attempt has its place on a connection.
+func (o *carrier) Begin(channel int, t connpool.Token) { o.front().lines[channel].begin(t.(*attempt)) }
 
-func (o *carrier) Refuse(t channels.Token, why channels.Why) {
+// Refuse implements connpool.Out: an attempt gets no place, and ends.
+func (o *carrier) Refuse(t connpool.Token, why connpool.Why) {
 	a := t.(*attempt)
 	switch why {
-	case channels.Unreachable:
-		a.ended(grpcwire.NoConnect)
-	case channels.NoPlace:
-		a.ended(grpcwire.NoPlace)
-	case channels.NoSocket:
-		a.ended(grpcwire.NeverBegun)
+	case connpool.Unreachable:
+		a.ended(grpcwire.ConnectFailed)
+	case connpool.NoPlace:
+		a.ended(grpcwire.NoStreamAvailable)
+	case connpool.NoSocket:
+		a.ended(grpcwire.NotSent)
 	default:
 		if !o.front().servers[a.server].has {
 			a.ended(grpcwire.NoAddress)
 			return
 		}
-		a.ended(grpcwire.Withdrawn)
+		a.ended(grpcwire.ServerDraining)
 	}
 }
 
+// Close implements connpool.Out: a connection is given up.
 func (o *carrier) Close(channel int) {
 	f := o.front()
 	l := f.lines[channel]
@@ -298,6 +304,7 @@
 	l.closing()
 }
 
+// Ping implements connpool.Out: a connection is asked for a sign of life.
 func (o *carrier) Ping(channel int) {
 	f := o.front()
 	f.lines[channel].h.Ping()
--- a/internal/passthrough/line.go
+++ b/internal/grpcproxy/line.go
@@ -1,4 +1,4 @@
-package passthrough
+package grpcproxy
 
 import (
 	"golang.org/x/net/http2"
@@ -31,6 +31,7 @@
 	l.f.touch(l)
 }
 
+// Bytes implements routing.Party: bytes have come.
 func (l *line) Bytes(b []byte, came float64) {
 	if l.gone || b == nil {
 		return
@@ -45,14 +46,16 @@
 	l.f.touch(l)
 }
 
+// Written implements routing.Party: the network has taken so many bytes.
 func (l *line) Written(upTo int64) {
 	l.written = upTo
 	l.proceed()
-	if l.h.Pending() {
+	if l.h.HasPendingOutput() {
 		l.f.touch(l)
 	}
 }
 
+// Closed implements routing.Party: the connection is gone.
 func (l *line) Closed(upTo int64) {
 	l.written = max(l.written, upTo)
 	l.lost(true)
@@ -84,19 +87,19 @@
 	if int(l.channel) < len(l.f.lines) && l.f.lines[l.channel] == l {
 		l.f.lines[l.channel] = nil
 	}
-	for _, s := range l.h.All() {
-		a, ok := s.Of.(*attempt)
+	for _, s := range l.h.Streams() {
+		a, ok := s.UserData.(*attempt)
 		if !ok || a.over {
 			continue
 		}
 		if l.written >= a.begun {
-			a.ended(grpcwire.Broken)
+			a.ended(grpcwire.ConnectionLost)
 		} else {
-			a.ended(grpcwire.NeverBegun)
+			a.ended(grpcwire.NotSent)
 		}
 	}
 	for _, a := range append([]*attempt(nil), l.waiting...) {
-		a.ended(grpcwire.NeverBegun)
+		a.ended(grpcwire.NotSent)
 	}
 	if tell {
 		l.f.pool.Lost(l.f.r.Now(), l.channel)
@@ -106,7 +109,7 @@
 // withdraw takes back the calls of which nothing has begun.
 func (l *line) withdraw() {
 	for _, a := range append([]*attempt(nil), l.waiting...) {
-		a.ended(grpcwire.Withdrawn)
+		a.ended(grpcwire.ServerDraining)
 	}
 }
 
@@ -136,7 +139,7 @@
 	if l.asked == l.written {
 		l.clear = l.f.r.Now()
 	}
-	for len(l.waiting) > 0 && l.clear == l.f.r.Now() && !l.gone && l.h.Room() {
+	for len(l.waiting) > 0 && l.clear == l.f.r.Now() && !l.gone && l.h.CanStartStream() {
 		a := l.waiting[0]
 		l.waiting = append(l.waiting[:0], l.waiting[1:]...)
 		l.send(a)
@@ -150,14 +153,14 @@
 	// What is pumped before goes out first, so that the places of this head are known.
 	l.put()
 	a.start = l.asked
-	a.s = l.h.Begin(grpcwire.Onward(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
+	a.s = l.h.StartStream(grpcwire.ForwardedRequestHeaders(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
 	l.put()
 	a.begun = l.asked
 	f.touch(l)
 }
 
 // end takes a call off, and its stream down if that is still open.
-func (l *line) end(a *attempt, code h2.Code) {
+func (l *line) end(a *attempt, code h2.ErrorCode) {
 	if !l.attempts[a] {
 		return
 	}
@@ -172,7 +175,7 @@
 		return
 	}
 	if a.s != nil {
-		l.h.Reset(a.s, code)
+		l.h.ResetStream(a.s, code)
 	}
 	l.f.touch(l)
 	l.f.pool.Done(l.f.r.Now(), l.channel)
@@ -180,7 +183,7 @@
 }
 
 func (l *line) put() {
-	if b := l.h.Out(); len(b) > 0 {
+	if b := l.h.TakeOutput(); len(b) > 0 {
 		l.asked += int64(len(b))
 		l.f.r.Put(l.conn, b)
 	}
@@ -190,7 +193,7 @@
 	if l.gone || !l.up {
 		return
 	}
-	if l.h.Worn() {
+	if l.h.StreamIDsRunningOut() {
 		l.f.pool.Leaving(l.f.r.Now(), l.channel)
 		if l.gone {
 			return
@@ -204,51 +207,54 @@
 	}
 }
 
-// Headers is the beginning of a response, or its end.
-func (l *line) Headers(s *h2.Stream, fields []h2.Field, end bool) {
-	a := s.Of.(*attempt)
+// HeadersReceived is the beginning of a response, or its end.
+func (l *line) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
+	a := s.UserData.(*attempt)
 	if a.over {
 		return
 	}
-	if s.Heads() > 1 && a.head != nil {
+	if s.HeaderBlocks() > 1 && a.head != nil {
 		if !end {
-			a.broken(grpcwire.Malformed)
+			a.broken(grpcwire.MalformedResponse)
 			return
 		}
-		a.status(grpcwire.Backward(fields))
+		a.status(grpcwire.ForwardedResponseHeaders(fields))
 		return
 	}
-	status, _ := grpcwire.Get(fields, ":status")
-	kind, _ := grpcwire.Get(fields, "content-type")
-	_, says := grpcwire.Get(fields, "grpc-status")
+	status, _ := grpcwire.FirstValue(fields, ":status")
+	kind, _ := grpcwire.FirstValue(fields, "content-type")
+	_, says := grpcwire.FirstValue(fields, "grpc-status")
 	switch {
 	case len(status) == 3 && status[0] == '1' && !end: // an interim response
 		return
-	case status != "200" && !says, status == "200" && !grpcwire.IsGRPC(kind) && !says:
-		a.broken(grpcwire.OfHTTP(status))
+	case status != "200" && !says, status == "200" && !grpcwire.IsGRPCContentType(kind) && !says:
+		a.broken(grpcwire.ResultFromHTTPStatus(status))
 		return
 	case end:
-		a.status(grpcwire.Backward(fields))
+		a.status(grpcwire.ForwardedResponseHeaders(fields))
 		return
 	}
-	a.head = grpcwire.Backward(fields)
-	if a.k.winner == a || a.k.route.Commit == routes.AtHeaders {
+	a.head = grpcwire.ForwardedResponseHeaders(fields)
+	if a.k.winner == a || a.k.route.CommitPoint == routes.AtHeaders {
 		if a.commit(); !a.over {
 			a.release()
 		}
 	}
 }
 
-// Huge is metadata over the limit.
-func (l *line) Huge(s *h2.Stream) { s.Of.(*attempt).broken(grpcwire.HeadTooLong) }
+// HeaderListTooLarge is metadata over the limit.
+func (l *line) HeaderListTooLarge(s *h2.Stream) {
+	s.UserData.(*attempt).broken(grpcwire.MetadataTooLarge)
+}
 
-func (l *line) Data(s *h2.Stream, b []byte, end bool) {
-	a := s.Of.(*attempt)
+// DataReceived implements h2.Events: bytes of a body have come.
+func (l *line) DataReceived(s *h2.Stream, b []byte, end bool) {
+	a := s.UserData.(*attempt)
 	if a.over {
 		return
 	}
 	if a.head == nil {
-		a.broken(grpcwire.Malformed)
+		a.broken(grpcwire.MalformedResponse)
 		return
 	}
 	if len(b) > 0 {
@@ -259,20 +265,22 @@
 	}
 }
 
-func (l *line) Reset(s *h2.Stream, code h2.Code) {
-	if a, ok := s.Of.(*attempt); ok {
-		a.ended(grpcwire.OfReset(code))
+// StreamReset implements h2.Events: the stream was reset.
+func (l *line) StreamReset(s *h2.Stream, code h2.ErrorCode) {
+	if a, ok := s.UserData.(*attempt); ok {
+		a.ended(grpcwire.ResultFromReset(code))
 	}
 }
 
-func (l *line) Unprocessed(s *h2.Stream) {
-	if a, ok := s.Of.(*attempt); ok {
+// StreamUnprocessed implements h2.Events: the peer says that it never looked at the stream.
+func (l *line) StreamUnprocessed(s *h2.Stream) {
+	if a, ok := s.UserData.(*attempt); ok {
 		a.ended(grpcwire.Unprocessed)
 	}
 }
 
-// Leaving: what runs goes on, nothing new begins here.
-func (l *line) Leaving(code h2.Code) {
+// GoAwayReceived: what runs goes on, nothing new begins here.
+func (l *line) GoAwayReceived(code h2.ErrorCode) {
 	if code != http2.ErrCodeNo {
 		l.f.r.Note("gRPC server leaves", "%s: %v", l.f.servers[l.server].addr, code)
 	}
@@ -282,4 +290,7 @@
 	}
 }
 
-func (l *line) Settings() { l.f.pool.Up(l.f.r.Now(), l.channel, l.h.Most()) }
+// SettingsReceived implements h2.Events: the peer's settings have come.
+func (l *line) SettingsReceived() {
+	l.f.pool.Up(l.f.r.Now(), l.channel, l.h.PeerMaxConcurrentStreams())
+}
--- a/internal/passthrough/settings.go
+++ b/internal/grpcproxy/settings.go
@@ -1,15 +1,15 @@
-package passthrough
+package grpcproxy
 
 import (
 	"net/netip"
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/channels"
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/engine"
+	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/routes"
-	"kestrelspread/internal/routing"
 )
 
 // Limits bound what clients and servers may have this broker hold. Bytes, and milliseconds.
@@ -54,18 +54,18 @@
 type Rules struct {
 	Table     *routes.Table
 	Limits    Limits
-	Channels  channels.Settings
+	Channels  connpool.Settings
 	Addresses Addresses
 }
 
 // toServers are the limits on what servers send.
 func (r *Rules) toServers() h2.Limits {
-	return h2.Limits{Window: r.Limits.Window, Headers: r.Limits.Metadata, Resets: 1 << 30, Controls: r.Limits.Controls}
+	return h2.Limits{InitialWindowSize: r.Limits.Window, MaxHeaderListSize: r.Limits.Metadata, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: r.Limits.Controls}
 }
 
 func (r *Rules) toClients() h2.Limits {
-	return h2.Limits{Streams: r.Limits.PerConn, Window: r.Limits.Window, Headers: r.Limits.Metadata,
-		Resets: r.Limits.Resets, Controls: r.Limits.Controls}
+	return h2.Limits{MaxConcurrentStreams: r.Limits.PerConn, InitialWindowSize: r.Limits.Window, MaxHeaderListSize: r.Limits.Metadata,
+		MaxResetsPerSecond: r.Limits.Resets, MaxControlFramesPerSecond: r.Limits.Controls}
 }
 
 // What the operators' page states, and no operator sets.
@@ -116,5 +116,5 @@
 		Int64("bytes_held_most", c.Top).Msg("grpc connections")
 }
 
-var _ routing.Front = (*Front)(nil)
-var _ = decide.Answered
+var _ engine.Front = (*Front)(nil)
+var _ = policy.Answered
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -16,6 +16,7 @@
 // Front tells how a search came.
 type Front uint8
 
+// The fronts by which a use came, and their number. Stored entries keep these values.
 const (
 	HTTP Front = iota
 	GRPC
@@ -25,6 +26,7 @@
 // Outcome is a search's one final answer.
 type Outcome uint8
 
+// How a search ended. Stored entries keep these values.
 const (
 	Answered Outcome = iota
 	Partial
@@ -39,8 +41,10 @@
 	outcomeNames = [Outcomes]string{"answered", "partial", "shed", "errored", "left"}
 )
 
+// String gives the front's name, as exports have it.
 func (f Front) String() string { return frontNames[min(int(f), len(frontNames)-1)] }
 
+// String gives the outcome's name, as exports have it.
 func (o Outcome) String() string { return outcomeNames[min(int(o), len(outcomeNames)-1)] }
 
 // Key is what uses are added up by.
@@ -150,8 +154,10 @@
 	h.waiting[at] = &c
 }
 
-// Len is how many keys wait; Uses how many uses were ever given.
-func (h *Hand) Len() int    { return len(h.waiting) }
+// Len is how many keys wait.
+func (h *Hand) Len() int { return len(h.waiting) }
+
+// Uses is how many uses were ever given.
 func (h *Hand) Uses() int64 { return h.uses }
 
 // Drawn is one key's sum.
@@ -193,12 +199,14 @@
 // Sort is a kind of entry.
 type Sort uint8
 
+// The sorts of entries. Stored entries keep these values.
 const (
 	Use        Sort = iota + 1
 	Correction      // who, why and of what stand with it
 	Close           // a period is closed: its total and the hash of its entries stand with it
 )
 
+// String gives the sort's name, as exports have it.
 func (s Sort) String() string {
 	switch s {
 	case Use:
@@ -244,12 +252,14 @@
 // State of a period.
 type State uint8
 
+// The states of a period, in the order in which it takes them.
 const (
 	Open State = iota
 	Closing
 	Closed
 )
 
+// String gives the state's name.
 func (s State) String() string { return [...]string{"open", "closing", "closed"}[min(int(s), 2)] }
 
 // Period is what is known of one.
--- a/internal/node/config/snapshot.go
+++ b/internal/node/config/snapshot.go
@@ -8,63 +8,64 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// A snapshot is snapshotMagic, fields in the wire format of protocol buffers, and a CRC-32C of all before it. A reader
-// skips fields that it does not know.
+// A snapshot is snapshotMagic, fields in the wire format of protocol buffers, and a CRC-32C of
+// everything before it. A reader skips unknown fields. Snapshots are stored on disk and sent
+// between nodes: field numbers never change.
 const (
-	snapshotMagic = "KSC1" // the last byte is the version of the form
+	snapshotMagic = "KSC1" // the last byte is the version of the format
 	checksumBytes = 4
 
-	// MaxSnapshotBytes bounds a snapshot that is read.
+	// MaxSnapshotBytes bounds the snapshots that are read.
 	MaxSnapshotBytes = MaxBodyBytes + 4<<20
 )
 
 // Fields of a snapshot.
 const (
-	fieldIndex  protowire.Number = 1
-	fieldBody   protowire.Number = 2 // the configuration as JSON
-	fieldTaken  protowire.Number = 3 // repeated, oldest first
-	fieldModel  protowire.Number = 4
-	fieldDuty   protowire.Number = 5
-	fieldDrain  protowire.Number = 6
-	firstInside protowire.Number = 1 // fields of the messages within, by their order
-
-	fieldDutyTarget protowire.Number = 5 // within fieldDuty, repeated
-	fieldDutyFormer protowire.Number = 6 // the same
+	fieldIndex        protowire.Number = 1
+	fieldBody         protowire.Number = 2 // the configuration as JSON
+	fieldTaken        protowire.Number = 3 // repeated, oldest first
+	fieldModelVersion protowire.Number = 4
+	fieldGrant        protowire.Number = 5
+	fieldDrain        protowire.Number = 6
+	firstNested       protowire.Number = 1 // fields of nested messages, numbered in order
+
+	fieldGrantTarget    protowire.Number = 5 // in a fieldGrant, repeated: claimed instances
+	fieldGrantInherited protowire.Number = 6 // in a fieldGrant, repeated: claims inherited from a previous holder
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Snapshot is the whole state; equal states have equal snapshots.
+// Snapshot encodes the full state; equal states have equal snapshots.
 func (s *State) Snapshot() []byte {
-	const perTaken = 40 // bytes, with room
-	size := len(snapshotMagic) + s.document.renderedSize() + perTaken*len(s.taken.inOrder) + 1024
+	const takenBytes = 40 // of an encoded takenChange, about
+	size := len(snapshotMagic) + s.document.renderedSize() + takenBytes*len(s.takenChanges.ring) + 1024
 	text := append(make([]byte, 0, size), snapshotMagic...)
 	text = appendNumber(text, fieldIndex, s.index)
 	if s.document != emptyDocument {
 		text = appendBytes(text, fieldBody, s.document.render())
 	}
-	s.taken.each(func(change takenChange) {
+	s.takenChanges.each(func(change takenChange) {
 		text = appendBytes(text, fieldTaken, encodeTaken(change))
 	})
 	for _, named := range s.ModelVersions() {
-		text = appendBytes(text, fieldModel, encodeFields(named.Model, named.Version, named.Index))
+		text = appendBytes(text, fieldModelVersion, encodeFields(named.Model, named.Version, named.Index))
 	}
-	for _, duty := range s.Duties() {
-		text = appendBytes(text, fieldDuty, encodeDuty(duty))
+	for _, grant := range s.Grants() {
+		text = appendBytes(text, fieldGrant, encodeGrant(grant))
 	}
 	for _, drain := range s.DrainIntents() {
-		text = appendBytes(text, fieldDrain, encodeFields(drain.GetSubject(), drain.GetKind(), drain.GetByMs()))
+		text = appendBytes(text, fieldDrain, encodeFields(drain.GetSubject(), drain.GetKind(), drain.GetDeadlineMs()))
 	}
 	return protowire.AppendFixed32(text, crc32.Checksum(text, castagnoli))
 }
 
-func encodeDuty(duty *nodepb.DutyChange) []byte {
-	text := encodeFields(duty.GetDuty(), duty.GetHolder(), duty.GetFence(), duty.GetReleased())
-	for _, target := range duty.GetTargets() {
-		text = appendBytes(text, fieldDutyTarget, []byte(target))
+func encodeGrant(grant *nodepb.LeaseChange) []byte {
+	text := encodeFields(grant.GetRole(), grant.GetHolder(), grant.GetFencingToken(), grant.GetReleased())
+	for _, target := range grant.GetClaims() {
+		text = appendBytes(text, fieldGrantTarget, []byte(target))
 	}
-	for _, former := range duty.GetFormer() {
-		text = appendBytes(text, fieldDutyFormer, []byte(former))
+	for _, inherited := range grant.GetInheritedClaims() {
+		text = appendBytes(text, fieldGrantInherited, []byte(inherited))
 	}
 	return text
 }
@@ -73,11 +74,12 @@
 	return encodeFields(string(change.digest[:]), change.version, change.index)
 }
 
-// encodeFields encodes values as the fields 1, 2 and so on.
+// encodeFields encodes values of type string, uint64 and bool as the fields 1, 2 and so on. Zero
+// values are encoded too.
 func encodeFields(values ...any) []byte {
 	var text []byte
 	for i, value := range values {
-		field := firstInside + protowire.Number(i)
+		field := firstNested + protowire.Number(i)
 		switch value := value.(type) {
 		case string:
 			text = appendBytes(text, field, []byte(value))
@@ -98,42 +100,43 @@
 	return protowire.AppendBytes(protowire.AppendTag(text, field, protowire.BytesType), value)
 }
 
-// field is one field of the wire format: a number or bytes.
+// field is one field of the wire format: a varint or bytes.
 type field struct {
 	number protowire.Number
 	value  uint64
 	bytes  []byte
 }
 
-// eachField visits the numbers and byte fields of text.
+// eachField visits the fields of text, until visit fails. Fields of types other than varint and
+// bytes have no value.
 func eachField(text []byte, visit func(field) error) error {
 	for len(text) > 0 {
-		number, kind, length := protowire.ConsumeTag(text)
+		number, wireType, length := protowire.ConsumeTag(text)
 		if length < 0 {
 			return ErrSnapshot.New("field: %v", protowire.ParseError(length))
 		}
 		text = text[length:]
-		read := field{number: number}
-		switch kind {
+		parsed := field{number: number}
+		switch wireType {
 		case protowire.VarintType:
-			read.value, length = protowire.ConsumeVarint(text)
+			parsed.value, length = protowire.ConsumeVarint(text)
 		case protowire.BytesType:
-			read.bytes, length = protowire.ConsumeBytes(text)
+			parsed.bytes, length = protowire.ConsumeBytes(text)
 		default:
-			length = protowire.ConsumeFieldValue(number, kind, text)
+			length = protowire.ConsumeFieldValue(number, wireType, text)
 		}
 		if length < 0 {
 			return ErrSnapshot.New("field %d: %v", number, protowire.ParseError(length))
 		}
 		text = text[length:]
-		if err := visit(read); err != nil {
+		if err := visit(parsed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// openSnapshot checks size, form and checksum of a snapshot and returns its fields.
+// openSnapshot checks size, format and checksum of a snapshot, and returns its encoded fields.
 func openSnapshot(snapshot []byte) ([]byte, error) {
 	if len(snapshot) > MaxSnapshotBytes {
 		return nil, ErrSnapshot.New("longer than %d bytes", MaxSnapshotBytes)
@@ -149,16 +152,17 @@
 	return snapshot[len(snapshotMagic):end], nil
 }
 
-// FetchSnapshot is what Fetch returns of the state that a snapshot holds.
-func FetchSnapshot(snapshot []byte) ([]byte, error) {
+// FetchFromSnapshot returns what State.Fetch would after the snapshot was restored, without
+// decoding the rest. Errors are of type ErrSnapshot.
+func FetchFromSnapshot(snapshot []byte) ([]byte, error) {
 	text, err := openSnapshot(snapshot)
 	if err != nil {
 		return nil, err
 	}
 	var body []byte
-	err = eachField(text, func(read field) error {
-		if read.number == fieldBody {
-			body = read.bytes
+	err = eachField(text, func(f field) error {
+		if f.number == fieldBody {
+			body = f.bytes
 		}
 		return nil
 	})
--- a/internal/node/config/update.go
+++ b/internal/node/config/update.go
@@ -7,16 +7,16 @@
 	"kestrelspread/internal/node/config/rawjson"
 )
 
-// parseUpdate reads an update and carries it out on a copy of previous. Named items are removed first, then added or
-// replaced in place. Source: PROTOCOL.md, "The operator's API".
+// parseUpdate reads an update and carries it out on a copy of previous. Items are removed first,
+// then replaced or appended. Source: PROTOCOL.md, "The operator's API".
 func parseUpdate(body []byte, previous *document) (*document, *changes, error) {
 	if !rawjson.IsObject(body) {
 		return nil, nil, invalid("body", "must be an object")
 	}
 	next, changes := *previous, new(changes)
 	next.version = 0
-	next.others = slices.Clone(previous.others)
-	if err := next.setUpdateMembers(body, previous, changes); err != nil {
+	next.otherMembers = slices.Clone(previous.otherMembers)
+	if err := next.setTopMembers(body, previous, changes); err != nil {
 		return nil, nil, err
 	}
 	if next.version == 0 {
@@ -28,8 +28,9 @@
 	return &next, changes, nil
 }
 
-// setUpdateMembers takes the members of an update beside upsert and remove.
-func (d *document) setUpdateMembers(body []byte, previous *document, changes *changes) error {
+// setTopMembers sets the version and the members that are not sections, and checks that the rest
+// has the form of an update.
+func (d *document) setTopMembers(body []byte, previous *document, changes *changes) error {
 	return rawjson.EachMember(body, func(rawName, value []byte) (err error) {
 		switch name := string(rawName); name {
 		case versionMember:
@@ -38,35 +39,35 @@
 			if !rawjson.IsObject(value) && !rawjson.IsNull(value) {
 				err = invalid(name, "must be an object")
 			}
-		case routeForm.key, serviceForm.key, tenantForm.key:
+		case routeSpec.key, serviceSpec.key, tenantSpec.key:
 			err = invalid(name, "an update names items under %s and %s", upsertMember, removeMember)
 		default:
-			err = d.setOther(name, value, previous, changes)
+			err = d.setOtherMember(name, value, previous, changes)
 		}
 		return err
 	})
 }
 
-// updateSections carries out upsert and remove.
+// updateSections carries out the lists under upsert and remove.
 func (d *document) updateSections(body []byte, changes *changes) error {
-	upsert, remove := listsOf(body, upsertMember), listsOf(body, removeMember)
+	upsert, remove := parseItemLists(body, upsertMember), parseItemLists(body, removeMember)
 	var err error
-	if d.routes, err = updateSection(routeForm, d.routes, upsert, remove, changes); err != nil {
+	if d.routes, err = updateSection(routeSpec, d.routes, upsert, remove, changes); err != nil {
 		return err
 	}
-	if d.services, err = updateSection(serviceForm, d.services, upsert, remove, changes); err != nil {
+	if d.services, err = updateSection(serviceSpec, d.services, upsert, remove, changes); err != nil {
 		return err
 	}
-	if d.tenants, err = updateSection(tenantForm, d.tenants, upsert, remove, changes); err != nil {
+	if d.tenants, err = updateSection(tenantSpec, d.tenants, upsert, remove, changes); err != nil {
 		return err
 	}
-	return d.updateOthers(upsert, remove, changes)
+	return d.updateOtherMembers(upsert, remove, changes)
 }
 
-// itemLists are the lists under upsert or remove, by section.
+// itemLists are the members of upsert or remove: lists of items or of names, by section.
 type itemLists []member
 
-func listsOf(body []byte, name string) itemLists {
+func parseItemLists(body []byte, name string) itemLists {
 	object := rawjson.Member(body, name)
 	if object == nil || rawjson.IsNull(object) {
 		return nil
@@ -79,6 +80,7 @@
 	return lists
 }
 
+// named returns the list of a section; nil: there is none. Of two with one name, the last counts.
 func (l itemLists) named(name string) []byte {
 	for i := len(l) - 1; i >= 0; i-- {
 		if l[i].name == name && !rawjson.IsNull(l[i].raw) {
@@ -88,24 +90,24 @@
 	return nil
 }
 
-func updateSection[T any](form *form[T], current *section[T], upsert, remove itemLists, changes *changes) (*section[T], error) {
-	names, err := namesIn(removeMember+"."+form.key, remove.named(form.key))
+func updateSection[T any](spec *sectionSpec[T], current *section[T], upsert, remove itemLists, changes *changes) (*section[T], error) {
+	names, err := parseNames(removeMember+"."+spec.key, remove.named(spec.key))
 	if err != nil {
 		return nil, err
 	}
-	list := upsert.named(form.key)
+	list := upsert.named(spec.key)
 	if list == nil {
-		return current.updated(nil, names), nil
+		return current.withUpdates(nil, names), nil
 	}
-	upserted, err := form.parse(upsertMember+"."+form.key, list, current, changes)
+	upserted, err := spec.parse(upsertMember+"."+spec.key, list, current, changes)
 	if err != nil {
 		return nil, err
 	}
-	return current.updated(upserted.items, names), nil
+	return current.withUpdates(upserted.items, names), nil
 }
 
-// namesIn reads a list of names.
-func namesIn(path string, array []byte) ([]string, error) {
+// parseNames reads a list of names.
+func parseNames(path string, array []byte) ([]string, error) {
 	if array == nil {
 		return nil, nil
 	}
@@ -123,17 +125,19 @@
 	return names, err
 }
 
-// unknownForm is that of items in lists without a meaning here: they are named, and kept as sent.
-func unknownForm(key string) *form[struct{}] {
-	return &form[struct{}]{key: key, kind: UnknownItem, decode: func(ItemPath, []byte) (*struct{}, error) { return nil, nil }}
+// unknownSpec describes a list that has no meaning here: its items have names, and are kept as
+// sent.
+func unknownSpec(key string) *sectionSpec[struct{}] {
+	return &sectionSpec[struct{}]{key: key, kind: UnknownItem, decode: func(ItemPath, []byte) (*struct{}, error) { return nil, nil }}
 }
 
-// updateOthers carries out what upsert and remove say of members without a meaning here.
-func (d *document) updateOthers(upsert, remove itemLists, changes *changes) error {
+// updateOtherMembers carries out the members of upsert and remove that are not sections, in the
+// order of their first mention.
+func (d *document) updateOtherMembers(upsert, remove itemLists, changes *changes) error {
 	var keys []string
 	for _, list := range slices.Concat(upsert, remove) {
 		switch list.name {
-		case routeForm.key, serviceForm.key, tenantForm.key:
+		case routeSpec.key, serviceSpec.key, tenantSpec.key:
 		default:
 			if !slices.Contains(keys, list.name) {
 				keys = append(keys, list.name)
@@ -141,48 +145,51 @@
 		}
 	}
 	for _, key := range keys {
-		if err := d.updateOther(key, upsert, remove, changes); err != nil {
+		if err := d.updateOtherMember(key, upsert, remove, changes); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *document) updateOther(key string, upsert, remove itemLists, changes *changes) error {
-	whole := upsert.named(key)
+// updateOtherMember carries out one of them: lists are updated by item, anything else replaces the
+// member.
+func (d *document) updateOtherMember(key string, upsert, remove itemLists, changes *changes) error {
+	replacement := upsert.named(key)
 	switch {
 	case key == versionMember:
 		return invalid(upsertMember+"."+key, "is not a list of items")
-	case whole != nil && (key == limitsMember || !rawjson.IsArray(whole)):
-		return d.setOther(key, whole, emptyDocument, changes) // not a list of items: it replaces the member
-	case whole == nil && !d.hasList(key):
+	case replacement != nil && (key == limitsMember || !rawjson.IsArray(replacement)):
+		return d.setOtherMember(key, replacement, emptyDocument, changes) // not a list of items: it replaces the member
+	case replacement == nil && !d.hasList(key):
 		return nil // nothing that could be removed
 	}
-	form := unknownForm(key)
-	current, err := d.otherSection(form)
+	spec := unknownSpec(key)
+	current, err := d.otherSection(spec)
 	if err != nil {
 		return err
 	}
-	updated, err := updateSection(form, current, upsert, remove, changes)
+	updated, err := updateSection(spec, current, upsert, remove, changes)
 	if err != nil || updated == current {
 		return err
 	}
-	return d.setOther(key, renderList(updated), emptyDocument, changes)
+	return d.setOtherMember(key, renderList(updated), emptyDocument, changes)
 }
 
 func (d *document) hasList(key string) bool {
-	raw := d.other(key)
+	raw := d.otherMember(key)
 	return raw != nil && rawjson.IsArray(raw)
 }
 
-// otherSection reads a list that has no meaning here; nil where there is none.
-func (d *document) otherSection(form *form[struct{}]) (*section[struct{}], error) {
-	if !d.hasList(form.key) {
+// otherSection reads a list that has no meaning here; nil: there is none.
+func (d *document) otherSection(spec *sectionSpec[struct{}]) (*section[struct{}], error) {
+	if !d.hasList(spec.key) {
 		return nil, nil
 	}
-	return form.parse(form.key, d.other(form.key), nil, new(changes))
+	return spec.parse(spec.key, d.otherMember(spec.key), nil, new(changes))
 }
 
+// renderList renders a section as a JSON list.
 func renderList[T any](section *section[T]) []byte {
 	raws := make([][]byte, 0, len(section.items))
 	for _, item := range section.items {
--- a/internal/node/forward/upstream/conn.go
+++ b/internal/node/forward/upstream/conn.go
@@ -17,37 +17,39 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4 << 10
 
-// JoinedBytes is the size of a body up to which it is copied behind its head, so that one plain write sends both.
-const JoinedBytes = 8 << 10
+// MaxJoinedBytes is the size up to which a body is copied behind its head, so that a single write
+// sends both.
+const MaxJoinedBytes = 8 << 10
 
-// Conn is a connection to a broker, which carries one request at a time. Its methods are called by one goroutine at a time;
-// Interrupt and LimitWait may be called by others.
+// Conn is a connection to a broker, which carries one request at a time. Its methods must be called
+// by one goroutine at a time, except for Interrupt and SetWaitLimit.
 type Conn struct {
 	pool   *Pool
 	host   *host
 	socket net.Conn
 	raw    syscall.RawConn
 	reader *bufio.Reader
-	source limitedSource
-
-	reused       bool // carried a request before this one
-	connectTime  time.Duration
-	answers      int // answers read from it
-	sentAt       time.Time
-	sentAnswers  int  // answers read from it when the last request was sent
-	doubtful     bool // not to be kept: bytes came that belong to no request
-	keepAlive    time.Duration
-	restingSince time.Time
-	usableUntil  time.Time
+	source limitedReader
+
+	reused         bool // carried a request before this one
+	connectTime    time.Duration
+	answersRead    int // since it was opened
+	sentAt         time.Time
+	answersAtSend  int  // answersRead when the last request was sent
+	desynchronized bool // must not be kept: bytes arrived that belong to no request
+	keepAlive      time.Duration
+	idleSince      time.Time
+	usableUntil    time.Time
 
 	closed atomic.Bool
 
-	mu        sync.Mutex
-	wanted    time.Time // the deadline that the owner asked for
-	waitLimit time.Time // the bound set by LimitWait
-	effective time.Time
+	mutex           sync.Mutex
+	requestDeadline time.Time // by SetDeadline
+	waitLimit       time.Time // by SetWaitLimit
+	appliedDeadline time.Time
 }
 
+// newConn wraps a socket that has just connected.
 func newConn(pool *Pool, h *host, socket net.Conn) (*Conn, error) {
 	raw, err := socket.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -62,9 +64,9 @@
 // Reused reports whether the connection carried a request before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// quiet reports whether the connection is open and holds no byte. Nothing is due on a connection at rest: what comes there
-// belongs to no request.
-func (c *Conn) quiet() bool {
+// isQuiet reports whether the connection is open and has received nothing. Nothing is due on an
+// idle connection: bytes that arrive there belong to no request.
+func (c *Conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		c.pool.Counters.Surplus.Add(1)
 		return false
@@ -82,18 +84,19 @@
 	return err == nil && errors.Is(failure, syscall.EAGAIN)
 }
 
-// Settle waits, on a new connection, for as long as a broker that has too many of them takes to reset it: one round trip, which
-// is what connecting took. What is sent before that reset comes may have run, for all that anybody knows; after Rejected
-// nothing was sent. It is meant for requests that must not be repeated.
-func (c *Conn) Settle(until time.Time) error {
+// AwaitReset waits, on a new connection, for as long as a broker with too many connections takes to
+// reset it: one round trip, which connecting took too. A request that is sent before such a reset
+// arrives may have run, as far as anybody can tell; after the error Rejected nothing was sent. It
+// is meant for requests that must not be repeated.
+func (c *Conn) AwaitReset(deadline time.Time) error {
 	if c.reused {
 		return nil
 	}
-	wait := min(c.connectTime, maxRoundTrip) + c.pool.options.SettleTime
-	if limit := time.Now().Add(wait); limit.Before(until) {
-		until = limit
+	wait := min(c.connectTime, maxRoundTrip) + c.pool.options.ResetWait
+	if limit := time.Now().Add(wait); limit.Before(deadline) {
+		deadline = limit
 	}
-	err := c.Await(until)
+	err := c.Await(deadline)
 	if errorx.IsOfType(err, TimedOut) {
 		return nil
 	}
@@ -103,13 +106,15 @@
 	return Rejected.Wrap(err, "new connection")
 }
 
-// maxRoundTrip bounds what Settle takes for a round trip: connecting may also take long because a packet was lost.
+// maxRoundTrip bounds what AwaitReset takes for a round trip, as connecting may also take long
+// because a packet was lost.
 const maxRoundTrip = 10 * time.Millisecond
 
-// Send writes a request once. The time bounds the writing. Where the connection took no byte, the error is Unsent.
-func (c *Conn) Send(head, body []byte, until time.Time) error {
-	c.SetDeadline(until)
-	c.sentAt, c.sentAnswers = time.Now(), c.answers
+// Send writes a request once, until the deadline at the latest. The error is Unsent where the
+// connection took no byte of it, else SentInPart.
+func (c *Conn) Send(head, body []byte, deadline time.Time) error {
+	c.SetDeadline(deadline)
+	c.sentAt, c.answersAtSend = time.Now(), c.answersRead
 	written, err := c.write(head, body)
 	if err == nil {
 		return nil
@@ -120,8 +125,9 @@
 	return SentInPart.Wrap(err, "request: %d bytes left", written)
 }
 
+// write writes head and body, and returns how many bytes the connection took.
 func (c *Conn) write(head, body []byte) (int64, error) {
-	if len(body) <= JoinedBytes {
+	if len(body) <= MaxJoinedBytes {
 		written, err := c.socket.Write(append(head, body...))
 		return int64(written), err
 	}
@@ -129,77 +135,79 @@
 	return buffers.WriteTo(c.socket)
 }
 
-// Await waits until a byte has come that was not read yet. A time that runs out gives TimedOut, after which the connection
-// can be used on; silence alone is no failure.
-func (c *Conn) Await(until time.Time) error {
+// Await waits until an unread byte has arrived. At the deadline it returns TimedOut, after which
+// the connection can still be used: a broker that takes long is no fault.
+func (c *Conn) Await(deadline time.Time) error {
 	if c.reader.Buffered() > 0 {
 		return nil
 	}
-	c.SetDeadline(until)
+	c.SetDeadline(deadline)
 	if _, err := c.reader.Peek(1); err != nil {
-		c.noteBroken(err)
-		return readFailure(err)
+		c.observeBreak(err)
+		return readError(err)
 	}
 	return nil
 }
 
-// noteBroken is told why nothing more comes. Where a kept connection was broken by its other end before any answer came, those
-// that have rested since before are likely to end as it did: the broker, or something between, has forgotten them.
-func (c *Conn) noteBroken(err error) {
-	ours := errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
-	if c.reused && !ours && c.answers == c.sentAnswers {
-		c.pool.closeRestingSince(c.host, c.sentAt)
+// observeBreak records why nothing more arrives. Where the other end broke a reused connection
+// before any answer, connections that have been idle since before are likely to be dead too: the
+// broker, or something between, has forgotten them.
+func (c *Conn) observeBreak(err error) {
+	causedHere := errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
+	if c.reused && !causedHere && c.answersRead == c.answersAtSend {
+		c.pool.closeIdleSince(c.host, c.sentAt)
 	}
 }
 
-// SetDeadline bounds what is read and written from now on.
-func (c *Conn) SetDeadline(until time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.wanted = until
+// SetDeadline bounds reads and writes from now on.
+func (c *Conn) SetDeadline(deadline time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requestDeadline = deadline
 	c.applyDeadline()
 }
 
-// Interrupt ends all that is under way on the connection.
+// Interrupt ends reads and writes in progress by closing the socket.
 func (c *Conn) Interrupt() { c.socket.Close() }
 
-// LimitWait bounds all that is under way on the connection, beside SetDeadline.
-func (c *Conn) LimitWait(until time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.waitLimit = until
+// SetWaitLimit bounds reads and writes in addition to SetDeadline; the earlier one holds.
+func (c *Conn) SetWaitLimit(limit time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.waitLimit = limit
 	c.applyDeadline()
 }
 
-// clearDeadlines forgets the bounds of one request, so that no timer of a connection at rest fires.
+// clearDeadlines removes the bounds of one request, so that no timer of an idle connection fires.
 func (c *Conn) clearDeadlines() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.wanted, c.waitLimit = time.Time{}, time.Time{}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requestDeadline, c.waitLimit = time.Time{}, time.Time{}
 	c.applyDeadline()
 }
 
-// applyDeadline sets one deadline for both directions, which takes one timer.
+// applyDeadline sets one deadline for both directions, which needs a single timer. The mutex must
+// be held.
 func (c *Conn) applyDeadline() {
-	until := c.wanted
-	if !c.waitLimit.IsZero() && (until.IsZero() || c.waitLimit.Before(until)) {
-		until = c.waitLimit
+	deadline := c.requestDeadline
+	if !c.waitLimit.IsZero() && (deadline.IsZero() || c.waitLimit.Before(deadline)) {
+		deadline = c.waitLimit
 	}
-	if until.Equal(c.effective) {
+	if deadline.Equal(c.appliedDeadline) {
 		return
 	}
-	c.effective = until
-	c.socket.SetDeadline(until) // fails only where the socket is closed, which the next read or write tells
+	c.appliedDeadline = deadline
+	c.socket.SetDeadline(deadline) // fails only where the socket is closed, which the next read or write tells
 }
 
-// Close gives the connection up.
+// Close closes the connection and frees its place in the pool. Calls after the first do nothing.
 func (c *Conn) Close() {
 	if c.closeSocket() {
 		c.pool.release(c.host)
 	}
 }
 
-// closeSocket closes the socket, and reports whether this call did so first.
+// closeSocket closes the socket, and reports whether this call was the first to do so.
 func (c *Conn) closeSocket() bool {
 	if !c.closed.CompareAndSwap(false, true) {
 		return false
@@ -208,34 +216,35 @@
 	return true
 }
 
-// readFailure tells a deadline that passed from a connection that broke.
-func readFailure(err error) error {
+// readError tells a deadline that passed from a connection that broke.
+func readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return TimedOut.Wrap(err, "answer")
 	}
-	return Cut.Wrap(err, "answer")
+	return Broken.Wrap(err, "answer")
 }
 
-// errHeadTooLarge says that the head of an answer is larger than any broker sends.
+// errHeadTooLarge says that the head of an answer exceeds Options.MaxHeadBytes.
 var errHeadTooLarge = errors.New("head of an answer is too large")
 
-// limitedSource reads from the socket and bounds what the head of an answer may take.
-type limitedSource struct {
-	socket  net.Conn
-	limited bool
-	left    int
+// limitedReader reads from the socket and bounds the size of an answer's head.
+type limitedReader struct {
+	socket    net.Conn
+	limited   bool
+	remaining int
 }
 
-func (s *limitedSource) Read(buffer []byte) (int, error) {
+// Read implements io.Reader.
+func (s *limitedReader) Read(buffer []byte) (int, error) {
 	if !s.limited {
 		return s.socket.Read(buffer)
 	}
-	if s.left <= 0 {
+	if s.remaining <= 0 {
 		return 0, errHeadTooLarge
 	}
 	count, err := s.socket.Read(buffer)
-	s.left -= count
+	s.remaining -= count
 	return count, err
 }
 
-var _ io.Reader = (*limitedSource)(nil)
+var _ io.Reader = (*limitedReader)(nil)
--- a/internal/node/journal/batch.go
+++ b/internal/node/journal/batch.go
@@ -2,20 +2,21 @@
 
 import "kestrelspread/internal/node/core"
 
-// largePayload is the length from which a payload is written from where it is, without gathering it.
-const largePayload = 16 << 10
+// largePayloadBytes is the length from which a payload is written from the caller's memory, without
+// a copy.
+const largePayloadBytes = 16 << 10
 
 // batch writes frames that one sync makes durable.
 type batch struct {
-	segment    *segment
-	end        position // where the next frame goes
-	batchStart uint64
-	attempt    uint64
-	gathered   []byte // not yet written
-	gatheredAt int64  // its offset
+	segment      *segment
+	end          position // where the next frame goes
+	batchStart   uint64   // sequence number of the batch's first frame
+	attempt      uint64   // number of this attempt to write
+	buffered     []byte   // bytes that are not yet written
+	bufferOffset int64    // their offset in the segment
 }
 
-// framesBytes is the space that records take.
+// framesBytes is the space that records take on the disk, in bytes.
 func framesBytes(records []core.Record) int64 {
 	total := int64(0)
 	for _, record := range records {
@@ -24,22 +25,23 @@
 	return total
 }
 
-// newBatch begins a batch behind a position.
+// newBatch begins a batch at a position.
 func newBatch(target *segment, end position, attempt uint64) *batch {
-	return &batch{segment: target, end: end, batchStart: end.sequence, attempt: attempt, gatheredAt: end.offset}
+	return &batch{segment: target, end: end, batchStart: end.sequence, attempt: attempt, bufferOffset: end.offset}
 }
 
-func (b *batch) addRecords(records []core.Record) error {
+// appendRecords adds a frame for each record.
+func (b *batch) appendRecords(records []core.Record) error {
 	for _, record := range records {
-		if err := b.add(frameRecord, record.Kind, record.Data); err != nil {
+		if err := b.appendFrame(frameRecord, record.Kind, record.Data); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// add writes a frame, perhaps later.
-func (b *batch) add(frame frameType, kind uint8, payload []byte) error {
+// appendFrame adds a frame. It is buffered, and written at the latest by finish.
+func (b *batch) appendFrame(frame frameType, kind uint8, payload []byte) error {
 	header := frameHeader{
 		Type:            frame,
 		Kind:            kind,
@@ -50,42 +52,44 @@
 		PreviousAttempt: b.end.attempt,
 	}
 	header.sumPayload(payload)
-	b.gathered = header.append(b.gathered)
+	b.buffered = header.appendTo(b.buffered)
 	b.end.advance(header)
-	if len(payload) >= largePayload {
+	if len(payload) >= largePayloadBytes {
 		return b.writeThrough(payload)
 	}
-	b.gathered = append(b.gathered, payload...)
-	if len(b.gathered) >= writeBufferBytes {
+	b.buffered = append(b.buffered, payload...)
+	if len(b.buffered) >= writeBufferBytes {
 		return b.flush()
 	}
 	return nil
 }
 
+// writeThrough writes the buffer, and then a payload from the caller's memory.
 func (b *batch) writeThrough(payload []byte) error {
 	if err := b.flush(); err != nil {
 		return err
 	}
-	if err := b.segment.write(payload, b.gatheredAt); err != nil {
+	if err := b.segment.write(payload, b.bufferOffset); err != nil {
 		return err
 	}
-	b.gatheredAt += int64(len(payload))
+	b.bufferOffset += int64(len(payload))
 	return nil
 }
 
+// flush writes the buffer.
 func (b *batch) flush() error {
-	if len(b.gathered) == 0 {
+	if len(b.buffered) == 0 {
 		return nil
 	}
-	if err := b.segment.write(b.gathered, b.gatheredAt); err != nil {
+	if err := b.segment.write(b.buffered, b.bufferOffset); err != nil {
 		return err
 	}
-	b.gatheredAt += int64(len(b.gathered))
-	b.gathered = b.gathered[:0]
+	b.bufferOffset += int64(len(b.buffered))
+	b.buffered = b.buffered[:0]
 	return nil
 }
 
-// finish writes what is left and makes the batch durable.
+// finish writes the rest of the buffer and makes the batch durable.
 func (b *batch) finish() error {
 	if err := b.flush(); err != nil {
 		return err
--- a/internal/node/registry/registry.go
+++ b/internal/node/registry/registry.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"strings"
 
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/nodepb"
@@ -13,40 +12,41 @@
 	options Options
 	random  *rand.Rand
 
-	self       *peer
-	peers      map[string]*peer // by node id, without this node
-	others     []*peer          // the same, in order of node id
-	othersSeen core.Time        // when another node was last known
-
-	records   map[string]*record // by instance id
-	topics    map[topicKey]*topic
-	sum       uint64 // over all topics
-	liveCount uint32
-	gone      int // records that have gone
-
-	table    *Table
-	repaint  map[string]bool // services whose lists in the table are to be made anew
-	announce bool            // TableChanged is to be put out
-
-	nonce    uint64
-	spreads  []*spread
-	forwards []*forwarded
-	batch    []string  // changed brokers to tell the nodes of
-	batchAt  core.Time // when to; Never: no batch
-
-	nextSilenceCheck core.Time
-	nextExpiry       core.Time
-	nextPoll         core.Time
-	synced           bool // another node's entries have come, or none has any
-	firstPolls       int  // polls before that
-	pollCursor       int
-	polled           *peer // owes the answer to the last poll
-
-	clock   core.Time // of the newest input
-	outputs []core.Output
+	self         *peer
+	peers        map[string]*peer // other nodes by node id
+	others       []*peer          // the same, in order of node id
+	othersSeenAt core.Time        // when another node was last a member
+
+	records        map[string]*record // by instance id
+	topics         map[topicKey]*topic
+	digestSum      uint64 // over all topics
+	liveCount      uint32 // records that are not tombstones
+	tombstoneCount int
+
+	table         *Table
+	staleServices map[string]bool // services whose lists in the table are to be rebuilt
+	tableChanged  bool            // core.TableChanged is still to be put out
+
+	nonce         uint64 // of the newest broadcast or forwarded call
+	broadcasts    []*broadcast
+	forwards      []*forwardedCall
+	batchIDs      []string  // brokers whose records are scheduled for the next broadcast
+	batchDeadline core.Time // of that broadcast; core.Never: none is scheduled
+
+	nextLivenessCheck core.Time
+	nextExpiry        core.Time
+	nextPoll          core.Time
+	synced            bool  // the initial full sync is complete
+	initialPolls      int   // rounds of polls before that
+	pollCursor        int   // index in others of the last node polled before that; 0: none yet
+	polledPeer        *peer // has not answered the last poll; nil: it has
+
+	lastInputAt core.Time // time of the newest input
+	outputs     []core.Output
 }
 
-// New returns an empty registry.
+// New returns an empty registry that knows no other node. random is used for the choice of nodes to
+// compare digests with.
 func New(now core.Time, options Options, random *rand.Rand) *Registry {
 	return &Registry{
 		options: options,
@@ -55,24 +55,24 @@
 			id: options.SelfID, address: options.SelfAddress, controlAddress: options.ControlAddress,
 			zone: options.Zone, self: true,
 		},
-		peers:            map[string]*peer{},
-		othersSeen:       distantPast,
-		records:          map[string]*record{},
-		topics:           map[topicKey]*topic{},
-		table:            &Table{ByService: map[string][]*Instance{}, ByID: map[string]*Instance{}},
-		repaint:          map[string]bool{},
-		nonce:            random.Uint64(),
-		batchAt:          core.Never,
-		nextSilenceCheck: core.Never,
-		nextExpiry:       core.Never,
-		nextPoll:         now,
+		peers:             map[string]*peer{},
+		othersSeenAt:      distantPast,
+		records:           map[string]*record{},
+		topics:            map[topicKey]*topic{},
+		table:             &Table{ByService: map[string][]*Instance{}, ByID: map[string]*Instance{}},
+		staleServices:     map[string]bool{},
+		nonce:             random.Uint64(),
+		batchDeadline:     core.Never,
+		nextLivenessCheck: core.Never,
+		nextExpiry:        core.Never,
+		nextPoll:          now,
 	}
 }
 
-// Receive takes a message of another node.
+// Receive handles a message of another node. Messages of other kinds than the registry's are ignored.
 func (r *Registry) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
-	r.clock = now
-	r.heardOf(from)
+	r.lastInputAt = now
+	r.recordContact(from)
 	switch body := message.Body.(type) {
 	case *nodepb.Envelope_HeartbeatForward:
 		r.receiveForward(now, from, body.HeartbeatForward)
@@ -90,58 +90,58 @@
 	return r.takeOutputs()
 }
 
-// heardOf notes that a peer answers again.
-func (r *Registry) heardOf(from core.Peer) {
+// recordContact ends the backoff from a peer, as it evidently responds.
+func (r *Registry) recordContact(from core.Peer) {
 	if known := r.peers[from.NodeID]; known != nil {
-		known.unresponsiveUntil = 0
+		known.backoffUntil = 0
 	}
 }
 
-// Tick does what is due.
+// Tick does the work that is due at now. It is to be called at Deadline.
 func (r *Registry) Tick(now core.Time) []core.Output {
-	r.clock = now
+	r.lastInputAt = now
 	if late := now - r.Deadline(); late > stallLimit {
-		r.excuseSilence(now)
+		r.resetLivenessAfterStall(now)
 	}
-	if r.batchAt <= now {
+	if r.batchDeadline <= now {
 		r.flushBatch(now)
 	}
 	r.tickForwards(now)
-	r.tickSpreads(now)
-	if r.nextSilenceCheck <= now {
-		r.checkSilence(now)
+	r.tickBroadcasts(now)
+	if r.nextLivenessCheck <= now {
+		r.checkLiveness(now)
 	}
 	if r.nextExpiry <= now {
 		r.expire(now)
 	}
 	if r.nextPoll <= now {
-		r.poll(now)
+		r.pollPeer(now)
 	}
 	return r.takeOutputs()
 }
 
 // Deadline is when Tick is next due.
 func (r *Registry) Deadline() core.Time {
-	next := min(r.batchAt, r.nextSilenceCheck, r.nextExpiry)
+	next := min(r.batchDeadline, r.nextLivenessCheck, r.nextExpiry)
 	if len(r.others) > 0 {
 		next = min(next, r.nextPoll)
 	}
-	for _, pending := range r.spreads {
-		next = min(next, pending.deadline())
+	for _, b := range r.broadcasts {
+		next = min(next, b.deadline())
 	}
-	for _, pending := range r.forwards {
-		next = min(next, pending.deadline())
+	for _, call := range r.forwards {
+		next = min(next, call.deadline())
 	}
 	return next
 }
 
-// Instances lists the brokers that have not gone, as another node would be told of them. The messages belong to the
-// caller.
+// Instances lists the brokers that are not gone, ordered by id, as sent to other nodes. The caller
+// may change the messages.
 func (r *Registry) Instances() []*nodepb.Instance {
 	list := make([]*nodepb.Instance, 0, len(r.records))
 	for _, rec := range r.records {
 		if !rec.gone() {
-			list = append(list, clone(rec.message(r.clock)))
+			list = append(list, deepCopy(rec.message(r.lastInputAt)))
 		}
 	}
 	sortByID(list)
@@ -151,23 +151,21 @@
 func (r *Registry) output(output core.Output) { r.outputs = append(r.outputs, output) }
 
 func (r *Registry) send(address string, message *nodepb.Envelope) {
-	r.output(core.Send{To: address, Message: message})
+	r.output(core.Send{Destination: address, Message: message})
 }
 
-// takeOutputs hands over what has been gathered since the last call.
+// takeOutputs returns the outputs since the last call.
 func (r *Registry) takeOutputs() []core.Output {
-	if r.announce {
-		r.announce = false
+	if r.tableChanged {
+		r.tableChanged = false
 		r.output(core.TableChanged{})
 	}
-	taken := r.outputs
+	outputs := r.outputs
 	r.outputs = nil
-	return taken
+	return outputs
 }
 
 func (r *Registry) nextNonce() uint64 {
 	r.nonce++
 	return r.nonce
 }
-
-func compareText(a, b string) int { return strings.Compare(a, b) }
--- a/internal/node/routing/options.go
+++ b/internal/node/routing/options.go
@@ -4,7 +4,8 @@
 	"math/rand/v2"
 	"time"
 
-	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/mechanism"
+	"kestrelspread/internal/node/routing/prefixcache"
 )
 
 // Options are the figures of a deployment, from its settings file (DEPLOY.md, "Settings of a process").
@@ -23,19 +24,15 @@
 	VersionGrace time.Duration
 	// VersionAll is versionAllMs, the same over all such stretches; 0: as VersionGrace.
 	VersionAll time.Duration
-	// Contact is contactMs: for so long after a trouble the core is not stable.
+	// Contact is contactMs: for so long after a fault the core is unstable.
 	Contact time.Duration
-	Random  *rand.Rand
-	// Index may be nil; then brokers are found by the hash of a prompt's parts alone. One that is an Observer too is told of
+	// Random decides what is left to chance; nil: a fixed seed.
+	Random *rand.Rand
+	// Index may be nil; then brokers are found by the hash of a prompt's parts alone. One that is a prefixcache.Observer too is notified of
 	// the prompts that brokers have begun to answer.
-	Index Index
+	Index prefixcache.Index
 	// Disabled names the mechanisms that are switched off.
-	Disabled Mechanism
-}
-
-// Observer is told what ran where: its parts are kept there now.
-type Observer interface {
-	Observed(instance string, salt uint64, parts []PromptPart)
+	Disabled mechanism.Set
 }
 
 const defaultBudgetWindow = 10 * time.Second
@@ -48,9 +45,3 @@
 		o.Random = rand.New(rand.NewPCG(1, 2))
 	}
 }
-
-// milliseconds converts a steady time into the unit of packages predict and window.
-func milliseconds(t core.Time) float64 { return float64(t) / float64(time.Millisecond) }
-
-// fromMilliseconds converts a figure of the configuration into a time.
-func fromMilliseconds(ms float64) core.Time { return core.Time(ms * float64(time.Millisecond)) }
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -7,109 +7,120 @@
 	"kestrelspread/internal/node/core"
 )
 
-// The times and bounds of relayed ways between voters. Source: docs/design/control.md, "Relays".
+// Timeouts and bounds of relayed paths between voters. Source: docs/design/control.md, "Relays".
 const (
-	// relayAfter is how long the direct way to a peer may be unproven before this node, if it is the one of the two that
-	// pings, pings by way of relays as well. It leaves time to find a relay before MissingAfter.
-	relayAfter = 400 * time.Millisecond
-	// passiveRelayAfter is the same for the other one, to which a way is proven one ping later. It is also how old the proof
-	// of the direct way must be for messages to go by a relay.
-	passiveRelayAfter = 650 * time.Millisecond
-	// relaysTried is how many relays are pinged at a time while none is proven; else it is the proven one and another.
-	relaysTried = 3
+	// relayTimeout is how long the direct path to a peer may be unproven before this node, if it is
+	// the active one of the two, pings through relays as well. It leaves time to find a relay
+	// before FailureTimeout.
+	relayTimeout = 400 * time.Millisecond
+	// passiveRelayTimeout is the same for the passive one, to which a path is proven one ping
+	// later. It is also the age of the proof of the direct path from which on messages go by a
+	// relay.
+	passiveRelayTimeout = 650 * time.Millisecond
+	// maxRelayedPings is how many relays are pinged at a time while none is proven.
+	maxRelayedPings = 3
+	// maxRelayedPingsProven is the same once one is proven: that one, and another in turn.
+	maxRelayedPingsProven = 2
 )
 
-// Probe is a ping that is due: to whom, and by which relay.
-type Probe struct {
-	Address string
+// DuePing is a ping to send now.
+type DuePing struct {
+	Address string // of the node to ping
 	Via     string // internal address of the relay; empty: directly
 }
 
-// paths are the ways to one peer and back, with the moments at which the newest message left that is known to have arrived.
+// paths are the round trips to one peer, direct and by relays. Each is proven as of the time at
+// which the newest message was sent that is known to have arrived.
 type paths struct {
-	direct core.Time            // or when the direct way began to be watched
-	relays map[string]core.Time // by address of the relay
-	turn   int                  // of the relay that is tried next
+	directProvenAt core.Time            // or when the direct path began to be watched
+	relayProvenAt  map[string]core.Time // by address of the relay
+	nextRelay      int                  // counts the relays that were selected in turn
 }
 
-// proven notes that a message that left at the time has arrived by the relay, or directly.
-func (p *paths) proven(via string, at core.Time) {
+// recordProof records that a message sent at sentAt has arrived by the relay via, or directly where
+// that is empty.
+func (p *paths) recordProof(via string, sentAt core.Time) {
 	if via == "" {
-		p.direct = max(p.direct, at)
+		p.directProvenAt = max(p.directProvenAt, sentAt)
 		return
 	}
-	if p.relays == nil {
-		p.relays = make(map[string]core.Time)
+	if p.relayProvenAt == nil {
+		p.relayProvenAt = make(map[string]core.Time)
 	}
-	p.relays[via] = max(p.relays[via], at)
+	p.relayProvenAt[via] = max(p.relayProvenAt[via], sentAt)
 }
 
-// best is the relay with the newest proof that is no older than MissingAfter; empty: none.
-func (p *paths) best(now core.Time) (relay string, at core.Time) {
-	for candidate, confirmed := range p.relays {
+// bestRelay returns the relay with the newest proof, if that is no older than FailureTimeout, and
+// else none. It forgets relays with an older one.
+func (p *paths) bestRelay(now core.Time) (relay string, provenAt core.Time) {
+	for candidate, candidateProvenAt := range p.relayProvenAt {
 		switch {
-		case now-confirmed > MissingAfter:
-			delete(p.relays, candidate)
-		case relay == "" || confirmed > at || confirmed == at && candidate < relay:
-			relay, at = candidate, confirmed
+		case now-candidateProvenAt > FailureTimeout:
+			delete(p.relayProvenAt, candidate)
+		case relay == "" || candidateProvenAt > provenAt || candidateProvenAt == provenAt && candidate < relay:
+			relay, provenAt = candidate, candidateProvenAt
 		}
 	}
-	return relay, at
+	return relay, provenAt
 }
 
-// tried lists the relays to ping by now: the best one and one that takes its turn, or some in turn where none is proven.
-func (p *paths) tried(now core.Time, relays []string, target string) []string {
-	var chosen []string
-	most := relaysTried
-	if best, _ := p.best(now); best != "" {
-		chosen = append(chosen, best)
-		most = 2
+// selectRelays lists the relays to ping now: the best one and one in turn, or several in turn where
+// none is proven. The peer itself, at the address target, is no relay.
+func (p *paths) selectRelays(now core.Time, relays []string, target string) []string {
+	var selected []string
+	maxRelays := maxRelayedPings
+	if best, _ := p.bestRelay(now); best != "" {
+		selected = append(selected, best)
+		maxRelays = maxRelayedPingsProven
 	}
 	for range relays {
-		if len(chosen) >= most {
+		if len(selected) >= maxRelays {
 			break
 		}
-		candidate := relays[p.turn%len(relays)]
-		p.turn++
-		if candidate != target && !slices.Contains(chosen, candidate) {
-			chosen = append(chosen, candidate)
+		candidate := relays[p.nextRelay%len(relays)]
+		p.nextRelay++
+		if candidate != target && !slices.Contains(selected, candidate) {
+			selected = append(selected, candidate)
 		}
 	}
-	return chosen
+	return selected
 }
 
-// SetRelays names the nodes that may relay messages to peers that can't be reached directly, best first.
+// SetRelays sets the addresses of the nodes that may relay messages to peers without a direct path,
+// best first.
 func (d *Detector) SetRelays(addresses []string) {
 	d.relays = slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == d.self.GetAddress() })
 }
 
-// Route is the internal address of the relay by which messages to the address should go; empty: directly. A relay is named
-// only while the direct way is unproven for long and a round trip by the relay is newer.
+// Route is the internal address of the relay by which messages to the address should go; empty:
+// directly. It is a relay only while the direct path has been unproven for passiveRelayTimeout and
+// a round trip by the relay is newer.
 func (d *Detector) Route(address string) string {
 	p := d.peers[address]
-	if p == nil || d.now-p.paths.direct <= passiveRelayAfter {
+	if p == nil || d.now-p.paths.directProvenAt <= passiveRelayTimeout {
 		return ""
 	}
-	relay, at := p.paths.best(d.now)
-	if at <= p.paths.direct {
+	relay, provenAt := p.paths.bestRelay(d.now)
+	if provenAt <= p.paths.directProvenAt {
 		return ""
 	}
 	return relay
 }
 
-// relayDue lists the relays by which the peer should be pinged now.
-func (d *Detector) relayDue(address string, p *peer) []string {
-	limit := relayAfter
+// relaysToPing lists the relays by which the peer should be pinged now. An unresponsive one is
+// pinged by one relay at a time, and less often.
+func (d *Detector) relaysToPing(address string, p *peer) []string {
+	timeout := relayTimeout
 	if d.passive(p) {
-		limit = passiveRelayAfter
+		timeout = passiveRelayTimeout
 	}
-	if len(d.relays) == 0 || d.now-p.paths.direct < limit || d.now < p.nextRelayed {
+	if len(d.relays) == 0 || d.now-p.paths.directProvenAt < timeout || d.now < p.nextRelayedPingAt {
 		return nil
 	}
-	tried := p.paths.tried(d.now, d.relays, address)
-	if d.now-p.heard > slowPingAfter {
-		p.nextRelayed = d.now + slowPing
-		return tried[:min(1, len(tried))]
+	relays := p.paths.selectRelays(d.now, d.relays, address)
+	if d.now-p.lastContact > slowPingTimeout {
+		p.nextRelayedPingAt = d.now + slowPingInterval
+		return relays[:min(1, len(relays))]
 	}
-	return tried
+	return relays
 }
--- a/internal/node/wireproto/link/socket.go
+++ b/internal/node/wireproto/link/socket.go
@@ -5,15 +5,17 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"kestrelspread/internal/node/sockopt"
 )
 
+// Probes of the kernel: an idle peer that is gone is detected within KeepAliveIdle and
+// keepAliveCount*keepAliveInterval.
 const (
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// keepAlive returns what finds out about a peer that is gone without a word while nothing is sent to it.
+// keepAlive returns the probes that detect a dead peer while nothing is sent to it.
 func keepAlive(options Options) net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable:   true,
@@ -23,35 +25,22 @@
 	}
 }
 
-// setUserTimeout bounds how long sent bytes stay without acknowledgement: a link that is cut says nothing
-// (DEPLOY.md, "Network").
-func setUserTimeout(connection syscall.RawConn, timeout time.Duration) error {
-	var failed error
-	err := connection.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
-	})
-	if err != nil {
-		return err
-	}
-	return failed
-}
-
-// dialer returns what dials peers. TCP_NODELAY is set by package net.
+// dialer returns the dialer of connections to peers. Package net sets TCP_NODELAY.
 func dialer(options Options) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         options.DialTimeout,
 		KeepAliveConfig: keepAlive(options),
 		Control: func(_, _ string, connection syscall.RawConn) error {
-			return setUserTimeout(connection, options.SendTimeout)
+			return sockopt.SetUserTimeout(connection, options.SendTimeout)
 		},
 	}
 }
 
-// setAcceptedOptions does for an accepted connection what dialer does for a dialed one.
+// setAcceptedOptions sets the options on an accepted connection that dialer sets on a dialed one.
 func setAcceptedOptions(connection net.Conn, options Options) error {
 	raw, err := connection.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	return setUserTimeout(raw, options.SendTimeout)
+	return sockopt.SetUserTimeout(raw, options.SendTimeout)
 }
--- a/internal/standin/receiver/receiver.go
+++ b/internal/standin/receiver/receiver.go
@@ -15,6 +15,7 @@
 // Mode is what it does with the next batch.
 type Mode int
 
+// How the receiver behaves.
 const (
 	Fine    Mode = iota
 	Lose         // takes it, and breaks the connection before its reply
@@ -41,6 +42,7 @@
 	return r
 }
 
+// ServeHTTP implements http.Handler, by the mode that is set.
 func (r *Receiver) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	body, err := io.ReadAll(q.Body)
 	key, hash := q.Header.Get("Idempotency-Key"), q.Header.Get("Batch-Hash")
