--- a/internal/ledger/export/export.go
+++ b/internal/ledger/export/export.go
@@ -17,8 +17,8 @@
 // Intent is a batch that was fixed.
 type Intent struct {
 	Batch uint64 `json:"Batch"` // from 1
-	From  uint64 `json:"From"`  // the first entry, included
-	To    uint64 `json:"To"`    // the last, included
+	From  uint64 `json:"From"`  // the first entry
+	To    uint64 `json:"To"`    // the last entry
 	Hash  uint64 `json:"Hash"`  // of them
 }
 
--- a/internal/node/forward/upstream/pool.go
+++ b/internal/node/forward/upstream/pool.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -157,7 +158,7 @@
 
 // Get returns a connection without a request in progress: the idle one that was used last, or a new
 // one, which must be established before the deadline and while the context lasts. The error is of
-// type Exhausted or ConnectFailed.
+// type ErrExhausted or ErrConnectFailed.
 func (p *Pool) Get(ctx context.Context, target Target, deadline time.Time) (*Conn, error) {
 	now := time.Now()
 	for {
@@ -225,7 +226,7 @@
 	}
 	h.target = target
 	if target.MaxConnections > 0 && h.open >= target.MaxConnections {
-		return nil, Exhausted.New("%d connections to %s are open", h.open, target.InstanceID)
+		return nil, fmt.Errorf("%w: %d connections to %s are open", ErrExhausted, h.open, target.InstanceID)
 	}
 	h.open++
 	return h, nil
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -12,7 +12,8 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// answerLate has requests answered, twenty at a time, at so many times their target by brokers that tell of this load.
+// answerLate has requests answered, twenty at a time, at so many times their target by brokers that
+// tell of this load.
 func (w *world) answerLate(rounds int, times float64, load Load) {
 	for range rounds {
 		var sent []*Attempt
@@ -26,13 +27,14 @@
 		w.now += units.FromMilliseconds(times * safeRoute.TargetLatencyMs)
 		for _, a := range sent {
 			w.Started(w.now, a.Request, a.Number, &load)
-			w.answer(a)
+			w.answerNow(a)
 		}
 	}
 }
 
-// Requests are refused only where most answers are late and the brokers' places are taken (RULES.md, "Prices").
-func TestOverload(t *testing.T) {
+// Requests are refused only where most answers are late and the brokers' places are taken
+// (RULES.md, "Prices").
+func TestOverloadShedsLeastUrgentFirst(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		times float64
@@ -53,8 +55,8 @@
 			if !c.shed {
 				return
 			}
-			assert.Assert(t, o.Chance(0) <= o.Chance(1) && o.Chance(1) <= o.Chance(2))
-			assert.Assert(t, o.Chance(0) < o.Chance(2), "the most urgent are refused last")
+			assert.Assert(t, o.ShedProbability(0) <= o.ShedProbability(1) && o.ShedProbability(1) <= o.ShedProbability(2))
+			assert.Assert(t, o.ShedProbability(0) < o.ShedProbability(2), "the most urgent are refused last")
 			w.now += 3 * time.Second
 			for range 100 {
 				o.Refresh(w.now, w.services[service].pool)
@@ -85,7 +87,7 @@
 	verdictsServed, lettersServed := 0.0, 0.0
 	for seed := range uint64(courses) {
 		s := newEngineSim(t, 10, 18, true)
-		s.chance = rand.New(rand.NewPCG(seed, 5))
+		s.random = rand.New(rand.NewPCG(seed, 5))
 		s.run(12 * time.Second)
 		s.generate(125*3, 32*time.Second, s.prompts())
 		s.run(47 * time.Second)
--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -2,16 +2,16 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
-// chooseByCost takes the candidate that is expected to begin its answer first, of those that aren't predicted slow; if
-// all are, the first of all.
+// chooseByCost takes the candidate that is expected to begin its answer first, of those that aren't
+// predicted slow; if all are, the first of all.
 func (p *Placer) chooseByCost(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
 	owner := p.assess(now, req, s.Eligible)
 	chosen, slow := p.firstFast(now, req, s, cheapest)
@@ -27,7 +27,8 @@
 	return choice
 }
 
-// cheapest is the candidate with the lowest cost, of those not known to look slow or of all; nil where there is none.
+// cheapest is the candidate with the lowest cost, of those not known to look slow or of all; nil
+// where there is none.
 func cheapest(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
 	var best *candidate.Candidate
 	for i := range found {
@@ -38,10 +39,11 @@
 	return best
 }
 
-// assess fills in the candidates' plans and costs, and returns the broker that should cache the shared parts.
-func (p *Placer) assess(now core.Time, req *inflight.Request, found []candidate.Candidate) *upstream.Broker {
+// assess fills in the candidates' plans and costs, and returns the broker that should cache the
+// shared parts.
+func (p *Placer) assess(now core.Time, req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
 	lookup := p.cache.Look(now, req, found)
-	var owner *upstream.Broker
+	var owner *brokerstate.Broker
 	if p.switches.On(mechanism.Affinity) {
 		owner = ownerOf(req, found)
 	}
@@ -55,13 +57,14 @@
 		v.slots = c.Broker.Instance.Slots
 		v.sameZone = c.Broker.Instance.Zone == p.zone
 		v.warmingUp = now < c.Broker.Instance.WarmingUpUntil
-		v.chance = p.random.Float64()
+		v.random = p.random.Float64()
 		c.Cost = v.cost()
 	}
 	return owner
 }
 
-// plan fills in what a candidate has to fetch and read of the prompt, there and in the view for its cost.
+// plan fills in what a candidate has to fetch and read of the prompt, there and in the view for its
+// cost.
 func (v *view) plan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) {
 	missing := max(lookup.SharedTokens-max(c.Cached, c.Arriving), 0)
 	v.fetchedTokens, v.perFetched = lookup.Fetchable(c, missing)
@@ -74,14 +77,15 @@
 	}
 }
 
-// ownerOf is the candidate that should cache the prompt's parts, by the rendezvous order; nil where there is none.
-func ownerOf(req *inflight.Request, found []candidate.Candidate) *upstream.Broker {
+// ownerOf is the candidate that should cache the prompt's parts, by the rendezvous order; nil where
+// there is none.
+func ownerOf(req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok {
 		return nil
 	}
 	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
-	var best *upstream.Broker
+	var best *brokerstate.Broker
 	highest := uint64(0)
 	for i := range found {
 		if weight := prompt.RendezvousWeight(key, found[i].Broker.NameHash); best == nil || weight > highest {
--- a/internal/node/routing/rollout_test.go
+++ b/internal/node/routing/rollout_test.go
@@ -9,7 +9,7 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/admission"
-	"kestrelspread/internal/node/routing/upstream"
+	"kestrelspread/internal/node/routing/brokerstate"
 )
 
 // marked is a table of ten brokers of which the first n bear the mark that they load new weights.
@@ -21,8 +21,9 @@
 	return tableOf(list...)
 }
 
-// A mark that a lost holder of the duty left behind is believed for a while only, and only where it matters.
-func TestMarksThatAreLeft(t *testing.T) {
+// A mark that a lost holder of the duty left behind is believed for a while only, and only where it
+// matters.
+func TestStaleLoadingMarks(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		marked int
@@ -30,9 +31,9 @@
 		used   bool      // are the marked brokers used
 	}{
 		{"few", 4, time.Minute, false},
-		{"many, lately", 5, upstream.LoadingTrusted - ms, false},
-		{"many, for long", 5, upstream.LoadingTrusted, true},
-		{"all, for long", 10, upstream.LoadingTrusted, true},
+		{"many, lately", 5, brokerstate.LoadingTrusted - ms, false},
+		{"many, for long", 5, brokerstate.LoadingTrusted, true},
+		{"all, for long", 10, brokerstate.LoadingTrusted, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, instances(10))
@@ -49,7 +50,7 @@
 				if d.Attempt.Instance.Loading {
 					used++
 				}
-				w.answer(d.Attempt)
+				w.answerNow(d.Attempt)
 			}
 			assert.Equal(t, used > 0, c.used)
 		})
@@ -68,13 +69,13 @@
 	for range 60 {
 		a := w.begin(w.request(safeRoute))
 		assert.Equal(t, a.Instance.State, registry.Ready)
-		w.answer(a)
+		w.answerNow(a)
 	}
 }
 
-// A broker that turns requests away while it lacks a named version is left alone for longer than a full one, by the most urgent
-// too, until its new version is known or it takes a request.
-func TestRejectionsForNewWeights(t *testing.T) {
+// A broker that turns requests away while it lacks a named version is left alone for longer than a
+// full one, by the most urgent too, until its new version is known or it takes a request.
+func TestRefusalsForRollouts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		version uint64 // named
@@ -94,7 +95,7 @@
 			outcome.Load = c.load
 			w.Finished(w.now, a.Request, a.Number, outcome, false)
 			w.End(w.now, a.Request)
-			w.now += upstream.RolloutBackoff - ms
+			w.now += brokerstate.RolloutBackoff - ms
 			_, d := w.Begin(w.now, w.prompt(flowRoute, 3))
 			assert.Equal(t, d.Attempt == nil, c.ordered)
 			if c.ordered {
@@ -106,7 +107,7 @@
 	}
 }
 
-func TestNewWeightsEndThePause(t *testing.T) {
+func TestNewWeightsEndTheBackoff(t *testing.T) {
 	w := newWorld(t, instances(1))
 	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
 	a := w.begin(w.prompt(flowRoute, 3))
@@ -116,7 +117,8 @@
 	assert.Equal(t, w.begin(w.prompt(flowRoute, 3)).ExpectVersion, uint64(2))
 }
 
-// A node that has just started tells clients to come back when it knows the brokers; later another node may do better at once.
+// A node that has just started tells clients to come back when it knows the brokers; later another
+// node may do better at once.
 func TestAdviceWithoutBrokers(t *testing.T) {
 	for _, c := range []struct {
 		since, least, most core.Time
--- a/internal/node/routing/words_golden_test.go
+++ b/internal/node/routing/words_golden_test.go
@@ -12,11 +12,11 @@
 func TestLateCausesAreCalledAsOperatorsReadThem(t *testing.T) {
 	for word, cause := range map[string]routing.LateCause{
 		"earlier attempts":              routing.LateByAttempts,
-		"waited for other prompts":      routing.LateByWaiting,
-		"its prompt was long":           routing.LateByReading,
-		"first event unforeseen":        routing.LateUnforeseen,
-		"pause: a long prompt was read": routing.LateByLongPrompt,
-		"pause: nothing known":          routing.LateByOtherPause,
+		"waited for other prompts":      routing.LateByBacklog,
+		"its prompt was long":           routing.LateByPrefill,
+		"first event unforeseen":        routing.LateUnexpected,
+		"pause: a long prompt was read": routing.LateByLongPrefill,
+		"pause: nothing known":          routing.LateByUnknownGap,
 	} {
 		assert.Equal(t, string(cause), word)
 	}
