--- /dev/null
+++ b/internal/node/routing/cachesalt/salts_golden_test.go
@@ -0,0 +1,27 @@
+package cachesalt_test
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/routing/cachesalt"
+)
+
+// TestSaltsAreThoseOfOtherNodes: brokers find cached parts, and nodes tell each other of them, by these texts and numbers. They are
+// those of 4c59a1d.
+func TestSaltsAreThoseOfOtherNodes(t *testing.T) {
+	for _, c := range []struct {
+		model   string
+		version uint64
+		tenant  string
+		text    string
+		id      uint64
+	}{
+		{"daka510000", 3, "", "daka510000|3", 13937833645475395689},
+		{"m/\u00e9 x", 12, "ten|ant", "m%2f%c3%a9%20x|12|ten%7cant", 2045693437577175244},
+	} {
+		assert.Equal(t, cachesalt.Text(c.model, c.version, c.tenant), c.text)
+		assert.Equal(t, cachesalt.ID(c.text), c.id)
+	}
+}
