--- a/internal/node/nodestatus/status_golden_test.go
+++ b/internal/node/nodestatus/status_golden_test.go
@@ -77,3 +77,12 @@
 		assert.Equal(t, string(text)+"\n", written)
 	}
 }
+
+// TestSubjectsAreCalledAsScriptsReadThem: `kestrelctl fleet status --json` names what nodes see differently by these words.
+func TestSubjectsAreCalledAsScriptsReadThem(t *testing.T) {
+	for word, subject := range map[string]nodestatus.Subject{
+		"the view": nodestatus.SubjectView, "the members": nodestatus.SubjectMembership, "the state in force": nodestatus.SubjectState,
+	} {
+		assert.Equal(t, string(subject), word)
+	}
+}
