--- a/internal/grpcproxy/behaviours_test.go
+++ b/internal/grpcproxy/behaviours_test.go
@@ -218,15 +218,15 @@
 			since := s.world.R.Count.Outcomes
 			a := c.Call(&p.Ask{Path: r.path, Timeout: 900, Body: [][]byte{p.Message("ask")}})
 			s.world.Run(1500)
-			subs := 0
+			attempts := 0
 			for _, v := range s.servers {
-				subs += len(v.Calls)
+				attempts += len(v.Calls)
 			}
-			told := strings.Join(s.outcomesSince(since), " ")
-			if a.Finals != 1 || a.Status != r.status || messagesOf(a.Got) != r.got || subs != r.attempts || told != r.outcomes ||
+			outcomes := strings.Join(s.outcomesSince(since), " ")
+			if a.Finals != 1 || a.Status != r.status || messagesOf(a.Got) != r.got || attempts != r.attempts || outcomes != r.outcomes ||
 				!matchesRange(a.Get("grpc-retry-pushback-ms"), r.pushback) || r.message != "" && a.Get("grpc-message") != r.message {
-				t.Errorf("%d finals, status %d (want %d), got %q (want %q), %d sub-requests (want %d), told %q (want %q), pushback %q "+
-					"(want %q), message %q", a.Finals, a.Status, r.status, messagesOf(a.Got), r.got, subs, r.attempts, told, r.outcomes,
+				t.Errorf("%d finals, status %d (want %d), got %q (want %q), %d attempts (want %d), outcomes %q (want %q), pushback %q "+
+					"(want %q), message %q", a.Finals, a.Status, r.status, messagesOf(a.Got), r.got, attempts, r.attempts, outcomes, r.outcomes,
 					a.Get("grpc-retry-pushback-ms"), r.pushback, a.Get("grpc-message"))
 			}
 			if a.DoneAt > a.At+900 {
@@ -242,7 +242,7 @@
 	}
 }
 
-// matchesRange: a number lies between two, or a text is the very one.
+// matchesRange reports whether a number lies in a range, as "37-113", or a text is equal.
 func matchesRange(got, want string) bool {
 	from, to, span := strings.Cut(want, "-")
 	if !span || from == "" {
--- a/internal/grpcproxy/rare_test.go
+++ b/internal/grpcproxy/cancelled_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestNoAttemptStartsForACancelledCall(t *testing.T) {
-	// Each way to wait: for a connect, and as a head that stands before a network which takes nothing.
-	for _, how := range []string{"connect", "stands still"} {
+	// Both ways to wait: for a connect, and as headers that the network doesn't take.
+	for _, how := range []string{"connect", "stalled network"} {
 		s := newHarness(t, 31, 1, "")
 		s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(20, 0)) })
 		c := p.Dial(s.world, 1)
@@ -17,26 +17,26 @@
 		if first.Status != 0 || len(s.servers[0].Conns) != 1 {
 			t.Fatal(first.Status, len(s.servers[0].Conns))
 		}
-		held := s.servers[0].Conns[0].End
-		if how == "connect" { // the connection that is there goes, and the next one takes its time
+		stalled := s.servers[0].Conns[0].End
+		if how == "connect" { // the connection goes, and the next one takes long
 			s.servers[0].Conns[0].End.Close()
 			s.world.Run(5)
 			s.world.Delay = 60
 		} else {
-			held.Stuck = true
+			stalled.Stuck = true
 		}
 		a := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
 		s.world.Run(2 * s.world.Delay)
-		if how != "connect" && held.Backlog() == 0 {
-			t.Fatal("no head waits")
+		if how != "connect" && stalled.Backlog() == 0 {
+			t.Fatal("no headers wait")
 		}
 		c.E.Close()
 		s.world.Run(300)
-		held.Unstick()
+		stalled.Unstick()
 		s.world.Delay = 0.2
 		s.world.Run(1000)
 		if s.attemptsSeen() != 1 {
-			t.Errorf("%s: a sub-request began for who had left", how)
+			t.Errorf("%s: an attempt started for a client that had gone", how)
 		}
 		_ = a
 		s.checkReleased()
@@ -44,7 +44,7 @@
 }
 
 func TestNoRetryStartsForACancelledCall(t *testing.T) {
-	// Its server turns it away and names a time to come back; where the client stays it goes again then.
+	// Its server rejects it with a pushback; if the client stays, it is retried then.
 	for _, how := range []string{"stays", "closes", "resets"} {
 		s := newHarness(t, 33, 1, "")
 		s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(5, 14, "grpc-retry-pushback-ms", "300")) })
--- /dev/null
+++ b/internal/grpcproxy/clients_test.go
@@ -0,0 +1,278 @@
+package grpcproxy
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"golang.org/x/net/http2"
+
+	"kestrelspread/internal/routes"
+	p "kestrelspread/internal/standin/grpcpeer"
+	"kestrelspread/internal/standin/virtual"
+)
+
+func TestCancelledCallReleasesEverything(t *testing.T) {
+	s := newHarness(t, 10, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act {
+		return acts(p.Head(1), p.Say(0, strings.Repeat("m", 30<<10)), p.Say(20, strings.Repeat("n", 60<<10)), p.Say(500, "x"), p.End(0, 0))
+	})
+	c := p.Dial(s.world, 1)
+	half := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	s.world.Run(10)
+	at := s.world.Now
+	half.Cancel()
+	s.world.Run(5)
+	for _, v := range s.servers {
+		for _, k := range v.Calls {
+			if !k.Reset || k.ResetAt > at+2 {
+				t.Errorf("the server heard of it at %.1f, the client left at %.1f", k.ResetAt, at)
+			}
+		}
+	}
+	if s.proxy.openCalls != 0 || s.proxy.bufferedBytes != 0 {
+		t.Errorf("%d open, %d bytes buffered", s.proxy.openCalls, s.proxy.bufferedBytes)
+	}
+	// And with its connection.
+	c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	s.world.Run(10)
+	s.closeAndCheck(c)
+	if s.proxy.Counters.ClientCancelled != 2 {
+		t.Error("left:", s.proxy.Counters.ClientCancelled)
+	}
+}
+
+func TestStalledClientGetsStatusBeforeDeadline(t *testing.T) {
+	// The server's messages fill the client's window and the server's own; the rest of the response waits
+	// there. The status needs no window.
+	s := newHarness(t, 11, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act {
+		list := acts(p.Head(1))
+		for range 20 {
+			list = append(list, p.Say(1, strings.Repeat("m", 30<<10)))
+		}
+		return append(list, p.End(0, 0))
+	})
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: quickPath, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
+	b := c.Call(&p.Ask{Path: quickAtEnd, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
+	s.world.Run(300)
+	if s.proxy.bufferedBytes > 2*(64<<10+32<<10) {
+		t.Errorf("%d bytes buffered for two calls", s.proxy.bufferedBytes)
+	}
+	s.world.Run(700)
+	for _, a := range []*p.Ask{a, b} {
+		if a.Finals != 1 || a.Status != 4 || a.DoneAt > a.At+600 {
+			t.Errorf("%d finals, status %d after %.1f ms", a.Finals, a.Status, a.DoneAt-a.At)
+		}
+	}
+	s.closeAndCheck(c)
+}
+
+func TestInvalidCallsAreRejected(t *testing.T) {
+	s := newHarness(t, 20, 2, "", append(testRoutes(), &routes.Route{Name: "by key", Service: "shards", DefaultTimeout: 500, MaxTimeout: 500,
+		MaxMessageBytes: 1 << 10, Shard: routes.ShardRule{MetadataKey: "x-shard"}})...)
+	c := p.Dial(s.world, 1)
+	for _, r := range []struct {
+		name   string
+		ask    p.Ask
+		status int
+	}{
+		{"no route", p.Ask{Path: "/none/Get"}, 12},
+		{"a time that can't be read", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "soon"}}, 3},
+		{"no time", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "0n"}}, 4},
+		{"no shard", p.Ask{Path: "/shards/Get"}, 3},
+		{"a shard that is none", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "4"}}, 3},
+		{"a shard", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "3"}}, 0},
+		{"a message over the limit", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "3"}, Body: [][]byte{p.Message(strings.Repeat("x", 2<<10))}}, 8},
+		{"a wrong flag", p.Ask{Path: quickPath, Body: [][]byte{{9, 0, 0, 0, 0}}}, 13},
+		{"half a message", p.Ask{Path: quickPath, Body: [][]byte{{0, 0, 0, 0, 5, 1}}}, 13},
+		{"metadata over the limit", p.Ask{Path: quickPath, Fields: []string{"x-big", strings.Repeat("y", 9<<10)}}, 8},
+		{"a huge time", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "99999999H"}}, 0},
+	} {
+		a := c.Call(&r.ask)
+		s.world.Run(300)
+		if a.Status != r.status || a.Finals != 1 {
+			t.Errorf("%s: %d finals, status %d, want %d", r.name, a.Finals, a.Status, r.status)
+		}
+	}
+	for _, v := range s.servers {
+		for _, k := range v.Calls {
+			if k.Get("x-big") != "" {
+				t.Error("passed on")
+			}
+		}
+	}
+	s.closeAndCheck(c)
+}
+
+func TestCallsAndBufferedBytesAreLimited(t *testing.T) {
+	s := newHarness(t, 21, 2, "")
+	s.settings.Limits.MaxCalls, s.settings.Limits.MaxCallsPerCustomer = 10, 6
+	for _, v := range s.servers {
+		v.Limits = h2Limits(100)
+		v.Limits.InitialWindowSize = 4 << 10
+	}
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(60, 0)) })
+	c := p.Dial(s.world, 1)
+	var calls []*p.Ask
+	for range 12 {
+		calls = append(calls, c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}}))
+	}
+	s.world.Run(800)
+	ok, over := 0, 0
+	for _, a := range calls {
+		if a.Status == 0 {
+			ok++
+		} else if a.Status == 8 && a.Get("grpc-retry-pushback-ms") != "" && a.DoneAt < a.At+10 {
+			over++
+		}
+	}
+	if ok != 6 || over != 6 {
+		t.Errorf("%d answered, %d over the limit", ok, over)
+	}
+	// Bodies that no server reads are bounded all together, not only each.
+	s.settings.Limits.MaxCallsPerCustomer, s.settings.Limits.MaxBufferedBytes = 0, 256<<10
+	for _, v := range s.servers {
+		v.Holds, v.Early = true, true
+		v.Script = func(*p.Got) []p.Act { return nil }
+	}
+	for range 10 {
+		c.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 60<<10))}})
+		s.world.Run(5)
+	}
+	if s.proxy.bufferedBytes > 256<<10 || s.proxy.Counters.OverBufferLimit == 0 {
+		t.Errorf("%d bytes buffered, %d rejected; %+v", s.proxy.bufferedBytes, s.proxy.Counters.OverBufferLimit, s.proxy.Counters)
+	}
+	s.world.Run(1000)
+	s.closeAndCheck(c)
+}
+
+func TestClientsThatViolateTheProtocolAreClosed(t *testing.T) {
+	preface := []byte(http2.ClientPreface)
+	settings := p.Frame(http2.FrameSettings, 0, 0, nil)
+	hello := append(append([]byte(nil), preface...), settings...)
+	hello = hello[:len(hello):len(hello)]
+	headers := func(flags byte, id uint32, n int) []byte {
+		return p.Frame(http2.FrameHeaders, flags, id, make([]byte, n))
+	}
+	invalid := func(n int) (b []byte) { // each starts an invalid stream
+		for i := range n {
+			b = append(b, p.Frame(http2.FrameHeaders, 4, uint32(2*i+1), []byte{0x83, 0x86})...)
+		}
+		return b
+	}
+	repeat := func(b []byte, n int) []byte { return bytes.Repeat(b, n) }
+	for _, r := range []struct {
+		name   string
+		send   []byte
+		within float64
+	}{
+		{"silence", nil, 2200},
+		{"a part of the preface", preface[:10], 2200},
+		{"HTTP/1.1", []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), 50},
+		{"no SETTINGS first", append(append([]byte(nil), preface...), p.Frame(http2.FramePing, 0, 0, make([]byte, 8))...), 50},
+		{"a flood of SETTINGS", append(hello, repeat(settings, 500)...), 50},
+		{"a flood of PING", append(hello, repeat(p.Frame(http2.FramePing, 0, 0, make([]byte, 8)), 500)...), 50},
+		{"a flood of PRIORITY", append(hello, repeat(p.Frame(http2.FramePriority, 0, 1, make([]byte, 5)), 500)...), 50},
+		{"endless CONTINUATION", append(append(hello, headers(0, 1, 100)...), repeat(p.Frame(http2.FrameContinuation, 0, 1, make([]byte, 1000)), 200)...), 50},
+		{"empty CONTINUATION", append(append(hello, headers(0, 1, 1)...), repeat(p.Frame(http2.FrameContinuation, 0, 1, nil), 500)...), 50},
+		{"a flood of invalid requests", append(hello, invalid(300)...), 50},
+		{"a part of a header block", append(hello, headers(0, 1, 100)...), 1300},
+		{"a part of a frame", append(hello, 0, 0, 9, 0, 0), 1300},
+		{"a frame that is too long", append(hello, p.Frame(http2.FrameData, 0, 1, make([]byte, 20<<10))...), 50},
+		{"data on no stream", append(hello, p.Frame(http2.FrameData, 0, 1, []byte("x"))...), 50},
+		{"an even stream", append(hello, p.Frame(http2.FrameHeaders, 5, 2, []byte{0x88})...), 50},
+		{"a window over the maximum", append(append(hello, p.Frame(http2.FrameWindowUpdate, 0, 0, []byte{0x7f, 255, 255, 255})...),
+			p.Frame(http2.FrameWindowUpdate, 0, 0, []byte{0x7f, 255, 255, 255})...), 50},
+		{"a header block that can't be read", append(hello, p.Frame(http2.FrameHeaders, 5, 1, []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff})...), 50},
+	} {
+		t.Run(r.name, func(t *testing.T) {
+			s := newHarness(t, 22, 2, "")
+			good := p.Dial(s.world, 1)
+			got := &recordingPeer{}
+			e := s.world.Dial(1, got)
+			s.world.Run(2)
+			at := s.world.Now
+			e.Send(r.send)
+			a := good.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+			s.world.Run(r.within)
+			if got.closed == 0 || got.closed > at+r.within {
+				t.Errorf("not closed after %.0f ms", r.within)
+			}
+			if a.Status != 0 || a.DoneAt > a.At+20 {
+				t.Errorf("another client: status %d after %.1f ms", a.Status, a.DoneAt-a.At)
+			}
+			s.closeAndCheck(good)
+		})
+	}
+}
+
+// recordingPeer keeps what comes and when it was closed.
+type recordingPeer struct {
+	got    []byte
+	closed float64
+}
+
+func (r *recordingPeer) Opened(*virtual.End) {}
+
+func (r *recordingPeer) Bytes(_ *virtual.End, b []byte) { r.got = append(r.got, b...) }
+
+func (r *recordingPeer) Closed(e *virtual.End) { r.closed = e.Now() }
+
+func TestRapidResetsCloseTheConnection(t *testing.T) {
+	s := newHarness(t, 23, 2, "")
+	c := p.Dial(s.world, 1)
+	s.world.Run(2)
+	for i := range 400 {
+		a := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true})
+		a.Cancel()
+		if i%10 == 9 {
+			s.world.Run(1)
+		}
+	}
+	s.world.Run(50)
+	if !c.Gone || s.proxy.Counters.ProtocolErrors != 1 {
+		t.Errorf("still open after 400 resets; %d protocol errors", s.proxy.Counters.ProtocolErrors)
+	}
+	if s.proxy.Counters.Calls > 120 {
+		t.Errorf("%d calls were processed", s.proxy.Counters.Calls)
+	}
+	s.closeAndCheck(c)
+}
+
+func TestOneConnectionCannotUseTheWholeBuffer(t *testing.T) {
+	s := newHarness(t, 24, 2, "")
+	s.settings.Limits.MaxBufferedBytesPerConnection = 100 << 10
+	for _, v := range s.servers {
+		v.Limits = h2Limits(100)
+		v.Limits.InitialWindowSize = 4 << 10
+		v.Holds = true
+		v.Script = func(*p.Got) []p.Act { return nil }
+	}
+	greedy, other := p.Dial(s.world, 1), p.Dial(s.world, 1)
+	var calls []*p.Ask
+	for range 6 {
+		calls = append(calls, greedy.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 50<<10))}}))
+	}
+	s.world.Run(20)
+	over := 0
+	for _, a := range calls {
+		if a.Status == 8 {
+			over++
+		}
+	}
+	if over < 3 || s.proxy.bufferedBytes > 100<<10 {
+		t.Errorf("%d of 6 rejected, %d bytes buffered", over, s.proxy.bufferedBytes)
+	}
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
+	if a := other.Call(&p.Ask{Path: quickPath, Timeout: 900}); true {
+		s.world.Run(50)
+		if a.Status != 0 {
+			t.Error("another connection:", a.Status)
+		}
+	}
+	greedy.Hang()
+	s.world.Run(50)
+	s.closeAndCheck(other)
+}
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -26,7 +26,7 @@
 "connect-timeout-ms":100,"conn-idle-ms":2000,"streams-per-conn":20,"most-held":4000,"retry-after":true,
 "max-retry-after-ms":500},"safety":{"drain-grace-ms":500%s},"zone":0}`
 
-// harness is a broker with its gRPC front in a virtual network.
+// harness is an engine with its gRPC proxy in a virtual network.
 type harness struct {
 	t        testing.TB
 	world    *virtual.World
@@ -86,7 +86,7 @@
 	return []grpcpeer.Act{grpcpeer.Head(2, "x-by", k.S.Name), grpcpeer.Raw(0, k.Body), grpcpeer.End(0, 0)}
 }
 
-// scriptByAttempt has the servers do one thing with a call's first sub-request and another with its further ones.
+// scriptByAttempt has the servers do one thing with a call's first attempt and another with later ones.
 func (s *harness) scriptByAttempt(first, later func(k *grpcpeer.Got) []grpcpeer.Act) {
 	for _, p := range s.servers {
 		p.Script = func(k *grpcpeer.Got) []grpcpeer.Act {
@@ -98,7 +98,7 @@
 	}
 }
 
-// warmUp has every server answer often enough for the module to know what is usual.
+// warmUp has every server answer often enough for the policy to know what is usual.
 func (s *harness) warmUp(n int) {
 	c := grpcpeer.Dial(s.world, 1)
 	for i := range n {
@@ -112,7 +112,7 @@
 	s.world.Run(5)
 }
 
-// outcomesSince is what the module heard since a mark.
+// outcomesSince returns the outcomes that were reported to the policy since a count of them.
 func (s *harness) outcomesSince(since [policy.NeverSent + 1]int64) (list []string) {
 	names := []string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
 	for i, n := range s.world.R.Count.Outcomes {
@@ -123,13 +123,13 @@
 	return list
 }
 
-// checkReleased checks that nothing is held once all is over.
+// checkReleased checks that nothing is buffered or open at rest.
 func (s *harness) checkReleased() {
 	s.t.Helper()
-	f := s.proxy
-	if f.openCalls != 0 || f.bufferedBytes != 0 || len(f.callsByCustomer) != 0 || f.pool.Waiting() != 0 || f.pool.Streams() != 0 {
-		s.t.Errorf("at rest: %d calls open, %d bytes held, %d owners, %d waiting, %d streams", f.openCalls, f.bufferedBytes, len(f.callsByCustomer),
-			f.pool.Waiting(), f.pool.Streams())
+	x := s.proxy
+	if x.openCalls != 0 || x.bufferedBytes != 0 || len(x.callsByCustomer) != 0 || x.pool.Waiting() != 0 || x.pool.Streams() != 0 {
+		s.t.Errorf("at rest: %d calls open, %d bytes buffered, %d customers, %d waiting, %d streams", x.openCalls,
+			x.bufferedBytes, len(x.callsByCustomer), x.pool.Waiting(), x.pool.Streams())
 	}
 	if strings.Contains(s.world.Log.String(), "an event failed") {
 		s.t.Errorf("an event failed:\n%s", s.world.Log)
@@ -151,7 +151,7 @@
 	return strings.Join(list, ",")
 }
 
-// testRoutes are the usual ones and one whose servers give RESOURCE_EXHAUSTED unseen.
+// testRoutes are the usual ones, and one whose servers reject unprocessed calls by RESOURCE_EXHAUSTED.
 func testRoutes() (list []*routes.Route) {
 	for kind, name := range []string{"quick", "once", "keyed"} {
 		for commit, how := range []string{"message", "headers", "end"} {
@@ -168,3 +168,32 @@
 func h2Limits(streams int) h2.Limits {
 	return h2.Limits{MaxConcurrentStreams: streams, InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}
 }
+
+func (s *harness) attemptsSeen() (n int) {
+	for _, v := range s.servers {
+		n += len(v.Calls)
+	}
+	return n
+}
+
+func (s *harness) scriptAll(script func(k *grpcpeer.Got) []grpcpeer.Act) {
+	for _, v := range s.servers {
+		v.Script = script
+	}
+}
+
+func (s *harness) closeAndCheck(c *grpcpeer.Client) {
+	s.t.Helper()
+	c.E.Close()
+	s.world.Run(100)
+	s.checkReleased()
+}
+
+func (s *harness) requestBody() []byte {
+	for _, v := range s.servers {
+		for _, k := range v.Calls {
+			return k.Body
+		}
+	}
+	return nil
+}
--- a/internal/grpcproxy/plant_none.go
+++ b/internal/grpcproxy/plant_none.go
@@ -2,9 +2,9 @@
 
 package grpcproxy
 
-// Defects that tests plant to see that their checkers find them; see TestPlantedDefects. Off, they are compiled away.
+// Defects that build tags plant, so that TestPlantedDefects sees whether the random scripts find them.
 const (
-	plantRepeat = false // the module is not told of a commitment
+	plantRepeat = false // the engine isn't asked whether an attempt may be committed
 	plantLost   = false // a status is not sent
-	plantDrain  = false // the pool is not told of drains
+	plantDrain  = false // the pool isn't notified of draining servers
 )
--- /dev/null
+++ b/internal/grpcproxy/servers_test.go
@@ -0,0 +1,208 @@
+package grpcproxy
+
+import (
+	"testing"
+
+	"kestrelspread/internal/aggregator/policy"
+	p "kestrelspread/internal/standin/grpcpeer"
+	"kestrelspread/internal/standin/virtual"
+)
+
+func TestDrainingServerGetsNothingNew(t *testing.T) {
+	// What runs there goes on, what waits for a connection goes elsewhere, nothing new starts.
+	s := newHarness(t, 13, 2, "")
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(800, "b"), p.End(0, 0)) })
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: quickPath, Timeout: 3000, Body: [][]byte{p.Message("q")}})
+	s.world.Run(50)
+	at := 0
+	if len(s.servers[1].Calls) > 0 {
+		at = 1
+	}
+	s.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[at].State = "draining"; return list })
+	notifiedAt := s.world.Now
+	s.world.Run(1)
+	for range 20 {
+		c.Call(&p.Ask{Path: quickPath, Timeout: 500, Body: [][]byte{p.Message("q")}})
+		s.world.Run(30)
+	}
+	s.world.Run(2000)
+	if a.Status != 0 || messagesOf(a.Got) != "a,b" {
+		t.Errorf("the running call: status %d, %q", a.Status, a.Got)
+	}
+	for _, k := range s.servers[at].Calls {
+		if k.At > notifiedAt+1 {
+			t.Errorf("started %.1f ms after the server was listed as draining", k.At-notifiedAt)
+		}
+	}
+	s.closeAndCheck(c)
+}
+
+func TestMovedServerIsCalledAtNewAddress(t *testing.T) {
+	s := newHarness(t, 14, 2, "")
+	s.warmUp(5)
+	moved := s.proxy.servers[0].address.Addr().Next().Next().Next()
+	s.world.Tell(func(list []virtual.Listed) []virtual.Listed {
+		list[0].Addr = netipFrom(moved, 80)
+		return list
+	})
+	next := &p.Server{W: s.world, Name: "moved", Script: echo}
+	s.world.Listen(netipFrom(moved, 1080), next.Accept)
+	old := len(s.servers[0].Calls)
+	s.world.Run(5)
+	c := p.Dial(s.world, 1)
+	for range 30 {
+		a := c.Call(&p.Ask{Path: quickPath, Body: [][]byte{p.Message("q")}})
+		s.world.Run(10)
+		if a.Status != 0 {
+			t.Fatal(a.Status)
+		}
+	}
+	if len(s.servers[0].Calls) != old || len(next.Calls) == 0 {
+		t.Errorf("%d calls at the old address, %d at the new", len(s.servers[0].Calls)-old, len(next.Calls))
+	}
+	s.closeAndCheck(c)
+}
+
+func TestUnreachableServerCostsFewConnects(t *testing.T) {
+	s := newHarness(t, 15, 2, "")
+	s.warmUp(10)
+	s.world.Refuse[s.proxy.servers[0].address] = true
+	for _, x := range s.servers[0].Conns {
+		x.Kill()
+	}
+	before := s.proxy.pool.Counters.Opened
+	c := p.Dial(s.world, 1)
+	for range 200 {
+		a := c.Call(&p.Ask{Path: quickPath, Timeout: 500, Body: [][]byte{p.Message("q")}})
+		s.world.Run(5)
+		if a.Status != 0 {
+			t.Fatalf("status %d: %v", a.Status, a.Trailers)
+		}
+	}
+	if n := s.proxy.pool.Counters.Opened - before; n > 15 {
+		t.Errorf("%d connects in a second", n)
+	}
+	s.closeAndCheck(c)
+}
+
+func TestServerWithoutHTTP2GetsNoCall(t *testing.T) {
+	s := newHarness(t, 16, 2, "")
+	for _, v := range s.servers {
+		v.Greet = func(c *p.Conn) bool { c.End.Send([]byte("SSH-2.0-x\r\n\r\n")); return false }
+	}
+	c := p.Dial(s.world, 1)
+	a := c.Call(&p.Ask{Path: oncePath, Timeout: 400, Body: [][]byte{p.Message("q")}})
+	s.world.Run(600)
+	if a.Finals != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.R.Count.Outcomes[policy.ConnectFailed] == 0 {
+		t.Errorf("%d finals, status %d, outcomes %v", a.Finals, a.Status, s.world.R.Count.Outcomes)
+	}
+	s.closeAndCheck(c)
+}
+
+func TestWaitingAttemptsAreBounded(t *testing.T) {
+	// Connections accept two streams each and twenty may wait: what comes beyond is rejected at once.
+	s := newHarness(t, 17, 1, "")
+	s.servers[0].Limits = h2Limits(2)
+	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(700, 0)) })
+	c := p.Dial(s.world, 1)
+	var calls []*p.Ask
+	for range 60 {
+		calls = append(calls, c.Call(&p.Ask{Path: oncePath, Timeout: 900, Body: [][]byte{p.Message("q")}}))
+	}
+	s.world.Run(100)
+	if n := s.proxy.pool.Waiting(); n > 20 || n == 0 {
+		t.Errorf("%d wait", n)
+	}
+	if s.attemptsSeen() > 4 {
+		t.Errorf("%d streams at a server that takes two on each of two connections", s.attemptsSeen())
+	}
+	s.world.Run(1500)
+	for i, a := range calls {
+		if a.Finals != 1 {
+			t.Fatalf("call %d: %d finals", i, a.Finals)
+		}
+	}
+	if s.proxy.pool.Counters.QueueFull == 0 {
+		t.Error("none was rejected as too many wait")
+	}
+	s.closeAndCheck(c)
+}
+
+// TestRestartedServerIsWarmedUp has a server die with streams on it and come back warming up. Streams
+// that were committed end with a status, the others go on elsewhere; while it warms up it gets no more
+// than slow start allows, which is the policy's doing alone.
+func TestRestartedServerIsWarmedUp(t *testing.T) {
+	const slowStart = `,"cold-from":0.2,"cold-ms":3000,"tip-multiple":1.2,"tip-after-ms":1000`
+	without := callsAfterRestart(t, "")
+	with := callsAfterRestart(t, slowStart)
+	if with == 0 || 2*with > without {
+		t.Errorf("in its first second it got %d calls, without slow start %d", with, without)
+	}
+	t.Logf("in its first second: %d calls, without slow start %d", with, without)
+}
+
+// callsAfterRestart returns how many calls a restarted server gets in its first second.
+func callsAfterRestart(t *testing.T, safety string) int {
+	t.Helper()
+	s := newHarness(t, 25, 4, safety)
+	c := p.Dial(s.world, 1)
+	s.callOften(c, 600) // its capacity is learnt from what it did
+	s.scriptAll(func(k *p.Got) []p.Act {
+		if k.Get("x-long") != "" {
+			return acts(p.Head(1), p.Say(0, "a"), p.Say(2000, "b"), p.End(0, 0))
+		}
+		return echo(k)
+	})
+	var long []*p.Ask
+	for range 8 {
+		long = append(long, c.Call(&p.Ask{Path: quickPath, Timeout: 4000, Fields: []string{"x-long", "1"}}))
+	}
+	s.world.Run(100)
+	restarted := s.servers[1]
+	streams := 0
+	for _, k := range restarted.Calls {
+		if k.Get("x-long") != "" {
+			streams++
+		}
+	}
+	for _, conn := range restarted.Conns {
+		if !conn.Dead {
+			conn.Kill()
+		}
+	}
+	restartedAt := s.world.Now
+	s.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[1].Started = restartedAt; return list })
+	before := len(restarted.Calls)
+	s.callOften(c, 100)
+	calls := len(restarted.Calls) - before
+	s.world.Run(4000)
+	if broken := countBroken(t, long); streams == 0 || broken != streams {
+		t.Errorf("%d streams were on it, %d broke", streams, broken)
+	}
+	s.closeAndCheck(c)
+	return calls
+}
+
+// callOften makes n calls, one every 10 ms.
+func (s *harness) callOften(c *p.Client, n int) {
+	for range n {
+		c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+		s.world.Run(10)
+	}
+}
+
+// countBroken returns how many of the calls ended with UNAVAILABLE; the others must have been answered.
+func countBroken(t *testing.T, calls []*p.Ask) int {
+	t.Helper()
+	broken := 0
+	for _, a := range calls {
+		if a.Finals != 1 || a.Status != 0 && a.Status != 14 {
+			t.Errorf("a long call: %d finals, status %d", a.Finals, a.Status)
+		}
+		if a.Status == 14 {
+			broken++
+		}
+	}
+	return broken
+}
