--- a/internal/rig/scenario/count.go
+++ b/internal/rig/scenario/counts.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// counts is what clients saw, by query type and by the second in which they asked first.
+// counts are the outcomes that clients saw, by query type and by the second of the first attempt.
 type counts struct {
 	types []typeCounts
 	file  *File
@@ -10,18 +10,18 @@
 
 type typeCounts struct {
 	seconds   []Tally
-	latencyMs *hdrhistogram.Histogram // ms, of those that were answered
+	latencyMs *hdrhistogram.Histogram // of answered queries
 }
 
-// Tally is what became of the searches that began in a second.
+// Tally counts the outcomes of queries.
 type Tally struct {
 	Offered    int     `json:"Offered"`
 	InTime     int     `json:"InTime"`
 	Late       int     `json:"Late"`
-	Incomplete int     `json:"InPart"` // incomplete, and in time
+	Incomplete int     `json:"InPart"` // and in time
 	Shed       int     `json:"Shed"`
 	Errored    int     `json:"Errored"`
-	NoBroker   int     `json:"Nobody"` // no broker accepted the search
+	NoBroker   int     `json:"Nobody"` // no broker accepted the query
 	Value      float64 `json:"Value"`
 }
 
@@ -67,12 +67,12 @@
 	}
 }
 
-// quantile of the times that answers took, in ms.
+// quantile is a quantile of the latency of answered queries, in ms.
 func (c *counts) quantile(kind int, percent float64) float64 {
 	return float64(c.types[kind].latencyMs.ValueAtQuantile(percent))
 }
 
-// sum adds up some seconds.
+// sum adds up the seconds in [from, to).
 func (c *counts) sum(kind, from, to int) (s Tally) {
 	for i, t := range c.types[kind].seconds {
 		if i >= from && i < to {
--- a/internal/rig/scenario/agent.go
+++ b/internal/rig/scenario/discovery.go
@@ -6,7 +6,7 @@
 	"kestrelspread/internal/standin/sockets"
 )
 
-// agent is discovery on a broker's own machine: what it has been sent it tells at once.
+// agent is the discovery agent on a broker's machine. It forwards updates at once.
 type agent struct {
 	discovery *sockets.Discovery
 	mutex     sync.Mutex
@@ -14,6 +14,7 @@
 	ids       []string
 }
 
+// newAgent starts an agent with a list of servers.
 func newAgent(list []sockets.Instance) (*agent, error) {
 	a := &agent{instances: map[string]sockets.Instance{}}
 	for _, e := range list {
@@ -25,8 +26,10 @@
 	return a, err
 }
 
+// addr is the address that the broker connects to.
 func (a *agent) addr() string { return a.discovery.Addr().String() }
 
+// entries are the servers that are not gone. a.mutex must be held.
 func (a *agent) entries() (list []sockets.Instance) {
 	for _, id := range a.ids {
 		if e := a.instances[id]; e.Lifecycle != "gone" {
@@ -36,12 +39,14 @@
 	return list
 }
 
+// knownList is the list in its wire form, for the configuration of a broker.
 func (a *agent) knownList() string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return sockets.List(0, true, a.entries())
 }
 
+// update replaces or adds an entry, and sends the list to the broker.
 func (a *agent) update(e sockets.Instance) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -53,4 +58,5 @@
 	a.discovery.Replace(list)
 }
 
+// close ends the agent.
 func (a *agent) close() { a.discovery.Close() }
--- a/internal/rig/scenario/faults.go
+++ b/internal/rig/scenario/faults.go
@@ -9,128 +9,148 @@
 	"kestrelspread/internal/rig/links"
 )
 
-// applyStep carries out one step of the schedule.
-func (run *runner) applyStep(s Step) error {
-	l, key := s.Fault, fmt.Sprint(s.FaultIndex, ".", s.Target)
-	if s.Ends {
+// applyStep injects the fault of a step of the schedule, or removes it.
+func (run *runner) applyStep(step Step) error {
+	key := fmt.Sprint(step.FaultIndex, ".", step.Target)
+	if step.Ends {
 		run.mutex.Lock()
-		u := run.activeFaults[key]
+		remove := run.activeFaults[key]
 		delete(run.activeFaults, key)
 		run.mutex.Unlock()
-		if u != nil {
-			u()
+		if remove != nil {
+			remove()
 		}
 		return nil
 	}
-	var undo func()
-	var err error
-	v, b := run.server(s.Target), run.broker(s.Target)
-	switch l.Action {
+	remove, err := run.inject(step.Fault, step.Target)
+	if remove != nil {
+		run.mutex.Lock()
+		run.activeFaults[key] = remove
+		run.mutex.Unlock()
+	}
+	return err
+}
+
+// inject injects a fault. remove is nil if it has no end.
+func (run *runner) inject(fault Fault, target string) (remove func(), err error) {
+	switch fault.Action {
 	case "lose":
-		undo = run.loseSite(l)
+		return run.loseSite(fault), nil
 	case "cut":
-		f := links.Fault{Source: l.Source, Destination: l.Destination}
-		f.Forward.Partitioned, f.Reverse.Partitioned = l.Direction != "back", l.Direction != "there"
-		run.recordPartition(l.Source, l.Destination, true)
-		over := run.recordFault(f)
-		lift := run.network.Inject(f)
-		undo = func() {
-			lift()
-			over()
-			run.recordPartition(l.Source, l.Destination, false)
-		}
+		return run.partition(fault), nil
 	case "links":
-		undo = run.network.Inject(links.Fault{Source: l.Source, Destination: l.Destination, Forward: l.Conditions, Reverse: l.Conditions})
+		return run.network.Inject(links.Fault{
+			Source: fault.Source, Destination: fault.Destination, Forward: fault.Conditions, Reverse: fault.Conditions,
+		}), nil
 	case "refuse":
-		undo = run.network.Inject(links.Fault{Source: l.Source, Destination: l.Destination, Connect: links.ConnectRefused})
+		return run.network.Inject(links.Fault{Source: fault.Source, Destination: fault.Destination, Connect: links.ConnectRefused}), nil
 	case "sleep-owner":
-		undo, err = run.leases.suspendHolder()
+		return run.leases.suspendHolder()
 	case "reset":
-		run.network.ResetConnections(l.Source, l.Destination)
+		run.network.ResetConnections(fault.Source, fault.Destination)
+		return nil, nil
 	case "half-open":
-		run.network.MakeHalfOpen(l.Source, l.Destination)
+		run.network.MakeHalfOpen(fault.Source, fault.Destination)
+		return nil, nil
 	case "load":
-		run.mutex.Lock()
-		run.loadFactor = l.Factor
-		run.mutex.Unlock()
-		undo = func() {
+		run.setLoadFactor(fault.Factor)
+		return func() { run.setLoadFactor(1) }, nil
+	case "freeze-list", "late-list":
+		return run.delayDiscovery(fault, target), nil
+	}
+	s, b := run.server(target), run.broker(target)
+	switch {
+	case s != nil:
+		return run.injectServerFault(s, fault)
+	case b != nil && fault.Action == "lose-disk":
+		return run.leases.loseDisk(b)
+	case b != nil:
+		return b.injectFault(fault)
+	default:
+		return nil, fmt.Errorf("nobody is called %q", target)
+	}
+}
+
+// partition partitions the network between two patterns, in one direction or both.
+func (run *runner) partition(fault Fault) (remove func()) {
+	f := links.Fault{Source: fault.Source, Destination: fault.Destination}
+	f.Forward.Partitioned = fault.Direction != "back"
+	f.Reverse.Partitioned = fault.Direction != "there"
+	run.recordPartition(fault.Source, fault.Destination, true)
+	end := run.recordFault(f)
+	removeFault := run.network.Inject(f)
+	return func() {
+		removeFault()
+		end()
+		run.recordPartition(fault.Source, fault.Destination, false)
+	}
+}
+
+// setLoadFactor multiplies the load from now on.
+func (run *runner) setLoadFactor(factor float64) {
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	run.loadFactor = factor
+}
+
+// delayDiscovery suspends the updates about a server, or delays or suspends the updates of a broker.
+func (run *runner) delayDiscovery(fault Fault, target string) (remove func()) {
+	s, b := run.server(target), run.broker(target)
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	if s != nil && fault.Action == "freeze-list" {
+		run.frozenServers[s.Name] = true
+		return func() {
 			run.mutex.Lock()
-			run.loadFactor = 1
+			delete(run.frozenServers, s.Name)
 			run.mutex.Unlock()
+			run.updateDiscovery(s)
 		}
-	case "freeze-list", "late-list":
-		run.mutex.Lock()
-		defer run.mutex.Unlock()
-		if v != nil && l.Action == "freeze-list" {
-			run.frozenServers[v.Name] = true
-			undo = func() {
-				run.mutex.Lock()
-				delete(run.frozenServers, v.Name)
-				run.mutex.Unlock()
-				run.updateDiscovery(v, 0)
-			}
-		} else if b != nil {
-			run.discoveryLagMs[b.name] = l.DelayMs
-			if l.Action == "freeze-list" {
-				run.discoveryLagMs[b.name] = math.Inf(1)
-			}
-			undo = func() {
-				run.mutex.Lock()
-				delete(run.discoveryLagMs, b.name)
-				run.mutex.Unlock()
-				for _, s := range run.servers {
-					run.updateDiscoveryAt(s, b, 0)
-				}
-			}
-		}
-		run.activeFaults[key] = undo
+	}
+	if b == nil {
 		return nil
-	default:
-		switch {
-		case v != nil:
-			undo, err = run.injectServerFault(v, l)
-		case b != nil && l.Action == "lose-disk":
-			undo, err = run.leases.loseDisk(b)
-		case b != nil:
-			undo, err = b.injectFault(l)
-		default:
-			err = fmt.Errorf("nobody is called %q", s.Target)
-		}
 	}
-	if undo != nil {
+	run.discoveryLagMs[b.name] = fault.DelayMs
+	if fault.Action == "freeze-list" {
+		run.discoveryLagMs[b.name] = math.Inf(1)
+	}
+	return func() {
 		run.mutex.Lock()
-		run.activeFaults[key] = undo
+		delete(run.discoveryLagMs, b.name)
 		run.mutex.Unlock()
+		for _, s := range run.servers {
+			run.updateDiscoveryAt(s, b)
+		}
 	}
-	return err
 }
 
-// recordPartition notes that what lies at a site can't be reached from elsewhere, for the bound and for false alarms.
+// recordPartition records the sites that a partition makes unreachable from others, for the false alarms.
 func (run *runner) recordPartition(from, to string, on bool) {
 	for at, s := range run.Sites {
 		if name := "@" + s.Name; name != from && name != to || from == "*" && to == "*" {
 			continue
 		}
 		if name := "@" + s.Name; name == to && from != "*" && len(run.Sites) > 2 && from != name {
-			continue // a way between two sites: both serve their own
+			continue // a partition between two of several sites: neither is lost
 		}
 		run.recordSiteLoss(at, on, true)
 	}
 }
 
-func (run *runner) recordSiteLoss(at int, on, cut bool) {
+// recordSiteLoss records that a site is lost, or has returned. The first cause counts.
+func (run *runner) recordSiteLoss(at int, on, partitioned bool) {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
 	switch {
 	case on && math.IsInf(run.siteLostSinceMs[at], -1):
-		run.siteLostSinceMs[at], run.sitePartitioned[at] = run.now(), cut
+		run.siteLostSinceMs[at], run.sitePartitioned[at] = run.now(), partitioned
 	case !on && !math.IsInf(run.siteLostSinceMs[at], -1):
 		run.siteLosses = append(run.siteLosses, siteLoss{at, run.siteLostSinceMs[at], run.now(), run.sitePartitioned[at]})
 		run.siteLostSinceMs[at] = math.Inf(-1)
 	}
 }
 
-// loseSite takes a site's machines away without a word, and its brokers with them. They return cold.
+// loseSite ends all servers and brokers of a site without notice. The servers return with a slow start.
 func (run *runner) loseSite(l Fault) func() {
 	name := strings.TrimPrefix(l.Target, "@")
 	at := 0
@@ -141,9 +161,9 @@
 	}
 	run.recordSiteLoss(at, true, false)
 	over := run.recordFault(links.Fault{Source: l.Target})
-	cut := links.Conditions{Partitioned: true}
-	lift := run.network.Inject(links.Fault{Source: "*", Destination: l.Target, Forward: cut, Reverse: cut})
-	liftToo := run.network.Inject(links.Fault{Source: l.Target, Destination: "*", Forward: cut, Reverse: cut})
+	blocked := links.Conditions{Partitioned: true}
+	lift := run.network.Inject(links.Fault{Source: "*", Destination: l.Target, Forward: blocked, Reverse: blocked})
+	liftToo := run.network.Inject(links.Fault{Source: l.Target, Destination: "*", Forward: blocked, Reverse: blocked})
 	var mine []*server
 	for _, s := range run.servers {
 		if s.Site == at {
@@ -178,7 +198,7 @@
 	}
 }
 
-// restartServer has a server start anew: cold, and the list tells of it in time.
+// restartServer restarts a server with a slow start, and schedules the update of discovery.
 func (run *runner) restartServer(s *server, newID bool) {
 	if err := s.frames.Rise(); err != nil {
 		run.options.Printf("%s does not rise: %v", s.Name, err)
@@ -204,7 +224,7 @@
 	run.scheduleDiscovery(s, "ready", run.Discovery.ReturnMs)
 }
 
-// scheduleDiscovery has the list tell of a server after a time.
+// scheduleDiscovery schedules an update of discovery about a server. A later one replaces it.
 func (run *runner) scheduleDiscovery(s *server, state string, after float64) {
 	run.mutex.Lock()
 	s.lifecycle = state
@@ -216,32 +236,37 @@
 		mine := s.discoveryGeneration == gen && !run.frozenServers[s.Name]
 		run.mutex.Unlock()
 		if mine {
-			run.updateDiscovery(s, 0)
+			run.updateDiscovery(s)
 		}
 	})
 }
 
-func (run *runner) updateDiscovery(s *server, more float64) {
+// updateDiscovery notifies all brokers of the present state of a server.
+func (run *runner) updateDiscovery(s *server) {
 	for _, b := range run.brokers {
-		run.updateDiscoveryAt(s, b, more)
+		run.updateDiscoveryAt(s, b)
 	}
 }
 
-func (run *runner) updateDiscoveryAt(s *server, b *brokerProcess, more float64) {
+// updateDiscoveryAt notifies one broker of the present state of a server, after the broker's lag; never if that is infinite.
+func (run *runner) updateDiscoveryAt(s *server, b *brokerProcess) {
 	run.mutex.Lock()
-	e, late := run.entry(s, b.index), run.discoveryLagMs[b.name]+more
+	entry, lagMs := run.entry(s, b.index), run.discoveryLagMs[b.name]
 	run.mutex.Unlock()
 	switch {
-	case math.IsInf(late, 1):
-	case late > 0:
-		time.AfterFunc(time.Duration(late*1e6), func() { b.agent.update(e) })
+	case math.IsInf(lagMs, 1):
+	case lagMs > 0:
+		time.AfterFunc(milliseconds(lagMs), func() { b.agent.update(entry) })
 	default:
-		b.agent.update(e)
+		b.agent.update(entry)
 	}
 }
 
-// injectServerFault brings one server into trouble.
-func (run *runner) injectServerFault(s *server, l Fault) (undo func(), err error) {
+// milliseconds is a duration of so many milliseconds.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+
+// injectServerFault injects a fault into one server.
+func (run *runner) injectServerFault(s *server, l Fault) (remove func(), err error) {
 	switch l.Action {
 	case "slow":
 		s.model.Slow(l.Factor)
--- a/internal/rig/scenario/owners.go
+++ b/internal/rig/scenario/leases.go
@@ -16,44 +16,45 @@
 	"kestrelspread/internal/standin/receiver"
 )
 
-// Leases is the fleet's work in a scenario: voters among the brokers, duties that any of them may own, and a receiver outside
-// of all sites, where what they do is counted.
+// Leases configures leases in a scenario: voters among the brokers, roles that any broker may hold, and a receiver outside of all
+// sites, which counts the effects of the holders.
 type Leases struct {
 	Voters           int     `json:"voters"`
 	RoleCount        int     `json:"duties"`
 	LeaseMs          float64 `json:"lease-ms"`
-	EffectIntervalMs float64 `json:"every-ms"` // between two effects of a duty
-	PacesReturn      bool    `json:"return"`   // one paces the return of lost sites for all
-	Unfenced         bool    `json:"open"`     // the receiver has no fence
+	EffectIntervalMs float64 `json:"every-ms"` // between two effects of a role
+	PacesReturn      bool    `json:"return"`   // a holder paces the return of lost sites
+	Unfenced         bool    `json:"open"`     // the receiver does not check fencing tokens
 }
 
-// LeaseReport is what the receiver's audit says, and what the voters' disks and links did.
+// LeaseReport is the receiver's audit of the effects.
 type LeaseReport struct {
 	receiver.Report
-	StaleEffects int           `json:"unfenced"` // of old owners, that came after a newer one's
-	GapsMs       []float64     `json:"gaps_ms"`  // between the last effect of one owner and the first of the next, in order
+	StaleEffects int           `json:"unfenced"` // of previous holders, that were received after one of a newer holder
+	GapsMs       []float64     `json:"gaps_ms"`  // between the last effect of a holder and the first of the next one, sorted
 	ActiveRoles  int           `json:"duties_done"`
 	ReturnStages []ReturnStage `json:"stages,omitempty"`  // of sites, as the voters had them
-	Stalled      []string      `json:"stalled,omitempty"` // of which nothing counted in the run's last seconds
+	Stalled      []string      `json:"stalled,omitempty"` // roles without an effect in the last seconds of the run
 }
 
-// ReturnStage is how far a site has come back by the fleet's word, from a time of the run on.
+// ReturnStage is the share of its load that a returning site gets, from a time of the run on.
 type ReturnStage struct {
 	AtMs  float64 `json:"at_ms"`
 	Site  int     `json:"site"`
 	Share float64 `json:"share"`
 }
 
-// leaseRun is the rig's part in a run with owners.
+// leaseRun is the receiver and the observed return stages of a run with leases.
 type leaseRun struct {
 	run      *runner
 	receiver *receiver.Fenced
-	stages   []ReturnStage // the lock is the world's
+	stages   []ReturnStage // guarded by run.mutex
 }
 
-const stagePollMs = 100 // ms
+// stagePollMs is the interval of polls of the voters.
+const stagePollMs = 100
 
-// watchReturnStages notes how far sites have come back, as any voter that answers has it, until the run ends.
+// watchReturnStages records changes of return stages, as the voters have them, until the run ends.
 func (q *leaseRun) watchReturnStages(ctx context.Context) {
 	if !q.run.Leases.PacesReturn {
 		return
@@ -65,18 +66,18 @@
 		}
 	}
 	latest := map[int]ReturnStage{}
-	word := uint64(0)
+	latestIndex := uint64(0)
 	for n := 0; ctx.Err() == nil; n++ {
-		if n%len(peers) == 0 { // voters are asked in turn, and a word that is older than another's is passed over
+		if n%len(peers) == 0 { // voters are polled in turn; states older than one seen before are skipped
 			time.Sleep(stagePollMs * time.Millisecond)
 		}
-		ask, end := context.WithTimeout(ctx, stagePollMs*time.Millisecond)
-		v, err := peers[n%len(peers)].Status(ask)
-		end()
-		if err != nil || v.AppliedIndex < word {
+		pollContext, cancel := context.WithTimeout(ctx, stagePollMs*time.Millisecond)
+		v, err := peers[n%len(peers)].Status(pollContext)
+		cancel()
+		if err != nil || v.AppliedIndex < latestIndex {
 			continue
 		}
-		word = v.AppliedIndex
+		latestIndex = v.AppliedIndex
 		for _, d := range v.Roles {
 			list, err := zonerecovery.ParseStages([]byte(d.Progress))
 			if d.Name != "return" || err != nil {
@@ -100,18 +101,18 @@
 	}
 }
 
-// voter gives the broker that is a voter: they are spread over the list, and so over the sites.
+// voter is the broker of a voter: voters are spread over the list, and so over the sites.
 func (q *leaseRun) voter(k int) *brokerProcess {
 	return q.run.brokers[k*len(q.run.brokers)/q.run.Leases.Voters]
 }
 
-// voterAddress is a voter's own address.
+// voterAddress is the address that a voter listens on.
 func (q *leaseRun) voterAddress(b *brokerProcess) string {
 	host, _, _ := strings.Cut(q.run.gossipAddress(b.index), ":")
 	return host + ":7950"
 }
 
-// operatorConfig makes a broker's part of the operator's file: each reaches the voters, and the receiver, over links of its own.
+// operatorConfig is a broker's part of the operator's file. Each broker reaches the voters and the receiver over links of its own.
 func (q *leaseRun) operatorConfig(b *brokerProcess) (map[string]any, error) {
 	type m = map[string]any
 	o := q.run.Leases
@@ -146,7 +147,7 @@
 	return part, nil
 }
 
-// busiestHolder gives the broker whose effects were the latest of the most duties, as the receiver saw; one that is up.
+// busiestHolder is the running broker that holds the most roles, by the latest effects at the receiver; nil: none.
 func (q *leaseRun) busiestHolder() *brokerProcess {
 	count := map[string]int{}
 	for _, holder := range q.receiver.Holders() {
@@ -168,23 +169,23 @@
 	return nil
 }
 
-// suspendHolder has an owner sleep between its check and its act: what it has sent is held on its link to the receiver, it is
-// stopped, and both go on when others have long taken over.
-func (q *leaseRun) suspendHolder() (undo func(), err error) {
+// suspendHolder suspends a holder between its check and its effect: the effect is blocked on the link to the receiver, the process is
+// stopped, and both resume when others have long taken over.
+func (q *leaseRun) suspendHolder() (remove func(), err error) {
 	b := q.busiestHolder()
 	if b == nil {
 		return nil, fmt.Errorf("nobody owns anything")
 	}
-	lift := q.run.network.Inject(links.Fault{Source: b.name, Destination: "receiver", Forward: links.Conditions{Partitioned: true}})
+	removeFault := q.run.network.Inject(links.Fault{Source: b.name, Destination: "receiver", Forward: links.Conditions{Partitioned: true}})
 	q.run.afterMs(3*q.run.Leases.EffectIntervalMs, func() { b.signal(syscall.SIGSTOP) })
 	return func() {
-		lift()
+		removeFault()
 		b.signal(syscall.SIGCONT)
 	}, nil
 }
 
-// loseDisk kills a voter and takes its disk away; it starts again when the fault ends.
-func (q *leaseRun) loseDisk(b *brokerProcess) (undo func(), err error) {
+// loseDisk kills a voter and removes its data; it restarts as the fault ends.
+func (q *leaseRun) loseDisk(b *brokerProcess) (remove func(), err error) {
 	b.kill()
 	return b.restart, os.RemoveAll(filepath.Join(b.dir, b.name+"-voter"))
 }
--- a/internal/rig/scenario/play.go
+++ b/internal/rig/scenario/runner.go
@@ -17,15 +17,15 @@
 	"kestrelspread/internal/standin/station"
 )
 
-// Options are how a scenario is played.
+// Options are the options of a run.
 type Options struct {
-	Program []string // a broker and its arguments; Policy goes behind them
-	Policy  string   // in the module's place; none: the module
-	Dir     string   // for configurations and logs; it is kept
+	Program []string // of a broker, with its arguments; those for the policy are appended
+	Policy  string   // instead of the module; empty: the module
+	Dir     string   // for configurations and logs; it is not removed
 	Printf  func(form string, args ...any)
 }
 
-// runner is a run.
+// runner is one run of a scenario.
 type runner struct {
 	*File
 	options         Options
@@ -37,26 +37,27 @@
 	mutex           sync.Mutex
 	invariants      *rules.Book
 	counts          *counts
-	loadFactor      float64 // of the load
+	loadFactor      float64 // multiplies the load
 	activeFaults    map[string]func()
-	siteLostSinceMs []float64 // by site: since when it is lost, or negative infinity
-	sitePartitioned []bool    // and whether only the way to it is
+	siteLostSinceMs []float64 // by site; negative infinity: it is not lost
+	sitePartitioned []bool    // by site: lost by a partition alone
 	siteLosses      []siteLoss
 	injectedFaults  []injectedFault
 	random          *rand.Rand
 	frozenServers   map[string]bool
-	discoveryLagMs  map[string]float64 // by broker, ms
+	discoveryLagMs  map[string]float64 // by broker; positive infinity: no updates
 	tasks           sync.WaitGroup
 	leases          *leaseRun
 }
 
-// siteLoss is when a site was lost, in ms of the run. cut: only the way there was, and both sides served what they hold.
+// siteLoss is a span in which a site was lost, in ms of the run. partitioned: its machines ran, but were not reachable from others.
 type siteLoss struct {
 	site           int
 	startMs, endMs float64
 	partitioned    bool
 }
 
+// server is a simulated server.
 type server struct {
 	Server
 	id                  string
@@ -69,19 +70,24 @@
 	idGeneration        int
 }
 
+// now is the time of the run, in ms.
 func (run *runner) now() float64 { return float64(time.Since(run.startedAt).Microseconds()) / 1000 }
 
-// Play runs a scenario to its end and tells what happened.
-func Play(ctx context.Context, f *File, opt Options) (*Report, error) {
-	if opt.Printf == nil {
-		opt.Printf = func(string, ...any) {}
-	}
-	run := &runner{File: f, options: opt, startedAt: time.Now(), network: links.New(f.Seed), invariants: rules.New(), loadFactor: 1, activeFaults: map[string]func(){},
-		random: rand.New(rand.NewPCG(f.Seed, 5)), frozenServers: map[string]bool{}, discoveryLagMs: map[string]float64{}}
-	run.invariants.Slack = f.answerSlackMs // this process's own scheduling and the links' are no fault of a broker's
+// Play runs a scenario to its end and evaluates it. The error of a cancelled context comes with the report so far.
+func Play(ctx context.Context, f *File, options Options) (*Report, error) {
+	if options.Printf == nil {
+		options.Printf = func(string, ...any) {}
+	}
+	run := &runner{
+		File: f, options: options, startedAt: time.Now(), network: links.New(f.Seed), invariants: rules.New(), loadFactor: 1,
+		activeFaults: map[string]func(){}, random: rand.New(rand.NewPCG(f.Seed, runnerStream)),
+		frozenServers: map[string]bool{}, discoveryLagMs: map[string]float64{},
+	}
+	run.invariants.Slack = f.answerSlackMs // for the scheduling of this process and the links, which brokers can't help
 	run.network.Base = links.BySite(f.Links.Within, f.Links.Between)
 	for range f.Sites {
-		run.siteLostSinceMs, run.sitePartitioned = append(run.siteLostSinceMs, math.Inf(-1)), append(run.sitePartitioned, false)
+		run.siteLostSinceMs = append(run.siteLostSinceMs, math.Inf(-1))
+		run.sitePartitioned = append(run.sitePartitioned, false)
 	}
 	defer run.close()
 	if err := run.start(); err != nil {
@@ -91,6 +97,14 @@
 	return run.report(), ctx.Err()
 }
 
+// Streams of the random sources that are seeded by the scenario's seed.
+const (
+	scheduleStream = 3
+	runnerStream   = 5
+	frontStream    = 100 // plus the site
+)
+
+// close ends all processes, links and servers.
 func (run *runner) close() {
 	for _, b := range run.brokers {
 		b.shutDown()
@@ -111,51 +125,23 @@
 	}
 }
 
+// start starts the servers, the links, the brokers and the front ends.
 func (run *runner) start() error {
-	for i, s := range run.ServerLayout() {
-		f, err := sockets.StartFrames(0, 0)
+	for i, layout := range run.ServerLayout() {
+		s, err := run.startServer(i, layout)
 		if err != nil {
 			return err
 		}
-		v := &server{Server: s, id: s.Name, frames: f, lifecycle: "ready", model: station.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(i))}
-		f.Work = v.model.Work
-		f.Seen = func(id string) func(how string) {
-			search, part, _ := strings.Cut(id, ".")
-			run.mutex.Lock()
-			defer run.mutex.Unlock()
-			if run.counts != nil {
-				s := run.invariants.Sent(search, part, v.Name, run.now())
-				return func(how string) {
-					if how == "REJECTED" { // its queue was full: that was never begun, and may go elsewhere
-						run.mutex.Lock()
-						s.Never, s.NeverAt = true, run.now()
-						run.mutex.Unlock()
-					}
-				}
-			}
-			return nil
-		}
-		run.servers = append(run.servers, v)
+		run.servers = append(run.servers, s)
 	}
-	n := 0
-	for at, s := range run.Sites {
+	for site, s := range run.Sites {
 		for range s.Brokers {
-			b := &brokerProcess{run: run, name: fmt.Sprintf("b%d", n), site: at, dir: run.options.Dir}
-			n++
-			run.brokers = append(run.brokers, b)
+			name := fmt.Sprintf("b%d", len(run.brokers))
+			run.brokers = append(run.brokers, &brokerProcess{run: run, name: name, site: site, dir: run.options.Dir})
 		}
 	}
 	for i, b := range run.brokers {
-		for _, s := range run.servers {
-			l, err := run.network.Add(links.Endpoint{Name: b.name, Site: run.Sites[b.site].Name}, links.Endpoint{Name: s.Name, Site: run.Sites[s.Site].Name}, s.frames.Addr().String())
-			if err != nil {
-				return err
-			}
-			s.links = append(s.links, l)
-		}
-		b.index = i
-		var err error
-		if b.agent, err = newAgent(run.entries(i)); err != nil {
+		if err := run.connectBroker(i, b); err != nil {
 			return err
 		}
 	}
@@ -169,18 +155,8 @@
 		}
 	}
 	if run.Gossip {
-		for i, b := range run.brokers {
-			b.gossipLinks = map[string]string{}
-			for j, o := range run.brokers {
-				if i == j {
-					continue
-				}
-				l, err := run.network.AddWithDatagrams(links.Endpoint{Name: b.name, Site: run.Sites[b.site].Name}, links.Endpoint{Name: o.name, Site: run.Sites[o.site].Name}, run.gossipAddress(j))
-				if err != nil {
-					return err
-				}
-				b.gossipLinks[run.gossipAddress(j)] = l.Address()
-			}
+		if err := run.addGossipLinks(); err != nil {
+			return err
 		}
 	}
 	for _, b := range run.brokers {
@@ -188,18 +164,90 @@
 			return err
 		}
 	}
-	for at, s := range run.Sites {
-		f, err := run.newFront(at)
+	for site := range run.Sites {
+		f, err := run.newFront(site)
 		if err != nil {
 			return err
 		}
 		run.fronts = append(run.fronts, f)
-		_ = s
 	}
 	return nil
 }
 
-// entries is the list as one broker is to find it.
+// startServer starts a simulated server, and records what it receives.
+func (run *runner) startServer(index int, layout Server) (*server, error) {
+	frames, err := sockets.StartFrames(0, 0)
+	if err != nil {
+		return nil, err
+	}
+	s := &server{Server: layout, id: layout.Name, frames: frames, lifecycle: "ready", model: run.newServerModel(index)}
+	frames.Work = s.model.Work
+	frames.Seen = func(id string) func(how string) { return run.recordRequest(s, id) }
+	return s, nil
+}
+
+// newServerModel is the model of a server that starts now.
+func (run *runner) newServerModel(index int) *station.Station {
+	return station.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(index))
+}
+
+// recordRequest records a request that reached a server; the result records its end.
+func (run *runner) recordRequest(s *server, id string) (ended func(how string)) {
+	search, part, _ := strings.Cut(id, ".")
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	if run.counts == nil { // of a readiness check, before the load
+		return nil
+	}
+	sent := run.invariants.Sent(search, part, s.Name, run.now())
+	return func(how string) {
+		if how == "REJECTED" { // the queue was full: the request never started, and may go to another server
+			run.mutex.Lock()
+			sent.Never, sent.NeverAt = true, run.now()
+			run.mutex.Unlock()
+		}
+	}
+}
+
+// connectBroker gives a broker its links to the servers and its discovery.
+func (run *runner) connectBroker(index int, b *brokerProcess) error {
+	for _, s := range run.servers {
+		l, err := run.network.Add(run.endpoint(b), links.Endpoint{Name: s.Name, Site: run.Sites[s.Site].Name}, s.frames.Addr().String())
+		if err != nil {
+			return err
+		}
+		s.links = append(s.links, l)
+	}
+	b.index = index
+	var err error
+	b.agent, err = newAgent(run.entries(index))
+	return err
+}
+
+// endpoint is the broker as an end of links.
+func (run *runner) endpoint(b *brokerProcess) links.Endpoint {
+	return links.Endpoint{Name: b.name, Site: run.Sites[b.site].Name}
+}
+
+// addGossipLinks gives each broker links to the gossip addresses of all others.
+func (run *runner) addGossipLinks() error {
+	for i, b := range run.brokers {
+		b.gossipLinks = map[string]string{}
+		for j, other := range run.brokers {
+			if i == j {
+				continue
+			}
+			l, err := run.network.AddWithDatagrams(run.endpoint(b), run.endpoint(other), run.gossipAddress(j))
+			if err != nil {
+				return err
+			}
+			b.gossipLinks[run.gossipAddress(j)] = l.Address()
+		}
+	}
+	return nil
+}
+
+// entries is the list of servers as one broker receives it: with the addresses of its links.
 func (run *runner) entries(broker int) (list []sockets.Instance) {
 	for _, s := range run.servers {
 		list = append(list, run.entry(s, broker))
@@ -207,6 +255,7 @@
 	return list
 }
 
+// entry is the list entry of a server, for one broker.
 func (run *runner) entry(s *server, broker int) sockets.Instance {
 	e := sockets.Instance{ID: s.id, Addr: s.links[broker].Address(), Zone: run.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.lifecycle, Weight: 1}
 	if s.startedAtMs > 0 {
@@ -215,7 +264,7 @@
 	return e
 }
 
-// run plays the time line under load.
+// run runs the time line under load.
 func (run *runner) run(ctx context.Context) {
 	run.mutex.Lock()
 	run.resetCounts()
@@ -256,7 +305,7 @@
 	}
 }
 
-// removeFaults undoes what is still laid, so that the last searches end.
+// removeFaults removes the remaining faults, so that the last queries end.
 func (run *runner) removeFaults() {
 	run.mutex.Lock()
 	list := run.activeFaults
@@ -267,17 +316,17 @@
 	}
 }
 
-// resetCounts starts the clock of what is counted: brokers took their time to come up. The lock is held.
+// resetCounts starts the clock and the counts, once the brokers run. run.mutex must be held.
 func (run *runner) resetCounts() {
 	run.startedAt = time.Now()
 	run.counts = newCounts(run.File)
 	for i, s := range run.servers {
-		s.model = station.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(i))
+		s.model = run.newServerModel(i)
 		s.frames.Work = s.model.Work
 	}
 }
 
-// resolvePattern gives the names that a pattern stands for.
+// resolvePattern returns the names of the instances that a pattern selects: a share of them, the first ones.
 func (run *runner) resolvePattern(pattern string, share float64) (list []string) {
 	kind, site, _ := strings.Cut(pattern, "@")
 	if kind != "" && kind != "*" && kind != "servers" && kind != "brokers" {
@@ -301,6 +350,7 @@
 	return list[:int(math.Ceil(share*float64(len(list))))]
 }
 
+// server is the server of a name; nil: there is none.
 func (run *runner) server(name string) *server {
 	for _, s := range run.servers {
 		if s.Name == name {
@@ -310,6 +360,7 @@
 	return nil
 }
 
+// broker is the broker of a name; nil: there is none.
 func (run *runner) broker(name string) *brokerProcess {
 	for _, b := range run.brokers {
 		if b.name == name {
@@ -319,14 +370,14 @@
 	return nil
 }
 
-// gossipAddress is where a broker talks to others: an address of its own in this process's part of the loopback range. What is said
-// there passes links, as each reaches the others by addresses of its own.
+// gossipAddress is the address that a broker's gossip listens on: one of its own, in this process's part of 127.0.0.0/8. The others
+// reach it over links.
 func (run *runner) gossipAddress(broker int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:7946", 16+pid%200, pid/200%250, broker+1)
 }
 
-// Fleet is the file's fleet as a plan sees it.
+// Fleet is the file's fleet, as input of package lossplan.
 func (f *File) Fleet() *lossplan.Fleet {
 	p := &lossplan.Fleet{Shards: f.ShardCount, Replicas: f.ReplicaCount, Headroom: f.Headroom}
 	for _, s := range f.Sites {
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/rig/scenario/scenario_test.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/aggregator/server/full"
 )
 
-// The test program is a broker, too: what is played is several processes.
+// TestMain runs a broker if the test program is started as one: scenarios have several processes.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "broker" {
 		var parts []aggregator.Attach
@@ -37,6 +37,7 @@
  "links":{"within":{"delay-ms":0.2},"between":{"delay-ms":1}},
  "line":[%s]}`
 
+// readFile reads the small scenario with a time line.
 func readFile(t *testing.T, line string) *File {
 	t.Helper()
 	f, err := Read([]byte(fmt.Sprintf(smallFile, line)))
@@ -46,6 +47,7 @@
 	return f
 }
 
+// runScenario runs a scenario, requires that no rule is broken, and checks the counts.
 func runScenario(t *testing.T, f *File) *Report {
 	t.Helper()
 	dir := t.TempDir()
@@ -67,12 +69,12 @@
 	return r
 }
 
-// requireServed wants a share of a type answered; what machines do besides is no reason to fail.
-func requireServed(t *testing.T, r *Report, kind int, least float64) {
+// requireServed requires a share of a query type to be answered. It is low enough for a busy machine.
+func requireServed(t *testing.T, r *Report, kind int, minShare float64) {
 	t.Helper()
 	k := r.Types[kind]
-	if share := float64(k.InTime+k.Late) / float64(k.Offered); share < least {
-		t.Errorf("%s: %.2f answered, %.2f wanted", k.Name, share, least)
+	if share := float64(k.InTime+k.Late) / float64(k.Offered); share < minShare {
+		t.Errorf("%s: %.2f answered, %.2f wanted", k.Name, share, minShare)
 	}
 }
 
@@ -133,11 +135,11 @@
 		t.Errorf("%d brokers talk", talking)
 	}
 	if r.GossipBytes == 0 {
-		t.Error("nothing that brokers say passes the links: no cut would cut it")
+		t.Error("no gossip passes the links: no partition would affect it")
 	}
 }
 
-// Survivors are asked for more than they bear: brokers notice by the harm, and refuse the least valued for it.
+// The demand on the survivors exceeds their capacity: brokers detect that by its effects, and shed the least valued queries for it.
 func TestOverloadShedsLeastValuedFirst(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes for seconds")
@@ -147,13 +149,13 @@
 	f.Types[0].RatePerS, f.Types[1].RatePerS, f.Types[2].RatePerS = 60, 5, 260
 	f.Operator = map[string]any{"sites": map[string]any{"borne": true}}
 	r := runScenario(t, f)
-	said := 0
+	reporting := 0
 	for _, b := range r.Logs {
 		if strings.Contains(b, "servers bear 0.") || strings.Contains(b, "shed: borne") {
-			said++
+			reporting++
 		}
 	}
-	if said == 0 {
+	if reporting == 0 {
 		t.Error("no broker noticed")
 	}
 	quick, bulk := r.Types[0], r.Types[2]
@@ -252,7 +254,7 @@
 	}
 }
 
-// A check that finds nothing is none: each expectation is missed by a report that falls short of it.
+// A report that fails every expectation, and one that fails none.
 func TestFailedExpectationsAreReported(t *testing.T) {
 	f := readFile(t, `{"at-s":2,"for-s":2.5,"do":"lose","on":"@south"}`)
 	one, none := 1.0, 0
@@ -285,6 +287,7 @@
  "places":3,"copies":2,"servers":{"slots":2,"work-ms":5},"types":[{"name":"quick","per-s":30,"parts":2,"target-ms":500,"timeout-ms":2000}],
  "owners":{"voters":5,"duties":12,"lease-ms":600,"every-ms":30},"line":[%s]}`
 
+// runLeaseScenario runs a scenario with leases, and requires all roles to be active to the end.
 func runLeaseScenario(t *testing.T, seconds int, line string) *Report {
 	t.Helper()
 	if testing.Short() {
@@ -305,7 +308,7 @@
 	return r
 }
 
-// Owners are stopped with an effect on its way, and both go on when others have taken over.
+// Holders are stopped with an effect in flight, and both resume when others have taken over.
 func TestResumedHoldersAreFenced(t *testing.T) {
 	r := runLeaseScenario(t, 14, `{"at-s":3,"for-s":2,"do":"sleep-owner","every-s":2.5,"until-s":11}`)
 	if r.Leases.Takeovers < 4 || r.Leases.Refused == 0 {
@@ -313,8 +316,8 @@
 	}
 }
 
-// A site is lost and returns, and one instance paces that for all: what it publishes goes from nothing to the full share by steps,
-// also where brokers are killed on the way and another goes on with it, and brokers take it as evidence.
+// A site is lost and returns, and one holder paces its return: the published share rises in steps from zero to the full one, also if
+// brokers are killed meanwhile and another one takes over.
 func TestHolderPacesReturnOfSite(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes for seconds")
@@ -339,17 +342,17 @@
 	if steps < 1 || last < 1 {
 		t.Errorf("%d steps of the return were published, the last is %.2f", steps, last)
 	}
-	heard := 0
+	paced := 0
 	for _, log := range r.Logs {
 		if strings.Contains(log, "returning after returning") {
-			heard++
+			paced++
 		}
 	}
-	t.Log(heard, "brokers were slowed down by the fleet's stage") // what one makes of it is tested in package site
+	t.Log(paced, "brokers were slowed down by the fleet's stage") // what one makes of it is tested in package site
 }
 
-// All voters are killed at once and start one by one; one loses its disk; a site is cut off with an owner and a voter; links
-// come and go twice a lease. Afterwards all goes on.
+// All voters are killed at once and restart one by one; one loses its disk; a site is partitioned with a holder and a voter; links flap
+// twice a lease. Afterwards all roles continue.
 func TestRolesContinueAfterVoterFaults(t *testing.T) {
 	r := runLeaseScenario(t, 24, `{"at-s":3,"for-s":1,"do":"kill","on":"b0"},{"at-s":3,"for-s":1.5,"do":"kill","on":"b1"},{"at-s":3,"for-s":2,"do":"kill","on":"b3"},
 	 {"at-s":3,"for-s":2.2,"do":"kill","on":"b5"},{"at-s":3,"for-s":2.4,"do":"kill","on":"b7"},
--- a/internal/rig/scenario/short.go
+++ b/internal/rig/scenario/short.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	shortLeadS          = 1.5 // s before the first fault
-	shortTimeFactor     = 0.5 // of all times from there on
-	shortSizeFactor     = 0.5 // of the servers and of what is asked of them
-	shortBrokersPerSite = 2   // brokers at each site, at most
+	shortLeadS          = 1.5 // before the first fault
+	shortTimeFactor     = 0.5 // of all times after it
+	shortSizeFactor     = 0.5 // of the servers and the load
+	shortBrokersPerSite = 2   // at the most
 
-	shortAnswerSlackMs = 1000 // ms: other things may run beside it, and when an answer comes is the whole one's to judge
+	shortAnswerSlackMs = 1000 // other processes may run beside it; only the full scenario checks the time of answers
 )
 
+// singleInstance matches the name of one broker or server.
 var singleInstance = regexp.MustCompile(`^[bs][0-9]+$`)
 
-// Short is the same scenario at half the size and in a third of the time: the same parties in the same trouble, one after
-// another and at once as before, for a run that shows that no rule breaks. How well it goes is told by the whole one. A file
-// that names single brokers or servers keeps its size.
+// Short is the same scenario at half the size and in about a third of the time, with the same faults in the same order, for a run that
+// checks the invariants alone: how well it goes only the full one shows. A file that names single brokers or servers keeps its size.
 func (f *File) Short() *File {
 	g := *f
 	g.Name, g.answerSlackMs = f.Name+"-short", shortAnswerSlackMs
@@ -54,7 +54,7 @@
 		servers += int(math.Ceil(shortSizeFactor * float64(s.Servers)))
 		brokers += min(s.Brokers, shortBrokersPerSite)
 	}
-	if servers >= f.ShardCount { // else each place would not have a server
+	if servers >= f.ShardCount { // else a cell would have no server
 		for i := range g.Sites {
 			g.Sites[i].Servers = int(math.Ceil(shortSizeFactor * float64(f.Sites[i].Servers)))
 		}
