--- a/internal/node/routing/admission/refusal.go
+++ b/internal/node/routing/admission/refusal.go
@@ -22,35 +22,37 @@
 )
 
 const (
-	// MinAdvice is the shortest advice, and ShortAdvice the longest where another proxy may do better at once.
-	MinAdvice   = 20 * time.Millisecond
+	// MinAdvice is the shortest advice.
+	MinAdvice = 20 * time.Millisecond
+	// ShortAdvice is the longest advice where another proxy may do better at once.
 	ShortAdvice = 120 * time.Millisecond
-	// For StartingSpan after its start this node may still have to learn of the brokers. Then advice lies between
-	// MinStartingAdvice and MaxStartingAdvice.
-	StartingSpan      = 3 * time.Second
+	// StartingSpan is how long after its start this node may still have to learn of the brokers.
+	StartingSpan = 3 * time.Second
+	// MinStartingAdvice is the shortest advice in that span, where no broker is known.
 	MinStartingAdvice = 600 * time.Millisecond
+	// MaxStartingAdvice is the longest advice in that span, where no broker is known.
 	MaxStartingAdvice = time.Second
 
 	maxAdvice    = 1200 * time.Millisecond
 	adviceFactor = 3 // clients follow advice of up to a third of the time they have left
 )
 
-// Advice is when a refused client should come again (Retry-After): within a third of the time it has left, spread by
-// chance so that those who were refused together don't come together. capacityAt is when a broker may have capacity;
-// core.Never: not known.
+// Advice is when a refused client should come again (Retry-After): within a third of the time it
+// has left, spread by chance so that those who were refused together don't come together.
+// capacityAt is when a broker may have capacity; core.Never: not known.
 func (g *Gate) Advice(now core.Time, req *inflight.Request, reason Reason, capacityAt core.Time) core.Time {
-	most := min(max(req.Deadline-now, 0)/adviceFactor, maxAdvice)
+	longest := min(max(req.Deadline-now, 0)/adviceFactor, maxAdvice)
 	if reason == Unhealthy || reason == Attempts || reason == NoBroker {
-		most = min(most, ShortAdvice)
+		longest = min(longest, ShortAdvice)
 	}
-	least := min(MinAdvice, most)
+	shortest := min(MinAdvice, longest)
 	if reason == NoBroker && now < g.startedAt+StartingSpan {
-		most = min(max(req.Deadline-now, 0)/adviceFactor, MaxStartingAdvice)
-		least = min(MinStartingAdvice, most)
+		longest = min(max(req.Deadline-now, 0)/adviceFactor, MaxStartingAdvice)
+		shortest = min(MinStartingAdvice, longest)
 	}
-	chance := g.random.Float64()
+	draw := g.random.Float64()
 	if capacityAt != core.Never && capacityAt > now {
-		least = max(least, min(capacityAt-now, most/2))
+		shortest = max(shortest, min(capacityAt-now, longest/2))
 	}
-	return least + core.Time(chance*float64(most-least))
+	return shortest + core.Time(draw*float64(longest-shortest))
 }
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 
 	"kestrelspread/internal/node/registry"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 // All proxies send prompts with the same shared parts to the same broker, without exchange.
@@ -50,7 +50,8 @@
 	}
 }
 
-// A broker that has clearly more to read than the rest is passed over, and the prompt's parts are fetched from it.
+// A broker that has clearly more to read than the rest is passed over, and the prompt's parts are
+// fetched from it.
 func TestBusyBrokerIsPassedOver(t *testing.T) {
 	for _, c := range []struct {
 		waiting int // tokens
@@ -60,7 +61,7 @@
 		w.StoreSeen(w.now, storeAddress, false, false)
 		owner := w.begin(w.prompt(flowRoute, 77))
 		w.read(owner)
-		w.PeerSent(w.now, Sent{Instance: owner.Instance.ID, Unread: c.waiting})
+		w.PeerSentPrompt(w.now, SentPrompt{Instance: owner.Instance.ID, PrefillTokens: c.waiting})
 		a := w.begin(w.prompt(flowRoute, 77))
 		assert.Equal(t, a.Instance.ID != owner.Instance.ID, c.passed)
 		assert.Equal(t, a.FetchFrom == owner.Instance.Address, c.passed)
@@ -79,7 +80,7 @@
 	x.observed = append(x.observed, id)
 }
 
-func TestIndexGoesFirst(t *testing.T) {
+func TestIndexDecidesBeforeAffinity(t *testing.T) {
 	index := &fixedIndex{}
 	w := newWorldWith(t, instances(8), index)
 	owner := w.begin(w.prompt(flowRoute, 5))
@@ -114,7 +115,7 @@
 		{"loading", func(_ *world, owner *registry.Instance) { owner.Loading = true }, false},
 		{"another version", func(_ *world, owner *registry.Instance) { withVersion(owner, 2) }, false},
 		{"set aside", func(w *world, owner *registry.Instance) {
-			w.ejector.Eject(w.now, w.brokers[owner.ID], upstream.Failing)
+			w.ejector.Eject(w.now, w.brokers[owner.ID], brokerstate.Failing)
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -123,7 +124,7 @@
 			a := w.begin(w.prompt(flowRoute, 77))
 			w.serve(a, ms)
 			owner := w.brokers[a.Instance.ID].Instance
-			w.PeerSent(w.now, Sent{Instance: owner.ID, Unread: 20000})
+			w.PeerSentPrompt(w.now, SentPrompt{Instance: owner.ID, PrefillTokens: 20000})
 			c.spoil(w, owner)
 			a = w.begin(w.prompt(flowRoute, 77))
 			assert.Assert(t, a.Instance.ID != owner.ID)
--- /dev/null
+++ b/internal/node/routing/retry_test.go
@@ -0,0 +1,41 @@
+package routing
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/config"
+	"kestrelspread/internal/node/routing/admission"
+)
+
+// A broker that takes no connection has had no arrival: the next is the first.
+func TestUnreachableBrokerCostsNoBudget(t *testing.T) {
+	w := newWorld(t, instances(4))
+	w.limits.Ratio, w.limits.Slack = 0, 0
+	a := w.begin(w.request(onceRoute))
+	d := w.Finished(w.now, a.Request, a.Number, outcomeUnreachable, false)
+	assert.Assert(t, d.Attempt != nil)
+	d = w.Finished(w.now, a.Request, d.Attempt.Number, outcomeFull, false)
+	assert.Assert(t, d.Refusal != nil)
+	assert.Equal(t, d.Refusal.Reason, admission.Budget)
+}
+
+// A request keeps what it began with: a configuration that drops its service, or the service's
+// engine, meanwhile neither ends the process nor keeps the request from another attempt.
+func TestRetryOutlivesItsServicesRemoval(t *testing.T) {
+	withoutEngine := configOf(nil)
+	withoutEngine.Services[service] = &config.Service{Name: service}
+	withoutService := configOf(nil)
+	withoutService.Services = map[string]*config.Service{}
+	for name, changed := range map[string]*config.Compiled{"engine": withoutEngine, "service": withoutService} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorld(t, instances(3))
+			first := w.begin(w.prompt(flowRoute, 10))
+			w.SetConfig(w.now, changed)
+			decision := w.Finished(w.now, first.Request, first.Number, outcomeFull, false)
+			assert.Assert(t, decision.Attempt != nil)
+			assert.Assert(t, decision.Attempt.Instance.ID != first.Instance.ID)
+		})
+	}
+}
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -2,15 +2,16 @@
 
 import (
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/placement"
 	"kestrelspread/internal/node/routing/prompt"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
 const (
-	// minNotifyTokens is how many tokens a broker must have to read for an attempt for other proxies to be notified.
+	// minNotifyTokens is how many tokens a broker must have to read for an attempt for other
+	// proxies to be notified.
 	minNotifyTokens = 500
 	priorityPerRank = 3
 	lastPriority    = 9
@@ -28,7 +29,7 @@
 	if req.Arrivals() > 0 {
 		req.service.budget.Spend(now)
 	}
-	call := &upstream.Call{
+	call := &brokerstate.Call{
 		Number:        len(req.Calls),
 		Broker:        b,
 		SentAt:        now,
@@ -54,11 +55,12 @@
 	}
 	req.Calls = append(req.Calls, call)
 	b.CallSent(call)
-	out.CopyAt = r.hedgeAt(now, req)
+	out.HedgeAt = r.hedgeAt(now, req)
 	return Decision{Attempt: out}
 }
 
-// describeModel fills in what a model broker is told: its version, the salt, and where cached parts come from and go.
+// describeModel fills in the headers for a model broker: its version, the salt, and where cached
+// parts come from and go.
 func (r *Router) describeModel(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, out *Attempt) {
 	out.ExpectVersion = chosen.Version
 	out.Salt = cachesalt.Text(req.ServedModel, chosen.Version, req.IsolatedTenant)
@@ -71,7 +73,7 @@
 }
 
 // enqueue puts the prompt of a call at the end of its broker's backlog.
-func (r *Router) enqueue(now core.Time, req *request, call *upstream.Call, out *Attempt, prefillTokens int) {
+func (r *Router) enqueue(now core.Time, req *request, call *brokerstate.Call, out *Attempt, prefillTokens int) {
 	if prefillTokens == 0 {
 		prefillTokens = req.TokensIn
 	}
@@ -80,18 +82,19 @@
 	enqueued := r.recordSent(now, req.Pool, call.Broker, salt, parts, prefillTokens)
 	call.BacklogEnd, call.BacklogAhead = enqueued.End, enqueued.Ahead
 	if prefillTokens >= minNotifyTokens {
-		out.Sent = &Sent{Instance: out.Instance.ID, Salt: salt, Parts: parts, Unread: prefillTokens}
+		out.SentPrompt = &SentPrompt{Instance: out.Instance.ID, Salt: salt, Parts: parts, PrefillTokens: prefillTokens}
 	}
 }
 
 // recordSent takes in that a broker was sent a prompt, by this proxy or another.
-func (r *Router) recordSent(now core.Time, p *upstream.Pool, b *upstream.Broker, salt uint64, parts []prompt.Part, prefillTokens int) upstream.Enqueued {
+func (r *Router) recordSent(now core.Time, p *brokerstate.Pool, b *brokerstate.Broker, salt uint64, parts []prompt.Part, prefillTokens int) brokerstate.Enqueued {
 	enqueued := p.Enqueue(now, b, prefillTokens)
 	r.cache.RecordPrefill(now, enqueued.ReadyAt, b, salt, parts)
 	return enqueued
 }
 
-// countPrompt counts the shared tokens of a prompt by where they were expected to come from when it was sent.
+// countPrompt counts the shared tokens of a prompt by where they were expected to come from when it
+// was sent.
 func (r *Router) countPrompt(req *request, chosen *candidate.Candidate, out *Attempt) {
 	shared := prompt.SharedTokens(req.Parts)
 	cached := min(chosen.Cached, shared)
@@ -100,15 +103,15 @@
 	fetched := max(missing-chosen.Plan.SharedTokens, 0)
 	counts := &r.counters.Prompts
 	counts.Shared += uint64(shared)
-	counts.Held += uint64(cached)
-	counts.Coming += uint64(arriving)
+	counts.Cached += uint64(cached)
+	counts.Arriving += uint64(arriving)
 	if out.FetchFrom != "" && r.cache.IsStore(out.FetchFrom) {
 		counts.FromStore += uint64(fetched)
 	} else {
 		counts.FromBroker += uint64(fetched)
 	}
-	counts.Again += uint64(chosen.Plan.RepeatedTokens)
-	counts.First += uint64(max(missing-fetched-chosen.Plan.RepeatedTokens, 0))
+	counts.Repeated += uint64(chosen.Plan.RepeatedTokens)
+	counts.FirstSeen += uint64(max(missing-fetched-chosen.Plan.RepeatedTokens, 0))
 	if out.FetchFrom != "" && fetched == 0 {
 		counts.BlindFetches++
 	}
--- /dev/null
+++ b/internal/node/routing/words_golden_test.go
@@ -0,0 +1,23 @@
+package routing_test
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"kestrelspread/internal/node/routing"
+)
+
+// TestLateCausesAreCalledAsOperatorsReadThem: the status of a node counts late answers by these words.
+func TestLateCausesAreCalledAsOperatorsReadThem(t *testing.T) {
+	for word, cause := range map[string]routing.LateCause{
+		"earlier attempts":              routing.LateByAttempts,
+		"waited for other prompts":      routing.LateByBacklog,
+		"its prompt was long":           routing.LateByPrefill,
+		"first event unforeseen":        routing.LateUnexpected,
+		"pause: a long prompt was read": routing.LateByLongPrefill,
+		"pause: nothing known":          routing.LateByUnknownGap,
+	} {
+		assert.Equal(t, string(cause), word)
+	}
+}
