--- a/internal/ledger/export/export.go
+++ b/internal/ledger/export/export.go
@@ -1,6 +1,6 @@
 // Package export brings the ledger's entries to a sink, each exactly once, through crashes of either side, lost replies and
-// replies that come twice. It is the protocol alone, pure: what is durable, and when, is in its steps; the model in its test
-// tries every interleaving of them.
+// duplicated ones. It is the protocol alone, pure: what is durable, and when, is in its steps; the model in its test tries
+// every interleaving of them.
 //
 // A batch is a range of entries that is fixed before it is first offered, durably (the intent): asked again after a crash the
 // sink is offered the very same range under the same number, and can tell that it has it. Only what the sink has said it holds,
@@ -28,15 +28,15 @@
 	Batch    uint64 `json:"Batch"`
 }
 
-// StepKind of a step.
+// StepKind is what a step does.
 type StepKind uint8
 
-// What has to be done next.
+// The kinds of steps.
 const (
-	Idle       StepKind = iota
-	SaveIntent          // make Intent durable, then tell Saved
-	Put                 // offer Intent's entries to the sink, then tell Answer, if an answer comes
-	SaveCursor          // make Cursor durable and the intent gone, in one write, then tell Saved
+	Idle       StepKind = iota // all durable entries have left
+	SaveIntent                 // make Intent durable, then call HandleSaved
+	Put                        // offer Intent's entries to the sink, then call HandleAnswer, if an answer comes
+	SaveCursor                 // make Cursor durable and the intent gone, in one write, then call HandleSaved
 )
 
 // Step is what is to be done next.
@@ -50,29 +50,30 @@
 type Machine struct {
 	cursor          Cursor
 	intent          *Intent
-	intentDurable   bool // the intent is
-	delivered       bool // the sink has said so
+	intentDurable   bool
+	delivered       bool // the sink has answered that it holds the intent's batch
 	RejectedAnswers int64
 }
 
-// New goes on from what is durable.
-func New(c Cursor, i *Intent) *Machine {
-	return &Machine{cursor: c, intent: i, intentDurable: i != nil}
+// New continues from what is durable.
+func New(cursor Cursor, intent *Intent) *Machine {
+	return &Machine{cursor: cursor, intent: intent, intentDurable: intent != nil}
 }
 
-// Cursor is the one that is durable.
+// Cursor returns the durable cursor.
 func (m *Machine) Cursor() Cursor { return m.cursor }
 
-// Next says what to do. last is the latest durable entry; most bounds a batch; hash gives that of a range. Asked again it says
-// the same until something was told: a put whose answer was lost is done again.
-func (m *Machine) Next(last uint64, most int, hash func(from, to uint64) uint64) Step {
-	switch {
-	case m.intent == nil && last <= m.cursor.Sequence:
-		return Step{}
-	case m.intent == nil:
+// Next returns what to do. last is the latest durable entry; maxEntries bounds a batch; hash returns that of a range. Asked
+// again it returns the same step until it was handled: a put whose answer was lost is done again.
+func (m *Machine) Next(last uint64, maxEntries int, hash func(from, to uint64) uint64) Step {
+	if m.intent == nil {
+		if last <= m.cursor.Sequence {
+			return Step{Kind: Idle}
+		}
 		from := m.cursor.Sequence + 1
-		to := min(last, m.cursor.Sequence+uint64(max(most, 1)))
-		m.intent, m.intentDurable = &Intent{m.cursor.Batch + 1, from, to, hash(from, to)}, mutantEarlyPut
+		to := min(last, m.cursor.Sequence+uint64(max(maxEntries, 1)))
+		m.intent = &Intent{Batch: m.cursor.Batch + 1, From: from, To: to, Hash: hash(from, to)}
+		m.intentDurable = mutantEarlyPut
 	}
 	switch {
 	case !m.intentDurable:
@@ -80,22 +81,27 @@
 	case !m.delivered && !mutantEarlyCursor:
 		return Step{Kind: Put, Intent: *m.intent}
 	}
-	return Step{Kind: SaveCursor, Intent: *m.intent, Cursor: Cursor{m.intent.To, m.intent.Batch}}
+	return Step{Kind: SaveCursor, Intent: *m.intent, Cursor: Cursor{Sequence: m.intent.To, Batch: m.intent.Batch}}
 }
 
-// HandleSaved tells that what Next asked for is durable.
+// HandleSaved takes that a step's write is durable. A step of another intent changes nothing.
 func (m *Machine) HandleSaved(s Step) {
-	switch {
-	case m.intent == nil || s.Intent != *m.intent:
-	case s.Kind == SaveIntent:
+	if m.intent == nil || s.Intent != *m.intent {
+		return
+	}
+	switch s.Kind {
+	case SaveIntent:
 		m.intentDurable = true
-	case s.Kind == SaveCursor:
-		m.cursor, m.intent, m.intentDurable, m.delivered = s.Cursor, nil, false, false
+	case SaveCursor:
+		m.cursor = s.Cursor
+		m.intent = nil
+		m.intentDurable = false
+		m.delivered = false
 	}
 }
 
-// HandleAnswer is what a sink says: that it holds a batch with a hash. One about another batch, an older one say, proves nothing of
-// this one. One about this batch with another hash is an error: the sink has something else under its number.
+// HandleAnswer takes a sink's answer: that it holds a batch with a hash. One about another batch, an older one say, proves
+// nothing of this one. One about this batch with another hash is an error: the sink has something else under its number.
 func (m *Machine) HandleAnswer(batch, hash uint64) error {
 	if m.intent == nil || !m.intentDurable || batch != m.intent.Batch {
 		m.RejectedAnswers++
--- a/internal/ledger/export/export_test.go
+++ b/internal/ledger/export/export_test.go
@@ -7,138 +7,149 @@
 	"testing"
 )
 
-// world is one state of exporter, disk, network and sink, all of it values: a copy is a state of its own.
-type world struct {
-	cursor  Cursor // durable
-	intent  Intent // durable; Batch 0: none
-	entries uint64
-	m       Machine // of the process that runs
-	mine    Intent  // what m.intent points to
-	puts    [2]Intent
-	answers [2]Intent // Batch 0: none
-	sink    [4]Intent // by batch, the first is 1
-	crashes int
-	doubles int
-	lies    int
+// modelState is one state of exporter, disk, network and sink, all of it values: a copy is a state of its own.
+type modelState struct {
+	cursor        Cursor // durable
+	intent        Intent // durable; Batch 0: none
+	entries       uint64
+	running       Machine // of the process that runs
+	runningIntent Intent  // what running.intent points to
+	puts          [2]Intent
+	answers       [2]Intent // Batch 0: none
+	sink          [4]Intent // by batch, the first is 1
+	crashes       int
+	duplicates    int
+	staleAnswers  int
 }
 
 const (
-	mostEntries = 4
-	mostCrashes = 2
-	mostDoubles = 1
-	mostLies    = 1
+	maxEntriesInModel = 4
+	maxCrashes        = 2
+	maxDuplicates     = 1
+	maxStaleAnswers   = 1
 )
 
-func hash(from, to uint64) uint64 { return from*100 + to }
+func rangeHash(from, to uint64) uint64 { return from*100 + to }
 
-// machine gives the running machine with pointers of its own.
-func (w *world) machine() *Machine {
-	m := w.m
+// machine returns the running machine with pointers of its own.
+func (w *modelState) machine() *Machine {
+	m := w.running
 	if m.intent != nil {
-		i := w.mine
+		i := w.runningIntent
 		m.intent = &i
 	}
 	return &m
 }
 
-func (w world) with(m *Machine) world {
-	w.m = *m
+func (w modelState) withMachine(m *Machine) modelState {
+	w.running = *m
 	if m.intent != nil {
-		w.mine = *m.intent
-		w.m.intent = &Intent{} // that there is one; its value is in mine
+		w.runningIntent = *m.intent
+		w.running.intent = &Intent{} // that there is one; its value is in runningIntent
 	}
 	return w
 }
 
-func (w world) key() string {
-	has := w.m.intent != nil
-	w.m.intent = nil
-	w.m.RejectedAnswers = 0
+func (w modelState) key() string {
+	has := w.running.intent != nil
+	w.running.intent = nil
+	w.running.RejectedAnswers = 0
 	return fmt.Sprint(w, has)
 }
 
-// next gives every state that one thing leads to.
-func (w world) next() (list []world) {
-	if w.entries < mostEntries { // the broker goes on serving
+// successors returns every state that one event leads to.
+func (w modelState) successors() (list []modelState) {
+	if w.entries < maxEntriesInModel { // the broker goes on serving
 		n := w
 		n.entries++
 		list = append(list, n)
 	}
-	for _, most := range []int{1, 3} { // what a batch takes may change between steps, as the operator changes it
-		m := w.machine()
-		s := m.Next(w.entries, most, hash)
-		n := w.with(m)
-		switch s.Kind {
-		case SaveIntent: // written, and told
-			n.intent = s.Intent
-			list = append(list, n.crash()...) // killed between the write and its being told
-			m.HandleSaved(s)
-			list = append(list, n.with(m))
-		case Put:
-			for i, p := range n.puts {
-				if p.Batch == 0 {
-					n.puts[i] = s.Intent
-					list = append(list, n)
-					break
-				}
-			}
-		case SaveCursor:
-			n.cursor, n.intent = s.Cursor, Intent{}
-			list = append(list, n.crash()...)
-			m.HandleSaved(s)
-			list = append(list, n.with(m))
-		}
+	for _, maxEntries := range []int{1, 3} { // the bound of a batch may change between steps, as the operator changes it
+		list = append(list, w.afterStep(maxEntries)...)
 	}
-	for i, p := range w.puts {
-		if p.Batch == 0 {
-			continue
-		}
-		n := w // lost on its way
-		n.puts[i] = Intent{}
-		list = append(list, n)
-		n = w // it arrives: the sink keeps what it has under a number, and says what that is
-		n.puts[i] = Intent{}
-		if n.sink[p.Batch-1].Batch == 0 {
-			n.sink[p.Batch-1] = p
-		}
-		list = append(list, n) // and its reply is lost
-		for j, a := range n.answers {
-			if a.Batch == 0 {
-				n.answers[j] = n.sink[p.Batch-1]
-				list = append(list, n)
-				if w.doubles < mostDoubles { // the network keeps the put, which comes again later
-					d := n
-					d.puts[i], d.doubles = p, d.doubles+1
-					list = append(list, d)
-				}
-				break
-			}
+	for i, put := range w.puts {
+		if put.Batch > 0 {
+			list = append(list, w.afterPut(i)...)
 		}
 	}
-	for i, a := range w.answers {
-		if a.Batch == 0 {
-			continue
+	for i, answer := range w.answers {
+		if answer.Batch > 0 {
+			list = append(list, w.afterAnswer(i)...)
 		}
-		n := w
-		n.answers[i] = Intent{}
-		list = append(list, n)
-		m := n.machine()
-		m.HandleAnswer(a.Batch, a.Hash)
-		list = append(list, n.with(m))
 	}
-	if w.lies < mostLies && w.cursor.Batch > 0 { // a receiver that says 200 about an older batch
+	if w.staleAnswers < maxStaleAnswers && w.cursor.Batch > 0 { // a receiver that says 200 about an older batch
 		m := w.machine()
 		m.HandleAnswer(w.cursor.Batch, w.sink[w.cursor.Batch-1].Hash)
-		n := w.with(m)
-		n.lies++
+		n := w.withMachine(m)
+		n.staleAnswers++
 		list = append(list, n)
 	}
 	return append(list, w.crash()...)
 }
 
+// afterStep does the machine's next step; a write may be followed by a crash before it is handled.
+func (w modelState) afterStep(maxEntries int) (list []modelState) {
+	m := w.machine()
+	step := m.Next(w.entries, maxEntries, rangeHash)
+	n := w.withMachine(m)
+	switch step.Kind {
+	case SaveIntent:
+		n.intent = step.Intent
+	case SaveCursor:
+		n.cursor, n.intent = step.Cursor, Intent{}
+	case Put:
+		for i, put := range n.puts {
+			if put.Batch == 0 {
+				n.puts[i] = step.Intent
+				return []modelState{n}
+			}
+		}
+		return nil
+	default:
+		return nil
+	}
+	list = n.crash()
+	m.HandleSaved(step)
+	return append(list, n.withMachine(m))
+}
+
+// afterPut: a put is lost on its way, or arrives, and then its answer is lost or on its way.
+func (w modelState) afterPut(i int) (list []modelState) {
+	put := w.puts[i]
+	w.puts[i] = Intent{}
+	list = append(list, w)
+	if w.sink[put.Batch-1].Batch == 0 { // the sink keeps what it has under a number, and says what that is
+		w.sink[put.Batch-1] = put
+	}
+	list = append(list, w)
+	for j, answer := range w.answers {
+		if answer.Batch > 0 {
+			continue
+		}
+		w.answers[j] = w.sink[put.Batch-1]
+		list = append(list, w)
+		if w.duplicates < maxDuplicates { // the network keeps the put, which comes again later
+			w.puts[i] = put
+			w.duplicates++
+			list = append(list, w)
+		}
+		break
+	}
+	return list
+}
+
+// afterAnswer: an answer is lost, or arrives.
+func (w modelState) afterAnswer(i int) []modelState {
+	answer := w.answers[i]
+	w.answers[i] = Intent{}
+	m := w.machine()
+	m.HandleAnswer(answer.Batch, answer.Hash)
+	return []modelState{w, w.withMachine(m)}
+}
+
 // crash starts a new process on what is durable. What is on the network stays there.
-func (w world) crash() []world {
-	if w.crashes >= mostCrashes {
+func (w modelState) crash() []modelState {
+	if w.crashes >= maxCrashes {
 		return nil
 	}
 	w.crashes++
@@ -147,11 +158,11 @@
 		at := w.intent
 		i = &at
 	}
-	return []world{w.with(New(w.cursor, i))}
+	return []modelState{w.withMachine(New(w.cursor, i))}
 }
 
-// wrong tells what must never be.
-func (w *world) wrong() string {
+// violation returns what must never hold, or "".
+func (w *modelState) violation() string {
 	next := uint64(1)
 	for _, b := range w.sink {
 		if b.Batch == 0 {
@@ -168,14 +179,14 @@
 	return ""
 }
 
-// settled plays a state on with a network that loses nothing; all entries must arrive.
-func (w world) settled() bool {
+// converges plays a state on with a network that loses nothing; all entries must arrive.
+func (w modelState) converges() bool {
 	m := w.machine()
 	for range 40 {
-		s := m.Next(w.entries, 3, hash)
+		s := m.Next(w.entries, 3, rangeHash)
 		switch s.Kind {
 		case Idle:
-			return m.Cursor().Sequence == w.entries && w.wrong() == ""
+			return m.Cursor().Sequence == w.entries && w.violation() == ""
 		case Put:
 			if int(s.Intent.Batch) > len(w.sink) {
 				return true // the model's sink is full
@@ -195,20 +206,20 @@
 }
 
 func TestEveryInterleaving(t *testing.T) {
-	first := world{m: *New(Cursor{}, nil)}
+	first := modelState{running: *New(Cursor{}, nil)}
 	seen := map[string]bool{first.key(): true}
-	queue := []world{first}
+	queue := []modelState{first}
 	for len(queue) > 0 {
 		w := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
-		if why := w.wrong(); why != "" {
+		if why := w.violation(); why != "" {
 			t.Fatalf("%s\n%+v", why, w)
 		}
-		if !w.settled() {
+		if !w.converges() {
 			t.Fatalf("entries do not arrive from here\n%+v", w)
 		}
-		for _, n := range w.next() {
-			if n.m.intent != nil && n.mine.Batch > uint64(len(n.sink)) {
+		for _, n := range w.successors() {
+			if n.running.intent != nil && n.runningIntent.Batch > uint64(len(n.sink)) {
 				continue
 			}
 			if k := n.key(); !seen[k] {
@@ -223,7 +234,7 @@
 	}
 }
 
-func TestPlantedDefectsAreFound(t *testing.T) {
+func TestMutantsAreFound(t *testing.T) {
 	if testing.Short() || mutantEarlyPut || mutantEarlyCursor {
 		t.Skip("builds the package twice")
 	}
--- a/internal/ledger/store/records_golden_test.go
+++ b/internal/ledger/store/records_golden_test.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	goldenEntries = "golden/entries.txt"
-	goldenCheckpoint    = "golden/book.json"
-	goldenStore  = "golden/store.tar.gz"
-	goldenHour    = int64(3600e3)
+	goldenEntries    = "golden/entries.txt"
+	goldenCheckpoint = "golden/book.json"
+	goldenStore      = "golden/store.tar.gz"
+	goldenHour       = int64(3600e3)
 )
 
 // goldenV1 is an entry in the first form, as older programs wrote it.
