--- a/internal/rig/scenario/clients.go
+++ b/internal/rig/scenario/clients.go
@@ -20,27 +20,27 @@
 	"kestrelspread/internal/standin/sockets"
 )
 
-// front is where a site's clients come in: it asks every broker whether it is ready, deals searches to those of its own
+// frontEnd is where a site's clients come in: it asks every broker whether it is ready, deals searches to those of its own
 // site, and to the others' while none of its own answers. Clients lie outside of the sites: what is lost with a site is
 // its machines.
-type front struct {
-	w      *world
-	site   int
-	links  []*links.Link
-	client *http.Client
-	ready  []atomic.Bool
-	serial atomic.Int64
-	rng    *rand.Rand
-	lock   sync.Mutex
-	stop   context.CancelFunc
+type frontEnd struct {
+	run         *runner
+	site        int
+	links       []*links.Link
+	client      *http.Client
+	ready       []atomic.Bool
+	lastQueryID atomic.Int64
+	random      *rand.Rand
+	mutex       sync.Mutex
+	stop        context.CancelFunc
 }
 
-func (w *world) newFront(site int) (*front, error) {
-	f := &front{w: w, site: site, rng: rand.New(rand.NewPCG(w.Seed, uint64(100+site))), ready: make([]atomic.Bool, len(w.brokers)),
+func (run *runner) newFront(site int) (*frontEnd, error) {
+	f := &frontEnd{run: run, site: site, random: rand.New(rand.NewPCG(run.Seed, uint64(100+site))), ready: make([]atomic.Bool, len(run.brokers)),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 5 * time.Second,
 			DialContext: (&net.Dialer{Timeout: 250 * time.Millisecond}).DialContext}}}
-	for _, b := range w.brokers {
-		l, err := w.net.Add(links.Party{Name: "clients-" + w.Sites[site].Name, Site: "outside"}, links.Party{Name: b.name, Site: w.Sites[b.site].Name}, b.listen)
+	for _, b := range run.brokers {
+		l, err := run.network.Add(links.Endpoint{Name: "clients-" + run.Sites[site].Name, Site: "outside"}, links.Endpoint{Name: b.name, Site: run.Sites[b.site].Name}, b.listen)
 		if err != nil {
 			return nil, err
 		}
@@ -48,17 +48,17 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
-	for at := range w.brokers {
-		f.check(at)
+	for at := range run.brokers {
+		f.checkReadiness(at)
 		go func() {
-			tick := time.NewTicker(time.Duration(w.Clients.Check * 1e6))
+			tick := time.NewTicker(time.Duration(run.Clients.CheckIntervalMs * 1e6))
 			defer tick.Stop()
 			for {
 				select {
 				case <-ctx.Done():
 					return
 				case <-tick.C:
-					f.check(at)
+					f.checkReadiness(at)
 				}
 			}
 		}()
@@ -66,16 +66,16 @@
 	return f, nil
 }
 
-func (f *front) close() {
+func (f *frontEnd) close() {
 	f.stop()
 	f.client.CloseIdleConnections()
 }
 
-// check asks a broker once; no answer within the beat is a no.
-func (f *front) check(at int) {
-	ctx, end := context.WithTimeout(context.Background(), time.Duration(max(f.w.Clients.Check, 100)*1e6))
+// checkReadiness asks a broker once; no answer within the beat is a no.
+func (f *frontEnd) checkReadiness(at int) {
+	ctx, end := context.WithTimeout(context.Background(), time.Duration(max(f.run.Clients.CheckIntervalMs, 100)*1e6))
 	defer end()
-	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+f.links[at].Addr()+"/ready", nil)
+	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+f.links[at].Address()+"/ready", nil)
 	resp, err := f.client.Do(req)
 	if err == nil {
 		io.Copy(io.Discard, resp.Body)
@@ -84,8 +84,8 @@
 	f.ready[at].Store(err == nil && resp.StatusCode == 200)
 }
 
-// pick gives a broker that is ready, the own site's first; not one of those that were tried.
-func (f *front) pick(tried []int) int {
+// pickBroker gives a broker that is ready, the own site's first; not one of those that were tried.
+func (f *frontEnd) pickBroker(tried []int) int {
 	var own, all []int
 	for at := range f.ready {
 		used := false
@@ -95,7 +95,7 @@
 		if used || !f.ready[at].Load() {
 			continue
 		}
-		if all = append(all, at); f.w.brokers[at].site == f.site {
+		if all = append(all, at); f.run.brokers[at].site == f.site {
 			own = append(own, at)
 		}
 	}
@@ -105,34 +105,34 @@
 	if len(own) == 0 {
 		return -1
 	}
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return own[f.rng.IntN(len(own))]
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return own[f.random.IntN(len(own))]
 }
 
-// load has the site's clients come until the context ends.
-func (f *front) load(ctx context.Context) {
+// generateLoad has the site's clients come until the context ends.
+func (f *frontEnd) generateLoad(ctx context.Context) {
 	sum := 0.0
-	for _, s := range f.w.Sites {
+	for _, s := range f.run.Sites {
 		sum += *s.Load
 	}
-	share := *f.w.Sites[f.site].Load / sum
+	share := *f.run.Sites[f.site].Load / sum
 	if share == 0 {
 		return
 	}
-	for kind, t := range f.w.Types {
-		f.w.asked.Add(1)
+	for kind, t := range f.run.Types {
+		f.run.tasks.Add(1)
 		go func() {
-			defer f.w.asked.Done()
+			defer f.run.tasks.Done()
 			due := time.Now()
 			for {
-				f.w.lock.Lock()
-				times := f.w.times
-				f.w.lock.Unlock()
-				f.lock.Lock()
-				due = due.Add(time.Duration(f.rng.ExpFloat64() / (t.PerS * share * times) * 1e9))
-				from := f.rng.IntN(f.w.Places)
-				f.lock.Unlock()
+				f.run.mutex.Lock()
+				times := f.run.loadFactor
+				f.run.mutex.Unlock()
+				f.mutex.Lock()
+				due = due.Add(time.Duration(f.random.ExpFloat64() / (t.RatePerS * share * times) * 1e9))
+				from := f.random.IntN(f.run.ShardCount)
+				f.mutex.Unlock()
 				if wait := time.Until(due); wait > 0 {
 					timer := time.NewTimer(wait)
 					select {
@@ -144,70 +144,70 @@
 				} else if ctx.Err() != nil {
 					return
 				}
-				f.w.asked.Add(1)
+				f.run.tasks.Add(1)
 				go func() {
-					defer f.w.asked.Done()
-					f.ask(kind, from)
+					defer f.run.tasks.Done()
+					f.sendQuery(kind, from)
 				}()
 			}
 		}()
 	}
 }
 
-// how one try ended.
-type how uint8
+// attemptOutcome one try ended.
+type attemptOutcome uint8
 
 const (
-	answered how = iota
-	inPart
+	answered attemptOutcome = iota
+	incomplete
 	shed
-	errored
-	nobody // no broker took it
+	failed
+	noBroker // no broker took it
 )
 
-// ask is one client: it asks, and where it is shed it asks again as it was told or sooner, within its own time.
-func (f *front) ask(kind, from int) {
-	w, t := f.w, f.w.Types[kind]
-	begin := w.now()
-	w.lock.Lock()
-	w.counts.offered(kind, begin)
-	w.lock.Unlock()
-	until := begin + t.Timeout
+// sendQuery is one client: it asks, and where it is shed it asks again as it was told or sooner, within its own time.
+func (f *frontEnd) sendQuery(kind, from int) {
+	run, t := f.run, f.run.Types[kind]
+	begin := run.now()
+	run.mutex.Lock()
+	run.counts.offered(kind, begin)
+	run.mutex.Unlock()
+	until := begin + t.TimeoutMs
 	last := shed
-	for try := 0; try <= *w.Clients.Retries; try++ {
-		end, back := f.once(kind, from, until, try > 0)
-		if last = end; end != shed && end != nobody {
+	for try := 0; try <= *run.Clients.Retries; try++ {
+		end, back := f.attempt(kind, from, until, try > 0)
+		if last = end; end != shed && end != noBroker {
 			break
 		}
-		f.lock.Lock()
-		wait := 100 + 200*f.rng.Float64()
-		if back > 0 && f.rng.Float64() < *w.Clients.Honour {
+		f.mutex.Lock()
+		wait := 100 + 200*f.random.Float64()
+		if back > 0 && f.random.Float64() < *run.Clients.HonoursRetryAfter {
 			wait = back
 		}
-		f.lock.Unlock()
-		if w.now()+wait+20 > until {
+		f.mutex.Unlock()
+		if run.now()+wait+20 > until {
 			break
 		}
 		time.Sleep(time.Duration(wait * 1e6))
 	}
-	now := w.now()
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.counts.ended(kind, begin, now-begin, last)
+	now := run.now()
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	run.counts.ended(kind, begin, now-begin, last)
 }
 
-// once asks a broker, another where no connection comes up, and gives what came of it and when to come back, in ms.
-func (f *front) once(kind, from int, until float64, again bool) (how, float64) {
-	w, t := f.w, f.w.Types[kind]
-	id := fmt.Sprintf("%s%d", w.Sites[f.site].Name[:1], int64(f.site)*1_000_000_000+f.serial.Add(1))
+// attempt asks a broker, another where no connection comes up, and gives what came of it and when to come back, in ms.
+func (f *frontEnd) attempt(kind, from int, until float64, again bool) (attemptOutcome, float64) {
+	run, t := f.run, f.run.Types[kind]
+	id := fmt.Sprintf("%s%d", run.Sites[f.site].Name[:1], int64(f.site)*1_000_000_000+f.lastQueryID.Add(1))
 	var body, want strings.Builder
 	fmt.Fprintf(&body, `{"segments":[`)
-	for n := range t.Parts {
+	for n := range t.ShardsPerQuery {
 		if n > 0 {
 			body.WriteByte(',')
 		}
-		shard := (from + n) % w.Places
-		fmt.Fprintf(&body, `{"segment":%d,"boost":%.9f}`, shard, 1/float64(t.Parts))
+		shard := (from + n) % run.ShardCount
+		fmt.Fprintf(&body, `{"segment":%d,"boost":%.9f}`, shard, 1/float64(t.ShardsPerQuery))
 		fmt.Fprintf(&want, "%d=%s ", shard, sockets.Value(shard, id))
 	}
 	fmt.Fprintf(&body, `],"text":%q}`, id)
@@ -218,17 +218,17 @@
 	asked := false
 	var tried []int
 	for len(tried) < 3 {
-		at := f.pick(tried)
+		at := f.pickBroker(tried)
 		if at < 0 {
 			break
 		}
 		tried = append(tried, at)
-		left := until - w.now()
+		left := until - run.now()
 		if left < 20 {
 			break
 		}
 		ctx, end := context.WithTimeout(context.Background(), time.Duration((left+300)*1e6))
-		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.links[at].Addr()+"/api", strings.NewReader(body.String()))
+		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.links[at].Address()+"/api", strings.NewReader(body.String()))
 		req.Header.Set("X-Call-Id", id)
 		req.Header.Set("X-Call-Class", t.Name)
 		req.Header.Set("X-Budget-Ms", strconv.Itoa(int(left)))
@@ -237,9 +237,9 @@
 		}
 		if !asked {
 			asked = true
-			w.lock.Lock()
-			w.book.Asked(id, effect, w.now(), until)
-			w.lock.Unlock()
+			run.mutex.Lock()
+			run.invariants.Asked(id, effect, run.now(), until)
+			run.mutex.Unlock()
 		}
 		sent := time.Now()
 		resp, err := f.client.Do(req)
@@ -251,43 +251,43 @@
 				continue // it never was sent
 			}
 			// The connection broke, or nothing came in time: the broker may be gone, and nothing more is asked of it.
-			w.lock.Lock()
-			w.book.Left(id)
-			w.lock.Unlock()
-			return errored, 0
+			run.mutex.Lock()
+			run.invariants.Left(id)
+			run.mutex.Unlock()
+			return failed, 0
 		}
 		text, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		end()
 		if err != nil {
-			w.lock.Lock()
-			w.book.Left(id)
-			w.lock.Unlock()
-			return errored, 0
+			run.mutex.Lock()
+			run.invariants.Left(id)
+			run.mutex.Unlock()
+			return failed, 0
 		}
 		// What a stopped process or a cut on the way to its client kept past its time is no broker's late word: it could not
 		// say it sooner, or has. The client has left by then.
-		if w.now() > until && (w.brokers[at].stood(sent) || f.links[at].Held(sent)) {
-			w.lock.Lock()
-			w.book.Left(id)
-			w.lock.Unlock()
-			return errored, 0
+		if run.now() > until && (run.brokers[at].wasStoppedSince(sent) || f.links[at].PartitionedSince(sent)) {
+			run.mutex.Lock()
+			run.invariants.Left(id)
+			run.mutex.Unlock()
+			return failed, 0
 		}
-		return f.final(id, kind, resp, text, want.String())
+		return f.recordAnswer(id, kind, resp, text, want.String())
 	}
 	if asked {
-		w.lock.Lock()
-		w.book.Left(id)
-		w.lock.Unlock()
+		run.mutex.Lock()
+		run.invariants.Left(id)
+		run.mutex.Unlock()
 	}
-	return nobody, 0
+	return noBroker, 0
 }
 
-// final puts a final answer into the book of the rules.
-func (f *front) final(id string, kind int, resp *http.Response, text []byte, want string) (how, float64) {
-	w := f.w
-	w.lock.Lock()
-	defer w.lock.Unlock()
+// recordAnswer puts a final answer into the book of the rules.
+func (f *frontEnd) recordAnswer(id string, kind int, resp *http.Response, text []byte, want string) (attemptOutcome, float64) {
+	run := f.run
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
 	switch resp.StatusCode {
 	case 200:
 		var a struct {
@@ -302,27 +302,27 @@
 		for _, m := range a.Matches {
 			part := fmt.Sprintf("%d=%s ", m.Segment, m.Payload)
 			if !strings.Contains(want, part) {
-				w.book.Wrong("rule 1: %s has a value that no server made: %q", id, part)
+				run.invariants.Wrong("rule 1: %s has a value that no server made: %q", id, part)
 			}
 			got += part
 		}
 		if a.AllIn {
-			w.book.Answered(id, []byte(want))
+			run.invariants.Answered(id, []byte(want))
 		}
-		if share := float64(len(a.Matches)) / float64(w.Types[kind].Parts); share < *w.Types[kind].Floor-1e-9 {
-			w.book.Wrong("rule 5: %s is answered with %.2f of it, under the floor", id, share)
+		if share := float64(len(a.Matches)) / float64(run.Types[kind].ShardsPerQuery); share < *run.Types[kind].MinCompleteness-1e-9 {
+			run.invariants.Wrong("rule 5: %s is answered with %.2f of it, under the floor", id, share)
 		}
-		w.book.Final(id, w.now(), a.AllIn, []byte(got), false)
+		run.invariants.Final(id, run.now(), a.AllIn, []byte(got), false)
 		if a.AllIn {
 			return answered, 0
 		}
-		return inPart, 0
+		return incomplete, 0
 	case 503, 429:
-		w.book.Final(id, w.now(), false, nil, true)
+		run.invariants.Final(id, run.now(), false, nil, true)
 		back, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		return shed, back * 1000
 	default:
-		w.book.Final(id, w.now(), false, nil, false)
-		return errored, 0
+		run.invariants.Final(id, run.now(), false, nil, false)
+		return failed, 0
 	}
 }
--- a/internal/rig/scenario/process.go
+++ b/internal/rig/scenario/process.go
@@ -14,49 +14,49 @@
 	"time"
 )
 
-// process is a broker.
-type process struct {
-	w      *world
-	name   string
-	site   int
-	at     int
-	dir    string
-	agent  *agent
-	cmd    *exec.Cmd
-	listen string
-	log    *os.File
-	lock   sync.Mutex
-	up     bool
-	woke   time.Time         // when it last went on after it was stopped
-	via    map[string]string // where it finds each of the others to talk to
-	owner  map[string]any    // its part of the fleet's work
+// brokerProcess is a broker.
+type brokerProcess struct {
+	run         *runner
+	name        string
+	site        int
+	index       int
+	dir         string
+	agent       *agent
+	command     *exec.Cmd
+	listen      string
+	log         *os.File
+	mutex       sync.Mutex
+	running     bool
+	resumedAt   time.Time         // when it last went on after it was stopped
+	gossipLinks map[string]string // where it finds each of the others to talk to
+	leaseConfig map[string]any    // its part of the fleet's work
 }
 
-func (b *process) config() []byte {
-	w := b.w
+func (b *brokerProcess) config() []byte {
+	run := b.run
 	type m = map[string]any
 	var classes []m
 	var need, floor, worth []float64
 	longest := 0.0
-	for _, t := range w.Types {
+	for _, t := range run.Types {
 		effect := "repeatable"
 		if t.Effect != "idempotent" {
 			effect = "once"
 		}
-		classes = append(classes, m{"name": t.Name, "aim-ms": t.Target, "deadline-ms": t.Timeout, "effect": effect, "importance": t.Value, "late-value": *t.Late})
-		need, floor, worth = append(need, 1), append(floor, *t.Floor), append(worth, *t.Floor)
-		longest = max(longest, t.Timeout)
+		classes = append(classes, m{"name": t.Name, "aim-ms": t.TargetMs, "deadline-ms": t.TimeoutMs, "effect": effect, "importance": t.Value, "late-value": *t.LateValue})
+		need, floor, worth = append(need, 1), append(floor, *t.MinCompleteness), append(worth, *t.MinCompleteness)
+		longest = max(longest, t.TimeoutMs)
 	}
 	var sites []string
-	for _, s := range w.Sites {
+	for _, s := range run.Sites {
 		sites = append(sites, s.Name)
 	}
 	safety := m{"drain-grace-ms": 500, "answer-slack-ms": 20}
-	if k := w.Kind(); k.ColdFor > 0 {
+	if k := run.ServerModel(); k.ColdFor > 0 {
 		safety["cold-from"], safety["cold-ms"], safety["tip-multiple"], safety["tip-after-ms"] = k.ColdFrom, k.ColdFor, k.Multiple, k.Over
 	}
-	settings := m{"balancers": len(w.brokers), "zone": b.site, "localities": sites, "classes": classes, "discovery": "push",
-		"family-info": m{"places": w.Places, "span": w.Copies, "batch": 4, "slabs": w.Places, "class-need": need, "class-floor": floor, "incomplete-worth": worth},
+	settings := m{"balancers": len(run.brokers), "zone": b.site, "localities": sites, "classes": classes, "discovery": "push",
+		"family-info": m{"places": run.ShardCount, "span": run.ReplicaCount, "batch": 4, "slabs": run.ShardCount, "class-need": need, "class-floor": floor, "incomplete-worth": worth},
 		"limits": m{"attempts-cap": 4, "cancel": true, "parallel-tries": true, "connect-timeout-ms": 250, "conn-idle-ms": 30000, "streams-per-conn": 100,
 			"most-held": 5000, "may-probe": true, "retry-after": true, "max-retry-after-ms": 1000},
 		"safety": safety, "report": m{"fields": []string{"active"}, "via": "probe"}}
@@ -64,18 +64,18 @@
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
-	text, _ := json.Marshal(m{"name": b.name, "listen": listen, "discovery": b.agent.addr(), "seed": fmt.Sprintf("%016x", w.rng.Uint64()),
-		"limits": m{"cores": 1, "memory_mb": 64, "sockets": 1024}, "known": json.RawMessage(b.agent.known()), "settings": settings})
+	text, _ := json.Marshal(m{"name": b.name, "listen": listen, "discovery": b.agent.addr(), "seed": fmt.Sprintf("%016x", run.random.Uint64()),
+		"limits": m{"cores": 1, "memory_mb": 64, "sockets": 1024}, "known": json.RawMessage(b.agent.knownList()), "settings": settings})
 	return text
 }
 
 // start begins the process and waits until it serves.
-func (b *process) start() error {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.w.lock.Lock()
+func (b *brokerProcess) start() error {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.run.mutex.Lock()
 	text := b.config()
-	b.w.lock.Unlock()
+	b.run.mutex.Unlock()
 	path := filepath.Join(b.dir, b.name+".json")
 	var err error
 	if b.log == nil {
@@ -86,22 +86,22 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	args := b.w.opt.Program[1:]
+	args := b.run.options.Program[1:]
 	operator := map[string]any{}
-	maps.Copy(operator, b.w.Operator)
-	if b.w.Talk {
+	maps.Copy(operator, b.run.Operator)
+	if b.run.Gossip {
 		if operator["sites"] == nil {
 			operator["sites"] = map[string]any{}
 		}
-		operator["talk"] = map[string]any{"listen": b.w.talker(b.at), "join": []string{b.w.talker(0), b.w.talker(len(b.w.brokers) - 1)}, "via": b.via}
+		operator["talk"] = map[string]any{"listen": b.run.gossipAddress(b.index), "join": []string{b.run.gossipAddress(0), b.run.gossipAddress(len(b.run.brokers) - 1)}, "via": b.gossipLinks}
 	}
-	if b.owner != nil {
-		operator["owner"] = b.owner
+	if b.leaseConfig != nil {
+		operator["owner"] = b.leaseConfig
 	}
-	if operator["sites"] != nil && b.w.opt.Policy == "planned" { // the file has the last word
+	if operator["sites"] != nil && b.run.options.Policy == "planned" { // the file has the last word
 		operator["sites"] = map[string]any{"borne": true}
 	}
-	if p := b.w.opt.Policy; len(operator) > 0 && (p == "" || p == "sighted" || p == "planned") { // baselines know none of it
+	if p := b.run.options.Policy; len(operator) > 0 && (p == "" || p == "sighted" || p == "planned") { // baselines know none of it
 		file := filepath.Join(b.dir, b.name+"-operator.json")
 		text, _ := json.Marshal(operator)
 		if err := os.WriteFile(file, text, 0o600); err != nil {
@@ -109,14 +109,14 @@
 		}
 		args = append(args[:len(args):len(args)], "--operator", file)
 	}
-	if b.w.opt.Policy != "" {
-		args = append(args[:len(args):len(args)], "--policy", b.w.opt.Policy)
+	if b.run.options.Policy != "" {
+		args = append(args[:len(args):len(args)], "--policy", b.run.options.Policy)
 	}
-	b.cmd = exec.Command(b.w.opt.Program[0], args...)
-	b.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
-	b.cmd.Stderr = b.log
+	b.command = exec.Command(b.run.options.Program[0], args...)
+	b.command.Env = append(os.Environ(), "RELAY_CONFIG="+path)
+	b.command.Stderr = b.log
 	from, _ := b.log.Seek(0, 2)
-	if err := b.cmd.Start(); err != nil {
+	if err := b.command.Start(); err != nil {
 		return err
 	}
 	for range 1000 {
@@ -124,7 +124,7 @@
 		for line := range strings.Lines(string(text[min(int(from), len(text)):])) {
 			var said struct{ Listen, Message string }
 			if json.Unmarshal([]byte(line), &said) == nil && said.Message == "serving" {
-				b.listen, b.up = said.Listen, true
+				b.listen, b.running = said.Listen, true
 				return nil
 			}
 		}
@@ -133,93 +133,93 @@
 	return fmt.Errorf("%s does not come up: see %s", b.name, b.log.Name())
 }
 
-func (b *process) startAgain() {
-	b.w.asked.Add(1)
+func (b *brokerProcess) restart() {
+	b.run.tasks.Add(1)
 	go func() {
-		defer b.w.asked.Done()
+		defer b.run.tasks.Done()
 		if err := b.start(); err != nil {
-			b.w.opt.Say("%v", err)
+			b.run.options.Printf("%v", err)
 		}
 	}()
 }
 
 // afterMs does something in a while, unless the run is over by then.
-func (w *world) afterMs(ms float64, do func()) {
-	w.asked.Add(1)
+func (run *runner) afterMs(ms float64, do func()) {
+	run.tasks.Add(1)
 	time.AfterFunc(time.Duration(ms*1e6), func() {
-		defer w.asked.Done()
+		defer run.tasks.Done()
 		do()
 	})
 }
 
-// stood tells whether it was stopped at any time since.
-func (b *process) stood(since time.Time) bool {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	return b.woke.After(since)
+// wasStoppedSince tells whether it was stopped at any time since.
+func (b *brokerProcess) wasStoppedSince(since time.Time) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.resumedAt.After(since)
 }
 
-func (b *process) isUp() bool {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	return b.up
+func (b *brokerProcess) isRunning() bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.running
 }
 
-func (b *process) signal(s syscall.Signal) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+func (b *brokerProcess) signal(s syscall.Signal) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	if s == syscall.SIGCONT {
-		b.woke = time.Now()
+		b.resumedAt = time.Now()
 	}
-	if b.up {
-		b.cmd.Process.Signal(s)
+	if b.running {
+		b.command.Process.Signal(s)
 	}
 }
 
-func (b *process) kill() {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	if b.up {
-		b.up = false
-		b.cmd.Process.Kill()
-		b.cmd.Wait()
+func (b *brokerProcess) kill() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.running {
+		b.running = false
+		b.command.Process.Kill()
+		b.command.Wait()
 	}
 }
 
-// end stops it as at the end of a run.
-func (b *process) end() {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	if b.up {
-		b.up = false
-		b.cmd.Process.Signal(syscall.SIGCONT)
-		b.cmd.Process.Kill()
-		b.cmd.Wait()
+// shutDown stops it as at the end of a run.
+func (b *brokerProcess) shutDown() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.running {
+		b.running = false
+		b.command.Process.Signal(syscall.SIGCONT)
+		b.command.Process.Kill()
+		b.command.Wait()
 	}
 	if b.log != nil {
 		b.log.Close()
 	}
 }
 
-func (b *process) hurt(l Fault) (undo func(), err error) {
-	switch l.Do {
+func (b *brokerProcess) injectFault(l Fault) (undo func(), err error) {
+	switch l.Action {
 	case "kill":
 		b.kill()
-		return b.startAgain, nil
+		return b.restart, nil
 	case "stop":
-		b.lock.Lock()
-		defer b.lock.Unlock()
-		if !b.up {
+		b.mutex.Lock()
+		defer b.mutex.Unlock()
+		if !b.running {
 			return nil, errors.New("it is not up")
 		}
-		p := b.cmd.Process
+		p := b.command.Process
 		p.Signal(syscall.SIGSTOP)
 		return func() {
-			b.lock.Lock()
-			defer b.lock.Unlock()
-			b.woke = time.Now()
+			b.mutex.Lock()
+			defer b.mutex.Unlock()
+			b.resumedAt = time.Now()
 			p.Signal(syscall.SIGCONT)
 		}, nil
 	}
-	return nil, fmt.Errorf("%s is nothing for a broker", l.Do)
+	return nil, fmt.Errorf("%s is nothing for a broker", l.Action)
 }
--- a/internal/rig/scenario/short.go
+++ b/internal/rig/scenario/short.go
@@ -6,44 +6,44 @@
 )
 
 const (
-	shortLead = 1.5 // s before the first fault
-	shortPace = 0.5 // of all times from there on
-	shortSize = 0.5 // of the servers and of what is asked of them
-	shortSeat = 2   // brokers at each site, at most
+	shortLeadS          = 1.5 // s before the first fault
+	shortTimeFactor     = 0.5 // of all times from there on
+	shortSizeFactor     = 0.5 // of the servers and of what is asked of them
+	shortBrokersPerSite = 2   // brokers at each site, at most
 
-	shortSlack = 1000 // ms: other things may run beside it, and when an answer comes is the whole one's to judge
+	shortAnswerSlackMs = 1000 // ms: other things may run beside it, and when an answer comes is the whole one's to judge
 )
 
-var oneParty = regexp.MustCompile(`^[bs][0-9]+$`)
+var singleInstance = regexp.MustCompile(`^[bs][0-9]+$`)
 
 // Short is the same scenario at half the size and in a third of the time: the same parties in the same trouble, one after
 // another and at once as before, for a run that shows that no rule breaks. How well it goes is told by the whole one. A file
 // that names single brokers or servers keeps its size.
 func (f *File) Short() *File {
 	g := *f
-	g.Name, g.slack = f.Name+"-short", shortSlack
+	g.Name, g.answerSlackMs = f.Name+"-short", shortAnswerSlackMs
 	named := false
-	for _, l := range f.Line {
-		named = named || oneParty.MatchString(l.On) || oneParty.MatchString(l.From) || oneParty.MatchString(l.To)
+	for _, l := range f.Timeline {
+		named = named || singleInstance.MatchString(l.Target) || singleInstance.MatchString(l.Source) || singleInstance.MatchString(l.Destination)
 	}
-	first := f.First()
+	first := f.FirstFaultS()
 	if math.IsInf(first, 1) {
 		first = f.Seconds
 	}
-	lead := min(first, shortLead)
-	at := func(s float64) float64 { return lead + (s-first)*shortPace }
+	lead := min(first, shortLeadS)
+	at := func(s float64) float64 { return lead + (s-first)*shortTimeFactor }
 	g.Seconds = math.Ceil(min(at(f.Seconds)+lead, f.Seconds))
-	g.Line = append([]Fault(nil), f.Line...)
-	for i := range g.Line {
-		l := &g.Line[i]
-		l.At = at(l.At)
-		if l.Until > 0 {
-			l.Until = at(l.Until)
+	g.Timeline = append([]Fault(nil), f.Timeline...)
+	for i := range g.Timeline {
+		l := &g.Timeline[i]
+		l.AtS = at(l.AtS)
+		if l.UntilS > 0 {
+			l.UntilS = at(l.UntilS)
 		}
-		l.For, l.Every, l.Spread = l.For*shortPace, l.Every*shortPace, l.Spread*shortPace
+		l.DurationS, l.PeriodS, l.SpreadS = l.DurationS*shortTimeFactor, l.PeriodS*shortTimeFactor, l.SpreadS*shortTimeFactor
 	}
-	g.List.Gone, g.List.Back = f.List.Gone*shortPace, f.List.Back*shortPace
-	g.Expect = Expected{Settled: f.Expect.Settled * shortPace}
+	g.Discovery.RemovalMs, g.Discovery.ReturnMs = f.Discovery.RemovalMs*shortTimeFactor, f.Discovery.ReturnMs*shortTimeFactor
+	g.Expect = Expectations{SettleS: f.Expect.SettleS * shortTimeFactor}
 	if named {
 		return &g
 	}
@@ -51,23 +51,23 @@
 	servers, brokers, were, size := 0, 0, 0, 1.0
 	for _, s := range f.Sites {
 		were += s.Servers
-		servers += int(math.Ceil(shortSize * float64(s.Servers)))
-		brokers += min(s.Brokers, shortSeat)
+		servers += int(math.Ceil(shortSizeFactor * float64(s.Servers)))
+		brokers += min(s.Brokers, shortBrokersPerSite)
 	}
-	if servers >= f.Places { // else each place would not have a server
+	if servers >= f.ShardCount { // else each place would not have a server
 		for i := range g.Sites {
-			g.Sites[i].Servers = int(math.Ceil(shortSize * float64(f.Sites[i].Servers)))
+			g.Sites[i].Servers = int(math.Ceil(shortSizeFactor * float64(f.Sites[i].Servers)))
 		}
 		size = float64(servers) / float64(were)
 	}
-	if f.Owners == nil || brokers >= f.Owners.Voters {
+	if f.Leases == nil || brokers >= f.Leases.Voters {
 		for i := range g.Sites {
-			g.Sites[i].Brokers = min(f.Sites[i].Brokers, shortSeat)
+			g.Sites[i].Brokers = min(f.Sites[i].Brokers, shortBrokersPerSite)
 		}
 	}
-	g.Types = append([]Type(nil), f.Types...)
+	g.Types = append([]QueryType(nil), f.Types...)
 	for i := range g.Types {
-		g.Types[i].PerS *= size
+		g.Types[i].RatePerS *= size
 	}
 	return &g
 }
