--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -198,71 +198,120 @@
 	}
 }
 
-func TestClockNeverGoesBack(t *testing.T) {
-	k := &Clock{MaxDriftMs: 2000, JumpConfirmMs: 60e3}
-	wall, steady := int64(1e9), int64(0)
-	last := k.Now(wall, steady)
-	step := func(w, s int64) int64 {
-		wall, steady = wall+w, steady+s
-		now := k.Now(wall, steady)
-		if now < last {
-			t.Fatalf("it went back from %d to %d", last, now)
-		}
-		last = now
-		return now
-	}
-	if step(1000, 1000) != 1e9+1000 || step(1500, 1000) != 1e9+2500 {
-		t.Error("it drifts with the wall clock:", last)
+// clockRun moves a clock on and checks that it never goes back.
+type clockRun struct {
+	*Clock
+	t            *testing.T
+	wall, steady int64
+	last         int64 // the ledger's time
+}
+
+func newClockRun(t *testing.T) *clockRun {
+	r := &clockRun{Clock: &Clock{MaxDriftMs: 2000, JumpConfirmMs: 60e3}, t: t, wall: 1e9}
+	r.last = r.Now(r.wall, r.steady)
+	return r
+}
+
+// step lets some ms pass by the wall clock and by the steady one.
+func (r *clockRun) step(wall, steady int64) int64 {
+	r.t.Helper()
+	r.wall += wall
+	r.steady += steady
+	now := r.Now(r.wall, r.steady)
+	if now < r.last {
+		r.t.Fatalf("it went back from %d to %d", r.last, now)
+	}
+	r.last = now
+	return now
+}
+
+func TestClockFollowsDrift(t *testing.T) {
+	r := newClockRun(t)
+	if r.step(1000, 1000) != 1e9+1000 || r.step(1500, 1000) != 1e9+2500 {
+		t.Error("it drifts with the wall clock:", r.last)
 	}
-	// Set back by an hour: it stands, and continues when the wall clock has come up.
-	at := last
-	step(-hour, 10)
+}
+
+// setBackByAnHour: the clock stands, and continues when the wall clock has come up.
+func (r *clockRun) setBackByAnHour() {
+	t := r.t
+	t.Helper()
+	at := r.last
+	r.step(-hour, 10)
 	for range 100 {
-		if step(1000, 1000) != at {
+		if r.step(1000, 1000) != at {
 			t.Fatal("it goes on while the wall is behind")
 		}
 	}
-	if k.TimesSetBack != 1 || k.BehindMs == 0 {
-		t.Error(k.TimesSetBack, k.BehindMs)
+	if r.TimesSetBack != 1 || r.BehindMs == 0 {
+		t.Error(r.TimesSetBack, r.BehindMs)
 	}
-	step(hour, hour)
-	if step(1000, 1000) != wall {
-		t.Error("it does not come up:", last, wall)
+	r.step(hour, hour)
+	if r.step(1000, 1000) != r.wall {
+		t.Error("it does not come up:", r.last, r.wall)
 	}
-	// A year ahead for a minute less a second: not believed. For longer: believed.
-	at = last
-	step(365*24*hour, 10)
+}
+
+// jumpAheadByAYear: for a minute less a second it is not believed, for longer it is.
+func (r *clockRun) jumpAheadByAYear() {
+	t := r.t
+	t.Helper()
+	at := r.last
+	r.step(365*24*hour, 10)
 	for range 58 {
-		step(1000, 1000)
+		r.step(1000, 1000)
 	}
-	if last > at+70e3 {
+	if r.last > at+70e3 {
 		t.Error("a jump ahead is believed at once")
 	}
-	step(-365*24*hour, 10)
-	if step(1000, 1000) > at+70e3 {
-		t.Error(last - at)
+	r.step(-365*24*hour, 10)
+	if r.step(1000, 1000) > at+70e3 {
+		t.Error(r.last - at)
 	}
-	step(365*24*hour, 10)
+	r.step(365*24*hour, 10)
 	for range 62 {
-		step(1000, 1000)
+		r.step(1000, 1000)
 	}
-	if last != wall || k.JumpsAccepted != 1 {
-		t.Error("a jump that lasts is not believed:", wall-last, k.JumpsAccepted)
+	if r.last != r.wall || r.JumpsAccepted != 1 {
+		t.Error("a jump that lasts is not believed:", r.wall-r.last, r.JumpsAccepted)
 	}
-	// It goes on from what was recorded, after a start with a clock that is behind.
+}
+
+func TestClockStandsWhileWallClockIsBehind(t *testing.T) {
+	r := newClockRun(t)
+	r.step(2500, 2000)
+	r.setBackByAnHour()
+}
+
+func TestClockBelievesLastingJumpsOnly(t *testing.T) {
+	r := newClockRun(t)
+	r.step(2500, 2000)
+	r.setBackByAnHour()
+	r.jumpAheadByAYear()
+}
+
+// After a start with a clock that is behind it continues from what was recorded.
+func TestClockResumesFromRecordedTime(t *testing.T) {
+	last := int64(1e12)
 	again := &Clock{MaxDriftMs: 2000, JumpConfirmMs: 60e3}
 	again.Resume(last)
 	if again.Now(last-hour, 5) != last || again.TimesSetBack != 1 {
 		t.Error("a start goes back")
 	}
-	// Random clocks never make it go back.
+}
+
+func TestClockNeverGoesBackByRandomClocks(t *testing.T) {
+	r := newClockRun(t)
+	r.step(2500, 2000)
+	r.setBackByAnHour()
+	r.jumpAheadByAYear()
 	rng := rand.New(rand.NewPCG(3, 3))
 	for range 20000 {
 		w := rng.Int64N(2000)
 		if rng.IntN(50) == 0 {
 			w = rng.Int64N(20*hour) - 10*hour
 		}
-		step(w, rng.Int64N(2000))
+		r.step(w, rng.Int64N(2000))
 	}
 }
 
