--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -10,7 +10,7 @@
 
 	"kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/background"
-	"kestrelspread/internal/background/run"
+	"kestrelspread/internal/background/runner"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/sink"
 	"kestrelspread/internal/ledger/store"
@@ -67,7 +67,7 @@
 	r.Start()
 	p.Log.Info().Str("instance", s.Instance).Uint64("epoch", s.Epoch).Bool("new", s.Recovery.Created).Int("entries", s.Recovery.Entries).
 		Dur("took", s.Recovery.Duration).Msg("ledger is kept")
-	var work *run.Runner
+	var work *runner.Runner
 	sinks := map[string]sink.Sink{}
 	if o.Export != "" {
 		to, err := sink.OpenDirectory(o.Export)
@@ -82,7 +82,7 @@
 		sinks["http"] = sink.NewHTTP(o.URL)
 	}
 	if len(sinks) > 0 || o.Keep > 0 {
-		work = run.New(background.Budget{Time: exportTime, Bytes: exportBytes, Burst: 0.5})
+		work = runner.New(background.Budget{Time: exportTime, Bytes: exportBytes, Burst: 0.5})
 		for name, to := range sinks {
 			x, err := sink.NewExporter(s, name, to, o.Batch, o.ExportEvery)
 			if err != nil {
--- a/internal/background/run/run.go
+++ b/internal/background/runner/runner.go
@@ -1,5 +1,5 @@
-// Package run runs background work in one goroutine, as the scheduler says.
-package run
+// Package runner runs background work in one goroutine, as the scheduler says.
+package runner
 
 import (
 	"math"
--- a/internal/ledger/sink/exporter.go
+++ b/internal/ledger/sink/exporter.go
@@ -71,7 +71,7 @@
 	return entries, digest.Sum64(), err
 }
 
-// Step does one step of the protocol, as a run.Step: it returns the bytes written, and after how many ms it is to be called again.
+// Step does one step of the protocol, as a runner.Step: it returns the bytes written, and after how many ms it is to be called again.
 func (x *Exporter) Step() (written, againMs float64) {
 	n, idle, err := x.step()
 	if err != nil && !x.failing && x.OnFailure != nil {
