--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -82,7 +82,7 @@
 		sinks["http"] = sink.NewHTTP(o.URL)
 	}
 	if len(sinks) > 0 || o.Keep > 0 {
-		work = runner.New(background.Budget{Time: exportTime, Bytes: exportBytes, Burst: 0.5})
+		work = runner.New(background.Budget{TimeMsPerS: exportTime, BytesPerS: exportBytes, BurstS: 0.5})
 		for name, to := range sinks {
 			x, err := sink.NewExporter(s, name, to, o.Batch, o.ExportEvery)
 			if err != nil {
@@ -110,7 +110,7 @@
 				return retireBytes * float64(n), retireEvery
 			})
 		}
-		work.Go()
+		work.Start()
 	}
 	quit := make(chan struct{})
 	go func() { // says what is wrong with the disk, once each time it changes
--- a/internal/background/runner/runner.go
+++ b/internal/background/runner/runner.go
@@ -15,27 +15,27 @@
 
 // Runner is the goroutine and its tasks.
 type Runner struct {
-	lock  sync.Mutex
-	s     *background.Scheduler
-	steps map[*background.Task]Step
-	start time.Time
-	woken chan struct{}
-	ended chan struct{}
+	lock      sync.Mutex
+	scheduler *background.Scheduler
+	steps     map[*background.Task]Step
+	startedAt time.Time
+	woken     chan struct{}
+	stopped   chan struct{}
 }
 
 // New makes a runner; Go starts it.
 func New(b background.Budget) *Runner {
-	return &Runner{s: background.New(b, 0), steps: map[*background.Task]Step{}, start: time.Now(), woken: make(chan struct{}, 1),
-		ended: make(chan struct{})}
+	return &Runner{scheduler: background.New(b, 0), steps: map[*background.Task]Step{}, startedAt: time.Now(), woken: make(chan struct{}, 1),
+		stopped: make(chan struct{})}
 }
 
-func (r *Runner) now() float64 { return float64(time.Since(r.start)) / 1e6 }
+func (r *Runner) now() float64 { return float64(time.Since(r.startedAt)) / 1e6 }
 
 // Add registers work, first due in so many ms.
 func (r *Runner) Add(name string, p background.Priority, in float64, step Step) *background.Task {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	t := r.s.Add(name, p, r.now()+in)
+	t := r.scheduler.Add(name, p, r.now()+in)
 	r.steps[t] = step
 	r.wake()
 	return t
@@ -49,12 +49,12 @@
 }
 
 // Go runs until Stop.
-func (r *Runner) Go() {
+func (r *Runner) Start() {
 	go func() {
-		defer close(r.ended)
+		defer close(r.stopped)
 		for {
 			r.lock.Lock()
-			t, wait := r.s.Next(r.now())
+			t, wait := r.scheduler.Next(r.now())
 			r.lock.Unlock()
 			if t == nil {
 				if !r.sleep(wait) {
@@ -65,7 +65,7 @@
 			at := time.Now()
 			bytes, again := r.steps[t]()
 			r.lock.Lock()
-			r.s.Done(t, r.now(), background.Cost{Time: float64(time.Since(at)) / 1e6, Bytes: bytes}, r.now()+again)
+			r.scheduler.Done(t, r.now(), background.Cost{TimeMs: float64(time.Since(at)) / 1e6, Bytes: bytes}, r.now()+again)
 			r.lock.Unlock()
 		}
 	}()
@@ -90,11 +90,11 @@
 // Stop ends it after the step that runs, and waits so long for that; false: it still runs.
 func (r *Runner) Stop(within time.Duration) bool {
 	r.lock.Lock()
-	r.s.Stop()
+	r.scheduler.Stop()
 	close(r.woken)
 	r.lock.Unlock()
 	select {
-	case <-r.ended:
+	case <-r.stopped:
 		return true
 	case <-time.After(within):
 		return false
--- a/internal/background/scheduler.go
+++ b/internal/background/scheduler.go
@@ -21,83 +21,83 @@
 	Low
 	Normal
 	High
-	priorities
+	priorityCount
 )
 
-var weights = [priorities]float64{1, 4, 16, 64}
+var weights = [priorityCount]float64{1, 4, 16, 64}
 
 // Budget is for all tasks together. 0: no limit.
 type Budget struct {
-	Time  float64 // ms of work in a second
-	Bytes float64 // read and written in a second
-	Burst float64 // s of both that may be saved up
+	TimeMsPerS float64 // ms of work in a second
+	BytesPerS  float64 // read and written in a second
+	BurstS     float64 // s of both that may be saved up
 }
 
 // Cost is what a step took.
-type Cost struct{ Time, Bytes float64 }
+type Cost struct{ TimeMs, Bytes float64 }
 
 // Task is one kind of work.
 type Task struct {
-	Name     string
-	Priority Priority
-	due      float64 // not before; +Inf: asleep until it is woken
-	pass     float64 // its work so far over its weight
-	running  bool
-	Steps    int64
-	Spent    Cost
-	Waited   float64 // ms at most between being due and running
+	Name      string
+	Priority  Priority
+	dueAt     float64 // not before; +Inf: asleep until it is woken
+	pass      float64 // its work so far over its weight
+	running   bool
+	Steps     int64
+	TotalCost Cost
+	MaxWaitMs float64 // ms at most between being due and running
 }
 
 // Scheduler keeps the tasks.
 type Scheduler struct {
-	budget  Budget
-	tasks   []*Task
-	at      float64
-	time    float64 // saved up, in ms of work; below 0: owed
-	bytes   float64
-	pass    float64 // of the one that ran last: who wakes starts from there, or it would have all the time for a while
-	running *Task
-	stopped bool
+	budget       Budget
+	tasks        []*Task
+	refilledAt   float64
+	timeCreditMs float64 // saved up, in ms of work; below 0: owed
+	byteCredit   float64
+	lastPass     float64 // of the one that ran last: who wakes starts from there, or it would have all the time for a while
+	runningTask  *Task
+	stopped      bool
 }
 
 // New makes a scheduler that has its burst saved up.
 func New(b Budget, now float64) *Scheduler {
-	return &Scheduler{budget: b, at: now, time: b.Time * b.Burst, bytes: b.Bytes * b.Burst}
+	return &Scheduler{budget: b, refilledAt: now, timeCreditMs: b.TimeMsPerS * b.BurstS, byteCredit: b.BytesPerS * b.BurstS}
 }
 
 // Add registers a task that is due at a time; +Inf: when it is woken.
 func (s *Scheduler) Add(name string, p Priority, due float64) *Task {
-	t := &Task{Name: name, Priority: min(p, High), due: due, pass: s.pass}
+	t := &Task{Name: name, Priority: min(p, High), dueAt: due, pass: s.lastPass}
 	s.tasks = append(s.tasks, t)
 	return t
 }
 
 // Wake has a task run as soon as it may.
 func (s *Scheduler) Wake(t *Task, now float64) {
-	if now < t.due {
-		t.due = now
-		t.pass = max(t.pass, s.pass)
+	if now < t.dueAt {
+		t.dueAt = now
+		t.pass = max(t.pass, s.lastPass)
 	}
 }
 
 func (s *Scheduler) refill(now float64) {
-	passed := max(now-s.at, 0) / 1000
-	s.at = max(s.at, now)
-	s.time = min(s.time+passed*s.budget.Time, s.budget.Time*s.budget.Burst)
-	s.bytes = min(s.bytes+passed*s.budget.Bytes, s.budget.Bytes*s.budget.Burst)
+	passed := max(now-s.refilledAt, 0) / 1000
+	s.refilledAt = max(s.refilledAt, now)
+	s.timeCreditMs = min(s.timeCreditMs+passed*s.budget.TimeMsPerS, s.budget.TimeMsPerS*s.budget.BurstS)
+	s.byteCredit = min(s.byteCredit+passed*s.budget.BytesPerS, s.budget.BytesPerS*s.budget.BurstS)
 }
 
 // Next gives the task whose step runs now, or how long there is nothing to run: +Inf until something is woken.
 func (s *Scheduler) Next(now float64) (t *Task, wait float64) {
-	must.Hold(s.running == nil, "one step runs at a time")
+	must.Hold(s.runningTask == nil, "one step runs at a time")
 	s.refill(now)
 	if s.stopped {
 		return nil, math.Inf(1)
 	}
 	soonest := math.Inf(1)
 	for _, o := range s.tasks {
-		if o.due > now {
-			soonest = min(soonest, o.due)
+		if o.dueAt > now {
+			soonest = min(soonest, o.dueAt)
 			continue
 		}
 		if t == nil || o.pass < t.pass || o.pass == t.pass && o.Priority > t.Priority {
@@ -107,52 +107,52 @@
 	if t == nil {
 		return nil, soonest - now
 	}
-	if owed := s.owed(); owed > 0 {
+	if owed := s.waitForCreditMs(); owed > 0 {
 		return nil, owed
 	}
-	t.running, s.running, s.pass = true, t, t.pass
-	t.Waited = max(t.Waited, now-t.due)
+	t.running, s.runningTask, s.lastPass = true, t, t.pass
+	t.MaxWaitMs = max(t.MaxWaitMs, now-t.dueAt)
 	return t, 0
 }
 
-// owed is how many ms it takes until the budgets are paid back.
-func (s *Scheduler) owed() (ms float64) {
-	if s.budget.Time > 0 && s.time < 0 {
-		ms = max(ms, -s.time/s.budget.Time*1000)
+// waitForCreditMs is how many ms it takes until the budgets are paid back.
+func (s *Scheduler) waitForCreditMs() (ms float64) {
+	if s.budget.TimeMsPerS > 0 && s.timeCreditMs < 0 {
+		ms = max(ms, -s.timeCreditMs/s.budget.TimeMsPerS*1000)
 	}
-	if s.budget.Bytes > 0 && s.bytes < 0 {
-		ms = max(ms, -s.bytes/s.budget.Bytes*1000)
+	if s.budget.BytesPerS > 0 && s.byteCredit < 0 {
+		ms = max(ms, -s.byteCredit/s.budget.BytesPerS*1000)
 	}
 	if ms > 0 { // a wait that the clock can't tell from none would come again and again
-		ms = max(ms, leastWait)
+		ms = max(ms, minWaitMs)
 	}
 	return ms
 }
 
 // Done tells what the step cost and when the task is due again; +Inf: when it is woken.
 func (s *Scheduler) Done(t *Task, now float64, cost Cost, due float64) {
-	must.Hold(s.running == t && t.running, "the step that ends is the one that runs")
-	t.running, s.running = false, nil
-	t.due = due
+	must.Hold(s.runningTask == t && t.running, "the step that ends is the one that runs")
+	t.running, s.runningTask = false, nil
+	t.dueAt = due
 	t.Steps++
-	t.Spent.Time += cost.Time
-	t.Spent.Bytes += cost.Bytes
-	t.pass += max(cost.Time, least) / weights[t.Priority]
+	t.TotalCost.TimeMs += cost.TimeMs
+	t.TotalCost.Bytes += cost.Bytes
+	t.pass += max(cost.TimeMs, minStepMs) / weights[t.Priority]
 	s.refill(now)
-	if s.budget.Time > 0 {
-		s.time -= cost.Time
+	if s.budget.TimeMsPerS > 0 {
+		s.timeCreditMs -= cost.TimeMs
 	}
-	if s.budget.Bytes > 0 {
-		s.bytes -= cost.Bytes
+	if s.budget.BytesPerS > 0 {
+		s.byteCredit -= cost.Bytes
 	}
 }
 
-const leastWait = 0.01 // ms
+const minWaitMs = 0.01 // ms
 
-const least = 0.05 // ms: a step costs at least so much of its turn
+const minStepMs = 0.05 // ms: a step costs at least so much of its turn
 
 // Stop has no further step begin. The one that runs, if any, is the last: steps are short, so a stop comes in time.
 func (s *Scheduler) Stop() { s.stopped = true }
 
-// Running tells whether a step runs.
-func (s *Scheduler) Running() bool { return s.running != nil }
+// IsRunning tells whether a step runs.
+func (s *Scheduler) IsRunning() bool { return s.runningTask != nil }
--- a/internal/background/scheduler_test.go
+++ b/internal/background/scheduler_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// day runs tasks that always have work, with steps of random length, and gives what each had.
-func day(seed uint64, b Budget, list []Priority, ms float64) (tasks []*Task, now float64) {
+// runDay runs tasks that always have work, with steps of random length, and gives what each had.
+func runDay(seed uint64, b Budget, list []Priority, ms float64) (tasks []*Task, now float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := New(b, 0)
 	for i, p := range list {
@@ -23,8 +23,8 @@
 			now += wait
 			continue
 		}
-		cost := Cost{Time: 0.5 + 4*rng.Float64(), Bytes: 1000 * rng.Float64()}
-		now += cost.Time
+		cost := Cost{TimeMs: 0.5 + 4*rng.Float64(), Bytes: 1000 * rng.Float64()}
+		now += cost.TimeMs
 		s.Done(t, now, cost, now)
 	}
 	return tasks, now
@@ -32,46 +32,46 @@
 
 func TestBudgetsAreKept(t *testing.T) {
 	for seed := range uint64(20) {
-		for _, b := range []Budget{{Time: 100, Burst: 0.1}, {Bytes: 20000, Burst: 0.2}, {Time: 50, Bytes: 1e9, Burst: 0.5}} {
-			tasks, now := day(seed, b, []Priority{High, Low, Idle}, 20000)
+		for _, b := range []Budget{{TimeMsPerS: 100, BurstS: 0.1}, {BytesPerS: 20000, BurstS: 0.2}, {TimeMsPerS: 50, BytesPerS: 1e9, BurstS: 0.5}} {
+			tasks, now := runDay(seed, b, []Priority{High, Low, Idle}, 20000)
 			var sum Cost
 			for _, k := range tasks {
-				sum.Time += k.Spent.Time
-				sum.Bytes += k.Spent.Bytes
+				sum.TimeMs += k.TotalCost.TimeMs
+				sum.Bytes += k.TotalCost.Bytes
 			}
-			if b.Time > 0 && sum.Time > b.Time*(now/1000+b.Burst)+5 {
-				t.Errorf("%+v: %.0f ms of work in %.0f", b, sum.Time, now)
+			if b.TimeMsPerS > 0 && sum.TimeMs > b.TimeMsPerS*(now/1000+b.BurstS)+5 {
+				t.Errorf("%+v: %.0f ms of work in %.0f", b, sum.TimeMs, now)
 			}
-			if b.Bytes > 0 && sum.Bytes > b.Bytes*(now/1000+b.Burst)+1000 {
+			if b.BytesPerS > 0 && sum.Bytes > b.BytesPerS*(now/1000+b.BurstS)+1000 {
 				t.Errorf("%+v: %.0f bytes in %.0f ms", b, sum.Bytes, now)
 			}
-			if b.Time == 100 && sum.Time < 0.95*b.Time*now/1000 {
-				t.Errorf("%+v: only %.0f ms of work in %.0f", b, sum.Time, now)
+			if b.TimeMsPerS == 100 && sum.TimeMs < 0.95*b.TimeMsPerS*now/1000 {
+				t.Errorf("%+v: only %.0f ms of work in %.0f", b, sum.TimeMs, now)
 			}
 		}
 	}
 }
 
 func TestSharesFollowPrioritiesAndNoneStarves(t *testing.T) {
-	tasks, now := day(1, Budget{Time: 200, Burst: 0.1}, []Priority{High, Normal, Low, Idle}, 120000)
+	tasks, now := runDay(1, Budget{TimeMsPerS: 200, BurstS: 0.1}, []Priority{High, Normal, Low, Idle}, 120000)
 	for i := 1; i < len(tasks); i++ {
-		if r := tasks[i-1].Spent.Time / tasks[i].Spent.Time; r < 3 || r > 5 {
+		if r := tasks[i-1].TotalCost.TimeMs / tasks[i].TotalCost.TimeMs; r < 3 || r > 5 {
 			t.Errorf("%v has %.1f times the time of %v", tasks[i-1].Priority, r, tasks[i].Priority)
 		}
 	}
-	if idle := tasks[3]; idle.Steps < 20 || idle.Waited > 10000 {
-		t.Errorf("the least had %d steps in %.0f s and waited %.1f s at most", idle.Steps, now/1000, idle.Waited/1000)
+	if idle := tasks[3]; idle.Steps < 20 || idle.MaxWaitMs > 10000 {
+		t.Errorf("the least had %d steps in %.0f s and waited %.1f s at most", idle.Steps, now/1000, idle.MaxWaitMs/1000)
 	}
 }
 
-func TestWhoSleptHasNoArrears(t *testing.T) {
+func TestWokenTaskHasNoArrears(t *testing.T) {
 	s := New(Budget{}, 0)
 	busy, late := s.Add("busy", Low, 0), s.Add("late", Low, math.Inf(1))
 	now := 0.0
 	for range 10000 {
 		k, _ := s.Next(now)
 		now += 1
-		s.Done(k, now, Cost{Time: 1}, now)
+		s.Done(k, now, Cost{TimeMs: 1}, now)
 	}
 	s.Wake(late, now)
 	ran := 0
@@ -81,7 +81,7 @@
 			ran++
 		}
 		now += 1
-		s.Done(k, now, Cost{Time: 1}, now)
+		s.Done(k, now, Cost{TimeMs: 1}, now)
 	}
 	if ran < 9 || ran > 11 {
 		t.Errorf("%d of 20 steps after a long sleep beside %q", ran, busy.Name)
@@ -89,14 +89,14 @@
 }
 
 func TestStopBeginsNothingMore(t *testing.T) {
-	s := New(Budget{Time: 1}, 0)
+	s := New(Budget{TimeMsPerS: 1}, 0)
 	k := s.Add("a", High, 0)
 	if got, _ := s.Next(0); got != k {
 		t.Fatal(got)
 	}
 	s.Stop()
-	s.Done(k, 1, Cost{Time: 1}, 1)
-	if got, wait := s.Next(1e9); got != nil || !math.IsInf(wait, 1) || s.Running() {
+	s.Done(k, 1, Cost{TimeMs: 1}, 1)
+	if got, wait := s.Next(1e9); got != nil || !math.IsInf(wait, 1) || s.IsRunning() {
 		t.Error(got, wait)
 	}
 }
