--- a/internal/rig/fleet/fleet.go
+++ b/internal/rig/fleet/fleet.go
@@ -71,11 +71,11 @@
 	var err error
 	if f.dir == "" {
 		if f.dir, err = os.MkdirTemp("", "kestrelfleet"); err != nil {
-			return ErrNotStarted.Wrap(err, "create directory")
+			return fmt.Errorf("%w: create directory: %w", ErrNotStarted, err)
 		}
 	}
 	if f.dir, err = filepath.Abs(f.dir); err != nil {
-		return ErrNotStarted.Wrap(err, "create directory")
+		return fmt.Errorf("%w: create directory: %w", ErrNotStarted, err)
 	}
 	if f.layout, err = newLayout(nodeCount); err != nil {
 		return err
@@ -157,11 +157,11 @@
 			return nil
 		}
 		if ended := f.unexpectedExits(); len(ended) > 0 {
-			return ErrTimeout.New("%s: %s", what, ended[0])
+			return fmt.Errorf("%w: %s: %s", ErrTimeout, what, ended[0])
 		}
 		select {
 		case <-ctx.Done():
-			return ErrTimeout.Wrap(errors.Join(err, ctx.Err()), "%s", what)
+			return fmt.Errorf("%w: %s: %w", ErrTimeout, what, errors.Join(err, ctx.Err()))
 		case <-ticker.C:
 		}
 	}
--- a/internal/rig/fleet/layout.go
+++ b/internal/rig/fleet/layout.go
@@ -1,20 +1,18 @@
 package fleet
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"strconv"
-
-	"github.com/joomcode/errorx"
 )
 
 var (
-	namespace = errorx.NewNamespace("fleet")
 	// ErrNotStarted says that a part of the fleet could not be started.
-	ErrNotStarted = namespace.NewType("not_started")
+	ErrNotStarted = errors.New("fleet: not started")
 	// ErrTimeout says that a condition was not reached in time.
-	ErrTimeout = namespace.NewType("too_late")
+	ErrTimeout = errors.New("fleet: timeout")
 )
 
 // ports are the same on every machine.
@@ -40,7 +38,7 @@
 			return l, nil
 		}
 	}
-	return layout{}, ErrNotStarted.New("no ports of 127.0.0.0/8 are free")
+	return layout{}, fmt.Errorf("%w: no ports of 127.0.0.0/8 are free", ErrNotStarted)
 }
 
 // pickPorts chooses ports that the system finds free on the first host.
--- a/internal/rig/fleet/node.go
+++ b/internal/rig/fleet/node.go
@@ -61,13 +61,13 @@
 func (n *Node) Start() error {
 	path, err := n.fleet.writeSettings(n)
 	if err != nil {
-		return ErrNotStarted.Wrap(err, "settings of %s", n.Name)
+		return fmt.Errorf("%w: settings of %s: %w", ErrNotStarted, n.Name, err)
 	}
 	n.incarnations++
 	environment := []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "KESTRELSPREAD_SETTINGS=" + path}
 	started, err := n.fleet.spawner.start(n.fleet.options.Binary, []string{"run"}, environment, &n.log)
 	if err != nil {
-		return ErrNotStarted.Wrap(err, "%s", n.Name)
+		return fmt.Errorf("%w: %s: %w", ErrNotStarted, n.Name, err)
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/rig/fleet/services.go
+++ b/internal/rig/fleet/services.go
@@ -127,7 +127,7 @@
 func (f *Fleet) startServices() error {
 	var err error
 	if f.Store, err = llmbroker.StartStore(f.layout.broker(lastHost-firstBrokerHost-1)+":0", storeTokens, maxConcurrency); err != nil {
-		return ErrNotStarted.Wrap(err, "store")
+		return fmt.Errorf("%w: store: %w", ErrNotStarted, err)
 	}
 	for i := range modelBrokers {
 		if _, err := f.StartBroker(serviceModel, Zones[i%len(Zones)]); err != nil {
@@ -158,7 +158,7 @@
 	}
 	broker, err := llmbroker.Start(options)
 	if err != nil {
-		return nil, ErrNotStarted.Wrap(err, "broker of %s", service)
+		return nil, fmt.Errorf("%w: broker of %s: %w", ErrNotStarted, service, err)
 	}
 	f.startedBrokers++
 	f.Brokers = append(f.Brokers, broker)
