--- a/internal/node/brokercall/client.go
+++ b/internal/node/brokercall/client.go
@@ -8,6 +8,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -60,6 +61,23 @@
 	return request, nil
 }
 
+// FetchJSON makes a call and decodes the JSON of its response, of which it reads at most maxBytes,
+// into result. The error names the operation; any status but 200 is one.
+func FetchJSON(client *http.Client, request *http.Request, maxBytes int64, result any) error {
+	response, err := client.Do(request)
+	if err != nil {
+		return fmt.Errorf("fetch: %w", err)
+	}
+	defer Discard(response.Body, maxBytes)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("fetch: status %d", response.StatusCode)
+	}
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxBytes)).Decode(result); err != nil {
+		return fmt.Errorf("decode response: %w", err)
+	}
+	return nil
+}
+
 // Discard closes a body after reading up to maxBytes of its rest, so that the connection can be
 // reused.
 func Discard(body io.ReadCloser, maxBytes int64) {
--- a/internal/node/kvindex/feed/poller.go
+++ b/internal/node/kvindex/feed/poller.go
@@ -7,10 +7,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"strconv"
 	"time"
@@ -66,20 +64,12 @@
 	path := eventsPath + "?since=" + strconv.FormatUint(call.Since, 10)
 	request, err := brokercall.NewRequest(ctx, http.MethodGet, call.Address, path, call.Instance, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: fetch events of %s: build request: %w", errNoEvents, call.Address, err)
+		return nil, fmt.Errorf("%w: events of %s: build request: %w", errNoEvents, call.Address, err)
 	}
 	request.Header.Set(waitHeader, strconv.FormatInt(call.Wait.Milliseconds(), 10))
-	response, err := p.client.Do(request)
-	if err != nil {
-		return nil, fmt.Errorf("%w: fetch events of %s: %w", errNoEvents, call.Address, err)
-	}
-	defer brokercall.Discard(response.Body, maxResponseBytes)
-	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: fetch events of %s: status %d", errNoEvents, call.Address, response.StatusCode)
-	}
 	events := &kvindex.Events{}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(events); err != nil {
-		return nil, fmt.Errorf("%w: fetch events of %s: decode response: %w", errNoEvents, call.Address, err)
+	if err := brokercall.FetchJSON(p.client, request, maxResponseBytes, events); err != nil {
+		return nil, fmt.Errorf("%w: events of %s: %w", errNoEvents, call.Address, err)
 	}
 	return events, nil
 }
--- a/internal/node/rollout/orders/sender.go
+++ b/internal/node/rollout/orders/sender.go
@@ -10,10 +10,8 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"time"
 
@@ -122,17 +120,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: build the report call to broker %s: %w", errNoReport, fetch.InstanceID, err)
 	}
-	response, err := s.client.Do(request)
-	if err != nil {
-		return nil, fmt.Errorf("%w: fetch the report of broker %s: %w", errNoReport, fetch.InstanceID, err)
-	}
-	defer brokercall.Discard(response.Body, maxResponseBytes)
-	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: fetch the report of broker %s: status %d", errNoReport, fetch.InstanceID, response.StatusCode)
-	}
 	report := &rollout.Report{}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(report); err != nil {
-		return nil, fmt.Errorf("%w: decode the report of broker %s: %w", errNoReport, fetch.InstanceID, err)
+	if err := brokercall.FetchJSON(s.client, request, maxResponseBytes, report); err != nil {
+		return nil, fmt.Errorf("%w: report of broker %s: %w", errNoReport, fetch.InstanceID, err)
 	}
 	return report, nil
 }
