--- a/internal/node/control/dispatch.go
+++ b/internal/node/control/dispatch.go
@@ -71,10 +71,10 @@
 		}
 	case core.TableChanged:
 		n.propagated.brokersChanged = true
-		n.emit(output)
+		n.outbox.Add(output)
 	default:
 		if !n.executeForRollout(now, output) {
-			n.emit(output)
+			n.outbox.Add(output)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 // handleReceived dispatches a message that arrived in fragments, or emits it for the shell.
 func (n *Node) handleReceived(now core.Time, output core.MessageReassembled) {
 	if belongsToShell(output.Message) {
-		n.emit(output)
+		n.outbox.Add(output)
 		return
 	}
 	n.execute(now, n.dispatch(now, output.From, output.Message))
@@ -100,12 +100,12 @@
 	if state := reply.State; state != nil && len(state.GetState()) == 0 && n.state.Index() >= state.GetIndex() {
 		reply.State = &nodepb.StateSnapshot{Index: n.state.Index(), State: n.state.Snapshot()}
 	}
-	n.emit(reply)
+	n.outbox.Add(reply)
 }
 
 // publishState publishes the new state to the data plane and to the rollout.
 func (n *Node) publishState(now core.Time) {
 	n.compiled = n.state.Compile()
-	n.emit(core.StateChanged{})
+	n.outbox.Add(core.StateChanged{})
 	n.recordTargets(now)
 }
--- a/internal/node/control/inputs.go
+++ b/internal/node/control/inputs.go
@@ -33,7 +33,7 @@
 	n.propagated.brokersChanged = false
 	n.stepRollout(now, changed)
 	n.propagate(now)
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // Deadline returns when Tick must be called at the latest.
@@ -49,7 +49,7 @@
 // ignored.
 func (n *Node) Receive(now core.Time, from core.Peer, message *nodepb.Envelope) []core.Output {
 	n.execute(now, n.dispatch(now, from, message))
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // Written handles the completion of a journal write. Where the journal needs a checkpoint, also after
@@ -62,7 +62,7 @@
 	if needsCheckpoint && n.checkpointToken == 0 {
 		n.compact(now)
 	}
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // compact writes a checkpoint. At most one is in flight: checkpointToken is its token until Written.
@@ -83,32 +83,32 @@
 // Submit submits a command to the chain. core.Reply with the request's number follows.
 func (n *Node) Submit(now core.Time, request uint64, command *nodepb.Command) []core.Output {
 	n.execute(now, n.submit.Submit(now, request, command))
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // Read reads the newest control state through the chain. core.Reply with the request's number
 // follows.
 func (n *Node) Read(now core.Time, request uint64) []core.Output {
 	n.execute(now, n.submit.Read(now, request, n.state.Index()))
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // Heartbeat handles a broker's heartbeat. core.RegistryReply with the request's number follows.
 func (n *Node) Heartbeat(now core.Time, request uint64, instance *nodepb.Instance) []core.Output {
 	n.execute(now, n.registry.Heartbeat(now, request, instance))
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // Deregister handles a broker's deregistration. core.RegistryReply with the request's number follows.
 func (n *Node) Deregister(now core.Time, request uint64, id string) []core.Output {
 	n.execute(now, n.registry.Deregister(now, request, id))
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // RestoreBrokers registers brokers that an earlier incarnation of this node saved.
 func (n *Node) RestoreBrokers(now core.Time, instances []*nodepb.Instance) []core.Output {
 	n.execute(now, n.registry.Restore(now, instances))
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // OrderDone handles the completion of an order to a broker. status is the HTTP status, 0 where no
@@ -116,14 +116,14 @@
 func (n *Node) OrderDone(now core.Time, token uint64, status int, err error) []core.Output {
 	n.execute(now, n.rollout.OrderDone(now, token, status, err))
 	n.stepRollout(now, true)
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // ReportDone handles a broker's report, or the error of asking for it.
 func (n *Node) ReportDone(now core.Time, token uint64, report *rollout.Report, err error) []core.Output {
 	n.execute(now, n.rollout.ReportDone(now, token, report, err))
 	n.stepRollout(now, true)
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // HandOver makes this node leave the chain, or at least give up its head, before it shuts down.
@@ -131,13 +131,13 @@
 	if n.store != nil {
 		n.execute(now, n.store.HandOver(now))
 	}
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // Leave announces to the other nodes that this one shuts down.
 func (n *Node) Leave(now core.Time) []core.Output {
 	n.execute(now, n.membership.Leave(now))
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
 
 // SetSeeds replaces the addresses of the nodes that are contacted first.
@@ -146,5 +146,5 @@
 // Send sends a message of another part of this node along the routes that the control side knows.
 func (n *Node) Send(now core.Time, output core.Send) []core.Output {
 	n.send(now, output)
-	return n.takeOutputs()
+	return n.outbox.Take()
 }
--- a/internal/node/control/node.go
+++ b/internal/node/control/node.go
@@ -75,7 +75,7 @@
 	options Options
 	random  *rand.Rand
 	self    *nodepb.Member
-	outputs []core.Output
+	outbox  core.Outbox
 
 	membership   *membership.Membership
 	store        *chain.Replica // nil until the disk is attached, and on nodes outside the core
@@ -174,7 +174,7 @@
 	n.execute(now, n.membership.UpdateSelf(now, func(self *nodepb.Member) { self.DiskId = diskID }))
 	n.execute(now, outputs)
 	n.propagateMembers(now)
-	return n.takeOutputs(), nil
+	return n.outbox.Take(), nil
 }
 
 // State returns the control state that this node holds.
@@ -204,12 +204,3 @@
 // ConfirmedAt returns a time at which no state newer than the one held here was acknowledged anywhere.
 // It reports false where none is known.
 func (n *Node) ConfirmedAt() (core.Time, bool) { return n.confirmedAt, n.confirmedAt != 0 }
-
-func (n *Node) emit(output core.Output) { n.outputs = append(n.outputs, output) }
-
-// takeOutputs returns the outputs for the shell and clears them.
-func (n *Node) takeOutputs() []core.Output {
-	taken := n.outputs
-	n.outputs = nil
-	return taken
-}
--- a/internal/node/control/propagate.go
+++ b/internal/node/control/propagate.go
@@ -38,7 +38,7 @@
 		n.store.SetRelays(n.rankRelays(members))
 		n.execute(now, n.store.SetQuorumMembers(now, counting))
 	}
-	n.emit(core.MembersChanged{Members: members})
+	n.outbox.Add(core.MembersChanged{Members: members})
 }
 
 // propagateView hands the newest view known here, by distribution or by this node's own chain member,
@@ -54,10 +54,10 @@
 		return
 	}
 	if n.propagated.viewEpoch > 0 && newest.MemberUnreachable {
-		n.emit(core.QuorumMemberLost{LostBy: now - minDetectionTime})
+		n.outbox.Add(core.QuorumMemberLost{LostBy: now - minDetectionTime})
 	}
 	n.propagated.viewEpoch = newest.GetEpoch()
-	n.emit(core.Log{Message: "control: view changed", Fields: []any{"epoch", newest.Epoch, "chain", newest.Chain, "voters", len(newest.Voters)}})
+	n.outbox.Add(core.Log{Message: "control: view changed", Fields: []any{"epoch", newest.Epoch, "chain", newest.Chain, "voters", len(newest.Voters)}})
 	n.execute(now, n.distribution.SetView(now, newest))
 	n.execute(now, n.submit.SetView(now, newest))
 }
--- a/internal/node/control/relay.go
+++ b/internal/node/control/relay.go
@@ -18,7 +18,7 @@
 	}
 	via := n.relayFor(output)
 	if via == "" {
-		n.emit(core.Send{Destination: output.Destination, Message: output.Message})
+		n.outbox.Add(core.Send{Destination: output.Destination, Message: output.Message})
 		return
 	}
 	relay := &nodepb.Relay{
@@ -27,7 +27,7 @@
 		OriginAddress: n.self.Address,
 		Envelope:      output.Message,
 	}
-	n.emit(core.Send{Destination: via, Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
+	n.outbox.Add(core.Send{Destination: via, Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
 // relayFor returns the relay through which a message goes; empty: none. Pings and pongs of voters take
@@ -56,7 +56,7 @@
 	if forwardedBefore || !n.coreAddresses[relay.GetDestination()] {
 		return
 	}
-	n.emit(core.Send{Destination: relay.GetDestination(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
+	n.outbox.Add(core.Send{Destination: relay.GetDestination(), Message: &nodepb.Envelope{Body: &nodepb.Envelope_Relay{Relay: relay}}})
 }
 
 // maxRelays bounds the relays of each kind: outside the core, and in it.
--- a/internal/node/control/relay_test.go
+++ b/internal/node/control/relay_test.go
@@ -134,7 +134,7 @@
 	}{{0, true}, {1, false}} {
 		n := newNode("a")
 		n.handleReply(0, core.Reply{Request: 5, State: &nodepb.StateSnapshot{Index: c.index}})
-		reply := n.takeOutputs()[0].(core.Reply)
+		reply := n.outbox.Take()[0].(core.Reply)
 		assert.Equal(t, len(reply.State.GetState()) > 0, c.answered, "index %d", c.index)
 	}
 }
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -6,8 +6,8 @@
 // tests, under a virtual clock with injected faults, and many to one process in simulations.
 //
 // The package holds the types that several machines and shells share. It holds no logic but
-// the conversion of time spans on the wire. It isn't the place for messages between nodes (nodepb)
-// nor for types that one subsystem alone uses.
+// the conversion of time spans on the wire and the collecting of outputs. It isn't the place for
+// messages between nodes (nodepb) nor for types that one subsystem alone uses.
 //
 // Invariants: an output is a value that its emitter doesn't change afterwards; an output that
 // expects a result carries a token, and the shell reports the result once under the same token.
--- a/internal/node/distribution/distribution.go
+++ b/internal/node/distribution/distribution.go
@@ -32,7 +32,7 @@
 	confirmationRequestedAt core.Time // when core.RequestBarrier was last put out
 	snapshot                snapshotCache
 
-	outputs []core.Output
+	outbox core.Outbox
 }
 
 // New returns a distribution of the state in the options. random spreads the times of polls.
@@ -67,13 +67,13 @@
 	d.members = members
 	d.rankUpstreams()
 	d.pollIfNeverPolled(now)
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // SetView hands in a view of this node's own store. One that is not newer than the known one is ignored.
 func (d *Distribution) SetView(now core.Time, view *nodepb.View) []core.Output {
 	d.adoptView(now, view)
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // adoptView adopts a newer view and pushes it to the subscribers.
@@ -89,13 +89,13 @@
 // Committed applies an entry that this node's own store committed.
 func (d *Distribution) Committed(now core.Time, entry *nodepb.Entry) []core.Output {
 	d.catchUp(now, []*nodepb.Entry{entry}, nil)
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // Installed restores the state that this node's own store installed from a snapshot.
 func (d *Distribution) Installed(now core.Time, snapshot *nodepb.StateSnapshot) []core.Output {
 	d.catchUp(now, nil, snapshot)
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // staleAge is the age of a confirmation beyond which its sender counts as detached from the core.
@@ -123,7 +123,7 @@
 	case *nodepb.Envelope_StatePush:
 		d.receivePush(now, from, body.StatePush)
 	}
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // Tick does the work that is due at now. It is to be called at Deadline.
@@ -136,7 +136,7 @@
 	if d.round.hedgeAt <= now {
 		d.hedge(now)
 	}
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // Deadline is when Tick is next due.
@@ -152,7 +152,7 @@
 	if d.state.Index() == previousIndex {
 		return
 	}
-	d.output(core.StateChanged{})
+	d.outbox.Add(core.StateChanged{})
 	d.pushChanges(now)
 }
 
@@ -162,7 +162,7 @@
 		return
 	}
 	if err := d.state.Restore(snapshot.State); err != nil {
-		d.output(core.Log{Message: "control state not readable", Fields: []any{"index", snapshot.Index, "error", err}})
+		d.outbox.Add(core.Log{Message: "control state not readable", Fields: []any{"index", snapshot.Index, "error", err}})
 		return
 	}
 	d.ring.clear()
@@ -176,16 +176,3 @@
 	d.state.Apply(entry)
 	d.ring.add(entry)
 }
-
-func (d *Distribution) output(output core.Output) { d.outputs = append(d.outputs, output) }
-
-func (d *Distribution) send(address string, message *nodepb.Envelope) {
-	d.output(core.Send{Destination: address, Message: message})
-}
-
-// takeOutputs returns the outputs since the last call.
-func (d *Distribution) takeOutputs() []core.Output {
-	outputs := d.outputs
-	d.outputs = nil
-	return outputs
-}
--- a/internal/node/distribution/poll.go
+++ b/internal/node/distribution/poll.go
@@ -165,7 +165,7 @@
 		d.round.pending = slices.Delete(d.round.pending, 0, len(d.round.pending)-maxPendingPolls)
 	}
 	poll := &nodepb.StatePoll{Nonce: d.lastNonce, Index: d.state.Index(), ViewEpoch: d.view.GetEpoch(), Subscribe: subscribe}
-	d.send(destination.address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePoll{StatePoll: poll}})
+	d.outbox.Send(destination.address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePoll{StatePoll: poll}})
 }
 
 // receiveReply catches up with an upstream and adopts its confirmation. The state and the view count
--- a/internal/node/distribution/subscribers.go
+++ b/internal/node/distribution/subscribers.go
@@ -41,7 +41,7 @@
 		reply.View = d.view
 	}
 	reply.Entries, reply.Snapshot = d.missingAfter(now, poll.Index)
-	d.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePollReply{StatePollReply: reply}})
+	d.outbox.Send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePollReply{StatePollReply: reply}})
 	if poll.Subscribe {
 		d.subscribe(now, from, poll)
 	}
@@ -98,7 +98,7 @@
 		return
 	}
 	d.confirmationRequestedAt = now
-	d.output(core.RequestBarrier{})
+	d.outbox.Add(core.RequestBarrier{})
 }
 
 // pushChanges sends subscribers what they lack. A lost push is made up by the subscriber's next poll.
@@ -129,7 +129,7 @@
 		destination.knownEpoch = d.view.Epoch
 		push.View = d.view
 	}
-	d.send(destination.address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePush{StatePush: push}})
+	d.outbox.Send(destination.address, &nodepb.Envelope{Body: &nodepb.Envelope_StatePush{StatePush: push}})
 }
 
 // activeSubscribers lists the subscribers whose subscription has not expired, in order of address.
--- a/internal/node/loadhint/disseminator.go
+++ b/internal/node/loadhint/disseminator.go
@@ -60,7 +60,7 @@
 	tokens          float64            // of the token bucket: hints that may be sent to each node now
 	refilledAt      core.Time
 
-	outputs []core.Output
+	outbox core.Outbox
 }
 
 // New returns a Disseminator that knows no other node.
@@ -149,11 +149,11 @@
 // node for the relay, are used here but not sent on.
 func (d *Disseminator) Receive(now core.Time, from core.Peer, message *nodepb.LoadHints) []core.Output {
 	hints := message.Hints[:min(len(message.Hints), maxHintsPerMessage)]
-	d.outputs = append(d.outputs, core.LoadHintsReceived{Hints: hints})
+	d.outbox.Add(core.LoadHintsReceived{Hints: hints})
 	if d.relayAddress == "" && message.Hop != nodepb.LoadHintHop_TO_PROXY {
 		d.enqueueReceived(now, from, message.Hop, hints)
 	}
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // enqueueReceived queues the hints that another proxy or relay sent to this relay.
@@ -176,7 +176,7 @@
 	if d.batchDeadline <= now {
 		d.sendBatch(now)
 	}
-	return d.takeOutputs()
+	return d.outbox.Take()
 }
 
 // Deadline is when Tick is next due.
@@ -258,12 +258,5 @@
 		return
 	}
 	body := &nodepb.Envelope_LoadHints{LoadHints: &nodepb.LoadHints{Hints: hints, Hop: hop}}
-	d.outputs = append(d.outputs, core.Send{Destination: destination, Message: &nodepb.Envelope{Body: body}})
-}
-
-// takeOutputs returns the outputs since the last call.
-func (d *Disseminator) takeOutputs() []core.Output {
-	outputs := d.outputs
-	d.outputs = nil
-	return outputs
+	d.outbox.Send(destination, &nodepb.Envelope{Body: body})
 }
--- a/internal/node/registry/antientropy.go
+++ b/internal/node/registry/antientropy.go
@@ -87,11 +87,11 @@
 
 func (r *Registry) sendPoll(address string, digests []*nodepb.TopicDigest) {
 	poll := &nodepb.RegistryPoll{Topics: digests}
-	r.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_RegistryPoll{RegistryPoll: poll}})
+	r.outbox.Send(address, &nodepb.Envelope{Body: &nodepb.Envelope_RegistryPoll{RegistryPoll: poll}})
 }
 
 func (r *Registry) sendSnapshot(address string, snapshot *nodepb.RegistrySnapshot) {
-	r.send(address, &nodepb.Envelope{Body: &nodepb.Envelope_RegistrySnapshot{RegistrySnapshot: snapshot}})
+	r.outbox.Send(address, &nodepb.Envelope{Body: &nodepb.Envelope_RegistrySnapshot{RegistrySnapshot: snapshot}})
 }
 
 // receivePoll answers another node's poll.
--- a/internal/node/registry/broadcast.go
+++ b/internal/node/registry/broadcast.go
@@ -77,7 +77,7 @@
 	}
 	for _, other := range r.others {
 		started.unacknowledged = append(started.unacknowledged, other.id)
-		r.send(other.address, started.message)
+		r.outbox.Send(other.address, started.message)
 	}
 	r.broadcasts = append(r.broadcasts, started)
 	r.removeFromBatch(ids)
@@ -148,7 +148,7 @@
 	r.answerWaitingCalls(now, b, replicated, !awaited)
 	for _, confirmation := range b.loadingConfirmations {
 		confirmation.Everywhere = !awaited
-		r.output(confirmation)
+		r.outbox.Add(confirmation)
 	}
 }
 
@@ -200,7 +200,7 @@
 	b.retryAt = now + broadcastRetryInterval
 	for _, id := range b.unacknowledged {
 		if known := r.peers[id]; known != nil {
-			r.send(known.address, b.message)
+			r.outbox.Send(known.address, b.message)
 		}
 	}
 }
@@ -222,7 +222,7 @@
 		return
 	}
 	ack := &nodepb.InstanceUpdateAck{Nonce: update.Nonce}
-	r.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_InstanceUpdateAck{InstanceUpdateAck: ack}})
+	r.outbox.Send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_InstanceUpdateAck{InstanceUpdateAck: ack}})
 }
 
 // mergeUpdate merges one broker of a broadcast. If this node knows that the broker responds, it
--- a/internal/node/registry/forward.go
+++ b/internal/node/registry/forward.go
@@ -36,7 +36,7 @@
 		Request: call.requestID, Instance: call.instance,
 		Deregister: call.instance.State == nodepb.InstanceState_GONE,
 	}
-	r.send(call.home.address, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForward{HeartbeatForward: message}})
+	r.outbox.Send(call.home.address, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForward{HeartbeatForward: message}})
 }
 
 // tickForwards resends unanswered calls, and handles those here whose home does not answer.
--- a/internal/node/registry/heartbeat.go
+++ b/internal/node/registry/heartbeat.go
@@ -115,9 +115,9 @@
 // answerWith answers a call. home is the control address for the next call; empty: none is named.
 func (r *Registry) answerWith(origin callOrigin, accepted bool, home string) {
 	if origin.forwarder == "" {
-		r.output(core.RegistryReply{Request: origin.request, Accepted: accepted, HeartbeatURL: home})
+		r.outbox.Add(core.RegistryReply{Request: origin.request, Accepted: accepted, HeartbeatURL: home})
 		return
 	}
 	reply := &nodepb.HeartbeatForwardReply{Request: origin.request, Accepted: accepted, HomeControlAddress: home}
-	r.send(origin.forwarder, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForwardReply{HeartbeatForwardReply: reply}})
+	r.outbox.Send(origin.forwarder, &nodepb.Envelope{Body: &nodepb.Envelope_HeartbeatForwardReply{HeartbeatForwardReply: reply}})
 }
--- a/internal/node/registry/loading.go
+++ b/internal/node/registry/loading.go
@@ -9,7 +9,7 @@
 func (r *Registry) SetLoading(now core.Time, id string, fencingToken uint64) []core.Output {
 	rec := r.records[id]
 	if rec == nil || rec.gone() {
-		r.output(core.LoadingConfirmed{InstanceID: id, FencingToken: fencingToken})
+		r.outbox.Add(core.LoadingConfirmed{InstanceID: id, FencingToken: fencingToken})
 		return r.takeOutputs()
 	}
 	// The revision rises also if nothing changes here: other nodes may hold another mark under the
--- a/internal/node/registry/registry.go
+++ b/internal/node/registry/registry.go
@@ -42,7 +42,7 @@
 	polledPeer        *peer // has not answered the last poll; nil: it has
 
 	lastInputAt core.Time // time of the newest input
-	outputs     []core.Output
+	outbox      core.Outbox
 }
 
 // New returns an empty registry that knows no other node. random is used for the choice of nodes to
@@ -148,21 +148,13 @@
 	return list
 }
 
-func (r *Registry) output(output core.Output) { r.outputs = append(r.outputs, output) }
-
-func (r *Registry) send(address string, message *nodepb.Envelope) {
-	r.output(core.Send{Destination: address, Message: message})
-}
-
 // takeOutputs returns the outputs since the last call.
 func (r *Registry) takeOutputs() []core.Output {
 	if r.tableChanged {
 		r.tableChanged = false
-		r.output(core.TableChanged{})
+		r.outbox.Add(core.TableChanged{})
 	}
-	outputs := r.outputs
-	r.outputs = nil
-	return outputs
+	return r.outbox.Take()
 }
 
 func (r *Registry) nextNonce() uint64 {
--- a/internal/node/transfer/incoming.go
+++ b/internal/node/transfer/incoming.go
@@ -55,7 +55,7 @@
 		in.add(now, fragment.GetOffset(), fragment.GetData())
 	}
 	ack := &nodepb.FragmentAck{Transfer: key.id, Received: uint64(in.receivedBytes())}
-	t.send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_FragmentAck{FragmentAck: ack}})
+	t.outbox.Send(from.Address, &nodepb.Envelope{Body: &nodepb.Envelope_FragmentAck{FragmentAck: ack}})
 	if in.complete && in.data != nil {
 		t.deliver(from, in)
 	}
@@ -138,13 +138,13 @@
 	err := proto.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(in.data, message)
 	in.data = nil
 	if err != nil {
-		t.output(core.Log{
+		t.outbox.Add(core.Log{
 			Message: "transfer: fragments are no message",
 			Fields:  []any{"bytes", in.total, "error", err},
 		})
 		return
 	}
-	t.output(core.MessageReassembled{From: from, Message: message})
+	t.outbox.Add(core.MessageReassembled{From: from, Message: message})
 }
 
 // expireIncoming removes transfers without progress, and complete ones, after transferTimeout.
--- a/internal/node/transfer/outgoing.go
+++ b/internal/node/transfer/outgoing.go
@@ -37,11 +37,11 @@
 	}
 	data, err := proto.Marshal(message)
 	if err != nil || len(data) > MaxMessage {
-		t.output(core.Log{
+		t.outbox.Add(core.Log{
 			Message: "transfer: message can't be sent",
 			Fields:  []any{"subject", subject.Slot, "bytes", len(data), "error", err},
 		})
-		return t.takeOutputs()
+		return t.outbox.Take()
 	}
 	t.counter++
 	t.outgoing = append(t.outgoing, &outgoing{
@@ -53,7 +53,7 @@
 		progressAt:  now,
 	})
 	t.pump(now)
-	return t.takeOutputs()
+	return t.outbox.Take()
 }
 
 // occupied reports whether a message with the same slot and version is being sent to the node. One
@@ -142,7 +142,7 @@
 		Offset:   uint64(out.sentBytes),
 		Data:     data,
 	}
-	t.send(out.destination, &nodepb.Envelope{Body: &nodepb.Envelope_Fragment{Fragment: fragment}})
+	t.outbox.Send(out.destination, &nodepb.Envelope{Body: &nodepb.Envelope_Fragment{Fragment: fragment}})
 	out.sentBytes += len(data)
 	return len(data)
 }
--- a/internal/node/transfer/transfer.go
+++ b/internal/node/transfer/transfer.go
@@ -57,7 +57,7 @@
 	counter  uint64 // number of the last outgoing transfer
 	outgoing []*outgoing
 	incoming map[incomingKey]*incoming
-	outputs  []core.Output // of the current input
+	outbox   core.Outbox // of the current input
 }
 
 // New returns a state machine without transfers. Their numbers begin at a random one, so that those
@@ -75,7 +75,7 @@
 	case *nodepb.Envelope_FragmentAck:
 		t.receiveAck(now, from, body.FragmentAck)
 	}
-	return t.takeOutputs()
+	return t.outbox.Take()
 }
 
 // Tick sends unacknowledged fragments again, and ends transfers without progress.
@@ -90,7 +90,7 @@
 	}
 	t.pump(now)
 	t.expireIncoming(now)
-	return t.takeOutputs()
+	return t.outbox.Take()
 }
 
 // Deadline returns when Tick is to be called next.
@@ -107,18 +107,3 @@
 	}
 	return deadline
 }
-
-// output adds an output of the current input.
-func (t *Transfers) output(output core.Output) { t.outputs = append(t.outputs, output) }
-
-// send asks for a message to be sent.
-func (t *Transfers) send(destination string, message *nodepb.Envelope) {
-	t.output(core.Send{Destination: destination, Message: message})
-}
-
-// takeOutputs returns the outputs of an input that ends.
-func (t *Transfers) takeOutputs() []core.Output {
-	outputs := t.outputs
-	t.outputs = nil
-	return outputs
-}
