--- a/internal/aggregator/policy/hedging.go
+++ b/internal/aggregator/policy/hedging.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	minSamples    = predict.Few // answers of a query type before its pX means something
-	maxHedgeShare = 0.10        // of a search's shard requests
-	hedgeRounding = 1e-9        // a tenth of ten is one, not two
+	minSamples    = predict.MinSamples // answers of a query type before its pX means something
+	maxHedgeShare = 0.10               // of a search's shard requests
+	hedgeRounding = 1e-9               // a tenth of ten is one, not two
 )
 
 // hedgeDue is the design's: a second attempt once the first is in flight for longer than the pX of
@@ -20,7 +20,7 @@
 	if req.hedged || req.clientSending || !p.limits.mayHedge || qt.effect != Idempotent {
 		return false
 	}
-	limit, n := qt.latencies.Quantile(p.now, p.predictor.submits.CopyShare(p.now))
+	limit, n := qt.latencies.Quantile(p.now, p.predictor.submits.HedgeQuantile(p.now))
 	maxHedges := math.Ceil(maxHedgeShare*float64(search.expected) - hedgeRounding)
 	return n >= minSamples && !(p.now-last.startedAt-last.hintedExtra < limit) &&
 		float64(search.hedges) < maxHedges && !p.predictor.overloaded()
--- a/internal/aggregator/policy/policy.go
+++ b/internal/aggregator/policy/policy.go
@@ -76,8 +76,8 @@
 		retryWeight:     1,
 		sent:            newCounts(sendSpan),
 		predictor: predictor{
-			weights:         predict.Start,
-			submits:         predict.NewSubmits(),
+			weights:         predict.InitialWeights,
+			submits:         predict.NewSubmitStats(),
 			latencies:       newHistogram(latencySpan),
 			recentLatencies: newHistogram(tailSpan),
 		},
@@ -99,8 +99,8 @@
 }
 
 // newHistogram keeps latencies over a span, to a tenth of it and to a tenth of the latency.
-func newHistogram(span float64) *window.Hist {
-	return window.NewHist(histogramPhases, span/histogramPhases, 1, 1.1, 100)
+func newHistogram(span float64) *window.Histogram {
+	return window.NewHistogram(histogramPhases, span/histogramPhases, 1, 1.1, 100)
 }
 
 // newCounts keeps counts over a span, to a tenth of it, and a little longer.
--- a/internal/aggregator/policy/prediction.go
+++ b/internal/aggregator/policy/prediction.go
@@ -7,8 +7,8 @@
 
 const (
 	historySize      = predict.HistorySize
-	historyExpiry    = predict.HistoryLife
-	latencySpan      = predict.LineSpan
+	historyExpiry    = predict.HistoryExpiry
+	latencySpan      = predict.SlowLineSpan
 	hintTrust        = 0.5    // hints are rough: a small shard request is taken to be at least so big
 	slowScore        = 0.5    // a score over it predicts slow
 	latencyFadeSpan  = 10000. // ms after which a server's own latency tells nothing
@@ -26,8 +26,8 @@
 // predictor is the design's score, online: one set of weights for all servers.
 type predictor struct {
 	weights                    predict.Weights
-	submits                    predict.Submits
-	latencies, recentLatencies *window.Hist // of all servers, the second over a shorter time
+	submits                    predict.SubmitStats
+	latencies, recentLatencies *window.Histogram // of all servers, the second over a shorter time
 	avgLoad                    float64
 	minMedian                  float64 // lowest median seen: the fleet without load
 	reportedLoad, reporting    float64 // sum of the latest load reports, and how many they are
@@ -41,7 +41,7 @@
 
 // line is the latency over which an answer of the server is slow.
 func (pr *predictor) line(now float64, server *serverState) float64 {
-	return predict.Line(now, server.latencies, pr.fleetLine, pr.samples)
+	return predict.SlowLine(now, server.latencies, pr.fleetLine, pr.samples)
 }
 
 // features describe a server by its recent answers. A hang must not read as fast: an attempt in
@@ -60,27 +60,27 @@
 			f.Add(answer.latency, answer.load)
 		}
 	}
-	return f.X
+	return f.Vector
 }
 
 // teach moves the weights by one attempt whose slowness is known.
 func (pr *predictor) teach(now float64, attempt *attemptState, slow bool) {
 	attempt.taught = true
-	pr.weights.Teach(&attempt.features, slow, attempt.predictedFast)
+	pr.weights.Train(&attempt.features, slow, attempt.predictedFast)
 	if attempt.predictedFast {
-		pr.submits.Note(now, slow)
+		pr.submits.Record(now, slow)
 	}
 }
 
 // overloaded: slowness on most replicas together, where the design assumes short bursts on few. A
 // hedge then takes from another shard request what it gives to its own.
-func (pr *predictor) overloaded() bool { return predict.Crowded(pr.median, pr.minMedian) }
+func (pr *predictor) overloaded() bool { return predict.FleetSlow(pr.median, pr.minMedian) }
 
 // measureFleet takes the fleet's latencies and load at a round's start.
 func (p *Policy) measureFleet() {
 	pr := &p.predictor
 	pr.median, _ = pr.latencies.Quantile(p.now, medianShare)
-	pr.fleetLine, pr.samples = pr.latencies.Quantile(p.now, predict.LineShare)
+	pr.fleetLine, pr.samples = pr.latencies.Quantile(p.now, predict.SlowLineQuantile)
 	if pr.samples >= minSamples && (pr.minMedian == 0 || pr.median < pr.minMedian) {
 		pr.minMedian = pr.median
 	}
--- a/internal/aggregator/policy/prediction_test.go
+++ b/internal/aggregator/policy/prediction_test.go
@@ -38,7 +38,7 @@
 	if x := g.features(now+50, s, 0); g.score(x) > 0.5 {
 		t.Fatal("a part just sent reads as slow")
 	}
-	if x := g.features(now+900, s, 0); x[2] != predict.FeatureCap || g.score(x) <= 0.5 {
+	if x := g.features(now+900, s, 0); x[2] != predict.MaxFeature || g.score(x) <= 0.5 {
 		t.Fatalf("a part out for nine lines reads as fast: %v", x)
 	}
 }
--- a/internal/aggregator/policy/retry.go
+++ b/internal/aggregator/policy/retry.go
@@ -100,7 +100,7 @@
 // of its length is overdrawn.
 func (b *retryBudget) allows(now float64) bool {
 	return b.window == 0 ||
-		b.retries.Sum(now, b.window)+1 <= b.allowance+b.ratio*b.requests.Inside(now, b.window)
+		b.retries.Sum(now, b.window)+1 <= b.allowance+b.ratio*b.requests.SumWithin(now, b.window)
 }
 
 func (b *retryBudget) countRequest(now float64) {
--- a/internal/aggregator/policy/state.go
+++ b/internal/aggregator/policy/state.go
@@ -13,7 +13,7 @@
 
 	meanWork, hints float64 // of the shard requests that came with a hint, and how many they were
 	clientTime      float64 // longest time that a client had
-	latencies       *window.Hist
+	latencies       *window.Histogram
 	refusals        [RefusalReasons]int
 }
 
@@ -87,7 +87,7 @@
 	sentWork               *window.Counts
 
 	history                              [historySize]latencySample
-	latencies                            *window.Hist
+	latencies                            *window.Histogram
 	load, loadReportedAt                 float64
 	inFlightAtReport                     int
 	meanLatency, meanBatches, latencyAt  float64 // recent
--- a/internal/aggregator/policy/warmup.go
+++ b/internal/aggregator/policy/warmup.go
@@ -120,7 +120,7 @@
 	guard.maxRate *= math.Exp((guard.measuredAt - now) / rateMemory)
 	guard.measuredAt, guard.warmSize = now, warm
 	if warm > size/2 {
-		guard.maxRate = max(guard.maxRate, guard.warmWork.Inside(now, rateSpan)/rateSpan/assumedBusyShare)
+		guard.maxRate = max(guard.maxRate, guard.warmWork.SumWithin(now, rateSpan)/rateSpan/assumedBusyShare)
 	}
 }
 
--- a/internal/fleet/zonefailure/detector.go
+++ b/internal/fleet/zonefailure/detector.go
@@ -30,7 +30,7 @@
 	initialTimeoutMs float64 // as configured, without regard to the target
 	servers          []serverState
 	sites            []*siteState
-	latencies        *window.Hist
+	latencies        *window.Histogram
 	timeoutMs        float64
 	timeoutUpdatedAt float64
 	changes          []Change
@@ -44,7 +44,7 @@
 		ownSite:          ownSite,
 		latencyTargetMs:  math.Inf(1),
 		initialTimeoutMs: config.InitialTimeoutMs,
-		latencies:        window.NewHist(10, 1000, 1, 1.1, 100),
+		latencies:        window.NewHistogram(10, 1000, 1, 1.1, 100),
 		lastTurnAt:       never,
 		stallEndedAt:     never,
 		timeoutUpdatedAt: never,
--- a/internal/node/routing/admission/admission.go
+++ b/internal/node/routing/admission/admission.go
@@ -56,5 +56,5 @@
 		return false
 	}
 	quick, answers := req.Class.Quantile(now, hopelessQuantile)
-	return answers >= predict.Few && quick*req.Work > units.Milliseconds(req.Deadline-now)
+	return answers >= predict.MinSamples && quick*req.Work > units.Milliseconds(req.Deadline-now)
 }
--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -38,8 +38,8 @@
 // behind others that are late already. Then some are shed, the least urgent first, so that the rest
 // is in time (RULES.md, "Worth" and "Prices").
 type Overload struct {
-	ratios          *window.Hist // latency over target
-	shed            float64      // share of the least urgent requests to be refused
+	ratios          *window.Histogram // latency over target
+	shed            float64           // share of the least urgent requests to be refused
 	refreshedAt     core.Time
 	lowestPriority  int // urgency of the least urgent request recently; urgencies count from 0, the most urgent
 	highestPriority int
@@ -48,7 +48,7 @@
 
 // NewOverload makes the measure of a service without answers.
 func NewOverload() Overload {
-	return Overload{ratios: window.NewHist(ratioBuckets+1, overloadSpan/ratioBuckets, lowRatio, ratioStep, ratioBins)}
+	return Overload{ratios: window.NewHistogram(ratioBuckets+1, overloadSpan/ratioBuckets, lowRatio, ratioStep, ratioBins)}
 }
 
 // Received takes in a request's urgency.
--- a/internal/node/routing/brokerstate/ejector.go
+++ b/internal/node/routing/brokerstate/ejector.go
@@ -87,7 +87,7 @@
 // timeout is how long nothing may come from a broker with a call out, scaled ms, before it counts
 // as unresponsive.
 func (p *Pool) timeout(now core.Time, b *Broker) float64 {
-	if p.answers < predict.LineFew {
+	if p.answers < predict.MinSlowLineSamples {
 		return unknownTimeout
 	}
 	return max(timeoutLines*p.SlowLine(now, b), minTimeout)
--- a/internal/node/routing/brokerstate/latencies.go
+++ b/internal/node/routing/brokerstate/latencies.go
@@ -22,17 +22,17 @@
 )
 
 // NewHistogram makes an empty histogram of latencies, ms, over the predictor's window.
-func NewHistogram() *window.Hist {
-	return window.NewHist(latencyBuckets, predict.LineSpan/latencyBuckets, latencyLow, latencyStep, latencyBins)
+func NewHistogram() *window.Histogram {
+	return window.NewHistogram(latencyBuckets, predict.SlowLineSpan/latencyBuckets, latencyLow, latencyStep, latencyBins)
 }
 
 // emptyHistogram stands for a broker that has not answered yet.
-var emptyHistogram = window.NewHist(1, 1, 1, 2, 1)
+var emptyHistogram = window.NewHistogram(1, 1, 1, 2, 1)
 
 // latencies are a broker's latencies, ms, each divided by the scale of its call.
 type latencies struct {
 	history    [predict.HistorySize]sample // the newest first
-	recent     *window.Hist                // nil before the first answer
+	recent     *window.Histogram           // nil before the first answer
 	slowLine   float64                     // the cached result of Pool.SlowLine
 	slowLineAt core.Time
 	smoothed   float64
--- a/internal/node/routing/brokerstate/load.go
+++ b/internal/node/routing/brokerstate/load.go
@@ -48,6 +48,6 @@
 	}
 	reported := float64(b.report.load.Running + b.report.load.Waiting + b.inFlight - b.report.inFlight)
 	age := units.Milliseconds(now - b.report.receivedAt)
-	trust = min(max(1-(age-predict.HistoryLife)/reportFade, 0), 1)
+	trust = min(max(1-(age-predict.HistoryExpiry)/reportFade, 0), 1)
 	return max(reported, 0), trust
 }
--- a/internal/node/routing/brokerstate/pool.go
+++ b/internal/node/routing/brokerstate/pool.go
@@ -31,13 +31,13 @@
 	usualStepTime float64 // ms between two events of a stream; 0: not known
 	scratch       []float64
 	weights       predict.Weights
-	submits       predict.Submits
-	latencies     *window.Hist // all answers of the service, scaled to the usual work
-	median        float64      // of latencies, ms
-	fleetLine     float64      // the latency from which an answer in the service is slow, ms
-	answers       int          // that these stand on
-	lowestMedian  float64      // lowest median seen, ms
-	scarce        bool         // too few brokers bear no mark of loading
+	submits       predict.SubmitStats
+	latencies     *window.Histogram // all answers of the service, scaled to the usual work
+	median        float64           // of latencies, ms
+	fleetLine     float64           // the latency from which an answer in the service is slow, ms
+	answers       int               // that these stand on
+	lowestMedian  float64           // lowest median seen, ms
+	scarce        bool              // too few brokers bear no mark of loading
 	refreshedAt   core.Time
 	// lastAnswerAt is when any broker last answered.
 	lastAnswerAt core.Time
@@ -48,8 +48,8 @@
 	return &Pool{
 		switches:     switches,
 		pacesBrokers: switches.On(mechanism.BrokerPace),
-		weights:      predict.Start,
-		submits:      predict.NewSubmits(),
+		weights:      predict.InitialWeights,
+		submits:      predict.NewSubmitStats(),
 		latencies:    NewHistogram(),
 		refreshedAt:  -refreshInterval,
 	}
@@ -65,7 +65,7 @@
 	p.median, p.answers = p.latencies.Quantile(at, 0.5)
 	p.scarce = p.manyLoading()
 	p.usualStepTime = p.medianStepTime()
-	p.fleetLine, _ = p.latencies.Quantile(at, predict.LineShare)
+	p.fleetLine, _ = p.latencies.Quantile(at, predict.SlowLineQuantile)
 	if p.MedianKnown() && (p.lowestMedian == 0 || p.median < p.lowestMedian) {
 		p.lowestMedian = p.median
 	}
@@ -75,10 +75,10 @@
 func (p *Pool) Median() float64 { return p.median }
 
 // MedianKnown reports whether the median stands on enough answers.
-func (p *Pool) MedianKnown() bool { return p.answers >= predict.Few }
+func (p *Pool) MedianKnown() bool { return p.answers >= predict.MinSamples }
 
 // Crowded reports whether the service as a whole is slower than it can be.
-func (p *Pool) Crowded() bool { return predict.Crowded(p.median, p.lowestMedian) }
+func (p *Pool) Crowded() bool { return predict.FleetSlow(p.median, p.lowestMedian) }
 
 // manyLoading reports whether fewer brokers than the rest can do without are free of the mark that
 // they load new weights.
--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -47,11 +47,11 @@
 	}
 	expires := p.switches.On(mechanism.HistoryExpiry)
 	for _, past := range b.latencies.history {
-		if past.latency > 0 && (!expires || units.Milliseconds(now-past.measuredAt) < predict.HistoryLife) {
+		if past.latency > 0 && (!expires || units.Milliseconds(now-past.measuredAt) < predict.HistoryExpiry) {
 			features.Add(past.latency, past.load)
 		}
 	}
-	return features.X
+	return features.Vector
 }
 
 // SlowLine is the latency from which an answer of the broker counts as slow, ms.
@@ -64,7 +64,7 @@
 	if own == nil {
 		own = emptyHistogram
 	}
-	l.slowLine = predict.Line(units.Milliseconds(now), own, p.fleetLine, p.answers)
+	l.slowLine = predict.SlowLine(units.Milliseconds(now), own, p.fleetLine, p.answers)
 	l.slowLineAt = now
 	return l.slowLine
 }
@@ -75,9 +75,9 @@
 		return
 	}
 	c.taught = true
-	p.weights.Teach(&c.Features, slow, c.PredictedFast)
+	p.weights.Train(&c.Features, slow, c.PredictedFast)
 	if c.PredictedFast {
-		p.submits.Note(units.Milliseconds(now), slow)
+		p.submits.Record(units.Milliseconds(now), slow)
 	}
 }
 
@@ -91,5 +91,5 @@
 // HedgeQuantile is the quantile of latencies after which a call is hedged: the design's pX, lower
 // where many predictions of fast answers were wrong.
 func (p *Pool) HedgeQuantile(now core.Time) float64 {
-	return p.submits.CopyShare(units.Milliseconds(now))
+	return p.submits.HedgeQuantile(units.Milliseconds(now))
 }
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -138,7 +138,7 @@
 		return now
 	}
 	usual, answers := req.Class.Quantile(now, firstTokenShare)
-	if answers < predict.Few {
+	if answers < predict.MinSamples {
 		usual = req.Route.TargetLatencyMs
 	}
 	lead := units.FromMilliseconds(FirstTokenFactor * usual * req.Work)
--- a/internal/node/routing/hedge.go
+++ b/internal/node/routing/hedge.go
@@ -25,7 +25,7 @@
 	delay, answers := req.Class.Quantile(now, req.Pool.HedgeQuantile(now))
 	usual, _ := req.Class.Quantile(now, 0.5)
 	delay = max(delay, usual/maxUsualShare) * req.Work
-	if answers < predict.Few {
+	if answers < predict.MinSamples {
 		delay = blindHedge * req.Route.TargetLatencyMs
 	}
 	at := now + units.FromMilliseconds(max(delay, minHedgeDelay))
--- a/internal/node/routing/retrybudget/retrybudget.go
+++ b/internal/node/routing/retrybudget/retrybudget.go
@@ -107,7 +107,7 @@
 // allowance is how many arrivals beyond the first this proxy may cause in the window that ends now.
 func (l *Limits) allowance(now core.Time, b *Budget) float64 {
 	span := units.Milliseconds(l.window)
-	allowed := l.Ratio * b.requests.Inside(units.Milliseconds(now), span)
+	allowed := l.Ratio * b.requests.SumWithin(units.Milliseconds(now), span)
 	if count := l.Proxies.Max(now); count > 0 && now >= l.slackFrom {
 		allowed += l.Slack / float64(max(count, minProxies))
 	}
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -27,10 +27,10 @@
 
 // Class is what is usual of one route's requests. Make one by Classes.Get.
 type Class struct {
-	latencies   *window.Hist // to the first byte, divided by the request's work, ms
-	tokens      float64      // usual length of a prompt
-	median      float64      // of latencies, ms
-	answers     int          // that it stands on
+	latencies   *window.Histogram // to the first byte, divided by the request's work, ms
+	tokens      float64           // usual length of a prompt
+	median      float64           // of latencies, ms
+	answers     int               // that it stands on
 	refreshedAt core.Time
 	usedAt      core.Time
 	// longestWait is the most time that a client had recently for a request, and longestWaitAt
@@ -69,7 +69,7 @@
 		c.median, c.answers = c.Quantile(now, 0.5)
 	}
 	scale := c.Work(tokens)
-	if c.answers >= predict.LineFew && p.MedianKnown() && p.Median() > 0 {
+	if c.answers >= predict.MinSlowLineSamples && p.MedianKnown() && p.Median() > 0 {
 		scale *= c.median / p.Median()
 	}
 	return scale
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -10,7 +10,7 @@
 	if got := c.Sum(1950, 500); got < 10 || got > 12 {
 		t.Errorf("Sum: %v, want at least the 10 that came", got)
 	}
-	if got := c.Inside(1950, 500); got > 11 || got < 8 {
+	if got := c.SumWithin(1950, 500); got > 11 || got < 8 {
 		t.Errorf("Inside: %v, want at most what came", got)
 	}
 	if got := c.Sum(5000, 500); got != 0 {
@@ -19,7 +19,7 @@
 }
 
 func TestQuantileForgetsWhatIsOld(t *testing.T) {
-	h := NewHist(4, 100, 1, 1.1, 60)
+	h := NewHistogram(4, 100, 1, 1.1, 60)
 	for v := 1.0; v <= 100; v++ {
 		h.Add(0, v)
 	}
