--- a/internal/fleet/capacity/capacity.go
+++ b/internal/fleet/capacity/capacity.go
@@ -113,7 +113,7 @@
 		return
 	}
 	changed := e.usable > 0 && usable != e.usable
-	if e.admittedShare < 1 && changed && !plantBlind {
+	if e.admittedShare < 1 && changed && !mutantBlind {
 		e.admittedShare = min(max(e.admittedShare*usable/e.usable, e.config.MinShare), 1)
 	}
 	e.usable = usable
@@ -231,7 +231,7 @@
 	case harm > maxHarm:
 		e.admittedShare = max(e.admittedShare*e.config.DecreaseFactor, e.config.MinShare)
 		e.Decreases++
-	case harm < lowHarm && !plantStuck:
+	case harm < lowHarm && !mutantStuck:
 		e.increaseShare()
 	}
 }
@@ -251,7 +251,7 @@
 	}
 	beyond := (1 - e.admittedShare) * total
 	for i := range e.levels {
-		if plantMost {
+		if mutantHighestFirst {
 			i = len(e.levels) - 1 - i
 		}
 		demand := e.demandAt(i)
--- a/internal/fleet/capacity/capacity_test.go
+++ b/internal/fleet/capacity/capacity_test.go
@@ -181,10 +181,10 @@
 }
 
 func TestPlantedDefects(t *testing.T) {
-	if testing.Short() || plantAny {
+	if testing.Short() || mutantAny {
 		t.Skip("builds the package once for each")
 	}
-	for _, tag := range []string{"plant_most", "plant_stuck", "plant_blind"} {
+	for _, tag := range []string{"mutant_highest_first", "mutant_stuck", "mutant_blind"} {
 		out, err := exec.Command("go", "test", "-count=1", "-short", "-tags", tag, ".").CombinedOutput()
 		if err == nil || !strings.Contains(string(out), "--- FAIL") {
 			t.Errorf("%s was not found: %v\n%.1000s", tag, err, out)
--- a/internal/fleet/lease/fence/fence.go
+++ b/internal/fleet/lease/fence/fence.go
@@ -47,7 +47,7 @@
 	if e.Role == "" || e.Token == 0 || e.Key == "" {
 		return false, false, fmt.Errorf("an effect without duty, token or key: %+v", e)
 	}
-	if e.Token < s.Tokens[e.Role] && !plantNoFence {
+	if e.Token < s.Tokens[e.Role] && !mutantNoFence {
 		return false, false, ErrStaleToken
 	}
 	_, done = s.Keys[e.Role][e.Key]
--- /dev/null
+++ b/internal/fleet/lease/fence/mutant_none.go
@@ -0,0 +1,5 @@
+//go:build !mutant_nofence
+
+package fence
+
+const mutantNoFence = false
--- a/internal/fleet/lease/fence/plant_none.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !plant_nofence
-
-package fence
-
-const plantNoFence = false
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -39,7 +39,7 @@
 // trustedSpanMs is how long a holder trusts a lease. It counts from when the request was sent,
 // not from when the response arrived, and is shorter than the lessor's span by the clock drift.
 func (h *Holder) trustedSpanMs() float64 {
-	if plantLongHold {
+	if mutantLongHold {
 		return 1.5 * h.config.LeaseMs
 	}
 	return h.config.LeaseMs * (1 - h.config.MaxDrift)
@@ -53,10 +53,10 @@
 	if current != nil && token < current.Token {
 		return nil
 	}
-	if token <= h.endedTokens[role] && !plantBack {
+	if token <= h.endedTokens[role] && !mutantBack {
 		return h.handleEndedGrant(role, token)
 	}
-	if plantAnswerTime {
+	if mutantAnswerTime {
 		sentAt = now
 	}
 	expiresAt := sentAt + h.trustedSpanMs()
--- a/internal/fleet/lease/lessor.go
+++ b/internal/fleet/lease/lessor.go
@@ -75,7 +75,7 @@
 		role := l.state.Roles[name]
 		if role.Holder != "" {
 			span := l.config.lessorSpanMs()
-			if plantNoWait {
+			if mutantNoWait {
 				span = 0
 			}
 			l.expiries[name] = expiry{role.Token, now + span}
@@ -128,7 +128,7 @@
 		return false, false
 	}
 	current, known := l.expiries[name]
-	if known && current.token == token && now >= current.expiresAt && !plantRevive {
+	if known && current.token == token && now >= current.expiresAt && !mutantRevive {
 		return false, false // its expiry may be in the log already
 	}
 	if role.NextHolder != "" && role.NextHolder != instance {
--- a/internal/fleet/lease/membership/membership.go
+++ b/internal/fleet/lease/membership/membership.go
@@ -254,7 +254,7 @@
 	if hello.Founders[r.self.VoterID] == r.self.Name {
 		step.VoterID, step.Founders = r.self.VoterID, hello.Founders
 	}
-	if plantByName { // a planted defect: a voter without its disk takes its old id, and may vote twice
+	if mutantByName { // a planted defect: a voter without its disk takes its old id, and may vote twice
 		for id, name := range hello.Founders {
 			if name == r.self.Name {
 				step.VoterID, step.Founders = id, hello.Founders
--- /dev/null
+++ b/internal/fleet/lease/replica/mutant_none.go
@@ -0,0 +1,7 @@
+//go:build !mutant_unconfirmed
+
+package replica
+
+const (
+	mutantUnconfirmed = false
+)
--- a/internal/fleet/lease/replica/plant_none.go
+++ /dev/null
@@ -1,7 +0,0 @@
-//go:build !plant_unconfirmed
-
-package replica
-
-const (
-	plantUnconfirmed = false
-)
--- a/internal/fleet/lease/replica/replica.go
+++ b/internal/fleet/lease/replica/replica.go
@@ -153,7 +153,7 @@
 
 // confirmInBatch calls done once a quorum has confirmed the lead after this call.
 func (r *Replica) confirmInBatch(done func(ok bool)) {
-	if plantUnconfirmed {
+	if mutantUnconfirmed {
 		done(true)
 		return
 	}
--- a/internal/fleet/lease/state.go
+++ b/internal/fleet/lease/state.go
@@ -151,7 +151,7 @@
 		return "it is kept for " + role.NextHolder
 	}
 	role.Holder, role.NextHolder, role.Forced = c.Target, "", false
-	if !plantReuse {
+	if !mutantReuse {
 		role.Token = s.NextToken
 		s.NextToken++
 	}
@@ -182,10 +182,10 @@
 // setProgress stores the holder's progress. Under one token it is numbered, so that progress
 // which was held up on its way can't overwrite later progress.
 func (s *State) setProgress(role *Role, c Command) (rejection string) {
-	if (c.Token != role.Token || role.Holder == "") && !plantOldProgress {
+	if (c.Token != role.Token || role.Holder == "") && !mutantOldProgress {
 		return ReasonStaleToken
 	}
-	if c.Token == role.ProgressToken && c.ProgressSeq < role.ProgressSeq && !plantOldWord {
+	if c.Token == role.ProgressToken && c.ProgressSeq < role.ProgressSeq && !mutantOldWord {
 		return ReasonStaleProgress
 	}
 	role.Progress = c.Progress
--- a/internal/standin/leasesim/leasesim_test.go
+++ b/internal/standin/leasesim/leasesim_test.go
@@ -79,10 +79,10 @@
 	}
 	// Two that show soon, here; the others take up to some hundred seeds: go test -run Planted
 	// ./internal/standin/leasesim -args -planted
-	tags := []string{"plant_reuse", "plant_answertime"}
+	tags := []string{"mutant_reuse", "mutant_answertime"}
 	if *planted {
-		tags = append(tags, "plant_back", "plant_oldword", "plant_revive", "plant_oldprogress", "plant_nowait", "plant_longhold",
-			"plant_nofence", "plant_unconfirmed", "plant_byname")
+		tags = append(tags, "mutant_back", "mutant_oldword", "mutant_revive", "mutant_oldprogress", "mutant_nowait", "mutant_longhold",
+			"mutant_nofence", "mutant_unconfirmed", "mutant_byname")
 	}
 	for _, tag := range tags {
 		out, err := exec.Command("go", "test", "-count=1", "-tags", tag, "-run", "TestSeeds", ".", "-args", "-seeds", "600").CombinedOutput()
