--- a/internal/grpcproxy/doc.go
+++ b/internal/grpcproxy/doc.go
@@ -16,6 +16,7 @@
 //   - The bytes that are buffered for calls are counted, for the proxy and for each client connection.
 //     Either side of a call is credited only for bytes that were passed on or are within its buffer,
 //     so that a peer that doesn't read stalls its own call and no other.
-//   - A request whose headers the network hasn't taken is never started for a client that has gone
-//     or beyond the time until which the engine allows it.
+//   - An attempt of whose headers the network has taken nothing is withdrawn once its client has gone
+//     or the engine no longer allows its start. Written headers can't be withdrawn alone: if they stay
+//     stalled (stalledConnGrace, at most), their connection is closed.
 package grpcproxy
