--- a/internal/fleet/capacity/mutant_blind.go
+++ b/internal/fleet/capacity/mutant_blind.go
@@ -3,8 +3,8 @@
 package capacity
 
 const (
-	mutantHighestFirst  = false
-	mutantStuck = false
-	mutantBlind = true
+	mutantHighestFirst = false
+	mutantStuck        = false
+	mutantBlind        = true
 )
 const mutantAny = true
--- a/internal/fleet/capacity/mutant_highest_first.go
+++ b/internal/fleet/capacity/mutant_highest_first.go
@@ -3,8 +3,8 @@
 package capacity
 
 const (
-	mutantHighestFirst  = true
-	mutantStuck = false
-	mutantBlind = false
+	mutantHighestFirst = true
+	mutantStuck        = false
+	mutantBlind        = false
 )
 const mutantAny = true
--- a/internal/fleet/capacity/mutant_none.go
+++ b/internal/fleet/capacity/mutant_none.go
@@ -4,8 +4,8 @@
 
 // Planted defects, each behind a build tag: TestPlantedDefects shows that each is found.
 const (
-	mutantHighestFirst  = false // the highest values are rejected first
-	mutantStuck = false // a threshold once set stays
-	mutantBlind = false // the share is not scaled after a loss
+	mutantHighestFirst = false // the highest values are rejected first
+	mutantStuck        = false // a threshold once set stays
+	mutantBlind        = false // the share is not scaled after a loss
 )
 const mutantAny = false
--- a/internal/fleet/capacity/mutant_stuck.go
+++ b/internal/fleet/capacity/mutant_stuck.go
@@ -3,8 +3,8 @@
 package capacity
 
 const (
-	mutantHighestFirst  = false
-	mutantStuck = true
-	mutantBlind = false
+	mutantHighestFirst = false
+	mutantStuck        = true
+	mutantBlind        = false
 )
 const mutantAny = true
--- a/internal/grpcproxy/callend.go
+++ b/internal/grpcproxy/callend.go
@@ -116,7 +116,7 @@
 	if k.ended {
 		return
 	}
-	if plantLost && !k.stream.HeadersSent() {
+	if mutantLost && !k.stream.HeadersSent() {
 		k.release()
 		return
 	}
--- /dev/null
+++ b/internal/grpcproxy/mutant_repeat.go
@@ -0,0 +1,9 @@
+//go:build mutant_repeat
+
+package grpcproxy
+
+const (
+	mutantRepeat = true
+	mutantLost   = false
+	mutantDrain  = false
+)
--- a/internal/grpcproxy/plant_repeat.go
+++ /dev/null
@@ -1,9 +0,0 @@
-//go:build plant_repeat
-
-package grpcproxy
-
-const (
-	plantRepeat = true
-	plantLost   = false
-	plantDrain  = false
-)
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -363,7 +363,7 @@
 	if testing.Short() {
 		t.Skip("builds the package thrice")
 	}
-	for tag, sign := range map[string]string{"plant_repeat": "rule", "plant_lost": "rule 1", "plant_drain": "rule 3"} {
+	for tag, sign := range map[string]string{"mutant_repeat": "rule", "mutant_lost": "rule 1", "mutant_drain": "rule 3"} {
 		out, err := exec.Command("go", "test", "-count=1", "-tags", tag, "-failfast", "-run", "TestRandomScripts", "-args", "-seeds", "1500").CombinedOutput()
 		if err == nil || !strings.Contains(string(out), sign) {
 			t.Errorf("%s was not found: %v\n%.2000s", tag, err, out)
--- a/internal/grpcproxy/response.go
+++ b/internal/grpcproxy/response.go
@@ -63,7 +63,7 @@
 	if k.committed != nil {
 		return
 	}
-	if !plantRepeat && !k.proxy.router.Committed(a.sub, true) {
+	if !mutantRepeat && !k.proxy.router.Committed(a.sub, true) {
 		k.proxy.Counters.LateResponses++
 		a.stop()
 		k.proxy.router.Ended(a.sub, policy.Cancelled)
--- a/internal/grpcproxy/servers.go
+++ b/internal/grpcproxy/servers.go
@@ -40,7 +40,7 @@
 	}
 	before := entry.address
 	entry.address, entry.hasAddress = p.settings.Addresses.AddressOf(entry.id, entry.listed)
-	accepting := entry.hasAddress && (entry.state == policy.Ready || plantDrain)
+	accepting := entry.hasAddress && (entry.state == policy.Ready || mutantDrain)
 	moved := before.IsValid() && before != entry.address
 	p.pool.UpdateServer(p.router.Now(), index, accepting, moved)
 	if !entry.hasAddress || entry.state != policy.Ready {
