--- a/internal/node/forward/receive.go
+++ b/internal/node/forward/receive.go
@@ -110,7 +110,7 @@
 		result.body = body
 		a.releaseConn()
 		return result
-	case err == errTooLarge:
+	case errors.Is(err, errTooLarge):
 		a.reportStarted()
 		result.prefix = body
 		return result
