--- a/internal/node/routing/admission/words_golden_test.go
+++ b/internal/node/routing/admission/words_golden_test.go
@@ -1,23 +1,21 @@
-package admission_test
+package admission
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
-
-	"kestrelspread/internal/node/routing/admission"
 )
 
 // TestReasonsAreCalledAsOperatorsReadThem: the status of a node counts refusals by these words.
 func TestReasonsAreCalledAsOperatorsReadThem(t *testing.T) {
-	for word, reason := range map[string]admission.Reason{
-		"no broker known":    admission.NoBroker,
-		"all brokers full":   admission.Full,
-		"retry budget spent": admission.Budget,
-		"deadline too close": admission.Deadline,
-		"no attempt left":    admission.Attempts,
-		"no broker in reach": admission.Unhealthy,
-		"too much waits":     admission.Late,
+	for word, reason := range map[string]Reason{
+		"no broker known":    NoBroker,
+		"all brokers full":   Full,
+		"retry budget spent": Budget,
+		"deadline too close": Deadline,
+		"no attempt left":    Attempts,
+		"no broker in reach": Unhealthy,
+		"too much waits":     Late,
 	} {
 		assert.Equal(t, string(reason), word)
 	}
--- a/internal/node/routing/cachesalt/salts_golden_test.go
+++ b/internal/node/routing/cachesalt/salts_golden_test.go
@@ -1,11 +1,9 @@
-package cachesalt_test
+package cachesalt
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
-
-	"kestrelspread/internal/node/routing/cachesalt"
 )
 
 // TestSaltsAreThoseOfOtherNodes: brokers find cached parts, and nodes tell each other of them, by these texts and numbers. They are
@@ -21,7 +19,7 @@
 		{"daka510000", 3, "", "daka510000|3", 13937833645475395689},
 		{"m/\u00e9 x", 12, "ten|ant", "m%2f%c3%a9%20x|12|ten%7cant", 2045693437577175244},
 	} {
-		assert.Equal(t, cachesalt.Text(c.model, c.version, c.tenant), c.text)
-		assert.Equal(t, cachesalt.ID(c.text), c.id)
+		assert.Equal(t, Text(c.model, c.version, c.tenant), c.text)
+		assert.Equal(t, ID(c.text), c.id)
 	}
 }
