--- a/internal/rig/load.go
+++ b/internal/rig/load.go
@@ -25,97 +25,107 @@
 	"kestrelspread/internal/standin/sockets"
 )
 
-// Tally is what came of a load by one front. Latencies are those of answered searches, in µs.
+// outcome is how a search ended.
+type outcome uint8
+
+const (
+	answered outcome = iota
+	shed
+	failed
+)
+
+// Tally counts the outcomes of a load on one front. Latencies are those of answered searches. It is safe for concurrent use.
 type Tally struct {
-	lock                    sync.Mutex
+	mutex                   sync.Mutex
 	Answered, Shed, Errored int
-	Hist                    *hdrhistogram.Histogram
+	LatencyUs               *hdrhistogram.Histogram
 }
 
-func newTally() *Tally { return &Tally{Hist: hdrhistogram.New(1, 60e6, 3)} }
+func newTally() *Tally { return &Tally{LatencyUs: hdrhistogram.New(1, 60e6, 3)} }
 
-// All counts the searches that have their end.
-func (t *Tally) All() int {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+// Total counts the searches that have ended.
+func (t *Tally) Total() int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	return t.Answered + t.Shed + t.Errored
 }
 
-func (t *Tally) add(how int, took time.Duration) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	switch how {
-	case 0:
+// add counts a search.
+func (t *Tally) add(ended outcome, latency time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	switch ended {
+	case answered:
 		t.Answered++
-		t.Hist.RecordValue(max(took.Microseconds(), 1))
-	case 1:
+		t.LatencyUs.RecordValue(max(latency.Microseconds(), 1))
+	case shed:
 		t.Shed++
 	default:
 		t.Errored++
 	}
 }
 
-// Ms gives a quantile in ms.
-func (t *Tally) Ms(q float64) float64 {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	return float64(t.Hist.ValueAtQuantile(q)) / 1000
+// QuantileMs is a quantile of the latency, in ms.
+func (t *Tally) QuantileMs(q float64) float64 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return float64(t.LatencyUs.ValueAtQuantile(q)) / 1000
 }
 
-// Load is one stream of searches at one broker. The rules are checked on all of it.
+// Load is a stream of searches at one broker. The invariants are checked on all of it.
 type Load struct {
-	Broker *Broker
-	HTTP   *Tally
-	GRPC   *Tally
-	rig    *Rig
-	lock   sync.Mutex
-	book   *rules.Book
-	start  time.Time
-	client *http.Client
-	conns  []*grpc.ClientConn
-	serial atomic.Int64
-	prefix string
-	busy   sync.WaitGroup
+	Broker      *Broker
+	HTTP        *Tally
+	GRPC        *Tally
+	cluster     *Cluster
+	mutex       sync.Mutex
+	invariants  *rules.Book
+	startedAt   time.Time
+	client      *http.Client
+	conns       []*grpc.ClientConn
+	lastQueryID atomic.Int64
+	idPrefix    string
+	tasks       sync.WaitGroup
 }
 
-// Dial opens connections of gRPC to an address.
-func Dial(at string, n int) (list []*grpc.ClientConn, err error) {
-	for range n {
-		c, err := grpc.NewClient(at, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
+// DialGRPC opens count gRPC connections to an address, without retries.
+func DialGRPC(address string, count int) (conns []*grpc.ClientConn, err error) {
+	for range count {
+		c, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
 			grpc.WithDefaultCallOptions(grpc.ForceCodec(sockets.Raw{})))
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, c)
+		conns = append(conns, c)
 	}
-	return list, nil
+	return conns, nil
 }
 
-// NewLoad prepares a load on a broker. All loads of a rig share its servers' ears: they are told apart by their ids.
-func (r *Rig) NewLoad(b *Broker) (*Load, error) {
-	l := &Load{Broker: b, HTTP: newTally(), GRPC: newTally(), rig: r, book: rules.New(), start: time.Now(),
-		prefix: fmt.Sprint("l", b.PID, "-"),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 5 * time.Second}}}
-	l.book.Slack = 100 // this process's own scheduling is no fault of the broker's
-	if b.GRPC != "" {
+// NewLoad prepares a load on a broker. The loads of a cluster are told apart by the prefixes of their IDs.
+func (c *Cluster) NewLoad(b *Broker) (*Load, error) {
+	l := &Load{Broker: b, HTTP: newTally(), GRPC: newTally(), cluster: c, invariants: rules.New(), startedAt: time.Now(),
+		idPrefix: fmt.Sprint("l", b.PID, "-"),
+		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 5 * time.Second}}}
+	l.invariants.Slack = 100 // for the scheduling of this process, which the broker can't help
+	if b.GRPCAddress != "" {
 		var err error
-		if l.conns, err = Dial(b.GRPC, 4); err != nil {
+		if l.conns, err = DialGRPC(b.GRPCAddress, 4); err != nil {
 			return nil, err
 		}
 	}
 	return l, nil
 }
 
-// Hear has the servers tell the loads' books what they were sent.
-func (r *Rig) Hear(loads ...*Load) {
-	for _, s := range r.Servers {
+// ObserveServers records what the servers receive with the invariants of the loads.
+func (c *Cluster) ObserveServers(loads ...*Load) {
+	for _, s := range c.Servers {
 		seen := func(id string) func(string) {
 			id, part, _ := strings.Cut(id, ".")
 			for _, l := range loads {
-				if strings.HasPrefix(id, l.prefix) {
-					l.lock.Lock()
-					l.book.Sent(id, part, s.ID, l.now())
-					l.lock.Unlock()
+				if strings.HasPrefix(id, l.idPrefix) {
+					l.mutex.Lock()
+					l.invariants.Sent(id, part, s.ID, l.now())
+					l.mutex.Unlock()
 					return func(string) {}
 				}
 			}
@@ -125,92 +135,94 @@
 	}
 }
 
-func (l *Load) now() float64 { return float64(time.Since(l.start).Microseconds()) / 1000 }
+// now is the time of the load, in ms.
+func (l *Load) now() float64 { return float64(time.Since(l.startedAt).Microseconds()) / 1000 }
 
-func (l *Load) asked(id string, once bool, until float64) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+// recordQuery records a search as it is sent.
+func (l *Load) recordQuery(id string, once bool, until float64) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	effect := rules.Idempotent
 	if once {
 		effect = rules.NonIdempotent
 	}
-	l.book.Asked(id, effect, l.now(), until)
+	l.invariants.Asked(id, effect, l.now(), until)
 }
 
-func (l *Load) final(id string, whole bool, got, want string, harmless bool) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if whole {
-		l.book.Answered(id, []byte(want))
+// recordAnswer records the end of a search.
+func (l *Load) recordAnswer(id string, complete bool, received, expected string, wasShed bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if complete {
+		l.invariants.Answered(id, []byte(expected))
 	}
-	l.book.Final(id, l.now(), whole, []byte(got), harmless)
+	l.invariants.Final(id, l.now(), complete, []byte(received), wasShed)
 }
 
-// Broken lists the rules that were broken so far.
-func (l *Load) Broken() []string {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	return l.book.Check(l.now())
+// Violations lists the violations of invariants so far.
+func (l *Load) Violations() []string {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.invariants.Check(l.now())
 }
 
-const timeout = 1000 * time.Millisecond
+// queryTimeout is the deadline of each search.
+const queryTimeout = 1000 * time.Millisecond
 
-// Run loads the broker by both fronts at so many searches a second each, until the context ends, and waits for the last
-// answers.
-func (l *Load) Run(ctx context.Context, http, grpc float64) {
-	next := func(rate float64, do func(id string, once bool)) {
-		if rate <= 0 {
-			return
-		}
-		l.busy.Add(1)
-		go func() {
-			defer l.busy.Done()
-			for t := time.NewTimer(0); ; t.Reset(time.Duration(rand.ExpFloat64() / rate * 1e9)) {
-				select {
-				case <-ctx.Done():
-					return
-				case <-t.C:
-				}
-				n := l.serial.Add(1)
-				l.busy.Add(1)
-				go func() {
-					defer l.busy.Done()
-					do(fmt.Sprint(l.prefix, n), n%5 == 0)
-				}()
-			}
-		}()
+// Run sends searches to both fronts, at rates per second, until the context ends, and waits for the last answers.
+func (l *Load) Run(ctx context.Context, httpRate, grpcRate float64) {
+	l.generate(ctx, httpRate, l.sendHTTP)
+	l.generate(ctx, grpcRate, l.sendGRPC)
+	l.tasks.Wait()
+}
+
+// nonIdempotentEvery is how often a search must not run twice: every fifth time.
+const nonIdempotentEvery = 5
+
+// generate starts a Poisson process of searches.
+func (l *Load) generate(ctx context.Context, rate float64, send func(id string, once bool)) {
+	if rate <= 0 {
+		return
 	}
-	next(http, l.byHTTP)
-	next(grpc, l.byGRPC)
-	l.busy.Wait()
+	l.tasks.Go(func() {
+		for timer := time.NewTimer(0); ; timer.Reset(time.Duration(rand.ExpFloat64() / rate * 1e9)) {
+			select {
+			case <-ctx.Done():
+				return
+			case <-timer.C:
+			}
+			n := l.lastQueryID.Add(1)
+			l.tasks.Go(func() { send(fmt.Sprint(l.idPrefix, n), n%nonIdempotentEvery == 0) })
+		}
+	})
 }
 
-// byHTTP asks two shards.
-func (l *Load) byHTTP(id string, once bool) {
-	kind, first := "quick", int(l.serial.Load())%l.rig.Shards
+// sendHTTP searches two shards over HTTP.
+func (l *Load) sendHTTP(id string, once bool) {
+	kind, first := "quick", int(l.lastQueryID.Load())%l.cluster.ShardCount
 	if once {
 		kind = "once"
 	}
-	second := (first + 1) % l.rig.Shards
-	at := time.Now()
-	l.asked(id, once, l.now()+timeout.Seconds()*1000)
+	second := (first + 1) % l.cluster.ShardCount
+	sentAt := time.Now()
+	l.recordQuery(id, once, l.now()+queryTimeout.Seconds()*1000)
 	body := fmt.Sprintf(`{"segments":[{"segment":%d,"boost":0.5},{"segment":%d,"boost":0.5}],"text":%q}`, first, second, id)
-	req, _ := http.NewRequest("POST", "http://"+l.Broker.HTTP+"/api", strings.NewReader(body))
+	req, _ := http.NewRequest("POST", "http://"+l.Broker.HTTPAddress+"/api", strings.NewReader(body))
 	req.Header.Set("X-Call-Id", id)
 	req.Header.Set("X-Call-Class", kind)
-	req.Header.Set("X-Budget-Ms", strconv.Itoa(int(timeout.Milliseconds())))
-	ctx, cancel := context.WithTimeout(context.Background(), timeout+500*time.Millisecond)
+	req.Header.Set("X-Budget-Ms", strconv.Itoa(int(queryTimeout.Milliseconds())))
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout+500*time.Millisecond)
 	defer cancel()
 	resp, err := l.client.Do(req.WithContext(ctx))
 	if err != nil {
-		l.final(id, false, "", "", false)
-		l.HTTP.add(2, 0)
+		l.recordAnswer(id, false, "", "", false)
+		l.HTTP.add(failed, 0)
 		return
 	}
 	text, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	switch resp.StatusCode {
-	case 200:
+	case http.StatusOK:
 		var answer struct {
 			AllIn   bool `json:"all_in"`
 			Matches []struct {
@@ -224,42 +236,43 @@
 			got += fmt.Sprint(m.Segment, "=", m.Payload, " ")
 		}
 		want := fmt.Sprintf("%d=%s %d=%s ", first, sockets.Value(first, id), second, sockets.Value(second, id))
-		l.final(id, answer.AllIn, got, want, false)
-		l.HTTP.add(0, time.Since(at))
-	case 503, 429:
-		l.final(id, false, "", "", true)
-		l.HTTP.add(1, 0)
+		l.recordAnswer(id, answer.AllIn, got, want, false)
+		l.HTTP.add(answered, time.Since(sentAt))
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		l.recordAnswer(id, false, "", "", true)
+		l.HTTP.add(shed, 0)
 	default:
-		l.final(id, false, "", "", false)
-		l.HTTP.add(2, 0)
+		l.recordAnswer(id, false, "", "", false)
+		l.HTTP.add(failed, 0)
 	}
 }
 
-func (l *Load) byGRPC(id string, once bool) {
-	n := int(l.serial.Load())
+// sendGRPC calls a unary method over gRPC.
+func (l *Load) sendGRPC(id string, once bool) {
+	n := int(l.lastQueryID.Load())
 	service := "/demo.Quick/Get"
 	if once {
 		service = "/demo.Once/Put"
 	}
-	at := time.Now()
-	l.asked(id, once, l.now()+timeout.Seconds()*1000)
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	sentAt := time.Now()
+	l.recordQuery(id, once, l.now()+queryTimeout.Seconds()*1000)
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
-	ctx = metadata.AppendToOutgoingContext(ctx, "x-shard", strconv.Itoa(n%l.rig.Shards), "x-id", id)
+	ctx = metadata.AppendToOutgoingContext(ctx, "x-shard", strconv.Itoa(n%l.cluster.ShardCount), "x-id", id)
 	in, out := []byte(id), []byte(nil)
 	var tail metadata.MD
 	err := l.conns[n%len(l.conns)].Invoke(ctx, service, &in, &out, grpc.Trailer(&tail))
 	switch code := status.Code(err); {
 	case code == codes.OK:
-		l.final(id, true, string(out), id, false)
-		l.GRPC.add(0, time.Since(at))
+		l.recordAnswer(id, true, string(out), id, false)
+		l.GRPC.add(answered, time.Since(sentAt))
 	case (code == codes.Unavailable || code == codes.ResourceExhausted) && len(tail.Get("grpc-retry-pushback-ms")) > 0 &&
 		tail.Get("grpc-retry-pushback-ms")[0][0] != '-':
-		l.final(id, false, "", "", true)
-		l.GRPC.add(1, 0)
+		l.recordAnswer(id, false, "", "", true)
+		l.GRPC.add(shed, 0)
 	default:
-		l.final(id, false, "", "", false)
-		l.GRPC.add(2, 0)
+		l.recordAnswer(id, false, "", "", false)
+		l.GRPC.add(failed, 0)
 	}
 }
 
@@ -271,12 +284,13 @@
 	l.client.CloseIdleConnections()
 }
 
-// Echo calls one unary method again and again on some connections for a while, and tells how often and how long.
-func Echo(conns []*grpc.ClientConn, workers int, span time.Duration, body []byte, fields ...string) (*Tally, error) {
+// EchoLoad calls a unary method repeatedly on some connections, with a number of workers, for a while. The error is that of the last
+// failed call, if none was answered.
+func EchoLoad(conns []*grpc.ClientConn, workers int, duration time.Duration, body []byte, fields ...string) (*Tally, error) {
 	t := newTally()
 	var wait sync.WaitGroup
-	var failed atomic.Pointer[error]
-	end := time.Now().Add(span)
+	var lastErr atomic.Pointer[error]
+	end := time.Now().Add(duration)
 	for w := range workers {
 		wait.Add(1)
 		go func() {
@@ -284,21 +298,21 @@
 			ctx := metadata.AppendToOutgoingContext(context.Background(), fields...)
 			var out []byte
 			for time.Now().Before(end) {
-				at := time.Now()
-				short, cancel := context.WithTimeout(ctx, timeout)
+				sentAt := time.Now()
+				short, cancel := context.WithTimeout(ctx, queryTimeout)
 				err := conns[w%len(conns)].Invoke(short, "/demo.Quick/Get", &body, &out)
 				cancel()
 				if err != nil || !bytes.Equal(out, body) {
-					failed.Store(&err)
-					t.add(2, 0)
+					lastErr.Store(&err)
+					t.add(failed, 0)
 					continue
 				}
-				t.add(0, time.Since(at))
+				t.add(answered, time.Since(sentAt))
 			}
 		}()
 	}
 	wait.Wait()
-	if e := failed.Load(); e != nil && t.Answered == 0 {
+	if e := lastErr.Load(); e != nil && t.Answered == 0 {
 		return t, *e
 	}
 	return t, nil
--- a/internal/rig/measure.go
+++ b/internal/rig/measure.go
@@ -24,97 +24,96 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// MeasureGRPC takes the figures of docs/measure/grpc.md.
-//
-// parts names which; none: all.
+// MeasureGRPC measures the figures of docs/measure/grpc.md, each for some seconds. parts names which; none: all.
 func MeasureGRPC(out io.Writer, seconds int, binaries, parts []string) error {
-	span := time.Duration(seconds) * time.Second
+	duration := time.Duration(seconds) * time.Second
 	var err error
-	for _, p := range []struct {
-		name string
-		do   func() error
-	}{{"unary", func() error { return unary(out, span) }}, {"streams", func() error { return streams(out) }},
-		{"trouble", func() error { return trouble(out, span) }}, {"floods", func() error { return floods(out, span) }},
-		{"idle", func() error { return idle(out, binaries) }}} {
-		if len(parts) == 0 || slices.Contains(parts, p.name) {
-			err = errors.Join(err, p.do())
+	for _, part := range []struct {
+		name    string
+		measure func() error
+	}{{"unary", func() error { return measureUnary(out, duration) }}, {"streams", func() error { return measureStreams(out) }},
+		{"trouble", func() error { return measureServerFaults(out, duration) }}, {"floods", func() error { return measureFloods(out, duration) }},
+		{"idle", func() error { return measureIdle(out, binaries) }}} {
+		if len(parts) == 0 || slices.Contains(parts, part.name) {
+			err = errors.Join(err, part.measure())
 		}
 	}
 	return err
 }
 
-// unary compares one call after another by no broker, by the front with random choice, and by the module.
-func unary(out io.Writer, span time.Duration) error {
-	r, err := New(4, 2, 0, 0)
+// measureUnary compares unary calls without a broker, with random choice, and with the module.
+func measureUnary(out io.Writer, duration time.Duration) error {
+	cluster, err := New(4, 2, 0, 0)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer cluster.Close()
 	fmt.Fprintln(out, "unary calls of 200 bytes, 16 at a time, servers that answer at once")
 	body := []byte(strings.Repeat("x", 200))
-	direct, err := Dial(r.Servers[0].GRPC.Addr().String(), 4)
+	direct, err := DialGRPC(cluster.Servers[0].GRPC.Addr().String(), 4)
 	if err != nil {
 		return err
 	}
-	t, err := Echo(direct, 16, span, body)
+	t, err := EchoLoad(direct, 16, duration, body)
 	if err != nil {
 		return err
 	}
-	base := t.Ms(50)
-	fmt.Fprintf(out, "  %-14s p50 %.3f ms  p99 %.3f ms  %7.0f calls/s\n", "direct", t.Ms(50), t.Ms(99), float64(t.Answered)/span.Seconds())
+	base := t.QuantileMs(50)
+	fmt.Fprintf(out, "  %-14s p50 %.3f ms  p99 %.3f ms  %7.0f calls/s\n", "direct", t.QuantileMs(50), t.QuantileMs(99), float64(t.Answered)/duration.Seconds())
 	perCPU := map[string]float64{}
 	for _, policy := range []string{"random", "", "random", ""} {
-		b, err := r.Start(policy, true)
+		b, err := cluster.StartBroker(policy, true)
 		if err != nil {
 			return err
 		}
-		conns, err := Dial(b.GRPC, 4)
+		conns, err := DialGRPC(b.GRPCAddress, 4)
 		if err != nil {
 			return err
 		}
-		before := b.CPU()
-		t, err := Echo(conns, 16, span, body, "x-shard", "0")
+		before := b.CPUSeconds()
+		t, err := EchoLoad(conns, 16, duration, body, "x-shard", "0")
 		if err != nil {
 			return err
 		}
-		cpu := b.CPU() - before
+		cpu := b.CPUSeconds() - before
 		per := float64(t.Answered) / cpu
 		perCPU[policy] = max(perCPU[policy], per)
 		fmt.Fprintf(out, "  %-14s p50 %.3f ms  p99 %.3f ms  %7.0f calls/s  %7.0f calls per CPU second  p50 against direct %.2f  not answered %d\n",
-			name(policy), t.Ms(50), t.Ms(99), float64(t.Answered)/span.Seconds(), per, t.Ms(50)/base, t.Shed+t.Errored)
+			policyName(policy), t.QuantileMs(50), t.QuantileMs(99), float64(t.Answered)/duration.Seconds(), per, t.QuantileMs(50)/base, t.Shed+t.Errored)
 		b.Stop()
 	}
 	fmt.Fprintf(out, "  calls per CPU second, module against random choice: %.2f\n", perCPU[""]/perCPU["random"])
 	return nil
 }
 
-func name(policy string) string {
+// policyName is the printed name of a policy.
+func policyName(policy string) string {
 	if policy == "" {
 		return "module"
 	}
 	return policy
 }
 
-// streams opens many and tells what each costs.
-func streams(out io.Writer) error {
+// measureStreams measures the memory of open streams.
+func measureStreams(out io.Writer) error {
 	fmt.Fprintln(out, "open streams, each with one message each way")
 	for _, n := range []int{1, 100, 5000} {
-		r, err := New(4, 2, 0, 0)
+		cluster, err := New(4, 2, 0, 0)
 		if err != nil {
 			return err
 		}
-		b, err := r.Start("", true)
+		b, err := cluster.StartBroker("", true)
 		if err != nil {
 			return err
 		}
-		conns, err := Dial(b.GRPC, 8)
+		conns, err := DialGRPC(b.GRPCAddress, 8)
 		if err != nil {
 			return err
 		}
-		if _, err := Echo(conns, 8, 300*time.Millisecond, []byte("x"), "x-shard", "0"); err != nil {
+		if _, err := EchoLoad(conns, 8, 300*time.Millisecond, []byte("x"), "x-shard", "0"); err != nil {
 			return err
 		}
-		_, before := b.Memory()
+		_, before := b.MemoryKB()
 		ctx, cancel := context.WithCancel(context.Background())
 		var wait sync.WaitGroup
 		var bad atomic.Int64
@@ -125,7 +124,7 @@
 			go func() {
 				defer wait.Done()
 				defer func() { <-slots }()
-				c := metadata.AppendToOutgoingContext(ctx, "x-shard", fmt.Sprint(i%r.Shards))
+				c := metadata.AppendToOutgoingContext(ctx, "x-shard", fmt.Sprint(i%cluster.ShardCount))
 				s, err := conns[i%len(conns)].NewStream(c, &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/demo.Stream/Talk")
 				m := []byte("hello")
 				if err == nil {
@@ -140,35 +139,35 @@
 			}()
 		}
 		wait.Wait()
-		resident, after := b.Memory()
+		resident, after := b.MemoryKB()
 		fmt.Fprintf(out, "  %5d: %7.0f KB more, %8.0f bytes each; %.0f KB resident, %d failed\n", n, after-before, (after-before)*1024/float64(n), resident, bad.Load())
 		cancel()
-		r.Close()
+		cluster.Close()
 	}
 	return nil
 }
 
-// trouble compares the module with random choice and round robin where one of four servers is slow or silent.
-func trouble(out io.Writer, span time.Duration) error {
+// measureServerFaults compares the module with random choice and round robin, with one of four servers slow or unresponsive.
+func measureServerFaults(out io.Writer, duration time.Duration) error {
 	for _, kind := range []string{"none", "slow by 10", "silent for 5 s"} {
-		r, err := New(4, 2, 8, 0.4)
+		cluster, err := New(4, 2, 8, 0.4)
 		if err != nil {
 			return err
 		}
 		var loads []*Load
 		for _, policy := range []string{"", "random", "roundrobin"} {
-			b, err := r.Start(policy, true)
+			b, err := cluster.StartBroker(policy, true)
 			if err != nil {
 				return err
 			}
-			l, err := r.NewLoad(b)
+			l, err := cluster.NewLoad(b)
 			if err != nil {
 				return err
 			}
 			loads = append(loads, l)
 		}
-		r.Hear(loads...)
-		ctx, cancel := context.WithTimeout(context.Background(), span+5*time.Second)
+		cluster.ObserveServers(loads...)
+		ctx, cancel := context.WithTimeout(context.Background(), duration+5*time.Second)
 		var wait sync.WaitGroup
 		for _, l := range loads {
 			wait.Add(1)
@@ -177,108 +176,114 @@
 				l.Run(ctx, 0, 150)
 			}()
 		}
-		time.Sleep(2 * time.Second) // until something is known of the servers
+		time.Sleep(2 * time.Second) // the brokers learn about the servers
 		switch kind {
 		case "slow by 10":
-			r.Servers[1].Slow(10)
+			cluster.Servers[1].SetSlowdown(10)
 		case "silent for 5 s":
-			r.Servers[1].Silent(true)
-			time.AfterFunc(5*time.Second, func() { r.Servers[1].Silent(false) })
+			cluster.Servers[1].SetUnresponsive(true)
+			time.AfterFunc(5*time.Second, func() { cluster.Servers[1].SetUnresponsive(false) })
 		}
 		wait.Wait()
 		cancel()
 		fmt.Fprintf(out, "four servers, one in trouble: %s (150 unary calls/s, a fifth not idempotent)\n", kind)
 		for _, l := range loads {
 			t := l.GRPC
-			fmt.Fprintf(out, "  %-14s p50 %.1f ms  p99 %.1f ms  shed %d  errored %d of %d  rules broken %d\n", name(l.Broker.Policy), t.Ms(50), t.Ms(99),
-				t.Shed, t.Errored, t.All(), len(l.Broken()))
+			fmt.Fprintf(out, "  %-14s p50 %.1f ms  p99 %.1f ms  shed %d  errored %d of %d  rules broken %d\n", policyName(l.Broker.Policy), t.QuantileMs(50), t.QuantileMs(99),
+				t.Shed, t.Errored, t.Total(), len(l.Violations()))
 			l.Close()
 		}
-		r.Close()
+		cluster.Close()
 	}
 	return nil
 }
 
-// floods compares searches by HTTP while rude clients of gRPC are at work.
-func floods(out io.Writer, span time.Duration) error {
-	r, err := New(4, 2, 4, 0.3)
+// measureFloods compares searches over HTTP during floods of gRPC by abusive clients.
+func measureFloods(out io.Writer, duration time.Duration) error {
+	cluster, err := New(4, 2, 4, 0.3)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	b, err := r.Start("", true)
+	defer cluster.Close()
+	b, err := cluster.StartBroker("", true)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "searches by HTTP (100/s) while gRPC is flooded")
 	base := 0.0
 	for _, kind := range []string{"none", "rapid resets", "PING", "SETTINGS", "endless CONTINUATION", "silent connections", "slow bodies", "honest calls"} {
-		l, err := r.NewLoad(b)
+		l, err := cluster.NewLoad(b)
 		if err != nil {
 			return err
 		}
-		r.Hear(l)
-		ctx, cancel := context.WithTimeout(context.Background(), span)
+		cluster.ObserveServers(l)
+		ctx, cancel := context.WithTimeout(context.Background(), duration)
 		var wait sync.WaitGroup
 		var sent atomic.Int64
 		if kind == "honest calls" {
 			wait.Add(1)
-			go func() { defer wait.Done(); Echo(l.conns, 32, span, []byte("x"), "x-shard", "0") }()
+			go func() { defer wait.Done(); EchoLoad(l.conns, 32, duration, []byte("x"), "x-shard", "0") }()
 		} else if kind != "none" {
-			// In a process of its own, or this one's clients and servers would be what is slow.
+			// In a process of its own, else the clients and servers of this one would be slowed down.
 			wait.Add(1)
-			go func() { defer wait.Done(); sent.Store(floodApart(b.GRPC, kind, span)) }()
+			go func() { defer wait.Done(); sent.Store(floodFromProcess(b.GRPCAddress, kind, duration)) }()
 		}
-		cpu := b.CPU()
+		cpu := b.CPUSeconds()
 		l.Run(ctx, 100, 0)
-		cpu = b.CPU() - cpu
+		cpu = b.CPUSeconds() - cpu
 		wait.Wait()
 		cancel()
 		if kind == "none" {
-			base = l.HTTP.Ms(99)
+			base = l.HTTP.QuantileMs(99)
 		}
 		fmt.Fprintf(out, "  %-22s p50 %.2f ms  p99 %.2f ms (%.2f of none)  shed %d  errored %d of %d  %d connections of the flood, %.2f of a core\n", kind,
-			l.HTTP.Ms(50), l.HTTP.Ms(99), l.HTTP.Ms(99)/base, l.HTTP.Shed, l.HTTP.Errored, l.HTTP.All(), sent.Load(), cpu/span.Seconds())
+			l.HTTP.QuantileMs(50), l.HTTP.QuantileMs(99), l.HTTP.QuantileMs(99)/base, l.HTTP.Shed, l.HTTP.Errored, l.HTTP.Total(), sent.Load(), cpu/duration.Seconds())
 		l.Close()
 		time.Sleep(300 * time.Millisecond)
 	}
 	return nil
 }
 
-// floodApart has this program flood an address from a process with two cores.
-func floodApart(at, kind string, span time.Duration) int64 {
+// floodFromProcess floods an address from a process of this program with two cores, and returns its connections.
+func floodFromProcess(at, kind string, duration time.Duration) int64 {
 	self, err := os.Executable()
 	if err != nil {
 		return 0
 	}
-	cmd := exec.Command(self, "flood", "--at", at, "--kind", kind, "--span", span.String())
+	cmd := exec.Command(self, "flood", "--at", at, "--kind", kind, "--span", duration.String())
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	text, _ := cmd.Output()
 	n, _ := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
 	return n
 }
 
-// Flood is four rude clients of a kind for a while, against an address on loopback; it counts their connections.
-func Flood(at, kind string, span time.Duration) (int64, error) {
+// Bounds of a flood.
+const (
+	floodClients        = 4
+	maxFloodConnections = 2000
+)
+
+// Flood floods an address on loopback with floodClients abusive clients of a kind, and returns their connections.
+func Flood(at, kind string, duration time.Duration) (int64, error) {
 	addr, err := netip.ParseAddrPort(at)
 	if err != nil || !addr.Addr().IsLoopback() {
 		return 0, fmt.Errorf("%s is no address on loopback", at)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	var wait sync.WaitGroup
 	var conns atomic.Int64
-	for range 4 {
+	for range floodClients {
 		wait.Add(1)
-		go func() { defer wait.Done(); flood(ctx, at, kind, &conns) }()
+		go func() { defer wait.Done(); floodRepeatedly(ctx, at, kind, &conns) }()
 	}
 	wait.Wait()
 	return conns.Load(), nil
 }
 
-// flood is one rude client: it connects again whenever it is cut off, a bounded number of times.
-func flood(ctx context.Context, at, kind string, conns *atomic.Int64) {
-	for range 2000 {
+// floodRepeatedly is one abusive client. It reconnects whenever it is disconnected, up to maxFloodConnections times.
+func floodRepeatedly(ctx context.Context, at, kind string, conns *atomic.Int64) {
+	for range maxFloodConnections {
 		if ctx.Err() != nil {
 			return
 		}
@@ -290,13 +295,14 @@
 		conns.Add(1)
 		stop := context.AfterFunc(ctx, func() { c.Close() })
 		go io.Copy(io.Discard, c)
-		rude(c, kind)
+		sendFlood(c, kind)
 		stop()
 		c.Close()
 	}
 }
 
-func rude(c net.Conn, kind string) {
+// sendFlood sends a flood of a kind on one connection, until that is closed.
+func sendFlood(c net.Conn, kind string) {
 	if kind == "silent connections" {
 		time.Sleep(100 * time.Millisecond)
 		return
@@ -319,7 +325,7 @@
 			if err = f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: head, EndHeaders: true}); err == nil {
 				err = f.WriteRSTStream(id, http2.ErrCodeCancel)
 			}
-			head = []byte{0x83, 0x86, 0xc3, 0xc2, 0xc1, 0xc0, 0xbf, 0xbe}[:2] // short and broken is as good for a flood
+			head = []byte{0x83, 0x86, 0xc3, 0xc2, 0xc1, 0xc0, 0xbf, 0xbe}[:2] // a short invalid block does as well
 		case "PING":
 			err = f.WritePing(false, [8]byte{})
 		case "SETTINGS":
@@ -345,20 +351,20 @@
 	}
 }
 
-// idle starts programs without the operator's file and reads their memory at rest.
-func idle(out io.Writer, binaries []string) error {
+// measureIdle measures the memory of idle programs without an operator's file.
+func measureIdle(out io.Writer, binaries []string) error {
 	if len(binaries) == 0 {
 		return nil
 	}
-	r, err := New(2, 2, 0, 0)
+	cluster, err := New(2, 2, 0, 0)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer cluster.Close()
 	fmt.Fprintln(out, "brokers at rest, 2 s after their start, no operator's file")
-	conf := filepath.Join(r.Dir, "idle.json")
+	conf := filepath.Join(cluster.Dir, "idle.json")
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},`+
-		`"settings":%s}`, r.Discovery.Addr(), r.settings())
+		`"settings":%s}`, cluster.Discovery.Addr(), cluster.settings())
 	if err := os.WriteFile(conf, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -371,7 +377,7 @@
 				return err
 			}
 			time.Sleep(2 * time.Second)
-			a, b := MemoryOf(cmd.Process.Pid)
+			a, b := ProcessMemoryKB(cmd.Process.Pid)
 			all, anon = append(all, a), append(anon, b)
 			cmd.Process.Signal(syscall.SIGTERM)
 			cmd.Wait()
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,6 +1,6 @@
-// Package rig starts stand-in servers, discovery and real brokers side by side on loopback, loads them and counts what
-// came of it. Brokers are processes of the running executable (its `broker` sub-command), so that what they take of
-// memory and CPU is theirs alone. Figures of it are those of stand-in servers.
+// Package rig starts simulated servers, discovery and real brokers side by side on loopback, puts load on them and counts the outcomes.
+// Brokers are processes of the running executable (its `broker` sub-command), so that their memory and CPU can be measured. Figures
+// are those with simulated servers on one machine: they compare policies, and say nothing of a production system.
 package rig
 
 import (
@@ -21,103 +21,104 @@
 	"kestrelspread/internal/standin/sockets"
 )
 
-// Server is one stand-in that speaks frames and gRPC.
+// Server is a simulated server that serves frames and gRPC.
 type Server struct {
 	ID     string
 	Frames *sockets.Frames
 	GRPC   *sockets.GRPC
 }
 
-// Slow makes both sides slower by so many times; 1: as ever.
-func (s *Server) Slow(times int64) {
-	s.Frames.Times.Store(times)
-	s.GRPC.Times.Store(times)
+// SetSlowdown multiplies the time of answers on both protocols; 1 is normal.
+func (s *Server) SetSlowdown(factor int64) {
+	s.Frames.Times.Store(factor)
+	s.GRPC.Times.Store(factor)
 }
 
-// Silent has both sides take what comes and say nothing.
-func (s *Server) Silent(on bool) {
+// SetUnresponsive has both protocols accept requests and not answer.
+func (s *Server) SetUnresponsive(on bool) {
 	s.Frames.Silent.Store(on)
 	s.GRPC.Silent.Store(on)
 }
 
-// Rig is servers, discovery and the brokers in front of them.
-type Rig struct {
-	Servers   []*Server
-	Discovery *sockets.Discovery
-	Shards    int
-	Dir       string
-	brokers   []*Broker
-	places    int
+// Cluster is servers, discovery and the brokers in front of them.
+type Cluster struct {
+	Servers    []*Server
+	Discovery  *sockets.Discovery
+	ShardCount int
+	Dir        string
+	brokers    []*Broker
+	cellCount  int
 }
 
-// New starts servers whose answers take a log-normal time round a median, in ms.
-func New(servers, places int, median, spread float64) (*Rig, error) {
+// New starts servers whose answers take a log-normal time, of a median in ms and a sigma. Cells are assigned in turn.
+func New(serverCount, cellCount int, medianMs, sigma float64) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "kestrel")
 	if err != nil {
 		return nil, err
 	}
-	r := &Rig{Dir: dir, Shards: 2 * places, places: places}
-	var list []sockets.Instance
-	for i := range servers {
-		f, err := sockets.StartFrames(median, spread)
+	c := &Cluster{Dir: dir, ShardCount: 2 * cellCount, cellCount: cellCount}
+	var instances []sockets.Instance
+	for i := range serverCount {
+		f, err := sockets.StartFrames(medianMs, sigma)
 		if err != nil {
 			return nil, err
 		}
-		g, err := sockets.StartGRPC(median, spread)
+		g, err := sockets.StartGRPC(medianMs, sigma)
 		if err != nil {
 			return nil, err
 		}
 		s := &Server{ID: fmt.Sprint("s", i), Frames: f, GRPC: g}
-		r.Servers = append(r.Servers, s)
-		list = append(list, sockets.Instance{ID: s.ID, Addr: f.Addr().String(), Zone: "a", Cell: i % places, Lifecycle: "ready", Weight: 1})
+		c.Servers = append(c.Servers, s)
+		instances = append(instances, sockets.Instance{ID: s.ID, Addr: f.Addr().String(), Zone: "a", Cell: i % cellCount, Lifecycle: "ready", Weight: 1})
 	}
-	r.Discovery, err = sockets.StartDiscovery(list)
-	return r, err
+	c.Discovery, err = sockets.StartDiscovery(instances)
+	return c, err
 }
 
-// Close ends all.
-func (r *Rig) Close() {
-	for _, b := range r.brokers {
+// Close ends brokers, servers and discovery, and removes the directory.
+func (c *Cluster) Close() {
+	for _, b := range c.brokers {
 		b.Stop()
 	}
-	for _, s := range r.Servers {
+	for _, s := range c.Servers {
 		s.Frames.Close()
 		s.GRPC.Server.Stop()
 	}
-	r.Discovery.Close()
-	os.RemoveAll(r.Dir)
+	c.Discovery.Close()
+	os.RemoveAll(c.Dir)
 }
 
-// Broker is one broker, started.
+// Broker is a broker process.
 type Broker struct {
-	Policy, HTTP, GRPC string
-	PID                int
-	cmd                *exec.Cmd
-	log                *lines
-	ended              bool
+	Policy, HTTPAddress, GRPCAddress string
+	PID                              int
+	command                          *exec.Cmd
+	log                              *logBuffer
+	stopped                          bool
 }
 
-type lines struct {
-	lock sync.Mutex
-	b    bytes.Buffer
+// logBuffer retains the log of a broker.
+type logBuffer struct {
+	mutex sync.Mutex
+	text  bytes.Buffer
 }
 
-// Write implements io.Writer, for several goroutines.
-func (l *lines) Write(b []byte) (int, error) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	return l.b.Write(b)
+// Write implements io.Writer. It is safe for concurrent use.
+func (l *logBuffer) Write(b []byte) (int, error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.text.Write(b)
 }
 
-// String gives what was written so far.
-func (l *lines) String() string {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	return l.b.String()
+// String returns what was written so far.
+func (l *logBuffer) String() string {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.text.String()
 }
 
-// Settings are a broker's as its platform states them.
-func (r *Rig) settings() string {
+// settings are a broker's settings in the form of its platform.
+func (c *Cluster) settings() string {
 	return fmt.Sprintf(`{"balancers":1,"classes":[
 {"aim-ms":200,"deadline-ms":1000,"effect":"repeatable","importance":1,"late-value":0.3,"name":"quick"},
 {"aim-ms":200,"deadline-ms":1000,"effect":"once","importance":1,"late-value":0.3,"name":"once"},
@@ -125,13 +126,13 @@
 "family-info":{"places":%d,"span":2,"batch":4,"slabs":%d,"class-need":[1,1,1],"class-floor":[1,1,1]},"discovery":"push",
 "localities":["a"],"limits":{"attempts-cap":3,"cancel":true,"parallel-tries":true,"connect-timeout-ms":250,
 "conn-idle-ms":30000,"streams-per-conn":100,"most-held":100000,"retry-after":true,"max-retry-after-ms":500},
-"safety":{"drain-grace-ms":500},"report":{"fields":["active"],"via":"none"},"zone":0}`, r.places, r.Shards)
+"safety":{"drain-grace-ms":500},"report":{"fields":["active"],"via":"none"},"zone":0}`, c.cellCount, c.ShardCount)
 }
 
-// Operator is the file that switches gRPC on.
-func (r *Rig) operator() []byte {
+// operatorFile is the operator's file, which enables gRPC.
+func (c *Cluster) operatorFile() []byte {
 	ids := map[string]string{}
-	for _, s := range r.Servers {
+	for _, s := range c.Servers {
 		ids[s.ID] = s.GRPC.Addr().String()
 	}
 	shard := map[string]any{"metadata": "x-shard"}
@@ -148,56 +149,84 @@
 	return b
 }
 
-// Start starts a broker with the module (policy "") or one of baseline's. grpc false: without the operator's file.
-func (r *Rig) Start(policy string, grpc bool) (*Broker, error) {
-	b := &Broker{Policy: policy, log: &lines{}}
-	name := fmt.Sprint("b", len(r.brokers))
-	conf, op := filepath.Join(r.Dir, name+".json"), filepath.Join(r.Dir, name+"-operator.json")
-	text := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":2,`+
-		`"memory_mb":1024,"sockets":4096},"known":%s,"settings":%s}`, name, r.Discovery.Addr(), `{"generation":0,"reset":true,"instances":[]}`, r.settings())
-	if err := errors.Join(os.WriteFile(conf, []byte(text), 0o600), os.WriteFile(op, r.operator(), 0o600)); err != nil {
+// StartBroker starts a broker with the module (policy "") or with a baseline policy, and waits until it serves. Without grpc it gets no
+// operator's file.
+func (c *Cluster) StartBroker(policy string, grpc bool) (*Broker, error) {
+	b := &Broker{Policy: policy, log: &logBuffer{}}
+	configPath, operatorPath, err := c.writeFiles(fmt.Sprint("b", len(c.brokers)))
+	if err != nil {
 		return nil, err
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	args := []string{"broker"}
+	arguments := []string{"broker"}
 	if grpc {
-		args = append(args, "--operator", op)
+		arguments = append(arguments, "--operator", operatorPath)
 	}
 	if policy != "" {
-		args = append(args, "--policy", policy)
+		arguments = append(arguments, "--policy", policy)
+	}
+	b.command = exec.Command(self, arguments...)
+	b.command.Env = append(os.Environ(), "RELAY_CONFIG="+configPath)
+	b.command.Stderr = b.log
+	if err := b.command.Start(); err != nil {
+		return nil, err
 	}
-	b.cmd = exec.Command(self, args...)
-	b.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+conf)
-	b.cmd.Stderr = b.log
-	if err := b.cmd.Start(); err != nil {
+	b.PID = b.command.Process.Pid
+	c.brokers = append(c.brokers, b)
+	if err := b.awaitServing(grpc); err != nil {
 		return nil, err
 	}
-	b.PID = b.cmd.Process.Pid
-	r.brokers = append(r.brokers, b)
-	for range 500 {
-		for line := range strings.Lines(b.log.String()) {
-			var said struct{ Listen, Message string }
-			json.Unmarshal([]byte(line), &said)
-			switch said.Message {
-			case "serving":
-				b.HTTP = said.Listen
-			case "serving gRPC":
-				b.GRPC = said.Listen
-			}
+	return b, nil
+}
+
+// writeFiles writes the configuration and the operator's file of a broker.
+func (c *Cluster) writeFiles(name string) (configPath, operatorPath string, err error) {
+	configPath = filepath.Join(c.Dir, name+".json")
+	operatorPath = filepath.Join(c.Dir, name+"-operator.json")
+	config := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":2,`+
+		`"memory_mb":1024,"sockets":4096},"known":%s,"settings":%s}`,
+		name, c.Discovery.Addr(), `{"generation":0,"reset":true,"instances":[]}`, c.settings())
+	err = errors.Join(os.WriteFile(configPath, []byte(config), 0o600), os.WriteFile(operatorPath, c.operatorFile(), 0o600))
+	return configPath, operatorPath, err
+}
+
+const (
+	maxServingPolls     = 500
+	servingPollInterval = 10 * time.Millisecond
+)
+
+// awaitServing waits until the broker has logged its addresses and is ready.
+func (b *Broker) awaitServing(grpc bool) error {
+	for range maxServingPolls {
+		b.readAddresses()
+		if b.HTTPAddress != "" && (b.GRPCAddress != "" || !grpc) && isReady(b.HTTPAddress) {
+			return nil
 		}
-		if b.HTTP != "" && (b.GRPC != "" || !grpc) && ready(b.HTTP) {
-			return b, nil
+		time.Sleep(servingPollInterval)
+	}
+	return fmt.Errorf("the broker does not come up: %s", b.log)
+}
+
+// readAddresses takes the addresses of the broker from its log.
+func (b *Broker) readAddresses() {
+	for line := range strings.Lines(b.log.String()) {
+		var entry struct{ Listen, Message string }
+		json.Unmarshal([]byte(line), &entry)
+		switch entry.Message {
+		case "serving":
+			b.HTTPAddress = entry.Listen
+		case "serving gRPC":
+			b.GRPCAddress = entry.Listen
 		}
-		time.Sleep(10 * time.Millisecond)
 	}
-	return nil, fmt.Errorf("the broker does not come up: %s", b.log)
 }
 
-func ready(at string) bool {
-	c, err := net.DialTimeout("tcp", at, time.Second)
+// isReady checks the readiness of a broker once.
+func isReady(address string) bool {
+	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
 	}
@@ -209,34 +238,40 @@
 	return strings.HasSuffix(string(b[:n]), " 200")
 }
 
-// Stop ends a broker; an error tells that it did not end well.
+// stopTimeout is how long a broker may take to stop.
+const stopTimeout = 8 * time.Second
+
+// Stop ends a broker with SIGTERM, and after 8 s with SIGKILL. The error is that of its exit.
 func (b *Broker) Stop() error {
-	if b.ended {
+	if b.stopped {
 		return nil
 	}
-	b.ended = true
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	late := time.AfterFunc(8*time.Second, func() { b.cmd.Process.Kill() })
-	defer late.Stop()
-	return b.cmd.Wait()
+	b.stopped = true
+	b.command.Process.Signal(syscall.SIGTERM)
+	kill := time.AfterFunc(stopTimeout, func() { b.command.Process.Kill() })
+	defer kill.Stop()
+	return b.command.Wait()
 }
 
-// Log is what it has logged so far.
+// Log is the log so far.
 func (b *Broker) Log() string { return b.log.String() }
 
-// Decisions are the module's log lines, each once.
-func (b *Broker) Decisions() (list []string) {
+// Decisions are the module's log lines about its decisions.
+func (b *Broker) Decisions() (decisions []string) {
 	for line := range strings.Lines(b.Log()) {
-		var said struct{ Kind, Message string }
-		if json.Unmarshal([]byte(line), &said) == nil && said.Kind == "decision" {
-			list = append(list, said.Message)
+		var entry struct{ Kind, Message string }
+		if json.Unmarshal([]byte(line), &entry) == nil && entry.Kind == "decision" {
+			decisions = append(decisions, entry.Message)
 		}
 	}
-	return list
+	return decisions
 }
 
-// CPU is the time that the broker has computed, in seconds.
-func (b *Broker) CPU() float64 {
+// clockTicksPerSecond is USER_HZ, the unit of CPU times in /proc on Linux.
+const clockTicksPerSecond = 100
+
+// CPUSeconds is the CPU time that the broker has used.
+func (b *Broker) CPUSeconds() float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", b.PID))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
@@ -245,14 +280,14 @@
 	}
 	user, _ := strconv.ParseFloat(f[11], 64)
 	system, _ := strconv.ParseFloat(f[12], 64)
-	return (user + system) / 100
+	return (user + system) / clockTicksPerSecond
 }
 
-// Memory is what the broker holds, in KB: all that is resident, and the part that no file backs.
-func (b *Broker) Memory() (resident, anonymous float64) { return MemoryOf(b.PID) }
+// MemoryKB is the resident memory of the broker, and its anonymous part, in KB.
+func (b *Broker) MemoryKB() (resident, anonymous float64) { return ProcessMemoryKB(b.PID) }
 
-// MemoryOf reads a process's memory in KB.
-func MemoryOf(pid int) (resident, anonymous float64) {
+// ProcessMemoryKB is the resident memory of a process, and its anonymous part, in KB; 0 if the process has ended.
+func ProcessMemoryKB(pid int) (resident, anonymous float64) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(text)) {
 		f := strings.Fields(line)
