--- a/internal/rig/itemsize/itemsize_test.go
+++ b/internal/rig/itemsize/itemsize_test.go
@@ -1,5 +1,5 @@
-// Package itemsize is a test that bounds what single items take in the state of a node: a broker in the registry and in the
-// router, a member, a record of the index, a tenant of the configuration. Bytes are of the heap, or of a snapshot.
+// Package itemsize bounds the memory of single items in the state of a node: a broker in the registry and in the router, a member, a
+// record of the prefix index, a tenant of the configuration. Sizes are bytes of the heap, or of a snapshot.
 package itemsize
 
 import (
@@ -24,19 +24,20 @@
 	"kestrelspread/internal/standin/fleetoperator"
 )
 
-// The size to come (docs/CAPACITY.md), by which the items below are spread.
+// The planned size of a fleet, which the items are distributed by. Source: docs/CAPACITY.md.
 const (
 	services         = 23
 	zones            = 5
 	machinesWithDisk = 8
 	routesPerService = 4
 	slots            = 32
-	minPartTokens    = 128
-	maxPartTokens    = 2048
+	minBlockTokens    = 128
+	maxBlockTokens    = 2048
 )
 
-// The state that single items take: bounds well above what they take today, and below twice that.
-func TestStateOfItemsStays(t *testing.T) {
+// TestItemSizesAreBounded fits a line through the sizes of states with several counts of items: its slope is the size of one. Limits are
+// above today's sizes, and below twice these.
+func TestItemSizesAreBounded(t *testing.T) {
 	for _, item := range []struct {
 		name   string
 		limit  float64 // bytes each
@@ -44,11 +45,11 @@
 		bytes  func(count int) float64
 	}{
 		{"registry: a broker", 1500, []int{200, 600, 2000}, heapOf(func(n int) any { return registryOf(n) })},
-		{"router: a broker known", 1400, []int{200, 600, 2000}, heapOf(func(n int) any { return routerOf(n) })},
+		{"router: a broker", 1400, []int{200, 600, 2000}, heapOf(func(n int) any { return routerOf(n) })},
 		{"membership: a member", 600, []int{100, 400, 1000}, heapOf(func(n int) any { return membershipOf(n) })},
 		{"index: a record", 100, []int{10_000, 20_000, 40_000}, heapOf(func(n int) any { return indexOf(n) })},
-		{"index home: a part of a broker", 600, []int{4000, 8000, 16000}, heapOf(func(n int) any { return homeOf(n) })},
-		{"configuration: a tenant, held and compiled", 800, []int{400, 1200, 3800}, heapOf(func(n int) any { return stateOf(t, n) })},
+		{"index home: a block of a broker", 600, []int{4000, 8000, 16000}, heapOf(func(n int) any { return homeOf(n) })},
+		{"configuration: a tenant, stored and compiled", 800, []int{400, 1200, 3800}, heapOf(func(n int) any { return stateOf(t, n) })},
 		{"configuration: bytes of a snapshot, a tenant", 150, []int{400, 1200, 3800},
 			func(n int) float64 { return float64(len(stateOf(t, n).Snapshot())) }},
 	} {
@@ -60,12 +61,12 @@
 			_, slope := stat.LinearRegression(counts, bytes, nil, false)
 			t.Logf("%.0f bytes each", slope)
 			assert.Check(t, slope < item.limit, "%.0f bytes each, at most %.0f are allowed", slope, item.limit)
-			assert.Check(t, slope > item.limit/4, "%.0f bytes each: the items are not there", slope)
+			assert.Check(t, slope > item.limit/4, "%.0f bytes each: the items are missing", slope)
 		})
 	}
 }
 
-// heapOf measures what the heap holds more with a state than without.
+// heapOf measures by how much a state grows the heap.
 func heapOf(build func(count int) any) func(count int) float64 {
 	return func(count int) float64 {
 		before := heapInUse()
@@ -76,6 +77,7 @@
 	}
 }
 
+// heapInUse is the size of the live heap.
 func heapInUse() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -83,6 +85,7 @@
 	return int64(stats.HeapAlloc)
 }
 
+// newRandom is a random source with a fixed seed.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func serviceName(i int) string { return fmt.Sprintf("assistant-%02d", i+1) }
@@ -101,6 +104,7 @@
 	}
 }
 
+// registryOf is a registry of that many brokers.
 func registryOf(brokers int) *registry.Registry {
 	r := registry.New(0, registry.Options{SelfID: "self", SelfAddress: "10.1.0.1:7560", Zone: "zone-1"}, newRandom())
 	random := newRandom()
@@ -111,12 +115,14 @@
 	return r
 }
 
+// routerOf is a router that knows that many brokers.
 func routerOf(brokers int) *routing.Router {
 	router := routing.New(0, routing.Options{Zone: "zone-1", RetryBudgetRatio: 0.2, RetryBudgetSlack: 184, Random: newRandom()})
 	router.SetTable(0, registryOf(brokers).Table())
 	return router
 }
 
+// memberOf is a member; the first ones have disks.
 func memberOf(i int, random *rand.Rand) *nodepb.Member {
 	name, ip := fmt.Sprintf("proxy-%04d", i), fmt.Sprintf("10.1.%d.%d", i/250, i%250+1)
 	member := &nodepb.Member{
@@ -129,6 +135,7 @@
 	return member
 }
 
+// membershipOf is the membership of a node beside that many proxies and the machines with disks.
 func membershipOf(proxies int) *membership.Membership {
 	random := newRandom()
 	self, sync := memberOf(0, random), &nodepb.MemberSync{}
@@ -142,33 +149,35 @@
 	return m
 }
 
+// indexOf is a prefix index of that many records.
 func indexOf(records int) *kvindex.Index {
 	index := kvindex.NewIndex(records)
 	random := newRandom()
 	for i := range records {
-		index.Set(fmt.Sprintf("i-%03d", i%100), 1, random.Uint64(), maxPartTokens)
+		index.Set(fmt.Sprintf("i-%03d", i%100), 1, random.Uint64(), maxBlockTokens)
 	}
 	return index
 }
 
-// homeOf is the home of one broker that has reported so many parts, and that has passed them on.
-func homeOf(parts int) *kvindex.Home {
+// homeOf is the home of one broker that has reported that many blocks, and that has forwarded them.
+func homeOf(blocks int) *kvindex.Home {
 	home := kvindex.NewHome(kvindex.HomeOptions{Epoch: 1, BytesPerSecond: 1 << 30})
 	home.SetSources(0, []kvindex.Source{{Instance: "i-1", Address: "10.100.0.1:9000", Service: "s", Zone: "z"}})
 	random := newRandom()
-	events := &kvindex.Events{Epoch: 1, Next: uint64(parts)}
-	for range parts {
-		events.List = append(events.List, kvindex.Event{Salt: 1, Part: random.Uint64(), Tokens: minPartTokens + random.IntN(maxPartTokens)})
+	events := &kvindex.Events{Epoch: 1, Next: uint64(blocks)}
+	for range blocks {
+		events.List = append(events.List, kvindex.Event{Salt: 1, Part: random.Uint64(), Tokens: minBlockTokens + random.IntN(maxBlockTokens)})
 	}
 	for _, output := range home.Tick(time.Second) {
-		if ask, ok := output.(core.FetchEvents); ok {
-			home.EventsDone(time.Second, ask.Token, events, nil)
+		if fetch, ok := output.(core.FetchEvents); ok {
+			home.EventsDone(time.Second, fetch.Token, events, nil)
 		}
 	}
 	home.Tick(3 * time.Second)
 	return home
 }
 
+// stateOf is the configuration state with that many tenants.
 func stateOf(t *testing.T, tenants int) *config.State {
 	t.Helper()
 	body, err := json.Marshal(configurationOf(tenants))
@@ -183,6 +192,7 @@
 	return state
 }
 
+// configurationOf is a configuration with that many tenants, and the routes and services of the planned fleet.
 func configurationOf(tenants int) fleetoperator.Configuration {
 	c := fleetoperator.Configuration{
 		Version: 1,
