--- a/internal/rig/itemsize/itemsize_test.go
+++ b/internal/rig/itemsize/itemsize_test.go
@@ -31,8 +31,8 @@
 	machinesWithDisk = 8
 	routesPerService = 4
 	slots            = 32
-	minBlockTokens    = 128
-	maxBlockTokens    = 2048
+	minBlockTokens   = 128
+	maxBlockTokens   = 2048
 )
 
 // TestItemSizesAreBounded fits a line through the sizes of states with several counts of items: its slope is the size of one. Limits are
