--- a/internal/rig/fleet/answer.go
+++ b/internal/rig/fleet/answer.go
@@ -131,7 +131,7 @@
 	case s.attempt.Defect != "":
 	case id != s.lastEvent+1:
 		s.attempt.Defect = fmt.Sprintf("ORDER: event %d follows event %d", id, s.lastEvent)
-	case text != llmbroker.Piece(s.request.uri, s.request.body, id):
+	case text != llmbroker.EventText(s.request.uri, s.request.body, id):
 		s.attempt.Defect = fmt.Sprintf("MIXED: event %d belongs to another request", id)
 	case s.lastRun != "" && run != s.lastRun && !s.attempt.idempotent():
 		s.attempt.Defect = fmt.Sprintf("ORDER: events of the runs %s and %s are joined", s.lastRun, run)
--- a/internal/rig/fleet/brokers_test.go
+++ b/internal/rig/fleet/brokers_test.go
@@ -37,7 +37,7 @@
 	s.t.Helper()
 	var found *llmbroker.Broker
 	s.must(s.Await(s.ctx, "a request on "+prefix, func(context.Context) error {
-		for _, arrival := range s.Ledger.Arrivals() {
+		for _, arrival := range s.ArrivalLog.Arrivals() {
 			if arrival.Disposition != llmbroker.Running || !strings.HasPrefix(arrival.URI, prefix) {
 				continue
 			}
@@ -63,11 +63,11 @@
 	} {
 		head, err := s.Head(s.ctx)
 		s.must(err)
-		before := len(s.Ledger.Orders())
+		before := len(s.ArrivalLog.Orders())
 		_, err = s.Operator.PutVersion(s.ctx, modelName, uint64(version+2))
 		s.must(err)
 		s.must(s.Await(s.ctx, "the first order", func(context.Context) error {
-			if len(s.Ledger.Orders()) == before {
+			if len(s.ArrivalLog.Orders()) == before {
 				return errors.New("none came")
 			}
 			return nil
--- a/internal/rig/fleet/checks.go
+++ b/internal/rig/fleet/checks.go
@@ -52,7 +52,7 @@
 // evidence collects what has been observed so far.
 func (f *Fleet) evidence(load *Load) *evidence {
 	e := &evidence{
-		bounds: f.options.Bounds, attempts: load.Attempts.All(), arrivals: f.Ledger.Arrivals(), modelOrders: f.Ledger.Orders(),
+		bounds: f.options.Bounds, attempts: load.Attempts.All(), arrivals: f.ArrivalLog.Arrivals(), modelOrders: f.ArrivalLog.Orders(),
 		drains: f.drainedBrokers, crashedBrokers: f.crashedBrokers,
 	}
 	for _, acknowledgement := range f.Operator.Acknowledged() {
@@ -79,7 +79,7 @@
 func (f *Fleet) Check(load *Load) []Violation {
 	e := f.evidence(load)
 	e.check()
-	if lost := f.Ledger.Overflowed(); lost > 0 {
+	if lost := f.ArrivalLog.OverflowCount(); lost > 0 {
 		e.report("COUNTS", "%d arrivals exceeded the log", lost)
 	}
 	for _, text := range f.unexpectedExits() {
@@ -227,10 +227,10 @@
 	for _, drain := range e.drains {
 		until := drain.ackedAt.Add(e.bounds.Drain)
 		for _, arrival := range e.arrivals {
-			rejected := arrival.Disposition == llmbroker.TurnedAway && arrival.Status == 421
-			if arrival.Instance == drain.instance && arrival.At.After(until) && !rejected {
+			rejected := arrival.Disposition == llmbroker.Rejected && arrival.Status == 421
+			if arrival.Instance == drain.instance && arrival.ReceivedAt.After(until) && !rejected {
 				e.report("DRAIN", "request %s reached %s %v after its draining was acknowledged",
-					arrival.Request, drain.instance, arrival.At.Sub(drain.ackedAt).Round(time.Millisecond))
+					arrival.Request, drain.instance, arrival.ReceivedAt.Sub(drain.ackedAt).Round(time.Millisecond))
 			}
 		}
 	}
@@ -239,11 +239,11 @@
 // checkWeights checks that no request starts on older weights later than the bound after newer ones were acknowledged.
 func (e *evidence) checkWeights() {
 	for _, acknowledged := range e.ackedWeights {
-		until := acknowledged.At.Add(e.bounds.Version)
+		until := acknowledged.ReceivedAt.Add(e.bounds.Version)
 		for _, arrival := range e.arrivals {
-			if arrival.Model == acknowledged.Model && arrival.Ran() && arrival.BegunAt.After(until) && arrival.Version < acknowledged.ModelVersion {
+			if arrival.Model == acknowledged.Model && arrival.Ran() && arrival.StartedAt.After(until) && arrival.Version < acknowledged.ModelVersion {
 				e.report("VERSION", "request %s began on version %d %v after version %d was acknowledged", arrival.Request,
-					arrival.Version, arrival.BegunAt.Sub(acknowledged.At).Round(time.Millisecond), acknowledged.ModelVersion)
+					arrival.Version, arrival.StartedAt.Sub(acknowledged.ReceivedAt).Round(time.Millisecond), acknowledged.ModelVersion)
 			}
 		}
 	}
@@ -282,19 +282,19 @@
 	holders := map[uint64]string{}
 	last := map[string]llmbroker.OrderArrival{} // by instance
 	for _, order := range e.modelOrders {
-		if order.Order.Fence == nil {
+		if order.Order.FencingToken == nil {
 			e.report("ONE", "an order without a fencing token reached %s", order.Instance)
 			continue
 		}
-		token := *order.Order.Fence
-		if holder, known := holders[token]; known && holder != order.Order.Holder {
-			e.report("ONE", "%s and %s share the fencing token %d", holder, order.Order.Holder, token)
+		token := *order.Order.FencingToken
+		if holder, known := holders[token]; known && holder != order.Order.LeaseHolder {
+			e.report("ONE", "%s and %s share the fencing token %d", holder, order.Order.LeaseHolder, token)
 		}
-		holders[token] = order.Order.Holder
+		holders[token] = order.Order.LeaseHolder
 		before, known := last[order.Instance]
-		if known && before.Order.Holder != order.Order.Holder && order.At.Sub(before.At) < e.bounds.Lease {
-			e.report("ONE", "%s and %s gave orders to %s within %v", before.Order.Holder, order.Order.Holder, order.Instance,
-				order.At.Sub(before.At).Round(time.Millisecond))
+		if known && before.Order.LeaseHolder != order.Order.LeaseHolder && order.ReceivedAt.Sub(before.ReceivedAt) < e.bounds.Lease {
+			e.report("ONE", "%s and %s gave orders to %s within %v", before.Order.LeaseHolder, order.Order.LeaseHolder, order.Instance,
+				order.ReceivedAt.Sub(before.ReceivedAt).Round(time.Millisecond))
 		}
 		last[order.Instance] = order
 	}
@@ -337,7 +337,7 @@
 		requests = append(requests, attempt.SentAt)
 		arrivals := e.arrivalsByRequest[attempt.ID]
 		for _, index := range arrivals[min(1, len(arrivals)):] {
-			retries = append(retries, e.arrivals[index].At)
+			retries = append(retries, e.arrivals[index].ReceivedAt)
 		}
 	}
 	slices.SortFunc(requests, time.Time.Compare)
--- a/internal/rig/fleet/checks_test.go
+++ b/internal/rig/fleet/checks_test.go
@@ -28,9 +28,9 @@
 		},
 		arrivals: []llmbroker.Arrival{
 			{Request: "p", Service: servicePlain, Instance: "i-1", Method: "POST", URI: "/print/a", Tenant: tenantShared,
-				At: after(5), BegunAt: after(5), Disposition: llmbroker.Finished, Status: 200},
+				ReceivedAt: after(5), StartedAt: after(5), Disposition: llmbroker.Finished, Status: 200},
 			{Request: "s", Service: serviceModel, Instance: "i-2", Method: "POST", URI: "/verdict/a", Tenant: tenantIsolated,
-				Model: modelName, Salt: "m|1|south", Version: 1, At: after(5), BegunAt: after(50), Disposition: llmbroker.Finished, Status: 200},
+				Model: modelName, Salt: "m|1|south", Version: 1, ReceivedAt: after(5), StartedAt: after(50), Disposition: llmbroker.Finished, Status: 200},
 		},
 	}
 }
@@ -43,7 +43,7 @@
 }
 
 func orderOf(holder string, fence uint64, at int) llmbroker.OrderArrival {
-	return llmbroker.OrderArrival{Instance: "i-2", Order: llmbroker.Order{Holder: holder, Fence: &fence}, At: after(at)}
+	return llmbroker.OrderArrival{Instance: "i-2", Order: llmbroker.Order{LeaseHolder: holder, FencingToken: &fence}, ReceivedAt: after(at)}
 }
 
 // TestViolationsAreDetected constructs evidence of each violation of RULES.md.
@@ -61,7 +61,7 @@
 			e.repeatArrival(1, func(a *llmbroker.Arrival) { a.Instance = "i-3" })
 		}, "TWICE"},
 		{"a second broker rejected it", func(e *evidence) {
-			e.repeatArrival(0, func(a *llmbroker.Arrival) { a.Disposition, a.BegunAt = llmbroker.TurnedAway, time.Time{} })
+			e.repeatArrival(0, func(a *llmbroker.Arrival) { a.Disposition, a.StartedAt = llmbroker.Rejected, time.Time{} })
 		}, ""},
 		{"rejected, and has run", func(e *evidence) { e.attempts[0].Outcome, e.attempts[0].Status = Rejected, 503 }, "REFUSED"},
 		{"no answer", func(e *evidence) { e.attempts[0].Outcome = ConnectionClosed }, "LOST"},
@@ -113,10 +113,10 @@
 		{"late at a draining broker", func(e *evidence) { e.drains = []drainedBroker{{"i-1", after(-2000)}} }, "DRAIN"},
 		{"in time at a draining broker", func(e *evidence) { e.drains = []drainedBroker{{"i-1", after(-1900)}} }, ""},
 		{"older weights", func(e *evidence) {
-			e.ackedWeights = []fleetoperator.Acknowledgement{{Model: modelName, ModelVersion: 2, At: after(-8000)}}
+			e.ackedWeights = []fleetoperator.Acknowledgement{{Model: modelName, ModelVersion: 2, ReceivedAt: after(-8000)}}
 		}, "VERSION"},
 		{"older weights in time", func(e *evidence) {
-			e.ackedWeights = []fleetoperator.Acknowledgement{{Model: modelName, ModelVersion: 2, At: after(-7900)}}
+			e.ackedWeights = []fleetoperator.Acknowledgement{{Model: modelName, ModelVersion: 2, ReceivedAt: after(-7900)}}
 		}, ""},
 		{"a salt for two versions", func(e *evidence) {
 			e.attempts = append(e.attempts, e.attempts[1])
@@ -140,7 +140,7 @@
 		{"arrivals beyond the budget", func(e *evidence) {
 			e.bounds.RetryBudgetSlack = 0
 			e.attempts[0].Prefix, e.attempts[0].Kind = prefixLookup, Safe
-			e.repeatArrival(0, func(a *llmbroker.Arrival) { a.Disposition, a.BegunAt = llmbroker.TurnedAway, time.Time{} })
+			e.repeatArrival(0, func(a *llmbroker.Arrival) { a.Disposition, a.StartedAt = llmbroker.Rejected, time.Time{} })
 		}, "BUDGET"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 // TestStreamReaderReportsInvalidEvents checks constructed streams as a client does.
 func TestStreamReaderReportsInvalidEvents(t *testing.T) {
 	sent := &request{uri: "/verdict/a", body: []byte("q")}
-	text := func(number int) string { return llmbroker.Piece(sent.uri, sent.body, number) }
+	text := func(number int) string { return llmbroker.EventText(sent.uri, sent.body, number) }
 	type event struct {
 		id        int
 		text, run string
--- a/internal/rig/fleet/client.go
+++ b/internal/rig/fleet/client.go
@@ -106,7 +106,7 @@
 	case Rejected, Unsent:
 		return true
 	case ConnectionClosed:
-		return r.idempotent() || len(c.load.fleet.Ledger.Of(r.ID)) == 0 && r.EndedAt.Sub(r.SentAt) < c.load.fleet.options.Bounds.LossSlack
+		return r.idempotent() || len(c.load.fleet.ArrivalLog.OfRequest(r.ID)) == 0 && r.EndedAt.Sub(r.SentAt) < c.load.fleet.options.Bounds.LossSlack
 	default:
 		return r.idempotent()
 	}
--- a/internal/rig/fleet/demosteps.go
+++ b/internal/rig/fleet/demosteps.go
@@ -20,7 +20,7 @@
 	}
 	err = d.Await(ctx, "the change in force", func(context.Context) error { return d.load.CheckRoutesChange() })
 	return fmt.Sprintf("a route added, one removed, a key taken away: acknowledged after %v, in force at all nodes %v later",
-		acknowledged.At.Sub(sent).Round(time.Millisecond), since(acknowledged.At)), err
+		acknowledged.ReceivedAt.Sub(sent).Round(time.Millisecond), since(acknowledged.ReceivedAt)), err
 }
 
 // CheckRoutesChange probes each node for the effects of RoutesChange. The error names the first that is missing.
@@ -50,7 +50,7 @@
 		return "", err
 	}
 	err = d.AwaitWeights(ctx, version)
-	return fmt.Sprintf("all %d model brokers have version %d %v after its acknowledgement", modelBrokers, version, since(acknowledged.At)), err
+	return fmt.Sprintf("all %d model brokers have version %d %v after its acknowledgement", modelBrokers, version, since(acknowledged.ReceivedAt)), err
 }
 
 // killHead kills the head of the chain, submits a change, and waits until the node has rejoined.
@@ -72,7 +72,7 @@
 	started := time.Now()
 	err = d.AwaitAgreement(ctx)
 	return fmt.Sprintf("%s killed: a change acknowledged %v after; it is in the chain again %v after its start",
-		head.Name, acknowledged.At.Sub(killed).Round(time.Millisecond), since(started)), err
+		head.Name, acknowledged.ReceivedAt.Sub(killed).Round(time.Millisecond), since(started)), err
 }
 
 // drainBroker drains a model broker and ends it.
@@ -86,9 +86,9 @@
 		return "", err
 	}
 	var last time.Time
-	for _, arrival := range d.Ledger.Arrivals() {
+	for _, arrival := range d.ArrivalLog.Arrivals() {
 		if arrival.Instance == broker.ID() {
-			last = arrival.At
+			last = arrival.ReceivedAt
 		}
 	}
 	return fmt.Sprintf("%s says that it leaves: the last request reached it %v after the acknowledgement, %v are allowed",
--- a/internal/rig/fleet/faults_test.go
+++ b/internal/rig/fleet/faults_test.go
@@ -89,9 +89,9 @@
 // arrivalsAt returns when requests reached a broker.
 func (s *scenario) arrivalsAt(instance string) []time.Time {
 	var times []time.Time
-	for _, arrival := range s.Ledger.Arrivals() {
+	for _, arrival := range s.ArrivalLog.Arrivals() {
 		if arrival.Instance == instance {
-			times = append(times, arrival.At)
+			times = append(times, arrival.ReceivedAt)
 		}
 	}
 	return times
@@ -152,7 +152,7 @@
 	acknowledged, err := s.Operator.Update(s.ctx, s.Operator.Current(), RoutesChange(s.Operator.Current()))
 	s.must(err)
 	s.must(s.Await(s.ctx, "the change in force", func(context.Context) error { return s.load.CheckRoutesChange() }))
-	took := time.Since(acknowledged.At)
+	took := time.Since(acknowledged.ReceivedAt)
 	t.Logf("in force everywhere %v after the acknowledgement", took.Round(time.Millisecond))
 	assert.Assert(t, took < s.options.Bounds.ConfigApply)
 	s.must(s.load.AwaitAnswers(s.ctx, 5))
@@ -167,7 +167,7 @@
 		acknowledged, err := s.Operator.PutVersion(s.ctx, modelName, version+2)
 		s.must(err)
 		s.must(s.AwaitWeights(s.ctx, version+2))
-		t.Logf("all brokers have version %d %v after its acknowledgement", version+2, time.Since(acknowledged.At).Round(time.Millisecond))
+		t.Logf("all brokers have version %d %v after its acknowledgement", version+2, time.Since(acknowledged.ReceivedAt).Round(time.Millisecond))
 		s.must(s.load.AwaitAnswers(s.ctx, 5))
 	}
 	s.requireFewRejections(s.finish())
--- a/internal/rig/fleet/fleet.go
+++ b/internal/rig/fleet/fleet.go
@@ -31,12 +31,12 @@
 
 // Fleet is the nodes with the operator, the brokers and the platform around them.
 type Fleet struct {
-	Nodes    []*Node
-	Operator *fleetoperator.Operator
-	Weights  *llmbroker.Weights
-	Ledger   *llmbroker.Ledger
-	Store    *llmbroker.Store
-	Brokers  []*llmbroker.Broker
+	Nodes      []*Node
+	Operator   *fleetoperator.Operator
+	Weights    *llmbroker.Weights
+	ArrivalLog *llmbroker.ArrivalLog
+	Store      *llmbroker.Store
+	Brokers    []*llmbroker.Broker
 
 	options        Options
 	dir            string
@@ -55,7 +55,7 @@
 func Start(options Options) (*Fleet, error) {
 	f := &Fleet{
 		options: options, dir: options.Dir, keepsDir: options.Dir != "",
-		Weights: llmbroker.NewWeights(), Ledger: llmbroker.NewLedger(),
+		Weights: llmbroker.NewWeights(), ArrivalLog: llmbroker.NewArrivalLog(),
 	}
 	f.lifetime, f.cancel = context.WithCancel(context.Background())
 	f.spawner = newSpawner()
--- a/internal/rig/fleet/fleet_test.go
+++ b/internal/rig/fleet/fleet_test.go
@@ -126,7 +126,7 @@
 	for _, attempt := range s.load.Attempts.All() {
 		if attempt.Phase >= 0 && (attempt.Outcome == ServerError || attempt.Outcome == ClientError) {
 			s.t.Logf("%s on %s at %s: status %d after %v, arrivals %+v", formatTime(attempt.SentAt), attempt.Prefix, attempt.Node, attempt.Status,
-				attempt.EndedAt.Sub(attempt.SentAt).Round(time.Millisecond), s.Ledger.Of(attempt.ID))
+				attempt.EndedAt.Sub(attempt.SentAt).Round(time.Millisecond), s.ArrivalLog.OfRequest(attempt.ID))
 		}
 	}
 	counts := s.Count(s.load, 1)
--- a/internal/rig/fleet/services.go
+++ b/internal/rig/fleet/services.go
@@ -145,14 +145,14 @@
 // StartBroker starts one more broker of a service.
 func (f *Fleet) StartBroker(service, zone string) (*llmbroker.Broker, error) {
 	options := llmbroker.Options{
-		Service: service, Zone: zone, Listen: f.layout.broker(f.startedBrokers) + ":0", Slots: plainSlots, Queue: queueLength,
-		MaxConnections: connections, TellsLoad: true, Work: plainServiceTime, Heartbeat: f.options.Bounds.Heartbeat,
-		Control: f.controlAddresses, Drain: f.options.Bounds.Drain, Ledger: f.Ledger,
+		Service: service, Zone: zone, Listen: f.layout.broker(f.startedBrokers) + ":0", Slots: plainSlots, QueueLength: queueLength,
+		MaxConnections: connections, ReportsLoad: true, ServiceTime: plainServiceTime, HeartbeatInterval: f.options.Bounds.Heartbeat,
+		ControlAddresses: f.controlAddresses, DrainTime: f.options.Bounds.Drain, Log: f.ArrivalLog,
 	}
 	if service == serviceModel {
 		options.Slots = modelSlots
 		options.Engine = &llmbroker.Engine{
-			Weights: f.Weights, Model: modelName, FirstEvent: firstEventDelay, EventPause: eventInterval, Load: weightsLoadTime,
+			Weights: f.Weights, Model: modelName, FirstEventDelay: firstEventDelay, EventInterval: eventInterval, LoadTime: weightsLoadTime,
 			Fencing: true, KVCapacityTokens: brokerTokens, MaxConcurrency: maxConcurrency,
 		}
 	}
--- a/internal/standin/fleetoperator/configuration.go
+++ b/internal/standin/fleetoperator/configuration.go
@@ -6,7 +6,7 @@
 	"kestrelspread/internal/node/config"
 )
 
-// Configuration is a whole configuration.
+// Configuration is a complete configuration.
 type Configuration struct {
 	Version  uint64           `json:"version"`
 	Routes   []config.Route   `json:"routes"`
@@ -29,30 +29,31 @@
 	Tenants  []string `json:"tenants,omitempty"`
 }
 
-// Update alters named items of the configuration that it builds on.
+// Update changes named items of the configuration that it builds on.
 type Update struct {
 	Version uint64 `json:"version"`
 	Upsert  Items  `json:"upsert"`
 	Remove  Names  `json:"remove"`
 }
 
-// apply gives what a configuration becomes by an update.
+// apply is the configuration after an update.
 func (c Configuration) apply(update Update) Configuration {
 	c.Version = update.Version
-	c.Routes = altered(c.Routes, update.Upsert.Routes, update.Remove.Routes, func(r config.Route) string { return r.Name })
-	c.Services = altered(c.Services, update.Upsert.Services, update.Remove.Services, func(s config.Service) string { return s.Name })
-	c.Tenants = altered(c.Tenants, update.Upsert.Tenants, update.Remove.Tenants, func(t config.Tenant) string { return t.Name })
+	c.Routes = applyItems(c.Routes, update.Upsert.Routes, update.Remove.Routes, func(r config.Route) string { return r.Name })
+	c.Services = applyItems(c.Services, update.Upsert.Services, update.Remove.Services, func(s config.Service) string { return s.Name })
+	c.Tenants = applyItems(c.Tenants, update.Upsert.Tenants, update.Remove.Tenants, func(t config.Tenant) string { return t.Name })
 	return c
 }
 
-func altered[T any](items, upsert []T, remove []string, name func(T) string) []T {
+// applyItems adds or replaces items by name, and removes some.
+func applyItems[T any](items, upsert []T, remove []string, name func(T) string) []T {
 	result := slices.DeleteFunc(slices.Clone(items), func(item T) bool { return slices.Contains(remove, name(item)) })
 	for _, item := range upsert {
-		at := slices.IndexFunc(result, func(other T) bool { return name(other) == name(item) })
-		if at < 0 {
+		index := slices.IndexFunc(result, func(other T) bool { return name(other) == name(item) })
+		if index < 0 {
 			result = append(result, item)
 		} else {
-			result[at] = item
+			result[index] = item
 		}
 	}
 	return result
--- a/internal/standin/fleetoperator/doc.go
+++ b/internal/standin/fleetoperator/doc.go
@@ -1,4 +1,3 @@
-// Package fleetoperator is a stand-in for the operator of the router fleet: it sends configurations, updates and names
-// of new weights to the nodes' control addresses as PROTOCOL.md says ("The operator's API"), keeps what was
-// acknowledged, and checks that it can be read back.
+// Package fleetoperator simulates the operator of the router fleet: it sends configurations, updates and versions of weights to the
+// nodes' control addresses by PROTOCOL.md ("The operator's API"), retains what was acknowledged, and checks that it can be read back.
 package fleetoperator
--- a/internal/standin/fleetoperator/operator.go
+++ b/internal/standin/fleetoperator/operator.go
@@ -23,24 +23,24 @@
 // Acknowledgement is a change that a node has acknowledged.
 type Acknowledgement struct {
 	SentAt        time.Time
-	At            time.Time
-	Configuration Configuration // in force by it; empty where weights were named
-	Model         string        // whose weights were named
+	ReceivedAt    time.Time
+	Configuration Configuration // that it put in force; empty for weights
+	Model         string        // whose weights were published; empty for configurations
 	ModelVersion  uint64
 }
 
 // Operator sends changes. Its methods may be called from several goroutines.
 type Operator struct {
 	sender  sender
-	weights *llmbroker.Weights // nil: nobody loads weights
+	weights *llmbroker.Weights // nil: no brokers
 
 	mutex        sync.Mutex
 	acknowledged []Acknowledgement
 	unclear      []Configuration
 }
 
-// New returns an operator that finds nodes at the addresses that control gives. weights are told of versions before they
-// are named to the nodes; it may be nil.
+// New returns an operator that finds nodes at the addresses that control returns. Versions are published to weights before they are
+// sent to the nodes; weights may be nil.
 func New(control func() []string, weights *llmbroker.Weights) *Operator {
 	return &Operator{sender: newSender(control), weights: weights}
 }
@@ -48,12 +48,12 @@
 // Close ends idle connections.
 func (o *Operator) Close() { o.sender.client.CloseIdleConnections() }
 
-// Replace brings a whole configuration that builds on the version base, until it is acknowledged, refused, or ctx ends.
-func (o *Operator) Replace(ctx context.Context, base uint64, whole Configuration) (Acknowledgement, error) {
-	return o.change(ctx, pathReplace, base, whole, whole)
+// Replace sends a complete configuration that builds on the version base, until it is acknowledged, rejected, or ctx ends.
+func (o *Operator) Replace(ctx context.Context, base uint64, configuration Configuration) (Acknowledgement, error) {
+	return o.change(ctx, pathReplace, base, configuration, configuration)
 }
 
-// Update alters named items of the configuration before.
+// Update changes named items of the configuration before.
 func (o *Operator) Update(ctx context.Context, before Configuration, update Update) (Acknowledgement, error) {
 	return o.change(ctx, pathUpdate, before.Version, update, before.apply(update))
 }
@@ -72,38 +72,39 @@
 		o.mutex.Unlock()
 		return Acknowledgement{}, fmt.Errorf("%w: configuration %d: %w", ErrUnclear, result.Version, err)
 	}
-	if err := refusal(given); err != nil {
+	if err := rejection(given); err != nil {
 		return Acknowledgement{}, err
 	}
-	return o.note(Acknowledgement{SentAt: sent, At: time.Now(), Configuration: result}), nil
+	return o.record(Acknowledgement{SentAt: sent, ReceivedAt: time.Now(), Configuration: result}), nil
 }
 
-func (o *Operator) note(a Acknowledgement) Acknowledgement {
+// record retains an acknowledgement.
+func (o *Operator) record(a Acknowledgement) Acknowledgement {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.acknowledged = append(o.acknowledged, a)
 	return a
 }
 
-// Learn takes over what another operator got acknowledged, so that later changes build on it.
-func (o *Operator) Learn(other Acknowledgement) { o.note(other) }
+// Learn records an acknowledgement of another operator, so that later changes build on it.
+func (o *Operator) Learn(other Acknowledgement) { o.record(other) }
 
-// refusal words an answer that turns a change down.
-func refusal(given answer) error {
+// rejection is the error of an answer that rejects a change.
+func rejection(given answer) error {
 	switch {
 	case given.status/100 == 2:
 		return nil
 	case given.status == http.StatusPreconditionFailed:
 		return fmt.Errorf("%w: status %d: %s", ErrConflict, given.status, given.body)
 	default:
-		return fmt.Errorf("%w: status %d: %s", ErrRefused, given.status, given.body)
+		return fmt.Errorf("%w: status %d: %s", ErrRejected, given.status, given.body)
 	}
 }
 
-// PutVersion names new weights of a model.
+// PutVersion publishes a version of the weights of a model.
 func (o *Operator) PutVersion(ctx context.Context, model string, version uint64) (Acknowledgement, error) {
 	if o.weights != nil {
-		o.weights.Name(model, version)
+		o.weights.Publish(model, version)
 	}
 	text, err := json.Marshal(struct {
 		Model   string `json:"model"`
@@ -117,20 +118,20 @@
 	if err != nil {
 		return Acknowledgement{}, fmt.Errorf("%w: version %d of %s: %w", ErrUnclear, version, model, err)
 	}
-	if err := refusal(given); err != nil {
+	if err := rejection(given); err != nil {
 		return Acknowledgement{}, err
 	}
-	return o.note(Acknowledgement{SentAt: sent, At: time.Now(), Model: model, ModelVersion: version}), nil
+	return o.record(Acknowledgement{SentAt: sent, ReceivedAt: time.Now(), Model: model, ModelVersion: version}), nil
 }
 
-// Acknowledged gives all acknowledgements, in order.
+// Acknowledged returns all acknowledgements, in order.
 func (o *Operator) Acknowledged() []Acknowledgement {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.acknowledged)
 }
 
-// Current is the newest configuration that was acknowledged; its version is 0 where none was.
+// Current is the newest acknowledged configuration; version 0: there is none.
 func (o *Operator) Current() Configuration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/standin/fleetoperator/operator_test.go
+++ b/internal/standin/fleetoperator/operator_test.go
@@ -19,9 +19,9 @@
 	"kestrelspread/internal/standin/llmbroker"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// node answers calls as its script says, one entry a call; the last one holds for all that follow.
+// node answers calls by its script, one entry a call; the last one is repeated.
 type node struct {
 	mutex  sync.Mutex
 	script []func(http.ResponseWriter, *http.Request)
@@ -44,8 +44,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 }
 
-// cut takes the call and loses the answer.
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// loseAnswer accepts the call and loses the answer.
+func loseAnswer(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func operatorOf(t *testing.T, script ...func(http.ResponseWriter, *http.Request)) (*Operator, *node) {
 	t.Helper()
@@ -57,39 +57,39 @@
 	return o, n
 }
 
-func within(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-var first = Configuration{
+var firstConfiguration = Configuration{
 	Version:  3,
 	Routes:   []config.Route{{Name: "r", Host: "h.example", PathPrefix: "/a/", Kind: config.KindSafe, TimeoutMs: 1000, Service: "s"}},
 	Services: []config.Service{{Name: "s"}},
 }
 
-// Source: PROTOCOL.md, "The operator's API": what ends a call, and what is sent again.
-func TestWhatEndsACall(t *testing.T) {
+// Source: PROTOCOL.md, "The operator's API": what ends a call, and what is retried.
+func TestFinalAnswersEndACall(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		script []func(http.ResponseWriter, *http.Request)
 		kind   error // nil: acknowledged
 		calls  int
 	}{
-		{"taken", []func(http.ResponseWriter, *http.Request){status(200)}, nil, 1},
+		{"accepted", []func(http.ResponseWriter, *http.Request){status(200)}, nil, 1},
 		{"503 first", []func(http.ResponseWriter, *http.Request){status(503), status(200)}, nil, 2},
 		{"408 and 429 first", []func(http.ResponseWriter, *http.Request){status(408), status(429), status(408), status(200)}, nil, 4},
-		{"answer lost", []func(http.ResponseWriter, *http.Request){cut, status(200)}, nil, 2},
+		{"answer lost", []func(http.ResponseWriter, *http.Request){loseAnswer, status(200)}, nil, 2},
 		{"412", []func(http.ResponseWriter, *http.Request){status(412)}, ErrConflict, 1},
-		{"400", []func(http.ResponseWriter, *http.Request){status(400)}, ErrRefused, 1},
-		{"409", []func(http.ResponseWriter, *http.Request){status(409)}, ErrRefused, 1},
+		{"400", []func(http.ResponseWriter, *http.Request){status(400)}, ErrRejected, 1},
+		{"409", []func(http.ResponseWriter, *http.Request){status(409)}, ErrRejected, 1},
 		{"404 twice", []func(http.ResponseWriter, *http.Request){status(404), status(404), status(200)}, nil, 3},
-		{"404 three times", []func(http.ResponseWriter, *http.Request){status(404)}, ErrRefused, 3},
+		{"404 three times", []func(http.ResponseWriter, *http.Request){status(404)}, ErrRejected, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			o, n := operatorOf(t, test.script...)
-			_, err := o.Replace(within(t), 0, first)
+			_, err := o.Replace(testContext(t), 0, firstConfiguration)
 			if test.kind == nil {
 				assert.NilError(t, err)
 				assert.Equal(t, o.Current().Version, uint64(3))
@@ -113,38 +113,38 @@
 	t.Cleanup(redirecting.Close)
 	through := New(func() []string { return []string{strings.TrimPrefix(redirecting.URL, "http://")} }, nil)
 	t.Cleanup(through.Close)
-	_, err := through.Replace(within(t), 7, first)
+	_, err := through.Replace(testContext(t), 7, firstConfiguration)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.HasPrefix(n.calls[0], "POST /kestrelspread/config/replace 7 {"), n.calls[0])
 }
 
-func TestAChangeWithoutAnswerIsUnclear(t *testing.T) {
+func TestChangeWithoutAnswerIsUnclear(t *testing.T) {
 	o, _ := operatorOf(t, status(503))
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, err := o.Replace(ctx, 0, first)
+	_, err := o.Replace(ctx, 0, firstConfiguration)
 	assert.Assert(t, errors.Is(err, ErrUnclear), "%v", err)
 }
 
-func TestVersionsAreNamedToBrokersFirst(t *testing.T) {
+func TestVersionIsPublishedToBrokersFirst(t *testing.T) {
 	o, n := operatorOf(t, status(503), status(200))
 	o.weights = llmbroker.NewWeights()
-	_, err := o.PutVersion(within(t), "m", 2)
+	_, err := o.PutVersion(testContext(t), "m", 2)
 	assert.NilError(t, err)
 	assert.Equal(t, o.weights.Newest("m"), uint64(2))
 	assert.Equal(t, n.calls[1], `POST /kestrelspread/version-put  {"model":"m","version":2}`)
 }
 
-// Source: RULES.md, CONFIG: what is read back.
-func TestReadBack(t *testing.T) {
-	second := first.apply(Update{
+// Source: RULES.md, CONFIG.
+func TestCheckReadBackDetectsLostChanges(t *testing.T) {
+	second := firstConfiguration.apply(Update{
 		Version: 5,
 		Upsert:  Items{Routes: []config.Route{{Name: "r", Host: "h.example", PathPrefix: "/b/", TimeoutMs: 1, Service: "s"}, {Name: "new"}}},
 		Remove:  Names{Services: []string{"gone"}},
 	})
 	assert.Equal(t, len(second.Routes), 2)
 	assert.Equal(t, second.Routes[0].PathPrefix, "/b/")
-	assert.Equal(t, first.Routes[0].PathPrefix, "/a/")
+	assert.Equal(t, firstConfiguration.Routes[0].PathPrefix, "/a/")
 	changed := second
 	changed.Services = nil
 	for _, test := range []struct {
@@ -153,7 +153,7 @@
 		lost bool
 	}{
 		{"as acknowledged", second, false},
-		{"an older one", first, true},
+		{"an older one", firstConfiguration, true},
 		{"another under the same number", changed, true},
 		{"one never sent", Configuration{Version: 9}, true},
 	} {
@@ -161,9 +161,9 @@
 			text, err := json.Marshal(test.read)
 			assert.NilError(t, err)
 			o, _ := operatorOf(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(text) })
-			o.note(Acknowledgement{Configuration: first})
-			o.note(Acknowledgement{Configuration: second})
-			err = o.CheckReadBack(within(t))
+			o.record(Acknowledgement{Configuration: firstConfiguration})
+			o.record(Acknowledgement{Configuration: second})
+			err = o.CheckReadBack(testContext(t))
 			assert.Equal(t, errors.Is(err, ErrLost), test.lost, "%v", err)
 		})
 	}
--- a/internal/standin/fleetoperator/readback.go
+++ b/internal/standin/fleetoperator/readback.go
@@ -8,55 +8,56 @@
 	"reflect"
 )
 
-// CheckReadBack asks for the newest configuration, and returns ErrLost where it is older than the newest
-// acknowledged one, or differs from what was sent under its number (RULES.md, CONFIG).
+// CheckReadBack fetches the newest configuration, and returns ErrLost if it is older than the newest acknowledged one, or differs from
+// what was submitted as its version. Source: RULES.md, CONFIG.
 func (o *Operator) CheckReadBack(ctx context.Context) error {
 	given, err := o.sender.send(ctx, call{method: http.MethodGet, path: pathFetch})
 	if err != nil {
-		return fmt.Errorf("%w: no configuration can be read back: %w", ErrLost, err)
+		return fmt.Errorf("%w: no configuration can be fetched: %w", ErrLost, err)
 	}
 	if given.status != http.StatusOK {
 		return fmt.Errorf("%w: reading back: status %d: %s", ErrLost, given.status, given.body)
 	}
 	var read Configuration
 	if err := json.Unmarshal(given.body, &read); err != nil {
-		return fmt.Errorf("%w: what is read back is no configuration: %w", ErrLost, err)
+		return fmt.Errorf("%w: decoding the configuration that was fetched: %w", ErrLost, err)
 	}
 	newest := o.Current().Version
 	if read.Version < newest {
 		return fmt.Errorf("%w: version %d is read back, %d was acknowledged", ErrLost, read.Version, newest)
 	}
-	for _, sent := range o.sentAs(read.Version) {
-		if same(read, sent) {
+	for _, sent := range o.submittedAs(read.Version) {
+		if isEqual(read, sent) {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: version %d as it is read back was never sent", ErrLost, read.Version)
+	return fmt.Errorf("%w: version %d as it was fetched was never submitted", ErrLost, read.Version)
 }
 
-// sentAs gives the configurations that changes under a number would have put in force.
-func (o *Operator) sentAs(version uint64) []Configuration {
+// submittedAs returns the configurations that changes with a version have put in force, or would have.
+func (o *Operator) submittedAs(version uint64) []Configuration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	var list []Configuration
+	var submitted []Configuration
 	for _, a := range o.acknowledged {
 		if a.Configuration.Version == version {
-			list = append(list, a.Configuration)
+			submitted = append(submitted, a.Configuration)
 		}
 	}
 	for _, unclear := range o.unclear {
 		if unclear.Version == version {
-			list = append(list, unclear)
+			submitted = append(submitted, unclear)
 		}
 	}
-	return list
+	return submitted
 }
 
-// same compares configurations item by item; the order of items has no meaning.
-func same(a, b Configuration) bool {
+// isEqual compares configurations item by item, in any order.
+func isEqual(a, b Configuration) bool {
 	return reflect.DeepEqual(byName(a), byName(b))
 }
 
+// byName is the items of a configuration by kind and name.
 func byName(c Configuration) map[string]any {
 	items := map[string]any{"limits": c.Limits}
 	for _, route := range c.Routes {
--- a/internal/standin/fleetoperator/sender.go
+++ b/internal/standin/fleetoperator/sender.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// silence is how long a node may say nothing.
-	silence = time.Second
-	// The pause after a round without a clear answer grows from the first to the last.
-	firstPause = 25 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
-	// mostRedirects is how often a 307 is followed.
-	mostRedirects = 2
-	// mostOddAnswers is at which 4xx in a row a call is given up that is not turned down by its status alone.
-	mostOddAnswers = 3
-	maxAnswerBytes = 64 << 20
+	// callTimeout bounds the wait for an answer of a node.
+	callTimeout = time.Second
+	// The backoff after an answer that is not final doubles from the first to the maximum.
+	firstBackoff = 25 * time.Millisecond
+	maxBackoff   = 500 * time.Millisecond
+	// maxRedirects bounds the redirects of one call.
+	maxRedirects = 2
+	// maxUnexpectedAnswers is how many answers with an unexpected 4xx end a call.
+	maxUnexpectedAnswers = 3
+	maxAnswerBytes       = 64 << 20
 )
 
 const headerBaseVersion = "X-Kestrelspread-Base-Version"
 
-// call is one order of the operator.
+// call is one call of the API.
 type call struct {
 	method string
 	path   string
@@ -34,24 +34,25 @@
 	body   []byte
 }
 
-// answer is what a node said in the end.
+// answer is the final answer of a node.
 type answer struct {
 	status int
 	body   []byte
 }
 
-// sender makes calls as PROTOCOL.md says.
+// sender makes calls by PROTOCOL.md.
 type sender struct {
 	control func() []string
 	client  *http.Client
 }
 
+// newSender finds nodes at the addresses that control returns.
 func newSender(control func() []string) sender {
 	return sender{control: control, client: &http.Client{
-		Timeout:   silence,
+		Timeout:   callTimeout,
 		Transport: &http.Transport{IdleConnTimeout: 5 * time.Second},
 		CheckRedirect: func(_ *http.Request, via []*http.Request) error {
-			if len(via) > mostRedirects {
+			if len(via) > maxRedirects {
 				return errors.New("redirected too often")
 			}
 			return nil
@@ -59,31 +60,31 @@
 	}}
 }
 
-// send makes a call to one node after the other until one gives a clear answer, or ctx ends.
+// send calls one node after another until one gives a final answer, or ctx ends.
 func (s *sender) send(ctx context.Context, c call) (answer, error) {
-	wait := firstPause
-	odd := 0
+	backoff := firstBackoff
+	unexpected := 0
 	for {
-		given, err := s.once(ctx, c)
+		given, err := s.attempt(ctx, c)
 		switch {
 		case err == nil && given.status/100 == 2:
 			return given, nil
-		case err == nil && endsCall(given.status):
+		case err == nil && isFinal(given.status):
 			return given, nil
-		case err == nil && given.status/100 == 4 && !tryElsewhere(given.status):
-			if odd++; odd == mostOddAnswers {
+		case err == nil && given.status/100 == 4 && !isRetryable(given.status):
+			if unexpected++; unexpected == maxUnexpectedAnswers {
 				return given, nil
 			}
 		}
-		if !sleep(ctx, wait) {
+		if !sleep(ctx, backoff) {
 			return given, errors.Join(err, ctx.Err())
 		}
-		wait = min(2*wait, lastPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// endsCall reports whether a status ends a call at once.
-func endsCall(status int) bool {
+// isFinal reports whether a status rejects a change for good.
+func isFinal(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed,
 		http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
@@ -93,12 +94,13 @@
 	}
 }
 
-// tryElsewhere reports whether a 4xx says no more than that another node is to be asked.
-func tryElsewhere(status int) bool {
+// isRetryable reports whether a 4xx only asks for a retry at another node.
+func isRetryable(status int) bool {
 	return status == http.StatusRequestTimeout || status == http.StatusTooManyRequests
 }
 
-func (s *sender) once(ctx context.Context, c call) (answer, error) {
+// attempt makes a call to a random node once.
+func (s *sender) attempt(ctx context.Context, c call) (answer, error) {
 	addresses := s.control()
 	if len(addresses) == 0 {
 		return answer{}, errors.New("no node serves control")
@@ -124,9 +126,9 @@
 	return answer{status: given.StatusCode, body: body}, nil
 }
 
-// sleep waits, and reports whether ctx still holds.
-func sleep(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(span)
+// sleep waits, and reports whether ctx has not ended.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/standin/llmbroker/broker.go
+++ b/internal/standin/llmbroker/broker.go
@@ -12,50 +12,51 @@
 	"time"
 )
 
-// Broker is one life of a broker.
+// Broker is one incarnation of a broker.
 type Broker struct {
-	options Options
-	id      string
-	address string
-	server  *http.Server
-	slots   slots
-	kv      *kvAPI
-	engine  engineState
-	runs    atomic.Uint64
-	beats   *announcer
+	options   Options
+	id        string
+	address   string
+	server    *http.Server
+	slots     slots
+	kvCache   *kvAPI
+	engine    engineState
+	lastRun   atomic.Uint64
+	announcer *announcer
 
 	connections atomic.Int64
-	leaving     atomic.Bool
-	ended       sync.Once
-	life        context.Context // ends with the broker
-	endLife     context.CancelFunc
-	saver       http.Client
+	draining    atomic.Bool
+	closeOnce   sync.Once
+	lifetime    context.Context // cancelled as the broker ends
+	cancel      context.CancelFunc
+	saveClient  http.Client
 }
 
-// Start serves a broker and has it announce itself.
+// Start starts a broker, which registers itself by heartbeats.
 func Start(options Options) (*Broker, error) {
 	options = options.withDefaults()
 	listener, err := net.Listen("tcp", options.Listen)
 	if err != nil {
 		return nil, err
 	}
-	b := &Broker{options: options, id: "i-" + randomText(), address: listener.Addr().String()}
-	b.life, b.endLife = context.WithCancel(context.Background())
-	b.slots = slots{size: options.Slots, queue: options.Queue}
+	b := &Broker{options: options, id: "i-" + randomID(), address: listener.Addr().String()}
+	b.lifetime, b.cancel = context.WithCancel(context.Background())
+	b.slots = slots{capacity: options.Slots, queue: options.QueueLength}
 	if options.Engine != nil {
 		b.engine.version = options.Engine.Version
-		b.engine.running = map[uint64]*modelRun{}
-		b.kv = newKVAPI(options.Engine.KVCapacityTokens, options.Engine.MaxConcurrency)
+		b.engine.runs = map[uint64]*modelRun{}
+		b.kvCache = newKVAPI(options.Engine.KVCapacityTokens, options.Engine.MaxConcurrency)
 	}
-	b.saver.Timeout = time.Second
+	b.saveClient.Timeout = time.Second
 	b.server = &http.Server{Handler: b, ConnState: b.connectionChanged}
 	go func() { _ = b.server.Serve(listener) }()
-	b.beats = newAnnouncer(b)
-	go b.beats.run(b.life)
+	b.announcer = newAnnouncer(b)
+	go b.announcer.run(b.lifetime)
 	return b, nil
 }
 
-func randomText() string {
+// randomID is a random text for IDs.
+func randomID() string {
 	var bytes [6]byte
 	if _, err := rand.Read(bytes[:]); err != nil {
 		panic(err) // the system's source of randomness does not fail on Linux
@@ -63,56 +64,56 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// ID is the broker's id in this life.
+// ID is the instance ID of this incarnation.
 func (b *Broker) ID() string { return b.id }
 
-// Address is where it listens.
+// Address is the address that it listens on.
 func (b *Broker) Address() string { return b.address }
 
 // Service is the name of its service.
 func (b *Broker) Service() string { return b.options.Service }
 
-// Zone is where it is.
+// Zone is its zone.
 func (b *Broker) Zone() string { return b.options.Zone }
 
-// Version is that of its weights; 0 at a plain broker.
-func (b *Broker) Version() uint64 { return b.engine.current() }
+// Version is the version of its weights; 0 for a plain broker.
+func (b *Broker) Version() uint64 { return b.engine.currentVersion() }
 
 // Announced is closed once a node has acknowledged a heartbeat.
-func (b *Broker) Announced() <-chan struct{} { return b.beats.announced }
+func (b *Broker) Announced() <-chan struct{} { return b.announcer.announced }
 
-// Crash ends the broker at once; nobody is told.
+// Crash ends the broker at once, without notice.
 func (b *Broker) Crash() {
-	b.ended.Do(func() {
-		b.endLife()
+	b.closeOnce.Do(func() {
+		b.cancel()
 		_ = b.server.Close()
-		b.saver.CloseIdleConnections()
+		b.saveClient.CloseIdleConnections()
 	})
 }
 
-// Drain says that the broker leaves until that is acknowledged, and gives the time of the acknowledgement.
+// Drain announces that the broker drains until that is acknowledged, and returns the time of the acknowledgement.
 func (b *Broker) Drain(ctx context.Context) (time.Time, error) {
-	b.leaving.Store(true)
-	return b.beats.drain(ctx)
+	b.draining.Store(true)
+	return b.announcer.drain(ctx)
 }
 
-// afterDrain is how much longer than the time of the drain a broker serves on.
-const afterDrain = 500 * time.Millisecond
+// serveAfterDrain is how long a broker serves after the drain time.
+const serveAfterDrain = 500 * time.Millisecond
 
-// Leave serves on for the time of the drain and a little longer, deregisters, finishes what it has begun and ends. It is
-// called after Drain.
+// Leave serves for the drain time and serveAfterDrain, deregisters, finishes the running requests and ends the broker. It is called
+// after Drain.
 func (b *Broker) Leave(ctx context.Context) error {
 	defer b.Crash()
-	if !pause(ctx, b.options.Drain+afterDrain) {
+	if !sleep(ctx, b.options.DrainTime+serveAfterDrain) {
 		return ctx.Err()
 	}
-	if err := b.beats.deregister(ctx); err != nil {
+	if err := b.announcer.deregister(ctx); err != nil {
 		return err
 	}
 	return b.server.Shutdown(ctx)
 }
 
-// connectionChanged resets connections beyond the bound.
+// connectionChanged resets connections beyond the limit.
 func (b *Broker) connectionChanged(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -133,17 +134,18 @@
 	switch {
 	case r.URL.Path == b.options.HealthCheck && r.Method == http.MethodGet:
 		b.healthCheck(w, r)
-	case b.kv != nil && b.kv.serves(r.URL.Path):
-		b.kv.ServeHTTP(w, r)
-	case b.kv != nil && r.URL.Path == pathReport:
-		b.report(w)
-	case b.kv != nil && r.URL.Path == pathOrder:
-		b.order(w, r)
+	case b.kvCache != nil && b.kvCache.serves(r.URL.Path):
+		b.kvCache.ServeHTTP(w, r)
+	case b.kvCache != nil && r.URL.Path == pathReport:
+		b.serveReport(w)
+	case b.kvCache != nil && r.URL.Path == pathOrder:
+		b.serveOrder(w, r)
 	default:
 		b.serveRequest(w, r)
 	}
 }
 
+// healthCheck answers a health check. It takes a slot, as a request does.
 func (b *Broker) healthCheck(w http.ResponseWriter, r *http.Request) {
 	if b.slots.enter(r.Context(), lowestPriority) != admitted {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -151,14 +153,15 @@
 	}
 	defer b.slots.leave()
 	w.Header().Set(HeaderInstanceID, b.id)
-	b.tellLoad(w)
-	if b.leaving.Load() {
+	b.setLoadHeader(w)
+	if b.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (b *Broker) tellLoad(w http.ResponseWriter) {
-	if b.options.TellsLoad {
+// setLoadHeader reports the load, if the broker is configured to.
+func (b *Broker) setLoadHeader(w http.ResponseWriter) {
+	if b.options.ReportsLoad {
 		running, waiting, size := b.slots.load()
 		w.Header().Set(HeaderServerLoad, fmt.Sprintf("%d,%d,%d", running, waiting, size))
 	}
--- a/internal/standin/llmbroker/broker_test.go
+++ b/internal/standin/llmbroker/broker_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// patience bounds every wait of the tests; a passing test never waits it out.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; a passing test does not reach it.
+const testTimeout = 20 * time.Second
 
 const model = "m1"
 
@@ -38,13 +38,13 @@
 	if change != nil {
 		change(engine)
 	}
-	return start(t, Options{Slots: 2, Queue: 1, TellsLoad: true, Engine: engine})
+	return start(t, Options{Slots: 2, QueueLength: 1, ReportsLoad: true, Engine: engine})
 }
 
 // do sends a request with headers given as "Name: value".
 func do(t *testing.T, b *Broker, method, path, body string, headers ...string) *http.Response {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+b.Address()+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -67,8 +67,8 @@
 
 const withID = HeaderRequestID + ": r1"
 
-// Source: PROTOCOL.md, "Brokers": what tells that a request was not run.
-func TestWhatIsTurnedAway(t *testing.T) {
+// Source: PROTOCOL.md, "Brokers": answers that say that a request was not executed.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		headers []string
@@ -83,38 +83,38 @@
 			answer := do(t, b, "POST", "/a/", "", test.headers...)
 			assert.Equal(t, answer.StatusCode, test.status)
 			assert.Assert(t, answer.Header.Get(HeaderNotExecuted) != "")
-			arrivals := b.options.Ledger.Arrivals()
+			arrivals := b.options.Log.Arrivals()
 			assert.Equal(t, len(arrivals), 1)
 			assert.Assert(t, !arrivals[0].Ran())
 		})
 	}
 }
 
-func TestAPlainAnswerIsSealed(t *testing.T) {
-	b := start(t, Options{Slots: 1, TellsLoad: true})
+func TestPlainAnswerIsSealed(t *testing.T) {
+	b := start(t, Options{Slots: 1, ReportsLoad: true})
 	answer := do(t, b, "POST", "/a/b?c", "body", withID, HeaderExpectInstance+": "+b.ID())
 	body := read(t, answer)
 	assert.Equal(t, answer.StatusCode, 200)
 	assert.Equal(t, answer.Header.Get(HeaderSeal), Seal(b.ID(), 1, Hash([]byte(body))))
 	assert.Equal(t, answer.Header.Get(HeaderRequestID), "r1")
 	assert.Equal(t, answer.Header.Get(HeaderServerLoad), "1,0,1")
-	arrival := b.options.Ledger.Of("r1")[0]
+	arrival := b.options.Log.OfRequest("r1")[0]
 	assert.Assert(t, arrival.Ran())
 	assert.Equal(t, arrival.URI, "/a/b?c")
 }
 
-func TestAFullBrokerTurnsAway(t *testing.T) {
-	b := start(t, Options{Slots: 1, Queue: 0, Work: patience})
+func TestFullBrokerRejectsRequests(t *testing.T) {
+	b := start(t, Options{Slots: 1, QueueLength: 0, ServiceTime: testTimeout})
 	begun := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Go(func() {
 		request, _ := http.NewRequestWithContext(ctx, "POST", "http://"+b.Address()+"/a/", nil)
-		request.Header.Set(HeaderRequestID, "held")
+		request.Header.Set(HeaderRequestID, "pending")
 		_, _ = http.DefaultTransport.RoundTrip(request)
 	})
 	go func() {
-		awaitRun(b.options.Ledger, "held")
+		awaitRun(b.options.Log, "pending")
 		close(begun)
 	}()
 	<-begun
@@ -125,28 +125,28 @@
 	group.Wait()
 }
 
-// awaitRun waits until a request has begun.
-func awaitRun(ledger *Ledger, request string) {
+// awaitRun waits until a request has started.
+func awaitRun(ledger *ArrivalLog, request string) {
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for range ticker.C {
-		if arrivals := ledger.Of(request); len(arrivals) > 0 && arrivals[0].Ran() {
+		if arrivals := ledger.OfRequest(request); len(arrivals) > 0 && arrivals[0].Ran() {
 			return
 		}
 	}
 }
 
-// Source: PROTOCOL.md, "Requests": a stream may be taken up at another broker with Last-Event-Id.
-func TestAStreamIsTakenUpElsewhere(t *testing.T) {
+// Source: PROTOCOL.md, "Requests": a stream may be resumed at another broker with Last-Event-Id.
+func TestStreamResumesAtAnotherBroker(t *testing.T) {
 	first, second := startModel(t, nil), startModel(t, nil)
-	whole := eventsOf(read(t, do(t, first, "POST", "/a/", "q", withID, HeaderTokenCount+": 10,5")))
+	complete := eventsOf(read(t, do(t, first, "POST", "/a/", "q", withID, HeaderTokenCount+": 10,5")))
 	rest := eventsOf(read(t, do(t, second, "POST", "/a/", "q", withID, HeaderTokenCount+": 10,5", HeaderLastEventID+": 3")))
-	assert.Equal(t, len(whole), 5)
+	assert.Equal(t, len(complete), 5)
 	assert.Equal(t, len(rest), 2)
-	for i, event := range whole {
-		assert.Equal(t, event, fmt.Sprintf("id: %d\ndata: %s %s.1", i+1, Piece("/a/", []byte("q"), i+1), first.ID()))
+	for i, event := range complete {
+		assert.Equal(t, event, fmt.Sprintf("id: %d\ndata: %s %s.1", i+1, EventText("/a/", []byte("q"), i+1), first.ID()))
 	}
-	assert.Assert(t, strings.HasPrefix(rest[0], "id: 4\ndata: "+Piece("/a/", []byte("q"), 4)))
+	assert.Assert(t, strings.HasPrefix(rest[0], "id: 4\ndata: "+EventText("/a/", []byte("q"), 4)))
 }
 
 func eventsOf(body string) []string { return strings.Split(strings.TrimSuffix(body, "\n\n"), "\n\n") }
@@ -156,32 +156,32 @@
 }
 
 // Source: PROTOCOL.md, "Requests": the answers to orders.
-func TestOrders(t *testing.T) {
+func TestOrderStatus(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		body   string
 		status int
 	}{
-		{"taken", orderText(2, 5, "wait"), 202},
+		{"accepted", orderText(2, 5, "wait"), 202},
 		{"already holds", orderText(1, 5, "wait"), 200},
-		{"not named", orderText(3, 5, "wait"), 400},
-		{"fence too low", orderText(2, 3, "wait"), 412},
-		{"no fence", `{"op":"version","model":"m1","version":2,"mode":"wait","holder":"h"}`, 400},
+		{"not published", orderText(3, 5, "wait"), 400},
+		{"fencing token too low", orderText(2, 3, "wait"), 412},
+		{"no fencing token", `{"op":"version","model":"m1","version":2,"mode":"wait","holder":"h"}`, 400},
 		{"no holder", `{"op":"version","model":"m1","version":2,"mode":"wait","fence":5}`, 400},
 		{"no such order", `{"op":"dance","model":"m1","version":2,"mode":"wait","holder":"h","fence":5}`, 400},
 		{"another sequence", `{"op":"version","model":"m1","version":2,"mode":"wait","holder":"h","fence":5,"ifRevision":7}`, 409},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := startModel(t, func(e *Engine) { e.Fencing = true })
-			b.options.Engine.Weights.Name(model, 2)
-			b.engine.fence = 4
+			b.options.Engine.Weights.Publish(model, 2)
+			b.engine.maxFencingToken = 4
 			assert.Equal(t, do(t, b, "POST", pathOrder, test.body).StatusCode, test.status)
 		})
 	}
 }
 
-// TestAnOrderThatIsCutOffIsNone: its sender went, or held the body back. A whole one without a fence is noted as such.
-func TestAnOrderThatIsCutOffIsNone(t *testing.T) {
+// TestTruncatedOrderIsIgnored: its sender closed or reset the connection. A complete one without a fencing token is recorded.
+func TestTruncatedOrderIsIgnored(t *testing.T) {
 	ends := map[string]func(*net.TCPConn) error{
 		"closed": (*net.TCPConn).CloseWrite,
 		"reset": func(socket *net.TCPConn) error {
@@ -201,37 +201,37 @@
 			assert.NilError(t, end(socket.(*net.TCPConn)))
 			_, _ = io.ReadAll(socket) // until the broker has done with it
 			assert.NilError(t, b.server.Shutdown(t.Context()))
-			assert.Equal(t, len(b.options.Ledger.Orders()), 0)
+			assert.Equal(t, len(b.options.Log.Orders()), 0)
 		})
 	}
 	b := startModel(t, func(e *Engine) { e.Fencing = true })
 	do(t, b, "POST", pathOrder, `{"op":"version","model":"m1","version":2,"mode":"wait","holder":"h"}`)
-	assert.Equal(t, len(b.options.Ledger.Orders()), 1)
-	assert.Assert(t, b.options.Ledger.Orders()[0].Order.Fence == nil)
+	assert.Equal(t, len(b.options.Log.Orders()), 1)
+	assert.Assert(t, b.options.Log.Orders()[0].Order.FencingToken == nil)
 }
 
-func TestNewWeightsComeOnceNothingRuns(t *testing.T) {
-	b := startModel(t, func(e *Engine) { e.EventPause = 5 * time.Millisecond })
-	b.options.Engine.Weights.Name(model, 2)
+func TestWeightsChangeOnceNothingRuns(t *testing.T) {
+	b := startModel(t, func(e *Engine) { e.EventInterval = 5 * time.Millisecond })
+	b.options.Engine.Weights.Publish(model, 2)
 	answer := do(t, b, "POST", "/a/", "q", withID, HeaderTokenCount+": 10,8", HeaderSalt+": s")
 	reader := bufio.NewReader(answer.Body)
 	_, err := reader.ReadString('\n')
 	assert.NilError(t, err)
 	assert.Equal(t, do(t, b, "POST", pathOrder, orderText(2, 1, "wait")).StatusCode, 202)
 	assert.Equal(t, do(t, b, "POST", pathOrder, orderText(2, 1, "wait")).StatusCode, 409)
-	turnedAway := do(t, b, "POST", "/a/", "q", HeaderRequestID+": r2")
-	assert.Equal(t, turnedAway.StatusCode, 503)
-	assert.Assert(t, turnedAway.Header.Get(HeaderNotExecuted) != "")
-	_, err = io.ReadAll(reader) // the run ends on the weights it began on
+	rejected := do(t, b, "POST", "/a/", "q", HeaderRequestID+": r2")
+	assert.Equal(t, rejected.StatusCode, 503)
+	assert.Assert(t, rejected.Header.Get(HeaderNotExecuted) != "")
+	_, err = io.ReadAll(reader) // the run ends on the weights it started with
 	assert.NilError(t, err)
 	awaitReport(t, b, func(r reportBody) bool { return !r.Busy && r.Models[0].Version == 2 })
-	assert.Equal(t, b.options.Ledger.Of("r1")[0].Version, uint64(1))
+	assert.Equal(t, b.options.Log.OfRequest("r1")[0].Version, uint64(1))
 }
 
-// awaitReport asks for reports until one is as expected.
+// awaitReport fetches reports until one is as expected.
 func awaitReport(t *testing.T, b *Broker, expected func(reportBody) bool) {
 	t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -249,7 +249,7 @@
 }
 
 // Source: PROTOCOL.md, "KV cache".
-func TestEventsTellOfKeptParts(t *testing.T) {
+func TestEventsListCachedBlocks(t *testing.T) {
 	store, err := StartStore("127.0.0.1:0", 1000, 4)
 	assert.NilError(t, err)
 	t.Cleanup(store.Close)
@@ -272,27 +272,27 @@
 	}
 }
 
-func TestThePartsUnusedLongestGiveWay(t *testing.T) {
-	parts := newPartStore(100)
-	assert.Equal(t, parts.keep("s", model, []Part{{"a", 60}, {"b", 30}}), 0)
-	assert.Equal(t, parts.keep("s", model, []Part{{"a", 60}}), 60)
-	assert.Equal(t, parts.keep("s", model, []Part{{"a", 60}, {"c", 40}}), 60)
-	assert.Equal(t, parts.keep("s", model, []Part{{"a", 60}, {"b", 30}}), 60) // b gave way to c
-	assert.Equal(t, parts.keep("other", model, []Part{{"a", 60}}), 0)
+func TestLeastRecentlyUsedBlocksAreEvicted(t *testing.T) {
+	parts := newBlockCache(100)
+	assert.Equal(t, parts.use("s", model, []Block{{"a", 60}, {"b", 30}}), 0)
+	assert.Equal(t, parts.use("s", model, []Block{{"a", 60}}), 60)
+	assert.Equal(t, parts.use("s", model, []Block{{"a", 60}, {"c", 40}}), 60)
+	assert.Equal(t, parts.use("s", model, []Block{{"a", 60}, {"b", 30}}), 60) // c has evicted b
+	assert.Equal(t, parts.use("other", model, []Block{{"a", 60}}), 0)
 }
 
-// controlNode takes heartbeats as a node does.
+// controlNode receives heartbeats as a node does.
 type controlNode struct {
-	server *httptest.Server
-	beats  chan heartbeatBody
-	ended  chan struct{}
-	refuse bool
+	server     *httptest.Server
+	heartbeats chan heartbeatBody
+	ended      chan struct{}
+	rejects    bool
 }
 
 func newControlNode(t *testing.T, refuse bool, answer string) *controlNode {
-	node := &controlNode{beats: make(chan heartbeatBody, 100), ended: make(chan struct{}, 1), refuse: refuse}
+	node := &controlNode{heartbeats: make(chan heartbeatBody, 100), ended: make(chan struct{}, 1), rejects: refuse}
 	node.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if node.refuse {
+		if node.rejects {
 			w.WriteHeader(503)
 			return
 		}
@@ -303,7 +303,7 @@
 		var body heartbeatBody
 		_ = json.NewDecoder(r.Body).Decode(&body)
 		select {
-		case node.beats <- body:
+		case node.heartbeats <- body:
 		default: // the test has seen enough
 		}
 		_, _ = io.WriteString(w, answer)
@@ -315,27 +315,27 @@
 func (n *controlNode) address() string { return strings.TrimPrefix(n.server.URL, "http://") }
 
 // Source: PROTOCOL.md, "Service discovery".
-func TestHeartbeatsDrainingAndTheEnd(t *testing.T) {
+func TestHeartbeatsDrainAndDeregistration(t *testing.T) {
 	refusing := newControlNode(t, true, "")
 	home := newControlNode(t, false, "{}")
 	taking := newControlNode(t, false, fmt.Sprintf(`{"heartbeatUrl":%q}`, home.address()))
 	b := start(t, Options{
-		Slots: 3, Heartbeat: 20 * time.Millisecond, Drain: time.Millisecond,
-		Control: func() []string { return []string{refusing.address(), taking.address()} },
+		Slots: 3, HeartbeatInterval: 20 * time.Millisecond, DrainTime: time.Millisecond,
+		ControlAddresses: func() []string { return []string{refusing.address(), taking.address()} },
 	})
 	<-b.Announced()
-	first := <-taking.beats
+	first := <-taking.heartbeats
 	assert.Equal(t, first.State, "ready")
 	assert.Equal(t, first.Address, b.Address())
 	assert.Equal(t, first.Slots, 3)
-	second := <-home.beats
+	second := <-home.heartbeats
 	assert.Assert(t, second.Sequence > first.Sequence)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	at, err := b.Drain(ctx)
 	assert.NilError(t, err)
 	assert.Assert(t, !at.IsZero())
-	for beat := range home.beats {
+	for beat := range home.heartbeats {
 		if beat.State == "draining" {
 			break
 		}
--- a/internal/standin/llmbroker/heartbeat.go
+++ b/internal/standin/llmbroker/heartbeat.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	stage = "both" // a broker reads prompts and generates
-	// ackTimeout is how long an acknowledgement may take.
+	stage = "both" // a broker does both prefill and decode
+	// ackTimeout bounds the wait for an acknowledgement.
 	ackTimeout = time.Second
-	// maxAckBytes is how large an acknowledgement may be.
+	// maxAckBytes bounds an acknowledgement.
 	maxAckBytes = 4 << 10
-	// retryPause follows a round of calls of which none was acknowledged.
-	retryPause = 100 * time.Millisecond
-	software   = "standin-1"
+	// retryBackoff follows a call that no node acknowledged.
+	retryBackoff = 100 * time.Millisecond
+	software     = "standin-1"
 )
 
-// heartbeatBody is what a broker tells of itself. Source: PROTOCOL.md, "Service discovery".
+// heartbeatBody is the body of a heartbeat. Source: PROTOCOL.md, "Service discovery".
 type heartbeatBody struct {
-	Service         string      `json:"service"`
-	Address         string      `json:"address"`
-	Zone            string      `json:"zone"`
-	Version         string      `json:"version"`
-	Slots           int         `json:"slots"`
-	State           string      `json:"state"`
-	ColdRemainingMs int         `json:"coldRemainingMs"`
-	Stage           string      `json:"stage,omitempty"`
-	Models          []modelBody `json:"models,omitempty"`
-	Sequence        uint64      `json:"sequence"`
+	Service           string      `json:"service"`
+	Address           string      `json:"address"`
+	Zone              string      `json:"zone"`
+	Version           string      `json:"version"`
+	Slots             int         `json:"slots"`
+	State             string      `json:"state"`
+	WarmUpRemainingMs int         `json:"coldRemainingMs"`
+	Stage             string      `json:"stage,omitempty"`
+	Models            []modelBody `json:"models,omitempty"`
+	Sequence          uint64      `json:"sequence"`
 }
 
 // announcer sends a broker's heartbeats.
@@ -44,12 +44,13 @@
 	client    *http.Client
 	announced chan struct{}
 
-	mutex    sync.Mutex // held during a call: calls of one broker come one after the other
-	sequence uint64
-	home     string // address named by the last acknowledgement; empty: none
-	once     sync.Once
+	mutex         sync.Mutex // held during a call: a broker sends one call at a time
+	sequence      uint64
+	preferredNode string // address named by the last acknowledgement; empty: none
+	announceOnce  sync.Once
 }
 
+// newAnnouncer has not sent anything yet.
 func newAnnouncer(broker *Broker) *announcer {
 	return &announcer{
 		broker: broker, announced: make(chan struct{}),
@@ -68,15 +69,15 @@
 			return
 		case <-timer.C:
 		}
-		next := a.broker.options.Heartbeat
+		next := a.broker.options.HeartbeatInterval
 		if _, err := a.announce(ctx); err != nil {
-			next = min(next, retryPause)
+			next = min(next, retryBackoff)
 		}
 		timer.Reset(next)
 	}
 }
 
-// announce sends one heartbeat, to one node after the other until one acknowledges it; it gives the time of that.
+// announce sends one heartbeat, to one node after another until one acknowledges it, and returns the time of that.
 func (a *announcer) announce(ctx context.Context) (time.Time, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -89,17 +90,18 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	at := time.Now()
-	var said struct {
+	acknowledgedAt := time.Now()
+	var reply struct {
 		HeartbeatURL string `json:"heartbeatUrl"`
 	}
-	if json.Unmarshal(answer, &said) == nil && said.HeartbeatURL != "" {
-		a.home = said.HeartbeatURL
+	if json.Unmarshal(answer, &reply) == nil && reply.HeartbeatURL != "" {
+		a.preferredNode = reply.HeartbeatURL
 	}
-	a.once.Do(func() { close(a.announced) })
-	return at, nil
+	a.announceOnce.Do(func() { close(a.announced) })
+	return acknowledgedAt, nil
 }
 
+// body is the content of the next heartbeat.
 func (a *announcer) body() heartbeatBody {
 	b := a.broker
 	body := heartbeatBody{
@@ -109,18 +111,18 @@
 	if body.Models != nil {
 		body.Stage = stage
 	}
-	if b.leaving.Load() {
+	if b.draining.Load() {
 		body.State = "draining"
 	}
 	return body
 }
 
-// callAny makes a call to the home, or where that fails to the nodes in a random order.
+// callAny calls the preferred node, or if that fails the nodes in random order.
 func (a *announcer) callAny(ctx context.Context, verb string, body []byte) ([]byte, error) {
-	addresses := a.broker.options.Control()
+	addresses := a.broker.options.ControlAddresses()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	if a.home != "" {
-		addresses = append([]string{a.home}, addresses...)
+	if a.preferredNode != "" {
+		addresses = append([]string{a.preferredNode}, addresses...)
 	}
 	failures := []error{errors.New("no node acknowledged")}
 	for _, address := range addresses {
@@ -128,8 +130,8 @@
 		if err == nil {
 			return answer, nil
 		}
-		if address == a.home {
-			a.home = ""
+		if address == a.preferredNode {
+			a.preferredNode = ""
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -139,6 +141,7 @@
 	return nil, errors.Join(failures...)
 }
 
+// call calls one node, and returns the body of its acknowledgement.
 func (a *announcer) call(ctx context.Context, address, verb string, body []byte) ([]byte, error) {
 	url := fmt.Sprintf("http://%s/kestrelspread/instances/%s/%s", address, a.broker.id, verb)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -163,20 +166,20 @@
 	return text, nil
 }
 
-// drain announces the draining until it is acknowledged.
+// drain sends heartbeats until one is acknowledged, and returns the time of that.
 func (a *announcer) drain(ctx context.Context) (time.Time, error) {
 	for {
-		at, err := a.announce(ctx)
+		acknowledgedAt, err := a.announce(ctx)
 		if err == nil {
-			return at, nil
+			return acknowledgedAt, nil
 		}
-		if !pause(ctx, retryPause) {
+		if !sleep(ctx, retryBackoff) {
 			return time.Time{}, errors.Join(err, ctx.Err())
 		}
 	}
 }
 
-// deregister says that the broker ends, until that is acknowledged.
+// deregister deregisters the broker, with retries until that is acknowledged.
 func (a *announcer) deregister(ctx context.Context) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -185,7 +188,7 @@
 		if err == nil {
 			return nil
 		}
-		if !pause(ctx, retryPause) {
+		if !sleep(ctx, retryBackoff) {
 			return errors.Join(err, ctx.Err())
 		}
 	}
--- a/internal/standin/llmbroker/kvapi.go
+++ b/internal/standin/llmbroker/kvapi.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// The paths of calls about kept parts. Source: PROTOCOL.md, "KV cache".
+// The paths of calls about cached blocks. Source: PROTOCOL.md, "KV cache".
 const (
 	pathEvents = "/kestrelspread/kv-events"
 	pathList   = "/kestrelspread/kv-list"
-	// pathSave is this package's own: brokers bring parts to a store with it.
+	// pathSave is private to this package: brokers save blocks to a store with it.
 	pathSave = "/standin/parts"
 )
 
-// longestWait is the most a call for events may be held.
-const longestWait = time.Second
+// maxWait bounds how long a call waits for events.
+const maxWait = time.Second
 
+// eventsBody is the answer to a call for events.
 type eventsBody struct {
 	Epoch  uint64  `json:"epoch"`
 	Next   uint64  `json:"nextPageToken"`
@@ -26,33 +27,35 @@
 	Events [][]any `json:"events"`
 }
 
+// listBody is the answer to a call for the list of blocks.
 type listBody struct {
-	Epoch uint64  `json:"epoch"`
-	Next  uint64  `json:"nextPageToken"`
-	Held  [][]any `json:"held"`
+	Epoch  uint64  `json:"epoch"`
+	Next   uint64  `json:"nextPageToken"`
+	Blocks [][]any `json:"held"`
 }
 
-// savedParts is what a broker brings to a store.
-type savedParts struct {
-	Salt  string
-	Model string
-	Parts []Part
+// savedBlocks is the body of a call that saves blocks.
+type savedBlocks struct {
+	Salt   string  `json:"Salt"`
+	Model  string  `json:"Model"`
+	Blocks []Block `json:"Parts"`
 }
 
-// kvAPI serves the calls about kept parts; no slot is needed for them.
+// kvAPI serves the calls about cached blocks. They need no slot.
 type kvAPI struct {
-	parts   *partStore
-	callers chan struct{} // one place for each call that may be held at once
+	blocks  *blockCache
+	callers chan struct{} // buffered: limits the concurrent calls
 }
 
+// newKVAPI has an empty cache.
 func newKVAPI(capacity, callers int) *kvAPI {
-	return &kvAPI{parts: newPartStore(capacity), callers: make(chan struct{}, max(callers, 1))}
+	return &kvAPI{blocks: newBlockCache(capacity), callers: make(chan struct{}, max(callers, 1))}
 }
 
-// serves reports whether a path is one of this API's.
+// serves reports whether a path belongs to this API.
 func (k *kvAPI) serves(path string) bool { return path == pathEvents || path == pathList }
 
-// ServeHTTP implements http.Handler; a call over the number that may be held at once is refused.
+// ServeHTTP implements http.Handler. Calls beyond the limit are rejected.
 func (k *kvAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case k.callers <- struct{}{}:
@@ -68,31 +71,34 @@
 	k.events(w, r)
 }
 
+// events answers with the events after a number, and waits for one if there are none.
 func (k *kvAPI) events(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	wait, _ := strconv.Atoi(r.Header.Get(headerWait))
-	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(wait)*time.Millisecond, longestWait))
+	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(wait)*time.Millisecond, maxWait))
 	defer cancel()
-	k.parts.await(ctx, since)
-	events, next, lost, _ := k.parts.since(since)
-	body := eventsBody{Epoch: k.parts.epoch, Next: next, Lost: lost, Events: [][]any{}}
+	k.blocks.await(ctx, since)
+	events, next, lost, _ := k.blocks.since(since)
+	body := eventsBody{Epoch: k.blocks.epoch, Next: next, Lost: lost, Events: [][]any{}}
 	for _, event := range events {
-		body.Events = append(body.Events, []any{event.number, event.sign, event.key.salt, event.key.id, event.tokens, event.model})
+		body.Events = append(body.Events, []any{event.number, event.change, event.key.salt, event.key.id, event.tokens, event.model})
 	}
 	writeJSON(w, http.StatusOK, body)
 }
 
+// list answers with all cached blocks.
 func (k *kvAPI) list(w http.ResponseWriter) {
-	p := k.parts
-	p.mutex.Lock()
-	body := listBody{Epoch: p.epoch, Next: p.last, Held: [][]any{}}
-	for key, tokens := range p.kept {
-		body.Held = append(body.Held, []any{key.salt, key.id, tokens, p.models[key]})
+	cache := k.blocks
+	cache.mutex.Lock()
+	body := listBody{Epoch: cache.epoch, Next: cache.lastEvent, Blocks: [][]any{}}
+	for key, tokens := range cache.tokensByBlock {
+		body.Blocks = append(body.Blocks, []any{key.salt, key.id, tokens, cache.models[key]})
 	}
-	p.mutex.Unlock()
+	cache.mutex.Unlock()
 	writeJSON(w, http.StatusOK, body)
 }
 
+// writeJSON answers with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/internal/standin/llmbroker/options.go
+++ b/internal/standin/llmbroker/options.go
@@ -4,68 +4,69 @@
 
 // Options describe one broker.
 type Options struct {
-	Service string
-	Zone    string
-	Listen  string // "IP:port"; port 0: a free one
-	Slots   int    // requests that run at once
-	Queue   int    // requests that wait
-	// MaxConnections is how many connections are held; those beyond are reset. 0: any number.
+	Service     string
+	Zone        string
+	Listen      string // "IP:port"; port 0: a free one
+	Slots       int    // requests that run concurrently
+	QueueLength int    // requests that wait for a slot
+	// MaxConnections bounds the connections; more are reset. 0: no limit.
 	MaxConnections int
-	// TellsLoad adds X-Kestrelspread-Server-Load to answers.
-	TellsLoad   bool
-	HealthCheck string        // path; default "/healthz"
-	Work        time.Duration // that a request of a plain service takes
-	Engine      *Engine       // nil: a plain service
-	Heartbeat   time.Duration // between two heartbeats; default 1.2 s
-	// Control gives the control addresses of nodes that heartbeats may go to.
-	Control func() []string
-	// Drain is how long the broker serves on after its draining was acknowledged; default 2 s.
-	Drain  time.Duration
-	Ledger *Ledger
+	// ReportsLoad adds X-Kestrelspread-Server-Load to answers.
+	ReportsLoad       bool
+	HealthCheck       string        // path; default "/healthz"
+	ServiceTime       time.Duration // of a request of a plain service
+	Engine            *Engine       // nil: a plain service
+	HeartbeatInterval time.Duration // between two heartbeats; default 1.2 s
+	// ControlAddresses returns the control addresses of the nodes.
+	ControlAddresses func() []string
+	// DrainTime is how long the broker serves after its drain was acknowledged; default 2 s.
+	DrainTime time.Duration
+	Log       *ArrivalLog
 }
 
-// Engine is what a broker runs a model on.
+// Engine is the engine of a model broker.
 type Engine struct {
 	Weights *Weights
 	Model   string
-	// Version is that of a broker that is started again; 0: the newest.
+	// Version is the version of the weights at the start; 0: the newest.
 	Version uint64
-	// FirstEvent is the time to an answer's first event, beside the reading of its prompt.
-	FirstEvent time.Duration
-	// PromptRate is how many tokens of a prompt are read in a millisecond; default 100.
-	PromptRate float64
-	EventPause time.Duration // between two events
-	Load       time.Duration // that new weights take
-	// Fencing: orders with a fence below one seen are refused.
+	// FirstEventDelay is the time to the first event, without prefill.
+	FirstEventDelay time.Duration
+	// PrefillTokensPerMs is the rate of prefill; default 100.
+	PrefillTokensPerMs float64
+	EventInterval      time.Duration // between two events
+	LoadTime           time.Duration // of new weights
+	// Fencing has orders with a lower fencing token than an accepted one rejected.
 	Fencing          bool
 	KVCapacityTokens int // default 100,000
-	MaxConcurrency   int // of calls for events; default 12
+	MaxConcurrency   int // of calls of the KV cache API; default 12
 }
 
 const (
-	defaultHealthCheck    = "/healthz"
-	defaultHeartbeat      = 1200 * time.Millisecond
-	defaultDrain          = 2 * time.Second
-	defaultPromptRate     = 100
-	defaultCapacity       = 100_000
-	defaultMaxConcurrency = 12
+	defaultHealthCheck        = "/healthz"
+	defaultHeartbeat          = 1200 * time.Millisecond
+	defaultDrain              = 2 * time.Second
+	defaultPrefillTokensPerMs = 100
+	defaultCapacity           = 100_000
+	defaultMaxConcurrency     = 12
 )
 
+// withDefaults sets what is left out.
 func (o Options) withDefaults() Options {
 	if o.HealthCheck == "" {
 		o.HealthCheck = defaultHealthCheck
 	}
-	if o.Heartbeat <= 0 {
-		o.Heartbeat = defaultHeartbeat
+	if o.HeartbeatInterval <= 0 {
+		o.HeartbeatInterval = defaultHeartbeat
 	}
-	if o.Drain <= 0 {
-		o.Drain = defaultDrain
+	if o.DrainTime <= 0 {
+		o.DrainTime = defaultDrain
 	}
-	if o.Ledger == nil {
-		o.Ledger = NewLedger()
+	if o.Log == nil {
+		o.Log = NewArrivalLog()
 	}
-	if o.Control == nil {
-		o.Control = func() []string { return nil }
+	if o.ControlAddresses == nil {
+		o.ControlAddresses = func() []string { return nil }
 	}
 	if o.Engine != nil {
 		engine := o.Engine.withDefaults()
@@ -74,9 +75,10 @@
 	return o
 }
 
+// withDefaults sets what is left out.
 func (e Engine) withDefaults() Engine {
-	if e.PromptRate <= 0 {
-		e.PromptRate = defaultPromptRate
+	if e.PrefillTokensPerMs <= 0 {
+		e.PrefillTokensPerMs = defaultPrefillTokensPerMs
 	}
 	if e.KVCapacityTokens <= 0 {
 		e.KVCapacityTokens = defaultCapacity
--- a/internal/standin/llmbroker/orders.go
+++ b/internal/standin/llmbroker/orders.go
@@ -17,13 +17,13 @@
 
 // Order is the body of POST /kestrelspread/order. Source: PROTOCOL.md, "Requests".
 type Order struct {
-	Op         string  `json:"op"`
-	Model      string  `json:"model"`
-	Version    uint64  `json:"version"`
-	Mode       string  `json:"mode"`
-	Holder     string  `json:"holder"`
-	Fence      *uint64 `json:"fence"`
-	IfRevision *uint64 `json:"ifRevision"`
+	Operation        string  `json:"op"`
+	Model            string  `json:"model"`
+	Version          uint64  `json:"version"`
+	Mode             string  `json:"mode"`
+	LeaseHolder      string  `json:"holder"`
+	FencingToken     *uint64 `json:"fence"`
+	ExpectedSequence *uint64 `json:"ifRevision"`
 }
 
 // The modes of an order to load a version.
@@ -33,60 +33,62 @@
 	modeKeep     = "keep"
 )
 
-// engineState is what a model broker is doing.
+// engineState is the state of a model broker.
 type engineState struct {
-	mutex    sync.Mutex
-	version  uint64
-	loading  uint64 // version that is being loaded; 0: none
-	sequence uint64 // orders taken
-	fence    uint64 // highest seen
-	running  map[uint64]*modelRun
+	mutex           sync.Mutex
+	version         uint64
+	loading         uint64 // version that is being loaded; 0: none
+	sequence        uint64 // orders accepted
+	maxFencingToken uint64 // highest one accepted
+	runs            map[uint64]*modelRun
 }
 
-// modelRun is a request that holds a slot of a model broker.
+// modelRun is a request in a slot of a model broker.
 type modelRun struct {
-	cancel context.CancelFunc
-	begun  bool // its first event is out
+	cancel  context.CancelFunc
+	started bool // its first event was due
 }
 
-func (e *engineState) current() uint64 {
+// currentVersion is the version of the weights.
+func (e *engineState) currentVersion() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.version
 }
 
-// admit notes a request that has a slot, so that an order can cut it off. false: an order is under way.
+// admit registers a request in a slot, so that an order can cancel it. false: an order is in progress.
 func (e *engineState) admit(run uint64, cancel context.CancelFunc) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.loading != 0 {
 		return false
 	}
-	e.running[run] = &modelRun{cancel: cancel}
+	e.runs[run] = &modelRun{cancel: cancel}
 	return true
 }
 
-// begin notes that a run's first event is due, and gives the version of the weights. false: an order came before it.
-func (e *engineState) begin(run uint64) (uint64, bool) {
+// start records that a run's first event is due, and returns the version of the weights. false: an order came first.
+func (e *engineState) start(run uint64) (uint64, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.loading != 0 {
 		return 0, false
 	}
-	e.running[run].begun = true
+	e.runs[run].started = true
 	return e.version, true
 }
 
+// end removes a run.
 func (e *engineState) end(run uint64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	delete(e.running, run)
+	delete(e.runs, run)
 }
 
-// order takes an order, or says why not. One whose sender went before the body was whole is none, and is not noted.
-func (b *Broker) order(w http.ResponseWriter, r *http.Request) {
+// serveOrder accepts or rejects an order, and records it. One with a truncated body is ignored.
+func (b *Broker) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
-	at := time.Now()
+	receivedAt := time.Now()
 	status := http.StatusBadRequest
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<16))
 	if tooLarge := new(http.MaxBytesError); err != nil && !errors.As(err, &tooLarge) {
@@ -95,16 +97,16 @@
 	if expected := r.Header.Get(HeaderExpectInstance); expected != "" && expected != b.id {
 		status = http.StatusMisdirectedRequest
 	} else if err == nil && json.Unmarshal(body, &order) == nil {
-		status = b.decide(order)
+		status = b.applyOrder(order)
 	}
-	b.options.Ledger.ordered(OrderArrival{Instance: b.id, Order: order, At: at, Status: status})
+	b.options.Log.addOrder(OrderArrival{Instance: b.id, Order: order, ReceivedAt: receivedAt, Status: status})
 	w.WriteHeader(status)
 }
 
-// decide gives the status of an order, and begins what it asks for.
-func (b *Broker) decide(order Order) int {
+// applyOrder returns the status of an order, and starts to load the version if it is accepted.
+func (b *Broker) applyOrder(order Order) int {
 	engine := b.options.Engine
-	if order.Op != "version" || order.Holder == "" || order.Fence == nil || order.Model != engine.Model ||
+	if order.Operation != "version" || order.LeaseHolder == "" || order.FencingToken == nil || order.Model != engine.Model ||
 		order.Mode != modeWait && order.Mode != modeTruncate && order.Mode != modeKeep {
 		return http.StatusBadRequest
 	}
@@ -112,14 +114,14 @@
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	switch {
-	case engine.Fencing && *order.Fence < state.fence:
+	case engine.Fencing && *order.FencingToken < state.maxFencingToken:
 		return http.StatusPreconditionFailed
-	case order.IfRevision != nil && *order.IfRevision != state.sequence:
+	case order.ExpectedSequence != nil && *order.ExpectedSequence != state.sequence:
 		return http.StatusConflict
 	case !engine.Weights.has(order.Model, order.Version):
 		return http.StatusBadRequest
 	}
-	state.fence = max(state.fence, *order.Fence)
+	state.maxFencingToken = max(state.maxFencingToken, *order.FencingToken)
 	switch {
 	case state.loading != 0:
 		return http.StatusConflict
@@ -128,18 +130,18 @@
 	}
 	state.loading = order.Version
 	state.sequence++
-	b.beginLoad(order.Mode)
+	b.startLoading(order.Mode)
 	return http.StatusAccepted
 }
 
-// beginLoad is called with the state's mutex held.
-func (b *Broker) beginLoad(mode string) {
-	for _, run := range b.engine.running {
-		if !run.begun || mode == modeTruncate {
+// startLoading cancels the runs that the mode does not wait for, and loads the version once it may: b.engine.mutex must be held.
+func (b *Broker) startLoading(mode string) {
+	for _, run := range b.engine.runs {
+		if !run.started || mode == modeTruncate {
 			run.cancel()
 		}
 	}
-	load := func() { time.AfterFunc(b.options.Engine.Load, b.loaded) }
+	load := func() { time.AfterFunc(b.options.Engine.LoadTime, b.finishLoading) }
 	if mode == modeKeep {
 		b.slots.close(nil)
 		load()
@@ -148,12 +150,12 @@
 	b.slots.close(load)
 }
 
-// loaded puts new weights in force and drops what was kept under the old ones.
-func (b *Broker) loaded() {
+// finishLoading switches to the new weights, and drops the blocks that were cached with the old ones.
+func (b *Broker) finishLoading() {
 	b.engine.mutex.Lock()
 	b.engine.version, b.engine.loading = b.engine.loading, 0
 	b.engine.mutex.Unlock()
-	b.kv.parts.clear()
+	b.kvCache.blocks.clear()
 	b.slots.open()
 }
 
@@ -177,15 +179,16 @@
 	Adapters []string `json:"adapters"`
 }
 
-// models is what the broker says of its model; none at a plain broker.
+// models is the model and its version, as in reports; none at a plain broker.
 func (b *Broker) models() []modelBody {
 	if b.options.Engine == nil {
 		return nil
 	}
-	return []modelBody{{Name: b.options.Engine.Model, Version: b.engine.current(), Adapters: []string{}}}
+	return []modelBody{{Name: b.options.Engine.Model, Version: b.engine.currentVersion(), Adapters: []string{}}}
 }
 
-func (b *Broker) report(w http.ResponseWriter) {
+// serveReport answers with the state of the broker.
+func (b *Broker) serveReport(w http.ResponseWriter) {
 	running, waiting, _ := b.slots.load()
 	body := reportBody{
 		Stage: stage, Models: b.models(), Queued: waiting, Running: running,
--- a/internal/standin/llmbroker/requests.go
+++ b/internal/standin/llmbroker/requests.go
@@ -16,20 +16,21 @@
 	lowestPriority  = 9
 )
 
-// maxBodyBytes bounds what is read of a request.
+// maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 8 << 20
 
-// call is one request at a broker.
+// call is one request at a broker, with its answer.
 type call struct {
-	broker  *Broker
-	writer  http.ResponseWriter
-	request *http.Request
-	body    []byte
-	number  int // in the ledger
-	run     uint64
-	version uint64
+	broker        *Broker
+	writer        http.ResponseWriter
+	request       *http.Request
+	body          []byte
+	arrivalNumber int // in the log
+	run           uint64
+	version       uint64
 }
 
+// serveRequest records a request, and rejects or serves it.
 func (b *Broker) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -37,29 +38,30 @@
 		return
 	}
 	c := &call{broker: b, writer: w, request: r, body: body}
-	c.number = b.options.Ledger.arrived(b.arrivalOf(r))
+	c.arrivalNumber = b.options.Log.add(b.arrivalOf(r))
 	w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID))
-	if b.leaving.Load() {
+	if b.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	if status := c.rejection(); status != 0 {
-		c.turnAway(status)
+		c.reject(status)
 		return
 	}
 	c.serve()
 }
 
+// arrivalOf is the record of a request that arrives now.
 func (b *Broker) arrivalOf(r *http.Request) Arrival {
 	last, _ := strconv.Atoi(r.Header.Get(HeaderLastEventID))
 	return Arrival{
 		Request: r.Header.Get(HeaderRequestID), Service: b.options.Service, Instance: b.id,
 		Method: r.Method, URI: r.RequestURI, Tenant: r.Header.Get(HeaderTenant), Model: r.Header.Get(HeaderModel),
 		Salt: r.Header.Get(HeaderSalt), FetchFrom: r.Header.Get(HeaderFetch), SaveTo: r.Header.Get(HeaderSave),
-		LastEventID: last, At: time.Now(),
+		LastEventID: last, ReceivedAt: time.Now(),
 	}
 }
 
-// rejection gives the status that turns the request away before it asks for a slot; 0: none.
+// rejection is the status that rejects the request before it waits for a slot; 0: none.
 func (c *call) rejection() int {
 	header := c.request.Header
 	if header.Get(HeaderRequestID) == "" {
@@ -68,27 +70,30 @@
 	if expected := header.Get(HeaderExpectInstance); expected != "" && expected != c.broker.id {
 		return http.StatusMisdirectedRequest
 	}
-	if !c.versionFits() {
+	if !c.acceptsVersion() {
 		return http.StatusMisdirectedRequest
 	}
 	return 0
 }
 
-// versionFits compares Expect-Version with the broker's weights.
-func (c *call) versionFits() bool {
+// acceptsVersion reports whether the broker's weights have the version of Expect-Version.
+func (c *call) acceptsVersion() bool {
 	expected := c.request.Header.Get(HeaderExpectVersion)
-	return expected == "" || c.broker.options.Engine == nil || expected == strconv.FormatUint(c.broker.engine.current(), 10)
+	return expected == "" || c.broker.options.Engine == nil || expected == strconv.FormatUint(c.broker.engine.currentVersion(), 10)
 }
 
-// turnAway says that the request was not run.
-func (c *call) turnAway(status int) {
-	c.broker.tellLoad(c.writer)
+// reject answers that the request was not executed.
+func (c *call) reject(status int) {
+	c.broker.setLoadHeader(c.writer)
 	c.writer.Header().Set(HeaderNotExecuted, "1")
 	c.writer.WriteHeader(status)
-	c.note(func(a *Arrival) { a.Disposition, a.Status = TurnedAway, status })
+	c.updateArrival(func(a *Arrival) { a.Disposition, a.Status = Rejected, status })
 }
 
-func (c *call) note(alter func(*Arrival)) { c.broker.options.Ledger.change(c.number, alter) }
+// updateArrival alters the record of the request.
+func (c *call) updateArrival(alter func(*Arrival)) {
+	c.broker.options.Log.update(c.arrivalNumber, alter)
+}
 
 // serve waits for a slot and runs the request.
 func (c *call) serve() {
@@ -97,22 +102,22 @@
 	switch c.broker.slots.enter(ctx, c.priority()) {
 	case admitted:
 		defer c.broker.slots.leave()
-	case gaveUp:
+	case abandoned:
 		if c.request.Context().Err() != nil {
-			c.note(func(a *Arrival) { a.Disposition = TurnedAway })
+			c.updateArrival(func(a *Arrival) { a.Disposition = Rejected })
 			return
 		}
-		c.turnAway(http.StatusServiceUnavailable)
+		c.reject(http.StatusServiceUnavailable)
 		return
 	default:
-		c.turnAway(http.StatusServiceUnavailable)
+		c.reject(http.StatusServiceUnavailable)
 		return
 	}
-	if !c.versionFits() { // new weights came while it waited
-		c.turnAway(http.StatusMisdirectedRequest)
+	if !c.acceptsVersion() { // the weights have changed while it waited
+		c.reject(http.StatusMisdirectedRequest)
 		return
 	}
-	c.run = c.broker.runs.Add(1)
+	c.run = c.broker.lastRun.Add(1)
 	if c.broker.options.Engine != nil {
 		c.runModel(ctx)
 		return
@@ -120,7 +125,7 @@
 	c.runPlain(ctx)
 }
 
-// deadline bounds the work by what the request was handed.
+// deadline is a context with the request's deadline.
 func (c *call) deadline() (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseFloat(c.request.Header.Get(HeaderDeadline), 64)
 	if err != nil || ms <= 0 {
@@ -129,6 +134,7 @@
 	return context.WithTimeout(c.request.Context(), time.Duration(ms*float64(time.Millisecond)))
 }
 
+// priority is the request's priority.
 func (c *call) priority() int {
 	priority, err := strconv.Atoi(c.request.Header.Get(HeaderPriority))
 	if err != nil || priority < 0 || priority > lowestPriority {
@@ -137,12 +143,12 @@
 	return priority
 }
 
-// pause waits, and reports whether the caller still does.
-func pause(ctx context.Context, span time.Duration) bool {
-	if span <= 0 {
+// sleep waits, and reports whether ctx has not ended.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(span)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -152,16 +158,17 @@
 	}
 }
 
-func (c *call) begin() {
+// start records that the request starts to run.
+func (c *call) start() {
 	now := time.Now()
-	c.note(func(a *Arrival) { a.Disposition, a.BegunAt, a.Version = Running, now, c.version })
+	c.updateArrival(func(a *Arrival) { a.Disposition, a.StartedAt, a.Version = Running, now, c.version })
 }
 
 // runPlain runs a request of a plain service.
 func (c *call) runPlain(ctx context.Context) {
-	c.begin()
-	if !pause(ctx, c.broker.options.Work) {
-		c.stopEarly()
+	c.start()
+	if !sleep(ctx, c.broker.options.ServiceTime) {
+		c.endEarly()
 		return
 	}
 	body := fmt.Appendf(nil, "%s %s run %d of %s: %x\n", c.request.Method, c.request.RequestURI, c.run, c.broker.id, hashOf(c.body))
@@ -169,38 +176,39 @@
 	header.Set(HeaderSeal, Seal(c.broker.id, c.run, hashOf(body)))
 	header.Set("Content-Type", "text/plain")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	c.broker.tellLoad(c.writer)
+	c.broker.setLoadHeader(c.writer)
 	c.writer.WriteHeader(http.StatusOK)
 	_, err := c.writer.Write(body)
-	c.finished(http.StatusOK, err)
+	c.finish(http.StatusOK, err)
 }
 
-// stopEarly ends a run whose deadline has passed, with a 504 of the broker's own, or whose caller has left.
-func (c *call) stopEarly() {
+// endEarly ends a run whose client has left, or whose deadline has passed, with a 504.
+func (c *call) endEarly() {
 	if c.request.Context().Err() != nil {
-		c.finished(0, c.request.Context().Err())
+		c.finish(0, c.request.Context().Err())
 		return
 	}
-	c.broker.tellLoad(c.writer)
+	c.broker.setLoadHeader(c.writer)
 	c.writer.WriteHeader(http.StatusGatewayTimeout)
-	c.finished(http.StatusGatewayTimeout, nil)
+	c.finish(http.StatusGatewayTimeout, nil)
 }
 
-func (c *call) finished(status int, err error) {
+// finish records the end of a run; err: the answer is incomplete.
+func (c *call) finish(status int, err error) {
 	disposition := Finished
 	if err != nil {
 		disposition = Aborted
 	}
-	c.note(func(a *Arrival) { a.Disposition, a.Status = disposition, status })
+	c.updateArrival(func(a *Arrival) { a.Disposition, a.Status = disposition, status })
 }
 
-// Seal is the stamp of an answer: who gave it, in which of its runs, and a check of the whole body: its Hash, or for a
-// stream the number of its last event.
+// Seal is the seal of an answer: the instance, its run, and a check of the complete body: its Hash, or for a stream the number of its
+// last event.
 func Seal(instance string, run, check uint64) string {
 	return fmt.Sprintf("%s.%d.%x", instance, run, check)
 }
 
-// Hash is the check in the seal of an answer that is no stream.
+// Hash is the check in the seal of an answer that is not a stream.
 func Hash(body []byte) uint64 { return hashOf(body) }
 
 func hashOf(text []byte) uint64 {
--- a/internal/standin/llmbroker/streams.go
+++ b/internal/standin/llmbroker/streams.go
@@ -11,54 +11,54 @@
 	"time"
 )
 
-// Piece is the text of an event of a stream: the same in every run of a request, so that a stream can be taken up at
-// another broker.
-func Piece(uri string, body []byte, number int) string {
+// EventText is the text of an event of a stream: the same in every run of a request, so that a stream can be resumed at another
+// broker.
+func EventText(uri string, body []byte, number int) string {
 	return fmt.Sprintf("%x", hashOf(fmt.Appendf(nil, "%s\n%s\n%d", uri, body, number)))
 }
 
-// runModel answers with a stream of events.
+// runModel runs a request of a model, and answers with a stream of events.
 func (c *call) runModel(ctx context.Context) {
 	engine := c.broker.options.Engine
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if !c.broker.engine.admit(c.run, cancel) {
-		c.turnAway(http.StatusServiceUnavailable)
+		c.reject(http.StatusServiceUnavailable)
 		return
 	}
 	defer c.broker.engine.end(c.run)
 	header := c.request.Header
-	parts := ParseParts(header.Get(HeaderPromptPrefix))
+	blocks := ParseBlocks(header.Get(HeaderPromptPrefix))
 	prompt, events := tokenCounts(header.Get(HeaderTokenCount))
-	cached := c.broker.kv.parts.keep(header.Get(HeaderSalt), engine.Model, parts)
-	reading := time.Duration(float64(max(prompt-cached, 0)) / engine.PromptRate * float64(time.Millisecond))
-	if !pause(ctx, engine.FirstEvent+reading) {
-		c.notBegun()
+	cached := c.broker.kvCache.blocks.use(header.Get(HeaderSalt), engine.Model, blocks)
+	prefill := time.Duration(float64(max(prompt-cached, 0)) / engine.PrefillTokensPerMs * float64(time.Millisecond))
+	if !sleep(ctx, engine.FirstEventDelay+prefill) {
+		c.endBeforeStart()
 		return
 	}
-	version, begun := c.broker.engine.begin(c.run)
+	version, begun := c.broker.engine.start(c.run)
 	if !begun {
-		c.notBegun()
+		c.endBeforeStart()
 		return
 	}
 	c.version = version
-	c.begin()
+	c.start()
 	if store := header.Get(HeaderSave); store != "" {
-		go c.broker.save(store, savedParts{Salt: header.Get(HeaderSalt), Model: engine.Model, Parts: parts})
+		go c.broker.save(store, savedBlocks{Salt: header.Get(HeaderSalt), Model: engine.Model, Blocks: blocks})
 	}
 	c.stream(ctx, events)
 }
 
-// notBegun ends a request that gave no first event: it has not begun to run.
-func (c *call) notBegun() {
+// endBeforeStart ends a request before its first event: it has not run.
+func (c *call) endBeforeStart() {
 	if c.request.Context().Err() != nil {
-		c.note(func(a *Arrival) { a.Disposition = TurnedAway })
+		c.updateArrival(func(a *Arrival) { a.Disposition = Rejected })
 		return
 	}
-	c.turnAway(http.StatusServiceUnavailable)
+	c.reject(http.StatusServiceUnavailable)
 }
 
-// tokenCounts reads X-Kestrelspread-Token-Count: the prompt, and the most that is generated.
+// tokenCounts parses X-Kestrelspread-Token-Count: tokens of the prompt, and the maximum to generate.
 func tokenCounts(text string) (prompt, generated int) {
 	first, second, _ := strings.Cut(text, ",")
 	prompt, _ = strconv.Atoi(strings.TrimSpace(first))
@@ -73,55 +73,55 @@
 	header.Set(HeaderSeal, Seal(c.broker.id, c.run, uint64(events)))
 	header.Set(HeaderVersions, strconv.FormatUint(c.version, 10))
 	header.Set("Content-Type", "text/event-stream")
-	c.broker.tellLoad(c.writer)
+	c.broker.setLoadHeader(c.writer)
 	c.writer.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(c.writer)
 	for number := last + 1; number <= events; number++ {
-		if number > last+1 && !pause(ctx, c.broker.options.Engine.EventPause) {
-			c.reset()
+		if number > last+1 && !sleep(ctx, c.broker.options.Engine.EventInterval) {
+			c.abort()
 			return
 		}
 		if _, err := c.writer.Write(c.event(number)); err != nil {
-			c.finished(http.StatusOK, err)
+			c.finish(http.StatusOK, err)
 			return
 		}
 		if err := flusher.Flush(); err != nil {
-			c.finished(http.StatusOK, err)
+			c.finish(http.StatusOK, err)
 			return
 		}
 	}
-	c.finished(http.StatusOK, nil)
+	c.finish(http.StatusOK, nil)
 }
 
-// event is the text of one event, which names the weights where they have changed since the one before.
+// event is the text of one event. It names the version of the weights if that has changed since the previous one.
 func (c *call) event(number int) []byte {
 	var text bytes.Buffer
-	if version := c.broker.engine.current(); version != c.version {
+	if version := c.broker.engine.currentVersion(); version != c.version {
 		c.version = version
 		fmt.Fprintf(&text, "versions: %d\n", version)
 	}
-	piece := Piece(c.request.RequestURI, c.body, number)
-	fmt.Fprintf(&text, "id: %d\ndata: %s %s.%d\n\n", number, piece, c.broker.id, c.run)
+	content := EventText(c.request.RequestURI, c.body, number)
+	fmt.Fprintf(&text, "id: %d\ndata: %s %s.%d\n\n", number, content, c.broker.id, c.run)
 	return text.Bytes()
 }
 
-// reset breaks the stream off: its caller has left, its deadline has passed, or new weights came in mode truncate.
-func (c *call) reset() {
-	c.finished(http.StatusOK, context.Canceled)
+// abort truncates the stream: the client has left, the deadline has passed, or an order has mode truncate.
+func (c *call) abort() {
+	c.finish(http.StatusOK, context.Canceled)
 	panic(http.ErrAbortHandler)
 }
 
-// save brings parts that were read to a store.
-func (b *Broker) save(store string, saved savedParts) {
+// save sends the blocks of a prompt to a store.
+func (b *Broker) save(store string, saved savedBlocks) {
 	body, err := json.Marshal(saved)
 	if err != nil {
 		return
 	}
-	request, err := http.NewRequestWithContext(b.life, http.MethodPost, "http://"+store+pathSave, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(b.lifetime, http.MethodPost, "http://"+store+pathSave, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
-	if answer, err := b.saver.Do(request); err == nil {
+	if answer, err := b.saveClient.Do(request); err == nil {
 		_ = answer.Body.Close()
 	}
 }
--- a/internal/standin/llmbroker/weights.go
+++ b/internal/standin/llmbroker/weights.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// FirstVersion is the version of weights that nobody has to name.
+// FirstVersion is the version of weights that need not be published.
 const FirstVersion = 1
 
-// Weights are the versions of models' weights that have been named, which brokers can load. Brokers of one model share
-// it with the operator.
+// Weights are the published versions of models' weights, which brokers can load. The brokers of a model share it with the operator.
 type Weights struct {
-	mutex  sync.Mutex
-	newest map[string]uint64
-	named  map[string]map[uint64]time.Time
+	mutex       sync.Mutex
+	newest      map[string]uint64
+	publishedAt map[string]map[uint64]time.Time
 }
 
-// NewWeights returns weights of which each model has the first version only.
+// NewWeights returns weights with the first version of each model alone.
 func NewWeights() *Weights {
-	return &Weights{newest: map[string]uint64{}, named: map[string]map[uint64]time.Time{}}
+	return &Weights{newest: map[string]uint64{}, publishedAt: map[string]map[uint64]time.Time{}}
 }
 
-// Name makes a version of a model known to brokers.
-func (w *Weights) Name(model string, version uint64) {
+// Publish makes a version of a model available to brokers.
+func (w *Weights) Publish(model string, version uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.named[model] == nil {
-		w.named[model] = map[uint64]time.Time{}
+	if w.publishedAt[model] == nil {
+		w.publishedAt[model] = map[uint64]time.Time{}
 	}
-	w.named[model][version] = time.Now()
+	w.publishedAt[model][version] = time.Now()
 	w.newest[model] = max(w.newest[model], version)
 }
 
@@ -39,10 +38,10 @@
 	return max(w.newest[model], FirstVersion)
 }
 
-// has reports whether a version was named.
+// has reports whether a version was published.
 func (w *Weights) has(model string, version uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	_, named := w.named[model][version]
-	return named || version == FirstVersion
+	_, published := w.publishedAt[model][version]
+	return published || version == FirstVersion
 }
