--- a/cmd/kestrelctl/ledger.go
+++ b/cmd/kestrelctl/ledger.go
@@ -92,7 +92,7 @@
 	c.Flags().StringVar(&every, "every", "", "hours, day or month, as the operator's file has it")
 	c.Flags().IntVar(&o.Hours, "hours", 1, "of a period where --every is hours")
 	c.Flags().StringVar(&o.Zone, "zone", "", "the time zone, as the operator's file has it")
-	c.Flags().Float64Var(&o.Grace, "grace-ms", 60000, "as the operator's file has it")
+	c.Flags().Float64Var(&o.GraceMs, "grace-ms", 60000, "as the operator's file has it")
 	c.MarkFlagRequired("every")
 	c.MarkFlagRequired("zone")
 	return func() (*ledger.Calendar, error) {
@@ -101,7 +101,7 @@
 		if !known {
 			return nil, fmt.Errorf("--every is hours, day or month, not %q", every)
 		}
-		o.Every = kind
+		o.PeriodUnit = kind
 		return full.Calendar(&o)
 	}
 }
--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -42,18 +42,18 @@
 				return err
 			}
 			if s.GRPC != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "grpc: on, listening on %v, %d routes\n", s.GRPC.Listen, s.GRPC.Rules.Routes.Len())
+				fmt.Fprintf(cmd.OutOrStdout(), "grpc: on, listening on %v, %d routes\n", s.GRPC.Listen, s.GRPC.ProxySettings.Routes.Len())
 			} else {
 				fmt.Fprintln(cmd.OutOrStdout(), "grpc: off")
 			}
-			if s.Order != nil {
+			if s.SheddingWeights != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), "order: refused first, where not all can be taken")
-				for i, line := range s.Order.Describe(full.Names(set)) {
+				for i, line := range s.SheddingWeights.Describe(full.Names(set)) {
 					fmt.Fprintf(cmd.OutOrStdout(), "  %d. %s\n", i+1, line)
 				}
 			}
 			if s.Ledger != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "ledger: on, in %s\n", s.Ledger.Folder)
+				fmt.Fprintf(cmd.OutOrStdout(), "ledger: on, in %s\n", s.Ledger.Directory)
 			}
 			return nil
 		}})
--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -29,7 +29,7 @@
 	s, err := operator.Read(text, set)
 	if err == nil && s.Ledger != nil {
 		if _, zone := time.LoadLocation(s.Ledger.Zone); zone != nil {
-			err = operator.Findings{{Path: "/ledger/period/zone", Why: zone.Error()}}
+			err = operator.Findings{{Path: "/ledger/period/zone", Reason: zone.Error()}}
 		}
 	}
 	if err != nil {
@@ -51,7 +51,7 @@
 
 // fit keeps what calls may hold within the broker's memory, whatever the file says: past that the broker is killed.
 func fit(p *server.Parts, g *operator.GRPC) {
-	l := &g.Rules.Limits
+	l := &g.ProxySettings.Limits
 	most := max(int(p.Memory/memoryShare), l.StreamWindowBytes)
 	if l.MaxBufferedBytes > most {
 		p.Log.Warn().Int("held_kb", most>>10).Msg("grpc/limits/held-kb is more than a quarter of the memory; less is held")
@@ -75,17 +75,17 @@
 				return on, err
 			}
 		}
-		if s.Sites {
+		if s.WatchSites {
 			view := p.Set.Sighted
-			if s.Borne {
+			if s.LearnCapacity {
 				view = p.Set.Planned
 			}
 			p.Router.Replace(func(out policy.Out) policy.Port { return view(out, p.Seed) })
-			p.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
+			p.Log.Info().Bool("borne", s.LearnCapacity).Msg("watching whole sites")
 		}
-		if s.Order != nil {
-			s.Order.Apply(p.Router.Port())
-			p.Log.Info().Strs("first", s.Order.Describe(Names(p.Set))).Msg("an order of refusals")
+		if s.SheddingWeights != nil {
+			s.SheddingWeights.Apply(p.Router.Port())
+			p.Log.Info().Strs("first", s.SheddingWeights.Describe(Names(p.Set))).Msg("an order of refusals")
 		}
 		sees := &sightings{}
 		port, sighted := p.Router.Port().(*zonefailure.Interceptor)
@@ -101,17 +101,17 @@
 				}
 			}
 		}
-		if s.Owner != nil {
-			end, err := duties(p, s.Owner, port, sees)
+		if s.Roles != nil {
+			end, err := duties(p, s.Roles, port, sees)
 			if err != nil {
 				return on, err
 			}
 			last(end)
 		}
-		if s.Talk != nil && !sighted {
+		if s.Gossip != nil && !sighted {
 			p.Log.Warn().Msg("talk: another policy stands in the module's place; nobody listens")
-		} else if s.Talk != nil {
-			end, err := converse(p, s.Talk, port, sees)
+		} else if s.Gossip != nil {
+			end, err := converse(p, s.Gossip, port, sees)
 			if err != nil {
 				return on, err
 			}
@@ -128,10 +128,10 @@
 		if err := p.Loop.Listen(listen); err != nil {
 			return on, fmt.Errorf("%s: %w", listen, err)
 		}
-		front := grpcproxy.New(p.Router, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
+		front := grpcproxy.New(p.Router, s.GRPC.ProxySettings, p.Set.Whole("family-info.slabs", 1), p.Seed)
 		p.Router.Add(front)
 		p.Log.Info().Str("listen", fmt.Sprintf("%v:%d", listen.Addr(), p.Loop.Port(1))).
-			Int("routes", s.GRPC.Rules.Routes.Len()).Msg("serving gRPC")
+			Int("routes", s.GRPC.ProxySettings.Routes.Len()).Msg("serving gRPC")
 		on.Reload = func() {
 			next, err := Read(file, p.Set)
 			switch {
@@ -140,10 +140,10 @@
 			case next.GRPC == nil:
 				p.Log.Warn().Msg("operator's file not taken over: gRPC is switched off by a restart")
 			default:
-				p.Log.Info().Int("routes", next.GRPC.Rules.Routes.Len()).Bool("need_restart", next.GRPC.Listen != listen).
+				p.Log.Info().Int("routes", next.GRPC.ProxySettings.Routes.Len()).Bool("need_restart", next.GRPC.Listen != listen).
 					Msg("operator's file read again")
 				fit(p, next.GRPC)
-				front.NextSettings.Store(next.GRPC.Rules)
+				front.NextSettings.Store(next.GRPC.ProxySettings)
 				p.Loop.Tell(engine.Reread)
 			}
 		}
--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &ledger.Calendar{Zone: zone, Unit: o.Every, Hours: o.Hours, GraceMs: int64(o.Grace)}, nil
+	return &ledger.Calendar{Zone: zone, Unit: o.PeriodUnit, Hours: o.Hours, GraceMs: int64(o.GraceMs)}, nil
 }
 
 const (
@@ -58,7 +58,7 @@
 	if instance == "" {
 		instance = p.Name
 	}
-	s, err := store.Open(vfs.Default, o.Folder, instance, time.Now())
+	s, err := store.Open(vfs.Default, o.Directory, instance, time.Now())
 	if err != nil {
 		return nil, fmt.Errorf("the ledger can't be used: %w", err)
 	}
@@ -69,8 +69,8 @@
 		Dur("took", s.Recovery.Duration).Msg("ledger is kept")
 	var work *runner.Runner
 	sinks := map[string]sink.Sink{}
-	if o.Export != "" {
-		to, err := sink.OpenDirectory(o.Export)
+	if o.ExportDirectory != "" {
+		to, err := sink.OpenDirectory(o.ExportDirectory)
 		if err != nil {
 			r.Stop(lastWords)
 			s.Close()
@@ -78,13 +78,13 @@
 		}
 		sinks["folder"] = to
 	}
-	if o.URL != "" {
-		sinks["http"] = sink.NewHTTP(o.URL)
+	if o.ExportURL != "" {
+		sinks["http"] = sink.NewHTTP(o.ExportURL)
 	}
-	if len(sinks) > 0 || o.Keep > 0 {
+	if len(sinks) > 0 || o.RetentionMs > 0 {
 		work = runner.New(background.Budget{TimeMsPerS: exportTime, BytesPerS: exportBytes, BurstS: 0.5})
 		for name, to := range sinks {
-			x, err := sink.NewExporter(s, name, to, o.Batch, o.ExportEvery)
+			x, err := sink.NewExporter(s, name, to, o.BatchEntries, o.ExportIntervalMs)
 			if err != nil {
 				r.Stop(lastWords)
 				s.Close()
@@ -93,12 +93,12 @@
 			x.OnFailure = func(err error) { p.Log.Warn().Err(err).Str("to", name).Msg("ledger is not exported; entries wait") }
 			work.Add("export to "+name, background.Low, 0, x.Step)
 		}
-		if o.Keep > 0 {
+		if o.RetentionMs > 0 {
 			names := slices.Sorted(maps.Keys(sinks))
 			work.Add("retention", background.Idle, retireEvery, func() (bytes, again float64) {
 				n := 0
 				err := r.Exclusive(lastWords, func(s *store.Store) (err error) {
-					n, err = s.Retire(c, time.Now().UnixMilli()-int64(o.Keep), retireMost, names...)
+					n, err = s.Retire(c, time.Now().UnixMilli()-int64(o.RetentionMs), retireMost, names...)
 					return err
 				})
 				if err != nil {
--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -34,8 +34,8 @@
 
 // duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
 // The broker starts and serves whatever becomes of this part.
-func duties(p *server.Parts, o *operator.Owner, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
-	rules := lease.ConfigForLease(o.Lease)
+func duties(p *server.Parts, o *operator.Roles, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
+	rules := lease.ConfigForLease(o.LeaseMs)
 	var list []voter.Address
 	votes := false
 	for _, v := range o.Voters {
@@ -44,10 +44,10 @@
 	}
 	var mine *voter.Server
 	if votes {
-		if o.Folder == "" {
+		if o.Directory == "" {
 			return nil, fmt.Errorf("owner: %s is a voter and has no folder", p.Name)
 		}
-		mine, err = voter.Start(voter.Options{Name: p.Name, Listen: o.Listen, Dir: o.Folder, Voters: list, LeaseConfig: rules,
+		mine, err = voter.Start(voter.Options{Name: p.Name, Listen: o.Listen, Dir: o.Directory, Voters: list, LeaseConfig: rules,
 			TickInterval: time.Duration(rules.TickIntervalMs() * 1e6), Log: p.Log})
 		if err != nil {
 			return nil, fmt.Errorf("owner: %w", err)
@@ -58,12 +58,12 @@
 		return nil, err
 	}
 	w := client.Options{Name: fmt.Sprintf("%s.%x", p.Name, chance), Voters: list, Config: rules, Jobs: map[string]func() client.Job{}, Log: p.Log}
-	if c := o.Close; c != nil {
+	if c := o.Statements; c != nil {
 		to := func() (fence.Receiver, error) {
 			if c.URL != "" {
 				return fencehttp.New(c.URL), nil
 			}
-			return fencedir.Open(c.Folder)
+			return fencedir.Open(c.Directory)
 		}
 		if _, err := to(); err != nil {
 			return nil, fmt.Errorf("owner/duties/close: %w", err)
@@ -74,19 +74,19 @@
 				p.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
 				r = nowhere{err}
 			}
-			return &collector.Job{Directories: c.Collect, Config: statement.Config{ExpectedInstances: c.Expect, WaitMs: int64(c.Wait)}, Receiver: r, Log: p.Log,
-				Interval: time.Duration(c.Every * 1e6), WallClockMs: func() int64 { return time.Now().UnixMilli() }}
+			return &collector.Job{Directories: c.ExportPatterns, Config: statement.Config{ExpectedInstances: c.ExpectedInstances, WaitMs: int64(c.WaitMs)}, Receiver: r, Log: p.Log,
+				Interval: time.Duration(c.IntervalMs * 1e6), WallClockMs: func() int64 { return time.Now().UnixMilli() }}
 		}
 	}
-	if d := o.Drill; d != nil {
+	if d := o.Exercise; d != nil {
 		to := fencehttp.New(d.URL)
 		for i := range d.Count {
 			w.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
-				return &exercise.Job{Receiver: to, Interval: time.Duration(d.Every * 1e6), SaveEvery: d.Marks, Holder: w.Name}
+				return &exercise.Job{Receiver: to, Interval: time.Duration(d.IntervalMs * 1e6), SaveEvery: d.SaveEvery, Holder: w.Name}
 			}
 		}
 	}
-	if o.Return && port != nil {
+	if o.ZoneRecovery && port != nil {
 		ears := &coordinator.Inbox{}
 		sees.add(func(site int, lost bool) { ears.Add(p.Name, site, lost, 0) })
 		sees.others = append(sees.others, func(w gossip.Report) { ears.Add(w.Peer, w.Site, w.Lost, w.AgeMs) })
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	n.Start()
-	p.Log.Info().Str("instance", w.Name).Bool("voter", votes).Int("duties", len(w.Jobs)).Float64("lease_ms", o.Lease).Msg("taking part in the fleet's work")
+	p.Log.Info().Str("instance", w.Name).Bool("voter", votes).Int("duties", len(w.Jobs)).Float64("lease_ms", o.LeaseMs).Msg("taking part in the fleet's work")
 	return func() {
 		n.Close(handOver)
 		if mine != nil {
--- a/internal/aggregator/server/full/talk.go
+++ b/internal/aggregator/server/full/talk.go
@@ -8,8 +8,8 @@
 )
 
 // converse has a broker tell others what it sees of sites, and hear them.
-func converse(p *server.Parts, o *operator.Talk, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
-	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.Via, OnReport: func(w gossip.Report) {
+func converse(p *server.Parts, o *operator.Gossip, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
+	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.RedirectedAddresses, OnReport: func(w gossip.Report) {
 		// A full post loses hearsay, which is said again.
 		p.Router.Post(p.Loop.Tell, func() { port.HandlePeerReport(w.Peer, w.Site, w.Lost, w.AgeMs) })
 		sees.heard(w)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -33,10 +33,10 @@
 )
 
 // Finding is one thing that is wrong.
-type Finding struct{ Path, Why string }
+type Finding struct{ Path, Reason string }
 
 // String gives the path in the file and what is wrong there.
-func (f Finding) String() string { return f.Path + ": " + f.Why }
+func (f Finding) String() string { return f.Path + ": " + f.Reason }
 
 // Findings are all that are wrong with a file, in the order of their paths.
 type Findings []Finding
@@ -52,72 +52,72 @@
 
 // Settings are those of a file that has proved sound. A part that the file does not name is nil: it stays off.
 type Settings struct {
-	GRPC   *GRPC
-	Ledger *Ledger
-	Talk   *Talk
-	Sites  bool // whole sites are watched; talk needs it
-	Borne  bool // and what servers bear while they are full is learnt
-	Order  *shedding.Weights
-	Owner  *Owner
+	GRPC            *GRPC
+	Ledger          *Ledger
+	Gossip          *Gossip
+	WatchSites      bool // whole sites are watched; talk needs it
+	LearnCapacity   bool // and what servers bear while they are full is learnt
+	SheddingWeights *shedding.Weights
+	Roles           *Roles
 }
 
-// Talk is what brokers tell each other of sites, where an installation allows it.
-type Talk struct {
-	Listen netip.AddrPort
-	Join   []string
-	Key    []byte
-	Via    map[string]string // a peer's address, and that by which it is reached from here
+// Gossip is what brokers tell each other of sites, where an installation allows it.
+type Gossip struct {
+	Listen              netip.AddrPort
+	Join                []string
+	Key                 []byte
+	RedirectedAddresses map[string]string // a peer's address, and that by which it is reached from here
 }
 
-// Owner is the fleet's work, which one instance at a time does.
-type Owner struct {
-	Listen, Folder string // a voter's; "": this broker is none
-	Voters         []Voter
-	Lease          float64 // ms
-	Close          *Close
-	Return         bool
-	Drill          *Drill
+// Roles is the fleet's work, which one instance at a time does.
+type Roles struct {
+	Listen, Directory string // a voter's; "": this broker is none
+	Voters            []Voter
+	LeaseMs           float64 // ms
+	Statements        *StatementRole
+	ZoneRecovery      bool
+	Exercise          *ExerciseRole
 }
 
 // Voter is one of those who agree on owners, and where it is reached from here.
 type Voter struct{ Name, Address string }
 
-// Close is the duty of closing the fleet's periods.
-type Close struct {
-	Collect     []string // patterns of folders
-	Expect      []string // instances
-	Wait        float64  // ms
-	Folder, URL string   // where statements go: one of them
-	Every       float64  // ms
+// StatementRole is the duty of closing the fleet's periods.
+type StatementRole struct {
+	ExportPatterns    []string // patterns of folders
+	ExpectedInstances []string // instances
+	WaitMs            float64  // ms
+	Directory, URL    string   // where statements go: one of them
+	IntervalMs        float64  // ms
 }
 
-// Drill is duties to try owners out.
-type Drill struct {
-	URL   string
-	Count int
-	Every float64 // ms
-	Marks int
+// ExerciseRole is duties to try owners out.
+type ExerciseRole struct {
+	URL        string
+	Count      int
+	IntervalMs float64 // ms
+	SaveEvery  int
 }
 
 // Ledger is the ledger of use. The zone is checked by who knows zones.
 type Ledger struct {
-	Folder, Instance, Zone string
-	Every                  ledger.PeriodUnit
-	Hours                  int
-	Grace                  float64 // ms
-	Export, URL            string  // a folder, a receiver's address; "": none
-	Batch                  int     // entries
-	ExportEvery            float64 // ms
-	Keep                   float64 // ms for which entries that have left are kept; 0: for good
+	Directory, Instance, Zone  string
+	PeriodUnit                 ledger.PeriodUnit
+	Hours                      int
+	GraceMs                    float64 // ms
+	ExportDirectory, ExportURL string  // a folder, a receiver's address; "": none
+	BatchEntries               int     // entries
+	ExportIntervalMs           float64 // ms
+	RetentionMs                float64 // ms for which entries that have left are kept; 0: for good
 }
 
 // GRPC is the gRPC front.
 type GRPC struct {
-	Listen netip.AddrPort
-	Rules  *grpcproxy.Settings
+	Listen        netip.AddrPort
+	ProxySettings *grpcproxy.Settings
 }
 
-var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
+var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 // Read checks a file's text against the schema and the broker's own settings, which name the query types, customers and
 // shards. The error is of type Findings where the file is at fault.
 func Read(text []byte, set settings.Values) (*Settings, error) {
-	schema, err := compiled()
+	schema, err := compiledSchema()
 	if err != nil {
 		return nil, fmt.Errorf("schema: %w", err)
 	}
@@ -145,7 +145,7 @@
 		if !errors.As(err, &bad) {
 			return nil, err
 		}
-		return nil, leaves(bad)
+		return nil, findingsFromSchema(bad)
 	}
 	var f file
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -158,8 +158,8 @@
 
 var printer = message.NewPrinter(language.English)
 
-// leaves gives what is wrong without the schema's way there.
-func leaves(e *jsonschema.ValidationError) (list Findings) {
+// findingsFromSchema gives what is wrong without the schema's way there.
+func findingsFromSchema(e *jsonschema.ValidationError) (list Findings) {
 	var walk func(e *jsonschema.ValidationError)
 	walk = func(e *jsonschema.ValidationError) {
 		if len(e.Causes) > 0 {
@@ -302,14 +302,14 @@
 	Unseen      []string
 }
 
-func or[T any](v *T, missing T) T {
+func valueOr[T any](v *T, missing T) T {
 	if v == nil {
 		return missing
 	}
 	return *v
 }
 
-const kb = 1 << 10
+const bytesPerKB = 1 << 10
 
 func (f *file) settings(set settings.Values) (*Settings, error) {
 	s := &Settings{}
@@ -317,13 +317,13 @@
 	if f.GRPC != nil {
 		s.GRPC, bad = f.GRPC.settings(set)
 	}
-	s.Borne = f.Sites != nil && f.Sites.Borne
-	if s.Sites = f.Sites != nil; !s.Sites && f.Talk != nil {
+	s.LearnCapacity = f.Sites != nil && f.Sites.Borne
+	if s.WatchSites = f.Sites != nil; !s.WatchSites && f.Talk != nil {
 		bad = append(bad, Finding{"/talk", "there is nothing to tell without sites"})
 	}
 	if o := f.Owner; o != nil {
-		w := &Owner{Listen: o.Listen, Folder: o.Folder, Lease: or(o.Lease, 3000), Return: o.Duties.Return != nil}
-		s.Owner = w
+		w := &Roles{Listen: o.Listen, Directory: o.Folder, LeaseMs: valueOr(o.Lease, 3000), ZoneRecovery: o.Duties.Return != nil}
+		s.Roles = w
 		seen := map[string]bool{}
 		for i, v := range o.Voters {
 			path := "/owner/voters/" + strconv.Itoa(i)
@@ -347,18 +347,18 @@
 				bad = append(bad, Finding{"/owner/listen", fmt.Sprintf("no address: %q", o.Listen)})
 			}
 		}
-		if w.Return && f.Sites == nil {
+		if w.ZoneRecovery && f.Sites == nil {
 			bad = append(bad, Finding{"/owner/duties/return", "there is nothing to pace without sites"})
 		}
 		if c := o.Duties.Close; c != nil {
-			w.Close = &Close{Collect: c.Collect, Expect: c.Expect, Wait: or(c.Wait, 3600e3), Folder: c.Folder, URL: c.URL, Every: or(c.Every, 2000)}
+			w.Statements = &StatementRole{ExportPatterns: c.Collect, ExpectedInstances: c.Expect, WaitMs: valueOr(c.Wait, 3600e3), Directory: c.Folder, URL: c.URL, IntervalMs: valueOr(c.Every, 2000)}
 		}
 		if d := o.Duties.Drill; d != nil {
-			w.Drill = &Drill{URL: d.URL, Count: or(d.Count, 10), Every: or(d.Every, 1000), Marks: or(d.Marks, 10)}
+			w.Exercise = &ExerciseRole{URL: d.URL, Count: valueOr(d.Count, 10), IntervalMs: valueOr(d.Every, 1000), SaveEvery: valueOr(d.Marks, 10)}
 		}
 	}
 	if o := f.Order; o != nil {
-		values, kinds, customers := types(set)
+		values, kinds, customers := namesIn(set)
 		r := shedding.Config{RetryWeight: o.Retries}
 		place := func(path, name string, among map[string]int, what string) int {
 			at, known := among[name]
@@ -386,13 +386,13 @@
 		}
 		if len(bad) == 0 {
 			w := shedding.NewWeights(values, set.Count("customers"), r)
-			s.Order = &w
+			s.SheddingWeights = &w
 		}
 	}
 	if t := f.Talk; t != nil {
-		s.Talk = &Talk{Join: t.Join, Via: t.Via}
+		s.Gossip = &Gossip{Join: t.Join, RedirectedAddresses: t.Via}
 		var err error
-		if s.Talk.Listen, err = netip.ParseAddrPort(t.Listen); err != nil || !s.Talk.Listen.Addr().Is4() {
+		if s.Gossip.Listen, err = netip.ParseAddrPort(t.Listen); err != nil || !s.Gossip.Listen.Addr().Is4() {
 			bad = append(bad, Finding{"/talk/listen", fmt.Sprintf("no address: %q", t.Listen)})
 		}
 		for i, j := range t.Join {
@@ -408,22 +408,22 @@
 			}
 		}
 		if t.Key != "" {
-			if s.Talk.Key, err = hex.DecodeString(t.Key); err != nil || len(s.Talk.Key) != 16 && len(s.Talk.Key) != 24 && len(s.Talk.Key) != 32 {
+			if s.Gossip.Key, err = hex.DecodeString(t.Key); err != nil || len(s.Gossip.Key) != 16 && len(s.Gossip.Key) != 24 && len(s.Gossip.Key) != 32 {
 				bad = append(bad, Finding{"/talk/key", "not 16, 24 or 32 bytes in hexadecimal digits"})
 			}
 		}
 	}
 	if l := f.Ledger; l != nil {
-		s.Ledger = &Ledger{Folder: l.Folder, Instance: l.Instance, Zone: l.Period.Zone, Hours: max(l.Period.Hours, 1),
-			Keep: l.Keep * 86400e3, Grace: or(l.Period.Grace, 60e3)}
+		s.Ledger = &Ledger{Directory: l.Folder, Instance: l.Instance, Zone: l.Period.Zone, Hours: max(l.Period.Hours, 1),
+			RetentionMs: l.Keep * 86400e3, GraceMs: valueOr(l.Period.Grace, 60e3)}
 		if x := l.Export; x != nil {
-			s.Ledger.URL = x.URL
-			s.Ledger.Export, s.Ledger.Batch, s.Ledger.ExportEvery = x.Folder, or(x.Batch, 1000), or(x.Every, 60e3)
+			s.Ledger.ExportURL = x.URL
+			s.Ledger.ExportDirectory, s.Ledger.BatchEntries, s.Ledger.ExportIntervalMs = x.Folder, valueOr(x.Batch, 1000), valueOr(x.Every, 60e3)
 			if x.Folder == l.Folder {
 				bad = append(bad, Finding{"/ledger/export/folder", "is the ledger's own"})
 			}
 		}
-		s.Ledger.Every = map[string]ledger.PeriodUnit{"hours": ledger.Hourly, "day": ledger.Daily, "month": ledger.Monthly}[l.Period.Every]
+		s.Ledger.PeriodUnit = map[string]ledger.PeriodUnit{"hours": ledger.Hourly, "day": ledger.Daily, "month": ledger.Monthly}[l.Period.Every]
 	}
 	if len(bad) > 0 {
 		sort.SliceStable(bad, func(i, j int) bool { return bad[i].Path < bad[j].Path })
@@ -432,8 +432,8 @@
 	return s, nil
 }
 
-// types gives the query types' values, and the numbers of types and customers by name.
-func types(set settings.Values) (values []float64, kinds, customers map[string]int) {
+// namesIn gives the query types' values, and the numbers of types and customers by name.
+func namesIn(set settings.Values) (values []float64, kinds, customers map[string]int) {
 	kinds, customers = map[string]int{}, map[string]int{}
 	for i := range set.Count("classes") {
 		kinds[set.Item("classes", i, "name")] = i
@@ -459,18 +459,18 @@
 	}
 	l, ch := &g.Limits, &g.Channels
 	r := &grpcproxy.Settings{
-		Limits: grpcproxy.Limits{MaxConnections: or(l.Connections, 256), MaxCallsPerConnection: or(l.PerConn, 100), MaxCalls: or(l.Calls, 1000),
-			MaxCallsPerCustomer: or(l.PerCustomer, 0), MaxBufferedBytes: kb * or(l.Held, 16384),
-			MaxBufferedBytesPerConnection: kb * or(l.HeldPerConn, or(l.Held, 16384)), StreamWindowBytes: kb * or(l.Window, 64),
-			MaxMetadataBytes: kb * or(l.Metadata, 16), MaxResetsPerSecond: or(l.Resets, 100), MaxControlFramesPerSecond: or(l.Controls, 200),
-			HandshakeTimeout: or(l.Handshake, 2000), IdleTimeout: or(l.Idle, 300e3), PartialFrameTimeout: or(l.Half, 5000), WriteTimeout: or(l.Stuck, 20e3),
-			WriteBufferBytes: kb * or(l.Lag, 64)},
-		ConnPool: connpool.Settings{MaxConnections: or(ch.Most, 2), MaxStreams: or(ch.Streams, 100), MaxWaiting: or(ch.Waiting, 100),
-			ConnectTimeout: or(ch.Connect, 500), IdleTimeout: or(ch.Idle, 60e3), InitialBackoff: or(ch.Backoff, 100),
-			MaxBackoff: or(ch.BackoffMost, 5000), KeepaliveTime: or(ch.Ping, 10e3), KeepaliveTimeout: or(ch.PingWait, 2000)},
+		Limits: grpcproxy.Limits{MaxConnections: valueOr(l.Connections, 256), MaxCallsPerConnection: valueOr(l.PerConn, 100), MaxCalls: valueOr(l.Calls, 1000),
+			MaxCallsPerCustomer: valueOr(l.PerCustomer, 0), MaxBufferedBytes: bytesPerKB * valueOr(l.Held, 16384),
+			MaxBufferedBytesPerConnection: bytesPerKB * valueOr(l.HeldPerConn, valueOr(l.Held, 16384)), StreamWindowBytes: bytesPerKB * valueOr(l.Window, 64),
+			MaxMetadataBytes: bytesPerKB * valueOr(l.Metadata, 16), MaxResetsPerSecond: valueOr(l.Resets, 100), MaxControlFramesPerSecond: valueOr(l.Controls, 200),
+			HandshakeTimeout: valueOr(l.Handshake, 2000), IdleTimeout: valueOr(l.Idle, 300e3), PartialFrameTimeout: valueOr(l.Half, 5000), WriteTimeout: valueOr(l.Stuck, 20e3),
+			WriteBufferBytes: bytesPerKB * valueOr(l.Lag, 64)},
+		ConnPool: connpool.Settings{MaxConnections: valueOr(ch.Most, 2), MaxStreams: valueOr(ch.Streams, 100), MaxWaiting: valueOr(ch.Waiting, 100),
+			ConnectTimeout: valueOr(ch.Connect, 500), IdleTimeout: valueOr(ch.Idle, 60e3), InitialBackoff: valueOr(ch.Backoff, 100),
+			MaxBackoff: valueOr(ch.BackoffMost, 5000), KeepaliveTime: valueOr(ch.Ping, 10e3), KeepaliveTimeout: valueOr(ch.PingWait, 2000)},
 		Addresses: grpcproxy.Addresses{PortOffset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
 	}
-	out := &GRPC{Listen: address("listen", g.Listen), Rules: r}
+	out := &GRPC{Listen: address("listen", g.Listen), ProxySettings: r}
 	for id, text := range g.Servers.ByID {
 		r.Addresses.ByID[id] = address("servers/by-id/"+id, text)
 	}
@@ -483,7 +483,7 @@
 	if r.Limits.StreamWindowBytes > r.Limits.MaxBufferedBytes {
 		wrong("limits/window-kb", "over held-kb: one stream alone could hold more than all may")
 	}
-	_, kinds, customers := types(set)
+	_, kinds, customers := namesIn(set)
 	shards := set.Whole("family-info.slabs", 1)
 	list := make([]*routes.Route, len(g.Routes))
 	called := map[string]int{}
@@ -502,9 +502,9 @@
 		to := &routes.Route{Name: f.Name, Service: f.Match.Service, Method: f.Match.Method, Prefix: f.Match.Prefix, QueryType: kind,
 			CustomerMetadata: f.Customer.Metadata, AffinityMetadata: f.About,
 			Shard:          routes.ShardRule{MetadataKey: f.Shard.Metadata, Hash: f.Shard.Hash, BlockCount: f.Shard.Blocks, FixedShard: f.Shard.Fixed},
-			DefaultTimeout: or(f.Timeout, deadline), MaxMessageBytes: kb * or(f.Message, 4096), RetryBufferBytes: kb * or(f.Repeat, 64),
-			ResponseBufferBytes: kb * or(f.Hold, 64), WorkHint: f.Work}
-		to.MaxTimeout = or(f.TimeoutMost, max(to.DefaultTimeout, deadline))
+			DefaultTimeout: valueOr(f.Timeout, deadline), MaxMessageBytes: bytesPerKB * valueOr(f.Message, 4096), RetryBufferBytes: bytesPerKB * valueOr(f.Repeat, 64),
+			ResponseBufferBytes: bytesPerKB * valueOr(f.Hold, 64), WorkHint: f.Work}
+		to.MaxTimeout = valueOr(f.TimeoutMost, max(to.DefaultTimeout, deadline))
 		if to.MaxTimeout < to.DefaultTimeout {
 			wrong(at+"timeout-most-ms", "under timeout-ms")
 		}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -9,40 +9,40 @@
 	"kestrelspread/internal/routes"
 )
 
-const facts = `{"classes":[{"name":"quick","deadline-ms":3000},{"name":"once"}],"customers":[{"name":"all"},{"name":"desk"}],
+const testFacts = `{"classes":[{"name":"quick","deadline-ms":3000},{"name":"once"}],"customers":[{"name":"all"},{"name":"desk"}],
 "family-info":{"slabs":4}}`
 
-func set(t testing.TB) settings.Values {
-	v, err := settings.FromJSON([]byte(facts))
+func testSettings(t testing.TB) settings.Values {
+	v, err := settings.FromJSON([]byte(testFacts))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return v
 }
 
-func TestTheExampleIsSound(t *testing.T) {
-	s, err := Read(deploy.Example, set(t))
+func TestExampleIsValid(t *testing.T) {
+	s, err := Read(deploy.Example, testSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.GRPC == nil || s.GRPC.Rules.Routes.Len() != 3 || s.GRPC.Rules.Limits.StreamWindowBytes != 64<<10 || s.GRPC.Rules.Limits.MaxResetsPerSecond != 100 {
+	if s.GRPC == nil || s.GRPC.ProxySettings.Routes.Len() != 3 || s.GRPC.ProxySettings.Limits.StreamWindowBytes != 64<<10 || s.GRPC.ProxySettings.Limits.MaxResetsPerSecond != 100 {
 		t.Errorf("%+v", s.GRPC)
 	}
-	r := s.GRPC.Rules.Routes.Find("/pension.Balances/Get", func(string) (string, bool) { return "", false })
+	r := s.GRPC.ProxySettings.Routes.Find("/pension.Balances/Get", func(string) (string, bool) { return "", false })
 	if r == nil || r.CommitPoint != routes.AtEnd || r.DefaultTimeout != 1000 || r.MaxTimeout != 3000 || r.ResponseBufferBytes != 256<<10 {
 		t.Errorf("%+v", r)
 	}
-	if s, err := Read([]byte(`{}`), set(t)); err != nil || s.GRPC != nil {
+	if s, err := Read([]byte(`{}`), testSettings(t)); err != nil || s.GRPC != nil {
 		t.Error("an empty file switches nothing on:", s, err)
 	}
 }
 
-func TestAnOrderOfRefusalsIsRead(t *testing.T) {
-	s, err := Read([]byte(`{"order":{"types":[["once"]],"bulk-customers":["desk"],"retries":0.5}}`), set(t))
+func TestSheddingOrderIsRead(t *testing.T) {
+	s, err := Read([]byte(`{"order":{"types":[["once"]],"bulk-customers":["desk"],"retries":0.5}}`), testSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o := s.Order; o.Types[1] >= o.Types[0] || o.Customers[1] >= o.Customers[0] || o.RetryWeight != 0.5 {
+	if o := s.SheddingWeights; o.Types[1] >= o.Types[0] || o.Customers[1] >= o.Customers[0] || o.RetryWeight != 0.5 {
 		t.Errorf("%+v", o)
 	}
 }
@@ -82,35 +82,35 @@
 		{strings.Replace(text(ok), `"routes"`, `"limits":{"window-kb":999,"held-kb":64},"routes"`, 1), "/grpc/limits/window-kb: "},
 		{strings.Replace(text(ok), `"routes"`, `"channels":{"backoff-ms":10000},"routes"`, 1), "/grpc/channels/backoff-ms: "},
 	} {
-		_, err := Read([]byte(c.text), set(t))
+		_, err := Read([]byte(c.text), testSettings(t))
 		if err == nil || !strings.Contains("\n"+err.Error(), "\n"+c.want) {
 			t.Errorf("%.120s:\n  %v\n  want %s", c.text, err, c.want)
 		}
 	}
-	if _, err := Read([]byte(text(ok)), set(t)); err != nil {
+	if _, err := Read([]byte(text(ok)), testSettings(t)); err != nil {
 		t.Error(err)
 	}
 	// All that is wrong is told at once.
-	_, err := Read([]byte(text(`{"name":"a","match":{"prefix":"/"},"query-type":"x","shard":{"fixed":9}}`)), set(t))
+	_, err := Read([]byte(text(`{"name":"a","match":{"prefix":"/"},"query-type":"x","shard":{"fixed":9}}`)), testSettings(t))
 	if f, is := err.(Findings); !is || len(f) != 2 {
 		t.Error(err)
 	}
 }
 
-func TestWhatIsBorneIsLearntOnlyWhereItIsWished(t *testing.T) {
+func TestCapacityIsLearnedOnlyIfConfigured(t *testing.T) {
 	for text, want := range map[string]bool{`{}`: false, `{"sites":{}}`: false, `{"sites":{"borne":false}}`: false, `{"sites":{"borne":true}}`: true} {
-		if s, err := Read([]byte(text), set(t)); err != nil || s.Borne != want {
+		if s, err := Read([]byte(text), testSettings(t)); err != nil || s.LearnCapacity != want {
 			t.Error(text, s, err)
 		}
 	}
-	if _, err := Read([]byte(`{"sites":{"born":true}}`), set(t)); err == nil || !strings.Contains(err.Error(), "/sites") {
+	if _, err := Read([]byte(`{"sites":{"born":true}}`), testSettings(t)); err == nil || !strings.Contains(err.Error(), "/sites") {
 		t.Error(err)
 	}
 }
 
-func TestTalkIsChecked(t *testing.T) {
-	s, err := Read([]byte(`{"sites":{},"talk":{"listen":"127.0.0.1:7946","join":["127.0.0.2:7946"],"key":"000102030405060708090a0b0c0d0e0f"}}`), set(t))
-	if err != nil || s.Talk == nil || s.Talk.Listen.Port() != 7946 || len(s.Talk.Join) != 1 || len(s.Talk.Key) != 16 {
+func TestGossipIsChecked(t *testing.T) {
+	s, err := Read([]byte(`{"sites":{},"talk":{"listen":"127.0.0.1:7946","join":["127.0.0.2:7946"],"key":"000102030405060708090a0b0c0d0e0f"}}`), testSettings(t))
+	if err != nil || s.Gossip == nil || s.Gossip.Listen.Port() != 7946 || len(s.Gossip.Join) != 1 || len(s.Gossip.Key) != 16 {
 		t.Fatal(s, err)
 	}
 	for text, path := range map[string]string{
@@ -123,7 +123,7 @@
 		`{"sites":{},"talk":{"listen":"127.0.0.1:1","key":"000102030405"}}`: "/talk/key",
 		`{"sites":{},"talk":{"listen":"127.0.0.1:1","loud":true}}`:          "/talk/loud",
 	} {
-		if _, err := Read([]byte(text), set(t)); err == nil || !strings.Contains(err.Error(), path+":") {
+		if _, err := Read([]byte(text), testSettings(t)); err == nil || !strings.Contains(err.Error(), path+":") {
 			t.Errorf("%s: %v, want %s", text, err, path)
 		}
 	}
--- a/internal/operator/settings_golden_test.go
+++ b/internal/operator/settings_golden_test.go
@@ -43,34 +43,34 @@
 	var got bytes.Buffer
 	for i, text := range goldenFiles {
 		fmt.Fprintln(&got, "file", i)
-		s, err := Read([]byte(text), set(t))
+		s, err := Read([]byte(text), testSettings(t))
 		if err != nil {
 			fmt.Fprintln(&got, err)
 			continue
 		}
-		fmt.Fprintln(&got, s.Sites, s.Borne)
-		if s.Talk != nil {
-			fmt.Fprintln(&got, "talk", *s.Talk)
+		fmt.Fprintln(&got, s.WatchSites, s.LearnCapacity)
+		if s.Gossip != nil {
+			fmt.Fprintln(&got, "talk", *s.Gossip)
 		}
-		if s.Order != nil {
-			fmt.Fprintln(&got, "order", *s.Order)
+		if s.SheddingWeights != nil {
+			fmt.Fprintln(&got, "order", *s.SheddingWeights)
 		}
 		if s.Ledger != nil {
 			fmt.Fprintln(&got, "ledger", *s.Ledger)
 		}
-		if o := s.Owner; o != nil {
-			fmt.Fprintln(&got, "owner", o.Listen, o.Folder, o.Voters, o.Lease, o.Return)
-			if o.Close != nil {
-				fmt.Fprintln(&got, "close", *o.Close)
+		if o := s.Roles; o != nil {
+			fmt.Fprintln(&got, "owner", o.Listen, o.Directory, o.Voters, o.LeaseMs, o.ZoneRecovery)
+			if o.Statements != nil {
+				fmt.Fprintln(&got, "close", *o.Statements)
 			}
-			if o.Drill != nil {
-				fmt.Fprintln(&got, "drill", *o.Drill)
+			if o.Exercise != nil {
+				fmt.Fprintln(&got, "drill", *o.Exercise)
 			}
 		}
 		if s.GRPC != nil {
-			fmt.Fprintln(&got, "grpc", s.GRPC.Listen, s.GRPC.Rules.Limits, s.GRPC.Rules.ConnPool, s.GRPC.Rules.Addresses)
+			fmt.Fprintln(&got, "grpc", s.GRPC.Listen, s.GRPC.ProxySettings.Limits, s.GRPC.ProxySettings.ConnPool, s.GRPC.ProxySettings.Addresses)
 			for _, path := range []string{"/p.S/M", "/else", "/pension.Balances/Get"} {
-				if r := s.GRPC.Rules.Routes.Find(path, func(string) (string, bool) { return "v", true }); r != nil {
+				if r := s.GRPC.ProxySettings.Routes.Find(path, func(string) (string, bool) { return "v", true }); r != nil {
 					fmt.Fprintln(&got, path, *r)
 				}
 			}
