--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,553 +1,126 @@
-// Package operator reads the operator's own file: it checks it whole, against the published JSON Schema and then for
-// what a schema can't say, and hands out typed settings part by part. Each finding names its path in the file (RFC 6901).
-// It does no I/O: the text is the caller's to read.
+// Package operator reads the operator's own file: it checks it completely, against the published JSON Schema and then for what a
+// schema can't say, and returns typed settings part by part. Each finding names its path in the file (RFC 6901). It does
+// no I/O: reading the file is the caller's, and so is whatever the settings switch on.
+//
+// The file's keys are the operator's words and stay; the settings have the code's names.
 package operator
 
 import (
 	"bytes"
-	"encoding/hex"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
-	"net/netip"
-	"slices"
-	"sort"
 	"strconv"
-	"strings"
 	"sync"
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
-	"github.com/santhosh-tekuri/jsonschema/v6/kind"
-	"golang.org/x/text/language"
-	"golang.org/x/text/message"
 
 	"kestrelspread/deploy"
 	"kestrelspread/internal/aggregator/settings"
-	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/fleet/shedding"
-	"kestrelspread/internal/grpcproxy"
-	"kestrelspread/internal/grpcwire"
-	"kestrelspread/internal/ledger"
-	"kestrelspread/internal/routes"
 )
 
-// Finding is one thing that is wrong.
-type Finding struct{ Path, Reason string }
-
-// String gives the path in the file and what is wrong there.
-func (f Finding) String() string { return f.Path + ": " + f.Reason }
-
-// Findings are all that are wrong with a file, in the order of their paths.
-type Findings []Finding
-
-// Error gives all findings, a line each.
-func (f Findings) Error() string {
-	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
-	}
-	return strings.Join(lines, "\n")
-}
-
-// Settings are those of a file that has proved sound. A part that the file does not name is nil: it stays off.
+// Settings are those of a valid file. A part that the file does not name is nil: it stays off.
 type Settings struct {
 	GRPC            *GRPC
 	Ledger          *Ledger
 	Gossip          *Gossip
-	WatchSites      bool // whole sites are watched; talk needs it
-	LearnCapacity   bool // and what servers bear while they are full is learnt
+	WatchSites      bool // failures of whole sites are detected; Gossip and Roles.ZoneRecovery need it
+	LearnCapacity   bool // and servers' capacity under overload is learned
 	SheddingWeights *shedding.Weights
 	Roles           *Roles
 }
 
-// Gossip is what brokers tell each other of sites, where an installation allows it.
-type Gossip struct {
-	Listen              netip.AddrPort
-	Join                []string
-	Key                 []byte
-	RedirectedAddresses map[string]string // a peer's address, and that by which it is reached from here
-}
-
-// Roles is the fleet's work, which one instance at a time does.
-type Roles struct {
-	Listen, Directory string // a voter's; "": this broker is none
-	Voters            []Voter
-	LeaseMs           float64 // ms
-	Statements        *StatementRole
-	ZoneRecovery      bool
-	Exercise          *ExerciseRole
-}
-
-// Voter is one of those who agree on owners, and where it is reached from here.
-type Voter struct{ Name, Address string }
-
-// StatementRole is the duty of closing the fleet's periods.
-type StatementRole struct {
-	ExportPatterns    []string // patterns of folders
-	ExpectedInstances []string // instances
-	WaitMs            float64  // ms
-	Directory, URL    string   // where statements go: one of them
-	IntervalMs        float64  // ms
-}
-
-// ExerciseRole is duties to try owners out.
-type ExerciseRole struct {
-	URL        string
-	Count      int
-	IntervalMs float64 // ms
-	SaveEvery  int
-}
-
-// Ledger is the ledger of use. The zone is checked by who knows zones.
-type Ledger struct {
-	Directory, Instance, Zone  string
-	PeriodUnit                 ledger.PeriodUnit
-	Hours                      int
-	GraceMs                    float64 // ms
-	ExportDirectory, ExportURL string  // a folder, a receiver's address; "": none
-	BatchEntries               int     // entries
-	ExportIntervalMs           float64 // ms
-	RetentionMs                float64 // ms for which entries that have left are kept; 0: for good
-}
-
-// GRPC is the gRPC front.
-type GRPC struct {
-	Listen        netip.AddrPort
-	ProxySettings *grpcproxy.Settings
-}
+const schemaURL = "urn:kestrelspread:operator"
 
 var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
 	if err != nil {
 		return nil, err
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource("urn:kestrelspread:operator", doc); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(schemaURL, document); err != nil {
 		return nil, err
 	}
-	return c.Compile("urn:kestrelspread:operator")
+	return compiler.Compile(schemaURL)
 })
 
 // Read checks a file's text against the schema and the broker's own settings, which name the query types, customers and
 // shards. The error is of type Findings where the file is at fault.
 func Read(text []byte, set settings.Values) (*Settings, error) {
-	schema, err := compiledSchema()
-	if err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
-	}
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
-	if err != nil {
-		return nil, Findings{{"/", "no JSON: " + err.Error()}}
-	}
-	if err := schema.Validate(doc); err != nil {
-		var bad *jsonschema.ValidationError
-		if !errors.As(err, &bad) {
-			return nil, err
-		}
-		return nil, findingsFromSchema(bad)
+	if err := validate(text); err != nil {
+		return nil, err
 	}
 	var f file
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&f); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&f); err != nil {
 		return nil, Findings{{"/", err.Error()}}
 	}
 	return f.settings(set)
 }
 
-var printer = message.NewPrinter(language.English)
-
-// findingsFromSchema gives what is wrong without the schema's way there.
-func findingsFromSchema(e *jsonschema.ValidationError) (list Findings) {
-	var walk func(e *jsonschema.ValidationError)
-	walk = func(e *jsonschema.ValidationError) {
-		if len(e.Causes) > 0 {
-			for _, c := range e.Causes {
-				walk(c)
-			}
-			return
-		}
-		path := "/" + strings.Join(e.InstanceLocation, "/")
-		switch k := e.ErrorKind.(type) {
-		case *kind.AdditionalProperties: // each by its own path: who misspells a name looks for that
-			for _, name := range k.Properties {
-				list = append(list, Finding{strings.TrimSuffix(path, "/") + "/" + name, "no such setting"})
-			}
-		default:
-			list = append(list, Finding{path, e.ErrorKind.LocalizedString(printer)})
-		}
-	}
-	walk(e)
-	sort.SliceStable(list, func(i, j int) bool { return list[i].Path < list[j].Path })
-	return list
-}
-
-// file is the form of the text, once the schema has been kept.
-type file struct {
-	Schema string `json:"$schema"`
-	GRPC   *grpcFile
-	Sites  *struct{ Borne bool }
-	Owner  *struct {
-		Listen, Folder string
-		Voters         []struct{ Name, Address string }
-		Lease          *float64 `json:"lease-ms"`
-		Duties         struct {
-			Close *struct {
-				Collect, Expect []string
-				Wait            *float64 `json:"wait-ms"`
-				Folder, URL     string
-				Every           *float64 `json:"every-ms"`
-			}
-			Return *struct{}
-			Drill  *struct {
-				URL   string
-				Count *int
-				Every *float64 `json:"every-ms"`
-				Marks *int
-			}
-		}
-	}
-	Order *struct {
-		Types   [][]string
-		Bulk    []string `json:"bulk-customers"`
-		Retries float64
-	}
-	Talk *struct {
-		Listen string
-		Join   []string
-		Key    string
-		Via    map[string]string
-	}
-	Ledger *struct {
-		Folder, Instance string
-		Keep             float64 `json:"keep-days"`
-		Period           struct {
-			Every string
-			Hours int
-			Zone  string
-			Grace *float64 `json:"grace-ms"`
-		}
-		Export *struct {
-			Folder string
-			URL    string
-			Batch  *int
-			Every  *float64 `json:"every-ms"`
-		}
-	}
-}
-
-type grpcFile struct {
-	Listen  string
-	Servers struct {
-		PortOffset int               `json:"port-offset"`
-		ByID       map[string]string `json:"by-id"`
-	}
-	Limits struct {
-		Connections *int
-		PerConn     *int     `json:"calls-per-connection"`
-		Calls       *int     `json:"calls"`
-		PerCustomer *int     `json:"calls-per-customer"`
-		Held        *int     `json:"held-kb"`
-		HeldPerConn *int     `json:"held-per-connection-kb"`
-		Window      *int     `json:"window-kb"`
-		Metadata    *int     `json:"metadata-kb"`
-		Resets      *int     `json:"resets-per-second"`
-		Controls    *int     `json:"controls-per-second"`
-		Handshake   *float64 `json:"handshake-ms"`
-		Idle        *float64 `json:"idle-ms"`
-		Half        *float64 `json:"half-ms"`
-		Stuck       *float64 `json:"stuck-ms"`
-		Lag         *int     `json:"lag-kb"`
-	}
-	Channels struct {
-		Most        *int
-		Streams     *int
-		Waiting     *int
-		Connect     *float64 `json:"connect-ms"`
-		Idle        *float64 `json:"idle-ms"`
-		Backoff     *float64 `json:"backoff-ms"`
-		BackoffMost *float64 `json:"backoff-most-ms"`
-		Ping        *float64 `json:"ping-ms"`
-		PingWait    *float64 `json:"ping-wait-ms"`
-	}
-	Routes []routeFile
-}
-
-type routeFile struct {
-	Name  string
-	Match struct {
-		Service, Method, Prefix string
-		Metadata                []struct {
-			Key   string
-			Value *string
-		}
+// validate checks a text against the schema.
+func validate(text []byte) error {
+	schema, err := compiledSchema()
+	if err != nil {
+		return fmt.Errorf("schema: %w", err)
 	}
-	QueryType string `json:"query-type"`
-	Customer  struct{ Name, Metadata string }
-	Shard     struct {
-		Fixed    int
-		Metadata string
-		Hash     string
-		Blocks   int
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
+	if err != nil {
+		return Findings{{"/", "no JSON: " + err.Error()}}
 	}
-	About       string
-	Timeout     *float64 `json:"timeout-ms"`
-	TimeoutMost *float64 `json:"timeout-most-ms"`
-	Message     *int     `json:"message-kb"`
-	Repeat      *int     `json:"repeat-kb"`
-	Hold        *int     `json:"hold-kb"`
-	Commit      string
-	Work        float64 `json:"work-ms"`
-	Unseen      []string
-}
-
-func valueOr[T any](v *T, missing T) T {
-	if v == nil {
-		return missing
+	err = schema.Validate(document)
+	var invalid *jsonschema.ValidationError
+	if errors.As(err, &invalid) {
+		return findingsFromSchema(invalid)
 	}
-	return *v
+	return err
 }
 
-const bytesPerKB = 1 << 10
-
+// settings checks what the schema can't, and returns all that is wrong at once.
 func (f *file) settings(set settings.Values) (*Settings, error) {
-	s := &Settings{}
-	var bad Findings
+	var found Findings
+	names := namesIn(set)
+	s := &Settings{WatchSites: f.Sites != nil, LearnCapacity: f.Sites != nil && f.Sites.Borne}
 	if f.GRPC != nil {
-		s.GRPC, bad = f.GRPC.settings(set)
-	}
-	s.LearnCapacity = f.Sites != nil && f.Sites.Borne
-	if s.WatchSites = f.Sites != nil; !s.WatchSites && f.Talk != nil {
-		bad = append(bad, Finding{"/talk", "there is nothing to tell without sites"})
+		s.GRPC = f.GRPC.settings(set, names, &found)
 	}
-	if o := f.Owner; o != nil {
-		w := &Roles{Listen: o.Listen, Directory: o.Folder, LeaseMs: valueOr(o.Lease, 3000), ZoneRecovery: o.Duties.Return != nil}
-		s.Roles = w
-		seen := map[string]bool{}
-		for i, v := range o.Voters {
-			path := "/owner/voters/" + strconv.Itoa(i)
-			if _, err := netip.ParseAddrPort(v.Address); err != nil {
-				bad = append(bad, Finding{path + "/address", fmt.Sprintf("no address: %q", v.Address)})
-			}
-			if seen[v.Name] {
-				bad = append(bad, Finding{path + "/name", "there are two"})
-			}
-			seen[v.Name] = true
-			w.Voters = append(w.Voters, Voter{v.Name, v.Address})
-		}
-		if n := len(o.Voters); n%2 == 0 {
-			bad = append(bad, Finding{"/owner/voters", fmt.Sprintf("%d of them: an even number bears no more failures than one fewer", n)})
-		}
-		if (o.Listen == "") != (o.Folder == "") {
-			bad = append(bad, Finding{"/owner", "a voter needs both listen and folder"})
-		}
-		if o.Listen != "" {
-			if _, err := netip.ParseAddrPort(o.Listen); err != nil {
-				bad = append(bad, Finding{"/owner/listen", fmt.Sprintf("no address: %q", o.Listen)})
-			}
-		}
-		if w.ZoneRecovery && f.Sites == nil {
-			bad = append(bad, Finding{"/owner/duties/return", "there is nothing to pace without sites"})
-		}
-		if c := o.Duties.Close; c != nil {
-			w.Statements = &StatementRole{ExportPatterns: c.Collect, ExpectedInstances: c.Expect, WaitMs: valueOr(c.Wait, 3600e3), Directory: c.Folder, URL: c.URL, IntervalMs: valueOr(c.Every, 2000)}
-		}
-		if d := o.Duties.Drill; d != nil {
-			w.Exercise = &ExerciseRole{URL: d.URL, Count: valueOr(d.Count, 10), IntervalMs: valueOr(d.Every, 1000), SaveEvery: valueOr(d.Marks, 10)}
-		}
+	if f.Owner != nil {
+		s.Roles = f.Owner.settings(s.WatchSites, &found)
 	}
-	if o := f.Order; o != nil {
-		values, kinds, customers := namesIn(set)
-		r := shedding.Config{RetryWeight: o.Retries}
-		place := func(path, name string, among map[string]int, what string) int {
-			at, known := among[name]
-			if !known {
-				bad = append(bad, Finding{"/order/" + path, fmt.Sprintf("the settings name no %s %q", what, name)})
-			}
-			return at
-		}
-		seen := map[int]string{}
-		for i, names := range o.Types {
-			var group []int
-			for j, name := range names {
-				path := fmt.Sprintf("types/%d/%d", i, j)
-				k := place(path, name, kinds, "query type")
-				if first, twice := seen[k]; twice {
-					bad = append(bad, Finding{"/order/" + path, "stands at /order/" + first + " already"})
-				}
-				seen[k] = path
-				group = append(group, k)
-			}
-			r.ShedFirst = append(r.ShedFirst, group)
-		}
-		for i, name := range o.Bulk {
-			r.BulkCustomers = append(r.BulkCustomers, place("bulk-customers/"+strconv.Itoa(i), name, customers, "customer"))
-		}
-		if len(bad) == 0 {
-			w := shedding.NewWeights(values, set.Count("customers"), r)
-			s.SheddingWeights = &w
-		}
+	if f.Order != nil {
+		s.SheddingWeights = f.Order.settings(names, &found)
 	}
-	if t := f.Talk; t != nil {
-		s.Gossip = &Gossip{Join: t.Join, RedirectedAddresses: t.Via}
-		var err error
-		if s.Gossip.Listen, err = netip.ParseAddrPort(t.Listen); err != nil || !s.Gossip.Listen.Addr().Is4() {
-			bad = append(bad, Finding{"/talk/listen", fmt.Sprintf("no address: %q", t.Listen)})
-		}
-		for i, j := range t.Join {
-			if _, err := netip.ParseAddrPort(j); err != nil {
-				bad = append(bad, Finding{fmt.Sprintf("/talk/join/%d", i), fmt.Sprintf("no address: %v", err)})
-			}
-		}
-		for _, peer := range slices.Sorted(maps.Keys(t.Via)) {
-			for _, at := range []string{peer, t.Via[peer]} {
-				if a, err := netip.ParseAddrPort(at); err != nil || !a.Addr().Is4() {
-					bad = append(bad, Finding{"/talk/via/" + peer, fmt.Sprintf("no address: %q", at)})
-				}
-			}
-		}
-		if t.Key != "" {
-			if s.Gossip.Key, err = hex.DecodeString(t.Key); err != nil || len(s.Gossip.Key) != 16 && len(s.Gossip.Key) != 24 && len(s.Gossip.Key) != 32 {
-				bad = append(bad, Finding{"/talk/key", "not 16, 24 or 32 bytes in hexadecimal digits"})
-			}
-		}
+	if f.Talk != nil {
+		s.Gossip = f.Talk.settings(s.WatchSites, &found)
 	}
-	if l := f.Ledger; l != nil {
-		s.Ledger = &Ledger{Directory: l.Folder, Instance: l.Instance, Zone: l.Period.Zone, Hours: max(l.Period.Hours, 1),
-			RetentionMs: l.Keep * 86400e3, GraceMs: valueOr(l.Period.Grace, 60e3)}
-		if x := l.Export; x != nil {
-			s.Ledger.ExportURL = x.URL
-			s.Ledger.ExportDirectory, s.Ledger.BatchEntries, s.Ledger.ExportIntervalMs = x.Folder, valueOr(x.Batch, 1000), valueOr(x.Every, 60e3)
-			if x.Folder == l.Folder {
-				bad = append(bad, Finding{"/ledger/export/folder", "is the ledger's own"})
-			}
-		}
-		s.Ledger.PeriodUnit = map[string]ledger.PeriodUnit{"hours": ledger.Hourly, "day": ledger.Daily, "month": ledger.Monthly}[l.Period.Every]
+	if f.Ledger != nil {
+		s.Ledger = f.Ledger.settings(&found)
 	}
-	if len(bad) > 0 {
-		sort.SliceStable(bad, func(i, j int) bool { return bad[i].Path < bad[j].Path })
-		return nil, bad
+	if len(found) > 0 {
+		found.sort()
+		return nil, found
 	}
 	return s, nil
 }
 
-// namesIn gives the query types' values, and the numbers of types and customers by name.
-func namesIn(set settings.Values) (values []float64, kinds, customers map[string]int) {
-	kinds, customers = map[string]int{}, map[string]int{}
-	for i := range set.Count("classes") {
-		kinds[set.Item("classes", i, "name")] = i
-		values = append(values, set.Num("classes."+strconv.Itoa(i)+".importance", 1))
-	}
-	for i := range set.Count("customers") {
-		customers[set.Item("customers", i, "name")] = i
-	}
-	return values, kinds, customers
+// settingNames are the names that the broker's own settings give, and their indexes.
+type settingNames struct {
+	queryTypes    map[string]int
+	customers     map[string]int
+	customerCount int
+	values        []float64 // by query type
 }
 
-func (g *grpcFile) settings(set settings.Values) (*GRPC, Findings) {
-	var bad Findings
-	wrong := func(path, form string, args ...any) {
-		bad = append(bad, Finding{"/grpc/" + path, fmt.Sprintf(form, args...)})
-	}
-	address := func(path, text string) netip.AddrPort {
-		at, err := netip.ParseAddrPort(text)
-		if err != nil {
-			wrong(path, "no address: %v", err)
-		}
-		return at
-	}
-	l, ch := &g.Limits, &g.Channels
-	r := &grpcproxy.Settings{
-		Limits: grpcproxy.Limits{MaxConnections: valueOr(l.Connections, 256), MaxCallsPerConnection: valueOr(l.PerConn, 100), MaxCalls: valueOr(l.Calls, 1000),
-			MaxCallsPerCustomer: valueOr(l.PerCustomer, 0), MaxBufferedBytes: bytesPerKB * valueOr(l.Held, 16384),
-			MaxBufferedBytesPerConnection: bytesPerKB * valueOr(l.HeldPerConn, valueOr(l.Held, 16384)), StreamWindowBytes: bytesPerKB * valueOr(l.Window, 64),
-			MaxMetadataBytes: bytesPerKB * valueOr(l.Metadata, 16), MaxResetsPerSecond: valueOr(l.Resets, 100), MaxControlFramesPerSecond: valueOr(l.Controls, 200),
-			HandshakeTimeout: valueOr(l.Handshake, 2000), IdleTimeout: valueOr(l.Idle, 300e3), PartialFrameTimeout: valueOr(l.Half, 5000), WriteTimeout: valueOr(l.Stuck, 20e3),
-			WriteBufferBytes: bytesPerKB * valueOr(l.Lag, 64)},
-		ConnPool: connpool.Settings{MaxConnections: valueOr(ch.Most, 2), MaxStreams: valueOr(ch.Streams, 100), MaxWaiting: valueOr(ch.Waiting, 100),
-			ConnectTimeout: valueOr(ch.Connect, 500), IdleTimeout: valueOr(ch.Idle, 60e3), InitialBackoff: valueOr(ch.Backoff, 100),
-			MaxBackoff: valueOr(ch.BackoffMost, 5000), KeepaliveTime: valueOr(ch.Ping, 10e3), KeepaliveTimeout: valueOr(ch.PingWait, 2000)},
-		Addresses: grpcproxy.Addresses{PortOffset: g.Servers.PortOffset, ByID: map[string]netip.AddrPort{}},
-	}
-	out := &GRPC{Listen: address("listen", g.Listen), ProxySettings: r}
-	for id, text := range g.Servers.ByID {
-		r.Addresses.ByID[id] = address("servers/by-id/"+id, text)
-	}
-	if r.ConnPool.InitialBackoff > r.ConnPool.MaxBackoff {
-		wrong("channels/backoff-ms", "over backoff-most-ms")
-	}
-	if r.Limits.MaxBufferedBytesPerConnection > r.Limits.MaxBufferedBytes {
-		wrong("limits/held-per-connection-kb", "over held-kb")
-	}
-	if r.Limits.StreamWindowBytes > r.Limits.MaxBufferedBytes {
-		wrong("limits/window-kb", "over held-kb: one stream alone could hold more than all may")
-	}
-	_, kinds, customers := namesIn(set)
-	shards := set.Whole("family-info.slabs", 1)
-	list := make([]*routes.Route, len(g.Routes))
-	called := map[string]int{}
-	for i := range g.Routes {
-		f := &g.Routes[i]
-		at := "routes/" + strconv.Itoa(i) + "/"
-		if first, twice := called[f.Name]; twice {
-			wrong(at+"name", "route %d has that name", first)
-		}
-		called[f.Name] = i
-		kind, known := kinds[f.QueryType]
-		if !known {
-			wrong(at+"query-type", "the settings name no query type %q", f.QueryType)
-		}
-		deadline := set.Num("classes."+strconv.Itoa(kind)+".deadline-ms", 3000)
-		to := &routes.Route{Name: f.Name, Service: f.Match.Service, Method: f.Match.Method, Prefix: f.Match.Prefix, QueryType: kind,
-			CustomerMetadata: f.Customer.Metadata, AffinityMetadata: f.About,
-			Shard:          routes.ShardRule{MetadataKey: f.Shard.Metadata, Hash: f.Shard.Hash, BlockCount: f.Shard.Blocks, FixedShard: f.Shard.Fixed},
-			DefaultTimeout: valueOr(f.Timeout, deadline), MaxMessageBytes: bytesPerKB * valueOr(f.Message, 4096), RetryBufferBytes: bytesPerKB * valueOr(f.Repeat, 64),
-			ResponseBufferBytes: bytesPerKB * valueOr(f.Hold, 64), WorkHint: f.Work}
-		to.MaxTimeout = valueOr(f.TimeoutMost, max(to.DefaultTimeout, deadline))
-		if to.MaxTimeout < to.DefaultTimeout {
-			wrong(at+"timeout-most-ms", "under timeout-ms")
-		}
-		if f.Customer.Name != "" {
-			if to.DefaultCustomer, known = customers[f.Customer.Name]; !known {
-				wrong(at+"customer/name", "the settings name no customer %q", f.Customer.Name)
-			}
-		}
-		if f.Shard.Fixed >= shards {
-			wrong(at+"shard/fixed", "there are %d shards", shards)
-		}
-		if f.Shard.Blocks > shards {
-			wrong(at+"shard/blocks", "there are %d shards", shards)
-		}
-		switch f.Commit {
-		case "headers":
-			to.CommitPoint = routes.AtHeaders
-		case "end":
-			to.CommitPoint = routes.AtEnd
-		}
-		for _, name := range f.Unseen {
-			code, _ := grpcwire.StatusByName(name)
-			to.RejectedUnprocessed |= 1 << code
-		}
-		for _, m := range f.Match.Metadata {
-			c := routes.Condition{Key: m.Key, AnyValue: m.Value == nil}
-			if m.Value != nil {
-				c.Value = *m.Value
-			}
-			to.Metadata = append(to.Metadata, c)
-		}
-		list[i] = to
-	}
-	if len(bad) > 0 {
-		return nil, bad
+func namesIn(set settings.Values) *settingNames {
+	names := &settingNames{queryTypes: map[string]int{}, customers: map[string]int{}, customerCount: set.Count("customers")}
+	for i := range set.Count("classes") {
+		names.queryTypes[set.Item("classes", i, "name")] = i
+		names.values = append(names.values, set.Num("classes."+strconv.Itoa(i)+".importance", 1))
 	}
-	table, err := routes.New(list)
-	var c *routes.ConflictError
-	if errors.As(err, &c) {
-		wrong("routes/"+strconv.Itoa(c.Second)+"/match", "matches the same calls as route %d, %q, and neither is the longer",
-			c.First, list[c.First].Name)
-		return nil, bad
+	for i := range names.customerCount {
+		names.customers[set.Item("customers", i, "name")] = i
 	}
-	r.Routes = table
-	return out, nil
+	return names
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("%+v", r)
 	}
 	if s, err := Read([]byte(`{}`), testSettings(t)); err != nil || s.GRPC != nil {
-		t.Error("an empty file switches nothing on:", s, err)
+		t.Error("an empty file enables something:", s, err)
 	}
 }
 
@@ -90,7 +90,7 @@
 	if _, err := Read([]byte(text(ok)), testSettings(t)); err != nil {
 		t.Error(err)
 	}
-	// All that is wrong is told at once.
+	// All findings are reported at once.
 	_, err := Read([]byte(text(`{"name":"a","match":{"prefix":"/"},"query-type":"x","shard":{"fixed":9}}`)), testSettings(t))
 	if f, is := err.(Findings); !is || len(f) != 2 {
 		t.Error(err)
