--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -124,7 +124,7 @@
 				return
 			}
 			now := ""
-			if text := s.Disk.Trouble.Load(); text != nil {
+			if text := s.Disk.Fault.Load(); text != nil {
 				now = *text
 			}
 			if now != was {
--- a/internal/disk/db.go
+++ b/internal/disk/db.go
@@ -20,7 +20,7 @@
 // Seal puts a version and a checksum before a payload of a kind.
 func Seal(version, kind byte, payload []byte) []byte {
 	b := append(make([]byte, 0, len(payload)+10), version, kind)
-	b = append(b, sumOf(kind, version, payload)...)
+	b = append(b, checksum(kind, version, payload)...)
 	return append(b, payload...)
 }
 
@@ -32,33 +32,33 @@
 	if b[0] > version {
 		return nil, 0, fmt.Errorf("%w: version %d", ErrNewer, b[0])
 	}
-	if !bytes.Equal(sumOf(kind, b[0], b[10:]), b[2:10]) {
+	if !bytes.Equal(checksum(kind, b[0], b[10:]), b[2:10]) {
 		return nil, 0, ErrTorn
 	}
 	return b[10:], b[0], nil
 }
 
-// sumOf is the checksum of a record's payload, its kind and version.
-func sumOf(kind, v byte, payload []byte) []byte {
+// checksum is the checksum of a record's payload, its kind and version.
+func checksum(kind, v byte, payload []byte) []byte {
 	return binary.BigEndian.AppendUint64(nil, xxhash.Sum64(payload)^uint64(kind)<<8^uint64(v))
 }
 
-// quiet keeps the store's own words out of the log. Fatalf is for what Disk keeps from it; should it come all the same, the
+// silentLogger keeps the store's own words out of the log. Fatalf is for what Disk keeps from it; should it come all the same, the
 // goroutine stands still and the broker goes on.
-type quiet struct{ d *Disk }
+type silentLogger struct{ disk *Disk }
 
 // Infof writes nothing.
-func (quiet) Infof(string, ...any) {}
+func (silentLogger) Infof(string, ...any) {}
 
 // Errorf writes nothing.
-func (quiet) Errorf(string, ...any) {}
+func (silentLogger) Errorf(string, ...any) {}
 
 // Fatalf keeps the text as the disk's fault, stops the disk and never returns.
-func (q quiet) Fatalf(form string, args ...any) {
+func (q silentLogger) Fatalf(form string, args ...any) {
 	text := fmt.Sprintf(form, args...)
-	q.d.Trouble.Store(&text)
-	q.d.Stopped.Store(true)
-	q.d.stand()
+	q.disk.Fault.Store(&text)
+	q.disk.Stopped.Store(true)
+	q.disk.block()
 }
 
 // DB is an open store. A second process that opens it is refused.
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	var err error
-	db.DB, err = pebble.Open(dir, &pebble.Options{FS: db.Disk, Cache: db.cache, MemTableSize: uint64(memory), Logger: quiet{db.Disk},
+	db.DB, err = pebble.Open(dir, &pebble.Options{FS: db.Disk, Cache: db.cache, MemTableSize: uint64(memory), Logger: silentLogger{db.Disk},
 		FormatMajorVersion: pebble.FormatNewest, MaxOpenFiles: 64})
 	if err != nil {
 		db.cache.Unref()
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -17,63 +17,63 @@
 // again and proved. Uses go on merging in the hand-off all the while.
 type Disk struct {
 	vfs.FS
-	Trouble atomic.Pointer[string] // what is wrong now, nil when all is well
+	Fault atomic.Pointer[string] // what is wrong now, nil when all is well
 	Stopped atomic.Bool            // a sync has failed: nothing more is made durable by this process
 	Retries atomic.Int64
 	Syncs   atomic.Int64
-	Written atomic.Int64
-	Again   time.Duration // between tries
-	halt    chan struct{} // closed by Release: who stands still ends
+	BytesWritten atomic.Int64
+	RetryInterval   time.Duration // between tries
+	released    chan struct{} // closed by Release: who stands still ends
 }
 
 // New wraps a file system.
 func New(fs vfs.FS) *Disk {
-	return &Disk{FS: fs, Again: 250 * time.Millisecond, halt: make(chan struct{})}
+	return &Disk{FS: fs, RetryInterval: 250 * time.Millisecond, released: make(chan struct{})}
 }
 
 // Release lets goroutines that stand still end, once nothing of the store is used any more.
-func (d *Disk) Release() { close(d.halt) }
+func (d *Disk) Release() { close(d.released) }
 
-// persist tries until it succeeds.
-func (d *Disk) persist(what string, do func() error) {
+// retryUntilDone tries until it succeeds.
+func (d *Disk) retryUntilDone(what string, do func() error) {
 	for first := true; ; first = false {
 		if d.Stopped.Load() {
-			d.stand()
+			d.block()
 		}
 		err := do()
 		if err == nil {
 			if !first {
-				d.Trouble.Store(nil)
+				d.Fault.Store(nil)
 			}
 			return
 		}
 		d.Retries.Add(1)
 		text := what + ": " + err.Error()
-		d.Trouble.Store(&text)
+		d.Fault.Store(&text)
 		select {
-		case <-time.After(d.Again):
-		case <-d.halt:
-			d.stand()
+		case <-time.After(d.RetryInterval):
+		case <-d.released:
+			d.block()
 		}
 	}
 }
 
-// stand is for ever: the caller must not learn that its write has failed, nor believe that it succeeded.
-func (d *Disk) stand() {
-	<-d.halt
+// block is for ever: the caller must not learn that its write has failed, nor believe that it succeeded.
+func (d *Disk) block() {
+	<-d.released
 	select {}
 }
 
-func (d *Disk) sync(do func() error) error {
+func (d *Disk) syncOnce(do func() error) error {
 	if d.Stopped.Load() {
-		d.stand()
+		d.block()
 	}
 	d.Syncs.Add(1)
 	if err := do(); err != nil {
 		text := "sync: " + err.Error() + "; nothing more is durable until a restart"
-		d.Trouble.Store(&text)
+		d.Fault.Store(&text)
 		d.Stopped.Store(true)
-		d.stand()
+		d.block()
 	}
 	return nil
 }
@@ -82,12 +82,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &file{f, d}, nil
+	return &diskFile{f, d}, nil
 }
 
 // Create creates a file, as vfs.FS has it; it returns only once the disk has taken it.
 func (d *Disk) Create(name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
-	d.persist("create "+name, func() error { f, err = d.FS.Create(name, c); return err })
+	d.retryUntilDone("create "+name, func() error { f, err = d.FS.Create(name, c); return err })
 	return d.wrap(f, nil)
 }
 
@@ -107,13 +107,13 @@
 // ReuseForWrite renames a file and opens it for writing, as vfs.FS has it; it returns only once the disk
 // has taken it.
 func (d *Disk) ReuseForWrite(from, to string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
-	d.persist("reuse "+from, func() error { f, err = d.FS.ReuseForWrite(from, to, c); return err })
+	d.retryUntilDone("reuse "+from, func() error { f, err = d.FS.ReuseForWrite(from, to, c); return err })
 	return d.wrap(f, nil)
 }
 
 // Rename renames a file, as vfs.FS has it; it returns only once the disk has taken it.
 func (d *Disk) Rename(from, to string) error {
-	d.persist("rename "+from, func() error { return d.FS.Rename(from, to) })
+	d.retryUntilDone("rename "+from, func() error { return d.FS.Rename(from, to) })
 	return nil
 }
 
@@ -123,43 +123,43 @@
 // Unwrap gives what lies below.
 func (d *Disk) Unwrap() vfs.FS { return d.FS }
 
-type file struct {
+type diskFile struct {
 	vfs.File
-	d *Disk
+	disk *Disk
 }
 
 // Write goes on after the part that was written: a torn write is completed, not repeated.
-func (f *file) Write(b []byte) (int, error) {
+func (f *diskFile) Write(b []byte) (int, error) {
 	at := 0
-	f.d.persist("write", func() error {
+	f.disk.retryUntilDone("write", func() error {
 		n, err := f.File.Write(b[at:])
 		at += n
-		f.d.Written.Add(int64(n))
+		f.disk.BytesWritten.Add(int64(n))
 		return err
 	})
 	return len(b), nil
 }
 
 // WriteAt writes all of b at an offset, as vfs.File has it; it returns only once the disk has taken it.
-func (f *file) WriteAt(b []byte, off int64) (int, error) {
+func (f *diskFile) WriteAt(b []byte, off int64) (int, error) {
 	at := 0
-	f.d.persist("write", func() error {
+	f.disk.retryUntilDone("write", func() error {
 		n, err := f.File.WriteAt(b[at:], off+int64(at))
 		at += n
-		f.d.Written.Add(int64(n))
+		f.disk.BytesWritten.Add(int64(n))
 		return err
 	})
 	return len(b), nil
 }
 
 // Sync makes the file durable, as vfs.File has it.
-func (f *file) Sync() error { return f.d.sync(f.File.Sync) }
+func (f *diskFile) Sync() error { return f.disk.syncOnce(f.File.Sync) }
 
 // SyncData makes the file's bytes durable, as vfs.File has it.
-func (f *file) SyncData() error { return f.d.sync(f.File.SyncData) }
+func (f *diskFile) SyncData() error { return f.disk.syncOnce(f.File.SyncData) }
 
 // SyncTo makes the first n bytes durable, as vfs.File has it; full: the whole file is.
-func (f *file) SyncTo(n int64) (full bool, err error) {
-	err = f.d.sync(func() error { full, err = f.File.SyncTo(n); return err })
+func (f *diskFile) SyncTo(n int64) (full bool, err error) {
+	err = f.disk.syncOnce(func() error { full, err = f.File.SyncTo(n); return err })
 	return full, err
 }
--- a/internal/fleet/lease/storage/storage.go
+++ b/internal/fleet/lease/storage/storage.go
@@ -280,7 +280,7 @@
 
 // Fault says what is wrong with the disk now; "" if nothing is. Any goroutine may call it.
 func (s *Store) Fault() string {
-	if fault := s.db.Disk.Trouble.Load(); fault != nil {
+	if fault := s.db.Disk.Fault.Load(); fault != nil {
 		return *fault
 	}
 	return ""
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -189,7 +189,7 @@
 func TestFullDiskDelaysWithoutLoss(t *testing.T) {
 	mem, f, c := vfs.NewCrashableMem(), &faults{}, newClocks()
 	s := mustOpen(Open(errorfs.Wrap(mem, f), "ledger", "n0", time.UnixMilli(c.WallMs())))
-	s.Disk.Again = time.Millisecond
+	s.Disk.RetryInterval = time.Millisecond
 	r := newRecorder(s, c)
 	for range 100 {
 		recordUse(r, c, 0)
@@ -200,7 +200,7 @@
 	for f.hit.Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	if s.Disk.Trouble.Load() == nil || !strings.Contains(*s.Disk.Trouble.Load(), "no space") {
+	if s.Disk.Fault.Load() == nil || !strings.Contains(*s.Disk.Fault.Load(), "no space") {
 		t.Error("it does not report the fault")
 	}
 	for range 100000 { // the loop goes on, and what waits stays bounded
@@ -214,7 +214,7 @@
 		t.Fatal(err)
 	}
 	r.flush()
-	if n := s.Ledger.TotalUse()[ledger.Searches]; n != 100100 || s.Disk.Trouble.Load() != nil {
+	if n := s.Ledger.TotalUse()[ledger.Searches]; n != 100100 || s.Disk.Fault.Load() != nil {
 		t.Error(n, "searches")
 	}
 	crashed := mem.CrashClone(vfs.CrashCloneCfg{})
