--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,4 +1,4 @@
-// Package disk is the small layer between what lasts and the file system: an embedded store (Pebble) that outlives a disk which
+// Package disk is the layer between what is durable and the file system: an embedded store (Pebble) that outlives a disk which
 // fails, and records with a version and a checksum.
 package disk
 
@@ -10,31 +10,33 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// Disk stands between the embedded store and the file system. A store that is told of a failed write gives up, or ends the
-// process; here the broker is to go on serving. So a write that fails is tried again until it succeeds, in its own goroutine,
-// and says so meanwhile; a failed sync is not: what the system had not written by then may be gone from its memory, and a
-// second sync that succeeds would prove nothing. After that the store stands still until the next start, when it is read
-// again and proved. Uses go on merging in the hand-off all the while.
+// Disk stands between the embedded store and the file system. A store that learns of a failed write gives up, or ends the
+// process; here the broker has to go on serving. So a failed write is retried in its own goroutine until it succeeds, and the
+// fault is reported meanwhile. A failed sync is not retried: what the system had not written by then may be gone from its
+// memory, and a second sync that succeeds would prove nothing. After that the store blocks until the next start, when
+// it is read again and verified. Callers must buffer meanwhile.
 type Disk struct {
 	vfs.FS
-	Fault atomic.Pointer[string] // what is wrong now, nil when all is well
-	Stopped atomic.Bool            // a sync has failed: nothing more is made durable by this process
-	Retries atomic.Int64
-	Syncs   atomic.Int64
-	BytesWritten atomic.Int64
-	RetryInterval   time.Duration // between tries
-	released    chan struct{} // closed by Release: who stands still ends
+	Fault         atomic.Pointer[string] // what is wrong now, nil while all is well
+	Stopped       atomic.Bool            // a sync has failed: nothing more is made durable by this process
+	Retries       atomic.Int64
+	Syncs         atomic.Int64
+	BytesWritten  atomic.Int64
+	RetryInterval time.Duration
+	released      chan struct{} // closed by Release
 }
 
+const defaultRetryInterval = 250 * time.Millisecond
+
 // New wraps a file system.
 func New(fs vfs.FS) *Disk {
-	return &Disk{FS: fs, RetryInterval: 250 * time.Millisecond, released: make(chan struct{})}
+	return &Disk{FS: fs, RetryInterval: defaultRetryInterval, released: make(chan struct{})}
 }
 
-// Release lets goroutines that stand still end, once nothing of the store is used any more.
+// Release ends retries, once nothing of the store is used any more. What is blocked stays so.
 func (d *Disk) Release() { close(d.released) }
 
-// retryUntilDone tries until it succeeds.
+// retryUntilDone tries an operation until it succeeds.
 func (d *Disk) retryUntilDone(what string, do func() error) {
 	for first := true; ; first = false {
 		if d.Stopped.Load() {
@@ -58,22 +60,26 @@
 	}
 }
 
-// block is for ever: the caller must not learn that its write has failed, nor believe that it succeeded.
+// block never returns: the caller must not learn that its write has failed, nor believe that it succeeded.
 func (d *Disk) block() {
 	<-d.released
 	select {}
 }
 
+// stop keeps a fault after which nothing more is made durable, and blocks.
+func (d *Disk) stop(fault string) {
+	d.Fault.Store(&fault)
+	d.Stopped.Store(true)
+	d.block()
+}
+
 func (d *Disk) syncOnce(do func() error) error {
 	if d.Stopped.Load() {
 		d.block()
 	}
 	d.Syncs.Add(1)
 	if err := do(); err != nil {
-		text := "sync: " + err.Error() + "; nothing more is durable until a restart"
-		d.Fault.Store(&text)
-		d.Stopped.Store(true)
-		d.block()
+		d.stop("sync: " + err.Error() + "; nothing more is durable until a restart")
 	}
 	return nil
 }
@@ -120,46 +126,5 @@
 // MkdirAll creates a directory and those above it, as vfs.FS has it.
 func (d *Disk) MkdirAll(dir string, perm os.FileMode) error { return d.FS.MkdirAll(dir, perm) }
 
-// Unwrap gives what lies below.
+// Unwrap returns the file system below.
 func (d *Disk) Unwrap() vfs.FS { return d.FS }
-
-type diskFile struct {
-	vfs.File
-	disk *Disk
-}
-
-// Write goes on after the part that was written: a torn write is completed, not repeated.
-func (f *diskFile) Write(b []byte) (int, error) {
-	at := 0
-	f.disk.retryUntilDone("write", func() error {
-		n, err := f.File.Write(b[at:])
-		at += n
-		f.disk.BytesWritten.Add(int64(n))
-		return err
-	})
-	return len(b), nil
-}
-
-// WriteAt writes all of b at an offset, as vfs.File has it; it returns only once the disk has taken it.
-func (f *diskFile) WriteAt(b []byte, off int64) (int, error) {
-	at := 0
-	f.disk.retryUntilDone("write", func() error {
-		n, err := f.File.WriteAt(b[at:], off+int64(at))
-		at += n
-		f.disk.BytesWritten.Add(int64(n))
-		return err
-	})
-	return len(b), nil
-}
-
-// Sync makes the file durable, as vfs.File has it.
-func (f *diskFile) Sync() error { return f.disk.syncOnce(f.File.Sync) }
-
-// SyncData makes the file's bytes durable, as vfs.File has it.
-func (f *diskFile) SyncData() error { return f.disk.syncOnce(f.File.SyncData) }
-
-// SyncTo makes the first n bytes durable, as vfs.File has it; full: the whole file is.
-func (f *diskFile) SyncTo(n int64) (full bool, err error) {
-	err = f.disk.syncOnce(func() error { full, err = f.File.SyncTo(n); return err })
-	return full, err
-}
