--- a/cmd/kestrelspread/grpc_test.go
+++ b/cmd/kestrelspread/grpc_test.go
@@ -38,31 +38,33 @@
 
 func init() { encoding.RegisterCodec(rawCodec{}) }
 
-// reader is a server of grpc-go: what it does with a call is what the test says.
-type reader struct {
+// grpcServer is a server of grpc-go: what it does with a call is what the test says.
+type grpcServer struct {
 	*grpc.Server
-	at    string
-	calls atomic.Int64
-	do    atomic.Pointer[func(stream grpc.ServerStream) error]
+	address string
+	calls   atomic.Int64
+	handler atomic.Pointer[func(stream grpc.ServerStream) error]
 }
 
-func startReader(t *testing.T, at string) *reader {
-	l, err := net.Listen("tcp", at)
+func startGRPCServer(t *testing.T, address string) *grpcServer {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &reader{at: l.Addr().String()}
-	r.set(echoAll)
-	r.Server = grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, s grpc.ServerStream) error {
-		r.calls.Add(1)
-		return (*r.do.Load())(s)
+	server := &grpcServer{address: listener.Addr().String()}
+	server.setHandler(echoAll)
+	server.Server = grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, s grpc.ServerStream) error {
+		server.calls.Add(1)
+		return (*server.handler.Load())(s)
 	}))
-	go r.Serve(l)
-	t.Cleanup(r.Stop)
-	return r
+	go server.Serve(listener)
+	t.Cleanup(server.Stop)
+	return server
 }
 
-func (r *reader) set(do func(stream grpc.ServerStream) error) { r.do.Store(&do) }
+func (r *grpcServer) setHandler(handler func(stream grpc.ServerStream) error) {
+	r.handler.Store(&handler)
+}
 
 func echoAll(s grpc.ServerStream) error {
 	in, _ := metadata.FromIncomingContext(s.Context())
@@ -87,22 +89,22 @@
 {"name":"once","match":{"service":"t.Once"},"query-type":"once","timeout-ms":2000}]}}`
 
 // withGRPC starts the program with readers of grpc-go.
-func withGRPC(t *testing.T, extra string) (b *running, conn *grpc.ClientConn, readers []*reader, file string) {
-	lister := startLister(t, "127.0.0.1:0")
-	var nodes []*node
+func withGRPC(t *testing.T, extra string) (b *process, conn *grpc.ClientConn, readers []*grpcServer, file string) {
+	lister := startDiscovery(t, "127.0.0.1:0")
+	var nodes []*fakeServer
 	var ids []string
 	for i := range 2 {
-		nodes = append(nodes, startNode(t))
-		readers = append(readers, startReader(t, "127.0.0.1:0"))
-		ids = append(ids, fmt.Sprintf(`"s%d":%q`, i, readers[i].at))
+		nodes = append(nodes, startServer(t))
+		readers = append(readers, startGRPCServer(t, "127.0.0.1:0"))
+		ids = append(ids, fmt.Sprintf(`"s%d":%q`, i, readers[i].address))
 	}
 	file = filepath.Join(t.TempDir(), "operator.json")
 	if err := os.WriteFile(file, fmt.Appendf(nil, operatorText, strings.Join(ids, ","), extra), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b = start(t, "127.0.0.1:0", lister.at, listOf(1, true, "ready", nodes...), 256, "--operator", file)
+	b = startProgram(t, "127.0.0.1:0", lister.address, membershipUpdate(1, true, "ready", nodes...), 256, "--operator", file)
 	at := ""
-	b.until("it serves gRPC", func() bool {
+	b.waitUntil("it serves gRPC", func() bool {
 		_, rest, found := strings.Cut(b.log.String(), `"listen":"`)
 		for ; found; _, rest, found = strings.Cut(rest, `"listen":"`) {
 			end := strings.IndexByte(rest, '\n')
@@ -122,19 +124,19 @@
 	return b, conn, readers, file
 }
 
-func ask(conn *grpc.ClientConn, ctx context.Context, method, body string, o ...grpc.CallOption) (string, error) {
+func invoke(conn *grpc.ClientConn, ctx context.Context, method, body string, o ...grpc.CallOption) (string, error) {
 	in, out := []byte(body), []byte(nil)
 	err := conn.Invoke(ctx, method, &in, &out, o...)
 	return string(out), err
 }
 
-func TestGRPCThroughTheProgram(t *testing.T) {
-	b, conn, readers, _ := withGRPC(t, "")
+func TestGRPCCallsPassThrough(t *testing.T) {
+	p, conn, readers, _ := withGRPC(t, "")
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "x-word", "a", "x-word", "b")
 	var head, tail metadata.MD
-	got, err := ask(conn, ctx, "/t.S/Get", "hello", grpc.Header(&head), grpc.Trailer(&tail))
+	got, err := invoke(conn, ctx, "/t.S/Get", "hello", grpc.Header(&head), grpc.Trailer(&tail))
 	if err != nil || got != "hello" {
 		t.Fatal(got, err)
 	}
@@ -142,7 +144,7 @@
 		tail.Get("t-bin")[0] != "\xfe\x00" {
 		t.Error("metadata did not pass:", head, tail)
 	}
-	if got, err = ask(conn, ctx, "/t.S/Get", strings.Repeat("z", 100<<10), grpc.UseCompressor(gzip.Name)); err != nil || len(got) != 100<<10 {
+	if got, err = invoke(conn, ctx, "/t.S/Get", strings.Repeat("z", 100<<10), grpc.UseCompressor(gzip.Name)); err != nil || len(got) != 100<<10 {
 		t.Error("compressed:", len(got), err)
 	}
 	// Streams both ways, larger than every window.
@@ -171,15 +173,15 @@
 	}
 	// What an application says, with its details; a reader that dies.
 	for _, r := range readers {
-		r.set(func(grpc.ServerStream) error { return status.Error(codes.NotFound, "not here: é%") })
+		r.setHandler(func(grpc.ServerStream) error { return status.Error(codes.NotFound, "not here: é%") })
 	}
-	if _, err = ask(conn, ctx, "/t.S/Get", ""); status.Code(err) != codes.NotFound || status.Convert(err).Message() != "not here: é%" {
+	if _, err = invoke(conn, ctx, "/t.S/Get", ""); status.Code(err) != codes.NotFound || status.Convert(err).Message() != "not here: é%" {
 		t.Error(err)
 	}
 	before := readers[0].calls.Load() + readers[1].calls.Load()
 	var once sync.Once
 	for _, r := range readers {
-		r.set(func(s grpc.ServerStream) error {
+		r.setHandler(func(s grpc.ServerStream) error {
 			failed := false
 			once.Do(func() { failed = true })
 			if failed {
@@ -188,7 +190,7 @@
 			return echoAll(s)
 		})
 	}
-	if got, err = ask(conn, ctx, "/t.S/Get", "again"); err != nil || got != "again" {
+	if got, err = invoke(conn, ctx, "/t.S/Get", "again"); err != nil || got != "again" {
 		t.Error(got, err)
 	}
 	if n := readers[0].calls.Load() + readers[1].calls.Load() - before; n != 2 {
@@ -197,7 +199,7 @@
 	// The client's time, and its leave.
 	called := make(chan struct{}, 8)
 	for _, r := range readers {
-		r.set(func(s grpc.ServerStream) error {
+		r.setHandler(func(s grpc.ServerStream) error {
 			<-s.Context().Done()
 			called <- struct{}{}
 			return s.Context().Err()
@@ -205,12 +207,12 @@
 	}
 	short, stop := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop()
-	if _, err = ask(conn, short, "/t.Once/Put", ""); status.Code(err) != codes.DeadlineExceeded {
+	if _, err = invoke(conn, short, "/t.Once/Put", ""); status.Code(err) != codes.DeadlineExceeded {
 		t.Error(err)
 	}
 	leaving, leave := context.WithCancel(ctx)
 	time.AfterFunc(100*time.Millisecond, leave)
-	if _, err = ask(conn, leaving, "/t.Once/Put", ""); status.Code(err) != codes.Canceled {
+	if _, err = invoke(conn, leaving, "/t.Once/Put", ""); status.Code(err) != codes.Canceled {
 		t.Error(err)
 	}
 	for range 2 {
@@ -220,15 +222,15 @@
 			t.Fatal("a reader was not told that the call is over")
 		}
 	}
-	b.cmd.Process.Signal(syscall.SIGUSR1)
-	b.until("its counters", func() bool { return strings.Contains(b.log.String(), "grpc calls") })
+	p.cmd.Process.Signal(syscall.SIGUSR1)
+	p.waitUntil("its counters", func() bool { return strings.Contains(p.log.String(), "grpc calls") })
 }
 
 func TestGRPCReloadAndStop(t *testing.T) {
-	b, conn, readers, file := withGRPC(t, "")
+	p, conn, readers, file := withGRPC(t, "")
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if _, err := ask(conn, ctx, "/t.S/Get", "x"); err != nil {
+	if _, err := invoke(conn, ctx, "/t.S/Get", "x"); err != nil {
 		t.Fatal(err)
 	}
 	s, err := conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/t.S/Talk")
@@ -248,30 +250,30 @@
 	// A broken file changes nothing; a sound one removes the route of the stream that is open.
 	text, _ := os.ReadFile(file)
 	os.WriteFile(file, []byte(strings.Replace(string(text), `"query-type":"quick"`, `"query-type":"quick","extra":1`, 1)), 0o600)
-	b.cmd.Process.Signal(syscall.SIGHUP)
-	b.until("it refuses the file", func() bool { return strings.Contains(b.log.String(), "/grpc/routes/0/extra: no such setting") })
-	if _, err := ask(conn, ctx, "/t.S/Get", "x"); err != nil {
+	p.cmd.Process.Signal(syscall.SIGHUP)
+	p.waitUntil("it refuses the file", func() bool { return strings.Contains(p.log.String(), "/grpc/routes/0/extra: no such setting") })
+	if _, err := invoke(conn, ctx, "/t.S/Get", "x"); err != nil {
 		t.Error("after a broken file:", err)
 	}
 	os.WriteFile(file, []byte(strings.Replace(string(text), `"prefix":"/"`, `"prefix":"/other"`, 1)), 0o600)
-	b.cmd.Process.Signal(syscall.SIGHUP)
-	b.until("it takes the file", func() bool {
-		_, err := ask(conn, ctx, "/t.S/Get", "x")
+	p.cmd.Process.Signal(syscall.SIGHUP)
+	p.waitUntil("it takes the file", func() bool {
+		_, err := invoke(conn, ctx, "/t.S/Get", "x")
 		return status.Code(err) == codes.Unimplemented
 	})
 	if err := say(); err != nil {
 		t.Error("the open stream:", err)
 	}
 	for _, r := range readers {
-		r.set(func(s grpc.ServerStream) error { time.Sleep(700 * time.Millisecond); return echoAll(s) })
+		r.setHandler(func(s grpc.ServerStream) error { time.Sleep(700 * time.Millisecond); return echoAll(s) })
 	}
 	done := make(chan error, 1)
 	go func() {
-		_, err := ask(conn, ctx, "/t.Once/Put", "x")
+		_, err := invoke(conn, ctx, "/t.Once/Put", "x")
 		done <- err
 	}()
-	b.until("it has been sent", func() bool { return readers[0].calls.Load()+readers[1].calls.Load() >= 4 })
-	b.cmd.Process.Signal(syscall.SIGTERM)
+	p.waitUntil("it has been sent", func() bool { return readers[0].calls.Load()+readers[1].calls.Load() >= 4 })
+	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-done; err != nil {
 		t.Error("a call that was open at SIGTERM:", err)
 	}
@@ -280,7 +282,7 @@
 		t.Error("the stream's last status:", err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- b.cmd.Wait() }()
+	go func() { ended <- p.cmd.Wait() }()
 	select {
 	case err := <-ended:
 		if err != nil {
@@ -291,14 +293,14 @@
 	}
 }
 
-func TestCheckOfAnOperatorsFile(t *testing.T) {
+func TestCheckReportsOperatorFile(t *testing.T) {
 	dir := t.TempDir()
 	conf, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
 	os.WriteFile(conf, fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{},"settings":%s}`, settingsText), 0o600)
 	check := func(text string) (string, int) {
 		os.WriteFile(file, []byte(text), 0o600)
-		cmd := exec.Command(program, "check", "--operator", file)
+		cmd := exec.Command(programPath, "check", "--operator", file)
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+conf)
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
--- a/cmd/kestrelspread/rare_test.go
+++ b/cmd/kestrelspread/rare_test.go
@@ -15,100 +15,100 @@
 	"time"
 )
 
-// closeWaits waits until the kernel has both a connection's bytes and its end for the broker.
-func (b *running) closeWaits(c net.Conn) {
-	b.t.Helper()
+// closeUnread waits until the kernel has both a connection's bytes and its end for the broker.
+func (p *process) closeUnread(c net.Conn) {
+	p.t.Helper()
 	port := fmt.Sprintf(":%04X 08 ", c.LocalAddr().(*net.TCPAddr).Port) // its far end, in CLOSE_WAIT
 	c.Close()
-	b.until("the end has come in", func() bool {
+	p.waitUntil("the end has come in", func() bool {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
-			b.t.Fatal(err)
+			p.t.Fatal(err)
 		}
 		return strings.Contains(string(table), port)
 	})
 }
 
-// freeze stops the process and waits until it stands still: the signal alone returns sooner.
-func (b *running) freeze() {
-	b.t.Helper()
-	b.cmd.Process.Signal(syscall.SIGSTOP)
+// stopProcess stops the process and waits until it stands still: the signal alone returns sooner.
+func (p *process) stopProcess() {
+	p.t.Helper()
+	p.cmd.Process.Signal(syscall.SIGSTOP)
 	var state syscall.WaitStatus
-	if _, err := syscall.Wait4(b.cmd.Process.Pid, &state, syscall.WUNTRACED, nil); err != nil || !state.Stopped() {
-		b.t.Fatal("it was not stopped: ", err, state)
+	if _, err := syscall.Wait4(p.cmd.Process.Pid, &state, syscall.WUNTRACED, nil); err != nil || !state.Stopped() {
+		p.t.Fatal("it was not stopped: ", err, state)
 	}
 }
 
-// counted waits until the counters say something.
-func (b *running) counted(what string) {
-	b.t.Helper()
-	b.until("the counters say "+what, func() bool {
-		b.cmd.Process.Signal(syscall.SIGUSR1)
-		return strings.Contains(b.log.String(), what)
+// waitForCounter waits until the counters say something.
+func (p *process) waitForCounter(text string) {
+	p.t.Helper()
+	p.waitUntil("the counters say "+text, func() bool {
+		p.cmd.Process.Signal(syscall.SIGUSR1)
+		return strings.Contains(p.log.String(), text)
 	})
 }
 
-func (n *node) asked() int {
+func (n *fakeServer) callCount() int {
 	n.Lock()
 	defer n.Unlock()
 	return n.calls
 }
 
-func TestNothingIsSentForClientsThatWentWhileABrokerStoodStill(t *testing.T) {
+func TestNothingIsSentForClientsGoneWhileProcessIsStopped(t *testing.T) {
 	// Some wait in the queue of connections, some on one that is open: all have asked and gone before they are read.
-	a := startNode(t)
-	d := startLister(t, "127.0.0.1:0")
-	b := start(t, "127.0.0.1:0", d.at, listOf(1, true, "ready", a), 1024)
+	server := startServer(t)
+	discovery := startDiscovery(t, "127.0.0.1:0")
+	p := startProgram(t, "127.0.0.1:0", discovery.address, membershipUpdate(1, true, "ready", server), 1024)
 	var open []net.Conn
 	for range 5 {
-		c := b.dial()
-		b.want(200, send(c, request("quick", 2900, body(0))))
+		c := p.dial()
+		p.expect(200, send(c, searchRequest("quick", 2900, searchBody(0))))
 		open = append(open, c)
 	}
-	before := a.asked()
-	b.freeze()
+	before := server.callCount()
+	p.stopProcess()
 	for range 5 {
-		open = append(open, b.dial())
+		open = append(open, p.dial())
 	}
 	for _, c := range open {
-		io.WriteString(c, request("once", 2900, body(0)))
-		b.closeWaits(c)
+		io.WriteString(c, searchRequest("once", 2900, searchBody(0)))
+		p.closeUnread(c)
 	}
-	b.cmd.Process.Signal(syscall.SIGCONT)
-	b.counted(`"left":10,`)
-	if n := a.asked() - before; n != 0 {
+	p.cmd.Process.Signal(syscall.SIGCONT)
+	p.waitForCounter(`"left":10,`)
+	if n := server.callCount() - before; n != 0 {
 		t.Errorf("%d calls for ten clients that had gone", n)
 	}
-	b.want(200, b.ask(request("quick", 2900, body(0))))
+	p.expect(200, p.exchange(searchRequest("quick", 2900, searchBody(0))))
 }
 
-// deaf is a server that reads nothing until it is let, and has one connection.
-type deaf struct {
+// pausedServer is a server that reads nothing until it is let, and has one connection.
+type pausedServer struct {
 	net.Listener
-	let, read chan struct{} // read: all that came is
-	ids       []string
+	resume, finished chan struct{} // finished: all that came is
+	ids              []string
 }
 
-func startDeaf(t *testing.T) *deaf {
+func startPausedServer(t *testing.T) *pausedServer {
 	// What its side of the connection holds stays small, and follows from here on.
-	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+	smallBuffer := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		c.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 64<<10) })
 		return err
 	}}
-	l, err := small.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := smallBuffer.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &deaf{Listener: l, let: make(chan struct{}), read: make(chan struct{})}
-	t.Cleanup(func() { l.Close() })
+	server := &pausedServer{Listener: listener, resume: make(chan struct{}), finished: make(chan struct{})}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
-		defer close(n.read)
-		c, err := l.Accept()
+		defer close(server.finished)
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		defer c.Close()
-		<-n.let
+		<-server.resume
 		for r := bufio.NewReader(c); ; {
 			var size uint32
 			if binary.Read(r, binary.LittleEndian, &size) != nil {
@@ -119,112 +119,112 @@
 				return
 			}
 			if id, _, _ := strings.Cut(string(frame[1:]), "."); frame[0] == 'R' {
-				n.ids = append(n.ids, id)
+				server.ids = append(server.ids, id)
 			}
 		}
 	}()
-	return n
+	return server
 }
 
-func TestNothingBeginsOnAFullConnectionForClientsThatWent(t *testing.T) {
+func TestNothingStartsOnFullConnectionForGoneClients(t *testing.T) {
 	// Sub-requests are not called off here: what waits has to be dropped all the same.
-	a := startDeaf(t)
-	d := startLister(t, "127.0.0.1:0")
+	server := startPausedServer(t)
+	discovery := startDiscovery(t, "127.0.0.1:0")
 	known := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[{"instanceId":"s0","hostPort":%q,"zone":"a","cell":0,`+
-		`"lifecycle":"ready","weight":1.0,"startedAtMs":0}]}`, a.Addr())
+		`"lifecycle":"ready","weight":1.0,"startedAtMs":0}]}`, server.Addr())
 	// Nobody is to be shed for a server that takes its time, however slow this machine is: clients have an hour.
 	set := strings.NewReplacer(`"cancel":true`, `"cancel":false`, `"aim-ms":1500`, `"aim-ms":3600000`, `"aim-ms":300`,
 		`"aim-ms":3600000`, `"streams-per-conn":100`, `"streams-per-conn":1000`).Replace(settingsText)
-	b := startSet(t, set, "127.0.0.1:0", d.at, known, 1024)
+	p := startWithSettings(t, set, "127.0.0.1:0", discovery.address, known, 1024)
 	// Far more than the sockets between hold, which is 4 MB at most on the broker's side: the rest waits in the broker.
 	const many = 150
-	long := strings.Replace(body(0), `"c4"`, `"`+strings.Repeat("c", 60<<10)+`"`, 1)
+	long := strings.Replace(searchBody(0), `"c4"`, `"`+strings.Repeat("c", 60<<10)+`"`, 1)
 	var clients []net.Conn
 	for range many {
-		c := b.dial()
-		io.WriteString(c, request("once", 3600000, long))
+		c := p.dial()
+		io.WriteString(c, searchRequest("once", 3600000, long))
 		clients = append(clients, c)
 	}
-	b.counted(fmt.Sprintf(`"searches":%d,`, many))
+	p.waitForCounter(fmt.Sprintf(`"searches":%d,`, many))
 	for _, c := range clients {
 		c.Close()
 	}
-	b.counted(`"clients":0,`)
-	if b.counter("left") != many || b.counter("connects") != 1 {
-		t.Fatal("not all waited, on one connection, when they went: ", b.counter("left"), b.counter("connects"))
+	p.waitForCounter(`"clients":0,`)
+	if p.counter("left") != many || p.counter("connects") != 1 {
+		t.Fatal("not all waited, on one connection, when they went: ", p.counter("left"), p.counter("connects"))
 	}
-	begun := b.counter("calls")
-	close(a.let)
-	b.counted(`"moot":`)
-	b.until("nothing waits", func() bool { // what is begun is read, and what is not ends as never sent
-		b.cmd.Process.Signal(syscall.SIGUSR1)
-		return b.counter("moot")+b.counter("sent") == b.counter("left")
+	begun := p.counter("calls")
+	close(server.resume)
+	p.waitForCounter(`"moot":`)
+	p.waitUntil("nothing waits", func() bool { // what is begun is read, and what is not ends as never sent
+		p.cmd.Process.Signal(syscall.SIGUSR1)
+		return p.counter("moot")+p.counter("sent") == p.counter("left")
 	})
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	if err := b.cmd.Wait(); err != nil {
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	<-a.read // all that was on its way
-	if len(a.ids) > begun || b.counter("moot") == 0 || b.counter("calls") != begun {
-		t.Errorf("%d calls were read, %d had begun when all had gone, %d at the end; %d sub-requests were dropped", len(a.ids), begun,
-			b.counter("calls"), b.counter("moot"))
+	<-server.finished // all that was on its way
+	if len(server.ids) > begun || p.counter("moot") == 0 || p.counter("calls") != begun {
+		t.Errorf("%d calls were read, %d had begun when all had gone, %d at the end; %d sub-requests were dropped", len(server.ids), begun,
+			p.counter("calls"), p.counter("moot"))
 	}
 }
 
 // counter is what a counter said last.
-func (b *running) counter(name string) (n int) {
-	log := b.log.String()
+func (p *process) counter(name string) (n int) {
+	log := p.log.String()
 	if at := strings.LastIndex(log, `"`+name+`":`); at >= 0 {
 		fmt.Sscanf(log[at+len(name)+3:], "%d", &n)
 	}
 	return n
 }
 
-func TestAStopIsHeardThoughTheConfigurationIsBeingRead(t *testing.T) {
-	a := startNode(t)
-	d := startLister(t, "127.0.0.1:0")
-	b := start(t, "127.0.0.1:0", d.at, listOf(1, true, "ready", a), 1024)
+func TestStopWorksWhileConfigurationIsRead(t *testing.T) {
+	server := startServer(t)
+	discovery := startDiscovery(t, "127.0.0.1:0")
+	p := startProgram(t, "127.0.0.1:0", discovery.address, membershipUpdate(1, true, "ready", server), 1024)
 	// The file is a pipe now: whoever reads it waits until it is written to.
-	os.Remove(b.conf)
-	if err := syscall.Mkfifo(b.conf, 0o600); err != nil {
+	os.Remove(p.configPath)
+	if err := syscall.Mkfifo(p.configPath, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 20 { // more than any queue of signals holds
-		b.cmd.Process.Signal(syscall.SIGHUP)
-		b.cmd.Process.Signal(syscall.SIGUSR1)
+		p.cmd.Process.Signal(syscall.SIGHUP)
+		p.cmd.Process.Signal(syscall.SIGUSR1)
 	}
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	b.cmd.Process.Signal(syscall.SIGINT)
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	b.until("it stops", func() bool { return strings.Contains(b.log.String(), "stopping") })
-	if err := b.cmd.Wait(); err != nil {
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	p.cmd.Process.Signal(syscall.SIGINT)
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	p.waitUntil("it stops", func() bool { return strings.Contains(p.log.String(), "stopping") })
+	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAHalfWrittenConfigurationChangesNothingWhileItStops(t *testing.T) {
-	a := startNode(t)
-	d := startLister(t, "127.0.0.1:0")
-	b := start(t, "127.0.0.1:0", d.at, listOf(1, true, "ready", a), 1024)
-	c := b.dial()
-	b.want(200, send(c, request("quick", 2900, body(0))))
-	text, err := os.ReadFile(b.conf)
+func TestPartialConfigurationIsIgnoredDuringStop(t *testing.T) {
+	server := startServer(t)
+	discovery := startDiscovery(t, "127.0.0.1:0")
+	p := startProgram(t, "127.0.0.1:0", discovery.address, membershipUpdate(1, true, "ready", server), 1024)
+	c := p.dial()
+	p.expect(200, send(c, searchRequest("quick", 2900, searchBody(0))))
+	text, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	b.until("it stops", func() bool { return strings.Contains(b.log.String(), "stopping") })
-	os.WriteFile(b.conf, text[:len(text)-20], 0o600)
-	b.cmd.Process.Signal(syscall.SIGHUP)
-	b.until("it says so", func() bool { return strings.Contains(b.log.String(), "not taken over") })
-	b.want(200, send(c, request("quick", 2900, body(0))))
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	p.waitUntil("it stops", func() bool { return strings.Contains(p.log.String(), "stopping") })
+	os.WriteFile(p.configPath, text[:len(text)-20], 0o600)
+	p.cmd.Process.Signal(syscall.SIGHUP)
+	p.waitUntil("it says so", func() bool { return strings.Contains(p.log.String(), "not taken over") })
+	p.expect(200, send(c, searchRequest("quick", 2900, searchBody(0))))
 	c.Close()
-	if err := b.cmd.Wait(); err != nil {
+	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestABadConfigurationIsToldOfByItsPath(t *testing.T) {
+func TestInvalidConfigurationIsReportedWithPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "here.json")
 	for _, text := range []string{"{", `{"settings":{"classes":[{"name":"a"}]},"listen":"x","discovery":"127.0.0.1:1","seed":"1"}`,
 		`{"settings":{"classes":[{"name":"a"}]},"listen":"127.0.0.1:0","discovery":"x","seed":"1"}`,
@@ -234,7 +234,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd := exec.Command(program)
+		cmd := exec.Command(programPath)
 		cmd.Env = []string{"RELAY_CONFIG=" + path}
 		out, err := cmd.CombinedOutput()
 		if _, failed := err.(*exec.ExitError); !failed || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), path) {
@@ -243,30 +243,30 @@
 	}
 }
 
-func TestLimitsThatNoMachineHas(t *testing.T) {
-	a := startNode(t)
-	d := startLister(t, "127.0.0.1:0")
+func TestExcessiveLimitsAreBounded(t *testing.T) {
+	server := startServer(t)
+	discovery := startDiscovery(t, "127.0.0.1:0")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":20000,"memory_mb":1e300,`+
-		`"sockets":-5},"known":%s,"settings":%s}`, d.at, listOf(1, true, "ready", a), settingsText)
-	b := &running{t: t, log: &logged{}, conf: filepath.Join(t.TempDir(), "config.json")}
-	os.WriteFile(b.conf, []byte(text), 0o600)
-	b.cmd = exec.Command(program)
-	b.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+b.conf)
-	b.cmd.Stderr = b.log
-	if err := b.cmd.Start(); err != nil {
+		`"sockets":-5},"known":%s,"settings":%s}`, discovery.address, membershipUpdate(1, true, "ready", server), settingsText)
+	p := &process{t: t, log: &logBuffer{}, configPath: filepath.Join(t.TempDir(), "config.json")}
+	os.WriteFile(p.configPath, []byte(text), 0o600)
+	p.cmd = exec.Command(programPath)
+	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+p.configPath)
+	p.cmd.Stderr = p.log
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer b.cmd.Process.Kill()
-	b.until("it serves", func() bool { return strings.Contains(b.log.String(), "serving") })
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.cmd.Process.Pid))
+	defer p.cmd.Process.Kill()
+	p.waitUntil("it serves", func() bool { return strings.Contains(p.log.String(), "serving") })
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	_, rss, found := strings.Cut(string(status), "VmRSS:")
-	var held int
-	if fmt.Sscan(rss, &held); err != nil || !found || held > 200<<10 {
-		t.Errorf("%d KB are held for cores that no machine has, %v", held, err)
+	var residentKB int
+	if fmt.Sscan(rss, &residentKB); err != nil || !found || residentKB > 200<<10 {
+		t.Errorf("%d KB are held for cores that no machine has, %v", residentKB, err)
 	}
-	b.cmd.Process.Signal(syscall.SIGTERM)
+	p.cmd.Process.Signal(syscall.SIGTERM)
 	done := make(chan error, 1)
-	go func() { done <- b.cmd.Wait() }()
+	go func() { done <- p.cmd.Wait() }()
 	select {
 	case err := <-done:
 		if err != nil {
@@ -277,55 +277,55 @@
 	}
 }
 
-// startHeld starts the program on an address that another has.
-func startHeld(t *testing.T) (b *running, holder net.Listener) {
-	a := startNode(t)
-	d := startLister(t, "127.0.0.1:0")
-	holder, err := net.Listen("tcp", "127.0.0.1:0")
+// startOnUsedAddress starts the program on an address that another has.
+func startOnUsedAddress(t *testing.T) (p *process, occupant net.Listener) {
+	server := startServer(t)
+	discovery := startDiscovery(t, "127.0.0.1:0")
+	occupant, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { holder.Close() })
-	b = &running{t: t, log: &logged{}, conf: filepath.Join(t.TempDir(), "config.json")}
+	t.Cleanup(func() { occupant.Close() })
+	p = &process{t: t, log: &logBuffer{}, configPath: filepath.Join(t.TempDir(), "config.json")}
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},`+
-		`"known":%s,"settings":%s}`, holder.Addr(), d.at, listOf(1, true, "ready", a), settingsText)
-	if err := os.WriteFile(b.conf, []byte(text), 0o600); err != nil {
+		`"known":%s,"settings":%s}`, occupant.Addr(), discovery.address, membershipUpdate(1, true, "ready", server), settingsText)
+	if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b.at = holder.Addr().String()
-	b.cmd = exec.Command(program)
-	b.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+b.conf)
-	b.cmd.Stderr = b.log
-	if err := b.cmd.Start(); err != nil {
+	p.address = occupant.Addr().String()
+	p.cmd = exec.Command(programPath)
+	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+p.configPath)
+	p.cmd.Stderr = p.log
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { b.cmd.Process.Kill() })
-	b.until("it waits", func() bool { return strings.Contains(b.log.String(), "the address is in use") })
-	return b, holder
+	t.Cleanup(func() { p.cmd.Process.Kill() })
+	p.waitUntil("it waits", func() bool { return strings.Contains(p.log.String(), "the address is in use") })
+	return p, occupant
 }
 
-func TestAStartWaitsForTheOneBeforeToLetGoOfTheAddress(t *testing.T) {
-	b, holder := startHeld(t)
+func TestStartWaitsUntilAddressIsReleased(t *testing.T) {
+	p, holder := startOnUsedAddress(t)
 	holder.Close()
-	b.until("it serves", func() bool { return strings.Contains(b.log.String(), "serving") })
-	b.want(200, b.ask(request("quick", 2900, body(0))))
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	if err := b.cmd.Wait(); err != nil {
+	p.waitUntil("it serves", func() bool { return strings.Contains(p.log.String(), "serving") })
+	p.expect(200, p.exchange(searchRequest("quick", 2900, searchBody(0))))
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAStopIsHeardWhileTheAddressIsWaitedFor(t *testing.T) {
-	b, _ := startHeld(t)
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	if err := b.cmd.Wait(); err != nil || strings.Contains(b.log.String(), "serving") {
-		t.Error(err, b.log)
+func TestStopWorksWhileAddressIsInUse(t *testing.T) {
+	p, _ := startOnUsedAddress(t)
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	if err := p.cmd.Wait(); err != nil || strings.Contains(p.log.String(), "serving") {
+		t.Error(err, p.log)
 	}
 }
 
-func TestAnAddressThatIsNeverLetGoOfEndsTheStart(t *testing.T) {
-	b, holder := startHeld(t)
-	if err := b.cmd.Wait(); err == nil || !strings.Contains(b.log.String(), holder.Addr().String()+": bind: address already in use\n") {
-		t.Error(err, b.log)
+func TestAddressInUseEndsStart(t *testing.T) {
+	p, holder := startOnUsedAddress(t)
+	if err := p.cmd.Wait(); err == nil || !strings.Contains(p.log.String(), holder.Addr().String()+": bind: address already in use\n") {
+		t.Error(err, p.log)
 	}
 }
