--- a/internal/rig/scenario/faults.go
+++ b/internal/rig/scenario/faults.go
@@ -9,150 +9,170 @@
 	"kestrelspread/internal/rig/links"
 )
 
-// take carries out one step of the schedule.
-func (w *world) take(s Step) error {
-	l, key := s.What, fmt.Sprint(s.Fault, ".", s.Party)
-	if s.Ends {
-		w.lock.Lock()
-		u := w.undo[key]
-		delete(w.undo, key)
-		w.lock.Unlock()
-		if u != nil {
-			u()
+// applyStep injects the fault of a step of the schedule, or removes it.
+func (run *runner) applyStep(step Step) error {
+	key := fmt.Sprint(step.FaultIndex, ".", step.Target)
+	if step.Ends {
+		run.mutex.Lock()
+		remove := run.activeFaults[key]
+		delete(run.activeFaults, key)
+		run.mutex.Unlock()
+		if remove != nil {
+			remove()
 		}
 		return nil
 	}
-	var undo func()
-	var err error
-	v, b := w.server(s.Party), w.broker(s.Party)
-	switch l.Do {
+	remove, err := run.inject(step.Fault, step.Target)
+	if remove != nil {
+		run.mutex.Lock()
+		run.activeFaults[key] = remove
+		run.mutex.Unlock()
+	}
+	return err
+}
+
+// inject injects a fault. remove is nil if it has no end.
+func (run *runner) inject(fault Fault, target string) (remove func(), err error) {
+	switch fault.Action {
 	case "lose":
-		undo = w.lose(l)
+		return run.loseSite(fault), nil
 	case "cut":
-		f := links.Fault{From: l.From, To: l.To}
-		f.There.Cut, f.Back.Cut = l.Way != "back", l.Way != "there"
-		w.lost(l.From, l.To, true)
-		over := w.truth(f)
-		lift := w.net.Lay(f)
-		undo = func() {
-			lift()
-			over()
-			w.lost(l.From, l.To, false)
-		}
+		return run.partition(fault), nil
 	case "links":
-		undo = w.net.Lay(links.Fault{From: l.From, To: l.To, There: l.Link, Back: l.Link})
+		return run.network.Inject(links.Fault{
+			Source: fault.Source, Destination: fault.Destination, Forward: fault.Conditions, Reverse: fault.Conditions,
+		}), nil
 	case "refuse":
-		undo = w.net.Lay(links.Fault{From: l.From, To: l.To, Connect: links.Refuses})
+		return run.network.Inject(links.Fault{Source: fault.Source, Destination: fault.Destination, Connect: links.ConnectRefused}), nil
 	case "sleep-owner":
-		undo, err = w.quorum.sleepOwner()
+		return run.leases.suspendHolder()
 	case "reset":
-		w.net.Break(l.From, l.To)
+		run.network.ResetConnections(fault.Source, fault.Destination)
+		return nil, nil
 	case "half-open":
-		w.net.HalfOpen(l.From, l.To)
+		run.network.MakeHalfOpen(fault.Source, fault.Destination)
+		return nil, nil
 	case "load":
-		w.lock.Lock()
-		w.times = l.Times
-		w.lock.Unlock()
-		undo = func() {
-			w.lock.Lock()
-			w.times = 1
-			w.lock.Unlock()
-		}
+		run.setLoadFactor(fault.Factor)
+		return func() { run.setLoadFactor(1) }, nil
 	case "freeze-list", "late-list":
-		w.lock.Lock()
-		defer w.lock.Unlock()
-		if v != nil && l.Do == "freeze-list" {
-			w.frozen[v.Name] = true
-			undo = func() {
-				w.lock.Lock()
-				delete(w.frozen, v.Name)
-				w.lock.Unlock()
-				w.tell(v, 0)
-			}
-		} else if b != nil {
-			w.late[b.name] = l.Ms
-			if l.Do == "freeze-list" {
-				w.late[b.name] = math.Inf(1)
-			}
-			undo = func() {
-				w.lock.Lock()
-				delete(w.late, b.name)
-				w.lock.Unlock()
-				for _, s := range w.servers {
-					w.tellOne(s, b, 0)
-				}
-			}
-		}
-		w.undo[key] = undo
-		return nil
+		return run.delayDiscovery(fault, target), nil
+	}
+	s, b := run.server(target), run.broker(target)
+	switch {
+	case s != nil:
+		return run.injectServerFault(s, fault)
+	case b != nil && fault.Action == "lose-disk":
+		return run.leases.loseDisk(b)
+	case b != nil:
+		return b.injectFault(fault)
 	default:
-		switch {
-		case v != nil:
-			undo, err = w.hurt(v, l)
-		case b != nil && l.Do == "lose-disk":
-			undo, err = w.quorum.loseDisk(b)
-		case b != nil:
-			undo, err = b.hurt(l)
-		default:
-			err = fmt.Errorf("nobody is called %q", s.Party)
+		return nil, fmt.Errorf("nobody is called %q", target)
+	}
+}
+
+// partition partitions the network between two patterns, in one direction or both.
+func (run *runner) partition(fault Fault) (remove func()) {
+	f := links.Fault{Source: fault.Source, Destination: fault.Destination}
+	f.Forward.Partitioned = fault.Direction != "back"
+	f.Reverse.Partitioned = fault.Direction != "there"
+	run.recordPartition(fault.Source, fault.Destination, true)
+	end := run.recordFault(f)
+	removeFault := run.network.Inject(f)
+	return func() {
+		removeFault()
+		end()
+		run.recordPartition(fault.Source, fault.Destination, false)
+	}
+}
+
+// setLoadFactor multiplies the load from now on.
+func (run *runner) setLoadFactor(factor float64) {
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	run.loadFactor = factor
+}
+
+// delayDiscovery suspends the updates about a server, or delays or suspends the updates of a broker.
+func (run *runner) delayDiscovery(fault Fault, target string) (remove func()) {
+	s, b := run.server(target), run.broker(target)
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
+	if s != nil && fault.Action == "freeze-list" {
+		run.frozenServers[s.Name] = true
+		return func() {
+			run.mutex.Lock()
+			delete(run.frozenServers, s.Name)
+			run.mutex.Unlock()
+			run.updateDiscovery(s)
 		}
 	}
-	if undo != nil {
-		w.lock.Lock()
-		w.undo[key] = undo
-		w.lock.Unlock()
+	if b == nil {
+		return nil
+	}
+	run.discoveryLagMs[b.name] = fault.DelayMs
+	if fault.Action == "freeze-list" {
+		run.discoveryLagMs[b.name] = math.Inf(1)
+	}
+	return func() {
+		run.mutex.Lock()
+		delete(run.discoveryLagMs, b.name)
+		run.mutex.Unlock()
+		for _, s := range run.servers {
+			run.updateDiscoveryAt(s, b)
+		}
 	}
-	return err
 }
 
-// lost notes that what lies at a site can't be reached from elsewhere, for the bound and for false alarms.
-func (w *world) lost(from, to string, on bool) {
-	for at, s := range w.Sites {
+// recordPartition records the sites that a partition makes unreachable from others, for the false alarms.
+func (run *runner) recordPartition(from, to string, on bool) {
+	for at, s := range run.Sites {
 		if name := "@" + s.Name; name != from && name != to || from == "*" && to == "*" {
 			continue
 		}
-		if name := "@" + s.Name; name == to && from != "*" && len(w.Sites) > 2 && from != name {
-			continue // a way between two sites: both serve their own
+		if name := "@" + s.Name; name == to && from != "*" && len(run.Sites) > 2 && from != name {
+			continue // a partition between two of several sites: neither is lost
 		}
-		w.mark(at, on, true)
+		run.recordSiteLoss(at, on, true)
 	}
 }
 
-func (w *world) mark(at int, on, cut bool) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
+// recordSiteLoss records that a site is lost, or has returned. The first cause counts.
+func (run *runner) recordSiteLoss(at int, on, partitioned bool) {
+	run.mutex.Lock()
+	defer run.mutex.Unlock()
 	switch {
-	case on && math.IsInf(w.lostNow[at], -1):
-		w.lostNow[at], w.cutNow[at] = w.now(), cut
-	case !on && !math.IsInf(w.lostNow[at], -1):
-		w.lostEver = append(w.lostEver, span{at, w.lostNow[at], w.now(), w.cutNow[at]})
-		w.lostNow[at] = math.Inf(-1)
+	case on && math.IsInf(run.siteLostSinceMs[at], -1):
+		run.siteLostSinceMs[at], run.sitePartitioned[at] = run.now(), partitioned
+	case !on && !math.IsInf(run.siteLostSinceMs[at], -1):
+		run.siteLosses = append(run.siteLosses, siteLoss{at, run.siteLostSinceMs[at], run.now(), run.sitePartitioned[at]})
+		run.siteLostSinceMs[at] = math.Inf(-1)
 	}
 }
 
-// lose takes a site's machines away without a word, and its brokers with them. They return cold.
-func (w *world) lose(l Fault) func() {
-	name := strings.TrimPrefix(l.On, "@")
+// loseSite ends all servers and brokers of a site without notice. The servers return with a slow start.
+func (run *runner) loseSite(l Fault) func() {
+	name := strings.TrimPrefix(l.Target, "@")
 	at := 0
-	for i, s := range w.Sites {
+	for i, s := range run.Sites {
 		if s.Name == name {
 			at = i
 		}
 	}
-	w.mark(at, true, false)
-	over := w.truth(links.Fault{From: l.On})
-	cut := links.Way{Cut: true}
-	lift := w.net.Lay(links.Fault{From: "*", To: l.On, There: cut, Back: cut})
-	liftToo := w.net.Lay(links.Fault{From: l.On, To: "*", There: cut, Back: cut})
+	run.recordSiteLoss(at, true, false)
+	over := run.recordFault(links.Fault{Source: l.Target})
+	blocked := links.Conditions{Partitioned: true}
+	lift := run.network.Inject(links.Fault{Source: "*", Destination: l.Target, Forward: blocked, Reverse: blocked})
+	liftToo := run.network.Inject(links.Fault{Source: l.Target, Destination: "*", Forward: blocked, Reverse: blocked})
 	var mine []*server
-	for _, s := range w.servers {
+	for _, s := range run.servers {
 		if s.Site == at {
 			mine = append(mine, s)
-			s.station.Silent(true)
-			w.change(s, "gone", w.List.Gone)
+			s.model.Silent(true)
+			run.scheduleDiscovery(s, "gone", run.Discovery.RemovalMs)
 		}
 	}
-	for _, b := range w.brokers {
+	for _, b := range run.brokers {
 		if b.site == at {
 			b.kill()
 		}
@@ -161,102 +181,107 @@
 		for _, s := range mine {
 			s.frames.Die()
 		}
-		w.net.Break("*", l.On)
-		w.net.Break(l.On, "*")
+		run.network.ResetConnections("*", l.Target)
+		run.network.ResetConnections(l.Target, "*")
 		for _, s := range mine {
-			w.rise(s, l.NewIDs)
+			run.restartServer(s, l.NewIDs)
 		}
 		lift()
 		liftToo()
 		over()
-		w.mark(at, false, false)
-		for _, b := range w.brokers {
+		run.recordSiteLoss(at, false, false)
+		for _, b := range run.brokers {
 			if b.site == at {
-				b.startAgain()
+				b.restart()
 			}
 		}
 	}
 }
 
-// rise has a server start anew: cold, and the list tells of it in time.
-func (w *world) rise(s *server, newID bool) {
+// restartServer restarts a server with a slow start, and schedules the update of discovery.
+func (run *runner) restartServer(s *server, newID bool) {
 	if err := s.frames.Rise(); err != nil {
-		w.opt.Say("%s does not rise: %v", s.Name, err)
+		run.options.Printf("%s does not rise: %v", s.Name, err)
 		return
 	}
-	s.station.Silent(false)
-	s.station.Start()
-	w.lock.Lock()
+	s.model.Silent(false)
+	s.model.Start()
+	run.mutex.Lock()
 	old := *s
-	s.started = w.now()
+	s.startedAtMs = run.now()
 	if newID {
-		s.serial++
-		s.id = fmt.Sprintf("%s-%d", s.Name, s.serial)
+		s.idGeneration++
+		s.id = fmt.Sprintf("%s-%d", s.Name, s.idGeneration)
 	}
-	w.lock.Unlock()
+	run.mutex.Unlock()
 	if newID {
-		for _, b := range w.brokers {
-			gone := w.entry(&old, b.at)
+		for _, b := range run.brokers {
+			gone := run.entry(&old, b.index)
 			gone.Lifecycle = "gone"
-			b.agent.tell(gone)
+			b.agent.update(gone)
 		}
 	}
-	w.change(s, "ready", w.List.Back)
+	run.scheduleDiscovery(s, "ready", run.Discovery.ReturnMs)
 }
 
-// change has the list tell of a server after a time.
-func (w *world) change(s *server, state string, after float64) {
-	w.lock.Lock()
-	s.state = state
-	s.gen++
-	gen := s.gen
-	w.lock.Unlock()
+// scheduleDiscovery schedules an update of discovery about a server. A later one replaces it.
+func (run *runner) scheduleDiscovery(s *server, state string, after float64) {
+	run.mutex.Lock()
+	s.lifecycle = state
+	s.discoveryGeneration++
+	gen := s.discoveryGeneration
+	run.mutex.Unlock()
 	time.AfterFunc(time.Duration(after*1e6), func() {
-		w.lock.Lock()
-		mine := s.gen == gen && !w.frozen[s.Name]
-		w.lock.Unlock()
+		run.mutex.Lock()
+		mine := s.discoveryGeneration == gen && !run.frozenServers[s.Name]
+		run.mutex.Unlock()
 		if mine {
-			w.tell(s, 0)
+			run.updateDiscovery(s)
 		}
 	})
 }
 
-func (w *world) tell(s *server, more float64) {
-	for _, b := range w.brokers {
-		w.tellOne(s, b, more)
+// updateDiscovery notifies all brokers of the present state of a server.
+func (run *runner) updateDiscovery(s *server) {
+	for _, b := range run.brokers {
+		run.updateDiscoveryAt(s, b)
 	}
 }
 
-func (w *world) tellOne(s *server, b *process, more float64) {
-	w.lock.Lock()
-	e, late := w.entry(s, b.at), w.late[b.name]+more
-	w.lock.Unlock()
+// updateDiscoveryAt notifies one broker of the present state of a server, after the broker's lag; never if that is infinite.
+func (run *runner) updateDiscoveryAt(s *server, b *brokerProcess) {
+	run.mutex.Lock()
+	entry, lagMs := run.entry(s, b.index), run.discoveryLagMs[b.name]
+	run.mutex.Unlock()
 	switch {
-	case math.IsInf(late, 1):
-	case late > 0:
-		time.AfterFunc(time.Duration(late*1e6), func() { b.agent.tell(e) })
+	case math.IsInf(lagMs, 1):
+	case lagMs > 0:
+		time.AfterFunc(milliseconds(lagMs), func() { b.agent.update(entry) })
 	default:
-		b.agent.tell(e)
+		b.agent.update(entry)
 	}
 }
 
-// hurt brings one server into trouble.
-func (w *world) hurt(s *server, l Fault) (undo func(), err error) {
-	switch l.Do {
+// milliseconds is a duration of so many milliseconds.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+
+// injectServerFault injects a fault into one server.
+func (run *runner) injectServerFault(s *server, l Fault) (remove func(), err error) {
+	switch l.Action {
 	case "slow":
-		s.station.Slow(l.Times)
-		return func() { s.station.Slow(1) }, nil
+		s.model.Slow(l.Factor)
+		return func() { s.model.Slow(1) }, nil
 	case "mute", "stop":
-		s.station.Silent(true)
-		return func() { s.station.Silent(false) }, nil
+		s.model.Silent(true)
+		return func() { s.model.Silent(false) }, nil
 	case "fail":
-		s.station.Failing(0.7)
-		return func() { s.station.Failing(0) }, nil
+		s.model.Failing(0.7)
+		return func() { s.model.Failing(0) }, nil
 	case "kill":
 		s.frames.Die()
-		s.station.Silent(true)
-		w.change(s, "gone", w.List.Gone)
-		return func() { w.rise(s, l.NewIDs) }, nil
+		s.model.Silent(true)
+		run.scheduleDiscovery(s, "gone", run.Discovery.RemovalMs)
+		return func() { run.restartServer(s, l.NewIDs) }, nil
 	}
-	return nil, fmt.Errorf("%s is nothing for a server", l.Do)
+	return nil, fmt.Errorf("%s is nothing for a server", l.Action)
 }
