--- a/cmd/kestrelctl/main.go
+++ b/cmd/kestrelctl/main.go
@@ -92,12 +92,12 @@
 					if policyName == "planned" {
 						view = p.Set.Planned
 					}
-					p.Router.Replace(func(out policy.Out) policy.Port { return view(out, p.Seed) })
+					p.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return view(out, p.Seed) })
 					return server.Attached{}, nil
 				})
 			} else if policyName != "" {
 				list = append(list, func(p *server.Parts) (server.Attached, error) {
-					p.Router.Replace(func(out policy.Out) policy.Port {
+					p.Engine.ReplacePolicy(func(out policy.Out) policy.Port {
 						b := baseline.New(policyName, out, p.Seed)
 						b.Home(p.Set.Whole("zone", 0))
 						p.Set.Tell(b)
--- a/internal/aggregator/engine/catalog.go
+++ b/internal/aggregator/engine/catalog.go
@@ -10,389 +10,389 @@
 )
 
 const (
-	beat    = 2000.
-	silence = 1.6 * beat // without a beat for so long, a watch is opened anew
+	heartbeatInterval = 2000.
+	heartbeatTimeout  = 1.6 * heartbeatInterval // without a beat for so long, a watch is opened anew
 	// What a silent watch misses counts as told 6 s after it fell silent, and it is found out after 3.2 s at the latest: what
 	// is left has to do for two further ones that hang. Each hangs longer than the last, as many brokers may be asking.
-	opens    = 800. // a watch that is opened has told something within so long
-	askFirst = 50.  // after two that were lost at once the next waits, then twice as long each time
-	askAgain = 300. // up to so long
-	lasted   = 1000.
-	insists  = 6000.  // so late at most comes what discovery has to tell
-	forgets  = 30000. // after so long no server that is gone is spoken of again under its id, as a rule
-	askForgo = 1000.  // and while something refers to it, it is looked at again so often
+	watchOpenTimeout = 800. // a watch that is opened has told something within so long
+	minWatchBackoff  = 50.  // after two that were lost at once the next waits, then twice as long each time
+	maxWatchBackoff  = 300. // up to so long
+	minWatchLife     = 1000.
+	olderListTimeout = 6000.  // so late at most comes what discovery has to tell
+	serverRetention  = 30000. // after so long no server that is gone is spoken of again under its id, as a rule
+	removeRetryDelay = 1000.  // and while something refers to it, it is looked at again so often
 )
 
-// catalog is the list of servers and the watch that keeps it.
-type catalog struct {
-	addr    netip.AddrPort
-	epoch   float64   // Unix time in milliseconds when the clock was 0
-	servers []*server // nil: its index is free
-	free    []int
-	index   map[string]int
-	ready   int
-	version int64 // of the address that told it
-	told    bool
-	older   float64 // since when watches begin with an older list, or 0
-	watch   *watch
-	past    *watch  // at the address before, heard until the new one has told its list
-	anew    bool    // that is still to come: its versions need not go on from the other's
-	missed  bool    // a watch fell silent: what it missed may be any change since, so all is asked for
-	opens   float64 // how long the next watch may take to tell something
-	lost    int     // watches lost in a row, none of which lasted
+// serverList is the list of servers and the watch that keeps it.
+type serverList struct {
+	addr          netip.AddrPort
+	epoch         float64   // Unix time in milliseconds when the clock was 0
+	servers       []*server // nil: its index is free
+	freeIndices   []int
+	indexOf       map[string]int
+	ready         int
+	version       int64 // of the address that told it
+	received      bool
+	olderSince    float64 // since when watches begin with an older list, or 0
+	watch         *watch
+	previousWatch *watch  // at the address before, heard until the new one has told its list
+	moved         bool    // that is still to come: its versions need not go on from the other's
+	mayHaveMissed bool    // a watch fell silent: what it missed may be any change since, so all is asked for
+	openTimeout   float64 // how long the next watch may take to tell something
+	lostInARow    int     // watches lost in a row, none of which lasted
 }
 
 // watch is one open question to discovery.
 type watch struct {
-	conn  transport.Conn
-	addr  netip.AddrPort
-	in    protocol.HTTP
-	lines protocol.Lines
-	began float64
-	heard float64 // when the latest line was whole: bytes that make none are no news, however long they trickle
-	lives bool    // it has told what is due at once: its head, or a line where all was asked for
-	whole bool    // all was asked for
-	first bool    // no list has come on it yet
-	gone  bool
+	conn            transport.Conn
+	addr            netip.AddrPort
+	parser          protocol.HTTP
+	lines           protocol.Lines
+	openedAt        float64
+	lastLineAt      float64 // when the latest line was whole: bytes that make none are no news, however long they trickle
+	alive           bool    // it has told what is due at once: its head, or a line where all was asked for
+	fullList        bool    // all was asked for
+	awaitsFirstList bool    // no list has come on it yet
+	closed          bool
 }
 
 // server is one of the list; its index is the module's.
 type server struct {
-	id      string
-	addr    netip.AddrPort
-	cell    int
-	state   policy.State
-	since   float64 // told to be draining or gone
-	gone    float64 // told to be gone
-	lanes   []*lane
-	planned []*sub
-	seen    bool
+	id            string
+	addr          netip.AddrPort
+	position      int
+	state         policy.State
+	notReadySince float64 // told to be draining or gone
+	goneSince     float64 // told to be gone
+	conns         []*serverConn
+	planned       []*attempt
+	listed        bool
 }
 
 // Subscribe is the module's wish for news; there is one watch, kept open all the time.
-func (r *Router) Subscribe() { r.watch() }
+func (e *Engine) Subscribe() { e.openWatch() }
 
-func (r *Router) watch() {
-	k := &r.catalog
-	if k.watch != nil { // while leaving too: sub-requests go on until all is answered, and drains count as told
+func (e *Engine) openWatch() {
+	list := &e.list
+	if list.watch != nil { // while leaving too: sub-requests go on until all is answered, and drains count as told
 		return
 	}
-	r.Count.Watches++
-	r.sockets++
-	w := &watch{addr: k.addr, first: true, began: r.now, heard: r.now}
-	w.in.Response()
-	w.in.Store(make([]byte, 0, protocol.MaxHead))
-	w.in.Stream = func(b []byte) error {
-		return w.lines.Feed(b, func(line []byte) error {
-			if w.gone {
+	e.Count.Watches++
+	e.sockets++
+	watch := &watch{addr: list.addr, awaitsFirstList: true, openedAt: e.now, lastLineAt: e.now}
+	watch.parser.Response()
+	watch.parser.Store(make([]byte, 0, protocol.MaxHead))
+	watch.parser.Stream = func(b []byte) error {
+		return watch.lines.Feed(b, func(line []byte) error {
+			if watch.closed {
 				return nil
 			}
-			if r.alive(w); len(line) == 0 {
+			if e.watchAlive(watch); len(line) == 0 {
 				return nil
 			}
-			return r.list(w, line)
+			return e.applyList(watch, line)
 		})
 	}
-	w.conn = r.net.Connect(k.addr)
-	*r.peer(w.conn) = peer{watch: w}
-	k.watch = w
-	r.listen(w)
+	watch.conn = e.network.Connect(list.addr)
+	*e.endpoint(watch.conn) = endpoint{watch: watch}
+	list.watch = watch
+	e.armWatchTimer(watch)
 }
 
-// alive: a watch has told something in time.
-func (r *Router) alive(w *watch) {
-	w.heard = r.now
-	if !w.lives {
-		w.lives = true
-		r.catalog.opens = 0
+// watchAlive: a watch has told something in time.
+func (e *Engine) watchAlive(watch *watch) {
+	watch.lastLineAt = e.now
+	if !watch.alive {
+		watch.alive = true
+		e.list.openTimeout = 0
 	}
 }
 
-// patience with a watch that has told nothing yet.
-func (r *Router) patience() float64 {
-	if r.rules.asked {
-		return silence // calls wait there, in turn and for news, and one given up too soon makes the turn longer
+// watchTimeout with a watch that has told nothing yet.
+func (e *Engine) watchTimeout() float64 {
+	if e.config.pollsDiscovery {
+		return heartbeatTimeout // calls wait there, in turn and for news, and one given up too soon makes the turn longer
 	}
-	return min(max(r.catalog.opens, opens), silence)
+	return min(max(e.list.openTimeout, watchOpenTimeout), heartbeatTimeout)
 }
 
-// move has another address tell the list from now on. The one before is heard until then: it may still tell of a
+// moveDiscovery has another address tell the list from now on. The one before is heard until then: it may still tell of a
 // drain, and the new one may be slow to come up.
-func (r *Router) move(to netip.AddrPort) {
-	k := &r.catalog
-	if to == k.addr {
+func (e *Engine) moveDiscovery(to netip.AddrPort) {
+	list := &e.list
+	if to == list.addr {
 		return
 	}
-	r.Count.Moves++
-	r.log.info("discovery moves", "from %v to %v, version %d", k.addr, to, k.version)
-	k.addr, k.anew, k.older, k.opens, k.lost = to, true, 0, 0, 0
-	if w := k.watch; w != nil {
-		if k.watch = nil; w.first && k.past != nil {
-			r.hangUp(w) // it has told nothing: the one before it is still the better
+	e.Count.Moves++
+	e.log.info("discovery moves", "from %v to %v, version %d", list.addr, to, list.version)
+	list.addr, list.moved, list.olderSince, list.openTimeout, list.lostInARow = to, true, 0, 0, 0
+	if watch := list.watch; watch != nil {
+		if list.watch = nil; watch.awaitsFirstList && list.previousWatch != nil {
+			e.closeWatch(watch) // it has told nothing: the one before it is still the better
 		} else {
-			r.hangUp(k.past)
-			k.past = w
+			e.closeWatch(list.previousWatch)
+			list.previousWatch = watch
 		}
 	}
-	r.watch()
+	e.openWatch()
 }
 
-func (r *Router) hangUp(w *watch) {
-	if w != nil && !w.gone {
-		w.gone = true
-		*r.peer(w.conn) = peer{}
-		r.close(w.conn)
+func (e *Engine) closeWatch(watch *watch) {
+	if watch != nil && !watch.closed {
+		watch.closed = true
+		*e.endpoint(watch.conn) = endpoint{}
+		e.close(watch.conn)
 	}
 }
 
-// listen gives a watch up that has fallen silent, or that tells nothing once it is opened.
-func (r *Router) listen(w *watch) {
-	k := &r.catalog
-	patience := silence
-	if !w.lives {
-		patience = r.patience()
+// armWatchTimer gives a watch up that has fallen silent, or that tells nothing once it is opened.
+func (e *Engine) armWatchTimer(watch *watch) {
+	list := &e.list
+	patience := heartbeatTimeout
+	if !watch.alive {
+		patience = e.watchTimeout()
 	}
-	at := w.heard + patience
-	r.timers.add(at, func(r *Router) {
+	at := watch.lastLineAt + patience
+	e.timers.add(at, func(e *Engine) {
 		switch {
-		case w.gone:
-		case !w.lives && r.now > at+stalled: // this broker stood still: what it was told meanwhile may be unread yet
-			w.heard = r.now - patience/2
-			r.listen(w)
-		case w.lives && r.now < w.heard+silence, !w.lives && r.now < w.heard+patience:
-			r.listen(w)
+		case watch.closed:
+		case !watch.alive && e.now > at+stallAfter: // this broker stood still: what it was told meanwhile may be unread yet
+			watch.lastLineAt = e.now - patience/2
+			e.armWatchTimer(watch)
+		case watch.alive && e.now < watch.lastLineAt+heartbeatTimeout, !watch.alive && e.now < watch.lastLineAt+patience:
+			e.armWatchTimer(watch)
 		default:
-			if w == k.watch {
-				if !w.lives {
-					k.opens = min(2*patience, silence)
+			if watch == list.watch {
+				if !watch.alive {
+					list.openTimeout = min(2*patience, heartbeatTimeout)
 				}
-				k.missed = true
+				list.mayHaveMissed = true
 			}
-			r.dropWatch(w, "silent")
+			e.dropWatch(watch, "silent")
 		}
 	})
 }
 
-func (r *Router) dropWatch(w *watch, why string) {
-	r.hangUp(w)
-	r.watchLost(w, why)
+func (e *Engine) dropWatch(watch *watch, why string) {
+	e.closeWatch(watch)
+	e.watchLost(watch, why)
 }
 
-func (r *Router) watchLost(w *watch, why string) {
-	k := &r.catalog
-	w.gone = true
-	if k.past == w {
-		k.past = nil // as a move has it
+func (e *Engine) watchLost(watch *watch, why string) {
+	list := &e.list
+	watch.closed = true
+	if list.previousWatch == watch {
+		list.previousWatch = nil // as a move has it
 	}
-	if k.watch != w {
+	if list.watch != watch {
 		return
 	}
-	k.watch = nil
-	r.Count.WatchesLost++
-	r.log.warn("watch lost", "%s, version %d", why, k.version)
-	r.port.DiscoveryFailed()
+	list.watch = nil
+	e.Count.WatchesLost++
+	e.log.warn("watch lost", "%s, version %d", why, list.version)
+	e.policy.DiscoveryFailed()
 	// The next is opened at once: what is told meanwhile counts. Only those that keep on ending at once are asked less often,
 	// and discovery that has to be asked is not on this machine: it ends its answers, and what all ask of it adds up.
-	if k.lost++; why == "silent" || r.now >= w.began+lasted {
-		k.lost = 0
+	if list.lostInARow++; why == "silent" || e.now >= watch.openedAt+minWatchLife {
+		list.lostInARow = 0
 	}
-	if r.rules.asked {
-		r.after(askAgain, func(r *Router) { r.watch() })
+	if e.config.pollsDiscovery {
+		e.after(maxWatchBackoff, func(e *Engine) { e.openWatch() })
 		return
 	}
-	if k.lost < 2 {
-		r.watch()
+	if list.lostInARow < 2 {
+		e.openWatch()
 		return
 	}
-	r.after(min(askFirst*math.Pow(2, float64(k.lost-2)), askAgain), func(r *Router) { r.watch() })
+	e.after(min(minWatchBackoff*math.Pow(2, float64(list.lostInARow-2)), maxWatchBackoff), func(e *Engine) { e.openWatch() })
 }
 
-func (r *Router) watchOpened(w *watch) {
-	k := &r.catalog
-	after := k.version
-	if w.whole = k.older > 0 || !k.told || k.anew || k.missed; w.whole {
+func (e *Engine) watchOpened(watch *watch) {
+	list := &e.list
+	after := list.version
+	if watch.fullList = list.olderSince > 0 || !list.received || list.moved || list.mayHaveMissed; watch.fullList {
 		after = 0
 	}
-	r.scratch = protocol.AppendWatch(r.scratch[:0], w.addr.String(), after)
-	r.Count.BytesOut += int64(len(r.scratch))
-	r.net.Write(w.conn, r.scratch)
+	e.scratch = protocol.AppendWatch(e.scratch[:0], watch.addr.String(), after)
+	e.Count.BytesOut += int64(len(e.scratch))
+	e.network.Write(watch.conn, e.scratch)
 }
 
-func (r *Router) watchBytes(w *watch, b []byte) {
-	for len(b) > 0 && !w.gone {
-		used, step, err := w.in.Feed(b)
+func (e *Engine) watchBytes(watch *watch, b []byte) {
+	for len(b) > 0 && !watch.closed {
+		used, step, err := watch.parser.Feed(b)
 		b = b[used:]
 		switch {
-		case err == nil && step == protocol.Headed && w.in.Status() != 200:
+		case err == nil && step == protocol.Headed && watch.parser.Status() != 200:
 			err = badRequest("a status other than 200")
-		case err == nil && step == protocol.Headed && !w.whole:
-			r.alive(w) // where nothing has changed, nothing else is due before the first beat
+		case err == nil && step == protocol.Headed && !watch.fullList:
+			e.watchAlive(watch) // where nothing has changed, nothing else is due before the first beat
 		case err == nil && step == protocol.Done:
-			r.dropWatch(w, "ended")
+			e.dropWatch(watch, "ended")
 			return
 		}
 		if err != nil {
-			r.Count.BadLists++
-			r.dropWatch(w, err.Error())
+			e.Count.BadLists++
+			e.dropWatch(watch, err.Error())
 			return
 		}
 	}
 }
 
-// list takes a whole list or changes to it. What is not understood changes nothing. An older version never
+// applyList takes a whole list or changes to it. What is not understood changes nothing. An older version never
 // takes a newer one's place, unless discovery, asked for everything, goes on saying so: then it counts anew. Another
 // address counts anew at once: what it tells counts as told soon after a move, whatever its versions are.
-func (r *Router) list(w *watch, line []byte) error {
-	k := &r.catalog
+func (e *Engine) applyList(watch *watch, line []byte) error {
+	list := &e.list
 	version, whole, err := protocol.List(line, nil)
 	if err != nil {
 		return err
 	}
-	first := w.first
-	w.first = false
-	if k.anew && w == k.watch {
-		k.anew, k.told = false, false
-		r.log.info("discovery moved", "to %v, version %d after %d, whole %v", w.addr, version, k.version, whole)
-		r.hangUp(k.past)
-		k.past = nil
+	first := watch.awaitsFirstList
+	watch.awaitsFirstList = false
+	if list.moved && watch == list.watch {
+		list.moved, list.received = false, false
+		e.log.info("discovery moved", "to %v, version %d after %d, whole %v", watch.addr, version, list.version, whole)
+		e.closeWatch(list.previousWatch)
+		list.previousWatch = nil
 	}
-	if k.told && version < k.version {
-		r.Count.OldLists++
+	if list.received && version < list.version {
+		e.Count.OldLists++
 		if !whole || !first {
 			return nil
 		}
-		if k.older == 0 {
-			k.older = r.now
+		if list.olderSince == 0 {
+			list.olderSince = e.now
 		}
-		if r.now < k.older+insists {
+		if e.now < list.olderSince+olderListTimeout {
 			return badRequest("a list older than the one held")
 		}
 	}
-	k.older = 0
-	if w == k.watch {
-		k.missed = false
+	list.olderSince = 0
+	if watch == list.watch {
+		list.mayHaveMissed = false
 	}
-	k.told, k.version = true, version
-	r.Count.Lists++
-	for _, v := range k.servers {
-		if v != nil {
-			v.seen = false
+	list.received, list.version = true, version
+	e.Count.Lists++
+	for _, srv := range list.servers {
+		if srv != nil {
+			srv.listed = false
 		}
 	}
 	protocol.List(line, func(id, addr, zone []byte, cell int, state uint8, weight, started float64) {
-		at, found := k.index[string(id)]
+		at, found := list.indexOf[string(id)]
 		to, err := netip.ParseAddrPort(string(addr))
 		as := policy.State(state)
 		if err != nil && as != policy.Gone || as == policy.Gone && !found {
 			if err != nil && as != policy.Gone {
-				r.Count.BadLists++
-				r.log.warn("bad address", "of %q: %v", id, err)
+				e.Count.BadLists++
+				e.log.warn("bad address", "of %q: %v", id, err)
 				if found {
-					k.servers[at].seen = true // what is not understood changes nothing
+					list.servers[at].listed = true // what is not understood changes nothing
 				}
 			}
 			return
 		}
 		if !found {
-			at = k.enter(string(id))
+			at = list.add(string(id))
 		}
-		hall, named := r.rules.halls[string(zone)]
+		hall, named := e.config.zones[string(zone)]
 		if !named {
 			hall = -1
 		}
-		v := k.servers[at]
-		v.seen = true
+		srv := list.servers[at]
+		srv.listed = true
 		if as != policy.Gone {
-			v.addr, v.cell = to, cell
+			srv.addr, srv.position = to, cell
 		}
 		if started > 0 {
-			started = math.Max(started-k.epoch, 0)
+			started = math.Max(started-list.epoch, 0)
 		}
-		r.state(at, as, hall, weight, started)
+		e.setServerState(at, as, hall, weight, started)
 	})
 	if whole {
-		for i, v := range k.servers {
-			if v != nil && !v.seen && v.state != policy.Gone {
-				r.state(i, policy.Gone, 0, 0, 0)
+		for i, srv := range list.servers {
+			if srv != nil && !srv.listed && srv.state != policy.Gone {
+				e.setServerState(i, policy.Gone, 0, 0, 0)
 			}
 		}
 	}
 	return nil
 }
 
-// enter gives a new id its index.
-func (k *catalog) enter(id string) (at int) {
-	v := &server{id: id, state: policy.Gone}
-	if n := len(k.free); n > 0 {
-		at, k.free = k.free[n-1], k.free[:n-1]
-		k.servers[at] = v
+// add gives a new id its index.
+func (list *serverList) add(id string) (at int) {
+	srv := &server{id: id, state: policy.Gone}
+	if n := len(list.freeIndices); n > 0 {
+		at, list.freeIndices = list.freeIndices[n-1], list.freeIndices[:n-1]
+		list.servers[at] = srv
 	} else {
-		at = len(k.servers)
-		k.servers = append(k.servers, v)
+		at = len(list.servers)
+		list.servers = append(list.servers, srv)
 	}
-	k.index[id] = at
+	list.indexOf[id] = at
 	return at
 }
 
-// forgo forgets a server that has been gone for long, once nothing refers to it: servers are replaced under ever new
+// removeServer forgets a server that has been gone for long, once nothing refers to it: servers are replaced under ever new
 // ids, and neither this list nor the module's may grow with them.
-func (r *Router) forgo(at int, v *server) {
-	k := &r.catalog
-	if k.servers[at] != v || v.state != policy.Gone {
+func (e *Engine) removeServer(at int, srv *server) {
+	list := &e.list
+	if list.servers[at] != srv || srv.state != policy.Gone {
 		return
 	}
-	if r.now < v.gone+forgets {
+	if e.now < srv.goneSince+serverRetention {
 		return // it came back and went again: a later look is on its way
 	}
-	r.Close(at)
-	if len(v.lanes) > 0 || len(v.planned) > 0 || !r.port.RemoveServer(at) {
-		r.after(askForgo, func(r *Router) { r.forgo(at, v) })
+	e.Close(at)
+	if len(srv.conns) > 0 || len(srv.planned) > 0 || !e.policy.RemoveServer(at) {
+		e.after(removeRetryDelay, func(e *Engine) { e.removeServer(at, srv) })
 		return
 	}
-	for _, f := range r.fronts {
-		f.Forgotten(at)
+	for _, front := range e.fronts {
+		front.ServerRemoved(at)
 	}
-	delete(k.index, v.id)
-	k.servers[at] = nil
-	k.free = append(k.free, at)
+	delete(list.indexOf, srv.id)
+	list.servers[at] = nil
+	list.freeIndices = append(list.freeIndices, at)
 }
 
-// hold keeps frames from beginning at a server that wants nothing new.
-func (r *Router) hold(v *server) {
-	for _, l := range v.lanes {
-		if r.unbegin(l) {
-			r.pump(l)
+// retractBatches keeps frames from beginning at a server that wants nothing new.
+func (e *Engine) retractBatches(srv *server) {
+	for _, conn := range srv.conns {
+		if e.retractBatch(conn) {
+			e.writeNextBatch(conn)
 		}
 	}
 }
 
-// state tells the module of one server.
-func (r *Router) state(at int, as policy.State, hall int, weight, started float64) {
-	v := r.catalog.servers[at]
-	if v.state == policy.Ready {
-		r.catalog.ready--
+// setServerState tells the module of one server.
+func (e *Engine) setServerState(at int, as policy.State, hall int, weight, started float64) {
+	srv := e.list.servers[at]
+	if srv.state == policy.Ready {
+		e.list.ready--
 	}
 	if as == policy.Ready {
-		r.catalog.ready++
-	} else if v.state == policy.Ready {
-		v.since = r.now
-		since := r.now
-		r.after(graceShare*r.rules.grace, func(r *Router) {
-			if v.since == since && v.state != policy.Ready {
-				r.hold(v)
-				for _, f := range r.fronts {
-					f.Late(at)
+		e.list.ready++
+	} else if srv.state == policy.Ready {
+		srv.notReadySince = e.now
+		since := e.now
+		e.after(graceShare*e.config.drainGrace, func(e *Engine) {
+			if srv.notReadySince == since && srv.state != policy.Ready {
+				e.retractBatches(srv)
+				for _, front := range e.fronts {
+					front.GraceEnded(at)
 				}
 			}
 		})
 	}
-	if as == policy.Gone && v.state != policy.Gone {
-		v.gone = r.now
-		r.after(forgets, func(r *Router) { r.forgo(at, v) })
+	if as == policy.Gone && srv.state != policy.Gone {
+		srv.goneSince = e.now
+		e.after(serverRetention, func(e *Engine) { e.removeServer(at, srv) })
 	}
-	v.state = as
-	for _, f := range r.fronts {
-		f.Server(at, v.id, v.addr, as)
+	srv.state = as
+	for _, front := range e.fronts {
+		front.Server(at, srv.id, srv.addr, as)
 	}
-	r.port.Server(at, hall, v.cell, as, weight, started)
+	e.policy.Server(at, hall, srv.position, as, weight, started)
 }
--- a/internal/aggregator/engine/count.go
+++ b/internal/aggregator/engine/count.go
@@ -11,112 +11,177 @@
 
 // Counters of what a broker takes in, sends and answers since its start.
 type Counters struct {
-	Searches, Whole, Partial, Shed, Errored, Left, OverHeld, TooLong, BadRequests int64
-	Sent, Calls, CalledOff, LateReplies, Moved, Pushbacks, Asked, Metered         int64
-	Outcomes                                                                      [policy.NeverSent + 1]int64
-	Accepted, GaveWay, Paused, Stuck, Silent, Idle                                int64
-	Connects, ConnectTimeouts, Broken, IdleClosed, NoSocket, NoBuffer             int64
-	Unbegun, Ajar                                                                 int64
-	Probes, ProbesFailed, Watches, WatchesLost, Moves, Lists, OldLists, BadLists  int64
-	Frames, BadFrames, Panics, BytesIn, BytesOut                                  int64
+	Searches, Complete, Partial, Shed, Errored, ClientsLeft, OverPending, TooLong, BadRequests int64
+	Sent, Batches, Cancelled, LateReplies, Moved, Pushbacks, AttemptsAsked, Metered            int64
+	Outcomes                                                                                   [policy.NeverSent + 1]int64
+	Accepted, Evicted, Paused, WriteTimeouts, Silent, Idle                                     int64
+	Connects, ConnectTimeouts, Broken, IdleClosed, NoSocket, NoBuffer                          int64
+	Retracted, CloseRetries                                                                    int64
+	Probes, ProbesFailed, Watches, WatchesLost, Moves, Lists, OldLists, BadLists               int64
+	Frames, BadFrames, Panics, BytesIn, BytesOut                                               int64
 }
 
-func (c *Counters) outcome(how policy.Outcome) { c.Outcomes[how]++ }
+func (count *Counters) outcome(how policy.Outcome) { count.Outcomes[how]++ }
 
 var outcomeNames = [...]string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
 
-// Print writes the counters, in four lines, and one for each query type of which searches were refused.
-func (r *Router) Print(why string) {
-	c := &r.Count
-	line := func() *zerolog.Event { return r.log.log.Info().Str("why", why) }
-	line().Int64("searches", c.Searches).Int64("whole", c.Whole).Int64("partial", c.Partial).Int64("shed", c.Shed).
-		Int64("errored", c.Errored).Int64("left", c.Left).Int64("over_held", c.OverHeld).
-		Int64("too_long", c.TooLong).Int64("bad_requests", c.BadRequests).Int("held", r.searches).Msg("searches")
-	e := line().Int64("sent", c.Sent).Int64("calls", c.Calls).Int64("called_off", c.CalledOff).
-		Int64("late_replies", c.LateReplies).Int64("moved", c.Moved).Int64("pushbacks", c.Pushbacks).Int64("unbegun", c.Unbegun)
-	for i, name := range outcomeNames {
-		e.Int64(name, c.Outcomes[i])
+// Print writes the counters, in four lines, and one for each query type of which searches were
+// refused.
+func (e *Engine) Print(why string) {
+	line := func() *zerolog.Event { return e.log.log.Info().Str("why", why) }
+	e.printSearches(line())
+	e.printAttempts(line())
+	e.printConnections(line())
+	e.printRest(line())
+	for kind, name := range e.config.kindNames {
+		e.printRefusals(line().Str("type", name), kind)
 	}
-	e.Msg("sub-requests")
-	line().Int64("accepted", c.Accepted).Int64("gave_way", c.GaveWay).Int64("paused", c.Paused).Int64("stuck", c.Stuck).
-		Int64("silent", c.Silent).Int64("idle", c.Idle).
-		Int64("connects", c.Connects).Int64("connect_timeouts", c.ConnectTimeouts).Int64("broken", c.Broken).
-		Int64("idle_closed", c.IdleClosed).Int64("no_socket", c.NoSocket).Int64("ajar", c.Ajar).Int("clients", r.clients).
-		Int("sockets", r.sockets).Msg("connections")
-	line().Int64("probes", c.Probes).Int64("probes_failed", c.ProbesFailed).Int64("watches", c.Watches).
-		Int64("watches_lost", c.WatchesLost).Int64("moves", c.Moves).Int64("lists", c.Lists).
-		Int64("old_lists", c.OldLists).Int64("bad_lists", c.BadLists).Int64("frames", c.Frames).Int64("bad_frames", c.BadFrames).Int64("bytes_in", c.BytesIn).
-		Int64("bytes_out", c.BytesOut).Int64("no_buffer", c.NoBuffer).Int("buffers_most", r.pool.Top()).
-		Int64("panics", c.Panics).Int64("must_broken", must.Broken()).Int64("log_held_back", r.log.held).
+	for _, front := range e.fronts {
+		front.Print(e.log.log, why)
+	}
+}
+
+func (e *Engine) printSearches(line *zerolog.Event) {
+	count := &e.Count
+	line.Int64("searches", count.Searches).
+		Int64("whole", count.Complete).
+		Int64("partial", count.Partial).
+		Int64("shed", count.Shed).
+		Int64("errored", count.Errored).
+		Int64("left", count.ClientsLeft).
+		Int64("over_held", count.OverPending).
+		Int64("too_long", count.TooLong).
+		Int64("bad_requests", count.BadRequests).
+		Int("held", e.openSearches).
+		Msg("searches")
+}
+
+func (e *Engine) printAttempts(line *zerolog.Event) {
+	count := &e.Count
+	line.Int64("sent", count.Sent).
+		Int64("calls", count.Batches).
+		Int64("called_off", count.Cancelled).
+		Int64("late_replies", count.LateReplies).
+		Int64("moved", count.Moved).
+		Int64("pushbacks", count.Pushbacks).
+		Int64("unbegun", count.Retracted)
+	for outcome, name := range outcomeNames {
+		line.Int64(name, count.Outcomes[outcome])
+	}
+	line.Msg("sub-requests")
+}
+
+func (e *Engine) printConnections(line *zerolog.Event) {
+	count := &e.Count
+	line.Int64("accepted", count.Accepted).
+		Int64("gave_way", count.Evicted).
+		Int64("paused", count.Paused).
+		Int64("stuck", count.WriteTimeouts).
+		Int64("silent", count.Silent).
+		Int64("idle", count.Idle).
+		Int64("connects", count.Connects).
+		Int64("connect_timeouts", count.ConnectTimeouts).
+		Int64("broken", count.Broken).
+		Int64("idle_closed", count.IdleClosed).
+		Int64("no_socket", count.NoSocket).
+		Int64("ajar", count.CloseRetries).
+		Int("clients", e.clients).
+		Int("sockets", e.sockets).
+		Msg("connections")
+}
+
+func (e *Engine) printRest(line *zerolog.Event) {
+	count := &e.Count
+	line.Int64("probes", count.Probes).
+		Int64("probes_failed", count.ProbesFailed).
+		Int64("watches", count.Watches).
+		Int64("watches_lost", count.WatchesLost).
+		Int64("moves", count.Moves).
+		Int64("lists", count.Lists).
+		Int64("old_lists", count.OldLists).
+		Int64("bad_lists", count.BadLists).
+		Int64("frames", count.Frames).
+		Int64("bad_frames", count.BadFrames).
+		Int64("bytes_in", count.BytesIn).
+		Int64("bytes_out", count.BytesOut).
+		Int64("no_buffer", count.NoBuffer).
+		Int("buffers_most", e.pool.Top()).
+		Int64("panics", count.Panics).
+		Int64("must_broken", must.Broken()).
+		Int64("log_held_back", e.log.suppressed).
 		Msg("rest")
-	for kind, name := range r.rules.kindNames {
-		e, any := line().Str("type", name), false
-		for step, n := range r.port.Refusals(kind) {
-			if n > 0 {
-				e, any = e.Int(policy.RefusalReason(step).String(), n), true
-			}
-		}
-		if any {
-			e.Msg("refused")
-		} else {
-			e.Discard().Send()
+}
+
+// printRefusals writes how many searches of a query type were refused, by reason; nothing where none was.
+func (e *Engine) printRefusals(line *zerolog.Event, kind int) {
+	refused := false
+	for reason, n := range e.policy.Refusals(kind) {
+		if n > 0 {
+			refused = true
+			line.Int(policy.RefusalReason(reason).String(), n)
 		}
 	}
-	for _, f := range r.fronts {
-		f.Print(r.log.log, why)
+	if refused {
+		line.Msg("refused")
+	} else {
+		line.Discard().Send()
 	}
 }
 
-const noteEvery = 1000.
+const logInterval = 1000.
 
-// notes keeps log lines few: of each kind one a second, with how many were left out.
-type notes struct {
-	log  zerolog.Logger
-	now  float64
-	last map[string]float64
-	left map[string]int64
-	held int64
+// limitedLog keeps log lines few: of each kind one a second, with how many were left out.
+type limitedLog struct {
+	log        zerolog.Logger
+	now        float64
+	lastAt     map[string]float64
+	leftOut    map[string]int64
+	suppressed int64
 }
 
-func (n *notes) warn(kind, form string, args ...any) { n.say(n.log.Warn(), kind, form, args) }
-func (n *notes) info(kind, form string, args ...any) { n.say(n.log.Info(), kind, form, args) }
+func (log *limitedLog) warn(kind, form string, args ...any) {
+	log.say(log.log.Warn(), kind, form, args)
+}
+func (log *limitedLog) info(kind, form string, args ...any) {
+	log.say(log.log.Info(), kind, form, args)
+}
 
-func (n *notes) fail(what any, stack []byte) {
-	n.say(n.log.Error().Str("stack", string(stack)), "an event failed", "%v", []any{what})
+func (log *limitedLog) fail(what any, stack []byte) {
+	log.say(log.log.Error().Str("stack", string(stack)), "an event failed", "%v", []any{what})
 }
 
-func (n *notes) say(e *zerolog.Event, kind, form string, args []any) {
-	if n.last == nil {
-		n.last, n.left = map[string]float64{}, map[string]int64{}
+func (log *limitedLog) say(e *zerolog.Event, kind, form string, args []any) {
+	if log.lastAt == nil {
+		log.lastAt, log.leftOut = map[string]float64{}, map[string]int64{}
 	}
-	if at, said := n.last[kind]; said && n.now < at+noteEvery {
-		n.left[kind]++
-		n.held++
+	if at, said := log.lastAt[kind]; said && log.now < at+logInterval {
+		log.leftOut[kind]++
+		log.suppressed++
 		e.Discard()
 		return
 	}
-	n.last[kind] = n.now
-	if left := n.left[kind]; left > 0 {
-		n.left[kind] = 0
+	log.lastAt[kind] = log.now
+	if left := log.leftOut[kind]; left > 0 {
+		log.leftOut[kind] = 0
 		e = e.Int64("left_out", left)
 	}
 	e.Str("kind", kind).Msgf(form, args...)
 }
 
-// inOrder gives a lane's sub-requests in the order in which they were sent, which a map does not keep.
-func (l *lane) inOrder() []*sub {
-	list := make([]*sub, 0, len(l.subs))
-	for _, s := range l.subs {
-		if s.state != over {
-			list = append(list, s)
+// attemptsInOrder gives a lane's sub-requests in the order in which they were sent, which a map does not keep.
+func (conn *serverConn) attemptsInOrder() []*attempt {
+	list := make([]*attempt, 0, len(conn.attempts))
+	for _, attempt := range conn.attempts {
+		if attempt.state != stateEnded {
+			list = append(list, attempt)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
-		if a.part.at != b.part.at {
-			return a.part.at < b.part.at
+		if a.request.index != b.request.index {
+			return a.request.index < b.request.index
 		}
-		return a.no < b.no
+		return a.number < b.number
 	})
 	return list
 }
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -14,33 +14,33 @@
 // the first carrier; others bring searches and carry sub-requests through what stands here. They know no replica's
 // health, no budget and no repeat: all that is the module's.
 
-// Ending is what a search's one final answer says.
-type Ending uint8
+// Result is what a search's one final answer says.
+type Result uint8
 
 // How a search ended.
 const (
-	Whole   Ending = iota
-	Partial        // at or over the floor, and said to be in part
-	Shed           // refused: asking again is harmless
-	Failed         // errored
+	Complete Result = iota
+	Partial         // at or over the floor, and said to be in part
+	Shed            // refused: asking again is harmless
+	Failed          // errored
 )
 
-// Call is a search that a front brought, and the carrier of its sub-requests.
-type Call interface {
+// Carrier is a search that a front brought, and the carrier of its sub-requests.
+type Carrier interface {
 	// Final comes exactly once, unless Leave came before it. Nothing of the search is sent after it.
-	Final(how Ending, back float64)
+	Final(how Result, back float64)
 	// Send begins a sub-request. Ended tells its outcome, at once or later.
-	Send(s *Sub)
-	// TakeBack stops a sub-request: nothing of it counts any more, and its outcome is known already.
-	TakeBack(s *Sub)
+	Send(s *Attempt)
+	// Cancel stops a sub-request: nothing of it counts any more, and its outcome is known already.
+	Cancel(s *Attempt)
 	// Door is the front's number.
 	Door() int
 	// Bytes tells what the client has sent and was given, without heads; asked once the search is over.
 	Bytes() (in, out int64)
 }
 
-// Party stands behind a connection that this package does not read itself. After Closed nothing more comes.
-type Party interface {
+// ConnHandler stands behind a connection that this package does not read itself. After Closed nothing more comes.
+type ConnHandler interface {
 	Opened()
 	Bytes(b []byte, came float64)
 	Written(upTo int64)
@@ -52,10 +52,10 @@
 	Accepted(c transport.Conn)
 	// Server is news of one server of the list.
 	Server(at int, id string, addr netip.AddrPort, state policy.State)
-	// Late: the server has been draining or gone for so long that what has not begun there must not begin.
-	Late(at int)
-	// Forgotten: the index may stand for another server from now on.
-	Forgotten(at int)
+	// GraceEnded: the server has been draining or gone for so long that what has not begun there must not begin.
+	GraceEnded(at int)
+	// ServerRemoved: the index may stand for another server from now on.
+	ServerRemoved(at int)
 	// Stopping: this broker was told to stop and may be killed at a time; whoever is served still is.
 	Stopping(killed float64)
 	// Leaving: the addresses are closed.
@@ -70,232 +70,234 @@
 	Print(log zerolog.Logger, why string)
 }
 
-// Sub is a sub-request as a carrier knows it.
-type Sub = sub
+// Attempt is a sub-request as a carrier knows it.
+type Attempt = attempt
 
 // Server is the index of the server that the module chose.
-func (s *sub) Server() int { return s.server }
+func (attempt *attempt) Server() int { return attempt.server }
 
-// Until is when the broker stops waiting for it, in milliseconds of the loop.
-func (s *sub) Until() float64 { return s.within }
+// Deadline is when the broker stops waiting for it, in milliseconds of the loop.
+func (attempt *attempt) Deadline() float64 { return attempt.deadline }
 
-// Begin is the latest time at which it may begin, or +Inf: past it, an earlier one of its part may count a second time.
-func (s *sub) Begin() float64 { return s.begin }
+// BeginDeadline is the latest time at which it may begin, or +Inf: past it, an earlier one of its part may count a second time.
+func (attempt *attempt) BeginDeadline() float64 { return attempt.beginDeadline }
 
 // No numbers the sub-requests of a part from 0.
-func (s *sub) No() int { return s.no }
+func (attempt *attempt) Number() int { return attempt.number }
 
-// Over tells whether its outcome is known.
-func (s *sub) Over() bool { return s.state == over }
+// Ended tells whether its outcome is known.
+func (attempt *attempt) Ended() bool { return attempt.state == stateEnded }
 
 // Search is one that a front brought.
 type Search = search
 
-// Piece is what is asked of one shard: its share of the whole, the hinted work (0: not known) and the hash of what it
+// ShardRequest is what is asked of one shard: its share of the whole, the hinted work (0: not known) and the hash of what it
 // is about (0: none).
-type Piece struct {
+type ShardRequest struct {
 	Shard       int
 	Share, Work float64
 	Key         uint64
 }
 
-// Replace puts a policy to be measured in the module's place, before the loop runs.
-func (r *Router) Replace(policy func(out policy.Out) policy.Port) { r.port = policy(r) }
+// ReplacePolicy puts a policy to be measured in the module's place, before the loop runs.
+func (e *Engine) ReplacePolicy(policy func(out policy.Out) policy.Port) { e.policy = policy(e) }
 
-// Add registers a front; connections of the door by its number from 1 are its own. Before the loop runs.
-func (r *Router) Add(f Front) { r.fronts = append(r.fronts, f) }
+// AddFront registers a front; connections of the door by its number from 1 are its own. Before the loop runs.
+func (e *Engine) AddFront(front Front) { e.fronts = append(e.fronts, front) }
 
 // Now is the time of this turn, in milliseconds of the loop.
-func (r *Router) Now() float64 { return r.now }
+func (e *Engine) Now() float64 { return e.now }
 
 // Stopping tells whether this broker was told to stop.
-func (r *Router) Stopping() bool { return r.stopping }
+func (e *Engine) Stopping() bool { return e.stopping }
 
 // QueryType gives the number of a query type by its name.
-func (r *Router) QueryType(name string) (kind int, known bool) {
-	kind, known = r.rules.kinds[name]
+func (e *Engine) QueryType(name string) (kind int, known bool) {
+	kind, known = e.config.kinds[name]
 	return kind, known
 }
 
 // Customer gives the number of a customer by its name, or nobody: who is not named in the settings must not use up the
 // share of one who is.
-func (r *Router) Customer(name string) int {
-	if at, known := r.rules.customers[name]; known {
+func (e *Engine) Customer(name string) int {
+	if at, known := e.config.customers[name]; known {
 		return at
 	}
-	return nobody
+	return unknownCustomer
 }
 
-const nobody = -1
+const unknownCustomer = -1
 
-// Note writes a log line; of one kind at most one a second.
-func (r *Router) Note(kind, form string, args ...any) { r.log.warn(kind, form, args...) }
+// Warn writes a log line; of one kind at most one a second.
+func (e *Engine) Warn(kind, form string, args ...any) { e.log.warn(kind, form, args...) }
 
 // Timer can be taken back.
 type Timer struct{ t *timer }
 
 // After has something done in so many milliseconds.
-func (r *Router) After(in float64, due func()) Timer {
-	return Timer{r.after(in, func(*Router) { due() })}
+func (e *Engine) After(in float64, due func()) Timer {
+	return Timer{e.after(in, func(*Engine) { due() })}
 }
 
-// Forgo takes a timer back; one that is over, or none, is fine.
-func (r *Router) Forgo(t Timer) { r.timers.drop(t.t) }
+// CancelTimer takes a timer back; one that is over, or none, is fine.
+func (e *Engine) CancelTimer(t Timer) { e.timers.drop(t.t) }
 
-// Again asks for a turn of its own: something waits that no event will bring.
-func (r *Router) Again() { r.failing = true }
+// RequestTurn asks for a turn of its own: something waits that no event will bring.
+func (e *Engine) RequestTurn() { e.turnRequested = true }
 
 // Connect opens a connection for a party, or gives false where there is no descriptor for it.
-func (r *Router) Connect(p Party, addr netip.AddrPort) (transport.Conn, bool) {
-	if r.sockets >= r.rules.limit-spareSockets && !r.giveWay() {
-		r.Count.NoSocket++
-		return none, false
+func (e *Engine) Connect(handler ConnHandler, addr netip.AddrPort) (transport.Conn, bool) {
+	if e.sockets >= e.config.maxDescriptors-spareSockets && !e.evictClient() {
+		e.Count.NoSocket++
+		return noConn, false
 	}
-	r.Count.Connects++
-	r.sockets++
-	c := r.net.Connect(addr)
-	*r.peer(c) = peer{party: p}
+	e.Count.Connects++
+	e.sockets++
+	c := e.network.Connect(addr)
+	*e.endpoint(c) = endpoint{handler: handler}
 	return c, true
 }
 
-// Seat gives an accepted connection its party.
-func (r *Router) Seat(c transport.Conn, p Party) { *r.peer(c) = peer{party: p} }
+// SetHandler gives an accepted connection its party.
+func (e *Engine) SetHandler(c transport.Conn, handler ConnHandler) {
+	*e.endpoint(c) = endpoint{handler: handler}
+}
 
-// Room tells how many descriptors clients of a further front may take: half of what HTTP's may, so that neither shuts
+// MaxFrontClients tells how many descriptors clients of a further front may take: half of what HTTP's may, so that neither shuts
 // the other out.
-func (r *Router) Room() int { return max(r.clientsMost()/2, 1) }
+func (e *Engine) MaxFrontClients() int { return max(e.maxClients()/2, 1) }
 
-// Put writes to a party's connection.
-func (r *Router) Put(c transport.Conn, b []byte) {
-	r.Count.BytesOut += int64(len(b))
-	r.net.Write(c, b)
+// WriteConn writes to a party's connection.
+func (e *Engine) WriteConn(c transport.Conn, b []byte) {
+	e.Count.BytesOut += int64(len(b))
+	e.network.Write(c, b)
 }
 
 // Reading switches the reading of a party's connection on or off.
-func (r *Router) Reading(c transport.Conn, on bool) { r.net.Reading(c, on) }
+func (e *Engine) Reading(c transport.Conn, on bool) { e.network.Reading(c, on) }
 
-// Hang drops a party's connection; its Closed does not come.
-func (r *Router) Hang(c transport.Conn) {
-	*r.peer(c) = peer{}
-	r.close(c)
-	r.acceptAgain()
+// CloseConn drops a party's connection; its Closed does not come.
+func (e *Engine) CloseConn(c transport.Conn) {
+	*e.endpoint(c) = endpoint{}
+	e.close(c)
+	e.resumeAccepting()
 }
 
-// FinishParty closes a party's connection once what was written has arrived; Closed tells of that.
-func (r *Router) FinishParty(c transport.Conn) { r.net.Finish(c) }
+// FinishConn closes a party's connection once what was written has arrived; Closed tells of that.
+func (e *Engine) FinishConn(c transport.Conn) { e.network.Finish(c) }
 
-// Ask takes a search for a front. Its final answer may come within the call where the hold limit keeps it from the
+// StartSearch takes a search for a front. Its final answer may come within the call where the hold limit keeps it from the
 // module. until is when its client gives up; again: it says that it has asked before.
-func (r *Router) Ask(kind, customer int, until float64, again bool, pieces []Piece, by Call) *Search {
-	r.Count.Searches++
-	q := &search{until: min(until, r.killed-lastWord), call: by, used: usage{kind: kind, customer: customer, front: by.Door()}}
-	if r.rules.second[kind] {
-		r.Count.BadRequests++
-		r.end(q, 501, 0, nil)
-		return q
+func (e *Engine) StartSearch(kind, customer int, until float64, again bool, pieces []ShardRequest, by Carrier) *Search {
+	e.Count.Searches++
+	search := &search{deadline: min(until, e.killAt-answerBeforeKill), carrier: by, usage: usageRecord{kind: kind, customer: customer, front: by.Door()}}
+	if e.config.twoPhase[kind] {
+		e.Count.BadRequests++
+		e.endSearch(search, 501, 0, nil)
+		return search
 	}
-	if r.rules.most > 0 && r.held >= r.rules.most {
-		r.Count.OverHeld++
-		r.end(q, 503, r.port.RetryAfter(kind), nil)
-		return q
+	if e.config.maxPending > 0 && e.pending >= e.config.maxPending {
+		e.Count.OverPending++
+		e.endSearch(search, 503, e.policy.RetryAfter(kind), nil)
+		return search
 	}
-	r.drafts = r.drafts[:0]
+	e.parsed = e.parsed[:0]
 	sum := 0.0
 	for _, p := range pieces {
-		r.drafts = append(r.drafts, draft{p.Shard, p.Share, p.Work, p.Key})
+		e.parsed = append(e.parsed, parsedRequest{p.Shard, p.Share, p.Work, p.Key})
 		sum += p.Share
 	}
-	r.enlist(q, kind, customer, sum, 0)
+	e.submitSearch(search, kind, customer, sum, 0)
 	if again {
-		r.port.MarkRetry(q.at)
+		e.policy.MarkRetry(search.index)
 	}
-	return q
+	return search
 }
 
-// Leave tells that nobody waits for a search any more.
-func (r *Router) Leave(q *Search) {
+// ClientGone tells that nobody waits for a search any more.
+func (e *Engine) ClientGone(q *Search) {
 	if !q.ended {
-		r.Count.Left++
-		q.used.left = true
-		r.release(q)
-		r.letGo(q)
-		if len(q.parts) > 0 {
-			r.port.ClientGone(q.at)
+		e.Count.ClientsLeft++
+		q.usage.clientLeft = true
+		e.releaseSearch(q)
+		e.dropStalledFrames(q)
+		if len(q.requests) > 0 {
+			e.policy.ClientGone(q.index)
 		}
 	}
 }
 
-// Ended tells how a sub-request ended; only the first outcome counts.
-func (r *Router) Ended(s *Sub, how policy.Outcome) {
-	if s.state != over && how == policy.Answered {
-		s.part.got = true
+// AttemptEnded tells how a sub-request ended; only the first outcome counts.
+func (e *Engine) AttemptEnded(s *Attempt, how policy.Outcome) {
+	if s.state != stateEnded && how == policy.Answered {
+		s.request.hasValue = true
 	}
-	r.over(s, how, nil)
+	e.endAttempt(s, how, nil)
 }
 
 // Committed asks the module whether a sub-request may be the one whose bytes reach the client. False: another is, and
 // this one is called off.
 //
 // answering: bytes of the server's go to the client; else what the client sent can't be sent again.
-func (r *Router) Committed(s *Sub, answering bool) bool {
-	if s.state == over || s.part.q.ended {
+func (e *Engine) Committed(s *Attempt, answering bool) bool {
+	if s.state == stateEnded || s.request.search.ended {
 		return false
 	}
-	r.drain() // what another has answered before comes first
-	if s.state == over {
+	e.deliverResults() // what another has answered before comes first
+	if s.state == stateEnded {
 		return false
 	}
-	return r.port.Committed(s.part.at, s.no, answering)
+	return e.policy.Committed(s.request.index, s.number, answering)
 }
 
-// Open tells that the client is still sending what a search carries, or has ended.
-func (r *Router) Open(q *Search, open bool) {
-	if !q.ended && len(q.parts) > 0 {
-		for _, p := range q.parts {
-			r.port.ClientSending(p.at, open)
+// ClientSending tells that the client is still sending what a search carries, or has ended.
+func (e *Engine) ClientSending(q *Search, open bool) {
+	if !q.ended && len(q.requests) > 0 {
+		for _, req := range q.requests {
+			e.policy.ClientSending(req.index, open)
 		}
 	}
 }
 
 // Pushback hands on a server's wish: milliseconds until a repeat, below 0 for none at all.
-func (r *Router) Pushback(s *Sub, wait float64) {
-	r.Count.Pushbacks++
-	r.port.Pushback(s.part.at, wait)
+func (e *Engine) Pushback(s *Attempt, wait float64) {
+	e.Count.Pushbacks++
+	e.policy.Pushback(s.request.index, wait)
 }
 
-// carry begins a sub-request of a search that has its own carrier.
-func (r *Router) carry(s *sub) {
-	s.state = out
-	r.Count.Sent++
-	s.limit = r.timers.add(s.within, func(r *Router) { r.timedOut(s) })
-	s.part.q.call.Send(s)
+// startCarried begins a sub-request of a search that has its own carrier.
+func (e *Engine) startCarried(attempt *attempt) {
+	attempt.state = stateSent
+	e.Count.Sent++
+	attempt.timer = e.timers.add(attempt.deadline, func(e *Engine) { e.attemptTimedOut(attempt) })
+	attempt.request.search.carrier.Send(attempt)
 }
 
-func (r *Router) partyGone(c transport.Conn, p Party, upTo int64) {
-	*r.peer(c) = peer{}
-	p.Closed(upTo)
+func (e *Engine) handlerClosed(c transport.Conn, handler ConnHandler, upTo int64) {
+	*e.endpoint(c) = endpoint{}
+	handler.Closed(upTo)
 }
 
-func (r *Router) idleFronts() bool {
-	for _, f := range r.fronts {
-		if !f.Idle() {
+func (e *Engine) frontsIdle() bool {
+	for _, front := range e.fronts {
+		if !front.Idle() {
 			return false
 		}
 	}
 	return true
 }
 
-// finalTo gives a front its search's one final answer.
-func (r *Router) finalTo(q *search, status int, back float64) {
+// answerCarrier gives a front its search's one final answer.
+func (e *Engine) answerCarrier(search *search, status int, back float64) {
 	how := Failed
 	switch {
-	case status == 200 && q.whole:
-		how = Whole
+	case status == 200 && search.complete:
+		how = Complete
 	case status == 200:
 		how = Partial
 	case status == 503:
 		how = Shed
 	}
-	must.Hold(q.call != nil, "a front waits")
-	q.call.Final(how, back)
+	must.Hold(search.carrier != nil, "a front waits")
+	search.carrier.Final(how, back)
 }
--- a/internal/aggregator/engine/lane.go
+++ b/internal/aggregator/engine/lane.go
@@ -11,556 +11,561 @@
 	"kestrelspread/internal/transport"
 )
 
-// lane is a connection to a server. Calls on it take places until all of their parts are done.
-type lane struct {
-	conn    transport.Conn
-	server  int
-	addr    netip.AddrPort
-	open    bool
-	gone    bool
-	frames  protocol.Frames
-	places  int
-	waiting []*call         // none of their bytes is given to the network
-	subs    map[string]*sub // by the id that is written; those called off stay, so that a late reply finds them
-	out     int             // that wait for a reply
-	asked   int64
-	written int64
-	frame   int64  // where the last call began
-	last    *call  // it, as long as the network may have taken none of it
-	behind  []byte // what was told after it
-	used    float64
-	probe   float64 // when one was sent, or 0
-	resting *timer
-	halved  *timer // while a frame has come in part
+// serverConn is a connection to a server. Calls on it take places until all of their parts are done.
+type serverConn struct {
+	handle        transport.Conn
+	server        int
+	addr          netip.AddrPort
+	open          bool
+	closed        bool
+	frames        protocol.Frames
+	batches       int
+	queued        []*batch            // none of their bytes is given to the network
+	attempts      map[string]*attempt // by the id that is written; those called off stay, so that a late reply finds them
+	inFlight      int                 // that wait for a reply
+	writeOffset   int64
+	writtenOffset int64
+	frameStart    int64  // where the last call began
+	lastBatch     *batch // it, as long as the network may have taken none of it
+	writtenAfter  []byte // what was told after it
+	usedAt        float64
+	probeSentAt   float64 // when one was sent, or 0
+	idleTimer     *timer
+	frameTimer    *timer // while a frame has come in part
 }
 
-// call is what one round sends to one server: one frame, one place.
-type call struct {
-	lane *lane
-	subs []*sub
-	left int
+// batch is what one round sends to one server: one frame, one place.
+type batch struct {
+	conn     *serverConn
+	attempts []*attempt
+	open     int
 }
 
-type stage uint8
+type attemptState uint8
 
 const (
-	planned stage = iota // in this round
-	waiting              // for its connection, or for the frame before it
-	out                  // in a frame
-	over
+	statePlanned attemptState = iota // in this round
+	stateQueued                      // for its connection, or for the frame before it
+	stateSent                        // in a frame
+	stateEnded
 )
 
-// sub is one sub-request of a part.
-type sub struct {
-	part      *part
-	no        int
-	server    int
-	within    float64
-	begin     float64 // no later may it begin
-	began     float64 // when the module sent it, and when its outcome was known
-	ended     float64
-	class     class
-	calledOff bool
-	state     stage
-	call      *call
-	end       int64 // where its frame ends on the lane
-	limit     *timer
-	moved     bool // to another connection, when the first broke before it had begun
+// attempt is one sub-request of a part.
+type attempt struct {
+	request       *shardRequest
+	number        int
+	server        int
+	deadline      float64
+	beginDeadline float64 // no later may it begin
+	sentAt        float64 // when the module sent it, and when its outcome was known
+	endedAt       float64
+	kind          attemptKind
+	cancelled     bool
+	state         attemptState
+	batch         *batch
+	frameEnd      int64 // where its frame ends on the lane
+	timer         *timer
+	moved         bool // to another connection, when the first broke before it had begun
 }
 
 // Send implements policy.Out: one more sub-request of a part goes to a server.
-func (r *Router) Send(at, server int, within, begin float64) {
-	p := r.slots[at].part
-	s := &sub{part: p, no: len(p.subs), server: server, within: p.q.until, begin: math.Inf(1), began: r.now, class: p.classOf()}
-	r.Count.Asked++
+func (e *Engine) Send(at, server int, within, begin float64) {
+	req := e.entries[at].request
+	attempt := &attempt{request: req, number: len(req.attempts), server: server, deadline: req.search.deadline, beginDeadline: math.Inf(1), sentAt: e.now, kind: req.nextKind()}
+	e.Count.AttemptsAsked++
 	if begin != 0 {
-		s.begin = r.now + begin
+		attempt.beginDeadline = e.now + begin
 	}
-	p.subs = append(p.subs, s)
+	req.attempts = append(req.attempts, attempt)
 	if within != 0 {
-		s.within = min(p.q.until, r.now+within)
+		attempt.deadline = min(req.search.deadline, e.now+within)
 	}
-	v := r.catalog.servers[server]
-	holds := ((v.cell-p.shard)%r.rules.places+r.rules.places)%r.rules.places < r.rules.span
+	srv := e.list.servers[server]
+	holds := ((srv.position-req.shard)%e.config.positions+e.config.positions)%e.config.positions < e.config.replicas
 	must.Hold(holds, "a part goes to a server that holds its shard")
-	if !holds || p.q.ended || s.within <= r.now {
-		r.over(s, policy.NeverSent, nil)
+	if !holds || req.search.ended || attempt.deadline <= e.now {
+		e.endAttempt(attempt, policy.NeverSent, nil)
 		return
 	}
-	if p.q.call != nil {
-		r.carry(s)
+	if req.search.carrier != nil {
+		e.startCarried(attempt)
 		return
 	}
-	if len(v.planned) == 0 {
-		r.sending = append(r.sending, server)
+	if len(srv.planned) == 0 {
+		e.sending = append(e.sending, server)
 	}
-	v.planned = append(v.planned, s)
+	srv.planned = append(srv.planned, attempt)
 }
 
-// dispatch makes calls of what the module sent in this round.
-func (r *Router) dispatch() {
-	for _, i := range r.sending {
-		v := r.catalog.servers[i]
-		for len(v.planned) > 0 {
-			n := min(r.rules.batch, len(v.planned))
-			k := &call{subs: append([]*sub(nil), v.planned[:n]...)}
-			v.planned = append(v.planned[:0], v.planned[n:]...)
-			r.place(i, k)
+// sendBatches makes calls of what the module sent in this round.
+func (e *Engine) sendBatches() {
+	for _, i := range e.sending {
+		srv := e.list.servers[i]
+		for len(srv.planned) > 0 {
+			n := min(e.config.maxBatch, len(srv.planned))
+			batch := &batch{attempts: append([]*attempt(nil), srv.planned[:n]...)}
+			srv.planned = append(srv.planned[:0], srv.planned[n:]...)
+			e.assignConn(i, batch)
 		}
 	}
-	r.sending = r.sending[:0]
+	e.sending = e.sending[:0]
 }
 
-// place finds a call its connection: the newest that is open and has room, else one that is being opened,
-// else a new one. No connection carries one id twice: a reply that comes late would be taken for the other's.
-func (r *Router) place(server int, k *call) {
-	v := r.catalog.servers[server]
-	var at *lane
-	for _, l := range v.lanes {
-		if l.addr != v.addr || l.places >= r.rules.streams || l.frames.Holding() || l.carries(k) {
-			continue
-		}
-		if at == nil || l.open || !at.open {
-			at = l
-		}
+// assignConn gives a batch its connection and writes it once that is up and free.
+func (e *Engine) assignConn(server int, batch *batch) {
+	conn := e.chooseConn(e.list.servers[server], batch)
+	if conn == nil {
+		conn = e.connectServer(server)
 	}
-	if at == nil {
-		at = r.connect(server)
-	}
-	if at == nil {
-		for _, s := range k.subs {
-			r.over(s, policy.ConnectFailed, nil)
+	if conn == nil {
+		for _, attempt := range batch.attempts {
+			e.endAttempt(attempt, policy.ConnectFailed, nil)
 		}
 		return
 	}
-	k.lane, k.left = at, len(k.subs)
-	at.places++
-	at.out += len(k.subs)
-	at.waiting = append(at.waiting, k)
-	for _, s := range k.subs {
-		s.call, s.state = k, waiting
-		at.subs[s.part.id] = s
-		s.limit = r.timers.add(s.within, func(r *Router) { r.timedOut(s) })
+	batch.conn, batch.open = conn, len(batch.attempts)
+	conn.batches++
+	conn.inFlight += len(batch.attempts)
+	conn.queued = append(conn.queued, batch)
+	for _, attempt := range batch.attempts {
+		attempt.batch, attempt.state = batch, stateQueued
+		conn.attempts[attempt.request.id] = attempt
+		attempt.timer = e.timers.add(attempt.deadline, func(e *Engine) { e.attemptTimedOut(attempt) })
+	}
+	e.writeNextBatch(conn)
+}
+
+// chooseConn is the newest connection that is open and has capacity, else one that is being opened; nil: none.
+// No connection carries one id twice: a reply that comes late would be taken for the other's.
+func (e *Engine) chooseConn(srv *server, batch *batch) (best *serverConn) {
+	for _, conn := range srv.conns {
+		if conn.addr != srv.addr || conn.batches >= e.config.streamsPerConn || conn.frames.Holding() ||
+			conn.carries(batch) {
+			continue
+		}
+		if best == nil || conn.open || !best.open {
+			best = conn
+		}
 	}
-	r.pump(at)
+	return best
 }
 
-func (l *lane) carries(k *call) bool {
-	for _, s := range k.subs {
-		if l.subs[s.part.id] != nil {
+func (conn *serverConn) carries(batch *batch) bool {
+	for _, attempt := range batch.attempts {
+		if conn.attempts[attempt.request.id] != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// connect opens a connection to a server, if there is a descriptor for it.
-func (r *Router) connect(server int) *lane {
-	if r.sockets >= r.rules.limit-spareSockets && !r.giveWay() {
-		r.Count.NoSocket++
+// connectServer opens a connection to a server, if there is a descriptor for it.
+func (e *Engine) connectServer(server int) *serverConn {
+	if e.sockets >= e.config.maxDescriptors-spareSockets && !e.evictClient() {
+		e.Count.NoSocket++
 		return nil
 	}
-	v := r.catalog.servers[server]
-	r.Count.Connects++
-	r.sockets++
-	l := &lane{server: server, addr: v.addr, subs: map[string]*sub{}, used: r.now}
-	l.conn = r.net.Connect(v.addr)
-	*r.peer(l.conn) = peer{lane: l}
-	v.lanes = append(v.lanes, l)
-	r.after(r.rules.connect, func(r *Router) {
-		if !l.gone && !l.open {
-			r.Count.ConnectTimeouts++
-			r.dropLane(l)
+	srv := e.list.servers[server]
+	e.Count.Connects++
+	e.sockets++
+	conn := &serverConn{server: server, addr: srv.addr, attempts: map[string]*attempt{}, usedAt: e.now}
+	conn.handle = e.network.Connect(srv.addr)
+	*e.endpoint(conn.handle) = endpoint{conn: conn}
+	srv.conns = append(srv.conns, conn)
+	e.after(e.config.connectTimeout, func(e *Engine) {
+		if !conn.closed && !conn.open {
+			e.Count.ConnectTimeouts++
+			e.dropServerConn(conn)
 		}
 	})
-	return l
+	return conn
 }
 
-func (r *Router) laneOpened(l *lane) {
-	l.open = true
-	l.used = r.now
-	r.rest(l)
-	if l.probe > 0 {
-		r.scratch = protocol.AppendShort(r.scratch[:0], r.rules.ask, "")
-		r.tell(l, r.scratch)
+func (e *Engine) serverConnOpened(conn *serverConn) {
+	conn.open = true
+	conn.usedAt = e.now
+	e.armIdleTimer(conn)
+	if conn.probeSentAt > 0 {
+		e.scratch = protocol.AppendShort(e.scratch[:0], e.config.probeLetter, "")
+		e.writeToServer(conn, e.scratch)
 	}
-	r.pump(l)
+	e.writeNextBatch(conn)
 }
 
-// rest closes a connection before it has been idle for so long that its server may close it unseen.
-func (r *Router) rest(l *lane) {
+// armIdleTimer closes a connection before it has been idle for so long that its server may close it unseen.
+func (e *Engine) armIdleTimer(conn *serverConn) {
 	const share = 0.8
-	l.resting = r.timers.add(l.used+share*r.rules.idle, func(r *Router) {
+	conn.idleTimer = e.timers.add(conn.usedAt+share*e.config.connIdleTimeout, func(e *Engine) {
 		switch {
-		case l.out == 0 && r.now >= l.used+share*r.rules.idle:
-			r.Count.IdleClosed++
-			r.dropLane(l)
+		case conn.inFlight == 0 && e.now >= conn.usedAt+share*e.config.connIdleTimeout:
+			e.Count.IdleClosed++
+			e.dropServerConn(conn)
 		default:
-			if l.out > 0 {
-				l.used = r.now
+			if conn.inFlight > 0 {
+				conn.usedAt = e.now
 			}
-			r.rest(l)
+			e.armIdleTimer(conn)
 		}
 	})
 }
 
-// pump gives the network one frame, once the one before it is written: until then its parts can be taken back.
-func (r *Router) pump(l *lane) {
-	if !l.open || l.gone || l.asked > l.written {
+// writeNextBatch gives the network one frame, once the one before it is written: until then its parts can be taken back.
+func (e *Engine) writeNextBatch(conn *serverConn) {
+	if !conn.open || conn.closed || conn.writeOffset > conn.writtenOffset {
 		return
 	}
-	for len(l.waiting) > 0 {
-		k := l.waiting[0]
-		l.waiting = append(l.waiting[:0], l.waiting[1:]...)
-		if r.callGone(l, k) {
+	for len(conn.queued) > 0 {
+		batch := conn.queued[0]
+		conn.queued = append(conn.queued[:0], conn.queued[1:]...)
+		if e.dropExpired(conn, batch) {
 			continue
 		}
-		frame := protocol.AppendCall(r.scratch[:0])
-		for _, s := range k.subs {
-			if s.state == waiting {
-				frame = protocol.AppendPart(frame, s.part.id, s.part.shard, s.within-r.now, s.part.q.mark, s.part.q.text)
+		frame := protocol.AppendCall(e.scratch[:0])
+		for _, attempt := range batch.attempts {
+			if attempt.state == stateQueued {
+				frame = protocol.AppendPart(frame, attempt.request.id, attempt.request.shard, attempt.deadline-e.now, attempt.request.search.token, attempt.request.search.query)
 			}
 		}
-		r.scratch = protocol.EndFrame(frame, 0)
-		r.Count.Calls++
-		l.frame, l.last = l.asked, nil
-		r.tell(l, r.scratch)
-		l.last, l.behind = k, l.behind[:0]
-		for _, s := range k.subs {
-			if s.state == waiting {
-				s.state, s.end = out, l.asked
-				r.Count.Sent++
+		e.scratch = protocol.EndFrame(frame, 0)
+		e.Count.Batches++
+		conn.frameStart, conn.lastBatch = conn.writeOffset, nil
+		e.writeToServer(conn, e.scratch)
+		conn.lastBatch, conn.writtenAfter = batch, conn.writtenAfter[:0]
+		for _, attempt := range batch.attempts {
+			if attempt.state == stateQueued {
+				attempt.state, attempt.frameEnd = stateSent, conn.writeOffset
+				e.Count.Sent++
 			}
 		}
-		r.failing = r.failing || len(l.waiting) > 0
+		e.turnRequested = e.turnRequested || len(conn.queued) > 0
 		return
 	}
 }
 
-// unbegin takes a frame back of which the network has taken nothing yet: its parts wait again, and pump drops those that
+// retractBatch takes a frame back of which the network has taken nothing yet: its parts wait again, and pump drops those that
 // must not begin any more. A connection that takes nothing may take it all at any later time, long after whoever asked
 // has gone or the server was told to be left alone.
-func (r *Router) unbegin(l *lane) bool {
-	k := l.last
-	if k == nil || l.gone || !r.net.Retract(l.conn, l.frame) {
+func (e *Engine) retractBatch(conn *serverConn) bool {
+	last := conn.lastBatch
+	if last == nil || conn.closed || !e.network.Retract(conn.handle, conn.frameStart) {
 		return false
 	}
-	r.Count.Unbegun++
-	r.Count.BytesOut -= l.asked - l.frame
-	l.asked, l.last = l.frame, nil
-	for _, s := range k.subs {
-		if s.call == k && s.state == out {
-			s.state = waiting
-			r.Count.Sent--
+	e.Count.Retracted++
+	e.Count.BytesOut -= conn.writeOffset - conn.frameStart
+	conn.writeOffset, conn.lastBatch = conn.frameStart, nil
+	for _, attempt := range last.attempts {
+		if attempt.batch == last && attempt.state == stateSent {
+			attempt.state = stateQueued
+			e.Count.Sent--
 		}
 	}
-	l.waiting = append([]*call{k}, l.waiting...)
-	if len(l.behind) > 0 {
-		r.tell(l, l.behind)
-		l.behind = l.behind[:0]
+	conn.queued = append([]*batch{last}, conn.queued...)
+	if len(conn.writtenAfter) > 0 {
+		e.writeToServer(conn, conn.writtenAfter)
+		conn.writtenAfter = conn.writtenAfter[:0]
 	}
 	return true
 }
 
-// callGone ends what must not be sent any more: parts taken back, parts of searches that are over, whether their clients
+// dropExpired ends what must not be sent any more: parts taken back, parts of searches that are over, whether their clients
 // had an answer or have left, and all of them once their server has been draining or gone for as long as new work may
 // still begin.
-func (r *Router) callGone(l *lane, k *call) bool {
-	v := r.catalog.servers[l.server]
-	late := v.state != policy.Ready && r.now >= v.since+graceShare*r.rules.grace
+func (e *Engine) dropExpired(conn *serverConn, batch *batch) bool {
+	srv := e.list.servers[conn.server]
+	late := srv.state != policy.Ready && e.now >= srv.notReadySince+graceShare*e.config.drainGrace
 	left := false
-	for _, s := range k.subs {
-		if s.state == waiting && (late || r.now > s.begin || s.part.q.ended) {
-			delete(l.subs, s.part.id) // no reply can come: kept, it would be held as long as the connection lasts
-			r.over(s, policy.NeverSent, nil)
+	for _, attempt := range batch.attempts {
+		if attempt.state == stateQueued && (late || e.now > attempt.beginDeadline || attempt.request.search.ended) {
+			delete(conn.attempts, attempt.request.id) // no reply can come: kept, it would be held as long as the connection lasts
+			e.endAttempt(attempt, policy.NeverSent, nil)
 		}
-		left = left || s.state == waiting
+		left = left || attempt.state == stateQueued
 	}
 	return !left
 }
 
 const graceShare = 0.8 // the network may take the rest
 
-// letGo keeps frames from beginning for a search whose client has left while the network had taken a part of them: that can't
+// dropStalledFrames keeps frames from beginning for a search whose client has left while the network had taken a part of them: that can't
 // be taken back, and a sub-request begins with its frame's last byte, whenever that goes out. A connection that goes on standing
 // still in the middle of one is dropped; what waits behind it goes over another.
-func (r *Router) letGo(q *search) {
-	for _, p := range q.parts {
-		for _, s := range p.subs {
-			if s.call == nil || s.state != out || s.end <= s.call.lane.written {
+func (e *Engine) dropStalledFrames(search *search) {
+	for _, req := range search.requests {
+		for _, attempt := range req.attempts {
+			if attempt.batch == nil || attempt.state != stateSent || attempt.frameEnd <= attempt.batch.conn.writtenOffset {
 				continue
 			}
-			l, end := s.call.lane, s.end
-			r.after(standsStill, func(r *Router) {
-				if !l.gone && end > l.written {
-					r.Count.Unbegun++
-					r.dropLane(l)
+			conn, end := attempt.batch.conn, attempt.frameEnd
+			e.after(stalledFrameTimeout, func(e *Engine) {
+				if !conn.closed && end > conn.writtenOffset {
+					e.Count.Retracted++
+					e.dropServerConn(conn)
 				}
 			})
 		}
 	}
 }
 
-const standsStill = 200 // of the 0.3 s within which nothing of such a search begins any more
+const stalledFrameTimeout = 200 // of the 0.3 s within which nothing of such a search begins any more
 
-func (r *Router) tell(l *lane, b []byte) {
-	if l.last != nil {
-		l.behind = append(l.behind, b...)
+func (e *Engine) writeToServer(conn *serverConn, b []byte) {
+	if conn.lastBatch != nil {
+		conn.writtenAfter = append(conn.writtenAfter, b...)
 	}
-	l.asked += int64(len(b))
-	l.used = r.now
-	r.Count.BytesOut += int64(len(b))
-	r.net.Write(l.conn, b)
+	conn.writeOffset += int64(len(b))
+	conn.usedAt = e.now
+	e.Count.BytesOut += int64(len(b))
+	e.network.Write(conn.handle, b)
 }
 
-// over ends a sub-request; the module hears of it when it is not calling.
-func (r *Router) over(s *sub, how policy.Outcome, report []float64) {
-	if s.state == over {
+// endAttempt ends a sub-request; the module hears of it when it is not calling.
+func (e *Engine) endAttempt(attempt *attempt, how policy.Outcome, report []float64) {
+	if attempt.state == stateEnded {
 		return
 	}
-	s.state = over
-	s.ended, s.calledOff = r.now, how == policy.Cancelled
-	r.timers.drop(s.limit)
-	s.limit = nil
-	if k := s.call; k != nil {
-		k.lane.out--
-		if k.left--; k.left == 0 {
-			k.lane.places--
+	attempt.state = stateEnded
+	attempt.endedAt, attempt.cancelled = e.now, how == policy.Cancelled
+	e.timers.drop(attempt.timer)
+	attempt.timer = nil
+	if batch := attempt.batch; batch != nil {
+		batch.conn.inFlight--
+		if batch.open--; batch.open == 0 {
+			batch.conn.batches--
 		}
 	}
-	r.outcomes = append(r.outcomes, outcome{s, how, report})
+	e.outcomes = append(e.outcomes, attemptResult{attempt, how, report})
 }
 
 // Cancel implements policy.Out: a sub-request is called off.
-func (r *Router) Cancel(at, no int) {
-	p := r.slots[at].part
-	if must.Hold(no < len(p.subs), "only what was sent is called off"); no < len(p.subs) {
-		r.takeBack(p.subs[no], policy.Cancelled)
+func (e *Engine) Cancel(at, no int) {
+	req := e.entries[at].request
+	if must.Hold(no < len(req.attempts), "only what was sent is called off"); no < len(req.attempts) {
+		e.cancelAttempt(req.attempts[no], policy.Cancelled)
 	}
 }
 
-func (r *Router) timedOut(s *sub) {
-	if s.state != over {
-		r.takeBack(s, policy.TimedOut)
+func (e *Engine) attemptTimedOut(attempt *attempt) {
+	if attempt.state != stateEnded {
+		e.cancelAttempt(attempt, policy.TimedOut)
 	}
 }
 
-// takeBack stops waiting: what has not begun is not sent, what has is called off. Its id stays on the
+// cancelAttempt stops waiting: what has not begun is not sent, what has is called off. Its id stays on the
 // connection.
-func (r *Router) takeBack(s *sub, how policy.Outcome) {
-	if c := s.part.q.call; c != nil && s.state == out {
-		r.Count.CalledOff++
-		c.TakeBack(s)
-		r.over(s, how, nil)
+func (e *Engine) cancelAttempt(attempt *attempt, how policy.Outcome) {
+	if c := attempt.request.search.carrier; c != nil && attempt.state == stateSent {
+		e.Count.Cancelled++
+		c.Cancel(attempt)
+		e.endAttempt(attempt, how, nil)
 		return
 	}
-	switch s.state {
-	case planned:
-		v := r.catalog.servers[s.server]
-		for i, o := range v.planned {
-			if o == s {
-				v.planned = append(v.planned[:i], v.planned[i+1:]...)
+	switch attempt.state {
+	case statePlanned:
+		srv := e.list.servers[attempt.server]
+		for i, other := range srv.planned {
+			if other == attempt {
+				srv.planned = append(srv.planned[:i], srv.planned[i+1:]...)
 				break
 			}
 		}
-	case waiting:
-		delete(s.call.lane.subs, s.part.id)
-	case out:
-		l := s.call.lane
-		if s.call == l.last && r.unbegin(l) {
-			delete(l.subs, s.part.id)
-			r.over(s, how, nil)
-			r.pump(l)
+	case stateQueued:
+		delete(attempt.batch.conn.attempts, attempt.request.id)
+	case stateSent:
+		conn := attempt.batch.conn
+		if attempt.batch == conn.lastBatch && e.retractBatch(conn) {
+			delete(conn.attempts, attempt.request.id)
+			e.endAttempt(attempt, how, nil)
+			e.writeNextBatch(conn)
 			return
 		}
-		if !l.gone {
-			r.Count.CalledOff++
-			r.scratch = protocol.AppendShort(r.scratch[:0], protocol.Abandon, s.part.id)
-			r.tell(l, r.scratch)
-			r.timers.add(s.part.q.until+lateMost, func(_ *Router) {
-				if l.subs[s.part.id] == s {
-					delete(l.subs, s.part.id)
+		if !conn.closed {
+			e.Count.Cancelled++
+			e.scratch = protocol.AppendShort(e.scratch[:0], protocol.Abandon, attempt.request.id)
+			e.writeToServer(conn, e.scratch)
+			e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
+				if conn.attempts[attempt.request.id] == attempt {
+					delete(conn.attempts, attempt.request.id)
 				}
 			})
 		}
 	}
-	r.over(s, how, nil)
+	e.endAttempt(attempt, how, nil)
 }
 
-const lateMost = 10000 // after its search's time, no reply comes to what was called off
+const lateReplyTimeout = 10000 // after its search's time, no reply comes to what was called off
 
 // Probe implements policy.Out: a server that is set aside is probed over a connection of its own.
-func (r *Router) Probe(server int) {
-	l := r.connect(server) // what is open may be what does not answer
-	sent := r.now
-	if l == nil {
-		r.probed(server, false, sent, nil)
+func (e *Engine) Probe(server int) {
+	conn := e.connectServer(server) // what is open may be what does not answer
+	sent := e.now
+	if conn == nil {
+		e.probeEnded(server, false, sent, nil)
 		return
 	}
-	r.Count.Probes++
-	l.probe = sent
-	r.after(r.rules.connect, func(r *Router) {
-		if l.probe == sent && !l.gone {
-			if l.probe = 0; l.out == 0 {
-				r.dropLane(l)
+	e.Count.Probes++
+	conn.probeSentAt = sent
+	e.after(e.config.connectTimeout, func(e *Engine) {
+		if conn.probeSentAt == sent && !conn.closed {
+			if conn.probeSentAt = 0; conn.inFlight == 0 {
+				e.dropServerConn(conn)
 			}
-			r.probed(server, false, sent, nil)
+			e.probeEnded(server, false, sent, nil)
 		}
 	})
 }
 
-func (r *Router) probed(server int, ok bool, sent float64, report []float64) {
+func (e *Engine) probeEnded(server int, ok bool, sent float64, report []float64) {
 	if !ok {
-		r.Count.ProbesFailed++
+		e.Count.ProbesFailed++
 	}
-	r.probes = append(r.probes, probe{server, ok, sent, report})
+	e.probeResults = append(e.probeResults, probeResult{server, ok, sent, report})
 }
 
 // Close closes the idle connections to a server.
-func (r *Router) Close(server int) {
-	v := r.catalog.servers[server]
-	for _, l := range append([]*lane(nil), v.lanes...) {
-		if l.open && l.out == 0 && l.probe == 0 {
-			r.dropLane(l)
+func (e *Engine) Close(server int) {
+	srv := e.list.servers[server]
+	for _, conn := range append([]*serverConn(nil), srv.conns...) {
+		if conn.open && conn.inFlight == 0 && conn.probeSentAt == 0 {
+			e.dropServerConn(conn)
 		}
 	}
 }
 
-func (r *Router) dropLane(l *lane) {
-	r.close(l.conn)
-	r.laneGone(l)
+func (e *Engine) dropServerConn(conn *serverConn) {
+	e.close(conn.handle)
+	e.serverConnClosed(conn)
 }
 
-// laneGone ends what was out: what was written whole may have run, the rest never did.
-func (r *Router) laneGone(l *lane) {
-	l.gone = true
-	r.timers.drop(l.resting)
-	r.timers.drop(l.halved)
-	*r.peer(l.conn) = peer{}
-	v := r.catalog.servers[l.server]
-	for i, o := range v.lanes {
-		if o == l {
-			v.lanes = append(v.lanes[:i], v.lanes[i+1:]...)
+// serverConnClosed ends what was out: what was written whole may have run, the rest never did.
+func (e *Engine) serverConnClosed(conn *serverConn) {
+	conn.closed = true
+	e.timers.drop(conn.idleTimer)
+	e.timers.drop(conn.frameTimer)
+	*e.endpoint(conn.handle) = endpoint{}
+	srv := e.list.servers[conn.server]
+	for i, other := range srv.conns {
+		if other == conn {
+			srv.conns = append(srv.conns[:i], srv.conns[i+1:]...)
 			break
 		}
 	}
-	if l.frames.Stored() {
-		r.pool.Put(l.frames.Store(nil))
+	if conn.frames.Stored() {
+		e.pool.Put(conn.frames.Store(nil))
 	}
-	if l.open && l.out > 0 {
-		r.Count.Broken++
+	if conn.open && conn.inFlight > 0 {
+		e.Count.Broken++
 	}
 	// What never began on a connection that was up is no sign of a server that cannot be reached: its connection may
 	// have been dropped for a reply that nobody understood. Once, it goes over another.
-	var again []*sub
-	for _, s := range l.inOrder() {
+	var again []*attempt
+	for _, attempt := range conn.attemptsInOrder() {
 		how := policy.ConnectFailed
-		if s.state == out && s.end <= l.written {
+		if attempt.state == stateSent && attempt.frameEnd <= conn.writtenOffset {
 			how = policy.Reset
-		} else if l.open && !s.moved && v.state == policy.Ready && s.within > r.now {
-			again = append(again, s)
+		} else if conn.open && !attempt.moved && srv.state == policy.Ready && attempt.deadline > e.now {
+			again = append(again, attempt)
 			continue
 		}
-		r.over(s, how, nil)
+		e.endAttempt(attempt, how, nil)
 	}
 	for len(again) > 0 {
-		n := min(r.rules.batch, len(again))
-		for _, s := range again[:n] {
-			r.Count.Moved++
-			r.timers.drop(s.limit)
-			s.moved = true
+		n := min(e.config.maxBatch, len(again))
+		for _, attempt := range again[:n] {
+			e.Count.Moved++
+			e.timers.drop(attempt.timer)
+			attempt.moved = true
 		}
-		r.place(l.server, &call{subs: again[:n:n]})
+		e.assignConn(conn.server, &batch{attempts: again[:n:n]})
 		again = again[n:]
 	}
-	if l.probe > 0 {
-		r.probed(l.server, false, l.probe, nil)
-		l.probe = 0
+	if conn.probeSentAt > 0 {
+		e.probeEnded(conn.server, false, conn.probeSentAt, nil)
+		conn.probeSentAt = 0
 	}
 }
 
-// laneBytes reads replies.
-func (r *Router) laneBytes(l *lane, b []byte) {
-	l.used = r.now
-	lent, before := !l.frames.Stored(), r.Count.Frames
+// serverConnBytes reads replies.
+func (e *Engine) serverConnBytes(conn *serverConn, b []byte) {
+	conn.usedAt = e.now
+	lent, before := !conn.frames.Stored(), e.Count.Frames
 	if lent {
-		l.frames.Store(r.work)
+		conn.frames.Store(e.sharedBuffer)
 	}
-	err := l.frames.Feed(b, func(letter byte, rest []byte) error { return r.frame(l, letter, rest) })
+	err := conn.frames.Feed(b, func(letter byte, rest []byte) error { return e.handleFrame(conn, letter, rest) })
 	switch {
 	case err != nil:
-		r.Count.BadFrames++
-		r.log.warn("bad frame", "from %s: %v", l.addr, err)
-	case !l.frames.Holding():
-		r.timers.drop(l.halved)
-		if was := l.frames.Store(nil); !lent {
-			r.pool.Put(was)
+		e.Count.BadFrames++
+		e.log.warn("bad frame", "from %s: %v", conn.addr, err)
+	case !conn.frames.Holding():
+		e.timers.drop(conn.frameTimer)
+		if was := conn.frames.Store(nil); !lent {
+			e.pool.Put(was)
 		}
 		return
 	default:
-		if lent || r.Count.Frames > before {
+		if lent || e.Count.Frames > before {
 			// A length that is too long makes one frame of all that follows: nothing is answered here any more.
-			r.timers.drop(l.halved)
-			l.halved = r.after(frameWithin, func(r *Router) {
-				r.Count.BadFrames++
-				r.log.warn("bad frame", "from %s: half of one, and no more", l.addr)
-				r.dropLane(l)
+			e.timers.drop(conn.frameTimer)
+			conn.frameTimer = e.after(frameTimeout, func(e *Engine) {
+				e.Count.BadFrames++
+				e.log.warn("bad frame", "from %s: half of one, and no more", conn.addr)
+				e.dropServerConn(conn)
 			})
 		}
 		if !lent {
 			return
 		}
-		if buf := r.pool.Get(); buf != nil {
-			l.frames.Move(buf)
+		if buf := e.pool.Get(); buf != nil {
+			conn.frames.Move(buf)
 			return
 		}
-		r.Count.NoBuffer++
+		e.Count.NoBuffer++
 	}
 	if lent {
-		l.frames.Store(nil)
+		conn.frames.Store(nil)
 	}
-	r.dropLane(l)
+	e.dropServerConn(conn)
 }
 
-const frameWithin = 300 // a frame that has begun ends within so long: servers write it whole
+const frameTimeout = 300 // a frame that has begun ends within so long: servers write it whole
 
-var errUnknown = errors.New("an unknown letter")
+var errUnknownLetter = errors.New("an unknown letter")
 
-func (r *Router) frame(l *lane, letter byte, rest []byte) error {
-	r.Count.Frames++
+func (e *Engine) handleFrame(conn *serverConn, letter byte, rest []byte) error {
+	e.Count.Frames++
 	switch letter {
 	case protocol.Reply:
-		return r.reply(l, rest)
+		return e.handleReply(conn, rest)
 	case protocol.Alive, protocol.Load:
-		if l.probe == 0 {
+		if conn.probeSentAt == 0 {
 			return nil // it came after its end
 		}
 		ok := string(rest) != "ERROR"
 		var report []float64
 		if ok && letter == protocol.Load {
-			report, _ = r.read(rest)
+			report, _ = e.parseReport(rest)
 		}
-		r.probed(l.server, ok, l.probe, report)
-		l.probe = 0
+		e.probeEnded(conn.server, ok, conn.probeSentAt, report)
+		conn.probeSentAt = 0
 		return nil
 	case protocol.Unusual:
 		return errors.New("refused: " + string(rest[:min(len(rest), 100)]))
 	}
-	return errUnknown
+	return errUnknownLetter
 }
 
-func (r *Router) reply(l *lane, rest []byte) error {
+func (e *Engine) handleReply(conn *serverConn, rest []byte) error {
 	id, end, report, value, err := protocol.ReadReply(rest)
 	if err != nil {
 		return err
 	}
-	s := l.subs[string(id)]
-	if s == nil || s.state == waiting {
+	attempt := conn.attempts[string(id)]
+	if attempt == nil || attempt.state == stateQueued {
 		return errors.New("an unknown id")
 	}
-	values, _ := r.read(report) // one that can't be read is none: the answer beside it is good
-	if delete(l.subs, string(id)); s.state != out {
-		r.Count.LateReplies++
+	values, _ := e.parseReport(report) // one that can't be read is none: the answer beside it is good
+	if delete(conn.attempts, string(id)); attempt.state != stateSent {
+		e.Count.LateReplies++
 		return nil
 	}
 	how := policy.Answered
@@ -570,27 +575,27 @@
 	case protocol.TurnedAway:
 		how = policy.Rejected
 	default:
-		if p := s.part; !p.got {
-			p.got, p.value = true, append([]byte(nil), value...)
+		if req := attempt.request; !req.hasValue {
+			req.hasValue, req.value = true, append([]byte(nil), value...)
 		}
 	}
-	r.over(s, how, values)
+	e.endAttempt(attempt, how, values)
 	return nil
 }
 
-// read puts a report's values in the order of the settings; one that misses any is none.
-func (r *Router) read(report []byte) (values []float64, err error) {
+// parseReport puts a report's values in the order of the settings; one that misses any is none.
+func (e *Engine) parseReport(report []byte) (values []float64, err error) {
 	seen := 0
 	err = protocol.ReadReport(report, func(name []byte, v float64) {
-		if i, known := r.rules.fields[string(name)]; known {
+		if i, known := e.config.reportFields[string(name)]; known {
 			if values == nil {
-				values = make([]float64, r.rules.nFields)
+				values = make([]float64, e.config.reportSize)
 			}
 			values[i] = v
 			seen |= 1 << i
 		}
 	})
-	if err != nil || seen != 1<<r.rules.nFields-1 {
+	if err != nil || seen != 1<<e.config.reportSize-1 {
 		return nil, err
 	}
 	return values, nil
--- a/internal/aggregator/engine/meter.go
+++ b/internal/aggregator/engine/meter.go
@@ -2,97 +2,97 @@
 
 import "kestrelspread/internal/must"
 
-// Used is what one search used. It is told once nothing of the search is out any more; At is when its answer was given.
-type Used struct {
+// Usage is what one search used. It is told once nothing of the search is out any more; At is when its answer was given.
+type Usage struct {
 	Kind, Customer int
 	Front          int // 0 for HTTP's, else the door
-	How            Ending
-	Left           bool // its client went before the answer: How tells nothing
-	At             float64
-	Parts          int
+	Result         Result
+	ClientLeft     bool // its client went before the answer: How tells nothing
+	AnsweredAt     float64
+	Shards         int
 	First          int     // sub-requests that were a part's first
-	Repeat         int     // that followed one that had ended
-	Copy           int     // that went beside one still out
-	CalledOff      int     // of all these
+	Retry          int     // that followed one that had ended
+	Hedge          int     // that went beside one still out
+	Cancelled      int     // of all these
 	Work           float64 // hinted, ms
 	Server         float64 // ms between the module's sending and the end of each sub-request
 	In, Out        int64   // bytes of what the client sent and of its answer, without heads
 }
 
 // Meter is told of each search, once. It must not wait.
-type Meter interface{ Used(u *Used) }
+type Meter interface{ Record(usage *Usage) }
 
-// Measure has a meter told; before the loop runs.
-func (r *Router) Measure(m Meter) { r.meter = m }
+// SetMeter has a meter told; before the loop runs.
+func (e *Engine) SetMeter(m Meter) { e.meter = m }
 
-// usage is kept with a search for its meter.
-type usage struct {
+// usageRecord is kept with a search for its meter.
+type usageRecord struct {
 	kind, customer, front int
-	at, work              float64
-	how                   Ending
-	left                  bool
-	in, out               int64
+	answeredAt, work      float64
+	result                Result
+	clientLeft            bool
+	bytesIn, bytesOut     int64
 }
 
-// class of a sub-request among those of its part.
-type class uint8
+// attemptKind of a sub-request among those of its part.
+type attemptKind uint8
 
 const (
-	firstOf class = iota
-	repeatOf
-	copyOf
+	firstAttempt attemptKind = iota
+	retryAttempt
+	hedgeAttempt
 )
 
-func (p *part) classOf() class {
-	if len(p.subs) == 0 {
-		return firstOf
+func (req *shardRequest) nextKind() attemptKind {
+	if len(req.attempts) == 0 {
+		return firstAttempt
 	}
-	for _, s := range p.subs {
-		if s.state != over {
-			return copyOf
+	for _, attempt := range req.attempts {
+		if attempt.state != stateEnded {
+			return hedgeAttempt
 		}
 	}
-	return repeatOf
+	return retryAttempt
 }
 
-// meterSearch tells the meter of a search that is over and of which nothing is out.
-func (r *Router) meterSearch(q *search) {
-	if q.metered {
+// recordUsage tells the meter of a search that is over and of which nothing is out.
+func (e *Engine) recordUsage(search *search) {
+	if search.metered {
 		must.Hold(false, "a search is counted once")
 		return
 	}
-	q.metered = true
-	r.Count.Metered++
-	if r.meter == nil {
+	search.metered = true
+	e.Count.Metered++
+	if e.meter == nil {
 		return
 	}
-	g := &q.used
-	if q.call != nil {
-		g.in, g.out = q.call.Bytes()
+	used := &search.usage
+	if search.carrier != nil {
+		used.bytesIn, used.bytesOut = search.carrier.Bytes()
 	}
-	u := Used{Kind: g.kind, Customer: g.customer, Front: g.front, How: g.how, Left: g.left, At: g.at, Parts: len(q.parts), Work: g.work,
-		In: g.in, Out: g.out}
-	for _, p := range q.parts {
-		for _, s := range p.subs {
-			switch s.class {
-			case firstOf:
-				u.First++
-			case repeatOf:
-				u.Repeat++
+	usage := Usage{Kind: used.kind, Customer: used.customer, Front: used.front, Result: used.result, ClientLeft: used.clientLeft, AnsweredAt: used.answeredAt, Shards: len(search.requests), Work: used.work,
+		In: used.bytesIn, Out: used.bytesOut}
+	for _, req := range search.requests {
+		for _, attempt := range req.attempts {
+			switch attempt.kind {
+			case firstAttempt:
+				usage.First++
+			case retryAttempt:
+				usage.Retry++
 			default:
-				u.Copy++
+				usage.Hedge++
 			}
-			if s.calledOff {
-				u.CalledOff++
+			if attempt.cancelled {
+				usage.Cancelled++
 			}
-			u.Server += s.ended - s.began
+			usage.Server += attempt.endedAt - attempt.sentAt
 		}
 	}
-	r.meter.Used(&u)
+	e.meter.Record(&usage)
 }
 
 // Kinds names the query types that Used numbers.
-func (r *Router) Kinds() []string { return r.rules.kindNames }
+func (e *Engine) Kinds() []string { return e.config.kindNames }
 
 // Customers names the customers that Used numbers. A customer that no setting names is the first.
-func (r *Router) Customers() []string { return r.rules.customerNames }
+func (e *Engine) Customers() []string { return e.config.customerNames }
--- a/internal/aggregator/engine/rare_test.go
+++ b/internal/aggregator/engine/rare_test.go
@@ -67,10 +67,10 @@
 		c, since := w.silentSince()
 		hung := []transport.Conn{c}
 		seen := []*end{w.ends[c]}
-		for w.now < since+insists && len(seen) < 4 {
+		for w.now < since+olderListTimeout && len(seen) < 4 {
 			w.pass(10)
 			c := w.watching()
-			if c == none || w.ends[c] == seen[len(seen)-1] {
+			if c == noConn || w.ends[c] == seen[len(seen)-1] {
 				if how == "trickle" && len(seen) > 1 && w.ends[hung[len(hung)-1]] == seen[len(seen)-1] {
 					w.turn(func() { w.say(c, []byte("1\r\n \r\n")) })
 				}
@@ -93,8 +93,8 @@
 		}
 		w.list[1].state = "draining"
 		w.tells(c, string(w.listLine(true)))
-		if w.now > since+insists || w.r.catalog.ready != 1 {
-			t.Errorf("%s: %.0f ms after the silence, %d ready", how, w.now-since, w.r.catalog.ready)
+		if w.now > since+olderListTimeout || w.r.list.ready != 1 {
+			t.Errorf("%s: %.0f ms after the silence, %d ready", how, w.now-since, w.r.list.ready)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	w.turn(func() { w.lose(w.watching()) }) // reset, not silent
 	w.turn()
 	c := w.watching()
-	if c == none || w.ends[c] == first {
+	if c == noConn || w.ends[c] == first {
 		t.Fatal("a watch that was reset is not opened anew at once: what is told meanwhile counts")
 	}
 	w.heads(c)
@@ -115,9 +115,9 @@
 		t.Errorf("asked %.60q", asked)
 	}
 	e := w.ends[c]
-	w.pass(beat) // nothing is due before the first beat
+	w.pass(heartbeatInterval) // nothing is due before the first beat
 	w.tells(c, "")
-	w.pass(beat)
+	w.pass(heartbeatInterval)
 	if w.ends[c] != e {
 		t.Error("a watch with no news was dropped")
 	}
@@ -130,13 +130,13 @@
 	before := w.r.Count.Watches
 	for end := w.now + 3000; w.now < end; {
 		w.turn(func() {
-			if c := w.watching(); c != none {
+			if c := w.watching(); c != noConn {
 				w.lose(c)
 			}
 		})
 		w.pass(5)
 	}
-	if n := w.r.Count.Watches - before; n < 3000/askAgain || n > 3000/askAgain+5 {
+	if n := w.r.Count.Watches - before; n < 3000/maxWatchBackoff || n > 3000/maxWatchBackoff+5 {
 		t.Errorf("%d watches in 3 s", n)
 	}
 }
@@ -147,13 +147,13 @@
 	w.open()
 	w.turn(func() { w.ask("quick", 900, 0) })
 	w.turn(func() { w.r.Told(Terminate) })
-	w.pass(stopShare*(1000+graceMore) + 1)
+	w.pass(serveShareAfterStop*(1000+killMargin) + 1)
 	if !w.deaf || w.stopped {
 		t.Fatal("it is not leaving")
 	}
 	first := w.ends[w.watching()]
 	w.turn(func() { w.lose(w.watching()) })
-	if c := w.watching(); c == none || w.ends[c] == first {
+	if c := w.watching(); c == noConn || w.ends[c] == first {
 		t.Error("its sub-requests go on, and it hears of no drain")
 	}
 }
@@ -169,7 +169,7 @@
 		w.goes(k)
 		w.open()
 		w.pass(10)
-		if w.r.Count.Sent != 0 || w.r.Count.Left != 1 {
+		if w.r.Count.Sent != 0 || w.r.Count.ClientsLeft != 1 {
 			t.Errorf("cancel %s: %d sent though its client left during the connect", cancel, w.r.Count.Sent)
 		}
 
@@ -229,13 +229,13 @@
 	w.turn(func() { w.r.Told(Terminate) })
 	// somebody stays, so that it does not leave at once
 	held := w.come(1, "")
-	w.pass(stopShare*(1000+graceMore) - 1)
+	w.pass(serveShareAfterStop*(1000+killMargin) - 1)
 	late := w.come(1, "")[0]
 	w.pass(2)
 	if !w.deaf {
 		t.Fatal("the address is open")
 	}
-	left := w.r.killed - lastWord - w.now
+	left := w.r.killAt - answerBeforeKill - w.now
 	w.pass(left / 2)
 	if w.ends[late] == nil || w.ends[late].finished {
 		t.Fatal("who has just connected was ended without having been asked")
@@ -260,15 +260,15 @@
 		w.open()
 		w.turn(func() { w.r.Told(Terminate) })
 		w.turn(func() { w.r.Told(Terminate) }) // twice, as two signals have it
-		grace := min(deadline, graceMost) + graceMore
-		if w.r.killed != w.now+grace {
-			t.Fatal(w.r.killed-w.now, "until the kill")
+		grace := min(deadline, maxClientTimeout) + killMargin
+		if w.r.killAt != w.now+grace {
+			t.Fatal(w.r.killAt-w.now, "until the kill")
 		}
-		w.pass(grace - lastWord)
-		if k.answers != 1 || k.at > w.r.killed-lastWord {
-			t.Errorf("client timeout %.0f: %d answers %.0f ms before the kill", deadline, k.answers, w.r.killed-k.at)
+		w.pass(grace - answerBeforeKill)
+		if k.answers != 1 || k.at > w.r.killAt-answerBeforeKill {
+			t.Errorf("client timeout %.0f: %d answers %.0f ms before the kill", deadline, k.answers, w.r.killAt-k.at)
 		}
-		w.pass(lastWord - lastLook + 1)
+		w.pass(answerBeforeKill - lingerEndBeforeKill + 1)
 		if !w.stopped {
 			t.Errorf("client timeout %.0f: it has not ended by its kill", deadline)
 		}
@@ -336,8 +336,8 @@
 			for _, n := range w.r.Count.Outcomes {
 				after += n
 			}
-			if after != w.r.Count.Asked {
-				t.Errorf("%s, then %s: %d outcomes of %d sub-requests", a, b, after, w.r.Count.Asked)
+			if after != w.r.Count.AttemptsAsked {
+				t.Errorf("%s, then %s: %d outcomes of %d sub-requests", a, b, after, w.r.Count.AttemptsAsked)
 			}
 		}
 	}
@@ -404,11 +404,11 @@
 func TestNamesOfOtherDeployments(t *testing.T) {
 	w := newWorldOf(t, 1, `"localities":["a","b"]`, `"localities":["north, by the sea","a","a",""],"customers":[{"name":"x, y","quota-per-s":1},
 {"name":"z","quota-per-s":1},{"name":"z","quota-per-s":9}]`)
-	g := &w.r.rules
-	if g.halls["north, by the sea"] != 0 || g.halls["a"] != 1 || g.halls[""] != 3 || len(g.halls) != 3 {
-		t.Error("zones: ", g.halls)
+	g := &w.r.config
+	if g.zones["north, by the sea"] != 0 || g.zones["a"] != 1 || g.zones[""] != 3 || len(g.zones) != 3 {
+		t.Error("zones: ", g.zones)
 	}
-	if w.r.Customer("x, y") != 0 || w.r.Customer("z") != 1 || w.r.Customer("unknown") != nobody || w.r.Customer("") != nobody {
+	if w.r.Customer("x, y") != 0 || w.r.Customer("z") != 1 || w.r.Customer("unknown") != unknownCustomer || w.r.Customer("") != unknownCustomer {
 		t.Error("customers: ", g.customers, w.r.Customer("unknown"))
 	}
 }
@@ -420,18 +420,18 @@
 	e := w.ends[w.watching()]
 	w.turn(func() { e.open = true; w.r.Opened(w.watching()) })
 	w.pass(2500)
-	if c := w.watching(); c == none || w.ends[c] != e {
+	if c := w.watching(); c == noConn || w.ends[c] != e {
 		t.Fatal("a call that waits was given up")
 	}
 	w.turn(func() {
 		w.say(w.watching(), []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n"))
 	})
-	w.pass(askAgain - 1)
-	if w.watching() != none {
+	w.pass(maxWatchBackoff - 1)
+	if w.watching() != noConn {
 		t.Error("asked again at once")
 	}
 	w.pass(2)
-	if w.watching() == none {
+	if w.watching() == noConn {
 		t.Error("not asked again")
 	}
 }
@@ -442,11 +442,11 @@
 	e := w.ends[w.watching()]
 	w.now += 5000 // it stood still
 	w.turn(func() { e.open = true; w.r.Opened(w.watching()) })
-	if c := w.watching(); c == none || w.ends[c] != e {
+	if c := w.watching(); c == noConn || w.ends[c] != e {
 		t.Error("given up before its answer could be read")
 	}
-	w.pass(opens)
-	if c := w.watching(); c == none || w.ends[c] == e {
+	w.pass(watchOpenTimeout)
+	if c := w.watching(); c == noConn || w.ends[c] == e {
 		t.Error("it says nothing, and is kept")
 	}
 }
@@ -503,14 +503,14 @@
 		w.answer(l)
 		w.ends[l].stuck = w.now + 1e9
 		w.turn(func() { w.ask("quick", 900, 0) }) // its frame stands before the network
-		lane := w.r.peer(l).lane
-		held := len(lane.subs)
+		lane := w.r.endpoint(l).conn
+		held := len(lane.attempts)
 		var late []*caller
 		for range 3 { // each a frame of its own, in a turn of its own, behind that one
 			w.turn(func() { late = append(late, w.ask("quick", 900, 0)) })
 		}
-		if len(lane.subs) != held+len(late) || len(w.lanes()) != 1 {
-			t.Fatalf("%d of %d wait there", len(lane.subs)-held, len(late))
+		if len(lane.attempts) != held+len(late) || len(w.lanes()) != 1 {
+			t.Fatalf("%d of %d wait there", len(lane.attempts)-held, len(late))
 		}
 		if how == "its client went" {
 			for _, k := range late {
@@ -525,8 +525,8 @@
 		w.ends[l].stuck = 0
 		w.pass(1)
 		w.pass(1) // it is told that the network has taken what stood before it
-		if len(lane.subs) > held {
-			t.Errorf("%s: %d ids are held, %d of what is still out", how, len(lane.subs), held)
+		if len(lane.attempts) > held {
+			t.Errorf("%s: %d ids are held, %d of what is still out", how, len(lane.attempts), held)
 		}
 	}
 }
@@ -542,28 +542,28 @@
 	line := append(w.listLine(true), '\n')
 	w.turn(func() { w.say(c, line[:40]) })
 	w.turn(func() { w.say(c, line[40:]) })
-	if w.r.catalog.ready != 1 || w.r.Count.BadLists != 0 {
-		t.Errorf("%d ready, %d bad lists", w.r.catalog.ready, w.r.Count.BadLists)
+	if w.r.list.ready != 1 || w.r.Count.BadLists != 0 {
+		t.Errorf("%d ready, %d bad lists", w.r.list.ready, w.r.Count.BadLists)
 	}
 	w.list[0].state = "draining"
 	line = append(w.listLine(false), '\n')
 	e := w.ends[c]
 	w.turn(func() { w.say(c, line[:len(line)-9]) })
 	w.turn(func() { w.lose(c) }) // in the middle of a line
-	if w.r.catalog.ready != 1 {
+	if w.r.list.ready != 1 {
 		t.Error("half a line was taken")
 	}
-	if c := w.watching(); c == none || w.ends[c] == e {
+	if c := w.watching(); c == noConn || w.ends[c] == e {
 		t.Error("not asked again")
 	}
 }
 
 // told is a search that a further front brought, as far as its one final answer.
-type told struct{ finals []Ending }
+type told struct{ finals []Result }
 
-func (c *told) Final(how Ending, _ float64) { c.finals = append(c.finals, how) }
-func (c *told) Send(*Sub)                   {}
-func (c *told) TakeBack(*Sub)               {}
+func (c *told) Final(how Result, _ float64) { c.finals = append(c.finals, how) }
+func (c *told) Send(*Attempt)               {}
+func (c *told) Cancel(*Attempt)             {}
 func (c *told) Door() int                   { return 1 }
 func (c *told) Bytes() (in, out int64)      { return 0, 0 }
 
@@ -581,8 +581,10 @@
 		t.Errorf("another type has %d; %d sent", other.status, w.r.Count.Sent)
 	}
 	call := &told{}
-	w.turn(func() { w.r.Ask(0, nobody, w.now+900, false, []Piece{{Shard: 0, Share: 1}}, call) })
-	if w.pass(50); !slices.Equal(call.finals, []Ending{Failed}) || w.r.Count.Sent != 1 {
+	w.turn(func() {
+		w.r.StartSearch(0, unknownCustomer, w.now+900, false, []ShardRequest{{Shard: 0, Share: 1}}, call)
+	})
+	if w.pass(50); !slices.Equal(call.finals, []Result{Failed}) || w.r.Count.Sent != 1 {
 		t.Errorf("a further front has %v; %d sent", call.finals, w.r.Count.Sent)
 	}
 	w.settle()
@@ -661,7 +663,7 @@
 			if !stays {
 				w.goes(k)
 			}
-			w.pass(standsStill + 1)
+			w.pass(stalledFrameTimeout + 1)
 			if kept := w.ends[c] == e; kept != stays {
 				t.Errorf("cancel %s, stays %v: the connection with half a frame is kept: %v", cancel, stays, kept)
 			}
--- a/internal/aggregator/engine/router.go
+++ b/internal/aggregator/engine/router.go
@@ -6,7 +6,6 @@
 import (
 	"math"
 	"net/netip"
-	"strconv"
 	"strings"
 	"sync/atomic"
 
@@ -37,583 +36,537 @@
 const (
 	Terminate = iota
 	Report
-	Move   // to the address that Discovery holds
-	Reread // the settings of the fronts
-	Posted // something waits in the post
+	MoveDiscovery // to the address that Discovery holds
+	ReloadFronts  // the settings of the fronts
+	RunPosted     // something waits in the post
 )
 
 const (
-	none = transport.Conn(-1)
+	noConn = transport.Conn(-1)
 
-	spareSockets = 16 // the runtime's, the loop's, standard streams, discovery's, the listener
-	lanesLeast   = 16 // descriptors for servers
+	maxPosted = 256 // functions from other goroutines that wait for a turn
+
+	spareSockets         = 16 // the runtime's, the loop's, standard streams, discovery's, the listener
+	minServerDescriptors = 16 // descriptors for servers
 	// What a client may take its time over. One that is heard of neither a request nor its end in 3 s has gone wrong.
-	firstByte   = 2000  // to begin its first request
-	wholeWithin = 2500  // from connecting, or from the beginning of a later request, to its end
-	slowest     = 10000 // to read an answer
-	lingers     = 1000  // to close after the last answer, as long as it sends no more
-	lingerMost  = 5000  // though it sends on
-	idleMost    = 10000 // to ask again
-	stalled     = 100   // a timer so late means that this broker stood still
+	firstRequestTimeout = 2000  // to begin its first request
+	requestTimeout      = 2500  // from connecting, or from the beginning of a later request, to its end
+	writeTimeout        = 10000 // to read an answer
+	lingerTimeout       = 1000  // to close after the last answer, as long as it sends no more
+	maxLinger           = 5000  // though it sends on
+	clientIdleTimeout   = 10000 // to ask again
+	stallAfter          = 100   // a timer so late means that this broker stood still
 	// After SIGTERM clients go on coming for up to 400 ms, and those who have a connection ask on it as long as it is
 	// open: elsewhere there may be nobody yet, as another broker was stopped just before. SIGKILL follows no sooner
 	// than the longest client timeout, taken as 3 s at most, and 700 ms more.
-	stopLeast  = 500
-	stopShare  = 0.6 // of that time clients are served; the rest is for what is held by then
-	graceMost  = 3000
-	graceMore  = 700
-	lastWord   = 150  // so long before it every answer is out
-	lastCalls  = 100  // what had asked before the address closed may ask again for so long
-	cutOff     = 1000 // who has only just connected may still ask within so long, and a request that has begun end
-	cutShare   = 0.75 // and within such a share of what is left: the rest is for its answer
-	doorAgain  = 10   // out of descriptors while the address is to be closed: try again after so long
-	lastLook   = 20   // so long before it, who was turned away and has not closed is not waited for
-	resume     = 100  // out of descriptors: try accepting again after so long
-	relieved   = 0.25 // and have so many of the connections give way each time
-	halvesMost = 2    // of the buffers, one in so many at most
-	idleLeast  = 2000 // that were idle for so long: another search is less likely to be on the way
-	mute       = 250  // or have never said anything for so long: who connects to ask asks at once
-	retry      = 10   // after a round of the module that failed
-	overdue    = 15   // past a search's time: the module has given its answer long before
+	minServeAfterStop      = 500
+	serveShareAfterStop    = 0.6 // of that time clients are served; the rest is for what is held by then
+	maxClientTimeout       = 3000
+	killMargin             = 700
+	answerBeforeKill       = 150  // so long before it every answer is out
+	lastRequestWindow      = 100  // what had asked before the address closed may ask again for so long
+	maxRequestAfterClose   = 1000 // who has only just connected may still ask within so long, and a request that has begun end
+	requestShareAfterClose = 0.75 // and within such a share of what is left: the rest is for its answer
+	closeRetryDelay        = 10   // out of descriptors while the address is to be closed: try again after so long
+	lingerEndBeforeKill    = 20   // so long before it, who was turned away and has not closed is not waited for
+	acceptRetryDelay       = 100  // out of descriptors: try accepting again after so long
+	evictShare             = 0.25 // and have so many of the connections give way each time
+	partialBufferDivisor   = 2    // of the buffers, one in so many at most
+	minIdleBeforeEvict     = 2000 // that were idle for so long: another search is less likely to be on the way
+	minSilenceBeforeEvict  = 250  // or have never said anything for so long: who connects to ask asks at once
+	roundRetryDelay        = 10   // after a round of the module that failed
+	searchOverdueAfter     = 15   // past a search's time: the module has given its answer long before
 )
 
-// Router is one broker.
-type Router struct {
+// Engine is one broker.
+type Engine struct {
 	Discovery atomic.Pointer[netip.AddrPort] // set by others before they tell Move
 
-	net     Net
-	pool    *transport.Pool
-	log     *notes
-	port    policy.Port
-	Count   Counters
-	now     float64
-	wake    float64
-	timers  timers
-	peers   []peer // by connection
-	clients int
-	halves  int       // buffers held by requests that have come in part
-	idle    []resting // in the order in which they came to rest
-	silent  []resting // in the order in which they came, of those that have said nothing
-	catalog catalog
-	known   []byte // the list to begin with
-	rules   rules
-	fronts  []Front // by door, from 1
-	post    chan func()
-	meter   Meter // or nil
-	started bool
-
-	slots    []slot
-	free     []int
-	held     int
-	searches int
-	open     map[string]*search // by id, those without an answer
-	sending  []int              // servers that this round sends to
-	outcomes []outcome
-	probes   []probe
-	lapses   []*search
-	resumed  []*client
-	failing  bool // something waits for a turn of its own
-	scratch  []byte
-	body     []byte
-	work     []byte // storage for what comes whole in one piece
-	drafts   []draft
-	marks    []int64 // by shard: the last search that named it
-	mark     int64
-
-	sockets   int
-	closed    transport.Conn // by the other side, in the event at hand
-	accepting bool
-	relieving bool
-	crowded   bool // accepting is off, and nobody can give way
-	stopping  bool
-	leaving   bool
-	ajar      bool    // some have connected that can't be taken yet
-	stopped   float64 // when it was told to stop
-	killed    float64 // when it may be killed, or infinite
-}
-
-// rules are the settings that the network obeys.
-type rules struct {
-	connect, idle, grace float64
-	streams, batch       int
-	most                 int
-	longest              float64 // client timeout of a query type
-	shards               int
-	places, span         int
-	kinds, halls         map[string]int
-	second               []bool // by query type: its answer takes a second step, which is not spoken here
-	customers            map[string]int
-	kindNames            []string
-	customerNames        []string
-	fields               map[string]int
-	nFields              int
-	ask                  byte // the letter of probes
-	limit                int  // descriptors
-	asked                bool // discovery is asked, it does not push
+	network        Net
+	pool           *transport.Pool
+	log            *limitedLog
+	policy         policy.Port
+	Count          Counters
+	now            float64
+	wakeAt         float64
+	timers         timers
+	endpoints      []endpoint // by connection
+	clients        int
+	partialBuffers int          // buffers held by requests that have come in part
+	idleClients    []idleClient // in the order in which they came to rest
+	silentClients  []idleClient // in the order in which they came, of those that have said nothing
+	list           serverList
+	initialList    []byte // the list to begin with
+	config         config
+	fronts         []Front // by door, from 1
+	posted         chan func()
+	meter          Meter // or nil
+	started        bool
+
+	entries        []indexEntry
+	freeEntries    []int
+	pending        int
+	openSearches   int
+	searchByID     map[string]*search // by id, those without an answer
+	sending        []int              // servers that this round sends to
+	outcomes       []attemptResult
+	probeResults   []probeResult
+	endedSearches  []*search
+	resumedClients []*client
+	turnRequested  bool // something waits for a turn of its own
+	scratch        []byte
+	body           []byte
+	sharedBuffer   []byte // storage for what comes whole in one piece
+	parsed         []parsedRequest
+	shardMarks     []int64 // by shard: the last search that named it
+	shardMark      int64
+
+	sockets          int
+	closedConn       transport.Conn // by the other side, in the event at hand
+	accepting        bool
+	evicting         bool
+	outOfDescriptors bool // accepting is off, and nobody can give way
+	stopping         bool
+	listenersClosed  bool
+	closeIncomplete  bool    // some have connected that can't be taken yet
+	stoppedAt        float64 // when it was told to stop
+	killAt           float64 // when it may be killed, or infinite
 }
 
-// peer is who stands at the other end of a connection.
-type peer struct {
-	client *client
-	lane   *lane
-	watch  *watch
-	party  Party
+// endpoint is who stands at the other end of a connection.
+type endpoint struct {
+	client  *client
+	conn    *serverConn
+	watch   *watch
+	handler ConnHandler
 }
 
-func (r *Router) peer(c transport.Conn) *peer {
-	for int(c) >= len(r.peers) {
-		r.peers = append(r.peers, peer{})
+func (e *Engine) endpoint(c transport.Conn) *endpoint {
+	for int(c) >= len(e.endpoints) {
+		e.endpoints = append(e.endpoints, endpoint{})
 	}
 	if c < 0 {
-		return &peer{}
+		return &endpoint{}
 	}
-	return &r.peers[c]
+	return &e.endpoints[c]
 }
 
-// slot is what an index of the module stands for.
-type slot struct {
-	search *search
-	part   *part
+// indexEntry is what an index of the module stands for.
+type indexEntry struct {
+	search  *search
+	request *shardRequest
 }
 
-type probe struct {
+type probeResult struct {
 	server int
 	ok     bool
-	sent   float64
+	sentAt float64
 	report []float64
 }
 
-type outcome struct {
-	s      *sub
-	how    policy.Outcome
-	report []float64
+type attemptResult struct {
+	attempt *attempt
+	outcome policy.Outcome
+	report  []float64
 }
 
-// New makes a broker that knows its settings and no server yet.
+// New makes an aggregator that knows its settings and no server yet.
 func New(net Net, pool *transport.Pool, log zerolog.Logger, set settings.Values, seed uint64, sockets int,
-	known []byte, discovery netip.AddrPort, epoch float64) *Router {
-	r := &Router{net: net, pool: pool, log: &notes{log: log}, wake: math.Inf(1), killed: math.Inf(1), accepting: true,
-		known: known, closed: none, post: make(chan func(), postMost), open: map[string]*search{}, work: make([]byte, 0, pool.Size)}
-	r.catalog = catalog{addr: discovery, epoch: epoch, index: map[string]int{}}
-	g := &r.rules
-	*g = rules{connect: set.Num("limits.connect-timeout-ms", 1000), idle: set.Num("limits.conn-idle-ms", math.Inf(1)),
-		grace: set.Num("safety.drain-grace-ms", 0), streams: max(set.Whole("limits.streams-per-conn", 1), 1),
-		batch: max(set.Whole("family-info.batch", 1), 1), most: set.Whole("limits.most-held", 0),
-		shards: set.Whole("family-info.slabs", maxShards), places: max(set.Whole("family-info.places", 1), 1),
-		span: max(set.Whole("family-info.span", 1), 1), kinds: map[string]int{}, halls: map[string]int{},
-		customers: map[string]int{}, fields: map[string]int{}, ask: 'G', limit: sockets, asked: set["discovery"] == "ask"}
-	for i := range set.Count("classes") {
-		first(g.kinds, set.Item("classes", i, "name"), i)
-		g.kindNames = append(g.kindNames, set.Item("classes", i, "name"))
-		g.longest = max(g.longest, set.Num("classes."+strconv.Itoa(i)+".deadline-ms", graceMost))
-		if g.second = append(g.second, set.Nth("family-info.follow-up", i, 0) > 0); g.second[i] {
-			r.log.warn("second step", "searches of type %q are errored: their second step is not spoken on sockets", g.kindNames[i])
+	known []byte, discovery netip.AddrPort, epoch float64) *Engine {
+	e := &Engine{
+		network:      net,
+		pool:         pool,
+		log:          &limitedLog{log: log},
+		wakeAt:       math.Inf(1),
+		killAt:       math.Inf(1),
+		accepting:    true,
+		initialList:  known,
+		closedConn:   noConn,
+		posted:       make(chan func(), maxPosted),
+		searchByID:   map[string]*search{},
+		sharedBuffer: make([]byte, 0, pool.Size),
+		list:         serverList{addr: discovery, epoch: epoch, indexOf: map[string]int{}},
+		config:       newConfig(set, sockets),
+	}
+	for kind, twoPhase := range e.config.twoPhase {
+		if twoPhase {
+			e.log.warn("second step", "searches of type %q are errored: their second step is not spoken on sockets",
+				e.config.kindNames[kind])
 		}
 	}
-	for i := range set.Count("customers") {
-		first(g.customers, set.Item("customers", i, "name"), i)
-		g.customerNames = append(g.customerNames, set.Item("customers", i, "name"))
-	}
-	for i, hall := range set.List("localities") {
-		first(g.halls, hall, i)
-	}
-	for i, name := range set.List("report.fields") {
-		g.fields[name] = i
-		// Servers may write a value by the name that the site's own pages use.
-		if own, ok := reportNames[name]; ok {
-			g.fields[own] = i
-		}
-		g.nFields = i + 1
-	}
-	if g.nFields > 0 && set["report.via"] != "none" {
-		g.ask = 'T'
-	}
-	r.port = set.Port(r, seed)
-	return r
+	e.policy = set.Port(e, seed)
+	return e
 }
 
-// first keeps a name's first number: settings may state a name twice.
-func first(of map[string]int, name string, i int) {
-	if _, known := of[name]; !known {
-		of[name] = i
-	}
-}
-
-const (
-	maxShards = 1 << 20
-	postMost  = 256 // words from other goroutines that wait for a turn
-)
-
-var reportNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
-	"rps": "qps", "err_rps": "eps"}
-
 // Post has something done in the loop, from another goroutine; tell wakes it. The post is bounded: false, and nothing done,
 // where it is full. Whoever posts is pushed back, never the loop.
-func (r *Router) Post(tell func(what int32), do func()) bool {
+func (e *Engine) Post(tell func(what int32), do func()) bool {
 	select {
-	case r.post <- do:
-		tell(Posted)
+	case e.posted <- do:
+		tell(RunPosted)
 		return true
 	default:
 		return false
 	}
 }
 
-// Port is the module, or what stands before it.
-func (r *Router) Port() policy.Port { return r.port }
+// Policy is the module, or what stands before it.
+func (e *Engine) Policy() policy.Port { return e.policy }
 
 // Begin opens a turn: all its events are one round of the module.
-func (r *Router) Begin(now float64) {
-	r.now, r.log.now = now, now
-	r.failing = false
-	r.port.Begin(now)
-	if !r.started {
-		r.started = true
-		r.watch() // first: whatever the list to begin with holds, the watch must be open
-		known := r.known
-		r.known = nil
-		if err := r.list(&watch{}, known); err != nil {
-			r.Count.BadLists++
-			r.log.warn("no list to begin with", "%v", err)
+func (e *Engine) Begin(now float64) {
+	e.now, e.log.now = now, now
+	e.turnRequested = false
+	e.policy.Begin(now)
+	if !e.started {
+		e.started = true
+		e.openWatch() // first: whatever the list to begin with holds, the watch must be open
+		known := e.initialList
+		e.initialList = nil
+		if err := e.applyList(&watch{}, known); err != nil {
+			e.Count.BadLists++
+			e.log.warn("no list to begin with", "%v", err)
 		}
 	}
 }
 
 // End does what is due, has the module decide, and carries it out. What came of that waits for the next turn:
 // the module is never called while it is calling.
-func (r *Router) End() (again bool) {
-	r.drain()
-	for len(r.timers) > 0 && r.timers[0].at <= r.now {
-		r.timers.take().due(r)
-		r.drain()
-	}
-	resumed := r.resumed
-	r.resumed = nil
-	for _, c := range resumed {
-		r.feedHeld(c)
-		r.drain()
-	}
-	for _, q := range r.lapses {
-		if !q.forgotten && len(q.parts) > 0 {
-			r.port.ClientGone(q.at)
+func (e *Engine) End() (again bool) {
+	e.deliverResults()
+	for len(e.timers) > 0 && e.timers[0].at <= e.now {
+		e.timers.take().due(e)
+		e.deliverResults()
+	}
+	resumed := e.resumedClients
+	e.resumedClients = nil
+	for _, client := range resumed {
+		e.resumeClient(client)
+		e.deliverResults()
+	}
+	for _, search := range e.endedSearches {
+		if !search.forgotten && len(search.requests) > 0 {
+			e.policy.ClientGone(search.index)
 		}
 	}
-	r.lapses = r.lapses[:0]
-	r.drain()
-	if r.now >= r.wake {
-		r.wake = math.Inf(1)
-		r.port.Woken()
+	e.endedSearches = e.endedSearches[:0]
+	e.deliverResults()
+	if e.now >= e.wakeAt {
+		e.wakeAt = math.Inf(1)
+		e.policy.Woken()
 	}
-	r.port.End()
-	r.dispatch()
-	for _, f := range r.fronts {
-		f.Flush()
+	e.policy.End()
+	e.sendBatches()
+	for _, front := range e.fronts {
+		front.Flush()
 	}
-	r.leave()
-	next := r.wake
-	if len(r.timers) > 0 {
-		next = min(next, r.timers[0].at)
+	e.stopWhenIdle()
+	next := e.wakeAt
+	if len(e.timers) > 0 {
+		next = min(next, e.timers[0].at)
 	}
 	if !math.IsInf(next, 1) {
-		r.net.Arm(next)
+		e.network.Arm(next)
 	}
-	return r.failing || len(r.outcomes)+len(r.probes) > 0 || len(r.resumed) > 0
+	return e.turnRequested || len(e.outcomes)+len(e.probeResults) > 0 || len(e.resumedClients) > 0
 }
 
-// drain tells the module how sub-requests ended.
-func (r *Router) drain() {
-	for i := 0; i < len(r.outcomes); i++ {
-		o := r.outcomes[i]
-		p := o.s.part
-		if o.how == policy.Answered && !p.in {
-			if p.in = true; !p.q.ended {
-				r.held--
+// deliverResults tells the module how sub-requests ended.
+func (e *Engine) deliverResults() {
+	for i := 0; i < len(e.outcomes); i++ {
+		result := e.outcomes[i]
+		req := result.attempt.request
+		if result.outcome == policy.Answered && !req.reported {
+			if req.reported = true; !req.search.ended {
+				e.pending--
 			}
 		}
-		r.Count.outcome(o.how)
-		r.port.Done(p.at, o.s.no, o.how, o.report)
+		e.Count.outcome(result.outcome)
+		e.policy.Done(req.index, result.attempt.number, result.outcome, result.report)
 	}
-	r.outcomes = r.outcomes[:0]
-	for _, p := range r.probes {
-		r.port.Probed(p.server, p.ok, r.now-p.sent, p.report)
+	e.outcomes = e.outcomes[:0]
+	for _, result := range e.probeResults {
+		e.policy.Probed(result.server, result.ok, e.now-result.sentAt, result.report)
 	}
-	r.probes = r.probes[:0]
+	e.probeResults = e.probeResults[:0]
 }
 
 // after has something done once a time has come.
-func (r *Router) after(in float64, due func(r *Router)) *timer { return r.timers.add(r.now+in, due) }
+func (e *Engine) after(in float64, due func(e *Engine)) *timer { return e.timers.add(e.now+in, due) }
 
 // Told takes a word from another goroutine: that the process has to end, that the configuration was read,
 // and the like.
-func (r *Router) Told(what int32) {
+func (e *Engine) Told(what int32) {
 	switch what {
 	case Terminate:
-		r.terminate()
+		e.terminate()
 	case Report:
-		r.Print("asked for")
-	case Move:
-		if to := r.Discovery.Load(); to != nil {
-			r.move(*to)
+		e.Print("asked for")
+	case MoveDiscovery:
+		if to := e.Discovery.Load(); to != nil {
+			e.moveDiscovery(*to)
 		}
-	case Posted:
+	case RunPosted:
 		for {
 			select {
-			case do := <-r.post:
+			case do := <-e.posted:
 				do()
 				continue
 			default:
 			}
 			break
 		}
-	case Reread:
-		for _, f := range r.fronts {
-			f.Reload()
+	case ReloadFronts:
+		for _, front := range e.fronts {
+			front.Reload()
 		}
 	}
 }
 
 // terminate goes on serving while clients still come and ask, then takes no more and leaves once all is answered.
-func (r *Router) terminate() {
-	if r.stopping {
+func (e *Engine) terminate() {
+	if e.stopping {
 		return
 	}
-	grace := min(r.rules.longest, graceMost) + graceMore
-	r.stopping, r.stopped, r.killed = true, r.now, r.now+grace
-	r.log.info("stopping", "%d searches held, %d clients", r.searches, r.clients)
-	r.after(stopLeast, func(*Router) {}) // a turn, for leave
-	for _, s := range r.slots {
-		if s.search != nil && !s.search.ended {
-			r.hasten(s.search, r.killed-lastWord)
+	grace := min(e.config.longestTimeout, maxClientTimeout) + killMargin
+	e.stopping, e.stoppedAt, e.killAt = true, e.now, e.now+grace
+	e.log.info("stopping", "%d searches held, %d clients", e.openSearches, e.clients)
+	e.after(minServeAfterStop, func(*Engine) {}) // a turn, for leave
+	for _, entry := range e.entries {
+		if entry.search != nil && !entry.search.ended {
+			e.shortenDeadline(entry.search, e.killAt-answerBeforeKill)
 		}
 	}
-	for _, f := range r.fronts {
-		f.Stopping(r.killed - lastWord)
+	for _, front := range e.fronts {
+		front.Stopping(e.killAt - answerBeforeKill)
 	}
-	r.after(max(stopLeast, stopShare*grace), (*Router).unlisten)
+	e.after(max(minServeAfterStop, serveShareAfterStop*grace), (*Engine).stopAccepting)
 }
 
-func (r *Router) unlisten() {
-	if r.leaving {
+func (e *Engine) stopAccepting() {
+	if e.listenersClosed {
 		return
 	}
-	r.accepting, r.leaving = false, true
-	r.shutDoors()
-	for _, f := range r.fronts {
-		f.Leaving()
+	e.accepting, e.listenersClosed = false, true
+	e.closeListeners()
+	for _, front := range e.fronts {
+		front.Leaving()
 	}
 	// All of it follows from the time that is left: with short client timeouts that is far less than a second.
-	left := max(r.killed-lastWord-r.now, 0)
-	cut := min(cutOff, cutShare*left)
-	r.after(min(lastCalls, cut/2), func(r *Router) { r.finishAll(func(c *client) bool { return c.idle() && c.spoke }) })
-	r.after(cut, func(r *Router) { r.finishAll(func(c *client) bool { return c.search == nil }) })
-	r.after(left+lastWord-lastLook, func(r *Router) { // their answers are out for long
-		for _, p := range r.peers {
-			if p.client != nil && p.client.done {
-				r.part(p.client)
+	left := max(e.killAt-answerBeforeKill-e.now, 0)
+	cut := min(maxRequestAfterClose, requestShareAfterClose*left)
+	e.after(min(lastRequestWindow, cut/2), func(e *Engine) {
+		e.finishClients(func(client *client) bool { return client.idle() && client.sentRequest })
+	})
+	e.after(cut, func(e *Engine) { e.finishClients(func(client *client) bool { return client.search == nil }) })
+	e.after(left+answerBeforeKill-lingerEndBeforeKill, func(e *Engine) { // their answers are out for long
+		for _, p := range e.endpoints {
+			if p.client != nil && p.client.finishing {
+				e.dropClient(p.client)
 			}
 		}
 	})
 }
 
-// shutDoors takes who has connected and closes the addresses. Who can't be taken for want of a descriptor would be ended
+// closeListeners takes who has connected and closes the addresses. Who can't be taken for want of a descriptor would be ended
 // without a word: idle ones give way, and it is tried again until all are in.
-func (r *Router) shutDoors() {
-	if r.ajar = !r.net.Unlisten(); !r.ajar {
+func (e *Engine) closeListeners() {
+	if e.closeIncomplete = !e.network.Unlisten(); !e.closeIncomplete {
 		return
 	}
-	r.Count.Ajar++
-	for range max(int(relieved*float64(r.clientsMost())), 1) {
-		if !r.giveWay() {
+	e.Count.CloseRetries++
+	for range max(int(evictShare*float64(e.maxClients())), 1) {
+		if !e.evictClient() {
 			break
 		}
 	}
-	r.after(doorAgain, (*Router).shutDoors)
+	e.after(closeRetryDelay, (*Engine).closeListeners)
 }
 
-// hasten brings a search's end forward: this broker will be gone by then.
-func (r *Router) hasten(q *search, until float64) {
-	if until >= q.until {
+// shortenDeadline brings a search's end forward: this broker will be gone by then.
+func (e *Engine) shortenDeadline(search *search, until float64) {
+	if until >= search.deadline {
 		return
 	}
-	q.until = until
-	r.timers.drop(q.limit)
-	r.limit(q)
-	r.port.ShortenDeadline(q.at, until)
-	for _, p := range q.parts {
-		for _, s := range p.subs {
-			if s.state != over && s.within > until {
-				s.within = until
-				if s.limit != nil {
-					r.timers.drop(s.limit)
-					s.limit = r.timers.add(until, func(r *Router) { r.timedOut(s) })
+	search.deadline = until
+	e.timers.drop(search.timer)
+	e.armSearchTimer(search)
+	e.policy.ShortenDeadline(search.index, until)
+	for _, req := range search.requests {
+		for _, attempt := range req.attempts {
+			if attempt.state != stateEnded && attempt.deadline > until {
+				attempt.deadline = until
+				if attempt.timer != nil {
+					e.timers.drop(attempt.timer)
+					attempt.timer = e.timers.add(until, func(e *Engine) { e.attemptTimedOut(attempt) })
 				}
 			}
 		}
 	}
 }
 
-func (r *Router) finishAll(which func(*client) bool) {
-	for _, p := range r.peers {
+func (e *Engine) finishClients(which func(*client) bool) {
+	for _, p := range e.endpoints {
 		if p.client != nil && which(p.client) {
-			r.finish(p.client)
+			e.finishClient(p.client)
 		}
 	}
 }
 
-func (r *Router) leave() {
-	if r.stopping && r.clients == 0 && r.idleFronts() && r.now >= r.stopped+stopLeast {
-		r.unlisten() // which may bring clients
+func (e *Engine) stopWhenIdle() {
+	if e.stopping && e.clients == 0 && e.frontsIdle() && e.now >= e.stoppedAt+minServeAfterStop {
+		e.stopAccepting() // which may bring clients
 	}
-	if r.leaving && !r.ajar && r.clients == 0 && r.idleFronts() {
-		r.net.Stop()
+	if e.listenersClosed && !e.closeIncomplete && e.clients == 0 && e.frontsIdle() {
+		e.network.Stop()
 	}
 }
 
 // Opened implements transport.Handler: a connection that was asked for is up.
-func (r *Router) Opened(c transport.Conn) {
-	if l := r.peer(c).lane; l != nil {
-		r.laneOpened(l)
-	} else if w := r.peer(c).watch; w != nil {
-		r.watchOpened(w)
-	} else if p := r.peer(c).party; p != nil {
-		p.Opened()
-	}
-	r.drain()
+func (e *Engine) Opened(c transport.Conn) {
+	if conn := e.endpoint(c).conn; conn != nil {
+		e.serverConnOpened(conn)
+	} else if watch := e.endpoint(c).watch; watch != nil {
+		e.watchOpened(watch)
+	} else if handler := e.endpoint(c).handler; handler != nil {
+		handler.Opened()
+	}
+	e.deliverResults()
 }
 
 // Bytes implements transport.Handler: bytes came on a connection, at a time.
-func (r *Router) Bytes(c transport.Conn, b []byte, came float64) {
-	r.Count.BytesIn += int64(len(b))
-	if k := r.peer(c).client; k != nil {
-		r.clientBytes(k, b, came)
-	} else if l := r.peer(c).lane; l != nil {
-		r.laneBytes(l, b)
-	} else if w := r.peer(c).watch; w != nil {
-		r.watchBytes(w, b)
-	} else if p := r.peer(c).party; p != nil {
-		p.Bytes(b, came)
-	}
-	r.drain()
+func (e *Engine) Bytes(c transport.Conn, b []byte, came float64) {
+	e.Count.BytesIn += int64(len(b))
+	if client := e.endpoint(c).client; client != nil {
+		e.clientBytes(client, b, came)
+	} else if conn := e.endpoint(c).conn; conn != nil {
+		e.serverConnBytes(conn, b)
+	} else if watch := e.endpoint(c).watch; watch != nil {
+		e.watchBytes(watch, b)
+	} else if handler := e.endpoint(c).handler; handler != nil {
+		handler.Bytes(b, came)
+	}
+	e.deliverResults()
 }
 
 // Written implements transport.Handler: the system has taken what was written on a connection up to there.
-func (r *Router) Written(c transport.Conn, upTo int64) {
-	if k := r.peer(c).client; k != nil {
-		k.written = upTo
-	} else if l := r.peer(c).lane; l != nil {
-		if l.written = upTo; upTo > l.frame {
-			l.last, l.behind = nil, l.behind[:0]
+func (e *Engine) Written(c transport.Conn, upTo int64) {
+	if client := e.endpoint(c).client; client != nil {
+		client.writtenOffset = upTo
+	} else if conn := e.endpoint(c).conn; conn != nil {
+		if conn.writtenOffset = upTo; upTo > conn.frameStart {
+			conn.lastBatch, conn.writtenAfter = nil, conn.writtenAfter[:0]
 		}
-		r.pump(l)
-	} else if p := r.peer(c).party; p != nil {
-		p.Written(upTo)
-		r.drain()
+		e.writeNextBatch(conn)
+	} else if handler := e.endpoint(c).handler; handler != nil {
+		handler.Written(upTo)
+		e.deliverResults()
 	}
 }
 
 // Closed implements transport.Handler: a connection is gone, and what was written behind upTo never left.
-func (r *Router) Closed(c transport.Conn, upTo int64) {
-	r.sockets--
-	r.closed = c
-	if k := r.peer(c).client; k != nil {
-		r.clientGone(k)
-	} else if l := r.peer(c).lane; l != nil {
-		l.written = upTo
-		r.laneGone(l)
-	} else if w := r.peer(c).watch; w != nil {
-		*r.peer(c) = peer{}
-		r.watchLost(w, "closed")
-	} else if p := r.peer(c).party; p != nil {
-		r.partyGone(c, p, upTo)
-	}
-	r.drain()
-	r.acceptAgain()
-	r.closed = none
+func (e *Engine) Closed(c transport.Conn, upTo int64) {
+	e.sockets--
+	e.closedConn = c
+	if client := e.endpoint(c).client; client != nil {
+		e.clientClosed(client)
+	} else if conn := e.endpoint(c).conn; conn != nil {
+		conn.writtenOffset = upTo
+		e.serverConnClosed(conn)
+	} else if watch := e.endpoint(c).watch; watch != nil {
+		*e.endpoint(c) = endpoint{}
+		e.watchLost(watch, "closed")
+	} else if handler := e.endpoint(c).handler; handler != nil {
+		e.handlerClosed(c, handler, upTo)
+	}
+	e.deliverResults()
+	e.resumeAccepting()
+	e.closedConn = noConn
 }
 
 // close drops a connection from this side.
-func (r *Router) close(c transport.Conn) {
-	if c == r.closed {
+func (e *Engine) close(c transport.Conn) {
+	if c == e.closedConn {
 		return // the other side was first, and handling that failed
 	}
-	r.sockets--
-	r.net.Close(c)
+	e.sockets--
+	e.network.Close(c)
 }
 
 // Panicked errors what a failed event concerns, and nothing else where that is known.
-func (r *Router) Panicked(c transport.Conn, what any, stack []byte) {
-	r.Count.Panics++
-	defer func() { r.closed = none }()
-	r.log.fail(what, stack)
+func (e *Engine) Panicked(c transport.Conn, what any, stack []byte) {
+	e.Count.Panics++
+	defer func() { e.closedConn = noConn }()
+	e.log.fail(what, stack)
 	if must.Debug {
 		panic(what)
 	}
-	if k := r.peer(c).client; k != nil {
-		if q := k.search; q != nil {
-			r.end(q, 500, 0, nil)
-			r.lapses = append(r.lapses, q)
+	if client := e.endpoint(c).client; client != nil {
+		if search := client.search; search != nil {
+			e.endSearch(search, 500, 0, nil)
+			e.endedSearches = append(e.endedSearches, search)
 		}
-		if c == r.closed {
-			r.clientGone(k)
+		if c == e.closedConn {
+			e.clientClosed(client)
 		} else {
-			r.finish(k)
+			e.finishClient(client)
 		}
-	} else if l := r.peer(c).lane; l != nil {
-		r.close(c)
-		r.laneGone(l)
-	} else if w := r.peer(c).watch; w != nil {
-		r.dropWatch(w, "failed")
-	} else if p := r.peer(c).party; p != nil {
-		r.close(c)
-		r.partyGone(c, p, 0)
+	} else if conn := e.endpoint(c).conn; conn != nil {
+		e.close(c)
+		e.serverConnClosed(conn)
+	} else if watch := e.endpoint(c).watch; watch != nil {
+		e.dropWatch(watch, "failed")
+	} else if handler := e.endpoint(c).handler; handler != nil {
+		e.close(c)
+		e.handlerClosed(c, handler, 0)
 	} else {
-		r.net.Arm(r.now + retry) // the round was cut short: what it would have armed is not known
-		for _, s := range r.slots {
-			if s.search != nil && !s.search.ended {
-				r.end(s.search, 500, 0, nil)
-				r.lapses = append(r.lapses, s.search)
+		e.network.Arm(e.now + roundRetryDelay) // the round was cut short: what it would have armed is not known
+		for _, entry := range e.entries {
+			if entry.search != nil && !entry.search.ended {
+				e.endSearch(entry.search, 500, 0, nil)
+				e.endedSearches = append(e.endedSearches, entry.search)
 			}
 		}
 	}
 }
 
-// take gives an index to a search or a part.
-func (r *Router) take(s slot) int {
-	if n := len(r.free); n > 0 {
-		at := r.free[n-1]
-		r.free = r.free[:n-1]
-		r.slots[at] = s
+// newIndex gives an index to a search or a part.
+func (e *Engine) newIndex(entry indexEntry) int {
+	if n := len(e.freeEntries); n > 0 {
+		at := e.freeEntries[n-1]
+		e.freeEntries = e.freeEntries[:n-1]
+		e.entries[at] = entry
 		return at
 	}
-	r.slots = append(r.slots, s)
-	return len(r.slots) - 1
+	e.entries = append(e.entries, entry)
+	return len(e.entries) - 1
 }
 
 // Wake implements policy.Out, as does Log; its other methods stand with what they concern.
-func (r *Router) Wake(in float64) { r.wake = min(r.wake, r.now+in) }
+func (e *Engine) Wake(in float64) { e.wakeAt = min(e.wakeAt, e.now+in) }
 
 // Log writes what the module has to say. News of a whole site must not be held back behind lines about single servers.
-func (r *Router) Log(text string) {
+func (e *Engine) Log(text string) {
 	kind := "decision"
 	if strings.HasPrefix(text, "site ") {
 		kind = "site"
 	}
-	r.log.info(kind, "%s", text)
+	e.log.info(kind, "%s", text)
 }
 
 // Forget frees the indices of a search of which nothing is out any more.
-func (r *Router) Forget(at int) {
-	q := r.slots[at].search
-	for _, p := range q.parts {
-		for _, s := range p.subs {
-			must.Hold(s.state == over, "nothing is out of a search that is forgotten")
+func (e *Engine) Forget(at int) {
+	search := e.entries[at].search
+	for _, req := range search.requests {
+		for _, attempt := range req.attempts {
+			must.Hold(attempt.state == stateEnded, "nothing is out of a search that is forgotten")
 		}
-		r.slots[p.at] = slot{}
-		r.free = append(r.free, p.at)
-	}
-	must.Hold(q.ended, "a search is forgotten after its answer")
-	q.forgotten = true
-	r.meterSearch(q)
-	r.slots[at] = slot{}
-	r.free = append(r.free, at)
+		e.entries[req.index] = indexEntry{}
+		e.freeEntries = append(e.freeEntries, req.index)
+	}
+	must.Hold(search.ended, "a search is forgotten after its answer")
+	search.forgotten = true
+	e.recordUsage(search)
+	e.entries[at] = indexEntry{}
+	e.freeEntries = append(e.freeEntries, at)
 }
--- a/internal/aggregator/engine/routing_test.go
+++ b/internal/aggregator/engine/routing_test.go
@@ -66,7 +66,7 @@
 // world is the network and all who stand behind it. What happens is drawn from a seed.
 type world struct {
 	t       testing.TB
-	r       *Router
+	r       *Engine
 	pool    *transport.Pool
 	rng     *rand.Rand
 	now     float64
@@ -187,7 +187,7 @@
 
 // turn plays events in one turn, and those that must follow at once.
 func (w *world) turn(events ...func()) {
-	for first := true; first || w.r.failing; first = false {
+	for first := true; first || w.r.turnRequested; first = false {
 		w.r.Begin(w.now)
 		if first {
 			for _, e := range events {
@@ -209,7 +209,7 @@
 		}
 		again := w.r.End()
 		w.network()
-		w.r.failing = again || len(w.dying) > 0
+		w.r.turnRequested = again || len(w.dying) > 0
 	}
 	w.check()
 }
@@ -482,8 +482,8 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, ill uint8) {
 		w := newWorld(t, seed, 8)
-		b := &book{by: map[Ending]int64{}}
-		w.r.Measure(b)
+		b := &book{by: map[Result]int64{}}
+		w.r.SetMeter(b)
 		bad := int(ill % 8)
 		w.turn()
 		for step := range 1500 {
@@ -567,11 +567,11 @@
 		w.turn(events...)
 	}
 	r := w.r
-	if !w.stopped || r.clients != 0 || r.searches != 0 || r.held != 0 {
-		w.t.Fatalf("stopped %v, %d clients, %d searches, %d held", w.stopped, r.clients, r.searches, r.held)
+	if !w.stopped || r.clients != 0 || r.openSearches != 0 || r.pending != 0 {
+		w.t.Fatalf("stopped %v, %d clients, %d searches, %d held", w.stopped, r.clients, r.openSearches, r.pending)
 	}
-	if len(r.free) != len(r.slots) || w.pool.Out() != 0 {
-		w.t.Fatalf("%d of %d indices free, %d buffers out", len(r.free), len(r.slots), w.pool.Out())
+	if len(r.freeEntries) != len(r.entries) || w.pool.Out() != 0 {
+		w.t.Fatalf("%d of %d indices free, %d buffers out", len(r.freeEntries), len(r.entries), w.pool.Out())
 	}
 	open := 0
 	for _, e := range w.ends {
@@ -664,7 +664,7 @@
 		w.now += 10
 		w.turn()
 	}
-	if len(e.sent) > 0 || w.r.Count.Unbegun != 1 {
+	if len(e.sent) > 0 || w.r.Count.Retracted != 1 {
 		t.Error("the frame may still begin past the grace")
 	}
 	if w.ends[c] != e {
@@ -696,8 +696,8 @@
 		w.ask("quick", 900, 0)
 	})
 	w.answered(w.callers[0])
-	if w.callers[0].status != 200 || len(w.r.open) != 0 {
-		t.Error(w.callers[0].status, len(w.r.open))
+	if w.callers[0].status != 200 || len(w.r.searchByID) != 0 {
+		t.Error(w.callers[0].status, len(w.r.searchByID))
 	}
 }
 
@@ -721,8 +721,8 @@
 	}
 	ready := func(want int, why string) {
 		t.Helper()
-		if w.r.catalog.ready != want {
-			t.Errorf("%s: %d ready, want %d", why, w.r.catalog.ready, want)
+		if w.r.list.ready != want {
+			t.Errorf("%s: %d ready, want %d", why, w.r.list.ready, want)
 		}
 	}
 	say(entry(9, false, "draining"))
@@ -737,35 +737,35 @@
 				}
 			}
 		})
-		w.now += askAgain
+		w.now += maxWatchBackoff
 		w.turn()
 		w.open()
 	}
 	again()
 	say(entry(3, true, "ready"))
 	ready(1, "an older whole list")
-	if w.r.catalog.watch != nil {
+	if w.r.list.watch != nil {
 		t.Error("its watch is kept")
 	}
-	w.now += askAgain
+	w.now += maxWatchBackoff
 	w.turn()
 	w.open()
 	say(entry(3, true, "ready"))
 	ready(1, "the same again")
-	if w.r.catalog.version != 9 {
+	if w.r.list.version != 9 {
 		t.Error("an older list was taken")
 	}
-	w.now += insists
+	w.now += olderListTimeout
 	w.turn()
 	w.open()
 	say(entry(3, true, "ready"))
 	ready(1, "the same for long: s1 is gone, s0 is back")
-	if w.r.catalog.version != 3 {
-		t.Error("discovery counts anew, at ", w.r.catalog.version)
+	if w.r.list.version != 3 {
+		t.Error("discovery counts anew, at ", w.r.list.version)
 	}
 	say("{broken")
 	ready(1, "a broken line")
-	if w.r.Count.BadLists == 0 || w.r.catalog.watch != nil {
+	if w.r.Count.BadLists == 0 || w.r.list.watch != nil {
 		t.Error("a broken line keeps its watch")
 	}
 }
@@ -811,7 +811,7 @@
 	first, second, third := ask(), ask(), ask()
 	fails(of(first))
 	fails(w.lanes()[0])
-	fails(none)
+	fails(noConn)
 	if must.Debug {
 		return
 	}
@@ -820,8 +820,8 @@
 			t.Errorf("search %s: %d answers, %d", k.id, k.answers, k.status)
 		}
 	}
-	if first.status != 500 || third.status != 500 || w.r.searches != 0 {
-		t.Error(first.status, third.status, w.r.searches)
+	if first.status != 500 || third.status != 500 || w.r.openSearches != 0 {
+		t.Error(first.status, third.status, w.r.openSearches)
 	}
 	w.settle()
 }
@@ -836,7 +836,7 @@
 		if !w.paused {
 			t.Fatal("accepting goes on without descriptors")
 		}
-		w.turn(w.r.acceptAgain)
+		w.turn(w.r.resumeAccepting)
 	}
 	if n := len(w.r.timers) - before; n > 1 {
 		t.Errorf("%d timers wait", n)
@@ -850,7 +850,7 @@
 			return transport.Conn(c)
 		}
 	}
-	return none
+	return noConn
 }
 
 // pass lets time go by in turns as the timer asks for them.
@@ -872,17 +872,17 @@
 	c := w.watching()
 	first := w.ends[c]
 	for range 4 {
-		w.pass(beat)
+		w.pass(heartbeatInterval)
 		w.turn(func() { w.say(c, []byte("1\r\n\n\r\n")) })
 	}
 	if w.ends[c] != first {
 		t.Fatal("a watch that beats was given up")
 	}
-	w.pass(silence + askAgain + 1)
-	if c := w.watching(); c == none || w.ends[c] == first || w.r.Count.WatchesLost != 1 {
+	w.pass(heartbeatTimeout + maxWatchBackoff + 1)
+	if c := w.watching(); c == noConn || w.ends[c] == first || w.r.Count.WatchesLost != 1 {
 		t.Error("a silent watch was not opened anew")
 	}
-	if w.r.catalog.ready != 2 {
+	if w.r.list.ready != 2 {
 		t.Error("its list was not kept")
 	}
 }
@@ -924,11 +924,11 @@
 		w.say(c, []byte("POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\nabc"))
 		w.r.Told(Terminate)
 	})
-	w.pass(stopShare*(1000+graceMore) + 1)
+	w.pass(serveShareAfterStop*(1000+killMargin) + 1)
 	if w.ends[c] != half || half.finished || !w.deaf {
 		t.Error("it was cut off before its time, or the address is open")
 	}
-	w.pass(cutOff + lingers + 1)
+	w.pass(maxRequestAfterClose + lingerTimeout + 1)
 	if !w.stopped || w.pool.Out() != 0 {
 		t.Error("it did not stop")
 	}
@@ -953,7 +953,7 @@
 	if len(w.ends[reader].sent) == 0 {
 		t.Fatal("no answer waits")
 	}
-	w.pass(wholeWithin - 100)
+	w.pass(requestTimeout - 100)
 	if half.client.answers != 0 || w.ends[reader] == nil {
 		t.Error("let go of too soon")
 	}
@@ -961,9 +961,9 @@
 	if half.client.status != 408 {
 		t.Error("half a request is waited for, ", half.client.status)
 	}
-	w.pass(slowest + lingers)
-	if w.ends[reader] != nil || w.r.Count.Stuck != 1 || w.r.clients != 0 || w.pool.Out() != 0 {
-		t.Error(w.r.Count.Stuck, w.r.clients, w.pool.Out())
+	w.pass(writeTimeout + lingerTimeout)
+	if w.ends[reader] != nil || w.r.Count.WriteTimeouts != 1 || w.r.clients != 0 || w.pool.Out() != 0 {
+		t.Error(w.r.Count.WriteTimeouts, w.r.clients, w.pool.Out())
 	}
 }
 
@@ -977,12 +977,12 @@
 				return transport.Conn(c)
 			}
 		}
-		return none
+		return noConn
 	}
 	move := func(ip string) {
 		to := netip.MustParseAddrPort(ip + ":9")
 		w.r.Discovery.Store(&to)
-		w.turn(func() { w.r.Told(Move) })
+		w.turn(func() { w.r.Told(MoveDiscovery) })
 	}
 	say := func(ip, state string, version int, whole bool) {
 		t.Helper()
@@ -992,34 +992,34 @@
 	}
 	ready := func(want int, why string) {
 		t.Helper()
-		if w.r.catalog.ready != want {
-			t.Errorf("%s: %d ready, want %d", why, w.r.catalog.ready, want)
+		if w.r.list.ready != want {
+			t.Errorf("%s: %d ready, want %d", why, w.r.list.ready, want)
 		}
 	}
 	say("127.0.0.1", "ready", 50, false)
 	move("127.0.0.2")
-	if at("127.0.0.1") == none || at("127.0.0.2") == none {
+	if at("127.0.0.1") == noConn || at("127.0.0.2") == noConn {
 		t.Fatal("both addresses are to be heard until the new one has told its list")
 	}
 	say("127.0.0.1", "draining", 51, false)
 	ready(1, "a drain told by the old address")
 	move("127.0.0.3") // before the second has said anything
-	if at("127.0.0.2") != none || at("127.0.0.1") == none {
+	if at("127.0.0.2") != noConn || at("127.0.0.1") == noConn {
 		t.Error("the one that has told a list is to be kept, the other not")
 	}
 	w.turn(func() { w.lose(at("127.0.0.1")) })
 	ready(1, "the old address closes")
 	w.turn(func() { w.lose(at("127.0.0.3")) })
 	ready(1, "the new one refuses")
-	w.pass(askAgain + 1)
+	w.pass(maxWatchBackoff + 1)
 	w.open()
 	if got := string(w.ends[at("127.0.0.3")].sent) + string(w.ends[at("127.0.0.3")].got); strings.Contains(got, "after=5") {
 		t.Error("a version of another address is asked for: ", got)
 	}
 	say("127.0.0.3", "ready", 3, true)
 	ready(1, "s0 is back and s1 gone, by the new address's versions")
-	if w.r.catalog.version != 3 || w.r.Count.WatchesLost != 1 {
-		t.Error(w.r.catalog.version, w.r.Count.WatchesLost)
+	if w.r.list.version != 3 || w.r.Count.WatchesLost != 1 {
+		t.Error(w.r.list.version, w.r.Count.WatchesLost)
 	}
 	say("127.0.0.3", "draining", 2, false)
 	ready(1, "there too an older change is none")
@@ -1036,7 +1036,7 @@
 	w.answer(w.lanes()[0])
 	c := transport.Conn(slices.IndexFunc(w.ends, func(e *end) bool { return e != nil && e.client == k }))
 	w.turn(func() { w.r.Told(Terminate) })
-	began, grace := w.now, 1000.+graceMore
+	began, grace := w.now, 1000.+killMargin
 	again := func(budget float64) *caller {
 		next := &caller{id: fmt.Sprint("again", len(w.callers)), shards: []int{0}, late: w.now + budget + slack, asked: true}
 		w.byID[next.id], w.ends[c].client, w.callers = next, next, append(w.callers, next)
@@ -1047,7 +1047,7 @@
 		})
 		return next
 	}
-	for w.now < began+stopShare*grace-50 {
+	for w.now < began+serveShareAfterStop*grace-50 {
 		k := again(900)
 		w.answered(k)
 		if k.status != 200 || w.ends[c] == nil || w.ends[c].finished || w.deaf {
@@ -1056,7 +1056,7 @@
 		w.pass(100)
 	}
 	held := again(1000) // its servers say nothing
-	w.pass(began + grace - lastWord - w.now)
+	w.pass(began + grace - answerBeforeKill - w.now)
 	if held.answers != 1 || held.status == 200 {
 		t.Errorf("%d answers, %d: the last search is to be ended before the kill", held.answers, held.status)
 	}
@@ -1087,8 +1087,8 @@
 	if len(silent) >= 200 || !w.paused {
 		t.Fatal(len(silent), "taken with 200 descriptors")
 	}
-	w.pass(mute + resume + 1)
-	if w.paused || w.r.crowded {
+	w.pass(minSilenceBeforeEvict + acceptRetryDelay + 1)
+	if w.paused || w.r.outOfDescriptors {
 		t.Error("who has said nothing makes no room")
 	}
 	var k *caller
@@ -1097,11 +1097,11 @@
 	if k.status != 200 {
 		t.Error("a client among silent ones: ", k.status)
 	}
-	w.pass(firstByte + 1)
+	w.pass(firstRequestTimeout + 1)
 	if w.r.clients != 1 {
 		t.Error(w.r.clients, "clients, want the one that asked")
 	}
-	w.pass(idleMost + 1)
+	w.pass(clientIdleTimeout + 1)
 	if w.r.clients != 0 || w.r.Count.Idle != 1 {
 		t.Error("an idle connection is kept for good")
 	}
@@ -1131,9 +1131,9 @@
 	if k.status != 200 {
 		t.Error("a whole request among half ones: ", k.status)
 	}
-	w.pass(wholeWithin + lingerMost)
-	if w.pool.Out() != 0 || w.r.halves != 0 {
-		t.Error(w.pool.Out(), w.r.halves)
+	w.pass(requestTimeout + maxLinger)
+	if w.pool.Out() != 0 || w.r.partialBuffers != 0 {
+		t.Error(w.pool.Out(), w.r.partialBuffers)
 	}
 }
 
@@ -1147,13 +1147,13 @@
 		t.Fatal(e.client.status)
 	}
 	for range 4 {
-		w.pass(lingers - 100)
+		w.pass(lingerTimeout - 100)
 		if w.ends[c] != e {
 			t.Fatal("closed under a client that is sending: its answer is lost to a reset")
 		}
 		w.turn(func() { w.r.Bytes(c, nil, w.now) })
 	}
-	w.pass(lingers + 1)
+	w.pass(lingerTimeout + 1)
 	if w.ends[c] == e {
 		t.Error("a client that does not close is kept")
 	}
@@ -1176,8 +1176,8 @@
 		}
 		w.now++
 	}
-	if n := len(w.r.timers); n > 30 || len(w.r.open) != 0 {
-		t.Errorf("%d timers and %d open ids are left of 200 searches", n, len(w.r.open))
+	if n := len(w.r.timers); n > 30 || len(w.r.searchByID) != 0 {
+		t.Errorf("%d timers and %d open ids are left of 200 searches", n, len(w.r.searchByID))
 	}
 }
 
@@ -1203,7 +1203,7 @@
 		}
 		slices.SortFunc(all, func(a, b *timer) int { return int(a.at - b.at) })
 		for i, want := range all {
-			if got := heap.take(); got.at != want.at || got.pos >= 0 {
+			if got := heap.take(); got.at != want.at || got.heapIndex >= 0 {
 				t.Fatalf("timer %d at %v, want %v", i, got.at, want.at)
 			}
 		}
@@ -1308,19 +1308,19 @@
 			w.answered(k)
 		}
 		for range 5 {
-			w.pass(beat / 2)
+			w.pass(heartbeatInterval / 2)
 			w.turn(func() { w.say(c, []byte("1\r\n\n\r\n")) })
 		}
-		most = max(most, len(w.r.catalog.servers))
+		most = max(most, len(w.r.list.servers))
 	}
-	k := &w.r.catalog
-	if live := len(k.index); live > 8+forgets/(2.5*beat)+2 || most > 30 || len(k.servers) != live+len(k.free) {
-		t.Errorf("%d servers known, %d places for them, %d free, after 120 generations", live, len(k.servers), len(k.free))
+	k := &w.r.list
+	if live := len(k.indexOf); live > 8+serverRetention/(2.5*heartbeatInterval)+2 || most > 30 || len(k.servers) != live+len(k.freeIndices) {
+		t.Errorf("%d servers known, %d places for them, %d free, after 120 generations", live, len(k.servers), len(k.freeIndices))
 	}
-	if n := len(w.r.timers); n > 60 || len(w.r.slots) > 60 {
-		t.Errorf("%d timers wait, %d searches and parts have places", n, len(w.r.slots))
+	if n := len(w.r.timers); n > 60 || len(w.r.entries) > 60 {
+		t.Errorf("%d timers wait, %d searches and parts have places", n, len(w.r.entries))
 	}
-	for id, at := range k.index {
+	for id, at := range k.indexOf {
 		if v := k.servers[at]; v == nil || v.id != id {
 			t.Errorf("index %d is not %s's", at, id)
 		}
@@ -1336,8 +1336,8 @@
 		w.turn(func() { k = w.ask("once", 900, 0, 1, 2, 3, 4, 5, 6, 7) })
 	}
 	back, err := strconv.ParseFloat(k.back, 64) // round a quarter of the target, by chance
-	if w.r.Count.OverHeld != 1 || k.status != 503 || err != nil || back < 0.037 || back > 0.113 {
-		t.Errorf("%d over the limit, the last got %d, back in %q", w.r.Count.OverHeld, k.status, k.back)
+	if w.r.Count.OverPending != 1 || k.status != 503 || err != nil || back < 0.037 || back > 0.113 {
+		t.Errorf("%d over the limit, the last got %d, back in %q", w.r.Count.OverPending, k.status, k.back)
 	}
 }
 
@@ -1358,7 +1358,7 @@
 	if len(e.waiting) > 0 {
 		t.Error("more is sent where nothing will be answered")
 	}
-	w.pass(frameWithin + 1)
+	w.pass(frameTimeout + 1)
 	if w.ends[c] == e || w.r.Count.BadFrames != 1 {
 		t.Error("its connection is kept")
 	}
@@ -1376,9 +1376,9 @@
 			e.waiting = nil
 			all := append(binary.LittleEndian.AppendUint32(nil, uint32(len(frame))), frame...)
 			w.turn(func() { w.say(c, all[:9]) })
-			w.pass(frameWithin / 2)
+			w.pass(frameTimeout / 2)
 			w.turn(func() { w.say(c, all[9:]) })
-			w.pass(frameWithin)
+			w.pass(frameTimeout)
 			if w.ends[c] != e {
 				t.Error("a connection with a whole frame is dropped")
 			}
@@ -1395,9 +1395,9 @@
 	w.turn()
 	w.open()
 	w.turn(func() { w.ask("quick", 900, 0) })
-	for _, s := range w.r.slots {
-		if s.part != nil && len(s.part.subs) > 0 {
-			s.part.subs[0].begin = w.now + 5
+	for _, s := range w.r.entries {
+		if s.request != nil && len(s.request.attempts) > 0 {
+			s.request.attempts[0].beginDeadline = w.now + 5
 		}
 	}
 	w.pass(20)
@@ -1411,19 +1411,19 @@
 // book adds up what a meter is told.
 type book struct {
 	searches, subs int64
-	by             map[Ending]int64
+	by             map[Result]int64
 	left           int64
 }
 
-func (b *book) Used(u *Used) {
+func (b *book) Record(u *Usage) {
 	b.searches++
-	b.subs += int64(u.First + u.Repeat + u.Copy)
-	if u.Left {
+	b.subs += int64(u.First + u.Retry + u.Hedge)
+	if u.ClientLeft {
 		b.left++
 	} else {
-		b.by[u.How]++
+		b.by[u.Result]++
 	}
-	if u.Server < 0 || u.First > u.Parts || u.At <= 0 {
+	if u.Server < 0 || u.First > u.Shards || u.AnsweredAt <= 0 {
 		panic("a use that can't be")
 	}
 }
@@ -1431,8 +1431,8 @@
 // reconcile: what was metered is what was counted.
 func (b *book) reconcile(t *testing.T, c *Counters) {
 	t.Helper()
-	if c.Searches == 0 || b.searches != c.Searches || b.subs != c.Asked || b.left != c.Left || b.by[Whole] != c.Whole ||
-		b.by[Partial] != c.Partial || b.by[Shed] != c.Shed+c.OverHeld || b.by[Failed] != c.Errored+c.TooLong {
+	if c.Searches == 0 || b.searches != c.Searches || b.subs != c.AttemptsAsked || b.left != c.ClientsLeft || b.by[Complete] != c.Complete ||
+		b.by[Partial] != c.Partial || b.by[Shed] != c.Shed+c.OverPending || b.by[Failed] != c.Errored+c.TooLong {
 		t.Fatalf("metered %+v, counted %+v", b, *c)
 	}
 }
@@ -1447,8 +1447,8 @@
 
 func TestAMarkedRetryIsTold(t *testing.T) {
 	w := newWorld(t, 1, 4)
-	m := &marks{Port: w.r.Port()}
-	w.r.Replace(func(policy.Out) policy.Port { return m })
+	m := &marks{Port: w.r.Policy()}
+	w.r.ReplacePolicy(func(policy.Out) policy.Port { return m })
 	w.turn()
 	w.open()
 	for i, mark := range []string{"", "X-Again: 1\r\n", "X-Again: 0\r\n", "X-Again: 1\r\nX-Again: 1\r\n"} {
--- a/internal/aggregator/server/broker.go
+++ b/internal/aggregator/server/broker.go
@@ -46,7 +46,7 @@
 type Parts struct {
 	Name   string
 	Loop   *transport.Loop
-	Router *engine.Router
+	Engine *engine.Engine
 	Set    settings.Values
 	Seed   uint64
 	Memory int64 // bytes that this process may take
@@ -128,7 +128,7 @@
 type reloads struct {
 	filed  plan
 	log    zerolog.Logger
-	router *engine.Router
+	router *engine.Engine
 	loop   *transport.Loop
 	extra  []func()
 }
@@ -146,7 +146,7 @@
 		Msg("configuration read again")
 	if next.discovery != r.filed.discovery {
 		r.router.Discovery.Store(&next.discovery)
-		r.loop.Tell(engine.Move)
+		r.loop.Tell(engine.MoveDiscovery)
 	}
 	r.filed.discovery = next.discovery
 }
--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -80,15 +80,15 @@
 			if s.Borne {
 				view = p.Set.Planned
 			}
-			p.Router.Replace(func(out policy.Out) policy.Port { return view(out, p.Seed) })
+			p.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return view(out, p.Seed) })
 			p.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
 		}
 		if s.Order != nil {
-			s.Order.Apply(p.Router.Port())
+			s.Order.Apply(p.Engine.Policy())
 			p.Log.Info().Strs("first", s.Order.Describe(Names(p.Set))).Msg("an order of refusals")
 		}
 		sees := &sightings{}
-		port, sighted := p.Router.Port().(*zonefailure.Port)
+		port, sighted := p.Engine.Policy().(*zonefailure.Port)
 		if sighted {
 			port.Changed = sees.changed
 		}
@@ -128,8 +128,8 @@
 		if err := p.Loop.Listen(listen); err != nil {
 			return on, fmt.Errorf("%s: %w", listen, err)
 		}
-		front := passthrough.New(p.Router, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
-		p.Router.Add(front)
+		front := passthrough.New(p.Engine, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
+		p.Engine.AddFront(front)
 		p.Log.Info().Str("listen", fmt.Sprintf("%v:%d", listen.Addr(), p.Loop.Port(1))).
 			Int("routes", s.GRPC.Rules.Table.Len()).Msg("serving gRPC")
 		on.Reload = func() {
@@ -144,7 +144,7 @@
 					Msg("operator's file read again")
 				fit(p, next.GRPC)
 				front.Next.Store(next.GRPC.Rules)
-				p.Loop.Tell(engine.Reread)
+				p.Loop.Tell(engine.ReloadFronts)
 			}
 		}
 		return on, nil
--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("the ledger can't be used: %w", err)
 	}
-	r := store.NewRecorder(s, c, clocks{p.Loop}, p.Router.Kinds(), p.Router.Customers())
-	p.Router.Measure(r)
+	r := store.NewRecorder(s, c, clocks{p.Loop}, p.Engine.Kinds(), p.Engine.Customers())
+	p.Engine.SetMeter(r)
 	r.Go()
 	p.Log.Info().Str("instance", s.Instance).Uint64("epoch", s.Epoch).Bool("new", s.Recovery.New).Int("entries", s.Recovery.Entries).
 		Dur("took", s.Recovery.Took).Msg("ledger is kept")
--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -99,7 +99,7 @@
 					continue
 				}
 				// A full post loses it, as it is said again.
-				p.Router.Post(p.Loop.Tell, func() {
+				p.Engine.Post(p.Loop.Tell, func() {
 					for _, one := range stages {
 						port.Staged(one.Site, one.Share, s.AgeMs)
 					}
--- a/internal/aggregator/server/full/talk.go
+++ b/internal/aggregator/server/full/talk.go
@@ -11,7 +11,7 @@
 func converse(p *server.Parts, o *operator.Talk, port *zonefailure.Port, sees *sightings) (end func(), err error) {
 	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, Via: o.Via, Heard: func(w gossip.Word) {
 		// A full post loses hearsay, which is said again.
-		p.Router.Post(p.Loop.Tell, func() { port.Told(w.Peer, w.Site, w.Lost, w.Age) })
+		p.Engine.Post(p.Loop.Tell, func() { port.Told(w.Peer, w.Site, w.Lost, w.Age) })
 		sees.heard(w)
 	}})
 	if err != nil {
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -70,18 +70,18 @@
 	return r.start
 }
 
-// Used takes a use (engine.Meter). It belongs to the period in which its answer was given, which may have been a while
+// Record takes a use (engine.Meter). It belongs to the period in which its answer was given, which may have been a while
 // before what was out of it came to its end.
-func (r *Recorder) Used(u *engine.Used) {
+func (r *Recorder) Record(u *engine.Usage) {
 	how := ledger.Errored
 	switch {
-	case u.Left:
+	case u.ClientLeft:
 		how = ledger.Left
-	case u.How == engine.Whole:
+	case u.Result == engine.Complete:
 		how = ledger.Answered
-	case u.How == engine.Partial:
+	case u.Result == engine.Partial:
 		how = ledger.Partial
-	case u.How == engine.Shed:
+	case u.Result == engine.Shed:
 		how = ledger.Shed
 	}
 	front := ledger.HTTP
@@ -89,13 +89,13 @@
 		front = ledger.GRPC
 	}
 	k := ledger.Key{Customer: name(r.customers, u.Customer), Kind: name(r.kinds, u.Kind), Front: front, Outcome: how}
-	c := ledger.Counts{ledger.Searches: 1, ledger.Parts: int64(u.Parts), ledger.First: int64(u.First), ledger.Repeat: int64(u.Repeat),
-		ledger.Copy: int64(u.Copy), ledger.CalledOff: int64(u.CalledOff), ledger.Work: ledger.Micros(u.Work), ledger.BytesIn: u.In,
+	c := ledger.Counts{ledger.Searches: 1, ledger.Parts: int64(u.Shards), ledger.First: int64(u.First), ledger.Repeat: int64(u.Retry),
+		ledger.Copy: int64(u.Hedge), ledger.CalledOff: int64(u.Cancelled), ledger.Work: ledger.Micros(u.Work), ledger.BytesIn: u.In,
 		ledger.BytesOut: u.Out, ledger.Server: ledger.Micros(u.Server)}
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	at, steady := r.now()
-	r.hand.Give(r.period(at-int64(max(steady-u.At, 0))), k, c)
+	r.hand.Give(r.period(at-int64(max(steady-u.AnsweredAt, 0))), k, c)
 }
 
 // Waiting tells how many keys wait for the disk, and how many uses were ever taken.
--- a/internal/passthrough/call.go
+++ b/internal/passthrough/call.go
@@ -108,17 +108,17 @@
 
 // start makes a search of the call.
 func (k *call) start(shard int, look routes.Lookup) {
-	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.Work, Key: k.route.About(look)}}
-	q := k.f.r.Ask(k.route.Kind, k.customer, k.until, grpcwire.Repeated(look), pieces[:], k)
+	pieces := [1]engine.ShardRequest{{Shard: shard, Share: 1, Work: k.route.Work, Key: k.route.About(look)}}
+	q := k.f.r.StartSearch(k.route.Kind, k.customer, k.until, grpcwire.Repeated(look), pieces[:], k)
 	if k.q = q; !k.final && !k.reqEnd {
-		k.f.r.Open(q, true)
+		k.f.r.ClientSending(q, true)
 	}
 }
 
 // mind has the call ended in time, whatever else goes wrong: also where its last bytes wait for a window that its client
 // never opens, or the broker is to be killed sooner.
 func (k *call) mind() {
-	k.f.r.Forgo(k.timer)
+	k.f.r.CancelTimer(k.timer)
 	k.timer = k.f.r.After(max(min(k.until-lastCall, k.f.killed)-k.f.r.Now(), 0), func() {
 		if k.told {
 			return
@@ -164,7 +164,7 @@
 	}
 	if end && !k.reqEnd {
 		k.reqEnd = true
-		k.f.r.Open(k.q, false)
+		k.f.r.ClientSending(k.q, false)
 	}
 	k.outgrow()
 	for _, a := range k.attempts {
@@ -246,7 +246,7 @@
 }
 
 // Send begins a sub-request (engine.Call).
-func (k *call) Send(s *engine.Sub) {
+func (k *call) Send(s *engine.Attempt) {
 	a := &attempt{k: k, sub: s, server: s.Server()}
 	k.attempts = append(k.attempts, a)
 	k.f.Count.Sent++
@@ -254,7 +254,7 @@
 		a.ended(grpcwire.NoAddress)
 		return
 	}
-	if by := s.Begin(); !math.IsInf(by, 1) {
+	if by := s.BeginDeadline(); !math.IsInf(by, 1) {
 		a.by = k.f.r.After(by-k.f.r.Now(), a.tooLate)
 	}
 	k.f.pool.Want(k.f.r.Now(), a.server, a)
@@ -271,8 +271,8 @@
 	return k.req.to, out
 }
 
-// TakeBack stops one whose outcome is known (engine.Call).
-func (k *call) TakeBack(s *engine.Sub) {
+// Cancel stops one whose outcome is known (engine.Call).
+func (k *call) Cancel(s *engine.Attempt) {
 	for _, a := range k.attempts {
 		if a.sub == s {
 			a.stop()
@@ -282,7 +282,7 @@
 }
 
 // Final is the module's one final answer (engine.Call).
-func (k *call) Final(how engine.Ending, back float64) {
+func (k *call) Final(how engine.Result, back float64) {
 	must.Hold(!k.final, "a call has one final answer")
 	k.final = true
 	if k.told {
@@ -290,7 +290,7 @@
 	}
 	late := k.f.r.Now() >= k.until-timeIsUp
 	switch how {
-	case engine.Whole, engine.Partial:
+	case engine.Complete, engine.Partial:
 		k.f.Count.Answered++
 		if k.winner == nil {
 			k.winner = k.answered
@@ -356,7 +356,7 @@
 		k.final = true
 		k.f.Count.Errored++
 		if k.q != nil {
-			k.f.r.Leave(k.q)
+			k.f.r.ClientGone(k.q)
 		}
 	}
 	k.tell(code, why, back)
@@ -404,7 +404,7 @@
 		k.final = true
 		k.f.Count.Left++
 		if k.q != nil {
-			k.f.r.Leave(k.q)
+			k.f.r.ClientGone(k.q)
 		}
 	}
 	k.over()
@@ -414,7 +414,7 @@
 func (k *call) over() {
 	must.Hold(!k.told, "a call is over once")
 	k.told = true
-	k.f.r.Forgo(k.timer)
+	k.f.r.CancelTimer(k.timer)
 	k.f.open--
 	if k.f.byOwner[k.customer]--; k.f.byOwner[k.customer] == 0 {
 		delete(k.f.byOwner, k.customer)
@@ -454,7 +454,7 @@
 // attempt is one sub-request of a call on its way.
 type attempt struct {
 	k      *call
-	sub    *engine.Sub
+	sub    *engine.Attempt
 	server int
 	l      *line // nil: it waits for its channel
 	s      *h2.Stream
@@ -554,7 +554,7 @@
 	if !plantRepeat && !k.f.r.Committed(a.sub, true) {
 		k.f.Count.LateAnswers++
 		a.stop()
-		k.f.r.Ended(a.sub, policy.Cancelled)
+		k.f.r.AttemptEnded(a.sub, policy.Cancelled)
 		return
 	}
 	k.f.Count.Committed++
@@ -656,7 +656,7 @@
 			a.free()
 		}
 	}
-	k.f.r.Ended(a.sub, e.How)
+	k.f.r.AttemptEnded(a.sub, e.How)
 }
 
 // stop ends the stream, if it is open, and lets go of its place. What has come of its response stays for who answered.
@@ -667,12 +667,12 @@
 	a.over = true
 	k := a.k
 	if a.s == nil || a.start < a.l.written {
-		k.f.r.Forgo(a.by) // else it could still begin, called off or not
+		k.f.r.CancelTimer(a.by) // else it could still begin, called off or not
 	} else if k.final && !a.l.gone {
 		// Its client is gone or has its end. What the network takes later would begin for nobody; heads can't be taken back
 		// one by one, as each says what the next may leave out, so a connection that goes on standing still is dropped.
-		k.f.r.Forgo(a.by)
-		a.by = k.f.r.After(min(standsStill, max(a.sub.Begin()-k.f.r.Now(), 0)), a.tooLate)
+		k.f.r.CancelTimer(a.by)
+		a.by = k.f.r.After(min(standsStill, max(a.sub.BeginDeadline()-k.f.r.Now(), 0)), a.tooLate)
 	}
 	for i, o := range k.attempts {
 		if o == a {
--- a/internal/passthrough/client.go
+++ b/internal/passthrough/client.go
@@ -46,7 +46,7 @@
 	was := c.h.Half()
 	if err := c.h.Feed(b, came); err != nil {
 		c.f.Count.Rude++
-		c.f.r.Note("bad gRPC client", "%v", err)
+		c.f.r.Warn("bad gRPC client", "%v", err)
 		c.abandon()
 		return
 	}
@@ -98,7 +98,7 @@
 	c.gone = true
 	c.leave()
 	delete(c.f.clients, c)
-	c.f.r.Forgo(c.timer)
+	c.f.r.CancelTimer(c.timer)
 }
 
 // hang drops the connection.
@@ -107,7 +107,7 @@
 		return
 	}
 	c.end()
-	c.f.r.Hang(c.conn)
+	c.f.r.CloseConn(c.conn)
 }
 
 // flush lets streams send, as far as the client reads, and closes a connection that is done with.
@@ -121,7 +121,7 @@
 			c.moved = c.f.r.Now()
 		}
 		c.asked += int64(len(b))
-		c.f.r.Put(c.conn, b)
+		c.f.r.WriteConn(c.conn, b)
 	}
 	if c.asked-c.written > lagMost {
 		c.f.Count.Stuck++
@@ -144,8 +144,8 @@
 func (c *client) finish() {
 	c.end()
 	c.f.parting++
-	c.f.r.Seat(c.conn, (*parting)(c))
-	c.f.r.FinishParty(c.conn)
+	c.f.r.SetHandler(c.conn, (*parting)(c))
+	c.f.r.FinishConn(c.conn)
 	// Who is turned away may still be sending for long, at full speed: it is not read any more, so that it stands still
 	// until it closes or is cut off.
 	c.f.r.Reading(c.conn, false)
@@ -166,12 +166,12 @@
 func (p *parting) Written(int64) {}
 
 // Closed implements routing.Party: the connection is gone.
-func (p *parting) Closed(int64) { p.gone = true; p.f.parting--; p.f.r.Forgo(p.timer) }
+func (p *parting) Closed(int64) { p.gone = true; p.f.parting--; p.f.r.CancelTimer(p.timer) }
 func (p *parting) hang() {
 	if !p.gone {
 		p.gone = true
 		p.f.parting--
-		p.f.r.Hang(p.conn)
+		p.f.r.CloseConn(p.conn)
 	}
 }
 
@@ -199,7 +199,7 @@
 	if c.gone || c.timerAt > 0 && c.timerAt <= at || math.IsInf(at, 1) {
 		return
 	}
-	c.f.r.Forgo(c.timer)
+	c.f.r.CancelTimer(c.timer)
 	c.timerAt = at
 	c.timer = c.f.r.After(max(at-c.f.r.Now(), firstLook), func() { c.weary() })
 }
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -28,7 +28,7 @@
 	Next  atomic.Pointer[Rules] // set by others before they tell Reread
 	Count Counters
 
-	r       *engine.Router
+	r       *engine.Engine
 	rules   *Rules
 	shards  int
 	pool    *channels.Pool
@@ -61,7 +61,7 @@
 type flusher interface{ flush() }
 
 // New makes the front of a broker; shards is how many there are, seed draws the backoff's jitter.
-func New(r *engine.Router, rules *Rules, shards int, seed uint64) *Front {
+func New(r *engine.Engine, rules *Rules, shards int, seed uint64) *Front {
 	f := &Front{r: r, rules: rules, shards: shards, rand: seed | 1, clients: map[*client]bool{}, byOwner: map[int]int{},
 		killed: math.Inf(1), tickAt: math.Inf(1)}
 	f.pool = channels.New((*carrier)(f), rules.Channels, f.roll)
@@ -125,10 +125,10 @@
 	f.tick()
 }
 
-// Late ends connections to a server that wants nothing new: what has been given to the network, and of
+// GraceEnded ends connections to a server that wants nothing new: what has been given to the network, and of
 // which the network has taken none, can only be taken back with its connection. Only one that stands still
 // has such.
-func (f *Front) Late(at int) {
+func (f *Front) GraceEnded(at int) {
 	for _, l := range append([]*line(nil), f.lines...) {
 		if l != nil && l.server == at && l.unbegun() {
 			l.drop("draining")
@@ -136,8 +136,8 @@
 	}
 }
 
-// Forgotten drops a server; its index will be another's.
-func (f *Front) Forgotten(at int) {
+// ServerRemoved drops a server; its index will be another's.
+func (f *Front) ServerRemoved(at int) {
 	if at < len(f.servers) {
 		f.pool.Forgotten(at)
 		f.servers[at] = target{state: policy.Gone}
@@ -188,13 +188,13 @@
 	f.Count.Accepted++
 	c := &client{f: f, conn: conn, since: f.r.Now(), heard: f.r.Now()}
 	c.h = h2.New(true, f.rules.toClients(), c)
-	f.r.Seat(conn, c)
+	f.r.SetHandler(conn, c)
 	f.clients[c] = true
 	f.order = append(f.order, c)
 	if len(f.order) > 2*len(f.clients)+16 {
 		f.inOrder()
 	}
-	if len(f.clients) > min(f.rules.Limits.Connections, f.r.Room()) || f.leaving {
+	if len(f.clients) > min(f.rules.Limits.Connections, f.r.MaxFrontClients()) || f.leaving {
 		f.Count.Refused++
 		c.h.Farewell(http2.ErrCodeEnhanceYourCalm)
 		c.ending = true
@@ -224,7 +224,7 @@
 	if next == f.tickAt {
 		return
 	}
-	f.r.Forgo(f.timer)
+	f.r.CancelTimer(f.timer)
 	if f.tickAt = next; !math.IsInf(next, 1) {
 		f.timer = f.r.After(next-f.r.Now(), func() {
 			f.tickAt = math.Inf(1)
--- a/internal/passthrough/line.go
+++ b/internal/passthrough/line.go
@@ -39,7 +39,7 @@
 	l.f.pool.Heard(l.f.r.Now(), l.channel)
 	if err := l.h.Feed(b, came); err != nil && !l.gone {
 		l.f.Count.BadServers++
-		l.f.r.Note("bad gRPC server", "%s: %v", l.f.servers[l.server].addr, err)
+		l.f.r.Warn("bad gRPC server", "%s: %v", l.f.servers[l.server].addr, err)
 		l.drop(err.Error())
 		return
 	}
@@ -68,14 +68,14 @@
 	}
 	conn := l.conn
 	l.lost(true)
-	l.f.r.Hang(conn)
+	l.f.r.CloseConn(conn)
 }
 
 // closing: the pool has let the channel go.
 func (l *line) closing() {
 	conn := l.conn
 	l.lost(false)
-	l.f.r.Hang(conn)
+	l.f.r.CloseConn(conn)
 }
 
 // lost ends what was on a connection: a call whose head was written whole may have run, the rest never did.
@@ -153,7 +153,7 @@
 	// What is pumped before goes out first, so that the places of this head are known.
 	l.put()
 	a.start = l.asked
-	a.s = l.h.Begin(grpcwire.Onward(a.k.head, a.sub.Until()-now-margin, a.sub.No()), a, a)
+	a.s = l.h.Begin(grpcwire.Onward(a.k.head, a.sub.Deadline()-now-margin, a.sub.Number()), a, a)
 	l.put()
 	a.begun = l.asked
 	f.touch(l)
@@ -185,7 +185,7 @@
 func (l *line) put() {
 	if b := l.h.Out(); len(b) > 0 {
 		l.asked += int64(len(b))
-		l.f.r.Put(l.conn, b)
+		l.f.r.WriteConn(l.conn, b)
 	}
 }
 
@@ -280,7 +280,7 @@
 // Leaving: what runs goes on, nothing new begins here.
 func (l *line) Leaving(code h2.Code) {
 	if code != http2.ErrCodeNo {
-		l.f.r.Note("gRPC server leaves", "%s: %v", l.f.servers[l.server].addr, code)
+		l.f.r.Warn("gRPC server leaves", "%s: %v", l.f.servers[l.server].addr, code)
 	}
 	l.f.pool.Leaving(l.f.r.Now(), l.channel)
 	for _, a := range append([]*attempt(nil), l.waiting...) {
--- a/internal/passthrough/random_test.go
+++ b/internal/passthrough/random_test.go
@@ -35,14 +35,14 @@
 // meter adds up what it is told.
 type meter struct{ searches, subs, left, in, out int64 }
 
-func (m *meter) Used(u *engine.Used) {
+func (m *meter) Record(u *engine.Usage) {
 	m.searches++
-	m.subs += int64(u.First + u.Repeat + u.Copy)
+	m.subs += int64(u.First + u.Retry + u.Hedge)
 	m.in, m.out = m.in+u.In, m.out+u.Out
-	if u.Left {
+	if u.ClientLeft {
 		m.left++
 	}
-	if u.Front != 1 || u.Parts != 1 || u.First > 1 || u.Server < 0 {
+	if u.Front != 1 || u.Shards != 1 || u.First > 1 || u.Server < 0 {
 		panic("a use that can't be")
 	}
 }
@@ -121,7 +121,7 @@
 		asks: map[string]*p.Ask{}, done: map[*p.Ask]bool{}}
 	y.meter = &meter{}
 	y.scene = newScene(t, seed, 2+y.rng.IntN(4), budgetFacts)
-	y.w.R.Measure(y.meter)
+	y.w.R.SetMeter(y.meter)
 	y.book.Spare, y.book.Ratio, y.book.Over, y.book.Window = 12, 0.3, 4000, 400
 	y.book.Strict = true
 	y.w.Pieces = y.chance(0.5)
@@ -268,8 +268,8 @@
 	y.clean()
 	// What the meter was told is what was counted, by the front's own book as well.
 	c := &y.w.R.Count
-	if m := y.meter; m.searches != c.Searches || m.subs != c.Asked || m.left != c.Left || c.Asked != y.f.Count.Sent {
-		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.Asked, c.Left, y.f.Count.Sent)
+	if m := y.meter; m.searches != c.Searches || m.subs != c.AttemptsAsked || m.left != c.ClientsLeft || c.AttemptsAsked != y.f.Count.Sent {
+		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.AttemptsAsked, c.ClientsLeft, y.f.Count.Sent)
 	}
 	if n := y.f.pool.Channels(); n != 0 {
 		y.t.Errorf("%d channels at rest", n)
--- a/internal/passthrough/world_test.go
+++ b/internal/passthrough/world_test.go
@@ -65,7 +65,7 @@
 	}
 	s := &scene{t: t, w: virtual.New(set, seed, 300, all), rules: defaultRules(list...)}
 	s.f = New(s.w.R, s.rules, 4, seed)
-	s.w.R.Add(s.f)
+	s.w.R.AddFront(s.f)
 	for i := range servers {
 		p := &grpcpeer.Server{W: s.w, Name: fmt.Sprintf("s%d", i), Script: echo}
 		s.servers = append(s.servers, p)
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/virtual/world.go
@@ -51,7 +51,7 @@
 // World is the network, its clock and the broker in it.
 type World struct {
 	Now      float64
-	R        *engine.Router
+	R        *engine.Engine
 	Pool     *transport.Pool
 	Rand     *rand.Rand
 	Delay    float64                 // of each piece, one way
