--- /dev/null
+++ b/internal/aggregator/engine/attempt.go
@@ -0,0 +1,141 @@
+package engine
+
+import (
+	"math"
+
+	"kestrelspread/internal/aggregator/policy"
+	"kestrelspread/internal/must"
+	"kestrelspread/internal/protocol"
+)
+
+type attemptState uint8
+
+const (
+	statePlanned attemptState = iota // in this round
+	stateQueued                      // for its connection, or for the frame before it
+	stateSent                        // in a frame
+	stateEnded
+)
+
+// attempt is one attempt of a part.
+type attempt struct {
+	request       *shardRequest
+	number        int
+	server        int
+	deadline      float64
+	beginDeadline float64 // no later may it begin
+	sentAt        float64 // when the policy sent it, and when its outcome was known
+	endedAt       float64
+	kind          attemptKind
+	cancelled     bool
+	state         attemptState
+	batch         *batch
+	frameEnd      int64 // where its frame ends on the lane
+	timer         *timer
+	moved         bool // to another connection, when the first broke before it had begun
+}
+
+// Send implements policy.Out: one more attempt of a part goes to a server.
+func (e *Engine) Send(at, server int, within, begin float64) {
+	req := e.entries[at].request
+	attempt := &attempt{request: req, number: len(req.attempts), server: server, deadline: req.search.deadline, beginDeadline: math.Inf(1), sentAt: e.now, kind: req.nextKind()}
+	e.Count.AttemptsAsked++
+	if begin != 0 {
+		attempt.beginDeadline = e.now + begin
+	}
+	req.attempts = append(req.attempts, attempt)
+	if within != 0 {
+		attempt.deadline = min(req.search.deadline, e.now+within)
+	}
+	srv := e.list.servers[server]
+	holds := ((srv.position-req.shard)%e.config.positions+e.config.positions)%e.config.positions < e.config.replicas
+	must.Hold(holds, "a part goes to a server that holds its shard")
+	if !holds || req.search.ended || attempt.deadline <= e.now {
+		e.endAttempt(attempt, policy.NeverSent, nil)
+		return
+	}
+	if req.search.carrier != nil {
+		e.startCarried(attempt)
+		return
+	}
+	if len(srv.planned) == 0 {
+		e.sending = append(e.sending, server)
+	}
+	srv.planned = append(srv.planned, attempt)
+}
+
+// Cancel implements policy.Out: an attempt is cancelled.
+func (e *Engine) Cancel(at, no int) {
+	req := e.entries[at].request
+	if must.Hold(no < len(req.attempts), "only what was sent is called off"); no < len(req.attempts) {
+		e.cancelAttempt(req.attempts[no], policy.Cancelled)
+	}
+}
+
+func (e *Engine) attemptTimedOut(attempt *attempt) {
+	if attempt.state != stateEnded {
+		e.cancelAttempt(attempt, policy.TimedOut)
+	}
+}
+
+// cancelAttempt stops waiting: what has not begun is not sent, what has is cancelled. Its id stays on the
+// connection.
+func (e *Engine) cancelAttempt(attempt *attempt, how policy.Outcome) {
+	if c := attempt.request.search.carrier; c != nil && attempt.state == stateSent {
+		e.Count.Cancelled++
+		c.Cancel(attempt)
+		e.endAttempt(attempt, how, nil)
+		return
+	}
+	switch attempt.state {
+	case statePlanned:
+		srv := e.list.servers[attempt.server]
+		for i, other := range srv.planned {
+			if other == attempt {
+				srv.planned = append(srv.planned[:i], srv.planned[i+1:]...)
+				break
+			}
+		}
+	case stateQueued:
+		delete(attempt.batch.conn.attempts, attempt.request.id)
+	case stateSent:
+		conn := attempt.batch.conn
+		if attempt.batch == conn.lastBatch && e.retractBatch(conn) {
+			delete(conn.attempts, attempt.request.id)
+			e.endAttempt(attempt, how, nil)
+			e.writeNextBatch(conn)
+			return
+		}
+		if !conn.closed {
+			e.Count.Cancelled++
+			e.scratch = protocol.AppendShort(e.scratch[:0], protocol.Abandon, attempt.request.id)
+			e.writeToServer(conn, e.scratch)
+			e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
+				if conn.attempts[attempt.request.id] == attempt {
+					delete(conn.attempts, attempt.request.id)
+				}
+			})
+		}
+	}
+	e.endAttempt(attempt, how, nil)
+}
+
+const lateReplyTimeout = 10000 // after its search's time, no reply comes to what was cancelled
+
+// endAttempt ends an attempt; the policy hears of it when it is not calling.
+func (e *Engine) endAttempt(attempt *attempt, how policy.Outcome, report []float64) {
+	if attempt.state == stateEnded {
+		return
+	}
+	attempt.state = stateEnded
+	attempt.endedAt, attempt.cancelled = e.now, how == policy.Cancelled
+	e.timers.drop(attempt.timer)
+	attempt.timer = nil
+	if batch := attempt.batch; batch != nil {
+		batch.conn.inFlight--
+		if batch.open--; batch.open == 0 {
+			batch.conn.batches--
+		}
+	}
+	e.outcomes = append(e.outcomes, attemptResult{attempt, how, report})
+}
--- a/internal/aggregator/engine/counters.go
+++ b/internal/aggregator/engine/counters.go
@@ -1,15 +1,13 @@
 package engine
 
 import (
-	"sort"
-
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/must"
 )
 
-// Counters of what a broker takes in, sends and answers since its start.
+// Counters of what an aggregator takes in, sends and answers since its start.
 type Counters struct {
 	Searches, Complete, Partial, Shed, Errored, ClientsLeft, OverPending, TooLong, BadRequests int64
 	Sent, Batches, Cancelled, LateReplies, Moved, Pushbacks, AttemptsAsked, Metered            int64
@@ -127,61 +125,3 @@
 		line.Discard().Send()
 	}
 }
-
-const logInterval = 1000.
-
-// limitedLog keeps log lines few: of each kind one a second, with how many were left out.
-type limitedLog struct {
-	log        zerolog.Logger
-	now        float64
-	lastAt     map[string]float64
-	leftOut    map[string]int64
-	suppressed int64
-}
-
-func (log *limitedLog) warn(kind, form string, args ...any) {
-	log.say(log.log.Warn(), kind, form, args)
-}
-func (log *limitedLog) info(kind, form string, args ...any) {
-	log.say(log.log.Info(), kind, form, args)
-}
-
-func (log *limitedLog) fail(what any, stack []byte) {
-	log.say(log.log.Error().Str("stack", string(stack)), "an event failed", "%v", []any{what})
-}
-
-func (log *limitedLog) say(e *zerolog.Event, kind, form string, args []any) {
-	if log.lastAt == nil {
-		log.lastAt, log.leftOut = map[string]float64{}, map[string]int64{}
-	}
-	if at, said := log.lastAt[kind]; said && log.now < at+logInterval {
-		log.leftOut[kind]++
-		log.suppressed++
-		e.Discard()
-		return
-	}
-	log.lastAt[kind] = log.now
-	if left := log.leftOut[kind]; left > 0 {
-		log.leftOut[kind] = 0
-		e = e.Int64("left_out", left)
-	}
-	e.Str("kind", kind).Msgf(form, args...)
-}
-
-// attemptsInOrder gives a lane's sub-requests in the order in which they were sent, which a map does not keep.
-func (conn *serverConn) attemptsInOrder() []*attempt {
-	list := make([]*attempt, 0, len(conn.attempts))
-	for _, attempt := range conn.attempts {
-		if attempt.state != stateEnded {
-			list = append(list, attempt)
-		}
-	}
-	sort.Slice(list, func(i, j int) bool {
-		a, b := list[i], list[j]
-		if a.request.index != b.request.index {
-			return a.request.index < b.request.index
-		}
-		return a.number < b.number
-	})
-	return list
-}
--- a/internal/aggregator/engine/engine_test.go
+++ b/internal/aggregator/engine/engine_test.go
@@ -41,13 +41,13 @@
 	watched  bool // the head of its list is out
 	muted    bool
 	finished bool
-	sent     []byte // by the broker, not yet taken by the network
+	sent     []byte // by the aggregator, not yet taken by the network
 	got      []byte // taken, not yet read
 	upTo     int64
 	told     int64
 	stuck    float64  // until then the network takes nothing
 	began    float64  // when the frame that comes was begun
-	waiting  []string // sub-requests a server holds
+	waiting  []string // attempts a server holds
 }
 
 // caller is a client with its one search.
@@ -1437,7 +1437,7 @@
 	}
 }
 
-// marks hears which searches the module is told of as retries.
+// marks hears which searches the policy is told of as retries.
 type marks struct {
 	policy.Port
 	again int
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -11,8 +11,8 @@
 )
 
 // What further ways in are given, and what they owe. The HTTP client of this package is the first front and frames are
-// the first carrier; others bring searches and carry sub-requests through what stands here. They know no replica's
-// health, no budget and no repeat: all that is the module's.
+// the first carrier; others bring searches and carry attempts through what stands here. They know no replica's
+// health, no budget and no repeat: all that is the policy's.
 
 // Result is what a search's one final answer says.
 type Result uint8
@@ -25,13 +25,13 @@
 	Failed          // errored
 )
 
-// Carrier is a search that a front brought, and the carrier of its sub-requests.
+// Carrier is a search that a front brought, and the carrier of its attempts.
 type Carrier interface {
 	// Final comes exactly once, unless Leave came before it. Nothing of the search is sent after it.
 	Final(how Result, back float64)
-	// Send begins a sub-request. Ended tells its outcome, at once or later.
+	// Send begins an attempt. Ended tells its outcome, at once or later.
 	Send(s *Attempt)
-	// Cancel stops a sub-request: nothing of it counts any more, and its outcome is known already.
+	// Cancel stops an attempt: nothing of it counts any more, and its outcome is known already.
 	Cancel(s *Attempt)
 	// Door is the front's number.
 	Door() int
@@ -56,13 +56,13 @@
 	GraceEnded(at int)
 	// ServerRemoved: the index may stand for another server from now on.
 	ServerRemoved(at int)
-	// Stopping: this broker was told to stop and may be killed at a time; whoever is served still is.
+	// Stopping: this aggregator was told to stop and may be killed at a time; whoever is served still is.
 	Stopping(killed float64)
 	// Leaving: the addresses are closed.
 	Leaving()
 	// Idle tells whether nobody is connected.
 	Idle() bool
-	// Flush comes last in a turn, after the module has decided: what is to be written is written.
+	// Flush comes last in a turn, after the policy has decided: what is to be written is written.
 	Flush()
 	// Reload takes new settings, if there are any.
 	Reload()
@@ -70,19 +70,19 @@
 	Print(log zerolog.Logger, why string)
 }
 
-// Attempt is a sub-request as a carrier knows it.
+// Attempt is an attempt as a carrier knows it.
 type Attempt = attempt
 
-// Server is the index of the server that the module chose.
+// Server is the index of the server that the policy chose.
 func (attempt *attempt) Server() int { return attempt.server }
 
-// Deadline is when the broker stops waiting for it, in milliseconds of the loop.
+// Deadline is when the aggregator stops waiting for it, in milliseconds of the loop.
 func (attempt *attempt) Deadline() float64 { return attempt.deadline }
 
 // BeginDeadline is the latest time at which it may begin, or +Inf: past it, an earlier one of its part may count a second time.
 func (attempt *attempt) BeginDeadline() float64 { return attempt.beginDeadline }
 
-// No numbers the sub-requests of a part from 0.
+// No numbers the attempts of a part from 0.
 func (attempt *attempt) Number() int { return attempt.number }
 
 // Ended tells whether its outcome is known.
@@ -99,7 +99,7 @@
 	Key         uint64
 }
 
-// ReplacePolicy puts a policy to be measured in the module's place, before the loop runs.
+// ReplacePolicy puts a policy to be measured in the policy's place, before the loop runs.
 func (e *Engine) ReplacePolicy(policy func(out policy.Out) policy.Port) { e.policy = policy(e) }
 
 // AddFront registers a front; connections of the door by its number from 1 are its own. Before the loop runs.
@@ -108,7 +108,7 @@
 // Now is the time of this turn, in milliseconds of the loop.
 func (e *Engine) Now() float64 { return e.now }
 
-// Stopping tells whether this broker was told to stop.
+// Stopping tells whether this aggregator was told to stop.
 func (e *Engine) Stopping() bool { return e.stopping }
 
 // QueryType gives the number of a query type by its name.
@@ -196,7 +196,7 @@
 		e.endSearch(search, 501, 0, nil)
 		return search
 	}
-	if e.config.maxPending > 0 && e.pending >= e.config.maxPending {
+	if e.overPending() {
 		e.Count.OverPending++
 		e.endSearch(search, 503, e.policy.RetryAfter(kind), nil)
 		return search
@@ -227,7 +227,7 @@
 	}
 }
 
-// AttemptEnded tells how a sub-request ended; only the first outcome counts.
+// AttemptEnded tells how an attempt ended; only the first outcome counts.
 func (e *Engine) AttemptEnded(s *Attempt, how policy.Outcome) {
 	if s.state != stateEnded && how == policy.Answered {
 		s.request.hasValue = true
@@ -235,8 +235,8 @@
 	e.endAttempt(s, how, nil)
 }
 
-// Committed asks the module whether a sub-request may be the one whose bytes reach the client. False: another is, and
-// this one is called off.
+// Committed asks the policy whether an attempt may be the one whose bytes reach the client. False: another is, and
+// this one is cancelled.
 //
 // answering: bytes of the server's go to the client; else what the client sent can't be sent again.
 func (e *Engine) Committed(s *Attempt, answering bool) bool {
@@ -265,7 +265,7 @@
 	e.policy.Pushback(s.request.index, wait)
 }
 
-// startCarried begins a sub-request of a search that has its own carrier.
+// startCarried begins an attempt of a search that has its own carrier.
 func (e *Engine) startCarried(attempt *attempt) {
 	attempt.state = stateSent
 	e.Count.Sent++
--- /dev/null
+++ b/internal/aggregator/engine/log.go
@@ -0,0 +1,46 @@
+package engine
+
+import (
+	"github.com/rs/zerolog"
+)
+
+const logInterval = 1000.
+
+// limitedLog keeps log lines few: of each kind one a second, with how many were left out.
+type limitedLog struct {
+	log        zerolog.Logger
+	now        float64
+	lastAt     map[string]float64
+	leftOut    map[string]int64
+	suppressed int64
+}
+
+func (log *limitedLog) warn(kind, form string, args ...any) {
+	log.say(log.log.Warn(), kind, form, args)
+}
+
+func (log *limitedLog) info(kind, form string, args ...any) {
+	log.say(log.log.Info(), kind, form, args)
+}
+
+func (log *limitedLog) fail(what any, stack []byte) {
+	log.say(log.log.Error().Str("stack", string(stack)), "an event failed", "%v", []any{what})
+}
+
+func (log *limitedLog) say(e *zerolog.Event, kind, form string, args []any) {
+	if log.lastAt == nil {
+		log.lastAt, log.leftOut = map[string]float64{}, map[string]int64{}
+	}
+	if at, said := log.lastAt[kind]; said && log.now < at+logInterval {
+		log.leftOut[kind]++
+		log.suppressed++
+		e.Discard()
+		return
+	}
+	log.lastAt[kind] = log.now
+	if left := log.leftOut[kind]; left > 0 {
+		log.leftOut[kind] = 0
+		e = e.Int64("left_out", left)
+	}
+	e.Str("kind", kind).Msgf(form, args...)
+}
--- a/internal/aggregator/engine/rare_test.go
+++ b/internal/aggregator/engine/rare_test.go
@@ -159,7 +159,7 @@
 }
 
 func TestNothingBeginsForWhoHasLeft(t *testing.T) {
-	// Where sub-requests are not called off, too.
+	// Where attempts are not cancelled, too.
 	for _, cancel := range []string{"true", "false"} {
 		w := newWorldOf(t, 1, `"cancel":true`, `"cancel":`+cancel)
 		w.turn()
@@ -414,7 +414,7 @@
 }
 
 func TestWhereDiscoveryIsAskedItIsGivenTime(t *testing.T) {
-	// A call may wait for news, and then ends: neither is a fault, and all brokers' calls add up there.
+	// A call may wait for news, and then ends: neither is a fault, and all aggregators' calls add up there.
 	w := newWorldOf(t, 2, `"discovery":"push"`, `"discovery":"ask"`)
 	w.turn()
 	e := w.ends[w.watching()]
@@ -492,7 +492,7 @@
 }
 
 func TestWhatWasNeverSentLeavesNothingOnItsConnection(t *testing.T) {
-	// Each way in which a sub-request that waits behind another frame is dropped.
+	// Each way in which an attempt that waits behind another frame is dropped.
 	for _, how := range []string{"its client went", "its server drains"} {
 		w := newWorldOf(t, 1, `"cancel":true`, `"cancel":false`, `"streams-per-conn":2`, `"streams-per-conn":50`)
 		w.turn()
--- a/internal/aggregator/engine/usage.go
+++ b/internal/aggregator/engine/usage.go
@@ -1,6 +1,8 @@
 package engine
 
-import "kestrelspread/internal/must"
+import (
+	"kestrelspread/internal/must"
+)
 
 // Usage is what one search used. It is told once nothing of the search is out any more; At is when its answer was given.
 type Usage struct {
@@ -10,12 +12,12 @@
 	ClientLeft     bool // its client went before the answer: How tells nothing
 	AnsweredAt     float64
 	Shards         int
-	First          int     // sub-requests that were a part's first
+	First          int     // attempts that were a part's first
 	Retry          int     // that followed one that had ended
 	Hedge          int     // that went beside one still out
 	Cancelled      int     // of all these
 	Work           float64 // hinted, ms
-	Server         float64 // ms between the module's sending and the end of each sub-request
+	Server         float64 // ms between the policy's sending and the end of each attempt
 	In, Out        int64   // bytes of what the client sent and of its answer, without heads
 }
 
@@ -34,7 +36,7 @@
 	bytesIn, bytesOut     int64
 }
 
-// attemptKind of a sub-request among those of its part.
+// attemptKind of an attempt among those of its part.
 type attemptKind uint8
 
 const (
