--- a/internal/aggregator/engine/accept.go
+++ b/internal/aggregator/engine/accept.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	minServerDescriptors  = 16   // descriptors that are kept for servers
-	acceptRetryDelay      = 100  // ms; out of descriptors, accepting is tried again after so long
-	evictShare            = 0.25 // of the connections that may be, closed each time
-	minIdleBeforeEvict    = 2000 // ms; idle for so long, another search is less likely to be on the way
-	minSilenceBeforeEvict = 250  // ms; who connects to ask asks at once
+	minServerDescriptors = 16   // descriptors that are kept for servers
+	acceptRetryDelay     = 100  // ms; out of descriptors, accepting is tried again after so long
+	evictShare           = 0.25 // of the connections that may be, closed each time
+	minIdleBeforeEvict   = 2000 // ms; idle for so long, another search is less likely to be on the way
+	minUnusedBeforeEvict = 250  // ms; who connects to ask asks at once
 )
 
 // Accepted implements transport.Handler: a client has connected.
@@ -26,23 +26,23 @@
 	e.silentClients = append(compactIdle(e.silentClients, e.clients), idleClient{client, e.now})
 	e.armClientTimer(client)
 	if e.clients >= e.maxClients() {
-		e.pauseAccepting("%d client connections", e.clients)
+		e.suspendAccepting("%d client connections", e.clients)
 	}
 }
 
 // maxClients leaves descriptors for servers, two for each.
 func (e *Engine) maxClients() int {
-	lanes := min(max(minServerDescriptors, 2*len(e.list.indexOf)), e.config.maxDescriptors/2)
-	return max(e.config.maxDescriptors-spareSockets-lanes, 1)
+	serverDescriptors := min(max(minServerDescriptors, 2*len(e.list.indexOf)), e.config.maxDescriptors/2)
+	return max(e.config.maxDescriptors-spareSockets-serverDescriptors, 1)
 }
 
 // AcceptFailed implements transport.Handler: no descriptor was left for a client.
-func (e *Engine) AcceptFailed() { e.pauseAccepting("no descriptor, %d held", e.sockets) }
+func (e *Engine) AcceptFailed() { e.suspendAccepting("no descriptor, %d held", e.sockets) }
 
-// pauseAccepting stops accepting: who has connected and is not accepted waits, who has been idle gives way, and answers
-// end their connections until there is room. A connection just accepted is never closed for another: its
-// search is on the way.
-func (e *Engine) pauseAccepting(why string, args ...any) {
+// suspendAccepting stops accepting: clients that have connected and are not accepted wait, idle ones
+// are evicted, and answers end their connections until there is capacity. A connection just
+// accepted is never closed for another: its search is in transit.
+func (e *Engine) suspendAccepting(why string, args ...any) {
 	if !e.accepting || e.listenersClosed {
 		return
 	}
@@ -53,7 +53,7 @@
 	e.evictClients()
 }
 
-// evictClients has some give way at once, or looks again soon.
+// evictClients closes some idle connections at once, or tries again soon.
 func (e *Engine) evictClients() {
 	e.outOfDescriptors = true
 	for range max(int(evictShare*float64(e.maxClients())), 1) {
@@ -86,7 +86,7 @@
 
 // evictClient frees a descriptor at once: who has never said anything goes first.
 func (e *Engine) evictClient() bool {
-	client := e.firstIdle(&e.silentClients, minSilenceBeforeEvict)
+	client := e.firstIdle(&e.silentClients, minUnusedBeforeEvict)
 	if client == nil {
 		client = e.firstIdle(&e.idleClients, minIdleBeforeEvict)
 	}
@@ -106,7 +106,7 @@
 
 func (idle idleClient) still() bool { return idle.client.idleSince == idle.since && idle.client.idle() }
 
-// markIdle puts a connection last in the order in which idle ones give way.
+// markIdle puts a connection last in the order of eviction.
 func (e *Engine) markIdle(client *client) {
 	client.idleSince = e.now
 	e.idleClients = append(compactIdle(e.idleClients, e.clients), idleClient{client, e.now})
@@ -128,10 +128,10 @@
 }
 
 // firstIdle takes out the first of a list that has rested for so long, if there is one.
-func (e *Engine) firstIdle(list *[]idleClient, least float64) *client {
+func (e *Engine) firstIdle(list *[]idleClient, minIdleTime float64) *client {
 	for len(*list) > 0 {
 		idle := (*list)[0]
-		if idle.still() && e.now < idle.since+least {
+		if idle.still() && e.now < idle.since+minIdleTime {
 			return nil
 		}
 		*list = (*list)[1:]
--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -8,6 +8,7 @@
 	"kestrelspread/internal/protocol"
 )
 
+// attemptState is how far an attempt has come.
 type attemptState uint8
 
 const (
@@ -17,28 +18,36 @@
 	stateEnded
 )
 
-// attempt is one attempt of a part.
+// attempt is one attempt of a shard request at one server. Times are in milliseconds of the loop.
 type attempt struct {
 	request       *shardRequest
 	number        int
 	server        int
 	deadline      float64
 	beginDeadline float64 // no later may it begin
-	sentAt        float64 // when the policy sent it, and when its outcome was known
-	endedAt       float64
+	sentAt        float64 // when the policy sent it
+	endedAt       float64 // when its outcome was known
 	kind          attemptKind
 	cancelled     bool
 	state         attemptState
 	batch         *batch
-	frameEnd      int64 // where its frame ends on the lane
+	frameEnd      int64 // where its frame ends on the connection
 	timer         *timer
 	moved         bool // to another connection, when the first broke before it had begun
 }
 
-// Send implements policy.Out: one more attempt of a part goes to a server.
+// Send implements policy.Out: one more attempt of a shard request goes to a server.
 func (e *Engine) Send(at, server int, within, begin float64) {
 	req := e.entries[at].request
-	attempt := &attempt{request: req, number: len(req.attempts), server: server, deadline: req.search.deadline, beginDeadline: math.Inf(1), sentAt: e.now, kind: req.nextKind()}
+	attempt := &attempt{
+		request:       req,
+		number:        len(req.attempts),
+		server:        server,
+		deadline:      req.search.deadline,
+		beginDeadline: math.Inf(1),
+		sentAt:        e.now,
+		kind:          req.nextKind(),
+	}
 	e.Count.AttemptsAsked++
 	if begin != 0 {
 		attempt.beginDeadline = e.now + begin
@@ -64,38 +73,34 @@
 	srv.planned = append(srv.planned, attempt)
 }
 
-// Cancel implements policy.Out: an attempt is cancelled.
+// Cancel implements policy.Out.
 func (e *Engine) Cancel(at, no int) {
 	req := e.entries[at].request
-	if must.Hold(no < len(req.attempts), "only what was sent is called off"); no < len(req.attempts) {
+	must.Hold(no < len(req.attempts), "only what was sent is called off")
+	if no < len(req.attempts) {
 		e.cancelAttempt(req.attempts[no], policy.Cancelled)
 	}
 }
 
+// attemptTimedOut cancels an attempt at its own deadline.
 func (e *Engine) attemptTimedOut(attempt *attempt) {
 	if attempt.state != stateEnded {
 		e.cancelAttempt(attempt, policy.TimedOut)
 	}
 }
 
-// cancelAttempt stops waiting: what has not begun is not sent, what has is cancelled. Its id stays on the
-// connection.
+// cancelAttempt stops waiting for an attempt: what has not begun is not sent, what has is cancelled
+// at its server. There its id stays on the connection, so that a late reply finds it.
 func (e *Engine) cancelAttempt(attempt *attempt, how policy.Outcome) {
-	if c := attempt.request.search.carrier; c != nil && attempt.state == stateSent {
+	if carrier := attempt.request.search.carrier; carrier != nil && attempt.state == stateSent {
 		e.Count.Cancelled++
-		c.Cancel(attempt)
+		carrier.Cancel(attempt)
 		e.endAttempt(attempt, how, nil)
 		return
 	}
 	switch attempt.state {
 	case statePlanned:
-		srv := e.list.servers[attempt.server]
-		for i, other := range srv.planned {
-			if other == attempt {
-				srv.planned = append(srv.planned[:i], srv.planned[i+1:]...)
-				break
-			}
-		}
+		e.list.servers[attempt.server].unplan(attempt)
 	case stateQueued:
 		delete(attempt.batch.conn.attempts, attempt.request.id)
 	case stateSent:
@@ -106,23 +111,40 @@
 			e.writeNextBatch(conn)
 			return
 		}
-		if !conn.closed {
-			e.Count.Cancelled++
-			e.scratch = protocol.AppendShort(e.scratch[:0], protocol.Abandon, attempt.request.id)
-			e.writeToServer(conn, e.scratch)
-			e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
-				if conn.attempts[attempt.request.id] == attempt {
-					delete(conn.attempts, attempt.request.id)
-				}
-			})
-		}
+		e.abandonAttempt(attempt)
 	}
 	e.endAttempt(attempt, how, nil)
 }
 
-const lateReplyTimeout = 10000 // after its search's time, no reply comes to what was cancelled
+// unplan takes an attempt out of this round.
+func (srv *server) unplan(attempt *attempt) {
+	for i, other := range srv.planned {
+		if other == attempt {
+			srv.planned = append(srv.planned[:i], srv.planned[i+1:]...)
+			break
+		}
+	}
+}
+
+// abandonAttempt tells the server that nobody waits for an attempt any more.
+func (e *Engine) abandonAttempt(attempt *attempt) {
+	conn := attempt.batch.conn
+	if conn.closed {
+		return
+	}
+	e.Count.Cancelled++
+	e.scratch = protocol.AppendShort(e.scratch[:0], protocol.Abandon, attempt.request.id)
+	e.writeToServer(conn, e.scratch)
+	e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
+		if conn.attempts[attempt.request.id] == attempt {
+			delete(conn.attempts, attempt.request.id)
+		}
+	})
+}
+
+const lateReplyTimeout = 10000 // ms after its search's deadline: no reply comes any more to what was cancelled
 
-// endAttempt ends an attempt; the policy hears of it when it is not calling.
+// endAttempt ends an attempt; the policy is notified when it is not calling.
 func (e *Engine) endAttempt(attempt *attempt, how policy.Outcome, report []float64) {
 	if attempt.state == stateEnded {
 		return
@@ -133,7 +155,8 @@
 	attempt.timer = nil
 	if batch := attempt.batch; batch != nil {
 		batch.conn.inFlight--
-		if batch.open--; batch.open == 0 {
+		batch.open--
+		if batch.open == 0 {
 			batch.conn.batches--
 		}
 	}
--- a/internal/aggregator/engine/batch.go
+++ b/internal/aggregator/engine/batch.go
@@ -5,14 +5,14 @@
 	"kestrelspread/internal/protocol"
 )
 
-// batch is what one round sends to one server: one frame, one place.
+// batch is what one round sends to one server: one frame, one stream of its connection.
 type batch struct {
 	conn     *serverConn
 	attempts []*attempt
-	open     int
+	open     int // attempts that have not ended
 }
 
-// sendBatches makes calls of what the policy sent in this round.
+// sendBatches makes batches of what the policy sent in this round.
 func (e *Engine) sendBatches() {
 	for _, i := range e.sending {
 		srv := e.list.servers[i]
@@ -50,8 +50,9 @@
 	e.writeNextBatch(conn)
 }
 
-// chooseConn is the newest connection that is open and has capacity, else one that is being opened; nil: none.
-// No connection carries one id twice: a reply that comes late would be taken for the other's.
+// chooseConn is the newest connection that is open and has capacity, else one that is being opened;
+// nil: none. No connection carries one id twice: a reply that comes late would be taken for the
+// other's.
 func (e *Engine) chooseConn(srv *server, batch *batch) (best *serverConn) {
 	for _, conn := range srv.conns {
 		if conn.addr != srv.addr || conn.batches >= e.config.streamsPerConn || conn.frames.Holding() ||
@@ -65,6 +66,7 @@
 	return best
 }
 
+// carries tells whether an id of the batch is in use on the connection.
 func (conn *serverConn) carries(batch *batch) bool {
 	for _, attempt := range batch.attempts {
 		if conn.attempts[attempt.request.id] != nil {
@@ -74,7 +76,8 @@
 	return false
 }
 
-// writeNextBatch gives the network one frame, once the one before it is written: until then its parts can be taken back.
+// writeNextBatch gives the network one frame, once the one before it is written: until then its
+// attempts can be retracted.
 func (e *Engine) writeNextBatch(conn *serverConn) {
 	if !conn.open || conn.closed || conn.writeOffset > conn.writtenOffset {
 		return
@@ -88,7 +91,8 @@
 		frame := protocol.AppendCall(e.scratch[:0])
 		for _, attempt := range batch.attempts {
 			if attempt.state == stateQueued {
-				frame = protocol.AppendPart(frame, attempt.request.id, attempt.request.shard, attempt.deadline-e.now, attempt.request.search.token, attempt.request.search.query)
+				req := attempt.request
+				frame = protocol.AppendPart(frame, req.id, req.shard, attempt.deadline-e.now, req.search.token, req.search.query)
 			}
 		}
 		e.scratch = protocol.EndFrame(frame, 0)
@@ -107,9 +111,10 @@
 	}
 }
 
-// retractBatch takes a frame back of which the network has taken nothing yet: its parts wait again, and pump drops those that
-// must not begin any more. A connection that takes nothing may take it all at any later time, long after whoever asked
-// has gone or the server was told to be left alone.
+// retractBatch takes a frame back of which the network has taken nothing yet: its attempts are
+// queued again, and writeNextBatch drops those that must not begin any more. A connection that
+// takes nothing may take it all at any later time, long after the client has left or the server
+// began to drain.
 func (e *Engine) retractBatch(conn *serverConn) bool {
 	last := conn.lastBatch
 	if last == nil || conn.closed || !e.network.Retract(conn.handle, conn.frameStart) {
@@ -132,16 +137,17 @@
 	return true
 }
 
-// dropExpired ends what must not be sent any more: parts taken back, parts of searches that are over, whether their clients
-// had an answer or have left, and all of them once their server has been draining or gone for as long as new work may
-// still begin.
+// dropExpired ends what must not be sent any more: attempts past their begin deadline, those of
+// searches that have ended, whether their clients had an answer or have left, and all of them once
+// their server has been draining or gone for as long as new work may still begin. It tells whether
+// none is left.
 func (e *Engine) dropExpired(conn *serverConn, batch *batch) bool {
 	srv := e.list.servers[conn.server]
 	late := srv.state != policy.Ready && e.now >= srv.notReadySince+graceShare*e.config.drainGrace
 	left := false
 	for _, attempt := range batch.attempts {
 		if attempt.state == stateQueued && (late || e.now > attempt.beginDeadline || attempt.request.search.ended) {
-			delete(conn.attempts, attempt.request.id) // no reply can come: kept, it would be held as long as the connection lasts
+			delete(conn.attempts, attempt.request.id) // no reply can come, and the connection may last for long
 			e.endAttempt(attempt, policy.NeverSent, nil)
 		}
 		left = left || attempt.state == stateQueued
@@ -149,11 +155,12 @@
 	return !left
 }
 
-const graceShare = 0.8 // the network may take the rest
+const graceShare = 0.8 // of the stated drain grace; the network may take the rest
 
-// dropStalledFrames keeps frames from beginning for a search whose client has left while the network had taken a part of them: that can't
-// be taken back, and an attempt begins with its frame's last byte, whenever that goes out. A connection that goes on standing
-// still in the middle of one is dropped; what waits behind it goes over another.
+// dropStalledFrames keeps frames from beginning for a search whose client has left while the
+// network had taken some bytes of them: they can't be retracted, and an attempt begins with its
+// frame's last byte, whenever that goes out. A connection that goes on standing still in the middle
+// of one is dropped; what is queued behind it goes over another.
 func (e *Engine) dropStalledFrames(search *search) {
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
@@ -171,4 +178,4 @@
 	}
 }
 
-const stalledFrameTimeout = 200 // of the 0.3 s within which nothing of such a search begins any more
+const stalledFrameTimeout = 200 // ms, of the 300 within which nothing of such a search begins any more
--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -18,7 +18,7 @@
 	lingerTimeout        = 1000  // to close after the last answer, as long as it sends no more
 	maxLinger            = 5000  // though it sends on
 	clientIdleTimeout    = 10000 // to send its next request
-	partialBufferDivisor = 2     // of the buffers, one in so many at most holds a request that has come in part
+	partialBufferDivisor = 2     // of the buffers, one in so many at most holds an incomplete request
 )
 
 // client is a connection on which searches come, one at a time.
@@ -33,7 +33,7 @@
 	closeAfter     bool // no more is taken on it
 	finishing      bool // only waits for the other side to close
 	closed         bool
-	sentRequest    bool // it has sent a whole request
+	sentRequest    bool // it has sent a complete request
 	idleSince      float64
 	requestBegunAt float64 // when the request at hand began; the first one counts from connecting
 	lastReceivedAt float64
@@ -65,10 +65,11 @@
 	return client.idleSince + clientIdleTimeout
 }
 
-// armClientTimer has a connection looked at by its deadline. One timer is enough, and it may come too soon.
+// armClientTimer has a connection looked at by its deadline. One timer is enough, and it may come
+// too soon.
 func (e *Engine) armClientTimer(client *client) {
 	at := client.deadline()
-	if client.timer != nil && client.timer.heapIndex >= 0 && client.timer.at <= at {
+	if client.timer != nil && client.timer.heapIndex >= 0 && client.timer.dueAt <= at {
 		return
 	}
 	e.timers.drop(client.timer)
@@ -78,8 +79,8 @@
 	}
 }
 
-// clientTimedOut ends a connection whose deadline has passed. After a stall of this aggregator it waits once
-// more, as what the client sent meanwhile may be unread yet.
+// clientTimedOut ends a connection whose deadline has passed. After a stall of this aggregator it
+// waits once more, as what the client sent meanwhile may be unread yet.
 func (e *Engine) clientTimedOut(client *client) {
 	switch {
 	case client.closed:
@@ -87,7 +88,7 @@
 	case e.now < client.deadline():
 		e.armClientTimer(client)
 		return
-	case e.now > client.timer.at+stallAfter:
+	case e.now > client.timer.dueAt+stallAfter:
 		client.timer = e.after(stallAfter, func(e *Engine) { e.clientTimedOut(client) })
 		return
 	case client.finishing:
@@ -112,8 +113,9 @@
 	e.resumeAccepting()
 }
 
-// clientBytes reads requests. While a search waits for its answer, what comes is kept. A request that comes
-// in one piece needs no buffer of its own: however many others stop halfway, it is taken.
+// clientBytes reads requests. While a search waits for its answer, what comes is kept. A request
+// that comes in one piece needs no buffer of its own: however many others stop halfway, it is
+// taken.
 func (e *Engine) clientBytes(client *client, b []byte, came float64) {
 	client.lastReceivedAt = e.now
 	for len(b) > 0 && !client.finishing && !client.closed {
@@ -142,8 +144,8 @@
 	e.storePartial(client)
 }
 
-// keepPipelined keeps what comes before an answer has gone out, up to one buffer. A client that sends more
-// without waiting is cut off after its answer.
+// keepPipelined keeps what comes before an answer has gone out, up to one buffer. A client that
+// sends more without waiting is cut off after its answer.
 func (e *Engine) keepPipelined(client *client, b []byte, came float64) {
 	if client.pipelined == nil {
 		client.pipelined = e.takeBuffer()
@@ -179,7 +181,7 @@
 	}
 }
 
-// storePartial finds what has come in part a buffer of its own, and gives back one that is not needed.
+// storePartial gives an incomplete request a buffer of its own, and returns one that is not needed.
 func (e *Engine) storePartial(client *client) {
 	switch {
 	case !client.parser.Begun():
@@ -201,7 +203,8 @@
 	}
 }
 
-// takeBuffer gives a buffer for what has come in part, or nil: some must be left for servers and answers.
+// takeBuffer gives a buffer for an incomplete request, or nil: some must be left for servers and
+// answers.
 func (e *Engine) takeBuffer() []byte {
 	if e.partialBuffers >= max(e.pool.Most/partialBufferDivisor, 1) {
 		e.Count.NoBuffer++
@@ -234,7 +237,7 @@
 	}
 }
 
-// resumeClient goes on with what came while a search was held.
+// resumeClient goes on with what came while a search was pending.
 func (e *Engine) resumeClient(client *client) {
 	if client.closed || client.finishing || client.search != nil || client.pipelined == nil {
 		return
--- a/internal/aggregator/engine/config.go
+++ b/internal/aggregator/engine/config.go
@@ -37,7 +37,7 @@
 	customerNames                               []string
 	reportFields                                map[string]int
 	reportSize                                  int
-	probeLetter                                 byte
+	probeType                                   byte
 	maxDescriptors                              int
 	pollsDiscovery                              bool // discovery is asked, it does not push
 }
@@ -58,7 +58,7 @@
 		zones:           map[string]int{},
 		customers:       map[string]int{},
 		reportFields:    map[string]int{},
-		probeLetter:     'G',
+		probeType:       'G',
 		maxDescriptors:  sockets,
 		pollsDiscovery:  set["discovery"] == "ask",
 	}
@@ -94,7 +94,7 @@
 		c.reportSize = i + 1
 	}
 	if c.reportSize > 0 && set["report.via"] != "none" {
-		c.probeLetter = 'T'
+		c.probeType = 'T'
 	}
 }
 
--- a/internal/aggregator/engine/counters.go
+++ b/internal/aggregator/engine/counters.go
@@ -110,7 +110,8 @@
 		Msg("rest")
 }
 
-// printRefusals writes how many searches of a query type were refused, by reason; nothing where none was.
+// printRefusals writes how many searches of a query type were refused, by reason; nothing where
+// none was.
 func (e *Engine) printRefusals(line *zerolog.Event, kind int) {
 	refused := false
 	for reason, n := range e.policy.Refusals(kind) {
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -1,6 +1,12 @@
-// Package engine is the aggregator's one reducer: each event changes its state and asks for effects. It has no
-// socket and no clock, and decides nothing about searches: that is the policy's, which it drives through
-// policy.Port and whose decisions it carries out as policy.Out.
+// Package engine is the aggregator's one reducer: each event of the network changes its state and
+// asks for effects. It reads searches, carries shard requests to servers and writes answers. It has
+// no socket and no clock, and decides nothing about searches: that is the policy's, which it drives
+// through policy.Port and whose decisions it carries out as policy.Out.
+//
+// Invariants: all events of a turn are one round of the policy, between Begin and End; the policy
+// is never called while it is calling, so what its decisions cause is delivered in the next turn;
+// each search gets one final answer; no connection carries one id twice at a time; what the network
+// has not begun to write can be retracted, and is once nobody waits for it.
 package engine
 
 import (
@@ -17,24 +23,36 @@
 	"kestrelspread/internal/transport"
 )
 
-// Net performs the effects.
+// Net performs the effects. It reports what happens as transport.Handler has it.
 type Net interface {
+	// Connect opens a connection; Opened or Closed follows.
 	Connect(addr netip.AddrPort) transport.Conn
+	// Write gives bytes to be written; Written tells how far the system has taken them.
 	Write(c transport.Conn, b []byte)
+	// Finish closes a connection once what was written has arrived; Closed follows.
 	Finish(c transport.Conn)
+	// Close drops a connection at once; Closed does not follow.
 	Close(c transport.Conn)
+	// Reading switches the reading of a connection on or off.
 	Reading(c transport.Conn, on bool)
+	// Accept switches the accepting of clients on or off.
 	Accept(on bool)
+	// Retract takes back what was written from an offset on, if the system has taken none of it.
 	Retract(c transport.Conn, from int64) bool
+	// Unlisten closes the addresses; false: some clients have connected that can't be accepted yet.
 	Unlisten() (closed bool)
-	Door(c transport.Conn) int // by which address it came in, 0 for HTTP's
+	// Door is the number of the address by which a connection came in, 0 for HTTP's.
+	Door(c transport.Conn) int
+	// Arm asks for a turn at a time.
 	Arm(at float64)
+	// Stop ends the loop.
 	Stop()
 }
 
-// Engine is one aggregator.
+// Engine is one aggregator's state. All of it belongs to the goroutine of the loop, but Discovery
+// and Post.
 type Engine struct {
-	Discovery atomic.Pointer[netip.AddrPort] // set by others before they tell Move
+	Discovery atomic.Pointer[netip.AddrPort] // set by others before they notify MoveDiscovery
 
 	network        Net
 	pool           *transport.Pool
@@ -46,7 +64,7 @@
 	timers         timers
 	endpoints      []endpoint // by connection
 	clients        int
-	partialBuffers int          // buffers held by requests that have come in part
+	partialBuffers int          // buffers of incomplete requests
 	idleClients    []idleClient // in the order in which they came to rest
 	silentClients  []idleClient // in the order in which they came, of those that have said nothing
 	list           serverList
@@ -70,7 +88,7 @@
 	turnRequested  bool // something waits for a turn of its own
 	scratch        []byte
 	body           []byte
-	sharedBuffer   []byte // storage for what comes whole in one piece
+	sharedBuffer   []byte // storage for requests that come in one piece
 	parsed         []parsedRequest
 	shardMarks     []int64 // by shard: the last search that named it
 	shardMark      int64
@@ -79,11 +97,11 @@
 	closedConn       transport.Conn // by the other side, in the event at hand
 	accepting        bool
 	evicting         bool
-	outOfDescriptors bool // accepting is off, and nobody can give way
+	outOfDescriptors bool // accepting is off, and nobody can be evicted
 	stopping         bool
 	listenersClosed  bool
 	closeIncomplete  bool    // some have connected that can't be taken yet
-	stoppedAt        float64 // when it was told to stop
+	stoppedAt        float64 // when the shutdown began
 	killAt           float64 // when it may be killed, or infinite
 }
 
@@ -162,11 +180,12 @@
 	}
 }
 
-// End does what is due, has the policy decide, and carries it out. What came of that waits for the next turn:
-// the policy is never called while it is calling.
+// End does what is due, has the policy decide, and carries it out. What that causes waits for the
+// next turn: the policy is never called while it is calling. It tells whether something waits for a
+// turn that no event will bring.
 func (e *Engine) End() (again bool) {
 	e.deliverResults()
-	for len(e.timers) > 0 && e.timers[0].at <= e.now {
+	for len(e.timers) > 0 && e.timers[0].dueAt <= e.now {
 		e.timers.take().due(e)
 		e.deliverResults()
 	}
@@ -195,7 +214,7 @@
 	e.stopWhenIdle()
 	next := e.wakeAt
 	if len(e.timers) > 0 {
-		next = min(next, e.timers[0].at)
+		next = min(next, e.timers[0].dueAt)
 	}
 	if !math.IsInf(next, 1) {
 		e.network.Arm(next)
@@ -203,7 +222,7 @@
 	return e.turnRequested || len(e.outcomes)+len(e.probeResults) > 0 || len(e.resumedClients) > 0
 }
 
-// deliverResults tells the policy how attempts ended.
+// deliverResults notifies the policy of how attempts ended.
 func (e *Engine) deliverResults() {
 	for i := 0; i < len(e.outcomes); i++ {
 		result := e.outcomes[i]
@@ -226,8 +245,8 @@
 // after has something done once a time has come.
 func (e *Engine) after(in float64, due func(e *Engine)) *timer { return e.timers.add(e.now+in, due) }
 
-// Post has something done in the loop, from another goroutine; tell wakes it. The post is bounded: false, and nothing done,
-// where it is full. Whoever posts is pushed back, never the loop.
+// Post has something done in the loop, from another goroutine; tell wakes it. The post is bounded:
+// false, and nothing done, where it is full. Whoever posts is pushed back, never the loop.
 func (e *Engine) Post(tell func(what int32), do func()) bool {
 	select {
 	case e.posted <- do:
@@ -238,7 +257,7 @@
 	}
 }
 
-// newIndex gives an index to a search or a part.
+// newIndex gives an index to a search or a shard request.
 func (e *Engine) newIndex(entry indexEntry) int {
 	if n := len(e.freeEntries); n > 0 {
 		at := e.freeEntries[n-1]
@@ -263,7 +282,8 @@
 // Wake implements policy.Out, as does Log; its other methods stand with what they concern.
 func (e *Engine) Wake(in float64) { e.wakeAt = min(e.wakeAt, e.now+in) }
 
-// Log writes what the policy has to say. News of a whole site must not be held back behind lines about single servers.
+// Log implements policy.Out. Lines about a zone must not be suppressed behind lines about single
+// servers.
 func (e *Engine) Log(text string) {
 	kind := "decision"
 	if strings.HasPrefix(text, "site ") {
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -5,7 +5,7 @@
 	"kestrelspread/internal/transport"
 )
 
-// What may be told from outside the loop.
+// Notifications from outside the loop.
 const (
 	Terminate = iota
 	Report
@@ -14,8 +14,7 @@
 	RunPosted     // something waits in the post
 )
 
-// Told takes a word from another goroutine: that the process has to end, that the configuration was read,
-// and the like.
+// Told implements transport.Handler: a notification of another goroutine.
 func (e *Engine) Told(what int32) {
 	switch what {
 	case Terminate:
@@ -70,7 +69,8 @@
 	e.deliverResults()
 }
 
-// Written implements transport.Handler: the system has taken what was written on a connection up to there.
+// Written implements transport.Handler: the system has taken what was written on a connection up to
+// there.
 func (e *Engine) Written(c transport.Conn, upTo int64) {
 	if client := e.endpoint(c).client; client != nil {
 		client.writtenOffset = upTo
@@ -85,7 +85,8 @@
 	}
 }
 
-// Closed implements transport.Handler: a connection is gone, and what was written behind upTo never left.
+// Closed implements transport.Handler: a connection is gone, and what was written behind upTo never
+// left.
 func (e *Engine) Closed(c transport.Conn, upTo int64) {
 	e.sockets--
 	e.closedConn = c
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -10,9 +10,9 @@
 	"kestrelspread/internal/transport"
 )
 
-// What further ways in are given, and what they owe. The HTTP client of this package is the first front and frames are
-// the first carrier; others bring searches and carry attempts through what stands here. They know no replica's
-// health, no budget and no repeat: all that is the policy's.
+// What other fronts are given, and what they owe. The HTTP client of this package is the first
+// front and frames are the first carrier; others bring searches and carry attempts through this
+// file. They know no replica's health, no budget and no retry: all that is the policy's.
 
 // Result is what a search's one final answer says.
 type Result uint8
@@ -20,7 +20,7 @@
 // How a search ended.
 const (
 	Complete Result = iota
-	Partial         // at or over the floor, and said to be in part
+	Partial         // at or over the floor, and marked as partial
 	Shed            // refused: asking again is harmless
 	Failed          // errored
 )
@@ -35,11 +35,13 @@
 	Cancel(s *Attempt)
 	// Door is the front's number.
 	Door() int
-	// Bytes tells what the client has sent and was given, without heads; asked once the search is over.
+	// Bytes tells what the client has sent and was given, without heads; asked once the search is
+	// over.
 	Bytes() (in, out int64)
 }
 
-// ConnHandler stands behind a connection that this package does not read itself. After Closed nothing more comes.
+// ConnHandler stands behind a connection that this package does not read itself. After Closed
+// nothing more comes.
 type ConnHandler interface {
 	Opened()
 	Bytes(b []byte, came float64)
@@ -47,16 +49,18 @@
 	Closed(upTo int64)
 }
 
-// Front is a further way in.
+// Front is a protocol by which searches come, beside HTTP.
 type Front interface {
 	Accepted(c transport.Conn)
-	// Server is news of one server of the list.
+	// Server is an update of one server of the list.
 	Server(at int, id string, addr netip.AddrPort, state policy.State)
-	// GraceEnded: the server has been draining or gone for so long that what has not begun there must not begin.
+	// GraceEnded: the server has been draining or gone for so long that what has not begun there
+	// must not begin.
 	GraceEnded(at int)
 	// ServerRemoved: the index may stand for another server from now on.
 	ServerRemoved(at int)
-	// Stopping: this aggregator was told to stop and may be killed at a time; whoever is served still is.
+	// Stopping: the shutdown has begun, and the process may be killed at a time; clients are still
+	// served.
 	Stopping(killed float64)
 	// Leaving: the addresses are closed.
 	Leaving()
@@ -79,10 +83,11 @@
 // Deadline is when the aggregator stops waiting for it, in milliseconds of the loop.
 func (attempt *attempt) Deadline() float64 { return attempt.deadline }
 
-// BeginDeadline is the latest time at which it may begin, or +Inf: past it, an earlier one of its part may count a second time.
+// BeginDeadline is the latest time at which it may begin, or +Inf: past it, an earlier one of its
+// shard request may take effect a second time.
 func (attempt *attempt) BeginDeadline() float64 { return attempt.beginDeadline }
 
-// No numbers the attempts of a part from 0.
+// Number counts the attempts of a shard request from 0.
 func (attempt *attempt) Number() int { return attempt.number }
 
 // Ended tells whether its outcome is known.
@@ -91,24 +96,25 @@
 // Search is one that a front brought.
 type Search = search
 
-// ShardRequest is what is asked of one shard: its share of the whole, the hinted work (0: not known) and the hash of what it
-// is about (0: none).
+// ShardRequest is what is asked of one shard: its share of the search's weight, the hinted work (0:
+// not known) and the hash of what it is about (0: none).
 type ShardRequest struct {
 	Shard       int
 	Share, Work float64
 	Key         uint64
 }
 
-// ReplacePolicy puts a policy to be measured in the policy's place, before the loop runs.
+// ReplacePolicy puts another policy in place of the settings' own, before the loop runs.
 func (e *Engine) ReplacePolicy(policy func(out policy.Out) policy.Port) { e.policy = policy(e) }
 
-// AddFront registers a front; connections of the door by its number from 1 are its own. Before the loop runs.
+// AddFront registers a front; connections of the door by its number from 1 are its own. Before the
+// loop runs.
 func (e *Engine) AddFront(front Front) { e.fronts = append(e.fronts, front) }
 
 // Now is the time of this turn, in milliseconds of the loop.
 func (e *Engine) Now() float64 { return e.now }
 
-// Stopping tells whether this aggregator was told to stop.
+// Stopping tells whether the shutdown has begun.
 func (e *Engine) Stopping() bool { return e.stopping }
 
 // QueryType gives the number of a query type by its name.
@@ -117,8 +123,8 @@
 	return kind, known
 }
 
-// Customer gives the number of a customer by its name, or nobody: who is not named in the settings must not use up the
-// share of one who is.
+// Customer gives the number of a customer by its name, or nobody: who is not named in the settings
+// must not use up the share of one who is.
 func (e *Engine) Customer(name string) int {
 	if at, known := e.config.customers[name]; known {
 		return at
@@ -132,7 +138,7 @@
 func (e *Engine) Warn(kind, form string, args ...any) { e.log.warn(kind, form, args...) }
 
 // Timer can be taken back.
-type Timer struct{ t *timer }
+type Timer struct{ timer *timer }
 
 // After has something done in so many milliseconds.
 func (e *Engine) After(in float64, due func()) Timer {
@@ -140,7 +146,7 @@
 }
 
 // CancelTimer takes a timer back; one that is over, or none, is fine.
-func (e *Engine) CancelTimer(t Timer) { e.timers.drop(t.t) }
+func (e *Engine) CancelTimer(t Timer) { e.timers.drop(t.timer) }
 
 // RequestTurn asks for a turn of its own: something waits that no event will bring.
 func (e *Engine) RequestTurn() { e.turnRequested = true }
@@ -163,8 +169,8 @@
 	*e.endpoint(c) = endpoint{handler: handler}
 }
 
-// MaxFrontClients tells how many descriptors clients of a further front may take: half of what HTTP's may, so that neither shuts
-// the other out.
+// MaxFrontClients tells how many descriptors clients of a further front may take: half of what
+// HTTP's may, so that neither shuts the other out.
 func (e *Engine) MaxFrontClients() int { return max(e.maxClients()/2, 1) }
 
 // WriteConn writes to a party's connection.
@@ -186,9 +192,10 @@
 // FinishConn closes a party's connection once what was written has arrived; Closed tells of that.
 func (e *Engine) FinishConn(c transport.Conn) { e.network.Finish(c) }
 
-// StartSearch takes a search for a front. Its final answer may come within the call where the hold limit keeps it from the
-// module. until is when its client gives up; again: it says that it has asked before.
-func (e *Engine) StartSearch(kind, customer int, until float64, again bool, pieces []ShardRequest, by Carrier) *Search {
+// StartSearch takes a search for a front. Its final answer may come within StartSearch where the
+// limit on pending work keeps it from the policy. until is when its client gives up; again: it says
+// that it retries.
+func (e *Engine) StartSearch(kind, customer int, until float64, again bool, requests []ShardRequest, by Carrier) *Search {
 	e.Count.Searches++
 	search := &search{deadline: min(until, e.killAt-answerBeforeKill), carrier: by, usage: usageRecord{kind: kind, customer: customer, front: by.Door()}}
 	if e.config.twoPhase[kind] {
@@ -203,7 +210,7 @@
 	}
 	e.parsed = e.parsed[:0]
 	sum := 0.0
-	for _, p := range pieces {
+	for _, p := range requests {
 		e.parsed = append(e.parsed, parsedRequest{p.Shard, p.Share, p.Work, p.Key})
 		sum += p.Share
 	}
@@ -235,8 +242,8 @@
 	e.endAttempt(s, how, nil)
 }
 
-// Committed asks the policy whether an attempt may be the one whose bytes reach the client. False: another is, and
-// this one is cancelled.
+// Committed asks the policy whether an attempt may be the one whose bytes reach the client. False:
+// another is, and this one is cancelled.
 //
 // answering: bytes of the server's go to the client; else what the client sent can't be sent again.
 func (e *Engine) Committed(s *Attempt, answering bool) bool {
@@ -259,7 +266,7 @@
 	}
 }
 
-// Pushback hands on a server's wish: milliseconds until a repeat, below 0 for none at all.
+// Pushback hands on a server's wish: milliseconds until a retry, below 0 for none at all.
 func (e *Engine) Pushback(s *Attempt, wait float64) {
 	e.Count.Pushbacks++
 	e.policy.Pushback(s.request.index, wait)
--- a/internal/aggregator/engine/log.go
+++ b/internal/aggregator/engine/log.go
@@ -16,22 +16,22 @@
 }
 
 func (log *limitedLog) warn(kind, form string, args ...any) {
-	log.say(log.log.Warn(), kind, form, args)
+	log.write(log.log.Warn(), kind, form, args)
 }
 
 func (log *limitedLog) info(kind, form string, args ...any) {
-	log.say(log.log.Info(), kind, form, args)
+	log.write(log.log.Info(), kind, form, args)
 }
 
 func (log *limitedLog) fail(what any, stack []byte) {
-	log.say(log.log.Error().Str("stack", string(stack)), "an event failed", "%v", []any{what})
+	log.write(log.log.Error().Str("stack", string(stack)), "an event failed", "%v", []any{what})
 }
 
-func (log *limitedLog) say(e *zerolog.Event, kind, form string, args []any) {
+func (log *limitedLog) write(e *zerolog.Event, kind, form string, args []any) {
 	if log.lastAt == nil {
 		log.lastAt, log.leftOut = map[string]float64{}, map[string]int64{}
 	}
-	if at, said := log.lastAt[kind]; said && log.now < at+logInterval {
+	if at, logged := log.lastAt[kind]; logged && log.now < at+logInterval {
 		log.leftOut[kind]++
 		log.suppressed++
 		e.Discard()
--- a/internal/aggregator/engine/probe.go
+++ b/internal/aggregator/engine/probe.go
@@ -1,6 +1,6 @@
 package engine
 
-// Probe implements policy.Out: a server that is set aside is probed over a connection of its own.
+// Probe implements policy.Out: a health check of an ejected server, over a connection of its own.
 func (e *Engine) Probe(server int) {
 	conn := e.connectServer(server) // what is open may be what does not answer
 	sent := e.now
@@ -12,7 +12,8 @@
 	conn.probeSentAt = sent
 	e.after(e.config.connectTimeout, func(e *Engine) {
 		if conn.probeSentAt == sent && !conn.closed {
-			if conn.probeSentAt = 0; conn.inFlight == 0 {
+			conn.probeSentAt = 0
+			if conn.inFlight == 0 {
 				e.dropServerConn(conn)
 			}
 			e.probeEnded(server, false, sent, nil)
@@ -20,6 +21,7 @@
 	})
 }
 
+// probeEnded keeps a result for the policy.
 func (e *Engine) probeEnded(server int, ok bool, sent float64, report []float64) {
 	if !ok {
 		e.Count.ProbesFailed++
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -16,12 +16,12 @@
 	maxBudget          = 24 * 3600 * 1000 // ms
 )
 
-// search is what a client waits for; part is what is asked of one shard.
+// search is what a client waits for, from its arrival until the policy forgets it.
 type search struct {
 	index     int
 	id        string
 	query     []byte
-	token     []byte // what its client said a repeat is known by
+	token     []byte // the client's idempotency key
 	deadline  float64
 	client    *client // nil once it has its answer or has gone
 	requests  []*shardRequest
@@ -45,14 +45,15 @@
 	reported bool // and the policy knows
 }
 
-// parsedRequest is a part of a body that may yet prove to be broken.
+// parsedRequest is a shard request of a body that may yet prove unsound.
 type parsedRequest struct {
 	shard       int
 	share, work float64
 	key         uint64
 }
 
-// searchHead is what a search's headers say. Its bytes are the request's, and hold until that is released.
+// searchHead is what a search's headers say. Its bytes are the request's, and hold until that is
+// released.
 type searchHead struct {
 	id, token      []byte
 	kind, customer int
@@ -115,7 +116,8 @@
 	case classes != 1 || !known:
 		return head, badRequest("no known query type")
 	case e.config.twoPhase[kind]:
-		// An answer from its first phase alone would be under its floor, or be marked complete though it is not.
+		// An answer from its first phase alone would be under its floor, or be marked complete
+		// though it is not.
 		return head, &protocol.Bad{Status: 501, Why: "a query type with a second step, which is not spoken here"}
 	case e.searchByID[string(id)] != nil:
 		return head, &protocol.Bad{Status: 409, Why: "a search with this id is open"}
@@ -133,7 +135,8 @@
 	return searchHead{id: id, token: token, kind: kind, customer: customer, budget: float64(budget)}, nil
 }
 
-// readSearchBody reads the shard requests of a search into parsed. text is the query, sum that of their shares.
+// readSearchBody reads the shard requests of a search into parsed. text is the query, sum that of
+// their shares.
 func (e *Engine) readSearchBody(client *client) (text []byte, sum float64, err error) {
 	e.parsed = e.parsed[:0]
 	text, sum, err = protocol.Search(client.parser.Body(), e.config.shards,
@@ -204,7 +207,7 @@
 	})
 }
 
-// Answer implements policy.Out: a search is answered from the parts that are in.
+// Answer implements policy.Out: a search is answered from the shard requests that are answered.
 func (e *Engine) Answer(at int, allIn bool) {
 	search := e.entries[at].search
 	search.complete = allIn
--- a/internal/aggregator/engine/serverconn.go
+++ b/internal/aggregator/engine/serverconn.go
@@ -10,7 +10,8 @@
 	"kestrelspread/internal/transport"
 )
 
-// serverConn is a connection to a server. Calls on it take places until all of their parts are done.
+// serverConn is a connection to a server. A batch on it takes a stream until all of its attempts
+// have ended.
 type serverConn struct {
 	handle        transport.Conn
 	server        int
@@ -24,13 +25,13 @@
 	inFlight      int                 // that wait for a reply
 	writeOffset   int64
 	writtenOffset int64
-	frameStart    int64  // where the last call began
+	frameStart    int64  // where the last batch began
 	lastBatch     *batch // it, as long as the network may have taken none of it
-	writtenAfter  []byte // what was told after it
+	writtenAfter  []byte // what was written after it
 	usedAt        float64
 	probeSentAt   float64 // when one was sent, or 0
 	idleTimer     *timer
-	frameTimer    *timer // while a frame has come in part
+	frameTimer    *timer // while a frame is incomplete
 }
 
 // connectServer opens a connection to a server, if there is a descriptor for it.
@@ -55,34 +56,38 @@
 	return conn
 }
 
+// serverConnOpened writes what was queued for a connection that was being opened.
 func (e *Engine) serverConnOpened(conn *serverConn) {
 	conn.open = true
 	conn.usedAt = e.now
 	e.armIdleTimer(conn)
 	if conn.probeSentAt > 0 {
-		e.scratch = protocol.AppendShort(e.scratch[:0], e.config.probeLetter, "")
+		e.scratch = protocol.AppendShort(e.scratch[:0], e.config.probeType, "")
 		e.writeToServer(conn, e.scratch)
 	}
 	e.writeNextBatch(conn)
 }
 
-// armIdleTimer closes a connection before it has been idle for so long that its server may close it unseen.
+const idleShare = 0.8 // of the stated idle time-out
+
+// armIdleTimer closes a connection before it has been idle for so long that its server may close it
+// unseen.
 func (e *Engine) armIdleTimer(conn *serverConn) {
-	const share = 0.8
-	conn.idleTimer = e.timers.add(conn.usedAt+share*e.config.connIdleTimeout, func(e *Engine) {
-		switch {
-		case conn.inFlight == 0 && e.now >= conn.usedAt+share*e.config.connIdleTimeout:
+	timeout := idleShare * e.config.connIdleTimeout
+	conn.idleTimer = e.timers.add(conn.usedAt+timeout, func(e *Engine) {
+		if conn.inFlight == 0 && e.now >= conn.usedAt+timeout {
 			e.Count.IdleClosed++
 			e.dropServerConn(conn)
-		default:
-			if conn.inFlight > 0 {
-				conn.usedAt = e.now
-			}
-			e.armIdleTimer(conn)
+			return
+		}
+		if conn.inFlight > 0 {
+			conn.usedAt = e.now
 		}
+		e.armIdleTimer(conn)
 	})
 }
 
+// writeToServer writes a frame, and keeps it as long as a batch before it may be retracted.
 func (e *Engine) writeToServer(conn *serverConn, b []byte) {
 	if conn.lastBatch != nil {
 		conn.writtenAfter = append(conn.writtenAfter, b...)
@@ -93,7 +98,7 @@
 	e.network.Write(conn.handle, b)
 }
 
-// Close closes the idle connections to a server.
+// Close implements policy.Out: it closes the idle connections to a server.
 func (e *Engine) Close(server int) {
 	srv := e.list.servers[server]
 	for _, conn := range append([]*serverConn(nil), srv.conns...) {
@@ -103,12 +108,14 @@
 	}
 }
 
+// dropServerConn closes a connection from this side.
 func (e *Engine) dropServerConn(conn *serverConn) {
 	e.close(conn.handle)
 	e.serverConnClosed(conn)
 }
 
-// serverConnClosed ends what was out: what was written whole may have run, the rest never did.
+// serverConnClosed ends the attempts in flight: those whose frame was written to its end may have
+// run, the rest never did.
 func (e *Engine) serverConnClosed(conn *serverConn) {
 	conn.closed = true
 	e.timers.drop(conn.idleTimer)
@@ -127,36 +134,43 @@
 	if conn.open && conn.inFlight > 0 {
 		e.Count.Broken++
 	}
-	// What never began on a connection that was up is no sign of a server that cannot be reached: its connection may
-	// have been dropped for a reply that nobody understood. Once, it goes over another.
-	var again []*attempt
+	e.resendUnbegun(conn)
+	if conn.probeSentAt > 0 {
+		e.probeEnded(conn.server, false, conn.probeSentAt, nil)
+		conn.probeSentAt = 0
+	}
+}
+
+// resendUnbegun ends the attempts of a closed connection, or sends them over another. What never
+// began on a connection that was up is no sign of a server that cannot be reached: its connection
+// may have been dropped for a reply that nobody understood. Once, it goes over another.
+func (e *Engine) resendUnbegun(conn *serverConn) {
+	srv := e.list.servers[conn.server]
+	var unbegun []*attempt
 	for _, attempt := range conn.attemptsInOrder() {
-		how := policy.ConnectFailed
-		if attempt.state == stateSent && attempt.frameEnd <= conn.writtenOffset {
-			how = policy.Reset
-		} else if conn.open && !attempt.moved && srv.state == policy.Ready && attempt.deadline > e.now {
-			again = append(again, attempt)
-			continue
+		switch {
+		case attempt.state == stateSent && attempt.frameEnd <= conn.writtenOffset:
+			e.endAttempt(attempt, policy.Reset, nil)
+		case conn.open && !attempt.moved && srv.state == policy.Ready && attempt.deadline > e.now:
+			unbegun = append(unbegun, attempt)
+		default:
+			e.endAttempt(attempt, policy.ConnectFailed, nil)
 		}
-		e.endAttempt(attempt, how, nil)
 	}
-	for len(again) > 0 {
-		n := min(e.config.maxBatch, len(again))
-		for _, attempt := range again[:n] {
+	for len(unbegun) > 0 {
+		n := min(e.config.maxBatch, len(unbegun))
+		for _, attempt := range unbegun[:n] {
 			e.Count.Moved++
 			e.timers.drop(attempt.timer)
 			attempt.moved = true
 		}
-		e.assignConn(conn.server, &batch{attempts: again[:n:n]})
-		again = again[n:]
-	}
-	if conn.probeSentAt > 0 {
-		e.probeEnded(conn.server, false, conn.probeSentAt, nil)
-		conn.probeSentAt = 0
+		e.assignConn(conn.server, &batch{attempts: unbegun[:n:n]})
+		unbegun = unbegun[n:]
 	}
 }
 
-// attemptsInOrder gives a lane's attempts in the order in which they were sent, which a map does not keep.
+// attemptsInOrder gives a connection's attempts in the order in which they were sent, which a map
+// does not keep.
 func (conn *serverConn) attemptsInOrder() []*attempt {
 	list := make([]*attempt, 0, len(conn.attempts))
 	for _, attempt := range conn.attempts {
@@ -174,11 +188,12 @@
 	return list
 }
 
-// serverConnBytes reads replies.
+// serverConnBytes reads replies. An incomplete frame gets a buffer of its own; where there is none,
+// or where the frame is unsound, the connection is dropped.
 func (e *Engine) serverConnBytes(conn *serverConn, b []byte) {
 	conn.usedAt = e.now
-	lent, before := !conn.frames.Stored(), e.Count.Frames
-	if lent {
+	shared, framesBefore := !conn.frames.Stored(), e.Count.Frames
+	if shared {
 		conn.frames.Store(e.sharedBuffer)
 	}
 	err := conn.frames.Feed(b, func(letter byte, rest []byte) error { return e.handleFrame(conn, letter, rest) })
@@ -188,42 +203,54 @@
 		e.log.warn("bad frame", "from %s: %v", conn.addr, err)
 	case !conn.frames.Holding():
 		e.timers.drop(conn.frameTimer)
-		if was := conn.frames.Store(nil); !lent {
-			e.pool.Put(was)
+		if buf := conn.frames.Store(nil); !shared {
+			e.pool.Put(buf)
 		}
 		return
 	default:
-		if lent || e.Count.Frames > before {
-			// A length that is too long makes one frame of all that follows: nothing is answered here any more.
-			e.timers.drop(conn.frameTimer)
-			conn.frameTimer = e.after(frameTimeout, func(e *Engine) {
-				e.Count.BadFrames++
-				e.log.warn("bad frame", "from %s: half of one, and no more", conn.addr)
-				e.dropServerConn(conn)
-			})
-		}
-		if !lent {
-			return
+		if shared || e.Count.Frames > framesBefore {
+			e.armFrameTimer(conn)
 		}
-		if buf := e.pool.Get(); buf != nil {
-			conn.frames.Move(buf)
+		if !shared || e.storeFrame(conn) {
 			return
 		}
-		e.Count.NoBuffer++
 	}
-	if lent {
+	if shared {
 		conn.frames.Store(nil)
 	}
 	e.dropServerConn(conn)
 }
 
-const frameTimeout = 300 // a frame that has begun ends within so long: servers write it whole
+// armFrameTimer drops the connection if the frame that has begun doesn't end: a length that is too
+// long makes one frame of all that follows, and nothing is answered there any more.
+func (e *Engine) armFrameTimer(conn *serverConn) {
+	e.timers.drop(conn.frameTimer)
+	conn.frameTimer = e.after(frameTimeout, func(e *Engine) {
+		e.Count.BadFrames++
+		e.log.warn("bad frame", "from %s: half of one, and no more", conn.addr)
+		e.dropServerConn(conn)
+	})
+}
+
+// storeFrame gives an incomplete frame a buffer of its own, if there is one.
+func (e *Engine) storeFrame(conn *serverConn) bool {
+	buf := e.pool.Get()
+	if buf == nil {
+		e.Count.NoBuffer++
+		return false
+	}
+	conn.frames.Move(buf)
+	return true
+}
+
+const frameTimeout = 300 // ms; a frame that has begun ends within so long: servers write it at once
 
-var errUnknownLetter = errors.New("an unknown letter")
+var errUnknownFrame = errors.New("an unknown letter")
 
-func (e *Engine) handleFrame(conn *serverConn, letter byte, rest []byte) error {
+// handleFrame reads one frame of a server's.
+func (e *Engine) handleFrame(conn *serverConn, frameType byte, rest []byte) error {
 	e.Count.Frames++
-	switch letter {
+	switch frameType {
 	case protocol.Reply:
 		return e.handleReply(conn, rest)
 	case protocol.Alive, protocol.Load:
@@ -232,7 +259,7 @@
 		}
 		ok := string(rest) != "ERROR"
 		var report []float64
-		if ok && letter == protocol.Load {
+		if ok && frameType == protocol.Load {
 			report, _ = e.parseReport(rest)
 		}
 		e.probeEnded(conn.server, ok, conn.probeSentAt, report)
@@ -241,9 +268,10 @@
 	case protocol.Unusual:
 		return errors.New("refused: " + string(rest[:min(len(rest), 100)]))
 	}
-	return errUnknownLetter
+	return errUnknownFrame
 }
 
+// handleReply ends the attempt that a reply is for.
 func (e *Engine) handleReply(conn *serverConn, rest []byte) error {
 	id, end, report, value, err := protocol.ReadReply(rest)
 	if err != nil {
@@ -254,7 +282,8 @@
 		return errors.New("an unknown id")
 	}
 	values, _ := e.parseReport(report) // one that can't be read is none: the answer beside it is good
-	if delete(conn.attempts, string(id)); attempt.state != stateSent {
+	delete(conn.attempts, string(id))
+	if attempt.state != stateSent {
 		e.Count.LateReplies++
 		return nil
 	}
--- a/internal/aggregator/engine/serverlist.go
+++ b/internal/aggregator/engine/serverlist.go
@@ -16,13 +16,13 @@
 	freeIndices   []int
 	indexOf       map[string]int
 	ready         int
-	version       int64 // of the address that told it
+	version       int64 // as its address numbers it
 	received      bool
 	olderSince    float64 // since when watches begin with an older list, or 0
 	watch         *watch
-	previousWatch *watch  // at the address before, heard until the new one has told its list
+	previousWatch *watch  // at the address before, read until the new one has sent its list
 	moved         bool    // that is still to come: its versions need not go on from the other's
-	mayHaveMissed bool    // a watch fell silent: what it missed may be any change since, so all is asked for
+	mayHaveMissed bool    // a watch timed out: what it missed may be any change since, so all is asked for
 	openTimeout   float64 // how long the next watch may take to tell something
 	lostInARow    int     // watches lost in a row, none of which lasted
 }
@@ -33,16 +33,17 @@
 	addr          netip.AddrPort
 	position      int
 	state         policy.State
-	notReadySince float64 // told to be draining or gone
-	goneSince     float64 // told to be gone
+	notReadySince float64 // when the list first had it draining or gone
+	goneSince     float64 // when the list first had it gone
 	conns         []*serverConn
 	planned       []*attempt
 	listed        bool
 }
 
-// applyList takes a full list or changes to it. What is not understood changes nothing. An older version
-// never takes a newer one's place, unless discovery, asked for everything, goes on saying so: then it counts
-// anew. Another address counts anew at once: what it reports counts soon after a move, whatever its versions are.
+// applyList takes a full list or changes to it. What is not understood changes nothing. An older
+// version never takes a newer one's place, unless discovery, asked for everything, goes on saying
+// so: then it counts anew. Another address counts anew at once: what it reports counts soon after a
+// move, whatever its versions are.
 func (e *Engine) applyList(watch *watch, line []byte) error {
 	list := &e.list
 	version, full, err := protocol.List(line, nil)
@@ -153,15 +154,15 @@
 	return at
 }
 
-// removeServer forgets a server that has been gone for long, once nothing refers to it: servers are replaced under ever new
-// ids, and neither this list nor the policy's may grow with them.
+// removeServer forgets a server that has been gone for long, once nothing refers to it: servers are
+// replaced under ever new ids, and neither this list nor the policy's may grow with them.
 func (e *Engine) removeServer(at int, srv *server) {
 	list := &e.list
 	if list.servers[at] != srv || srv.state != policy.Gone {
 		return
 	}
 	if e.now < srv.goneSince+serverRetention {
-		return // it came back and went again: a later look is on its way
+		return // it came back and went again: a later look is due
 	}
 	e.Close(at)
 	if len(srv.conns) > 0 || len(srv.planned) > 0 || !e.policy.RemoveServer(at) {
@@ -199,8 +200,8 @@
 	e.policy.Server(index, zone, srv.position, state, size, startedAt)
 }
 
-// startGrace has what has not begun at a server that is no longer ready kept from beginning once the share of
-// the stated grace is over.
+// startGrace has what has not begun at a server that is no longer ready kept from beginning once
+// the share of the stated grace is over.
 func (e *Engine) startGrace(index int, srv *server) {
 	since := e.now
 	srv.notReadySince = since
--- a/internal/aggregator/engine/shutdown.go
+++ b/internal/aggregator/engine/shutdown.go
@@ -1,9 +1,9 @@
 package engine
 
-// Times of a shutdown, in ms. After SIGTERM clients go on coming for up to 400 ms, and those who have a
-// connection ask on it as long as it is open: elsewhere there may be nobody yet, as another aggregator was
-// stopped just before. SIGKILL follows no sooner than the longest client timeout, taken as 3 s at most, and
-// 700 ms more.
+// Times of a shutdown, in ms. After SIGTERM clients go on coming for up to 400 ms, and those who
+// have a connection ask on it as long as it is open: elsewhere there may be nobody yet, as another
+// aggregator was stopped just before. SIGKILL follows no sooner than the longest client timeout,
+// taken as 3 s at most, and 700 ms more.
 const (
 	minServeAfterStop      = 500
 	serveShareAfterStop    = 0.6 // of that time clients are served; the rest is for what is pending by then
@@ -17,7 +17,8 @@
 	lingerEndBeforeKill    = 20   // who was rejected and has not closed by then is not waited for
 )
 
-// terminate goes on serving while clients still come and ask, then takes no more and leaves once all is answered.
+// terminate goes on serving while clients still come and ask, then takes no more and leaves once
+// all is answered.
 func (e *Engine) terminate() {
 	if e.stopping {
 		return
@@ -46,13 +47,14 @@
 	for _, front := range e.fronts {
 		front.Leaving()
 	}
-	// All of it follows from the time that is left: with short client timeouts that is far less than a second.
+	// All of it follows from the time that is left: with short client timeouts that is far less
+	// than a second.
 	left := max(e.killAt-answerBeforeKill-e.now, 0)
-	cut := min(maxRequestAfterClose, requestShareAfterClose*left)
-	e.after(min(lastRequestWindow, cut/2), func(e *Engine) {
+	requestWindow := min(maxRequestAfterClose, requestShareAfterClose*left)
+	e.after(min(lastRequestWindow, requestWindow/2), func(e *Engine) {
 		e.finishClients(func(client *client) bool { return client.idle() && client.sentRequest })
 	})
-	e.after(cut, func(e *Engine) { e.finishClients(func(client *client) bool { return client.search == nil }) })
+	e.after(requestWindow, func(e *Engine) { e.finishClients(func(client *client) bool { return client.search == nil }) })
 	e.after(left+answerBeforeKill-lingerEndBeforeKill, func(e *Engine) { // their answers are out for long
 		for _, p := range e.endpoints {
 			if p.client != nil && p.client.finishing {
@@ -62,8 +64,9 @@
 	})
 }
 
-// closeListeners takes who has connected and closes the addresses. Who can't be taken for want of a descriptor would be ended
-// without a word: idle ones give way, and it is tried again until all are in.
+// closeListeners takes who has connected and closes the addresses. Who can't be taken for want of a
+// descriptor would be ended without a word: idle ones give way, and it is tried again until all are
+// in.
 func (e *Engine) closeListeners() {
 	if e.closeIncomplete = !e.network.Unlisten(); !e.closeIncomplete {
 		return
--- a/internal/aggregator/engine/timers.go
+++ b/internal/aggregator/engine/timers.go
@@ -1,9 +1,10 @@
 package engine
 
-// timer says whom a time concerns. One that no longer matters is taken back, or it would keep alive what it concerns:
-// most times are seconds off, and what they stand for is over within milliseconds.
+// timer says whom a time concerns. One that no longer matters is taken back, or it would keep alive
+// what it concerns: most times are seconds off, and what they stand for is over within
+// milliseconds.
 type timer struct {
-	at        float64
+	dueAt     float64
 	due       func(e *Engine)
 	heapIndex int // in the heap, or -1
 }
@@ -41,25 +42,25 @@
 }
 
 func (timers timers) up(i int) {
-	for ; i > 0 && timers[i].at < timers[(i-1)/2].at; i = (i - 1) / 2 {
+	for ; i > 0 && timers[i].dueAt < timers[(i-1)/2].dueAt; i = (i - 1) / 2 {
 		timers.swap(i, (i-1)/2)
 	}
 }
 
 func (timers timers) down(i int) {
 	for {
-		least := 2*i + 1
-		if least >= len(timers) {
+		smallest := 2*i + 1
+		if smallest >= len(timers) {
 			return
 		}
-		if least+1 < len(timers) && timers[least+1].at < timers[least].at {
-			least++
+		if smallest+1 < len(timers) && timers[smallest+1].dueAt < timers[smallest].dueAt {
+			smallest++
 		}
-		if timers[i].at <= timers[least].at {
+		if timers[i].dueAt <= timers[smallest].dueAt {
 			return
 		}
-		timers.swap(i, least)
-		i = least
+		timers.swap(i, smallest)
+		i = smallest
 	}
 }
 
--- /dev/null
+++ b/internal/aggregator/engine/timers_test.go
@@ -0,0 +1,63 @@
+package engine
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"kestrelspread/internal/transport"
+)
+
+func TestTimersAreDroppedWithTheirSubject(t *testing.T) {
+	w := newWorld(t, 1, 4)
+	w.turn()
+	w.open()
+	for range 200 {
+		w.turn(func() { w.ask("quick", 900, 0, 1, 2) })
+		w.open()
+		for _, c := range w.lanes() {
+			w.answer(c)
+		}
+		for c, e := range w.ends {
+			if e != nil && e.client != nil {
+				w.turn(func() { w.lose(transport.Conn(c)) })
+			}
+		}
+		w.now++
+	}
+	if n := len(w.r.timers); n > 30 || len(w.r.searchByID) != 0 {
+		t.Errorf("%d timers and %d open ids are left of 200 searches", n, len(w.r.searchByID))
+	}
+}
+
+func FuzzTimers(f *testing.F) {
+	for seed := range uint64(20) {
+		f.Add(seed)
+	}
+	f.Fuzz(func(t *testing.T, seed uint64) {
+		rng, heap := rand.New(rand.NewPCG(seed, 1)), timers{}
+		var all []*timer
+		for range 300 {
+			switch rng.IntN(3) {
+			case 0:
+				if len(all) > 0 {
+					i := rng.IntN(len(all))
+					heap.drop(all[i])
+					heap.drop(all[i])
+					all = slices.Delete(all, i, i+1)
+				}
+			default:
+				all = append(all, heap.add(float64(rng.IntN(50)), nil))
+			}
+		}
+		slices.SortFunc(all, func(a, b *timer) int { return int(a.dueAt - b.dueAt) })
+		for i, want := range all {
+			if got := heap.take(); got.dueAt != want.dueAt || got.heapIndex >= 0 {
+				t.Fatalf("timer %d at %v, want %v", i, got.dueAt, want.dueAt)
+			}
+		}
+		if len(heap) != 0 {
+			t.Error(len(heap), "are left")
+		}
+	})
+}
--- a/internal/aggregator/engine/usage.go
+++ b/internal/aggregator/engine/usage.go
@@ -4,27 +4,27 @@
 	"kestrelspread/internal/must"
 )
 
-// Usage is what one search used. It is told once nothing of the search is out any more; At is when its answer was given.
+// Usage is what one search used. It is recorded once nothing of the search is in flight any more.
 type Usage struct {
-	Kind, Customer int
-	Front          int // 0 for HTTP's, else the door
-	Result         Result
-	ClientLeft     bool // its client went before the answer: How tells nothing
-	AnsweredAt     float64
-	Shards         int
-	First          int     // attempts that were a part's first
-	Retry          int     // that followed one that had ended
-	Hedge          int     // that went beside one still out
-	Cancelled      int     // of all these
-	Work           float64 // hinted, ms
-	Server         float64 // ms between the policy's sending and the end of each attempt
-	In, Out        int64   // bytes of what the client sent and of its answer, without heads
+	Kind, Customer    int
+	Front             int // 0 for HTTP's, else the door
+	Result            Result
+	ClientLeft        bool // its client left before the answer: Result tells nothing
+	AnsweredAt        float64
+	Shards            int
+	First             int     // attempts that were a shard request's first
+	Retry             int     // that followed one that had ended
+	Hedge             int     // that went beside one in flight
+	Cancelled         int     // of all these
+	Work              float64 // hinted, ms
+	Server            float64 // ms from each attempt's send to its end
+	BytesIn, BytesOut int64   // bytes of what the client sent and of its answer, without heads
 }
 
-// Meter is told of each search, once. It must not wait.
+// Meter records each search, once. It must not wait.
 type Meter interface{ Record(usage *Usage) }
 
-// SetMeter has a meter told; before the loop runs.
+// SetMeter sets the meter, before the loop runs.
 func (e *Engine) SetMeter(m Meter) { e.meter = m }
 
 // usageRecord is kept with a search for its meter.
@@ -36,7 +36,7 @@
 	bytesIn, bytesOut     int64
 }
 
-// attemptKind of an attempt among those of its part.
+// attemptKind of an attempt among those of its shard request.
 type attemptKind uint8
 
 const (
@@ -45,6 +45,7 @@
 	hedgeAttempt
 )
 
+// nextKind is what a further attempt would be.
 func (req *shardRequest) nextKind() attemptKind {
 	if len(req.attempts) == 0 {
 		return firstAttempt
@@ -72,8 +73,18 @@
 	if search.carrier != nil {
 		used.bytesIn, used.bytesOut = search.carrier.Bytes()
 	}
-	usage := Usage{Kind: used.kind, Customer: used.customer, Front: used.front, Result: used.result, ClientLeft: used.clientLeft, AnsweredAt: used.answeredAt, Shards: len(search.requests), Work: used.work,
-		In: used.bytesIn, Out: used.bytesOut}
+	usage := Usage{
+		Kind:       used.kind,
+		Customer:   used.customer,
+		Front:      used.front,
+		Result:     used.result,
+		ClientLeft: used.clientLeft,
+		AnsweredAt: used.answeredAt,
+		Shards:     len(search.requests),
+		Work:       used.work,
+		BytesIn:    used.bytesIn,
+		BytesOut:   used.bytesOut,
+	}
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
 			switch attempt.kind {
--- a/internal/aggregator/engine/watch.go
+++ b/internal/aggregator/engine/watch.go
@@ -10,15 +10,16 @@
 
 const (
 	heartbeatInterval = 2000.
-	heartbeatTimeout  = 1.6 * heartbeatInterval // without a beat for so long, a watch is opened anew
-	// What a silent watch misses counts as told 6 s after it fell silent, and it is found out after 3.2 s at the latest: what
-	// is left has to do for two further ones that hang. Each hangs longer than the last, as many aggregators may be asking.
-	watchOpenTimeout = 800. // a watch that is opened has told something within so long
+	heartbeatTimeout  = 1.6 * heartbeatInterval // without a heartbeat for so long, a watch is opened anew
+	// What a watch that has timed out misses counts as known 6 s after its last line, and the
+	// time-out is found after 3.2 s at the latest: what is left has to do for two further ones that
+	// hang. Each hangs longer than the last, as many aggregators may be asking.
+	watchOpenTimeout = 800. // a watch that is opened has sent something within so long
 	minWatchBackoff  = 50.  // after two that were lost at once the next waits, then twice as long each time
 	maxWatchBackoff  = 300. // up to so long
-	minWatchLife     = 1000.
-	olderListTimeout = 6000.  // so late at most comes what discovery has to tell
-	serverRetention  = 30000. // after so long no server that is gone is spoken of again under its id, as a rule
+	minWatchDuration = 1000.
+	olderListTimeout = 6000.  // an update of discovery comes so late at most
+	serverRetention  = 30000. // after so long no server that is gone comes back under its id, as a rule
 	removeRetryDelay = 1000.  // and while something refers to it, it is looked at again so often
 )
 
@@ -29,19 +30,19 @@
 	parser          protocol.HTTP
 	lines           protocol.Lines
 	openedAt        float64
-	lastLineAt      float64 // when the latest line was whole: bytes that make none are no news, however long they trickle
-	alive           bool    // it has told what is due at once: its head, or a line where all was asked for
+	lastLineAt      float64 // when the latest line was complete: bytes that make none count for nothing
+	alive           bool    // it has sent what is due at once: its head, or a line where all was asked for
 	fullList        bool    // all was asked for
 	awaitsFirstList bool    // no list has come on it yet
 	closed          bool
 }
 
-// Subscribe is the policy's wish for news; there is one watch, kept open all the time.
+// Subscribe implements policy.Out; there is one watch, kept open all the time.
 func (e *Engine) Subscribe() { e.openWatch() }
 
 func (e *Engine) openWatch() {
 	list := &e.list
-	if list.watch != nil { // while leaving too: attempts go on until all is answered, and drains count as told
+	if list.watch != nil { // in a shutdown too: attempts go on until all is answered, and drains count
 		return
 	}
 	e.Count.Watches++
@@ -66,7 +67,7 @@
 	e.armWatchTimer(watch)
 }
 
-// watchAlive: a watch has told something in time.
+// watchAlive: a watch has sent something in time.
 func (e *Engine) watchAlive(watch *watch) {
 	watch.lastLineAt = e.now
 	if !watch.alive {
@@ -75,16 +76,16 @@
 	}
 }
 
-// watchTimeout with a watch that has told nothing yet.
+// watchTimeout is how long a watch may take that has sent nothing yet.
 func (e *Engine) watchTimeout() float64 {
 	if e.config.pollsDiscovery {
-		return heartbeatTimeout // calls wait there, in turn and for news, and one given up too soon makes the turn longer
+		return heartbeatTimeout // requests wait there, in turn and for updates, and one given up too soon makes the queue longer
 	}
 	return min(max(e.list.openTimeout, watchOpenTimeout), heartbeatTimeout)
 }
 
-// moveDiscovery has another address tell the list from now on. The one before is heard until then: it may still tell of a
-// drain, and the new one may be slow to come up.
+// moveDiscovery has another address tell the list from now on. The one before is heard until then:
+// it may still tell of a drain, and the new one may be slow to come up.
 func (e *Engine) moveDiscovery(to netip.AddrPort) {
 	list := &e.list
 	if to == list.addr {
@@ -95,7 +96,7 @@
 	list.addr, list.moved, list.olderSince, list.openTimeout, list.lostInARow = to, true, 0, 0, 0
 	if watch := list.watch; watch != nil {
 		if list.watch = nil; watch.awaitsFirstList && list.previousWatch != nil {
-			e.closeWatch(watch) // it has told nothing: the one before it is still the better
+			e.closeWatch(watch) // it has sent nothing: the one before it is still the better
 		} else {
 			e.closeWatch(list.previousWatch)
 			list.previousWatch = watch
@@ -112,7 +113,7 @@
 	}
 }
 
-// armWatchTimer gives a watch up that has fallen silent, or that tells nothing once it is opened.
+// armWatchTimer gives a watch up that has timed out, or that sends nothing once it is opened.
 func (e *Engine) armWatchTimer(watch *watch) {
 	list := &e.list
 	patience := heartbeatTimeout
@@ -123,7 +124,7 @@
 	e.timers.add(at, func(e *Engine) {
 		switch {
 		case watch.closed:
-		case !watch.alive && e.now > at+stallAfter: // this aggregator stood still: what it was told meanwhile may be unread yet
+		case !watch.alive && e.now > at+stallAfter: // this aggregator stood still: what came meanwhile may be unread yet
 			watch.lastLineAt = e.now - patience/2
 			e.armWatchTimer(watch)
 		case watch.alive && e.now < watch.lastLineAt+heartbeatTimeout, !watch.alive && e.now < watch.lastLineAt+patience:
@@ -158,9 +159,10 @@
 	e.Count.WatchesLost++
 	e.log.warn("watch lost", "%s, version %d", why, list.version)
 	e.policy.DiscoveryFailed()
-	// The next is opened at once: what is told meanwhile counts. Only those that keep on ending at once are asked less often,
-	// and discovery that has to be asked is not on this machine: it ends its answers, and what all ask of it adds up.
-	if list.lostInARow++; why == "silent" || e.now >= watch.openedAt+minWatchLife {
+	// The next is opened at once: what is sent meanwhile counts. Only those that keep on ending at
+	// once are asked less often, and discovery that has to be asked is not on this machine: it ends
+	// its answers, and what all ask of it adds up.
+	if list.lostInARow++; why == "silent" || e.now >= watch.openedAt+minWatchDuration {
 		list.lostInARow = 0
 	}
 	if e.config.pollsDiscovery {
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -39,7 +39,7 @@
 func (m *meter) Record(u *engine.Usage) {
 	m.searches++
 	m.subs += int64(u.First + u.Retry + u.Hedge)
-	m.in, m.out = m.in+u.In, m.out+u.Out
+	m.in, m.out = m.in+u.BytesIn, m.out+u.BytesOut
 	if u.ClientLeft {
 		m.left++
 	}
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -90,8 +90,8 @@
 	}
 	k := ledger.Key{Customer: name(r.customers, u.Customer), Kind: name(r.kinds, u.Kind), Front: front, Outcome: how}
 	c := ledger.Counts{ledger.Searches: 1, ledger.Parts: int64(u.Shards), ledger.First: int64(u.First), ledger.Repeat: int64(u.Retry),
-		ledger.Copy: int64(u.Hedge), ledger.CalledOff: int64(u.Cancelled), ledger.Work: ledger.Micros(u.Work), ledger.BytesIn: u.In,
-		ledger.BytesOut: u.Out, ledger.Server: ledger.Micros(u.Server)}
+		ledger.Copy: int64(u.Hedge), ledger.CalledOff: int64(u.Cancelled), ledger.Work: ledger.Micros(u.Work), ledger.BytesIn: u.BytesIn,
+		ledger.BytesOut: u.BytesOut, ledger.Server: ledger.Micros(u.Server)}
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	at, steady := r.now()
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -52,7 +52,7 @@
 }
 
 func use(r *Recorder, c *clocks, customer int) {
-	r.Record(&engine.Usage{Customer: customer, Result: engine.Complete, AnsweredAt: c.Steady(), Shards: 2, First: 2, Hedge: 1, In: 10, Out: 100, Work: 1.5, Server: 20})
+	r.Record(&engine.Usage{Customer: customer, Result: engine.Complete, AnsweredAt: c.Steady(), Shards: 2, First: 2, Hedge: 1, BytesIn: 10, BytesOut: 100, Work: 1.5, Server: 20})
 }
 
 // use here, as no disk of the machine is part of these tests: all faults are made.
