--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"kestrelspread/internal/node/core"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/inflight"
 	"kestrelspread/internal/node/routing/mechanism"
 	"kestrelspread/internal/node/routing/units"
-	"kestrelspread/internal/node/routing/upstream"
 	"kestrelspread/internal/window"
 )
 
@@ -34,16 +34,16 @@
 
 // Overload measures whether a service's answers are late, over all its routes.
 //
-// A service that is asked for more than it can do answers all too late, as each request waits behind others that are
-// late already. Then some are shed, the least urgent first, so that the rest is in time (RULES.md, "Worth" and
-// "Prices").
+// A service that is asked for more than it can do answers all too late, as each request waits
+// behind others that are late already. Then some are shed, the least urgent first, so that the rest
+// is in time (RULES.md, "Worth" and "Prices").
 type Overload struct {
-	ratios        *window.Hist // latency over target
-	shed          float64      // share of the least urgent requests to be refused
-	refreshedAt   core.Time
-	leastUrgent   int // urgency of the least urgent request lately; urgencies count from 0, the most urgent
-	mostUrgent    int
-	lastArrivalAt core.Time
+	ratios          *window.Hist // latency over target
+	shed            float64      // share of the least urgent requests to be refused
+	refreshedAt     core.Time
+	lowestPriority  int // urgency of the least urgent request recently; urgencies count from 0, the most urgent
+	highestPriority int
+	lastArrivalAt   core.Time
 }
 
 // NewOverload makes the measure of a service without answers.
@@ -54,17 +54,17 @@
 // Received takes in a request's urgency.
 func (o *Overload) Received(now core.Time, urgency int) {
 	if now-o.lastArrivalAt > urgencyKept || o.lastArrivalAt == 0 {
-		o.leastUrgent, o.mostUrgent = urgency, urgency
+		o.lowestPriority, o.highestPriority = urgency, urgency
 	}
 	o.lastArrivalAt = now
-	o.leastUrgent, o.mostUrgent = max(o.leastUrgent, urgency), min(o.mostUrgent, urgency)
+	o.lowestPriority, o.highestPriority = max(o.lowestPriority, urgency), min(o.highestPriority, urgency)
 }
 
 // Learn takes in a latency as a ratio of its route's target.
 func (o *Overload) Learn(now core.Time, ratio float64) { o.ratios.Add(units.Milliseconds(now), ratio) }
 
 // Refresh raises or lowers the share to be shed, at most once in each ShedInterval.
-func (o *Overload) Refresh(now core.Time, p *upstream.Pool) {
+func (o *Overload) Refresh(now core.Time, p *brokerstate.Pool) {
 	if now < o.refreshedAt+ShedInterval {
 		return
 	}
@@ -80,9 +80,9 @@
 // Shed is the share of the least urgent requests to be refused.
 func (o *Overload) Shed() float64 { return o.shed }
 
-// busy reports whether most brokers with a recent report have requests waiting, or half of their slots taken: else a
-// refusal would be one that isn't needed.
-func busy(now core.Time, p *upstream.Pool) bool {
+// busy reports whether most brokers with a recent report have requests waiting, or half of their
+// slots taken: else a refusal would be one that isn't needed.
+func busy(now core.Time, p *brokerstate.Pool) bool {
 	reports, busy := 0, 0
 	for _, b := range p.Brokers {
 		load, recent := b.RecentReport(now, reportAge)
@@ -97,12 +97,13 @@
 	return reports > 0 && float64(busy) >= busyShare*float64(reports)
 }
 
-// Chance is the share of requests of an urgency to be refused: of the most urgent none before half of the least are.
-func (o *Overload) Chance(urgency int) float64 {
+// ShedProbability is the share of requests of an urgency to be refused: of the most urgent none
+// before half of the least are.
+func (o *Overload) ShedProbability(urgency int) float64 {
 	if o.shed == 0 {
 		return 0
 	}
-	if o.leastUrgent > o.mostUrgent && urgency == o.mostUrgent {
+	if o.lowestPriority > o.highestPriority && urgency == o.highestPriority {
 		return max(topUrgencyFactor*o.shed-1, 0)
 	}
 	return o.shed
@@ -110,6 +111,6 @@
 
 // Sheds decides by chance whether a request is refused as its service is overloaded.
 func (g *Gate) Sheds(req *inflight.Request, o *Overload) bool {
-	chance := o.Chance(req.Urgency)
-	return g.switches.On(mechanism.Overload) && chance > 0 && g.random.Float64() < chance
+	probability := o.ShedProbability(req.Urgency)
+	return g.switches.On(mechanism.Overload) && probability > 0 && g.random.Float64() < probability
 }
--- a/internal/node/routing/upstream/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -1,4 +1,4 @@
-package upstream
+package brokerstate
 
 import (
 	"kestrelspread/internal/node/core"
@@ -8,8 +8,8 @@
 )
 
 const (
-	slowScore     = 0.5 // score from which an answer is predicted slow
-	crowdSlowness = 2.0 // medians that a broker takes which is slow even where all are
+	slowScore       = 0.5 // score from which an answer is predicted slow
+	crowdedSlowness = 2.0 // medians that a broker takes which is slow even where all are
 )
 
 // Prediction is whether an answer would be slow, and what it was predicted from.
@@ -18,14 +18,14 @@
 	Slow     bool
 }
 
-// Predict tells whether a request that is sent to the broker now would be answered late (LinnOS's predictor). load is
-// the broker's, average that of the brokers in question.
+// Predict tells whether a request that is sent to the broker now would be answered late (LinnOS's
+// predictor). load is the broker's, average that of the brokers in question.
 func (p *Pool) Predict(now core.Time, b *Broker, load, average float64) Prediction {
 	features := p.features(now, b, load, average)
 	slow := p.switches.On(mechanism.Prediction) && p.predictsSlow(&features)
-	// In a crowd all are slow, and who looks fast is who got no requests: only who is far slower than the rest is
-	// passed over.
-	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < crowdSlowness*p.median {
+	// In a crowd all are slow, and who looks fast is who got no requests: only who is far slower
+	// than the rest is passed over.
+	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < crowdedSlowness*p.median {
 		slow = false
 	}
 	return Prediction{features, slow}
@@ -40,13 +40,14 @@
 func (p *Pool) features(now core.Time, b *Broker, load, average float64) predict.Vector {
 	line := p.SlowLine(now, b)
 	features := predict.NewFeatures(line, average, load)
-	// A timeout must not read as fast: a call that is out for longer than the line stands for the latest latency.
+	// A timeout must not read as fast: a call that is out for longer than the line stands for the
+	// latest latency.
 	if age, loadThen := b.longestWait(now); age > line {
 		features.Add(age, loadThen)
 	}
 	expires := p.switches.On(mechanism.HistoryExpiry)
 	for _, past := range b.latencies.history {
-		if past.latency > 0 && (!expires || units.Milliseconds(now-past.at) < predict.HistoryLife) {
+		if past.latency > 0 && (!expires || units.Milliseconds(now-past.measuredAt) < predict.HistoryLife) {
 			features.Add(past.latency, past.load)
 		}
 	}
@@ -87,8 +88,8 @@
 	}
 }
 
-// HedgeQuantile is the quantile of latencies after which a call is hedged: the design's pX, lower where many
-// predictions of fast answers were wrong.
+// HedgeQuantile is the quantile of latencies after which a call is hedged: the design's pX, lower
+// where many predictions of fast answers were wrong.
 func (p *Pool) HedgeQuantile(now core.Time) float64 {
 	return p.submits.CopyShare(units.Milliseconds(now))
 }
--- a/internal/node/routing/candidate/candidate.go
+++ b/internal/node/routing/candidate/candidate.go
@@ -1,28 +1,30 @@
-// Package candidate finds the brokers that a request may go to: those that the rules permit (lifecycle, versions of
-// weights), that haven't had the request yet, that don't back off after a refusal, and that aren't ejected. Which of
-// them gets the request is for package placement to choose.
+// Package candidate finds the brokers that a request may go to: those that the rules permit
+// (lifecycle, versions of weights), that haven't had the request yet, that don't back off after a
+// refusal, and that aren't ejected. Which of them gets the request is for package placement to
+// choose.
 package candidate
 
 import (
 	"slices"
 
 	"kestrelspread/internal/node/core"
-	"kestrelspread/internal/node/routing/upstream"
+	"kestrelspread/internal/node/routing/brokerstate"
 )
 
 // warmUpFactor is what each request counts at a broker that is in slow start.
 const warmUpFactor = 2.0
 
-// Candidate is a broker that a request may go to. Package candidate fills in what stands first, prefixcache the
-// coverage, placement the rest.
+// Candidate is a broker that a request may go to. Package candidate fills in what stands first,
+// prefixcache the coverage, placement the rest.
 type Candidate struct {
-	Broker  *upstream.Broker
+	Broker  *brokerstate.Broker
 	Version uint64  // of the model's weights there; 0: the service runs no models
 	Load    float64 // estimated requests there
 	// Probe: the broker was ejected, and the request would be its probe.
 	Probe bool
 
-	// Cached is how many tokens of the prompt the broker has, by the index and by what was sent there lately.
+	// Cached is how many tokens of the prompt the broker has, by the index and by what was sent
+	// there recently.
 	Cached int
 	// Arriving is how many it has or will have read before a new request's turn.
 	Arriving int
@@ -31,7 +33,7 @@
 
 	// Predicted: Prediction is filled in.
 	Predicted  bool
-	Prediction upstream.Prediction
+	Prediction brokerstate.Prediction
 	// TieBreak orders brokers with as many own requests, where the service runs no models.
 	TieBreak float64
 	// Plan is what the broker has to do for the prompt, where the service runs models.
@@ -44,7 +46,7 @@
 type Plan struct {
 	PrefillTokens  int     // it has to read
 	SharedTokens   int     // shared ones of these
-	RepeatedTokens int     // those of the shared ones that some broker was sent lately
+	RepeatedTokens int     // those of the shared ones that some broker was sent recently
 	PrefillTime    float64 // ms to fetch and read the prompt
 }
 
@@ -57,7 +59,8 @@
 	Eligible []Candidate
 	// Ejected candidates are not to be used unless nothing better is left.
 	Ejected []Candidate
-	// BackingOff is how many brokers refused requests lately, and CapacityAt when the first of them may have capacity.
+	// BackingOff is how many brokers refused requests recently, and CapacityAt when the first of
+	// them may have capacity.
 	BackingOff int
 	CapacityAt core.Time
 	// AverageLoad of the eligible ones.
@@ -94,8 +97,8 @@
 	return slices.ContainsFunc(s.Eligible, func(c Candidate) bool { return c.Prediction.Slow })
 }
 
-// estimateLoads fills in the eligible candidates' loads: the last report corrected by own calls, faded to the average
-// as it ages; own calls where no broker reports.
+// estimateLoads fills in the eligible candidates' loads: the last report corrected by own calls,
+// faded to the average as it ages; own calls where no broker reports.
 func (s *Set) estimateLoads(now core.Time) {
 	sum, trusts, own := 0.0, 0.0, 0
 	for i := range s.Eligible {
--- a/internal/node/routing/simulated_test.go
+++ b/internal/node/routing/faults_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Every condition at once, at a load that the brokers can't bear: the checks of the simulation hold, and no window of the
-// retry budget is overdrawn by all proxies together (RULES.md, BUDGET).
+// Every condition at once, at a load that the brokers can't bear: the checks of the simulation
+// hold, and no window of the retry budget is overdrawn by all proxies together (RULES.md, BUDGET).
 func TestBudgetHoldsAcrossProxies(t *testing.T) {
 	for _, proxies := range []int{1, 10, 70} {
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
@@ -34,16 +34,16 @@
 			}
 			s.run(50 * time.Second)
 			s.checkBudget()
-			assert.Assert(t, len(s.furtherTimes) > 100, "only %d further arrivals: nothing was tested", len(s.furtherTimes))
+			assert.Assert(t, len(s.retryTimes) > 100, "only %d further arrivals: nothing was tested", len(s.retryTimes))
 			for _, r := range s.proxies {
-				assert.Equal(t, r.Holding(), 0)
+				assert.Equal(t, r.Pending(), 0)
 			}
 		})
 	}
 }
 
-// Proxies that are killed and come back forget what they spent: the windows hold all the same, also where they then know few
-// others.
+// Proxies that are killed and come back forget what they spent: the windows hold all the same, also
+// where they then know few others.
 func TestBudgetHoldsAcrossRestarts(t *testing.T) {
 	const proxies = 20
 	s := newSimulation(t, proxies, 8)
@@ -63,11 +63,11 @@
 	}
 	s.run(70 * time.Second)
 	s.checkBudget()
-	assert.Assert(t, len(s.furtherTimes) > 300, "only %d further arrivals", len(s.furtherTimes))
+	assert.Assert(t, len(s.retryTimes) > 300, "only %d further arrivals", len(s.retryTimes))
 }
 
 // One broker of eight in trouble: nearly all is served, and the one gets few arrivals.
-func TestOneBrokerInTrouble(t *testing.T) {
+func TestOneFaultyBroker(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		condition condition
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -7,6 +7,7 @@
 	"kestrelspread/internal/node/core"
 	"kestrelspread/internal/node/registry"
 	"kestrelspread/internal/node/routing/admission"
+	"kestrelspread/internal/node/routing/brokerstate"
 	"kestrelspread/internal/node/routing/cachesalt"
 	"kestrelspread/internal/node/routing/candidate"
 	"kestrelspread/internal/node/routing/mechanism"
@@ -15,11 +16,10 @@
 	"kestrelspread/internal/node/routing/prefixcache"
 	"kestrelspread/internal/node/routing/retrybudget"
 	"kestrelspread/internal/node/routing/routeclass"
-	"kestrelspread/internal/node/routing/upstream"
 )
 
-// Router decides for one proxy. It holds the requests and the state of the brokers, and passes each question on to the
-// package whose concern it is. It isn't safe for concurrent use: see Guarded.
+// Router decides for one proxy. It holds the requests and the state of the brokers, and passes each
+// question on to the package whose concern it is. It isn't safe for concurrent use: see Guarded.
 type Router struct {
 	options  Options
 	switches mechanism.Switches
@@ -28,25 +28,25 @@
 	versions modelversion.Tracker
 	isolated cachesalt.IsolatedTenants
 	limits   retrybudget.Limits
-	ejector  *upstream.Ejector
+	ejector  *brokerstate.Ejector
 	cache    *prefixcache.Cache
 	finder   *candidate.Finder
 	placer   *placement.Placer
 	gate     *admission.Gate
 
-	brokers  map[string]*upstream.Broker // by instance id
-	services map[string]*serviceState    // by name
+	brokers  map[string]*brokerstate.Broker // by instance id
+	services map[string]*serviceState       // by name
 	classes  routeclass.Classes
 	requests map[RequestID]*request
 	lastID   RequestID
 
 	counters Counters
-	late     lateRecord
+	late     lateAnswers
 }
 
 // serviceState is what is known of a service of brokers.
 type serviceState struct {
-	pool     *upstream.Pool
+	pool     *brokerstate.Pool
 	budget   retrybudget.Budget
 	overload admission.Overload
 }
@@ -61,16 +61,16 @@
 		options:  options,
 		switches: switches,
 		versions: modelversion.NewTracker(now, modelversion.Bounds{
-			SingleStretch: options.VersionGrace, AllStretches: options.VersionAll, UnstableFor: options.Contact,
+			SingleStretch: options.VersionGrace, AllStretches: options.VersionGraceAll, UnstableFor: options.UnstableFor,
 		}),
 		limits:   retrybudget.NewLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
 		gate:     admission.New(now, switches, options.Random),
-		brokers:  make(map[string]*upstream.Broker),
+		brokers:  make(map[string]*brokerstate.Broker),
 		services: make(map[string]*serviceState),
 		requests: make(map[RequestID]*request),
 		counters: Counters{Refusals: make(map[RefusalReason]uint64)},
 	}
-	r.ejector = upstream.NewEjector(switches, options.Random, options.Heartbeat, &r.limits.Proxies)
+	r.ejector = brokerstate.NewEjector(switches, options.Random, options.Heartbeat, &r.limits.Proxies)
 	r.cache = prefixcache.New(switches, options.Index, &r.versions, r.ejector)
 	r.finder = candidate.NewFinder(switches, &r.versions, r.ejector)
 	r.placer = placement.New(switches, options.Zone, options.Random, r.cache)
@@ -82,12 +82,12 @@
 	counters := r.counters.clone()
 	counters.Late = maps.Clone(r.late.counts)
 	counters.BudgetDenied = r.limits.Denied
-	counters.SetAside = r.ejector.Ejections()
+	counters.Ejections = r.ejector.Ejections()
 	return counters
 }
 
-// Holding is how many requests are held.
-func (r *Router) Holding() int { return len(r.requests) }
+// Pending is how many requests are held.
+func (r *Router) Pending() int { return len(r.requests) }
 
 // SetPeers tells how many proxies share the retry budget, this one included.
 func (r *Router) SetPeers(now core.Time, proxies int) {
@@ -104,13 +104,14 @@
 	r.isolated.Observe(compiled)
 }
 
-// CoreDisturbed tells that the core was unstable at a time: a machine of it was lost, and the agreed view dropped it.
-// The time for older weights is counted anew from there. at must not be later than the fault may have been, which lasts
-// for contactMs (RULES.md, "Stable"); a fault of disks alone is none.
+// CoreDisturbed tells that the core was unstable at a time: a machine of it was lost, and the
+// agreed view dropped it. The time for older weights is counted anew from there. at must not be
+// later than the fault may have been, which lasts for contactMs (RULES.md, "Stable"); a fault of
+// disks alone is none.
 func (r *Router) CoreDisturbed(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
 
-// Resumed tells that this process stood still until now: what it didn't receive meanwhile is no timeout of brokers, and
-// latencies that span it mean nothing.
+// Resumed tells that this process stood still until now: what it didn't receive meanwhile is no
+// timeout of brokers, and latencies that span it mean nothing.
 func (r *Router) Resumed(now core.Time) { r.ejector.Resumed(now) }
 
 // SetTable takes a newer picture of the brokers.
@@ -135,11 +136,12 @@
 	}
 }
 
-// broker is the state of an instance. joined: the instance, if it is new here, has just joined the fleet.
-func (r *Router) broker(now core.Time, instance *registry.Instance, joined bool) *upstream.Broker {
+// broker is the state of an instance. joined: the instance, if it is new here, has just joined the
+// fleet.
+func (r *Router) broker(now core.Time, instance *registry.Instance, joined bool) *brokerstate.Broker {
 	b := r.brokers[instance.ID]
 	if b == nil {
-		b = upstream.NewBroker(now, instance, joined)
+		b = brokerstate.NewBroker(now, instance, joined)
 		r.brokers[instance.ID] = b
 	}
 	b.Update(now, instance)
@@ -150,7 +152,7 @@
 func (r *Router) service(name string) *serviceState {
 	s := r.services[name]
 	if s == nil {
-		s = &serviceState{pool: upstream.NewPool(r.switches), budget: r.limits.NewBudget(), overload: admission.NewOverload()}
+		s = &serviceState{pool: brokerstate.NewPool(r.switches), budget: r.limits.NewBudget(), overload: admission.NewOverload()}
 		r.services[name] = s
 	}
 	return s
@@ -163,8 +165,8 @@
 	}
 }
 
-// StoreSeen tells of a sign of life of a store, or that it was asked and gave none. lost: what it cached is gone, which
-// the index reports as well.
+// StoreSeen tells of a sign of life of a store, or that it was asked and gave none. lost: what it
+// cached is gone, which the index reports as well.
 func (r *Router) StoreSeen(_ core.Time, address string, alive, _ bool) {
 	r.cache.StoreSeen(address, alive)
 }
