--- a/cmd/kestrelctl/main.go
+++ b/cmd/kestrelctl/main.go
@@ -85,29 +85,29 @@
 	var operator, policyName string
 	c := &cobra.Command{Use: "broker", Short: "Run a broker, with another policy in the module's place if one is named", Hidden: true,
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			var list []server.Attach
+			var list []server.Extension
 			if policyName == "sighted" || policyName == "planned" {
-				list = append(list, func(p *server.Parts) (server.Attached, error) {
-					view := p.Set.Sighted
+				list = append(list, func(p *server.Host) (server.Hooks, error) {
+					view := p.Settings.NewZoneAwarePolicy
 					if policyName == "planned" {
-						view = p.Set.Planned
+						view = p.Settings.NewCapacityAwarePolicy
 					}
 					p.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return view(out, p.Seed) })
-					return server.Attached{}, nil
+					return server.Hooks{}, nil
 				})
 			} else if policyName != "" {
-				list = append(list, func(p *server.Parts) (server.Attached, error) {
+				list = append(list, func(p *server.Host) (server.Hooks, error) {
 					p.Engine.ReplacePolicy(func(out policy.Out) policy.Port {
 						b := baseline.New(policyName, out, p.Seed)
-						b.Home(p.Set.Whole("zone", 0))
-						p.Set.Tell(b)
+						b.Home(p.Settings.Int("zone", 0))
+						p.Settings.Configure(b)
 						return b
 					})
-					return server.Attached{}, nil
+					return server.Hooks{}, nil
 				})
 			}
 			if operator != "" {
-				list = append(list, full.Attach(operator))
+				list = append(list, full.Extension(operator))
 			}
 			return server.Run(os.Stderr, list...)
 		}}
--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -27,7 +27,7 @@
 			if file == "" {
 				return server.Run(os.Stderr)
 			}
-			return server.Run(os.Stderr, full.Attach(file))
+			return server.Run(os.Stderr, full.Extension(file))
 		}}
 	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's own file; its form is deploy/operator.schema.json")
 	root.AddCommand(&cobra.Command{Use: "check", Short: "Say what is wrong with an operator's file, and exit with 1 if anything is",
--- a/internal/aggregator/engine/config.go
+++ b/internal/aggregator/engine/config.go
@@ -45,15 +45,15 @@
 // newConfig reads the settings; sockets is how many descriptors the process may hold.
 func newConfig(set settings.Values, sockets int) config {
 	c := config{
-		connectTimeout:  set.Num("limits.connect-timeout-ms", defaultConnectTimeout),
-		connIdleTimeout: set.Num("limits.conn-idle-ms", math.Inf(1)),
-		drainGrace:      set.Num("safety.drain-grace-ms", 0),
-		streamsPerConn:  max(set.Whole("limits.streams-per-conn", 1), 1),
-		maxBatch:        max(set.Whole("family-info.batch", 1), 1),
-		maxPending:      set.Whole("limits.most-held", 0),
-		shards:          set.Whole("family-info.slabs", maxShards),
-		positions:       max(set.Whole("family-info.places", 1), 1),
-		replicas:        max(set.Whole("family-info.span", 1), 1),
+		connectTimeout:  set.Float("limits.connect-timeout-ms", defaultConnectTimeout),
+		connIdleTimeout: set.Float("limits.conn-idle-ms", math.Inf(1)),
+		drainGrace:      set.Float("safety.drain-grace-ms", 0),
+		streamsPerConn:  max(set.Int("limits.streams-per-conn", 1), 1),
+		maxBatch:        max(set.Int("family-info.batch", 1), 1),
+		maxPending:      set.Int("limits.most-held", 0),
+		shards:          set.Int("family-info.slabs", maxShards),
+		positions:       max(set.Int("family-info.places", 1), 1),
+		replicas:        max(set.Int("family-info.span", 1), 1),
 		kinds:           map[string]int{},
 		zones:           map[string]int{},
 		customers:       map[string]int{},
@@ -64,8 +64,8 @@
 	}
 	c.readKinds(set)
 	for i := range set.Count("customers") {
-		keepFirst(c.customers, set.Item("customers", i, "name"), i)
-		c.customerNames = append(c.customerNames, set.Item("customers", i, "name"))
+		keepFirst(c.customers, set.ItemField("customers", i, "name"), i)
+		c.customerNames = append(c.customerNames, set.ItemField("customers", i, "name"))
 	}
 	for i, zone := range set.List("localities") {
 		keepFirst(c.zones, zone, i)
@@ -76,12 +76,12 @@
 
 func (c *config) readKinds(set settings.Values) {
 	for i := range set.Count("classes") {
-		name := set.Item("classes", i, "name")
+		name := set.ItemField("classes", i, "name")
 		keepFirst(c.kinds, name, i)
 		c.kindNames = append(c.kindNames, name)
-		timeout := set.Num("classes."+strconv.Itoa(i)+".deadline-ms", maxClientTimeout)
+		timeout := set.Float("classes."+strconv.Itoa(i)+".deadline-ms", maxClientTimeout)
 		c.longestTimeout = max(c.longestTimeout, timeout)
-		c.twoPhase = append(c.twoPhase, set.Nth("family-info.follow-up", i, 0) > 0)
+		c.twoPhase = append(c.twoPhase, set.FloatAt("family-info.follow-up", i, 0) > 0)
 	}
 }
 
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -156,7 +156,7 @@
 				e.config.kindNames[kind])
 		}
 	}
-	e.policy = set.Port(e, seed)
+	e.policy = set.NewPolicy(e, seed)
 	return e
 }
 
--- a/internal/aggregator/server/asyncwriter_test.go
+++ b/internal/aggregator/server/asyncwriter_test.go
@@ -18,10 +18,10 @@
 }
 
 func TestTheLastLineBeforeAQuietTimeComesOut(t *testing.T) {
-	// Each line is followed by none until it is out, after ever other pauses: some come as the reader goes to sleep. With
-	// wake-ups that can be lost some one in fifty thousand stays.
+	// Each line is followed by none until it is out, after ever other pauses: some come as the
+	// reader goes to sleep. With wake-ups that can be lost some one in fifty thousand stays.
 	c := &counting{}
-	l := newLines(c, 10)
+	l := newAsyncWriter(c, 10)
 	end := time.Now().Add(2 * time.Second)
 	for i := int64(1); time.Now().Before(end); i++ {
 		l.Write([]byte("a line\n"))
@@ -51,7 +51,7 @@
 
 func TestLinesThatNobodyReadsAreDroppedAndCounted(t *testing.T) {
 	h := &held{let: make(chan struct{})}
-	l := newLines(h, 4)
+	l := newAsyncWriter(h, 4)
 	line := []byte("0\n")
 	for i := range 10 {
 		line[0] = '0' + byte(i) // the caller's again each time
--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -1,4 +1,4 @@
-// Package full attaches to a broker what the operator's file switches on.
+// Package full attaches to an aggregator what the operator's file switches on.
 package full
 
 import (
@@ -41,18 +41,19 @@
 // Names gives what query types and customers are called.
 func Names(set settings.Values) (types, customers []string) {
 	for i := range set.Count("classes") {
-		types = append(types, set.Item("classes", i, "name"))
+		types = append(types, set.ItemField("classes", i, "name"))
 	}
 	for i := range set.Count("customers") {
-		customers = append(customers, set.Item("customers", i, "name"))
+		customers = append(customers, set.ItemField("customers", i, "name"))
 	}
 	return types, customers
 }
 
-// fit keeps what calls may hold within the broker's memory, whatever the file says: past that the broker is killed.
-func fit(p *server.Parts, g *operator.GRPC) {
+// limitBufferMemory keeps what calls may hold within the aggregator's memory, whatever the file
+// says: past that the aggregator is killed.
+func limitBufferMemory(p *server.Host, g *operator.GRPC) {
 	l := &g.Rules.Limits
-	most := max(int(p.Memory/memoryShare), l.StreamWindowBytes)
+	most := max(int(p.MemoryBytes/memoryShare), l.StreamWindowBytes)
 	if l.MaxBufferedBytes > most {
 		p.Log.Warn().Int("held_kb", most>>10).Msg("grpc/limits/held-kb is more than a quarter of the memory; less is held")
 		l.MaxBufferedBytes = most
@@ -62,91 +63,119 @@
 
 const memoryShare = 4
 
-// Attach switches on what the operator's file names. At SIGHUP a new file is taken whole or not at all.
-func Attach(file string) server.Attach {
-	return func(p *server.Parts) (server.Attached, error) {
-		s, err := Read(file, p.Set)
+// Extension switches on what the operator's file names. At SIGHUP a new file is taken over as a
+// whole or not at all.
+func Extension(file string) server.Extension {
+	return func(host *server.Host) (hooks server.Hooks, err error) {
+		s, err := Read(file, host.Settings)
 		if err != nil {
-			return server.Attached{}, err
+			return hooks, err
 		}
-		var on server.Attached
 		if s.Ledger != nil {
-			if on.End, err = keep(p, s.Ledger); err != nil {
-				return on, err
+			if hooks.AfterLoop, err = startLedger(host, s.Ledger); err != nil {
+				return hooks, err
 			}
 		}
-		if s.Sites {
-			view := p.Set.Sighted
-			if s.Borne {
-				view = p.Set.Planned
-			}
-			p.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return view(out, p.Seed) })
-			p.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
-		}
-		if s.Order != nil {
-			s.Order.Apply(p.Engine.Policy())
-			p.Log.Info().Strs("first", s.Order.Describe(Names(p.Set))).Msg("an order of refusals")
+		choosePolicy(host, s)
+		ends, err := startAgreement(host, s)
+		for _, end := range ends {
+			hooks.AfterLoop = endBefore(end, hooks.AfterLoop)
 		}
-		sees := &sightings{}
-		port, sighted := p.Engine.Policy().(*zonefailure.Interceptor)
-		if sighted {
-			port.OnChange = sees.changed
-		}
-		last := func(end func()) {
-			before := on.End
-			on.End = func() {
-				end()
-				if before != nil {
-					before()
-				}
-			}
+		if err != nil {
+			return hooks, err
 		}
-		if s.Owner != nil {
-			end, err := duties(p, s.Owner, port, sees)
-			if err != nil {
-				return on, err
+		if s.GRPC == nil {
+			hooks.Reload = func() {
+				host.Log.Info().Bool("need_restart", true).Msg("operator's file: nothing is on that it could change")
 			}
-			last(end)
+			return hooks, nil
 		}
-		if s.Talk != nil && !sighted {
-			p.Log.Warn().Msg("talk: another policy stands in the module's place; nobody listens")
-		} else if s.Talk != nil {
-			end, err := converse(p, s.Talk, port, sees)
-			if err != nil {
-				return on, err
-			}
-			last(end)
+		hooks.Reload, err = startGRPC(host, file, s.GRPC)
+		return hooks, err
+	}
+}
+
+// endBefore ends what was started later first.
+func endBefore(end, earlier func()) func() {
+	return func() {
+		end()
+		if earlier != nil {
+			earlier()
 		}
-		if s.GRPC == nil {
-			on.Reload = func() {
-				p.Log.Info().Bool("need_restart", true).Msg("operator's file: nothing is on that it could change")
-			}
-			return on, nil
+	}
+}
+
+// choosePolicy puts what watches zones and capacity before the policy, and gives it the operator's
+// order of refusals.
+func choosePolicy(host *server.Host, s *operator.Settings) {
+	if s.Sites {
+		newPolicy := host.Settings.NewZoneAwarePolicy
+		if s.Borne {
+			newPolicy = host.Settings.NewCapacityAwarePolicy
 		}
-		fit(p, s.GRPC)
-		listen := s.GRPC.Listen
-		if err := p.Loop.Listen(listen); err != nil {
-			return on, fmt.Errorf("%s: %w", listen, err)
+		host.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return newPolicy(out, host.Seed) })
+		host.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
+	}
+	if s.Order != nil {
+		s.Order.Apply(host.Engine.Policy())
+		host.Log.Info().Strs("first", s.Order.Describe(Names(host.Settings))).Msg("an order of refusals")
+	}
+}
+
+// startAgreement starts what this aggregator agrees on with others: leases and reports on zones. It
+// gives what ends each, in the order of their start.
+func startAgreement(host *server.Host, s *operator.Settings) (ends []func(), err error) {
+	observers := &zoneObservers{}
+	zones, zoneAware := host.Engine.Policy().(*zonefailure.Interceptor)
+	if zoneAware {
+		zones.OnChange = observers.changed
+	}
+	if s.Owner != nil {
+		end, err := startLeases(host, s.Owner, zones, observers)
+		if err != nil {
+			return ends, err
 		}
-		front := grpcproxy.New(p.Engine, s.GRPC.Rules, p.Set.Whole("family-info.slabs", 1), p.Seed)
-		p.Engine.AddFront(front)
-		p.Log.Info().Str("listen", fmt.Sprintf("%v:%d", listen.Addr(), p.Loop.Port(1))).
-			Int("routes", s.GRPC.Rules.Routes.Len()).Msg("serving gRPC")
-		on.Reload = func() {
-			next, err := Read(file, p.Set)
-			switch {
-			case err != nil:
-				p.Log.Warn().Err(err).Msg("operator's file not taken over")
-			case next.GRPC == nil:
-				p.Log.Warn().Msg("operator's file not taken over: gRPC is switched off by a restart")
-			default:
-				p.Log.Info().Int("routes", next.GRPC.Rules.Routes.Len()).Bool("need_restart", next.GRPC.Listen != listen).
-					Msg("operator's file read again")
-				fit(p, next.GRPC)
-				front.NextSettings.Store(next.GRPC.Rules)
-				p.Loop.Tell(engine.ReloadFronts)
-			}
+		ends = append(ends, end)
+	}
+	switch {
+	case s.Talk == nil:
+	case !zoneAware:
+		host.Log.Warn().Msg("talk: another policy stands in the module's place; nobody listens")
+	default:
+		end, err := startGossip(host, s.Talk, zones, observers)
+		if err != nil {
+			return ends, err
 		}
-		return on, nil
+		ends = append(ends, end)
 	}
+	return ends, nil
+}
+
+// startGRPC listens for gRPC. It gives what takes over the operator's file when that is read again.
+func startGRPC(host *server.Host, file string, g *operator.GRPC) (reload func(), err error) {
+	limitBufferMemory(host, g)
+	if err := host.Loop.Listen(g.Listen); err != nil {
+		return nil, fmt.Errorf("%s: %w", g.Listen, err)
+	}
+	front := grpcproxy.New(host.Engine, g.Rules, host.Settings.Int("family-info.slabs", 1), host.Seed)
+	host.Engine.AddFront(front)
+	host.Log.Info().Str("listen", fmt.Sprintf("%v:%d", g.Listen.Addr(), host.Loop.Port(1))).
+		Int("routes", g.Rules.Routes.Len()).Msg("serving gRPC")
+	listen := g.Listen
+	return func() {
+		next, err := Read(file, host.Settings)
+		switch {
+		case err != nil:
+			host.Log.Warn().Err(err).Msg("operator's file not taken over")
+		case next.GRPC == nil:
+			host.Log.Warn().Msg("operator's file not taken over: gRPC is switched off by a restart")
+		default:
+			host.Log.Info().Int("routes", next.GRPC.Rules.Routes.Len()).
+				Bool("need_restart", next.GRPC.Listen != listen).
+				Msg("operator's file read again")
+			limitBufferMemory(host, next.GRPC)
+			front.NextSettings.Store(next.GRPC.Rules)
+			host.Loop.Tell(engine.ReloadFronts)
+		}
+	}, nil
 }
--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -47,9 +47,9 @@
 	exportBytes = 2 << 20
 )
 
-// keep opens the ledger and has the router tell it of each search. The broker does not start on a ledger that can't be proved:
-// an operator is to look at it first.
-func keep(p *server.Parts, o *operator.Ledger) (end func(), err error) {
+// startLedger opens the ledger and has the router tell it of each search. The aggregator does not
+// start on a ledger that can't be proved: an operator is to look at it first.
+func startLedger(p *server.Host, o *operator.Ledger) (end func(), err error) {
 	c, err := Calendar(o)
 	if err != nil {
 		return nil, err
--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -32,99 +32,129 @@
 	handOver   = 2 * time.Second // at a stop; what is not let go by then runs out by its lease
 )
 
-// duties has the broker take its part in the fleet's work: as a voter where the file makes it one, and as whoever may own a duty.
-// The broker starts and serves whatever becomes of this part.
-func duties(p *server.Parts, o *operator.Owner, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
+// startLeases has the aggregator take its part in the fleet's singleton roles: as a voter where the
+// file makes it one, and as a candidate for each role's lease. It starts and serves whatever the
+// result.
+func startLeases(host *server.Host, o *operator.Owner, zones *zonefailure.Interceptor, observers *zoneObservers) (end func(), err error) {
 	rules := lease.ConfigForLease(o.Lease)
-	var list []voter.Address
-	votes := false
-	for _, v := range o.Voters {
-		list = append(list, voter.Address{Name: v.Name, Addr: v.Address})
-		votes = votes || v.Name == p.Name
-	}
-	var mine *voter.Server
-	if votes {
-		if o.Folder == "" {
-			return nil, fmt.Errorf("owner: %s is a voter and has no folder", p.Name)
-		}
-		mine, err = voter.Start(voter.Options{Name: p.Name, Listen: o.Listen, Dir: o.Folder, Voters: list, LeaseConfig: rules,
-			TickInterval: time.Duration(rules.TickIntervalMs() * 1e6), Log: p.Log})
-		if err != nil {
-			return nil, fmt.Errorf("owner: %w", err)
-		}
+	own, list, err := startVoter(host, o, rules)
+	if err != nil {
+		return nil, err
 	}
-	var chance [8]byte
-	if _, err := rand.Read(chance[:]); err != nil {
+	var suffix [8]byte // tells two runs of one name apart
+	if _, err := rand.Read(suffix[:]); err != nil {
 		return nil, err
 	}
-	w := client.Options{Name: fmt.Sprintf("%s.%x", p.Name, chance), Voters: list, Config: rules, Jobs: map[string]func() client.Job{}, Log: p.Log}
-	if c := o.Close; c != nil {
-		to := func() (fence.Receiver, error) {
-			if c.URL != "" {
-				return fencehttp.New(c.URL), nil
-			}
-			return fencedir.Open(c.Folder)
-		}
-		if _, err := to(); err != nil {
-			return nil, fmt.Errorf("owner/duties/close: %w", err)
-		}
-		w.Jobs[closeDuty] = func() client.Job {
-			r, err := to()
-			if err != nil {
-				p.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
-				r = nowhere{err}
-			}
-			return &collector.Job{Directories: c.Collect, Config: statement.Config{ExpectedInstances: c.Expect, WaitMs: int64(c.Wait)}, Receiver: r, Log: p.Log,
-				Interval: time.Duration(c.Every * 1e6), WallClockMs: func() int64 { return time.Now().UnixMilli() }}
+	options := client.Options{Name: fmt.Sprintf("%s.%x", host.Name, suffix), Voters: list, Config: rules,
+		Jobs: map[string]func() client.Job{}, Log: host.Log}
+	if o.Close != nil {
+		if options.Jobs[closeDuty], err = closeJob(host, o.Close); err != nil {
+			return nil, err
 		}
 	}
 	if d := o.Drill; d != nil {
-		to := fencehttp.New(d.URL)
+		receiver := fencehttp.New(d.URL)
 		for i := range d.Count {
-			w.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
-				return &exercise.Job{Receiver: to, Interval: time.Duration(d.Every * 1e6), SaveEvery: d.Marks, Holder: w.Name}
+			options.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
+				return &exercise.Job{Receiver: receiver, Interval: time.Duration(d.Every * 1e6), SaveEvery: d.Marks, Holder: options.Name}
 			}
 		}
 	}
-	if o.Return && port != nil {
-		ears := &coordinator.Inbox{}
-		sees.add(func(site int, lost bool) { ears.Add(p.Name, site, lost, 0) })
-		sees.others = append(sees.others, func(w gossip.Report) { ears.Add(w.Peer, w.Site, w.Lost, w.AgeMs) })
-		w.Jobs[returnDuty] = func() client.Job {
-			return &coordinator.Job{Inbox: ears, Config: zonerecovery.DefaultConfig, Interval: paceEvery}
-		}
-		w.WatchedRoles = []string{returnDuty}
-		w.OnProgress = func(list []replica.ProgressReport) {
-			for _, s := range list {
-				stages, err := zonerecovery.ParseStages(s.Progress)
-				if err != nil || s.Role != returnDuty {
-					continue
-				}
-				// A full post loses it, as it is said again.
-				p.Engine.Post(p.Loop.Tell, func() {
-					for _, one := range stages {
-						port.HandleRecoveryShare(one.Site, one.Share, s.AgeMs)
-					}
-				})
-			}
-		}
+	if o.Return && zones != nil {
+		addReturnJob(host, &options, zones, observers)
 	}
-	n, err := client.New(w)
+	candidate, err := client.New(options)
 	if err != nil {
 		return nil, err
 	}
-	n.Start()
-	p.Log.Info().Str("instance", w.Name).Bool("voter", votes).Int("duties", len(w.Jobs)).Float64("lease_ms", o.Lease).Msg("taking part in the fleet's work")
+	candidate.Start()
+	host.Log.Info().Str("instance", options.Name).Bool("voter", own != nil).Int("duties", len(options.Jobs)).
+		Float64("lease_ms", o.Lease).Msg("taking part in the fleet's work")
 	return func() {
-		n.Close(handOver)
-		if mine != nil {
-			mine.Close()
+		candidate.Close(handOver)
+		if own != nil {
+			own.Close()
 		}
 	}, nil
 }
 
-// nowhere is a receiver that can't be reached.
-type nowhere struct{ err error }
+// startVoter starts this aggregator's voter where the file names it as one; else own is nil.
+func startVoter(host *server.Host, o *operator.Owner, rules lease.Config) (own *voter.Server, list []voter.Address, err error) {
+	votes := false
+	for _, v := range o.Voters {
+		list = append(list, voter.Address{Name: v.Name, Addr: v.Address})
+		votes = votes || v.Name == host.Name
+	}
+	if !votes {
+		return nil, list, nil
+	}
+	if o.Folder == "" {
+		return nil, nil, fmt.Errorf("owner: %s is a voter and has no folder", host.Name)
+	}
+	own, err = voter.Start(voter.Options{Name: host.Name, Listen: o.Listen, Dir: o.Folder, Voters: list, LeaseConfig: rules,
+		TickInterval: time.Duration(rules.TickIntervalMs() * 1e6), Log: host.Log})
+	if err != nil {
+		return nil, nil, fmt.Errorf("owner: %w", err)
+	}
+	return own, list, nil
+}
+
+// closeJob makes the job that closes the fleet's statement.
+func closeJob(host *server.Host, c *operator.Close) (func() client.Job, error) {
+	open := func() (fence.Receiver, error) {
+		if c.URL != "" {
+			return fencehttp.New(c.URL), nil
+		}
+		return fencedir.Open(c.Folder)
+	}
+	if _, err := open(); err != nil {
+		return nil, fmt.Errorf("owner/duties/close: %w", err)
+	}
+	return func() client.Job {
+		receiver, err := open()
+		if err != nil {
+			host.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
+			receiver = unreachableFence{err}
+		}
+		return &collector.Job{
+			Directories: c.Collect,
+			Config:      statement.Config{ExpectedInstances: c.Expect, WaitMs: int64(c.Wait)},
+			Receiver:    receiver,
+			Log:         host.Log,
+			Interval:    time.Duration(c.Every * 1e6),
+			WallClockMs: func() int64 { return time.Now().UnixMilli() },
+		}
+	}, nil
+}
+
+// addReturnJob adds the job that has zones come back in stages, and what it needs to see and to be
+// obeyed.
+func addReturnJob(host *server.Host, options *client.Options, zones *zonefailure.Interceptor, observers *zoneObservers) {
+	inbox := &coordinator.Inbox{}
+	observers.add(func(site int, lost bool) { inbox.Add(host.Name, site, lost, 0) })
+	observers.others = append(observers.others, func(w gossip.Report) { inbox.Add(w.Peer, w.Site, w.Lost, w.AgeMs) })
+	options.Jobs[returnDuty] = func() client.Job {
+		return &coordinator.Job{Inbox: inbox, Config: zonerecovery.DefaultConfig, Interval: paceEvery}
+	}
+	options.WatchedRoles = []string{returnDuty}
+	options.OnProgress = func(list []replica.ProgressReport) {
+		for _, report := range list {
+			stages, err := zonerecovery.ParseStages(report.Progress)
+			if err != nil || report.Role != returnDuty {
+				continue
+			}
+			// A full post loses it, as it is reported again.
+			host.Engine.Post(host.Loop.Tell, func() {
+				for _, stage := range stages {
+					zones.HandleRecoveryShare(stage.Site, stage.Share, report.AgeMs)
+				}
+			})
+		}
+	}
+}
+
+// unreachableFence is a receiver that can't be reached.
+type unreachableFence struct{ err error }
 
 // Apply takes nothing, and gives the error for which the receiver can't be reached.
-func (n nowhere) Apply(fence.Effect) (bool, error) { return false, n.err }
+func (n unreachableFence) Apply(fence.Effect) (bool, error) { return false, n.err }
--- a/internal/aggregator/server/full/talk.go
+++ b/internal/aggregator/server/full/talk.go
@@ -7,12 +7,12 @@
 	"kestrelspread/internal/operator"
 )
 
-// converse has a broker tell others what it sees of sites, and hear them.
-func converse(p *server.Parts, o *operator.Talk, port *zonefailure.Interceptor, sees *sightings) (end func(), err error) {
+// startGossip has an aggregator tell others what it sees of sites, and hear them.
+func startGossip(p *server.Host, o *operator.Talk, port *zonefailure.Interceptor, sees *zoneObservers) (end func(), err error) {
 	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.Via, OnReport: func(w gossip.Report) {
 		// A full post loses hearsay, which is said again.
 		p.Engine.Post(p.Loop.Tell, func() { port.HandlePeerReport(w.Peer, w.Site, w.Lost, w.AgeMs) })
-		sees.heard(w)
+		sees.peerReported(w)
 	}})
 	if err != nil {
 		return nil, err
@@ -22,16 +22,17 @@
 	return func() { t.Close() }, nil
 }
 
-// sightings hand on what this broker sees of sites, and what others say, to whoever wants to know.
-type sightings struct {
+// zoneObservers hand on what this aggregator sees of sites, and what others say, to whoever wants
+// to know.
+type zoneObservers struct {
 	own    []func(site int, lost bool)
 	others []func(w gossip.Report)
 }
 
-func (s *sightings) add(f func(site int, lost bool)) { s.own = append(s.own, f) }
+func (s *zoneObservers) add(f func(site int, lost bool)) { s.own = append(s.own, f) }
 
 // changed hears the port; in the loop.
-func (s *sightings) changed(c zonefailure.Change) {
+func (s *zoneObservers) changed(c zonefailure.Change) {
 	if c.ProbeHint || c.To != zonefailure.Lost && c.From != zonefailure.Lost {
 		return
 	}
@@ -40,7 +41,7 @@
 	}
 }
 
-func (s *sightings) heard(w gossip.Report) {
+func (s *zoneObservers) peerReported(w gossip.Report) {
 	for _, f := range s.others {
 		f(w)
 	}
--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings turns what a broker is told at its start into calls of the module's Port. It holds no
-// values of its own and no record of them: each reader asks by path.
+// Package settings turns what an aggregator is told at its start into calls of the policy's Port.
+// It holds no values of its own and no record of them: each reader asks by path.
 package settings
 
 import (
@@ -16,10 +16,11 @@
 	"kestrelspread/internal/fleet/zonefailure"
 )
 
-// maxListed bounds a count of settings, against a text that states a huge one.
-const maxListed = 4096
+// maxListItems bounds a count of settings, against a text that states a huge one.
+const maxListItems = 4096
 
-// Values holds settings by path, such as classes.0.aim-ms; the items of plain lists are joined by commas.
+// Values holds settings by path, such as classes.0.aim-ms; the items of plain lists are joined by
+// commas.
 type Values map[string]string
 
 // FromFacts reads lines of path=value.
@@ -69,7 +70,7 @@
 		}
 		v[path] = strings.Join(plain, ",")
 		if slices.ContainsFunc(plain, func(s string) bool { return s == "" || strings.Contains(s, ",") }) {
-			v[path+itemsOf] = strconv.Itoa(len(plain)) // joined, it would read as more items, or fewer
+			v[path+itemsSuffix] = strconv.Itoa(len(plain)) // joined, it would read as more items, or fewer
 			for i, item := range plain {
 				v[path+"."+strconv.Itoa(i)] = item
 			}
@@ -80,8 +81,8 @@
 	}
 }
 
-// Num reads a number, or gives missing.
-func (v Values) Num(path string, missing float64) float64 {
+// Float reads a number, or gives missing.
+func (v Values) Float(path string, missing float64) float64 {
 	n, err := strconv.ParseFloat(v[path], 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 		return missing
@@ -89,22 +90,22 @@
 	return n
 }
 
-// Whole reads a whole number.
-func (v Values) Whole(path string, missing int) int {
-	return int(min(max(v.Num(path, float64(missing)), math.MinInt32), math.MaxInt32))
+// Int reads a whole number.
+func (v Values) Int(path string, missing int) int {
+	return int(min(max(v.Float(path, float64(missing)), math.MinInt32), math.MaxInt32))
 }
 
-// Flag tells whether the value at a path is true; false where there is none.
-func (v Values) Flag(path string) bool { return v[path] == "true" }
+// Bool tells whether the value at a path is true; false where there is none.
+func (v Values) Bool(path string) bool { return v[path] == "true" }
 
 func (v Values) has(path string) bool { return v[path] != "" }
 
-const itemsOf = ".items"
+const itemsSuffix = ".items"
 
 // List gives the items of a plain list.
 func (v Values) List(path string) []string {
-	if _, told := v[path+itemsOf]; told {
-		list := make([]string, v.Whole(path+itemsOf, 0))
+	if _, told := v[path+itemsSuffix]; told {
+		list := make([]string, v.Int(path+itemsSuffix, 0))
 		for i := range list {
 			list[i] = v[path+"."+strconv.Itoa(i)]
 		}
@@ -118,16 +119,16 @@
 
 // Count is how many objects a list holds.
 func (v Values) Count(path string) int {
-	return min(max(v.Whole(path+".count", 0), 0), maxListed)
+	return min(max(v.Int(path+".count", 0), 0), maxListItems)
 }
 
-// Item reads a word of one object of a list.
-func (v Values) Item(path string, i int, name string) string {
+// ItemField reads a word of one object of a list.
+func (v Values) ItemField(path string, i int, name string) string {
 	return v[path+"."+strconv.Itoa(i)+"."+name]
 }
 
-// Nth reads one place of a plain list.
-func (v Values) Nth(path string, i int, missing float64) float64 {
+// FloatAt reads one place of a plain list.
+func (v Values) FloatAt(path string, i int, missing float64) float64 {
 	if list := v.List(path); i < len(list) {
 		if n, err := strconv.ParseFloat(list[i], 64); err == nil && !math.IsNaN(n) && !math.IsInf(n, 0) {
 			return n
@@ -136,37 +137,39 @@
 	return missing
 }
 
-// Port gives a module that knows the settings and judges each server by itself.
-func (v Values) Port(out policy.Out, seed uint64) policy.Port {
-	p := policy.New(out, seed, v.Whole("balancers", 1), v.Whole("zone", 0))
-	v.Tell(p)
+// NewPolicy gives a module that knows the settings and judges each server by itself.
+func (v Values) NewPolicy(out policy.Out, seed uint64) policy.Port {
+	p := policy.New(out, seed, v.Int("balancers", 1), v.Int("zone", 0))
+	v.Configure(p)
 	return p
 }
 
-// Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/zonefailure).
-func (v Values) Sighted(out policy.Out, seed uint64) policy.Port {
-	own := v.Whole("zone", 0)
+// NewZoneAwarePolicy gives one that is told of whole sites, too, by this aggregator's own sight
+// (internal/fleet/zonefailure).
+func (v Values) NewZoneAwarePolicy(out policy.Out, seed uint64) policy.Port {
+	own := v.Int("zone", 0)
 	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
-		return policy.New(out, seed, v.Whole("balancers", 1), own)
+		return policy.New(out, seed, v.Int("balancers", 1), own)
 	})
-	v.Tell(p)
+	v.Configure(p)
 	return p
 }
 
-// Planned gives one that is also told what servers bear while they are full (internal/fleet/capacity).
-func (v Values) Planned(out policy.Out, seed uint64) policy.Port {
-	own := v.Whole("zone", 0)
+// NewCapacityAwarePolicy gives one that is also told what servers bear while they are full
+// (internal/fleet/capacity).
+func (v Values) NewCapacityAwarePolicy(out policy.Out, seed uint64) policy.Port {
+	own := v.Int("zone", 0)
 	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
 		return capacity.Wrap(out, capacity.DefaultConfig, func(out policy.Out) policy.Port {
-			return policy.New(out, seed, v.Whole("balancers", 1), own)
+			return policy.New(out, seed, v.Int("balancers", 1), own)
 		})
 	})
-	v.Tell(p)
+	v.Configure(p)
 	return p
 }
 
-// Tell tells a module, or what stands in its place in a measurement, the settings.
-func (v Values) Tell(p policy.Port) {
+// Configure tells a module, or what stands in its place in a measurement, the settings.
+func (v Values) Configure(p policy.Port) {
 	const fam, safe, lim = "family-info.", "safety.", "limits."
 	for i := range v.Count("classes") {
 		at := "classes." + strconv.Itoa(i) + "."
@@ -177,27 +180,27 @@
 		case v[at+"effect"] == "by_key" && v[at+"group"] == "all":
 			effect = policy.Tokened
 		}
-		p.QueryType(v.Num(at+"aim-ms", 0), v.Num(at+"importance", 1),
-			v.Num(at+"late-value", 0), effect, v.Num(at+"window-ms", 0))
-		p.Shares(i, v.Nth(fam+"class-need", i, 1), v.Nth(fam+"class-floor", i, 1),
-			v.Nth(fam+"incomplete-worth", i, 0), int(v.Nth(fam+"follow-up", i, 0)))
+		p.QueryType(v.Float(at+"aim-ms", 0), v.Float(at+"importance", 1),
+			v.Float(at+"late-value", 0), effect, v.Float(at+"window-ms", 0))
+		p.Shares(i, v.FloatAt(fam+"class-need", i, 1), v.FloatAt(fam+"class-floor", i, 1),
+			v.FloatAt(fam+"incomplete-worth", i, 0), int(v.FloatAt(fam+"follow-up", i, 0)))
 	}
 	for i := range v.Count("customers") {
-		p.Customer(v.Num("customers."+strconv.Itoa(i)+".quota-per-s", 0), v.Num("over-share-worth", 1))
+		p.Customer(v.Float("customers."+strconv.Itoa(i)+".quota-per-s", 0), v.Float("over-share-worth", 1))
 	}
-	p.Fleet(v.Whole(fam+"places", 1), v.Whole(fam+"span", 1), v.Whole(fam+"batch", 1),
-		v.Num(fam+"call-ms", 0), v.Flag(fam+"warm-keys"))
-	p.Limits(v.Whole(lim+"attempts-cap", 1), v.Whole(lim+"most-held", 0), v.Flag(lim+"cancel"),
-		v.Flag(lim+"parallel-tries"))
-	if v.Flag(lim + "retry-after") {
-		p.MaxRetryAfter(v.Num(lim+"max-retry-after-ms", 0))
+	p.Fleet(v.Int(fam+"places", 1), v.Int(fam+"span", 1), v.Int(fam+"batch", 1),
+		v.Float(fam+"call-ms", 0), v.Bool(fam+"warm-keys"))
+	p.Limits(v.Int(lim+"attempts-cap", 1), v.Int(lim+"most-held", 0), v.Bool(lim+"cancel"),
+		v.Bool(lim+"parallel-tries"))
+	if v.Bool(lim + "retry-after") {
+		p.MaxRetryAfter(v.Float(lim+"max-retry-after-ms", 0))
 	}
 	if v.has(safe + "tip-multiple") {
-		p.WarmUp(v.Num(safe+"cold-from", 0), v.Num(safe+"cold-ms", 0), v.Num(safe+"tip-multiple", 0),
-			v.Num(safe+"tip-after-ms", 0))
+		p.WarmUp(v.Float(safe+"cold-from", 0), v.Float(safe+"cold-ms", 0), v.Float(safe+"tip-multiple", 0),
+			v.Float(safe+"tip-after-ms", 0))
 	}
 	if v.has(safe + "further-ratio") {
-		p.Budget(v.Num(safe+"spare-attempts", 0), v.Num(safe+"further-ratio", 0), v.Num(safe+"counted-over-ms", 0))
+		p.Budget(v.Float(safe+"spare-attempts", 0), v.Float(safe+"further-ratio", 0), v.Float(safe+"counted-over-ms", 0))
 	}
 	var fields []policy.Field
 	for _, name := range v.List("report.fields") {
@@ -213,7 +216,7 @@
 		fields = append(fields, field)
 	}
 	p.Reports(v["report.via"] == "answers", fields)
-	if v.Flag(lim + "may-probe") {
+	if v.Bool(lim + "may-probe") {
 		p.Probes()
 	}
 	p.Discovery(v["discovery"] == "ask")
--- a/internal/aggregator/settings/settings_test.go
+++ b/internal/aggregator/settings/settings_test.go
@@ -14,9 +14,9 @@
 	if flat := FromFacts(facts); err != nil || !maps.Equal(nested, flat) {
 		t.Errorf("%v\n%v\n%v", err, nested, flat)
 	}
-	if nested.Num("classes.0.aim-ms", 1) != 4000 || nested.Num("x", 7) != 7 || nested.Item("classes", 0, "name") != "full" ||
-		nested.Nth("family-info.class-need", 1, 9) != 0.5 || nested.Nth("family-info.class-need", 2, 9) != 9 ||
-		len(nested.List("customers")) != 0 || nested.Count("customers") != 0 || nested.Flag("classes.0.streaming") {
+	if nested.Float("classes.0.aim-ms", 1) != 4000 || nested.Float("x", 7) != 7 || nested.ItemField("classes", 0, "name") != "full" ||
+		nested.FloatAt("family-info.class-need", 1, 9) != 0.5 || nested.FloatAt("family-info.class-need", 2, 9) != 9 ||
+		len(nested.List("customers")) != 0 || nested.Count("customers") != 0 || nested.Bool("classes.0.streaming") {
 		t.Error("a value is read wrongly")
 	}
 	for _, broken := range []string{"", "[]", `{"a":`, "3"} {
@@ -34,7 +34,7 @@
 		if err != nil {
 			return
 		}
-		if p := v.Port(nil, 1); p == nil || v.Count("classes") > maxListed {
+		if p := v.NewPolicy(nil, 1); p == nil || v.Count("classes") > maxListItems {
 			t.Fatal("no module")
 		}
 	})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -436,11 +436,11 @@
 func types(set settings.Values) (values []float64, kinds, customers map[string]int) {
 	kinds, customers = map[string]int{}, map[string]int{}
 	for i := range set.Count("classes") {
-		kinds[set.Item("classes", i, "name")] = i
-		values = append(values, set.Num("classes."+strconv.Itoa(i)+".importance", 1))
+		kinds[set.ItemField("classes", i, "name")] = i
+		values = append(values, set.Float("classes."+strconv.Itoa(i)+".importance", 1))
 	}
 	for i := range set.Count("customers") {
-		customers[set.Item("customers", i, "name")] = i
+		customers[set.ItemField("customers", i, "name")] = i
 	}
 	return values, kinds, customers
 }
@@ -484,7 +484,7 @@
 		wrong("limits/window-kb", "over held-kb: one stream alone could hold more than all may")
 	}
 	_, kinds, customers := types(set)
-	shards := set.Whole("family-info.slabs", 1)
+	shards := set.Int("family-info.slabs", 1)
 	list := make([]*routes.Route, len(g.Routes))
 	called := map[string]int{}
 	for i := range g.Routes {
@@ -498,7 +498,7 @@
 		if !known {
 			wrong(at+"query-type", "the settings name no query type %q", f.QueryType)
 		}
-		deadline := set.Num("classes."+strconv.Itoa(kind)+".deadline-ms", 3000)
+		deadline := set.Float("classes."+strconv.Itoa(kind)+".deadline-ms", 3000)
 		to := &routes.Route{Name: f.Name, Service: f.Match.Service, Method: f.Match.Method, Prefix: f.Match.Prefix, QueryType: kind,
 			CustomerMetadata: f.Customer.Metadata, AffinityMetadata: f.About,
 			Shard:          routes.ShardRule{MetadataKey: f.Shard.Metadata, Hash: f.Shard.Hash, BlockCount: f.Shard.Blocks, FixedShard: f.Shard.Fixed},
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/rig/scenario/scenario_test.go
@@ -15,9 +15,9 @@
 // The test program is a broker, too: what is played is several processes.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "broker" {
-		var parts []aggregator.Attach
+		var parts []aggregator.Extension
 		if len(os.Args) > 3 && os.Args[2] == "--operator" {
-			parts = append(parts, full.Attach(os.Args[3]))
+			parts = append(parts, full.Extension(os.Args[3]))
 		}
 		if err := aggregator.Run(os.Stderr, parts...); err != nil {
 			fmt.Fprintln(os.Stderr, err)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -379,7 +379,7 @@
 func (b *broker) enlist(seed uint64, facts string) {
 	*b = broker{num: b.num, h: b.h, alive: true, index: map[uint64]int{},
 		jobs: map[float32]int{}, jobOf: map[int]float32{}, members: map[int][]int{}, servers: map[[6]byte]int{}}
-	b.port = settings.FromFacts(facts).Port(b, seed)
+	b.port = settings.FromFacts(facts).NewPolicy(b, seed)
 	b.round()
 }
 
