--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -20,278 +20,316 @@
 
 const budgetFacts = `,"spare-attempts":12,"further-ratio":0.3,"counted-over-ms":4000`
 
-// play is one random script: clients of all kinds, servers in all sorts of trouble, a list that changes.
-type play struct {
-	*scene
-	rng   *rand.Rand
-	book  *rules.Book
-	subs  map[*p.Got]*rules.Sub
-	asks  map[string]*p.Ask
-	done  map[*p.Ask]bool
-	next  int
-	meter *meter
-	onAsk func(id string, a *p.Ask) // may be nil
+// randomRun is one random script: clients of all kinds, servers with all kinds of faults, and a list
+// of servers that changes.
+type randomRun struct {
+	*harness
+	rng          *rand.Rand
+	rules        *rules.Book
+	attempts     map[*p.Got]*rules.Sub
+	pendingCalls map[string]*p.Ask
+	reported     map[*p.Ask]bool
+	callNumber   int
+	usage        *usageMeter
+	onCall       func(id string, a *p.Ask) // may be nil
 }
 
-// meter adds up what it is told.
-type meter struct{ searches, subs, left, in, out int64 }
+// usageMeter adds up what the engine meters.
+type usageMeter struct{ searches, attempts, left, in, out int64 }
 
-func (m *meter) Record(u *engine.Usage) {
+func (m *usageMeter) Record(u *engine.Usage) {
 	m.searches++
-	m.subs += int64(u.First + u.Retry + u.Hedge)
+	m.attempts += int64(u.First + u.Retry + u.Hedge)
 	m.in, m.out = m.in+u.BytesIn, m.out+u.BytesOut
 	if u.ClientLeft {
 		m.left++
 	}
 	if u.Front != 1 || u.Shards != 1 || u.First > 1 || u.Server < 0 {
-		panic("a use that can't be")
+		panic("impossible usage")
 	}
 }
 
-func (y *play) chance(x float64) bool { return y.rng.Float64() < x }
+func (y *randomRun) happens(x float64) bool { return y.rng.Float64() < x }
 
-// script draws what a server does with a call.
-func (y *play) script(k *p.Got) []p.Act {
-	id, wait := k.Get("x-id"), func(most float64) float64 { return most * y.rng.Float64() }
-	if y.chance(0.05) { // slow
-		wait = func(most float64) float64 { return 20 * most * y.rng.Float64() }
+// serverScript draws what a server does with a call.
+func (y *randomRun) serverScript(k *p.Got) []p.Act {
+	id := k.Get("x-id")
+	wait := func(maxMillis float64) float64 { return maxMillis * y.rng.Float64() }
+	if y.happens(0.05) { // slow
+		wait = func(maxMillis float64) float64 { return 20 * maxMillis * y.rng.Float64() }
 	}
-	var list []p.Act
-	never := func(a p.Act) []p.Act {
-		return append(list, p.Act{After: a.After, Do: func(s *p.Server, k *p.Got) { y.subs[k].NeverRan(y.w.Now); a.Do(s, k) }})
+	if list, drawn := y.actsWithoutMessages(wait); drawn {
+		return list
 	}
+	list := []p.Act{p.Head(wait(10))}
+	var body []byte
+	for n := y.rng.IntN(4); n >= 0; n-- {
+		m := p.Message(fmt.Sprintf("%s by %s %s", id, k.S.Name, strings.Repeat("x", y.rng.IntN(1<<uint(y.rng.IntN(15))))))
+		body = append(body, m...)
+		if y.happens(0.2) { // in two fragments
+			at := 1 + y.rng.IntN(len(m)-1)
+			list = append(list, p.Raw(wait(10), m[:at]))
+			m = m[at:]
+		}
+		list = append(list, p.Raw(wait(10), m))
+		more, last := y.actsAfterMessage(wait)
+		list = append(list, more...)
+		if last {
+			return list
+		}
+	}
+	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.rules.Answered(id, body) }}, p.End(wait(5), 0))
+}
+
+// actsWithoutMessages draws what a server does that sends no message, if it is one.
+func (y *randomRun) actsWithoutMessages(wait func(maxMillis float64) float64) (list []p.Act, drawn bool) {
 	switch y.rng.IntN(24) {
 	case 0:
-		return nil // silence
+		return nil, true // it never responds
 	case 1:
-		return never(p.Reset(wait(10), http2.ErrCodeRefusedStream))
+		refuse := p.Reset(wait(10), http2.ErrCodeRefusedStream)
+		return acts(p.Act{After: refuse.After, Do: func(s *p.Server, k *p.Got) {
+			y.attempts[k].NeverRan(y.world.Now)
+			refuse.Do(s, k)
+		}}), true
 	case 2:
 		code := http2.ErrCode(y.rng.IntN(14))
 		if code == http2.ErrCodeRefusedStream {
 			code = http2.ErrCodeCancel
 		}
-		return append(list, p.Reset(wait(10), code))
+		return acts(p.Reset(wait(10), code)), true
 	case 3:
-		return append(list, p.Only(wait(10), []int{1, 2, 8, 13, 14, 15}[y.rng.IntN(6)]))
+		return acts(p.Only(wait(10), []int{1, 2, 8, 13, 14, 15}[y.rng.IntN(6)])), true
 	case 4:
-		return append(list, p.Only(wait(10), 14, "grpc-retry-pushback-ms", fmt.Sprint(y.rng.IntN(100)-20)))
+		return acts(p.Only(wait(10), 14, "grpc-retry-pushback-ms", fmt.Sprint(y.rng.IntN(100)-20))), true
 	case 5:
-		return append(list, p.Die(wait(20)))
+		return acts(p.Die(wait(20))), true
 	case 6:
-		return append(list, p.OnlyFields(wait(10), ":status", "503"))
+		return acts(p.OnlyFields(wait(10), ":status", "503")), true
 	case 7:
-		return append(list, p.Only(wait(10), 5))
+		return acts(p.Only(wait(10), 5)), true
 	}
-	list = append(list, p.Head(wait(10)))
-	var body []byte
-	for n := y.rng.IntN(4); n >= 0; n-- {
-		m := p.Message(fmt.Sprintf("%s by %s %s", id, k.S.Name, strings.Repeat("x", y.rng.IntN(1<<uint(y.rng.IntN(15))))))
-		body = append(body, m...)
-		if y.chance(0.2) { // in two pieces
-			at := 1 + y.rng.IntN(len(m)-1)
-			list = append(list, p.Raw(wait(10), m[:at]))
-			m = m[at:]
-		}
-		list = append(list, p.Raw(wait(10), m))
-		switch y.rng.IntN(30) {
-		case 0:
-			return append(list, p.Die(wait(10)))
-		case 1:
-			return append(list, p.End(wait(5), 14))
-		case 2:
-			return list // stalls
-		case 3:
-			return append(list, p.Reset(wait(5), http2.ErrCodeInternal))
-		case 4:
-			return append(list, p.EndBare(wait(5)))
-		case 5:
-			return append(list, p.Raw(0, []byte{9, 9, 9, 9, 9, 9}))
-		case 6:
-			list = append(list, p.Act{After: 0, Do: func(_ *p.Server, k *p.Got) {
-				c := k.Conn()
-				c.H.GoAway(http2.ErrCodeNo) // takes nothing new, goes on with what it has
-				c.Flush()
-			}})
-		}
+	return nil, false
+}
+
+// actsAfterMessage draws what happens after a message, and whether that is the last.
+func (y *randomRun) actsAfterMessage(wait func(maxMillis float64) float64) (list []p.Act, last bool) {
+	switch y.rng.IntN(30) {
+	case 0:
+		return acts(p.Die(wait(10))), true
+	case 1:
+		return acts(p.End(wait(5), 14)), true
+	case 2:
+		return nil, true // it stalls
+	case 3:
+		return acts(p.Reset(wait(5), http2.ErrCodeInternal)), true
+	case 4:
+		return acts(p.EndBare(wait(5))), true
+	case 5:
+		return acts(p.Raw(0, []byte{9, 9, 9, 9, 9, 9})), true
+	case 6:
+		return acts(p.Act{After: 0, Do: func(_ *p.Server, k *p.Got) {
+			c := k.Conn()
+			c.H.GoAway(http2.ErrCodeNo) // it accepts nothing new, and goes on with what it has
+			c.Flush()
+		}}), false
 	}
-	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.book.Answered(id, body) }}, p.End(wait(5), 0))
+	return nil, false
 }
 
-func newPlay(t testing.TB, seed uint64) *play {
-	y := &play{rng: rand.New(rand.NewPCG(seed, 3)), book: rules.New(), subs: map[*p.Got]*rules.Sub{},
-		asks: map[string]*p.Ask{}, done: map[*p.Ask]bool{}}
-	y.meter = &meter{}
-	y.scene = newScene(t, seed, 2+y.rng.IntN(4), budgetFacts)
-	y.w.R.SetMeter(y.meter)
-	y.book.Spare, y.book.Ratio, y.book.Over, y.book.Window = 12, 0.3, 4000, 400
-	y.book.Strict = true
-	y.w.Pieces = y.chance(0.5)
-	y.w.Delay = 0.1 + 2*y.rng.Float64()
-	y.book.Slack = y.w.Delay + 1
+func newRandomRun(t testing.TB, seed uint64) *randomRun {
+	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: rules.New(), attempts: map[*p.Got]*rules.Sub{},
+		pendingCalls: map[string]*p.Ask{}, reported: map[*p.Ask]bool{}}
+	y.usage = &usageMeter{}
+	y.harness = newHarness(t, seed, 2+y.rng.IntN(4), budgetFacts)
+	y.world.R.SetMeter(y.usage)
+	y.rules.Spare, y.rules.Ratio, y.rules.Over, y.rules.Window = 12, 0.3, 4000, 400
+	y.rules.Strict = true
+	y.world.Pieces = y.happens(0.5)
+	y.world.Delay = 0.1 + 2*y.rng.Float64()
+	y.rules.Slack = y.world.Delay + 1
 	for _, v := range y.servers {
-		v.Script = y.script
-		v.Early = y.chance(0.3)
+		v.Script = y.serverScript
+		v.Early = y.happens(0.3)
 		v.Limits = h2Limits([]int{1, 2, 100}[y.rng.IntN(3)])
 		v.Limits.InitialWindowSize = 1 << (8 + y.rng.IntN(9))
-		v.OnCall = func(k *p.Got) { y.subs[k] = y.book.Sent(k.Get("x-id"), "", v.Name, y.w.Now) }
+		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.Sent(k.Get("x-id"), "", v.Name, y.world.Now) }
 	}
 	return y
 }
 
-// ask has a client make a call of some kind.
-func (y *play) ask(c *p.Client) {
+// startCall has a client make a call of some kind.
+func (y *randomRun) startCall(c *p.Client) {
 	kind := y.rng.IntN(3)
-	y.next++
-	id := fmt.Sprint("c", y.next)
+	y.callNumber++
+	id := fmt.Sprint("c", y.callNumber)
 	a := &p.Ask{Path: "/" + []string{"quick", "once", "keyed"}[kind] + "." + []string{"message", "headers", "end"}[y.rng.IntN(3)] + "/X",
-		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.chance(0.2), Slow: y.chance(0.05),
+		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.happens(0.2), Slow: y.happens(0.05),
 		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
-	y.asks[id] = a
-	y.book.Asked(id, []rules.Effect{rules.Idempotent, rules.NonIdempotent, rules.Tokened}[kind], y.w.Now, y.w.Now+a.Timeout)
-	if y.onAsk != nil {
-		y.onAsk(id, a)
+	y.pendingCalls[id] = a
+	y.rules.Asked(id, []rules.Effect{rules.Idempotent, rules.NonIdempotent, rules.Tokened}[kind], y.world.Now, y.world.Now+a.Timeout)
+	if y.onCall != nil {
+		y.onCall(id, a)
 	}
 	c.Call(a)
 	if a.Open {
 		n := y.rng.IntN(3)
 		for i := range n {
-			y.w.After(float64(i*30), func() { a.Write(p.Message(strings.Repeat("w", y.rng.IntN(3000)))) })
+			y.world.After(float64(i*30), func() { a.Write(p.Message(strings.Repeat("w", y.rng.IntN(3000)))) })
 		}
-		y.w.After(float64(n*30)+100*y.rng.Float64(), a.End)
+		y.world.After(float64(n*30)+100*y.rng.Float64(), a.End)
 	}
-	if y.chance(0.1) {
-		y.w.After(300*y.rng.Float64(), func() {
+	if y.happens(0.1) {
+		y.world.After(300*y.rng.Float64(), func() {
 			if !a.Done() {
-				y.book.Left(id)
+				y.rules.Left(id)
 				a.Cancel()
 			}
 		})
 	}
 }
 
-// heard notes what clients were told.
-func (y *play) heard() {
-	for id, a := range y.asks {
-		if !a.Done() || y.done[a] {
+// reportEnded reports to the rules what clients got.
+func (y *randomRun) reportEnded() {
+	for id, a := range y.pendingCalls {
+		if !a.Done() || y.reported[a] {
 			continue
 		}
-		y.done[a] = true
-		delete(y.asks, id)
+		y.reported[a] = true
+		delete(y.pendingCalls, id)
 		if a.Left || a.Lost {
-			y.book.Left(id)
+			y.rules.Left(id)
 			continue
 		}
-		back := a.Get("grpc-retry-pushback-ms")
-		y.book.Final(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, back != "" && back[0] != '-')
+		pushback := a.Get("grpc-retry-pushback-ms")
+		y.rules.Final(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, pushback != "" && pushback[0] != '-')
 	}
 }
 
-// conserved: what the front counts is what there is.
-func (y *play) conserved() {
-	held, open, streams := 0, 0, 0
-	seen := map[*call]bool{}
-	for c := range y.f.clientConns {
+// checkCounts compares what the proxy counts with what there is.
+func (y *randomRun) checkCounts() {
+	buffered, open, streams := 0, 0, 0
+	for c := range y.proxy.clientConns {
 		for _, s := range c.http2.Streams() {
-			if k, ok := s.UserData.(*call); ok && !k.ended && !seen[k] {
-				seen[k] = true
+			if k, ok := s.UserData.(*call); ok && !k.ended {
 				open++
-				held += k.request.size()
-				hold := map[*attempt]bool{}
-				for _, a := range append([]*attempt{k.committed, k.answered, k.lastFailed}, k.attempts...) {
-					if a != nil && !hold[a] {
-						hold[a] = true
-						held += a.response.size()
-					}
-				}
+				buffered += bufferedBytesOf(k)
 			}
 		}
 	}
-	for _, l := range y.f.serverConns {
-		if l != nil {
-			streams += len(l.attempts)
+	for _, conn := range y.proxy.serverConns {
+		if conn != nil {
+			streams += len(conn.attempts)
 		}
 	}
-	if held != y.f.bufferedBytes || open != y.f.openCalls || streams != y.f.pool.Streams() {
-		y.t.Fatalf("conservation: %d bytes held of %d, %d calls open of %d, %d streams of %d", held, y.f.bufferedBytes, open, y.f.openCalls,
-			streams, y.f.pool.Streams())
+	if buffered != y.proxy.bufferedBytes || open != y.proxy.openCalls || streams != y.proxy.pool.Streams() {
+		y.t.Fatalf("conservation: %d bytes buffered of %d, %d calls open of %d, %d streams of %d", buffered,
+			y.proxy.bufferedBytes, open, y.proxy.openCalls, streams, y.proxy.pool.Streams())
 	}
+	y.checkClientConns()
+}
+
+// bufferedBytesOf counts the bytes that are buffered for a call.
+func bufferedBytesOf(k *call) int {
+	buffered := k.request.size()
+	counted := map[*attempt]bool{}
+	for _, a := range append([]*attempt{k.committed, k.answered, k.lastFailed}, k.attempts...) {
+		if a != nil && !counted[a] {
+			counted[a] = true
+			buffered += a.response.size()
+		}
+	}
+	return buffered
+}
+
+func (y *randomRun) checkClientConns() {
 	sum := 0
-	for _, q := range y.f.clientOrder {
-		if q.closed {
+	for _, c := range y.proxy.clientOrder {
+		if c.closed {
 			continue
 		}
-		sum += q.bufferedBytes
-		if n := q.queuedBytes - q.sentBytes; n > maxUnsentBytes+100<<10 {
-			y.t.Fatalf("%d bytes wait for a client", n)
+		sum += c.bufferedBytes
+		if unsent := c.queuedBytes - c.sentBytes; unsent > maxUnsentBytes+100<<10 {
+			y.t.Fatalf("%d bytes wait for a client", unsent)
 		}
 	}
-	if sum != y.f.bufferedBytes {
-		y.t.Fatalf("clients hold %d bytes, all together %d", sum, y.f.bufferedBytes)
+	if sum != y.proxy.bufferedBytes {
+		y.t.Fatalf("client connections have %d bytes buffered, the proxy %d", sum, y.proxy.bufferedBytes)
 	}
 }
 
-func (y *play) run(ms float64) {
-	y.w.OnTurn = func() {
-		y.heard()
-		y.conserved()
-		if found := y.book.Check(y.w.Now); len(found) > 0 {
-			for id, a := range y.asks {
-				if strings.Contains(found[0], id+" ") {
-					y.t.Logf("%+v", *a)
-				}
-			}
-			y.t.Fatalf("at %.1f: %s", y.w.Now, strings.Join(found, "\n"))
+// checkTurn checks the rules and the counts after a turn.
+func (y *randomRun) checkTurn() {
+	y.reportEnded()
+	y.checkCounts()
+	found := y.rules.Check(y.world.Now)
+	if len(found) == 0 {
+		return
+	}
+	for id, a := range y.pendingCalls {
+		if strings.Contains(found[0], id+" ") {
+			y.t.Logf("%+v", *a)
 		}
 	}
+	y.t.Fatalf("at %.1f: %s", y.world.Now, strings.Join(found, "\n"))
+}
+
+// checkUsage compares what was metered with what the engine and the proxy count.
+func (y *randomRun) checkUsage() {
+	m, c := y.usage, &y.world.R.Count
+	if m.searches != c.Searches || m.attempts != c.AttemptsAsked || m.left != c.ClientsLeft || c.AttemptsAsked != y.proxy.Counters.Attempts {
+		y.t.Errorf("metered %+v; %d searches, %d attempts asked, %d left; the proxy made %d", *m, c.Searches, c.AttemptsAsked,
+			c.ClientsLeft, y.proxy.Counters.Attempts)
+	}
+}
+
+func (y *randomRun) run(ms float64) {
+	y.world.OnTurn = y.checkTurn
 	var clients []*p.Client
 	for range 1 + y.rng.IntN(3) {
-		clients = append(clients, p.Dial(y.w, 1))
+		clients = append(clients, p.Dial(y.world, 1))
 	}
-	until := y.w.Now + ms
-	for y.w.Now < until {
-		y.w.Run(20 * y.rng.Float64())
+	until := y.world.Now + ms
+	for y.world.Now < until {
+		y.world.Run(20 * y.rng.Float64())
 		i := y.rng.IntN(len(clients))
 		if clients[i].Shut || clients[i].Gone {
-			clients[i] = p.Dial(y.w, 1)
+			clients[i] = p.Dial(y.world, 1)
 		}
 		for range y.rng.IntN(3) {
-			y.ask(clients[i])
+			y.startCall(clients[i])
 		}
 		switch y.rng.IntN(120) {
 		case 0:
 			clients[i].Hang()
 		case 1, 2:
-			y.trouble()
+			y.injectFault()
 		}
 	}
-	y.w.Run(2500)
+	y.world.Run(2500)
 	for _, c := range clients {
 		c.Hang()
 	}
-	y.w.Run(5000) // channels end their idle time
-	y.clean()
-	// What the meter was told is what was counted, by the front's own book as well.
-	c := &y.w.R.Count
-	if m := y.meter; m.searches != c.Searches || m.subs != c.AttemptsAsked || m.left != c.ClientsLeft || c.AttemptsAsked != y.f.Counters.Attempts {
-		y.t.Errorf("metered %+v; %d searches, %d sub-requests asked, %d left; the front sent %d", *m, c.Searches, c.AttemptsAsked, c.ClientsLeft, y.f.Counters.Attempts)
-	}
-	if n := y.f.pool.Connections(); n != 0 {
-		y.t.Errorf("%d channels at rest", n)
+	y.world.Run(5000) // connections reach their idle timeout
+	y.checkReleased()
+	y.checkUsage()
+	if n := y.proxy.pool.Connections(); n != 0 {
+		y.t.Errorf("%d connections at rest", n)
 	}
 }
 
-// trouble happens to a server or the list.
-func (y *play) trouble() {
+// injectFault has a fault happen to a server or the list.
+func (y *randomRun) injectFault() {
 	i := y.rng.IntN(len(y.servers))
 	v := y.servers[i]
-	addr := y.f.servers[i].addr
+	addr := y.proxy.servers[i].address
 	switch y.rng.IntN(4) {
 	case 0: // drained for a while
-		y.w.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "draining"; return list })
-		y.book.Told(v.Name, true, y.w.Now+y.w.Delay)
-		y.w.After(700+1500*y.rng.Float64(), func() {
-			y.book.Told(v.Name, false, y.w.Now)
-			y.w.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "ready"; return list })
+		y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "draining"; return list })
+		y.rules.Told(v.Name, true, y.world.Now+y.world.Delay)
+		y.world.After(700+1500*y.rng.Float64(), func() {
+			y.rules.Told(v.Name, false, y.world.Now)
+			y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "ready"; return list })
 		})
 	case 1: // restarts
 		for _, c := range v.Conns {
@@ -299,17 +337,17 @@
 				c.Kill()
 			}
 		}
-		y.w.Refuse[addr] = true
-		y.w.After(300*y.rng.Float64(), func() { delete(y.w.Refuse, addr) })
+		y.world.Refuse[addr] = true
+		y.world.After(300*y.rng.Float64(), func() { delete(y.world.Refuse, addr) })
 	case 2: // connects do not come up
-		y.w.Swallow[addr] = true
-		y.w.After(500*y.rng.Float64(), func() { delete(y.w.Swallow, addr) })
+		y.world.Swallow[addr] = true
+		y.world.After(500*y.rng.Float64(), func() { delete(y.world.Swallow, addr) })
 	case 3: // the network to it stands still
-		y.book.Strict = false
+		y.rules.Strict = false
 		for _, c := range v.Conns {
 			if !c.Dead && !c.End.Gone() {
 				c.End.Stuck = true
-				y.w.After(400*y.rng.Float64(), c.End.Unstick)
+				y.world.After(400*y.rng.Float64(), c.End.Unstick)
 			}
 		}
 	}
@@ -317,7 +355,7 @@
 
 func TestRandomScripts(t *testing.T) {
 	for seed := range uint64(*seeds) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { newPlay(t, seed).run(4000) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { newRandomRun(t, seed).run(4000) })
 	}
 }
 
--- a/internal/ledger/sink/files_golden_test.go
+++ b/internal/ledger/sink/files_golden_test.go
@@ -27,20 +27,20 @@
 func goldenEntries() []*ledger.Entry {
 	counts := ledger.Counts{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}
 	return []*ledger.Entry{
-		{Instance: "n0", Epoch: 7, Seq: 4, Sort: ledger.Use, Period: 360000000, At: 360000010,
-			Key: ledger.Key{Customer: "bulk", Kind: "once", Front: ledger.GRPC, Outcome: ledger.Partial}, Counts: counts},
-		{Instance: "n0", Epoch: 7, Seq: 5, Sort: ledger.Correction, Period: 360000000, At: 360000030,
-			Key: ledger.Key{Customer: "desk", Kind: "quick"}, Counts: counts.Neg(),
-			ID: "c-1", Author: "ops", Reason: "twice", Reference: "bill 9", Refers: 356400000, Forced: true},
+		{Instance: "n0", Epoch: 7, Sequence: 4, Kind: ledger.Use, Period: 360000000, RecordedAt: 360000010,
+			Key: ledger.Key{Customer: "bulk", QueryType: "once", Front: ledger.GRPC, Outcome: ledger.Partial}, Counts: counts},
+		{Instance: "n0", Epoch: 7, Sequence: 5, Kind: ledger.Correction, Period: 360000000, RecordedAt: 360000030,
+			Key: ledger.Key{Customer: "desk", QueryType: "quick"}, Counts: counts.Negated(),
+			CorrectionID: "c-1", Author: "ops", Reason: "twice", Reference: "bill 9", CorrectedPeriod: 356400000, NegativeAllowed: true},
 	}
 }
 
 // TestFilesKeepTheirForm freezes the names of a batch's files, the manifest, the JSON lines, and the Parquet schema and rows.
 func TestFilesKeepTheirForm(t *testing.T) {
 	dir := t.TempDir()
-	folder, err := sink.OpenFolder(dir)
+	directory, err := sink.OpenDirectory(dir)
 	assert.NilError(t, err)
-	_, _, _, err = folder.Put("n0", 7, goldenIntent, goldenEntries())
+	_, _, _, err = directory.Put("n0", 7, goldenIntent, goldenEntries())
 	assert.NilError(t, err)
 	entries, err := os.ReadDir(dir)
 	assert.NilError(t, err)
@@ -64,16 +64,16 @@
 	assert.Equal(t, columnsText(t, golden.Get(t, goldenColumns)), columnsText(t, contentOf(t, dir, ".parquet")))
 }
 
-// TestManifestOfTheGoldenFileIsRead offers a batch again to a folder as it was left once: it has it.
+// TestManifestOfTheGoldenFileIsRead offers a batch again to a directory as it was left once: it has it.
 func TestManifestOfTheGoldenFileIsRead(t *testing.T) {
 	dir := t.TempDir()
 	_, rest, found := strings.Cut(string(golden.Get(t, goldenText)), "file manifest.jsonl\n")
 	assert.Assert(t, found)
 	manifest, _, _ := strings.Cut(rest, "file ")
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, "manifest.jsonl"), []byte(manifest), 0o644))
-	folder, err := sink.OpenFolder(dir)
+	directory, err := sink.OpenDirectory(dir)
 	assert.NilError(t, err)
-	batch, hash, written, err := folder.Put("n0", 7, goldenIntent, goldenEntries())
+	batch, hash, written, err := directory.Put("n0", 7, goldenIntent, goldenEntries())
 	assert.NilError(t, err)
 	assert.Equal(t, fmt.Sprint(batch, hash, written), fmt.Sprint(uint64(3), uint64(1<<63+9), 0))
 }
