--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -110,7 +110,7 @@
 	return k.request.end, out
 }
 
-// TakeBack implements engine.Carrier: it stops an attempt whose outcome is known.
+// Cancel implements engine.Carrier: it stops an attempt whose outcome is known.
 func (k *call) Cancel(sub *engine.Attempt) {
 	for _, a := range k.attempts {
 		if a.sub == sub {
--- a/internal/grpcproxy/clientconn.go
+++ b/internal/grpcproxy/clientconn.go
@@ -31,7 +31,7 @@
 
 var (
 	_ engine.ConnHandler = (*clientConn)(nil)
-	_ h2.Handler   = (*clientConn)(nil)
+	_ h2.Handler         = (*clientConn)(nil)
 )
 
 // Opened implements engine.ConnHandler.
--- a/internal/grpcproxy/serverconn.go
+++ b/internal/grpcproxy/serverconn.go
@@ -29,7 +29,7 @@
 
 var (
 	_ engine.ConnHandler = (*serverConn)(nil)
-	_ h2.Handler   = (*serverConn)(nil)
+	_ h2.Handler         = (*serverConn)(nil)
 )
 
 // Opened implements engine.ConnHandler: it is connected. The pool waits for the server's SETTINGS.
--- a/internal/grpcproxy/servers.go
+++ b/internal/grpcproxy/servers.go
@@ -62,7 +62,7 @@
 	return conns
 }
 
-// Late closes connections to a server that drains or is gone, if the network has not taken some
+// GraceEnded closes connections to a server that drains or is gone, if the network has not taken some
 // headers that wait there: only with the connection can they be withdrawn. Only a connection that is
 // stalled has such.
 func (p *Proxy) GraceEnded(index int) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Forgotten removes a server, whose index may then be another's.
+// ServerRemoved removes a server, whose index may then be another's.
 func (p *Proxy) ServerRemoved(index int) {
 	if index < len(p.servers) {
 		p.pool.RemoveServer(index)
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -91,7 +91,7 @@
 	return r.periodStart
 }
 
-// Used implements engine.Meter: it takes a use. That belongs to the period in which its answer was given, which may have been a
+// Record implements engine.Meter: it takes a use. That belongs to the period in which its answer was given, which may have been a
 // while before its last sub-request ended.
 func (r *Recorder) Record(u *engine.Usage) {
 	key, counts := r.keyOf(u), countsOf(u)
