--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -206,7 +206,7 @@
 // takeBuffer gives a buffer for an incomplete request, or nil: some must be left for servers and
 // answers.
 func (e *Engine) takeBuffer() []byte {
-	if e.partialBuffers >= max(e.pool.Most/partialBufferDivisor, 1) {
+	if e.partialBuffers >= max(e.pool.Max/partialBufferDivisor, 1) {
 		e.Count.NoBuffer++
 		return nil
 	}
--- a/internal/aggregator/engine/client_test.go
+++ b/internal/aggregator/engine/client_test.go
@@ -34,8 +34,8 @@
 		t.Error("half a request is waited for, ", half.client.status)
 	}
 	w.pass(writeTimeout + lingerTimeout)
-	if w.ends[reader] != nil || w.r.Count.WriteTimeouts != 1 || w.r.clients != 0 || w.pool.Out() != 0 {
-		t.Error(w.r.Count.WriteTimeouts, w.r.clients, w.pool.Out())
+	if w.ends[reader] != nil || w.r.Count.WriteTimeouts != 1 || w.r.clients != 0 || w.pool.InUse() != 0 {
+		t.Error(w.r.Count.WriteTimeouts, w.r.clients, w.pool.InUse())
 	}
 }
 
@@ -70,12 +70,12 @@
 
 func TestIncompleteRequestsLeaveBuffersForCompleteOnes(t *testing.T) {
 	w := newWorld(t, 1, 4)
-	w.pool.Most = 20
+	w.pool.Max = 20
 	w.turn()
 	w.open()
 	w.come(100, "POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\nabc")
-	if w.pool.Out() != 10 || w.r.Count.NoBuffer != 90 {
-		t.Errorf("%d buffers of 20 held by half requests, %d refused", w.pool.Out(), w.r.Count.NoBuffer)
+	if w.pool.InUse() != 10 || w.r.Count.NoBuffer != 90 {
+		t.Errorf("%d buffers of 20 held by half requests, %d refused", w.pool.InUse(), w.r.Count.NoBuffer)
 	}
 	var k *caller
 	w.turn(func() {
@@ -92,8 +92,8 @@
 		t.Error("a whole request among half ones: ", k.status)
 	}
 	w.pass(requestTimeout + maxLinger)
-	if w.pool.Out() != 0 || w.r.partialBuffers != 0 {
-		t.Error(w.pool.Out(), w.r.partialBuffers)
+	if w.pool.InUse() != 0 || w.r.partialBuffers != 0 {
+		t.Error(w.pool.InUse(), w.r.partialBuffers)
 	}
 }
 
--- a/internal/aggregator/engine/counters.go
+++ b/internal/aggregator/engine/counters.go
@@ -103,7 +103,7 @@
 		Int64("bytes_in", count.BytesIn).
 		Int64("bytes_out", count.BytesOut).
 		Int64("no_buffer", count.NoBuffer).
-		Int("buffers_most", e.pool.Top()).
+		Int("buffers_most", e.pool.Peak()).
 		Int64("panics", count.Panics).
 		Int64("must_broken", must.Broken()).
 		Int64("log_held_back", e.log.suppressed).
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -14,8 +14,8 @@
 	RunPosted     // something waits in the post
 )
 
-// Told implements transport.Handler: a notification of another goroutine.
-func (e *Engine) Told(what int32) {
+// Notified implements transport.Handler: a notification of another goroutine.
+func (e *Engine) Notified(what int32) {
 	switch what {
 	case Terminate:
 		e.terminate()
--- a/internal/aggregator/engine/fuzz_test.go
+++ b/internal/aggregator/engine/fuzz_test.go
@@ -78,7 +78,7 @@
 // settle lets all come to its end, after which nothing may be left.
 func (w *world) settle() {
 	w.least = -1
-	w.turn(func() { w.r.Told(Terminate) })
+	w.turn(func() { w.r.Notified(Terminate) })
 	for range 4000 {
 		if w.stopped {
 			break
@@ -100,8 +100,8 @@
 	if !w.stopped || r.clients != 0 || r.openSearches != 0 || r.pending != 0 {
 		w.t.Fatalf("stopped %v, %d clients, %d searches, %d held", w.stopped, r.clients, r.openSearches, r.pending)
 	}
-	if len(r.freeEntries) != len(r.entries) || w.pool.Out() != 0 {
-		w.t.Fatalf("%d of %d indices free, %d buffers out", len(r.freeEntries), len(r.entries), w.pool.Out())
+	if len(r.freeEntries) != len(r.entries) || w.pool.InUse() != 0 {
+		w.t.Fatalf("%d of %d indices free, %d buffers out", len(r.freeEntries), len(r.entries), w.pool.InUse())
 	}
 	open := 0
 	for _, e := range w.ends {
--- a/internal/aggregator/engine/shutdown_test.go
+++ b/internal/aggregator/engine/shutdown_test.go
@@ -17,14 +17,14 @@
 	w.turn(func() {
 		w.r.Accepted(c)
 		w.say(c, []byte("POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\nabc"))
-		w.r.Told(Terminate)
+		w.r.Notified(Terminate)
 	})
 	w.pass(serveShareAfterStop*(1000+killMargin) + 1)
 	if w.ends[c] != half || half.finished || !w.deaf {
 		t.Error("it was cut off before its time, or the address is open")
 	}
 	w.pass(maxRequestAfterClose + lingerTimeout + 1)
-	if !w.stopped || w.pool.Out() != 0 {
+	if !w.stopped || w.pool.InUse() != 0 {
 		t.Error("it did not stop")
 	}
 }
@@ -38,7 +38,7 @@
 	w.open()
 	w.answer(w.lanes()[0])
 	c := transport.Conn(slices.IndexFunc(w.ends, func(e *end) bool { return e != nil && e.client == k }))
-	w.turn(func() { w.r.Told(Terminate) })
+	w.turn(func() { w.r.Notified(Terminate) })
 	began, grace := w.now, 1000.+killMargin
 	again := func(budget float64) *caller {
 		next := &caller{id: fmt.Sprint("again", len(w.callers)), shards: []int{0}, late: w.now + budget + slack, asked: true}
@@ -73,7 +73,7 @@
 	w := newWorld(t, 1, 1)
 	w.turn()
 	w.open()
-	w.turn(func() { w.r.Told(Terminate) })
+	w.turn(func() { w.r.Notified(Terminate) })
 	// somebody stays, so that it does not leave at once
 	held := w.come(1, "")
 	w.pass(serveShareAfterStop*(1000+killMargin) - 1)
@@ -105,8 +105,8 @@
 		var k *caller
 		w.turn(func() { k = w.ask("quick", 8000, 0, 1) })
 		w.open()
-		w.turn(func() { w.r.Told(Terminate) })
-		w.turn(func() { w.r.Told(Terminate) }) // twice, as two signals have it
+		w.turn(func() { w.r.Notified(Terminate) })
+		w.turn(func() { w.r.Notified(Terminate) }) // twice, as two signals have it
 		grace := min(deadline, maxClientTimeout) + killMargin
 		if w.r.killAt != w.now+grace {
 			t.Fatal(w.r.killAt-w.now, "until the kill")
--- a/internal/aggregator/engine/watch_test.go
+++ b/internal/aggregator/engine/watch_test.go
@@ -115,7 +115,7 @@
 	move := func(ip string) {
 		to := netip.MustParseAddrPort(ip + ":9")
 		w.r.Discovery.Store(&to)
-		w.turn(func() { w.r.Told(MoveDiscovery) })
+		w.turn(func() { w.r.Notified(MoveDiscovery) })
 	}
 	say := func(ip, state string, version int, whole bool) {
 		t.Helper()
@@ -245,7 +245,7 @@
 	w.turn()
 	w.open()
 	w.turn(func() { w.ask("quick", 900, 0) })
-	w.turn(func() { w.r.Told(Terminate) })
+	w.turn(func() { w.r.Notified(Terminate) })
 	w.pass(serveShareAfterStop*(1000+killMargin) + 1)
 	if !w.deaf || w.stopped {
 		t.Fatal("it is not leaving")
--- a/internal/aggregator/engine/world_test.go
+++ b/internal/aggregator/engine/world_test.go
@@ -84,7 +84,7 @@
 }
 
 func newWorld(t testing.TB, seed uint64, servers int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1e6, pool: &transport.Pool{Size: 80 << 10, Most: 200},
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1e6, pool: &transport.Pool{Size: 80 << 10, Max: 200},
 		byID: map[string]*caller{}, least: -1}
 	for i := range servers {
 		w.list = append(w.list, listed{state: "ready", cell: i % 4})
--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -175,7 +175,7 @@
 				Msg("operator's file read again")
 			limitBufferMemory(host, next.GRPC)
 			front.NextSettings.Store(next.GRPC.Rules)
-			host.Loop.Tell(engine.ReloadFronts)
+			host.Loop.Notify(engine.ReloadFronts)
 		}
 	}, nil
 }
--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -144,7 +144,7 @@
 				continue
 			}
 			// A full post loses it, as it is reported again.
-			host.Engine.Post(host.Loop.Tell, func() {
+			host.Engine.Post(host.Loop.Notify, func() {
 				for _, stage := range stages {
 					zones.HandleRecoveryShare(stage.Site, stage.Share, report.AgeMs)
 				}
--- a/internal/aggregator/server/full/talk.go
+++ b/internal/aggregator/server/full/talk.go
@@ -11,7 +11,7 @@
 func startGossip(p *server.Host, o *operator.Talk, port *zonefailure.Interceptor, sees *zoneObservers) (end func(), err error) {
 	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.Via, OnReport: func(w gossip.Report) {
 		// A full post loses hearsay, which is said again.
-		p.Engine.Post(p.Loop.Tell, func() { port.HandlePeerReport(w.Peer, w.Site, w.Lost, w.AgeMs) })
+		p.Engine.Post(p.Loop.Notify, func() { port.HandlePeerReport(w.Peer, w.Site, w.Lost, w.AgeMs) })
 		sees.peerReported(w)
 	}})
 	if err != nil {
--- a/internal/aggregator/server/reload.go
+++ b/internal/aggregator/server/reload.go
@@ -46,7 +46,7 @@
 		Msg("configuration read again")
 	if next.discovery != r.lastRead.discovery {
 		r.host.Engine.Discovery.Store(&next.discovery)
-		r.host.Loop.Tell(engine.MoveDiscovery)
+		r.host.Loop.Notify(engine.MoveDiscovery)
 	}
 	r.lastRead.discovery = next.discovery
 }
--- a/internal/aggregator/server/server.go
+++ b/internal/aggregator/server/server.go
@@ -58,7 +58,7 @@
 	}
 	memory := limitProcess(&c)
 	const bufferSize = protocol.MaxHead + protocol.MaxBody + frameOverhead
-	pool := &transport.Pool{Size: bufferSize, Most: int(memory / bufferShare / bufferSize)}
+	pool := &transport.Pool{Size: bufferSize, Max: int(memory / bufferShare / bufferSize)}
 
 	output := newAsyncWriter(stderr, maxQueuedLines)
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
@@ -116,9 +116,9 @@
 	for {
 		select {
 		case <-s.stop:
-			loop.Tell(engine.Terminate)
+			loop.Notify(engine.Terminate)
 		case <-s.report:
-			loop.Tell(engine.Report)
+			loop.Notify(engine.Report)
 		}
 	}
 }
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/virtual/world.go
@@ -125,7 +125,7 @@
 func New(set settings.Values, seed uint64, sockets int, list []Listed) *World {
 	w := &World{Now: 1e6, Rand: rand.New(rand.NewPCG(seed, 11)), Delay: 0.2, listen: map[netip.AddrPort]func(*End) Peer{},
 		Refuse: map[netip.AddrPort]bool{}, Swallow: map[netip.AddrPort]bool{}, armed: math.Inf(1), list: list,
-		Pool: &transport.Pool{Size: 80 << 10, Most: 400}, Log: &bytes.Buffer{}}
+		Pool: &transport.Pool{Size: 80 << 10, Max: 400}, Log: &bytes.Buffer{}}
 	w.R = engine.New(w, w.Pool, zerolog.New(io.MultiWriter(w.Log)), set, seed, sockets, []byte(w.line(true)), Discovery, 0)
 	w.listen[Discovery] = func(*End) Peer { return (*lister)(w) }
 	return w
--- a/internal/transport/transport.go
+++ b/internal/transport/loop.go
@@ -30,63 +30,63 @@
 	Bytes(c Conn, b []byte, came float64) // none of them: more came after Finish, and went nowhere
 	Written(c Conn, upTo int64)           // bytes given to the network so far
 	Closed(c Conn, upTo int64)            // by the other side, or for want of a connection
-	Told(what int32)
+	Notified(what int32)
 	Panicked(c Conn, what any, stack []byte)
 	End() (again bool) // again: something waits for a turn that nothing else will bring
 }
 
 const (
-	none   Conn = -1
-	bell   Conn = -2
-	wakeUp Conn = -3
+	noConn   Conn = -1
+	timerEvent   Conn = -2
+	notifyEvent Conn = -3
 
-	accepts  = 64      // in one turn: those connected are served in between
-	toTheEnd = 64      // reads in one turn, where the other side has ended
-	drained  = 1 << 20 // of what nobody reads, at a time
+	maxAcceptsPerTurn  = 64      // in one turn: those connected are served in between
+	maxReadsAtEnd = 64      // reads in one turn, where the other side has ended
+	maxDiscard  = 1 << 20 // of what nobody reads, at a time
 	backlog  = 1024
 	// clockZero lets times before the start stay above 0.
 	clockZero = 24 * 3600 * 1000.
 )
 
 type conn struct {
-	fd         int
-	held       bool
+	descriptor         int
+	inUse       bool
 	accepted   bool
 	open       bool // or still connecting
 	listener   bool
 	door       int8 // which address it came in by, or is
-	stamped    bool
-	mute       bool // reading is off
+	timestamped    bool
+	readingOff       bool // reading is off
 	blocked    bool // waits until the other side takes more
-	dirty      bool
+	flushPending      bool
 	progressed bool
 	finishing  bool // writes out what waits, ends its side and reads what comes into nothing
-	shut       bool
+	writeClosed       bool
 	failed     bool
 	written    int64
-	out        [][]byte
-	outAt      int
+	output        [][]byte
+	outputOffset      int
 }
 
 // Loop is the one loop. Only Tell may be called from elsewhere.
 type Loop struct {
-	words              atomic.Uint32 // told and not yet read, by bit
-	epoll, timer, told int
+	notifications              atomic.Uint32 // told and not yet read, by bit
+	epoll, timerfd, eventfd int
 	handler            Handler
 	pool               *Pool
 	conns              []conn
 	free, freed        []Conn
-	dirty, progress    []Conn
+	flushPending, progressed    []Conn
 	failed             []Conn
-	spare              [2][]Conn
+	spareLists              [2][]Conn
 	listeners          []Conn // by door; none where it is closed
-	accepting, stamped bool
-	armed              float64
+	accepting, timestamped bool
+	armedAt              float64
 	start              time.Time
 	now, wallLead      float64
 	scratch, oob       []byte
-	ended              bool
-	barred             func() // for tests: between the last connection that is taken and the closing of its address
+	stopped              bool
+	beforeUnlisten             func() // for tests: between the last connection that is taken and the closing of its address
 	Received, Sent     int64
 	Turns              int64
 	Sockets            int // held now, the listener among them
@@ -99,14 +99,14 @@
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	if l.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err != nil {
+	if l.timerfd, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("timerfd: %w", err)
 	}
-	if l.told, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+	if l.eventfd, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	for c, fd := range [...]int{l.timer, l.told} {
-		e := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(bell) - int32(c)}
+	for c, fd := range [...]int{l.timerfd, l.eventfd} {
+		e := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(timerEvent) - int32(c)}
 		if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
 			return nil, fmt.Errorf("epoll: %w", err)
 		}
@@ -120,11 +120,11 @@
 // Epoch is the Unix time in milliseconds at which Now was 0.
 func (l *Loop) Epoch() float64 { return float64(l.start.UnixNano())/1e6 - clockZero }
 
-// Tell brings a word from another goroutine into the loop. Told again before it is read, it is one word. The words stand
+// Notify brings a word from another goroutine into the loop. Told again before it is read, it is one word. The words stand
 // apart from the wake-up: an eventfd adds up what is written to it, and two equal words there made a third.
-func (l *Loop) Tell(what int32) {
-	l.words.Or(1 << uint(what))
-	unix.Write(l.told, binary.NativeEndian.AppendUint64(nil, 1))
+func (l *Loop) Notify(what int32) {
+	l.notifications.Or(1 << uint(what))
+	unix.Write(l.eventfd, binary.NativeEndian.AppendUint64(nil, 1))
 }
 
 // Listen opens an address on which connections are taken, the next door from 0.
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	fd := l.conns[c].fd
+	fd := l.conns[c].descriptor
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err := unix.Bind(fd, sockaddr(addr)); err != nil {
 		l.Close(c)
@@ -145,11 +145,11 @@
 	}
 	// When a search came must be known even if this process stood still meanwhile: its client waits from then
 	// on. Connections have this from their listener.
-	l.stamped = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1) == nil
+	l.timestamped = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1) == nil
 	l.conns[c].listener, l.conns[c].open = true, true
 	l.conns[c].door = int8(len(l.listeners))
 	l.listeners, l.accepting = append(l.listeners, c), true
-	return l.watch(c, unix.EPOLL_CTL_ADD)
+	return l.setEvents(c, unix.EPOLL_CTL_ADD)
 }
 
 // Door tells by which address a connection came in, 0 for the first that was listened on.
@@ -157,7 +157,7 @@
 
 // Port tells the port that was taken.
 func (l *Loop) Port(door int) int {
-	at, _ := unix.Getsockname(l.conns[l.listeners[door]].fd)
+	at, _ := unix.Getsockname(l.conns[l.listeners[door]].descriptor)
 	switch at := at.(type) {
 	case *unix.SockaddrInet4:
 		return at.Port
@@ -181,27 +181,27 @@
 	}
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return l.take(-1), fmt.Errorf("socket: %w", err)
+		return l.newConn(-1), fmt.Errorf("socket: %w", err)
 	}
-	return l.take(fd), nil
+	return l.newConn(fd), nil
 }
 
-// take gives a descriptor its number.
-func (l *Loop) take(fd int) Conn {
+// newConn gives a descriptor its number.
+func (l *Loop) newConn(fd int) Conn {
 	c := Conn(len(l.conns))
 	if n := len(l.free); n > 0 {
 		c, l.free = l.free[n-1], l.free[:n-1]
 	} else {
 		l.conns = append(l.conns, conn{})
 	}
-	l.conns[c] = conn{fd: fd, held: true}
+	l.conns[c] = conn{descriptor: fd, inUse: true}
 	if fd >= 0 {
 		l.Sockets++
 	}
 	return c
 }
 
-func (l *Loop) watch(c Conn, op int) error {
+func (l *Loop) setEvents(c Conn, op int) error {
 	k := &l.conns[c]
 	events := uint32(unix.EPOLLRDHUP)
 	if k.listener {
@@ -210,14 +210,14 @@
 			events = unix.EPOLLIN
 		}
 	} else {
-		if k.open && !k.mute {
+		if k.open && !k.readingOff {
 			events |= unix.EPOLLIN
 		}
 		if !k.open || k.blocked {
 			events |= unix.EPOLLOUT
 		}
 	}
-	return unix.EpollCtl(l.epoll, op, k.fd, &unix.EpollEvent{Events: events, Fd: int32(c)})
+	return unix.EpollCtl(l.epoll, op, k.descriptor, &unix.EpollEvent{Events: events, Fd: int32(c)})
 }
 
 // Accept switches the taking of connections on or off.
@@ -227,8 +227,8 @@
 	}
 	l.accepting = on
 	for _, c := range l.listeners {
-		if c != none {
-			l.watch(c, unix.EPOLL_CTL_MOD)
+		if c != noConn {
+			l.setEvents(c, unix.EPOLL_CTL_MOD)
 		}
 	}
 }
@@ -238,30 +238,30 @@
 func (l *Loop) Unlisten() (closed bool) {
 	closed = true
 	for door, c := range l.listeners {
-		if c == none {
+		if c == noConn {
 			continue
 		}
-		l.bar(c)
+		l.dropConnects(c)
 		for l.accepting = true; l.accept(c); {
 		}
 		if !l.accepting {
 			closed = false
 			continue
 		}
-		if l.barred != nil {
-			l.barred()
+		if l.beforeUnlisten != nil {
+			l.beforeUnlisten()
 		}
-		l.listeners[door] = none
+		l.listeners[door] = noConn
 		l.Close(c)
 	}
 	return closed
 }
 
-// bar keeps further connections from coming up at an address. One that came up after the last was taken and before the
+// dropConnects keeps further connections from coming up at an address. One that came up after the last was taken and before the
 // address is closed would be reset, and with it a request that its client believes to be on its way. Barred, its client asks
 // the system for the connection again, and is refused as by any address that is closed. It has the system drop what asks for
 // a connection (SYN without ACK, in the byte of flags at 13 of TCP's header); where it is not allowed, the gap stays.
-func (l *Loop) bar(c Conn) {
+func (l *Loop) dropConnects(c Conn) {
 	const flags, syn, synAck = 13, 0x02, 0x12
 	program := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flags},
@@ -270,7 +270,7 @@
 		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
 		{Code: unix.BPF_RET | unix.BPF_K, K: math.MaxUint32},
 	}
-	unix.SetsockoptSockFprog(l.conns[c].fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
+	unix.SetsockoptSockFprog(l.conns[c].descriptor, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
 		&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 }
 
@@ -278,9 +278,9 @@
 func (l *Loop) Connect(addr netip.AddrPort) Conn {
 	c, err := l.socket(addr)
 	if err == nil {
-		unix.SetsockoptInt(l.conns[c].fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		if err = unix.Connect(l.conns[c].fd, sockaddr(addr)); err == unix.EINPROGRESS || err == nil {
-			err = l.watch(c, unix.EPOLL_CTL_ADD)
+		unix.SetsockoptInt(l.conns[c].descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+		if err = unix.Connect(l.conns[c].descriptor, sockaddr(addr)); err == unix.EINPROGRESS || err == nil {
+			err = l.setEvents(c, unix.EPOLL_CTL_ADD)
 		}
 	}
 	if err != nil {
@@ -301,8 +301,8 @@
 	k := &l.conns[c]
 	must.Hold(k.open && !k.finishing, "only an open connection is written to")
 	for len(b) > 0 && !k.failed {
-		last := len(k.out) - 1
-		if last < 0 || len(k.out[last]) == cap(k.out[last]) {
+		last := len(k.output) - 1
+		if last < 0 || len(k.output[last]) == cap(k.output[last]) {
 			buf := l.pool.Get()
 			if buf == nil {
 				l.flush(c)
@@ -311,17 +311,17 @@
 					return
 				}
 			}
-			k.out = append(k.out, buf)
-			last = len(k.out) - 1
+			k.output = append(k.output, buf)
+			last = len(k.output) - 1
 		}
-		at := len(k.out[last])
-		n := copy(k.out[last][at:cap(k.out[last])], b)
-		k.out[last] = k.out[last][:at+n]
+		at := len(k.output[last])
+		n := copy(k.output[last][at:cap(k.output[last])], b)
+		k.output[last] = k.output[last][:at+n]
 		b = b[n:]
 	}
-	if !k.dirty {
-		k.dirty = true
-		l.dirty = append(l.dirty, c)
+	if !k.flushPending {
+		k.flushPending = true
+		l.flushPending = append(l.flushPending, c)
 	}
 }
 
@@ -331,40 +331,40 @@
 	if !k.open || k.failed || k.finishing || from < k.written {
 		return false
 	}
-	drop := k.written - from - int64(k.outAt)
-	for _, b := range k.out {
+	drop := k.written - from - int64(k.outputOffset)
+	for _, b := range k.output {
 		drop += int64(len(b))
 	}
 	for drop > 0 {
-		last := len(k.out) - 1
-		n := int64(len(k.out[last]))
+		last := len(k.output) - 1
+		n := int64(len(k.output[last]))
 		if last == 0 {
-			n -= int64(k.outAt)
+			n -= int64(k.outputOffset)
 		}
 		if drop < n {
-			k.out[last] = k.out[last][:int64(len(k.out[last]))-drop]
+			k.output[last] = k.output[last][:int64(len(k.output[last]))-drop]
 			break
 		}
 		drop -= n
-		l.pool.Put(k.out[last])
-		k.out[last], k.out = nil, k.out[:last]
+		l.pool.Put(k.output[last])
+		k.output[last], k.output = nil, k.output[:last]
 		if last == 0 {
-			k.outAt = 0
+			k.outputOffset = 0
 		}
 	}
-	l.unblock(c)
+	l.updateBlocked(c)
 	return true
 }
 
-// unblock has epoll tell of room only while something waits for it.
-func (l *Loop) unblock(c Conn) {
+// updateBlocked has epoll tell of room only while something waits for it.
+func (l *Loop) updateBlocked(c Conn) {
 	k := &l.conns[c]
-	if len(k.out) == 0 {
-		k.out = nil
+	if len(k.output) == 0 {
+		k.output = nil
 	}
-	if blocked := len(k.out) > 0; blocked != k.blocked {
+	if blocked := len(k.output) > 0; blocked != k.blocked {
 		k.blocked = blocked
-		l.watch(c, unix.EPOLL_CTL_MOD)
+		l.setEvents(c, unix.EPOLL_CTL_MOD)
 	}
 }
 
@@ -373,61 +373,61 @@
 func (l *Loop) Finish(c Conn) {
 	k := &l.conns[c]
 	k.finishing = true
-	if k.mute {
-		k.mute = false
-		l.watch(c, unix.EPOLL_CTL_MOD)
+	if k.readingOff {
+		k.readingOff = false
+		l.setEvents(c, unix.EPOLL_CTL_MOD)
 	}
-	if !k.dirty {
-		k.dirty = true
-		l.dirty = append(l.dirty, c)
+	if !k.flushPending {
+		k.flushPending = true
+		l.flushPending = append(l.flushPending, c)
 	}
 }
 
 // Reading switches the reading of a connection on or off; that it closes is told all the same.
 func (l *Loop) Reading(c Conn, on bool) {
-	if k := &l.conns[c]; k.mute == on {
-		k.mute = !on
-		l.watch(c, unix.EPOLL_CTL_MOD)
+	if k := &l.conns[c]; k.readingOff == on {
+		k.readingOff = !on
+		l.setEvents(c, unix.EPOLL_CTL_MOD)
 	}
 }
 
 // Close drops a connection with all that waits on it.
 func (l *Loop) Close(c Conn) {
 	k := &l.conns[c]
-	must.Hold(k.held, "a connection is closed once")
-	if !k.held {
+	must.Hold(k.inUse, "a connection is closed once")
+	if !k.inUse {
 		return
 	}
-	if k.fd >= 0 {
-		unix.Close(k.fd)
+	if k.descriptor >= 0 {
+		unix.Close(k.descriptor)
 		l.Sockets--
 	}
-	for _, b := range k.out {
+	for _, b := range k.output {
 		l.pool.Put(b)
 	}
-	*k = conn{fd: -1}
+	*k = conn{descriptor: -1}
 	l.freed = append(l.freed, c)
 }
 
 // Arm has a turn come at a time.
 func (l *Loop) Arm(at float64) {
-	if at == l.armed {
+	if at == l.armedAt {
 		return
 	}
-	l.armed = at
+	l.armedAt = at
 	in := max(time.Duration((at-l.Now())*1e6), 1)
-	unix.TimerfdSettime(l.timer, 0, &unix.ItimerSpec{Value: unix.NsecToTimespec(int64(in))}, nil)
+	unix.TimerfdSettime(l.timerfd, 0, &unix.ItimerSpec{Value: unix.NsecToTimespec(int64(in))}, nil)
 }
 
 // Stop ends Run after this turn.
-func (l *Loop) Stop() { l.ended = true }
+func (l *Loop) Stop() { l.stopped = true }
 
 // Run turns until Stop.
 func (l *Loop) Run(h Handler) error {
 	l.handler = h
 	events := make([]unix.EpollEvent, 256)
 	wait := 0
-	for !l.ended {
+	for !l.stopped {
 		n, err := unix.EpollWait(l.epoll, events, wait)
 		if err == unix.EINTR {
 			continue
@@ -438,31 +438,31 @@
 		l.now = l.Now()
 		l.wallLead = -1
 		l.begin()
-		failed, progress := l.failed, l.progress
-		l.failed, l.progress = l.spare[0][:0], l.spare[1][:0]
-		l.spare = [2][]Conn{failed, progress}
+		failed, progress := l.failed, l.progressed
+		l.failed, l.progressed = l.spareLists[0][:0], l.spareLists[1][:0]
+		l.spareLists = [2][]Conn{failed, progress}
 		for _, c := range failed {
 			if l.conns[c].failed {
-				l.guarded(c, failure)
+				l.handle(c, eventFailed)
 			}
 		}
 		for _, c := range progress {
 			if l.conns[c].progressed {
-				l.guarded(c, taken)
+				l.handle(c, eventWritten)
 			}
 		}
 		for _, e := range events[:n] {
-			l.guarded(Conn(e.Fd), e.Events)
+			l.handle(Conn(e.Fd), e.Events)
 		}
 		again := l.end()
-		for i := 0; i < len(l.dirty); i++ {
-			c := l.dirty[i]
-			if k := &l.conns[c]; k.dirty {
-				k.dirty = false
+		for i := 0; i < len(l.flushPending); i++ {
+			c := l.flushPending[i]
+			if k := &l.conns[c]; k.flushPending {
+				k.flushPending = false
 				l.flush(c)
 			}
 		}
-		l.dirty = l.dirty[:0]
+		l.flushPending = l.flushPending[:0]
 		if wait = -1; again || len(l.failed) > 0 {
 			wait = 0
 		}
@@ -474,47 +474,47 @@
 
 // What the loop itself has to tell stands where epoll's events would.
 const (
-	failure = 0
-	taken   = 1 << 31
+	eventFailed = 0
+	eventWritten   = 1 << 31
 )
 
 // begin and end keep a failure of the handler from ending the process.
 func (l *Loop) begin() {
-	defer l.rescue(none)
+	defer l.recoverPanic(noConn)
 	l.handler.Begin(l.now)
 }
 
 func (l *Loop) end() (again bool) {
-	defer l.rescue(none)
+	defer l.recoverPanic(noConn)
 	return l.handler.End()
 }
 
-func (l *Loop) rescue(c Conn) {
+func (l *Loop) recoverPanic(c Conn) {
 	if what := recover(); what != nil {
 		l.handler.Panicked(c, what, debug.Stack())
 	}
 }
 
-func (l *Loop) guarded(c Conn, events uint32) {
-	defer l.rescue(c)
+func (l *Loop) handle(c Conn, events uint32) {
+	defer l.recoverPanic(c)
 	switch {
-	case c == bell:
+	case c == timerEvent:
 		var word [8]byte
-		unix.Read(l.timer, word[:])
-		l.armed = 0
-	case c == wakeUp:
+		unix.Read(l.timerfd, word[:])
+		l.armedAt = 0
+	case c == notifyEvent:
 		var word [8]byte
-		unix.Read(l.told, word[:]) // before the words are: one told in between wakes again
-		for what, bits := int32(0), l.words.Swap(0); bits != 0; what, bits = what+1, bits>>1 {
+		unix.Read(l.eventfd, word[:]) // before the words are: one told in between wakes again
+		for what, bits := int32(0), l.notifications.Swap(0); bits != 0; what, bits = what+1, bits>>1 {
 			if bits&1 != 0 {
-				l.handler.Told(what)
+				l.handler.Notified(what)
 			}
 		}
 	case c >= 0 && l.conns[c].listener:
 		l.accept(c)
-	case events == failure:
+	case events == eventFailed:
 		l.closed(c)
-	case events == taken:
+	case events == eventWritten:
 		l.conns[c].progressed = false
 		l.handler.Written(c, l.conns[c].written)
 	default:
@@ -530,8 +530,8 @@
 
 // accept takes connections and tells whether there may be more.
 func (l *Loop) accept(at Conn) (more bool) {
-	for range accepts {
-		fd, _, err := unix.Accept4(l.conns[at].fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	for range maxAcceptsPerTurn {
+		fd, _, err := unix.Accept4(l.conns[at].descriptor, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
 		case unix.EAGAIN:
@@ -544,10 +544,10 @@
 			return false
 		}
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		c := l.take(fd)
+		c := l.newConn(fd)
 		k := &l.conns[c]
-		k.open, k.accepted, k.stamped, k.door = true, true, l.stamped, l.conns[at].door
-		if err := l.watch(c, unix.EPOLL_CTL_ADD); err != nil {
+		k.open, k.accepted, k.timestamped, k.door = true, true, l.timestamped, l.conns[at].door
+		if err := l.setEvents(c, unix.EPOLL_CTL_ADD); err != nil {
 			l.Close(c)
 			continue
 		}
@@ -560,11 +560,11 @@
 
 func (l *Loop) ready(c Conn, events uint32) {
 	k := &l.conns[c]
-	if k.fd < 0 || k.failed {
+	if k.descriptor < 0 || k.failed {
 		return // closed in this turn
 	}
 	if !k.open {
-		if code, err := unix.GetsockoptInt(k.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
+		if code, err := unix.GetsockoptInt(k.descriptor, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
 			l.closed(c)
 			return
 		}
@@ -573,7 +573,7 @@
 			return
 		}
 		k.open = true
-		l.watch(c, unix.EPOLL_CTL_MOD)
+		l.setEvents(c, unix.EPOLL_CTL_MOD)
 		l.handler.Opened(c)
 		return
 	}
@@ -584,27 +584,27 @@
 		if k.progressed {
 			k.progressed = false
 			l.handler.Written(c, k.written)
-			if k = &l.conns[c]; k.fd < 0 {
+			if k = &l.conns[c]; k.descriptor < 0 {
 				return
 			}
 		}
 	}
 	switch {
-	case events&unix.EPOLLIN != 0 && !k.mute:
+	case events&unix.EPOLLIN != 0 && !k.readingOff:
 		// Who has ended already is read to the end in this turn. Else what it asked before it went would begin in this one,
 		// for nobody, and be found out in the next.
-		for range toTheEnd {
+		for range maxReadsAtEnd {
 			l.read(c)
 			k = &l.conns[c]
-			if events&unix.EPOLLRDHUP == 0 || k.fd < 0 || k.finishing || k.failed {
+			if events&unix.EPOLLRDHUP == 0 || k.descriptor < 0 || k.finishing || k.failed {
 				return
 			}
-			if k.mute { // it sent more than is kept, and has ended: nobody waits for what it asked first
+			if k.readingOff { // it sent more than is kept, and has ended: nobody waits for what it asked first
 				l.closed(c)
 				return
 			}
 		}
-	case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0, events&unix.EPOLLRDHUP != 0 && k.mute:
+	case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0, events&unix.EPOLLRDHUP != 0 && k.readingOff:
 		l.closed(c)
 	}
 }
@@ -618,16 +618,16 @@
 		// Without copying: who is being turned away may still be sending for long.
 		var word uintptr
 		var errno unix.Errno
-		if word, _, errno = unix.Syscall6(unix.SYS_RECVFROM, uintptr(k.fd), 0, drained, unix.MSG_TRUNC, 0, 0); errno != 0 {
+		if word, _, errno = unix.Syscall6(unix.SYS_RECVFROM, uintptr(k.descriptor), 0, maxDiscard, unix.MSG_TRUNC, 0, 0); errno != 0 {
 			err = errno
 		}
 		n = int(word)
-	} else if k.stamped {
+	} else if k.timestamped {
 		var oobn int
-		n, oobn, _, _, err = unix.Recvmsg(k.fd, l.scratch, l.oob, 0)
-		came = l.cameAt(l.oob[:oobn])
+		n, oobn, _, _, err = unix.Recvmsg(k.descriptor, l.scratch, l.oob, 0)
+		came = l.arrivalTime(l.oob[:oobn])
 	} else {
-		n, err = unix.Read(k.fd, l.scratch)
+		n, err = unix.Read(k.descriptor, l.scratch)
 	}
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
@@ -645,8 +645,8 @@
 	}
 }
 
-// cameAt maps the kernel's time of arrival, which is by the wall clock, onto this loop's.
-func (l *Loop) cameAt(oob []byte) float64 {
+// arrivalTime maps the kernel's time of arrival, which is by the wall clock, onto this loop's.
+func (l *Loop) arrivalTime(oob []byte) float64 {
 	const head = int(unsafe.Sizeof(unix.Cmsghdr{}))
 	if len(oob) < head+int(unsafe.Sizeof(unix.Timespec{})) {
 		return l.now
@@ -666,8 +666,8 @@
 		return
 	}
 	was := k.written
-	for len(k.out) > 0 {
-		n, err := unix.Write(k.fd, k.out[0][k.outAt:])
+	for len(k.output) > 0 {
+		n, err := unix.Write(k.descriptor, k.output[0][k.outputOffset:])
 		if err == unix.EINTR {
 			continue
 		}
@@ -680,18 +680,18 @@
 		}
 		k.written += int64(n)
 		l.Sent += int64(n)
-		if k.outAt += n; k.outAt == len(k.out[0]) {
-			l.pool.Put(k.out[0])
-			k.out[0], k.out, k.outAt = nil, k.out[1:], 0
+		if k.outputOffset += n; k.outputOffset == len(k.output[0]) {
+			l.pool.Put(k.output[0])
+			k.output[0], k.output, k.outputOffset = nil, k.output[1:], 0
 		}
 	}
-	l.unblock(c)
+	l.updateBlocked(c)
 	if k.written != was && !k.progressed {
 		k.progressed = true
-		l.progress = append(l.progress, c)
+		l.progressed = append(l.progressed, c)
 	}
-	if k.finishing && len(k.out) == 0 && !k.shut {
-		k.shut = true
-		unix.Shutdown(k.fd, unix.SHUT_WR)
+	if k.finishing && len(k.output) == 0 && !k.writeClosed {
+		k.writeClosed = true
+		unix.Shutdown(k.descriptor, unix.SHUT_WR)
 	}
 }
--- a/internal/transport/rare_test.go
+++ b/internal/transport/rare_test.go
@@ -15,7 +15,7 @@
 // ended waits until the other side's end has come in on a connection: only then is the order of a test the one it is about.
 func ended(t *testing.T, l *Loop, c Conn) {
 	t.Helper()
-	fds := []unix.PollFd{{Fd: int32(l.conns[c].fd), Events: unix.POLLRDHUP}}
+	fds := []unix.PollFd{{Fd: int32(l.conns[c].descriptor), Events: unix.POLLRDHUP}}
 	for {
 		n, err := unix.Poll(fds, 10000)
 		if err == unix.EINTR {
@@ -40,7 +40,7 @@
 	s.turn = func() {
 		if turns++; turns == 1 { // all of them before the loop reads any
 			for _, what := range []int32{0, 0, 2, 2, 4, 0} {
-				s.l.Tell(what)
+				s.l.Notify(what)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 func TestWhatTheNetworkHasNotBegunIsTakenBack(t *testing.T) {
-	l, err := New(&Pool{Size: 64 << 10, Most: 400})
+	l, err := New(&Pool{Size: 64 << 10, Max: 400})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,8 +144,8 @@
 	}
 	s.bytes = func(Conn, []byte, float64) {}
 	s.closed = func(Conn, int64) { l.Stop() }
-	if err := l.Run(s); err != nil || l.pool.Out() != 0 {
-		t.Fatal(err, l.pool.Out())
+	if err := l.Run(s); err != nil || l.pool.InUse() != 0 {
+		t.Fatal(err, l.pool.InUse())
 	}
 }
 
@@ -203,7 +203,7 @@
 func TestAFailureAsATurnBeginsEndsNoProcess(t *testing.T) {
 	s, _ := start(t)
 	f := &failing{steps: s}
-	s.turn = func() { s.l.Tell(0) }
+	s.turn = func() { s.l.Notify(0) }
 	s.told = func(int32) {}
 	if err := s.l.Run(f); err != nil || s.panics != 1 || f.begun < 2 {
 		t.Error(err, s.panics, f.begun)
@@ -215,7 +215,7 @@
 	var late net.Conn
 	var err error
 	asked := make(chan bool)
-	s.l.barred = func() { // a client comes just now, and believes to be connected, or not
+	s.l.beforeUnlisten = func() { // a client comes just now, and believes to be connected, or not
 		late, err = net.DialTimeout("tcp", at, 300*time.Millisecond)
 		close(asked)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -30,7 +30,7 @@
 func (s *steps) Bytes(c Conn, b []byte, came float64) { s.bytes(c, b, came) }
 func (s *steps) Written(_ Conn, upTo int64)           { s.upTo = upTo }
 func (s *steps) Closed(c Conn, upTo int64)            { s.closed(c, upTo) }
-func (s *steps) Told(what int32) {
+func (s *steps) Notified(what int32) {
 	if s.told != nil {
 		s.told(what)
 		return
@@ -47,7 +47,7 @@
 
 func start(t *testing.T) (*steps, string) {
 	t.Helper()
-	l, err := New(&Pool{Size: 1 << 10, Most: 4})
+	l, err := New(&Pool{Size: 1 << 10, Max: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	if got := <-done; !bytes.Equal(got, answer) {
 		t.Errorf("%d bytes arrived of %d", len(got), len(answer))
 	}
-	if s.l.pool.Out() != 0 {
+	if s.l.pool.InUse() != 0 {
 		t.Error("a buffer is out")
 	}
 }
@@ -170,7 +170,7 @@
 		bad.Write([]byte("!"))
 		good.Write([]byte("?"))
 		good.Read(make([]byte, 1))
-		s.l.Tell(1)
+		s.l.Notify(1)
 	}()
 	if err := s.l.Run(s); err != nil || s.panics != 1 {
 		t.Error(err, s.panics)
@@ -200,8 +200,8 @@
 	s.bytes = func(c Conn, _ []byte, _ float64) { s.l.Write(c, make([]byte, 64<<20)) } // no socket takes so much
 	s.closed = func(Conn, int64) { ended = true; s.l.Stop() }
 	c.Write([]byte("x"))
-	if err := s.l.Run(s); err != nil || !ended || s.l.pool.Out() != 0 {
-		t.Error(err, ended, s.l.pool.Out())
+	if err := s.l.Run(s); err != nil || !ended || s.l.pool.InUse() != 0 {
+		t.Error(err, ended, s.l.pool.InUse())
 	}
 }
 
