--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -1,13 +1,15 @@
 package transport
 
-import "kestrelspread/internal/must"
+import (
+	"kestrelspread/internal/must"
+)
 
-// Pool keeps buffers of one size that are used again; no more than Most are ever out at once, and no more than an
-// eighth of them lie ready: what one bad second took must not stay taken.
+// Pool keeps buffers of one size that are used again; no more than Most are ever out at once, and
+// no more than an eighth of them lie ready: what one bad second took must not stay taken.
 type Pool struct {
-	Size, Max int
-	free       [][]byte
-	inUse, peak   int
+	Size, Max   int
+	free        [][]byte
+	inUse, peak int
 }
 
 // Get gives an empty buffer, or nil where all are out.
--- /dev/null
+++ b/internal/transport/write.go
@@ -0,0 +1,131 @@
+package transport
+
+import (
+	"golang.org/x/sys/unix"
+
+	"kestrelspread/internal/must"
+)
+
+// Write has bytes sent at the end of the turn.
+func (l *Loop) Write(c Conn, b []byte) {
+	conn := &l.conns[c]
+	must.Hold(conn.open && !conn.finishing, "only an open connection is written to")
+	for len(b) > 0 && !conn.failed {
+		last := len(conn.output) - 1
+		if last < 0 || len(conn.output[last]) == cap(conn.output[last]) {
+			buf := l.pool.Get()
+			if buf == nil {
+				l.flush(c)
+				if buf = l.pool.Get(); buf == nil {
+					l.fail(c) // its output can't be kept: better one connection less than no memory
+					return
+				}
+			}
+			conn.output = append(conn.output, buf)
+			last = len(conn.output) - 1
+		}
+		at := len(conn.output[last])
+		n := copy(conn.output[last][at:cap(conn.output[last])], b)
+		conn.output[last] = conn.output[last][:at+n]
+		b = b[n:]
+	}
+	if !conn.flushPending {
+		conn.flushPending = true
+		l.flushPending = append(l.flushPending, c)
+	}
+}
+
+// Retract takes back what was written from an offset on, if the system has taken none of it.
+func (l *Loop) Retract(c Conn, from int64) bool {
+	conn := &l.conns[c]
+	if !conn.open || conn.failed || conn.finishing || from < conn.written {
+		return false
+	}
+	drop := conn.written - from - int64(conn.outputOffset)
+	for _, b := range conn.output {
+		drop += int64(len(b))
+	}
+	for drop > 0 {
+		last := len(conn.output) - 1
+		n := int64(len(conn.output[last]))
+		if last == 0 {
+			n -= int64(conn.outputOffset)
+		}
+		if drop < n {
+			conn.output[last] = conn.output[last][:int64(len(conn.output[last]))-drop]
+			break
+		}
+		drop -= n
+		l.pool.Put(conn.output[last])
+		conn.output[last], conn.output = nil, conn.output[:last]
+		if last == 0 {
+			conn.outputOffset = 0
+		}
+	}
+	l.updateBlocked(c)
+	return true
+}
+
+// updateBlocked has epoll report free buffers only while output is queued.
+func (l *Loop) updateBlocked(c Conn) {
+	conn := &l.conns[c]
+	if len(conn.output) == 0 {
+		conn.output = nil
+	}
+	if blocked := len(conn.output) > 0; blocked != conn.blocked {
+		conn.blocked = blocked
+		l.setEvents(c, unix.EPOLL_CTL_MOD)
+	}
+}
+
+// Finish writes out what is queued, ends this side, and closes once the other side has ended too:
+// closing with bytes unread would throw away what was written.
+func (l *Loop) Finish(c Conn) {
+	conn := &l.conns[c]
+	conn.finishing = true
+	if conn.readingOff {
+		conn.readingOff = false
+		l.setEvents(c, unix.EPOLL_CTL_MOD)
+	}
+	if !conn.flushPending {
+		conn.flushPending = true
+		l.flushPending = append(l.flushPending, c)
+	}
+}
+
+// flush gives the system what it takes.
+func (l *Loop) flush(c Conn) {
+	conn := &l.conns[c]
+	if conn.failed {
+		return
+	}
+	was := conn.written
+	for len(conn.output) > 0 {
+		n, err := unix.Write(conn.descriptor, conn.output[0][conn.outputOffset:])
+		if err == unix.EINTR {
+			continue
+		}
+		if err == unix.EAGAIN {
+			break
+		}
+		if err != nil {
+			l.fail(c)
+			return
+		}
+		conn.written += int64(n)
+		l.Sent += int64(n)
+		if conn.outputOffset += n; conn.outputOffset == len(conn.output[0]) {
+			l.pool.Put(conn.output[0])
+			conn.output[0], conn.output, conn.outputOffset = nil, conn.output[1:], 0
+		}
+	}
+	l.updateBlocked(c)
+	if conn.written != was && !conn.progressed {
+		conn.progressed = true
+		l.progressed = append(l.progressed, c)
+	}
+	if conn.finishing && len(conn.output) == 0 && !conn.writeClosed {
+		conn.writeClosed = true
+		unix.Shutdown(conn.descriptor, unix.SHUT_WR)
+	}
+}
