--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -47,9 +47,9 @@
 	exportBytes = 2 << 20
 )
 
-// keep opens the ledger and has the router tell it of each search. The broker does not start on a ledger that can't be proved:
-// an operator is to look at it first.
-func keep(p *server.Parts, o *operator.Ledger) (end func(), err error) {
+// startLedger opens the ledger and has the router tell it of each search. The aggregator does not
+// start on a ledger that can't be proved: an operator is to look at it first.
+func startLedger(p *server.Host, o *operator.Ledger) (end func(), err error) {
 	c, err := Calendar(o)
 	if err != nil {
 		return nil, err
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("the ledger can't be used: %w", err)
 	}
-	r := store.NewRecorder(s, c, clocks{p.Loop}, p.Router.Kinds(), p.Router.Customers())
-	p.Router.Measure(r)
+	r := store.NewRecorder(s, c, clocks{p.Loop}, p.Engine.Kinds(), p.Engine.Customers())
+	p.Engine.SetMeter(r)
 	r.Start()
 	p.Log.Info().Str("instance", s.Instance).Uint64("epoch", s.Epoch).Bool("new", s.Recovery.Created).Int("entries", s.Recovery.Entries).
 		Dur("took", s.Recovery.Duration).Msg("ledger is kept")
--- a/internal/grpcproxy/attempt.go
+++ b/internal/grpcproxy/attempt.go
@@ -12,7 +12,7 @@
 // attempt is one attempt of a call: its first, a retry, or a hedge.
 type attempt struct {
 	call        *call
-	sub         *engine.Sub
+	sub         *engine.Attempt
 	serverIndex int
 	conn        *serverConn // nil: it waits for a connection
 	stream      *h2.Stream  // nil: its headers have not been written
@@ -98,7 +98,7 @@
 			a.discardResponse()
 		}
 	}
-	k.proxy.router.Ended(a.sub, result.Outcome)
+	k.proxy.router.AttemptEnded(a.sub, result.Outcome)
 }
 
 // stop ends the stream, if there is one, and gives up the place on its connection. What has come of the
@@ -133,12 +133,12 @@
 	k := a.call
 	router := k.proxy.router
 	if a.stream == nil || a.headersStart < a.conn.sentBytes {
-		router.Forgo(a.startTimer)
+		router.CancelTimer(a.startTimer)
 		return
 	}
 	if k.decided && !a.conn.closed {
-		router.Forgo(a.startTimer)
-		delay := min(stalledConnGrace, max(a.sub.Begin()-router.Now(), 0))
+		router.CancelTimer(a.startTimer)
+		delay := min(stalledConnGrace, max(a.sub.BeginDeadline()-router.Now(), 0))
 		a.startTimer = router.After(delay, a.startTimedOut)
 	}
 }
--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -40,15 +40,15 @@
 	ended         bool       // the client has its status, or has gone
 }
 
-var _ engine.Call = (*call)(nil)
+var _ engine.Carrier = (*call)(nil)
 
 // start makes a search of the call.
 func (k *call) start(shard int, metadata routes.Lookup) {
-	pieces := [1]engine.Piece{{Shard: shard, Share: 1, Work: k.route.WorkHint, Key: k.route.AffinityHash(metadata)}}
+	pieces := [1]engine.ShardRequest{{Shard: shard, Share: 1, Work: k.route.WorkHint, Key: k.route.AffinityHash(metadata)}}
 	isRetry := grpcwire.IsRetry(metadata)
-	k.search = k.proxy.router.Ask(k.route.QueryType, k.customer, k.deadline, isRetry, pieces[:], k)
+	k.search = k.proxy.router.StartSearch(k.route.QueryType, k.customer, k.deadline, isRetry, pieces[:], k)
 	if !k.decided && !k.requestEnded {
-		k.proxy.router.Open(k.search, true)
+		k.proxy.router.ClientSending(k.search, true)
 	}
 }
 
@@ -56,7 +56,7 @@
 // opens, or, if this process will be killed sooner, anything.
 func (k *call) armDeadline() {
 	router := k.proxy.router
-	router.Forgo(k.deadlineTimer)
+	router.CancelTimer(k.deadlineTimer)
 	endAt := min(k.deadline-finalStatusMargin, k.proxy.killAt)
 	k.deadlineTimer = router.After(max(endAt-router.Now(), 0), k.deadlineReached)
 }
@@ -83,8 +83,8 @@
 	return withinProxy && k.client.bufferedBytes <= k.settings.Limits.MaxBufferedBytesPerConnection
 }
 
-// Send implements engine.Call: it begins an attempt.
-func (k *call) Send(sub *engine.Sub) {
+// Send implements engine.Carrier: it begins an attempt.
+func (k *call) Send(sub *engine.Attempt) {
 	a := &attempt{call: k, sub: sub, serverIndex: sub.Server()}
 	k.attempts = append(k.attempts, a)
 	k.proxy.Counters.Attempts++
@@ -93,16 +93,16 @@
 		return
 	}
 	router := k.proxy.router
-	if startBy := sub.Begin(); !math.IsInf(startBy, 1) {
+	if startBy := sub.BeginDeadline(); !math.IsInf(startBy, 1) {
 		a.startTimer = router.After(startBy-router.Now(), a.startTimedOut)
 	}
 	k.proxy.pool.RequestStream(router.Now(), a.serverIndex, a)
 }
 
-// Door implements engine.Call: the number of this front.
+// Door implements engine.Carrier: the number of this front.
 func (k *call) Door() int { return 1 }
 
-// Bytes implements engine.Call: the bytes of the messages of the client and for the client.
+// Bytes implements engine.Carrier: the bytes of the messages of the client and for the client.
 func (k *call) Bytes() (in, out int64) {
 	if k.committed != nil {
 		out = k.committed.response.end
@@ -110,8 +110,8 @@
 	return k.request.end, out
 }
 
-// TakeBack implements engine.Call: it stops an attempt whose outcome is known.
-func (k *call) TakeBack(sub *engine.Sub) {
+// Cancel implements engine.Carrier: it stops an attempt whose outcome is known.
+func (k *call) Cancel(sub *engine.Attempt) {
 	for _, a := range k.attempts {
 		if a.sub == sub {
 			a.stop()
@@ -120,8 +120,8 @@
 	}
 }
 
-// Final implements engine.Call: the search has ended.
-func (k *call) Final(ending engine.Ending, pushback float64) {
+// Final implements engine.Carrier: the search has ended.
+func (k *call) Final(ending engine.Result, pushback float64) {
 	must.Hold(!k.decided, "a call has one final answer")
 	k.decided = true
 	if k.ended {
@@ -129,7 +129,7 @@
 	}
 	isNearDeadline := k.proxy.router.Now() >= k.deadline-nearDeadline
 	switch ending {
-	case engine.Whole, engine.Partial:
+	case engine.Complete, engine.Partial:
 		k.proxy.Counters.Answered++
 		k.endAnswered()
 	case engine.Shed:
--- a/internal/grpcproxy/callend.go
+++ b/internal/grpcproxy/callend.go
@@ -87,7 +87,7 @@
 		k.decided = true
 		k.proxy.Counters.Errored++
 		if k.search != nil {
-			k.proxy.router.Leave(k.search)
+			k.proxy.router.ClientGone(k.search)
 		}
 	}
 	k.endWithStatus(status, message, pushback)
@@ -138,7 +138,7 @@
 		k.decided = true
 		k.proxy.Counters.ClientCancelled++
 		if k.search != nil {
-			k.proxy.router.Leave(k.search)
+			k.proxy.router.ClientGone(k.search)
 		}
 	}
 	k.release()
@@ -149,7 +149,7 @@
 	must.Hold(!k.ended, "a call is over once")
 	k.ended = true
 	p := k.proxy
-	p.router.Forgo(k.deadlineTimer)
+	p.router.CancelTimer(k.deadlineTimer)
 	p.openCalls--
 	p.callsByCustomer[k.customer]--
 	if p.callsByCustomer[k.customer] == 0 {
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -65,7 +65,7 @@
 	}
 	s := &harness{t: t, world: virtual.New(set, seed, 300, all), settings: defaultSettings(list...)}
 	s.proxy = New(s.world.R, s.settings, 4, seed)
-	s.world.R.Add(s.proxy)
+	s.world.R.AddFront(s.proxy)
 	for i := range servers {
 		p := &grpcpeer.Server{W: s.world, Name: fmt.Sprintf("s%d", i), Script: echo}
 		s.servers = append(s.servers, p)
--- a/internal/grpcproxy/proxy.go
+++ b/internal/grpcproxy/proxy.go
@@ -19,7 +19,7 @@
 	NextSettings atomic.Pointer[Settings]
 	Counters     Counters
 
-	router           *engine.Router
+	router           *engine.Engine
 	settings         *Settings
 	shards           int
 	randomState      uint64
@@ -50,7 +50,7 @@
 var _ engine.Front = (*Proxy)(nil)
 
 // New returns a proxy for so many shards. seed draws jitter.
-func New(router *engine.Router, settings *Settings, shards int, seed uint64) *Proxy {
+func New(router *engine.Engine, settings *Settings, shards int, seed uint64) *Proxy {
 	p := &Proxy{
 		router:          router,
 		settings:        settings,
@@ -134,13 +134,13 @@
 	p.Counters.Accepted++
 	c := &clientConn{proxy: p, conn: conn, idleSince: p.router.Now()}
 	c.http2 = h2.New(true, p.settings.clientLimits(), c)
-	p.router.Seat(conn, c)
+	p.router.SetHandler(conn, c)
 	p.clientConns[c] = true
 	p.clientOrder = append(p.clientOrder, c)
 	if len(p.clientOrder) > 2*len(p.clientConns)+16 {
 		p.clientsInOrder() // forgets those that are closed
 	}
-	maxConnections := min(p.settings.Limits.MaxConnections, p.router.Room())
+	maxConnections := min(p.settings.Limits.MaxConnections, p.router.MaxFrontClients())
 	if len(p.clientConns) > maxConnections || p.stoppedAccepting {
 		p.Counters.ConnectionsRejected++
 		c.http2.GoAway(http2.ErrCodeEnhanceYourCalm)
--- a/internal/grpcproxy/request.go
+++ b/internal/grpcproxy/request.go
@@ -23,7 +23,7 @@
 	}
 	if end && !k.requestEnded {
 		k.requestEnded = true
-		k.proxy.router.Open(k.search, false)
+		k.proxy.router.ClientSending(k.search, false)
 	}
 	k.commitIfBufferExceeded()
 	for _, a := range k.attempts {
--- a/internal/grpcproxy/response.go
+++ b/internal/grpcproxy/response.go
@@ -66,7 +66,7 @@
 	if !mutantRepeat && !k.proxy.router.Committed(a.sub, true) {
 		k.proxy.Counters.LateResponses++
 		a.stop()
-		k.proxy.router.Ended(a.sub, policy.Cancelled)
+		k.proxy.router.AttemptEnded(a.sub, policy.Cancelled)
 		return
 	}
 	k.proxy.Counters.Committed++
--- a/internal/grpcproxy/servers.go
+++ b/internal/grpcproxy/servers.go
@@ -62,10 +62,10 @@
 	return conns
 }
 
-// Late closes connections to a server that drains or is gone, if the network has not taken some
+// GraceEnded closes connections to a server that drains or is gone, if the network has not taken some
 // headers that wait there: only with the connection can they be withdrawn. Only a connection that is
 // stalled has such.
-func (p *Proxy) Late(index int) {
+func (p *Proxy) GraceEnded(index int) {
 	for _, conn := range p.connsOf(index) {
 		if conn.hasUnsentHeaders() {
 			conn.abort()
@@ -73,8 +73,8 @@
 	}
 }
 
-// Forgotten removes a server, whose index may then be another's.
-func (p *Proxy) Forgotten(index int) {
+// ServerRemoved removes a server, whose index may then be another's.
+func (p *Proxy) ServerRemoved(index int) {
 	if index < len(p.servers) {
 		p.pool.RemoveServer(index)
 		p.servers[index] = serverEntry{state: policy.Gone}
@@ -92,7 +92,7 @@
 	if next == p.poolTimerAt {
 		return
 	}
-	p.router.Forgo(p.poolTimer)
+	p.router.CancelTimer(p.poolTimer)
 	p.poolTimerAt = next
 	if math.IsInf(next, 1) {
 		return
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -116,11 +116,11 @@
 func namesIn(set settings.Values) *settingNames {
 	names := &settingNames{queryTypes: map[string]int{}, customers: map[string]int{}, customerCount: set.Count("customers")}
 	for i := range set.Count("classes") {
-		names.queryTypes[set.Item("classes", i, "name")] = i
-		names.values = append(names.values, set.Num("classes."+strconv.Itoa(i)+".importance", 1))
+		names.queryTypes[set.ItemField("classes", i, "name")] = i
+		names.values = append(names.values, set.Float("classes."+strconv.Itoa(i)+".importance", 1))
 	}
 	for i := range names.customerCount {
-		names.customers[set.Item("customers", i, "name")] = i
+		names.customers[set.ItemField("customers", i, "name")] = i
 	}
 	return names
 }
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -14,7 +14,7 @@
 
 // routes returns the table of routes, or nil where anything of the gRPC front is at fault.
 func (f *grpcFile) routes(set settings.Values, names *settingNames, found *Findings) *routes.Table {
-	shards := set.Whole("family-info.slabs", 1)
+	shards := set.Int("family-info.slabs", 1)
 	list := make([]*routes.Route, len(f.Routes))
 	firstByName := map[string]int{}
 	for i := range f.Routes {
@@ -42,7 +42,7 @@
 
 func (f *routeFile) settings(path string, set settings.Values, names *settingNames, found *Findings) *routes.Route {
 	queryType := found.index(path+"query-type", f.QueryType, names.queryTypes, "query type")
-	deadlineMs := set.Num("classes."+strconv.Itoa(queryType)+".deadline-ms", defaultDeadlineMs)
+	deadlineMs := set.Float("classes."+strconv.Itoa(queryType)+".deadline-ms", defaultDeadlineMs)
 	timeoutMs := valueOr(f.Timeout, deadlineMs)
 	route := &routes.Route{
 		Name:             f.Name,
