--- a/internal/aggregator/policy/zones_test.go
+++ b/internal/aggregator/policy/zones_test.go
@@ -5,7 +5,7 @@
 )
 
 // A hall that went took searches with it server by server, and what was called off there read as a
-// crowd.
+// fleetsim.
 func TestLostZoneIsEjectedAtOnceAndItsTrialsAreSpread(t *testing.T) {
 	b, _ := newTestPolicy(20, nil)
 	b.Begin(5000)
--- a/internal/fleet/zonefailure/fleet_test.go
+++ b/internal/fleet/zonefailure/fleet_test.go
@@ -6,16 +6,16 @@
 
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/fleet/zonefailure"
-	"kestrelspread/internal/standin/crowd"
+	"kestrelspread/internal/standin/fleetsim"
 	"kestrelspread/internal/standin/station"
 )
 
 // fleet is three hundred brokers and two hundred servers at three sites.
-func fleet(seed uint64, detecting bool) crowd.Plan {
-	p := crowd.Plan{Seed: seed, Brokers: 300, Servers: 200, Sites: 3, Places: 50, Copies: 4, Rate: 200, Parts: 30, Target: 500, Timeout: 1500,
+func fleet(seed uint64, detecting bool) fleetsim.Plan {
+	p := fleetsim.Plan{Seed: seed, Brokers: 300, Servers: 200, Sites: 3, Places: 50, Copies: 4, Rate: 200, Parts: 30, Target: 500, Timeout: 1500,
 		Kind:  station.Kind{Slots: 2, Work: 30, CV: 0.4, Queue: 20, ColdFrom: 0.3, ColdFor: 8000, Multiple: 2.5, Over: 2000},
 		Delay: 0.5, Connect: 250, Tries: 4, Retries: 1, Notice: 1500, Until: 14000,
-		Lose: []crowd.Loss{{Site: 1, From: 4000, To: 9500, Cold: true}}}
+		Lose: []fleetsim.Loss{{Site: 1, From: 4000, To: 9500, Cold: true}}}
 	p.Port = func(out policy.Out, seed uint64, own int) policy.Port {
 		module := func(out policy.Out) policy.Port { return policy.New(out, seed, p.Brokers, own) }
 		var port policy.Port
@@ -41,8 +41,8 @@
 	if testing.Short() {
 		t.Skip("a fleet takes seconds")
 	}
-	with, without := crowd.Run(fleet(1, true)), crowd.Run(fleet(1, false))
-	for name, r := range map[string]*crowd.Result{"with detection": with, "without": without} {
+	with, without := fleetsim.Run(fleet(1, true)), fleetsim.Run(fleet(1, false))
+	for name, r := range map[string]*fleetsim.Result{"with detection": with, "without": without} {
 		t.Logf("%s: %d offered, %d in time, %d late, %d shed, %d failed; %d sub-requests, %d of them to the lost site; cold at most %.2f of what they bear, %.2f before it was told",
 			name, r.Offered, r.InTime, r.Late, r.Shed, r.Failed, r.Sent, r.ToLost, r.Worst, r.Untold)
 		for sec, s := range r.Second {
--- a/internal/node/routing/notify_test.go
+++ b/internal/node/routing/notify_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// So do renewed brokers that keep nothing yet: a third of all at once is filled without a crowd.
+// So do renewed brokers that keep nothing yet: a third of all at once is filled without a fleetsim.
 func TestRenewedEnginesAreFilled(t *testing.T) {
 	s := newEngineSim(t, 10, 18, true)
 	s.notifies = true
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/rig/scenario/scenario_test.go
@@ -159,7 +159,7 @@
 		t.Error("no broker noticed")
 	}
 	quick, bulk := r.Types[0], r.Types[2]
-	if a, b := float64(quick.Shed)/float64(quick.Offered), float64(bulk.Shed)/float64(bulk.Offered); a > b+0.15 { // by how much it is less is for the virtual clock to tell (package crowd)
+	if a, b := float64(quick.Shed)/float64(quick.Offered), float64(bulk.Shed)/float64(bulk.Offered); a > b+0.15 { // by how much it is less is for the virtual clock to tell (package fleetsim)
 		t.Errorf("%.2f of the most valued are refused, %.2f of the least valued", a, b)
 	}
 }
--- a/internal/standin/crowd/crowd_test.go
+++ b/internal/standin/fleetsim/fleetsim_test.go
@@ -1,4 +1,4 @@
-package crowd
+package fleetsim
 
 import (
 	"testing"
