--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -133,7 +133,7 @@
 		return
 	}
 	e.Count.Cancelled++
-	e.scratch = protocol.AppendShort(e.scratch[:0], protocol.Abandon, attempt.request.id)
+	e.scratch = protocol.AppendShortFrame(e.scratch[:0], protocol.FrameAbandon, attempt.request.id)
 	e.writeToServer(conn, e.scratch)
 	e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
 		if conn.attempts[attempt.request.id] == attempt {
--- a/internal/aggregator/engine/batch.go
+++ b/internal/aggregator/engine/batch.go
@@ -55,7 +55,7 @@
 // other's.
 func (e *Engine) chooseConn(srv *server, batch *batch) (best *serverConn) {
 	for _, conn := range srv.conns {
-		if conn.addr != srv.addr || conn.batches >= e.config.streamsPerConn || conn.frames.Holding() ||
+		if conn.addr != srv.addr || conn.batches >= e.config.streamsPerConn || conn.frames.Incomplete() ||
 			conn.carries(batch) {
 			continue
 		}
@@ -88,11 +88,11 @@
 		if e.dropExpired(conn, batch) {
 			continue
 		}
-		frame := protocol.AppendCall(e.scratch[:0])
+		frame := protocol.BeginRequestFrame(e.scratch[:0])
 		for _, attempt := range batch.attempts {
 			if attempt.state == stateQueued {
 				req := attempt.request
-				frame = protocol.AppendPart(frame, req.id, req.shard, attempt.deadline-e.now, req.search.token, req.search.query)
+				frame = protocol.AppendShardRequest(frame, req.id, req.shard, attempt.deadline-e.now, req.search.token, req.search.query)
 			}
 		}
 		e.scratch = protocol.EndFrame(frame, 0)
--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -24,7 +24,7 @@
 // client is a connection on which searches come, one at a time.
 type client struct {
 	conn           transport.Conn
-	parser         protocol.HTTP
+	parser         protocol.Message
 	ownsBuffer     bool    // its request has a buffer of its own
 	sharesBuffer   bool    // or the one that all share within an event
 	search         *search // that waits for its answer
@@ -94,7 +94,7 @@
 	case client.finishing:
 	case client.parser.Begun():
 		client.closeAfter = true
-		e.rejectRequest(client, &protocol.Bad{Status: 408, Why: "half a request"})
+		e.rejectRequest(client, &protocol.RequestError{Status: 408, Reason: "half a request"})
 		return
 	case client.writeOffset > client.writtenOffset: // it does not read: what waits for it is memory
 		e.Count.WriteTimeouts++
@@ -125,7 +125,7 @@
 		}
 		if !client.ownsBuffer && !client.sharesBuffer {
 			client.sharesBuffer = true
-			client.parser.Store(e.sharedBuffer)
+			client.parser.SetStorage(e.sharedBuffer)
 		}
 		used, step, err := client.parser.Feed(b)
 		b = b[used:]
@@ -133,11 +133,11 @@
 		case err != nil:
 			client.closeAfter = true // where the next message begins is no longer sure
 			e.rejectRequest(client, err)
-		case step == protocol.Headed:
+		case step == protocol.HeadComplete:
 			e.answerExpectation(client, len(b) == 0)
-		case step == protocol.Done:
+		case step == protocol.Complete:
 			client.sentRequest = true
-			client.closeAfter = client.closeAfter || client.parser.Last()
+			client.closeAfter = client.closeAfter || client.parser.IsLast()
 			e.handleRequest(client, came)
 		}
 	}
@@ -173,7 +173,7 @@
 	}
 	if !strings.EqualFold(string(expectation), "100-continue") {
 		client.closeAfter = true
-		e.rejectRequest(client, &protocol.Bad{Status: 417, Why: "an expectation that is not known"})
+		e.rejectRequest(client, &protocol.RequestError{Status: 417, Reason: "an expectation that is not known"})
 		return
 	}
 	if bodyAwaited {
@@ -194,7 +194,7 @@
 			e.releaseRequest(client)
 			return
 		}
-		client.parser.Move(buf)
+		client.parser.MoveStorage(buf)
 		client.sharesBuffer, client.ownsBuffer = false, true
 		if client.sentRequest {
 			client.requestBegunAt = e.now
@@ -230,10 +230,10 @@
 	switch {
 	case client.ownsBuffer:
 		client.ownsBuffer = false
-		e.returnBuffer(client.parser.Store(nil))
+		e.returnBuffer(client.parser.SetStorage(nil))
 	case client.sharesBuffer:
 		client.sharesBuffer = false
-		client.parser.Store(nil)
+		client.parser.SetStorage(nil)
 	}
 }
 
@@ -253,31 +253,31 @@
 func (e *Engine) handleRequest(client *client, came float64) {
 	path := string(client.parser.Path())
 	switch {
-	case path == "/ready" && client.parser.Is("GET"):
+	case path == "/ready" && client.parser.HasMethod("GET"):
 		if e.stopping || e.list.ready == 0 {
 			e.respond(client, 503, 0, nil)
 			return
 		}
 		e.respond(client, 200, 0, []byte("ready\n"))
-	case path == "/api" && client.parser.Is("POST"):
+	case path == "/api" && client.parser.HasMethod("POST"):
 		if err := e.acceptSearch(client, came); err != nil {
 			e.rejectRequest(client, err)
 		}
 	case path == "/api" || path == "/ready":
-		e.rejectRequest(client, &protocol.Bad{Status: 405, Why: "method not allowed"})
+		e.rejectRequest(client, &protocol.RequestError{Status: 405, Reason: "method not allowed"})
 	default:
-		e.rejectRequest(client, &protocol.Bad{Status: 404, Why: "no such path"})
+		e.rejectRequest(client, &protocol.RequestError{Status: 404, Reason: "no such path"})
 	}
 }
 
 // badRequest is an error that is answered with status 400.
-func badRequest(why string) error { return &protocol.Bad{Status: 400, Why: why} }
+func badRequest(why string) error { return &protocol.RequestError{Status: 400, Reason: why} }
 
 // rejectRequest answers a request that is not sound with the status of its error.
 func (e *Engine) rejectRequest(client *client, err error) {
 	e.Count.BadRequests++
 	status := 400
-	var bad *protocol.Bad
+	var bad *protocol.RequestError
 	if errors.As(err, &bad) {
 		status = bad.Status
 	}
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -88,7 +88,7 @@
 		e.endSearch(search, 503, e.policy.RetryAfter(head.kind), nil)
 		return nil
 	}
-	key := protocol.Key(client.parser.Cookie("k"))
+	key := protocol.ParseKey(client.parser.Cookie("k"))
 	mark, marks := client.parser.Header("x-again")
 	isRetry := marks == 1 && string(mark) == "1"
 	e.releaseRequest(client)
@@ -118,9 +118,9 @@
 	case e.config.twoPhase[kind]:
 		// An answer from its first phase alone would be under its floor, or be marked complete
 		// though it is not.
-		return head, &protocol.Bad{Status: 501, Why: "a query type with a second step, which is not spoken here"}
+		return head, &protocol.RequestError{Status: 501, Reason: "a query type with a second step, which is not spoken here"}
 	case e.searchByID[string(id)] != nil:
-		return head, &protocol.Bad{Status: 409, Why: "a search with this id is open"}
+		return head, &protocol.RequestError{Status: 409, Reason: "a search with this id is open"}
 	case budgets != 1 || badBudget != nil || budget == 0 || budget > maxBudget:
 		return head, badRequest("no sound budget")
 	}
@@ -139,7 +139,7 @@
 // their shares.
 func (e *Engine) readSearchBody(client *client) (text []byte, sum float64, err error) {
 	e.parsed = e.parsed[:0]
-	text, sum, err = protocol.Search(client.parser.Body(), e.config.shards,
+	text, sum, err = protocol.ReadSearch(client.parser.Body(), e.config.shards,
 		func(shard int, share, work float64, key uint64) {
 			e.parsed = append(e.parsed, parsedRequest{shard, share, work, key})
 		})
--- a/internal/aggregator/engine/serverconn.go
+++ b/internal/aggregator/engine/serverconn.go
@@ -18,7 +18,7 @@
 	addr          netip.AddrPort
 	open          bool
 	closed        bool
-	frames        protocol.Frames
+	frames        protocol.FrameSplitter
 	batches       int
 	queued        []*batch            // none of their bytes is given to the network
 	attempts      map[string]*attempt // by the id that is written; those cancelled stay, so that a late reply finds them
@@ -62,7 +62,7 @@
 	conn.usedAt = e.now
 	e.armIdleTimer(conn)
 	if conn.probeSentAt > 0 {
-		e.scratch = protocol.AppendShort(e.scratch[:0], e.config.probeType, "")
+		e.scratch = protocol.AppendShortFrame(e.scratch[:0], e.config.probeType, "")
 		e.writeToServer(conn, e.scratch)
 	}
 	e.writeNextBatch(conn)
@@ -128,8 +128,8 @@
 			break
 		}
 	}
-	if conn.frames.Stored() {
-		e.pool.Put(conn.frames.Store(nil))
+	if conn.frames.HasStorage() {
+		e.pool.Put(conn.frames.SetStorage(nil))
 	}
 	if conn.open && conn.inFlight > 0 {
 		e.Count.Broken++
@@ -192,18 +192,18 @@
 // or where the frame is unsound, the connection is dropped.
 func (e *Engine) serverConnBytes(conn *serverConn, b []byte) {
 	conn.usedAt = e.now
-	shared, framesBefore := !conn.frames.Stored(), e.Count.Frames
+	shared, framesBefore := !conn.frames.HasStorage(), e.Count.Frames
 	if shared {
-		conn.frames.Store(e.sharedBuffer)
+		conn.frames.SetStorage(e.sharedBuffer)
 	}
 	err := conn.frames.Feed(b, func(letter byte, rest []byte) error { return e.handleFrame(conn, letter, rest) })
 	switch {
 	case err != nil:
 		e.Count.BadFrames++
 		e.log.warn("bad frame", "from %s: %v", conn.addr, err)
-	case !conn.frames.Holding():
+	case !conn.frames.Incomplete():
 		e.timers.drop(conn.frameTimer)
-		if buf := conn.frames.Store(nil); !shared {
+		if buf := conn.frames.SetStorage(nil); !shared {
 			e.pool.Put(buf)
 		}
 		return
@@ -216,7 +216,7 @@
 		}
 	}
 	if shared {
-		conn.frames.Store(nil)
+		conn.frames.SetStorage(nil)
 	}
 	e.dropServerConn(conn)
 }
@@ -239,7 +239,7 @@
 		e.Count.NoBuffer++
 		return false
 	}
-	conn.frames.Move(buf)
+	conn.frames.MoveStorage(buf)
 	return true
 }
 
@@ -251,21 +251,21 @@
 func (e *Engine) handleFrame(conn *serverConn, frameType byte, rest []byte) error {
 	e.Count.Frames++
 	switch frameType {
-	case protocol.Reply:
+	case protocol.FrameReply:
 		return e.handleReply(conn, rest)
-	case protocol.Alive, protocol.Load:
+	case protocol.FrameAlive, protocol.FrameLoad:
 		if conn.probeSentAt == 0 {
 			return nil // it came after its end
 		}
 		ok := string(rest) != "ERROR"
 		var report []float64
-		if ok && frameType == protocol.Load {
+		if ok && frameType == protocol.FrameLoad {
 			report, _ = e.parseReport(rest)
 		}
 		e.probeEnded(conn.server, ok, conn.probeSentAt, report)
 		conn.probeSentAt = 0
 		return nil
-	case protocol.Unusual:
+	case protocol.FrameError:
 		return errors.New("refused: " + string(rest[:min(len(rest), 100)]))
 	}
 	return errUnknownFrame
@@ -289,9 +289,9 @@
 	}
 	how := policy.Answered
 	switch end {
-	case protocol.Errored:
+	case protocol.ReplyError:
 		how = policy.Errored
-	case protocol.TurnedAway:
+	case protocol.ReplyRejected:
 		how = policy.Rejected
 	default:
 		if req := attempt.request; !req.hasValue {
--- a/internal/aggregator/engine/serverlist.go
+++ b/internal/aggregator/engine/serverlist.go
@@ -46,7 +46,7 @@
 // move, whatever its versions are.
 func (e *Engine) applyList(watch *watch, line []byte) error {
 	list := &e.list
-	version, full, err := protocol.List(line, nil)
+	version, full, err := protocol.ReadList(line, nil)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 			srv.listed = false
 		}
 	}
-	protocol.List(line, e.applyServer)
+	protocol.ReadList(line, e.applyServer)
 	if !full {
 		return
 	}
--- a/internal/aggregator/engine/watch.go
+++ b/internal/aggregator/engine/watch.go
@@ -27,8 +27,8 @@
 type watch struct {
 	conn            transport.Conn
 	addr            netip.AddrPort
-	parser          protocol.HTTP
-	lines           protocol.Lines
+	parser          protocol.Message
+	lines           protocol.LineSplitter
 	openedAt        float64
 	lastLineAt      float64 // when the latest line was complete: bytes that make none count for nothing
 	alive           bool    // it has sent what is due at once: its head, or a line where all was asked for
@@ -48,8 +48,8 @@
 	e.Count.Watches++
 	e.sockets++
 	watch := &watch{addr: list.addr, awaitsFirstList: true, openedAt: e.now, lastLineAt: e.now}
-	watch.parser.Response()
-	watch.parser.Store(make([]byte, 0, protocol.MaxHead))
+	watch.parser.ExpectResponse()
+	watch.parser.SetStorage(make([]byte, 0, protocol.MaxHead))
 	watch.parser.Stream = func(b []byte) error {
 		return watch.lines.Feed(b, func(line []byte) error {
 			if watch.closed {
@@ -192,11 +192,11 @@
 		used, step, err := watch.parser.Feed(b)
 		b = b[used:]
 		switch {
-		case err == nil && step == protocol.Headed && watch.parser.Status() != 200:
+		case err == nil && step == protocol.HeadComplete && watch.parser.Status() != 200:
 			err = badRequest("a status other than 200")
-		case err == nil && step == protocol.Headed && !watch.fullList:
+		case err == nil && step == protocol.HeadComplete && !watch.fullList:
 			e.watchAlive(watch) // where nothing has changed, nothing else is due before the first beat
-		case err == nil && step == protocol.Done:
+		case err == nil && step == protocol.Complete:
 			e.dropWatch(watch, "ended")
 			return
 		}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -26,12 +26,12 @@
 
 // heard tells in words what a stream of messages holds.
 func heard(t *testing.T, input []byte, by uint64, response bool) string {
-	var m HTTP
+	var m Message
 	var said strings.Builder
 	if response {
-		m.Response()
+		m.ExpectResponse()
 	}
-	m.Store(make([]byte, 0, MaxHead+MaxBody))
+	m.SetStorage(make([]byte, 0, MaxHead+MaxBody))
 	for _, b := range pieces(input, by) {
 		for len(b) > 0 {
 			used, step, err := m.Feed(b)
@@ -43,9 +43,9 @@
 				return said.String()
 			}
 			b = b[used:]
-			if step == Done {
+			if step == Complete {
 				id, n := m.Header("x-call-id")
-				fmt.Fprintf(&said, "%s %d %v %q %d %q %q\n", m.Path(), m.Status(), m.Last(), id, n, m.Cookie("k"), m.Body())
+				fmt.Fprintf(&said, "%s %d %v %q %d %q %q\n", m.Path(), m.Status(), m.IsLast(), id, n, m.Cookie("k"), m.Body())
 				m.Next()
 			}
 		}
@@ -103,9 +103,9 @@
 }
 
 func frames(t *testing.T, input []byte, by uint64) string {
-	var f Frames
+	var f FrameSplitter
 	var said strings.Builder
-	f.Store(make([]byte, 0, MaxFrame+4))
+	f.SetStorage(make([]byte, 0, MaxFrame+4))
 	for _, b := range pieces(input, by) {
 		err := f.Feed(b, func(letter byte, rest []byte) error {
 			fmt.Fprintf(&said, "%c%q", letter, rest)
@@ -114,19 +114,19 @@
 			fmt.Fprint(&said, ReadReport(report, func(name []byte, v float64) { fmt.Fprintf(&said, "%s=%g", name, v) }))
 			return nil
 		})
-		if len(f.held) > MaxFrame+4 {
-			t.Fatal(len(f.held), "bytes held")
+		if len(f.partial) > MaxFrame+4 {
+			t.Fatal(len(f.partial), "bytes held")
 		}
 		if err != nil {
 			return said.String() + "! " + err.Error()
 		}
 	}
-	return said.String() + fmt.Sprint(f.Holding())
+	return said.String() + fmt.Sprint(f.Incomplete())
 }
 
 func FuzzFrames(f *testing.F) {
-	frame := EndFrame(append(AppendCall(nil), "a.1 OK 5 inflight=7,util=0.5\nvalue"...), 0)
-	frame = AppendShort(AppendShort(frame, Load, "inflight=x"), Abandon, "a.1")
+	frame := EndFrame(append(BeginRequestFrame(nil), "a.1 OK 5 inflight=7,util=0.5\nvalue"...), 0)
+	frame = AppendShortFrame(AppendShortFrame(frame, FrameLoad, "inflight=x"), FrameAbandon, "a.1")
 	huge := binary.LittleEndian.AppendUint32(nil, MaxFrame+1)
 	for _, by := range []uint64{0, 1, math.MaxUint64, 0xaaaaaaaaaaaaaaaa} {
 		f.Add(frame, by)
@@ -149,14 +149,14 @@
 			t.Errorf("%q: %v", line, err)
 		}
 	}
-	call := EndFrame(AppendPart(AppendPart(AppendCall(nil), "a.3", 3, 240.9, nil, []byte("xy")), "a.4", 4, 0.2, []byte("f2b9"), nil), 0)
+	call := EndFrame(AppendShardRequest(AppendShardRequest(BeginRequestFrame(nil), "a.3", 3, 240.9, nil, []byte("xy")), "a.4", 4, 0.2, []byte("f2b9"), nil), 0)
 	if want := "\x24\x00\x00\x00Ra.3 3 d=240 2\nxya.4 4 d=1,k=f2b9 0\n"; string(call) != want {
 		t.Errorf("%q, want %q", call, want)
 	}
 }
 
 func readSearch(body string) (said string, text []byte, err error) {
-	text, _, err = Search([]byte(body), 24, func(shard int, share, work float64, key uint64) {
+	text, _, err = ReadSearch([]byte(body), 24, func(shard int, share, work float64, key uint64) {
 		said += fmt.Sprint(shard, share, work, key, ";")
 	})
 	return said, text, err
@@ -212,9 +212,9 @@
 				t.Fatalf("text %q, want %q", text, other.Text)
 			}
 		}
-		version, whole, err := List(input, nil)
+		version, whole, err := ReadList(input, nil)
 		n := 0
-		again, same, err2 := List(input, func(id, _, _ []byte, cell int, state uint8, _, _ float64) {
+		again, same, err2 := ReadList(input, func(id, _, _ []byte, cell int, state uint8, _, _ float64) {
 			if n++; len(id) == 0 || cell < 0 || state > 2 {
 				t.Fatal("an entry that is none")
 			}
@@ -243,11 +243,11 @@
 	f.Add([]byte("\r\n{}\r\n\nabc"), uint64(5))
 	f.Fuzz(func(t *testing.T, input []byte, by uint64) {
 		read := func(by uint64) (lines []string) {
-			var l Lines
+			var l LineSplitter
 			for _, b := range pieces(input, by) {
 				l.Feed(b, func(line []byte) error { lines = append(lines, string(line)); return nil })
 			}
-			return append(lines, string(l.held))
+			return append(lines, string(l.partial))
 		}
 		if one, cut := read(0), read(by); fmt.Sprint(one) != fmt.Sprint(cut) {
 			t.Fatalf("in one piece %q, cut %q", one, cut)
@@ -268,7 +268,7 @@
 		"{\"generation\":\"\n":                          "error", // no line ends within a word
 	} {
 		for size := 1; size <= len(text); size += 7 { // however it is cut
-			var l Lines
+			var l LineSplitter
 			said := ""
 			for at := 0; at < len(text) && said != "error"; at += size {
 				if l.Feed([]byte(text[at:min(at+size, len(text))]), func(line []byte) error {
@@ -276,7 +276,7 @@
 						said += "- "
 						return nil
 					}
-					version, _, err := List(line, nil)
+					version, _, err := ReadList(line, nil)
 					said += fmt.Sprint(version, " ")
 					return err
 				}) != nil {
@@ -301,13 +301,13 @@
 		fmt.Fprintf(&list, "{\n\"instanceId\":\n\"s%d\",\n\"hostPort\"\n:\"127.0.0.1:1\"\n,\n\"lifecycle\":\n\"ready\"\n}\n", i)
 	}
 	list.WriteString("]}\n")
-	var l Lines
+	var l LineSplitter
 	lists := 0
 	began := time.Now()
 	for rest := list.Bytes(); len(rest) > 0; {
 		n := min(len(rest), 64<<10)
 		if err := l.Feed(rest[:n], func(line []byte) error {
-			if version, whole, err := List(line, nil); err == nil && version == 7 && whole {
+			if version, whole, err := ReadList(line, nil); err == nil && version == 7 && whole {
 				lists++
 			}
 			return nil
--- a/internal/protocol/wire_golden_test.go
+++ b/internal/protocol/wire_golden_test.go
@@ -16,13 +16,13 @@
 	var text strings.Builder
 	show := func(what string, content []byte) { fmt.Fprintf(&text, "%s %q\n", what, content) }
 
-	frame := protocol.AppendCall(nil)
-	frame = protocol.AppendPart(frame, "17-0", 3, 249.9, nil, []byte("two words"))
-	frame = protocol.AppendPart(frame, "17-1", 0, 0.2, []byte("again-9"), []byte("\u00e9"))
+	frame := protocol.BeginRequestFrame(nil)
+	frame = protocol.AppendShardRequest(frame, "17-0", 3, 249.9, nil, []byte("two words"))
+	frame = protocol.AppendShardRequest(frame, "17-1", 0, 0.2, []byte("again-9"), []byte("\u00e9"))
 	show("call", protocol.EndFrame(frame, 0))
-	show("abandon", protocol.AppendShort(nil, protocol.Abandon, "17-1"))
-	show("alive", protocol.AppendShort(nil, protocol.Alive, ""))
-	show("letters", []byte{protocol.Call, protocol.Abandon, protocol.Alive, protocol.Load, protocol.Reply, protocol.Unusual})
+	show("abandon", protocol.AppendShortFrame(nil, protocol.FrameAbandon, "17-1"))
+	show("alive", protocol.AppendShortFrame(nil, protocol.FrameAlive, ""))
+	show("letters", []byte{protocol.FrameRequest, protocol.FrameAbandon, protocol.FrameAlive, protocol.FrameLoad, protocol.FrameReply, protocol.FrameError})
 
 	body := protocol.AppendAnswer(nil, true)
 	body = protocol.AppendMatch(body, 2, []byte("plain"))
@@ -41,15 +41,15 @@
 // discovery.
 func TestWhatIsReadIsUnderstoodAsBefore(t *testing.T) {
 	var text strings.Builder
-	var frames protocol.Frames
-	frames.Store(make([]byte, 0, protocol.MaxFrame+4))
-	input := protocol.AppendShort(nil, 'Y', "17-0 OK 12 active=3,cpu=0.5\nvalue \u00e9")
-	input = protocol.AppendShort(input, 'Y', "17-1 ERROR - -\n")
-	input = protocol.AppendShort(input, 'Y', "17-2 REJECTED 0 waiting=4\nfull")
-	input = protocol.AppendShort(input, 'Y', "17-3 FINE 0 -\n")
-	input = protocol.AppendShort(input, 'T', "active=7,cpu=0.25,waiting=2")
-	input = protocol.AppendShort(input, 'G', "")
-	input = protocol.AppendShort(input, 'N', "anything")
+	var frames protocol.FrameSplitter
+	frames.SetStorage(make([]byte, 0, protocol.MaxFrame+4))
+	input := protocol.AppendShortFrame(nil, 'Y', "17-0 OK 12 active=3,cpu=0.5\nvalue \u00e9")
+	input = protocol.AppendShortFrame(input, 'Y', "17-1 ERROR - -\n")
+	input = protocol.AppendShortFrame(input, 'Y', "17-2 REJECTED 0 waiting=4\nfull")
+	input = protocol.AppendShortFrame(input, 'Y', "17-3 FINE 0 -\n")
+	input = protocol.AppendShortFrame(input, 'T', "active=7,cpu=0.25,waiting=2")
+	input = protocol.AppendShortFrame(input, 'G', "")
+	input = protocol.AppendShortFrame(input, 'N', "anything")
 	for len(input) > 0 {
 		part := input[:min(5, len(input))]
 		input = input[len(part):]
@@ -72,20 +72,20 @@
 	}
 
 	search := `{"text":"two \u0077ords","segments":[{"segment":0,"boost":0.25,"work":1500,"affinity":"ff"},{"segment":3,"boost":0.75,"other":null}]}`
-	content, sum, err := protocol.Search([]byte(search), 4, func(shard int, share, work float64, key uint64) {
+	content, sum, err := protocol.ReadSearch([]byte(search), 4, func(shard int, share, work float64, key uint64) {
 		fmt.Fprintf(&text, "part %d %v %v %d\n", shard, share, work, key)
 	})
 	assert.NilError(t, err)
 	fmt.Fprintf(&text, "search %q %v\n", content, sum)
 	for _, broken := range []string{`{}`, `{"text":"a","segments":[]}`, `{"text":"a","segments":[{"segment":4,"boost":1}]}`} {
-		_, _, err := protocol.Search([]byte(broken), 4, func(int, float64, float64, uint64) {})
+		_, _, err := protocol.ReadSearch([]byte(broken), 4, func(int, float64, float64, uint64) {})
 		assert.Assert(t, err != nil, broken)
 	}
 
 	list := `{"generation":12,"reset":true,"instances":[` +
 		`{"instanceId":"i-1","hostPort":"10.0.0.5:8080","lifecycle":"ready","zone":"a","cell":3,"weight":1.5,"startedAtMs":1700000000000},` +
 		`{"instanceId":"i-2","hostPort":"10.0.0.6:8080","lifecycle":"draining"},{"instanceId":"i-3","lifecycle":"gone"}]}`
-	version, full, err := protocol.List([]byte(list), func(id, addr, zone []byte, cell int, state uint8, weight, started float64) {
+	version, full, err := protocol.ReadList([]byte(list), func(id, addr, zone []byte, cell int, state uint8, weight, started float64) {
 		fmt.Fprintf(&text, "server %q %q %q %d %d %v %v\n", id, addr, zone, cell, state, weight, started)
 	})
 	assert.NilError(t, err)
