--- a/internal/node/chain/firstview.go
+++ b/internal/node/chain/firstview.go
@@ -27,7 +27,7 @@
 // wait longer, by founderRankDelay each.
 func (r *Replica) considerFirstView() {
 	index := slices.Index(r.founders, r.address())
-	if index < 0 || r.diskID() == "" || r.proposal != nil || r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now) {
+	if index < 0 || r.diskID() == "" || r.proposal != nil || r.now < r.proposalBackoffUntil || !r.records.healthy(r.now) {
 		return
 	}
 	present, earlier := r.countFounders(index)
--- a/internal/node/chain/join.go
+++ b/internal/node/chain/join.go
@@ -27,7 +27,7 @@
 
 // wantsToJoin reports whether this node is outside the chain and able to join it.
 func (r *Replica) wantsToJoin() bool {
-	return r.view != nil && !r.inChain() && r.diskID() != "" && r.now >= r.leavingUntil && r.writer.healthy(r.now)
+	return r.view != nil && !r.inChain() && r.diskID() != "" && r.now >= r.leavingUntil && r.records.healthy(r.now)
 }
 
 // reachesChain reports whether every member of the chain is reachable from here.
--- a/internal/node/chain/messages.go
+++ b/internal/node/chain/messages.go
@@ -53,7 +53,7 @@
 
 // persist queues a record for the journal; onDurable, which may be nil, runs once it is durable.
 func (r *Replica) persist(kind uint8, message proto.Message, onDurable func()) {
-	r.writer.append(encode(kind, message), onDurable)
+	r.records.append(encode(kind, message), onDurable)
 }
 
 func (r *Replica) diskID() string { return r.options.Self.GetDiskId() }
--- a/internal/node/chain/pings.go
+++ b/internal/node/chain/pings.go
@@ -30,7 +30,7 @@
 		Voter:             r.options.Self,
 		Epoch:             view.Epoch(r.view),
 		Committed:         r.committed.index,
-		DiskHealthy:       r.writer.healthy(r.now),
+		DiskHealthy:       r.records.healthy(r.now),
 		CountsForQuorum:   r.diskID() != "",
 		Founding:          len(r.founders) > 0,
 		Wedged:            r.wedged,
--- a/internal/node/chain/reconfigure.go
+++ b/internal/node/chain/reconfigure.go
@@ -54,7 +54,7 @@
 // while others are Unknown, as its epoch has ended here.
 func (r *Replica) mayPropose(reconfiguration *view.Reconfiguration) bool {
 	switch {
-	case r.now < r.proposalBackoffUntil || !r.writer.healthy(r.now):
+	case r.now < r.proposalBackoffUntil || !r.records.healthy(r.now):
 		return false
 	case !reconfiguration.MajorityReachable():
 		return false
--- a/internal/node/chain/writer.go
+++ b/internal/node/chain/recordqueue.go
@@ -10,10 +10,10 @@
 	onDurable func()
 }
 
-// writer hands records to the journal strictly in order: one Write is in flight at a time, and all
+// recordQueue hands records to the journal strictly in order: one Write is in flight at a time, and all
 // records that are queued meanwhile go with the next. A Write that failed is retried, so that no
 // record is durable before an earlier one.
-type writer struct {
+type recordQueue struct {
 	lastToken         uint64
 	inFlight          []pendingWrite       // of the Write in flight
 	queue             []pendingWrite       // for the next Write
@@ -25,16 +25,16 @@
 	writingCheckpoint bool                 // the Write in flight is a checkpoint
 }
 
-func newWriter() writer { return writer{writeStartedAt: core.Never, lastFaultAt: -1} }
+func newRecordQueue() recordQueue { return recordQueue{writeStartedAt: core.Never, lastFaultAt: -1} }
 
 // append queues a record; onDurable may be nil.
-func (w *writer) append(record core.Record, onDurable func()) {
+func (w *recordQueue) append(record core.Record, onDurable func()) {
 	w.queue = append(w.queue, pendingWrite{record, onDurable})
 }
 
 // flush returns the next Write, if one is due now. A checkpoint holds the effect of the queued
 // records, so that they are durable with it.
-func (w *writer) flush(now core.Time) (write core.Write, ok bool) {
+func (w *recordQueue) flush(now core.Time) (write core.Write, ok bool) {
 	idle := w.writeStartedAt == core.Never && now >= w.retryAt
 	if !idle || len(w.queue) == 0 && w.buildCheckpoint == nil {
 		return core.Write{}, false
@@ -59,7 +59,7 @@
 
 // complete ends the Write in flight and returns the records that are durable now. The records of a
 // failed one go to the front of the queue. The end of an earlier Write is ignored.
-func (w *writer) complete(now core.Time, token uint64, err error) (durable []pendingWrite) {
+func (w *recordQueue) complete(now core.Time, token uint64, err error) (durable []pendingWrite) {
 	if w.writeStartedAt == core.Never || token != w.lastToken {
 		return nil
 	}
@@ -87,7 +87,7 @@
 
 // healthy reports whether the disk takes writes within writeTimeout, and has done so for
 // diskRecoveryPeriod.
-func (w *writer) healthy(now core.Time) bool {
+func (w *recordQueue) healthy(now core.Time) bool {
 	if w.failing || w.writeStartedAt != core.Never && now-w.writeStartedAt > writeTimeout {
 		return false
 	}
@@ -95,7 +95,7 @@
 }
 
 // deadline is when the Write in flight becomes slow, or a failed one is to be retried.
-func (w *writer) deadline(now core.Time) core.Time {
+func (w *recordQueue) deadline(now core.Time) core.Time {
 	switch {
 	case w.writeStartedAt != core.Never && now-w.writeStartedAt <= writeTimeout:
 		return w.writeStartedAt + writeTimeout + 1
--- a/internal/node/chain/replica.go
+++ b/internal/node/chain/replica.go
@@ -27,7 +27,7 @@
 	wakeDeadline core.Time // the deadline returned last
 	outputs      []core.Output
 
-	writer        writer
+	records       recordQueue
 	detector      *view.Detector
 	quorumMembers []*nodepb.Member // as membership knows them: the nodes to ask for the view
 
@@ -71,7 +71,7 @@
 		random:            random,
 		now:               now,
 		wakeDeadline:      core.Never,
-		writer:            newWriter(),
+		records:           newRecordQueue(),
 		detector:          view.NewDetector(now, options.Self, uint64(random.Uint32())),
 		view:              journaled.view,
 		viewDurable:       journaled.view != nil,
@@ -131,7 +131,7 @@
 	if err != nil {
 		r.emit(core.Log{Message: "chain: journal write failed", Fields: []any{"error", err}})
 	}
-	for _, write := range r.writer.complete(now, token, err) {
+	for _, write := range r.records.complete(now, token, err) {
 		if write.onDurable != nil {
 			write.onDurable()
 		}
@@ -152,7 +152,7 @@
 // journal is nearly full.
 func (r *Replica) RequestCheckpoint(now core.Time) []core.Output {
 	r.advance(now)
-	r.writer.buildCheckpoint = r.checkpoint
+	r.records.buildCheckpoint = r.checkpoint
 	return r.finish()
 }
 
@@ -188,7 +188,7 @@
 
 // finish returns the outputs, the next write among them, and sets the next deadline.
 func (r *Replica) finish() []core.Output {
-	if write, ok := r.writer.flush(r.now); ok {
+	if write, ok := r.records.flush(r.now); ok {
 		r.emit(write)
 	}
 	outputs := r.outputs
@@ -202,7 +202,7 @@
 
 // nextDeadline is the earliest deadline of any part.
 func (r *Replica) nextDeadline() core.Time {
-	deadline := min(r.detector.Deadline(), r.writer.deadline(r.now), r.joinDeadline(), r.proposalDeadline(), r.barrierDeadline())
+	deadline := min(r.detector.Deadline(), r.records.deadline(r.now), r.joinDeadline(), r.proposalDeadline(), r.barrierDeadline())
 	if r.hasEntryToRetransmit() {
 		deadline = min(deadline, r.head.retransmitAt)
 	}
--- a/internal/node/chain/status.go
+++ b/internal/node/chain/status.go
@@ -53,7 +53,7 @@
 		HasPending:    r.pending != nil,
 		ConfirmedAt:   r.tail.confirmedAt,
 		EverConfirmed: r.tail.everConfirmed,
-		DiskHealthy:   r.writer.healthy(r.now),
+		DiskHealthy:   r.records.healthy(r.now),
 		LeaseStart:    r.head.leaseStart,
 		HasLease:      r.head.hasLease,
 	}
--- a/internal/node/control/relay_test.go
+++ b/internal/node/control/relay_test.go
@@ -117,7 +117,7 @@
 				}
 				next = append(next, node.Receive(0, peer, output.Message)...)
 			case core.Log:
-				refused = refused || output.Message == "control state not readable"
+				refused = refused || output.Message == "distribution: control state not readable"
 			}
 		}
 		pending = next
--- a/internal/node/distribution/distribution.go
+++ b/internal/node/distribution/distribution.go
@@ -162,7 +162,7 @@
 		return
 	}
 	if err := d.state.Restore(snapshot.State); err != nil {
-		d.outbox.Add(core.Log{Message: "control state not readable", Fields: []any{"index", snapshot.Index, "error", err}})
+		d.outbox.Add(core.Log{Message: "distribution: control state not readable", Fields: []any{"index", snapshot.Index, "error", err}})
 		return
 	}
 	d.ring.clear()
--- a/internal/node/forward/delivery.go
+++ b/internal/node/forward/delivery.go
@@ -190,9 +190,9 @@
 	broken.attempt.closeConn()
 	broken.release()
 	clientGone := errors.Is(err, errClient) || c.clientGone()
-	pauses := broken.outcome.Gaps
+	gaps := broken.outcome.Gaps
 	broken.outcome = broken.attempt.brokenStreamOutcome(err, clientGone)
-	broken.outcome.Gaps = pauses
+	broken.outcome.Gaps = gaps
 	mayGoOn := s.resumable && s.lastSent.set && !clientGone && !errors.Is(err, errUnnumbered)
 	decision := c.reportResult(broken, mayGoOn)
 	if !mayGoOn || !c.mayRetry() || decision.Attempt == nil {
--- a/internal/node/journal/journal.go
+++ b/internal/node/journal/journal.go
@@ -76,7 +76,7 @@
 
 // Append makes records durable after the existing ones. After an ErrWriteFailed the
 // records may or may not be found at the next start; a later Append overwrites them. An error of
-// type Full means that nothing was written and that a checkpoint is needed first. Without records,
+// kind ErrFull means that nothing was written and that a checkpoint is needed first. Without records,
 // Append makes sure that the recovered ones are durable.
 func (j *Journal) Append(records []core.Record) error {
 	if j.inMemory() {
@@ -124,7 +124,7 @@
 
 // Checkpoint makes records durable in place of all earlier ones. After an error of type
 // ErrWriteFailed, or a crash in its midst, the state at the next start is either the previous one or
-// the complete checkpoint. An error of type TooLarge means that nothing was written.
+// the complete checkpoint. An error of kind ErrTooLarge means that nothing was written.
 func (j *Journal) Checkpoint(records []core.Record) error {
 	if j.inMemory() {
 		return nil
--- a/internal/node/journal/writer.go
+++ b/internal/node/journal/writer.go
@@ -29,7 +29,7 @@
 // commit).
 //
 // A write builds on those before it. So after a failed write, later ones fail with an error of type
-// Skipped and aren't tried, until Resume. The submitting goroutine calls Resume once it has
+// ErrSkipped and aren't tried, until Resume. The submitting goroutine calls Resume once it has
 // reported the failure to the state machine; writes submitted from then on are tried.
 //
 // NewWriter starts the goroutine and Close ends it.
--- a/internal/node/membership/health.go
+++ b/internal/node/membership/health.go
@@ -94,7 +94,7 @@
 	for _, suspect := range m.table.suspects {
 		m.beginSuspicion(suspect)
 	}
-	m.log("membership: this node was stopped", "late", late)
+	m.log("membership: this node was suspended", "late", late)
 	if m.sync.allowRequest(m.now) {
 		for _, member := range m.table.pick(stallRequests, "", m.random) {
 			m.requestList(member.Address)
--- a/internal/node/rollout/leaseholder.go
+++ b/internal/node/rollout/leaseholder.go
@@ -62,8 +62,8 @@
 	return !p.known || now < p.leaseEnd && (p.allClaimed || p.claims[id])
 }
 
-// learn finds out which instances the previous holder may have ordered. Only a grant that is
-// current as of this headship shows it: what the previous head was granted is in it, and it ordered
+// learn finds out which instances the previous holder may have ordered. Only a grant that
+// was read after this node became head shows it: what the previous head was granted is in it, and it ordered
 // nothing else. Without one, learn ends when the lease has ended.
 func (p *previousHolder) learn(now core.Time, s *Situation, headSince core.Time) {
 	if p.known {
--- a/internal/node/rollout/situation.go
+++ b/internal/node/rollout/situation.go
@@ -56,7 +56,8 @@
 	HolderID string
 }
 
-// headLeaseEnd is the time from which no order may leave any more.
+// headLeaseEnd is when the head lease ends. Until then no other node can have become head, so orders
+// may leave; from then on none may.
 func (s *Situation) headLeaseEnd() core.Time {
 	if s.HeadLeaseStart <= 0 {
 		return 0
--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -47,7 +47,7 @@
 	if p.switches.On(mechanism.Affinity) {
 		owner = ownerOf(req, found)
 	}
-	var v view
+	var v costInputs
 	for i := range found {
 		c := &found[i]
 		v.plan(req, lookup, c)
@@ -65,7 +65,7 @@
 
 // plan fills in what a candidate has to fetch and read of the prompt, there and in the view for its
 // cost.
-func (v *view) plan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) {
+func (v *costInputs) plan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) {
 	missing := max(lookup.SharedTokens-max(c.Cached, c.Arriving), 0)
 	v.fetchedTokens, v.perFetched = lookup.Fetchable(c, missing)
 	v.sharedTokens = missing - v.fetchedTokens
--- a/internal/node/routing/placement/byload.go
+++ b/internal/node/routing/placement/byload.go
@@ -13,7 +13,7 @@
 	maxRandomTie = 0.1 // at most, by chance
 )
 
-// chooseByLoad is the design's choice: predicted-slow brokers are passed over, and of the rest the
+// chooseByLoad is the choice of LinnOS's design (docs/design.md): predicted-slow brokers are passed over, and of the rest the
 // one with the fewest own requests takes it; ties go by load, latency, the own zone and chance. If
 // all look slow, the first still takes it.
 func (p *Placer) chooseByLoad(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
--- a/internal/node/routing/placement/cost.go
+++ b/internal/node/routing/placement/cost.go
@@ -5,8 +5,8 @@
 // far as candidates differ in it. Counts of requests tell little of it, as one prompt may be a
 // hundred times another.
 //
-// To add a term: give view what it looks at, fill that in in Placer.assess, write the term as a
-// method of view with a comment that says why it counts, and add it in view.cost. The order and
+// To add a term: give costInputs what it looks at, fill that in in Placer.assess, write the term as a
+// method of costInputs with a comment that says why it counts, and add it in costInputs.cost. The order and
 // grouping of the sums there decide on the last digits, so keep those of the terms that exist.
 const (
 	repeatedFactor = 3.0  // what a token counts more that was read recently elsewhere
@@ -20,9 +20,9 @@
 	warmUpFactor   = 2.0  // times all
 )
 
-// view is all that the cost terms of one candidate may look at. It holds copies, so a term can
+// costInputs is all that the cost terms of one candidate may look at. It holds copies, so a term can
 // change neither the candidate nor its broker.
-type view struct {
+type costInputs struct {
 	perToken       float64 // ms to read a token there
 	prefillTokens  int     // of the prompt, to be read there
 	sharedTokens   int     // of these, such as others cache too
@@ -39,7 +39,7 @@
 }
 
 // cost is the sum of the terms, ms.
-func (v *view) cost() float64 {
+func (v *costInputs) cost() float64 {
 	cost := v.prompt() + v.repetition()
 	if v.isOwner {
 		cost -= v.ownerCredit()
@@ -50,7 +50,7 @@
 }
 
 // prompt is the time to read and fetch the prompt itself.
-func (v *view) prompt() float64 {
+func (v *costInputs) prompt() float64 {
 	prefill := v.perToken * float64(v.prefillTokens)
 	if v.fetchedTokens > 0 {
 		prefill += fetchFixed + v.perFetched*float64(v.fetchedTokens)
@@ -60,20 +60,22 @@
 
 // repetition is what reading tokens costs that were read recently elsewhere: it holds up others'
 // requests, and repeated prefills are priced (RULES.md, "Prices").
-func (v *view) repetition() float64 { return v.perToken * repeatedFactor * float64(v.repeatedTokens) }
+func (v *costInputs) repetition() float64 {
+	return v.perToken * repeatedFactor * float64(v.repeatedTokens)
+}
 
 // ownerCredit is taken off at the broker that should cache the shared parts: what it reads now is
 // of use to later requests. A part is taken off always, so that proxies agree where costs are
 // nearly equal.
-func (v *view) ownerCredit() float64 {
+func (v *costInputs) ownerCredit() float64 {
 	return minOwnerCredit + ownerShare*v.perToken*(float64(v.sharedTokens)+repeatedFactor*float64(v.repeatedTokens))
 }
 
 // backlog is the time until the request's turn, as brokers read prompts one after the other.
-func (v *view) backlog() float64 { return v.prefillWait }
+func (v *costInputs) backlog() float64 { return v.prefillWait }
 
 // conditions are what counts besides the work of prefills.
-func (v *view) conditions() float64 {
+func (v *costInputs) conditions() float64 {
 	cost := v.decodeLoad() + v.spread()
 	if !v.sameZone {
 		cost += otherZoneCost
@@ -85,19 +87,19 @@
 }
 
 // decodeLoad is for the requests that run there: each makes every decode step longer.
-func (v *view) decodeLoad() float64 { return requestCost * v.load }
+func (v *costInputs) decodeLoad() float64 { return requestCost * v.load }
 
 // spread is chance, so that proxies don't all send to the same one of several brokers with equal
 // costs.
-func (v *view) spread() float64 { return maxRandomCost * v.random }
+func (v *costInputs) spread() float64 { return maxRandomCost * v.random }
 
 // full reports whether all slots are taken: then the request waits for one to be free, or is
 // refused.
-func (v *view) full() bool { return v.slots > 0 && v.load >= float64(v.slots) }
+func (v *costInputs) full() bool { return v.slots > 0 && v.load >= float64(v.slots) }
 
 // slowStart multiplies the whole for a broker in slow start, which takes fewer requests until it is
 // warm.
-func (v *view) slowStart(cost float64) float64 {
+func (v *costInputs) slowStart(cost float64) float64 {
 	if v.warmingUp {
 		return warmUpFactor * cost
 	}
--- a/internal/node/view/acceptor.go
+++ b/internal/node/view/acceptor.go
@@ -5,7 +5,7 @@
 // Acceptor is the acceptor of single-decree Paxos for the view of one epoch. It checks neither the
 // proposer nor whether the epoch is the one after the newest decided view: its caller does. A
 // change of it must be durable, as Record returns it, before the answer is sent; otherwise a
-// restarted acceptor could break its promise.
+// restarted acceptor could break its promise. chain.Replica makes it durable (chain/voting.go).
 type Acceptor struct {
 	Epoch          uint64
 	promisedNumber *nodepb.ProposalNumber
