--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -294,7 +294,7 @@
 	return value
 }
 
-// Is compares the method.
+// HasMethod tells whether the method of the request is the given one.
 func (m *Message) HasMethod(method string) bool {
 	return len(m.buf) > len(method) && string(m.buf[:len(method)]) == method && m.buf[len(method)] == ' '
 }
