--- a/internal/standin/fleetsim/fleetsim.go
+++ b/internal/standin/fleetsim/fleetsim.go
@@ -1,4 +1,4 @@
-// Package crowd is a whole fleet in one process on a virtual clock: hundreds of brokers' decisions, stand-in servers that
+// Package fleetsim is a whole fleet in one process on a virtual clock: hundreds of brokers' decisions, stand-in servers that
 // bear so much, clients that come again, and the loss of sites. It asks what three hundred copies of a rule do in the same
 // second; sockets and processes it has none. The same seed gives the same run.
 package fleetsim
