--- a/cmd/kestrelspread/main_test.go
+++ b/cmd/kestrelspread/main_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 var programPath string
@@ -28,7 +28,7 @@
 	if err == nil {
 		programPath = filepath.Join(dir, "kestrelspread")
 		args := []string{"build", "-o", programPath}
-		if must.Debug {
+		if invariant.Debug {
 			args = append(args, "-tags", "debug")
 		}
 		var out []byte
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -19,7 +19,7 @@
 
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/aggregator/settings"
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/transport"
 )
 
@@ -297,12 +297,12 @@
 	search := e.entries[at].search
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
-			must.Hold(attempt.state == stateEnded, "nothing is out of a search that is forgotten")
+			invariant.Hold(attempt.state == stateEnded, "nothing is out of a search that is forgotten")
 		}
 		e.entries[req.index] = indexEntry{}
 		e.freeEntries = append(e.freeEntries, req.index)
 	}
-	must.Hold(search.ended, "a search is forgotten after its answer")
+	invariant.Hold(search.ended, "a search is forgotten after its answer")
 	search.forgotten = true
 	e.recordUsage(search)
 	e.entries[at] = indexEntry{}
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -1,7 +1,7 @@
 package engine
 
 import (
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/transport"
 )
 
@@ -120,7 +120,7 @@
 	e.Count.Panics++
 	defer func() { e.closedConn = noConn }()
 	e.log.fail(what, stack)
-	if must.Debug {
+	if invariant.Debug {
 		panic(what)
 	}
 	if client := e.endpoint(c).client; client != nil {
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/transport"
 )
 
@@ -305,6 +305,6 @@
 	case status == 503:
 		how = Shed
 	}
-	must.Hold(search.carrier != nil, "a front waits")
+	invariant.Hold(search.carrier != nil, "a front waits")
 	search.carrier.Final(how, back)
 }
--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/transport"
 )
 
@@ -333,7 +333,7 @@
 			}
 		}
 	}
-	if must.Broken() > 0 {
+	if invariant.Broken() > 0 {
 		w.t.Fatal("something that must hold does not")
 	}
 }
--- a/internal/aggregator/engine/search_test.go
+++ b/internal/aggregator/engine/search_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/transport"
 )
 
@@ -35,7 +35,7 @@
 	w.open()
 	fails := func(c transport.Conn) {
 		defer func() {
-			if what := recover(); (what != nil) != must.Debug {
+			if what := recover(); (what != nil) != invariant.Debug {
 				t.Errorf("recovered %v", what)
 			}
 		}()
@@ -54,7 +54,7 @@
 	fails(of(first))
 	fails(w.lanes()[0])
 	fails(noConn)
-	if must.Debug {
+	if invariant.Debug {
 		return
 	}
 	for _, k := range []*caller{first, second, third} {
--- a/internal/aggregator/engine/usage.go
+++ b/internal/aggregator/engine/usage.go
@@ -1,7 +1,7 @@
 package engine
 
 import (
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // Usage is what one search used. It is recorded once nothing of the search is in flight any more.
@@ -61,7 +61,7 @@
 // recordUsage tells the meter of a search that is over and of which nothing is out.
 func (e *Engine) recordUsage(search *search) {
 	if search.metered {
-		must.Hold(false, "a search is counted once")
+		invariant.Hold(false, "a search is counted once")
 		return
 	}
 	search.metered = true
--- a/internal/connpool/request.go
+++ b/internal/connpool/request.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // RequestStream requests a stream to a server. It starts at once on the ready connection with the
@@ -103,7 +103,7 @@
 	if c == nil {
 		return
 	}
-	must.Hold(c.streams > 0, "a stream that is over was begun")
+	invariant.Hold(c.streams > 0, "a stream that is over was begun")
 	c.streams--
 	if c.streams == 0 {
 		c.deadline = now + p.settings.IdleTimeout
--- a/internal/connpool/server.go
+++ b/internal/connpool/server.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // UpdateServer reports the state of a server. If it accepts nothing new, the requests that wait are
@@ -37,7 +37,7 @@
 // wait for it.
 func (p *Pool) RemoveServer(serverIndex int) {
 	s := p.serverAt(serverIndex)
-	must.Hold(len(s.waiting) == 0, "nobody waits for a server that is forgotten")
+	invariant.Hold(len(s.waiting) == 0, "nobody waits for a server that is forgotten")
 	for _, c := range slices.Clone(s.connections) {
 		p.close(c)
 	}
--- a/internal/grpcproxy/callend.go
+++ b/internal/grpcproxy/callend.go
@@ -6,7 +6,7 @@
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // Messages of statuses that several places give.
@@ -146,7 +146,7 @@
 
 // release frees all that a call has. It comes once, when the client has its status or has gone.
 func (k *call) release() {
-	must.Hold(!k.ended, "a call is over once")
+	invariant.Hold(!k.ended, "a call is over once")
 	k.ended = true
 	p := k.proxy
 	p.router.CancelTimer(k.deadlineTimer)
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -11,7 +11,7 @@
 	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/routes"
 	"kestrelspread/internal/standin/grpcpeer"
 	"kestrelspread/internal/standin/virtual"
@@ -71,9 +71,9 @@
 		s.servers = append(s.servers, p)
 		s.world.Listen(netip.AddrPortFrom(all[i].Addr.Addr(), 1080), p.Accept)
 	}
-	before := must.Broken()
+	before := invariant.Broken()
 	t.Cleanup(func() {
-		if must.Broken() != before {
+		if invariant.Broken() != before {
 			t.Error("must broken")
 		}
 	})
--- a/internal/grpcproxy/startcall.go
+++ b/internal/grpcproxy/startcall.go
@@ -3,7 +3,7 @@
 import (
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/routes"
 )
 
@@ -45,7 +45,7 @@
 	s.UserData = k
 	p.openCalls++
 	p.callsByCustomer[k.customer]++
-	must.Hold(p.openCalls <= p.settings.Limits.MaxCalls, "no more calls are open than may be")
+	invariant.Hold(p.openCalls <= p.settings.Limits.MaxCalls, "no more calls are open than may be")
 	k.armDeadline()
 	k.start(shard, metadata)
 }
--- a/internal/h2/write.go
+++ b/internal/h2/write.go
@@ -3,7 +3,7 @@
 import (
 	"golang.org/x/net/http2"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // Pump asks the streams that are ready for data, in turn, until TakeOutput has about maxOutput bytes.
@@ -33,7 +33,7 @@
 func (c *Conn) pumpStream(s *Stream, maxOutput int) {
 	maxBytes := max(min(s.sendWindow, c.sendWindow, c.peer.maxFrameSize, int64(maxOutput)), 0)
 	data, end, trailers := s.source.Next(int(maxBytes))
-	must.Hold(int64(len(data)) <= maxBytes, "a source gives no more than it is asked for")
+	invariant.Hold(int64(len(data)) <= maxBytes, "a source gives no more than it is asked for")
 	if s.closed {
 		return // the source has reset it
 	}
--- a/internal/must/debug.go
+++ b/internal/invariant/debug.go
@@ -1,5 +1,5 @@
 //go:build debug
 
-package must
+package invariant
 
 const Debug = true
--- a/internal/must/must.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package must says what has to hold. Under -tags debug a breach panics; in a release it is counted, and the
+// Package invariant says what has to hold. Under -tags debug a breach panics; in a release it is counted, and the
 // broker goes on: a wrong count must not cost the searches that it holds.
-package must
+package invariant
 
 import "sync/atomic"
 
--- a/internal/must/release.go
+++ b/internal/invariant/release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-package must
+package invariant
 
 // Debug tells whether breaches panic.
 const Debug = false
--- a/internal/node/rollout/order.go
+++ b/internal/node/rollout/order.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 const (
@@ -31,6 +31,6 @@
 		Holder:    holderID,
 		Fence:     fence,
 	})
-	must.Hold(err == nil, "an order can be written as JSON")
+	invariant.Hold(err == nil, "an order can be written as JSON")
 	return body
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // Conn names a connection until it is closed, by either side; after that, from the next turn on,
@@ -300,7 +300,7 @@
 // Close drops a connection with all that waits on it.
 func (l *Loop) Close(c Conn) {
 	conn := &l.conns[c]
-	must.Hold(conn.inUse, "a connection is closed once")
+	invariant.Hold(conn.inUse, "a connection is closed once")
 	if !conn.inUse {
 		return
 	}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -1,7 +1,7 @@
 package transport
 
 import (
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // Pool keeps buffers of one size that are used again; no more than Most are ever out at once, and
@@ -29,7 +29,7 @@
 
 // Put takes a buffer back.
 func (p *Pool) Put(b []byte) {
-	must.Hold(cap(b) == p.Size && p.inUse > 0, "a buffer comes back whole and once")
+	invariant.Hold(cap(b) == p.Size && p.inUse > 0, "a buffer comes back whole and once")
 	p.inUse--
 	if len(p.free) < max(p.Max/8, 1) {
 		p.free = append(p.free, b[:0])
