--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -58,7 +58,7 @@
 	}
 	srv := e.list.servers[server]
 	holds := ((srv.position-req.shard)%e.config.positions+e.config.positions)%e.config.positions < e.config.replicas
-	invariant.Hold(holds, "a part goes to a server that holds its shard")
+	invariant.Check(holds, "a part goes to a server that holds its shard")
 	if !holds || req.search.ended || attempt.deadline <= e.now {
 		e.endAttempt(attempt, policy.NeverSent, nil)
 		return
@@ -76,7 +76,7 @@
 // Cancel implements policy.Out.
 func (e *Engine) Cancel(at, no int) {
 	req := e.entries[at].request
-	invariant.Hold(no < len(req.attempts), "only what was sent is called off")
+	invariant.Check(no < len(req.attempts), "only what was sent is called off")
 	if no < len(req.attempts) {
 		e.cancelAttempt(req.attempts[no], policy.Cancelled)
 	}
--- a/internal/aggregator/engine/counters.go
+++ b/internal/aggregator/engine/counters.go
@@ -105,7 +105,7 @@
 		Int64("no_buffer", count.NoBuffer).
 		Int("buffers_most", e.pool.Peak()).
 		Int64("panics", count.Panics).
-		Int64("must_broken", invariant.Broken()).
+		Int64("must_broken", invariant.Violations()).
 		Int64("log_held_back", e.log.suppressed).
 		Msg("rest")
 }
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -297,12 +297,12 @@
 	search := e.entries[at].search
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
-			invariant.Hold(attempt.state == stateEnded, "nothing is out of a search that is forgotten")
+			invariant.Check(attempt.state == stateEnded, "nothing is out of a search that is forgotten")
 		}
 		e.entries[req.index] = indexEntry{}
 		e.freeEntries = append(e.freeEntries, req.index)
 	}
-	invariant.Hold(search.ended, "a search is forgotten after its answer")
+	invariant.Check(search.ended, "a search is forgotten after its answer")
 	search.forgotten = true
 	e.recordUsage(search)
 	e.entries[at] = indexEntry{}
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -305,6 +305,6 @@
 	case status == 503:
 		how = Shed
 	}
-	invariant.Hold(search.carrier != nil, "a front waits")
+	invariant.Check(search.carrier != nil, "a front waits")
 	search.carrier.Final(how, back)
 }
--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -333,7 +333,7 @@
 			}
 		}
 	}
-	if invariant.Broken() > 0 {
+	if invariant.Violations() > 0 {
 		w.t.Fatal("something that must hold does not")
 	}
 }
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -199,7 +199,7 @@
 func (e *Engine) armSearchTimer(search *search) {
 	search.timer = e.timers.add(search.deadline+searchOverdueAfter, func(e *Engine) {
 		search.timer = e.after(1, func(e *Engine) { // the policy comes first: this turn may be the first after a stall
-			if invariant.Hold(search.ended, "the module ends a search in its time"); !search.ended {
+			if invariant.Check(search.ended, "the module ends a search in its time"); !search.ended {
 				e.endSearch(search, 500, 0, nil)
 				e.endedSearches = append(e.endedSearches, search)
 			}
@@ -257,7 +257,7 @@
 
 // endSearch gives a search its one final answer.
 func (e *Engine) endSearch(search *search, status int, back float64, body []byte) {
-	invariant.Hold(!search.ended, "one final answer")
+	invariant.Check(!search.ended, "one final answer")
 	if search.ended {
 		return
 	}
--- a/internal/aggregator/engine/usage.go
+++ b/internal/aggregator/engine/usage.go
@@ -61,7 +61,7 @@
 // recordUsage tells the meter of a search that is over and of which nothing is out.
 func (e *Engine) recordUsage(search *search) {
 	if search.metered {
-		invariant.Hold(false, "a search is counted once")
+		invariant.Check(false, "a search is counted once")
 		return
 	}
 	search.metered = true
--- a/internal/background/scheduler.go
+++ b/internal/background/scheduler.go
@@ -105,7 +105,7 @@
 
 // Next returns the task whose step runs now, or how many ms there is nothing to run: +Inf until a task is woken.
 func (s *Scheduler) Next(now float64) (t *Task, waitMs float64) {
-	invariant.Hold(s.runningTask == nil, "one step runs at a time")
+	invariant.Check(s.runningTask == nil, "one step runs at a time")
 	s.refill(now)
 	if s.stopped {
 		return nil, math.Inf(1)
@@ -156,7 +156,7 @@
 
 // Done takes what the step cost and when the task is due again; +Inf: once it is woken.
 func (s *Scheduler) Done(t *Task, now float64, cost Cost, dueAt float64) {
-	invariant.Hold(s.runningTask == t && t.running, "the step that ends is the one that runs")
+	invariant.Check(s.runningTask == t && t.running, "the step that ends is the one that runs")
 	t.running = false
 	t.dueAt = dueAt
 	t.Steps++
--- a/internal/connpool/request.go
+++ b/internal/connpool/request.go
@@ -103,7 +103,7 @@
 	if c == nil {
 		return
 	}
-	invariant.Hold(c.streams > 0, "a stream that is over was begun")
+	invariant.Check(c.streams > 0, "a stream that is over was begun")
 	c.streams--
 	if c.streams == 0 {
 		c.deadline = now + p.settings.IdleTimeout
--- a/internal/connpool/server.go
+++ b/internal/connpool/server.go
@@ -37,7 +37,7 @@
 // wait for it.
 func (p *Pool) RemoveServer(serverIndex int) {
 	s := p.serverAt(serverIndex)
-	invariant.Hold(len(s.waiting) == 0, "nobody waits for a server that is forgotten")
+	invariant.Check(len(s.waiting) == 0, "nobody waits for a server that is forgotten")
 	for _, c := range slices.Clone(s.connections) {
 		p.close(c)
 	}
--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -78,7 +78,7 @@
 // are within the limits of the proxy and of the client's connection.
 func (k *call) addBuffered(n int) bool {
 	k.client.bufferedBytes += n
-	invariant.Hold(k.client.bufferedBytes >= 0, "what a client holds is accounted for")
+	invariant.Check(k.client.bufferedBytes >= 0, "what a client holds is accounted for")
 	withinProxy := k.proxy.addBuffered(n)
 	return withinProxy && k.client.bufferedBytes <= k.settings.Limits.MaxBufferedBytesPerConnection
 }
@@ -122,7 +122,7 @@
 
 // Final implements engine.Carrier: the search has ended.
 func (k *call) Final(ending engine.Result, pushback float64) {
-	invariant.Hold(!k.decided, "a call has one final answer")
+	invariant.Check(!k.decided, "a call has one final answer")
 	k.decided = true
 	if k.ended {
 		return
--- a/internal/grpcproxy/callend.go
+++ b/internal/grpcproxy/callend.go
@@ -146,7 +146,7 @@
 
 // release frees all that a call has. It comes once, when the client has its status or has gone.
 func (k *call) release() {
-	invariant.Hold(!k.ended, "a call is over once")
+	invariant.Check(!k.ended, "a call is over once")
 	k.ended = true
 	p := k.proxy
 	p.router.CancelTimer(k.deadlineTimer)
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -71,9 +71,9 @@
 		s.servers = append(s.servers, p)
 		s.world.Listen(netip.AddrPortFrom(all[i].Addr.Addr(), 1080), p.Accept)
 	}
-	before := invariant.Broken()
+	before := invariant.Violations()
 	t.Cleanup(func() {
-		if invariant.Broken() != before {
+		if invariant.Violations() != before {
 			t.Error("must broken")
 		}
 	})
--- a/internal/grpcproxy/proxy.go
+++ b/internal/grpcproxy/proxy.go
@@ -169,7 +169,7 @@
 // they are within the limit.
 func (p *Proxy) addBuffered(n int) bool {
 	p.bufferedBytes += n
-	invariant.Hold(p.bufferedBytes >= 0, "what is held is accounted for")
+	invariant.Check(p.bufferedBytes >= 0, "what is held is accounted for")
 	p.Counters.MaxBufferedBytes = max(p.Counters.MaxBufferedBytes, int64(p.bufferedBytes))
 	if n < 0 && len(p.deferredCredit) > 0 && !p.aboveSoftLimit() {
 		p.giveDeferredCredit()
--- a/internal/grpcproxy/startcall.go
+++ b/internal/grpcproxy/startcall.go
@@ -45,7 +45,7 @@
 	s.UserData = k
 	p.openCalls++
 	p.callsByCustomer[k.customer]++
-	invariant.Hold(p.openCalls <= p.settings.Limits.MaxCalls, "no more calls are open than may be")
+	invariant.Check(p.openCalls <= p.settings.Limits.MaxCalls, "no more calls are open than may be")
 	k.armDeadline()
 	k.start(shard, metadata)
 }
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -77,7 +77,7 @@
 // StartStream starts a stream of this side; CanStartStream must hold. The header section is written
 // at once, the body by Pump.
 func (c *Conn) StartStream(fields []Field, source DataSource, userData any) *Stream {
-	invariant.Hold(c.CanStartStream(), "a stream is begun where there is room")
+	invariant.Check(c.CanStartStream(), "a stream is begun where there is room")
 	s := c.newStream(c.nextStreamID)
 	s.UserData, s.source, s.headersSent = userData, source, true
 	c.nextStreamID += 2
--- a/internal/h2/write.go
+++ b/internal/h2/write.go
@@ -33,7 +33,7 @@
 func (c *Conn) pumpStream(s *Stream, maxOutput int) {
 	maxBytes := max(min(s.sendWindow, c.sendWindow, c.peer.maxFrameSize, int64(maxOutput)), 0)
 	data, end, trailers := s.source.Next(int(maxBytes))
-	invariant.Hold(int64(len(data)) <= maxBytes, "a source gives no more than it is asked for")
+	invariant.Check(int64(len(data)) <= maxBytes, "a source gives no more than it is asked for")
 	if s.closed {
 		return // the source has reset it
 	}
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,4 +2,5 @@
 
 package invariant
 
+// Debug tells whether violations panic.
 const Debug = true
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,21 +1,22 @@
-// Package invariant says what has to hold. Under -tags debug a breach panics; in a release it is counted, and the
-// broker goes on: a wrong count must not cost the searches that it holds.
+// Package invariant states what must always hold in the program's own state. Under -tags debug a violation panics, so that
+// tests find it; in a release it is counted, and the program goes on: a wrong count must not cost the searches in flight. It
+// is not for errors of peers, files or the network.
 package invariant
 
 import "sync/atomic"
 
-var broken atomic.Int64
+var violations atomic.Int64
 
-// Hold states that something has to be true.
-func Hold(is bool, what string) {
-	if is {
+// Check states that something holds, and what.
+func Check(holds bool, what string) {
+	if holds {
 		return
 	}
-	broken.Add(1)
+	violations.Add(1)
 	if Debug {
 		panic("must hold: " + what)
 	}
 }
 
-// Broken counts the breaches so far.
-func Broken() int64 { return broken.Load() }
+// Violations counts the violations so far in this process.
+func Violations() int64 { return violations.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug tells whether breaches panic.
+// Debug tells whether violations panic.
 const Debug = false
--- a/internal/node/rollout/order.go
+++ b/internal/node/rollout/order.go
@@ -31,6 +31,6 @@
 		Holder:    holderID,
 		Fence:     fence,
 	})
-	invariant.Hold(err == nil, "an order can be written as JSON")
+	invariant.Check(err == nil, "an order can be written as JSON")
 	return body
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -300,7 +300,7 @@
 // Close drops a connection with all that waits on it.
 func (l *Loop) Close(c Conn) {
 	conn := &l.conns[c]
-	invariant.Hold(conn.inUse, "a connection is closed once")
+	invariant.Check(conn.inUse, "a connection is closed once")
 	if !conn.inUse {
 		return
 	}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -29,7 +29,7 @@
 
 // Put takes a buffer back.
 func (p *Pool) Put(b []byte) {
-	invariant.Hold(cap(b) == p.Size && p.inUse > 0, "a buffer comes back whole and once")
+	invariant.Check(cap(b) == p.Size && p.inUse > 0, "a buffer comes back whole and once")
 	p.inUse--
 	if len(p.free) < max(p.Max/8, 1) {
 		p.free = append(p.free, b[:0])
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -9,7 +9,7 @@
 // Write has bytes sent at the end of the turn.
 func (l *Loop) Write(c Conn, b []byte) {
 	conn := &l.conns[c]
-	invariant.Hold(conn.open && !conn.finishing, "only an open connection is written to")
+	invariant.Check(conn.open && !conn.finishing, "only an open connection is written to")
 	for len(b) > 0 && !conn.failed {
 		last := len(conn.output) - 1
 		if last < 0 || len(conn.output[last]) == cap(conn.output[last]) {
