--- a/internal/must/release.go
+++ /dev/null
@@ -1,6 +0,0 @@
-//go:build !debug
-
-package must
-
-// Debug tells whether breaches panic.
-const Debug = false
