--- a/internal/standin/fleetsim/fleetsim.go
+++ b/internal/standin/fleetsim/fleetsim.go
@@ -1,6 +1,6 @@
-// Package crowd is a whole fleet in one process on a virtual clock: hundreds of brokers' decisions, stand-in servers that
-// bear so much, clients that come again, and the loss of sites. It asks what three hundred copies of a rule do in the same
-// second; sockets and processes it has none. The same seed gives the same run.
+// Package fleetsim simulates a whole fleet in one process on a virtual clock: the policies of hundreds of brokers, servers of limited
+// capacity, clients that retry, and the loss of sites. It shows what hundreds of independent policies do at the same time. It has
+// neither sockets nor processes. A run follows from its configuration and seed: random draws are made in the order of events.
 package fleetsim
 
 import (
@@ -9,581 +9,210 @@
 	"math/rand/v2"
 
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/standin/station"
 )
 
-// Plan is what a run is made of. Times are milliseconds.
-type Plan struct {
-	Seed             uint64
-	Brokers, Servers int
-	Sites            int // brokers and servers lie at them in turn
-	Places, Copies   int
-	Kind             station.Kind
-	Rate             float64 // searches a second, of all brokers together
-	Parts            int
-	Target, Timeout  float64
-	Delay            float64 // one way
-	Connect          float64 // until a connect that is not answered fails
-	Tries            int
-	Retries          int // of clients
-	Notice           float64
-	Until            float64
-	Lose             []Loss
-	Bad              float64 // share of servers that answer nothing, each by itself
-	Err              float64 // and that answer every sub-request with an error, at once
-	Port             func(out policy.Out, seed uint64, site int) policy.Port
-	Kinds            []Kind  // none: one, of Parts, Target and Timeout
-	Sleep            []Sleep // brokers that stand still
-	Shrug            float64 // share of shed clients that come again when they like, not when they are told
-}
-
-// Kind is a query type. Share: its part of the searches.
-type Kind struct {
-	Share           float64
-	Parts           int
-	Target, Timeout float64
-	Customer        int
-}
-
-// Sleep has a share of the brokers stand still for a time: what comes to them waits.
-type Sleep struct{ Share, From, To float64 }
-
-// Loss is a site that says nothing for a time. It returns cold where Cold says so.
-type Loss struct {
-	Site     int
-	From, To float64
-	Cold     bool
-	Cut      bool // its servers live: brokers there go on, cut off from the others
-}
-
-// Result is what came of a run.
-type Result struct {
-	Offered, InTime, Late, Shed, Failed, False int // false: sites held to be lost that were not
-	Second                                     []Second
-	Worst                                      float64 // a cold server's load against what it bears, once its restart had been told for as long as loads are counted
-	Untold                                     float64 // the same before that: nobody could know
-	WorstWarm                                  float64 // busiest second of a warm one: came against what it bears
-	Detect                                     []float64
-	Sent, Errors                               int
-	ToLost                                     int // sent to a lost site's servers while it was lost
-	Peak                                       int // most sub-requests to one server in any 100 ms after its site's return
-	Logs                                       map[string]int
-	Told                                       map[int]int // shed clients by the 100 ms in which they were told to come again
-}
-
-// Second is one second's searches.
-type Second struct {
-	Offered, InTime int
-	Site            []int // in time, by the site of the broker that answered
-	Kind            []KindSecond
-}
-
-// KindSecond is a query type's second.
-type KindSecond struct{ Offered, InTime int }
-
-type event struct {
-	at  float64
-	seq int
-	do  func()
-}
-
-type queue []event
-
-// Len implements heap.Interface.
-func (q queue) Len() int { return len(q) }
-
-// Less implements heap.Interface.
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-
-// Swap implements heap.Interface.
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-
-// Push implements heap.Interface.
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
-
-// Pop implements heap.Interface.
-func (q *queue) Pop() any {
-	old := *q
-	e := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return e
-}
-
-type world struct {
-	Plan
-	now     float64
-	seq     int
-	events  queue
-	rng     *rand.Rand
-	brokers []*broker
-	servers []*server
-	res     *Result
-	lostAt  []float64 // by site: lost since, or +Inf
-	cut     []bool
-}
-
-type server struct {
-	id, site, cell int
-	started        float64
-	told           float64 // when its restart was told, or +Inf
-	bad, errs      bool
-	busy           int
-	waiting        []func()
-	sent           []float64
-	bins           map[int]int
-}
-
-type broker struct {
-	w        *world
-	id, site int
-	port     policy.Port
-	free     []int
-	slots    []any
-	wake     float64
-	queued   []func(p policy.Port)
-	turn     bool
-	life     int
-	opened   map[int]bool
-	asleep   float64 // since when, or +Inf
-}
-
-type search struct {
-	id, kind       int
-	born, until    float64
-	parts          []*part
-	over           bool
-	retries, first int
-	begin          float64
-	again          bool
-}
-
-type part struct {
-	id    int
-	shard int
-	q     *search
-	tries []*try
-}
-
-type try struct {
-	p    *part
-	no   int
-	sv   *server
-	over bool
-	life int
-}
-
-func (w *world) after(in float64, do func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now + in, w.seq, do})
-}
-
-// Run plays a plan.
-func Run(p Plan) *Result {
-	w := &world{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 9)), res: &Result{Logs: map[string]int{}, Told: map[int]int{}}, now: 1000}
-	if len(w.Kinds) == 0 {
-		w.Kinds = []Kind{{Share: 1, Parts: p.Parts, Target: p.Target, Timeout: p.Timeout}}
-	}
-	for range p.Sites {
-		w.lostAt = append(w.lostAt, math.Inf(1))
-		w.cut = append(w.cut, false)
-	}
-	for i := range p.Servers {
-		w.servers = append(w.servers, &server{id: i, site: i % p.Sites, cell: i % p.Places, started: math.Inf(-1),
-			bad: w.rng.Float64() < p.Bad, errs: w.rng.Float64() < p.Err, bins: map[int]int{}})
-	}
-	for i := range p.Brokers {
-		b := &broker{w: w, id: i, site: i % p.Sites, asleep: math.Inf(1)}
-		w.brokers = append(w.brokers, b)
-		b.start()
-	}
-	for _, l := range p.Lose {
-		w.after(l.From-w.now+1000, func() { w.lose(l) })
-	}
-	for _, l := range p.Sleep {
-		for _, b := range w.brokers {
-			if w.rng.Float64() < l.Share {
-				w.after(l.From-w.now+1000, func() { b.asleep = w.now })
-				w.after(l.To-w.now+1000, func() {
-					b.asleep = math.Inf(1)
-					b.say(func(policy.Port) {})
-				})
-			}
-		}
-	}
-	w.arrive()
-	end := 1000 + p.Until
-	for len(w.events) > 0 {
-		e := heap.Pop(&w.events).(event)
-		if w.now = e.at; w.now > end+p.Timeout+100 {
+// simulation is one run.
+type simulation struct {
+	Config
+	now             float64
+	lastSequence    int
+	events          eventQueue
+	random          *rand.Rand
+	brokers         []*broker
+	servers         []*server
+	result          *Result
+	siteLostAtMs    []float64 // by site; +Inf: it is not lost
+	sitePartitioned []bool
+}
+
+// query is a query of a client, as one broker handles it.
+type query struct {
+	id, queryType        int
+	sentAtMs, deadlineMs float64
+	shardRequests        []*shardRequest
+	finished             bool
+	retries, firstShard  int
+	startMs              float64
+	isRetry              bool
+}
+
+// shardRequest is the part of a query for one shard.
+type shardRequest struct {
+	id       int
+	shard    int
+	query    *query
+	attempts []*attempt
+}
+
+// attempt is one attempt of a shard request at a server.
+type attempt struct {
+	request     *shardRequest
+	number      int
+	server      *server
+	finished    bool
+	incarnation int
+}
+
+// Run runs a simulation to its end.
+func Run(config Config) *Result {
+	sim := &simulation{
+		Config: config, random: rand.New(rand.NewPCG(config.Seed, simulationStream)), now: firstMs,
+		result: &Result{Logs: map[string]int{}, RetryTimes: map[int]int{}},
+	}
+	if len(sim.QueryTypes) == 0 {
+		sim.QueryTypes = []QueryType{{Share: 1, ShardsPerQuery: config.ShardsPerQuery, TargetMs: config.TargetMs, TimeoutMs: config.TimeoutMs}}
+	}
+	for range config.Sites {
+		sim.siteLostAtMs = append(sim.siteLostAtMs, math.Inf(1))
+		sim.sitePartitioned = append(sim.sitePartitioned, false)
+	}
+	sim.startFleet()
+	sim.scheduleFaults()
+	sim.scheduleArrival()
+	end := firstMs + config.DurationMs
+	for len(sim.events) > 0 {
+		next := heap.Pop(&sim.events).(event)
+		if sim.now = next.runAtMs; sim.now > end+config.TimeoutMs+100 {
 			break
 		}
-		e.do()
+		next.run()
 	}
-	return w.res
-}
-
-// start begins a broker with a list that tells of no restarts.
-func (b *broker) start() {
-	w := b.w
-	b.life++
-	b.free, b.slots, b.queued, b.turn, b.wake, b.opened = nil, nil, nil, false, math.Inf(1), map[int]bool{}
-	out := &life{b, b.life}
-	b.port = w.Port(out, w.Seed*1000+uint64(b.id)+uint64(b.life)<<32, b.site)
-	b.say(func(port policy.Port) {
-		for _, s := range w.servers {
-			port.Server(s.id, s.site, s.cell, policy.Ready, 1, 0)
-		}
-	})
+	return sim.result
 }
 
-// life is a broker from one start to its end: what an earlier one had out concerns nobody.
-type life struct {
-	*broker
-	no int
-}
-
-func (w *world) second(at float64) *Second {
-	i := max(int((at-1000)/1000), 0)
-	for len(w.res.Second) <= i {
-		w.res.Second = append(w.res.Second, Second{})
-	}
-	return &w.res.Second[i]
-}
-
-// arrive has the next search come to a broker that serves, by chance.
-func (w *world) arrive() {
-	w.after(w.rng.ExpFloat64()/w.Rate*1000, func() {
-		if w.now > 1000+w.Until {
-			return
-		}
-		w.res.Offered++
-		w.second(w.now).Offered++
-		kind := 0
-		if len(w.Kinds) > 1 {
-			draw := w.rng.Float64()
-			for draw -= w.Kinds[0].Share; draw > 0 && kind+1 < len(w.Kinds); draw -= w.Kinds[kind].Share {
-				kind++
-			}
-		}
-		w.second(w.now).of(kind).Offered++
-		w.ask(&search{kind: kind, begin: w.now, until: w.now + w.Kinds[kind].Timeout, first: w.rng.IntN(w.Places), retries: w.Retries})
-		w.arrive()
-	})
-}
+const (
+	simulationStream = 9    // tells the random source of a run from those of its brokers
+	firstMs          = 1000 // time of the start
+)
 
-// of gives a query type's part of a second.
-func (s *Second) of(kind int) *KindSecond {
-	for len(s.Kind) <= kind {
-		s.Kind = append(s.Kind, KindSecond{})
+// startFleet starts the servers and the brokers.
+func (sim *simulation) startFleet() {
+	for i := range sim.Servers {
+		sim.servers = append(sim.servers, &server{
+			id: i, site: i % sim.Sites, cell: i % sim.ShardCount, startedAtMs: math.Inf(-1),
+			unresponsive: sim.random.Float64() < sim.UnresponsiveShare, failing: sim.random.Float64() < sim.FailingShare,
+			received: map[int]int{},
+		})
 	}
-	return &s.Kind[kind]
-}
-
-func (w *world) ask(q *search) {
-	b := w.brokers[w.rng.IntN(len(w.brokers))]
-	for n := 0; n < 1000 && w.gone(b); n++ {
-		b = w.brokers[w.rng.IntN(len(w.brokers))]
+	for i := range sim.Brokers {
+		b := &broker{sim: sim, id: i, site: i % sim.Sites, suspendedAtMs: math.Inf(1)}
+		sim.brokers = append(sim.brokers, b)
+		b.start()
 	}
-	q.born = w.now
-	k := w.Kinds[q.kind]
-	b.say(func(p policy.Port) {
-		q.id = b.take(q)
-		p.Search(q.id, q.kind, k.Customer, q.until, k.Parts)
-		for n := range k.Parts {
-			y := &part{q: q, shard: (q.first + n) % w.Places}
-			y.id = b.take(y)
-			q.parts = append(q.parts, y)
-			p.ShardRequest(q.id, y.id, y.shard, 1/float64(k.Parts), 0, 0)
-		}
-		if q.again {
-			p.MarkRetry(q.id)
-		}
-	})
-}
-
-// gone: the broker's machine is lost with its site, or has not answered for so long that fronts pass it over.
-func (w *world) gone(b *broker) bool {
-	return w.now >= w.lostAt[b.site] && !w.cut[b.site] || w.now > b.asleep+passedOver
 }
 
-const passedOver = 200 // ms
-
-// reaches: bytes pass between a broker and a server.
-func (w *world) reaches(b *broker, s *server) bool {
-	if b.site == s.site && w.cut[s.site] {
-		return true
+// scheduleFaults schedules the losses of sites and the suspensions of brokers.
+func (sim *simulation) scheduleFaults() {
+	for _, loss := range sim.SiteLosses {
+		sim.after(loss.StartMs-sim.now+firstMs, func() { sim.loseSite(loss) })
 	}
-	return w.now < w.lostAt[s.site] && (w.now < w.lostAt[b.site] || b.site == s.site)
-}
-
-func (w *world) lose(l Loss) {
-	w.lostAt[l.Site], w.cut[l.Site] = w.now, l.Cut
-	w.after(l.To-l.From, func() {
-		w.lostAt[l.Site], w.cut[l.Site] = math.Inf(1), false
-		for _, b := range w.brokers {
-			if b.site == l.Site && !l.Cut {
-				b.start() // as a process that begins anew: what it knew and held is gone
-			}
-		}
-		for _, s := range w.servers {
-			if s.site != l.Site || !l.Cold {
+	for _, suspension := range sim.Suspensions {
+		for _, b := range sim.brokers {
+			if sim.random.Float64() >= suspension.Share {
 				continue
 			}
-			s.started, s.busy, s.waiting, s.told = w.now, 0, nil, math.Inf(1)
-			started := w.now
-			w.after(w.Notice*(0.5+w.rng.Float64()), func() {
-				s.told = w.now
-				for _, b := range w.brokers {
-					b.say(func(p policy.Port) { p.Server(s.id, s.site, s.cell, policy.Ready, 1, started) })
-				}
+			sim.after(suspension.StartMs-sim.now+firstMs, func() { b.suspendedAtMs = sim.now })
+			sim.after(suspension.EndMs-sim.now+firstMs, func() {
+				b.suspendedAtMs = math.Inf(1)
+				b.notify(func(policy.Port) {})
 			})
 		}
-	})
-}
-
-// say has a broker's module told something, in a round of its own at this moment, with whatever else comes now.
-func (b *broker) say(what func(p policy.Port)) {
-	b.queued = append(b.queued, what)
-	if b.turn || b.w.now >= b.asleep {
-		return
 	}
-	b.turn = true
-	life := b.life
-	b.w.after(0, func() {
-		if life != b.life {
-			return
-		}
-		if b.turn = false; b.w.now >= b.asleep {
-			return
-		}
-		list := b.queued
-		b.queued = nil
-		b.port.Begin(b.w.now)
-		for _, f := range list {
-			f(b.port)
-		}
-		if b.w.now >= b.wake {
-			b.wake = math.Inf(1)
-			b.port.Woken()
-		}
-		b.port.End()
-	})
 }
 
-func (b *broker) take(v any) int {
-	if n := len(b.free); n > 0 {
-		at := b.free[n-1]
-		b.free = b.free[:n-1]
-		b.slots[at] = v
-		return at
+// secondAt is the counts of the second of a moment.
+func (sim *simulation) secondAt(momentMs float64) *Second {
+	i := max(int((momentMs-firstMs)/1000), 0)
+	for len(sim.result.Seconds) <= i {
+		sim.result.Seconds = append(sim.result.Seconds, Second{})
 	}
-	b.slots = append(b.slots, v)
-	return len(b.slots) - 1
+	return &sim.result.Seconds[i]
 }
 
-func (b *broker) done(t *try, how policy.Outcome) {
-	if t.over || t.life != b.life {
-		return
-	}
-	t.over = true
-	b.say(func(p policy.Port) { p.Done(t.p.id, t.no, how, nil) })
-}
-
-// Send is the module's wish.
-func (b *broker) Send(id, to int, _, _ float64) {
-	w := b.w
-	p, s := b.slots[id].(*part), w.servers[to]
-	t := &try{p: p, no: len(p.tries), sv: s, life: b.life}
-	p.tries = append(p.tries, t)
-	w.res.Sent++
-	if !w.reaches(b, s) {
-		if w.res.ToLost++; !b.opened[to] {
-			w.after(w.Connect, func() { b.done(t, policy.ConnectFailed) })
-		}
-		return
-	}
-	b.opened[to] = true
-	w.after(w.Delay, func() {
-		if !w.reaches(b, s) {
-			return
-		}
-		s.came(w)
-		if s.bad {
-			return
-		}
-		if s.errs {
-			w.res.Errors++
-			w.after(w.Delay, func() { b.done(t, policy.Errored) })
-			return
-		}
-		if len(s.waiting) >= w.Kind.Queue {
-			w.after(w.Delay, func() { b.done(t, policy.Rejected) })
+// scheduleArrival schedules the next query of a Poisson process, at a random broker.
+func (sim *simulation) scheduleArrival() {
+	sim.after(sim.random.ExpFloat64()/sim.RatePerS*1000, func() {
+		if sim.now > firstMs+sim.DurationMs {
 			return
 		}
-		s.run(w, t, func() {
-			w.after(w.Delay, func() {
-				if w.reaches(b, s) {
-					b.done(t, policy.Answered)
-				}
-			})
+		sim.result.Offered++
+		sim.secondAt(sim.now).Offered++
+		queryType := sim.drawType()
+		sim.secondAt(sim.now).ofType(queryType).Offered++
+		sim.sendQuery(&query{
+			queryType: queryType, startMs: sim.now, deadlineMs: sim.now + sim.QueryTypes[queryType].TimeoutMs,
+			firstShard: sim.random.IntN(sim.ShardCount), retries: sim.ClientRetries,
 		})
+		sim.scheduleArrival()
 	})
 }
 
-// came keeps the book of what a server was sent.
-func (s *server) came(w *world) {
-	age := w.now - s.started
-	if age < w.Kind.ColdFor {
-		s.sent = append(s.sent, w.now)
-		for len(s.sent) > 0 && s.sent[0] < w.now-w.Kind.Over {
-			s.sent = s.sent[1:]
-		}
-		bears := w.Kind.Bears() / 1000 * w.Kind.Over * w.Kind.Share(age-w.Kind.Over/2)
-		ratio := float64(len(s.sent)) / (w.Kind.Multiple * bears)
-		if w.now > s.told+w.Kind.Over {
-			w.res.Worst = max(w.res.Worst, ratio)
-		} else {
-			w.res.Untold = max(w.res.Untold, ratio)
-		}
-		bin := int(w.now / 100)
-		s.bins[bin]++
-		w.res.Peak = max(w.res.Peak, s.bins[bin])
-	} else if bin := -int(w.now / 1000); true {
-		s.bins[bin]++
-		w.res.WorstWarm = max(w.res.WorstWarm, float64(s.bins[bin])/w.Kind.Bears())
+// drawType draws a query type by the shares.
+func (sim *simulation) drawType() int {
+	if len(sim.QueryTypes) < 2 {
+		return 0
+	}
+	queryType := 0
+	draw := sim.random.Float64()
+	for draw -= sim.QueryTypes[0].Share; draw > 0 && queryType+1 < len(sim.QueryTypes); draw -= sim.QueryTypes[queryType].Share {
+		queryType++
 	}
+	return queryType
 }
 
-func (s *server) run(w *world, t *try, end func()) {
-	started := s.started
-	start := func() {
-		s.busy++
-		sigma := math.Sqrt(math.Log(1 + w.Kind.CV*w.Kind.CV))
-		ms := w.Kind.Work * math.Exp(sigma*w.rng.NormFloat64()-sigma*sigma/2) / w.Kind.Share(w.now-s.started)
-		w.after(ms, func() {
-			if s.started != started {
-				return // it has started anew: what it held is gone
-			}
-			s.busy--
-			end()
-			for len(s.waiting) > 0 && s.busy < w.Kind.Slots {
-				next := s.waiting[0]
-				s.waiting = s.waiting[1:]
-				next()
-			}
-		})
-	}
-	if s.busy < w.Kind.Slots {
-		start()
-		return
+// sendQuery sends a query to a random available broker.
+func (sim *simulation) sendQuery(q *query) {
+	b := sim.brokers[sim.random.IntN(len(sim.brokers))]
+	for n := 0; n < 1000 && sim.isUnavailable(b); n++ {
+		b = sim.brokers[sim.random.IntN(len(sim.brokers))]
 	}
-	s.waiting = append(s.waiting, func() {
-		if !t.over {
-			start()
+	q.sentAtMs = sim.now
+	k := sim.QueryTypes[q.queryType]
+	b.notify(func(p policy.Port) {
+		q.id = b.newHandle(q)
+		p.Search(q.id, q.queryType, k.Customer, q.deadlineMs, k.ShardsPerQuery)
+		for n := range k.ShardsPerQuery {
+			y := &shardRequest{query: q, shard: (q.firstShard + n) % sim.ShardCount}
+			y.id = b.newHandle(y)
+			q.shardRequests = append(q.shardRequests, y)
+			p.ShardRequest(q.id, y.id, y.shard, 1/float64(k.ShardsPerQuery), 0, 0)
+		}
+		if q.isRetry {
+			p.MarkRetry(q.id)
 		}
 	})
 }
 
-// Cancel ends a sub-request at once: servers drop what waits.
-func (b *broker) Cancel(id, no int) { b.done(b.slots[id].(*part).tries[no], policy.Cancelled) }
-
-// Answer implements policy.Out: a search is answered.
-func (b *broker) Answer(id int, _ bool) {
-	q := b.slots[id].(*search)
-	if q.over = true; b.w.now-q.begin <= b.w.Kinds[q.kind].Target {
-		b.w.res.InTime++
-		s := b.w.second(q.begin)
-		s.InTime++
-		s.of(q.kind).InTime++
-		for len(s.Site) <= b.site {
-			s.Site = append(s.Site, 0)
-		}
-		s.Site[b.site]++
-	} else {
-		b.w.res.Late++
-	}
+// isUnavailable reports whether a broker is lost with its site, or suspended for so long that front ends avoid it.
+func (sim *simulation) isUnavailable(b *broker) bool {
+	return sim.now >= sim.siteLostAtMs[b.site] && !sim.sitePartitioned[b.site] || sim.now > b.suspendedAtMs+unavailableAfterMs
 }
 
-// Shed implements policy.Out: a search is refused.
-func (b *broker) Shed(id int, back float64) {
-	q := b.slots[id].(*search)
-	q.over = true
-	w := b.w
-	w.res.Told[int((w.now+back)/100)]++
-	wait := max(back, 50)
-	if w.Shrug > 0 && w.rng.Float64() < w.Shrug {
-		wait = 100 * (0.5 + w.rng.Float64())
-	}
-	if q.retries > 0 && w.now+wait < q.until-50 {
-		w.after(wait, func() {
-			w.ask(&search{kind: q.kind, begin: q.begin, until: q.until, first: q.first, retries: q.retries - 1, again: true})
-		})
-		return
-	}
-	w.res.Shed++
-}
+// unavailableAfterMs is how long a broker must be suspended until front ends avoid it.
+const unavailableAfterMs = 200
 
-// Fail implements policy.Out: a search ends in error.
-func (b *broker) Fail(id int) {
-	b.slots[id].(*search).over = true
-	b.w.res.Failed++
-}
-
-// Probe implements policy.Out: a server is probed.
-func (b *broker) Probe(to int) {
-	w, s, at := b.w, b.w.servers[to], b.w.now
-	if !w.reaches(b, s) || s.bad {
-		w.after(w.Connect, func() { b.say(func(p policy.Port) { p.Probed(to, false, w.now-at, nil) }) })
-		return
+// isReachable reports whether bytes pass between a broker and a server.
+func (sim *simulation) isReachable(b *broker, s *server) bool {
+	if b.site == s.site && sim.sitePartitioned[s.site] {
+		return true
 	}
-	w.after(2*w.Delay, func() { b.say(func(p policy.Port) { p.Probed(to, true, w.now-at, nil) }) })
+	return sim.now < sim.siteLostAtMs[s.site] && (sim.now < sim.siteLostAtMs[b.site] || b.site == s.site)
 }
 
-// Close implements policy.Out: idle connections to a server are closed.
-func (b *broker) Close(int) {}
-
-// Subscribe implements policy.Out: the list is subscribed to.
-func (b *broker) Subscribe() {}
-
-// Wake implements policy.Out: the module wants a round after so many milliseconds.
-func (b *broker) Wake(in float64) {
-	at := b.w.now + in
-	if at >= b.wake {
-		return
-	}
-	b.wake = at
-	b.w.after(in, func() {
-		if b.wake == at {
-			b.say(func(policy.Port) {})
+// loseSite loses a site until the end of the loss. Brokers then restart, and servers too if they return cold.
+func (sim *simulation) loseSite(loss SiteLoss) {
+	sim.siteLostAtMs[loss.Site], sim.sitePartitioned[loss.Site] = sim.now, loss.PartitionOnly
+	sim.after(loss.EndMs-loss.StartMs, func() {
+		sim.siteLostAtMs[loss.Site], sim.sitePartitioned[loss.Site] = math.Inf(1), false
+		for _, b := range sim.brokers {
+			if b.site == loss.Site && !loss.PartitionOnly {
+				b.start()
+			}
 		}
-	})
-}
-
-// Log implements policy.Out: the module has a line for the log.
-func (b *broker) Log(text string) {
-	word := text
-	if len(word) > 11 {
-		word = word[:11]
-	}
-	b.w.res.Logs[word]++
-	if word == "site 1 lost" || word == "site 0 lost" || word == "site 2 lost" {
-		if at := b.w.lostAt[int(word[5]-'0')]; b.w.now >= at {
-			b.w.res.Detect = append(b.w.res.Detect, b.w.now-at)
-		} else {
-			b.w.res.False++
+		for _, s := range sim.servers {
+			if s.site == loss.Site && loss.ReturnsWarmingUp {
+				sim.restartServer(s)
+			}
 		}
-	}
-}
-
-// Forget implements policy.Out: the indices of a search may be used again.
-func (b *broker) Forget(id int) {
-	q := b.slots[id].(*search)
-	for _, p := range q.parts {
-		b.slots[p.id] = nil
-		b.free = append(b.free, p.id)
-	}
-	b.slots[id] = nil
-	b.free = append(b.free, id)
+	})
 }
