--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -27,7 +27,7 @@
 			if file == "" {
 				return server.Run(os.Stderr)
 			}
-			return server.Run(os.Stderr, full.Attach(file))
+			return server.Run(os.Stderr, full.Extension(file))
 		}}
 	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's own file; its form is deploy/operator.schema.json")
 	root.AddCommand(&cobra.Command{Use: "check", Short: "Say what is wrong with an operator's file, and exit with 1 if anything is",
@@ -42,18 +42,18 @@
 				return err
 			}
 			if s.GRPC != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "grpc: on, listening on %v, %d routes\n", s.GRPC.Listen, s.GRPC.Rules.Routes.Len())
+				fmt.Fprintf(cmd.OutOrStdout(), "grpc: on, listening on %v, %d routes\n", s.GRPC.Listen, s.GRPC.ProxySettings.Routes.Len())
 			} else {
 				fmt.Fprintln(cmd.OutOrStdout(), "grpc: off")
 			}
-			if s.Order != nil {
+			if s.SheddingWeights != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), "order: refused first, where not all can be taken")
-				for i, line := range s.Order.Describe(full.Names(set)) {
+				for i, line := range s.SheddingWeights.Describe(full.Names(set)) {
 					fmt.Fprintf(cmd.OutOrStdout(), "  %d. %s\n", i+1, line)
 				}
 			}
 			if s.Ledger != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "ledger: on, in %s\n", s.Ledger.Folder)
+				fmt.Fprintf(cmd.OutOrStdout(), "ledger: on, in %s\n", s.Ledger.Directory)
 			}
 			return nil
 		}})
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -37,14 +37,14 @@
 // usageMeter adds up what the engine meters.
 type usageMeter struct{ searches, attempts, left, in, out int64 }
 
-func (m *usageMeter) Used(u *engine.Used) {
+func (m *usageMeter) Record(u *engine.Usage) {
 	m.searches++
-	m.attempts += int64(u.First + u.Repeat + u.Copy)
-	m.in, m.out = m.in+u.In, m.out+u.Out
-	if u.Left {
+	m.attempts += int64(u.First + u.Retry + u.Hedge)
+	m.in, m.out = m.in+u.BytesIn, m.out+u.BytesOut
+	if u.ClientLeft {
 		m.left++
 	}
-	if u.Front != 1 || u.Parts != 1 || u.First > 1 || u.Server < 0 {
+	if u.Front != 1 || u.Shards != 1 || u.First > 1 || u.Server < 0 {
 		panic("impossible usage")
 	}
 }
@@ -142,7 +142,7 @@
 		pendingCalls: map[string]*p.Ask{}, reported: map[*p.Ask]bool{}}
 	y.usage = &usageMeter{}
 	y.harness = newHarness(t, seed, 2+y.rng.IntN(4), budgetFacts)
-	y.world.R.Measure(y.usage)
+	y.world.R.SetMeter(y.usage)
 	y.rules.Spare, y.rules.Ratio, y.rules.Over, y.rules.Window = 12, 0.3, 4000, 400
 	y.rules.Strict = true
 	y.world.Pieces = y.happens(0.5)
@@ -277,9 +277,9 @@
 // checkUsage compares what was metered with what the engine and the proxy count.
 func (y *randomRun) checkUsage() {
 	m, c := y.usage, &y.world.R.Count
-	if m.searches != c.Searches || m.attempts != c.Asked || m.left != c.Left || c.Asked != y.proxy.Counters.Attempts {
-		y.t.Errorf("metered %+v; %d searches, %d attempts asked, %d left; the proxy made %d", *m, c.Searches, c.Asked,
-			c.Left, y.proxy.Counters.Attempts)
+	if m.searches != c.Searches || m.attempts != c.AttemptsAsked || m.left != c.ClientsLeft || c.AttemptsAsked != y.proxy.Counters.Attempts {
+		y.t.Errorf("metered %+v; %d searches, %d attempts asked, %d left; the proxy made %d", *m, c.Searches, c.AttemptsAsked,
+			c.ClientsLeft, y.proxy.Counters.Attempts)
 	}
 }
 
@@ -363,7 +363,7 @@
 	if testing.Short() {
 		t.Skip("builds the package thrice")
 	}
-	for tag, sign := range map[string]string{"plant_repeat": "rule", "plant_lost": "rule 1", "plant_drain": "rule 3"} {
+	for tag, sign := range map[string]string{"mutant_repeat": "rule", "mutant_lost": "rule 1", "mutant_drain": "rule 3"} {
 		out, err := exec.Command("go", "test", "-count=1", "-tags", tag, "-failfast", "-run", "TestRandomScripts", "-args", "-seeds", "1500").CombinedOutput()
 		if err == nil || !strings.Contains(string(out), sign) {
 			t.Errorf("%s was not found: %v\n%.2000s", tag, err, out)
--- a/internal/grpcproxy/response.go
+++ b/internal/grpcproxy/response.go
@@ -63,10 +63,10 @@
 	if k.committed != nil {
 		return
 	}
-	if !plantRepeat && !k.proxy.router.Committed(a.sub, true) {
+	if !mutantRepeat && !k.proxy.router.Committed(a.sub, true) {
 		k.proxy.Counters.LateResponses++
 		a.stop()
-		k.proxy.router.Ended(a.sub, policy.Cancelled)
+		k.proxy.router.AttemptEnded(a.sub, policy.Cancelled)
 		return
 	}
 	k.proxy.Counters.Committed++
