--- a/internal/fleet/zonefailure/fleet_test.go
+++ b/internal/fleet/zonefailure/fleet_test.go
@@ -7,13 +7,13 @@
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/fleet/zonefailure"
 	"kestrelspread/internal/standin/fleetsim"
-	"kestrelspread/internal/standin/station"
+	"kestrelspread/internal/standin/servermodel"
 )
 
 // fleet is three hundred brokers and two hundred servers at three sites.
 func fleet(seed uint64, detecting bool) fleetsim.Config {
 	p := fleetsim.Config{Seed: seed, Brokers: 300, Servers: 200, Sites: 3, ShardCount: 50, ReplicaCount: 4, RatePerS: 200, ShardsPerQuery: 30, TargetMs: 500, TimeoutMs: 1500,
-		ServerModel: station.Kind{Slots: 2, Work: 30, CV: 0.4, Queue: 20, ColdFrom: 0.3, ColdFor: 8000, Multiple: 2.5, Over: 2000},
+		ServerModel: servermodel.Kind{Slots: 2, Work: 30, CV: 0.4, Queue: 20, ColdFrom: 0.3, ColdFor: 8000, Multiple: 2.5, Over: 2000},
 		DelayMs:     0.5, ConnectTimeoutMs: 250, MaxAttempts: 4, ClientRetries: 1, NotificationMs: 1500, DurationMs: 14000,
 		SiteLosses: []fleetsim.SiteLoss{{Site: 1, StartMs: 4000, EndMs: 9500, ReturnsWarmingUp: true}}}
 	p.NewPolicy = func(out policy.Out, seed uint64, own int) policy.Port {
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -12,7 +12,7 @@
 
 	"kestrelspread/internal/aggregator/engine"
 	p "kestrelspread/internal/standin/grpcpeer"
-	"kestrelspread/internal/standin/rules"
+	"kestrelspread/internal/standin/invariants"
 	"kestrelspread/internal/standin/virtual"
 )
 
@@ -25,8 +25,8 @@
 type randomRun struct {
 	*harness
 	rng          *rand.Rand
-	rules        *rules.Book
-	attempts     map[*p.Got]*rules.Sub
+	rules        *invariants.Book
+	attempts     map[*p.Got]*invariants.Sub
 	pendingCalls map[string]*p.Ask
 	reported     map[*p.Ask]bool
 	callNumber   int
@@ -138,7 +138,7 @@
 }
 
 func newRandomRun(t testing.TB, seed uint64) *randomRun {
-	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: rules.New(), attempts: map[*p.Got]*rules.Sub{},
+	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: invariants.New(), attempts: map[*p.Got]*invariants.Sub{},
 		pendingCalls: map[string]*p.Ask{}, reported: map[*p.Ask]bool{}}
 	y.usage = &usageMeter{}
 	y.harness = newHarness(t, seed, 2+y.rng.IntN(4), budgetFacts)
@@ -167,7 +167,7 @@
 		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.happens(0.2), Slow: y.happens(0.05),
 		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
 	y.pendingCalls[id] = a
-	y.rules.Asked(id, []rules.Effect{rules.Idempotent, rules.NonIdempotent, rules.Tokened}[kind], y.world.Now, y.world.Now+a.Timeout)
+	y.rules.Asked(id, []invariants.Effect{invariants.Idempotent, invariants.NonIdempotent, invariants.Tokened}[kind], y.world.Now, y.world.Now+a.Timeout)
 	if y.onCall != nil {
 		y.onCall(id, a)
 	}
--- a/internal/rig/load.go
+++ b/internal/rig/load.go
@@ -21,7 +21,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"kestrelspread/internal/standin/rules"
+	"kestrelspread/internal/standin/invariants"
 	"kestrelspread/internal/standin/sockets"
 )
 
@@ -79,7 +79,7 @@
 	GRPC        *Tally
 	cluster     *Cluster
 	mutex       sync.Mutex
-	invariants  *rules.Book
+	invariants  *invariants.Book
 	startedAt   time.Time
 	client      *http.Client
 	conns       []*grpc.ClientConn
@@ -103,7 +103,7 @@
 
 // NewLoad prepares a load on a broker. The loads of a cluster are told apart by the prefixes of their IDs.
 func (c *Cluster) NewLoad(b *Broker) (*Load, error) {
-	l := &Load{Broker: b, HTTP: newTally(), GRPC: newTally(), cluster: c, invariants: rules.New(), startedAt: time.Now(),
+	l := &Load{Broker: b, HTTP: newTally(), GRPC: newTally(), cluster: c, invariants: invariants.New(), startedAt: time.Now(),
 		idPrefix: fmt.Sprint("l", b.PID, "-"),
 		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 5 * time.Second}}}
 	l.invariants.Slack = 100 // for the scheduling of this process, which the broker can't help
@@ -142,9 +142,9 @@
 func (l *Load) recordQuery(id string, once bool, until float64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	effect := rules.Idempotent
+	effect := invariants.Idempotent
 	if once {
-		effect = rules.NonIdempotent
+		effect = invariants.NonIdempotent
 	}
 	l.invariants.Asked(id, effect, l.now(), until)
 }
--- a/internal/rig/scenario/frontend.go
+++ b/internal/rig/scenario/frontend.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"kestrelspread/internal/rig/links"
-	"kestrelspread/internal/standin/rules"
+	"kestrelspread/internal/standin/invariants"
 	"kestrelspread/internal/standin/sockets"
 )
 
@@ -331,9 +331,9 @@
 		return
 	}
 	q.recorded = true
-	effect := rules.Idempotent
+	effect := invariants.Idempotent
 	if f.run.Types[q.kind].Effect != "idempotent" {
-		effect = rules.NonIdempotent
+		effect = invariants.NonIdempotent
 	}
 	f.run.mutex.Lock()
 	defer f.run.mutex.Unlock()
--- a/internal/rig/scenario/layout.go
+++ b/internal/rig/scenario/layout.go
@@ -3,12 +3,12 @@
 import (
 	"fmt"
 
-	"kestrelspread/internal/standin/station"
+	"kestrelspread/internal/standin/servermodel"
 )
 
 // ServerModel is the model of the file's servers.
-func (f *File) ServerModel() station.Kind {
-	k := station.Kind{Slots: f.Servers.Slots, Work: f.Servers.WorkMs, CV: f.Servers.WorkCV, Queue: f.Servers.QueueLength}
+func (f *File) ServerModel() servermodel.Kind {
+	k := servermodel.Kind{Slots: f.Servers.Slots, Work: f.Servers.WorkMs, CV: f.Servers.WorkCV, Queue: f.Servers.QueueLength}
 	if c := f.Servers.WarmUp; c != nil {
 		k.ColdFrom, k.ColdFor, k.Multiple, k.Over = c.CapacityShare, c.DurationMs, c.TipMultiple, c.TipAfterMs
 	}
--- a/internal/rig/scenario/runner.go
+++ b/internal/rig/scenario/runner.go
@@ -12,9 +12,9 @@
 
 	"kestrelspread/internal/fleet/lossplan"
 	"kestrelspread/internal/rig/links"
-	"kestrelspread/internal/standin/rules"
+	"kestrelspread/internal/standin/invariants"
+	"kestrelspread/internal/standin/servermodel"
 	"kestrelspread/internal/standin/sockets"
-	"kestrelspread/internal/standin/station"
 )
 
 // Options are the options of a run.
@@ -35,7 +35,7 @@
 	brokers         []*brokerProcess
 	fronts          []*frontEnd
 	mutex           sync.Mutex
-	invariants      *rules.Book
+	invariants      *invariants.Book
 	counts          *counts
 	loadFactor      float64 // multiplies the load
 	activeFaults    map[string]func()
@@ -61,7 +61,7 @@
 type server struct {
 	Server
 	id                  string
-	model               *station.Station
+	model               *servermodel.Station
 	frames              *sockets.Frames
 	links               []*links.Link // by broker
 	lifecycle           string
@@ -79,7 +79,7 @@
 		options.Printf = func(string, ...any) {}
 	}
 	run := &runner{
-		File: f, options: options, startedAt: time.Now(), network: links.New(f.Seed), invariants: rules.New(), loadFactor: 1,
+		File: f, options: options, startedAt: time.Now(), network: links.New(f.Seed), invariants: invariants.New(), loadFactor: 1,
 		activeFaults: map[string]func(){}, random: rand.New(rand.NewPCG(f.Seed, runnerStream)),
 		frozenServers: map[string]bool{}, discoveryLagMs: map[string]float64{},
 	}
@@ -187,8 +187,8 @@
 }
 
 // newServerModel is the model of a server that starts now.
-func (run *runner) newServerModel(index int) *station.Station {
-	return station.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(index))
+func (run *runner) newServerModel(index int) *servermodel.Station {
+	return servermodel.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(index))
 }
 
 // recordRequest records a request that reached a server; the result records its end.
--- a/internal/standin/fleetsim/config.go
+++ b/internal/standin/fleetsim/config.go
@@ -2,7 +2,7 @@
 
 import (
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/standin/station"
+	"kestrelspread/internal/standin/servermodel"
 )
 
 // Config is the input of a run.
@@ -11,7 +11,7 @@
 	Brokers, Servers         int
 	Sites                    int // brokers and servers are assigned to them in turn
 	ShardCount, ReplicaCount int
-	ServerModel              station.Kind
+	ServerModel              servermodel.Kind
 	RatePerS                 float64 // of queries, at all brokers together
 	ShardsPerQuery           int
 	TargetMs, TimeoutMs      float64
--- a/internal/standin/fleetsim/fleetsim_test.go
+++ b/internal/standin/fleetsim/fleetsim_test.go
@@ -7,13 +7,13 @@
 	"kestrelspread/internal/fleet/capacity"
 	"kestrelspread/internal/fleet/shedding"
 	"kestrelspread/internal/fleet/zonefailure"
-	"kestrelspread/internal/standin/station"
+	"kestrelspread/internal/standin/servermodel"
 )
 
 // defaultConfig is 300 brokers in front of 200 servers at two sites, each of which has two replicas of every shard.
 func defaultConfig() Config {
 	p := Config{Seed: 1, Brokers: 300, Servers: 200, Sites: 2, ShardCount: 50, ReplicaCount: 4, RatePerS: 200, ShardsPerQuery: 35, TargetMs: 500, TimeoutMs: 1500,
-		ServerModel: station.Kind{Slots: 2, Work: 25, CV: 0.4, Queue: 24, ColdFrom: 0.4, ColdFor: 12000, Multiple: 2.5, Over: 2000},
+		ServerModel: servermodel.Kind{Slots: 2, Work: 25, CV: 0.4, Queue: 24, ColdFrom: 0.4, ColdFor: 12000, Multiple: 2.5, Over: 2000},
 		DelayMs:     0.5, ConnectTimeoutMs: 250, MaxAttempts: 4, ClientRetries: 1, NotificationMs: 1500, DurationMs: 16000}
 	p.NewPolicy = func(out policy.Out, seed uint64, own int) policy.Port {
 		port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port { return policy.New(out, seed, p.Brokers, own) })
--- a/internal/standin/rules/rules.go
+++ b/internal/standin/invariants/invariants.go
@@ -1,6 +1,6 @@
 // Package rules checks a broker's six rules from outside: from what clients asked and heard, and from what servers were
 // sent and did. It knows nothing of the broker's inside, and its findings name the search and the time.
-package rules
+package invariants
 
 import (
 	"bytes"
--- a/internal/standin/station/station.go
+++ b/internal/standin/servermodel/servermodel.go
@@ -1,6 +1,6 @@
 // Package station is a stand-in for what a server can do: so many at a time, a queue, a cold phase after each start, and a
 // load past which it falls over. Its book of what it was sent is kept here, by no broker's word.
-package station
+package servermodel
 
 import (
 	"context"
