--- a/cmd/kestrellean/main.go
+++ b/cmd/kestrellean/main.go
@@ -1,5 +1,6 @@
-// Command kestrellean is the broker for platforms where memory is short: HTTP and frames alone. It links neither gRPC
-// nor anything that only further installations need (docs/design/grpc.md tells what that saves).
+// Command kestrellean is the aggregator for platforms where memory is short: HTTP and frames alone. It
+// links neither gRPC nor anything else that only other installations need; docs/design/grpc.md has
+// what that saves.
 package main
 
 import (
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost hosts the decision module on the bench's wire: standard input to standard output.
+// Command simhost runs the aggregator's decisions against simulated servers: internal/simwire's
+// messages come in by standard input, and its answers leave by standard output.
 package main
 
 import (
--- a/internal/node/controlapi/bodies_golden_test.go
+++ b/internal/node/controlapi/bodies_golden_test.go
@@ -22,7 +22,7 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// goldenBackend records what reaches it as encoded messages, and answers as it was told to.
+// goldenBackend records what reaches it as encoded messages, and answers as the test says.
 type goldenBackend struct {
 	reached []string
 	url     string
@@ -73,9 +73,17 @@
 // ownWording finds the texts of errors that the handler words itself; those that come from the backend are kept.
 var ownWording = regexp.MustCompile(`"error":"(?:[^"\\]|\\.)*"`)
 
-// TestBodiesKeepTheirBytes freezes the calls of the control address: what reaches the backend, its ids of commands among
-// it, and status, headers and bodies of the answers. The wording of the handler's own errors is free.
-func TestBodiesKeepTheirBytes(t *testing.T) {
+// goldenCall is a call of the control address and what the backend answers to it.
+type goldenCall struct {
+	method, path, body string
+	header             http.Header
+	backend            goldenBackend
+	ownError           bool // the handler words the error itself
+}
+
+// goldenCalls has each kind of call, and each of its results.
+func goldenCalls(t *testing.T) []goldenCall {
+	t.Helper()
 	const (
 		heartbeat = "/kestrelspread/instances/i-5b/heartbeat"
 		full      = `{"service":"s1","address":"10.9.0.4:8080","zone":"b","version":"v3","slots":16,"state":"ready",` +
@@ -87,12 +95,7 @@
 	base := http.Header{"X-Kestrelspread-Base-Version": {"41"}}
 	taken := goldenResult(t, 1, "", 42)
 	unavailable := errors.New("the home does not answer")
-	calls := []struct {
-		method, path, body string
-		header             http.Header
-		backend            goldenBackend
-		ownError           bool
-	}{
+	return []goldenCall{
 		{method: "POST", path: heartbeat, body: full, backend: goldenBackend{url: "10.1.0.2:8102"}},
 		{method: "POST", path: heartbeat, body: `{"service":"s1","address":"10.9.0.4:8080","state":"draining","sequence":5}`},
 		{method: "POST", path: "/kestrelspread/instances/a%2Fb/heartbeat", body: full},
@@ -119,25 +122,36 @@
 		{method: "GET", path: "/kestrelspread/status"},
 		{method: "GET", path: "/kestrelspread/nothing"},
 	}
+}
+
+// write makes the call and writes what reached the backend, and the answer.
+func (c *goldenCall) write(text io.Writer) {
+	request := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
+	for name, values := range c.header {
+		request.Header[name] = values
+	}
+	answer := httptest.NewRecorder()
+	options := controlapi.Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	controlapi.Handler(&c.backend, options).ServeHTTP(answer, request)
+	fmt.Fprintf(text, "%s %s %s\n", c.method, c.path, strings.TrimSpace(c.body))
+	for _, reached := range c.backend.reached {
+		fmt.Fprintf(text, "  reached: %s\n", reached)
+	}
+	body := answer.Body.String()
+	if c.ownError {
+		body = ownWording.ReplaceAllString(body, `"error":"*"`)
+	}
+	fmt.Fprintf(text, "  answer: %d type=%q retry=%q %s\n", answer.Code, answer.Header().Get("Content-Type"),
+		answer.Header().Get("Retry-After"), strings.TrimSpace(body))
+}
+
+// TestBodiesKeepTheirBytes freezes the calls of the control address: what reaches the backend, its
+// ids of commands among it, and status, headers and bodies of the answers. The wording of the
+// handler's own errors is free.
+func TestBodiesKeepTheirBytes(t *testing.T) {
 	var text strings.Builder
-	for _, call := range calls {
-		request := httptest.NewRequest(call.method, call.path, strings.NewReader(call.body))
-		for name, values := range call.header {
-			request.Header[name] = values
-		}
-		answer := httptest.NewRecorder()
-		options := controlapi.Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-		controlapi.Handler(&call.backend, options).ServeHTTP(answer, request)
-		fmt.Fprintf(&text, "%s %s %s\n", call.method, call.path, strings.TrimSpace(call.body))
-		for _, reached := range call.backend.reached {
-			fmt.Fprintf(&text, "  reached: %s\n", reached)
-		}
-		body := answer.Body.String()
-		if call.ownError {
-			body = ownWording.ReplaceAllString(body, `"error":"*"`)
-		}
-		fmt.Fprintf(&text, "  answer: %d type=%q retry=%q %s\n", answer.Code, answer.Header().Get("Content-Type"),
-			answer.Header().Get("Retry-After"), strings.TrimSpace(body))
+	for _, call := range goldenCalls(t) {
+		call.write(&text)
 	}
 	golden.Assert(t, text.String(), "golden/bodies.txt")
 }
