--- a/internal/node/kvindex/index_test.go
+++ b/internal/node/kvindex/index_test.go
@@ -86,7 +86,7 @@
 	assert.Equal(t, len(index.headByKey), index.Records())
 }
 
-func TestNumbersOfFormerHoldersAreReused(t *testing.T) {
+func TestNumbersOfForgottenHoldersAreReused(t *testing.T) {
 	index := NewIndex(16)
 	for incarnation := range 200 {
 		name := string(rune('a' + incarnation%26))
@@ -97,8 +97,8 @@
 	assert.Assert(t, len(index.holders) <= 40, "%d", len(index.holders))
 }
 
-// TestIndexAgreesWithModel compares the index with a plain map under random changes.
-func TestIndexAgreesWithModel(t *testing.T) {
+// TestIndexMatchesModel compares the index with a plain map under random changes.
+func TestIndexMatchesModel(t *testing.T) {
 	names := []string{"a", "b", "c", StoreName("s")}
 	rapid.Check(t, func(t *rapid.T) {
 		index := NewIndex(1000)
--- a/internal/node/kvindex/propagation_test.go
+++ b/internal/node/kvindex/propagation_test.go
@@ -15,19 +15,19 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// fleet is a home, subscribers and sources under a simulated clock.
-type fleet struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     core.Time
-	home    *Home
-	sources map[string]*testSource // by address
-	subs    map[string]*testSubscriber
-	loss    float64 // of messages
-	sent    int     // changes received, summed over the subscribers
-	calls   int
-	lost    int // StoreContacted with ContentsLost
-	alive   int
+// simulation is a home, subscribers and sources under a simulated clock.
+type simulation struct {
+	t               *testing.T
+	random          *rand.Rand
+	now             core.Time
+	home            *Home
+	sources         map[string]*testSource // by address
+	subscribers     map[string]*testSubscriber
+	messageLoss     float64 // the share of messages that are lost
+	receivedChanges int     // summed over the subscribers
+	fetches         int     // of events from sources
+	contentsLost    int     // StoreContacted with ContentsLost
+	storeContacts   int     // StoreContacted
 }
 
 type testSubscriber struct {
@@ -37,31 +37,35 @@
 
 // testSource is a broker or store that caches parts and reports events of them.
 type testSource struct {
-	epoch  uint64
-	down   bool
-	cached map[partKey]int
-	events []Event
-	calls  int
+	epoch       uint64
+	unreachable bool
+	cached      map[partKey]int
+	events      []Event
+	fetches     int
 }
 
-func newFleet(t *testing.T, seed uint64, subscribers int) *fleet {
-	f := &fleet{
-		t: t, random: rand.New(rand.NewPCG(seed, 3)), sources: map[string]*testSource{}, subs: map[string]*testSubscriber{},
-		home: NewHome(HomeOptions{Epoch: 1000}),
+func newSimulation(t *testing.T, seed uint64, subscribers int) *simulation {
+	t.Helper()
+	s := &simulation{
+		t:           t,
+		random:      rand.New(rand.NewPCG(seed, 3)),
+		home:        NewHome(HomeOptions{Epoch: 1000}),
+		sources:     map[string]*testSource{},
+		subscribers: map[string]*testSubscriber{},
 	}
 	var addresses []string
 	for i := range subscribers {
 		index := NewGuarded(NewIndex(10000))
 		address := fmt.Sprintf("sub-%d", i)
 		addresses = append(addresses, address)
-		f.subs[address] = &testSubscriber{index: index, core: NewSubscriber(index)}
+		s.subscribers[address] = &testSubscriber{index: index, core: NewSubscriber(index)}
 	}
-	f.home.SetSubscribers(addresses)
-	return f
+	s.home.SetSubscribers(addresses)
+	return s
 }
 
-func (f *fleet) add(instance, address string) Source {
-	f.sources[address] = &testSource{epoch: 7, cached: map[partKey]int{}}
+func (s *simulation) addSource(instance, address string) Source {
+	s.sources[address] = &testSource{epoch: 7, cached: map[partKey]int{}}
 	return Source{Instance: instance, Address: address, Service: "llm", Zone: "z"}
 }
 
@@ -76,221 +80,221 @@
 	clear(s.cached)
 }
 
-// run advances the clock.
-func (f *fleet) run(length time.Duration) {
-	for end := f.now + length; f.now < end; f.now += 50 * time.Millisecond {
-		if f.home.Deadline() <= f.now {
-			f.deliver(f.home.Tick(f.now), core.Peer{Address: "home"})
+// run advances the clock in steps of 50 ms.
+func (s *simulation) run(length time.Duration) {
+	for end := s.now + length; s.now < end; s.now += 50 * time.Millisecond {
+		if s.home.Deadline() <= s.now {
+			s.deliver(s.home.Tick(s.now), core.Peer{Address: "home"})
 		}
 	}
 }
 
-func (f *fleet) deliver(outputs []core.Output, from core.Peer) {
+func (s *simulation) deliver(outputs []core.Output, from core.Peer) {
 	for _, output := range outputs {
 		switch output := output.(type) {
 		case core.FetchEvents:
-			f.calls++
-			f.answer(output)
+			s.fetches++
+			s.answerFetch(output)
 		case core.StoreContacted:
 			if output.ContentsLost {
-				f.lost++
+				s.contentsLost++
 			}
-			f.alive++
+			s.storeContacts++
 		case core.Send:
-			if f.random.Float64() >= f.loss {
-				f.receive(output, from)
+			if s.random.Float64() >= s.messageLoss {
+				s.receive(output, from)
 			}
 		}
 	}
 }
 
-func (f *fleet) receive(send core.Send, from core.Peer) {
+func (s *simulation) receive(send core.Send, from core.Peer) {
 	switch body := send.Message.Body.(type) {
 	case *nodepb.Envelope_IndexUpdate:
-		f.sent += len(body.IndexUpdate.Changes)
-		f.deliver(f.subs[send.Destination].core.HandleUpdate(f.now, from, body.IndexUpdate), core.Peer{Address: send.Destination})
+		s.receivedChanges += len(body.IndexUpdate.Changes)
+		s.deliver(s.subscribers[send.Destination].core.HandleUpdate(s.now, from, body.IndexUpdate), core.Peer{Address: send.Destination})
 	case *nodepb.Envelope_IndexPoll:
-		f.deliver(f.home.HandlePoll(f.now, from, body.IndexPoll), core.Peer{Address: "home"})
+		s.deliver(s.home.HandlePoll(s.now, from, body.IndexPoll), core.Peer{Address: "home"})
 	}
 }
 
-func (f *fleet) answer(ask core.FetchEvents) {
-	s := f.sources[ask.Address]
-	s.calls++
-	if s.down {
-		f.home.EventsDone(f.now, ask.Token, nil, errors.New("no connection"))
+func (s *simulation) answerFetch(fetch core.FetchEvents) {
+	source := s.sources[fetch.Address]
+	source.fetches++
+	if source.unreachable {
+		s.home.EventsDone(s.now, fetch.Token, nil, errors.New("no connection"))
 		return
 	}
-	events := &Events{Epoch: s.epoch, Next: uint64(len(s.events))}
-	if since := int(ask.Since); since < len(s.events) {
-		events.List = s.events[since:]
+	events := &Events{Epoch: source.epoch, Next: uint64(len(source.events))}
+	if since := int(fetch.Since); since < len(source.events) {
+		events.List = source.events[since:]
 	}
-	f.home.EventsDone(f.now, ask.Token, events, nil)
+	s.home.EventsDone(s.now, fetch.Token, events, nil)
 }
 
-// holds asserts how many tokens of a part a holder caches by every subscriber's index.
-func (f *fleet) holds(name string, part uint64, tokens int) {
-	f.t.Helper()
-	for address, sub := range f.subs {
+// expectCached asserts how many tokens of a part a holder caches by every subscriber's index.
+func (s *simulation) expectCached(name string, part uint64, tokens int) {
+	s.t.Helper()
+	for address, sub := range s.subscribers {
 		got := 0
 		for _, h := range sub.index.Holders(saltA, []prompt.Part{{ID: part, Tokens: 1 << 20}}) {
 			if h.Instance == name {
 				got = h.Tokens
 			}
 		}
-		assert.Equal(f.t, got, tokens, "%s of %s at %s", fmt.Sprint(part), name, address)
+		assert.Equal(s.t, got, tokens, "%s of %s at %s", fmt.Sprint(part), name, address)
 	}
 }
 
 func TestCacheChangesReachSubscribers(t *testing.T) {
-	f := newFleet(t, 1, 3)
-	f.home.SetSources(f.now, []Source{f.add("i-1", "a:1"), f.add("i-2", "a:2")})
-	f.sources["a:1"].set(saltA, 5, 800)
-	f.sources["a:2"].set(saltA, 6, 400)
-	f.sources["a:2"].set(saltA, 7, 32) // too small to be announced
-	f.run(3 * time.Second)
-	f.holds("i-1", 5, 800)
-	f.holds("i-2", 6, 400)
-	f.holds("i-2", 7, 0)
-	f.sources["a:1"].set(saltA, 5, 128)
-	f.sources["a:2"].set(saltA, 6, 0)
-	f.run(3 * time.Second)
-	f.holds("i-1", 5, 128)
-	f.holds("i-2", 6, 0)
-	f.sources["a:1"].set(saltA, 5, 16) // what was announced is corrected, although it is small now
-	f.run(3 * time.Second)
-	f.holds("i-1", 5, 16)
+	s := newSimulation(t, 1, 3)
+	s.home.SetSources(s.now, []Source{s.addSource("i-1", "a:1"), s.addSource("i-2", "a:2")})
+	s.sources["a:1"].set(saltA, 5, 800)
+	s.sources["a:2"].set(saltA, 6, 400)
+	s.sources["a:2"].set(saltA, 7, 32) // too small to be announced
+	s.run(3 * time.Second)
+	s.expectCached("i-1", 5, 800)
+	s.expectCached("i-2", 6, 400)
+	s.expectCached("i-2", 7, 0)
+	s.sources["a:1"].set(saltA, 5, 128)
+	s.sources["a:2"].set(saltA, 6, 0)
+	s.run(3 * time.Second)
+	s.expectCached("i-1", 5, 128)
+	s.expectCached("i-2", 6, 0)
+	s.sources["a:1"].set(saltA, 5, 16) // what was announced is corrected, although it is small now
+	s.run(3 * time.Second)
+	s.expectCached("i-1", 5, 16)
 }
 
 func TestRestartDropsCachedParts(t *testing.T) {
-	f := newFleet(t, 1, 2)
-	f.home.SetSources(f.now, []Source{f.add("", "store:1")})
-	f.sources["store:1"].set(saltA, 5, 800)
-	f.sources["store:1"].set(saltA, 6, 800)
-	f.run(3 * time.Second)
-	f.holds("store:1", 5, 800)
-	f.sources["store:1"].restart()
-	f.sources["store:1"].set(saltA, 6, 700)
-	f.run(4 * time.Second)
-	f.holds("store:1", 5, 0)
-	f.holds("store:1", 6, 700)
-	assert.Assert(t, f.lost >= 2)
+	s := newSimulation(t, 1, 2)
+	s.home.SetSources(s.now, []Source{s.addSource("", "store:1")})
+	s.sources["store:1"].set(saltA, 5, 800)
+	s.sources["store:1"].set(saltA, 6, 800)
+	s.run(3 * time.Second)
+	s.expectCached("store:1", 5, 800)
+	s.sources["store:1"].restart()
+	s.sources["store:1"].set(saltA, 6, 700)
+	s.run(4 * time.Second)
+	s.expectCached("store:1", 5, 0)
+	s.expectCached("store:1", 6, 700)
+	assert.Assert(t, s.contentsLost >= 2)
 }
 
 func TestStoreIsReportedAliveOnlyWhileItAnswers(t *testing.T) {
-	f := newFleet(t, 1, 1)
-	f.home.SetSources(f.now, []Source{f.add("", "store:1")})
-	f.run(10 * time.Second)
-	assert.Assert(t, f.alive >= 8, "%d", f.alive)
-	f.sources["store:1"].down = true
-	f.run(2 * time.Second)
-	aliveWhenDown := f.alive
-	f.run(20 * time.Second)
-	assert.Equal(t, f.alive, aliveWhenDown)
-	assert.Assert(t, f.sources["store:1"].calls < 25)
+	s := newSimulation(t, 1, 1)
+	s.home.SetSources(s.now, []Source{s.addSource("", "store:1")})
+	s.run(10 * time.Second)
+	assert.Assert(t, s.storeContacts >= 8, "%d", s.storeContacts)
+	s.sources["store:1"].unreachable = true
+	s.run(2 * time.Second)
+	contactsBefore := s.storeContacts
+	s.run(20 * time.Second)
+	assert.Equal(t, s.storeContacts, contactsBefore)
+	assert.Assert(t, s.sources["store:1"].fetches < 25)
 }
 
 func TestCallRateIsBounded(t *testing.T) {
-	f := newFleet(t, 1, 1)
-	f.home.SetSources(f.now, []Source{f.add("i-1", "a:1"), f.add("i-2", "a:2"), f.add("i-3", "a:3")})
+	s := newSimulation(t, 1, 1)
+	s.home.SetSources(s.now, []Source{s.addSource("i-1", "a:1"), s.addSource("i-2", "a:2"), s.addSource("i-3", "a:3")})
 	for part := range uint64(60) {
-		f.sources["a:1"].set(saltA, part+1, 100)
-		f.run(time.Second)
+		s.sources["a:1"].set(saltA, part+1, 100)
+		s.run(time.Second)
 	}
-	assert.Assert(t, f.calls <= 3*62, "%d", f.calls)
-	f.holds("i-1", 30, 100)
+	assert.Assert(t, s.fetches <= 3*62, "%d", s.fetches)
+	s.expectCached("i-1", 30, 100)
 }
 
 func TestLostUpdatesAreRepaired(t *testing.T) {
 	for seed := range uint64(20) {
-		f := newFleet(t, seed, 4)
-		f.home.SetSources(f.now, []Source{f.add("i-1", "a:1"), f.add("i-2", "a:2")})
-		f.loss = 0.4
+		s := newSimulation(t, seed, 4)
+		s.home.SetSources(s.now, []Source{s.addSource("i-1", "a:1"), s.addSource("i-2", "a:2")})
+		s.messageLoss = 0.4
 		for range 40 {
-			source := f.sources[[]string{"a:1", "a:2"}[f.random.IntN(2)]]
-			source.set(saltA, 1+f.random.Uint64N(50), 64*f.random.IntN(20))
-			if f.random.IntN(10) == 0 {
+			source := s.sources[[]string{"a:1", "a:2"}[s.random.IntN(2)]]
+			source.set(saltA, 1+s.random.Uint64N(50), 64*s.random.IntN(20))
+			if s.random.IntN(10) == 0 {
 				source.restart()
 			}
-			f.run(time.Duration(f.random.IntN(1500)) * time.Millisecond)
+			s.run(time.Duration(s.random.IntN(1500)) * time.Millisecond)
 		}
-		f.loss = 0
-		f.sources["a:1"].set(saltA, 99, 100) // the next update shows the gap
-		f.run(5 * time.Second)
-		f.sources["a:1"].set(saltA, 99, 200)
-		f.run(5 * time.Second)
+		s.messageLoss = 0
+		s.sources["a:1"].set(saltA, 99, 100) // the next update shows the gap
+		s.run(5 * time.Second)
+		s.sources["a:1"].set(saltA, 99, 200)
+		s.run(5 * time.Second)
 		for part := uint64(1); part <= 50; part++ {
-			f.holds("i-1", part, f.sources["a:1"].cached[partKey{saltA, part}])
-			f.holds("i-2", part, f.sources["a:2"].cached[partKey{saltA, part}])
+			s.expectCached("i-1", part, s.sources["a:1"].cached[partKey{saltA, part}])
+			s.expectCached("i-2", part, s.sources["a:2"].cached[partKey{saltA, part}])
 		}
 	}
 }
 
 func TestNewSubscriberReceivesSnapshot(t *testing.T) {
-	f := newFleet(t, 1, 2)
-	f.home.SetSources(f.now, []Source{f.add("i-1", "a:1")})
-	f.sources["a:1"].set(saltA, 5, 800)
-	f.run(3 * time.Second)
+	s := newSimulation(t, 1, 2)
+	s.home.SetSources(s.now, []Source{s.addSource("i-1", "a:1")})
+	s.sources["a:1"].set(saltA, 5, 800)
+	s.run(3 * time.Second)
 	for range 20 {
-		f.sources["a:1"].set(saltA, 6, 64+f.random.IntN(1000))
-		f.run(time.Second)
+		s.sources["a:1"].set(saltA, 6, 64+s.random.IntN(1000))
+		s.run(time.Second)
 	}
 	index := NewGuarded(NewIndex(100))
-	f.subs["late"] = &testSubscriber{index: index, core: NewSubscriber(index)}
-	f.home.SetSubscribers([]string{"sub-0", "sub-1", "late"})
-	f.sources["a:1"].set(saltA, 6, 640)
-	f.run(3 * time.Second)
-	f.holds("i-1", 5, 800)
-	f.holds("i-1", 6, 640)
+	s.subscribers["late"] = &testSubscriber{index: index, core: NewSubscriber(index)}
+	s.home.SetSubscribers([]string{"sub-0", "sub-1", "late"})
+	s.sources["a:1"].set(saltA, 6, 640)
+	s.run(3 * time.Second)
+	s.expectCached("i-1", 5, 800)
+	s.expectCached("i-1", 6, 640)
 }
 
-func TestLaterHomeTakesOver(t *testing.T) {
-	f := newFleet(t, 1, 2)
-	f.home.SetSources(f.now, []Source{f.add("i-1", "a:1")})
-	f.sources["a:1"].set(saltA, 5, 800)
-	f.run(3 * time.Second)
-	former := f.home
-	f.home = NewHome(HomeOptions{Epoch: 1000})
-	f.home.SetSubscribers([]string{"sub-0", "sub-1"})
-	f.home.SetSources(f.now, []Source{{Instance: "i-1", Address: "a:1", Service: "llm", Zone: "z"}})
-	f.sources["a:1"].set(saltA, 5, 0)
-	f.sources["a:1"].set(saltA, 6, 300)
-	f.run(3 * time.Second)
-	f.holds("i-1", 5, 0)
-	f.holds("i-1", 6, 300)
-	f.deliver(former.Tick(f.now), core.Peer{Address: "former"}) // still takes itself for the home
-	f.holds("i-1", 6, 300)
+func TestLaterHomeReplacesPreviousHome(t *testing.T) {
+	s := newSimulation(t, 1, 2)
+	s.home.SetSources(s.now, []Source{s.addSource("i-1", "a:1")})
+	s.sources["a:1"].set(saltA, 5, 800)
+	s.run(3 * time.Second)
+	previousHome := s.home
+	s.home = NewHome(HomeOptions{Epoch: 1000})
+	s.home.SetSubscribers([]string{"sub-0", "sub-1"})
+	s.home.SetSources(s.now, []Source{{Instance: "i-1", Address: "a:1", Service: "llm", Zone: "z"}})
+	s.sources["a:1"].set(saltA, 5, 0)
+	s.sources["a:1"].set(saltA, 6, 300)
+	s.run(3 * time.Second)
+	s.expectCached("i-1", 5, 0)
+	s.expectCached("i-1", 6, 300)
+	s.deliver(previousHome.Tick(s.now), core.Peer{Address: "former"}) // it still believes itself to be the home
+	s.expectCached("i-1", 6, 300)
 }
 
 func TestBroadcastRateIsBounded(t *testing.T) {
-	f := newFleet(t, 1, 1)
-	f.home = NewHome(HomeOptions{Epoch: 1000, BytesPerSecond: 100 * bytesPerChange})
-	f.home.SetSubscribers([]string{"sub-0"})
-	f.home.SetSources(f.now, []Source{f.add("i-1", "a:1"), f.add("i-2", "a:2")})
-	f.run(2 * time.Second)
+	s := newSimulation(t, 1, 1)
+	s.home = NewHome(HomeOptions{Epoch: 1000, BytesPerSecond: 100 * bytesPerChange})
+	s.home.SetSubscribers([]string{"sub-0"})
+	s.home.SetSources(s.now, []Source{s.addSource("i-1", "a:1"), s.addSource("i-2", "a:2")})
+	s.run(2 * time.Second)
 	next := uint64(1000)
 	for second := range 20 {
 		for range 500 {
 			next++
-			f.sources["a:1"].set(saltA, next, 900)
+			s.sources["a:1"].set(saltA, next, 900)
 		}
 		shared := uint64(1 + second)
-		f.sources["a:1"].set(saltA, shared, 100)
-		f.sources["a:2"].set(saltA, shared, 100)
-		f.run(time.Second)
+		s.sources["a:1"].set(saltA, shared, 100)
+		s.sources["a:2"].set(saltA, shared, 100)
+		s.run(time.Second)
 	}
-	f.run(3 * time.Second)
-	assert.Assert(t, f.sent <= 25*103, "%d", f.sent)
-	topic := f.home.topics[topicKey{"llm", "z"}]
+	s.run(3 * time.Second)
+	assert.Assert(t, s.receivedChanges <= 25*103, "%d", s.receivedChanges)
+	topic := s.home.topics[topicKey{"llm", "z"}]
 	assert.Assert(t, len(topic.pending) <= 500*7, "%d", len(topic.pending))
 	for second := range uint64(20) {
-		f.holds("i-2", 1+second, 100) // seen twice, so shared: announced before what is larger but was seen once
+		s.expectCached("i-2", 1+second, 100) // seen twice, so shared: announced before what is larger but was seen once
 	}
 }
 
 func TestNewWeightsOrDepartureDropCachedParts(t *testing.T) {
-	f := newFleet(t, 1, 1)
-	subscriber, index := f.subs["sub-0"].core, f.subs["sub-0"].index
+	s := newSimulation(t, 1, 1)
+	subscriber, index := s.subscribers["sub-0"].core, s.subscribers["sub-0"].index
 	parts := []prompt.Part{{ID: 5, Tokens: 800}}
 	table := func(version uint64) *registry.Table {
 		return &registry.Table{ByID: map[string]*registry.Instance{
@@ -302,10 +306,10 @@
 	index.Observed("i-1", saltA, parts)
 	index.Observed("i-2", saltA, parts)
 	subscriber.SetTable(table(1))
-	f.holds("i-1", 5, 800)
+	s.expectCached("i-1", 5, 800)
 	subscriber.SetTable(table(2))
-	f.holds("i-1", 5, 0)
-	f.holds("i-2", 5, 800)
+	s.expectCached("i-1", 5, 0)
+	s.expectCached("i-2", 5, 800)
 	subscriber.SetTable(&registry.Table{})
-	f.holds("i-2", 5, 0)
+	s.expectCached("i-2", 5, 0)
 }
--- a/internal/node/kvindex/sources_test.go
+++ b/internal/node/kvindex/sources_test.go
@@ -29,14 +29,14 @@
 }
 
 func TestCachedPartsOfSourceAreBounded(t *testing.T) {
-	h := NewHome(HomeOptions{})
-	h.SetSources(0, []Source{{Instance: "i-1", Address: "a:1", Service: "llm", Zone: "z"}})
+	home := NewHome(HomeOptions{})
+	home.SetSources(0, []Source{{Instance: "i-1", Address: "a:1", Service: "llm", Zone: "z"}})
 	now := core.Time(0)
 	next := uint64(0)
 	for range 20 {
 		now += 5 * eventPollInterval
-		for _, output := range h.Tick(now) {
-			ask, ok := output.(core.FetchEvents)
+		for _, output := range home.Tick(now) {
+			fetch, ok := output.(core.FetchEvents)
 			if !ok {
 				continue
 			}
@@ -46,11 +46,11 @@
 				events.List = append(events.List, Event{Salt: saltA, Part: next, Tokens: 100})
 			}
 			events.Next = next
-			h.EventsDone(now, ask.Token, events, nil)
+			home.EventsDone(now, fetch.Token, events, nil)
 		}
-		assert.Assert(t, len(h.sources["i-1"].cached) <= maxCachedParts)
+		assert.Assert(t, len(home.sources["i-1"].cached) <= maxCachedParts)
 	}
 	assert.Assert(t, next > maxCachedParts)
-	_, cached := h.sources["i-1"].cached[partKey{saltA, next}]
+	_, cached := home.sources["i-1"].cached[partKey{saltA, next}]
 	assert.Assert(t, cached)
 }
