--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,5 +1,6 @@
-// Package layers keeps the architecture: cores do no I/O and know no clock, the module imports next to nothing, only
-// commands wire, and the plain broker links nothing that it does not need.
+// Package layers holds the tests of the architecture: state machines do no I/O and read no clock, the
+// aggregator's policy imports next to nothing, and no program links what it doesn't need. It has no
+// code of its own.
 package layers
 
 import (
@@ -8,13 +9,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// cores are pure: neither sockets nor files, clocks, goroutines or shells. transport's types are allowed to those that
-// speak to the loop, as they name connections.
-var cores = []string{
+// pureCores use neither sockets nor files, clocks, goroutines or shells. The types of transport are
+// allowed to those that speak to the event loop, as they name connections.
+var pureCores = []string{
 	"aggregator/policy",
 	"predict",
 	"window",
@@ -41,95 +43,143 @@
 	"fleet/lease/membership",
 }
 
-var barred = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "sync": true, "context": true,
-	"syscall": true, "time": true, "golang.org/x/sys/unix": true, "google.golang.org/grpc": true, "math/rand": true, "math/rand/v2": true}
+// barredImports are packages that do I/O, read clocks, wait, or draw from a shared random source.
+var barredImports = map[string]bool{
+	"context":                true,
+	"golang.org/x/sys/unix":  true,
+	"google.golang.org/grpc": true,
+	"math/rand":              true,
+	"math/rand/v2":           true,
+	"net":                    true,
+	"net/http":               true,
+	"os":                     true,
+	"os/exec":                true,
+	"sync":                   true,
+	"syscall":                true,
+	"time":                   true,
+}
+
+// clockCalls are how a file reads a clock or waits on it.
+var clockCalls = []string{"time.Now(", "time.Since(", "time.After(", "time.Sleep(", "time.NewTimer("}
 
-// check gives what is wrong with one source file of a core.
-func check(name string, src any) (bad []string) {
-	f, err := parser.ParseFile(token.NewFileSet(), name, src, 0)
+// minCoreFiles is far below the number of files in pureCores: fewer mean that the search failed.
+const minCoreFiles = 20
+
+// importProblems says which imports of a core's source file are barred.
+func importProblems(name string, source any) (problems []string) {
+	file, err := parser.ParseFile(token.NewFileSet(), name, source, 0)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	for _, i := range f.Imports {
-		path := strings.Trim(i.Path.Value, `"`)
-		// A calendar needs zones; the clock itself stays barred.
+	for _, spec := range file.Imports {
+		path := strings.Trim(spec.Path.Value, `"`)
+		// A calendar needs zones; the clock itself stays barred by clockCalls.
 		if path == "time" && strings.HasSuffix(name, "ledger/calendar.go") {
 			continue
 		}
-		if barred[path] && !(path == "sync" && strings.Contains(name, "operator")) {
-			bad = append(bad, name+" imports "+path)
+		if path == "sync" && strings.Contains(name, "operator") {
+			continue
+		}
+		if barredImports[path] {
+			problems = append(problems, name+" imports "+path)
 		}
 	}
-	return bad
+	return problems
+}
+
+// textProblems says what a core's source file must not do by its text.
+func textProblems(name, text string) (problems []string) {
+	for _, call := range clockCalls {
+		if strings.Contains(text, call) {
+			problems = append(problems, name+" reads a clock")
+		}
+	}
+	if strings.Contains(text, "\tgo func") || strings.Contains(text, "\tgo ") && !strings.Contains(text, "// ") {
+		problems = append(problems, name+" starts a goroutine")
+	}
+	return problems
+}
+
+// sourceFiles are a package's files but for its tests.
+func sourceFiles(t *testing.T, directory string) []string {
+	t.Helper()
+	files, err := filepath.Glob(directory + "/*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
 func TestCoresArePure(t *testing.T) {
 	seen := 0
-	for _, core := range cores {
-		files, _ := filepath.Glob("../" + core + "/*.go")
+	for _, core := range pureCores {
+		files := sourceFiles(t, "../"+core)
 		if len(files) == 0 {
 			t.Errorf("no package %s: the list must follow it", core)
 		}
-		for _, file := range files {
-			if strings.HasSuffix(file, "_test.go") {
-				continue
-			}
-			seen++
-			for _, bad := range check(file, nil) {
-				t.Error(bad)
+		seen += len(files)
+		for _, name := range files {
+			text, err := os.ReadFile(name)
+			if err != nil {
+				t.Fatal(err)
 			}
-			text, _ := os.ReadFile(file)
-			for _, clock := range []string{"time.Now", "time.Since", "time.After", "time.Sleep", "time.NewTimer"} {
-				if strings.Contains(string(text), clock+"(") {
-					t.Error(file, "reads a clock")
-				}
-			}
-			if strings.Contains(string(text), "\tgo func") || strings.Contains(string(text), "\tgo ") && !strings.Contains(string(text), "// ") {
-				t.Error(file, "starts a goroutine")
+			for _, problem := range append(importProblems(name, nil), textProblems(name, string(text))...) {
+				t.Error(problem)
 			}
 		}
 	}
-	if seen < 20 {
+	if seen < minCoreFiles {
 		t.Error("only", seen, "files looked at")
 	}
-	if bad := check("planted.go", "package x\nimport \"time\"\n"); len(bad) != 1 {
+}
+
+func TestPlantedImportIsFound(t *testing.T) {
+	if problems := importProblems("planted.go", "package x\nimport \"time\"\n"); len(problems) != 1 {
 		t.Error("a planted import is not found")
 	}
 }
 
-func deps(t *testing.T, pkg string) string {
-	out, err := exec.Command("go", "list", "-deps", pkg).Output()
+// dependencies are the packages that a package links, one a line.
+func dependencies(t *testing.T, path string) string {
+	t.Helper()
+	out, err := exec.Command("go", "list", "-deps", path).Output()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(out)
 }
 
-func TestWhatIsLinked(t *testing.T) {
-	for _, pkg := range strings.Fields(deps(t, "kestrelspread/internal/aggregator/policy")) {
-		switch pkg {
-		case "kestrelspread/internal/aggregator/policy", "kestrelspread/internal/predict", "kestrelspread/internal/window":
-		default:
-			if strings.HasPrefix(pkg, "kestrelspread/") {
-				t.Error("the module imports", pkg)
-			}
+func TestPolicyImportsOnlyItsLibraries(t *testing.T) {
+	const policy = "kestrelspread/internal/aggregator/policy"
+	allowed := []string{policy, "kestrelspread/internal/predict", "kestrelspread/internal/window"}
+	for path := range strings.FieldsSeq(dependencies(t, policy)) {
+		if strings.HasPrefix(path, "kestrelspread/") && !slices.Contains(allowed, path) {
+			t.Error("the policy imports", path)
 		}
 	}
-	lean, full := deps(t, "kestrelspread/cmd/kestrellean"), deps(t, "kestrelspread/cmd/kestrelspread")
-	for _, pkg := range []string{"golang.org/x/net/http2", "github.com/spf13/cobra", "github.com/santhosh-tekuri/jsonschema/v6", "github.com/cockroachdb/pebble/v2",
-		"google.golang.org/grpc", "net/http", "crypto/tls", "go.etcd.io/raft/v3", "github.com/hashicorp/memberlist", "gonum.org/v1/plot"} {
-		if strings.Contains(lean, pkg+"\n") {
-			t.Error("the plain broker links", pkg)
+}
+
+// notInMinimal are packages that the minimal aggregator must not link, for the memory that they take.
+var notInMinimal = []string{
+	"golang.org/x/net/http2", "github.com/spf13/cobra", "github.com/santhosh-tekuri/jsonschema/v6",
+	"github.com/cockroachdb/pebble/v2", "google.golang.org/grpc", "net/http", "crypto/tls", "go.etcd.io/raft/v3",
+	"github.com/hashicorp/memberlist", "gonum.org/v1/plot",
+}
+
+func TestAggregatorsLinkOnlyWhatTheyNeed(t *testing.T) {
+	minimal := dependencies(t, "kestrelspread/cmd/kestrellean")
+	full := dependencies(t, "kestrelspread/cmd/kestrelspread")
+	for _, path := range notInMinimal {
+		if strings.Contains(minimal, path+"\n") {
+			t.Error("the minimal aggregator links", path)
 		}
 	}
-	for _, pkg := range []string{"kestrelspread/internal/standin"} {
-		if strings.Contains(full, pkg) {
-			t.Error("the broker links", pkg)
-		}
+	if strings.Contains(full, "kestrelspread/internal/standin") {
+		t.Error("the full aggregator links kestrelspread/internal/standin")
 	}
-	for _, pkg := range []string{"golang.org/x/net/http2", "github.com/spf13/cobra"} {
-		if !strings.Contains(full, pkg+"\n") {
-			t.Error("this check would find nothing: the full broker does not link", pkg)
+	for _, path := range []string{"golang.org/x/net/http2", "github.com/spf13/cobra"} {
+		if !strings.Contains(full, path+"\n") {
+			t.Error("this check would find nothing: the full aggregator does not link", path)
 		}
 	}
 }
--- a/internal/layers/node_test.go
+++ b/internal/layers/node_test.go
@@ -4,20 +4,20 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 )
 
-// nodeCores are the state machines of a node (docs/design/system.md): they take inputs and the time, and return what is to
-// be sent, written and answered.
-var nodeCores = []string{"chain", "config", "config/rawjson", "config/schema", "control", "core", "distribution", "kvindex", "loadhint", "membership",
-	"registry", "rendezvous", "rollout", "routing", "submit", "transfer", "verdict", "view", "wireproto"}
+// nodeCores are the state machines of a node (docs/design/system.md): they take inputs and the time,
+// and return what is to be sent, written and answered.
+var nodeCores = []string{"chain", "config", "config/rawjson", "config/schema", "control", "core", "distribution", "kvindex",
+	"loadhint", "membership", "registry", "rendezvous", "rollout", "routing", "submit", "transfer", "verdict", "view", "wireproto"}
 
-// allowedNames are what a core may use of packages that are else barred. Durations are numbers; a source of chance is
-// given, or made of a seed that is given; the statuses of HTTP are what brokers answer with.
+// allowedNames are what a core may use of packages that are barred otherwise. Durations are numbers; a
+// random source is given, or made of a seed that is given; the statuses of HTTP are what brokers
+// answer with.
 var allowedNames = map[string]func(name string) bool{
 	"time": func(name string) bool {
 		return slices.Contains([]string{"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"}, name)
@@ -26,27 +26,28 @@
 	"net/http":     func(name string) bool { return strings.HasPrefix(name, "Status") },
 }
 
-// guardFiles put a mutex before a core for the requests that come on many goroutines; nothing else is in them.
+// guardFiles put a mutex before a core for the requests that come on many goroutines; they do nothing
+// else.
 var guardFiles = []string{"kvindex/guarded.go", "routing/guarded.go"}
 
-// checkNodeCore gives what is wrong with one source file of a node's core.
-func checkNodeCore(name string, src any) []string {
+// nodeCoreProblems says what is wrong with one source file of a node's core.
+func nodeCoreProblems(name string, src any) []string {
 	file, err := parser.ParseFile(token.NewFileSet(), name, src, 0)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	var bad []string
+	var problems []string
 	packages := map[string]string{} // path by the name in the file
 	for _, spec := range file.Imports {
 		path, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
 			return []string{name + ": " + err.Error()}
 		}
-		if !barredInNodes(path) || path == "sync" && isGuard(name) {
+		if !barredInNodeCore(path) || path == "sync" && isGuard(name) {
 			continue
 		}
 		if allowedNames[path] == nil || spec.Name != nil && spec.Name.Name == "." {
-			bad = append(bad, name+" imports "+path)
+			problems = append(problems, name+" imports "+path)
 			continue
 		}
 		packages[localName(spec, path)] = path
@@ -54,19 +55,19 @@
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.GoStmt:
-			bad = append(bad, name+" starts a goroutine")
+			problems = append(problems, name+" starts a goroutine")
 		case *ast.SelectorExpr:
 			if from, ok := node.X.(*ast.Ident); ok && packages[from.Name] != "" && !allowedNames[packages[from.Name]](node.Sel.Name) {
-				bad = append(bad, name+" uses "+from.Name+"."+node.Sel.Name)
+				problems = append(problems, name+" uses "+from.Name+"."+node.Sel.Name)
 			}
 		}
 		return true
 	})
-	return bad
+	return problems
 }
 
-func barredInNodes(path string) bool {
-	return barred[path] || strings.HasPrefix(path, "net/") || strings.HasPrefix(path, "sync/") || path == "os/signal" || path == "runtime"
+func barredInNodeCore(path string) bool {
+	return barredImports[path] || strings.HasPrefix(path, "net/") || strings.HasPrefix(path, "sync/") || path == "os/signal" || path == "runtime"
 }
 
 func isGuard(name string) bool {
@@ -86,31 +87,23 @@
 
 func TestNodeCoresArePure(t *testing.T) {
 	for _, core := range nodeCores {
-		files, err := filepath.Glob("../node/" + core + "/*.go")
-		if err != nil {
-			t.Fatal(err)
-		}
-		seen := 0
+		files := sourceFiles(t, "../node/"+core)
 		for _, file := range files {
-			if strings.HasSuffix(file, "_test.go") {
-				continue
-			}
-			seen++
-			for _, bad := range checkNodeCore(file, nil) {
-				t.Error(bad)
+			for _, problem := range nodeCoreProblems(file, nil) {
+				t.Error(problem)
 			}
 		}
-		if seen == 0 {
+		if len(files) == 0 {
 			t.Error("no files of", core)
 		}
 	}
 }
 
-func TestPlantedImpurityIsFound(t *testing.T) {
+func TestImpureNodeCoreIsFound(t *testing.T) {
 	for _, planted := range []struct {
-		name string
-		src  string
-		bad  bool
+		name   string
+		src    string
+		impure bool
 	}{
 		{"x/a.go", "package x\nimport \"time\"\nvar d = 3 * time.Second", false},
 		{"x/a.go", "package x\nimport \"time\"\nvar d = time.Now()", true},
@@ -128,14 +121,15 @@
 		{"x/a.go", "package x\nimport \"os\"\nvar n = os.Args", true},
 		{"x/a.go", "package x\nfunc f() { go f() }", true},
 	} {
-		if bad := checkNodeCore(planted.name, planted.src); (len(bad) > 0) != planted.bad {
-			t.Errorf("%s\n%s\ngives %v", planted.name, planted.src, bad)
+		problems := nodeCoreProblems(planted.name, planted.src)
+		if (len(problems) > 0) != planted.impure {
+			t.Errorf("%s\n%s\ngives %v", planted.name, planted.src, problems)
 		}
 	}
 }
 
-// notInNodes are what a node must not link: clustering, agreement, discovery and proxying are its own work, and its storage
-// and messages are those of its design.
+// notInNodes are what a node must not link: clustering, consensus, discovery and proxying are its own
+// work, and its storage and messages are those of its design.
 var notInNodes = []string{"go.etcd.io/raft", "github.com/hashicorp/memberlist", "github.com/hashicorp/raft", "github.com/hashicorp/serf",
 	"net/http/httputil", "github.com/cockroachdb/pebble", "google.golang.org/grpc", "golang.org/x/net/http2", "kestrelspread/internal/fleet",
 	"kestrelspread/internal/standin", "kestrelspread/internal/rig"}
@@ -144,8 +138,8 @@
 func linkedInNode(packages string) []string {
 	var found []string
 	for pkg := range strings.FieldsSeq(packages) {
-		for _, barred := range notInNodes {
-			if pkg == barred || strings.HasPrefix(pkg, barred+"/") {
+		for _, unwanted := range notInNodes {
+			if pkg == unwanted || strings.HasPrefix(pkg, unwanted+"/") {
 				found = append(found, pkg)
 			}
 		}
@@ -153,8 +147,8 @@
 	return found
 }
 
-func TestWhatANodeLinks(t *testing.T) {
-	packages := deps(t, "kestrelspread/cmd/kestrelnode")
+func TestNodeLinksOnlyWhatItNeeds(t *testing.T) {
+	packages := dependencies(t, "kestrelspread/cmd/kestrelnode")
 	for _, pkg := range linkedInNode(packages) {
 		t.Error("a node links", pkg)
 	}
@@ -166,7 +160,7 @@
 			t.Error("a planted import of", planted, "is not found:", found)
 		}
 	}
-	full := linkedInNode(deps(t, "kestrelspread/cmd/kestrelspread"))
+	full := linkedInNode(dependencies(t, "kestrelspread/cmd/kestrelspread"))
 	for _, pkg := range []string{"go.etcd.io/raft/v3", "github.com/cockroachdb/pebble/v2", "google.golang.org/grpc", "golang.org/x/net/http2"} {
 		if !slices.Contains(full, pkg) {
 			t.Error("this check would find nothing: the full broker does not link", pkg)
