--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs the aggregator's decisions against simulated servers: internal/simwire's
-// messages come in by standard input, and its answers leave by standard output.
+// Command simhost runs the aggregator's policy in a simulation: it reads the bench's frames of events
+// from standard input and writes those of its decisions to standard output.
 package main
 
 import (
