--- a/cmd/kestrelspread/grpc_test.go
+++ b/cmd/kestrelspread/grpc_test.go
@@ -20,7 +20,6 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/credentials/insecure"
-	"google.golang.org/grpc/encoding"
 	"google.golang.org/grpc/encoding/gzip"
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
@@ -36,9 +35,7 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-func init() { encoding.RegisterCodec(rawCodec{}) }
-
-// grpcServer is a server of grpc-go: what it does with a call is what the test says.
+// grpcServer is a server of grpc-go; the test gives its handler.
 type grpcServer struct {
 	*grpc.Server
 	address string
@@ -47,6 +44,7 @@
 }
 
 func startGRPCServer(t *testing.T, address string) *grpcServer {
+	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -85,204 +83,223 @@
 
 const operatorText = `{"grpc":{"listen":"127.0.0.1:0","servers":{"by-id":{%s}},
 "limits":{"idle-ms":2000},"channels":{"connect-ms":300},
-"routes":[{"name":"all","match":{"prefix":"/"},"query-type":"quick","timeout-ms":2000,"timeout-most-ms":8000,"message-kb":256%s},
+"routes":[{"name":"all","match":{"prefix":"/"},"query-type":"quick","timeout-ms":2000,"timeout-most-ms":8000,"message-kb":256},
 {"name":"once","match":{"service":"t.Once"},"query-type":"once","timeout-ms":2000}]}}`
 
-// withGRPC starts the program with readers of grpc-go.
-func withGRPC(t *testing.T, extra string) (b *process, conn *grpc.ClientConn, readers []*grpcServer, file string) {
-	lister := startDiscovery(t, "127.0.0.1:0")
-	var nodes []*fakeServer
-	var ids []string
+// grpcFixture is the program with servers of grpc-go behind it, and a client's connection to it.
+type grpcFixture struct {
+	*process
+	conn         *grpc.ClientConn
+	servers      []*grpcServer
+	operatorFile string
+}
+
+func startWithGRPC(t *testing.T) *grpcFixture {
+	t.Helper()
+	f := &grpcFixture{operatorFile: filepath.Join(t.TempDir(), "operator.json")}
+	discovery := startDiscovery(t, "127.0.0.1:0")
+	var frameServers []*fakeServer
+	var addresses []string // as members of a JSON object
 	for i := range 2 {
-		nodes = append(nodes, startServer(t))
-		readers = append(readers, startGRPCServer(t, "127.0.0.1:0"))
-		ids = append(ids, fmt.Sprintf(`"s%d":%q`, i, readers[i].address))
+		frameServers = append(frameServers, startServer(t))
+		f.servers = append(f.servers, startGRPCServer(t, "127.0.0.1:0"))
+		addresses = append(addresses, fmt.Sprintf(`"s%d":%q`, i, f.servers[i].address))
+	}
+	f.writeOperatorFile(t, fmt.Sprintf(operatorText, strings.Join(addresses, ",")))
+	known := membershipUpdate(1, true, "ready", frameServers...)
+	f.process = startProgram(t, "127.0.0.1:0", discovery.address, known, 256, "--operator", f.operatorFile)
+	conn, err := grpc.NewClient(f.grpcAddress(), grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDisableRetry(), grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{})))
+	if err != nil {
+		t.Fatal(err)
 	}
-	file = filepath.Join(t.TempDir(), "operator.json")
-	if err := os.WriteFile(file, fmt.Appendf(nil, operatorText, strings.Join(ids, ","), extra), 0o600); err != nil {
+	t.Cleanup(func() { conn.Close() })
+	f.conn = conn
+	return f
+}
+
+func (f *grpcFixture) writeOperatorFile(t *testing.T, text string) {
+	t.Helper()
+	if err := os.WriteFile(f.operatorFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b = startProgram(t, "127.0.0.1:0", lister.address, membershipUpdate(1, true, "ready", nodes...), 256, "--operator", file)
-	at := ""
-	b.waitUntil("it serves gRPC", func() bool {
-		_, rest, found := strings.Cut(b.log.String(), `"listen":"`)
+}
+
+// grpcAddress is where the program's log says that it serves gRPC.
+func (f *grpcFixture) grpcAddress() (address string) {
+	f.waitUntil("it serves gRPC", func() bool {
+		_, rest, found := strings.Cut(f.log.String(), `"listen":"`)
 		for ; found; _, rest, found = strings.Cut(rest, `"listen":"`) {
 			end := strings.IndexByte(rest, '\n')
 			if line := rest[:max(end, 0)]; strings.Contains(line, "serving gRPC") {
-				at = line[:strings.IndexByte(line, '"')]
+				address = line[:strings.IndexByte(line, '"')]
 				return true
 			}
 		}
 		return false
 	})
-	conn, err := grpc.NewClient(at, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
-		grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{})))
-	if err != nil {
-		t.Fatal(err)
+	return address
+}
+
+func (f *grpcFixture) setHandlers(handler func(stream grpc.ServerStream) error) {
+	for _, server := range f.servers {
+		server.setHandler(handler)
 	}
-	t.Cleanup(func() { conn.Close() })
-	return b, conn, readers, file
 }
 
-func invoke(conn *grpc.ClientConn, ctx context.Context, method, body string, o ...grpc.CallOption) (string, error) {
-	in, out := []byte(body), []byte(nil)
-	err := conn.Invoke(ctx, method, &in, &out, o...)
+func (f *grpcFixture) calls() int64 { return f.servers[0].calls.Load() + f.servers[1].calls.Load() }
+
+func (f *grpcFixture) invoke(ctx context.Context, method, message string, options ...grpc.CallOption) (string, error) {
+	in, out := []byte(message), []byte(nil)
+	err := f.conn.Invoke(ctx, method, &in, &out, options...)
 	return string(out), err
 }
 
+func (f *grpcFixture) openStream(ctx context.Context) grpc.ClientStream {
+	f.t.Helper()
+	stream, err := f.conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/t.S/Talk")
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return stream
+}
+
 func TestGRPCCallsPassThrough(t *testing.T) {
-	p, conn, readers, _ := withGRPC(t, "")
+	f := startWithGRPC(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "x-word", "a", "x-word", "b")
-	var head, tail metadata.MD
-	got, err := invoke(conn, ctx, "/t.S/Get", "hello", grpc.Header(&head), grpc.Trailer(&tail))
-	if err != nil || got != "hello" {
-		t.Fatal(got, err)
-	}
-	if head.Get("x-head")[0] != "a|b" || head.Get("h-bin")[0] != "\x00\x01\xff" || tail.Get("x-tail")[0] != "end" ||
-		tail.Get("t-bin")[0] != "\xfe\x00" {
-		t.Error("metadata did not pass:", head, tail)
-	}
-	if got, err = invoke(conn, ctx, "/t.S/Get", strings.Repeat("z", 100<<10), grpc.UseCompressor(gzip.Name)); err != nil || len(got) != 100<<10 {
+	f.expectMetadataPasses(ctx)
+	got, err := f.invoke(ctx, "/t.S/Get", strings.Repeat("z", 100<<10), grpc.UseCompressor(gzip.Name))
+	if err != nil || len(got) != 100<<10 {
 		t.Error("compressed:", len(got), err)
 	}
-	// Streams both ways, larger than every window.
-	s, err := conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/t.S/Talk")
-	if err != nil {
-		t.Fatal(err)
+	f.expectStreamPasses(ctx)
+	f.expectStatusPasses(ctx)
+	f.expectFailedCallIsRetried(ctx)
+	f.expectCancellationPasses(ctx)
+	f.cmd.Process.Signal(syscall.SIGUSR1)
+	f.waitUntil("its counters", func() bool { return strings.Contains(f.log.String(), "grpc calls") })
+}
+
+func (f *grpcFixture) expectMetadataPasses(ctx context.Context) {
+	f.t.Helper()
+	var header, trailer metadata.MD
+	got, err := f.invoke(ctx, "/t.S/Get", "hello", grpc.Header(&header), grpc.Trailer(&trailer))
+	if err != nil || got != "hello" {
+		f.t.Fatal(got, err)
 	}
+	if header.Get("x-head")[0] != "a|b" || header.Get("h-bin")[0] != "\x00\x01\xff" ||
+		trailer.Get("x-tail")[0] != "end" || trailer.Get("t-bin")[0] != "\xfe\x00" {
+		f.t.Error("metadata did not pass:", header, trailer)
+	}
+}
+
+// expectStreamPasses sends both ways at once, more than every window holds.
+func (f *grpcFixture) expectStreamPasses(ctx context.Context) {
+	f.t.Helper()
+	stream := f.openStream(ctx)
 	go func() {
 		for i := range 200 {
-			m := []byte(strings.Repeat(strconv.Itoa(i%10), 10<<10))
-			if s.SendMsg(&m) != nil {
+			message := []byte(strings.Repeat(strconv.Itoa(i%10), 10<<10))
+			if stream.SendMsg(&message) != nil {
 				return
 			}
 		}
-		s.CloseSend()
+		stream.CloseSend()
 	}()
 	for i := range 200 {
-		var m []byte
-		if err := s.RecvMsg(&m); err != nil || len(m) != 10<<10 || m[0] != byte('0'+i%10) {
-			t.Fatal(i, len(m), err)
+		var message []byte
+		if err := stream.RecvMsg(&message); err != nil || len(message) != 10<<10 || message[0] != byte('0'+i%10) {
+			f.t.Fatal(i, len(message), err)
 		}
 	}
-	var m []byte
-	if err := s.RecvMsg(&m); err != io.EOF {
-		t.Error(err)
-	}
-	// What an application says, with its details; a reader that dies.
-	for _, r := range readers {
-		r.setHandler(func(grpc.ServerStream) error { return status.Error(codes.NotFound, "not here: é%") })
+	var message []byte
+	if err := stream.RecvMsg(&message); err != io.EOF {
+		f.t.Error(err)
 	}
-	if _, err = invoke(conn, ctx, "/t.S/Get", ""); status.Code(err) != codes.NotFound || status.Convert(err).Message() != "not here: é%" {
-		t.Error(err)
+}
+
+// expectStatusPasses: an application's own status and its text, which isn't ASCII alone.
+func (f *grpcFixture) expectStatusPasses(ctx context.Context) {
+	f.t.Helper()
+	f.setHandlers(func(grpc.ServerStream) error { return status.Error(codes.NotFound, "not here: é%") })
+	_, err := f.invoke(ctx, "/t.S/Get", "")
+	if status.Code(err) != codes.NotFound || status.Convert(err).Message() != "not here: é%" {
+		f.t.Error(err)
 	}
-	before := readers[0].calls.Load() + readers[1].calls.Load()
+}
+
+func (f *grpcFixture) expectFailedCallIsRetried(ctx context.Context) {
+	f.t.Helper()
+	before := f.calls()
 	var once sync.Once
-	for _, r := range readers {
-		r.setHandler(func(s grpc.ServerStream) error {
-			failed := false
-			once.Do(func() { failed = true })
-			if failed {
-				return status.Error(codes.Unavailable, "once")
-			}
-			return echoAll(s)
-		})
-	}
-	if got, err = invoke(conn, ctx, "/t.S/Get", "again"); err != nil || got != "again" {
-		t.Error(got, err)
-	}
-	if n := readers[0].calls.Load() + readers[1].calls.Load() - before; n != 2 {
-		t.Error(n, "sub-requests, want the failed one and one more")
+	f.setHandlers(func(stream grpc.ServerStream) error {
+		failed := false
+		once.Do(func() { failed = true })
+		if failed {
+			return status.Error(codes.Unavailable, "once")
+		}
+		return echoAll(stream)
+	})
+	if got, err := f.invoke(ctx, "/t.S/Get", "again"); err != nil || got != "again" {
+		f.t.Error(got, err)
 	}
-	// The client's time, and its leave.
-	called := make(chan struct{}, 8)
-	for _, r := range readers {
-		r.setHandler(func(s grpc.ServerStream) error {
-			<-s.Context().Done()
-			called <- struct{}{}
-			return s.Context().Err()
-		})
+	if n := f.calls() - before; n != 2 {
+		f.t.Error(n, "sub-requests, want the failed one and one more")
 	}
+}
+
+// expectCancellationPasses: a server learns that the client's time is up, and that the client has gone.
+func (f *grpcFixture) expectCancellationPasses(ctx context.Context) {
+	f.t.Helper()
+	ended := make(chan struct{}, 8)
+	f.setHandlers(func(stream grpc.ServerStream) error {
+		<-stream.Context().Done()
+		ended <- struct{}{}
+		return stream.Context().Err()
+	})
 	short, stop := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop()
-	if _, err = invoke(conn, short, "/t.Once/Put", ""); status.Code(err) != codes.DeadlineExceeded {
-		t.Error(err)
+	if _, err := f.invoke(short, "/t.Once/Put", ""); status.Code(err) != codes.DeadlineExceeded {
+		f.t.Error(err)
 	}
 	leaving, leave := context.WithCancel(ctx)
 	time.AfterFunc(100*time.Millisecond, leave)
-	if _, err = invoke(conn, leaving, "/t.Once/Put", ""); status.Code(err) != codes.Canceled {
-		t.Error(err)
+	if _, err := f.invoke(leaving, "/t.Once/Put", ""); status.Code(err) != codes.Canceled {
+		f.t.Error(err)
 	}
 	for range 2 {
 		select {
-		case <-called:
+		case <-ended:
 		case <-time.After(10 * time.Second):
-			t.Fatal("a reader was not told that the call is over")
+			f.t.Fatal("a server was not notified that the call is over")
 		}
 	}
-	p.cmd.Process.Signal(syscall.SIGUSR1)
-	p.waitUntil("its counters", func() bool { return strings.Contains(p.log.String(), "grpc calls") })
 }
 
 func TestGRPCReloadAndStop(t *testing.T) {
-	p, conn, readers, file := withGRPC(t, "")
+	f := startWithGRPC(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if _, err := invoke(conn, ctx, "/t.S/Get", "x"); err != nil {
-		t.Fatal(err)
-	}
-	s, err := conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/t.S/Talk")
-	if err != nil {
+	if _, err := f.invoke(ctx, "/t.S/Get", "x"); err != nil {
 		t.Fatal(err)
 	}
-	say := func() error {
-		m := []byte("m")
-		if err := s.SendMsg(&m); err != nil {
-			return err
-		}
-		return s.RecvMsg(&m)
-	}
-	if err := say(); err != nil {
+	stream := f.openStream(ctx)
+	if err := echoOnce(stream); err != nil {
 		t.Fatal(err)
 	}
-	// A broken file changes nothing; a sound one removes the route of the stream that is open.
-	text, _ := os.ReadFile(file)
-	os.WriteFile(file, []byte(strings.Replace(string(text), `"query-type":"quick"`, `"query-type":"quick","extra":1`, 1)), 0o600)
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.waitUntil("it refuses the file", func() bool { return strings.Contains(p.log.String(), "/grpc/routes/0/extra: no such setting") })
-	if _, err := invoke(conn, ctx, "/t.S/Get", "x"); err != nil {
-		t.Error("after a broken file:", err)
-	}
-	os.WriteFile(file, []byte(strings.Replace(string(text), `"prefix":"/"`, `"prefix":"/other"`, 1)), 0o600)
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.waitUntil("it takes the file", func() bool {
-		_, err := invoke(conn, ctx, "/t.S/Get", "x")
-		return status.Code(err) == codes.Unimplemented
-	})
-	if err := say(); err != nil {
+	f.expectReload(ctx)
+	if err := echoOnce(stream); err != nil {
 		t.Error("the open stream:", err)
 	}
-	for _, r := range readers {
-		r.setHandler(func(s grpc.ServerStream) error { time.Sleep(700 * time.Millisecond); return echoAll(s) })
-	}
-	done := make(chan error, 1)
-	go func() {
-		_, err := invoke(conn, ctx, "/t.Once/Put", "x")
-		done <- err
-	}()
-	p.waitUntil("it has been sent", func() bool { return readers[0].calls.Load()+readers[1].calls.Load() >= 4 })
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	if err := <-done; err != nil {
-		t.Error("a call that was open at SIGTERM:", err)
-	}
-	m := []byte(nil)
-	if err := s.RecvMsg(&m); status.Code(err) != codes.Unavailable {
+	f.expectStopDrainsCall(ctx)
+	message := []byte(nil)
+	if err := stream.RecvMsg(&message); status.Code(err) != codes.Unavailable {
 		t.Error("the stream's last status:", err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- p.cmd.Wait() }()
+	go func() { ended <- f.cmd.Wait() }()
 	select {
 	case err := <-ended:
 		if err != nil {
@@ -293,15 +310,65 @@
 	}
 }
 
+func echoOnce(stream grpc.ClientStream) error {
+	message := []byte("m")
+	if err := stream.SendMsg(&message); err != nil {
+		return err
+	}
+	return stream.RecvMsg(&message)
+}
+
+// expectReload: a faulty file changes nothing; a sound one removes the route of calls to /t.S.
+func (f *grpcFixture) expectReload(ctx context.Context) {
+	f.t.Helper()
+	text, err := os.ReadFile(f.operatorFile)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.writeOperatorFile(f.t, strings.Replace(string(text), `"query-type":"quick"`, `"query-type":"quick","extra":1`, 1))
+	f.cmd.Process.Signal(syscall.SIGHUP)
+	f.waitUntil("it refuses the file", func() bool {
+		return strings.Contains(f.log.String(), "/grpc/routes/0/extra: no such setting")
+	})
+	if _, err := f.invoke(ctx, "/t.S/Get", "x"); err != nil {
+		f.t.Error("after a broken file:", err)
+	}
+	f.writeOperatorFile(f.t, strings.Replace(string(text), `"prefix":"/"`, `"prefix":"/other"`, 1))
+	f.cmd.Process.Signal(syscall.SIGHUP)
+	f.waitUntil("it takes the file", func() bool {
+		_, err := f.invoke(ctx, "/t.S/Get", "x")
+		return status.Code(err) == codes.Unimplemented
+	})
+}
+
+// expectStopDrainsCall stops the program while a call is open, which still gets its answer.
+func (f *grpcFixture) expectStopDrainsCall(ctx context.Context) {
+	f.t.Helper()
+	f.setHandlers(func(stream grpc.ServerStream) error {
+		time.Sleep(700 * time.Millisecond)
+		return echoAll(stream)
+	})
+	done := make(chan error, 1)
+	go func() {
+		_, err := f.invoke(ctx, "/t.Once/Put", "x")
+		done <- err
+	}()
+	f.waitUntil("it has been sent", func() bool { return f.calls() >= 4 })
+	f.cmd.Process.Signal(syscall.SIGTERM)
+	if err := <-done; err != nil {
+		f.t.Error("a call that was open at SIGTERM:", err)
+	}
+}
+
 func TestCheckReportsOperatorFile(t *testing.T) {
 	dir := t.TempDir()
-	conf, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
-	os.WriteFile(conf, fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+	configPath, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
+	os.WriteFile(configPath, fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{},"settings":%s}`, settingsText), 0o600)
-	check := func(text string) (string, int) {
+	runCheck := func(text string) (string, int) {
 		os.WriteFile(file, []byte(text), 0o600)
 		cmd := exec.Command(programPath, "check", "--operator", file)
-		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+conf)
+		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+configPath)
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		if errors.As(err, &exit) {
@@ -313,10 +380,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out, code := check(string(example)); code != 0 || !strings.Contains(out, "3 routes") {
+	if out, code := runCheck(string(example)); code != 0 || !strings.Contains(out, "3 routes") {
 		t.Error(code, out)
 	}
-	if out, code := check(`{"grpc":{"listen":"here","servers":{"port-offset":1},"routes":[]}}`); code != 1 ||
+	if out, code := runCheck(`{"grpc":{"listen":"here","servers":{"port-offset":1},"routes":[]}}`); code != 1 ||
 		!strings.Contains(out, "/grpc/listen: ") || !strings.Contains(out, "/grpc/routes: ") {
 		t.Error(code, out)
 	}
--- a/cmd/kestrelspread/ledger_test.go
+++ b/cmd/kestrelspread/ledger_test.go
@@ -30,7 +30,8 @@
 const ledgerText = `{"ledger":{"folder":%q,"instance":"n0","period":{"every":"hours","zone":"Europe/Stockholm"},
 "export":{"folder":%q,"batch":7,"every-ms":50}}}`
 
-// verifyExport reads what has left: each entry once, without gaps, the same in both forms, and the same as in the store.
+// verifyExport reads what has left: each entry once, without gaps, the same in both forms, and the
+// same as in the store. It returns the sequence number of the last one.
 func verifyExport(t *testing.T, directory, exportDirectory string) (last uint64) {
 	t.Helper()
 	ledgerStore, err := store.Open(vfs.Default, directory, "n0", time.Now())
@@ -45,41 +46,23 @@
 	text, _ := os.ReadFile(filepath.Join(exportDirectory, "manifest.jsonl"))
 	rows := map[uint64]sink.Row{}
 	for line := range strings.Lines(string(text)) {
-		var b sink.Batch
-		if err := json.Unmarshal([]byte(line), &b); err != nil {
+		var batch sink.Batch
+		if err := json.Unmarshal([]byte(line), &batch); err != nil {
 			t.Fatal(err)
 		}
-		if b.From != last+1 {
-			t.Fatalf("batch %d begins at %d after %d", b.Batch, b.From, last)
-		}
-		last = b.To
-		lines, err := os.ReadFile(filepath.Join(exportDirectory, b.Files[0]))
-		if err != nil {
-			t.Fatal(err)
-		}
-		columns, err := parquet.ReadFile[sink.Row](filepath.Join(exportDirectory, b.Files[1]))
-		if err != nil {
-			t.Fatal(err)
-		}
-		n := 0
-		for l := range strings.Lines(string(lines)) {
-			var r sink.Row
-			if err := json.Unmarshal([]byte(l), &r); err != nil {
-				t.Fatal(err)
-			}
-			if _, twice := rows[r.Sequence]; twice || r.Epoch != ledgerStore.Epoch || n >= len(columns) || columns[n] != r {
-				t.Fatalf("entry %d: twice %v, %+v", r.Sequence, twice, r)
-			}
-			rows[r.Sequence] = r
-			n++
+		if batch.From != last+1 {
+			t.Fatalf("batch %d begins at %d after %d", batch.Batch, batch.From, last)
 		}
+		last = batch.To
+		addBatch(t, rows, exportDirectory, batch, ledgerStore.Epoch)
 	}
 	if last < export.Cursor.Sequence || uint64(len(rows)) != last {
 		t.Fatalf("the folder has %d entries up to %d, the cursor stands at %d", len(rows), last, export.Cursor.Sequence)
 	}
-	if err := ledgerStore.EachEntry(1, func(e *ledger.Entry) error {
-		if r, left := rows[e.Sequence]; left && (r.Searches != e.Counts[ledger.Searches] || r.Customer != e.Key.Customer || r.RecordedAt != e.RecordedAt) {
-			return fmt.Errorf("entry %d left as %+v", e.Sequence, r)
+	if err := ledgerStore.EachEntry(1, func(entry *ledger.Entry) error {
+		row, left := rows[entry.Sequence]
+		if left && (row.Searches != entry.Counts[ledger.Searches] || row.Customer != entry.Key.Customer || row.RecordedAt != entry.RecordedAt) {
+			return fmt.Errorf("entry %d left as %+v", entry.Sequence, row)
 		}
 		return nil
 	}); err != nil {
@@ -88,7 +71,32 @@
 	return last
 }
 
-// recordedUse opens a broker's ledger after its end, proves it, and gives what it says of all.
+// addBatch adds the rows of a batch, which are new and equal in its file of lines and its columns.
+func addBatch(t *testing.T, rows map[uint64]sink.Row, exportDirectory string, batch sink.Batch, epoch uint64) {
+	t.Helper()
+	lines, err := os.ReadFile(filepath.Join(exportDirectory, batch.Files[0]))
+	if err != nil {
+		t.Fatal(err)
+	}
+	columns, err := parquet.ReadFile[sink.Row](filepath.Join(exportDirectory, batch.Files[1]))
+	if err != nil {
+		t.Fatal(err)
+	}
+	count := 0
+	for line := range strings.Lines(string(lines)) {
+		var row sink.Row
+		if err := json.Unmarshal([]byte(line), &row); err != nil {
+			t.Fatal(err)
+		}
+		if _, twice := rows[row.Sequence]; twice || row.Epoch != epoch || count >= len(columns) || columns[count] != row {
+			t.Fatalf("entry %d: twice %v, %+v", row.Sequence, twice, row)
+		}
+		rows[row.Sequence] = row
+		count++
+	}
+}
+
+// recordedUse verifies the ledger of a process that has ended, and returns the sums of all its entries.
 func recordedUse(t *testing.T, directory string) ledger.Counts {
 	t.Helper()
 	ledgerStore, err := store.Open(vfs.Default, directory, "n0", time.Now())
@@ -102,86 +110,141 @@
 	return ledgerStore.Ledger.TotalUse()
 }
 
+// searchLoad is searches that go on from several clients, with the test's own count of them.
+type searchLoad struct {
+	sync.Mutex
+	stop     chan struct{}
+	clients  sync.WaitGroup
+	asked    int64
+	answered []time.Time
+}
+
+func startLoad(p *process) *searchLoad {
+	load := &searchLoad{stop: make(chan struct{})}
+	for range 3 {
+		load.clients.Go(func() { load.run(p) })
+	}
+	return load
+}
+
+func (l *searchLoad) run(p *process) {
+	for {
+		select {
+		case <-l.stop:
+			return
+		default:
+		}
+		l.Lock()
+		l.asked++
+		l.Unlock()
+		c := p.dial()
+		if got := send(c, searchRequest("quick", 2000, searchBody(0, 1))); got.err == nil && got.status == 200 {
+			l.Lock()
+			l.answered = append(l.answered, time.Now())
+			l.Unlock()
+		}
+		c.Close()
+		time.Sleep(2 * time.Millisecond)
+	}
+}
+
+// end stops the load and waits for its last answers.
+func (l *searchLoad) end() {
+	close(l.stop)
+	l.clients.Wait()
+}
+
+// answeredBefore counts the answers before a time.
+func (l *searchLoad) answeredBefore(at time.Time) (count int64) {
+	for _, answeredAt := range l.answered {
+		if answeredAt.Before(at) {
+			count++
+		}
+	}
+	return count
+}
+
+// ledgerFixture is what outlives the kills: the ledger, its export, and the program's surroundings.
+type ledgerFixture struct {
+	directory, exportDirectory, operatorFile string
+	known                                    string
+	discovery                                *fakeDiscovery
+}
+
+func newLedgerFixture(t *testing.T) *ledgerFixture {
+	t.Helper()
+	f := &ledgerFixture{
+		directory:       filepath.Join(t.TempDir(), "ledger"),
+		operatorFile:    filepath.Join(t.TempDir(), "operator.json"),
+		exportDirectory: filepath.Join(t.TempDir(), "export"),
+	}
+	text := fmt.Appendf(nil, ledgerText, f.directory, f.exportDirectory)
+	if err := os.WriteFile(f.operatorFile, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	f.known = membershipUpdate(1, true, "ready", startServer(t), startServer(t))
+	f.discovery = startDiscovery(t, "127.0.0.1:0")
+	return f
+}
+
+func (f *ledgerFixture) start(t *testing.T) *process {
+	t.Helper()
+	return startProgram(t, "127.0.0.1:0", f.discovery.address, f.known, 256, "--operator", f.operatorFile)
+}
+
+// killUnderLoad starts the program, kills it after a time and returns the searches that its ledger
+// has, given how many it had before, and whether answered ones are missing.
+func (f *ledgerFixture) killUnderLoad(t *testing.T, round int, before int64, runFor time.Duration) (after int64, lost bool) {
+	t.Helper()
+	p := f.start(t)
+	load := startLoad(p)
+	time.Sleep(runFor)
+	load.end() // no new ones: their connections would be refused
+	killedAt := time.Now()
+	p.cmd.Process.Signal(syscall.SIGKILL)
+	p.cmd.Process.Wait()
+	durable := load.answeredBefore(killedAt.Add(-store.DurabilityWindow - *slack))
+	use := recordedUse(t, f.directory)
+	recorded := use[ledger.Searches] - before
+	if recorded < durable || recorded > load.asked {
+		t.Fatalf("kill %d: %d searches recorded, %d of them older than the window, %d asked", round, recorded, durable, load.asked)
+	}
+	if use[ledger.FirstAttempts] != 2*use[ledger.Searches] || use[ledger.ShardRequests] != 2*use[ledger.Searches] {
+		t.Fatalf("kill %d: %v", round, use)
+	}
+	return use[ledger.Searches], recorded < int64(len(load.answered))
+}
+
+// TestALedgerThroughKills: a kill loses nothing older than the durability window, an ordinary end
+// nothing at all, and each entry leaves once.
 func TestALedgerThroughKills(t *testing.T) {
-	directory := filepath.Join(t.TempDir(), "ledger")
-	file := filepath.Join(t.TempDir(), "operator.json")
-	exportDirectory := filepath.Join(t.TempDir(), "export")
-	os.WriteFile(file, fmt.Appendf(nil, ledgerText, directory, exportDirectory), 0o600)
-	first, second := startServer(t), startServer(t)
-	discovery := startDiscovery(t, "127.0.0.1:0")
-	rng := rand.New(rand.NewPCG(7, 7))
+	f := newLedgerFixture(t)
+	random := rand.New(rand.NewPCG(7, 7))
 	rounds := *kills
 	if testing.Short() {
 		rounds = min(rounds, 3)
 	}
-	before, lost, left := int64(0), 0, uint64(0)
+	recorded, roundsWithLoss, exported := int64(0), 0, uint64(0)
 	for round := range rounds {
-		p := startProgram(t, "127.0.0.1:0", discovery.address, membershipUpdate(1, true, "ready", first, second), 256, "--operator", file)
-		var lock sync.Mutex
-		var answered []time.Time // the test's own count
-		asked := int64(0)
-		stop := make(chan struct{})
-		var load sync.WaitGroup
-		for range 3 {
-			load.Add(1)
-			go func() {
-				defer load.Done()
-				for {
-					select {
-					case <-stop:
-						return
-					default:
-					}
-					lock.Lock()
-					asked++
-					lock.Unlock()
-					c := p.dial()
-					if got := send(c, searchRequest("quick", 2000, searchBody(0, 1))); got.err == nil && got.status == 200 {
-						lock.Lock()
-						answered = append(answered, time.Now())
-						lock.Unlock()
-					}
-					c.Close()
-					time.Sleep(2 * time.Millisecond)
-				}
-			}()
-		}
-		time.Sleep(time.Duration(500+rng.IntN(3000)) * time.Millisecond)
-		close(stop) // no new ones: their connections would be refused
-		load.Wait()
-		killed := time.Now()
-		p.cmd.Process.Signal(syscall.SIGKILL)
-		p.cmd.Process.Wait()
-		durable := int64(0)
-		for _, at := range answered {
-			if at.Before(killed.Add(-store.DurabilityWindow - *slack)) {
-				durable++
-			}
-		}
-		got := recordedUse(t, directory)
-		if n := got[ledger.Searches] - before; n < durable || n > asked {
-			t.Fatalf("kill %d: %d searches recorded, %d of them older than the window, %d asked", round, n, durable, asked)
-		} else if n < int64(len(answered)) {
-			lost++
-		}
-		if got[ledger.FirstAttempts] != 2*got[ledger.Searches] || got[ledger.ShardRequests] != 2*got[ledger.Searches] {
-			t.Fatalf("kill %d: %v", round, got)
+		runFor := time.Duration(500+random.IntN(3000)) * time.Millisecond
+		var lost bool
+		if recorded, lost = f.killUnderLoad(t, round, recorded, runFor); lost {
+			roundsWithLoss++
 		}
-		before = got[ledger.Searches]
-		left = verifyExport(t, directory, exportDirectory)
+		exported = verifyExport(t, f.directory, f.exportDirectory)
 	}
-	t.Logf("%d kills, %d searches, %d entries have left; %d kills lost some within the window", rounds, before, left, lost)
-	if before == 0 || left == 0 {
+	t.Logf("%d kills, %d searches, %d entries have left; %d kills lost some within the window",
+		rounds, recorded, exported, roundsWithLoss)
+	if recorded == 0 || exported == 0 {
 		t.Error("nothing was recorded")
 	}
-	// An ordinary end loses nothing.
-	p := startProgram(t, "127.0.0.1:0", discovery.address, membershipUpdate(1, true, "ready", first, second), 256, "--operator", file)
+	p := f.start(t)
 	for range 10 {
 		p.expect(200, p.exchange(searchRequest("quick", 2000, searchBody(0, 1))))
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Wait()
-	if n := recordedUse(t, directory)[ledger.Searches] - before; n != 10 || !strings.Contains(p.log.String(), "ledger is closed") {
+	if n := recordedUse(t, f.directory)[ledger.Searches] - recorded; n != 10 || !strings.Contains(p.log.String(), "ledger is closed") {
 		t.Errorf("%d of 10 after an ordinary end", n)
 	}
 }
--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -1,9 +1,10 @@
-// Command kestrelspread is one broker with all its fronts. Without arguments it is what kestrellean is; the operator's
-// file switches on the rest. See README.md.
+// Command kestrelspread is one aggregator with all its fronts. Without arguments it is what
+// kestrellean is; the operator's file switches on the rest. See README.md.
 package main
 
 import (
 	"fmt"
+	"io"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -13,49 +14,64 @@
 )
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "kestrelspread:", err)
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
-	var file string
-	root := &cobra.Command{Use: "kestrelspread", Short: "One broker: searches in, their parts out to the servers that suit",
-		SilenceErrors: true, SilenceUsage: true, Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			if file == "" {
-				return server.Run(os.Stderr)
-			}
-			return server.Run(os.Stderr, full.Attach(file))
-		}}
-	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's own file; its form is deploy/operator.schema.json")
-	root.AddCommand(&cobra.Command{Use: "check", Short: "Say what is wrong with an operator's file, and exit with 1 if anything is",
-		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, err := server.Settings()
-			if err != nil {
-				return fmt.Errorf("the broker's settings are needed for the check: %w", err)
-			}
-			s, err := full.Read(file, set)
-			if err != nil {
-				return err
-			}
-			if s.GRPC != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "grpc: on, listening on %v, %d routes\n", s.GRPC.Listen, s.GRPC.Rules.Routes.Len())
-			} else {
-				fmt.Fprintln(cmd.OutOrStdout(), "grpc: off")
-			}
-			if s.Order != nil {
-				fmt.Fprintln(cmd.OutOrStdout(), "order: refused first, where not all can be taken")
-				for i, line := range s.Order.Describe(full.Names(set)) {
-					fmt.Fprintf(cmd.OutOrStdout(), "  %d. %s\n", i+1, line)
-				}
-			}
-			if s.Ledger != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "ledger: on, in %s\n", s.Ledger.Folder)
-			}
-			return nil
-		}})
+func rootCommand() *cobra.Command {
+	var operatorFile string
+	root := &cobra.Command{
+		Use:           "kestrelspread",
+		Short:         "One broker: searches in, their parts out to the servers that suit",
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		Args:          cobra.NoArgs,
+		RunE:          func(*cobra.Command, []string) error { return serve(operatorFile) },
+	}
+	root.PersistentFlags().StringVar(&operatorFile, "operator", "",
+		"the operator's own file; its form is deploy/operator.schema.json")
+	root.AddCommand(&cobra.Command{
+		Use:   "check",
+		Short: "Say what is wrong with an operator's file, and exit with 1 if anything is",
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return check(cmd.OutOrStdout(), operatorFile) },
+	})
 	return root
 }
+
+// serve runs the aggregator until it is stopped; without an operator's file with HTTP alone.
+func serve(operatorFile string) error {
+	if operatorFile == "" {
+		return server.Run(os.Stderr)
+	}
+	return server.Run(os.Stderr, full.Attach(operatorFile))
+}
+
+// check reads an operator's file as serve would, and describes what it switches on.
+func check(out io.Writer, operatorFile string) error {
+	settings, err := server.Settings()
+	if err != nil {
+		return fmt.Errorf("the broker's settings are needed for the check: %w", err)
+	}
+	operator, err := full.Read(operatorFile, settings)
+	if err != nil {
+		return err
+	}
+	if operator.GRPC != nil {
+		fmt.Fprintf(out, "grpc: on, listening on %v, %d routes\n", operator.GRPC.Listen, operator.GRPC.Rules.Routes.Len())
+	} else {
+		fmt.Fprintln(out, "grpc: off")
+	}
+	if operator.Order != nil {
+		fmt.Fprintln(out, "order: refused first, where not all can be taken")
+		for i, line := range operator.Order.Describe(full.Names(settings)) {
+			fmt.Fprintf(out, "  %d. %s\n", i+1, line)
+		}
+	}
+	if operator.Ledger != nil {
+		fmt.Fprintf(out, "ledger: on, in %s\n", operator.Ledger.Folder)
+	}
+	return nil
+}
