--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -60,18 +60,18 @@
 		return err
 	}
 	if operator.GRPC != nil {
-		fmt.Fprintf(out, "grpc: on, listening on %v, %d routes\n", operator.GRPC.Listen, operator.GRPC.Rules.Routes.Len())
+		fmt.Fprintf(out, "grpc: on, listening on %v, %d routes\n", operator.GRPC.Listen, operator.GRPC.ProxySettings.Routes.Len())
 	} else {
 		fmt.Fprintln(out, "grpc: off")
 	}
-	if operator.Order != nil {
+	if operator.SheddingWeights != nil {
 		fmt.Fprintln(out, "order: refused first, where not all can be taken")
-		for i, line := range operator.Order.Describe(full.Names(settings)) {
+		for i, line := range operator.SheddingWeights.Describe(full.Names(settings)) {
 			fmt.Fprintf(out, "  %d. %s\n", i+1, line)
 		}
 	}
 	if operator.Ledger != nil {
-		fmt.Fprintf(out, "ledger: on, in %s\n", operator.Ledger.Folder)
+		fmt.Fprintf(out, "ledger: on, in %s\n", operator.Ledger.Directory)
 	}
 	return nil
 }
