--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -46,7 +46,7 @@
 	if operatorFile == "" {
 		return server.Run(os.Stderr)
 	}
-	return server.Run(os.Stderr, full.Attach(operatorFile))
+	return server.Run(os.Stderr, full.Extension(operatorFile))
 }
 
 // check reads an operator's file as serve would, and describes what it switches on.
--- a/internal/grpcproxy/clientconn.go
+++ b/internal/grpcproxy/clientconn.go
@@ -30,14 +30,14 @@
 }
 
 var (
-	_ engine.Party = (*clientConn)(nil)
-	_ h2.Handler   = (*clientConn)(nil)
+	_ engine.ConnHandler = (*clientConn)(nil)
+	_ h2.Handler         = (*clientConn)(nil)
 )
 
-// Opened implements engine.Party.
+// Opened implements engine.ConnHandler.
 func (c *clientConn) Opened() {}
 
-// Bytes implements engine.Party: bytes have come.
+// Bytes implements engine.ConnHandler: bytes have come.
 func (c *clientConn) Bytes(b []byte, arrivedAt float64) {
 	if c.closed {
 		return
@@ -49,7 +49,7 @@
 	wasIncomplete := c.http2.Incomplete()
 	if err := c.http2.Feed(b, arrivedAt); err != nil {
 		c.proxy.Counters.ProtocolErrors++
-		c.proxy.router.Note("bad gRPC client", "%v", err)
+		c.proxy.router.Warn("bad gRPC client", "%v", err)
 		c.closeAfterGoAway()
 		return
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// Written implements engine.Party: the network has taken bytes.
+// Written implements engine.ConnHandler: the network has taken bytes.
 func (c *clientConn) Written(sentBytes int64) {
 	c.sentBytes, c.lastSentAt = sentBytes, c.proxy.router.Now()
 	if c.http2.HasPendingOutput() {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Closed implements engine.Party: the connection is gone.
+// Closed implements engine.ConnHandler: the connection is gone.
 func (c *clientConn) Closed(int64) { c.teardown() }
 
 // teardown ends the calls and forgets the connection.
@@ -99,7 +99,7 @@
 	c.closed = true
 	c.cancelCalls()
 	delete(c.proxy.clientConns, c)
-	c.proxy.router.Forgo(c.timer)
+	c.proxy.router.CancelTimer(c.timer)
 }
 
 // abort closes the connection at once.
@@ -108,7 +108,7 @@
 		return
 	}
 	c.teardown()
-	c.proxy.router.Hang(c.conn)
+	c.proxy.router.CloseConn(c.conn)
 }
 
 // flush writes what streams have, as far as the client reads, and closes a connection that has ended.
@@ -145,15 +145,15 @@
 		c.lastSentAt = c.proxy.router.Now()
 	}
 	c.queuedBytes += int64(len(output))
-	c.proxy.router.Put(c.conn, output)
+	c.proxy.router.WriteConn(c.conn, output)
 }
 
 // closeGracefully closes the connection once all that was written has arrived.
 func (c *clientConn) closeGracefully() {
 	c.teardown()
 	c.proxy.closingConns++
-	c.proxy.router.Seat(c.conn, (*closingConn)(c))
-	c.proxy.router.FinishParty(c.conn)
+	c.proxy.router.SetHandler(c.conn, (*closingConn)(c))
+	c.proxy.router.FinishConn(c.conn)
 	// A rejected client may go on sending at full speed for long. It isn't read any more, so that it
 	// stalls until it closes, or its time is up.
 	c.proxy.router.Reading(c.conn, false)
@@ -164,20 +164,20 @@
 // closingConn is a client connection that only waits for the client to close it.
 type closingConn clientConn
 
-// Opened implements engine.Party.
+// Opened implements engine.ConnHandler.
 func (c *closingConn) Opened() {}
 
-// Bytes implements engine.Party.
+// Bytes implements engine.ConnHandler.
 func (c *closingConn) Bytes([]byte, float64) {}
 
-// Written implements engine.Party.
+// Written implements engine.ConnHandler.
 func (c *closingConn) Written(int64) {}
 
-// Closed implements engine.Party: the connection is gone.
+// Closed implements engine.ConnHandler: the connection is gone.
 func (c *closingConn) Closed(int64) {
 	c.closed = true
 	c.proxy.closingConns--
-	c.proxy.router.Forgo(c.timer)
+	c.proxy.router.CancelTimer(c.timer)
 }
 
 // abort closes the connection at once.
@@ -187,7 +187,7 @@
 	}
 	c.closed = true
 	c.proxy.closingConns--
-	c.proxy.router.Hang(c.conn)
+	c.proxy.router.CloseConn(c.conn)
 }
 
 // nextTimeout returns when the connection will have been idle or at fault for too long.
@@ -214,7 +214,7 @@
 	if c.closed || c.timerAt > 0 && c.timerAt <= at || math.IsInf(at, 1) {
 		return
 	}
-	c.proxy.router.Forgo(c.timer)
+	c.proxy.router.CancelTimer(c.timer)
 	c.timerAt = at
 	c.timer = c.proxy.router.After(max(at-c.proxy.router.Now(), minTimerDelay), c.timerFired)
 }
--- a/internal/grpcproxy/serverconn.go
+++ b/internal/grpcproxy/serverconn.go
@@ -28,17 +28,17 @@
 }
 
 var (
-	_ engine.Party = (*serverConn)(nil)
-	_ h2.Handler   = (*serverConn)(nil)
+	_ engine.ConnHandler = (*serverConn)(nil)
+	_ h2.Handler         = (*serverConn)(nil)
 )
 
-// Opened implements engine.Party: it is connected. The pool waits for the server's SETTINGS.
+// Opened implements engine.ConnHandler: it is connected. The pool waits for the server's SETTINGS.
 func (c *serverConn) Opened() {
 	c.connected = true
 	c.proxy.scheduleFlush(c)
 }
 
-// Bytes implements engine.Party: bytes have come.
+// Bytes implements engine.ConnHandler: bytes have come.
 func (c *serverConn) Bytes(b []byte, arrivedAt float64) {
 	if c.closed || b == nil {
 		return
@@ -46,14 +46,14 @@
 	c.proxy.pool.Received(c.proxy.router.Now(), c.poolID)
 	if err := c.http2.Feed(b, arrivedAt); err != nil && !c.closed {
 		c.proxy.Counters.ServerProtocolErrors++
-		c.proxy.router.Note("bad gRPC server", "%s: %v", c.proxy.servers[c.serverIndex].address, err)
+		c.proxy.router.Warn("bad gRPC server", "%s: %v", c.proxy.servers[c.serverIndex].address, err)
 		c.abort()
 		return
 	}
 	c.proxy.scheduleFlush(c)
 }
 
-// Written implements engine.Party: the network has taken bytes.
+// Written implements engine.ConnHandler: the network has taken bytes.
 func (c *serverConn) Written(sentBytes int64) {
 	c.sentBytes = sentBytes
 	c.sendWaiting()
@@ -62,7 +62,7 @@
 	}
 }
 
-// Closed implements engine.Party: the connection is gone.
+// Closed implements engine.ConnHandler: the connection is gone.
 func (c *serverConn) Closed(sentBytes int64) {
 	c.sentBytes = max(c.sentBytes, sentBytes)
 	c.teardown(true)
@@ -74,13 +74,13 @@
 		return
 	}
 	c.teardown(true)
-	c.proxy.router.Hang(c.conn)
+	c.proxy.router.CloseConn(c.conn)
 }
 
 // closeByPool closes a connection that the pool has removed.
 func (c *serverConn) closeByPool() {
 	c.teardown(false)
-	c.proxy.router.Hang(c.conn)
+	c.proxy.router.CloseConn(c.conn)
 }
 
 // teardown ends the attempts: one whose headers the network has taken may have been executed, the
@@ -160,8 +160,8 @@
 	// What was written before goes first, so that the offsets of the headers are known.
 	c.writeOutput()
 	a.headersStart = c.queuedBytes
-	timeout := a.sub.Until() - c.proxy.router.Now() - deadlineMargin
-	fields := grpcwire.ForwardedRequestHeaders(a.call.requestHeaders, timeout, a.sub.No())
+	timeout := a.sub.Deadline() - c.proxy.router.Now() - deadlineMargin
+	fields := grpcwire.ForwardedRequestHeaders(a.call.requestHeaders, timeout, a.sub.Number())
 	a.stream = c.http2.StartStream(fields, a, a)
 	c.writeOutput()
 	a.headersEnd = c.queuedBytes
@@ -191,7 +191,7 @@
 func (c *serverConn) writeOutput() {
 	if output := c.http2.TakeOutput(); len(output) > 0 {
 		c.queuedBytes += int64(len(output))
-		c.proxy.router.Put(c.conn, output)
+		c.proxy.router.WriteConn(c.conn, output)
 	}
 }
 
@@ -286,7 +286,7 @@
 // GoAwayReceived implements h2.Handler: streams that run go on, nothing new starts here.
 func (c *serverConn) GoAwayReceived(code h2.ErrorCode) {
 	if code != http2.ErrCodeNo {
-		c.proxy.router.Note("gRPC server leaves", "%s: %v", c.proxy.servers[c.serverIndex].address, code)
+		c.proxy.router.Warn("gRPC server leaves", "%s: %v", c.proxy.servers[c.serverIndex].address, code)
 	}
 	c.proxy.pool.GoAway(c.proxy.router.Now(), c.poolID)
 	c.finishWaiting(grpcwire.Unprocessed)
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -91,18 +91,18 @@
 	return r.periodStart
 }
 
-// Used implements engine.Meter: it takes a use. That belongs to the period in which its answer was given, which may have been a
+// Record implements engine.Meter: it takes a use. That belongs to the period in which its answer was given, which may have been a
 // while before its last sub-request ended.
-func (r *Recorder) Used(u *engine.Used) {
+func (r *Recorder) Record(u *engine.Usage) {
 	key, counts := r.keyOf(u), countsOf(u)
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	now, steadyMs := r.now()
-	answeredAt := now - int64(max(steadyMs-u.At, 0))
+	answeredAt := now - int64(max(steadyMs-u.AnsweredAt, 0))
 	r.buffer.Add(r.period(answeredAt), key, counts)
 }
 
-func (r *Recorder) keyOf(u *engine.Used) ledger.Key {
+func (r *Recorder) keyOf(u *engine.Usage) ledger.Key {
 	front := ledger.HTTP
 	if u.Front == 1 {
 		front = ledger.GRPC
@@ -115,31 +115,31 @@
 	}
 }
 
-func outcomeOf(u *engine.Used) ledger.Outcome {
+func outcomeOf(u *engine.Usage) ledger.Outcome {
 	switch {
-	case u.Left:
+	case u.ClientLeft:
 		return ledger.ClientCancelled
-	case u.How == engine.Whole:
+	case u.Result == engine.Complete:
 		return ledger.Answered
-	case u.How == engine.Partial:
+	case u.Result == engine.Partial:
 		return ledger.Partial
-	case u.How == engine.Shed:
+	case u.Result == engine.Shed:
 		return ledger.Shed
 	}
 	return ledger.Errored
 }
 
-func countsOf(u *engine.Used) ledger.Counts {
+func countsOf(u *engine.Usage) ledger.Counts {
 	return ledger.Counts{
 		ledger.Searches:      1,
-		ledger.ShardRequests: int64(u.Parts),
+		ledger.ShardRequests: int64(u.Shards),
 		ledger.FirstAttempts: int64(u.First),
-		ledger.Retries:       int64(u.Repeat),
-		ledger.Hedges:        int64(u.Copy),
-		ledger.Cancelled:     int64(u.CalledOff),
+		ledger.Retries:       int64(u.Retry),
+		ledger.Hedges:        int64(u.Hedge),
+		ledger.Cancelled:     int64(u.Cancelled),
 		ledger.WorkMicros:    ledger.Micros(u.Work),
-		ledger.BytesIn:       u.In,
-		ledger.BytesOut:      u.Out,
+		ledger.BytesIn:       u.BytesIn,
+		ledger.BytesOut:      u.BytesOut,
 		ledger.ServerMicros:  ledger.Micros(u.Server),
 	}
 }
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -52,7 +52,7 @@
 }
 
 func recordUse(r *Recorder, c *clocks, customer int) {
-	r.Used(&engine.Used{Customer: customer, How: engine.Whole, At: c.SteadyMs(), Parts: 2, First: 2, Copy: 1, In: 10, Out: 100, Work: 1.5, Server: 20})
+	r.Record(&engine.Usage{Customer: customer, Result: engine.Complete, AnsweredAt: c.SteadyMs(), Shards: 2, First: 2, Hedge: 1, BytesIn: 10, BytesOut: 100, Work: 1.5, Server: 20})
 }
 
 // No disk of the machine is part of these tests: all faults are injected.
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/rig/scenario/scenario_test.go
@@ -15,9 +15,9 @@
 // TestMain runs a broker if the test program is started as one: scenarios have several processes.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "broker" {
-		var parts []aggregator.Attach
+		var parts []aggregator.Extension
 		if len(os.Args) > 3 && os.Args[2] == "--operator" {
-			parts = append(parts, full.Attach(os.Args[3]))
+			parts = append(parts, full.Extension(os.Args[3]))
 		}
 		if err := aggregator.Run(os.Stderr, parts...); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -159,7 +159,7 @@
 		t.Error("no broker noticed")
 	}
 	quick, bulk := r.Types[0], r.Types[2]
-	if a, b := float64(quick.Shed)/float64(quick.Offered), float64(bulk.Shed)/float64(bulk.Offered); a > b+0.15 { // by how much it is less is for the virtual clock to tell (package crowd)
+	if a, b := float64(quick.Shed)/float64(quick.Offered), float64(bulk.Shed)/float64(bulk.Offered); a > b+0.15 { // by how much it is less is for the virtual clock to tell (package fleetsim)
 		t.Errorf("%.2f of the most valued are refused, %.2f of the least valued", a, b)
 	}
 }
