--- a/internal/fleet/zonefailure/fleet_test.go
+++ b/internal/fleet/zonefailure/fleet_test.go
@@ -13,7 +13,7 @@
 // fleet is three hundred brokers and two hundred servers at three sites.
 func fleet(seed uint64, detecting bool) fleetsim.Config {
 	p := fleetsim.Config{Seed: seed, Brokers: 300, Servers: 200, Sites: 3, ShardCount: 50, ReplicaCount: 4, RatePerS: 200, ShardsPerQuery: 30, TargetMs: 500, TimeoutMs: 1500,
-		ServerModel: servermodel.Kind{Slots: 2, Work: 30, CV: 0.4, Queue: 20, ColdFrom: 0.3, ColdFor: 8000, Multiple: 2.5, Over: 2000},
+		ServerModel: servermodel.Config{Slots: 2, WorkMs: 30, WorkCV: 0.4, QueueLength: 20, WarmUpShare: 0.3, WarmUpMs: 8000, OverloadFactor: 2.5, OverloadWindowMs: 2000},
 		DelayMs:     0.5, ConnectTimeoutMs: 250, MaxAttempts: 4, ClientRetries: 1, NotificationMs: 1500, DurationMs: 14000,
 		SiteLosses: []fleetsim.SiteLoss{{Site: 1, StartMs: 4000, EndMs: 9500, ReturnsWarmingUp: true}}}
 	p.NewPolicy = func(out policy.Out, seed uint64, own int) policy.Port {
@@ -29,7 +29,7 @@
 		port.Fleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
 		port.Limits(p.MaxAttempts, 300, true, true)
 		port.MaxRetryAfter(500)
-		port.WarmUp(p.ServerModel.ColdFrom, p.ServerModel.ColdFor, p.ServerModel.Multiple, p.ServerModel.Over)
+		port.WarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
 		port.Probes()
 		return port
 	}
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -25,8 +25,8 @@
 type randomRun struct {
 	*harness
 	rng          *rand.Rand
-	rules        *invariants.Book
-	attempts     map[*p.Got]*invariants.Sub
+	rules        *invariants.Checker
+	attempts     map[*p.Got]*invariants.Attempt
 	pendingCalls map[string]*p.Ask
 	reported     map[*p.Ask]bool
 	callNumber   int
@@ -78,7 +78,7 @@
 			return list
 		}
 	}
-	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.rules.Answered(id, body) }}, p.End(wait(5), 0))
+	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.rules.RecordServerAnswer(id, body) }}, p.End(wait(5), 0))
 }
 
 // actsWithoutMessages draws what a server does that sends no message, if it is one.
@@ -89,7 +89,7 @@
 	case 1:
 		refuse := p.Reset(wait(10), http2.ErrCodeRefusedStream)
 		return acts(p.Act{After: refuse.After, Do: func(s *p.Server, k *p.Got) {
-			y.attempts[k].NeverRan(y.world.Now)
+			y.attempts[k].RecordNotExecuted(y.world.Now)
 			refuse.Do(s, k)
 		}}), true
 	case 2:
@@ -138,22 +138,22 @@
 }
 
 func newRandomRun(t testing.TB, seed uint64) *randomRun {
-	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: invariants.New(), attempts: map[*p.Got]*invariants.Sub{},
+	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: invariants.New(), attempts: map[*p.Got]*invariants.Attempt{},
 		pendingCalls: map[string]*p.Ask{}, reported: map[*p.Ask]bool{}}
 	y.usage = &usageMeter{}
 	y.harness = newHarness(t, seed, 2+y.rng.IntN(4), budgetFacts)
 	y.world.R.SetMeter(y.usage)
-	y.rules.Spare, y.rules.Ratio, y.rules.Over, y.rules.Window = 12, 0.3, 4000, 400
+	y.rules.RetryBudgetBase, y.rules.RetryBudgetRatio, y.rules.RetryBudgetWindowMs, y.rules.IdempotencyWindowMs = 12, 0.3, 4000, 400
 	y.rules.Strict = true
 	y.world.Pieces = y.happens(0.5)
 	y.world.Delay = 0.1 + 2*y.rng.Float64()
-	y.rules.Slack = y.world.Delay + 1
+	y.rules.AnswerSlackMs = y.world.Delay + 1
 	for _, v := range y.servers {
 		v.Script = y.serverScript
 		v.Early = y.happens(0.3)
 		v.Limits = h2Limits([]int{1, 2, 100}[y.rng.IntN(3)])
 		v.Limits.InitialWindowSize = 1 << (8 + y.rng.IntN(9))
-		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.Sent(k.Get("x-id"), "", v.Name, y.world.Now) }
+		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.RecordAttempt(k.Get("x-id"), "", v.Name, y.world.Now) }
 	}
 	return y
 }
@@ -167,7 +167,7 @@
 		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.happens(0.2), Slow: y.happens(0.05),
 		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
 	y.pendingCalls[id] = a
-	y.rules.Asked(id, []invariants.Effect{invariants.Idempotent, invariants.NonIdempotent, invariants.Tokened}[kind], y.world.Now, y.world.Now+a.Timeout)
+	y.rules.RecordQuery(id, []invariants.Effect{invariants.Idempotent, invariants.NonIdempotent, invariants.IdempotentInWindow}[kind], y.world.Now, y.world.Now+a.Timeout)
 	if y.onCall != nil {
 		y.onCall(id, a)
 	}
@@ -182,7 +182,7 @@
 	if y.happens(0.1) {
 		y.world.After(300*y.rng.Float64(), func() {
 			if !a.Done() {
-				y.rules.Left(id)
+				y.rules.RecordAbandoned(id)
 				a.Cancel()
 			}
 		})
@@ -198,11 +198,11 @@
 		y.reported[a] = true
 		delete(y.pendingCalls, id)
 		if a.Left || a.Lost {
-			y.rules.Left(id)
+			y.rules.RecordAbandoned(id)
 			continue
 		}
 		pushback := a.Get("grpc-retry-pushback-ms")
-		y.rules.Final(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, pushback != "" && pushback[0] != '-')
+		y.rules.RecordFinalAnswer(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, pushback != "" && pushback[0] != '-')
 	}
 }
 
@@ -326,9 +326,9 @@
 	switch y.rng.IntN(4) {
 	case 0: // drained for a while
 		y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "draining"; return list })
-		y.rules.Told(v.Name, true, y.world.Now+y.world.Delay)
+		y.rules.RecordDrain(v.Name, true, y.world.Now+y.world.Delay)
 		y.world.After(700+1500*y.rng.Float64(), func() {
-			y.rules.Told(v.Name, false, y.world.Now)
+			y.rules.RecordDrain(v.Name, false, y.world.Now)
 			y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "ready"; return list })
 		})
 	case 1: // restarts
--- a/internal/rig/load.go
+++ b/internal/rig/load.go
@@ -79,7 +79,7 @@
 	GRPC        *Tally
 	cluster     *Cluster
 	mutex       sync.Mutex
-	invariants  *invariants.Book
+	invariants  *invariants.Checker
 	startedAt   time.Time
 	client      *http.Client
 	conns       []*grpc.ClientConn
@@ -106,7 +106,7 @@
 	l := &Load{Broker: b, HTTP: newTally(), GRPC: newTally(), cluster: c, invariants: invariants.New(), startedAt: time.Now(),
 		idPrefix: fmt.Sprint("l", b.PID, "-"),
 		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 5 * time.Second}}}
-	l.invariants.Slack = 100 // for the scheduling of this process, which the broker can't help
+	l.invariants.AnswerSlackMs = 100 // for the scheduling of this process, which the broker can't help
 	if b.GRPCAddress != "" {
 		var err error
 		if l.conns, err = DialGRPC(b.GRPCAddress, 4); err != nil {
@@ -124,7 +124,7 @@
 			for _, l := range loads {
 				if strings.HasPrefix(id, l.idPrefix) {
 					l.mutex.Lock()
-					l.invariants.Sent(id, part, s.ID, l.now())
+					l.invariants.RecordAttempt(id, part, s.ID, l.now())
 					l.mutex.Unlock()
 					return func(string) {}
 				}
@@ -146,7 +146,7 @@
 	if once {
 		effect = invariants.NonIdempotent
 	}
-	l.invariants.Asked(id, effect, l.now(), until)
+	l.invariants.RecordQuery(id, effect, l.now(), until)
 }
 
 // recordAnswer records the end of a search.
@@ -154,9 +154,9 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if complete {
-		l.invariants.Answered(id, []byte(expected))
+		l.invariants.RecordServerAnswer(id, []byte(expected))
 	}
-	l.invariants.Final(id, l.now(), complete, []byte(received), wasShed)
+	l.invariants.RecordFinalAnswer(id, l.now(), complete, []byte(received), wasShed)
 }
 
 // Violations lists the violations of invariants so far.
--- a/internal/rig/scenario/bound.go
+++ b/internal/rig/scenario/bound.go
@@ -51,7 +51,7 @@
 		state.ArrivalShare[i] = *s.Load / load
 	}
 	for i, s := range run.servers {
-		capacity, unresponsive := s.model.Could(momentMs)
+		capacity, unresponsive := s.model.CapacityAt(momentMs)
 		if unresponsive {
 			capacity = 0
 		}
--- a/internal/rig/scenario/broker.go
+++ b/internal/rig/scenario/broker.go
@@ -55,8 +55,8 @@
 		sites = append(sites, s.Name)
 	}
 	safety := m{"drain-grace-ms": 500, "answer-slack-ms": 20}
-	if k := run.ServerModel(); k.ColdFor > 0 {
-		safety["cold-from"], safety["cold-ms"], safety["tip-multiple"], safety["tip-after-ms"] = k.ColdFrom, k.ColdFor, k.Multiple, k.Over
+	if k := run.ServerModel(); k.WarmUpMs > 0 {
+		safety["cold-from"], safety["cold-ms"], safety["tip-multiple"], safety["tip-after-ms"] = k.WarmUpShare, k.WarmUpMs, k.OverloadFactor, k.OverloadWindowMs
 	}
 	settings := m{"balancers": len(run.brokers), "zone": b.site, "localities": sites, "classes": classes, "discovery": "push",
 		"family-info": m{"places": run.ShardCount, "span": run.ReplicaCount, "batch": 4, "slabs": run.ShardCount, "class-need": need, "class-floor": floor, "incomplete-worth": incompleteValue},
--- a/internal/rig/scenario/faults.go
+++ b/internal/rig/scenario/faults.go
@@ -168,7 +168,7 @@
 	for _, s := range run.servers {
 		if s.Site == at {
 			mine = append(mine, s)
-			s.model.Silent(true)
+			s.model.SetUnresponsive(true)
 			run.scheduleDiscovery(s, "gone", run.Discovery.RemovalMs)
 		}
 	}
@@ -204,8 +204,8 @@
 		run.options.Printf("%s does not rise: %v", s.Name, err)
 		return
 	}
-	s.model.Silent(false)
-	s.model.Start()
+	s.model.SetUnresponsive(false)
+	s.model.Restart()
 	run.mutex.Lock()
 	old := *s
 	s.startedAtMs = run.now()
@@ -269,17 +269,17 @@
 func (run *runner) injectServerFault(s *server, l Fault) (remove func(), err error) {
 	switch l.Action {
 	case "slow":
-		s.model.Slow(l.Factor)
-		return func() { s.model.Slow(1) }, nil
+		s.model.SetSlowdown(l.Factor)
+		return func() { s.model.SetSlowdown(1) }, nil
 	case "mute", "stop":
-		s.model.Silent(true)
-		return func() { s.model.Silent(false) }, nil
+		s.model.SetUnresponsive(true)
+		return func() { s.model.SetUnresponsive(false) }, nil
 	case "fail":
-		s.model.Failing(0.7)
-		return func() { s.model.Failing(0) }, nil
+		s.model.SetFailingShare(0.7)
+		return func() { s.model.SetFailingShare(0) }, nil
 	case "kill":
 		s.frames.Die()
-		s.model.Silent(true)
+		s.model.SetUnresponsive(true)
 		run.scheduleDiscovery(s, "gone", run.Discovery.RemovalMs)
 		return func() { run.restartServer(s, l.NewIDs) }, nil
 	}
--- a/internal/rig/scenario/frontend.go
+++ b/internal/rig/scenario/frontend.go
@@ -337,14 +337,14 @@
 	}
 	f.run.mutex.Lock()
 	defer f.run.mutex.Unlock()
-	f.run.invariants.Asked(q.id, effect, f.run.now(), q.deadlineMs)
+	f.run.invariants.RecordQuery(q.id, effect, f.run.now(), q.deadlineMs)
 }
 
 // abandon records that the client of a query no longer waits for an answer.
 func (run *runner) abandon(id string) {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
-	run.invariants.Left(id)
+	run.invariants.RecordAbandoned(id)
 }
 
 // recordAnswer records a final answer with the invariants.
@@ -356,11 +356,11 @@
 	case http.StatusOK:
 		return run.recordResult(q, text), 0
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		run.invariants.Final(q.id, run.now(), false, nil, true)
+		run.invariants.RecordFinalAnswer(q.id, run.now(), false, nil, true)
 		backoffS, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 		return shed, backoffS * 1000
 	default:
-		run.invariants.Final(q.id, run.now(), false, nil, false)
+		run.invariants.RecordFinalAnswer(q.id, run.now(), false, nil, false)
 		return failed, 0
 	}
 }
@@ -379,18 +379,18 @@
 	for _, match := range result.Matches {
 		part := fmt.Sprintf("%d=%s ", match.Segment, match.Payload)
 		if !strings.Contains(q.expected, part) {
-			run.invariants.Wrong("rule 1: %s has a value that no server made: %q", q.id, part)
+			run.invariants.Report("rule 1: %s has a value that no server made: %q", q.id, part)
 		}
 		received += part
 	}
 	if result.AllIn {
-		run.invariants.Answered(q.id, []byte(q.expected))
+		run.invariants.RecordServerAnswer(q.id, []byte(q.expected))
 	}
 	t := run.Types[q.kind]
 	if share := float64(len(result.Matches)) / float64(t.ShardsPerQuery); share < *t.MinCompleteness-1e-9 {
-		run.invariants.Wrong("rule 5: %s is answered with %.2f of it, under the floor", q.id, share)
+		run.invariants.Report("rule 5: %s is answered with %.2f of it, under the floor", q.id, share)
 	}
-	run.invariants.Final(q.id, run.now(), result.AllIn, []byte(received), false)
+	run.invariants.RecordFinalAnswer(q.id, run.now(), result.AllIn, []byte(received), false)
 	if result.AllIn {
 		return answered
 	}
--- a/internal/rig/scenario/layout.go
+++ b/internal/rig/scenario/layout.go
@@ -7,10 +7,10 @@
 )
 
 // ServerModel is the model of the file's servers.
-func (f *File) ServerModel() servermodel.Kind {
-	k := servermodel.Kind{Slots: f.Servers.Slots, Work: f.Servers.WorkMs, CV: f.Servers.WorkCV, Queue: f.Servers.QueueLength}
+func (f *File) ServerModel() servermodel.Config {
+	k := servermodel.Config{Slots: f.Servers.Slots, WorkMs: f.Servers.WorkMs, WorkCV: f.Servers.WorkCV, QueueLength: f.Servers.QueueLength}
 	if c := f.Servers.WarmUp; c != nil {
-		k.ColdFrom, k.ColdFor, k.Multiple, k.Over = c.CapacityShare, c.DurationMs, c.TipMultiple, c.TipAfterMs
+		k.WarmUpShare, k.WarmUpMs, k.OverloadFactor, k.OverloadWindowMs = c.CapacityShare, c.DurationMs, c.TipMultiple, c.TipAfterMs
 	}
 	return k
 }
--- a/internal/rig/scenario/runner.go
+++ b/internal/rig/scenario/runner.go
@@ -35,7 +35,7 @@
 	brokers         []*brokerProcess
 	fronts          []*frontEnd
 	mutex           sync.Mutex
-	invariants      *invariants.Book
+	invariants      *invariants.Checker
 	counts          *counts
 	loadFactor      float64 // multiplies the load
 	activeFaults    map[string]func()
@@ -61,7 +61,7 @@
 type server struct {
 	Server
 	id                  string
-	model               *servermodel.Station
+	model               *servermodel.Server
 	frames              *sockets.Frames
 	links               []*links.Link // by broker
 	lifecycle           string
@@ -83,7 +83,7 @@
 		activeFaults: map[string]func(){}, random: rand.New(rand.NewPCG(f.Seed, runnerStream)),
 		frozenServers: map[string]bool{}, discoveryLagMs: map[string]float64{},
 	}
-	run.invariants.Slack = f.answerSlackMs // for the scheduling of this process and the links, which brokers can't help
+	run.invariants.AnswerSlackMs = f.answerSlackMs // for the scheduling of this process and the links, which brokers can't help
 	run.network.Base = links.BySite(f.Links.Within, f.Links.Between)
 	for range f.Sites {
 		run.siteLostSinceMs = append(run.siteLostSinceMs, math.Inf(-1))
@@ -181,13 +181,13 @@
 		return nil, err
 	}
 	s := &server{Server: layout, id: layout.Name, frames: frames, lifecycle: "ready", model: run.newServerModel(index)}
-	frames.Work = s.model.Work
+	frames.Work = s.model.Serve
 	frames.Seen = func(id string) func(how string) { return run.recordRequest(s, id) }
 	return s, nil
 }
 
 // newServerModel is the model of a server that starts now.
-func (run *runner) newServerModel(index int) *servermodel.Station {
+func (run *runner) newServerModel(index int) *servermodel.Server {
 	return servermodel.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(index))
 }
 
@@ -199,11 +199,11 @@
 	if run.counts == nil { // of a readiness check, before the load
 		return nil
 	}
-	sent := run.invariants.Sent(search, part, s.Name, run.now())
+	sent := run.invariants.RecordAttempt(search, part, s.Name, run.now())
 	return func(how string) {
 		if how == "REJECTED" { // the queue was full: the request never started, and may go to another server
 			run.mutex.Lock()
-			sent.Never, sent.NeverAt = true, run.now()
+			sent.NotExecuted, sent.NotExecutedAtMs = true, run.now()
 			run.mutex.Unlock()
 		}
 	}
@@ -322,7 +322,7 @@
 	run.counts = newCounts(run.File)
 	for i, s := range run.servers {
 		s.model = run.newServerModel(i)
-		s.frames.Work = s.model.Work
+		s.frames.Work = s.model.Serve
 	}
 }
 
@@ -384,7 +384,7 @@
 		p.Sites = append(p.Sites, s.Name)
 	}
 	for _, s := range f.ServerLayout() {
-		p.Servers = append(p.Servers, lossplan.Server{Site: s.Site, Cell: s.Cell, CapacityPerS: f.ServerModel().Bears()})
+		p.Servers = append(p.Servers, lossplan.Server{Site: s.Site, Cell: s.Cell, CapacityPerS: f.ServerModel().CapacityPerS()})
 	}
 	for _, t := range f.Types {
 		p.Loads = append(p.Loads, lossplan.Load{Name: t.Name, SearchesPerS: t.RatePerS, ShardsPerSearch: t.ShardsPerQuery, Value: t.Value, MinAnsweredShare: *t.MinCompleteness})
--- a/internal/rig/scenario/summary.go
+++ b/internal/rig/scenario/summary.go
@@ -50,16 +50,16 @@
 	for _, s := range run.servers {
 		report := ServerReport{Name: s.Name, Site: run.Sites[s.Site].Name}
 		var bySecond []float64
-		for _, second := range s.model.Book() {
-			report.Received += second.Came
-			report.Rejected += second.Turned
-			load := float64(second.Came) / math.Max(second.Bears, minDivisor)
+		for _, second := range s.model.Seconds() {
+			report.Received += second.Received
+			report.Rejected += second.Rejected
+			load := float64(second.Received) / math.Max(second.Capacity, minDivisor)
 			bySecond = append(bySecond, load)
 			report.MaxLoad = max(report.MaxLoad, load)
 		}
 		loads = append(loads, bySecond)
 		r.Servers = append(r.Servers, report)
-		_, warmUpLoad := s.model.Fell()
+		_, warmUpLoad := s.model.WarmUpOverloads()
 		r.MaxWarmUpLoad = max(r.MaxWarmUpLoad, warmUpLoad)
 	}
 	return loads
--- a/internal/standin/fleetsim/config.go
+++ b/internal/standin/fleetsim/config.go
@@ -11,7 +11,7 @@
 	Brokers, Servers         int
 	Sites                    int // brokers and servers are assigned to them in turn
 	ShardCount, ReplicaCount int
-	ServerModel              servermodel.Kind
+	ServerModel              servermodel.Config
 	RatePerS                 float64 // of queries, at all brokers together
 	ShardsPerQuery           int
 	TargetMs, TimeoutMs      float64
--- a/internal/standin/fleetsim/fleetsim_test.go
+++ b/internal/standin/fleetsim/fleetsim_test.go
@@ -13,7 +13,7 @@
 // defaultConfig is 300 brokers in front of 200 servers at two sites, each of which has two replicas of every shard.
 func defaultConfig() Config {
 	p := Config{Seed: 1, Brokers: 300, Servers: 200, Sites: 2, ShardCount: 50, ReplicaCount: 4, RatePerS: 200, ShardsPerQuery: 35, TargetMs: 500, TimeoutMs: 1500,
-		ServerModel: servermodel.Kind{Slots: 2, Work: 25, CV: 0.4, Queue: 24, ColdFrom: 0.4, ColdFor: 12000, Multiple: 2.5, Over: 2000},
+		ServerModel: servermodel.Config{Slots: 2, WorkMs: 25, WorkCV: 0.4, QueueLength: 24, WarmUpShare: 0.4, WarmUpMs: 12000, OverloadFactor: 2.5, OverloadWindowMs: 2000},
 		DelayMs:     0.5, ConnectTimeoutMs: 250, MaxAttempts: 4, ClientRetries: 1, NotificationMs: 1500, DurationMs: 16000}
 	p.NewPolicy = func(out policy.Out, seed uint64, own int) policy.Port {
 		port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port { return policy.New(out, seed, p.Brokers, own) })
@@ -22,7 +22,7 @@
 		port.Fleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
 		port.Limits(p.MaxAttempts, 216, true, true)
 		port.MaxRetryAfter(500)
-		port.WarmUp(p.ServerModel.ColdFrom, p.ServerModel.ColdFor, p.ServerModel.Multiple, p.ServerModel.Over)
+		port.WarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
 		port.Probes()
 		return port
 	}
@@ -104,7 +104,7 @@
 
 // servableShare is the share of the queries that the survivors have capacity for.
 func (p Config) servableShare() float64 {
-	return min(1, p.ServerModel.Bears()*float64(p.Servers)/float64(p.Sites)/(p.RatePerS*float64(p.ShardsPerQuery)))
+	return min(1, p.ServerModel.CapacityPerS()*float64(p.Servers)/float64(p.Sites)/(p.RatePerS*float64(p.ShardsPerQuery)))
 }
 
 // Overloaded survivors serve nearly their capacity. When all are slow, the server predicted to be fast is one that had no load for a
@@ -143,7 +143,7 @@
 		port.Fleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
 		port.Limits(p.MaxAttempts, 216, true, true)
 		port.MaxRetryAfter(500)
-		port.WarmUp(p.ServerModel.ColdFrom, p.ServerModel.ColdFor, p.ServerModel.Multiple, p.ServerModel.Over)
+		port.WarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
 		port.Probes()
 		shedding.NewWeights([]float64{1, 1, 1}, 2, order).Apply(port)
 		return port
--- a/internal/standin/fleetsim/server.go
+++ b/internal/standin/fleetsim/server.go
@@ -44,7 +44,7 @@
 	case s.failing:
 		sim.result.FailedAttempts++
 		sim.after(sim.DelayMs, func() { b.endAttempt(a, policy.Errored) })
-	case len(s.waiting) >= sim.ServerModel.Queue:
+	case len(s.waiting) >= sim.ServerModel.QueueLength:
 		sim.after(sim.DelayMs, func() { b.endAttempt(a, policy.Rejected) })
 	default:
 		s.process(sim, a, func() {
@@ -62,19 +62,19 @@
 func (s *server) recordAttempt(sim *simulation) {
 	model := sim.ServerModel
 	age := sim.now - s.startedAtMs
-	if age >= model.ColdFor {
+	if age >= model.WarmUpMs {
 		second := -int(sim.now / 1000) // negative: apart from the tenths of seconds of a slow start
 		s.received[second]++
-		sim.result.MaxWarmLoad = max(sim.result.MaxWarmLoad, float64(s.received[second])/model.Bears())
+		sim.result.MaxWarmLoad = max(sim.result.MaxWarmLoad, float64(s.received[second])/model.CapacityPerS())
 		return
 	}
 	s.recentAttempts = append(s.recentAttempts, sim.now)
-	for len(s.recentAttempts) > 0 && s.recentAttempts[0] < sim.now-model.Over {
+	for len(s.recentAttempts) > 0 && s.recentAttempts[0] < sim.now-model.OverloadWindowMs {
 		s.recentAttempts = s.recentAttempts[1:]
 	}
-	capacity := model.Bears() / 1000 * model.Over * model.Share(age-model.Over/2)
-	load := float64(len(s.recentAttempts)) / (model.Multiple * capacity)
-	if sim.now > s.announcedAtMs+model.Over {
+	capacity := model.CapacityPerS() / 1000 * model.OverloadWindowMs * model.WarmShare(age-model.OverloadWindowMs/2)
+	load := float64(len(s.recentAttempts)) / (model.OverloadFactor * capacity)
+	if sim.now > s.announcedAtMs+model.OverloadWindowMs {
 		sim.result.MaxWarmUpLoad = max(sim.result.MaxWarmUpLoad, load)
 	} else {
 		sim.result.MaxUnannouncedLoad = max(sim.result.MaxUnannouncedLoad, load)
@@ -116,6 +116,6 @@
 // drawServiceMs draws a log-normal service time, which is longer in slow start.
 func (s *server) drawServiceMs(sim *simulation) float64 {
 	model := sim.ServerModel
-	sigma := math.Sqrt(math.Log(1 + model.CV*model.CV))
-	return model.Work * math.Exp(sigma*sim.random.NormFloat64()-sigma*sigma/2) / model.Share(sim.now-s.startedAtMs)
+	sigma := math.Sqrt(math.Log(1 + model.WorkCV*model.WorkCV))
+	return model.WorkMs * math.Exp(sigma*sim.random.NormFloat64()-sigma*sigma/2) / model.WarmShare(sim.now-s.startedAtMs)
 }
--- a/internal/standin/invariants/invariants.go
+++ b/internal/standin/invariants/invariants.go
@@ -1,5 +1,5 @@
-// Package rules checks a broker's six rules from outside: from what clients asked and heard, and from what servers were
-// sent and did. It knows nothing of the broker's inside, and its findings name the search and the time.
+// Package invariants checks the six rules of a broker from outside: from what clients sent and received, and from what servers received
+// and did. It knows nothing of the broker's internals. Its reports name the query and the time, in ms of one clock.
 package invariants
 
 import (
@@ -9,202 +9,220 @@
 	"sort"
 )
 
-// Effect is what a second run would do.
+// Effect is the effect of a second run.
 type Effect uint8
 
-// The effects that a second run of a sub-request may have.
+// The effects of a second run of a shard request.
 const (
 	Idempotent Effect = iota
-	Tokened
+	IdempotentInWindow
 	NonIdempotent
 )
 
-// Book is what happened. Times are milliseconds of one clock.
-type Book struct {
-	Slack      float64 // that a final answer may be late, for the way to the client
-	DrainAfter float64 // that a server may still be sent to after it was told to drain
-	Spare      float64 // the budget of further sub-requests: so many,
-	Ratio      float64 // and so many for each search and part
-	Over       float64 // over any such time; 0: no budget
-	ColdMost   int     // sub-requests that a cold server bears in ColdOver ms; 0: not checked
-	ColdOver   float64
-	Window     float64 // of a token
-	Strict     bool    // nothing of a search arrives after its time: not where the network holds things up
-
-	asks    map[string]*ask
-	order   []string
-	drained map[string]float64 // by server, when told
-	cold    map[string][2]float64
-	colds   map[string][]float64
-	further []float64
-	taken   []float64
-	found   []string
+// Checker records what happened, and checks it. It is not safe for concurrent use.
+type Checker struct {
+	AnswerSlackMs       float64 // by which a final answer may be late, for its transit
+	DrainGraceMs        float64 // in which a server may still receive attempts after the notification of its drain
+	RetryBudgetBase     float64 // retries within the window,
+	RetryBudgetRatio    float64 // and retries for each query and shard request
+	RetryBudgetWindowMs float64 // 0: no budget
+	MaxWarmUpRequests   int     // of a server in slow start, within the window; 0: not checked
+	WarmUpWindowMs      float64
+	IdempotencyWindowMs float64 // of IdempotentInWindow
+	Strict              bool    // no attempt arrives after the end of its query: only without network faults
+
+	queries        map[string]*query
+	queryIDs       []string
+	drainedAtMs    map[string]float64 // by server
+	warmUps        map[string][2]float64
+	warmUpRequests map[string][]float64
+	retriedAtMs    []float64
+	receivedAtMs   []float64
+	violations     []string
 }
 
-type ask struct {
-	id      string
-	effect  Effect
-	at      float64
-	until   float64
-	finals  int
-	left    bool
-	subs    []*Sub
-	answers [][]byte
+// query is a query of a client.
+type query struct {
+	id           string
+	effect       Effect
+	deadlineMs   float64
+	finalAnswers int
+	abandoned    bool
+	attempts     []*Attempt
+	answers      [][]byte
 }
 
-// Sub is one sub-request as its server saw it.
-type Sub struct {
-	Part    string
-	Server  string
-	At      float64
-	Never   bool // it proved to its broker that it has not run
-	NeverAt float64
+// Attempt is one attempt as its server received it.
+type Attempt struct {
+	Shard           string
+	Server          string
+	ReceivedAtMs    float64
+	NotExecuted     bool // the server proved to the broker that it has not run
+	NotExecutedAtMs float64
 }
 
-// New makes an empty book.
-func New() *Book {
-	return &Book{Slack: 5, DrainAfter: 500, asks: map[string]*ask{}, drained: map[string]float64{},
-		cold: map[string][2]float64{}, colds: map[string][]float64{}}
+// New returns a checker with default slacks.
+func New() *Checker {
+	return &Checker{AnswerSlackMs: 5, DrainGraceMs: 500, queries: map[string]*query{}, drainedAtMs: map[string]float64{},
+		warmUps: map[string][2]float64{}, warmUpRequests: map[string][]float64{}}
 }
 
-func (b *Book) wrong(form string, args ...any) { b.found = append(b.found, fmt.Sprintf(form, args...)) }
+// report adds a violation.
+func (c *Checker) report(form string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(form, args...))
+}
 
-// Wrong puts down what another checker found.
-func (b *Book) Wrong(form string, args ...any) { b.wrong(form, args...) }
+// Report adds a violation that was detected elsewhere.
+func (c *Checker) Report(form string, args ...any) { c.report(form, args...) }
 
-// Asked records that a search was sent whole; its client waits until a time.
-func (b *Book) Asked(id string, effect Effect, at, until float64) {
-	if b.asks[id] != nil {
-		b.wrong("two searches %s", id)
+// RecordQuery records that a query was sent. Its client waits until the deadline.
+func (c *Checker) RecordQuery(id string, effect Effect, nowMs, deadlineMs float64) {
+	if c.queries[id] != nil {
+		c.report("two searches %s", id)
 	}
-	b.asks[id] = &ask{id: id, effect: effect, at: at, until: until}
-	b.order = append(b.order, id)
-	b.taken = append(b.taken, at)
+	c.queries[id] = &query{id: id, effect: effect, deadlineMs: deadlineMs}
+	c.queryIDs = append(c.queryIDs, id)
+	c.receivedAtMs = append(c.receivedAtMs, nowMs)
 }
 
-// Left records that a search's client waits no more.
-func (b *Book) Left(id string) { b.asks[id].left = true }
+// RecordAbandoned records that the client of a query no longer waits.
+func (c *Checker) RecordAbandoned(id string) { c.queries[id].abandoned = true }
 
-// Sent records that a server was sent a sub-request of a search's part.
-func (b *Book) Sent(id, part, server string, at float64) *Sub {
-	a := b.asks[id]
-	s := &Sub{Part: part, Server: server, At: at}
-	if a == nil {
-		b.wrong("%s was sent %s, which nobody asked for, at %.1f", server, id, at)
-		return s
+// RecordAttempt records that a server received an attempt of a query's shard request.
+func (c *Checker) RecordAttempt(id, shard, server string, nowMs float64) *Attempt {
+	q := c.queries[id]
+	attempt := &Attempt{Shard: shard, Server: server, ReceivedAtMs: nowMs}
+	if q == nil {
+		c.report("%s was sent %s, which nobody asked for, at %.1f", server, id, nowMs)
+		return attempt
+	}
+	if drainedAtMs, drains := c.drainedAtMs[server]; drains && nowMs > drainedAtMs+c.DrainGraceMs {
+		c.report("rule 3: %s was sent %s at %.1f, told to drain at %.1f", server, id, nowMs, drainedAtMs)
 	}
-	if told, drains := b.drained[server]; drains && at > told+b.DrainAfter {
-		b.wrong("rule 3: %s was sent %s at %.1f, told to drain at %.1f", server, id, at, told)
+	if c.Strict && q.finalAnswers > 0 && nowMs > q.deadlineMs {
+		c.report("%s was sent %s at %.1f, after its end", server, id, nowMs)
 	}
-	if b.Strict && a.finals > 0 && at > a.until {
-		b.wrong("%s was sent %s at %.1f, after its end", server, id, at)
+	if c.checkEarlierAttempts(q, attempt) {
+		c.retriedAtMs = append(c.retriedAtMs, nowMs)
+		c.checkRetryBudget(nowMs)
 	}
-	first := true
-	for _, o := range a.subs {
-		if o.Part != part {
+	c.checkWarmUp(server, nowMs)
+	q.attempts = append(q.attempts, attempt)
+	return attempt
+}
+
+// checkEarlierAttempts checks that no earlier attempt of the shard request may have run, unless it may run again. It reports whether
+// there was one.
+func (c *Checker) checkEarlierAttempts(q *query, attempt *Attempt) (isRetry bool) {
+	nowMs := attempt.ReceivedAtMs
+	for _, earlier := range q.attempts {
+		if earlier.Shard != attempt.Shard {
 			continue
 		}
-		first = false
-		ran := !(o.Never && o.NeverAt <= at)
-		if ran && (a.effect == NonIdempotent || a.effect == Tokened && at > o.At+b.Window) {
-			b.wrong("rule 2: %s went to %s at %.1f while one at %s may have run", id, server, at, o.Server)
+		isRetry = true
+		mayHaveRun := !(earlier.NotExecuted && earlier.NotExecutedAtMs <= nowMs)
+		expired := q.effect == IdempotentInWindow && nowMs > earlier.ReceivedAtMs+c.IdempotencyWindowMs
+		if mayHaveRun && (q.effect == NonIdempotent || expired) {
+			c.report("rule 2: %s went to %s at %.1f while one at %s may have run", q.id, attempt.Server, nowMs, earlier.Server)
 		}
 	}
-	if !first {
-		b.further = append(b.further, at)
-		b.budget(at)
+	return isRetry
+}
+
+// checkWarmUp counts an attempt at a server in slow start, and checks the number within the window.
+func (c *Checker) checkWarmUp(server string, nowMs float64) {
+	span, known := c.warmUps[server]
+	if !known || nowMs < span[0] || nowMs >= span[1] {
+		return
 	}
-	if c, cold := b.cold[server]; cold && at >= c[0] && at < c[1] {
-		list := append(b.colds[server], at)
-		for len(list) > 0 && list[0] < at-b.ColdOver {
-			list = list[1:]
-		}
-		b.colds[server] = list
-		if b.ColdMost > 0 && len(list) > b.ColdMost {
-			b.wrong("rule 4: %s, cold, was sent %d in %.0f ms at %.1f", server, len(list), b.ColdOver, at)
-		}
+	recent := append(c.warmUpRequests[server], nowMs)
+	for len(recent) > 0 && recent[0] < nowMs-c.WarmUpWindowMs {
+		recent = recent[1:]
+	}
+	c.warmUpRequests[server] = recent
+	if c.MaxWarmUpRequests > 0 && len(recent) > c.MaxWarmUpRequests {
+		c.report("rule 4: %s, cold, was sent %d in %.0f ms at %.1f", server, len(recent), c.WarmUpWindowMs, nowMs)
 	}
-	a.subs = append(a.subs, s)
-	return s
 }
 
-func (b *Book) budget(at float64) {
-	if b.Over == 0 {
+// checkRetryBudget checks the retries within the window that ends now. Each query earns for itself and for its shard request.
+func (c *Checker) checkRetryBudget(nowMs float64) {
+	if c.RetryBudgetWindowMs == 0 {
 		return
 	}
-	since := at - b.Over
-	n := len(b.further) - sort.SearchFloat64s(b.further, since)
-	earned := len(b.taken) - sort.SearchFloat64s(b.taken, since)
-	// A search and its part each earn.
-	if float64(n) > b.Spare+b.Ratio*2*float64(earned)+1e-9 {
-		b.wrong("rule 6: %d further sub-requests in %.0f ms for %d searches at %.1f", n, b.Over, earned, at)
+	sinceMs := nowMs - c.RetryBudgetWindowMs
+	retries := len(c.retriedAtMs) - sort.SearchFloat64s(c.retriedAtMs, sinceMs)
+	queries := len(c.receivedAtMs) - sort.SearchFloat64s(c.receivedAtMs, sinceMs)
+	if float64(retries) > c.RetryBudgetBase+c.RetryBudgetRatio*2*float64(queries)+1e-9 {
+		c.report("rule 6: %d further sub-requests in %.0f ms for %d searches at %.1f", retries, c.RetryBudgetWindowMs, queries, nowMs)
 	}
 }
 
-// NeverRan records that the server proved to its broker that it had not looked at the sub-request.
-func (s *Sub) NeverRan(at float64) { s.Never, s.NeverAt = true, at }
+// RecordNotExecuted records that the server proved to the broker that the attempt has not run.
+func (a *Attempt) RecordNotExecuted(nowMs float64) { a.NotExecuted, a.NotExecutedAtMs = true, nowMs }
 
-// Answered records what a server gave for a search, whole.
-func (b *Book) Answered(id string, value []byte) {
-	if a := b.asks[id]; a != nil {
-		a.answers = append(a.answers, append([]byte(nil), value...))
+// RecordServerAnswer records a complete result of a query, as servers gave it.
+func (c *Checker) RecordServerAnswer(id string, value []byte) {
+	if q := c.queries[id]; q != nil {
+		q.answers = append(q.answers, append([]byte(nil), value...))
 	}
 }
 
-// Final records the client's final answer. whole: it says that value is the whole of it. harmless: it
-// invites asking again.
-func (b *Book) Final(id string, at float64, whole bool, value []byte, harmless bool) {
-	a := b.asks[id]
-	if a == nil {
-		b.wrong("an answer to %s, which nobody asked", id)
+// RecordFinalAnswer records the client's final answer. complete: it claims that value is the complete result. shed: it invites a retry.
+func (c *Checker) RecordFinalAnswer(id string, nowMs float64, complete bool, value []byte, shed bool) {
+	q := c.queries[id]
+	if q == nil {
+		c.report("an answer to %s, which nobody asked", id)
 		return
 	}
-	if a.finals++; a.finals > 1 {
-		b.wrong("rule 1: %d final answers to %s", a.finals, id)
+	if q.finalAnswers++; q.finalAnswers > 1 {
+		c.report("rule 1: %d final answers to %s", q.finalAnswers, id)
 	}
-	if at > a.until+b.Slack {
-		b.wrong("rule 1: %s answered at %.1f, its time was up at %.1f", id, at, a.until)
+	if nowMs > q.deadlineMs+c.AnswerSlackMs {
+		c.report("rule 1: %s answered at %.1f, its time was up at %.1f", id, nowMs, q.deadlineMs)
 	}
-	if whole {
-		for _, v := range a.answers {
-			if bytes.Equal(v, value) {
+	if complete {
+		for _, answer := range q.answers {
+			if bytes.Equal(answer, value) {
 				return
 			}
 		}
-		b.wrong("rule 5: %s is said to be whole with what no server gave: %q", id, value)
+		c.report("rule 5: %s is said to be whole with what no server gave: %q", id, value)
 	}
-	if harmless && a.effect == NonIdempotent {
-		for _, s := range a.subs {
-			if !s.Never {
-				b.wrong("rule 2: %s is shed though it may have run at %s", id, s.Server)
+	if shed && q.effect == NonIdempotent {
+		for _, attempt := range q.attempts {
+			if !attempt.NotExecuted {
+				c.report("rule 2: %s is shed though it may have run at %s", id, attempt.Server)
 			}
 		}
 	}
 }
 
-// Told records that discovery told the broker to send a server nothing new, or that it may again.
-func (b *Book) Told(server string, drains bool, at float64) {
+// RecordDrain records that discovery notified the broker that a server drains, or that it no longer does.
+func (c *Checker) RecordDrain(server string, drains bool, nowMs float64) {
 	if !drains {
-		delete(b.drained, server)
-	} else if _, was := b.drained[server]; !was {
-		b.drained[server] = at
+		delete(c.drainedAtMs, server)
+	} else if _, known := c.drainedAtMs[server]; !known {
+		c.drainedAtMs[server] = nowMs
 	}
 }
 
-// Cold records that a server is cold for a time.
-func (b *Book) Cold(server string, from, to float64) { b.cold[server] = [2]float64{from, to} }
+// RecordWarmUp records that a server is in slow start for a time.
+func (c *Checker) RecordWarmUp(server string, startMs, endMs float64) {
+	c.warmUps[server] = [2]float64{startMs, endMs}
+}
 
-// Check gives what was found so far; at now, no search may be without its answer past its time.
-func (b *Book) Check(now float64) []string {
-	for _, id := range b.order {
-		a := b.asks[id]
-		if a.finals == 0 && !a.left && now > a.until+b.Slack {
-			b.wrong("rule 1: %s has no answer at %.1f, its time was up at %.1f", id, now, a.until)
-			a.left = true
+// Check returns the violations so far. A query without an answer after its deadline is one.
+func (c *Checker) Check(nowMs float64) []string {
+	for _, id := range c.queryIDs {
+		q := c.queries[id]
+		if q.finalAnswers == 0 && !q.abandoned && nowMs > q.deadlineMs+c.AnswerSlackMs {
+			c.report("rule 1: %s has no answer at %.1f, its time was up at %.1f", id, nowMs, q.deadlineMs)
+			q.abandoned = true // reported once
 		}
 	}
-	if len(b.order) > 0 && math.IsInf(now, 1) {
-		b.order = nil
+	if len(c.queryIDs) > 0 && math.IsInf(nowMs, 1) {
+		c.queryIDs = nil
 	}
-	return b.found
+	return c.violations
 }
--- a/internal/standin/servermodel/servermodel.go
+++ b/internal/standin/servermodel/servermodel.go
@@ -1,5 +1,5 @@
-// Package station is a stand-in for what a server can do: so many at a time, a queue, a cold phase after each start, and a
-// load past which it falls over. Its book of what it was sent is kept here, by no broker's word.
+// Package servermodel simulates the capacity of a server: a number of slots, a queue, a slow start after each restart, and a load beyond
+// which a server in slow start would fail. It counts what the server received, independently of brokers.
 package servermodel
 
 import (
@@ -10,236 +10,260 @@
 	"time"
 )
 
-// Kind is what servers of one kind can do.
-type Kind struct {
-	Slots    int     // sub-requests at a time
-	Work     float64 // ms that one takes, on average, when warm
-	CV       float64 // of that, log-normal
-	Queue    int     // that wait, at most; past it they are turned away
-	ColdFrom float64 // share of its speed just after a start
-	ColdFor  float64 // ms until it is warm
-	Multiple float64 // of what it can do: more over Over makes it fall
-	Over     float64 // ms
+// Config describes servers of one kind.
+type Config struct {
+	Slots            int     // concurrent requests
+	WorkMs           float64 // mean service time, when warm
+	WorkCV           float64 // coefficient of variation of the service time, which is log-normal
+	QueueLength      int     // of waiting requests; more are rejected
+	WarmUpShare      float64 // share of the full speed right after a start
+	WarmUpMs         float64 // until it has full speed
+	OverloadFactor   float64 // of its capacity: a higher load in slow start is an overload
+	OverloadWindowMs float64 // of that load
 }
 
-// Bears is how many sub-requests a warm one answers in a second, at most.
-func (k Kind) Bears() float64 { return 1000 * float64(k.Slots) / k.Work }
+// CapacityPerS is the throughput of a warm server, in requests per second.
+func (c Config) CapacityPerS() float64 { return 1000 * float64(c.Slots) / c.WorkMs }
 
-// Share is what one of an age (ms) can do of what it can do warm.
-func (k Kind) Share(age float64) float64 {
-	if k.ColdFor <= 0 || age >= k.ColdFor {
+// WarmShare is the share of the full speed, by the time since the start.
+func (c Config) WarmShare(ageMs float64) float64 {
+	if c.WarmUpMs <= 0 || ageMs >= c.WarmUpMs {
 		return 1
 	}
-	return k.ColdFrom + (1-k.ColdFrom)*max(age, 0)/k.ColdFor
+	return c.WarmUpShare + (1-c.WarmUpShare)*max(ageMs, 0)/c.WarmUpMs
 }
 
-// Second is what one second brought.
+// Second counts the requests of one second.
 type Second struct {
-	Came, Answered, Turned, Gone int // sub-requests; gone: their sender no longer wanted them
-	Busy                         float64
-	Bears                        float64 // what it could have answered, cold as it was
-}
-
-// Station is one server's capacity.
-type Station struct {
-	Kind
-	lock    sync.Mutex
-	rng     *rand.Rand
-	zero    time.Time // of the run
-	started float64   // ms of the run; negative infinity: long ago
-	times   float64   // slower by so many times
-	silent  bool
-	failing float64 // share answered with an error
-	slots   chan struct{}
-	waiting int
-	book    []Second
-	bins    map[int]float64 // work that came, by Over/10
-	fell    int
-	worst   float64
-	gen     int
-	marks   []mark // how it has stood, the latest last
-}
-
-// mark is from when on it stood so.
-type mark struct {
-	at, started, times float64
-	silent             bool
+	Received, Answered, Rejected, Abandoned int // Abandoned: their sender had left
+	BusyMs                                  float64
+	Capacity                                float64 // in requests, with slow start and slowdown
+}
+
+// Server is the model of one server. It is safe for concurrent use.
+type Server struct {
+	Config
+	mutex          sync.Mutex
+	random         *rand.Rand
+	runStart       time.Time // times are relative to it
+	startedAtMs    float64   // negative infinity: long ago
+	slowdown       float64   // factor of the service time
+	unresponsive   bool
+	failingShare   float64 // share of errors
+	slots          chan struct{}
+	waiting        int
+	seconds        []Second
+	receivedWorkMs map[int]float64 // by part of the window
+	overloads      int
+	maxWarmUpLoad  float64
+	incarnation    int
+	states         []state // changes, the latest last
+}
+
+// state is the state of a server from a moment on.
+type state struct {
+	fromMs, startedAtMs, slowdown float64
+	unresponsive                  bool
 }
 
 const (
-	binsPerOver = 10
-	perSecond   = 10 // looks at what it bore in one
+	binsPerWindow    = 10
+	samplesPerSecond = 10 // of the capacity
 )
 
-// New makes a warm one. Times are of the run that began at zero; the seed draws service times.
-func New(k Kind, zero time.Time, seed uint64) *Station {
-	return &Station{Kind: k, rng: rand.New(rand.NewPCG(seed, 2)), zero: zero, started: math.Inf(-1), times: 1,
-		slots: make(chan struct{}, k.Slots), bins: map[int]float64{}, marks: []mark{{math.Inf(-1), math.Inf(-1), 1, false}}}
+// New returns a warm server. Times are relative to runStart; the seed determines the service times.
+func New(config Config, runStart time.Time, seed uint64) *Server {
+	return &Server{Config: config, random: rand.New(rand.NewPCG(seed, 2)), runStart: runStart, startedAtMs: math.Inf(-1), slowdown: 1,
+		slots: make(chan struct{}, config.Slots), receivedWorkMs: map[int]float64{}, states: []state{{math.Inf(-1), math.Inf(-1), 1, false}}}
 }
 
-// mark notes how it stands from now on. The lock is held.
-func (s *Station) mark() { s.marks = append(s.marks, mark{s.now(), s.started, s.times, s.silent}) }
+// recordState records the state from now on. s.mutex must be held.
+func (s *Server) recordState() {
+	s.states = append(s.states, state{s.now(), s.startedAtMs, s.slowdown, s.unresponsive})
+}
 
-// Could is how many sub-requests a second it could answer at a time of the run (ms), cold and slow as it was then, and
-// whether it said nothing then.
-func (s *Station) Could(at float64) (bears float64, silent bool) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.could(at)
+// CapacityAt is the capacity at a moment, in requests per second, with slow start and slowdown, and whether the server was unresponsive.
+func (s *Server) CapacityAt(momentMs float64) (perS float64, unresponsive bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.capacityAt(momentMs)
 }
 
-func (s *Station) could(at float64) (bears float64, silent bool) {
-	m := s.marks[0]
-	for _, n := range s.marks[1:] {
-		if n.at <= at {
-			m = n
+// capacityAt is CapacityAt. s.mutex must be held.
+func (s *Server) capacityAt(momentMs float64) (perS float64, unresponsive bool) {
+	current := s.states[0]
+	for _, candidate := range s.states[1:] {
+		if candidate.fromMs <= momentMs {
+			current = candidate
 		}
 	}
-	return s.Bears() * s.Share(at-m.started) / m.times, m.silent
+	return s.CapacityPerS() * s.WarmShare(momentMs-current.startedAtMs) / current.slowdown, current.unresponsive
 }
 
-func (s *Station) now() float64 { return float64(time.Since(s.zero).Microseconds()) / 1000 }
+// now is the time of the run, in ms.
+func (s *Server) now() float64 { return float64(time.Since(s.runStart).Microseconds()) / 1000 }
 
-// Start has it start anew now: cold, with nothing held.
-func (s *Station) Start() {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.started = s.now()
-	s.gen++
+// Restart restarts the server, with slow start. Waiting requests are lost.
+func (s *Server) Restart() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.startedAtMs = s.now()
+	s.incarnation++
 	s.waiting = 0
 	s.slots = make(chan struct{}, s.Slots)
-	clear(s.bins)
-	s.mark()
+	clear(s.receivedWorkMs)
+	s.recordState()
 }
 
-// Slow makes it slower by so many times; 1: as ever.
-func (s *Station) Slow(times float64) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.times = times
-	s.mark()
+// SetSlowdown multiplies the service time; 1 is normal.
+func (s *Server) SetSlowdown(factor float64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.slowdown = factor
+	s.recordState()
 }
 
-// Silent has it take what comes and say nothing.
-func (s *Station) Silent(on bool) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.silent = on
-	s.mark()
+// SetUnresponsive has the server accept requests and not answer.
+func (s *Server) SetUnresponsive(on bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.unresponsive = on
+	s.recordState()
 }
 
-// Failing has it answer a share with an error.
-func (s *Station) Failing(share float64) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.failing = share
+// SetFailingShare has the server answer a share of requests with an error.
+func (s *Server) SetFailingShare(share float64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.failingShare = share
 }
 
-// at gives the book of the second at hand. The lock is held.
-func (s *Station) at(now float64) *Second {
+// secondAt is the counts of the second of a moment. s.mutex must be held.
+func (s *Server) secondAt(now float64) *Second {
 	i := max(int(now/1000), 0)
-	for len(s.book) <= i {
-		s.book = append(s.book, Second{})
+	for len(s.seconds) <= i {
+		s.seconds = append(s.seconds, Second{})
 	}
-	return &s.book[i]
+	return &s.seconds[i]
 }
 
-// Work takes one sub-request: sockets.Behaviour's Work.
-func (s *Station) Work(ctx context.Context, _ string, _ int) string {
-	s.lock.Lock()
-	now := s.now()
-	s.at(now).Came++
-	s.watch(now)
-	if s.waiting >= s.Queue {
-		s.at(now).Turned++
-		s.lock.Unlock()
+// Serve serves one request: it is the Work of sockets.Behaviour. It returns the status of the answer; empty: none is sent.
+func (s *Server) Serve(ctx context.Context, _ string, _ int) string {
+	slots, incarnation, accepted := s.enqueue()
+	if !accepted {
 		return "REJECTED"
 	}
-	s.waiting++
-	slots, gen := s.slots, s.gen
-	s.lock.Unlock()
-	got := false
+	acquired := false
 	select {
 	case slots <- struct{}{}:
-		got = true
+		acquired = true
 	case <-ctx.Done():
 	}
-	s.lock.Lock()
-	if s.gen == gen {
-		s.waiting--
-	}
-	if !got {
-		s.at(s.now()).Gone++
-		s.lock.Unlock()
+	serviceMs, fails, ok := s.dequeue(incarnation, acquired)
+	if !ok {
 		return ""
 	}
-	now = s.now()
-	sigma := math.Sqrt(math.Log(1 + s.CV*s.CV))
-	draw := s.Kind.Work * math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2)
-	ms := draw * s.times / s.Share(now-s.started)
-	fails := s.failing > 0 && s.rng.Float64() < s.failing
-	s.lock.Unlock()
-	t := time.NewTimer(time.Duration(ms * 1e6))
+	timer := time.NewTimer(time.Duration(serviceMs * 1e6))
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
-		t.Stop()
+		timer.Stop()
 	}
 	<-slots
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	now = s.now()
-	sec := s.at(now)
-	sec.Busy += ms
+	return s.finish(ctx, incarnation, serviceMs, fails)
+}
+
+// enqueue counts a request, and lets it wait for a slot unless the queue is full.
+func (s *Server) enqueue() (slots chan struct{}, incarnation int, accepted bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	now := s.now()
+	s.secondAt(now).Received++
+	s.checkWarmUpLoad(now)
+	if s.waiting >= s.QueueLength {
+		s.secondAt(now).Rejected++
+		return nil, 0, false
+	}
+	s.waiting++
+	return s.slots, s.incarnation, true
+}
+
+// dequeue ends the wait of a request, and draws its service time and outcome. ok is false if its sender has left.
+func (s *Server) dequeue(incarnation int, acquired bool) (serviceMs float64, fails, ok bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.incarnation == incarnation {
+		s.waiting--
+	}
+	now := s.now()
+	if !acquired {
+		s.secondAt(now).Abandoned++
+		return 0, false, false
+	}
+	sigma := math.Sqrt(math.Log(1 + s.WorkCV*s.WorkCV))
+	workMs := s.WorkMs * math.Exp(sigma*s.random.NormFloat64()-sigma*sigma/2)
+	serviceMs = workMs * s.slowdown / s.WarmShare(now-s.startedAtMs)
+	fails = s.failingShare > 0 && s.random.Float64() < s.failingShare
+	return serviceMs, fails, true
+}
+
+// finish counts the end of a request, and returns its status.
+func (s *Server) finish(ctx context.Context, incarnation int, serviceMs float64, fails bool) string {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	second := s.secondAt(s.now())
+	second.BusyMs += serviceMs
 	switch {
-	case ctx.Err() != nil || s.gen != gen:
-		sec.Gone++
+	case ctx.Err() != nil || s.incarnation != incarnation:
+		second.Abandoned++
 		return ""
-	case s.silent:
+	case s.unresponsive:
 		return ""
 	case fails:
 		return "ERROR"
 	}
-	sec.Answered++
+	second.Answered++
 	return "OK"
 }
 
-// watch keeps rule 4 from outside: what came within Over, against what one so cold bears. The lock is held.
-func (s *Station) watch(now float64) {
-	if s.Multiple <= 0 || s.Over <= 0 || now-s.started >= s.ColdFor {
+// checkWarmUpLoad checks rule 4: the work received within the window, by the capacity of a server in slow start. s.mutex must be held.
+func (s *Server) checkWarmUpLoad(nowMs float64) {
+	if s.OverloadFactor <= 0 || s.OverloadWindowMs <= 0 || nowMs-s.startedAtMs >= s.WarmUpMs {
 		return
 	}
-	bin := int(now / (s.Over / binsPerOver))
-	s.bins[bin] += s.Kind.Work
-	sum, bears := 0.0, 0.0
-	for i := bin - binsPerOver + 1; i <= bin; i++ {
-		sum += s.bins[i]
-		bears += float64(s.Slots) * s.Share((float64(i)+0.5)*s.Over/binsPerOver-s.started) * s.Over / binsPerOver
+	binMs := s.OverloadWindowMs / binsPerWindow
+	current := int(nowMs / binMs)
+	s.receivedWorkMs[current] += s.WorkMs
+	receivedMs, capacityMs := 0.0, 0.0
+	for bin := current - binsPerWindow + 1; bin <= current; bin++ {
+		receivedMs += s.receivedWorkMs[bin]
+		ageMs := (float64(bin)+0.5)*s.OverloadWindowMs/binsPerWindow - s.startedAtMs
+		capacityMs += float64(s.Slots) * s.WarmShare(ageMs) * s.OverloadWindowMs / binsPerWindow
 	}
-	ratio := sum / (s.Multiple * bears)
-	s.worst = max(s.worst, ratio)
-	if ratio > 1 {
-		s.fell++
+	load := receivedMs / (s.OverloadFactor * capacityMs)
+	s.maxWarmUpLoad = max(s.maxWarmUpLoad, load)
+	if load > 1 {
+		s.overloads++
 	}
 }
 
-// Fell tells how often more came than it bore while cold, and the worst ratio of what came to that.
-func (s *Station) Fell() (times int, worst float64) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.fell, s.worst
+// WarmUpOverloads is the number of overloads in slow start, and the highest load, where 1 is an overload.
+func (s *Server) WarmUpOverloads() (count int, maxLoad float64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.overloads, s.maxWarmUpLoad
 }
 
-// Book gives what each second brought, and what it could have answered in each.
-func (s *Station) Book() []Second {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	list := append([]Second(nil), s.book...)
-	for i := range list { // as it stood then: judged by its latest start, it was cold long before that
-		for n := range perSecond {
-			bears, _ := s.could((float64(i) + (float64(n)+0.5)/perSecond) * 1000)
-			list[i].Bears += bears / perSecond
+// Seconds returns the counts of each second, with its capacity.
+func (s *Server) Seconds() []Second {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	seconds := append([]Second(nil), s.seconds...)
+	for i := range seconds { // by the state at that time
+		for n := range samplesPerSecond {
+			perS, _ := s.capacityAt((float64(i) + (float64(n)+0.5)/samplesPerSecond) * 1000)
+			seconds[i].Capacity += perS / samplesPerSecond
 		}
 	}
-	return list
+	return seconds
 }
