--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost hosts the decision module on the bench's wire: standard input to standard output.
+// Command simhost runs the aggregator's policy in a simulation: it reads the bench's frames of events
+// from standard input and writes those of its decisions to standard output.
 package main
 
 import (
