--- a/cmd/kestrelctl/fleet.go
+++ b/cmd/kestrelctl/fleet.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/rig/fleet"
+	"kestrelspread/internal/harness/fleet"
 )
 
 // fleetCommand looks at the nodes of a router fleet, and plays a small one.
--- a/cmd/kestrelctl/fleetfaults.go
+++ b/cmd/kestrelctl/fleetfaults.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/rig/faultrun"
+	"kestrelspread/internal/harness/faultrun"
 )
 
 // fleetFaults plays whole fleets under a virtual clock, with troubles that follow from seeds.
--- a/cmd/kestrelctl/main.go
+++ b/cmd/kestrelctl/main.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/aggregator/server/full"
 	"kestrelspread/internal/baseline"
-	"kestrelspread/internal/rig"
+	"kestrelspread/internal/harness"
 )
 
 func main() {
@@ -32,7 +32,7 @@
 	var seconds int
 	c := &cobra.Command{Use: "demo", Short: "Play a broker in front of stand-in servers that get into trouble", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			broken, err := rig.Demo(cmd.OutOrStdout(), seconds)
+			broken, err := harness.Demo(cmd.OutOrStdout(), seconds)
 			for i, b := range broken {
 				if i == 10 {
 					fmt.Fprintf(cmd.OutOrStdout(), "and %d more\n", len(broken)-i)
@@ -55,7 +55,7 @@
 	var binaries, parts []string
 	c := &cobra.Command{Use: "grpc", Short: "gRPC: latency, CPU, open streams, servers in trouble, floods, and what it costs switched off",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			return rig.MeasureGRPC(cmd.OutOrStdout(), seconds, binaries, parts)
+			return harness.MeasureGRPC(cmd.OutOrStdout(), seconds, binaries, parts)
 		}}
 	c.Flags().IntVar(&seconds, "seconds", 5, "of each part")
 	c.Flags().StringSliceVar(&parts, "parts", nil, "unary, streams, trouble, floods, idle; all where none is named")
@@ -70,7 +70,7 @@
 	var span time.Duration
 	c := &cobra.Command{Use: "flood", Short: "Be rude to a broker on loopback for a while", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			n, err := rig.Flood(at, kind, span)
+			n, err := harness.Flood(at, kind, span)
 			fmt.Fprintln(cmd.OutOrStdout(), n)
 			return err
 		}}
--- a/cmd/kestrelctl/scenario.go
+++ b/cmd/kestrelctl/scenario.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"kestrelspread/internal/fleet/lossplan"
-	"kestrelspread/internal/rig/scenario"
+	"kestrelspread/internal/harness/scenario"
 )
 
 func readScenario(file string) (*scenario.File, error) {
--- a/internal/rig/faultrun/mutants_test.go
+++ b/internal/harness/faultrun/mutants_test.go
@@ -196,7 +196,7 @@
 	arguments := []string{"test", "-vet=off", "-overlay", overlayPath}
 	name, run, _ := strings.Cut(m.test, " ")
 	if m.test == "" {
-		arguments = append(arguments, "kestrelspread/internal/rig/faultrun", "-run", "TestSeeds", "-args", "-seeds", "400", "-only-first")
+		arguments = append(arguments, "kestrelspread/internal/harness/faultrun", "-run", "TestSeeds", "-args", "-seeds", "400", "-only-first")
 	} else {
 		arguments = append(arguments, "-run", run, nodePackages+name)
 		if name == "forward" {
--- a/internal/rig/rig.go
+++ b/internal/harness/rig.go
@@ -1,7 +1,7 @@
-// Package rig starts simulated servers, discovery and real brokers side by side on loopback, puts load on them and counts the outcomes.
+// Package harness starts simulated servers, discovery and real brokers side by side on loopback, puts load on them and counts the outcomes.
 // Brokers are processes of the running executable (its `broker` sub-command), so that their memory and CPU can be measured. Figures
 // are those with simulated servers on one machine: they compare policies, and say nothing of a production system.
-package rig
+package harness
 
 import (
 	"bytes"
--- a/internal/rig/scenario/bound.go
+++ b/internal/harness/scenario/bound.go
@@ -5,7 +5,7 @@
 	"sort"
 
 	"kestrelspread/internal/fleet/lossplan"
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 )
 
 // injectedFault is a partition of the run, or, without Destination, the loss of a site. Times are in ms of the run.
--- a/internal/rig/scenario/faults.go
+++ b/internal/harness/scenario/faults.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 )
 
 // applyStep injects the fault of a step of the schedule, or removes it.
--- a/internal/rig/scenario/file.go
+++ b/internal/harness/scenario/file.go
@@ -11,7 +11,7 @@
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 )
 
 // Schema is the JSON schema of scenario files.
--- a/internal/rig/scenario/frontend.go
+++ b/internal/harness/scenario/frontend.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 	"kestrelspread/internal/standin/invariants"
 	"kestrelspread/internal/standin/sockets"
 )
--- a/internal/rig/scenario/leases.go
+++ b/internal/harness/scenario/leases.go
@@ -12,7 +12,7 @@
 
 	"kestrelspread/internal/fleet/lease/transport"
 	"kestrelspread/internal/fleet/zonerecovery"
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 	"kestrelspread/internal/standin/receiver"
 )
 
--- a/internal/rig/scenario/runner.go
+++ b/internal/harness/scenario/runner.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"kestrelspread/internal/fleet/lossplan"
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 	"kestrelspread/internal/standin/invariants"
 	"kestrelspread/internal/standin/servermodel"
 	"kestrelspread/internal/standin/sockets"
--- a/internal/rig/scenario/validate.go
+++ b/internal/harness/scenario/validate.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 )
 
 // requiredKeys are the keys that an entry of the time line needs, by its action.
--- a/internal/layers/node_test.go
+++ b/internal/layers/node_test.go
@@ -132,7 +132,7 @@
 // work, and its storage and messages are those of its design.
 var notInNodes = []string{"go.etcd.io/raft", "github.com/hashicorp/memberlist", "github.com/hashicorp/raft", "github.com/hashicorp/serf",
 	"net/http/httputil", "github.com/cockroachdb/pebble", "google.golang.org/grpc", "golang.org/x/net/http2", "kestrelspread/internal/fleet",
-	"kestrelspread/internal/standin", "kestrelspread/internal/rig"}
+	"kestrelspread/internal/standin", "kestrelspread/internal/harness"}
 
 // linkedInNode gives those of a program's packages that a node must not link.
 func linkedInNode(packages string) []string {
