--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/server/full/full.go
@@ -29,7 +29,7 @@
 	s, err := operator.Read(text, set)
 	if err == nil && s.Ledger != nil {
 		if _, zone := time.LoadLocation(s.Ledger.Zone); zone != nil {
-			err = operator.Findings{{Path: "/ledger/period/zone", Why: zone.Error()}}
+			err = operator.Findings{{Path: "/ledger/period/zone", Reason: zone.Error()}}
 		}
 	}
 	if err != nil {
@@ -52,7 +52,7 @@
 // limitBufferMemory keeps what calls may hold within the aggregator's memory, whatever the file
 // says: past that the aggregator is killed.
 func limitBufferMemory(p *server.Host, g *operator.GRPC) {
-	l := &g.Rules.Limits
+	l := &g.ProxySettings.Limits
 	most := max(int(p.MemoryBytes/memoryShare), l.StreamWindowBytes)
 	if l.MaxBufferedBytes > most {
 		p.Log.Warn().Int("held_kb", most>>10).Msg("grpc/limits/held-kb is more than a quarter of the memory; less is held")
@@ -108,17 +108,17 @@
 // choosePolicy puts what watches zones and capacity before the policy, and gives it the operator's
 // order of refusals.
 func choosePolicy(host *server.Host, s *operator.Settings) {
-	if s.Sites {
+	if s.WatchSites {
 		newPolicy := host.Settings.NewZoneAwarePolicy
-		if s.Borne {
+		if s.LearnCapacity {
 			newPolicy = host.Settings.NewCapacityAwarePolicy
 		}
 		host.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return newPolicy(out, host.Seed) })
-		host.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
+		host.Log.Info().Bool("borne", s.LearnCapacity).Msg("watching whole sites")
 	}
-	if s.Order != nil {
-		s.Order.Apply(host.Engine.Policy())
-		host.Log.Info().Strs("first", s.Order.Describe(Names(host.Settings))).Msg("an order of refusals")
+	if s.SheddingWeights != nil {
+		s.SheddingWeights.Apply(host.Engine.Policy())
+		host.Log.Info().Strs("first", s.SheddingWeights.Describe(Names(host.Settings))).Msg("an order of refusals")
 	}
 }
 
@@ -130,19 +130,19 @@
 	if zoneAware {
 		zones.OnChange = observers.changed
 	}
-	if s.Owner != nil {
-		end, err := startLeases(host, s.Owner, zones, observers)
+	if s.Roles != nil {
+		end, err := startLeases(host, s.Roles, zones, observers)
 		if err != nil {
 			return ends, err
 		}
 		ends = append(ends, end)
 	}
 	switch {
-	case s.Talk == nil:
+	case s.Gossip == nil:
 	case !zoneAware:
 		host.Log.Warn().Msg("talk: another policy stands in the module's place; nobody listens")
 	default:
-		end, err := startGossip(host, s.Talk, zones, observers)
+		end, err := startGossip(host, s.Gossip, zones, observers)
 		if err != nil {
 			return ends, err
 		}
@@ -157,10 +157,10 @@
 	if err := host.Loop.Listen(g.Listen); err != nil {
 		return nil, fmt.Errorf("%s: %w", g.Listen, err)
 	}
-	front := grpcproxy.New(host.Engine, g.Rules, host.Settings.Int("family-info.slabs", 1), host.Seed)
+	front := grpcproxy.New(host.Engine, g.ProxySettings, host.Settings.Int("family-info.slabs", 1), host.Seed)
 	host.Engine.AddFront(front)
 	host.Log.Info().Str("listen", fmt.Sprintf("%v:%d", g.Listen.Addr(), host.Loop.Port(1))).
-		Int("routes", g.Rules.Routes.Len()).Msg("serving gRPC")
+		Int("routes", g.ProxySettings.Routes.Len()).Msg("serving gRPC")
 	listen := g.Listen
 	return func() {
 		next, err := Read(file, host.Settings)
@@ -170,11 +170,11 @@
 		case next.GRPC == nil:
 			host.Log.Warn().Msg("operator's file not taken over: gRPC is switched off by a restart")
 		default:
-			host.Log.Info().Int("routes", next.GRPC.Rules.Routes.Len()).
+			host.Log.Info().Int("routes", next.GRPC.ProxySettings.Routes.Len()).
 				Bool("need_restart", next.GRPC.Listen != listen).
 				Msg("operator's file read again")
 			limitBufferMemory(host, next.GRPC)
-			front.NextSettings.Store(next.GRPC.Rules)
+			front.NextSettings.Store(next.GRPC.ProxySettings)
 			host.Loop.Notify(engine.ReloadFronts)
 		}
 	}, nil
--- a/internal/aggregator/server/full/owner.go
+++ b/internal/aggregator/server/full/owner.go
@@ -35,8 +35,8 @@
 // startLeases has the aggregator take its part in the fleet's singleton roles: as a voter where the
 // file makes it one, and as a candidate for each role's lease. It starts and serves whatever the
 // result.
-func startLeases(host *server.Host, o *operator.Owner, zones *zonefailure.Interceptor, observers *zoneObservers) (end func(), err error) {
-	rules := lease.ConfigForLease(o.Lease)
+func startLeases(host *server.Host, o *operator.Roles, zones *zonefailure.Interceptor, observers *zoneObservers) (end func(), err error) {
+	rules := lease.ConfigForLease(o.LeaseMs)
 	own, list, err := startVoter(host, o, rules)
 	if err != nil {
 		return nil, err
@@ -47,20 +47,20 @@
 	}
 	options := client.Options{Name: fmt.Sprintf("%s.%x", host.Name, suffix), Voters: list, Config: rules,
 		Jobs: map[string]func() client.Job{}, Log: host.Log}
-	if o.Close != nil {
-		if options.Jobs[closeDuty], err = closeJob(host, o.Close); err != nil {
+	if o.Statements != nil {
+		if options.Jobs[closeDuty], err = closeJob(host, o.Statements); err != nil {
 			return nil, err
 		}
 	}
-	if d := o.Drill; d != nil {
+	if d := o.Exercise; d != nil {
 		receiver := fencehttp.New(d.URL)
 		for i := range d.Count {
 			options.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
-				return &exercise.Job{Receiver: receiver, Interval: time.Duration(d.Every * 1e6), SaveEvery: d.Marks, Holder: options.Name}
+				return &exercise.Job{Receiver: receiver, Interval: time.Duration(d.IntervalMs * 1e6), SaveEvery: d.SaveEvery, Holder: options.Name}
 			}
 		}
 	}
-	if o.Return && zones != nil {
+	if o.ZoneRecovery && zones != nil {
 		addReturnJob(host, &options, zones, observers)
 	}
 	candidate, err := client.New(options)
@@ -69,7 +69,7 @@
 	}
 	candidate.Start()
 	host.Log.Info().Str("instance", options.Name).Bool("voter", own != nil).Int("duties", len(options.Jobs)).
-		Float64("lease_ms", o.Lease).Msg("taking part in the fleet's work")
+		Float64("lease_ms", o.LeaseMs).Msg("taking part in the fleet's work")
 	return func() {
 		candidate.Close(handOver)
 		if own != nil {
@@ -79,7 +79,7 @@
 }
 
 // startVoter starts this aggregator's voter where the file names it as one; else own is nil.
-func startVoter(host *server.Host, o *operator.Owner, rules lease.Config) (own *voter.Server, list []voter.Address, err error) {
+func startVoter(host *server.Host, o *operator.Roles, rules lease.Config) (own *voter.Server, list []voter.Address, err error) {
 	votes := false
 	for _, v := range o.Voters {
 		list = append(list, voter.Address{Name: v.Name, Addr: v.Address})
@@ -88,10 +88,10 @@
 	if !votes {
 		return nil, list, nil
 	}
-	if o.Folder == "" {
+	if o.Directory == "" {
 		return nil, nil, fmt.Errorf("owner: %s is a voter and has no folder", host.Name)
 	}
-	own, err = voter.Start(voter.Options{Name: host.Name, Listen: o.Listen, Dir: o.Folder, Voters: list, LeaseConfig: rules,
+	own, err = voter.Start(voter.Options{Name: host.Name, Listen: o.Listen, Dir: o.Directory, Voters: list, LeaseConfig: rules,
 		TickInterval: time.Duration(rules.TickIntervalMs() * 1e6), Log: host.Log})
 	if err != nil {
 		return nil, nil, fmt.Errorf("owner: %w", err)
@@ -100,12 +100,12 @@
 }
 
 // closeJob makes the job that closes the fleet's statement.
-func closeJob(host *server.Host, c *operator.Close) (func() client.Job, error) {
+func closeJob(host *server.Host, c *operator.StatementRole) (func() client.Job, error) {
 	open := func() (fence.Receiver, error) {
 		if c.URL != "" {
 			return fencehttp.New(c.URL), nil
 		}
-		return fencedir.Open(c.Folder)
+		return fencedir.Open(c.Directory)
 	}
 	if _, err := open(); err != nil {
 		return nil, fmt.Errorf("owner/duties/close: %w", err)
@@ -117,11 +117,11 @@
 			receiver = unreachableFence{err}
 		}
 		return &collector.Job{
-			Directories: c.Collect,
-			Config:      statement.Config{ExpectedInstances: c.Expect, WaitMs: int64(c.Wait)},
+			Directories: c.ExportPatterns,
+			Config:      statement.Config{ExpectedInstances: c.ExpectedInstances, WaitMs: int64(c.WaitMs)},
 			Receiver:    receiver,
 			Log:         host.Log,
-			Interval:    time.Duration(c.Every * 1e6),
+			Interval:    time.Duration(c.IntervalMs * 1e6),
 			WallClockMs: func() int64 { return time.Now().UnixMilli() },
 		}
 	}, nil
--- a/internal/aggregator/server/full/talk.go
+++ b/internal/aggregator/server/full/talk.go
@@ -8,8 +8,8 @@
 )
 
 // startGossip has an aggregator tell others what it sees of sites, and hear them.
-func startGossip(p *server.Host, o *operator.Talk, port *zonefailure.Interceptor, sees *zoneObservers) (end func(), err error) {
-	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.Via, OnReport: func(w gossip.Report) {
+func startGossip(p *server.Host, o *operator.Gossip, port *zonefailure.Interceptor, sees *zoneObservers) (end func(), err error) {
+	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.RedirectedAddresses, OnReport: func(w gossip.Report) {
 		// A full post loses hearsay, which is said again.
 		p.Engine.Post(p.Loop.Notify, func() { port.HandlePeerReport(w.Peer, w.Site, w.Lost, w.AgeMs) })
 		sees.peerReported(w)
