--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -294,7 +294,7 @@
 	return value
 }
 
-// HasMethod tells whether the method of the request is the given one.
+// HasMethod compares the method.
 func (m *Message) HasMethod(method string) bool {
 	return len(m.buf) > len(method) && string(m.buf[:len(method)]) == method && m.buf[len(method)] == ' '
 }
