--- a/internal/grpcproxy/clients_test.go
+++ b/internal/grpcproxy/clients_test.go
@@ -9,7 +9,7 @@
 
 	"kestrelspread/internal/routes"
 	p "kestrelspread/internal/standin/grpcpeer"
-	"kestrelspread/internal/standin/virtual"
+	"kestrelspread/internal/standin/simnet"
 )
 
 func TestCancelledCallReleasesEverything(t *testing.T) {
@@ -214,11 +214,11 @@
 	closed float64
 }
 
-func (r *recordingPeer) Opened(*virtual.End) {}
+func (r *recordingPeer) Opened(*simnet.End) {}
 
-func (r *recordingPeer) Bytes(_ *virtual.End, b []byte) { r.got = append(r.got, b...) }
+func (r *recordingPeer) Bytes(_ *simnet.End, b []byte) { r.got = append(r.got, b...) }
 
-func (r *recordingPeer) Closed(e *virtual.End) { r.closed = e.Now() }
+func (r *recordingPeer) Closed(e *simnet.End) { r.closed = e.Now() }
 
 func TestRapidResetsCloseTheConnection(t *testing.T) {
 	s := newHarness(t, 23, 2, "")
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -14,7 +14,7 @@
 	"kestrelspread/internal/invariant"
 	"kestrelspread/internal/routes"
 	"kestrelspread/internal/standin/grpcpeer"
-	"kestrelspread/internal/standin/virtual"
+	"kestrelspread/internal/standin/simnet"
 )
 
 const settingsJSON = `{"balancers":1,"classes":[
@@ -29,7 +29,7 @@
 // harness is an engine with its gRPC proxy in a virtual network.
 type harness struct {
 	t        testing.TB
-	world    *virtual.World
+	world    *simnet.World
 	proxy    *Proxy
 	servers  []*grpcpeer.Server
 	settings *Settings
@@ -58,12 +58,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []virtual.Listed
+	var all []simnet.Listed
 	for i := range servers {
-		all = append(all, virtual.Listed{ID: fmt.Sprintf("s%d", i), State: "ready", Cell: i % 2,
+		all = append(all, simnet.Listed{ID: fmt.Sprintf("s%d", i), State: "ready", Cell: i % 2,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i + 1)}), 80)})
 	}
-	s := &harness{t: t, world: virtual.New(set, seed, 300, all), settings: defaultSettings(list...)}
+	s := &harness{t: t, world: simnet.New(set, seed, 300, all), settings: defaultSettings(list...)}
 	s.proxy = New(s.world.R, s.settings, 4, seed)
 	s.world.R.AddFront(s.proxy)
 	for i := range servers {
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -13,7 +13,7 @@
 	"kestrelspread/internal/aggregator/engine"
 	p "kestrelspread/internal/standin/grpcpeer"
 	"kestrelspread/internal/standin/invariants"
-	"kestrelspread/internal/standin/virtual"
+	"kestrelspread/internal/standin/simnet"
 )
 
 var seeds = flag.Int("seeds", 60, "how many random scripts to play")
@@ -325,11 +325,11 @@
 	addr := y.proxy.servers[i].address
 	switch y.rng.IntN(4) {
 	case 0: // drained for a while
-		y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "draining"; return list })
+		y.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[i].State = "draining"; return list })
 		y.rules.RecordDrain(v.Name, true, y.world.Now+y.world.Delay)
 		y.world.After(700+1500*y.rng.Float64(), func() {
 			y.rules.RecordDrain(v.Name, false, y.world.Now)
-			y.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[i].State = "ready"; return list })
+			y.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[i].State = "ready"; return list })
 		})
 	case 1: // restarts
 		for _, c := range v.Conns {
--- a/internal/grpcproxy/servers_test.go
+++ b/internal/grpcproxy/servers_test.go
@@ -5,7 +5,7 @@
 
 	"kestrelspread/internal/aggregator/policy"
 	p "kestrelspread/internal/standin/grpcpeer"
-	"kestrelspread/internal/standin/virtual"
+	"kestrelspread/internal/standin/simnet"
 )
 
 func TestDrainingServerGetsNothingNew(t *testing.T) {
@@ -19,7 +19,7 @@
 	if len(s.servers[1].Calls) > 0 {
 		at = 1
 	}
-	s.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[at].State = "draining"; return list })
+	s.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[at].State = "draining"; return list })
 	notifiedAt := s.world.Now
 	s.world.Run(1)
 	for range 20 {
@@ -42,7 +42,7 @@
 	s := newHarness(t, 14, 2, "")
 	s.warmUp(5)
 	moved := s.proxy.servers[0].address.Addr().Next().Next().Next()
-	s.world.Tell(func(list []virtual.Listed) []virtual.Listed {
+	s.world.Tell(func(list []simnet.Listed) []simnet.Listed {
 		list[0].Addr = netipFrom(moved, 80)
 		return list
 	})
@@ -172,7 +172,7 @@
 		}
 	}
 	restartedAt := s.world.Now
-	s.world.Tell(func(list []virtual.Listed) []virtual.Listed { list[1].Started = restartedAt; return list })
+	s.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[1].Started = restartedAt; return list })
 	before := len(restarted.Calls)
 	s.callOften(c, 100)
 	calls := len(restarted.Calls) - before
--- a/internal/standin/grpcpeer/client.go
+++ b/internal/standin/grpcpeer/client.go
@@ -6,7 +6,7 @@
 	"golang.org/x/net/http2"
 
 	"kestrelspread/internal/h2"
-	"kestrelspread/internal/standin/virtual"
+	"kestrelspread/internal/standin/simnet"
 )
 
 // Ask is a call as a client makes it, and what came of it.
@@ -64,8 +64,8 @@
 
 // Client is one connection of a gRPC client to the broker.
 type Client struct {
-	W     *virtual.World
-	E     *virtual.End
+	W     *simnet.World
+	E     *simnet.End
 	H     *h2.Conn
 	Shut  bool
 	Gone  bool // GOAWAY was heard
@@ -74,7 +74,7 @@
 }
 
 // Dial connects to the broker's gRPC door.
-func Dial(w *virtual.World, door int) *Client {
+func Dial(w *simnet.World, door int) *Client {
 	c := &Client{W: w}
 	c.H = h2.New(false, h2.Limits{InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}, c)
 	c.E = w.Dial(door, (*clientEnd)(c))
@@ -83,8 +83,8 @@
 
 type clientEnd Client
 
-// Opened implements virtual.Peer: the broker has taken the connection.
-func (e *clientEnd) Opened(*virtual.End) {
+// Opened implements simnet.Peer: the broker has taken the connection.
+func (e *clientEnd) Opened(*simnet.End) {
 	c := (*Client)(e)
 	for _, a := range c.wait {
 		c.begin(a)
@@ -93,15 +93,15 @@
 	c.Flush()
 }
 
-// Bytes implements virtual.Peer: bytes of the broker have come.
-func (e *clientEnd) Bytes(_ *virtual.End, b []byte) {
+// Bytes implements simnet.Peer: bytes of the broker have come.
+func (e *clientEnd) Bytes(_ *simnet.End, b []byte) {
 	c := (*Client)(e)
 	c.H.Feed(b, c.W.Now)
 	c.Flush()
 }
 
-// Closed implements virtual.Peer: the connection is gone, and its calls with it.
-func (e *clientEnd) Closed(*virtual.End) {
+// Closed implements simnet.Peer: the connection is gone, and its calls with it.
+func (e *clientEnd) Closed(*simnet.End) {
 	c := (*Client)(e)
 	if c.Shut {
 		return
--- a/internal/standin/grpcpeer/grpcpeer.go
+++ b/internal/standin/grpcpeer/grpcpeer.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/http2"
 
 	"kestrelspread/internal/h2"
-	"kestrelspread/internal/standin/virtual"
+	"kestrelspread/internal/standin/simnet"
 )
 
 // Message frames one gRPC message.
@@ -66,7 +66,7 @@
 
 // Server is one scripted server; its script is asked for with each call.
 type Server struct {
-	W      *virtual.World
+	W      *simnet.World
 	Name   string
 	Script func(k *Got) []Act
 	Early  bool // it acts on a call's head, without waiting for its end
@@ -83,13 +83,13 @@
 // Conn is one connection of a server.
 type Conn struct {
 	S    *Server
-	End  *virtual.End
+	End  *simnet.End
 	H    *h2.Conn
 	Dead bool // reads and says nothing more
 }
 
 // Accept is for World.Listen.
-func (s *Server) Accept(e *virtual.End) virtual.Peer {
+func (s *Server) Accept(e *simnet.End) simnet.Peer {
 	if s.Limits.InitialWindowSize == 0 {
 		s.Limits = h2.Limits{MaxConcurrentStreams: 100, InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}
 	}
@@ -99,8 +99,8 @@
 	return c
 }
 
-// Opened implements virtual.Peer: the broker has connected.
-func (c *Conn) Opened(*virtual.End) {
+// Opened implements simnet.Peer: the broker has connected.
+func (c *Conn) Opened(*simnet.End) {
 	if c.S.Greet != nil && !c.S.Greet(c) {
 		c.H.TakeOutput()
 		c.Dead = true
@@ -109,8 +109,8 @@
 	c.Flush()
 }
 
-// Bytes implements virtual.Peer: bytes of the broker have come.
-func (c *Conn) Bytes(_ *virtual.End, b []byte) {
+// Bytes implements simnet.Peer: bytes of the broker have come.
+func (c *Conn) Bytes(_ *simnet.End, b []byte) {
 	if c.Dead {
 		return
 	}
@@ -118,8 +118,8 @@
 	c.Flush()
 }
 
-// Closed implements virtual.Peer: the broker has gone, and its calls with it.
-func (c *Conn) Closed(*virtual.End) {
+// Closed implements simnet.Peer: the broker has gone, and its calls with it.
+func (c *Conn) Closed(*simnet.End) {
 	if c.Dead {
 		return
 	}
--- a/internal/standin/virtual/world.go
+++ b/internal/standin/simnet/simnet.go
@@ -1,6 +1,6 @@
 // Package virtual is a network and a clock in memory for one broker: routing and its fronts run in it unchanged, against
 // scripted peers. All chance comes from a seed and all order from one queue, so a run replays exactly.
-package virtual
+package simnet
 
 import (
 	"bytes"
