--- a/internal/grpcproxy/attempts_test.go
+++ b/internal/grpcproxy/attempts_test.go
@@ -32,7 +32,7 @@
 		return append(list, p.Head(0), p.Say(0, "two"), p.End(0, 0))
 	})
 	c := p.Dial(s.world, 1)
-	since := s.world.R.Count.Outcomes
+	since := s.world.Engine.Count.Outcomes
 	a := c.Call(&p.Ask{Path: "/quick.message/Get", Fields: []string{"x-id", "7"}, Body: [][]byte{p.Message("q")}})
 	s.world.Run(1100)
 	if a.Finals != 1 || a.Status != 0 || messagesOf(a.Got) != "one" && messagesOf(a.Got) != "two" {
@@ -145,7 +145,7 @@
 	a := c.Call(&p.Ask{Path: quickPath, Timeout: 300, Body: [][]byte{p.Message("q")}})
 	s.world.Run(20)
 	for i := range s.servers { // the next connect is not answered
-		s.world.Swallow[s.proxy.servers[i].address] = true
+		s.world.UnansweredAddresses[s.proxy.servers[i].address] = true
 		for _, x := range s.servers[i].Conns {
 			if len(s.servers[i].Calls) == 0 {
 				x.Kill()
--- a/internal/grpcproxy/behaviours_test.go
+++ b/internal/grpcproxy/behaviours_test.go
@@ -215,7 +215,7 @@
 				v.Early = r.early
 			}
 			c := p.Dial(s.world, 1)
-			since := s.world.R.Count.Outcomes
+			since := s.world.Engine.Count.Outcomes
 			a := c.Call(&p.Ask{Path: r.path, Timeout: 900, Body: [][]byte{p.Message("ask")}})
 			s.world.Run(1500)
 			attempts := 0
--- a/internal/grpcproxy/cancelled_test.go
+++ b/internal/grpcproxy/cancelled_test.go
@@ -21,19 +21,19 @@
 		if how == "connect" { // the connection goes, and the next one takes long
 			s.servers[0].Conns[0].End.Close()
 			s.world.Run(5)
-			s.world.Delay = 60
+			s.world.DelayMs = 60
 		} else {
-			stalled.Stuck = true
+			stalled.WriteBlocked = true
 		}
 		a := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
-		s.world.Run(2 * s.world.Delay)
+		s.world.Run(2 * s.world.DelayMs)
 		if how != "connect" && stalled.Backlog() == 0 {
 			t.Fatal("no headers wait")
 		}
 		c.E.Close()
 		s.world.Run(300)
-		stalled.Unstick()
-		s.world.Delay = 0.2
+		stalled.UnblockWrites()
+		s.world.DelayMs = 0.2
 		s.world.Run(1000)
 		if s.attemptsSeen() != 1 {
 			t.Errorf("%s: an attempt started for a client that had gone", how)
--- a/internal/grpcproxy/clients_test.go
+++ b/internal/grpcproxy/clients_test.go
@@ -20,7 +20,7 @@
 	c := p.Dial(s.world, 1)
 	half := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
 	s.world.Run(10)
-	at := s.world.Now
+	at := s.world.NowMs
 	half.Cancel()
 	s.world.Run(5)
 	for _, v := range s.servers {
@@ -193,7 +193,7 @@
 			got := &recordingPeer{}
 			e := s.world.Dial(1, got)
 			s.world.Run(2)
-			at := s.world.Now
+			at := s.world.NowMs
 			e.Send(r.send)
 			a := good.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
 			s.world.Run(r.within)
@@ -214,11 +214,11 @@
 	closed float64
 }
 
-func (r *recordingPeer) Opened(*simnet.End) {}
+func (r *recordingPeer) Opened(*simnet.PeerConn) {}
 
-func (r *recordingPeer) Bytes(_ *simnet.End, b []byte) { r.got = append(r.got, b...) }
+func (r *recordingPeer) Bytes(_ *simnet.PeerConn, b []byte) { r.got = append(r.got, b...) }
 
-func (r *recordingPeer) Closed(e *simnet.End) { r.closed = e.Now() }
+func (r *recordingPeer) Closed(e *simnet.PeerConn) { r.closed = e.Now() }
 
 func TestRapidResetsCloseTheConnection(t *testing.T) {
 	s := newHarness(t, 23, 2, "")
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -29,7 +29,7 @@
 // harness is an engine with its gRPC proxy in a virtual network.
 type harness struct {
 	t        testing.TB
-	world    *simnet.World
+	world    *simnet.Network
 	proxy    *Proxy
 	servers  []*grpcpeer.Server
 	settings *Settings
@@ -58,14 +58,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []simnet.Listed
+	var all []simnet.Instance
 	for i := range servers {
-		all = append(all, simnet.Listed{ID: fmt.Sprintf("s%d", i), State: "ready", Cell: i % 2,
+		all = append(all, simnet.Instance{ID: fmt.Sprintf("s%d", i), State: "ready", Cell: i % 2,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i + 1)}), 80)})
 	}
 	s := &harness{t: t, world: simnet.New(set, seed, 300, all), settings: defaultSettings(list...)}
-	s.proxy = New(s.world.R, s.settings, 4, seed)
-	s.world.R.AddFront(s.proxy)
+	s.proxy = New(s.world.Engine, s.settings, 4, seed)
+	s.world.Engine.AddFront(s.proxy)
 	for i := range servers {
 		p := &grpcpeer.Server{W: s.world, Name: fmt.Sprintf("s%d", i), Script: echo}
 		s.servers = append(s.servers, p)
@@ -115,7 +115,7 @@
 // outcomesSince returns the outcomes that were reported to the policy since a count of them.
 func (s *harness) outcomesSince(since [policy.NeverSent + 1]int64) (list []string) {
 	names := []string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
-	for i, n := range s.world.R.Count.Outcomes {
+	for i, n := range s.world.Engine.Count.Outcomes {
 		for range n - since[i] {
 			list = append(list, names[i])
 		}
--- a/internal/grpcproxy/lifecycle_test.go
+++ b/internal/grpcproxy/lifecycle_test.go
@@ -37,7 +37,7 @@
 	c := p.Dial(s.world, 1)
 	long := c.Call(&p.Ask{Path: quickPath, Timeout: 5000, Body: [][]byte{p.Message("q")}})
 	s.world.Run(50)
-	s.world.After(0, func() { s.world.R.Notified(0) })
+	s.world.After(0, func() { s.world.Engine.Notified(0) })
 	s.world.Run(50)
 	if !c.Gone {
 		t.Error("no GOAWAY at once")
@@ -55,7 +55,7 @@
 	if !s.world.Stopped {
 		t.Error("the broker has not ended")
 	}
-	if long.DoneAt > s.world.R.Now() {
+	if long.DoneAt > s.world.Engine.Now() {
 		t.Error("after the end")
 	}
 }
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -89,7 +89,7 @@
 	case 1:
 		refuse := p.Reset(wait(10), http2.ErrCodeRefusedStream)
 		return acts(p.Act{After: refuse.After, Do: func(s *p.Server, k *p.Got) {
-			y.attempts[k].RecordNotExecuted(y.world.Now)
+			y.attempts[k].RecordNotExecuted(y.world.NowMs)
 			refuse.Do(s, k)
 		}}), true
 	case 2:
@@ -142,18 +142,18 @@
 		pendingCalls: map[string]*p.Ask{}, reported: map[*p.Ask]bool{}}
 	y.usage = &usageMeter{}
 	y.harness = newHarness(t, seed, 2+y.rng.IntN(4), budgetFacts)
-	y.world.R.SetMeter(y.usage)
+	y.world.Engine.SetMeter(y.usage)
 	y.rules.RetryBudgetBase, y.rules.RetryBudgetRatio, y.rules.RetryBudgetWindowMs, y.rules.IdempotencyWindowMs = 12, 0.3, 4000, 400
 	y.rules.Strict = true
-	y.world.Pieces = y.happens(0.5)
-	y.world.Delay = 0.1 + 2*y.rng.Float64()
-	y.rules.AnswerSlackMs = y.world.Delay + 1
+	y.world.SplitsBytes = y.happens(0.5)
+	y.world.DelayMs = 0.1 + 2*y.rng.Float64()
+	y.rules.AnswerSlackMs = y.world.DelayMs + 1
 	for _, v := range y.servers {
 		v.Script = y.serverScript
 		v.Early = y.happens(0.3)
 		v.Limits = h2Limits([]int{1, 2, 100}[y.rng.IntN(3)])
 		v.Limits.InitialWindowSize = 1 << (8 + y.rng.IntN(9))
-		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.RecordAttempt(k.Get("x-id"), "", v.Name, y.world.Now) }
+		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.RecordAttempt(k.Get("x-id"), "", v.Name, y.world.NowMs) }
 	}
 	return y
 }
@@ -167,7 +167,7 @@
 		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.happens(0.2), Slow: y.happens(0.05),
 		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
 	y.pendingCalls[id] = a
-	y.rules.RecordQuery(id, []invariants.Effect{invariants.Idempotent, invariants.NonIdempotent, invariants.IdempotentInWindow}[kind], y.world.Now, y.world.Now+a.Timeout)
+	y.rules.RecordQuery(id, []invariants.Effect{invariants.Idempotent, invariants.NonIdempotent, invariants.IdempotentInWindow}[kind], y.world.NowMs, y.world.NowMs+a.Timeout)
 	if y.onCall != nil {
 		y.onCall(id, a)
 	}
@@ -262,7 +262,7 @@
 func (y *randomRun) checkTurn() {
 	y.reportEnded()
 	y.checkCounts()
-	found := y.rules.Check(y.world.Now)
+	found := y.rules.Check(y.world.NowMs)
 	if len(found) == 0 {
 		return
 	}
@@ -271,12 +271,12 @@
 			y.t.Logf("%+v", *a)
 		}
 	}
-	y.t.Fatalf("at %.1f: %s", y.world.Now, strings.Join(found, "\n"))
+	y.t.Fatalf("at %.1f: %s", y.world.NowMs, strings.Join(found, "\n"))
 }
 
 // checkUsage compares what was metered with what the engine and the proxy count.
 func (y *randomRun) checkUsage() {
-	m, c := y.usage, &y.world.R.Count
+	m, c := y.usage, &y.world.Engine.Count
 	if m.searches != c.Searches || m.attempts != c.AttemptsAsked || m.left != c.ClientsLeft || c.AttemptsAsked != y.proxy.Counters.Attempts {
 		y.t.Errorf("metered %+v; %d searches, %d attempts asked, %d left; the proxy made %d", *m, c.Searches, c.AttemptsAsked,
 			c.ClientsLeft, y.proxy.Counters.Attempts)
@@ -289,8 +289,8 @@
 	for range 1 + y.rng.IntN(3) {
 		clients = append(clients, p.Dial(y.world, 1))
 	}
-	until := y.world.Now + ms
-	for y.world.Now < until {
+	until := y.world.NowMs + ms
+	for y.world.NowMs < until {
 		y.world.Run(20 * y.rng.Float64())
 		i := y.rng.IntN(len(clients))
 		if clients[i].Shut || clients[i].Gone {
@@ -325,11 +325,11 @@
 	addr := y.proxy.servers[i].address
 	switch y.rng.IntN(4) {
 	case 0: // drained for a while
-		y.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[i].State = "draining"; return list })
-		y.rules.RecordDrain(v.Name, true, y.world.Now+y.world.Delay)
+		y.world.UpdateInstances(func(list []simnet.Instance) []simnet.Instance { list[i].State = "draining"; return list })
+		y.rules.RecordDrain(v.Name, true, y.world.NowMs+y.world.DelayMs)
 		y.world.After(700+1500*y.rng.Float64(), func() {
-			y.rules.RecordDrain(v.Name, false, y.world.Now)
-			y.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[i].State = "ready"; return list })
+			y.rules.RecordDrain(v.Name, false, y.world.NowMs)
+			y.world.UpdateInstances(func(list []simnet.Instance) []simnet.Instance { list[i].State = "ready"; return list })
 		})
 	case 1: // restarts
 		for _, c := range v.Conns {
@@ -337,17 +337,17 @@
 				c.Kill()
 			}
 		}
-		y.world.Refuse[addr] = true
-		y.world.After(300*y.rng.Float64(), func() { delete(y.world.Refuse, addr) })
+		y.world.RefusedAddresses[addr] = true
+		y.world.After(300*y.rng.Float64(), func() { delete(y.world.RefusedAddresses, addr) })
 	case 2: // connects do not come up
-		y.world.Swallow[addr] = true
-		y.world.After(500*y.rng.Float64(), func() { delete(y.world.Swallow, addr) })
+		y.world.UnansweredAddresses[addr] = true
+		y.world.After(500*y.rng.Float64(), func() { delete(y.world.UnansweredAddresses, addr) })
 	case 3: // the network to it stands still
 		y.rules.Strict = false
 		for _, c := range v.Conns {
-			if !c.Dead && !c.End.Gone() {
-				c.End.Stuck = true
-				y.world.After(400*y.rng.Float64(), c.End.Unstick)
+			if !c.Dead && !c.End.IsClosed() {
+				c.End.WriteBlocked = true
+				y.world.After(400*y.rng.Float64(), c.End.UnblockWrites)
 			}
 		}
 	}
--- a/internal/grpcproxy/servers_test.go
+++ b/internal/grpcproxy/servers_test.go
@@ -19,8 +19,8 @@
 	if len(s.servers[1].Calls) > 0 {
 		at = 1
 	}
-	s.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[at].State = "draining"; return list })
-	notifiedAt := s.world.Now
+	s.world.UpdateInstances(func(list []simnet.Instance) []simnet.Instance { list[at].State = "draining"; return list })
+	notifiedAt := s.world.NowMs
 	s.world.Run(1)
 	for range 20 {
 		c.Call(&p.Ask{Path: quickPath, Timeout: 500, Body: [][]byte{p.Message("q")}})
@@ -42,7 +42,7 @@
 	s := newHarness(t, 14, 2, "")
 	s.warmUp(5)
 	moved := s.proxy.servers[0].address.Addr().Next().Next().Next()
-	s.world.Tell(func(list []simnet.Listed) []simnet.Listed {
+	s.world.UpdateInstances(func(list []simnet.Instance) []simnet.Instance {
 		list[0].Addr = netipFrom(moved, 80)
 		return list
 	})
@@ -67,7 +67,7 @@
 func TestUnreachableServerCostsFewConnects(t *testing.T) {
 	s := newHarness(t, 15, 2, "")
 	s.warmUp(10)
-	s.world.Refuse[s.proxy.servers[0].address] = true
+	s.world.RefusedAddresses[s.proxy.servers[0].address] = true
 	for _, x := range s.servers[0].Conns {
 		x.Kill()
 	}
@@ -94,8 +94,8 @@
 	c := p.Dial(s.world, 1)
 	a := c.Call(&p.Ask{Path: oncePath, Timeout: 400, Body: [][]byte{p.Message("q")}})
 	s.world.Run(600)
-	if a.Finals != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.R.Count.Outcomes[policy.ConnectFailed] == 0 {
-		t.Errorf("%d finals, status %d, outcomes %v", a.Finals, a.Status, s.world.R.Count.Outcomes)
+	if a.Finals != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.Engine.Count.Outcomes[policy.ConnectFailed] == 0 {
+		t.Errorf("%d finals, status %d, outcomes %v", a.Finals, a.Status, s.world.Engine.Count.Outcomes)
 	}
 	s.closeAndCheck(c)
 }
@@ -171,8 +171,8 @@
 			conn.Kill()
 		}
 	}
-	restartedAt := s.world.Now
-	s.world.Tell(func(list []simnet.Listed) []simnet.Listed { list[1].Started = restartedAt; return list })
+	restartedAt := s.world.NowMs
+	s.world.UpdateInstances(func(list []simnet.Instance) []simnet.Instance { list[1].Started = restartedAt; return list })
 	before := len(restarted.Calls)
 	s.callOften(c, 100)
 	calls := len(restarted.Calls) - before
--- a/internal/standin/grpcpeer/client.go
+++ b/internal/standin/grpcpeer/client.go
@@ -64,8 +64,8 @@
 
 // Client is one connection of a gRPC client to the broker.
 type Client struct {
-	W     *simnet.World
-	E     *simnet.End
+	W     *simnet.Network
+	E     *simnet.PeerConn
 	H     *h2.Conn
 	Shut  bool
 	Gone  bool // GOAWAY was heard
@@ -74,7 +74,7 @@
 }
 
 // Dial connects to the broker's gRPC door.
-func Dial(w *simnet.World, door int) *Client {
+func Dial(w *simnet.Network, door int) *Client {
 	c := &Client{W: w}
 	c.H = h2.New(false, h2.Limits{InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}, c)
 	c.E = w.Dial(door, (*clientEnd)(c))
@@ -84,7 +84,7 @@
 type clientEnd Client
 
 // Opened implements simnet.Peer: the broker has taken the connection.
-func (e *clientEnd) Opened(*simnet.End) {
+func (e *clientEnd) Opened(*simnet.PeerConn) {
 	c := (*Client)(e)
 	for _, a := range c.wait {
 		c.begin(a)
@@ -94,27 +94,27 @@
 }
 
 // Bytes implements simnet.Peer: bytes of the broker have come.
-func (e *clientEnd) Bytes(_ *simnet.End, b []byte) {
+func (e *clientEnd) Bytes(_ *simnet.PeerConn, b []byte) {
 	c := (*Client)(e)
-	c.H.Feed(b, c.W.Now)
+	c.H.Feed(b, c.W.NowMs)
 	c.Flush()
 }
 
 // Closed implements simnet.Peer: the connection is gone, and its calls with it.
-func (e *clientEnd) Closed(*simnet.End) {
+func (e *clientEnd) Closed(*simnet.PeerConn) {
 	c := (*Client)(e)
 	if c.Shut {
 		return
 	}
 	c.Shut = true
 	for _, a := range c.wait {
-		a.Lost, a.DoneAt = true, c.W.Now
+		a.Lost, a.DoneAt = true, c.W.NowMs
 		c.ended(a)
 	}
 	for _, s := range c.H.Streams() {
 		a := s.UserData.(*Ask)
 		if !a.Done() {
-			a.Lost, a.DoneAt = true, c.W.Now
+			a.Lost, a.DoneAt = true, c.W.NowMs
 			c.ended(a)
 		}
 	}
@@ -134,7 +134,7 @@
 
 // Flush sends what waits.
 func (c *Client) Flush() {
-	if c.Shut || c.E.Gone() {
+	if c.Shut || c.E.IsClosed() {
 		return
 	}
 	c.H.Pump(1 << 20)
@@ -145,9 +145,9 @@
 
 // Call makes a call.
 func (c *Client) Call(a *Ask) *Ask {
-	a.Status, a.At, a.c = -1, c.W.Now, c
+	a.Status, a.At, a.c = -1, c.W.NowMs, c
 	a.out, a.end = a.Body, !a.Open
-	if c.E.Since() == 0 {
+	if c.E.OpenedAtMs() == 0 {
 		c.wait = append(c.wait, a)
 		return a
 	}
@@ -157,14 +157,14 @@
 }
 
 func (c *Client) begin(a *Ask) {
-	a.At = c.W.Now
+	a.At = c.W.NowMs
 	list := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: a.Path},
 		{Name: ":authority", Value: "api"}, {Name: "content-type", Value: "application/grpc"}, {Name: "te", Value: "trailers"}}
 	if a.Timeout > 0 {
 		list = append(list, h2.Field{Name: "grpc-timeout", Value: strconv.Itoa(int(a.Timeout)) + "m"})
 	}
 	if !c.H.CanStartStream() {
-		a.Lost, a.DoneAt = true, c.W.Now
+		a.Lost, a.DoneAt = true, c.W.NowMs
 		c.ended(a)
 		return
 	}
@@ -214,7 +214,7 @@
 	}
 	a.Trailers = fields
 	a.Finals++
-	a.DoneAt = c.W.Now
+	a.DoneAt = c.W.NowMs
 	a.Status = 2
 	for _, f := range fields {
 		if f.Name == "grpc-status" {
@@ -233,7 +233,7 @@
 	}
 	if end {
 		a.Finals++
-		a.DoneAt = c.W.Now
+		a.DoneAt = c.W.NowMs
 		c.ended(a)
 	}
 }
@@ -245,7 +245,7 @@
 func (c *Client) StreamReset(s *h2.Stream, code h2.ErrorCode) {
 	a := s.UserData.(*Ask)
 	if a.Finals == 0 {
-		a.WasReset, a.ResetBy, a.DoneAt = true, code, c.W.Now
+		a.WasReset, a.ResetBy, a.DoneAt = true, code, c.W.NowMs
 		c.ended(a)
 	}
 }
@@ -253,7 +253,7 @@
 // StreamUnprocessed implements h2.Events: the peer says that it never looked at a stream.
 func (c *Client) StreamUnprocessed(s *h2.Stream) {
 	a := s.UserData.(*Ask)
-	a.WasReset, a.ResetBy, a.DoneAt = true, http2.ErrCodeRefusedStream, c.W.Now
+	a.WasReset, a.ResetBy, a.DoneAt = true, http2.ErrCodeRefusedStream, c.W.NowMs
 	c.ended(a)
 }
 
--- a/internal/standin/grpcpeer/grpcpeer.go
+++ b/internal/standin/grpcpeer/grpcpeer.go
@@ -66,7 +66,7 @@
 
 // Server is one scripted server; its script is asked for with each call.
 type Server struct {
-	W      *simnet.World
+	W      *simnet.Network
 	Name   string
 	Script func(k *Got) []Act
 	Early  bool // it acts on a call's head, without waiting for its end
@@ -83,13 +83,13 @@
 // Conn is one connection of a server.
 type Conn struct {
 	S    *Server
-	End  *simnet.End
+	End  *simnet.PeerConn
 	H    *h2.Conn
 	Dead bool // reads and says nothing more
 }
 
 // Accept is for World.Listen.
-func (s *Server) Accept(e *simnet.End) simnet.Peer {
+func (s *Server) Accept(e *simnet.PeerConn) simnet.Peer {
 	if s.Limits.InitialWindowSize == 0 {
 		s.Limits = h2.Limits{MaxConcurrentStreams: 100, InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}
 	}
@@ -100,7 +100,7 @@
 }
 
 // Opened implements simnet.Peer: the broker has connected.
-func (c *Conn) Opened(*simnet.End) {
+func (c *Conn) Opened(*simnet.PeerConn) {
 	if c.S.Greet != nil && !c.S.Greet(c) {
 		c.H.TakeOutput()
 		c.Dead = true
@@ -110,23 +110,23 @@
 }
 
 // Bytes implements simnet.Peer: bytes of the broker have come.
-func (c *Conn) Bytes(_ *simnet.End, b []byte) {
+func (c *Conn) Bytes(_ *simnet.PeerConn, b []byte) {
 	if c.Dead {
 		return
 	}
-	c.H.Feed(b, c.S.W.Now)
+	c.H.Feed(b, c.S.W.NowMs)
 	c.Flush()
 }
 
 // Closed implements simnet.Peer: the broker has gone, and its calls with it.
-func (c *Conn) Closed(*simnet.End) {
+func (c *Conn) Closed(*simnet.PeerConn) {
 	if c.Dead {
 		return
 	}
 	c.Dead = true
 	for _, s := range c.H.Streams() {
 		if k, ok := s.UserData.(*Got); ok && !k.Reset {
-			k.Reset, k.ResetAt = true, c.S.W.Now
+			k.Reset, k.ResetAt = true, c.S.W.NowMs
 			if c.S.OnReset != nil {
 				c.S.OnReset(k)
 			}
@@ -156,7 +156,7 @@
 	if s.UserData != nil {
 		return
 	}
-	k := &Got{S: c.S, Stream: s, Fields: append([]h2.Field(nil), fields...), EndIn: end, At: c.S.W.Now}
+	k := &Got{S: c.S, Stream: s, Fields: append([]h2.Field(nil), fields...), EndIn: end, At: c.S.W.NowMs}
 	s.UserData = k
 	c.S.Calls = append(c.S.Calls, k)
 	if c.S.OnCall != nil {
@@ -191,7 +191,7 @@
 // StreamReset implements h2.Events: the peer has reset a stream.
 func (c *Conn) StreamReset(s *h2.Stream, _ h2.ErrorCode) {
 	if k, ok := s.UserData.(*Got); ok {
-		k.Reset, k.ResetAt = true, c.S.W.Now
+		k.Reset, k.ResetAt = true, c.S.W.NowMs
 		if c.S.OnReset != nil {
 			c.S.OnReset(k)
 		}
