--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
 // Package simwire speaks the bench's frames: it reads events in place, turns ids into small indices,
-// keeps one module for each broker and writes down what that module decides.
+// keeps one policy for each aggregator and writes down what that policy decides.
 package simwire
 
 import (
@@ -19,40 +19,40 @@
 	maxRead = 1 << 16 // read at most this much ahead of what has come, so that a false length costs little
 )
 
-// host is what one process keeps: the numbered lists and its brokers.
+// host is what one process keeps: the numbered lists and its aggregators.
 type host struct {
-	lists   [16][]byte
-	brokers map[uint16]*broker
-	order   []*broker
-	now     float64
-	reply   []byte
-	records uint32
-	speaker int
-}
-
-// broker is one instance: its module and the indices at its door.
-type broker struct {
-	num     uint16
-	alive   bool
-	h       *host
-	port    policy.Port
-	wire    []uint64 // request index to id
-	index   map[uint64]int
-	free    []int
-	jobs    map[float32]int
-	jobOf   map[int]float32
-	members map[int][]int // a search's parts
-	servers map[[6]byte]int
-	names   [][6]byte
-	listed  []bool
-	report  []float64
-	inRound bool
+	lists     [16][]byte
+	instances map[uint16]*instance
+	inRound   []*instance
+	now       float64
+	reply     []byte
+	records   uint32
+	speaker   int
+}
+
+// instance is one aggregator: its policy, and the indices of the simulator's ids.
+type instance struct {
+	number      uint16
+	alive       bool
+	host        *host
+	port        policy.Port
+	idOf        []uint64 // request index to id
+	indexOf     map[uint64]int
+	freeIndices []int
+	searchOfJob map[float32]int
+	jobOfSearch map[int]float32
+	requestsOf  map[int][]int // a search's parts
+	serverIndex map[[6]byte]int
+	serverIDs   [][6]byte
+	listed      []bool
+	report      []float64
+	inRound     bool
 }
 
 // Run plays until the input ends between two frames.
 func Run(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, maxRead), bufio.NewWriterSize(w, maxRead)
-	h := &host{brokers: map[uint16]*broker{}}
+	h := &host{instances: map[uint16]*instance{}}
 	var head [12]byte
 	var frame []byte
 	for n := 0; ; n++ {
@@ -74,7 +74,7 @@
 		if math.IsNaN(h.now) || math.IsInf(h.now, 0) {
 			return fmt.Errorf("frame %d: the clock is no number", n)
 		}
-		if err := h.batch(frame); err != nil {
+		if err := h.handleFrame(frame); err != nil {
 			return fmt.Errorf("frame %d: %w", n, err)
 		}
 		binary.LittleEndian.PutUint32(head[:], h.records)
@@ -91,18 +91,18 @@
 
 // cursor reads a frame; a read past its end marks it broken instead of failing at once.
 type cursor struct {
-	b      []byte
-	at     int
+	frame  []byte
+	offset int
 	broken bool
 }
 
 func (c *cursor) bytes(n int) []byte {
-	if c.broken || n < 0 || n > len(c.b)-c.at {
+	if c.broken || n < 0 || n > len(c.frame)-c.offset {
 		c.broken = true
 		return nil
 	}
-	c.at += n
-	return c.b[c.at-n : c.at]
+	c.offset += n
+	return c.frame[c.offset-n : c.offset]
 }
 
 func (c *cursor) u8() uint8 {
@@ -149,29 +149,30 @@
 	return v
 }
 
-func (h *host) batch(frame []byte) (err error) {
+// handleFrame reads the records of a frame; a policy that panics is reported in the reply.
+func (h *host) handleFrame(frame []byte) (err error) {
 	h.reply, h.records, h.speaker = h.reply[:0], 0, -1
-	h.order = h.order[:0]
-	var b *broker
+	h.inRound = h.inRound[:0]
+	var in *instance
 	defer func() {
 		if v := recover(); v != nil {
-			if b != nil {
-				h.speak(b)
+			if in != nil {
+				h.selectInstance(in)
 			}
-			h.text(1030, fmt.Sprint("decision code failed: ", v))
+			h.appendText(1030, fmt.Sprint("decision code failed: ", v))
 			err = nil
 		}
 	}()
-	c := &cursor{b: frame}
-	for c.at < len(frame) {
-		at := c.at
+	c := &cursor{frame: frame}
+	for c.offset < len(frame) {
+		at := c.offset
 		code := c.u16()
 		if code == 1050 {
 			num := c.u16()
 			if !c.broken {
-				if b = h.brokers[num]; b == nil {
-					b = &broker{num: num, h: h}
-					h.brokers[num] = b
+				if in = h.instances[num]; in == nil {
+					in = &instance{number: num, host: h}
+					h.instances[num] = in
 				}
 			}
 		} else if code == 1090 {
@@ -184,14 +185,14 @@
 				h.lists[list] = append(h.lists[list][:0], data...)
 			}
 		} else if !c.broken {
-			name, known := events[code]
+			name, known := eventNames[code]
 			if !known {
 				return fmt.Errorf("unknown code %d at byte %d", code, at)
 			}
-			if b == nil {
+			if in == nil {
 				return fmt.Errorf("%s at byte %d comes before any For", name, at)
 			}
-			if err := b.event(code, c); err != nil {
+			if err := in.handleEvent(code, c); err != nil {
 				return fmt.Errorf("%s at byte %d: %w", name, at, err)
 			}
 			if c.broken {
@@ -202,16 +203,16 @@
 			return fmt.Errorf("record %d at byte %d %w", code, at, errShort)
 		}
 	}
-	for _, b = range h.order {
-		if b.inRound {
-			b.inRound = false
-			b.port.End()
+	for _, in = range h.inRound {
+		if in.inRound {
+			in.inRound = false
+			in.port.End()
 		}
 	}
 	return nil
 }
 
-var events = map[uint16]string{
+var eventNames = map[uint16]string{
 	1000: "ProbeResult", 1010: "AckFirst", 1020: "Teardown", 1030: "Update", 1040: "Enlist",
 	1060: "Lapsed", 1070: "Inbound", 1080: "Peer", 1100: "Done", 1110: "Bell",
 }
@@ -220,69 +221,46 @@
 var outcomes = [...]policy.Outcome{1: policy.Answered, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
 	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.NeverSent}
 
-func (b *broker) round() {
-	if !b.inRound {
-		b.inRound = true
-		b.h.order = append(b.h.order, b)
-		b.port.Begin(b.h.now)
+// beginRound begins the instance's round of this frame with its first event.
+func (in *instance) beginRound() {
+	if !in.inRound {
+		in.inRound = true
+		in.host.inRound = append(in.host.inRound, in)
+		in.port.Begin(in.host.now)
 	}
 }
 
-func (b *broker) event(code uint16, c *cursor) error {
+// handleEvent reads one event of an instance and notifies its policy.
+func (in *instance) handleEvent(code uint16, c *cursor) error {
 	if code == 1040 {
 		seed, n := c.u64(), c.u32()
 		facts := c.bytes(int(min(n, math.MaxInt32)))
 		if !c.broken {
-			b.enlist(seed, string(facts))
+			in.start(seed, string(facts))
 		}
 		return nil
 	}
-	if !b.alive {
+	if !in.alive {
 		return errors.New("the instance has no Enlist")
 	}
 	if code == 1020 {
-		b.alive, b.inRound, b.port = false, false, nil
+		in.alive, in.inRound, in.port = false, false, nil
 		return nil
 	}
-	b.round()
+	in.beginRound()
 	switch code {
 	case 1030:
-		list, _, kind := c.u8(), c.u32(), c.u8()
-		if c.broken {
-			return nil
-		}
-		if kind == 3 {
-			b.port.DiscoveryFailed()
-			return nil
-		}
-		if int(list) >= len(b.h.lists) || kind > 3 {
-			return fmt.Errorf("list %d of kind %d", list, kind)
-		}
-		b.update(b.h.lists[list], kind != 0)
+		return in.handleUpdate(c)
 	case 1070:
-		b.inbound(c)
+		in.handleInbound(c)
 	case 1100:
-		id, how, _, shot, _, _ := c.u64(), c.u8(), c.node(), c.u16(), c.u8(), c.f64()
-		load := b.gauge(c)
-		if c.broken {
-			return nil
-		}
-		if how%10 != 0 || how == 0 || int(how/10) >= len(outcomes) {
-			return fmt.Errorf("outcome %d", how)
-		}
-		if at, held := b.index[id]; held {
-			b.port.Done(at, int(shot), outcomes[how/10], load)
-		}
+		return in.handleDone(c)
 	case 1060:
-		if at, held := b.index[c.u64()]; held && !c.broken {
-			b.port.ClientGone(at)
+		if at, held := in.indexOf[c.u64()]; held && !c.broken {
+			in.port.ClientGone(at)
 		}
 	case 1000:
-		node, how, elapsed := c.node(), c.u8(), c.f64()
-		load := b.gauge(c)
-		if at, known := b.servers[node]; known && !c.broken {
-			b.port.Probed(at, how == 10, elapsed, load)
-		}
+		in.handleProbeResult(c)
 	case 1010:
 		c.bytes(8 + 2 + 6 + 8)
 	case 1080:
@@ -291,33 +269,77 @@
 	case 1110:
 		c.u64()
 		if !c.broken {
-			b.port.Woken()
+			in.port.Woken()
 		}
 	}
 	return nil
 }
 
-func (b *broker) gauge(c *cursor) []float64 {
+// handleUpdate applies a list of servers, or tells that asking for it failed.
+func (in *instance) handleUpdate(c *cursor) error {
+	list, _, kind := c.u8(), c.u32(), c.u8()
+	if c.broken {
+		return nil
+	}
+	if kind == 3 {
+		in.port.DiscoveryFailed()
+		return nil
+	}
+	if int(list) >= len(in.host.lists) || kind > 3 {
+		return fmt.Errorf("list %d of kind %d", list, kind)
+	}
+	in.applyRows(in.host.lists[list], kind != 0)
+	return nil
+}
+
+// handleDone ends an attempt.
+func (in *instance) handleDone(c *cursor) error {
+	id, outcome, _, attempt, _, _ := c.u64(), c.u8(), c.node(), c.u16(), c.u8(), c.f64()
+	report := in.readReport(c)
+	if c.broken {
+		return nil
+	}
+	if outcome%10 != 0 || outcome == 0 || int(outcome/10) >= len(outcomes) {
+		return fmt.Errorf("outcome %d", outcome)
+	}
+	if index, known := in.indexOf[id]; known {
+		in.port.Done(index, int(attempt), outcomes[outcome/10], report)
+	}
+	return nil
+}
+
+// handleProbeResult ends a health check.
+func (in *instance) handleProbeResult(c *cursor) {
+	node, result, elapsed := c.node(), c.u8(), c.f64()
+	report := in.readReport(c)
+	if index, known := in.serverIndex[node]; known && !c.broken {
+		in.port.Probed(index, result == 10, elapsed, report)
+	}
+}
+
+// readReport reads the values of a load report.
+func (in *instance) readReport(c *cursor) []float64 {
 	n := int(c.u8())
-	b.report = b.report[:0]
+	in.report = in.report[:0]
 	for i := 0; i < n && !c.broken; i++ {
-		b.report = append(b.report, c.f32())
+		in.report = append(in.report, c.f32())
 	}
-	return b.report
+	return in.report
 }
 
-func (b *broker) update(rows []byte, whole bool) {
-	seen := make([]bool, len(b.names), len(b.names)+len(rows)/rowSize)
-	c := &cursor{b: rows}
-	for c.at < len(rows) {
+// applyRows applies the rows of a list; servers that a full one doesn't name are gone.
+func (in *instance) applyRows(rows []byte, full bool) {
+	seen := make([]bool, len(in.serverIDs), len(in.serverIDs)+len(rows)/rowSize)
+	c := &cursor{frame: rows}
+	for c.offset < len(rows) {
 		node, hall, _, cell, state := c.node(), c.u8(), c.u8(), c.u16(), c.u8()
 		size, started := c.f32(), c.f64()
-		at, known := b.servers[node]
+		at, known := in.serverIndex[node]
 		if !known {
-			at = len(b.names)
-			b.servers[node] = at
-			b.names = append(b.names, node)
-			b.listed = append(b.listed, false)
+			at = len(in.serverIDs)
+			in.serverIndex[node] = at
+			in.serverIDs = append(in.serverIDs, node)
+			in.listed = append(in.listed, false)
 			seen = append(seen, false)
 		}
 		as := policy.Ready
@@ -327,21 +349,22 @@
 		case 3:
 			as = policy.Gone
 		}
-		seen[at], b.listed[at] = true, as != policy.Gone
-		b.port.Server(at, int(hall), int(cell), as, size, started)
+		seen[at], in.listed[at] = true, as != policy.Gone
+		in.port.Server(at, int(hall), int(cell), as, size, started)
 	}
-	if !whole {
+	if !full {
 		return
 	}
 	for at, was := range seen {
-		if !was && b.listed[at] {
-			b.listed[at] = false
-			b.port.Server(at, 0, 0, policy.Gone, 0, 0)
+		if !was && in.listed[at] {
+			in.listed[at] = false
+			in.port.Server(at, 0, 0, policy.Gone, 0, 0)
 		}
 	}
 }
 
-func (b *broker) inbound(c *cursor) {
+// handleInbound takes a search, or a shard request of one.
+func (in *instance) handleInbound(c *cursor) {
 	id, kind, customer, key, until, work := c.u64(), int(c.u8()), int(c.u16()), c.u64(), c.f64(), c.f64()
 	job, segment, share, bits := float32(c.f32()), int(c.f32()), c.f32(), c.u8()
 	if c.broken {
@@ -351,145 +374,146 @@
 		work = 0
 	}
 	if segment < 0 {
-		at := b.take(id)
-		b.jobs[job], b.jobOf[at] = at, job
-		b.port.Search(at, kind, customer, until, int(share))
+		at := in.newIndex(id)
+		in.searchOfJob[job], in.jobOfSearch[at] = at, job
+		in.port.Search(at, kind, customer, until, int(share))
 		return
 	}
-	if search, held := b.jobs[job]; held {
-		at := b.take(id)
-		b.members[search] = append(b.members[search], at)
-		b.port.ShardRequest(search, at, segment, share, work, key)
+	if search, held := in.searchOfJob[job]; held {
+		at := in.newIndex(id)
+		in.requestsOf[search] = append(in.requestsOf[search], at)
+		in.port.ShardRequest(search, at, segment, share, work, key)
 	}
 }
 
-func (b *broker) take(id uint64) int {
-	at := len(b.wire)
-	if n := len(b.free); n > 0 {
-		at, b.free = b.free[n-1], b.free[:n-1]
-		b.wire[at] = id
+// newIndex gives an id its index.
+func (in *instance) newIndex(id uint64) int {
+	at := len(in.idOf)
+	if n := len(in.freeIndices); n > 0 {
+		at, in.freeIndices = in.freeIndices[n-1], in.freeIndices[:n-1]
+		in.idOf[at] = id
 	} else {
-		b.wire = append(b.wire, id)
+		in.idOf = append(in.idOf, id)
 	}
-	b.index[id] = at
+	in.indexOf[id] = at
 	return at
 }
 
-// enlist starts an instance anew with its settings.
-func (b *broker) enlist(seed uint64, facts string) {
-	*b = broker{num: b.num, h: b.h, alive: true, index: map[uint64]int{},
-		jobs: map[float32]int{}, jobOf: map[int]float32{}, members: map[int][]int{}, servers: map[[6]byte]int{}}
-	b.port = settings.FromFacts(facts).NewPolicy(b, seed)
-	b.round()
+// start starts an instance anew with its settings.
+func (in *instance) start(seed uint64, facts string) {
+	*in = instance{number: in.number, host: in.host, alive: true, indexOf: map[uint64]int{},
+		searchOfJob: map[float32]int{}, jobOfSearch: map[int]float32{}, requestsOf: map[int][]int{}, serverIndex: map[[6]byte]int{}}
+	in.port = settings.FromFacts(facts).NewPolicy(in, seed)
+	in.beginRound()
 }
 
-func (h *host) speak(b *broker) {
-	if h.speaker != int(b.num) {
-		h.speaker = int(b.num)
-		h.record(1070)
-		h.reply = binary.LittleEndian.AppendUint16(h.reply, b.num)
+func (h *host) selectInstance(in *instance) {
+	if h.speaker != int(in.number) {
+		h.speaker = int(in.number)
+		h.appendRecord(1070)
+		h.reply = binary.LittleEndian.AppendUint16(h.reply, in.number)
 	}
 }
 
-func (h *host) record(code uint16) {
+func (h *host) appendRecord(code uint16) {
 	h.records++
 	h.reply = binary.LittleEndian.AppendUint16(h.reply, code)
 }
 
-func (h *host) text(code uint16, s string) {
+func (h *host) appendText(code uint16, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
-	h.record(code)
+	h.appendRecord(code)
 	h.reply = binary.LittleEndian.AppendUint16(h.reply, uint16(len(s)))
 	h.reply = append(h.reply, s...)
 }
 
-func (b *broker) say(code uint16) {
-	b.h.speak(b)
-	b.h.record(code)
+func (in *instance) beginRecord(code uint16) {
+	in.host.selectInstance(in)
+	in.host.appendRecord(code)
 }
 
-func (b *broker) u64(v uint64)  { b.h.reply = binary.LittleEndian.AppendUint64(b.h.reply, v) }
-func (b *broker) f64(v float64) { b.u64(math.Float64bits(v)) }
+func (in *instance) u64(v uint64)  { in.host.reply = binary.LittleEndian.AppendUint64(in.host.reply, v) }
+func (in *instance) f64(v float64) { in.u64(math.Float64bits(v)) }
 
-// Send implements policy.Out: one more sub-request goes to a server, by a frame to the simulator.
-func (b *broker) Send(part, server int, within, _ float64) {
-	b.say(1130)
-	b.u64(b.wire[part])
-	b.f64(within)
-	b.h.reply = append(b.h.reply, b.names[server][:]...)
+// Send implements policy.Out: one more attempt goes to a server, by a frame to the simulator.
+func (in *instance) Send(part, server int, within, _ float64) {
+	in.beginRecord(1130)
+	in.u64(in.idOf[part])
+	in.f64(within)
+	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
-// Cancel implements policy.Out: a sub-request is called off, by a frame to the simulator.
-func (b *broker) Cancel(part, try int) {
-	b.say(1100)
-	b.u64(b.wire[part])
-	b.h.reply = binary.LittleEndian.AppendUint16(b.h.reply, uint16(try))
+// Cancel implements policy.Out: an attempt is cancelled, by a frame to the simulator.
+func (in *instance) Cancel(part, try int) {
+	in.beginRecord(1100)
+	in.u64(in.idOf[part])
+	in.host.reply = binary.LittleEndian.AppendUint16(in.host.reply, uint16(try))
 }
 
 // Answer implements policy.Out: a search is answered, by a frame to the simulator.
-func (b *broker) Answer(search int, whole bool) {
-	b.say(1080)
-	b.u64(b.wire[search])
+func (in *instance) Answer(search int, complete bool) {
+	in.beginRecord(1080)
+	in.u64(in.idOf[search])
 	mark := byte(0)
-	if whole {
+	if complete {
 		mark = 1
 	}
-	b.h.reply = append(b.h.reply, mark)
+	in.host.reply = append(in.host.reply, mark)
 }
 
 // Shed implements policy.Out: a search is refused, by a frame to the simulator.
-func (b *broker) Shed(search int, comeBack float64) {
-	b.say(1010)
-	b.u64(b.wire[search])
-	b.f64(comeBack)
+func (in *instance) Shed(search int, comeBack float64) {
+	in.beginRecord(1010)
+	in.u64(in.idOf[search])
+	in.f64(comeBack)
 }
 
 // Fail implements policy.Out: a search ends in error, by a frame to the simulator.
-func (b *broker) Fail(search int) {
-	b.say(1060)
-	b.u64(b.wire[search])
+func (in *instance) Fail(search int) {
+	in.beginRecord(1060)
+	in.u64(in.idOf[search])
 }
 
 // Probe implements policy.Out: a server is probed, by a frame to the simulator.
-func (b *broker) Probe(server int) {
-	b.say(1050)
-	b.h.reply = append(b.h.reply, b.names[server][:]...)
+func (in *instance) Probe(server int) {
+	in.beginRecord(1050)
+	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
 // Close implements policy.Out: idle connections to a server are closed, by a frame to the simulator.
-func (b *broker) Close(server int) {
-	b.say(1000)
-	b.h.reply = append(b.h.reply, b.names[server][:]...)
+func (in *instance) Close(server int) {
+	in.beginRecord(1000)
+	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
 // Subscribe implements policy.Out: the list is subscribed to, by a frame to the simulator.
-func (b *broker) Subscribe() {
-	b.say(1110)
-	b.h.reply = append(b.h.reply, 1)
+func (in *instance) Subscribe() {
+	in.beginRecord(1110)
+	in.host.reply = append(in.host.reply, 1)
 }
 
-// Wake implements policy.Out: the module wants a round after so many milliseconds, by a frame to the simulator.
-func (b *broker) Wake(in float64) {
-	b.say(1020)
-	b.f64(in)
-	b.u64(0)
+// Wake implements policy.Out: the policy wants a round after so many milliseconds, by a frame to the simulator.
+func (in *instance) Wake(delay float64) {
+	in.beginRecord(1020)
+	in.f64(delay)
+	in.u64(0)
 }
 
-// Log implements policy.Out: the module has a line for the log.
-func (b *broker) Log(text string) {
-	b.h.speak(b)
-	b.h.text(1120, text)
+// Log implements policy.Out: the policy has a line for the log.
+func (in *instance) Log(text string) {
+	in.host.selectInstance(in)
+	in.host.appendText(1120, text)
 }
 
 // Forget implements policy.Out: the indices of a search may be used again.
-func (b *broker) Forget(search int) {
-	for _, at := range append(b.members[search], search) {
-		delete(b.index, b.wire[at])
-		b.free = append(b.free, at)
+func (in *instance) Forget(search int) {
+	for _, at := range append(in.requestsOf[search], search) {
+		delete(in.indexOf, in.idOf[at])
+		in.freeIndices = append(in.freeIndices, at)
 	}
-	delete(b.members, search)
-	if job := b.jobOf[search]; b.jobs[job] == search {
-		delete(b.jobs, job)
+	delete(in.requestsOf, search)
+	if job := in.jobOfSearch[search]; in.searchOfJob[job] == search {
+		delete(in.searchOfJob, job)
 	}
-	delete(b.jobOf, search)
+	delete(in.jobOfSearch, search)
 }
