--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -181,79 +181,105 @@
 	return nil
 }
 
+// framing is what a head says of its body's length, and of the connection.
+type framing struct {
+	lengths, codings int // headers that state a length, or a coding
+	length           int
+	keepAlive        bool
+	err              error // the first fault of a header line
+}
+
+// readHead reads what a head says of its message's end.
 func (m *Message) readHead() error {
-	first, _, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
-	version := first
-	if m.response {
-		if len(first) < 12 || first[8] != ' ' || m.Status() == 0 {
-			return newError(400, "no status line")
-		}
-		version = first[:8]
-	} else {
-		parts := bytes.Split(first, []byte(" "))
-		if len(parts) != 3 || !isToken(parts[0]) || len(parts[1]) == 0 {
-			return newError(400, "no request line")
-		}
-		version = parts[2]
+	version, err := m.readFirstLine()
+	if err != nil {
+		return err
 	}
-	old := string(version) == "HTTP/1.0"
-	if !old && string(version) != "HTTP/1.1" {
+	oldVersion := string(version) == "HTTP/1.0"
+	if !oldVersion && string(version) != "HTTP/1.1" {
 		return newError(505, "not HTTP/1.1")
 	}
-	lengths, length, codings := 0, 0, 0
-	var why error
-	keep := false
-	m.eachField(func(name, value []byte) {
-		switch {
-		case why != nil:
-		case !isToken(name) || bytes.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 127 }):
-			why = newError(400, "a broken header line")
-		case equalFold(name, "content-length"):
-			lengths++
-			n, err := strconv.ParseUint(string(value), 10, 63)
-			if err != nil || value[0] == '+' {
-				why = newError(400, "a length that is no number")
-			} else if n > MaxBody && m.Stream == nil {
-				why = newError(413, "the body is too long")
-			}
-			length = int(n)
-		case equalFold(name, "transfer-encoding"):
-			if codings++; !equalFold(value, "chunked") {
-				why = newError(501, "a coding other than chunked")
-			}
-		case equalFold(name, "connection"):
-			for option := range bytes.SplitSeq(value, []byte(",")) {
-				option = bytes.TrimSpace(option)
-				m.lastMessage = m.lastMessage || equalFold(option, "close")
-				keep = keep || equalFold(option, "keep-alive")
-			}
-		}
-	})
-	m.lastMessage = m.lastMessage || old && !keep
+	var f framing
+	m.eachField(func(name, value []byte) { m.readFraming(&f, name, value) })
+	m.lastMessage = m.lastMessage || oldVersion && !f.keepAlive
 	switch {
-	case why != nil:
-		return why
-	case lengths > 1 || codings > 1 || lengths+codings > 1:
+	case f.err != nil:
+		return f.err
+	case f.lengths > 1 || f.codings > 1 || f.lengths+f.codings > 1:
 		return newError(400, "more than one length")
-	case codings > 0 && old:
+	case f.codings > 0 && oldVersion:
 		return newError(400, "chunks in HTTP/1.0")
-	case lengths+codings == 0 && m.response && m.Stream != nil:
-		length = math.MaxInt // it ends with its connection, whether that is closed or breaks: no end of it is ever told
-	case lengths+codings == 0 && (m.response || m.HasMethod("POST") || m.HasMethod("PUT")):
+	case f.lengths+f.codings == 0 && m.response && m.Stream != nil:
+		f.length = math.MaxInt // it ends with its connection, whether that is closed or breaks
+	case f.lengths+f.codings == 0 && (m.response || m.HasMethod("POST") || m.HasMethod("PUT")):
 		return newError(411, "no length")
 	}
+	m.beginBody(f)
+	return nil
+}
+
+// readFirstLine gives the version of HTTP that a request line or status line states.
+func (m *Message) readFirstLine() (version []byte, err error) {
+	first, _, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
+	if m.response {
+		if len(first) < statusLineLength || first[8] != ' ' || m.Status() == 0 {
+			return nil, newError(400, "no status line")
+		}
+		return first[:8], nil
+	}
+	words := bytes.Split(first, []byte(" "))
+	if len(words) != 3 || !isToken(words[0]) || len(words[1]) == 0 {
+		return nil, newError(400, "no request line")
+	}
+	return words[2], nil
+}
+
+const statusLineLength = 12 // of the version, a space and the status, at least
+
+// readFraming reads one header line; behind the first fault nothing counts.
+func (m *Message) readFraming(f *framing, name, value []byte) {
+	switch {
+	case f.err != nil:
+	case !isToken(name) || bytes.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 127 }):
+		f.err = newError(400, "a broken header line")
+	case equalFold(name, "content-length"):
+		f.lengths++
+		n, err := strconv.ParseUint(string(value), 10, 63)
+		if err != nil || value[0] == '+' {
+			f.err = newError(400, "a length that is no number")
+		} else if n > MaxBody && m.Stream == nil {
+			f.err = newError(413, "the body is too long")
+		}
+		f.length = int(n)
+	case equalFold(name, "transfer-encoding"):
+		f.codings++
+		if !equalFold(value, "chunked") {
+			f.err = newError(501, "a coding other than chunked")
+		}
+	case equalFold(name, "connection"):
+		for option := range bytes.SplitSeq(value, []byte(",")) {
+			option = bytes.TrimSpace(option)
+			m.lastMessage = m.lastMessage || equalFold(option, "close")
+			f.keepAlive = f.keepAlive || equalFold(option, "keep-alive")
+		}
+	}
+}
+
+// beginBody makes ready for the body that a head announced.
+func (m *Message) beginBody(f framing) {
 	m.lineLength, m.digits, m.afterCR = 0, 0, false
-	switch m.remaining = length; {
-	case codings > 0:
+	m.remaining = f.length
+	switch {
+	case f.codings > 0:
 		m.state, m.remaining, m.chunked = inSize, 0, true
-	case length > 0:
+	case f.length > 0:
 		m.state = inBody
 	default:
 		m.state = complete
 	}
-	return nil
 }
 
+// eachField gives each header line; a line without a colon has no name.
 func (m *Message) eachField(each func(name, value []byte)) {
 	_, rest, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
 	for {
