--- a/cmd/kestrelspread/harness_test.go
+++ b/cmd/kestrelspread/harness_test.go
@@ -69,11 +69,14 @@
 	configPath string
 }
 
+// startProgram starts the program with settingsText and waits until it serves. listen and discovery are
+// addresses, known is the membership it begins with, sockets its limit of descriptors.
 func startProgram(t *testing.T, listen, discovery, known string, sockets int, args ...string) *process {
 	t.Helper()
 	return startWithSettings(t, settingsText, listen, discovery, known, sockets, args...)
 }
 
+// startWithSettings is startProgram with other settings of the platform.
 func startWithSettings(t *testing.T, settings, listen, discovery, known string, sockets int, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, log: &logBuffer{}, configPath: filepath.Join(t.TempDir(), "config.json")}
@@ -163,8 +166,8 @@
 	return n
 }
 
-// stopProcess stops the process and waits until it stands still: the signal alone returns sooner.
-func (p *process) stopProcess() {
+// suspend stops the process and waits until it stands still: the signal alone returns sooner.
+func (p *process) suspend() {
 	p.t.Helper()
 	p.cmd.Process.Signal(syscall.SIGSTOP)
 	var state syscall.WaitStatus
--- a/cmd/kestrelspread/ledger_test.go
+++ b/cmd/kestrelspread/ledger_test.go
@@ -22,8 +22,9 @@
 )
 
 var (
-	kills = flag.Int("kills", 5, "how often the broker is killed while it keeps a ledger")
-	// A machine that is busy with other tests may keep any process waiting; what is stated holds for one that is not.
+	kills = flag.Int("kills", 5, "how often the process is killed while it keeps a ledger")
+	// A machine that is busy with other tests may keep any process waiting; the stated window holds for
+	// one that is not.
 	slack = flag.Duration("slack", 1500*time.Millisecond, "more than the stated window that a kill may lose")
 )
 
--- a/cmd/kestrelspread/malformed_test.go
+++ b/cmd/kestrelspread/malformed_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// expectOversizedRejected sends more behind an error, which is not read: the error arrives all the same.
+// expectOversizedRejected sends more than is read before the error; the error arrives all the same.
 func (p *process) expectOversizedRejected(search string) {
 	p.t.Helper()
 	hidden := "0\r\n\r\n" + searchRequest("quick", 2900, search)
--- a/cmd/kestrelspread/rare_test.go
+++ b/cmd/kestrelspread/rare_test.go
@@ -10,7 +10,8 @@
 )
 
 func TestNothingIsSentForClientsGoneWhileProcessIsStopped(t *testing.T) {
-	// Some wait in the queue of connections, some on one that is open: all have asked and gone before they are read.
+	// Some wait in the queue of connections, some on one that is open: all have sent their request and
+	// closed before anything is read.
 	server := startServer(t)
 	discovery := startDiscovery(t, "127.0.0.1:0")
 	p := startProgram(t, "127.0.0.1:0", discovery.address, membershipUpdate(1, true, "ready", server), 1024)
@@ -21,7 +22,7 @@
 		open = append(open, c)
 	}
 	before := server.callCount()
-	p.stopProcess()
+	p.suspend()
 	for range 5 {
 		open = append(open, p.dial())
 	}
@@ -43,11 +44,12 @@
 	discovery := startDiscovery(t, "127.0.0.1:0")
 	known := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[{"instanceId":"s0","hostPort":%q,"zone":"a","cell":0,`+
 		`"lifecycle":"ready","weight":1.0,"startedAtMs":0}]}`, server.Addr())
-	// Nobody is to be shed for a server that takes its time, however slow this machine is: clients have an hour.
+	// Nothing is to be shed because a server is slow, or this machine is: latency targets are an hour.
 	set := strings.NewReplacer(`"cancel":true`, `"cancel":false`, `"aim-ms":1500`, `"aim-ms":3600000`, `"aim-ms":300`,
 		`"aim-ms":3600000`, `"streams-per-conn":100`, `"streams-per-conn":1000`).Replace(settingsText)
 	p := startWithSettings(t, set, "127.0.0.1:0", discovery.address, known, 1024)
-	// Far more than the sockets between hold, which is 4 MB at most on the broker's side: the rest waits in the broker.
+	// Far more than the sockets between hold, which is 4 MB at most on the process's side: the rest
+	// waits in the process.
 	const many = 150
 	long := strings.Replace(searchBody(0), `"c4"`, `"`+strings.Repeat("c", 60<<10)+`"`, 1)
 	var clients []net.Conn
--- a/cmd/kestrelspread/requests_test.go
+++ b/cmd/kestrelspread/requests_test.go
@@ -10,6 +10,7 @@
 	"sync"
 )
 
+// searchBody asks for shards of equal weight.
 func searchBody(shards ...int) string {
 	var parts []string
 	for _, s := range shards {
@@ -18,17 +19,19 @@
 	return fmt.Sprintf(`{"segments":[%s],"text":"c4"}`, strings.Join(parts, ","))
 }
 
+// callIDs gives each request of a test run an id of its own.
 var callIDs struct {
 	sync.Mutex
-	n int
+	last int
 }
 
+// searchRequest is a search as it goes over the connection; budgetMs is the client's timeout.
 func searchRequest(class string, budgetMs int, body string) string {
 	callIDs.Lock()
 	defer callIDs.Unlock()
-	callIDs.n++
+	callIDs.last++
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nx-call-ID: q%d\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n"+
-		"Content-Length: %d\r\n\r\n%s", callIDs.n, class, budgetMs, len(body), body)
+		"Content-Length: %d\r\n\r\n%s", callIDs.last, class, budgetMs, len(body), body)
 }
 
 type response struct {
--- a/internal/window/histogram.go
+++ b/internal/window/histogram.go
@@ -18,7 +18,8 @@
 }
 
 // NewHistogram makes a ring of buckets that are width long each. Values from low on fall into bins
-// whose bounds grow by the factor step; smaller ones fall into the first bin, larger ones into the last.
+// whose bounds grow by the factor step. Smaller values fall into the first bin, larger ones into the
+// last.
 func NewHistogram(buckets int, width, low, step float64, bins int) *Histogram {
 	return &Histogram{
 		width:      width,
