--- a/cmd/kestrelspread/harness_test.go
+++ b/cmd/kestrelspread/harness_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"kestrelspread/internal/must"
+	"kestrelspread/internal/invariant"
 )
 
 // programPath is the program under test, built by TestMain.
@@ -40,7 +40,7 @@
 // buildProgram builds with the debug tag where the tests have it.
 func buildProgram(path string) error {
 	args := []string{"build", "-o", path}
-	if must.Debug {
+	if invariant.Debug {
 		args = append(args, "-tags", "debug")
 	}
 	if out, err := exec.Command("go", append(args, ".")...).CombinedOutput(); err != nil {
--- a/internal/rig/faultrun/mutants_test.go
+++ b/internal/harness/faultrun/mutants_test.go
@@ -73,11 +73,11 @@
 	{point: 3, name: "who is leaving always leaves the chain", file: "view/nextview.go",
 		original: "		if len(others) >= requiredChainLength(len(r.View.GetVoters()), r.Tolerance) {\n			return others\n		}\n		return append(others, r.Self)\n",
 		mutation: "		return others\n", test: "chain TestLeavingHeadOfTwoBecomesTail"},
-	{point: 3, name: "a promise is sent before it is durable", file: "chain/acceptor.go",
+	{point: 3, name: "a promise is sent before it is durable", file: "chain/voting.go",
 		original: "	r.persist(kindAcceptor, r.acceptor.Record(), func() { r.sendPromise(from.Address, promise) })\n",
 		mutation: "	r.sendPromise(from.Address, promise)\n	r.persist(kindAcceptor, r.acceptor.Record(), nil)\n",
 		test:     "chain TestPromiseIsDurableBeforeItIsGiven"},
-	{point: 3, name: "an acceptance is sent before it is durable", file: "chain/acceptor.go",
+	{point: 3, name: "an acceptance is sent before it is durable", file: "chain/voting.go",
 		original: "	r.persist(kindAcceptor, r.acceptor.Record(), func() { r.sendAccepted(from.Address, accepted) })\n",
 		mutation: "	r.sendAccepted(from.Address, accepted)\n	r.persist(kindAcceptor, r.acceptor.Record(), nil)\n",
 		test:     "chain TestAcceptanceIsDurableBeforeItIsSent"},
@@ -196,7 +196,7 @@
 	arguments := []string{"test", "-vet=off", "-overlay", overlayPath}
 	name, run, _ := strings.Cut(m.test, " ")
 	if m.test == "" {
-		arguments = append(arguments, "kestrelspread/internal/rig/faultrun", "-run", "TestSeeds", "-args", "-seeds", "400", "-only-first")
+		arguments = append(arguments, "kestrelspread/internal/harness/faultrun", "-run", "TestSeeds", "-args", "-seeds", "400", "-only-first")
 	} else {
 		arguments = append(arguments, "-run", run, nodePackages+name)
 		if name == "forward" {
--- a/internal/rig/scenario/bound.go
+++ b/internal/harness/scenario/bound.go
@@ -5,7 +5,7 @@
 	"sort"
 
 	"kestrelspread/internal/fleet/lossplan"
-	"kestrelspread/internal/rig/links"
+	"kestrelspread/internal/harness/links"
 )
 
 // injectedFault is a partition of the run, or, without Destination, the loss of a site. Times are in ms of the run.
@@ -51,7 +51,7 @@
 		state.ArrivalShare[i] = *s.Load / load
 	}
 	for i, s := range run.servers {
-		capacity, unresponsive := s.model.Could(momentMs)
+		capacity, unresponsive := s.model.CapacityAt(momentMs)
 		if unresponsive {
 			capacity = 0
 		}
--- a/internal/rig/scenario/runner.go
+++ b/internal/harness/scenario/runner.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"kestrelspread/internal/fleet/lossplan"
-	"kestrelspread/internal/rig/links"
-	"kestrelspread/internal/standin/rules"
+	"kestrelspread/internal/harness/links"
+	"kestrelspread/internal/standin/invariants"
+	"kestrelspread/internal/standin/servermodel"
 	"kestrelspread/internal/standin/sockets"
-	"kestrelspread/internal/standin/station"
 )
 
 // Options are the options of a run.
@@ -35,7 +35,7 @@
 	brokers         []*brokerProcess
 	fronts          []*frontEnd
 	mutex           sync.Mutex
-	invariants      *rules.Book
+	invariants      *invariants.Checker
 	counts          *counts
 	loadFactor      float64 // multiplies the load
 	activeFaults    map[string]func()
@@ -61,7 +61,7 @@
 type server struct {
 	Server
 	id                  string
-	model               *station.Station
+	model               *servermodel.Server
 	frames              *sockets.Frames
 	links               []*links.Link // by broker
 	lifecycle           string
@@ -79,11 +79,11 @@
 		options.Printf = func(string, ...any) {}
 	}
 	run := &runner{
-		File: f, options: options, startedAt: time.Now(), network: links.New(f.Seed), invariants: rules.New(), loadFactor: 1,
+		File: f, options: options, startedAt: time.Now(), network: links.New(f.Seed), invariants: invariants.New(), loadFactor: 1,
 		activeFaults: map[string]func(){}, random: rand.New(rand.NewPCG(f.Seed, runnerStream)),
 		frozenServers: map[string]bool{}, discoveryLagMs: map[string]float64{},
 	}
-	run.invariants.Slack = f.answerSlackMs // for the scheduling of this process and the links, which brokers can't help
+	run.invariants.AnswerSlackMs = f.answerSlackMs // for the scheduling of this process and the links, which brokers can't help
 	run.network.Base = links.BySite(f.Links.Within, f.Links.Between)
 	for range f.Sites {
 		run.siteLostSinceMs = append(run.siteLostSinceMs, math.Inf(-1))
@@ -181,14 +181,14 @@
 		return nil, err
 	}
 	s := &server{Server: layout, id: layout.Name, frames: frames, lifecycle: "ready", model: run.newServerModel(index)}
-	frames.Work = s.model.Work
+	frames.Work = s.model.Serve
 	frames.Seen = func(id string) func(how string) { return run.recordRequest(s, id) }
 	return s, nil
 }
 
 // newServerModel is the model of a server that starts now.
-func (run *runner) newServerModel(index int) *station.Station {
-	return station.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(index))
+func (run *runner) newServerModel(index int) *servermodel.Server {
+	return servermodel.New(run.ServerModel(), run.startedAt, run.Seed*1000+uint64(index))
 }
 
 // recordRequest records a request that reached a server; the result records its end.
@@ -199,11 +199,11 @@
 	if run.counts == nil { // of a readiness check, before the load
 		return nil
 	}
-	sent := run.invariants.Sent(search, part, s.Name, run.now())
+	sent := run.invariants.RecordAttempt(search, part, s.Name, run.now())
 	return func(how string) {
 		if how == "REJECTED" { // the queue was full: the request never started, and may go to another server
 			run.mutex.Lock()
-			sent.Never, sent.NeverAt = true, run.now()
+			sent.NotExecuted, sent.NotExecutedAtMs = true, run.now()
 			run.mutex.Unlock()
 		}
 	}
@@ -322,7 +322,7 @@
 	run.counts = newCounts(run.File)
 	for i, s := range run.servers {
 		s.model = run.newServerModel(i)
-		s.frames.Work = s.model.Work
+		s.frames.Work = s.model.Serve
 	}
 }
 
@@ -384,7 +384,7 @@
 		p.Sites = append(p.Sites, s.Name)
 	}
 	for _, s := range f.ServerLayout() {
-		p.Servers = append(p.Servers, lossplan.Server{Site: s.Site, Cell: s.Cell, CapacityPerS: f.ServerModel().Bears()})
+		p.Servers = append(p.Servers, lossplan.Server{Site: s.Site, Cell: s.Cell, CapacityPerS: f.ServerModel().CapacityPerS()})
 	}
 	for _, t := range f.Types {
 		p.Loads = append(p.Loads, lossplan.Load{Name: t.Name, SearchesPerS: t.RatePerS, ShardsPerSearch: t.ShardsPerQuery, Value: t.Value, MinAnsweredShare: *t.MinCompleteness})
--- /dev/null
+++ b/internal/invariant/release.go
@@ -0,0 +1,6 @@
+//go:build !debug
+
+package invariant
+
+// Debug tells whether violations panic.
+const Debug = false
--- a/internal/must/debug.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build debug
-
-package must
-
-const Debug = true
