--- a/internal/aggregator/server/full/ledger.go
+++ b/internal/aggregator/server/full/ledger.go
@@ -37,116 +37,168 @@
 }
 
 const (
-	lookEvery = time.Second
-	lastWords = 2 * time.Second
+	// faultPollInterval is how often the disk's fault is looked at, for the log.
+	faultPollInterval = time.Second
+	// shutdownTimeout is how long the recorder and the background work may take to stop.
+	shutdownTimeout = 2 * time.Second
+
 	// Background work takes at most 5% of a core and 2 MB a second from serving.
-	exportTime  = 50.
-	retireEvery = 60e3 // ms
-	retireMost  = 2000 // entries at a time: recording waits for them
-	retireBytes = 200. // of an entry, read
-	exportBytes = 2 << 20
+	backgroundTimeMsPerS = 50.
+	backgroundBytesPerS  = 2 << 20
+	backgroundBurstS     = 0.5
+
+	retireIntervalMs = 60e3
+	maxRetired       = 2000 // entries at a time: recording waits for them
+	retiredBytes     = 200. // of an entry, read
 )
 
-// startLedger opens the ledger and has the router tell it of each search. The aggregator does not
-// start on a ledger that can't be proved: an operator is to look at it first.
-func startLedger(p *server.Host, o *operator.Ledger) (end func(), err error) {
-	c, err := Calendar(o)
-	if err != nil {
+// ledgerService is the ledger of one aggregator: its store, the recorder of searches, and the
+// background work that exports entries and retires old ones.
+type ledgerService struct {
+	host     *server.Host
+	settings *operator.Ledger
+	calendar *ledger.Calendar
+	store    *store.Store
+	recorder *store.Recorder
+	sinks    map[string]sink.Sink // by name
+	work     *runner.Runner       // nil: nothing is exported or retired
+	quit     chan struct{}        // ends watchDisk
+}
+
+// startLedger opens the ledger and has the engine report each search to it. The aggregator does not
+// start on a ledger that can't be proved: an operator is to look at it first. end stops it after the
+// loop.
+func startLedger(host *server.Host, settings *operator.Ledger) (end func(), err error) {
+	l := &ledgerService{host: host, settings: settings, sinks: map[string]sink.Sink{}, quit: make(chan struct{})}
+	if err := l.open(); err != nil {
 		return nil, err
 	}
-	instance := o.Instance
+	if err := l.startExport(); err != nil {
+		l.recorder.Stop(shutdownTimeout)
+		l.store.Close()
+		return nil, fmt.Errorf("the ledger's export: %w", err)
+	}
+	go l.watchDisk()
+	return l.close, nil
+}
+
+// open opens the store and starts recording.
+func (l *ledgerService) open() (err error) {
+	if l.calendar, err = Calendar(l.settings); err != nil {
+		return err
+	}
+	instance := l.settings.Instance
 	if instance == "" {
-		instance = p.Name
+		instance = l.host.Name
 	}
-	s, err := store.Open(vfs.Default, o.Directory, instance, time.Now())
+	l.store, err = store.Open(vfs.Default, l.settings.Directory, instance, time.Now())
 	if err != nil {
-		return nil, fmt.Errorf("the ledger can't be used: %w", err)
-	}
-	r := store.NewRecorder(s, c, clocks{p.Loop}, p.Engine.Kinds(), p.Engine.Customers())
-	p.Engine.SetMeter(r)
-	r.Start()
-	p.Log.Info().Str("instance", s.Instance).Uint64("epoch", s.Epoch).Bool("new", s.Recovery.Created).Int("entries", s.Recovery.Entries).
-		Dur("took", s.Recovery.Duration).Msg("ledger is kept")
-	var work *runner.Runner
-	sinks := map[string]sink.Sink{}
-	if o.ExportDirectory != "" {
-		to, err := sink.OpenDirectory(o.ExportDirectory)
+		return fmt.Errorf("the ledger can't be used: %w", err)
+	}
+	engine := l.host.Engine
+	l.recorder = store.NewRecorder(l.store, l.calendar, clocks{l.host.Loop}, engine.Kinds(), engine.Customers())
+	engine.SetMeter(l.recorder)
+	l.recorder.Start()
+	recovery := l.store.Recovery
+	l.host.Log.Info().Str("instance", l.store.Instance).Uint64("epoch", l.store.Epoch).Bool("new", recovery.Created).
+		Int("entries", recovery.Entries).Dur("took", recovery.Duration).Msg("ledger is kept")
+	return nil
+}
+
+// startExport starts the background work, if there is any.
+func (l *ledgerService) startExport() error {
+	if l.settings.ExportDirectory != "" {
+		directory, err := sink.OpenDirectory(l.settings.ExportDirectory)
 		if err != nil {
-			r.Stop(lastWords)
-			s.Close()
-			return nil, fmt.Errorf("the ledger's export: %w", err)
+			return err
 		}
-		sinks["folder"] = to
-	}
-	if o.ExportURL != "" {
-		sinks["http"] = sink.NewHTTP(o.ExportURL)
-	}
-	if len(sinks) > 0 || o.RetentionMs > 0 {
-		work = runner.New(background.Budget{TimeMsPerS: exportTime, BytesPerS: exportBytes, BurstS: 0.5})
-		for name, to := range sinks {
-			x, err := sink.NewExporter(s, name, to, o.BatchEntries, o.ExportIntervalMs)
-			if err != nil {
-				r.Stop(lastWords)
-				s.Close()
-				return nil, fmt.Errorf("the ledger's export: %w", err)
-			}
-			x.OnFailure = func(err error) { p.Log.Warn().Err(err).Str("to", name).Msg("ledger is not exported; entries wait") }
-			work.Add("export to "+name, background.Low, 0, x.Step)
+		l.sinks["folder"] = directory
+	}
+	if l.settings.ExportURL != "" {
+		l.sinks["http"] = sink.NewHTTP(l.settings.ExportURL)
+	}
+	if len(l.sinks) == 0 && l.settings.RetentionMs <= 0 {
+		return nil
+	}
+	l.work = runner.New(background.Budget{TimeMsPerS: backgroundTimeMsPerS, BytesPerS: backgroundBytesPerS, BurstS: backgroundBurstS})
+	for name, to := range l.sinks {
+		exporter, err := sink.NewExporter(l.store, name, to, l.settings.BatchEntries, l.settings.ExportIntervalMs)
+		if err != nil {
+			return err
 		}
-		if o.RetentionMs > 0 {
-			names := slices.Sorted(maps.Keys(sinks))
-			work.Add("retention", background.Idle, retireEvery, func() (bytes, again float64) {
-				n := 0
-				err := r.Exclusive(lastWords, func(s *store.Store) (err error) {
-					n, err = s.Retire(c, time.Now().UnixMilli()-int64(o.RetentionMs), retireMost, names...)
-					return err
-				})
-				if err != nil {
-					p.Log.Warn().Err(err).Msg("ledger's old entries are not let go of")
-				}
-				if n == retireMost {
-					return retireBytes * float64(n), 0
-				}
-				return retireBytes * float64(n), retireEvery
-			})
+		exporter.OnFailure = func(err error) {
+			l.host.Log.Warn().Err(err).Str("to", name).Msg("ledger is not exported; entries wait")
 		}
-		work.Start()
-	}
-	quit := make(chan struct{})
-	go func() { // says what is wrong with the disk, once each time it changes
-		t := time.NewTicker(lookEvery)
-		defer t.Stop()
-		was := ""
-		for {
-			select {
-			case <-t.C:
-			case <-quit:
-				return
-			}
-			now := ""
-			if text := s.Disk.Fault.Load(); text != nil {
-				now = *text
-			}
-			if now != was {
-				if was = now; now != "" {
-					keys, _ := r.Pending()
-					p.Log.Warn().Str("trouble", now).Int("keys_waiting", keys).Msg("ledger is not written; uses wait")
-				} else {
-					p.Log.Info().Msg("ledger is written again")
-				}
-			}
+		l.work.Add("export to "+name, background.Low, 0, exporter.Step)
+	}
+	if l.settings.RetentionMs > 0 {
+		l.work.Add("retention", background.Idle, retireIntervalMs, l.retire)
+	}
+	l.work.Start()
+	return nil
+}
+
+// retire removes entries that are older than the retention and exported everywhere. It gives the
+// bytes that it read, and after how many ms it is to be called again.
+func (l *ledgerService) retire() (bytes, again float64) {
+	retired := 0
+	err := l.recorder.Exclusive(shutdownTimeout, func(s *store.Store) (err error) {
+		before := time.Now().UnixMilli() - int64(l.settings.RetentionMs)
+		retired, err = s.Retire(l.calendar, before, maxRetired, slices.Sorted(maps.Keys(l.sinks))...)
+		return err
+	})
+	if err != nil {
+		l.host.Log.Warn().Err(err).Msg("ledger's old entries are not let go of")
+	}
+	if retired == maxRetired {
+		return retiredBytes * float64(retired), 0
+	}
+	return retiredBytes * float64(retired), retireIntervalMs
+}
+
+// watchDisk logs what is wrong with the disk, once each time that changes, until close.
+func (l *ledgerService) watchDisk() {
+	ticker := time.NewTicker(faultPollInterval)
+	defer ticker.Stop()
+	logged := ""
+	for {
+		select {
+		case <-ticker.C:
+		case <-l.quit:
+			return
 		}
-	}()
-	return func() {
-		close(quit)
-		if work != nil && !work.Stop(lastWords) {
-			return // it stands still with the disk: what is durable stays so
+		fault := ""
+		if text := l.store.Disk.Fault.Load(); text != nil {
+			fault = *text
 		}
-		whole := r.Stop(lastWords)
-		_, uses := r.Pending()
-		p.Log.Info().Bool("whole", whole).Int64("uses", uses).Int64("durable", r.DurableSearches()).Msg("ledger is closed")
-		if whole {
-			s.Close()
+		if fault != logged {
+			logged = fault
+			l.logFault(fault)
 		}
-	}, nil
+	}
+}
+
+// logFault logs a fault of the disk; empty: it has none any more.
+func (l *ledgerService) logFault(fault string) {
+	if fault == "" {
+		l.host.Log.Info().Msg("ledger is written again")
+		return
+	}
+	keys, _ := l.recorder.Pending()
+	l.host.Log.Warn().Str("trouble", fault).Int("keys_waiting", keys).Msg("ledger is not written; uses wait")
+}
+
+// close stops the background work, then the recorder, then the store. Where one of the former stands
+// still with the disk, the rest is left as it is: what is durable stays so.
+func (l *ledgerService) close() {
+	close(l.quit)
+	if l.work != nil && !l.work.Stop(shutdownTimeout) {
+		return
+	}
+	complete := l.recorder.Stop(shutdownTimeout)
+	_, uses := l.recorder.Pending()
+	l.host.Log.Info().Bool("whole", complete).Int64("uses", uses).Int64("durable", l.recorder.DurableSearches()).Msg("ledger is closed")
+	if complete {
+		l.store.Close()
+	}
 }
