--- a/internal/harness/load.go
+++ b/internal/harness/load.go
@@ -21,8 +21,8 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
+	"kestrelspread/internal/standin/fakeservers"
 	"kestrelspread/internal/standin/invariants"
-	"kestrelspread/internal/standin/sockets"
 )
 
 // outcome is how a search ended.
@@ -92,7 +92,7 @@
 func DialGRPC(address string, count int) (conns []*grpc.ClientConn, err error) {
 	for range count {
 		c, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
-			grpc.WithDefaultCallOptions(grpc.ForceCodec(sockets.Raw{})))
+			grpc.WithDefaultCallOptions(grpc.ForceCodec(fakeservers.Raw{})))
 		if err != nil {
 			return nil, err
 		}
@@ -235,7 +235,7 @@
 		for _, m := range answer.Matches {
 			got += fmt.Sprint(m.Segment, "=", m.Payload, " ")
 		}
-		want := fmt.Sprintf("%d=%s %d=%s ", first, sockets.Value(first, id), second, sockets.Value(second, id))
+		want := fmt.Sprintf("%d=%s %d=%s ", first, fakeservers.Value(first, id), second, fakeservers.Value(second, id))
 		l.recordAnswer(id, answer.AllIn, got, want, false)
 		l.HTTP.add(answered, time.Since(sentAt))
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
--- a/internal/harness/rig.go
+++ b/internal/harness/rig.go
@@ -18,14 +18,14 @@
 	"syscall"
 	"time"
 
-	"kestrelspread/internal/standin/sockets"
+	"kestrelspread/internal/standin/fakeservers"
 )
 
 // Server is a simulated server that serves frames and gRPC.
 type Server struct {
 	ID     string
-	Frames *sockets.Frames
-	GRPC   *sockets.GRPC
+	Frames *fakeservers.Frames
+	GRPC   *fakeservers.GRPC
 }
 
 // SetSlowdown multiplies the time of answers on both protocols; 1 is normal.
@@ -43,7 +43,7 @@
 // Cluster is servers, discovery and the brokers in front of them.
 type Cluster struct {
 	Servers    []*Server
-	Discovery  *sockets.Discovery
+	Discovery  *fakeservers.Discovery
 	ShardCount int
 	Dir        string
 	brokers    []*Broker
@@ -57,21 +57,21 @@
 		return nil, err
 	}
 	c := &Cluster{Dir: dir, ShardCount: 2 * cellCount, cellCount: cellCount}
-	var instances []sockets.Instance
+	var instances []fakeservers.Instance
 	for i := range serverCount {
-		f, err := sockets.StartFrames(medianMs, sigma)
+		f, err := fakeservers.StartFrames(medianMs, sigma)
 		if err != nil {
 			return nil, err
 		}
-		g, err := sockets.StartGRPC(medianMs, sigma)
+		g, err := fakeservers.StartGRPC(medianMs, sigma)
 		if err != nil {
 			return nil, err
 		}
 		s := &Server{ID: fmt.Sprint("s", i), Frames: f, GRPC: g}
 		c.Servers = append(c.Servers, s)
-		instances = append(instances, sockets.Instance{ID: s.ID, Addr: f.Addr().String(), Zone: "a", Cell: i % cellCount, Lifecycle: "ready", Weight: 1})
+		instances = append(instances, fakeservers.Instance{ID: s.ID, Addr: f.Addr().String(), Zone: "a", Cell: i % cellCount, Lifecycle: "ready", Weight: 1})
 	}
-	c.Discovery, err = sockets.StartDiscovery(instances)
+	c.Discovery, err = fakeservers.StartDiscovery(instances)
 	return c, err
 }
 
--- a/internal/harness/scenario/discovery.go
+++ b/internal/harness/scenario/discovery.go
@@ -3,26 +3,26 @@
 import (
 	"sync"
 
-	"kestrelspread/internal/standin/sockets"
+	"kestrelspread/internal/standin/fakeservers"
 )
 
 // agent is the discovery agent on a broker's machine. It forwards updates at once.
 type agent struct {
-	discovery *sockets.Discovery
+	discovery *fakeservers.Discovery
 	mutex     sync.Mutex
-	instances map[string]sockets.Instance
+	instances map[string]fakeservers.Instance
 	ids       []string
 }
 
 // newAgent starts an agent with a list of servers.
-func newAgent(list []sockets.Instance) (*agent, error) {
-	a := &agent{instances: map[string]sockets.Instance{}}
+func newAgent(list []fakeservers.Instance) (*agent, error) {
+	a := &agent{instances: map[string]fakeservers.Instance{}}
 	for _, e := range list {
 		a.instances[e.ID] = e
 		a.ids = append(a.ids, e.ID)
 	}
 	var err error
-	a.discovery, err = sockets.StartDiscovery(list)
+	a.discovery, err = fakeservers.StartDiscovery(list)
 	return a, err
 }
 
@@ -30,7 +30,7 @@
 func (a *agent) addr() string { return a.discovery.Addr().String() }
 
 // entries are the servers that are not gone. a.mutex must be held.
-func (a *agent) entries() (list []sockets.Instance) {
+func (a *agent) entries() (list []fakeservers.Instance) {
 	for _, id := range a.ids {
 		if e := a.instances[id]; e.Lifecycle != "gone" {
 			list = append(list, e)
@@ -43,11 +43,11 @@
 func (a *agent) knownList() string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return sockets.List(0, true, a.entries())
+	return fakeservers.List(0, true, a.entries())
 }
 
 // update replaces or adds an entry, and sends the list to the broker.
-func (a *agent) update(e sockets.Instance) {
+func (a *agent) update(e fakeservers.Instance) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if _, known := a.instances[e.ID]; !known {
--- a/internal/harness/scenario/runner.go
+++ b/internal/harness/scenario/runner.go
@@ -12,9 +12,9 @@
 
 	"kestrelspread/internal/fleet/lossplan"
 	"kestrelspread/internal/harness/links"
+	"kestrelspread/internal/standin/fakeservers"
 	"kestrelspread/internal/standin/invariants"
 	"kestrelspread/internal/standin/servermodel"
-	"kestrelspread/internal/standin/sockets"
 )
 
 // Options are the options of a run.
@@ -62,7 +62,7 @@
 	Server
 	id                  string
 	model               *servermodel.Server
-	frames              *sockets.Frames
+	frames              *fakeservers.Frames
 	links               []*links.Link // by broker
 	lifecycle           string
 	startedAtMs         float64
@@ -176,7 +176,7 @@
 
 // startServer starts a simulated server, and records what it receives.
 func (run *runner) startServer(index int, layout Server) (*server, error) {
-	frames, err := sockets.StartFrames(0, 0)
+	frames, err := fakeservers.StartFrames(0, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -248,7 +248,7 @@
 }
 
 // entries is the list of servers as one broker receives it: with the addresses of its links.
-func (run *runner) entries(broker int) (list []sockets.Instance) {
+func (run *runner) entries(broker int) (list []fakeservers.Instance) {
 	for _, s := range run.servers {
 		list = append(list, run.entry(s, broker))
 	}
@@ -256,8 +256,8 @@
 }
 
 // entry is the list entry of a server, for one broker.
-func (run *runner) entry(s *server, broker int) sockets.Instance {
-	e := sockets.Instance{ID: s.id, Addr: s.links[broker].Address(), Zone: run.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.lifecycle, Weight: 1}
+func (run *runner) entry(s *server, broker int) fakeservers.Instance {
+	e := fakeservers.Instance{ID: s.id, Addr: s.links[broker].Address(), Zone: run.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.lifecycle, Weight: 1}
 	if s.startedAtMs > 0 {
 		e.Started = run.startedAt.UnixMilli() + int64(s.startedAtMs)
 	}
--- a/internal/standin/sockets/sockets.go
+++ b/internal/standin/fakeservers/sockets.go
@@ -1,6 +1,6 @@
 // Package sockets is stand-ins on loopback for what a broker speaks with, written from PROTOCOL and gRPC's public pages:
 // discovery, servers of frames and of gRPC, and clients of both kinds. How servers behave can be changed while they run.
-package sockets
+package fakeservers
 
 import (
 	"bufio"
