--- a/internal/harness/rig.go
+++ b/internal/harness/cluster.go
@@ -24,20 +24,20 @@
 // Server is a simulated server that serves frames and gRPC.
 type Server struct {
 	ID     string
-	Frames *fakeservers.Frames
-	GRPC   *fakeservers.GRPC
+	Frames *fakeservers.FrameServer
+	GRPC   *fakeservers.GRPCServer
 }
 
 // SetSlowdown multiplies the time of answers on both protocols; 1 is normal.
 func (s *Server) SetSlowdown(factor int64) {
-	s.Frames.Times.Store(factor)
-	s.GRPC.Times.Store(factor)
+	s.Frames.SlowdownFactor.Store(factor)
+	s.GRPC.SlowdownFactor.Store(factor)
 }
 
 // SetUnresponsive has both protocols accept requests and not answer.
 func (s *Server) SetUnresponsive(on bool) {
-	s.Frames.Silent.Store(on)
-	s.GRPC.Silent.Store(on)
+	s.Frames.Unresponsive.Store(on)
+	s.GRPC.Unresponsive.Store(on)
 }
 
 // Cluster is servers, discovery and the brokers in front of them.
@@ -59,17 +59,17 @@
 	c := &Cluster{Dir: dir, ShardCount: 2 * cellCount, cellCount: cellCount}
 	var instances []fakeservers.Instance
 	for i := range serverCount {
-		f, err := fakeservers.StartFrames(medianMs, sigma)
+		f, err := fakeservers.StartFrameServer(medianMs, sigma)
 		if err != nil {
 			return nil, err
 		}
-		g, err := fakeservers.StartGRPC(medianMs, sigma)
+		g, err := fakeservers.StartGRPCServer(medianMs, sigma)
 		if err != nil {
 			return nil, err
 		}
 		s := &Server{ID: fmt.Sprint("s", i), Frames: f, GRPC: g}
 		c.Servers = append(c.Servers, s)
-		instances = append(instances, fakeservers.Instance{ID: s.ID, Addr: f.Addr().String(), Zone: "a", Cell: i % cellCount, Lifecycle: "ready", Weight: 1})
+		instances = append(instances, fakeservers.Instance{ID: s.ID, Address: f.Addr().String(), Zone: "a", Cell: i % cellCount, Lifecycle: "ready", Weight: 1})
 	}
 	c.Discovery, err = fakeservers.StartDiscovery(instances)
 	return c, err
--- a/internal/harness/load.go
+++ b/internal/harness/load.go
@@ -92,7 +92,7 @@
 func DialGRPC(address string, count int) (conns []*grpc.ClientConn, err error) {
 	for range count {
 		c, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
-			grpc.WithDefaultCallOptions(grpc.ForceCodec(fakeservers.Raw{})))
+			grpc.WithDefaultCallOptions(grpc.ForceCodec(fakeservers.RawCodec{})))
 		if err != nil {
 			return nil, err
 		}
@@ -131,7 +131,7 @@
 			}
 			return nil
 		}
-		s.Frames.Seen, s.GRPC.Seen = seen, seen
+		s.Frames.OnRequest, s.GRPC.OnRequest = seen, seen
 	}
 }
 
@@ -235,7 +235,7 @@
 		for _, m := range answer.Matches {
 			got += fmt.Sprint(m.Segment, "=", m.Payload, " ")
 		}
-		want := fmt.Sprintf("%d=%s %d=%s ", first, fakeservers.Value(first, id), second, fakeservers.Value(second, id))
+		want := fmt.Sprintf("%d=%s %d=%s ", first, fakeservers.ShardResult(first, id), second, fakeservers.ShardResult(second, id))
 		l.recordAnswer(id, answer.AllIn, got, want, false)
 		l.HTTP.add(answered, time.Since(sentAt))
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
--- a/internal/harness/scenario/discovery.go
+++ b/internal/harness/scenario/discovery.go
@@ -43,7 +43,7 @@
 func (a *agent) knownList() string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return fakeservers.List(0, true, a.entries())
+	return fakeservers.ListMessage(0, true, a.entries())
 }
 
 // update replaces or adds an entry, and sends the list to the broker.
--- a/internal/harness/scenario/faults.go
+++ b/internal/harness/scenario/faults.go
@@ -179,7 +179,7 @@
 	}
 	return func() {
 		for _, s := range mine {
-			s.frames.Die()
+			s.frames.Kill()
 		}
 		run.network.ResetConnections("*", l.Target)
 		run.network.ResetConnections(l.Target, "*")
@@ -200,7 +200,7 @@
 
 // restartServer restarts a server with a slow start, and schedules the update of discovery.
 func (run *runner) restartServer(s *server, newID bool) {
-	if err := s.frames.Rise(); err != nil {
+	if err := s.frames.Restart(); err != nil {
 		run.options.Printf("%s does not rise: %v", s.Name, err)
 		return
 	}
@@ -278,7 +278,7 @@
 		s.model.SetFailingShare(0.7)
 		return func() { s.model.SetFailingShare(0) }, nil
 	case "kill":
-		s.frames.Die()
+		s.frames.Kill()
 		s.model.SetUnresponsive(true)
 		run.scheduleDiscovery(s, "gone", run.Discovery.RemovalMs)
 		return func() { run.restartServer(s, l.NewIDs) }, nil
--- a/internal/harness/scenario/frontend.go
+++ b/internal/harness/scenario/frontend.go
@@ -271,7 +271,7 @@
 		}
 		shard := (firstShard + n) % run.ShardCount
 		fmt.Fprintf(&body, `{"segment":%d,"boost":%.9f}`, shard, 1/float64(t.ShardsPerQuery))
-		fmt.Fprintf(&expected, "%d=%s ", shard, fakeservers.Value(shard, id))
+		fmt.Fprintf(&expected, "%d=%s ", shard, fakeservers.ShardResult(shard, id))
 	}
 	fmt.Fprintf(&body, `],"text":%q}`, id)
 	return &query{id: id, kind: kind, body: body.String(), expected: expected.String(), deadlineMs: deadlineMs, isRetry: isRetry}
--- a/internal/harness/scenario/runner.go
+++ b/internal/harness/scenario/runner.go
@@ -62,7 +62,7 @@
 	Server
 	id                  string
 	model               *servermodel.Server
-	frames              *fakeservers.Frames
+	frames              *fakeservers.FrameServer
 	links               []*links.Link // by broker
 	lifecycle           string
 	startedAtMs         float64
@@ -114,7 +114,7 @@
 	}
 	run.network.Close()
 	for _, s := range run.servers {
-		s.frames.Die()
+		s.frames.Kill()
 	}
 	if run.leases != nil {
 		run.leases.receiver.CloseClientConnections()
@@ -176,13 +176,13 @@
 
 // startServer starts a simulated server, and records what it receives.
 func (run *runner) startServer(index int, layout Server) (*server, error) {
-	frames, err := fakeservers.StartFrames(0, 0)
+	frames, err := fakeservers.StartFrameServer(0, 0)
 	if err != nil {
 		return nil, err
 	}
 	s := &server{Server: layout, id: layout.Name, frames: frames, lifecycle: "ready", model: run.newServerModel(index)}
-	frames.Work = s.model.Serve
-	frames.Seen = func(id string) func(how string) { return run.recordRequest(s, id) }
+	frames.Serve = s.model.Serve
+	frames.OnRequest = func(id string) func(how string) { return run.recordRequest(s, id) }
 	return s, nil
 }
 
@@ -257,9 +257,9 @@
 
 // entry is the list entry of a server, for one broker.
 func (run *runner) entry(s *server, broker int) fakeservers.Instance {
-	e := fakeservers.Instance{ID: s.id, Addr: s.links[broker].Address(), Zone: run.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.lifecycle, Weight: 1}
+	e := fakeservers.Instance{ID: s.id, Address: s.links[broker].Address(), Zone: run.Sites[s.Site].Name, Cell: s.Cell, Lifecycle: s.lifecycle, Weight: 1}
 	if s.startedAtMs > 0 {
-		e.Started = run.startedAt.UnixMilli() + int64(s.startedAtMs)
+		e.StartedAtMs = run.startedAt.UnixMilli() + int64(s.startedAtMs)
 	}
 	return e
 }
@@ -322,7 +322,7 @@
 	run.counts = newCounts(run.File)
 	for i, s := range run.servers {
 		s.model = run.newServerModel(i)
-		s.frames.Work = s.model.Serve
+		s.frames.Serve = s.model.Serve
 	}
 }
 
--- a/internal/standin/servermodel/servermodel.go
+++ b/internal/standin/servermodel/servermodel.go
@@ -147,7 +147,7 @@
 	return &s.seconds[i]
 }
 
-// Serve serves one request: it is the Work of fakeservers.Behaviour. It returns the status of the answer; empty: none is sent.
+// Serve serves one request: it is the Serve of fakeservers.Behaviour. It returns the status of the answer; empty: none is sent.
 func (s *Server) Serve(ctx context.Context, _ string, _ int) string {
 	slots, incarnation, accepted := s.enqueue()
 	if !accepted {
