--- a/cmd/kestrelctl/ledger.go
+++ b/cmd/kestrelctl/ledger.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/aggregator/server/full"
+	"kestrelspread/internal/aggregator/extensions"
 	"kestrelspread/internal/ledger"
 	"kestrelspread/internal/ledger/store"
 	"kestrelspread/internal/operator"
@@ -102,7 +102,7 @@
 			return nil, fmt.Errorf("--every is hours, day or month, not %q", every)
 		}
 		o.PeriodUnit = kind
-		return full.Calendar(&o)
+		return extensions.Calendar(&o)
 	}
 }
 
--- a/cmd/kestrelctl/main.go
+++ b/cmd/kestrelctl/main.go
@@ -10,7 +10,7 @@
 
 	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/aggregator/server"
-	"kestrelspread/internal/aggregator/server/full"
+	"kestrelspread/internal/aggregator/extensions"
 	"kestrelspread/internal/baseline"
 	"kestrelspread/internal/harness"
 )
@@ -107,7 +107,7 @@
 				})
 			}
 			if operator != "" {
-				list = append(list, full.Extension(operator))
+				list = append(list, extensions.Extension(operator))
 			}
 			return server.Run(os.Stderr, list...)
 		}}
--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"kestrelspread/internal/aggregator/server"
-	"kestrelspread/internal/aggregator/server/full"
+	"kestrelspread/internal/aggregator/extensions"
 )
 
 func main() {
@@ -46,7 +46,7 @@
 	if operatorFile == "" {
 		return server.Run(os.Stderr)
 	}
-	return server.Run(os.Stderr, full.Extension(operatorFile))
+	return server.Run(os.Stderr, extensions.Extension(operatorFile))
 }
 
 // check reads an operator's file as serve would, and describes what it switches on.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return fmt.Errorf("the broker's settings are needed for the check: %w", err)
 	}
-	operator, err := full.Read(operatorFile, settings)
+	operator, err := extensions.Read(operatorFile, settings)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	}
 	if operator.SheddingWeights != nil {
 		fmt.Fprintln(out, "order: refused first, where not all can be taken")
-		for i, line := range operator.SheddingWeights.Describe(full.Names(settings)) {
+		for i, line := range operator.SheddingWeights.Describe(extensions.Names(settings)) {
 			fmt.Fprintf(out, "  %d. %s\n", i+1, line)
 		}
 	}
--- a/internal/aggregator/server/full/full.go
+++ b/internal/aggregator/extensions/extensions.go
@@ -1,5 +1,5 @@
-// Package full attaches to an aggregator what the operator's file switches on.
-package full
+// Package extensions attaches to an aggregator what the operator's file switches on.
+package extensions
 
 import (
 	"errors"
--- a/internal/aggregator/server/full/talk.go
+++ b/internal/aggregator/extensions/gossip.go
@@ -1,4 +1,4 @@
-package full
+package extensions
 
 import (
 	"kestrelspread/internal/aggregator/server"
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	aggregator "kestrelspread/internal/aggregator/server"
-	"kestrelspread/internal/aggregator/server/full"
+	"kestrelspread/internal/aggregator/extensions"
 )
 
 // TestMain runs a broker if the test program is started as one: scenarios have several processes.
@@ -17,7 +17,7 @@
 	if len(os.Args) > 1 && os.Args[1] == "broker" {
 		var parts []aggregator.Extension
 		if len(os.Args) > 3 && os.Args[2] == "--operator" {
-			parts = append(parts, full.Extension(os.Args[3]))
+			parts = append(parts, extensions.Extension(os.Args[3]))
 		}
 		if err := aggregator.Run(os.Stderr, parts...); err != nil {
 			fmt.Fprintln(os.Stderr, err)
