--- a/internal/harness/faultrun/mutants_test.go
+++ b/internal/harness/faultrun/mutants_test.go
@@ -105,7 +105,7 @@
 	{point: 4, name: "a write without space left requests no checkpoint", file: "journal/journal.go",
 		original: "		j.needsCheckpoint.Store(true)\n		return fmt.Errorf(\"%w: append: %d bytes",
 		mutation: "		return fmt.Errorf(\"%w: append: %d bytes",
-		test:     "journal TestARecordThatDoesNotFitAsksForACheckpoint"},
+		test:     "journal TestOversizedRecordRequestsCheckpoint"},
 	{point: 4, name: "a change over the size limit is accepted", file: "config/change.go",
 		original: "size > s.sizeLimit {", mutation: "size < 0 {", test: "config TestChangeOverSizeLimitIsTooLarge"},
 	{point: 4, name: "entries with a gap are applied at proxies", file: "distribution/distribution.go",
--- a/internal/node/journal/journal_test.go
+++ b/internal/node/journal/journal_test.go
@@ -93,7 +93,7 @@
 	assert.NilError(t, opened.Append(list("a")))
 }
 
-func TestARecordThatDoesNotFitAsksForACheckpoint(t *testing.T) {
+func TestOversizedRecordRequestsCheckpoint(t *testing.T) {
 	disk := newDisk()
 	opened, _ := open(t, disk)
 	large := core.Record{Data: make([]byte, 15<<10)}
