--- a/internal/grpcproxy/attempts_test.go
+++ b/internal/grpcproxy/attempts_test.go
@@ -12,31 +12,31 @@
 	// Both begin to answer in one turn: one reaches the client, the other is cancelled, whichever it is.
 	s := newHarness(t, 5, 2, "")
 	s.warmUp(60)
-	s.scriptAll(func(k *p.Got) []p.Act {
-		if k.Get("grpc-previous-rpc-attempts") == "" {
-			return acts(p.Act{After: 0})
+	s.scriptAll(func(k *p.ServerCall) []p.Action {
+		if k.Header("grpc-previous-rpc-attempts") == "" {
+			return acts(p.Action{AfterMs: 0})
 		}
-		var list []p.Act
+		var list []p.Action
 		for _, v := range s.servers {
 			for _, o := range v.Calls {
-				if o.Get("x-id") == k.Get("x-id") && o != k {
-					list = append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) {
-						p.Head(0).Do(o.S, o)
-						p.Say(0, "one").Do(o.S, o)
-						p.End(0, 0).Do(o.S, o)
+				if o.Header("x-id") == k.Header("x-id") && o != k {
+					list = append(list, p.Action{AfterMs: 0, Run: func(*p.Server, *p.ServerCall) {
+						p.SendHeaders(0).Run(o.Server, o)
+						p.SendMessage(0, "one").Run(o.Server, o)
+						p.SendTrailers(0, 0).Run(o.Server, o)
 						o.Conn().Flush()
 					}})
 				}
 			}
 		}
-		return append(list, p.Head(0), p.Say(0, "two"), p.End(0, 0))
+		return append(list, p.SendHeaders(0), p.SendMessage(0, "two"), p.SendTrailers(0, 0))
 	})
 	c := p.Dial(s.world, 1)
 	since := s.world.Engine.Count.Outcomes
-	a := c.Call(&p.Ask{Path: "/quick.message/Get", Fields: []string{"x-id", "7"}, Body: [][]byte{p.Message("q")}})
+	a := c.Call(&p.ClientCall{Path: "/quick.message/Get", Fields: []string{"x-id", "7"}, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(1100)
-	if a.Finals != 1 || a.Status != 0 || messagesOf(a.Got) != "one" && messagesOf(a.Got) != "two" {
-		t.Errorf("%d finals, status %d, %q", a.Finals, a.Status, a.Got)
+	if a.FinalStatuses != 1 || a.Status != 0 || messagesOf(a.ReceivedBody) != "one" && messagesOf(a.ReceivedBody) != "two" {
+		t.Errorf("%d finals, status %d, %q", a.FinalStatuses, a.Status, a.ReceivedBody)
 	}
 	if outcomes := strings.Join(s.outcomesSince(since), " "); s.proxy.Counters.LateResponses == 0 && outcomes != "answered cancelled" {
 		t.Errorf("outcomes %q, %d late responses", outcomes, s.proxy.Counters.LateResponses)
@@ -50,20 +50,22 @@
 func TestBidirectionalStream(t *testing.T) {
 	s := newHarness(t, 6, 2, "")
 	for _, v := range s.servers {
-		v.Early = true
-		v.Script = func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(5, "first"), p.Say(50, "second"), p.End(60, 0)) }
+		v.ActsOnHeaders = true
+		v.Script = func(_ *p.ServerCall) []p.Action {
+			return acts(p.SendHeaders(1), p.SendMessage(5, "first"), p.SendMessage(50, "second"), p.SendTrailers(60, 0))
+		}
 	}
 	c := p.Dial(s.world, 1)
-	a := c.Call(&p.Ask{Path: "/quick.headers/Talk", Timeout: 2000, Open: true, Body: [][]byte{p.Message("a")}})
+	a := c.Call(&p.ClientCall{Path: "/quick.headers/Talk", TimeoutMs: 2000, KeepsOpen: true, Body: [][]byte{p.EncodeMessage("a")}})
 	s.world.Run(30)
-	if messagesOf(a.Got) != "first" || a.Done() {
-		t.Fatalf("%q while open", a.Got)
+	if messagesOf(a.ReceivedBody) != "first" || a.Done() {
+		t.Fatalf("%q while open", a.ReceivedBody)
 	}
-	a.Write(p.Message("b"))
+	a.Write(p.EncodeMessage("b"))
 	a.End()
 	s.world.Run(300)
-	if a.Status != 0 || messagesOf(a.Got) != "first,second" || messagesOf(s.requestBody()) != "a,b" {
-		t.Errorf("status %d, client %q, server %q", a.Status, a.Got, s.requestBody())
+	if a.Status != 0 || messagesOf(a.ReceivedBody) != "first,second" || messagesOf(s.requestBody()) != "a,b" {
+		t.Errorf("status %d, client %q, server %q", a.Status, a.ReceivedBody, s.requestBody())
 	}
 	s.closeAndCheck(c)
 }
@@ -76,7 +78,7 @@
 	c := p.Dial(s.world, 1)
 	for range 4 {
 		before := s.attemptsSeen()
-		a := c.Call(&p.Ask{Path: "/quick.message/Put", Timeout: 1000, Open: true, Body: [][]byte{p.Message("a")}})
+		a := c.Call(&p.ClientCall{Path: "/quick.message/Put", TimeoutMs: 1000, KeepsOpen: true, Body: [][]byte{p.EncodeMessage("a")}})
 		s.world.Run(700)
 		if n := s.attemptsSeen() - before; n != 1 {
 			t.Fatalf("%d sub-requests while the client was sending", n)
@@ -95,14 +97,14 @@
 
 func TestTokenedCallIsNotRetriedPastItsWindow(t *testing.T) {
 	s := newHarness(t, 8, 2, "")
-	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(0, 14)) })
+	s.scriptAll(func(_ *p.ServerCall) []p.Action { return acts(p.SendTrailersOnly(0, 14)) })
 	c := p.Dial(s.world, 1)
-	a := c.Call(&p.Ask{Path: "/keyed.message/Put", Timeout: 900, Open: true, Body: [][]byte{p.Message("a")}})
+	a := c.Call(&p.ClientCall{Path: "/keyed.message/Put", TimeoutMs: 900, KeepsOpen: true, Body: [][]byte{p.EncodeMessage("a")}})
 	s.world.Run(450)
 	a.End()
 	s.world.Run(300)
-	if a.Status != 14 || s.attemptsSeen() != 1 || a.Get("grpc-retry-pushback-ms") != "-1" {
-		t.Errorf("status %d, %d sub-requests, pushback %q", a.Status, s.attemptsSeen(), a.Get("grpc-retry-pushback-ms"))
+	if a.Status != 14 || s.attemptsSeen() != 1 || a.Trailer("grpc-retry-pushback-ms") != "-1" {
+		t.Errorf("status %d, %d sub-requests, pushback %q", a.Status, s.attemptsSeen(), a.Trailer("grpc-retry-pushback-ms"))
 	}
 	s.closeAndCheck(c)
 }
@@ -112,13 +114,15 @@
 	for _, sent := range []int{3 << 10, 6 << 10} {
 		s := newHarness(t, 9, 2, "")
 		for _, v := range s.servers {
-			v.Early = true
+			v.ActsOnHeaders = true
 		}
-		s.scriptByAttempt(func(_ *p.Got) []p.Act { return acts(p.Die(50)) },
-			func(_ *p.Got) []p.Act { return acts(p.Head(100), p.Say(0, "ok"), p.End(0, 0)) })
+		s.scriptByAttempt(func(_ *p.ServerCall) []p.Action { return acts(p.Crash(50)) },
+			func(_ *p.ServerCall) []p.Action {
+				return acts(p.SendHeaders(100), p.SendMessage(0, "ok"), p.SendTrailers(0, 0))
+			})
 		c := p.Dial(s.world, 1)
-		body := p.Message(strings.Repeat("x", sent))
-		a := c.Call(&p.Ask{Path: "/quick.message/Put", Timeout: 900, Open: true, Body: [][]byte{body}})
+		body := p.EncodeMessage(strings.Repeat("x", sent))
+		a := c.Call(&p.ClientCall{Path: "/quick.message/Put", TimeoutMs: 900, KeepsOpen: true, Body: [][]byte{body}})
 		s.world.Run(80)
 		a.End()
 		s.world.Run(600)
@@ -128,7 +132,7 @@
 		if sent < 4<<10 {
 			for _, v := range s.servers {
 				for _, k := range v.Calls {
-					if k.Get("grpc-previous-rpc-attempts") != "" && !bytes.Equal(k.Body, body) {
+					if k.Header("grpc-previous-rpc-attempts") != "" && !bytes.Equal(k.Body, body) {
 						t.Errorf("the second had %d bytes of %d", len(k.Body), len(body))
 					}
 				}
@@ -140,9 +144,9 @@
 
 func TestDeadlinePassesWhileRetryConnects(t *testing.T) {
 	s := newHarness(t, 12, 2, "")
-	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(270, 14)) })
+	s.scriptAll(func(_ *p.ServerCall) []p.Action { return acts(p.SendTrailersOnly(270, 14)) })
 	c := p.Dial(s.world, 1)
-	a := c.Call(&p.Ask{Path: quickPath, Timeout: 300, Body: [][]byte{p.Message("q")}})
+	a := c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 300, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(20)
 	for i := range s.servers { // the next connect is not answered
 		s.world.UnansweredAddresses[s.proxy.servers[i].address] = true
@@ -153,8 +157,8 @@
 		}
 	}
 	s.world.Run(600)
-	if a.Finals != 1 || a.DoneAt > a.At+300 || a.Status == 0 {
-		t.Errorf("%d finals, status %d after %.1f", a.Finals, a.Status, a.DoneAt-a.At)
+	if a.FinalStatuses != 1 || a.DoneAtMs > a.StartedAtMs+300 || a.Status == 0 {
+		t.Errorf("%d finals, status %d after %.1f", a.FinalStatuses, a.Status, a.DoneAtMs-a.StartedAtMs)
 	}
 	s.closeAndCheck(c)
 }
--- a/internal/grpcproxy/behaviours_test.go
+++ b/internal/grpcproxy/behaviours_test.go
@@ -16,25 +16,25 @@
 func TestCallIsForwarded(t *testing.T) {
 	s := newHarness(t, 1, 2, "")
 	c := p.Dial(s.world, 1)
-	a := c.Call(&p.Ask{Path: "/quick.message/Get", Timeout: 500, Fields: []string{"x-a", "1", "b-bin", "AAEC"},
-		Body: [][]byte{p.Message("hello")}})
+	a := c.Call(&p.ClientCall{Path: "/quick.message/Get", TimeoutMs: 500, Fields: []string{"x-a", "1", "b-bin", "AAEC"},
+		Body: [][]byte{p.EncodeMessage("hello")}})
 	s.world.Run(100)
-	if a.Status != 0 || messagesOf(a.Got) != "hello" || a.Finals != 1 {
-		t.Fatalf("status %d, got %q, %d finals\n%s", a.Status, a.Got, a.Finals, s.world.Log)
+	if a.Status != 0 || messagesOf(a.ReceivedBody) != "hello" || a.FinalStatuses != 1 {
+		t.Fatalf("status %d, got %q, %d finals\n%s", a.Status, a.ReceivedBody, a.FinalStatuses, s.world.Log)
 	}
-	var k *p.Got
+	var k *p.ServerCall
 	for _, v := range s.servers {
 		if len(v.Calls) > 0 {
 			k = v.Calls[0]
 		}
 	}
-	if k.Get("x-a") != "1" || k.Get("b-bin") != "AAEC" || k.Get("te") != "trailers" || k.Get(":authority") != "api" {
+	if k.Header("x-a") != "1" || k.Header("b-bin") != "AAEC" || k.Header("te") != "trailers" || k.Header(":authority") != "api" {
 		t.Error("not passed on as it came:", k.Fields)
 	}
-	if ms, ok := grpcwire.ParseTimeout(k.Get("grpc-timeout")); !ok || ms > 495 || ms < 450 {
-		t.Error("the server was told", k.Get("grpc-timeout"))
+	if ms, ok := grpcwire.ParseTimeout(k.Header("grpc-timeout")); !ok || ms > 495 || ms < 450 {
+		t.Error("the server was told", k.Header("grpc-timeout"))
 	}
-	c.E.Close()
+	c.Endpoint.Close()
 	s.world.Run(50)
 	s.checkReleased()
 }
@@ -43,14 +43,14 @@
 type serverBehaviour struct {
 	name      string
 	path      string
-	acts      []p.Act
+	acts      []p.Action
 	status    int    // that the client gets
 	got       string // messages
 	attempts  int    // that servers saw
 	outcomes  string // in the policy's order
 	pushback  string // that the client gets
 	message   string // in grpc-message
-	laterActs []p.Act
+	laterActs []p.Action
 	early     bool
 }
 
@@ -62,7 +62,7 @@
 	quickAtHeaders = "/quick.headers/Get"
 )
 
-func acts(a ...p.Act) []p.Act { return a }
+func acts(a ...p.Action) []p.Action { return a }
 
 // serverBehaviours are all of them.
 func serverBehaviours() []serverBehaviour {
@@ -78,15 +78,15 @@
 	for code := 1; code <= 16; code++ {
 		name := grpcwire.Status(code).String()
 		if outcome, again := retried[code]; again {
-			add(serverBehaviour{name: "only " + name, path: quickPath, acts: acts(p.Only(1, code)), got: "ok", attempts: 2, outcomes: "answered " + outcome})
-			add(serverBehaviour{name: "only " + name + ", once", path: oncePath, acts: acts(p.Only(1, code, "grpc-message", "why")), status: code,
+			add(serverBehaviour{name: "only " + name, path: quickPath, acts: acts(p.SendTrailersOnly(1, code)), got: "ok", attempts: 2, outcomes: "answered " + outcome})
+			add(serverBehaviour{name: "only " + name + ", once", path: oncePath, acts: acts(p.SendTrailersOnly(1, code, "grpc-message", "why")), status: code,
 				attempts: 1, outcomes: outcome, pushback: "-1", message: "why"})
-			add(serverBehaviour{name: name + " after a message", path: quickPath, acts: acts(p.Head(1), p.Say(0, "a"), p.End(1, code)), status: code,
+			add(serverBehaviour{name: name + " after a message", path: quickPath, acts: acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.SendTrailers(1, code)), status: code,
 				got: "a", attempts: 1, outcomes: outcome, pushback: "-1"})
 		} else {
-			add(serverBehaviour{name: "only " + name, path: quickPath, acts: acts(p.Only(1, code, "grpc-message", "no%20such")), status: code, attempts: 1,
+			add(serverBehaviour{name: "only " + name, path: quickPath, acts: acts(p.SendTrailersOnly(1, code, "grpc-message", "no%20such")), status: code, attempts: 1,
 				outcomes: "answered", message: "no%20such"})
-			add(serverBehaviour{name: name + " in trailers", path: quickPath, acts: acts(p.Head(1), p.End(1, code)), status: code, attempts: 1, outcomes: "answered"})
+			add(serverBehaviour{name: name + " in trailers", path: quickPath, acts: acts(p.SendHeaders(1), p.SendTrailers(1, code)), status: code, attempts: 1, outcomes: "answered"})
 		}
 	}
 	return list
@@ -98,12 +98,12 @@
 	for code := http2.ErrCodeNo; code <= http2.ErrCodeInadequateSecurity; code++ {
 		end := grpcwire.ResultFromReset(code)
 		if code == http2.ErrCodeRefusedStream {
-			add(serverBehaviour{name: "refused stream", path: quickPath, acts: acts(p.Reset(1, code)), got: "ok", attempts: 2, outcomes: "answered full"})
-			add(serverBehaviour{name: "refused stream, once", path: oncePath, acts: acts(p.Reset(1, code)), got: "ok", attempts: 2, outcomes: "answered full"})
+			add(serverBehaviour{name: "refused stream", path: quickPath, acts: acts(p.ResetStream(1, code)), got: "ok", attempts: 2, outcomes: "answered full"})
+			add(serverBehaviour{name: "refused stream, once", path: oncePath, acts: acts(p.ResetStream(1, code)), got: "ok", attempts: 2, outcomes: "answered full"})
 			continue
 		}
-		add(serverBehaviour{name: "reset " + code.String(), path: quickPath, acts: acts(p.Reset(1, code)), got: "ok", attempts: 2, outcomes: "answered errored"})
-		add(serverBehaviour{name: "reset " + code.String() + ", once", path: oncePath, acts: acts(p.Reset(1, code)), status: int(end.Status), attempts: 1,
+		add(serverBehaviour{name: "reset " + code.String(), path: quickPath, acts: acts(p.ResetStream(1, code)), got: "ok", attempts: 2, outcomes: "answered errored"})
+		add(serverBehaviour{name: "reset " + code.String() + ", once", path: oncePath, acts: acts(p.ResetStream(1, code)), status: int(end.Status), attempts: 1,
 			outcomes: "errored", pushback: "-1"})
 	}
 	return list
@@ -112,7 +112,7 @@
 // httpBehaviours are responses that aren't gRPC's.
 func httpBehaviours() (list []serverBehaviour) {
 	for http, code := range map[string]int{"400": 13, "401": 16, "403": 7, "404": 12, "429": 14, "502": 14, "503": 14, "504": 14, "500": 2} {
-		list = append(list, serverBehaviour{name: "HTTP " + http, path: oncePath, acts: acts(p.OnlyFields(1, ":status", http)), status: code, attempts: 1, outcomes: "errored", pushback: "-1"})
+		list = append(list, serverBehaviour{name: "HTTP " + http, path: oncePath, acts: acts(p.SendHeadersOnly(1, ":status", http)), status: code, attempts: 1, outcomes: "errored", pushback: "-1"})
 	}
 	return list
 }
@@ -120,56 +120,56 @@
 // responseBehaviours are incomplete and invalid responses.
 func responseBehaviours() []serverBehaviour {
 	return []serverBehaviour{
-		{name: "an unknown status", path: oncePath, acts: acts(p.Only(1, 99)), status: 99, attempts: 1, outcomes: "errored", pushback: "-1"},
-		{name: "no gRPC", path: quickPath, acts: acts(p.OnlyFields(1, ":status", "200", "content-type", "text/html")), got: "ok", attempts: 2,
+		{name: "an unknown status", path: oncePath, acts: acts(p.SendTrailersOnly(1, 99)), status: 99, attempts: 1, outcomes: "errored", pushback: "-1"},
+		{name: "no gRPC", path: quickPath, acts: acts(p.SendHeadersOnly(1, ":status", "200", "content-type", "text/html")), got: "ok", attempts: 2,
 			outcomes: "answered errored"},
-		{name: "closed without a status", path: oncePath, acts: acts(p.Head(1), p.Say(0, "a"), p.EndBare(1)), status: 2, got: "a", attempts: 1,
+		{name: "closed without a status", path: oncePath, acts: acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.EndWithoutTrailers(1)), status: 2, got: "a", attempts: 1,
 			outcomes: "errored", pushback: "-1"},
-		{name: "headers, then silence", path: quickAtEnd, acts: acts(p.Head(1)), got: "ok", attempts: 2, outcomes: "answered cancelled"},
-		{name: "headers, then silence, once", path: oncePath, acts: acts(p.Head(1)), status: 4, attempts: 1, outcomes: "cancelled"},
+		{name: "headers, then silence", path: quickAtEnd, acts: acts(p.SendHeaders(1)), got: "ok", attempts: 2, outcomes: "answered cancelled"},
+		{name: "headers, then silence, once", path: oncePath, acts: acts(p.SendHeaders(1)), status: 4, attempts: 1, outcomes: "cancelled"},
 		{name: "silence", path: quickPath, got: "ok", attempts: 2, outcomes: "answered cancelled"},
 		{name: "silence, once", path: oncePath, status: 4, attempts: 1, outcomes: "cancelled"},
-		{name: "dies before anything", path: quickPath, acts: acts(p.Die(1)), got: "ok", attempts: 2, outcomes: "answered reset"},
-		{name: "dies before anything, once", path: oncePath, acts: acts(p.Die(1)), status: 14, attempts: 1, outcomes: "reset", pushback: "-1"},
-		{name: "dies after headers", path: quickPath, acts: acts(p.Head(1), p.Die(1)), got: "ok", attempts: 2, outcomes: "answered reset"},
-		{name: "dies after headers that were passed", path: quickAtHeaders, acts: acts(p.Head(1), p.Die(3)), status: 14, attempts: 1, outcomes: "reset", pushback: "-1"},
-		{name: "dies after a message that was passed", path: quickPath, acts: acts(p.Head(1), p.Say(0, "a"), p.Die(3)), status: 14, got: "a",
+		{name: "dies before anything", path: quickPath, acts: acts(p.Crash(1)), got: "ok", attempts: 2, outcomes: "answered reset"},
+		{name: "dies before anything, once", path: oncePath, acts: acts(p.Crash(1)), status: 14, attempts: 1, outcomes: "reset", pushback: "-1"},
+		{name: "dies after headers", path: quickPath, acts: acts(p.SendHeaders(1), p.Crash(1)), got: "ok", attempts: 2, outcomes: "answered reset"},
+		{name: "dies after headers that were passed", path: quickAtHeaders, acts: acts(p.SendHeaders(1), p.Crash(3)), status: 14, attempts: 1, outcomes: "reset", pushback: "-1"},
+		{name: "dies after a message that was passed", path: quickPath, acts: acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.Crash(3)), status: 14, got: "a",
 			attempts: 1, outcomes: "reset", pushback: "-1"},
-		{name: "dies after a message that was held", path: quickAtEnd, acts: acts(p.Head(1), p.Say(0, "a"), p.Die(3)), got: "ok", attempts: 2,
+		{name: "dies after a message that was held", path: quickAtEnd, acts: acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.Crash(3)), got: "ok", attempts: 2,
 			outcomes: "answered reset"},
-		{name: "dies after a message, once", path: oncePath, acts: acts(p.Head(1), p.Say(0, "a"), p.Die(3)), status: 14, got: "a", attempts: 1,
+		{name: "dies after a message, once", path: oncePath, acts: acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.Crash(3)), status: 14, got: "a", attempts: 1,
 			outcomes: "reset", pushback: "-1"},
-		{name: "half a message, then the end", path: quickAtEnd, acts: acts(p.Head(1), p.Raw(0, p.Message("abc")[:6]), p.End(1, 0)), got: "ok",
+		{name: "half a message, then the end", path: quickAtEnd, acts: acts(p.SendHeaders(1), p.SendBody(0, p.EncodeMessage("abc")[:6]), p.SendTrailers(1, 0)), got: "ok",
 			attempts: 2, outcomes: "answered errored"},
-		{name: "half a message, once", path: "/once.end/Get", acts: acts(p.Head(1), p.Raw(0, p.Message("abc")[:6]), p.End(1, 0)), status: 13,
+		{name: "half a message, once", path: "/once.end/Get", acts: acts(p.SendHeaders(1), p.SendBody(0, p.EncodeMessage("abc")[:6]), p.SendTrailers(1, 0)), status: 13,
 			attempts: 1, outcomes: "errored", pushback: "-1"},
-		{name: "a message with a wrong flag", path: quickPath, acts: acts(p.Head(1), p.Raw(0, []byte{7, 0, 0, 0, 0})), got: "ok", attempts: 2,
+		{name: "a message with a wrong flag", path: quickPath, acts: acts(p.SendHeaders(1), p.SendBody(0, []byte{7, 0, 0, 0, 0})), got: "ok", attempts: 2,
 			outcomes: "answered errored"},
-		{name: "a message over the limit", path: quickPath, acts: acts(p.Head(1), p.Raw(0, []byte{0, 0xff, 0, 0, 0})), status: 8, attempts: 1,
+		{name: "a message over the limit", path: quickPath, acts: acts(p.SendHeaders(1), p.SendBody(0, []byte{0, 0xff, 0, 0, 0})), status: 8, attempts: 1,
 			outcomes: "answered", pushback: "-1"},
-		{name: "metadata over the limit", path: quickPath, acts: acts(p.Head(1, "x", strings.Repeat("y", 9<<10))), status: 8, attempts: 1,
+		{name: "metadata over the limit", path: quickPath, acts: acts(p.SendHeaders(1, "x", strings.Repeat("y", 9<<10))), status: 8, attempts: 1,
 			outcomes: "answered", pushback: "-1"},
-		{name: "data before headers", path: quickPath, acts: acts(p.Bytes(1, p.Frame(http2.FrameData, 0, 1, []byte("x")))), got: "ok", attempts: 2,
+		{name: "data before headers", path: quickPath, acts: acts(p.SendRawBytes(1, p.Frame(http2.FrameData, 0, 1, []byte("x")))), got: "ok", attempts: 2,
 			outcomes: "answered errored"},
-		{name: "headers twice", path: quickAtEnd, acts: acts(p.Head(1), p.Head(1)), got: "ok", attempts: 2, outcomes: "answered errored"},
+		{name: "headers twice", path: quickAtEnd, acts: acts(p.SendHeaders(1), p.SendHeaders(1)), got: "ok", attempts: 2, outcomes: "answered errored"},
 	}
 }
 
 // connectionBehaviours are faults of the connection, and GOAWAY.
 func connectionBehaviours() []serverBehaviour {
 	return []serverBehaviour{
-		{name: "a frame that is too long", path: quickPath, acts: acts(p.Bytes(1, p.Frame(http2.FrameData, 0, 1, make([]byte, 17<<10)))),
+		{name: "a frame that is too long", path: quickPath, acts: acts(p.SendRawBytes(1, p.Frame(http2.FrameData, 0, 1, make([]byte, 17<<10)))),
 			got: "ok", attempts: 2, outcomes: "answered reset"},
-		{name: "a header block that can't be read", path: quickPath, acts: acts(p.Bytes(1, p.Frame(http2.FrameHeaders, 4, 1, []byte{0xff, 0xff,
+		{name: "a header block that can't be read", path: quickPath, acts: acts(p.SendRawBytes(1, p.Frame(http2.FrameHeaders, 4, 1, []byte{0xff, 0xff,
 			0xff, 0xff, 0xff, 0xff}))), got: "ok", attempts: 2, outcomes: "answered reset"},
-		{name: "a push", path: quickPath, acts: acts(p.Bytes(1, p.Frame(http2.FramePushPromise, 4, 1, []byte{0, 0, 0, 2, 0x88}))), got: "ok", attempts: 2,
+		{name: "a push", path: quickPath, acts: acts(p.SendRawBytes(1, p.Frame(http2.FramePushPromise, 4, 1, []byte{0, 0, 0, 2, 0x88}))), got: "ok", attempts: 2,
 			outcomes: "answered reset"},
-		{name: "no HTTP/2 in the middle", path: quickPath, acts: acts(p.Bytes(1, []byte("HTTP/1.1 400 Bad Request\r\n\r\n"))), got: "ok", attempts: 2,
+		{name: "no HTTP/2 in the middle", path: quickPath, acts: acts(p.SendRawBytes(1, []byte("HTTP/1.1 400 Bad Request\r\n\r\n"))), got: "ok", attempts: 2,
 			outcomes: "answered reset"},
-		{name: "GOAWAY before the stream", path: oncePath, acts: acts(p.Bye(1, 0, http2.ErrCodeNo)), got: "ok", attempts: 2, outcomes: "answered moot"},
-		{name: "GOAWAY after the stream", path: oncePath, acts: acts(p.Bye(1, 1, http2.ErrCodeNo), p.Head(5), p.Say(0, "late"), p.End(0, 0)),
+		{name: "GOAWAY before the stream", path: oncePath, acts: acts(p.SendGoAway(1, 0, http2.ErrCodeNo)), got: "ok", attempts: 2, outcomes: "answered moot"},
+		{name: "GOAWAY after the stream", path: oncePath, acts: acts(p.SendGoAway(1, 1, http2.ErrCodeNo), p.SendHeaders(5), p.SendMessage(0, "late"), p.SendTrailers(0, 0)),
 			got: "late", attempts: 1, outcomes: "answered"},
-		{name: "GOAWAY after the stream, then death", path: oncePath, acts: acts(p.Bye(1, 1, http2.ErrCodeNo), p.Die(5)), status: 14, attempts: 1,
+		{name: "GOAWAY after the stream, then death", path: oncePath, acts: acts(p.SendGoAway(1, 1, http2.ErrCodeNo), p.Crash(5)), status: 14, attempts: 1,
 			outcomes: "reset", pushback: "-1"},
 	}
 }
@@ -177,23 +177,23 @@
 // retryBehaviours are about pushback and about what is retried.
 func retryBehaviours() []serverBehaviour {
 	return []serverBehaviour{
-		{name: "pushback without a time", path: quickPath, acts: acts(p.Only(1, 14, "grpc-retry-pushback-ms", "-1")), status: 14, attempts: 1,
+		{name: "pushback without a time", path: quickPath, acts: acts(p.SendTrailersOnly(1, 14, "grpc-retry-pushback-ms", "-1")), status: 14, attempts: 1,
 			outcomes: "errored", pushback: "-1"},
-		{name: "pushback that can't be read", path: quickPath, acts: acts(p.Only(1, 14, "grpc-retry-pushback-ms", "soon")), status: 14, attempts: 1,
+		{name: "pushback that can't be read", path: quickPath, acts: acts(p.SendTrailersOnly(1, 14, "grpc-retry-pushback-ms", "soon")), status: 14, attempts: 1,
 			outcomes: "errored", pushback: "-1"},
-		{name: "pushback of 40 ms", path: quickPath, acts: acts(p.Only(1, 14, "grpc-retry-pushback-ms", "40")), got: "ok", attempts: 2,
+		{name: "pushback of 40 ms", path: quickPath, acts: acts(p.SendTrailersOnly(1, 14, "grpc-retry-pushback-ms", "40")), got: "ok", attempts: 2,
 			outcomes: "answered errored"},
-		{name: "pushback past the time", path: quickPath, acts: acts(p.Only(1, 14, "grpc-retry-pushback-ms", "2000")), status: 14, attempts: 1,
+		{name: "pushback past the time", path: quickPath, acts: acts(p.SendTrailersOnly(1, 14, "grpc-retry-pushback-ms", "2000")), status: 14, attempts: 1,
 			outcomes: "errored", pushback: "2000"},
-		{name: "tokened, within its window", path: keyedPath, acts: acts(p.Only(1, 14)), got: "ok", attempts: 2, outcomes: "answered errored"},
-		{name: "unseen by the operator's word", path: "/unseen.once/Get", acts: acts(p.Only(1, 8)), got: "ok", attempts: 2, outcomes: "answered full"},
-		{name: "unseen, but after a message", path: "/unseen.once/Get", acts: acts(p.Head(1), p.Say(0, "a"), p.End(1, 8)), status: 8, got: "a",
+		{name: "tokened, within its window", path: keyedPath, acts: acts(p.SendTrailersOnly(1, 14)), got: "ok", attempts: 2, outcomes: "answered errored"},
+		{name: "unseen by the operator's word", path: "/unseen.once/Get", acts: acts(p.SendTrailersOnly(1, 8)), got: "ok", attempts: 2, outcomes: "answered full"},
+		{name: "unseen, but after a message", path: "/unseen.once/Get", acts: acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.SendTrailers(1, 8)), status: 8, got: "a",
 			attempts: 1, outcomes: "errored", pushback: "-1"},
-		{name: "details pass", path: oncePath, acts: acts(p.Only(1, 14, "grpc-status-details-bin", "CAE", "x-own", "1")), status: 14, attempts: 1,
+		{name: "details pass", path: oncePath, acts: acts(p.SendTrailersOnly(1, 14, "grpc-status-details-bin", "CAE", "x-own", "1")), status: 14, attempts: 1,
 			outcomes: "errored", pushback: "-1"},
-		{name: "fails twice, then answers", path: quickPath, acts: acts(p.Only(1, 14)), laterActs: acts(p.Only(1, 13)), status: 13, attempts: 3,
+		{name: "fails twice, then answers", path: quickPath, acts: acts(p.SendTrailersOnly(1, 14)), laterActs: acts(p.SendTrailersOnly(1, 13)), status: 13, attempts: 3,
 			outcomes: "errored errored errored", pushback: "37-113"},
-		{name: "answers before the client has ended", path: quickPath, acts: acts(p.Only(0, 5)), early: true, status: 5, attempts: 1, outcomes: "answered"},
+		{name: "answers before the client has ended", path: quickPath, acts: acts(p.SendTrailersOnly(0, 5)), early: true, status: 5, attempts: 1, outcomes: "answered"},
 	}
 }
 
@@ -205,34 +205,34 @@
 	for _, r := range list {
 		t.Run(r.name, func(t *testing.T) {
 			s := newHarness(t, 3, 2, "", testRoutes()...)
-			s.scriptByAttempt(func(_ *p.Got) []p.Act { return r.acts }, func(_ *p.Got) []p.Act {
+			s.scriptByAttempt(func(_ *p.ServerCall) []p.Action { return r.acts }, func(_ *p.ServerCall) []p.Action {
 				if r.laterActs != nil {
 					return r.laterActs
 				}
-				return acts(p.Head(1), p.Say(0, "ok"), p.End(0, 0))
+				return acts(p.SendHeaders(1), p.SendMessage(0, "ok"), p.SendTrailers(0, 0))
 			})
 			for _, v := range s.servers {
-				v.Early = r.early
+				v.ActsOnHeaders = r.early
 			}
 			c := p.Dial(s.world, 1)
 			since := s.world.Engine.Count.Outcomes
-			a := c.Call(&p.Ask{Path: r.path, Timeout: 900, Body: [][]byte{p.Message("ask")}})
+			a := c.Call(&p.ClientCall{Path: r.path, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("ask")}})
 			s.world.Run(1500)
 			attempts := 0
 			for _, v := range s.servers {
 				attempts += len(v.Calls)
 			}
 			outcomes := strings.Join(s.outcomesSince(since), " ")
-			if a.Finals != 1 || a.Status != r.status || messagesOf(a.Got) != r.got || attempts != r.attempts || outcomes != r.outcomes ||
-				!matchesRange(a.Get("grpc-retry-pushback-ms"), r.pushback) || r.message != "" && a.Get("grpc-message") != r.message {
+			if a.FinalStatuses != 1 || a.Status != r.status || messagesOf(a.ReceivedBody) != r.got || attempts != r.attempts || outcomes != r.outcomes ||
+				!matchesRange(a.Trailer("grpc-retry-pushback-ms"), r.pushback) || r.message != "" && a.Trailer("grpc-message") != r.message {
 				t.Errorf("%d finals, status %d (want %d), got %q (want %q), %d attempts (want %d), outcomes %q (want %q), pushback %q "+
-					"(want %q), message %q", a.Finals, a.Status, r.status, messagesOf(a.Got), r.got, attempts, r.attempts, outcomes, r.outcomes,
-					a.Get("grpc-retry-pushback-ms"), r.pushback, a.Get("grpc-message"))
+					"(want %q), message %q", a.FinalStatuses, a.Status, r.status, messagesOf(a.ReceivedBody), r.got, attempts, r.attempts, outcomes, r.outcomes,
+					a.Trailer("grpc-retry-pushback-ms"), r.pushback, a.Trailer("grpc-message"))
 			}
-			if a.DoneAt > a.At+900 {
-				t.Errorf("after %.1f ms", a.DoneAt-a.At)
+			if a.DoneAtMs > a.StartedAtMs+900 {
+				t.Errorf("after %.1f ms", a.DoneAtMs-a.StartedAtMs)
 			}
-			c.E.Close()
+			c.Endpoint.Close()
 			s.world.Run(100)
 			s.checkReleased()
 			if t.Failed() && testing.Verbose() {
--- a/internal/grpcproxy/clients_test.go
+++ b/internal/grpcproxy/clients_test.go
@@ -14,19 +14,19 @@
 
 func TestCancelledCallReleasesEverything(t *testing.T) {
 	s := newHarness(t, 10, 2, "")
-	s.scriptAll(func(_ *p.Got) []p.Act {
-		return acts(p.Head(1), p.Say(0, strings.Repeat("m", 30<<10)), p.Say(20, strings.Repeat("n", 60<<10)), p.Say(500, "x"), p.End(0, 0))
+	s.scriptAll(func(_ *p.ServerCall) []p.Action {
+		return acts(p.SendHeaders(1), p.SendMessage(0, strings.Repeat("m", 30<<10)), p.SendMessage(20, strings.Repeat("n", 60<<10)), p.SendMessage(500, "x"), p.SendTrailers(0, 0))
 	})
 	c := p.Dial(s.world, 1)
-	half := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	half := c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(10)
 	at := s.world.NowMs
 	half.Cancel()
 	s.world.Run(5)
 	for _, v := range s.servers {
 		for _, k := range v.Calls {
-			if !k.Reset || k.ResetAt > at+2 {
-				t.Errorf("the server heard of it at %.1f, the client left at %.1f", k.ResetAt, at)
+			if !k.WasReset || k.ResetAtMs > at+2 {
+				t.Errorf("the server heard of it at %.1f, the client left at %.1f", k.ResetAtMs, at)
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 		t.Errorf("%d open, %d bytes buffered", s.proxy.openCalls, s.proxy.bufferedBytes)
 	}
 	// And with its connection.
-	c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+	c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(10)
 	s.closeAndCheck(c)
 	if s.proxy.Counters.ClientCancelled != 2 {
@@ -46,24 +46,24 @@
 	// The server's messages fill the client's window and the server's own; the rest of the response waits
 	// there. The status needs no window.
 	s := newHarness(t, 11, 2, "")
-	s.scriptAll(func(_ *p.Got) []p.Act {
-		list := acts(p.Head(1))
+	s.scriptAll(func(_ *p.ServerCall) []p.Action {
+		list := acts(p.SendHeaders(1))
 		for range 20 {
-			list = append(list, p.Say(1, strings.Repeat("m", 30<<10)))
+			list = append(list, p.SendMessage(1, strings.Repeat("m", 30<<10)))
 		}
-		return append(list, p.End(0, 0))
+		return append(list, p.SendTrailers(0, 0))
 	})
 	c := p.Dial(s.world, 1)
-	a := c.Call(&p.Ask{Path: quickPath, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
-	b := c.Call(&p.Ask{Path: quickAtEnd, Timeout: 600, Slow: true, Body: [][]byte{p.Message("q")}})
+	a := c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 600, NeverReads: true, Body: [][]byte{p.EncodeMessage("q")}})
+	b := c.Call(&p.ClientCall{Path: quickAtEnd, TimeoutMs: 600, NeverReads: true, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(300)
 	if s.proxy.bufferedBytes > 2*(64<<10+32<<10) {
 		t.Errorf("%d bytes buffered for two calls", s.proxy.bufferedBytes)
 	}
 	s.world.Run(700)
-	for _, a := range []*p.Ask{a, b} {
-		if a.Finals != 1 || a.Status != 4 || a.DoneAt > a.At+600 {
-			t.Errorf("%d finals, status %d after %.1f ms", a.Finals, a.Status, a.DoneAt-a.At)
+	for _, a := range []*p.ClientCall{a, b} {
+		if a.FinalStatuses != 1 || a.Status != 4 || a.DoneAtMs > a.StartedAtMs+600 {
+			t.Errorf("%d finals, status %d after %.1f ms", a.FinalStatuses, a.Status, a.DoneAtMs-a.StartedAtMs)
 		}
 	}
 	s.closeAndCheck(c)
@@ -75,30 +75,30 @@
 	c := p.Dial(s.world, 1)
 	for _, r := range []struct {
 		name   string
-		ask    p.Ask
+		ask    p.ClientCall
 		status int
 	}{
-		{"no route", p.Ask{Path: "/none/Get"}, 12},
-		{"a time that can't be read", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "soon"}}, 3},
-		{"no time", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "0n"}}, 4},
-		{"no shard", p.Ask{Path: "/shards/Get"}, 3},
-		{"a shard that is none", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "4"}}, 3},
-		{"a shard", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "3"}}, 0},
-		{"a message over the limit", p.Ask{Path: "/shards/Get", Fields: []string{"x-shard", "3"}, Body: [][]byte{p.Message(strings.Repeat("x", 2<<10))}}, 8},
-		{"a wrong flag", p.Ask{Path: quickPath, Body: [][]byte{{9, 0, 0, 0, 0}}}, 13},
-		{"half a message", p.Ask{Path: quickPath, Body: [][]byte{{0, 0, 0, 0, 5, 1}}}, 13},
-		{"metadata over the limit", p.Ask{Path: quickPath, Fields: []string{"x-big", strings.Repeat("y", 9<<10)}}, 8},
-		{"a huge time", p.Ask{Path: quickPath, Fields: []string{"grpc-timeout", "99999999H"}}, 0},
+		{"no route", p.ClientCall{Path: "/none/Get"}, 12},
+		{"a time that can't be read", p.ClientCall{Path: quickPath, Fields: []string{"grpc-timeout", "soon"}}, 3},
+		{"no time", p.ClientCall{Path: quickPath, Fields: []string{"grpc-timeout", "0n"}}, 4},
+		{"no shard", p.ClientCall{Path: "/shards/Get"}, 3},
+		{"a shard that is none", p.ClientCall{Path: "/shards/Get", Fields: []string{"x-shard", "4"}}, 3},
+		{"a shard", p.ClientCall{Path: "/shards/Get", Fields: []string{"x-shard", "3"}}, 0},
+		{"a message over the limit", p.ClientCall{Path: "/shards/Get", Fields: []string{"x-shard", "3"}, Body: [][]byte{p.EncodeMessage(strings.Repeat("x", 2<<10))}}, 8},
+		{"a wrong flag", p.ClientCall{Path: quickPath, Body: [][]byte{{9, 0, 0, 0, 0}}}, 13},
+		{"half a message", p.ClientCall{Path: quickPath, Body: [][]byte{{0, 0, 0, 0, 5, 1}}}, 13},
+		{"metadata over the limit", p.ClientCall{Path: quickPath, Fields: []string{"x-big", strings.Repeat("y", 9<<10)}}, 8},
+		{"a huge time", p.ClientCall{Path: quickPath, Fields: []string{"grpc-timeout", "99999999H"}}, 0},
 	} {
 		a := c.Call(&r.ask)
 		s.world.Run(300)
-		if a.Status != r.status || a.Finals != 1 {
-			t.Errorf("%s: %d finals, status %d, want %d", r.name, a.Finals, a.Status, r.status)
+		if a.Status != r.status || a.FinalStatuses != 1 {
+			t.Errorf("%s: %d finals, status %d, want %d", r.name, a.FinalStatuses, a.Status, r.status)
 		}
 	}
 	for _, v := range s.servers {
 		for _, k := range v.Calls {
-			if k.Get("x-big") != "" {
+			if k.Header("x-big") != "" {
 				t.Error("passed on")
 			}
 		}
@@ -113,18 +113,18 @@
 		v.Limits = h2Limits(100)
 		v.Limits.InitialWindowSize = 4 << 10
 	}
-	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(60, 0)) })
+	s.scriptAll(func(_ *p.ServerCall) []p.Action { return acts(p.SendTrailersOnly(60, 0)) })
 	c := p.Dial(s.world, 1)
-	var calls []*p.Ask
+	var calls []*p.ClientCall
 	for range 12 {
-		calls = append(calls, c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}}))
+		calls = append(calls, c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("q")}}))
 	}
 	s.world.Run(800)
 	ok, over := 0, 0
 	for _, a := range calls {
 		if a.Status == 0 {
 			ok++
-		} else if a.Status == 8 && a.Get("grpc-retry-pushback-ms") != "" && a.DoneAt < a.At+10 {
+		} else if a.Status == 8 && a.Trailer("grpc-retry-pushback-ms") != "" && a.DoneAtMs < a.StartedAtMs+10 {
 			over++
 		}
 	}
@@ -134,11 +134,11 @@
 	// Bodies that no server reads are bounded all together, not only each.
 	s.settings.Limits.MaxCallsPerCustomer, s.settings.Limits.MaxBufferedBytes = 0, 256<<10
 	for _, v := range s.servers {
-		v.Holds, v.Early = true, true
-		v.Script = func(*p.Got) []p.Act { return nil }
+		v.NeverReads, v.ActsOnHeaders = true, true
+		v.Script = func(*p.ServerCall) []p.Action { return nil }
 	}
 	for range 10 {
-		c.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 60<<10))}})
+		c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, KeepsOpen: true, Body: [][]byte{p.EncodeMessage(strings.Repeat("x", 60<<10))}})
 		s.world.Run(5)
 	}
 	if s.proxy.bufferedBytes > 256<<10 || s.proxy.Counters.OverBufferLimit == 0 {
@@ -195,13 +195,13 @@
 			s.world.Run(2)
 			at := s.world.NowMs
 			e.Send(r.send)
-			a := good.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+			a := good.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("q")}})
 			s.world.Run(r.within)
 			if got.closed == 0 || got.closed > at+r.within {
 				t.Errorf("not closed after %.0f ms", r.within)
 			}
-			if a.Status != 0 || a.DoneAt > a.At+20 {
-				t.Errorf("another client: status %d after %.1f ms", a.Status, a.DoneAt-a.At)
+			if a.Status != 0 || a.DoneAtMs > a.StartedAtMs+20 {
+				t.Errorf("another client: status %d after %.1f ms", a.Status, a.DoneAtMs-a.StartedAtMs)
 			}
 			s.closeAndCheck(good)
 		})
@@ -225,14 +225,14 @@
 	c := p.Dial(s.world, 1)
 	s.world.Run(2)
 	for i := range 400 {
-		a := c.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true})
+		a := c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, KeepsOpen: true})
 		a.Cancel()
 		if i%10 == 9 {
 			s.world.Run(1)
 		}
 	}
 	s.world.Run(50)
-	if !c.Gone || s.proxy.Counters.ProtocolErrors != 1 {
+	if !c.Draining || s.proxy.Counters.ProtocolErrors != 1 {
 		t.Errorf("still open after 400 resets; %d protocol errors", s.proxy.Counters.ProtocolErrors)
 	}
 	if s.proxy.Counters.Calls > 120 {
@@ -247,13 +247,13 @@
 	for _, v := range s.servers {
 		v.Limits = h2Limits(100)
 		v.Limits.InitialWindowSize = 4 << 10
-		v.Holds = true
-		v.Script = func(*p.Got) []p.Act { return nil }
+		v.NeverReads = true
+		v.Script = func(*p.ServerCall) []p.Action { return nil }
 	}
 	greedy, other := p.Dial(s.world, 1), p.Dial(s.world, 1)
-	var calls []*p.Ask
+	var calls []*p.ClientCall
 	for range 6 {
-		calls = append(calls, greedy.Call(&p.Ask{Path: quickPath, Timeout: 900, Open: true, Body: [][]byte{p.Message(strings.Repeat("x", 50<<10))}}))
+		calls = append(calls, greedy.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, KeepsOpen: true, Body: [][]byte{p.EncodeMessage(strings.Repeat("x", 50<<10))}}))
 	}
 	s.world.Run(20)
 	over := 0
@@ -265,14 +265,14 @@
 	if over < 3 || s.proxy.bufferedBytes > 100<<10 {
 		t.Errorf("%d of 6 rejected, %d bytes buffered", over, s.proxy.bufferedBytes)
 	}
-	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(1, 0)) })
-	if a := other.Call(&p.Ask{Path: quickPath, Timeout: 900}); true {
+	s.scriptAll(func(_ *p.ServerCall) []p.Action { return acts(p.SendTrailersOnly(1, 0)) })
+	if a := other.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900}); true {
 		s.world.Run(50)
 		if a.Status != 0 {
 			t.Error("another connection:", a.Status)
 		}
 	}
-	greedy.Hang()
+	greedy.Close()
 	s.world.Run(50)
 	s.closeAndCheck(other)
 }
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -67,7 +67,7 @@
 	s.proxy = New(s.world.Engine, s.settings, 4, seed)
 	s.world.Engine.AddFront(s.proxy)
 	for i := range servers {
-		p := &grpcpeer.Server{W: s.world, Name: fmt.Sprintf("s%d", i), Script: echo}
+		p := &grpcpeer.Server{Network: s.world, Name: fmt.Sprintf("s%d", i), Script: echo}
 		s.servers = append(s.servers, p)
 		s.world.Listen(netip.AddrPortFrom(all[i].Addr.Addr(), 1080), p.Accept)
 	}
@@ -82,15 +82,15 @@
 }
 
 // echo answers with what it was sent.
-func echo(k *grpcpeer.Got) []grpcpeer.Act {
-	return []grpcpeer.Act{grpcpeer.Head(2, "x-by", k.S.Name), grpcpeer.Raw(0, k.Body), grpcpeer.End(0, 0)}
+func echo(k *grpcpeer.ServerCall) []grpcpeer.Action {
+	return []grpcpeer.Action{grpcpeer.SendHeaders(2, "x-by", k.Server.Name), grpcpeer.SendBody(0, k.Body), grpcpeer.SendTrailers(0, 0)}
 }
 
 // scriptByAttempt has the servers do one thing with a call's first attempt and another with later ones.
-func (s *harness) scriptByAttempt(first, later func(k *grpcpeer.Got) []grpcpeer.Act) {
+func (s *harness) scriptByAttempt(first, later func(k *grpcpeer.ServerCall) []grpcpeer.Action) {
 	for _, p := range s.servers {
-		p.Script = func(k *grpcpeer.Got) []grpcpeer.Act {
-			if k.Get("grpc-previous-rpc-attempts") == "" {
+		p.Script = func(k *grpcpeer.ServerCall) []grpcpeer.Action {
+			if k.Header("grpc-previous-rpc-attempts") == "" {
 				return first(k)
 			}
 			return later(k)
@@ -102,13 +102,13 @@
 func (s *harness) warmUp(n int) {
 	c := grpcpeer.Dial(s.world, 1)
 	for i := range n {
-		a := c.Call(&grpcpeer.Ask{Path: "/quick.end/Warm", Body: [][]byte{grpcpeer.Message("w")}})
+		a := c.Call(&grpcpeer.ClientCall{Path: "/quick.end/Warm", Body: [][]byte{grpcpeer.EncodeMessage("w")}})
 		s.world.Run(8)
 		if a.Status != 0 {
 			s.t.Fatalf("warming %d: status %d\n%s", i, a.Status, s.world.Log)
 		}
 	}
-	c.E.Close()
+	c.Endpoint.Close()
 	s.world.Run(5)
 }
 
@@ -176,7 +176,7 @@
 	return n
 }
 
-func (s *harness) scriptAll(script func(k *grpcpeer.Got) []grpcpeer.Act) {
+func (s *harness) scriptAll(script func(k *grpcpeer.ServerCall) []grpcpeer.Action) {
 	for _, v := range s.servers {
 		v.Script = script
 	}
@@ -184,7 +184,7 @@
 
 func (s *harness) closeAndCheck(c *grpcpeer.Client) {
 	s.t.Helper()
-	c.E.Close()
+	c.Endpoint.Close()
 	s.world.Run(100)
 	s.checkReleased()
 }
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -26,12 +26,12 @@
 	*harness
 	rng          *rand.Rand
 	rules        *invariants.Checker
-	attempts     map[*p.Got]*invariants.Attempt
-	pendingCalls map[string]*p.Ask
-	reported     map[*p.Ask]bool
+	attempts     map[*p.ServerCall]*invariants.Attempt
+	pendingCalls map[string]*p.ClientCall
+	reported     map[*p.ClientCall]bool
 	callNumber   int
 	usage        *usageMeter
-	onCall       func(id string, a *p.Ask) // may be nil
+	onCall       func(id string, a *p.ClientCall) // may be nil
 }
 
 // usageMeter adds up what the engine meters.
@@ -52,8 +52,8 @@
 func (y *randomRun) happens(x float64) bool { return y.rng.Float64() < x }
 
 // serverScript draws what a server does with a call.
-func (y *randomRun) serverScript(k *p.Got) []p.Act {
-	id := k.Get("x-id")
+func (y *randomRun) serverScript(k *p.ServerCall) []p.Action {
+	id := k.Header("x-id")
 	wait := func(maxMillis float64) float64 { return maxMillis * y.rng.Float64() }
 	if y.happens(0.05) { // slow
 		wait = func(maxMillis float64) float64 { return 20 * maxMillis * y.rng.Float64() }
@@ -61,76 +61,76 @@
 	if list, drawn := y.actsWithoutMessages(wait); drawn {
 		return list
 	}
-	list := []p.Act{p.Head(wait(10))}
+	list := []p.Action{p.SendHeaders(wait(10))}
 	var body []byte
 	for n := y.rng.IntN(4); n >= 0; n-- {
-		m := p.Message(fmt.Sprintf("%s by %s %s", id, k.S.Name, strings.Repeat("x", y.rng.IntN(1<<uint(y.rng.IntN(15))))))
+		m := p.EncodeMessage(fmt.Sprintf("%s by %s %s", id, k.Server.Name, strings.Repeat("x", y.rng.IntN(1<<uint(y.rng.IntN(15))))))
 		body = append(body, m...)
 		if y.happens(0.2) { // in two fragments
 			at := 1 + y.rng.IntN(len(m)-1)
-			list = append(list, p.Raw(wait(10), m[:at]))
+			list = append(list, p.SendBody(wait(10), m[:at]))
 			m = m[at:]
 		}
-		list = append(list, p.Raw(wait(10), m))
+		list = append(list, p.SendBody(wait(10), m))
 		more, last := y.actsAfterMessage(wait)
 		list = append(list, more...)
 		if last {
 			return list
 		}
 	}
-	return append(list, p.Act{After: 0, Do: func(*p.Server, *p.Got) { y.rules.RecordServerAnswer(id, body) }}, p.End(wait(5), 0))
+	return append(list, p.Action{AfterMs: 0, Run: func(*p.Server, *p.ServerCall) { y.rules.RecordServerAnswer(id, body) }}, p.SendTrailers(wait(5), 0))
 }
 
 // actsWithoutMessages draws what a server does that sends no message, if it is one.
-func (y *randomRun) actsWithoutMessages(wait func(maxMillis float64) float64) (list []p.Act, drawn bool) {
+func (y *randomRun) actsWithoutMessages(wait func(maxMillis float64) float64) (list []p.Action, drawn bool) {
 	switch y.rng.IntN(24) {
 	case 0:
 		return nil, true // it never responds
 	case 1:
-		refuse := p.Reset(wait(10), http2.ErrCodeRefusedStream)
-		return acts(p.Act{After: refuse.After, Do: func(s *p.Server, k *p.Got) {
+		refuse := p.ResetStream(wait(10), http2.ErrCodeRefusedStream)
+		return acts(p.Action{AfterMs: refuse.AfterMs, Run: func(s *p.Server, k *p.ServerCall) {
 			y.attempts[k].RecordNotExecuted(y.world.NowMs)
-			refuse.Do(s, k)
+			refuse.Run(s, k)
 		}}), true
 	case 2:
 		code := http2.ErrCode(y.rng.IntN(14))
 		if code == http2.ErrCodeRefusedStream {
 			code = http2.ErrCodeCancel
 		}
-		return acts(p.Reset(wait(10), code)), true
+		return acts(p.ResetStream(wait(10), code)), true
 	case 3:
-		return acts(p.Only(wait(10), []int{1, 2, 8, 13, 14, 15}[y.rng.IntN(6)])), true
+		return acts(p.SendTrailersOnly(wait(10), []int{1, 2, 8, 13, 14, 15}[y.rng.IntN(6)])), true
 	case 4:
-		return acts(p.Only(wait(10), 14, "grpc-retry-pushback-ms", fmt.Sprint(y.rng.IntN(100)-20))), true
+		return acts(p.SendTrailersOnly(wait(10), 14, "grpc-retry-pushback-ms", fmt.Sprint(y.rng.IntN(100)-20))), true
 	case 5:
-		return acts(p.Die(wait(20))), true
+		return acts(p.Crash(wait(20))), true
 	case 6:
-		return acts(p.OnlyFields(wait(10), ":status", "503")), true
+		return acts(p.SendHeadersOnly(wait(10), ":status", "503")), true
 	case 7:
-		return acts(p.Only(wait(10), 5)), true
+		return acts(p.SendTrailersOnly(wait(10), 5)), true
 	}
 	return nil, false
 }
 
 // actsAfterMessage draws what happens after a message, and whether that is the last.
-func (y *randomRun) actsAfterMessage(wait func(maxMillis float64) float64) (list []p.Act, last bool) {
+func (y *randomRun) actsAfterMessage(wait func(maxMillis float64) float64) (list []p.Action, last bool) {
 	switch y.rng.IntN(30) {
 	case 0:
-		return acts(p.Die(wait(10))), true
+		return acts(p.Crash(wait(10))), true
 	case 1:
-		return acts(p.End(wait(5), 14)), true
+		return acts(p.SendTrailers(wait(5), 14)), true
 	case 2:
 		return nil, true // it stalls
 	case 3:
-		return acts(p.Reset(wait(5), http2.ErrCodeInternal)), true
+		return acts(p.ResetStream(wait(5), http2.ErrCodeInternal)), true
 	case 4:
-		return acts(p.EndBare(wait(5))), true
+		return acts(p.EndWithoutTrailers(wait(5))), true
 	case 5:
-		return acts(p.Raw(0, []byte{9, 9, 9, 9, 9, 9})), true
+		return acts(p.SendBody(0, []byte{9, 9, 9, 9, 9, 9})), true
 	case 6:
-		return acts(p.Act{After: 0, Do: func(_ *p.Server, k *p.Got) {
+		return acts(p.Action{AfterMs: 0, Run: func(_ *p.Server, k *p.ServerCall) {
 			c := k.Conn()
-			c.H.GoAway(http2.ErrCodeNo) // it accepts nothing new, and goes on with what it has
+			c.HTTP2.GoAway(http2.ErrCodeNo) // it accepts nothing new, and goes on with what it has
 			c.Flush()
 		}}), false
 	}
@@ -138,8 +138,8 @@
 }
 
 func newRandomRun(t testing.TB, seed uint64) *randomRun {
-	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: invariants.New(), attempts: map[*p.Got]*invariants.Attempt{},
-		pendingCalls: map[string]*p.Ask{}, reported: map[*p.Ask]bool{}}
+	y := &randomRun{rng: rand.New(rand.NewPCG(seed, 3)), rules: invariants.New(), attempts: map[*p.ServerCall]*invariants.Attempt{},
+		pendingCalls: map[string]*p.ClientCall{}, reported: map[*p.ClientCall]bool{}}
 	y.usage = &usageMeter{}
 	y.harness = newHarness(t, seed, 2+y.rng.IntN(4), budgetFacts)
 	y.world.Engine.SetMeter(y.usage)
@@ -150,10 +150,12 @@
 	y.rules.AnswerSlackMs = y.world.DelayMs + 1
 	for _, v := range y.servers {
 		v.Script = y.serverScript
-		v.Early = y.happens(0.3)
+		v.ActsOnHeaders = y.happens(0.3)
 		v.Limits = h2Limits([]int{1, 2, 100}[y.rng.IntN(3)])
 		v.Limits.InitialWindowSize = 1 << (8 + y.rng.IntN(9))
-		v.OnCall = func(k *p.Got) { y.attempts[k] = y.rules.RecordAttempt(k.Get("x-id"), "", v.Name, y.world.NowMs) }
+		v.OnCall = func(k *p.ServerCall) {
+			y.attempts[k] = y.rules.RecordAttempt(k.Header("x-id"), "", v.Name, y.world.NowMs)
+		}
 	}
 	return y
 }
@@ -163,19 +165,19 @@
 	kind := y.rng.IntN(3)
 	y.callNumber++
 	id := fmt.Sprint("c", y.callNumber)
-	a := &p.Ask{Path: "/" + []string{"quick", "once", "keyed"}[kind] + "." + []string{"message", "headers", "end"}[y.rng.IntN(3)] + "/X",
-		Timeout: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, Open: y.happens(0.2), Slow: y.happens(0.05),
-		Body: [][]byte{p.Message(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
+	a := &p.ClientCall{Path: "/" + []string{"quick", "once", "keyed"}[kind] + "." + []string{"message", "headers", "end"}[y.rng.IntN(3)] + "/X",
+		TimeoutMs: float64(40 + y.rng.IntN(1200)), Fields: []string{"x-id", id}, KeepsOpen: y.happens(0.2), NeverReads: y.happens(0.05),
+		Body: [][]byte{p.EncodeMessage(strings.Repeat("q", y.rng.IntN(1<<uint(y.rng.IntN(14)))))}}
 	y.pendingCalls[id] = a
-	y.rules.RecordQuery(id, []invariants.Effect{invariants.Idempotent, invariants.NonIdempotent, invariants.IdempotentInWindow}[kind], y.world.NowMs, y.world.NowMs+a.Timeout)
+	y.rules.RecordQuery(id, []invariants.Effect{invariants.Idempotent, invariants.NonIdempotent, invariants.IdempotentInWindow}[kind], y.world.NowMs, y.world.NowMs+a.TimeoutMs)
 	if y.onCall != nil {
 		y.onCall(id, a)
 	}
 	c.Call(a)
-	if a.Open {
+	if a.KeepsOpen {
 		n := y.rng.IntN(3)
 		for i := range n {
-			y.world.After(float64(i*30), func() { a.Write(p.Message(strings.Repeat("w", y.rng.IntN(3000)))) })
+			y.world.After(float64(i*30), func() { a.Write(p.EncodeMessage(strings.Repeat("w", y.rng.IntN(3000)))) })
 		}
 		y.world.After(float64(n*30)+100*y.rng.Float64(), a.End)
 	}
@@ -197,12 +199,12 @@
 		}
 		y.reported[a] = true
 		delete(y.pendingCalls, id)
-		if a.Left || a.Lost {
+		if a.Canceled || a.ConnLost {
 			y.rules.RecordAbandoned(id)
 			continue
 		}
-		pushback := a.Get("grpc-retry-pushback-ms")
-		y.rules.RecordFinalAnswer(id, a.DoneAt, a.Status == 0 && a.Finals == 1, a.Got, pushback != "" && pushback[0] != '-')
+		pushback := a.Trailer("grpc-retry-pushback-ms")
+		y.rules.RecordFinalAnswer(id, a.DoneAtMs, a.Status == 0 && a.FinalStatuses == 1, a.ReceivedBody, pushback != "" && pushback[0] != '-')
 	}
 }
 
@@ -293,7 +295,7 @@
 	for y.world.NowMs < until {
 		y.world.Run(20 * y.rng.Float64())
 		i := y.rng.IntN(len(clients))
-		if clients[i].Shut || clients[i].Gone {
+		if clients[i].IsClosed || clients[i].Draining {
 			clients[i] = p.Dial(y.world, 1)
 		}
 		for range y.rng.IntN(3) {
@@ -301,14 +303,14 @@
 		}
 		switch y.rng.IntN(120) {
 		case 0:
-			clients[i].Hang()
+			clients[i].Close()
 		case 1, 2:
 			y.injectFault()
 		}
 	}
 	y.world.Run(2500)
 	for _, c := range clients {
-		c.Hang()
+		c.Close()
 	}
 	y.world.Run(5000) // connections reach their idle timeout
 	y.checkReleased()
@@ -345,9 +347,9 @@
 	case 3: // the network to it stands still
 		y.rules.Strict = false
 		for _, c := range v.Conns {
-			if !c.Dead && !c.End.IsClosed() {
-				c.End.WriteBlocked = true
-				y.world.After(400*y.rng.Float64(), c.End.UnblockWrites)
+			if !c.Dead && !c.Endpoint.IsClosed() {
+				c.Endpoint.WriteBlocked = true
+				y.world.After(400*y.rng.Float64(), c.Endpoint.UnblockWrites)
 			}
 		}
 	}
--- a/internal/grpcproxy/servers_test.go
+++ b/internal/grpcproxy/servers_test.go
@@ -11,9 +11,11 @@
 func TestDrainingServerGetsNothingNew(t *testing.T) {
 	// What runs there goes on, what waits for a connection goes elsewhere, nothing new starts.
 	s := newHarness(t, 13, 2, "")
-	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Head(1), p.Say(0, "a"), p.Say(800, "b"), p.End(0, 0)) })
+	s.scriptAll(func(_ *p.ServerCall) []p.Action {
+		return acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.SendMessage(800, "b"), p.SendTrailers(0, 0))
+	})
 	c := p.Dial(s.world, 1)
-	a := c.Call(&p.Ask{Path: quickPath, Timeout: 3000, Body: [][]byte{p.Message("q")}})
+	a := c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 3000, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(50)
 	at := 0
 	if len(s.servers[1].Calls) > 0 {
@@ -23,16 +25,16 @@
 	notifiedAt := s.world.NowMs
 	s.world.Run(1)
 	for range 20 {
-		c.Call(&p.Ask{Path: quickPath, Timeout: 500, Body: [][]byte{p.Message("q")}})
+		c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 500, Body: [][]byte{p.EncodeMessage("q")}})
 		s.world.Run(30)
 	}
 	s.world.Run(2000)
-	if a.Status != 0 || messagesOf(a.Got) != "a,b" {
-		t.Errorf("the running call: status %d, %q", a.Status, a.Got)
+	if a.Status != 0 || messagesOf(a.ReceivedBody) != "a,b" {
+		t.Errorf("the running call: status %d, %q", a.Status, a.ReceivedBody)
 	}
 	for _, k := range s.servers[at].Calls {
-		if k.At > notifiedAt+1 {
-			t.Errorf("started %.1f ms after the server was listed as draining", k.At-notifiedAt)
+		if k.ReceivedAtMs > notifiedAt+1 {
+			t.Errorf("started %.1f ms after the server was listed as draining", k.ReceivedAtMs-notifiedAt)
 		}
 	}
 	s.closeAndCheck(c)
@@ -46,13 +48,13 @@
 		list[0].Addr = netipFrom(moved, 80)
 		return list
 	})
-	next := &p.Server{W: s.world, Name: "moved", Script: echo}
+	next := &p.Server{Network: s.world, Name: "moved", Script: echo}
 	s.world.Listen(netipFrom(moved, 1080), next.Accept)
 	old := len(s.servers[0].Calls)
 	s.world.Run(5)
 	c := p.Dial(s.world, 1)
 	for range 30 {
-		a := c.Call(&p.Ask{Path: quickPath, Body: [][]byte{p.Message("q")}})
+		a := c.Call(&p.ClientCall{Path: quickPath, Body: [][]byte{p.EncodeMessage("q")}})
 		s.world.Run(10)
 		if a.Status != 0 {
 			t.Fatal(a.Status)
@@ -74,7 +76,7 @@
 	before := s.proxy.pool.Counters.Opened
 	c := p.Dial(s.world, 1)
 	for range 200 {
-		a := c.Call(&p.Ask{Path: quickPath, Timeout: 500, Body: [][]byte{p.Message("q")}})
+		a := c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 500, Body: [][]byte{p.EncodeMessage("q")}})
 		s.world.Run(5)
 		if a.Status != 0 {
 			t.Fatalf("status %d: %v", a.Status, a.Trailers)
@@ -89,13 +91,13 @@
 func TestServerWithoutHTTP2GetsNoCall(t *testing.T) {
 	s := newHarness(t, 16, 2, "")
 	for _, v := range s.servers {
-		v.Greet = func(c *p.Conn) bool { c.End.Send([]byte("SSH-2.0-x\r\n\r\n")); return false }
+		v.OnOpen = func(c *p.Conn) bool { c.Endpoint.Send([]byte("SSH-2.0-x\r\n\r\n")); return false }
 	}
 	c := p.Dial(s.world, 1)
-	a := c.Call(&p.Ask{Path: oncePath, Timeout: 400, Body: [][]byte{p.Message("q")}})
+	a := c.Call(&p.ClientCall{Path: oncePath, TimeoutMs: 400, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(600)
-	if a.Finals != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.Engine.Count.Outcomes[policy.ConnectFailed] == 0 {
-		t.Errorf("%d finals, status %d, outcomes %v", a.Finals, a.Status, s.world.Engine.Count.Outcomes)
+	if a.FinalStatuses != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.Engine.Count.Outcomes[policy.ConnectFailed] == 0 {
+		t.Errorf("%d finals, status %d, outcomes %v", a.FinalStatuses, a.Status, s.world.Engine.Count.Outcomes)
 	}
 	s.closeAndCheck(c)
 }
@@ -104,11 +106,11 @@
 	// Connections accept two streams each and twenty may wait: what comes beyond is rejected at once.
 	s := newHarness(t, 17, 1, "")
 	s.servers[0].Limits = h2Limits(2)
-	s.scriptAll(func(_ *p.Got) []p.Act { return acts(p.Only(700, 0)) })
+	s.scriptAll(func(_ *p.ServerCall) []p.Action { return acts(p.SendTrailersOnly(700, 0)) })
 	c := p.Dial(s.world, 1)
-	var calls []*p.Ask
+	var calls []*p.ClientCall
 	for range 60 {
-		calls = append(calls, c.Call(&p.Ask{Path: oncePath, Timeout: 900, Body: [][]byte{p.Message("q")}}))
+		calls = append(calls, c.Call(&p.ClientCall{Path: oncePath, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("q")}}))
 	}
 	s.world.Run(100)
 	if n := s.proxy.pool.Waiting(); n > 20 || n == 0 {
@@ -119,8 +121,8 @@
 	}
 	s.world.Run(1500)
 	for i, a := range calls {
-		if a.Finals != 1 {
-			t.Fatalf("call %d: %d finals", i, a.Finals)
+		if a.FinalStatuses != 1 {
+			t.Fatalf("call %d: %d finals", i, a.FinalStatuses)
 		}
 	}
 	if s.proxy.pool.Counters.QueueFull == 0 {
@@ -148,21 +150,21 @@
 	s := newHarness(t, 25, 4, safety)
 	c := p.Dial(s.world, 1)
 	s.callOften(c, 600) // its capacity is learnt from what it did
-	s.scriptAll(func(k *p.Got) []p.Act {
-		if k.Get("x-long") != "" {
-			return acts(p.Head(1), p.Say(0, "a"), p.Say(2000, "b"), p.End(0, 0))
+	s.scriptAll(func(k *p.ServerCall) []p.Action {
+		if k.Header("x-long") != "" {
+			return acts(p.SendHeaders(1), p.SendMessage(0, "a"), p.SendMessage(2000, "b"), p.SendTrailers(0, 0))
 		}
 		return echo(k)
 	})
-	var long []*p.Ask
+	var long []*p.ClientCall
 	for range 8 {
-		long = append(long, c.Call(&p.Ask{Path: quickPath, Timeout: 4000, Fields: []string{"x-long", "1"}}))
+		long = append(long, c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 4000, Fields: []string{"x-long", "1"}}))
 	}
 	s.world.Run(100)
 	restarted := s.servers[1]
 	streams := 0
 	for _, k := range restarted.Calls {
-		if k.Get("x-long") != "" {
+		if k.Header("x-long") != "" {
 			streams++
 		}
 	}
@@ -187,18 +189,18 @@
 // callOften makes n calls, one every 10 ms.
 func (s *harness) callOften(c *p.Client, n int) {
 	for range n {
-		c.Call(&p.Ask{Path: quickPath, Timeout: 900, Body: [][]byte{p.Message("q")}})
+		c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("q")}})
 		s.world.Run(10)
 	}
 }
 
 // countBroken returns how many of the calls ended with UNAVAILABLE; the others must have been answered.
-func countBroken(t *testing.T, calls []*p.Ask) int {
+func countBroken(t *testing.T, calls []*p.ClientCall) int {
 	t.Helper()
 	broken := 0
 	for _, a := range calls {
-		if a.Finals != 1 || a.Status != 0 && a.Status != 14 {
-			t.Errorf("a long call: %d finals, status %d", a.Finals, a.Status)
+		if a.FinalStatuses != 1 || a.Status != 0 && a.Status != 14 {
+			t.Errorf("a long call: %d finals, status %d", a.FinalStatuses, a.Status)
 		}
 		if a.Status == 14 {
 			broken++
--- a/internal/grpcproxy/trace_golden_test.go
+++ b/internal/grpcproxy/trace_golden_test.go
@@ -25,17 +25,17 @@
 	var text strings.Builder
 	for seed := range uint64(goldenSeeds) {
 		y := newRandomRun(t, seed)
-		all := map[string]*p.Ask{}
-		y.onCall = func(id string, a *p.Ask) { all[id] = a }
+		all := map[string]*p.ClientCall{}
+		y.onCall = func(id string, a *p.ClientCall) { all[id] = a }
 		y.run(2000)
 		clients, servers := fnv.New64a(), fnv.New64a()
 		for n := 1; n <= len(all); n++ {
 			a := all[fmt.Sprint("c", n)]
-			fmt.Fprintln(clients, n, a.At, a.Head, a.Got, a.Trailers, a.Status, a.HTTP, a.Finals, a.DoneAt, a.ResetBy, a.WasReset, a.Lost, a.Left, a.Sent)
+			fmt.Fprintln(clients, n, a.StartedAtMs, a.Headers, a.ReceivedBody, a.Trailers, a.Status, a.HTTPStatus, a.FinalStatuses, a.DoneAtMs, a.ResetBy, a.WasReset, a.ConnLost, a.Canceled, a.SentBytes)
 		}
 		for _, v := range y.servers {
 			for _, k := range v.Calls {
-				fmt.Fprintln(servers, v.Name, k.Fields, k.Body, k.EndIn, k.At, k.Ran, k.Reset, k.ResetAt)
+				fmt.Fprintln(servers, v.Name, k.Fields, k.Body, k.HalfClosed, k.ReceivedAtMs, k.Started, k.WasReset, k.ResetAtMs)
 			}
 		}
 		fmt.Fprintf(&text, "%d: %d calls, clients %x, servers %x, %s, %s\n", seed, len(all), clients.Sum64(), servers.Sum64(),
@@ -53,19 +53,19 @@
 			continue // these come in a map's order
 		}
 		s := newHarness(t, 3, 2, "", testRoutes()...)
-		s.scriptByAttempt(func(_ *p.Got) []p.Act { return r.acts }, func(_ *p.Got) []p.Act {
+		s.scriptByAttempt(func(_ *p.ServerCall) []p.Action { return r.acts }, func(_ *p.ServerCall) []p.Action {
 			if r.laterActs != nil {
 				return r.laterActs
 			}
-			return acts(p.Head(1), p.Say(0, "ok"), p.End(0, 0))
+			return acts(p.SendHeaders(1), p.SendMessage(0, "ok"), p.SendTrailers(0, 0))
 		})
 		for _, v := range s.servers {
-			v.Early = r.early
+			v.ActsOnHeaders = r.early
 		}
 		c := p.Dial(s.world, 1)
-		a := c.Call(&p.Ask{Path: r.path, Timeout: 900, Body: [][]byte{p.Message("ask")}})
+		a := c.Call(&p.ClientCall{Path: r.path, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("ask")}})
 		s.world.Run(1500)
-		fmt.Fprintf(&text, "%s: %q %q %v %v %v\n", r.name, a.Head, a.Trailers, a.Got, a.DoneAt, http2.ErrCode(a.ResetBy))
+		fmt.Fprintf(&text, "%s: %q %q %v %v %v\n", r.name, a.Headers, a.Trailers, a.ReceivedBody, a.DoneAtMs, http2.ErrCode(a.ResetBy))
 	}
 	golden.Assert(t, text.String(), "golden/rows.txt")
 }
--- a/internal/standin/grpcpeer/client.go
+++ b/internal/standin/grpcpeer/client.go
@@ -9,37 +9,40 @@
 	"kestrelspread/internal/standin/simnet"
 )
 
-// Ask is a call as a client makes it, and what came of it.
-type Ask struct {
-	Path    string
-	Timeout float64 // ms; 0: none named
-	Fields  []string
-	Body    [][]byte
-	Open    bool // the client goes on sending: the end comes with End
-	Slow    bool // it reads nothing: windows stay shut
+// statusUnknown is gRPC's status UNKNOWN, of a response without a status.
+const statusUnknown = 2
 
-	At       float64
-	Head     []h2.Field
-	Got      []byte
-	Trailers []h2.Field
-	Status   int // of gRPC; -1 while there is none
-	HTTP     string
-	Finals   int // how many final statuses came
-	DoneAt   float64
-	ResetBy  http2.ErrCode
-	WasReset bool
-	Lost     bool // its connection went first
-	Left     bool // the client gave it up
-	Sent     int
-	c        *Client
-	s        *h2.Stream
-	out      [][]byte
-	end      bool
+// ClientCall is a call as a client makes it, and its result.
+type ClientCall struct {
+	Path       string
+	TimeoutMs  float64 // of grpc-timeout; 0: not sent
+	Fields     []string
+	Body       [][]byte
+	KeepsOpen  bool // the stream is half-closed by End, not after Body
+	NeverReads bool // it grants no flow-control credit for the response
+
+	StartedAtMs   float64
+	Headers       []h2.Field
+	ReceivedBody  []byte
+	Trailers      []h2.Field
+	Status        int // of gRPC; -1 until it has arrived
+	HTTPStatus    string
+	FinalStatuses int // ends of stream that arrived: more than one is a fault
+	DoneAtMs      float64
+	ResetBy       http2.ErrCode
+	WasReset      bool
+	ConnLost      bool // its connection closed before its end
+	Canceled      bool // the client reset it
+	SentBytes     int
+	client        *Client
+	stream        *h2.Stream
+	pending       [][]byte
+	halfClosed    bool
 }
 
-// Get gives a trailer's value.
-func (a *Ask) Get(name string) string {
-	for _, f := range a.Trailers {
+// Trailer returns the first trailer of that name, or "".
+func (c *ClientCall) Trailer(name string) string {
+	for _, f := range c.Trailers {
 		if f.Name == name {
 			return f.Value
 		}
@@ -47,218 +50,222 @@
 	return ""
 }
 
-// Done tells whether the call has its end.
-func (a *Ask) Done() bool { return a.Finals > 0 || a.WasReset || a.Lost }
+// Done reports whether the call has ended.
+func (c *ClientCall) Done() bool { return c.FinalStatuses > 0 || c.WasReset || c.ConnLost }
 
-// Next is the request's body (h2.Source).
-func (a *Ask) Next(most int) (b []byte, end bool, trailers []h2.Field) {
-	if len(a.out) > 0 {
-		b = a.out[0][:min(most, len(a.out[0]))]
-		if a.out[0] = a.out[0][len(b):]; len(a.out[0]) == 0 {
-			a.out = a.out[1:]
+// Next implements h2.Source: the body of the request.
+func (c *ClientCall) Next(maxBytes int) (chunk []byte, end bool, trailers []h2.Field) {
+	if len(c.pending) > 0 {
+		chunk = c.pending[0][:min(maxBytes, len(c.pending[0]))]
+		c.pending[0] = c.pending[0][len(chunk):]
+		if len(c.pending[0]) == 0 {
+			c.pending = c.pending[1:]
 		}
-		a.Sent += len(b)
+		c.SentBytes += len(chunk)
 	}
-	return b, len(a.out) == 0 && a.end, nil
+	return chunk, len(c.pending) == 0 && c.halfClosed, nil
 }
 
 // Client is one connection of a gRPC client to the broker.
 type Client struct {
-	W     *simnet.Network
-	E     *simnet.PeerConn
-	H     *h2.Conn
-	Shut  bool
-	Gone  bool // GOAWAY was heard
-	wait  []*Ask
-	OnEnd func(a *Ask)
+	Network  *simnet.Network
+	Endpoint *simnet.PeerConn
+	HTTP2    *h2.Conn
+	IsClosed bool
+	Draining bool // GOAWAY was received
+	waiting  []*ClientCall
+	OnEnd    func(call *ClientCall)
 }
 
-// Dial connects to the broker's gRPC door.
-func Dial(w *simnet.Network, door int) *Client {
-	c := &Client{W: w}
-	c.H = h2.New(false, h2.Limits{InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}, c)
-	c.E = w.Dial(door, (*clientEnd)(c))
+// Dial connects to the broker's gRPC port.
+func Dial(network *simnet.Network, port int) *Client {
+	c := &Client{Network: network}
+	c.HTTP2 = h2.New(false, h2.Limits{InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10,
+		MaxResetsPerSecond: unlimitedRate, MaxControlFramesPerSecond: unlimitedRate}, c)
+	c.Endpoint = network.Dial(port, (*clientPeer)(c))
 	return c
 }
 
-type clientEnd Client
+// clientPeer is the Client as its connection's simnet.Peer.
+type clientPeer Client
 
-// Opened implements simnet.Peer: the broker has taken the connection.
-func (e *clientEnd) Opened(*simnet.PeerConn) {
+// Opened implements simnet.Peer: the broker has accepted the connection.
+func (e *clientPeer) Opened(*simnet.PeerConn) {
 	c := (*Client)(e)
-	for _, a := range c.wait {
-		c.begin(a)
+	for _, call := range c.waiting {
+		c.start(call)
 	}
-	c.wait = nil
+	c.waiting = nil
 	c.Flush()
 }
 
-// Bytes implements simnet.Peer: bytes of the broker have come.
-func (e *clientEnd) Bytes(_ *simnet.PeerConn, b []byte) {
+// Bytes implements simnet.Peer: bytes of the broker have arrived.
+func (e *clientPeer) Bytes(_ *simnet.PeerConn, b []byte) {
 	c := (*Client)(e)
-	c.H.Feed(b, c.W.NowMs)
+	c.HTTP2.Feed(b, c.Network.NowMs)
 	c.Flush()
 }
 
-// Closed implements simnet.Peer: the connection is gone, and its calls with it.
-func (e *clientEnd) Closed(*simnet.PeerConn) {
+// Closed implements simnet.Peer: the connection is closed, and its open calls are lost.
+func (e *clientPeer) Closed(*simnet.PeerConn) {
 	c := (*Client)(e)
-	if c.Shut {
+	if c.IsClosed {
 		return
 	}
-	c.Shut = true
-	for _, a := range c.wait {
-		a.Lost, a.DoneAt = true, c.W.NowMs
-		c.ended(a)
+	c.IsClosed = true
+	for _, call := range c.waiting {
+		call.ConnLost, call.DoneAtMs = true, c.Network.NowMs
+		c.notifyEnd(call)
 	}
-	for _, s := range c.H.Streams() {
-		a := s.UserData.(*Ask)
-		if !a.Done() {
-			a.Lost, a.DoneAt = true, c.W.NowMs
-			c.ended(a)
+	for _, stream := range c.HTTP2.Streams() {
+		call := stream.UserData.(*ClientCall)
+		if !call.Done() {
+			call.ConnLost, call.DoneAtMs = true, c.Network.NowMs
+			c.notifyEnd(call)
 		}
 	}
 }
 
-// Hang ends the connection from this side; what is open is given up with it.
-func (c *Client) Hang() {
-	c.E.Close()
-	(*clientEnd)(c).Closed(c.E)
+// Close closes the connection from this side; its open calls are lost.
+func (c *Client) Close() {
+	c.Endpoint.Close()
+	(*clientPeer)(c).Closed(c.Endpoint)
 }
 
-func (c *Client) ended(a *Ask) {
+func (c *Client) notifyEnd(call *ClientCall) {
 	if c.OnEnd != nil {
-		c.OnEnd(a)
+		c.OnEnd(call)
 	}
 }
 
-// Flush sends what waits.
+// Flush sends all output that is pending.
 func (c *Client) Flush() {
-	if c.Shut || c.E.IsClosed() {
+	if c.IsClosed || c.Endpoint.IsClosed() {
 		return
 	}
-	c.H.Pump(1 << 20)
-	if b := c.H.TakeOutput(); len(b) > 0 {
-		c.E.Send(b)
+	c.HTTP2.Pump(maxPumpBytes)
+	if b := c.HTTP2.TakeOutput(); len(b) > 0 {
+		c.Endpoint.Send(b)
 	}
 }
 
-// Call makes a call.
-func (c *Client) Call(a *Ask) *Ask {
-	a.Status, a.At, a.c = -1, c.W.NowMs, c
-	a.out, a.end = a.Body, !a.Open
-	if c.E.OpenedAtMs() == 0 {
-		c.wait = append(c.wait, a)
-		return a
+// Call starts a call, once the connection is open, and returns it.
+func (c *Client) Call(call *ClientCall) *ClientCall {
+	call.Status, call.StartedAtMs, call.client = -1, c.Network.NowMs, c
+	call.pending, call.halfClosed = call.Body, !call.KeepsOpen
+	if c.Endpoint.OpenedAtMs() == 0 {
+		c.waiting = append(c.waiting, call)
+		return call
 	}
-	c.begin(a)
+	c.start(call)
 	c.Flush()
-	return a
+	return call
 }
 
-func (c *Client) begin(a *Ask) {
-	a.At = c.W.NowMs
-	list := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: a.Path},
+func (c *Client) start(call *ClientCall) {
+	call.StartedAtMs = c.Network.NowMs
+	headers := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: call.Path},
 		{Name: ":authority", Value: "api"}, {Name: "content-type", Value: "application/grpc"}, {Name: "te", Value: "trailers"}}
-	if a.Timeout > 0 {
-		list = append(list, h2.Field{Name: "grpc-timeout", Value: strconv.Itoa(int(a.Timeout)) + "m"})
+	if call.TimeoutMs > 0 {
+		headers = append(headers, h2.Field{Name: "grpc-timeout", Value: strconv.Itoa(int(call.TimeoutMs)) + "m"})
 	}
-	if !c.H.CanStartStream() {
-		a.Lost, a.DoneAt = true, c.W.NowMs
-		c.ended(a)
+	if !c.HTTP2.CanStartStream() {
+		call.ConnLost, call.DoneAtMs = true, c.Network.NowMs
+		c.notifyEnd(call)
 		return
 	}
-	a.s = c.H.StartStream(append(list, pairs(a.Fields)...), a, a)
+	call.stream = c.HTTP2.StartStream(append(headers, pairs(call.Fields)...), call, call)
 }
 
-// Write sends more of an open call.
-func (a *Ask) Write(b []byte) {
-	a.out = append(a.out, b)
-	if a.s != nil {
-		a.s.Ready()
-		a.c.Flush()
+// Write sends more of the body of a call that KeepsOpen.
+func (c *ClientCall) Write(b []byte) {
+	c.pending = append(c.pending, b)
+	if c.stream != nil {
+		c.stream.Ready()
+		c.client.Flush()
 	}
 }
 
-// End half-closes.
-func (a *Ask) End() {
-	if a.end = true; a.s != nil {
-		a.s.Ready()
-		a.c.Flush()
+// End half-closes the stream.
+func (c *ClientCall) End() {
+	c.halfClosed = true
+	if c.stream != nil {
+		c.stream.Ready()
+		c.client.Flush()
 	}
 }
 
-// Cancel gives a call up.
-func (a *Ask) Cancel() {
-	if !a.Done() && a.s != nil {
-		a.Left = true
-		a.c.H.ResetStream(a.s, http2.ErrCodeCancel)
-		a.c.Flush()
+// Cancel resets the call's stream.
+func (c *ClientCall) Cancel() {
+	if !c.Done() && c.stream != nil {
+		c.Canceled = true
+		c.client.HTTP2.ResetStream(c.stream, http2.ErrCodeCancel)
+		c.client.Flush()
 	}
 }
 
-// HeadersReceived implements h2.Events: the first headers of a stream, or its trailers, have come.
-func (c *Client) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
-	a := s.UserData.(*Ask)
+// HeadersReceived implements h2.Events: the first headers of a stream, or its trailers, have arrived.
+func (c *Client) HeadersReceived(stream *h2.Stream, fields []h2.Field, end bool) {
+	call := stream.UserData.(*ClientCall)
 	fields = append([]h2.Field(nil), fields...)
-	if s.HeaderBlocks() == 1 {
-		a.Head = fields
+	if stream.HeaderBlocks() == 1 {
+		call.Headers = fields
 		for _, f := range fields {
 			if f.Name == ":status" {
-				a.HTTP = f.Value
+				call.HTTPStatus = f.Value
 			}
 		}
 	}
 	if !end {
 		return
 	}
-	a.Trailers = fields
-	a.Finals++
-	a.DoneAt = c.W.NowMs
-	a.Status = 2
+	call.Trailers = fields
+	call.FinalStatuses++
+	call.DoneAtMs = c.Network.NowMs
+	call.Status = statusUnknown
 	for _, f := range fields {
 		if f.Name == "grpc-status" {
-			a.Status, _ = strconv.Atoi(f.Value)
+			call.Status, _ = strconv.Atoi(f.Value)
 		}
 	}
-	c.ended(a)
+	c.notifyEnd(call)
 }
 
-// DataReceived implements h2.Events: bytes of a body have come.
-func (c *Client) DataReceived(s *h2.Stream, b []byte, end bool) {
-	a := s.UserData.(*Ask)
-	a.Got = append(a.Got, b...)
-	if !a.Slow {
-		s.Credit(len(b))
+// DataReceived implements h2.Events: bytes of a body have arrived.
+func (c *Client) DataReceived(stream *h2.Stream, b []byte, end bool) {
+	call := stream.UserData.(*ClientCall)
+	call.ReceivedBody = append(call.ReceivedBody, b...)
+	if !call.NeverReads {
+		stream.Credit(len(b))
 	}
 	if end {
-		a.Finals++
-		a.DoneAt = c.W.NowMs
-		c.ended(a)
+		call.FinalStatuses++
+		call.DoneAtMs = c.Network.NowMs
+		c.notifyEnd(call)
 	}
 }
 
-// HeaderListTooLarge implements h2.Events: a block of headers was too large; nothing is done about it.
+// HeaderListTooLarge implements h2.Events: a block of headers was too large; it is ignored.
 func (c *Client) HeaderListTooLarge(*h2.Stream) {}
 
 // StreamReset implements h2.Events: the peer has reset a stream.
-func (c *Client) StreamReset(s *h2.Stream, code h2.ErrorCode) {
-	a := s.UserData.(*Ask)
-	if a.Finals == 0 {
-		a.WasReset, a.ResetBy, a.DoneAt = true, code, c.W.NowMs
-		c.ended(a)
+func (c *Client) StreamReset(stream *h2.Stream, code h2.ErrorCode) {
+	call := stream.UserData.(*ClientCall)
+	if call.FinalStatuses == 0 {
+		call.WasReset, call.ResetBy, call.DoneAtMs = true, code, c.Network.NowMs
+		c.notifyEnd(call)
 	}
 }
 
-// StreamUnprocessed implements h2.Events: the peer says that it never looked at a stream.
-func (c *Client) StreamUnprocessed(s *h2.Stream) {
-	a := s.UserData.(*Ask)
-	a.WasReset, a.ResetBy, a.DoneAt = true, http2.ErrCodeRefusedStream, c.W.NowMs
-	c.ended(a)
+// StreamUnprocessed implements h2.Events: the peer has not processed a stream.
+func (c *Client) StreamUnprocessed(stream *h2.Stream) {
+	call := stream.UserData.(*ClientCall)
+	call.WasReset, call.ResetBy, call.DoneAtMs = true, http2.ErrCodeRefusedStream, c.Network.NowMs
+	c.notifyEnd(call)
 }
 
 // GoAwayReceived implements h2.Events: the peer takes no new streams.
-func (c *Client) GoAwayReceived(h2.ErrorCode) { c.Gone = true }
+func (c *Client) GoAwayReceived(h2.ErrorCode) { c.Draining = true }
 
-// SettingsReceived implements h2.Events: the peer's settings have come; they are of no interest here.
+// SettingsReceived implements h2.Events: the peer's settings have arrived; they are ignored.
 func (c *Client) SettingsReceived() {}
--- a/internal/standin/grpcpeer/grpcpeer.go
+++ b/internal/standin/grpcpeer/grpcpeer.go
@@ -1,5 +1,5 @@
-// Package grpcpeer is scripted gRPC clients and servers on HTTP/2, for the virtual network: what a server does with a
-// call, and when, is said by a script, down to single frames and bytes.
+// Package grpcpeer provides scripted gRPC clients and servers on HTTP/2 for the virtual network. A script defines
+// what a server does with a call and when, down to single frames and bytes.
 package grpcpeer
 
 import (
@@ -12,37 +12,42 @@
 	"kestrelspread/internal/standin/simnet"
 )
 
-// Message frames one gRPC message.
-func Message(b string) []byte {
+// maxPumpBytes is how many bytes of bodies one Flush frames at most.
+const maxPumpBytes = 1 << 20
+
+// unlimitedRate is a rate limit of frames a second that no test reaches.
+const unlimitedRate = 1 << 30
+
+// EncodeMessage frames one gRPC message: the uncompressed flag, its length and its payload.
+func EncodeMessage(b string) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(b))), b...)
 }
 
-// Act is one thing that a server does with a call.
-type Act struct {
-	After float64 // ms after the one before
-	Do    func(s *Server, k *Got)
-}
-
-// Got is a call as a server has it.
-type Got struct {
-	S       *Server
-	Stream  *h2.Stream
-	Fields  []h2.Field
-	Body    []byte
-	EndIn   bool
-	At      float64
-	Ran     bool // the script has begun to act on it
-	Reset   bool // the broker called it off
-	ResetAt float64
-	out     [][]byte
-	end     bool
-	trail   []h2.Field
-	waits   []func()
-}
-
-// Get gives a field of its head.
-func (k *Got) Get(name string) string {
-	for _, f := range k.Fields {
+// Action is one thing that a server does with a call.
+type Action struct {
+	AfterMs float64 // since the previous action, or since the script began
+	Run     func(s *Server, call *ServerCall)
+}
+
+// ServerCall is a call as a server sees it.
+type ServerCall struct {
+	Server       *Server
+	Stream       *h2.Stream
+	Fields       []h2.Field
+	Body         []byte
+	HalfClosed   bool // the client's end of stream has arrived
+	ReceivedAtMs float64
+	Started      bool // the script has run its first action
+	WasReset     bool // the broker reset its stream or closed its connection
+	ResetAtMs    float64
+	pending      [][]byte
+	ended        bool
+	trailers     []h2.Field
+}
+
+// Header returns the first request header of that name, or "".
+func (c *ServerCall) Header(name string) string {
+	for _, f := range c.Fields {
 		if f.Name == name {
 			return f.Value
 		}
@@ -50,215 +55,214 @@
 	return ""
 }
 
-// Next is the body of the response (h2.Source).
-func (k *Got) Next(most int) (b []byte, end bool, trailers []h2.Field) {
-	if len(k.out) > 0 {
-		b = k.out[0][:min(most, len(k.out[0]))]
-		if k.out[0] = k.out[0][len(b):]; len(k.out[0]) == 0 {
-			k.out = k.out[1:]
+// Next implements h2.Source: the body of the response and its trailers.
+func (c *ServerCall) Next(maxBytes int) (chunk []byte, end bool, trailers []h2.Field) {
+	if len(c.pending) > 0 {
+		chunk = c.pending[0][:min(maxBytes, len(c.pending[0]))]
+		c.pending[0] = c.pending[0][len(chunk):]
+		if len(c.pending[0]) == 0 {
+			c.pending = c.pending[1:]
 		}
 	}
-	if len(k.out) > 0 || !k.end {
-		return b, false, nil
+	if len(c.pending) > 0 || !c.ended {
+		return chunk, false, nil
 	}
-	return b, true, k.trail
+	return chunk, true, c.trailers
 }
 
-// Server is one scripted server; its script is asked for with each call.
+// Server is one scripted server; Script is called once for each call and returns its actions.
 type Server struct {
-	W      *simnet.Network
-	Name   string
-	Script func(k *Got) []Act
-	Early  bool // it acts on a call's head, without waiting for its end
-	Holds  bool // it does not read bodies: windows stay shut
-	Calls  []*Got
-	Conns  []*Conn
-	Limits h2.Limits
-	// OnCall and OnReset tell checkers.
-	OnCall  func(k *Got)
-	OnReset func(k *Got)
-	Greet   func(c *Conn) bool // what a connection begins with in place of SETTINGS; true: go on with those
+	Network       *simnet.Network
+	Name          string
+	Script        func(call *ServerCall) []Action
+	ActsOnHeaders bool // it runs the script on a call's headers, without waiting for the end of its body
+	NeverReads    bool // it grants no flow-control credit for bodies
+	Calls         []*ServerCall
+	Conns         []*Conn
+	Limits        h2.Limits
+	// OnCall and OnReset, where set, notify a test's checker.
+	OnCall  func(call *ServerCall)
+	OnReset func(call *ServerCall)
+	OnOpen  func(c *Conn) bool // runs before SETTINGS are sent; false: send none and ignore the connection
 }
 
 // Conn is one connection of a server.
 type Conn struct {
-	S    *Server
-	End  *simnet.PeerConn
-	H    *h2.Conn
-	Dead bool // reads and says nothing more
+	Server   *Server
+	Endpoint *simnet.PeerConn
+	HTTP2    *h2.Conn
+	Dead     bool // neither reads nor writes any more
 }
 
-// Accept is for World.Listen.
+// Accept takes a connection of the broker; it is passed to simnet's Listen.
 func (s *Server) Accept(e *simnet.PeerConn) simnet.Peer {
 	if s.Limits.InitialWindowSize == 0 {
-		s.Limits = h2.Limits{MaxConcurrentStreams: 100, InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: 1 << 30}
+		s.Limits = h2.Limits{MaxConcurrentStreams: 100, InitialWindowSize: 64 << 10, MaxHeaderListSize: 64 << 10,
+			MaxResetsPerSecond: unlimitedRate, MaxControlFramesPerSecond: unlimitedRate}
 	}
-	c := &Conn{S: s, End: e}
-	c.H = h2.New(true, s.Limits, c)
+	c := &Conn{Server: s, Endpoint: e}
+	c.HTTP2 = h2.New(true, s.Limits, c)
 	s.Conns = append(s.Conns, c)
 	return c
 }
 
 // Opened implements simnet.Peer: the broker has connected.
 func (c *Conn) Opened(*simnet.PeerConn) {
-	if c.S.Greet != nil && !c.S.Greet(c) {
-		c.H.TakeOutput()
+	if c.Server.OnOpen != nil && !c.Server.OnOpen(c) {
+		c.HTTP2.TakeOutput()
 		c.Dead = true
 		return
 	}
 	c.Flush()
 }
 
-// Bytes implements simnet.Peer: bytes of the broker have come.
+// Bytes implements simnet.Peer: bytes of the broker have arrived.
 func (c *Conn) Bytes(_ *simnet.PeerConn, b []byte) {
 	if c.Dead {
 		return
 	}
-	c.H.Feed(b, c.S.W.NowMs)
+	c.HTTP2.Feed(b, c.Server.Network.NowMs)
 	c.Flush()
 }
 
-// Closed implements simnet.Peer: the broker has gone, and its calls with it.
+// Closed implements simnet.Peer: the broker has closed the connection, which resets its open calls.
 func (c *Conn) Closed(*simnet.PeerConn) {
 	if c.Dead {
 		return
 	}
 	c.Dead = true
-	for _, s := range c.H.Streams() {
-		if k, ok := s.UserData.(*Got); ok && !k.Reset {
-			k.Reset, k.ResetAt = true, c.S.W.NowMs
-			if c.S.OnReset != nil {
-				c.S.OnReset(k)
+	for _, stream := range c.HTTP2.Streams() {
+		if call, ok := stream.UserData.(*ServerCall); ok && !call.WasReset {
+			call.WasReset, call.ResetAtMs = true, c.Server.Network.NowMs
+			if c.Server.OnReset != nil {
+				c.Server.OnReset(call)
 			}
 		}
 	}
 }
 
-// Flush sends what waits.
+// Flush sends all output that is pending.
 func (c *Conn) Flush() {
 	if c.Dead {
 		return
 	}
-	c.H.Pump(1 << 20)
-	if b := c.H.TakeOutput(); len(b) > 0 {
-		c.End.Send(b)
+	c.HTTP2.Pump(maxPumpBytes)
+	if b := c.HTTP2.TakeOutput(); len(b) > 0 {
+		c.Endpoint.Send(b)
 	}
 }
 
-// Kill ends a connection as a process's death does.
+// Kill closes the connection abruptly, as the exit of its process does.
 func (c *Conn) Kill() {
 	c.Dead = true
-	c.End.Close()
+	c.Endpoint.Close()
 }
 
-// HeadersReceived implements h2.Events: the first headers of a stream, or its trailers, have come.
-func (c *Conn) HeadersReceived(s *h2.Stream, fields []h2.Field, end bool) {
-	if s.UserData != nil {
+// HeadersReceived implements h2.Events: the first headers of a stream, or its trailers, have arrived.
+func (c *Conn) HeadersReceived(stream *h2.Stream, fields []h2.Field, end bool) {
+	if stream.UserData != nil {
 		return
 	}
-	k := &Got{S: c.S, Stream: s, Fields: append([]h2.Field(nil), fields...), EndIn: end, At: c.S.W.NowMs}
-	s.UserData = k
-	c.S.Calls = append(c.S.Calls, k)
-	if c.S.OnCall != nil {
-		c.S.OnCall(k)
+	call := &ServerCall{Server: c.Server, Stream: stream, Fields: append([]h2.Field(nil), fields...), HalfClosed: end,
+		ReceivedAtMs: c.Server.Network.NowMs}
+	stream.UserData = call
+	c.Server.Calls = append(c.Server.Calls, call)
+	if c.Server.OnCall != nil {
+		c.Server.OnCall(call)
 	}
-	if end || c.S.Early {
-		k.act()
+	if end || c.Server.ActsOnHeaders {
+		call.runScript()
 	}
 }
 
-// DataReceived implements h2.Events: bytes of a body have come.
-func (c *Conn) DataReceived(s *h2.Stream, b []byte, end bool) {
-	k := s.UserData.(*Got)
-	k.Body = append(k.Body, b...)
-	if !c.S.Holds {
-		s.Credit(len(b))
+// DataReceived implements h2.Events: bytes of a body have arrived.
+func (c *Conn) DataReceived(stream *h2.Stream, b []byte, end bool) {
+	call := stream.UserData.(*ServerCall)
+	call.Body = append(call.Body, b...)
+	if !c.Server.NeverReads {
+		stream.Credit(len(b))
 	}
 	if end {
-		k.EndIn = true
-	}
-	for _, w := range k.waits {
-		w()
+		call.HalfClosed = true
 	}
-	if end && !c.S.Early {
-		k.act()
+	if end && !c.Server.ActsOnHeaders {
+		call.runScript()
 	}
 }
 
-// HeaderListTooLarge implements h2.Events: a block of headers was too large; nothing is done about it.
+// HeaderListTooLarge implements h2.Events: a block of headers was too large; it is ignored.
 func (c *Conn) HeaderListTooLarge(*h2.Stream) {}
 
 // StreamReset implements h2.Events: the peer has reset a stream.
-func (c *Conn) StreamReset(s *h2.Stream, _ h2.ErrorCode) {
-	if k, ok := s.UserData.(*Got); ok {
-		k.Reset, k.ResetAt = true, c.S.W.NowMs
-		if c.S.OnReset != nil {
-			c.S.OnReset(k)
+func (c *Conn) StreamReset(stream *h2.Stream, _ h2.ErrorCode) {
+	if call, ok := stream.UserData.(*ServerCall); ok {
+		call.WasReset, call.ResetAtMs = true, c.Server.Network.NowMs
+		if c.Server.OnReset != nil {
+			c.Server.OnReset(call)
 		}
 	}
 }
 
-// StreamUnprocessed implements h2.Events: the peer says that it never looked at a stream.
+// StreamUnprocessed implements h2.Events: the peer has not processed a stream.
 func (c *Conn) StreamUnprocessed(*h2.Stream) {}
 
 // GoAwayReceived implements h2.Events: the peer takes no new streams.
 func (c *Conn) GoAwayReceived(h2.ErrorCode) {}
 
-// SettingsReceived implements h2.Events: the peer's settings have come; they are of no interest here.
+// SettingsReceived implements h2.Events: the peer's settings have arrived; they are ignored.
 func (c *Conn) SettingsReceived() {}
 
-// act runs the script of a call.
-func (k *Got) act() {
-	acts := k.S.Script(k)
-	k.next(acts)
+// runScript runs the script of a call.
+func (c *ServerCall) runScript() {
+	c.runActions(c.Server.Script(c))
 }
 
-func (k *Got) next(acts []Act) {
-	if len(acts) == 0 {
+// runActions runs the actions one after the other, each after its delay.
+func (c *ServerCall) runActions(actions []Action) {
+	if len(actions) == 0 {
 		return
 	}
-	k.S.W.After(acts[0].After, func() {
-		c := k.Conn()
-		if c == nil || c.Dead {
+	c.Server.Network.After(actions[0].AfterMs, func() {
+		conn := c.Conn()
+		if conn == nil || conn.Dead {
 			return
 		}
-		k.Ran = true
-		if acts[0].Do != nil {
-			acts[0].Do(k.S, k)
+		c.Started = true
+		if actions[0].Run != nil {
+			actions[0].Run(c.Server, c)
 		}
-		c.Flush()
-		k.next(acts[1:])
+		conn.Flush()
+		c.runActions(actions[1:])
 	})
 }
 
-// Conn finds the connection of a call.
-func (k *Got) Conn() *Conn {
-	for _, c := range k.S.Conns {
-		for _, s := range c.H.Streams() {
-			if s == k.Stream {
-				return c
+// Conn returns the connection of a call: once its stream has ended, any that is alive; nil if there is none.
+func (c *ServerCall) Conn() *Conn {
+	for _, conn := range c.Server.Conns {
+		for _, s := range conn.HTTP2.Streams() {
+			if s == c.Stream {
+				return conn
 			}
 		}
 	}
-	// Its stream is over: the connection can still be acted on.
-	for _, c := range k.S.Conns {
-		if !c.Dead {
-			return c
+	// Its stream has ended: actions on the connection are still possible.
+	for _, conn := range c.Server.Conns {
+		if !conn.Dead {
+			return conn
 		}
 	}
 	return nil
 }
 
-// The acts.
-
-// Head sends initial metadata.
-func Head(after float64, fields ...string) Act {
-	return Act{after, func(_ *Server, k *Got) {
-		list := []h2.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
-		k.Conn().H.Respond(k.Stream, append(list, pairs(fields)...), false, k)
+// SendHeaders sends initial metadata.
+func SendHeaders(afterMs float64, fields ...string) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) {
+		headers := []h2.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
+		call.Conn().HTTP2.Respond(call.Stream, append(headers, pairs(fields)...), false, call)
 	}}
 }
 
+// pairs makes fields of alternating names and values.
 func pairs(list []string) (fields []h2.Field) {
 	for i := 0; i+1 < len(list); i += 2 {
 		fields = append(fields, h2.Field{Name: list[i], Value: list[i+1]})
@@ -266,50 +270,53 @@
 	return fields
 }
 
-// Say sends a message.
-func Say(after float64, text string) Act { return Raw(after, Message(text)) }
+// SendMessage sends a message.
+func SendMessage(afterMs float64, text string) Action { return SendBody(afterMs, EncodeMessage(text)) }
 
-// Raw sends bytes of a body, whatever they are.
-func Raw(after float64, b []byte) Act {
-	return Act{after, func(_ *Server, k *Got) {
-		k.out = append(k.out, b)
-		k.Stream.Ready()
+// SendBody sends bytes of a body, which need not be a gRPC message.
+func SendBody(afterMs float64, data []byte) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) {
+		call.pending = append(call.pending, data)
+		call.Stream.Ready()
 	}}
 }
 
-// End sends trailers with a status.
-func End(after float64, status int, fields ...string) Act {
-	return Act{after, func(_ *Server, k *Got) {
-		k.trail = append([]h2.Field{{Name: "grpc-status", Value: strconv.Itoa(status)}}, pairs(fields)...)
-		k.end = true
-		k.Stream.Ready()
+// SendTrailers ends the body with trailers that carry a gRPC status.
+func SendTrailers(afterMs float64, status int, fields ...string) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) {
+		call.trailers = append([]h2.Field{{Name: "grpc-status", Value: strconv.Itoa(status)}}, pairs(fields)...)
+		call.ended = true
+		call.Stream.Ready()
 	}}
 }
 
-// EndBare ends the body without trailers.
-func EndBare(after float64) Act {
-	return Act{after, func(_ *Server, k *Got) { k.end = true; k.Stream.Ready() }}
+// EndWithoutTrailers ends the body without trailers.
+func EndWithoutTrailers(afterMs float64) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) {
+		call.ended = true
+		call.Stream.Ready()
+	}}
 }
 
-// Only sends a response of nothing but a status.
-func Only(after float64, status int, fields ...string) Act {
-	return OnlyFields(after, append([]string{":status", "200", "content-type", "application/grpc", "grpc-status",
+// SendTrailersOnly sends a gRPC status in the only header block of the response.
+func SendTrailersOnly(afterMs float64, status int, fields ...string) Action {
+	return SendHeadersOnly(afterMs, append([]string{":status", "200", "content-type", "application/grpc", "grpc-status",
 		strconv.Itoa(status)}, fields...)...)
 }
 
-// OnlyFields sends one header block and the end.
-func OnlyFields(after float64, fields ...string) Act {
-	return Act{after, func(_ *Server, k *Got) { k.Conn().H.Respond(k.Stream, pairs(fields), true, nil) }}
+// SendHeadersOnly sends one header block that ends the stream.
+func SendHeadersOnly(afterMs float64, fields ...string) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) { call.Conn().HTTP2.Respond(call.Stream, pairs(fields), true, nil) }}
 }
 
-// Reset resets the stream.
-func Reset(after float64, code http2.ErrCode) Act {
-	return Act{after, func(_ *Server, k *Got) { k.Conn().H.ResetStream(k.Stream, code) }}
+// ResetStream resets the stream.
+func ResetStream(afterMs float64, code http2.ErrCode) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) { call.Conn().HTTP2.ResetStream(call.Stream, code) }}
 }
 
-// Die ends the process: all connections close, and nobody listens.
-func Die(after float64) Act {
-	return Act{after, func(s *Server, _ *Got) {
+// Crash closes all connections of the server, as the exit of its process does.
+func Crash(afterMs float64) Action {
+	return Action{afterMs, func(s *Server, _ *ServerCall) {
 		for _, c := range s.Conns {
 			if !c.Dead {
 				c.Kill()
@@ -318,33 +325,33 @@
 	}}
 }
 
-// Bytes sends what is no HTTP/2 down the call's connection.
-func Bytes(after float64, b []byte) Act {
-	return Act{after, func(_ *Server, k *Got) {
-		c := k.Conn()
-		c.Flush()
-		c.End.Send(b)
+// SendRawBytes writes bytes to the call's connection, past HTTP/2.
+func SendRawBytes(afterMs float64, data []byte) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) {
+		conn := call.Conn()
+		conn.Flush()
+		conn.Endpoint.Send(data)
 	}}
 }
 
-// Bye says GOAWAY: takes only the streams so far, or none of those that it has not answered.
-func Bye(after float64, last uint32, code http2.ErrCode) Act {
-	return Act{after, func(_ *Server, k *Got) {
-		c := k.Conn()
-		c.Flush()
-		c.End.Send(GoAway(last, code))
+// SendGoAway sends GOAWAY: the server processes no stream above last.
+func SendGoAway(afterMs float64, last uint32, code http2.ErrCode) Action {
+	return Action{afterMs, func(_ *Server, call *ServerCall) {
+		conn := call.Conn()
+		conn.Flush()
+		conn.Endpoint.Send(GoAwayFrame(last, code))
 	}}
 }
 
-// GoAway is the frame alone.
-func GoAway(last uint32, code http2.ErrCode) []byte {
+// GoAwayFrame encodes a GOAWAY frame.
+func GoAwayFrame(last uint32, code http2.ErrCode) []byte {
 	b := []byte{0, 0, 8, byte(http2.FrameGoAway), 0, 0, 0, 0, 0}
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, last), uint32(code))
 }
 
-// Frame is any frame.
-func Frame(kind http2.FrameType, flags byte, stream uint32, body []byte) []byte {
-	n := len(body)
-	b := []byte{byte(n >> 16), byte(n >> 8), byte(n), byte(kind), flags}
+// Frame encodes a frame of any type.
+func Frame(frameType http2.FrameType, flags byte, stream uint32, body []byte) []byte {
+	size := len(body)
+	b := []byte{byte(size >> 16), byte(size >> 8), byte(size), byte(frameType), flags}
 	return append(binary.BigEndian.AppendUint32(b, stream), body...)
 }
