--- a/internal/fleet/lease/fence/dir/fencedir_test.go
+++ b/internal/fleet/lease/fence/dir/fencedir_test.go
@@ -86,7 +86,7 @@
 }
 
 func TestHTTPReceiverRejectsStaleTokens(t *testing.T) {
-	r := receiver.NewFenced(false)
+	r := receiver.NewFencedReceiver(false)
 	defer r.Close()
 	to := fencehttp.New(r.URL)
 	for i, c := range []struct {
@@ -100,7 +100,7 @@
 			t.Errorf("%d: done %v, %v", i, done, err)
 		}
 	}
-	if p := r.Audit(); len(p.Broken) > 0 || p.Counted != 2 || p.Refused != 1 || r.OldCame() != 1 {
+	if p := r.Audit(); len(p.Violations) > 0 || p.Counted != 2 || p.Refused != 1 || r.StaleEffects() != 1 {
 		t.Errorf("%+v", p)
 	}
 	// Any other reply is no answer: the effect is offered again.
@@ -112,12 +112,12 @@
 		bad.Close()
 	}
 	// The audit finds what a receiver without a fence lets through.
-	open := receiver.NewFenced(true)
+	open := receiver.NewFencedReceiver(true)
 	defer open.Close()
 	to = fencehttp.New(open.URL)
 	to.Apply(effect(5, "1"))
 	to.Apply(effect(4, "2"))
-	if p := open.Audit(); len(p.Broken) == 0 {
+	if p := open.Audit(); len(p.Violations) == 0 {
 		t.Error("a stale holder's effect counted, and the audit found nothing")
 	}
 }
--- a/internal/harness/scenario/leases.go
+++ b/internal/harness/scenario/leases.go
@@ -47,7 +47,7 @@
 // leaseRun is the receiver and the observed return stages of a run with leases.
 type leaseRun struct {
 	run      *runner
-	receiver *receiver.Fenced
+	receiver *receiver.FencedReceiver
 	stages   []ReturnStage // guarded by run.mutex
 }
 
@@ -97,7 +97,7 @@
 
 func (run *runner) startLeases() {
 	if run.Leases != nil {
-		run.leases = &leaseRun{run: run, receiver: receiver.NewFenced(run.Leases.Unfenced)}
+		run.leases = &leaseRun{run: run, receiver: receiver.NewFencedReceiver(run.Leases.Unfenced)}
 	}
 }
 
@@ -191,7 +191,7 @@
 }
 
 func (q *leaseRun) report() *LeaseReport {
-	r := &LeaseReport{Report: q.receiver.Audit(), StaleEffects: q.receiver.OldCame(), GapsMs: q.receiver.Gaps()}
+	r := &LeaseReport{Report: q.receiver.Audit(), StaleEffects: q.receiver.StaleEffects(), GapsMs: q.receiver.TakeoverGapsMs()}
 	for range q.receiver.Counts() {
 		r.ActiveRoles++
 	}
--- a/internal/harness/scenario/report.go
+++ b/internal/harness/scenario/report.go
@@ -108,7 +108,7 @@
 	fmt.Fprintf(out, "lost after %.0f ms (half of the brokers), %d false alarms\n", r.DetectionMs, r.FalseAlarms)
 	if o := r.Leases; o != nil {
 		fmt.Fprintf(out, "owners: %d effects counted, %d take-overs (gap p50 %.0f ms, p99 %.0f ms), %d effects of old owners refused, %d repeated; %d came after a newer owner's\n",
-			o.Counted, o.Takeovers, quantile(o.GapsMs, 0.5), quantile(o.GapsMs, 0.99), o.Refused, o.Again, o.StaleEffects)
+			o.Counted, o.Takeovers, quantile(o.GapsMs, 0.5), quantile(o.GapsMs, 0.99), o.Refused, o.Duplicates, o.StaleEffects)
 	}
 	for _, k := range r.Types {
 		fmt.Fprintf(out, "%s: p50 %.0f ms, p99 %.0f ms of what was answered\n", k.Name, k.P50Ms, k.P99Ms)
--- a/internal/harness/scenario/summary.go
+++ b/internal/harness/scenario/summary.go
@@ -36,7 +36,7 @@
 	run.addGossipBytes(r)
 	if run.leases != nil {
 		r.Leases = run.leases.report()
-		for _, violation := range r.Leases.Broken {
+		for _, violation := range r.Leases.Violations {
 			r.Violations = append(r.Violations, "owners: "+violation)
 		}
 	}
--- a/internal/ledger/sink/sink_test.go
+++ b/internal/ledger/sink/sink_test.go
@@ -38,7 +38,7 @@
 		for range 6 {
 			appendEntries(t, s, 1+rng.IntN(20))
 			for range rng.IntN(4) {
-				r.Do(receiver.Mode(rng.IntN(5)))
+				r.QueueModes(receiver.Mode(rng.IntN(5)))
 			}
 			x, err := NewExporter(s, "http", NewHTTP(r.URL), 1+rng.IntN(9), 0)
 			if err != nil {
@@ -56,7 +56,7 @@
 				}
 			}
 		}
-		r.Do()
+		r.QueueModes()
 		x, err := NewExporter(s, "http", NewHTTP(r.URL), 5, 0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/standin/receiver/fenced.go
+++ b/internal/standin/receiver/fenced.go
@@ -14,195 +14,205 @@
 	"kestrelspread/internal/fleet/lease/fence"
 )
 
-// Fenced is a stand-in for who takes a duty's effects: it keeps the highest token and the keys, and an audit that uses neither.
-// The audit is what a test goes by.
-type Fenced struct {
+// FencedReceiver is a stand-in for the receiver of a role's effects: it stores the highest fencing token and the keys.
+// A test relies on its audit, which uses neither.
+type FencedReceiver struct {
 	*httptest.Server
-	lock    sync.Mutex
-	open    bool // without a fence: everybody is taken
-	book    fence.State
-	audit   []Came
-	highest map[string]uint64 // by duty, of all that ever came
-	// Beside what the fence did: effects that came though a newer owner had been there, and would have counted without it.
-	unfenced int
-	start    time.Time
+	lock     sync.Mutex
+	unfenced bool // fencing tokens are not checked: every effect is admitted
+	state    fence.State
+	audit    []AuditEntry
+	highest  map[string]uint64 // fencing token by role, of all effects received, also of those refused
+	// staleEffects counts the effects received after one of a newer holder: without fencing they would have counted.
+	staleEffects int
+	startedAt    time.Time
 }
 
-// Came is one effect that came, and whether it counted.
-type Came struct {
+// AuditEntry is one effect received, and whether it counted or was refused.
+type AuditEntry struct {
 	fence.Effect
-	Counted, Refused bool
-	At               float64 // ms since it began to listen
+	Counted      bool
+	Refused      bool
+	ReceivedAtMs float64 // since the receiver began to listen
 }
 
-// NewFenced listens on loopback. open: without a fence, to show what it is for.
-func NewFenced(open bool) *Fenced {
-	r := &Fenced{open: open, highest: map[string]uint64{}, start: time.Now()}
+// NewFencedReceiver listens on loopback. unfenced: it doesn't check fencing tokens, to show what they prevent.
+func NewFencedReceiver(unfenced bool) *FencedReceiver {
+	r := &FencedReceiver{unfenced: unfenced, highest: map[string]uint64{}, startedAt: time.Now()}
 	r.Server = httptest.NewServer(r)
 	return r
 }
 
-// ServeHTTP implements http.Handler; a write under an old token is refused.
-func (r *Fenced) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	b, err := io.ReadAll(q.Body)
-	var e fence.Effect
-	if err != nil || json.Unmarshal(b, &e) != nil || e.Token == 0 {
+// ServeHTTP implements http.Handler: it admits an effect, or refuses one under a stale token with 409.
+func (r *FencedReceiver) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(request.Body)
+	var effect fence.Effect
+	if err != nil || json.Unmarshal(body, &effect) != nil || effect.Token == 0 {
 		w.WriteHeader(400)
 		return
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	old := e.Token < r.highest[e.Role]
-	r.highest[e.Role] = max(r.highest[e.Role], e.Token)
-	if old {
-		r.unfenced++
+	stale := effect.Token < r.highest[effect.Role]
+	r.highest[effect.Role] = max(r.highest[effect.Role], effect.Token)
+	if stale {
+		r.staleEffects++
 	}
-	judged := e
-	if r.open {
-		judged.Token = r.highest[e.Role]
+	judged := effect
+	if r.unfenced {
+		judged.Token = r.highest[effect.Role]
 	}
-	fresh, err := r.book.Admit(judged)
-	r.audit = append(r.audit, Came{e, err == nil && fresh, err != nil, float64(time.Since(r.start).Microseconds()) / 1000})
-	says := map[string]any{"done": !fresh, "token": max(r.book.Tokens[e.Role], e.Token)}
-	text, _ := json.Marshal(says)
+	fresh, err := r.state.Admit(judged)
+	r.audit = append(r.audit, AuditEntry{Effect: effect, Counted: err == nil && fresh, Refused: err != nil, ReceivedAtMs: r.elapsedMs()})
+	reply := map[string]any{"done": !fresh, "token": max(r.state.Tokens[effect.Role], effect.Token)}
+	text, _ := json.Marshal(reply)
 	if err != nil {
 		w.WriteHeader(409)
 	}
 	w.Write(text)
 }
 
-// Report is the audit of all that came.
+// elapsedMs is the time since the receiver began to listen.
+func (r *FencedReceiver) elapsedMs() float64 {
+	return float64(time.Since(r.startedAt).Microseconds()) / 1000
+}
+
+// Report is the audit of all effects received.
 type Report struct {
-	Counted, Refused, Again int
-	Takeovers               int      // times that another token's effect counted next
-	Broken                  []string // what must not be
+	Counted    int
+	Refused    int
+	Duplicates int      `json:"Again"`
+	Takeovers  int      // changes to a higher token
+	Violations []string `json:"Broken"` // invariants that the effects violated
 }
 
-// Audit goes through all that came, by the numbers in the keys: each number once, in order, none left out, and no token after a
-// higher one.
-func (r *Fenced) Audit() (p Report) {
+// Audit checks all effects received by the numbers in their keys: each number counts once, in order, without a gap, and
+// no token is admitted after a higher one.
+func (r *FencedReceiver) Audit() (report Report) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	type state struct {
 		next  int
 		token uint64
 	}
-	at := map[string]*state{}
+	states := map[string]*state{}
 	for _, c := range r.audit {
-		s := at[c.Role]
+		s := states[c.Role]
 		if s == nil {
 			s = &state{next: 1}
-			at[c.Role] = s
+			states[c.Role] = s
 		}
-		no, _ := strconv.Atoi(c.Key)
+		number, _ := strconv.Atoi(c.Key)
 		switch {
 		case c.Refused:
-			if p.Refused++; c.Token >= s.token {
-				p.Broken = append(p.Broken, fmt.Sprintf("%s: token %d was refused, though %d was the highest", c.Role, c.Token, s.token))
+			report.Refused++
+			if c.Token >= s.token {
+				report.Violations = append(report.Violations, fmt.Sprintf("%s: token %d was refused, though %d was the highest", c.Role, c.Token, s.token))
 			}
 			continue
 		case c.Token < s.token:
-			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %s of token %d was taken after token %d", c.Role, c.Key, c.Token, s.token))
-		case c.Counted && no != s.next:
-			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %d counted where %d was next", c.Role, no, s.next))
-		case !c.Counted && no >= s.next:
-			p.Broken = append(p.Broken, fmt.Sprintf("%s: effect %d did not count, though %d was next", c.Role, no, s.next))
+			report.Violations = append(report.Violations, fmt.Sprintf("%s: effect %s of token %d was taken after token %d", c.Role, c.Key, c.Token, s.token))
+		case c.Counted && number != s.next:
+			report.Violations = append(report.Violations, fmt.Sprintf("%s: effect %d counted where %d was next", c.Role, number, s.next))
+		case !c.Counted && number >= s.next:
+			report.Violations = append(report.Violations, fmt.Sprintf("%s: effect %d did not count, though %d was next", c.Role, number, s.next))
 		}
 		if c.Token > s.token {
 			if s.token > 0 {
-				p.Takeovers++
+				report.Takeovers++
 			}
 			s.token = c.Token
 		}
 		if c.Counted {
-			p.Counted++
-			s.next = no + 1
+			report.Counted++
+			s.next = number + 1
 		} else {
-			p.Again++
+			report.Duplicates++
 		}
 	}
-	return p
+	return report
 }
 
-// OldCame counts the effects that came after a newer owner's.
-func (r *Fenced) OldCame() int {
+// StaleEffects counts the effects received after one of a newer holder.
+func (r *FencedReceiver) StaleEffects() int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.unfenced
+	return r.staleEffects
 }
 
-// Gaps gives, in order, how long each take-over took: from the last effect of one token that counted to the first of the next.
-func (r *Fenced) Gaps() (list []float64) {
+// TakeoverGapsMs returns, sorted, the duration of each takeover: from the last effect of one token that counted to the
+// first one of the next token.
+func (r *FencedReceiver) TakeoverGapsMs() (gaps []float64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	last := map[string]Came{}
+	last := map[string]AuditEntry{}
 	for _, c := range r.audit {
 		if !c.Counted {
 			continue
 		}
-		if was, known := last[c.Role]; known && was.Token < c.Token {
-			list = append(list, c.At-was.At)
+		if previous, known := last[c.Role]; known && previous.Token < c.Token {
+			gaps = append(gaps, c.ReceivedAtMs-previous.ReceivedAtMs)
 		}
 		last[c.Role] = c
 	}
-	sort.Float64s(list)
-	return list
+	sort.Float64s(gaps)
+	return gaps
 }
 
-// Stalled gives the duties of which nothing has counted for so many ms.
-func (r *Fenced) Stalled(ms float64) (list []string) {
+// Stalled returns the roles of which no effect has counted for timeoutMs.
+func (r *FencedReceiver) Stalled(timeoutMs float64) (roles []string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	last := map[string]float64{}
 	for _, c := range r.audit {
 		if c.Counted {
-			last[c.Role] = c.At
+			last[c.Role] = c.ReceivedAtMs
 		}
 	}
-	now := float64(time.Since(r.start).Microseconds()) / 1000
-	for d, at := range last {
-		if now-at > ms {
-			list = append(list, d)
+	now := r.elapsedMs()
+	for role, at := range last {
+		if now-at > timeoutMs {
+			roles = append(roles, role)
 		}
 	}
-	sort.Strings(list)
-	return list
+	sort.Strings(roles)
+	return roles
 }
 
-// Holders gives by duty who its latest effect that counted says it is from.
-func (r *Fenced) Holders() map[string]string {
+// Holders returns by role the holder that its latest counted effect names.
+func (r *FencedReceiver) Holders() map[string]string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	list := map[string]string{}
+	holders := map[string]string{}
 	for _, c := range r.audit {
 		var body struct{ Holder string }
 		if c.Counted && json.Unmarshal(c.Body, &body) == nil {
-			list[c.Role] = body.Holder
+			holders[c.Role] = body.Holder
 		}
 	}
-	return list
+	return holders
 }
 
-// Highest gives the highest token of each duty.
-func (r *Fenced) Highest() map[string]uint64 {
+// Highest returns the highest fencing token received, by role.
+func (r *FencedReceiver) Highest() map[string]uint64 {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	list := map[string]uint64{}
-	for d, t := range r.highest {
-		list[d] = t
+	tokens := map[string]uint64{}
+	for role, token := range r.highest {
+		tokens[role] = token
 	}
-	return list
+	return tokens
 }
 
-// Counts gives how many effects of each duty have counted.
-func (r *Fenced) Counts() map[string]int {
+// Counts returns how many effects have counted, by role.
+func (r *FencedReceiver) Counts() map[string]int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	list := map[string]int{}
+	counts := map[string]int{}
 	for _, c := range r.audit {
 		if c.Counted {
-			list[c.Role]++
+			counts[c.Role]++
 		}
 	}
-	return list
+	return counts
 }
--- a/internal/standin/receiver/receiver.go
+++ b/internal/standin/receiver/receiver.go
@@ -1,5 +1,5 @@
-// Package receiver is a stand-in for who takes the ledger's batches by HTTP: it keeps each under its idempotency key, once, and
-// does wrong what a test says.
+// Package receiver provides stand-ins for the HTTP receivers of the ledger's batches and of the roles' effects. The
+// receiver of batches stores each once under its idempotency key, and injects the faults that a test queues.
 package receiver
 
 import (
@@ -12,27 +12,27 @@
 	"sync"
 )
 
-// Mode is what it does with the next batch.
+// Mode is how the receiver handles one request.
 type Mode int
 
-// How the receiver behaves.
+// The modes of the receiver.
 const (
-	Fine    Mode = iota
-	Lose         // takes it, and breaks the connection before its reply
-	Refuse       // 503
-	Lie          // takes nothing and answers 200 about the batch before
-	Garbage      // 200 with what is no answer
+	Normal       Mode = iota
+	DropReply         // stores the batch, and closes the connection without a reply
+	Unavailable       // 503
+	StaleReply        // stores nothing and answers 200 with the previous batch's reply
+	GarbageReply      // 200 with a malformed reply
 )
 
-// Receiver is one.
+// Receiver is an HTTP receiver of batches.
 type Receiver struct {
 	*httptest.Server
-	lock    sync.Mutex
-	batches map[string]string
-	order   []string
-	last    string // its latest sound answer
-	modes   []Mode // one for each request to come; Fine after them
-	asked   int
+	lock      sync.Mutex
+	batches   map[string]string
+	order     []string
+	lastReply string // the latest well-formed reply
+	modes     []Mode // one for each of the next requests; Normal after them
+	requests  int
 }
 
 // New listens on loopback.
@@ -42,73 +42,74 @@
 	return r
 }
 
-// ServeHTTP implements http.Handler, by the mode that is set.
-func (r *Receiver) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	body, err := io.ReadAll(q.Body)
-	key, hash := q.Header.Get("Idempotency-Key"), q.Header.Get("Batch-Hash")
-	if err != nil || key == "" || hash == "" || q.Method != "POST" {
+// ServeHTTP implements http.Handler: it handles a batch by the next queued mode.
+func (r *Receiver) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(request.Body)
+	key, hash := request.Header.Get("Idempotency-Key"), request.Header.Get("Batch-Hash")
+	if err != nil || key == "" || hash == "" || request.Method != "POST" {
 		w.WriteHeader(400)
 		return
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.asked++
-	mode := Fine
+	r.requests++
+	mode := Normal
 	if len(r.modes) > 0 {
 		mode, r.modes = r.modes[0], r.modes[1:]
 	}
 	switch mode {
-	case Refuse:
+	case Unavailable:
 		w.WriteHeader(503)
 		return
-	case Lie:
-		io.WriteString(w, r.last)
+	case StaleReply:
+		io.WriteString(w, r.lastReply)
 		return
-	case Garbage:
+	case GarbageReply:
 		io.WriteString(w, "thank you")
 		return
 	}
-	held := hash
-	if was, known := r.batches[key]; known {
-		held, _, _ = strings.Cut(was, "\n")
+	storedHash := hash
+	if stored, known := r.batches[key]; known {
+		storedHash, _, _ = strings.Cut(stored, "\n")
 	} else {
 		r.batches[key] = hash + "\n" + string(body)
 		r.order = append(r.order, key)
 	}
 	_, batch, _ := strings.Cut(key[strings.LastIndexByte(key, '-'):], "-")
-	b, _ := json.Marshal(map[string]string{"batch": strings.TrimLeft(batch, "0"), "hash": held})
-	r.last = string(b)
-	if mode == Lose {
+	reply, _ := json.Marshal(map[string]string{"batch": strings.TrimLeft(batch, "0"), "hash": storedHash})
+	r.lastReply = string(reply)
+	if mode == DropReply {
 		panic(http.ErrAbortHandler)
 	}
-	w.Write(b)
+	w.Write(reply)
 }
 
-// Do says what it does with requests to come, after those that were said before. None: with all it is fine.
-func (r *Receiver) Do(modes ...Mode) {
+// QueueModes appends the modes of the next requests to those queued; without arguments it clears the queue.
+func (r *Receiver) QueueModes(modes ...Mode) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.modes = append(r.modes, modes...); len(modes) == 0 {
+	r.modes = append(r.modes, modes...)
+	if len(modes) == 0 {
 		r.modes = nil
 	}
 }
 
-// Lines gives all records that it took, in the order of their batches.
-func (r *Receiver) Lines() (list []string) {
+// Lines returns all records stored, in the order of their batches.
+func (r *Receiver) Lines() (records []string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for _, key := range r.order {
 		_, text, _ := strings.Cut(r.batches[key], "\n")
 		for line := range strings.Lines(text) {
-			list = append(list, strings.TrimSpace(line))
+			records = append(records, strings.TrimSpace(line))
 		}
 	}
-	return list
+	return records
 }
 
-// String tells what it holds.
+// String describes what is stored.
 func (r *Receiver) String() string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return fmt.Sprint(len(r.batches), " batches, asked ", r.asked, " times")
+	return fmt.Sprint(len(r.batches), " batches, asked ", r.requests, " times")
 }
