--- a/internal/aggregator/engine/fuzz_test.go
+++ b/internal/aggregator/engine/fuzz_test.go
@@ -6,110 +6,147 @@
 	"kestrelspread/internal/transport"
 )
 
+// The length of a fuzzed run, in random steps: searches start in the first ones alone.
+const (
+	fuzzSteps       = 1500
+	fuzzSearchSteps = 1200
+)
+
+// ownStallMs is how long the aggregator itself stands still when a fuzzed run stalls it.
+const ownStallMs = 300
+
 func FuzzEngine(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed, uint8(seed%4))
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, ill uint8) {
+	f.Fuzz(func(t *testing.T, seed uint64, faultSeed uint8) {
 		w := newWorld(t, seed, 8)
-		b := &book{by: map[Result]int64{}}
-		w.r.SetMeter(b)
-		bad := int(ill % 8)
+		totals := &usageTotals{byResult: map[Result]int64{}}
+		w.engine.SetMeter(totals)
+		faultWeight := int(faultSeed % 8)
 		w.turn()
-		for step := range 1500 {
-			if next := w.now + w.rng.ExpFloat64()*8; w.armed > w.now {
-				w.now = min(next, w.armed)
-			} else {
-				w.now = next
-			}
-			if w.rng.IntN(400) < bad {
-				w.now += 300 // it stood still
-				for _, k := range w.callers {
-					k.late += 300
-				}
-			}
-			var events []func()
-			if step < 1200 && w.rng.IntN(4) == 0 && !w.deaf && !w.paused {
-				shards := w.rng.Perm(8)[:1+w.rng.IntN(5)]
-				kind := []string{"quick", "once", "part"}[w.rng.IntN(3)]
-				events = append(events, func() { w.ask(kind, float64(50+w.rng.IntN(900)), shards...) })
-			}
-			if w.rng.IntN(100) < bad {
-				w.least = min(w.rng.IntN(8)-7, 0) // at times no connection can be had
-			}
-			if i := w.rng.IntN(len(w.list)); w.rng.IntN(200) < bad {
-				s := &w.list[i]
-				states := []string{"ready", "draining", "ready", "gone", "ready"}
-				was := s.state
-				if s.state = states[w.rng.IntN(5)]; was == "ready" && s.state != was {
-					s.since = w.now + 1e9 // until it is told
-				}
-			}
-			for c, e := range w.ends {
-				if e == nil || w.rng.IntN(3) > 0 {
-					continue
-				}
-				events = append(events, func() {
-					if w.ends[c] == e {
-						w.serve(transport.Conn(c), e, bad)
-					}
-				})
-				if e.to.Port() == 9 && e.watched && w.rng.IntN(5) == 0 {
-					events = append(events, func() {
-						if w.ends[c] != e {
-							return
-						}
-						w.news(transport.Conn(c), w.rng.IntN(4) == 0)
-						for i := range w.list {
-							if w.list[i].since > w.now {
-								w.list[i].since = w.now
-							}
-						}
-					})
-				}
-			}
+		for step := range fuzzSteps {
+			w.advanceRandomly(faultWeight)
+			events := w.randomSearch(step)
+			w.failRandomly(faultWeight)
+			events = append(events, w.randomConnEvents(faultWeight)...)
 			w.turn(events...)
 		}
-		w.settle()
-		b.reconcile(t, &w.r.Count)
+		w.shutDownAndCheck()
+		totals.reconcile(t, &w.engine.Count)
 	})
 }
 
-// settle lets all come to its end, after which nothing may be left.
-func (w *world) settle() {
-	w.least = -1
-	w.turn(func() { w.r.Notified(Terminate) })
+// advanceRandomly goes on to a random time, or to the timer if that is earlier; at times the aggregator stalls.
+func (w *world) advanceRandomly(faultWeight int) {
+	next := w.now + w.rng.ExpFloat64()*8
+	if w.timerAt > w.now {
+		next = min(next, w.timerAt)
+	}
+	w.now = next
+	if w.rng.IntN(400) < faultWeight {
+		w.now += ownStallMs
+		for _, client := range w.callers {
+			client.answerDeadline += ownStallMs
+		}
+	}
+}
+
+// randomSearch returns the start of a search as an event, or nothing.
+func (w *world) randomSearch(step int) (events []func()) {
+	if step < fuzzSearchSteps && w.rng.IntN(4) == 0 && !w.unlistened && !w.paused {
+		shards := w.rng.Perm(8)[:1+w.rng.IntN(5)]
+		kind := []string{"quick", "once", "part"}[w.rng.IntN(3)]
+		events = append(events, func() { w.startSearch(kind, float64(50+w.rng.IntN(900)), shards...) })
+	}
+	return events
+}
+
+// failRandomly makes connecting fail at times, and changes the state of a server at times.
+func (w *world) failRandomly(faultWeight int) {
+	if w.rng.IntN(100) < faultWeight {
+		w.connectsLeft = min(w.rng.IntN(8)-7, 0) // at times no connection can be opened
+	}
+	i := w.rng.IntN(len(w.servers))
+	if w.rng.IntN(200) >= faultWeight {
+		return
+	}
+	s := &w.servers[i]
+	states := []string{"ready", "draining", "ready", "gone", "ready"}
+	previous := s.state
+	s.state = states[w.rng.IntN(5)]
+	if previous == "ready" && s.state != previous {
+		s.changedAt = w.now + 1e9 // until the aggregator is notified
+	}
+}
+
+// randomConnEvents returns one event for each of some connections; a watch may get a list besides.
+func (w *world) randomConnEvents(faultWeight int) (events []func()) {
+	for c, e := range w.conns {
+		if e == nil || w.rng.IntN(3) > 0 {
+			continue
+		}
+		events = append(events, func() {
+			if w.conns[c] == e {
+				w.stepConn(transport.Conn(c), e, faultWeight)
+			}
+		})
+		if e.destination.Port() == 9 && e.watched && w.rng.IntN(5) == 0 {
+			events = append(events, func() {
+				if w.conns[c] == e {
+					w.sendChangedList(transport.Conn(c))
+				}
+			})
+		}
+	}
+	return events
+}
+
+// sendChangedList sends a list, full at times: from now on the aggregator knows the state of each server.
+func (w *world) sendChangedList(c transport.Conn) {
+	w.sendList(c, w.rng.IntN(4) == 0)
+	for i := range w.servers {
+		if w.servers[i].changedAt > w.now {
+			w.servers[i].changedAt = w.now
+		}
+	}
+}
+
+// shutDownAndCheck terminates the aggregator without further faults: afterwards it retains nothing.
+func (w *world) shutDownAndCheck() {
+	w.connectsLeft = -1
+	w.turn(func() { w.engine.Notified(Terminate) })
 	for range 4000 {
 		if w.stopped {
 			break
 		}
 		w.now += 5
 		var events []func()
-		for c, e := range w.ends {
+		for c, e := range w.conns {
 			if e != nil {
 				events = append(events, func() {
-					if w.ends[c] == e {
-						w.serve(transport.Conn(c), e, 0)
+					if w.conns[c] == e {
+						w.stepConn(transport.Conn(c), e, 0)
 					}
 				})
 			}
 		}
 		w.turn(events...)
 	}
-	r := w.r
-	if !w.stopped || r.clients != 0 || r.openSearches != 0 || r.pending != 0 {
-		w.t.Fatalf("stopped %v, %d clients, %d searches, %d held", w.stopped, r.clients, r.openSearches, r.pending)
+	engine := w.engine
+	if !w.stopped || engine.clients != 0 || engine.openSearches != 0 || engine.pending != 0 {
+		w.t.Fatalf("stopped %v, %d clients, %d searches, %d pending", w.stopped, engine.clients, engine.openSearches, engine.pending)
 	}
-	if len(r.freeEntries) != len(r.entries) || w.pool.InUse() != 0 {
-		w.t.Fatalf("%d of %d indices free, %d buffers out", len(r.freeEntries), len(r.entries), w.pool.InUse())
+	if len(engine.freeEntries) != len(engine.entries) || w.pool.InUse() != 0 {
+		w.t.Fatalf("%d of %d indices free, %d buffers in use", len(engine.freeEntries), len(engine.entries), w.pool.InUse())
 	}
 	open := 0
-	for _, e := range w.ends {
+	for _, e := range w.conns {
 		if e != nil {
 			open++
 		}
 	}
-	if open != r.sockets {
-		w.t.Fatalf("%d sockets counted, %d open", r.sockets, open)
+	if open != engine.sockets {
+		w.t.Fatalf("%d sockets counted, %d open", engine.sockets, open)
 	}
 }
--- a/internal/aggregator/engine/helpers_test.go
+++ b/internal/aggregator/engine/helpers_test.go
@@ -7,43 +7,43 @@
 	"kestrelspread/internal/transport"
 )
 
-// connOf is a client's connection.
-func (w *world) connOf(k *caller) transport.Conn {
-	return transport.Conn(slices.IndexFunc(w.ends, func(e *end) bool { return e != nil && e.client == k }))
+// connOf returns a client's connection.
+func (w *world) connOf(client *modelClient) transport.Conn {
+	return transport.Conn(slices.IndexFunc(w.conns, func(e *modelConn) bool { return e != nil && e.client == client }))
 }
 
-// goes has a client leave.
-func (w *world) goes(k *caller) { w.turn(func() { w.lose(w.connOf(k)) }) }
+// disconnect closes a client's connection.
+func (w *world) disconnect(client *modelClient) { w.turn(func() { w.closeByPeer(w.connOf(client)) }) }
 
-// tells has discovery say a line on a watch.
-func (w *world) tells(c transport.Conn, line string) {
-	w.turn(func() { w.say(c, fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(line)+1, line)) })
+// sendWatchLine sends a line of discovery on a watch.
+func (w *world) sendWatchLine(c transport.Conn, line string) {
+	w.turn(func() { w.receiveBytes(c, fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(line)+1, line)) })
 }
 
-// heads opens a watch and answers its head.
-func (w *world) heads(c transport.Conn) {
-	w.turn(func() { w.ends[c].open = true; w.r.Opened(c) })
-	w.turn(func() { w.say(c, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) })
+// openWatch opens a watch and answers it with headers.
+func (w *world) openWatch(c transport.Conn) {
+	w.turn(func() { w.conns[c].open = true; w.engine.Opened(c) })
+	w.turn(func() { w.receiveBytes(c, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) })
 }
 
-// silentSince lets a watch that has just beaten fall silent.
-func (w *world) silentSince() (c transport.Conn, at float64) {
+// silenceWatch returns a watch that sends nothing after a heartbeat, and the time of that heartbeat.
+func (w *world) silenceWatch() (c transport.Conn, at float64) {
 	w.turn()
-	w.open()
-	c = w.watching()
-	w.tells(c, "")
+	w.openConns()
+	c = w.watchConn()
+	w.sendWatchLine(c, "")
 	return c, w.now
 }
 
-// told is a search that a further front brought, as far as its one final answer.
-type told struct{ finals []Result }
+// recordedSearch is a search of another front end; it records its final results.
+type recordedSearch struct{ results []Result }
 
-func (c *told) Final(how Result, _ float64) { c.finals = append(c.finals, how) }
+func (c *recordedSearch) Final(how Result, _ float64) { c.results = append(c.results, how) }
 
-func (c *told) Send(*Attempt) {}
+func (c *recordedSearch) Send(*Attempt) {}
 
-func (c *told) Cancel(*Attempt) {}
+func (c *recordedSearch) Cancel(*Attempt) {}
 
-func (c *told) Door() int { return 1 }
+func (c *recordedSearch) Door() int { return 1 }
 
-func (c *told) Bytes() (in, out int64) { return 0, 0 }
+func (c *recordedSearch) Bytes() (in, out int64) { return 0, 0 }
--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -14,12 +14,12 @@
 	"kestrelspread/internal/transport"
 )
 
-func (w *world) listLine(whole bool) []byte {
+func (w *world) listLine(full bool) []byte {
 	w.version++
 	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"generation":%d,"reset":%v,"instances":[`, w.version, whole)
-	for i, s := range w.list {
-		if whole && s.state == "gone" {
+	fmt.Fprintf(&b, `{"generation":%d,"reset":%v,"instances":[`, w.version, full)
+	for i, s := range w.servers {
+		if full && s.state == "gone" {
 			continue
 		}
 		if b.Bytes()[b.Len()-1] == '}' {
@@ -32,165 +32,165 @@
 	return b.Bytes()
 }
 
-func (w *world) take(e *end) transport.Conn {
+func (w *world) addConn(e *modelConn) transport.Conn {
 	if n := len(w.freed); n > 0 && w.rng.IntN(2) == 0 {
 		c := w.freed[0]
 		w.freed = w.freed[1:]
-		w.ends[c] = e
+		w.conns[c] = e
 		return c
 	}
-	w.ends = append(w.ends, e)
-	return transport.Conn(len(w.ends) - 1)
+	w.conns = append(w.conns, e)
+	return transport.Conn(len(w.conns) - 1)
 }
 
 func (w *world) Connect(to netip.AddrPort) transport.Conn {
-	c := w.take(&end{to: to})
-	if w.least >= 0 {
-		w.dying = append(w.dying, c)
+	c := w.addConn(&modelConn{destination: to})
+	if w.connectsLeft >= 0 {
+		w.failedConnects = append(w.failedConnects, c)
 	}
 	return c
 }
 
 func (w *world) Write(c transport.Conn, b []byte) {
-	e := w.ends[c]
+	e := w.conns[c]
 	if e == nil || !e.open || e.finished {
 		w.t.Fatalf("written to connection %d, which is not open", c)
 	}
-	e.sent = append(e.sent, b...)
+	e.unsent = append(e.unsent, b...)
 	if e.client != nil {
-		e.client.at = w.now
+		e.client.lastWriteAt = w.now
 	}
 }
 
 func (w *world) Finish(c transport.Conn) {
-	e := w.ends[c]
-	if e.finished = true; e.client != nil && e.client.asked && e.client.answers == 0 && len(e.sent) == 0 {
+	e := w.conns[c]
+	if e.finished = true; e.client != nil && e.client.asked && e.client.answers == 0 && len(e.unsent) == 0 {
 		w.t.Fatalf("search %s lost: its connection was ended", e.client.id)
 	}
 }
 
-func (w *world) Reading(c transport.Conn, on bool) { w.ends[c].muted = !on }
+func (w *world) Reading(c transport.Conn, on bool) { w.conns[c].muted = !on }
 
 func (w *world) Accept(on bool) { w.paused = !on }
 
 func (w *world) Door(transport.Conn) int { return 0 }
 
-func (w *world) Unlisten() bool { w.deaf = true; return true }
+func (w *world) Unlisten() bool { w.unlistened = true; return true }
 
 func (w *world) Retract(c transport.Conn, from int64) bool {
-	e := w.ends[c]
-	if !e.open || e.finished || from < e.upTo {
+	e := w.conns[c]
+	if !e.open || e.finished || from < e.takenBytes {
 		return false
 	}
-	e.sent = e.sent[:min(int64(len(e.sent)), from-e.upTo)]
+	e.unsent = e.unsent[:min(int64(len(e.unsent)), from-e.takenBytes)]
 	return true
 }
 
-func (w *world) Arm(at float64) { w.armed = at }
+func (w *world) Arm(at float64) { w.timerAt = at }
 
 func (w *world) Stop() { w.stopped = true }
 
 func (w *world) Close(c transport.Conn) {
-	e := w.ends[c]
+	e := w.conns[c]
 	if e == nil {
 		w.t.Fatalf("connection %d closed twice", c)
 	}
-	if e.client != nil && !e.client.gone && e.client.asked && e.client.answers == 0 {
+	if e.client != nil && !e.client.disconnected && e.client.asked && e.client.answers == 0 {
 		w.t.Fatalf("search %s lost: its connection was closed", e.client.id)
 	}
-	w.ends[c] = nil
+	w.conns[c] = nil
 	w.freed = append(w.freed, c)
 }
 
-// turn plays events in one turn, and those that must follow at once.
+// turn runs events in one turn of the engine, then the turns that it requests at once.
 func (w *world) turn(events ...func()) {
-	for first := true; first || w.r.turnRequested; first = false {
-		w.r.Begin(w.now)
+	for first := true; first || w.engine.turnRequested; first = false {
+		w.engine.Begin(w.now)
 		if first {
 			for _, e := range events {
 				e()
 			}
 		}
-		dying := w.dying
-		w.dying = nil
+		dying := w.failedConnects
+		w.failedConnects = nil
 		for _, c := range dying {
-			if w.ends[c] != nil {
-				w.lose(c)
+			if w.conns[c] != nil {
+				w.closeByPeer(c)
 			}
 		}
-		for c, e := range w.ends {
-			if e != nil && e.told < e.upTo {
-				e.told = e.upTo
-				w.r.Written(transport.Conn(c), e.upTo)
+		for c, e := range w.conns {
+			if e != nil && e.acknowledged < e.takenBytes {
+				e.acknowledged = e.takenBytes
+				w.engine.Written(transport.Conn(c), e.takenBytes)
 			}
 		}
-		again := w.r.End()
-		w.network()
-		w.r.turnRequested = again || len(w.dying) > 0
+		again := w.engine.End()
+		w.deliver()
+		w.engine.turnRequested = again || len(w.failedConnects) > 0
 	}
 	w.check()
 }
 
-// network takes what was written, at times only some of it, and reads what has come whole.
-func (w *world) network() {
-	for c, e := range w.ends {
-		if e == nil || len(e.sent) == 0 || w.now < e.stuck {
+// deliver accepts what was written, at times only some of it, and reads the messages that are complete.
+func (w *world) deliver() {
+	for c, e := range w.conns {
+		if e == nil || len(e.unsent) == 0 || w.now < e.stalledUntil {
 			continue
 		}
-		n := len(e.sent)
+		n := len(e.unsent)
 		if w.rng.IntN(10) == 0 {
 			n = w.rng.IntN(n + 1)
 		}
-		if len(e.got) == 0 && n > 0 {
-			e.began = w.now
+		if len(e.received) == 0 && n > 0 {
+			e.frameBeganAt = w.now
 		}
-		e.got, e.sent = append(e.got, e.sent[:n]...), e.sent[n:]
-		e.upTo += int64(n)
+		e.received, e.unsent = append(e.received, e.unsent[:n]...), e.unsent[n:]
+		e.takenBytes += int64(n)
 		switch {
 		case e.client != nil:
 			w.readAnswer(e)
-		case e.to.Port() != 9:
+		case e.destination.Port() != 9:
 			w.readFrames(transport.Conn(c), e)
 		}
 	}
 }
 
-func (w *world) readAnswer(e *end) {
+func (w *world) readAnswer(e *modelConn) {
 	for {
-		head, body, whole := bytes.Cut(e.got, []byte("\r\n\r\n"))
-		if !whole {
+		head, body, complete := bytes.Cut(e.received, []byte("\r\n\r\n"))
+		if !complete {
 			return
 		}
 		_, length, _ := bytes.Cut(head, []byte("Content-Length: "))
 		length, _, _ = bytes.Cut(length, []byte("\r\n"))
-		n, _ := strconv.Atoi(string(length))
-		if len(body) < n {
+		bodyLength, _ := strconv.Atoi(string(length))
+		if len(body) < bodyLength {
 			return
 		}
-		_, back, _ := bytes.Cut(head, []byte("Retry-After: "))
-		back, _, _ = bytes.Cut(back, []byte("\r\n"))
-		e.client.back = string(back)
-		e.got = body[n:]
+		_, retryAfter, _ := bytes.Cut(head, []byte("Retry-After: "))
+		retryAfter, _, _ = bytes.Cut(retryAfter, []byte("\r\n"))
+		e.client.retryAfter = string(retryAfter)
+		e.received = body[bodyLength:]
 		status, _ := strconv.Atoi(string(head[9:12]))
 		if status == 100 {
 			continue
 		}
-		k := e.client
-		k.answers++
-		k.status = status
-		if k.answers > 1 {
-			w.t.Fatalf("search %s has a second answer", k.id)
+		client := e.client
+		client.answers++
+		client.status = status
+		if client.answers > 1 {
+			w.t.Fatalf("search %s has a second answer", client.id)
 		}
-		if k.asked && k.at > k.late {
-			w.t.Fatalf("search %s answered %d at %.0f, %.0f late", k.id, status, k.at, k.at-k.late)
+		if client.asked && client.lastWriteAt > client.answerDeadline {
+			w.t.Fatalf("search %s answered with %d at %.0f, %.0f ms late", client.id, status, client.lastWriteAt, client.lastWriteAt-client.answerDeadline)
 		}
 		if status == 200 {
-			w.readValues(k, body[:n])
+			w.readMatches(client, body[:bodyLength])
 		}
 	}
 }
 
-func (w *world) readValues(k *caller, body []byte) {
+func (w *world) readMatches(client *modelClient, body []byte) {
 	var answer struct {
 		All     bool `json:"all_in"`
 		Matches []struct {
@@ -201,50 +201,50 @@
 	if err := json.Unmarshal(body, &answer); err != nil {
 		w.t.Fatal(err)
 	}
-	if answer.All != (len(answer.Matches) == len(k.shards)) || len(answer.Matches) == 0 {
-		w.t.Fatalf("search %s: %s for %d parts", k.id, body, len(k.shards))
+	if answer.All != (len(answer.Matches) == len(client.shards)) || len(answer.Matches) == 0 {
+		w.t.Fatalf("search %s: %s for %d parts", client.id, body, len(client.shards))
 	}
 	for _, m := range answer.Matches {
-		if m.Payload != fmt.Sprintf("%s.%d", k.id, m.Segment) || !slices.Contains(k.shards, m.Segment) {
-			w.t.Fatalf("search %s: %s", k.id, body)
+		if m.Payload != fmt.Sprintf("%s.%d", client.id, m.Segment) || !slices.Contains(client.shards, m.Segment) {
+			w.t.Fatalf("search %s: %s", client.id, body)
 		}
 	}
 }
 
-func (w *world) readFrames(_ transport.Conn, e *end) {
-	at := int(e.to.Addr().As4()[3]) - 1
-	for len(e.got) >= 4 {
-		n := int(binary.LittleEndian.Uint32(e.got)) + 4
-		if len(e.got) < n {
+func (w *world) readFrames(_ transport.Conn, e *modelConn) {
+	server := int(e.destination.Addr().As4()[3]) - 1
+	for len(e.received) >= 4 {
+		n := int(binary.LittleEndian.Uint32(e.received)) + 4
+		if len(e.received) < n {
 			return
 		}
-		letter, rest := e.got[4], string(e.got[5:n])
-		e.got = e.got[n:]
-		if letter != 'R' && len(e.got) > 0 {
-			e.began = w.now
+		frameType, payload := e.received[4], string(e.received[5:n])
+		e.received = e.received[n:]
+		if frameType != 'R' && len(e.received) > 0 {
+			e.frameBeganAt = w.now
 		}
-		switch letter {
+		switch frameType {
 		case 'A':
-			if i := slices.Index(e.waiting, rest); i >= 0 && w.rng.IntN(3) > 0 {
-				e.waiting = slices.Delete(e.waiting, i, i+1) // else the reply crosses it
+			if i := slices.Index(e.pending, payload); i >= 0 && w.rng.IntN(3) > 0 {
+				e.pending = slices.Delete(e.pending, i, i+1) // else the reply crosses the cancellation
 			}
 		case 'G', 'T':
-			e.waiting = append(e.waiting, string(letter))
+			e.pending = append(e.pending, string(frameType))
 		case 'R':
-			w.readCall(e, at, rest)
+			w.readCall(e, server, payload)
 		default:
-			w.t.Fatalf("frame %c", letter)
+			w.t.Fatalf("frame %c", frameType)
 		}
 	}
 }
 
-func (w *world) readCall(e *end, at int, rest string) {
+func (w *world) readCall(e *modelConn, server int, rest string) {
 	parts := 0
 	for ; rest != ""; parts++ {
 		var id string
 		var shard, wait, size int
 		line, after, _ := strings.Cut(rest, "\n")
-		w.lines = append(w.lines, line)
+		w.callLines = append(w.callLines, line)
 		plain, token, found := strings.Cut(line, ",k=")
 		if found {
 			_, length, _ := strings.Cut(token, " ")
@@ -256,211 +256,211 @@
 		text := after[:size]
 		rest = after[size:]
 		search, _, _ := strings.Cut(id, ".")
-		k := w.byID[search]
-		s := w.list[at]
+		client := w.byID[search]
+		s := w.servers[server]
 		switch {
-		case k == nil || !slices.Contains(k.shards, shard) || text != "text of "+k.id:
+		case client == nil || !slices.Contains(client.shards, shard) || text != "text of "+client.id:
 			w.t.Fatalf("nobody asked for %s, %q", line, text)
 		case ((s.cell-shard)%4+4)%4 >= 2:
-			w.t.Fatalf("server %d of cell %d does not hold shard %d", at, s.cell, shard)
-		case s.state != "ready" && e.began > s.since+250:
-			w.t.Fatalf("sent to server %d, %s for %.0f ms", at, s.state, e.began-s.since)
-		case slices.Contains(e.waiting, id):
+			w.t.Fatalf("server %d of cell %d does not hold shard %d", server, s.cell, shard)
+		case s.state != "ready" && e.frameBeganAt > s.changedAt+250:
+			w.t.Fatalf("sent to server %d, %s for %.0f ms", server, s.state, e.frameBeganAt-s.changedAt)
+		case slices.Contains(e.pending, id):
 			w.t.Fatalf("%s is on one connection twice", id)
 		}
-		e.waiting = append(e.waiting, id)
+		e.pending = append(e.pending, id)
 	}
 	if parts == 0 || parts > 2 {
 		w.t.Fatalf("a call of %d parts", parts)
 	}
 }
 
-func (w *world) lose(c transport.Conn) {
-	e := w.ends[c]
-	w.ends[c] = nil
+func (w *world) closeByPeer(c transport.Conn) {
+	e := w.conns[c]
+	w.conns[c] = nil
 	if e.client != nil {
-		e.client.gone = true
+		e.client.disconnected = true
 	}
-	w.r.Closed(c, e.upTo)
+	w.engine.Closed(c, e.takenBytes)
 	w.freed = append(w.freed, c)
 }
 
-// say has the other side send bytes, in pieces.
-func (w *world) say(c transport.Conn, b []byte) {
-	for len(b) > 0 && w.ends[c] != nil && !w.ends[c].finished {
+// receiveBytes passes the peer's bytes to the engine, at times in pieces.
+func (w *world) receiveBytes(c transport.Conn, b []byte) {
+	for len(b) > 0 && w.conns[c] != nil && !w.conns[c].finished {
 		n := len(b)
 		if w.rng.IntN(3) == 0 {
 			n = 1 + w.rng.IntN(n)
 		}
-		w.r.Bytes(c, slices.Clone(b[:n]), w.now)
+		w.engine.Bytes(c, slices.Clone(b[:n]), w.now)
 		b = b[n:]
 	}
 }
 
-func (w *world) frame(c transport.Conn, letter byte, rest string) {
-	w.say(c, append(binary.LittleEndian.AppendUint32(nil, uint32(1+len(rest))), append([]byte{letter}, rest...)...))
+func (w *world) sendFrame(c transport.Conn, frameType byte, payload string) {
+	w.receiveBytes(c, append(binary.LittleEndian.AppendUint32(nil, uint32(1+len(payload))), append([]byte{frameType}, payload...)...))
 }
 
-func (w *world) ask(kind string, budget float64, shards ...int) *caller {
-	k := &caller{id: fmt.Sprint("q", len(w.callers)), shards: shards, late: w.now + budget + slack}
-	w.callers = append(w.callers, k)
-	w.byID[k.id] = k
-	c := w.take(&end{client: k, open: true})
-	w.r.Accepted(c)
-	var parts []string
+func (w *world) startSearch(kind string, budget float64, shards ...int) *modelClient {
+	client := &modelClient{id: fmt.Sprint("q", len(w.callers)), shards: shards, answerDeadline: w.now + budget + answerSlackMs}
+	w.callers = append(w.callers, client)
+	w.byID[client.id] = client
+	conn := w.addConn(&modelConn{client: client, open: true})
+	w.engine.Accepted(conn)
+	var segments []string
 	for _, s := range shards {
-		parts = append(parts, fmt.Sprintf(`{"segment":%d,"boost":%g}`, s, 1/float64(len(shards))))
+		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%g}`, s, 1/float64(len(shards))))
 	}
-	body := fmt.Sprintf(`{"segments":[%s],"text":"text of %s"}`, strings.Join(parts, ","), k.id)
-	k.asked = true
-	w.say(c, []byte(fmt.Sprintf("POST /api HTTP/1.1\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %g\r\n"+
-		"Content-Length: %d\r\n\r\n%s", k.id, kind, budget, len(body), body)))
-	return k
+	body := fmt.Sprintf(`{"segments":[%s],"text":"text of %s"}`, strings.Join(segments, ","), client.id)
+	client.asked = true
+	w.receiveBytes(conn, []byte(fmt.Sprintf("POST /api HTTP/1.1\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %g\r\n"+
+		"Content-Length: %d\r\n\r\n%s", client.id, kind, budget, len(body), body)))
+	return client
 }
 
-// check holds after every turn.
+// check verifies what must hold after every turn.
 func (w *world) check() {
-	for _, k := range w.callers {
-		if !k.gone && k.answers == 0 && w.now > k.late {
-			held := 0
-			for _, e := range w.ends {
-				if e != nil && e.client == k {
-					held = len(e.sent)
+	for _, client := range w.callers {
+		if !client.disconnected && client.answers == 0 && w.now > client.answerDeadline {
+			unsent := 0
+			for _, e := range w.conns {
+				if e != nil && e.client == client {
+					unsent = len(e.unsent)
 				}
 			}
-			if held == 0 {
-				w.t.Fatalf("search %s has no answer %.0f ms past its time", k.id, w.now-k.late)
+			if unsent == 0 {
+				w.t.Fatalf("search %s has no answer %.0f ms past its time", client.id, w.now-client.answerDeadline)
 			}
 		}
 	}
 	if invariant.Violations() > 0 {
-		w.t.Fatal("something that must hold does not")
+		w.t.Fatal("an invariant was violated")
 	}
 }
 
-// serve has one random thing happen on a connection.
-func (w *world) serve(c transport.Conn, e *end, ill int) {
+// stepConn makes one random event happen on a connection.
+func (w *world) stepConn(c transport.Conn, e *modelConn, faultWeight int) {
 	switch {
 	case e.client != nil:
-		if e.finished && len(e.sent) == 0 || w.rng.IntN(200) < ill {
-			w.lose(c)
+		if e.finished && len(e.unsent) == 0 || w.rng.IntN(200) < faultWeight {
+			w.closeByPeer(c)
 		}
 	case !e.open:
-		if w.rng.IntN(60) < ill {
-			w.lose(c)
+		if w.rng.IntN(60) < faultWeight {
+			w.closeByPeer(c)
 		} else if w.rng.IntN(3) > 0 {
 			e.open = true
-			w.r.Opened(c)
-		}
-	case e.to.Port() == 9:
-		if len(e.got) > 0 {
-			e.got, e.watched = nil, true
-			w.say(c, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-			w.news(c, true)
-		} else if w.rng.IntN(100) < ill {
-			w.lose(c)
+			w.engine.Opened(c)
+		}
+	case e.destination.Port() == 9:
+		if len(e.received) > 0 {
+			e.received, e.watched = nil, true
+			w.receiveBytes(c, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+			w.sendList(c, true)
+		} else if w.rng.IntN(100) < faultWeight {
+			w.closeByPeer(c)
 		} else if e.watched && w.rng.IntN(4) == 0 {
-			w.say(c, []byte("1\r\n\n\r\n"))
-		}
-	case w.rng.IntN(200) < ill:
-		w.lose(c)
-	case w.rng.IntN(300) < ill:
-		e.stuck = w.now + float64(w.rng.IntN(600))
-	case w.rng.IntN(400) < ill:
-		w.frame(c, 'N', "what?")
-		if w.ends[c] == e {
+			w.receiveBytes(c, []byte("1\r\n\n\r\n"))
+		}
+	case w.rng.IntN(200) < faultWeight:
+		w.closeByPeer(c)
+	case w.rng.IntN(300) < faultWeight:
+		e.stalledUntil = w.now + float64(w.rng.IntN(600))
+	case w.rng.IntN(400) < faultWeight:
+		w.sendFrame(c, 'N', "what?")
+		if w.conns[c] == e {
 			w.t.Fatal("a connection that refused a frame is kept")
 		}
-	case len(e.waiting) > 0 && w.rng.IntN(3) > 0:
-		i := w.rng.IntN(len(e.waiting))
-		id := e.waiting[i]
-		e.waiting = slices.Delete(e.waiting, i, i+1)
+	case len(e.pending) > 0 && w.rng.IntN(3) > 0:
+		i := w.rng.IntN(len(e.pending))
+		id := e.pending[i]
+		e.pending = slices.Delete(e.pending, i, i+1)
 		switch {
 		case id == "G" || id == "T":
-			w.frame(c, id[0], "inflight=3,util=0.5")
-		case w.rng.IntN(60) < ill:
-			w.frame(c, 'Y', id+" ERROR 0 -\n")
-		case w.rng.IntN(60) < ill:
-			w.frame(c, 'Y', id+" REJECTED 0 -\n")
+			w.sendFrame(c, id[0], "inflight=3,util=0.5")
+		case w.rng.IntN(60) < faultWeight:
+			w.sendFrame(c, 'Y', id+" ERROR 0 -\n")
+		case w.rng.IntN(60) < faultWeight:
+			w.sendFrame(c, 'Y', id+" REJECTED 0 -\n")
 		default:
-			w.frame(c, 'Y', id+" OK 5 inflight=3,util=0.5\n"+id)
+			w.sendFrame(c, 'Y', id+" OK 5 inflight=3,util=0.5\n"+id)
 		}
 	}
 }
 
-func (w *world) news(c transport.Conn, whole bool) {
-	line := append(w.listLine(whole), '\n')
-	w.say(c, []byte(fmt.Sprintf("%x\r\n%s\r\n", len(line), line)))
+func (w *world) sendList(c transport.Conn, full bool) {
+	line := append(w.listLine(full), '\n')
+	w.receiveBytes(c, []byte(fmt.Sprintf("%x\r\n%s\r\n", len(line), line)))
 }
 
-// open brings up every connection that is being opened, and answers the watch.
-func (w *world) open() {
+// openConns completes every connection that is being opened, and answers the watch with its headers.
+func (w *world) openConns() {
 	var events []func()
-	for c, e := range w.ends {
+	for c, e := range w.conns {
 		if e != nil && !e.open {
-			events = append(events, func() { e.open = true; w.r.Opened(transport.Conn(c)) })
+			events = append(events, func() { e.open = true; w.engine.Opened(transport.Conn(c)) })
 		}
 	}
 	w.turn(events...)
 	w.turn(func() {
-		for c, e := range w.ends {
-			if e != nil && e.to.Port() == 9 && !e.watched {
-				e.watched, e.got = true, nil
-				w.say(transport.Conn(c), []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+		for c, e := range w.conns {
+			if e != nil && e.destination.Port() == 9 && !e.watched {
+				e.watched, e.received = true, nil
+				w.receiveBytes(transport.Conn(c), []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 			}
 		}
 	})
 }
 
-// lane gives the connections to servers.
-func (w *world) lanes() (list []transport.Conn) {
-	for c, e := range w.ends {
-		if e != nil && e.client == nil && e.to.Port() != 9 {
+// serverConns returns the connections to servers.
+func (w *world) serverConns() (list []transport.Conn) {
+	for c, e := range w.conns {
+		if e != nil && e.client == nil && e.destination.Port() != 9 {
 			list = append(list, transport.Conn(c))
 		}
 	}
 	return list
 }
 
-func (w *world) answer(c transport.Conn) {
-	e := w.ends[c]
-	waiting := e.waiting
-	e.waiting = nil
+func (w *world) answerAttempts(c transport.Conn) {
+	e := w.conns[c]
+	pending := e.pending
+	e.pending = nil
 	w.turn(func() {
-		for _, id := range waiting {
-			w.frame(c, 'Y', id+" OK 5 -\n"+id)
+		for _, id := range pending {
+			w.sendFrame(c, 'Y', id+" OK 5 -\n"+id)
 		}
 	})
 }
 
-// answered has servers answer until a client has what it waits for; the network takes some of it at a time.
-func (w *world) answered(k *caller) {
-	for i := 0; i < 30 && k.answers == 0; i++ {
-		w.open()
-		for _, c := range w.lanes() {
-			if e := w.ends[c]; e != nil && e.open {
-				w.answer(c)
+// runUntilAnswered lets servers answer until a client has its answer; the network accepts some of it at a time.
+func (w *world) runUntilAnswered(client *modelClient) {
+	for i := 0; i < 30 && client.answers == 0; i++ {
+		w.openConns()
+		for _, c := range w.serverConns() {
+			if e := w.conns[c]; e != nil && e.open {
+				w.answerAttempts(c)
 			}
 		}
 		w.now++
 	}
 }
 
-// watching gives the connection to discovery, or none.
-func (w *world) watching() transport.Conn {
-	for c, e := range w.ends {
-		if e != nil && e.client == nil && e.to.Port() == 9 {
+// watchConn returns the connection to discovery, or noConn.
+func (w *world) watchConn() transport.Conn {
+	for c, e := range w.conns {
+		if e != nil && e.client == nil && e.destination.Port() == 9 {
 			return transport.Conn(c)
 		}
 	}
 	return noConn
 }
 
-// pass lets time go by in turns as the timer asks for them.
-func (w *world) pass(ms float64) {
+// advance lets time go by, with a turn whenever the timer expires.
+func (w *world) advance(ms float64) {
 	for end := w.now + ms; w.now < end; {
-		if w.armed > w.now && w.armed < end {
-			w.now = w.armed
+		if w.timerAt > w.now && w.timerAt < end {
+			w.now = w.timerAt
 		} else {
 			w.now = end
 		}
@@ -468,14 +468,14 @@
 	}
 }
 
-// come has clients connect that say something, or nothing.
-func (w *world) come(n int, says string) (list []transport.Conn) {
+// connectClients connects clients that send a text, or nothing.
+func (w *world) connectClients(n int, says string) (list []transport.Conn) {
 	w.turn(func() {
 		for i := 0; i < n && !w.paused; i++ {
-			c := w.take(&end{client: &caller{id: "some"}, open: true})
+			c := w.addConn(&modelConn{client: &modelClient{id: "some"}, open: true})
 			list = append(list, c)
-			w.r.Accepted(c)
-			w.say(c, []byte(says))
+			w.engine.Accepted(c)
+			w.receiveBytes(c, []byte(says))
 		}
 	})
 	return list
--- a/internal/aggregator/engine/serverconn_test.go
+++ b/internal/aggregator/engine/serverconn_test.go
@@ -9,21 +9,21 @@
 func TestOnlyIdleConnectionsAreClosed(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.turn()
-	w.open()
+	w.openConns()
 	ask := func() {
-		w.turn(func() { w.ask("once", 5000, 0) })
-		w.open()
+		w.turn(func() { w.startSearch("once", 5000, 0) })
+		w.openConns()
 	}
 	ask()
-	c := w.lanes()[0]
-	w.pass(2500) // the settings say 2000
-	if len(w.lanes()) != 1 {
+	c := w.serverConns()[0]
+	w.advance(2500) // the settings say 2000
+	if len(w.serverConns()) != 1 {
 		t.Fatal("a connection with a part out was closed for being idle")
 	}
-	w.answer(c)
+	w.answerAttempts(c)
 	used := w.now
-	for len(w.lanes()) > 0 {
-		if w.pass(10); w.now >= used+2000 {
+	for len(w.serverConns()) > 0 {
+		if w.advance(10); w.now >= used+2000 {
 			t.Fatal("an idle connection is open past its time")
 		}
 	}
@@ -49,79 +49,84 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1, 4)
 			w.turn()
-			w.open()
-			var k *caller
-			w.turn(func() { k = w.ask("quick", 900, 0) })
-			w.open()
-			c := w.lanes()[0]
-			e := w.ends[c]
-			id := e.waiting[0]
-			e.waiting = nil
-			w.turn(func() { w.frame(c, 'Y', fmt.Sprintf(spoil.reply, id, id)) })
-			if got := k.status == 200; got != spoil.taken {
-				t.Errorf("answered %d", k.status)
+			w.openConns()
+			var client *modelClient
+			w.turn(func() { client = w.startSearch("quick", 900, 0) })
+			w.openConns()
+			c := w.serverConns()[0]
+			e := w.conns[c]
+			id := e.pending[0]
+			e.pending = nil
+			w.turn(func() { w.sendFrame(c, 'Y', fmt.Sprintf(spoil.reply, id, id)) })
+			if got := client.status == 200; got != spoil.taken {
+				t.Errorf("answered %d", client.status)
 			}
-			if got := w.ends[c] == e; got != spoil.stands {
+			if got := w.conns[c] == e; got != spoil.stands {
 				t.Errorf("its connection stands: %v", got)
 			}
-			w.answered(k) // by another holder, where it is not taken
-			if k.status != 200 || k.answers != 1 {
-				t.Errorf("%d answers, %d", k.answers, k.status)
+			w.runUntilAnswered(client) // by another holder, where it is not taken
+			if client.status != 200 || client.answers != 1 {
+				t.Errorf("%d answers, %d", client.answers, client.status)
 			}
 		})
 	}
 	w := newWorld(t, 1, 4)
 	w.turn()
-	w.open()
-	var k *caller
-	w.turn(func() { k = w.ask("quick", 900, 0) })
-	w.open()
-	c, id := w.lanes()[0], w.callers[0].id+".0"
-	w.turn(func() { w.frame(c, 'Y', fmt.Sprintf(good, id, id)+""); w.say(c, []byte("\xff\xff\xff\xffnoise")) })
-	if k.status != 200 || w.ends[c] != nil {
-		t.Error("a good reply with noise behind it: ", k.status)
+	w.openConns()
+	var client *modelClient
+	w.turn(func() { client = w.startSearch("quick", 900, 0) })
+	w.openConns()
+	c, id := w.serverConns()[0], w.callers[0].id+".0"
+	w.turn(func() {
+		w.sendFrame(c, 'Y', fmt.Sprintf(good, id, id)+"")
+		w.receiveBytes(c, []byte("\xff\xff\xff\xffnoise"))
+	})
+	if client.status != 200 || w.conns[c] != nil {
+		t.Error("a good reply with noise behind it: ", client.status)
 	}
 }
 
 func TestIncompleteFrameDropsItsConnection(t *testing.T) {
 	w := newWorld(t, 1, 4)
 	w.turn()
-	w.open()
-	var first, second *caller
-	w.turn(func() { first = w.ask("quick", 900, 0) })
-	w.open()
-	c := w.lanes()[0]
-	e := w.ends[c]
-	reply := "Y" + e.waiting[0] + " OK 5 -\n" + e.waiting[0]
-	e.waiting = nil
-	w.turn(func() { w.say(c, append(binary.LittleEndian.AppendUint32(nil, uint32(len(reply)+40)), reply...)) })
-	w.turn(func() { second = w.ask("quick", 900, 0) })
-	w.open()
-	if len(e.waiting) > 0 {
+	w.openConns()
+	var first, second *modelClient
+	w.turn(func() { first = w.startSearch("quick", 900, 0) })
+	w.openConns()
+	c := w.serverConns()[0]
+	e := w.conns[c]
+	reply := "Y" + e.pending[0] + " OK 5 -\n" + e.pending[0]
+	e.pending = nil
+	w.turn(func() {
+		w.receiveBytes(c, append(binary.LittleEndian.AppendUint32(nil, uint32(len(reply)+40)), reply...))
+	})
+	w.turn(func() { second = w.startSearch("quick", 900, 0) })
+	w.openConns()
+	if len(e.pending) > 0 {
 		t.Error("more is sent where nothing will be answered")
 	}
-	w.pass(frameTimeout + 1)
-	if w.ends[c] == e || w.r.Count.BadFrames != 1 {
+	w.advance(frameTimeout + 1)
+	if w.conns[c] == e || w.engine.Count.BadFrames != 1 {
 		t.Error("its connection is kept")
 	}
-	w.answered(first)
-	w.answered(second)
+	w.runUntilAnswered(first)
+	w.runUntilAnswered(second)
 	if first.status != 200 || second.status != 200 {
 		t.Error(first.status, second.status)
 	}
-	var third *caller // one that comes in two pieces, some time apart, is whole
-	w.turn(func() { third = w.ask("quick", 900, 0) })
-	w.open()
-	for _, c := range w.lanes() {
-		if e := w.ends[c]; len(e.waiting) > 0 {
-			frame := "Y" + e.waiting[0] + " OK 5 -\n" + e.waiting[0]
-			e.waiting = nil
+	var third *modelClient // one that comes in two pieces, some time apart, is whole
+	w.turn(func() { third = w.startSearch("quick", 900, 0) })
+	w.openConns()
+	for _, c := range w.serverConns() {
+		if e := w.conns[c]; len(e.pending) > 0 {
+			frame := "Y" + e.pending[0] + " OK 5 -\n" + e.pending[0]
+			e.pending = nil
 			all := append(binary.LittleEndian.AppendUint32(nil, uint32(len(frame))), frame...)
-			w.turn(func() { w.say(c, all[:9]) })
-			w.pass(frameTimeout / 2)
-			w.turn(func() { w.say(c, all[9:]) })
-			w.pass(frameTimeout)
-			if w.ends[c] != e {
+			w.turn(func() { w.receiveBytes(c, all[:9]) })
+			w.advance(frameTimeout / 2)
+			w.turn(func() { w.receiveBytes(c, all[9:]) })
+			w.advance(frameTimeout)
+			if w.conns[c] != e {
 				t.Error("a connection with a whole frame is dropped")
 			}
 		}
--- a/internal/aggregator/engine/serverlist_test.go
+++ b/internal/aggregator/engine/serverlist_test.go
@@ -8,36 +8,36 @@
 func TestReplacedServersLeaveNothingBehind(t *testing.T) {
 	w := newWorld(t, 1, 4)
 	w.turn()
-	w.open()
-	c, version := w.watching(), 100
-	most := 0
+	w.openConns()
+	c, version := w.watchConn(), 100
+	maxEntries := 0
 	for n := range 120 {
 		// A server goes, with a part out or without, and another comes under a new id; searches go on.
 		version++
 		line := fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":"x%d","hostPort":"127.0.1.%d:80",`+
 			`"zone":"a","cell":%d,"lifecycle":"ready","weight":1,"startedAtMs":0},{"instanceId":"x%d","lifecycle":"gone"}]}`,
 			version, n, n%4+1, n%4, n-4)
-		var k *caller
-		w.turn(func() { k = w.ask("quick", 900, n%8, (n+3)%8) })
-		w.turn(func() { w.say(c, []byte(fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line))) })
+		var client *modelClient
+		w.turn(func() { client = w.startSearch("quick", 900, n%8, (n+3)%8) })
+		w.turn(func() { w.receiveBytes(c, []byte(fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line))) })
 		if n%3 > 0 {
-			w.answered(k)
+			w.runUntilAnswered(client)
 		}
 		for range 5 {
-			w.pass(heartbeatInterval / 2)
-			w.turn(func() { w.say(c, []byte("1\r\n\n\r\n")) })
+			w.advance(heartbeatInterval / 2)
+			w.turn(func() { w.receiveBytes(c, []byte("1\r\n\n\r\n")) })
 		}
-		most = max(most, len(w.r.list.servers))
+		maxEntries = max(maxEntries, len(w.engine.list.servers))
 	}
-	k := &w.r.list
-	if live := len(k.indexOf); live > 8+serverRetention/(2.5*heartbeatInterval)+2 || most > 30 || len(k.servers) != live+len(k.freeIndices) {
-		t.Errorf("%d servers known, %d places for them, %d free, after 120 generations", live, len(k.servers), len(k.freeIndices))
+	client := &w.engine.list
+	if live := len(client.indexOf); live > 8+serverRetention/(2.5*heartbeatInterval)+2 || maxEntries > 30 || len(client.servers) != live+len(client.freeIndices) {
+		t.Errorf("%d servers known, %d places for them, %d free, after 120 generations", live, len(client.servers), len(client.freeIndices))
 	}
-	if n := len(w.r.timers); n > 60 || len(w.r.entries) > 60 {
-		t.Errorf("%d timers wait, %d searches and parts have places", n, len(w.r.entries))
+	if n := len(w.engine.timers); n > 60 || len(w.engine.entries) > 60 {
+		t.Errorf("%d timers wait, %d searches and parts have places", n, len(w.engine.entries))
 	}
-	for id, at := range k.indexOf {
-		if v := k.servers[at]; v == nil || v.id != id {
+	for id, at := range client.indexOf {
+		if v := client.servers[at]; v == nil || v.id != id {
 			t.Errorf("index %d is not %s's", at, id)
 		}
 	}
@@ -46,11 +46,11 @@
 func TestReportFieldAliases(t *testing.T) {
 	w := newWorldOf(t, 1, `"localities":["a","b"]`, `"localities":["north, by the sea","a","a",""],"customers":[{"name":"x, y","quota-per-s":1},
 {"name":"z","quota-per-s":1},{"name":"z","quota-per-s":9}]`)
-	g := &w.r.config
+	g := &w.engine.config
 	if g.zones["north, by the sea"] != 0 || g.zones["a"] != 1 || g.zones[""] != 3 || len(g.zones) != 3 {
 		t.Error("zones: ", g.zones)
 	}
-	if w.r.Customer("x, y") != 0 || w.r.Customer("z") != 1 || w.r.Customer("unknown") != unknownCustomer || w.r.Customer("") != unknownCustomer {
-		t.Error("customers: ", g.customers, w.r.Customer("unknown"))
+	if w.engine.Customer("x, y") != 0 || w.engine.Customer("z") != 1 || w.engine.Customer("unknown") != unknownCustomer || w.engine.Customer("") != unknownCustomer {
+		t.Error("customers: ", g.customers, w.engine.Customer("unknown"))
 	}
 }
--- a/internal/aggregator/engine/timers_test.go
+++ b/internal/aggregator/engine/timers_test.go
@@ -11,22 +11,22 @@
 func TestTimersAreDroppedWithTheirSubject(t *testing.T) {
 	w := newWorld(t, 1, 4)
 	w.turn()
-	w.open()
+	w.openConns()
 	for range 200 {
-		w.turn(func() { w.ask("quick", 900, 0, 1, 2) })
-		w.open()
-		for _, c := range w.lanes() {
-			w.answer(c)
+		w.turn(func() { w.startSearch("quick", 900, 0, 1, 2) })
+		w.openConns()
+		for _, c := range w.serverConns() {
+			w.answerAttempts(c)
 		}
-		for c, e := range w.ends {
+		for c, e := range w.conns {
 			if e != nil && e.client != nil {
-				w.turn(func() { w.lose(transport.Conn(c)) })
+				w.turn(func() { w.closeByPeer(transport.Conn(c)) })
 			}
 		}
 		w.now++
 	}
-	if n := len(w.r.timers); n > 30 || len(w.r.searchByID) != 0 {
-		t.Errorf("%d timers and %d open ids are left of 200 searches", n, len(w.r.searchByID))
+	if n := len(w.engine.timers); n > 30 || len(w.engine.searchByID) != 0 {
+		t.Errorf("%d timers and %d open ids are left of 200 searches", n, len(w.engine.searchByID))
 	}
 }
 
--- a/internal/aggregator/engine/usage_test.go
+++ b/internal/aggregator/engine/usage_test.go
@@ -4,31 +4,31 @@
 	"testing"
 )
 
-// book adds up what a meter is told.
-type book struct {
-	searches, subs int64
-	by             map[Result]int64
-	left           int64
+// usageTotals sums the usage records of a meter.
+type usageTotals struct {
+	searches, attempts int64
+	byResult           map[Result]int64
+	clientsLeft        int64
 }
 
-func (b *book) Record(u *Usage) {
+func (b *usageTotals) Record(u *Usage) {
 	b.searches++
-	b.subs += int64(u.First + u.Retry + u.Hedge)
+	b.attempts += int64(u.First + u.Retry + u.Hedge)
 	if u.ClientLeft {
-		b.left++
+		b.clientsLeft++
 	} else {
-		b.by[u.Result]++
+		b.byResult[u.Result]++
 	}
 	if u.Server < 0 || u.First > u.Shards || u.AnsweredAt <= 0 {
-		panic("a use that can't be")
+		panic("impossible usage record")
 	}
 }
 
-// reconcile: what was metered is what was counted.
-func (b *book) reconcile(t *testing.T, c *Counters) {
+// reconcile checks that the metered totals equal the counters.
+func (b *usageTotals) reconcile(t *testing.T, c *Counters) {
 	t.Helper()
-	if c.Searches == 0 || b.searches != c.Searches || b.subs != c.AttemptsAsked || b.left != c.ClientsLeft || b.by[Complete] != c.Complete ||
-		b.by[Partial] != c.Partial || b.by[Shed] != c.Shed+c.OverPending || b.by[Failed] != c.Errored+c.TooLong {
+	if c.Searches == 0 || b.searches != c.Searches || b.attempts != c.AttemptsAsked || b.clientsLeft != c.ClientsLeft || b.byResult[Complete] != c.Complete ||
+		b.byResult[Partial] != c.Partial || b.byResult[Shed] != c.Shed+c.OverPending || b.byResult[Failed] != c.Errored+c.TooLong {
 		t.Fatalf("metered %+v, counted %+v", b, *c)
 	}
 }
--- a/internal/aggregator/engine/world_test.go
+++ b/internal/aggregator/engine/world_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	facts = `{"balancers":1,"classes":[{"aim-ms":300,"deadline-ms":1000,"effect":"repeatable","importance":1,"name":"quick",
+	settingsJSON = `{"balancers":1,"classes":[{"aim-ms":300,"deadline-ms":1000,"effect":"repeatable","importance":1,"name":"quick",
 "late-value":0.3},{"aim-ms":300,"deadline-ms":1000,"effect":"once","importance":3,"name":"once"},
 {"aim-ms":300,"deadline-ms":1000,"effect":"repeatable","importance":1,"name":"part"}],
 "family-info":{"places":4,"span":2,"batch":2,"slabs":8,"class-need":[1,1,1],"class-floor":[1,1,0.3],
@@ -22,85 +22,85 @@
 "limits":{"attempts-cap":4,"cancel":true,"parallel-tries":true,"connect-timeout-ms":100,"conn-idle-ms":2000,
 "streams-per-conn":2,"most-held":60,"may-probe":true,"retry-after":true,"max-retry-after-ms":500},
 "safety":{"answer-slack-ms":20,"drain-grace-ms":250},"report":{"fields":["active","cpu"],"via":"answers"},"zone":0}`
-	slack = 20
+	answerSlackMs = 20
 )
 
-// end is one connection as the other side has it.
-type end struct {
-	to       netip.AddrPort
-	client   *caller
-	open     bool
-	watched  bool // the head of its list is out
-	muted    bool
-	finished bool
-	sent     []byte // by the aggregator, not yet taken by the network
-	got      []byte // taken, not yet read
-	upTo     int64
-	told     int64
-	stuck    float64  // until then the network takes nothing
-	began    float64  // when the frame that comes was begun
-	waiting  []string // attempts a server holds
+// modelConn is one connection as the aggregator's peer sees it.
+type modelConn struct {
+	destination  netip.AddrPort
+	client       *modelClient
+	open         bool
+	watched      bool // the headers of its list have been sent
+	muted        bool
+	finished     bool
+	unsent       []byte // written by the aggregator, not yet accepted by the network
+	received     []byte // accepted by the network, not yet read by the peer
+	takenBytes   int64
+	acknowledged int64
+	stalledUntil float64  // until then the network accepts nothing
+	frameBeganAt float64  // when the first byte of the frame at the head of received was accepted
+	pending      []string // attempts and probes that a server has not answered
 }
 
-// caller is a client with its one search.
-type caller struct {
-	id      string
-	late    float64 // when its answer is late
-	shards  []int
-	asked   bool
-	answers int
-	status  int
-	at      float64 // when the last bytes for it were written
-	gone    bool
-	back    string // the time to come back
+// modelClient is a client with its one search.
+type modelClient struct {
+	id             string
+	answerDeadline float64 // after it an answer is late
+	shards         []int
+	asked          bool
+	answers        int
+	status         int
+	lastWriteAt    float64 // when the aggregator last wrote to it
+	disconnected   bool
+	retryAfter     string // of the last answer's header
 }
 
-// world is the network and all who stand behind it. What happens is drawn from a seed.
+// world simulates the network with its clients, servers and discovery. Events are drawn from a seed.
 type world struct {
-	t       testing.TB
-	r       *Engine
-	pool    *transport.Pool
-	rng     *rand.Rand
-	now     float64
-	ends    []*end
-	freed   []transport.Conn
-	armed   float64
-	stopped bool
-	deaf    bool // listens no more
-	paused  bool
-	callers []*caller
-	byID    map[string]*caller
-	version int
-	list    []listed
-	dying   []transport.Conn
-	lines   []string // of calls, as servers read them
-	least   int      // descriptors that are left for connecting; below 0 none fails
+	t              testing.TB
+	engine         *Engine
+	pool           *transport.Pool
+	rng            *rand.Rand
+	now            float64
+	conns          []*modelConn
+	freed          []transport.Conn
+	timerAt        float64
+	stopped        bool
+	unlistened     bool // the listeners are closed
+	paused         bool
+	callers        []*modelClient
+	byID           map[string]*modelClient
+	version        int
+	servers        []modelServer
+	failedConnects []transport.Conn
+	callLines      []string // the first line of each attempt, as servers read it
+	connectsLeft   int      // 0: each new connection fails; negative: none does
 }
 
-type listed struct {
-	state string
-	since float64
-	cell  int
+type modelServer struct {
+	state     string
+	changedAt float64
+	cell      int
 }
 
 func newWorld(t testing.TB, seed uint64, servers int) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1e6, pool: &transport.Pool{Size: 80 << 10, Max: 200},
-		byID: map[string]*caller{}, least: -1}
+		byID: map[string]*modelClient{}, connectsLeft: -1}
 	for i := range servers {
-		w.list = append(w.list, listed{state: "ready", cell: i % 4})
+		w.servers = append(w.servers, modelServer{state: "ready", cell: i % 4})
 	}
-	set, err := settings.FromJSON([]byte(facts))
+	set, err := settings.FromJSON([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.r = New(w, w.pool, zerolog.New(io.Discard), set, seed, 200, w.listLine(true), netip.MustParseAddrPort("127.0.0.1:9"), 0)
+	w.engine = New(w, w.pool, zerolog.New(io.Discard), set, seed, 200, w.listLine(true), netip.MustParseAddrPort("127.0.0.1:9"), 0)
 	return w
 }
 
-// newWorldOf is a world with other settings: pairs of what stands in the usual ones and what is to stand there.
+// newWorldOf returns a world with other settings: instead has pairs of a text of the usual settings and its replacement.
 func newWorldOf(t testing.TB, servers int, instead ...string) *world {
 	w := newWorld(t, 1, servers)
-	text := facts
+	text := settingsJSON
 	for i := 0; i < len(instead); i += 2 {
 		if !strings.Contains(text, instead[i]) {
 			t.Fatalf("the settings have no %s", instead[i])
@@ -111,6 +111,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.r = New(w, w.pool, zerolog.New(io.Discard), set, 1, 200, w.listLine(true), netip.MustParseAddrPort("127.0.0.1:9"), 0)
+	w.engine = New(w, w.pool, zerolog.New(io.Discard), set, 1, 200, w.listLine(true), netip.MustParseAddrPort("127.0.0.1:9"), 0)
 	return w
 }
