--- a/internal/aggregator/policy/admission_test.go
+++ b/internal/aggregator/policy/admission_test.go
@@ -30,7 +30,7 @@
 func TestPendingLimitSmallerThanASearch(t *testing.T) {
 	b, n := newTestPolicy(2, func(b *Policy) { b.Limits(4, 2, true, true) })
 	runSearch(b, 1000, 0, 4)
-	failIf(t, len(n.sent) != 4, "sent %v, want all four parts of the most valued search", n.sent)
+	failIf(t, len(n.sent) != 4, "sent %v, want all four requests of the most valued search", n.sent)
 }
 
 // Clients that gave up early and asked again: the work was done for nobody.
@@ -63,9 +63,9 @@
 	}
 }
 
-// Each part looked quick enough, and the search of fifty was late each time.
+// Each request was predicted fast enough, yet a search of fifty of them was late each time.
 func TestAdmissionGoesByTheSlowestRequest(t *testing.T) {
-	for _, parts := range []int{1, 50} {
+	for _, requests := range []int{1, 50} {
 		b, n := newTestPolicy(4, nil)
 		now := runAnsweredSearches(b, 1000, 30)
 		for i := range 100 {
@@ -74,10 +74,10 @@
 		taken := 0
 		for i := range 20 {
 			n.shed = nil
-			runSearch(b, now, 100*i, parts)
+			runSearch(b, now, 100*i, requests)
 			taken += 1 - len(n.shed)
 		}
-		failIf(t, parts == 1 && taken < 20 || parts > 1 && taken > 4, "%d of 20 searches of %d parts taken", taken, parts)
+		failIf(t, requests == 1 && taken < 20 || requests > 1 && taken > 4, "%d of 20 searches of %d requests admitted", taken, requests)
 	}
 }
 
--- a/internal/aggregator/policy/answer_test.go
+++ b/internal/aggregator/policy/answer_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A search that could not come to its least share any more was held until its other parts were in.
+// A search that can no longer reach its minimum share must not wait for its other requests.
 func TestSearchThatCannotReachItsFloorIsGivenUpAtOnce(t *testing.T) {
 	b, n := newTestPolicy(4, func(b *Policy) { b.Limits(1, 100, true, false) })
 	runSearch(b, 1000, 0, 4)
@@ -24,7 +24,7 @@
 	wantInts(t, "before the target", n.answered)
 	endLastAttempts(b, 1000+1000-answerMargin, Answered)
 	wantInts(t, "at the target", n.answered, 0)
-	failIf(t, n.complete, "three of four parts marked whole")
+	failIf(t, n.complete, "three of four requests marked complete")
 }
 
 // Parts that went round a full set kept all of its queues full.
--- a/internal/aggregator/policy/connections_test.go
+++ b/internal/aggregator/policy/connections_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Connections dropped unseen lost every part that came after a pause, its trials too.
+// Connections that were dropped unnoticed must not fail each request after an idle time, or its trials.
 func TestFaultyIdleConnectionsAreClosedBeforeSend(t *testing.T) {
 	for _, idle := range []bool{true, false} { // lost on idle connections alone, or on all: then the server hangs
 		b, n := newTestPolicy(2, nil)
--- a/internal/aggregator/policy/hedging_test.go
+++ b/internal/aggregator/policy/hedging_test.go
@@ -13,7 +13,7 @@
 	endLastAttempts(b, now+90, Answered)
 	wantInts(t, "before the share", n.sent, 1, 2, 3, 4)
 	endLastAttempts(b, now+160, Answered)
-	failIf(t, len(n.sent) != 5 || n.servers[4] == n.servers[0], "sent %v to %v: want one copy for a tenth of four parts, rounded up, elsewhere", n.sent, n.servers)
+	failIf(t, len(n.sent) != 5 || n.servers[4] == n.servers[0], "sent %v to %v: want one hedge for a tenth of four requests, rounded up, to another server", n.sent, n.servers)
 	endLastAttempts(b, now+170, Answered, n.sent[4])
 	wantInts(t, "cancelled", n.cancelled, n.sent[4])
 }
--- a/internal/aggregator/policy/helpers_test.go
+++ b/internal/aggregator/policy/helpers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// recorder keeps what the policy decides.
+// recorder records the decisions of the policy.
 type recorder struct {
 	sent, cancelled, answered, shed, failed, probed, forgotten, closed []int
 	servers                                                            []int
@@ -13,15 +13,15 @@
 	begin                                                              float64
 }
 
-func (n *recorder) Send(part, server int, _, begin float64) {
-	n.sent, n.servers, n.begin = append(n.sent, part), append(n.servers, server), begin
+func (n *recorder) Send(request, server int, _, begin float64) {
+	n.sent, n.servers, n.begin = append(n.sent, request), append(n.servers, server), begin
 }
-func (n *recorder) Cancel(part, _ int) { n.cancelled = append(n.cancelled, part) }
-func (n *recorder) Answer(search int, whole bool) {
-	n.answered, n.complete = append(n.answered, search), whole
+func (n *recorder) Cancel(request, _ int) { n.cancelled = append(n.cancelled, request) }
+func (n *recorder) Answer(search int, complete bool) {
+	n.answered, n.complete = append(n.answered, search), complete
 }
-func (n *recorder) Shed(search int, back float64) {
-	n.shed, n.retryAfter = append(n.shed, search), back
+func (n *recorder) Shed(search int, retryAfter float64) {
+	n.shed, n.retryAfter = append(n.shed, search), retryAfter
 }
 func (n *recorder) Fail(search int)   { n.failed = append(n.failed, search) }
 func (n *recorder) Probe(server int)  { n.probed = append(n.probed, server) }
@@ -31,7 +31,7 @@
 func (n *recorder) Log(_ string)      {}
 func (n *recorder) Forget(search int) { n.forgotten = append(n.forgotten, search) }
 
-// newTestPolicy has one query type, so many ready servers, and what set states besides.
+// newTestPolicy returns a policy with one query type and ready servers, after set has changed its settings.
 func newTestPolicy(servers int, set func(*Policy)) (*Policy, *recorder) {
 	n := &recorder{}
 	b := New(n, 1, 2, 0)
@@ -49,28 +49,28 @@
 	return b, n
 }
 
-// runSearch is a round with one search of so many shard requests, numbered behind it.
-func runSearch(b *Policy, now float64, id, parts int) {
+// runSearch runs a round with one search; its shard requests have the ids after its own.
+func runSearch(b *Policy, now float64, id, requests int) {
 	b.Begin(now)
-	b.Search(id, 0, 0, now+3000, parts)
-	for i := range parts {
-		b.ShardRequest(id, id+1+i, 0, 1/float64(parts), 100, 0)
+	b.Search(id, 0, 0, now+3000, requests)
+	for i := range requests {
+		b.ShardRequest(id, id+1+i, 0, 1/float64(requests), 100, 0)
 	}
 	b.End()
 }
 
-// endLastAttempts is a round in which the latest attempts of shard requests end.
-func endLastAttempts(b *Policy, now float64, how Outcome, parts ...int) {
+// endLastAttempts runs a round in which the latest attempts of shard requests end.
+func endLastAttempts(b *Policy, now float64, outcome Outcome, requests ...int) {
 	b.Begin(now)
-	for _, id := range parts {
+	for _, id := range requests {
 		if p := getAt(b.requests, id); p != nil {
-			b.Done(id, len(p.attempts)-1, how, nil)
+			b.Done(id, len(p.attempts)-1, outcome, nil)
 		}
 	}
 	b.End()
 }
 
-// runAnsweredSearches runs searches that are answered after 100 ms, and gives the time after them.
+// runAnsweredSearches runs searches that are answered after 100 ms, and returns the time after them.
 func runAnsweredSearches(b *Policy, now float64, searches int) float64 {
 	for range searches {
 		runSearch(b, now, 500, 1)
@@ -88,9 +88,9 @@
 	}
 }
 
-func failIf(t *testing.T, wrong bool, form string, args ...any) {
+func failIf(t *testing.T, failed bool, format string, args ...any) {
 	t.Helper()
-	if wrong {
-		t.Fatalf(form, args...)
+	if failed {
+		t.Fatalf(format, args...)
 	}
 }
--- a/internal/aggregator/policy/inflight_test.go
+++ b/internal/aggregator/policy/inflight_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-// What stands here is of parts whose bytes reach the client before they are whole, and of those it
+// The tests here are of requests whose bytes reach the client before they are complete, and of those it
 // is still sending.
 
-func (p *Policy) part(id int) *shardRequest { return getAt(p.requests, id) }
+func (p *Policy) requestByID(id int) *shardRequest { return getAt(p.requests, id) }
 
 func TestCommittedRequestHasNoOtherAttempt(t *testing.T) {
 	b, n := newTestPolicy(4, nil)
 	now := runAnsweredSearches(b, 1000, 30)
 	runSearch(b, now, 1, 1)
-	to := b.part(2).attempts[0].server
-	for b.Begin(now + 150); len(b.part(2).attempts) < 2 && b.now < now+900; b.Begin(b.now + 10) {
+	to := b.requestByID(2).attempts[0].server
+	for b.Begin(now + 150); len(b.requestByID(2).attempts) < 2 && b.now < now+900; b.Begin(b.now + 10) {
 		b.End()
 	}
-	if len(b.part(2).attempts) != 2 {
+	if len(b.requestByID(2).attempts) != 2 {
 		t.Fatal("no copy")
 	}
 	n.cancelled = nil
 	failIf(t, !b.Committed(2, 1, true), "the copy may not answer")
 	wantInts(t, "the loser is called off", n.cancelled, 2)
-	failIf(t, b.Committed(2, 0, true), "two of one part reach the client")
+	failIf(t, b.Committed(2, 0, true), "two attempts of one request reach the client")
 	b.End()
 	// It breaks in the middle: nothing goes again, and it can't be called harmless to ask again.
 	b.Begin(b.now + 10)
@@ -36,7 +36,7 @@
 	b, n := newTestPolicy(2, nil)
 	now := runAnsweredSearches(b, 1000, 30)
 	runSearch(b, now, 1, 1)
-	s := b.servers[b.part(2).attempts[0].server]
+	s := b.servers[b.requestByID(2).attempts[0].server]
 	b.Begin(now + 50)
 	b.Committed(2, 0, true)
 	b.End()
@@ -66,7 +66,7 @@
 		b.End()
 	}
 	for i := range 40 {
-		failIf(t, len(b.part(11+2*i).attempts) != 1, "sent %d times", len(b.part(11+2*i).attempts))
+		failIf(t, len(b.requestByID(11+2*i).attempts) != 1, "sent %d times", len(b.requestByID(11+2*i).attempts))
 		b.Done(11+2*i, 0, Cancelled, nil)
 	}
 	b.End()
@@ -86,9 +86,9 @@
 	b.Begin(now + 1600)
 	b.ClientSending(4, false)
 	b.End()
-	s := b.servers[b.part(4).attempts[0].server]
+	s := b.servers[b.requestByID(4).attempts[0].server]
 	failIf(t, s.parkedBatches != 0 || len(s.waiting) == 0, "its server is not waited for")
-	failIf(t, b.part(4).attempts[0].startedAt != now+1600 || b.part(4).attempts[0].sentAt != now+1100, "its times")
+	failIf(t, b.requestByID(4).attempts[0].startedAt != now+1600 || b.requestByID(4).attempts[0].sentAt != now+1100, "its times")
 }
 
 func TestPushbackIsObeyed(t *testing.T) {
@@ -110,7 +110,7 @@
 			failIf(t, len(n.sent) != sent+1, "not sent again")
 			continue
 		}
-		failIf(t, b.part(2) != nil || len(n.sent) != sent, "a wish of %.0f: not given up at once", wait)
+		failIf(t, b.requestByID(2) != nil || len(n.sent) != sent, "a wish of %.0f: not given up at once", wait)
 	}
 }
 
--- a/internal/aggregator/policy/outliers_test.go
+++ b/internal/aggregator/policy/outliers_test.go
@@ -17,7 +17,7 @@
 	if s := b.servers[n.servers[0]]; !s.ejected || !s.unresponsive {
 		t.Fatal("a server that answers nothing is not set aside")
 	}
-	failIf(t, len(n.servers) != 2 || n.servers[1] == n.servers[0], "sent to %v: want the part taken off the silent server", n.servers)
+	failIf(t, len(n.servers) != 2 || n.servers[1] == n.servers[0], "sent to %v: want the request retried on the other server than the unresponsive one", n.servers)
 }
 
 // A broker that stood still heard nothing meanwhile, and took all its servers for silent at once.
--- a/internal/aggregator/policy/placement_test.go
+++ b/internal/aggregator/policy/placement_test.go
@@ -8,7 +8,7 @@
 	b, n := newTestPolicy(2, nil)
 	runSearch(b, 1000, 0, 4)
 	for _, to := range n.servers[1:] {
-		failIf(t, to != n.servers[0], "parts went to %v: joining an open call adds nothing outstanding", n.servers)
+		failIf(t, to != n.servers[0], "requests went to %v: joining an open call adds nothing to what is in flight", n.servers)
 	}
 	if s := b.servers[n.servers[0]]; s.batches != 1 {
 		t.Fatalf("%d calls outstanding, want 1", s.batches)
@@ -34,7 +34,7 @@
 		b.chooseServer(y)
 		return y.server
 	}
-	failIf(t, !b.predictedSlow(b.predictor.features(1000, slow, 1)) || b.predictedSlow(b.predictor.features(1000, quick, 1)), "the two are not told apart")
+	failIf(t, !b.predictedSlow(b.predictor.features(1000, slow, 1)) || b.predictedSlow(b.predictor.features(1000, quick, 1)), "the two are not distinguished")
 	failIf(t, choose() != 1, "calm: a slow one was chosen")
 	b.predictor.median = 60
 	failIf(t, choose() != 0, "crowd: the one with more calls out was chosen")
--- a/internal/aggregator/policy/prediction_test.go
+++ b/internal/aggregator/policy/prediction_test.go
@@ -36,10 +36,10 @@
 	runSearch(b, now, 0, 1)
 	s, g := b.servers[0], &b.predictor
 	if x := g.features(now+50, s, 0); g.score(x) > 0.5 {
-		t.Fatal("a part just sent reads as slow")
+		t.Fatal("an attempt just sent is predicted slow")
 	}
 	if x := g.features(now+900, s, 0); x[2] != predict.MaxFeature || g.score(x) <= 0.5 {
-		t.Fatalf("a part out for nine lines reads as fast: %v", x)
+		t.Fatalf("an attempt in flight for nine lines is predicted fast: %v", x)
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// A big part takes long without being slow, and must not teach that its server is.
+// A large request takes long without its server being slow, and must not make the server look slow.
 func TestHintedWorkIsTakenOffLatencies(t *testing.T) {
 	b, _ := newTestPolicy(1, nil)
 	now := runAnsweredSearches(b, 1000, 30)
@@ -69,7 +69,7 @@
 	b.End()
 	endLastAttempts(b, now+180, Answered, 1)
 	if got := b.servers[0].history[0].latency; got > 110 {
-		t.Fatalf("a part of 180 ms work, answered in 180, counts as %.0f against the usual 100", got)
+		t.Fatalf("a request of 180 ms work, answered in 180, counts as %.0f against the usual 100", got)
 	}
 }
 
