--- a/internal/protocol/wire_golden_test.go
+++ b/internal/protocol/wire_golden_test.go
@@ -11,8 +11,8 @@
 	"kestrelspread/internal/protocol"
 )
 
-// TestWhatIsWrittenKeepsItsBytes freezes frames to servers, answers to clients and the question to discovery.
-func TestWhatIsWrittenKeepsItsBytes(t *testing.T) {
+// TestWrittenBytesMatchGolden compares frames to servers, answers to clients and the request to discovery with the golden file.
+func TestWrittenBytesMatchGolden(t *testing.T) {
 	var text strings.Builder
 	show := func(what string, content []byte) { fmt.Fprintf(&text, "%s %q\n", what, content) }
 
@@ -37,9 +37,9 @@
 	golden.Assert(t, text.String(), "golden/written.txt")
 }
 
-// TestWhatIsReadIsUnderstoodAsBefore freezes what is made of the frames of servers, searches of clients and lists of
-// discovery.
-func TestWhatIsReadIsUnderstoodAsBefore(t *testing.T) {
+// TestParsedInputMatchesGolden compares the parsed frames of servers, searches of clients and lists of
+// discovery with the golden file.
+func TestParsedInputMatchesGolden(t *testing.T) {
 	var text strings.Builder
 	var frames protocol.FrameSplitter
 	frames.SetStorage(make([]byte, 0, protocol.MaxFrame+4))
@@ -51,17 +51,17 @@
 	input = protocol.AppendShortFrame(input, 'G', "")
 	input = protocol.AppendShortFrame(input, 'N', "anything")
 	for len(input) > 0 {
-		part := input[:min(5, len(input))]
-		input = input[len(part):]
-		err := frames.Feed(part, func(letter byte, rest []byte) error {
-			fmt.Fprintf(&text, "frame %c %q", letter, rest)
-			report := rest
-			if letter == 'Y' {
-				id, end, reported, value, err := protocol.ReadReply(rest)
+		chunk := input[:min(5, len(input))]
+		input = input[len(chunk):]
+		err := frames.Feed(chunk, func(frameType byte, payload []byte) error {
+			fmt.Fprintf(&text, "frame %c %q", frameType, payload)
+			report := payload
+			if frameType == 'Y' {
+				id, end, reported, value, err := protocol.ReadReply(payload)
 				fmt.Fprintf(&text, ": %q %d %q %q %t", id, end, reported, value, err == nil)
 				report = reported
 			}
-			if letter == 'Y' || letter == 'T' {
+			if frameType == 'Y' || frameType == 'T' {
 				err := protocol.ReadReport(report, func(name []byte, value float64) { fmt.Fprintf(&text, " %s:%v", name, value) })
 				fmt.Fprintf(&text, " %t", err == nil)
 			}
@@ -77,9 +77,9 @@
 	})
 	assert.NilError(t, err)
 	fmt.Fprintf(&text, "search %q %v\n", content, sum)
-	for _, broken := range []string{`{}`, `{"text":"a","segments":[]}`, `{"text":"a","segments":[{"segment":4,"boost":1}]}`} {
-		_, _, err := protocol.ReadSearch([]byte(broken), 4, func(int, float64, float64, uint64) {})
-		assert.Assert(t, err != nil, broken)
+	for _, malformed := range []string{`{}`, `{"text":"a","segments":[]}`, `{"text":"a","segments":[{"segment":4,"boost":1}]}`} {
+		_, _, err := protocol.ReadSearch([]byte(malformed), 4, func(int, float64, float64, uint64) {})
+		assert.Assert(t, err != nil, malformed)
 	}
 
 	list := `{"generation":12,"reset":true,"instances":[` +
