--- a/cmd/kestrelctl/owner_test.go
+++ b/cmd/kestrelctl/owner_test.go
@@ -15,6 +15,7 @@
 	"kestrelspread/internal/standin/singlevoter"
 )
 
+// ctl runs a command, and returns all that it printed.
 func ctl(args ...string) (string, error) {
 	c := command()
 	var out bytes.Buffer
@@ -25,75 +26,115 @@
 	return out.String(), err
 }
 
-// Operators see who owns what, move a duty, take one by force; whoever has not seen the latest token is refused.
-func TestOperatorsSeeAndMoveDuties(t *testing.T) {
-	_, voters, rules := singlevoter.Start(t, 600)
-	at := voters[0].Addr
-	idle := func() client.Job { return still{} }
-	for _, name := range []string{"a.1", "b.1"} {
-		n, err := client.New(client.Options{Name: name, Voters: voters, Config: rules, Jobs: map[string]func() client.Job{"close": idle}, Log: zerolog.Nop()})
-		if err != nil {
-			t.Fatal(err)
-		}
-		n.Start()
-		defer n.Close(time.Second)
-	}
-	type duty struct {
-		Name, Owner string
-		Token       uint64
-	}
-	see := func() (d duty) {
-		out, err := ctl("owner", "list", "--json", "--voters", at)
-		var list []duty
-		if err == nil && json.Unmarshal([]byte(out), &list) == nil && len(list) == 1 {
-			return list[0]
-		}
-		return d
-	}
-	until := func(what string, ok func(d duty) bool) (d duty) {
-		t.Helper()
-		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-			if d = see(); ok(d) {
-				return d
-			}
+// leaseTimeout is how long a test waits for a lease to change.
+const leaseTimeout = 20 * time.Second
+
+// ownedRole is a role in the JSON output of owner list.
+type ownedRole struct {
+	Name, Owner string
+	Token       uint64
+}
+
+// listRole returns the only role that owner list prints, or none.
+func listRole(voter string) ownedRole {
+	out, err := ctl("owner", "list", "--json", "--voters", voter)
+	var roles []ownedRole
+	if err == nil && json.Unmarshal([]byte(out), &roles) == nil && len(roles) == 1 {
+		return roles[0]
+	}
+	return ownedRole{}
+}
+
+// waitForRole waits until the role meets a condition, and returns it.
+func waitForRole(t *testing.T, voter, condition string, met func(role ownedRole) bool) ownedRole {
+	t.Helper()
+	var role ownedRole
+	for end := time.Now().Add(leaseTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if role = listRole(voter); met(role) {
+			return role
 		}
-		t.Fatalf("never: %s; %+v", what, d)
-		return d
-	}
-	first := until("an owner", func(d duty) bool { return d.Owner != "" })
-	// The second one may not have asked yet: a move to it is refused until it has.
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		var asked map[string]float64
-		if out, err := ctl("owner", "instances", "--json", "--voters", at); err == nil && json.Unmarshal([]byte(out), &asked) == nil && len(asked) == 2 {
-			break
+	}
+	t.Fatalf("never: %s; %+v", condition, role)
+	return role
+}
+
+// waitForInstances waits until that many instances have asked for leases: a move to one that hasn't
+// is rejected.
+func waitForInstances(t *testing.T, voter string, count int) {
+	t.Helper()
+	for end := time.Now().Add(leaseTimeout); ; time.Sleep(20 * time.Millisecond) {
+		var requestAges map[string]float64
+		out, err := ctl("owner", "instances", "--json", "--voters", voter)
+		if err == nil && json.Unmarshal([]byte(out), &requestAges) == nil && len(requestAges) == count {
+			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the two instances never asked")
+			t.Fatalf("the %d instances never asked", count)
 		}
 	}
+}
+
+// startRoleFleet starts a voter and two instances, a.1 and b.1, that ask for the role "close"; it
+// returns the voter's address.
+func startRoleFleet(t *testing.T) string {
+	t.Helper()
+	_, voters, config := singlevoter.Start(t, 600)
+	for _, name := range []string{"a.1", "b.1"} {
+		instance, err := client.New(client.Options{Name: name, Voters: voters, Config: config,
+			Jobs: map[string]func() client.Job{"close": func() client.Job { return idleJob{} }}, Log: zerolog.Nop()})
+		if err != nil {
+			t.Fatal(err)
+		}
+		instance.Start()
+		t.Cleanup(func() { instance.Close(time.Second) })
+	}
+	return voters[0].Addr
+}
+
+// Operators see who holds a role's lease, transfer it and revoke it; whoever hasn't seen the latest
+// token is rejected.
+func TestOwnerMovesAndReleasesRolesByLatestToken(t *testing.T) {
+	voter := startRoleFleet(t)
+	first := waitForRole(t, voter, "an owner", func(role ownedRole) bool { return role.Owner != "" })
+	waitForInstances(t, voter, 2)
 	other := map[string]string{"a.1": "b", "b.1": "a"}[first.Owner]
-	token := fmt.Sprint(first.Token)
-	if out, err := ctl("owner", "move", "close", "--voters", at, "--to", other, "--token", fmt.Sprint(first.Token+7)); err == nil || !strings.Contains(err.Error(), "not the latest") {
+	move := func(token uint64) (string, error) {
+		return ctl("owner", "move", "close", "--voters", voter, "--to", other, "--token", fmt.Sprint(token))
+	}
+	release := func(token uint64) (string, error) {
+		return ctl("owner", "release", "close", "--voters", voter, "--token", fmt.Sprint(token))
+	}
+	if out, err := move(first.Token + 7); err == nil || !strings.Contains(err.Error(), "not the latest") {
 		t.Error("a token that nobody has seen was taken:", out, err)
 	}
-	if out, err := ctl("owner", "move", "close", "--voters", at, "--to", other, "--token", token); err != nil {
+	if out, err := move(first.Token); err != nil {
 		t.Fatal(out, err)
 	}
-	moved := until("it is moved", func(d duty) bool { return d.Owner == other+".1" })
-	if _, err := ctl("owner", "release", "close", "--voters", at, "--token", token); err == nil {
+	moved := waitForRole(t, voter, "it is moved", func(role ownedRole) bool { return role.Owner == other+".1" })
+	if _, err := release(first.Token); err == nil {
 		t.Error("the second operator undid what the first did, without having seen it")
 	}
-	if out, err := ctl("owner", "release", "close", "--voters", at, "--token", fmt.Sprint(moved.Token)); err != nil {
+	if out, err := release(moved.Token); err != nil {
 		t.Fatal(out, err)
 	}
-	until("another token", func(d duty) bool { return d.Token > moved.Token })
-	for _, c := range []struct{ args, want string }{{"history close", "forced"}, {"voters", "votes"}, {"instances", "ms ago"}, {"show close", "token"}, {"list", "lease left"}} {
-		out, err := ctl(append(append([]string{"owner"}, strings.Fields(c.args)...), "--voters", at)...)
-		if err != nil || !strings.Contains(out, c.want) {
-			t.Errorf("%s: %q is not in %s, %v", c.args, c.want, out, err)
+	waitForRole(t, voter, "another token", func(role ownedRole) bool { return role.Token > moved.Token })
+	checkOwnerTables(t, voter)
+}
+
+// checkOwnerTables checks what the sub-commands print of a role that was revoked, and that they fail
+// for an unknown role and where no voter answers.
+func checkOwnerTables(t *testing.T, voter string) {
+	t.Helper()
+	for _, test := range []struct{ args, want string }{
+		{"history close", "forced"}, {"voters", "votes"}, {"instances", "ms ago"}, {"show close", "token"}, {"list", "lease left"},
+	} {
+		args := append([]string{"owner"}, strings.Fields(test.args)...)
+		out, err := ctl(append(args, "--voters", voter)...)
+		if err != nil || !strings.Contains(out, test.want) {
+			t.Errorf("%s: %q is not in %s, %v", test.args, test.want, out, err)
 		}
 	}
-	if _, err := ctl("owner", "show", "nothing", "--voters", at); err == nil {
+	if _, err := ctl("owner", "show", "nothing", "--voters", voter); err == nil {
 		t.Error("a duty that is not there is shown")
 	}
 	if _, err := ctl("owner", "list", "--voters", "127.0.0.1:1", "--within", "300ms"); err == nil {
@@ -101,8 +142,30 @@
 	}
 }
 
-type still struct{}
+func TestOwnerRejectsVoterWithoutPort(t *testing.T) {
+	_, err := ctl("owner", "list", "--voters", "127.0.0.1:1,nowhere")
+	if err == nil || !strings.Contains(err.Error(), "--voters: address nowhere: missing port") {
+		t.Error("a voter's address without a port was taken:", err)
+	}
+}
+
+func TestOwnerClosesEachVoterOnce(t *testing.T) {
+	flags := &ownerFlags{voters: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}}
+	peers, closeAll, err := flags.dialVoters()
+	if err != nil || len(peers) != 2 {
+		t.Fatal(peers, err)
+	}
+	closeAll()
+	for address, peer := range peers {
+		if err := peer.Close(); err == nil {
+			t.Error(address, "was still open")
+		}
+	}
+}
+
+// idleJob is a role's work that does nothing.
+type idleJob struct{}
 
-func (still) Step(context.Context, *client.Grant) (time.Duration, error) {
+func (idleJob) Step(context.Context, *client.Grant) (time.Duration, error) {
 	return 50 * time.Millisecond, nil
 }
