--- a/cmd/kestrelctl/fleet.go
+++ b/cmd/kestrelctl/fleet.go
@@ -21,6 +21,7 @@
 // nodeProgram is the program of a node, which the demonstration starts.
 const nodeProgram = "kestrelnode"
 
+// fleetDemo plays a small fleet of real nodes.
 func fleetDemo() *cobra.Command {
 	options := fleet.DemoOptions{}
 	c := &cobra.Command{
@@ -49,7 +50,8 @@
 	return c
 }
 
-// findNodeProgram gives the path of the nodes' program.
+// findNodeProgram returns the absolute path of the nodes' program: the one named, or the one that
+// stands beside this program.
 func findNodeProgram(named string) (string, error) {
 	path := named
 	if path == "" {
--- a/cmd/kestrelctl/fleet_test.go
+++ b/cmd/kestrelctl/fleet_test.go
@@ -14,8 +14,8 @@
 	"kestrelspread/internal/node/nodestatus"
 )
 
-// nodeAt serves a status, and gives the address.
-func nodeAt(t *testing.T, status nodestatus.Status) string {
+// serveStatus serves a status, and returns the address.
+func serveStatus(t *testing.T, status nodestatus.Status) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(status)
@@ -24,6 +24,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// statusOf returns the status of a node at an epoch.
 func statusOf(name string, epoch uint64) nodestatus.Status {
 	return nodestatus.Status{
 		Node: name, ID: name + "/1", Zone: "zone-a", Ready: true, ConfigVersion: 7, ModelVersions: map[string]uint64{"m": 2},
@@ -42,8 +43,8 @@
 	}
 }
 
-// nobody gives an address at which nobody listens.
-func nobody(t *testing.T) string {
+// unusedAddress returns an address at which nobody listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -51,9 +52,9 @@
 	return listener.Addr().String()
 }
 
-func TestFleetStatus(t *testing.T) {
-	agreeing := []string{nodeAt(t, statusOf("n1", 3)), nodeAt(t, statusOf("n2", 3))}
-	ahead := nodeAt(t, statusOf("n3", 4))
+func TestFleetStatusReportsDisagreements(t *testing.T) {
+	agreeing := []string{serveStatus(t, statusOf("n1", 3)), serveStatus(t, statusOf("n2", 3))}
+	ahead := serveStatus(t, statusOf("n3", 4))
 	other := statusOf("n4", 3)
 	other.ConfigVersion = 9
 	for _, test := range []struct {
@@ -67,8 +68,8 @@
 			"n1 late: waited for other prompts 4",
 			"1s ago, r1 at i1: waited for other prompts; first event 510ms, pause 0s, 700 tokens unread, 21000 ahead, longest other 0, load 3 believed, 2+1 reported"}, ""},
 		{"another view", append([]string{ahead}, agreeing...), []string{"n3", "the view differently: epoch 4, chain a b (n3)"}, "disagree on the view"},
-		{"a change on its way", append([]string{nodeAt(t, other)}, agreeing...), []string{"the state in force differently"}, ""},
-		{"nobody there", append([]string{nobody(t)}, agreeing...), []string{"unreachable", "n1"}, "can't be reached"},
+		{"a change on its way", append([]string{serveStatus(t, other)}, agreeing...), []string{"the state in force differently"}, ""},
+		{"nobody there", append([]string{unusedAddress(t)}, agreeing...), []string{"unreachable", "n1"}, "can't be reached"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			out, err := ctl(append([]string{"fleet", "status", "--within", "1ms"}, test.addresses...)...)
@@ -85,16 +86,16 @@
 	}
 }
 
-func TestFleetStatusAsJSON(t *testing.T) {
-	out, err := ctl("fleet", "status", "--json", nodeAt(t, statusOf("n1", 3)))
+func TestFleetStatusPrintsJSON(t *testing.T) {
+	out, err := ctl("fleet", "status", "--json", serveStatus(t, statusOf("n1", 3)))
 	assert.NilError(t, err)
-	var picture fleetPicture
-	assert.NilError(t, json.Unmarshal([]byte(out), &picture))
-	assert.Equal(t, picture.Nodes[0].Chain.Committed, uint64(12))
-	assert.Equal(t, len(picture.Unreachable), 0)
+	var snapshot fleetSnapshot
+	assert.NilError(t, json.Unmarshal([]byte(out), &snapshot))
+	assert.Equal(t, snapshot.Nodes[0].Chain.Committed, uint64(12))
+	assert.Equal(t, len(snapshot.Unreachable), 0)
 }
 
-func TestFleetDemoTellsHowToBuildItsNode(t *testing.T) {
+func TestFleetDemoSaysHowToBuildItsNode(t *testing.T) {
 	_, err := ctl("fleet", "demo", "--binary", filepath.Join(t.TempDir(), "kestrelnode"))
 	assert.ErrorContains(t, err, "go build -o bin/ ./cmd/...")
 }
--- a/cmd/kestrelctl/fleetfaults.go
+++ b/cmd/kestrelctl/fleetfaults.go
@@ -10,7 +10,7 @@
 	"kestrelspread/internal/harness/faultrun"
 )
 
-// fleetFaults plays whole fleets under a virtual clock, with troubles that follow from seeds.
+// fleetFaults plays complete fleets under a virtual clock, with faults that follow from seeds.
 func fleetFaults() *cobra.Command {
 	options := faultrun.CampaignOptions{}
 	replay := ""
--- a/cmd/kestrelctl/fleetstatus.go
+++ b/cmd/kestrelctl/fleetstatus.go
@@ -16,9 +16,10 @@
 	"kestrelspread/internal/node/nodestatus"
 )
 
-// statusPause lies between two looks at nodes that do not agree yet.
-const statusPause = 100 * time.Millisecond
+// statusInterval is the time between two queries of nodes that do not agree yet.
+const statusInterval = 100 * time.Millisecond
 
+// fleetStatus prints the status of nodes, and fails where they disagree on the view.
 func fleetStatus() *cobra.Command {
 	var asJSON bool
 	var within time.Duration
@@ -26,11 +27,11 @@
 		Use: "status ADDRESS...", Args: cobra.MinimumNArgs(1),
 		Short: "What nodes say at their control addresses; exit 1 where they disagree on the view or one can't be reached",
 		RunE: func(cmd *cobra.Command, addresses []string) error {
-			picture := lookWithin(cmd.Context(), addresses, within)
-			if err := picture.print(cmd.OutOrStdout(), asJSON); err != nil {
+			snapshot := queryUntilAgreement(cmd.Context(), addresses, within)
+			if err := snapshot.print(cmd.OutOrStdout(), asJSON); err != nil {
 				return err
 			}
-			return picture.failure()
+			return snapshot.failure()
 		},
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
@@ -38,8 +39,8 @@
 	return c
 }
 
-// fleetPicture is what nodes said at one look.
-type fleetPicture struct {
+// fleetSnapshot is what nodes answered to one query.
+type fleetSnapshot struct {
 	Nodes       []*nodestatus.Status `json:"nodes"`
 	Unreachable []string             `json:"unreachable"`
 	Differences []fleetDifference    `json:"differences"`
@@ -51,20 +52,21 @@
 	Text    string             `json:"text"`
 }
 
-// lookWithin looks at nodes until all answer and agree on the view, or the time is over.
-func lookWithin(ctx context.Context, addresses []string, within time.Duration) *fleetPicture {
+// queryUntilAgreement queries nodes until all answer and agree on the view, or the time is over; it
+// returns the last snapshot.
+func queryUntilAgreement(ctx context.Context, addresses []string, within time.Duration) *fleetSnapshot {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	ticker := time.NewTicker(statusPause)
+	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for {
-		picture := look(addresses)
-		if picture.failure() == nil {
-			return picture
+		snapshot := queryNodes(addresses)
+		if snapshot.failure() == nil {
+			return snapshot
 		}
 		select {
 		case <-ctx.Done():
-			return picture
+			return snapshot
 		case <-ticker.C:
 		}
 	}
@@ -73,8 +75,8 @@
 // statusTimeout is how long a node may take to answer.
 const statusTimeout = 2 * time.Second
 
-// look asks all nodes at the same time.
-func look(addresses []string) *fleetPicture {
+// queryNodes asks all nodes at the same time.
+func queryNodes(addresses []string) *fleetSnapshot {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	statuses := make([]*nodestatus.Status, len(addresses))
@@ -89,60 +91,61 @@
 	for range addresses {
 		<-done
 	}
-	picture := &fleetPicture{Nodes: []*nodestatus.Status{}, Unreachable: []string{}, Differences: []fleetDifference{}}
+	snapshot := &fleetSnapshot{Nodes: []*nodestatus.Status{}, Unreachable: []string{}, Differences: []fleetDifference{}}
 	for i := range addresses {
 		if failures[i] != nil {
-			picture.Unreachable = append(picture.Unreachable, failures[i].Error())
+			snapshot.Unreachable = append(snapshot.Unreachable, failures[i].Error())
 			continue
 		}
-		picture.Nodes = append(picture.Nodes, statuses[i])
+		snapshot.Nodes = append(snapshot.Nodes, statuses[i])
 	}
-	for _, d := range nodestatus.Disagreements(picture.Nodes) {
-		picture.Differences = append(picture.Differences, fleetDifference(d))
+	for _, d := range nodestatus.Disagreements(snapshot.Nodes) {
+		snapshot.Differences = append(snapshot.Differences, fleetDifference(d))
 	}
-	return picture
+	return snapshot
 }
 
 // failure says why the exit code is not 0.
-func (p *fleetPicture) failure() error {
-	if len(p.Unreachable) > 0 {
-		return fmt.Errorf("%d nodes can't be reached", len(p.Unreachable))
+func (s *fleetSnapshot) failure() error {
+	if len(s.Unreachable) > 0 {
+		return fmt.Errorf("%d nodes can't be reached", len(s.Unreachable))
 	}
-	if slices.ContainsFunc(p.Differences, func(d fleetDifference) bool { return d.Subject == nodestatus.SubjectView }) {
+	if slices.ContainsFunc(s.Differences, func(d fleetDifference) bool { return d.Subject == nodestatus.SubjectView }) {
 		return errors.New("nodes disagree on the view")
 	}
 	return nil
 }
 
-func (p *fleetPicture) print(out io.Writer, asJSON bool) error {
+// print writes the snapshot as JSON, or as a table with remarks below it.
+func (s *fleetSnapshot) print(out io.Writer, asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(out).Encode(p)
+		return json.NewEncoder(out).Encode(s)
 	}
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "node\tzone\tready\tconfig\tweights\tchain\tepoch\tcommitted\tconfirmed\tmembers\tbrokers\ttaken\tanswered\trefused\tfailed\tpredicted")
-	for _, node := range p.Nodes {
+	for _, node := range s.Nodes {
 		fmt.Fprintln(table, strings.Join(statusRow(node), "\t"))
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, node := range p.Nodes {
+	for _, node := range s.Nodes {
 		if reasons := countsByReason(node.Refusals); reasons != "" {
 			fmt.Fprintf(out, "%s refused: %s\n", node.Node, reasons)
 		}
 		printLate(out, node)
 	}
-	for _, text := range p.Unreachable {
+	for _, text := range s.Unreachable {
 		fmt.Fprintln(out, "unreachable:", text)
 	}
-	for _, d := range p.Differences {
+	for _, d := range s.Differences {
 		fmt.Fprintf(out, "nodes see %s differently: %s\n", d.Subject, d.Text)
 	}
 	return nil
 }
 
-// latePrinted is how many late answers of a node are printed; --json has all that the node keeps.
-const latePrinted = 3
+// lateAnswersPrinted is how many late answers of a node are printed; --json has all that the node keeps.
+const lateAnswersPrinted = 3
 
 // printLate says why a node's answers were late, and what was expected of prompts.
 func printLate(out io.Writer, node *nodestatus.Status) {
@@ -157,7 +160,7 @@
 	if causes := countsByReason(node.Late); causes != "" {
 		fmt.Fprintf(out, "%s late: %s\n", node.Node, causes)
 	}
-	for _, late := range node.NewestLate[max(len(node.NewestLate)-latePrinted, 0):] {
+	for _, late := range node.NewestLate[max(len(node.NewestLate)-lateAnswersPrinted, 0):] {
 		fmt.Fprintf(out, "  %s ago, %s at %s: %s; first event %s, pause %s, %d tokens unread, %d ahead, longest other %d, load %.0f believed, %d+%d reported\n",
 			late.Ago, late.Route, late.Instance, late.Cause, late.FirstEvent, late.MaxGap, late.PrefillTokens, late.QueuedPrefillTokens, late.LongestOtherPrompt, late.Load,
 			late.Running, late.Waiting)
@@ -185,12 +188,12 @@
 	}
 }
 
-// shareOf is a count as a share of a whole.
-func shareOf(count, whole uint64) string {
-	if whole == 0 {
+// shareOf formats a count as a percentage of a total, or as a dash where the total is 0.
+func shareOf(count, total uint64) string {
+	if total == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.1f%%", 100*float64(count)/float64(whole))
+	return fmt.Sprintf("%.1f%%", 100*float64(count)/float64(total))
 }
 
 // countsByReason lists counts, as "all brokers full 7, retry budget spent 1".
--- a/cmd/kestrelctl/ledger_test.go
+++ b/cmd/kestrelctl/ledger_test.go
@@ -13,9 +13,9 @@
 	"kestrelspread/internal/ledger/store"
 )
 
-func TestLedgerCommands(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "ledger")
-	s, err := store.Open(vfs.Default, folder, "n0", time.Now())
+func TestLedgerCommandsReadCorrectAndClose(t *testing.T) {
+	directory := filepath.Join(t.TempDir(), "ledger")
+	s, err := store.Open(vfs.Default, directory, "n0", time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 		var out bytes.Buffer
 		c := command()
 		c.SetOut(&out)
-		c.SetArgs(append([]string{"ledger"}, append(args, "--folder", folder)...))
+		c.SetArgs(append([]string{"ledger"}, append(args, "--folder", directory)...))
 		err := c.Execute()
 		return out.String(), err
 	}
@@ -45,19 +45,19 @@
 			t.Errorf("%v: %v\n%s\nwant an error with %s", args, err, out, part)
 		}
 	}
-	cal := []string{"--every", "day", "--zone", "UTC"}
+	calendar := []string{"--every", "day", "--zone", "UTC"}
 	fix := append([]string{"correct", "--author", "x", "--reason", "twice", "--reference", "bill 7", "--period", "2026-03-01T12:00:00Z",
-		"--customer", "desk", "--query-type", "quick"}, cal...)
+		"--customer", "desk", "--query-type", "quick"}, calendar...)
 	want("desk", "totals")
-	want("1 periods closed", append([]string{"close"}, cal...)...)
-	want("0 periods closed", append([]string{"close"}, cal...)...)
+	want("1 periods closed", append([]string{"close"}, calendar...)...)
+	want("0 periods closed", append([]string{"close"}, calendar...)...)
 	want("known before: false", append(fix, "--key", "k1", "--add", "searches=-3")...)
 	want("known before: true", append(fix, "--key", "k1", "--add", "searches=-3")...)
 	refused("another correction", append(fix, "--key", "k1", "--add", "searches=-4")...)
 	refused("below 0", append(fix, "--key", "k2", "--add", "searches=-8")...)
 	refused("nothing is called", append(fix, "--key", "k2", "--add", "sarches=1")...)
 	want(`"corrected":[-3,`, "totals", "--json")
-	want("known before: false", append([]string{"correct", "--author", "x", "--reason", "was right", "--reference", "k1", "--key", "k3", "--of", "k1"}, cal...)...)
+	want("known before: false", append([]string{"correct", "--author", "x", "--reason", "was right", "--reference", "k1", "--key", "k3", "--of", "k1"}, calendar...)...)
 	want(`"corrected":[0,`, "totals", "--json")
 	want("sound", "verify")
 	want(`"Reason":"twice"`, "show")
--- a/cmd/kestrelctl/scenario.go
+++ b/cmd/kestrelctl/scenario.go
@@ -4,247 +4,195 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"path/filepath"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/fleet/lossplan"
 	"kestrelspread/internal/harness/scenario"
 )
 
-func readScenario(file string) (*scenario.File, error) {
-	text, err := os.ReadFile(file)
-	if err != nil {
-		return nil, err
-	}
-	f, err := scenario.Read(text)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
-	}
-	return f, nil
-}
+// policySighted is the zone-aware policy: the only one whose missed expectations count as failures.
+const policySighted = "sighted"
 
-func scenarios() *cobra.Command {
+// policyModule is the module without sight of sites, which the broker has under no name.
+const policyModule = "module"
+
+// scenarioCommand plays scenarios, and checks and prints their files.
+func scenarioCommand() *cobra.Command {
 	root := &cobra.Command{Use: "scenario", Short: "Play faults between brokers, servers and clients, all on loopback"}
-	var policies []string
-	var plot, dir string
-	var asJSON, short bool
-	var seed uint64
-	run := &cobra.Command{Use: "run FILE...", Short: "Play scenarios; exit 1 where a rule broke or an expectation is missed", Args: cobra.MinimumNArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
+	root.AddCommand(scenarioRun(), scenarioShow(), scenarioSchema())
+	return root
+}
+
+// scenarioRunOptions are the flags of scenario run.
+type scenarioRunOptions struct {
+	policies  []string
+	plotPath  string
+	directory string
+	asJSON    bool
+	short     bool
+	// seed replaces the file's unless it is 0.
+	seed uint64
+}
+
+func scenarioRun() *cobra.Command {
+	options := &scenarioRunOptions{}
+	c := &cobra.Command{
+		Use: "run FILE...", Args: cobra.MinimumNArgs(1),
+		Short: "Play scenarios; exit 1 where a rule broke or an expectation is missed",
+		RunE: func(cmd *cobra.Command, paths []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
 			defer stop()
-			bad := 0
-			for _, file := range args {
-				f, err := readScenario(file)
-				if err != nil {
-					return err
-				}
-				if seed > 0 {
-					f.Seed = seed
-				}
-				if short {
-					f = f.Short()
-				}
-				reports, err := play(ctx, cmd, f, policies, dir)
+			failures := 0
+			for _, path := range paths {
+				failed, err := options.runFile(ctx, cmd, path, len(paths) > 1)
 				if err != nil {
 					return err
 				}
-				for _, r := range reports {
-					if asJSON {
-						b, _ := json.Marshal(r)
-						fmt.Fprintln(cmd.OutOrStdout(), string(b))
-					} else {
-						r.Print(cmd.OutOrStdout())
-						fmt.Fprintln(cmd.OutOrStdout())
-					}
-					if bad += len(r.Violations); r.Policy == "sighted" { // who else misses what is expected is there to compare with
-						bad += len(r.FailedExpectations)
-					}
-				}
-				if plot != "" {
-					at := plot
-					if len(args) > 1 {
-						at = strings.TrimSuffix(plot, filepath.Ext(plot)) + "-" + f.Name + filepath.Ext(plot)
-					}
-					if err := scenario.Plot(at, reports...); err != nil {
-						return err
-					}
-				}
-			}
-			if bad > 0 {
-				return fmt.Errorf("%d rules broken or expectations missed", bad)
-			}
-			return nil
-		}}
-	run.Flags().StringSliceVar(&policies, "policy", []string{"sighted"}, "sighted (the module with sight of whole sites), planned (and of what is borne), module (without), failover, roundrobin, random; one after another")
-	run.Flags().StringVar(&plot, "plot", "", "a PNG or SVG file for value served by second")
-	run.Flags().StringVar(&dir, "keep", "", "a folder for configurations and logs")
-	run.Flags().BoolVar(&asJSON, "json", false, "the reports, a line each")
-	run.Flags().BoolVar(&short, "short", false, "half the size, a third of the time: whether a rule breaks, not how well it goes")
-	run.Flags().Uint64Var(&seed, "seed", 0, "in place of the file's")
-	show := &cobra.Command{Use: "show FILE", Short: "Check a scenario and print its schedule", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := readScenario(args[0])
-			if err != nil {
-				return err
+				failures += failed
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n%v s, seed %d, %d servers, %d shards on %d each\n", f.Name, f.Description, f.Seconds, f.Seed, len(f.ServerLayout()), f.ShardCount, f.ReplicaCount)
-			for _, s := range f.Schedule(func(p string, _ float64) []string { return []string{p} }) {
-				fmt.Fprintln(cmd.OutOrStdout(), s)
+			if failures > 0 {
+				return fmt.Errorf("%d rules broken or expectations missed", failures)
 			}
 			return nil
-		}}
-	schema := &cobra.Command{Use: "schema", Short: "Print the form of scenario files", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		_, err := cmd.OutOrStdout().Write(scenario.Schema)
-		return err
-	}}
-	root.AddCommand(run, show, schema)
-	return root
+		},
+	}
+	c.Flags().StringSliceVar(&options.policies, "policy", []string{policySighted}, "sighted (the module with sight of whole sites), planned (and of what is borne), module (without), failover, roundrobin, random; one after another")
+	c.Flags().StringVar(&options.plotPath, "plot", "", "a PNG or SVG file for value served by second")
+	c.Flags().StringVar(&options.directory, "keep", "", "a folder for configurations and logs")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "the reports, a line each")
+	c.Flags().BoolVar(&options.short, "short", false, "half the size, a third of the time: whether a rule breaks, not how well it goes")
+	c.Flags().Uint64Var(&options.seed, "seed", 0, "in place of the file's")
+	return c
 }
 
-// play plays a scenario once for each policy, one after another: side by side they would take each other's CPU.
-func play(ctx context.Context, cmd *cobra.Command, f *scenario.File, policies []string, dir string) (list []*scenario.Report, err error) {
-	self, err := os.Executable()
+// runFile plays one scenario, prints and plots its reports, and returns how many rules broke and
+// expectations were missed. With several files, the plot's name gets the scenario's.
+func (o *scenarioRunOptions) runFile(ctx context.Context, cmd *cobra.Command, path string, several bool) (failures int, err error) {
+	file, err := readScenario(path)
 	if err != nil {
-		return nil, err
+		return 0, err
 	}
-	for _, p := range policies {
-		if p == "module" {
-			p = ""
-		}
-		at := dir
-		if at == "" {
-			if at, err = os.MkdirTemp("", "kestrel"); err != nil {
-				return list, err
-			}
-			defer os.RemoveAll(at)
-		} else {
-			at = filepath.Join(dir, f.Name+"-"+p)
-			if err := os.MkdirAll(at, 0o700); err != nil {
-				return list, err
-			}
+	if o.seed > 0 {
+		file.Seed = o.seed
+	}
+	if o.short {
+		file = file.Short()
+	}
+	reports, err := play(ctx, cmd, file, o.policies, o.directory)
+	if err != nil {
+		return 0, err
+	}
+	for _, report := range reports {
+		o.print(cmd.OutOrStdout(), report)
+		failures += len(report.Violations)
+		// The other policies are there for comparison, and may miss what is expected.
+		if report.Policy == policySighted {
+			failures += len(report.FailedExpectations)
 		}
-		r, err := scenario.Play(ctx, f, scenario.Options{Program: []string{self, "broker"}, Policy: p, Dir: at,
-			Printf: func(form string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), form+"\n", args...) }})
+	}
+	if o.plotPath == "" {
+		return failures, nil
+	}
+	plotPath := o.plotPath
+	if several {
+		extension := filepath.Ext(plotPath)
+		plotPath = strings.TrimSuffix(plotPath, extension) + "-" + file.Name + extension
+	}
+	return failures, scenario.Plot(plotPath, reports...)
+}
+
+func (o *scenarioRunOptions) print(out io.Writer, report *scenario.Report) {
+	if o.asJSON {
+		encoded, _ := json.Marshal(report)
+		fmt.Fprintln(out, string(encoded))
+		return
+	}
+	report.Print(out)
+	fmt.Fprintln(out)
+}
+
+func scenarioShow() *cobra.Command {
+	c := &cobra.Command{Use: "show FILE", Short: "Check a scenario and print its schedule", Args: cobra.ExactArgs(1)}
+	c.RunE = func(cmd *cobra.Command, args []string) error {
+		file, err := readScenario(args[0])
 		if err != nil {
-			return list, err
+			return err
 		}
-		list = append(list, r)
+		out := cmd.OutOrStdout()
+		fmt.Fprintf(out, "%s: %s\n", file.Name, file.Description)
+		fmt.Fprintf(out, "%v s, seed %d, %d servers, %d shards on %d each\n", file.Seconds, file.Seed, len(file.ServerLayout()),
+			file.ShardCount, file.ReplicaCount)
+		for _, step := range file.Schedule(func(target string, _ float64) []string { return []string{target} }) {
+			fmt.Fprintln(out, step)
+		}
+		return nil
 	}
-	return list, nil
+	return c
 }
 
-func site() *cobra.Command {
-	root := &cobra.Command{Use: "site", Short: "Plan for the loss of sites, and drill it"}
-	var asJSON bool
-	var pairs bool
-	c := &cobra.Command{Use: "plan FILE", Short: "Tell for the loss of each site, and of any two, what is served and what is refused, and why", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := readScenario(args[0])
-			if err != nil {
-				return err
-			}
-			list, err := f.Fleet().AllLosses()
-			if err != nil {
-				return err
-			}
-			if !pairs {
-				list = list[:1+len(f.Sites)]
-			}
-			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(list)
-			}
-			return printPlan(cmd, list)
-		}}
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&pairs, "pairs", true, "the loss of any two, too")
-	var lost, plot string
-	var seconds float64
-	d := &cobra.Command{Use: "drill FILE", Short: "Play the loss of a site and set what was planned beside what was measured", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := readScenario(args[0])
-			if err != nil {
-				return err
-			}
-			if lost == "" {
-				lost = f.Sites[len(f.Sites)-1].Name
-			}
-			at := -1
-			for i, s := range f.Sites {
-				if s.Name == lost {
-					at = i
-				}
-			}
-			if at < 0 {
-				return fmt.Errorf("no site %q", lost)
-			}
-			f.Timeline = []scenario.Fault{{AtS: seconds, DurationS: seconds, Action: "lose", Target: "@" + lost, Share: 1, Direction: "both"}}
-			f.Seconds = 3 * seconds
-			o, err := f.Fleet().WithoutSites(at)
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
-			defer stop()
-			reports, err := play(ctx, cmd, f, []string{"sighted"}, "")
-			if err != nil {
-				return err
-			}
-			r := reports[0]
-			r.Print(cmd.OutOrStdout())
-			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
-			fmt.Fprintf(t, "\nwithout %s\tplanned\tmeasured\t\n", lost)
-			for _, p := range r.Phases {
-				if p.Name != "settled" {
-					continue
-				}
-				for i, s := range o.Types {
-					fmt.Fprintf(t, "%s served\t%.3f\t%.3f\t\n", s.Name, s.Served(), p.ServedShares[i])
-				}
-			}
-			t.Flush()
-			if plot != "" {
-				if err := scenario.Plot(plot, r); err != nil {
-					return err
-				}
-			}
-			if len(r.Violations) > 0 {
-				return fmt.Errorf("%d rules broken", len(r.Violations))
-			}
-			return nil
-		}}
-	d.Flags().StringVar(&lost, "lose", "", "the site; the file's last one where none is named")
-	d.Flags().StringVar(&plot, "plot", "", "a PNG or SVG file")
-	d.Flags().Float64Var(&seconds, "seconds", 8, "before, without it, and after it, each")
-	root.AddCommand(c, d)
-	return root
+func scenarioSchema() *cobra.Command {
+	c := &cobra.Command{Use: "schema", Short: "Print the form of scenario files", Args: cobra.NoArgs}
+	c.RunE = func(cmd *cobra.Command, _ []string) error {
+		_, err := cmd.OutOrStdout().Write(scenario.Schema)
+		return err
+	}
+	return c
 }
 
-func printPlan(cmd *cobra.Command, list []*lossplan.Outcome) error {
-	out := cmd.OutOrStdout()
-	for _, o := range list {
-		name := "nothing lost"
-		if len(o.LostSites) > 0 {
-			name = "without " + strings.Join(o.LostSites, " and ")
-		}
-		fmt.Fprintf(out, "%s: the survivors bear %.0f sub-requests a second, %.0f are asked; value %.1f a second (at best %.1f)\n", name, o.CapacityPerS, o.DemandPerS, o.Goodput, o.BestGoodput)
-		if len(o.UnavailableShards) > 0 {
-			fmt.Fprintf(out, "  shards without a holder: %v\n", o.UnavailableShards)
+// readScenario reads and checks a scenario file.
+func readScenario(path string) (*scenario.File, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	file, err := scenario.Read(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return file, nil
+}
+
+// play plays a scenario once for each policy, one after another: side by side they would compete
+// for CPU time. Configurations and logs go to the directory; where none is named, to temporary ones
+// that are removed at the end.
+func play(ctx context.Context, cmd *cobra.Command, file *scenario.File, policies []string, directory string) ([]*scenario.Report, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	logProgress := func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
+	var reports []*scenario.Report
+	for _, policy := range policies {
+		if policy == policyModule {
+			policy = ""
 		}
-		t := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-		fmt.Fprintln(t, "  type\twhole\tin part\tno holder\tleast value first\t")
-		for _, s := range o.Types {
-			fmt.Fprintf(t, "  %s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", s.Name, s.Complete, s.Partial, s.NoReplica, s.Shed)
+		playDirectory, remove, err := makePlayDirectory(directory, file.Name+"-"+policy)
+		if err != nil {
+			return reports, err
 		}
-		t.Flush()
-		for _, why := range o.Explanation {
-			fmt.Fprintln(out, "  -", why)
+		defer remove()
+		report, err := scenario.Play(ctx, file, scenario.Options{Program: []string{self, "broker"}, Policy: policy, Dir: playDirectory,
+			Printf: logProgress})
+		if err != nil {
+			return reports, err
 		}
+		reports = append(reports, report)
+	}
+	return reports, nil
+}
+
+// makePlayDirectory makes the directory of one play in its parent, to be kept, or a temporary one
+// where there is no parent.
+func makePlayDirectory(parent, name string) (path string, remove func(), err error) {
+	if parent == "" {
+		path, err = os.MkdirTemp("", "kestrel")
+		return path, func() { os.RemoveAll(path) }, err
 	}
-	return nil
+	path = filepath.Join(parent, name)
+	return path, func() {}, os.MkdirAll(path, 0o700)
 }
