--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,9 @@
-// Package baseline has the textbook policies that the module is measured against, behind the same port and so with the
-// same fronts, carriers and pools. They know who is listed and nothing of health: a part goes to a holder by chance or
-// in turn, and after a failure, where that does no harm, to another one. For measurements alone.
+// Package baseline has the textbook policies that the module is compared with, behind the same port and
+// so with the same fronts, carriers and pools. They know which servers are listed and nothing of
+// their health: a shard request goes to a replica at random or in turn, and after a failure, where a
+// second run does no harm, to another one. It is for measurements alone.
+//
+// A Port takes no locks: its caller makes one call at a time.
 package baseline
 
 import (
@@ -10,366 +13,298 @@
 	"kestrelspread/internal/aggregator/policy"
 )
 
+// Names of the policies that New knows.
+const (
+	random     = "random"
+	roundRobin = "roundrobin"
+	failover   = "failover"
+)
+
 // Names are the policies that New knows.
-var Names = []string{"random", "roundrobin", "failover"}
+var Names = []string{random, roundRobin, failover}
 
-const margin = 25 // ms before the client timeout by which a search is ended
+// Times in milliseconds.
+const (
+	// deadlineMargin is how long before the client's timeout a search ends.
+	deadlineMargin = 25
+	// failoverBackoff is how long failover avoids a server that has failed.
+	failoverBackoff = 2000
+	// failoverTimeout is how long failover waits for a server.
+	failoverTimeout = 400
+)
 
 type search struct {
-	id, kind int
-	until    float64
-	parts    []*part
-	out      int
-	over     bool
-	forgot   bool
+	id, queryType int
+	deadline      float64
+	requests      []*shardRequest
+	inFlight      int // attempts
+	ended         bool
+	forgotten     bool
 }
 
-type part struct {
+type shardRequest struct {
 	id, shard int
-	q         *search
-	tries     []*try
-	in, kept  bool
-	fresh     bool // wants a sub-request
+	search    *search
+	attempts  []*attempt
+	answered  bool
+	committed bool // an attempt's answer has begun: no other one may be sent
+	wantsSend bool
 }
 
-type try struct {
-	server     int
-	out, never bool
+type attempt struct {
+	server   int
+	inFlight bool
+	neverRan bool
 }
 
 type server struct {
-	cell, hall int
-	ready      bool
-	badUntil   float64 // failover: it did not answer
+	position, zone int
+	ready          bool
+	// avoidUntil is for failover: until then, servers that did answer go first.
+	avoidUntil float64
 }
 
-// downFor is how long failover leaves a server alone that has failed, and patience how long it waits for one.
-const (
-	downFor  = 2000
-	patience = 400
-)
-
 // Port is a policy.
 type Port struct {
-	out          policy.Out
-	rng          *rand.Rand
-	inTurn       bool
-	failover     bool // own hall first, then the next in order; in turn within a hall
-	hall         int
-	now          float64
-	effects      []policy.Effect
-	places, span int
-	tries        int
-	cancel       bool
-	turn         int
-	servers      []*server
-	searches     map[int]*search
-	parts        map[int]*part
-	live         []*search
+	out      policy.Out
+	rng      *rand.Rand
+	inTurn   bool // or at random
+	failover bool // the own zone first, then the next in order; in turn within a zone
+	zone     int  // the broker's own
+	now      float64
+
+	effects     []policy.Effect // by query type
+	positions   int
+	replicas    int
+	maxAttempts int
+	mayCancel   bool
+
+	sendCount int
+	servers   []*server // by id
+	searches  map[int]*search
+	requests  map[int]*shardRequest
+	active    []*search // in order of arrival
 }
 
 var _ policy.Port = (*Port)(nil)
 
-// New makes the policy of a name; the seed draws its chance.
+// New returns the policy of that name; the seed is for its random choices.
 func New(name string, out policy.Out, seed uint64) *Port {
-	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), inTurn: name != "random", failover: name == "failover", searches: map[int]*search{},
-		parts: map[int]*part{}, places: 1, span: 1, tries: 1}
+	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), inTurn: name != random, failover: name == failover,
+		searches: map[int]*search{}, requests: map[int]*shardRequest{}, positions: 1, replicas: 1, maxAttempts: 1}
 }
 
+// Home sets the broker's own zone, for failover.
+func (p *Port) Home(zone int) { p.zone = zone }
+
 // QueryType implements policy.Port; it keeps the effect of a second run.
-func (b *Port) QueryType(_, _, _ float64, effect policy.Effect, _ float64) {
-	b.effects = append(b.effects, effect)
+func (p *Port) QueryType(_, _, _ float64, effect policy.Effect, _ float64) {
+	p.effects = append(p.effects, effect)
 }
 
-// Shares implements policy.Port; the policies have no use for it.
-func (b *Port) Shares(int, float64, float64, float64, int) {}
-
-// Customer implements policy.Port; the policies have no use for it.
-func (b *Port) Customer(float64, float64) {}
-
 // Fleet implements policy.Port; it keeps how shards are placed.
-func (b *Port) Fleet(places, span, _ int, _ float64, _ bool) { b.places, b.span = places, span }
-
-// Limits implements policy.Port; it keeps how many sub-requests a part may have, and whether the rest are
-// called off.
-func (b *Port) Limits(tries, _ int, cancel, _ bool) { b.tries, b.cancel = tries, cancel }
-
-// MaxRetryAfter implements policy.Port; the policies have no use for it.
-func (b *Port) MaxRetryAfter(float64) {}
-
-// WarmUp implements policy.Port; the policies have no use for it.
-func (b *Port) WarmUp(float64, float64, float64, float64) {}
-
-// Budget implements policy.Port; the policies have no use for it.
-func (b *Port) Budget(float64, float64, float64) {}
-
-// Reports implements policy.Port; the policies have no use for it.
-func (b *Port) Reports(bool, []policy.Field) {}
-
-// Probes implements policy.Port; the policies have no use for it.
-func (b *Port) Probes() {}
-
-// Discovery implements policy.Port; the policies have no use for it.
-func (b *Port) Discovery(bool) {}
-
-// Probed implements policy.Port; the policies have no use for it.
-func (b *Port) Probed(int, bool, float64, []float64) {}
-
-// Refusals implements policy.Port; the policies have no use for it.
-func (b *Port) Refusals(int) []int { return nil }
-
-// ZoneChanged implements policy.Port; the policies have no use for it.
-func (b *Port) ZoneChanged(int, bool, float64) {}
-
-// CapacityFloor implements policy.Port; the policies have no use for it.
-func (b *Port) CapacityFloor(float64, float64) {}
-
-// SearchValue implements policy.Port; the policies have no use for it.
-func (b *Port) SearchValue(int) float64 { return 0 }
-
-// Priority implements policy.Port; the policies have no use for it.
-func (b *Port) Priority(int, float64) {}
-
-// CustomerWeight implements policy.Port; the policies have no use for it.
-func (b *Port) CustomerWeight(int, float64) {}
-
-// RetryWeight implements policy.Port; the policies have no use for it.
-func (b *Port) RetryWeight(float64) {}
-
-// MarkRetry implements policy.Port; the policies have no use for it.
-func (b *Port) MarkRetry(int) {}
-
-// DiscoveryFailed implements policy.Port; the policies have no use for it.
-func (b *Port) DiscoveryFailed() {}
-
-// RetryAfter implements policy.Port; the policies have no use for it.
-func (b *Port) RetryAfter(int) float64 { return 0 }
-
-// Woken implements policy.Port; the policies have no use for it.
-func (b *Port) Woken() {}
-
-// ShortenDeadline implements policy.Port; it moves the end of a search forward.
-func (b *Port) ShortenDeadline(id int, until float64) { b.hasten(id, until) }
-
-// ClientSending implements policy.Port; the policies have no use for it.
-func (b *Port) ClientSending(int, bool) {}
+func (p *Port) Fleet(positions, replicas, _ int, _ float64, _ bool) {
+	p.positions, p.replicas = positions, replicas
+}
 
-// Pushback implements policy.Port; the policies have no use for it.
-func (b *Port) Pushback(int, float64) {}
+// Limits implements policy.Port; it keeps how many attempts a shard request may have, and whether
+// those in flight may be canceled.
+func (p *Port) Limits(maxAttempts, _ int, mayCancel, _ bool) {
+	p.maxAttempts, p.mayCancel = maxAttempts, mayCancel
+}
 
 // Begin implements policy.Port; it keeps the time of the round.
-func (b *Port) Begin(now float64) { b.now = now }
+func (p *Port) Begin(now float64) { p.now = now }
 
-// Search implements policy.Port; it takes a search, whose parts follow.
-func (b *Port) Search(id, kind, _ int, until float64, _ int) {
-	q := &search{id: id, kind: kind, until: until}
-	b.searches[id] = q
-	b.live = append(b.live, q)
+// Search implements policy.Port; the search's shard requests follow.
+func (p *Port) Search(id, queryType, _ int, deadline float64, _ int) {
+	s := &search{id: id, queryType: queryType, deadline: deadline}
+	p.searches[id] = s
+	p.active = append(p.active, s)
 }
 
-// ShardRequest implements policy.Port; it takes a part, which wants its first sub-request.
-func (b *Port) ShardRequest(id, p, shard int, _, _ float64, _ uint64) {
-	q := b.searches[id]
-	k := &part{id: p, shard: shard, q: q, fresh: true}
-	b.parts[p] = k
-	q.parts = append(q.parts, k)
+// ShardRequest implements policy.Port; the request wants its first attempt.
+func (p *Port) ShardRequest(searchID, id, shard int, _, _ float64, _ uint64) {
+	s := p.searches[searchID]
+	r := &shardRequest{id: id, shard: shard, search: s, wantsSend: true}
+	p.requests[id] = r
+	s.requests = append(s.requests, r)
 }
 
-func (b *Port) hasten(id int, until float64) {
-	if q := b.searches[id]; q != nil {
-		q.until = min(q.until, until)
+// ShortenDeadline implements policy.Port.
+func (p *Port) ShortenDeadline(searchID int, deadline float64) {
+	if s := p.searches[searchID]; s != nil {
+		s.deadline = min(s.deadline, deadline)
 	}
 }
 
-// Home tells a failover policy its own hall.
-func (b *Port) Home(hall int) { b.hall = hall }
-
-// Server implements policy.Port; it takes what the list says of a server.
-func (b *Port) Server(id, hall, cell int, state policy.State, _, _ float64) {
-	for id >= len(b.servers) {
-		b.servers = append(b.servers, &server{})
+// Server implements policy.Port; it keeps what the list says of a server.
+func (p *Port) Server(id, zone, position int, state policy.State, _, _ float64) {
+	for id >= len(p.servers) {
+		p.servers = append(p.servers, &server{})
 	}
-	s := b.servers[id]
-	s.cell, s.hall, s.ready = cell, hall, state == policy.Ready
+	s := p.servers[id]
+	s.position, s.zone, s.ready = position, zone, state == policy.Ready
 }
 
 // RemoveServer implements policy.Port; nothing here still needs a server that is gone.
-func (b *Port) RemoveServer(_ int) bool { return true }
+func (p *Port) RemoveServer(_ int) bool { return true }
 
-// Committed implements policy.Port; the first sub-request of a part keeps it.
-func (b *Port) Committed(id, _ int, _ bool) bool {
-	p := b.parts[id]
-	if p == nil || p.kept || p.in {
+// Committed implements policy.Port; the first attempt that asks for a request gets it.
+func (p *Port) Committed(id, _ int, _ bool) bool {
+	r := p.requests[id]
+	if r == nil || r.committed || r.answered {
 		return false
 	}
-	p.kept = true
+	r.committed = true
 	return true
 }
 
-// Done implements policy.Port; a part that failed harmlessly is sent again, as far as the limit allows.
-func (b *Port) Done(id, no int, how policy.Outcome, _ []float64) {
-	p := b.parts[id]
-	if p == nil || no >= len(p.tries) || !p.tries[no].out {
+// Done implements policy.Port; a request that failed harmlessly is sent again, as far as the limit
+// allows.
+func (p *Port) Done(id, number int, outcome policy.Outcome, _ []float64) {
+	r := p.requests[id]
+	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
 		return
 	}
-	y := p.tries[no]
-	y.out, y.never = false, how.NeverRan()
-	p.q.out--
-	switch how {
+	a := r.attempts[number]
+	a.inFlight, a.neverRan = false, outcome.NeverRan()
+	r.search.inFlight--
+	switch outcome {
 	case policy.ConnectFailed, policy.TimedOut, policy.Reset:
-		b.servers[y.server].badUntil = b.now + downFor
+		p.servers[a.server].avoidUntil = p.now + failoverBackoff
 	case policy.Answered:
-		b.servers[y.server].badUntil = 0
+		p.servers[a.server].avoidUntil = 0
 	}
-	if how == policy.Answered {
-		p.in = true
-	} else if !p.q.over && !p.kept && len(p.tries) < b.tries && (how.NeverRan() || b.effects[p.q.kind] == policy.Idempotent) {
-		p.fresh = true
+	if outcome == policy.Answered {
+		r.answered = true
+	} else if p.mayRetry(r, outcome) {
+		r.wantsSend = true
 	}
-	b.forget(p.q)
+	p.forget(r.search)
 }
 
-// ClientGone implements policy.Port; the search ends, as its time is over.
-func (b *Port) ClientGone(id int) {
-	if q := b.searches[id]; q != nil && !q.over {
-		b.end(q)
+// mayRetry reports whether a request whose attempt failed may be sent again.
+func (p *Port) mayRetry(r *shardRequest, outcome policy.Outcome) bool {
+	if r.search.ended || r.committed || len(r.attempts) >= p.maxAttempts {
+		return false
 	}
+	return outcome.NeverRan() || p.effects[r.search.queryType] == policy.Idempotent
 }
 
-func (b *Port) end(q *search) {
-	q.over = true
-	for _, p := range q.parts {
-		for no, y := range p.tries {
-			if y.out && b.cancel {
-				b.out.Cancel(p.id, no)
+// ClientGone implements policy.Port; the search ends.
+func (p *Port) ClientGone(id int) {
+	if s := p.searches[id]; s != nil && !s.ended {
+		p.end(s)
+	}
+}
+
+// end ends a search, and cancels what is in flight where that is allowed.
+func (p *Port) end(s *search) {
+	s.ended = true
+	for _, r := range s.requests {
+		for number, a := range r.attempts {
+			if a.inFlight && p.mayCancel {
+				p.out.Cancel(r.id, number)
 			}
 		}
 	}
-	b.forget(q)
+	p.forget(s)
 }
 
-func (b *Port) forget(q *search) {
-	if !q.over || q.out > 0 || q.forgot {
+// forget drops a search that has ended, once none of its attempts is in flight.
+func (p *Port) forget(s *search) {
+	if !s.ended || s.inFlight > 0 || s.forgotten {
 		return
 	}
-	q.forgot = true
-	delete(b.searches, q.id)
-	for _, p := range q.parts {
-		delete(b.parts, p.id)
+	s.forgotten = true
+	delete(p.searches, s.id)
+	for _, r := range s.requests {
+		delete(p.requests, r.id)
 	}
-	b.out.Forget(q.id)
+	p.out.Forget(s.id)
 }
 
-// End implements policy.Port; it sends what is fresh, answers what is in and ends what has come to its time.
-func (b *Port) End() {
-	kept := b.live[:0]
-	next := math.Inf(1)
-	for _, q := range b.live {
-		if q.over {
+// End implements policy.Port; it sends what wants to be sent, and ends searches that are complete,
+// have failed or have reached their deadline.
+func (p *Port) End() {
+	active := p.active[:0]
+	nextDeadline := math.Inf(1)
+	for _, s := range p.active {
+		if s.ended {
 			continue
 		}
-		b.step(q)
-		if !q.over {
-			kept = append(kept, q)
-			next = min(next, q.until-margin-b.now)
+		p.step(s)
+		if !s.ended {
+			active = append(active, s)
+			nextDeadline = min(nextDeadline, s.deadline-deadlineMargin-p.now)
 		}
 	}
-	clear(b.live[len(kept):])
-	b.live = kept
-	if !math.IsInf(next, 1) {
-		b.out.Wake(max(next, 1))
+	clear(p.active[len(active):])
+	p.active = active
+	if !math.IsInf(nextDeadline, 1) {
+		p.out.Wake(max(nextDeadline, 1))
 	}
 }
 
-func (b *Port) step(q *search) {
-	whole, dead := true, false
-	for _, p := range q.parts {
-		if p.fresh && !p.in && b.now < q.until-margin {
-			p.fresh = false
-			if to := b.pick(p); to >= 0 {
-				p.tries = append(p.tries, &try{server: to, out: true})
-				q.out++
-				within := 0.0
-				if b.failover {
-					within = min(patience, q.until-margin-b.now)
-				}
-				b.out.Send(p.id, to, within, 0)
-			}
+// step sends a search's requests, and ends it where it is due.
+func (p *Port) step(s *search) {
+	complete, failed := true, false
+	for _, r := range s.requests {
+		if r.wantsSend && !r.answered && p.now < s.deadline-deadlineMargin {
+			r.wantsSend = false
+			p.send(r)
 		}
-		out := false
-		for _, y := range p.tries {
-			out = out || y.out
-		}
-		whole = whole && p.in
-		dead = dead || !p.in && !out
+		complete = complete && r.answered
+		failed = failed || !r.answered && !r.anyInFlight()
 	}
 	switch {
-	case whole:
-		b.out.Answer(q.id, true)
-		b.end(q)
-	case dead || b.now >= q.until-margin:
-		harmless := true
-		for _, p := range q.parts {
-			for _, y := range p.tries {
-				harmless = harmless && !p.kept && (y.never || b.effects[q.kind] == policy.Idempotent)
-			}
-		}
-		if harmless {
-			b.out.Shed(q.id, 0)
+	case complete:
+		p.out.Answer(s.id, true)
+		p.end(s)
+	case failed || p.now >= s.deadline-deadlineMargin:
+		if p.harmless(s) {
+			p.out.Shed(s.id, 0)
 		} else {
-			b.out.Fail(q.id)
+			p.out.Fail(s.id)
 		}
-		b.end(q)
+		p.end(s)
 	}
 }
 
-// nearest leaves those of the first hall, in order from the own one, that has any which did not fail lately.
-func (b *Port) nearest(list []int) []int {
-	best, rank := list, math.MaxInt
-	for _, i := range list {
-		s := b.servers[i]
-		at := s.hall - b.hall
-		if at < 0 {
-			at += 1 << 16
-		}
-		if b.now < s.badUntil {
-			at += 1 << 20
-		}
-		switch {
-		case at < rank:
-			best, rank = []int{i}, at
-		case at == rank:
-			best = append(best, i)
-		}
+// send sends an attempt of a request, where there is a server for it.
+func (p *Port) send(r *shardRequest) {
+	destination := p.pick(r)
+	if destination < 0 {
+		return
 	}
-	return best
+	r.attempts = append(r.attempts, &attempt{server: destination, inFlight: true})
+	r.search.inFlight++
+	timeout := 0.0
+	if p.failover {
+		timeout = min(failoverTimeout, r.search.deadline-deadlineMargin-p.now)
+	}
+	p.out.Send(r.id, destination, timeout, 0)
 }
 
-func (b *Port) pick(p *part) int {
-	var list, fresh []int
-	for i, s := range b.servers {
-		if !s.ready || ((s.cell-p.shard)%b.places+b.places)%b.places >= b.span {
-			continue
+func (r *shardRequest) anyInFlight() bool {
+	for _, a := range r.attempts {
+		if a.inFlight {
+			return true
 		}
-		tried := false
-		for _, y := range p.tries {
-			tried = tried || y.server == i
-		}
-		if list = append(list, i); !tried {
-			fresh = append(fresh, i)
-		}
-	}
-	if len(fresh) > 0 {
-		list = fresh
 	}
-	if b.failover {
-		list = b.nearest(list)
-	}
-	if len(list) == 0 {
-		return -1
-	}
-	if b.turn++; b.inTurn {
-		return list[b.turn%len(list)]
+	return false
+}
+
+// harmless reports whether the client may repeat a search: no attempt ran, or a second run has no
+// further effect.
+func (p *Port) harmless(s *search) bool {
+	for _, r := range s.requests {
+		for _, a := range r.attempts {
+			if r.committed || !a.neverRan && p.effects[s.queryType] != policy.Idempotent {
+				return false
+			}
+		}
 	}
-	return list[b.rng.IntN(len(list))]
+	return true
 }
