--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/aggregator/extensions"
+	"kestrelspread/internal/aggregator/server"
 )
 
 func main() {
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	aggregator "kestrelspread/internal/aggregator/server"
 	"kestrelspread/internal/aggregator/extensions"
+	aggregator "kestrelspread/internal/aggregator/server"
 )
 
 // TestMain runs a broker if the test program is started as one: scenarios have several processes.
