--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -1,6 +1,7 @@
 // Package docscheck is a test that keeps the pages true: what README.md, CONTRIBUTING.md and docs set as code must exist.
-// It looks at code spans and code blocks alone, never at prose, and knows these kinds:
+// It looks at code spans, code blocks and links, never at prose, and knows these kinds:
 //
+//   - links to files, from the page's own directory;
 //   - test functions, fuzz targets and benchmarks, with the package if one stands before ("chain TestSeeds"), named in full;
 //   - paths, whole or the end of one ("agent/store.go", "config/schema"); in a table whose head is "path" every span is one;
 //   - commands of the programs built here with their sub-commands and flags, as the programs' own help tells them, and
--- a/internal/docscheck/page_test.go
+++ b/internal/docscheck/page_test.go
@@ -7,18 +7,20 @@
 	"strings"
 )
 
-// code is a piece of a page that is set as code: a span, or a line of a block.
+// code is a piece of a page that is set as code: a span, a line of a block, or the target of a link.
 type code struct {
 	page  string // path from the root of the repository
 	line  int
 	text  string
 	block bool
+	link  bool
 	// path is set in the first column of a table whose head is "path".
 	path bool
 }
 
 var (
 	span     = regexp.MustCompile("`([^`]+)`")
+	link     = regexp.MustCompile(`\]\(([^)#\s]+)[^)]*\)`)
 	listItem = regexp.MustCompile(`^\s*([-*+]|\d+\.)\s`)
 	comment  = regexp.MustCompile(`\s#\s.*$`)
 )
@@ -41,7 +43,7 @@
 	return found, err
 }
 
-// codeOf gives the code of a page. Blocks are fenced, or indented by four columns after an empty line, outside lists.
+// codeOf gives the code and the links of a page. Blocks are fenced, or indented by four columns after an empty line, outside lists.
 // Their shell comments and lines of JSON are left out; a line that ends with a backslash goes on.
 func codeOf(page, text string) []code {
 	var found []code
@@ -107,6 +109,19 @@
 		afterEmpty = empty
 	}
 	flush()
+	return append(found, linksOf(page, text)...)
+}
+
+// linksOf gives the targets of a page's links that lead to files.
+func linksOf(page, text string) []code {
+	var found []code
+	for i, line := range strings.Split(text, "\n") {
+		for _, m := range link.FindAllStringSubmatch(line, -1) {
+			if !strings.Contains(m[1], "://") {
+				found = append(found, code{page: page, line: i + 1, text: m[1], link: true})
+			}
+		}
+	}
 	return found
 }
 
--- a/internal/docscheck/planted_test.go
+++ b/internal/docscheck/planted_test.go
@@ -16,6 +16,7 @@
 		{"end of a path", "see `forward/nowhere.go`", "no path forward/nowhere.go"},
 		{"package", "see `nowhere/forward`", "no path nowhere/forward"},
 		{"page beside", "see `nowhere.md`", "no path nowhere.md"},
+		{"link", "see [there](nowhere.md) and [here](design.md#part)", "the link leads nowhere"},
 		{"glob", "see `scenarios/nowhere-*.json`", "no path"},
 		{"table of paths", "| path | what |\n| --- | --- |\n| `internal/decide`, `nowhere` | x |", "no path nowhere"},
 		{"second line of a span", "see\n`kestrelctl fleet\nnowhere`", "kestrelctl fleet has no sub-command nowhere"},
@@ -50,6 +51,7 @@
 		"`internal/decide`, `./internal/decide/...`, `decide/port.go`, `docs/design.md`, `scenarios/*.json`, `net/http`, `more/anything/there`",
 		"`kestrelctl fleet status ADDRESS…`, `fleet demo`, `bin/kestrelctl scenario run FILE --policy sighted,module`, `--json`",
 		"`kestrelnode run --disable NAME,...`, `fleetbench score --quick`, `go test -v ./internal/decide -run 'A|B|Test'`",
+		"[a page](design.md#part), [another](../README.md), [outside](https://example.org/nothing.md)",
 		"prose that names TestNothing and internal/nothing outside code",
 		"- a list item\n\n    bin/kestrelnowhere goes on in the item, and is no block",
 	} {
--- a/internal/docscheck/rules_test.go
+++ b/internal/docscheck/rules_test.go
@@ -62,6 +62,12 @@
 
 // check gives what is wrong with one piece of code, none if all that it names exists.
 func (c *checker) check(at code) []string {
+	if at.link {
+		if c.paths[path.Join(path.Dir(at.page), at.text)] {
+			return nil
+		}
+		return []string{"the link leads nowhere"}
+	}
 	var wrong []string
 	words := strings.Fields(at.text)
 	tests := testWord.FindAllString(at.text, -1)
