--- a/cmd/kestrelctl/main.go
+++ b/cmd/kestrelctl/main.go
@@ -8,10 +8,10 @@
 
 	"github.com/spf13/cobra"
 
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/baseline"
 	"kestrelspread/internal/broker"
 	"kestrelspread/internal/broker/full"
-	"kestrelspread/internal/decide"
 	"kestrelspread/internal/rig"
 )
 
@@ -82,23 +82,23 @@
 
 // plain is a broker in this program, for the sub-commands that compare policies.
 func plain() *cobra.Command {
-	var operator, policy string
+	var operator, policyName string
 	c := &cobra.Command{Use: "broker", Short: "Run a broker, with another policy in the module's place if one is named", Hidden: true,
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			var list []broker.Attach
-			if policy == "sighted" || policy == "planned" {
+			if policyName == "sighted" || policyName == "planned" {
 				list = append(list, func(p *broker.Parts) (broker.Attached, error) {
 					view := p.Set.Sighted
-					if policy == "planned" {
+					if policyName == "planned" {
 						view = p.Set.Planned
 					}
-					p.Router.Replace(func(out decide.Out) decide.Port { return view(out, p.Seed) })
+					p.Router.Replace(func(out policy.Out) policy.Port { return view(out, p.Seed) })
 					return broker.Attached{}, nil
 				})
-			} else if policy != "" {
+			} else if policyName != "" {
 				list = append(list, func(p *broker.Parts) (broker.Attached, error) {
-					p.Router.Replace(func(out decide.Out) decide.Port {
-						b := baseline.New(policy, out, p.Seed)
+					p.Router.Replace(func(out policy.Out) policy.Port {
+						b := baseline.New(policyName, out, p.Seed)
 						b.Home(p.Set.Whole("zone", 0))
 						p.Set.Tell(b)
 						return b
@@ -112,6 +112,6 @@
 			return broker.Run(os.Stderr, list...)
 		}}
 	c.Flags().StringVar(&operator, "operator", "", "")
-	c.Flags().StringVar(&policy, "policy", "", "")
+	c.Flags().StringVar(&policyName, "policy", "", "")
 	return c
 }
--- a/internal/decide/decide.go
+++ b/internal/aggregator/policy/decide.go
@@ -10,7 +10,7 @@
 //  4. admission: a search that cannot be answered by its latency target is shed, cheapest value first
 //  5. part answers at the latency target where a query type allows them, and giving up in time
 //  6. fresh connections: where what goes over idle ones is lost, they are closed before the next send
-package decide
+package policy
 
 import (
 	"math"
--- a/internal/decide/port.go
+++ b/internal/aggregator/policy/port.go
@@ -1,5 +1,5 @@
-// Package decide takes a broker's decisions: which search to take, where its parts go, when it is answered.
-package decide
+// Package policy takes a broker's decisions: which search to take, where its parts go, when it is answered.
+package policy
 
 // Outcome tells how a sub-request ended.
 type Outcome uint8
--- a/internal/decide/state.go
+++ b/internal/aggregator/policy/state.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"encoding/binary"
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -7,7 +7,7 @@
 	"math"
 	"math/rand/v2"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 )
 
 // Names are the policies that New knows.
@@ -51,13 +51,13 @@
 
 // Port is a policy.
 type Port struct {
-	out          decide.Out
+	out          policy.Out
 	rng          *rand.Rand
 	inTurn       bool
 	failover     bool // own hall first, then the next in order; in turn within a hall
 	hall         int
 	now          float64
-	effects      []decide.Effect
+	effects      []policy.Effect
 	places, span int
 	tries        int
 	cancel       bool
@@ -68,15 +68,15 @@
 	live         []*search
 }
 
-var _ decide.Port = (*Port)(nil)
+var _ policy.Port = (*Port)(nil)
 
 // New makes the policy of a name; the seed draws its chance.
-func New(name string, out decide.Out, seed uint64) *Port {
+func New(name string, out policy.Out, seed uint64) *Port {
 	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), inTurn: name != "random", failover: name == "failover", searches: map[int]*search{},
 		parts: map[int]*part{}, places: 1, span: 1, tries: 1}
 }
 
-func (b *Port) QueryType(_, _, _ float64, effect decide.Effect, _ float64) {
+func (b *Port) QueryType(_, _, _ float64, effect policy.Effect, _ float64) {
 	b.effects = append(b.effects, effect)
 }
 func (b *Port) Shares(int, float64, float64, float64, int)   {}
@@ -86,7 +86,7 @@
 func (b *Port) Advice(float64)                               {}
 func (b *Port) Cold(float64, float64, float64, float64)      {}
 func (b *Port) Budget(float64, float64, float64)             {}
-func (b *Port) Reports(bool, []decide.Field)                 {}
+func (b *Port) Reports(bool, []policy.Field)                 {}
 func (b *Port) Probes()                                      {}
 func (b *Port) Discovery(bool)                               {}
 func (b *Port) Probed(int, bool, float64, []float64)         {}
@@ -128,12 +128,12 @@
 // Home tells a failover policy its own hall.
 func (b *Port) Home(hall int) { b.hall = hall }
 
-func (b *Port) Server(id, hall, cell int, state decide.State, _, _ float64) {
+func (b *Port) Server(id, hall, cell int, state policy.State, _, _ float64) {
 	for id >= len(b.servers) {
 		b.servers = append(b.servers, &server{})
 	}
 	s := b.servers[id]
-	s.cell, s.hall, s.ready = cell, hall, state == decide.Ready
+	s.cell, s.hall, s.ready = cell, hall, state == policy.Ready
 }
 
 func (b *Port) Drop(id int) bool { return true }
@@ -147,7 +147,7 @@
 	return true
 }
 
-func (b *Port) Done(id, no int, how decide.Outcome, _ []float64) {
+func (b *Port) Done(id, no int, how policy.Outcome, _ []float64) {
 	p := b.parts[id]
 	if p == nil || no >= len(p.tries) || !p.tries[no].out {
 		return
@@ -156,14 +156,14 @@
 	y.out, y.never = false, how.NeverRan()
 	p.q.out--
 	switch how {
-	case decide.NoConnect, decide.TimedOut, decide.Reset:
+	case policy.NoConnect, policy.TimedOut, policy.Reset:
 		b.servers[y.server].badUntil = b.now + downFor
-	case decide.Answered:
+	case policy.Answered:
 		b.servers[y.server].badUntil = 0
 	}
-	if how == decide.Answered {
+	if how == policy.Answered {
 		p.in = true
-	} else if !p.q.over && !p.kept && len(p.tries) < b.tries && (how.NeverRan() || b.effects[p.q.kind] == decide.Idempotent) {
+	} else if !p.q.over && !p.kept && len(p.tries) < b.tries && (how.NeverRan() || b.effects[p.q.kind] == policy.Idempotent) {
 		p.fresh = true
 	}
 	b.forget(p.q)
@@ -249,7 +249,7 @@
 		harmless := true
 		for _, p := range q.parts {
 			for _, y := range p.tries {
-				harmless = harmless && !p.kept && (y.never || b.effects[q.kind] == decide.Idempotent)
+				harmless = harmless && !p.kept && (y.never || b.effects[q.kind] == policy.Idempotent)
 			}
 		}
 		if harmless {
--- a/internal/broker/full/full.go
+++ b/internal/broker/full/full.go
@@ -8,8 +8,8 @@
 	"time"
 	_ "time/tzdata" // a small machine may have no zones
 
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/broker"
-	"kestrelspread/internal/decide"
 	"kestrelspread/internal/fleet/site"
 	"kestrelspread/internal/operator"
 	"kestrelspread/internal/passthrough"
@@ -80,7 +80,7 @@
 			if s.Borne {
 				view = p.Set.Planned
 			}
-			p.Router.Replace(func(out decide.Out) decide.Port { return view(out, p.Seed) })
+			p.Router.Replace(func(out policy.Out) policy.Port { return view(out, p.Seed) })
 			p.Log.Info().Bool("borne", s.Borne).Msg("watching whole sites")
 		}
 		if s.Order != nil {
--- a/internal/fleet/bear/port.go
+++ b/internal/fleet/bear/port.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"slices"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 )
 
 // Port stands between a caller and the module: it hears what is asked, how sub-requests end and what the list holds, and
 // tells the module below which worth servers bear no more. It decides nothing else and changes no call.
 type Port struct {
-	decide.Port
+	policy.Port
 	plan    *Plan
 	now     float64
 	aims    []float64 // by type
@@ -23,7 +23,7 @@
 	kindOf  []int        // by search
 	aimOf   []float64    // by part
 	came    []came       // in this turn
-	out     decide.Out
+	out     policy.Out
 	drawn   bool
 }
 
@@ -36,7 +36,7 @@
 }
 
 // Watch puts a plan before the module that module makes of the given way out.
-func Watch(out decide.Out, rules Rules, module func(decide.Out) decide.Port) *Port {
+func Watch(out policy.Out, rules Rules, module func(policy.Out) policy.Port) *Port {
 	p := &Port{plan: New(rules), lost: map[int]bool{}, out: out}
 	p.Port = module(&outward{out, p})
 	return p
@@ -45,7 +45,7 @@
 // Plan is for reports.
 func (p *Port) Plan() *Plan { return p.plan }
 
-func (p *Port) QueryType(aim, value, late float64, effect decide.Effect, tokenFor float64) {
+func (p *Port) QueryType(aim, value, late float64, effect policy.Effect, tokenFor float64) {
 	p.aims, p.worth = append(p.aims, aim), append(p.worth, value)
 	p.Port.QueryType(aim, value, late, effect, tokenFor)
 }
@@ -88,26 +88,26 @@
 	p.Port.Part(search, id, shard, weight, work, key)
 }
 
-func (p *Port) Done(part, try int, how decide.Outcome, report []float64) {
+func (p *Port) Done(part, try int, how policy.Outcome, report []float64) {
 	if part < len(p.parts) && try < len(p.parts[part]) {
 		took := p.now - p.parts[part][try]
 		late := p.aimOf[part] > 0 && took > p.plan.rules.Late*p.aimOf[part]
 		switch {
-		case how == decide.Full, late && (how == decide.Answered || how == decide.Cancelled):
+		case how == policy.Full, late && (how == policy.Answered || how == policy.Cancelled):
 			p.plan.Ended(Harm, p.topOf[part], 1)
-		case how == decide.Answered:
+		case how == policy.Answered:
 			p.plan.Ended(Well, p.topOf[part], 1)
 		}
 	}
 	p.Port.Done(part, try, how, report)
 }
 
-func (p *Port) Server(id, hall, cell int, state decide.State, size, started float64) {
+func (p *Port) Server(id, hall, cell int, state policy.State, size, started float64) {
 	for len(p.servers) <= id {
 		p.servers = append(p.servers, holder{})
 	}
-	if s := &p.servers[id]; state != decide.Gone {
-		s.hall, s.size, s.ready = hall, max(size, 0), state == decide.Ready
+	if s := &p.servers[id]; state != policy.Gone {
+		s.hall, s.size, s.ready = hall, max(size, 0), state == policy.Ready
 	} else {
 		s.ready = false
 	}
@@ -149,7 +149,7 @@
 
 // outward hears what the module asks for.
 type outward struct {
-	decide.Out
+	policy.Out
 	p *Port
 }
 
@@ -180,6 +180,6 @@
 }
 
 var (
-	_ decide.Port = (*Port)(nil)
-	_ decide.Out  = (*outward)(nil)
+	_ policy.Port = (*Port)(nil)
+	_ policy.Out  = (*outward)(nil)
 )
--- a/internal/fleet/site/port.go
+++ b/internal/fleet/site/port.go
@@ -3,14 +3,14 @@
 import (
 	"fmt"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 )
 
 // Port stands between a caller and the module: it hears what both say to each other, and tells the module when a whole
 // site is lost or answers again. It decides nothing else and changes no call.
 type Port struct {
-	decide.Port
-	out   decide.Out
+	policy.Port
+	out   policy.Out
 	sight *Sight
 	now   float64
 	// Changed, where it is set, hears of each change of a site, in the loop.
@@ -24,7 +24,7 @@
 }
 
 // Watch puts a view before the module that module makes of the given way out; own is the broker's site.
-func Watch(out decide.Out, own int, rules Rules, module func(decide.Out) decide.Port) *Port {
+func Watch(out policy.Out, own int, rules Rules, module func(policy.Out) policy.Port) *Port {
 	p := &Port{out: out, sight: New(rules, own)}
 	p.Port = module((*outward)(p))
 	return p
@@ -33,7 +33,7 @@
 // Sight is the view, for reports.
 func (p *Port) Sight() *Sight { return p.sight }
 
-func (p *Port) QueryType(aim, value, late float64, effect decide.Effect, tokenFor float64) {
+func (p *Port) QueryType(aim, value, late float64, effect policy.Effect, tokenFor float64) {
 	p.sight.Target(aim)
 	p.Port.QueryType(aim, value, late, effect, tokenFor)
 }
@@ -52,12 +52,12 @@
 	p.Port.Part(search, id, shard, weight, work, key)
 }
 
-func (p *Port) Done(part, try int, how decide.Outcome, report []float64) {
+func (p *Port) Done(part, try int, how policy.Outcome, report []float64) {
 	if part < len(p.parts) && try < len(p.parts[part]) {
 		if s := p.parts[part][try]; s.server >= 0 {
 			p.parts[part][try].server = -1
-			alive := how == decide.Answered || how == decide.Errored || how == decide.Full
-			p.sight.Done(s.server, s.at, alive, how == decide.TimedOut || how == decide.NoConnect || how == decide.Reset)
+			alive := how == policy.Answered || how == policy.Errored || how == policy.Full
+			p.sight.Done(s.server, s.at, alive, how == policy.TimedOut || how == policy.NoConnect || how == policy.Reset)
 		}
 	}
 	p.Port.Done(part, try, how, report)
@@ -78,8 +78,8 @@
 	p.Port.Probed(server, ok, elapsed, report)
 }
 
-func (p *Port) Server(id, hall, cell int, state decide.State, size, started float64) {
-	p.sight.Server(id, hall, state == decide.Ready)
+func (p *Port) Server(id, hall, cell int, state policy.State, size, started float64) {
+	p.sight.Server(id, hall, state == policy.Ready)
 	p.Port.Server(id, hall, cell, state, size, started)
 }
 
@@ -141,6 +141,6 @@
 func (o *outward) Forget(search int)                 { o.out.Forget(search) }
 
 var (
-	_ decide.Port = (*Port)(nil)
-	_ decide.Out  = (*outward)(nil)
+	_ policy.Port = (*Port)(nil)
+	_ policy.Out  = (*outward)(nil)
 )
--- a/internal/grpcwire/grpcwire.go
+++ b/internal/grpcwire/grpcwire.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/net/http2"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/h2"
 )
 
@@ -63,17 +63,17 @@
 type End struct {
 	Status  Status
 	Message string
-	How     decide.Outcome
+	How     policy.Outcome
 }
 
 // ofStatus says of each status what it tells. An application that refuses has answered, and its health is not in
 // question; whatever may come from the server's own trouble counts as an error that may have run.
-var ofStatus = [Statuses]decide.Outcome{
-	OK: decide.Answered, Cancelled: decide.Errored, Unknown: decide.Errored, InvalidArgument: decide.Answered,
-	DeadlineExceeded: decide.TimedOut, NotFound: decide.Answered, AlreadyExists: decide.Answered,
-	PermissionDenied: decide.Answered, ResourceExhausted: decide.Errored, FailedPrecondition: decide.Answered,
-	Aborted: decide.Answered, OutOfRange: decide.Answered, Unimplemented: decide.Answered, Internal: decide.Errored,
-	Unavailable: decide.Errored, DataLoss: decide.Errored, Unauthenticated: decide.Answered,
+var ofStatus = [Statuses]policy.Outcome{
+	OK: policy.Answered, Cancelled: policy.Errored, Unknown: policy.Errored, InvalidArgument: policy.Answered,
+	DeadlineExceeded: policy.TimedOut, NotFound: policy.Answered, AlreadyExists: policy.Answered,
+	PermissionDenied: policy.Answered, ResourceExhausted: policy.Errored, FailedPrecondition: policy.Answered,
+	Aborted: policy.Answered, OutOfRange: policy.Answered, Unimplemented: policy.Answered, Internal: policy.Errored,
+	Unavailable: policy.Errored, DataLoss: policy.Errored, Unauthenticated: policy.Answered,
 }
 
 // OfTrailers reads a status from trailers, or from the header block of a response that has nothing else. unseen are
@@ -82,10 +82,10 @@
 func OfTrailers(fields []h2.Field, unseen uint32, messages int) End {
 	code, found := Get(fields, "grpc-status")
 	if !found {
-		return End{Unknown, "the server closed the stream without a status", decide.Errored}
+		return End{Unknown, "the server closed the stream without a status", policy.Errored}
 	}
 	n, err := strconv.ParseUint(code, 10, 32)
-	e := End{Status: Unknown, How: decide.Errored}
+	e := End{Status: Unknown, How: policy.Errored}
 	if err == nil && n < uint64(Statuses) {
 		e.Status, e.How = Status(n), ofStatus[n]
 	}
@@ -93,14 +93,14 @@
 		e.Message = Unescape(m)
 	}
 	if e.Status != OK && messages == 0 && unseen&(1<<e.Status) != 0 {
-		e.How = decide.Full
+		e.How = policy.Full
 	}
 	return e
 }
 
 // OfHTTP is a response that is none of gRPC's, by gRPC's page on HTTP statuses.
 func OfHTTP(status string) End {
-	e := End{Unknown, "the server answered with HTTP status " + status, decide.Errored}
+	e := End{Unknown, "the server answered with HTTP status " + status, policy.Errored}
 	switch status {
 	case "400":
 		e.Status = Internal
@@ -120,10 +120,10 @@
 
 // OfReset is a stream that its server reset, by gRPC's table of HTTP/2 error codes.
 func OfReset(code h2.Code) End {
-	e := End{Internal, "the server reset the stream: " + code.String(), decide.Errored}
+	e := End{Internal, "the server reset the stream: " + code.String(), policy.Errored}
 	switch code {
 	case http2.ErrCodeRefusedStream: // it has not been looked at, RFC 9113, 8.7
-		e.Status, e.How = Unavailable, decide.Full
+		e.Status, e.How = Unavailable, policy.Full
 	case http2.ErrCodeCancel:
 		e.Status = Cancelled
 	case http2.ErrCodeEnhanceYourCalm:
@@ -138,17 +138,17 @@
 
 // The other ends.
 var (
-	Unprocessed = End{Unavailable, "the server takes no more streams on this connection", decide.Moot}
-	NeverBegun  = End{Unavailable, "the connection broke before the call was sent", decide.Moot}
-	NoConnect   = End{Unavailable, "no connection to the server", decide.NoConnect}
-	NoPlace     = End{Unavailable, "the server's streams are all taken", decide.Full}
-	Withdrawn   = End{Unavailable, "the server is draining", decide.Moot}
-	NoAddress   = End{Unavailable, "the server has no gRPC address", decide.Moot}
-	Broken      = End{Unavailable, "the connection to the server broke", decide.Reset}
-	Malformed   = End{Internal, "the server sent what is no gRPC message", decide.Errored}
-	CutShort    = End{Internal, "the server's last message is not whole", decide.Errored}
-	TooLong     = End{ResourceExhausted, "the server's message is over the limit", decide.Answered}
-	HeadTooLong = End{ResourceExhausted, "the server's metadata is over the limit", decide.Answered}
+	Unprocessed = End{Unavailable, "the server takes no more streams on this connection", policy.Moot}
+	NeverBegun  = End{Unavailable, "the connection broke before the call was sent", policy.Moot}
+	NoConnect   = End{Unavailable, "no connection to the server", policy.NoConnect}
+	NoPlace     = End{Unavailable, "the server's streams are all taken", policy.Full}
+	Withdrawn   = End{Unavailable, "the server is draining", policy.Moot}
+	NoAddress   = End{Unavailable, "the server has no gRPC address", policy.Moot}
+	Broken      = End{Unavailable, "the connection to the server broke", policy.Reset}
+	Malformed   = End{Internal, "the server sent what is no gRPC message", policy.Errored}
+	CutShort    = End{Internal, "the server's last message is not whole", policy.Errored}
+	TooLong     = End{ResourceExhausted, "the server's message is over the limit", policy.Answered}
+	HeadTooLong = End{ResourceExhausted, "the server's metadata is over the limit", policy.Answered}
 )
 
 // Get finds a field; of several the first.
--- a/internal/passthrough/call.go
+++ b/internal/passthrough/call.go
@@ -5,7 +5,7 @@
 
 	"golang.org/x/net/http2"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
@@ -319,7 +319,7 @@
 	switch {
 	case late && (a == nil || a != k.winner):
 		k.tell(grpcwire.DeadlineExceeded, "the client's time is up", 0)
-	case a != nil && a.trailers != nil && a.end.How != decide.Answered:
+	case a != nil && a.trailers != nil && a.end.How != policy.Answered:
 		// The server's own words, its details included; only the advice is the broker's, who knows what was tried.
 		t := make([]h2.Field, 0, len(a.trailers)+1)
 		for _, f := range a.trailers {
@@ -522,7 +522,7 @@
 	if !k.hold(len(b)) {
 		k.hold(-len(b))
 		k.f.Count.OverHeld++
-		a.broken(grpcwire.End{Status: grpcwire.ResourceExhausted, Message: "too much is held", How: decide.Answered})
+		a.broken(grpcwire.End{Status: grpcwire.ResourceExhausted, Message: "too much is held", How: policy.Answered})
 		return
 	}
 	a.resp.add(b)
@@ -554,7 +554,7 @@
 	if !plantRepeat && !k.f.r.Committed(a.sub, true) {
 		k.f.Count.LateAnswers++
 		a.stop()
-		k.f.r.Ended(a.sub, decide.Cancelled)
+		k.f.r.Ended(a.sub, policy.Cancelled)
 		return
 	}
 	k.f.Count.Committed++
@@ -578,7 +578,7 @@
 // finish: the module has the answer; the client has it once all has gone out.
 func (a *attempt) finish() {
 	k := a.k
-	if a.end.How == decide.Answered && a.trailers != nil {
+	if a.end.How == policy.Answered && a.trailers != nil {
 		k.f.Count.Statuses[a.end.Status]++
 		if a.head == nil { // nothing but a status, as it came
 			k.c.h.Respond(k.s, a.trailers, true, nil)
@@ -619,10 +619,10 @@
 	k := a.k
 	e := grpcwire.OfTrailers(trailers, k.route.Unseen, a.scan.Messages)
 	a.trailers = trailers
-	if e.How == decide.Answered && !a.scan.Between() {
+	if e.How == policy.Answered && !a.scan.Between() {
 		e, a.trailers = grpcwire.CutShort, nil
 	}
-	if wait, found := grpcwire.Pushback(trailers); found && e.How != decide.Answered && k.winner == nil {
+	if wait, found := grpcwire.Pushback(trailers); found && e.How != policy.Answered && k.winner == nil {
 		k.f.r.Pushback(a.sub, wait)
 	}
 	a.ended(e)
@@ -630,7 +630,7 @@
 
 // broken ends one from this side, for what its server sent.
 func (a *attempt) broken(e grpcwire.End) {
-	if e.How != decide.Answered {
+	if e.How != policy.Answered {
 		a.k.f.Count.BadServers++
 	}
 	a.ended(e)
@@ -645,9 +645,9 @@
 	a.end, a.said = e, true
 	a.stop()
 	switch {
-	case e.How == decide.Answered && (k.winner == nil || k.winner == a) && k.answered == nil:
+	case e.How == policy.Answered && (k.winner == nil || k.winner == a) && k.answered == nil:
 		k.answered = a
-	case e.How == decide.Answered && k.winner != a:
+	case e.How == policy.Answered && k.winner != a:
 		k.f.Count.LateAnswers++
 		a.free()
 	default:
@@ -685,7 +685,7 @@
 	} else {
 		k.f.pool.Forget(a.server, a)
 	}
-	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.How == decide.Answered) {
+	if k.told || k.answered != a && k.winner != a && !(a.said && a.end.How == policy.Answered) {
 		a.free()
 	}
 	if !k.told {
--- a/internal/passthrough/front.go
+++ b/internal/passthrough/front.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/net/http2"
 
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/channels"
-	"kestrelspread/internal/decide"
 	"kestrelspread/internal/grpcwire"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/must"
@@ -55,7 +55,7 @@
 	listed netip.AddrPort
 	addr   netip.AddrPort
 	has    bool
-	state  decide.State
+	state  policy.State
 }
 
 type flusher interface{ flush() }
@@ -94,9 +94,9 @@
 }
 
 // Server is news of the list.
-func (f *Front) Server(at int, id string, addr netip.AddrPort, state decide.State) {
+func (f *Front) Server(at int, id string, addr netip.AddrPort, state policy.State) {
 	for at >= len(f.servers) {
-		f.servers = append(f.servers, target{state: decide.Gone})
+		f.servers = append(f.servers, target{state: policy.Gone})
 	}
 	t := &f.servers[at]
 	t.id, t.state = id, state
@@ -114,8 +114,8 @@
 	}
 	was := t.addr
 	t.addr, t.has = f.rules.Addresses.Of(t.id, t.listed)
-	f.pool.Server(f.r.Now(), at, t.has && (t.state == decide.Ready || plantDrain), was.IsValid() && was != t.addr)
-	if !t.has || t.state != decide.Ready {
+	f.pool.Server(f.r.Now(), at, t.has && (t.state == policy.Ready || plantDrain), was.IsValid() && was != t.addr)
+	if !t.has || t.state != policy.Ready {
 		for _, l := range append([]*line(nil), f.lines...) {
 			if l != nil && l.server == at {
 				l.withdraw()
@@ -139,7 +139,7 @@
 func (f *Front) Forgotten(at int) {
 	if at < len(f.servers) {
 		f.pool.Forgotten(at)
-		f.servers[at] = target{state: decide.Gone}
+		f.servers[at] = target{state: policy.Gone}
 	}
 }
 
--- a/internal/passthrough/settings.go
+++ b/internal/passthrough/settings.go
@@ -5,8 +5,8 @@
 
 	"github.com/rs/zerolog"
 
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/channels"
-	"kestrelspread/internal/decide"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/routes"
 	"kestrelspread/internal/routing"
@@ -117,4 +117,4 @@
 }
 
 var _ routing.Front = (*Front)(nil)
-var _ = decide.Answered
+var _ = policy.Answered
--- a/internal/routing/catalog.go
+++ b/internal/routing/catalog.go
@@ -4,7 +4,7 @@
 	"math"
 	"net/netip"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/protocol"
 	"kestrelspread/internal/transport"
 )
@@ -61,7 +61,7 @@
 	id      string
 	addr    netip.AddrPort
 	cell    int
-	state   decide.State
+	state   policy.State
 	since   float64 // told to be draining or gone
 	gone    float64 // told to be gone
 	lanes   []*lane
@@ -282,9 +282,9 @@
 	protocol.List(line, func(id, addr, zone []byte, cell int, state uint8, weight, started float64) {
 		at, found := k.index[string(id)]
 		to, err := netip.ParseAddrPort(string(addr))
-		as := decide.State(state)
-		if err != nil && as != decide.Gone || as == decide.Gone && !found {
-			if err != nil && as != decide.Gone {
+		as := policy.State(state)
+		if err != nil && as != policy.Gone || as == policy.Gone && !found {
+			if err != nil && as != policy.Gone {
 				r.Count.BadLists++
 				r.log.warn("bad address", "of %q: %v", id, err)
 				if found {
@@ -302,7 +302,7 @@
 		}
 		v := k.servers[at]
 		v.seen = true
-		if as != decide.Gone {
+		if as != policy.Gone {
 			v.addr, v.cell = to, cell
 		}
 		if started > 0 {
@@ -312,8 +312,8 @@
 	})
 	if whole {
 		for i, v := range k.servers {
-			if v != nil && !v.seen && v.state != decide.Gone {
-				r.state(i, decide.Gone, 0, 0, 0)
+			if v != nil && !v.seen && v.state != policy.Gone {
+				r.state(i, policy.Gone, 0, 0, 0)
 			}
 		}
 	}
@@ -322,7 +322,7 @@
 
 // enter gives a new id its index.
 func (k *catalog) enter(id string) (at int) {
-	v := &server{id: id, state: decide.Gone}
+	v := &server{id: id, state: policy.Gone}
 	if n := len(k.free); n > 0 {
 		at, k.free = k.free[n-1], k.free[:n-1]
 		k.servers[at] = v
@@ -338,7 +338,7 @@
 // ids, and neither this list nor the module's may grow with them.
 func (r *Router) forgo(at int, v *server) {
 	k := &r.catalog
-	if k.servers[at] != v || v.state != decide.Gone {
+	if k.servers[at] != v || v.state != policy.Gone {
 		return
 	}
 	if r.now < v.gone+forgets {
@@ -367,18 +367,18 @@
 }
 
 // state tells the module of one server.
-func (r *Router) state(at int, as decide.State, hall int, weight, started float64) {
+func (r *Router) state(at int, as policy.State, hall int, weight, started float64) {
 	v := r.catalog.servers[at]
-	if v.state == decide.Ready {
+	if v.state == policy.Ready {
 		r.catalog.ready--
 	}
-	if as == decide.Ready {
+	if as == policy.Ready {
 		r.catalog.ready++
-	} else if v.state == decide.Ready {
+	} else if v.state == policy.Ready {
 		v.since = r.now
 		since := r.now
 		r.after(graceShare*r.rules.grace, func(r *Router) {
-			if v.since == since && v.state != decide.Ready {
+			if v.since == since && v.state != policy.Ready {
 				r.hold(v)
 				for _, f := range r.fronts {
 					f.Late(at)
@@ -386,7 +386,7 @@
 			}
 		})
 	}
-	if as == decide.Gone && v.state != decide.Gone {
+	if as == policy.Gone && v.state != policy.Gone {
 		v.gone = r.now
 		r.after(forgets, func(r *Router) { r.forgo(at, v) })
 	}
--- a/internal/routing/count.go
+++ b/internal/routing/count.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/must"
 )
 
@@ -13,7 +13,7 @@
 type Counters struct {
 	Searches, Whole, Partial, Shed, Errored, Left, OverHeld, TooLong, BadRequests int64
 	Sent, Calls, CalledOff, LateReplies, Moved, Pushbacks, Asked, Metered         int64
-	Outcomes                                                                      [decide.Moot + 1]int64
+	Outcomes                                                                      [policy.Moot + 1]int64
 	Accepted, GaveWay, Paused, Stuck, Silent, Idle                                int64
 	Connects, ConnectTimeouts, Broken, IdleClosed, NoSocket, NoBuffer             int64
 	Unbegun, Ajar                                                                 int64
@@ -21,7 +21,7 @@
 	Frames, BadFrames, Panics, BytesIn, BytesOut                                  int64
 }
 
-func (c *Counters) outcome(how decide.Outcome) { c.Outcomes[how]++ }
+func (c *Counters) outcome(how policy.Outcome) { c.Outcomes[how]++ }
 
 var outcomeNames = [...]string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
 
@@ -53,7 +53,7 @@
 		e, any := line().Str("type", name), false
 		for step, n := range r.port.Refused(kind) {
 			if n > 0 {
-				e, any = e.Int(decide.Step(step).String(), n), true
+				e, any = e.Int(policy.Step(step).String(), n), true
 			}
 		}
 		if any {
--- a/internal/routing/front.go
+++ b/internal/routing/front.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/must"
 	"kestrelspread/internal/transport"
 )
@@ -50,7 +50,7 @@
 type Front interface {
 	Accepted(c transport.Conn)
 	// Server is news of one server of the list.
-	Server(at int, id string, addr netip.AddrPort, state decide.State)
+	Server(at int, id string, addr netip.AddrPort, state policy.State)
 	// Late: the server has been draining or gone for so long that what has not begun there must not begin.
 	Late(at int)
 	// Forgotten: the index may stand for another server from now on.
@@ -99,7 +99,7 @@
 }
 
 // Replace puts a policy to be measured in the module's place, before the loop runs.
-func (r *Router) Replace(policy func(out decide.Out) decide.Port) { r.port = policy(r) }
+func (r *Router) Replace(policy func(out policy.Out) policy.Port) { r.port = policy(r) }
 
 // Add registers a front; connections of the door by its number from 1 are its own. Before the loop runs.
 func (r *Router) Add(f Front) { r.fronts = append(r.fronts, f) }
@@ -225,8 +225,8 @@
 }
 
 // Ended tells how a sub-request ended; only the first outcome counts.
-func (r *Router) Ended(s *Sub, how decide.Outcome) {
-	if s.state != over && how == decide.Answered {
+func (r *Router) Ended(s *Sub, how policy.Outcome) {
+	if s.state != over && how == policy.Answered {
 		s.part.got = true
 	}
 	r.over(s, how, nil)
--- a/internal/routing/lane.go
+++ b/internal/routing/lane.go
@@ -5,7 +5,7 @@
 	"math"
 	"net/netip"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/must"
 	"kestrelspread/internal/protocol"
 	"kestrelspread/internal/transport"
@@ -83,7 +83,7 @@
 	holds := ((v.cell-p.shard)%r.rules.places+r.rules.places)%r.rules.places < r.rules.span
 	must.Hold(holds, "a part goes to a server that holds its shard")
 	if !holds || p.q.ended || s.within <= r.now {
-		r.over(s, decide.Moot, nil)
+		r.over(s, policy.Moot, nil)
 		return
 	}
 	if p.q.call != nil {
@@ -128,7 +128,7 @@
 	}
 	if at == nil {
 		for _, s := range k.subs {
-			r.over(s, decide.NoConnect, nil)
+			r.over(s, policy.NoConnect, nil)
 		}
 		return
 	}
@@ -266,12 +266,12 @@
 // still begin.
 func (r *Router) callGone(l *lane, k *call) bool {
 	v := r.catalog.servers[l.server]
-	late := v.state != decide.Ready && r.now >= v.since+graceShare*r.rules.grace
+	late := v.state != policy.Ready && r.now >= v.since+graceShare*r.rules.grace
 	left := false
 	for _, s := range k.subs {
 		if s.state == waiting && (late || r.now > s.begin || s.part.q.ended) {
 			delete(l.subs, s.part.id) // no reply can come: kept, it would be held as long as the connection lasts
-			r.over(s, decide.Moot, nil)
+			r.over(s, policy.Moot, nil)
 		}
 		left = left || s.state == waiting
 	}
@@ -313,12 +313,12 @@
 }
 
 // over ends a sub-request; the module hears of it when it is not calling.
-func (r *Router) over(s *sub, how decide.Outcome, report []float64) {
+func (r *Router) over(s *sub, how policy.Outcome, report []float64) {
 	if s.state == over {
 		return
 	}
 	s.state = over
-	s.ended, s.calledOff = r.now, how == decide.Cancelled
+	s.ended, s.calledOff = r.now, how == policy.Cancelled
 	r.timers.drop(s.limit)
 	s.limit = nil
 	if k := s.call; k != nil {
@@ -333,19 +333,19 @@
 func (r *Router) Cancel(at, no int) {
 	p := r.slots[at].part
 	if must.Hold(no < len(p.subs), "only what was sent is called off"); no < len(p.subs) {
-		r.takeBack(p.subs[no], decide.Cancelled)
+		r.takeBack(p.subs[no], policy.Cancelled)
 	}
 }
 
 func (r *Router) timedOut(s *sub) {
 	if s.state != over {
-		r.takeBack(s, decide.TimedOut)
+		r.takeBack(s, policy.TimedOut)
 	}
 }
 
 // takeBack stops waiting: what has not begun is not sent, what has is called off. Its id stays on the
 // connection.
-func (r *Router) takeBack(s *sub, how decide.Outcome) {
+func (r *Router) takeBack(s *sub, how policy.Outcome) {
 	if c := s.part.q.call; c != nil && s.state == out {
 		r.Count.CalledOff++
 		c.TakeBack(s)
@@ -451,10 +451,10 @@
 	// have been dropped for a reply that nobody understood. Once, it goes over another.
 	var again []*sub
 	for _, s := range l.inOrder() {
-		how := decide.NoConnect
+		how := policy.NoConnect
 		if s.state == out && s.end <= l.written {
-			how = decide.Reset
-		} else if l.open && !s.moved && v.state == decide.Ready && s.within > r.now {
+			how = policy.Reset
+		} else if l.open && !s.moved && v.state == policy.Ready && s.within > r.now {
 			again = append(again, s)
 			continue
 		}
@@ -560,12 +560,12 @@
 		r.Count.LateReplies++
 		return nil
 	}
-	how := decide.Answered
+	how := policy.Answered
 	switch end {
 	case protocol.Errored:
-		how = decide.Errored
+		how = policy.Errored
 	case protocol.TurnedAway:
-		how = decide.Full
+		how = policy.Full
 	default:
 		if p := s.part; !p.got {
 			p.got, p.value = true, append([]byte(nil), value...)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,6 +1,6 @@
 // Package routing is the broker's one reducer: each event changes its state and asks for effects. It has no
 // socket and no clock, and decides nothing about searches: that is the module's, which it drives through
-// decide.Port and whose decisions it carries out as decide.Out.
+// policy.Port and whose decisions it carries out as policy.Out.
 package routing
 
 import (
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/must"
 	"kestrelspread/internal/settings"
 	"kestrelspread/internal/transport"
@@ -84,7 +84,7 @@
 	net     Net
 	pool    *transport.Pool
 	log     *notes
-	port    decide.Port
+	port    policy.Port
 	Count   Counters
 	now     float64
 	wake    float64
@@ -185,7 +185,7 @@
 
 type outcome struct {
 	s      *sub
-	how    decide.Outcome
+	how    policy.Outcome
 	report []float64
 }
 
@@ -260,7 +260,7 @@
 }
 
 // Port is the module, or what stands before it.
-func (r *Router) Port() decide.Port { return r.port }
+func (r *Router) Port() policy.Port { return r.port }
 
 // Begin opens a turn: all its events are one round of the module.
 func (r *Router) Begin(now float64) {
@@ -325,7 +325,7 @@
 	for i := 0; i < len(r.outcomes); i++ {
 		o := r.outcomes[i]
 		p := o.s.part
-		if o.how == decide.Answered && !p.in {
+		if o.how == policy.Answered && !p.in {
 			if p.in = true; !p.q.ended {
 				r.held--
 			}
@@ -583,7 +583,7 @@
 	return len(r.slots) - 1
 }
 
-// Wake, Log: the rest of decide.Out is with what it concerns.
+// Wake, Log: the rest of policy.Out is with what it concerns.
 func (r *Router) Wake(in float64) { r.wake = min(r.wake, r.now+in) }
 
 // Log writes what the module has to say. News of a whole site must not be held back behind lines about single servers.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/fleet/bear"
 	"kestrelspread/internal/fleet/site"
 )
@@ -136,28 +136,28 @@
 }
 
 // Port gives a module that knows the settings and judges each server by itself.
-func (v Values) Port(out decide.Out, seed uint64) decide.Port {
-	p := decide.New(out, seed, v.Whole("balancers", 1), v.Whole("zone", 0))
+func (v Values) Port(out policy.Out, seed uint64) policy.Port {
+	p := policy.New(out, seed, v.Whole("balancers", 1), v.Whole("zone", 0))
 	v.Tell(p)
 	return p
 }
 
 // Sighted gives one that is told of whole sites, too, by this broker's own sight (internal/fleet/site).
-func (v Values) Sighted(out decide.Out, seed uint64) decide.Port {
+func (v Values) Sighted(out policy.Out, seed uint64) policy.Port {
 	own := v.Whole("zone", 0)
-	p := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
-		return decide.New(out, seed, v.Whole("balancers", 1), own)
+	p := site.Watch(out, own, site.Usual, func(out policy.Out) policy.Port {
+		return policy.New(out, seed, v.Whole("balancers", 1), own)
 	})
 	v.Tell(p)
 	return p
 }
 
 // Planned gives one that is also told what servers bear while they are full (internal/fleet/bear).
-func (v Values) Planned(out decide.Out, seed uint64) decide.Port {
+func (v Values) Planned(out policy.Out, seed uint64) policy.Port {
 	own := v.Whole("zone", 0)
-	p := site.Watch(out, own, site.Usual, func(out decide.Out) decide.Port {
-		return bear.Watch(out, bear.Usual, func(out decide.Out) decide.Port {
-			return decide.New(out, seed, v.Whole("balancers", 1), own)
+	p := site.Watch(out, own, site.Usual, func(out policy.Out) policy.Port {
+		return bear.Watch(out, bear.Usual, func(out policy.Out) policy.Port {
+			return policy.New(out, seed, v.Whole("balancers", 1), own)
 		})
 	})
 	v.Tell(p)
@@ -165,16 +165,16 @@
 }
 
 // Tell tells a module, or what stands in its place in a measurement, the settings.
-func (v Values) Tell(p decide.Port) {
+func (v Values) Tell(p policy.Port) {
 	const fam, safe, lim = "family-info.", "safety.", "limits."
 	for i := range v.Count("classes") {
 		at := "classes." + strconv.Itoa(i) + "."
-		effect := decide.NonIdempotent
+		effect := policy.NonIdempotent
 		switch {
 		case v[at+"effect"] == "repeatable":
-			effect = decide.Idempotent
+			effect = policy.Idempotent
 		case v[at+"effect"] == "by_key" && v[at+"group"] == "all":
-			effect = decide.Tokened
+			effect = policy.Tokened
 		}
 		p.QueryType(v.Num(at+"aim-ms", 0), v.Num(at+"importance", 1),
 			v.Num(at+"late-value", 0), effect, v.Num(at+"window-ms", 0))
@@ -198,16 +198,16 @@
 	if v.has(safe + "further-ratio") {
 		p.Budget(v.Num(safe+"spare-attempts", 0), v.Num(safe+"further-ratio", 0), v.Num(safe+"counted-over-ms", 0))
 	}
-	var fields []decide.Field
+	var fields []policy.Field
 	for _, name := range v.List("report.fields") {
-		field := decide.Other
+		field := policy.Other
 		switch name {
 		case "active":
-			field = decide.InFlight
+			field = policy.InFlight
 		case "cpu":
-			field = decide.Busy
+			field = policy.Busy
 		case "waiting":
-			field = decide.Queue
+			field = policy.Queue
 		}
 		fields = append(fields, field)
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -10,7 +10,7 @@
 	"io"
 	"math"
 
-	"kestrelspread/internal/decide"
+	"kestrelspread/internal/aggregator/policy"
 	"kestrelspread/internal/settings"
 )
 
@@ -35,7 +35,7 @@
 	num     uint16
 	alive   bool
 	h       *host
-	port    decide.Port
+	port    policy.Port
 	wire    []uint64 // request index to id
 	index   map[uint64]int
 	free    []int
@@ -217,8 +217,8 @@
 }
 
 // outcomes holds the wire's numbers in tens.
-var outcomes = [...]decide.Outcome{1: decide.Answered, 2: decide.Errored, 3: decide.Full, 4: decide.TimedOut,
-	5: decide.NoConnect, 6: decide.Reset, 7: decide.Cancelled, 8: decide.Moot}
+var outcomes = [...]policy.Outcome{1: policy.Answered, 2: policy.Errored, 3: policy.Full, 4: policy.TimedOut,
+	5: policy.NoConnect, 6: policy.Reset, 7: policy.Cancelled, 8: policy.Moot}
 
 func (b *broker) round() {
 	if !b.inRound {
@@ -320,14 +320,14 @@
 			b.listed = append(b.listed, false)
 			seen = append(seen, false)
 		}
-		as := decide.Ready
+		as := policy.Ready
 		switch state {
 		case 1:
-			as = decide.Draining
+			as = policy.Draining
 		case 3:
-			as = decide.Gone
+			as = policy.Gone
 		}
-		seen[at], b.listed[at] = true, as != decide.Gone
+		seen[at], b.listed[at] = true, as != policy.Gone
 		b.port.Server(at, int(hall), int(cell), as, size, started)
 	}
 	if !whole {
@@ -336,7 +336,7 @@
 	for at, was := range seen {
 		if !was && b.listed[at] {
 			b.listed[at] = false
-			b.port.Server(at, 0, 0, decide.Gone, 0, 0)
+			b.port.Server(at, 0, 0, policy.Gone, 0, 0)
 		}
 	}
 }
