--- a/internal/passthrough/settings.go
+++ b/internal/grpcproxy/settings.go
@@ -1,4 +1,4 @@
-package passthrough
+package grpcproxy
 
 import (
 	"net/netip"
@@ -7,7 +7,7 @@
 
 	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
-	"kestrelspread/internal/channels"
+	"kestrelspread/internal/connpool"
 	"kestrelspread/internal/h2"
 	"kestrelspread/internal/routes"
 )
@@ -54,18 +54,18 @@
 type Rules struct {
 	Table     *routes.Table
 	Limits    Limits
-	Channels  channels.Settings
+	Channels  connpool.Settings
 	Addresses Addresses
 }
 
 // toServers are the limits on what servers send.
 func (r *Rules) toServers() h2.Limits {
-	return h2.Limits{Window: r.Limits.Window, Headers: r.Limits.Metadata, Resets: 1 << 30, Controls: r.Limits.Controls}
+	return h2.Limits{InitialWindowSize: r.Limits.Window, MaxHeaderListSize: r.Limits.Metadata, MaxResetsPerSecond: 1 << 30, MaxControlFramesPerSecond: r.Limits.Controls}
 }
 
 func (r *Rules) toClients() h2.Limits {
-	return h2.Limits{Streams: r.Limits.PerConn, Window: r.Limits.Window, Headers: r.Limits.Metadata,
-		Resets: r.Limits.Resets, Controls: r.Limits.Controls}
+	return h2.Limits{MaxConcurrentStreams: r.Limits.PerConn, InitialWindowSize: r.Limits.Window, MaxHeaderListSize: r.Limits.Metadata,
+		MaxResetsPerSecond: r.Limits.Resets, MaxControlFramesPerSecond: r.Limits.Controls}
 }
 
 // What the operators' page states, and no operator sets.
