--- a/internal/node/routing/brokerstate/backlog.go
+++ b/internal/node/routing/brokerstate/backlog.go
@@ -7,7 +7,7 @@
 
 // minToRead is what an own call that waits for its first token is taken to lack, tokens, however
 // long ago it should have had it.
-const minToRead = 64
+const minRemainingTokens = 64
 
 // backlog estimates how many prompt tokens a model broker reads before a new request's turn.
 //
@@ -33,18 +33,18 @@
 func (q *backlog) advance(now core.Time, perMillisecond float64, oldest *Call) {
 	front := q.front + perMillisecond*units.Milliseconds(now-q.frontAt)
 	if oldest != nil {
-		front = min(front, oldest.BacklogEnd-minToRead)
+		front = min(front, oldest.BacklogEnd-minRemainingTokens)
 	}
 	q.front = min(max(front, q.front), q.end)
 	q.frontAt = now
 }
 
-// passed takes in that everything up to an offset has been read.
-func (q *backlog) passed(offset float64) { q.front = max(q.front, min(offset, q.end)) }
+// completeUpTo takes in that everything up to an offset has been read.
+func (q *backlog) completeUpTo(offset float64) { q.front = max(q.front, min(offset, q.end)) }
 
-// tokens is how much is left to read.
-func (q *backlog) tokens() float64 { return q.end - q.front }
+// remaining is how much is left to read.
+func (q *backlog) remaining() float64 { return q.end - q.front }
 
 // PrefillPassed takes in that a call has its first token, so its prompt and everything before it
 // was read.
-func (b *Broker) PrefillPassed(c *Call) { b.backlog.passed(c.BacklogEnd) }
+func (b *Broker) PrefillPassed(c *Call) { b.backlog.completeUpTo(c.BacklogEnd) }
--- a/internal/node/routing/brokerstate/broker.go
+++ b/internal/node/routing/brokerstate/broker.go
@@ -11,7 +11,7 @@
 
 // newFor is how long a broker counts as newly joined: others may still cache the parts of its
 // prompts.
-const newFor = 20 * time.Second
+const recentlyJoinedSpan = 20 * time.Second
 
 // Broker is what this proxy knows of one instance. Every proxy learns for itself; only what
 // Pool.Enqueue and Broker.ObserveStep take in may come from other proxies.
@@ -25,18 +25,18 @@
 
 	// What each choice looks at stands together, as a choice looks at all brokers of a service.
 
-	refusals refusals
-	inFlight int     // own calls there
-	awaiting []*Call // those without an answer yet, the oldest first
-	report   loadReport
-	backlog  backlog
-	stepTime float64 // ms between two events of a stream while it reads no other prompt
-	steps    int     // streams that stepTime was learnt from
+	refusals    refusals
+	inFlight    int     // own calls there
+	awaiting    []*Call // those without an answer yet, the oldest first
+	report      loadReport
+	backlog     backlog
+	stepTime    float64 // ms between two events of a stream while it reads no other prompt
+	stepStreams int     // streams that stepTime was learnt from
 	// loadingSince is when the mark that it loads new weights was first seen.
 	loadingSince core.Time
 	// newUntil: it has joined recently.
-	newUntil  core.Time
-	latencies latencies
+	recentlyJoinedUntil core.Time
+	latencies           latencies
 
 	// Fetches counts its slow fetches of cached prompt parts.
 	Fetches Fetches
@@ -50,11 +50,11 @@
 	b := &Broker{
 		Instance:     instance,
 		NameHash:     prompt.HashText(instance.ID),
-		latencies:    latencies{slowLineAt: -slowLineKept},
+		latencies:    latencies{slowLineAt: -slowLineMaxAge},
 		loadingSince: now,
 	}
 	if joined {
-		b.newUntil = now + newFor
+		b.recentlyJoinedUntil = now + recentlyJoinedSpan
 	}
 	return b
 }
@@ -74,9 +74,9 @@
 	b.Instance = instance
 }
 
-// New reports whether the broker has joined recently, so that others may still cache the parts it
+// JoinedRecently reports whether the broker has joined recently, so that others may still cache the parts it
 // owns.
-func (b *Broker) New(now core.Time) bool { return now < b.newUntil }
+func (b *Broker) JoinedRecently(now core.Time) bool { return now < b.recentlyJoinedUntil }
 
 // InFlight is the number of this proxy's calls that are out there.
 func (b *Broker) InFlight() int { return b.inFlight }
@@ -87,8 +87,8 @@
 	b.awaiting = append(b.awaiting, c)
 }
 
-// callAnswered takes a call off those that wait, as its answer has begun or won't.
-func (b *Broker) callAnswered(c *Call) {
+// removeAwaiting takes a call off those that wait, as its answer has begun or won't.
+func (b *Broker) removeAwaiting(c *Call) {
 	if i := slices.Index(b.awaiting, c); i >= 0 {
 		b.awaiting = slices.Delete(b.awaiting, i, i+1)
 	}
@@ -96,7 +96,7 @@
 
 // CallEnded takes in that nothing more comes of a call.
 func (b *Broker) CallEnded(c *Call) {
-	b.callAnswered(c)
+	b.removeAwaiting(c)
 	b.inFlight--
 }
 
--- a/internal/node/routing/brokerstate/call.go
+++ b/internal/node/routing/brokerstate/call.go
@@ -49,8 +49,8 @@
 	// Verdict tells whether the request may have run there.
 	Verdict verdict.Verdict
 
-	taught bool // the predictor has learnt from it
-	learnt bool // the latency is in the measures
+	predictorTrained bool // the predictor has learnt from it
+	latencyRecorded  bool // the latency is in the measures
 }
 
 // Age is the time since the send, divided by Scale, ms.
@@ -60,8 +60,8 @@
 func (c *Call) Start(now core.Time) {
 	c.Started = true
 	c.Latency = max(c.Age(now), minLatency)
-	c.Broker.callAnswered(c)
+	c.Broker.removeAwaiting(c)
 }
 
 // Learnt reports whether the latency was learnt from.
-func (c *Call) Learnt() bool { return c.learnt }
+func (c *Call) Learnt() bool { return c.latencyRecorded }
--- a/internal/node/routing/brokerstate/ejector.go
+++ b/internal/node/routing/brokerstate/ejector.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	firstProbeAfter  = time.Second
-	maxProbeBackoff  = 4 * time.Second
-	probePerProxy    = 20 * time.Millisecond // so that the probes of many proxies stay few for the broker
-	firstMisdirect   = 500 * time.Millisecond
-	maxMisdirect     = 8 * time.Second
-	timeoutLines     = 2.0   // slow lines without any answer after which a broker is unresponsive
-	minTimeout       = 400.0 // ms
-	unknownTimeout   = 1000. // ms, where too few answers tell a slow line
-	aloneTimeoutMore = 3.0   // times as long where no other broker answers: it may be this proxy that receives nothing
-	minJitter        = 0.75  // of a time
-	jitterRange      = 0.5
+	minProbeBackoff      = time.Second
+	maxProbeBackoff      = 4 * time.Second
+	probeBackoffPerProxy = 20 * time.Millisecond // so that the probes of many proxies stay few for the broker
+	minMisdirectBackoff  = 500 * time.Millisecond
+	maxMisdirectBackoff  = 8 * time.Second
+	timeoutFactor        = 2.0   // slow lines without any answer after which a broker is unresponsive
+	minTimeout           = 400.0 // ms
+	defaultTimeout       = 1000. // ms, where too few answers tell a slow line
+	noOtherAnswersFactor = 3.0   // times as long where no other broker answers: it may be this proxy that receives nothing
+	minJitterFactor      = 0.75  // of a time
+	jitterRange          = 0.5
 )
 
 // Fault is how a call speaks against its broker.
@@ -65,7 +65,7 @@
 
 // Answered takes in that a broker of a pool has answered.
 func (e *Ejector) Answered(now core.Time, p *Pool, b *Broker) {
-	b.Health.answered(now)
+	b.Health.recordAnswer(now)
 	p.lastAnswerAt = now
 }
 
@@ -81,16 +81,16 @@
 		return false
 	}
 	othersAnswer := p.lastAnswerAt > first.SentAt && p.lastAnswerAt >= e.resumedAt
-	return othersAnswer || waited > aloneTimeoutMore*timeout
+	return othersAnswer || waited > noOtherAnswersFactor*timeout
 }
 
 // timeout is how long nothing may come from a broker with a call out, scaled ms, before it counts
 // as unresponsive.
 func (p *Pool) timeout(now core.Time, b *Broker) float64 {
-	if p.answers < predict.MinSlowLineSamples {
-		return unknownTimeout
+	if p.medianSamples < predict.MinSlowLineSamples {
+		return defaultTimeout
 	}
-	return max(timeoutLines*p.SlowLine(now, b), minTimeout)
+	return max(timeoutFactor*p.SlowLine(now, b), minTimeout)
 }
 
 // CallFailed judges a broker by a call that failed there.
@@ -98,17 +98,17 @@
 	h := &c.Broker.Health
 	if h.probe == c {
 		h.probe = nil
-		e.backOff(now, h)
+		e.extendProbeBackoff(now, h)
 	}
 	switch fault {
 	case FaultMisdirected:
-		h.misdirectBackoff = min(max(2*h.misdirectBackoff, firstMisdirect), maxMisdirect)
+		h.misdirectBackoff = min(max(2*h.misdirectBackoff, minMisdirectBackoff), maxMisdirectBackoff)
 		h.misdirectedUntil = now + e.jitter(h.misdirectBackoff)
 	case FaultConnect:
 		e.Eject(now, c.Broker, Unreachable)
 	case FaultFailure:
-		count(&h.failures, now)
-		if h.fails(now) {
+		addOutcome(&h.failures, now)
+		if h.failureRateExceeded(now) {
 			e.Eject(now, c.Broker, Failing)
 		}
 	}
@@ -148,18 +148,18 @@
 	}
 }
 
-// backOff puts the next probe off twice as long.
-func (e *Ejector) backOff(now core.Time, h *Health) {
+// extendProbeBackoff puts the next probe off twice as long.
+func (e *Ejector) extendProbeBackoff(now core.Time, h *Health) {
 	first := e.firstBackoff(now)
 	h.backoff = min(2*max(h.backoff, first), max(maxProbeBackoff, 2*first, 2*e.heartbeat))
 	h.probeAt = now + e.jitter(h.backoff)
 }
 
 func (e *Ejector) firstBackoff(now core.Time) time.Duration {
-	return max(firstProbeAfter, time.Duration(e.proxies.Max(now))*probePerProxy)
+	return max(minProbeBackoff, time.Duration(e.proxies.Max(now))*probeBackoffPerProxy)
 }
 
 // jitter takes a time between three quarters of d and five quarters, by chance.
 func (e *Ejector) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (minJitter + jitterRange*e.random.Float64()))
+	return time.Duration(float64(d) * (minJitterFactor + jitterRange*e.random.Float64()))
 }
--- a/internal/node/routing/brokerstate/ejector_test.go
+++ b/internal/node/routing/brokerstate/ejector_test.go
@@ -27,7 +27,7 @@
 // broker answers.
 func TestCallWithoutAnswerTimesOut(t *testing.T) {
 	const sent = 20 * time.Second
-	timeout := time.Duration(unknownTimeout) * ms
+	timeout := time.Duration(defaultTimeout) * ms
 	for _, c := range []struct {
 		name         string
 		after        time.Duration
@@ -39,7 +39,7 @@
 		{"soon", timeout, true, false, false, false},
 		{"long, others answer", timeout + ms, true, false, false, true},
 		{"long, nobody answers", timeout + ms, false, false, false, false},
-		{"for very long", aloneTimeoutMore*timeout + ms, false, false, false, true},
+		{"for very long", noOtherAnswersFactor*timeout + ms, false, false, false, true},
 		{"it has answered another call", timeout + ms, true, true, false, false},
 		{"this process stood still", timeout + ms, true, false, true, false},
 	} {
--- a/internal/node/routing/brokerstate/health.go
+++ b/internal/node/routing/brokerstate/health.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// answered takes a sign of life. A broker that was ejected for failures must succeed as well.
-func (h *Health) answered(now core.Time) {
+// recordAnswer takes a sign of life. A broker that was ejected for failures must succeed as well.
+func (h *Health) recordAnswer(now core.Time) {
 	h.lastAnswerAt = now
 	if h.reason != Failing {
 		h.readmit()
@@ -88,28 +88,28 @@
 
 // Succeeded takes in that a request was executed and didn't fail.
 func (h *Health) Succeeded(now core.Time) {
-	h.answered(now)
+	h.recordAnswer(now)
 	h.misdirectBackoff = 0
-	count(&h.successes, now)
+	addOutcome(&h.successes, now)
 	if h.reason == Failing {
 		h.readmit()
 	}
 }
 
-// fails reports whether too large a share of what was sent recently failed.
-func (h *Health) fails(now core.Time) bool {
-	failures := recentCount(h.failures, now)
-	return failures >= minFailures && failures > failureShare*(failures+recentCount(h.successes, now))
+// failureRateExceeded reports whether too large a share of what was sent recently failed.
+func (h *Health) failureRateExceeded(now core.Time) bool {
+	failures := recentOutcomes(h.failures, now)
+	return failures >= minFailures && failures > failureShare*(failures+recentOutcomes(h.successes, now))
 }
 
-func count(counts **window.Counts, now core.Time) {
+func addOutcome(counts **window.Counts, now core.Time) {
 	if *counts == nil {
 		*counts = window.NewCounts(failureBuckets+1, failureSpan/failureBuckets)
 	}
 	(*counts).Add(units.Milliseconds(now), 1)
 }
 
-func recentCount(counts *window.Counts, now core.Time) float64 {
+func recentOutcomes(counts *window.Counts, now core.Time) float64 {
 	if counts == nil {
 		return 0
 	}
--- a/internal/node/routing/brokerstate/load.go
+++ b/internal/node/routing/brokerstate/load.go
@@ -7,7 +7,7 @@
 )
 
 // reportFade is the time, ms, over which an expired report fades to the average.
-const reportFade = 3000.0
+const reportDecayTime = 3000.0
 
 // Load is what a broker reports of itself in X-Kestrelspread-Server-Load: requests that run there,
 // requests that wait for a slot, and slots in all.
@@ -48,6 +48,6 @@
 	}
 	reported := float64(b.report.load.Running + b.report.load.Waiting + b.inFlight - b.report.inFlight)
 	age := units.Milliseconds(now - b.report.receivedAt)
-	trust = min(max(1-(age-predict.HistoryExpiry)/reportFade, 0), 1)
+	trust = min(max(1-(age-predict.HistoryExpiry)/reportDecayTime, 0), 1)
 	return max(reported, 0), trust
 }
--- a/internal/node/routing/brokerstate/pool.go
+++ b/internal/node/routing/brokerstate/pool.go
@@ -16,8 +16,8 @@
 	// are scarce: longer than a broker usually takes to load.
 	LoadingTrusted = 5 * time.Second
 
-	scarceShare     = 0.6 // of the brokers that don't drain: with fewer free of the mark, they are scarce
-	refreshInterval = 250 * time.Millisecond
+	minUnmarkedShare = 0.6 // of the brokers that don't drain: with fewer free of the mark, they are scarce
+	refreshInterval  = 250 * time.Millisecond
 )
 
 // Pool is one service's brokers and what is usual among them.
@@ -26,18 +26,18 @@
 	Brokers []*Broker
 
 	switches      mechanism.Switches
-	pacesBrokers  bool // each broker has a pace of its own
-	pace          prefillPace
+	perBrokerPace bool // each broker has a pace of its own
+	prefillTime   prefillTimeEstimator
 	usualStepTime float64 // ms between two events of a stream; 0: not known
-	scratch       []float64
+	stepTimes     []float64
 	weights       predict.Weights
 	submits       predict.SubmitStats
 	latencies     *window.Histogram // all answers of the service, scaled to the usual work
 	median        float64           // of latencies, ms
-	fleetLine     float64           // the latency from which an answer in the service is slow, ms
-	answers       int               // that these stand on
+	fleetSlowLine float64           // the latency from which an answer in the service is slow, ms
+	medianSamples int               // that these stand on
 	lowestMedian  float64           // lowest median seen, ms
-	scarce        bool              // too few brokers bear no mark of loading
+	brokersScarce bool              // too few brokers bear no mark of loading
 	refreshedAt   core.Time
 	// lastAnswerAt is when any broker last answered.
 	lastAnswerAt core.Time
@@ -46,12 +46,12 @@
 // NewPool makes the state of a service without brokers.
 func NewPool(switches mechanism.Switches) *Pool {
 	return &Pool{
-		switches:     switches,
-		pacesBrokers: switches.On(mechanism.BrokerPace),
-		weights:      predict.InitialWeights,
-		submits:      predict.NewSubmitStats(),
-		latencies:    NewHistogram(),
-		refreshedAt:  -refreshInterval,
+		switches:      switches,
+		perBrokerPace: switches.On(mechanism.BrokerPace),
+		weights:       predict.InitialWeights,
+		submits:       predict.NewSubmitStats(),
+		latencies:     NewLatencyHistogram(),
+		refreshedAt:   -refreshInterval,
 	}
 }
 
@@ -62,10 +62,10 @@
 	}
 	p.refreshedAt = now
 	at := units.Milliseconds(now)
-	p.median, p.answers = p.latencies.Quantile(at, 0.5)
-	p.scarce = p.manyLoading()
+	p.median, p.medianSamples = p.latencies.Quantile(at, 0.5)
+	p.brokersScarce = p.tooFewUnmarked()
 	p.usualStepTime = p.medianStepTime()
-	p.fleetLine, _ = p.latencies.Quantile(at, predict.SlowLineQuantile)
+	p.fleetSlowLine, _ = p.latencies.Quantile(at, predict.SlowLineQuantile)
 	if p.MedianKnown() && (p.lowestMedian == 0 || p.median < p.lowestMedian) {
 		p.lowestMedian = p.median
 	}
@@ -75,14 +75,14 @@
 func (p *Pool) Median() float64 { return p.median }
 
 // MedianKnown reports whether the median stands on enough answers.
-func (p *Pool) MedianKnown() bool { return p.answers >= predict.MinSamples }
+func (p *Pool) MedianKnown() bool { return p.medianSamples >= predict.MinSamples }
 
 // Crowded reports whether the service as a whole is slower than it can be.
 func (p *Pool) Crowded() bool { return predict.FleetSlow(p.median, p.lowestMedian) }
 
-// manyLoading reports whether fewer brokers than the rest can do without are free of the mark that
+// tooFewUnmarked reports whether fewer brokers than the rest can do without are free of the mark that
 // they load new weights.
-func (p *Pool) manyLoading() bool {
+func (p *Pool) tooFewUnmarked() bool {
 	ready, free := 0, 0
 	for _, b := range p.Brokers {
 		if b.Instance.State != registry.Ready {
@@ -93,7 +93,7 @@
 			free++
 		}
 	}
-	return float64(free) < scarceShare*float64(ready)
+	return float64(free) < minUnmarkedShare*float64(ready)
 }
 
 // Usable reports whether new requests may be sent to a broker. A mark that it loads new weights may
@@ -103,23 +103,23 @@
 	if b.Instance.State != registry.Ready {
 		return false
 	}
-	return !p.switches.On(mechanism.LoadingMarks) || !b.Instance.Loading || p.scarce && now >= b.loadingSince+LoadingTrusted
+	return !p.switches.On(mechanism.LoadingMarks) || !b.Instance.Loading || p.brokersScarce && now >= b.loadingSince+LoadingTrusted
 }
 
 // Learn takes a call's latency into all measures, once it is known to be one that was worked for.
 // It must be called once a call.
 func (p *Pool) Learn(now core.Time, c *Call) {
-	c.learnt = true
+	c.latencyRecorded = true
 	b := c.Broker
 	p.Refresh(now)
 	slow := c.Latency > p.SlowLine(now, b)
-	p.teach(now, c, slow)
+	p.trainPredictor(now, c, slow)
 	if c.FetchFrom != "" {
 		b.Fetches.observe(now, slow)
 	}
 	if c.Salt != "" {
-		p.pace.learn(c.BacklogAhead, c.Latency*c.Scale/p.slowness(b))
+		p.prefillTime.addSample(c.BacklogAhead, c.Latency*c.Scale/p.slowdown(b))
 	}
-	b.learnLatency(now, c)
+	b.recordLatency(now, c)
 	p.latencies.Add(units.Milliseconds(now), c.Latency)
 }
--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -9,7 +9,7 @@
 
 const (
 	slowScore       = 0.5 // score from which an answer is predicted slow
-	crowdedSlowness = 2.0 // medians that a broker takes which is slow even where all are
+	fleetSlowFactor = 2.0 // medians that a broker takes which is slow even where all are
 )
 
 // Prediction is whether an answer would be slow, and what it was predicted from.
@@ -25,7 +25,7 @@
 	slow := p.switches.On(mechanism.Prediction) && p.predictsSlow(&features)
 	// In a crowd all are slow, and who looks fast is who got no requests: only who is far slower
 	// than the rest is passed over.
-	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < crowdedSlowness*p.median {
+	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < fleetSlowFactor*p.median {
 		slow = false
 	}
 	return Prediction{features, slow}
@@ -57,24 +57,24 @@
 // SlowLine is the latency from which an answer of the broker counts as slow, ms.
 func (p *Pool) SlowLine(now core.Time, b *Broker) float64 {
 	l := &b.latencies
-	if now < l.slowLineAt+slowLineKept {
+	if now < l.slowLineAt+slowLineMaxAge {
 		return l.slowLine
 	}
 	own := l.recent
 	if own == nil {
 		own = emptyHistogram
 	}
-	l.slowLine = predict.SlowLine(units.Milliseconds(now), own, p.fleetLine, p.answers)
+	l.slowLine = predict.SlowLine(units.Milliseconds(now), own, p.fleetSlowLine, p.medianSamples)
 	l.slowLineAt = now
 	return l.slowLine
 }
 
-// teach tells the predictor whether a call lay over the line, once.
-func (p *Pool) teach(now core.Time, c *Call, slow bool) {
-	if c.taught {
+// trainPredictor tells the predictor whether a call lay over the line, once.
+func (p *Pool) trainPredictor(now core.Time, c *Call, slow bool) {
+	if c.predictorTrained {
 		return
 	}
-	c.taught = true
+	c.predictorTrained = true
 	p.weights.Train(&c.Features, slow, c.PredictedFast)
 	if c.PredictedFast {
 		p.submits.Record(units.Milliseconds(now), slow)
@@ -84,7 +84,7 @@
 // TeachOverdue tells the predictor of a call that has been out for longer than the line already.
 func (p *Pool) TeachOverdue(now core.Time, c *Call) {
 	if age := c.Age(now); age > p.SlowLine(now, c.Broker) {
-		p.teach(now, c, true)
+		p.trainPredictor(now, c, true)
 	}
 }
 
--- a/internal/node/routing/brokerstate/prefill.go
+++ b/internal/node/routing/brokerstate/prefill.go
@@ -6,16 +6,16 @@
 )
 
 // PrefillPaceKnown reports whether the time per prompt token was learnt rather than assumed.
-func (p *Pool) PrefillPaceKnown() bool { return p.pace.known() }
+func (p *Pool) PrefillPaceKnown() bool { return p.prefillTime.known() }
 
 // PrefillPerToken is how long a broker takes to read a token of a prompt, ms.
-func (p *Pool) PrefillPerToken(b *Broker) float64 { return p.pace.perToken() * p.slowness(b) }
+func (p *Pool) PrefillPerToken(b *Broker) float64 { return p.prefillTime.perToken() * p.slowdown(b) }
 
 // PrefillWait is how long a broker will read before a new request's turn, ms.
 func (p *Pool) PrefillWait(now core.Time, b *Broker) float64 {
 	perToken := p.PrefillPerToken(b)
 	b.backlog.advance(now, 1/perToken, b.oldestAwaiting())
-	return perToken * b.backlog.tokens()
+	return perToken * b.backlog.remaining()
 }
 
 // Enqueued is where a prompt stands in a broker's backlog.
@@ -31,6 +31,6 @@
 	perToken := p.PrefillPerToken(b)
 	b.LongPrompts.record(now, tokens)
 	end := b.backlog.add(now, float64(tokens), 1/perToken, b.oldestAwaiting())
-	ahead := b.backlog.tokens()
+	ahead := b.backlog.remaining()
 	return Enqueued{End: end, Ahead: ahead, ReadyAt: now + units.FromMilliseconds(perToken*ahead)}
 }
--- a/internal/node/routing/brokerstate/refusals.go
+++ b/internal/node/routing/brokerstate/refusals.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// BacksOff reports whether a request of an urgency (0: most urgent) should leave the broker alone,
+// BackingOff reports whether a request of an urgency (0: most urgent) should leave the broker alone,
 // as it refused recently.
-func (b *Broker) BacksOff(now core.Time, urgency int) bool {
+func (b *Broker) BackingOff(now core.Time, urgency int) bool {
 	r := &b.refusals
 	if now < r.rolloutUntil {
 		return true
--- a/internal/node/routing/brokerstate/steppace.go
+++ b/internal/node/routing/brokerstate/steppace.go
@@ -16,16 +16,16 @@
 	stepOutlier       = 1.4  // times the step time believed so far, at most, that a single stream counts as
 	minStepBrokers    = 4    // brokers with a known step time before they are compared
 	stepNoise         = 0.15 // share of the usual step time by which brokers differ by chance
-	minSlowness       = 0.5  // times the usual step time of the service
-	maxSlowness       = 3.0
+	minSlowdown       = 0.5  // times the usual step time of the service
+	maxSlowdown       = 3.0
 )
 
 // ObserveStep takes in the step time, ms, that a stream showed. Beyond the first streams, a single
 // one moves the average little: it may have met prefills all along.
 func (b *Broker) ObserveStep(stepTime float64) {
-	b.steps++
-	if b.steps <= MinStepStreams {
-		b.stepTime += (stepTime - b.stepTime) / float64(b.steps)
+	b.stepStreams++
+	if b.stepStreams <= MinStepStreams {
+		b.stepTime += (stepTime - b.stepTime) / float64(b.stepStreams)
 		return
 	}
 	stepTime = min(max(stepTime, b.stepTime/stepOutlier), b.stepTime*stepOutlier)
@@ -41,27 +41,27 @@
 
 // medianStepTime is the median over the brokers, ms, 0 where too few are known.
 func (p *Pool) medianStepTime() float64 {
-	p.scratch = p.scratch[:0]
+	p.stepTimes = p.stepTimes[:0]
 	for _, b := range p.Brokers {
-		if b.steps >= MinStepStreams {
-			p.scratch = append(p.scratch, b.stepTime)
+		if b.stepStreams >= MinStepStreams {
+			p.stepTimes = append(p.stepTimes, b.stepTime)
 		}
 	}
-	if len(p.scratch) < minStepBrokers {
+	if len(p.stepTimes) < minStepBrokers {
 		return 0
 	}
-	slices.Sort(p.scratch)
-	return p.scratch[len(p.scratch)/2]
+	slices.Sort(p.stepTimes)
+	return p.stepTimes[len(p.stepTimes)/2]
 }
 
-// slowness is how many times as long as usual a broker takes; 1 where that isn't known.
-func (p *Pool) slowness(b *Broker) float64 {
-	if !p.pacesBrokers || p.usualStepTime == 0 || b.steps < MinStepStreams {
+// slowdown is how many times as long as usual a broker takes; 1 where that isn't known.
+func (p *Pool) slowdown(b *Broker) float64 {
+	if !p.perBrokerPace || p.usualStepTime == 0 || b.stepStreams < MinStepStreams {
 		return 1
 	}
 	ratio := b.stepTime / p.usualStepTime
 	if ratio > 1-stepNoise && ratio < 1+stepNoise {
 		return 1
 	}
-	return min(max(ratio, minSlowness), maxSlowness)
+	return min(max(ratio, minSlowdown), maxSlowdown)
 }
--- a/internal/node/routing/brokerstate/steppace_test.go
+++ b/internal/node/routing/brokerstate/steppace_test.go
@@ -23,45 +23,45 @@
 	return p
 }
 
-// observeStreams has a broker observed by so many streams.
-func observeStreams(b *Broker, streams int, stepTime time.Duration) {
+// addStreams has a broker observed by so many streams.
+func addStreams(b *Broker, streams int, stepTime time.Duration) {
 	for range streams {
 		b.ObserveStep(units.Milliseconds(stepTime))
 	}
 }
 
-// pacedPool has brokers of which the first `slow` take half as long again, as streams have shown.
-func pacedPool(brokers, slow int) *Pool {
+// newPoolWithSlowBrokers has brokers of which the first `slow` take half as long again, as streams have shown.
+func newPoolWithSlowBrokers(brokers, slow int) *Pool {
 	p := newPool(brokers)
 	for i, b := range p.Brokers {
 		usual := 20 * ms
 		if i < slow {
 			usual = 30 * ms
 		}
-		observeStreams(b, 2*MinStepStreams, usual)
+		addStreams(b, 2*MinStepStreams, usual)
 	}
 	p.Refresh(20 * time.Second)
 	return p
 }
 
-func TestPaceOfBrokers(t *testing.T) {
-	p := pacedPool(9, 3)
+func TestSlowdownOfBrokers(t *testing.T) {
+	p := newPoolWithSlowBrokers(9, 3)
 	for i, b := range p.Brokers {
-		slowness := p.slowness(b)
+		slowness := p.slowdown(b)
 		assert.Equal(t, slowness > 1.4, i < 3, "%s %f", b.Instance.ID, slowness)
 		assert.Assert(t, i < 3 || slowness == 1)
 	}
 	one := p.Brokers[8]
-	observeStreams(one, 1, 2*time.Second)
-	assert.Equal(t, p.slowness(one), 1.0, "a single stream that met prefills all along moves it little")
-	observeStreams(one, 30, 40*ms)
-	assert.Assert(t, p.slowness(one) > 1.5, "what many streams show is believed")
+	addStreams(one, 1, 2*time.Second)
+	assert.Equal(t, p.slowdown(one), 1.0, "a single stream that met prefills all along moves it little")
+	addStreams(one, 30, 40*ms)
+	assert.Assert(t, p.slowdown(one) > 1.5, "what many streams show is believed")
 }
 
-func TestPaceNeedsSeveralBrokersAndStreams(t *testing.T) {
+func TestSlowdownNeedsSeveralBrokersAndStreams(t *testing.T) {
 	p := newPool(9)
-	observeStreams(p.Brokers[0], 20, 90*ms)
-	observeStreams(p.Brokers[1], 20, 20*ms)
+	addStreams(p.Brokers[0], 20, 90*ms)
+	addStreams(p.Brokers[1], 20, 20*ms)
 	p.Refresh(21 * time.Second)
-	assert.Equal(t, p.slowness(p.Brokers[0]), 1.0)
+	assert.Equal(t, p.slowdown(p.Brokers[0]), 1.0)
 }
--- a/internal/node/routing/cachesalt/cachesalt_test.go
+++ b/internal/node/routing/cachesalt/cachesalt_test.go
@@ -10,7 +10,7 @@
 )
 
 // RULES.md STALE and WALL: what two requests may share, by their salts.
-func TestWhoSharesASalt(t *testing.T) {
+func TestSaltSharing(t *testing.T) {
 	plain, other := &config.Tenant{Name: "a"}, &config.Tenant{Name: "b"}
 	apart := &config.Tenant{Name: "c", Isolated: true}
 	var w IsolatedTenants
@@ -37,7 +37,7 @@
 
 // While an older configuration may be in force somewhere, a tenant that was isolated shares nothing
 // here either.
-func TestWallOutlivesItsConfiguration(t *testing.T) {
+func TestIsolationOutlivesItsConfiguration(t *testing.T) {
 	var w IsolatedTenants
 	was := &config.Tenant{Name: "c", Isolated: true}
 	w.Observe(&config.Compiled{Tenants: map[string]*config.Tenant{"key": was}})
--- a/internal/node/routing/cachesalt/salts_golden_test.go
+++ b/internal/node/routing/cachesalt/salts_golden_test.go
@@ -8,7 +8,7 @@
 
 // TestSaltsAreThoseOfOtherNodes: brokers find cached parts, and nodes tell each other of them, by these texts and numbers. They are
 // those of 4c59a1d.
-func TestSaltsAreThoseOfOtherNodes(t *testing.T) {
+func TestSaltsMatchOtherNodes(t *testing.T) {
 	for _, c := range []struct {
 		model   string
 		version uint64
--- a/internal/node/routing/candidate/candidate.go
+++ b/internal/node/routing/candidate/candidate.go
@@ -29,11 +29,11 @@
 	// Arriving is how many it has or will have read before a new request's turn.
 	Arriving int
 	// Stored is how many the prompt's store has under the broker's version.
-	Stored int
+	StoredTokens int
 
 	// Predicted: Prediction is filled in.
-	Predicted  bool
-	Prediction brokerstate.Prediction
+	HasPrediction bool
+	Prediction    brokerstate.Prediction
 	// TieBreak orders brokers with as many own requests, where the service runs no models.
 	TieBreak float64
 	// Plan is what the broker has to do for the prompt, where the service runs models.
@@ -92,8 +92,8 @@
 	return best
 }
 
-// AnySlow reports whether some eligible candidate was predicted slow.
-func (s *Set) AnySlow() bool {
+// AnyPredictedSlow reports whether some eligible candidate was predicted slow.
+func (s *Set) AnyPredictedSlow() bool {
 	return slices.ContainsFunc(s.Eligible, func(c Candidate) bool { return c.Prediction.Slow })
 }
 
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -25,9 +25,9 @@
 	// MaxFirstToken is the most time that a first token is taken to need.
 	MaxFirstToken = 3 * time.Second
 
-	newestFirstShare = 2.0 / 3 // of the brokers must have the newest weights
-	firstTokenShare  = 0.9
-	recentAnswerSpan = time.Second // a broker that the registry misses is used if it has answered within that time
+	minNewestShare     = 2.0 / 3 // of the brokers must have the newest weights
+	firstTokenQuantile = 0.9
+	recentAnswerSpan   = time.Second // a broker that the registry misses is used if it has answered within that time
 )
 
 // Finder finds candidates. It may eject brokers that answer nothing; it changes nothing else.
@@ -50,9 +50,9 @@
 	s.BackingOff, s.CapacityAt = 0, core.Never
 	startsAt := f.firstTokenAt(now, req)
 	for _, b := range req.Pool.Brokers {
-		c, ok := f.permitted(now, startsAt, req, b)
+		c, ok := f.buildPermitted(now, startsAt, req, b)
 		if ok && !req.Tried(b) {
-			f.sort(now, req, s, c)
+			f.classify(now, req, s, c)
 		}
 	}
 	if len(s.Eligible) == 0 {
@@ -63,8 +63,8 @@
 	return s
 }
 
-// permitted reports whether the rules let the request go to the broker at all.
-func (f *Finder) permitted(now, startsAt core.Time, req *inflight.Request, b *brokerstate.Broker) (Candidate, bool) {
+// buildPermitted reports whether the rules let the request go to the broker at all.
+func (f *Finder) buildPermitted(now, startsAt core.Time, req *inflight.Request, b *brokerstate.Broker) (Candidate, bool) {
 	c := Candidate{Broker: b}
 	if !req.Pool.Usable(now, b) || b.Health.Misdirected(now) {
 		return c, false
@@ -76,13 +76,13 @@
 	return c, true
 }
 
-// sort puts a broker among the eligible, the ejected or those that back off.
-func (f *Finder) sort(now core.Time, req *inflight.Request, s *Set, c Candidate) {
+// classify puts a broker among the eligible, the ejected or those that back off.
+func (f *Finder) classify(now core.Time, req *inflight.Request, s *Set, c Candidate) {
 	b := c.Broker
 	h := &b.Health
 	f.ejector.EjectIfTimedOut(now, req.Pool, b)
 	switch {
-	case f.switches.On(mechanism.RefusalBackoff) && b.BacksOff(now, req.Urgency):
+	case f.switches.On(mechanism.RefusalBackoff) && b.BackingOff(now, req.Urgency):
 		s.BackingOff++
 		s.CapacityAt = min(s.CapacityAt, b.BackoffUntil())
 	case h.Ejected() && mayProbe(now, req, b):
@@ -124,7 +124,7 @@
 			count++
 		}
 	}
-	if float64(count) < newestFirstShare*float64(len(eligible)) {
+	if float64(count) < minNewestShare*float64(len(eligible)) {
 		return eligible
 	}
 	return slices.DeleteFunc(eligible, func(c Candidate) bool { return c.Version < newest })
@@ -137,7 +137,7 @@
 	if req.ServedModel == "" || !f.versions.AnyExpiresWithin(now, req.ServedModel, MaxFirstToken) {
 		return now
 	}
-	usual, answers := req.Class.Quantile(now, firstTokenShare)
+	usual, answers := req.Class.Quantile(now, firstTokenQuantile)
 	if answers < predict.MinSamples {
 		usual = req.Route.TargetLatencyMs
 	}
--- a/internal/node/routing/candidate/finder_test.go
+++ b/internal/node/routing/candidate/finder_test.go
@@ -51,7 +51,7 @@
 }
 
 // What becomes of the first of three brokers in each condition.
-func TestWhereABrokerIsSorted(t *testing.T) {
+func TestBrokerClassification(t *testing.T) {
 	all, rest := []string{"i00", "i01", "i02"}, []string{"i01", "i02"}
 	for _, c := range []struct {
 		name       string
@@ -97,7 +97,7 @@
 
 // An ejected broker is probed once the backoff is over: by an idempotent request, or by any where
 // the request can't run there unseen.
-func TestWhoProbesAnEjectedBroker(t *testing.T) {
+func TestRequestsThatMayProbe(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		reason     brokerstate.EjectionReason
--- a/internal/node/routing/modelversion/modelversion.go
+++ b/internal/node/routing/modelversion/modelversion.go
@@ -23,14 +23,14 @@
 	LearnMargin = 700 * time.Millisecond
 	// stretchesMargin is subtracted from the bound of all stable stretches together, which are
 	// counted here without the gaps between them.
-	stretchesMargin = 2 * time.Second
+	allPeriodsMargin = 2 * time.Second
 	// disturbanceMargin is subtracted from the time for which the core is unstable after a
 	// disturbance, as that may have begun sooner than is known.
 	disturbanceMargin = time.Second
 	// startGrace, from the start of this node, is the time of versions before those that were named
 	// earlier, as it can't know when. A node isn't in touch before it has run for contactMs
 	// (RULES.md, "In touch"), which is longer.
-	startGrace = 2500 * time.Millisecond
+	startupGrace = 2500 * time.Millisecond
 	// maxRemembered bounds how many versions of a model are remembered.
 	maxRemembered = 16
 )
@@ -58,21 +58,21 @@
 
 // modelVersions are the versions that were named for one model.
 type modelVersions struct {
-	floor uint64         // the time of versions below it is over for good
-	named []namedVersion // rising
+	minVersion uint64              // the time of versions below it is over for good
+	configured []configuredVersion // rising
 }
 
-// namedVersion is a version, and until when requests may start on those before it.
-type namedVersion struct {
+// configuredVersion is a version, and until when requests may start on those before it.
+type configuredVersion struct {
 	version uint64
 	// startsUntil is when requests may no longer start on the version before.
-	startsUntil core.Time
+	olderUntil core.Time
 	// maxStartsUntil bounds how far disturbances of the core extend startsUntil.
-	maxStartsUntil core.Time
+	maxOlderUntil core.Time
 	// fixed: no disturbance changes startsUntil.
 	fixed bool
 	// disturbedAt is the last disturbance that extended maxStartsUntil.
-	disturbedAt core.Time
+	lastDisturbedAt core.Time
 }
 
 // NewTracker makes a tracker that knows no configuration, for a node that starts now.
@@ -82,9 +82,9 @@
 
 // Observe takes in the versions that a configuration names.
 func (t *Tracker) Observe(now core.Time, compiled *config.Compiled) {
-	until, limit := t.singleStretchEnd(now), now+t.bounds.AllStretches-stretchesMargin
+	until, limit := t.singlePeriodEnd(now), now+t.bounds.AllStretches-allPeriodsMargin
 	if !t.configSeen {
-		until = min(until, t.startedAt+startGrace)
+		until = min(until, t.startedAt+startupGrace)
 		limit = until
 		t.configSeen = compiled.Version > 0
 	}
@@ -97,13 +97,13 @@
 			m = &modelVersions{}
 			t.models[model] = m
 		}
-		m.named = append(m.named, namedVersion{version: version, startsUntil: until, maxStartsUntil: limit, fixed: limit <= until})
-		m.expire()
+		m.configured = append(m.configured, configuredVersion{version: version, olderUntil: until, maxOlderUntil: limit, fixed: limit <= until})
+		m.forgetOldest()
 	}
 }
 
-// singleStretchEnd is when the bound of a single stretch that began at a time is over.
-func (t *Tracker) singleStretchEnd(from core.Time) core.Time {
+// singlePeriodEnd is when the bound of a single stretch that began at a time is over.
+func (t *Tracker) singlePeriodEnd(from core.Time) core.Time {
 	return from + max(t.bounds.SingleStretch-LearnMargin, 0)
 }
 
@@ -111,10 +111,10 @@
 // there, for versions whose time isn't over yet.
 func (t *Tracker) CoreDisturbed(now, at core.Time) {
 	for _, m := range t.models {
-		for i := range m.named {
-			if named := &m.named[i]; now < named.startsUntil && !named.fixed {
+		for i := range m.configured {
+			if named := &m.configured[i]; now < named.olderUntil && !named.fixed {
 				t.extendLimit(named, at)
-				named.startsUntil = max(named.startsUntil, min(t.singleStretchEnd(at), named.maxStartsUntil))
+				named.olderUntil = max(named.olderUntil, min(t.singlePeriodEnd(at), named.maxOlderUntil))
 			}
 		}
 	}
@@ -122,35 +122,35 @@
 
 // extendLimit takes the time after a disturbance, in which the core was unstable, out of the bound
 // of all stretches. Disturbances that follow one another within that time count once.
-func (t *Tracker) extendLimit(named *namedVersion, at core.Time) {
+func (t *Tracker) extendLimit(named *configuredVersion, at core.Time) {
 	unstable := t.bounds.UnstableFor - disturbanceMargin
-	if unstable <= 0 || named.disturbedAt != 0 && at < named.disturbedAt+t.bounds.UnstableFor {
+	if unstable <= 0 || named.lastDisturbedAt != 0 && at < named.lastDisturbedAt+t.bounds.UnstableFor {
 		return
 	}
-	named.disturbedAt = at
-	named.maxStartsUntil += unstable
+	named.lastDisturbedAt = at
+	named.maxOlderUntil += unstable
 }
 
-// expire forgets the oldest version where too many are remembered: its time is over for good.
-func (m *modelVersions) expire() {
-	if len(m.named) > maxRemembered {
-		m.floor = m.named[0].version
-		m.named = append(m.named[:0], m.named[1:]...)
+// forgetOldest forgets the oldest version where too many are remembered: its time is over for good.
+func (m *modelVersions) forgetOldest() {
+	if len(m.configured) > maxRemembered {
+		m.minVersion = m.configured[0].version
+		m.configured = append(m.configured[:0], m.configured[1:]...)
 	}
 }
 
-// lastNamed is the newest version that was named of a model, if any was.
-func (t *Tracker) lastNamed(model string) (namedVersion, bool) {
+// lastConfigured is the newest version that was named of a model, if any was.
+func (t *Tracker) lastConfigured(model string) (configuredVersion, bool) {
 	m := t.models[model]
 	if m == nil {
-		return namedVersion{}, false
+		return configuredVersion{}, false
 	}
-	return m.named[len(m.named)-1], true
+	return m.configured[len(m.configured)-1], true
 }
 
 // Newest is the version that all brokers of a model are to have.
 func (t *Tracker) Newest(model string) uint64 {
-	if last, ok := t.lastNamed(model); ok {
+	if last, ok := t.lastConfigured(model); ok {
 		return last.version
 	}
 	return firstVersion
@@ -162,12 +162,12 @@
 	if m == nil {
 		return true
 	}
-	if version < m.floor {
+	if version < m.minVersion {
 		return false
 	}
-	for _, named := range m.named {
+	for _, named := range m.configured {
 		if named.version > version {
-			return startsAt < named.startsUntil
+			return startsAt < named.olderUntil
 		}
 	}
 	return true
@@ -176,7 +176,7 @@
 // AnyExpiresWithin reports whether the time of some older version ends within a span from now.
 func (t *Tracker) AnyExpiresWithin(now core.Time, model string, span time.Duration) bool {
 	m := t.models[model]
-	return m != nil && slices.ContainsFunc(m.named, func(n namedVersion) bool { return now < n.startsUntil && n.startsUntil <= now+span })
+	return m != nil && slices.ContainsFunc(m.configured, func(n configuredVersion) bool { return now < n.olderUntil && n.olderUntil <= now+span })
 }
 
 // VersionOf is the version that an instance has of a model: the reported one, else the newest, with
--- a/internal/node/routing/modelversion/modelversion_test.go
+++ b/internal/node/routing/modelversion/modelversion_test.go
@@ -55,7 +55,7 @@
 // The time is counted within a single stretch during which the core was stable, and over all of
 // them up to another bound: a disturbance begins it anew, but never once it was over, nor beyond
 // the bound of all.
-func TestVersionsWhileTheCoreIsDisturbed(t *testing.T) {
+func TestDisturbancesExtendTheDeadline(t *testing.T) {
 	const named = 20 * time.Second
 	for _, c := range []struct {
 		name        string
@@ -116,7 +116,7 @@
 	assert.Assert(t, !v.MayStart(3500*ms, model, 4))
 }
 
-func TestVersionOnceOverStaysOver(t *testing.T) {
+func TestExpiredVersionStaysExpired(t *testing.T) {
 	v := NewTracker(0, testBounds)
 	for i := range uint64(3 * maxRemembered) {
 		v.Observe(time.Duration(i)*time.Minute, configWith(map[string]uint64{model: i + 2}))
@@ -125,5 +125,5 @@
 	for version := uint64(1); version <= 3*maxRemembered; version++ {
 		assert.Equal(t, v.MayStart(last, model, version), version >= 3*maxRemembered, "version %d", version)
 	}
-	assert.Assert(t, len(v.models[model].named) <= maxRemembered)
+	assert.Assert(t, len(v.models[model].configured) <= maxRemembered)
 }
--- a/internal/node/routing/placement/byload.go
+++ b/internal/node/routing/placement/byload.go
@@ -8,9 +8,9 @@
 
 // Weights of what breaks ties between brokers with as many own requests, in average loads.
 const (
-	otherZoneTie = 0.6 // a broker in another zone
-	latencyTie   = 0.5 // each median of its latency
-	maxRandomTie = 0.1 // at most, by chance
+	otherZoneWeight = 0.6 // a broker in another zone
+	latencyWeight   = 0.5 // each median of its latency
+	maxRandomWeight = 0.1 // at most, by chance
 )
 
 // chooseByLoad is the choice of LinnOS's design (docs/design.md): predicted-slow brokers are passed over, and of the rest the
@@ -20,12 +20,12 @@
 	for i := range s.Eligible {
 		s.Eligible[i].TieBreak = p.tieBreak(now, req, s, &s.Eligible[i])
 	}
-	chosen, slow := p.firstFast(now, req, s, fewestRequests)
+	chosen, slow := p.bestPredictedFast(now, req, s, fewestRequests)
 	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !slow && len(s.Eligible) > 1}
 	switch {
 	case slow:
 		choice.Reason = AllSlow
-	case s.AnySlow():
+	case s.AnyPredictedSlow():
 		choice.Reason = ByPrediction
 	}
 	return choice
@@ -51,10 +51,10 @@
 func (p *Placer) tieBreak(now core.Time, req *inflight.Request, s *candidate.Set, c *candidate.Candidate) float64 {
 	tie := c.Load / (s.AverageLoad + 1)
 	if median := req.Pool.Median(); median > 0 {
-		tie += latencyTie * c.Broker.ExpectedLatency(now, median) / median
+		tie += latencyWeight * c.Broker.ExpectedLatency(now, median) / median
 	}
 	if c.Broker.Instance.Zone != p.zone {
-		tie += otherZoneTie
+		tie += otherZoneWeight
 	}
-	return tie + maxRandomTie*p.random.Float64()
+	return tie + maxRandomWeight*p.random.Float64()
 }
--- a/internal/node/routing/placement/cost_test.go
+++ b/internal/node/routing/placement/cost_test.go
@@ -9,23 +9,23 @@
 // What each term adds to the cost of a candidate that has a prompt of 1,000 tokens to read at 0.02
 // ms each.
 func TestCostTerms(t *testing.T) {
-	base := costInputs{perToken: 0.02, prefillTokens: 1000, sameZone: true, slots: 64}
+	base := costInputs{prefillPerToken: 0.02, prefillTokens: 1000, sameZone: true, slots: 64}
 	for _, c := range []struct {
 		name   string
 		change func(*costInputs)
 		want   float64 // ms
 	}{
 		{"its own prompt", func(*costInputs) {}, 20},
-		{"tokens to fetch", func(v *costInputs) { v.fetchedTokens, v.perFetched = 500, 0.004 }, 20 + fetchFixed + 2},
-		{"tokens that were read lately elsewhere", func(v *costInputs) { v.sharedTokens, v.repeatedTokens = 500, 500 }, 20 + repeatedFactor*10},
+		{"tokens to fetch", func(v *costInputs) { v.fetchedTokens, v.fetchPerToken = 500, 0.004 }, 20 + fixedFetchCost + 2},
+		{"tokens that were read lately elsewhere", func(v *costInputs) { v.sharedTokens, v.repeatedTokens = 500, 500 }, 20 + repeatedPrefillFactor*10},
 		{"the owner of the parts", func(v *costInputs) { v.isOwner = true }, 20 - minOwnerCredit},
-		{"the owner has shared tokens to read", func(v *costInputs) { v.isOwner, v.sharedTokens = true, 500 }, 20 - minOwnerCredit - ownerShare*10},
+		{"the owner has shared tokens to read", func(v *costInputs) { v.isOwner, v.sharedTokens = true, 500 }, 20 - minOwnerCredit - ownerPrefillDiscount*10},
 		{"a backlog", func(v *costInputs) { v.prefillWait = 33 }, 53},
-		{"running requests", func(v *costInputs) { v.load = 10 }, 20 + 10*requestCost},
+		{"running requests", func(v *costInputs) { v.load = 10 }, 20 + 10*costPerRequest},
 		{"another zone", func(v *costInputs) { v.sameZone = false }, 20 + otherZoneCost},
-		{"no slot free", func(v *costInputs) { v.load = 64 }, 20 + 64*requestCost + fullCost},
-		{"slots not known", func(v *costInputs) { v.slots, v.load = 0, 64 }, 20 + 64*requestCost},
-		{"chance", func(v *costInputs) { v.random = 0.5 }, 20 + maxRandomCost/2},
+		{"no slot free", func(v *costInputs) { v.load = 64 }, 20 + 64*costPerRequest + noFreeSlotCost},
+		{"slots not known", func(v *costInputs) { v.slots, v.load = 0, 64 }, 20 + 64*costPerRequest},
+		{"chance", func(v *costInputs) { v.randomFraction = 0.5 }, 20 + maxRandomCost/2},
 		{"slow start", func(v *costInputs) { v.warmingUp = true }, 20 * warmUpFactor},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/routing/placement/placement.go
+++ b/internal/node/routing/placement/placement.go
@@ -63,16 +63,16 @@
 
 // Predict fills in a candidate's prediction.
 func (p *Placer) Predict(now core.Time, req *inflight.Request, s *candidate.Set, c *candidate.Candidate) {
-	if c.Predicted {
+	if c.HasPrediction {
 		return
 	}
-	c.Predicted = true
+	c.HasPrediction = true
 	c.Prediction = req.Pool.Predict(now, c.Broker, c.Load, s.AverageLoad)
 }
 
-// firstFast takes the best candidate by an order that isn't predicted slow; if all are, the best of
+// bestPredictedFast takes the best candidate by an order that isn't predicted slow; if all are, the best of
 // all. best returns nil where no candidate is left. slow: all were predicted slow.
-func (p *Placer) firstFast(now core.Time, req *inflight.Request, s *candidate.Set,
+func (p *Placer) bestPredictedFast(now core.Time, req *inflight.Request, s *candidate.Set,
 	best func(found []candidate.Candidate, withSlow bool) *candidate.Candidate,
 ) (chosen *candidate.Candidate, slow bool) {
 	for {
--- a/internal/node/routing/prefixcache/cache.go
+++ b/internal/node/routing/prefixcache/cache.go
@@ -18,10 +18,10 @@
 	ejector  *brokerstate.Ejector
 	compiled *config.Compiled // nil before the first configuration
 
-	recent  recentPrefills
-	stores  map[string]*storeState // by address
-	lookup  Lookup                 // reused
-	queried []uint64               // versions that the index was asked for; reused
+	recent          recentPrefills
+	stores          map[string]*storeState // by address
+	lookup          Lookup                 // reused
+	queriedVersions []uint64               // versions that the index was asked for; reused
 }
 
 // New makes a cache view. index may be nil; then brokers are found by the rendezvous order of a
@@ -45,14 +45,14 @@
 
 // unknownEngine stands for the engine of a service that the configuration no longer has: moving a
 // token is assumed to take what it usually does.
-var unknownEngine = &config.Engine{}
+var defaultEngine = &config.Engine{}
 
 // engine is the engine of the request's service. A newer configuration may have removed the engine
 // or the service since the request began.
 func (c *Cache) engine(req *inflight.Request) *config.Engine {
 	service := c.compiled.Services[req.Service]
 	if service == nil || service.Engine == nil {
-		return unknownEngine
+		return defaultEngine
 	}
 	return service.Engine
 }
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -17,12 +17,12 @@
 	// MinFetchTokens is the length from which parts are fetched: fewer tokens are read sooner.
 	MinFetchTokens = 256
 
-	blockSlack    = 64    // tokens: brokers cache parts by blocks
-	outdatedShare = 0.1   // of what the index tells of brokers was evicted meanwhile, about
-	assumedMove   = 0.001 // ms a token, where the configuration doesn't tell
-	bitsPerByte   = 8
-	bitsPerMsMbps = 1000 // bits in a ms at 1 Mbps
-	zoneFactor    = 2.0  // times as long between zones (PROTOCOL.md, "KV cache")
+	blockTolerance      = 64    // tokens: brokers cache parts by blocks
+	outdatedIndexShare  = 0.1   // of what the index tells of brokers was evicted meanwhile, about
+	assumedTransferTime = 0.001 // ms a token, where the configuration doesn't tell
+	bitsPerByte         = 8
+	bitsPerMsMbps       = 1000 // bits in a ms at 1 Mbps
+	otherZoneFactor     = 2.0  // times as long between zones (PROTOCOL.md, "KV cache")
 )
 
 // FetchSource is the address that the chosen broker should fetch the prompt's shared parts from, or
@@ -42,11 +42,11 @@
 	if c.switches.On(mechanism.KVFetch) {
 		holder = c.bestHolder(now, req, eligible, chosen)
 	}
-	store := c.storeFor(now, req)
+	store := c.chooseStore(now, req)
 	switch {
-	case store != nil && (holder == nil || chosen.Stored > holder.Cached):
+	case store != nil && (holder == nil || chosen.StoredTokens > holder.Cached):
 		return store.KVStoreAddr
-	case store != nil && chosen.Stored == holder.Cached && !sentRecently(holder) && c.storeIsNear(req, store, holder, chosen):
+	case store != nil && chosen.StoredTokens == holder.Cached && !recentlySent(holder) && c.storeFetchCompetitive(req, store, holder, chosen):
 		return store.KVStoreAddr
 	case holder != nil:
 		return holder.Broker.Instance.Address
@@ -60,35 +60,35 @@
 	return ""
 }
 
-// sentRecently reports whether a broker was sent recently what it is believed to cache, so that it
+// recentlySent reports whether a broker was sent recently what it is believed to cache, so that it
 // surely has it.
-func sentRecently(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
+func recentlySent(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
 
-// storeIsNear reports whether fetching parts from the store takes so little more time than from a
+// storeFetchCompetitive reports whether fetching parts from the store takes so little more time than from a
 // broker that the store is better, as it surely has them.
-func (c *Cache) storeIsNear(req *inflight.Request, store *config.Service, holder, chosen *candidate.Candidate) bool {
+func (c *Cache) storeFetchCompetitive(req *inflight.Request, store *config.Service, holder, chosen *candidate.Candidate) bool {
 	engine := c.engine(req)
 	if store.LinkMbps <= 0 || engine.LinkMbps <= 0 {
 		return false
 	}
-	fromStore := moveTime(engine, store.LinkMbps, zonesFactor(store.Zone, chosen))
-	fromBroker := moveTime(engine, engine.LinkMbps, zonesFactor(holder.Broker.Instance.Zone, chosen))
-	return fromStore-fromBroker <= outdatedShare*req.Pool.PrefillPerToken(chosen.Broker)
+	fromStore := transferTimePerToken(engine, store.LinkMbps, transferFactor(store.Zone, chosen))
+	fromBroker := transferTimePerToken(engine, engine.LinkMbps, transferFactor(holder.Broker.Instance.Zone, chosen))
+	return fromStore-fromBroker <= outdatedIndexShare*req.Pool.PrefillPerToken(chosen.Broker)
 }
 
-// zonesFactor is how many times as long a fetch from a zone to the chosen broker takes as one
+// transferFactor is how many times as long a fetch from a zone to the chosen broker takes as one
 // within a zone.
-func zonesFactor(zone string, chosen *candidate.Candidate) float64 {
+func transferFactor(zone string, chosen *candidate.Candidate) float64 {
 	if zone == chosen.Broker.Instance.Zone {
 		return 1
 	}
-	return zoneFactor
+	return otherZoneFactor
 }
 
-// moveTime is how long moving a token takes over a link, ms.
-func moveTime(engine *config.Engine, mbps, times float64) float64 {
+// transferTimePerToken is how long moving a token takes over a link, ms.
+func transferTimePerToken(engine *config.Engine, mbps, times float64) float64 {
 	if mbps <= 0 || engine.KVTokenBytes <= 0 {
-		return assumedMove * times
+		return assumedTransferTime * times
 	}
 	return times * engine.KVTokenBytes * bitsPerByte / (mbps * bitsPerMsMbps)
 }
@@ -102,13 +102,13 @@
 	}
 	cached := l.SharedTokens - missing
 	known := l.Version(chosen.Version)
-	if known.MaxCached > cached && known.MaxCached >= chosen.Stored {
-		return known.MaxCached - cached, moveTime(l.engine, l.engine.LinkMbps, zoneFactor)
+	if known.MaxCached > cached && known.MaxCached >= chosen.StoredTokens {
+		return known.MaxCached - cached, transferTimePerToken(l.engine, l.engine.LinkMbps, otherZoneFactor)
 	}
-	if l.Store == nil || chosen.Stored <= cached {
+	if l.Store == nil || chosen.StoredTokens <= cached {
 		return 0, 0
 	}
-	return min(chosen.Stored-cached, missing), moveTime(l.engine, l.Store.LinkMbps, zonesFactor(l.Store.Zone, chosen))
+	return min(chosen.StoredTokens-cached, missing), transferTimePerToken(l.engine, l.Store.LinkMbps, transferFactor(l.Store.Zone, chosen))
 }
 
 // bestHolder is the candidate that caches clearly more of the prompt than the chosen one, one of
@@ -117,7 +117,7 @@
 	var best *candidate.Candidate
 	for i := range eligible {
 		holder := &eligible[i]
-		if holder.Cached < chosen.Cached+MinFetchTokens || best != nil && !fetchedSooner(holder, best, chosen) {
+		if holder.Cached < chosen.Cached+MinFetchTokens || best != nil && !preferredSource(holder, best, chosen) {
 			continue
 		}
 		if c.mayFetchFrom(now, req, chosen, holder.Broker) {
@@ -127,9 +127,9 @@
 	return best
 }
 
-// fetchedSooner reports whether a source is better than another: it has more, or as much in the
+// preferredSource reports whether a source is better than another: it has more, or as much in the
 // zone of the broker that fetches, as fetches between zones take twice as long.
-func fetchedSooner(source, other, chosen *candidate.Candidate) bool {
+func preferredSource(source, other, chosen *candidate.Candidate) bool {
 	if source.Cached != other.Cached {
 		return source.Cached > other.Cached
 	}
@@ -142,13 +142,13 @@
 // new, it is the owner before it.
 func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
-	if !ok || chosen.Cached >= prompt.SharedTokens(req.Parts)-blockSlack {
+	if !ok || chosen.Cached >= prompt.SharedTokens(req.Parts)-blockTolerance {
 		return nil
 	}
 	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
 	var best *brokerstate.Broker
 	highest := uint64(0)
-	if !chosen.Broker.New(now) {
+	if !chosen.Broker.JoinedRecently(now) {
 		highest = prompt.RendezvousWeight(key, chosen.Broker.NameHash)
 	}
 	for _, b := range req.Pool.Brokers {
--- a/internal/node/routing/prefixcache/lookup.go
+++ b/internal/node/routing/prefixcache/lookup.go
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// Look finds what is known of the prompt's shared parts, and fills in how many tokens each
+// LookUp finds what is known of the prompt's shared parts, and fills in how many tokens each
 // candidate caches. The result is valid until the next call.
-func (c *Cache) Look(now core.Time, req *inflight.Request, found []candidate.Candidate) *Lookup {
-	c.askIndex(now, req, found)
+func (c *Cache) LookUp(now core.Time, req *inflight.Request, found []candidate.Candidate) *Lookup {
+	c.queryIndex(now, req, found)
 	l := &c.lookup
-	l.Store = c.storeFor(now, req)
+	l.Store = c.chooseStore(now, req)
 	l.SharedTokens = prompt.SharedTokens(req.Parts)
 	l.engine = c.engine(req)
 	l.versions = l.versions[:0]
@@ -59,23 +59,23 @@
 	return l
 }
 
-// askIndex fills in how many tokens of the prompt each candidate caches, and its store under the
+// queryIndex fills in how many tokens of the prompt each candidate caches, and its store under the
 // candidate's version, as far as the index knows.
-func (c *Cache) askIndex(now core.Time, req *inflight.Request, found []candidate.Candidate) {
+func (c *Cache) queryIndex(now core.Time, req *inflight.Request, found []candidate.Candidate) {
 	if c.index == nil || req.ServedModel == "" || !c.switches.On(mechanism.PromptIndex) {
 		return
 	}
 	store := ""
-	if service := c.storeFor(now, req); service != nil {
+	if service := c.chooseStore(now, req); service != nil {
 		store = service.KVStoreAddr
 	}
-	c.queried = c.queried[:0]
+	c.queriedVersions = c.queriedVersions[:0]
 	for i := range found {
 		version := found[i].Version
-		if slices.Contains(c.queried, version) {
+		if slices.Contains(c.queriedVersions, version) {
 			continue
 		}
-		c.queried = append(c.queried, version)
+		c.queriedVersions = append(c.queriedVersions, version)
 		for _, holder := range c.index.Holders(saltID(req, version), req.Parts) {
 			if !holder.Store || holder.Instance == store {
 				markHolder(found, version, holder)
@@ -90,7 +90,7 @@
 		switch {
 		case c.Version != version:
 		case holder.Store:
-			c.Stored = max(c.Stored, holder.Tokens)
+			c.StoredTokens = max(c.StoredTokens, holder.Tokens)
 		case c.Broker.Instance.ID == holder.Instance:
 			c.Cached = holder.Tokens
 		}
@@ -105,7 +105,7 @@
 	tokens := 0
 	for _, part := range prompt.SharedParts(req.Parts) {
 		tokens += part.Tokens
-		prefills := c.recent.of(now, salt, part)
+		prefills := c.recent.find(now, salt, part)
 		if prefills == nil {
 			newTokens += part.Tokens
 			continue
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -13,8 +13,8 @@
 	// index is to know.
 	PrefillBelieved = 2500 * time.Millisecond
 
-	prefillRepeated = 10 * time.Second // a part that is read anew within that time is read repeatedly
-	maxBrokersKept  = 4                // brokers that are remembered for a part
+	repeatedPrefillSpan = 10 * time.Second // a part that is read anew within that time is read repeatedly
+	maxBrokersPerPart   = 4                // brokers that are remembered for a part
 )
 
 // recentPrefills remembers for each part under a salt the brokers that it was sent to recently, by
@@ -31,7 +31,7 @@
 // partPrefills are the brokers that a part was sent to, the latest first.
 type partPrefills struct {
 	sentAt  core.Time // to the latest
-	brokers [maxBrokersKept]prefill
+	brokers [maxBrokersPerPart]prefill
 }
 
 // prefill is a broker that a part was sent to, and when it is to have read it.
@@ -41,7 +41,7 @@
 	readyAt core.Time
 }
 
-func partKey(salt uint64, part prompt.Part) uint64 { return prompt.Mix(salt ^ prompt.Mix(part.ID)) }
+func partKey(salt uint64, part prompt.Part) uint64 { return prompt.Mix64(salt ^ prompt.Mix64(part.ID)) }
 
 // record takes in that shared parts of a prompt were sent to a broker, which is to have read them
 // at readyAt.
@@ -62,7 +62,7 @@
 }
 
 func (r *recentPrefills) rotate(now core.Time) {
-	if r.newer != nil && now < r.newerSince+prefillRepeated {
+	if r.newer != nil && now < r.newerSince+repeatedPrefillSpan {
 		return
 	}
 	r.newer, r.older = make(map[uint64]*partPrefills), r.newer
@@ -71,7 +71,7 @@
 
 func (p *partPrefills) record(now, readyAt core.Time, b *brokerstate.Broker) {
 	p.sentAt = now
-	last := maxBrokersKept - 1
+	last := maxBrokersPerPart - 1
 	for i := range p.brokers {
 		if p.brokers[i].broker != b {
 			continue
@@ -86,14 +86,14 @@
 	p.brokers[0] = prefill{broker: b, sentAt: now, readyAt: readyAt}
 }
 
-// of is what is remembered of a part, nil where it wasn't sent recently.
-func (r *recentPrefills) of(now core.Time, salt uint64, part prompt.Part) *partPrefills {
+// find is what is remembered of a part, nil where it wasn't sent recently.
+func (r *recentPrefills) find(now core.Time, salt uint64, part prompt.Part) *partPrefills {
 	key := partKey(salt, part)
 	prefills := r.newer[key]
 	if prefills == nil {
 		prefills = r.older[key]
 	}
-	if prefills == nil || now >= prefills.sentAt+prefillRepeated {
+	if prefills == nil || now >= prefills.sentAt+repeatedPrefillSpan {
 		return nil
 	}
 	return prefills
--- a/internal/node/routing/prefixcache/recent_test.go
+++ b/internal/node/routing/prefixcache/recent_test.go
@@ -17,29 +17,29 @@
 }
 
 // After a while the index has to know; after prefillRepeated a part counts as new.
-func TestRecentPrefillsFade(t *testing.T) {
+func TestRecentPrefillsExpire(t *testing.T) {
 	const now = 20 * time.Second
 	b := newBroker("i00")
 	parts := []prompt.Part{{ID: 1, Tokens: 500}}
 	var r recentPrefills
 	r.record(now, now+time.Second, b, 7, parts)
-	prefills := r.of(now, 7, parts[0])
+	prefills := r.find(now, 7, parts[0])
 	assert.Equal(t, prefills.brokers[0].broker, b)
-	assert.Assert(t, r.of(now, 8, parts[0]) == nil)
-	assert.Assert(t, r.of(now+prefillRepeated, 7, parts[0]) == nil)
-	r.record(now+prefillRepeated, 0, b, 7, []prompt.Part{{ID: 2}})
+	assert.Assert(t, r.find(now, 8, parts[0]) == nil)
+	assert.Assert(t, r.find(now+repeatedPrefillSpan, 7, parts[0]) == nil)
+	r.record(now+repeatedPrefillSpan, 0, b, 7, []prompt.Part{{ID: 2}})
 	assert.Equal(t, len(r.newer), 1)
 	assert.Equal(t, len(r.older), 1)
-	r.record(now+2*prefillRepeated, 0, b, 7, []prompt.Part{{ID: 3}})
+	r.record(now+2*repeatedPrefillSpan, 0, b, 7, []prompt.Part{{ID: 3}})
 	assert.Equal(t, len(r.older), 1, "two generations are kept")
 }
 
 // A part that is sent again to a broker that reads it is ready when the first reading ends, and the
 // brokers are the latest.
-func TestBrokersOfAPart(t *testing.T) {
+func TestBrokersRememberedForAPart(t *testing.T) {
 	const now = 20 * time.Second
 	brokers := map[string]*brokerstate.Broker{}
-	for i := range maxBrokersKept + 2 {
+	for i := range maxBrokersPerPart + 2 {
 		id := fmt.Sprintf("i%02d", i)
 		brokers[id] = newBroker(id)
 	}
@@ -51,7 +51,7 @@
 	record("i00", 100*time.Millisecond)
 	record("i01", 200*time.Millisecond)
 	record("i00", 900*time.Millisecond)
-	prefills := r.of(now, 7, part)
+	prefills := r.find(now, 7, part)
 	assert.Equal(t, prefills.brokers[0].broker.Instance.ID, "i00")
 	assert.Equal(t, prefills.brokers[0].readyAt, now+100*time.Millisecond)
 	assert.Equal(t, prefills.brokers[1].broker.Instance.ID, "i01")
@@ -61,5 +61,5 @@
 		record(id, 0)
 	}
 	assert.Equal(t, prefills.brokers[0].broker.Instance.ID, "i05")
-	assert.Equal(t, prefills.brokers[maxBrokersKept-1].broker.Instance.ID, "i02")
+	assert.Equal(t, prefills.brokers[maxBrokersPerPart-1].broker.Instance.ID, "i02")
 }
--- a/internal/node/routing/prefixcache/stores.go
+++ b/internal/node/routing/prefixcache/stores.go
@@ -19,24 +19,24 @@
 	// StoreBackoff is how long such a store is left alone.
 	StoreBackoff = 2 * time.Second
 
-	storeLateBy = 200.0 // ms beyond the usual: a dead source costs some hundred
+	storeLateThreshold = 200.0 // ms beyond the usual: a dead source costs some hundred
 )
 
 // storeState is the health of a store. A store is believed to be well until there is a reason
 // against it: its home node asks it each second, and a store that fails in between shows by answers
 // that come late whenever parts were to be fetched from it.
 type storeState struct {
-	dead         bool      // it was asked and gave no sign of life
-	lateInRow    int       // answers in a row that came late with a fetch from it
-	othersInTime int       // answers in time meanwhile, without a fetch from it
-	backoffUntil core.Time // it isn't fetched from before
+	dead               bool      // it was asked and gave no sign of life
+	consecutiveLate    int       // answers in a row that came late with a fetch from it
+	onTimeWithoutStore int       // answers in time meanwhile, without a fetch from it
+	backoffUntil       core.Time // it isn't fetched from before
 }
 
-// storeFor is the store that caches the shared parts of a request's prompt: of those that are well,
+// chooseStore is the store that caches the shared parts of a request's prompt: of those that are well,
 // the first in the rendezvous order of its sticky part. So each part is cached in one store, by
 // whatever proxy it is saved, and the stores together hold as much as all of their memory. nil:
 // there is none.
-func (c *Cache) storeFor(now core.Time, req *inflight.Request) *config.Service {
+func (c *Cache) chooseStore(now core.Time, req *inflight.Request) *config.Service {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok || c.compiled == nil || !c.switches.On(mechanism.KVStore) {
 		return nil
@@ -46,7 +46,7 @@
 	highest := uint64(0)
 	for _, store := range c.compiled.Stores {
 		weight := prompt.RendezvousWeight(key, prompt.HashText(store.KVStoreAddr))
-		if (best == nil || weight > highest) && c.storeWell(now, store.KVStoreAddr) {
+		if (best == nil || weight > highest) && c.storeUsable(now, store.KVStoreAddr) {
 			best, highest = store, weight
 		}
 	}
@@ -62,8 +62,8 @@
 	return state
 }
 
-// storeWell reports whether a store is to be fetched from.
-func (c *Cache) storeWell(now core.Time, address string) bool {
+// storeUsable reports whether a store is to be fetched from.
+func (c *Cache) storeUsable(now core.Time, address string) bool {
 	state := c.store(address)
 	return !state.dead && now >= state.backoffUntil
 }
@@ -71,9 +71,9 @@
 // SaveTarget is the address of the store that the chosen broker should send the prompt's parts to,
 // or empty where the index has the shared parts there: what is sent in vain evicts what is of use.
 func (c *Cache) SaveTarget(now core.Time, req *inflight.Request, chosen *candidate.Candidate) string {
-	store := c.storeFor(now, req)
+	store := c.chooseStore(now, req)
 	shared := prompt.SharedTokens(req.Parts)
-	if store == nil || shared < MinFetchTokens || chosen.Stored >= shared-blockSlack {
+	if store == nil || shared < MinFetchTokens || chosen.StoredTokens >= shared-blockTolerance {
 		return ""
 	}
 	return store.KVStoreAddr
@@ -92,29 +92,29 @@
 // after the other, while others come in time, it is left alone for a while. usual is the median of
 // the pool, ms.
 func (c *Cache) LearnFetch(now core.Time, call *brokerstate.Call, usual float64) {
-	late := (call.Latency-usual)*call.Scale > storeLateBy
+	late := (call.Latency-usual)*call.Scale > storeLateThreshold
 	state := c.stores[call.FetchFrom]
 	if state == nil {
 		if !late {
-			c.answeredWithoutStore()
+			c.countOnTimeAnswer()
 		}
 		return
 	}
 	if !late {
-		state.lateInRow, state.othersInTime = 0, 0
+		state.consecutiveLate, state.onTimeWithoutStore = 0, 0
 		return
 	}
-	state.lateInRow++
-	if state.lateInRow >= MinLateFetches && state.othersInTime > 0 {
+	state.consecutiveLate++
+	if state.consecutiveLate >= MinLateFetches && state.onTimeWithoutStore > 0 {
 		*state = storeState{dead: state.dead, backoffUntil: now + StoreBackoff}
 	}
 }
 
-// answeredWithoutStore takes in, against stores that seem late, that answers without them aren't.
-func (c *Cache) answeredWithoutStore() {
+// countOnTimeAnswer takes in, against stores that seem late, that answers without them aren't.
+func (c *Cache) countOnTimeAnswer() {
 	for _, state := range c.stores {
-		if state.lateInRow > 0 {
-			state.othersInTime++
+		if state.consecutiveLate > 0 {
+			state.onTimeWithoutStore++
 		}
 	}
 }
--- a/internal/node/routing/prompt/prompt.go
+++ b/internal/node/routing/prompt/prompt.go
@@ -45,21 +45,21 @@
 func AffinityKey(part Part, model, isolatedTenant string) uint64 {
 	key := part.ID ^ HashText(model)
 	if isolatedTenant != "" {
-		key ^= Mix(HashText(isolatedTenant))
+		key ^= Mix64(HashText(isolatedTenant))
 	}
-	return Mix(key)
+	return Mix64(key)
 }
 
 // RendezvousWeight is the weight of a broker or store in the rendezvous order (highest random
 // weight) of a key; nameHash is HashText of its name. The one with the highest weight owns the key,
 // and every proxy finds the same.
-func RendezvousWeight(key, nameHash uint64) uint64 { return Mix(key ^ nameHash) }
+func RendezvousWeight(key, nameHash uint64) uint64 { return Mix64(key ^ nameHash) }
 
 // HashText is a well spread hash of a name.
-func HashText(text string) uint64 { return Mix(cachesalt.ID(text)) }
+func HashText(text string) uint64 { return Mix64(cachesalt.ID(text)) }
 
-// Mix spreads a number over 64 bits (the finalizer of SplitMix64).
-func Mix(x uint64) uint64 {
+// Mix64 spreads a number over 64 bits (the finalizer of SplitMix64).
+func Mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/node/routing/retrybudget/retrybudget.go
+++ b/internal/node/routing/retrybudget/retrybudget.go
@@ -15,9 +15,9 @@
 	// retries.
 	HedgeShare = 0.5
 
-	safetyMargin  = 0.9 // share of what the rules allow that is spent
-	windowBuckets = 20
-	proxyMemory   = 60 * time.Second // for so long a larger number of proxies is remembered
+	safetyMargin   = 0.9 // share of what the rules allow that is spent
+	windowBuckets  = 20
+	maxProxiesSpan = 60 * time.Second // for so long a larger number of proxies is remembered
 	// minProxies are assumed at least: a proxy that starts in a partition knows few others.
 	minProxies = 4
 )
@@ -48,7 +48,7 @@
 }
 
 func (p *ProxyCount) expire(now core.Time) {
-	for len(p.counts) > 1 && p.counts[0].validUntil < now-proxyMemory {
+	for len(p.counts) > 1 && p.counts[0].validUntil < now-maxProxiesSpan {
 		p.counts = p.counts[1:]
 	}
 }
--- a/internal/node/routing/retrybudget/retrybudget_test.go
+++ b/internal/node/routing/retrybudget/retrybudget_test.go
@@ -10,15 +10,15 @@
 )
 
 // The share of the slack goes by the maximum of proxies known within the last minute.
-func TestMaxProxiesOfTheLastMinute(t *testing.T) {
+func TestProxyCountIsMaximumOfLastMinute(t *testing.T) {
 	var p ProxyCount
 	assert.Equal(t, p.Max(0), 0)
 	p.Set(0, 10)
 	p.Set(5*time.Second, 3)
 	p.Set(10*time.Second, 4)
 	assert.Equal(t, p.Max(20*time.Second), 10)
-	assert.Equal(t, p.Max(5*time.Second+proxyMemory), 10)
-	assert.Equal(t, p.Max(5*time.Second+proxyMemory+time.Millisecond), 4)
+	assert.Equal(t, p.Max(5*time.Second+maxProxiesSpan), 10)
+	assert.Equal(t, p.Max(5*time.Second+maxProxiesSpan+time.Millisecond), 4)
 	assert.Equal(t, p.Max(time.Hour), 4)
 	p.Set(time.Hour, 12)
 	assert.Equal(t, p.Max(time.Hour), 12)
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -14,25 +14,25 @@
 
 const (
 	// LongestWaitKept is how long the longest wait of the clients is remembered.
-	LongestWaitKept = 10 * time.Second
+	LongestWaitExpiry = 10 * time.Second
 
 	tokensWeight    = 0.05 // of the newest request in a class's usual tokens
 	fixedWork       = 0.5  // share of a request's time that doesn't grow with its tokens
 	minWork         = 0.6
 	maxWork         = 4.0
-	idleKept        = 30 * time.Second // a class is forgotten after that time without a request
+	idleExpiry      = 30 * time.Second // a class is forgotten after that time without a request
 	refreshInterval = 250 * time.Millisecond
 	firstTryShare   = 0.99 // of the longest wait that a client's first try has left
 )
 
 // Class is what is usual of one route's requests. Make one by Classes.Get.
 type Class struct {
-	latencies   *window.Histogram // to the first byte, divided by the request's work, ms
-	tokens      float64           // usual length of a prompt
-	median      float64           // of latencies, ms
-	answers     int               // that it stands on
-	refreshedAt core.Time
-	usedAt      core.Time
+	latencies     *window.Histogram // to the first byte, divided by the request's work, ms
+	tokens        float64           // usual length of a prompt
+	median        float64           // of latencies, ms
+	medianSamples int               // that it stands on
+	refreshedAt   core.Time
+	usedAt        core.Time
 	// longestWait is the most time that a client had recently for a request, and longestWaitAt
 	// when.
 	longestWait   core.Time
@@ -41,7 +41,7 @@
 
 // New makes the class of a route that nothing is known of.
 func New() *Class {
-	return &Class{latencies: brokerstate.NewHistogram(), refreshedAt: -refreshInterval}
+	return &Class{latencies: brokerstate.NewLatencyHistogram(), refreshedAt: -refreshInterval}
 }
 
 // Received takes in the length of a request's prompt.
@@ -66,10 +66,10 @@
 func (c *Class) Scale(now core.Time, p *brokerstate.Pool, tokens int) float64 {
 	if now >= c.refreshedAt+refreshInterval {
 		c.refreshedAt = now
-		c.median, c.answers = c.Quantile(now, 0.5)
+		c.median, c.medianSamples = c.Quantile(now, 0.5)
 	}
 	scale := c.Work(tokens)
-	if c.answers >= predict.MinSlowLineSamples && p.MedianKnown() && p.Median() > 0 {
+	if c.medianSamples >= predict.MinSlowLineSamples && p.MedianKnown() && p.Median() > 0 {
 		scale *= c.median / p.Median()
 	}
 	return scale
@@ -89,7 +89,7 @@
 // FirstTry reports whether a request is its client's first try: as much time is left for it as any
 // of the class had recently. A client that tries again has less.
 func (c *Class) FirstTry(now, left core.Time) bool {
-	if left >= c.longestWait || now > c.longestWaitAt+LongestWaitKept {
+	if left >= c.longestWait || now > c.longestWaitAt+LongestWaitExpiry {
 		c.longestWait, c.longestWaitAt = left, now
 	}
 	return float64(left) >= firstTryShare*float64(c.longestWait)
@@ -117,7 +117,7 @@
 // leaves nothing behind.
 func (c *Classes) forgetIdle(now core.Time) {
 	for name, class := range c.byRoute {
-		if now-class.usedAt > idleKept {
+		if now-class.usedAt > idleExpiry {
 			delete(c.byRoute, name)
 		}
 	}
--- a/internal/node/routing/routeclass/routeclass_test.go
+++ b/internal/node/routing/routeclass/routeclass_test.go
@@ -10,7 +10,7 @@
 )
 
 // What counts as the time of a first try follows the clients, also downwards after a while.
-func TestFirstAttemptsFollowTheClientsWaits(t *testing.T) {
+func TestFirstTryFollowsClientTimeouts(t *testing.T) {
 	c := New()
 	at := core.Time(0)
 	fresh := func(wait time.Duration) bool {
@@ -22,7 +22,7 @@
 	assert.Assert(t, fresh(3990*time.Millisecond))
 	assert.Assert(t, fresh(6*time.Second))
 	assert.Assert(t, !fresh(4*time.Second))
-	at += LongestWaitKept
+	at += LongestWaitExpiry
 	assert.Assert(t, fresh(4*time.Second))
 	assert.Assert(t, !fresh(2*time.Second))
 }
