--- a/internal/node/routing/brokerstate/backlog.go
+++ b/internal/node/routing/brokerstate/backlog.go
@@ -5,31 +5,35 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// minToRead is what an own call that waits for its first token is taken to lack, tokens, however
-// long ago it should have had it.
+// minRemainingTokens is how many tokens of its prompt are assumed to be unread while a call of this
+// proxy waits for its first token, even if the estimate says that all were read long ago.
 const minRemainingTokens = 64
 
-// backlog estimates how many prompt tokens a model broker reads before a new request's turn.
+// backlog estimates how many prompt tokens a model broker has to read before it begins with a new
+// request.
 //
-// Brokers read prompts one after the other, so it is a queue: what is sent adds to its end, and
-// time takes from its front. Own calls that still wait for their first token hold the front back,
-// and one that has its first token shows that everything before it was read. Offsets count tokens
-// since the broker is known. Invariant: the front never goes back and never passes the end.
+// Brokers read prompts one after the other, so the backlog is a queue: each prompt sent is added at
+// the end, and the front advances with time. A call of this proxy that still waits for its first
+// token holds the front back. A call that has its first token shows that everything before it was
+// read. Offsets count tokens since the broker became known. Invariant: the front never moves back
+// and never passes the end.
 type backlog struct {
 	end     float64
-	front   float64 // at frontAt
+	front   float64 // offset at the time frontAt
 	frontAt core.Time
 }
 
-// add puts a prompt at the end of the queue and returns where it ends there.
+// add appends a prompt to the queue and returns the offset of its end. perMillisecond is how many
+// tokens the broker reads in a millisecond; oldest is the call of this proxy that has waited
+// longest (nil: none).
 func (q *backlog) add(now core.Time, tokens, perMillisecond float64, oldest *Call) (end float64) {
 	q.advance(now, perMillisecond, oldest)
 	q.end += tokens
 	return q.end
 }
 
-// advance moves the front by what can have been read since, but not past the oldest own call that
-// waits.
+// advance moves the front by what the broker can have read since the last call, but not past the
+// prompt of the oldest call that waits for its first token.
 func (q *backlog) advance(now core.Time, perMillisecond float64, oldest *Call) {
 	front := q.front + perMillisecond*units.Milliseconds(now-q.frontAt)
 	if oldest != nil {
@@ -39,12 +43,12 @@
 	q.frontAt = now
 }
 
-// completeUpTo takes in that everything up to an offset has been read.
+// completeUpTo records that the broker has read everything up to an offset.
 func (q *backlog) completeUpTo(offset float64) { q.front = max(q.front, min(offset, q.end)) }
 
-// remaining is how much is left to read.
+// remaining returns how many tokens are left to read.
 func (q *backlog) remaining() float64 { return q.end - q.front }
 
-// PrefillPassed takes in that a call has its first token, so its prompt and everything before it
-// was read.
+// PrefillCompleted records that a call has its first token, so the broker has read its prompt and
+// everything before it.
 func (b *Broker) PrefillPassed(c *Call) { b.backlog.completeUpTo(c.BacklogEnd) }
--- a/internal/node/routing/brokerstate/backlog_test.go
+++ b/internal/node/routing/brokerstate/backlog_test.go
@@ -20,12 +20,12 @@
 	assert.Equal(t, q.remaining(), 3000.0)
 	q.advance(time.Minute, perMillisecond, nil)
 	assert.Equal(t, q.remaining(), 0.0)
-	assert.Equal(t, q.add(time.Minute, 700, perMillisecond, nil), 6700.0, "what was idle time reads nothing ahead")
+	assert.Equal(t, q.add(time.Minute, 700, perMillisecond, nil), 6700.0, "idle time doesn't count for a later prompt")
 	assert.Equal(t, q.remaining(), 700.0)
 }
 
-// An own request without its first token shows that the broker is slower than thought; one that has
-// it, that all before it was read.
+// A request of this proxy without its first token shows that the broker is slower than estimated. A
+// request with its first token shows that everything before it was read.
 func TestBacklogFollowsOwnRequests(t *testing.T) {
 	const perMillisecond = 50
 	var q backlog
@@ -36,10 +36,11 @@
 	q.completeUpTo(first.BacklogEnd)
 	assert.Equal(t, q.remaining(), 2000.0)
 	q.completeUpTo(1000)
-	assert.Equal(t, q.remaining(), 2000.0, "the front never goes back")
+	assert.Equal(t, q.remaining(), 2000.0, "the front never moves back")
 }
 
-// The pace is the slope of latencies over the tokens before them, whatever else each answer takes.
+// The time per token is the slope of latencies over the tokens read before them, whatever fixed
+// time and noise are added to each answer.
 func TestPrefillTimeEstimate(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 8))
 	for _, c := range []struct{ perToken, fixed, noise, want float64 }{
@@ -54,16 +55,16 @@
 			tokens := 200 + 9000*random.Float64()
 			p.addSample(tokens, c.fixed+c.perToken*tokens+c.noise*random.Float64())
 		}
-		assert.Assert(t, math.Abs(p.perToken()-c.want) <= 0.1*c.want, "%v for %v", p.perToken(), c.want)
+		assert.Assert(t, math.Abs(p.perToken()-c.want) <= 0.1*c.want, "estimated %v ms a token, want %v", p.perToken(), c.want)
 	}
 	var same prefillTimeEstimator
 	for range 400 {
 		same.addSample(1000, 50)
 	}
-	assert.Assert(t, math.Abs(same.perToken()-assumedTimePerToken) < 1e-6, "nothing to tell it from")
+	assert.Assert(t, math.Abs(same.perToken()-assumedTimePerToken) < 1e-6, "equal samples tell nothing about the slope")
 }
 
-// After some ten answers the pace is about right.
+// About ten answers are enough for a usable estimate.
 func TestPrefillTimeEstimateConvergesQuickly(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 8))
 	var p prefillTimeEstimator
@@ -72,10 +73,10 @@
 		p.addSample(tokens, 60+0.05*tokens+60*random.Float64())
 	}
 	assert.Assert(t, p.known())
-	assert.Assert(t, math.Abs(p.perToken()-0.05) < 0.01, "%v", p.perToken())
+	assert.Assert(t, math.Abs(p.perToken()-0.05) < 0.01, "estimated %v ms a token", p.perToken())
 }
 
-// The pace follows a change within some hundred answers.
+// The estimate follows a change within a few hundred answers.
 func TestPrefillTimeEstimateFollowsChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 8))
 	var p prefillTimeEstimator
--- a/internal/node/routing/brokerstate/ejector.go
+++ b/internal/node/routing/brokerstate/ejector.go
@@ -14,62 +14,63 @@
 const (
 	minProbeBackoff      = time.Second
 	maxProbeBackoff      = 4 * time.Second
-	probeBackoffPerProxy = 20 * time.Millisecond // so that the probes of many proxies stay few for the broker
+	probeBackoffPerProxy = 20 * time.Millisecond // limits the load on a broker that many proxies probe
 	minMisdirectBackoff  = 500 * time.Millisecond
 	maxMisdirectBackoff  = 8 * time.Second
-	timeoutFactor        = 2.0   // slow lines without any answer after which a broker is unresponsive
+	timeoutFactor        = 2.0   // slow lines without any answer until a broker counts as unresponsive
 	minTimeout           = 400.0 // ms
-	defaultTimeout       = 1000. // ms, where too few answers tell a slow line
-	noOtherAnswersFactor = 3.0   // times as long where no other broker answers: it may be this proxy that receives nothing
-	minJitterFactor      = 0.75  // of a time
-	jitterRange          = 0.5
+	defaultTimeout       = 1000. // ms; used while there are too few answers to determine the slow line
+	noOtherAnswersFactor = 3.0   // on the timeout while no other broker answers: perhaps this proxy can't receive
+	minJitterFactor      = 0.75  // of the jittered duration
+	jitterRange          = 0.5   // added to minJitterFactor at most
 )
 
-// Fault is how a call speaks against its broker.
+// Fault is the kind of failure that a call shows of its broker.
 type Fault uint8
 
-// The faults.
+// The kinds of failure.
 const (
-	FaultMisdirected Fault = iota // another instance has the address, or another version is loaded
-	FaultConnect                  // no connection came up
-	FaultFailure                  // it failed, broke off or gave no answer
+	FaultMisdirected Fault = iota // another instance has the address, or another version of the weights is loaded
+	FaultConnect                  // no connection could be established
+	FaultFailure                  // the call failed, its answer broke off, or there was no answer
 )
 
-// Ejector ejects brokers (outlier ejection) and decides when they are probed.
+// Ejector ejects brokers (outlier ejection) and schedules their probes.
 type Ejector struct {
 	switches  mechanism.Switches
 	random    *rand.Rand
 	heartbeat time.Duration
 	proxies   *retrybudget.ProxyCount
-	// resumedAt is when this process last came back from standing still.
+	// resumedAt is when this process last resumed after it had been suspended.
 	resumedAt core.Time
 	ejections uint64
 }
 
-// NewEjector makes an ejector. heartbeat is how often brokers report to the registry; proxies is
-// how many proxies probe the same brokers.
+// NewEjector returns an ejector. heartbeat is the interval at which brokers report to the registry,
+// and proxies counts the proxies that probe the same brokers.
 func NewEjector(switches mechanism.Switches, random *rand.Rand, heartbeat time.Duration, proxies *retrybudget.ProxyCount) *Ejector {
 	return &Ejector{switches: switches, random: random, heartbeat: heartbeat, proxies: proxies}
 }
 
-// Resumed takes in that this process stood still until now: what it didn't receive meanwhile is no
-// timeout of brokers, and latencies that span it mean nothing.
+// ProcessResumed records that this process was suspended until now. What it couldn't receive
+// meanwhile is no timeout of a broker, and latencies that span the suspension are meaningless.
 func (e *Ejector) Resumed(now core.Time) { e.resumedAt = now }
 
-// Measurable reports whether the time since a call's send is one that its broker took, not this
-// process.
+// LatencyMeasurable reports whether the time since the call's send is due to its broker only, as
+// this process wasn't suspended meanwhile.
 func (e *Ejector) Measurable(c *Call) bool { return c.SentAt >= e.resumedAt }
 
-// Ejections is how many brokers were ejected since the start.
+// Ejections returns the number of ejections since the start.
 func (e *Ejector) Ejections() uint64 { return e.ejections }
 
-// Answered takes in that a broker of a pool has answered.
+// RecordAnswer records that a broker of the pool has answered.
 func (e *Ejector) Answered(now core.Time, p *Pool, b *Broker) {
 	b.Health.recordAnswer(now)
 	p.lastAnswerAt = now
 }
 
-// TimedOut reports whether a broker has calls out and answers nothing.
+// TimedOut reports whether a broker has calls in flight and hasn't answered anything for longer
+// than the timeout. The timeout is longer if no other broker of the pool answers either.
 func (e *Ejector) TimedOut(now core.Time, p *Pool, b *Broker) bool {
 	first := b.oldestAwaiting()
 	if first == nil || b.Health.AnsweredAfter(first.SentAt) {
@@ -84,8 +85,8 @@
 	return othersAnswer || waited > noOtherAnswersFactor*timeout
 }
 
-// timeout is how long nothing may come from a broker with a call out, scaled ms, before it counts
-// as unresponsive.
+// timeout returns how long a broker with a call in flight may be silent before it counts as
+// unresponsive, in scaled ms.
 func (p *Pool) timeout(now core.Time, b *Broker) float64 {
 	if p.medianSamples < predict.MinSlowLineSamples {
 		return defaultTimeout
@@ -93,7 +94,8 @@
 	return max(timeoutFactor*p.SlowLine(now, b), minTimeout)
 }
 
-// CallFailed judges a broker by a call that failed there.
+// RecordFailure records that a call failed. Depending on the fault, the broker is avoided for a
+// while or ejected. If the call was a probe, the next probe is postponed.
 func (e *Ejector) CallFailed(now core.Time, c *Call, fault Fault) {
 	h := &c.Broker.Health
 	if h.probe == c {
@@ -114,8 +116,8 @@
 	}
 }
 
-// CallCanceled takes in that this proxy or its client ended a call. If it was a probe, it says
-// little of the broker, and another follows.
+// RecordCancellation records that this proxy or its client canceled a call. If the call was a
+// probe, it says little about the broker, so another probe follows.
 func (e *Ejector) CallCanceled(now core.Time, c *Call) {
 	if h := &c.Broker.Health; h.probe == c {
 		h.probe = nil
@@ -123,7 +125,8 @@
 	}
 }
 
-// Eject ejects a broker, unless it is ejected already or the mechanism is off.
+// Eject ejects a broker, unless it is already ejected or the mechanism is disabled. An ejected
+// broker that turns out to be unreachable gets that as its reason.
 func (e *Ejector) Eject(now core.Time, b *Broker, reason EjectionReason) {
 	h := &b.Health
 	if !e.switches.On(mechanism.OutlierEjection) {
@@ -141,25 +144,27 @@
 	e.ejections++
 }
 
-// EjectIfTimedOut ejects a broker that answers nothing.
+// EjectIfTimedOut ejects a broker whose calls get no answer.
 func (e *Ejector) EjectIfTimedOut(now core.Time, p *Pool, b *Broker) {
 	if e.switches.On(mechanism.OutlierEjection) && !b.Health.Ejected() && e.TimedOut(now, p, b) {
 		e.Eject(now, b, Unresponsive)
 	}
 }
 
-// extendProbeBackoff puts the next probe off twice as long.
+// extendProbeBackoff doubles the backoff of a broker's probes, up to a bound, and postpones the
+// next probe accordingly.
 func (e *Ejector) extendProbeBackoff(now core.Time, h *Health) {
 	first := e.firstBackoff(now)
 	h.backoff = min(2*max(h.backoff, first), max(maxProbeBackoff, 2*first, 2*e.heartbeat))
 	h.probeAt = now + e.jitter(h.backoff)
 }
 
+// firstBackoff returns the time from an ejection to the first probe, before jitter.
 func (e *Ejector) firstBackoff(now core.Time) time.Duration {
 	return max(minProbeBackoff, time.Duration(e.proxies.Max(now))*probeBackoffPerProxy)
 }
 
-// jitter takes a time between three quarters of d and five quarters, by chance.
+// jitter returns a random duration between three quarters and five quarters of d.
 func (e *Ejector) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (minJitterFactor + jitterRange*e.random.Float64()))
 }
--- a/internal/node/routing/brokerstate/ejector_test.go
+++ b/internal/node/routing/brokerstate/ejector_test.go
@@ -16,15 +16,15 @@
 	return NewEjector(mechanism.NewSwitches(disabled), rand.New(rand.NewPCG(1, 2)), time.Second, &retrybudget.ProxyCount{})
 }
 
-// sendCall sends a call to a broker.
+// sendCall records a call to a broker.
 func sendCall(b *Broker, now core.Time) *Call {
 	c := &Call{Broker: b, SentAt: now, Scale: 1, Arrived: true}
 	b.CallSent(c)
 	return c
 }
 
-// A call without an answer speaks against its broker after a time, which is longer where no other
-// broker answers.
+// A broker whose call gets no answer times out. The timeout is longer if no other broker answers,
+// and doesn't count the time in which this process was suspended.
 func TestCallWithoutAnswerTimesOut(t *testing.T) {
 	const sent = 20 * time.Second
 	timeout := time.Duration(defaultTimeout) * ms
@@ -39,9 +39,9 @@
 		{"soon", timeout, true, false, false, false},
 		{"long, others answer", timeout + ms, true, false, false, true},
 		{"long, nobody answers", timeout + ms, false, false, false, false},
-		{"for very long", noOtherAnswersFactor*timeout + ms, false, false, false, true},
+		{"very long, nobody answers", noOtherAnswersFactor*timeout + ms, false, false, false, true},
 		{"it has answered another call", timeout + ms, true, true, false, false},
-		{"this process stood still", timeout + ms, true, false, true, false},
+		{"this process was suspended", timeout + ms, true, false, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p, e := newPool(2), newEjector(0)
@@ -61,8 +61,8 @@
 	}
 }
 
-// A broker that fails probes is probed ever more seldom, up to a bound; an answer readmits it,
-// unless it was failing.
+// The interval between failing probes grows up to a bound. An answer readmits the broker, unless it
+// was ejected for failing too many calls.
 func TestProbesBackOff(t *testing.T) {
 	p, e := newPool(1), newEjector(0)
 	b := p.Brokers[0]
@@ -87,7 +87,7 @@
 	assert.Assert(t, !b.Health.Ejected())
 }
 
-// A broker that fails too large a share of its calls is ejected until one succeeds.
+// A broker that fails too large a share of its calls is ejected until a call succeeds.
 func TestFailingBrokerMustSucceed(t *testing.T) {
 	for _, c := range []struct {
 		successes, failures int
@@ -105,7 +105,7 @@
 		assert.Equal(t, b.Health.Ejected(), c.ejected, "%d failures, %d successes", c.failures, c.successes)
 		if c.ejected {
 			e.Answered(now, p, b)
-			assert.Assert(t, b.Health.Ejected(), "an answer alone is no success")
+			assert.Assert(t, b.Health.Ejected(), "an answer alone doesn't count as a success")
 			b.Health.Succeeded(now)
 			assert.Assert(t, !b.Health.Ejected())
 		}
--- a/internal/node/routing/brokerstate/fetches.go
+++ b/internal/node/routing/brokerstate/fetches.go
@@ -8,14 +8,15 @@
 
 const (
 	fetchSpan      = 5000. // ms over which fetches are counted
-	minSlowFetches = 3.0   // slow fetches before their share counts
-	slowFetchShare = 0.5   // of the fetches: with more slow ones, the broker is asked for none
+	minSlowFetches = 3.0   // slow fetches below which their share isn't considered
+	slowFetchShare = 0.5   // share of slow fetches above which the broker is no longer asked to fetch
 )
 
-// Fetches counts the answers of a broker that had cached prompt parts to fetch, and the slow ones
-// among them: a link may become so slow that reading the parts again is quicker.
+// Fetches counts the answers for which a broker had to fetch cached prompt parts, and the slow ones
+// among them. A link may become so slow that reading the parts again is faster than fetching them.
 type Fetches struct{ all, slow *window.Counts }
 
+// observe counts one answer with a fetch.
 func (f *Fetches) observe(now core.Time, slow bool) {
 	if f.all == nil {
 		f.all, f.slow = window.NewCounts(6, fetchSpan/5), window.NewCounts(6, fetchSpan/5)
@@ -26,7 +27,7 @@
 	}
 }
 
-// Slow reports whether most of the broker's fetches were slow recently.
+// Slow reports whether most of the broker's recent fetches were slow.
 func (f *Fetches) Slow(now core.Time) bool {
 	if f.all == nil {
 		return false
--- a/internal/node/routing/brokerstate/health.go
+++ b/internal/node/routing/brokerstate/health.go
@@ -11,71 +11,73 @@
 const (
 	failureSpan    = 4000. // ms over which failures are counted
 	failureBuckets = 8
-	minFailures    = 2.0 // failures before their share counts
-	failureShare   = 0.3 // a broker that fails more is ejected
+	minFailures    = 2.0 // failures below which their share isn't considered
+	failureShare   = 0.3 // share of failed calls above which a broker is ejected
 )
 
-// EjectionReason is why a broker was ejected.
+// EjectionReason tells why a broker was ejected.
 type EjectionReason uint8
 
-// The reasons.
+// The reasons for an ejection.
 const (
 	NotEjected   EjectionReason = iota
-	Unreachable                 // no connection came up: no request can run there unseen
-	Unresponsive                // calls are out and nothing comes: frozen, partitioned or lost alike
-	Failing                     // it fails too many requests, and quickly perhaps
+	Unreachable                 // no connection can be established, so no request can run there unnoticed
+	Unresponsive                // calls are in flight and nothing comes back: the broker is frozen, partitioned or gone
+	Failing                     // too many of its calls fail, perhaps quickly
 )
 
-// Health is what this proxy makes of a broker by its answers, never by the registry alone. An
-// ejected broker gets no requests but single probes, each after a longer backoff.
+// Health is a broker's condition as this proxy judges it by the answers, never by the registry
+// alone. An ejected broker gets no requests except single probes, at growing intervals.
 type Health struct {
 	reason       EjectionReason
-	probeAt      core.Time // when the next probe is due
-	backoff      time.Duration
-	probe        *Call     // the one that is out; nil: none
-	lastAnswerAt core.Time // 0: none
+	probeAt      core.Time     // when the next probe is due
+	backoff      time.Duration // between the probes
+	probe        *Call         // the probe in flight; nil: none
+	lastAnswerAt core.Time     // 0: no answer yet
 	failures     *window.Counts
 	successes    *window.Counts
-	// misdirectedUntil: it refused requests that were for another instance or version.
+	// misdirectedUntil is until when the broker is avoided, as it said that a request was for
+	// another instance or version.
 	misdirectedUntil core.Time
 	misdirectBackoff time.Duration
 }
 
-// Ejected reports whether the broker was ejected.
+// Ejected reports whether the broker is ejected.
 func (h *Health) Ejected() bool { return h.reason != NotEjected }
 
-// Reason is why the broker was ejected.
+// Reason returns why the broker is ejected.
 func (h *Health) Reason() EjectionReason { return h.reason }
 
-// Misdirected reports whether the broker has recently said that requests were for another instance
-// or version.
+// Misdirected reports whether the broker said recently that a request was for another instance or
+// version.
 func (h *Health) Misdirected(now core.Time) bool { return now < h.misdirectedUntil }
 
-// AnsweredAfter reports whether the broker has answered after a time.
+// AnsweredAfter reports whether the broker has answered after the time t.
 func (h *Health) AnsweredAfter(t core.Time) bool { return h.lastAnswerAt > t }
 
-// AnsweredWithin reports whether the broker has answered within a span of time up to now.
+// AnsweredWithin reports whether the broker has answered within the span that ends now.
 func (h *Health) AnsweredWithin(now core.Time, span time.Duration) bool {
 	return h.lastAnswerAt != 0 && now-h.lastAnswerAt <= span
 }
 
-// ProbeAt is when the next probe of an ejected broker is due.
+// ProbeAt returns when the next probe of an ejected broker is due.
 func (h *Health) ProbeAt() core.Time { return h.probeAt }
 
-// ProbeDue reports whether an ejected broker is to be probed.
+// ProbeDue reports whether a probe of an ejected broker is due and none is in flight.
 func (h *Health) ProbeDue(now core.Time) bool { return h.probe == nil && now >= h.probeAt }
 
-// ProbeOverdue reports whether the probe has been due for as long as the backoff lasted.
+// ProbeOverdue reports whether the probe has been due for as long as the backoff before it lasted.
 func (h *Health) ProbeOverdue(now core.Time) bool { return now >= h.probeAt+h.backoff }
 
-// BeginProbe makes a call to an ejected broker its probe, if none is out.
+// BeginProbe makes a call to an ejected broker its probe, unless another probe is in flight.
 func (h *Health) BeginProbe(c *Call) {
 	if h.Ejected() && h.probe == nil {
 		h.probe = c
 	}
 }
 
-// recordAnswer takes a sign of life. A broker that was ejected for failures must succeed as well.
+// recordAnswer records an answer and readmits the broker. A broker that was ejected for failing
+// must also succeed with a call.
 func (h *Health) recordAnswer(now core.Time) {
 	h.lastAnswerAt = now
 	if h.reason != Failing {
@@ -86,7 +88,7 @@
 // readmit ends the ejection.
 func (h *Health) readmit() { h.reason, h.probe, h.backoff = NotEjected, nil, 0 }
 
-// Succeeded takes in that a request was executed and didn't fail.
+// RecordSuccess records that a request was executed without failure.
 func (h *Health) Succeeded(now core.Time) {
 	h.recordAnswer(now)
 	h.misdirectBackoff = 0
@@ -96,12 +98,13 @@
 	}
 }
 
-// failureRateExceeded reports whether too large a share of what was sent recently failed.
+// failureRateExceeded reports whether too large a share of recent calls failed.
 func (h *Health) failureRateExceeded(now core.Time) bool {
 	failures := recentOutcomes(h.failures, now)
 	return failures >= minFailures && failures > failureShare*(failures+recentOutcomes(h.successes, now))
 }
 
+// addOutcome adds one call to a counter, which it creates if there is none yet.
 func addOutcome(counts **window.Counts, now core.Time) {
 	if *counts == nil {
 		*counts = window.NewCounts(failureBuckets+1, failureSpan/failureBuckets)
@@ -109,6 +112,7 @@
 	(*counts).Add(units.Milliseconds(now), 1)
 }
 
+// recentOutcomes returns how many calls a counter holds for the last failureSpan.
 func recentOutcomes(counts *window.Counts, now core.Time) float64 {
 	if counts == nil {
 		return 0
--- a/internal/node/routing/brokerstate/latencies.go
+++ b/internal/node/routing/brokerstate/latencies.go
@@ -9,38 +9,39 @@
 	"kestrelspread/internal/window"
 )
 
-// Histograms of latencies: times are resolved to a tenth of the window, values to a seventh, which
-// keeps a broker's memory small.
+// Latencies are kept in histograms. Their window is divided into latencyBuckets periods, and bins
+// grow by latencyStep, so values are exact to about a seventh. This keeps the memory for each
+// broker small.
 const (
 	latencyBuckets  = 10
-	latencyLow      = 1.0 // ms
+	latencyLow      = 1.0 // ms; lower bound of the first bin, which also holds smaller values
 	latencyStep     = 1.15
-	latencyBins     = 70 // up to 17 s
-	slowLineMaxAge  = 250 * time.Millisecond
-	smoothingWeight = 0.5     // of the newest answer in the smoothed latency
-	smoothedMaxAge  = 10000.0 // ms after which the smoothed latency says nothing any more
+	latencyBins     = 70                     // up to 17 s
+	slowLineMaxAge  = 250 * time.Millisecond // after which the cached slow line is computed again
+	smoothingWeight = 0.5                    // weight of the newest answer in the smoothed latency
+	smoothedMaxAge  = 10000.0                // ms after which the smoothed latency no longer counts
 )
 
-// NewLatencyHistogram makes an empty histogram of latencies, ms, over the predictor's window.
+// NewLatencyHistogram returns an empty histogram of latencies in ms over the predictor's window.
 func NewLatencyHistogram() *window.Histogram {
 	return window.NewHistogram(latencyBuckets, predict.SlowLineSpan/latencyBuckets, latencyLow, latencyStep, latencyBins)
 }
 
-// emptyHistogram stands for a broker that has not answered yet.
+// emptyHistogram is used for brokers that have not answered yet.
 var emptyHistogram = window.NewHistogram(1, 1, 1, 2, 1)
 
-// latencies are a broker's latencies, ms, each divided by the scale of its call.
+// latencies holds a broker's latencies in ms, each divided by the scale of its call.
 type latencies struct {
 	history    [predict.HistorySize]latencySample // the newest first
 	recent     *window.Histogram                  // nil before the first answer
-	slowLine   float64                            // the cached result of Pool.SlowLine
+	slowLine   float64                            // cached result of Pool.SlowLine
 	slowLineAt core.Time
 	smoothed   float64
 	smoothedAt core.Time
 }
 
-// latencySample is a latency, when it was measured, when its request was sent, and the load then. A
-// latency of 0 stands for none.
+// latencySample is one measured latency, when it was measured, when its request was sent, and the
+// broker's load then. A latency of 0 means that there is none.
 type latencySample struct {
 	latency    float64
 	measuredAt core.Time
@@ -48,7 +49,7 @@
 	load       float64
 }
 
-// recordLatency keeps a call's latency.
+// recordLatency adds the latency of a call to the broker's statistics.
 func (b *Broker) recordLatency(now core.Time, c *Call) {
 	l := &b.latencies
 	copy(l.history[1:], l.history[:])
@@ -61,15 +62,16 @@
 	b.smoothLatency(now, c.Latency)
 }
 
-// UnlearnLatency takes back the latency of a call that turned out a failure: quick errors must not
-// read as fast.
+// DiscardLatency removes the latency of a call that turned out to be a failure from the history, so
+// that a broker with quick errors doesn't look fast.
 func (b *Broker) UnlearnLatency(c *Call) {
 	if c.latencyRecorded && b.latencies.history[0].sentAt == c.SentAt {
 		b.latencies.history[0].latency = 0
 	}
 }
 
-// smoothLatency averages the latency.
+// smoothLatency adds a latency to the exponentially weighted average. If the average is too old, it
+// starts again with this latency.
 func (b *Broker) smoothLatency(now core.Time, latency float64) {
 	l := &b.latencies
 	if l.smoothedAt == 0 || units.Milliseconds(now-l.smoothedAt) > smoothedMaxAge {
@@ -79,17 +81,18 @@
 	l.smoothedAt = now
 }
 
-// ObserveUnanswered takes in that a call ended without an answer: had it gone on, it would have
-// taken longer still, so its age counts where it is more than was expected. median is that of the
-// pool, ms.
+// ObserveUnanswered records that a call ended without an answer. The answer would have taken even
+// longer than the call's age, so the age counts as a latency if it exceeds the expected one. median
+// is the median latency of the pool in ms.
 func (b *Broker) ObserveUnanswered(now core.Time, c *Call, median float64) {
 	if age := c.Age(now); age > b.ExpectedLatency(now, median) {
 		b.smoothLatency(now, age)
 	}
 }
 
-// ExpectedLatency is what an answer of the usual work would take here, ms. median is that of the
-// pool, to which a broker without recent answers fades.
+// ExpectedLatency returns the expected latency of an answer with the usual amount of work, in ms.
+// median is the median latency of the pool in ms; a broker's estimate approaches it as its last
+// answers age.
 func (b *Broker) ExpectedLatency(now core.Time, median float64) float64 {
 	l := &b.latencies
 	expected := median
@@ -103,8 +106,8 @@
 	return expected
 }
 
-// longestWait is the scaled age, ms, of the call that has waited longest for its answer to begin,
-// and the load at its send; 0 where none waits.
+// longestWait returns the scaled age in ms of the call that has waited longest for its answer to
+// begin, and the broker's load at its send. Both are 0 if no call waits.
 func (b *Broker) longestWait(now core.Time) (age, load float64) {
 	if len(b.awaiting) == 0 {
 		return 0, 0
--- a/internal/node/routing/brokerstate/load.go
+++ b/internal/node/routing/brokerstate/load.go
@@ -6,14 +6,15 @@
 	"kestrelspread/internal/predict"
 )
 
-// reportFade is the time, ms, over which an expired report fades to the average.
+// reportDecayTime is the time in ms over which the trust in an expired report falls from 1 to 0.
 const reportDecayTime = 3000.0
 
-// Load is what a broker reports of itself in X-Kestrelspread-Server-Load: requests that run there,
-// requests that wait for a slot, and slots in all.
+// Load is what a broker reports about itself in X-Kestrelspread-Server-Load: the requests that it
+// runs, the requests that wait for a slot, and its number of slots.
 type Load struct{ Running, Waiting, Slots int }
 
-// loadReport is a broker's last report, with this proxy's own requests there at that time.
+// loadReport is a broker's last report, with the number of this proxy's calls in flight at that
+// time.
 type loadReport struct {
 	load       Load
 	receivedAt core.Time
@@ -21,7 +22,7 @@
 	inFlight   int
 }
 
-// ReportLoad takes a report in; nil: there was none.
+// RecordLoadReport records a report; nil: the answer contained none.
 func (b *Broker) ReportLoad(now core.Time, load *Load) {
 	if load == nil {
 		return
@@ -29,10 +30,10 @@
 	b.report = loadReport{load: *load, receivedAt: now, known: true, inFlight: b.inFlight}
 }
 
-// LastReport is the last report, however old; zero before the first.
+// LastReport returns the last report, however old, or a zero Load before the first one.
 func (b *Broker) LastReport() Load { return b.report.load }
 
-// RecentReport is the last report, if there is one that isn't older than maxAge.
+// RecentReport returns the last report, if there is one that isn't older than maxAge.
 func (b *Broker) RecentReport(now, maxAge core.Time) (Load, bool) {
 	if !b.report.known || now-b.report.receivedAt > maxAge {
 		return Load{}, false
@@ -40,8 +41,9 @@
 	return b.report.load, true
 }
 
-// EstimatedLoad is the last reported number of requests, corrected by what this proxy sent and
-// finished since, and how far it can be trusted: 1 while the report is fresh, fading to 0.
+// EstimatedLoad returns the last reported number of requests, corrected by what this proxy has sent
+// and finished since, and how far the estimate can be trusted: 1 while the report is fresh, falling
+// to 0 as it ages.
 func (b *Broker) EstimatedLoad(now core.Time) (load, trust float64) {
 	if !b.report.known {
 		return 0, 0
--- a/internal/node/routing/brokerstate/longprompts.go
+++ b/internal/node/routing/brokerstate/longprompts.go
@@ -5,26 +5,28 @@
 )
 
 const (
-	longPromptTokens = 2000 // tokens to read from which a prompt is long
+	longPromptTokens = 2000 // tokens to read from which a prompt counts as long
 	longPromptsKept  = 16
 )
 
-// LongPrompts are the latest long prompts that a broker was sent.
+// LongPrompts holds the latest long prompts that were sent to a broker.
 //
-// While a broker reads a long prompt, the streams that run there pause: a decode step that carries
-// a chunk of a prefill takes many times as long as one that doesn't, and an event spans several
-// steps. So a pause that is too long can be distinguished from one without a known cause.
+// While a broker reads a long prompt, its running streams pause: a decode step that includes a
+// chunk of a prefill takes many times as long as one that doesn't, and an event of a stream covers
+// several steps. With this record, a long pause that was caused by a prompt can be distinguished
+// from one without a known cause.
 type LongPrompts struct {
-	prompts [longPromptsKept]longPrompt // a ring
+	prompts [longPromptsKept]longPrompt // a ring buffer
 	next    int
 }
 
-// longPrompt is when a prompt was sent and how many tokens of it were to be read.
+// longPrompt is when a prompt was sent and how many of its tokens the broker had to read.
 type longPrompt struct {
 	sentAt        core.Time
 	prefillTokens int
 }
 
+// record adds a prompt if it is long.
 func (l *LongPrompts) record(now core.Time, prefillTokens int) {
 	if prefillTokens < longPromptTokens {
 		return
@@ -33,8 +35,8 @@
 	l.next = (l.next + 1) % longPromptsKept
 }
 
-// Largest is the size, tokens, of the largest one that was sent in a span of time; 0 where none
-// was.
+// Largest returns the size in tokens of the largest long prompt that was sent between two times, or
+// 0 if there was none.
 func (l *LongPrompts) Largest(from, to core.Time) int {
 	largest := 0
 	for i := range l.prompts {
--- a/internal/node/routing/brokerstate/pool.go
+++ b/internal/node/routing/brokerstate/pool.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// LoadingTrusted is how long a mark that a broker loads new weights is believed where brokers
-	// are scarce: longer than a broker usually takes to load.
+	// LoadingMarkExpiry is how long the mark that a broker loads new weights is believed while
+	// brokers are scarce. It is longer than loading usually takes.
 	LoadingTrusted = 5 * time.Second
 
-	minUnmarkedShare = 0.6 // of the brokers that don't drain: with fewer free of the mark, they are scarce
+	minUnmarkedShare = 0.6 // of the ready brokers: with fewer that aren't marked as loading, brokers are scarce
 	refreshInterval  = 250 * time.Millisecond
 )
 
-// Pool is one service's brokers and what is usual among them.
+// Pool holds the brokers of one service and the statistics over all of them.
 type Pool struct {
-	// Brokers in the order of the registry's table.
+	// Brokers is in the order of the registry's table.
 	Brokers []*Broker
 
 	switches      mechanism.Switches
-	perBrokerPace bool // each broker has a pace of its own
-	prefillTime   prefillTimeEstimator
-	usualStepTime float64 // ms between two events of a stream; 0: not known
-	stepTimes     []float64
+	perBrokerPace bool                 // whether differences in speed between brokers are taken into account
+	prefillTime   prefillTimeEstimator // prefill time per token, over all brokers
+	usualStepTime float64              // ms between two events of a stream, median over the brokers; 0: not known
+	stepTimes     []float64            // buffer of medianStepTime, reused
 	weights       predict.Weights
-	submits       predict.SubmitStats
-	latencies     *window.Histogram // all answers of the service, scaled to the usual work
-	median        float64           // of latencies, ms
-	fleetSlowLine float64           // the latency from which an answer in the service is slow, ms
-	medianSamples int               // that these stand on
-	lowestMedian  float64           // lowest median seen, ms
-	brokersScarce bool              // too few brokers bear no mark of loading
+	submits       predict.SubmitStats // outcomes of requests that were sent as predicted fast
+	latencies     *window.Histogram   // of all answers of the service, scaled to the usual work
+	median        float64             // of latencies, ms
+	fleetSlowLine float64             // latency in ms above which an answer of the service is slow
+	medianSamples int                 // number of answers that median and fleetSlowLine are computed from
+	lowestMedian  float64             // lowest median seen so far, ms
+	brokersScarce bool                // too few brokers aren't marked as loading
 	refreshedAt   core.Time
-	// lastAnswerAt is when any broker last answered.
+	// lastAnswerAt is when any broker of the pool last answered.
 	lastAnswerAt core.Time
 }
 
-// NewPool makes the state of a service without brokers.
+// NewPool returns the state of a service without brokers.
 func NewPool(switches mechanism.Switches) *Pool {
 	return &Pool{
 		switches:      switches,
@@ -55,7 +55,7 @@
 	}
 }
 
-// Refresh brings the pool's usual figures up to date, at most some times a second.
+// Refresh recomputes the pool's statistics, at most once in refreshInterval.
 func (p *Pool) Refresh(now core.Time) {
 	if now < p.refreshedAt+refreshInterval {
 		return
@@ -71,34 +71,34 @@
 	}
 }
 
-// Median is the usual latency of the service, ms.
+// Median returns the median latency of the service in ms.
 func (p *Pool) Median() float64 { return p.median }
 
-// MedianKnown reports whether the median stands on enough answers.
+// MedianKnown reports whether the median is computed from enough answers.
 func (p *Pool) MedianKnown() bool { return p.medianSamples >= predict.MinSamples }
 
-// Crowded reports whether the service as a whole is slower than it can be.
+// FleetSlow reports whether the service as a whole is slower than it has been at its best.
 func (p *Pool) Crowded() bool { return predict.FleetSlow(p.median, p.lowestMedian) }
 
-// tooFewUnmarked reports whether fewer brokers than the rest can do without are free of the mark that
-// they load new weights.
+// tooFewUnmarked reports whether the brokers that aren't marked as loading new weights are too few
+// for the service to rely on them alone.
 func (p *Pool) tooFewUnmarked() bool {
-	ready, free := 0, 0
+	ready, unmarked := 0, 0
 	for _, b := range p.Brokers {
 		if b.Instance.State != registry.Ready {
 			continue
 		}
 		ready++
 		if !b.Instance.Loading {
-			free++
+			unmarked++
 		}
 	}
-	return float64(free) < minUnmarkedShare*float64(ready)
+	return float64(unmarked) < minUnmarkedShare*float64(ready)
 }
 
-// Usable reports whether new requests may be sent to a broker. A mark that it loads new weights may
-// have been left behind by a lost lease holder: where brokers are scarce it is believed for a while
-// only, as a broker that does load refuses requests by itself.
+// Usable reports whether new requests may be sent to a broker. The mark that it loads new weights
+// may have been left behind by a lease holder that was lost. While brokers are scarce, it is
+// therefore believed for a limited time only; a broker that does load refuses requests by itself.
 func (p *Pool) Usable(now core.Time, b *Broker) bool {
 	if b.Instance.State != registry.Ready {
 		return false
@@ -106,8 +106,8 @@
 	return !p.switches.On(mechanism.LoadingMarks) || !b.Instance.Loading || p.brokersScarce && now >= b.loadingSince+LoadingTrusted
 }
 
-// Learn takes a call's latency into all measures, once it is known to be one that was worked for.
-// It must be called once a call.
+// RecordLatency adds a call's latency to all statistics, once it is known that the broker worked
+// for it and didn't merely fail quickly. It must be called only once for each call.
 func (p *Pool) Learn(now core.Time, c *Call) {
 	c.latencyRecorded = true
 	b := c.Broker
--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -8,40 +8,43 @@
 )
 
 const (
-	slowScore       = 0.5 // score from which an answer is predicted slow
-	fleetSlowFactor = 2.0 // medians that a broker takes which is slow even where all are
+	slowScore       = 0.5 // score above which an answer is predicted to be slow
+	fleetSlowFactor = 2.0 // on the median: while the whole fleet is slow, only a broker above it is predicted to be slow
 )
 
-// Prediction is whether an answer would be slow, and what it was predicted from.
+// Prediction tells whether an answer is expected to be slow, and the features it was predicted
+// from.
 type Prediction struct {
 	Features predict.Vector
 	Slow     bool
 }
 
-// Predict tells whether a request that is sent to the broker now would be answered late (LinnOS's
-// predictor). load is the broker's, average that of the brokers in question.
+// Predict predicts whether a request that is sent to the broker now would be answered slowly
+// (LinnOS's predictor). load is the broker's estimated load, and average that of the candidate
+// brokers.
 func (p *Pool) Predict(now core.Time, b *Broker, load, average float64) Prediction {
 	features := p.features(now, b, load, average)
 	slow := p.switches.On(mechanism.Prediction) && p.predictsSlow(&features)
-	// In a crowd all are slow, and who looks fast is who got no requests: only who is far slower
-	// than the rest is passed over.
+	// While the whole fleet is slow, the brokers that look fast are those that got no requests. So
+	// only a broker that is far slower than the rest is passed over.
 	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < fleetSlowFactor*p.median {
 		slow = false
 	}
 	return Prediction{features, slow}
 }
 
-// predictsSlow is the bare prediction. An empty history counts as fast.
+// predictsSlow returns the predictor's result without the rule for a slow fleet. A broker without
+// recent answers counts as fast.
 func (p *Pool) predictsSlow(x *predict.Vector) bool {
 	return x[2] > 0 && p.weights.Score(x) > slowScore
 }
 
-// features are what the score looks at for a request that is sent to the broker now.
+// features returns the predictor's input for a request that is sent to the broker now.
 func (p *Pool) features(now core.Time, b *Broker, load, average float64) predict.Vector {
 	line := p.SlowLine(now, b)
 	features := predict.NewFeatures(line, average, load)
-	// A timeout must not read as fast: a call that is out for longer than the line stands for the
-	// latest latency.
+	// A broker that doesn't answer must not look fast: a call that has waited for longer than the
+	// slow line counts as the latest latency.
 	if age, loadThen := b.longestWait(now); age > line {
 		features.Add(age, loadThen)
 	}
@@ -54,7 +57,8 @@
 	return features.Vector
 }
 
-// SlowLine is the latency from which an answer of the broker counts as slow, ms.
+// SlowLine returns the slow line of the broker: the latency in ms above which an answer counts as
+// slow. The result is cached for slowLineMaxAge.
 func (p *Pool) SlowLine(now core.Time, b *Broker) float64 {
 	l := &b.latencies
 	if now < l.slowLineAt+slowLineMaxAge {
@@ -69,7 +73,8 @@
 	return l.slowLine
 }
 
-// trainPredictor tells the predictor whether a call lay over the line, once.
+// trainPredictor trains the predictor with a call that was slow or wasn't, at most once for each
+// call.
 func (p *Pool) trainPredictor(now core.Time, c *Call, slow bool) {
 	if c.predictorTrained {
 		return
@@ -81,15 +86,16 @@
 	}
 }
 
-// TeachOverdue tells the predictor of a call that has been out for longer than the line already.
+// TrainOverdue trains the predictor with a call that isn't answered yet, if it has already waited
+// for longer than the slow line.
 func (p *Pool) TeachOverdue(now core.Time, c *Call) {
 	if age := c.Age(now); age > p.SlowLine(now, c.Broker) {
 		p.trainPredictor(now, c, true)
 	}
 }
 
-// HedgeQuantile is the quantile of latencies after which a call is hedged: the design's pX, lower
-// where many predictions of fast answers were wrong.
+// HedgeQuantile returns the quantile of latencies after which a call is hedged: pX in LinnOS's
+// design. It is lower while many answers that were predicted to be fast are slow.
 func (p *Pool) HedgeQuantile(now core.Time) float64 {
 	return p.submits.HedgeQuantile(units.Milliseconds(now))
 }
--- a/internal/node/routing/brokerstate/prefill.go
+++ b/internal/node/routing/brokerstate/prefill.go
@@ -5,28 +5,30 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// PrefillPaceKnown reports whether the time per prompt token was learnt rather than assumed.
+// PrefillTimeKnown reports whether the prefill time per token is an estimate from enough answers
+// rather than an assumption.
 func (p *Pool) PrefillPaceKnown() bool { return p.prefillTime.known() }
 
-// PrefillPerToken is how long a broker takes to read a token of a prompt, ms.
+// PrefillTimePerToken returns how long the broker takes to read one token of a prompt, in ms.
 func (p *Pool) PrefillPerToken(b *Broker) float64 { return p.prefillTime.perToken() * p.slowdown(b) }
 
-// PrefillWait is how long a broker will read before a new request's turn, ms.
+// PrefillWait returns how long the broker will read earlier prompts before it begins with a new
+// request, in ms.
 func (p *Pool) PrefillWait(now core.Time, b *Broker) float64 {
 	perToken := p.PrefillPerToken(b)
 	b.backlog.advance(now, 1/perToken, b.oldestAwaiting())
 	return perToken * b.backlog.remaining()
 }
 
-// Enqueued is where a prompt stands in a broker's backlog.
+// QueuePosition is the position of a prompt in a broker's backlog.
 type Enqueued struct {
-	End     float64   // its end, as an offset in tokens
-	Ahead   float64   // tokens left to read until its end
-	ReadyAt core.Time // when it is to have been read
+	End     float64   // offset of the prompt's end, in tokens
+	Ahead   float64   // tokens that are left to read up to that end
+	ReadyAt core.Time // when the broker is expected to have read the prompt
 }
 
-// Enqueue takes in that a broker was sent a prompt, by this proxy or another, of which it has to
-// read so many tokens.
+// Enqueue records that this proxy or another one sent the broker a prompt, of which it has to read
+// the given number of tokens.
 func (p *Pool) Enqueue(now core.Time, b *Broker, tokens int) Enqueued {
 	perToken := p.PrefillPerToken(b)
 	b.LongPrompts.record(now, tokens)
--- a/internal/node/routing/brokerstate/prefillpace.go
+++ b/internal/node/routing/brokerstate/prefillpace.go
@@ -1,26 +1,27 @@
 package brokerstate
 
-// prefillTimeEstimator learns how long the brokers of a service take for each prompt token: the slope of a
-// weighted linear regression of latency over the tokens read before each first token. Older answers
-// fade. An assumed slope stands for some answers, until there are more.
+// prefillTimeEstimator estimates how long the brokers of a service take to read one prompt token.
+// The estimate is the slope of a weighted linear regression of latency over the number of tokens
+// read before the first token of the answer. The weight of older answers decays. An assumed slope
+// counts as much as a few answers, so that it decides until there are more.
 type prefillTimeEstimator struct {
-	// weighted sums over the answers
+	// Weighted sums over the answers.
 	weight, tokens, latency, tokensSquared, tokensLatency float64
-	slope                                                 float64 // of these, ms a token; 0: not computed yet
+	slope                                                 float64 // of the regression, ms per token; 0: to be computed
 }
 
 const (
-	sampleDecay         = 0.995 // weight left of an answer after the next one
-	minPrefillSamples   = 10.0  // answers of weight before the slope is believed
-	assumedTimePerToken = 0.025 // ms a token
-	assumedSamples      = 5.0   // answers that the assumption stands for
-	assumedSpread       = 2000. // tokens by which these differ from their mean
-	minTimePerToken     = 0.002 // ms a token
-	maxTimePerToken     = 0.5
+	sampleDecay         = 0.995 // factor on the weight of an answer with each later one
+	minPrefillSamples   = 10.0  // total weight of answers from which the estimate counts as known
+	assumedTimePerToken = 0.025 // ms
+	assumedSamples      = 5.0   // number of answers that the assumed slope counts as much as
+	assumedSpread       = 2000. // tokens by which the prompts of these answers differ from their mean
+	minTimePerToken     = 0.002 // ms
+	maxTimePerToken     = 0.5   // ms
 )
 
-// addSample takes an answer in: the tokens that were read before its first one, its own included, and
-// the latency, ms.
+// addSample adds an answer: the number of tokens that were read before its first token, including
+// its own prompt, and its latency in ms.
 func (p *prefillTimeEstimator) addSample(tokens, latency float64) {
 	p.weight = sampleDecay*p.weight + 1
 	p.tokens = sampleDecay*p.tokens + tokens
@@ -30,11 +31,11 @@
 	p.slope = 0
 }
 
-// known reports whether enough was learnt.
+// known reports whether there were enough answers for an estimate.
 func (p *prefillTimeEstimator) known() bool { return p.weight >= minPrefillSamples }
 
-// perToken is the slope, ms a token. It is asked for each broker at each choice, so it is computed
-// once an answer.
+// perToken returns the estimate in ms per token. It is read for each broker in each placement, so
+// it is computed only once after each answer.
 func (p *prefillTimeEstimator) perToken() float64 {
 	if p.slope == 0 {
 		p.slope = p.computeSlope()
@@ -42,6 +43,8 @@
 	return p.slope
 }
 
+// computeSlope returns the slope of the regression in ms per token, within its bounds. The assumed
+// slope takes part in it with the weight belief, which is a sum of squared deviations like spread.
 func (p *prefillTimeEstimator) computeSlope() float64 {
 	const belief = assumedSamples * assumedSpread * assumedSpread
 	spread, covariance := 0.0, 0.0
--- a/internal/node/routing/brokerstate/refusals.go
+++ b/internal/node/routing/brokerstate/refusals.go
@@ -7,28 +7,31 @@
 )
 
 const (
-	// RefusalBackoff is how long a refusal for want of capacity is believed.
+	// RefusalBackoff is how long a broker gets no requests after a first refusal for lack of
+	// capacity.
 	RefusalBackoff = 250 * time.Millisecond
-	// RolloutBackoff is how long a broker that is loading new weights gets no requests.
+	// RolloutBackoff is how long a broker that refused a request because it loads new weights gets
+	// no requests.
 	RolloutBackoff = time.Second
 
-	urgentBackoff      = 0.5         // of RefusalBackoff for the most urgent requests, which try sooner
-	maxRefusalBackoff  = time.Second // the backoff doubles with each refusal in a row, up to this
+	urgentBackoff      = 0.5         // share of the backoff that applies to the most urgent requests
+	maxRefusalBackoff  = time.Second // bound of the backoff, which doubles with each consecutive refusal
 	maxRefusalDoubling = 2
 )
 
-// refusals is what a broker's refusals for want of capacity say.
+// refusals holds a broker's recent refusals for lack of capacity.
 type refusals struct {
-	inRow int // since it last took a request
-	// refusedAt is when it last refused, and backoffUntil how long that is believed.
+	inRow int // consecutive refusals
+	// refusedAt is the time of the last refusal, and backoffUntil the end of the backoff after it.
 	refusedAt    core.Time
 	backoffUntil core.Time
-	// rolloutUntil: it refused a request because new weights are being brought to it.
+	// rolloutUntil is the end of the backoff after the broker refused a request because it loads
+	// new weights.
 	rolloutUntil core.Time
 }
 
-// Refused takes in that a broker had no capacity, as it said. retryAfter is the advice it gave (0:
-// none), load its report (nil: none).
+// RecordRefusal records that the broker refused a request for lack of capacity. retryAfter is the
+// delay that it asked for (0: none), load its report (nil: none).
 func (b *Broker) Refused(now, retryAfter core.Time, load *Load) {
 	r := &b.refusals
 	backoff := min(RefusalBackoff<<min(r.inRow, maxRefusalDoubling), maxRefusalBackoff)
@@ -37,17 +40,16 @@
 		backoff = min(max(retryAfter, RefusalBackoff/2), maxRefusalBackoff)
 	}
 	if load != nil && load.Waiting == 0 && 2*load.Running < load.Slots {
-		backoff /= 2 // it refused for another reason than want of capacity
+		backoff /= 2 // more than half of its slots are free, so it refused for another reason than lack of capacity
 	}
 	r.refusedAt, r.backoffUntil = now, now+backoff
 }
 
-// RefusedForRollout takes in that a broker refused a request as new weights are being brought to
-// it.
+// RecordRolloutRefusal records that the broker refused a request because it loads new weights.
 func (b *Broker) RefusedForRollout(now core.Time) { b.refusals.rolloutUntil = now + RolloutBackoff }
 
-// Accepted takes in that the broker answers a request that was sent at a time: refusals before that
-// no longer count.
+// ClearRefusals records that the broker answers a request that was sent at sentAt: refusals before
+// that time no longer count.
 func (b *Broker) Accepted(sentAt core.Time) {
 	r := &b.refusals
 	if sentAt > r.refusedAt {
@@ -58,8 +60,8 @@
 	}
 }
 
-// BackingOff reports whether a request of an urgency (0: most urgent) should leave the broker alone,
-// as it refused recently.
+// BackingOff reports whether a request of the given urgency (0: most urgent) should not be sent to
+// the broker, as it refused another one recently.
 func (b *Broker) BackingOff(now core.Time, urgency int) bool {
 	r := &b.refusals
 	if now < r.rolloutUntil {
@@ -71,7 +73,7 @@
 	return urgency > 0 || now < r.refusedAt+core.Time(urgentBackoff*float64(r.backoffUntil-r.refusedAt))
 }
 
-// BackoffUntil is when the broker may have capacity again.
+// BackoffUntil returns when the broker may have capacity again.
 func (b *Broker) BackoffUntil() core.Time {
 	return max(b.refusals.backoffUntil, b.refusals.rolloutUntil)
 }
--- a/internal/node/routing/brokerstate/refusals_test.go
+++ b/internal/node/routing/brokerstate/refusals_test.go
@@ -10,8 +10,8 @@
 	"kestrelspread/internal/node/registry"
 )
 
-// The backoff doubles with refusals in a row, follows the broker's advice within bounds, and ends
-// with an answer.
+// The backoff doubles with consecutive refusals, follows the delay that the broker asks for within
+// bounds, and ends with an answer.
 func TestBackoffAfterRefusals(t *testing.T) {
 	const now = 20 * time.Second
 	newBroker := func() *Broker { return NewBroker(0, &registry.Instance{ID: "i00"}, false) }
@@ -22,12 +22,12 @@
 		load       *Load
 		want       time.Duration
 	}{
-		{"one", 1, 0, nil, RefusalBackoff},
-		{"two in a row", 2, 0, nil, 2 * RefusalBackoff},
-		{"many in a row", 9, 0, nil, maxRefusalBackoff},
-		{"advice", 1, 600 * ms, nil, 600 * ms},
-		{"short advice", 1, ms, nil, RefusalBackoff / 2},
-		{"long advice", 1, time.Minute, nil, maxRefusalBackoff},
+		{"one refusal", 1, 0, nil, RefusalBackoff},
+		{"two consecutive refusals", 2, 0, nil, 2 * RefusalBackoff},
+		{"many consecutive refusals", 9, 0, nil, maxRefusalBackoff},
+		{"delay asked for", 1, 600 * ms, nil, 600 * ms},
+		{"short delay asked for", 1, ms, nil, RefusalBackoff / 2},
+		{"long delay asked for", 1, time.Minute, nil, maxRefusalBackoff},
 		{"slots are free", 1, 0, &Load{Running: 3, Slots: 64}, RefusalBackoff / 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -38,15 +38,15 @@
 			assert.Equal(t, b.BackoffUntil(), now+c.want)
 			assert.Assert(t, b.BackingOff(now+c.want-1, 1))
 			assert.Assert(t, !b.BackingOff(now+c.want, 1))
-			assert.Assert(t, !b.BackingOff(now+c.want/2, 0), "the most urgent try sooner")
+			assert.Assert(t, !b.BackingOff(now+c.want/2, 0), "the backoff of the most urgent requests is shorter")
 			b.Accepted(now)
-			assert.Assert(t, b.BackingOff(now+1, 1), "the answer to an earlier request says nothing")
+			assert.Assert(t, b.BackingOff(now+1, 1), "the answer to an earlier request doesn't end the backoff")
 			b.Accepted(now + 1)
 			assert.Assert(t, !b.BackingOff(now+1, 1))
 		})
 	}
 	b := newBroker()
 	b.RefusedForRollout(now)
-	assert.Assert(t, b.BackingOff(now+RolloutBackoff-1, 0), "by the most urgent too")
+	assert.Assert(t, b.BackingOff(now+RolloutBackoff-1, 0), "applies to the most urgent requests too")
 	assert.Assert(t, !b.BackingOff(now+RolloutBackoff, 0))
 }
--- a/internal/node/routing/brokerstate/steppace.go
+++ b/internal/node/routing/brokerstate/steppace.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Brokers of a service differ in speed. The time of a broker's decode steps shows in the intervals
-// between the events of its streams, the shorter ones of which contain no chunk of another prompt.
-// One stream shows enough, so proxies notify one another; prompts are read slower there in the same
-// proportion.
+// The brokers of a service differ in speed. A broker's decode step time is measured as the interval
+// between the events of a stream; the shorter intervals contain no chunk of another prompt. One
+// stream is enough for a measurement, so proxies send it to one another. A broker with slower steps
+// is assumed to read prompts slower in the same proportion.
 const (
-	// MinStepStreams is how many streams must have been observed before a broker's step time
-	// counts.
+	// MinStepStreams is the number of streams that must have been observed before a broker's step
+	// time is used.
 	MinStepStreams = 4
 
-	shorterStepWeight = 0.2  // weight of the newest stream in the step time, if it shows a shorter one
-	longerStepWeight  = 0.04 // and if it shows a longer one: the broker may have read prompts all along
-	stepOutlier       = 1.4  // times the step time believed so far, at most, that a single stream counts as
-	minStepBrokers    = 4    // brokers with a known step time before they are compared
-	stepNoise         = 0.15 // share of the usual step time by which brokers differ by chance
-	minSlowdown       = 0.5  // times the usual step time of the service
-	maxSlowdown       = 3.0
+	shorterStepWeight = 0.2  // weight of a new stream in the average, if it is faster than the average
+	longerStepWeight  = 0.04 // weight if it is slower, as the broker may have read prompts throughout
+	stepOutlier       = 1.4  // a single stream counts as at most this factor above or below the average
+	minStepBrokers    = 4    // brokers with a known step time below which they aren't compared
+	stepNoise         = 0.15 // relative difference from the usual step time that is taken for noise
+	minSlowdown       = 0.5  // relative to the usual step time of the service
+	maxSlowdown       = 3.0  // relative to the usual step time of the service
 )
 
-// ObserveStep takes in the step time, ms, that a stream showed. Beyond the first streams, a single
-// one moves the average little: it may have met prefills all along.
+// ObserveStep adds the step time in ms that was measured on a stream. After the first streams, a
+// single one has little weight: the broker may have read other prompts throughout.
 func (b *Broker) ObserveStep(stepTime float64) {
 	b.stepStreams++
 	if b.stepStreams <= MinStepStreams {
@@ -36,10 +36,10 @@
 	b.stepTime += weight * (stepTime - b.stepTime)
 }
 
-// StepTime is the average step time, ms; 0 before the first stream.
+// StepTime returns the average step time in ms, or 0 before the first stream.
 func (b *Broker) StepTime() float64 { return b.stepTime }
 
-// medianStepTime is the median over the brokers, ms, 0 where too few are known.
+// medianStepTime returns the median of the brokers' step times in ms, or 0 if too few are known.
 func (p *Pool) medianStepTime() float64 {
 	p.stepTimes = p.stepTimes[:0]
 	for _, b := range p.Brokers {
@@ -54,7 +54,7 @@
 	return p.stepTimes[len(p.stepTimes)/2]
 }
 
-// slowdown is how many times as long as usual a broker takes; 1 where that isn't known.
+// slowdown returns how many times as long as usual the broker takes; 1 if that isn't known.
 func (p *Pool) slowdown(b *Broker) float64 {
 	if !p.perBrokerPace || p.usualStepTime == 0 || b.stepStreams < MinStepStreams {
 		return 1
--- a/internal/node/routing/brokerstate/steppace_test.go
+++ b/internal/node/routing/brokerstate/steppace_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// newPool is a pool of so many brokers.
+// newPool returns a pool with the given number of brokers.
 func newPool(brokers int) *Pool {
 	p := NewPool(mechanism.NewSwitches(0))
 	for i := range brokers {
@@ -23,14 +23,15 @@
 	return p
 }
 
-// addStreams has a broker observed by so many streams.
+// addStreams adds measurements of several streams with the same step time to a broker.
 func addStreams(b *Broker, streams int, stepTime time.Duration) {
 	for range streams {
 		b.ObserveStep(units.Milliseconds(stepTime))
 	}
 }
 
-// newPoolWithSlowBrokers has brokers of which the first `slow` take half as long again, as streams have shown.
+// newPoolWithSlowBrokers returns a pool in which the first slow brokers take one and a half times
+// as long for a step as the others.
 func newPoolWithSlowBrokers(brokers, slow int) *Pool {
 	p := newPool(brokers)
 	for i, b := range p.Brokers {
@@ -53,9 +54,9 @@
 	}
 	one := p.Brokers[8]
 	addStreams(one, 1, 2*time.Second)
-	assert.Equal(t, p.slowdown(one), 1.0, "a single stream that met prefills all along moves it little")
+	assert.Equal(t, p.slowdown(one), 1.0, "a single stream that was slowed down by prefills has little weight")
 	addStreams(one, 30, 40*ms)
-	assert.Assert(t, p.slowdown(one) > 1.5, "what many streams show is believed")
+	assert.Assert(t, p.slowdown(one) > 1.5, "many slow streams change the estimate")
 }
 
 func TestSlowdownNeedsSeveralBrokersAndStreams(t *testing.T) {
--- a/internal/node/routing/candidate/candidate.go
+++ b/internal/node/routing/candidate/candidate.go
@@ -1,7 +1,7 @@
-// Package candidate finds the brokers that a request may go to: those that the rules permit
-// (lifecycle, versions of weights), that haven't had the request yet, that don't back off after a
-// refusal, and that aren't ejected. Which of them gets the request is for package placement to
-// choose.
+// Package candidate finds the brokers that a request may be sent to. A broker is left out if its
+// lifecycle state or the version of its weights doesn't permit the request, if the request has
+// already been tried there, or if it is backing off after a refusal. Ejected brokers are listed
+// separately. Package placement chooses among the candidates.
 package candidate
 
 import (
@@ -11,66 +11,72 @@
 	"kestrelspread/internal/node/routing/brokerstate"
 )
 
-// warmUpFactor is what each request counts at a broker that is in slow start.
+// warmUpFactor is the weight of each request at a broker that is in slow start.
 const warmUpFactor = 2.0
 
-// Candidate is a broker that a request may go to. Package candidate fills in what stands first,
-// prefixcache the coverage, placement the rest.
+// Candidate is a broker that a request may be sent to. Package candidate sets Broker to Probe,
+// package prefixcache sets CachedTokens, ExpectedTokens and StoredTokens, and package placement
+// sets the rest.
 type Candidate struct {
 	Broker  *brokerstate.Broker
-	Version uint64  // of the model's weights there; 0: the service runs no models
-	Load    float64 // estimated requests there
-	// Probe: the broker was ejected, and the request would be its probe.
+	Version uint64  // version of the model's weights at the broker; 0: the service runs no models
+	Load    float64 // estimated number of requests at the broker
+	// Probe is set if the broker is ejected and the request would be its probe.
 	Probe bool
 
-	// Cached is how many tokens of the prompt the broker has, by the index and by what was sent
-	// there recently.
+	// CachedTokens is how many tokens of the prompt the broker caches, according to the index and
+	// to what was sent there recently.
 	Cached int
-	// Arriving is how many it has or will have read before a new request's turn.
+	// ExpectedTokens is how many tokens of the prompt the broker caches, or will have read before a
+	// new request's turn comes, according to what was sent there recently.
 	Arriving int
-	// Stored is how many the prompt's store has under the broker's version.
+	// StoredTokens is how many tokens of the prompt the store holds under the broker's version.
 	StoredTokens int
 
-	// Predicted: Prediction is filled in.
+	// HasPrediction is set once Prediction is filled in.
 	HasPrediction bool
 	Prediction    brokerstate.Prediction
-	// TieBreak orders brokers with as many own requests, where the service runs no models.
+	// TieBreak orders brokers with equally many requests in flight where the service runs no
+	// models; the lowest value wins.
 	TieBreak float64
-	// Plan is what the broker has to do for the prompt, where the service runs models.
+	// Plan is the work that the broker has to do for the prompt, where the service runs models.
 	Plan Plan
-	// Cost is the time until the first token, as far as brokers differ in it, ms.
+	// Cost is the expected time until the first token in ms, leaving out what is the same for all
+	// brokers.
 	Cost float64
 }
 
-// Plan is what a model broker has to do for a prompt.
+// Plan is the work that a model broker has to do for a prompt.
 type Plan struct {
-	PrefillTokens  int     // it has to read
-	SharedTokens   int     // shared ones of these
-	RepeatedTokens int     // those of the shared ones that some broker was sent recently
+	PrefillTokens  int     // tokens of the prompt that the broker has to read
+	SharedTokens   int     // those of PrefillTokens that other requests may have as well
+	RepeatedTokens int     // those of SharedTokens that some broker was sent recently
 	PrefillTime    float64 // ms to fetch and read the prompt
 }
 
-// Slow reports whether the candidate was predicted slow.
+// PredictedSlow reports whether the candidate's answer is predicted to be slow. It is false while
+// there is no prediction.
 func (c *Candidate) Slow() bool { return c.Prediction.Slow }
 
-// Set is the candidates that were found for one request.
+// Set holds the candidates that were found for one request.
 type Set struct {
-	// Eligible candidates are healthy, or due to be probed.
+	// Eligible holds the candidates that are healthy or due to be probed.
 	Eligible []Candidate
-	// Ejected candidates are not to be used unless nothing better is left.
+	// Ejected holds the candidates that are used only if nothing better is left.
 	Ejected []Candidate
-	// BackingOff is how many brokers refused requests recently, and CapacityAt when the first of
-	// them may have capacity.
+	// BackingOff is how many brokers are left out because they refused requests recently.
+	// CapacityAt is when the first of them may have capacity again; core.Never: there is none.
 	BackingOff int
 	CapacityAt core.Time
-	// AverageLoad of the eligible ones.
+	// AverageLoad is the average estimated load of the eligible candidates.
 	AverageLoad float64
 
-	// unresponsive candidates miss heartbeats to the registry: used where no other one is eligible.
+	// unresponsive holds the candidates that have missed heartbeats to the registry. They are used
+	// only if no other candidate is eligible.
 	unresponsive []Candidate
 }
 
-// DueProbe is the candidate whose broker is to be probed, nil where there is none.
+// DueProbe returns a candidate whose broker is due to be probed, or nil if there is none.
 func (s *Set) DueProbe() *Candidate {
 	for i := range s.Eligible {
 		if s.Eligible[i].Probe {
@@ -80,7 +86,7 @@
 	return nil
 }
 
-// FirstEjected is the ejected candidate whose probe is due first, nil where there is none.
+// EarliestProbe returns the ejected candidate whose probe is due first, or nil if there is none.
 func (s *Set) FirstEjected() *Candidate {
 	var best *Candidate
 	for i := range s.Ejected {
@@ -92,25 +98,27 @@
 	return best
 }
 
-// AnyPredictedSlow reports whether some eligible candidate was predicted slow.
+// AnyPredictedSlow reports whether any eligible candidate is predicted to be slow.
 func (s *Set) AnyPredictedSlow() bool {
 	return slices.ContainsFunc(s.Eligible, func(c Candidate) bool { return c.Prediction.Slow })
 }
 
-// estimateLoads fills in the eligible candidates' loads: the last report corrected by own calls,
-// faded to the average as it ages; own calls where no broker reports.
+// estimateLoads fills in the loads of the eligible candidates and their average. A load is the
+// broker's last report, corrected by the calls that this proxy has sent and finished since. As the
+// report ages, the estimate moves towards the average. If no broker reports, the load is the number
+// of this proxy's calls in flight.
 func (s *Set) estimateLoads(now core.Time) {
-	sum, trusts, own := 0.0, 0.0, 0
+	weightedSum, totalTrust, ownRequests := 0.0, 0.0, 0
 	for i := range s.Eligible {
 		b := s.Eligible[i].Broker
 		load, trust := b.EstimatedLoad(now)
-		sum += trust * load
-		trusts += trust
-		own += b.InFlight()
+		weightedSum += trust * load
+		totalTrust += trust
+		ownRequests += b.InFlight()
 	}
-	reported := trusts > 0
-	if s.AverageLoad = sum / trusts; !reported {
-		s.AverageLoad = float64(own) / float64(max(len(s.Eligible), 1))
+	reported := totalTrust > 0
+	if s.AverageLoad = weightedSum / totalTrust; !reported {
+		s.AverageLoad = float64(ownRequests) / float64(max(len(s.Eligible), 1))
 	}
 	for i := range s.Eligible {
 		c := &s.Eligible[i]
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	// NewestFirstSpan is how long before the time of older weights ends brokers with the newest
-	// ones go first.
+	// NewestFirstSpan is how long before older weights expire only brokers with the newest weights
+	// are used, if there are enough of them.
 	NewestFirstSpan = 3 * time.Second
-	// FirstTokenFactor is how many times the quantile firstTokenShare of latencies a first token is
-	// taken to need.
+	// FirstTokenFactor is the factor on the quantile firstTokenQuantile of recent latencies within
+	// which a first token is expected.
 	FirstTokenFactor = 1.5
-	// MinFirstToken is the least time that a first token is taken to need.
+	// MinFirstToken is the lower bound of the time expected until a first token.
 	MinFirstToken = 800 * time.Millisecond
-	// MaxFirstToken is the most time that a first token is taken to need.
+	// MaxFirstToken is the upper bound of the time expected until a first token.
 	MaxFirstToken = 3 * time.Second
 
-	minNewestShare     = 2.0 / 3 // of the brokers must have the newest weights
-	firstTokenQuantile = 0.9
-	recentAnswerSpan   = time.Second // a broker that the registry misses is used if it has answered within that time
+	minNewestShare     = 2.0 / 3     // share of the eligible brokers that must have the newest weights
+	firstTokenQuantile = 0.9         // of recent latencies
+	recentAnswerSpan   = time.Second // a broker that has missed heartbeats is still used if it answered within this time
 )
 
-// Finder finds candidates. It may eject brokers that answer nothing; it changes nothing else.
+// Finder finds the candidates for a request. It may eject brokers that don't answer, and changes no
+// other state.
 type Finder struct {
 	switches mechanism.Switches
 	versions *modelversion.Tracker
 	ejector  *brokerstate.Ejector
-	found    Set // reused
+	found    Set // result of Find; reused by each call
 }
 
-// NewFinder makes a finder.
+// NewFinder returns a finder.
 func NewFinder(switches mechanism.Switches, versions *modelversion.Tracker, ejector *brokerstate.Ejector) *Finder {
 	return &Finder{switches: switches, versions: versions, ejector: ejector}
 }
 
-// Find finds the brokers that the request may go to. The result is valid until the next call.
+// Find returns the brokers that the request may be sent to. The result is valid until the next
+// call.
 func (f *Finder) Find(now core.Time, req *inflight.Request) *Set {
 	s := &f.found
 	s.Eligible, s.unresponsive, s.Ejected = s.Eligible[:0], s.unresponsive[:0], s.Ejected[:0]
@@ -63,7 +65,8 @@
 	return s
 }
 
-// buildPermitted reports whether the rules let the request go to the broker at all.
+// buildPermitted returns the broker as a candidate, and reports whether its lifecycle state and the
+// version of its weights permit the request.
 func (f *Finder) buildPermitted(now, startsAt core.Time, req *inflight.Request, b *brokerstate.Broker) (Candidate, bool) {
 	c := Candidate{Broker: b}
 	if !req.Pool.Usable(now, b) || b.Health.Misdirected(now) {
@@ -76,7 +79,8 @@
 	return c, true
 }
 
-// classify puts a broker among the eligible, the ejected or those that back off.
+// classify adds a permitted candidate to the eligible, the unresponsive or the ejected ones, or
+// counts it as backing off after a refusal.
 func (f *Finder) classify(now core.Time, req *inflight.Request, s *Set, c Candidate) {
 	b := c.Broker
 	h := &b.Health
@@ -97,10 +101,12 @@
 	}
 }
 
-// mayProbe reports whether the request can be the probe of an ejected broker: a first attempt, of
-// an idempotent request, or to a broker that takes no connection at all, as then it can't run
-// unseen; any request after a longer wait, where no other came by. A broker that the registry
-// misses as well is not probed.
+// mayProbe reports whether the request may be the probe of an ejected broker.
+//
+// Only the first attempt of a request may be a probe. It must be idempotent, or the broker must
+// take no connections at all, because then the request can't run there unnoticed. If no such
+// request came for as long as the backoff lasted, any request may be the probe. A broker that has
+// missed heartbeats to the registry is not probed.
 func mayProbe(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
 	h := &b.Health
 	if !h.ProbeDue(now) || b.Instance.Unresponsive || len(req.Calls) > 0 {
@@ -109,9 +115,9 @@
 	return req.Idempotent || h.Reason() == brokerstate.Unreachable || h.ProbeOverdue(now)
 }
 
-// newestFirst leaves only brokers with the newest weights shortly before the time of older ones
-// ends, if they are enough for all requests. Where they are few, the older ones are used to the
-// last, as all would wait at the few.
+// newestFirst keeps only candidates with the newest weights when older weights are about to expire,
+// if there are enough of them to take all requests. If there are few, candidates with older weights
+// are used until they expire, as otherwise all requests would queue at the few.
 func (f *Finder) newestFirst(now core.Time, req *inflight.Request, eligible []Candidate) []Candidate {
 	if req.ServedModel == "" || !f.switches.On(mechanism.NewestFirst) ||
 		!f.versions.AnyExpiresWithin(now, req.ServedModel, NewestFirstSpan) {
@@ -130,17 +136,17 @@
 	return slices.DeleteFunc(eligible, func(c Candidate) bool { return c.Version < newest })
 }
 
-// firstTokenAt is when a request that is sent now has its first token, by recent latencies: what
-// goes to a broker with older weights must start before their time ends. It is estimated only where
-// that matters.
+// firstTokenAt returns when a request that is sent now is expected to have its first token, by
+// recent latencies. A request that is sent to a broker with older weights must start before those
+// expire. The time is estimated only if some weights expire soon; otherwise it is now.
 func (f *Finder) firstTokenAt(now core.Time, req *inflight.Request) core.Time {
 	if req.ServedModel == "" || !f.versions.AnyExpiresWithin(now, req.ServedModel, MaxFirstToken) {
 		return now
 	}
-	usual, answers := req.Class.Quantile(now, firstTokenQuantile)
-	if answers < predict.MinSamples {
-		usual = req.Route.TargetLatencyMs
+	latency, samples := req.Class.Quantile(now, firstTokenQuantile)
+	if samples < predict.MinSamples {
+		latency = req.Route.TargetLatencyMs
 	}
-	lead := units.FromMilliseconds(FirstTokenFactor * usual * req.Work)
+	lead := units.FromMilliseconds(FirstTokenFactor * latency * req.Work)
 	return now + min(max(lead, MinFirstToken), MaxFirstToken)
 }
--- a/internal/node/routing/candidate/finder_test.go
+++ b/internal/node/routing/candidate/finder_test.go
@@ -21,7 +21,7 @@
 
 const now = 20 * time.Second
 
-// fixture is a finder over a pool of three brokers.
+// fixture is a finder and a request to a pool of three brokers.
 type fixture struct {
 	*Finder
 	request *inflight.Request
@@ -50,7 +50,8 @@
 	return list
 }
 
-// What becomes of the first of three brokers in each condition.
+// TestBrokerClassification puts the first of three brokers into each condition and checks how it is
+// classified.
 func TestBrokerClassification(t *testing.T) {
 	all, rest := []string{"i00", "i01", "i02"}, []string{"i01", "i02"}
 	for _, c := range []struct {
@@ -60,16 +61,16 @@
 		ejected    int
 		backingOff int
 	}{
-		{"well", func(fixture, *brokerstate.Broker) {}, all, 0, 0},
+		{"healthy", func(fixture, *brokerstate.Broker) {}, all, 0, 0},
 		{"draining", func(_ fixture, b *brokerstate.Broker) { b.Instance.State = registry.Draining }, rest, 0, 0},
 		{"loading new weights", func(_ fixture, b *brokerstate.Broker) { b.Instance.Loading = true }, rest, 0, 0},
-		{"missed by the registry", func(_ fixture, b *brokerstate.Broker) { b.Instance.Unresponsive = true }, rest, 0, 0},
-		{"missed by the registry, but it answers", func(f fixture, b *brokerstate.Broker) {
+		{"missed heartbeats", func(_ fixture, b *brokerstate.Broker) { b.Instance.Unresponsive = true }, rest, 0, 0},
+		{"missed heartbeats, but it answers", func(f fixture, b *brokerstate.Broker) {
 			b.Instance.Unresponsive = true
 			f.ejector.Answered(now, f.request.Pool, b)
 		}, all, 0, 0},
-		{"it refused recently", func(_ fixture, b *brokerstate.Broker) { b.Refused(now, 0, nil) }, rest, 0, 1},
-		{"it has had the request", func(f fixture, b *brokerstate.Broker) {
+		{"refused a request recently", func(_ fixture, b *brokerstate.Broker) { b.Refused(now, 0, nil) }, rest, 0, 1},
+		{"already tried for this request", func(f fixture, b *brokerstate.Broker) {
 			f.request.Calls = append(f.request.Calls, &brokerstate.Call{Broker: b, Scale: 1})
 		}, rest, 0, 0},
 		{"ejected", func(f fixture, b *brokerstate.Broker) { f.ejector.Eject(now, b, brokerstate.Failing) }, rest, 1, 0},
@@ -86,7 +87,7 @@
 	}
 }
 
-// Brokers that the registry misses are used where no other one is eligible.
+// Brokers that have missed heartbeats are used if no other broker is eligible.
 func TestUnresponsiveBrokersAreTheLastResort(t *testing.T) {
 	f := newFixture()
 	for _, b := range f.request.Pool.Brokers {
@@ -95,8 +96,9 @@
 	assert.Equal(t, len(f.Find(now, f.request).Eligible), 3)
 }
 
-// An ejected broker is probed once the backoff is over: by an idempotent request, or by any where
-// the request can't run there unseen.
+// An ejected broker is probed once its backoff is over: by an idempotent request, by any request if
+// the broker takes no connection (so that the request can't run there unnoticed), or by any request
+// if the probe is long overdue.
 func TestRequestsThatMayProbe(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -10,14 +10,14 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// chooseByCost takes the candidate that is expected to begin its answer first, of those that aren't
-// predicted slow; if all are, the first of all.
+// chooseByCost returns the candidate with the lowest cost among those that aren't predicted to be
+// slow; if all are, the one with the lowest cost of all.
 func (p *Placer) chooseByCost(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
 	owner := p.computeCosts(now, req, s.Eligible)
-	chosen, slow := p.bestPredictedFast(now, req, s, lowestCost)
-	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !slow && len(s.Eligible) > 1}
+	chosen, allSlow := p.bestPredictedFast(now, req, s, lowestCost)
+	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !allSlow && len(s.Eligible) > 1}
 	switch {
-	case slow:
+	case allSlow:
 		choice.Reason = AllSlow
 	case s.AnyPredictedSlow():
 		choice.Reason = ByPrediction
@@ -27,29 +27,29 @@
 	return choice
 }
 
-// lowestCost is the candidate with the lowest cost, of those not known to look slow or of all; nil
-// where there is none.
-func lowestCost(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
+// lowestCost returns the candidate with the lowest cost, or nil if there is none. It skips
+// candidates that were predicted to be slow unless includeSlow is set.
+func lowestCost(candidates []candidate.Candidate, includeSlow bool) *candidate.Candidate {
 	var best *candidate.Candidate
-	for i := range found {
-		if c := &found[i]; (withSlow || !c.Slow()) && (best == nil || c.Cost < best.Cost) {
+	for i := range candidates {
+		if c := &candidates[i]; (includeSlow || !c.Slow()) && (best == nil || c.Cost < best.Cost) {
 			best = c
 		}
 	}
 	return best
 }
 
-// computeCosts fills in the candidates' plans and costs, and returns the broker that should cache the
-// shared parts.
-func (p *Placer) computeCosts(now core.Time, req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
-	lookup := p.cache.LookUp(now, req, found)
+// computeCosts fills in the plan and the cost of each candidate. It returns the owner: the broker
+// that should cache the shared parts of the prompt, or nil if there is none.
+func (p *Placer) computeCosts(now core.Time, req *inflight.Request, candidates []candidate.Candidate) *brokerstate.Broker {
+	lookup := p.cache.LookUp(now, req, candidates)
 	var owner *brokerstate.Broker
 	if p.switches.On(mechanism.Affinity) {
-		owner = rendezvousOwner(req, found)
+		owner = rendezvousOwner(req, candidates)
 	}
 	var v costInputs
-	for i := range found {
-		c := &found[i]
+	for i := range candidates {
+		c := &candidates[i]
 		v.setPlan(req, lookup, c)
 		v.isOwner = c.Broker == owner
 		v.prefillWait = req.Pool.PrefillWait(now, c.Broker)
@@ -63,8 +63,8 @@
 	return owner
 }
 
-// setPlan fills in what a candidate has to fetch and read of the prompt, there and in the view for its
-// cost.
+// setPlan computes how much of the prompt the candidate has to fetch and to prefill. It stores the
+// result in the cost inputs and in the candidate's Plan.
 func (v *costInputs) setPlan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) {
 	missing := max(lookup.SharedTokens-max(c.Cached, c.Arriving), 0)
 	v.fetchedTokens, v.fetchPerToken = lookup.Fetchable(c, missing)
@@ -77,9 +77,9 @@
 	}
 }
 
-// rendezvousOwner is the candidate that should cache the prompt's parts, by the rendezvous order; nil where
-// there is none.
-func rendezvousOwner(req *inflight.Request, found []candidate.Candidate) *brokerstate.Broker {
+// rendezvousOwner returns the candidate that should cache the shared parts of the prompt: the first
+// in the rendezvous order of the prompt's affinity key. It returns nil if the prompt has no parts.
+func rendezvousOwner(req *inflight.Request, candidates []candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok {
 		return nil
@@ -87,9 +87,9 @@
 	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
 	var best *brokerstate.Broker
 	highest := uint64(0)
-	for i := range found {
-		if weight := prompt.RendezvousWeight(key, found[i].Broker.NameHash); best == nil || weight > highest {
-			best, highest = found[i].Broker, weight
+	for i := range candidates {
+		if weight := prompt.RendezvousWeight(key, candidates[i].Broker.NameHash); best == nil || weight > highest {
+			best, highest = candidates[i].Broker, weight
 		}
 	}
 	return best
--- a/internal/node/routing/placement/byload.go
+++ b/internal/node/routing/placement/byload.go
@@ -6,24 +6,26 @@
 	"kestrelspread/internal/node/routing/inflight"
 )
 
-// Weights of what breaks ties between brokers with as many own requests, in average loads.
+// Weights of the criteria that break ties between brokers with equally many requests of this proxy
+// in flight. The unit is the average load of the eligible brokers plus one request.
 const (
-	otherZoneWeight = 0.6 // a broker in another zone
-	latencyWeight   = 0.5 // each median of its latency
-	maxRandomWeight = 0.1 // at most, by chance
+	otherZoneWeight = 0.6 // added for a broker in another zone than this proxy
+	latencyWeight   = 0.5 // for each median latency that the broker's answer is expected to take
+	maxRandomWeight = 0.1 // upper bound of the random part
 )
 
-// chooseByLoad is the choice of LinnOS's design (docs/design.md): predicted-slow brokers are passed over, and of the rest the
-// one with the fewest own requests takes it; ties go by load, latency, the own zone and chance. If
-// all look slow, the first still takes it.
+// chooseByLoad follows the design of LinnOS (docs/design.md): it passes over brokers that are
+// predicted to be slow and takes the one with the fewest requests of this proxy in flight. Ties are
+// broken by load, latency, zone and a random number. If all brokers are predicted to be slow, it
+// takes the one that ranks first.
 func (p *Placer) chooseByLoad(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
 	for i := range s.Eligible {
 		s.Eligible[i].TieBreak = p.tieBreak(now, req, s, &s.Eligible[i])
 	}
-	chosen, slow := p.bestPredictedFast(now, req, s, fewestRequests)
-	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !slow && len(s.Eligible) > 1}
+	chosen, allSlow := p.bestPredictedFast(now, req, s, fewestRequests)
+	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !allSlow && len(s.Eligible) > 1}
 	switch {
-	case slow:
+	case allSlow:
 		choice.Reason = AllSlow
 	case s.AnyPredictedSlow():
 		choice.Reason = ByPrediction
@@ -31,13 +33,13 @@
 	return choice
 }
 
-// fewestRequests is the candidate with the fewest own requests, of those not known to look slow or
-// of all; nil where there is none.
-func fewestRequests(found []candidate.Candidate, withSlow bool) *candidate.Candidate {
+// fewestRequests returns the candidate with the fewest requests of this proxy in flight, or nil if
+// there is none. It skips candidates that were predicted to be slow unless includeSlow is set.
+func fewestRequests(candidates []candidate.Candidate, includeSlow bool) *candidate.Candidate {
 	var best *candidate.Candidate
-	for i := range found {
-		c := &found[i]
-		if c.Slow() && !withSlow {
+	for i := range candidates {
+		c := &candidates[i]
+		if c.Slow() && !includeSlow {
 			continue
 		}
 		if best == nil || c.Broker.InFlight() < best.Broker.InFlight() ||
@@ -48,13 +50,15 @@
 	return best
 }
 
+// tieBreak returns the value that orders brokers with equally many requests in flight; the lowest
+// one wins.
 func (p *Placer) tieBreak(now core.Time, req *inflight.Request, s *candidate.Set, c *candidate.Candidate) float64 {
-	tie := c.Load / (s.AverageLoad + 1)
+	score := c.Load / (s.AverageLoad + 1)
 	if median := req.Pool.Median(); median > 0 {
-		tie += latencyWeight * c.Broker.ExpectedLatency(now, median) / median
+		score += latencyWeight * c.Broker.ExpectedLatency(now, median) / median
 	}
 	if c.Broker.Instance.Zone != p.zone {
-		tie += otherZoneWeight
+		score += otherZoneWeight
 	}
-	return tie + maxRandomWeight*p.random.Float64()
+	return score + maxRandomWeight*p.random.Float64()
 }
--- a/internal/node/routing/placement/cost.go
+++ b/internal/node/routing/placement/cost.go
@@ -1,44 +1,46 @@
 package placement
 
-// A model broker's answer begins when it has read the prompts that were sent there before, and then
-// the request's own. So the cost of a candidate is the expected time until the first token, ms, as
-// far as candidates differ in it. Counts of requests tell little of it, as one prompt may be a
-// hundred times another.
+// A model broker reads (prefills) prompts one after the other, so its answer begins once it has
+// read the prompts that were sent there earlier and then the prompt of the request itself. The cost
+// of a candidate is therefore the expected time until the first token, in ms, leaving out what is
+// the same for all candidates. The number of requests says little about that time, as one prompt
+// may be a hundred times as long as another.
 //
-// To add a term: give costInputs what it looks at, fill that in in Placer.assess, write the term as a
-// method of costInputs with a comment that says why it counts, and add it in costInputs.cost. The order and
-// grouping of the sums there decide on the last digits, so keep those of the terms that exist.
+// To add a term: add its inputs to costInputs and set them in Placer.computeCosts, write the term
+// as a method of costInputs whose comment says why it matters, and add it in costInputs.cost. The
+// order and grouping of the floating-point sums there determine the last digits of the result, so
+// keep them for the existing terms.
 const (
-	repeatedPrefillFactor = 3.0  // what a token counts more that was read recently elsewhere
-	ownerPrefillDiscount  = 0.5  // of the shared prefill is taken off at the owner
-	minOwnerCredit        = 4.0  // ms that are taken off there at least
-	fixedFetchCost        = 3.0  // ms for any fetch
-	costPerRequest        = 0.3  // ms for each request
-	maxRandomCost         = 1.0  // ms
+	repeatedPrefillFactor = 3.0  // extra weight of a token that another broker has read recently
+	ownerPrefillDiscount  = 0.5  // share of the cost of the shared prefill that is subtracted at the owner
+	minOwnerCredit        = 4.0  // ms that are always subtracted at the owner
+	fixedFetchCost        = 3.0  // ms for each fetch, whatever its size
+	costPerRequest        = 0.3  // ms for each request that runs at the broker
+	maxRandomCost         = 1.0  // ms; upper bound of the random part
 	otherZoneCost         = 2.0  // ms
 	noFreeSlotCost        = 200. // ms
-	warmUpFactor          = 2.0  // times all
+	warmUpFactor          = 2.0  // applied to the whole cost of a broker in slow start
 )
 
-// costInputs is all that the cost terms of one candidate may look at. It holds copies, so a term can
-// change neither the candidate nor its broker.
+// costInputs holds the values from which the cost of one candidate is computed. They are copies, so
+// that a cost term can change neither the candidate nor its broker.
 type costInputs struct {
-	prefillPerToken float64 // ms to read a token there
-	prefillTokens   int     // of the prompt, to be read there
-	sharedTokens    int     // of these, such as others cache too
-	repeatedTokens  int     // of the shared ones, such as some broker was sent recently
-	fetchedTokens   int     // of the prompt, to be fetched
-	fetchPerToken   float64 // ms to fetch a token
-	prefillWait     float64 // ms until the broker has read what was sent there before
-	load            float64 // estimated requests there
-	slots           int     // 0: not known
-	isOwner         bool    // by the rendezvous order it should cache the shared parts
-	sameZone        bool    // as this proxy
-	warmingUp       bool    // slow start
+	prefillPerToken float64 // ms to read one token at this broker
+	prefillTokens   int     // tokens of the prompt that the broker has to read
+	sharedTokens    int     // those of the tokens to read that other requests may have as well
+	repeatedTokens  int     // those of the shared tokens that some broker was sent recently
+	fetchedTokens   int     // tokens of the prompt that the broker has to fetch
+	fetchPerToken   float64 // ms to fetch one token
+	prefillWait     float64 // ms until the broker has read the prompts that were sent there earlier
+	load            float64 // estimated number of requests at the broker
+	slots           int     // requests that the broker can run at once; 0: not known
+	isOwner         bool    // first in the rendezvous order, so it should cache the shared parts
+	sameZone        bool    // in the zone of this proxy
+	warmingUp       bool    // in slow start
 	randomFraction  float64 // from 0 to 1
 }
 
-// cost is the sum of the terms, ms.
+// cost returns the sum of all terms, in ms.
 func (v *costInputs) cost() float64 {
 	cost := v.prefillTime() + v.repeatedPrefillCost()
 	if v.isOwner {
@@ -49,7 +51,7 @@
 	return v.applySlowStart(cost)
 }
 
-// prefillTime is the time to read and fetch the prompt itself.
+// prefillTime returns the time to fetch and read the prompt itself, in ms.
 func (v *costInputs) prefillTime() float64 {
 	prefill := v.prefillPerToken * float64(v.prefillTokens)
 	if v.fetchedTokens > 0 {
@@ -58,23 +60,26 @@
 	return prefill
 }
 
-// repeatedPrefillCost is what reading tokens costs that were read recently elsewhere: it holds up others'
-// requests, and repeated prefills are priced (RULES.md, "Prices").
+// repeatedPrefillCost returns the extra cost of reading tokens that another broker has read
+// recently. Such work delays the requests of others, and repeated prefills are priced (RULES.md,
+// "Prices").
 func (v *costInputs) repeatedPrefillCost() float64 {
 	return v.prefillPerToken * repeatedPrefillFactor * float64(v.repeatedTokens)
 }
 
-// ownerCredit is taken off at the broker that should cache the shared parts: what it reads now is
-// of use to later requests. A part is taken off always, so that proxies agree where costs are
-// nearly equal.
+// ownerCredit returns what is subtracted at the owner, because the tokens it reads now will be of
+// use to later requests. minOwnerCredit is subtracted in any case, so that all proxies choose the
+// same broker where costs are nearly equal.
 func (v *costInputs) ownerCredit() float64 {
 	return minOwnerCredit + ownerPrefillDiscount*v.prefillPerToken*(float64(v.sharedTokens)+repeatedPrefillFactor*float64(v.repeatedTokens))
 }
 
-// queueWait is the time until the request's turn, as brokers read prompts one after the other.
+// queueWait returns the time until the broker begins to read this prompt, as it reads prompts one
+// after the other.
 func (v *costInputs) queueWait() float64 { return v.prefillWait }
 
-// loadAndZoneCost are what counts besides the work of prefills.
+// loadAndZoneCost returns the sum of the terms that don't depend on prefills: running requests, a
+// random part, the zone, and whether a slot is free.
 func (v *costInputs) loadAndZoneCost() float64 {
 	cost := v.decodeCost() + v.randomCost()
 	if !v.sameZone {
@@ -86,19 +91,20 @@
 	return cost
 }
 
-// decodeCost is for the requests that run there: each makes every decode step longer.
+// decodeCost returns the cost of the requests that run at the broker: each of them makes every
+// decode step longer.
 func (v *costInputs) decodeCost() float64 { return costPerRequest * v.load }
 
-// randomCost is chance, so that proxies don't all send to the same one of several brokers with equal
-// costs.
+// randomCost returns a random part, so that different proxies don't all choose the same one of
+// several brokers with equal costs.
 func (v *costInputs) randomCost() float64 { return maxRandomCost * v.randomFraction }
 
-// allSlotsTaken reports whether all slots are taken: then the request waits for one to be free, or is
-// refused.
+// allSlotsTaken reports whether the broker has no free slot. Then the request would wait for one or
+// be refused.
 func (v *costInputs) allSlotsTaken() bool { return v.slots > 0 && v.load >= float64(v.slots) }
 
-// applySlowStart multiplies the whole for a broker in slow start, which takes fewer requests until it is
-// warm.
+// applySlowStart multiplies the cost of a broker in slow start, so that it gets fewer requests
+// until it has warmed up.
 func (v *costInputs) applySlowStart(cost float64) float64 {
 	if v.warmingUp {
 		return warmUpFactor * cost
--- a/internal/node/routing/placement/placement.go
+++ b/internal/node/routing/placement/placement.go
@@ -1,9 +1,10 @@
-// Package placement chooses, among the candidates for a request, the broker that gets it.
+// Package placement chooses which of the candidate brokers receives a request.
 //
-// For services that run models, it is the candidate with the lowest cost: the expected time until
-// the first token, as the sum of the terms in file cost.go. For other services it is the candidate
-// with the fewest own requests. In both cases candidates that are predicted slow are passed over
-// (LinnOS's predictor), unless all are.
+// For a service that runs models it takes the candidate with the lowest cost, which is the expected
+// time until the first token: the sum of the terms in cost.go. For any other service it takes the
+// candidate with the fewest requests of this proxy in flight. In both cases it passes over
+// candidates whose answer is predicted to be slow (see Pool.Predict in package brokerstate), unless
+// that holds for all of them.
 package placement
 
 import (
@@ -16,40 +17,42 @@
 	"kestrelspread/internal/node/routing/prefixcache"
 )
 
-// Reason is why a candidate was chosen, for counters.
+// Reason tells why a candidate was chosen. The router counts choices by reason.
 type Reason uint8
 
-// The reasons.
+// The reasons for a choice.
 const (
-	ByProbe      Reason = iota // its broker was ejected, and the request is its probe
-	ByAffinity                 // it has parts of the prompt, or should have
-	ByLoad                     // the fewest requests or the least work
-	ByPrediction               // others that were better otherwise are predicted slow
-	AllSlow                    // all are predicted slow, and the first of all took it
+	ByProbe      Reason = iota // the broker is ejected and due to be probed; this request is the probe
+	ByAffinity                 // the broker caches parts of the prompt, or owns them in the rendezvous order
+	ByLoad                     // the broker has the fewest requests or the lowest cost
+	ByPrediction               // a candidate that ranked higher was passed over because it is predicted to be slow
+	AllSlow                    // all candidates are predicted to be slow, so the highest-ranked one was taken
 )
 
-// Choice is a chosen candidate.
+// Choice is the chosen candidate and the reason for it.
 type Choice struct {
 	Candidate *candidate.Candidate
 	Reason    Reason
-	// Predicted: the prediction chose among several candidates.
+	// Predicted reports that there were several candidates and the chosen one is predicted to be
+	// fast.
 	Predicted bool
 }
 
-// Placer chooses brokers.
+// Placer chooses the broker for each request.
 type Placer struct {
 	switches mechanism.Switches
-	zone     string // of this proxy
+	zone     string // the zone of this proxy
 	random   *rand.Rand
 	cache    *prefixcache.Cache
 }
 
-// New makes a placer for a proxy in a zone.
+// New returns a placer for a proxy in the given zone.
 func New(switches mechanism.Switches, zone string, random *rand.Rand, cache *prefixcache.Cache) *Placer {
 	return &Placer{switches: switches, zone: zone, random: random, cache: cache}
 }
 
-// Choose chooses among the eligible candidates, of which there must be one at least.
+// Choose returns the best of the eligible candidates. There must be at least one. An ejected broker
+// that is due to be probed takes precedence over all others.
 func (p *Placer) Choose(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
 	if probe := s.DueProbe(); probe != nil {
 		p.Predict(now, req, s, probe)
@@ -61,7 +64,7 @@
 	return p.chooseByLoad(now, req, s)
 }
 
-// Predict fills in a candidate's prediction.
+// Predict fills in the candidate's prediction, unless it already has one.
 func (p *Placer) Predict(now core.Time, req *inflight.Request, s *candidate.Set, c *candidate.Candidate) {
 	if c.HasPrediction {
 		return
@@ -70,11 +73,15 @@
 	c.Prediction = req.Pool.Predict(now, c.Broker, c.Load, s.AverageLoad)
 }
 
-// bestPredictedFast takes the best candidate by an order that isn't predicted slow; if all are, the best of
-// all. best returns nil where no candidate is left. slow: all were predicted slow.
+// bestPredictedFast returns the best candidate that isn't predicted to be slow. If all are
+// predicted to be slow, it returns the best of all, with allSlow set.
+//
+// The predictor runs only for candidates that come up as the best. The function best ranks
+// candidates. Without includeSlow it skips those already predicted to be slow, and returns nil if
+// none is left.
 func (p *Placer) bestPredictedFast(now core.Time, req *inflight.Request, s *candidate.Set,
-	best func(found []candidate.Candidate, withSlow bool) *candidate.Candidate,
-) (chosen *candidate.Candidate, slow bool) {
+	best func(candidates []candidate.Candidate, includeSlow bool) *candidate.Candidate,
+) (chosen *candidate.Candidate, allSlow bool) {
 	for {
 		c := best(s.Eligible, false)
 		if c == nil {
