--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -41,12 +41,12 @@
 
 // features returns the predictor's input for a request that is sent to the broker now.
 func (p *Pool) features(now core.Time, b *Broker, load, average float64) predict.Vector {
-	line := p.SlowLine(now, b)
-	features := predict.NewFeatures(line, average, load)
+	slowLine := p.SlowLine(now, b)
+	features := predict.NewFeatures(slowLine, average, load)
 	// A broker that doesn't answer must not look fast: a call that has waited for longer than the
 	// slow line counts as the latest latency.
-	if age, loadThen := b.longestWait(now); age > line {
-		features.Add(age, loadThen)
+	if age, loadAtSend := b.longestWait(now); age > slowLine {
+		features.Add(age, loadAtSend)
 	}
 	expires := p.switches.On(mechanism.HistoryExpiry)
 	for _, past := range b.latencies.history {
--- a/internal/node/routing/brokerstate/prefillpace.go
+++ b/internal/node/routing/brokerstate/prefillpace.go
@@ -44,14 +44,14 @@
 }
 
 // computeSlope returns the slope of the regression in ms per token, within its bounds. The assumed
-// slope takes part in it with the weight belief, which is a sum of squared deviations like spread.
+// slope takes part in it with assumedWeight, which is a sum of squared deviations like spread.
 func (p *prefillTimeEstimator) computeSlope() float64 {
-	const belief = assumedSamples * assumedSpread * assumedSpread
+	const assumedWeight = assumedSamples * assumedSpread * assumedSpread
 	spread, covariance := 0.0, 0.0
 	if p.weight > 0 {
 		spread = p.tokensSquared - p.tokens*p.tokens/p.weight
 		covariance = p.tokensLatency - p.tokens*p.latency/p.weight
 	}
-	slope := (covariance + belief*assumedTimePerToken) / (max(spread, 0) + belief)
+	slope := (covariance + assumedWeight*assumedTimePerToken) / (max(spread, 0) + assumedWeight)
 	return min(max(slope, minTimePerToken), maxTimePerToken)
 }
--- a/internal/node/routing/brokerstate/refusals.go
+++ b/internal/node/routing/brokerstate/refusals.go
@@ -21,7 +21,7 @@
 
 // refusals holds a broker's recent refusals for lack of capacity.
 type refusals struct {
-	inRow int // consecutive refusals
+	consecutive int // number of refusals since the broker last took a request
 	// refusedAt is the time of the last refusal, and backoffUntil the end of the backoff after it.
 	refusedAt    core.Time
 	backoffUntil core.Time
@@ -34,8 +34,8 @@
 // delay that it asked for (0: none), load its report (nil: none).
 func (b *Broker) Refused(now, retryAfter core.Time, load *Load) {
 	r := &b.refusals
-	backoff := min(RefusalBackoff<<min(r.inRow, maxRefusalDoubling), maxRefusalBackoff)
-	r.inRow++
+	backoff := min(RefusalBackoff<<min(r.consecutive, maxRefusalDoubling), maxRefusalBackoff)
+	r.consecutive++
 	if retryAfter > 0 {
 		backoff = min(max(retryAfter, RefusalBackoff/2), maxRefusalBackoff)
 	}
@@ -53,7 +53,7 @@
 func (b *Broker) Accepted(sentAt core.Time) {
 	r := &b.refusals
 	if sentAt > r.refusedAt {
-		r.backoffUntil, r.inRow = 0, 0
+		r.backoffUntil, r.consecutive = 0, 0
 	}
 	if sentAt > r.rolloutUntil-RolloutBackoff {
 		r.rolloutUntil = 0
--- a/internal/node/routing/cachesalt/cachesalt.go
+++ b/internal/node/routing/cachesalt/cachesalt.go
@@ -1,8 +1,8 @@
-// Package cachesalt makes the salts that keep apart what prefix caches must not share (RULES.md,
-// STALE and WALL).
+// Package cachesalt computes the salts that separate entries of prefix caches that must not be
+// shared (RULES.md, STALE and WALL).
 //
-// A broker finds cached parts of prompts only under the very salt under which they were computed. A
-// salt names the model and the version of its weights and, for an isolated tenant, the tenant too.
+// A broker finds cached parts of prompts only under the same salt under which they were computed. A
+// salt contains the model, the version of its weights and, for an isolated tenant, the tenant.
 // Invariant: different triples of model, version and tenant have different texts.
 package cachesalt
 
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// separator stands between the fields of a salt; no escaped name holds it.
+// separator stands between the fields of a salt. Escaped names never contain it.
 const separator = '|'
 
-// Text is the value of the Cache-Salt header. tenant is empty unless the request's tenant is
+// Text returns the value of the Cache-Salt header. tenant is empty unless the request's tenant is
 // isolated.
 func Text(model string, version uint64, tenant string) string {
 	var text strings.Builder
@@ -29,8 +29,8 @@
 	return text.String()
 }
 
-// writeEscaped writes a name in such a way that different names have different texts and none holds
-// the separator.
+// writeEscaped writes a name with special bytes escaped, so that different names have different
+// texts and none contains the separator.
 func writeEscaped(text *strings.Builder, name string) {
 	const hex = "0123456789abcdef"
 	for i := range len(name) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// isPlain reports whether a byte stands for itself in a salt.
+// isPlain reports whether a byte is written to a salt without escaping.
 func isPlain(c byte) bool {
 	switch {
 	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
@@ -54,7 +54,8 @@
 	return c == '-' || c == '_' || c == '.'
 }
 
-// ID is the number by which proxies and package kvindex refer to a salt: FNV-1a of its text.
+// ID returns the number by which proxies and package kvindex refer to a salt: the FNV-1a hash of
+// its text.
 func ID(salt string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
--- a/internal/node/routing/cachesalt/cachesalt_test.go
+++ b/internal/node/routing/cachesalt/cachesalt_test.go
@@ -9,13 +9,14 @@
 	"kestrelspread/internal/node/config"
 )
 
-// RULES.md STALE and WALL: what two requests may share, by their salts.
+// TestSaltSharing checks which requests may share cached prefixes, by their salts (RULES.md STALE
+// and WALL).
 func TestSaltSharing(t *testing.T) {
 	plain, other := &config.Tenant{Name: "a"}, &config.Tenant{Name: "b"}
 	apart := &config.Tenant{Name: "c", Isolated: true}
-	var w IsolatedTenants
+	var isolated IsolatedTenants
 	salt := func(tenant *config.Tenant, model string, version uint64) string {
-		return Text(model, version, w.BoundaryOf(tenant))
+		return Text(model, version, isolated.BoundaryOf(tenant))
 	}
 	for _, c := range []struct {
 		name   string
@@ -35,17 +36,18 @@
 	}
 }
 
-// While an older configuration may be in force somewhere, a tenant that was isolated shares nothing
-// here either.
+// An older configuration may still be in force at another proxy, so a tenant that was isolated
+// keeps its own salt here.
 func TestIsolationOutlivesItsConfiguration(t *testing.T) {
-	var w IsolatedTenants
-	was := &config.Tenant{Name: "c", Isolated: true}
-	w.Observe(&config.Compiled{Tenants: map[string]*config.Tenant{"key": was}})
-	assert.Equal(t, w.BoundaryOf(&config.Tenant{Name: "c"}), "c")
-	assert.Equal(t, w.BoundaryOf(&config.Tenant{Name: "d"}), "")
+	var isolated IsolatedTenants
+	former := &config.Tenant{Name: "c", Isolated: true}
+	isolated.Observe(&config.Compiled{Tenants: map[string]*config.Tenant{"key": former}})
+	assert.Equal(t, isolated.BoundaryOf(&config.Tenant{Name: "c"}), "c")
+	assert.Equal(t, isolated.BoundaryOf(&config.Tenant{Name: "d"}), "")
 }
 
-// No two of model, version and wall give the same text, whatever the names hold.
+// Different triples of model, version and tenant have different texts, whatever characters the
+// names contain.
 func TestSaltsAreUnambiguous(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-c|%0-2é\n]{0,4}`)
@@ -56,7 +58,7 @@
 		first, second := Text(model1, version1, tenant1), Text(model2, version2, tenant2)
 		assert.Equal(t, first == second, same)
 		for i := range len(first) {
-			assert.Assert(t, first[i] > ' ' && first[i] < 0x7f, "%q can't stand in a header", first)
+			assert.Assert(t, first[i] > ' ' && first[i] < 0x7f, "salt %q can't be sent in a header", first)
 		}
 	})
 }
--- a/internal/node/routing/cachesalt/salts_golden_test.go
+++ b/internal/node/routing/cachesalt/salts_golden_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSaltsAreThoseOfOtherNodes: brokers find cached parts, and nodes tell each other of them, by these texts and numbers. They are
-// those of 4c59a1d.
+// TestSaltsMatchOtherNodes guards the texts and numbers of salts: brokers find cached parts by
+// them, and nodes refer to cached parts by them in messages to one another. The values are those of
+// commit 4c59a1d.
 func TestSaltsMatchOtherNodes(t *testing.T) {
 	for _, c := range []struct {
 		model   string
--- a/internal/node/routing/cachesalt/tenants.go
+++ b/internal/node/routing/cachesalt/tenants.go
@@ -2,14 +2,14 @@
 
 import "kestrelspread/internal/node/config"
 
-// IsolatedTenants remembers which tenants were ever isolated. While a configuration that isolates a
-// tenant may still be in force at another proxy, its requests must not share cached prefixes with
-// others, so a tenant stays isolated here for the life of the process.
+// IsolatedTenants remembers which tenants were ever isolated. A configuration that isolates a
+// tenant may still be in force at another proxy, and meanwhile the tenant's requests must not share
+// cached prefixes with others. So a tenant stays isolated here for the life of the process.
 type IsolatedTenants struct {
-	names map[string]bool
+	names map[string]bool // set of the tenants' names
 }
 
-// Observe takes in which tenants a configuration isolates.
+// Observe records which tenants a configuration isolates.
 func (t *IsolatedTenants) Observe(compiled *config.Compiled) {
 	for _, tenant := range compiled.Tenants {
 		if tenant.Isolated {
@@ -25,8 +25,9 @@
 	t.names[tenant] = true
 }
 
-// BoundaryOf is the tenant that the salt of a request must name: its own if that is or ever was
-// isolated, else empty, which stands for the prefixes that all other tenants share.
+// SaltTenant returns the tenant that the salt of a request must contain: the request's own tenant
+// if it is or ever was isolated, else "", which stands for the prefixes that all other tenants
+// share.
 func (t *IsolatedTenants) BoundaryOf(tenant *config.Tenant) string {
 	if tenant == nil || !tenant.Isolated && !t.names[tenant.Name] {
 		return ""
--- a/internal/node/routing/inflight/inflight.go
+++ b/internal/node/routing/inflight/inflight.go
@@ -1,5 +1,5 @@
-// Package inflight describes the requests that a proxy holds, with the attempts that were made for
-// each. Packages that decide something of a request read it; only the router changes it.
+// Package inflight describes the requests that a proxy currently handles and the attempts made for
+// each. Packages that take part in routing decisions read them; only the router changes them.
 package inflight
 
 import (
@@ -11,29 +11,31 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// ID numbers the requests that a proxy holds.
+// ID numbers the requests that a proxy handles.
 type ID uint64
 
-// ClientRequest is what the router needs to know of a client's request.
+// ClientRequest is what the router needs to know of a request from a client.
 type ClientRequest struct {
 	Route    *config.Route
-	Service  string // chosen by the caller where the route splits its traffic
+	Service  string // chosen by the caller if the route splits its traffic
 	Tenant   *config.Tenant
-	Urgency  int // priority in force, 0 first
+	Urgency  int // effective priority; 0 is the most urgent
 	Received core.Time
 	Deadline core.Time // the earlier of the client's and the route's
-	// ClientWait is how long the client said it will wait, counted from the receipt; 0: not known.
+	// ClientWait is how long the client will wait, counted from the receipt, as it said; 0: not
+	// known.
 	ClientWait core.Time
 	Model      string
 	Parts      []prompt.Part
 	TokensIn   int
-	TokensOut  int // the most it may generate
+	TokensOut  int // upper bound of the tokens to generate
 	BodyBytes  int
-	// Resumes: the client takes a stream up again with Last-Event-Id.
+	// ResumesStream is set if the client resumes an event stream with Last-Event-Id.
 	Resumes bool
 }
 
-// TimeLeft is how long the client waits in all: as it said, or until the deadline.
+// TimeLeft returns how long the client waits in total, counted from the receipt: as it said, or
+// else until the deadline.
 func (r *ClientRequest) TimeLeft() core.Time {
 	if r.ClientWait != 0 {
 		return r.ClientWait
@@ -41,29 +43,30 @@
 	return r.Deadline - r.Received
 }
 
-// Request is a request that this proxy holds.
+// Request is a request that this proxy handles.
 type Request struct {
 	ClientRequest
 	ID    ID
 	Pool  *brokerstate.Pool
 	Class *routeclass.Class
-	// ServedModel is the request's model where its service runs models, else empty.
+	// ServedModel is the request's model if its service runs models, else "".
 	ServedModel string
-	// IsolatedTenant is the tenant whose cached prefixes are its own, else empty.
+	// IsolatedTenant is the request's tenant if it shares cached prefixes with no other tenant,
+	// else "".
 	IsolatedTenant string
-	Work           float64 // against the usual of its class
-	Idempotent     bool
-	Oversized      bool // no broker's memory holds it
-	FirstTry       bool // of its client
-	Hedged         bool // a hedged request has gone out
-	Answering      bool // an answer has begun
-	Calls          []*brokerstate.Call
+	Work           float64             // expected work relative to the average of the class
+	Idempotent     bool                // may run more than once
+	Oversized      bool                // doesn't fit into the memory of any broker
+	FirstTry       bool                // the client's first try
+	Hedged         bool                // a hedged request was sent
+	Answering      bool                // an answer has begun
+	Calls          []*brokerstate.Call // one for each attempt, in the order of their numbers
 
-	Refused     int // calls that brokers had no capacity for
-	Unreachable int // calls without a connection
+	Refused     int // calls that brokers refused for lack of capacity
+	Unreachable int // calls for which no connection could be established
 }
 
-// Call is the call of an attempt's number, nil where there is none.
+// Call returns the call of the attempt with the given number, or nil if there is none.
 func (r *Request) Call(number int) *brokerstate.Call {
 	if number < 0 || number >= len(r.Calls) {
 		return nil
@@ -71,7 +74,7 @@
 	return r.Calls[number]
 }
 
-// Tried reports whether the broker has had the request already.
+// Tried reports whether an attempt of the request was made at the broker.
 func (r *Request) Tried(b *brokerstate.Broker) bool {
 	for _, c := range r.Calls {
 		if c.Broker == b {
@@ -81,7 +84,8 @@
 	return false
 }
 
-// Runs counts the calls that ran, may have run or may yet run: what maxAttempts bounds.
+// PossibleRuns returns the number of calls that ran, may have run or may still run. The setting
+// maxAttempts limits it.
 func (r *Request) Runs() int {
 	n := 0
 	for _, c := range r.Calls {
@@ -92,8 +96,8 @@
 	return n
 }
 
-// Arrivals counts the calls that reached a broker, or may have: those beyond the first draw on the
-// retry budget.
+// PossibleArrivals returns the number of calls that reached a broker or may have. All but the first
+// count against the retry budget.
 func (r *Request) Arrivals() int {
 	n := 0
 	for _, c := range r.Calls {
@@ -104,7 +108,7 @@
 	return n
 }
 
-// Outstanding reports whether a call is still out.
+// HasOutstanding reports whether any call hasn't ended.
 func (r *Request) Outstanding() bool {
 	for _, c := range r.Calls {
 		if !c.Ended {
@@ -114,7 +118,8 @@
 	return false
 }
 
-// OnlyAwaiting is the one call that is out, if no answer has begun; nil otherwise.
+// SoleUnanswered returns the call that hasn't ended, if there is exactly one and no answer has
+// begun; otherwise nil.
 func (r *Request) OnlyAwaiting() *brokerstate.Call {
 	var only *brokerstate.Call
 	for _, c := range r.Calls {
@@ -129,6 +134,6 @@
 	return only
 }
 
-// MayHaveRun reports whether some call ran, or may have: then no promise can be given that the
-// request did not.
+// MayHaveRun reports whether any call ran or may have run. In that case the client can't be
+// promised that the request did not run.
 func (r *Request) MayHaveRun() bool { return r.Runs() > 0 }
--- a/internal/node/routing/inflight/inflight_test.go
+++ b/internal/node/routing/inflight/inflight_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The deadline counts where the client doesn't say how long it waits.
+// The deadline counts if the client doesn't say how long it will wait.
 func TestTimeLeft(t *testing.T) {
 	request := ClientRequest{Received: time.Second, Deadline: 3 * time.Second, ClientWait: 6 * time.Second}
 	assert.Equal(t, request.TimeLeft(), 6*time.Second)
--- a/internal/node/routing/mechanism/mechanism.go
+++ b/internal/node/routing/mechanism/mechanism.go
@@ -1,7 +1,7 @@
-// Package mechanism names the parts of the routing decisions that can be switched off one by one.
+// Package mechanism lists the parts of the routing decisions that can be disabled one by one.
 //
-// The printed names are an interface of the command kestrelnode and of scenario files, and stay as
-// they are.
+// Their names are part of the interface of the command kestrelnode and of scenario files, so they
+// must not change.
 package mechanism
 
 import (
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Set is a set of mechanisms, one bit each: parts of the decisions that can be switched off by
-// name, so that their effect can be measured and on-call can rule them out.
+// Set is a set of mechanisms, with one bit for each. Mechanisms can be disabled by name, to measure
+// their effect or to rule them out as the cause of a fault in operation.
 type Set uint32
 
-// The mechanisms.
+// The mechanisms. All describes them.
 const (
 	Prediction Set = 1 << iota
 	Hedging
@@ -39,29 +39,29 @@
 	About     string // one line
 }
 
-// All lists all mechanisms, those of the design first.
+// All returns all mechanisms, those of the design first.
 func All() []Info {
 	return []Info{
-		{Prediction, "prediction", "brokers that are predicted slow are passed over"},
-		{Hedging, "copies", "a late request that may be repeated gets one copy"},
-		{HistoryExpiry, "history-expiry", "latencies older than a second no longer count in the prediction"},
-		{Affinity, "affinity", "requests with the same shared parts prefer one broker by a rendezvous order"},
-		{PromptIndex, "index", "what brokers and the store tell of the parts that they keep"},
-		{KVFetch, "fetch", "brokers fetch parts of prompts from other brokers"},
-		{KVStore, "store", "parts are saved in the store and fetched from there"},
-		{RecentPrefills, "recent-reads", "what was sent to brokers lately counts before the index tells of it"},
-		{BrokerPace, "broker-pace", "a pace for each broker, by the pauses of its streams"},
-		{RefusalBackoff, "refusal-pause", "a broker that had no room is left alone for a moment"},
-		{Postponing, "postponing", "first tries that would be late are told when to come again"},
-		{Overload, "overload", "a share of the least urgent is refused while most answers are late"},
-		{NewestFirst, "newest-first", "only brokers with the newest weights shortly before older ones are over"},
-		{LoadingMarks, "loading-marks", "brokers that are marked as loading weights get no request"},
-		{OutlierEjection, "broker-trials", "brokers that fail or hang are set aside and tried again"},
+		{Prediction, "prediction", "brokers whose answers are predicted to be slow are avoided"},
+		{Hedging, "copies", "a request with a late answer that may run twice is hedged once"},
+		{HistoryExpiry, "history-expiry", "latencies older than a second don't count in the prediction"},
+		{Affinity, "affinity", "requests with the same shared prompt parts prefer one broker by rendezvous hashing"},
+		{PromptIndex, "index", "the index of the prompt parts that brokers and stores report as cached is used"},
+		{KVFetch, "fetch", "brokers fetch cached prompt parts from other brokers"},
+		{KVStore, "store", "prompt parts are saved in the store and fetched from there"},
+		{RecentPrefills, "recent-reads", "prompt parts that were sent to a broker recently count as cached there before the index knows"},
+		{BrokerPace, "broker-pace", "the speed of each broker is estimated by the intervals between events of its streams"},
+		{RefusalBackoff, "refusal-pause", "a broker that refused a request for lack of capacity is avoided for a short time"},
+		{Postponing, "postponing", "first tries that would be answered late are refused with a retry delay"},
+		{Overload, "overload", "a share of the least urgent requests is refused while most answers are late"},
+		{NewestFirst, "newest-first", "only brokers with the newest weights are used shortly before older weights expire"},
+		{LoadingMarks, "loading-marks", "brokers that are marked as loading weights get no requests"},
+		{OutlierEjection, "broker-trials", "brokers that fail or don't answer are ejected and probed"},
 	}
 }
 
-// Parse returns the set of the mechanisms that a comma-separated list names. An unknown name is an
-// error.
+// Parse returns the set of mechanisms that a comma-separated list names. It fails if a name is
+// unknown. Empty names are ignored.
 func Parse(names string) (Set, error) {
 	var set Set
 	for name := range strings.SplitSeq(names, ",") {
@@ -82,7 +82,7 @@
 	return set, nil
 }
 
-// Names lists the names of the mechanisms of a set, in the order of All.
+// Names returns the names of the mechanisms in the set, in the order of All.
 func (m Set) Names() []string {
 	var names []string
 	for _, info := range All() {
@@ -93,11 +93,11 @@
 	return names
 }
 
-// Switches tells which mechanisms are on: all but the disabled ones.
+// Switches tells which mechanisms are enabled: all but the disabled ones.
 type Switches struct{ disabled Set }
 
-// NewSwitches has all mechanisms on but those of the set.
+// NewSwitches returns switches with all mechanisms enabled except those of the set.
 func NewSwitches(disabled Set) Switches { return Switches{disabled} }
 
-// On reports whether a mechanism is on.
+// On reports whether a mechanism is enabled.
 func (s Switches) On(m Set) bool { return s.disabled&m == 0 }
--- a/internal/node/routing/modelversion/modelversion.go
+++ b/internal/node/routing/modelversion/modelversion.go
@@ -1,8 +1,8 @@
 // Package modelversion tells on which versions of a model's weights a request may start (RULES.md,
-// VERSION): on the newest, and on an older one until the time since this node learnt of the next
-// one is over.
+// VERSION): on the newest one, and on an older one until a deadline that is counted from when this
+// node learnt of the next version.
 //
-// Invariant: the time of a version that is over never begins again.
+// Invariant: once a version has expired, it is never permitted again.
 package modelversion
 
 import (
@@ -15,72 +15,75 @@
 )
 
 const (
-	// firstVersion is what a model without a named version is at (PROTOCOL.md, "The operator's
-	// API").
+	// firstVersion is the version of a model for which the configuration names none (PROTOCOL.md,
+	// "The operator's API").
 	firstVersion = 1
-	// LearnMargin is subtracted for the time between the acknowledgement of a version and this
-	// node's learning of it.
+	// PropagationMargin is subtracted from the bound of a single stable period, for the time
+	// between the acknowledgement of a version and this node's learning of it.
 	LearnMargin = 700 * time.Millisecond
-	// stretchesMargin is subtracted from the bound of all stable stretches together, which are
-	// counted here without the gaps between them.
+	// allPeriodsMargin is subtracted from the bound of all stable periods together, because they
+	// are counted here without the gaps between them.
 	allPeriodsMargin = 2 * time.Second
 	// disturbanceMargin is subtracted from the time for which the core is unstable after a
-	// disturbance, as that may have begun sooner than is known.
+	// disturbance, because the disturbance may have begun earlier than is known.
 	disturbanceMargin = time.Second
-	// startGrace, from the start of this node, is the time of versions before those that were named
-	// earlier, as it can't know when. A node isn't in touch before it has run for contactMs
-	// (RULES.md, "In touch"), which is longer.
+	// startupGrace is how long after the start of this node older versions are permitted if a newer
+	// one was configured before the start, as this node can't know when that was. A node isn't in
+	// touch until it has run for contactMs (RULES.md, "In touch"), which is longer.
 	startupGrace = 2500 * time.Millisecond
-	// maxRemembered bounds how many versions of a model are remembered.
+	// maxRemembered bounds the number of versions that are remembered for each model.
 	maxRemembered = 16
 )
 
-// Bounds are a deployment's bounds on the use of older weights (RULES.md, VERSION).
+// Bounds are a deployment's limits on the use of older weights (RULES.md, VERSION).
 type Bounds struct {
-	// SingleStretch is versionMs: since the acknowledgement, within one stretch during which the
-	// core is stable.
+	// SingleStablePeriod is the setting versionMs: the time since the acknowledgement of a new
+	// version, within one period during which the core is stable.
 	SingleStretch time.Duration
-	// AllStretches is versionAllMs, over all such stretches; 0: as SingleStretch.
+	// AllStablePeriods is the setting versionAllMs: the time over all such periods; 0: same as
+	// SingleStablePeriod.
 	AllStretches time.Duration
-	// UnstableFor is contactMs: how long the core is unstable after a fault (RULES.md, "Stable");
-	// 0: not known.
+	// UnstableFor is the setting contactMs: how long the core is unstable after a fault (RULES.md,
+	// "Stable"); 0: not known.
 	UnstableFor time.Duration
 }
 
-// Tracker knows which versions of each model's weights requests may start on. Make one with
-// NewTracker.
+// Tracker knows which versions of each model's weights requests may start on. NewTracker returns a
+// usable one.
 type Tracker struct {
 	bounds     Bounds
 	startedAt  core.Time
-	configSeen bool // a configuration was observed, so later versions are named during this node's life
+	configSeen bool // a configuration was observed, so any later version is configured while this node runs
 	models     map[string]*modelVersions
 }
 
-// modelVersions are the versions that were named for one model.
+// modelVersions holds the versions that were configured for one model.
 type modelVersions struct {
-	minVersion uint64              // the time of versions below it is over for good
-	configured []configuredVersion // rising
+	minVersion uint64              // versions below it have expired for good
+	configured []configuredVersion // in ascending order
 }
 
-// configuredVersion is a version, and until when requests may start on those before it.
+// configuredVersion is a version that a configuration named, and until when requests may start on
+// the versions before it.
 type configuredVersion struct {
 	version uint64
-	// startsUntil is when requests may no longer start on the version before.
+	// olderUntil is when requests may no longer start on the previous version.
 	olderUntil core.Time
-	// maxStartsUntil bounds how far disturbances of the core extend startsUntil.
+	// maxOlderUntil bounds how far disturbances of the core extend olderUntil.
 	maxOlderUntil core.Time
-	// fixed: no disturbance changes startsUntil.
+	// fixed is set if no disturbance changes olderUntil.
 	fixed bool
-	// disturbedAt is the last disturbance that extended maxStartsUntil.
+	// lastDisturbedAt is when the last disturbance that extended maxOlderUntil occurred; 0: none
+	// did.
 	lastDisturbedAt core.Time
 }
 
-// NewTracker makes a tracker that knows no configuration, for a node that starts now.
+// NewTracker returns a tracker that has seen no configuration yet, for a node that starts now.
 func NewTracker(now core.Time, bounds Bounds) Tracker {
 	return Tracker{bounds: bounds, startedAt: now, models: make(map[string]*modelVersions)}
 }
 
-// Observe takes in the versions that a configuration names.
+// Observe records the versions that a configuration names.
 func (t *Tracker) Observe(now core.Time, compiled *config.Compiled) {
 	until, limit := t.singlePeriodEnd(now), now+t.bounds.AllStretches-allPeriodsMargin
 	if !t.configSeen {
@@ -102,36 +105,38 @@
 	}
 }
 
-// singlePeriodEnd is when the bound of a single stretch that began at a time is over.
+// singlePeriodEnd returns when the bound of a single stable period that began at a time is reached.
 func (t *Tracker) singlePeriodEnd(from core.Time) core.Time {
 	return from + max(t.bounds.SingleStretch-LearnMargin, 0)
 }
 
-// CoreDisturbed takes in that the core was unstable at a time: the single stretch counts anew from
-// there, for versions whose time isn't over yet.
+// RecordDisturbance records that the core was unstable at a time. The single stable period begins
+// again at that time, for older versions that haven't expired yet.
 func (t *Tracker) CoreDisturbed(now, at core.Time) {
 	for _, m := range t.models {
 		for i := range m.configured {
-			if named := &m.configured[i]; now < named.olderUntil && !named.fixed {
-				t.extendLimit(named, at)
-				named.olderUntil = max(named.olderUntil, min(t.singlePeriodEnd(at), named.maxOlderUntil))
+			if version := &m.configured[i]; now < version.olderUntil && !version.fixed {
+				t.extendLimit(version, at)
+				version.olderUntil = max(version.olderUntil, min(t.singlePeriodEnd(at), version.maxOlderUntil))
 			}
 		}
 	}
 }
 
-// extendLimit takes the time after a disturbance, in which the core was unstable, out of the bound
-// of all stretches. Disturbances that follow one another within that time count once.
-func (t *Tracker) extendLimit(named *configuredVersion, at core.Time) {
+// extendLimit adds the unstable time after a disturbance to the bound of all stable periods, as it
+// doesn't count towards that bound. Disturbances that follow one another within that time count
+// once.
+func (t *Tracker) extendLimit(version *configuredVersion, at core.Time) {
 	unstable := t.bounds.UnstableFor - disturbanceMargin
-	if unstable <= 0 || named.lastDisturbedAt != 0 && at < named.lastDisturbedAt+t.bounds.UnstableFor {
+	if unstable <= 0 || version.lastDisturbedAt != 0 && at < version.lastDisturbedAt+t.bounds.UnstableFor {
 		return
 	}
-	named.lastDisturbedAt = at
-	named.maxOlderUntil += unstable
+	version.lastDisturbedAt = at
+	version.maxOlderUntil += unstable
 }
 
-// forgetOldest forgets the oldest version where too many are remembered: its time is over for good.
+// forgetOldest removes the oldest version if too many are remembered. The versions before it have
+// expired for good.
 func (m *modelVersions) forgetOldest() {
 	if len(m.configured) > maxRemembered {
 		m.minVersion = m.configured[0].version
@@ -139,7 +144,7 @@
 	}
 }
 
-// lastConfigured is the newest version that was named of a model, if any was.
+// lastConfigured returns the newest version that was configured for a model, if there is one.
 func (t *Tracker) lastConfigured(model string) (configuredVersion, bool) {
 	m := t.models[model]
 	if m == nil {
@@ -148,7 +153,7 @@
 	return m.configured[len(m.configured)-1], true
 }
 
-// Newest is the version that all brokers of a model are to have.
+// Newest returns the version that all brokers of a model should have.
 func (t *Tracker) Newest(model string) uint64 {
 	if last, ok := t.lastConfigured(model); ok {
 		return last.version
@@ -165,22 +170,24 @@
 	if version < m.minVersion {
 		return false
 	}
-	for _, named := range m.configured {
-		if named.version > version {
-			return startsAt < named.olderUntil
+	for _, newer := range m.configured {
+		if newer.version > version {
+			return startsAt < newer.olderUntil
 		}
 	}
 	return true
 }
 
-// AnyExpiresWithin reports whether the time of some older version ends within a span from now.
+// AnyExpiresWithin reports whether any older version of the model expires within span from now.
 func (t *Tracker) AnyExpiresWithin(now core.Time, model string, span time.Duration) bool {
 	m := t.models[model]
-	return m != nil && slices.ContainsFunc(m.configured, func(n configuredVersion) bool { return now < n.olderUntil && n.olderUntil <= now+span })
+	return m != nil && slices.ContainsFunc(m.configured, func(v configuredVersion) bool {
+		return now < v.olderUntil && v.olderUntil <= now+span
+	})
 }
 
-// VersionOf is the version that an instance has of a model: the reported one, else the newest, with
-// which new instances start.
+// VersionOf returns the version that an instance has of a model: the reported one or, if there is
+// none, the newest, as new instances start with it.
 func (t *Tracker) VersionOf(instance *registry.Instance, model string) uint64 {
 	if version := instance.Versions[model]; version != 0 {
 		return version
--- a/internal/node/routing/modelversion/modelversion_test.go
+++ b/internal/node/routing/modelversion/modelversion_test.go
@@ -14,14 +14,14 @@
 	model = "m-large"
 )
 
-// configWith is a configuration that names versions of models.
+// configWith returns a configuration that names the given versions of models.
 func configWith(versions map[string]uint64) *config.Compiled {
 	return &config.Compiled{Version: 1, ModelVersions: versions}
 }
 
 var testBounds = Bounds{SingleStretch: 10 * time.Second, AllStretches: 14 * time.Second}
 
-// RULES.md VERSION: until when a request may start on older weights.
+// TestVersionsAllowed checks until when a request may start on older weights (RULES.md VERSION).
 func TestVersionsAllowed(t *testing.T) {
 	v := NewTracker(0, testBounds)
 	grace := testBounds.SingleStretch - LearnMargin
@@ -38,11 +38,11 @@
 	}{
 		{21 * time.Second, 1, true},
 		{20*time.Second + grace - ms, 1, true},
-		{20*time.Second + grace, 1, false}, // judged by the naming of 2, not of 3
+		{20*time.Second + grace, 1, false}, // counts from when version 2 was configured, not 3
 		{20*time.Second + grace, 2, true},
 		{24*time.Second + grace, 2, false},
 		{500 * time.Second, 3, true},
-		{500 * time.Second, 4, true}, // named, but not yet known here
+		{500 * time.Second, 4, true}, // configured, but not yet known here
 	} {
 		assert.Equal(t, v.MayStart(c.at, model, c.version), c.want, "version %d at %v", c.version, c.at)
 	}
@@ -52,49 +52,49 @@
 	assert.Assert(t, !v.AnyExpiresWithin(24*time.Second+grace, model, time.Second))
 }
 
-// The time is counted within a single stretch during which the core was stable, and over all of
-// them up to another bound: a disturbance begins it anew, but never once it was over, nor beyond
-// the bound of all.
+// The time for older versions is counted within a single period during which the core is stable,
+// and over all such periods up to another bound. A disturbance begins the single period again, but
+// never once the version has expired, and never beyond the bound of all periods.
 func TestDisturbancesExtendTheDeadline(t *testing.T) {
-	const named = 20 * time.Second
+	const configuredAt = 20 * time.Second
 	for _, c := range []struct {
 		name        string
 		all         time.Duration
 		contact     time.Duration
-		disturbedAt []time.Duration // since the naming
-		want        time.Duration   // since the naming
+		disturbedAt []time.Duration // since version 2 was configured
+		want        time.Duration   // since version 2 was configured
 	}{
 		{"never", 14 * time.Second, 0, nil, 9300 * ms},
 		{"once", 14 * time.Second, 0, []time.Duration{time.Second}, 10300 * ms},
 		{"twice", 14 * time.Second, 0, []time.Duration{time.Second, 2 * time.Second}, 11300 * ms},
-		{"again and again", 14 * time.Second, 0, []time.Duration{time.Second, 5 * time.Second, 9 * time.Second}, 12 * time.Second},
+		{"three times", 14 * time.Second, 0, []time.Duration{time.Second, 5 * time.Second, 9 * time.Second}, 12 * time.Second},
 		{
-			"what was not stable counts for none", 14 * time.Second, 3 * time.Second,
+			"unstable time doesn't count", 14 * time.Second, 3 * time.Second,
 			[]time.Duration{time.Second, 5 * time.Second, 9 * time.Second}, 18 * time.Second,
 		},
 		{
-			"troubles that overlap count once", 14 * time.Second, 3 * time.Second,
+			"overlapping disturbances count once", 14 * time.Second, 3 * time.Second,
 			[]time.Duration{5 * time.Second, 6 * time.Second, 7500 * ms}, 14 * time.Second,
 		},
 		{"too late", 14 * time.Second, 0, []time.Duration{9400 * ms}, 9300 * ms},
-		{"all stretches are bounded as one", 10 * time.Second, 0, []time.Duration{2 * time.Second}, 9300 * ms},
-		{"no bound of all is known", 0, 0, []time.Duration{2 * time.Second}, 9300 * ms},
+		{"both bounds are equal", 10 * time.Second, 0, []time.Duration{2 * time.Second}, 9300 * ms},
+		{"no bound of all periods", 0, 0, []time.Duration{2 * time.Second}, 9300 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := NewTracker(0, Bounds{SingleStretch: 10 * time.Second, AllStretches: c.all, UnstableFor: c.contact})
 			v.Observe(time.Second, configWith(nil))
-			v.Observe(named, configWith(map[string]uint64{model: 2}))
+			v.Observe(configuredAt, configWith(map[string]uint64{model: 2}))
 			for _, at := range c.disturbedAt {
-				v.CoreDisturbed(named+at, named+at)
+				v.CoreDisturbed(configuredAt+at, configuredAt+at)
 			}
-			assert.Assert(t, v.MayStart(named+c.want-ms, model, 1))
-			assert.Assert(t, !v.MayStart(named+c.want, model, 1))
-			assert.Assert(t, v.MayStart(named+time.Hour, model, 2))
+			assert.Assert(t, v.MayStart(configuredAt+c.want-ms, model, 1))
+			assert.Assert(t, !v.MayStart(configuredAt+c.want, model, 1))
+			assert.Assert(t, v.MayStart(configuredAt+time.Hour, model, 2))
 		})
 	}
 }
 
-// A disturbance that is learnt of late counts from when it may have been.
+// A disturbance that this node learns of late counts from when it may have occurred.
 func TestDisturbanceInThePast(t *testing.T) {
 	v := NewTracker(0, testBounds)
 	v.Observe(time.Second, configWith(nil))
@@ -102,11 +102,11 @@
 	v.CoreDisturbed(25*time.Second, 21*time.Second)
 	assert.Assert(t, !v.MayStart(30300*ms, model, 1))
 	v.CoreDisturbed(26*time.Second, 15*time.Second)
-	assert.Assert(t, v.MayStart(30200*ms, model, 1), "an earlier one shortens nothing")
+	assert.Assert(t, v.MayStart(30200*ms, model, 1), "an earlier disturbance doesn't shorten the time")
 }
 
-// A node that starts can't know when a version was named: the one before has its time only until
-// the node is in touch, and no disturbance makes that longer.
+// A node that has just started can't know when a version was configured. The previous version is
+// permitted only until the node is in touch, and no disturbance extends that time.
 func TestVersionsAtTheStart(t *testing.T) {
 	v := NewTracker(time.Second, testBounds)
 	v.Observe(2*time.Second, configWith(map[string]uint64{model: 5}))
--- a/internal/node/routing/prefixcache/doc.go
+++ b/internal/node/routing/prefixcache/doc.go
@@ -1,4 +1,5 @@
-// Package prefixcache knows where the parts of prompts are cached: by the index of what brokers and
-// stores report, and by what was sent to brokers just now. It names the source that a broker
-// fetches parts from and the store that it saves them to. It doesn't choose the broker.
+// Package prefixcache knows where the parts of prompts are cached: from the index, which collects
+// the reports of brokers and stores, and from what was sent to brokers recently. It names the
+// source that a broker fetches cached parts from and the store that it saves parts to. It does not
+// choose the broker.
 package prefixcache
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -10,30 +10,32 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// Fetches of cached parts from other brokers and from the store (PROTOCOL.md, "KV cache"). A fetch
-// is far cheaper than reading the parts again, a miss costs a millisecond, and a source that is
-// dead some hundred: so only sources that are believed to be well are named.
+// Brokers fetch cached parts from other brokers and from the store (PROTOCOL.md, "KV cache"). A
+// fetch is far cheaper than reading the parts again. A miss costs about a millisecond, but a dead
+// source costs a few hundred, so only sources that are believed to be healthy are named.
 const (
-	// MinFetchTokens is the length from which parts are fetched: fewer tokens are read sooner.
+	// MinFetchTokens is the number of tokens from which parts are fetched. Fewer tokens are read
+	// faster than they are fetched.
 	MinFetchTokens = 256
 
-	blockTolerance      = 64    // tokens: brokers cache parts by blocks
-	outdatedIndexShare  = 0.1   // of what the index tells of brokers was evicted meanwhile, about
-	assumedTransferTime = 0.001 // ms a token, where the configuration doesn't tell
+	blockTolerance      = 64    // tokens that may be missing from a complete entry, as brokers cache whole blocks
+	outdatedIndexShare  = 0.1   // approximate share of the index's entries on brokers that were evicted meanwhile
+	assumedTransferTime = 0.001 // ms per token, if the configuration doesn't tell
 	bitsPerByte         = 8
 	bitsPerMsMbps       = 1000 // bits in a ms at 1 Mbps
-	otherZoneFactor     = 2.0  // times as long between zones (PROTOCOL.md, "KV cache")
+	otherZoneFactor     = 2.0  // on the transfer time between zones (PROTOCOL.md, "KV cache")
 )
 
-// FetchSource is the address that the chosen broker should fetch the prompt's shared parts from, or
-// empty.
+// FetchSource returns the address that the chosen broker should fetch the prompt's shared parts
+// from, or "" if it should not fetch.
 //
-// A broker that has as much as the store goes first where that is known from what it was sent just
-// now, or where the store's link, which all share, is much slower: what the index tells of brokers
-// is outdated at times, and a fetch that finds nothing has the parts read again. Else it is the
-// store, also where the index has the parts at the chosen broker itself: brokers evict them within
-// seconds and report it late. Where the store is down, it is the broker that should have them by
-// the rendezvous order.
+// A broker that caches more of them than the store is preferred to the store. One that caches as
+// much is preferred if it was sent the parts recently, so that it surely has them, or if the
+// store's link, which all brokers share, is much slower. Otherwise the store is preferred, because
+// the index's entries on brokers are sometimes outdated, and after a fetch that finds nothing the
+// parts have to be read again. The store is also named if the index lists the parts at the chosen
+// broker itself, because brokers evict them within seconds and report that late. If no store is
+// available, the source is the broker that should cache the parts by the rendezvous order.
 func (c *Cache) FetchSource(now core.Time, req *inflight.Request, eligible []candidate.Candidate, chosen *candidate.Candidate) string {
 	if prompt.SharedTokens(req.Parts) < MinFetchTokens || chosen.Broker.Fetches.Slow(now) {
 		return ""
@@ -60,12 +62,12 @@
 	return ""
 }
 
-// recentlySent reports whether a broker was sent recently what it is believed to cache, so that it
-// surely has it.
+// recentlySent reports whether the broker was sent recently all that it is believed to cache, so
+// that it surely has it.
 func recentlySent(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
 
-// storeFetchCompetitive reports whether fetching parts from the store takes so little more time than from a
-// broker that the store is better, as it surely has them.
+// storeFetchCompetitive reports whether fetching parts from the store takes so little longer than
+// from a broker that the store is preferable, because it surely has them.
 func (c *Cache) storeFetchCompetitive(req *inflight.Request, store *config.Service, holder, chosen *candidate.Candidate) bool {
 	engine := c.engine(req)
 	if store.LinkMbps <= 0 || engine.LinkMbps <= 0 {
@@ -76,8 +78,8 @@
 	return fromStore-fromBroker <= outdatedIndexShare*req.Pool.PrefillPerToken(chosen.Broker)
 }
 
-// transferFactor is how many times as long a fetch from a zone to the chosen broker takes as one
-// within a zone.
+// transferFactor returns how many times as long a fetch from a zone to the chosen broker takes as a
+// fetch within a zone.
 func transferFactor(zone string, chosen *candidate.Candidate) float64 {
 	if zone == chosen.Broker.Instance.Zone {
 		return 1
@@ -85,17 +87,18 @@
 	return otherZoneFactor
 }
 
-// transferTimePerToken is how long moving a token takes over a link, ms.
-func transferTimePerToken(engine *config.Engine, mbps, times float64) float64 {
+// transferTimePerToken returns how long it takes to transfer one token over a link, in ms.
+// zoneFactor is the result of transferFactor.
+func transferTimePerToken(engine *config.Engine, mbps, zoneFactor float64) float64 {
 	if mbps <= 0 || engine.KVTokenBytes <= 0 {
-		return assumedTransferTime * times
+		return assumedTransferTime * zoneFactor
 	}
-	return times * engine.KVTokenBytes * bitsPerByte / (mbps * bitsPerMsMbps)
+	return zoneFactor * engine.KVTokenBytes * bitsPerByte / (mbps * bitsPerMsMbps)
 }
 
-// Fetchable is how many of a prompt's missing tokens a candidate can fetch, and what each takes,
-// ms. It is an estimate for placement; Cache.FetchSource names the source once the broker is
-// chosen.
+// Fetchable returns how many of a prompt's missing tokens the candidate can fetch, and the time for
+// each of them in ms. It is an estimate for placement; Cache.FetchSource names the source once the
+// broker is chosen.
 func (l *Lookup) Fetchable(chosen *candidate.Candidate, missing int) (tokens int, perToken float64) {
 	if missing < MinFetchTokens {
 		return 0, 0
@@ -111,8 +114,8 @@
 	return min(chosen.StoredTokens-cached, missing), transferTimePerToken(l.engine, l.Store.LinkMbps, transferFactor(l.Store.Zone, chosen))
 }
 
-// bestHolder is the candidate that caches clearly more of the prompt than the chosen one, one of
-// the same zone first; nil where none does.
+// bestHolder returns the candidate that caches at least MinFetchTokens more of the prompt than the
+// chosen one and is the best source, or nil if there is none.
 func (c *Cache) bestHolder(now core.Time, req *inflight.Request, eligible []candidate.Candidate, chosen *candidate.Candidate) *candidate.Candidate {
 	var best *candidate.Candidate
 	for i := range eligible {
@@ -127,8 +130,8 @@
 	return best
 }
 
-// preferredSource reports whether a source is better than another: it has more, or as much in the
-// zone of the broker that fetches, as fetches between zones take twice as long.
+// preferredSource reports whether source is better than other: it caches more tokens, or as many in
+// the zone of the broker that fetches, as fetches between zones take twice as long.
 func preferredSource(source, other, chosen *candidate.Candidate) bool {
 	if source.Cached != other.Cached {
 		return source.Cached > other.Cached
@@ -137,9 +140,9 @@
 	return source.Broker.Instance.Zone == zone && other.Broker.Instance.Zone != zone
 }
 
-// fetchableOwner is the owner of the parts by the rendezvous order, among all brokers that can be
-// fetched from; nil if that is the chosen one, or the index has them there. Where the chosen one is
-// new, it is the owner before it.
+// fetchableOwner returns the owner of the parts by the rendezvous order, among all brokers that can
+// be fetched from. It returns nil if the owner is the chosen broker, or if the index lists the
+// parts there. If the chosen broker joined recently, the result is the owner before it joined.
 func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok || chosen.Cached >= prompt.SharedTokens(req.Parts)-blockTolerance {
@@ -159,8 +162,8 @@
 	return best
 }
 
-// mayFetchFrom reports whether a broker is well enough to be named as a source, and has the same
-// weights.
+// mayFetchFrom reports whether a broker is healthy enough to be named as a source and has the same
+// weights as the chosen broker.
 func (c *Cache) mayFetchFrom(now core.Time, req *inflight.Request, chosen *candidate.Candidate, b *brokerstate.Broker) bool {
 	switch {
 	case b == chosen.Broker, req.Tried(b), !b.Instance.Usable(), b.Instance.Unresponsive, b.Health.Ejected():
--- a/internal/node/routing/prefixcache/lookup.go
+++ b/internal/node/routing/prefixcache/lookup.go
@@ -11,23 +11,23 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// Lookup is what is known of a prompt's shared parts.
+// Lookup is what is known of the shared parts of a prompt.
 type Lookup struct {
-	Store        *config.Service // that caches them; nil: there is none that is well
-	SharedTokens int
+	Store        *config.Service // the healthy store that caches them; nil: there is none
+	SharedTokens int             // length of the shared parts
 
 	engine   *config.Engine // of the request's service
 	versions []VersionCoverage
 }
 
-// VersionCoverage is what is known of the shared parts under a version of the weights.
+// VersionCoverage is what is known of the shared parts under one version of the weights.
 type VersionCoverage struct {
 	Version   uint64
-	MaxCached int // the most tokens that any candidate caches
-	NewTokens int // tokens at the end that no broker was sent recently
+	MaxCached int // most tokens that any candidate of the version caches
+	NewTokens int // tokens at the end that weren't sent to any broker recently
 }
 
-// Version is the coverage under a candidate's version; nil where no candidate has it.
+// Version returns the coverage under a version, or nil if no candidate has that version.
 func (l *Lookup) Version(version uint64) *VersionCoverage {
 	for i := range l.versions {
 		if l.versions[i].Version == version {
@@ -37,31 +37,31 @@
 	return nil
 }
 
-// LookUp finds what is known of the prompt's shared parts, and fills in how many tokens each
-// candidate caches. The result is valid until the next call.
-func (c *Cache) LookUp(now core.Time, req *inflight.Request, found []candidate.Candidate) *Lookup {
-	c.queryIndex(now, req, found)
+// LookUp collects what is known of the prompt's shared parts, and fills in how many tokens of them
+// each candidate caches. The result is valid until the next call.
+func (c *Cache) LookUp(now core.Time, req *inflight.Request, candidates []candidate.Candidate) *Lookup {
+	c.queryIndex(now, req, candidates)
 	l := &c.lookup
 	l.Store = c.chooseStore(now, req)
 	l.SharedTokens = prompt.SharedTokens(req.Parts)
 	l.engine = c.engine(req)
 	l.versions = l.versions[:0]
-	for i := range found {
-		if version := found[i].Version; l.Version(version) == nil {
-			newTokens := c.markRecent(now, req, found, version)
+	for i := range candidates {
+		if version := candidates[i].Version; l.Version(version) == nil {
+			newTokens := c.markRecent(now, req, candidates, version)
 			l.versions = append(l.versions, VersionCoverage{Version: version, NewTokens: newTokens})
 		}
 	}
-	for i := range found {
-		coverage := l.Version(found[i].Version)
-		coverage.MaxCached = max(coverage.MaxCached, found[i].Cached)
+	for i := range candidates {
+		coverage := l.Version(candidates[i].Version)
+		coverage.MaxCached = max(coverage.MaxCached, candidates[i].Cached)
 	}
 	return l
 }
 
-// queryIndex fills in how many tokens of the prompt each candidate caches, and its store under the
-// candidate's version, as far as the index knows.
-func (c *Cache) queryIndex(now core.Time, req *inflight.Request, found []candidate.Candidate) {
+// queryIndex fills in what the index knows: how many tokens of the prompt each candidate caches,
+// and how many the prompt's store holds under the candidate's version.
+func (c *Cache) queryIndex(now core.Time, req *inflight.Request, candidates []candidate.Candidate) {
 	if c.index == nil || req.ServedModel == "" || !c.switches.On(mechanism.PromptIndex) {
 		return
 	}
@@ -70,23 +70,25 @@
 		store = service.KVStoreAddr
 	}
 	c.queriedVersions = c.queriedVersions[:0]
-	for i := range found {
-		version := found[i].Version
+	for i := range candidates {
+		version := candidates[i].Version
 		if slices.Contains(c.queriedVersions, version) {
 			continue
 		}
 		c.queriedVersions = append(c.queriedVersions, version)
 		for _, holder := range c.index.Holders(saltID(req, version), req.Parts) {
 			if !holder.Store || holder.Instance == store {
-				markHolder(found, version, holder)
+				markHolder(candidates, version, holder)
 			}
 		}
 	}
 }
 
-func markHolder(found []candidate.Candidate, version uint64, holder Holder) {
-	for i := range found {
-		c := &found[i]
+// markHolder fills in the tokens of one entry of the index: at the candidate that it belongs to or,
+// for a store, at all candidates of the version.
+func markHolder(candidates []candidate.Candidate, version uint64, holder Holder) {
+	for i := range candidates {
+		c := &candidates[i]
 		switch {
 		case c.Version != version:
 		case holder.Store:
@@ -97,10 +99,10 @@
 	}
 }
 
-// markRecent fills in, at the candidates of a version, what they are reading or have just read of
-// the prompt, and returns how many tokens at the end of the shared ones were not sent to any broker
-// recently.
-func (c *Cache) markRecent(now core.Time, req *inflight.Request, found []candidate.Candidate, version uint64) (newTokens int) {
+// markRecent fills in, for the candidates of a version, how much of the prompt they read now or
+// have just read. It returns how many tokens at the end of the shared parts weren't sent to any
+// broker recently.
+func (c *Cache) markRecent(now core.Time, req *inflight.Request, candidates []candidate.Candidate, version uint64) (newTokens int) {
 	salt := saltID(req, version)
 	tokens := 0
 	for _, part := range prompt.SharedParts(req.Parts) {
@@ -114,18 +116,18 @@
 		for i := range prefills.brokers {
 			sent := &prefills.brokers[i]
 			if c.switches.On(mechanism.RecentPrefills) && sent.broker != nil && now < sent.sentAt+PrefillBelieved {
-				markPrefill(now, found, sent, tokens)
+				markPrefill(now, candidates, sent, tokens)
 			}
 		}
 	}
 	return newTokens
 }
 
-// markPrefill fills in that a broker has so many tokens of the prompt, or will have them before its
-// next request's turn.
-func markPrefill(now core.Time, found []candidate.Candidate, sent *prefill, tokens int) {
-	for i := range found {
-		c := &found[i]
+// markPrefill fills in that a broker will have read the given number of tokens of the prompt before
+// a new request's turn, and that it caches them if it has read them by now.
+func markPrefill(now core.Time, candidates []candidate.Candidate, sent *prefill, tokens int) {
+	for i := range candidates {
+		c := &candidates[i]
 		if c.Broker != sent.broker {
 			continue
 		}
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -9,42 +9,44 @@
 )
 
 const (
-	// PrefillBelieved is how long a broker that was sent a part is believed to have it; then the
-	// index is to know.
+	// PrefillAssumedFor is how long a broker that was sent a part is assumed to have it. After that
+	// the index is expected to know.
 	PrefillBelieved = 2500 * time.Millisecond
 
-	repeatedPrefillSpan = 10 * time.Second // a part that is read anew within that time is read repeatedly
-	maxBrokersPerPart   = 4                // brokers that are remembered for a part
+	repeatedPrefillSpan = 10 * time.Second // a part that is read again within this time counts as read repeatedly
+	maxBrokersPerPart   = 4                // brokers that are remembered for each part
 )
 
-// recentPrefills remembers for each part under a salt the brokers that it was sent to recently, by
-// this proxy and by others: which parts brokers are reading just now is known before the index can
-// tell. So the same part isn't read twice at once, and what was read recently is distinguished from
-// what is new.
+// recentPrefills remembers, for each part under a salt, the brokers that this proxy or another one
+// sent it to recently. Thus it is known which parts brokers are reading now before the index can
+// tell. It prevents that two brokers read the same part at the same time, and distinguishes parts
+// that were read recently from new ones.
 //
-// Of two generations the older is dropped when the newer is as old as prefillRepeated.
+// Entries are kept in two generations. Once the newer one is as old as repeatedPrefillSpan, the
+// older one is dropped.
 type recentPrefills struct {
 	newer, older map[uint64]*partPrefills
 	newerSince   core.Time
 }
 
-// partPrefills are the brokers that a part was sent to, the latest first.
+// partPrefills holds the brokers that a part was sent to, the latest first.
 type partPrefills struct {
-	sentAt  core.Time // to the latest
+	sentAt  core.Time // when the part was last sent to a broker
 	brokers [maxBrokersPerPart]prefill
 }
 
-// prefill is a broker that a part was sent to, and when it is to have read it.
+// prefill is a broker that a part was sent to, and when it is expected to have read it.
 type prefill struct {
 	broker  *brokerstate.Broker
 	sentAt  core.Time
 	readyAt core.Time
 }
 
+// partKey returns the key of a part under a salt.
 func partKey(salt uint64, part prompt.Part) uint64 { return prompt.Mix64(salt ^ prompt.Mix64(part.ID)) }
 
-// record takes in that shared parts of a prompt were sent to a broker, which is to have read them
-// at readyAt.
+// record records that shared parts of a prompt were sent to a broker, which is expected to have
+// read them at readyAt.
 func (r *recentPrefills) record(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	r.rotate(now)
 	for _, part := range parts {
@@ -61,6 +63,7 @@
 	}
 }
 
+// rotate starts a new generation if the newer one is old enough.
 func (r *recentPrefills) rotate(now core.Time) {
 	if r.newer != nil && now < r.newerSince+repeatedPrefillSpan {
 		return
@@ -69,6 +72,8 @@
 	r.newerSince = now
 }
 
+// record moves the broker to the front. If it is still reading the part for an earlier request, the
+// earlier readyAt counts.
 func (p *partPrefills) record(now, readyAt core.Time, b *brokerstate.Broker) {
 	p.sentAt = now
 	last := maxBrokersPerPart - 1
@@ -77,7 +82,7 @@
 			continue
 		}
 		if readyAt > p.brokers[i].readyAt && now < p.brokers[i].sentAt+PrefillBelieved {
-			readyAt = p.brokers[i].readyAt // it reads them for the earlier request
+			readyAt = p.brokers[i].readyAt // it reads the part for the earlier request
 		}
 		last = i
 		break
@@ -86,7 +91,7 @@
 	p.brokers[0] = prefill{broker: b, sentAt: now, readyAt: readyAt}
 }
 
-// find is what is remembered of a part, nil where it wasn't sent recently.
+// find returns what is remembered of a part, or nil if it wasn't sent to any broker recently.
 func (r *recentPrefills) find(now core.Time, salt uint64, part prompt.Part) *partPrefills {
 	key := partKey(salt, part)
 	prefills := r.newer[key]
@@ -99,8 +104,8 @@
 	return prefills
 }
 
-// RecordPrefill takes in that shared parts of a prompt were sent to a broker, by this proxy or
-// another, and when it is to have read them.
+// RecordPrefill records that this proxy or another one sent shared parts of a prompt to a broker,
+// which is expected to have read them at readyAt.
 func (c *Cache) RecordPrefill(now, readyAt core.Time, b *brokerstate.Broker, salt uint64, parts []prompt.Part) {
 	c.recent.record(now, readyAt, b, salt, parts)
 }
--- a/internal/node/routing/prefixcache/recent_test.go
+++ b/internal/node/routing/prefixcache/recent_test.go
@@ -16,7 +16,7 @@
 	return brokerstate.NewBroker(0, &registry.Instance{ID: id}, false)
 }
 
-// After a while the index has to know; after prefillRepeated a part counts as new.
+// A part counts as new after repeatedPrefillSpan, and two generations of entries are kept.
 func TestRecentPrefillsExpire(t *testing.T) {
 	const now = 20 * time.Second
 	b := newBroker("i00")
@@ -34,8 +34,8 @@
 	assert.Equal(t, len(r.older), 1, "two generations are kept")
 }
 
-// A part that is sent again to a broker that reads it is ready when the first reading ends, and the
-// brokers are the latest.
+// A part that is sent again to a broker that is still reading it is ready when the first prefill
+// ends. Only the latest brokers are remembered.
 func TestBrokersRememberedForAPart(t *testing.T) {
 	const now = 20 * time.Second
 	brokers := map[string]*brokerstate.Broker{}
--- a/internal/node/routing/prefixcache/stores.go
+++ b/internal/node/routing/prefixcache/stores.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// MinLateFetches is how many answers in a row must come late with fetches from a store before
-	// it is left alone.
+	// MinLateFetches is how many consecutive answers with fetches from a store must be late before
+	// the store is avoided.
 	MinLateFetches = 4
-	// StoreBackoff is how long such a store is left alone.
+	// StoreBackoff is how long a late store is avoided.
 	StoreBackoff = 2 * time.Second
 
-	storeLateThreshold = 200.0 // ms beyond the usual: a dead source costs some hundred
+	storeLateThreshold = 200.0 // ms above the usual latency; a dead source costs a few hundred
 )
 
-// storeState is the health of a store. A store is believed to be well until there is a reason
-// against it: its home node asks it each second, and a store that fails in between shows by answers
-// that come late whenever parts were to be fetched from it.
+// storeState is the health of a store. A store counts as healthy until there is evidence against
+// it. Its home node probes it once a second. A store that fails between two probes shows by late
+// answers whenever parts were to be fetched from it.
 type storeState struct {
-	dead               bool      // it was asked and gave no sign of life
-	consecutiveLate    int       // answers in a row that came late with a fetch from it
-	onTimeWithoutStore int       // answers in time meanwhile, without a fetch from it
-	backoffUntil       core.Time // it isn't fetched from before
+	dead               bool      // the last probe failed
+	consecutiveLate    int       // consecutive late answers with a fetch from this store
+	onTimeWithoutStore int       // answers without a store that were on time meanwhile
+	backoffUntil       core.Time // it isn't used before this time
 }
 
-// chooseStore is the store that caches the shared parts of a request's prompt: of those that are well,
-// the first in the rendezvous order of its sticky part. So each part is cached in one store, by
-// whatever proxy it is saved, and the stores together hold as much as all of their memory. nil:
-// there is none.
+// chooseStore returns the store that caches the shared parts of a request's prompt: the usable
+// store that is first in the rendezvous order of the prompt's sticky part. Thus each part is cached
+// in one store only, whichever proxy saves it, and the capacity of the stores adds up. It returns
+// nil if there is no such store.
 func (c *Cache) chooseStore(now core.Time, req *inflight.Request) *config.Service {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok || c.compiled == nil || !c.switches.On(mechanism.KVStore) {
@@ -53,6 +53,7 @@
 	return best
 }
 
+// store returns the state of a store, which it creates if there is none.
 func (c *Cache) store(address string) *storeState {
 	state := c.stores[address]
 	if state == nil {
@@ -62,14 +63,15 @@
 	return state
 }
 
-// storeUsable reports whether a store is to be fetched from.
+// storeUsable reports whether a store may be used.
 func (c *Cache) storeUsable(now core.Time, address string) bool {
 	state := c.store(address)
 	return !state.dead && now >= state.backoffUntil
 }
 
-// SaveTarget is the address of the store that the chosen broker should send the prompt's parts to,
-// or empty where the index has the shared parts there: what is sent in vain evicts what is of use.
+// SaveTarget returns the address of the store that the chosen broker should save the prompt's parts
+// to. It returns "" if the index already lists the shared parts there, because saving them
+// needlessly evicts useful ones.
 func (c *Cache) SaveTarget(now core.Time, req *inflight.Request, chosen *candidate.Candidate) string {
 	store := c.chooseStore(now, req)
 	shared := prompt.SharedTokens(req.Parts)
@@ -79,7 +81,7 @@
 	return store.KVStoreAddr
 }
 
-// StoreSeen takes in a sign of life of a store, or that it was asked and gave none.
+// RecordStoreProbe records whether a store answered a probe.
 func (c *Cache) StoreSeen(address string, alive bool) {
 	state := c.store(address)
 	if alive && state.dead {
@@ -88,9 +90,9 @@
 	state.dead = !alive
 }
 
-// LearnFetch learns from an answer whether a store delivers: if fetches from it delay answers, one
-// after the other, while others come in time, it is left alone for a while. usual is the median of
-// the pool, ms.
+// RecordFetch judges a store by an answer. If consecutive answers with fetches from the store are
+// late while answers without a store are on time, the store is avoided for StoreBackoff. usual is
+// the median latency of the pool in ms.
 func (c *Cache) LearnFetch(now core.Time, call *brokerstate.Call, usual float64) {
 	late := (call.Latency-usual)*call.Scale > storeLateThreshold
 	state := c.stores[call.FetchFrom]
@@ -110,7 +112,8 @@
 	}
 }
 
-// countOnTimeAnswer takes in, against stores that seem late, that answers without them aren't.
+// countOnTimeAnswer counts an answer that was on time without a store, as evidence against stores
+// whose answers are late.
 func (c *Cache) countOnTimeAnswer() {
 	for _, state := range c.stores {
 		if state.consecutiveLate > 0 {
--- a/internal/node/routing/prompt/prompt_test.go
+++ b/internal/node/routing/prompt/prompt_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// The keys and weights decide where every proxy of a deployment sends a prompt: other values would
-// scatter what is cached.
+// The keys and weights determine where every proxy of a deployment sends a prompt. If they changed,
+// cached parts would no longer be found where they are.
 func TestAffinityKeysAndWeightsAreFixed(t *testing.T) {
 	key := AffinityKey(Part{ID: 7, Tokens: 100}, "m-large", "")
 	isolated := AffinityKey(Part{ID: 7, Tokens: 100}, "m-large", "tenant")
--- a/internal/node/routing/retrybudget/retrybudget.go
+++ b/internal/node/routing/retrybudget/retrybudget.go
@@ -1,5 +1,6 @@
-// Package retrybudget bounds the attempts beyond the first arrival of each request that this proxy
-// may cause, as its part of the bound that all proxies together keep (RULES.md, "Retries").
+// Package retrybudget limits the arrivals at brokers beyond the first of each request that this
+// proxy may cause by retries and hedged requests. It is this proxy's part of the limit for all
+// proxies together (RULES.md, "Retries").
 package retrybudget
 
 import (
@@ -11,31 +12,34 @@
 )
 
 const (
-	// HedgeShare is the share of the budget that hedged requests may use up; the rest is left for
+	// HedgeShare is the share of the budget that hedged requests may use. The rest is reserved for
 	// retries.
 	HedgeShare = 0.5
 
-	safetyMargin   = 0.9 // share of what the rules allow that is spent
+	safetyMargin   = 0.9 // share of what the rules permit that is used
 	windowBuckets  = 20
-	maxProxiesSpan = 60 * time.Second // for so long a larger number of proxies is remembered
-	// minProxies are assumed at least: a proxy that starts in a partition knows few others.
+	maxProxiesSpan = 60 * time.Second // how long a larger number of proxies is remembered
+	// minProxies is the lowest number of proxies that is assumed, because a proxy that starts in a
+	// network partition knows few others.
 	minProxies = 4
 )
 
-// ProxyCount is how many proxies share the budget of a service: the maximum that was known within
-// the last minute, so that a partitioned proxy doesn't take the whole budget for itself.
+// ProxyCount is the number of proxies that share the budget of a service. It is the maximum that
+// was known within the last minute, so that a proxy in a network partition doesn't use the whole
+// budget itself.
 type ProxyCount struct {
-	// counts are the maxima that still matter: falling in number, rising in time.
+	// counts holds the numbers that may still be the maximum, in descending order of number and
+	// ascending order of time.
 	counts []observedCount
 }
 
-// observedCount is a number of proxies that was known for a time.
+// observedCount is a number of proxies and the last time at which it was known.
 type observedCount struct {
-	validUntil core.Time // last moment at which it was known
+	validUntil core.Time // last time at which it was known
 	count      int
 }
 
-// Set takes in that so many proxies are known from now on.
+// Set records the number of proxies that is known from now on.
 func (p *ProxyCount) Set(now core.Time, count int) {
 	if n := len(p.counts); n > 0 {
 		p.counts[n-1].validUntil = now
@@ -47,13 +51,14 @@
 	p.expire(now)
 }
 
+// expire removes numbers that were last known before the span began, but keeps the current one.
 func (p *ProxyCount) expire(now core.Time) {
 	for len(p.counts) > 1 && p.counts[0].validUntil < now-maxProxiesSpan {
 		p.counts = p.counts[1:]
 	}
 }
 
-// Max is the number that counts now, 0 while none is known.
+// Max returns the maximum number of proxies that was known recently; 0 if none is known.
 func (p *ProxyCount) Max(now core.Time) int {
 	if len(p.counts) == 0 {
 		return 0
@@ -62,40 +67,43 @@
 	return p.counts[0].count
 }
 
-// Budget counts the requests of one service and the arrivals beyond the first of each that they
+// Budget counts the requests of one service and the arrivals beyond the first that each of them
 // caused.
 //
-// Arrivals are counted over slightly more than the window, requests over slightly less, so that no
-// window of that length can be overdrawn whatever the bucket boundaries.
+// Arrivals are counted over slightly more than the window and requests over slightly less, so that
+// the budget isn't exceeded in any window of that length, wherever the boundaries of the buckets
+// lie.
 type Budget struct {
 	requests *window.Counts
-	retries  *window.Counts // arrivals beyond the first, hedged requests included
+	retries  *window.Counts // arrivals beyond the first, including those of hedged requests
 }
 
 // Limits are a deployment's bounds on what all proxies together send beyond first arrivals
-// (RULES.md, "Retries"), and this proxy's part in them.
+// (RULES.md, "Retries"), and this proxy's part of them.
 type Limits struct {
-	// Ratio is the number of arrivals beyond the first that each request of a service allows.
+	// Ratio is how many arrivals beyond the first each request of a service permits.
 	Ratio float64
-	// Slack is the number of such arrivals that all proxies together have in each window besides.
+	// Slack is how many additional arrivals beyond the first all proxies together may cause in each
+	// window.
 	Slack float64
-	// Proxies share the slack.
+	// Proxies is the number of proxies that share the slack.
 	Proxies ProxyCount
-	// Denied counts the arrivals that weren't afforded.
+	// Denied counts the arrivals that the budget didn't permit.
 	Denied uint64
 
 	window time.Duration
-	// slackFrom is when this proxy's share of the slack counts: not in the first window after its
-	// start, as the process may have spent it before a restart.
+	// slackFrom is when this proxy's share of the slack begins to count. That is one window after
+	// the start, as the process may have used it before a restart.
 	slackFrom core.Time
 }
 
-// NewLimits are the bounds of a proxy that starts now; both figures count over the window.
+// NewLimits returns the bounds for a proxy that starts now. Both ratio and slack apply to each
+// window.
 func NewLimits(now core.Time, ratio, slack float64, window time.Duration) Limits {
 	return Limits{Ratio: ratio, Slack: slack, window: window, slackFrom: now + window}
 }
 
-// NewBudget is the unused budget of one service.
+// NewBudget returns an unused budget for one service.
 func (l *Limits) NewBudget() Budget {
 	width := units.Milliseconds(l.window) / windowBuckets
 	return Budget{
@@ -104,7 +112,8 @@
 	}
 }
 
-// allowance is how many arrivals beyond the first this proxy may cause in the window that ends now.
+// allowance returns how many arrivals beyond the first this proxy may cause in the window that ends
+// now.
 func (l *Limits) allowance(now core.Time, b *Budget) float64 {
 	span := units.Milliseconds(l.window)
 	allowed := l.Ratio * b.requests.SumWithin(units.Milliseconds(now), span)
@@ -114,8 +123,8 @@
 	return safetyMargin * allowed
 }
 
-// Affords reports whether one more arrival is within the given share of the allowance, and counts a
-// denial if not.
+// Allows reports whether one more arrival is within the given share of the allowance. If it isn't,
+// it counts as denied.
 func (l *Limits) Affords(now core.Time, b *Budget, share float64) bool {
 	spent := b.retries.Sum(units.Milliseconds(now), units.Milliseconds(l.window))
 	if spent+1 <= share*l.allowance(now, b) {
@@ -125,8 +134,8 @@
 	return false
 }
 
-// Received counts a client's request.
+// RecordRequest counts a request of a client.
 func (b *Budget) Received(now core.Time) { b.requests.Add(units.Milliseconds(now), 1) }
 
-// Spend counts an arrival beyond the first of its request.
+// RecordRetry counts an arrival beyond the first of its request.
 func (b *Budget) Spend(now core.Time) { b.retries.Add(units.Milliseconds(now), 1) }
--- a/internal/node/routing/retrybudget/retrybudget_test.go
+++ b/internal/node/routing/retrybudget/retrybudget_test.go
@@ -9,7 +9,8 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// The share of the slack goes by the maximum of proxies known within the last minute.
+// A proxy's share of the slack depends on the maximum number of proxies that was known within the
+// last minute.
 func TestProxyCountIsMaximumOfLastMinute(t *testing.T) {
 	var p ProxyCount
 	assert.Equal(t, p.Max(0), 0)
@@ -42,7 +43,7 @@
 	assert.Equal(t, allowance(31*time.Second), safetyMargin*10)
 }
 
-// Hedged requests leave a part of the budget to retries.
+// Hedged requests leave a part of the budget for retries.
 func TestHedgesLeaveBudgetForRetries(t *testing.T) {
 	l := NewLimits(0, 0.2, 60, 10*time.Second)
 	l.Proxies.Set(0, 6)
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -1,5 +1,5 @@
-// Package routeclass knows what is usual of one route's requests: the kind of requests that the
-// design's percentile of latencies is taken over.
+// Package routeclass keeps statistics on the requests of each route. A route is the class of
+// requests over which the latency percentile for hedging is taken.
 package routeclass
 
 import (
@@ -13,38 +13,38 @@
 )
 
 const (
-	// LongestWaitKept is how long the longest wait of the clients is remembered.
+	// LongestWaitExpiry is how long the longest wait of the clients is remembered.
 	LongestWaitExpiry = 10 * time.Second
 
-	tokensWeight    = 0.05 // of the newest request in a class's usual tokens
-	fixedWork       = 0.5  // share of a request's time that doesn't grow with its tokens
+	tokensWeight    = 0.05 // weight of the newest request in the average number of tokens
+	fixedWork       = 0.5  // share of a request's work that doesn't depend on its tokens
 	minWork         = 0.6
 	maxWork         = 4.0
-	idleExpiry      = 30 * time.Second // a class is forgotten after that time without a request
+	idleExpiry      = 30 * time.Second // a class without requests for this long is removed
 	refreshInterval = 250 * time.Millisecond
-	firstTryShare   = 0.99 // of the longest wait that a client's first try has left
+	firstTryShare   = 0.99 // share of the longest wait from which a request counts as a client's first try
 )
 
-// Class is what is usual of one route's requests. Make one by Classes.Get.
+// Class holds the statistics on one route's requests. Classes.Get returns the class of a route.
 type Class struct {
-	latencies     *window.Histogram // to the first byte, divided by the request's work, ms
-	tokens        float64           // usual length of a prompt
+	latencies     *window.Histogram // time to the first byte divided by the request's work, ms
+	tokens        float64           // average length of a prompt
 	median        float64           // of latencies, ms
-	medianSamples int               // that it stands on
+	medianSamples int               // number of answers that median is computed from
 	refreshedAt   core.Time
 	usedAt        core.Time
-	// longestWait is the most time that a client had recently for a request, and longestWaitAt
-	// when.
+	// longestWait is the longest time that a client recently had left for a request, and
+	// longestWaitAt is when that request came.
 	longestWait   core.Time
 	longestWaitAt core.Time
 }
 
-// New makes the class of a route that nothing is known of.
+// New returns the class of a route of which nothing is known yet.
 func New() *Class {
 	return &Class{latencies: brokerstate.NewLatencyHistogram(), refreshedAt: -refreshInterval}
 }
 
-// Received takes in the length of a request's prompt.
+// RecordPromptTokens adds the length of a request's prompt to the average.
 func (c *Class) Received(tokens int) {
 	if c.tokens == 0 {
 		c.tokens = float64(tokens)
@@ -52,8 +52,8 @@
 	c.tokens += tokensWeight * (float64(tokens) - c.tokens)
 }
 
-// Work is a request's expected work against the usual of its class: latency follows the tokens of
-// its prompt.
+// Work returns a request's expected work relative to the average of its class. It grows with the
+// tokens of the prompt, as latency does.
 func (c *Class) Work(tokens int) float64 {
 	if c.tokens <= 0 || tokens <= 0 {
 		return 1
@@ -61,8 +61,9 @@
 	return min(max(fixedWork+(1-fixedWork)*float64(tokens)/c.tokens, minWork), maxWork)
 }
 
-// Scale is how much longer a request of the class takes than the usual one of the pool, so that all
-// answers of a service can be measured against one line.
+// Scale returns how many times as long as the usual request of the pool a request of this class is
+// expected to take. With latencies divided by it, all answers of a service can be compared with the
+// same slow line.
 func (c *Class) Scale(now core.Time, p *brokerstate.Pool, tokens int) float64 {
 	if now >= c.refreshedAt+refreshInterval {
 		c.refreshedAt = now
@@ -75,19 +76,20 @@
 	return scale
 }
 
-// Learn takes a latency in, ms, divided by the request's work.
+// RecordLatency adds a latency in ms, divided by the request's work.
 func (c *Class) Learn(now core.Time, latency float64) {
 	c.latencies.Add(units.Milliseconds(now), latency)
 }
 
-// Quantile is a quantile of the recent latencies, ms, for the usual work, and how many answers it
-// stands on.
+// Quantile returns a quantile of the recent latencies in ms, for a request of average work, and the
+// number of answers that it is computed from.
 func (c *Class) Quantile(now core.Time, share float64) (latency float64, answers int) {
 	return c.latencies.Quantile(units.Milliseconds(now), share)
 }
 
-// FirstTry reports whether a request is its client's first try: as much time is left for it as any
-// of the class had recently. A client that tries again has less.
+// FirstTry reports whether a request is its client's first try. It is if at least as much time is
+// left for it as was left for any recent request of the class, within firstTryShare; a client that
+// tries again has less time left.
 func (c *Class) FirstTry(now, left core.Time) bool {
 	if left >= c.longestWait || now > c.longestWaitAt+LongestWaitExpiry {
 		c.longestWait, c.longestWaitAt = left, now
@@ -95,10 +97,10 @@
 	return float64(left) >= firstTryShare*float64(c.longestWait)
 }
 
-// Classes are the classes by route.
+// Classes holds the classes by the names of their routes. The zero value is empty and ready to use.
 type Classes struct{ byRoute map[string]*Class }
 
-// Get is the class of a route, for a request that was received now.
+// Get returns the class of a route, for a request that is received now.
 func (c *Classes) Get(now core.Time, route string) *Class {
 	class := c.byRoute[route]
 	if class == nil {
@@ -113,8 +115,8 @@
 	return class
 }
 
-// forgetIdle drops the classes of routes without recent requests, so that a day of many changes
-// leaves nothing behind.
+// forgetIdle removes the classes of routes without recent requests, so that memory doesn't grow
+// over a day of many configuration changes.
 func (c *Classes) forgetIdle(now core.Time) {
 	for name, class := range c.byRoute {
 		if now-class.usedAt > idleExpiry {
--- a/internal/node/routing/routeclass/routeclass_test.go
+++ b/internal/node/routing/routeclass/routeclass_test.go
@@ -9,20 +9,21 @@
 	"kestrelspread/internal/node/core"
 )
 
-// What counts as the time of a first try follows the clients, also downwards after a while.
+// The time that a first try has left follows the clients' timeouts. It also decreases, after
+// LongestWaitExpiry.
 func TestFirstTryFollowsClientTimeouts(t *testing.T) {
 	c := New()
 	at := core.Time(0)
-	fresh := func(wait time.Duration) bool {
+	firstTry := func(wait time.Duration) bool {
 		at += time.Second
 		return c.FirstTry(at, wait)
 	}
-	assert.Assert(t, fresh(4*time.Second))
-	assert.Assert(t, !fresh(3*time.Second))
-	assert.Assert(t, fresh(3990*time.Millisecond))
-	assert.Assert(t, fresh(6*time.Second))
-	assert.Assert(t, !fresh(4*time.Second))
+	assert.Assert(t, firstTry(4*time.Second))
+	assert.Assert(t, !firstTry(3*time.Second))
+	assert.Assert(t, firstTry(3990*time.Millisecond))
+	assert.Assert(t, firstTry(6*time.Second))
+	assert.Assert(t, !firstTry(4*time.Second))
 	at += LongestWaitExpiry
-	assert.Assert(t, fresh(4*time.Second))
-	assert.Assert(t, !fresh(2*time.Second))
+	assert.Assert(t, firstTry(4*time.Second))
+	assert.Assert(t, !firstTry(2*time.Second))
 }
--- a/internal/node/routing/units/units.go
+++ b/internal/node/routing/units/units.go
@@ -1,5 +1,5 @@
-// Package units converts between steady times and the milliseconds in which packages predict and
-// window and the configuration count.
+// Package units converts between core.Time and milliseconds, in which packages predict and window
+// and the configuration express times.
 package units
 
 import (
@@ -8,8 +8,8 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Milliseconds converts a steady time into milliseconds, the unit of packages predict and window.
+// Milliseconds converts a time to milliseconds.
 func Milliseconds(t core.Time) float64 { return float64(t) / float64(time.Millisecond) }
 
-// FromMilliseconds converts a figure of the configuration, in milliseconds, into a steady time.
+// FromMilliseconds converts milliseconds to a time.
 func FromMilliseconds(ms float64) core.Time { return core.Time(ms * float64(time.Millisecond)) }
