--- a/internal/node/routing/brokerstate/steppace_test.go
+++ b/internal/node/routing/brokerstate/steppace_test.go
@@ -35,11 +35,11 @@
 func newPoolWithSlowBrokers(brokers, slow int) *Pool {
 	p := newPool(brokers)
 	for i, b := range p.Brokers {
-		usual := 20 * ms
+		stepTime := 20 * ms
 		if i < slow {
-			usual = 30 * ms
+			stepTime = 30 * ms
 		}
-		addStreams(b, 2*MinStepStreams, usual)
+		addStreams(b, 2*MinStepStreams, stepTime)
 	}
 	p.Refresh(20 * time.Second)
 	return p
--- a/internal/node/routing/placement/placement.go
+++ b/internal/node/routing/placement/placement.go
@@ -33,8 +33,8 @@
 type Choice struct {
 	Candidate *candidate.Candidate
 	Reason    Reason
-	// Predicted reports that there were several candidates and the chosen one is predicted to be
-	// fast.
+	// PredictionUsed reports that there were several candidates and the chosen one is predicted to
+	// be fast.
 	Predicted bool
 }
 
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -12,7 +12,8 @@
 
 // Brokers fetch cached parts from other brokers and from the store (PROTOCOL.md, "KV cache"). A
 // fetch is far cheaper than reading the parts again. A miss costs about a millisecond, but a dead
-// source costs a few hundred, so only sources that are believed to be healthy are named.
+// source costs a few hundred milliseconds, so only sources that are believed to be healthy are
+// named.
 const (
 	// MinFetchTokens is the number of tokens from which parts are fetched. Fewer tokens are read
 	// faster than they are fetched.
@@ -35,7 +36,8 @@
 // the index's entries on brokers are sometimes outdated, and after a fetch that finds nothing the
 // parts have to be read again. The store is also named if the index lists the parts at the chosen
 // broker itself, because brokers evict them within seconds and report that late. If no store is
-// available, the source is the broker that should cache the parts by the rendezvous order.
+// available and no candidate is known to cache them, the source is the broker that should cache them
+// by the rendezvous order.
 func (c *Cache) FetchSource(now core.Time, req *inflight.Request, eligible []candidate.Candidate, chosen *candidate.Candidate) string {
 	if prompt.SharedTokens(req.Parts) < MinFetchTokens || chosen.Broker.Fetches.Slow(now) {
 		return ""
@@ -97,8 +99,8 @@
 }
 
 // Fetchable returns how many of a prompt's missing tokens the candidate can fetch, and the time for
-// each of them in ms. It is an estimate for placement; Cache.FetchSource names the source once the
-// broker is chosen.
+// each of them in ms. It is an estimate for placement, which takes any source broker to be in
+// another zone; Cache.FetchSource names the source once the broker is chosen.
 func (l *Lookup) Fetchable(chosen *candidate.Candidate, missing int) (tokens int, perToken float64) {
 	if missing < MinFetchTokens {
 		return 0, 0
