--- a/internal/aggregator/policy/admission.go
+++ b/internal/aggregator/policy/admission.go
@@ -23,23 +23,23 @@
 // admit sheds a search on arrival: later, work is lost with it. What it will take is estimated from
 // what servers took recently for each of their batches; a queue that nobody reports shows there,
 // whatever caused it.
-func (p *Policy) admit(placement *placement) verdict {
-	search, qt := placement.search, placement.search.kind
+func (p *Policy) admit(placement *placement) stageResult {
+	search, qt := placement.search, placement.search.queryType
 	if search.admitted {
 		return proceed
 	}
 	p.estimateTarget(search)
-	if qt == nil || search.expected <= 0 || p.now >= search.deadline-answerMargin ||
-		p.reachableWeight(search) < qt.floor-weightTolerance {
-		p.giveUp(search, p.invalidReason(search))
+	if qt == nil || search.expectedRequests <= 0 || p.now >= search.deadline-answerMargin ||
+		p.reachableWeight(search) < qt.minimumShare-weightTolerance {
+		p.giveUp(search, p.earlyRefusalReason(search))
 		return finished
 	}
 	target := min(qt.latencyTarget, search.deadline-p.now)
 	worst := p.estimateRequests(search, target)
-	enough := p.skipSlowRequests(search, target, worst) >= qt.floor-weightTolerance
-	slow := p.tailTooSlow(search, target)
-	full := p.overCapacity(search)
-	if !enough || slow || full || p.overPending(search) {
+	enough := p.skipSlowRequests(search, target, worst) >= qt.minimumShare-weightTolerance
+	slow := p.rejectForTailLatency(search, target)
+	full := p.rejectForCapacity(search)
+	if !enough || slow || full || p.rejectForPendingWork(search) {
 		why := p.refusalReason(search, enough, slow, full)
 		p.log("shed: %v, expected %.0f ms against a target of %.0f, %d held", why, worst, target, p.limits.pending)
 		p.giveUp(search, why)
@@ -53,19 +53,19 @@
 // usually has tells how long it waited, at a client that retries or at this aggregator while it
 // stood still.
 func (p *Policy) estimateTarget(search *searchState) {
-	qt := search.kind
+	qt := search.queryType
 	if qt == nil {
 		return
 	}
-	qt.clientTime = max(qt.clientTime, search.deadline-p.now)
-	search.targetAt = search.deadline - qt.clientTime + qt.latencyTarget
+	qt.longestClientTime = max(qt.longestClientTime, search.deadline-p.now)
+	search.targetAt = search.deadline - qt.longestClientTime + qt.latencyTarget
 }
 
 // reachableWeight is the weight of the shard requests whose shard some listed server holds.
 func (p *Policy) reachableWeight(search *searchState) float64 {
 	sum := 0.0
 	for _, req := range search.requests {
-		if req.answered || len(p.holdersOf(req.shard)) > 0 {
+		if req.answered || len(p.replicasOf(req.shard)) > 0 {
 			sum += req.weight
 		}
 	}
@@ -76,9 +76,9 @@
 // take it, and returns the highest finite one.
 func (p *Policy) estimateRequests(search *searchState, target float64) (worst float64) {
 	for _, req := range search.requests {
-		req.expected = p.estimateRequest(req, target)
-		if !math.IsInf(req.expected, 1) {
-			worst = max(worst, req.expected)
+		req.expectedLatency = p.estimateRequest(req, target)
+		if !math.IsInf(req.expectedLatency, 1) {
+			worst = max(worst, req.expectedLatency)
 		}
 	}
 	return worst
@@ -88,16 +88,16 @@
 // holders' queues: with more in flight than when the latest answers were asked for, a queue grows.
 func (p *Policy) estimateRequest(req *shardRequest, target float64) float64 {
 	best, batches, batchesThen, expected := math.Inf(1), 0.0, 0.0, math.Inf(1)
-	holders := p.holdersOf(req.shard)
+	holders := p.replicasOf(req.shard)
 	for _, id := range holders {
 		server := p.servers[id]
-		if p.outOfReach(server, target) || !p.hasCapacity(server, holders, req) {
+		if p.unavailableWithin(server, target) || !p.hasCapacity(server, holders, req) {
 			continue
 		}
 		expected = 0
 		if !server.ejected {
 			best = min(best, p.expectedLatency(server))
-			batches = batches + 2 + float64(server.batches-server.parkedBatches)
+			batches = batches + 2 + float64(server.batches-server.clientBoundBatches)
 			batchesThen = batchesThen + 2 + server.meanBatches
 		}
 	}
@@ -109,7 +109,7 @@
 
 // outOfReach: one that fails some shard requests still answers others, and one that has just become
 // unresponsive may be back in time.
-func (p *Policy) outOfReach(server *serverState, target float64) bool {
+func (p *Policy) unavailableWithin(server *serverState, target float64) bool {
 	return server.ejected && server.unresponsive && !p.trialDue(server) &&
 		(server.connectFailed || server.trialBackoff > admitMinShare*target)
 }
@@ -125,11 +125,11 @@
 	}
 	// One that waited may be too late for its target: it is worth less.
 	if left := search.targetAt - p.now; worst > admitMaxShare*left {
-		limit *= search.kind.lateValue
+		limit *= search.queryType.lateValue
 	}
 	for _, req := range search.requests {
-		req.skipped = req.expected > limit
-		if !req.skipped {
+		req.abandoned = req.expectedLatency > limit
+		if !req.abandoned {
 			usable += req.weight
 		}
 	}
@@ -140,8 +140,8 @@
 // fleet's overload shows there first. Past the limit the refusal is random, as aggregators that
 // shed all at once admit all at once again. Where it is known what servers can take, that decides
 // (overCapacity).
-func (p *Policy) tailTooSlow(search *searchState, target float64) bool {
-	median := math.Pow(0.5, 1/float64(search.expected)) // of the slowest of so many
+func (p *Policy) rejectForTailLatency(search *searchState, target float64) bool {
+	median := math.Pow(0.5, 1/float64(search.expectedRequests)) // of the slowest of so many
 	tail, n := p.predictor.recentLatencies.Quantile(p.now, median)
 	limit := target * (tailMinShare + (tailMaxShare-tailMinShare)*p.value(search)/max(p.maxValue, minValue))
 	return p.capacityFloor.value == 0 && n >= minSamples && tail > limit &&
@@ -150,14 +150,14 @@
 
 // overCapacity: what servers can take is known by the harm done, and the least valued are refused
 // first.
-func (p *Policy) overCapacity(search *searchState) bool {
+func (p *Policy) rejectForCapacity(search *searchState) bool {
 	missing := p.capacityFloor.value - p.value(search)
 	return missing > 0 ||
 		missing == 0 && p.capacityFloor.value > 0 && p.random.next() < p.capacityFloor.excess
 }
 
 // overPending: close to the limit on pending work, only the most valued are admitted.
-func (p *Policy) overPending(search *searchState) bool {
+func (p *Policy) rejectForPendingWork(search *searchState) bool {
 	top := p.value(search) >= p.maxValue
 	return p.limits.maxPending > 0 && !top && float64(p.limits.pending) > pendingShare*float64(p.limits.maxPending)
 }
@@ -167,14 +167,14 @@
 	customer := getAt(p.customers, search.customer)
 	if customer != nil && customer.quota > 0 &&
 		customer.arrivals.Sum(p.now, quotaSpan)*float64(p.aggregators) > quotaTolerance*customer.quota*quotaSpan/1000 {
-		return search.kind.value * search.weight * customer.overQuotaWeight
+		return search.queryType.value * search.valueWeight * customer.overQuotaWeight
 	}
-	return search.kind.value * search.weight
+	return search.queryType.value * search.valueWeight
 }
 
 // SearchValue implements Port; 0 for a search that is not known.
 func (p *Policy) SearchValue(id int) float64 {
-	if search := getAt(p.searches, id); search != nil && search.kind != nil {
+	if search := getAt(p.searches, id); search != nil && search.queryType != nil {
 		return p.value(search)
 	}
 	return 0
--- a/internal/aggregator/policy/answer.go
+++ b/internal/aggregator/policy/answer.go
@@ -3,7 +3,7 @@
 // Shares of weight are sums of rounded numbers.
 const (
 	shareTolerance = 1e-5
-	minShare       = 1e-3 // an answer from less than that of a search's weight is none
+	minAnswerShare = 1e-3 // an answer from less than that of a search's weight is none
 )
 
 // progress of a search in its present phase.
@@ -12,16 +12,16 @@
 	answers, open      int     // how many they are
 }
 
-// finishSearch ends a search: completely as soon as it is complete, partially at its latency target
+// answerOrGiveUp ends a search: completely as soon as it is complete, partially at its latency target
 // where that is worth more than waiting, and given up while the client can still hear of it.
-func (p *Policy) finishSearch(placement *placement) verdict {
-	search, qt := placement.search, placement.search.kind
+func (p *Policy) answerOrGiveUp(placement *placement) stageResult {
+	search, qt := placement.search, placement.search.queryType
 	done := p.progressOf(search)
-	need, floor := search.neededShares()
+	need, floor := search.requiredShares()
 	complete := search.phase == 0 && done.weight >= need-shareTolerance ||
-		search.phase > 0 && done.answers >= search.expected
+		search.phase > 0 && done.answers >= search.expectedRequests
 	lastMoment := p.now >= search.deadline-answerMargin
-	some := done.weight >= max(floor, minShare)-shareTolerance && done.answers > 0
+	some := done.weight >= max(floor, minAnswerShare)-shareTolerance && done.answers > 0
 	// What can't reach its least share any more is over, whatever is in flight: that work is for
 	// nobody.
 	over := len(search.requests) > 0 &&
@@ -30,7 +30,7 @@
 	switch {
 	case complete && done.answers > 0, some && (lastMoment || over || due):
 		return p.answer(search, complete, done.answers)
-	case lastMoment || over && done.answers < search.expected:
+	case lastMoment || over && done.answers < search.expectedRequests:
 		p.giveUp(search, GivenUp)
 		return finished
 	}
@@ -53,36 +53,36 @@
 	return done
 }
 
-// neededShares are the shares of a search's weight that make its answer complete, and that it needs
+// requiredShares are the shares of a search's weight that make its answer complete, and that it needs
 // at least. In a follow-up phase all is needed for the first, and the floor holds where it demands
 // completeness.
-func (search *searchState) neededShares() (need, floor float64) {
-	qt := search.kind
+func (search *searchState) requiredShares() (need, floor float64) {
+	qt := search.queryType
 	if search.phase == 0 {
-		return qt.need, qt.floor
+		return qt.completeShare, qt.minimumShare
 	}
-	if qt.floor >= qt.need {
+	if qt.minimumShare >= qt.completeShare {
 		return 1, 1
 	}
-	return 1, qt.floor
+	return 1, qt.minimumShare
 }
 
 // answer ends the present phase; where the type has a follow-up, its shard requests come next.
-func (p *Policy) answer(search *searchState, complete bool, answers int) verdict {
+func (p *Policy) answer(search *searchState, complete bool, answers int) stageResult {
 	p.out.Answer(search.id, complete && (search.phase == 0 || search.firstComplete))
-	if search.phase == 0 && search.kind.followUp > 0 {
+	if search.phase == 0 && search.queryType.followUpRequests > 0 {
 		search.firstComplete, search.phase = complete, 1
-		search.expected = min(search.kind.followUp, answers)
+		search.expectedRequests = min(search.queryType.followUpRequests, answers)
 		p.cancelSearch(search)
-		return skip
+		return stop
 	}
-	p.finish(search)
+	p.closeSearch(search)
 	return finished
 }
 
 // mayStillAnswer tells whether an answer to the shard request may still come.
 func (p *Policy) mayStillAnswer(req *shardRequest) bool {
-	if req.skipped {
+	if req.abandoned {
 		return false
 	}
 	if len(req.attempts) < p.limits.maxAttempts && p.mayRetry(req) {
@@ -114,19 +114,19 @@
 	harmless := true
 	for _, req := range search.requests {
 		harmless = harmless && req.committed == nil &&
-			(req.firstPossiblyRun() == nil || search.kind.effect == Idempotent)
+			(req.firstPossiblyRun() == nil || search.queryType.effect == Idempotent)
 	}
 	search.countRefusal(why)
 	if harmless {
-		p.out.Shed(search.id, p.retryAfter(search.kind))
+		p.out.Shed(search.id, p.retryAfter(search.queryType))
 	} else {
 		p.out.Fail(search.id)
 	}
-	p.finish(search)
+	p.closeSearch(search)
 }
 
-// finish takes a search off the pending work and cancels what is in flight for it.
-func (p *Policy) finish(search *searchState) {
+// closeSearch takes a search off the pending work and cancels what is in flight for it.
+func (p *Policy) closeSearch(search *searchState) {
 	search.finished = true
 	p.limits.pending--
 	for _, req := range search.requests {
--- a/internal/aggregator/policy/candidates.go
+++ b/internal/aggregator/policy/candidates.go
@@ -8,11 +8,11 @@
 
 // filterCandidates leaves the servers that may get this shard request: listed, healthy, and with
 // capacity while they warm up.
-func (p *Policy) filterCandidates(placement *placement) verdict {
+func (p *Policy) filterCandidates(placement *placement) stageResult {
 	req := placement.request
 	placement.candidates = placement.candidates[:0]
 	var again, failing []int
-	holders := p.holdersOf(req.shard)
+	holders := p.replicasOf(req.shard)
 	for _, id := range holders {
 		server := p.servers[id]
 		if p.now < server.rejectsUntil || !p.hasCapacity(server, holders, req) {
@@ -31,14 +31,14 @@
 			placement.candidates = append(placement.candidates, id)
 		}
 	}
-	if len(placement.candidates) == 0 && p.mayAskAgain(placement) {
+	if len(placement.candidates) == 0 && p.mayRepeatServer(placement) {
 		placement.candidates = append(placement.candidates, again...)
 		if len(placement.candidates) == 0 {
 			placement.candidates = append(placement.candidates, failing...) // some quick errors beat no answer
 		}
 	}
 	if len(placement.candidates) == 0 {
-		return skip
+		return stop
 	}
 	return proceed
 }
@@ -46,7 +46,7 @@
 // mayAskAgain: whoever has failed this shard request, or fails others, is asked again only after a
 // while. Its attempts would be gone within milliseconds, and with them all of its search, where a
 // place that is full or slow would have been free soon.
-func (p *Policy) mayAskAgain(placement *placement) bool {
+func (p *Policy) mayRepeatServer(placement *placement) bool {
 	req := placement.request
 	return !placement.hedge && (len(req.attempts) == 0 || p.now >= req.lastEndedAt+sameServerBackoff)
 }
--- a/internal/aggregator/policy/configure.go
+++ b/internal/aggregator/policy/configure.go
@@ -10,8 +10,8 @@
 		lateValue:     lateValue,
 		tokenWindow:   tokenWindow,
 		effect:        effectiveEffect(effect, tokenWindow),
-		need:          1,
-		floor:         1,
+		completeShare: 1,
+		minimumShare:  1,
 		latencies:     newHistogram(latencySpan),
 	})
 	p.maxValue = max(p.maxValue, value)
@@ -24,7 +24,7 @@
 // less is worth.
 func (p *Policy) Shares(kind int, need, floor, partialValue float64, followUp int) {
 	qt := p.queryTypes[kind]
-	qt.need, qt.floor, qt.partialValue, qt.followUp = need, min(floor, need), partialValue, followUp
+	qt.completeShare, qt.minimumShare, qt.partialValue, qt.followUpRequests = need, min(floor, need), partialValue, followUp
 }
 
 // Customer implements Port; it adds the next customer, by its quota a second.
@@ -51,7 +51,7 @@
 
 // WarmUp implements Port; it sets what a server can take that has just started.
 func (p *Policy) WarmUp(initialShare, duration, multiple, window float64) {
-	p.warmUp = warmUpGuard{
+	p.warmUp = warmUpLimit{
 		initialShare: initialShare, duration: duration, multiple: multiple, window: max(window, 1),
 		warmWork: newCounts(rateSpan)}
 }
--- a/internal/aggregator/policy/connections.go
+++ b/internal/aggregator/policy/connections.go
@@ -20,12 +20,12 @@
 // idle ones.
 type connectionHealth struct {
 	lost, answered [connectionUses]*window.Counts
-	wasFaulty      bool // idle ones were found faulty when last looked at
+	idleWereFaulty bool // idle ones were found faulty when last looked at
 }
 
-// idleFaulty tells whether idle connections are dropped unseen on the way: attempts over them are
+// idleConnectionsFaulty tells whether idle connections are dropped unseen on the way: attempts over them are
 // lost, and more than twice as often as over those in use.
-func (c *connectionHealth) idleFaulty(now float64) bool {
+func (c *connectionHealth) idleConnectionsFaulty(now float64) bool {
 	lost, answered := c.lost[idle].Sum(now, idleSpan), c.answered[idle].Sum(now, idleSpan)
 	lostInUse, answeredInUse := c.lost[inUse].Sum(now, idleSpan), c.answered[inUse].Sum(now, idleSpan)
 	return lost >= minIdleLost && lost > maxIdleLostShare*(lost+answered) &&
@@ -36,7 +36,7 @@
 // alike.
 func (c *connectionHealth) record(now float64, attempt *attemptState, lost bool) {
 	use, counts := inUse, &c.answered
-	if attempt.overIdle && !attempt.freshConnection {
+	if attempt.onIdleConnection && !attempt.freshConnection {
 		use = idle
 	}
 	if lost {
@@ -55,13 +55,13 @@
 	p.connections.record(p.now, attempt, how != Answered)
 }
 
-// chooseConnection closes the idle connections to the attempt's server where they may have been
+// prepareConnection closes the idle connections to the attempt's server where they may have been
 // dropped unseen. Trials take a new one too, unless new ones failed there.
-func (p *Policy) chooseConnection(attempt *attemptState) {
+func (p *Policy) prepareConnection(attempt *attemptState) {
 	server := p.servers[attempt.server]
-	attempt.overIdle = len(server.waiting) == 0 && server.answeredAt > 0 && p.now-server.answeredAt >= minIdle
-	attempt.freshConnection = attempt.overIdle &&
-		(server.ejected && !server.connectFailed || p.connections.idleFaulty(p.now))
+	attempt.onIdleConnection = len(server.waiting) == 0 && server.answeredAt > 0 && p.now-server.answeredAt >= minIdle
+	attempt.freshConnection = attempt.onIdleConnection &&
+		(server.ejected && !server.connectFailed || p.connections.idleConnectionsFaulty(p.now))
 	if attempt.freshConnection {
 		p.out.Close(attempt.server)
 	}
--- a/internal/aggregator/policy/connections_test.go
+++ b/internal/aggregator/policy/connections_test.go
@@ -11,12 +11,12 @@
 		now := runAnsweredSearches(b, 1000, 30) + 1500
 		b.servers[0].answeredAt, b.servers[1].answeredAt = now-1500, now-1500
 		for range minIdleLost {
-			b.connections.record(now, &attemptState{overIdle: idle}, true)
+			b.connections.record(now, &attemptState{onIdleConnection: idle}, true)
 			b.connections.record(now, &attemptState{}, !idle)
 		}
 		runSearch(b, now, 0, 1)
 		failIf(t, len(n.closed) > 0 != idle, "lost on idle connections %v: closed %v", idle, n.closed)
-		b.connections.wasFaulty = false
+		b.connections.idleWereFaulty = false
 		b.eject(0, true, "test")
 		b.eject(1, true, "test")
 		endLastAttempts(b, now+100, Answered, 1)
--- a/internal/aggregator/policy/deadlines.go
+++ b/internal/aggregator/policy/deadlines.go
@@ -3,10 +3,10 @@
 import "math"
 
 const (
-	answerMargin    = 25.0 // ms before the client's deadline by which a final answer goes out
-	retryAfterShare = 0.25 // of the latency target: advice to a client that was shed
-	outageDivisor   = 1.5  // of the longest advice, so that its random spread stays under it
-	attemptShare    = 0.5  // of the latency target: limit of an attempt that nothing else could end
+	answerMargin            = 25.0 // ms before the client's deadline by which a final answer goes out
+	retryAfterShare         = 0.25 // of the latency target: advice to a client that was shed
+	retryAfterOutageDivisor = 1.5  // of the longest advice, so that its random spread stays under it
+	attemptTimeoutShare     = 0.5  // of the latency target: limit of an attempt that nothing else could end
 )
 
 // ShortenDeadline implements Port; it only ever moves the deadline forward.
@@ -19,8 +19,8 @@
 // ClientGone implements Port; the search ends without an answer.
 func (p *Policy) ClientGone(id int) {
 	if search := getAt(p.searches, id); search != nil && !search.finished {
-		p.finish(search)
-		p.forget(search)
+		p.closeSearch(search)
+		p.releaseSearch(search)
 	}
 }
 
@@ -28,10 +28,10 @@
 // limit. The first attempt of a tokened shard request has one too: delayed, it could arrive when
 // the next one's window is over.
 func (p *Policy) beginLimit(req *shardRequest) float64 {
-	if req.search.kind.effect != Tokened {
+	if req.search.queryType.effect != Tokened {
 		return 0
 	}
-	limit := req.search.kind.tokenWindow - answerMargin
+	limit := req.search.queryType.tokenWindow - answerMargin
 	if first := req.firstPossiblyRun(); first != nil {
 		limit += first.sentAt - p.now
 	}
@@ -44,7 +44,7 @@
 	if p.limits.mayCancel || p.limits.mayHedge {
 		return 0
 	}
-	return min(search.deadline-p.now, attemptShare*search.kind.latencyTarget)
+	return min(search.deadline-p.now, attemptTimeoutShare*search.queryType.latencyTarget)
 }
 
 // retryAfter is when a client that was shed may come again: at random, or those who were shed
@@ -56,7 +56,7 @@
 	}
 	spread := retryAfterShare * qt.latencyTarget
 	if p.outageSince > 0 {
-		spread = max(spread, min(p.now-p.outageSince, p.maxRetryAfter/outageDivisor))
+		spread = max(spread, min(p.now-p.outageSince, p.maxRetryAfter/retryAfterOutageDivisor))
 	}
 	return min(p.maxRetryAfter, spread*(0.5+p.random.next()))
 }
--- a/internal/aggregator/policy/hedging_test.go
+++ b/internal/aggregator/policy/hedging_test.go
@@ -21,9 +21,9 @@
 func TestFalseSubmitsLowerTheHedgeShare(t *testing.T) {
 	b, _ := newTestPolicy(1, nil)
 	for i := range 100 {
-		b.predictor.teach(1000, &attemptState{features: vector{1}, predictedFast: true}, i < 7)
+		b.predictor.train(1000, &attemptState{features: vector{1}, predictedFast: true}, i < 7)
 	}
-	if got := b.predictor.falseRate(1000); math.Abs(got-0.07) > 1e-9 {
+	if got := b.predictor.falseSubmitRate(1000); math.Abs(got-0.07) > 1e-9 {
 		t.Fatalf("false-submit rate %.3f, want 0.07", got)
 	}
 }
--- a/internal/aggregator/policy/inflight.go
+++ b/internal/aggregator/policy/inflight.go
@@ -3,7 +3,7 @@
 // batch is what one round sends to one server: its shard requests count as one in flight. Parked
 // are those that wait for their client, or answer already: they stand in nobody's way at the
 // server.
-type batch struct{ size, inFlight, parked int }
+type batch struct{ size, inFlight, clientBound int }
 
 // addToBatch puts an attempt in the batch that is open at its server in this round, or in a new one.
 func (p *Policy) addToBatch(attempt *attemptState) {
@@ -15,36 +15,36 @@
 	}
 	server.openBatch.size++
 	attempt.batch, attempt.clientSending = server.openBatch, attempt.request.clientSending
-	p.adjustBatch(server, attempt.batch, 1, attempt.parked())
+	p.adjustBatch(server, attempt.batch, 1, attempt.clientBound())
 }
 
 // adjustBatch keeps what is in flight at a server, in all and parked.
 func (p *Policy) adjustBatch(server *serverState, b *batch, inFlight, parked int) {
-	if b.inFlight > 0 && b.inFlight == b.parked {
-		server.parkedBatches--
-		p.parkedBatches--
+	if b.inFlight > 0 && b.inFlight == b.clientBound {
+		server.clientBoundBatches--
+		p.clientBoundBatches--
 	}
-	b.inFlight, b.parked = b.inFlight+inFlight, b.parked+parked
-	if b.inFlight > 0 && b.inFlight == b.parked {
-		server.parkedBatches++
-		p.parkedBatches++
+	b.inFlight, b.clientBound = b.inFlight+inFlight, b.clientBound+parked
+	if b.inFlight > 0 && b.inFlight == b.clientBound {
+		server.clientBoundBatches++
+		p.clientBoundBatches++
 	}
 }
 
-// parked is 1 for an attempt that waits for its client or answers already.
-func (attempt *attemptState) parked() int {
+// clientBound is 1 for an attempt that waits for its client or answers already.
+func (attempt *attemptState) clientBound() int {
 	if attempt.clientSending || attempt.answering {
 		return 1
 	}
 	return 0
 }
 
-// release frees what an attempt held.
-func (p *Policy) release(attempt *attemptState, how Outcome) {
+// endAttempt frees what an attempt held.
+func (p *Policy) endAttempt(attempt *attemptState, how Outcome) {
 	server := p.servers[attempt.server]
 	attempt.inFlight, attempt.request.lastEndedAt = false, p.now
 	attempt.request.search.inFlight--
-	p.adjustBatch(server, attempt.batch, -1, -attempt.parked())
+	p.adjustBatch(server, attempt.batch, -1, -attempt.clientBound())
 	if attempt.batch.inFlight == 0 {
 		server.batches--
 		p.batches--
@@ -95,12 +95,12 @@
 	}
 	req.committed = attempt
 	if answering {
-		p.teachPredictor(attempt, Answered)
+		p.trainPredictor(attempt, Answered)
 		p.observeHealth(attempt, Answered)
 	}
 	server := p.servers[attempt.server]
-	p.adjustBatch(server, attempt.batch, 0, 1-attempt.parked())
-	attempt.answering, attempt.taught = true, true
+	p.adjustBatch(server, attempt.batch, 0, 1-attempt.clientBound())
+	attempt.answering, attempt.trained = true, true
 	server.stopWaiting(attempt)
 	p.cancelAttempts(req)
 	return true
@@ -118,7 +118,7 @@
 			observe(attempt, how)
 		}
 	}
-	p.forget(attempt.request.search)
+	p.releaseSearch(attempt.request.search)
 }
 
 // attemptInFlight finds an attempt by its shard request and number; nil where it is not in flight.
--- a/internal/aggregator/policy/inflight_test.go
+++ b/internal/aggregator/policy/inflight_test.go
@@ -44,12 +44,12 @@
 		b.End()
 	}
 	failIf(t, s.ejected || b.expectedLatency(s) > 200, "aside %v, expected %.0f ms", s.ejected, b.expectedLatency(s))
-	failIf(t, s.batches != 1 || s.parkedBatches != 1, "%d calls, %d parked", s.batches, s.parkedBatches)
+	failIf(t, s.batches != 1 || s.clientBoundBatches != 1, "%d calls, %d parked", s.batches, s.clientBoundBatches)
 	b.Begin(now + 2910)
 	b.Done(2, 0, Answered, nil)
 	b.End()
 	wantInts(t, "answered", n.answered[len(n.answered)-1:], 1)
-	failIf(t, s.batches != 0 || s.parkedBatches != 0 || b.expectedLatency(s) > 200, "%d calls, %d parked, expected %.0f", s.batches, s.parkedBatches, b.expectedLatency(s))
+	failIf(t, s.batches != 0 || s.clientBoundBatches != 0 || b.expectedLatency(s) > 200, "%d calls, %d parked, expected %.0f", s.batches, s.clientBoundBatches, b.expectedLatency(s))
 }
 
 func TestServerThatWaitsForItsClientIsNotSlow(t *testing.T) {
@@ -71,8 +71,8 @@
 	}
 	b.End()
 	for i, s := range b.servers {
-		failIf(t, s.ejected || b.expectedLatency(s) > 200 || s.batches != 0 || s.parkedBatches != 0, "server %d: aside %v, expected %.0f ms, %d calls, %d parked",
-			i, s.ejected, b.expectedLatency(s), s.batches, s.parkedBatches)
+		failIf(t, s.ejected || b.expectedLatency(s) > 200 || s.batches != 0 || s.clientBoundBatches != 0, "server %d: aside %v, expected %.0f ms, %d calls, %d parked",
+			i, s.ejected, b.expectedLatency(s), s.batches, s.clientBoundBatches)
 	}
 	shed := len(n.shed)
 	runSearch(b, now+1000, 1, 1)
@@ -87,7 +87,7 @@
 	b.ClientSending(4, false)
 	b.End()
 	s := b.servers[b.requestByID(4).attempts[0].server]
-	failIf(t, s.parkedBatches != 0 || len(s.waiting) == 0, "its server is not waited for")
+	failIf(t, s.clientBoundBatches != 0 || len(s.waiting) == 0, "its server is not waited for")
 	failIf(t, b.requestByID(4).attempts[0].startedAt != now+1600 || b.requestByID(4).attempts[0].sentAt != now+1100, "its times")
 }
 
--- a/internal/aggregator/policy/load.go
+++ b/internal/aggregator/policy/load.go
@@ -10,7 +10,7 @@
 	fields              []Field
 }
 
-func (r *loadReports) available() bool { return len(r.fields) > 0 && r.onAnswers }
+func (r *loadReports) onAnswersAvailable() bool { return len(r.fields) > 0 && r.onAnswers }
 
 // recordReport keeps the count that a server reports, of requests in flight before one of its queue.
 func (p *Policy) recordReport(server *serverState, values []float64) {
@@ -21,11 +21,11 @@
 			continue
 		}
 		if math.IsInf(server.loadReportedAt, -1) {
-			p.predictor.reporting++
+			p.predictor.reportingServers++
 		}
 		p.predictor.reportedLoad += value - server.load
 		best = field
-		server.load, server.loadReportedAt, server.inFlightAtReport = value, p.now, len(server.waiting)
+		server.load, server.loadReportedAt, server.waitingAtReport = value, p.now, len(server.waiting)
 	}
 }
 
@@ -34,7 +34,7 @@
 	if math.IsInf(server.loadReportedAt, -1) {
 		return
 	}
-	p.predictor.reporting--
+	p.predictor.reportingServers--
 	p.predictor.reportedLoad -= server.load
 	server.load, server.loadReportedAt = 0, math.Inf(-1)
 }
@@ -43,14 +43,14 @@
 // where no report comes with answers, as a health check for one tells of a queue that has passed,
 // and costs; the average for a server that has not reported.
 func (p *Policy) estimatedLoad(server *serverState) float64 {
-	if !p.reports.available() {
+	if !p.reports.onAnswersAvailable() {
 		return float64(server.batches)
 	}
 	if math.IsInf(server.loadReportedAt, -1) {
 		return p.predictor.avgLoad
 	}
 	weight := p.freshness(server.loadReportedAt)
-	reported := server.load + float64(len(server.waiting)-server.inFlightAtReport)
+	reported := server.load + float64(len(server.waiting)-server.waitingAtReport)
 	return max(weight*reported+(1-weight)*p.predictor.avgLoad, 0)
 }
 
--- a/internal/aggregator/policy/outliers.go
+++ b/internal/aggregator/policy/outliers.go
@@ -1,17 +1,17 @@
 package policy
 
 const (
-	timeoutLines        = 2.0   // fleet lines without an answer, with attempts in flight, after which a server is unresponsive
-	timeoutMinLines     = 1.6   // and never fewer, however short the latency target
-	timeoutOwnLatencies = 1.5   // nor fewer than so many times its own recent latency
-	timeoutTargetShare  = 0.5   // of the shortest latency target
-	minErrors           = 2.0   // errors in the span before a share of them counts
-	minErrorsRarely     = 1.0   // where this aggregator comes by less than once in the span
-	maxErrorShare       = 0.3   // a server that fails more is ejected
-	errorSpan           = 4000. // ms
-	answersToReturn     = 2     // in a row, of a server that was ejected for errors
-	restartReportDelay  = 4000. // ms within which the list tells of a restart
-	restartLikelyAfter  = 5000. // ms; unresponsive for longer, a server may have restarted unannounced
+	timeoutSlowThresholds    = 2.0   // fleet lines without an answer, with attempts in flight, after which a server is unresponsive
+	timeoutMinSlowThresholds = 1.6   // and never fewer, however short the latency target
+	timeoutOwnLatencies      = 1.5   // nor fewer than so many times its own recent latency
+	timeoutTargetShare       = 0.5   // of the shortest latency target
+	minErrors                = 2.0   // errors in the span before a share of them counts
+	minErrorsInfrequent      = 1.0   // where this aggregator comes by less than once in the span
+	maxErrorShare            = 0.3   // a server that fails more is ejected
+	errorSpan                = 4000. // ms
+	answersToReadmit         = 2     // in a row, of a server that was ejected for errors
+	restartReportDelay       = 4000. // ms within which the list tells of a restart
+	restartLikelyAfter       = 5000. // ms; unresponsive for longer, a server may have restarted unannounced
 )
 
 // observeHealth judges a server by its outcomes, never by the list alone: a list is late, and tells
@@ -43,7 +43,7 @@
 	}
 	server.successes.Add(p.now, 1)
 	server.successStreak++
-	if !server.ejected || !server.unresponsive && server.successStreak < answersToReturn {
+	if !server.ejected || !server.unresponsive && server.successStreak < answersToReadmit {
 		return
 	}
 	if p.restartLikely(server, attempt) {
@@ -74,8 +74,8 @@
 		server.resetAt = p.now
 	}
 	enough := minErrors
-	if p.sendInterval() > errorSpan {
-		enough = minErrorsRarely
+	if p.meanSendInterval() > errorSpan {
+		enough = minErrorsInfrequent
 	}
 	errors := server.errors.Sum(p.now, errorSpan)
 	if errors >= enough && errors > maxErrorShare*(errors+server.successes.Sum(p.now, errorSpan)) {
@@ -89,10 +89,10 @@
 // full, a third attempt only takes the place of another shard request.
 func (p *Policy) observeRejection(server *serverState, req *shardRequest) {
 	server.rejectsUntil = p.now + rejectionBackoff
-	p.predictor.recentLatencies.Add(p.now, req.search.kind.latencyTarget)
+	p.predictor.recentLatencies.Add(p.now, req.search.queryType.latencyTarget)
 	req.rejections++
 	if req.rejections >= maxRejections {
-		req.skipped = true
+		req.abandoned = true
 	}
 }
 
@@ -103,11 +103,11 @@
 	if server.ejected && (server.unresponsive || !unresponsive) {
 		return
 	}
-	server.ejected, server.unresponsive, server.provedAlive = true, unresponsive, false
+	server.ejected, server.unresponsive, server.probePassed = true, unresponsive, false
 	server.ejectedAt, server.successStreak = p.now, 0
-	server.trialBackoff = p.firstTrialAfter
-	if !p.connections.idleFaulty(p.now) { // there a fresh connection may do at once
-		server.trialBackoff = max(p.firstTrialAfter, p.sendInterval())
+	server.trialBackoff = p.firstTrialDelay
+	if !p.connections.idleConnectionsFaulty(p.now) { // there a fresh connection may do at once
+		server.trialBackoff = max(p.firstTrialDelay, p.meanSendInterval())
 	}
 	server.trialAt = p.now + server.trialBackoff
 	p.watchServer(id)
@@ -119,16 +119,16 @@
 func (p *Policy) checkServers() {
 	p.measureFleet()
 	timeout := p.serverTimeout()
-	faulty := p.connections.idleFaulty(p.now)
-	found := faulty && !p.connections.wasFaulty // then those ejected for it need not wait
-	p.connections.wasFaulty = faulty
+	faulty := p.connections.idleConnectionsFaulty(p.now)
+	found := faulty && !p.connections.idleWereFaulty // then those ejected for it need not wait
+	p.connections.idleWereFaulty = faulty
 	kept := p.watched[:0]
 	for _, id := range p.watched {
 		server := p.servers[id]
-		p.teachLate(server)
+		p.trainOnOverdueAttempts(server)
 		p.checkServer(id, timeout)
 		if found && server.ejected && server.unresponsive {
-			server.trialAt, server.trialBackoff = min(server.trialAt, p.now), p.firstTrialAfter
+			server.trialAt, server.trialBackoff = min(server.trialAt, p.now), p.firstTrialDelay
 		}
 		p.probeIfDue(id)
 		server.watched = server.ejected || len(server.waiting) > 0
@@ -143,13 +143,13 @@
 // serverTimeout is how long a server with attempts in flight may go without an answer; it sets when
 // the first trial of a server comes that is ejected now.
 func (p *Policy) serverTimeout() float64 {
-	line := p.predictor.fleetLine
+	line := p.predictor.fleetSlowThreshold
 	if p.predictor.samples < minSamples {
-		p.firstTrialAfter = maxFirstTrialDelay
+		p.firstTrialDelay = maxFirstTrialDelay
 		return timeoutTargetShare * p.shortestTarget
 	}
-	p.firstTrialAfter = min(maxFirstTrialDelay, firstTrialLines*line)
-	return max(timeoutMinLines*line, min(timeoutLines*line, timeoutTargetShare*p.shortestTarget))
+	p.firstTrialDelay = min(maxFirstTrialDelay, firstTrialSlowThresholds*line)
+	return max(timeoutMinSlowThresholds*line, min(timeoutSlowThresholds*line, timeoutTargetShare*p.shortestTarget))
 }
 
 // checkServer ends a trial that takes too long and ejects a server that is unresponsive. Slow in
@@ -160,7 +160,7 @@
 	if len(server.waiting) > 0 && p.now-server.answeredAt < reportFadeSpan {
 		timeout = max(timeout, timeoutOwnLatencies*server.meanLatency)
 	}
-	if server.trial != nil && p.now-max(server.trial.startedAt, p.resumedAt) > timeout {
+	if server.trial != nil && p.now-max(server.trial.startedAt, p.stallEndedAt) > timeout {
 		server.trial = nil
 		p.backOffTrial(server)
 		return
@@ -168,7 +168,7 @@
 	if server.ejected || len(server.waiting) == 0 {
 		return
 	}
-	if p.now-max(server.answeredAt, server.waiting[0].startedAt, p.resumedAt) > timeout {
+	if p.now-max(server.answeredAt, server.waiting[0].startedAt, p.stallEndedAt) > timeout {
 		p.connections.record(p.now, server.waiting[0], true)
 		p.eject(id, true, "silent")
 	}
--- a/internal/aggregator/policy/placement.go
+++ b/internal/aggregator/policy/placement.go
@@ -3,34 +3,34 @@
 // Weights between servers that are equal by the design, in average loads: a choice that saves work
 // is worth less than one that saves a wait.
 const (
-	tieOpenBatch = 1.1 // a batch that is open anyway: more than its own load and chance make of it
-	tieLatency   = 2.0 // its recent latency, in medians
-	tieOtherZone = 2.2 // against a server of another zone
-	tieTrial     = 10. // for a trial that is due
-	tieRandom    = 0.1
-	tieParked    = 1.0 // batches that wait for their client or are being read: an average server's worth
+	openBatchBonus     = 1.1 // a batch that is open anyway: more than its own load and chance make of it
+	latencyPenalty     = 2.0 // its recent latency, in medians
+	otherZonePenalty   = 2.2 // against a server of another zone
+	trialBonus         = 10. // for a trial that is due
+	randomPenalty      = 0.1
+	clientBoundPenalty = 1.0 // batches that wait for their client or are being read: an average server's worth
 
-	overloadSlowFactor = 2.0  // medians that a server takes which is slow even in an overload, as one that warms up
-	replacementGain    = 0.67 // a second server must be expected to take at most so much of what was waited
+	overloadSlowMedians        = 2.0  // medians that a server takes which is slow even in an overload, as one that warms up
+	maxReplacementLatencyShare = 0.67 // a second server must be expected to take at most so much of what was waited
 )
 
 // preference of a candidate: first not slow, then fewest batches, then the lowest tie.
 type preference struct {
-	slow    bool
-	batches int // in flight there, this shard request's included
-	tie     float64
+	slow     bool
+	batches  int // in flight there, this shard request's included
+	tieBreak float64
 }
 
 func (a preference) better(b preference) bool {
 	if a.slow != b.slow {
 		return b.slow
 	}
-	return a.batches < b.batches || a.batches == b.batches && a.tie < b.tie
+	return a.batches < b.batches || a.batches == b.batches && a.tieBreak < b.tieBreak
 }
 
 // chooseServer is the design's: skip the predicted-slow, then the fewest own batches in flight,
 // also when all look slow.
-func (p *Policy) chooseServer(placement *placement) verdict {
+func (p *Policy) chooseServer(placement *placement) stageResult {
 	best := -1
 	var bestPreference preference
 	overloaded := p.predictor.overloaded()
@@ -40,8 +40,8 @@
 			best, bestPreference = id, preference
 		}
 	}
-	if placement.replace && (bestPreference.slow || !p.replacementPays(placement.request, best)) {
-		return skip
+	if placement.requireFast && (bestPreference.slow || !p.secondAttemptPays(placement.request, best)) {
+		return stop
 	}
 	placement.server = best
 	return proceed
@@ -52,30 +52,30 @@
 // takes far longer than even in an overload, as one that warms up, is slow there too.
 func (p *Policy) preferenceOf(server *serverState, overloaded bool) preference {
 	slow := p.predictedSlow(p.predictor.features(p.now, server, p.estimatedLoad(server))) &&
-		!(overloaded && p.expectedLatency(server) < overloadSlowFactor*p.predictor.median)
-	batches, joins := server.batches-server.parkedBatches+1, p.joinsBatch(server)
+		!(overloaded && p.expectedLatency(server) < overloadSlowMedians*p.predictor.median)
+	batches, joins := server.batches-server.clientBoundBatches+1, p.joinsBatch(server)
 	tie := p.estimatedLoad(server)/(p.predictor.avgLoad+1) +
-		tieLatency*p.expectedLatency(server)/max(p.predictor.median, 1)
-	tie += tieRandom * p.random.next()
-	tie += tieParked * float64(server.parkedBatches*p.readyServers) / float64(p.parkedBatches+p.readyServers)
+		latencyPenalty*p.expectedLatency(server)/max(p.predictor.median, 1)
+	tie += randomPenalty * p.random.next()
+	tie += clientBoundPenalty * float64(server.clientBoundBatches*p.readyServers) / float64(p.clientBoundBatches+p.readyServers)
 	if joins {
 		batches--
-		tie -= tieOpenBatch
+		tie -= openBatchBonus
 	}
 	if server.zone != p.zone {
-		tie += tieOtherZone
+		tie += otherZonePenalty
 	}
 	if server.ejected {
-		tie -= tieTrial
+		tie -= trialBonus
 	}
 	return preference{slow, batches, tie}
 }
 
 // replacementPays: two attempts in slow places keep an overload up, as what a shard request gains
 // there, another loses.
-func (p *Policy) replacementPays(req *shardRequest, server int) bool {
+func (p *Policy) secondAttemptPays(req *shardRequest, server int) bool {
 	last := req.attempts[len(req.attempts)-1]
-	return !(p.expectedLatency(p.servers[server]) > replacementGain*(p.now-last.startedAt))
+	return !(p.expectedLatency(p.servers[server]) > maxReplacementLatencyShare*(p.now-last.startedAt))
 }
 
 // joinsBatch tells whether a shard request that is sent now goes in a batch of this round.
@@ -84,10 +84,10 @@
 }
 
 // send makes the attempt at the chosen server.
-func (p *Policy) send(placement *placement) verdict {
+func (p *Policy) send(placement *placement) stageResult {
 	req, search, server := placement.request, placement.search, p.servers[placement.server]
 	attempt := p.newAttempt(req, placement.server)
-	p.chooseConnection(attempt)
+	p.prepareConnection(attempt)
 	attempt.features = p.predictor.features(p.now, server, attempt.loadAtSend)
 	attempt.predictedFast = !p.predictedSlow(attempt.features)
 	p.addToBatch(attempt)
@@ -117,14 +117,14 @@
 func (p *Policy) newAttempt(req *shardRequest, id int) *attemptState {
 	server := p.servers[id]
 	return &attemptState{
-		request:     req,
-		number:      len(req.attempts),
-		server:      id,
-		loadAtSend:  p.estimatedLoad(server),
-		batches:     server.batches - server.parkedBatches,
-		startedAt:   p.now,
-		sentAt:      p.now,
-		inFlight:    true,
-		hintedExtra: p.hintedExtra(req),
+		request:       req,
+		number:        len(req.attempts),
+		server:        id,
+		loadAtSend:    p.estimatedLoad(server),
+		serverBatches: server.batches - server.clientBoundBatches,
+		startedAt:     p.now,
+		sentAt:        p.now,
+		inFlight:      true,
+		extraWork:     p.extraWork(req),
 	}
 }
--- a/internal/aggregator/policy/placement_test.go
+++ b/internal/aggregator/policy/placement_test.go
@@ -23,14 +23,14 @@
 	b, _ := newTestPolicy(2, nil)
 	b.Begin(1000)
 	slow, quick := b.servers[0], b.servers[1]
-	b.predictor.samples, b.predictor.fleetLine, b.predictor.median, b.predictor.minMedian, b.predictor.avgLoad = 100, 50, 30, 30, 3
+	b.predictor.samples, b.predictor.fleetSlowThreshold, b.predictor.median, b.predictor.minMedian, b.predictor.avgLoad = 100, 50, 30, 30, 3
 	for i := range slow.history {
 		slow.history[i] = latencySample{400, 990, 1}
 		quick.history[i] = latencySample{10, 990, 1}
 	}
 	quick.batches = 3
 	choose := func() int {
-		y := &placement{search: &searchState{kind: b.queryTypes[0]}, request: &shardRequest{}, candidates: []int{0, 1}}
+		y := &placement{search: &searchState{queryType: b.queryTypes[0]}, request: &shardRequest{}, candidates: []int{0, 1}}
 		b.chooseServer(y)
 		return y.server
 	}
--- a/internal/aggregator/policy/policy.go
+++ b/internal/aggregator/policy/policy.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	tickInterval    = 10.0 // ms to the next round while searches are pending
-	stallAfter      = 100. // ms by which a wake-up is late that means a stall
-	discoveryRetry  = 500. // ms before the list is asked for again, and as much at random
-	logInterval     = 500. // ms between two log lines
-	searchStages    = 2    // stages that take a search; the others take its shard requests
-	histogramPhases = 10   // parts of a span that are kept apart
-	countPhases     = 12
+	tickInterval        = 10.0 // ms to the next round while searches are pending
+	stallThreshold      = 100. // ms by which a wake-up is late that means a stall
+	discoveryRetryDelay = 500. // ms before the list is asked for again, and as much at random
+	logInterval         = 500. // ms between two log lines
+	searchStages        = 2    // stages that take a search; the others take its shard requests
+	histogramPhases     = 10   // parts of a span that are kept apart
+	countPhases         = 12
 )
 
 // Policy is one aggregator's instance. Each of its parts holds its own settings.
@@ -24,8 +24,8 @@
 	random random
 	stages []stage
 
-	now, wakeDueAt, loggedAt, resumedAt float64
-	round                               int
+	now, wakeDueAt, loggedAt, stallEndedAt float64
+	round                                  int
 
 	aggregators, zone int
 	fleet             fleetShape
@@ -42,17 +42,17 @@
 	liveSearches []*searchState
 
 	servers                       []*serverState
-	holders                       [][]int // by position: who may be sent its shard requests; nil: to be made anew
+	replicasByPosition            [][]int // by position: who may be sent its shard requests; nil: to be made anew
 	watched                       []int   // servers with something in flight or due
 	readyServers, maxReadyServers int     // servers that the list has as ready, and had at most
-	batches, parkedBatches        int     // in flight at all servers
+	batches, clientBoundBatches   int     // in flight at all servers
 	sent                          *window.Counts
-	firstTrialAfter               float64 // time from a server's ejection to its first trial
+	firstTrialDelay               float64 // time from a server's ejection to its first trial
 
-	lostZones   []bool
+	zoneLost    []bool
 	outageSince float64 // since when some zone has been lost; 0: none is
 
-	warmUp        warmUpGuard
+	warmUp        warmUpLimit
 	budget        retryBudget
 	reports       loadReports
 	discovery     discovery
@@ -69,7 +69,7 @@
 		random:          random{seed: seed},
 		aggregators:     max(aggregators, 1),
 		zone:            zone,
-		firstTrialAfter: maxFirstTrialDelay,
+		firstTrialDelay: maxFirstTrialDelay,
 		wakeDueAt:       math.Inf(-1),
 		loggedAt:        math.Inf(-1),
 		shortestTarget:  math.Inf(1),
@@ -77,7 +77,7 @@
 		sent:            newCounts(sendSpan),
 		predictor: predictor{
 			weights:         predict.InitialWeights,
-			submits:         predict.NewSubmitStats(),
+			submitStats:     predict.NewSubmitStats(),
 			latencies:       newHistogram(latencySpan),
 			recentLatencies: newHistogram(tailSpan),
 		},
@@ -89,11 +89,11 @@
 	}
 	p.stages = []stage{
 		{p.admit, nil},
-		{p.finishSearch, p.recordAnswer},
+		{p.answerOrGiveUp, p.recordAnswer},
 		{p.attemptNeeded, nil},
 		{p.filterCandidates, p.observeHealth},
-		{p.chooseServer, p.teachPredictor},
-		{p.send, p.release},
+		{p.chooseServer, p.trainPredictor},
+		{p.send, p.endAttempt},
 	}
 	return p
 }
@@ -108,38 +108,38 @@
 	return window.NewCounts(countPhases, span/histogramPhases)
 }
 
-// verdict of a stage: on to the next one, nothing more for this shard request or search now, or the
+// stageResult of a stage: on to the next one, nothing more for this shard request or search now, or the
 // search is over.
-type verdict uint8
+type stageResult uint8
 
 const (
-	proceed verdict = iota
-	skip
+	proceed stageResult = iota
+	stop
 	finished
 )
 
 // stage decides on the way down, for a search or each of its shard requests, and observes outcomes
 // on the way up.
 type stage struct {
-	decide  func(*placement) verdict
+	decide  func(*placement) stageResult
 	observe func(*attemptState, Outcome)
 }
 
 // placement is what goes through the stages: a search, then each of its shard requests.
 type placement struct {
-	search     *searchState
-	request    *shardRequest
-	hedge      bool
-	replace    bool // it has an attempt in flight: another is worth it only at a server that looks fast
-	candidates []int
-	server     int
+	search      *searchState
+	request     *shardRequest
+	hedge       bool
+	requireFast bool // it has an attempt in flight: another is worth it only at a server that looks fast
+	candidates  []int
+	server      int
 }
 
 // Begin implements Port. A wake-up that comes late means that this aggregator stood still: what it
 // did not hear meanwhile is no unresponsiveness of servers.
 func (p *Policy) Begin(now float64) {
-	if !math.IsInf(p.wakeDueAt, 0) && now > p.wakeDueAt+stallAfter {
-		p.resumedAt = now
+	if !math.IsInf(p.wakeDueAt, 0) && now > p.wakeDueAt+stallThreshold {
+		p.stallEndedAt = now
 	}
 	p.now, p.round = now, p.round+1
 }
@@ -157,7 +157,7 @@
 		if !search.finished {
 			kept = append(kept, search)
 		}
-		p.forget(search)
+		p.releaseSearch(search)
 	}
 	clear(p.liveSearches[len(kept):])
 	p.liveSearches = kept
@@ -176,7 +176,7 @@
 		}
 	}
 	for _, req := range search.requests {
-		placement.request, placement.hedge, placement.replace, placement.server = req, false, false, -1
+		placement.request, placement.hedge, placement.requireFast, placement.server = req, false, false, -1
 		for _, stage := range p.stages[searchStages:] {
 			if stage.decide(placement) != proceed {
 				break
@@ -191,7 +191,7 @@
 // DiscoveryFailed implements Port; the list is asked for again after 0.5 to 1 s.
 func (p *Policy) DiscoveryFailed() {
 	if p.discovery.enabled {
-		p.discovery.due, p.discovery.dueAt = true, p.now+discoveryRetry+discoveryRetry*p.random.next()
+		p.discovery.due, p.discovery.dueAt = true, p.now+discoveryRetryDelay+discoveryRetryDelay*p.random.next()
 	}
 }
 
--- a/internal/aggregator/policy/prediction.go
+++ b/internal/aggregator/policy/prediction.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	historySize      = predict.HistorySize
-	historyExpiry    = predict.HistoryExpiry
-	latencySpan      = predict.SlowLineSpan
-	hintTrust        = 0.5    // hints are rough: a small shard request is taken to be at least so big
-	slowScore        = 0.5    // a score over it predicts slow
-	latencyFadeSpan  = 10000. // ms after which a server's own latency tells nothing
-	latencyNewWeight = 0.5    // of the newest answer in a server's mean latency
-	minLatency       = 1      // ms; latencies are kept on a logarithmic scale
-	medianShare      = 0.5    // of latencies
-	historyKnown     = 2      // feature that is over 0 where a server's history isn't empty
+	historySize        = predict.HistorySize
+	historyExpiry      = predict.HistoryExpiry
+	latencySpan        = predict.SlowLineSpan
+	maxHintReduction   = 0.5    // hints are rough: a small shard request is taken to be at least so big
+	slowScore          = 0.5    // a score over it predicts slow
+	latencyFadeSpan    = 10000. // ms after which a server's own latency tells nothing
+	latencyNewWeight   = 0.5    // of the newest answer in a server's mean latency
+	minLatency         = 1      // ms; latencies are kept on a logarithmic scale
+	medianQuantile     = 0.5    // of latencies
+	latestLatencyIndex = 2      // feature that is over 0 where a server's history isn't empty
 )
 
 type vector = predict.Vector
@@ -25,33 +25,33 @@
 
 // predictor is the design's score, online: one set of weights for all servers.
 type predictor struct {
-	weights                    predict.Weights
-	submits                    predict.SubmitStats
-	latencies, recentLatencies *window.Histogram // of all servers, the second over a shorter time
-	avgLoad                    float64
-	minMedian                  float64 // lowest median seen: the fleet without load
-	reportedLoad, reporting    float64 // sum of the latest load reports, and how many they are
-	median, fleetLine          float64 // of latencies, as of this round's start; over the line is slow
-	samples                    int
+	weights                        predict.Weights
+	submitStats                    predict.SubmitStats
+	latencies, recentLatencies     *window.Histogram // of all servers, the second over a shorter time
+	avgLoad                        float64
+	minMedian                      float64 // lowest median seen: the fleet without load
+	reportedLoad, reportingServers float64 // sum of the latest load reports, and how many they are
+	median, fleetSlowThreshold     float64 // of latencies, as of this round's start; over the line is slow
+	samples                        int
 }
 
 func (pr *predictor) score(x vector) float64 { return pr.weights.Score(&x) }
 
-func (pr *predictor) falseRate(now float64) float64 { return pr.submits.FalseRate(now) }
+func (pr *predictor) falseSubmitRate(now float64) float64 { return pr.submitStats.FalseRate(now) }
 
-// line is the latency over which an answer of the server is slow.
-func (pr *predictor) line(now float64, server *serverState) float64 {
-	return predict.SlowLine(now, server.latencies, pr.fleetLine, pr.samples)
+// slowThreshold is the latency over which an answer of the server is slow.
+func (pr *predictor) slowThreshold(now float64, server *serverState) float64 {
+	return predict.SlowLine(now, server.latencies, pr.fleetSlowThreshold, pr.samples)
 }
 
 // features describe a server by its recent answers. A hang must not read as fast: an attempt in
 // flight for longer than the line stands for the latest latency.
 func (pr *predictor) features(now float64, server *serverState, load float64) vector {
-	line := pr.line(now, server)
+	line := pr.slowThreshold(now, server)
 	f := predict.NewFeatures(line, pr.avgLoad, load)
 	if len(server.waiting) > 0 {
 		oldest := server.waiting[0]
-		if age := now - oldest.startedAt - oldest.hintedExtra; age > line {
+		if age := now - oldest.startedAt - oldest.extraWork; age > line {
 			f.Add(age, oldest.loadAtSend)
 		}
 	}
@@ -63,12 +63,12 @@
 	return f.Vector
 }
 
-// teach moves the weights by one attempt whose slowness is known.
-func (pr *predictor) teach(now float64, attempt *attemptState, slow bool) {
-	attempt.taught = true
+// train moves the weights by one attempt whose slowness is known.
+func (pr *predictor) train(now float64, attempt *attemptState, slow bool) {
+	attempt.trained = true
 	pr.weights.Train(&attempt.features, slow, attempt.predictedFast)
 	if attempt.predictedFast {
-		pr.submits.Record(now, slow)
+		pr.submitStats.Record(now, slow)
 	}
 }
 
@@ -79,13 +79,13 @@
 // measureFleet takes the fleet's latencies and load at a round's start.
 func (p *Policy) measureFleet() {
 	pr := &p.predictor
-	pr.median, _ = pr.latencies.Quantile(p.now, medianShare)
-	pr.fleetLine, pr.samples = pr.latencies.Quantile(p.now, predict.SlowLineQuantile)
+	pr.median, _ = pr.latencies.Quantile(p.now, medianQuantile)
+	pr.fleetSlowThreshold, pr.samples = pr.latencies.Quantile(p.now, predict.SlowLineQuantile)
 	if pr.samples >= minSamples && (pr.minMedian == 0 || pr.median < pr.minMedian) {
 		pr.minMedian = pr.median
 	}
-	if p.reports.available() {
-		pr.avgLoad = pr.reportedLoad / max(pr.reporting, 1)
+	if p.reports.onAnswersAvailable() {
+		pr.avgLoad = pr.reportedLoad / max(pr.reportingServers, 1)
 	} else {
 		pr.avgLoad = float64(p.batches) / float64(max(p.readyServers, 1))
 	}
@@ -96,18 +96,18 @@
 // size most are empty for want of searches, and in bad times the bias made all servers slow, so
 // that nothing was sent again.
 func (p *Policy) predictedSlow(x vector) bool {
-	return (x[historyKnown] > 0 || p.sendInterval() < historyExpiry) && p.predictor.score(x) > slowScore
+	return (x[latestLatencyIndex] > 0 || p.meanSendInterval() < historyExpiry) && p.predictor.score(x) > slowScore
 }
 
-// teachPredictor teaches the predictor by what was sent, and only by answers: errors are no quick
+// trainPredictor teaches the predictor by what was sent, and only by answers: errors are no quick
 // answers.
-func (p *Policy) teachPredictor(attempt *attemptState, how Outcome) {
-	if p.now == p.resumedAt {
+func (p *Policy) trainPredictor(attempt *attemptState, how Outcome) {
+	if p.now == p.stallEndedAt {
 		return // what waited for this aggregator to move tells nothing of its server
 	}
 	server := p.servers[attempt.server]
-	latency := max(p.now-attempt.startedAt-attempt.hintedExtra, minLatency)
-	if how == Cancelled && !attempt.request.answered && attempt.parked() == 0 && latency > p.expectedLatency(server) {
+	latency := max(p.now-attempt.startedAt-attempt.extraWork, minLatency)
+	if how == Cancelled && !attempt.request.answered && attempt.clientBound() == 0 && latency > p.expectedLatency(server) {
 		// Cancelled, it would have taken longer still. Where clients leave before they are
 		// answered, only the quick answers were received, and a jam read as calm.
 		p.recordLatency(attempt, latency)
@@ -115,23 +115,23 @@
 	if how != Answered || attempt.answering || attempt.clientSending {
 		return
 	}
-	if !attempt.taught {
-		p.predictor.teach(p.now, attempt, latency > p.predictor.line(p.now, server))
+	if !attempt.trained {
+		p.predictor.train(p.now, attempt, latency > p.predictor.slowThreshold(p.now, server))
 	}
 	copy(server.history[1:], server.history[:historySize-1])
 	server.history[0] = latencySample{latency, p.now, attempt.loadAtSend}
 	server.latencies.Add(p.now, latency)
 	p.countWarmWork(server, attempt.request)
-	attempt.request.search.kind.latencies.Add(p.now, latency)
+	attempt.request.search.queryType.latencies.Add(p.now, latency)
 	p.recordLatency(attempt, latency)
 }
 
-// teachLate teaches that what is in flight for longer than the line is slow.
-func (p *Policy) teachLate(server *serverState) {
-	line := p.predictor.line(p.now, server)
+// trainOnOverdueAttempts teaches that what is in flight for longer than the line is slow.
+func (p *Policy) trainOnOverdueAttempts(server *serverState) {
+	line := p.predictor.slowThreshold(p.now, server)
 	for _, attempt := range server.waiting {
-		if !attempt.taught && p.now-max(attempt.startedAt, p.resumedAt)-attempt.hintedExtra > line {
-			p.predictor.teach(p.now, attempt, true)
+		if !attempt.trained && p.now-max(attempt.startedAt, p.stallEndedAt)-attempt.extraWork > line {
+			p.predictor.train(p.now, attempt, true)
 		}
 	}
 }
@@ -142,11 +142,11 @@
 	p.predictor.latencies.Add(p.now, latency)
 	p.predictor.recentLatencies.Add(p.now, latency)
 	if p.now-server.latencyAt > latencyFadeSpan || server.latencyAt == 0 {
-		server.meanLatency, server.meanBatches = p.predictor.median, float64(attempt.batches)
+		server.meanLatency, server.meanBatches = p.predictor.median, float64(attempt.serverBatches)
 	}
 	server.latencyAt = p.now
 	server.meanLatency += latencyNewWeight * (latency - server.meanLatency)
-	server.meanBatches += latencyNewWeight * (float64(attempt.batches) - server.meanBatches)
+	server.meanBatches += latencyNewWeight * (float64(attempt.serverBatches) - server.meanBatches)
 }
 
 // expectedLatency is what answers took recently or, if longer, the age of what is in flight; of a
@@ -160,16 +160,16 @@
 	latency := weight*server.meanLatency + (1-weight)*p.predictor.median
 	if len(server.waiting) > 0 {
 		oldest := server.waiting[0]
-		latency = max(latency, p.now-oldest.startedAt-oldest.hintedExtra)
+		latency = max(latency, p.now-oldest.startedAt-oldest.extraWork)
 	}
 	return latency
 }
 
-// hintedExtra is a shard request's hinted work over its query type's: a big one takes longer
+// extraWork is a shard request's hinted work over its query type's: a big one takes longer
 // without being slow, by its work and not by what it waits.
-func (p *Policy) hintedExtra(req *shardRequest) float64 {
-	if qt := req.search.kind; req.work > 0 {
-		return min(max(req.work-qt.meanWork, -hintTrust*qt.meanWork), qt.meanWork)
+func (p *Policy) extraWork(req *shardRequest) float64 {
+	if qt := req.search.queryType; req.hintedWork > 0 {
+		return min(max(req.hintedWork-qt.meanHintedWork, -maxHintReduction*qt.meanHintedWork), qt.meanHintedWork)
 	}
 	return 0
 }
--- a/internal/aggregator/policy/prediction_test.go
+++ b/internal/aggregator/policy/prediction_test.go
@@ -51,10 +51,10 @@
 		b.servers[1].latencies.Add(1000, 50)
 	}
 	b.End()
-	if got := b.predictor.line(1000, b.servers[0]); got < 130 || got > 140 {
+	if got := b.predictor.slowThreshold(1000, b.servers[0]); got < 130 || got > 140 {
 		t.Fatalf("line of a server that is always slow: %.0f, want one and a half times the fleet's 90", got)
 	}
-	if got := b.predictor.line(1000, b.servers[1]); got > 55 {
+	if got := b.predictor.slowThreshold(1000, b.servers[1]); got > 55 {
 		t.Fatalf("line of a fast server: %.0f, want its own", got)
 	}
 }
--- a/internal/aggregator/policy/probing.go
+++ b/internal/aggregator/policy/probing.go
@@ -1,19 +1,19 @@
 package policy
 
 const (
-	maxFirstTrialDelay = 1000.  // ms to an ejected server's first trial; each further one comes after twice as long
-	firstTrialLines    = 8.0    // but no later than so many fleet lines: one that only paused is missed meanwhile
-	maxTrialBackoff    = 2000.  // ms
-	sendSpan           = 10000. // ms over which this aggregator's own rate of attempts is measured
-	minSendsShare      = 10     // at least one attempt for so many servers is taken to be sent in the span
-	refusalProbeTime   = 100.   // ms; a health check that fails after longer was not refused
+	maxFirstTrialDelay       = 1000.  // ms to an ejected server's first trial; each further one comes after twice as long
+	firstTrialSlowThresholds = 8.0    // but no later than so many fleet lines: one that only paused is missed meanwhile
+	maxTrialBackoff          = 2000.  // ms
+	sendSpan                 = 10000. // ms over which this aggregator's own rate of attempts is measured
+	serversPerAssumedSend    = 10     // at least one attempt for so many servers is taken to be sent in the span
+	maxRefusedProbeTime      = 100.   // ms; a health check that fails after longer was not refused
 )
 
 // trialDue tells whether an ejected server may get one attempt; where health checks are allowed, an
 // unresponsive one must have passed one before.
 func (p *Policy) trialDue(server *serverState) bool {
 	return p.now >= server.trialAt && server.trial == nil &&
-		(server.provedAlive || !server.unresponsive || !p.reports.mayProbe)
+		(server.probePassed || !server.unresponsive || !p.reports.mayProbe)
 }
 
 // endTrial: one that this aggregator cancelled says nothing of the server, and the next stays due.
@@ -29,24 +29,24 @@
 
 // backOffTrial doubles the time to the next trial.
 func (p *Policy) backOffTrial(server *serverState) {
-	server.provedAlive = false
-	server.trialBackoff = min(2*server.trialBackoff, max(maxTrialBackoff, 2*p.sendInterval()))
+	server.probePassed = false
+	server.trialBackoff = min(2*server.trialBackoff, max(maxTrialBackoff, 2*p.meanSendInterval()))
 	server.trialAt = p.now + server.trialBackoff
 }
 
-// sendInterval is how long this aggregator leaves a server alone by itself: at full size, trials
+// meanSendInterval is how long this aggregator leaves a server alone by itself: at full size, trials
 // sooner than that would be all that it sends there, and an ejected server would get as much as
 // ever.
-func (p *Policy) sendInterval() float64 {
+func (p *Policy) meanSendInterval() float64 {
 	ready := float64(p.readyServers)
-	return min(sendSpan*ready/max(p.sent.Sum(p.now, sendSpan), ready/minSendsShare), sendSpan)
+	return min(sendSpan*ready/max(p.sent.Sum(p.now, sendSpan), ready/serversPerAssumedSend), sendSpan)
 }
 
 // probeIfDue asks for a health check of an unresponsive server before its trial.
 func (p *Policy) probeIfDue(id int) {
 	server := p.servers[id]
 	if server.listed && server.state == Ready && p.reports.mayProbe && !server.probing &&
-		server.ejected && server.unresponsive && !server.provedAlive && p.now >= server.trialAt {
+		server.ejected && server.unresponsive && !server.probePassed && p.now >= server.trialAt {
 		server.probing = true
 		p.out.Probe(id)
 	}
@@ -63,12 +63,12 @@
 	if !server.ejected || !server.unresponsive {
 		return
 	}
-	if !ok && elapsed < refusalProbeTime {
+	if !ok && elapsed < maxRefusedProbeTime {
 		p.backOffTrial(server)
 		return
 	}
-	if !server.provedAlive {
-		server.provedAt = p.now
+	if !server.probePassed {
+		server.probePassedAt = p.now
 	}
-	server.provedAlive = true
+	server.probePassed = true
 }
--- a/internal/aggregator/policy/refusal.go
+++ b/internal/aggregator/policy/refusal.go
@@ -7,7 +7,7 @@
 
 // The reasons, in the order in which they apply.
 const (
-	NoHolder       RefusalReason = iota // too few of its shards have a listed server
+	NoReplica      RefusalReason = iota // too few of its shards have a listed server
 	TooLate                             // its client's time is over, or it is no sound search
 	NoCapacity                          // some shard's servers are out of reach, or warming up and full
 	TargetExceeded                      // some shard is expected past what its value may take of the latency target
@@ -15,11 +15,11 @@
 	OverCapacity                        // servers were seen to take no more
 	PendingLimit                        // so much is pending that only the most valued are admitted
 	GivenUp                             // it was admitted, and could not reach its least share in time
-	RefusalReasons
+	NumRefusalReasons
 )
 
 // refusalNames are what counters and log lines call the reasons.
-var refusalNames = [RefusalReasons]string{
+var refusalNames = [NumRefusalReasons]string{
 	"no_holder", "too_late", "out_of_room", "expected", "crowd", "borne", "hold_limit", "given_up",
 }
 
@@ -37,24 +37,24 @@
 		return PendingLimit
 	}
 	for _, req := range search.requests {
-		if math.IsInf(req.expected, 1) {
+		if math.IsInf(req.expectedLatency, 1) {
 			return NoCapacity
 		}
 	}
 	return TargetExceeded
 }
 
-// invalidReason tells why a search was refused before its latency was estimated.
-func (p *Policy) invalidReason(search *searchState) RefusalReason {
-	if search.kind != nil && search.expected > 0 && p.now < search.deadline-answerMargin {
-		return NoHolder
+// earlyRefusalReason tells why a search was refused before its latency was estimated.
+func (p *Policy) earlyRefusalReason(search *searchState) RefusalReason {
+	if search.queryType != nil && search.expectedRequests > 0 && p.now < search.deadline-answerMargin {
+		return NoReplica
 	}
 	return TooLate
 }
 
 func (search *searchState) countRefusal(why RefusalReason) {
-	if search.kind != nil {
-		search.kind.refusals[why]++
+	if search.queryType != nil {
+		search.queryType.refusals[why]++
 	}
 }
 
--- a/internal/aggregator/policy/retry.go
+++ b/internal/aggregator/policy/retry.go
@@ -4,14 +4,14 @@
 
 // attemptNeeded decides whether a shard request gets an attempt: its first, a retry after a
 // failure, one that replaces an attempt at an unresponsive server, or the design's hedge.
-func (p *Policy) attemptNeeded(placement *placement) verdict {
+func (p *Policy) attemptNeeded(placement *placement) stageResult {
 	req := placement.request
-	if req.answered || req.skipped || req.phase != placement.search.phase || len(req.attempts) >= p.limits.maxAttempts ||
+	if req.answered || req.abandoned || req.phase != placement.search.phase || len(req.attempts) >= p.limits.maxAttempts ||
 		!p.mayRetry(req) || p.now < req.notBefore {
-		return skip
+		return stop
 	}
 	if len(req.attempts) > 0 && !p.budget.allows(p.now) {
-		return skip
+		return stop
 	}
 	inFlight, unresponsive, last := p.attemptsInFlight(req)
 	switch {
@@ -20,9 +20,9 @@
 	case inFlight == unresponsive && inFlight < 2:
 		return p.replaceAttempt(placement, last)
 	case inFlight > 1 || !p.hedgeDue(req, last):
-		return skip
+		return stop
 	}
-	placement.hedge, placement.replace = true, true
+	placement.hedge, placement.requireFast = true, true
 	return proceed
 }
 
@@ -45,16 +45,16 @@
 
 // replaceAttempt takes a shard request off an unresponsive server. Where no two attempts may be in
 // flight, the one there is cancelled, and the next goes when it has ended.
-func (p *Policy) replaceAttempt(placement *placement, last *attemptState) verdict {
+func (p *Policy) replaceAttempt(placement *placement, last *attemptState) stageResult {
 	if p.limits.mayHedge {
-		placement.replace = true
+		placement.requireFast = true
 		return proceed
 	}
 	if p.limits.mayCancel && !last.cancelled {
 		last.cancelled = true
 		p.out.Cancel(placement.request.id, last.number)
 	}
-	return skip
+	return stop
 }
 
 // mayRetry keeps an effect from happening twice: only an attempt proved not to have run may be
@@ -64,7 +64,7 @@
 	if req.committed != nil || req.notBefore >= req.search.deadline-answerMargin {
 		return false
 	}
-	qt, ran := req.search.kind, req.firstPossiblyRun()
+	qt, ran := req.search.queryType, req.firstPossiblyRun()
 	return qt.effect == Idempotent || ran == nil || qt.effect == Tokened && p.now < ran.sentAt+qt.tokenWindow-answerMargin
 }
 
--- a/internal/aggregator/policy/servers.go
+++ b/internal/aggregator/policy/servers.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const usualReplicas = 4 // first size of a list of holders
+const replicaListCapacity = 4 // first size of a list of holders
 
 // Server implements Port; a server of which it is the first report is added.
 func (p *Policy) Server(id, zone, position int, state State, size, startedAt float64) {
@@ -37,8 +37,8 @@
 	if was == is && server.position == position {
 		return
 	}
-	p.dropHolders(server.position)
-	p.dropHolders(position)
+	p.invalidateReplicas(server.position)
+	p.invalidateReplicas(position)
 	if was && !is {
 		p.readyServers--
 	} else if is && !was {
@@ -56,7 +56,7 @@
 	server.startedAt = startedAt
 	server.warmUpFrom, server.warmUpUntil = startedAt, startedAt+p.warmUp.duration
 	if server.ejected && server.unresponsive {
-		server.trialAt, server.trialBackoff = p.now, p.firstTrialAfter
+		server.trialAt, server.trialBackoff = p.now, p.firstTrialDelay
 	}
 }
 
@@ -78,7 +78,7 @@
 		}
 	}
 	p.watched, p.servers[id] = kept, nil
-	p.dropHolders(server.position)
+	p.invalidateReplicas(server.position)
 	return true
 }
 
@@ -90,35 +90,35 @@
 	}
 }
 
-// holdersOf lists who may be sent requests to a shard: ready servers of the positions that hold it.
+// replicasOf lists who may be sent requests to a shard: ready servers of the positions that hold it.
 // The list is made anew only after a change of its positions.
-func (p *Policy) holdersOf(shard int) []int {
+func (p *Policy) replicasOf(shard int) []int {
 	fleet := &p.fleet
 	first := fleet.position(shard)
-	if len(p.holders) != fleet.positions {
-		p.holders = make([][]int, fleet.positions)
+	if len(p.replicasByPosition) != fleet.positions {
+		p.replicasByPosition = make([][]int, fleet.positions)
 	}
-	if p.holders[first] == nil {
-		list := make([]int, 0, usualReplicas)
+	if p.replicasByPosition[first] == nil {
+		list := make([]int, 0, replicaListCapacity)
 		for id, server := range p.servers {
 			if server != nil && server.listed && server.state == Ready &&
 				fleet.position(server.position-first) < fleet.replicas {
 				list = append(list, id)
 			}
 		}
-		p.holders[first] = list
+		p.replicasByPosition[first] = list
 	}
-	return p.holders[first]
+	return p.replicasByPosition[first]
 }
 
-// dropHolders drops the lists that a server of this position stands in.
-func (p *Policy) dropHolders(position int) {
+// invalidateReplicas drops the lists that a server of this position stands in.
+func (p *Policy) invalidateReplicas(position int) {
 	fleet := &p.fleet
-	if len(p.holders) != fleet.positions {
+	if len(p.replicasByPosition) != fleet.positions {
 		return
 	}
 	for i := range min(fleet.replicas, fleet.positions) {
-		p.holders[fleet.position(position-i)] = nil
+		p.replicasByPosition[fleet.position(position-i)] = nil
 	}
 }
 
--- a/internal/aggregator/policy/servers_test.go
+++ b/internal/aggregator/policy/servers_test.go
@@ -24,7 +24,7 @@
 	now += 5000
 	b.Begin(now)
 	failIf(t, !b.servers[at].ejected || !b.RemoveServer(at) || !b.RemoveServer(at), "not dropped with nothing out")
-	failIf(t, b.predictor.reporting != 0 || b.predictor.reportedLoad != 0, "what it reported stays: %v", b.predictor.reportedLoad)
+	failIf(t, b.predictor.reportingServers != 0 || b.predictor.reportedLoad != 0, "what it reported stays: %v", b.predictor.reportedLoad)
 	b.End()
 	b.Begin(now + 30)
 	b.Server(at, 0, 0, Ready, 1, 0) // another, under the same index
--- a/internal/aggregator/policy/warmup.go
+++ b/internal/aggregator/policy/warmup.go
@@ -18,10 +18,10 @@
 	defaultWorkShare   = 0.1    // of the latency target: work of a shard request without a hint
 )
 
-// warmUpGuard limits what goes to a server that has just started (slow start). The settings state
+// warmUpLimit limits what goes to a server that has just started (slow start). The settings state
 // its share of a warm server's capacity at first, how long it takes to reach all of it, and the
 // multiple of that capacity that all aggregators together must stay under in a window.
-type warmUpGuard struct {
+type warmUpLimit struct {
 	initialShare, duration, multiple, window float64 // multiple 0: no guard
 	maxRate                                  float64 // highest rate of warm servers for this aggregator, per size; it fades
 	measuredAt, warmSize                     float64
@@ -49,7 +49,7 @@
 		return true
 	}
 	maxDrawn := min(max(float64(p.aggregators)/aggregatorsPerDraw, 1), maxDrawnRequests)
-	return sent+work <= maxDrawn*work && p.drawn(server, holders, req, safe)
+	return sent+work <= maxDrawn*work && p.admittedByDraw(server, holders, req, safe)
 }
 
 // warmUpShare is the share of a warm server's capacity that this one has by now; guarded false: all
@@ -67,19 +67,19 @@
 		return share, false
 	case !server.connectFailed && p.now-server.ejectedAt <= restartLikelyAfter:
 		return share, false
-	case server.provedAlive && p.now > server.provedAt+restartReportDelay:
+	case server.probePassed && p.now > server.probePassedAt+restartReportDelay:
 		return share, false
 	}
 	return share, true
 }
 
-// drawn tells whether the search's draw falls on this holder, with probability safe. The draw is
+// admittedByDraw tells whether the search's draw falls on this holder, with probability safe. The draw is
 // the search's, not the shard request's: drawn apart, a search of many shards would hardly ever
 // have them all, and whoever has only servers that warm up in reach would shed everything. It falls
 // among the holders that this aggregator can use: who can't be reached takes no share. Where those
 // are under half of what there were, some of it falls to nobody, as each then gets more than twice
 // what a warm one usually does.
-func (p *Policy) drawn(server *serverState, holders []int, req *shardRequest, safe float64) bool {
+func (p *Policy) admittedByDraw(server *serverState, holders []int, req *shardRequest, safe float64) bool {
 	usable, index := 0.0, 0.0
 	for _, id := range holders {
 		if other := p.servers[id]; other == server {
@@ -116,7 +116,7 @@
 
 // measure raises the highest rate only while most servers are warm: what the last few carry tells
 // nothing of what one can.
-func (guard *warmUpGuard) measure(now, warm, size float64) {
+func (guard *warmUpLimit) measure(now, warm, size float64) {
 	guard.maxRate *= math.Exp((guard.measuredAt - now) / rateMemory)
 	guard.measuredAt, guard.warmSize = now, warm
 	if warm > size/2 {
@@ -134,9 +134,9 @@
 
 // expectedWork of a shard request is its query type's mean hint, with what a batch costs.
 func (p *Policy) expectedWork(req *shardRequest) float64 {
-	qt := req.search.kind
-	if qt.meanWork > 0 {
-		return qt.meanWork + p.fleet.batchWork
+	qt := req.search.queryType
+	if qt.meanHintedWork > 0 {
+		return qt.meanHintedWork + p.fleet.batchWork
 	}
 	return defaultWorkShare*qt.latencyTarget + p.fleet.batchWork
 }
--- a/internal/predict/predict.go
+++ b/internal/predict/predict.go
@@ -32,11 +32,11 @@
 
 // Indices in a Vector.
 const (
-	biasIndex    = 0
-	loadIndex    = 1
-	latencyIndex = 2                          // the first of HistorySize latencies
-	pastIndex    = latencyIndex + HistorySize // the first of HistorySize loads at their sends
-	vectorSize   = pastIndex + HistorySize
+	biasIndex     = 0
+	loadIndex     = 1
+	latencyIndex  = 2                          // the first of HistorySize latencies
+	pastLoadIndex = latencyIndex + HistorySize // the first of HistorySize loads at their sends
+	vectorSize    = pastLoadIndex + HistorySize
 )
 
 // Vector is the input of the score: the constant 1, the load, the latest latencies, the most recent
@@ -104,7 +104,7 @@
 		return
 	}
 	f.Vector[latencyIndex+f.latencies] = min(latency/f.slowLine, MaxFeature)
-	f.Vector[pastIndex+f.latencies] = f.relativeLoad(load)
+	f.Vector[pastLoadIndex+f.latencies] = f.relativeLoad(load)
 	f.latencies++
 }
 
--- a/internal/window/histogram.go
+++ b/internal/window/histogram.go
@@ -5,16 +5,16 @@
 // Histogram estimates quantiles of values of the recent past. Its bins grow by a constant factor,
 // which bounds the relative error.
 type Histogram struct {
-	width   float64 // of a bucket, in the caller's unit of time
-	low     float64 // the bound of the first bin
-	logStep float64 // the logarithm of the factor between bounds
-	bins    int
+	bucketWidth float64 // of a bucket, in the caller's unit of time
+	firstBound  float64 // the bound of the first bin
+	logBinRatio float64 // the logarithm of the factor between bounds
+	bins        int
 
-	lastTick   int64   // up to which expired buckets have been cleared
-	bucketTick []int64 // the number of the width-long period that a bucket holds
-	binCounts  []int32 // by bucket, then by bin
-	binTotals  []int32 // by bin, over all buckets
-	samples    int     // over all bins
+	lastPeriod    int64   // up to which expired buckets have been cleared
+	bucketPeriods []int64 // the number of the width-long period that a bucket holds
+	binCounts     []int32 // by bucket, then by bin
+	binTotals     []int32 // by bin, over all buckets
+	samples       int     // over all bins
 }
 
 // NewHistogram makes a ring of buckets that are width long each. Values from low on fall into bins
@@ -22,25 +22,25 @@
 // last.
 func NewHistogram(buckets int, width, low, step float64, bins int) *Histogram {
 	return &Histogram{
-		width:      width,
-		low:        low,
-		logStep:    math.Log(step),
-		bins:       bins,
-		lastTick:   noTick,
-		bucketTick: emptyTicks(buckets),
-		binCounts:  make([]int32, buckets*bins),
-		binTotals:  make([]int32, bins),
+		bucketWidth:   width,
+		firstBound:    low,
+		logBinRatio:   math.Log(step),
+		bins:          bins,
+		lastPeriod:    noPeriod,
+		bucketPeriods: emptyPeriods(buckets),
+		binCounts:     make([]int32, buckets*bins),
+		binTotals:     make([]int32, bins),
 	}
 }
 
 // Add counts one value at the time now.
 func (h *Histogram) Add(now, value float64) {
 	tick := h.advance(now)
-	bucket := bucketOf(tick, len(h.bucketTick))
-	h.bucketTick[bucket] = tick
+	bucket := bucketIndex(tick, len(h.bucketPeriods))
+	h.bucketPeriods[bucket] = tick
 	bin := 0
-	if value > h.low {
-		bin = min(int(math.Log(value/h.low)/h.logStep), h.bins-1)
+	if value > h.firstBound {
+		bin = min(int(math.Log(value/h.firstBound)/h.logBinRatio), h.bins-1)
 	}
 	h.binCounts[bucket*h.bins+bin]++
 	h.binTotals[bin]++
@@ -68,20 +68,20 @@
 
 // bound is the value at a position in bins.
 func (h *Histogram) bound(position float64) float64 {
-	return h.low * math.Exp(position*h.logStep)
+	return h.firstBound * math.Exp(position*h.logBinRatio)
 }
 
 // advance clears the buckets that have expired, or lie ahead since the time was set back, and returns
 // the tick of now.
 func (h *Histogram) advance(now float64) int64 {
-	tick := tickAt(now, h.width)
-	if tick == h.lastTick {
+	tick := periodAt(now, h.bucketWidth)
+	if tick == h.lastPeriod {
 		return tick
 	}
-	h.lastTick = tick
-	oldest := tick - int64(len(h.bucketTick))
-	for bucket, previous := range h.bucketTick {
-		if previous == noTick || previous > oldest && previous <= tick {
+	h.lastPeriod = tick
+	oldest := tick - int64(len(h.bucketPeriods))
+	for bucket, previous := range h.bucketPeriods {
+		if previous == noPeriod || previous > oldest && previous <= tick {
 			continue
 		}
 		h.clear(bucket)
@@ -91,7 +91,7 @@
 
 // clear takes a bucket's values out of the totals.
 func (h *Histogram) clear(bucket int) {
-	h.bucketTick[bucket] = noTick
+	h.bucketPeriods[bucket] = noPeriod
 	counts := h.binCounts[bucket*h.bins : (bucket+1)*h.bins]
 	for bin, count := range counts {
 		h.binTotals[bin] -= count
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -8,18 +8,18 @@
 import "math"
 
 // noTick marks a bucket that holds nothing.
-const noTick = math.MinInt64
+const noPeriod = math.MinInt64
 
-// tickAt is the number of the width-long period that contains a time.
-func tickAt(now, width float64) int64 { return int64(math.Floor(now / width)) }
+// periodAt is the number of the width-long period that contains a time.
+func periodAt(now, width float64) int64 { return int64(math.Floor(now / width)) }
 
-// bucketOf is the index of a tick's bucket; times before 0 have one as well.
-func bucketOf(tick int64, buckets int) int { return int(uint64(tick) % uint64(buckets)) }
+// bucketIndex is the index of a tick's bucket; times before 0 have one as well.
+func bucketIndex(tick int64, buckets int) int { return int(uint64(tick) % uint64(buckets)) }
 
-func emptyTicks(buckets int) []int64 {
+func emptyPeriods(buckets int) []int64 {
 	ticks := make([]int64, buckets)
 	for i := range ticks {
-		ticks[i] = noTick
+		ticks[i] = noPeriod
 	}
 	return ticks
 }
