--- a/internal/aggregator/policy/admission.go
+++ b/internal/aggregator/policy/admission.go
@@ -2,27 +2,28 @@
 
 import "math"
 
-// Limits of admission. Shares are of the latency target, first for the least valued search, then
-// for the most valued; the limit of each other lies between, by its value.
+// Limits of admission, as shares of the latency target. The limit of a search lies between that for
+// the least valuable search (min) and that for the most valuable one (max), in proportion to its
+// value.
 const (
-	admitMinShare      = 0.52 // latency that a search may be expected to have, least valued
-	admitMaxShare      = 0.88 // and most valued
-	tailMinShare       = 0.65 // latency that its slowest shard may be expected to have, least valued
-	tailMaxShare       = 1.0  // and most valued
-	tailPower          = 3.0  // past the tail's limit, the probability of admission falls by this power
-	tailSpan           = 3000.
-	overloadTightening = 0.8   // of the limit in an overload: a full server does no more for a longer queue, only later
-	pendingShare       = 0.85  // of the limit on pending work: beyond, only the most valued are admitted
-	quotaSpan          = 4000. // a customer's quota share is watched over so many ms
-	quotaTolerance     = 1.25  // times the quota share: aggregators see unequal parts of a customer's traffic
+	admitMinShare      = 0.52  // expected latency of a shard request: limit for the least valuable search
+	admitMaxShare      = 0.88  // and for the most valuable
+	tailMinShare       = 0.65  // recent latency of the slowest of its shard requests: limit for the least valuable search
+	tailMaxShare       = 1.0   // and for the most valuable
+	tailPower          = 3.0   // beyond the tail limit, the probability of admission falls with this power of the excess
+	tailSpan           = 3000. // ms over which recent latencies are measured
+	overloadTightening = 0.8   // factor on limits in an overload: a longer queue at a full server adds no throughput, only delay
+	pendingShare       = 0.85  // of the limit on pending work; beyond it only the most valuable searches are admitted
+	quotaSpan          = 4000. // ms over which a customer's rate is compared with its quota
+	quotaTolerance     = 1.25  // factor on the quota, as a customer's traffic is spread unevenly over aggregators
 
 	weightTolerance = 1e-4 // shares of a search's weight are sums of rounded numbers
-	minValue        = 1e-9 // keeps a division sound where no query type has a value
+	minValue        = 1e-9 // avoids a division by 0 where no query type has a value
 )
 
-// admit sheds a search on arrival: later, work is lost with it. What it will take is estimated from
-// what servers took recently for each of their batches; a queue that nobody reports shows there,
-// whatever caused it.
+// admit decides on arrival whether a search is admitted or shed; shedding it later would waste the
+// work done until then. Its latency is estimated from the recent latency of batches at each server,
+// which includes queues that no load report mentions, whatever their cause.
 func (p *Policy) admit(placement *placement) stageResult {
 	search, qt := placement.search, placement.search.queryType
 	if search.admitted {
@@ -36,22 +37,22 @@
 	}
 	target := min(qt.latencyTarget, search.deadline-p.now)
 	worst := p.estimateRequests(search, target)
-	enough := p.skipSlowRequests(search, target, worst) >= qt.minimumShare-weightTolerance
-	slow := p.rejectForTailLatency(search, target)
-	full := p.rejectForCapacity(search)
-	if !enough || slow || full || p.rejectForPendingWork(search) {
-		why := p.refusalReason(search, enough, slow, full)
-		p.log("shed: %v, expected %.0f ms against a target of %.0f, %d held", why, worst, target, p.limits.pending)
-		p.giveUp(search, why)
+	enoughWeight := p.skipSlowRequests(search, target, worst) >= qt.minimumShare-weightTolerance
+	slowTail := p.rejectForTailLatency(search, target)
+	overCapacity := p.rejectForCapacity(search)
+	if !enoughWeight || slowTail || overCapacity || p.rejectForPendingWork(search) {
+		reason := p.refusalReason(search, enoughWeight, slowTail, overCapacity)
+		p.log("shed: %v, expected %.0f ms against a target of %.0f, %d held", reason, worst, target, p.limits.pending)
+		p.giveUp(search, reason)
 		return finished
 	}
 	search.admitted = true
 	return proceed
 }
 
-// estimateTarget sets when the search should be answered. The time that is missing to what its type
-// usually has tells how long it waited, at a client that retries or at this aggregator while it
-// stood still.
+// estimateTarget sets when the search should be answered. If less time is left until its deadline
+// than searches of its type had at most, the search spent the difference waiting, at a client that
+// retries or at this aggregator during a stall, and that is subtracted from its latency target.
 func (p *Policy) estimateTarget(search *searchState) {
 	qt := search.queryType
 	if qt == nil {
@@ -61,7 +62,8 @@
 	search.targetAt = search.deadline - qt.longestClientTime + qt.latencyTarget
 }
 
-// reachableWeight is the weight of the shard requests whose shard some listed server holds.
+// reachableWeight returns the weight of the shard requests that are answered or whose shard has a
+// ready replica in the server list.
 func (p *Policy) reachableWeight(search *searchState) float64 {
 	sum := 0.0
 	for _, req := range search.requests {
@@ -84,46 +86,49 @@
 	return worst
 }
 
-// estimateRequest is the latency of the shard's quickest holder, scaled by the growth of its
-// holders' queues: with more in flight than when the latest answers were asked for, a queue grows.
+// estimateRequest returns the expected latency of a shard request: that of the shard's fastest
+// replica, scaled by the growth of the replicas' queues, which is the ratio of the batches in
+// flight now to those when the latest answers were requested.
 func (p *Policy) estimateRequest(req *shardRequest, target float64) float64 {
-	best, batches, batchesThen, expected := math.Inf(1), 0.0, 0.0, math.Inf(1)
-	holders := p.replicasOf(req.shard)
-	for _, id := range holders {
+	best, batches, pastBatches, expected := math.Inf(1), 0.0, 0.0, math.Inf(1)
+	replicas := p.replicasOf(req.shard)
+	for _, id := range replicas {
 		server := p.servers[id]
-		if p.unavailableWithin(server, target) || !p.hasCapacity(server, holders, req) {
+		if p.unavailableWithin(server, target) || !p.hasCapacity(server, replicas, req) {
 			continue
 		}
 		expected = 0
 		if !server.ejected {
 			best = min(best, p.expectedLatency(server))
 			batches = batches + 2 + float64(server.batches-server.clientBoundBatches)
-			batchesThen = batchesThen + 2 + server.meanBatches
+			pastBatches = pastBatches + 2 + server.meanBatches
 		}
 	}
-	if batchesThen > 0 {
-		expected = best * batches / batchesThen
+	if pastBatches > 0 {
+		expected = best * batches / pastBatches
 	}
 	return expected
 }
 
-// outOfReach: one that fails some shard requests still answers others, and one that has just become
-// unresponsive may be back in time.
+// unavailableWithin reports whether a server cannot be expected to answer within the target. An
+// ejected server that fails only some attempts still answers others, and one that has just become
+// unresponsive may recover in time.
 func (p *Policy) unavailableWithin(server *serverState, target float64) bool {
 	return server.ejected && server.unresponsive && !p.trialDue(server) &&
 		(server.connectFailed || server.trialBackoff > admitMinShare*target)
 }
 
-// skipSlowRequests leaves out what is not worth waiting for where a partial answer will do: a shard
-// whose holders are all busy is left to the searches that need it. It returns the weight of the
-// others.
+// skipSlowRequests abandons the shard requests that are expected to be too slow, which leaves the
+// busy replicas of their shards to the searches that cannot do without them. It returns the weight
+// of the other shard requests; if that suffices, the search gets a partial answer.
 func (p *Policy) skipSlowRequests(search *searchState, target, worst float64) (usable float64) {
 	limit := admitMinShare + (admitMaxShare-admitMinShare)*p.value(search)/max(p.maxValue, minValue)
 	limit *= target
 	if p.predictor.overloaded() {
 		limit *= overloadTightening
 	}
-	// One that waited may be too late for its target: it is worth less.
+	// A search that has waited may miss its latency target; it then counts with its value when
+	// late.
 	if left := search.targetAt - p.now; worst > admitMaxShare*left {
 		limit *= search.queryType.lateValue
 	}
@@ -136,33 +141,39 @@
 	return usable
 }
 
-// tailTooSlow: a search waits for its slowest shard, and the more it has the slower that is; a
-// fleet's overload shows there first. Past the limit the refusal is random, as aggregators that
-// shed all at once admit all at once again. Where it is known what servers can take, that decides
-// (overCapacity).
+// rejectForTailLatency reports whether the search is refused because the slowest of its shard
+// requests is expected to be too late. A search waits for all its shard requests, so the more there
+// are the slower it is, and an overload of the fleet shows in the tail first. Beyond the limit
+// refusal is random, as aggregators that shed everything at once also admit everything at once
+// again. Where the value that servers have capacity for is known, rejectForCapacity decides
+// instead.
 func (p *Policy) rejectForTailLatency(search *searchState, target float64) bool {
-	median := math.Pow(0.5, 1/float64(search.expectedRequests)) // of the slowest of so many
-	tail, n := p.predictor.recentLatencies.Quantile(p.now, median)
+	// The median of the maximum of n latencies is their quantile at the n-th root of 0.5.
+	median := math.Pow(0.5, 1/float64(search.expectedRequests))
+	tail, samples := p.predictor.recentLatencies.Quantile(p.now, median)
 	limit := target * (tailMinShare + (tailMaxShare-tailMinShare)*p.value(search)/max(p.maxValue, minValue))
-	return p.capacityFloor.value == 0 && n >= minSamples && tail > limit &&
+	return p.capacityFloor.value == 0 && samples >= minSamples && tail > limit &&
 		p.random.next() > math.Pow(limit/tail, tailPower)
 }
 
-// overCapacity: what servers can take is known by the harm done, and the least valued are refused
-// first.
+// rejectForCapacity reports whether the search is worth less than servers have capacity for, so
+// that the least valuable searches are refused first. The capacity is inferred from the overload
+// that was observed.
 func (p *Policy) rejectForCapacity(search *searchState) bool {
 	missing := p.capacityFloor.value - p.value(search)
 	return missing > 0 ||
 		missing == 0 && p.capacityFloor.value > 0 && p.random.next() < p.capacityFloor.excess
 }
 
-// overPending: close to the limit on pending work, only the most valued are admitted.
+// rejectForPendingWork reports whether the search is refused because pending work is close to its
+// limit, where only the most valuable searches are admitted.
 func (p *Policy) rejectForPendingWork(search *searchState) bool {
 	top := p.value(search) >= p.maxValue
 	return p.limits.maxPending > 0 && !top && float64(p.limits.pending) > pendingShare*float64(p.limits.maxPending)
 }
 
-// value is the search's worth per unit of work, as the goal counts it.
+// value returns the search's value per unit of work, reduced if the client retries or its customer
+// exceeds the quota.
 func (p *Policy) value(search *searchState) float64 {
 	customer := getAt(p.customers, search.customer)
 	if customer != nil && customer.quota > 0 &&
@@ -172,7 +183,7 @@
 	return search.queryType.value * search.valueWeight
 }
 
-// SearchValue implements Port; 0 for a search that is not known.
+// SearchValue returns the value of a search; 0 if it is unknown.
 func (p *Policy) SearchValue(id int) float64 {
 	if search := getAt(p.searches, id); search != nil && search.queryType != nil {
 		return p.value(search)
--- a/internal/aggregator/policy/answer.go
+++ b/internal/aggregator/policy/answer.go
@@ -1,43 +1,45 @@
 package policy
 
-// Shares of weight are sums of rounded numbers.
+// Shares of weight are sums of rounded numbers, so they are compared with a tolerance.
 const (
 	shareTolerance = 1e-5
-	minAnswerShare = 1e-3 // an answer from less than that of a search's weight is none
+	minAnswerShare = 1e-3 // smallest share of a search's weight that makes an answer, whatever the query type allows
 )
 
-// progress of a search in its present phase.
+// progress sums up the shard requests of a search in its present phase.
 type progress struct {
-	weight, openWeight float64 // of shard requests that are answered, and of those that may still be
-	answers, open      int     // how many they are
+	weight, openWeight float64 // of the shard requests that are answered, and of those that may still be
+	answers, open      int     // their numbers
 }
 
-// answerOrGiveUp ends a search: completely as soon as it is complete, partially at its latency target
-// where that is worth more than waiting, and given up while the client can still hear of it.
+// answerOrGiveUp ends a search, or its phase, when there is no more reason to wait. It is answered
+// completely as soon as that is possible, and partially at its latency target where a partial
+// answer is worth more than a late complete one. It is given up while there is still time to tell
+// the client.
 func (p *Policy) answerOrGiveUp(placement *placement) stageResult {
 	search, qt := placement.search, placement.search.queryType
 	done := p.progressOf(search)
-	need, floor := search.requiredShares()
-	complete := search.phase == 0 && done.weight >= need-shareTolerance ||
+	completeShare, minimumShare := search.requiredShares()
+	complete := search.phase == 0 && done.weight >= completeShare-shareTolerance ||
 		search.phase > 0 && done.answers >= search.expectedRequests
-	lastMoment := p.now >= search.deadline-answerMargin
-	some := done.weight >= max(floor, minAnswerShare)-shareTolerance && done.answers > 0
-	// What can't reach its least share any more is over, whatever is in flight: that work is for
-	// nobody.
-	over := len(search.requests) > 0 &&
-		(done.open == 0 || search.phase == 0 && done.weight+done.openWeight < floor-weightTolerance)
-	due := p.now >= search.targetAt-answerMargin && qt.partialValue*done.weight >= qt.lateValue*need
+	deadlineNear := p.now >= search.deadline-answerMargin
+	partial := done.weight >= max(minimumShare, minAnswerShare)-shareTolerance && done.answers > 0
+	// If the minimum share can no longer be reached, the search ends whatever is in flight, as that
+	// work would be for nobody.
+	hopeless := len(search.requests) > 0 &&
+		(done.open == 0 || search.phase == 0 && done.weight+done.openWeight < minimumShare-weightTolerance)
+	due := p.now >= search.targetAt-answerMargin && qt.partialValue*done.weight >= qt.lateValue*completeShare
 	switch {
-	case complete && done.answers > 0, some && (lastMoment || over || due):
+	case complete && done.answers > 0, partial && (deadlineNear || hopeless || due):
 		return p.answer(search, complete, done.answers)
-	case lastMoment || over && done.answers < search.expectedRequests:
+	case deadlineNear || hopeless && done.answers < search.expectedRequests:
 		p.giveUp(search, GivenUp)
 		return finished
 	}
 	return proceed
 }
 
-// progressOf counts what the search has, and what may still come.
+// progressOf sums up the shard requests that are answered, and those that may still be answered.
 func (p *Policy) progressOf(search *searchState) (done progress) {
 	for _, req := range search.requests {
 		switch {
@@ -53,10 +55,10 @@
 	return done
 }
 
-// requiredShares are the shares of a search's weight that make its answer complete, and that it needs
-// at least. In a follow-up phase all is needed for the first, and the floor holds where it demands
-// completeness.
-func (search *searchState) requiredShares() (need, floor float64) {
+// requiredShares returns the shares of a search's weight that a complete answer needs and that any
+// answer needs. In the follow-up phase a complete answer needs everything, as does any answer if
+// the query type allows no partial ones.
+func (search *searchState) requiredShares() (completeShare, minimumShare float64) {
 	qt := search.queryType
 	if search.phase == 0 {
 		return qt.completeShare, qt.minimumShare
@@ -67,7 +69,8 @@
 	return 1, qt.minimumShare
 }
 
-// answer ends the present phase; where the type has a follow-up, its shard requests come next.
+// answer ends the present phase of a search with an answer. Where the query type has a follow-up
+// phase, its shard requests come next.
 func (p *Policy) answer(search *searchState, complete bool, answers int) stageResult {
 	p.out.Answer(search.id, complete && (search.phase == 0 || search.firstComplete))
 	if search.phase == 0 && search.queryType.followUpRequests > 0 {
@@ -80,7 +83,8 @@
 	return finished
 }
 
-// mayStillAnswer tells whether an answer to the shard request may still come.
+// mayStillAnswer reports whether a shard request may still be answered, by an attempt in flight or
+// by a further one.
 func (p *Policy) mayStillAnswer(req *shardRequest) bool {
 	if req.abandoned {
 		return false
@@ -96,7 +100,8 @@
 	return false
 }
 
-// recordAnswer counts a shard request once, and cancels what its answer made needless.
+// recordAnswer marks a shard request as answered by the first answer, and cancels its other
+// attempts.
 func (p *Policy) recordAnswer(attempt *attemptState, how Outcome) {
 	req := attempt.request
 	if how != Answered || req.answered || req.search.finished || req.phase != req.search.phase ||
@@ -108,15 +113,15 @@
 	p.cancelAttempts(req)
 }
 
-// giveUp ends a search at once. It may be shed, which means that asking again is harmless, only
-// where no attempt can have had an effect; otherwise it fails.
-func (p *Policy) giveUp(search *searchState, why RefusalReason) {
+// giveUp ends a search at once. It is shed, which tells the client that a retry is harmless, only
+// if no attempt can have had an effect; otherwise it fails.
+func (p *Policy) giveUp(search *searchState, reason RefusalReason) {
 	harmless := true
 	for _, req := range search.requests {
 		harmless = harmless && req.committed == nil &&
 			(req.firstPossiblyRun() == nil || search.queryType.effect == Idempotent)
 	}
-	search.countRefusal(why)
+	search.countRefusal(reason)
 	if harmless {
 		p.out.Shed(search.id, p.retryAfter(search.queryType))
 	} else {
@@ -125,7 +130,7 @@
 	p.closeSearch(search)
 }
 
-// closeSearch takes a search off the pending work and cancels what is in flight for it.
+// closeSearch removes a search from the pending work and cancels its attempts in flight.
 func (p *Policy) closeSearch(search *searchState) {
 	search.finished = true
 	p.limits.pending--
@@ -144,8 +149,8 @@
 	}
 }
 
-// cancelAttempts cancels what is in flight for a shard request, but the committed attempt of a
-// search that goes on.
+// cancelAttempts cancels the attempts of a shard request that are in flight, except the committed
+// one of a search that has not ended.
 func (p *Policy) cancelAttempts(req *shardRequest) {
 	if !p.limits.mayCancel {
 		return
--- a/internal/aggregator/policy/candidates.go
+++ b/internal/aggregator/policy/candidates.go
@@ -1,21 +1,22 @@
 package policy
 
 const (
-	rejectionBackoff  = 300. // ms after a server's queue was full: long enough for a few shard requests to be done
-	sameServerBackoff = 300. // ms before a shard request comes to whoever failed it, or to one that fails others
-	maxRejections     = 2    // a shard request that two servers rejected is not worth a third's place
+	rejectionBackoff  = 300. // ms without attempts after a server rejected one as full, long enough for a few shard requests to finish
+	sameServerBackoff = 300. // ms before a shard request goes again to a server that failed it, or to one that fails others
+	maxRejections     = 2    // a shard request that two servers rejected is not worth the queue slot at a third
 )
 
-// filterCandidates leaves the servers that may get this shard request: listed, healthy, and with
-// capacity while they warm up.
+// filterCandidates selects the servers that may get this shard request: ready replicas that are not
+// ejected, or whose trial is due, and that have capacity left if they warm up. Replicas that have
+// failed this shard request, or that fail others, are taken only if there are no others.
 func (p *Policy) filterCandidates(placement *placement) stageResult {
 	req := placement.request
 	placement.candidates = placement.candidates[:0]
-	var again, failing []int
-	holders := p.replicasOf(req.shard)
-	for _, id := range holders {
+	var alreadyTried, failing []int
+	replicas := p.replicasOf(req.shard)
+	for _, id := range replicas {
 		server := p.servers[id]
-		if p.now < server.rejectsUntil || !p.hasCapacity(server, holders, req) {
+		if p.now < server.rejectsUntil || !p.hasCapacity(server, replicas, req) {
 			continue
 		}
 		tried, inFlight := req.attemptsAt(id)
@@ -26,15 +27,15 @@
 				failing = append(failing, id)
 			}
 		case tried:
-			again = append(again, id)
+			alreadyTried = append(alreadyTried, id)
 		default:
 			placement.candidates = append(placement.candidates, id)
 		}
 	}
 	if len(placement.candidates) == 0 && p.mayRepeatServer(placement) {
-		placement.candidates = append(placement.candidates, again...)
+		placement.candidates = append(placement.candidates, alreadyTried...)
 		if len(placement.candidates) == 0 {
-			placement.candidates = append(placement.candidates, failing...) // some quick errors beat no answer
+			placement.candidates = append(placement.candidates, failing...) // a server that fails some attempts is better than none
 		}
 	}
 	if len(placement.candidates) == 0 {
@@ -43,16 +44,16 @@
 	return proceed
 }
 
-// mayAskAgain: whoever has failed this shard request, or fails others, is asked again only after a
-// while. Its attempts would be gone within milliseconds, and with them all of its search, where a
-// place that is full or slow would have been free soon.
+// mayRepeatServer reports whether a shard request may go to a server that has failed it or that
+// fails others. It has to wait before that: its attempts would be used up within milliseconds, and
+// its whole search lost, while a replica that is full or slow might have had room soon after.
 func (p *Policy) mayRepeatServer(placement *placement) bool {
 	req := placement.request
 	return !placement.hedge && (len(req.attempts) == 0 || p.now >= req.lastEndedAt+sameServerBackoff)
 }
 
-// attemptsAt tells whether a server had an attempt of this shard request, and whether it has one in
-// flight.
+// attemptsAt reports whether a server has had an attempt of this shard request, and whether one is
+// in flight there.
 func (req *shardRequest) attemptsAt(server int) (tried, inFlight bool) {
 	for _, attempt := range req.attempts {
 		if attempt.server == server {
--- a/internal/aggregator/policy/configure.go
+++ b/internal/aggregator/policy/configure.go
@@ -1,8 +1,8 @@
 package policy
 
-// The settings, as Port takes them before the first round. Nothing is decided here.
+// This file stores the settings, which are passed before the first round; it makes no decisions.
 
-// QueryType implements Port; it adds the next type.
+// QueryType adds the next query type. Until its shares are set, only a complete answer counts.
 func (p *Policy) QueryType(latencyTarget, value, lateValue float64, effect Effect, tokenWindow float64) {
 	p.queryTypes = append(p.queryTypes, &queryType{
 		latencyTarget: latencyTarget,
@@ -20,61 +20,63 @@
 	}
 }
 
-// Shares implements Port; it sets which share of its weight a search of the type needs, and what
-// less is worth.
-func (p *Policy) Shares(kind int, need, floor, partialValue float64, followUp int) {
+// Shares sets which shares of a search's weight a complete answer and any answer of the query type
+// need, what a partial answer is worth, and the number of follow-up shard requests.
+func (p *Policy) Shares(kind int, completeShare, minimumShare, partialValue float64, followUpRequests int) {
 	qt := p.queryTypes[kind]
-	qt.completeShare, qt.minimumShare, qt.partialValue, qt.followUpRequests = need, min(floor, need), partialValue, followUp
+	qt.completeShare, qt.minimumShare, qt.partialValue, qt.followUpRequests =
+		completeShare, min(minimumShare, completeShare), partialValue, followUpRequests
 }
 
-// Customer implements Port; it adds the next customer, by its quota a second.
+// Customer adds the next customer with its quota in searches per second.
 func (p *Policy) Customer(quota, overQuotaWeight float64) {
 	p.customers = append(p.customers, &customer{
 		quota: quota, overQuotaWeight: overQuotaWeight, weight: 1, arrivals: newCounts(quotaSpan)})
 }
 
-// Fleet implements Port; it sets how shards are placed on servers and what a batch costs. Whether servers keep warm keys is
-// not used: nothing is decided by a key.
+// Fleet sets how shards are placed on servers and what a batch costs. Whether servers keep keys
+// warm is ignored, as no decision depends on a key.
 func (p *Policy) Fleet(positions, replicas, maxBatch int, batchWork float64, _ bool) {
 	p.fleet = fleetShape{max(positions, 1), max(replicas, 1), max(maxBatch, 1), batchWork}
 }
 
-// Limits implements Port; it sets how many attempts a shard request may have and how much may be
-// pending.
+// Limits sets the limits on attempts and on pending work, and whether attempts may be cancelled and
+// hedged.
 func (p *Policy) Limits(maxAttempts, maxPending int, mayCancel, mayHedge bool) {
 	p.limits = limits{maxAttempts: maxAttempts, maxPending: maxPending, mayCancel: mayCancel, mayHedge: mayHedge}
 }
 
-// MaxRetryAfter implements Port; it sets the longest time, in ms, after which a client is asked to
-// come back.
+// MaxRetryAfter sets the longest retry-after time in milliseconds.
 func (p *Policy) MaxRetryAfter(longest float64) { p.maxRetryAfter = longest }
 
-// WarmUp implements Port; it sets what a server can take that has just started.
+// WarmUp limits the load on a server that has just started; durations are in milliseconds.
 func (p *Policy) WarmUp(initialShare, duration, multiple, window float64) {
 	p.warmUp = warmUpLimit{
 		initialShare: initialShare, duration: duration, multiple: multiple, window: max(window, 1),
 		warmWork: newCounts(rateSpan)}
 }
 
-// Budget implements Port; it sets how many retries there may be for the requests in a window.
+// Budget limits the retries and hedges in a window by the searches and shard requests in it.
 func (p *Policy) Budget(allowance, ratio, window float64) {
 	window = max(window, 1)
 	p.budget = retryBudget{allowance, ratio, window, newCounts(window), newCounts(window)}
 }
 
-// Reports implements Port; it sets which load reports come, and their fields.
+// Reports sets whether answers carry load reports, and the fields of a load report.
 func (p *Policy) Reports(onAnswers bool, fields []Field) {
 	p.reports.onAnswers, p.reports.fields = onAnswers, fields
 }
 
-// Probes implements Port; health checks of servers are allowed from now on.
+// Probes allows health checks.
 func (p *Policy) Probes() { p.reports.mayProbe = true }
 
-// Discovery implements Port; where ask is set, the list has to be subscribed to.
-func (p *Policy) Discovery(ask bool) { p.discovery = discovery{enabled: ask, due: ask} }
+// Discovery sets whether the server list must be subscribed to; if so, the first round does it.
+func (p *Policy) Discovery(subscribe bool) {
+	p.discovery = discovery{enabled: subscribe, due: subscribe}
+}
 
-// Priority implements Port. It stands for the operator's own order of refusals: types count with
-// it, not with their values.
+// Priority replaces the value of a query type by the operator's priority, so that refusals follow
+// the operator's order.
 func (p *Policy) Priority(kind int, priority float64) {
 	p.queryTypes[kind].value, p.maxValue = priority, 0
 	for _, qt := range p.queryTypes {
@@ -82,12 +84,12 @@
 	}
 }
 
-// CustomerWeight implements Port; it sets the share of a type's value with which a customer's
-// searches count.
+// CustomerWeight sets the factor on the value of a customer's searches.
 func (p *Policy) CustomerWeight(customer int, weight float64) { p.customers[customer].weight = weight }
 
-// RetryWeight implements Port; it sets the share with which a search counts whose client retries.
+// RetryWeight sets the factor on the value of a search that the client marked as a retry.
 func (p *Policy) RetryWeight(weight float64) { p.retryWeight = weight }
 
-// CapacityFloor implements Port; it holds from the next search on.
+// CapacityFloor sets the lowest value that servers have capacity for. It applies from the next
+// search on.
 func (p *Policy) CapacityFloor(value, excess float64) { p.capacityFloor = capacityFloor{value, excess} }
--- a/internal/aggregator/policy/connections.go
+++ b/internal/aggregator/policy/connections.go
@@ -3,28 +3,28 @@
 import "kestrelspread/internal/window"
 
 const (
-	minIdle          = 1000.  // ms since a server's last answer: shorter, a connection to it is in use
-	idleSpan         = 20000. // ms over which losses are counted
-	minIdleLost      = 3      // attempts lost on idle connections before a share of them counts
-	maxIdleLostShare = 0.2    // of what was sent on them
+	minIdle          = 1000.  // ms since a server's last answer from which on the connection to it counts as idle
+	idleSpan         = 20000. // ms over which attempts are counted
+	minIdleLost      = 3      // attempts lost on idle connections from which on their share is considered
+	maxIdleLostShare = 0.2    // of the attempts on idle connections; if more are lost, idle connections are faulty
 )
 
-// Indices of connectionHealth's counts.
+// Indices of the counts in connectionHealth.
 const (
 	inUse = iota
 	idle
 	connectionUses
 )
 
-// connectionHealth counts what was lost and what was answered on connections that are in use and on
-// idle ones.
+// connectionHealth counts attempts that were lost and that were answered, on connections in use and
+// on idle ones.
 type connectionHealth struct {
 	lost, answered [connectionUses]*window.Counts
-	idleWereFaulty bool // idle ones were found faulty when last looked at
+	idleWereFaulty bool // result of the last check
 }
 
-// idleConnectionsFaulty tells whether idle connections are dropped unseen on the way: attempts over them are
-// lost, and more than twice as often as over those in use.
+// idleConnectionsFaulty reports whether idle connections are dropped on the way without notice:
+// attempts on them get lost, and more than twice as often as on connections in use.
 func (c *connectionHealth) idleConnectionsFaulty(now float64) bool {
 	lost, answered := c.lost[idle].Sum(now, idleSpan), c.answered[idle].Sum(now, idleSpan)
 	lostInUse, answeredInUse := c.lost[inUse].Sum(now, idleSpan), c.answered[inUse].Sum(now, idleSpan)
@@ -32,8 +32,8 @@
 		lost*(lostInUse+answeredInUse+1) > 2*lostInUse*(lost+answered)
 }
 
-// record counts an attempt's end, apart for idle connections: servers that hang or reject lose both
-// alike.
+// record counts the end of an attempt. Idle connections are counted separately: at a server that
+// hangs or rejects, attempts get lost on all connections alike.
 func (c *connectionHealth) record(now float64, attempt *attemptState, lost bool) {
 	use, counts := inUse, &c.answered
 	if attempt.onIdleConnection && !attempt.freshConnection {
@@ -45,8 +45,9 @@
 	counts[use].Add(now, 1)
 }
 
-// recordConnection learns from an attempt's end. A new connection that fails speaks against the age
-// of idle ones.
+// recordConnection counts the end of an attempt at its connection. A failure to open a new
+// connection counts as a loss on a connection in use, as it shows that the age of idle connections
+// is not to blame.
 func (p *Policy) recordConnection(attempt *attemptState, how Outcome) {
 	if how != Answered && how != Reset && how != ConnectFailed {
 		return
@@ -55,8 +56,9 @@
 	p.connections.record(p.now, attempt, how != Answered)
 }
 
-// prepareConnection closes the idle connections to the attempt's server where they may have been
-// dropped unseen. Trials take a new one too, unless new ones failed there.
+// prepareConnection closes the idle connections to the attempt's server if they may have been
+// dropped without notice. A trial gets a new connection too, unless opening one has failed at that
+// server.
 func (p *Policy) prepareConnection(attempt *attemptState) {
 	server := p.servers[attempt.server]
 	attempt.onIdleConnection = len(server.waiting) == 0 && server.answeredAt > 0 && p.now-server.answeredAt >= minIdle
--- a/internal/aggregator/policy/deadlines.go
+++ b/internal/aggregator/policy/deadlines.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	answerMargin            = 25.0 // ms before the client's deadline by which a final answer goes out
-	retryAfterShare         = 0.25 // of the latency target: advice to a client that was shed
-	retryAfterOutageDivisor = 1.5  // of the longest advice, so that its random spread stays under it
-	attemptTimeoutShare     = 0.5  // of the latency target: limit of an attempt that nothing else could end
+	answerMargin            = 25.0 // ms; a final answer is sent at least this long before the client's deadline
+	retryAfterShare         = 0.25 // of the latency target: mean retry-after time of a client whose search is shed
+	retryAfterOutageDivisor = 1.5  // of the longest retry-after time: keeps the random spread in an outage below it
+	attemptTimeoutShare     = 0.5  // of the latency target: timeout of an attempt that nothing else could end
 )
 
-// ShortenDeadline implements Port; it only ever moves the deadline forward.
+// ShortenDeadline moves a search's deadline forward, never back.
 func (p *Policy) ShortenDeadline(id int, deadline float64) {
 	if search := getAt(p.searches, id); search != nil && !search.finished {
 		search.deadline = min(search.deadline, deadline)
 	}
 }
 
-// ClientGone implements Port; the search ends without an answer.
+// ClientGone ends a search without an answer.
 func (p *Policy) ClientGone(id int) {
 	if search := getAt(p.searches, id); search != nil && !search.finished {
 		p.closeSearch(search)
@@ -24,9 +24,9 @@
 	}
 }
 
-// beginLimit is how long an attempt may wait on its way before it must not run any more; 0: no
-// limit. The first attempt of a tokened shard request has one too: delayed, it could arrive when
-// the next one's window is over.
+// beginLimit returns the time within which an attempt must begin to run, or not run at all; 0 means
+// no limit. Where servers drop repetitions by a token, even the first attempt has a limit: if it
+// were delayed, it could arrive after the token of the next attempt has expired.
 func (p *Policy) beginLimit(req *shardRequest) float64 {
 	if req.search.queryType.effect != Tokened {
 		return 0
@@ -38,8 +38,9 @@
 	return limit
 }
 
-// attemptLimit is an attempt's own time limit; 0: until the client gives up. It is set where
-// nothing else could take the shard request off an unresponsive server.
+// attemptLimit returns the timeout of an attempt; 0 means that it may last until the client gives
+// up. A timeout is set only where attempts can be neither cancelled nor hedged, as nothing else
+// could then move the shard request off an unresponsive server.
 func (p *Policy) attemptLimit(search *searchState) float64 {
 	if p.limits.mayCancel || p.limits.mayHedge {
 		return 0
@@ -47,9 +48,10 @@
 	return min(search.deadline-p.now, attemptTimeoutShare*search.queryType.latencyTarget)
 }
 
-// retryAfter is when a client that was shed may come again: at random, or those who were shed
-// together would come together. While a zone is lost it is spread over the outage, which is taken
-// to last as long again, and never all at the longest advice: that would be one burst for all.
+// retryAfter returns when a client whose search is shed may retry. It is random, as clients that
+// were shed together would otherwise retry together. While a zone is lost the times are spread over
+// the expected remaining outage, assumed to be as long as it has lasted so far. They are never all
+// cut to the longest retry-after time, as this too would have all clients retry at once.
 func (p *Policy) retryAfter(qt *queryType) float64 {
 	if qt == nil {
 		return 0
@@ -61,19 +63,19 @@
 	return min(p.maxRetryAfter, spread*(0.5+p.random.next()))
 }
 
-// RetryAfter implements Port: the advice that a search gets which is shed here, for those that the
-// limit on pending work sheds before they come here.
+// RetryAfter returns the retry-after time of a search that is shed now, for searches that the
+// caller refuses by the limit on pending work before they reach the policy.
 func (p *Policy) RetryAfter(kind int) float64 { return p.retryAfter(getAt(p.queryTypes, kind)) }
 
-// Pushback implements Port; the latest wish of a server holds, and one that says never is not
-// overruled.
-func (p *Policy) Pushback(id int, wait float64) {
+// Pushback delays further attempts of a shard request. Of several delays the latest time applies,
+// and a negative delay, which rules further attempts out, is not overridden.
+func (p *Policy) Pushback(id int, delay float64) {
 	req := getAt(p.requests, id)
 	if req == nil {
 		return
 	}
-	req.notBefore = max(req.notBefore, p.now+wait)
-	if wait < 0 {
+	req.notBefore = max(req.notBefore, p.now+delay)
+	if delay < 0 {
 		req.notBefore = math.Inf(1)
 	}
 }
--- a/internal/aggregator/policy/doc.go
+++ b/internal/aggregator/policy/doc.go
@@ -1,26 +1,42 @@
-// Package policy takes all decisions of the aggregator, the program that scatters a search over shard
-// servers and gathers their answers: which search is admitted, which server gets each shard request,
-// when one is hedged or retried, when the search is answered, shed or failed.
+// Package policy makes all decisions of an aggregator, the program that sends a search to the servers
+// of its shards and merges their answers. It decides which searches are admitted, which server gets
+// each shard request, when a shard request is hedged or retried, and when a search is answered, shed or
+// failed.
 //
-// A caller drives it through Port: New, the settings, then in each round Begin, the events, End. What is
-// decided goes to Out. The package does no I/O, knows no clock (times are milliseconds that the caller
-// gives) and starts no goroutine; the same seed and the same events give the same decisions.
+// Terms:
+//   - search: a client's query; it consists of shard requests, one for each shard that it asks
+//   - attempt: one sending of a shard request to one server; a retry or a hedge is a further attempt
+//   - replica: a server that holds a shard
+//   - ejected server: one that gets no attempts but occasional trials, each of which is one attempt
+//   - probe: a health check, which is no attempt
+//   - query type: a kind of search, with its latency target and its value
 //
-// The ordinary path is LinnOS's, as docs/design.md tells: predict slow replicas, skip them, send to the one
-// with the fewest own batches in flight, hedge a shard request past the pX latency. Beside it stand at most
-// six mechanisms:
+// The caller uses policy.Port: after New it passes the settings; then, in rounds, it reports events and
+// ends the round, at which point the policy decides. Decisions are passed to policy.Out. The package
+// does no I/O, reads no clock (times are milliseconds passed by the caller) and starts no goroutine. The
+// same seed and the same events produce the same decisions.
+//
+// Normal operation follows LinnOS (see docs/design.md): the policy predicts which replicas are slow and
+// skips them, sends to the replica with the fewest batches of this aggregator in flight, and hedges a
+// shard request that takes longer than a latency percentile, called pX. At most six mechanisms are added
+// to it:
 //  1. outlier ejection (outliers.go, probing.go, zones.go): a server that is unresponsive, unreachable or
-//     quick to fail gets no shard requests but a metered trial, and a health check before it where allowed
-//  2. retries (retry.go, candidates.go): further attempts after failures and off unresponsive servers,
-//     within every stated limit
-//  3. slow start (warmup.go): this aggregator's share of what a server that came back can take
-//  4. admission (admission.go): a search that cannot be answered by its latency target is shed, the least
-//     valued first
-//  5. partial answers (answer.go) at the latency target where a query type allows them, and giving up in time
-//  6. fresh connections (connections.go): where what goes over idle ones is lost, they are closed before
-//     the next send
+//     fails quickly gets nothing but rate-limited trials, preceded by a health check where these are
+//     allowed
+//  2. retries (retry.go, candidates.go): further attempts after failures, and in place of attempts at
+//     unresponsive servers, within all limits of the settings
+//  3. slow start (warmup.go): limits this aggregator's share of the load on a server that has come back
+//  4. admission (admission.go): sheds searches that cannot be answered within their latency target, the
+//     least valuable first
+//  5. partial answers (answer.go) at the latency target, where the query type allows them; a search that
+//     cannot succeed is given up before its client's deadline
+//  6. fresh connections (connections.go): where attempts over idle connections get lost, these are closed
+//     before the next send
 //
-// Invariants: a search gets one final answer, before its client's deadline; a shard request whose effect
-// may not happen twice is sent again only when no attempt can have run; nothing new goes to a server that
-// is draining or gone; attempts stay within the stated limits and budget.
+// Invariants:
+//   - A search gets exactly one final answer, before its client's deadline.
+//   - A shard request whose effect must not happen twice is sent again only if no earlier attempt can
+//     have run.
+//   - Nothing new is sent to a server that is draining or gone.
+//   - Attempts stay within the limits and the retry budget of the settings.
 package policy
--- a/internal/aggregator/policy/hedging.go
+++ b/internal/aggregator/policy/hedging.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	minSamples             = predict.MinSamples // answers of a query type before its pX means something
+	minSamples             = predict.MinSamples // answers from which on a latency quantile is meaningful
 	maxHedgeShare          = 0.10               // of a search's shard requests
-	hedgeRoundingTolerance = 1e-9               // a tenth of ten is one, not two
+	hedgeRoundingTolerance = 1e-9               // a tenth of ten is one, not rounded up to two
 )
 
-// hedgeDue is the design's: a second attempt once the first is in flight for longer than the pX of
-// its query type, as far as a search's share of hedges goes and the fleet is not overloaded as a
-// whole.
+// hedgeDue reports whether a shard request gets a hedge: its attempt has been in flight for longer
+// than the latency percentile pX of its query type, as in LinnOS, its search has hedges left, and
+// the fleet as a whole is not overloaded.
 func (p *Policy) hedgeDue(req *shardRequest, last *attemptState) bool {
 	search, qt := req.search, req.search.queryType
 	if req.hedged || req.clientSending || !p.limits.mayHedge || qt.effect != Idempotent {
 		return false
 	}
-	limit, n := qt.latencies.Quantile(p.now, p.predictor.submitStats.HedgeQuantile(p.now))
+	hedgeDelay, samples := qt.latencies.Quantile(p.now, p.predictor.submitStats.HedgeQuantile(p.now))
 	maxHedges := math.Ceil(maxHedgeShare*float64(search.expectedRequests) - hedgeRoundingTolerance)
-	return n >= minSamples && !(p.now-last.startedAt-last.extraWork < limit) &&
+	return samples >= minSamples && !(p.now-last.startedAt-last.extraWork < hedgeDelay) &&
 		float64(search.hedges) < maxHedges && !p.predictor.overloaded()
 }
--- a/internal/aggregator/policy/inflight.go
+++ b/internal/aggregator/policy/inflight.go
@@ -1,11 +1,12 @@
 package policy
 
-// batch is what one round sends to one server: its shard requests count as one in flight. Parked
-// are those that wait for their client, or answer already: they stand in nobody's way at the
-// server.
+// batch is what is sent to one server in one round; its shard requests count as one in flight.
+// Those of its attempts that wait for their client, or whose answer is being passed on to it, are
+// client-bound: they take up no capacity of the server. Fields count attempts.
 type batch struct{ size, inFlight, clientBound int }
 
-// addToBatch puts an attempt in the batch that is open at its server in this round, or in a new one.
+// addToBatch adds an attempt to the batch that is open at its server in this round, or to a new
+// one.
 func (p *Policy) addToBatch(attempt *attemptState) {
 	server := p.servers[attempt.server]
 	if !p.joinsBatch(server) {
@@ -18,7 +19,8 @@
 	p.adjustBatch(server, attempt.batch, 1, attempt.clientBound())
 }
 
-// adjustBatch keeps what is in flight at a server, in all and parked.
+// adjustBatch adds to the numbers of attempts in flight and of client-bound ones in a batch, and
+// updates the number of batches that are client-bound as a whole.
 func (p *Policy) adjustBatch(server *serverState, b *batch, inFlight, parked int) {
 	if b.inFlight > 0 && b.inFlight == b.clientBound {
 		server.clientBoundBatches--
@@ -31,7 +33,8 @@
 	}
 }
 
-// clientBound is 1 for an attempt that waits for its client or answers already.
+// clientBound returns 1 for an attempt that waits for its client or whose answer is being passed on
+// to it, else 0.
 func (attempt *attemptState) clientBound() int {
 	if attempt.clientSending || attempt.answering {
 		return 1
@@ -39,8 +42,8 @@
 	return 0
 }
 
-// endAttempt frees what an attempt held.
-func (p *Policy) endAttempt(attempt *attemptState, how Outcome) {
+// endAttempt removes an attempt from all counts of what is in flight.
+func (p *Policy) endAttempt(attempt *attemptState, outcome Outcome) {
 	server := p.servers[attempt.server]
 	attempt.inFlight, attempt.request.lastEndedAt = false, p.now
 	attempt.request.search.inFlight--
@@ -50,10 +53,10 @@
 		p.batches--
 	}
 	server.stopWaiting(attempt)
-	attempt.neverRan = how.NeverRan() && !attempt.answering
+	attempt.neverRan = outcome.NeverRan() && !attempt.answering
 }
 
-// stopWaiting takes an attempt off those that the server owes an answer.
+// stopWaiting removes an attempt from those that the server has yet to answer.
 func (server *serverState) stopWaiting(attempt *attemptState) {
 	for i, waiting := range server.waiting {
 		if waiting == attempt {
@@ -63,8 +66,9 @@
 	}
 }
 
-// ClientSending implements Port. It starts the clock of what is in flight once the client has sent
-// all: a server that waits for its client is not slow.
+// ClientSending sets whether the client is still sending the body of a shard request. When it has
+// sent all, the time of the attempts in flight starts to count: a server that waits for the client
+// is not slow.
 func (p *Policy) ClientSending(id int, sending bool) {
 	req := getAt(p.requests, id)
 	if req == nil || req.clientSending == sending {
@@ -81,8 +85,9 @@
 	}
 }
 
-// Committed implements Port. It learns from an attempt as from an answer, now: how long the client
-// goes on reading tells nothing of the server, and a stream that lasts must not read as
+// Committed commits a shard request to one attempt and cancels the others. If answering is set, the
+// attempt is recorded as an answer now and not at its end: how long the client takes to read the
+// answer says nothing about the server, and a long stream must not make the server look
 // unresponsive. The attempt stays in flight.
 func (p *Policy) Committed(id, number int, answering bool) bool {
 	attempt := p.attemptInFlight(id, number)
@@ -106,8 +111,8 @@
 	return true
 }
 
-// Done implements Port; an outcome goes through the stages in reverse order.
-func (p *Policy) Done(id, number int, how Outcome, report []float64) {
+// Done ends an attempt and passes its outcome through the stages in reverse order.
+func (p *Policy) Done(id, number int, outcome Outcome, report []float64) {
 	attempt := p.attemptInFlight(id, number)
 	if attempt == nil {
 		return
@@ -115,13 +120,13 @@
 	p.recordReport(p.servers[attempt.server], report)
 	for i := len(p.stages) - 1; i >= 0; i-- {
 		if observe := p.stages[i].observe; observe != nil {
-			observe(attempt, how)
+			observe(attempt, outcome)
 		}
 	}
 	p.releaseSearch(attempt.request.search)
 }
 
-// attemptInFlight finds an attempt by its shard request and number; nil where it is not in flight.
+// attemptInFlight returns an attempt by its shard request and number; nil if it is not in flight.
 func (p *Policy) attemptInFlight(id, number int) *attemptState {
 	req := getAt(p.requests, id)
 	if req == nil || number >= len(req.attempts) || !req.attempts[number].inFlight {
--- a/internal/aggregator/policy/load.go
+++ b/internal/aggregator/policy/load.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-const reportFadeSpan = 3000.0 // past its expiry, a load report fades over so many ms
+const reportFadeSpan = 3000.0 // ms over which an outdated load report fades
 
-// loadReports tells where load reports come from.
+// loadReports says how load reports are obtained, and which fields they have.
 type loadReports struct {
 	onAnswers, mayProbe bool
 	fields              []Field
 }
 
-func (r *loadReports) onAnswersAvailable() bool { return len(r.fields) > 0 && r.onAnswers }
+func (r *loadReports) comeWithAnswers() bool { return len(r.fields) > 0 && r.onAnswers }
 
-// recordReport keeps the count that a server reports, of requests in flight before one of its queue.
+// recordReport keeps the number of requests that a server reports: those in flight if it reports
+// them, else those in its queue.
 func (p *Policy) recordReport(server *serverState, values []float64) {
 	best := Other
 	for i, value := range values[:min(len(values), len(p.reports.fields))] {
@@ -29,7 +30,7 @@
 	}
 }
 
-// dropReport takes a server's last report out of the average.
+// dropReport removes a server's last report from the average of the fleet.
 func (p *Policy) dropReport(server *serverState) {
 	if math.IsInf(server.loadReportedAt, -1) {
 		return
@@ -39,11 +40,12 @@
 	server.load, server.loadReportedAt = 0, math.Inf(-1)
 }
 
-// estimatedLoad is the last reported count with what this aggregator changed since; its own batches
-// where no report comes with answers, as a health check for one tells of a queue that has passed,
-// and costs; the average for a server that has not reported.
+// estimatedLoad returns the load that a server last reported, adjusted by the change of what this
+// aggregator has in flight there since. For a server that has not reported it is the fleet's
+// average. Where answers carry no reports it is the number of this aggregator's batches in flight:
+// a health check just for a report would be a cost, and would tell of a queue that has passed.
 func (p *Policy) estimatedLoad(server *serverState) float64 {
-	if !p.reports.onAnswersAvailable() {
+	if !p.reports.comeWithAnswers() {
 		return float64(server.batches)
 	}
 	if math.IsInf(server.loadReportedAt, -1) {
@@ -54,8 +56,9 @@
 	return max(weight*reported+(1-weight)*p.predictor.avgLoad, 0)
 }
 
-// freshness fades a server's last report to the average: a queue that was long is not long for
-// ever, and a server that is skipped for it does not report again.
+// freshness returns the weight of a server's last report against the fleet's average, falling from
+// 1 to 0. Without it a server that once reported a long queue would be skipped for it, and so would
+// never report again.
 func (p *Policy) freshness(reportedAt float64) float64 {
 	return min(max(1-(p.now-reportedAt-historyExpiry)/reportFadeSpan, 0), 1)
 }
--- a/internal/aggregator/policy/outliers.go
+++ b/internal/aggregator/policy/outliers.go
@@ -1,21 +1,21 @@
 package policy
 
 const (
-	timeoutSlowThresholds    = 2.0   // fleet lines without an answer, with attempts in flight, after which a server is unresponsive
-	timeoutMinSlowThresholds = 1.6   // and never fewer, however short the latency target
-	timeoutOwnLatencies      = 1.5   // nor fewer than so many times its own recent latency
-	timeoutTargetShare       = 0.5   // of the shortest latency target
-	minErrors                = 2.0   // errors in the span before a share of them counts
-	minErrorsInfrequent      = 1.0   // where this aggregator comes by less than once in the span
-	maxErrorShare            = 0.3   // a server that fails more is ejected
-	errorSpan                = 4000. // ms
-	answersToReadmit         = 2     // in a row, of a server that was ejected for errors
-	restartReportDelay       = 4000. // ms within which the list tells of a restart
-	restartLikelyAfter       = 5000. // ms; unresponsive for longer, a server may have restarted unannounced
+	timeoutSlowThresholds    = 2.0   // times the fleet's slow threshold without an answer: the server is unresponsive
+	timeoutMinSlowThresholds = 1.6   // lower bound of that multiple, however short the latency target
+	timeoutOwnLatencies      = 1.5   // times the server's own recent latency, a further lower bound
+	timeoutTargetShare       = 0.5   // of the shortest latency target, an upper bound
+	minErrors                = 2.0   // errors within errorSpan from which on their share is considered
+	minErrorsInfrequent      = 1.0   // the same where this aggregator sends to a server less than once in errorSpan
+	maxErrorShare            = 0.3   // a server whose share of errors exceeds this is ejected
+	errorSpan                = 4000. // ms over which errors and answers are counted
+	answersToReadmit         = 2     // answers in a row that readmit a server ejected for errors
+	restartReportDelay       = 4000. // ms within which the server list reports a restart
+	restartLikelyAfter       = 5000. // ms; a server that was unresponsive for longer may have restarted unreported
 )
 
-// observeHealth judges a server by its outcomes, never by the list alone: a list is late, and tells
-// only of processes.
+// observeHealth judges the health of a server by the outcome of an attempt. The server list alone
+// would not do: it is late, and tells only whether the process runs.
 func (p *Policy) observeHealth(attempt *attemptState, how Outcome) {
 	server := p.servers[attempt.server]
 	p.endTrial(server, attempt, how)
@@ -29,13 +29,13 @@
 		p.observeRejection(server, attempt.request)
 	case ConnectFailed:
 		server.successStreak = 0
-		p.eject(attempt.server, true, "unreachable")
+		p.eject(attempt.server, true, "connection failed")
 		server.connectFailed = true
 	}
 }
 
-// observeAnswer takes an ejected server back. An answer that was judged when it began counts for
-// its time alone.
+// observeAnswer records an answer and readmits an ejected server. Where the attempt was recorded
+// when its answer began, only the time of the answer is updated.
 func (p *Policy) observeAnswer(server *serverState, attempt *attemptState) {
 	server.answeredAt = p.now
 	if attempt.answering {
@@ -53,18 +53,20 @@
 	p.log("server %d back after %.0f ms", attempt.server, p.now-server.ejectedAt)
 }
 
-// restartLikely: the server may have restarted and no list has told yet. An answer to what was sent
-// before its ejection disproves that; without a list's word in time it was a hang or an overload,
-// and the guard lets go.
+// restartLikely reports whether the server may have restarted without the server list having
+// reported it yet. An answer to an attempt that was sent before the ejection disproves that. If the
+// list does not report a restart within restartReportDelay, the server had only hung or been
+// overloaded, and the warm-up limit is lifted.
 func (p *Policy) restartLikely(server *serverState, attempt *attemptState) bool {
 	return attempt.startedAt > server.ejectedAt &&
 		(server.connectFailed || server.unresponsive && p.now-server.ejectedAt > restartLikelyAfter) &&
 		p.now >= server.warmUpUntil
 }
 
-// observeError ejects a server for its share of errors. Attempts that share a connection break
-// together: one event, and no proof that the server is gone. Where this aggregator comes by seldom,
-// two errors seldom fall into one span, and one costs a search an attempt.
+// observeError ejects a server whose share of errors is too high. Attempts that share a connection
+// fail together when it breaks; that counts as one error, and does not prove that the server is
+// gone. Where this aggregator sends to a server rarely, one error suffices for an ejection: two
+// errors rarely fall into one span, and each costs a search an attempt.
 func (p *Policy) observeError(server *serverState, id int, how Outcome) {
 	server.successStreak = 0
 	if how != Reset || server.resetAt != p.now {
@@ -79,14 +81,16 @@
 	}
 	errors := server.errors.Sum(p.now, errorSpan)
 	if errors >= enough && errors > maxErrorShare*(errors+server.successes.Sum(p.now, errorSpan)) {
-		p.eject(id, false, "errors")
+		p.eject(id, false, "too many errors")
 	}
 }
 
-// observeRejection: a rejection is quick, and frees this aggregator's place there at once; without
-// a pause, the choice of the fewest in flight would send everything to whoever rejects it. It
-// counts as a late answer: the queue is so long that no more fits. Where a whole set of replicas is
-// full, a third attempt only takes the place of another shard request.
+// observeRejection pauses sending to a server that rejected an attempt. A rejection is fast and
+// immediately reduces what is in flight at the server, so that without a pause the choice of the
+// fewest batches in flight would send everything there. The rejection counts as an answer at the
+// latency target, as the queue is too long to take more. A shard request that was rejected
+// maxRejections times is abandoned: where all replicas are full, another attempt only takes the
+// slot of another shard request.
 func (p *Policy) observeRejection(server *serverState, req *shardRequest) {
 	server.rejectsUntil = p.now + rejectionBackoff
 	p.predictor.recentLatencies.Add(p.now, req.search.queryType.latencyTarget)
@@ -96,9 +100,9 @@
 	}
 }
 
-// eject keeps a server from getting anything but trials. One that was ejected as unresponsive stays
-// so.
-func (p *Policy) eject(id int, unresponsive bool, why string) {
+// eject stops sending anything but trials to a server. A server that is already ejected as
+// unresponsive stays so.
+func (p *Policy) eject(id int, unresponsive bool, reason string) {
 	server := p.servers[id]
 	if server.ejected && (server.unresponsive || !unresponsive) {
 		return
@@ -106,28 +110,31 @@
 	server.ejected, server.unresponsive, server.probePassed = true, unresponsive, false
 	server.ejectedAt, server.successStreak = p.now, 0
 	server.trialBackoff = p.firstTrialDelay
-	if !p.connections.idleConnectionsFaulty(p.now) { // there a fresh connection may do at once
+	// Where idle connections are faulty, a fresh one may work at once, so the trial need not wait.
+	if !p.connections.idleConnectionsFaulty(p.now) {
 		server.trialBackoff = max(p.firstTrialDelay, p.meanSendInterval())
 	}
 	server.trialAt = p.now + server.trialBackoff
 	p.watchServer(id)
-	p.log("server %d aside: %s", id, why)
+	p.log("server %d aside: %s", id, reason)
 }
 
-// checkServers looks at what has not come: attempts older than the line are evidence of slowness,
-// and a server with attempts in flight that answers nothing is unresponsive, hung or lost alike.
+// checkServers examines the watched servers at the end of a round. Attempts in flight for longer
+// than the slow threshold train the predictor as slow, and a server with attempts in flight that
+// answers nothing is ejected as unresponsive, whether it hangs or is gone.
 func (p *Policy) checkServers() {
 	p.measureFleet()
 	timeout := p.serverTimeout()
 	faulty := p.connections.idleConnectionsFaulty(p.now)
-	found := faulty && !p.connections.idleWereFaulty // then those ejected for it need not wait
+	// Servers that were ejected because of faulty idle connections need not wait for their trial.
+	newlyFaulty := faulty && !p.connections.idleWereFaulty
 	p.connections.idleWereFaulty = faulty
 	kept := p.watched[:0]
 	for _, id := range p.watched {
 		server := p.servers[id]
 		p.trainOnOverdueAttempts(server)
 		p.checkServer(id, timeout)
-		if found && server.ejected && server.unresponsive {
+		if newlyFaulty && server.ejected && server.unresponsive {
 			server.trialAt, server.trialBackoff = min(server.trialAt, p.now), p.firstTrialDelay
 		}
 		p.probeIfDue(id)
@@ -140,21 +147,22 @@
 	p.measureWarmServers()
 }
 
-// serverTimeout is how long a server with attempts in flight may go without an answer; it sets when
-// the first trial of a server comes that is ejected now.
+// serverTimeout returns how long a server with attempts in flight may go without an answer. It also
+// sets the delay of the first trial of servers that are ejected from now on.
 func (p *Policy) serverTimeout() float64 {
-	line := p.predictor.fleetSlowThreshold
+	threshold := p.predictor.fleetSlowThreshold
 	if p.predictor.samples < minSamples {
 		p.firstTrialDelay = maxFirstTrialDelay
 		return timeoutTargetShare * p.shortestTarget
 	}
-	p.firstTrialDelay = min(maxFirstTrialDelay, firstTrialSlowThresholds*line)
-	return max(timeoutMinSlowThresholds*line, min(timeoutSlowThresholds*line, timeoutTargetShare*p.shortestTarget))
+	p.firstTrialDelay = min(maxFirstTrialDelay, firstTrialSlowThresholds*threshold)
+	return max(timeoutMinSlowThresholds*threshold,
+		min(timeoutSlowThresholds*threshold, timeoutTargetShare*p.shortestTarget))
 }
 
-// checkServer ends a trial that takes too long and ejects a server that is unresponsive. Slow in
-// answering is not unresponsive, and the time for which this aggregator itself stood still doesn't
-// count.
+// checkServer ends a trial that takes too long, and ejects a server that is unresponsive. A server
+// that answers slowly is not unresponsive, and time during which this aggregator itself stalled
+// does not count.
 func (p *Policy) checkServer(id int, timeout float64) {
 	server := p.servers[id]
 	if len(server.waiting) > 0 && p.now-server.answeredAt < reportFadeSpan {
@@ -170,6 +178,6 @@
 	}
 	if p.now-max(server.answeredAt, server.waiting[0].startedAt, p.stallEndedAt) > timeout {
 		p.connections.record(p.now, server.waiting[0], true)
-		p.eject(id, true, "silent")
+		p.eject(id, true, "no answer in time")
 	}
 }
--- a/internal/aggregator/policy/placement.go
+++ b/internal/aggregator/policy/placement.go
@@ -1,26 +1,29 @@
 package policy
 
-// Weights between servers that are equal by the design, in average loads: a choice that saves work
-// is worth less than one that saves a wait.
+// Terms of the tie-break among servers with equally many batches in flight; the lowest sum wins.
+// Load counts in multiples of the average load, so a choice that saves work counts less than one
+// that avoids waiting.
 const (
-	openBatchBonus     = 1.1 // a batch that is open anyway: more than its own load and chance make of it
-	latencyPenalty     = 2.0 // its recent latency, in medians
-	otherZonePenalty   = 2.2 // against a server of another zone
-	trialBonus         = 10. // for a trial that is due
-	randomPenalty      = 0.1
-	clientBoundPenalty = 1.0 // batches that wait for their client or are being read: an average server's worth
+	openBatchBonus     = 1.1 // for joining a batch that is open anyway; outweighs the batch's own load and the random term
+	latencyPenalty     = 2.0 // for each fleet median of the server's recent latency
+	otherZonePenalty   = 2.2 // for a server in another zone
+	trialBonus         = 10. // for an ejected server whose trial is due
+	randomPenalty      = 0.1 // maximum of the random term
+	clientBoundPenalty = 1.0 // for as many batches that depend on their clients as a server has on average
 
-	overloadSlowMedians        = 2.0  // medians that a server takes which is slow even in an overload, as one that warms up
-	maxReplacementLatencyShare = 0.67 // a second server must be expected to take at most so much of what was waited
+	overloadSlowMedians        = 2.0  // in an overload, a server is slow if it takes this many medians, as one that warms up does
+	maxReplacementLatencyShare = 0.67 // of the time waited so far: the longest expected latency that is worth a second attempt
 )
 
-// preference of a candidate: first not slow, then fewest batches, then the lowest tie.
+// preference ranks a candidate: servers not predicted slow first, then those with the fewest
+// batches in flight, then the lowest tie-break.
 type preference struct {
 	slow     bool
-	batches  int // in flight there, this shard request's included
+	batches  int // that would be in flight there, with this shard request
 	tieBreak float64
 }
 
+// better reports whether a ranks before b.
 func (a preference) better(b preference) bool {
 	if a.slow != b.slow {
 		return b.slow
@@ -28,8 +31,9 @@
 	return a.batches < b.batches || a.batches == b.batches && a.tieBreak < b.tieBreak
 }
 
-// chooseServer is the design's: skip the predicted-slow, then the fewest own batches in flight,
-// also when all look slow.
+// chooseServer chooses among the candidates as LinnOS does: it skips servers that are predicted
+// slow and takes the one with the fewest of this aggregator's batches in flight. If all are
+// predicted slow, it takes the best of them, unless the shard request has an attempt in flight.
 func (p *Policy) chooseServer(placement *placement) stageResult {
 	best := -1
 	var bestPreference preference
@@ -47,9 +51,10 @@
 	return proceed
 }
 
-// preferenceOf draws once for each candidate. In an overload, what looks fast is who was left alone
-// for a second, and all aggregators come at once: there the prediction doesn't choose. But who
-// takes far longer than even in an overload, as one that warms up, is slow there too.
+// preferenceOf ranks a server; it draws one random number. In an overload the prediction does not
+// decide: a server that looks fast then is one that was left alone for a second, and all
+// aggregators would send to it at once. But a server that takes far longer than the others even
+// then, as one that warms up, counts as slow.
 func (p *Policy) preferenceOf(server *serverState, overloaded bool) preference {
 	slow := p.predictedSlow(p.predictor.features(p.now, server, p.estimatedLoad(server))) &&
 		!(overloaded && p.expectedLatency(server) < overloadSlowMedians*p.predictor.median)
@@ -71,19 +76,20 @@
 	return preference{slow, batches, tie}
 }
 
-// replacementPays: two attempts in slow places keep an overload up, as what a shard request gains
-// there, another loses.
+// secondAttemptPays reports whether a second attempt at the server is expected to take much less
+// time than the first has waited already. In an overload second attempts at slow servers only
+// prolong it: what one shard request gains, another loses.
 func (p *Policy) secondAttemptPays(req *shardRequest, server int) bool {
 	last := req.attempts[len(req.attempts)-1]
 	return !(p.expectedLatency(p.servers[server]) > maxReplacementLatencyShare*(p.now-last.startedAt))
 }
 
-// joinsBatch tells whether a shard request that is sent now goes in a batch of this round.
+// joinsBatch reports whether a shard request that is sent now joins a batch of this round.
 func (p *Policy) joinsBatch(server *serverState) bool {
 	return server.openBatch != nil && server.openRound == p.round && server.openBatch.size < p.fleet.maxBatch
 }
 
-// send makes the attempt at the chosen server.
+// send makes an attempt at the chosen server.
 func (p *Policy) send(placement *placement) stageResult {
 	req, search, server := placement.request, placement.search, p.servers[placement.server]
 	attempt := p.newAttempt(req, placement.server)
@@ -102,7 +108,7 @@
 	if server.ejected {
 		server.trial = attempt
 	}
-	begin := p.beginLimit(req) // before this attempt is one of those that may have run
+	beginWithin := p.beginLimit(req) // computed before this attempt counts among those that may have run
 	req.attempts = append(req.attempts, attempt)
 	if !attempt.clientSending {
 		server.waiting = append(server.waiting, attempt)
@@ -110,10 +116,11 @@
 	p.sent.Add(p.now, 1)
 	p.watchServer(placement.server)
 	search.inFlight++
-	p.out.Send(req.id, placement.server, p.attemptLimit(search), begin)
+	p.out.Send(req.id, placement.server, p.attemptLimit(search), beginWithin)
 	return proceed
 }
 
+// newAttempt returns a new attempt of a shard request at the server with the given index.
 func (p *Policy) newAttempt(req *shardRequest, id int) *attemptState {
 	server := p.servers[id]
 	return &attemptState{
--- a/internal/aggregator/policy/policy.go
+++ b/internal/aggregator/policy/policy.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	tickInterval        = 10.0 // ms to the next round while searches are pending
-	stallThreshold      = 100. // ms by which a wake-up is late that means a stall
-	discoveryRetryDelay = 500. // ms before the list is asked for again, and as much at random
-	logInterval         = 500. // ms between two log lines
-	searchStages        = 2    // stages that take a search; the others take its shard requests
-	histogramPhases     = 10   // parts of a span that are kept apart
-	countPhases         = 12
+	tickInterval        = 10.0 // ms from one round to the next while searches are pending
+	stallThreshold      = 100. // ms; a wake-up that is later than this means that the aggregator stalled
+	discoveryRetryDelay = 500. // ms until the server list is subscribed to again, plus up to as much at random
+	logInterval         = 500. // ms; minimum time between two log lines
+	searchStages        = 2    // the first stages handle a search, the others each of its shard requests
+	histogramPhases     = 10   // buckets into which the span of a histogram is divided
+	countPhases         = 12   // buckets of a sum; more than histogramPhases, as a span may touch buckets partially
 )
 
-// Policy is one aggregator's instance. Each of its parts holds its own settings.
+// Policy makes the decisions of one aggregator. The settings of each part are kept with that part.
 type Policy struct {
 	out    Out
 	random random
@@ -33,7 +33,7 @@
 	maxRetryAfter     float64
 	shortestTarget    float64
 	maxValue          float64
-	retryWeight       float64 // share of its value with which a search counts whose client retries
+	retryWeight       float64 // factor on the value of a search that the client marked as a retry
 
 	queryTypes   []*queryType
 	customers    []*customer
@@ -42,15 +42,15 @@
 	liveSearches []*searchState
 
 	servers                       []*serverState
-	replicasByPosition            [][]int // by position: who may be sent its shard requests; nil: to be made anew
-	watched                       []int   // servers with something in flight or due
-	readyServers, maxReadyServers int     // servers that the list has as ready, and had at most
-	batches, clientBoundBatches   int     // in flight at all servers
+	replicasByPosition            [][]int // ready replicas of the shards at a position of the ring; nil: to be recomputed
+	watched                       []int   // servers that are ejected or owe an answer
+	readyServers, maxReadyServers int     // servers that are ready in the list: now, and the most there were
+	batches, clientBoundBatches   int     // in flight at all servers; of these, those whose attempts all depend on their clients
 	sent                          *window.Counts
-	firstTrialDelay               float64 // time from a server's ejection to its first trial
+	firstTrialDelay               float64 // ms from the ejection of a server to its first trial
 
 	zoneLost    []bool
-	outageSince float64 // since when some zone has been lost; 0: none is
+	outageSince float64 // when the current outage of at least one zone began; 0: no zone is lost
 
 	warmUp        warmUpLimit
 	budget        retryBudget
@@ -61,8 +61,8 @@
 	capacityFloor capacityFloor
 }
 
-// New makes the module. Decisions go to out; seed is its source of chance, aggregators how many of
-// its kind there are, zone its own.
+// New returns a policy that passes its decisions to out. seed determines its random decisions,
+// aggregators is the number of aggregators in the fleet, and zone is the zone of this one.
 func New(out Out, seed uint64, aggregators, zone int) *Policy {
 	p := &Policy{
 		out:             out,
@@ -98,45 +98,48 @@
 	return p
 }
 
-// newHistogram keeps latencies over a span, to a tenth of it and to a tenth of the latency.
+// newHistogram returns a histogram of latencies over a span of milliseconds, with a resolution of a
+// tenth of the span and a tenth of the latency.
 func newHistogram(span float64) *window.Histogram {
 	return window.NewHistogram(histogramPhases, span/histogramPhases, 1, 1.1, 100)
 }
 
-// newCounts keeps counts over a span, to a tenth of it, and a little longer.
+// newCounts returns sums over a span of milliseconds, with a resolution of a tenth of the span. Two
+// buckets more than these ten are kept.
 func newCounts(span float64) *window.Counts {
 	return window.NewCounts(countPhases, span/histogramPhases)
 }
 
-// stageResult of a stage: on to the next one, nothing more for this shard request or search now, or the
-// search is over.
+// stageResult is what a stage decides about the search or the shard request that it was given.
 type stageResult uint8
 
 const (
-	proceed stageResult = iota
-	stop
-	finished
+	proceed  stageResult = iota // go on with the next stage
+	stop                        // nothing more is done for this search or shard request in this round
+	finished                    // the search has ended
 )
 
-// stage decides on the way down, for a search or each of its shard requests, and observes outcomes
-// on the way up.
+// stage is one step of the decisions. decide is called for a search, or for each of its shard
+// requests, in the order of the stages; observe is called for the outcome of an attempt, in reverse
+// order.
 type stage struct {
 	decide  func(*placement) stageResult
 	observe func(*attemptState, Outcome)
 }
 
-// placement is what goes through the stages: a search, then each of its shard requests.
+// placement is passed through the stages: it holds a search and, in the stages for shard requests,
+// one of these and where it is to be sent.
 type placement struct {
 	search      *searchState
 	request     *shardRequest
-	hedge       bool
-	requireFast bool // it has an attempt in flight: another is worth it only at a server that looks fast
+	hedge       bool // the attempt would be a hedge
+	requireFast bool // an attempt is in flight already, so another is made only at a server that is predicted fast
 	candidates  []int
 	server      int
 }
 
-// Begin implements Port. A wake-up that comes late means that this aggregator stood still: what it
-// did not hear meanwhile is no unresponsiveness of servers.
+// Begin begins a round. If the wake-up comes late, this aggregator stalled: that nothing was
+// received in the meantime does not make any server unresponsive.
 func (p *Policy) Begin(now float64) {
 	if !math.IsInf(p.wakeDueAt, 0) && now > p.wakeDueAt+stallThreshold {
 		p.stallEndedAt = now
@@ -144,7 +147,7 @@
 	p.now, p.round = now, p.round+1
 }
 
-// End implements Port; here everything is decided.
+// End ends the round: it checks the servers and takes each search through the stages.
 func (p *Policy) End() {
 	if p.discovery.due && p.now >= p.discovery.dueAt {
 		p.discovery.due = false
@@ -167,7 +170,8 @@
 	}
 }
 
-// runStages takes a search through its stages, then each of its shard requests through theirs.
+// runStages takes a search through the stages for searches, then each of its shard requests through
+// the others.
 func (p *Policy) runStages(search *searchState) {
 	placement := &placement{search: search}
 	for _, stage := range p.stages[:searchStages] {
@@ -185,19 +189,21 @@
 	}
 }
 
-// Woken implements Port; the wake-up that was asked for has come, so the next one is no late one.
+// Woken clears the time at which the wake-up was due, so that no later round counts as a late
+// wake-up.
 func (p *Policy) Woken() { p.wakeDueAt = math.Inf(-1) }
 
-// DiscoveryFailed implements Port; the list is asked for again after 0.5 to 1 s.
+// DiscoveryFailed has the server list subscribed to again after 0.5 to 1 s.
 func (p *Policy) DiscoveryFailed() {
 	if p.discovery.enabled {
 		p.discovery.due, p.discovery.dueAt = true, p.now+discoveryRetryDelay+discoveryRetryDelay*p.random.next()
 	}
 }
 
-func (p *Policy) log(form string, args ...any) {
+// log writes a line for operators, at most one in each logInterval; the others are dropped.
+func (p *Policy) log(format string, args ...any) {
 	if p.now-p.loggedAt >= logInterval {
 		p.loggedAt = p.now
-		p.out.Log(fmt.Sprintf(form, args...))
+		p.out.Log(fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/aggregator/policy/port.go
+++ b/internal/aggregator/policy/port.go
@@ -1,187 +1,205 @@
 package policy
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 // The outcomes of an attempt.
 const (
 	Answered      Outcome = iota
-	Errored               // the server returned an error; it may have run
-	Rejected              // by a full server, unseen: it never ran
-	TimedOut              // no answer in time; it may have run
-	ConnectFailed         // no connection: it never ran
-	Reset                 // the connection broke; it may have run
-	Cancelled             // by this aggregator; it may have run
-	NeverSent             // taken back before it went out
+	Errored               // the server returned an error; the attempt may have run
+	Rejected              // refused unread by a server that was full; the attempt did not run
+	TimedOut              // no answer in time; the attempt may have run
+	ConnectFailed         // no connection could be opened; the attempt did not run
+	Reset                 // the connection broke; the attempt may have run
+	Cancelled             // cancelled by this aggregator; the attempt may have run
+	NeverSent             // withdrawn before it was sent
 )
 
-// NeverRan holds where the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
 
-// Effect tells what a second run of an attempt would do.
+// Effect is what a second run of a shard request would do.
 type Effect uint8
 
-// The effects of a second run: none, none where the token is the same, a second effect.
+// The effects of a second run.
 const (
-	Idempotent Effect = iota
-	Tokened
-	NonIdempotent
+	Idempotent    Effect = iota // none
+	Tokened                     // none while servers remember the idempotency token
+	NonIdempotent               // the effect happens twice
 )
 
-// State of a server, by the list.
+// State is the state of a server in the server list.
 type State uint8
 
-// The states of a server in its list.
+// The states of a server.
 const (
 	Ready State = iota
 	Draining
 	Gone
 )
 
-// Field names a value of a load report.
+// Field is a field of a load report.
 type Field uint8
 
-// The fields of a load report; Other is ignored.
+// The fields of a load report.
 const (
-	Other Field = iota
-	Busy        // share of its cores in use
-	InFlight
-	Queue
+	Other    Field = iota // ignored
+	Busy                  // share of the server's cores that is in use
+	InFlight              // requests in progress at the server
+	Queue                 // requests waiting at the server
 )
 
-// Out carries out the decisions. Attempts of a shard request are numbered from 0 in the order of
-// their Send. Times are in milliseconds.
+// Out carries out the decisions of the policy. The attempts of a shard request are numbered from 0 in
+// the order in which they were sent. Times are in milliseconds.
 type Out interface {
-	// Send makes the next attempt of a shard request. within is the attempt's own time limit; 0:
-	// until the client gives up. One that has not begun after begin must not begin, and ends as
-	// NeverSent; 0: no such limit. A connect or a full connection may delay it.
-	Send(request, server int, within, begin float64)
-	// Cancel takes an attempt back or calls it off; its Done still follows.
+	// Send makes the next attempt of a shard request. The attempt times out after timeout; 0 means
+	// that it may last until the client gives up. An attempt that has not begun after beginWithin,
+	// because a connection is being opened or is full, must not begin and ends as NeverSent; 0 means no
+	// such limit.
+	Send(request, server int, timeout, beginWithin float64)
+	// Cancel withdraws an attempt that is not sent yet, or cancels one that is. The end of the attempt
+	// must still be reported to the policy.
 	Cancel(request, attempt int)
-	// Answer answers a search from the shard requests that are answered, and says whether that is
-	// complete.
+	// Answer answers a search from those of its shard requests that have been answered. complete tells
+	// the client whether that is a complete answer.
 	Answer(search int, complete bool)
-	// Shed refuses a search, which had no effect, with advice when to ask again; 0: no advice.
+	// Shed refuses a search that has had no effect. retryAfter is when the client may retry; 0 means
+	// that it is not told.
 	Shed(search int, retryAfter float64)
-	// Fail ends a search in error: it may have had an effect.
+	// Fail ends a search with an error; the search may have had an effect.
 	Fail(search int)
-	// Probe asks for a health check of a server over a connection of its own; Probed follows.
+	// Probe starts a health check of a server over a connection of its own. The result must be
+	// reported to the policy.
 	Probe(server int)
-	// Close closes this aggregator's idle connections to a server: the next send opens one.
+	// Close closes this aggregator's idle connections to a server, so that the next send opens a new
+	// one.
 	Close(server int)
-	// Subscribe asks for the list of servers.
+	// Subscribe asks for the server list.
 	Subscribe()
-	// Wake asks for a round after so long; Woken is called in it.
-	Wake(in float64)
-	// Log writes a line for operators.
+	// Wake requests a round after the given delay. The caller reports in that round that the wake-up
+	// has fired.
+	Wake(delay float64)
+	// Log writes a line to the operators' log.
 	Log(text string)
-	// Forget tells that nothing of a search is pending or in flight any more: its indices may be
-	// used again.
+	// Forget tells the caller that a search has ended and has no attempt in flight: the indices of the
+	// search and its shard requests may be reused.
 	Forget(search int)
 }
 
-// Port is the module as its caller sees it: first the settings, then rounds of events between Begin
-// and End. Searches and shard requests share one space of small indices; servers, query types,
-// customers and zones have their own. Times are in milliseconds.
+// Port is the policy as its caller sees it. The caller first passes the settings and then reports
+// events in rounds. Searches have small integer indices, as have shard requests, and share one index
+// space with them; servers, query types, customers and zones have an index space each. Times are in
+// milliseconds.
 type Port interface {
 	Settings
 	Events
 }
 
-// Settings come before the first round. A call that is left out means that the setting is absent.
+// Settings configures a policy before its first round. A setting whose method is not called counts as
+// absent.
 type Settings interface {
-	// QueryType adds the next kind of search, from 0: what it is worth, in time and late, and what
-	// a second run of its shard requests would do, with the window in which a token keeps it from
-	// doing harm.
+	// QueryType adds the next query type; indices start from 0. value and lateValue are what a search
+	// is worth when answered within the latency target and after it. effect is what a second run of
+	// its shard requests would do; tokenWindow is how long servers remember an idempotency token.
 	QueryType(latencyTarget, value, lateValue float64, effect Effect, tokenWindow float64)
-	// Shares states the shares of weight of a complete answer and of any, what a partial one is
-	// worth, and how many shard requests its second phase has.
-	Shares(kind int, need, floor, partialValue float64, followUp int)
-	// Customer adds the next customer, and the weight with which its searches past the quota count.
+	// Shares sets which share of a search's weight must be answered for a complete answer and for any
+	// answer, what a partial answer is worth, and how many shard requests the follow-up phase of a
+	// search has; 0 means that it has none.
+	Shares(queryType int, completeShare, minimumShare, partialValue float64, followUpRequests int)
+	// Customer adds the next customer, and the factor on the value of its searches beyond its quota.
 	Customer(quotaPerSecond, overQuotaWeight float64)
-	// Fleet states the ring of positions, on how many a shard lies, how many shard requests a batch
-	// takes and what it costs.
+	// Fleet sets the number of positions on the ring of shards, the replicas of each shard, how many
+	// shard requests a batch takes, the work that each batch costs in addition, and whether servers
+	// keep the data of recent keys warm.
 	Fleet(positions, replicas, maxBatch int, batchWork float64, warmKeys bool)
-	// Limits states how many attempts a shard request may have and how much may be pending, and
-	// whether attempts may be cancelled or hedged.
+	// Limits sets the maximum number of attempts of a shard request, the maximum number of pending
+	// searches and shard requests (0: no limit), and whether attempts may be cancelled and hedged.
 	Limits(maxAttempts, maxPending int, mayCancel, mayHedge bool)
-	// MaxRetryAfter states the longest advice to a client that was shed.
+	// MaxRetryAfter sets the longest retry-after time that a client is given when its search is shed.
 	MaxRetryAfter(longest float64)
-	// WarmUp states a server's share of its capacity right after its start, how long it takes to
-	// have all of it, and which multiple of it all aggregators together may send in a window.
+	// WarmUp sets the share of its capacity that a server has right after its start, the time until it
+	// has its full capacity, and which multiple of its present capacity all aggregators together may
+	// send to it within a window.
 	WarmUp(initialShare, duration, multiple, window float64)
-	// Budget limits retries and hedges to allowance and ratio of the requests in a window.
+	// Budget limits the retries and hedges within a window to allowance plus ratio times the searches
+	// and shard requests that arrived in it.
 	Budget(allowance, ratio, window float64)
-	// Reports states whether load reports come with answers, and their fields.
+	// Reports sets whether answers carry load reports, and the fields of a load report.
 	Reports(onAnswers bool, fields []Field)
 	// Probes allows health checks.
 	Probes()
-	// Discovery states whether the list must be asked for.
-	Discovery(ask bool)
-	// Priority is what a search of a type counts with where not all can be admitted, in place of
-	// its value.
-	Priority(kind int, priority float64)
-	// CustomerWeight is the share of that with which a customer's searches count.
+	// Discovery sets whether the server list must be subscribed to.
+	Discovery(subscribe bool)
+	// Priority sets what a search of the query type counts for, in place of its value, when not all
+	// searches can be admitted.
+	Priority(queryType int, priority float64)
+	// CustomerWeight sets the factor on the value of a customer's searches.
 	CustomerWeight(customer int, weight float64)
-	// RetryWeight is the share with which a search counts whose client says that it retries.
+	// RetryWeight sets the factor on the value of a search that the client marked as a retry.
 	RetryWeight(weight float64)
 }
 
-// Events are told between Begin and End, the questions among them at any time.
+// Events reports events to the policy, each between the beginning and the end of a round, and answers
+// queries, which may be made at any time.
 type Events interface {
 	// Begin begins a round.
 	Begin(now float64)
-	// Search is a new search; its shard requests follow in the same round.
-	Search(id, kind, customer int, deadline float64, requests int)
-	// ShardRequest is one of a search's, with its share of the search's weight and a hint of its
-	// work; 0: no hint.
-	ShardRequest(search, id, shard int, weight, work float64, key uint64)
-	// MarkRetry tells that a search's client says that it retries; between Search and End.
+	// Search adds a search with the given number of shard requests, which must be added in the same
+	// round.
+	Search(id, queryType, customer int, deadline float64, requests int)
+	// ShardRequest adds a shard request to a search: its share of the search's weight, and a hint of
+	// the work that it takes; 0 means no hint.
+	ShardRequest(search, id, shard int, weight, hintedWork float64, key uint64)
+	// MarkRetry marks a search as a retry by its client. It must come in the round in which the search
+	// is added.
 	MarkRetry(search int)
-	// Done ends an attempt.
-	Done(request, attempt int, how Outcome, report []float64)
-	// Committed tells that bytes of this attempt have reached the client (answering), or that what
-	// it was sent can't be sent again: no other may take its place from here on. Its Done still
-	// follows. False: another was first, and this one is to be cancelled.
+	// Done ends an attempt; report is the load report that came with the answer, if any.
+	Done(request, attempt int, outcome Outcome, report []float64)
+	// Committed commits a shard request to one attempt: bytes of it have reached the client (answering),
+	// or what the server was sent can't be sent again. From then on no other attempt may take its place;
+	// its end must still be reported. It returns false if the shard request is committed to another
+	// attempt already, or answered: then the caller must cancel this attempt.
 	Committed(request, attempt int, answering bool) bool
-	// ClientSending tells that the client is still sending what the shard request carries, so that
-	// whoever lets wait may be the client; false: it has sent all.
+	// ClientSending sets whether the client is still sending the body of a shard request. While it is,
+	// a missing answer may be the client's fault and not the server's.
 	ClientSending(request int, sending bool)
-	// Pushback is a server's wish that the shard request be sent again no sooner than in so long,
-	// or, below 0, never.
-	Pushback(request int, wait float64)
-	// Probed is the result of a health check and how long it took.
+	// Pushback delays further attempts of a shard request as its server asked for (retry pushback); a
+	// negative delay rules them out.
+	Pushback(request int, delay float64)
+	// Probed reports the result of a health check and how long it took.
 	Probed(server int, ok bool, elapsed float64, report []float64)
-	// ClientGone tells that nobody waits for a search any more.
+	// ClientGone reports that a search's client no longer waits for an answer.
 	ClientGone(search int)
-	// ShortenDeadline tells that a search's client can be answered no later than that, sooner than
-	// was said.
+	// ShortenDeadline reports that a search must be answered earlier than was announced.
 	ShortenDeadline(search int, deadline float64)
-	// Server is what the list says of a server.
+	// Server updates a server with what the server list says of it.
 	Server(id, zone, position int, state State, size, startedAt float64)
-	// RemoveServer frees the index of one that is gone. False, and nothing done, while it still
-	// matters.
+	// RemoveServer frees the index of a server that is gone. It does nothing and returns false while
+	// the policy still needs the server's state.
 	RemoveServer(id int) bool
-	// ZoneChanged tells that all of a zone has failed together, or that some of it answers again.
-	// Its servers are tried over spread from now on; spread below 0: it did not fail, and ejections
-	// so long ago are undone. Said again of a zone that is lost, it only has them tried.
+	// ZoneChanged reports that a zone has failed as a whole (lost), or that part of it answers again.
+	// The trials of its servers are spread at random over the time spread from now on. A negative
+	// spread means that the zone had not failed after all: the ejections that were made for it, -spread
+	// ago, are undone. For a zone that is lost already, the call only reschedules the trials.
 	ZoneChanged(zone int, lost bool, spread float64)
-	// CapacityFloor tells that servers take no search of less than value, and of those of just that
-	// value a share (excess) less; value 0: that is not known.
+	// CapacityFloor sets the lowest value of a search that servers have capacity for. Searches of
+	// exactly this value are refused with the probability excess. A value of 0 means that the floor is
+	// not known.
 	CapacityFloor(value, excess float64)
-	// DiscoveryFailed tells that asking for the list failed, or that the subscription broke.
+	// DiscoveryFailed reports that the subscription to the server list failed or broke.
 	DiscoveryFailed()
-	// Woken tells that the wake-up that was asked for has come.
+	// Woken reports that the requested wake-up has fired.
 	Woken()
-	// End ends a round: here everything is decided.
+	// End ends the round; all decisions are made here.
 	End()
 
-	// SearchValue is what a search counts with where not all can be admitted, its client's retry
-	// and its customer's quota in it.
+	// SearchValue returns what a search counts for when not all can be admitted, after the factors for
+	// a retry and for its customer's quota.
 	SearchValue(search int) float64
-	// RetryAfter is advice for a search that the limit on pending work keeps from here; 0: none.
-	RetryAfter(kind int) float64
-	// Refusals counts, by RefusalReason, how many searches of the type were refused or given up
-	// since the start; nil: not known.
-	Refusals(kind int) []int
+	// RetryAfter returns the retry-after time for a search that the caller itself refuses because of
+	// the limit on pending work; 0 means none.
+	RetryAfter(queryType int) float64
+	// Refusals returns how many searches of a query type were refused or given up since the start,
+	// indexed by RefusalReason. It returns nil for an unknown query type.
+	Refusals(queryType int) []int
 }
--- a/internal/aggregator/policy/prediction.go
+++ b/internal/aggregator/policy/prediction.go
@@ -9,49 +9,52 @@
 	historySize        = predict.HistorySize
 	historyExpiry      = predict.HistoryExpiry
 	latencySpan        = predict.SlowLineSpan
-	maxHintReduction   = 0.5    // hints are rough: a small shard request is taken to be at least so big
-	slowScore          = 0.5    // a score over it predicts slow
-	latencyFadeSpan    = 10000. // ms after which a server's own latency tells nothing
+	maxHintReduction   = 0.5    // of the mean work: hints are rough, so a small shard request is taken to be smaller by at most this
+	slowScore          = 0.5    // a higher score predicts a slow answer
+	latencyFadeSpan    = 10000. // ms in which a server's mean latency loses its weight
 	latencyNewWeight   = 0.5    // of the newest answer in a server's mean latency
 	minLatency         = 1      // ms; latencies are kept on a logarithmic scale
-	medianQuantile     = 0.5    // of latencies
-	latestLatencyIndex = 2      // feature that is over 0 where a server's history isn't empty
+	medianQuantile     = 0.5
+	latestLatencyIndex = 2 // in a vector; the feature is over 0 if the server's history is not empty
 )
 
 type vector = predict.Vector
 
-// latencySample is one answer of a server.
+// latencySample is one answer of a server: its latency, the time it was received, and the load at
+// the send.
 type latencySample struct{ latency, receivedAt, load float64 }
 
-// predictor is the design's score, online: one set of weights for all servers.
+// predictor predicts slow answers as LinnOS does, but learns online, with one set of weights for
+// all servers.
 type predictor struct {
 	weights                        predict.Weights
 	submitStats                    predict.SubmitStats
-	latencies, recentLatencies     *window.Histogram // of all servers, the second over a shorter time
-	avgLoad                        float64
-	minMedian                      float64 // lowest median seen: the fleet without load
-	reportedLoad, reportingServers float64 // sum of the latest load reports, and how many they are
-	median, fleetSlowThreshold     float64 // of latencies, as of this round's start; over the line is slow
-	samples                        int
+	latencies, recentLatencies     *window.Histogram // of all servers, over latencySpan and tailSpan
+	avgLoad                        float64           // mean load of a server
+	minMedian                      float64           // lowest median latency observed: that of the fleet without load
+	reportedLoad, reportingServers float64           // sum of the latest load reports, and their number
+	median, fleetSlowThreshold     float64           // of latencies, as of this round; an answer above the threshold is slow
+	samples                        int               // answers in latencies
 }
 
 func (pr *predictor) score(x vector) float64 { return pr.weights.Score(&x) }
 
 func (pr *predictor) falseSubmitRate(now float64) float64 { return pr.submitStats.FalseRate(now) }
 
-// slowThreshold is the latency over which an answer of the server is slow.
+// slowThreshold returns the latency above which an answer of the server is slow.
 func (pr *predictor) slowThreshold(now float64, server *serverState) float64 {
 	return predict.SlowLine(now, server.latencies, pr.fleetSlowThreshold, pr.samples)
 }
 
-// features describe a server by its recent answers. A hang must not read as fast: an attempt in
-// flight for longer than the line stands for the latest latency.
+// features describes a server by its recent answers. If its oldest attempt in flight has taken
+// longer than the slow threshold, that counts as the latest answer, as a server that hangs would
+// look fast otherwise.
 func (pr *predictor) features(now float64, server *serverState, load float64) vector {
-	line := pr.slowThreshold(now, server)
-	f := predict.NewFeatures(line, pr.avgLoad, load)
+	threshold := pr.slowThreshold(now, server)
+	f := predict.NewFeatures(threshold, pr.avgLoad, load)
 	if len(server.waiting) > 0 {
 		oldest := server.waiting[0]
-		if age := now - oldest.startedAt - oldest.extraWork; age > line {
+		if age := now - oldest.startedAt - oldest.extraWork; age > threshold {
 			f.Add(age, oldest.loadAtSend)
 		}
 	}
@@ -63,7 +66,7 @@
 	return f.Vector
 }
 
-// train moves the weights by one attempt whose slowness is known.
+// train adjusts the weights by an attempt that is known to have been slow or not.
 func (pr *predictor) train(now float64, attempt *attemptState, slow bool) {
 	attempt.trained = true
 	pr.weights.Train(&attempt.features, slow, attempt.predictedFast)
@@ -72,11 +75,11 @@
 	}
 }
 
-// overloaded: slowness on most replicas together, where the design assumes short bursts on few. A
-// hedge then takes from another shard request what it gives to its own.
+// overloaded reports whether most replicas are slow together, while LinnOS assumes short bursts on
+// a few. A hedge then takes from other shard requests what its own gains.
 func (pr *predictor) overloaded() bool { return predict.FleetSlow(pr.median, pr.minMedian) }
 
-// measureFleet takes the fleet's latencies and load at a round's start.
+// measureFleet updates the latencies and the load of the fleet, once in each round.
 func (p *Policy) measureFleet() {
 	pr := &p.predictor
 	pr.median, _ = pr.latencies.Quantile(p.now, medianQuantile)
@@ -84,35 +87,36 @@
 	if pr.samples >= minSamples && (pr.minMedian == 0 || pr.median < pr.minMedian) {
 		pr.minMedian = pr.median
 	}
-	if p.reports.onAnswersAvailable() {
+	if p.reports.comeWithAnswers() {
 		pr.avgLoad = pr.reportedLoad / max(pr.reportingServers, 1)
 	} else {
 		pr.avgLoad = float64(p.batches) / float64(max(p.readyServers, 1))
 	}
 }
 
-// predictedSlow: an empty history counts as fast. Where this aggregator comes to each server within
-// the expiry, it is empty because the server was passed over, and the score's bias decides; at full
-// size most are empty for want of searches, and in bad times the bias made all servers slow, so
-// that nothing was sent again.
+// predictedSlow reports whether a server with these features is predicted slow. If this aggregator
+// sends to each server more often than histories expire, an empty history means that the server was
+// skipped, and the bias of the score decides. In a large fleet most histories are empty for lack of
+// searches, so there an empty one counts as fast: under overload the bias had predicted all servers
+// slow, and nothing was retried.
 func (p *Policy) predictedSlow(x vector) bool {
 	return (x[latestLatencyIndex] > 0 || p.meanSendInterval() < historyExpiry) && p.predictor.score(x) > slowScore
 }
 
-// trainPredictor teaches the predictor by what was sent, and only by answers: errors are no quick
-// answers.
-func (p *Policy) trainPredictor(attempt *attemptState, how Outcome) {
+// trainPredictor trains the predictor with an answer and records its latency. Errors do not count:
+// a quick error is no quick answer.
+func (p *Policy) trainPredictor(attempt *attemptState, outcome Outcome) {
 	if p.now == p.stallEndedAt {
-		return // what waited for this aggregator to move tells nothing of its server
+		return // received late because of a stall of this aggregator: the latency says nothing about the server
 	}
 	server := p.servers[attempt.server]
 	latency := max(p.now-attempt.startedAt-attempt.extraWork, minLatency)
-	if how == Cancelled && !attempt.request.answered && attempt.clientBound() == 0 && latency > p.expectedLatency(server) {
-		// Cancelled, it would have taken longer still. Where clients leave before they are
-		// answered, only the quick answers were received, and a jam read as calm.
+	if outcome == Cancelled && !attempt.request.answered && attempt.clientBound() == 0 && latency > p.expectedLatency(server) {
+		// The attempt would have taken longer still. Otherwise, where clients leave before they are
+		// answered, only quick answers would be recorded, and a congested server would look idle.
 		p.recordLatency(attempt, latency)
 	}
-	if how != Answered || attempt.answering || attempt.clientSending {
+	if outcome != Answered || attempt.answering || attempt.clientSending {
 		return
 	}
 	if !attempt.trained {
@@ -126,17 +130,18 @@
 	p.recordLatency(attempt, latency)
 }
 
-// trainOnOverdueAttempts teaches that what is in flight for longer than the line is slow.
+// trainOnOverdueAttempts trains the predictor with the attempts that have been in flight for longer
+// than the slow threshold, as slow ones.
 func (p *Policy) trainOnOverdueAttempts(server *serverState) {
-	line := p.predictor.slowThreshold(p.now, server)
+	threshold := p.predictor.slowThreshold(p.now, server)
 	for _, attempt := range server.waiting {
-		if !attempt.trained && p.now-max(attempt.startedAt, p.stallEndedAt)-attempt.extraWork > line {
+		if !attempt.trained && p.now-max(attempt.startedAt, p.stallEndedAt)-attempt.extraWork > threshold {
 			p.predictor.train(p.now, attempt, true)
 		}
 	}
 }
 
-// recordLatency counts a latency for the fleet and in the server's mean.
+// recordLatency records a latency in the fleet's histograms and in the server's moving mean.
 func (p *Policy) recordLatency(attempt *attemptState, latency float64) {
 	server := p.servers[attempt.server]
 	p.predictor.latencies.Add(p.now, latency)
@@ -149,9 +154,10 @@
 	server.meanBatches += latencyNewWeight * (float64(attempt.serverBatches) - server.meanBatches)
 }
 
-// expectedLatency is what answers took recently or, if longer, the age of what is in flight; of a
-// server that has not answered for long, the median: shedding on old observations would keep itself
-// true.
+// expectedLatency returns the server's recent mean latency or, if longer, the age of its oldest
+// attempt in flight. The mean fades to the fleet's median for a server that has not answered for
+// long: otherwise an old observation would keep searches away from the server, and so could never
+// be corrected.
 func (p *Policy) expectedLatency(server *serverState) float64 {
 	weight := max(1-(p.now-server.latencyAt)/latencyFadeSpan, 0)
 	if server.latencyAt == 0 {
@@ -165,8 +171,9 @@
 	return latency
 }
 
-// extraWork is a shard request's hinted work over its query type's: a big one takes longer
-// without being slow, by its work and not by what it waits.
+// extraWork returns by how much a shard request's hinted work exceeds the mean of its query type,
+// within bounds; it may be negative. A big shard request takes longer because of its work, without
+// its server being slow.
 func (p *Policy) extraWork(req *shardRequest) float64 {
 	if qt := req.search.queryType; req.hintedWork > 0 {
 		return min(max(req.hintedWork-qt.meanHintedWork, -maxHintReduction*qt.meanHintedWork), qt.meanHintedWork)
--- a/internal/aggregator/policy/probing.go
+++ b/internal/aggregator/policy/probing.go
@@ -1,22 +1,23 @@
 package policy
 
 const (
-	maxFirstTrialDelay       = 1000.  // ms to an ejected server's first trial; each further one comes after twice as long
-	firstTrialSlowThresholds = 8.0    // but no later than so many fleet lines: one that only paused is missed meanwhile
-	maxTrialBackoff          = 2000.  // ms
-	sendSpan                 = 10000. // ms over which this aggregator's own rate of attempts is measured
-	serversPerAssumedSend    = 10     // at least one attempt for so many servers is taken to be sent in the span
-	maxRefusedProbeTime      = 100.   // ms; a health check that fails after longer was not refused
+	maxFirstTrialDelay       = 1000.  // ms from an ejection to the first trial at most; the delay doubles with each further trial
+	firstTrialSlowThresholds = 8.0    // slow thresholds of the fleet: a further upper bound, as a server that only paused is missed
+	maxTrialBackoff          = 2000.  // ms between two trials at most
+	sendSpan                 = 10000. // ms over which this aggregator's rate of attempts is measured
+	serversPerAssumedSend    = 10     // the rate is taken to be at least one attempt for this many ready servers in the span
+	maxRefusedProbeTime      = 100.   // ms; a health check that fails later than this was not refused
 )
 
-// trialDue tells whether an ejected server may get one attempt; where health checks are allowed, an
-// unresponsive one must have passed one before.
+// trialDue reports whether an ejected server may get a trial. Where health checks are allowed, an
+// unresponsive server must have passed one first.
 func (p *Policy) trialDue(server *serverState) bool {
 	return p.now >= server.trialAt && server.trial == nil &&
 		(server.probePassed || !server.unresponsive || !p.reports.mayProbe)
 }
 
-// endTrial: one that this aggregator cancelled says nothing of the server, and the next stays due.
+// endTrial evaluates the end of a trial. A trial that this aggregator cancelled says nothing about
+// the server, so the next one stays due.
 func (p *Policy) endTrial(server *serverState, attempt *attemptState, how Outcome) {
 	if server.trial != attempt {
 		return
@@ -27,22 +28,22 @@
 	}
 }
 
-// backOffTrial doubles the time to the next trial.
+// backOffTrial doubles the delay until the next trial, up to its limit.
 func (p *Policy) backOffTrial(server *serverState) {
 	server.probePassed = false
 	server.trialBackoff = min(2*server.trialBackoff, max(maxTrialBackoff, 2*p.meanSendInterval()))
 	server.trialAt = p.now + server.trialBackoff
 }
 
-// meanSendInterval is how long this aggregator leaves a server alone by itself: at full size, trials
-// sooner than that would be all that it sends there, and an ejected server would get as much as
-// ever.
+// meanSendInterval returns the mean time in milliseconds between two attempts of this aggregator at
+// the same server, at most sendSpan. In a large fleet it is long, and trials at shorter intervals
+// would have an ejected server get as many attempts as any other.
 func (p *Policy) meanSendInterval() float64 {
 	ready := float64(p.readyServers)
 	return min(sendSpan*ready/max(p.sent.Sum(p.now, sendSpan), ready/serversPerAssumedSend), sendSpan)
 }
 
-// probeIfDue asks for a health check of an unresponsive server before its trial.
+// probeIfDue starts a health check of an unresponsive server whose trial is due.
 func (p *Policy) probeIfDue(id int) {
 	server := p.servers[id]
 	if server.listed && server.state == Ready && p.reports.mayProbe && !server.probing &&
@@ -52,8 +53,9 @@
 	}
 }
 
-// Probed implements Port; the result counts only for a server that is ejected as unresponsive. No
-// answer to a health check that waits in a queue proves nothing, so only a quick failure is one.
+// Probed evaluates a health check of a server that is ejected as unresponsive. A health check that
+// waits in a queue and times out does not prove a failure, so only one that fails quickly counts as
+// failed.
 func (p *Policy) Probed(id int, ok bool, elapsed float64, report []float64) {
 	server := p.servers[id]
 	server.probing = false
--- a/internal/aggregator/policy/random.go
+++ b/internal/aggregator/policy/random.go
@@ -5,10 +5,11 @@
 	"hash/fnv"
 )
 
-// random draws from an instance's seed and a counter alone.
+// random is a random number generator; its numbers depend only on the seed and on how many were
+// drawn before.
 type random struct{ seed, draws uint64 }
 
-// next is uniform in [0, 1).
+// next returns a number that is uniformly distributed in [0, 1).
 func (r *random) next() float64 {
 	r.draws++
 	h := fnv.New64a()
--- a/internal/aggregator/policy/refusal.go
+++ b/internal/aggregator/policy/refusal.go
@@ -2,38 +2,38 @@
 
 import "math"
 
-// RefusalReason tells why a search was refused or given up.
+// RefusalReason is why a search was refused or given up.
 type RefusalReason uint8
 
-// The reasons, in the order in which they apply.
+// The reasons for a refusal, in the order in which they are checked.
 const (
-	NoReplica      RefusalReason = iota // too few of its shards have a listed server
-	TooLate                             // its client's time is over, or it is no sound search
-	NoCapacity                          // some shard's servers are out of reach, or warming up and full
-	TargetExceeded                      // some shard is expected past what its value may take of the latency target
-	SlowTail                            // the slowest of so many shards took too long recently
-	OverCapacity                        // servers were seen to take no more
-	PendingLimit                        // so much is pending that only the most valued are admitted
-	GivenUp                             // it was admitted, and could not reach its least share in time
-	NumRefusalReasons
+	NoReplica         RefusalReason = iota // too few of its shards have a ready server in the list
+	TooLate                                // its deadline has passed or is too close, or the search is invalid
+	NoCapacity                             // the servers of some shard are unavailable, or warming up and at their limit
+	TargetExceeded                         // some shard is expected to take longer than the share of the latency target that its value allows
+	SlowTail                               // the slowest of its shard requests would take too long, by recent latencies
+	OverCapacity                           // its value is below what servers have capacity for
+	PendingLimit                           // pending work is near its limit, where only the most valuable searches are admitted
+	GivenUp                                // it was admitted, and could not reach the minimum share of its weight in time
+	NumRefusalReasons                      // number of reasons
 )
 
-// refusalNames are what counters and log lines call the reasons.
+// refusalNames are the names of the reasons in counters and log lines.
 var refusalNames = [NumRefusalReasons]string{
 	"no_holder", "too_late", "out_of_room", "expected", "crowd", "borne", "hold_limit", "given_up",
 }
 
-// String gives the reason as counters name it.
-func (why RefusalReason) String() string { return refusalNames[why] }
+// String returns the name of the reason in counters and log lines.
+func (reason RefusalReason) String() string { return refusalNames[reason] }
 
-// refusalReason tells which limit kept a search out on its arrival.
-func (p *Policy) refusalReason(search *searchState, enough, slow, full bool) RefusalReason {
+// refusalReason returns which limit had the search refused on arrival.
+func (p *Policy) refusalReason(search *searchState, enoughWeight, slowTail, overCapacity bool) RefusalReason {
 	switch {
-	case enough && full:
+	case enoughWeight && overCapacity:
 		return OverCapacity
-	case enough && slow:
+	case enoughWeight && slowTail:
 		return SlowTail
-	case enough:
+	case enoughWeight:
 		return PendingLimit
 	}
 	for _, req := range search.requests {
@@ -44,7 +44,7 @@
 	return TargetExceeded
 }
 
-// earlyRefusalReason tells why a search was refused before its latency was estimated.
+// earlyRefusalReason returns why a search was refused before its latency was estimated.
 func (p *Policy) earlyRefusalReason(search *searchState) RefusalReason {
 	if search.queryType != nil && search.expectedRequests > 0 && p.now < search.deadline-answerMargin {
 		return NoReplica
@@ -52,13 +52,14 @@
 	return TooLate
 }
 
-func (search *searchState) countRefusal(why RefusalReason) {
+// countRefusal counts a refusal for the query type of the search, if that is known.
+func (search *searchState) countRefusal(reason RefusalReason) {
 	if search.queryType != nil {
-		search.queryType.refusals[why]++
+		search.queryType.refusals[reason]++
 	}
 }
 
-// Refusals implements Port; nil for a type that is not known.
+// Refusals returns the refusals of a query type by reason; nil for an unknown type.
 func (p *Policy) Refusals(kind int) []int {
 	if qt := getAt(p.queryTypes, kind); qt != nil {
 		return qt.refusals[:]
--- a/internal/aggregator/policy/retry.go
+++ b/internal/aggregator/policy/retry.go
@@ -2,8 +2,8 @@
 
 import "kestrelspread/internal/window"
 
-// attemptNeeded decides whether a shard request gets an attempt: its first, a retry after a
-// failure, one that replaces an attempt at an unresponsive server, or the design's hedge.
+// attemptNeeded decides whether a shard request gets an attempt now: its first, a retry after a
+// failure, one in place of an attempt at an unresponsive server, or a hedge.
 func (p *Policy) attemptNeeded(placement *placement) stageResult {
 	req := placement.request
 	if req.answered || req.abandoned || req.phase != placement.search.phase || len(req.attempts) >= p.limits.maxAttempts ||
@@ -26,9 +26,9 @@
 	return proceed
 }
 
-// attemptsInFlight counts a shard request's attempts in flight, and of those the ones at servers
-// that are ejected as unresponsive; the trial of such a server is not one of them. last is the
-// latest in flight.
+// attemptsInFlight counts the attempts of a shard request that are in flight, and those of them at
+// servers ejected as unresponsive, not counting the trial of such a server. last is the latest
+// attempt in flight.
 func (p *Policy) attemptsInFlight(req *shardRequest) (inFlight, unresponsive int, last *attemptState) {
 	for _, attempt := range req.attempts {
 		if !attempt.inFlight {
@@ -43,8 +43,9 @@
 	return inFlight, unresponsive, last
 }
 
-// replaceAttempt takes a shard request off an unresponsive server. Where no two attempts may be in
-// flight, the one there is cancelled, and the next goes when it has ended.
+// replaceAttempt moves a shard request off an unresponsive server. Where hedges are not allowed,
+// two attempts may not be in flight at once: the one at the server is cancelled, and the next is
+// made when it has ended.
 func (p *Policy) replaceAttempt(placement *placement, last *attemptState) stageResult {
 	if p.limits.mayHedge {
 		placement.requireFast = true
@@ -57,9 +58,9 @@
 	return stop
 }
 
-// mayRetry keeps an effect from happening twice: only an attempt proved not to have run may be
-// followed by another, unless a second run does no harm or is still dropped by whoever holds the
-// shard.
+// mayRetry reports whether a shard request may be sent again without its effect happening twice. If
+// an attempt may have run, a further one is allowed only if a second run does no harm or the
+// servers of the shard still drop it as a repetition.
 func (p *Policy) mayRetry(req *shardRequest) bool {
 	if req.committed != nil || req.notBefore >= req.search.deadline-answerMargin {
 		return false
@@ -68,7 +69,8 @@
 	return qt.effect == Idempotent || ran == nil || qt.effect == Tokened && p.now < ran.sentAt+qt.tokenWindow-answerMargin
 }
 
-// firstPossiblyRun is the first attempt that is in flight or may have run; nil: none.
+// firstPossiblyRun returns the first attempt that is in flight or may have run; nil if there is
+// none.
 func (req *shardRequest) firstPossiblyRun() *attemptState {
 	for _, attempt := range req.attempts {
 		if !attempt.neverRan {
@@ -78,9 +80,9 @@
 	return nil
 }
 
-// effectiveEffect: a token window that ends before a retry could be sent is none, and the type's
-// shard requests may not run twice. Taken for one, it would leave the first attempt no time to
-// begin either.
+// effectiveEffect returns the effect to assume for a query type. If the token expires before a
+// retry could be sent, its shard requests may not run twice; treated as protected by the token,
+// even the first attempt would have no time left to begin.
 func effectiveEffect(effect Effect, window float64) Effect {
 	if effect == Tokened && window <= 2*answerMargin {
 		return NonIdempotent
@@ -88,16 +90,16 @@
 	return effect
 }
 
-// retryBudget is the stated limit on retries and hedges in a window: allowance and ratio of the
-// requests in it.
+// retryBudget limits the retries and hedges in a window to the allowance plus the ratio of the
+// searches and shard requests in it.
 type retryBudget struct {
-	allowance, ratio, window float64 // window 0: no budget
+	allowance, ratio, window float64 // window in ms; 0: no limit
 	requests, retries        *window.Counts
 }
 
-// allows tells whether one more retry stays in the budget. Retries are counted a little longer than
-// the window and the searches and shard requests that earn them a little shorter, so that no window
-// of its length is overdrawn.
+// allows reports whether one more retry stays within the budget. Retries are counted over a little
+// more than the window, and the searches and shard requests that earn them over a little less, so
+// that the budget is not exceeded in any window of this length.
 func (b *retryBudget) allows(now float64) bool {
 	return b.window == 0 ||
 		b.retries.Sum(now, b.window)+1 <= b.allowance+b.ratio*b.requests.SumWithin(now, b.window)
--- a/internal/aggregator/policy/servers.go
+++ b/internal/aggregator/policy/servers.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-const replicaListCapacity = 4 // first size of a list of holders
+const replicaListCapacity = 4 // initial capacity of a list of replicas
 
-// Server implements Port; a server of which it is the first report is added.
+// Server updates a server from the server list, and adds it if it is new.
 func (p *Policy) Server(id, zone, position int, state State, size, startedAt float64) {
 	for len(p.servers) <= id {
 		p.servers = append(p.servers, nil)
@@ -31,7 +31,8 @@
 	}
 }
 
-// countReady keeps how many servers are ready, and drops the lists of holders that a change touches.
+// countReady updates the number of ready servers, and invalidates the lists of replicas that the
+// change affects.
 func (p *Policy) countReady(server *serverState, position int, state State) {
 	was, is := server.listed && server.state == Ready, state == Ready
 	if was == is && server.position == position {
@@ -47,8 +48,8 @@
 	}
 }
 
-// recordStart has a server that was started anew warm up; one that is ejected as unresponsive is
-// tried at once.
+// recordStart begins the warm-up of a server that has been restarted. If the server is ejected as
+// unresponsive, its trial becomes due at once.
 func (p *Policy) recordStart(server *serverState, startedAt float64) {
 	if startedAt <= server.startedAt || startedAt <= 0 {
 		return
@@ -60,8 +61,9 @@
 	}
 }
 
-// RemoveServer implements Port; false while a health check or batch is in flight there, or while
-// what it was sent still counts, should it come back and warm up.
+// RemoveServer forgets a server that is gone. It returns false while a health check or a batch is
+// in flight there, or while the work sent to it still counts towards the warm-up limit, should the
+// server come back.
 func (p *Policy) RemoveServer(id int) bool {
 	server := getAt(p.servers, id)
 	if server == nil {
@@ -70,7 +72,7 @@
 	if server.listed || server.probing || server.batches > 0 || server.sentWork.Sum(p.now, p.warmUp.window) > 0 {
 		return false
 	}
-	p.dropReport(server) // a late answer may have brought one
+	p.dropReport(server) // a late answer may have brought a report
 	kept := p.watched[:0]
 	for _, other := range p.watched {
 		if other != id {
@@ -82,7 +84,7 @@
 	return true
 }
 
-// watchServer puts a server on the list of those that have something in flight or due.
+// watchServer adds a server to those that are checked in each round.
 func (p *Policy) watchServer(id int) {
 	if server := p.servers[id]; !server.watched {
 		server.watched = true
@@ -90,8 +92,8 @@
 	}
 }
 
-// replicasOf lists who may be sent requests to a shard: ready servers of the positions that hold it.
-// The list is made anew only after a change of its positions.
+// replicasOf returns the servers that may be sent requests to a shard: the ready ones at the
+// positions that hold it. The list is computed again only after a change at these positions.
 func (p *Policy) replicasOf(shard int) []int {
 	fleet := &p.fleet
 	first := fleet.position(shard)
@@ -111,7 +113,7 @@
 	return p.replicasByPosition[first]
 }
 
-// invalidateReplicas drops the lists that a server of this position stands in.
+// invalidateReplicas drops the lists of replicas that a server at this position belongs to.
 func (p *Policy) invalidateReplicas(position int) {
 	fleet := &p.fleet
 	if len(p.replicasByPosition) != fleet.positions {
@@ -122,7 +124,7 @@
 	}
 }
 
-// position is a number's place on the ring of positions.
+// position returns the position on the ring that a number falls on.
 func (fleet *fleetShape) position(n int) int {
 	return (n%fleet.positions + fleet.positions) % fleet.positions
 }
--- a/internal/aggregator/policy/warmup.go
+++ b/internal/aggregator/policy/warmup.go
@@ -7,58 +7,61 @@
 )
 
 const (
-	rateMemory         = 90000. // ms over which the highest rate that servers carried fades by 1/e
-	rateSpan           = 10000. // ms over which that rate is measured
+	rateMemory         = 90000. // ms in which the highest observed rate decays by a factor of e
+	rateSpan           = 10000. // ms over which a rate is measured
 	rateInterval       = 500.   // ms between two measurements
-	assumedBusyShare   = 0.67   // reports may be untrue; had servers been wholly busy, the limit still holds
-	warmUpSafetyShare  = 0.75   // of the limit: reports come late, and random admission varies
-	maxDrawnRequests   = 4.0    // shard requests that one aggregator sends by draw in the window, where others even it out
-	aggregatorsPerDraw = 50.0   // aggregators for each of them: alone, more than one needs a measurement of its own
-	minSize            = 1e-3   // of a server that states none
-	defaultWorkShare   = 0.1    // of the latency target: work of a shard request without a hint
+	assumedBusyShare   = 0.67   // assumed utilization of warm servers, as reports may be wrong; the limit still holds had they been fully busy
+	warmUpSafetyShare  = 0.75   // of the limit: load reports are late, and random admission varies
+	maxDrawnRequests   = 4.0    // shard requests in a window that an aggregator may send by random admission, which many aggregators even out
+	aggregatorsPerDraw = 50.0   // aggregators for each such shard request; one alone may send more than one only by a measured rate
+	minSize            = 1e-3   // size assumed for a server that states less
+	defaultWorkShare   = 0.1    // of the latency target: assumed work of a shard request without a hint
 )
 
-// warmUpLimit limits what goes to a server that has just started (slow start). The settings state
-// its share of a warm server's capacity at first, how long it takes to reach all of it, and the
-// multiple of that capacity that all aggregators together must stay under in a window.
+// warmUpLimit limits what is sent to a server that has just started (slow start). The settings
+// state the share of a warm server's capacity that the server has at first, how long it takes to
+// reach full capacity, and the multiple of its present capacity that all aggregators together must
+// not exceed in a window.
 type warmUpLimit struct {
-	initialShare, duration, multiple, window float64 // multiple 0: no guard
-	maxRate                                  float64 // highest rate of warm servers for this aggregator, per size; it fades
-	measuredAt, warmSize                     float64
-	warmWork                                 *window.Counts // work of warm servers, over their size
+	initialShare, duration, multiple, window float64        // multiple 0: no limit
+	maxRate                                  float64        // highest work per ms and size of warm servers for this aggregator; it decays
+	measuredAt, warmSize                     float64        // time of the last measurement; total size of the warm servers then
+	warmWork                                 *window.Counts // work of warm servers, divided by their total size
 }
 
-// hasCapacity keeps a server that has just come back from being overloaded: all aggregators
-// together must stay under a multiple of what it can do, and each knows only itself.
+// hasCapacity reports whether a server can take a shard request without being overloaded while it
+// warms up. All aggregators together must stay under a multiple of its capacity, and each knows
+// only its own part.
 //
-// What warm servers carried for this aggregator at best, taken as fairly busy, is its part of what
-// one can do: the parts of all aggregators add up to no more. With many aggregators that is less
-// than one shard request, and one from each would overload the server: then a draw admits, of what
-// a warm holder would get, the share that one warming up can take, and the sum is right without
-// knowing the others. A server that was unreachable or unresponsive for long may have restarted:
-// its trials count too.
-func (p *Policy) hasCapacity(server *serverState, holders []int, req *shardRequest) bool {
-	share, guarded := p.warmUpShare(server)
-	if !guarded {
+// The highest rate of work that warm servers did for this aggregator, taking these as fairly busy,
+// is its part of the capacity of a server: the parts of all aggregators add up to no more than the
+// whole. With many aggregators a part is less than one shard request, and one shard request from
+// each aggregator would overload the server. Then a random draw admits, of the shard requests that
+// a warm replica would get, the share that the server can take, so that the sum over all
+// aggregators is right although none knows the others. The limit also applies to the trials of a
+// server that was unreachable, or unresponsive for long, as it may have restarted.
+func (p *Policy) hasCapacity(server *serverState, replicas []int, req *shardRequest) bool {
+	share, limited := p.warmUpShare(server)
+	if !limited {
 		return true
 	}
-	guard := &p.warmUp
-	safe, work := warmUpSafetyShare*guard.multiple*share, p.expectedWork(req)
-	sent := server.sentWork.Sum(p.now, guard.window)
-	if sent+work <= safe*guard.maxRate*max(server.size, minSize)*guard.window {
+	limit := &p.warmUp
+	safeMultiple, work := warmUpSafetyShare*limit.multiple*share, p.expectedWork(req)
+	sent := server.sentWork.Sum(p.now, limit.window)
+	if sent+work <= safeMultiple*limit.maxRate*max(server.size, minSize)*limit.window {
 		return true
 	}
 	maxDrawn := min(max(float64(p.aggregators)/aggregatorsPerDraw, 1), maxDrawnRequests)
-	return sent+work <= maxDrawn*work && p.admittedByDraw(server, holders, req, safe)
+	return sent+work <= maxDrawn*work && p.admittedByDraw(server, replicas, req, safeMultiple)
 }
 
-// warmUpShare is the share of a warm server's capacity that this one has by now; guarded false: all
-// of it.
-func (p *Policy) warmUpShare(server *serverState) (share float64, guarded bool) {
-	guard := &p.warmUp
-	share = guard.initialShare
+// warmUpShare returns the share of a warm server's capacity that this server has by now, and
+// whether it is limited at all.
+func (p *Policy) warmUpShare(server *serverState) (share float64, limited bool) {
+	limit := &p.warmUp
+	share = limit.initialShare
 	switch {
-	case guard.multiple <= 0:
+	case limit.multiple <= 0:
 		return share, false
 	case p.now < server.warmUpUntil:
 		share += (1 - share) * max(p.now-server.warmUpFrom, 0) / (server.warmUpUntil - server.warmUpFrom)
@@ -73,15 +76,16 @@
 	return share, true
 }
 
-// admittedByDraw tells whether the search's draw falls on this holder, with probability safe. The draw is
-// the search's, not the shard request's: drawn apart, a search of many shards would hardly ever
-// have them all, and whoever has only servers that warm up in reach would shed everything. It falls
-// among the holders that this aggregator can use: who can't be reached takes no share. Where those
-// are under half of what there were, some of it falls to nobody, as each then gets more than twice
+// admittedByDraw reports whether the search's random draw falls on this replica, which happens with
+// the probability given. The draw is made once for the search and not for each shard request:
+// otherwise a search of many shards would hardly ever have them all admitted, and an aggregator
+// that reaches only servers that warm up would shed everything. The draw is among the replicas that
+// this aggregator can use; unreachable ones take no share of it. If fewer than half of the replicas
+// are usable, part of the draws falls on none, as each of these replicas then gets more than twice
 // what a warm one usually does.
-func (p *Policy) admittedByDraw(server *serverState, holders []int, req *shardRequest, safe float64) bool {
+func (p *Policy) admittedByDraw(server *serverState, replicas []int, req *shardRequest, probability float64) bool {
 	usable, index := 0.0, 0.0
-	for _, id := range holders {
+	for _, id := range replicas {
 		if other := p.servers[id]; other == server {
 			index = usable
 			usable++
@@ -90,13 +94,13 @@
 		}
 	}
 	fleet := &p.fleet
-	maxHolders := max(float64(len(holders)),
+	mostReplicas := max(float64(len(replicas)),
 		float64(p.maxReadyServers*min(fleet.replicas, fleet.positions))/float64(fleet.positions))
-	draw := req.search.warmUpDraw*max(usable, maxHolders/2) - index
-	return draw >= 0 && draw < min(safe, 1)
+	draw := req.search.warmUpDraw*max(usable, mostReplicas/2) - index
+	return draw >= 0 && draw < min(probability, 1)
 }
 
-// measureWarmServers takes the rate of warm servers at intervals.
+// measureWarmServers measures the rate of work of warm servers every rateInterval.
 func (p *Policy) measureWarmServers() {
 	if p.warmUp.multiple <= 0 || p.now < p.warmUp.measuredAt+rateInterval {
 		return
@@ -114,25 +118,25 @@
 	p.warmUp.measure(p.now, warm, size)
 }
 
-// measure raises the highest rate only while most servers are warm: what the last few carry tells
-// nothing of what one can.
-func (guard *warmUpLimit) measure(now, warm, size float64) {
-	guard.maxRate *= math.Exp((guard.measuredAt - now) / rateMemory)
-	guard.measuredAt, guard.warmSize = now, warm
+// measure updates the highest rate. It is raised only while servers with most of the capacity are
+// warm: the rate of a few remaining ones does not show what a server can do.
+func (limit *warmUpLimit) measure(now, warm, size float64) {
+	limit.maxRate *= math.Exp((limit.measuredAt - now) / rateMemory)
+	limit.measuredAt, limit.warmSize = now, warm
 	if warm > size/2 {
-		guard.maxRate = max(guard.maxRate, guard.warmWork.SumWithin(now, rateSpan)/rateSpan/assumedBusyShare)
+		limit.maxRate = max(limit.maxRate, limit.warmWork.SumWithin(now, rateSpan)/rateSpan/assumedBusyShare)
 	}
 }
 
-// countWarmWork counts an answer of a warm server over the size of those that shared the work then:
-// a zone may restart within the span.
+// countWarmWork counts an answer of a warm server, divided by the total size of the servers that
+// were warm at the last measurement, as a zone may restart within the span.
 func (p *Policy) countWarmWork(server *serverState, req *shardRequest) {
 	if p.warmUp.warmSize > 0 && p.now >= server.warmUpUntil {
 		p.warmUp.warmWork.Add(p.now, p.expectedWork(req)/p.warmUp.warmSize)
 	}
 }
 
-// expectedWork of a shard request is its query type's mean hint, with what a batch costs.
+// expectedWork returns the mean hinted work of the query type plus the work of a batch.
 func (p *Policy) expectedWork(req *shardRequest) float64 {
 	qt := req.search.queryType
 	if qt.meanHintedWork > 0 {
--- a/internal/aggregator/policy/zones.go
+++ b/internal/aggregator/policy/zones.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-const sameEjectionTolerance = 1 // ms between a zone's failure and an ejection that came with it
+const sameEjectionTolerance = 1 // ms between the loss of a zone and an ejection that was made for it
 
-// ZoneChanged implements Port. It ejects all servers of a zone, or has them tried, at once: judged
-// each by itself, each would take searches with it. Trials are spread at random, so that neither
-// one aggregator's nor all aggregators' come as one.
+// ZoneChanged ejects all servers of a zone that is lost, or has them tried when it answers again,
+// all at once: if each server were judged by itself, each would lose searches first. The trials are
+// spread at random, so that neither those of this aggregator nor those of all aggregators come at
+// the same moment. A negative spread undoes the ejections that were made for the loss.
 func (p *Policy) ZoneChanged(zone int, lost bool, spread float64) {
 	p.recordZone(zone, lost)
 	for id, server := range p.servers {
 		if server == nil || !server.listed || server.zone != zone {
 			continue
 		}
-		if spread < 0 { // it was not lost: who was ejected then, for that alone, is not
+		if spread < 0 { // the zone was not lost: undo the ejections of that moment unless a connect failed since
 			server.ejected = server.ejected &&
 				(server.connectFailed || math.Abs(p.now+spread-server.ejectedAt) > sameEjectionTolerance)
 			continue
@@ -31,7 +32,7 @@
 	}
 }
 
-// recordZone keeps since when some zone has been lost.
+// recordZone records whether a zone is lost, and when the outage of any zone began.
 func (p *Policy) recordZone(zone int, lost bool) {
 	for len(p.zoneLost) <= zone {
 		p.zoneLost = append(p.zoneLost, false)
--- a/internal/predict/predict_test.go
+++ b/internal/predict/predict_test.go
@@ -10,6 +10,7 @@
 	"kestrelspread/internal/window"
 )
 
+// latencies returns a histogram with the given latencies, all recorded at the time 1000.
 func latencies(values ...float64) *window.Histogram {
 	histogram := window.NewHistogram(10, SlowLineSpan/10, 1, 1.1, 100)
 	for _, latency := range values {
@@ -22,42 +23,44 @@
 	return slices.Repeat([]float64{value}, count)
 }
 
-func near(t *testing.T, got, want, within float64) {
+func wantNear(t *testing.T, got, want, tolerance float64) {
 	t.Helper()
-	assert.Assert(t, math.Abs(got-want) <= within, "got %v, want %v within %v", got, want, within)
+	assert.Assert(t, math.Abs(got-want) <= tolerance, "got %v, want %v within %v", got, want, tolerance)
 }
 
-// TestSlowLineIsOwnQuantileBoundedByFleet: the 90th percentile of the server's own answers.
+// The slow threshold is the 90th percentile of the server's own answers; with too few of them, or
+// if it is always slow, the fleet's threshold decides.
 func TestSlowLineIsOwnQuantileBoundedByFleet(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		own  []float64
-		seen int
-		want float64
+		name         string
+		own          []float64
+		fleetSamples int
+		want         float64
 	}{
-		{"nothing was answered anywhere", nil, 0, math.Inf(1)},
+		{"no answer in the whole fleet", nil, 0, math.Inf(1)},
 		{"too few answers of its own", repeated(10, MinSlowLineSamples-1), 100, 90},
-		{"its own", repeated(50, 20), 100, 50},
+		{"enough answers of its own", repeated(50, 20), 100, 50},
 		{"always slow", repeated(1000, 20), 100, MaxFleetLineRatio * 90},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := SlowLine(1000, latencies(c.own...), 90, c.seen)
+			got := SlowLine(1000, latencies(c.own...), 90, c.fleetSamples)
 			if math.IsInf(c.want, 1) {
 				assert.Assert(t, math.IsInf(got, 1))
 				return
 			}
-			near(t, got, c.want, 0.1*c.want)
+			wantNear(t, got, c.want, 0.1*c.want)
 		})
 	}
 }
 
 func TestSlowLineExpires(t *testing.T) {
 	own := latencies(repeated(10, 50)...)
-	near(t, SlowLine(1000, own, 90, 100), 10, 1.5)
-	near(t, SlowLine(1000+2*SlowLineSpan, own, 90, 100), 90, 0)
+	wantNear(t, SlowLine(1000, own, 90, 100), 10, 1.5)
+	wantNear(t, SlowLine(1000+2*SlowLineSpan, own, 90, 100), 90, 0)
 }
 
-// TestFeaturesAreOrderedAndBounded: the most recent latency first, with the loads at the sends.
+// The most recent latency comes first, each feature is bounded, and the loads are those when the
+// requests were sent.
 func TestFeaturesAreOrderedAndBounded(t *testing.T) {
 	f := NewFeatures(100, 3, 8)
 	for i := range HistorySize + 2 {
@@ -71,12 +74,12 @@
 
 func TestInitialWeightsScoreRecentSlownessAsSlow(t *testing.T) {
 	w := InitialWeights
-	quick, slow := NewFeatures(100, 3, 3), NewFeatures(100, 3, 3)
+	fast, slow := NewFeatures(100, 3, 3), NewFeatures(100, 3, 3)
 	for range HistorySize {
-		quick.Add(40, 3)
+		fast.Add(40, 3)
 		slow.Add(300, 3)
 	}
-	assert.Assert(t, w.Score(&quick.Vector) < 0.5)
+	assert.Assert(t, w.Score(&fast.Vector) < 0.5)
 	assert.Assert(t, w.Score(&slow.Vector) > 0.5)
 }
 
@@ -85,15 +88,14 @@
 	seen, missed := Weights{}, Weights{}
 	seen.Train(&x, true, false)
 	missed.Train(&x, true, true)
-	near(t, seen[0], LearningRate*0.5, 1e-12)
-	near(t, missed[0], FalseSubmitWeight*seen[0], 1e-12)
-	quick := Weights{}
-	quick.Train(&x, false, true)
-	near(t, quick[0], -seen[0], 1e-12)
+	wantNear(t, seen[0], LearningRate*0.5, 1e-12)
+	wantNear(t, missed[0], FalseSubmitWeight*seen[0], 1e-12)
+	fast := Weights{}
+	fast.Train(&x, false, true)
+	wantNear(t, fast[0], -seen[0], 1e-12)
 }
 
-// TestHedgeQuantileFollowsFalseSubmits: the smaller of 0.95 and 1 minus the false-submit rate,
-// at least 0.90.
+// The hedge quantile is the smaller of 0.95 and 1 minus the false submit rate, but at least 0.90.
 func TestHedgeQuantileFollowsFalseSubmits(t *testing.T) {
 	for _, c := range []struct{ predictedFast, falseSubmits, want float64 }{
 		{MinSamples - 1, MinSamples - 1, 0.95}, {100, 0, 0.95}, {100, 3, 0.95}, {100, 7, 0.93}, {100, 10, 0.90}, {100, 60, 0.90},
@@ -102,13 +104,13 @@
 		for i := range int(c.predictedFast) {
 			s.Record(1000, float64(i) < c.falseSubmits)
 		}
-		near(t, s.HedgeQuantile(1000), c.want, 1e-9)
-		near(t, s.HedgeQuantile(1000+2*FalseSubmitSpan), 0.95, 1e-9)
+		wantNear(t, s.HedgeQuantile(1000), c.want, 1e-9)
+		wantNear(t, s.HedgeQuantile(1000+2*FalseSubmitSpan), 0.95, 1e-9)
 	}
 }
 
 func TestFleetIsSlowAboveItsLowestMedian(t *testing.T) {
-	assert.Assert(t, !FleetSlow(100, 0), "no median was seen yet")
-	assert.Assert(t, !FleetSlow(120, 100))
-	assert.Assert(t, FleetSlow(140, 100))
+	assert.Assert(t, !FleetSlow(100, 0), "slow before there was any median")
+	assert.Assert(t, !FleetSlow(120, 100), "slow at 1.2 times the lowest median")
+	assert.Assert(t, FleetSlow(140, 100), "not slow at 1.4 times the lowest median")
 }
--- a/internal/window/histogram.go
+++ b/internal/window/histogram.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// Histogram estimates quantiles of values of the recent past. Its bins grow by a constant factor,
-// which bounds the relative error.
+// Histogram estimates quantiles of the values of the recent past. The bounds of its bins grow by a
+// constant factor, which limits the relative error.
 type Histogram struct {
-	bucketWidth float64 // of a bucket, in the caller's unit of time
-	firstBound  float64 // the bound of the first bin
-	logBinRatio float64 // the logarithm of the factor between bounds
+	bucketWidth float64 // in the caller's unit of time
+	firstBound  float64 // lower bound of the first bin
+	logBinRatio float64 // logarithm of the factor between the bounds of a bin
 	bins        int
 
-	lastPeriod    int64   // up to which expired buckets have been cleared
-	bucketPeriods []int64 // the number of the width-long period that a bucket holds
+	lastPeriod    int64   // period up to which expired buckets have been cleared
+	bucketPeriods []int64 // by bucket: the period whose values it holds
 	binCounts     []int32 // by bucket, then by bin
 	binTotals     []int32 // by bin, over all buckets
 	samples       int     // over all bins
 }
 
-// NewHistogram makes a ring of buckets that are width long each. Values from low on fall into bins
-// whose bounds grow by the factor step. Smaller values fall into the first bin, larger ones into the
-// last.
-func NewHistogram(buckets int, width, low, step float64, bins int) *Histogram {
+// NewHistogram returns a ring of buckets, each bucketWidth long in the caller's unit of time.
+// Values from firstBound on are counted in bins whose bounds grow by the factor binRatio; smaller
+// values are counted in the first bin, larger ones in the last.
+func NewHistogram(buckets int, bucketWidth, firstBound, binRatio float64, bins int) *Histogram {
 	return &Histogram{
-		bucketWidth:   width,
-		firstBound:    low,
-		logBinRatio:   math.Log(step),
+		bucketWidth:   bucketWidth,
+		firstBound:    firstBound,
+		logBinRatio:   math.Log(binRatio),
 		bins:          bins,
 		lastPeriod:    noPeriod,
 		bucketPeriods: emptyPeriods(buckets),
@@ -33,11 +33,11 @@
 	}
 }
 
-// Add counts one value at the time now.
+// Add counts a value at the time now.
 func (h *Histogram) Add(now, value float64) {
-	tick := h.advance(now)
-	bucket := bucketIndex(tick, len(h.bucketPeriods))
-	h.bucketPeriods[bucket] = tick
+	period := h.advance(now)
+	bucket := bucketIndex(period, len(h.bucketPeriods))
+	h.bucketPeriods[bucket] = period
 	bin := 0
 	if value > h.firstBound {
 		bin = min(int(math.Log(value/h.firstBound)/h.logBinRatio), h.bins-1)
@@ -47,8 +47,9 @@
 	h.samples++
 }
 
-// Quantile returns the value under which the share lies, and the number of samples it rests on;
-// without samples both are 0. Within a bin, values are taken as evenly spread over its logarithm.
+// Quantile returns the value below which the given share of the samples lies, and the number of
+// samples; both are 0 if there are none. Values in a bin are assumed to be spread evenly on a
+// logarithmic scale.
 func (h *Histogram) Quantile(now, share float64) (value float64, samples int) {
 	h.advance(now)
 	if h.samples == 0 {
@@ -66,30 +67,31 @@
 	return h.bound(float64(h.bins)), h.samples
 }
 
-// bound is the value at a position in bins.
+// bound returns the value at a position on the axis of bins; a whole number is the lower bound of a
+// bin.
 func (h *Histogram) bound(position float64) float64 {
 	return h.firstBound * math.Exp(position*h.logBinRatio)
 }
 
-// advance clears the buckets that have expired, or lie ahead since the time was set back, and returns
-// the tick of now.
+// advance clears the buckets that have expired, or that lie in the future because the time was set
+// back, and returns the period of now.
 func (h *Histogram) advance(now float64) int64 {
-	tick := periodAt(now, h.bucketWidth)
-	if tick == h.lastPeriod {
-		return tick
+	period := periodAt(now, h.bucketWidth)
+	if period == h.lastPeriod {
+		return period
 	}
-	h.lastPeriod = tick
-	oldest := tick - int64(len(h.bucketPeriods))
+	h.lastPeriod = period
+	oldest := period - int64(len(h.bucketPeriods))
 	for bucket, previous := range h.bucketPeriods {
-		if previous == noPeriod || previous > oldest && previous <= tick {
+		if previous == noPeriod || previous > oldest && previous <= period {
 			continue
 		}
 		h.clear(bucket)
 	}
-	return tick
+	return period
 }
 
-// clear takes a bucket's values out of the totals.
+// clear removes a bucket's values from the totals.
 func (h *Histogram) clear(bucket int) {
 	h.bucketPeriods[bucket] = noPeriod
 	counts := h.binCounts[bucket*h.bins : (bucket+1)*h.bins]
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("SumWithin: %v, want at most what was added", got)
 	}
 	if got := c.Sum(5000, 500); got != 0 {
-		t.Errorf("after expiry: %v", got)
+		t.Errorf("Sum after the values expired: %v, want 0", got)
 	}
 }
 
