--- a/internal/aggregator/policy/admission_test.go
+++ b/internal/aggregator/policy/admission_test.go
@@ -4,107 +4,113 @@
 	"testing"
 )
 
-// What servers do not bear is refused from the least valued up, a share of those at the line.
+// Searches worth less than the capacity floor are refused, and a share of those worth exactly the
+// floor.
 func TestSearchUnderTheCapacityFloorIsRefused(t *testing.T) {
-	b, n := newTestPolicy(2, nil)
-	b.CapacityFloor(0.5, 0.9) // all count 1 here: above the line
-	runSearch(b, 1000, 0, 1)
-	failIf(t, len(n.shed) != 0 || len(b.requests[1].attempts) == 0, "above the line: %v shed", n.shed)
-	endLastAttempts(b, 1050, Answered, 1)
-	b.CapacityFloor(1.5, 0)
-	runSearch(b, 1100, 2, 1)
-	failIf(t, len(n.shed) != 1 || b.Refusals(0)[OverCapacity] != 1, "under the line: %v shed, %v", n.shed, b.Refusals(0))
-	b.CapacityFloor(1, 0.5)
+	p, out := newTestPolicy(2, nil)
+	p.CapacityFloor(0.5, 0.9) // all searches here are worth 1: above the floor
+	runSearch(p, 1000, 0, 1)
+	failIf(t, len(out.shed) != 0 || len(p.requests[1].attempts) == 0, "above the floor: %v shed, want none", out.shed)
+	endLastAttempts(p, 1050, Answered, 1)
+	p.CapacityFloor(1.5, 0)
+	runSearch(p, 1100, 2, 1)
+	failIf(t, len(out.shed) != 1 || p.Refusals(0)[OverCapacity] != 1, "below the floor: %v shed, refusals %v", out.shed, p.Refusals(0))
+	p.CapacityFloor(1, 0.5)
 	for i := range 200 {
-		runSearch(b, 1200+float64(i), 4+2*i, 1)
-		endLastAttempts(b, 1200.5+float64(i), Answered, 5+2*i)
+		runSearch(p, 1200+float64(i), 4+2*i, 1)
+		endLastAttempts(p, 1200.5+float64(i), Answered, 5+2*i)
 	}
-	failIf(t, b.Refusals(0)[OverCapacity] < 70 || b.Refusals(0)[OverCapacity] > 140, "at the line, half of it: %d of 200 shed, %v", b.Refusals(0)[OverCapacity]-1, b.Refusals(0))
-	was := b.Refusals(0)[OverCapacity]
-	b.CapacityFloor(0, 0)
-	runSearch(b, 1500, 1000, 1)
-	failIf(t, len(n.shed) < 1 || b.Refusals(0)[OverCapacity] != was, "no line, and one is refused for it")
+	refused := p.Refusals(0)[OverCapacity]
+	failIf(t, refused < 70 || refused > 140, "at the floor: %d of 200 refused, want about half; refusals %v", refused-1, p.Refusals(0))
+	p.CapacityFloor(0, 0)
+	runSearch(p, 1500, 1000, 1)
+	failIf(t, len(out.shed) < 1 || p.Refusals(0)[OverCapacity] != refused, "a search is refused for the capacity floor though none is known")
 }
 
-// One search may be more than the hold limit; where nothing else is held it is served all the same.
+// A search with more shard requests than the pending limit is served if nothing else is pending.
 func TestPendingLimitSmallerThanASearch(t *testing.T) {
-	b, n := newTestPolicy(2, func(b *Policy) { b.Limits(4, 2, true, true) })
-	runSearch(b, 1000, 0, 4)
-	failIf(t, len(n.sent) != 4, "sent %v, want all four requests of the most valued search", n.sent)
+	p, out := newTestPolicy(2, func(p *Policy) { p.Limits(4, 2, true, true) })
+	runSearch(p, 1000, 0, 4)
+	failIf(t, len(out.sent) != 4, "sent %v, want all four requests of the most valuable search", out.sent)
 }
 
-// Clients that gave up early and asked again: the work was done for nobody.
+// Guards against work for clients that have given up and asked again: a search is shed if less time
+// is left until its deadline than it is expected to take.
 func TestAdmissionGoesByTheClientsTime(t *testing.T) {
-	b, n := newTestPolicy(1, nil)
-	now := runAnsweredSearches(b, 1000, 30)
-	b.Begin(now)
-	b.Search(0, 0, 0, now+60, 1)
-	b.ShardRequest(0, 1, 0, 1, 100, 0)
-	b.End()
-	wantInts(t, "shed where 60 ms are left and answers take 100", n.shed, 0)
+	p, out := newTestPolicy(1, nil)
+	now := runAnsweredSearches(p, 1000, 30)
+	p.Begin(now)
+	p.Search(0, 0, 0, now+60, 1)
+	p.ShardRequest(0, 1, 0, 1, 100, 0)
+	p.End()
+	wantInts(t, "shed when 60 ms are left and answers take 100 ms", out.shed, 0)
 }
 
+// Shard requests that are expected to take too long are abandoned if a partial answer will do;
+// otherwise the search is shed.
 func TestRequestsExpectedPastTheLimitAreSkipped(t *testing.T) {
 	for _, floor := range []float64{0.5, 1} {
-		b, n := newTestPolicy(4, func(b *Policy) { b.Fleet(4, 1, 1, 0, false); b.Shares(0, 1, floor, 0.8, 0) })
-		b.Begin(1001)
+		p, out := newTestPolicy(4, func(p *Policy) { p.Fleet(4, 1, 1, 0, false); p.Shares(0, 1, floor, 0.8, 0) })
+		p.Begin(1001)
 		for i := range 4 {
-			b.Server(i, 0, i, Ready, 1, 0)
+			p.Server(i, 0, i, Ready, 1, 0)
 		}
-		b.End()
-		b.servers[3].meanLatency, b.servers[3].latencyAt = 5000, 1002
-		b.Begin(1002)
-		b.Search(0, 0, 0, 4000, 4)
+		p.End()
+		p.servers[3].meanLatency, p.servers[3].latencyAt = 5000, 1002
+		p.Begin(1002)
+		p.Search(0, 0, 0, 4000, 4)
 		for i := range 4 {
-			b.ShardRequest(0, 1+i, i, 0.25, 100, 0)
+			p.ShardRequest(0, 1+i, i, 0.25, 100, 0)
 		}
-		b.End()
-		failIf(t, len(n.sent) != map[float64]int{0.5: 3, 1: 0}[floor], "least share %.1f: sent %v", floor, n.sent)
+		p.End()
+		failIf(t, len(out.sent) != map[float64]int{0.5: 3, 1: 0}[floor], "minimum share %.1f: sent %v", floor, out.sent)
 	}
 }
 
-// Each request was predicted fast enough, yet a search of fifty of them was late each time.
+// Guards against admitting searches of many shard requests by the latency of each alone: with fifty
+// of them, the slowest was late each time.
 func TestAdmissionGoesByTheSlowestRequest(t *testing.T) {
 	for _, requests := range []int{1, 50} {
-		b, n := newTestPolicy(4, nil)
-		now := runAnsweredSearches(b, 1000, 30)
+		p, out := newTestPolicy(4, nil)
+		now := runAnsweredSearches(p, 1000, 30)
 		for i := range 100 {
-			b.predictor.recentLatencies.Add(now, 100+float64(i/97)*4900)
+			p.predictor.recentLatencies.Add(now, 100+float64(i/97)*4900)
 		}
-		taken := 0
+		admitted := 0
 		for i := range 20 {
-			n.shed = nil
-			runSearch(b, now, 100*i, requests)
-			taken += 1 - len(n.shed)
+			out.shed = nil
+			runSearch(p, now, 100*i, requests)
+			admitted += 1 - len(out.shed)
 		}
-		failIf(t, requests == 1 && taken < 20 || requests > 1 && taken > 4, "%d of 20 searches of %d requests admitted", taken, requests)
+		failIf(t, requests == 1 && admitted < 20 || requests > 1 && admitted > 4, "%d of 20 searches of %d requests admitted", admitted, requests)
 	}
 }
 
-// Refusals are quick answers of a kind, and admission saw nothing of queues so long that no more
-// fitted.
+// Rejections are fast answers. If they counted as such, admission would not notice queues so long
+// that nothing more fits.
 func TestRejectionCountsAsLateAnswerForAdmission(t *testing.T) {
-	b, n := newTestPolicy(4, nil)
-	now := runAnsweredSearches(b, 1000, 30)
+	p, out := newTestPolicy(4, nil)
+	now := runAnsweredSearches(p, 1000, 30)
 	for i := range 10 {
-		runSearch(b, now, 100*i, 2)
-		endLastAttempts(b, now+1, Rejected, 100*i+1, 100*i+2)
-		endLastAttempts(b, now+2, Rejected, 100*i+1, 100*i+2)
+		runSearch(p, now, 100*i, 2)
+		endLastAttempts(p, now+1, Rejected, 100*i+1, 100*i+2)
+		endLastAttempts(p, now+2, Rejected, 100*i+1, 100*i+2)
 		now += 400
 	}
-	if v, _ := b.predictor.recentLatencies.Quantile(now, 0.9); v < 900 || len(n.shed) < 5 {
-		t.Fatalf("the slowest tenth took %.0f ms after refusals, %d shed", v, len(n.shed))
+	if latency, _ := p.predictor.recentLatencies.Quantile(now, 0.9); latency < 900 || len(out.shed) < 5 {
+		t.Fatalf("the 0.9 quantile of latencies is %.0f ms after rejections, want at least 900; %d shed, want at least 5", latency, len(out.shed))
 	}
 }
 
+// A server that is ejected for errors still answers some attempts, so it is used before a search is shed.
 func TestHoldersThatFailSomeRequestsAreAskedBeforeShedding(t *testing.T) {
-	b, n := newTestPolicy(2, nil)
-	now := runAnsweredSearches(b, 1000, 40)
-	b.Begin(now)
-	b.eject(0, false, "errors")
-	b.eject(1, false, "errors")
-	b.End()
-	sent := len(n.servers)
-	runSearch(b, now, 10, 1)
-	failIf(t, len(n.shed) > 0 || len(n.servers) != sent+1, "%d shed, %d sent", len(n.shed), len(n.servers)-sent)
+	p, out := newTestPolicy(2, nil)
+	now := runAnsweredSearches(p, 1000, 40)
+	p.Begin(now)
+	p.eject(0, false, "errors")
+	p.eject(1, false, "errors")
+	p.End()
+	sent := len(out.servers)
+	runSearch(p, now, 10, 1)
+	failIf(t, len(out.shed) > 0 || len(out.servers) != sent+1, "%d shed, want 0; %d sent, want 1", len(out.shed), len(out.servers)-sent)
 }
--- a/internal/aggregator/policy/connections_test.go
+++ b/internal/aggregator/policy/connections_test.go
@@ -4,27 +4,28 @@
 	"testing"
 )
 
-// Connections that were dropped unnoticed must not fail each request after an idle time, or its trials.
+// Guards against idle connections that were dropped without notice, over which the first attempt
+// after an idle time, and each trial, gets lost.
 func TestFaultyIdleConnectionsAreClosedBeforeSend(t *testing.T) {
-	for _, idle := range []bool{true, false} { // lost on idle connections alone, or on all: then the server hangs
-		b, n := newTestPolicy(2, nil)
-		now := runAnsweredSearches(b, 1000, 30) + 1500
-		b.servers[0].answeredAt, b.servers[1].answeredAt = now-1500, now-1500
+	for _, idle := range []bool{true, false} { // false: attempts get lost on all connections, so the server hangs
+		p, out := newTestPolicy(2, nil)
+		now := runAnsweredSearches(p, 1000, 30) + 1500
+		p.servers[0].answeredAt, p.servers[1].answeredAt = now-1500, now-1500
 		for range minIdleLost {
-			b.connections.record(now, &attemptState{onIdleConnection: idle}, true)
-			b.connections.record(now, &attemptState{}, !idle)
+			p.connections.record(now, &attemptState{onIdleConnection: idle}, true)
+			p.connections.record(now, &attemptState{}, !idle)
 		}
-		runSearch(b, now, 0, 1)
-		failIf(t, len(n.closed) > 0 != idle, "lost on idle connections %v: closed %v", idle, n.closed)
-		b.connections.idleWereFaulty = false
-		b.eject(0, true, "test")
-		b.eject(1, true, "test")
-		endLastAttempts(b, now+100, Answered, 1)
-		n.closed = nil
-		s := b.servers[0]
+		runSearch(p, now, 0, 1)
+		failIf(t, len(out.closed) > 0 != idle, "lost on idle connections only: %v; closed %v", idle, out.closed)
+		p.connections.idleWereFaulty = false
+		p.eject(0, true, "test")
+		p.eject(1, true, "test")
+		endLastAttempts(p, now+100, Answered, 1)
+		out.closed = nil
+		s := p.servers[0]
 		if !s.ejected {
-			s = b.servers[1]
+			s = p.servers[1]
 		}
-		failIf(t, s.trialAt <= now+100 != idle, "lost on idle connections %v: tried in %.0f ms", idle, s.trialAt-now)
+		failIf(t, s.trialAt <= now+100 != idle, "lost on idle connections only: %v; trial in %.0f ms", idle, s.trialAt-now)
 	}
 }
--- a/internal/aggregator/policy/helpers_test.go
+++ b/internal/aggregator/policy/helpers_test.go
@@ -4,77 +4,79 @@
 	"testing"
 )
 
-// recorder records the decisions of the policy.
+// recorder records the decisions of the policy, by the indices that they are about.
 type recorder struct {
 	sent, cancelled, answered, shed, failed, probed, forgotten, closed []int
 	servers                                                            []int
 	retryAfter                                                         float64
 	complete                                                           bool
-	begin                                                              float64
+	beginWithin                                                        float64
 }
 
-func (n *recorder) Send(request, server int, _, begin float64) {
-	n.sent, n.servers, n.begin = append(n.sent, request), append(n.servers, server), begin
+func (out *recorder) Send(request, server int, _, beginWithin float64) {
+	out.sent, out.servers, out.beginWithin = append(out.sent, request), append(out.servers, server), beginWithin
 }
-func (n *recorder) Cancel(request, _ int) { n.cancelled = append(n.cancelled, request) }
-func (n *recorder) Answer(search int, complete bool) {
-	n.answered, n.complete = append(n.answered, search), complete
+func (out *recorder) Cancel(request, _ int) { out.cancelled = append(out.cancelled, request) }
+func (out *recorder) Answer(search int, complete bool) {
+	out.answered, out.complete = append(out.answered, search), complete
 }
-func (n *recorder) Shed(search int, retryAfter float64) {
-	n.shed, n.retryAfter = append(n.shed, search), retryAfter
+func (out *recorder) Shed(search int, retryAfter float64) {
+	out.shed, out.retryAfter = append(out.shed, search), retryAfter
 }
-func (n *recorder) Fail(search int)   { n.failed = append(n.failed, search) }
-func (n *recorder) Probe(server int)  { n.probed = append(n.probed, server) }
-func (n *recorder) Close(server int)  { n.closed = append(n.closed, server) }
-func (n *recorder) Subscribe()        {}
-func (n *recorder) Wake(_ float64)    {}
-func (n *recorder) Log(_ string)      {}
-func (n *recorder) Forget(search int) { n.forgotten = append(n.forgotten, search) }
+func (out *recorder) Fail(search int)   { out.failed = append(out.failed, search) }
+func (out *recorder) Probe(server int)  { out.probed = append(out.probed, server) }
+func (out *recorder) Close(server int)  { out.closed = append(out.closed, server) }
+func (out *recorder) Subscribe()        {}
+func (out *recorder) Wake(_ float64)    {}
+func (out *recorder) Log(_ string)      {}
+func (out *recorder) Forget(search int) { out.forgotten = append(out.forgotten, search) }
 
-// newTestPolicy returns a policy with one query type and ready servers, after set has changed its settings.
-func newTestPolicy(servers int, set func(*Policy)) (*Policy, *recorder) {
-	n := &recorder{}
-	b := New(n, 1, 2, 0)
-	b.QueryType(1000, 1, 0.3, Idempotent, 0)
-	b.Fleet(1, 1, 4, 10, false)
-	b.Limits(4, 0, true, true)
-	if set != nil {
-		set(b)
+// newTestPolicy returns a policy with one query type, all servers ready at one position, after
+// configure has changed its settings, and the recorder of its decisions.
+func newTestPolicy(servers int, configure func(*Policy)) (*Policy, *recorder) {
+	out := &recorder{}
+	p := New(out, 1, 2, 0)
+	p.QueryType(1000, 1, 0.3, Idempotent, 0)
+	p.Fleet(1, 1, 4, 10, false)
+	p.Limits(4, 0, true, true)
+	if configure != nil {
+		configure(p)
 	}
-	b.Begin(1000)
+	p.Begin(1000)
 	for i := range servers {
-		b.Server(i, 0, 0, Ready, 1, 0)
+		p.Server(i, 0, 0, Ready, 1, 0)
 	}
-	b.End()
-	return b, n
+	p.End()
+	return p, out
 }
 
-// runSearch runs a round with one search; its shard requests have the ids after its own.
-func runSearch(b *Policy, now float64, id, requests int) {
-	b.Begin(now)
-	b.Search(id, 0, 0, now+3000, requests)
+// runSearch runs a round with one new search; the ids of its shard requests follow its own.
+func runSearch(p *Policy, now float64, id, requests int) {
+	p.Begin(now)
+	p.Search(id, 0, 0, now+3000, requests)
 	for i := range requests {
-		b.ShardRequest(id, id+1+i, 0, 1/float64(requests), 100, 0)
+		p.ShardRequest(id, id+1+i, 0, 1/float64(requests), 100, 0)
 	}
-	b.End()
+	p.End()
 }
 
-// endLastAttempts runs a round in which the latest attempts of shard requests end.
-func endLastAttempts(b *Policy, now float64, outcome Outcome, requests ...int) {
-	b.Begin(now)
+// endLastAttempts runs a round in which the latest attempt of each shard request ends.
+func endLastAttempts(p *Policy, now float64, outcome Outcome, requests ...int) {
+	p.Begin(now)
 	for _, id := range requests {
-		if p := getAt(b.requests, id); p != nil {
-			b.Done(id, len(p.attempts)-1, outcome, nil)
+		if request := getAt(p.requests, id); request != nil {
+			p.Done(id, len(request.attempts)-1, outcome, nil)
 		}
 	}
-	b.End()
+	p.End()
 }
 
-// runAnsweredSearches runs searches that are answered after 100 ms, and returns the time after them.
-func runAnsweredSearches(b *Policy, now float64, searches int) float64 {
+// runAnsweredSearches runs searches one after another, each answered after 100 ms, and returns the
+// time after them.
+func runAnsweredSearches(p *Policy, now float64, searches int) float64 {
 	for range searches {
-		runSearch(b, now, 500, 1)
-		endLastAttempts(b, now+100, Answered, 501)
+		runSearch(p, now, 500, 1)
+		endLastAttempts(p, now+100, Answered, 501)
 		now += 110
 	}
 	return now
--- a/internal/aggregator/policy/inflight_test.go
+++ b/internal/aggregator/policy/inflight_test.go
@@ -2,130 +2,138 @@
 
 import "testing"
 
-// The tests here are of requests whose bytes reach the client before they are complete, and of those it
-// is still sending.
+// The tests in this file are about shard requests whose answer is passed on to the client before it is
+// complete, and about those whose body the client is still sending.
 
+// requestByID returns a shard request, nil if it is not known.
 func (p *Policy) requestByID(id int) *shardRequest { return getAt(p.requests, id) }
 
 func TestCommittedRequestHasNoOtherAttempt(t *testing.T) {
-	b, n := newTestPolicy(4, nil)
-	now := runAnsweredSearches(b, 1000, 30)
-	runSearch(b, now, 1, 1)
-	to := b.requestByID(2).attempts[0].server
-	for b.Begin(now + 150); len(b.requestByID(2).attempts) < 2 && b.now < now+900; b.Begin(b.now + 10) {
-		b.End()
+	p, out := newTestPolicy(4, nil)
+	now := runAnsweredSearches(p, 1000, 30)
+	runSearch(p, now, 1, 1)
+	server := p.requestByID(2).attempts[0].server
+	for p.Begin(now + 150); len(p.requestByID(2).attempts) < 2 && p.now < now+900; p.Begin(p.now + 10) {
+		p.End()
 	}
-	if len(b.requestByID(2).attempts) != 2 {
-		t.Fatal("no copy")
+	if len(p.requestByID(2).attempts) != 2 {
+		t.Fatal("no hedge was sent")
 	}
-	n.cancelled = nil
-	failIf(t, !b.Committed(2, 1, true), "the copy may not answer")
-	wantInts(t, "the loser is called off", n.cancelled, 2)
-	failIf(t, b.Committed(2, 0, true), "two attempts of one request reach the client")
-	b.End()
-	// It breaks in the middle: nothing goes again, and it can't be called harmless to ask again.
-	b.Begin(b.now + 10)
-	b.Done(2, 0, Cancelled, nil)
-	b.Done(2, 1, Reset, nil)
-	b.End()
-	wantInts(t, "errored", n.failed, 1)
-	failIf(t, len(n.shed) > 0 || to < 0, "shed")
+	out.cancelled = nil
+	failIf(t, !p.Committed(2, 1, true), "the hedge could not be committed")
+	wantInts(t, "the other attempt is cancelled", out.cancelled, 2)
+	failIf(t, p.Committed(2, 0, true), "two attempts of one shard request are committed")
+	p.End()
+	// The committed attempt breaks: it is not retried, and the client is not told that a retry is harmless.
+	p.Begin(p.now + 10)
+	p.Done(2, 0, Cancelled, nil)
+	p.Done(2, 1, Reset, nil)
+	p.End()
+	wantInts(t, "failed searches", out.failed, 1)
+	failIf(t, len(out.shed) > 0 || server < 0, "shed %v, though the attempt may have run", out.shed)
 }
 
 func TestLongStreamIsNoTimeout(t *testing.T) {
-	b, n := newTestPolicy(2, nil)
-	now := runAnsweredSearches(b, 1000, 30)
-	runSearch(b, now, 1, 1)
-	s := b.servers[b.requestByID(2).attempts[0].server]
-	b.Begin(now + 50)
-	b.Committed(2, 0, true)
-	b.End()
-	for ; b.now < now+2900; b.Begin(b.now + 20) {
-		b.End()
+	p, out := newTestPolicy(2, nil)
+	now := runAnsweredSearches(p, 1000, 30)
+	runSearch(p, now, 1, 1)
+	s := p.servers[p.requestByID(2).attempts[0].server]
+	p.Begin(now + 50)
+	p.Committed(2, 0, true)
+	p.End()
+	for ; p.now < now+2900; p.Begin(p.now + 20) {
+		p.End()
 	}
-	failIf(t, s.ejected || b.expectedLatency(s) > 200, "aside %v, expected %.0f ms", s.ejected, b.expectedLatency(s))
-	failIf(t, s.batches != 1 || s.clientBoundBatches != 1, "%d calls, %d parked", s.batches, s.clientBoundBatches)
-	b.Begin(now + 2910)
-	b.Done(2, 0, Answered, nil)
-	b.End()
-	wantInts(t, "answered", n.answered[len(n.answered)-1:], 1)
-	failIf(t, s.batches != 0 || s.clientBoundBatches != 0 || b.expectedLatency(s) > 200, "%d calls, %d parked, expected %.0f", s.batches, s.clientBoundBatches, b.expectedLatency(s))
+	failIf(t, s.ejected || p.expectedLatency(s) > 200,
+		"ejected %v, expected latency %.0f ms, want at most 200", s.ejected, p.expectedLatency(s))
+	failIf(t, s.batches != 1 || s.clientBoundBatches != 1,
+		"%d batches in flight, %d client-bound, want 1 and 1", s.batches, s.clientBoundBatches)
+	p.Begin(now + 2910)
+	p.Done(2, 0, Answered, nil)
+	p.End()
+	wantInts(t, "answered", out.answered[len(out.answered)-1:], 1)
+	failIf(t, s.batches != 0 || s.clientBoundBatches != 0 || p.expectedLatency(s) > 200,
+		"%d batches in flight, %d client-bound, want none; expected latency %.0f ms, want at most 200",
+		s.batches, s.clientBoundBatches, p.expectedLatency(s))
 }
 
 func TestServerThatWaitsForItsClientIsNotSlow(t *testing.T) {
-	b, n := newTestPolicy(2, nil)
-	now := runAnsweredSearches(b, 1000, 30)
-	for i := range 40 { // as many as a flood of bodies that come byte by byte
-		b.Begin(now)
-		b.Search(10+2*i, 0, 0, now+1000, 1)
-		b.ShardRequest(10+2*i, 11+2*i, 0, 1, 100, 0)
-		b.ClientSending(11+2*i, true)
-		b.End()
+	p, out := newTestPolicy(2, nil)
+	now := runAnsweredSearches(p, 1000, 30)
+	for i := range 40 { // a flood of request bodies that arrive byte by byte
+		p.Begin(now)
+		p.Search(10+2*i, 0, 0, now+1000, 1)
+		p.ShardRequest(10+2*i, 11+2*i, 0, 1, 100, 0)
+		p.ClientSending(11+2*i, true)
+		p.End()
 	}
-	for ; b.now < now+990; b.Begin(b.now + 20) {
-		b.End()
+	for ; p.now < now+990; p.Begin(p.now + 20) {
+		p.End()
 	}
 	for i := range 40 {
-		failIf(t, len(b.requestByID(11+2*i).attempts) != 1, "sent %d times", len(b.requestByID(11+2*i).attempts))
-		b.Done(11+2*i, 0, Cancelled, nil)
+		failIf(t, len(p.requestByID(11+2*i).attempts) != 1, "sent %d times, want once", len(p.requestByID(11+2*i).attempts))
+		p.Done(11+2*i, 0, Cancelled, nil)
 	}
-	b.End()
-	for i, s := range b.servers {
-		failIf(t, s.ejected || b.expectedLatency(s) > 200 || s.batches != 0 || s.clientBoundBatches != 0, "server %d: aside %v, expected %.0f ms, %d calls, %d parked",
-			i, s.ejected, b.expectedLatency(s), s.batches, s.clientBoundBatches)
+	p.End()
+	for i, s := range p.servers {
+		failIf(t, s.ejected || p.expectedLatency(s) > 200 || s.batches != 0 || s.clientBoundBatches != 0,
+			"server %d: ejected %v, expected latency %.0f ms, %d batches in flight, %d client-bound",
+			i, s.ejected, p.expectedLatency(s), s.batches, s.clientBoundBatches)
 	}
-	shed := len(n.shed)
-	runSearch(b, now+1000, 1, 1)
-	failIf(t, len(n.shed) != shed, "others are shed for them")
-	// From its end on the clock runs.
-	b.Begin(now + 1100)
-	b.Search(3, 0, 0, now+4000, 1)
-	b.ShardRequest(3, 4, 0, 1, 100, 0)
-	b.ClientSending(4, true)
-	b.End()
-	b.Begin(now + 1600)
-	b.ClientSending(4, false)
-	b.End()
-	s := b.servers[b.requestByID(4).attempts[0].server]
-	failIf(t, s.clientBoundBatches != 0 || len(s.waiting) == 0, "its server is not waited for")
-	failIf(t, b.requestByID(4).attempts[0].startedAt != now+1600 || b.requestByID(4).attempts[0].sentAt != now+1100, "its times")
+	shed := len(out.shed)
+	runSearch(p, now+1000, 1, 1)
+	failIf(t, len(out.shed) != shed, "another search is shed because of those that wait for their clients")
+	// Once the body is complete, the time counts.
+	p.Begin(now + 1100)
+	p.Search(3, 0, 0, now+4000, 1)
+	p.ShardRequest(3, 4, 0, 1, 100, 0)
+	p.ClientSending(4, true)
+	p.End()
+	p.Begin(now + 1600)
+	p.ClientSending(4, false)
+	p.End()
+	s := p.servers[p.requestByID(4).attempts[0].server]
+	failIf(t, s.clientBoundBatches != 0 || len(s.waiting) == 0, "the server is not expected to answer though the body is complete")
+	attempt := p.requestByID(4).attempts[0]
+	failIf(t, attempt.startedAt != now+1600 || attempt.sentAt != now+1100,
+		"started at %.0f, sent at %.0f, want %.0f and %.0f", attempt.startedAt, attempt.sentAt, now+1600, now+1100)
 }
 
 func TestPushbackIsObeyed(t *testing.T) {
-	for wait, again := range map[float64]bool{100: true, -1: false, 5000: false} {
-		b, n := newTestPolicy(2, nil)
-		now := runAnsweredSearches(b, 1000, 30)
-		runSearch(b, now, 1, 1)
-		b.Begin(now + 10)
-		b.Pushback(2, wait)
-		b.Done(2, 0, Errored, nil)
-		b.End()
-		sent := len(n.sent)
-		if again {
-			b.Begin(now + 100)
-			b.End()
-			failIf(t, len(n.sent) != sent, "sent before its time")
-			b.Begin(now + 115)
-			b.End()
-			failIf(t, len(n.sent) != sent+1, "not sent again")
+	for delay, retried := range map[float64]bool{100: true, -1: false, 5000: false} {
+		p, out := newTestPolicy(2, nil)
+		now := runAnsweredSearches(p, 1000, 30)
+		runSearch(p, now, 1, 1)
+		p.Begin(now + 10)
+		p.Pushback(2, delay)
+		p.Done(2, 0, Errored, nil)
+		p.End()
+		sent := len(out.sent)
+		if retried {
+			p.Begin(now + 100)
+			p.End()
+			failIf(t, len(out.sent) != sent, "retried before the pushback delay had passed")
+			p.Begin(now + 115)
+			p.End()
+			failIf(t, len(out.sent) != sent+1, "not retried after the pushback delay")
 			continue
 		}
-		failIf(t, b.requestByID(2) != nil || len(n.sent) != sent, "a wish of %.0f: not given up at once", wait)
+		failIf(t, p.requestByID(2) != nil || len(out.sent) != sent, "pushback of %.0f ms: the search is not given up at once", delay)
 	}
 }
 
 func TestTokenedRequestBeginsInItsWindow(t *testing.T) {
-	b, n := newTestPolicy(2, func(b *Policy) { b.QueryType(1000, 1, 0.3, Tokened, 400) })
-	now := runAnsweredSearches(b, 1000, 30)
-	b.Begin(now)
-	b.Search(1, 1, 0, now+3000, 1)
-	b.ShardRequest(1, 2, 0, 1, 100, 0)
-	b.End()
-	failIf(t, n.begin != 400-answerMargin, "the first may begin for %.0f ms", n.begin)
-	b.Begin(now + 100)
-	b.Done(2, 0, Reset, nil)
-	b.End()
-	failIf(t, n.begin != 300-answerMargin, "the second may begin for %.0f ms", n.begin)
-	runSearch(b, now+200, 5, 1)
-	failIf(t, n.begin != 0, "an idempotent one has a limit")
+	p, out := newTestPolicy(2, func(p *Policy) { p.QueryType(1000, 1, 0.3, Tokened, 400) })
+	now := runAnsweredSearches(p, 1000, 30)
+	p.Begin(now)
+	p.Search(1, 1, 0, now+3000, 1)
+	p.ShardRequest(1, 2, 0, 1, 100, 0)
+	p.End()
+	failIf(t, out.beginWithin != 400-answerMargin, "the first attempt must begin within %.0f ms, want 375", out.beginWithin)
+	p.Begin(now + 100)
+	p.Done(2, 0, Reset, nil)
+	p.End()
+	failIf(t, out.beginWithin != 300-answerMargin, "the second attempt must begin within %.0f ms, want 275", out.beginWithin)
+	runSearch(p, now+200, 5, 1)
+	failIf(t, out.beginWithin != 0, "an idempotent shard request must begin within %.0f ms, want no limit", out.beginWithin)
 }
--- a/internal/aggregator/policy/outliers_test.go
+++ b/internal/aggregator/policy/outliers_test.go
@@ -5,40 +5,42 @@
 )
 
 func TestUnresponsiveServerIsEjectedAndItsRequestRetried(t *testing.T) {
-	b, n := newTestPolicy(2, nil)
-	now := runAnsweredSearches(b, 1000, 30)
-	n.sent, n.servers = nil, nil
-	runSearch(b, now, 0, 1)
+	p, out := newTestPolicy(2, nil)
+	now := runAnsweredSearches(p, 1000, 30)
+	out.sent, out.servers = nil, nil
+	runSearch(p, now, 0, 1)
 	for at := now + 10; at <= now+600; at += 10 {
-		b.Begin(at)
-		b.Woken()
-		b.End()
+		p.Begin(at)
+		p.Woken()
+		p.End()
 	}
-	if s := b.servers[n.servers[0]]; !s.ejected || !s.unresponsive {
-		t.Fatal("a server that answers nothing is not set aside")
+	if s := p.servers[out.servers[0]]; !s.ejected || !s.unresponsive {
+		t.Fatal("a server that answers nothing is not ejected as unresponsive")
 	}
-	failIf(t, len(n.servers) != 2 || n.servers[1] == n.servers[0], "sent to %v: want the request retried on the other server than the unresponsive one", n.servers)
+	failIf(t, len(out.servers) != 2 || out.servers[1] == out.servers[0],
+		"sent to %v: want the request retried at the other server", out.servers)
 }
 
-// A broker that stood still heard nothing meanwhile, and took all its servers for silent at once.
+// After a stall of its own an aggregator has received nothing for a while. It must not take all its
+// servers for unresponsive.
 func TestOwnStallIsNoTimeoutOfServers(t *testing.T) {
-	b, n := newTestPolicy(2, nil)
-	now := runAnsweredSearches(b, 1000, 30)
-	runSearch(b, now, 0, 1)
-	endLastAttempts(b, now+2000, Answered)
-	if s := b.servers[n.servers[len(n.servers)-1]]; s.ejected {
-		t.Fatal("a server is set aside for this broker's own stall")
+	p, out := newTestPolicy(2, nil)
+	now := runAnsweredSearches(p, 1000, 30)
+	runSearch(p, now, 0, 1)
+	endLastAttempts(p, now+2000, Answered)
+	if s := p.servers[out.servers[len(out.servers)-1]]; s.ejected {
+		t.Fatal("a server is ejected because of a stall of the aggregator")
 	}
 }
 
-// Connections that broke here and there set sound servers aside as dead, and throttled them as
-// restarted.
+// Guards against ejecting healthy servers as unreachable because a few connections broke, and then
+// limiting them as if they had restarted.
 func TestBrokenConnectionIsOneErrorAndEjectsNobody(t *testing.T) {
-	b, _ := newTestPolicy(2, nil)
-	now := runAnsweredSearches(b, 1000, 30)
-	runSearch(b, now, 0, 4)
-	endLastAttempts(b, now+10, Reset, 1, 2, 3, 4)
-	for i, s := range b.servers {
-		failIf(t, s.ejected, "server %d is set aside for one broken connection", i)
+	p, _ := newTestPolicy(2, nil)
+	now := runAnsweredSearches(p, 1000, 30)
+	runSearch(p, now, 0, 4)
+	endLastAttempts(p, now+10, Reset, 1, 2, 3, 4)
+	for i, s := range p.servers {
+		failIf(t, s.ejected, "server %d is ejected because of one broken connection", i)
 	}
 }
--- a/internal/aggregator/policy/retry_test.go
+++ b/internal/aggregator/policy/retry_test.go
@@ -4,35 +4,35 @@
 	"testing"
 )
 
-// Refusals are quick, and free their place at once: without a rest everything goes to whoever
-// refuses.
+// Rejections are fast and free the place in flight at once: without a pause everything would be
+// sent to the server that rejects.
 func TestServerThatRejectsIsLeftAlone(t *testing.T) {
-	b, n := newTestPolicy(2, nil)
-	runSearch(b, 1000, 0, 1)
-	endLastAttempts(b, 1002, Rejected, 1)
-	failIf(t, len(n.servers) != 2 || n.servers[1] == n.servers[0], "sent to %v: want the other server after a refusal", n.servers)
-	runSearch(b, 1003, 10, 1)
-	failIf(t, n.servers[2] == n.servers[0], "sent to a full server again at once")
+	p, out := newTestPolicy(2, nil)
+	runSearch(p, 1000, 0, 1)
+	endLastAttempts(p, 1002, Rejected, 1)
+	failIf(t, len(out.servers) != 2 || out.servers[1] == out.servers[0], "sent to %v: want the other server after a rejection", out.servers)
+	runSearch(p, 1003, 10, 1)
+	failIf(t, out.servers[2] == out.servers[0], "sent to a full server again without a pause")
 }
 
-// One of eight servers failed at once, and the parts of a search that had no other place just then
-// spent all their tries on it within ten milliseconds: 95 of 100 parts were in when such a search
-// was given up.
+// Guards against a shard request using up its attempts on a server that fails at once, while its
+// other replicas are busy. With one of eight servers failing, all attempts were spent within ten
+// milliseconds, and the search was given up with 95 of its 100 shard requests answered.
 func TestAttemptsAreNotSpentAtOnceOnFailingServers(t *testing.T) {
-	b, n := newTestPolicy(2, func(b *Policy) { b.Limits(4, 100, true, true) })
-	b.eject(0, false, "test")
-	b.servers[1].rejectsUntil = 1300
-	runSearch(b, 1000, 0, 1)
-	wantInts(t, "the first", n.servers, 0)
-	endLastAttempts(b, 1005, Errored, 1)
+	p, out := newTestPolicy(2, func(p *Policy) { p.Limits(4, 100, true, true) })
+	p.eject(0, false, "test")
+	p.servers[1].rejectsUntil = 1300
+	runSearch(p, 1000, 0, 1)
+	wantInts(t, "sent first to", out.servers, 0)
+	endLastAttempts(p, 1005, Errored, 1)
 	for at := 1010.; at < 1290; at += 10 {
-		b.Begin(at)
-		b.Woken()
-		b.End()
+		p.Begin(at)
+		p.Woken()
+		p.End()
 	}
-	wantInts(t, "within the pause", n.servers, 0)
-	b.Begin(1310)
-	b.Woken()
-	b.End()
-	wantInts(t, "once the other has room", n.servers, 0, 1)
+	wantInts(t, "sent within the pause to", out.servers, 0)
+	p.Begin(1310)
+	p.Woken()
+	p.End()
+	wantInts(t, "sent once the other server has room to", out.servers, 0, 1)
 }
--- a/internal/aggregator/policy/rules_test.go
+++ b/internal/aggregator/policy/rules_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// FuzzRules runs random events with random settings, failures and server lists, and checks the rules
-// after every step.
+// FuzzRules runs a policy with random settings, events, failures and server lists, and checks the
+// rules in every step.
 func FuzzRules(f *testing.F) {
 	for seed := int64(1); seed <= 150; seed++ {
 		f.Add(seed)
@@ -24,7 +24,7 @@
 	})
 }
 
-// The checker must be able to fail: each tampering breaks a decision before it is checked.
+// The checks must be able to fail: each kind of tampering breaks a decision before it is checked.
 func TestCheckerDetectsBrokenDecisions(t *testing.T) {
 	for _, tamper := range []string{"drained", "twice", "whole", "late"} {
 		detected := false
@@ -37,11 +37,12 @@
 			}
 		}
 		if !detected {
-			t.Errorf("nothing noticed that a decision was broken: %s", tamper)
+			t.Errorf("no check detected the tampering %q", tamper)
 		}
 	}
 }
 
+// The same seed and the same events must produce the same decisions.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		a, b := newWorld(t, seed), newWorld(t, seed)
@@ -49,7 +50,7 @@
 			a.step()
 			b.step()
 			if a.sends != b.sends || a.finalAnswers != b.finalAnswers || a.wakeAt != b.wakeAt {
-				t.Fatalf("seed %d, round %d: two runs of the same events differ", seed, i)
+				t.Fatalf("seed %d, round %d: two runs with the same events decide differently", seed, i)
 			}
 		}
 	}
@@ -60,28 +61,28 @@
 		name                               string
 		servers, kind, requests, positions int
 		maxAttempts, maxPending, shard     int
-		until                              float64
+		deadline                           float64
 	}{
 		{"no server", 0, 0, 2, 1, 4, 0, 0, 4000},
-		{"no part", 1, 0, 0, 1, 4, 0, 0, 4000},
-		{"no try allowed", 1, 0, 2, 1, 0, 0, 0, 4000},
-		{"no holder", 1, 0, 1, 4, 4, 0, 2, 4000},
-		{"past on arrival", 1, 0, 1, 1, 4, 0, 0, 900},
+		{"no shard request", 1, 0, 0, 1, 4, 0, 0, 4000},
+		{"no attempt allowed", 1, 0, 2, 1, 0, 0, 0, 4000},
+		{"no replica", 1, 0, 1, 4, 4, 0, 2, 4000},
+		{"deadline passed on arrival", 1, 0, 1, 1, 4, 0, 0, 900},
 		{"unknown query type and customer", 1, 9, 1, 1, 4, 0, 0, 4000},
 		{"negative numbers", 1, -1, -1, 1, -1, -1, -3, -1},
 	} {
-		b, n := newTestPolicy(c.servers, func(b *Policy) {
-			b.Fleet(c.positions, 1, 1, 0, false)
-			b.Limits(c.maxAttempts, c.maxPending, true, true)
+		p, out := newTestPolicy(c.servers, func(p *Policy) {
+			p.Fleet(c.positions, 1, 1, 0, false)
+			p.Limits(c.maxAttempts, c.maxPending, true, true)
 		})
-		b.Begin(1000)
-		b.Search(0, c.kind, c.kind, c.until, c.requests)
+		p.Begin(1000)
+		p.Search(0, c.kind, c.kind, c.deadline, c.requests)
 		for i := range c.requests {
-			b.ShardRequest(0, 1+i, c.shard, 1/float64(c.requests), 100, 0)
+			p.ShardRequest(0, 1+i, c.shard, 1/float64(c.requests), 100, 0)
 		}
-		b.End()
-		if len(n.shed)+len(n.failed) != 1 || len(n.forgotten) != 1 || len(n.sent) != 0 {
-			t.Errorf("%s: shed %v, failed %v, sent %v: want one prompt final answer", c.name, n.shed, n.failed, n.sent)
+		p.End()
+		if len(out.shed)+len(out.failed) != 1 || len(out.forgotten) != 1 || len(out.sent) != 0 {
+			t.Errorf("%s: shed %v, failed %v, sent %v: want one prompt final answer", c.name, out.shed, out.failed, out.sent)
 		}
 	}
 }
--- a/internal/aggregator/policy/servers_test.go
+++ b/internal/aggregator/policy/servers_test.go
@@ -5,34 +5,36 @@
 	"testing"
 )
 
+// A server can be removed only when nothing of it counts any more; a new server with its index starts afresh.
 func TestRemovedServerLeavesNothingToItsIndex(t *testing.T) {
-	b, n := newTestPolicy(2, func(b *Policy) {
-		b.Reports(true, []Field{InFlight})
-		b.WarmUp(0.2, 5000, 2, 2000)
+	p, out := newTestPolicy(2, func(p *Policy) {
+		p.Reports(true, []Field{InFlight})
+		p.WarmUp(0.2, 5000, 2, 2000)
 	})
-	now := runAnsweredSearches(b, 1000, 30)
-	runSearch(b, now, 1, 1)
-	at := n.servers[len(n.servers)-1]
-	b.Begin(now + 10)
-	b.Server(at, 0, 0, Gone, 0, 0)
-	failIf(t, b.RemoveServer(at), "dropped with a part out")
-	b.Done(2, 0, ConnectFailed, []float64{9}) // which sets it aside, and reports what counts no more
-	b.End()
-	b.Begin(now + 10)
-	failIf(t, b.RemoveServer(at), "dropped while what it was sent counts")
-	b.End()
+	now := runAnsweredSearches(p, 1000, 30)
+	runSearch(p, now, 1, 1)
+	id := out.servers[len(out.servers)-1]
+	p.Begin(now + 10)
+	p.Server(id, 0, 0, Gone, 0, 0)
+	failIf(t, p.RemoveServer(id), "removed with an attempt in flight")
+	p.Done(2, 0, ConnectFailed, []float64{9}) // ejects the server; its load report must not count any more
+	p.End()
+	p.Begin(now + 10)
+	failIf(t, p.RemoveServer(id), "removed while the work sent to it counts towards the warm-up limit")
+	p.End()
 	now += 5000
-	b.Begin(now)
-	failIf(t, !b.servers[at].ejected || !b.RemoveServer(at) || !b.RemoveServer(at), "not dropped with nothing out")
-	failIf(t, b.predictor.reportingServers != 0 || b.predictor.reportedLoad != 0, "what it reported stays: %v", b.predictor.reportedLoad)
-	b.End()
-	b.Begin(now + 30)
-	b.Server(at, 0, 0, Ready, 1, 0) // another, under the same index
-	b.Server(1-at, 0, 0, Gone, 0, 0)
-	b.End()
-	s := b.servers[at]
-	failIf(t, s.ejected || s.meanLatency != 0 || slices.Contains(b.watched, at), "the new one is taken for the old: %+v, %v", s, b.watched)
-	sent := len(n.servers)
-	runSearch(b, now+40, 10, 1)
-	wantInts(t, "sent to the new one", n.servers[sent:], at)
+	p.Begin(now)
+	failIf(t, !p.servers[id].ejected || !p.RemoveServer(id) || !p.RemoveServer(id), "not removed with nothing in flight")
+	failIf(t, p.predictor.reportingServers != 0 || p.predictor.reportedLoad != 0, "its load report still counts: %v", p.predictor.reportedLoad)
+	p.End()
+	p.Begin(now + 30)
+	p.Server(id, 0, 0, Ready, 1, 0) // another server with the same index
+	p.Server(1-id, 0, 0, Gone, 0, 0)
+	p.End()
+	s := p.servers[id]
+	failIf(t, s.ejected || s.meanLatency != 0 || slices.Contains(p.watched, id),
+		"the new server has state of the old one: %+v, watched %v", s, p.watched)
+	sent := len(out.servers)
+	runSearch(p, now+40, 10, 1)
+	wantInts(t, "sent to the new server", out.servers[sent:], id)
 }
--- a/internal/aggregator/policy/world_test.go
+++ b/internal/aggregator/policy/world_test.go
@@ -6,42 +6,58 @@
 	"testing"
 )
 
-// A world drives one policy with random but legal events and checks the rules after every call and
-// round.
+// This file simulates the surroundings of one policy: clients, servers and the server list. The events
+// are random but valid, and the rules are checked at every decision and after every round.
 
+// modelAttempt is an attempt as the world sees it.
 type modelAttempt struct {
 	server             int
 	sentAt             float64
-	inFlight, neverRan bool // neverRan: it can't have run
+	inFlight, neverRan bool // neverRan: it has ended, and cannot have run
 	outcome            Outcome
 	cancelled          bool
 }
 
+// modelRequest is a shard request as the world sees it.
 type modelRequest struct {
 	search, shard, phase int
 	weight               float64
 	attempts             []modelAttempt
-	answered, ended      bool
+	answered, ended      bool // ended: the phase of its search is over
 }
 
+// modelSearch is a search as the world sees it.
 type modelSearch struct {
 	kind, expected, phase     int
 	deadline                  float64
 	requests                  []int
 	finalAnswers              int
-	firstComplete, clientGone bool // clientGone: it has disconnected
+	firstComplete, clientGone bool // firstComplete: the first phase had a complete answer
 }
 
+// modelServer is a server of the world.
 type modelServer struct {
 	position  int
 	state     State
 	startedAt float64
-	behaviour int // 0 answers, 1 unresponsive, 2 errors, 3 rejects, 4 unreachable
+	behaviour int // one of the behaviours below
 	sent      []sentWork
 }
 
+// Behaviours of a modelServer.
+const (
+	answers = iota
+	unresponsive
+	returnsErrors
+	rejects
+	unreachable
+	numBehaviours
+)
+
+// sentWork is work that was sent to a server.
 type sentWork struct{ sentAt, work float64 }
 
+// world drives a policy with random events and collects violations of the rules.
 type world struct {
 	t                                                           testing.TB
 	random                                                      *rand.Rand
@@ -57,19 +73,20 @@
 	servers                                                     []*modelServer
 	searches                                                    map[int]*modelSearch
 	requests                                                    map[int]*modelRequest
-	requestOrder                                                []int // requests in order of arrival, so that runs repeat
+	requestOrder                                                []int // shard requests in order of arrival, so that runs are repeatable
 	lastID                                                      int
-	secondPhases                                                []int // searches whose second phase starts next
+	secondPhases                                                []int // searches whose follow-up phase starts next
 	probing                                                     []int
 	requestTimes, retryTimes                                    []float64
 	violations                                                  []string
-	tamper                                                      string
+	tamper                                                      string // breaks a decision, to test the checks: drained, twice, whole or late
 	finalAnswers, sends                                         int
 }
 
+// newWorld returns a world whose settings, servers and events are determined by the seed.
 func newWorld(t testing.TB, seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	pick := func(v ...float64) float64 { return v[r.Intn(len(v))] }
+	pick := func(values ...float64) float64 { return values[r.Intn(len(values))] }
 	w := &world{t: t, random: r, now: pick(0, 1e6), warmUpDuration: pick(0, 5000, 17000), multiple: pick(2, 3),
 		warmUpWindow: pick(1500, 3000), warmUpShare: pick(0.16, 0.5), latencyTarget: pick(0, 300, 1500), timeout: pick(400, 3000),
 		tokenWindow: pick(200, 5000), allowance: pick(0, 3), ratio: pick(0, 0.1), budgetWindow: pick(500, 5000),
@@ -88,50 +105,54 @@
 	return w
 }
 
-// start begins with a new policy, as after a crash: nothing is pending, and no outcome of an earlier
-// attempt is reported.
+// start replaces the policy by a new one, as after a crash: nothing is pending, and the outcomes of
+// earlier attempts are not reported to it.
 func (w *world) start() {
 	w.searches, w.requests, w.requestOrder, w.secondPhases, w.probing = map[int]*modelSearch{}, map[int]*modelRequest{}, nil, nil, nil
 	w.requestTimes, w.retryTimes, w.wakeAt, w.maxRate = nil, nil, -1, 0
 	seed := w.random.Uint64()
 	w.aggregators = []int{1, 3, 100, 1000}[w.random.Intn(4)]
-	b := New(w, seed, w.aggregators, 0)
-	for i, e := range w.effects {
-		b.QueryType(w.latencyTarget, float64(1+i), 0.3, e, w.tokenWindow)
-		b.Shares(i, w.requiredShares[i], w.minShares[i], 0.8, w.followUp*(i%2))
-	}
-	b.Customer(float64(w.random.Intn(3)), 0.1)
-	b.Fleet(w.positions, w.replicas, 1+w.random.Intn(4), 10, true)
-	b.Limits(w.maxAttempts, w.maxPending, w.mayCancel, w.mayHedge)
-	b.MaxRetryAfter(500)
+	p := New(w, seed, w.aggregators, 0)
+	for i, effect := range w.effects {
+		p.QueryType(w.latencyTarget, float64(1+i), 0.3, effect, w.tokenWindow)
+		p.Shares(i, w.requiredShares[i], w.minShares[i], 0.8, w.followUp*(i%2))
+	}
+	p.Customer(float64(w.random.Intn(3)), 0.1)
+	p.Fleet(w.positions, w.replicas, 1+w.random.Intn(4), 10, true)
+	p.Limits(w.maxAttempts, w.maxPending, w.mayCancel, w.mayHedge)
+	p.MaxRetryAfter(500)
 	if w.warmUpDuration > 0 {
-		b.WarmUp(w.warmUpShare, w.warmUpDuration, w.multiple, w.warmUpWindow)
+		p.WarmUp(w.warmUpShare, w.warmUpDuration, w.multiple, w.warmUpWindow)
 	}
 	if w.hasBudget {
-		b.Budget(w.allowance, w.ratio, w.budgetWindow)
+		p.Budget(w.allowance, w.ratio, w.budgetWindow)
 	}
-	b.Reports(w.random.Intn(2) == 0, []Field{Queue})
+	p.Reports(w.random.Intn(2) == 0, []Field{Queue})
 	if w.mayProbe {
-		b.Probes()
+		p.Probes()
 	}
-	b.Discovery(w.mustAsk)
-	w.policy = b
-	b.Begin(w.now)
+	p.Discovery(w.mustAsk)
+	w.policy = p
+	p.Begin(w.now)
 	for i, s := range w.servers {
 		s.sent = nil
-		b.Server(i, i%2, s.position, s.state, 1, s.startedAt)
+		p.Server(i, i%2, s.position, s.state, 1, s.startedAt)
 	}
-	b.End()
+	p.End()
 }
 
+// recordViolation records that a rule was broken now.
 func (w *world) recordViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%.0f: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// attemptWork is the predicted work of each attempt, in ms: that of its request and a constant per call.
+// attemptWork is the expected work of each attempt in ms: the hint of its shard request plus that of a batch.
 const attemptWork = 100.0 + 10
 
-func (w *world) Send(request, server int, within, begin float64) {
+// deadlineTolerance is how many ms after its deadline a search may still get its final answer.
+const deadlineTolerance = 20
+
+func (w *world) Send(request, server int, timeout, beginWithin float64) {
 	target := w.requests[request]
 	if w.tamper == "drained" {
 		w.servers[server].state = Draining
@@ -146,19 +167,21 @@
 	w.recordRate(w.servers[server])
 	target.attempts = append(target.attempts, modelAttempt{server: server, sentAt: w.now, inFlight: true})
 	if w.tamper == "twice" && len(target.attempts) == 1 {
-		w.Send(request, server, within, begin)
+		w.Send(request, server, timeout, beginWithin)
 	}
 }
 
 func (w *world) Cancel(id, attempt int) {
 	request := w.requests[id]
 	if !w.mayCancel || request == nil || attempt >= len(request.attempts) {
-		w.recordViolation("cancel of attempt %d of request %d", attempt, id)
+		w.recordViolation("cancel of attempt %d of shard request %d", attempt, id)
 		return
 	}
 	request.attempts[attempt].cancelled = true
 }
 
+// recordFinal records that a search has been answered, shed or failed, and checks that this happens once and
+// in time.
 func (w *world) recordFinal(id int) *modelSearch {
 	search := w.searches[id]
 	w.finalAnswers++
@@ -168,7 +191,7 @@
 	if w.tamper == "late" {
 		w.now += 1e6
 	}
-	if w.now > search.deadline+20 && !search.clientGone {
+	if w.now > search.deadline+deadlineTolerance && !search.clientGone {
 		w.recordViolation("search %d answered too late", id)
 	}
 	return search
@@ -181,8 +204,8 @@
 	}
 	answeredShare, answeredRequests := 0.0, 0
 	for _, requestID := range search.requests {
-		if p := w.requests[requestID]; p.answered && p.phase == search.phase {
-			answeredShare, answeredRequests = answeredShare+p.weight, answeredRequests+1
+		if request := w.requests[requestID]; request.answered && request.phase == search.phase {
+			answeredShare, answeredRequests = answeredShare+request.weight, answeredRequests+1
 		}
 	}
 	required, minimum := w.requiredShares[search.kind], w.minShares[search.kind]
@@ -193,13 +216,13 @@
 		}
 	}
 	if answeredShare < minimum-1e-4 || answeredRequests == 0 {
-		w.recordViolation("search %d answered from %.2f, minimum %.2f", id, answeredShare, minimum)
+		w.recordViolation("search %d answered with a share of %.2f, the minimum is %.2f", id, answeredShare, minimum)
 	}
 	if complete && (answeredShare < required-1e-4 || search.phase > 0 && !(search.firstComplete && answeredRequests == search.expected)) {
-		w.recordViolation("search %d marked complete with %.2f", id, answeredShare)
+		w.recordViolation("search %d marked complete with a share of %.2f", id, answeredShare)
 	}
-	if n := w.followUp * (search.kind % 2); search.phase == 0 && n > 0 {
-		search.phase, search.expected, search.firstComplete = 1, min(n, answeredRequests), complete
+	if followUp := w.followUp * (search.kind % 2); search.phase == 0 && followUp > 0 {
+		search.phase, search.expected, search.firstComplete = 1, min(followUp, answeredRequests), complete
 		w.secondPhases = append(w.secondPhases, id)
 		for _, requestID := range search.requests {
 			w.requests[requestID].ended = true
@@ -214,7 +237,7 @@
 	for _, requestID := range search.requests {
 		for _, attempt := range w.requests[requestID].attempts {
 			if !attempt.neverRan && w.effects[search.kind] != Idempotent {
-				w.recordViolation("search %d shed though request %d may have run", id, requestID)
+				w.recordViolation("search %d shed though shard request %d may have run", id, requestID)
 			}
 		}
 	}
@@ -224,15 +247,15 @@
 
 func (w *world) Probe(server int) {
 	if !w.mayProbe {
-		w.recordViolation("a probe though none is allowed")
+		w.recordViolation("server %d probed though health checks are not allowed", server)
 	}
 	w.probing = append(w.probing, server)
 }
 
-func (w *world) Close(_ int)          {}
-func (w *world) Subscribe()           {}
-func (w *world) Log(_ string)         {}
-func (w *world) Wake(afterMs float64) { w.wakeAt = w.now + afterMs }
+func (w *world) Close(_ int)        {}
+func (w *world) Subscribe()         {}
+func (w *world) Log(_ string)       {}
+func (w *world) Wake(delay float64) { w.wakeAt = w.now + delay }
 
 func (w *world) Forget(id int) {
 	search := w.searches[id]
@@ -242,7 +265,7 @@
 	for _, requestID := range search.requests {
 		for _, attempt := range w.requests[requestID].attempts {
 			if attempt.inFlight {
-				w.recordViolation("request %d forgotten while in flight", requestID)
+				w.recordViolation("shard request %d forgotten while in flight", requestID)
 			}
 		}
 		delete(w.requests, requestID)
@@ -250,7 +273,7 @@
 	delete(w.searches, id)
 }
 
-// step is one round of the policy with random events.
+// step runs one round of the policy with random events.
 func (w *world) step() {
 	w.now += float64(1 + w.random.Intn(12))
 	stalled := w.random.Intn(400) == 0
@@ -274,7 +297,7 @@
 		w.replaceServers()
 	}
 	for _, i := range w.probing {
-		w.policy.Probed(i, w.servers[i].behaviour == 0, float64(w.random.Intn(250)), []float64{float64(w.random.Intn(9))})
+		w.policy.Probed(i, w.servers[i].behaviour == answers, float64(w.random.Intn(250)), []float64{float64(w.random.Intn(9))})
 	}
 	w.probing = w.probing[:0]
 	w.endAttempts()
@@ -286,23 +309,26 @@
 	w.checkDeadlines()
 }
 
-// disconnectOverdueClients lets the clients leave that have waited past their deadline.
+// disconnectOverdueClients disconnects the clients that have waited past their deadline.
 func (w *world) disconnectOverdueClients() {
 	for id := 0; id <= w.lastID; id++ {
-		if q := w.searches[id]; q != nil && q.finalAnswers == 0 && !q.clientGone && w.now > q.deadline {
-			q.clientGone = true
+		if search := w.searches[id]; search != nil && search.finalAnswers == 0 && !search.clientGone && w.now > search.deadline {
+			search.clientGone = true
 			w.policy.ClientGone(id)
 		}
 	}
 }
 
-// changeServers changes the behaviour and state of servers: of single ones, of a zone, or of the whole fleet.
+// changeServers changes the behaviour and the state of servers: of single ones, of a zone, or of
+// the whole fleet.
 func (w *world) changeServers() {
 	r := w.random
-	zone, fleet := r.Intn(500), r.Intn(900) == 0 // a zone of one behaviour, the whole fleet restarted or drained
+	// If zone is 0 or 1, all servers of this zone change their behaviour; if fleet is set, all servers
+	// change their state.
+	zone, fleet := r.Intn(500), r.Intn(900) == 0
 	for i, s := range w.servers {
 		if r.Intn(300) == 0 || zone == i%2 {
-			s.behaviour = r.Intn(5)
+			s.behaviour = r.Intn(numBehaviours)
 		}
 		if fleet || r.Intn(600) == 0 {
 			s.state = State(r.Intn(3))
@@ -314,16 +340,18 @@
 	}
 }
 
-// removeGoneServers removes some of the servers that are gone; an index may be used again, here by the same server.
+// removeGoneServers removes some of the servers that are gone. An index may be reused, here by the
+// same server.
 func (w *world) removeGoneServers() {
 	for i, s := range w.servers {
 		if s.state == Gone && w.random.Intn(40) == 0 && w.policy.RemoveServer(i) && w.policy.servers[i] != nil {
-			w.recordViolation("server %d is removed and known", i)
+			w.recordViolation("server %d was removed but is still known", i)
 		}
 	}
 }
 
-// replaceServers is a wave of restarts: every other server goes and a new one takes its position.
+// replaceServers simulates a rolling restart: all servers go, and every other one is replaced by a
+// new one at its position.
 func (w *world) replaceServers() {
 	for i, s := range w.servers[:len(w.servers):len(w.servers)] {
 		s.state = Gone
@@ -339,29 +367,31 @@
 	}
 }
 
-// startSecondPhases adds the requests of the searches whose first phase has been answered.
+// startSecondPhases adds the shard requests of the searches whose first phase has been answered.
 func (w *world) startSecondPhases() {
 	for _, id := range w.secondPhases {
-		if q := w.searches[id]; q != nil && !q.clientGone {
-			w.addRequests(id, q.expected)
+		if search := w.searches[id]; search != nil && !search.clientGone {
+			w.addRequests(id, search.expected)
 		}
 	}
 	w.secondPhases = w.secondPhases[:0]
 }
 
-// startSearch starts a random search with its requests.
+// startSearch starts a random search with its shard requests.
 func (w *world) startSearch() {
 	r := w.random
 	id := w.newID()
-	q := &modelSearch{kind: r.Intn(3), expected: r.Intn(8), deadline: w.now + float64(r.Intn(int(w.timeout)))}
-	w.searches[id] = q
-	w.policy.Search(id, q.kind, r.Intn(2), q.deadline, q.expected)
+	search := &modelSearch{kind: r.Intn(3), expected: r.Intn(8), deadline: w.now + float64(r.Intn(int(w.timeout)))}
+	w.searches[id] = search
+	w.policy.Search(id, search.kind, r.Intn(2), search.deadline, search.expected)
 	w.requestTimes = append(w.requestTimes, w.now)
-	w.addRequests(id, q.expected)
+	w.addRequests(id, search.expected)
 }
 
+// newID returns the next index of a search or shard request.
 func (w *world) newID() int { w.lastID++; return w.lastID }
 
+// addRequests adds shard requests to a search.
 func (w *world) addRequests(search, count int) {
 	parent := w.searches[search]
 	for i := 0; i < count; i++ {
@@ -375,8 +405,8 @@
 	}
 }
 
-// endAttempts ends some of the attempts in flight, by the behaviour of their servers, and all that
-// are overdue.
+// endAttempts ends some of the attempts in flight, as the behaviour of their servers has it, and
+// all that are overdue. Some clients disconnect.
 func (w *world) endAttempts() {
 	live := w.requestOrder[:0]
 	for _, id := range w.requestOrder {
@@ -389,10 +419,11 @@
 		for index := range request.attempts {
 			attempt := &request.attempts[index]
 			behaviour := w.servers[attempt.server].behaviour
-			if !attempt.inFlight || !attempt.cancelled && w.now < search.deadline && (behaviour == 1 || behaviour == 0 && w.random.Intn(12) > 0) {
+			if !attempt.inFlight || !attempt.cancelled && w.now < search.deadline &&
+				(behaviour == unresponsive || behaviour == answers && w.random.Intn(12) > 0) {
 				continue
 			}
-			attempt.outcome = [...]Outcome{Answered, TimedOut, Errored, Rejected, ConnectFailed}[behaviour]
+			attempt.outcome = [numBehaviours]Outcome{Answered, TimedOut, Errored, Rejected, ConnectFailed}[behaviour]
 			if attempt.cancelled && w.random.Intn(8) > 0 {
 				attempt.outcome = Cancelled
 			} else if w.now >= search.deadline {
