--- a/internal/aggregator/policy/admission_test.go
+++ b/internal/aggregator/policy/admission_test.go
@@ -36,7 +36,7 @@
 
 // Guards against work for clients that have given up and asked again: a search is shed if less time
 // is left until its deadline than it is expected to take.
-func TestAdmissionGoesByTheClientsTime(t *testing.T) {
+func TestAdmissionConsidersTheTimeToTheDeadline(t *testing.T) {
 	p, out := newTestPolicy(1, nil)
 	now := runAnsweredSearches(p, 1000, 30)
 	p.Begin(now)
@@ -48,7 +48,7 @@
 
 // Shard requests that are expected to take too long are abandoned if a partial answer will do;
 // otherwise the search is shed.
-func TestRequestsExpectedPastTheLimitAreSkipped(t *testing.T) {
+func TestRequestsExpectedToBeTooSlowAreAbandoned(t *testing.T) {
 	for _, floor := range []float64{0.5, 1} {
 		p, out := newTestPolicy(4, func(p *Policy) { p.Fleet(4, 1, 1, 0, false); p.Shares(0, 1, floor, 0.8, 0) })
 		p.Begin(1001)
@@ -69,7 +69,7 @@
 
 // Guards against admitting searches of many shard requests by the latency of each alone: with fifty
 // of them, the slowest was late each time.
-func TestAdmissionGoesByTheSlowestRequest(t *testing.T) {
+func TestAdmissionConsidersTheSlowestRequest(t *testing.T) {
 	for _, requests := range []int{1, 50} {
 		p, out := newTestPolicy(4, nil)
 		now := runAnsweredSearches(p, 1000, 30)
@@ -103,7 +103,7 @@
 }
 
 // A server that is ejected for errors still answers some attempts, so it is used before a search is shed.
-func TestHoldersThatFailSomeRequestsAreAskedBeforeShedding(t *testing.T) {
+func TestFailingReplicasAreUsedBeforeShedding(t *testing.T) {
 	p, out := newTestPolicy(2, nil)
 	now := runAnsweredSearches(p, 1000, 40)
 	p.Begin(now)
--- a/internal/aggregator/policy/answer.go
+++ b/internal/aggregator/policy/answer.go
@@ -102,9 +102,9 @@
 
 // recordAnswer marks a shard request as answered by the first answer, and cancels its other
 // attempts.
-func (p *Policy) recordAnswer(attempt *attemptState, how Outcome) {
+func (p *Policy) recordAnswer(attempt *attemptState, outcome Outcome) {
 	req := attempt.request
-	if how != Answered || req.answered || req.search.finished || req.phase != req.search.phase ||
+	if outcome != Answered || req.answered || req.search.finished || req.phase != req.search.phase ||
 		req.committed != nil && req.committed != attempt {
 		return
 	}
--- a/internal/aggregator/policy/configure.go
+++ b/internal/aggregator/policy/configure.go
@@ -22,8 +22,8 @@
 
 // Shares sets which shares of a search's weight a complete answer and any answer of the query type
 // need, what a partial answer is worth, and the number of follow-up shard requests.
-func (p *Policy) Shares(kind int, completeShare, minimumShare, partialValue float64, followUpRequests int) {
-	qt := p.queryTypes[kind]
+func (p *Policy) Shares(queryType int, completeShare, minimumShare, partialValue float64, followUpRequests int) {
+	qt := p.queryTypes[queryType]
 	qt.completeShare, qt.minimumShare, qt.partialValue, qt.followUpRequests =
 		completeShare, min(minimumShare, completeShare), partialValue, followUpRequests
 }
@@ -77,8 +77,8 @@
 
 // Priority replaces the value of a query type by the operator's priority, so that refusals follow
 // the operator's order.
-func (p *Policy) Priority(kind int, priority float64) {
-	p.queryTypes[kind].value, p.maxValue = priority, 0
+func (p *Policy) Priority(queryType int, priority float64) {
+	p.queryTypes[queryType].value, p.maxValue = priority, 0
 	for _, qt := range p.queryTypes {
 		p.maxValue = max(p.maxValue, qt.value)
 	}
--- a/internal/aggregator/policy/connections.go
+++ b/internal/aggregator/policy/connections.go
@@ -48,12 +48,12 @@
 // recordConnection counts the end of an attempt at its connection. A failure to open a new
 // connection counts as a loss on a connection in use, as it shows that the age of idle connections
 // is not to blame.
-func (p *Policy) recordConnection(attempt *attemptState, how Outcome) {
-	if how != Answered && how != Reset && how != ConnectFailed {
+func (p *Policy) recordConnection(attempt *attemptState, outcome Outcome) {
+	if outcome != Answered && outcome != Reset && outcome != ConnectFailed {
 		return
 	}
-	attempt.freshConnection = attempt.freshConnection || how == ConnectFailed
-	p.connections.record(p.now, attempt, how != Answered)
+	attempt.freshConnection = attempt.freshConnection || outcome == ConnectFailed
+	p.connections.record(p.now, attempt, outcome != Answered)
 }
 
 // prepareConnection closes the idle connections to the attempt's server if they may have been
--- a/internal/aggregator/policy/deadlines.go
+++ b/internal/aggregator/policy/deadlines.go
@@ -65,7 +65,9 @@
 
 // RetryAfter returns the retry-after time of a search that is shed now, for searches that the
 // caller refuses by the limit on pending work before they reach the policy.
-func (p *Policy) RetryAfter(kind int) float64 { return p.retryAfter(getAt(p.queryTypes, kind)) }
+func (p *Policy) RetryAfter(queryType int) float64 {
+	return p.retryAfter(getAt(p.queryTypes, queryType))
+}
 
 // Pushback delays further attempts of a shard request. Of several delays the latest time applies,
 // and a negative delay, which rules further attempts out, is not overridden.
--- a/internal/aggregator/policy/hedging_test.go
+++ b/internal/aggregator/policy/hedging_test.go
@@ -21,7 +21,7 @@
 
 // The false submit rate, which sets the quantile for hedges, is the share of slow answers among those
 // predicted fast.
-func TestFalseSubmitsLowerTheHedgeShare(t *testing.T) {
+func TestFalseSubmitRateIsMeasured(t *testing.T) {
 	p, _ := newTestPolicy(1, nil)
 	for i := range 100 {
 		p.predictor.train(1000, &attemptState{features: vector{1}, predictedFast: true}, i < 7)
--- a/internal/aggregator/policy/inflight_test.go
+++ b/internal/aggregator/policy/inflight_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestTokenedRequestBeginsInItsWindow(t *testing.T) {
+func TestRequestBeginsWithinItsTokenWindow(t *testing.T) {
 	p, out := newTestPolicy(2, func(p *Policy) { p.QueryType(1000, 1, 0.3, Tokened, 400) })
 	now := runAnsweredSearches(p, 1000, 30)
 	p.Begin(now)
--- a/internal/aggregator/policy/outliers.go
+++ b/internal/aggregator/policy/outliers.go
@@ -16,20 +16,20 @@
 
 // observeHealth judges the health of a server by the outcome of an attempt. The server list alone
 // would not do: it is late, and tells only whether the process runs.
-func (p *Policy) observeHealth(attempt *attemptState, how Outcome) {
+func (p *Policy) observeHealth(attempt *attemptState, outcome Outcome) {
 	server := p.servers[attempt.server]
-	p.endTrial(server, attempt, how)
-	p.recordConnection(attempt, how)
-	switch how {
+	p.endTrial(server, attempt, outcome)
+	p.recordConnection(attempt, outcome)
+	switch outcome {
 	case Answered:
 		p.observeAnswer(server, attempt)
 	case Errored, TimedOut, Reset:
-		p.observeError(server, attempt.server, how)
+		p.observeError(server, attempt.server, outcome)
 	case Rejected:
 		p.observeRejection(server, attempt.request)
 	case ConnectFailed:
 		server.successStreak = 0
-		p.eject(attempt.server, true, "connection failed")
+		p.eject(attempt.server, true, "unreachable")
 		server.connectFailed = true
 	}
 }
@@ -67,12 +67,12 @@
 // fail together when it breaks; that counts as one error, and does not prove that the server is
 // gone. Where this aggregator sends to a server rarely, one error suffices for an ejection: two
 // errors rarely fall into one span, and each costs a search an attempt.
-func (p *Policy) observeError(server *serverState, id int, how Outcome) {
+func (p *Policy) observeError(server *serverState, id int, outcome Outcome) {
 	server.successStreak = 0
-	if how != Reset || server.resetAt != p.now {
+	if outcome != Reset || server.resetAt != p.now {
 		server.errors.Add(p.now, 1)
 	}
-	if how == Reset {
+	if outcome == Reset {
 		server.resetAt = p.now
 	}
 	enough := minErrors
@@ -81,7 +81,7 @@
 	}
 	errors := server.errors.Sum(p.now, errorSpan)
 	if errors >= enough && errors > maxErrorShare*(errors+server.successes.Sum(p.now, errorSpan)) {
-		p.eject(id, false, "too many errors")
+		p.eject(id, false, "errors")
 	}
 }
 
@@ -119,9 +119,10 @@
 	p.log("server %d aside: %s", id, reason)
 }
 
-// checkServers examines the watched servers at the end of a round. Attempts in flight for longer
-// than the slow threshold train the predictor as slow, and a server with attempts in flight that
-// answers nothing is ejected as unresponsive, whether it hangs or is gone.
+// checkServers examines the watched servers, once in each round before the searches are decided.
+// Attempts in flight for longer than the slow threshold train the predictor as slow, and a server
+// with attempts in flight that answers nothing is ejected as unresponsive, whether it hangs or is
+// gone.
 func (p *Policy) checkServers() {
 	p.measureFleet()
 	timeout := p.serverTimeout()
@@ -178,6 +179,6 @@
 	}
 	if p.now-max(server.answeredAt, server.waiting[0].startedAt, p.stallEndedAt) > timeout {
 		p.connections.record(p.now, server.waiting[0], true)
-		p.eject(id, true, "no answer in time")
+		p.eject(id, true, "silent")
 	}
 }
--- a/internal/aggregator/policy/outliers_test.go
+++ b/internal/aggregator/policy/outliers_test.go
@@ -23,7 +23,7 @@
 
 // After a stall of its own an aggregator has received nothing for a while. It must not take all its
 // servers for unresponsive.
-func TestOwnStallIsNoTimeoutOfServers(t *testing.T) {
+func TestOwnStallEjectsNoServer(t *testing.T) {
 	p, out := newTestPolicy(2, nil)
 	now := runAnsweredSearches(p, 1000, 30)
 	runSearch(p, now, 0, 1)
@@ -35,7 +35,7 @@
 
 // Guards against ejecting healthy servers as unreachable because a few connections broke, and then
 // limiting them as if they had restarted.
-func TestBrokenConnectionIsOneErrorAndEjectsNobody(t *testing.T) {
+func TestBrokenConnectionIsOneErrorAndEjectsNoServer(t *testing.T) {
 	p, _ := newTestPolicy(2, nil)
 	now := runAnsweredSearches(p, 1000, 30)
 	runSearch(p, now, 0, 4)
--- a/internal/aggregator/policy/placement.go
+++ b/internal/aggregator/policy/placement.go
@@ -1,15 +1,15 @@
 package policy
 
 // Terms of the tie-break among servers with equally many batches in flight; the lowest sum wins.
-// Load counts in multiples of the average load, so a choice that saves work counts less than one
-// that avoids waiting.
+// All terms are in units of the average load of a server. Saving work counts less than avoiding a
+// wait.
 const (
 	openBatchBonus     = 1.1 // for joining a batch that is open anyway; outweighs the batch's own load and the random term
 	latencyPenalty     = 2.0 // for each fleet median of the server's recent latency
 	otherZonePenalty   = 2.2 // for a server in another zone
 	trialBonus         = 10. // for an ejected server whose trial is due
 	randomPenalty      = 0.1 // maximum of the random term
-	clientBoundPenalty = 1.0 // for as many batches that depend on their clients as a server has on average
+	clientBoundPenalty = 1.0 // for the average number of client-bound batches of a server
 
 	overloadSlowMedians        = 2.0  // in an overload, a server is slow if it takes this many medians, as one that warms up does
 	maxReplacementLatencyShare = 0.67 // of the time waited so far: the longest expected latency that is worth a second attempt
@@ -59,21 +59,21 @@
 	slow := p.predictedSlow(p.predictor.features(p.now, server, p.estimatedLoad(server))) &&
 		!(overloaded && p.expectedLatency(server) < overloadSlowMedians*p.predictor.median)
 	batches, joins := server.batches-server.clientBoundBatches+1, p.joinsBatch(server)
-	tie := p.estimatedLoad(server)/(p.predictor.avgLoad+1) +
+	tieBreak := p.estimatedLoad(server)/(p.predictor.avgLoad+1) +
 		latencyPenalty*p.expectedLatency(server)/max(p.predictor.median, 1)
-	tie += randomPenalty * p.random.next()
-	tie += clientBoundPenalty * float64(server.clientBoundBatches*p.readyServers) / float64(p.clientBoundBatches+p.readyServers)
+	tieBreak += randomPenalty * p.random.next()
+	tieBreak += clientBoundPenalty * float64(server.clientBoundBatches*p.readyServers) / float64(p.clientBoundBatches+p.readyServers)
 	if joins {
 		batches--
-		tie -= openBatchBonus
+		tieBreak -= openBatchBonus
 	}
 	if server.zone != p.zone {
-		tie += otherZonePenalty
+		tieBreak += otherZonePenalty
 	}
 	if server.ejected {
-		tie -= trialBonus
+		tieBreak -= trialBonus
 	}
-	return preference{slow, batches, tie}
+	return preference{slow, batches, tieBreak}
 }
 
 // secondAttemptPays reports whether a second attempt at the server is expected to take much less
--- a/internal/aggregator/policy/prediction_test.go
+++ b/internal/aggregator/policy/prediction_test.go
@@ -31,7 +31,7 @@
 
 // A server that hangs sends no answers and soon has the fewest batches in flight; it must not be
 // predicted fast.
-func TestUnansweredAttemptReadsAsSlow(t *testing.T) {
+func TestUnansweredAttemptCountsAsSlow(t *testing.T) {
 	p, _ := newTestPolicy(1, nil)
 	now := runAnsweredSearches(p, 1000, 30)
 	runSearch(p, now, 0, 1)
@@ -45,7 +45,7 @@
 }
 
 // A server's slow threshold is its own, bounded by 1.5 times the fleet's.
-func TestLineIsTheServersOwnUnderTheFleets(t *testing.T) {
+func TestSlowThresholdIsTheServersOwnBoundedByTheFleets(t *testing.T) {
 	p, _ := newTestPolicy(2, nil)
 	for i := 1; i <= 100; i++ {
 		p.predictor.latencies.Add(1000, float64(i))
@@ -63,7 +63,7 @@
 
 // A large shard request takes long without its server being slow, and must not make the server look
 // slow.
-func TestHintedWorkIsTakenOffLatencies(t *testing.T) {
+func TestHintedExtraWorkIsSubtractedFromLatency(t *testing.T) {
 	p, _ := newTestPolicy(1, nil)
 	now := runAnsweredSearches(p, 1000, 30)
 	p.Begin(now)
--- a/internal/aggregator/policy/probing.go
+++ b/internal/aggregator/policy/probing.go
@@ -18,12 +18,12 @@
 
 // endTrial evaluates the end of a trial. A trial that this aggregator cancelled says nothing about
 // the server, so the next one stays due.
-func (p *Policy) endTrial(server *serverState, attempt *attemptState, how Outcome) {
+func (p *Policy) endTrial(server *serverState, attempt *attemptState, outcome Outcome) {
 	if server.trial != attempt {
 		return
 	}
 	server.trial = nil
-	if how != Answered && how != NeverSent && how != Cancelled && server.ejected {
+	if outcome != Answered && outcome != NeverSent && outcome != Cancelled && server.ejected {
 		p.backOffTrial(server)
 	}
 }
--- a/internal/aggregator/policy/probing_test.go
+++ b/internal/aggregator/policy/probing_test.go
@@ -20,7 +20,7 @@
 
 // Guards against trials every second in a large fleet, where an aggregator sends no more than that
 // to any server: an ejected server got as many attempts as the others.
-func TestTrialsComeNoSoonerThanOrdinarySends(t *testing.T) {
+func TestTrialIntervalIsAtLeastTheSendInterval(t *testing.T) {
 	p, _ := newTestPolicy(20, nil)
 	now := runAnsweredSearches(p, 1000, 90) // about one attempt per server in two seconds
 	p.eject(0, true, "test")
--- a/internal/aggregator/policy/refusal.go
+++ b/internal/aggregator/policy/refusal.go
@@ -60,8 +60,8 @@
 }
 
 // Refusals returns the refusals of a query type by reason; nil for an unknown type.
-func (p *Policy) Refusals(kind int) []int {
-	if qt := getAt(p.queryTypes, kind); qt != nil {
+func (p *Policy) Refusals(queryType int) []int {
+	if qt := getAt(p.queryTypes, queryType); qt != nil {
 		return qt.refusals[:]
 	}
 	return nil
--- a/internal/aggregator/policy/retry_test.go
+++ b/internal/aggregator/policy/retry_test.go
@@ -6,7 +6,7 @@
 
 // Rejections are fast and free the place in flight at once: without a pause everything would be
 // sent to the server that rejects.
-func TestServerThatRejectsIsLeftAlone(t *testing.T) {
+func TestServerThatRejectsIsPaused(t *testing.T) {
 	p, out := newTestPolicy(2, nil)
 	runSearch(p, 1000, 0, 1)
 	endLastAttempts(p, 1002, Rejected, 1)
--- a/internal/aggregator/policy/rules_test.go
+++ b/internal/aggregator/policy/rules_test.go
@@ -43,7 +43,7 @@
 }
 
 // The same seed and the same events must produce the same decisions.
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameDecisions(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		a, b := newWorld(t, seed), newWorld(t, seed)
 		for i := 0; i < 500; i++ {
--- a/internal/aggregator/policy/servers_test.go
+++ b/internal/aggregator/policy/servers_test.go
@@ -6,7 +6,7 @@
 )
 
 // A server can be removed only when nothing of it counts any more; a new server with its index starts afresh.
-func TestRemovedServerLeavesNothingToItsIndex(t *testing.T) {
+func TestReusedServerIndexHasNoOldState(t *testing.T) {
 	p, out := newTestPolicy(2, func(p *Policy) {
 		p.Reports(true, []Field{InFlight})
 		p.WarmUp(0.2, 5000, 2, 2000)
--- a/internal/aggregator/policy/state.go
+++ b/internal/aggregator/policy/state.go
@@ -7,7 +7,7 @@
 // queryType is a kind of search: its settings and what has been observed of it.
 type queryType struct {
 	latencyTarget, value, lateValue, partialValue, tokenWindow float64
-	completeShare, minimumShare                                float64 // shares of a search's weight needed for a complete answer and for any
+	completeShare, minimumShare                                float64 // of a search's weight: needed for a complete answer and for any
 	effect                                                     Effect
 	followUpRequests                                           int // shard requests of the follow-up phase; 0: there is none
 
@@ -95,7 +95,7 @@
 	meanLatency, meanBatches, latencyAt  float64 // moving means of latency and batches in flight; time of the latest
 	errors, successes                    *window.Counts
 	answeredAt, resetAt, rejectsUntil    float64
-	ejected, unresponsive, connectFailed bool // ejected for errors, or as unresponsive, perhaps as connects failed
+	ejected, unresponsive, connectFailed bool // ejected, either for errors or as unresponsive; opening a connection failed since
 	probing, probePassed                 bool // a health check is running; the last one passed
 	probePassedAt                        float64
 	ejectedAt, trialAt, trialBackoff     float64
@@ -128,13 +128,13 @@
 type capacityFloor struct{ value, excess float64 }
 
 // Search adds a search, whose shard requests must be added in the same round.
-func (p *Policy) Search(id, kind, customer int, deadline float64, requests int) {
+func (p *Policy) Search(id, queryType, customer int, deadline float64, requests int) {
 	search := &searchState{
 		id:               id,
 		customer:         customer,
 		deadline:         deadline,
 		expectedRequests: requests,
-		queryType:        getAt(p.queryTypes, kind),
+		queryType:        getAt(p.queryTypes, queryType),
 		valueWeight:      1,
 		warmUpDraw:       p.random.next(),
 	}
--- a/internal/aggregator/policy/warmup.go
+++ b/internal/aggregator/policy/warmup.go
@@ -10,10 +10,10 @@
 	rateMemory         = 90000. // ms in which the highest observed rate decays by a factor of e
 	rateSpan           = 10000. // ms over which a rate is measured
 	rateInterval       = 500.   // ms between two measurements
-	assumedBusyShare   = 0.67   // assumed utilization of warm servers, as reports may be wrong; the limit still holds had they been fully busy
+	assumedBusyShare   = 0.67   // assumed utilization of warm servers, as reports may be wrong; if they are fully busy the limit still holds
 	warmUpSafetyShare  = 0.75   // of the limit: load reports are late, and random admission varies
-	maxDrawnRequests   = 4.0    // shard requests in a window that an aggregator may send by random admission, which many aggregators even out
-	aggregatorsPerDraw = 50.0   // aggregators for each such shard request; one alone may send more than one only by a measured rate
+	maxDrawnRequests   = 4.0    // shard requests in a window that an aggregator sends by random admission; many aggregators even them out
+	aggregatorsPerDraw = 50.0   // aggregators for each such request; with few, sending more than one needs a measured rate
 	minSize            = 1e-3   // size assumed for a server that states less
 	defaultWorkShare   = 0.1    // of the latency target: assumed work of a shard request without a hint
 )
@@ -136,7 +136,8 @@
 	}
 }
 
-// expectedWork returns the mean hinted work of the query type plus the work of a batch.
+// expectedWork returns the work in ms that a shard request is expected to take: the mean hint of
+// its query type, or an assumed share of the latency target, plus the work of a batch.
 func (p *Policy) expectedWork(req *shardRequest) float64 {
 	qt := req.search.queryType
 	if qt.meanHintedWork > 0 {
--- a/internal/aggregator/policy/warmup_test.go
+++ b/internal/aggregator/policy/warmup_test.go
@@ -6,7 +6,7 @@
 
 // Guards against limiting a server for long as freshly started after an overload that was taken for
 // unresponsiveness. A connect that failed may mean a restart.
-func TestReturnWarmsUpOnlyWhereRestartIsLikely(t *testing.T) {
+func TestReadmittedServerWarmsUpOnlyIfRestartIsLikely(t *testing.T) {
 	for _, connectFailed := range []bool{false, true} {
 		p, out := newTestPolicy(1, func(p *Policy) { p.WarmUp(0.2, 10000, 2, 2000) })
 		p.eject(0, true, "test")
@@ -24,7 +24,7 @@
 // Guards against a hundred aggregators that each send "at least one" shard request, which
 // overloaded every server that came back. Here each of the four replicas would get 25 shard
 // requests, all that it can do; the one that warms up may get 2 times a fifth of that.
-func TestWarmingServerTakesTheSumOverAllAggregators(t *testing.T) {
+func TestWarmUpLimitHoldsForAllAggregatorsTogether(t *testing.T) {
 	for _, unreported := range []bool{false, true} {
 		toWarming, toWarm := 0, 0
 		for seed := range uint64(100) {
@@ -57,7 +57,7 @@
 // Guards against a draw for each shard request, as searches need all of theirs: an aggregator that
 // reached only servers that warm up shed every search, and with three hundred aggregators a zone
 // that came back after a restart served nothing for ten seconds.
-func TestWarmUpDrawIsTheSearchsAmongReachableHolders(t *testing.T) {
+func TestWarmUpDrawIsOnePerSearchAmongReachableReplicas(t *testing.T) {
 	admitted, sent := 0, make([]int, 4)
 	for seed := range uint64(200) {
 		p, out := newTestPolicy(4, func(p *Policy) {
--- a/internal/aggregator/policy/zones_test.go
+++ b/internal/aggregator/policy/zones_test.go
@@ -36,8 +36,8 @@
 	for i := range 20 {
 		p.Server(i, i%2, i, Ready, 1, 0)
 	}
-	p.eject(1, true, "no answer in time")
-	p.eject(3, false, "too many errors")
+	p.eject(1, true, "silent")
+	p.eject(3, false, "errors")
 	p.End()
 	p.Begin(5000)
 	p.ZoneChanged(1, true, 5000)
--- a/internal/predict/predict_test.go
+++ b/internal/predict/predict_test.go
@@ -30,7 +30,7 @@
 
 // The slow threshold is the 90th percentile of the server's own answers; with too few of them, or
 // if it is always slow, the fleet's threshold decides.
-func TestSlowLineIsOwnQuantileBoundedByFleet(t *testing.T) {
+func TestSlowThresholdIsOwnQuantileBoundedByFleet(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		own          []float64
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestSlowLineExpires(t *testing.T) {
+func TestSlowThresholdExpires(t *testing.T) {
 	own := latencies(repeated(10, 50)...)
 	wantNear(t, SlowLine(1000, own, 90, 100), 10, 1.5)
 	wantNear(t, SlowLine(1000+2*SlowLineSpan, own, 90, 100), 90, 0)
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestSumsBoundWhatWasAdded(t *testing.T) {
+func TestSumsBoundTheAddedValues(t *testing.T) {
 	c := NewCounts(10, 100)
 	for now := 0.0; now < 2000; now += 50 {
 		c.Add(now, 1)
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestQuantileForgetsExpiredValues(t *testing.T) {
+func TestQuantileExcludesExpiredValues(t *testing.T) {
 	h := NewHistogram(4, 100, 1, 1.1, 60)
 	for v := 1.0; v <= 100; v++ {
 		h.Add(0, v)
