--- a/internal/aggregator/policy/admission_test.go
+++ b/internal/aggregator/policy/admission_test.go
@@ -63,7 +63,8 @@
 			p.ShardRequest(0, 1+i, i, 0.25, 100, 0)
 		}
 		p.End()
-		failIf(t, len(out.sent) != map[float64]int{0.5: 3, 1: 0}[floor], "minimum share %.1f: sent %v", floor, out.sent)
+		failIf(t, len(out.sent) != map[float64]int{0.5: 3, 1: 0}[floor],
+			"minimum share %.1f: sent %v, want three shard requests with 0.5 and none with 1", floor, out.sent)
 	}
 }
 
--- a/internal/aggregator/policy/answer_test.go
+++ b/internal/aggregator/policy/answer_test.go
@@ -9,12 +9,12 @@
 	p, out := newTestPolicy(4, func(p *Policy) { p.Limits(1, 100, true, false) })
 	runSearch(p, 1000, 0, 4)
 	endLastAttempts(p, 1010, Errored, 2)
-	failIf(t, len(out.shed)+len(out.failed) != 1, "shed %v, failed %v", out.shed, out.failed)
+	failIf(t, len(out.shed)+len(out.failed) != 1, "shed %v, failed %v, want the search in one of them", out.shed, out.failed)
 	// A search that can still reach its minimum share goes on.
 	p, out = newTestPolicy(4, func(p *Policy) { p.Limits(1, 100, true, false); p.Shares(0, 1, 0.5, 0.8, 0) })
 	runSearch(p, 1000, 0, 4)
 	endLastAttempts(p, 1010, Errored, 2)
-	failIf(t, len(out.shed)+len(out.failed) != 0, "shed %v, failed %v", out.shed, out.failed)
+	failIf(t, len(out.shed)+len(out.failed) != 0, "shed %v, failed %v, want none", out.shed, out.failed)
 }
 
 // A search that may be answered partially gets its partial answer at the latency target, not before.
--- a/internal/aggregator/policy/helpers_test.go
+++ b/internal/aggregator/policy/helpers_test.go
@@ -82,6 +82,7 @@
 	return now
 }
 
+// wantInts fails the test if got differs from want.
 func wantInts(t *testing.T, what string, got []int, want ...int) {
 	t.Helper()
 	failIf(t, len(got) != len(want), "%s: %v, want %v", what, got, want)
@@ -90,6 +91,7 @@
 	}
 }
 
+// failIf fails the test if the condition holds.
 func failIf(t *testing.T, failed bool, format string, args ...any) {
 	t.Helper()
 	if failed {
--- a/internal/aggregator/policy/inflight.go
+++ b/internal/aggregator/policy/inflight.go
@@ -1,8 +1,8 @@
 package policy
 
-// batch is what is sent to one server in one round; its shard requests count as one in flight.
-// Those of its attempts that wait for their client, or whose answer is being passed on to it, are
-// client-bound: they take up no capacity of the server. Fields count attempts.
+// batch is what is sent to one server in one round; its shard requests count as one in flight. Its
+// attempts that wait for their client, or are committed and so being answered, are client-bound:
+// they do not delay others at the server. Fields count attempts.
 type batch struct{ size, inFlight, clientBound int }
 
 // addToBatch adds an attempt to the batch that is open at its server in this round, or to a new
@@ -21,20 +21,19 @@
 
 // adjustBatch adds to the numbers of attempts in flight and of client-bound ones in a batch, and
 // updates the number of batches that are client-bound as a whole.
-func (p *Policy) adjustBatch(server *serverState, b *batch, inFlight, parked int) {
+func (p *Policy) adjustBatch(server *serverState, b *batch, inFlight, clientBound int) {
 	if b.inFlight > 0 && b.inFlight == b.clientBound {
 		server.clientBoundBatches--
 		p.clientBoundBatches--
 	}
-	b.inFlight, b.clientBound = b.inFlight+inFlight, b.clientBound+parked
+	b.inFlight, b.clientBound = b.inFlight+inFlight, b.clientBound+clientBound
 	if b.inFlight > 0 && b.inFlight == b.clientBound {
 		server.clientBoundBatches++
 		p.clientBoundBatches++
 	}
 }
 
-// clientBound returns 1 for an attempt that waits for its client or whose answer is being passed on
-// to it, else 0.
+// clientBound returns 1 for an attempt that waits for its client or is committed, else 0.
 func (attempt *attemptState) clientBound() int {
 	if attempt.clientSending || attempt.answering {
 		return 1
--- a/internal/aggregator/policy/load.go
+++ b/internal/aggregator/policy/load.go
@@ -10,6 +10,7 @@
 	fields              []Field
 }
 
+// comeWithAnswers reports whether answers carry load reports.
 func (r *loadReports) comeWithAnswers() bool { return len(r.fields) > 0 && r.onAnswers }
 
 // recordReport keeps the number of requests that a server reports: those in flight if it reports
@@ -56,9 +57,9 @@
 	return max(weight*reported+(1-weight)*p.predictor.avgLoad, 0)
 }
 
-// freshness returns the weight of a server's last report against the fleet's average, falling from
-// 1 to 0. Without it a server that once reported a long queue would be skipped for it, and so would
-// never report again.
+// freshness returns the weight of a server's last report against the fleet's average. It falls from
+// 1 when the report is historyExpiry old to 0 after a further reportFadeSpan. Without it a server
+// that once reported a long queue would be skipped for it, and so would never report again.
 func (p *Policy) freshness(reportedAt float64) float64 {
 	return min(max(1-(p.now-reportedAt-historyExpiry)/reportFadeSpan, 0), 1)
 }
--- a/internal/aggregator/policy/port.go
+++ b/internal/aggregator/policy/port.go
@@ -87,9 +87,8 @@
 }
 
 // Port is the policy as its caller sees it. The caller first passes the settings and then reports
-// events in rounds. Searches have small integer indices, as have shard requests, and share one index
-// space with them; servers, query types, customers and zones have an index space each. Times are in
-// milliseconds.
+// events in rounds. Searches and shard requests share one space of small integer indices; servers,
+// query types, customers and zones have one each. Times are in milliseconds.
 type Port interface {
 	Settings
 	Events
--- a/internal/aggregator/policy/prediction.go
+++ b/internal/aggregator/policy/prediction.go
@@ -18,6 +18,7 @@
 	latestLatencyIndex = 2 // in a vector; the feature is over 0 if the server's history is not empty
 )
 
+// vector holds the features of a server.
 type vector = predict.Vector
 
 // latencySample is one answer of a server: its latency, the time it was received, and the load at
@@ -37,8 +38,10 @@
 	samples                        int               // answers in latencies
 }
 
+// score returns the predicted probability of a slow answer.
 func (pr *predictor) score(x vector) float64 { return pr.weights.Score(&x) }
 
+// falseSubmitRate returns the share of slow answers among those that were predicted fast.
 func (pr *predictor) falseSubmitRate(now float64) float64 { return pr.submitStats.FalseRate(now) }
 
 // slowThreshold returns the latency above which an answer of the server is slow.
@@ -104,7 +107,7 @@
 }
 
 // trainPredictor trains the predictor with an answer and records its latency. Errors do not count:
-// a quick error is no quick answer.
+// an error that comes fast is not a fast answer.
 func (p *Policy) trainPredictor(attempt *attemptState, outcome Outcome) {
 	if p.now == p.stallEndedAt {
 		return // received late because of a stall of this aggregator: the latency says nothing about the server
--- a/internal/aggregator/policy/probing.go
+++ b/internal/aggregator/policy/probing.go
@@ -1,16 +1,16 @@
 package policy
 
 const (
-	maxFirstTrialDelay       = 1000.  // ms from an ejection to the first trial at most; the delay doubles with each further trial
+	maxFirstTrialDelay       = 1000.  // ms from an ejection to the first trial at most, or the mean send interval if that is longer
 	firstTrialSlowThresholds = 8.0    // slow thresholds of the fleet: a further upper bound, as a server that only paused is missed
-	maxTrialBackoff          = 2000.  // ms between two trials at most
+	maxTrialBackoff          = 2000.  // ms between two trials at most, or twice the mean send interval if that is longer
 	sendSpan                 = 10000. // ms over which this aggregator's rate of attempts is measured
 	serversPerAssumedSend    = 10     // the rate is taken to be at least one attempt for this many ready servers in the span
 	maxRefusedProbeTime      = 100.   // ms; a health check that fails later than this was not refused
 )
 
 // trialDue reports whether an ejected server may get a trial. Where health checks are allowed, an
-// unresponsive server must have passed one first.
+// unresponsive server must have had one first that did not fail quickly.
 func (p *Policy) trialDue(server *serverState) bool {
 	return p.now >= server.trialAt && server.trial == nil &&
 		(server.probePassed || !server.unresponsive || !p.reports.mayProbe)
@@ -28,7 +28,8 @@
 	}
 }
 
-// backOffTrial doubles the delay until the next trial, up to its limit.
+// backOffTrial doubles the delay until the next trial, up to its limit, and requires another health
+// check.
 func (p *Policy) backOffTrial(server *serverState) {
 	server.probePassed = false
 	server.trialBackoff = min(2*server.trialBackoff, max(maxTrialBackoff, 2*p.meanSendInterval()))
--- a/internal/aggregator/policy/retry.go
+++ b/internal/aggregator/policy/retry.go
@@ -105,12 +105,14 @@
 		b.retries.Sum(now, b.window)+1 <= b.allowance+b.ratio*b.requests.SumWithin(now, b.window)
 }
 
+// countRequest counts a search or shard request that arrived.
 func (b *retryBudget) countRequest(now float64) {
 	if b.window > 0 {
 		b.requests.Add(now, 1)
 	}
 }
 
+// countRetry counts a retry or hedge that was sent.
 func (b *retryBudget) countRetry(now float64) {
 	if b.window > 0 {
 		b.retries.Add(now, 1)
--- a/internal/aggregator/policy/state.go
+++ b/internal/aggregator/policy/state.go
@@ -46,7 +46,7 @@
 	attempts                    []*attemptState
 	rejections                  int           // attempts that ended as Rejected
 	expectedLatency             float64       // ms, as estimated at admission
-	committed                   *attemptState // the attempt whose answer is being passed on to the client; nil: none
+	committed                   *attemptState // the attempt that the shard request is committed to; nil: none
 	clientSending               bool
 	notBefore, lastEndedAt      float64 // earliest next attempt, by a server's pushback; end of the latest attempt
 	answered, hedged, abandoned bool    // abandoned: no further attempts are made
@@ -67,7 +67,7 @@
 	trained          bool // the predictor has been trained with it
 	cancelled        bool
 	neverRan         bool
-	answering        bool // it is committed, and was recorded as an answer
+	answering        bool // it is committed, so its end is no longer recorded as an answer
 	clientSending    bool // the client is still sending the body: the age says nothing about the server
 	onIdleConnection bool // sent when the server had not answered for long, so over an idle connection
 	freshConnection  bool // sent over a new connection
@@ -96,7 +96,7 @@
 	errors, successes                    *window.Counts
 	answeredAt, resetAt, rejectsUntil    float64
 	ejected, unresponsive, connectFailed bool // ejected, either for errors or as unresponsive; opening a connection failed since
-	probing, probePassed                 bool // a health check is running; the last one passed
+	probing, probePassed                 bool // a health check is running; the last one passed, or failed too late to prove anything
 	probePassedAt                        float64
 	ejectedAt, trialAt, trialBackoff     float64
 	trial                                *attemptState // the trial in flight; nil: none
--- a/internal/predict/predict_test.go
+++ b/internal/predict/predict_test.go
@@ -19,10 +19,12 @@
 	return histogram
 }
 
+// repeated returns a slice that holds a value count times.
 func repeated(value float64, count int) []float64 {
 	return slices.Repeat([]float64{value}, count)
 }
 
+// wantNear fails the test if got differs from want by more than the tolerance.
 func wantNear(t *testing.T, got, want, tolerance float64) {
 	t.Helper()
 	assert.Assert(t, math.Abs(got-want) <= tolerance, "got %v, want %v within %v", got, want, tolerance)
