--- a/internal/aggregator/policy/port.go
+++ b/internal/aggregator/policy/port.go
@@ -71,18 +71,18 @@
 	// Probe starts a health check of a server over a connection of its own. The result must be
 	// reported to the policy.
 	Probe(server int)
-	// Close closes this aggregator's idle connections to a server, so that the next send opens a new
-	// one.
+	// CloseIdleConnections closes this aggregator's idle connections to a server, so that the next send
+	// opens a new one.
 	Close(server int)
-	// Subscribe asks for the server list.
+	// SubscribeToServers asks for the server list.
 	Subscribe()
-	// Wake requests a round after the given delay. The caller reports in that round that the wake-up
-	// has fired.
+	// ScheduleWakeUp requests a round after the given delay. The caller reports in that round that the
+	// wake-up has fired.
 	Wake(delay float64)
 	// Log writes a line to the operators' log.
 	Log(text string)
-	// Forget tells the caller that a search has ended and has no attempt in flight: the indices of the
-	// search and its shard requests may be reused.
+	// ReleaseSearch tells the caller that a search has ended and has no attempt in flight: the indices
+	// of the search and its shard requests may be reused.
 	Forget(search int)
 }
 
@@ -97,81 +97,81 @@
 // Settings configures a policy before its first round. A setting whose method is not called counts as
 // absent.
 type Settings interface {
-	// QueryType adds the next query type; indices start from 0. value and lateValue are what a search
+	// AddQueryType adds the next query type; indices start from 0. value and lateValue are what a search
 	// is worth when answered within the latency target and after it. effect is what a second run of
 	// its shard requests would do; tokenWindow is how long servers remember an idempotency token.
 	QueryType(latencyTarget, value, lateValue float64, effect Effect, tokenWindow float64)
-	// Shares sets which share of a search's weight must be answered for a complete answer and for any
-	// answer, what a partial answer is worth, and how many shard requests the follow-up phase of a
-	// search has; 0 means that it has none.
+	// SetAnswerShares sets which share of a search's weight must be answered for a complete answer and
+	// for any answer, what a partial answer is worth, and how many shard requests the follow-up phase
+	// of a search has; 0 means that it has none.
 	Shares(queryType int, completeShare, minimumShare, partialValue float64, followUpRequests int)
-	// Customer adds the next customer, and the factor on the value of its searches beyond its quota.
+	// AddCustomer adds the next customer, and the factor on the value of its searches beyond its quota.
 	Customer(quotaPerSecond, overQuotaWeight float64)
-	// Fleet sets the number of positions on the ring of shards, the replicas of each shard, how many
+	// SetFleet sets the number of positions on the ring of shards, the replicas of each shard, how many
 	// shard requests a batch takes, the work that each batch costs in addition, and whether servers
 	// keep the data of recent keys warm.
 	Fleet(positions, replicas, maxBatch int, batchWork float64, warmKeys bool)
-	// Limits sets the maximum number of attempts of a shard request, the maximum number of pending
+	// SetLimits sets the maximum number of attempts of a shard request, the maximum number of pending
 	// searches and shard requests (0: no limit), and whether attempts may be cancelled and hedged.
 	Limits(maxAttempts, maxPending int, mayCancel, mayHedge bool)
-	// MaxRetryAfter sets the longest retry-after time that a client is given when its search is shed.
+	// SetMaxRetryAfter sets the longest retry-after time that a client is given when its search is shed.
 	MaxRetryAfter(longest float64)
-	// WarmUp sets the share of its capacity that a server has right after its start, the time until it
+	// SetWarmUp sets the share of its capacity that a server has right after its start, the time until it
 	// has its full capacity, and which multiple of its present capacity all aggregators together may
 	// send to it within a window.
 	WarmUp(initialShare, duration, multiple, window float64)
-	// Budget limits the retries and hedges within a window to allowance plus ratio times the searches
-	// and shard requests that arrived in it.
+	// SetRetryBudget limits the retries and hedges within a window to allowance plus ratio times the
+	// searches and shard requests that arrived in it.
 	Budget(allowance, ratio, window float64)
-	// Reports sets whether answers carry load reports, and the fields of a load report.
+	// SetLoadReports sets whether answers carry load reports, and the fields of a load report.
 	Reports(onAnswers bool, fields []Field)
-	// Probes allows health checks.
+	// AllowProbes allows health checks.
 	Probes()
-	// Discovery sets whether the server list must be subscribed to.
+	// SetDiscovery sets whether the server list must be subscribed to.
 	Discovery(subscribe bool)
-	// Priority sets what a search of the query type counts for, in place of its value, when not all
+	// SetPriority sets what a search of the query type counts for, in place of its value, when not all
 	// searches can be admitted.
 	Priority(queryType int, priority float64)
-	// CustomerWeight sets the factor on the value of a customer's searches.
+	// SetCustomerWeight sets the factor on the value of a customer's searches.
 	CustomerWeight(customer int, weight float64)
-	// RetryWeight sets the factor on the value of a search that the client marked as a retry.
+	// SetRetryWeight sets the factor on the value of a search that the client marked as a retry.
 	RetryWeight(weight float64)
 }
 
 // Events reports events to the policy, each between the beginning and the end of a round, and answers
 // queries, which may be made at any time.
 type Events interface {
-	// Begin begins a round.
+	// BeginRound begins a round.
 	Begin(now float64)
-	// Search adds a search with the given number of shard requests, which must be added in the same
+	// AddSearch adds a search with the given number of shard requests, which must be added in the same
 	// round.
 	Search(id, queryType, customer int, deadline float64, requests int)
-	// ShardRequest adds a shard request to a search: its share of the search's weight, and a hint of
+	// AddShardRequest adds a shard request to a search: its share of the search's weight, and a hint of
 	// the work that it takes; 0 means no hint.
 	ShardRequest(search, id, shard int, weight, hintedWork float64, key uint64)
 	// MarkRetry marks a search as a retry by its client. It must come in the round in which the search
 	// is added.
 	MarkRetry(search int)
-	// Done ends an attempt; report is the load report that came with the answer, if any.
+	// AttemptDone ends an attempt; report is the load report that came with the answer, if any.
 	Done(request, attempt int, outcome Outcome, report []float64)
-	// Committed commits a shard request to one attempt: bytes of it have reached the client (answering),
-	// or what the server was sent can't be sent again. From then on no other attempt may take its place;
-	// its end must still be reported. It returns false if the shard request is committed to another
-	// attempt already, or answered: then the caller must cancel this attempt.
+	// CommitAttempt commits a shard request to one attempt: bytes of it have reached the client
+	// (answering), or what the server was sent can't be sent again. From then on no other attempt may
+	// take its place; its end must still be reported. It returns false if the shard request is
+	// committed to another attempt already, or answered: then the caller must cancel this attempt.
 	Committed(request, attempt int, answering bool) bool
-	// ClientSending sets whether the client is still sending the body of a shard request. While it is,
+	// SetClientSending sets whether the client is still sending the body of a shard request. While it is,
 	// a missing answer may be the client's fault and not the server's.
 	ClientSending(request int, sending bool)
-	// Pushback delays further attempts of a shard request as its server asked for (retry pushback); a
+	// RetryPushback delays further attempts of a shard request as its server asked for (retry pushback); a
 	// negative delay rules them out.
 	Pushback(request int, delay float64)
-	// Probed reports the result of a health check and how long it took.
+	// ProbeDone reports the result of a health check and how long it took.
 	Probed(server int, ok bool, elapsed float64, report []float64)
 	// ClientGone reports that a search's client no longer waits for an answer.
 	ClientGone(search int)
 	// ShortenDeadline reports that a search must be answered earlier than was announced.
 	ShortenDeadline(search int, deadline float64)
-	// Server updates a server with what the server list says of it.
+	// UpdateServer updates a server with what the server list says of it.
 	Server(id, zone, position int, state State, size, startedAt float64)
 	// RemoveServer frees the index of a server that is gone. It does nothing and returns false while
 	// the policy still needs the server's state.
@@ -181,15 +181,15 @@
 	// spread means that the zone had not failed after all: the ejections that were made for it, -spread
 	// ago, are undone. For a zone that is lost already, the call only reschedules the trials.
 	ZoneChanged(zone int, lost bool, spread float64)
-	// CapacityFloor sets the lowest value of a search that servers have capacity for. Searches of
+	// SetCapacityFloor sets the lowest value of a search that servers have capacity for. Searches of
 	// exactly this value are refused with the probability excess. A value of 0 means that the floor is
 	// not known.
 	CapacityFloor(value, excess float64)
 	// DiscoveryFailed reports that the subscription to the server list failed or broke.
 	DiscoveryFailed()
-	// Woken reports that the requested wake-up has fired.
+	// WakeUpDue reports that the requested wake-up has fired.
 	Woken()
-	// End ends the round; all decisions are made here.
+	// EndRound ends the round; all decisions are made here.
 	End()
 
 	// SearchValue returns what a search counts for when not all can be admitted, after the factors for
--- a/internal/predict/predict.go
+++ b/internal/predict/predict.go
@@ -118,15 +118,15 @@
 }
 
 const (
-	// SlowLineSpan is the time in milliseconds over which the latencies for a slow threshold are
+	// SlowThresholdSpan is the time in milliseconds over which the latencies for a slow threshold are
 	// collected.
 	SlowLineSpan = 10000.
-	// SlowLineQuantile is the quantile of the latencies that is the slow threshold.
+	// SlowThresholdQuantile is the quantile of the latencies that is the slow threshold.
 	SlowLineQuantile = 0.90
-	// MinSlowLineSamples is the number of answers of a server below which the fleet's slow
+	// MinSlowThresholdSamples is the number of answers of a server below which the fleet's slow
 	// threshold is used in place of its own.
 	MinSlowLineSamples = 5
-	// MaxFleetLineRatio bounds a server's slow threshold as a multiple of the fleet's. Without it a
+	// MaxFleetThresholdRatio bounds a server's slow threshold as a multiple of the fleet's. Without it a
 	// server that is always slow would be measured only against itself.
 	MaxFleetLineRatio = 1.5
 	// FleetSlowRatio is the ratio of the fleet's median latency to its lowest median above which
