--- a/internal/node/forward/fixture_test.go
+++ b/internal/node/forward/fixture_test.go
@@ -55,7 +55,7 @@
 func newScriptedRouter(instances ...*registry.Instance) *scriptedRouter {
 	return &scriptedRouter{
 		instances: instances,
-		refusal:   &routing.Refusal{RetryAfter: 250 * time.Millisecond, Reason: admission.Full},
+		refusal:   &routing.Refusal{RetryAfter: 250 * time.Millisecond, Reason: admission.ReasonBrokersFull},
 		endings:   make(chan struct{}, 1000),
 	}
 }
--- a/internal/node/routing/admission/admission.go
+++ b/internal/node/routing/admission/admission.go
@@ -19,42 +19,42 @@
 const MinTimeLeft = 15 * time.Millisecond
 
 const (
-	hopelessQuantile  = 0.25        // of latencies: where even that exceeds the time left, there is no chance
-	hopelessReportAge = time.Second // older reports of a broker's waiting requests don't count
+	fastAnswerQuantile = 0.25        // of latencies: where even that exceeds the time left, there is no chance
+	maxQueueReportAge  = time.Second // older reports of a broker's waiting requests don't count
 
-	maxRefusalsTopUrgency = 4
-	minMaxRefusals        = 2
-	retryShareStep        = 0.1 // of the retry budget less for each step of urgency
-	minRetryShare         = 0.7
+	maxRefusalsMostUrgent  = 4
+	maxRefusalsLeastUrgent = 2
+	retryBudgetShareStep   = 0.1 // of the retry budget less for each step of urgency
+	minRetryBudgetShare    = 0.7
 )
 
-// Gate decides on admission for one proxy.
-type Gate struct {
+// Controller decides on admission for one proxy.
+type Controller struct {
 	switches  mechanism.Switches
 	random    *rand.Rand
 	startedAt core.Time
 }
 
 // New makes a gate of a proxy that starts now.
-func New(now core.Time, switches mechanism.Switches, random *rand.Rand) *Gate {
-	return &Gate{switches: switches, random: random, startedAt: now}
+func New(now core.Time, switches mechanism.Switches, random *rand.Rand) *Controller {
+	return &Controller{switches: switches, random: random, startedAt: now}
 }
 
 // MaxRefusals is how many brokers may turn a request away before it gives its place at one more to
 // another request: the least urgent give up first.
-func MaxRefusals(urgency int) int { return max(maxRefusalsTopUrgency-urgency, minMaxRefusals) }
+func MaxRefusals(urgency int) int { return max(maxRefusalsMostUrgent-urgency, maxRefusalsLeastUrgent) }
 
-// RetryShare is the part of the retry budget that requests of an urgency may use up.
-func RetryShare(urgency int) float64 {
-	return max(1-retryShareStep*float64(max(urgency, 0)), minRetryShare)
+// RetryBudgetShare is the part of the retry budget that requests of an urgency may use up.
+func RetryBudgetShare(urgency int) float64 {
+	return max(1-retryBudgetShareStep*float64(max(urgency, 0)), minRetryBudgetShare)
 }
 
-// Hopeless reports whether a request can't be answered in the time left: even the quickest of the
+// CannotMeetDeadline reports whether a request can't be answered in the time left: even the quickest of the
 // recent answers took longer, and requests wait at the broker.
-func (g *Gate) Hopeless(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
-	if load, recent := b.RecentReport(now, hopelessReportAge); !recent || load.Waiting == 0 {
+func (g *Controller) CannotMeetDeadline(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
+	if load, recent := b.RecentReport(now, maxQueueReportAge); !recent || load.Waiting == 0 {
 		return false
 	}
-	quick, answers := req.Class.Quantile(now, hopelessQuantile)
+	quick, answers := req.Class.Quantile(now, fastAnswerQuantile)
 	return answers >= predict.MinSamples && quick*req.Work > units.Milliseconds(req.Deadline-now)
 }
--- a/internal/node/routing/admission/admission_test.go
+++ b/internal/node/routing/admission/admission_test.go
@@ -19,8 +19,8 @@
 		share    float64
 	}{{4, 1}, {3, 0.9}, {2, 0.8}, {2, 0.7}, {2, 0.7}} {
 		assert.Equal(t, MaxRefusals(urgency), want.refusals)
-		difference := RetryShare(urgency) - want.share
-		assert.Assert(t, difference > -1e-9 && difference < 1e-9, "urgency %d: %v", urgency, RetryShare(urgency))
+		difference := RetryBudgetShare(urgency) - want.share
+		assert.Assert(t, difference > -1e-9 && difference < 1e-9, "urgency %d: %v", urgency, RetryBudgetShare(urgency))
 	}
 }
 
@@ -36,17 +36,17 @@
 		capacityAt       core.Time
 		minimum, maximum core.Time
 	}{
-		{"plenty of time", 9 * time.Second, Full, core.Never, MinAdvice, maxAdvice},
-		{"little time", 300 * time.Millisecond, Full, core.Never, MinAdvice, 100 * time.Millisecond},
-		{"no time", -time.Second, Deadline, core.Never, 0, 0},
-		{"capacity soon", 3 * time.Second, Full, now + 200*time.Millisecond, 200 * time.Millisecond, time.Second},
-		{"capacity late", 3 * time.Second, Full, now + 5*time.Second, 500 * time.Millisecond, time.Second},
-		{"another proxy may do better", 3 * time.Second, Unhealthy, core.Never, MinAdvice, ShortAdvice},
+		{"plenty of time", 9 * time.Second, ReasonBrokersFull, core.Never, MinRetryAfter, maxRetryAfter},
+		{"little time", 300 * time.Millisecond, ReasonBrokersFull, core.Never, MinRetryAfter, 100 * time.Millisecond},
+		{"no time", -time.Second, ReasonDeadline, core.Never, 0, 0},
+		{"capacity soon", 3 * time.Second, ReasonBrokersFull, now + 200*time.Millisecond, 200 * time.Millisecond, time.Second},
+		{"capacity late", 3 * time.Second, ReasonBrokersFull, now + 5*time.Second, 500 * time.Millisecond, time.Second},
+		{"another proxy may do better", 3 * time.Second, ReasonBrokersUnhealthy, core.Never, MinRetryAfter, MaxRetryAfterOtherProxy},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for range 100 {
 				req := &inflight.Request{ClientRequest: inflight.ClientRequest{Deadline: now + c.left}}
-				advice := g.Advice(now, req, c.reason, c.capacityAt)
+				advice := g.RetryAfter(now, req, c.reason, c.capacityAt)
 				assert.Assert(t, advice >= c.minimum && advice <= c.maximum, "%v", advice)
 			}
 		})
@@ -56,10 +56,10 @@
 // Of the most urgent requests none is shed before half of the least urgent are.
 func TestUrgentRequestsAreShedLast(t *testing.T) {
 	for _, c := range []struct{ shed, urgentShed, otherShed float64 }{{0, 0, 0}, {0.3, 0, 0.3}, {0.5, 0, 0.5}, {0.75, 0.5, 0.75}} {
-		o := NewOverload()
-		o.Received(time.Second, 0)
-		o.Received(time.Second, 2)
-		o.shed = c.shed
+		o := NewOverloadDetector()
+		o.RecordArrival(time.Second, 0)
+		o.RecordArrival(time.Second, 2)
+		o.shedShare = c.shed
 		assert.Equal(t, o.ShedProbability(0), c.urgentShed)
 		assert.Equal(t, o.ShedProbability(1), c.otherShed)
 		assert.Equal(t, o.ShedProbability(2), c.otherShed)
--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -15,77 +15,79 @@
 	// ShedInterval is how often the share of requests to be shed changes.
 	ShedInterval = 250 * time.Millisecond
 
-	overloadSpan     = 1500. // ms of answers that are looked at
-	minRatios        = 8     // answers before they count
-	lateRatio        = 1.0   // latency over target that lateQuantile exceeds in an overload
-	lateQuantile     = 0.3
-	shedRaise        = 0.08
-	shedLower        = 0.04
-	maxShed          = 0.8
-	busyShare        = 0.5 // of the brokers must be busy
-	reportAge        = 2 * time.Second
-	urgencyKept      = 10 * time.Second
-	lowRatio         = 0.01 // where the histogram begins
-	ratioStep        = 1.15
-	ratioBins        = 70
-	ratioBuckets     = 5
-	topUrgencyFactor = 2 // the most urgent are shed once more than one part in so many of the least urgent is
+	latencyWindow     = 1500. // ms of answers that are looked at
+	minAnswers        = 8     // answers before they count
+	lateRatio         = 1.0   // latency over target that lateQuantile exceeds in an overload
+	lateQuantile      = 0.3
+	shedIncrease      = 0.08
+	shedDecrease      = 0.04
+	maxShedShare      = 0.8
+	minBusyShare      = 0.5 // of the brokers must be busy
+	maxReportAge      = 2 * time.Second
+	urgencyExpiry     = 10 * time.Second
+	minHistogramRatio = 0.01 // where the histogram begins
+	histogramStep     = 1.15
+	histogramBins     = 70
+	windowBuckets     = 5
+	mostUrgentFactor  = 2 // the most urgent are shed once more than one part in so many of the least urgent is
 )
 
-// Overload measures whether a service's answers are late, over all its routes.
+// OverloadDetector measures whether a service's answers are late, over all its routes.
 //
 // A service that is asked for more than it can do answers all too late, as each request waits
 // behind others that are late already. Then some are shed, the least urgent first, so that the rest
 // is in time (RULES.md, "Worth" and "Prices").
-type Overload struct {
-	ratios          *window.Histogram // latency over target
-	shed            float64           // share of the least urgent requests to be refused
-	refreshedAt     core.Time
-	lowestPriority  int // urgency of the least urgent request recently; urgencies count from 0, the most urgent
-	highestPriority int
-	lastArrivalAt   core.Time
+type OverloadDetector struct {
+	latencyRatios *window.Histogram // latency over target
+	shedShare     float64           // share of the least urgent requests to be refused
+	updatedAt     core.Time
+	leastUrgent   int // urgency of the least urgent request recently; urgencies count from 0, the most urgent
+	mostUrgent    int
+	lastArrivalAt core.Time
 }
 
-// NewOverload makes the measure of a service without answers.
-func NewOverload() Overload {
-	return Overload{ratios: window.NewHistogram(ratioBuckets+1, overloadSpan/ratioBuckets, lowRatio, ratioStep, ratioBins)}
+// NewOverloadDetector makes the measure of a service without answers.
+func NewOverloadDetector() OverloadDetector {
+	return OverloadDetector{latencyRatios: window.NewHistogram(windowBuckets+1, latencyWindow/windowBuckets, minHistogramRatio, histogramStep, histogramBins)}
 }
 
-// Received takes in a request's urgency.
-func (o *Overload) Received(now core.Time, urgency int) {
-	if now-o.lastArrivalAt > urgencyKept || o.lastArrivalAt == 0 {
-		o.lowestPriority, o.highestPriority = urgency, urgency
+// RecordArrival takes in a request's urgency.
+func (o *OverloadDetector) RecordArrival(now core.Time, urgency int) {
+	if now-o.lastArrivalAt > urgencyExpiry || o.lastArrivalAt == 0 {
+		o.leastUrgent, o.mostUrgent = urgency, urgency
 	}
 	o.lastArrivalAt = now
-	o.lowestPriority, o.highestPriority = max(o.lowestPriority, urgency), min(o.highestPriority, urgency)
+	o.leastUrgent, o.mostUrgent = max(o.leastUrgent, urgency), min(o.mostUrgent, urgency)
 }
 
-// Learn takes in a latency as a ratio of its route's target.
-func (o *Overload) Learn(now core.Time, ratio float64) { o.ratios.Add(units.Milliseconds(now), ratio) }
+// RecordLatencyRatio takes in a latency as a ratio of its route's target.
+func (o *OverloadDetector) RecordLatencyRatio(now core.Time, ratio float64) {
+	o.latencyRatios.Add(units.Milliseconds(now), ratio)
+}
 
-// Refresh raises or lowers the share to be shed, at most once in each ShedInterval.
-func (o *Overload) Refresh(now core.Time, p *brokerstate.Pool) {
-	if now < o.refreshedAt+ShedInterval {
+// UpdateShedShare raises or lowers the share to be shed, at most once in each ShedInterval.
+func (o *OverloadDetector) UpdateShedShare(now core.Time, p *brokerstate.Pool) {
+	if now < o.updatedAt+ShedInterval {
 		return
 	}
-	o.refreshedAt = now
-	ratio, answers := o.ratios.Quantile(units.Milliseconds(now), lateQuantile)
-	if answers >= minRatios && ratio > lateRatio && busy(now, p) {
-		o.shed = min(o.shed+shedRaise, maxShed)
+	o.updatedAt = now
+	ratio, answers := o.latencyRatios.Quantile(units.Milliseconds(now), lateQuantile)
+	if answers >= minAnswers && ratio > lateRatio && mostBrokersBusy(now, p) {
+		o.shedShare = min(o.shedShare+shedIncrease, maxShedShare)
 	} else {
-		o.shed = max(o.shed-shedLower, 0)
+		o.shedShare = max(o.shedShare-shedDecrease, 0)
 	}
 }
 
-// Shed is the share of the least urgent requests to be refused.
-func (o *Overload) Shed() float64 { return o.shed }
+// ShedShare is the share of the least urgent requests to be refused.
+func (o *OverloadDetector) ShedShare() float64 { return o.shedShare }
 
-// busy reports whether most brokers with a recent report have requests waiting, or half of their
+// mostBrokersBusy reports whether most brokers with a recent report have requests waiting, or half of their
 // slots taken: else a refusal would be one that isn't needed.
-func busy(now core.Time, p *brokerstate.Pool) bool {
+func mostBrokersBusy(now core.Time, p *brokerstate.Pool) bool {
 	reports, busy := 0, 0
 	for _, b := range p.Brokers {
-		load, recent := b.RecentReport(now, reportAge)
+		load, recent := b.RecentReport(now, maxReportAge)
 		if !recent {
 			continue
 		}
@@ -94,23 +96,23 @@
 			busy++
 		}
 	}
-	return reports > 0 && float64(busy) >= busyShare*float64(reports)
+	return reports > 0 && float64(busy) >= minBusyShare*float64(reports)
 }
 
 // ShedProbability is the share of requests of an urgency to be refused: of the most urgent none
 // before half of the least are.
-func (o *Overload) ShedProbability(urgency int) float64 {
-	if o.shed == 0 {
+func (o *OverloadDetector) ShedProbability(urgency int) float64 {
+	if o.shedShare == 0 {
 		return 0
 	}
-	if o.lowestPriority > o.highestPriority && urgency == o.highestPriority {
-		return max(topUrgencyFactor*o.shed-1, 0)
+	if o.leastUrgent > o.mostUrgent && urgency == o.mostUrgent {
+		return max(mostUrgentFactor*o.shedShare-1, 0)
 	}
-	return o.shed
+	return o.shedShare
 }
 
-// Sheds decides by chance whether a request is refused as its service is overloaded.
-func (g *Gate) Sheds(req *inflight.Request, o *Overload) bool {
+// ShouldShed decides by chance whether a request is refused as its service is overloaded.
+func (g *Controller) ShouldShed(req *inflight.Request, o *OverloadDetector) bool {
 	probability := o.ShedProbability(req.Urgency)
 	return g.switches.On(mechanism.Overload) && probability > 0 && g.random.Float64() < probability
 }
--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -14,32 +14,32 @@
 // A request is refused only when every broker's places are taken, and is told to come back in a
 // third of its time.
 func TestRefusedWhenAllAreFull(t *testing.T) {
-	w := newWorld(t, instances(2))
+	f := newFixture(t, instances(2))
 	rejectFirst := func() Decision {
-		q := w.request(onceRoute)
+		q := f.request(unsafeRoute)
 		q.Urgency = 1
-		a := w.begin(q)
-		d := w.Finished(w.now, a.Request, a.Number, outcomeFull, false)
-		w.End(w.now, a.Request)
+		a := f.mustBegin(q)
+		d := f.Finished(f.now, a.Request, a.Number, outcomeFull, false)
+		f.End(f.now, a.Request)
 		return d
 	}
 	assert.Assert(t, rejectFirst().Attempt != nil)
-	q := w.request(onceRoute)
+	q := f.request(unsafeRoute)
 	q.Urgency = 1
-	a := w.begin(q)
-	w.Finished(w.now, a.Request, a.Number, outcomeFull, false)
-	_, d := w.Begin(w.now, q)
+	a := f.mustBegin(q)
+	f.Finished(f.now, a.Request, a.Number, outcomeFull, false)
+	_, d := f.Begin(f.now, q)
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, admission.Full)
-	assert.Assert(t, d.Refusal.RetryAfter > 0 && d.Refusal.RetryAfter <= (q.Deadline-w.now)/3)
+	assert.Equal(t, d.Refusal.Reason, admission.ReasonBrokersFull)
+	assert.Assert(t, d.Refusal.RetryAfter > 0 && d.Refusal.RetryAfter <= (q.Deadline-f.now)/3)
 
-	w.now += brokerstate.RefusalBackoff * 6 / 10
-	_, d = w.Begin(w.now, q)
+	f.now += brokerstate.RefusalBackoff * 6 / 10
+	_, d = f.Begin(f.now, q)
 	assert.Assert(t, d.Refusal != nil)
-	urgent := w.request(onceRoute)
-	assert.Assert(t, w.begin(urgent) != nil, "the most urgent try sooner")
-	w.now += brokerstate.RefusalBackoff
-	assert.Assert(t, w.begin(q) != nil)
+	urgent := f.request(unsafeRoute)
+	assert.Assert(t, f.mustBegin(urgent) != nil, "the most urgent try sooner")
+	f.now += brokerstate.RefusalBackoff
+	assert.Assert(t, f.mustBegin(q) != nil)
 }
 
 // Brokers that leave or load take nothing: no attempt goes there (RULES.md, DRAIN).
@@ -48,42 +48,42 @@
 	list[0].State = registry.Draining
 	list[1].Loading = true
 	list[2].Unresponsive = true
-	w := newWorld(t, list)
+	f := newFixture(t, list)
 	for range 20 {
-		a := w.begin(w.request(safeRoute))
+		a := f.mustBegin(f.request(safeRoute))
 		assert.Equal(t, a.Instance.ID, list[3].ID)
-		w.serve(a, 5*ms)
+		f.answerAfter(a, 5*ms)
 	}
-	w.SetTable(w.now, tableOf(list[:3]...))
-	a := w.begin(w.request(onceRoute))
+	f.SetTable(f.now, tableOf(list[:3]...))
+	a := f.mustBegin(f.request(unsafeRoute))
 	assert.Equal(t, a.Instance.ID, list[2].ID, "one that the registry misses is better than none")
-	w.SetTable(w.now, tableOf(list[:2]...))
-	_, d := w.Begin(w.now, w.request(safeRoute))
-	assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
+	f.SetTable(f.now, tableOf(list[:2]...))
+	_, d := f.Begin(f.now, f.request(safeRoute))
+	assert.Equal(t, d.Refusal.Reason, admission.ReasonNoBroker)
 }
 
 // An unsafe request isn't thrown after others that got no answer: it is promised not to have run,
 // and may be served elsewhere.
 func TestUnsafeRequestAndHangingBrokers(t *testing.T) {
-	w := newWorld(t, instances(1))
-	w.warm(safeRoute, 40, 10*ms)
-	lost := w.begin(w.request(onceRoute))
-	w.now += 3 * time.Second
-	_, d := w.Begin(w.now, w.request(onceRoute))
+	f := newFixture(t, instances(1))
+	f.serveRequests(safeRoute, 40, 10*ms)
+	lost := f.mustBegin(f.request(unsafeRoute))
+	f.now += 3 * time.Second
+	_, d := f.Begin(f.now, f.request(unsafeRoute))
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, admission.Unhealthy)
-	w.Started(w.now, lost.Request, lost.Number, nil)
-	assert.Assert(t, w.begin(w.request(onceRoute)) != nil, "a late answer is a sign of life")
+	assert.Equal(t, d.Refusal.Reason, admission.ReasonBrokersUnhealthy)
+	f.Started(f.now, lost.Request, lost.Number, nil)
+	assert.Assert(t, f.mustBegin(f.request(unsafeRoute)) != nil, "a late answer is a sign of life")
 }
 
 // What this process did not hear while it stood still is no silence of brokers.
 func TestResumedProcessBlamesNobody(t *testing.T) {
-	w := newWorld(t, instances(1))
-	w.warm(safeRoute, 40, 10*ms)
-	w.begin(w.request(onceRoute))
-	w.now += 3 * time.Second
-	w.Resumed(w.now)
-	assert.Assert(t, w.begin(w.request(onceRoute)) != nil)
+	f := newFixture(t, instances(1))
+	f.serveRequests(safeRoute, 40, 10*ms)
+	f.mustBegin(f.request(unsafeRoute))
+	f.now += 3 * time.Second
+	f.Resumed(f.now)
+	assert.Assert(t, f.mustBegin(f.request(unsafeRoute)) != nil)
 }
 
 func TestPriorityHeader(t *testing.T) {
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -14,15 +14,15 @@
 // All proxies send prompts with the same shared parts to the same broker, without exchange.
 func TestProxiesAgreeOnAPromptsBroker(t *testing.T) {
 	list := instances(9)
-	first, second := newWorld(t, list), newWorld(t, list)
-	second.moveTo("z2")
+	first, second := newFixture(t, list), newFixture(t, list)
+	second.setZone("z2")
 	owners := map[string]int{}
 	for part := range uint64(300) {
-		a, b := first.begin(first.prompt(flowRoute, part)), second.begin(second.prompt(flowRoute, part))
+		a, b := first.mustBegin(first.prompt(streamRoute, part)), second.mustBegin(second.prompt(streamRoute, part))
 		assert.Equal(t, a.Instance.ID, b.Instance.ID)
 		owners[a.Instance.ID]++
-		first.read(a)
-		second.read(b)
+		first.answerAfterPrefill(a)
+		second.answerAfterPrefill(b)
 	}
 	assert.Equal(t, len(owners), 9)
 	for id, n := range owners {
@@ -33,20 +33,20 @@
 // The loss of a broker moves its own parts only.
 func TestLossMovesOnlyTheLostBrokersParts(t *testing.T) {
 	list := instances(9)
-	w := newWorld(t, list)
+	f := newFixture(t, list)
 	before := map[uint64]string{}
 	for part := range uint64(200) {
-		a := w.begin(w.prompt(flowRoute, part))
+		a := f.mustBegin(f.prompt(streamRoute, part))
 		before[part] = a.Instance.ID
-		w.read(a)
+		f.answerAfterPrefill(a)
 	}
-	w.SetTable(w.now, tableOf(list[1:]...))
+	f.SetTable(f.now, tableOf(list[1:]...))
 	for part := range uint64(200) {
-		a := w.begin(w.prompt(flowRoute, part))
+		a := f.mustBegin(f.prompt(streamRoute, part))
 		if before[part] != list[0].ID {
 			assert.Equal(t, a.Instance.ID, before[part])
 		}
-		w.read(a)
+		f.answerAfterPrefill(a)
 	}
 }
 
@@ -57,12 +57,12 @@
 		waiting int // tokens
 		passed  bool
 	}{{50, false}, {5000, true}} {
-		w := newWorld(t, instances(5))
-		w.StoreSeen(w.now, storeAddress, false, false)
-		owner := w.begin(w.prompt(flowRoute, 77))
-		w.read(owner)
-		w.PeerSentPrompt(w.now, SentPrompt{Instance: owner.Instance.ID, PrefillTokens: c.waiting})
-		a := w.begin(w.prompt(flowRoute, 77))
+		f := newFixture(t, instances(5))
+		f.StoreSeen(f.now, storeAddress, false, false)
+		owner := f.mustBegin(f.prompt(streamRoute, 77))
+		f.answerAfterPrefill(owner)
+		f.PeerSentPrompt(f.now, SentPrompt{Instance: owner.Instance.ID, PrefillTokens: c.waiting})
+		a := f.mustBegin(f.prompt(streamRoute, 77))
 		assert.Equal(t, a.Instance.ID != owner.Instance.ID, c.passed)
 		assert.Equal(t, a.FetchFrom == owner.Instance.Address, c.passed)
 	}
@@ -82,23 +82,23 @@
 
 func TestIndexDecidesBeforeAffinity(t *testing.T) {
 	index := &fixedIndex{}
-	w := newWorldWith(t, instances(8), index)
-	owner := w.begin(w.prompt(flowRoute, 5))
-	w.serve(owner, ms)
-	w.now += prefixcache.PrefillBelieved
+	f := newFixtureWithIndex(t, instances(8), index)
+	owner := f.mustBegin(f.prompt(streamRoute, 5))
+	f.answerAfter(owner, ms)
+	f.now += prefixcache.PrefillBelieved
 	assert.DeepEqual(t, index.observed, []string{owner.Instance.ID})
-	for id := range w.brokers {
+	for id := range f.brokers {
 		if id != owner.Instance.ID {
 			index.holders = []prefixcache.Holder{{Instance: id, Tokens: 1300}}
 			break
 		}
 	}
-	a := w.begin(w.prompt(flowRoute, 5))
+	a := f.mustBegin(f.prompt(streamRoute, 5))
 	assert.Equal(t, a.Instance.ID, index.holders[0].Instance)
-	w.serve(a, ms)
-	w.now += prefixcache.PrefillBelieved
+	f.answerAfter(a, ms)
+	f.now += prefixcache.PrefillBelieved
 	index.holders = append(index.holders, prefixcache.Holder{Instance: owner.Instance.ID, Tokens: 1300})
-	a = w.begin(w.prompt(flowRoute, 5))
+	a = f.mustBegin(f.prompt(streamRoute, 5))
 	assert.Equal(t, a.Instance.ID, owner.Instance.ID, "between equals the order decides that all proxies find")
 }
 
@@ -106,27 +106,27 @@
 func TestFetchSources(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		spoil   func(w *world, owner *registry.Instance)
+		spoil   func(f *fixture, owner *registry.Instance)
 		fetched bool
 	}{
-		{"well", func(*world, *registry.Instance) {}, true},
-		{"silent", func(_ *world, owner *registry.Instance) { owner.Unresponsive = true }, false},
-		{"draining", func(_ *world, owner *registry.Instance) { owner.State = registry.Draining }, false},
-		{"loading", func(_ *world, owner *registry.Instance) { owner.Loading = true }, false},
-		{"another version", func(_ *world, owner *registry.Instance) { withVersion(owner, 2) }, false},
-		{"set aside", func(w *world, owner *registry.Instance) {
-			w.ejector.Eject(w.now, w.brokers[owner.ID], brokerstate.Failing)
+		{"well", func(*fixture, *registry.Instance) {}, true},
+		{"silent", func(_ *fixture, owner *registry.Instance) { owner.Unresponsive = true }, false},
+		{"draining", func(_ *fixture, owner *registry.Instance) { owner.State = registry.Draining }, false},
+		{"loading", func(_ *fixture, owner *registry.Instance) { owner.Loading = true }, false},
+		{"another version", func(_ *fixture, owner *registry.Instance) { withVersion(owner, 2) }, false},
+		{"set aside", func(f *fixture, owner *registry.Instance) {
+			f.ejector.Eject(f.now, f.brokers[owner.ID], brokerstate.Failing)
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(5))
-			w.StoreSeen(w.now, storeAddress, false, false)
-			a := w.begin(w.prompt(flowRoute, 77))
-			w.serve(a, ms)
-			owner := w.brokers[a.Instance.ID].Instance
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: owner.ID, PrefillTokens: 20000})
-			c.spoil(w, owner)
-			a = w.begin(w.prompt(flowRoute, 77))
+			f := newFixture(t, instances(5))
+			f.StoreSeen(f.now, storeAddress, false, false)
+			a := f.mustBegin(f.prompt(streamRoute, 77))
+			f.answerAfter(a, ms)
+			owner := f.brokers[a.Instance.ID].Instance
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: owner.ID, PrefillTokens: 20000})
+			c.spoil(f, owner)
+			a = f.mustBegin(f.prompt(streamRoute, 77))
 			assert.Assert(t, a.Instance.ID != owner.ID)
 			assert.Equal(t, a.FetchFrom == owner.Address, c.fetched)
 		})
--- a/internal/node/routing/benchmark_test.go
+++ b/internal/node/routing/benchmark_test.go
@@ -19,21 +19,21 @@
 }
 
 func benchmarkRequest(b *testing.B, brokers int, sticky bool) {
-	w := newWorld(&testing.T{}, instances(brokers))
+	f := newFixture(&testing.T{}, instances(brokers))
 	route := safeRoute
 	if sticky {
-		route = againRoute
+		route = resumableRoute
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		w.now += 20 * ms
-		id, d := w.Begin(w.now, w.prompt(route, uint64(i%300)))
+		f.now += 20 * ms
+		id, d := f.Begin(f.now, f.prompt(route, uint64(i%300)))
 		if d.Attempt == nil {
 			b.Fatal("no attempt")
 		}
 		load := Load{Running: i % 20, Slots: 64}
-		w.Started(w.now+15*ms, id, 0, &load)
-		w.Finished(w.now+18*ms, id, 0, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
-		w.End(w.now+18*ms, id)
+		f.Started(f.now+15*ms, id, 0, &load)
+		f.Finished(f.now+18*ms, id, 0, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
+		f.End(f.now+18*ms, id)
 	}
 }
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -86,7 +86,7 @@
 }
 
 func (tr *decisionTrace) end(router *Router) {
-	fmt.Fprintf(tr.hash, "%v %v %d\n", router.Counters(), router.Late(), router.Pending())
+	fmt.Fprintf(tr.hash, "%v %v %d\n", router.Counters(), router.Late(), router.PendingRequests())
 }
 
 func (tr *decisionTrace) line(name string) string {
@@ -95,7 +95,7 @@
 
 // randomCalls drives one router through its whole interface with calls drawn from a seed.
 type randomCalls struct {
-	*world
+	*fixture
 	trace    *decisionTrace
 	random   *rand.Rand
 	list     []*registry.Instance
@@ -116,7 +116,7 @@
 	router := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second,
 		VersionGrace: 8 * time.Second, VersionGraceAll: 30 * time.Second, UnstableFor: 2 * time.Second, Heartbeat: 500 * time.Millisecond,
 		Random: rand.New(rand.NewPCG(seed, 9)), Index: &randomIndex{random: c.random, list: c.list}, Disabled: disabled})
-	c.world = &world{t: t, now: 2 * time.Second, Router: router}
+	c.fixture = &fixture{t: t, now: 2 * time.Second, Router: router}
 	c.SetPeers(0, 3)
 	c.SetConfig(0, c.config())
 	c.SetTable(0, tableOf(c.list...))
@@ -173,7 +173,7 @@
 }
 
 func (c *randomCalls) receive() {
-	q := c.request([]*config.Route{safeRoute, onceRoute, flowRoute, againRoute, gapRoute}[c.random.IntN(5)])
+	q := c.request([]*config.Route{safeRoute, unsafeRoute, streamRoute, resumableRoute, gapRoute}[c.random.IntN(5)])
 	if c.random.IntN(3) > 0 {
 		q = c.prompt(q.Route, uint64(10+c.random.IntN(30)))
 		q.Parts[1].Tokens = 100 + c.random.IntN(2500)
--- a/internal/node/routing/faults_test.go
+++ b/internal/node/routing/faults_test.go
@@ -36,7 +36,7 @@
 			s.checkBudget()
 			assert.Assert(t, len(s.retryTimes) > 100, "only %d further arrivals: nothing was tested", len(s.retryTimes))
 			for _, r := range s.proxies {
-				assert.Equal(t, r.Pending(), 0)
+				assert.Equal(t, r.PendingRequests(), 0)
 			}
 		})
 	}
--- a/internal/node/routing/world_test.go
+++ b/internal/node/routing/fixture_test.go
@@ -59,93 +59,93 @@
 }
 
 var (
-	safeRoute = &config.Route{Name: "safe", Kind: config.KindSafe, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2}
-	onceRoute = &config.Route{Name: "once", Kind: config.KindUnsafe, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2}
-	flowRoute = &config.Route{Name: "flow", Kind: config.KindStreaming, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2,
+	safeRoute   = &config.Route{Name: "safe", Kind: config.KindSafe, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2}
+	unsafeRoute = &config.Route{Name: "once", Kind: config.KindUnsafe, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2}
+	streamRoute = &config.Route{Name: "flow", Kind: config.KindStreaming, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2,
 		Sticky: true}
-	againRoute = &config.Route{Name: "again", Kind: config.KindStreaming, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2,
+	resumableRoute = &config.Route{Name: "again", Kind: config.KindStreaming, TimeoutMs: 4000, TargetLatencyMs: 300, MaxAttempts: 2,
 		Sticky: true, Resumable: true}
 )
 
-// world is one router and its clock.
-type world struct {
+// fixture is one router and its clock.
+type fixture struct {
 	t   *testing.T
 	now core.Time
 	*Router
 }
 
-func newWorld(t *testing.T, list []*registry.Instance) *world {
-	return newWorldWith(t, list, nil)
+func newFixture(t *testing.T, list []*registry.Instance) *fixture {
+	return newFixtureWithIndex(t, list, nil)
 }
 
-func newWorldWith(t *testing.T, list []*registry.Instance, index prefixcache.Index) *world {
+func newFixtureWithIndex(t *testing.T, list []*registry.Instance, index prefixcache.Index) *fixture {
 	t.Helper()
-	return newWorldWithout(t, list, index, 0)
+	return newFixtureWithDisabled(t, list, index, 0)
 }
 
-// newWorldWithout has some mechanisms disabled.
-func newWorldWithout(t *testing.T, list []*registry.Instance, index prefixcache.Index, disabled mechanism.Set) *world {
+// newFixtureWithDisabled has some mechanisms disabled.
+func newFixtureWithDisabled(t *testing.T, list []*registry.Instance, index prefixcache.Index, disabled mechanism.Set) *fixture {
 	t.Helper()
 	r := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second,
 		VersionGrace: 8 * time.Second, Random: rand.New(rand.NewPCG(7, 9)), Index: index, Disabled: disabled})
 	r.SetPeers(0, 1)
 	r.SetConfig(0, configOf(nil))
 	r.SetTable(0, tableOf(list...))
-	return &world{t: t, now: 20 * time.Second, Router: r}
+	return &fixture{t: t, now: 20 * time.Second, Router: r}
 }
 
-// moveTo puts the proxy into a zone.
-func (w *world) moveTo(zone string) {
-	w.placer = placement.New(w.switches, zone, w.options.Random, w.cache)
+// setZone puts the proxy into a zone.
+func (f *fixture) setZone(zone string) {
+	f.placer = placement.New(f.switches, zone, f.options.Random, f.cache)
 }
 
-func (w *world) request(route *config.Route) Request {
-	return Request{Route: route, Service: service, Received: w.now, Deadline: w.now + 4*time.Second, TokensIn: 1000}
+func (f *fixture) request(route *config.Route) Request {
+	return Request{Route: route, Service: service, Received: f.now, Deadline: f.now + 4*time.Second, TokensIn: 1000}
 }
 
-func (w *world) prompt(route *config.Route, part uint64) Request {
-	q := w.request(route)
+func (f *fixture) prompt(route *config.Route, part uint64) Request {
+	q := f.request(route)
 	q.Model = model
 	q.Parts = []prompt.Part{{ID: 1, Tokens: 500}, {ID: part, Tokens: 800}, {ID: part ^ 0xfff000, Tokens: 300}}
 	q.TokensIn = 1600
 	return q
 }
 
-// begin expects an attempt.
-func (w *world) begin(q Request) *Attempt {
-	w.t.Helper()
-	_, d := w.Begin(w.now, q)
+// mustBegin expects an attempt.
+func (f *fixture) mustBegin(q Request) *Attempt {
+	f.t.Helper()
+	_, d := f.Begin(f.now, q)
 	if d.Attempt == nil {
-		w.t.Fatalf("no attempt: %+v", d.Refusal)
+		f.t.Fatalf("no attempt: %+v", d.Refusal)
 	}
 	return d.Attempt
 }
 
-// serve has an attempt answered after a while, and moves the clock on by that.
-func (w *world) serve(a *Attempt, latency core.Time) {
-	w.now += latency
-	w.answerNow(a)
+// answerAfter has an attempt answered after a while, and moves the clock on by that.
+func (f *fixture) answerAfter(a *Attempt, latency core.Time) {
+	f.now += latency
+	f.answerNow(a)
 }
 
-// read has a model's attempt answered once its prompt was read at a usual pace.
-func (w *world) read(a *Attempt) {
+// answerAfterPrefill has a model's attempt answered once its prompt was read at a usual pace.
+func (f *fixture) answerAfterPrefill(a *Attempt) {
 	unread := 300
 	if a.SentPrompt != nil {
 		unread = a.SentPrompt.PrefillTokens
 	}
-	w.serve(a, 10*ms+core.Time(unread)*20*time.Microsecond)
+	f.answerAfter(a, 10*ms+core.Time(unread)*20*time.Microsecond)
 }
 
-func (w *world) answerNow(a *Attempt) {
-	w.Started(w.now, a.Request, a.Number, nil)
-	w.Finished(w.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
-	w.End(w.now, a.Request)
+func (f *fixture) answerNow(a *Attempt) {
+	f.Started(f.now, a.Request, a.Number, nil)
+	f.Finished(f.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
+	f.End(f.now, a.Request)
 }
 
-// warm serves some requests, each broker having its share.
-func (w *world) warm(route *config.Route, n int, latency core.Time) {
+// serveRequests serves some requests, each broker having its share.
+func (f *fixture) serveRequests(route *config.Route, n int, latency core.Time) {
 	for range n {
-		w.serve(w.begin(w.request(route)), latency)
+		f.answerAfter(f.mustBegin(f.request(route)), latency)
 	}
 }
 
--- a/internal/node/routing/gaps_test.go
+++ b/internal/node/routing/gaps_test.go
@@ -12,29 +12,29 @@
 )
 
 // exactRoute is a route of streams whose events may lie apart by 400 ms.
-var exactRoute = &config.Route{Name: "exact", Kind: config.KindStreaming, TimeoutMs: 15000, TargetLatencyMs: 400, MaxAttempts: 1,
+var gapTargetRoute = &config.Route{Name: "exact", Kind: config.KindStreaming, TimeoutMs: 15000, TargetLatencyMs: 400, MaxAttempts: 1,
 	Sticky: true, GapTargetMs: 400}
 
 func TestOwnStreamsAreLearntAndSomeAreNotified(t *testing.T) {
-	w := newWorld(t, instances(1))
+	f := newFixture(t, instances(1))
 	notified := 0
 	const streams = 200
 	for range streams {
-		q := w.prompt(exactRoute, 7)
-		a := w.begin(q)
-		w.now += 30 * ms
-		w.Started(w.now, a.Request, a.Number, nil)
-		w.now += 300 * ms
+		q := f.prompt(gapTargetRoute, 7)
+		a := f.mustBegin(q)
+		f.now += 30 * ms
+		f.Started(f.now, a.Request, a.Number, nil)
+		f.now += 300 * ms
 		outcome := Outcome{Verdict: verdict.Ran, Answered: true, Status: 200, Gaps: EventGaps{Count: 10, Usual: 25 * ms, Max: 90 * ms}}
-		decision := w.Finished(w.now, a.Request, a.Number, outcome, false)
-		w.End(w.now, a.Request)
+		decision := f.Finished(f.now, a.Request, a.Number, outcome, false)
+		f.End(f.now, a.Request)
 		if seen := decision.StepReport; seen != nil {
 			notified++
 			assert.DeepEqual(t, *seen, StepReport{Instance: "i00", EventInterval: 25 * ms})
 		}
 	}
 	assert.Assert(t, notified > streams/8 && notified < streams/2, "%d", notified)
-	assert.Equal(t, w.Router.brokers["i00"].StepTime(), 25.0)
+	assert.Equal(t, f.Router.brokers["i00"].StepTime(), 25.0)
 }
 
 // A gap that is too long is counted with the longest prompt that its broker was sent meanwhile.
@@ -53,29 +53,29 @@
 		{"a long prompt long before", 9000, 3 * time.Second, 450 * ms, LateByUnknownGap},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(1))
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: "i00", PrefillTokens: c.sent})
-			w.now += c.before
-			short := w.prompt(exactRoute, 7)
+			f := newFixture(t, instances(1))
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: c.sent})
+			f.now += c.before
+			short := f.prompt(gapTargetRoute, 7)
 			short.Parts = short.Parts[1:]
 			short.TokensIn = 400
-			a := w.begin(short)
-			w.now += 300 * ms
-			w.Started(w.now, a.Request, a.Number, nil)
-			w.now += time.Second
-			w.Finished(w.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200,
+			a := f.mustBegin(short)
+			f.now += 300 * ms
+			f.Started(f.now, a.Request, a.Number, nil)
+			f.now += time.Second
+			f.Finished(f.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200,
 				Gaps: EventGaps{Count: 20, Usual: 20 * ms, Max: c.gap}}, false)
-			w.End(w.now, a.Request)
+			f.End(f.now, a.Request)
 			if c.cause == "" {
-				assert.Equal(t, len(w.Late()), 0)
+				assert.Equal(t, len(f.Late()), 0)
 				return
 			}
-			late := w.Late()
+			late := f.Late()
 			assert.Equal(t, len(late), 1)
 			assert.Equal(t, late[0].Cause, c.cause)
 			assert.Equal(t, late[0].MaxGap, c.gap)
 			assert.Equal(t, late[0].LongestOtherPrompt > 0, c.cause == LateByLongPrefill)
-			assert.Equal(t, w.Counters().Late[c.cause], uint64(1))
+			assert.Equal(t, f.Counters().Late[c.cause], uint64(1))
 		})
 	}
 }
@@ -83,31 +83,31 @@
 // The first event's lateness is notified by what was foreseen at the send, and only the newest late
 // answers are kept.
 func TestLateFirstEvents(t *testing.T) {
-	w := newWorld(t, instances(1))
+	f := newFixture(t, instances(1))
 	late := func(unread, ahead int) LateCause {
 		if ahead > 0 {
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: "i00", PrefillTokens: ahead})
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: ahead})
 		}
-		q := w.prompt(exactRoute, w.Router.options.Random.Uint64())
+		q := f.prompt(gapTargetRoute, f.Router.options.Random.Uint64())
 		q.TokensIn = unread
-		q.Parts = []prompt.Part{{ID: w.Router.options.Random.Uint64(), Tokens: unread}}
-		a := w.begin(q)
-		w.now += time.Second
-		w.answerNow(a)
-		w.now += 10 * time.Second
-		list := w.Late()
+		q.Parts = []prompt.Part{{ID: f.Router.options.Random.Uint64(), Tokens: unread}}
+		a := f.mustBegin(q)
+		f.now += time.Second
+		f.answerNow(a)
+		f.now += 10 * time.Second
+		list := f.Late()
 		return list[len(list)-1].Cause
 	}
 	assert.Equal(t, late(600, 0), LateUnexpected)
 	assert.Equal(t, late(40000, 0), LateByPrefill)
 	assert.Equal(t, late(600, 400000), LateByBacklog)
-	for range 2 * maxLateKept {
+	for range 2 * maxRecentLate {
 		late(600, 0)
 	}
-	assert.Equal(t, len(w.Late()), maxLateKept)
+	assert.Equal(t, len(f.Late()), maxRecentLate)
 	total := uint64(0)
-	for _, count := range w.Counters().Late {
+	for _, count := range f.Counters().Late {
 		total += count
 	}
-	assert.Equal(t, total, uint64(3+2*maxLateKept))
+	assert.Equal(t, total, uint64(3+2*maxRecentLate))
 }
--- a/internal/node/routing/hedge.go
+++ b/internal/node/routing/hedge.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	blindHedge     = 1.0  // of the route's target latency, where too few answers tell its percentile
-	minHedgeDelay  = 20.0 // ms
-	maxUsualShare  = 0.67 // of the delay that a usual answer may take, or a hedged request hardly comes first
-	minHedgeRemain = 0.1  // share of the time left that a hedged request must have to be of use
+	defaultHedgeDelayFactor = 1.0  // of the route's target latency, where too few answers tell its percentile
+	minHedgeDelay           = 20.0 // ms
+	maxMedianShareOfDelay   = 0.67 // of the delay that a usual answer may take, or a hedged request hardly comes first
+	minHedgeTimeShare       = 0.1  // share of the time left that a hedged request must have to be of use
 )
 
 // hedgeAt is when an attempt whose answer has not begun may be hedged: past pX of its class's
@@ -24,12 +24,12 @@
 	}
 	delay, answers := req.Class.Quantile(now, req.Pool.HedgeQuantile(now))
 	usual, _ := req.Class.Quantile(now, 0.5)
-	delay = max(delay, usual/maxUsualShare) * req.Work
+	delay = max(delay, usual/maxMedianShareOfDelay) * req.Work
 	if answers < predict.MinSamples {
-		delay = blindHedge * req.Route.TargetLatencyMs
+		delay = defaultHedgeDelayFactor * req.Route.TargetLatencyMs
 	}
 	at := now + units.FromMilliseconds(max(delay, minHedgeDelay))
-	if at >= req.Deadline-core.Time(minHedgeRemain*float64(req.Deadline-now)) {
+	if at >= req.Deadline-core.Time(minHedgeTimeShare*float64(req.Deadline-now)) {
 		return core.Never
 	}
 	return at
@@ -66,9 +66,9 @@
 	}
 	share := retrybudget.HedgeShare
 	if faulty {
-		share = admission.RetryShare(req.Urgency)
+		share = admission.RetryBudgetShare(req.Urgency)
 	}
-	if !r.limits.Affords(now, &req.service.budget, share) {
+	if !r.retryLimits.Affords(now, &req.service.budget, share) {
 		return Decision{}
 	}
 	req.Hedged = true
--- a/internal/node/routing/hedge_test.go
+++ b/internal/node/routing/hedge_test.go
@@ -10,12 +10,12 @@
 	"kestrelspread/internal/node/core"
 )
 
-// awaitHedge begins a request that gets no answer by the time at which it is hedged.
-func (w *world) awaitHedge(q Request) *Attempt {
-	w.t.Helper()
-	a := w.begin(q)
+// beginAndAwaitHedge begins a request that gets no answer by the time at which it is hedged.
+func (f *fixture) beginAndAwaitHedge(q Request) *Attempt {
+	f.t.Helper()
+	a := f.mustBegin(q)
 	if a.HedgeAt != core.Never {
-		w.now = a.HedgeAt
+		f.now = a.HedgeAt
 	}
 	return a
 }
@@ -31,20 +31,20 @@
 		want  bool
 	}{
 		{"safe", safeRoute, true},
-		{"resumable stream", againRoute, true},
-		{"unsafe", onceRoute, false},
-		{"stream", flowRoute, false},
+		{"resumable stream", resumableRoute, true},
+		{"unsafe", unsafeRoute, false},
+		{"stream", streamRoute, false},
 		{"one attempt allowed", &single, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(4))
+			f := newFixture(t, instances(4))
 			for i := range 60 {
-				w.serve(w.begin(w.request(c.route)), core.Time(10+i%10)*ms)
+				f.answerAfter(f.mustBegin(f.request(c.route)), core.Time(10+i%10)*ms)
 			}
-			from := w.now
-			a := w.awaitHedge(w.request(c.route))
+			from := f.now
+			a := f.beginAndAwaitHedge(f.request(c.route))
 			assert.Equal(t, a.HedgeAt != core.Never, c.want)
-			d := w.Hedge(w.now, a.Request)
+			d := f.Hedge(f.now, a.Request)
 			assert.Equal(t, d.Attempt != nil, c.want)
 			if !c.want {
 				return
@@ -52,30 +52,30 @@
 			assert.Assert(t, a.HedgeAt-from >= 17*ms && a.HedgeAt-from < 40*ms, "hedged after %v", a.HedgeAt-from)
 			assert.Assert(t, d.Attempt.Instance != a.Instance)
 			assert.Equal(t, d.Attempt.HedgeAt, core.Never)
-			assert.Assert(t, w.Hedge(w.now+time.Second, a.Request) == Decision{}, "a second hedge")
+			assert.Assert(t, f.Hedge(f.now+time.Second, a.Request) == Decision{}, "a second hedge")
 		})
 	}
 }
 
 func TestNoHedgeOnceAnAnswerHasBegun(t *testing.T) {
-	w := newWorld(t, instances(4))
-	w.warm(safeRoute, 60, 10*ms)
-	a := w.awaitHedge(w.request(safeRoute))
-	w.Started(w.now, a.Request, a.Number, nil)
-	assert.Assert(t, w.Hedge(w.now, a.Request) == Decision{})
+	f := newFixture(t, instances(4))
+	f.serveRequests(safeRoute, 60, 10*ms)
+	a := f.beginAndAwaitHedge(f.request(safeRoute))
+	f.Started(f.now, a.Request, a.Number, nil)
+	assert.Assert(t, f.Hedge(f.now, a.Request) == Decision{})
 }
 
 // Where all are slow, a hedged request takes from another what it gives to its own; a timeout is
 // hedged all the same.
 func TestNoHedgeWhereAllAreSlow(t *testing.T) {
-	w := newWorld(t, instances(4))
-	w.warm(safeRoute, 60, 10*ms)
-	w.warm(safeRoute, 200, 60*ms)
-	w.now += time.Second
-	w.warm(safeRoute, 40, 60*ms)
-	a := w.awaitHedge(w.request(safeRoute))
-	assert.Assert(t, w.services[service].pool.Crowded())
-	assert.Assert(t, w.Hedge(w.now, a.Request) == Decision{})
-	w.now += 3 * time.Second
-	assert.Assert(t, w.Hedge(w.now, a.Request).Attempt != nil)
+	f := newFixture(t, instances(4))
+	f.serveRequests(safeRoute, 60, 10*ms)
+	f.serveRequests(safeRoute, 200, 60*ms)
+	f.now += time.Second
+	f.serveRequests(safeRoute, 40, 60*ms)
+	a := f.beginAndAwaitHedge(f.request(safeRoute))
+	assert.Assert(t, f.services[service].pool.Crowded())
+	assert.Assert(t, f.Hedge(f.now, a.Request) == Decision{})
+	f.now += 3 * time.Second
+	assert.Assert(t, f.Hedge(f.now, a.Request).Attempt != nil)
 }
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/lateanswers.go
@@ -40,40 +40,40 @@
 }
 
 const (
-	maxLateKept = 32 // late answers that are kept
+	maxRecentLate = 32 // late answers that are kept
 	// longPromptLead is how long before a stream began a prompt may have been sent that is still
 	// read in it.
 	longPromptLead = 500 * time.Millisecond
 )
 
-// lateAnswers counts late answers and keeps the newest.
-type lateAnswers struct {
+// recentLateAnswers counts late answers and keeps the newest.
+type recentLateAnswers struct {
 	counts map[LateCause]uint64
 	newest []LateRequest // a ring
 	next   int
 }
 
 // add counts a late answer and keeps it in place of the oldest.
-func (l *lateAnswers) add(late LateRequest) {
+func (l *recentLateAnswers) add(late LateRequest) {
 	if l.counts == nil {
 		l.counts = make(map[LateCause]uint64)
 	}
 	l.counts[late.Cause]++
-	if len(l.newest) < maxLateKept {
+	if len(l.newest) < maxRecentLate {
 		l.newest = append(l.newest, late)
 		return
 	}
 	l.newest[l.next] = late
-	l.next = (l.next + 1) % maxLateKept
+	l.next = (l.next + 1) % maxRecentLate
 }
 
 // list gives what is kept, the oldest first.
-func (l *lateAnswers) list() []LateRequest {
+func (l *recentLateAnswers) list() []LateRequest {
 	return append(slices.Clone(l.newest[l.next:]), l.newest[:l.next]...)
 }
 
 // Late lists the newest late answers, the oldest first.
-func (r *Router) Late() []LateRequest { return r.late.list() }
+func (r *Router) Late() []LateRequest { return r.lateAnswers.list() }
 
 // recordLateFirstEvent counts an answer whose first event came later than its route's target.
 func (r *Router) recordLateFirstEvent(now core.Time, req *request, c *brokerstate.Call) {
@@ -92,10 +92,10 @@
 	case expected > target:
 		cause = LateByBacklog
 	}
-	late := describeLate(now, req, c, cause)
+	late := newLateRequest(now, req, c, cause)
 	late.FirstEvent = now - req.Received
 	c.Late = true
-	r.late.add(late)
+	r.lateAnswers.add(late)
 }
 
 // recordLateGap counts an answer with a gap between events that is longer than its route allows,
@@ -110,13 +110,13 @@
 	if largest > 0 {
 		cause = LateByLongPrefill
 	}
-	late := describeLate(now, req, c, cause)
+	late := newLateRequest(now, req, c, cause)
 	late.MaxGap, late.LongestOtherPrompt = gaps.Max, largest
-	r.late.add(late)
+	r.lateAnswers.add(late)
 }
 
-// describeLate is a late answer with what was believed of its broker at the send.
-func describeLate(now core.Time, req *request, c *brokerstate.Call, cause LateCause) LateRequest {
+// newLateRequest is a late answer with what was believed of its broker at the send.
+func newLateRequest(now core.Time, req *request, c *brokerstate.Call, cause LateCause) LateRequest {
 	return LateRequest{
 		DetectedAt: now, Route: req.Route.Name, Instance: c.Broker.Instance.ID, Cause: cause,
 		PrefillTokens: c.PrefillTokens, QueuedPrefillTokens: int(c.BacklogAhead), Load: c.Load, Reported: c.Broker.LastReport(),
--- a/internal/node/routing/guarded.go
+++ b/internal/node/routing/lockedrouter.go
@@ -27,8 +27,8 @@
 	return &Guarded{router: router, notifySent: notifySent, notifyStep: notifyStep}
 }
 
-// notify passes a decision on, and notifies the other proxies of it.
-func (g *Guarded) notify(decision Decision) Decision {
+// notifyPeers passes a decision on, and notifies the other proxies of it.
+func (g *Guarded) notifyPeers(decision Decision) Decision {
 	if g.notifySent != nil && decision.Attempt != nil && decision.Attempt.SentPrompt != nil {
 		g.notifySent(decision.Attempt.SentPrompt)
 	}
@@ -43,14 +43,14 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	id, decision := g.router.Begin(now, request)
-	return id, g.notify(decision)
+	return id, g.notifyPeers(decision)
 }
 
 // Hedge is Router.Hedge.
 func (g *Guarded) Hedge(now core.Time, request RequestID) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.notify(g.router.Hedge(now, request))
+	return g.notifyPeers(g.router.Hedge(now, request))
 }
 
 // Started is Router.Started.
@@ -64,7 +64,7 @@
 func (g *Guarded) Finished(now core.Time, request RequestID, attempt int, outcome Outcome, resumable bool) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.notify(g.router.Finished(now, request, attempt, outcome, resumable))
+	return g.notifyPeers(g.router.Finished(now, request, attempt, outcome, resumable))
 }
 
 // End is Router.End.
--- a/internal/node/routing/guarded_test.go
+++ b/internal/node/routing/lockedrouter_test.go
@@ -39,5 +39,5 @@
 	}
 	all.Wait()
 	assert.Equal(t, g.Counters().Requests, uint64(8*200))
-	assert.Equal(t, g.router.Pending(), 0)
+	assert.Equal(t, g.router.PendingRequests(), 0)
 }
--- a/internal/node/routing/options.go
+++ b/internal/node/routing/options.go
@@ -40,7 +40,7 @@
 // defaultBudgetWindow stands where the settings name none.
 const defaultBudgetWindow = 10 * time.Second
 
-func (o *Options) withDefaults() {
+func (o *Options) applyDefaults() {
 	if o.BudgetWindow <= 0 {
 		o.BudgetWindow = defaultBudgetWindow
 	}
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -11,7 +11,7 @@
 )
 
 // statusTimeout is a broker's answer at the request's deadline.
-const statusTimeout = 504
+const statusGatewayTimeout = 504
 
 // Started takes the head of an answer, for streams its first event: what the predictor learns from.
 func (r *Router) Started(now core.Time, id RequestID, number int, load *Load) {
@@ -35,13 +35,13 @@
 	}
 	if req.Route.Kind == config.KindStreaming {
 		r.recordLateFirstEvent(now, req, c)
-		r.learn(now, req, c) // an event is no quick error
+		r.learnLatency(now, req, c) // an event is no quick error
 	}
 }
 
-// learn takes an answer's latency into the measures, once it is known to be one that was worked
+// learnLatency takes an answer's latency into the measures, once it is known to be one that was worked
 // for.
-func (r *Router) learn(now core.Time, req *request, c *brokerstate.Call) {
+func (r *Router) learnLatency(now core.Time, req *request, c *brokerstate.Call) {
 	if c.Learnt() || !c.Started || !r.ejector.Measurable(c) {
 		return
 	}
@@ -51,7 +51,7 @@
 		r.cache.LearnFetch(now, c, pool.Median())
 	}
 	if target := req.Route.TargetLatencyMs; target > 0 {
-		req.service.overload.Learn(now, units.Milliseconds(now-req.Received)/target)
+		req.service.overload.RecordLatencyRatio(now, units.Milliseconds(now-req.Received)/target)
 	}
 	req.Class.Learn(now, c.Latency*c.Scale/req.Work)
 	if c.Salt != "" {
@@ -70,26 +70,26 @@
 		return Decision{}
 	}
 	req.Pool.Refresh(now)
-	r.callEnded(now, req, c, &outcome)
-	decision := r.afterwards(now, req, &outcome, resumable)
+	r.recordCallEnd(now, req, c, &outcome)
+	decision := r.decideAfterAttempt(now, req, &outcome, resumable)
 	r.recordLateGap(now, req, c, outcome.Gaps)
-	decision.StepReport = r.learnStep(req, c, outcome.Gaps)
+	decision.StepReport = r.learnStepTime(req, c, outcome.Gaps)
 	return decision
 }
 
-// afterwards decides on a further attempt once one has ended.
-func (r *Router) afterwards(now core.Time, req *request, outcome *Outcome, resumable bool) Decision {
+// decideAfterAttempt decides on a further attempt once one has ended.
+func (r *Router) decideAfterAttempt(now core.Time, req *request, outcome *Outcome, resumable bool) Decision {
 	if outcome.Answered || outcome.Canceled || req.Outstanding() {
 		return Decision{}
 	}
-	if req.Answering && !resumable && !outcome.failure() {
+	if req.Answering && !resumable && !outcome.serverError() {
 		return Decision{}
 	}
 	return r.retry(now, req, outcome)
 }
 
-// callEnded takes in what a call's end tells of its broker.
-func (r *Router) callEnded(now core.Time, req *request, c *brokerstate.Call, outcome *Outcome) {
+// recordCallEnd takes in what a call's end tells of its broker.
+func (r *Router) recordCallEnd(now core.Time, req *request, c *brokerstate.Call, outcome *Outcome) {
 	b, pool := c.Broker, req.Pool
 	if !c.Started && r.ejector.TimedOut(now, pool, b) {
 		r.ejector.Eject(now, b, brokerstate.Unresponsive) // nothing that waits there shows it any more
@@ -100,7 +100,7 @@
 	}
 	c.Ended = true
 	c.Verdict = outcome.Verdict
-	c.Arrived = outcome.arrived()
+	c.Arrived = outcome.mayHaveArrived()
 	b.CallEnded(c)
 	b.ReportLoad(now, outcome.Load)
 	if outcome.Canceled {
@@ -110,20 +110,20 @@
 	case outcome.ConnectFailed:
 		req.Unreachable++
 	case outcome.NotExecuted && !outcome.Misdirected:
-		r.callRefused(now, req, b, outcome)
+		r.recordCallRefusal(now, req, b, outcome)
 	}
-	switch fault, faulty := outcome.fault(c); {
+	switch fault, faulty := outcome.brokerFault(c); {
 	case faulty:
 		b.UnlearnLatency(c)
 		r.ejector.CallFailed(now, c, fault)
 	case outcome.Verdict == verdict.Ran && !outcome.Canceled:
-		r.learn(now, req, c)
+		r.learnLatency(now, req, c)
 		b.Health.Succeeded(now)
 	}
 }
 
-// callRefused takes in that a call was rejected with X-Kestrelspread-Not-Executed.
-func (r *Router) callRefused(now core.Time, req *request, b *brokerstate.Broker, outcome *Outcome) {
+// recordCallRefusal takes in that a call was rejected with X-Kestrelspread-Not-Executed.
+func (r *Router) recordCallRefusal(now core.Time, req *request, b *brokerstate.Broker, outcome *Outcome) {
 	req.Refused++
 	switch {
 	case r.refusedForRollout(req, b, outcome):
@@ -146,12 +146,12 @@
 	return load == nil || load.Waiting < load.Slots
 }
 
-// failure reports whether the broker answered that it failed.
-func (o *Outcome) failure() bool { return o.Status >= 500 }
+// serverError reports whether the broker answered that it failed.
+func (o *Outcome) serverError() bool { return o.Status >= 500 }
 
-// arrived reports whether the request may have reached the broker: not where no connection came up,
+// mayHaveArrived reports whether the request may have reached the broker: not where no connection came up,
 // nor where this proxy had none to spare.
-func (o *Outcome) arrived() bool {
+func (o *Outcome) mayHaveArrived() bool {
 	return !o.ConnectFailed && !(o.NotExecuted && o.Status == 0)
 }
 
@@ -160,19 +160,19 @@
 	return !o.NotExecuted && !o.ConnectFailed && !o.Misdirected && o.Status == 0
 }
 
-// fault tells whether a call's end speaks against its broker, and how. That an answer came too late
+// brokerFault tells whether a call's end speaks against its broker, and how. That an answer came too late
 // does not, where the broker answered others meanwhile: it has too much to do.
-func (o *Outcome) fault(c *brokerstate.Call) (fault brokerstate.Fault, faulty bool) {
+func (o *Outcome) brokerFault(c *brokerstate.Call) (brokerFault brokerstate.Fault, faulty bool) {
 	switch {
 	case o.Misdirected:
 		return brokerstate.FaultMisdirected, true
 	case o.ConnectFailed:
 		return brokerstate.FaultConnect, true
-	case o.Canceled, o.NotExecuted, o.Status == statusTimeout:
+	case o.Canceled, o.NotExecuted, o.Status == statusGatewayTimeout:
 		return 0, false
 	case o.TimedOut:
 		return brokerstate.FaultFailure, !c.Broker.Health.AnsweredAfter(c.SentAt)
-	case o.failure():
+	case o.serverError():
 		return brokerstate.FaultFailure, true
 	}
 	return brokerstate.FaultFailure, o.Verdict == verdict.MayHaveRun && !o.Answered
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -12,22 +12,22 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// answerLate has requests answered, twenty at a time, at so many times their target by brokers that
+// answerAtTargetRatio has requests answered, twenty at a time, at so many times their target by brokers that
 // tell of this load.
-func (w *world) answerLate(rounds int, times float64, load Load) {
+func (f *fixture) answerAtTargetRatio(rounds int, times float64, load Load) {
 	for range rounds {
 		var sent []*Attempt
 		for i := range 20 {
-			q := w.request(safeRoute)
+			q := f.request(safeRoute)
 			q.Urgency = i % 3
-			if _, d := w.Begin(w.now, q); d.Attempt != nil {
+			if _, d := f.Begin(f.now, q); d.Attempt != nil {
 				sent = append(sent, d.Attempt)
 			}
 		}
-		w.now += units.FromMilliseconds(times * safeRoute.TargetLatencyMs)
+		f.now += units.FromMilliseconds(times * safeRoute.TargetLatencyMs)
 		for _, a := range sent {
-			w.Started(w.now, a.Request, a.Number, &load)
-			w.answerNow(a)
+			f.Started(f.now, a.Request, a.Number, &load)
+			f.answerNow(a)
 		}
 	}
 }
@@ -47,22 +47,22 @@
 		{"late, half of the places taken", 2, Load{Running: 32, Waiting: 0, Slots: 64}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(3))
-			w.answerLate(20, c.times, c.load)
-			o := &w.services[service].overload
-			assert.Equal(t, o.Shed() > 0, c.shed)
-			assert.Equal(t, len(w.Counters().Refusals) > 0, c.shed)
+			f := newFixture(t, instances(3))
+			f.answerAtTargetRatio(20, c.times, c.load)
+			o := &f.services[service].overload
+			assert.Equal(t, o.ShedShare() > 0, c.shed)
+			assert.Equal(t, len(f.Counters().Refusals) > 0, c.shed)
 			if !c.shed {
 				return
 			}
 			assert.Assert(t, o.ShedProbability(0) <= o.ShedProbability(1) && o.ShedProbability(1) <= o.ShedProbability(2))
 			assert.Assert(t, o.ShedProbability(0) < o.ShedProbability(2), "the most urgent are refused last")
-			w.now += 3 * time.Second
+			f.now += 3 * time.Second
 			for range 100 {
-				o.Refresh(w.now, w.services[service].pool)
-				w.now += core.Time(admission.ShedInterval)
+				o.UpdateShedShare(f.now, f.services[service].pool)
+				f.now += core.Time(admission.ShedInterval)
 			}
-			assert.Equal(t, o.Shed(), 0.0)
+			assert.Equal(t, o.ShedShare(), 0.0)
 		})
 	}
 }
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/peers.go
@@ -11,8 +11,8 @@
 // each knows the brokers nearly as well as if all requests passed through it.
 
 const (
-	minIntervals  = 6    // intervals of a stream before they tell a broker's step time
-	notifiedShare = 0.25 // share of the streams that the other proxies are notified of
+	minStepGaps         = 6    // intervals of a stream before they tell a broker's step time
+	notifiedStreamShare = 0.25 // share of the streams that the other proxies are notified of
 )
 
 // SentPrompt is what other proxies are notified of when an attempt goes to a model broker.
@@ -38,7 +38,7 @@
 	if b == nil {
 		return
 	}
-	r.recordSent(now, r.service(b.Instance.Service).pool, b, sent.Salt, sent.Parts, sent.PrefillTokens)
+	r.recordSentPrompt(now, r.service(b.Instance.Service).pool, b, sent.Salt, sent.Parts, sent.PrefillTokens)
 }
 
 // PeerStepReport tells what a stream of another proxy showed of a broker's pace.
@@ -48,15 +48,15 @@
 	}
 }
 
-// learnStep takes what a stream of this proxy showed of its broker, and returns what the other
+// learnStepTime takes what a stream of this proxy showed of its broker, and returns what the other
 // proxies are to be notified of; nil: nothing. Which streams these are is chance, so that they
 // don't learn only of what is unusual.
-func (r *Router) learnStep(req *request, c *brokerstate.Call, gaps EventGaps) *StepReport {
-	if req.ServedModel == "" || gaps.Count < minIntervals || gaps.Usual <= 0 || !r.ejector.Measurable(c) {
+func (r *Router) learnStepTime(req *request, c *brokerstate.Call, gaps EventGaps) *StepReport {
+	if req.ServedModel == "" || gaps.Count < minStepGaps || gaps.Usual <= 0 || !r.ejector.Measurable(c) {
 		return nil
 	}
 	c.Broker.ObserveStep(units.Milliseconds(gaps.Usual))
-	if r.options.Random.Float64() >= notifiedShare {
+	if r.options.Random.Float64() >= notifiedStreamShare {
 		return nil
 	}
 	return &StepReport{Instance: c.Broker.Instance.ID, EventInterval: gaps.Usual}
--- a/internal/node/routing/placement_test.go
+++ b/internal/node/routing/placement_test.go
@@ -12,38 +12,38 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// sized is a prompt with nothing that others share.
-func (w *world) sized(tokens int) Request {
-	q := w.request(flowRoute)
+// unsharedPrompt is a prompt with nothing that others share.
+func (f *fixture) unsharedPrompt(tokens int) Request {
+	q := f.request(streamRoute)
 	q.Model = model
 	q.TokensIn = tokens
-	q.Parts = []prompt.Part{{ID: w.Router.options.Random.Uint64(), Tokens: tokens}}
+	q.Parts = []prompt.Part{{ID: f.Router.options.Random.Uint64(), Tokens: tokens}}
 	return q
 }
 
 // Requests go where least waits to be read, however many run there.
 func TestRequestsGoToTheShortestBacklog(t *testing.T) {
-	w := newWorld(t, instances(3))
-	w.PeerSentPrompt(w.now, SentPrompt{Instance: "i00", PrefillTokens: 30000})
-	w.PeerSentPrompt(w.now, SentPrompt{Instance: "i01", PrefillTokens: 8000})
-	w.ObserveLoad(w.now, "i02", Load{Running: 20, Slots: 64})
-	assert.Equal(t, w.begin(w.sized(20000)).Instance.ID, "i02")
-	assert.Equal(t, w.begin(w.sized(600)).Instance.ID, "i01", "the long prompt waits at the other one now")
-	w.now += time.Second
+	f := newFixture(t, instances(3))
+	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: 30000})
+	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i01", PrefillTokens: 8000})
+	f.ObserveLoad(f.now, "i02", Load{Running: 20, Slots: 64})
+	assert.Equal(t, f.mustBegin(f.unsharedPrompt(20000)).Instance.ID, "i02")
+	assert.Equal(t, f.mustBegin(f.unsharedPrompt(600)).Instance.ID, "i01", "the long prompt waits at the other one now")
+	f.now += time.Second
 	seen := map[string]bool{}
 	for range 3 {
-		seen[w.begin(w.sized(3000)).Instance.ID] = true
+		seen[f.mustBegin(f.unsharedPrompt(3000)).Instance.ID] = true
 	}
 	assert.Equal(t, len(seen), 3, "what was sent is read by and by")
 }
 
 // A broker whose places are all taken is left for one with more to read.
 func TestFullBrokerIsPassedOver(t *testing.T) {
-	w := newWorld(t, instances(2))
-	w.ObserveLoad(w.now, "i00", Load{Running: 64, Slots: 64})
-	w.ObserveLoad(w.now, "i01", Load{Running: 3, Slots: 64})
-	w.PeerSentPrompt(w.now, SentPrompt{Instance: "i01", PrefillTokens: 3000})
-	assert.Equal(t, w.begin(w.sized(600)).Instance.ID, "i01")
+	f := newFixture(t, instances(2))
+	f.ObserveLoad(f.now, "i00", Load{Running: 64, Slots: 64})
+	f.ObserveLoad(f.now, "i01", Load{Running: 3, Slots: 64})
+	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i01", PrefillTokens: 3000})
+	assert.Equal(t, f.mustBegin(f.unsharedPrompt(600)).Instance.ID, "i01")
 }
 
 // Whether a prompt's parts are at a broker, can be moved or must be read anew is weighed against
@@ -61,9 +61,9 @@
 		{"kept at the store too", []prefixcache.Holder{{Instance: "i00", Tokens: 1300}, {Instance: storeAddress, Store: true, Tokens: 1300}}, 2000, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorldWith(t, instances(4), &fixedIndex{holders: c.holders})
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: "i00", PrefillTokens: c.waiting})
-			a := w.begin(w.prompt(flowRoute, 5))
+			f := newFixtureWithIndex(t, instances(4), &fixedIndex{holders: c.holders})
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: c.waiting})
+			a := f.mustBegin(f.prompt(streamRoute, 5))
 			assert.Equal(t, a.Instance.ID == "i00", c.stays)
 			assert.Equal(t, a.SentPrompt, (*SentPrompt)(nil), "only the last part is to be read")
 		})
@@ -72,8 +72,8 @@
 
 // What a broker has to read for a request is told for other proxies, unless it is little.
 func TestPeersAreNotifiedOfLongPrefills(t *testing.T) {
-	unread := func(w *world) int {
-		a := w.begin(w.prompt(flowRoute, 5))
+	unread := func(f *fixture) int {
+		a := f.mustBegin(f.prompt(streamRoute, 5))
 		if a.SentPrompt == nil {
 			return 0
 		}
@@ -82,8 +82,8 @@
 		assert.Equal(t, len(a.SentPrompt.Parts), 2, "the last part is nobody else's")
 		return a.SentPrompt.PrefillTokens
 	}
-	fresh := func(tokens int) *world {
-		return newWorldWith(t, instances(3), &fixedIndex{holders: []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: tokens}}})
+	fresh := func(tokens int) *fixture {
+		return newFixtureWithIndex(t, instances(3), &fixedIndex{holders: []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: tokens}}})
 	}
 	assert.Equal(t, unread(fresh(0)), 1600)
 	assert.Equal(t, unread(fresh(500)), 1100)
@@ -91,8 +91,8 @@
 	down := fresh(1300)
 	down.StoreSeen(down.now, storeAddress, false, false)
 	assert.Equal(t, unread(down), 1600)
-	w := newWorld(t, instances(3))
-	assert.Equal(t, w.begin(w.request(safeRoute)).SentPrompt, (*SentPrompt)(nil), "no model")
+	f := newFixture(t, instances(3))
+	assert.Equal(t, f.mustBegin(f.request(safeRoute)).SentPrompt, (*SentPrompt)(nil), "no model")
 }
 
 // Renewed brokers have nothing of a prompt yet: they get requests as the old ones, which have it,
@@ -103,11 +103,11 @@
 		withVersion(instance, 2)
 	}
 	index := &versionedBrokers{salt: cachesalt.ID(cachesalt.Text(model, 1, "")), holders: []string{list[3].ID, list[4].ID, list[5].ID}}
-	w := newWorldWith(t, list, index)
-	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
+	f := newFixtureWithIndex(t, list, index)
+	f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
 	renewed := 0
 	for i := range 40 {
-		a := w.begin(w.prompt(flowRoute, uint64(i)))
+		a := f.mustBegin(f.prompt(streamRoute, uint64(i)))
 		if a.ExpectVersion == 2 {
 			renewed++
 		}
@@ -138,15 +138,15 @@
 // A broker that is predicted slow is passed over by model requests too; where all are, the first by
 // work takes it.
 func TestSlowModelBrokersArePassedOver(t *testing.T) {
-	w := newWorld(t, instances(3))
+	f := newFixture(t, instances(3))
 	slow := map[string]bool{"i00": true}
 	serve := func() string {
-		a := w.begin(w.sized(1000))
+		a := f.mustBegin(f.unsharedPrompt(1000))
 		latency := 30 * ms
 		if slow[a.Instance.ID] {
 			latency = 600 * ms
 		}
-		w.serve(a, latency)
+		f.answerAfter(a, latency)
 		return a.Instance.ID
 	}
 	for range 100 {
@@ -163,7 +163,7 @@
 
 // PeerSent of brokers that are not known, or that run no model, changes nothing.
 func TestPeerSentPromptOfUnknownBrokers(t *testing.T) {
-	w := newWorld(t, []*registry.Instance{instanceOf("i00", "z0")})
-	w.PeerSentPrompt(w.now, SentPrompt{Instance: "i77", PrefillTokens: 5000})
-	assert.Equal(t, w.begin(w.sized(100)).Instance.ID, "i00")
+	f := newFixture(t, []*registry.Instance{instanceOf("i00", "z0")})
+	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i77", PrefillTokens: 5000})
+	assert.Equal(t, f.mustBegin(f.unsharedPrompt(100)).Instance.ID, "i00")
 }
--- a/internal/node/routing/postpone_test.go
+++ b/internal/node/routing/postpone_test.go
@@ -9,21 +9,21 @@
 	"kestrelspread/internal/node/routing/admission"
 )
 
-// paced is a world that knows how long brokers take for a token: 20 us.
-func paced(t *testing.T, brokers int) *world {
-	w := newWorld(t, instances(brokers))
+// newPacedFixture is a world that knows how long brokers take for a token: 20 us.
+func newPacedFixture(t *testing.T, brokers int) *fixture {
+	f := newFixture(t, instances(brokers))
 	for i := range 80 {
-		w.read(w.begin(w.sized(200 + 40*i)))
+		f.answerAfterPrefill(f.mustBegin(f.unsharedPrompt(200 + 40*i)))
 	}
-	assert.Assert(t, w.services[service].pool.PrefillPaceKnown())
-	return w
+	assert.Assert(t, f.services[service].pool.PrefillPaceKnown())
+	return f
 }
 
-// wait makes every broker have so many tokens to read, and tell of so many requests that wait.
-func (w *world) wait(tokens, waiting int) {
-	for id := range w.Router.brokers {
-		w.PeerSentPrompt(w.now, SentPrompt{Instance: id, PrefillTokens: tokens})
-		w.ObserveLoad(w.now, id, Load{Running: 9, Waiting: waiting, Slots: 64})
+// queueOnAllBrokers makes every broker have so many tokens to read, and tell of so many requests that wait.
+func (f *fixture) queueOnAllBrokers(tokens, waiting int) {
+	for id := range f.Router.brokers {
+		f.PeerSentPrompt(f.now, SentPrompt{Instance: id, PrefillTokens: tokens})
+		f.ObserveLoad(f.now, id, Load{Running: 9, Waiting: waiting, Slots: 64})
 	}
 }
 
@@ -46,15 +46,15 @@
 		{"too late to come again", 90000, 5, 1000, 4 * time.Second, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := paced(t, 4)
-			w.wait(c.tokens, c.waiting)
-			q := w.sized(c.size)
+			f := newPacedFixture(t, 4)
+			f.queueOnAllBrokers(c.tokens, c.waiting)
+			q := f.unsharedPrompt(c.size)
 			q.ClientWait = c.left
-			q.Deadline = w.now + c.left
-			_, d := w.Begin(w.now, q)
+			q.Deadline = f.now + c.left
+			_, d := f.Begin(f.now, q)
 			assert.Equal(t, d.Refusal != nil, c.postponed)
 			if c.postponed {
-				assert.Equal(t, d.Refusal.Reason, admission.Late)
+				assert.Equal(t, d.Refusal.Reason, admission.ReasonPostponed)
 				assert.Assert(t, d.Refusal.RetryAfter > c.minimum && d.Refusal.RetryAfter < c.maximum, "%v", d.Refusal.RetryAfter)
 			}
 		})
@@ -63,10 +63,10 @@
 
 // A request without a model is never sent back for what waits, nor one before the pace is known.
 func TestNobodyIsPostponedBlindly(t *testing.T) {
-	w := paced(t, 4)
-	w.wait(60000, 5)
-	assert.Assert(t, w.begin(w.request(safeRoute)) != nil)
-	blind := newWorld(t, instances(4))
-	blind.wait(60000, 5)
-	assert.Assert(t, blind.begin(blind.sized(1000)) != nil)
+	f := newPacedFixture(t, 4)
+	f.queueOnAllBrokers(60000, 5)
+	assert.Assert(t, f.mustBegin(f.request(safeRoute)) != nil)
+	blind := newFixture(t, instances(4))
+	blind.queueOnAllBrokers(60000, 5)
+	assert.Assert(t, blind.mustBegin(blind.unsharedPrompt(1000)) != nil)
 }
--- a/internal/node/routing/prefill_test.go
+++ b/internal/node/routing/prefill_test.go
@@ -25,14 +25,14 @@
 		{"read by now, much waits there", 500 * ms, 20000, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(9))
-			q := w.prompt(flowRoute, 5)
+			f := newFixture(t, instances(9))
+			q := f.prompt(streamRoute, 5)
 			salt := cachesalt.ID(cachesalt.Text(model, 1, ""))
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: "i07", Salt: salt, Parts: q.Parts[:2], PrefillTokens: 1600})
-			w.now += c.after
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: "i07", PrefillTokens: c.waiting})
-			q.Received, q.Deadline = w.now, w.now+4*time.Second
-			a := w.begin(q)
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i07", Salt: salt, Parts: q.Parts[:2], PrefillTokens: 1600})
+			f.now += c.after
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i07", PrefillTokens: c.waiting})
+			q.Received, q.Deadline = f.now, f.now+4*time.Second
+			a := f.mustBegin(q)
 			assert.Equal(t, a.Instance.ID == "i07", c.follows)
 			assert.Equal(t, a.FetchFrom == "10.0.0.1:i07", c.fetched)
 			if c.follows {
@@ -44,14 +44,14 @@
 
 // Under another salt, of other weights or of a tenant on its own, nothing of it counts.
 func TestPartsUnderAnotherSalt(t *testing.T) {
-	w := newWorld(t, instances(9))
-	q := w.prompt(flowRoute, 5)
-	owner := w.begin(q).Instance.ID
-	fresh := newWorld(t, instances(9))
+	f := newFixture(t, instances(9))
+	q := f.prompt(streamRoute, 5)
+	owner := f.mustBegin(q).Instance.ID
+	fresh := newFixture(t, instances(9))
 	other := "i07"
 	if owner == other {
 		other = "i03"
 	}
 	fresh.PeerSentPrompt(fresh.now, SentPrompt{Instance: other, Salt: cachesalt.ID(cachesalt.Text(model, 2, "")), Parts: q.Parts[:2], PrefillTokens: 10})
-	assert.Equal(t, fresh.begin(fresh.prompt(flowRoute, 5)).Instance.ID, owner)
+	assert.Equal(t, fresh.mustBegin(fresh.prompt(streamRoute, 5)).Instance.ID, owner)
 }
--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -18,33 +18,33 @@
 
 // Begin takes a request and decides at once.
 func (r *Router) Begin(now core.Time, received Request) (RequestID, Decision) {
-	req := r.receive(now, received)
+	req := r.register(now, received)
 	req.Pool.Refresh(now)
 	if req.Deadline-now < admission.MinTimeLeft {
-		return req.ID, r.refuse(now, req, admission.Deadline, core.Never)
+		return req.ID, r.refuse(now, req, admission.ReasonDeadline, core.Never)
 	}
 	found := r.finder.Find(now, &req.Request)
 	if len(found.Eligible) == 0 {
-		return req.ID, r.withoutEligible(now, req, found)
+		return req.ID, r.decideWithoutEligible(now, req, found)
 	}
 	choice := r.choose(now, req, found)
 	overload := &req.service.overload
-	overload.Refresh(now, req.Pool)
-	if r.gate.Sheds(&req.Request, overload) {
-		return req.ID, r.refuse(now, req, admission.Full, core.Never)
+	overload.UpdateShedShare(now, req.Pool)
+	if r.admissionControl.ShouldShed(&req.Request, overload) {
+		return req.ID, r.refuse(now, req, admission.ReasonBrokersFull, core.Never)
 	}
-	if after, ok := r.gate.Postpones(now, &req.Request, found, choice.Candidate); ok {
-		r.counters.Refusals[admission.Late]++
-		return req.ID, Decision{Refusal: &Refusal{Reason: admission.Late, RetryAfter: after}}
+	if after, ok := r.admissionControl.ShouldPostpone(now, &req.Request, found, choice.Candidate); ok {
+		r.counters.Refusals[admission.ReasonPostponed]++
+		return req.ID, Decision{Refusal: &Refusal{Reason: admission.ReasonPostponed, RetryAfter: after}}
 	}
-	if r.gate.Hopeless(now, &req.Request, choice.Candidate.Broker) {
-		return req.ID, r.refuse(now, req, admission.Deadline, core.Never)
+	if r.admissionControl.CannotMeetDeadline(now, &req.Request, choice.Candidate.Broker) {
+		return req.ID, r.refuse(now, req, admission.ReasonDeadline, core.Never)
 	}
 	return req.ID, r.send(now, req, found, choice)
 }
 
-// receive starts to hold a request.
-func (r *Router) receive(now core.Time, received Request) *request {
+// register starts to hold a request.
+func (r *Router) register(now core.Time, received Request) *request {
 	r.lastID++
 	r.counters.Requests++
 	s := r.service(received.Service)
@@ -53,7 +53,7 @@
 			ClientRequest: received,
 			ID:            r.lastID,
 			Pool:          s.pool,
-			Class:         r.classes.Get(now, received.Route.Name),
+			Class:         r.routeClasses.Get(now, received.Route.Name),
 			Idempotent:    received.Route.Idempotent(),
 		},
 		service: s,
@@ -61,13 +61,13 @@
 	if r.runsModels(received.Service) && received.Model != "" {
 		req.ServedModel = received.Model
 		req.Oversized = r.oversized(&received)
-		req.IsolatedTenant = r.isolated.BoundaryOf(req.Tenant)
+		req.IsolatedTenant = r.isolatedTenants.BoundaryOf(req.Tenant)
 	}
 	req.Class.Received(req.TokensIn)
 	req.FirstTry = req.Class.FirstTry(now, req.TimeLeft())
 	req.Work = req.Class.Work(req.TokensIn)
 	s.budget.Received(now)
-	s.overload.Received(now, req.Urgency)
+	s.overload.RecordArrival(now, req.Urgency)
 	r.requests[req.ID] = req
 	return req
 }
@@ -107,17 +107,17 @@
 	return choice
 }
 
-// withoutEligible answers where no eligible broker is left for a request that was not sent yet.
-func (r *Router) withoutEligible(now core.Time, req *request, found *candidate.Set) Decision {
+// decideWithoutEligible answers where no eligible broker is left for a request that was not sent yet.
+func (r *Router) decideWithoutEligible(now core.Time, req *request, found *candidate.Set) Decision {
 	switch {
 	case found.BackingOff > 0:
-		return r.refuse(now, req, admission.Full, found.CapacityAt)
+		return r.refuse(now, req, admission.ReasonBrokersFull, found.CapacityAt)
 	case len(found.Ejected) == 0:
-		return r.refuse(now, req, admission.NoBroker, core.Never)
+		return r.refuse(now, req, admission.ReasonNoBroker, core.Never)
 	}
 	ejected := found.FirstEjected()
 	if !req.Idempotent && ejected.Broker.Health.Reason() == brokerstate.Unresponsive {
-		return r.refuse(now, req, admission.Unhealthy, core.Never) // it would be lost, where another proxy may serve it
+		return r.refuse(now, req, admission.ReasonBrokersUnhealthy, core.Never) // it would be lost, where another proxy may serve it
 	}
 	r.counters.Fallback++
 	r.placer.Predict(now, &req.Request, found, ejected)
@@ -128,7 +128,7 @@
 // capacity; core.Never: not known.
 func (r *Router) refuse(now core.Time, req *request, reason RefusalReason, capacityAt core.Time) Decision {
 	r.counters.Refusals[reason]++
-	return Decision{Refusal: &Refusal{Reason: reason, RetryAfter: r.gate.Advice(now, &req.Request, reason, capacityAt)}}
+	return Decision{Refusal: &Refusal{Reason: reason, RetryAfter: r.admissionControl.RetryAfter(now, &req.Request, reason, capacityAt)}}
 }
 
 // End forgets a request. What is still out of it counts as canceled.
@@ -139,7 +139,7 @@
 	}
 	for _, c := range req.Calls {
 		if !c.Ended {
-			r.callEnded(now, req, c, &Outcome{Verdict: verdict.MayHaveRun, Canceled: true})
+			r.recordCallEnd(now, req, c, &Outcome{Verdict: verdict.MayHaveRun, Canceled: true})
 		}
 	}
 	delete(r.requests, id)
--- a/internal/node/routing/retry.go
+++ b/internal/node/routing/retry.go
@@ -7,14 +7,14 @@
 )
 
 // maxSends bounds the attempts of one request, those included that brokers refused.
-const maxSends = 5
+const maxTotalAttempts = 5
 
 // retry decides on a further attempt for a request of which nothing is out any more.
 func (r *Router) retry(now core.Time, req *request, outcome *Outcome) Decision {
 	if !outcome.Verdict.MayRepeat(req.Idempotent) || req.MayHaveRun() && !req.Idempotent {
 		return Decision{}
 	}
-	reason := r.obstacle(now, req)
+	reason := r.retryObstacle(now, req)
 	if reason == "" {
 		found := r.finder.Find(now, &req.Request)
 		if len(found.Eligible) > 0 {
@@ -27,17 +27,17 @@
 	return r.giveUp(now, req, reason)
 }
 
-// obstacle names what keeps the request from a further attempt, or is empty.
-func (r *Router) obstacle(now core.Time, req *request) RefusalReason {
+// retryObstacle names what keeps the request from a further attempt, or is empty.
+func (r *Router) retryObstacle(now core.Time, req *request) RefusalReason {
 	switch {
 	case req.Deadline-now < admission.MinTimeLeft:
-		return admission.Deadline
-	case req.Runs() >= max(req.Route.MaxAttempts, 1), len(req.Calls) >= maxSends:
-		return admission.Attempts
+		return admission.ReasonDeadline
+	case req.Runs() >= max(req.Route.MaxAttempts, 1), len(req.Calls) >= maxTotalAttempts:
+		return admission.ReasonAttemptsExhausted
 	case req.Refused >= admission.MaxRefusals(req.Urgency):
-		return admission.Full
-	case req.Arrivals() > 0 && !r.limits.Affords(now, &req.service.budget, admission.RetryShare(req.Urgency)):
-		return admission.Budget
+		return admission.ReasonBrokersFull
+	case req.Arrivals() > 0 && !r.retryLimits.Affords(now, &req.service.budget, admission.RetryBudgetShare(req.Urgency)):
+		return admission.ReasonBudgetExhausted
 	}
 	return ""
 }
@@ -46,11 +46,11 @@
 func reasonWithoutEligible(req *request, found *candidate.Set) RefusalReason {
 	switch {
 	case found.BackingOff > 0 || req.Refused > 0:
-		return admission.Full
+		return admission.ReasonBrokersFull
 	case req.Unreachable > 0 || len(found.Ejected) > 0:
-		return admission.Unhealthy
+		return admission.ReasonBrokersUnhealthy
 	default:
-		return admission.NoBroker
+		return admission.ReasonNoBroker
 	}
 }
 
@@ -60,8 +60,8 @@
 	if req.MayHaveRun() {
 		return Decision{}
 	}
-	if req.Refused > 0 && reason == admission.Attempts {
-		reason = admission.Full
+	if req.Refused > 0 && reason == admission.ReasonAttemptsExhausted {
+		reason = admission.ReasonBrokersFull
 	}
 	return r.refuse(now, req, reason, core.Never)
 }
--- a/internal/node/routing/retry_test.go
+++ b/internal/node/routing/retry_test.go
@@ -11,14 +11,14 @@
 
 // A broker that takes no connection has had no arrival: the next is the first.
 func TestUnreachableBrokerCostsNoBudget(t *testing.T) {
-	w := newWorld(t, instances(4))
-	w.limits.Ratio, w.limits.Slack = 0, 0
-	a := w.begin(w.request(onceRoute))
-	d := w.Finished(w.now, a.Request, a.Number, outcomeUnreachable, false)
+	f := newFixture(t, instances(4))
+	f.retryLimits.Ratio, f.retryLimits.Slack = 0, 0
+	a := f.mustBegin(f.request(unsafeRoute))
+	d := f.Finished(f.now, a.Request, a.Number, outcomeUnreachable, false)
 	assert.Assert(t, d.Attempt != nil)
-	d = w.Finished(w.now, a.Request, d.Attempt.Number, outcomeFull, false)
+	d = f.Finished(f.now, a.Request, d.Attempt.Number, outcomeFull, false)
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, admission.Budget)
+	assert.Equal(t, d.Refusal.Reason, admission.ReasonBudgetExhausted)
 }
 
 // A request keeps what it began with: a configuration that drops its service, or the service's
@@ -30,10 +30,10 @@
 	withoutService.Services = map[string]*config.Service{}
 	for name, changed := range map[string]*config.Compiled{"engine": withoutEngine, "service": withoutService} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, instances(3))
-			first := w.begin(w.prompt(flowRoute, 10))
-			w.SetConfig(w.now, changed)
-			decision := w.Finished(w.now, first.Request, first.Number, outcomeFull, false)
+			f := newFixture(t, instances(3))
+			first := f.mustBegin(f.prompt(streamRoute, 10))
+			f.SetConfig(f.now, changed)
+			decision := f.Finished(f.now, first.Request, first.Number, outcomeFull, false)
 			assert.Assert(t, decision.Attempt != nil)
 			assert.Assert(t, decision.Attempt.Instance.ID != first.Instance.ID)
 		})
--- a/internal/node/routing/rollout_test.go
+++ b/internal/node/routing/rollout_test.go
@@ -12,8 +12,8 @@
 	"kestrelspread/internal/node/routing/brokerstate"
 )
 
-// marked is a table of ten brokers of which the first n bear the mark that they load new weights.
-func marked(n int) *registry.Table {
+// tableWithLoading is a table of ten brokers of which the first n bear the mark that they load new weights.
+func tableWithLoading(n int) *registry.Table {
 	list := instances(10)
 	for i := range n {
 		list[i].Loading = true
@@ -36,21 +36,21 @@
 		{"all, for long", 10, brokerstate.LoadingTrusted, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(10))
-			w.SetTable(w.now, marked(c.marked))
-			w.now += c.after / 2
-			w.SetTable(w.now, marked(c.marked))
-			w.now += c.after - c.after/2
+			f := newFixture(t, instances(10))
+			f.SetTable(f.now, tableWithLoading(c.marked))
+			f.now += c.after / 2
+			f.SetTable(f.now, tableWithLoading(c.marked))
+			f.now += c.after - c.after/2
 			used := 0
 			for range 40 {
-				_, d := w.Begin(w.now, w.request(safeRoute))
+				_, d := f.Begin(f.now, f.request(safeRoute))
 				if d.Attempt == nil {
 					continue
 				}
 				if d.Attempt.Instance.Loading {
 					used++
 				}
-				w.answerNow(d.Attempt)
+				f.answerNow(d.Attempt)
 			}
 			assert.Equal(t, used > 0, c.used)
 		})
@@ -59,17 +59,17 @@
 
 // A draining broker stays unused however scarce brokers are (RULES.md, DRAIN).
 func TestScarceBrokersThatDrain(t *testing.T) {
-	w := newWorld(t, instances(10))
-	table := marked(8)
+	f := newFixture(t, instances(10))
+	table := tableWithLoading(8)
 	for _, instance := range table.ByService[service][2:4] {
 		instance.State = registry.Draining
 	}
-	w.SetTable(w.now, table)
-	w.now += time.Minute
+	f.SetTable(f.now, table)
+	f.now += time.Minute
 	for range 60 {
-		a := w.begin(w.request(safeRoute))
+		a := f.mustBegin(f.request(safeRoute))
 		assert.Equal(t, a.Instance.State, registry.Ready)
-		w.answerNow(a)
+		f.answerNow(a)
 	}
 }
 
@@ -88,33 +88,33 @@
 		{"a newer version, the queue is long", 2, &Load{Running: 64, Waiting: 190, Slots: 64}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(1))
-			w.SetConfig(w.now, configOf(map[string]uint64{model: c.version}))
-			a := w.begin(w.prompt(flowRoute, 3))
+			f := newFixture(t, instances(1))
+			f.SetConfig(f.now, configOf(map[string]uint64{model: c.version}))
+			a := f.mustBegin(f.prompt(streamRoute, 3))
 			outcome := outcomeFull
 			outcome.Load = c.load
-			w.Finished(w.now, a.Request, a.Number, outcome, false)
-			w.End(w.now, a.Request)
-			w.now += brokerstate.RolloutBackoff - ms
-			_, d := w.Begin(w.now, w.prompt(flowRoute, 3))
+			f.Finished(f.now, a.Request, a.Number, outcome, false)
+			f.End(f.now, a.Request)
+			f.now += brokerstate.RolloutBackoff - ms
+			_, d := f.Begin(f.now, f.prompt(streamRoute, 3))
 			assert.Equal(t, d.Attempt == nil, c.ordered)
 			if c.ordered {
-				assert.Equal(t, d.Refusal.Reason, admission.Full)
-				w.now += ms
-				assert.Assert(t, w.begin(w.prompt(flowRoute, 3)) != nil)
+				assert.Equal(t, d.Refusal.Reason, admission.ReasonBrokersFull)
+				f.now += ms
+				assert.Assert(t, f.mustBegin(f.prompt(streamRoute, 3)) != nil)
 			}
 		})
 	}
 }
 
 func TestNewWeightsEndTheBackoff(t *testing.T) {
-	w := newWorld(t, instances(1))
-	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
-	a := w.begin(w.prompt(flowRoute, 3))
-	w.Finished(w.now, a.Request, a.Number, outcomeFull, false)
-	w.End(w.now, a.Request)
-	w.SetTable(w.now, tableOf(withVersion(instances(1)[0], 2)))
-	assert.Equal(t, w.begin(w.prompt(flowRoute, 3)).ExpectVersion, uint64(2))
+	f := newFixture(t, instances(1))
+	f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
+	a := f.mustBegin(f.prompt(streamRoute, 3))
+	f.Finished(f.now, a.Request, a.Number, outcomeFull, false)
+	f.End(f.now, a.Request)
+	f.SetTable(f.now, tableOf(withVersion(instances(1)[0], 2)))
+	assert.Equal(t, f.mustBegin(f.prompt(streamRoute, 3)).ExpectVersion, uint64(2))
 }
 
 // A node that has just started tells clients to come back when it knows the brokers; later another
@@ -122,17 +122,17 @@
 func TestAdviceWithoutBrokers(t *testing.T) {
 	for _, c := range []struct {
 		since, minimum, maximum core.Time
-	}{{time.Second, admission.MinStartingAdvice, admission.MaxStartingAdvice}, {admission.StartingSpan, admission.MinAdvice, admission.ShortAdvice}} {
-		w := newWorld(t, nil)
-		w.gate = admission.New(w.now-c.since, w.switches, w.options.Random)
+	}{{time.Second, admission.MinStartupRetryAfter, admission.MaxStartupRetryAfter}, {admission.StartupPeriod, admission.MinRetryAfter, admission.MaxRetryAfterOtherProxy}} {
+		f := newFixture(t, nil)
+		f.admissionControl = admission.New(f.now-c.since, f.switches, f.options.Random)
 		for range 30 {
-			_, d := w.Begin(w.now, w.request(safeRoute))
-			assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
+			_, d := f.Begin(f.now, f.request(safeRoute))
+			assert.Equal(t, d.Refusal.Reason, admission.ReasonNoBroker)
 			assert.Assert(t, d.Refusal.RetryAfter >= c.minimum && d.Refusal.RetryAfter <= c.maximum, "%v", d.Refusal.RetryAfter)
 		}
-		short := w.request(safeRoute)
-		short.Deadline = w.now + 900*ms
-		_, d := w.Begin(w.now, short)
+		short := f.request(safeRoute)
+		short.Deadline = f.now + 900*ms
+		_, d := f.Begin(f.now, short)
 		assert.Assert(t, d.Refusal.RetryAfter <= 300*ms)
 	}
 }
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -25,37 +25,37 @@
 	switches mechanism.Switches
 	compiled *config.Compiled
 
-	versions modelversion.Tracker
-	isolated cachesalt.IsolatedTenants
-	limits   retrybudget.Limits
-	ejector  *brokerstate.Ejector
-	cache    *prefixcache.Cache
-	finder   *candidate.Finder
-	placer   *placement.Placer
-	gate     *admission.Gate
-
-	brokers  map[string]*brokerstate.Broker // by instance id
-	services map[string]*serviceState       // by name
-	classes  routeclass.Classes
-	requests map[RequestID]*request
-	lastID   RequestID
-
-	counters Counters
-	late     lateAnswers
+	versions         modelversion.Tracker
+	isolatedTenants  cachesalt.IsolatedTenants
+	retryLimits      retrybudget.Limits
+	ejector          *brokerstate.Ejector
+	cache            *prefixcache.Cache
+	finder           *candidate.Finder
+	placer           *placement.Placer
+	admissionControl *admission.Controller
+
+	brokers      map[string]*brokerstate.Broker // by instance id
+	services     map[string]*serviceState       // by name
+	routeClasses routeclass.Classes
+	requests     map[RequestID]*request
+	lastID       RequestID
+
+	counters    Counters
+	lateAnswers recentLateAnswers
 }
 
 // serviceState is what is known of a service of brokers.
 type serviceState struct {
 	pool     *brokerstate.Pool
 	budget   retrybudget.Budget
-	overload admission.Overload
+	overload admission.OverloadDetector
 }
 
 var _ Port = (*Router)(nil)
 
 // New makes a router that knows neither brokers nor a configuration.
 func New(now core.Time, options Options) *Router {
-	options.withDefaults()
+	options.applyDefaults()
 	switches := mechanism.NewSwitches(options.Disabled)
 	r := &Router{
 		options:  options,
@@ -63,14 +63,14 @@
 		versions: modelversion.NewTracker(now, modelversion.Bounds{
 			SingleStretch: options.VersionGrace, AllStretches: options.VersionGraceAll, UnstableFor: options.UnstableFor,
 		}),
-		limits:   retrybudget.NewLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
-		gate:     admission.New(now, switches, options.Random),
-		brokers:  make(map[string]*brokerstate.Broker),
-		services: make(map[string]*serviceState),
-		requests: make(map[RequestID]*request),
-		counters: Counters{Refusals: make(map[RefusalReason]uint64)},
+		retryLimits:      retrybudget.NewLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
+		admissionControl: admission.New(now, switches, options.Random),
+		brokers:          make(map[string]*brokerstate.Broker),
+		services:         make(map[string]*serviceState),
+		requests:         make(map[RequestID]*request),
+		counters:         Counters{Refusals: make(map[RefusalReason]uint64)},
 	}
-	r.ejector = brokerstate.NewEjector(switches, options.Random, options.Heartbeat, &r.limits.Proxies)
+	r.ejector = brokerstate.NewEjector(switches, options.Random, options.Heartbeat, &r.retryLimits.Proxies)
 	r.cache = prefixcache.New(switches, options.Index, &r.versions, r.ejector)
 	r.finder = candidate.NewFinder(switches, &r.versions, r.ejector)
 	r.placer = placement.New(switches, options.Zone, options.Random, r.cache)
@@ -80,19 +80,19 @@
 // Counters copies what was counted since the start.
 func (r *Router) Counters() Counters {
 	counters := r.counters.clone()
-	counters.Late = maps.Clone(r.late.counts)
-	counters.BudgetDenied = r.limits.Denied
+	counters.Late = maps.Clone(r.lateAnswers.counts)
+	counters.BudgetDenied = r.retryLimits.Denied
 	counters.Ejections = r.ejector.Ejections()
 	return counters
 }
 
-// Pending is how many requests are held.
-func (r *Router) Pending() int { return len(r.requests) }
+// PendingRequests is how many requests are held.
+func (r *Router) PendingRequests() int { return len(r.requests) }
 
 // SetPeers tells how many proxies share the retry budget, this one included.
 func (r *Router) SetPeers(now core.Time, proxies int) {
 	if proxies > 0 {
-		r.limits.Proxies.Set(now, proxies)
+		r.retryLimits.Proxies.Set(now, proxies)
 	}
 }
 
@@ -101,7 +101,7 @@
 	r.compiled = compiled
 	r.cache.SetConfig(compiled)
 	r.versions.Observe(now, compiled)
-	r.isolated.Observe(compiled)
+	r.isolatedTenants.Observe(compiled)
 }
 
 // CoreDisturbed tells that the core was unstable at a time: a machine of it was lost, and the
@@ -152,7 +152,7 @@
 func (r *Router) service(name string) *serviceState {
 	s := r.services[name]
 	if s == nil {
-		s = &serviceState{pool: brokerstate.NewPool(r.switches), budget: r.limits.NewBudget(), overload: admission.NewOverload()}
+		s = &serviceState{pool: brokerstate.NewPool(r.switches), budget: r.retryLimits.NewBudget(), overload: admission.NewOverloadDetector()}
 		r.services[name] = s
 	}
 	return s
--- a/internal/node/routing/router_test.go
+++ b/internal/node/routing/router_test.go
@@ -17,45 +17,45 @@
 	)
 	for _, c := range []struct {
 		name    string
-		request func(*world) Request
+		request func(*fixture) Request
 		outcome Outcome
 		want    next
 	}{
-		{"safe, full", func(w *world) Request { return w.request(safeRoute) }, outcomeFull, attempt},
-		{"safe, unreachable", func(w *world) Request { return w.request(safeRoute) }, outcomeUnreachable, attempt},
-		{"safe, misdirected", func(w *world) Request { return w.request(safeRoute) }, outcomeMisdirected, attempt},
-		{"safe, reset", func(w *world) Request { return w.request(safeRoute) }, outcomeReset, attempt},
-		{"safe, 500", func(w *world) Request { return w.request(safeRoute) }, outcomeFailure, attempt},
-		{"unsafe, full", func(w *world) Request { return w.request(onceRoute) }, outcomeFull, attempt},
-		{"unsafe, unreachable", func(w *world) Request { return w.request(onceRoute) }, outcomeUnreachable, attempt},
-		{"unsafe, misdirected", func(w *world) Request { return w.request(onceRoute) }, outcomeMisdirected, attempt},
-		{"unsafe, reset", func(w *world) Request { return w.request(onceRoute) }, outcomeReset, nothing},
-		{"unsafe, 500", func(w *world) Request { return w.request(onceRoute) }, outcomeFailure, nothing},
-		{"stream, full", func(w *world) Request { return w.prompt(flowRoute, 7) }, outcomeFull, attempt},
-		{"stream, reset", func(w *world) Request { return w.prompt(flowRoute, 7) }, outcomeReset, nothing},
-		{"resumable stream, reset", func(w *world) Request { return w.prompt(againRoute, 7) }, outcomeReset, attempt},
-		{"safe, too late", func(w *world) Request {
-			q := w.request(safeRoute)
-			q.Deadline = w.now + 40*ms
+		{"safe, full", func(f *fixture) Request { return f.request(safeRoute) }, outcomeFull, attempt},
+		{"safe, unreachable", func(f *fixture) Request { return f.request(safeRoute) }, outcomeUnreachable, attempt},
+		{"safe, misdirected", func(f *fixture) Request { return f.request(safeRoute) }, outcomeMisdirected, attempt},
+		{"safe, reset", func(f *fixture) Request { return f.request(safeRoute) }, outcomeReset, attempt},
+		{"safe, 500", func(f *fixture) Request { return f.request(safeRoute) }, outcomeFailure, attempt},
+		{"unsafe, full", func(f *fixture) Request { return f.request(unsafeRoute) }, outcomeFull, attempt},
+		{"unsafe, unreachable", func(f *fixture) Request { return f.request(unsafeRoute) }, outcomeUnreachable, attempt},
+		{"unsafe, misdirected", func(f *fixture) Request { return f.request(unsafeRoute) }, outcomeMisdirected, attempt},
+		{"unsafe, reset", func(f *fixture) Request { return f.request(unsafeRoute) }, outcomeReset, nothing},
+		{"unsafe, 500", func(f *fixture) Request { return f.request(unsafeRoute) }, outcomeFailure, nothing},
+		{"stream, full", func(f *fixture) Request { return f.prompt(streamRoute, 7) }, outcomeFull, attempt},
+		{"stream, reset", func(f *fixture) Request { return f.prompt(streamRoute, 7) }, outcomeReset, nothing},
+		{"resumable stream, reset", func(f *fixture) Request { return f.prompt(resumableRoute, 7) }, outcomeReset, attempt},
+		{"safe, too late", func(f *fixture) Request {
+			q := f.request(safeRoute)
+			q.Deadline = f.now + 40*ms
 			return q
 		}, outcomeFull, refusal},
-		{"safe, too late and may have run", func(w *world) Request {
-			q := w.request(safeRoute)
-			q.Deadline = w.now + 40*ms
+		{"safe, too late and may have run", func(f *fixture) Request {
+			q := f.request(safeRoute)
+			q.Deadline = f.now + 40*ms
 			return q
 		}, outcomeReset, nothing},
-		{"unsafe, too late and may have run", func(w *world) Request {
-			q := w.request(onceRoute)
-			q.Deadline = w.now + 40*ms
+		{"unsafe, too late and may have run", func(f *fixture) Request {
+			q := f.request(unsafeRoute)
+			q.Deadline = f.now + 40*ms
 			return q
 		}, outcomeReset, nothing},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, instances(4))
-			w.warm(safeRoute, 40, 10*ms)
-			first := w.begin(c.request(w))
-			w.now += 30 * ms
-			d := w.Finished(w.now, first.Request, first.Number, c.outcome, false)
+			f := newFixture(t, instances(4))
+			f.serveRequests(safeRoute, 40, 10*ms)
+			first := f.mustBegin(c.request(f))
+			f.now += 30 * ms
+			d := f.Finished(f.now, first.Request, first.Number, c.outcome, false)
 			got := nothing
 			switch {
 			case d.Attempt != nil:
@@ -70,12 +70,12 @@
 }
 
 func TestNothingIsPendingAfterTheEnd(t *testing.T) {
-	w := newWorld(t, instances(3))
-	a := w.begin(w.request(safeRoute))
-	assert.Equal(t, w.Pending(), 1)
-	w.End(w.now, a.Request)
-	assert.Equal(t, w.Pending(), 0)
-	assert.Equal(t, w.Router.brokers[a.Instance.ID].InFlight(), 0)
-	w.Started(w.now, a.Request, a.Number, nil)
-	assert.Equal(t, w.Finished(w.now, a.Request, a.Number, outcomeFull, false), Decision{})
+	f := newFixture(t, instances(3))
+	a := f.mustBegin(f.request(safeRoute))
+	assert.Equal(t, f.PendingRequests(), 1)
+	f.End(f.now, a.Request)
+	assert.Equal(t, f.PendingRequests(), 0)
+	assert.Equal(t, f.Router.brokers[a.Instance.ID].InFlight(), 0)
+	f.Started(f.now, a.Request, a.Number, nil)
+	assert.Equal(t, f.Finished(f.now, a.Request, a.Number, outcomeFull, false), Decision{})
 }
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -12,14 +12,14 @@
 const (
 	// minNotifyTokens is how many tokens a broker must have to read for an attempt for other
 	// proxies to be notified.
-	minNotifyTokens = 500
-	priorityPerRank = 3
-	lastPriority    = 9
+	minNotifyTokens    = 500
+	priorityPerUrgency = 3
+	maxPriority        = 9
 )
 
 // priorityHeader is the Priority header: 0 to 9, 0 first (PROTOCOL.md, "Requests").
 func priorityHeader(urgency int) int {
-	return min(max(urgency, 0)*priorityPerRank, lastPriority)
+	return min(max(urgency, 0)*priorityPerUrgency, maxPriority)
 }
 
 // send makes the attempt.
@@ -48,10 +48,10 @@
 		ByPrediction: choice.Predicted,
 	}
 	if req.ServedModel != "" {
-		r.describeModel(now, req, found, chosen, out)
+		r.setModelHeaders(now, req, found, chosen, out)
 		call.Salt, call.FetchFrom = out.Salt, out.FetchFrom
-		r.countPrompt(req, chosen, out)
-		r.enqueue(now, req, call, out, chosen.Plan.PrefillTokens)
+		r.countPromptTokens(req, chosen, out)
+		r.enqueuePrompt(now, req, call, out, chosen.Plan.PrefillTokens)
 	}
 	req.Calls = append(req.Calls, call)
 	b.CallSent(call)
@@ -59,9 +59,9 @@
 	return Decision{Attempt: out}
 }
 
-// describeModel fills in the headers for a model broker: its version, the salt, and where cached
+// setModelHeaders fills in the headers for a model broker: its version, the salt, and where cached
 // parts come from and go.
-func (r *Router) describeModel(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, out *Attempt) {
+func (r *Router) setModelHeaders(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, out *Attempt) {
 	out.ExpectVersion = chosen.Version
 	out.Salt = cachesalt.Text(req.ServedModel, chosen.Version, req.IsolatedTenant)
 	if out.FetchFrom = r.cache.FetchSource(now, &req.Request, found.Eligible, chosen); out.FetchFrom != "" {
@@ -72,30 +72,30 @@
 	}
 }
 
-// enqueue puts the prompt of a call at the end of its broker's backlog.
-func (r *Router) enqueue(now core.Time, req *request, call *brokerstate.Call, out *Attempt, prefillTokens int) {
+// enqueuePrompt puts the prompt of a call at the end of its broker's backlog.
+func (r *Router) enqueuePrompt(now core.Time, req *request, call *brokerstate.Call, out *Attempt, prefillTokens int) {
 	if prefillTokens == 0 {
 		prefillTokens = req.TokensIn
 	}
 	call.PrefillTokens = prefillTokens
 	salt, parts := cachesalt.ID(out.Salt), prompt.SharedParts(req.Parts)
-	enqueued := r.recordSent(now, req.Pool, call.Broker, salt, parts, prefillTokens)
+	enqueued := r.recordSentPrompt(now, req.Pool, call.Broker, salt, parts, prefillTokens)
 	call.BacklogEnd, call.BacklogAhead = enqueued.End, enqueued.Ahead
 	if prefillTokens >= minNotifyTokens {
 		out.SentPrompt = &SentPrompt{Instance: out.Instance.ID, Salt: salt, Parts: parts, PrefillTokens: prefillTokens}
 	}
 }
 
-// recordSent takes in that a broker was sent a prompt, by this proxy or another.
-func (r *Router) recordSent(now core.Time, p *brokerstate.Pool, b *brokerstate.Broker, salt uint64, parts []prompt.Part, prefillTokens int) brokerstate.Enqueued {
+// recordSentPrompt takes in that a broker was sent a prompt, by this proxy or another.
+func (r *Router) recordSentPrompt(now core.Time, p *brokerstate.Pool, b *brokerstate.Broker, salt uint64, parts []prompt.Part, prefillTokens int) brokerstate.Enqueued {
 	enqueued := p.Enqueue(now, b, prefillTokens)
 	r.cache.RecordPrefill(now, enqueued.ReadyAt, b, salt, parts)
 	return enqueued
 }
 
-// countPrompt counts the shared tokens of a prompt by where they were expected to come from when it
+// countPromptTokens counts the shared tokens of a prompt by where they were expected to come from when it
 // was sent.
-func (r *Router) countPrompt(req *request, chosen *candidate.Candidate, out *Attempt) {
+func (r *Router) countPromptTokens(req *request, chosen *candidate.Candidate, out *Attempt) {
 	shared := prompt.SharedTokens(req.Parts)
 	cached := min(chosen.Cached, shared)
 	arriving := max(min(chosen.Arriving, shared)-cached, 0)
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -482,9 +482,9 @@
 	case 0:
 		return s.safe()
 	case 1:
-		return Request{Route: onceRoute, Service: service, TokensIn: 500}
+		return Request{Route: unsafeRoute, Service: service, TokensIn: 500}
 	}
-	q := Request{Route: againRoute, Service: service, Model: model, TokensIn: 2000}
+	q := Request{Route: resumableRoute, Service: service, Model: model, TokensIn: 2000}
 	part := uint64(s.random.IntN(40) + 10)
 	q.Parts = []prompt.Part{{ID: 1, Tokens: 500}, {ID: part, Tokens: 900}, {ID: s.random.Uint64(), Tokens: 600}}
 	q.Tenant = &config.Tenant{Name: fmt.Sprintf("t%d", s.random.IntN(4))}
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -38,11 +38,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			index := &fixedIndex{}
-			w := newWorldWith(t, instances(5), index)
-			w.StoreSeen(w.now, storeAddress, !c.storeDown, false)
-			first := w.begin(w.prompt(flowRoute, 77))
-			w.read(first)
-			w.now += prefixcache.PrefillBelieved // so that the index decides
+			f := newFixtureWithIndex(t, instances(5), index)
+			f.StoreSeen(f.now, storeAddress, !c.storeDown, false)
+			first := f.mustBegin(f.prompt(streamRoute, 77))
+			f.answerAfterPrefill(first)
+			f.now += prefixcache.PrefillBelieved // so that the index decides
 			other, source := "i00", "i01"
 			if first.Instance.ID == other {
 				other = "i02"
@@ -50,18 +50,18 @@
 			if first.Instance.ID == source {
 				source = "i02"
 			}
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 50000})
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: source, PrefillTokens: 50000})
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 50000})
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: source, PrefillTokens: 50000})
 			index.holders = []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: c.stored}, {Instance: source, Tokens: c.peers}}
 			if c.kept > 0 {
 				index.holders = append(index.holders, prefixcache.Holder{Instance: other, Tokens: c.kept})
 			}
-			a := w.begin(w.prompt(flowRoute, 77))
+			a := f.mustBegin(f.prompt(streamRoute, 77))
 			assert.Assert(t, a.Instance.ID != first.Instance.ID && a.Instance.ID != source)
 			if c.kept > 0 {
 				assert.Equal(t, a.Instance.ID, other)
 			}
-			want := map[string]string{none: "", owner: first.Instance.Address, peer: w.Router.brokers[source].Instance.Address,
+			want := map[string]string{none: "", owner: first.Instance.Address, peer: f.Router.brokers[source].Instance.Address,
 				storeAddress: storeAddress}[c.from]
 			assert.Equal(t, a.FetchFrom, want)
 			assert.Equal(t, a.SaveTo != "", c.saved)
@@ -76,12 +76,12 @@
 	for i, instance := range list {
 		withVersion(instance, uint64(1+i%2))
 	}
-	w := newWorldWith(t, list, index)
-	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
+	f := newFixtureWithIndex(t, list, index)
+	f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
 	for part := range uint64(30) {
-		a := w.begin(w.prompt(flowRoute, part+10))
+		a := f.mustBegin(f.prompt(streamRoute, part+10))
 		assert.Equal(t, a.SaveTo != "", a.ExpectVersion == 2)
-		w.serve(a, ms)
+		f.answerAfter(a, ms)
 	}
 }
 
@@ -98,18 +98,18 @@
 // A store that was not asked yet is believed to be well; one that is down gets nothing, until it is
 // back.
 func TestDeadStoreIsNotUsed(t *testing.T) {
-	w := newWorld(t, instances(5))
+	f := newFixture(t, instances(5))
 	check := func(from, to string) {
 		t.Helper()
-		a := w.begin(w.prompt(flowRoute, 5))
+		a := f.mustBegin(f.prompt(streamRoute, 5))
 		assert.Equal(t, a.FetchFrom, from)
 		assert.Equal(t, a.SaveTo, to)
-		w.serve(a, ms)
+		f.answerAfter(a, ms)
 	}
 	check(storeAddress, storeAddress)
-	w.StoreSeen(w.now, storeAddress, false, false)
+	f.StoreSeen(f.now, storeAddress, false, false)
 	check("", "")
-	w.StoreSeen(w.now, storeAddress, true, true)
+	f.StoreSeen(f.now, storeAddress, true, true)
 	check(storeAddress, storeAddress)
 }
 
@@ -118,35 +118,35 @@
 func TestStoreThatDelaysAnswersBacksOff(t *testing.T) {
 	for _, othersLate := range []bool{false, true} {
 		t.Run(fmt.Sprint("others late: ", othersLate), func(t *testing.T) {
-			w := newWorld(t, instances(12))
+			f := newFixture(t, instances(12))
 			fresh := func() Request {
-				q := w.prompt(flowRoute, w.Router.options.Random.Uint64())
-				q.Parts[0].ID = w.Router.options.Random.Uint64()
+				q := f.prompt(streamRoute, f.Router.options.Random.Uint64())
+				q.Parts[0].ID = f.Router.options.Random.Uint64()
 				return q
 			}
 			short := func() Request {
-				q := w.prompt(flowRoute, 9)
+				q := f.prompt(streamRoute, 9)
 				q.Parts = []prompt.Part{{ID: 1, Tokens: 100}, {ID: 9, Tokens: 900}}
 				return q
 			}
 			for part := range uint64(40) {
-				w.serve(w.begin(w.prompt(flowRoute, part)), 30*ms)
+				f.answerAfter(f.mustBegin(f.prompt(streamRoute, part)), 30*ms)
 			}
 			others := 30 * ms
 			if othersLate {
 				others = 400 * ms
 			}
 			for range prefixcache.MinLateFetches {
-				a := w.begin(fresh())
+				a := f.mustBegin(fresh())
 				assert.Equal(t, a.FetchFrom, storeAddress)
-				w.serve(a, 400*ms)
-				w.serve(w.begin(short()), others)
+				f.answerAfter(a, 400*ms)
+				f.answerAfter(f.mustBegin(short()), others)
 			}
-			a := w.begin(fresh())
+			a := f.mustBegin(fresh())
 			assert.Equal(t, a.FetchFrom == storeAddress, othersLate)
-			w.serve(a, 30*ms)
-			w.now += prefixcache.StoreBackoff
-			assert.Equal(t, w.begin(fresh()).FetchFrom, storeAddress, "it is tried again")
+			f.answerAfter(a, 30*ms)
+			f.now += prefixcache.StoreBackoff
+			assert.Equal(t, f.mustBegin(fresh()).FetchFrom, storeAddress, "it is tried again")
 		})
 	}
 }
@@ -170,10 +170,10 @@
 	for part := range uint64(60) {
 		saved := map[string]bool{}
 		for _, zone := range []string{"z0", "z1", "z2"} {
-			w := newWorld(t, instances(6))
-			w.moveTo(zone)
-			w.SetConfig(w.now, threeStores())
-			a := w.begin(w.prompt(flowRoute, part+10))
+			f := newFixture(t, instances(6))
+			f.setZone(zone)
+			f.SetConfig(f.now, threeStores())
+			a := f.mustBegin(f.prompt(streamRoute, part+10))
 			assert.Equal(t, a.FetchFrom, a.SaveTo)
 			saved[a.SaveTo] = true
 			targets[a.SaveTo]++
@@ -190,18 +190,18 @@
 // replaced by the next in the order.
 func TestOnlyThePromptsStoreCounts(t *testing.T) {
 	index := &fixedIndex{}
-	w := newWorldWith(t, instances(6), index)
-	w.SetConfig(w.now, threeStores())
-	own := w.begin(w.prompt(flowRoute, 5)).SaveTo
+	f := newFixtureWithIndex(t, instances(6), index)
+	f.SetConfig(f.now, threeStores())
+	own := f.mustBegin(f.prompt(streamRoute, 5)).SaveTo
 	for i := range 3 {
 		address := fmt.Sprintf("10.9.0.%d:9000", i)
 		index.holders = []prefixcache.Holder{{Instance: address, Store: true, Tokens: 1300}}
-		a := w.begin(w.prompt(flowRoute, 5))
+		a := f.mustBegin(f.prompt(streamRoute, 5))
 		assert.Equal(t, a.FetchFrom, own)
 		assert.Equal(t, a.SaveTo == "", address == own, "what is kept where it belongs is not sent again")
 	}
-	w.StoreSeen(w.now, own, false, false)
-	next := w.begin(w.prompt(flowRoute, 5))
+	f.StoreSeen(f.now, own, false, false)
+	next := f.mustBegin(f.prompt(streamRoute, 5))
 	assert.Assert(t, next.FetchFrom != own && next.FetchFrom != "")
 	assert.Equal(t, next.SaveTo, next.FetchFrom)
 }
@@ -222,17 +222,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			index := &fixedIndex{}
-			w := newWorldWith(t, instances(6), index)
+			f := newFixtureWithIndex(t, instances(6), index)
 			compiled := configOf(nil)
 			engine := compiled.Services[service].Engine
 			engine.LinkMbps, engine.KVTokenBytes, compiled.Stores[0].LinkMbps = 1e6, 2e5, c.storeMbps
-			w.SetConfig(w.now, compiled)
-			first := w.begin(w.prompt(flowRoute, 7))
-			w.read(first)
-			w.now += c.sentFor
-			w.PeerSentPrompt(w.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 90000})
+			f.SetConfig(f.now, compiled)
+			first := f.mustBegin(f.prompt(streamRoute, 7))
+			f.answerAfterPrefill(first)
+			f.now += c.sentFor
+			f.PeerSentPrompt(f.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 90000})
 			index.holders = []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: 1300}, {Instance: first.Instance.ID, Tokens: 1300}}
-			a := w.begin(w.prompt(flowRoute, 7))
+			a := f.mustBegin(f.prompt(streamRoute, 7))
 			assert.Assert(t, a.Instance.ID != first.Instance.ID)
 			assert.Equal(t, a.FetchFrom == storeAddress, c.fromStore)
 		})
--- a/internal/node/routing/switches_test.go
+++ b/internal/node/routing/switches_test.go
@@ -18,15 +18,15 @@
 	for _, info := range append(mechanism.All(), mechanism.Info{Mechanism: all, Name: "all"}) {
 		t.Run(info.Name, func(t *testing.T) {
 			index := &fixedIndex{holders: []prefixcache.Holder{{Instance: "i02", Tokens: 1300}, {Instance: storeAddress, Store: true, Tokens: 1300}}}
-			w := newWorldWithout(t, instances(5), index, info.Mechanism)
+			f := newFixtureWithDisabled(t, instances(5), index, info.Mechanism)
 			for part := range uint64(30) {
-				w.read(w.begin(w.prompt(againRoute, part)))
-				w.serve(w.begin(w.request(safeRoute)), 20*ms)
+				f.answerAfterPrefill(f.mustBegin(f.prompt(resumableRoute, part)))
+				f.answerAfter(f.mustBegin(f.request(safeRoute)), 20*ms)
 			}
-			a := w.begin(w.prompt(againRoute, 1))
+			a := f.mustBegin(f.prompt(resumableRoute, 1))
 			assert.Assert(t, info.Mechanism&mechanism.KVStore == 0 || a.SaveTo == "" && a.FetchFrom != storeAddress)
 			assert.Assert(t, info.Mechanism&mechanism.KVFetch == 0 || a.FetchFrom == "" || a.FetchFrom == storeAddress)
-			copied := w.Hedge(w.now+1000*ms, a.Request)
+			copied := f.Hedge(f.now+1000*ms, a.Request)
 			assert.Assert(t, info.Mechanism&mechanism.Hedging == 0 || copied.Attempt == nil)
 		})
 	}
--- a/internal/node/routing/versions_test.go
+++ b/internal/node/routing/versions_test.go
@@ -26,22 +26,22 @@
 	for i, instance := range list {
 		withVersion(instance, uint64(1+i%2))
 	}
-	w := newWorld(t, list)
-	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
+	f := newFixture(t, list)
+	f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
 	seen := map[uint64]bool{}
 	for part := range uint64(40) {
-		a := w.begin(w.prompt(flowRoute, part+10))
+		a := f.mustBegin(f.prompt(streamRoute, part+10))
 		assert.Equal(t, a.ExpectVersion, a.Instance.Versions[model])
 		assert.Equal(t, a.Salt, cachesalt.Text(model, a.ExpectVersion, ""))
 		seen[a.ExpectVersion] = true
-		w.serve(a, ms)
+		f.answerAfter(a, ms)
 	}
 	assert.Assert(t, seen[1] && seen[2])
-	w.now += 10 * time.Second
+	f.now += 10 * time.Second
 	for part := range uint64(40) {
-		a := w.begin(w.prompt(flowRoute, part+10))
+		a := f.mustBegin(f.prompt(streamRoute, part+10))
 		assert.Equal(t, a.ExpectVersion, uint64(2))
-		w.serve(a, ms)
+		f.answerAfter(a, ms)
 	}
 }
 
@@ -56,23 +56,23 @@
 		for i := range c.renewed {
 			withVersion(list[i], 2)
 		}
-		w := newWorld(t, list)
-		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
-		until := w.now + 8*time.Second - modelversion.LearnMargin
+		f := newFixture(t, list)
+		f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
+		until := f.now + 8*time.Second - modelversion.LearnMargin
 		older := func() int {
 			n := 0
 			for part := range uint64(60) {
-				a := w.begin(w.prompt(flowRoute, part*7))
+				a := f.mustBegin(f.prompt(streamRoute, part*7))
 				if a.ExpectVersion < 2 {
 					n++
 				}
-				w.answerNow(a)
+				f.answerNow(a)
 			}
 			return n
 		}
-		w.now = until - candidate.NewestFirstSpan - ms
+		f.now = until - candidate.NewestFirstSpan - ms
 		assert.Assert(t, older() > 0, "%d renewed", c.renewed)
-		w.now = until - time.Second
+		f.now = until - time.Second
 		assert.Equal(t, older() > 0, c.older, "%d renewed", c.renewed)
 	}
 }
@@ -80,44 +80,44 @@
 // What is sent to a broker with older weights must have its first token before their time is over.
 func TestStartsBeforeTheVersionsEnd(t *testing.T) {
 	for _, latency := range []core.Time{10 * ms, 900 * ms, 5 * time.Second} {
-		w := newWorld(t, instances(4))
+		f := newFixture(t, instances(4))
 		var sent []*Attempt
 		for range 40 {
-			sent = append(sent, w.begin(w.prompt(flowRoute, 7)))
+			sent = append(sent, f.mustBegin(f.prompt(streamRoute, 7)))
 		}
-		w.now += latency
+		f.now += latency
 		for _, a := range sent {
-			w.answerNow(a)
+			f.answerNow(a)
 		}
-		w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
-		until := w.now + 8*time.Second - modelversion.LearnMargin
+		f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
+		until := f.now + 8*time.Second - modelversion.LearnMargin
 		lead := min(max(core.Time(candidate.FirstTokenFactor*float64(latency)), candidate.MinFirstToken), candidate.MaxFirstToken)
-		w.now = until - lead*12/10 - 100*ms
-		assert.Equal(t, w.begin(w.prompt(flowRoute, 8)).ExpectVersion, uint64(1))
-		w.now = until - lead*8/10
-		_, d := w.Begin(w.now, w.prompt(flowRoute, 8))
+		f.now = until - lead*12/10 - 100*ms
+		assert.Equal(t, f.mustBegin(f.prompt(streamRoute, 8)).ExpectVersion, uint64(1))
+		f.now = until - lead*8/10
+		_, d := f.Begin(f.now, f.prompt(streamRoute, 8))
 		assert.Assert(t, d.Refusal != nil, "latency %v", latency)
 	}
 }
 
 // Nobody is left for older weights: no attempt, rather than a broken rule.
 func TestNoBrokerWithAllowedWeights(t *testing.T) {
-	w := newWorld(t, instances(3))
-	w.SetConfig(w.now, configOf(map[string]uint64{model: 2}))
-	w.now += 20 * time.Second
-	_, d := w.Begin(w.now, w.prompt(flowRoute, 4))
+	f := newFixture(t, instances(3))
+	f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
+	f.now += 20 * time.Second
+	_, d := f.Begin(f.now, f.prompt(streamRoute, 4))
 	assert.Assert(t, d.Refusal != nil)
-	assert.Equal(t, d.Refusal.Reason, admission.NoBroker)
+	assert.Equal(t, d.Refusal.Reason, admission.ReasonNoBroker)
 }
 
 // A service without an engine runs no models, whatever its requests name.
 func TestServiceWithoutEngine(t *testing.T) {
-	w := newWorld(t, instances(3))
+	f := newFixture(t, instances(3))
 	compiled := configOf(map[string]uint64{model: 2})
 	compiled.Services[service].Engine = nil
-	w.SetConfig(w.now, compiled)
-	w.now += 20 * time.Second
-	a := w.begin(w.prompt(flowRoute, 4))
+	f.SetConfig(f.now, compiled)
+	f.now += 20 * time.Second
+	a := f.mustBegin(f.prompt(streamRoute, 4))
 	assert.Equal(t, a.Salt, "")
 	assert.Equal(t, a.ExpectVersion, uint64(0))
 	assert.Equal(t, a.FetchFrom+a.SaveTo, "")
