--- a/internal/node/routing/admission/admission.go
+++ b/internal/node/routing/admission/admission.go
@@ -1,6 +1,9 @@
-// Package admission decides which requests are rejected rather than sent: load shedding while a
-// service is overloaded, first tries that would be late and are postponed, requests whose deadline
-// can't be met; and what a refused client is advised to do.
+// Package admission decides which requests a proxy refuses instead of sending them to a broker, and
+// which Retry-After a refused client gets. A request is refused
+//
+//   - by load shedding, while its service is overloaded;
+//   - as a postponed first try, if its answer would be late because of the brokers' backlog;
+//   - if its deadline can't be met.
 package admission
 
 import (
@@ -15,46 +18,52 @@
 	"kestrelspread/internal/predict"
 )
 
-// MinTimeLeft is the time before its deadline from which a request can't be answered.
+// MinTimeLeft is the shortest time before its deadline in which a request can still be answered.
 const MinTimeLeft = 15 * time.Millisecond
 
 const (
-	fastAnswerQuantile = 0.25        // of latencies: where even that exceeds the time left, there is no chance
-	maxQueueReportAge  = time.Second // older reports of a broker's waiting requests don't count
+	fastAnswerQuantile = 0.25        // latency quantile that stands for the fastest answers to be expected
+	maxQueueReportAge  = time.Second // older load reports don't show whether requests wait at a broker
 
 	maxRefusalsMostUrgent  = 4
 	maxRefusalsLeastUrgent = 2
-	retryBudgetShareStep   = 0.1 // of the retry budget less for each step of urgency
-	minRetryBudgetShare    = 0.7
+
+	retryBudgetShareStep = 0.1 // by which the usable share of the retry budget falls with each level of urgency
+	minRetryBudgetShare  = 0.7
 )
 
-// Controller decides on admission for one proxy.
+// Controller makes the admission decisions of one proxy.
 type Controller struct {
 	switches  mechanism.Switches
 	random    *rand.Rand
 	startedAt core.Time
 }
 
-// New makes a gate of a proxy that starts now.
+// New returns the controller of a proxy that starts at now.
 func New(now core.Time, switches mechanism.Switches, random *rand.Rand) *Controller {
 	return &Controller{switches: switches, random: random, startedAt: now}
 }
 
-// MaxRefusals is how many brokers may turn a request away before it gives its place at one more to
-// another request: the least urgent give up first.
-func MaxRefusals(urgency int) int { return max(maxRefusalsMostUrgent-urgency, maxRefusalsLeastUrgent) }
+// MaxRefusals returns how many brokers may refuse a request before the proxy refuses it too and
+// leaves the capacity of further brokers to other requests. The less urgent a request is (0: most
+// urgent), the fewer they are.
+func MaxRefusals(urgency int) int {
+	return max(maxRefusalsMostUrgent-urgency, maxRefusalsLeastUrgent)
+}
 
-// RetryBudgetShare is the part of the retry budget that requests of an urgency may use up.
+// RetryBudgetShare returns the share of the retry budget up to which requests of an urgency (0: most
+// urgent) may be retried.
 func RetryBudgetShare(urgency int) float64 {
 	return max(1-retryBudgetShareStep*float64(max(urgency, 0)), minRetryBudgetShare)
 }
 
-// CannotMeetDeadline reports whether a request can't be answered in the time left: even the quickest of the
-// recent answers took longer, and requests wait at the broker.
-func (g *Controller) CannotMeetDeadline(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
+// CannotMeetDeadline reports whether a request can't be answered before its deadline: even the
+// fastest quarter of the recent answers of its class took longer than the time left, and requests
+// wait at the broker.
+func (c *Controller) CannotMeetDeadline(now core.Time, req *inflight.Request, b *brokerstate.Broker) bool {
 	if load, recent := b.RecentReport(now, maxQueueReportAge); !recent || load.Waiting == 0 {
 		return false
 	}
-	quick, answers := req.Class.Quantile(now, fastAnswerQuantile)
-	return answers >= predict.MinSamples && quick*req.Work > units.Milliseconds(req.Deadline-now)
+	fast, answers := req.Class.Quantile(now, fastAnswerQuantile)
+	return answers >= predict.MinSamples && fast*req.Work > units.Milliseconds(req.Deadline-now)
 }
--- a/internal/node/routing/admission/admission_test.go
+++ b/internal/node/routing/admission/admission_test.go
@@ -12,7 +12,7 @@
 	"kestrelspread/internal/node/routing/mechanism"
 )
 
-// The least urgent give up first and leave the more of the retry budget.
+// Less urgent requests give up after fewer refusals, and may use less of the retry budget.
 func TestUrgentRequestsTryLonger(t *testing.T) {
 	for urgency, want := range []struct {
 		refusals int
@@ -24,9 +24,9 @@
 	}
 }
 
-// Advice lies within a third of the time left, and not before a broker may have capacity, as far as
-// that allows.
-func TestAdviceIsWithinAThirdOfTheTimeLeft(t *testing.T) {
+// Retry-After is at most a third of the time left, and within that bound not before a broker may have
+// capacity.
+func TestRetryAfterIsWithinAThirdOfTheTimeLeft(t *testing.T) {
 	const now = 20 * time.Second
 	g := New(0, mechanism.NewSwitches(0), rand.New(rand.NewPCG(1, 2)))
 	for _, c := range []struct {
@@ -36,24 +36,24 @@
 		capacityAt       core.Time
 		minimum, maximum core.Time
 	}{
-		{"plenty of time", 9 * time.Second, ReasonBrokersFull, core.Never, MinRetryAfter, maxRetryAfter},
-		{"little time", 300 * time.Millisecond, ReasonBrokersFull, core.Never, MinRetryAfter, 100 * time.Millisecond},
-		{"no time", -time.Second, ReasonDeadline, core.Never, 0, 0},
+		{"much time left", 9 * time.Second, ReasonBrokersFull, core.Never, MinRetryAfter, maxRetryAfter},
+		{"little time left", 300 * time.Millisecond, ReasonBrokersFull, core.Never, MinRetryAfter, 100 * time.Millisecond},
+		{"deadline over", -time.Second, ReasonDeadline, core.Never, 0, 0},
 		{"capacity soon", 3 * time.Second, ReasonBrokersFull, now + 200*time.Millisecond, 200 * time.Millisecond, time.Second},
 		{"capacity late", 3 * time.Second, ReasonBrokersFull, now + 5*time.Second, 500 * time.Millisecond, time.Second},
-		{"another proxy may do better", 3 * time.Second, ReasonBrokersUnhealthy, core.Never, MinRetryAfter, MaxRetryAfterOtherProxy},
+		{"another proxy may serve it", 3 * time.Second, ReasonBrokersUnhealthy, core.Never, MinRetryAfter, MaxRetryAfterOtherProxy},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for range 100 {
 				req := &inflight.Request{ClientRequest: inflight.ClientRequest{Deadline: now + c.left}}
-				advice := g.RetryAfter(now, req, c.reason, c.capacityAt)
-				assert.Assert(t, advice >= c.minimum && advice <= c.maximum, "%v", advice)
+				retryAfter := g.RetryAfter(now, req, c.reason, c.capacityAt)
+				assert.Assert(t, retryAfter >= c.minimum && retryAfter <= c.maximum, "%v", retryAfter)
 			}
 		})
 	}
 }
 
-// Of the most urgent requests none is shed before half of the least urgent are.
+// The most urgent requests are shed only once half of the less urgent are.
 func TestUrgentRequestsAreShedLast(t *testing.T) {
 	for _, c := range []struct{ shed, urgentShed, otherShed float64 }{{0, 0, 0}, {0.3, 0, 0.3}, {0.5, 0, 0.5}, {0.75, 0.5, 0.75}} {
 		o := NewOverloadDetector()
--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -12,46 +12,53 @@
 )
 
 const (
-	// ShedInterval is how often the share of requests to be shed changes.
+	// ShedInterval is the shortest time between two changes of the shed share.
 	ShedInterval = 250 * time.Millisecond
 
-	latencyWindow     = 1500. // ms of answers that are looked at
-	minAnswers        = 8     // answers before they count
-	lateRatio         = 1.0   // latency over target that lateQuantile exceeds in an overload
-	lateQuantile      = 0.3
-	shedIncrease      = 0.08
-	shedDecrease      = 0.04
-	maxShedShare      = 0.8
-	minBusyShare      = 0.5 // of the brokers must be busy
-	maxReportAge      = 2 * time.Second
-	urgencyExpiry     = 10 * time.Second
-	minHistogramRatio = 0.01 // where the histogram begins
-	histogramStep     = 1.15
+	latencyWindow    = 1500.            // ms of recent answers that are looked at
+	minAnswers       = 8                // answers within latencyWindow before they count
+	lateQuantile     = 0.3              // quantile of the latency ratios that is compared with lateRatio
+	lateRatio        = 1.0              // latency over target above which answers count as late
+	shedIncrease     = 0.08             // of the shed share, each ShedInterval of overload
+	shedDecrease     = 0.04             // of the shed share, each ShedInterval without overload
+	maxShedShare     = 0.8              // upper bound of the shed share
+	minBusyShare     = 0.5              // share of the brokers that must be busy in an overload
+	maxReportAge     = 2 * time.Second  // older load reports are ignored
+	urgencyExpiry    = 10 * time.Second // without a request, after which the range of urgencies is forgotten
+	mostUrgentFactor = 2                // the most urgent are shed once more than 1/mostUrgentFactor of the others is
+
+	// The histogram of latency ratios.
+	minHistogramRatio = 0.01 // lower bound of its first bin
+	histogramStep     = 1.15 // factor between the bounds of neighboring bins
 	histogramBins     = 70
-	windowBuckets     = 5
-	mostUrgentFactor  = 2 // the most urgent are shed once more than one part in so many of the least urgent is
+	windowBuckets     = 5 // time buckets within latencyWindow
 )
 
-// OverloadDetector measures whether a service's answers are late, over all its routes.
+// OverloadDetector detects whether a service is overloaded, by the latencies of its answers over
+// all routes, and sets the share of requests to be shed.
 //
-// A service that is asked for more than it can do answers all too late, as each request waits
-// behind others that are late already. Then some are shed, the least urgent first, so that the rest
-// is in time (RULES.md, "Worth" and "Prices").
+// In an overload all answers are late, because each request waits behind others that are late
+// already. Shedding a share of the requests, the least urgent first, lets the rest be answered in
+// time (RULES.md, "Worth" and "Prices").
 type OverloadDetector struct {
 	latencyRatios *window.Histogram // latency over target
-	shedShare     float64           // share of the least urgent requests to be refused
-	updatedAt     core.Time
-	leastUrgent   int // urgency of the least urgent request recently; urgencies count from 0, the most urgent
+	shedShare     float64           // share of the less urgent requests to be refused
+	updatedAt     core.Time         // when shedShare was last updated
+	// leastUrgent and mostUrgent are the range of urgencies among recent requests. Urgencies count
+	// from 0, the most urgent.
+	leastUrgent   int
 	mostUrgent    int
 	lastArrivalAt core.Time
 }
 
-// NewOverloadDetector makes the measure of a service without answers.
+// NewOverloadDetector returns the detector of a service that has not answered yet.
 func NewOverloadDetector() OverloadDetector {
-	return OverloadDetector{latencyRatios: window.NewHistogram(windowBuckets+1, latencyWindow/windowBuckets, minHistogramRatio, histogramStep, histogramBins)}
+	return OverloadDetector{
+		latencyRatios: window.NewHistogram(windowBuckets+1, latencyWindow/windowBuckets, minHistogramRatio, histogramStep, histogramBins),
+	}
 }
 
-// RecordArrival takes in a request's urgency.
+// RecordArrival records the arrival of a request of an urgency.
 func (o *OverloadDetector) RecordArrival(now core.Time, urgency int) {
 	if now-o.lastArrivalAt > urgencyExpiry || o.lastArrivalAt == 0 {
 		o.leastUrgent, o.mostUrgent = urgency, urgency
@@ -60,12 +67,13 @@
 	o.leastUrgent, o.mostUrgent = max(o.leastUrgent, urgency), min(o.mostUrgent, urgency)
 }
 
-// RecordLatencyRatio takes in a latency as a ratio of its route's target.
+// RecordLatencyRatio records the latency of an answer, divided by the target of its route.
 func (o *OverloadDetector) RecordLatencyRatio(now core.Time, ratio float64) {
 	o.latencyRatios.Add(units.Milliseconds(now), ratio)
 }
 
-// UpdateShedShare raises or lowers the share to be shed, at most once in each ShedInterval.
+// UpdateShedShare raises the shed share while the service is overloaded and lowers it otherwise, at
+// most once in each ShedInterval.
 func (o *OverloadDetector) UpdateShedShare(now core.Time, p *brokerstate.Pool) {
 	if now < o.updatedAt+ShedInterval {
 		return
@@ -79,11 +87,11 @@
 	}
 }
 
-// ShedShare is the share of the least urgent requests to be refused.
+// ShedShare returns the share of the less urgent requests to be refused.
 func (o *OverloadDetector) ShedShare() float64 { return o.shedShare }
 
-// mostBrokersBusy reports whether most brokers with a recent report have requests waiting, or half of their
-// slots taken: else a refusal would be one that isn't needed.
+// mostBrokersBusy reports whether at least minBusyShare of the brokers with a recent load report have
+// requests waiting, or half of their slots taken. While fewer are, refusals aren't needed.
 func mostBrokersBusy(now core.Time, p *brokerstate.Pool) bool {
 	reports, busy := 0, 0
 	for _, b := range p.Brokers {
@@ -99,8 +107,8 @@
 	return reports > 0 && float64(busy) >= minBusyShare*float64(reports)
 }
 
-// ShedProbability is the share of requests of an urgency to be refused: of the most urgent none
-// before half of the least are.
+// ShedProbability returns the share of the requests of an urgency to be refused. The most urgent are
+// refused only once half of the less urgent are.
 func (o *OverloadDetector) ShedProbability(urgency int) float64 {
 	if o.shedShare == 0 {
 		return 0
@@ -111,8 +119,9 @@
 	return o.shedShare
 }
 
-// ShouldShed decides by chance whether a request is refused as its service is overloaded.
-func (g *Controller) ShouldShed(req *inflight.Request, o *OverloadDetector) bool {
+// ShouldShed decides whether a request is refused because its service is overloaded, at random with
+// the detector's ShedProbability.
+func (c *Controller) ShouldShed(req *inflight.Request, o *OverloadDetector) bool {
 	probability := o.ShedProbability(req.Urgency)
-	return g.switches.On(mechanism.Overload) && probability > 0 && g.random.Float64() < probability
+	return c.switches.On(mechanism.Overload) && probability > 0 && c.random.Float64() < probability
 }
--- a/internal/node/routing/admission/postpone.go
+++ b/internal/node/routing/admission/postpone.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	lateThresholdFactor  = 1.1 // times the target latency, from which an answer is expected to be late
-	minBacklogShare      = 0.5 // of the target must be due to the backlog
-	backlogShareOnReturn = 0.5 // of the target that is to be left of the backlog when the client returns
-	minQueueingShare     = 0.5 // of the brokers with a recent report must have requests waiting
+	lateThresholdFactor  = 1.1 // multiple of the target latency above which an expected answer counts as late
+	minBacklogShare      = 0.5 // share of the target that the wait for the backlog must take
+	backlogShareOnReturn = 0.5 // share of the target that the backlog may still take when the client tries again
+	minQueueingShare     = 0.5 // share of the brokers with a recent load report that must have requests waiting
 )
 
-// ShouldPostpone reports whether a client's first try is to be sent back, and after which time it should
-// come again.
+// ShouldPostpone reports whether the first try of a client is refused because its answer would be
+// late, and the Retry-After for it.
 //
-// A request whose answer would begin too late, because of the backlog of every broker, earns more
-// if it is refused at once and served in time when it comes again (RULES.md, "Worth"), and the
-// others wait less. So such first tries are advised to come back when the brokers will have read
-// their backlog. Who comes again is served, however late.
-func (g *Controller) ShouldPostpone(now core.Time, req *inflight.Request, s *candidate.Set, chosen *candidate.Candidate) (after core.Time, ok bool) {
+// A request whose answer would begin too late because of the backlog of every broker is worth more
+// if it is refused at once and served in time on its second try (RULES.md, "Worth"), and other
+// requests wait less. The client is asked to come back when the brokers will have read most of
+// their backlog. Only first tries are postponed: a client that comes again is served, however late.
+func (c *Controller) ShouldPostpone(
+	now core.Time, req *inflight.Request, s *candidate.Set, chosen *candidate.Candidate,
+) (after core.Time, ok bool) {
 	target := req.Route.TargetLatencyMs
-	if req.ServedModel == "" || !g.switches.On(mechanism.Postponing) || !req.FirstTry || target <= 0 || !req.Pool.PrefillPaceKnown() {
+	if req.ServedModel == "" || !c.switches.On(mechanism.Postponing) || !req.FirstTry || target <= 0 || !req.Pool.PrefillPaceKnown() {
 		return 0, false
 	}
 	backlog := req.Pool.PrefillWait(now, chosen.Broker)
@@ -32,13 +34,14 @@
 	if expected <= lateThresholdFactor*target || backlog < minBacklogShare*target || !mostBrokersQueueing(now, s) {
 		return 0, false
 	}
-	rest := backlogShareOnReturn * target
-	after = units.FromMilliseconds(expected - target + rest + rest*g.random.Float64())
+	remaining := backlogShareOnReturn * target
+	after = units.FromMilliseconds(expected - target + remaining + remaining*c.random.Float64())
 	return after, after <= (req.Deadline-now)/retryAfterDivisor
 }
 
-// mostBrokersQueueing reports whether most candidates with a recent report have requests waiting: else a
-// refusal would be one while slots are free (RULES.md, "Prices").
+// mostBrokersQueueing reports whether at least minQueueingShare of the candidates with a recent load
+// report have requests waiting. While fewer have, a request would be refused although slots are free
+// (RULES.md, "Prices").
 func mostBrokersQueueing(now core.Time, s *candidate.Set) bool {
 	reports, waiting := 0, 0
 	for i := range s.Eligible {
--- a/internal/node/routing/admission/words_golden_test.go
+++ b/internal/node/routing/admission/words_golden_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReasonsAreCalledAsOperatorsReadThem: the status of a node counts refusals by these words.
-func TestReasonsAreCalledAsOperatorsReadThem(t *testing.T) {
-	for word, reason := range map[string]Reason{
+// The status of a node counts refusals by these texts, so they must not change.
+func TestReasonTexts(t *testing.T) {
+	for text, reason := range map[string]Reason{
 		"no broker known":    ReasonNoBroker,
 		"all brokers full":   ReasonBrokersFull,
 		"retry budget spent": ReasonBudgetExhausted,
@@ -17,6 +17,6 @@
 		"no broker in reach": ReasonBrokersUnhealthy,
 		"too much waits":     ReasonPostponed,
 	} {
-		assert.Equal(t, string(reason), word)
+		assert.Equal(t, string(reason), text)
 	}
 }
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -1,20 +1,21 @@
-// Package routing decides what becomes of a request: which broker gets it, when a hedged request or
-// a retry goes out, when it is refused. It is a state machine without I/O; package forward carries
-// its decisions out.
+// Package routing decides how a proxy handles a request: which broker gets it, when a hedged request
+// or a retry is sent, and when it is refused. It is a state machine without I/O; package forward
+// carries out its decisions.
 //
-// Router holds the requests and the brokers' state and wires the packages below, of which each
-// imports only those above it in this list, so that none calls back up:
+// Router holds the requests and the state of the brokers, and connects the packages below. Each of
+// them imports only packages that stand above it in this list:
 //
-//	units, mechanism, cachesalt, modelversion, retrybudget, prompt   leaves
-//	brokerstate   brokers as this proxy sees them: latencies, backlog, health and ejection, prediction
-//	routeclass    what is usual of one route's requests
-//	inflight      the requests that are held, with their calls
-//	candidate     the brokers that a request may go to
-//	prefixcache   where the parts of prompts are cached, and where they are fetched from and saved to
-//	placement     the broker that gets a request, by a sum of costs
-//	admission     load shedding, postponing, hopeless deadlines, advice to refused clients
+//	units, mechanism, cachesalt, modelversion, retrybudget, prompt   no dependencies within routing
+//	brokerstate   the state of each broker: latencies, prefill backlog, health and ejection, prediction
+//	routeclass    statistics of the requests of one route
+//	inflight      the requests that the proxy holds, with their attempts
+//	candidate     the brokers that a request may be sent to
+//	prefixcache   where the parts of prompts are cached, fetched from and saved to
+//	placement     the choice of a broker, by a sum of costs
+//	admission     load shedding, postponing, deadlines that can't be met, Retry-After
 //
-// Retries, hedged requests, outcomes and late answers are files of this package.
+// Retries, hedged requests, outcomes of attempts and statistics of late answers are files of this
+// package.
 package routing
 
 import (
@@ -27,103 +28,107 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// RequestID numbers the requests that a proxy holds.
+// RequestID identifies a request that a proxy holds.
 type RequestID = inflight.ID
 
 // Request is what the router needs to know of a client's request.
 type Request = inflight.ClientRequest
 
-// Load is what a broker reports of itself in X-Kestrelspread-Server-Load.
+// Load is the load that a broker reports in the header X-Kestrelspread-Server-Load.
 type Load = brokerstate.Load
 
-// RefusalReason says why a request was refused, for logs and counters.
+// RefusalReason is why a request was refused, for logs and counters.
 type RefusalReason = admission.Reason
 
-// Attempt asks for the request to be sent to a broker.
+// Attempt tells the caller to send a request to a broker.
 type Attempt struct {
-	Request  RequestID
-	Number   int // from 0, unique within the request
-	Instance *registry.Instance
-	// ExpectVersion is set in Expect-Version where not 0.
-	ExpectVersion uint64
-	Salt          string // Cache-Salt; empty: none
-	FetchFrom     string // Kv-Fetch; empty: none
-	SaveTo        string // Kv-Save; empty: none
-	Priority      int    // the Priority header, 0 to 9
-	// SentPrompt is what the other proxies are to be notified of at once, by PeerSentPrompt; nil:
-	// nothing.
+	Request       RequestID
+	Number        int                // from 0, unique within the request
+	Instance      *registry.Instance // the broker
+	ExpectVersion uint64             // header Expect-Version; 0: not sent
+	Salt          string             // header Cache-Salt; empty: not sent
+	FetchFrom     string             // header Kv-Fetch; empty: not sent
+	SaveTo        string             // header Kv-Save; empty: not sent
+	Priority      int                // header Priority, 0 to 9, 0 is the most urgent
+	// SentPrompt is what the other proxies are to be notified of at once; nil: nothing.
 	SentPrompt *SentPrompt
-	// HedgeAt is when to call Hedge if no answer has begun by then; core.Never: no hedged request.
+	// HedgeAt is when to call Hedge unless an answer has begun by then; core.Never: no hedged request.
 	HedgeAt core.Time
-	// ByPrediction: the prediction chose among the candidates (reported as a metric).
+	// ByPrediction reports whether the latency prediction decided between several candidates. It is
+	// reported as a metric.
 	ByPrediction bool
 }
 
-// Refusal is the final answer to a request that was abandoned and has not run.
+// Refusal is the final answer to a request that the router gave up and that has not run.
 type Refusal struct {
-	RetryAfter core.Time
+	RetryAfter core.Time // header Retry-After, as the time from now
 	Reason     RefusalReason
 }
 
-// Decision is one of: an attempt to make, a refusal, or neither (nothing to do; the caller answers
-// by what it has).
+// Decision is an attempt to make, a refusal, or neither. With neither, nothing is left to do: the
+// caller answers the client with what it has.
 type Decision struct {
 	Attempt *Attempt
 	Refusal *Refusal
-	// StepReport is what the other proxies are to be notified of, by PeerStepReport; nil: nothing.
+	// StepReport is what the other proxies are to be notified of; nil: nothing.
 	StepReport *StepReport
 }
 
 // Outcome is how an attempt ended.
 type Outcome struct {
+	// Verdict tells whether the request may have run at the broker.
 	Verdict verdict.Verdict
-	// Answered: a complete answer or stream of the broker's own came (of whatever status) and went
+	// Answered reports whether a complete answer or stream from the broker, of whatever status, went
 	// to the client.
 	Answered bool
-	Status   int // 0: none came
-	// NotExecuted: refused with X-Kestrelspread-Not-Executed.
+	Status   int // HTTP status of the answer; 0: none came
+	// NotExecuted reports whether the request was refused with X-Kestrelspread-Not-Executed.
 	NotExecuted bool
-	// Misdirected: 421, another broker has the address or another version of the weights is loaded.
+	// Misdirected reports whether the answer was 421: another broker has the address, or another
+	// version of the weights is loaded.
 	Misdirected bool
-	// ConnectFailed: no connection came up.
+	// ConnectFailed reports whether no connection could be established.
 	ConnectFailed bool
-	// TimedOut: nothing came in the time given.
+	// TimedOut reports whether no answer came within the time limit.
 	TimedOut bool
-	// Canceled by this proxy, or its client left.
+	// Canceled reports whether this proxy or its client ended the attempt.
 	Canceled bool
-	// RetryAfter as the broker named it, 0 if it did not.
+	// RetryAfter is the broker's Retry-After; 0: none.
 	RetryAfter core.Time
-	Load       *Load
-	// Gaps between the events of a stream.
+	// Load is the broker's load report; nil: none came.
+	Load *Load
+	// Gaps describes the gaps between the events of a stream.
 	Gaps EventGaps
 }
 
-// EventGaps are the gaps between the events of a stream, as they came from its broker.
+// EventGaps describes the gaps between the events of a stream, as they arrived from its broker.
 type EventGaps struct {
 	Count int
-	Usual core.Time // while the broker reads no other prompt
+	Usual core.Time // a gap while the broker prefills no other prompt
 	Max   core.Time
 }
 
-// Port is what package forward calls; Router implements it. Calls are serialised by the caller.
+// Port is the interface of the router that package forward calls. Router implements it. The caller
+// must serialize the calls; see Guarded.
 type Port interface {
-	// Begin takes a request: an attempt or a refusal follows at once. Nothing is queued.
+	// Begin adds a request and returns an attempt or a refusal for it. Requests aren't queued.
 	Begin(now core.Time, request Request) (RequestID, Decision)
-	// Hedge is called at Attempt.HedgeAt if no byte of an answer has come; it may decide on a
-	// hedged request.
+	// Hedge is called at Attempt.HedgeAt if no byte of an answer has come. It may return a hedged
+	// attempt.
 	Hedge(now core.Time, request RequestID) Decision
-	// Started reports the head of an answer (for streams: the first event) of an attempt.
+	// Started reports that the head of an answer has come for an attempt; for streams, the first
+	// event.
 	Started(now core.Time, request RequestID, attempt int, load *Load)
-	// Finished reports the end of an attempt and may decide on another. resumable: the stream had
-	// begun and may be taken up again elsewhere with Last-Event-Id.
+	// Finished reports the end of an attempt and may return another one. resumable: the stream has
+	// begun and can be resumed at another broker with Last-Event-Id.
 	Finished(now core.Time, request RequestID, attempt int, outcome Outcome, resumable bool) Decision
-	// End forgets a request, once its final answer is out or its client has gone.
+	// End removes a request, once its final answer is sent or its client has gone.
 	End(now core.Time, request RequestID)
 
-	// SetTable takes a newer picture of the brokers.
+	// SetTable replaces the list of brokers.
 	SetTable(now core.Time, table *registry.Table)
-	// SetConfig takes a newer configuration.
+	// SetConfig replaces the configuration.
 	SetConfig(now core.Time, compiled *config.Compiled)
-	// SetPeers takes in how many proxies share the retry budget, this one included.
+	// SetPeers sets the number of proxies that share the retry budget, this one included.
 	SetPeers(now core.Time, proxies int)
 }
--- a/internal/node/routing/counters.go
+++ b/internal/node/routing/counters.go
@@ -1,40 +1,41 @@
 package routing
 
-// Counters tell what was decided since the start, for metrics.
+// Counters counts the router's decisions since its start, for metrics.
 type Counters struct {
 	Requests     uint64
-	ByAffinity   uint64 // sent to the broker that caches the prompt's parts, or should
-	ByPrediction uint64 // a broker was passed over because it was predicted slow
-	ByLoad       uint64 // sent to the one with the fewest requests
-	AllSlow      uint64 // all were predicted slow, and the first took it
-	Fallback     uint64 // sent to an ejected broker, as nothing better was left
-	Probes       uint64 // of ejected brokers
-	Ejections    uint64 // of brokers, by how their calls ended
-	Hedges       uint64
-	Retries      uint64
-	BudgetDenied uint64
-	Fetches      uint64
-	Saves        uint64
+	ByAffinity   uint64 // sent to the broker that caches the prompt's parts, or should by the rendezvous order
+	ByPrediction uint64 // sent to another broker than the first choice, which was predicted slow
+	ByLoad       uint64 // sent to the broker with the fewest requests or the least work
+	AllSlow      uint64 // sent to the first choice, as all brokers were predicted slow
+	Fallback     uint64 // sent to an ejected broker, as no other was eligible
+	Probes       uint64 // requests that probed ejected brokers
+	Ejections    uint64 // ejections of brokers because of how their calls ended
+	Hedges       uint64 // hedged attempts
+	Retries      uint64 // attempts that followed a failed or refused one
+	BudgetDenied uint64 // retries and hedged attempts that the retry budget didn't allow
+	Fetches      uint64 // attempts with Kv-Fetch
+	Saves        uint64 // attempts with Kv-Save
 	Refusals     map[RefusalReason]uint64
 	Prompts      PromptCounters
-	Late         map[LateCause]uint64 // answers of model brokers
+	Late         map[LateCause]uint64 // late answers of model brokers
 }
 
-// PromptCounters count the shared tokens of prompts that were sent to model brokers, by where they
-// were expected to come from.
+// PromptCounters counts the shared tokens of the prompts that were sent to model brokers, by the source
+// that was expected for them at the send.
 type PromptCounters struct {
-	Shared     uint64 // in all
-	Cached     uint64 // by the chosen broker
-	Arriving   uint64 // being read there for an earlier request
+	Shared     uint64 // all of them
+	Cached     uint64 // cached by the chosen broker
+	Arriving   uint64 // being prefilled there for an earlier request
 	FromBroker uint64 // fetched from another broker
 	FromStore  uint64 // fetched from a store
-	FirstSeen  uint64 // to be read, not sent to any broker recently
-	Repeated   uint64 // to be read, though some broker was sent them recently
-	// BlindFetches counts fetches that were named though nobody was known to cache what is missing.
+	FirstSeen  uint64 // to be prefilled, not sent to any broker recently
+	Repeated   uint64 // to be prefilled, although they were sent to some broker recently
+	// BlindFetches counts attempts with Kv-Fetch for which no source was known to cache the missing
+	// tokens.
 	BlindFetches uint64
 }
 
-// clone copies the counters for a reader.
+// clone returns a copy of the counters with a map of refusals of its own.
 func (c *Counters) clone() Counters {
 	out := *c
 	out.Refusals = make(map[RefusalReason]uint64, len(c.Refusals))
--- a/internal/node/routing/hedge.go
+++ b/internal/node/routing/hedge.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	defaultHedgeDelayFactor = 1.0  // of the route's target latency, where too few answers tell its percentile
-	minHedgeDelay           = 20.0 // ms
-	maxMedianShareOfDelay   = 0.67 // of the delay that a usual answer may take, or a hedged request hardly comes first
-	minHedgeTimeShare       = 0.1  // share of the time left that a hedged request must have to be of use
+	defaultHedgeDelayFactor = 1.0  // multiple of the route's target latency, used while there are too few answers for a percentile
+	minHedgeDelay           = 20.0 // ms, lower bound of the delay
+	maxMedianShareOfDelay   = 0.67 // share of the delay that a median answer may take; above it, a hedged request rarely answers first
+	minHedgeTimeShare       = 0.1  // share of the time to the deadline that must be left for a hedged request to be useful
 )
 
-// hedgeAt is when an attempt whose answer has not begun may be hedged: past pX of its class's
-// latencies.
+// hedgeAt returns when the attempt that is sent now may be hedged unless its answer has begun; core.Never:
+// it is not hedged. The delay is a high percentile (pX) of the latencies of the request's class.
 func (r *Router) hedgeAt(now core.Time, req *request) core.Time {
 	if !r.switches.On(mechanism.Hedging) || !req.Idempotent || req.Hedged || req.Runs() >= req.Route.MaxAttempts {
 		return core.Never
 	}
 	delay, answers := req.Class.Quantile(now, req.Pool.HedgeQuantile(now))
-	usual, _ := req.Class.Quantile(now, 0.5)
-	delay = max(delay, usual/maxMedianShareOfDelay) * req.Work
+	median, _ := req.Class.Quantile(now, 0.5)
+	delay = max(delay, median/maxMedianShareOfDelay) * req.Work
 	if answers < predict.MinSamples {
 		delay = defaultHedgeDelayFactor * req.Route.TargetLatencyMs
 	}
@@ -35,8 +35,8 @@
 	return at
 }
 
-// Hedge decides on the design's hedged request: one, to the next broker that looks fast, within
-// maxAttempts and the retry budget.
+// Hedge may return a hedged attempt for a request that still waits for its first answer: at most one,
+// to a broker that is predicted fast, within the route's MaxAttempts and the retry budget.
 func (r *Router) Hedge(now core.Time, id RequestID) Decision {
 	req := r.requests[id]
 	if req == nil || !r.switches.On(mechanism.Hedging) {
@@ -51,7 +51,8 @@
 	if r.ejector.Measurable(awaiting) {
 		pool.TeachOverdue(now, awaiting)
 	}
-	// Where slowness is everywhere, a hedged request takes from another what it gives to its own.
+	// While the whole service is slow, a hedged request would gain time only at the expense of other
+	// requests.
 	faulty := awaiting.Broker.Health.Ejected() || r.ejector.TimedOut(now, pool, awaiting.Broker)
 	if pool.Crowded() && !faulty {
 		return Decision{}
--- a/internal/node/routing/lateanswers.go
+++ b/internal/node/routing/lateanswers.go
@@ -9,51 +9,59 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// LateCause says why an answer of a model broker was late. Late answers are counted by cause, and
-// the newest are kept with what was believed of their broker, so that on-call can tell a wrong
-// choice from a broker that did not do what was expected of it.
+// LateCause is why an answer of a model broker was late. Late answers are counted by cause, and the
+// newest are kept with the state that was assumed of their broker. They show the engineer on call
+// whether the router chose the wrong broker or the broker was slower than expected.
 type LateCause string
 
-// The causes.
+// The causes of late answers. Their texts are part of the node's status and stay as they are.
 const (
-	LateByAttempts    LateCause = "earlier attempts"         // time went by before it was sent to the broker that answered
-	LateByBacklog     LateCause = "waited for other prompts" // as expected at the send
-	LateByPrefill     LateCause = "its prompt was long"      // as expected at the send
-	LateUnexpected    LateCause = "first event unforeseen"   // the estimate at the send was in time
+	// LateByAttempts: more than half of the target had passed before the attempt that answered was sent.
+	LateByAttempts LateCause = "earlier attempts"
+	// LateByBacklog: the first event was expected late at the send, mainly because of other prompts.
+	LateByBacklog LateCause = "waited for other prompts"
+	// LateByPrefill: the first event was expected late at the send, and prefilling the request's own
+	// prompt was expected to take more than half of the target.
+	LateByPrefill LateCause = "its prompt was long"
+	// LateUnexpected: the first event was expected in time at the send.
+	LateUnexpected LateCause = "first event unforeseen"
+	// LateByLongPrefill: a gap between events was too long, and the broker prefilled a long prompt.
 	LateByLongPrefill LateCause = "pause: a long prompt was read"
-	LateByUnknownGap  LateCause = "pause: nothing known"
+	// LateByUnknownGap: a gap between events was too long, and no cause is known.
+	LateByUnknownGap LateCause = "pause: nothing known"
 )
 
-// LateRequest is an answer that was late, with what was believed of its broker when it was sent.
+// LateRequest describes an answer that was late, with the state that was assumed of its broker at the
+// send.
 type LateRequest struct {
-	DetectedAt          core.Time // when it showed
+	DetectedAt          core.Time // when the router learned of it
 	Route               string
 	Instance            string
 	Cause               LateCause
-	FirstEvent          core.Time // from the receipt to the first event
-	MaxGap              core.Time // the longest between two events; 0: not known yet
-	PrefillTokens       int       // tokens of its prompt that the broker was to read
-	QueuedPrefillTokens int       // tokens that the broker was to read before the first event, its own included
-	LongestOtherPrompt  int       // tokens of the longest prompt that the broker was sent meanwhile
-	Load                float64   // of the broker, as believed
-	Reported            Load      // the broker's last report
+	FirstEvent          core.Time // from the receipt of the request to the first event
+	MaxGap              core.Time // longest gap between two events; 0: not known yet
+	PrefillTokens       int       // tokens of its prompt that the broker had to prefill
+	QueuedPrefillTokens int       // tokens that the broker had to prefill before the first event, PrefillTokens included
+	LongestOtherPrompt  int       // tokens of the longest prompt that was sent to the broker meanwhile
+	Load                float64   // estimated load of the broker at the send
+	Reported            Load      // the broker's last load report
 }
 
 const (
-	maxRecentLate = 32 // late answers that are kept
-	// longPromptLead is how long before a stream began a prompt may have been sent that is still
-	// read in it.
+	maxRecentLate = 32 // number of the newest late answers that are kept
+	// longPromptLead is how long before a stream a prompt may have been sent whose prefill can still
+	// delay the stream's events.
 	longPromptLead = 500 * time.Millisecond
 )
 
-// recentLateAnswers counts late answers and keeps the newest.
+// recentLateAnswers counts late answers by cause and keeps the newest.
 type recentLateAnswers struct {
 	counts map[LateCause]uint64
-	newest []LateRequest // a ring
-	next   int
+	newest []LateRequest // ring buffer of at most maxRecentLate
+	next   int           // index of the oldest in a full ring, which is overwritten next
 }
 
-// add counts a late answer and keeps it in place of the oldest.
+// add counts a late answer and stores it, in place of the oldest if the ring is full.
 func (l *recentLateAnswers) add(late LateRequest) {
 	if l.counts == nil {
 		l.counts = make(map[LateCause]uint64)
@@ -67,15 +75,16 @@
 	l.next = (l.next + 1) % maxRecentLate
 }
 
-// list gives what is kept, the oldest first.
+// list returns the late answers that are kept, the oldest first.
 func (l *recentLateAnswers) list() []LateRequest {
 	return append(slices.Clone(l.newest[l.next:]), l.newest[:l.next]...)
 }
 
-// Late lists the newest late answers, the oldest first.
+// Late returns the newest late answers, the oldest first.
 func (r *Router) Late() []LateRequest { return r.lateAnswers.list() }
 
-// recordLateFirstEvent counts an answer whose first event came later than its route's target.
+// recordLateFirstEvent records an answer if its first event came later than its route's target, and
+// determines the cause.
 func (r *Router) recordLateFirstEvent(now core.Time, req *request, c *brokerstate.Call) {
 	target := units.FromMilliseconds(req.Route.TargetLatencyMs)
 	if req.ServedModel == "" || target <= 0 || now-req.Received <= target {
@@ -98,8 +107,8 @@
 	r.lateAnswers.add(late)
 }
 
-// recordLateGap counts an answer with a gap between events that is longer than its route allows,
-// unless its first event was late already.
+// recordLateGap records an answer if it has a longer gap between events than its route allows, unless
+// its first event was late already.
 func (r *Router) recordLateGap(now core.Time, req *request, c *brokerstate.Call, gaps EventGaps) {
 	allowed := units.FromMilliseconds(req.Route.GapTargetMs)
 	if req.ServedModel == "" || allowed <= 0 || gaps.Max <= allowed || c.Late {
@@ -115,7 +124,8 @@
 	r.lateAnswers.add(late)
 }
 
-// newLateRequest is a late answer with what was believed of its broker at the send.
+// newLateRequest returns the description of a late answer, with the state that was assumed of its
+// broker at the send.
 func newLateRequest(now core.Time, req *request, c *brokerstate.Call, cause LateCause) LateRequest {
 	return LateRequest{
 		DetectedAt: now, Route: req.Route.Name, Instance: c.Broker.Instance.ID, Cause: cause,
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -10,10 +10,11 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// statusTimeout is a broker's answer at the request's deadline.
+// statusGatewayTimeout is the status of a broker that reached the deadline of the request.
 const statusGatewayTimeout = 504
 
-// Started takes the head of an answer, for streams its first event: what the predictor learns from.
+// Started records the head of an answer; for streams, the first event. The latency until then is what
+// the predictor learns from.
 func (r *Router) Started(now core.Time, id RequestID, number int, load *Load) {
 	req := r.requests[id]
 	if req == nil {
@@ -35,12 +36,12 @@
 	}
 	if req.Route.Kind == config.KindStreaming {
 		r.recordLateFirstEvent(now, req, c)
-		r.learnLatency(now, req, c) // an event is no quick error
+		r.learnLatency(now, req, c) // a stream with an event is no fast error answer
 	}
 }
 
-// learnLatency takes an answer's latency into the measures, once it is known to be one that was worked
-// for.
+// learnLatency adds the latency of an answer to the statistics, once it is known that the request was
+// executed. It does so once a call.
 func (r *Router) learnLatency(now core.Time, req *request, c *brokerstate.Call) {
 	if c.Learnt() || !c.Started || !r.ejector.Measurable(c) {
 		return
@@ -59,7 +60,7 @@
 	}
 }
 
-// Finished takes the end of an attempt and decides on a further one.
+// Finished records the end of an attempt and decides on a further one.
 func (r *Router) Finished(now core.Time, id RequestID, number int, outcome Outcome, resumable bool) Decision {
 	req := r.requests[id]
 	if req == nil {
@@ -77,7 +78,7 @@
 	return decision
 }
 
-// decideAfterAttempt decides on a further attempt once one has ended.
+// decideAfterAttempt decides whether another attempt follows one that has ended.
 func (r *Router) decideAfterAttempt(now core.Time, req *request, outcome *Outcome, resumable bool) Decision {
 	if outcome.Answered || outcome.Canceled || req.Outstanding() {
 		return Decision{}
@@ -88,11 +89,11 @@
 	return r.retry(now, req, outcome)
 }
 
-// recordCallEnd takes in what a call's end tells of its broker.
+// recordCallEnd updates the state of a broker by how a call to it ended.
 func (r *Router) recordCallEnd(now core.Time, req *request, c *brokerstate.Call, outcome *Outcome) {
 	b, pool := c.Broker, req.Pool
 	if !c.Started && r.ejector.TimedOut(now, pool, b) {
-		r.ejector.Eject(now, b, brokerstate.Unresponsive) // nothing that waits there shows it any more
+		r.ejector.Eject(now, b, brokerstate.Unresponsive) // no call that still waits there would show the timeout
 	}
 	if outcome.unanswered() && !c.Started && r.ejector.Measurable(c) {
 		pool.TeachOverdue(now, c)
@@ -122,7 +123,7 @@
 	}
 }
 
-// recordCallRefusal takes in that a call was rejected with X-Kestrelspread-Not-Executed.
+// recordCallRefusal records that a broker refused a call with X-Kestrelspread-Not-Executed.
 func (r *Router) recordCallRefusal(now core.Time, req *request, b *brokerstate.Broker, outcome *Outcome) {
 	req.Refused++
 	switch {
@@ -136,8 +137,9 @@
 	}
 }
 
-// refusedForRollout reports whether a broker refused a request for new weights rather than for want
-// of capacity: it lacks a version that was named, and has slots.
+// refusedForRollout reports whether a broker refused a request because of a rollout of new weights and
+// not for lack of capacity: it doesn't have the newest version that the configuration names, and by its
+// load report, if it sent one, fewer requests wait there than it has slots.
 func (r *Router) refusedForRollout(req *request, b *brokerstate.Broker, outcome *Outcome) bool {
 	if req.ServedModel == "" || r.versions.VersionOf(b.Instance, req.ServedModel) >= r.versions.Newest(req.ServedModel) {
 		return false
@@ -146,22 +148,23 @@
 	return load == nil || load.Waiting < load.Slots
 }
 
-// serverError reports whether the broker answered that it failed.
+// serverError reports whether the broker answered with a status of 500 or above.
 func (o *Outcome) serverError() bool { return o.Status >= 500 }
 
-// mayHaveArrived reports whether the request may have reached the broker: not where no connection came up,
-// nor where this proxy had none to spare.
+// mayHaveArrived reports whether the request may have reached the broker. It hasn't if no connection
+// could be established, or if this proxy had no connection left for it.
 func (o *Outcome) mayHaveArrived() bool {
 	return !o.ConnectFailed && !(o.NotExecuted && o.Status == 0)
 }
 
-// unanswered reports whether nothing that the broker said ended the attempt.
+// unanswered reports whether the attempt ended without an answer or a refusal from the broker, although
+// a connection was established.
 func (o *Outcome) unanswered() bool {
 	return !o.NotExecuted && !o.ConnectFailed && !o.Misdirected && o.Status == 0
 }
 
-// brokerFault tells whether a call's end speaks against its broker, and how. That an answer came too late
-// does not, where the broker answered others meanwhile: it has too much to do.
+// brokerFault returns the fault that the end of a call shows in its broker, if any. A timeout is no fault
+// if the broker answered other calls meanwhile: it is only overloaded.
 func (o *Outcome) brokerFault(c *brokerstate.Call) (brokerFault brokerstate.Fault, faulty bool) {
 	switch {
 	case o.Misdirected:
--- a/internal/node/routing/peers.go
+++ b/internal/node/routing/peers.go
@@ -7,32 +7,32 @@
 	"kestrelspread/internal/node/routing/units"
 )
 
-// Proxies notify one another of what they send to model brokers and of how fast these are, so that
-// each knows the brokers nearly as well as if all requests passed through it.
+// Proxies notify one another of the prompts that they send to model brokers and of how fast these
+// brokers are. Each proxy so knows the brokers nearly as well as if it had sent all requests itself.
 
 const (
-	minStepGaps         = 6    // intervals of a stream before they tell a broker's step time
-	notifiedStreamShare = 0.25 // share of the streams that the other proxies are notified of
+	minStepGaps         = 6    // gaps that a stream must have before the broker's step time is taken from them
+	notifiedStreamShare = 0.25 // share of the streams whose step time is sent to the other proxies
 )
 
-// SentPrompt is what other proxies are notified of when an attempt goes to a model broker.
+// SentPrompt notifies other proxies of a prompt that was sent to a model broker.
 type SentPrompt struct {
 	Instance string // instance id
 	Salt     uint64 // cachesalt.ID of Cache-Salt
-	// Parts are the prompt's shared parts, in order. The broker caches them once it has read the
+	// Parts are the prompt's shared parts, in order. The broker caches them once it has prefilled the
 	// prompt.
 	Parts []prompt.Part
-	// PrefillTokens is how many tokens of the prompt the broker has to read.
+	// PrefillTokens is the number of tokens of the prompt that the broker has to prefill.
 	PrefillTokens int
 }
 
-// StepReport is what other proxies are notified of when a stream has ended.
+// StepReport notifies other proxies, at the end of a stream, of its broker's step time.
 type StepReport struct {
 	Instance      string    // instance id
-	EventInterval core.Time // between two events while the broker reads no other prompt
+	EventInterval core.Time // between two events while the broker prefills no other prompt
 }
 
-// PeerSentPrompt tells what another proxy has sent to a model broker.
+// PeerSentPrompt records that another proxy sent a prompt to a model broker. It ignores unknown brokers.
 func (r *Router) PeerSentPrompt(now core.Time, sent SentPrompt) {
 	b := r.brokers[sent.Instance]
 	if b == nil {
@@ -41,16 +41,17 @@
 	r.recordSentPrompt(now, r.service(b.Instance.Service).pool, b, sent.Salt, sent.Parts, sent.PrefillTokens)
 }
 
-// PeerStepReport tells what a stream of another proxy showed of a broker's pace.
+// PeerStepReport records the step time of a broker as a stream of another proxy showed it. It ignores
+// unknown brokers.
 func (r *Router) PeerStepReport(seen StepReport) {
 	if b := r.brokers[seen.Instance]; b != nil && seen.EventInterval > 0 {
 		b.ObserveStep(units.Milliseconds(seen.EventInterval))
 	}
 }
 
-// learnStepTime takes what a stream of this proxy showed of its broker, and returns what the other
-// proxies are to be notified of; nil: nothing. Which streams these are is chance, so that they
-// don't learn only of what is unusual.
+// learnStepTime records the step time of a broker as a stream of this proxy showed it, and returns the
+// report for the other proxies; nil: none. The streams that are reported are drawn at random, so that
+// the other proxies don't learn of unusual streams only.
 func (r *Router) learnStepTime(req *request, c *brokerstate.Call, gaps EventGaps) *StepReport {
 	if req.ServedModel == "" || gaps.Count < minStepGaps || gaps.Usual <= 0 || !r.ejector.Measurable(c) {
 		return nil
--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -10,13 +10,13 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// request is one that this proxy holds.
+// request is a request that this proxy holds.
 type request struct {
 	inflight.Request
 	service *serviceState
 }
 
-// Begin takes a request and decides at once.
+// Begin adds a request and returns an attempt or a refusal for it.
 func (r *Router) Begin(now core.Time, received Request) (RequestID, Decision) {
 	req := r.register(now, received)
 	req.Pool.Refresh(now)
@@ -43,7 +43,8 @@
 	return req.ID, r.send(now, req, found, choice)
 }
 
-// register starts to hold a request.
+// register adds a request to those that the router holds, and to the statistics of its service and
+// route.
 func (r *Router) register(now core.Time, received Request) *request {
 	r.lastID++
 	r.counters.Requests++
@@ -72,8 +73,8 @@
 	return req
 }
 
-// runsModels reports whether a service's brokers have an engine, and so versions of weights and
-// cached prompts.
+// runsModels reports whether the brokers of a service run models, so that they have versions of
+// weights and cached prompts.
 func (r *Router) runsModels(service string) bool {
 	if r.compiled == nil {
 		return false
@@ -82,14 +83,14 @@
 	return s != nil && s.Engine != nil
 }
 
-// oversized reports whether a request is larger than a broker's memory, which refuses it as if it
-// were full.
+// oversized reports whether a request needs more KV memory than a broker has. A broker refuses such a
+// request in the same way as a full broker does.
 func (r *Router) oversized(received *Request) bool {
 	capacity := r.compiled.Services[received.Service].Engine.KVCapacityTokens
 	return capacity > 0 && float64(received.TokensIn+received.TokensOut) > capacity
 }
 
-// choose chooses among the eligible candidates and counts why.
+// choose chooses one of the eligible candidates and counts the reason of the choice.
 func (r *Router) choose(now core.Time, req *request, found *candidate.Set) placement.Choice {
 	choice := r.placer.Choose(now, &req.Request, found)
 	switch choice.Reason {
@@ -107,7 +108,8 @@
 	return choice
 }
 
-// decideWithoutEligible answers where no eligible broker is left for a request that was not sent yet.
+// decideWithoutEligible decides on a request that was not sent yet and for which no broker is eligible:
+// it is refused, or sent to an ejected broker.
 func (r *Router) decideWithoutEligible(now core.Time, req *request, found *candidate.Set) Decision {
 	switch {
 	case found.BackingOff > 0:
@@ -117,21 +119,21 @@
 	}
 	ejected := found.FirstEjected()
 	if !req.Idempotent && ejected.Broker.Health.Reason() == brokerstate.Unresponsive {
-		return r.refuse(now, req, admission.ReasonBrokersUnhealthy, core.Never) // it would be lost, where another proxy may serve it
+		return r.refuse(now, req, admission.ReasonBrokersUnhealthy, core.Never) // it would be lost there, and another proxy may serve it
 	}
 	r.counters.Fallback++
 	r.placer.Predict(now, &req.Request, found, ejected)
 	return r.send(now, req, found, placement.Choice{Candidate: ejected})
 }
 
-// refuse is the final answer to a request that has not run. capacityAt is when a broker may have
-// capacity; core.Never: not known.
+// refuse returns the refusal of a request that has not run, and counts it. capacityAt is when a broker
+// may have capacity; core.Never: not known.
 func (r *Router) refuse(now core.Time, req *request, reason RefusalReason, capacityAt core.Time) Decision {
 	r.counters.Refusals[reason]++
 	return Decision{Refusal: &Refusal{Reason: reason, RetryAfter: r.admissionControl.RetryAfter(now, &req.Request, reason, capacityAt)}}
 }
 
-// End forgets a request. What is still out of it counts as canceled.
+// End removes a request. Its attempts that haven't ended count as canceled.
 func (r *Router) End(now core.Time, id RequestID) {
 	req := r.requests[id]
 	if req == nil {
--- a/internal/node/routing/retry.go
+++ b/internal/node/routing/retry.go
@@ -6,10 +6,10 @@
 	"kestrelspread/internal/node/routing/candidate"
 )
 
-// maxSends bounds the attempts of one request, those included that brokers refused.
+// maxTotalAttempts bounds the attempts of one request, including those that brokers refused.
 const maxTotalAttempts = 5
 
-// retry decides on a further attempt for a request of which nothing is out any more.
+// retry decides on a further attempt for a request all of whose attempts have ended.
 func (r *Router) retry(now core.Time, req *request, outcome *Outcome) Decision {
 	if !outcome.Verdict.MayRepeat(req.Idempotent) || req.MayHaveRun() && !req.Idempotent {
 		return Decision{}
@@ -27,7 +27,7 @@
 	return r.giveUp(now, req, reason)
 }
 
-// retryObstacle names what keeps the request from a further attempt, or is empty.
+// retryObstacle returns the reason against a further attempt of the request; empty: none.
 func (r *Router) retryObstacle(now core.Time, req *request) RefusalReason {
 	switch {
 	case req.Deadline-now < admission.MinTimeLeft:
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// reasonWithoutEligible tells why no eligible broker is left.
+// reasonWithoutEligible returns the reason for which no broker is eligible for the request.
 func reasonWithoutEligible(req *request, found *candidate.Set) RefusalReason {
 	switch {
 	case found.BackingOff > 0 || req.Refused > 0:
@@ -54,8 +54,9 @@
 	}
 }
 
-// giveUp refuses where the request can't have run; where it may have, the caller answers by what it
-// has, as a refusal promises that it has not (verdict.MayPromise).
+// giveUp ends a request that gets no further attempt. It refuses the request only if that can't have
+// run, because a refusal promises this to the client (verdict.MayPromise). Otherwise the caller
+// answers with what it has.
 func (r *Router) giveUp(now core.Time, req *request, reason RefusalReason) Decision {
 	if req.MayHaveRun() {
 		return Decision{}
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -18,8 +18,9 @@
 	"kestrelspread/internal/node/routing/routeclass"
 )
 
-// Router decides for one proxy. It holds the requests and the state of the brokers, and passes each
-// question on to the package whose concern it is. It isn't safe for concurrent use: see Guarded.
+// Router makes the routing decisions of one proxy. It holds the requests and the state of the brokers,
+// and delegates each part of a decision to the package for it. It isn't safe for concurrent use: see
+// Guarded.
 type Router struct {
 	options  Options
 	switches mechanism.Switches
@@ -44,7 +45,7 @@
 	lateAnswers recentLateAnswers
 }
 
-// serviceState is what is known of a service of brokers.
+// serviceState is the state of one service: its brokers, retry budget and overload detection.
 type serviceState struct {
 	pool     *brokerstate.Pool
 	budget   retrybudget.Budget
@@ -53,7 +54,7 @@
 
 var _ Port = (*Router)(nil)
 
-// New makes a router that knows neither brokers nor a configuration.
+// New returns a router without brokers and without a configuration.
 func New(now core.Time, options Options) *Router {
 	options.applyDefaults()
 	switches := mechanism.NewSwitches(options.Disabled)
@@ -77,7 +78,7 @@
 	return r
 }
 
-// Counters copies what was counted since the start.
+// Counters returns a copy of the counters since the start.
 func (r *Router) Counters() Counters {
 	counters := r.counters.clone()
 	counters.Late = maps.Clone(r.lateAnswers.counts)
@@ -86,17 +87,18 @@
 	return counters
 }
 
-// PendingRequests is how many requests are held.
+// PendingRequests returns the number of requests that the router holds.
 func (r *Router) PendingRequests() int { return len(r.requests) }
 
-// SetPeers tells how many proxies share the retry budget, this one included.
+// SetPeers sets the number of proxies that share the retry budget, this one included. It ignores
+// numbers below 1.
 func (r *Router) SetPeers(now core.Time, proxies int) {
 	if proxies > 0 {
 		r.retryLimits.Proxies.Set(now, proxies)
 	}
 }
 
-// SetConfig takes a newer configuration.
+// SetConfig replaces the configuration.
 func (r *Router) SetConfig(now core.Time, compiled *config.Compiled) {
 	r.compiled = compiled
 	r.cache.SetConfig(compiled)
@@ -104,19 +106,19 @@
 	r.isolatedTenants.Observe(compiled)
 }
 
-// CoreDisturbed tells that the core was unstable at a time: a machine of it was lost, and the
-// agreed view dropped it. The time for older weights is counted anew from there. at must not be
-// later than the fault may have been, which lasts for contactMs (RULES.md, "Stable"); a fault of
-// disks alone is none.
+// CoreDisturbed records that the core was unstable at a time, because it lost a machine and the agreed
+// view dropped that machine. The grace period for older weights restarts from there. at must not be
+// later than the latest possible time of the fault; the core counts as unstable for contactMs after it
+// (RULES.md, "Stable"). Faults of disks alone don't make the core unstable.
 func (r *Router) CoreDisturbed(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
 
-// Resumed tells that this process stood still until now: what it didn't receive meanwhile is no
-// timeout of brokers, and latencies that span it mean nothing.
+// Resumed records that this process was paused until now. Answers that it didn't receive meanwhile
+// don't count as timeouts of brokers, and latencies that include the pause are ignored.
 func (r *Router) Resumed(now core.Time) { r.ejector.Resumed(now) }
 
-// SetTable takes a newer picture of the brokers.
+// SetTable replaces the list of brokers. The state of brokers that stay in it is kept.
 func (r *Router) SetTable(now core.Time, table *registry.Table) {
-	first := len(r.brokers) == 0
+	firstTable := len(r.brokers) == 0
 	for id := range r.brokers {
 		if instance := table.ByID[id]; instance == nil || instance.State == registry.Gone {
 			delete(r.brokers, id)
@@ -130,14 +132,14 @@
 		pool := r.service(name).pool
 		for _, instance := range instances {
 			if instance.State != registry.Gone {
-				pool.Brokers = append(pool.Brokers, r.broker(now, instance, !first))
+				pool.Brokers = append(pool.Brokers, r.broker(now, instance, !firstTable))
 			}
 		}
 	}
 }
 
-// broker is the state of an instance. joined: the instance, if it is new here, has just joined the
-// fleet.
+// broker returns the state of an instance, updated from its entry in the table. It creates the state
+// of an unknown instance. joined: an unknown instance has just joined the fleet.
 func (r *Router) broker(now core.Time, instance *registry.Instance, joined bool) *brokerstate.Broker {
 	b := r.brokers[instance.ID]
 	if b == nil {
@@ -148,7 +150,7 @@
 	return b
 }
 
-// service is the state of a service, which is made where there is none.
+// service returns the state of a service, which it creates if there is none.
 func (r *Router) service(name string) *serviceState {
 	s := r.services[name]
 	if s == nil {
@@ -158,15 +160,15 @@
 	return s
 }
 
-// ObserveLoad takes a broker's count that came otherwise than with an answer to a request.
+// ObserveLoad records a broker's load report that didn't come with the answer to a request.
 func (r *Router) ObserveLoad(now core.Time, instance string, load Load) {
 	if b := r.brokers[instance]; b != nil {
 		b.ReportLoad(now, &load)
 	}
 }
 
-// StoreSeen tells of a sign of life of a store, or that it was asked and gave none. lost: what it
-// cached is gone, which the index reports as well.
+// StoreSeen records whether a store answered its last health check. The last parameter, whether the
+// store lost its contents, is ignored: the index reports that as well.
 func (r *Router) StoreSeen(_ core.Time, address string, alive, _ bool) {
 	r.cache.StoreSeen(address, alive)
 }
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// minNotifyTokens is how many tokens a broker must have to read for an attempt for other
-	// proxies to be notified.
+	// minNotifyTokens is the number of tokens that a broker must have to prefill for an attempt
+	// before other proxies are notified of it.
 	minNotifyTokens    = 500
-	priorityPerUrgency = 3
-	maxPriority        = 9
+	priorityPerUrgency = 3 // by which the header Priority grows with each level of urgency
+	maxPriority        = 9 // of the header Priority
 )
 
-// priorityHeader is the Priority header: 0 to 9, 0 first (PROTOCOL.md, "Requests").
+// priorityHeader returns the value of the header Priority: 0 to 9, where brokers run 0 first
+// (PROTOCOL.md, "Requests").
 func priorityHeader(urgency int) int {
 	return min(max(urgency, 0)*priorityPerUrgency, maxPriority)
 }
 
-// send makes the attempt.
+// send creates the attempt that sends the request to the chosen broker, and records it.
 func (r *Router) send(now core.Time, req *request, found *candidate.Set, choice placement.Choice) Decision {
 	chosen := choice.Candidate
 	b := chosen.Broker
@@ -40,7 +41,7 @@
 		Arrived:       true,
 	}
 	b.Health.BeginProbe(call)
-	out := &Attempt{
+	attempt := &Attempt{
 		Request:      req.ID,
 		Number:       call.Number,
 		Instance:     b.Instance,
@@ -48,71 +49,75 @@
 		ByPrediction: choice.Predicted,
 	}
 	if req.ServedModel != "" {
-		r.setModelHeaders(now, req, found, chosen, out)
-		call.Salt, call.FetchFrom = out.Salt, out.FetchFrom
-		r.countPromptTokens(req, chosen, out)
-		r.enqueuePrompt(now, req, call, out, chosen.Plan.PrefillTokens)
+		r.setModelHeaders(now, req, found, chosen, attempt)
+		call.Salt, call.FetchFrom = attempt.Salt, attempt.FetchFrom
+		r.countPromptTokens(req, chosen, attempt)
+		r.enqueuePrompt(now, req, call, attempt, chosen.Plan.PrefillTokens)
 	}
 	req.Calls = append(req.Calls, call)
 	b.CallSent(call)
-	out.HedgeAt = r.hedgeAt(now, req)
-	return Decision{Attempt: out}
+	attempt.HedgeAt = r.hedgeAt(now, req)
+	return Decision{Attempt: attempt}
 }
 
-// setModelHeaders fills in the headers for a model broker: its version, the salt, and where cached
-// parts come from and go.
-func (r *Router) setModelHeaders(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, out *Attempt) {
-	out.ExpectVersion = chosen.Version
-	out.Salt = cachesalt.Text(req.ServedModel, chosen.Version, req.IsolatedTenant)
-	if out.FetchFrom = r.cache.FetchSource(now, &req.Request, found.Eligible, chosen); out.FetchFrom != "" {
+// setModelHeaders sets the headers for a model broker: the version of the weights, the cache salt, and
+// where the broker fetches cached parts from and saves them to.
+func (r *Router) setModelHeaders(now core.Time, req *request, found *candidate.Set, chosen *candidate.Candidate, attempt *Attempt) {
+	attempt.ExpectVersion = chosen.Version
+	attempt.Salt = cachesalt.Text(req.ServedModel, chosen.Version, req.IsolatedTenant)
+	if attempt.FetchFrom = r.cache.FetchSource(now, &req.Request, found.Eligible, chosen); attempt.FetchFrom != "" {
 		r.counters.Fetches++
 	}
-	if out.SaveTo = r.cache.SaveTarget(now, &req.Request, chosen); out.SaveTo != "" {
+	if attempt.SaveTo = r.cache.SaveTarget(now, &req.Request, chosen); attempt.SaveTo != "" {
 		r.counters.Saves++
 	}
 }
 
-// enqueuePrompt puts the prompt of a call at the end of its broker's backlog.
-func (r *Router) enqueuePrompt(now core.Time, req *request, call *brokerstate.Call, out *Attempt, prefillTokens int) {
+// enqueuePrompt adds the prompt of a call to the end of its broker's prefill backlog. prefillTokens is
+// how many of its tokens the broker has to prefill; 0: all of them.
+func (r *Router) enqueuePrompt(now core.Time, req *request, call *brokerstate.Call, attempt *Attempt, prefillTokens int) {
 	if prefillTokens == 0 {
 		prefillTokens = req.TokensIn
 	}
 	call.PrefillTokens = prefillTokens
-	salt, parts := cachesalt.ID(out.Salt), prompt.SharedParts(req.Parts)
+	salt, parts := cachesalt.ID(attempt.Salt), prompt.SharedParts(req.Parts)
 	enqueued := r.recordSentPrompt(now, req.Pool, call.Broker, salt, parts, prefillTokens)
 	call.BacklogEnd, call.BacklogAhead = enqueued.End, enqueued.Ahead
 	if prefillTokens >= minNotifyTokens {
-		out.SentPrompt = &SentPrompt{Instance: out.Instance.ID, Salt: salt, Parts: parts, PrefillTokens: prefillTokens}
+		attempt.SentPrompt = &SentPrompt{Instance: attempt.Instance.ID, Salt: salt, Parts: parts, PrefillTokens: prefillTokens}
 	}
 }
 
-// recordSentPrompt takes in that a broker was sent a prompt, by this proxy or another.
-func (r *Router) recordSentPrompt(now core.Time, p *brokerstate.Pool, b *brokerstate.Broker, salt uint64, parts []prompt.Part, prefillTokens int) brokerstate.Enqueued {
+// recordSentPrompt records that this proxy or another sent a prompt to a broker: in the broker's prefill
+// backlog and in the view of what brokers cache.
+func (r *Router) recordSentPrompt(
+	now core.Time, p *brokerstate.Pool, b *brokerstate.Broker, salt uint64, parts []prompt.Part, prefillTokens int,
+) brokerstate.Enqueued {
 	enqueued := p.Enqueue(now, b, prefillTokens)
 	r.cache.RecordPrefill(now, enqueued.ReadyAt, b, salt, parts)
 	return enqueued
 }
 
-// countPromptTokens counts the shared tokens of a prompt by where they were expected to come from when it
-// was sent.
-func (r *Router) countPromptTokens(req *request, chosen *candidate.Candidate, out *Attempt) {
+// countPromptTokens counts the shared tokens of a prompt by the source that was expected for them when
+// the prompt was sent.
+func (r *Router) countPromptTokens(req *request, chosen *candidate.Candidate, attempt *Attempt) {
 	shared := prompt.SharedTokens(req.Parts)
 	cached := min(chosen.Cached, shared)
-	arriving := max(min(chosen.Arriving, shared)-cached, 0)
-	missing := shared - cached - arriving
+	inPrefill := max(min(chosen.Arriving, shared)-cached, 0)
+	missing := shared - cached - inPrefill
 	fetched := max(missing-chosen.Plan.SharedTokens, 0)
 	counts := &r.counters.Prompts
 	counts.Shared += uint64(shared)
 	counts.Cached += uint64(cached)
-	counts.Arriving += uint64(arriving)
-	if out.FetchFrom != "" && r.cache.IsStore(out.FetchFrom) {
+	counts.Arriving += uint64(inPrefill)
+	if attempt.FetchFrom != "" && r.cache.IsStore(attempt.FetchFrom) {
 		counts.FromStore += uint64(fetched)
 	} else {
 		counts.FromBroker += uint64(fetched)
 	}
 	counts.Repeated += uint64(chosen.Plan.RepeatedTokens)
 	counts.FirstSeen += uint64(max(missing-fetched-chosen.Plan.RepeatedTokens, 0))
-	if out.FetchFrom != "" && fetched == 0 {
+	if attempt.FetchFrom != "" && fetched == 0 {
 		counts.BlindFetches++
 	}
 }
