--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -11,11 +11,11 @@
 	"kestrelspread/internal/node/routing/brokerstate"
 )
 
-// A request is refused only when every broker's places are taken, and is told to come back in a
-// third of its time.
-func TestRefusedWhenAllAreFull(t *testing.T) {
+// A request is refused only while every broker is full, with a Retry-After of at most a third of the
+// time that is left.
+func TestRefusedWhileAllBrokersAreFull(t *testing.T) {
 	f := newFixture(t, instances(2))
-	rejectFirst := func() Decision {
+	refusedByBroker := func() Decision {
 		q := f.request(unsafeRoute)
 		q.Urgency = 1
 		a := f.mustBegin(q)
@@ -23,7 +23,7 @@
 		f.End(f.now, a.Request)
 		return d
 	}
-	assert.Assert(t, rejectFirst().Attempt != nil)
+	assert.Assert(t, refusedByBroker().Attempt != nil)
 	q := f.request(unsafeRoute)
 	q.Urgency = 1
 	a := f.mustBegin(q)
@@ -37,12 +37,13 @@
 	_, d = f.Begin(f.now, q)
 	assert.Assert(t, d.Refusal != nil)
 	urgent := f.request(unsafeRoute)
-	assert.Assert(t, f.mustBegin(urgent) != nil, "the most urgent try sooner")
+	assert.Assert(t, f.mustBegin(urgent) != nil, "the backoff of the most urgent requests is shorter")
 	f.now += brokerstate.RefusalBackoff
 	assert.Assert(t, f.mustBegin(q) != nil)
 }
 
-// Brokers that leave or load take nothing: no attempt goes there (RULES.md, DRAIN).
+// Brokers that drain or load weights get no attempt (RULES.md, DRAIN). Brokers that miss heartbeats to
+// the registry get one only if no other broker is usable.
 func TestOnlyUsableBrokers(t *testing.T) {
 	list := instances(4)
 	list[0].State = registry.Draining
@@ -56,15 +57,15 @@
 	}
 	f.SetTable(f.now, tableOf(list[:3]...))
 	a := f.mustBegin(f.request(unsafeRoute))
-	assert.Equal(t, a.Instance.ID, list[2].ID, "one that the registry misses is better than none")
+	assert.Equal(t, a.Instance.ID, list[2].ID, "an unresponsive broker is better than none")
 	f.SetTable(f.now, tableOf(list[:2]...))
 	_, d := f.Begin(f.now, f.request(safeRoute))
 	assert.Equal(t, d.Refusal.Reason, admission.ReasonNoBroker)
 }
 
-// An unsafe request isn't thrown after others that got no answer: it is promised not to have run,
-// and may be served elsewhere.
-func TestUnsafeRequestAndHangingBrokers(t *testing.T) {
+// An unsafe request isn't sent to a broker that doesn't answer: it would be lost there. It is refused,
+// so that another proxy may serve it.
+func TestUnsafeRequestsAvoidUnresponsiveBrokers(t *testing.T) {
 	f := newFixture(t, instances(1))
 	f.serveRequests(safeRoute, 40, 10*ms)
 	lost := f.mustBegin(f.request(unsafeRoute))
@@ -73,11 +74,11 @@
 	assert.Assert(t, d.Refusal != nil)
 	assert.Equal(t, d.Refusal.Reason, admission.ReasonBrokersUnhealthy)
 	f.Started(f.now, lost.Request, lost.Number, nil)
-	assert.Assert(t, f.mustBegin(f.request(unsafeRoute)) != nil, "a late answer is a sign of life")
+	assert.Assert(t, f.mustBegin(f.request(unsafeRoute)) != nil, "a late answer shows that the broker responds")
 }
 
-// What this process did not hear while it stood still is no silence of brokers.
-func TestResumedProcessBlamesNobody(t *testing.T) {
+// After a pause of this process, missing answers don't count as timeouts of brokers.
+func TestPausedProcessEjectsNoBroker(t *testing.T) {
 	f := newFixture(t, instances(1))
 	f.serveRequests(safeRoute, 40, 10*ms)
 	f.mustBegin(f.request(unsafeRoute))
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -11,8 +11,8 @@
 	"kestrelspread/internal/node/routing/prompt"
 )
 
-// All proxies send prompts with the same shared parts to the same broker, without exchange.
-func TestProxiesAgreeOnAPromptsBroker(t *testing.T) {
+// All proxies send prompts with the same shared parts to the same broker without communicating.
+func TestProxiesChooseTheSameBroker(t *testing.T) {
 	list := instances(9)
 	first, second := newFixture(t, list), newFixture(t, list)
 	second.setZone("z2")
@@ -30,7 +30,7 @@
 	}
 }
 
-// The loss of a broker moves its own parts only.
+// When a broker is lost, only the parts that it cached move to other brokers.
 func TestLossMovesOnlyTheLostBrokersParts(t *testing.T) {
 	list := instances(9)
 	f := newFixture(t, list)
@@ -50,25 +50,26 @@
 	}
 }
 
-// A broker that has clearly more to read than the rest is passed over, and the prompt's parts are
-// fetched from it.
+// A broker with a clearly longer prefill backlog than the others is passed over, and the prompt's parts
+// are fetched from it.
 func TestBusyBrokerIsPassedOver(t *testing.T) {
 	for _, c := range []struct {
-		waiting int // tokens
-		passed  bool
+		backlog    int // tokens
+		passedOver bool
 	}{{50, false}, {5000, true}} {
 		f := newFixture(t, instances(5))
 		f.StoreSeen(f.now, storeAddress, false, false)
 		owner := f.mustBegin(f.prompt(streamRoute, 77))
 		f.answerAfterPrefill(owner)
-		f.PeerSentPrompt(f.now, SentPrompt{Instance: owner.Instance.ID, PrefillTokens: c.waiting})
+		f.PeerSentPrompt(f.now, SentPrompt{Instance: owner.Instance.ID, PrefillTokens: c.backlog})
 		a := f.mustBegin(f.prompt(streamRoute, 77))
-		assert.Equal(t, a.Instance.ID != owner.Instance.ID, c.passed)
-		assert.Equal(t, a.FetchFrom == owner.Instance.Address, c.passed)
+		assert.Equal(t, a.Instance.ID != owner.Instance.ID, c.passedOver)
+		assert.Equal(t, a.FetchFrom == owner.Instance.Address, c.passedOver)
 	}
 }
 
-// fixedIndex names holders whatever is asked for, and notes what it is told.
+// fixedIndex is an index that returns the same holders for all parts, and records the brokers of which
+// it is notified.
 type fixedIndex struct {
 	holders  []prefixcache.Holder
 	observed []string
@@ -80,6 +81,8 @@
 	x.observed = append(x.observed, id)
 }
 
+// The index takes precedence over the rendezvous order, which decides between brokers that cache equally
+// much.
 func TestIndexDecidesBeforeAffinity(t *testing.T) {
 	index := &fixedIndex{}
 	f := newFixtureWithIndex(t, instances(8), index)
@@ -99,22 +102,22 @@
 	f.now += prefixcache.PrefillBelieved
 	index.holders = append(index.holders, prefixcache.Holder{Instance: owner.Instance.ID, Tokens: 1300})
 	a = f.mustBegin(f.prompt(streamRoute, 5))
-	assert.Equal(t, a.Instance.ID, owner.Instance.ID, "between equals the order decides that all proxies find")
+	assert.Equal(t, a.Instance.ID, owner.Instance.ID, "between equal holders the rendezvous order decides, which is the same for all proxies")
 }
 
-// Without a store, a broker is named as a source only if it is well and has the same weights.
+// Without a store, parts are fetched only from a broker that is healthy and has the same weights.
 func TestFetchSources(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		spoil   func(f *fixture, owner *registry.Instance)
+		change  func(f *fixture, owner *registry.Instance)
 		fetched bool
 	}{
-		{"well", func(*fixture, *registry.Instance) {}, true},
-		{"silent", func(_ *fixture, owner *registry.Instance) { owner.Unresponsive = true }, false},
+		{"healthy", func(*fixture, *registry.Instance) {}, true},
+		{"unresponsive", func(_ *fixture, owner *registry.Instance) { owner.Unresponsive = true }, false},
 		{"draining", func(_ *fixture, owner *registry.Instance) { owner.State = registry.Draining }, false},
 		{"loading", func(_ *fixture, owner *registry.Instance) { owner.Loading = true }, false},
 		{"another version", func(_ *fixture, owner *registry.Instance) { withVersion(owner, 2) }, false},
-		{"set aside", func(f *fixture, owner *registry.Instance) {
+		{"ejected", func(f *fixture, owner *registry.Instance) {
 			f.ejector.Eject(f.now, f.brokers[owner.ID], brokerstate.Failing)
 		}, false},
 	} {
@@ -125,7 +128,7 @@
 			f.answerAfter(a, ms)
 			owner := f.brokers[a.Instance.ID].Instance
 			f.PeerSentPrompt(f.now, SentPrompt{Instance: owner.ID, PrefillTokens: 20000})
-			c.spoil(f, owner)
+			c.change(f, owner)
 			a = f.mustBegin(f.prompt(streamRoute, 77))
 			assert.Assert(t, a.Instance.ID != owner.ID)
 			assert.Equal(t, a.FetchFrom == owner.Address, c.fetched)
--- a/internal/node/routing/benchmark_test.go
+++ b/internal/node/routing/benchmark_test.go
@@ -7,7 +7,7 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// The cost of one request from Begin to End.
+// BenchmarkRequest measures one request from Begin to End.
 func BenchmarkRequest(b *testing.B) {
 	for _, brokers := range []int{18, 600} {
 		for _, sticky := range []bool{false, true} {
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -24,17 +24,17 @@
 	"kestrelspread/internal/node/verdict"
 )
 
-// The golden file holds one line per seed and set of disabled mechanisms: how many decisions were
-// traced, and the SHA-256 of the trace. A trace has every decision to the digit, so a changed line
-// means that routing behaves differently. The digits are those of amd64; where the compiler fuses
-// multiplications and additions, they may differ.
+// The golden file has one line per seed and set of disabled mechanisms: the number of traced decisions
+// and the SHA-256 of the trace. A trace contains every decision with all digits of its numbers, so a
+// changed line means that routing behaves differently. The digits are those of amd64. They may differ on
+// platforms where the compiler fuses multiplications and additions.
 
-var updateDecisions = flag.Bool("update-decisions", false, "write testdata/golden/decisions.txt anew")
+var updateDecisions = flag.Bool("update-decisions", false, "rewrite testdata/golden/decisions.txt")
 
-// goldenSteps is how many random calls a trace has.
+// goldenSteps is the number of random calls in a trace.
 const goldenSteps = 2500
 
-// gapRoute is a route with a target for the pauses between events.
+// gapRoute is a route with a target for the gaps between events.
 var gapRoute = &config.Route{Name: "gap", Kind: config.KindStreaming, TimeoutMs: 4000, TargetLatencyMs: 300, GapTargetMs: 120,
 	MaxAttempts: 2, Sticky: true}
 
@@ -46,7 +46,8 @@
 	for _, info := range mechanism.All() {
 		lines = append(lines, traceRandomCalls(t, 4, info.Mechanism, info.Name))
 	}
-	lines = append(lines, traceSimulation(t, 0, "none"), traceEngines(t, 0, "none"), traceEngines(t, mechanism.RecentPrefills|mechanism.KVStore, "recent-reads,store"))
+	lines = append(lines, traceSimulation(t, 0, "none"), traceEngines(t, 0, "none"),
+		traceEngines(t, mechanism.RecentPrefills|mechanism.KVStore, "recent-reads,store"))
 	got := strings.Join(lines, "\n") + "\n"
 	path := filepath.Join("testdata", "golden", "decisions.txt")
 	if *updateDecisions {
@@ -57,8 +58,8 @@
 	assert.Equal(t, got, string(want))
 }
 
-// decisionTrace hashes what a router decides. Values are written without field names, so that a
-// rename changes no line.
+// decisionTrace hashes the decisions of a router. It writes values without field names, so that renaming
+// a field changes no line of the golden file.
 type decisionTrace struct {
 	hash      hash.Hash
 	decisions int
@@ -93,14 +94,14 @@
 	return fmt.Sprintf("%s: %d decisions %s", name, tr.decisions, hex.EncodeToString(tr.hash.Sum(nil)))
 }
 
-// randomCalls drives one router through its whole interface with calls drawn from a seed.
+// randomCalls calls all methods of one router in an order, and with arguments, that a seed determines.
 type randomCalls struct {
 	*fixture
-	trace    *decisionTrace
-	random   *rand.Rand
-	list     []*registry.Instance
-	versions map[string]uint64
-	open     []*openRequest
+	trace        *decisionTrace
+	random       *rand.Rand
+	instances    []*registry.Instance
+	versions     map[string]uint64
+	openRequests []*openRequest
 }
 
 type openRequest struct {
@@ -111,18 +112,18 @@
 
 func traceRandomCalls(t *testing.T, seed uint64, disabled mechanism.Set, name string) string {
 	t.Helper()
-	c := &randomCalls{trace: newDecisionTrace(), random: rand.New(rand.NewPCG(seed, 17)), list: instances(7),
+	c := &randomCalls{trace: newDecisionTrace(), random: rand.New(rand.NewPCG(seed, 17)), instances: instances(7),
 		versions: map[string]uint64{}}
 	router := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second,
 		VersionGrace: 8 * time.Second, VersionGraceAll: 30 * time.Second, UnstableFor: 2 * time.Second, Heartbeat: 500 * time.Millisecond,
-		Random: rand.New(rand.NewPCG(seed, 9)), Index: &randomIndex{random: c.random, list: c.list}, Disabled: disabled})
+		Random: rand.New(rand.NewPCG(seed, 9)), Index: &randomIndex{random: c.random, instances: c.instances}, Disabled: disabled})
 	c.fixture = &fixture{t: t, now: 2 * time.Second, Router: router}
 	c.SetPeers(0, 3)
 	c.SetConfig(0, c.config())
-	c.SetTable(0, tableOf(c.list...))
+	c.SetTable(0, tableOf(c.instances...))
 	for range goldenSteps {
 		c.now += core.Time(c.random.ExpFloat64() * float64(12*ms))
-		c.step()
+		c.makeCall()
 	}
 	c.trace.end(router)
 	return c.trace.line(fmt.Sprintf("calls seed %d without %s", seed, name))
@@ -145,34 +146,36 @@
 	return compiled
 }
 
-func (c *randomCalls) step() {
+func (c *randomCalls) makeCall() {
 	switch n := c.random.IntN(100); {
 	case n < 38:
-		c.receive()
-	case n < 90 && len(c.open) > 0:
-		c.proceed(c.random.IntN(len(c.open)))
+		c.beginRequest()
+	case n < 90 && len(c.openRequests) > 0:
+		c.continueRequest(c.random.IntN(len(c.openRequests)))
 	case n < 92:
-		c.PeerSentPrompt(c.now, SentPrompt{Instance: c.some().ID, Salt: 7, Parts: []prompt.Part{{ID: 3, Tokens: 900}}, PrefillTokens: c.random.IntN(6000)})
+		c.PeerSentPrompt(c.now, SentPrompt{Instance: c.randomInstance().ID, Salt: 7, Parts: []prompt.Part{{ID: 3, Tokens: 900}}, PrefillTokens: c.random.IntN(6000)})
 	case n < 94:
-		c.PeerStepReport(StepReport{Instance: c.some().ID, EventInterval: core.Time(8+c.random.IntN(20)) * ms})
+		c.PeerStepReport(StepReport{Instance: c.randomInstance().ID, EventInterval: core.Time(8+c.random.IntN(20)) * ms})
 	case n < 95:
-		c.ObserveLoad(c.now, c.some().ID, *c.load())
+		c.ObserveLoad(c.now, c.randomInstance().ID, *c.randomLoad())
 	case n < 96:
 		c.StoreSeen(c.now, fmt.Sprintf("10.9.0.%d:9000", c.random.IntN(3)), c.random.IntN(4) > 0, false)
 	case n < 99:
-		c.changeTable()
+		c.changeInstance()
 	default:
-		c.disturb()
+		c.changeConditions()
 	}
 }
 
-func (c *randomCalls) some() *registry.Instance { return c.list[c.random.IntN(len(c.list))] }
+func (c *randomCalls) randomInstance() *registry.Instance {
+	return c.instances[c.random.IntN(len(c.instances))]
+}
 
-func (c *randomCalls) load() *Load {
+func (c *randomCalls) randomLoad() *Load {
 	return &Load{Running: c.random.IntN(70), Waiting: max(c.random.IntN(12)-6, 0), Slots: 64}
 }
 
-func (c *randomCalls) receive() {
+func (c *randomCalls) beginRequest() {
 	q := c.request([]*config.Route{safeRoute, unsafeRoute, streamRoute, resumableRoute, gapRoute}[c.random.IntN(5)])
 	if c.random.IntN(3) > 0 {
 		q = c.prompt(q.Route, uint64(10+c.random.IntN(30)))
@@ -188,19 +191,19 @@
 	id, d := c.Begin(c.now, q)
 	c.trace.add(c.now, d)
 	open := &openRequest{id: id, ended: map[int]bool{}}
-	c.open = append(c.open, open)
-	c.sent(open, d)
+	c.openRequests = append(c.openRequests, open)
+	c.addAttempt(open, d)
 }
 
-func (c *randomCalls) sent(open *openRequest, d Decision) {
+func (c *randomCalls) addAttempt(open *openRequest, d Decision) {
 	if d.Attempt != nil {
 		open.attempts = append(open.attempts, d.Attempt)
 	}
 }
 
-// proceed reports something of a request, or ends it.
-func (c *randomCalls) proceed(i int) {
-	open := c.open[i]
+// proceed reports an event of an open request, or ends the request.
+func (c *randomCalls) continueRequest(i int) {
+	open := c.openRequests[i]
 	var out *Attempt
 	for _, a := range open.attempts {
 		if !open.ended[a.Number] && (out == nil || c.random.IntN(2) == 0) {
@@ -210,29 +213,29 @@
 	switch n := c.random.IntN(10); {
 	case out == nil || n == 0 && c.random.IntN(4) == 0:
 		c.End(c.now, open.id)
-		c.open = append(c.open[:i], c.open[i+1:]...)
+		c.openRequests = append(c.openRequests[:i], c.openRequests[i+1:]...)
 	case n < 2:
 		d := c.Hedge(c.now, open.id)
 		c.trace.add(c.now, d)
-		c.sent(open, d)
+		c.addAttempt(open, d)
 	case n < 5:
-		c.Started(c.now, open.id, out.Number, c.load())
+		c.Started(c.now, open.id, out.Number, c.randomLoad())
 	default:
 		open.ended[out.Number] = true
-		d := c.Finished(c.now, open.id, out.Number, c.outcome(), c.random.IntN(2) == 0)
+		d := c.Finished(c.now, open.id, out.Number, c.randomOutcome(), c.random.IntN(2) == 0)
 		c.trace.add(c.now, d)
-		c.sent(open, d)
+		c.addAttempt(open, d)
 	}
 }
 
-func (c *randomCalls) outcome() Outcome {
+func (c *randomCalls) randomOutcome() Outcome {
 	if c.random.IntN(3) > 0 {
-		o := Outcome{Verdict: verdict.Ran, Answered: true, Status: 200, Load: c.load()}
+		o := Outcome{Verdict: verdict.Ran, Answered: true, Status: 200, Load: c.randomLoad()}
 		o.Gaps = EventGaps{Count: c.random.IntN(20), Usual: core.Time(8+c.random.IntN(12)) * ms, Max: core.Time(c.random.IntN(300)) * ms}
 		return o
 	}
 	full := outcomeFull
-	full.Load = c.load()
+	full.Load = c.randomLoad()
 	full.RetryAfter = core.Time(c.random.IntN(3)*200) * ms
 	outcomes := []Outcome{full, full, outcomeUnreachable, outcomeMisdirected, outcomeReset, outcomeFailure,
 		{Verdict: verdict.MayHaveRun, TimedOut: true}, {Verdict: verdict.MayHaveRun, Canceled: true},
@@ -240,10 +243,10 @@
 	return outcomes[c.random.IntN(len(outcomes))]
 }
 
-// changeTable replaces one broker's entry.
-func (c *randomCalls) changeTable() {
-	i := c.random.IntN(len(c.list))
-	changed := *c.list[i]
+// changeTable replaces the entry of one broker.
+func (c *randomCalls) changeInstance() {
+	i := c.random.IntN(len(c.instances))
+	changed := *c.instances[i]
 	changed.Loading, changed.Unresponsive, changed.WarmingUpUntil = false, false, 0
 	changed.State = registry.Ready
 	switch c.random.IntN(7) {
@@ -262,11 +265,11 @@
 	default:
 		changed.Versions = map[string]uint64{model: max(c.versions[model], 2) - 1}
 	}
-	c.list[i] = &changed
-	c.SetTable(c.now, tableOf(c.list...))
+	c.instances[i] = &changed
+	c.SetTable(c.now, tableOf(c.instances...))
 }
 
-func (c *randomCalls) disturb() {
+func (c *randomCalls) changeConditions() {
 	switch c.random.IntN(4) {
 	case 0:
 		c.versions[model] = max(c.versions[model], 1) + 1
@@ -280,15 +283,15 @@
 	}
 }
 
-// randomIndex names holders that are drawn by random.
+// randomIndex is an index that returns random holders.
 type randomIndex struct {
-	random *rand.Rand
-	list   []*registry.Instance
+	random    *rand.Rand
+	instances []*registry.Instance
 }
 
 func (x *randomIndex) Holders(_ uint64, parts []prompt.Part) []prefixcache.Holder {
 	var found []prefixcache.Holder
-	for _, instance := range x.list {
+	for _, instance := range x.instances {
 		if x.random.IntN(4) == 0 {
 			found = append(found, prefixcache.Holder{Instance: instance.ID, Tokens: sumTokens(parts[:x.random.IntN(len(parts))])})
 		}
@@ -300,7 +303,7 @@
 	return found
 }
 
-// traceSimulation runs sick brokers under mixed traffic.
+// traceSimulation traces mixed traffic to brokers of which half are faulty.
 func traceSimulation(t *testing.T, disabled mechanism.Set, name string) string {
 	t.Helper()
 	s := newSimulation(t, 3, 12)
@@ -309,20 +312,20 @@
 	for i, id := range []string{"i01", "i03", "i05", "i07", "i09", "i11"} {
 		s.brokers[id].condition = condition(i%6 + 1)
 	}
-	s.traffic(300, 12*time.Second, s.mixed)
+	s.traffic(300, 12*time.Second, s.mixedRequest)
 	s.run(16 * time.Second)
 	return s.endTrace("simulation without " + name)
 }
 
-// traceEngines runs model brokers under prompts of two kinds.
+// traceEngines traces two kinds of prompts to model brokers.
 func traceEngines(t *testing.T, disabled mechanism.Set, name string) string {
 	t.Helper()
 	s := newEngineSim(t, 5, 9, true)
 	s.renewProxies(disabled)
-	s.notifies = true
+	s.notifyPeers = true
 	s.trace = newDecisionTrace()
 	s.run(12 * time.Second)
-	s.generate(90, 22*time.Second, s.prompts())
+	s.sendRequests(90, 22*time.Second, s.requestGenerator())
 	s.run(32 * time.Second)
 	return s.endTrace("engines without " + name)
 }
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -19,19 +19,19 @@
 // router's choices mean for reading prompts again.
 
 const (
-	engineStep      = 3.0 // ms a step
-	engineStepEach  = 0.1 // ms more for each request in the batch
-	engineRead      = 57. // prompt tokens read in a ms
-	engineChunk     = 1024
-	engineMemory    = 112000
-	engineBatch     = 64
-	engineQueue     = 192
-	engineMove      = 3700. // tokens moved in a ms within a zone
-	engineFirst     = 13.0  // ms before the first event
-	engineDeadFetch = 300.0 // ms that a fetch from a dead source costs
-	storeMove       = 340.  // tokens moved in a ms to or from the store
-	storeMemory     = 1800000
-	storeAddress    = "10.9.0.1:9000"
+	engineStepTime           = 3.0 // ms a step
+	engineStepTimePerRequest = 0.1 // ms more for each request in the batch
+	enginePrefillRate        = 57. // prompt tokens read in a ms
+	enginePrefillChunk       = 1024
+	engineMemoryTokens       = 112000
+	engineBatchSize          = 64
+	engineQueueLimit         = 192
+	engineTransferRate       = 3700. // tokens moved in a ms within a zone
+	engineFirstEventDelay    = 13.0  // ms before the first event
+	deadSourceFetchTime      = 300.0 // ms that a fetch from a dead source costs
+	storeTransferRate        = 340.  // tokens moved in a ms to or from the store
+	storeMemoryTokens        = 1800000
+	storeAddress             = "10.9.0.1:9000"
 )
 
 type kvKey struct {
@@ -40,79 +40,79 @@
 }
 
 type kvPart struct {
-	tokens int
-	users  int
-	used   core.Time
+	tokens     int
+	users      int
+	lastUsedAt core.Time
 }
 
 type engine struct {
-	sim      *engineSim
-	id, zone string
-	parts    map[kvKey]*kvPart
-	held     int
-	waiting  []*generation
-	running  []*generation
-	busy     bool
-	dead     bool
-	moveFree core.Time
+	sim        *engineSim
+	id, zone   string
+	parts      map[kvKey]*kvPart
+	usedTokens int
+	waiting    []*generation
+	running    []*generation
+	busy       bool
+	dead       bool
+	linkFreeAt core.Time
 }
 
 type generation struct {
-	client   *simClient
-	attempt  *Attempt
-	engine   *engine
-	arrived  core.Time
-	readyAt  core.Time // fetched
-	left     int       // tokens to read
-	out      int       // tokens to make
-	reserved int
-	first    bool
-	over     bool
+	client          *simClient
+	attempt         *Attempt
+	engine          *engine
+	arrivedAt       core.Time
+	fetchedAt       core.Time // fetched
+	unreadTokens    int       // tokens to read
+	remainingTokens int       // tokens to make
+	reservedTokens  int
+	started         bool
+	ended           bool
 }
 
 type engineSim struct {
 	*simulation
-	engines map[string]*engine
-	byAddr  map[string]*engine
-	known   map[kvKey]bool // parts that some broker has read
-
-	index            *lateIndex
-	notifies         bool // proxies tell one another what they send
-	store            *engine
-	kinds            map[string]*kindResult
-	readAgain, moved int
-	readAll, saved   int
+	engines        map[string]*engine
+	byAddress      map[string]*engine
+	prefilledParts map[kvKey]bool // parts that some broker has read
+
+	index                         *delayedIndex
+	notifyPeers                   bool // proxies tell one another what they send
+	store                         *engine
+	results                       map[string]*routeResult
+	repeatedTokens, fetchedTokens int
+	prefilledTokens, savedTokens  int
 }
 
 func newEngineSim(t *testing.T, proxies, brokers int, indexed bool) *engineSim {
-	var index *lateIndex
+	var index *delayedIndex
 	sim := newSimulation
 	if indexed {
-		index = &lateIndex{}
+		index = &delayedIndex{}
 		sim = func(t *testing.T, proxies, brokers int) *simulation {
 			return newSimulationWith(t, proxies, brokers, index)
 		}
 	}
-	s := &engineSim{simulation: sim(t, proxies, brokers), index: index, engines: map[string]*engine{}, byAddr: map[string]*engine{},
-		known: map[kvKey]bool{}, kinds: map[string]*kindResult{}}
+	s := &engineSim{simulation: sim(t, proxies, brokers), index: index, engines: map[string]*engine{}, byAddress: map[string]*engine{},
+		prefilledParts: map[kvKey]bool{}, results: map[string]*routeResult{}}
 	s.store = &engine{sim: s, zone: "z0", parts: map[kvKey]*kvPart{}}
-	s.byAddr[storeAddress] = s.store
+	s.byAddress[storeAddress] = s.store
 	s.heartbeat()
 	for id, b := range s.brokers {
-		b.instance.Slots = engineBatch
+		b.instance.Slots = engineBatchSize
 		b.instance.Address = "10.1.0.1:" + id
 		e := &engine{sim: s, id: id, zone: b.instance.Zone, parts: map[kvKey]*kvPart{}}
 		s.engines[id] = e
-		s.byAddr[b.instance.Address] = e
+		s.byAddress[b.instance.Address] = e
 	}
 	return s
 }
 
-func (s *engineSim) generate(perSecond float64, until core.Time, request func() (Request, int)) {
+func (s *engineSim) sendRequests(perSecond float64, until core.Time, request func() (Request, int)) {
 	var next func()
 	next = func() {
 		q, out := request()
-		s.begin(q, out)
+		s.newRequest(q, out)
 		if gap := core.Time(s.random.ExpFloat64() / perSecond * float64(time.Second)); s.now+gap < until {
 			s.at(s.now+gap, next)
 		}
@@ -121,16 +121,16 @@
 }
 
 // lateIndex is an index that is brought up to date once a second.
-type lateIndex struct {
-	holders map[kvKeyID][]prefixcache.Holder
+type delayedIndex struct {
+	holders map[indexKey][]prefixcache.Holder
 }
 
-type kvKeyID struct{ salt, part uint64 }
+type indexKey struct{ salt, part uint64 }
 
-func (x *lateIndex) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
+func (x *delayedIndex) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
 	var found []prefixcache.Holder
 	for i, part := range parts {
-		keep := x.holders[kvKeyID{salt, part.ID}]
+		keep := x.holders[indexKey{salt, part.ID}]
 		if i == 0 {
 			found = slices.Clone(keep)
 			continue
@@ -154,14 +154,14 @@
 	return n
 }
 
-func (s *engineSim) reindex() {
+func (s *engineSim) refreshIndex() {
 	if s.index == nil {
 		return
 	}
-	s.index.holders = map[kvKeyID][]prefixcache.Holder{}
+	s.index.holders = map[indexKey][]prefixcache.Holder{}
 	addHolders := func(e *engine, h prefixcache.Holder) {
 		for key, part := range e.parts {
-			id := kvKeyID{cachesalt.ID(key.salt), key.part}
+			id := indexKey{cachesalt.ID(key.salt), key.part}
 			h.Tokens = part.tokens
 			s.index.holders[id] = append(s.index.holders[id], h)
 		}
@@ -174,7 +174,7 @@
 
 // heartbeat gives the store's signs of life, and brings the index up to date.
 func (s *engineSim) heartbeat() {
-	s.reindex()
+	s.refreshIndex()
 	for _, r := range s.proxies {
 		r.StoreSeen(s.now, storeAddress, !s.store.dead, false)
 	}
@@ -184,70 +184,70 @@
 }
 
 // kindResult is what became of the requests of one route.
-type kindResult struct {
-	owed, inTime, afterRefusal, late int
-	ttfb                             []float64
+type routeResult struct {
+	requests, inTime, inTimeAfterRefusal, late int
+	ttfb                                       []float64
 }
 
-func (s *engineSim) kind(q *Request) *kindResult {
-	k := s.kinds[q.Route.Name]
+func (s *engineSim) result(q *Request) *routeResult {
+	k := s.results[q.Route.Name]
 	if k == nil {
-		k = &kindResult{}
-		s.kinds[q.Route.Name] = k
+		k = &routeResult{}
+		s.results[q.Route.Name] = k
 	}
 	return k
 }
 
 // begin sends a new request; a client comes again once where it is refused.
-func (s *engineSim) begin(q Request, out int) {
+func (s *engineSim) newRequest(q Request, out int) {
 	q.Deadline = s.now + units.FromMilliseconds(q.Route.TimeoutMs)
 	q.TokensOut = out
-	s.kind(&q).owed++
-	s.try(q, false)
+	s.result(&q).requests++
+	s.beginRequest(q, false)
 }
 
-func (s *engineSim) try(q Request, again bool) {
+func (s *engineSim) beginRequest(q Request, again bool) {
 	q.Received = s.now
 	c := &simClient{proxy: s.random.IntN(len(s.proxies)), request: q, retried: again}
 	s.requests++
 	var d Decision
 	c.id, d = s.proxies[c.proxy].Begin(s.now, q)
-	s.at(q.Deadline, func() { s.finish(c, &s.failed) })
-	s.decide(c, d, q.TokensOut)
+	s.at(q.Deadline, func() { s.finishRequest(c, &s.failed) })
+	s.carryOut(c, d, q.TokensOut)
 }
 
-func (s *engineSim) decide(c *simClient, d Decision, out int) {
+func (s *engineSim) carryOut(c *simClient, d Decision, out int) {
 	if s.trace != nil {
 		s.trace.add(s.now, d)
 	}
 	if d.Refusal != nil {
-		s.finish(c, &s.refused)
+		s.finishRequest(c, &s.refused)
 		if !c.retried {
-			s.at(s.now+max(d.Refusal.RetryAfter, hop), func() { s.try(c.request, true) })
+			s.at(s.now+max(d.Refusal.RetryAfter, networkDelay), func() { s.beginRequest(c.request, true) })
 		}
 	}
 	if d.Attempt == nil {
 		return
 	}
-	s.notify(c.proxy, d.Attempt.SentPrompt)
-	g := &generation{client: c, attempt: d.Attempt, engine: s.engines[d.Attempt.Instance.ID], out: out}
+	s.deliverSentPrompt(c.proxy, d.Attempt.SentPrompt)
+	g := &generation{client: c, attempt: d.Attempt, engine: s.engines[d.Attempt.Instance.ID], remainingTokens: out}
 	c.calls = append(c.calls, &simCall{client: c, attempt: d.Attempt, broker: s.brokers[g.engine.id]})
 	if d.Attempt.HedgeAt != core.Never {
 		s.at(d.Attempt.HedgeAt, func() {
-			if !c.done && !g.first && !g.over {
-				s.decide(c, s.proxies[c.proxy].Hedge(s.now, c.id), out)
+			if !c.done && !g.started && !g.ended {
+				s.carryOut(c, s.proxies[c.proxy].Hedge(s.now, c.id), out)
 			}
 		})
 	}
-	s.at(s.now+hop, func() { g.engine.take(g) })
+	s.at(s.now+networkDelay, func() { g.engine.receive(g) })
 }
 
 // notify passes on what a proxy has sent to a broker.
-func (s *engineSim) notify(from int, sent *SentPrompt) {
-	if !s.notifies || sent == nil {
+func (s *engineSim) deliverSentPrompt(from int, sent *SentPrompt) {
+	if !s.notifyPeers || sent == nil {
 		return
 	}
-	s.at(s.now+2*hop, func() {
+	s.at(s.now+2*networkDelay, func() {
 		for i, r := range s.proxies {
 			if i != from {
 				r.PeerSentPrompt(s.now, *sent)
@@ -257,30 +257,30 @@
 }
 
 func (e *engine) load() *Load {
-	return &Load{Running: len(e.running), Waiting: len(e.waiting), Slots: engineBatch}
+	return &Load{Running: len(e.running), Waiting: len(e.waiting), Slots: engineBatchSize}
 }
 
-func (e *engine) take(g *generation) {
+func (e *engine) receive(g *generation) {
 	if g.client.done || e.dead {
 		return
 	}
-	if len(e.waiting) >= engineQueue {
+	if len(e.waiting) >= engineQueueLimit {
 		s := e.sim
-		s.at(s.now+hop, func() {
+		s.at(s.now+networkDelay, func() {
 			o := outcomeFull
 			o.Load = e.load()
-			g.over = true
-			s.decide(g.client, s.proxies[g.client.proxy].Finished(s.now, g.client.id, g.attempt.Number, o, false), g.out)
+			g.ended = true
+			s.carryOut(g.client, s.proxies[g.client.proxy].Finished(s.now, g.client.id, g.attempt.Number, o, false), g.remainingTokens)
 		})
 		return
 	}
-	g.arrived = e.sim.now
+	g.arrivedAt = e.sim.now
 	e.waiting = append(e.waiting, g)
 	slices.SortStableFunc(e.waiting, func(a, b *generation) int { return cmp.Compare(a.attempt.Priority, b.attempt.Priority) })
-	e.wake()
+	e.startSteps()
 }
 
-func (e *engine) wake() {
+func (e *engine) startSteps() {
 	if !e.busy && !e.dead {
 		e.busy = true
 		e.step()
@@ -291,14 +291,14 @@
 func (e *engine) step() {
 	s := e.sim
 	e.running = slices.DeleteFunc(e.running, func(g *generation) bool {
-		if g.client.done || g.over {
-			e.leave(g)
+		if g.client.done || g.ended {
+			e.release(g)
 			return true
 		}
 		return false
 	})
 	e.waiting = slices.DeleteFunc(e.waiting, func(g *generation) bool { return g.client.done })
-	for len(e.waiting) > 0 && len(e.running) < engineBatch && e.enter(e.waiting[0]) {
+	for len(e.waiting) > 0 && len(e.running) < engineBatchSize && e.admit(e.waiting[0]) {
 		e.running = append(e.running, e.waiting[0])
 		e.waiting = e.waiting[1:]
 	}
@@ -306,20 +306,20 @@
 		e.busy = false
 		return
 	}
-	took := engineStep + engineStepEach*float64(len(e.running))
-	budget := engineChunk
+	took := engineStepTime + engineStepTimePerRequest*float64(len(e.running))
+	budget := enginePrefillChunk
 	for _, g := range e.running {
-		if g.left > 0 && budget > 0 && s.now >= g.readyAt {
-			n := min(g.left, budget)
-			g.left -= n
+		if g.unreadTokens > 0 && budget > 0 && s.now >= g.fetchedAt {
+			n := min(g.unreadTokens, budget)
+			g.unreadTokens -= n
 			budget -= n
 		}
 	}
-	took += float64(engineChunk-budget) / engineRead
+	took += float64(enginePrefillChunk-budget) / enginePrefillRate
 	s.at(s.now+units.FromMilliseconds(took), func() {
 		for _, g := range e.running {
-			if g.left == 0 && s.now >= g.readyAt {
-				e.token(g)
+			if g.unreadTokens == 0 && s.now >= g.fetchedAt {
+				e.emitToken(g)
 			}
 		}
 		e.step()
@@ -327,7 +327,7 @@
 }
 
 // enter admits a request if its memory can be had.
-func (e *engine) enter(g *generation) bool {
+func (e *engine) admit(g *generation) bool {
 	s, q := e.sim, g.client.request
 	kept := 0
 	for kept < len(q.Parts) && e.parts[kvKey{g.attempt.Salt, q.Parts[kept].ID}] != nil {
@@ -340,7 +340,7 @@
 	for _, p := range q.Parts[:kept] {
 		e.parts[kvKey{g.attempt.Salt, p.ID}].users++
 	}
-	if !e.freeTokens(need, engineMemory) {
+	if !e.makeRoom(need, engineMemoryTokens) {
 		for _, p := range q.Parts[:kept] {
 			e.parts[kvKey{g.attempt.Salt, p.ID}].users--
 		}
@@ -350,33 +350,33 @@
 	for i, p := range q.Parts[kept:] {
 		key := kvKey{g.attempt.Salt, p.ID}
 		if i >= moved {
-			g.left += p.Tokens
-			s.readAll += p.Tokens
-			if s.known[key] {
-				s.readAgain += p.Tokens
+			g.unreadTokens += p.Tokens
+			s.prefilledTokens += p.Tokens
+			if s.prefilledParts[key] {
+				s.repeatedTokens += p.Tokens
 			}
-			s.known[key] = true
+			s.prefilledParts[key] = true
 		}
 	}
 	for _, p := range q.Parts[kept:] {
 		key := kvKey{g.attempt.Salt, p.ID}
-		e.parts[key] = &kvPart{tokens: p.Tokens, users: 1, used: s.now}
+		e.parts[key] = &kvPart{tokens: p.Tokens, users: 1, lastUsedAt: s.now}
 	}
-	e.held += need
-	g.reserved = q.TokensOut
-	g.left = max(g.left, 1)
+	e.usedTokens += need
+	g.reservedTokens = q.TokensOut
+	g.unreadTokens = max(g.unreadTokens, 1)
 	return true
 }
 
 // fetch moves what the named source keeps, and returns how many parts come.
 func (e *engine) fetch(g *generation, missing []prompt.Part) int {
 	s := e.sim
-	source := s.byAddr[g.attempt.FetchFrom]
+	source := s.byAddress[g.attempt.FetchFrom]
 	if source == nil || len(missing) == 0 {
 		return 0
 	}
 	if source.dead {
-		g.readyAt = s.now + units.FromMilliseconds(engineDeadFetch)
+		g.fetchedAt = s.now + units.FromMilliseconds(deadSourceFetchTime)
 		return 0
 	}
 	tokens, n := 0, 0
@@ -387,17 +387,17 @@
 		tokens += p.Tokens
 		n++
 	}
-	took := 1 + float64(tokens)/engineMove
+	took := 1 + float64(tokens)/engineTransferRate
 	if source == s.store {
-		took = 1 + float64(tokens)/storeMove
+		took = 1 + float64(tokens)/storeTransferRate
 	}
 	if source.zone != e.zone {
 		took *= 2
 	}
-	from := max(e.moveFree, source.moveFree, s.now)
-	g.readyAt = from + units.FromMilliseconds(took)
-	e.moveFree, source.moveFree = g.readyAt, g.readyAt
-	s.moved += tokens
+	from := max(e.linkFreeAt, source.linkFreeAt, s.now)
+	g.fetchedAt = from + units.FromMilliseconds(took)
+	e.linkFreeAt, source.linkFreeAt = g.fetchedAt, g.fetchedAt
+	s.fetchedTokens += tokens
 	return n
 }
 
@@ -410,54 +410,54 @@
 	for _, p := range g.client.request.Parts {
 		key := kvKey{g.attempt.Salt, p.ID}
 		if kept := store.parts[key]; kept != nil {
-			kept.used = e.sim.now
+			kept.lastUsedAt = e.sim.now
 			continue
 		}
-		store.freeTokens(p.Tokens, storeMemory)
-		store.parts[key] = &kvPart{tokens: p.Tokens, used: e.sim.now}
-		store.held += p.Tokens
-		e.sim.saved += p.Tokens
+		store.makeRoom(p.Tokens, storeMemoryTokens)
+		store.parts[key] = &kvPart{tokens: p.Tokens, lastUsedAt: e.sim.now}
+		store.usedTokens += p.Tokens
+		e.sim.savedTokens += p.Tokens
 	}
 }
 
-func (e *engine) freeTokens(need, memory int) bool {
-	for e.held+need > memory {
+func (e *engine) makeRoom(need, memory int) bool {
+	for e.usedTokens+need > memory {
 		var oldest kvKey
 		var unused *kvPart
 		for k, p := range e.parts {
-			if p.users == 0 && (unused == nil || p.used < unused.used || p.used == unused.used && k.part < oldest.part) {
+			if p.users == 0 && (unused == nil || p.lastUsedAt < unused.lastUsedAt || p.lastUsedAt == unused.lastUsedAt && k.part < oldest.part) {
 				oldest, unused = k, p
 			}
 		}
 		if unused == nil {
 			return false
 		}
-		e.held -= unused.tokens
+		e.usedTokens -= unused.tokens
 		delete(e.parts, oldest)
 	}
 	return true
 }
 
-func (e *engine) leave(g *generation) {
+func (e *engine) release(g *generation) {
 	for _, p := range g.client.request.Parts {
 		if part := e.parts[kvKey{g.attempt.Salt, p.ID}]; part != nil {
 			part.users--
-			part.used = e.sim.now
+			part.lastUsedAt = e.sim.now
 		}
 	}
-	e.held -= g.reserved
-	g.reserved = 0
+	e.usedTokens -= g.reservedTokens
+	g.reservedTokens = 0
 }
 
-func (e *engine) token(g *generation) {
+func (e *engine) emitToken(g *generation) {
 	s, c := e.sim, g.client
-	if g.over || c.done {
+	if g.ended || c.done {
 		return
 	}
-	if !g.first {
-		g.first = true
+	if !g.started {
+		g.started = true
 		e.save(g)
-		s.at(s.now+units.FromMilliseconds(engineFirst)+hop, func() {
+		s.at(s.now+units.FromMilliseconds(engineFirstEventDelay)+networkDelay, func() {
 			if c.done {
 				return
 			}
@@ -467,24 +467,24 @@
 			}
 			c.answered = true
 			took := units.Milliseconds(s.now - c.request.Received)
-			k := s.kind(&c.request)
+			k := s.result(&c.request)
 			k.ttfb = append(k.ttfb, took)
 			switch {
 			case took > c.request.Route.TargetLatencyMs:
 				k.late++
 			case c.retried:
-				k.afterRefusal++
+				k.inTimeAfterRefusal++
 			default:
 				k.inTime++
 			}
 		})
 	}
-	if g.out--; g.out <= 0 {
-		g.over = true
-		s.at(s.now+units.FromMilliseconds(engineFirst)+2*hop, func() {
+	if g.remainingTokens--; g.remainingTokens <= 0 {
+		g.ended = true
+		s.at(s.now+units.FromMilliseconds(engineFirstEventDelay)+2*networkDelay, func() {
 			if !c.done {
 				s.proxies[c.proxy].Finished(s.now, c.id, g.attempt.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
-				s.finish(c, &s.served)
+				s.finishRequest(c, &s.served)
 			}
 		})
 	}
--- a/internal/node/routing/engineprompts_test.go
+++ b/internal/node/routing/engineprompts_test.go
@@ -26,13 +26,13 @@
 		t.Run(fmt.Sprintf("load %v indexed %v", c.load, c.indexed), func(t *testing.T) {
 			s := newEngineSim(t, 10, 18, c.indexed)
 			s.run(12 * time.Second)
-			s.generate(125*c.load, 42*time.Second, s.prompts())
+			s.sendRequests(125*c.load, 42*time.Second, s.requestGenerator())
 			s.run(57 * time.Second)
 			t.Log(s.summary())
-			for name, kind := range s.kinds {
+			for name, kind := range s.results {
 				assert.Assert(t, kind.value() >= c.value, "%s earned %.3f", name, kind.value())
 			}
-			assert.Assert(t, float64(s.readAgain) <= c.again*float64(s.readAll))
+			assert.Assert(t, float64(s.repeatedTokens) <= c.again*float64(s.prefilledTokens))
 			assert.Equal(t, s.refused+s.failed, 0)
 		})
 	}
@@ -43,7 +43,7 @@
 func TestPromptsWhileSourcesDie(t *testing.T) {
 	s := newEngineSim(t, 10, 18, true)
 	s.run(12 * time.Second)
-	s.generate(125, 42*time.Second, s.prompts())
+	s.sendRequests(125, 42*time.Second, s.requestGenerator())
 	s.run(20 * time.Second)
 	s.store.dead = true
 	s.run(25 * time.Second)
@@ -52,6 +52,6 @@
 	}
 	s.run(57 * time.Second)
 	t.Log(s.summary())
-	assert.Assert(t, s.kinds["letter"].served() > 0.995)
-	assert.Assert(t, s.kinds["verdict"].served() > 0.97)
+	assert.Assert(t, s.results["letter"].served() > 0.995)
+	assert.Assert(t, s.results["verdict"].served() > 0.97)
 }
--- a/internal/node/routing/faults_test.go
+++ b/internal/node/routing/faults_test.go
@@ -19,14 +19,14 @@
 				s.brokers[id].condition = condition(n%6 + 1)
 				n++
 			}
-			s.traffic(400, 40*time.Second, s.mixed)
+			s.traffic(400, 40*time.Second, s.mixedRequest)
 			s.run(15 * time.Second)
 			for _, b := range s.brokers {
 				b.condition = flaky
 			}
 			s.run(25 * time.Second)
 			for _, b := range s.brokers {
-				b.condition = stuffed
+				b.condition = alwaysFull
 			}
 			s.run(32 * time.Second)
 			for _, b := range s.brokers {
@@ -48,9 +48,9 @@
 	const proxies = 20
 	s := newSimulation(t, proxies, 8)
 	for _, b := range s.brokers {
-		b.condition = stuffed
+		b.condition = alwaysFull
 	}
-	s.traffic(300, 60*time.Second, s.mixed)
+	s.traffic(300, 60*time.Second, s.mixedRequest)
 	for at := 14 * time.Second; at < 60*time.Second; at += 9 * time.Second {
 		s.run(at)
 		for p := range s.proxies {
@@ -74,23 +74,23 @@
 		maxShare  float64 // of the arrivals, at the one
 		served    float64 // of the requests
 	}{
-		{"sluggish", sluggish, 0.06, 1},
+		{"sluggish", slowAnswers, 0.06, 1},
 		{"frozen", frozen, 0.03, 0.99},
 		{"crashed", crashed, 0.02, 1},
-		{"stuffed", stuffed, 0.08, 1},
+		{"stuffed", alwaysFull, 0.08, 1},
 		{"flaky", flaky, 0.06, 0.99},
-		{"quick failures", quickly, 0.04, 0.99},
+		{"quick failures", failingFast, 0.04, 0.99},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimulation(t, 4, 8)
-			s.traffic(300, 40*time.Second, s.safe)
+			s.traffic(300, 40*time.Second, s.safeRequest)
 			s.run(10 * time.Second)
 			s.brokers["i02"].condition = c.condition
 			s.run(13 * time.Second)
-			s.arrivals()
+			s.takeArrivals()
 			served, requests := s.served, s.requests
 			s.run(39 * time.Second)
-			counts, total := s.arrivals(), 0
+			counts, total := s.takeArrivals(), 0
 			for _, n := range counts {
 				total += n
 			}
@@ -106,16 +106,16 @@
 
 // What was set aside comes back once it is well.
 func TestBrokerComesBack(t *testing.T) {
-	for _, was := range []condition{frozen, crashed, flaky, quickly, stuffed, sluggish} {
+	for _, was := range []condition{frozen, crashed, flaky, failingFast, alwaysFull, slowAnswers} {
 		s := newSimulation(t, 4, 4)
-		s.traffic(200, 60*time.Second, s.safe)
+		s.traffic(200, 60*time.Second, s.safeRequest)
 		s.run(10 * time.Second)
 		s.brokers["i02"].condition = was
 		s.run(20 * time.Second)
 		s.brokers["i02"].condition = healthy
 		s.run(30 * time.Second)
-		s.arrivals()
+		s.takeArrivals()
 		s.run(40 * time.Second)
-		assert.Assert(t, s.arrivals()["i02"] > 200, "condition %d", was)
+		assert.Assert(t, s.takeArrivals()["i02"] > 200, "condition %d", was)
 	}
 }
--- a/internal/node/routing/notify_test.go
+++ b/internal/node/routing/notify_test.go
@@ -13,9 +13,9 @@
 func TestProxiesThatNotifyOneAnother(t *testing.T) {
 	play := func(notifies bool, load float64) *engineSim {
 		s := newEngineSim(t, 10, 18, true)
-		s.notifies = notifies
+		s.notifyPeers = notifies
 		s.run(12 * time.Second)
-		s.generate(125*load, 42*time.Second, s.prompts())
+		s.sendRequests(125*load, 42*time.Second, s.requestGenerator())
 		s.run(57 * time.Second)
 		t.Log(s.summary())
 		return s
@@ -23,8 +23,8 @@
 	for _, c := range []struct{ load, value float64 }{{1, 0.99}, {1.8, 0.98}, {2.4, 0.92}} {
 		alone, together := play(false, c.load), play(true, c.load)
 		for _, name := range []string{"verdict", "letter"} {
-			assert.Assert(t, together.kinds[name].value() >= c.value, "%s at %v", name, c.load)
-			assert.Assert(t, together.kinds[name].quantile(0.95) < 0.9*alone.kinds[name].quantile(0.95), "%s at %v", name, c.load)
+			assert.Assert(t, together.results[name].value() >= c.value, "%s at %v", name, c.load)
+			assert.Assert(t, together.results[name].quantile(0.95) < 0.9*alone.results[name].quantile(0.95), "%s at %v", name, c.load)
 		}
 	}
 }
@@ -32,19 +32,19 @@
 // So do renewed brokers that keep nothing yet: a third of all at once is filled without a fleetsim.
 func TestRenewedEnginesAreFilled(t *testing.T) {
 	s := newEngineSim(t, 10, 18, true)
-	s.notifies = true
+	s.notifyPeers = true
 	s.run(12 * time.Second)
-	s.generate(125*1.5, 42*time.Second, s.prompts())
+	s.sendRequests(125*1.5, 42*time.Second, s.requestGenerator())
 	s.run(25 * time.Second)
 	for i := range 6 {
 		e := s.engines[fmt.Sprintf("i%02d", i)]
-		e.parts, e.held = map[kvKey]*kvPart{}, 0
+		e.parts, e.usedTokens = map[kvKey]*kvPart{}, 0
 		for _, g := range e.running {
-			e.held += g.reserved
+			e.usedTokens += g.reservedTokens
 		}
 	}
 	s.run(57 * time.Second)
 	t.Log(s.summary())
-	assert.Assert(t, s.kinds["verdict"].value() > 0.97)
-	assert.Assert(t, s.kinds["letter"].value() > 0.97)
+	assert.Assert(t, s.results["verdict"].value() > 0.97)
+	assert.Assert(t, s.results["letter"].value() > 0.97)
 }
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -71,10 +71,10 @@
 func TestOverloadedEngines(t *testing.T) {
 	s := newEngineSim(t, 10, 18, true)
 	s.run(12 * time.Second)
-	s.generate(125*3, 32*time.Second, s.prompts())
+	s.sendRequests(125*3, 32*time.Second, s.requestGenerator())
 	s.run(47 * time.Second)
 	t.Log(s.summary())
-	verdicts, drafts := s.kinds["verdict"], s.kinds["letter"]
+	verdicts, drafts := s.results["verdict"], s.results["letter"]
 	assert.Assert(t, verdicts.value() > 0.45)
 	assert.Assert(t, drafts.value() > 0.5)
 	assert.Assert(t, drafts.served() > verdicts.served(), "the more urgent are served more often")
@@ -89,13 +89,13 @@
 		s := newEngineSim(t, 10, 18, true)
 		s.random = rand.New(rand.NewPCG(seed, 5))
 		s.run(12 * time.Second)
-		s.generate(125*3, 32*time.Second, s.prompts())
+		s.sendRequests(125*3, 32*time.Second, s.requestGenerator())
 		s.run(47 * time.Second)
 		t.Log(s.summary())
-		verdictsServed += s.kinds["verdict"].served()
-		draftsServed += s.kinds["letter"].served()
-		verdicts += s.kinds["verdict"].value() / courses
-		drafts += s.kinds["letter"].value() / courses
+		verdictsServed += s.results["verdict"].served()
+		draftsServed += s.results["letter"].served()
+		verdicts += s.results["verdict"].value() / courses
+		drafts += s.results["letter"].value() / courses
 	}
 	assert.Assert(t, verdicts > 0.45)
 	assert.Assert(t, drafts > 0.5)
--- a/internal/node/routing/placement_test.go
+++ b/internal/node/routing/placement_test.go
@@ -102,7 +102,7 @@
 	for _, instance := range list[:3] {
 		withVersion(instance, 2)
 	}
-	index := &versionedBrokers{salt: cachesalt.ID(cachesalt.Text(model, 1, "")), holders: []string{list[3].ID, list[4].ID, list[5].ID}}
+	index := &brokersUnderSalt{salt: cachesalt.ID(cachesalt.Text(model, 1, "")), holders: []string{list[3].ID, list[4].ID, list[5].ID}}
 	f := newFixtureWithIndex(t, list, index)
 	f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
 	renewed := 0
@@ -119,12 +119,12 @@
 }
 
 // versionedBrokers has all shared parts at some brokers under one salt.
-type versionedBrokers struct {
+type brokersUnderSalt struct {
 	salt    uint64
 	holders []string
 }
 
-func (x *versionedBrokers) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
+func (x *brokersUnderSalt) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
 	if salt != x.salt {
 		return nil
 	}
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -25,32 +25,32 @@
 
 const (
 	healthy condition = iota
-	sluggish
-	frozen  // takes connections and says nothing
-	crashed // refuses connections
-	stuffed // turns everything away
-	flaky   // breaks half of its connections
-	quickly // fails with a quick 500
+	slowAnswers
+	frozen      // takes connections and says nothing
+	crashed     // refuses connections
+	alwaysFull  // turns everything away
+	flaky       // breaks half of its connections
+	failingFast // fails with a quick 500
 )
 
 type simBroker struct {
-	instance  *registry.Instance
-	condition condition
-	versions  map[string]uint64
-	running   int
-	waiting   []*simCall
-	base      core.Time
-	arrivals  int
-	salts     map[string]map[string]bool // tenants by salt
-	versionOf map[string]uint64          // of weights by salt
+	instance      *registry.Instance
+	condition     condition
+	versions      map[string]uint64
+	running       int
+	waiting       []*simCall
+	baseLatency   core.Time
+	arrivals      int
+	tenantsBySalt map[string]map[string]bool // tenants by salt
+	versionBySalt map[string]uint64          // of weights by salt
 }
 
 type simCall struct {
 	client  *simClient
 	attempt *Attempt
 	broker  *simBroker
-	begun   bool
-	over    bool
+	started bool
+	ended   bool
 }
 
 type simClient struct {
@@ -58,7 +58,7 @@
 	id         RequestID
 	request    Request
 	calls      []*simCall
-	ran        int
+	runs       int
 	done       bool
 	retried    bool // its client was refused before
 	answered   bool
@@ -66,16 +66,16 @@
 }
 
 type event struct {
-	at core.Time
-	no int
-	do func()
+	at     core.Time
+	number int
+	run    func()
 }
 
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].no < q[j].no
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -87,16 +87,16 @@
 }
 
 type simulation struct {
-	t       *testing.T
-	now     core.Time
-	queue   eventQueue
-	numbers int
-	random  *rand.Rand
-	proxies []*Router
-	brokers map[string]*simBroker
-	table   *registry.Table
-	options Options
-	trace   *decisionTrace // nil: decisions aren't traced
+	t               *testing.T
+	now             core.Time
+	events          eventQueue
+	lastEventNumber int
+	random          *rand.Rand
+	proxies         []*Router
+	brokers         map[string]*simBroker
+	table           *registry.Table
+	options         Options
+	trace           *decisionTrace // nil: decisions aren't traced
 
 	clients                           []*simClient
 	requests, served, refused, failed int
@@ -104,7 +104,7 @@
 	latencies                         []core.Time
 }
 
-const hop = time.Millisecond
+const networkDelay = time.Millisecond
 
 func newSimulation(t *testing.T, proxies, brokers int) *simulation {
 	return newSimulationWith(t, proxies, brokers, nil)
@@ -118,8 +118,8 @@
 	s.table = tableOf(list...)
 	for _, i := range list {
 		i.Slots = 8
-		s.brokers[i.ID] = &simBroker{instance: i, versions: map[string]uint64{model: 1}, base: 20 * ms,
-			salts: map[string]map[string]bool{}, versionOf: map[string]uint64{}}
+		s.brokers[i.ID] = &simBroker{instance: i, versions: map[string]uint64{model: 1}, baseLatency: 20 * ms,
+			tenantsBySalt: map[string]map[string]bool{}, versionBySalt: map[string]uint64{}}
 	}
 	for p := range proxies {
 		s.proxies = append(s.proxies, s.newProxy(p, proxies))
@@ -151,15 +151,15 @@
 }
 
 func (s *simulation) at(when core.Time, do func()) {
-	s.numbers++
-	heap.Push(&s.queue, event{when, s.numbers, do})
+	s.lastEventNumber++
+	heap.Push(&s.events, event{when, s.lastEventNumber, do})
 }
 
 func (s *simulation) run(until core.Time) {
-	for len(s.queue) > 0 && s.queue[0].at <= until {
-		e := heap.Pop(&s.queue).(event)
+	for len(s.events) > 0 && s.events[0].at <= until {
+		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	s.now = until
 }
@@ -168,7 +168,7 @@
 func (s *simulation) traffic(perSecond float64, until core.Time, request func() Request) {
 	var next func()
 	next = func() {
-		s.arrive(request())
+		s.receiveRequest(request())
 		gap := core.Time(s.random.ExpFloat64() / perSecond * float64(time.Second))
 		if s.now+gap < until {
 			s.at(s.now+gap, next)
@@ -177,7 +177,7 @@
 	s.at(s.now, next)
 }
 
-func (s *simulation) arrive(q Request) {
+func (s *simulation) receiveRequest(q Request) {
 	q.Received = s.now
 	q.Deadline = s.now + units.FromMilliseconds(q.Route.TimeoutMs)
 	c := &simClient{proxy: s.random.IntN(len(s.proxies)), request: q}
@@ -186,12 +186,12 @@
 	s.requestTimes = append(s.requestTimes, s.now)
 	var d Decision
 	c.id, d = s.proxies[c.proxy].Begin(s.now, q)
-	s.at(q.Deadline, func() { s.finish(c, &s.failed) })
-	s.carry(c, d)
+	s.at(q.Deadline, func() { s.finishRequest(c, &s.failed) })
+	s.carryOut(c, d)
 }
 
 // carry carries a decision out.
-func (s *simulation) carry(c *simClient, d Decision) {
+func (s *simulation) carryOut(c *simClient, d Decision) {
 	if s.trace != nil {
 		s.trace.add(s.now, d)
 	}
@@ -205,7 +205,7 @@
 		if d.Refusal.RetryAfter < 0 || d.Refusal.RetryAfter > (c.request.Deadline-s.now)/3+1 {
 			s.t.Fatalf("advice of %v with %v left", d.Refusal.RetryAfter, c.request.Deadline-s.now)
 		}
-		s.finish(c, &s.refused)
+		s.finishRequest(c, &s.refused)
 	}
 }
 
@@ -215,23 +215,23 @@
 	c.calls = append(c.calls, call)
 	if a.HedgeAt != core.Never {
 		s.at(a.HedgeAt, func() {
-			if !c.done && !call.begun && !call.over {
+			if !c.done && !call.started && !call.ended {
 				s.hedge(c)
 			}
 		})
 	}
-	s.at(s.now+hop, func() { s.reach(call) })
+	s.at(s.now+networkDelay, func() { s.arriveAtBroker(call) })
 }
 
 func (s *simulation) checkSend(c *simClient, _ *Attempt) {
 	if c.mayHaveRun && !c.request.Route.Idempotent() {
 		s.t.Fatalf("%s was sent again though it may have run", c.request.Route.Name)
 	}
-	if c.ran >= c.request.Route.MaxAttempts {
-		s.t.Fatalf("%s was sent on after %d runs", c.request.Route.Name, c.ran)
+	if c.runs >= c.request.Route.MaxAttempts {
+		s.t.Fatalf("%s was sent on after %d runs", c.request.Route.Name, c.runs)
 	}
 	for _, call := range c.calls {
-		if !call.over && !c.request.Route.Idempotent() {
+		if !call.ended && !c.request.Route.Idempotent() {
 			s.t.Fatalf("%s was sent twice at once", c.request.Route.Name)
 		}
 	}
@@ -239,52 +239,52 @@
 
 func (s *simulation) hedge(c *simClient) {
 	if d := s.proxies[c.proxy].Hedge(s.now, c.id); d.Attempt != nil {
-		s.carry(c, d)
+		s.carryOut(c, d)
 	}
 }
 
 // reach is the arrival at a broker.
-func (s *simulation) reach(call *simCall) {
+func (s *simulation) arriveAtBroker(call *simCall) {
 	c, b := call.client, call.broker
-	if call.over || c.done {
+	if call.ended || c.done {
 		return
 	}
 	if b.condition == crashed {
-		s.end(call, outcomeUnreachable)
+		s.endCall(call, outcomeUnreachable)
 		return
 	}
 	b.arrivals++
-	s.countArrival(call)
+	s.recordRepeatedArrival(call)
 	if v := call.attempt.ExpectVersion; v != 0 && v != b.versions[model] {
-		s.end(call, outcomeMisdirected)
+		s.endCall(call, outcomeMisdirected)
 		return
 	}
-	s.checkMemory(call)
+	s.checkSalt(call)
 	switch b.condition {
 	case frozen:
-		s.begin(call)
-	case stuffed:
+		s.recordRun(call)
+	case alwaysFull:
 		s.reject(call)
 	case flaky:
 		if s.random.IntN(2) == 0 {
-			s.begin(call)
-			s.at(s.now+3*ms, func() { s.end(call, outcomeReset) })
+			s.recordRun(call)
+			s.at(s.now+3*ms, func() { s.endCall(call, outcomeReset) })
 			return
 		}
-		s.take(call)
-	case quickly:
-		s.begin(call)
+		s.runOrQueue(call)
+	case failingFast:
+		s.recordRun(call)
 		s.at(s.now+ms, func() {
-			s.start(call)
-			s.end(call, outcomeFailure)
+			s.answerStarted(call)
+			s.endCall(call, outcomeFailure)
 		})
 	default:
-		s.take(call)
+		s.runOrQueue(call)
 	}
 }
 
 // countArrival notes arrivals beyond the first.
-func (s *simulation) countArrival(call *simCall) {
+func (s *simulation) recordRepeatedArrival(call *simCall) {
 	for _, other := range call.client.calls {
 		if other == call {
 			return // the first
@@ -301,19 +301,19 @@
 
 // checkMemory checks that the salt is that of one version, and of one tenant where that is
 // isolated.
-func (s *simulation) checkMemory(call *simCall) {
+func (s *simulation) checkSalt(call *simCall) {
 	b, salt := call.broker, call.attempt.Salt
 	if salt == "" {
 		return
 	}
-	if v, ok := b.versionOf[salt]; ok && v != b.versions[model] {
+	if v, ok := b.versionBySalt[salt]; ok && v != b.versions[model] {
 		s.t.Fatalf("salt %q stands for versions %d and %d", salt, v, b.versions[model])
 	}
-	b.versionOf[salt] = b.versions[model]
-	tenants := b.salts[salt]
+	b.versionBySalt[salt] = b.versions[model]
+	tenants := b.tenantsBySalt[salt]
 	if tenants == nil {
 		tenants = map[string]bool{}
-		b.salts[salt] = tenants
+		b.tenantsBySalt[salt] = tenants
 	}
 	name, isolated := "", false
 	if t := call.client.request.Tenant; t != nil {
@@ -326,10 +326,10 @@
 }
 
 func (s *simulation) reject(call *simCall) {
-	s.at(s.now+hop, func() {
+	s.at(s.now+networkDelay, func() {
 		o := outcomeFull
 		o.Load = call.broker.load()
-		s.end(call, o)
+		s.endCall(call, o)
 	})
 }
 
@@ -338,12 +338,12 @@
 }
 
 // take runs a request or queues it.
-func (s *simulation) take(call *simCall) {
+func (s *simulation) runOrQueue(call *simCall) {
 	b := call.broker
 	switch {
 	case b.running < b.instance.Slots:
-		s.begin(call)
-		s.work(call)
+		s.recordRun(call)
+		s.execute(call)
 	case len(b.waiting) < 2*b.instance.Slots:
 		b.waiting = append(b.waiting, call)
 	default:
@@ -351,81 +351,81 @@
 	}
 }
 
-func (s *simulation) begin(call *simCall) {
+func (s *simulation) recordRun(call *simCall) {
 	c := call.client
-	c.ran++
+	c.runs++
 	c.mayHaveRun = true
-	if allowed := c.request.Route.MaxAttempts; c.ran > allowed {
-		s.t.Fatalf("%s ran %d times, %d are allowed", c.request.Route.Name, c.ran, allowed)
+	if allowed := c.request.Route.MaxAttempts; c.runs > allowed {
+		s.t.Fatalf("%s ran %d times, %d are allowed", c.request.Route.Name, c.runs, allowed)
 	}
-	if !c.request.Route.Idempotent() && c.ran > 1 {
+	if !c.request.Route.Idempotent() && c.runs > 1 {
 		s.t.Fatalf("%s ran twice", c.request.Route.Name)
 	}
 }
 
-func (s *simulation) work(call *simCall) {
+func (s *simulation) execute(call *simCall) {
 	b := call.broker
 	b.running++
-	took := core.Time(float64(b.base) * (0.7 + 0.6*s.random.Float64()) * (1 + float64(b.running)/8))
-	if b.condition == sluggish {
+	took := core.Time(float64(b.baseLatency) * (0.7 + 0.6*s.random.Float64()) * (1 + float64(b.running)/8))
+	if b.condition == slowAnswers {
 		took *= 12
 	}
 	s.at(s.now+took, func() {
 		b.running--
-		s.start(call)
-		s.end(call, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200})
+		s.answerStarted(call)
+		s.endCall(call, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200})
 		for len(b.waiting) > 0 && b.running < b.instance.Slots {
 			next := b.waiting[0]
 			b.waiting = b.waiting[1:]
-			if next.over || next.client.done {
+			if next.ended || next.client.done {
 				continue
 			}
-			s.begin(next)
-			s.work(next)
+			s.recordRun(next)
+			s.execute(next)
 		}
 	})
 }
 
-func (s *simulation) start(call *simCall) {
-	if call.over || call.client.done || call.broker.condition == frozen {
+func (s *simulation) answerStarted(call *simCall) {
+	if call.ended || call.client.done || call.broker.condition == frozen {
 		return
 	}
-	call.begun = true
+	call.started = true
 	s.proxies[call.client.proxy].Started(s.now, call.client.id, call.attempt.Number, call.broker.load())
 }
 
-func (s *simulation) end(call *simCall, o Outcome) {
+func (s *simulation) endCall(call *simCall, o Outcome) {
 	c := call.client
-	if call.over || c.done || call.broker.condition == frozen {
+	if call.ended || c.done || call.broker.condition == frozen {
 		return
 	}
-	call.over = true
-	if o.Verdict == verdict.NotRun && c.ran == 0 {
+	call.ended = true
+	if o.Verdict == verdict.NotRun && c.runs == 0 {
 		c.mayHaveRun = false
 	}
 	d := s.proxies[c.proxy].Finished(s.now, c.id, call.attempt.Number, o, false)
 	switch {
 	case o.Answered:
 		s.latencies = append(s.latencies, s.now-c.request.Received)
-		s.finish(c, &s.served)
+		s.finishRequest(c, &s.served)
 	case d != Decision{}:
-		s.carry(c, d)
+		s.carryOut(c, d)
 	case c.outstanding() == 0:
-		s.finish(c, &s.failed)
+		s.finishRequest(c, &s.failed)
 	}
 }
 
 func (c *simClient) outstanding() int {
 	n := 0
 	for _, call := range c.calls {
-		if !call.over {
+		if !call.ended {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *simulation) finish(c *simClient, as *int) {
+func (s *simulation) finishRequest(c *simClient, as *int) {
 	if c.done {
 		return
 	}
@@ -433,7 +433,7 @@
 	*as++
 	r := s.proxies[c.proxy]
 	for _, call := range c.calls {
-		if !call.over {
+		if !call.ended {
 			r.Finished(s.now, c.id, call.attempt.Number, Outcome{Verdict: verdict.MayHaveRun, Canceled: true}, false)
 		}
 	}
@@ -464,7 +464,7 @@
 }
 
 // arrivals counts what each broker got since the last call.
-func (s *simulation) arrivals() map[string]int {
+func (s *simulation) takeArrivals() map[string]int {
 	counts := map[string]int{}
 	for id, b := range s.brokers {
 		counts[id] = b.arrivals
@@ -473,14 +473,14 @@
 	return counts
 }
 
-func (s *simulation) safe() Request {
+func (s *simulation) safeRequest() Request {
 	return Request{Route: safeRoute, Service: service, TokensIn: 500}
 }
 
-func (s *simulation) mixed() Request {
+func (s *simulation) mixedRequest() Request {
 	switch s.random.IntN(3) {
 	case 0:
-		return s.safe()
+		return s.safeRequest()
 	case 1:
 		return Request{Route: unsafeRoute, Service: service, TokensIn: 500}
 	}
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -71,7 +71,7 @@
 
 // What a store keeps of a prompt under one version of the weights says nothing of another.
 func TestSavedUnderEachVersion(t *testing.T) {
-	index := &versionedIndex{kept: cachesalt.ID(cachesalt.Text(model, 1, ""))}
+	index := &storeUnderSalt{salt: cachesalt.ID(cachesalt.Text(model, 1, ""))}
 	list := instances(6)
 	for i, instance := range list {
 		withVersion(instance, uint64(1+i%2))
@@ -86,10 +86,10 @@
 }
 
 // versionedIndex has all parts at the store under one salt.
-type versionedIndex struct{ kept uint64 }
+type storeUnderSalt struct{ salt uint64 }
 
-func (x *versionedIndex) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
-	if salt != x.kept {
+func (x *storeUnderSalt) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
+	if salt != x.salt {
 		return nil
 	}
 	return []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: sumTokens(parts)}}
