--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -83,7 +83,7 @@
 	f.serveRequests(safeRoute, 40, 10*ms)
 	f.mustBegin(f.request(unsafeRoute))
 	f.now += 3 * time.Second
-	f.Resumed(f.now)
+	f.RecordProcessPause(f.now)
 	assert.Assert(t, f.mustBegin(f.request(unsafeRoute)) != nil)
 }
 
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -70,7 +70,7 @@
 type Decision struct {
 	Attempt *Attempt
 	Refusal *Refusal
-	// StepReport is what the other proxies are to be notified of; nil: nothing.
+	// StepTimeReport is what the other proxies are to be notified of; nil: nothing.
 	StepReport *StepReport
 }
 
@@ -109,17 +109,17 @@
 }
 
 // Port is the interface of the router that package forward calls. Router implements it. The caller
-// must serialize the calls; see Guarded.
+// must serialize the calls; see LockedRouter.
 type Port interface {
 	// Begin adds a request and returns an attempt or a refusal for it. Requests aren't queued.
 	Begin(now core.Time, request Request) (RequestID, Decision)
 	// Hedge is called at Attempt.HedgeAt if no byte of an answer has come. It may return a hedged
 	// attempt.
 	Hedge(now core.Time, request RequestID) Decision
-	// Started reports that the head of an answer has come for an attempt; for streams, the first
+	// AnswerStarted reports that the head of an answer has come for an attempt; for streams, the first
 	// event.
 	Started(now core.Time, request RequestID, attempt int, load *Load)
-	// Finished reports the end of an attempt and may return another one. resumable: the stream has
+	// AttemptEnded reports the end of an attempt and may return another one. resumable: the stream has
 	// begun and can be resumed at another broker with Last-Event-Id.
 	Finished(now core.Time, request RequestID, attempt int, outcome Outcome, resumable bool) Decision
 	// End removes a request, once its final answer is sent or its client has gone.
@@ -129,6 +129,6 @@
 	SetTable(now core.Time, table *registry.Table)
 	// SetConfig replaces the configuration.
 	SetConfig(now core.Time, compiled *config.Compiled)
-	// SetPeers sets the number of proxies that share the retry budget, this one included.
+	// SetProxyCount sets the number of proxies that share the retry budget, this one included.
 	SetPeers(now core.Time, proxies int)
 }
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -279,7 +279,7 @@
 	case 1:
 		c.CoreDisturbed(c.now, c.now-core.Time(c.random.IntN(900))*ms)
 	case 2:
-		c.Resumed(c.now)
+		c.RecordProcessPause(c.now)
 	default:
 		c.SetPeers(c.now, 1+c.random.IntN(9))
 	}
--- a/internal/node/routing/lateanswers.go
+++ b/internal/node/routing/lateanswers.go
@@ -27,7 +27,7 @@
 	LateUnexpected LateCause = "first event unforeseen"
 	// LateByLongPrefill: a gap between events was too long, and the broker prefilled a long prompt.
 	LateByLongPrefill LateCause = "pause: a long prompt was read"
-	// LateByUnknownGap: a gap between events was too long, and no cause is known.
+	// LateByUnexplainedGap: a gap between events was too long, and no cause is known.
 	LateByUnknownGap LateCause = "pause: nothing known"
 )
 
--- a/internal/node/routing/lockedrouter.go
+++ b/internal/node/routing/lockedrouter.go
@@ -21,7 +21,7 @@
 var _ Port = (*Guarded)(nil)
 
 // NewGuarded returns a router behind a mutex. The wrapped router must not be used directly any more.
-// notifySent is called with each Attempt.SentPrompt, notifyStep with each Decision.StepReport. They
+// notifySent is called with each Attempt.SentPrompt, notifyStep with each report of a step time. They
 // must not block. nil: no notification.
 func NewGuarded(router *Router, notifySent func(*SentPrompt), notifyStep func(*StepReport)) *Guarded {
 	return &Guarded{router: router, notifySent: notifySent, notifyStep: notifyStep}
@@ -38,7 +38,7 @@
 	return decision
 }
 
-// Begin calls Router.Begin under the mutex.
+// Begin adds a request and returns an attempt or a refusal for it, as Router does.
 func (g *Guarded) Begin(now core.Time, request Request) (RequestID, Decision) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -46,105 +46,105 @@
 	return id, g.notifyPeers(decision)
 }
 
-// Hedge calls Router.Hedge under the mutex.
+// Hedge may return a hedged attempt, as Router does.
 func (g *Guarded) Hedge(now core.Time, request RequestID) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.notifyPeers(g.router.Hedge(now, request))
 }
 
-// Started calls Router.Started under the mutex.
+// Started records the start of an answer, as Router does.
 func (g *Guarded) Started(now core.Time, request RequestID, attempt int, load *Load) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.Started(now, request, attempt, load)
 }
 
-// Finished calls Router.Finished under the mutex.
+// Finished records the end of an attempt and decides on a further one, as Router does.
 func (g *Guarded) Finished(now core.Time, request RequestID, attempt int, outcome Outcome, resumable bool) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.notifyPeers(g.router.Finished(now, request, attempt, outcome, resumable))
 }
 
-// End calls Router.End under the mutex.
+// End removes a request, as Router does.
 func (g *Guarded) End(now core.Time, request RequestID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.End(now, request)
 }
 
-// SetTable calls Router.SetTable under the mutex.
+// SetTable replaces the list of brokers, as Router does.
 func (g *Guarded) SetTable(now core.Time, table *registry.Table) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.SetTable(now, table)
 }
 
-// SetConfig calls Router.SetConfig under the mutex.
+// SetConfig replaces the configuration, as Router does.
 func (g *Guarded) SetConfig(now core.Time, compiled *config.Compiled) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.SetConfig(now, compiled)
 }
 
-// SetPeers calls Router.SetPeers under the mutex.
+// SetPeers sets the number of proxies that share the retry budget, as Router does.
 func (g *Guarded) SetPeers(now core.Time, proxies int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.SetPeers(now, proxies)
 }
 
-// PeerSentPrompt calls Router.PeerSentPrompt under the mutex.
+// PeerSentPrompt records a prompt that another proxy sent, as Router does.
 func (g *Guarded) PeerSentPrompt(now core.Time, sent SentPrompt) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.PeerSentPrompt(now, sent)
 }
 
-// PeerStepReport calls Router.PeerStepReport under the mutex.
+// PeerStepReport records a step time that another proxy measured, as Router does.
 func (g *Guarded) PeerStepReport(seen StepReport) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.PeerStepReport(seen)
 }
 
-// CoreDisturbed calls Router.CoreDisturbed under the mutex.
+// CoreDisturbed records that the core was unstable at a time, as Router does.
 func (g *Guarded) CoreDisturbed(now, at core.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.CoreDisturbed(now, at)
 }
 
-// StoreSeen calls Router.StoreSeen under the mutex.
+// StoreSeen records the result of a health check of a store, as Router does.
 func (g *Guarded) StoreSeen(now core.Time, address string, alive, lost bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.StoreSeen(now, address, alive, lost)
 }
 
-// ObserveLoad calls Router.ObserveLoad under the mutex.
+// ObserveLoad records a broker's load report, as Router does.
 func (g *Guarded) ObserveLoad(now core.Time, instance string, load Load) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.router.ObserveLoad(now, instance, load)
 }
 
-// Resumed calls Router.Resumed under the mutex.
-func (g *Guarded) Resumed(now core.Time) {
+// RecordProcessPause records that this process was paused until now, as Router does.
+func (g *Guarded) RecordProcessPause(now core.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.router.Resumed(now)
+	g.router.RecordProcessPause(now)
 }
 
-// Late calls Router.Late under the mutex.
+// Late returns the newest late answers, as Router does.
 func (g *Guarded) Late() []LateRequest {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.router.Late()
 }
 
-// Counters calls Router.Counters under the mutex.
+// Counters returns a copy of the counters, as Router does.
 func (g *Guarded) Counters() Counters {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/node/routing/lockedrouter_test.go
+++ b/internal/node/routing/lockedrouter_test.go
@@ -33,7 +33,7 @@
 				g.End(now, id)
 				g.ObserveLoad(now, d.Attempt.Instance.ID, Load{Slots: 8})
 				g.StoreSeen(now, "10.9.0.1:9000", true, false)
-				g.Resumed(0)
+				g.RecordProcessPause(0)
 			}
 		})
 	}
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -95,7 +95,7 @@
 	if !c.Started && r.ejector.TimedOut(now, pool, b) {
 		r.ejector.Eject(now, b, brokerstate.Unresponsive) // no call that still waits there would show the timeout
 	}
-	if outcome.unanswered() && !c.Started && r.ejector.Measurable(c) {
+	if outcome.endedWithoutAnswer() && !c.Started && r.ejector.Measurable(c) {
 		pool.TeachOverdue(now, c)
 		b.ObserveUnanswered(now, c, pool.Median())
 	}
@@ -157,9 +157,9 @@
 	return !o.ConnectFailed && !(o.NotExecuted && o.Status == 0)
 }
 
-// unanswered reports whether the attempt ended without an answer or a refusal from the broker, although
+// endedWithoutAnswer reports whether the attempt ended without an answer or a refusal from the broker, although
 // a connection was established.
-func (o *Outcome) unanswered() bool {
+func (o *Outcome) endedWithoutAnswer() bool {
 	return !o.NotExecuted && !o.ConnectFailed && !o.Misdirected && o.Status == 0
 }
 
--- a/internal/node/routing/placement_test.go
+++ b/internal/node/routing/placement_test.go
@@ -165,7 +165,7 @@
 	assert.Assert(t, count <= 6, "%d of 60 requests went to the slow broker", count)
 }
 
-// PeerSentPrompt ignores unknown brokers.
+// A notification of a prompt that was sent to an unknown broker is ignored.
 func TestPeerSentPromptOfUnknownBrokers(t *testing.T) {
 	f := newFixture(t, []*registry.Instance{instanceOf("i00", "z0")})
 	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i77", PrefillTokens: 5000})
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -20,7 +20,7 @@
 
 // Router makes the routing decisions of one proxy. It holds the requests and the state of the brokers,
 // and delegates each part of a decision to the package for it. It isn't safe for concurrent use: see
-// Guarded.
+// LockedRouter.
 type Router struct {
 	options  Options
 	switches mechanism.Switches
@@ -112,9 +112,9 @@
 // (RULES.md, "Stable"). Faults of disks alone don't make the core unstable.
 func (r *Router) CoreDisturbed(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
 
-// Resumed records that this process was paused until now. Answers that it didn't receive meanwhile
+// RecordProcessPause records that this process was paused until now. Answers that it didn't receive meanwhile
 // don't count as timeouts of brokers, and latencies that include the pause are ignored.
-func (r *Router) Resumed(now core.Time) { r.ejector.Resumed(now) }
+func (r *Router) RecordProcessPause(now core.Time) { r.ejector.Resumed(now) }
 
 // SetTable replaces the list of brokers. The state of brokers that stay in it is kept.
 func (r *Router) SetTable(now core.Time, table *registry.Table) {
