--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -296,27 +296,27 @@
 // nothing but evictions, if there isn't enough memory.
 func (e *engine) admit(g *generation) bool {
 	s, q := e.sim, g.client.request
-	kept := 0
-	for kept < len(q.Parts) && e.parts[kvKey{g.attempt.Salt, q.Parts[kept].ID}] != nil {
-		kept++
+	cached := 0
+	for cached < len(q.Parts) && e.parts[kvKey{g.attempt.Salt, q.Parts[cached].ID}] != nil {
+		cached++
 	}
 	need := q.TokensOut
-	for _, p := range q.Parts[kept:] {
+	for _, p := range q.Parts[cached:] {
 		need += p.Tokens
 	}
-	for _, p := range q.Parts[:kept] {
+	for _, p := range q.Parts[:cached] {
 		e.parts[kvKey{g.attempt.Salt, p.ID}].users++
 	}
 	if !e.makeRoom(need, engineMemoryTokens) {
-		for _, p := range q.Parts[:kept] {
+		for _, p := range q.Parts[:cached] {
 			e.parts[kvKey{g.attempt.Salt, p.ID}].users--
 		}
 		return false
 	}
-	moved := e.fetch(g, q.Parts[kept:])
-	for i, p := range q.Parts[kept:] {
+	fetched := e.fetch(g, q.Parts[cached:])
+	for i, p := range q.Parts[cached:] {
 		key := kvKey{g.attempt.Salt, p.ID}
-		if i >= moved {
+		if i >= fetched {
 			g.unreadTokens += p.Tokens
 			s.prefilledTokens += p.Tokens
 			if s.prefilledParts[key] {
@@ -325,7 +325,7 @@
 			s.prefilledParts[key] = true
 		}
 	}
-	for _, p := range q.Parts[kept:] {
+	for _, p := range q.Parts[cached:] {
 		key := kvKey{g.attempt.Salt, p.ID}
 		e.parts[key] = &kvPart{tokens: p.Tokens, users: 1, lastUsedAt: s.now}
 	}
@@ -377,8 +377,8 @@
 	}
 	for _, p := range g.client.request.Parts {
 		key := kvKey{g.attempt.Salt, p.ID}
-		if kept := store.parts[key]; kept != nil {
-			kept.lastUsedAt = e.sim.now
+		if part := store.parts[key]; part != nil {
+			part.lastUsedAt = e.sim.now
 			continue
 		}
 		store.makeRoom(p.Tokens, storeMemoryTokens)
--- a/internal/node/routing/engineindex_test.go
+++ b/internal/node/routing/engineindex_test.go
@@ -19,13 +19,13 @@
 func (x *delayedIndex) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
 	var found []prefixcache.Holder
 	for i, part := range parts {
-		keep := x.holders[indexKey{salt, part.ID}]
+		holders := x.holders[indexKey{salt, part.ID}]
 		if i == 0 {
-			found = slices.Clone(keep)
+			found = slices.Clone(holders)
 			continue
 		}
 		for j := range found {
-			for _, h := range keep {
+			for _, h := range holders {
 				if h.Instance == found[j].Instance && found[j].Tokens == sumTokens(parts[:i]) {
 					found[j].Tokens += h.Tokens
 				}
--- a/internal/node/routing/gaps_test.go
+++ b/internal/node/routing/gaps_test.go
@@ -50,9 +50,9 @@
 		cause  LateCause
 	}{
 		{"in time", 9000, 0, 390 * ms, ""},
-		{"a long prompt came", 9000, 0, 450 * ms, LateByLongPrefill},
-		{"a long prompt was being read", 9000, 300 * ms, 450 * ms, LateByLongPrefill},
-		{"a short prompt came", 900, 0, 450 * ms, LateByUnknownGap},
+		{"a long prompt was sent", 9000, 0, 450 * ms, LateByLongPrefill},
+		{"a long prompt was being prefilled", 9000, 300 * ms, 450 * ms, LateByLongPrefill},
+		{"a short prompt was sent", 900, 0, 450 * ms, LateByUnknownGap},
 		{"a long prompt long before", 9000, 3 * time.Second, 450 * ms, LateByUnknownGap},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/routing/peers.go
+++ b/internal/node/routing/hints.go
@@ -8,7 +8,7 @@
 )
 
 // Proxies notify one another of the prompts that they send to model brokers and of how fast these
-// brokers are. Each proxy so knows the brokers nearly as well as if it had sent all requests itself.
+// brokers are. Thus each proxy knows the brokers nearly as well as if it had sent all requests itself.
 
 const (
 	minStepGaps         = 6    // gaps that a stream must have before the broker's step time is taken from them
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -66,8 +66,7 @@
 	}
 }
 
-// At three times the usual load, shedding keeps about half of the value, which would be lost if all
-// requests waited for one another.
+// At three times the usual load, shedding earns more value than letting all requests wait for one another.
 func TestOverloadedEngines(t *testing.T) {
 	s := newEngineSim(t, 10, 18, true)
 	s.run(12 * time.Second)
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -113,7 +113,7 @@
 	return s
 }
 
-// newProxy returns the router of a proxy that starts now and knows of so many proxies.
+// newProxy returns the router of a proxy that starts now and assumes the given number of proxies.
 func (s *simulation) newProxy(p, proxies int) *Router {
 	options := s.options
 	options.Zone = fmt.Sprintf("z%d", p%3)
