--- a/internal/node/routing/guarded_test.go
+++ b/internal/node/routing/guarded_test.go
@@ -14,7 +14,8 @@
 
 // Goroutines of many connections can use one router at once. The race detector shows missing locks.
 func TestConcurrentCalls(t *testing.T) {
-	g := NewGuarded(New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, Random: rand.New(rand.NewPCG(1, 1))}), nil, nil)
+	router := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, Random: rand.New(rand.NewPCG(1, 1))})
+	g := NewGuarded(router, nil, nil)
 	g.SetPeers(0, 4)
 	g.SetConfig(0, configOf(nil))
 	g.SetTable(0, tableOf(instances(4)...))
