--- a/internal/aggregator/engine/accept.go
+++ b/internal/aggregator/engine/accept.go
@@ -5,55 +5,58 @@
 )
 
 const (
-	minServerDescriptors = 16   // descriptors that are kept for servers
-	acceptRetryDelay     = 100  // ms; out of descriptors, accepting is tried again after so long
-	evictShare           = 0.25 // of the connections that may be, closed each time
-	minIdleBeforeEvict   = 2000 // ms; idle for so long, another search is less likely to be on the way
-	minUnusedBeforeEvict = 250  // ms; who connects to ask asks at once
+	minServerDescriptors = 16   // descriptors reserved for connections to servers
+	acceptRetryDelay     = 100  // ms between attempts to resume accepting when out of descriptors
+	evictShare           = 0.25 // share of the connections allowed that is evicted each time
+	minIdleBeforeEvict   = 2000 // ms; after this much idle time another search is less likely to be on its way
+	minUnusedBeforeEvict = 250  // ms; a client that connects for a search sends it at once
 )
 
-// Accepted implements transport.Handler: a client has connected.
+// Accepted implements transport.Handler. It registers a client that has connected.
 func (e *Engine) Accepted(conn transport.Conn) {
 	e.Count.Accepted++
-	e.sockets++
+	e.socketCount++
 	if door := e.network.Door(conn); door > 0 {
-		e.fronts[door-1].Accepted(conn)
+		e.frontends[door-1].Accepted(conn)
 		return
 	}
-	e.clients++
+	e.clientCount++
 	client := &client{conn: conn, requestBegunAt: e.now, lastReceivedAt: e.now, idleSince: e.now}
 	*e.endpoint(conn) = endpoint{client: client}
-	e.silentClients = append(compactIdle(e.silentClients, e.clients), idleClient{client, e.now})
+	e.silentClients = append(compactIdle(e.silentClients, e.clientCount), idleClient{client, e.now})
 	e.armClientTimer(client)
-	if e.clients >= e.maxClients() {
-		e.suspendAccepting("%d client connections", e.clients)
+	if e.clientCount >= e.maxClients() {
+		e.suspendAccepting("%d client connections", e.clientCount)
 	}
 }
 
-// maxClients leaves descriptors for servers, two for each.
+// maxClients returns how many client connections may be open. It leaves two descriptors for each
+// server.
 func (e *Engine) maxClients() int {
-	serverDescriptors := min(max(minServerDescriptors, 2*len(e.list.indexOf)), e.config.maxDescriptors/2)
-	return max(e.config.maxDescriptors-spareSockets-serverDescriptors, 1)
+	serverDescriptors := min(max(minServerDescriptors, 2*len(e.serverList.indexOf)), e.config.maxDescriptors/2)
+	return max(e.config.maxDescriptors-reservedSockets-serverDescriptors, 1)
 }
 
-// AcceptFailed implements transport.Handler: no descriptor was left for a client.
-func (e *Engine) AcceptFailed() { e.suspendAccepting("no descriptor, %d held", e.sockets) }
+// AcceptFailed implements transport.Handler. No descriptor was left for a client.
+func (e *Engine) AcceptFailed() { e.suspendAccepting("no descriptor, %d held", e.socketCount) }
 
-// suspendAccepting stops accepting: clients that have connected and are not accepted wait, idle ones
-// are evicted, and answers end their connections until there is capacity. A connection just
-// accepted is never closed for another: its search is in transit.
-func (e *Engine) suspendAccepting(why string, args ...any) {
+// suspendAccepting suspends accepting. Clients that have connected but are not accepted wait, idle
+// ones are evicted, and connections are closed after their answers until there is capacity. A
+// connection that was just accepted is never closed to make room for another: its search is on its
+// way.
+func (e *Engine) suspendAccepting(format string, args ...any) {
 	if !e.accepting || e.listenersClosed {
 		return
 	}
 	e.accepting = false
-	e.Count.Paused++
-	e.log.warn("accepting paused", why, args...)
+	e.Count.AcceptPauses++
+	e.log.warn("accepting paused", format, args...)
 	e.network.Accept(false)
 	e.evictClients()
 }
 
-// evictClients closes some idle connections at once, or tries again soon.
+// evictClients evicts some idle clients and tries again after acceptRetryDelay while accepting is
+// suspended.
 func (e *Engine) evictClients() {
 	e.outOfDescriptors = true
 	for range max(int(evictShare*float64(e.maxClients())), 1) {
@@ -65,30 +68,32 @@
 	if !e.outOfDescriptors {
 		e.resumeAccepting()
 	}
-	if e.accepting || e.evicting {
-		return // one who looks again is enough, however often accepting starts and stops
+	if e.accepting || e.evictionScheduled {
+		return // one scheduled retry is enough, however often accepting is suspended and resumed
 	}
-	e.evicting = true
-	e.after(acceptRetryDelay, func(e *Engine) {
-		e.evicting = false
+	e.evictionScheduled = true
+	e.afterFunc(acceptRetryDelay, func(e *Engine) {
+		e.evictionScheduled = false
 		if e.resumeAccepting(); !e.accepting && !e.listenersClosed {
 			e.evictClients()
 		}
 	})
 }
 
+// resumeAccepting resumes accepting if there is capacity.
 func (e *Engine) resumeAccepting() {
-	if !e.accepting && !e.listenersClosed && e.clients < e.maxClients() {
+	if !e.accepting && !e.listenersClosed && e.clientCount < e.maxClients() {
 		e.accepting, e.outOfDescriptors = true, false
 		e.network.Accept(true)
 	}
 }
 
-// evictClient frees a descriptor at once: who has never said anything goes first.
+// evictClient closes the connection of one idle client and reports whether there was one. Clients
+// that have never sent anything go first.
 func (e *Engine) evictClient() bool {
-	client := e.firstIdle(&e.silentClients, minUnusedBeforeEvict)
+	client := e.takeIdleClient(&e.silentClients, minUnusedBeforeEvict)
 	if client == nil {
-		client = e.firstIdle(&e.idleClients, minIdleBeforeEvict)
+		client = e.takeIdleClient(&e.idleClients, minIdleBeforeEvict)
 	}
 	if client == nil {
 		return false
@@ -99,43 +104,49 @@
 	return true
 }
 
+// idleClient is an entry of a queue of idle clients. It is stale if the client has been active
+// since.
 type idleClient struct {
 	client *client
 	since  float64
 }
 
-func (idle idleClient) still() bool { return idle.client.idleSince == idle.since && idle.client.idle() }
+// stillIdle reports whether the client has been idle since the entry was added.
+func (idle idleClient) stillIdle() bool {
+	return idle.client.idleSince == idle.since && idle.client.idle()
+}
 
-// markIdle puts a connection last in the order of eviction.
+// markIdle appends a client to the queue of eviction candidates.
 func (e *Engine) markIdle(client *client) {
 	client.idleSince = e.now
-	e.idleClients = append(compactIdle(e.idleClients, e.clients), idleClient{client, e.now})
+	e.idleClients = append(compactIdle(e.idleClients, e.clientCount), idleClient{client, e.now})
 }
 
-// compactIdle drops those of a list that rest no more, once there are many.
-func compactIdle(list []idleClient, clients int) []idleClient {
-	if len(list) <= 64 || len(list) <= 4*clients {
-		return list
+// compactIdle removes stale entries from a queue that has become long.
+func compactIdle(queue []idleClient, clients int) []idleClient {
+	if len(queue) <= 64 || len(queue) <= 4*clients {
+		return queue
 	}
-	kept := list[:0]
-	for _, idle := range list {
-		if idle.still() {
+	kept := queue[:0]
+	for _, idle := range queue {
+		if idle.stillIdle() {
 			kept = append(kept, idle)
 		}
 	}
-	clear(list[len(kept):])
+	clear(queue[len(kept):])
 	return kept
 }
 
-// firstIdle takes out the first of a list that has rested for so long, if there is one.
-func (e *Engine) firstIdle(list *[]idleClient, minIdleTime float64) *client {
-	for len(*list) > 0 {
-		idle := (*list)[0]
-		if idle.still() && e.now < idle.since+minIdleTime {
+// takeIdleClient removes and returns the first client of a queue that has been idle for minIdleTime and
+// has no unwritten answer, or returns nil.
+func (e *Engine) takeIdleClient(queue *[]idleClient, minIdleTime float64) *client {
+	for len(*queue) > 0 {
+		idle := (*queue)[0]
+		if idle.stillIdle() && e.now < idle.since+minIdleTime {
 			return nil
 		}
-		*list = (*list)[1:]
-		if idle.still() && idle.client.writeOffset == idle.client.writtenOffset {
+		*queue = (*queue)[1:]
+		if idle.stillIdle() && idle.client.writeOffset == idle.client.writtenOffset {
 			return idle.client
 		}
 	}
--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -8,37 +8,39 @@
 	"kestrelspread/internal/protocol"
 )
 
-// attemptState is how far an attempt has come.
+// attemptState is the progress of an attempt.
 type attemptState uint8
 
 const (
-	statePlanned attemptState = iota // in this round
-	stateQueued                      // for its connection, or for the frame before it
-	stateSent                        // in a frame
-	stateEnded
+	statePlanned attemptState = iota // sent by the policy in this round, not yet in a batch
+	stateQueued                      // waits until its connection is open and the frame before it is written
+	stateSent                        // written in a frame, or passed to its front end
+	stateEnded                       // its outcome is known
 )
 
 // attempt is one attempt of a shard request at one server. Times are in milliseconds of the loop.
 type attempt struct {
 	request       *shardRequest
-	number        int
-	server        int
-	deadline      float64
-	beginDeadline float64 // no later may it begin
+	number        int     // among the attempts of its shard request, counted from 0
+	server        int     // index of the server
+	deadline      float64 // when the aggregator stops waiting for it
+	beginDeadline float64 // it must not begin later; +Inf: no limit
 	sentAt        float64 // when the policy sent it
 	endedAt       float64 // when its outcome was known
 	kind          attemptKind
-	cancelled     bool
+	cancelled     bool // its outcome is policy.Cancelled
 	state         attemptState
-	batch         *batch
-	frameEnd      int64 // where its frame ends on the connection
-	timer         *timer
-	moved         bool // to another connection, when the first broke before it had begun
+	batch         *batch // nil until it is queued
+	frameEnd      int64  // offset on the connection at which its frame ends
+	timer         *timer // expires at deadline
+	moved         bool   // already moved to another connection, because the first one broke before it began
 }
 
-// Send implements policy.Out: one more attempt of a shard request goes to a server.
-func (e *Engine) Send(at, server int, within, begin float64) {
-	req := e.entries[at].request
+// Send implements policy.Out. It starts another attempt of a shard request at a server. timeLimit
+// is the attempt's own time limit and beginWithin the time within which it must begin, both in
+// milliseconds; 0: none.
+func (e *Engine) Send(index, server int, timeLimit, beginWithin float64) {
+	req := e.entries[index].request
 	attempt := &attempt{
 		request:       req,
 		number:        len(req.attempts),
@@ -46,77 +48,79 @@
 		deadline:      req.search.deadline,
 		beginDeadline: math.Inf(1),
 		sentAt:        e.now,
-		kind:          req.nextKind(),
+		kind:          req.nextAttemptKind(),
 	}
 	e.Count.AttemptsAsked++
-	if begin != 0 {
-		attempt.beginDeadline = e.now + begin
+	if beginWithin != 0 {
+		attempt.beginDeadline = e.now + beginWithin
 	}
 	req.attempts = append(req.attempts, attempt)
-	if within != 0 {
-		attempt.deadline = min(req.search.deadline, e.now+within)
+	if timeLimit != 0 {
+		attempt.deadline = min(req.search.deadline, e.now+timeLimit)
 	}
-	srv := e.list.servers[server]
+	srv := e.serverList.servers[server]
 	holds := ((srv.position-req.shard)%e.config.positions+e.config.positions)%e.config.positions < e.config.replicas
-	invariant.Check(holds, "a part goes to a server that holds its shard")
+	invariant.Check(holds, "an attempt goes to a server that holds the shard")
 	if !holds || req.search.ended || attempt.deadline <= e.now {
 		e.endAttempt(attempt, policy.NeverSent, nil)
 		return
 	}
 	if req.search.carrier != nil {
-		e.startCarried(attempt)
+		e.sendByFrontend(attempt)
 		return
 	}
 	if len(srv.planned) == 0 {
-		e.sending = append(e.sending, server)
+		e.serversToSend = append(e.serversToSend, server)
 	}
 	srv.planned = append(srv.planned, attempt)
 }
 
-// Cancel implements policy.Out.
-func (e *Engine) Cancel(at, no int) {
-	req := e.entries[at].request
-	invariant.Check(no < len(req.attempts), "only what was sent is called off")
-	if no < len(req.attempts) {
-		e.cancelAttempt(req.attempts[no], policy.Cancelled)
+// Cancel implements policy.Out. It cancels an attempt, by its number among those of the shard
+// request.
+func (e *Engine) Cancel(index, number int) {
+	req := e.entries[index].request
+	invariant.Check(number < len(req.attempts), "only an attempt that was sent is cancelled")
+	if number < len(req.attempts) {
+		e.cancelAttempt(req.attempts[number], policy.Cancelled)
 	}
 }
 
-// attemptTimedOut cancels an attempt at its own deadline.
+// attemptTimedOut cancels an attempt whose own deadline has passed.
 func (e *Engine) attemptTimedOut(attempt *attempt) {
 	if attempt.state != stateEnded {
 		e.cancelAttempt(attempt, policy.TimedOut)
 	}
 }
 
-// cancelAttempt stops waiting for an attempt: what has not begun is not sent, what has is cancelled
-// at its server. There its id stays on the connection, so that a late reply finds it.
-func (e *Engine) cancelAttempt(attempt *attempt, how policy.Outcome) {
+// cancelAttempt ends an attempt with an outcome. One that has not begun is not sent; one that has
+// begun is cancelled at its server, and its id stays registered on the connection so that a late
+// reply is recognised.
+func (e *Engine) cancelAttempt(attempt *attempt, outcome policy.Outcome) {
 	if carrier := attempt.request.search.carrier; carrier != nil && attempt.state == stateSent {
-		e.Count.Cancelled++
+		e.Count.AttemptsCancelled++
 		carrier.Cancel(attempt)
-		e.endAttempt(attempt, how, nil)
+		e.endAttempt(attempt, outcome, nil)
 		return
 	}
 	switch attempt.state {
 	case statePlanned:
-		e.list.servers[attempt.server].unplan(attempt)
+		e.serverList.servers[attempt.server].unplan(attempt)
 	case stateQueued:
 		delete(attempt.batch.conn.attempts, attempt.request.id)
 	case stateSent:
 		conn := attempt.batch.conn
 		if attempt.batch == conn.lastBatch && e.retractBatch(conn) {
 			delete(conn.attempts, attempt.request.id)
-			e.endAttempt(attempt, how, nil)
+			e.endAttempt(attempt, outcome, nil)
 			e.writeNextBatch(conn)
 			return
 		}
 		e.abandonAttempt(attempt)
 	}
-	e.endAttempt(attempt, how, nil)
+	e.endAttempt(attempt, outcome, nil)
 }
 
-// unplan takes an attempt out of this round.
+// unplan removes an attempt from those planned in this round.
 func (srv *server) unplan(attempt *attempt) {
 	for i, other := range srv.planned {
 		if other == attempt {
@@ -132,9 +136,9 @@
 	if conn.closed {
 		return
 	}
-	e.Count.Cancelled++
-	e.scratch = protocol.AppendShortFrame(e.scratch[:0], protocol.FrameAbandon, attempt.request.id)
-	e.writeToServer(conn, e.scratch)
+	e.Count.AttemptsCancelled++
+	e.writeBuffer = protocol.AppendShortFrame(e.writeBuffer[:0], protocol.FrameAbandon, attempt.request.id)
+	e.writeToServer(conn, e.writeBuffer)
 	e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
 		if conn.attempts[attempt.request.id] == attempt {
 			delete(conn.attempts, attempt.request.id)
@@ -142,23 +146,24 @@
 	})
 }
 
-const lateReplyTimeout = 10000 // ms after its search's deadline: no reply comes any more to what was cancelled
+const lateReplyTimeout = 10000 // ms after the search's deadline; no reply to a cancelled attempt arrives later
 
-// endAttempt ends an attempt; the policy is notified when it is not calling.
-func (e *Engine) endAttempt(attempt *attempt, how policy.Outcome, report []float64) {
+// endAttempt ends an attempt. The policy is told the outcome by deliverResults, once none of its
+// own calls is in progress.
+func (e *Engine) endAttempt(attempt *attempt, outcome policy.Outcome, report []float64) {
 	if attempt.state == stateEnded {
 		return
 	}
 	attempt.state = stateEnded
-	attempt.endedAt, attempt.cancelled = e.now, how == policy.Cancelled
-	e.timers.drop(attempt.timer)
+	attempt.endedAt, attempt.cancelled = e.now, outcome == policy.Cancelled
+	e.timers.cancel(attempt.timer)
 	attempt.timer = nil
 	if batch := attempt.batch; batch != nil {
 		batch.conn.inFlight--
-		batch.open--
-		if batch.open == 0 {
-			batch.conn.batches--
+		batch.openAttempts--
+		if batch.openAttempts == 0 {
+			batch.conn.openBatches--
 		}
 	}
-	e.outcomes = append(e.outcomes, attemptResult{attempt, how, report})
+	e.outcomes = append(e.outcomes, attemptResult{attempt, outcome, report})
 }
--- a/internal/aggregator/engine/batch.go
+++ b/internal/aggregator/engine/batch.go
@@ -5,17 +5,19 @@
 	"kestrelspread/internal/protocol"
 )
 
-// batch is what one round sends to one server: one frame, one stream of its connection.
+// batch is a group of attempts that one round sends to one server. It is written as one frame and
+// takes one stream of its connection.
 type batch struct {
-	conn     *serverConn
-	attempts []*attempt
-	open     int // attempts that have not ended
+	conn         *serverConn
+	attempts     []*attempt
+	openAttempts int // number of attempts that have not ended
 }
 
-// sendBatches makes batches of what the policy sent in this round.
+// sendBatches groups the attempts that the policy sent in this round into batches and assigns each
+// batch to a connection.
 func (e *Engine) sendBatches() {
-	for _, i := range e.sending {
-		srv := e.list.servers[i]
+	for _, i := range e.serversToSend {
+		srv := e.serverList.servers[i]
 		for len(srv.planned) > 0 {
 			n := min(e.config.maxBatch, len(srv.planned))
 			batch := &batch{attempts: append([]*attempt(nil), srv.planned[:n]...)}
@@ -23,12 +25,13 @@
 			e.assignConn(i, batch)
 		}
 	}
-	e.sending = e.sending[:0]
+	e.serversToSend = e.serversToSend[:0]
 }
 
-// assignConn gives a batch its connection and writes it once that is up and free.
+// assignConn assigns a batch to a connection, opening one if needed. The batch is written once the
+// connection is open and the frame before it is written.
 func (e *Engine) assignConn(server int, batch *batch) {
-	conn := e.chooseConn(e.list.servers[server], batch)
+	conn := e.chooseConn(e.serverList.servers[server], batch)
 	if conn == nil {
 		conn = e.connectServer(server)
 	}
@@ -38,8 +41,8 @@
 		}
 		return
 	}
-	batch.conn, batch.open = conn, len(batch.attempts)
-	conn.batches++
+	batch.conn, batch.openAttempts = conn, len(batch.attempts)
+	conn.openBatches++
 	conn.inFlight += len(batch.attempts)
 	conn.queued = append(conn.queued, batch)
 	for _, attempt := range batch.attempts {
@@ -50,24 +53,24 @@
 	e.writeNextBatch(conn)
 }
 
-// chooseConn is the newest connection that is open and has capacity, else one that is being opened;
-// nil: none. No connection carries one id twice: a reply that comes late would be taken for the
-// other's.
+// chooseConn returns the newest open connection that has capacity, or else one that is being
+// opened, or nil. A connection on which an id of the batch is in use is not chosen: a late reply to
+// the earlier attempt would be taken for a reply to the new one.
 func (e *Engine) chooseConn(srv *server, batch *batch) (best *serverConn) {
 	for _, conn := range srv.conns {
-		if conn.addr != srv.addr || conn.batches >= e.config.streamsPerConn || conn.frames.Incomplete() ||
-			conn.carries(batch) {
+		if conn.addr != srv.addr || conn.openBatches >= e.config.streamsPerConn || conn.frames.Incomplete() ||
+			conn.hasAnyID(batch) {
 			continue
 		}
-		if best == nil || conn.open || !best.open {
+		if best == nil || conn.established || !best.established {
 			best = conn
 		}
 	}
 	return best
 }
 
-// carries tells whether an id of the batch is in use on the connection.
-func (conn *serverConn) carries(batch *batch) bool {
+// hasAnyID reports whether an id of the batch is in use on the connection.
+func (conn *serverConn) hasAnyID(batch *batch) bool {
 	for _, attempt := range batch.attempts {
 		if conn.attempts[attempt.request.id] != nil {
 			return true
@@ -76,10 +79,10 @@
 	return false
 }
 
-// writeNextBatch gives the network one frame, once the one before it is written: until then its
-// attempts can be retracted.
+// writeNextBatch writes the frame of the next queued batch, if the frame before it is fully
+// written. Until the network takes bytes of the frame, its attempts can be retracted.
 func (e *Engine) writeNextBatch(conn *serverConn) {
-	if !conn.open || conn.closed || conn.writeOffset > conn.writtenOffset {
+	if !conn.established || conn.closed || conn.writeOffset > conn.writtenOffset {
 		return
 	}
 	for len(conn.queued) > 0 {
@@ -88,22 +91,22 @@
 		if e.dropExpired(conn, batch) {
 			continue
 		}
-		frame := protocol.BeginRequestFrame(e.scratch[:0])
+		frame := protocol.BeginRequestFrame(e.writeBuffer[:0])
 		for _, attempt := range batch.attempts {
 			if attempt.state == stateQueued {
 				req := attempt.request
 				frame = protocol.AppendShardRequest(frame, req.id, req.shard, attempt.deadline-e.now, req.search.token, req.search.query)
 			}
 		}
-		e.scratch = protocol.EndFrame(frame, 0)
+		e.writeBuffer = protocol.EndFrame(frame, 0)
 		e.Count.Batches++
 		conn.frameStart, conn.lastBatch = conn.writeOffset, nil
-		e.writeToServer(conn, e.scratch)
+		e.writeToServer(conn, e.writeBuffer)
 		conn.lastBatch, conn.writtenAfter = batch, conn.writtenAfter[:0]
 		for _, attempt := range batch.attempts {
 			if attempt.state == stateQueued {
 				attempt.state, attempt.frameEnd = stateSent, conn.writeOffset
-				e.Count.Sent++
+				e.Count.AttemptsSent++
 			}
 		}
 		e.turnRequested = e.turnRequested || len(conn.queued) > 0
@@ -111,22 +114,22 @@
 	}
 }
 
-// retractBatch takes a frame back of which the network has taken nothing yet: its attempts are
-// queued again, and writeNextBatch drops those that must not begin any more. A connection that
-// takes nothing may take it all at any later time, long after the client has left or the server
-// began to drain.
+// retractBatch retracts the last frame if the network has taken nothing of it, and reports whether
+// it did. The frame's attempts are queued again, and writeNextBatch drops those that must not begin
+// any more. Without this, a connection that is stalled could send the whole frame at any later
+// time, long after the client has left or the server began to drain.
 func (e *Engine) retractBatch(conn *serverConn) bool {
 	last := conn.lastBatch
 	if last == nil || conn.closed || !e.network.Retract(conn.handle, conn.frameStart) {
 		return false
 	}
-	e.Count.Retracted++
+	e.Count.FramesRetracted++
 	e.Count.BytesOut -= conn.writeOffset - conn.frameStart
 	conn.writeOffset, conn.lastBatch = conn.frameStart, nil
 	for _, attempt := range last.attempts {
 		if attempt.batch == last && attempt.state == stateSent {
 			attempt.state = stateQueued
-			e.Count.Sent--
+			e.Count.AttemptsSent--
 		}
 	}
 	conn.queued = append([]*batch{last}, conn.queued...)
@@ -137,17 +140,17 @@
 	return true
 }
 
-// dropExpired ends what must not be sent any more: attempts past their begin deadline, those of
-// searches that have ended, whether their clients had an answer or have left, and all of them once
-// their server has been draining or gone for as long as new work may still begin. It tells whether
-// none is left.
+// dropExpired ends the queued attempts of a batch that must not be sent any more, and reports
+// whether none is left. These are attempts past their begin deadline; attempts of searches that
+// have ended, either with an answer or because the client left; and all attempts if the server has
+// been draining or gone for as long as new work may still begin there.
 func (e *Engine) dropExpired(conn *serverConn, batch *batch) bool {
-	srv := e.list.servers[conn.server]
-	late := srv.state != policy.Ready && e.now >= srv.notReadySince+graceShare*e.config.drainGrace
+	srv := e.serverList.servers[conn.server]
+	pastGrace := srv.state != policy.Ready && e.now >= srv.notReadySince+drainGraceShare*e.config.drainGrace
 	left := false
 	for _, attempt := range batch.attempts {
-		if attempt.state == stateQueued && (late || e.now > attempt.beginDeadline || attempt.request.search.ended) {
-			delete(conn.attempts, attempt.request.id) // no reply can come, and the connection may last for long
+		if attempt.state == stateQueued && (pastGrace || e.now > attempt.beginDeadline || attempt.request.search.ended) {
+			delete(conn.attempts, attempt.request.id) // no reply can come, and the connection may stay open for long
 			e.endAttempt(attempt, policy.NeverSent, nil)
 		}
 		left = left || attempt.state == stateQueued
@@ -155,12 +158,12 @@
 	return !left
 }
 
-const graceShare = 0.8 // of the stated drain grace; the network may take the rest
+const drainGraceShare = 0.8 // of the configured drain grace; the network may take the rest
 
-// dropStalledFrames keeps frames from beginning for a search whose client has left while the
-// network had taken some bytes of them: they can't be retracted, and an attempt begins with its
-// frame's last byte, whenever that goes out. A connection that goes on standing still in the middle
-// of one is dropped; what is queued behind it goes over another.
+// dropStalledFrames deals with the partly sent frames of a search whose client has left. They can't
+// be retracted, and an attempt begins when the last byte of its frame goes out, whenever that is.
+// So a connection that stays stalled in the middle of such a frame is dropped; what is queued
+// behind the frame is sent over another connection.
 func (e *Engine) dropStalledFrames(search *search) {
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
@@ -168,9 +171,9 @@
 				continue
 			}
 			conn, end := attempt.batch.conn, attempt.frameEnd
-			e.after(stalledFrameTimeout, func(e *Engine) {
+			e.afterFunc(stalledFrameTimeout, func(e *Engine) {
 				if !conn.closed && end > conn.writtenOffset {
-					e.Count.Retracted++
+					e.Count.FramesRetracted++
 					e.dropServerConn(conn)
 				}
 			})
@@ -178,4 +181,4 @@
 	}
 }
 
-const stalledFrameTimeout = 200 // ms, of the 300 within which nothing of such a search begins any more
+const stalledFrameTimeout = 200 // ms; after 300 ms nothing of a search whose client has left may begin any more
--- a/internal/aggregator/engine/batch_test.go
+++ b/internal/aggregator/engine/batch_test.go
@@ -37,7 +37,7 @@
 		w.now += 10
 		w.turn()
 	}
-	if len(e.unsent) > 0 || w.engine.Count.Retracted != 1 {
+	if len(e.unsent) > 0 || w.engine.Count.FramesRetracted != 1 {
 		t.Error("the frame may still begin past the grace")
 	}
 	if w.conns[c] != e {
@@ -51,10 +51,10 @@
 	w.openConns()
 	w.turn(func() { w.startSearch("quick", 900, 0) })
 	w.openConns()
-	first := w.callers[0]
+	first := w.clients[0]
 	var twin *modelClient
 	w.turn(func() { // another client with the same id, asking for the same
-		w.callers, w.byID = nil, map[string]*modelClient{}
+		w.clients, w.byID = nil, map[string]*modelClient{}
 		twin = w.startSearch("quick", 900, 0)
 	})
 	if twin.answers != 1 || twin.status != 409 || len(w.serverConns()) != 1 {
@@ -65,12 +65,12 @@
 		t.Error("the first search has no answer")
 	}
 	w.turn(func() { // it is over: the id is free
-		w.callers, w.byID = nil, map[string]*modelClient{}
+		w.clients, w.byID = nil, map[string]*modelClient{}
 		w.startSearch("quick", 900, 0)
 	})
-	w.runUntilAnswered(w.callers[0])
-	if w.callers[0].status != 200 || len(w.engine.searchByID) != 0 {
-		t.Error(w.callers[0].status, len(w.engine.searchByID))
+	w.runUntilAnswered(w.clients[0])
+	if w.clients[0].status != 200 || len(w.engine.searchByID) != 0 {
+		t.Error(w.clients[0].status, len(w.engine.searchByID))
 	}
 }
 
@@ -94,8 +94,8 @@
 		t.Fatal(len(w.serverConns()), second.status)
 	}
 	w.runUntilAnswered(second)
-	if second.status != 200 || w.engine.Count.Moved != 1 || w.engine.Count.Outcomes[policy.ConnectFailed] != 0 {
-		t.Errorf("what never began: %d, %d moved", second.status, w.engine.Count.Moved)
+	if second.status != 200 || w.engine.Count.AttemptsMoved != 1 || w.engine.Count.Outcomes[policy.ConnectFailed] != 0 {
+		t.Errorf("what never began: %d, %d moved", second.status, w.engine.Count.AttemptsMoved)
 	}
 }
 
@@ -113,8 +113,8 @@
 	w.advance(20)
 	w.openConns()
 	w.advance(1)
-	if w.engine.Count.Sent != 0 || w.engine.Count.Outcomes[policy.NeverSent] == 0 {
-		t.Errorf("%d sent, outcomes %v", w.engine.Count.Sent, w.engine.Count.Outcomes)
+	if w.engine.Count.AttemptsSent != 0 || w.engine.Count.Outcomes[policy.NeverSent] == 0 {
+		t.Errorf("%d sent, outcomes %v", w.engine.Count.AttemptsSent, w.engine.Count.Outcomes)
 	}
 }
 
@@ -129,8 +129,8 @@
 		w.disconnect(client)
 		w.openConns()
 		w.advance(10)
-		if w.engine.Count.Sent != 0 || w.engine.Count.ClientsLeft != 1 {
-			t.Errorf("cancel %s: %d sent though its client left during the connect", cancel, w.engine.Count.Sent)
+		if w.engine.Count.AttemptsSent != 0 || w.engine.Count.ClientsLeft != 1 {
+			t.Errorf("cancel %s: %d sent though its client left during the connect", cancel, w.engine.Count.AttemptsSent)
 		}
 
 		// A frame that stands before a network which takes nothing, with a part of another search.
@@ -201,7 +201,7 @@
 	w.advance(100)
 	tell("ready")
 	tell("draining")
-	w.advance(graceShare*250 - 50)
+	w.advance(drainGraceShare*250 - 50)
 	if len(e.unsent) == 0 {
 		t.Error("held back by the first drain, which was taken back")
 	}
@@ -219,7 +219,7 @@
 		var client *modelClient
 		w.turn(func() { client = w.startSearch("once", 900, 0) })
 		w.openConns()
-		sent := w.engine.Count.Sent
+		sent := w.engine.Count.AttemptsSent
 		if sent != 1 {
 			t.Fatal(how, sent)
 		}
@@ -244,8 +244,8 @@
 			w.advance(10)
 			w.openConns()
 		}
-		if w.engine.Count.Sent != sent {
-			t.Errorf("%s: %d more were sent for who had left", how, w.engine.Count.Sent-sent)
+		if w.engine.Count.AttemptsSent != sent {
+			t.Errorf("%s: %d more were sent for who had left", how, w.engine.Count.AttemptsSent-sent)
 		}
 		w.shutDownAndCheck()
 	}
@@ -306,7 +306,7 @@
 				}
 				w.turn(func() { w.closeByPeer(w.serverConns()[0]) })
 			}
-			before := w.engine.Count.Sent
+			before := w.engine.Count.AttemptsSent
 			var client *modelClient
 			w.turn(func() { client = w.startSearch("quick", 2500, 0) })
 			if how == "copy" { // it is out at a server that says nothing
@@ -314,7 +314,7 @@
 			} else { // its only server can't be reached, and is tried again after a while
 				w.turn(func() { w.closeByPeer(w.serverConns()[0]) })
 			}
-			sent := w.engine.Count.Sent
+			sent := w.engine.Count.AttemptsSent
 			if (how == "copy") != (sent == before+1) || client.answers > 0 {
 				t.Fatalf("%s: %d sent, %d answers", how, sent-before, client.answers)
 			}
@@ -333,7 +333,7 @@
 					}
 				}
 			}
-			return w.engine.Count.Sent - sent
+			return w.engine.Count.AttemptsSent - sent
 		}
 		if later(true) == 0 {
 			t.Errorf("%s: none begins though its client stays: the test shows nothing", how)
@@ -372,7 +372,7 @@
 			if w.runUntilAnswered(other); other.status != 200 {
 				t.Errorf("cancel %s, stays %v: who asked behind it has %d", cancel, stays, other.status)
 			}
-			if begun := slices.ContainsFunc(w.callLines, func(l string) bool { return strings.HasPrefix(l, client.id+".") }); begun != stays {
+			if begun := slices.ContainsFunc(w.requestLines, func(l string) bool { return strings.HasPrefix(l, client.id+".") }); begun != stays {
 				t.Errorf("cancel %s, stays %v: begun: %v", cancel, stays, begun)
 			}
 			w.shutDownAndCheck()
--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -9,46 +9,46 @@
 	"kestrelspread/internal/transport"
 )
 
-// What a client may take its time over, in ms. One of which neither a request nor its end is received
-// within 3 s has gone wrong.
+// Time limits for clients, in milliseconds. Something has gone wrong if neither a request nor the
+// end of one has been received within 3 s.
 const (
-	firstRequestTimeout  = 2000  // to begin its first request
-	requestTimeout       = 2500  // from connecting, or from the beginning of a later request, to its end
+	firstRequestTimeout  = 2000  // from connecting to the beginning of the first request
+	requestTimeout       = 2500  // from connecting, or from the beginning of a later request, to the request's end
 	writeTimeout         = 10000 // to read an answer
-	lingerTimeout        = 1000  // to close after the last answer, as long as it sends no more
-	maxLinger            = 5000  // though it sends on
-	clientIdleTimeout    = 10000 // to send its next request
-	partialBufferDivisor = 2     // of the buffers, one in so many at most holds an incomplete request
+	lingerTimeout        = 1000  // to close the connection after the last answer, renewed whenever the client sends more
+	maxLinger            = 5000  // the same, even if the client keeps sending
+	clientIdleTimeout    = 10000 // to send the next request
+	partialBufferDivisor = 2     // at most this fraction of the buffers, 1/2, holds incomplete requests
 )
 
-// client is a connection on which searches come, one at a time.
+// client is an HTTP connection. It carries one search at a time.
 type client struct {
-	conn           transport.Conn
-	parser         protocol.Message
-	ownsBuffer     bool    // its request has a buffer of its own
-	sharesBuffer   bool    // or the one that all share within an event
-	search         *search // that waits for its answer
-	pipelined      []byte  // what came before it has gone out, and when
-	pipelinedAt    float64
-	closeAfter     bool // no more is taken on it
-	finishing      bool // only waits for the other side to close
-	closed         bool
-	sentRequest    bool // it has sent a complete request
-	idleSince      float64
-	requestBegunAt float64 // when the request at hand began; the first one counts from connecting
-	lastReceivedAt float64
-	finishingSince float64
-	timer          *timer
-	writeOffset    int64 // bytes given to be written, and written so far
-	writtenOffset  int64
+	conn               transport.Conn
+	parser             protocol.Message
+	ownsBuffer         bool    // the current request is stored in a buffer of its own
+	usesSharedBuffer   bool    // the current request is stored in e.sharedBuffer, for the current event only
+	search             *search // the search that waits for its answer, or nil
+	pipelined          []byte  // received before the answer was written
+	pipelinedAt        float64 // when the last of pipelined was received
+	closeAfterResponse bool    // no further request is accepted: the connection is closed after the response
+	finishing          bool    // all is written; it waits for the client to close
+	closed             bool
+	sentRequest        bool    // it has sent a complete request
+	idleSince          float64 // when the last response was written, or when the client connected
+	requestBegunAt     float64 // when the current request began; for the first request, when the client connected
+	lastReceivedAt     float64
+	finishingSince     float64
+	timer              *timer
+	writeOffset        int64 // bytes passed to the network
+	writtenOffset      int64 // bytes that the operating system has accepted
 }
 
-// idle: nothing of a request has come, and nothing is owed.
+// idle reports whether no part of a request has been received and no answer is due.
 func (client *client) idle() bool {
 	return client.search == nil && !client.finishing && !client.closed && !client.parser.Begun() && len(client.pipelined) == 0
 }
 
-// deadline is when the connection is given up, unless something happens before.
+// deadline returns when the connection is closed unless something happens before.
 func (client *client) deadline() float64 {
 	switch {
 	case client.finishing:
@@ -65,22 +65,22 @@
 	return client.idleSince + clientIdleTimeout
 }
 
-// armClientTimer has a connection looked at by its deadline. One timer is enough, and it may come
-// too soon.
+// armClientTimer makes sure that clientTimedOut runs by the connection's deadline. One timer is
+// enough; it may fire before the deadline if that has moved.
 func (e *Engine) armClientTimer(client *client) {
 	at := client.deadline()
 	if client.timer != nil && client.timer.heapIndex >= 0 && client.timer.dueAt <= at {
 		return
 	}
-	e.timers.drop(client.timer)
+	e.timers.cancel(client.timer)
 	client.timer = nil
 	if !math.IsInf(at, 1) {
 		client.timer = e.timers.add(at, func(e *Engine) { e.clientTimedOut(client) })
 	}
 }
 
-// clientTimedOut ends a connection whose deadline has passed. After a stall of this aggregator it
-// waits once more, as what the client sent meanwhile may be unread yet.
+// clientTimedOut closes a connection whose deadline has passed. After a stall of the aggregator
+// itself it waits once more, because bytes that the client has sent meanwhile may still be unread.
 func (e *Engine) clientTimedOut(client *client) {
 	switch {
 	case client.closed:
@@ -88,91 +88,92 @@
 	case e.now < client.deadline():
 		e.armClientTimer(client)
 		return
-	case e.now > client.timer.dueAt+stallAfter:
-		client.timer = e.after(stallAfter, func(e *Engine) { e.clientTimedOut(client) })
+	case e.now > client.timer.dueAt+stallThreshold:
+		client.timer = e.afterFunc(stallThreshold, func(e *Engine) { e.clientTimedOut(client) })
 		return
 	case client.finishing:
 	case client.parser.Begun():
-		client.closeAfter = true
+		client.closeAfterResponse = true
 		e.rejectRequest(client, &protocol.RequestError{Status: 408, Reason: "half a request"})
 		return
-	case client.writeOffset > client.writtenOffset: // it does not read: what waits for it is memory
+	case client.writeOffset > client.writtenOffset: // it does not read its answer, which takes up memory
 		e.Count.WriteTimeouts++
 	case !client.sentRequest:
-		e.Count.Silent++
+		e.Count.SilentClientsDropped++
 	default:
-		e.Count.Idle++
+		e.Count.IdleClientsDropped++
 	}
 	e.dropClient(client)
 }
 
-// dropClient ends a connection at once.
+// dropClient closes a connection immediately.
 func (e *Engine) dropClient(client *client) {
 	e.close(client.conn)
 	e.clientClosed(client)
 	e.resumeAccepting()
 }
 
-// clientBytes reads requests. While a search waits for its answer, what comes is kept. A request
-// that comes in one piece needs no buffer of its own: however many others stop halfway, it is
-// taken.
-func (e *Engine) clientBytes(client *client, b []byte, came float64) {
+// clientBytes reads requests from received bytes. Bytes that arrive while a search waits for its
+// answer are kept for later. A request that arrives in one piece needs no buffer of its own, so it
+// is accepted however many other clients have stopped in the middle of a request.
+func (e *Engine) clientBytes(client *client, b []byte, receivedAt float64) {
 	client.lastReceivedAt = e.now
 	for len(b) > 0 && !client.finishing && !client.closed {
 		if client.search != nil {
-			e.keepPipelined(client, b, came)
+			e.storePipelined(client, b, receivedAt)
 			return
 		}
-		if !client.ownsBuffer && !client.sharesBuffer {
-			client.sharesBuffer = true
+		if !client.ownsBuffer && !client.usesSharedBuffer {
+			client.usesSharedBuffer = true
 			client.parser.SetStorage(e.sharedBuffer)
 		}
 		used, step, err := client.parser.Feed(b)
 		b = b[used:]
 		switch {
 		case err != nil:
-			client.closeAfter = true // where the next message begins is no longer sure
+			client.closeAfterResponse = true // it is unknown where the next message begins
 			e.rejectRequest(client, err)
 		case step == protocol.HeadComplete:
 			e.answerExpectation(client, len(b) == 0)
 		case step == protocol.Complete:
 			client.sentRequest = true
-			client.closeAfter = client.closeAfter || client.parser.IsLast()
-			e.handleRequest(client, came)
+			client.closeAfterResponse = client.closeAfterResponse || client.parser.IsLast()
+			e.handleRequest(client, receivedAt)
 		}
 	}
 	e.storePartial(client)
 }
 
-// keepPipelined keeps what comes before an answer has gone out, up to one buffer. A client that
-// sends more without waiting is cut off after its answer.
-func (e *Engine) keepPipelined(client *client, b []byte, came float64) {
+// storePipelined stores up to one buffer of bytes that arrive before the answer has been written. If
+// a client sends more without waiting, its connection is closed after the answer.
+func (e *Engine) storePipelined(client *client, b []byte, receivedAt float64) {
 	if client.pipelined == nil {
 		client.pipelined = e.takeBuffer()
 	}
 	if client.pipelined == nil {
-		client.closeAfter = true
+		client.closeAfterResponse = true
 		return
 	}
-	client.pipelinedAt = came
+	client.pipelinedAt = receivedAt
 	n := min(cap(client.pipelined)-len(client.pipelined), len(b))
 	client.pipelined = append(client.pipelined, b[:n]...)
 	if len(client.pipelined) == cap(client.pipelined) {
 		e.network.Reading(client.conn, false)
 	}
 	if n < len(b) {
-		client.closeAfter = true
+		client.closeAfterResponse = true
 	}
 }
 
-// answerExpectation lets a client go on that waits for leave to send its body.
+// answerExpectation answers an Expect header: a client that waits for permission to send its body
+// gets "100 Continue".
 func (e *Engine) answerExpectation(client *client, bodyAwaited bool) {
 	expectation, n := client.parser.Header("expect")
 	if n == 0 {
 		return
 	}
 	if !strings.EqualFold(string(expectation), "100-continue") {
-		client.closeAfter = true
+		client.closeAfterResponse = true
 		e.rejectRequest(client, &protocol.RequestError{Status: 417, Reason: "an expectation that is not known"})
 		return
 	}
@@ -181,21 +182,22 @@
 	}
 }
 
-// storePartial gives an incomplete request a buffer of its own, and returns one that is not needed.
+// storePartial moves an incomplete request to a buffer of its own, and releases the storage if no
+// request has begun.
 func (e *Engine) storePartial(client *client) {
 	switch {
 	case !client.parser.Begun():
 		e.releaseRequest(client)
-	case client.sharesBuffer:
+	case client.usesSharedBuffer:
 		buf := e.takeBuffer()
 		if buf == nil {
-			client.closeAfter = true
+			client.closeAfterResponse = true
 			e.respond(client, 503, 0, nil)
 			e.releaseRequest(client)
 			return
 		}
 		client.parser.MoveStorage(buf)
-		client.sharesBuffer, client.ownsBuffer = false, true
+		client.usesSharedBuffer, client.ownsBuffer = false, true
 		if client.sentRequest {
 			client.requestBegunAt = e.now
 		}
@@ -203,8 +205,8 @@
 	}
 }
 
-// takeBuffer gives a buffer for an incomplete request, or nil: some must be left for servers and
-// answers.
+// takeBuffer returns a buffer for an incomplete request, or nil if too few are free: some must be
+// left for servers and answers.
 func (e *Engine) takeBuffer() []byte {
 	if e.partialBuffers >= max(e.pool.Max/partialBufferDivisor, 1) {
 		e.Count.NoBuffer++
@@ -219,48 +221,48 @@
 	return buf
 }
 
-// returnBuffer gives back a buffer of takeBuffer.
+// returnBuffer returns a buffer that takeBuffer gave out.
 func (e *Engine) returnBuffer(buf []byte) {
 	e.partialBuffers--
 	e.pool.Put(buf)
 }
 
-// releaseRequest gives up the storage of the request at hand.
+// releaseRequest releases the storage of the current request.
 func (e *Engine) releaseRequest(client *client) {
 	switch {
 	case client.ownsBuffer:
 		client.ownsBuffer = false
 		e.returnBuffer(client.parser.SetStorage(nil))
-	case client.sharesBuffer:
-		client.sharesBuffer = false
+	case client.usesSharedBuffer:
+		client.usesSharedBuffer = false
 		client.parser.SetStorage(nil)
 	}
 }
 
-// resumeClient goes on with what came while a search was pending.
+// resumeClient reads the bytes that arrived while the client waited for its answer.
 func (e *Engine) resumeClient(client *client) {
 	if client.closed || client.finishing || client.search != nil || client.pipelined == nil {
 		return
 	}
-	early := client.pipelined
+	pipelined := client.pipelined
 	client.pipelined = nil
 	e.network.Reading(client.conn, true)
-	e.clientBytes(client, early, client.pipelinedAt)
-	e.returnBuffer(early)
+	e.clientBytes(client, pipelined, client.pipelinedAt)
+	e.returnBuffer(pipelined)
 }
 
-// handleRequest answers a complete request, or takes its search.
-func (e *Engine) handleRequest(client *client, came float64) {
+// handleRequest answers a complete request, or starts its search.
+func (e *Engine) handleRequest(client *client, receivedAt float64) {
 	path := string(client.parser.Path())
 	switch {
 	case path == "/ready" && client.parser.HasMethod("GET"):
-		if e.stopping || e.list.ready == 0 {
+		if e.stopping || e.serverList.readyCount == 0 {
 			e.respond(client, 503, 0, nil)
 			return
 		}
 		e.respond(client, 200, 0, []byte("ready\n"))
 	case path == "/api" && client.parser.HasMethod("POST"):
-		if err := e.acceptSearch(client, came); err != nil {
+		if err := e.acceptSearch(client, receivedAt); err != nil {
 			e.rejectRequest(client, err)
 		}
 	case path == "/api" || path == "/ready":
@@ -270,30 +272,31 @@
 	}
 }
 
-// badRequest is an error that is answered with status 400.
-func badRequest(why string) error { return &protocol.RequestError{Status: 400, Reason: why} }
+// badRequest returns an error that is answered with status 400.
+func badRequest(reason string) error { return &protocol.RequestError{Status: 400, Reason: reason} }
 
-// rejectRequest answers a request that is not sound with the status of its error.
+// rejectRequest answers an invalid request with the status and the text of its error.
 func (e *Engine) rejectRequest(client *client, err error) {
 	e.Count.BadRequests++
 	status := 400
-	var bad *protocol.RequestError
-	if errors.As(err, &bad) {
-		status = bad.Status
+	var requestError *protocol.RequestError
+	if errors.As(err, &requestError) {
+		status = requestError.Status
 	}
 	e.log.warn("bad request", "%v", err)
 	e.respond(client, status, 0, append([]byte(err.Error()), '\n'))
 }
 
-// respond writes a response and makes the connection ready for the next request, or ends it.
-func (e *Engine) respond(client *client, status int, back float64, body []byte) {
-	last := client.closeAfter || e.listenersClosed || e.outOfDescriptors
-	kind := "text/plain"
+// respond writes a response. It then prepares the connection for the next request, or closes it.
+// retryAfter is in milliseconds, 0: none.
+func (e *Engine) respond(client *client, status int, retryAfter float64, body []byte) {
+	last := client.closeAfterResponse || e.listenersClosed || e.outOfDescriptors
+	contentType := "text/plain"
 	if status == 200 && client.search == nil && len(body) > 0 && body[0] == '{' {
-		kind = "application/json"
+		contentType = "application/json"
 	}
-	e.scratch = protocol.AppendResponse(e.scratch[:0], status, kind, last, back, body)
-	e.writeToClient(client, e.scratch)
+	e.writeBuffer = protocol.AppendResponse(e.writeBuffer[:0], status, contentType, last, retryAfter, body)
+	e.writeToClient(client, e.writeBuffer)
 	client.parser.Next()
 	e.markIdle(client)
 	e.armClientTimer(client)
@@ -310,7 +313,7 @@
 	e.network.Write(client.conn, b)
 }
 
-// finishClient closes a connection so that what was written arrives.
+// finishClient closes a connection after everything written has been delivered.
 func (e *Engine) finishClient(client *client) {
 	if client.finishing {
 		return
@@ -321,7 +324,7 @@
 	e.armClientTimer(client)
 }
 
-// releaseClient gives back what a connection holds.
+// releaseClient releases the buffers that a connection holds.
 func (e *Engine) releaseClient(client *client) {
 	e.releaseRequest(client)
 	if client.pipelined != nil {
@@ -330,11 +333,11 @@
 	}
 }
 
-// clientClosed: nobody waits for its search any more.
+// clientClosed releases a closed connection. Nobody waits for its search any more.
 func (e *Engine) clientClosed(client *client) {
 	client.closed = true
-	e.clients--
-	e.timers.drop(client.timer)
+	e.clientCount--
+	e.timers.cancel(client.timer)
 	*e.endpoint(client.conn) = endpoint{}
 	e.releaseClient(client)
 	if search := client.search; search != nil {
--- a/internal/aggregator/engine/client_test.go
+++ b/internal/aggregator/engine/client_test.go
@@ -34,8 +34,8 @@
 		t.Error("half a request is waited for, ", half.client.status)
 	}
 	w.advance(writeTimeout + lingerTimeout)
-	if w.conns[reader] != nil || w.engine.Count.WriteTimeouts != 1 || w.engine.clients != 0 || w.pool.InUse() != 0 {
-		t.Error(w.engine.Count.WriteTimeouts, w.engine.clients, w.pool.InUse())
+	if w.conns[reader] != nil || w.engine.Count.WriteTimeouts != 1 || w.engine.clientCount != 0 || w.pool.InUse() != 0 {
+		t.Error(w.engine.Count.WriteTimeouts, w.engine.clientCount, w.pool.InUse())
 	}
 }
 
@@ -58,11 +58,11 @@
 		t.Error("a client among silent ones: ", client.status)
 	}
 	w.advance(firstRequestTimeout + 1)
-	if w.engine.clients != 1 {
-		t.Error(w.engine.clients, "clients, want the one that asked")
+	if w.engine.clientCount != 1 {
+		t.Error(w.engine.clientCount, "clients, want the one that asked")
 	}
 	w.advance(clientIdleTimeout + 1)
-	if w.engine.clients != 0 || w.engine.Count.Idle != 1 {
+	if w.engine.clientCount != 0 || w.engine.Count.IdleClientsDropped != 1 {
 		t.Error("an idle connection is kept for good")
 	}
 	w.shutDownAndCheck()
--- a/internal/aggregator/engine/config.go
+++ b/internal/aggregator/engine/config.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	maxShards             = 1 << 20
-	defaultConnectTimeout = 1000 // ms
+	maxShards             = 1 << 20 // used if the settings give no number of shards
+	defaultConnectTimeout = 1000    // ms
 )
 
-// reportFieldAliases are names that servers may write a value by: those of the site's own pages.
+// reportFieldAliases maps the report fields of the settings to other names by which servers may
+// send them: those of the operator's own pages.
 var reportFieldAliases = map[string]string{
 	"active":  "inflight",
 	"waiting": "queue",
@@ -22,27 +23,27 @@
 	"err_rps": "eps",
 }
 
-// config holds the settings that the network obeys. Times are in milliseconds.
+// config holds the settings that the engine uses. Times are in milliseconds.
 type config struct {
-	connectTimeout, connIdleTimeout, drainGrace float64
+	connectTimeout, connIdleTimeout, drainGrace float64 // drainGrace: how long new work may still begin at a server that is draining or gone
 	streamsPerConn, maxBatch                    int
-	maxPending                                  int
-	longestTimeout                              float64 // of a query type's clients
+	maxPending                                  int     // limit on open searches and shard requests without a reply; 0: none
+	longestTimeout                              float64 // longest client timeout of all query types
 	shards                                      int
 	positions, replicas                         int
-	kinds, zones                                map[string]int
-	twoPhase                                    []bool // by query type: its answer takes a second phase, which is not spoken here
-	customers                                   map[string]int
-	kindNames                                   []string
+	queryTypes, zones                           map[string]int // numbers of query types and zones by name
+	twoPhase                                    []bool         // by query type: its answer needs a second phase, which the engine does not implement
+	customers                                   map[string]int // numbers by name
+	queryTypeNames                              []string
 	customerNames                               []string
-	reportFields                                map[string]int
+	reportFields                                map[string]int // index in a report's values by field name
 	reportSize                                  int
-	probeType                                   byte
-	maxDescriptors                              int
-	pollsDiscovery                              bool // discovery is asked, it does not push
+	probeType                                   byte // frame type of health checks
+	maxDescriptors                              int  // descriptors that the process may open
+	pollsDiscovery                              bool // discovery must be polled; it does not push updates
 }
 
-// newConfig reads the settings; sockets is how many descriptors the process may hold.
+// newConfig reads the settings. sockets is the number of descriptors that the process may open.
 func newConfig(set settings.Values, sockets int) config {
 	c := config{
 		connectTimeout:  set.Float("limits.connect-timeout-ms", defaultConnectTimeout),
@@ -54,7 +55,7 @@
 		shards:          set.Int("family-info.slabs", maxShards),
 		positions:       max(set.Int("family-info.places", 1), 1),
 		replicas:        max(set.Int("family-info.span", 1), 1),
-		kinds:           map[string]int{},
+		queryTypes:      map[string]int{},
 		zones:           map[string]int{},
 		customers:       map[string]int{},
 		reportFields:    map[string]int{},
@@ -62,29 +63,31 @@
 		maxDescriptors:  sockets,
 		pollsDiscovery:  set["discovery"] == "ask",
 	}
-	c.readKinds(set)
+	c.readQueryTypes(set)
 	for i := range set.Count("customers") {
-		keepFirst(c.customers, set.ItemField("customers", i, "name"), i)
+		addIfAbsent(c.customers, set.ItemField("customers", i, "name"), i)
 		c.customerNames = append(c.customerNames, set.ItemField("customers", i, "name"))
 	}
 	for i, zone := range set.List("localities") {
-		keepFirst(c.zones, zone, i)
+		addIfAbsent(c.zones, zone, i)
 	}
 	c.readReportFields(set)
 	return c
 }
 
-func (c *config) readKinds(set settings.Values) {
+// readQueryTypes reads the settings of the query types.
+func (c *config) readQueryTypes(set settings.Values) {
 	for i := range set.Count("classes") {
 		name := set.ItemField("classes", i, "name")
-		keepFirst(c.kinds, name, i)
-		c.kindNames = append(c.kindNames, name)
+		addIfAbsent(c.queryTypes, name, i)
+		c.queryTypeNames = append(c.queryTypeNames, name)
 		timeout := set.Float("classes."+strconv.Itoa(i)+".deadline-ms", maxClientTimeout)
 		c.longestTimeout = max(c.longestTimeout, timeout)
 		c.twoPhase = append(c.twoPhase, set.FloatAt("family-info.follow-up", i, 0) > 0)
 	}
 }
 
+// readReportFields reads which fields a load report has.
 func (c *config) readReportFields(set settings.Values) {
 	for i, name := range set.List("report.fields") {
 		c.reportFields[name] = i
@@ -98,9 +101,10 @@
 	}
 }
 
-// keepFirst keeps a name's first number: settings may state a name twice.
-func keepFirst(of map[string]int, name string, i int) {
-	if _, known := of[name]; !known {
-		of[name] = i
+// addIfAbsent assigns a number to a name that has none yet: settings may contain a name twice, and
+// the first one counts.
+func addIfAbsent(numbers map[string]int, name string, number int) {
+	if _, known := numbers[name]; !known {
+		numbers[name] = number
 	}
 }
--- a/internal/aggregator/engine/counters.go
+++ b/internal/aggregator/engine/counters.go
@@ -7,39 +7,41 @@
 	"kestrelspread/internal/invariant"
 )
 
-// Counters of what an aggregator takes in, sends and answers since its start.
+// Counters counts the events of an aggregator since its start.
 type Counters struct {
-	Searches, Complete, Partial, Shed, Errored, ClientsLeft, OverPending, TooLong, BadRequests int64
-	Sent, Batches, Cancelled, LateReplies, Moved, Pushbacks, AttemptsAsked, Metered            int64
-	Outcomes                                                                                   [policy.NeverSent + 1]int64
-	Accepted, Evicted, Paused, WriteTimeouts, Silent, Idle                                     int64
-	Connects, ConnectTimeouts, Broken, IdleClosed, NoSocket, NoBuffer                          int64
-	Retracted, CloseRetries                                                                    int64
-	Probes, ProbesFailed, Watches, WatchesLost, Moves, Lists, OldLists, BadLists               int64
-	Frames, BadFrames, Panics, BytesIn, BytesOut                                               int64
+	Searches, Complete, Partial, Shed, Errored, ClientsLeft, OverPendingLimit, AnswersTooLong, BadRequests  int64
+	AttemptsSent, Batches, AttemptsCancelled, LateReplies, AttemptsMoved, Pushbacks, AttemptsAsked, Metered int64
+	Outcomes                                                                                                [policy.NeverSent + 1]int64
+	Accepted, Evicted, AcceptPauses, WriteTimeouts, SilentClientsDropped, IdleClientsDropped                int64
+	ConnsRequested, ConnectTimeouts, ServerConnsBroken, IdleServerConnsClosed, NoSocket, NoBuffer           int64
+	FramesRetracted, ListenerCloseRetries                                                                   int64
+	Probes, ProbesFailed, Watches, WatchesLost, DiscoveryMoves, Lists, OldLists, BadLists                   int64
+	Frames, BadFrames, Panics, BytesIn, BytesOut                                                            int64
 }
 
-func (count *Counters) outcome(how policy.Outcome) { count.Outcomes[how]++ }
+// countOutcome counts the outcome of an attempt.
+func (count *Counters) countOutcome(countOutcome policy.Outcome) { count.Outcomes[countOutcome]++ }
 
+// outcomeNames are the log fields of the outcomes of policy.Outcome, in its order.
 var outcomeNames = [...]string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
 
-// Print writes the counters, in four lines, and one for each query type of which searches were
-// refused.
+// Print logs the counters in four lines, plus one line for each query type of which searches were
+// refused; why says what asked for them.
 func (e *Engine) Print(why string) {
 	line := func() *zerolog.Event { return e.log.log.Info().Str("why", why) }
-	e.printSearches(line())
-	e.printAttempts(line())
-	e.printConnections(line())
-	e.printRest(line())
-	for kind, name := range e.config.kindNames {
-		e.printRefusals(line().Str("type", name), kind)
+	e.logSearchCounters(line())
+	e.logAttemptCounters(line())
+	e.logConnectionCounters(line())
+	e.logOtherCounters(line())
+	for queryType, name := range e.config.queryTypeNames {
+		e.logRefusals(line().Str("type", name), queryType)
 	}
-	for _, front := range e.fronts {
-		front.Print(e.log.log, why)
+	for _, frontend := range e.frontends {
+		frontend.Print(e.log.log, why)
 	}
 }
 
-func (e *Engine) printSearches(line *zerolog.Event) {
+func (e *Engine) logSearchCounters(line *zerolog.Event) {
 	count := &e.Count
 	line.Int64("searches", count.Searches).
 		Int64("whole", count.Complete).
@@ -47,54 +49,54 @@
 		Int64("shed", count.Shed).
 		Int64("errored", count.Errored).
 		Int64("left", count.ClientsLeft).
-		Int64("over_held", count.OverPending).
-		Int64("too_long", count.TooLong).
+		Int64("over_held", count.OverPendingLimit).
+		Int64("too_long", count.AnswersTooLong).
 		Int64("bad_requests", count.BadRequests).
 		Int("held", e.openSearches).
 		Msg("searches")
 }
 
-func (e *Engine) printAttempts(line *zerolog.Event) {
+func (e *Engine) logAttemptCounters(line *zerolog.Event) {
 	count := &e.Count
-	line.Int64("sent", count.Sent).
+	line.Int64("sent", count.AttemptsSent).
 		Int64("calls", count.Batches).
-		Int64("called_off", count.Cancelled).
+		Int64("called_off", count.AttemptsCancelled).
 		Int64("late_replies", count.LateReplies).
-		Int64("moved", count.Moved).
+		Int64("moved", count.AttemptsMoved).
 		Int64("pushbacks", count.Pushbacks).
-		Int64("unbegun", count.Retracted)
+		Int64("unbegun", count.FramesRetracted)
 	for outcome, name := range outcomeNames {
 		line.Int64(name, count.Outcomes[outcome])
 	}
 	line.Msg("sub-requests")
 }
 
-func (e *Engine) printConnections(line *zerolog.Event) {
+func (e *Engine) logConnectionCounters(line *zerolog.Event) {
 	count := &e.Count
 	line.Int64("accepted", count.Accepted).
 		Int64("gave_way", count.Evicted).
-		Int64("paused", count.Paused).
+		Int64("paused", count.AcceptPauses).
 		Int64("stuck", count.WriteTimeouts).
-		Int64("silent", count.Silent).
-		Int64("idle", count.Idle).
-		Int64("connects", count.Connects).
+		Int64("silent", count.SilentClientsDropped).
+		Int64("idle", count.IdleClientsDropped).
+		Int64("connects", count.ConnsRequested).
 		Int64("connect_timeouts", count.ConnectTimeouts).
-		Int64("broken", count.Broken).
-		Int64("idle_closed", count.IdleClosed).
+		Int64("broken", count.ServerConnsBroken).
+		Int64("idle_closed", count.IdleServerConnsClosed).
 		Int64("no_socket", count.NoSocket).
-		Int64("ajar", count.CloseRetries).
-		Int("clients", e.clients).
-		Int("sockets", e.sockets).
+		Int64("ajar", count.ListenerCloseRetries).
+		Int("clients", e.clientCount).
+		Int("sockets", e.socketCount).
 		Msg("connections")
 }
 
-func (e *Engine) printRest(line *zerolog.Event) {
+func (e *Engine) logOtherCounters(line *zerolog.Event) {
 	count := &e.Count
 	line.Int64("probes", count.Probes).
 		Int64("probes_failed", count.ProbesFailed).
 		Int64("watches", count.Watches).
 		Int64("watches_lost", count.WatchesLost).
-		Int64("moves", count.Moves).
+		Int64("moves", count.DiscoveryMoves).
 		Int64("lists", count.Lists).
 		Int64("old_lists", count.OldLists).
 		Int64("bad_lists", count.BadLists).
@@ -110,11 +112,10 @@
 		Msg("rest")
 }
 
-// printRefusals writes how many searches of a query type were refused, by reason; nothing where
-// none was.
-func (e *Engine) printRefusals(line *zerolog.Event, kind int) {
+// logRefusals logs how many searches of a query type were refused, by reason, if any were.
+func (e *Engine) logRefusals(line *zerolog.Event, queryType int) {
 	refused := false
-	for reason, n := range e.policy.Refusals(kind) {
+	for reason, n := range e.policy.Refusals(queryType) {
 		if n > 0 {
 			refused = true
 			line.Int(policy.RefusalReason(reason).String(), n)
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -1,12 +1,14 @@
-// Package engine is the aggregator's one reducer: each event of the network changes its state and
-// asks for effects. It reads searches, carries shard requests to servers and writes answers. It has
-// no socket and no clock, and decides nothing about searches: that is the policy's, which it drives
-// through policy.Port and whose decisions it carries out as policy.Out.
+// Package engine is the aggregator's event-driven core. Each network event changes the engine's
+// state and may request effects, such as writing to a connection. The engine reads searches from
+// clients, sends shard requests to servers and writes the answers. It owns no socket and no clock.
+// It makes no decision about searches: it passes events to the policy through policy.Port and
+// carries out the policy's decisions as its policy.Out.
 //
-// Invariants: all events of a turn are one round of the policy, between Begin and End; the policy
-// is never called while it is calling, so what its decisions cause is delivered in the next turn;
-// each search gets one final answer; no connection carries one id twice at a time; what the network
-// has not begun to write can be retracted, and is once nobody waits for it.
+// Invariants: all events of a turn form one round of the policy, between Begin and End; the policy
+// is never called while one of its own calls is in progress, so the results of its decisions are
+// delivered in the next turn; each search gets exactly one final answer; no connection carries the
+// same request id twice at the same time; a frame that the network has not begun to send can be
+// retracted, and is retracted once nobody waits for its requests.
 package engine
 
 import (
@@ -23,89 +25,92 @@
 	"kestrelspread/internal/transport"
 )
 
-// Net performs the effects. It reports what happens as transport.Handler has it.
+// Net performs the engine's effects on the network. It reports events through transport.Handler.
 type Net interface {
-	// Connect opens a connection; Opened or Closed follows.
+	// Connect opens a connection. Opened or Closed is called when it succeeds or fails.
 	Connect(addr netip.AddrPort) transport.Conn
-	// Write gives bytes to be written; Written tells how far the system has taken them.
+	// Write queues bytes for writing. Written reports how many the operating system has accepted.
 	Write(c transport.Conn, b []byte)
-	// Finish closes a connection once what was written has arrived; Closed follows.
+	// Finish closes a connection after everything written has been delivered. Closed is called
+	// then.
 	Finish(c transport.Conn)
-	// Close drops a connection at once; Closed does not follow.
+	// Close closes a connection immediately. Closed is not called.
 	Close(c transport.Conn)
-	// Reading switches the reading of a connection on or off.
+	// Reading enables or disables reading from a connection.
 	Reading(c transport.Conn, on bool)
-	// Accept switches the accepting of clients on or off.
+	// Accept enables or disables the accepting of client connections.
 	Accept(on bool)
-	// Retract takes back what was written from an offset on, if the system has taken none of it.
+	// Retract discards everything written from an offset on, if the operating system has accepted
+	// none of it, and reports whether it did.
 	Retract(c transport.Conn, from int64) bool
-	// Unlisten closes the addresses; false: some clients have connected that can't be accepted yet.
+	// Unlisten closes the listeners. It returns false if some clients have connected but cannot be
+	// accepted yet.
 	Unlisten() (closed bool)
-	// Door is the number of the address by which a connection came in, 0 for HTTP's.
+	// Door returns the number of the listener that accepted a connection; 0 is the HTTP listener.
 	Door(c transport.Conn) int
-	// Arm asks for a turn at a time.
+	// Arm requests a turn at the given time.
 	Arm(at float64)
-	// Stop ends the loop.
+	// Stop ends the event loop.
 	Stop()
 }
 
-// Engine is one aggregator's state. All of it belongs to the goroutine of the loop, but Discovery
-// and Post.
+// Engine holds the state of one aggregator. Everything in it belongs to the goroutine of the event
+// loop, except Discovery and Post.
 type Engine struct {
-	Discovery atomic.Pointer[netip.AddrPort] // set by others before they notify MoveDiscovery
+	Discovery atomic.Pointer[netip.AddrPort] // address of discovery; other goroutines store it before they notify MoveDiscovery
 
 	network        Net
 	pool           *transport.Pool
-	log            *limitedLog
+	log            *rateLimitedLog
 	policy         policy.Port
 	Count          Counters
-	now            float64
-	wakeAt         float64
+	now            float64 // time of the current turn, in ms of the loop's clock
+	wakeAt         float64 // when the policy is to be woken; +Inf: not requested
 	timers         timers
-	endpoints      []endpoint // by connection
-	clients        int
-	partialBuffers int          // buffers of incomplete requests
-	idleClients    []idleClient // in the order in which they came to rest
-	silentClients  []idleClient // in the order in which they came, of those that have said nothing
-	list           serverList
-	initialList    []byte // the list to begin with
+	endpoints      []endpoint   // indexed by connection
+	clientCount    int          // open HTTP client connections
+	partialBuffers int          // buffers held by incomplete requests
+	idleClients    []idleClient // clients that have sent a request, in the order in which they became idle
+	silentClients  []idleClient // clients that have sent nothing yet, in the order in which they connected
+	serverList     serverList
+	initialList    []byte // server list that was known at start; nil once applied
 	config         config
-	fronts         []Front // by door, from 1
-	posted         chan func()
-	meter          Meter // or nil
-	started        bool
+	frontends      []Front     // listener number i belongs to fronts[i-1]
+	postedFuncs    chan func() // functions of other goroutines that wait to run in the loop
+	meter          Meter       // nil: usage is not metered
+	started        bool        // the first turn has begun
 
-	entries        []indexEntry
-	freeEntries    []int
-	pending        int
-	openSearches   int
-	searchByID     map[string]*search // by id, those without an answer
-	sending        []int              // servers that this round sends to
-	outcomes       []attemptResult
-	probeResults   []probeResult
-	endedSearches  []*search
-	resumedClients []*client
-	turnRequested  bool // something waits for a turn of its own
-	scratch        []byte
-	body           []byte
-	sharedBuffer   []byte // storage for requests that come in one piece
-	parsed         []parsedRequest
-	shardMarks     []int64 // by shard: the last search that named it
-	shardMark      int64
+	entries           []indexEntry       // by the policy's index
+	freeEntries       []int              // indices that are free
+	pendingCount      int                // open searches and shard requests without a reply
+	openSearches      int                // searches without an answer that the policy knows
+	searchByID        map[string]*search // searches of HTTP clients without an answer
+	serversToSend     []int              // servers for which this round has planned attempts
+	outcomes          []attemptResult    // not yet delivered to the policy
+	probeResults      []probeResult      // not yet delivered to the policy
+	endedSearches     []*search          // ended in this turn; the policy is notified in End
+	resumedClients    []*client          // clients whose pipelined bytes can be read now
+	turnRequested     bool               // work is left for which no event will start a turn
+	writeBuffer       []byte             // for the message that is being written
+	answerBuffer      []byte             // for the answer that is being encoded
+	sharedBuffer      []byte             // storage for requests and frames that arrive in one piece
+	parsedRequests    []parsedRequest    // shard requests of the search that is being read
+	lastSearchOfShard []int64            // by shard: the sequence number of the last search that named it
+	searchSequence    int64              // sequence number of the search that is being read
 
-	sockets          int
-	closedConn       transport.Conn // by the other side, in the event at hand
-	accepting        bool
-	evicting         bool
-	outOfDescriptors bool // accepting is off, and nobody can be evicted
-	stopping         bool
-	listenersClosed  bool
-	closeIncomplete  bool    // some have connected that can't be taken yet
-	stoppedAt        float64 // when the shutdown began
-	killAt           float64 // when it may be killed, or infinite
+	socketCount          int            // open connections of all kinds
+	closedConn           transport.Conn // closed by the peer in the event that is being handled, or noConn
+	accepting            bool           // client connections are being accepted
+	evictionScheduled    bool           // a further eviction is scheduled
+	outOfDescriptors     bool           // accepting is suspended and no client can be evicted
+	stopping             bool           // the shutdown has begun
+	listenersClosed      bool           // no further client is accepted
+	listenerClosePending bool           // clients have connected that cannot be accepted yet, so the listeners are still open
+	stoppedAt            float64        // when the shutdown began
+	killAt               float64        // earliest time at which the process may be killed; +Inf: no shutdown has begun
 }
 
-// endpoint is who stands at the other end of a connection.
+// endpoint identifies the peer of a connection; at most one field is set.
 type endpoint struct {
 	client  *client
 	conn    *serverConn
@@ -113,12 +118,13 @@
 	handler ConnHandler
 }
 
-// indexEntry is what an index of the policy stands for.
+// indexEntry is the search or the shard request that one of the policy's indices refers to.
 type indexEntry struct {
 	search  *search
 	request *shardRequest
 }
 
+// probeResult is the result of a health check that the policy has not been told yet.
 type probeResult struct {
 	server int
 	ok     bool
@@ -126,51 +132,54 @@
 	report []float64
 }
 
+// attemptResult is the outcome of an attempt that the policy has not been told yet.
 type attemptResult struct {
 	attempt *attempt
 	outcome policy.Outcome
 	report  []float64
 }
 
-// New makes an aggregator that knows its settings and no server yet.
+// New returns an engine that has its settings and knows no server yet. sockets is the number of
+// descriptors that the process may open, known is the server list to start with, and epoch is the
+// Unix time in milliseconds at which the loop's clock was 0.
 func New(net Net, pool *transport.Pool, log zerolog.Logger, set settings.Values, seed uint64, sockets int,
 	known []byte, discovery netip.AddrPort, epoch float64) *Engine {
 	e := &Engine{
 		network:      net,
 		pool:         pool,
-		log:          &limitedLog{log: log},
+		log:          &rateLimitedLog{log: log},
 		wakeAt:       math.Inf(1),
 		killAt:       math.Inf(1),
 		accepting:    true,
 		initialList:  known,
 		closedConn:   noConn,
-		posted:       make(chan func(), maxPosted),
+		postedFuncs:  make(chan func(), maxPosted),
 		searchByID:   map[string]*search{},
 		sharedBuffer: make([]byte, 0, pool.Size),
-		list:         serverList{addr: discovery, epoch: epoch, indexOf: map[string]int{}},
+		serverList:   serverList{addr: discovery, epoch: epoch, indexOf: map[string]int{}},
 		config:       newConfig(set, sockets),
 	}
-	for kind, twoPhase := range e.config.twoPhase {
+	for queryType, twoPhase := range e.config.twoPhase {
 		if twoPhase {
-			e.log.warn("second step", "searches of type %q are errored: their second step is not spoken on sockets",
-				e.config.kindNames[kind])
+			e.log.warn("two-phase query type", "searches of query type %q fail: the second phase is not implemented",
+				e.config.queryTypeNames[queryType])
 		}
 	}
 	e.policy = set.NewPolicy(e, seed)
 	return e
 }
 
-// Policy is the policy, or what stands before it.
+// Policy returns the policy, or the one set by ReplacePolicy.
 func (e *Engine) Policy() policy.Port { return e.policy }
 
-// Begin opens a turn: all its events are one round of the policy.
+// Begin starts a turn, and with it a round of the policy: all events of the turn belong to it.
 func (e *Engine) Begin(now float64) {
 	e.now, e.log.now = now, now
 	e.turnRequested = false
 	e.policy.Begin(now)
 	if !e.started {
 		e.started = true
-		e.openWatch() // first: whatever the list to begin with holds, the watch must be open
+		e.openWatch() // before the list is applied: the watch must be open even if the list is unusable
 		known := e.initialList
 		e.initialList = nil
 		if err := e.applyList(&watch{}, known); err != nil {
@@ -180,13 +189,14 @@
 	}
 }
 
-// End does what is due, has the policy decide, and carries it out. What that causes waits for the
-// next turn: the policy is never called while it is calling. It tells whether something waits for a
-// turn that no event will bring.
+// End runs the timers that are due, lets the policy decide and carries out its decisions. Results
+// of these decisions are delivered in the next turn, because the policy is never called while one
+// of its own calls is in progress. again reports whether work is left for which no event will start
+// a turn.
 func (e *Engine) End() (again bool) {
 	e.deliverResults()
 	for len(e.timers) > 0 && e.timers[0].dueAt <= e.now {
-		e.timers.take().due(e)
+		e.timers.popEarliest().run(e)
 		e.deliverResults()
 	}
 	resumed := e.resumedClients
@@ -208,8 +218,8 @@
 	}
 	e.policy.End()
 	e.sendBatches()
-	for _, front := range e.fronts {
-		front.Flush()
+	for _, frontend := range e.frontends {
+		frontend.Flush()
 	}
 	e.stopWhenIdle()
 	next := e.wakeAt
@@ -222,17 +232,17 @@
 	return e.turnRequested || len(e.outcomes)+len(e.probeResults) > 0 || len(e.resumedClients) > 0
 }
 
-// deliverResults notifies the policy of how attempts ended.
+// deliverResults tells the policy the outcomes of attempts and health checks.
 func (e *Engine) deliverResults() {
 	for i := 0; i < len(e.outcomes); i++ {
 		result := e.outcomes[i]
 		req := result.attempt.request
 		if result.outcome == policy.Answered && !req.reported {
 			if req.reported = true; !req.search.ended {
-				e.pending--
+				e.pendingCount--
 			}
 		}
-		e.Count.outcome(result.outcome)
+		e.Count.countOutcome(result.outcome)
 		e.policy.Done(req.index, result.attempt.number, result.outcome, result.report)
 	}
 	e.outcomes = e.outcomes[:0]
@@ -242,14 +252,17 @@
 	e.probeResults = e.probeResults[:0]
 }
 
-// after has something done once a time has come.
-func (e *Engine) after(in float64, due func(e *Engine)) *timer { return e.timers.add(e.now+in, due) }
+// afterFunc schedules run to be called after a delay in milliseconds.
+func (e *Engine) afterFunc(delay float64, run func(e *Engine)) *timer {
+	return e.timers.add(e.now+delay, run)
+}
 
-// Post has something done in the loop, from another goroutine; tell wakes it. The post is bounded:
-// false, and nothing done, where it is full. Whoever posts is pushed back, never the loop.
+// Post runs do in the loop; it may be called from other goroutines. tell must notify the loop,
+// which then calls Notified. The queue is bounded: if it is full, Post does nothing and returns
+// false, so that the callers are slowed down and never the loop.
 func (e *Engine) Post(tell func(what int32), do func()) bool {
 	select {
-	case e.posted <- do:
+	case e.postedFuncs <- do:
 		tell(RunPosted)
 		return true
 	default:
@@ -257,18 +270,19 @@
 	}
 }
 
-// newIndex gives an index to a search or a shard request.
+// newIndex assigns a free index to a search or a shard request.
 func (e *Engine) newIndex(entry indexEntry) int {
 	if n := len(e.freeEntries); n > 0 {
-		at := e.freeEntries[n-1]
+		index := e.freeEntries[n-1]
 		e.freeEntries = e.freeEntries[:n-1]
-		e.entries[at] = entry
-		return at
+		e.entries[index] = entry
+		return index
 	}
 	e.entries = append(e.entries, entry)
 	return len(e.entries) - 1
 }
 
+// endpoint returns the endpoint of a connection, or an empty one for noConn.
 func (e *Engine) endpoint(c transport.Conn) *endpoint {
 	for int(c) >= len(e.endpoints) {
 		e.endpoints = append(e.endpoints, endpoint{})
@@ -279,11 +293,12 @@
 	return &e.endpoints[c]
 }
 
-// Wake implements policy.Out, as does Log; its other methods stand with what they concern.
-func (e *Engine) Wake(in float64) { e.wakeAt = min(e.wakeAt, e.now+in) }
+// Wake implements policy.Out. The other methods of policy.Out are in the files of the operations
+// that they start.
+func (e *Engine) Wake(delay float64) { e.wakeAt = min(e.wakeAt, e.now+delay) }
 
-// Log implements policy.Out. Lines about a zone must not be suppressed behind lines about single
-// servers.
+// Log implements policy.Out. Lines about a zone have a kind of their own in the rate limit, so that
+// lines about single servers do not suppress them.
 func (e *Engine) Log(text string) {
 	kind := "decision"
 	if strings.HasPrefix(text, "site ") {
@@ -292,28 +307,28 @@
 	e.log.info(kind, "%s", text)
 }
 
-// Forget frees the indices of a search of which nothing is out any more.
-func (e *Engine) Forget(at int) {
-	search := e.entries[at].search
+// Forget implements policy.Out. It frees the indices of a search that has no attempt in flight.
+func (e *Engine) Forget(index int) {
+	search := e.entries[index].search
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
-			invariant.Check(attempt.state == stateEnded, "nothing is out of a search that is forgotten")
+			invariant.Check(attempt.state == stateEnded, "a forgotten search has no attempt in flight")
 		}
 		e.entries[req.index] = indexEntry{}
 		e.freeEntries = append(e.freeEntries, req.index)
 	}
-	invariant.Check(search.ended, "a search is forgotten after its answer")
+	invariant.Check(search.ended, "a forgotten search has its final answer")
 	search.forgotten = true
 	e.recordUsage(search)
-	e.entries[at] = indexEntry{}
-	e.freeEntries = append(e.freeEntries, at)
+	e.entries[index] = indexEntry{}
+	e.freeEntries = append(e.freeEntries, index)
 }
 
 const (
 	noConn = transport.Conn(-1)
 
-	maxPosted       = 256 // functions from other goroutines that wait for a turn
-	spareSockets    = 16  // descriptors of the runtime, the loop, standard streams, discovery, the listener
-	stallAfter      = 100 // ms by which a timer is late that means that this aggregator stood still
-	roundRetryDelay = 10  // ms after a round of the policy that failed
+	maxPosted       = 256 // functions from other goroutines that may wait for a turn
+	reservedSockets = 16  // descriptors reserved for the runtime, the loop, standard streams, discovery and the listeners
+	stallThreshold  = 100 // ms; a timer that is later than this means that the aggregator itself was stalled
+	roundRetryDelay = 10  // ms from a round that panicked to the next turn
 )
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -5,16 +5,16 @@
 	"kestrelspread/internal/transport"
 )
 
-// Notifications from outside the loop.
+// Notifications that other goroutines send to the loop.
 const (
-	Terminate = iota
-	Report
-	MoveDiscovery // to the address that Discovery holds
-	ReloadFronts  // the settings of the fronts
-	RunPosted     // something waits in the post
+	Terminate     = iota // begin the shutdown
+	Report               // log the counters
+	MoveDiscovery        // discovery has moved to the address in Engine.Discovery
+	ReloadFronts         // apply the new settings of the front ends
+	RunPosted            // run the functions that were passed to Engine.Post
 )
 
-// Notified implements transport.Handler: a notification of another goroutine.
+// Notified implements transport.Handler. It handles a notification from another goroutine.
 func (e *Engine) Notified(what int32) {
 	switch what {
 	case Terminate:
@@ -28,7 +28,7 @@
 	case RunPosted:
 		for {
 			select {
-			case do := <-e.posted:
+			case do := <-e.postedFuncs:
 				do()
 				continue
 			default:
@@ -36,13 +36,13 @@
 			break
 		}
 	case ReloadFronts:
-		for _, front := range e.fronts {
-			front.Reload()
+		for _, frontend := range e.frontends {
+			frontend.Reload()
 		}
 	}
 }
 
-// Opened implements transport.Handler: a connection that was asked for is up.
+// Opened implements transport.Handler. A connection that was requested is established.
 func (e *Engine) Opened(c transport.Conn) {
 	if conn := e.endpoint(c).conn; conn != nil {
 		e.serverConnOpened(conn)
@@ -54,23 +54,23 @@
 	e.deliverResults()
 }
 
-// Bytes implements transport.Handler: bytes came on a connection, at a time.
-func (e *Engine) Bytes(c transport.Conn, b []byte, came float64) {
+// Bytes implements transport.Handler. It handles bytes that were received at the given time.
+func (e *Engine) Bytes(c transport.Conn, b []byte, receivedAt float64) {
 	e.Count.BytesIn += int64(len(b))
 	if client := e.endpoint(c).client; client != nil {
-		e.clientBytes(client, b, came)
+		e.clientBytes(client, b, receivedAt)
 	} else if conn := e.endpoint(c).conn; conn != nil {
 		e.serverConnBytes(conn, b)
 	} else if watch := e.endpoint(c).watch; watch != nil {
 		e.watchBytes(watch, b)
 	} else if handler := e.endpoint(c).handler; handler != nil {
-		handler.Bytes(b, came)
+		handler.Bytes(b, receivedAt)
 	}
 	e.deliverResults()
 }
 
-// Written implements transport.Handler: the system has taken what was written on a connection up to
-// there.
+// Written implements transport.Handler. The operating system has accepted what was written before
+// the offset upTo.
 func (e *Engine) Written(c transport.Conn, upTo int64) {
 	if client := e.endpoint(c).client; client != nil {
 		client.writtenOffset = upTo
@@ -85,10 +85,10 @@
 	}
 }
 
-// Closed implements transport.Handler: a connection is gone, and what was written behind upTo never
-// left.
+// Closed implements transport.Handler. A connection is closed; what was written from the offset
+// upTo on was never sent.
 func (e *Engine) Closed(c transport.Conn, upTo int64) {
-	e.sockets--
+	e.socketCount--
 	e.closedConn = c
 	if client := e.endpoint(c).client; client != nil {
 		e.clientClosed(client)
@@ -106,20 +106,22 @@
 	e.closedConn = noConn
 }
 
-// close drops a connection from this side.
+// close closes a connection immediately.
 func (e *Engine) close(c transport.Conn) {
 	if c == e.closedConn {
-		return // the other side was first, and handling that failed
+		return // the peer closed it in this event, and handling that event failed
 	}
-	e.sockets--
+	e.socketCount--
 	e.network.Close(c)
 }
 
-// Panicked errors what a failed event concerns, and nothing else where that is known.
+// Panicked implements transport.Handler. It ends with an error what an event concerned whose
+// handling panicked: the search of its client connection, or its server connection or watch. If the
+// event concerned no connection, all open searches fail.
 func (e *Engine) Panicked(c transport.Conn, what any, stack []byte) {
 	e.Count.Panics++
 	defer func() { e.closedConn = noConn }()
-	e.log.fail(what, stack)
+	e.log.logPanic(what, stack)
 	if invariant.Debug {
 		panic(what)
 	}
@@ -142,7 +144,7 @@
 		e.close(c)
 		e.handlerClosed(c, handler, 0)
 	} else {
-		e.network.Arm(e.now + roundRetryDelay) // the round was cut short: what it would have armed is not known
+		e.network.Arm(e.now + roundRetryDelay) // the round was cut short, so the timer it would have set is unknown
 		for _, entry := range e.entries {
 			if entry.search != nil && !entry.search.ended {
 				e.endSearch(entry.search, 500, 0, nil)
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -10,272 +10,292 @@
 	"kestrelspread/internal/transport"
 )
 
-// What other fronts are given, and what they owe. The HTTP client of this package is the first
-// front and frames are the first carrier; others bring searches and carry attempts through this
-// file. They know no replica's health, no budget and no retry: all that is the policy's.
+// This file is the interface to further front ends. HTTP is the built-in front end, and the framed
+// server protocol carries its attempts. Other front ends start searches and send the attempts of
+// these searches themselves, through this file. They know nothing of server health, retry budgets
+// or retries: the policy decides all of that.
 
-// Result is what a search's one final answer says.
+// Result is the kind of a search's final answer.
 type Result uint8
 
-// How a search ended.
+// The kinds of final answers.
 const (
 	Complete Result = iota
-	Partial         // at or over the floor, and marked as partial
-	Shed            // refused: asking again is harmless
-	Failed          // errored
+	Partial         // at least the minimum share of the weight; marked as partial in the answer
+	Shed            // refused without any effect: the client may retry
+	Failed          // ended with an error; it may have had an effect
 )
 
-// Carrier is a search that a front brought, and the carrier of its attempts.
+// Carrier is a front end's side of one search that it started: it sends the search's attempts to
+// servers and delivers the final answer to the client.
 type Carrier interface {
-	// Final comes exactly once, unless Leave came before it. Nothing of the search is sent after it.
-	Final(how Result, back float64)
-	// Send begins an attempt. Ended tells its outcome, at once or later.
-	Send(s *Attempt)
-	// Cancel stops an attempt: nothing of it counts any more, and its outcome is known already.
-	Cancel(s *Attempt)
-	// Door is the front's number.
+	// Final delivers the final answer; retryAfter is advice for the client's retry in milliseconds,
+	// 0: none. It is called exactly once, unless the front end has called ClientGone before. No
+	// attempt of the search is sent afterwards.
+	Final(result Result, retryAfter float64)
+	// Send starts an attempt. The front end reports its outcome by AttemptEnded, at once or later.
+	Send(attempt *Attempt)
+	// Cancel stops an attempt whose outcome is already decided; a later report on it is ignored.
+	Cancel(attempt *Attempt)
+	// Door returns the number of the front end, counted from 1.
 	Door() int
-	// Bytes tells what the client has sent and was given, without heads; asked once the search is
-	// over.
+	// Bytes returns how many bytes of message bodies, without headers, the client has sent and was
+	// sent. It is called once the search is over.
 	Bytes() (in, out int64)
 }
 
-// ConnHandler stands behind a connection that this package does not read itself. After Closed
-// nothing more comes.
+// ConnHandler handles a connection that belongs to a front end. Nothing is called after Closed.
 type ConnHandler interface {
+	// Opened reports that the connection is established.
 	Opened()
-	Bytes(b []byte, came float64)
+	// Bytes reports bytes that were received at the given time.
+	Bytes(b []byte, receivedAt float64)
+	// Written reports that the operating system has accepted the bytes before the offset.
 	Written(upTo int64)
+	// Closed reports that the connection is closed; bytes from the offset on were never sent.
 	Closed(upTo int64)
 }
 
-// Front is a protocol by which searches come, beside HTTP.
+// Front is a front end: a protocol, other than HTTP, by which clients send searches.
 type Front interface {
+	// Accepted reports a client connection on the front end's listener.
 	Accepted(c transport.Conn)
-	// Server is an update of one server of the list.
-	Server(at int, id string, addr netip.AddrPort, state policy.State)
-	// GraceEnded: the server has been draining or gone for so long that what has not begun there
-	// must not begin.
-	GraceEnded(at int)
-	// ServerRemoved: the index may stand for another server from now on.
-	ServerRemoved(at int)
-	// Stopping: the shutdown has begun, and the process may be killed at a time; clients are still
-	// served.
-	Stopping(killed float64)
-	// Leaving: the addresses are closed.
+	// Server reports the state of one server of the list, by the server's index.
+	Server(index int, id string, addr netip.AddrPort, state policy.State)
+	// GraceEnded reports that a server has been draining or gone for so long that attempts which
+	// have not begun there must not begin any more.
+	GraceEnded(index int)
+	// ServerRemoved reports that an index is free; it may refer to another server from now on.
+	ServerRemoved(index int)
+	// Stopping reports that the shutdown has begun. Clients are still served; all answers must be
+	// written by the given time, as the process may be killed soon after it.
+	Stopping(answerBy float64)
+	// Leaving reports that the listeners are closed.
 	Leaving()
-	// Idle tells whether nobody is connected.
+	// Idle reports whether the front end has no client connection.
 	Idle() bool
-	// Flush comes last in a turn, after the policy has decided: what is to be written is written.
+	// Flush is called at the end of each turn, after the policy has decided. It writes pending
+	// output.
 	Flush()
-	// Reload takes new settings, if there are any.
+	// Reload applies new settings, if there are any.
 	Reload()
-	// Print writes the front's counters.
+	// Print logs the front end's counters; why says what asked for them.
 	Print(log zerolog.Logger, why string)
 }
 
-// Attempt is an attempt as a carrier knows it.
+// Attempt is an attempt as front ends see it.
 type Attempt = attempt
 
-// Server is the index of the server that the policy chose.
+// Server returns the index of the server that the policy chose.
 func (attempt *attempt) Server() int { return attempt.server }
 
-// Deadline is when the aggregator stops waiting for it, in milliseconds of the loop.
+// Deadline returns the time, in milliseconds of the loop, at which the aggregator stops waiting for
+// the attempt.
 func (attempt *attempt) Deadline() float64 { return attempt.deadline }
 
-// BeginDeadline is the latest time at which it may begin, or +Inf: past it, an earlier one of its
-// shard request may take effect a second time.
+// BeginDeadline returns the latest time at which the attempt may begin, or +Inf. If it began later
+// and an earlier attempt of its shard request has run, the request could take effect twice.
 func (attempt *attempt) BeginDeadline() float64 { return attempt.beginDeadline }
 
-// Number counts the attempts of a shard request from 0.
+// Number returns the attempt's number among those of its shard request, counted from 0.
 func (attempt *attempt) Number() int { return attempt.number }
 
-// Ended tells whether its outcome is known.
+// Ended reports whether the attempt's outcome is known.
 func (attempt *attempt) Ended() bool { return attempt.state == stateEnded }
 
-// Search is one that a front brought.
+// Search is a search that a front end started.
 type Search = search
 
-// ShardRequest is what is asked of one shard: its share of the search's weight, the hinted work (0:
-// not known) and the hash of what it is about (0: none).
+// ShardRequest is the part of a search that one shard answers. Share is its share of the search's
+// weight, Work is the expected work (0: unknown), and Key is a hash of the subject of the request
+// (0: none).
 type ShardRequest struct {
 	Shard       int
 	Share, Work float64
 	Key         uint64
 }
 
-// ReplacePolicy puts another policy in place of the settings' own, before the loop runs.
+// ReplacePolicy replaces the policy that the settings define. It must be called before the loop
+// runs.
 func (e *Engine) ReplacePolicy(policy func(out policy.Out) policy.Port) { e.policy = policy(e) }
 
-// AddFront registers a front; connections of the door by its number from 1 are its own. Before the
-// loop runs.
-func (e *Engine) AddFront(front Front) { e.fronts = append(e.fronts, front) }
+// AddFront registers a front end. The n-th one that is added owns the connections of listener n,
+// counted from 1. It must be called before the loop runs.
+func (e *Engine) AddFront(frontend Front) { e.frontends = append(e.frontends, frontend) }
 
-// Now is the time of this turn, in milliseconds of the loop.
+// Now returns the time of the current turn, in milliseconds of the loop.
 func (e *Engine) Now() float64 { return e.now }
 
-// Stopping tells whether the shutdown has begun.
+// Stopping reports whether the shutdown has begun.
 func (e *Engine) Stopping() bool { return e.stopping }
 
-// QueryType gives the number of a query type by its name.
-func (e *Engine) QueryType(name string) (kind int, known bool) {
-	kind, known = e.config.kinds[name]
-	return kind, known
+// QueryType returns the number of a query type and whether the settings define it.
+func (e *Engine) QueryType(name string) (queryType int, known bool) {
+	queryType, known = e.config.queryTypes[name]
+	return queryType, known
 }
 
-// Customer gives the number of a customer by its name, or nobody: who is not named in the settings
-// must not use up the share of one who is.
+// Customer returns the number of a customer, or unknownCustomer. A client that the settings do not
+// name must not use up the quota of one that they name.
 func (e *Engine) Customer(name string) int {
-	if at, known := e.config.customers[name]; known {
-		return at
+	if number, known := e.config.customers[name]; known {
+		return number
 	}
 	return unknownCustomer
 }
 
 const unknownCustomer = -1
 
-// Warn writes a log line; of one kind at most one a second.
-func (e *Engine) Warn(kind, form string, args ...any) { e.log.warn(kind, form, args...) }
+// Warn logs a warning, at most one per second of each kind.
+func (e *Engine) Warn(kind, format string, args ...any) { e.log.warn(kind, format, args...) }
 
-// Timer can be taken back.
+// Timer identifies a scheduled function, so that it can be cancelled.
 type Timer struct{ timer *timer }
 
-// After has something done in so many milliseconds.
-func (e *Engine) After(in float64, due func()) Timer {
-	return Timer{e.after(in, func(*Engine) { due() })}
+// After schedules run to be called after a delay in milliseconds.
+func (e *Engine) After(delay float64, run func()) Timer {
+	return Timer{e.afterFunc(delay, func(*Engine) { run() })}
 }
 
-// CancelTimer takes a timer back; one that is over, or none, is fine.
-func (e *Engine) CancelTimer(t Timer) { e.timers.drop(t.timer) }
+// CancelTimer cancels a timer. It has no effect on one that has fired or on the zero Timer.
+func (e *Engine) CancelTimer(t Timer) { e.timers.cancel(t.timer) }
 
-// RequestTurn asks for a turn of its own: something waits that no event will bring.
+// RequestTurn requests another turn right after this one, for work that no event will trigger.
 func (e *Engine) RequestTurn() { e.turnRequested = true }
 
-// Connect opens a connection for a party, or gives false where there is no descriptor for it.
+// Connect opens a connection for a front end. It returns false if no descriptor is available.
 func (e *Engine) Connect(handler ConnHandler, addr netip.AddrPort) (transport.Conn, bool) {
-	if e.sockets >= e.config.maxDescriptors-spareSockets && !e.evictClient() {
+	if e.socketCount >= e.config.maxDescriptors-reservedSockets && !e.evictClient() {
 		e.Count.NoSocket++
 		return noConn, false
 	}
-	e.Count.Connects++
-	e.sockets++
+	e.Count.ConnsRequested++
+	e.socketCount++
 	c := e.network.Connect(addr)
 	*e.endpoint(c) = endpoint{handler: handler}
 	return c, true
 }
 
-// SetHandler gives an accepted connection its party.
+// SetHandler sets the handler of an accepted connection.
 func (e *Engine) SetHandler(c transport.Conn, handler ConnHandler) {
 	*e.endpoint(c) = endpoint{handler: handler}
 }
 
-// MaxFrontClients tells how many descriptors clients of a further front may take: half of what
-// HTTP's may, so that neither shuts the other out.
+// MaxFrontClients returns how many client connections a further front end may hold: half as many as
+// HTTP's, so that neither can take all descriptors from the other.
 func (e *Engine) MaxFrontClients() int { return max(e.maxClients()/2, 1) }
 
-// WriteConn writes to a party's connection.
+// WriteConn writes to a front end's connection.
 func (e *Engine) WriteConn(c transport.Conn, b []byte) {
 	e.Count.BytesOut += int64(len(b))
 	e.network.Write(c, b)
 }
 
-// Reading switches the reading of a party's connection on or off.
+// Reading enables or disables reading from a front end's connection.
 func (e *Engine) Reading(c transport.Conn, on bool) { e.network.Reading(c, on) }
 
-// CloseConn drops a party's connection; its Closed does not come.
+// CloseConn closes a front end's connection immediately; the handler's Closed is not called.
 func (e *Engine) CloseConn(c transport.Conn) {
 	*e.endpoint(c) = endpoint{}
 	e.close(c)
 	e.resumeAccepting()
 }
 
-// FinishConn closes a party's connection once what was written has arrived; Closed tells of that.
+// FinishConn closes a front end's connection after everything written has been delivered; the
+// handler's Closed is called then.
 func (e *Engine) FinishConn(c transport.Conn) { e.network.Finish(c) }
 
-// StartSearch takes a search for a front. Its final answer may come within StartSearch where the
-// limit on pending work keeps it from the policy. until is when its client gives up; again: it says
-// that it retries.
-func (e *Engine) StartSearch(kind, customer int, until float64, again bool, requests []ShardRequest, by Carrier) *Search {
+// StartSearch starts a search for a front end. The final answer may be delivered before StartSearch
+// returns, if the limit on pending work is reached. deadline is when the client gives up; isRetry
+// says that the client has marked the search as a retry.
+func (e *Engine) StartSearch(queryType, customer int, deadline float64, isRetry bool, requests []ShardRequest, handler Carrier) *Search {
 	e.Count.Searches++
-	search := &search{deadline: min(until, e.killAt-answerBeforeKill), carrier: by, usage: usageRecord{kind: kind, customer: customer, front: by.Door()}}
-	if e.config.twoPhase[kind] {
+	search := &search{
+		deadline: min(deadline, e.killAt-answerBeforeKill),
+		carrier:  handler,
+		usage:    usageRecord{queryType: queryType, customer: customer, frontend: handler.Door()},
+	}
+	if e.config.twoPhase[queryType] {
 		e.Count.BadRequests++
 		e.endSearch(search, 501, 0, nil)
 		return search
 	}
-	if e.overPending() {
-		e.Count.OverPending++
-		e.endSearch(search, 503, e.policy.RetryAfter(kind), nil)
+	if e.pendingLimitReached() {
+		e.Count.OverPendingLimit++
+		e.endSearch(search, 503, e.policy.RetryAfter(queryType), nil)
 		return search
 	}
-	e.parsed = e.parsed[:0]
-	sum := 0.0
-	for _, p := range requests {
-		e.parsed = append(e.parsed, parsedRequest{p.Shard, p.Share, p.Work, p.Key})
-		sum += p.Share
+	e.parsedRequests = e.parsedRequests[:0]
+	totalShare := 0.0
+	for _, req := range requests {
+		e.parsedRequests = append(e.parsedRequests, parsedRequest{req.Shard, req.Share, req.Work, req.Key})
+		totalShare += req.Share
 	}
-	e.submitSearch(search, kind, customer, sum, 0)
-	if again {
+	e.submitSearch(search, queryType, customer, totalShare, 0)
+	if isRetry {
 		e.policy.MarkRetry(search.index)
 	}
 	return search
 }
 
-// ClientGone tells that nobody waits for a search any more.
-func (e *Engine) ClientGone(q *Search) {
-	if !q.ended {
+// ClientGone ends a search whose client has gone: nobody waits for its answer.
+func (e *Engine) ClientGone(search *Search) {
+	if !search.ended {
 		e.Count.ClientsLeft++
-		q.usage.clientLeft = true
-		e.releaseSearch(q)
-		e.dropStalledFrames(q)
-		if len(q.requests) > 0 {
-			e.policy.ClientGone(q.index)
+		search.usage.clientLeft = true
+		e.releaseSearch(search)
+		e.dropStalledFrames(search)
+		if len(search.requests) > 0 {
+			e.policy.ClientGone(search.index)
 		}
 	}
 }
 
-// AttemptEnded tells how an attempt ended; only the first outcome counts.
-func (e *Engine) AttemptEnded(s *Attempt, how policy.Outcome) {
-	if s.state != stateEnded && how == policy.Answered {
-		s.request.hasValue = true
+// AttemptEnded reports the outcome of an attempt. Only the first report counts.
+func (e *Engine) AttemptEnded(attempt *Attempt, outcome policy.Outcome) {
+	if attempt.state != stateEnded && outcome == policy.Answered {
+		attempt.request.hasValue = true
 	}
-	e.endAttempt(s, how, nil)
+	e.endAttempt(attempt, outcome, nil)
 }
 
-// Committed asks the policy whether an attempt may be the one whose bytes reach the client. False:
-// another is, and this one is cancelled.
+// Committed asks the policy to commit a shard request to an attempt: no other attempt may take its
+// place afterwards. It returns false if the shard request is committed to another attempt; this one
+// is then cancelled.
 //
-// answering: bytes of the server's go to the client; else what the client sent can't be sent again.
-func (e *Engine) Committed(s *Attempt, answering bool) bool {
-	if s.state == stateEnded || s.request.search.ended {
+// answering is true if bytes of the server's response are about to reach the client, and false if
+// the client's request can no longer be sent to another server.
+func (e *Engine) Committed(attempt *Attempt, answering bool) bool {
+	if attempt.state == stateEnded || attempt.request.search.ended {
 		return false
 	}
-	e.deliverResults() // what another has answered before comes first
-	if s.state == stateEnded {
+	e.deliverResults() // another attempt may have been answered earlier, which cancels this one
+	if attempt.state == stateEnded {
 		return false
 	}
-	return e.policy.Committed(s.request.index, s.number, answering)
+	return e.policy.Committed(attempt.request.index, attempt.number, answering)
 }
 
-// ClientSending tells that the client is still sending what a search carries, or has ended.
-func (e *Engine) ClientSending(q *Search, open bool) {
-	if !q.ended && len(q.requests) > 0 {
-		for _, req := range q.requests {
-			e.policy.ClientSending(req.index, open)
+// ClientSending reports whether the client is still sending the request messages of a search.
+func (e *Engine) ClientSending(search *Search, sending bool) {
+	if !search.ended && len(search.requests) > 0 {
+		for _, req := range search.requests {
+			e.policy.ClientSending(req.index, sending)
 		}
 	}
 }
 
-// Pushback hands on a server's wish: milliseconds until a retry, below 0 for none at all.
-func (e *Engine) Pushback(s *Attempt, wait float64) {
+// Pushback forwards a server's pushback to the policy: the milliseconds to wait before a retry, or
+// a negative number to forbid retries.
+func (e *Engine) Pushback(attempt *Attempt, wait float64) {
 	e.Count.Pushbacks++
-	e.policy.Pushback(s.request.index, wait)
+	e.policy.Pushback(attempt.request.index, wait)
 }
 
-// startCarried begins an attempt of a search that has its own carrier.
-func (e *Engine) startCarried(attempt *attempt) {
+// sendByFrontend starts an attempt that the search's front end sends itself.
+func (e *Engine) sendByFrontend(attempt *attempt) {
 	attempt.state = stateSent
-	e.Count.Sent++
+	e.Count.AttemptsSent++
 	attempt.timer = e.timers.add(attempt.deadline, func(e *Engine) { e.attemptTimedOut(attempt) })
 	attempt.request.search.carrier.Send(attempt)
 }
@@ -285,26 +305,26 @@
 	handler.Closed(upTo)
 }
 
-func (e *Engine) frontsIdle() bool {
-	for _, front := range e.fronts {
-		if !front.Idle() {
+func (e *Engine) frontendsIdle() bool {
+	for _, frontend := range e.frontends {
+		if !frontend.Idle() {
 			return false
 		}
 	}
 	return true
 }
 
-// answerCarrier gives a front its search's one final answer.
-func (e *Engine) answerCarrier(search *search, status int, back float64) {
-	how := Failed
+// answerFrontend delivers the final answer of a search to its front end.
+func (e *Engine) answerFrontend(search *search, status int, retryAfter float64) {
+	result := Failed
 	switch {
 	case status == 200 && search.complete:
-		how = Complete
+		result = Complete
 	case status == 200:
-		how = Partial
+		result = Partial
 	case status == 503:
-		how = Shed
+		result = Shed
 	}
-	invariant.Check(search.carrier != nil, "a front waits")
-	search.carrier.Final(how, back)
+	invariant.Check(search.carrier != nil, "the search belongs to a front end")
+	search.carrier.Final(result, retryAfter)
 }
--- a/internal/aggregator/engine/fuzz_test.go
+++ b/internal/aggregator/engine/fuzz_test.go
@@ -46,7 +46,7 @@
 	w.now = next
 	if w.rng.IntN(400) < faultWeight {
 		w.now += ownStallMs
-		for _, client := range w.callers {
+		for _, client := range w.clients {
 			client.answerDeadline += ownStallMs
 		}
 	}
@@ -134,8 +134,8 @@
 		w.turn(events...)
 	}
 	engine := w.engine
-	if !w.stopped || engine.clients != 0 || engine.openSearches != 0 || engine.pending != 0 {
-		w.t.Fatalf("stopped %v, %d clients, %d searches, %d pending", w.stopped, engine.clients, engine.openSearches, engine.pending)
+	if !w.stopped || engine.clientCount != 0 || engine.openSearches != 0 || engine.pendingCount != 0 {
+		w.t.Fatalf("stopped %v, %d clients, %d searches, %d pending", w.stopped, engine.clientCount, engine.openSearches, engine.pendingCount)
 	}
 	if len(engine.freeEntries) != len(engine.entries) || w.pool.InUse() != 0 {
 		w.t.Fatalf("%d of %d indices free, %d buffers in use", len(engine.freeEntries), len(engine.entries), w.pool.InUse())
@@ -146,7 +146,7 @@
 			open++
 		}
 	}
-	if open != engine.sockets {
-		w.t.Fatalf("%d sockets counted, %d open", engine.sockets, open)
+	if open != engine.socketCount {
+		w.t.Fatalf("%d sockets counted, %d open", engine.socketCount, open)
 	}
 }
--- a/internal/aggregator/engine/log.go
+++ b/internal/aggregator/engine/log.go
@@ -4,43 +4,45 @@
 	"github.com/rs/zerolog"
 )
 
-const logInterval = 1000.
+const logInterval = 1000. // ms between two lines of the same kind
 
-// limitedLog keeps log lines few: of each kind one a second, with how many were left out.
-type limitedLog struct {
-	log        zerolog.Logger
-	now        float64
-	lastAt     map[string]float64
-	leftOut    map[string]int64
-	suppressed int64
+// rateLimitedLog limits the rate of log lines to one per logInterval of each kind. The next line of a
+// kind says how many were left out.
+type rateLimitedLog struct {
+	log              zerolog.Logger
+	now              float64            // time of the current turn, in ms of the loop
+	lastAt           map[string]float64 // by kind: when the last line was written
+	suppressedByKind map[string]int64   // by kind: lines left out since the last one written
+	suppressed       int64              // lines left out in total
 }
 
-func (log *limitedLog) warn(kind, form string, args ...any) {
-	log.write(log.log.Warn(), kind, form, args)
+func (log *rateLimitedLog) warn(kind, format string, args ...any) {
+	log.write(log.log.Warn(), kind, format, args)
 }
 
-func (log *limitedLog) info(kind, form string, args ...any) {
-	log.write(log.log.Info(), kind, form, args)
+func (log *rateLimitedLog) info(kind, format string, args ...any) {
+	log.write(log.log.Info(), kind, format, args)
 }
 
-func (log *limitedLog) fail(what any, stack []byte) {
-	log.write(log.log.Error().Str("stack", string(stack)), "an event failed", "%v", []any{what})
+// logPanic logs a panic with its stack.
+func (log *rateLimitedLog) logPanic(what any, stack []byte) {
+	log.write(log.log.Error().Str("stack", string(stack)), "an event failed", "panic: %v", []any{what})
 }
 
-func (log *limitedLog) write(e *zerolog.Event, kind, form string, args []any) {
+func (log *rateLimitedLog) write(e *zerolog.Event, kind, format string, args []any) {
 	if log.lastAt == nil {
-		log.lastAt, log.leftOut = map[string]float64{}, map[string]int64{}
+		log.lastAt, log.suppressedByKind = map[string]float64{}, map[string]int64{}
 	}
 	if at, logged := log.lastAt[kind]; logged && log.now < at+logInterval {
-		log.leftOut[kind]++
+		log.suppressedByKind[kind]++
 		log.suppressed++
 		e.Discard()
 		return
 	}
 	log.lastAt[kind] = log.now
-	if left := log.leftOut[kind]; left > 0 {
-		log.leftOut[kind] = 0
+	if left := log.suppressedByKind[kind]; left > 0 {
+		log.suppressedByKind[kind] = 0
 		e = e.Int64("left_out", left)
 	}
-	e.Str("kind", kind).Msgf(form, args...)
+	e.Str("kind", kind).Msgf(format, args...)
 }
--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -26,7 +26,7 @@
 			b.WriteByte(',')
 		}
 		fmt.Fprintf(&b, `{"instanceId":"s%d","hostPort":"127.0.1.%d:80","zone":"a","cell":%d,"lifecycle":%q,"weight":1,"startedAtMs":0}`,
-			i, i+1, s.cell, s.state)
+			i, i+1, s.position, s.state)
 	}
 	b.WriteString("]}")
 	return b.Bytes()
@@ -69,7 +69,7 @@
 	}
 }
 
-func (w *world) Reading(c transport.Conn, on bool) { w.conns[c].muted = !on }
+func (w *world) Reading(c transport.Conn, on bool) { w.conns[c].readingPaused = !on }
 
 func (w *world) Accept(on bool) { w.paused = !on }
 
@@ -231,20 +231,20 @@
 		case 'G', 'T':
 			e.pending = append(e.pending, string(frameType))
 		case 'R':
-			w.readCall(e, server, payload)
+			w.readRequestFrame(e, server, payload)
 		default:
 			w.t.Fatalf("frame %c", frameType)
 		}
 	}
 }
 
-func (w *world) readCall(e *modelConn, server int, rest string) {
+func (w *world) readRequestFrame(e *modelConn, server int, rest string) {
 	parts := 0
 	for ; rest != ""; parts++ {
 		var id string
 		var shard, wait, size int
 		line, after, _ := strings.Cut(rest, "\n")
-		w.callLines = append(w.callLines, line)
+		w.requestLines = append(w.requestLines, line)
 		plain, token, found := strings.Cut(line, ",k=")
 		if found {
 			_, length, _ := strings.Cut(token, " ")
@@ -261,8 +261,8 @@
 		switch {
 		case client == nil || !slices.Contains(client.shards, shard) || text != "text of "+client.id:
 			w.t.Fatalf("nobody asked for %s, %q", line, text)
-		case ((s.cell-shard)%4+4)%4 >= 2:
-			w.t.Fatalf("server %d of cell %d does not hold shard %d", server, s.cell, shard)
+		case ((s.position-shard)%4+4)%4 >= 2:
+			w.t.Fatalf("server %d of cell %d does not hold shard %d", server, s.position, shard)
 		case s.state != "ready" && e.frameBeganAt > s.changedAt+250:
 			w.t.Fatalf("sent to server %d, %s for %.0f ms", server, s.state, e.frameBeganAt-s.changedAt)
 		case slices.Contains(e.pending, id):
@@ -302,8 +302,8 @@
 }
 
 func (w *world) startSearch(kind string, budget float64, shards ...int) *modelClient {
-	client := &modelClient{id: fmt.Sprint("q", len(w.callers)), shards: shards, answerDeadline: w.now + budget + answerSlackMs}
-	w.callers = append(w.callers, client)
+	client := &modelClient{id: fmt.Sprint("q", len(w.clients)), shards: shards, answerDeadline: w.now + budget + answerSlackMs}
+	w.clients = append(w.clients, client)
 	w.byID[client.id] = client
 	conn := w.addConn(&modelConn{client: client, open: true})
 	w.engine.Accepted(conn)
@@ -320,7 +320,7 @@
 
 // check verifies what must hold after every turn.
 func (w *world) check() {
-	for _, client := range w.callers {
+	for _, client := range w.clients {
 		if !client.disconnected && client.answers == 0 && w.now > client.answerDeadline {
 			unsent := 0
 			for _, e := range w.conns {
--- a/internal/aggregator/engine/probe.go
+++ b/internal/aggregator/engine/probe.go
@@ -1,30 +1,30 @@
 package engine
 
-// Probe implements policy.Out: a health check of an ejected server, over a connection of its own.
+// Probe implements policy.Out. It sends a health check to an ejected server over a new connection.
 func (e *Engine) Probe(server int) {
-	conn := e.connectServer(server) // what is open may be what does not answer
-	sent := e.now
+	conn := e.connectServer(server) // an open connection may be the one that does not respond
+	sentAt := e.now
 	if conn == nil {
-		e.probeEnded(server, false, sent, nil)
+		e.probeEnded(server, false, sentAt, nil)
 		return
 	}
 	e.Count.Probes++
-	conn.probeSentAt = sent
-	e.after(e.config.connectTimeout, func(e *Engine) {
-		if conn.probeSentAt == sent && !conn.closed {
+	conn.probeSentAt = sentAt
+	e.afterFunc(e.config.connectTimeout, func(e *Engine) {
+		if conn.probeSentAt == sentAt && !conn.closed {
 			conn.probeSentAt = 0
 			if conn.inFlight == 0 {
 				e.dropServerConn(conn)
 			}
-			e.probeEnded(server, false, sent, nil)
+			e.probeEnded(server, false, sentAt, nil)
 		}
 	})
 }
 
-// probeEnded keeps a result for the policy.
-func (e *Engine) probeEnded(server int, ok bool, sent float64, report []float64) {
+// probeEnded stores the result of a health check until it is delivered to the policy.
+func (e *Engine) probeEnded(server int, ok bool, sentAt float64, report []float64) {
 	if !ok {
 		e.Count.ProbesFailed++
 	}
-	e.probeResults = append(e.probeResults, probeResult{server, ok, sent, report})
+	e.probeResults = append(e.probeResults, probeResult{server, ok, sentAt, report})
 }
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -11,113 +11,116 @@
 )
 
 const (
-	searchOverdueAfter = 15 // ms past a search's deadline: the policy has given its answer long before
-	maxIDBytes         = 128
-	maxBudget          = 24 * 3600 * 1000 // ms
+	searchOverdueDelay = 15               // ms after a search's deadline; the policy has answered long before
+	maxIDBytes         = 128              // also of idempotency keys
+	maxBudget          = 24 * 3600 * 1000 // ms; one day
 )
 
-// search is what a client waits for, from its arrival until the policy forgets it.
+// search is a client's search, from its arrival until the policy forgets it.
 type search struct {
-	index     int
-	id        string
+	index     int    // the policy's index
+	id        string // empty for a search of a further front end
 	query     []byte
-	token     []byte // the client's idempotency key
-	deadline  float64
-	client    *client // nil once it has its answer or has gone
+	token     []byte  // the client's idempotency key
+	deadline  float64 // ms of the loop
+	client    *client // nil once it has its answer or has disconnected
 	requests  []*shardRequest
-	ended     bool
-	forgotten bool
-	timer     *timer
-	carrier   Carrier // of a further front, with its own carrier
+	ended     bool    // it has its final answer, or its client has gone
+	forgotten bool    // the policy has released its index
+	timer     *timer  // ends the search if the policy does not
+	carrier   Carrier // nil for a search of an HTTP client
 	usage     usageRecord
-	metered   bool
-	complete  bool
+	metered   bool // its usage has been recorded
+	complete  bool // the policy has answered it with a complete answer
 }
 
+// shardRequest is the part of a search that one shard answers.
 type shardRequest struct {
-	index    int
+	index    int // the policy's index
 	search   *search
-	id       string
+	id       string // unique among open searches; identifies the request in frames
 	shard    int
 	attempts []*attempt
 	value    []byte
-	hasValue bool // its value is here
-	reported bool // and the policy knows
+	hasValue bool // value has been received
+	reported bool // the policy knows that value has been received
 }
 
-// parsedRequest is a shard request of a body that may yet prove unsound.
+// parsedRequest is a shard request that was read from a body. The rest of the body may still be
+// invalid.
 type parsedRequest struct {
 	shard       int
 	share, work float64
 	key         uint64
 }
 
-// searchHead is what a search's headers say. Its bytes are the request's, and hold until that is
-// released.
+// searchHead holds what a search's headers say. Its byte slices refer to the request's storage and
+// are valid until releaseRequest.
 type searchHead struct {
-	id, token      []byte
-	kind, customer int
-	budget         float64 // ms that the client still has
+	id, token           []byte
+	queryType, customer int
+	budget              float64 // ms from the request's arrival until the client gives up
 }
 
-// acceptSearch takes a search, once all of it has proved sound.
-func (e *Engine) acceptSearch(client *client, came float64) error {
+// acceptSearch starts the search of a request, after all of the request has been validated.
+func (e *Engine) acceptSearch(client *client, receivedAt float64) error {
 	head, err := e.readSearchHead(client)
 	if err != nil {
 		return err
 	}
-	text, sum, err := e.readSearchBody(client)
+	query, totalShare, err := e.readSearchBody(client)
 	if err != nil {
 		return err
 	}
 	e.Count.Searches++
 	search := &search{
 		id:    string(head.id),
-		query: append([]byte(nil), text...),
+		query: append([]byte(nil), query...),
 		token: append([]byte(nil), head.token...),
-		// What an aggregator that is told to stop still takes, it has to end before it is killed.
-		deadline: min(came+head.budget, e.killAt-answerBeforeKill),
+		// During a shutdown, a new search must end before the process is killed.
+		deadline: min(receivedAt+head.budget, e.killAt-answerBeforeKill),
 		client:   client,
-		usage:    usageRecord{kind: head.kind, customer: head.customer, bytesIn: int64(len(client.parser.Body()))},
+		usage:    usageRecord{queryType: head.queryType, customer: head.customer, bytesIn: int64(len(client.parser.Body()))},
 	}
 	client.search = search
 	e.searchByID[search.id] = search
-	if e.overPending() {
-		e.Count.OverPending++
+	if e.pendingLimitReached() {
+		e.Count.OverPendingLimit++
 		e.releaseRequest(client)
-		e.endSearch(search, 503, e.policy.RetryAfter(head.kind), nil)
+		e.endSearch(search, 503, e.policy.RetryAfter(head.queryType), nil)
 		return nil
 	}
 	key := protocol.ParseKey(client.parser.Cookie("k"))
-	mark, marks := client.parser.Header("x-again")
-	isRetry := marks == 1 && string(mark) == "1"
+	again, count := client.parser.Header("x-again")
+	isRetry := count == 1 && string(again) == "1"
 	e.releaseRequest(client)
-	e.submitSearch(search, head.kind, head.customer, sum, key)
+	e.submitSearch(search, head.queryType, head.customer, totalShare, key)
 	if isRetry {
 		e.policy.MarkRetry(search.index)
 	}
 	return nil
 }
 
-// overPending: so much is pending that nothing more comes to the policy.
-func (e *Engine) overPending() bool {
-	return e.config.maxPending > 0 && e.pending >= e.config.maxPending
+// pendingLimitReached reports whether so much is pending that no further search is passed to the policy.
+func (e *Engine) pendingLimitReached() bool {
+	return e.config.maxPending > 0 && e.pendingCount >= e.config.maxPending
 }
 
+// readSearchHead reads and validates the headers of a search.
 func (e *Engine) readSearchHead(client *client) (head searchHead, err error) {
 	id, ids := client.parser.Header("x-call-id")
 	class, classes := client.parser.Header("x-call-class")
 	budgetText, budgets := client.parser.Header("x-budget-ms")
 	budget, badBudget := strconv.ParseUint(string(budgetText), 10, 32)
-	kind, known := e.config.kinds[string(class)]
+	queryType, known := e.config.queryTypes[string(class)]
 	switch {
 	case ids != 1 || len(id) == 0 || len(id) > maxIDBytes || !printable(id):
 		return head, badRequest("no id")
 	case classes != 1 || !known:
 		return head, badRequest("no known query type")
-	case e.config.twoPhase[kind]:
-		// An answer from its first phase alone would be under its floor, or be marked complete
-		// though it is not.
+	case e.config.twoPhase[queryType]:
+		// An answer from the first phase alone would be below the minimum share, or be marked as
+		// complete although it is not.
 		return head, &protocol.RequestError{Status: 501, Reason: "a query type with a second step, which is not spoken here"}
 	case e.searchByID[string(id)] != nil:
 		return head, &protocol.RequestError{Status: 409, Reason: "a search with this id is open"}
@@ -132,34 +135,36 @@
 	if name, n := client.parser.Header("x-caller"); n > 0 {
 		customer = e.Customer(string(name))
 	}
-	return searchHead{id: id, token: token, kind: kind, customer: customer, budget: float64(budget)}, nil
+	return searchHead{id: id, token: token, queryType: queryType, customer: customer, budget: float64(budget)}, nil
 }
 
-// readSearchBody reads the shard requests of a search into parsed. text is the query, sum that of
-// their shares.
-func (e *Engine) readSearchBody(client *client) (text []byte, sum float64, err error) {
-	e.parsed = e.parsed[:0]
-	text, sum, err = protocol.ReadSearch(client.parser.Body(), e.config.shards,
+// readSearchBody reads the shard requests of a search into e.parsedRequests. It returns the query text and
+// the sum of the shard requests' shares.
+func (e *Engine) readSearchBody(client *client) (query []byte, totalShare float64, err error) {
+	e.parsedRequests = e.parsedRequests[:0]
+	query, totalShare, err = protocol.ReadSearch(client.parser.Body(), e.config.shards,
 		func(shard int, share, work float64, key uint64) {
-			e.parsed = append(e.parsed, parsedRequest{shard, share, work, key})
+			e.parsedRequests = append(e.parsedRequests, parsedRequest{shard, share, work, key})
 		})
 	if err != nil {
 		return nil, 0, err
 	}
-	e.shardMark++
-	for _, parsed := range e.parsed {
-		if missing := parsed.shard + 1 - len(e.shardMarks); missing > 0 {
-			e.shardMarks = append(e.shardMarks, make([]int64, missing)...)
+	e.searchSequence++
+	for _, parsed := range e.parsedRequests {
+		if missing := parsed.shard + 1 - len(e.lastSearchOfShard); missing > 0 {
+			e.lastSearchOfShard = append(e.lastSearchOfShard, make([]int64, missing)...)
 		}
-		if e.shardMarks[parsed.shard] == e.shardMark {
+		if e.lastSearchOfShard[parsed.shard] == e.searchSequence {
 			return nil, 0, badRequest("a segment stands there twice")
 		}
-		e.shardMarks[parsed.shard] = e.shardMark
+		e.lastSearchOfShard[parsed.shard] = e.searchSequence
 	}
-	return text, sum, nil
+	return query, totalShare, nil
 }
 
-// printable: what goes into the line of a frame has no spaces and no controls.
+// printable reports whether b consists of printable ASCII characters other than the space. Ids and
+// tokens are written into the text line of a frame, where spaces and control characters are not
+// allowed.
 func printable(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 127 {
@@ -169,37 +174,38 @@
 	return true
 }
 
-// submitSearch hands a sound search with its drafts to the policy.
-func (e *Engine) submitSearch(search *search, kind, customer int, sum float64, key uint64) {
+// submitSearch passes a validated search and the shard requests in e.parsedRequests to the policy. key is
+// the hash of the search's subject, or 0.
+func (e *Engine) submitSearch(search *search, queryType, customer int, totalShare float64, key uint64) {
 	e.openSearches++
-	e.pending += 1 + len(e.parsed)
+	e.pendingCount += 1 + len(e.parsedRequests)
 	search.index = e.newIndex(indexEntry{search: search})
-	e.policy.Search(search.index, kind, customer, search.deadline, len(e.parsed))
-	for _, parsed := range e.parsed {
+	e.policy.Search(search.index, queryType, customer, search.deadline, len(e.parsedRequests))
+	for _, parsed := range e.parsedRequests {
 		search.usage.work += parsed.work / 1000
 		req := &shardRequest{search: search, shard: parsed.shard, id: search.id + "." + strconv.Itoa(parsed.shard)}
 		req.index = e.newIndex(indexEntry{request: req})
 		search.requests = append(search.requests, req)
 		if parsed.key == 0 && key != 0 {
-			parsed.key = mixKey(key, parsed.shard)
+			parsed.key = shardKey(key, parsed.shard)
 		}
-		e.policy.ShardRequest(search.index, req.index, parsed.shard, parsed.share/sum, parsed.work, parsed.key)
+		e.policy.ShardRequest(search.index, req.index, parsed.shard, parsed.share/totalShare, parsed.work, parsed.key)
 	}
 	e.armSearchTimer(search)
 }
 
-// mixKey stands for what a search is about and a shard: the same at every aggregator.
-func mixKey(key uint64, shard int) uint64 {
+// shardKey returns a hash of a search's key and a shard. It is the same on every aggregator.
+func shardKey(key uint64, shard int) uint64 {
 	h := fnv.New64a()
 	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, key), uint64(shard)))
 	return h.Sum64()
 }
 
-// armSearchTimer has a search ended whatever the policy does.
+// armSearchTimer makes sure that a search ends even if the policy fails to end it.
 func (e *Engine) armSearchTimer(search *search) {
-	search.timer = e.timers.add(search.deadline+searchOverdueAfter, func(e *Engine) {
-		search.timer = e.after(1, func(e *Engine) { // the policy comes first: this turn may be the first after a stall
-			if invariant.Check(search.ended, "the module ends a search in its time"); !search.ended {
+	search.timer = e.timers.add(search.deadline+searchOverdueDelay, func(e *Engine) {
+		search.timer = e.afterFunc(1, func(e *Engine) { // the policy decides first: this turn may be the first one after a stall
+			if invariant.Check(search.ended, "the policy ends a search by its deadline"); !search.ended {
 				e.endSearch(search, 500, 0, nil)
 				e.endedSearches = append(e.endedSearches, search)
 			}
@@ -207,12 +213,13 @@
 	})
 }
 
-// Answer implements policy.Out: a search is answered from the shard requests that are answered.
-func (e *Engine) Answer(at int, allIn bool) {
-	search := e.entries[at].search
-	search.complete = allIn
+// Answer implements policy.Out. It answers a search from the shard requests that have a reply;
+// complete says whether the answer is complete.
+func (e *Engine) Answer(index int, complete bool) {
+	search := e.entries[index].search
+	search.complete = complete
 	if search.carrier != nil {
-		if allIn {
+		if complete {
 			e.Count.Complete++
 		} else {
 			e.Count.Partial++
@@ -221,43 +228,45 @@
 		e.endSearch(search, 200, 0, nil)
 		return
 	}
-	e.body = protocol.AppendAnswer(e.body[:0], allIn)
+	e.answerBuffer = protocol.AppendAnswer(e.answerBuffer[:0], complete)
 	for _, req := range search.requests {
 		if req.reported {
-			e.body = protocol.AppendMatch(e.body, req.shard, req.value)
+			e.answerBuffer = protocol.AppendMatch(e.answerBuffer, req.shard, req.value)
 		}
 	}
-	e.body = protocol.EndAnswer(e.body)
+	e.answerBuffer = protocol.EndAnswer(e.answerBuffer)
 	e.endedSearches = append(e.endedSearches, search)
-	if len(e.body) > protocol.MaxBody { // no client has to take such a body
-		e.Count.TooLong++
-		e.log.warn("answer too long", "%d bytes of values", len(e.body))
+	if len(e.answerBuffer) > protocol.MaxBody { // clients need not accept a larger body
+		e.Count.AnswersTooLong++
+		e.log.warn("answer too long", "search %q: %d bytes, at most %d are allowed", search.id, len(e.answerBuffer), protocol.MaxBody)
 		e.endSearch(search, 500, 0, nil)
 		return
 	}
-	if allIn {
+	if complete {
 		e.Count.Complete++
 	} else {
 		e.Count.Partial++
 	}
-	e.endSearch(search, 200, 0, e.body)
+	e.endSearch(search, 200, 0, e.answerBuffer)
 }
 
-// Shed implements policy.Out: a search is refused, with advice when to ask again (0: none).
-func (e *Engine) Shed(at int, comeBack float64) {
+// Shed implements policy.Out. It refuses a search; retryAfter is advice for the client's retry in
+// milliseconds, 0: none.
+func (e *Engine) Shed(index int, retryAfter float64) {
 	e.Count.Shed++
-	e.endSearch(e.entries[at].search, 503, comeBack, nil)
+	e.endSearch(e.entries[index].search, 503, retryAfter, nil)
 }
 
-// Fail implements policy.Out: a search ends in error.
-func (e *Engine) Fail(at int) {
+// Fail implements policy.Out. It ends a search with an error.
+func (e *Engine) Fail(index int) {
 	e.Count.Errored++
-	e.endSearch(e.entries[at].search, 500, 0, nil)
+	e.endSearch(e.entries[index].search, 500, 0, nil)
 }
 
-// endSearch gives a search its one final answer.
-func (e *Engine) endSearch(search *search, status int, back float64, body []byte) {
-	invariant.Check(!search.ended, "one final answer")
+// endSearch ends a search and delivers its one final answer. status is an HTTP status code;
+// retryAfter is in milliseconds, 0: none.
+func (e *Engine) endSearch(search *search, status int, retryAfter float64, body []byte) {
+	invariant.Check(!search.ended, "a search gets one final answer")
 	if search.ended {
 		return
 	}
@@ -274,32 +283,35 @@
 	search.usage.bytesOut = int64(len(body))
 	e.releaseSearch(search)
 	if search.carrier != nil {
-		e.answerCarrier(search, status, back)
+		e.answerFrontend(search, status, retryAfter)
 	} else if client := search.client; client != nil {
 		search.client, client.search = nil, nil
-		e.respond(client, status, back, body)
+		e.respond(client, status, retryAfter, body)
 	}
 }
 
+// releaseSearch marks a search as ended and releases what it holds. Frames with its attempts that
+// the network has not begun to send are retracted.
 func (e *Engine) releaseSearch(search *search) {
 	search.ended = true
-	e.timers.drop(search.timer)
+	e.timers.cancel(search.timer)
 	if search.id != "" {
 		delete(e.searchByID, search.id)
 	}
 	search.usage.answeredAt = e.now
 	if len(search.requests) == 0 {
-		e.recordUsage(search) // it never came to the policy, which forgets the others
+		e.recordUsage(search) // the policy never knew it, so Forget is not called for it
 		return
 	}
 	e.openSearches--
-	e.pending--
+	e.pendingCount--
 	for _, req := range search.requests {
 		if !req.reported {
-			e.pending--
+			e.pendingCount--
 		}
 		for _, attempt := range req.attempts {
-			// Nobody waits for it: a frame that the network has not begun to take is not to begin.
+			// Nobody waits for the attempt any more: a frame that the network has not begun to send
+			// must not begin.
 			if attempt.state == stateSent && attempt.batch != nil && attempt.batch == attempt.batch.conn.lastBatch && e.retractBatch(attempt.batch.conn) {
 				e.writeNextBatch(attempt.batch.conn)
 			}
--- a/internal/aggregator/engine/search_test.go
+++ b/internal/aggregator/engine/search_test.go
@@ -18,7 +18,7 @@
 	w.openConns()
 	w.turn(func() { w.startSearch("quick", 900, 0, 1) })
 	w.openConns()
-	client := w.callers[0]
+	client := w.clients[0]
 	for _, c := range w.serverConns() {
 		for _, id := range w.conns[c].pending {
 			w.turn(func() { w.sendFrame(c, 'Y', id+" OK 5 -\n"+strings.Repeat("x", 40<<10)) })
@@ -77,22 +77,22 @@
 		w.turn(func() { client = w.startSearch("once", 900, 0, 1, 2, 3, 4, 5, 6, 7) })
 	}
 	back, err := strconv.ParseFloat(client.retryAfter, 64) // round a quarter of the target, by chance
-	if w.engine.Count.OverPending != 1 || client.status != 503 || err != nil || back < 0.037 || back > 0.113 {
-		t.Errorf("%d over the limit, the last got %d, back in %q", w.engine.Count.OverPending, client.status, client.retryAfter)
+	if w.engine.Count.OverPendingLimit != 1 || client.status != 503 || err != nil || back < 0.037 || back > 0.113 {
+		t.Errorf("%d over the limit, the last got %d, back in %q", w.engine.Count.OverPendingLimit, client.status, client.retryAfter)
 	}
 }
 
-// marks hears which searches the policy is told of as retries.
-type marks struct {
+// retryCounter hears which searches the policy is told of as retries.
+type retryCounter struct {
 	policy.Port
-	again int
+	retries int
 }
 
-func (m *marks) MarkRetry(int) { m.again++ }
+func (m *retryCounter) MarkRetry(int) { m.retries++ }
 
 func TestMarkedRetryReachesThePolicy(t *testing.T) {
 	w := newWorld(t, 1, 4)
-	m := &marks{Port: w.engine.Policy()}
+	m := &retryCounter{Port: w.engine.Policy()}
 	w.engine.ReplacePolicy(func(policy.Out) policy.Port { return m })
 	w.turn()
 	w.openConns()
@@ -106,8 +106,8 @@
 				client.id, mark, len(body), body)))
 		})
 	}
-	if m.again != 1 {
-		t.Errorf("%d of four searches were told as retries", m.again)
+	if m.retries != 1 {
+		t.Errorf("%d of four searches were told as retries", m.retries)
 	}
 }
 
@@ -115,7 +115,7 @@
 	reply := func(w *world, c transport.Conn) { w.sendFrame(c, 'Y', "q0.0 OK 5 -\nq0.0") }
 	lose := func(w *world, c transport.Conn) { w.closeByPeer(c) }
 	late := func(w *world, _ transport.Conn) { w.now += 100 }
-	goes := func(w *world, _ transport.Conn) { w.closeByPeer(w.connOf(w.callers[0])) }
+	goes := func(w *world, _ transport.Conn) { w.closeByPeer(w.connOf(w.clients[0])) }
 	steps := map[string]func(*world, transport.Conn){"reply": reply, "reset": lose, "time": late, "client": goes}
 	for _, a := range []string{"reply", "reset", "time", "client"} {
 		for _, b := range []string{"reply", "reset", "time", "client"} {
@@ -156,7 +156,7 @@
 	w.openConns()
 	ask := func(id, token string) *modelClient {
 		client := &modelClient{id: id, shards: []int{0}, answerDeadline: w.now + 920, asked: true}
-		w.callers, w.byID[id] = append(w.callers, client), client
+		w.clients, w.byID[id] = append(w.clients, client), client
 		c := w.addConn(&modelConn{client: client, open: true})
 		body := `{"segments":[{"segment":0,"boost":1}],"text":"text of ` + id + `"}`
 		w.turn(func() {
@@ -174,15 +174,15 @@
 	ask("q", "idempotency-key: f2b9438a\r\n")
 	w.openConns()
 	first := w.serverConns()[0]
-	if got := string(w.conns[first].unsent) + strings.Join(w.callLines, ";"); !strings.Contains(got, ",k=f2b9438a ") {
+	if got := string(w.conns[first].unsent) + strings.Join(w.requestLines, ";"); !strings.Contains(got, ",k=f2b9438a ") {
 		t.Errorf("the first goes out as %q", got)
 	}
-	w.callLines = nil
+	w.requestLines = nil
 	w.turn(func() { w.closeByPeer(first) })
 	w.advance(400)
 	w.openConns()
 	w.advance(1)
-	if got := strings.Join(w.callLines, ";"); !strings.Contains(got, ",k=f2b9438a ") {
+	if got := strings.Join(w.requestLines, ";"); !strings.Contains(got, ",k=f2b9438a ") {
 		t.Errorf("the second goes out as %q", got)
 	}
 }
@@ -195,15 +195,15 @@
 		var client *modelClient
 		w.turn(func() { client = w.startSearch("once", 900, 0) })
 		w.openConns()
-		if w.engine.Count.Sent != 1 {
-			t.Errorf("window %s: %d sent", window, w.engine.Count.Sent)
+		if w.engine.Count.AttemptsSent != 1 {
+			t.Errorf("window %s: %d sent", window, w.engine.Count.AttemptsSent)
 			continue
 		}
 		w.turn(func() { w.closeByPeer(w.serverConns()[0]) }) // it may have run
 		w.advance(500)
 		w.openConns()
-		if window != "1e300" && (w.engine.Count.Sent != 1 || client.status != 500) {
-			t.Errorf("window %s: %d sent, status %d", window, w.engine.Count.Sent, client.status)
+		if window != "1e300" && (w.engine.Count.AttemptsSent != 1 || client.status != 500) {
+			t.Errorf("window %s: %d sent, status %d", window, w.engine.Count.AttemptsSent, client.status)
 		}
 	}
 }
@@ -218,15 +218,15 @@
 	if w.runUntilAnswered(client); client.status != 501 {
 		t.Errorf("its answer is %d, as if there were no second step", client.status)
 	}
-	if w.runUntilAnswered(other); other.status != 200 || w.engine.Count.Sent != 1 {
-		t.Errorf("another type has %d; %d sent", other.status, w.engine.Count.Sent)
+	if w.runUntilAnswered(other); other.status != 200 || w.engine.Count.AttemptsSent != 1 {
+		t.Errorf("another type has %d; %d sent", other.status, w.engine.Count.AttemptsSent)
 	}
 	call := &recordedSearch{}
 	w.turn(func() {
 		w.engine.StartSearch(0, unknownCustomer, w.now+900, false, []ShardRequest{{Shard: 0, Share: 1}}, call)
 	})
-	if w.advance(50); !slices.Equal(call.results, []Result{Failed}) || w.engine.Count.Sent != 1 {
-		t.Errorf("a further front has %v; %d sent", call.results, w.engine.Count.Sent)
+	if w.advance(50); !slices.Equal(call.results, []Result{Failed}) || w.engine.Count.AttemptsSent != 1 {
+		t.Errorf("a further front has %v; %d sent", call.results, w.engine.Count.AttemptsSent)
 	}
 	w.shutDownAndCheck()
 }
--- a/internal/aggregator/engine/serverconn.go
+++ b/internal/aggregator/engine/serverconn.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net/netip"
 	"sort"
 
@@ -10,45 +11,45 @@
 	"kestrelspread/internal/transport"
 )
 
-// serverConn is a connection to a server. A batch on it takes a stream until all of its attempts
-// have ended.
+// serverConn is a connection to a server. A batch takes one of its streams until all attempts of
+// the batch have ended.
 type serverConn struct {
 	handle        transport.Conn
-	server        int
+	server        int // index of the server
 	addr          netip.AddrPort
-	open          bool
+	established   bool // the connection is established
 	closed        bool
 	frames        protocol.FrameSplitter
-	batches       int
-	queued        []*batch            // none of their bytes is given to the network
-	attempts      map[string]*attempt // by the id that is written; those cancelled stay, so that a late reply finds them
-	inFlight      int                 // that wait for a reply
-	writeOffset   int64
-	writtenOffset int64
-	frameStart    int64  // where the last batch began
-	lastBatch     *batch // it, as long as the network may have taken none of it
-	writtenAfter  []byte // what was written after it
-	usedAt        float64
-	probeSentAt   float64 // when one was sent, or 0
+	openBatches   int                 // batches with an attempt that has not ended
+	queued        []*batch            // not passed to the network yet
+	attempts      map[string]*attempt // by request id; cancelled ones stay, so that late replies are recognised
+	inFlight      int                 // attempts that have not ended
+	writeOffset   int64               // bytes passed to the network
+	writtenOffset int64               // bytes that the operating system has accepted
+	frameStart    int64               // offset at which the frame of the last batch begins
+	lastBatch     *batch              // the last batch that was written; nil once the network has taken any of it
+	writtenAfter  []byte              // bytes written after the frame of lastBatch
+	lastUsedAt    float64             // when it was last used
+	probeSentAt   float64             // when the health check on it was requested; 0: none is pending
 	idleTimer     *timer
-	frameTimer    *timer // while a frame is incomplete
+	frameTimer    *timer // set while a received frame is incomplete
 }
 
-// connectServer opens a connection to a server, if there is a descriptor for it.
+// connectServer opens a connection to a server. It returns nil if no descriptor is available.
 func (e *Engine) connectServer(server int) *serverConn {
-	if e.sockets >= e.config.maxDescriptors-spareSockets && !e.evictClient() {
+	if e.socketCount >= e.config.maxDescriptors-reservedSockets && !e.evictClient() {
 		e.Count.NoSocket++
 		return nil
 	}
-	srv := e.list.servers[server]
-	e.Count.Connects++
-	e.sockets++
-	conn := &serverConn{server: server, addr: srv.addr, attempts: map[string]*attempt{}, usedAt: e.now}
+	srv := e.serverList.servers[server]
+	e.Count.ConnsRequested++
+	e.socketCount++
+	conn := &serverConn{server: server, addr: srv.addr, attempts: map[string]*attempt{}, lastUsedAt: e.now}
 	conn.handle = e.network.Connect(srv.addr)
 	*e.endpoint(conn.handle) = endpoint{conn: conn}
 	srv.conns = append(srv.conns, conn)
-	e.after(e.config.connectTimeout, func(e *Engine) {
-		if !conn.closed && !conn.open {
+	e.afterFunc(e.config.connectTimeout, func(e *Engine) {
+		if !conn.closed && !conn.established {
 			e.Count.ConnectTimeouts++
 			e.dropServerConn(conn)
 		}
@@ -56,72 +57,73 @@
 	return conn
 }
 
-// serverConnOpened writes what was queued for a connection that was being opened.
+// serverConnOpened writes what was queued while the connection was being opened.
 func (e *Engine) serverConnOpened(conn *serverConn) {
-	conn.open = true
-	conn.usedAt = e.now
+	conn.established = true
+	conn.lastUsedAt = e.now
 	e.armIdleTimer(conn)
 	if conn.probeSentAt > 0 {
-		e.scratch = protocol.AppendShortFrame(e.scratch[:0], e.config.probeType, "")
-		e.writeToServer(conn, e.scratch)
+		e.writeBuffer = protocol.AppendShortFrame(e.writeBuffer[:0], e.config.probeType, "")
+		e.writeToServer(conn, e.writeBuffer)
 	}
 	e.writeNextBatch(conn)
 }
 
-const idleShare = 0.8 // of the stated idle time-out
+const idleTimeoutShare = 0.8 // of the configured idle timeout
 
-// armIdleTimer closes a connection before it has been idle for so long that its server may close it
-// unseen.
+// armIdleTimer schedules the closing of an idle connection, before the server's idle timeout could
+// close it unnoticed.
 func (e *Engine) armIdleTimer(conn *serverConn) {
-	timeout := idleShare * e.config.connIdleTimeout
-	conn.idleTimer = e.timers.add(conn.usedAt+timeout, func(e *Engine) {
-		if conn.inFlight == 0 && e.now >= conn.usedAt+timeout {
-			e.Count.IdleClosed++
+	timeout := idleTimeoutShare * e.config.connIdleTimeout
+	conn.idleTimer = e.timers.add(conn.lastUsedAt+timeout, func(e *Engine) {
+		if conn.inFlight == 0 && e.now >= conn.lastUsedAt+timeout {
+			e.Count.IdleServerConnsClosed++
 			e.dropServerConn(conn)
 			return
 		}
 		if conn.inFlight > 0 {
-			conn.usedAt = e.now
+			conn.lastUsedAt = e.now
 		}
 		e.armIdleTimer(conn)
 	})
 }
 
-// writeToServer writes a frame, and keeps it as long as a batch before it may be retracted.
+// writeToServer writes a frame. It keeps a copy as long as the batch written before it may be
+// retracted.
 func (e *Engine) writeToServer(conn *serverConn, b []byte) {
 	if conn.lastBatch != nil {
 		conn.writtenAfter = append(conn.writtenAfter, b...)
 	}
 	conn.writeOffset += int64(len(b))
-	conn.usedAt = e.now
+	conn.lastUsedAt = e.now
 	e.Count.BytesOut += int64(len(b))
 	e.network.Write(conn.handle, b)
 }
 
-// Close implements policy.Out: it closes the idle connections to a server.
+// Close implements policy.Out. It closes the idle connections to a server.
 func (e *Engine) Close(server int) {
-	srv := e.list.servers[server]
+	srv := e.serverList.servers[server]
 	for _, conn := range append([]*serverConn(nil), srv.conns...) {
-		if conn.open && conn.inFlight == 0 && conn.probeSentAt == 0 {
+		if conn.established && conn.inFlight == 0 && conn.probeSentAt == 0 {
 			e.dropServerConn(conn)
 		}
 	}
 }
 
-// dropServerConn closes a connection from this side.
+// dropServerConn closes a connection immediately and ends its attempts.
 func (e *Engine) dropServerConn(conn *serverConn) {
 	e.close(conn.handle)
 	e.serverConnClosed(conn)
 }
 
-// serverConnClosed ends the attempts in flight: those whose frame was written to its end may have
-// run, the rest never did.
+// serverConnClosed releases a closed connection and ends its attempts: those whose frame was
+// written completely may have run, the others have not.
 func (e *Engine) serverConnClosed(conn *serverConn) {
 	conn.closed = true
-	e.timers.drop(conn.idleTimer)
-	e.timers.drop(conn.frameTimer)
+	e.timers.cancel(conn.idleTimer)
+	e.timers.cancel(conn.frameTimer)
 	*e.endpoint(conn.handle) = endpoint{}
-	srv := e.list.servers[conn.server]
+	srv := e.serverList.servers[conn.server]
 	for i, other := range srv.conns {
 		if other == conn {
 			srv.conns = append(srv.conns[:i], srv.conns[i+1:]...)
@@ -131,8 +133,8 @@
 	if conn.frames.HasStorage() {
 		e.pool.Put(conn.frames.SetStorage(nil))
 	}
-	if conn.open && conn.inFlight > 0 {
-		e.Count.Broken++
+	if conn.established && conn.inFlight > 0 {
+		e.Count.ServerConnsBroken++
 	}
 	e.resendUnbegun(conn)
 	if conn.probeSentAt > 0 {
@@ -141,17 +143,18 @@
 	}
 }
 
-// resendUnbegun ends the attempts of a closed connection, or sends them over another. What never
-// began on a connection that was up is no sign of a server that cannot be reached: its connection
-// may have been dropped for a reply that nobody understood. Once, it goes over another.
+// resendUnbegun ends the attempts of a closed connection, or sends them over another one. An
+// attempt that had not begun on an established connection does not show that the server is
+// unreachable: the connection may have been dropped because of a malformed reply. So it is sent
+// once more over another connection.
 func (e *Engine) resendUnbegun(conn *serverConn) {
-	srv := e.list.servers[conn.server]
+	srv := e.serverList.servers[conn.server]
 	var unbegun []*attempt
 	for _, attempt := range conn.attemptsInOrder() {
 		switch {
 		case attempt.state == stateSent && attempt.frameEnd <= conn.writtenOffset:
 			e.endAttempt(attempt, policy.Reset, nil)
-		case conn.open && !attempt.moved && srv.state == policy.Ready && attempt.deadline > e.now:
+		case conn.established && !attempt.moved && srv.state == policy.Ready && attempt.deadline > e.now:
 			unbegun = append(unbegun, attempt)
 		default:
 			e.endAttempt(attempt, policy.ConnectFailed, nil)
@@ -160,8 +163,8 @@
 	for len(unbegun) > 0 {
 		n := min(e.config.maxBatch, len(unbegun))
 		for _, attempt := range unbegun[:n] {
-			e.Count.Moved++
-			e.timers.drop(attempt.timer)
+			e.Count.AttemptsMoved++
+			e.timers.cancel(attempt.timer)
 			attempt.moved = true
 		}
 		e.assignConn(conn.server, &batch{attempts: unbegun[:n:n]})
@@ -169,8 +172,8 @@
 	}
 }
 
-// attemptsInOrder gives a connection's attempts in the order in which they were sent, which a map
-// does not keep.
+// attemptsInOrder returns the attempts of a connection that have not ended. They are ordered by
+// index and number, the order in which they were sent, because a map has no order.
 func (conn *serverConn) attemptsInOrder() []*attempt {
 	list := make([]*attempt, 0, len(conn.attempts))
 	for _, attempt := range conn.attempts {
@@ -188,21 +191,21 @@
 	return list
 }
 
-// serverConnBytes reads replies. An incomplete frame gets a buffer of its own; where there is none,
-// or where the frame is unsound, the connection is dropped.
+// serverConnBytes reads replies from received bytes. An incomplete frame is moved to a buffer of
+// its own; if none is free, or if a frame is malformed, the connection is dropped.
 func (e *Engine) serverConnBytes(conn *serverConn, b []byte) {
-	conn.usedAt = e.now
+	conn.lastUsedAt = e.now
 	shared, framesBefore := !conn.frames.HasStorage(), e.Count.Frames
 	if shared {
 		conn.frames.SetStorage(e.sharedBuffer)
 	}
-	err := conn.frames.Feed(b, func(letter byte, rest []byte) error { return e.handleFrame(conn, letter, rest) })
+	err := conn.frames.Feed(b, func(frameType byte, payload []byte) error { return e.handleFrame(conn, frameType, payload) })
 	switch {
 	case err != nil:
 		e.Count.BadFrames++
 		e.log.warn("bad frame", "from %s: %v", conn.addr, err)
 	case !conn.frames.Incomplete():
-		e.timers.drop(conn.frameTimer)
+		e.timers.cancel(conn.frameTimer)
 		if buf := conn.frames.SetStorage(nil); !shared {
 			e.pool.Put(buf)
 		}
@@ -221,18 +224,19 @@
 	e.dropServerConn(conn)
 }
 
-// armFrameTimer drops the connection if the frame that has begun doesn't end: a length that is too
-// long makes one frame of all that follows, and nothing is answered there any more.
+// armFrameTimer drops the connection if the frame that has begun does not end in time. A length
+// field that is too large makes the splitter take all that follows as one frame, so that no further
+// reply would be recognised on the connection.
 func (e *Engine) armFrameTimer(conn *serverConn) {
-	e.timers.drop(conn.frameTimer)
-	conn.frameTimer = e.after(frameTimeout, func(e *Engine) {
+	e.timers.cancel(conn.frameTimer)
+	conn.frameTimer = e.afterFunc(frameTimeout, func(e *Engine) {
 		e.Count.BadFrames++
-		e.log.warn("bad frame", "from %s: half of one, and no more", conn.addr)
+		e.log.warn("bad frame", "from %s: the frame is incomplete after %d ms", conn.addr, frameTimeout)
 		e.dropServerConn(conn)
 	})
 }
 
-// storeFrame gives an incomplete frame a buffer of its own, if there is one.
+// storeFrame moves an incomplete frame to a buffer of its own and reports whether one was free.
 func (e *Engine) storeFrame(conn *serverConn) bool {
 	buf := e.pool.Get()
 	if buf == nil {
@@ -243,66 +247,65 @@
 	return true
 }
 
-const frameTimeout = 300 // ms; a frame that has begun ends within so long: servers write it at once
+const frameTimeout = 300 // ms from the first to the last byte of a frame; servers write a frame at once
 
-var errUnknownFrame = errors.New("an unknown letter")
-
-// handleFrame reads one frame of a server's.
-func (e *Engine) handleFrame(conn *serverConn, frameType byte, rest []byte) error {
+// handleFrame handles one frame from a server. An error means that the connection must be dropped.
+func (e *Engine) handleFrame(conn *serverConn, frameType byte, payload []byte) error {
 	e.Count.Frames++
 	switch frameType {
 	case protocol.FrameReply:
-		return e.handleReply(conn, rest)
+		return e.handleReply(conn, payload)
 	case protocol.FrameAlive, protocol.FrameLoad:
 		if conn.probeSentAt == 0 {
-			return nil // it came after its end
+			return nil // the health check has timed out
 		}
-		ok := string(rest) != "ERROR"
+		ok := string(payload) != "ERROR"
 		var report []float64
 		if ok && frameType == protocol.FrameLoad {
-			report, _ = e.parseReport(rest)
+			report, _ = e.parseReport(payload)
 		}
 		e.probeEnded(conn.server, ok, conn.probeSentAt, report)
 		conn.probeSentAt = 0
 		return nil
 	case protocol.FrameError:
-		return errors.New("refused: " + string(rest[:min(len(rest), 100)]))
+		return errors.New("refused: " + string(payload[:min(len(payload), 100)]))
 	}
-	return errUnknownFrame
+	return fmt.Errorf("unknown frame type %q", frameType)
 }
 
-// handleReply ends the attempt that a reply is for.
-func (e *Engine) handleReply(conn *serverConn, rest []byte) error {
-	id, end, report, value, err := protocol.ReadReply(rest)
+// handleReply ends the attempt that a reply belongs to.
+func (e *Engine) handleReply(conn *serverConn, payload []byte) error {
+	id, status, report, value, err := protocol.ReadReply(payload)
 	if err != nil {
 		return err
 	}
 	attempt := conn.attempts[string(id)]
 	if attempt == nil || attempt.state == stateQueued {
-		return errors.New("an unknown id")
+		return fmt.Errorf("reply to unknown request id %q", id[:min(len(id), maxIDBytes)])
 	}
-	values, _ := e.parseReport(report) // one that can't be read is none: the answer beside it is good
+	values, _ := e.parseReport(report) // a malformed report is ignored: the reply itself is valid
 	delete(conn.attempts, string(id))
 	if attempt.state != stateSent {
 		e.Count.LateReplies++
 		return nil
 	}
-	how := policy.Answered
-	switch end {
+	outcome := policy.Answered
+	switch status {
 	case protocol.ReplyError:
-		how = policy.Errored
+		outcome = policy.Errored
 	case protocol.ReplyRejected:
-		how = policy.Rejected
+		outcome = policy.Rejected
 	default:
 		if req := attempt.request; !req.hasValue {
 			req.hasValue, req.value = true, append([]byte(nil), value...)
 		}
 	}
-	e.endAttempt(attempt, how, values)
+	e.endAttempt(attempt, outcome, values)
 	return nil
 }
 
-// parseReport puts a report's values in the order of the settings; one that misses any is none.
+// parseReport returns the values of a load report in the order of the settings, or nil if any of
+// them is missing.
 func (e *Engine) parseReport(report []byte) (values []float64, err error) {
 	seen := 0
 	err = protocol.ReadReport(report, func(name []byte, v float64) {
--- a/internal/aggregator/engine/serverconn_test.go
+++ b/internal/aggregator/engine/serverconn_test.go
@@ -76,7 +76,7 @@
 	var client *modelClient
 	w.turn(func() { client = w.startSearch("quick", 900, 0) })
 	w.openConns()
-	c, id := w.serverConns()[0], w.callers[0].id+".0"
+	c, id := w.serverConns()[0], w.clients[0].id+".0"
 	w.turn(func() {
 		w.sendFrame(c, 'Y', fmt.Sprintf(good, id, id)+"")
 		w.receiveBytes(c, []byte("\xff\xff\xff\xffnoise"))
--- a/internal/aggregator/engine/serverlist.go
+++ b/internal/aggregator/engine/serverlist.go
@@ -8,86 +8,88 @@
 	"kestrelspread/internal/protocol"
 )
 
-// serverList is the list of servers and the watch that keeps it.
+// serverList is the list of servers, with the state of the watch by which discovery keeps it up to
+// date.
 type serverList struct {
-	addr          netip.AddrPort
-	epoch         float64   // Unix time in milliseconds when the clock was 0
-	servers       []*server // nil: its index is free
-	freeIndices   []int
-	indexOf       map[string]int
-	ready         int
-	version       int64 // as its address numbers it
-	received      bool
-	olderSince    float64 // since when watches begin with an older list, or 0
-	watch         *watch
-	previousWatch *watch  // at the address before, read until the new one has sent its list
-	moved         bool    // that is still to come: its versions need not go on from the other's
-	mayHaveMissed bool    // a watch timed out: what it missed may be any change since, so all is asked for
-	openTimeout   float64 // how long the next watch may take to tell something
-	lostInARow    int     // watches lost in a row, none of which lasted
+	addr              netip.AddrPort // address of discovery
+	epoch             float64        // Unix time in milliseconds at which the loop's clock was 0
+	servers           []*server      // by index; nil: the index is free
+	freeIndices       []int
+	indexOf           map[string]int // by server id
+	readyCount        int            // servers in state policy.Ready
+	version           int64          // latest version, as numbered by the current address
+	hasList           bool           // a list has been received from the current address
+	olderListSince    float64        // since when new watches have begun with an older list; 0: they have not
+	watch             *watch         // nil while none is open
+	previousWatch     *watch         // at the previous address; read until the new address has sent its first list
+	awaitsMovedList   bool           // the address has changed and has not sent a list yet; its versions are independent of the former ones
+	mayHaveMissed     bool           // a watch timed out, so any update since may be missing: the next watch asks for the full list
+	openTimeout       float64        // ms that the next watch may take to send anything; 0: watchOpenTimeout
+	consecutiveLosses int            // consecutive watches that were lost soon after they were opened
 }
 
-// server is one of the list; its index is the policy's.
+// server is one server of the list. Its index is the one that the policy uses.
 type server struct {
 	id            string
 	addr          netip.AddrPort
-	position      int
+	position      int // on the ring of positions
 	state         policy.State
-	notReadySince float64 // when the list first had it draining or gone
-	goneSince     float64 // when the list first had it gone
-	conns         []*serverConn
-	planned       []*attempt
-	listed        bool
+	notReadySince float64       // when it stopped being ready
+	goneSince     float64       // when the list first reported it as gone
+	conns         []*serverConn // open or being opened, oldest first
+	planned       []*attempt    // attempts of this round that are not in a batch yet
+	listed        bool          // named in the list that is being applied
 }
 
-// applyList takes a full list or changes to it. What is not understood changes nothing. An older
-// version never takes a newer one's place, unless discovery, asked for everything, goes on saying
-// so: then it counts anew. Another address counts anew at once: what it reports counts soon after a
-// move, whatever its versions are.
+// applyList applies a full list or a list of changes. Malformed lists and entries change nothing. A
+// list with an older version is ignored, unless discovery keeps sending it, as a full list, for
+// olderListTimeout: then its versions have been restarted. After a move to another address, the
+// first list from there is applied whatever its version, because what it reports must take effect
+// soon after the move.
 func (e *Engine) applyList(watch *watch, line []byte) error {
-	list := &e.list
+	list := &e.serverList
 	version, full, err := protocol.ReadList(line, nil)
 	if err != nil {
 		return err
 	}
 	first := watch.awaitsFirstList
 	watch.awaitsFirstList = false
-	if list.moved && watch == list.watch {
-		list.moved, list.received = false, false
-		e.log.info("discovery moved", "to %v, version %d after %d, whole %v", watch.addr, version, list.version, full)
+	if list.awaitsMovedList && watch == list.watch {
+		list.awaitsMovedList, list.hasList = false, false
+		e.log.info("discovery moved", "to %v, version %d after %d, full list: %v", watch.addr, version, list.version, full)
 		e.closeWatch(list.previousWatch)
 		list.previousWatch = nil
 	}
-	if list.received && version < list.version {
+	if list.hasList && version < list.version {
 		e.Count.OldLists++
 		if !full || !first {
 			return nil
 		}
-		if !e.olderInsisted() {
+		if !e.olderListAccepted() {
 			return badRequest("a list older than the one held")
 		}
 	}
-	list.olderSince = 0
+	list.olderListSince = 0
 	if watch == list.watch {
 		list.mayHaveMissed = false
 	}
-	list.received, list.version = true, version
+	list.hasList, list.version = true, version
 	e.Count.Lists++
 	e.applyServers(line, full)
 	return nil
 }
 
-// olderInsisted tells whether discovery has said an older list for long enough.
-func (e *Engine) olderInsisted() bool {
-	if e.list.olderSince == 0 {
-		e.list.olderSince = e.now
+// olderListAccepted reports whether new watches have begun with an older list for olderListTimeout.
+func (e *Engine) olderListAccepted() bool {
+	if e.serverList.olderListSince == 0 {
+		e.serverList.olderListSince = e.now
 	}
-	return e.now >= e.list.olderSince+olderListTimeout
+	return e.now >= e.serverList.olderListSince+olderListTimeout
 }
 
-// applyServers takes the servers of a list; those that a full one doesn't name are gone.
+// applyServers applies the entries of a list. Servers that a full list doesn't name are gone.
 func (e *Engine) applyServers(line []byte, full bool) {
-	for _, srv := range e.list.servers {
+	for _, srv := range e.serverList.servers {
 		if srv != nil {
 			srv.listed = false
 		}
@@ -96,16 +98,16 @@
 	if !full {
 		return
 	}
-	for index, srv := range e.list.servers {
+	for index, srv := range e.serverList.servers {
 		if srv != nil && !srv.listed && srv.state != policy.Gone {
 			e.setServerState(index, policy.Gone, 0, 0, 0)
 		}
 	}
 }
 
-// applyServer takes one entry of a list.
+// applyServer applies one entry of a list.
 func (e *Engine) applyServer(id, addr, zoneName []byte, position int, state uint8, size, startedAt float64) {
-	list := &e.list
+	list := &e.serverList
 	index, found := list.indexOf[string(id)]
 	address, err := netip.ParseAddrPort(string(addr))
 	newState := policy.State(state)
@@ -113,7 +115,7 @@
 		e.Count.BadLists++
 		e.log.warn("bad address", "of %q: %v", id, err)
 		if found {
-			list.servers[index].listed = true // what is not understood changes nothing
+			list.servers[index].listed = true // a malformed entry changes nothing
 		}
 		return
 	}
@@ -138,84 +140,85 @@
 	e.setServerState(index, newState, zone, size, startedAt)
 }
 
-const unknownZone = -1
+const unknownZone = -1 // zone of a server whose zone the settings do not name
 
-// add gives a new id its index.
-func (list *serverList) add(id string) (at int) {
+// add adds a server under a new id and returns its index.
+func (list *serverList) add(id string) (index int) {
 	srv := &server{id: id, state: policy.Gone}
 	if n := len(list.freeIndices); n > 0 {
-		at, list.freeIndices = list.freeIndices[n-1], list.freeIndices[:n-1]
-		list.servers[at] = srv
+		index, list.freeIndices = list.freeIndices[n-1], list.freeIndices[:n-1]
+		list.servers[index] = srv
 	} else {
-		at = len(list.servers)
+		index = len(list.servers)
 		list.servers = append(list.servers, srv)
 	}
-	list.indexOf[id] = at
-	return at
+	list.indexOf[id] = index
+	return index
 }
 
-// removeServer forgets a server that has been gone for long, once nothing refers to it: servers are
-// replaced under ever new ids, and neither this list nor the policy's may grow with them.
-func (e *Engine) removeServer(at int, srv *server) {
-	list := &e.list
-	if list.servers[at] != srv || srv.state != policy.Gone {
+// removeServer removes a server that has been gone for serverRetention, once nothing refers to it.
+// Servers are replaced under ever new ids, so without this the list and the policy's state would
+// grow without bound.
+func (e *Engine) removeServer(index int, srv *server) {
+	list := &e.serverList
+	if list.servers[index] != srv || srv.state != policy.Gone {
 		return
 	}
 	if e.now < srv.goneSince+serverRetention {
-		return // it came back and went again: a later look is due
+		return // it came back and went again: a later call is scheduled
 	}
-	e.Close(at)
-	if len(srv.conns) > 0 || len(srv.planned) > 0 || !e.policy.RemoveServer(at) {
-		e.after(removeRetryDelay, func(e *Engine) { e.removeServer(at, srv) })
+	e.Close(index)
+	if len(srv.conns) > 0 || len(srv.planned) > 0 || !e.policy.RemoveServer(index) {
+		e.afterFunc(removeRetryDelay, func(e *Engine) { e.removeServer(index, srv) })
 		return
 	}
-	for _, front := range e.fronts {
-		front.ServerRemoved(at)
+	for _, frontend := range e.frontends {
+		frontend.ServerRemoved(index)
 	}
 	delete(list.indexOf, srv.id)
-	list.servers[at] = nil
-	list.freeIndices = append(list.freeIndices, at)
+	list.servers[index] = nil
+	list.freeIndices = append(list.freeIndices, index)
 }
 
-// setServerState notifies the policy and the fronts of one server's state.
+// setServerState sets a server's state and reports it to the policy and the front ends.
 func (e *Engine) setServerState(index int, state policy.State, zone int, size, startedAt float64) {
-	srv := e.list.servers[index]
+	srv := e.serverList.servers[index]
 	wasReady := srv.state == policy.Ready
 	if wasReady {
-		e.list.ready--
+		e.serverList.readyCount--
 	}
 	if state == policy.Ready {
-		e.list.ready++
+		e.serverList.readyCount++
 	} else if wasReady {
-		e.startGrace(index, srv)
+		e.startDrainGrace(index, srv)
 	}
 	if state == policy.Gone && srv.state != policy.Gone {
 		srv.goneSince = e.now
-		e.after(serverRetention, func(e *Engine) { e.removeServer(index, srv) })
+		e.afterFunc(serverRetention, func(e *Engine) { e.removeServer(index, srv) })
 	}
 	srv.state = state
-	for _, front := range e.fronts {
-		front.Server(index, srv.id, srv.addr, state)
+	for _, frontend := range e.frontends {
+		frontend.Server(index, srv.id, srv.addr, state)
 	}
 	e.policy.Server(index, zone, srv.position, state, size, startedAt)
 }
 
-// startGrace has what has not begun at a server that is no longer ready kept from beginning once
-// the share of the stated grace is over.
-func (e *Engine) startGrace(index int, srv *server) {
+// startDrainGrace starts the drain grace of a server that is no longer ready. When drainGraceShare of it has
+// passed, attempts that have not begun at the server are kept from beginning.
+func (e *Engine) startDrainGrace(index int, srv *server) {
 	since := e.now
 	srv.notReadySince = since
-	e.after(graceShare*e.config.drainGrace, func(e *Engine) {
+	e.afterFunc(drainGraceShare*e.config.drainGrace, func(e *Engine) {
 		if srv.notReadySince == since && srv.state != policy.Ready {
 			e.retractBatches(srv)
-			for _, front := range e.fronts {
-				front.GraceEnded(index)
+			for _, frontend := range e.frontends {
+				frontend.GraceEnded(index)
 			}
 		}
 	})
 }
 
-// retractBatches keeps frames from beginning at a server that wants nothing new.
+// retractBatches retracts the frames to a server that the network has not begun to send.
 func (e *Engine) retractBatches(srv *server) {
 	for _, conn := range srv.conns {
 		if e.retractBatch(conn) {
--- a/internal/aggregator/engine/serverlist_test.go
+++ b/internal/aggregator/engine/serverlist_test.go
@@ -27,9 +27,9 @@
 			w.advance(heartbeatInterval / 2)
 			w.turn(func() { w.receiveBytes(c, []byte("1\r\n\n\r\n")) })
 		}
-		maxEntries = max(maxEntries, len(w.engine.list.servers))
+		maxEntries = max(maxEntries, len(w.engine.serverList.servers))
 	}
-	client := &w.engine.list
+	client := &w.engine.serverList
 	if live := len(client.indexOf); live > 8+serverRetention/(2.5*heartbeatInterval)+2 || maxEntries > 30 || len(client.servers) != live+len(client.freeIndices) {
 		t.Errorf("%d servers known, %d places for them, %d free, after 120 generations", live, len(client.servers), len(client.freeIndices))
 	}
--- a/internal/aggregator/engine/shutdown_test.go
+++ b/internal/aggregator/engine/shutdown_test.go
@@ -41,8 +41,8 @@
 	w.turn(func() { w.engine.Notified(Terminate) })
 	began, grace := w.now, 1000.+killMargin
 	again := func(budget float64) *modelClient {
-		next := &modelClient{id: fmt.Sprint("again", len(w.callers)), shards: []int{0}, answerDeadline: w.now + budget + answerSlackMs, asked: true}
-		w.byID[next.id], w.conns[c].client, w.callers = next, next, append(w.callers, next)
+		next := &modelClient{id: fmt.Sprint("again", len(w.clients)), shards: []int{0}, answerDeadline: w.now + budget + answerSlackMs, asked: true}
+		w.byID[next.id], w.conns[c].client, w.clients = next, next, append(w.clients, next)
 		body := fmt.Sprintf(`{"segments":[{"segment":0,"boost":1}],"text":"text of %s"}`, next.id)
 		w.turn(func() {
 			w.receiveBytes(c, []byte(fmt.Sprintf("POST /api HTTP/1.1\r\nX-Call-Id: %s\r\nX-Call-Class: quick\r\nX-Budget-Ms: %g\r\n"+
--- a/internal/aggregator/engine/timers.go
+++ b/internal/aggregator/engine/timers.go
@@ -1,53 +1,57 @@
 package engine
 
-// timer says whom a time concerns. One that no longer matters is taken back, or it would keep alive
-// what it concerns: most times are seconds off, and what they stand for is over within
-// milliseconds.
+// timer is a function that runs at a given time. A timer that is no longer needed is removed,
+// because it would keep the objects it refers to in memory: most timers expire seconds later, while
+// what they watch over ends within milliseconds.
 type timer struct {
-	dueAt     float64
-	due       func(e *Engine)
-	heapIndex int // in the heap, or -1
+	dueAt     float64 // ms of the loop
+	run       func(e *Engine)
+	heapIndex int // -1: not in the heap
 }
 
-// timers is a heap, the soonest first.
+// timers is a binary heap of timers, ordered by dueAt.
 type timers []*timer
 
-func (timers *timers) add(at float64, due func(e *Engine)) *timer {
-	timer := &timer{at, due, len(*timers)}
+// add schedules run to be called at a time.
+func (timers *timers) add(at float64, run func(e *Engine)) *timer {
+	timer := &timer{at, run, len(*timers)}
 	*timers = append(*timers, timer)
-	timers.up(timer.heapIndex)
+	timers.siftUp(timer.heapIndex)
 	return timer
 }
 
-func (timers *timers) take() *timer {
+// popEarliest removes and returns the earliest timer.
+func (timers *timers) popEarliest() *timer {
 	first := (*timers)[0]
-	timers.drop(first)
+	timers.cancel(first)
 	return first
 }
 
-// drop takes a timer back, if it is there still.
-func (timers *timers) drop(timer *timer) {
+// cancel cancels a timer. It has no effect on nil or on a timer that is no longer in the heap.
+func (timers *timers) cancel(timer *timer) {
 	if timer == nil || timer.heapIndex < 0 {
 		return
 	}
-	h, i, last := *timers, timer.heapIndex, len(*timers)-1
-	h[i] = h[last]
-	h[i].heapIndex = i
-	h[last] = nil
-	*timers = h[:last]
+	heap, i, last := *timers, timer.heapIndex, len(*timers)-1
+	heap[i] = heap[last]
+	heap[i].heapIndex = i
+	heap[last] = nil
+	*timers = heap[:last]
 	if timer.heapIndex = -1; i < last {
-		timers.down(i)
-		timers.up(i)
+		timers.siftDown(i)
+		timers.siftUp(i)
 	}
 }
 
-func (timers timers) up(i int) {
+// siftUp moves a timer towards the root until its parent is not later.
+func (timers timers) siftUp(i int) {
 	for ; i > 0 && timers[i].dueAt < timers[(i-1)/2].dueAt; i = (i - 1) / 2 {
 		timers.swap(i, (i-1)/2)
 	}
 }
 
-func (timers timers) down(i int) {
+// siftDown moves a timer towards the leaves until none of its children is earlier.
+func (timers timers) siftDown(i int) {
 	for {
 		smallest := 2*i + 1
 		if smallest >= len(timers) {
--- a/internal/aggregator/engine/timers_test.go
+++ b/internal/aggregator/engine/timers_test.go
@@ -42,8 +42,8 @@
 			case 0:
 				if len(all) > 0 {
 					i := rng.IntN(len(all))
-					heap.drop(all[i])
-					heap.drop(all[i])
+					heap.cancel(all[i])
+					heap.cancel(all[i])
 					all = slices.Delete(all, i, i+1)
 				}
 			default:
@@ -52,7 +52,7 @@
 		}
 		slices.SortFunc(all, func(a, b *timer) int { return int(a.dueAt - b.dueAt) })
 		for i, want := range all {
-			if got := heap.take(); got.dueAt != want.dueAt || got.heapIndex >= 0 {
+			if got := heap.popEarliest(); got.dueAt != want.dueAt || got.heapIndex >= 0 {
 				t.Fatalf("timer %d at %v, want %v", i, got.dueAt, want.dueAt)
 			}
 		}
--- a/internal/aggregator/engine/usage.go
+++ b/internal/aggregator/engine/usage.go
@@ -4,39 +4,40 @@
 	"kestrelspread/internal/invariant"
 )
 
-// Usage is what one search used. It is recorded once nothing of the search is in flight any more.
+// Usage is the resource usage of one search. It is recorded once none of the search's attempts is
+// in flight any more.
 type Usage struct {
-	Kind, Customer    int
-	Front             int // 0 for HTTP's, else the door
+	Kind, Customer    int // as numbered by Kinds and Customers; a customer below 0 is unknown
+	Front             int // 0: HTTP, otherwise the number of the front end
 	Result            Result
-	ClientLeft        bool // its client left before the answer: Result tells nothing
-	AnsweredAt        float64
-	Shards            int
-	First             int     // attempts that were a shard request's first
-	Retry             int     // that followed one that had ended
-	Hedge             int     // that went beside one in flight
-	Cancelled         int     // of all these
-	Work              float64 // hinted, ms
-	Server            float64 // ms from each attempt's send to its end
-	BytesIn, BytesOut int64   // bytes of what the client sent and of its answer, without heads
+	ClientLeft        bool    // the client left before the answer, so Result has no meaning
+	AnsweredAt        float64 // ms of the loop
+	Shards            int     // number of shard requests
+	First             int     // attempts that were the first of their shard request
+	Retry             int     // attempts that followed after all earlier ones had ended
+	Hedge             int     // attempts that were sent while another was in flight
+	Cancelled         int     // attempts of all these kinds that were cancelled
+	Work              float64 // expected work as hinted by the client, in ms
+	Server            float64 // ms from each attempt's send to its end, summed
+	BytesIn, BytesOut int64   // body bytes, without headers, of the client's request and of its answer
 }
 
-// Meter records each search, once. It must not wait.
+// Meter records the usage of each search once. Record must not block.
 type Meter interface{ Record(usage *Usage) }
 
-// SetMeter sets the meter, before the loop runs.
+// SetMeter sets the meter. It must be called before the loop runs.
 func (e *Engine) SetMeter(m Meter) { e.meter = m }
 
-// usageRecord is kept with a search for its meter.
+// usageRecord is the part of a search's usage that is collected while the search is open.
 type usageRecord struct {
-	kind, customer, front int
-	answeredAt, work      float64
-	result                Result
-	clientLeft            bool
-	bytesIn, bytesOut     int64
+	queryType, customer, frontend int
+	answeredAt, work              float64
+	result                        Result
+	clientLeft                    bool
+	bytesIn, bytesOut             int64
 }
 
-// attemptKind of an attempt among those of its shard request.
+// attemptKind distinguishes first attempts, retries and hedges of a shard request.
 type attemptKind uint8
 
 const (
@@ -45,8 +46,8 @@
 	hedgeAttempt
 )
 
-// nextKind is what a further attempt would be.
-func (req *shardRequest) nextKind() attemptKind {
+// nextAttemptKind returns the kind that the next attempt of the shard request would have.
+func (req *shardRequest) nextAttemptKind() attemptKind {
 	if len(req.attempts) == 0 {
 		return firstAttempt
 	}
@@ -58,10 +59,11 @@
 	return retryAttempt
 }
 
-// recordUsage tells the meter of a search that is over and of which nothing is out.
+// recordUsage passes the usage of a search to the meter. The search is over and has no attempt in
+// flight.
 func (e *Engine) recordUsage(search *search) {
 	if search.metered {
-		invariant.Check(false, "a search is counted once")
+		invariant.Check(false, "a search is metered once")
 		return
 	}
 	search.metered = true
@@ -74,9 +76,9 @@
 		used.bytesIn, used.bytesOut = search.carrier.Bytes()
 	}
 	usage := Usage{
-		Kind:       used.kind,
+		Kind:       used.queryType,
 		Customer:   used.customer,
-		Front:      used.front,
+		Front:      used.frontend,
 		Result:     used.result,
 		ClientLeft: used.clientLeft,
 		AnsweredAt: used.answeredAt,
@@ -104,8 +106,8 @@
 	e.meter.Record(&usage)
 }
 
-// Kinds names the query types that Used numbers.
-func (e *Engine) Kinds() []string { return e.config.kindNames }
+// Kinds returns the names of the query types, by the number in Usage.Kind.
+func (e *Engine) Kinds() []string { return e.config.queryTypeNames }
 
-// Customers names the customers that Used numbers. A customer that no setting names is the first.
+// Customers returns the names of the customers, by the number in Usage.Customer.
 func (e *Engine) Customers() []string { return e.config.customerNames }
--- a/internal/aggregator/engine/usage_test.go
+++ b/internal/aggregator/engine/usage_test.go
@@ -28,7 +28,7 @@
 func (b *usageTotals) reconcile(t *testing.T, c *Counters) {
 	t.Helper()
 	if c.Searches == 0 || b.searches != c.Searches || b.attempts != c.AttemptsAsked || b.clientsLeft != c.ClientsLeft || b.byResult[Complete] != c.Complete ||
-		b.byResult[Partial] != c.Partial || b.byResult[Shed] != c.Shed+c.OverPending || b.byResult[Failed] != c.Errored+c.TooLong {
+		b.byResult[Partial] != c.Partial || b.byResult[Shed] != c.Shed+c.OverPendingLimit || b.byResult[Failed] != c.Errored+c.AnswersTooLong {
 		t.Fatalf("metered %+v, counted %+v", b, *c)
 	}
 }
--- a/internal/aggregator/engine/watch.go
+++ b/internal/aggregator/engine/watch.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"fmt"
 	"math"
 	"net/netip"
 
@@ -9,44 +10,49 @@
 )
 
 const (
-	heartbeatInterval = 2000.
-	heartbeatTimeout  = 1.6 * heartbeatInterval // without a heartbeat for so long, a watch is opened anew
-	// What a watch that has timed out misses counts as known 6 s after its last line, and the
-	// time-out is found after 3.2 s at the latest: what is left has to do for two further ones that
-	// hang. Each hangs longer than the last, as many aggregators may be asking.
-	watchOpenTimeout = 800. // a watch that is opened has sent something within so long
-	minWatchBackoff  = 50.  // after two that were lost at once the next waits, then twice as long each time
-	maxWatchBackoff  = 300. // up to so long
-	minWatchDuration = 1000.
-	olderListTimeout = 6000.  // an update of discovery comes so late at most
-	serverRetention  = 30000. // after so long no server that is gone comes back under its id, as a rule
-	removeRetryDelay = 1000.  // and while something refers to it, it is looked at again so often
+	heartbeatInterval = 2000.                   // ms between two heartbeats of discovery
+	heartbeatTimeout  = 1.6 * heartbeatInterval // ms without a complete line after which a watch is reopened
+	// An update that is missed because a watch hangs must be known within 6 s after the watch's
+	// last line. The hang is found after 3.2 s at the latest. The remaining time must suffice for
+	// two more watches that hang. Each of these is given a longer time than the one before, as many
+	// aggregators may be asking discovery at once.
+	watchOpenTimeout = 800.   // ms within which a new watch must send something
+	minWatchBackoff  = 50.    // ms to wait after two consecutive watches were lost soon after opening; doubles with each further one
+	maxWatchBackoff  = 300.   // ms; upper limit of the backoff
+	minWatchDuration = 1000.  // ms; a watch lost sooner counts as lost soon after opening
+	olderListTimeout = 6000.  // ms; an update of discovery is never later than this
+	serverRetention  = 30000. // ms after which a server that is gone does not usually come back under its id
+	removeRetryDelay = 1000.  // ms between attempts to remove a server that something still refers to
 )
 
-// watch is one open question to discovery.
+// watchSilent is the reason of a lost watch that has timed out.
+const watchSilent = "silent"
+
+// watch is one request to discovery, whose response streams the updates of the server list.
 type watch struct {
 	conn            transport.Conn
 	addr            netip.AddrPort
 	parser          protocol.Message
 	lines           protocol.LineSplitter
-	openedAt        float64
-	lastLineAt      float64 // when the latest line was complete: bytes that make none count for nothing
-	alive           bool    // it has sent what is due at once: its head, or a line where all was asked for
-	fullList        bool    // all was asked for
-	awaitsFirstList bool    // no list has come on it yet
+	openedAt        float64 // when the connection was requested
+	lastLineAt      float64 // when the latest line was complete; bytes that complete no line are no sign of life
+	alive           bool    // it has sent what is due at once: the response head, or a line if the full list was asked for
+	fullList        bool    // the full list was asked for, not only the changes since a version
+	awaitsFirstList bool    // no list has been received on it yet
 	closed          bool
 }
 
-// Subscribe implements policy.Out; there is one watch, kept open all the time.
+// Subscribe implements policy.Out. There is a single watch, which is kept open all the time.
 func (e *Engine) Subscribe() { e.openWatch() }
 
+// openWatch opens a watch unless one is open.
 func (e *Engine) openWatch() {
-	list := &e.list
-	if list.watch != nil { // in a shutdown too: attempts go on until all is answered, and drains count
+	list := &e.serverList
+	if list.watch != nil { // during a shutdown too: attempts go on until all searches are answered, and drains matter
 		return
 	}
 	e.Count.Watches++
-	e.sockets++
+	e.socketCount++
 	watch := &watch{addr: list.addr, awaitsFirstList: true, openedAt: e.now, lastLineAt: e.now}
 	watch.parser.ExpectResponse()
 	watch.parser.SetStorage(make([]byte, 0, protocol.MaxHead))
@@ -55,7 +61,7 @@
 			if watch.closed {
 				return nil
 			}
-			if e.watchAlive(watch); len(line) == 0 {
+			if e.markWatchAlive(watch); len(line) == 0 {
 				return nil
 			}
 			return e.applyList(watch, line)
@@ -67,36 +73,37 @@
 	e.armWatchTimer(watch)
 }
 
-// watchAlive: a watch has sent something in time.
-func (e *Engine) watchAlive(watch *watch) {
+// markWatchAlive notes that a watch has sent something in time.
+func (e *Engine) markWatchAlive(watch *watch) {
 	watch.lastLineAt = e.now
 	if !watch.alive {
 		watch.alive = true
-		e.list.openTimeout = 0
+		e.serverList.openTimeout = 0
 	}
 }
 
-// watchTimeout is how long a watch may take that has sent nothing yet.
+// watchTimeout returns how long, in ms, a new watch may take to send something.
 func (e *Engine) watchTimeout() float64 {
 	if e.config.pollsDiscovery {
-		return heartbeatTimeout // requests wait there, in turn and for updates, and one given up too soon makes the queue longer
+		return heartbeatTimeout // requests queue there and wait for updates; giving one up early only lengthens the queue
 	}
-	return min(max(e.list.openTimeout, watchOpenTimeout), heartbeatTimeout)
+	return min(max(e.serverList.openTimeout, watchOpenTimeout), heartbeatTimeout)
 }
 
-// moveDiscovery has another address tell the list from now on. The one before is heard until then:
-// it may still tell of a drain, and the new one may be slow to come up.
+// moveDiscovery changes the address of discovery. The watch at the former address stays open until
+// the new one has sent its first list: it may still report a drain, and the new address may be slow
+// to start.
 func (e *Engine) moveDiscovery(to netip.AddrPort) {
-	list := &e.list
+	list := &e.serverList
 	if to == list.addr {
 		return
 	}
-	e.Count.Moves++
+	e.Count.DiscoveryMoves++
 	e.log.info("discovery moves", "from %v to %v, version %d", list.addr, to, list.version)
-	list.addr, list.moved, list.olderSince, list.openTimeout, list.lostInARow = to, true, 0, 0, 0
+	list.addr, list.awaitsMovedList, list.olderListSince, list.openTimeout, list.consecutiveLosses = to, true, 0, 0, 0
 	if watch := list.watch; watch != nil {
 		if list.watch = nil; watch.awaitsFirstList && list.previousWatch != nil {
-			e.closeWatch(watch) // it has sent nothing: the one before it is still the better
+			e.closeWatch(watch) // it has sent nothing: the one before it is still more useful
 		} else {
 			e.closeWatch(list.previousWatch)
 			list.previousWatch = watch
@@ -105,6 +112,7 @@
 	e.openWatch()
 }
 
+// closeWatch closes a watch, if it is open.
 func (e *Engine) closeWatch(watch *watch) {
 	if watch != nil && !watch.closed {
 		watch.closed = true
@@ -113,44 +121,47 @@
 	}
 }
 
-// armWatchTimer gives a watch up that has timed out, or that sends nothing once it is opened.
+// armWatchTimer schedules the check that drops a watch which has timed out, or which sends nothing
+// after it was opened.
 func (e *Engine) armWatchTimer(watch *watch) {
-	list := &e.list
-	patience := heartbeatTimeout
+	list := &e.serverList
+	timeout := heartbeatTimeout
 	if !watch.alive {
-		patience = e.watchTimeout()
+		timeout = e.watchTimeout()
 	}
-	at := watch.lastLineAt + patience
+	at := watch.lastLineAt + timeout
 	e.timers.add(at, func(e *Engine) {
 		switch {
 		case watch.closed:
-		case !watch.alive && e.now > at+stallAfter: // this aggregator stood still: what came meanwhile may be unread yet
-			watch.lastLineAt = e.now - patience/2
+		case !watch.alive && e.now > at+stallThreshold: // the aggregator itself was stalled: what was sent meanwhile may be unread
+			watch.lastLineAt = e.now - timeout/2
 			e.armWatchTimer(watch)
-		case watch.alive && e.now < watch.lastLineAt+heartbeatTimeout, !watch.alive && e.now < watch.lastLineAt+patience:
+		case watch.alive && e.now < watch.lastLineAt+heartbeatTimeout, !watch.alive && e.now < watch.lastLineAt+timeout:
 			e.armWatchTimer(watch)
 		default:
 			if watch == list.watch {
 				if !watch.alive {
-					list.openTimeout = min(2*patience, heartbeatTimeout)
+					list.openTimeout = min(2*timeout, heartbeatTimeout)
 				}
 				list.mayHaveMissed = true
 			}
-			e.dropWatch(watch, "silent")
+			e.dropWatch(watch, watchSilent)
 		}
 	})
 }
 
+// dropWatch closes a watch; why is the reason for the log.
 func (e *Engine) dropWatch(watch *watch, why string) {
 	e.closeWatch(watch)
 	e.watchLost(watch, why)
 }
 
+// watchLost handles the end of a watch and schedules the next one; why is the reason for the log.
 func (e *Engine) watchLost(watch *watch, why string) {
-	list := &e.list
+	list := &e.serverList
 	watch.closed = true
 	if list.previousWatch == watch {
-		list.previousWatch = nil // as a move has it
+		list.previousWatch = nil // the watch at the new address is open already
 	}
 	if list.watch != watch {
 		return
@@ -159,43 +170,46 @@
 	e.Count.WatchesLost++
 	e.log.warn("watch lost", "%s, version %d", why, list.version)
 	e.policy.DiscoveryFailed()
-	// The next is opened at once: what is sent meanwhile counts. Only those that keep on ending at
-	// once are asked less often, and discovery that has to be asked is not on this machine: it ends
-	// its answers, and what all ask of it adds up.
-	if list.lostInARow++; why == "silent" || e.now >= watch.openedAt+minWatchDuration {
-		list.lostInARow = 0
+	// The next watch is opened at once, because updates sent meanwhile matter. Only if consecutive
+	// watches are lost soon after they were opened is there a delay. A polled discovery is on
+	// another machine and ends each of its responses, and the requests of all aggregators add up
+	// there: it is always asked after a delay.
+	if list.consecutiveLosses++; why == watchSilent || e.now >= watch.openedAt+minWatchDuration {
+		list.consecutiveLosses = 0
 	}
 	if e.config.pollsDiscovery {
-		e.after(maxWatchBackoff, func(e *Engine) { e.openWatch() })
+		e.afterFunc(maxWatchBackoff, func(e *Engine) { e.openWatch() })
 		return
 	}
-	if list.lostInARow < 2 {
+	if list.consecutiveLosses < 2 {
 		e.openWatch()
 		return
 	}
-	e.after(min(minWatchBackoff*math.Pow(2, float64(list.lostInARow-2)), maxWatchBackoff), func(e *Engine) { e.openWatch() })
+	e.afterFunc(min(minWatchBackoff*math.Pow(2, float64(list.consecutiveLosses-2)), maxWatchBackoff), func(e *Engine) { e.openWatch() })
 }
 
+// watchOpened sends the request of a watch whose connection is established.
 func (e *Engine) watchOpened(watch *watch) {
-	list := &e.list
+	list := &e.serverList
 	after := list.version
-	if watch.fullList = list.olderSince > 0 || !list.received || list.moved || list.mayHaveMissed; watch.fullList {
+	if watch.fullList = list.olderListSince > 0 || !list.hasList || list.awaitsMovedList || list.mayHaveMissed; watch.fullList {
 		after = 0
 	}
-	e.scratch = protocol.AppendWatch(e.scratch[:0], watch.addr.String(), after)
-	e.Count.BytesOut += int64(len(e.scratch))
-	e.network.Write(watch.conn, e.scratch)
+	e.writeBuffer = protocol.AppendWatch(e.writeBuffer[:0], watch.addr.String(), after)
+	e.Count.BytesOut += int64(len(e.writeBuffer))
+	e.network.Write(watch.conn, e.writeBuffer)
 }
 
+// watchBytes reads the response of a watch from received bytes.
 func (e *Engine) watchBytes(watch *watch, b []byte) {
 	for len(b) > 0 && !watch.closed {
 		used, step, err := watch.parser.Feed(b)
 		b = b[used:]
 		switch {
 		case err == nil && step == protocol.HeadComplete && watch.parser.Status() != 200:
-			err = badRequest("a status other than 200")
+			err = fmt.Errorf("discovery at %v answered with status %d", watch.addr, watch.parser.Status())
 		case err == nil && step == protocol.HeadComplete && !watch.fullList:
-			e.watchAlive(watch) // where nothing has changed, nothing else is due before the first beat
+			e.markWatchAlive(watch) // if nothing has changed, nothing else is due before the first heartbeat
 		case err == nil && step == protocol.Complete:
 			e.dropWatch(watch, "ended")
 			return
--- a/internal/aggregator/engine/watch_test.go
+++ b/internal/aggregator/engine/watch_test.go
@@ -35,8 +35,8 @@
 // wantReady checks how many servers are ready in the aggregator's list.
 func (w *world) wantReady(want int, why string) {
 	w.t.Helper()
-	if w.engine.list.ready != want {
-		w.t.Errorf("%s: %d ready, want %d", why, w.engine.list.ready, want)
+	if w.engine.serverList.readyCount != want {
+		w.t.Errorf("%s: %d ready, want %d", why, w.engine.serverList.readyCount, want)
 	}
 }
 
@@ -65,24 +65,24 @@
 	w.reopenWatches(maxWatchBackoff)
 	send(listOfS0(3, true, "ready"))
 	w.wantReady(1, "an older full list")
-	if w.engine.list.watch != nil {
+	if w.engine.serverList.watch != nil {
 		t.Error("its watch is still open")
 	}
 	w.reopenWatches(maxWatchBackoff)
 	send(listOfS0(3, true, "ready"))
 	w.wantReady(1, "the same again")
-	if w.engine.list.version != 9 {
+	if w.engine.serverList.version != 9 {
 		t.Error("an older list was accepted")
 	}
 	w.reopenWatches(olderListTimeout)
 	send(listOfS0(3, true, "ready"))
 	w.wantReady(1, "the same past the timeout: s1 is gone, s0 is back")
-	if w.engine.list.version != 3 {
-		t.Error("discovery's versions restarted, at ", w.engine.list.version)
+	if w.engine.serverList.version != 3 {
+		t.Error("discovery's versions restarted, at ", w.engine.serverList.version)
 	}
 	send("{broken")
 	w.wantReady(1, "a malformed line")
-	if w.engine.Count.BadLists == 0 || w.engine.list.watch != nil {
+	if w.engine.Count.BadLists == 0 || w.engine.serverList.watch != nil {
 		t.Error("a malformed line leaves its watch open")
 	}
 }
@@ -104,7 +104,7 @@
 	if c := w.watchConn(); c == noConn || w.conns[c] == first || w.engine.Count.WatchesLost != 1 {
 		t.Error("a silent watch was not opened anew")
 	}
-	if w.engine.list.ready != 2 {
+	if w.engine.serverList.readyCount != 2 {
 		t.Error("its list was not kept")
 	}
 }
@@ -154,8 +154,8 @@
 	}
 	say("127.0.0.3", "ready", 3, true)
 	w.wantReady(1, "s0 is back and s1 gone, by the new address's versions")
-	if w.engine.list.version != 3 || w.engine.Count.WatchesLost != 1 {
-		t.Error(w.engine.list.version, w.engine.Count.WatchesLost)
+	if w.engine.serverList.version != 3 || w.engine.Count.WatchesLost != 1 {
+		t.Error(w.engine.serverList.version, w.engine.Count.WatchesLost)
 	}
 	say("127.0.0.3", "draining", 2, false)
 	w.wantReady(1, "there too an older change is none")
@@ -195,8 +195,8 @@
 		}
 		w.servers[1].state = "draining"
 		w.sendWatchLine(c, string(w.listLine(true)))
-		if w.now > since+olderListTimeout || w.engine.list.ready != 1 {
-			t.Errorf("%s: %.0f ms after the silence, %d ready", how, w.now-since, w.engine.list.ready)
+		if w.now > since+olderListTimeout || w.engine.serverList.readyCount != 1 {
+			t.Errorf("%s: %.0f ms after the silence, %d ready", how, w.now-since, w.engine.serverList.readyCount)
 		}
 	}
 }
@@ -309,15 +309,15 @@
 	line := append(w.listLine(true), '\n')
 	w.turn(func() { w.receiveBytes(c, line[:40]) })
 	w.turn(func() { w.receiveBytes(c, line[40:]) })
-	if w.engine.list.ready != 1 || w.engine.Count.BadLists != 0 {
-		t.Errorf("%d ready, %d bad lists", w.engine.list.ready, w.engine.Count.BadLists)
+	if w.engine.serverList.readyCount != 1 || w.engine.Count.BadLists != 0 {
+		t.Errorf("%d ready, %d bad lists", w.engine.serverList.readyCount, w.engine.Count.BadLists)
 	}
 	w.servers[0].state = "draining"
 	line = append(w.listLine(false), '\n')
 	e := w.conns[c]
 	w.turn(func() { w.receiveBytes(c, line[:len(line)-9]) })
 	w.turn(func() { w.closeByPeer(c) }) // in the middle of a line
-	if w.engine.list.ready != 1 {
+	if w.engine.serverList.readyCount != 1 {
 		t.Error("half a line was taken")
 	}
 	if c := w.watchConn(); c == noConn || w.conns[c] == e {
--- a/internal/aggregator/engine/world_test.go
+++ b/internal/aggregator/engine/world_test.go
@@ -27,19 +27,19 @@
 
 // modelConn is one connection as the aggregator's peer sees it.
 type modelConn struct {
-	destination  netip.AddrPort
-	client       *modelClient
-	open         bool
-	watched      bool // the headers of its list have been sent
-	muted        bool
-	finished     bool
-	unsent       []byte // written by the aggregator, not yet accepted by the network
-	received     []byte // accepted by the network, not yet read by the peer
-	takenBytes   int64
-	acknowledged int64
-	stalledUntil float64  // until then the network accepts nothing
-	frameBeganAt float64  // when the first byte of the frame at the head of received was accepted
-	pending      []string // attempts and probes that a server has not answered
+	destination   netip.AddrPort
+	client        *modelClient
+	open          bool
+	watched       bool // the headers of its list have been sent
+	readingPaused bool
+	finished      bool
+	unsent        []byte // written by the aggregator, not yet accepted by the network
+	received      []byte // accepted by the network, not yet read by the peer
+	takenBytes    int64
+	acknowledged  int64
+	stalledUntil  float64  // until then the network accepts nothing
+	frameBeganAt  float64  // when the first byte of the frame at the head of received was accepted
+	pending       []string // attempts and probes that a server has not answered
 }
 
 // modelClient is a client with its one search.
@@ -68,26 +68,26 @@
 	stopped        bool
 	unlistened     bool // the listeners are closed
 	paused         bool
-	callers        []*modelClient
+	clients        []*modelClient
 	byID           map[string]*modelClient
 	version        int
 	servers        []modelServer
 	failedConnects []transport.Conn
-	callLines      []string // the first line of each attempt, as servers read it
+	requestLines   []string // the first line of each attempt, as servers read it
 	connectsLeft   int      // 0: each new connection fails; negative: none does
 }
 
 type modelServer struct {
 	state     string
 	changedAt float64
-	cell      int
+	position  int
 }
 
 func newWorld(t testing.TB, seed uint64, servers int) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1e6, pool: &transport.Pool{Size: 80 << 10, Max: 200},
 		byID: map[string]*modelClient{}, connectsLeft: -1}
 	for i := range servers {
-		w.servers = append(w.servers, modelServer{state: "ready", cell: i % 4})
+		w.servers = append(w.servers, modelServer{state: "ready", position: i % 4})
 	}
 	set, err := settings.FromJSON([]byte(settingsJSON))
 	if err != nil {
