--- a/internal/aggregator/engine/accept.go
+++ b/internal/aggregator/engine/accept.go
@@ -107,13 +107,13 @@
 // idleClient is an entry of a queue of idle clients. It is stale if the client has been active
 // since.
 type idleClient struct {
-	client *client
-	since  float64
+	client    *client
+	idleSince float64
 }
 
 // stillIdle reports whether the client has been idle since the entry was added.
 func (idle idleClient) stillIdle() bool {
-	return idle.client.idleSince == idle.since && idle.client.idle()
+	return idle.client.idleSince == idle.idleSince && idle.client.idle()
 }
 
 // markIdle appends a client to the queue of eviction candidates.
@@ -142,7 +142,7 @@
 func (e *Engine) takeIdleClient(queue *[]idleClient, minIdleTime float64) *client {
 	for len(*queue) > 0 {
 		idle := (*queue)[0]
-		if idle.stillIdle() && e.now < idle.since+minIdleTime {
+		if idle.stillIdle() && e.now < idle.idleSince+minIdleTime {
 			return nil
 		}
 		*queue = (*queue)[1:]
--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -33,7 +33,7 @@
 	batch         *batch // nil until it is queued
 	frameEnd      int64  // offset on the connection at which its frame ends
 	timer         *timer // expires at deadline
-	moved         bool   // already moved to another connection, because the first one broke before it began
+	alreadyMoved  bool   // already moved to another connection, because the first one broke before it began
 }
 
 // Send implements policy.Out. It starts another attempt of a shard request at a server. timeLimit
@@ -65,7 +65,7 @@
 		e.endAttempt(attempt, policy.NeverSent, nil)
 		return
 	}
-	if req.search.carrier != nil {
+	if req.search.handler != nil {
 		e.sendByFrontend(attempt)
 		return
 	}
@@ -96,9 +96,9 @@
 // begun is cancelled at its server, and its id stays registered on the connection so that a late
 // reply is recognised.
 func (e *Engine) cancelAttempt(attempt *attempt, outcome policy.Outcome) {
-	if carrier := attempt.request.search.carrier; carrier != nil && attempt.state == stateSent {
+	if handler := attempt.request.search.handler; handler != nil && attempt.state == stateSent {
 		e.Count.AttemptsCancelled++
-		carrier.Cancel(attempt)
+		handler.Cancel(attempt)
 		e.endAttempt(attempt, outcome, nil)
 		return
 	}
--- a/internal/aggregator/engine/batch.go
+++ b/internal/aggregator/engine/batch.go
@@ -120,7 +120,7 @@
 // time, long after the client has left or the server began to drain.
 func (e *Engine) retractBatch(conn *serverConn) bool {
 	last := conn.lastBatch
-	if last == nil || conn.closed || !e.network.Retract(conn.handle, conn.frameStart) {
+	if last == nil || conn.closed || !e.network.Retract(conn.id, conn.frameStart) {
 		return false
 	}
 	e.Count.FramesRetracted++
--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -307,6 +307,7 @@
 	}
 }
 
+// writeToClient writes to a client and counts the bytes.
 func (e *Engine) writeToClient(client *client, b []byte) {
 	client.writeOffset += int64(len(b))
 	e.Count.BytesOut += int64(len(b))
--- a/internal/aggregator/engine/client_test.go
+++ b/internal/aggregator/engine/client_test.go
@@ -11,31 +11,32 @@
 	w.turn()
 	w.openConns()
 	half := &modelConn{client: &modelClient{id: "half"}, open: true}
-	at := w.addConn(half)
+	c := w.addConn(half)
 	w.turn(func() {
-		w.engine.Accepted(at)
-		w.receiveBytes(at, []byte("POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\nabc"))
+		w.engine.Accepted(c)
+		w.receiveBytes(c, []byte("POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\nabc"))
 	})
 	var client *modelClient
 	w.turn(func() { client = w.startSearch("quick", 900, 0) })
 	w.openConns()
-	reader := slices.IndexFunc(w.conns, func(e *modelConn) bool { return e != nil && e.client == client })
+	reader := slices.IndexFunc(w.conns, func(conn *modelConn) bool { return conn != nil && conn.client == client })
 	w.conns[reader].stalledUntil, client.disconnected = w.now+1e9, true
 	w.answerAttempts(w.serverConns()[0])
 	if len(w.conns[reader].unsent) == 0 {
-		t.Fatal("no answer waits")
+		t.Fatal("no answer waits for the client that does not read")
 	}
 	w.advance(requestTimeout - 100)
 	if half.client.answers != 0 || w.conns[reader] == nil {
-		t.Error("let go of too soon")
+		t.Error("a stalled client was dropped or answered before its time limit")
 	}
 	w.advance(200)
 	if half.client.status != 408 {
-		t.Error("half a request is waited for, ", half.client.status)
+		t.Errorf("an incomplete request got status %d after its time limit, want 408", half.client.status)
 	}
 	w.advance(writeTimeout + lingerTimeout)
 	if w.conns[reader] != nil || w.engine.Count.WriteTimeouts != 1 || w.engine.clientCount != 0 || w.pool.InUse() != 0 {
-		t.Error(w.engine.Count.WriteTimeouts, w.engine.clientCount, w.pool.InUse())
+		t.Errorf("the client that does not read: %d write timeouts, want 1; %d clients and %d buffers in use, want 0",
+			w.engine.Count.WriteTimeouts, w.engine.clientCount, w.pool.InUse())
 	}
 }
 
@@ -45,25 +46,26 @@
 	w.openConns()
 	silent := w.connectClients(1000, "")
 	if len(silent) >= 200 || !w.paused {
-		t.Fatal(len(silent), "taken with 200 descriptors")
+		t.Fatalf("%d clients accepted with 200 descriptors; accepting paused: %v", len(silent), w.paused)
 	}
 	w.advance(minUnusedBeforeEvict + acceptRetryDelay + 1)
 	if w.paused || w.engine.outOfDescriptors {
-		t.Error("who has said nothing makes no room")
+		t.Error("silent clients are not evicted to make room")
 	}
 	var client *modelClient
 	w.turn(func() { client = w.startSearch("quick", 900, 0) })
 	w.runUntilAnswered(client)
 	if client.status != 200 {
-		t.Error("a client among silent ones: ", client.status)
+		t.Errorf("a search among silent clients got status %d, want 200", client.status)
 	}
 	w.advance(firstRequestTimeout + 1)
 	if w.engine.clientCount != 1 {
-		t.Error(w.engine.clientCount, "clients, want the one that asked")
+		t.Errorf("%d clients are connected, want only the one that sent a search", w.engine.clientCount)
 	}
 	w.advance(clientIdleTimeout + 1)
 	if w.engine.clientCount != 0 || w.engine.Count.IdleClientsDropped != 1 {
-		t.Error("an idle connection is kept for good")
+		t.Errorf("%d clients, %d dropped as idle; want an idle connection to be closed",
+			w.engine.clientCount, w.engine.Count.IdleClientsDropped)
 	}
 	w.shutDownAndCheck()
 }
@@ -75,11 +77,12 @@
 	w.openConns()
 	w.connectClients(100, "POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\nabc")
 	if w.pool.InUse() != 10 || w.engine.Count.NoBuffer != 90 {
-		t.Errorf("%d buffers of 20 held by half requests, %d refused", w.pool.InUse(), w.engine.Count.NoBuffer)
+		t.Errorf("%d of 20 buffers are held by incomplete requests, want 10; %d requests refused, want 90",
+			w.pool.InUse(), w.engine.Count.NoBuffer)
 	}
 	var client *modelClient
 	w.turn(func() {
-		client = &modelClient{id: "whole", shards: []int{0}, answerDeadline: w.now + 900 + answerSlackMs, asked: true}
+		client = &modelClient{id: "whole", shards: []int{0}, answerDeadline: w.now + 900 + answerSlackMs, searchSent: true}
 		w.byID[client.id] = client
 		c := w.addConn(&modelConn{client: client, open: true})
 		w.engine.Accepted(c)
@@ -89,11 +92,11 @@
 	})
 	w.runUntilAnswered(client)
 	if client.status != 200 {
-		t.Error("a whole request among half ones: ", client.status)
+		t.Errorf("a complete request among incomplete ones got status %d, want 200", client.status)
 	}
 	w.advance(requestTimeout + maxLinger)
 	if w.pool.InUse() != 0 || w.engine.partialBuffers != 0 {
-		t.Error(w.pool.InUse(), w.engine.partialBuffers)
+		t.Errorf("%d buffers in use, %d of them for incomplete requests; want none", w.pool.InUse(), w.engine.partialBuffers)
 	}
 }
 
@@ -102,20 +105,20 @@
 	w.turn()
 	w.openConns()
 	c := w.connectClients(1, "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")[0]
-	e := w.conns[c]
-	if e.client.status != 413 || !e.finished {
-		t.Fatal(e.client.status)
+	conn := w.conns[c]
+	if conn.client.status != 413 || !conn.finished {
+		t.Fatalf("a body that is too long got status %d, want 413 and the end of the connection", conn.client.status)
 	}
 	for range 4 {
 		w.advance(lingerTimeout - 100)
-		if w.conns[c] != e {
-			t.Fatal("closed under a client that is sending: its answer is lost to a reset")
+		if w.conns[c] != conn {
+			t.Fatal("the connection was closed while the client was sending: the reset makes it lose the answer")
 		}
 		w.turn(func() { w.engine.Bytes(c, nil, w.now) })
 	}
 	w.advance(lingerTimeout + 1)
-	if w.conns[c] == e {
-		t.Error("a client that does not close is kept")
+	if w.conns[c] == conn {
+		t.Error("the connection of a client that neither sends nor closes is kept")
 	}
 }
 
@@ -127,11 +130,11 @@
 	for range 50 {
 		w.turn(w.engine.AcceptFailed)
 		if !w.paused {
-			t.Fatal("accepting goes on without descriptors")
+			t.Fatal("accepting is not suspended although no descriptor is free")
 		}
 		w.turn(w.engine.resumeAccepting)
 	}
 	if n := len(w.engine.timers) - before; n > 1 {
-		t.Errorf("%d timers wait", n)
+		t.Errorf("%d timers were added by 50 suspensions, want at most 1", n)
 	}
 }
--- a/internal/aggregator/engine/config.go
+++ b/internal/aggregator/engine/config.go
@@ -32,7 +32,7 @@
 	shards                                      int
 	positions, replicas                         int
 	queryTypes, zones                           map[string]int // numbers of query types and zones by name
-	twoPhase                                    []bool         // by query type: its answer needs a second phase, which the engine does not implement
+	twoPhase                                    []bool         // by query type: whether it needs a second phase, which is not implemented
 	customers                                   map[string]int // numbers by name
 	queryTypeNames                              []string
 	customerNames                               []string
--- a/internal/aggregator/engine/counters.go
+++ b/internal/aggregator/engine/counters.go
@@ -9,18 +9,25 @@
 
 // Counters counts the events of an aggregator since its start.
 type Counters struct {
-	Searches, Complete, Partial, Shed, Errored, ClientsLeft, OverPendingLimit, AnswersTooLong, BadRequests  int64
+	// Searches, by their end.
+	Searches, Complete, Partial, Shed, Errored, ClientsLeft, OverPendingLimit, AnswersTooLong, BadRequests int64
+	// Attempts and batches; Outcomes is indexed by policy.Outcome.
 	AttemptsSent, Batches, AttemptsCancelled, LateReplies, AttemptsMoved, Pushbacks, AttemptsAsked, Metered int64
 	Outcomes                                                                                                [policy.NeverSent + 1]int64
-	Accepted, Evicted, AcceptPauses, WriteTimeouts, SilentClientsDropped, IdleClientsDropped                int64
-	ConnsRequested, ConnectTimeouts, ServerConnsBroken, IdleServerConnsClosed, NoSocket, NoBuffer           int64
-	FramesRetracted, ListenerCloseRetries                                                                   int64
-	Probes, ProbesFailed, Watches, WatchesLost, DiscoveryMoves, Lists, OldLists, BadLists                   int64
-	Frames, BadFrames, Panics, BytesIn, BytesOut                                                            int64
+	// Client connections.
+	Accepted, Evicted, AcceptPauses, WriteTimeouts, SilentClientsDropped, IdleClientsDropped int64
+	// Connections that the engine opens; NoSocket and NoBuffer count descriptors and buffers that were not available.
+	ConnsRequested, ConnectTimeouts, ServerConnsBroken, IdleServerConnsClosed, NoSocket, NoBuffer int64
+	// FramesRetracted counts frames that were kept from beginning, also by dropping their connection.
+	FramesRetracted, ListenerCloseRetries int64
+	// Health checks, watches and server lists.
+	Probes, ProbesFailed, Watches, WatchesLost, DiscoveryMoves, Lists, OldLists, BadLists int64
+	// Frames from servers, panics that were recovered, and bytes on all connections.
+	Frames, BadFrames, Panics, BytesIn, BytesOut int64
 }
 
 // countOutcome counts the outcome of an attempt.
-func (count *Counters) countOutcome(countOutcome policy.Outcome) { count.Outcomes[countOutcome]++ }
+func (count *Counters) countOutcome(outcome policy.Outcome) { count.Outcomes[outcome]++ }
 
 // outcomeNames are the log fields of the outcomes of policy.Outcome, in its order.
 var outcomeNames = [...]string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
@@ -41,6 +48,7 @@
 	}
 }
 
+// logSearchCounters logs what became of searches.
 func (e *Engine) logSearchCounters(line *zerolog.Event) {
 	count := &e.Count
 	line.Int64("searches", count.Searches).
@@ -56,6 +64,7 @@
 		Msg("searches")
 }
 
+// logAttemptCounters logs attempts and their outcomes.
 func (e *Engine) logAttemptCounters(line *zerolog.Event) {
 	count := &e.Count
 	line.Int64("sent", count.AttemptsSent).
@@ -71,6 +80,7 @@
 	line.Msg("sub-requests")
 }
 
+// logConnectionCounters logs connections of clients and to servers.
 func (e *Engine) logConnectionCounters(line *zerolog.Event) {
 	count := &e.Count
 	line.Int64("accepted", count.Accepted).
@@ -90,6 +100,7 @@
 		Msg("connections")
 }
 
+// logOtherCounters logs health checks, discovery, frames, buffers and faults.
 func (e *Engine) logOtherCounters(line *zerolog.Event) {
 	count := &e.Count
 	line.Int64("probes", count.Probes).
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -55,7 +55,7 @@
 }
 
 // Engine holds the state of one aggregator. Everything in it belongs to the goroutine of the event
-// loop, except Discovery and Post.
+// loop, except the atomic address of discovery and Post.
 type Engine struct {
 	Discovery atomic.Pointer[netip.AddrPort] // address of discovery; other goroutines store it before they notify MoveDiscovery
 
@@ -75,7 +75,7 @@
 	serverList     serverList
 	initialList    []byte // server list that was known at start; nil once applied
 	config         config
-	frontends      []Front     // listener number i belongs to fronts[i-1]
+	frontends      []Front     // listener number i belongs to frontends[i-1]
 	postedFuncs    chan func() // functions of other goroutines that wait to run in the loop
 	meter          Meter       // nil: usage is not metered
 	started        bool        // the first turn has begun
@@ -142,10 +142,10 @@
 // New returns an engine that has its settings and knows no server yet. sockets is the number of
 // descriptors that the process may open, known is the server list to start with, and epoch is the
 // Unix time in milliseconds at which the loop's clock was 0.
-func New(net Net, pool *transport.Pool, log zerolog.Logger, set settings.Values, seed uint64, sockets int,
+func New(network Net, pool *transport.Pool, log zerolog.Logger, set settings.Values, seed uint64, sockets int,
 	known []byte, discovery netip.AddrPort, epoch float64) *Engine {
 	e := &Engine{
-		network:      net,
+		network:      network,
 		pool:         pool,
 		log:          &rateLimitedLog{log: log},
 		wakeAt:       math.Inf(1),
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -9,7 +9,7 @@
 const (
 	Terminate     = iota // begin the shutdown
 	Report               // log the counters
-	MoveDiscovery        // discovery has moved to the address in Engine.Discovery
+	MoveDiscovery        // discovery has moved to the address that was stored in the engine
 	ReloadFronts         // apply the new settings of the front ends
 	RunPosted            // run the functions that were passed to Engine.Post
 )
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -144,7 +144,7 @@
 	return unknownCustomer
 }
 
-const unknownCustomer = -1
+const unknownCustomer = -1 // number of a customer that the settings do not name
 
 // Warn logs a warning, at most one per second of each kind.
 func (e *Engine) Warn(kind, format string, args ...any) { e.log.warn(kind, format, args...) }
@@ -212,7 +212,7 @@
 	e.Count.Searches++
 	search := &search{
 		deadline: min(deadline, e.killAt-answerBeforeKill),
-		carrier:  handler,
+		handler:  handler,
 		usage:    usageRecord{queryType: queryType, customer: customer, frontend: handler.Door()},
 	}
 	if e.config.twoPhase[queryType] {
@@ -297,14 +297,16 @@
 	attempt.state = stateSent
 	e.Count.AttemptsSent++
 	attempt.timer = e.timers.add(attempt.deadline, func(e *Engine) { e.attemptTimedOut(attempt) })
-	attempt.request.search.carrier.Send(attempt)
+	attempt.request.search.handler.Send(attempt)
 }
 
+// handlerClosed reports the end of a connection to its handler.
 func (e *Engine) handlerClosed(c transport.Conn, handler ConnHandler, upTo int64) {
 	*e.endpoint(c) = endpoint{}
 	handler.Closed(upTo)
 }
 
+// frontendsIdle reports whether no further front end has a client connection.
 func (e *Engine) frontendsIdle() bool {
 	for _, frontend := range e.frontends {
 		if !frontend.Idle() {
@@ -325,6 +327,6 @@
 	case status == 503:
 		result = Shed
 	}
-	invariant.Check(search.carrier != nil, "the search belongs to a front end")
-	search.carrier.Final(result, retryAfter)
+	invariant.Check(search.handler != nil, "the search belongs to a front end")
+	search.handler.Final(result, retryAfter)
 }
--- a/internal/aggregator/engine/fuzz_test.go
+++ b/internal/aggregator/engine/fuzz_test.go
@@ -6,15 +6,19 @@
 	"kestrelspread/internal/transport"
 )
 
-// The length of a fuzzed run, in random steps: searches start in the first ones alone.
+// The length of a fuzzed run in random steps. Searches start only in the first fuzzSearchSteps.
 const (
 	fuzzSteps       = 1500
 	fuzzSearchSteps = 1200
 )
 
-// ownStallMs is how long the aggregator itself stands still when a fuzzed run stalls it.
+// ownStallMs is for how many milliseconds the aggregator itself is stalled when a fuzzed run stalls
+// it.
 const ownStallMs = 300
 
+// FuzzEngine runs an engine through random events and faults. The world checks after every turn
+// that each search gets one answer in time; at the end nothing may be left behind, and the metered
+// usage must equal the counters.
 func FuzzEngine(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed, uint8(seed%4))
@@ -37,7 +41,8 @@
 	})
 }
 
-// advanceRandomly goes on to a random time, or to the timer if that is earlier; at times the aggregator stalls.
+// advanceRandomly advances the time by a random step, or to the next timer if that is earlier.
+// Sometimes the aggregator is stalled.
 func (w *world) advanceRandomly(faultWeight int) {
 	next := w.now + w.rng.ExpFloat64()*8
 	if w.timerAt > w.now {
@@ -52,9 +57,9 @@
 	}
 }
 
-// randomSearch returns the start of a search as an event, or nothing.
+// randomSearch returns an event that starts a search, or none.
 func (w *world) randomSearch(step int) (events []func()) {
-	if step < fuzzSearchSteps && w.rng.IntN(4) == 0 && !w.unlistened && !w.paused {
+	if step < fuzzSearchSteps && w.rng.IntN(4) == 0 && !w.listenersClosed && !w.paused {
 		shards := w.rng.Perm(8)[:1+w.rng.IntN(5)]
 		kind := []string{"quick", "once", "part"}[w.rng.IntN(3)]
 		events = append(events, func() { w.startSearch(kind, float64(50+w.rng.IntN(900)), shards...) })
@@ -62,10 +67,10 @@
 	return events
 }
 
-// failRandomly makes connecting fail at times, and changes the state of a server at times.
+// failRandomly sometimes makes connecting fail, and sometimes changes the state of a server.
 func (w *world) failRandomly(faultWeight int) {
 	if w.rng.IntN(100) < faultWeight {
-		w.connectsLeft = min(w.rng.IntN(8)-7, 0) // at times no connection can be opened
+		w.connectsLeft = min(w.rng.IntN(8)-7, 0) // 0, no connection can be opened, in one of eight cases
 	}
 	i := w.rng.IntN(len(w.servers))
 	if w.rng.IntN(200) >= faultWeight {
@@ -76,24 +81,25 @@
 	previous := s.state
 	s.state = states[w.rng.IntN(5)]
 	if previous == "ready" && s.state != previous {
-		s.changedAt = w.now + 1e9 // until the aggregator is notified
+		s.changedAt = w.now + 1e9 // until the aggregator is notified of the change
 	}
 }
 
-// randomConnEvents returns one event for each of some connections; a watch may get a list besides.
+// randomConnEvents returns one event for each of some randomly chosen connections. A watch may also
+// get a list.
 func (w *world) randomConnEvents(faultWeight int) (events []func()) {
-	for c, e := range w.conns {
-		if e == nil || w.rng.IntN(3) > 0 {
+	for c, conn := range w.conns {
+		if conn == nil || w.rng.IntN(3) > 0 {
 			continue
 		}
 		events = append(events, func() {
-			if w.conns[c] == e {
-				w.stepConn(transport.Conn(c), e, faultWeight)
+			if w.conns[c] == conn {
+				w.stepConn(transport.Conn(c), conn, faultWeight)
 			}
 		})
-		if e.destination.Port() == 9 && e.watched && w.rng.IntN(5) == 0 {
+		if conn.destination.Port() == 9 && conn.watched && w.rng.IntN(5) == 0 {
 			events = append(events, func() {
-				if w.conns[c] == e {
+				if w.conns[c] == conn {
 					w.sendChangedList(transport.Conn(c))
 				}
 			})
@@ -102,7 +108,8 @@
 	return events
 }
 
-// sendChangedList sends a list, full at times: from now on the aggregator knows the state of each server.
+// sendChangedList sends a list, sometimes a full one. From now on the aggregator knows the state of
+// each server.
 func (w *world) sendChangedList(c transport.Conn) {
 	w.sendList(c, w.rng.IntN(4) == 0)
 	for i := range w.servers {
@@ -112,7 +119,8 @@
 	}
 }
 
-// shutDownAndCheck terminates the aggregator without further faults: afterwards it retains nothing.
+// shutDownAndCheck shuts the aggregator down without further faults and checks that it retains
+// nothing.
 func (w *world) shutDownAndCheck() {
 	w.connectsLeft = -1
 	w.turn(func() { w.engine.Notified(Terminate) })
@@ -122,11 +130,11 @@
 		}
 		w.now += 5
 		var events []func()
-		for c, e := range w.conns {
-			if e != nil {
+		for c, conn := range w.conns {
+			if conn != nil {
 				events = append(events, func() {
-					if w.conns[c] == e {
-						w.stepConn(transport.Conn(c), e, 0)
+					if w.conns[c] == conn {
+						w.stepConn(transport.Conn(c), conn, 0)
 					}
 				})
 			}
@@ -141,8 +149,8 @@
 		w.t.Fatalf("%d of %d indices free, %d buffers in use", len(engine.freeEntries), len(engine.entries), w.pool.InUse())
 	}
 	open := 0
-	for _, e := range w.conns {
-		if e != nil {
+	for _, conn := range w.conns {
+		if conn != nil {
 			open++
 		}
 	}
--- a/internal/aggregator/engine/log.go
+++ b/internal/aggregator/engine/log.go
@@ -29,20 +29,22 @@
 	log.write(log.log.Error().Str("stack", string(stack)), "an event failed", "panic: %v", []any{what})
 }
 
-func (log *rateLimitedLog) write(e *zerolog.Event, kind, format string, args []any) {
+// write writes a line, or counts it as suppressed if a line of its kind was written less than
+// logInterval ago.
+func (log *rateLimitedLog) write(event *zerolog.Event, kind, format string, args []any) {
 	if log.lastAt == nil {
 		log.lastAt, log.suppressedByKind = map[string]float64{}, map[string]int64{}
 	}
 	if at, logged := log.lastAt[kind]; logged && log.now < at+logInterval {
 		log.suppressedByKind[kind]++
 		log.suppressed++
-		e.Discard()
+		event.Discard()
 		return
 	}
 	log.lastAt[kind] = log.now
 	if left := log.suppressedByKind[kind]; left > 0 {
 		log.suppressedByKind[kind] = 0
-		e = e.Int64("left_out", left)
+		event = event.Int64("left_out", left)
 	}
-	e.Str("kind", kind).Msgf(format, args...)
+	event.Str("kind", kind).Msgf(format, args...)
 }
--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -14,6 +14,8 @@
 	"kestrelspread/internal/transport"
 )
 
+// listLine returns the next version of the server list as one line: all servers that are not gone,
+// or, if full is not set, the state of each as a change.
 func (w *world) listLine(full bool) []byte {
 	w.version++
 	var b bytes.Buffer
@@ -32,14 +34,15 @@
 	return b.Bytes()
 }
 
-func (w *world) addConn(e *modelConn) transport.Conn {
+// addConn gives a connection its number, which may be that of a closed one.
+func (w *world) addConn(conn *modelConn) transport.Conn {
 	if n := len(w.freed); n > 0 && w.rng.IntN(2) == 0 {
 		c := w.freed[0]
 		w.freed = w.freed[1:]
-		w.conns[c] = e
+		w.conns[c] = conn
 		return c
 	}
-	w.conns = append(w.conns, e)
+	w.conns = append(w.conns, conn)
 	return transport.Conn(len(w.conns) - 1)
 }
 
@@ -52,20 +55,20 @@
 }
 
 func (w *world) Write(c transport.Conn, b []byte) {
-	e := w.conns[c]
-	if e == nil || !e.open || e.finished {
-		w.t.Fatalf("written to connection %d, which is not open", c)
+	conn := w.conns[c]
+	if conn == nil || !conn.open || conn.finished {
+		w.t.Fatalf("the engine wrote to connection %d, which is not open", c)
 	}
-	e.unsent = append(e.unsent, b...)
-	if e.client != nil {
-		e.client.lastWriteAt = w.now
+	conn.unsent = append(conn.unsent, b...)
+	if conn.client != nil {
+		conn.client.lastWriteAt = w.now
 	}
 }
 
 func (w *world) Finish(c transport.Conn) {
-	e := w.conns[c]
-	if e.finished = true; e.client != nil && e.client.asked && e.client.answers == 0 && len(e.unsent) == 0 {
-		w.t.Fatalf("search %s lost: its connection was ended", e.client.id)
+	conn := w.conns[c]
+	if conn.finished = true; conn.client != nil && conn.client.searchSent && conn.client.answers == 0 && len(conn.unsent) == 0 {
+		w.t.Fatalf("search %s has no answer, but its connection was finished", conn.client.id)
 	}
 }
 
@@ -75,14 +78,14 @@
 
 func (w *world) Door(transport.Conn) int { return 0 }
 
-func (w *world) Unlisten() bool { w.unlistened = true; return true }
+func (w *world) Unlisten() bool { w.listenersClosed = true; return true }
 
 func (w *world) Retract(c transport.Conn, from int64) bool {
-	e := w.conns[c]
-	if !e.open || e.finished || from < e.takenBytes {
+	conn := w.conns[c]
+	if !conn.open || conn.finished || from < conn.takenBytes {
 		return false
 	}
-	e.unsent = e.unsent[:min(int64(len(e.unsent)), from-e.takenBytes)]
+	conn.unsent = conn.unsent[:min(int64(len(conn.unsent)), from-conn.takenBytes)]
 	return true
 }
 
@@ -91,12 +94,12 @@
 func (w *world) Stop() { w.stopped = true }
 
 func (w *world) Close(c transport.Conn) {
-	e := w.conns[c]
-	if e == nil {
+	conn := w.conns[c]
+	if conn == nil {
 		w.t.Fatalf("connection %d closed twice", c)
 	}
-	if e.client != nil && !e.client.disconnected && e.client.asked && e.client.answers == 0 {
-		w.t.Fatalf("search %s lost: its connection was closed", e.client.id)
+	if conn.client != nil && !conn.client.disconnected && conn.client.searchSent && conn.client.answers == 0 {
+		w.t.Fatalf("search %s has no answer, but its connection was closed", conn.client.id)
 	}
 	w.conns[c] = nil
 	w.freed = append(w.freed, c)
@@ -107,21 +110,21 @@
 	for first := true; first || w.engine.turnRequested; first = false {
 		w.engine.Begin(w.now)
 		if first {
-			for _, e := range events {
-				e()
+			for _, event := range events {
+				event()
 			}
 		}
-		dying := w.failedConnects
+		failed := w.failedConnects
 		w.failedConnects = nil
-		for _, c := range dying {
+		for _, c := range failed {
 			if w.conns[c] != nil {
 				w.closeByPeer(c)
 			}
 		}
-		for c, e := range w.conns {
-			if e != nil && e.acknowledged < e.takenBytes {
-				e.acknowledged = e.takenBytes
-				w.engine.Written(transport.Conn(c), e.takenBytes)
+		for c, conn := range w.conns {
+			if conn != nil && conn.acknowledged < conn.takenBytes {
+				conn.acknowledged = conn.takenBytes
+				w.engine.Written(transport.Conn(c), conn.takenBytes)
 			}
 		}
 		again := w.engine.End()
@@ -131,33 +134,36 @@
 	w.check()
 }
 
-// deliver accepts what was written, at times only some of it, and reads the messages that are complete.
+// deliver accepts what was written, sometimes only a part, and reads the messages that are
+// complete.
 func (w *world) deliver() {
-	for c, e := range w.conns {
-		if e == nil || len(e.unsent) == 0 || w.now < e.stalledUntil {
+	for c, conn := range w.conns {
+		if conn == nil || len(conn.unsent) == 0 || w.now < conn.stalledUntil {
 			continue
 		}
-		n := len(e.unsent)
+		n := len(conn.unsent)
 		if w.rng.IntN(10) == 0 {
 			n = w.rng.IntN(n + 1)
 		}
-		if len(e.received) == 0 && n > 0 {
-			e.frameBeganAt = w.now
+		if len(conn.received) == 0 && n > 0 {
+			conn.frameBeganAt = w.now
 		}
-		e.received, e.unsent = append(e.received, e.unsent[:n]...), e.unsent[n:]
-		e.takenBytes += int64(n)
+		conn.received, conn.unsent = append(conn.received, conn.unsent[:n]...), conn.unsent[n:]
+		conn.takenBytes += int64(n)
 		switch {
-		case e.client != nil:
-			w.readAnswer(e)
-		case e.destination.Port() != 9:
-			w.readFrames(transport.Conn(c), e)
+		case conn.client != nil:
+			w.readAnswer(conn)
+		case conn.destination.Port() != 9:
+			w.readFrames(transport.Conn(c), conn)
 		}
 	}
 }
 
-func (w *world) readAnswer(e *modelConn) {
+// readAnswer reads the complete answers that a client has received and checks that each is the only
+// one and in time.
+func (w *world) readAnswer(conn *modelConn) {
 	for {
-		head, body, complete := bytes.Cut(e.received, []byte("\r\n\r\n"))
+		head, body, complete := bytes.Cut(conn.received, []byte("\r\n\r\n"))
 		if !complete {
 			return
 		}
@@ -169,20 +175,21 @@
 		}
 		_, retryAfter, _ := bytes.Cut(head, []byte("Retry-After: "))
 		retryAfter, _, _ = bytes.Cut(retryAfter, []byte("\r\n"))
-		e.client.retryAfter = string(retryAfter)
-		e.received = body[bodyLength:]
+		conn.client.retryAfter = string(retryAfter)
+		conn.received = body[bodyLength:]
 		status, _ := strconv.Atoi(string(head[9:12]))
 		if status == 100 {
 			continue
 		}
-		client := e.client
+		client := conn.client
 		client.answers++
 		client.status = status
 		if client.answers > 1 {
 			w.t.Fatalf("search %s has a second answer", client.id)
 		}
-		if client.asked && client.lastWriteAt > client.answerDeadline {
-			w.t.Fatalf("search %s answered with %d at %.0f, %.0f ms late", client.id, status, client.lastWriteAt, client.lastWriteAt-client.answerDeadline)
+		if client.searchSent && client.lastWriteAt > client.answerDeadline {
+			w.t.Fatalf("search %s answered with %d at %.0f, %.0f ms late",
+				client.id, status, client.lastWriteAt, client.lastWriteAt-client.answerDeadline)
 		}
 		if status == 200 {
 			w.readMatches(client, body[:bodyLength])
@@ -190,6 +197,8 @@
 	}
 }
 
+// readMatches checks that an answer holds the right value of each shard and is marked as complete
+// only if it is.
 func (w *world) readMatches(client *modelClient, body []byte) {
 	var answer struct {
 		All     bool `json:"all_in"`
@@ -202,45 +211,47 @@
 		w.t.Fatal(err)
 	}
 	if answer.All != (len(answer.Matches) == len(client.shards)) || len(answer.Matches) == 0 {
-		w.t.Fatalf("search %s: %s for %d parts", client.id, body, len(client.shards))
+		w.t.Fatalf("search %s of %d shards: wrong answer %s", client.id, len(client.shards), body)
 	}
 	for _, m := range answer.Matches {
 		if m.Payload != fmt.Sprintf("%s.%d", client.id, m.Segment) || !slices.Contains(client.shards, m.Segment) {
-			w.t.Fatalf("search %s: %s", client.id, body)
+			w.t.Fatalf("search %s: wrong value of shard %d in answer %s", client.id, m.Segment, body)
 		}
 	}
 }
 
-func (w *world) readFrames(_ transport.Conn, e *modelConn) {
-	server := int(e.destination.Addr().As4()[3]) - 1
-	for len(e.received) >= 4 {
-		n := int(binary.LittleEndian.Uint32(e.received)) + 4
-		if len(e.received) < n {
+// readFrames reads the complete frames that a server has received.
+func (w *world) readFrames(_ transport.Conn, conn *modelConn) {
+	server := int(conn.destination.Addr().As4()[3]) - 1
+	for len(conn.received) >= 4 {
+		n := int(binary.LittleEndian.Uint32(conn.received)) + 4
+		if len(conn.received) < n {
 			return
 		}
-		frameType, payload := e.received[4], string(e.received[5:n])
-		e.received = e.received[n:]
-		if frameType != 'R' && len(e.received) > 0 {
-			e.frameBeganAt = w.now
+		frameType, payload := conn.received[4], string(conn.received[5:n])
+		conn.received = conn.received[n:]
+		if frameType != 'R' && len(conn.received) > 0 {
+			conn.frameBeganAt = w.now
 		}
 		switch frameType {
 		case 'A':
-			if i := slices.Index(e.pending, payload); i >= 0 && w.rng.IntN(3) > 0 {
-				e.pending = slices.Delete(e.pending, i, i+1) // else the reply crosses the cancellation
+			if i := slices.Index(conn.pending, payload); i >= 0 && w.rng.IntN(3) > 0 {
+				conn.pending = slices.Delete(conn.pending, i, i+1) // otherwise the reply is sent before the cancellation arrives
 			}
 		case 'G', 'T':
-			e.pending = append(e.pending, string(frameType))
+			conn.pending = append(conn.pending, string(frameType))
 		case 'R':
-			w.readRequestFrame(e, server, payload)
+			w.readRequestFrame(conn, server, payload)
 		default:
-			w.t.Fatalf("frame %c", frameType)
+			w.t.Fatalf("unknown frame type %q sent to server %d", frameType, server)
 		}
 	}
 }
 
-func (w *world) readRequestFrame(e *modelConn, server int, rest string) {
-	parts := 0
-	for ; rest != ""; parts++ {
+// readRequestFrame reads a frame of shard requests and checks that its server may get each of them.
+func (w *world) readRequestFrame(conn *modelConn, server int, rest string) {
+	requests := 0
+	for ; rest != ""; requests++ {
 		var id string
 		var shard, wait, size int
 		line, after, _ := strings.Cut(rest, "\n")
@@ -251,7 +262,7 @@
 			plain += " " + length
 		}
 		if n, err := fmt.Sscanf(plain, "%s %d d=%d %d", &id, &shard, &wait, &size); n != 4 || len(after) < size {
-			w.t.Fatal(line, err)
+			w.t.Fatalf("malformed shard request %q: %v", line, err)
 		}
 		text := after[:size]
 		rest = after[size:]
@@ -260,32 +271,33 @@
 		s := w.servers[server]
 		switch {
 		case client == nil || !slices.Contains(client.shards, shard) || text != "text of "+client.id:
-			w.t.Fatalf("nobody asked for %s, %q", line, text)
+			w.t.Fatalf("no client has sent the search of shard request %q, %q", line, text)
 		case ((s.position-shard)%4+4)%4 >= 2:
-			w.t.Fatalf("server %d of cell %d does not hold shard %d", server, s.position, shard)
-		case s.state != "ready" && e.frameBeganAt > s.changedAt+250:
-			w.t.Fatalf("sent to server %d, %s for %.0f ms", server, s.state, e.frameBeganAt-s.changedAt)
-		case slices.Contains(e.pending, id):
-			w.t.Fatalf("%s is on one connection twice", id)
+			w.t.Fatalf("server %d at position %d does not hold shard %d", server, s.position, shard)
+		case s.state != "ready" && conn.frameBeganAt > s.changedAt+250:
+			w.t.Fatalf("a shard request was sent to server %d, which has been %s for %.0f ms", server, s.state, conn.frameBeganAt-s.changedAt)
+		case slices.Contains(conn.pending, id):
+			w.t.Fatalf("request id %s is twice on one connection", id)
 		}
-		e.pending = append(e.pending, id)
+		conn.pending = append(conn.pending, id)
 	}
-	if parts == 0 || parts > 2 {
-		w.t.Fatalf("a call of %d parts", parts)
+	if requests == 0 || requests > 2 {
+		w.t.Fatalf("a frame of %d shard requests, want 1 or 2", requests)
 	}
 }
 
+// closeByPeer closes a connection from the peer's side.
 func (w *world) closeByPeer(c transport.Conn) {
-	e := w.conns[c]
+	conn := w.conns[c]
 	w.conns[c] = nil
-	if e.client != nil {
-		e.client.disconnected = true
+	if conn.client != nil {
+		conn.client.disconnected = true
 	}
-	w.engine.Closed(c, e.takenBytes)
+	w.engine.Closed(c, conn.takenBytes)
 	w.freed = append(w.freed, c)
 }
 
-// receiveBytes passes the peer's bytes to the engine, at times in pieces.
+// receiveBytes passes bytes from the peer to the engine, sometimes in pieces.
 func (w *world) receiveBytes(c transport.Conn, b []byte) {
 	for len(b) > 0 && w.conns[c] != nil && !w.conns[c].finished {
 		n := len(b)
@@ -297,23 +309,25 @@
 	}
 }
 
+// sendFrame sends a frame from a server to the engine.
 func (w *world) sendFrame(c transport.Conn, frameType byte, payload string) {
 	w.receiveBytes(c, append(binary.LittleEndian.AppendUint32(nil, uint32(1+len(payload))), append([]byte{frameType}, payload...)...))
 }
 
+// startSearch connects a client that sends a search. budget is the client's time limit in ms.
 func (w *world) startSearch(kind string, budget float64, shards ...int) *modelClient {
 	client := &modelClient{id: fmt.Sprint("q", len(w.clients)), shards: shards, answerDeadline: w.now + budget + answerSlackMs}
 	w.clients = append(w.clients, client)
 	w.byID[client.id] = client
-	conn := w.addConn(&modelConn{client: client, open: true})
-	w.engine.Accepted(conn)
+	c := w.addConn(&modelConn{client: client, open: true})
+	w.engine.Accepted(c)
 	var segments []string
 	for _, s := range shards {
 		segments = append(segments, fmt.Sprintf(`{"segment":%d,"boost":%g}`, s, 1/float64(len(shards))))
 	}
 	body := fmt.Sprintf(`{"segments":[%s],"text":"text of %s"}`, strings.Join(segments, ","), client.id)
-	client.asked = true
-	w.receiveBytes(conn, []byte(fmt.Sprintf("POST /api HTTP/1.1\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %g\r\n"+
+	client.searchSent = true
+	w.receiveBytes(c, []byte(fmt.Sprintf("POST /api HTTP/1.1\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %g\r\n"+
 		"Content-Length: %d\r\n\r\n%s", client.id, kind, budget, len(body), body)))
 	return client
 }
@@ -323,13 +337,13 @@
 	for _, client := range w.clients {
 		if !client.disconnected && client.answers == 0 && w.now > client.answerDeadline {
 			unsent := 0
-			for _, e := range w.conns {
-				if e != nil && e.client == client {
-					unsent = len(e.unsent)
+			for _, conn := range w.conns {
+				if conn != nil && conn.client == client {
+					unsent = len(conn.unsent)
 				}
 			}
 			if unsent == 0 {
-				w.t.Fatalf("search %s has no answer %.0f ms past its time", client.id, w.now-client.answerDeadline)
+				w.t.Fatalf("search %s has no answer %.0f ms after its deadline", client.id, w.now-client.answerDeadline)
 			}
 		}
 	}
@@ -338,43 +352,43 @@
 	}
 }
 
-// stepConn makes one random event happen on a connection.
-func (w *world) stepConn(c transport.Conn, e *modelConn, faultWeight int) {
+// stepConn makes one random event happen on a connection; faultWeight sets how likely faults are.
+func (w *world) stepConn(c transport.Conn, conn *modelConn, faultWeight int) {
 	switch {
-	case e.client != nil:
-		if e.finished && len(e.unsent) == 0 || w.rng.IntN(200) < faultWeight {
+	case conn.client != nil:
+		if conn.finished && len(conn.unsent) == 0 || w.rng.IntN(200) < faultWeight {
 			w.closeByPeer(c)
 		}
-	case !e.open:
+	case !conn.open:
 		if w.rng.IntN(60) < faultWeight {
 			w.closeByPeer(c)
 		} else if w.rng.IntN(3) > 0 {
-			e.open = true
+			conn.open = true
 			w.engine.Opened(c)
 		}
-	case e.destination.Port() == 9:
-		if len(e.received) > 0 {
-			e.received, e.watched = nil, true
+	case conn.destination.Port() == 9:
+		if len(conn.received) > 0 {
+			conn.received, conn.watched = nil, true
 			w.receiveBytes(c, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 			w.sendList(c, true)
 		} else if w.rng.IntN(100) < faultWeight {
 			w.closeByPeer(c)
-		} else if e.watched && w.rng.IntN(4) == 0 {
+		} else if conn.watched && w.rng.IntN(4) == 0 {
 			w.receiveBytes(c, []byte("1\r\n\n\r\n"))
 		}
 	case w.rng.IntN(200) < faultWeight:
 		w.closeByPeer(c)
 	case w.rng.IntN(300) < faultWeight:
-		e.stalledUntil = w.now + float64(w.rng.IntN(600))
+		conn.stalledUntil = w.now + float64(w.rng.IntN(600))
 	case w.rng.IntN(400) < faultWeight:
 		w.sendFrame(c, 'N', "what?")
-		if w.conns[c] == e {
-			w.t.Fatal("a connection that refused a frame is kept")
+		if w.conns[c] == conn {
+			w.t.Fatal("a connection whose server refused a frame is kept")
 		}
-	case len(e.pending) > 0 && w.rng.IntN(3) > 0:
-		i := w.rng.IntN(len(e.pending))
-		id := e.pending[i]
-		e.pending = slices.Delete(e.pending, i, i+1)
+	case len(conn.pending) > 0 && w.rng.IntN(3) > 0:
+		i := w.rng.IntN(len(conn.pending))
+		id := conn.pending[i]
+		conn.pending = slices.Delete(conn.pending, i, i+1)
 		switch {
 		case id == "G" || id == "T":
 			w.sendFrame(c, id[0], "inflight=3,util=0.5")
@@ -388,24 +402,26 @@
 	}
 }
 
+// sendList sends the server list on a watch.
 func (w *world) sendList(c transport.Conn, full bool) {
 	line := append(w.listLine(full), '\n')
 	w.receiveBytes(c, []byte(fmt.Sprintf("%x\r\n%s\r\n", len(line), line)))
 }
 
-// openConns completes every connection that is being opened, and answers the watch with its headers.
+// openConns establishes all connections that are being opened, and answers the request of the watch
+// with headers.
 func (w *world) openConns() {
 	var events []func()
-	for c, e := range w.conns {
-		if e != nil && !e.open {
-			events = append(events, func() { e.open = true; w.engine.Opened(transport.Conn(c)) })
+	for c, conn := range w.conns {
+		if conn != nil && !conn.open {
+			events = append(events, func() { conn.open = true; w.engine.Opened(transport.Conn(c)) })
 		}
 	}
 	w.turn(events...)
 	w.turn(func() {
-		for c, e := range w.conns {
-			if e != nil && e.destination.Port() == 9 && !e.watched {
-				e.watched, e.received = true, nil
+		for c, conn := range w.conns {
+			if conn != nil && conn.destination.Port() == 9 && !conn.watched {
+				conn.watched, conn.received = true, nil
 				w.receiveBytes(transport.Conn(c), []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 			}
 		}
@@ -414,18 +430,19 @@
 
 // serverConns returns the connections to servers.
 func (w *world) serverConns() (list []transport.Conn) {
-	for c, e := range w.conns {
-		if e != nil && e.client == nil && e.destination.Port() != 9 {
+	for c, conn := range w.conns {
+		if conn != nil && conn.client == nil && conn.destination.Port() != 9 {
 			list = append(list, transport.Conn(c))
 		}
 	}
 	return list
 }
 
+// answerAttempts has a server answer all attempts that wait on a connection.
 func (w *world) answerAttempts(c transport.Conn) {
-	e := w.conns[c]
-	pending := e.pending
-	e.pending = nil
+	conn := w.conns[c]
+	pending := conn.pending
+	conn.pending = nil
 	w.turn(func() {
 		for _, id := range pending {
 			w.sendFrame(c, 'Y', id+" OK 5 -\n"+id)
@@ -433,12 +450,12 @@
 	})
 }
 
-// runUntilAnswered lets servers answer until a client has its answer; the network accepts some of it at a time.
+// runUntilAnswered lets servers answer until a client has its answer, for at most 30 ms.
 func (w *world) runUntilAnswered(client *modelClient) {
 	for i := 0; i < 30 && client.answers == 0; i++ {
 		w.openConns()
 		for _, c := range w.serverConns() {
-			if e := w.conns[c]; e != nil && e.open {
+			if conn := w.conns[c]; conn != nil && conn.open {
 				w.answerAttempts(c)
 			}
 		}
@@ -448,15 +465,15 @@
 
 // watchConn returns the connection to discovery, or noConn.
 func (w *world) watchConn() transport.Conn {
-	for c, e := range w.conns {
-		if e != nil && e.client == nil && e.destination.Port() == 9 {
+	for c, conn := range w.conns {
+		if conn != nil && conn.client == nil && conn.destination.Port() == 9 {
 			return transport.Conn(c)
 		}
 	}
 	return noConn
 }
 
-// advance lets time go by, with a turn whenever the timer expires.
+// advance advances the time, with a turn whenever the timer expires.
 func (w *world) advance(ms float64) {
 	for end := w.now + ms; w.now < end; {
 		if w.timerAt > w.now && w.timerAt < end {
@@ -468,14 +485,15 @@
 	}
 }
 
-// connectClients connects clients that send a text, or nothing.
-func (w *world) connectClients(n int, says string) (list []transport.Conn) {
+// connectClients connects n clients, or fewer if accepting is suspended, each of which sends a text
+// that may be empty.
+func (w *world) connectClients(n int, text string) (list []transport.Conn) {
 	w.turn(func() {
 		for i := 0; i < n && !w.paused; i++ {
 			c := w.addConn(&modelConn{client: &modelClient{id: "some"}, open: true})
 			list = append(list, c)
 			w.engine.Accepted(c)
-			w.receiveBytes(c, []byte(says))
+			w.receiveBytes(c, []byte(text))
 		}
 	})
 	return list
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -28,7 +28,7 @@
 	ended     bool    // it has its final answer, or its client has gone
 	forgotten bool    // the policy has released its index
 	timer     *timer  // ends the search if the policy does not
-	carrier   Carrier // nil for a search of an HTTP client
+	handler   Carrier // nil for a search of an HTTP client
 	usage     usageRecord
 	metered   bool // its usage has been recorded
 	complete  bool // the policy has answered it with a complete answer
@@ -218,7 +218,7 @@
 func (e *Engine) Answer(index int, complete bool) {
 	search := e.entries[index].search
 	search.complete = complete
-	if search.carrier != nil {
+	if search.handler != nil {
 		if complete {
 			e.Count.Complete++
 		} else {
@@ -282,7 +282,7 @@
 	}
 	search.usage.bytesOut = int64(len(body))
 	e.releaseSearch(search)
-	if search.carrier != nil {
+	if search.handler != nil {
 		e.answerFrontend(search, status, retryAfter)
 	} else if client := search.client; client != nil {
 		search.client, client.search = nil, nil
@@ -312,7 +312,8 @@
 		for _, attempt := range req.attempts {
 			// Nobody waits for the attempt any more: a frame that the network has not begun to send
 			// must not begin.
-			if attempt.state == stateSent && attempt.batch != nil && attempt.batch == attempt.batch.conn.lastBatch && e.retractBatch(attempt.batch.conn) {
+			if attempt.state == stateSent && attempt.batch != nil && attempt.batch == attempt.batch.conn.lastBatch &&
+				e.retractBatch(attempt.batch.conn) {
 				e.writeNextBatch(attempt.batch.conn)
 			}
 		}
--- a/internal/aggregator/engine/search_test.go
+++ b/internal/aggregator/engine/search_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if client.answers != 1 || client.status != 500 {
-		t.Errorf("%d answers, the last %d, want one 500", client.answers, client.status)
+		t.Errorf("%d answers, the last with status %d; want one 500", client.answers, client.status)
 	}
 }
 
@@ -33,7 +33,7 @@
 	w := newWorld(t, 1, 4)
 	w.turn()
 	w.openConns()
-	fails := func(c transport.Conn) {
+	panicOn := func(c transport.Conn) {
 		defer func() {
 			if what := recover(); (what != nil) != invariant.Debug {
 				t.Errorf("recovered %v", what)
@@ -41,29 +41,27 @@
 		}()
 		w.turn(func() { w.engine.Panicked(c, "a defect", nil) })
 	}
-	ask := func() *modelClient {
+	startSearch := func() *modelClient {
 		var client *modelClient
 		w.turn(func() { client = w.startSearch("quick", 900, 0) })
 		w.openConns()
 		return client
 	}
-	of := func(client *modelClient) transport.Conn {
-		return transport.Conn(slices.IndexFunc(w.conns, func(e *modelConn) bool { return e != nil && e.client == client }))
-	}
-	first, second, third := ask(), ask(), ask()
-	fails(of(first))
-	fails(w.serverConns()[0])
-	fails(noConn)
+	first, second, third := startSearch(), startSearch(), startSearch()
+	panicOn(w.connOf(first))
+	panicOn(w.serverConns()[0])
+	panicOn(noConn)
 	if invariant.Debug {
 		return
 	}
 	for _, client := range []*modelClient{first, second, third} {
 		if client.answers != 1 || client.status != 500 && client.status != 503 && client.status != 200 {
-			t.Errorf("search %s: %d answers, %d", client.id, client.answers, client.status)
+			t.Errorf("search %s: %d answers, the last with status %d; want one 200, 500 or 503", client.id, client.answers, client.status)
 		}
 	}
 	if first.status != 500 || third.status != 500 || w.engine.openSearches != 0 {
-		t.Error(first.status, third.status, w.engine.openSearches)
+		t.Errorf("the searches that failed got status %d and %d, want 500; %d searches are open, want 0",
+			first.status, third.status, w.engine.openSearches)
 	}
 	w.shutDownAndCheck()
 }
@@ -76,24 +74,25 @@
 	for range 8 {
 		w.turn(func() { client = w.startSearch("once", 900, 0, 1, 2, 3, 4, 5, 6, 7) })
 	}
-	back, err := strconv.ParseFloat(client.retryAfter, 64) // round a quarter of the target, by chance
-	if w.engine.Count.OverPendingLimit != 1 || client.status != 503 || err != nil || back < 0.037 || back > 0.113 {
-		t.Errorf("%d over the limit, the last got %d, back in %q", w.engine.Count.OverPendingLimit, client.status, client.retryAfter)
+	retryAfter, err := strconv.ParseFloat(client.retryAfter, 64) // in s; around a quarter of the latency target, at random
+	if w.engine.Count.OverPendingLimit != 1 || client.status != 503 || err != nil || retryAfter < 0.037 || retryAfter > 0.113 {
+		t.Errorf("%d searches over the limit, want 1; the last got status %d, want 503, and Retry-After %q",
+			w.engine.Count.OverPendingLimit, client.status, client.retryAfter)
 	}
 }
 
-// retryCounter hears which searches the policy is told of as retries.
+// retryCounter is a policy that counts the searches marked as retries.
 type retryCounter struct {
 	policy.Port
 	retries int
 }
 
-func (m *retryCounter) MarkRetry(int) { m.retries++ }
+func (counter *retryCounter) MarkRetry(int) { counter.retries++ }
 
 func TestMarkedRetryReachesThePolicy(t *testing.T) {
 	w := newWorld(t, 1, 4)
-	m := &retryCounter{Port: w.engine.Policy()}
-	w.engine.ReplacePolicy(func(policy.Out) policy.Port { return m })
+	counter := &retryCounter{Port: w.engine.Policy()}
+	w.engine.ReplacePolicy(func(policy.Out) policy.Port { return counter })
 	w.turn()
 	w.openConns()
 	for i, mark := range []string{"", "X-Again: 1\r\n", "X-Again: 0\r\n", "X-Again: 1\r\nX-Again: 1\r\n"} {
@@ -106,21 +105,21 @@
 				client.id, mark, len(body), body)))
 		})
 	}
-	if m.retries != 1 {
-		t.Errorf("%d of four searches were told as retries", m.retries)
+	if counter.retries != 1 {
+		t.Errorf("%d of four searches were marked as retries to the policy, want 1", counter.retries)
 	}
 }
 
 func TestFirstOutcomeOfAnAttemptCounts(t *testing.T) {
 	reply := func(w *world, c transport.Conn) { w.sendFrame(c, 'Y', "q0.0 OK 5 -\nq0.0") }
-	lose := func(w *world, c transport.Conn) { w.closeByPeer(c) }
-	late := func(w *world, _ transport.Conn) { w.now += 100 }
-	goes := func(w *world, _ transport.Conn) { w.closeByPeer(w.connOf(w.clients[0])) }
-	steps := map[string]func(*world, transport.Conn){"reply": reply, "reset": lose, "time": late, "client": goes}
-	for _, a := range []string{"reply", "reset", "time", "client"} {
-		for _, b := range []string{"reply", "reset", "time", "client"} {
-			if a == b || a == "reset" && b == "reply" {
-				continue // nothing comes on a connection that is gone
+	reset := func(w *world, c transport.Conn) { w.closeByPeer(c) }
+	timeout := func(w *world, _ transport.Conn) { w.now += 100 }
+	clientLeaves := func(w *world, _ transport.Conn) { w.closeByPeer(w.connOf(w.clients[0])) }
+	steps := map[string]func(*world, transport.Conn){"reply": reply, "reset": reset, "timeout": timeout, "client leaves": clientLeaves}
+	for _, first := range []string{"reply", "reset", "timeout", "client leaves"} {
+		for _, second := range []string{"reply", "reset", "timeout", "client leaves"} {
+			if first == second || first == "reset" && second == "reply" {
+				continue // no reply can arrive on a closed connection
 			}
 			w := newWorld(t, 1, 1)
 			w.turn()
@@ -130,21 +129,21 @@
 			w.openConns()
 			c := w.serverConns()[0]
 			client.answerDeadline += 100
-			w.turn(func() { steps[a](w, c); steps[b](w, c) })
+			w.turn(func() { steps[first](w, c); steps[second](w, c) })
 			sum := int64(0)
 			for _, n := range w.engine.Count.Outcomes {
 				sum += n
 			}
 			w.shutDownAndCheck()
 			if client.answers > 1 || client.answers == 0 && !client.disconnected {
-				t.Errorf("%s, then %s: %d answers, %d outcomes", a, b, client.answers, sum)
+				t.Errorf("%s, then %s: %d answers, want 1 unless the client left; %d outcomes", first, second, client.answers, sum)
 			}
 			after := int64(0)
 			for _, n := range w.engine.Count.Outcomes {
 				after += n
 			}
 			if after != w.engine.Count.AttemptsAsked {
-				t.Errorf("%s, then %s: %d outcomes of %d sub-requests", a, b, after, w.engine.Count.AttemptsAsked)
+				t.Errorf("%s, then %s: %d outcomes of %d attempts", first, second, after, w.engine.Count.AttemptsAsked)
 			}
 		}
 	}
@@ -154,36 +153,36 @@
 	w := newWorldOf(t, 2, `"effect":"once"`, `"effect":"by_key","group":"all","window-ms":900`)
 	w.turn()
 	w.openConns()
-	ask := func(id, token string) *modelClient {
-		client := &modelClient{id: id, shards: []int{0}, answerDeadline: w.now + 920, asked: true}
+	startSearch := func(id, keyHeader string) *modelClient {
+		client := &modelClient{id: id, shards: []int{0}, answerDeadline: w.now + 920, searchSent: true}
 		w.clients, w.byID[id] = append(w.clients, client), client
 		c := w.addConn(&modelConn{client: client, open: true})
 		body := `{"segments":[{"segment":0,"boost":1}],"text":"text of ` + id + `"}`
 		w.turn(func() {
 			w.engine.Accepted(c)
 			w.receiveBytes(c, fmt.Appendf(nil, "POST /api HTTP/1.1\r\nX-Call-Id: %s\r\nX-Call-Class: once\r\nX-Budget-Ms: 900\r\n%sContent-Length: %d\r\n\r\n%s",
-				id, token, len(body), body))
+				id, keyHeader, len(body), body))
 		})
 		return client
 	}
 	for _, bad := range []string{"a b", "a,b", strings.Repeat("x", 129), "a\r\nIdempotency-Key: b"} {
-		if client := ask("bad", "Idempotency-Key: "+bad+"\r\n"); client.status != 400 {
-			t.Errorf("%q: %d", bad, client.status)
+		if client := startSearch("bad", "Idempotency-Key: "+bad+"\r\n"); client.status != 400 {
+			t.Errorf("idempotency key %q: status %d, want 400", bad, client.status)
 		}
 	}
-	ask("q", "idempotency-key: f2b9438a\r\n")
+	startSearch("q", "idempotency-key: f2b9438a\r\n")
 	w.openConns()
 	first := w.serverConns()[0]
-	if got := string(w.conns[first].unsent) + strings.Join(w.requestLines, ";"); !strings.Contains(got, ",k=f2b9438a ") {
-		t.Errorf("the first goes out as %q", got)
+	if sent := string(w.conns[first].unsent) + strings.Join(w.requestLines, ";"); !strings.Contains(sent, ",k=f2b9438a ") {
+		t.Errorf("the first attempt was sent without its key: %q", sent)
 	}
 	w.requestLines = nil
 	w.turn(func() { w.closeByPeer(first) })
 	w.advance(400)
 	w.openConns()
 	w.advance(1)
-	if got := strings.Join(w.requestLines, ";"); !strings.Contains(got, ",k=f2b9438a ") {
-		t.Errorf("the second goes out as %q", got)
+	if sent := strings.Join(w.requestLines, ";"); !strings.Contains(sent, ",k=f2b9438a ") {
+		t.Errorf("the second attempt was sent without its key: %q", sent)
 	}
 }
 
@@ -196,14 +195,14 @@
 		w.turn(func() { client = w.startSearch("once", 900, 0) })
 		w.openConns()
 		if w.engine.Count.AttemptsSent != 1 {
-			t.Errorf("window %s: %d sent", window, w.engine.Count.AttemptsSent)
+			t.Errorf("token window %s: %d attempts sent, want 1", window, w.engine.Count.AttemptsSent)
 			continue
 		}
-		w.turn(func() { w.closeByPeer(w.serverConns()[0]) }) // it may have run
+		w.turn(func() { w.closeByPeer(w.serverConns()[0]) }) // the attempt may have run
 		w.advance(500)
 		w.openConns()
 		if window != "1e300" && (w.engine.Count.AttemptsSent != 1 || client.status != 500) {
-			t.Errorf("window %s: %d sent, status %d", window, w.engine.Count.AttemptsSent, client.status)
+			t.Errorf("token window %s: %d attempts sent, want 1; status %d, want 500", window, w.engine.Count.AttemptsSent, client.status)
 		}
 	}
 }
@@ -216,17 +215,18 @@
 	w.turn(func() { client, other = w.startSearch("quick", 900, 0), w.startSearch("part", 900, 0) })
 	w.openConns()
 	if w.runUntilAnswered(client); client.status != 501 {
-		t.Errorf("its answer is %d, as if there were no second step", client.status)
+		t.Errorf("a search of a two-phase type got status %d, want 501", client.status)
 	}
 	if w.runUntilAnswered(other); other.status != 200 || w.engine.Count.AttemptsSent != 1 {
-		t.Errorf("another type has %d; %d sent", other.status, w.engine.Count.AttemptsSent)
+		t.Errorf("a search of another type got status %d, want 200; %d attempts sent, want 1", other.status, w.engine.Count.AttemptsSent)
 	}
-	call := &recordedSearch{}
+	recorded := &recordedSearch{}
 	w.turn(func() {
-		w.engine.StartSearch(0, unknownCustomer, w.now+900, false, []ShardRequest{{Shard: 0, Share: 1}}, call)
+		w.engine.StartSearch(0, unknownCustomer, w.now+900, false, []ShardRequest{{Shard: 0, Share: 1}}, recorded)
 	})
-	if w.advance(50); !slices.Equal(call.results, []Result{Failed}) || w.engine.Count.AttemptsSent != 1 {
-		t.Errorf("a further front has %v; %d sent", call.results, w.engine.Count.AttemptsSent)
+	if w.advance(50); !slices.Equal(recorded.results, []Result{Failed}) || w.engine.Count.AttemptsSent != 1 {
+		t.Errorf("a search of a further front end got results %v, want one %v; %d attempts sent, want 1",
+			recorded.results, Failed, w.engine.Count.AttemptsSent)
 	}
 	w.shutDownAndCheck()
 }
--- a/internal/aggregator/engine/serverconn.go
+++ b/internal/aggregator/engine/serverconn.go
@@ -14,7 +14,7 @@
 // serverConn is a connection to a server. A batch takes one of its streams until all attempts of
 // the batch have ended.
 type serverConn struct {
-	handle        transport.Conn
+	id            transport.Conn
 	server        int // index of the server
 	addr          netip.AddrPort
 	established   bool // the connection is established
@@ -45,8 +45,8 @@
 	e.Count.ConnsRequested++
 	e.socketCount++
 	conn := &serverConn{server: server, addr: srv.addr, attempts: map[string]*attempt{}, lastUsedAt: e.now}
-	conn.handle = e.network.Connect(srv.addr)
-	*e.endpoint(conn.handle) = endpoint{conn: conn}
+	conn.id = e.network.Connect(srv.addr)
+	*e.endpoint(conn.id) = endpoint{conn: conn}
 	srv.conns = append(srv.conns, conn)
 	e.afterFunc(e.config.connectTimeout, func(e *Engine) {
 		if !conn.closed && !conn.established {
@@ -97,7 +97,7 @@
 	conn.writeOffset += int64(len(b))
 	conn.lastUsedAt = e.now
 	e.Count.BytesOut += int64(len(b))
-	e.network.Write(conn.handle, b)
+	e.network.Write(conn.id, b)
 }
 
 // Close implements policy.Out. It closes the idle connections to a server.
@@ -112,7 +112,7 @@
 
 // dropServerConn closes a connection immediately and ends its attempts.
 func (e *Engine) dropServerConn(conn *serverConn) {
-	e.close(conn.handle)
+	e.close(conn.id)
 	e.serverConnClosed(conn)
 }
 
@@ -122,7 +122,7 @@
 	conn.closed = true
 	e.timers.cancel(conn.idleTimer)
 	e.timers.cancel(conn.frameTimer)
-	*e.endpoint(conn.handle) = endpoint{}
+	*e.endpoint(conn.id) = endpoint{}
 	srv := e.serverList.servers[conn.server]
 	for i, other := range srv.conns {
 		if other == conn {
@@ -154,7 +154,7 @@
 		switch {
 		case attempt.state == stateSent && attempt.frameEnd <= conn.writtenOffset:
 			e.endAttempt(attempt, policy.Reset, nil)
-		case conn.established && !attempt.moved && srv.state == policy.Ready && attempt.deadline > e.now:
+		case conn.established && !attempt.alreadyMoved && srv.state == policy.Ready && attempt.deadline > e.now:
 			unbegun = append(unbegun, attempt)
 		default:
 			e.endAttempt(attempt, policy.ConnectFailed, nil)
@@ -165,7 +165,7 @@
 		for _, attempt := range unbegun[:n] {
 			e.Count.AttemptsMoved++
 			e.timers.cancel(attempt.timer)
-			attempt.moved = true
+			attempt.alreadyMoved = true
 		}
 		e.assignConn(conn.server, &batch{attempts: unbegun[:n:n]})
 		unbegun = unbegun[n:]
--- a/internal/aggregator/engine/serverlist_test.go
+++ b/internal/aggregator/engine/serverlist_test.go
@@ -12,7 +12,8 @@
 	c, version := w.watchConn(), 100
 	maxEntries := 0
 	for n := range 120 {
-		// A server goes, with a part out or without, and another comes under a new id; searches go on.
+		// In each round a server goes, sometimes with an attempt in flight, another one appears
+		// under a new id, and searches go on.
 		version++
 		line := fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":"x%d","hostPort":"127.0.1.%d:80",`+
 			`"zone":"a","cell":%d,"lifecycle":"ready","weight":1,"startedAtMs":0},{"instanceId":"x%d","lifecycle":"gone"}]}`,
@@ -29,28 +30,32 @@
 		}
 		maxEntries = max(maxEntries, len(w.engine.serverList.servers))
 	}
-	client := &w.engine.serverList
-	if live := len(client.indexOf); live > 8+serverRetention/(2.5*heartbeatInterval)+2 || maxEntries > 30 || len(client.servers) != live+len(client.freeIndices) {
-		t.Errorf("%d servers known, %d places for them, %d free, after 120 generations", live, len(client.servers), len(client.freeIndices))
+	list := &w.engine.serverList
+	if live := len(list.indexOf); live > 8+serverRetention/(2.5*heartbeatInterval)+2 || maxEntries > 30 ||
+		len(list.servers) != live+len(list.freeIndices) {
+		t.Errorf("after 120 list versions %d servers are known, with %d indices, %d of them free",
+			live, len(list.servers), len(list.freeIndices))
 	}
 	if n := len(w.engine.timers); n > 60 || len(w.engine.entries) > 60 {
-		t.Errorf("%d timers wait, %d searches and parts have places", n, len(w.engine.entries))
+		t.Errorf("%d timers are pending, and there are %d indices for searches and shard requests; want at most 60 each",
+			n, len(w.engine.entries))
 	}
-	for id, at := range client.indexOf {
-		if v := client.servers[at]; v == nil || v.id != id {
-			t.Errorf("index %d is not %s's", at, id)
+	for id, index := range list.indexOf {
+		if srv := list.servers[index]; srv == nil || srv.id != id {
+			t.Errorf("index %d does not refer to server %s", index, id)
 		}
 	}
 }
 
-func TestReportFieldAliases(t *testing.T) {
+func TestRepeatedNamesInSettingsKeepTheirFirstNumber(t *testing.T) {
 	w := newWorldOf(t, 1, `"localities":["a","b"]`, `"localities":["north, by the sea","a","a",""],"customers":[{"name":"x, y","quota-per-s":1},
 {"name":"z","quota-per-s":1},{"name":"z","quota-per-s":9}]`)
-	g := &w.engine.config
-	if g.zones["north, by the sea"] != 0 || g.zones["a"] != 1 || g.zones[""] != 3 || len(g.zones) != 3 {
-		t.Error("zones: ", g.zones)
+	config := &w.engine.config
+	if config.zones["north, by the sea"] != 0 || config.zones["a"] != 1 || config.zones[""] != 3 || len(config.zones) != 3 {
+		t.Error("wrong numbers of zones: ", config.zones)
 	}
-	if w.engine.Customer("x, y") != 0 || w.engine.Customer("z") != 1 || w.engine.Customer("unknown") != unknownCustomer || w.engine.Customer("") != unknownCustomer {
-		t.Error("customers: ", g.customers, w.engine.Customer("unknown"))
+	if w.engine.Customer("x, y") != 0 || w.engine.Customer("z") != 1 ||
+		w.engine.Customer("unknown") != unknownCustomer || w.engine.Customer("") != unknownCustomer {
+		t.Error("wrong numbers of customers: ", config.customers, w.engine.Customer("unknown"))
 	}
 }
--- a/internal/aggregator/engine/shutdown_test.go
+++ b/internal/aggregator/engine/shutdown_test.go
@@ -20,12 +20,12 @@
 		w.engine.Notified(Terminate)
 	})
 	w.advance(serveShareAfterStop*(1000+killMargin) + 1)
-	if w.conns[c] != half || half.finished || !w.unlistened {
-		t.Error("it was cut off before its time, or the address is open")
+	if w.conns[c] != half || half.finished || !w.listenersClosed {
+		t.Error("the incomplete request was cut off too soon, or the listeners are still open")
 	}
 	w.advance(maxRequestAfterClose + lingerTimeout + 1)
 	if !w.stopped || w.pool.InUse() != 0 {
-		t.Error("it did not stop")
+		t.Errorf("stopped: %v, %d buffers in use; want a stop with none", w.stopped, w.pool.InUse())
 	}
 }
 
@@ -37,11 +37,12 @@
 	w.turn(func() { client = w.startSearch("quick", 900, 0) })
 	w.openConns()
 	w.answerAttempts(w.serverConns()[0])
-	c := transport.Conn(slices.IndexFunc(w.conns, func(e *modelConn) bool { return e != nil && e.client == client }))
+	c := transport.Conn(slices.IndexFunc(w.conns, func(conn *modelConn) bool { return conn != nil && conn.client == client }))
 	w.turn(func() { w.engine.Notified(Terminate) })
 	began, grace := w.now, 1000.+killMargin
-	again := func(budget float64) *modelClient {
-		next := &modelClient{id: fmt.Sprint("again", len(w.clients)), shards: []int{0}, answerDeadline: w.now + budget + answerSlackMs, asked: true}
+	sendNext := func(budget float64) *modelClient {
+		next := &modelClient{id: fmt.Sprint("again", len(w.clients)), shards: []int{0}, answerDeadline: w.now + budget + answerSlackMs,
+			searchSent: true}
 		w.byID[next.id], w.conns[c].client, w.clients = next, next, append(w.clients, next)
 		body := fmt.Sprintf(`{"segments":[{"segment":0,"boost":1}],"text":"text of %s"}`, next.id)
 		w.turn(func() {
@@ -51,52 +52,54 @@
 		return next
 	}
 	for w.now < began+serveShareAfterStop*grace-50 {
-		client := again(900)
+		client := sendNext(900)
 		w.runUntilAnswered(client)
-		if client.status != 200 || w.conns[c] == nil || w.conns[c].finished || w.unlistened {
-			t.Fatalf("%.0f ms after the stop: answered %d, or its connection or the address is closed", w.now-began, client.status)
+		if client.status != 200 || w.conns[c] == nil || w.conns[c].finished || w.listenersClosed {
+			t.Fatalf("%.0f ms after SIGTERM: status %d, want 200, or the connection or the listeners are closed",
+				w.now-began, client.status)
 		}
 		w.advance(100)
 	}
-	pendingSearch := again(1000) // its servers say nothing
+	pendingSearch := sendNext(1000) // its server does not reply
 	w.advance(began + grace - answerBeforeKill - w.now)
 	if pendingSearch.answers != 1 || pendingSearch.status == 200 {
-		t.Errorf("%d answers, %d: the last search is to be ended before the kill", pendingSearch.answers, pendingSearch.status)
+		t.Errorf("the last search got %d answers, the last with status %d; want one error before the kill",
+			pendingSearch.answers, pendingSearch.status)
 	}
 	w.shutDownAndCheck()
 	if w.now > began+grace {
-		t.Errorf("it ended %.0f ms after it may be killed", w.now-began-grace)
+		t.Errorf("the shutdown ended %.0f ms after the process may be killed", w.now-began-grace)
 	}
 }
 
-func TestNewConnectionMayAskThoughListenersClose(t *testing.T) {
+func TestNewConnectionMaySendARequestAfterListenersClose(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.turn()
 	w.openConns()
 	w.turn(func() { w.engine.Notified(Terminate) })
-	// somebody stays, so that it does not leave at once
+	// One client stays connected, so that the engine does not stop at once.
 	stayingConns := w.connectClients(1, "")
 	w.advance(serveShareAfterStop*(1000+killMargin) - 1)
 	late := w.connectClients(1, "")[0]
 	w.advance(2)
-	if !w.unlistened {
-		t.Fatal("the address is open")
+	if !w.listenersClosed {
+		t.Fatal("the listeners are still open")
 	}
 	left := w.engine.killAt - answerBeforeKill - w.now
 	w.advance(left / 2)
 	if w.conns[late] == nil || w.conns[late].finished {
-		t.Fatal("who has just connected was ended without having been asked")
+		t.Fatal("a client that has just connected was disconnected before it could send a request")
 	}
 	w.turn(func() { w.receiveBytes(late, []byte("GET /ready HTTP/1.1\r\n\r\n")) })
 	if client := w.conns[late].client; client.status != 503 {
-		t.Error("no answer: ", client.status)
+		t.Errorf("its request got status %d, want 503", client.status)
 	}
 	_ = stayingConns
 	w.shutDownAndCheck()
 }
 
 func TestPendingSearchesAreAnsweredBeforeTheKill(t *testing.T) {
-	// A search that may take longer than the time until the kill, before servers that say nothing.
+	// A search whose own deadline is after the kill, with servers that do not reply.
 	for _, deadline := range []float64{300, 1000, 8000} {
 		w := newWorldOf(t, 2, `"deadline-ms":1000`, fmt.Sprintf(`"deadline-ms":%g`, deadline), `"deadline-ms":1000`, `"deadline-ms":200`,
 			`"deadline-ms":1000`, `"deadline-ms":200`)
@@ -106,18 +109,19 @@
 		w.turn(func() { client = w.startSearch("quick", 8000, 0, 1) })
 		w.openConns()
 		w.turn(func() { w.engine.Notified(Terminate) })
-		w.turn(func() { w.engine.Notified(Terminate) }) // twice, as two signals have it
+		w.turn(func() { w.engine.Notified(Terminate) }) // a second signal changes nothing
 		grace := min(deadline, maxClientTimeout) + killMargin
 		if w.engine.killAt != w.now+grace {
-			t.Fatal(w.engine.killAt-w.now, "until the kill")
+			t.Fatalf("%.0f ms until the kill, want %.0f", w.engine.killAt-w.now, grace)
 		}
 		w.advance(grace - answerBeforeKill)
 		if client.answers != 1 || client.lastWriteAt > w.engine.killAt-answerBeforeKill {
-			t.Errorf("client timeout %.0f: %d answers %.0f ms before the kill", deadline, client.answers, w.engine.killAt-client.lastWriteAt)
+			t.Errorf("client timeout %.0f: %d answers, the last %.0f ms before the kill; want one, in time",
+				deadline, client.answers, w.engine.killAt-client.lastWriteAt)
 		}
 		w.advance(answerBeforeKill - lingerEndBeforeKill + 1)
 		if !w.stopped {
-			t.Errorf("client timeout %.0f: it has not ended by its kill", deadline)
+			t.Errorf("client timeout %.0f: the engine has not stopped before the kill", deadline)
 		}
 	}
 }
--- a/internal/aggregator/engine/timers_test.go
+++ b/internal/aggregator/engine/timers_test.go
@@ -8,7 +8,7 @@
 	"kestrelspread/internal/transport"
 )
 
-func TestTimersAreDroppedWithTheirSubject(t *testing.T) {
+func TestTimersAreCancelledWithTheirSearches(t *testing.T) {
 	w := newWorld(t, 1, 4)
 	w.turn()
 	w.openConns()
@@ -18,18 +18,19 @@
 		for _, c := range w.serverConns() {
 			w.answerAttempts(c)
 		}
-		for c, e := range w.conns {
-			if e != nil && e.client != nil {
+		for c, conn := range w.conns {
+			if conn != nil && conn.client != nil {
 				w.turn(func() { w.closeByPeer(transport.Conn(c)) })
 			}
 		}
 		w.now++
 	}
 	if n := len(w.engine.timers); n > 30 || len(w.engine.searchByID) != 0 {
-		t.Errorf("%d timers and %d open ids are left of 200 searches", n, len(w.engine.searchByID))
+		t.Errorf("%d timers and %d open ids are left after 200 searches have ended", n, len(w.engine.searchByID))
 	}
 }
 
+// FuzzTimers compares the heap, after random additions and cancellations, with a sorted list.
 func FuzzTimers(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -57,7 +58,7 @@
 			}
 		}
 		if len(heap) != 0 {
-			t.Error(len(heap), "are left")
+			t.Errorf("%d timers are left in the heap, want none", len(heap))
 		}
 	})
 }
--- a/internal/aggregator/engine/usage.go
+++ b/internal/aggregator/engine/usage.go
@@ -7,7 +7,7 @@
 // Usage is the resource usage of one search. It is recorded once none of the search's attempts is
 // in flight any more.
 type Usage struct {
-	Kind, Customer    int // as numbered by Kinds and Customers; a customer below 0 is unknown
+	Kind, Customer    int // numbers of the query type and of the customer; a customer below 0 is unknown
 	Front             int // 0: HTTP, otherwise the number of the front end
 	Result            Result
 	ClientLeft        bool    // the client left before the answer, so Result has no meaning
@@ -72,8 +72,8 @@
 		return
 	}
 	used := &search.usage
-	if search.carrier != nil {
-		used.bytesIn, used.bytesOut = search.carrier.Bytes()
+	if search.handler != nil {
+		used.bytesIn, used.bytesOut = search.handler.Bytes()
 	}
 	usage := Usage{
 		Kind:       used.queryType,
@@ -106,8 +106,8 @@
 	e.meter.Record(&usage)
 }
 
-// Kinds returns the names of the query types, by the number in Usage.Kind.
+// Kinds returns the names of the query types, by the numbers that Usage has.
 func (e *Engine) Kinds() []string { return e.config.queryTypeNames }
 
-// Customers returns the names of the customers, by the number in Usage.Customer.
+// Customers returns the names of the customers, by the numbers that Usage has.
 func (e *Engine) Customers() []string { return e.config.customerNames }
--- a/internal/aggregator/engine/usage_test.go
+++ b/internal/aggregator/engine/usage_test.go
@@ -4,20 +4,20 @@
 	"testing"
 )
 
-// usageTotals sums the usage records of a meter.
+// usageTotals is a meter that sums the usage records.
 type usageTotals struct {
 	searches, attempts int64
 	byResult           map[Result]int64
 	clientsLeft        int64
 }
 
-func (b *usageTotals) Record(u *Usage) {
-	b.searches++
-	b.attempts += int64(u.First + u.Retry + u.Hedge)
+func (totals *usageTotals) Record(u *Usage) {
+	totals.searches++
+	totals.attempts += int64(u.First + u.Retry + u.Hedge)
 	if u.ClientLeft {
-		b.clientsLeft++
+		totals.clientsLeft++
 	} else {
-		b.byResult[u.Result]++
+		totals.byResult[u.Result]++
 	}
 	if u.Server < 0 || u.First > u.Shards || u.AnsweredAt <= 0 {
 		panic("impossible usage record")
@@ -25,10 +25,11 @@
 }
 
 // reconcile checks that the metered totals equal the counters.
-func (b *usageTotals) reconcile(t *testing.T, c *Counters) {
+func (totals *usageTotals) reconcile(t *testing.T, c *Counters) {
 	t.Helper()
-	if c.Searches == 0 || b.searches != c.Searches || b.attempts != c.AttemptsAsked || b.clientsLeft != c.ClientsLeft || b.byResult[Complete] != c.Complete ||
-		b.byResult[Partial] != c.Partial || b.byResult[Shed] != c.Shed+c.OverPendingLimit || b.byResult[Failed] != c.Errored+c.AnswersTooLong {
-		t.Fatalf("metered %+v, counted %+v", b, *c)
+	if c.Searches == 0 || totals.searches != c.Searches || totals.attempts != c.AttemptsAsked || totals.clientsLeft != c.ClientsLeft ||
+		totals.byResult[Complete] != c.Complete || totals.byResult[Partial] != c.Partial || totals.byResult[Shed] != c.Shed+c.OverPendingLimit ||
+		totals.byResult[Failed] != c.Errored+c.AnswersTooLong {
+		t.Fatalf("metered %+v, counted %+v", totals, *c)
 	}
 }
--- a/internal/aggregator/engine/world_test.go
+++ b/internal/aggregator/engine/world_test.go
@@ -27,62 +27,66 @@
 
 // modelConn is one connection as the aggregator's peer sees it.
 type modelConn struct {
-	destination   netip.AddrPort
-	client        *modelClient
-	open          bool
-	watched       bool // the headers of its list have been sent
-	readingPaused bool
-	finished      bool
-	unsent        []byte // written by the aggregator, not yet accepted by the network
-	received      []byte // accepted by the network, not yet read by the peer
-	takenBytes    int64
-	acknowledged  int64
-	stalledUntil  float64  // until then the network accepts nothing
-	frameBeganAt  float64  // when the first byte of the frame at the head of received was accepted
-	pending       []string // attempts and probes that a server has not answered
+	destination   netip.AddrPort // zero for a connection that a client opened
+	client        *modelClient   // nil for a connection that the engine opened
+	open          bool           // established
+	watched       bool           // for a watch: the response headers have been sent
+	readingPaused bool           // the engine has paused reading
+	finished      bool           // the engine has called Finish
+	unsent        []byte         // written by the aggregator, not yet accepted by the network
+	received      []byte         // accepted by the network, not yet read by the peer
+	takenBytes    int64          // accepted by the network in total
+	acknowledged  int64          // of takenBytes, reported to the engine by Written
+	stalledUntil  float64        // until then the network accepts nothing
+	frameBeganAt  float64        // when the first byte of the frame at the head of received was accepted
+	pending       []string       // ids of attempts, and frame types of health checks, that a server has not answered
 }
 
-// modelClient is a client with its one search.
+// modelClient is a client with a single search.
 type modelClient struct {
 	id             string
-	answerDeadline float64 // after it an answer is late
+	answerDeadline float64 // a later answer is too late
 	shards         []int
-	asked          bool
+	searchSent     bool // its search has been sent
 	answers        int
-	status         int
+	status         int     // HTTP status of the last answer
 	lastWriteAt    float64 // when the aggregator last wrote to it
 	disconnected   bool
-	retryAfter     string // of the last answer's header
+	retryAfter     string // the Retry-After header of the last answer
 }
 
-// world simulates the network with its clients, servers and discovery. Events are drawn from a seed.
+// world simulates the network of an engine, with clients, servers and discovery.
+// Random events are drawn from a seed.
 type world struct {
-	t              testing.TB
-	engine         *Engine
-	pool           *transport.Pool
-	rng            *rand.Rand
-	now            float64
-	conns          []*modelConn
-	freed          []transport.Conn
-	timerAt        float64
-	stopped        bool
-	unlistened     bool // the listeners are closed
-	paused         bool
-	clients        []*modelClient
-	byID           map[string]*modelClient
-	version        int
-	servers        []modelServer
-	failedConnects []transport.Conn
-	requestLines   []string // the first line of each attempt, as servers read it
-	connectsLeft   int      // 0: each new connection fails; negative: none does
+	t               testing.TB
+	engine          *Engine
+	pool            *transport.Pool
+	rng             *rand.Rand
+	now             float64 // ms of the loop's clock
+	conns           []*modelConn
+	freed           []transport.Conn // connection numbers that can be reused
+	timerAt         float64          // set by Arm
+	stopped         bool             // set by Stop
+	listenersClosed bool
+	paused          bool                    // accepting is suspended
+	clients         []*modelClient          // those with a search
+	byID            map[string]*modelClient // by the id of their search
+	version         int                     // of the last server list
+	servers         []modelServer
+	failedConnects  []transport.Conn // connections that fail in the next turn
+	requestLines    []string         // the first line of each shard request, as read by servers
+	connectsLeft    int              // 0: each new connection fails; negative: none does
 }
 
+// modelServer is a server as discovery reports it. changedAt is when the aggregator learned that
+// the server is no longer ready.
 type modelServer struct {
 	state     string
 	changedAt float64
 	position  int
 }
 
+// newWorld returns a world with settingsJSON, 200 descriptors and a number of ready servers.
 func newWorld(t testing.TB, seed uint64, servers int) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1e6, pool: &transport.Pool{Size: 80 << 10, Max: 200},
 		byID: map[string]*modelClient{}, connectsLeft: -1}
@@ -97,15 +101,16 @@
 	return w
 }
 
-// newWorldOf returns a world with other settings: instead has pairs of a text of the usual settings and its replacement.
-func newWorldOf(t testing.TB, servers int, instead ...string) *world {
+// newWorldOf returns a world with changed settings. replacements holds pairs of a text of
+// settingsJSON and its replacement.
+func newWorldOf(t testing.TB, servers int, replacements ...string) *world {
 	w := newWorld(t, 1, servers)
 	text := settingsJSON
-	for i := 0; i < len(instead); i += 2 {
-		if !strings.Contains(text, instead[i]) {
-			t.Fatalf("the settings have no %s", instead[i])
+	for i := 0; i < len(replacements); i += 2 {
+		if !strings.Contains(text, replacements[i]) {
+			t.Fatalf("the settings have no %s", replacements[i])
 		}
-		text = strings.Replace(text, instead[i], instead[i+1], 1)
+		text = strings.Replace(text, replacements[i], replacements[i+1], 1)
 	}
 	set, err := settings.FromJSON([]byte(text))
 	if err != nil {
