--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -59,6 +59,8 @@
 		attempt.deadline = min(req.search.deadline, e.now+timeLimit)
 	}
 	srv := e.serverList.servers[server]
+	// A shard lies on consecutive positions of the ring, as many as it has replicas, from the
+	// position of its own number on.
 	holds := ((srv.position-req.shard)%e.config.positions+e.config.positions)%e.config.positions < e.config.replicas
 	invariant.Check(holds, "an attempt goes to a server that holds the shard")
 	if !holds || req.search.ended || attempt.deadline <= e.now {
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -117,7 +117,7 @@
 
 // Panicked implements transport.Handler. It ends with an error what an event concerned whose
 // handling panicked: the search of its client connection, or its server connection or watch. If the
-// event concerned no connection, all open searches fail.
+// event concerned no connection, all open searches fail; otherwise nothing else is affected.
 func (e *Engine) Panicked(c transport.Conn, what any, stack []byte) {
 	e.Count.Panics++
 	defer func() { e.closedConn = noConn }()
