--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -29,7 +29,7 @@
 // Carrier is a front end's side of one search that it started: it sends the search's attempts to
 // servers and delivers the final answer to the client.
 type Carrier interface {
-	// Final delivers the final answer; retryAfter is advice for the client's retry in milliseconds,
+	// Answer delivers the final answer; retryAfter is advice for the client's retry in milliseconds,
 	// 0: none. It is called exactly once, unless the front end has called ClientGone before. No
 	// attempt of the search is sent afterwards.
 	Final(result Result, retryAfter float64)
@@ -37,9 +37,9 @@
 	Send(attempt *Attempt)
 	// Cancel stops an attempt whose outcome is already decided; a later report on it is ignored.
 	Cancel(attempt *Attempt)
-	// Door returns the number of the front end, counted from 1.
+	// FrontendNumber returns the number of the front end, counted from 1.
 	Door() int
-	// Bytes returns how many bytes of message bodies, without headers, the client has sent and was
+	// BodyBytes returns how many bytes of message bodies, without headers, the client has sent and was
 	// sent. It is called once the search is over.
 	Bytes() (in, out int64)
 }
@@ -48,7 +48,7 @@
 type ConnHandler interface {
 	// Opened reports that the connection is established.
 	Opened()
-	// Bytes reports bytes that were received at the given time.
+	// Received reports bytes that were received at the given time.
 	Bytes(b []byte, receivedAt float64)
 	// Written reports that the operating system has accepted the bytes before the offset.
 	Written(upTo int64)
@@ -60,26 +60,26 @@
 type Front interface {
 	// Accepted reports a client connection on the front end's listener.
 	Accepted(c transport.Conn)
-	// Server reports the state of one server of the list, by the server's index.
+	// ServerUpdated reports the state of one server of the list, by the server's index.
 	Server(index int, id string, addr netip.AddrPort, state policy.State)
-	// GraceEnded reports that a server has been draining or gone for so long that attempts which
+	// DrainGraceEnded reports that a server has been draining or gone for so long that attempts which
 	// have not begun there must not begin any more.
 	GraceEnded(index int)
 	// ServerRemoved reports that an index is free; it may refer to another server from now on.
 	ServerRemoved(index int)
-	// Stopping reports that the shutdown has begun. Clients are still served; all answers must be
+	// ShutdownStarted reports that the shutdown has begun. Clients are still served; all answers must be
 	// written by the given time, as the process may be killed soon after it.
 	Stopping(answerBy float64)
-	// Leaving reports that the listeners are closed.
+	// ListenersClosed reports that the listeners are closed.
 	Leaving()
 	// Idle reports whether the front end has no client connection.
 	Idle() bool
 	// Flush is called at the end of each turn, after the policy has decided. It writes pending
 	// output.
 	Flush()
-	// Reload applies new settings, if there are any.
+	// ReloadSettings applies new settings, if there are any.
 	Reload()
-	// Print logs the front end's counters; why says what asked for them.
+	// LogCounters logs the front end's counters; why says what asked for them.
 	Print(log zerolog.Logger, why string)
 }
 
