--- a/internal/aggregator/server/asyncwriter.go
+++ b/internal/aggregator/server/asyncwriter.go
@@ -5,39 +5,40 @@
 	"sync/atomic"
 )
 
-// asyncWriter is the way of log lines to a writer that may be slow: they wait in a queue of bounded
-// length, and those that find it full are dropped and counted, so that logging never stops the
-// loop.
+// asyncWriter writes log lines to a destination that may be slow. The lines wait in a bounded
+// queue; a line that finds the queue full is dropped and counted, so that logging never blocks the
+// event loop.
 //
-// It is a channel, whose wake-ups can't get lost. zerolog's own ring wakes its reader without the
-// lock that the reader looks under: a line that came between the reader's look and its sleep stayed
-// unwritten until the next one, and the last line before a quiet time is the one that tells why it
-// is quiet.
+// The queue is a channel, so no wake-up of the writing goroutine can be lost. zerolog's own ring
+// buffer (package diode) wakes its reader without holding the lock under which the reader checks
+// for lines: a line that arrived between the reader's check and its sleep stayed unwritten until
+// the next line. The last line before a quiet period is the one that explains the quiet.
 type asyncWriter struct {
 	destination io.Writer
 	queue       chan []byte
-	stop        chan struct{}
-	done        chan struct{}
-	dropped     atomic.Int64
+	stop        chan struct{} // closed by Close
+	done        chan struct{} // closed when the queue has been written out after Close
+	dropped     atomic.Int64  // lines dropped because the queue was full
 }
 
-func newAsyncWriter(to io.Writer, most int) *asyncWriter {
-	l := &asyncWriter{destination: to, queue: make(chan []byte, most), stop: make(chan struct{}), done: make(chan struct{})}
-	go l.run()
-	return l
+// newAsyncWriter starts a writer to destination with a queue of capacity lines.
+func newAsyncWriter(destination io.Writer, capacity int) *asyncWriter {
+	w := &asyncWriter{destination: destination, queue: make(chan []byte, capacity), stop: make(chan struct{}), done: make(chan struct{})}
+	go w.run()
+	return w
 }
 
-func (l *asyncWriter) run() {
-	defer close(l.done)
+func (w *asyncWriter) run() {
+	defer close(w.done)
 	for {
 		select {
-		case line := <-l.queue:
-			l.destination.Write(line)
-		case <-l.stop:
+		case line := <-w.queue:
+			w.destination.Write(line)
+		case <-w.stop:
 			for {
 				select {
-				case line := <-l.queue:
-					l.destination.Write(line)
+				case line := <-w.queue:
+					w.destination.Write(line)
 				default:
 					return
 				}
@@ -46,19 +47,20 @@
 	}
 }
 
-// Write never waits. The line is the caller's again afterwards.
-func (l *asyncWriter) Write(line []byte) (int, error) {
+// Write queues a copy of the line, or drops the line if the queue is full. It never blocks and
+// never fails; the caller may reuse the slice.
+func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
-	case l.queue <- append([]byte(nil), line...):
+	case w.queue <- append([]byte(nil), line...):
 	default:
-		l.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Close writes what waits and gives the end of that: a channel, as the reader at the other side may
-// have stopped reading.
-func (l *asyncWriter) Close() <-chan struct{} {
-	close(l.stop)
-	return l.done
+// Close has the queued lines written and returns a channel that is closed once they are. It does
+// not wait itself, because whoever reads the destination may have stopped reading.
+func (w *asyncWriter) Close() <-chan struct{} {
+	close(w.stop)
+	return w.done
 }
--- a/internal/aggregator/server/asyncwriter_test.go
+++ b/internal/aggregator/server/asyncwriter_test.go
@@ -9,67 +9,69 @@
 	"time"
 )
 
-// counting counts the lines that have come out.
-type counting struct{ n atomic.Int64 }
+// lineCounter counts the lines written to it.
+type lineCounter struct{ lines atomic.Int64 }
 
-func (c *counting) Write(b []byte) (int, error) {
-	c.n.Add(1)
+func (c *lineCounter) Write(b []byte) (int, error) {
+	c.lines.Add(1)
 	return len(b), nil
 }
 
-func TestTheLastLineBeforeAQuietTimeComesOut(t *testing.T) {
-	// Each line is followed by none until it is out, after ever other pauses: some come as the
-	// reader goes to sleep. With wake-ups that can be lost some one in fifty thousand stays.
-	c := &counting{}
-	l := newAsyncWriter(c, 10)
+// TestLastLineBeforeQuietPeriodIsWritten guards against lost wake-ups of the writing goroutine. It
+// writes a line only after the previous one has come out, with pauses of varying length in between,
+// so that some lines arrive just as that goroutine goes to sleep. Where wake-ups can be lost, about
+// one line in fifty thousand is not written.
+func TestLastLineBeforeQuietPeriodIsWritten(t *testing.T) {
+	c := &lineCounter{}
+	w := newAsyncWriter(c, 10)
 	end := time.Now().Add(2 * time.Second)
 	for i := int64(1); time.Now().Before(end); i++ {
-		l.Write([]byte("a line\n"))
-		for since := time.Now(); c.n.Load() < i; runtime.Gosched() {
+		w.Write([]byte("a line\n"))
+		for since := time.Now(); c.lines.Load() < i; runtime.Gosched() {
 			if time.Since(since) > 20*time.Second {
-				t.Fatalf("line %d does not come out", i)
+				t.Fatalf("line %d was not written within 20 s", i)
 			}
 		}
 		for range i % 97 {
 			runtime.Gosched()
 		}
 	}
-	<-l.Close()
-	l.Write([]byte("after the end\n"))
+	<-w.Close()
+	w.Write([]byte("after the end\n"))
 }
 
-// held is a reader that takes nothing until it is let.
-type held struct {
-	let chan struct{}
-	got bytes.Buffer
+// blockedWriter blocks each Write until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	written bytes.Buffer
 }
 
-func (h *held) Write(b []byte) (int, error) {
-	<-h.let
-	return h.got.Write(b)
+func (b *blockedWriter) Write(line []byte) (int, error) {
+	<-b.release
+	return b.written.Write(line)
 }
 
-func TestLinesThatNobodyReadsAreDroppedAndCounted(t *testing.T) {
-	h := &held{let: make(chan struct{})}
-	l := newAsyncWriter(h, 4)
+func TestLinesPastFullQueueAreDroppedAndCounted(t *testing.T) {
+	destination := &blockedWriter{release: make(chan struct{})}
+	w := newAsyncWriter(destination, 4)
 	line := []byte("0\n")
 	for i := range 10 {
-		line[0] = '0' + byte(i) // the caller's again each time
-		l.Write(line)
+		line[0] = '0' + byte(i) // Write must have copied the previous content
+		w.Write(line)
 	}
-	kept := 10 - l.dropped.Load()
-	if kept != 4 && kept != 5 { // the one that is being written has left the queue, or has not yet
-		t.Errorf("%d of 10 are kept by a queue of 4", kept)
+	kept := 10 - w.dropped.Load()
+	if kept != 4 && kept != 5 { // 5 if the first line had left the queue for the blocked Write
+		t.Errorf("a queue of 4 lines kept %d of 10", kept)
 	}
-	end := l.Close()
+	end := w.Close()
 	select {
 	case <-end:
-		t.Fatal("the end has come before what waits is written")
+		t.Fatal("Close reported the end before the queued lines were written")
 	default:
 	}
-	close(h.let)
+	close(destination.release)
 	<-end
-	if got := h.got.String(); int64(strings.Count(got, "\n")) != kept || !strings.HasPrefix("0\n1\n2\n3\n4\n", got) {
-		t.Errorf("%q came out", got)
+	if got := destination.written.String(); int64(strings.Count(got, "\n")) != kept || !strings.HasPrefix("0\n1\n2\n3\n4\n", got) {
+		t.Errorf("written: %q, want the first %d lines in order", got, kept)
 	}
 }
--- a/internal/aggregator/server/server.go
+++ b/internal/aggregator/server/server.go
@@ -1,10 +1,11 @@
-// Package server is the program of one aggregator: searches in over HTTP, their shard requests out
-// to the servers that the policy chooses. Its configuration is in the environment and in the file
-// that RELAY_CONFIG names; see README.md. It links nothing but what every aggregator needs:
-// extensions are attached by those commands that have them.
+// Package server runs one aggregator process: clients send searches over HTTP, and the aggregator
+// sends their shard requests to the servers that the policy chooses. Its configuration comes from
+// the environment and from the file that RELAY_CONFIG names; see README.md. The package links only
+// what every aggregator needs; commands that offer extensions attach them through Extension.
 //
-// It wires; it decides nothing and keeps no state of searches. One goroutine runs the loop and owns
-// the engine; the others forward signals, read configuration and write the log.
+// The package only connects the parts: it makes no routing decisions and keeps no state of
+// searches. One goroutine runs the event loop and owns the engine; the others forward signals,
+// reload the configuration and write the log.
 package server
 
 import (
@@ -27,38 +28,39 @@
 	"kestrelspread/internal/transport"
 )
 
-// Host is what an extension is attached to, before the loop runs.
+// Host gives an extension access to the parts of the aggregator before the event loop runs.
 type Host struct {
-	Name        string
+	Name        string // of this aggregator, from the configuration
 	Loop        *transport.Loop
 	Engine      *engine.Engine
 	Settings    settings.Values
-	Seed        uint64
-	MemoryBytes int64 // bytes that this process may take
+	Seed        uint64 // of random choices
+	MemoryBytes int64  // memory limit of this process
 	Log         zerolog.Logger
 }
 
-// Hooks are an extension's calls; each may be nil.
+// Hooks are an extension's callbacks; each may be nil.
 type Hooks struct {
-	Reload    func() // beside the loop, each time SIGHUP comes
-	AfterLoop func() // after the loop's end
+	Reload    func() // called at each SIGHUP, in another goroutine than the loop's
+	AfterLoop func() // called once the loop has ended
 }
 
-// Extension adds a part of the program before the loop runs.
+// Extension attaches an optional part of the program to host before the event loop runs. An error
+// aborts the start of the aggregator.
 type Extension func(host *Host) (Hooks, error)
 
-// Run is an aggregator from its start to its end; its log goes to stderr. An error is one line of
-// why it did not start.
+// Run runs an aggregator until it is told to stop by SIGTERM or SIGINT. It logs to stderr, and
+// returns an error if the aggregator could not start or its loop failed.
 func Run(stderr io.Writer, extensions ...Extension) error {
-	// Before anything else: what a signal does by default ends the process.
+	// Before anything else, because the default action of these signals ends the process.
 	signals := notifySignals()
 	c, err := loadConfig(true)
 	if err != nil {
 		return err
 	}
 	memory := limitProcess(&c)
-	const bufferSize = protocol.MaxHead + protocol.MaxBody + frameOverhead
-	pool := &transport.Pool{Size: bufferSize, Max: int(memory / bufferShare / bufferSize)}
+	const bufferSize = protocol.MaxHead + protocol.MaxBody + frameOverhead // bytes
+	pool := &transport.Pool{Size: bufferSize, Max: int(memory / bufferMemoryDivisor / bufferSize)}
 
 	output := newAsyncWriter(stderr, maxQueuedLines)
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
@@ -81,7 +83,7 @@
 		return err
 	}
 	reloader := newReloader(c, host, hooks)
-	go reloader.run(signals.reload) // apart, as reading a file may take its time and a stop must not wait for it
+	go reloader.run(signals.reload) // apart from the other signals: a stop must not wait for a slow read of the file
 	go signals.forward(loop)
 
 	log.Info().Str("listen", netip.AddrPortFrom(c.listen.Addr(), uint16(loop.Port(0))).String()).
@@ -98,8 +100,9 @@
 	return err
 }
 
-// signals has a channel for each kind: a signal that finds its channel full is dropped, so others
-// must not fill it. Of one kind, the one that waits stands for those after it.
+// signals holds a channel for each kind of signal. A signal that finds its channel full is dropped,
+// so signals of another kind must not be able to fill it. A dropped signal of the same kind is
+// harmless: the one already queued has the same effect.
 type signals struct{ stop, report, reload chan os.Signal }
 
 func notifySignals() signals {
@@ -111,7 +114,7 @@
 	return s
 }
 
-// forward notifies the loop of signals to stop and to report. It runs as long as the process.
+// forward notifies the loop of signals to stop and to report. It never returns.
 func (s signals) forward(loop *transport.Loop) {
 	for {
 		select {
@@ -123,20 +126,22 @@
 	}
 }
 
-// limitProcess sets the runtime's limits, and gives the bytes that the process may take. The
-// collector has to start before that limit: past it the process is killed.
+// limitProcess applies the configured limits to the Go runtime and returns the memory in bytes that
+// the process may use. The garbage collector's soft limit is set below it, because the process is
+// killed when it exceeds its memory.
 func limitProcess(c *loadedConfig) (memory int64) {
 	memory = int64(min(c.Limits.MemoryMB, maxMemoryMB) * (1 << 20))
 	if memory <= 0 {
 		memory = defaultMemory
 	}
-	debug.SetMemoryLimit(memory * collectorTenths / 10)
-	debug.SetGCPercent(garbagePercent)
+	debug.SetMemoryLimit(memory * gcLimitTenths / 10)
+	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(int(min(max(c.Limits.Cores, 1), maxCores)))
 	return memory
 }
 
-// attach adds the extensions, in their order; the first that fails ends the start.
+// attach runs the extensions in order and collects their hooks. It stops at the first that fails
+// and returns that error.
 func attach(host *Host, extensions []Extension) (hooks []Hooks, err error) {
 	for _, extension := range extensions {
 		h, err := extension(host)
@@ -148,17 +153,18 @@
 	return hooks, nil
 }
 
-// listen listens on an address. Where this aggregator is started before the one it replaces has let
-// go of it, that one is waited for: it serves on until the address closes, and a start refused for
-// it would leave nobody there.
+// listen has the loop listen on an address. While the address is in use, it retries for up to
+// addressInUseTimeout: the aggregator that this one replaces may still be shutting down, and giving
+// up would leave nobody serving the address once that one has closed it. It reports whether a
+// signal to stop arrived in the meantime.
 func listen(loop *transport.Loop, address netip.AddrPort, stop <-chan os.Signal, log zerolog.Logger) (stopped bool, err error) {
-	since := time.Now()
+	startedAt := time.Now()
 	for first := true; ; first = false {
 		switch err := loop.Listen(address); {
 		case err == nil:
 			return false, nil
-		case !errors.Is(err, syscall.EADDRINUSE) || time.Since(since) > addressInUseTimeout:
-			return false, fmt.Errorf("%s: %w", address, err)
+		case !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) > addressInUseTimeout:
+			return false, fmt.Errorf("listen on %s: %w", address, err)
 		}
 		if first {
 			log.Info().Str("listen", address.String()).Msg("the address is in use, waiting")
@@ -174,39 +180,46 @@
 const (
 	addressInUseTimeout = 10 * time.Second // an aggregator that stops closes its address within 2.3 s
 	addressInUseRetry   = 100 * time.Millisecond
-	flushTimeout        = time.Second
+	flushTimeout        = time.Second // for the last log lines
 
-	// A configuration may state more than any machine has; a number that does not fit must not
-	// become another one.
+	// Upper bounds for configured limits: a configuration may state more than any machine has, and a
+	// number too large for its integer type would turn into an arbitrary other one.
 	maxMemoryMB = 1 << 20
 	maxCores    = 256
 
 	defaultMemory      = 512 << 20 // bytes
-	defaultDescriptors = 1024
+	defaultDescriptors = 1024      // if the system's limit can't be read
 	maxUsedDescriptors = 1 << 20
-	bufferShare        = 3       // of the memory, one in so many bytes at most is in buffers
-	frameOverhead      = 4 << 10 // bytes of a frame beside its query
-	collectorTenths    = 6       // of the memory, where the collector starts whatever it costs
-	garbagePercent     = 200     // garbage that may be beside what lives, in percent of it
 
-	maxQueuedLines = 1000 // log lines that wait for their reader
+	// bufferMemoryDivisor limits the transport's buffers to a third of the memory.
+	bufferMemoryDivisor = 3
+	// frameOverhead is the room in bytes for the parts of a frame other than its query.
+	frameOverhead = 4 << 10
+	// gcLimitTenths is the share of the memory, in tenths, past which the garbage collector runs
+	// regardless of its CPU cost.
+	gcLimitTenths = 6
+	// gcPercent is how much garbage may accumulate between collections, in percent of the live heap.
+	gcPercent = 200
+
+	maxQueuedLines = 1000 // log lines waiting to be written to stderr
 )
 
-// maxDescriptors is how many this process may hold: the configured number (0: any), or what the
-// system allows if that is less.
+// maxDescriptors returns how many file descriptors this process may hold: the configured number
+// (0: no configured limit), or what the system allows if that is less.
 func maxDescriptors(configured int) int {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
 		limit.Cur = defaultDescriptors
 	}
-	most := int(min(limit.Cur, maxUsedDescriptors))
+	allowed := int(min(limit.Cur, maxUsedDescriptors))
 	if configured > 0 {
-		most = min(most, configured)
+		allowed = min(allowed, configured)
 	}
-	return most
+	return allowed
 }
 
-// flush waits for the last lines, but not for a reader that has stopped reading.
+// flush closes the log and waits until its last lines are written, for at most flushTimeout: the
+// reader of stderr may have stopped reading.
 func flush(output *asyncWriter) {
 	select {
 	case <-output.Close():
--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings turns what an aggregator is told at its start into calls of the policy's Port.
-// It holds no values of its own and no record of them: each reader asks by path.
+// Package settings reads the settings that an aggregator is given at its start and passes them to
+// the policy. It defines no defaults and no struct of settings: each reader looks a value up by its
+// path and states the value to use if it is absent.
 package settings
 
 import (
@@ -16,17 +17,19 @@
 	"kestrelspread/internal/fleet/zonefailure"
 )
 
-// maxListItems bounds a count of settings, against a text that states a huge one.
+// maxListItems bounds the length of a list of objects, in case the settings state a huge one.
 const maxListItems = 4096
 
-// Values holds settings by path, such as classes.0.aim-ms; the items of plain lists are joined by
-// commas.
+// Values maps the path of each setting, such as classes.0.aim-ms, to its value. A list of plain
+// values is one entry with its items joined by commas; where an item is empty or has a comma, each
+// item also has an entry of its own. A list of objects has an entry for each field of each object,
+// and its length under the path with .count appended.
 type Values map[string]string
 
-// FromFacts reads lines of path=value.
-func FromFacts(facts string) Values {
+// FromFacts returns the settings in a text of lines path=value. Other lines are ignored.
+func FromFacts(text string) Values {
 	set := Values{}
-	for line := range strings.SplitSeq(facts, "\n") {
+	for line := range strings.SplitSeq(text, "\n") {
 		if key, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "="); ok {
 			set[key] = value
 		}
@@ -34,7 +37,7 @@
 	return set
 }
 
-// FromJSON reads the same as one nested object.
+// FromJSON returns the settings in a nested JSON object.
 func FromJSON(text []byte) (Values, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -47,6 +50,7 @@
 	return set, nil
 }
 
+// flatten adds value and all that is nested in it under path. Null values are left out.
 func (v Values) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -64,14 +68,14 @@
 			}
 			return
 		}
-		plain := make([]string, len(value))
+		items := make([]string, len(value))
 		for i, inner := range value {
-			plain[i] = fmt.Sprint(inner)
+			items[i] = fmt.Sprint(inner)
 		}
-		v[path] = strings.Join(plain, ",")
-		if slices.ContainsFunc(plain, func(s string) bool { return s == "" || strings.Contains(s, ",") }) {
-			v[path+itemsSuffix] = strconv.Itoa(len(plain)) // joined, it would read as more items, or fewer
-			for i, item := range plain {
+		v[path] = strings.Join(items, ",")
+		if slices.ContainsFunc(items, func(s string) bool { return s == "" || strings.Contains(s, ",") }) {
+			v[path+itemsSuffix] = strconv.Itoa(len(items)) // splitting the joined text would give another number of items
+			for i, item := range items {
 				v[path+"."+strconv.Itoa(i)] = item
 			}
 		}
@@ -81,30 +85,32 @@
 	}
 }
 
-// Float reads a number, or gives missing.
-func (v Values) Float(path string, missing float64) float64 {
+// Float returns the number at a path, or fallback if there is none or it is not finite.
+func (v Values) Float(path string, fallback float64) float64 {
 	n, err := strconv.ParseFloat(v[path], 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-		return missing
+		return fallback
 	}
 	return n
 }
 
-// Int reads a whole number.
-func (v Values) Int(path string, missing int) int {
-	return int(min(max(v.Float(path, float64(missing)), math.MinInt32), math.MaxInt32))
+// Int returns the number at a path, truncated and clamped to 32 bits, or fallback if there is none.
+func (v Values) Int(path string, fallback int) int {
+	return int(min(max(v.Float(path, float64(fallback)), math.MinInt32), math.MaxInt32))
 }
 
-// Bool tells whether the value at a path is true; false where there is none.
+// Bool reports whether the value at a path is true. An absent value counts as false.
 func (v Values) Bool(path string) bool { return v[path] == "true" }
 
 func (v Values) has(path string) bool { return v[path] != "" }
 
+// itemsSuffix is appended to the path of a plain list for the number of its items, where the items
+// have entries of their own because they can't be joined by commas.
 const itemsSuffix = ".items"
 
-// List gives the items of a plain list.
+// List returns the items of a list of plain values, or nil if there is none.
 func (v Values) List(path string) []string {
-	if _, told := v[path+itemsSuffix]; told {
+	if _, separate := v[path+itemsSuffix]; separate {
 		list := make([]string, v.Int(path+itemsSuffix, 0))
 		for i := range list {
 			list[i] = v[path+"."+strconv.Itoa(i)]
@@ -117,90 +123,93 @@
 	return strings.Split(v[path], ",")
 }
 
-// Count is how many objects a list holds.
+// Count returns the number of objects in a list of objects, at most maxListItems.
 func (v Values) Count(path string) int {
 	return min(max(v.Int(path+".count", 0), 0), maxListItems)
 }
 
-// ItemField reads a word of one object of a list.
+// ItemField returns the field called name of object i in a list of objects, or "" if there is none.
 func (v Values) ItemField(path string, i int, name string) string {
 	return v[path+"."+strconv.Itoa(i)+"."+name]
 }
 
-// FloatAt reads one place of a plain list.
-func (v Values) FloatAt(path string, i int, missing float64) float64 {
+// FloatAt returns the number at index i of a list of plain values, or fallback if there is none or
+// it is not finite.
+func (v Values) FloatAt(path string, i int, fallback float64) float64 {
 	if list := v.List(path); i < len(list) {
 		if n, err := strconv.ParseFloat(list[i], 64); err == nil && !math.IsNaN(n) && !math.IsInf(n, 0) {
 			return n
 		}
 	}
-	return missing
+	return fallback
 }
 
-// NewPolicy gives a module that knows the settings and judges each server by itself.
+// NewPolicy returns a policy with these settings, which detects failures of each server separately.
 func (v Values) NewPolicy(out policy.Out, seed uint64) policy.Port {
 	p := policy.New(out, seed, v.Int("balancers", 1), v.Int("zone", 0))
 	v.Configure(p)
 	return p
 }
 
-// NewZoneAwarePolicy gives one that is told of whole sites, too, by this aggregator's own sight
-// (internal/fleet/zonefailure).
+// NewZoneAwarePolicy returns a policy with these settings that also learns of the failure and
+// recovery of whole zones, as internal/fleet/zonefailure detects them from this aggregator's own
+// requests.
 func (v Values) NewZoneAwarePolicy(out policy.Out, seed uint64) policy.Port {
-	own := v.Int("zone", 0)
-	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
-		return policy.New(out, seed, v.Int("balancers", 1), own)
+	ownZone := v.Int("zone", 0)
+	p := zonefailure.Intercept(out, ownZone, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
+		return policy.New(out, seed, v.Int("balancers", 1), ownZone)
 	})
 	v.Configure(p)
 	return p
 }
 
-// NewCapacityAwarePolicy gives one that is also told what servers bear while they are full
-// (internal/fleet/capacity).
+// NewCapacityAwarePolicy returns a zone-aware policy with these settings that, while the servers are
+// full, also learns how much load they can take (internal/fleet/capacity).
 func (v Values) NewCapacityAwarePolicy(out policy.Out, seed uint64) policy.Port {
-	own := v.Int("zone", 0)
-	p := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
+	ownZone := v.Int("zone", 0)
+	p := zonefailure.Intercept(out, ownZone, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
 		return capacity.Wrap(out, capacity.DefaultConfig, func(out policy.Out) policy.Port {
-			return policy.New(out, seed, v.Int("balancers", 1), own)
+			return policy.New(out, seed, v.Int("balancers", 1), ownZone)
 		})
 	})
 	v.Configure(p)
 	return p
 }
 
-// Configure tells a module, or what stands in its place in a measurement, the settings.
+// Configure passes the settings to a policy, or to another implementation of its interface that
+// takes its place in a measurement.
 func (v Values) Configure(p policy.Port) {
-	const fam, safe, lim = "family-info.", "safety.", "limits."
+	const family, safety, limits = "family-info.", "safety.", "limits."
 	for i := range v.Count("classes") {
-		at := "classes." + strconv.Itoa(i) + "."
+		class := "classes." + strconv.Itoa(i) + "."
 		effect := policy.NonIdempotent
 		switch {
-		case v[at+"effect"] == "repeatable":
+		case v[class+"effect"] == "repeatable":
 			effect = policy.Idempotent
-		case v[at+"effect"] == "by_key" && v[at+"group"] == "all":
+		case v[class+"effect"] == "by_key" && v[class+"group"] == "all":
 			effect = policy.Tokened
 		}
-		p.QueryType(v.Float(at+"aim-ms", 0), v.Float(at+"importance", 1),
-			v.Float(at+"late-value", 0), effect, v.Float(at+"window-ms", 0))
-		p.Shares(i, v.FloatAt(fam+"class-need", i, 1), v.FloatAt(fam+"class-floor", i, 1),
-			v.FloatAt(fam+"incomplete-worth", i, 0), int(v.FloatAt(fam+"follow-up", i, 0)))
+		p.QueryType(v.Float(class+"aim-ms", 0), v.Float(class+"importance", 1),
+			v.Float(class+"late-value", 0), effect, v.Float(class+"window-ms", 0))
+		p.Shares(i, v.FloatAt(family+"class-need", i, 1), v.FloatAt(family+"class-floor", i, 1),
+			v.FloatAt(family+"incomplete-worth", i, 0), int(v.FloatAt(family+"follow-up", i, 0)))
 	}
 	for i := range v.Count("customers") {
 		p.Customer(v.Float("customers."+strconv.Itoa(i)+".quota-per-s", 0), v.Float("over-share-worth", 1))
 	}
-	p.Fleet(v.Int(fam+"places", 1), v.Int(fam+"span", 1), v.Int(fam+"batch", 1),
-		v.Float(fam+"call-ms", 0), v.Bool(fam+"warm-keys"))
-	p.Limits(v.Int(lim+"attempts-cap", 1), v.Int(lim+"most-held", 0), v.Bool(lim+"cancel"),
-		v.Bool(lim+"parallel-tries"))
-	if v.Bool(lim + "retry-after") {
-		p.MaxRetryAfter(v.Float(lim+"max-retry-after-ms", 0))
+	p.Fleet(v.Int(family+"places", 1), v.Int(family+"span", 1), v.Int(family+"batch", 1),
+		v.Float(family+"call-ms", 0), v.Bool(family+"warm-keys"))
+	p.Limits(v.Int(limits+"attempts-cap", 1), v.Int(limits+"most-held", 0), v.Bool(limits+"cancel"),
+		v.Bool(limits+"parallel-tries"))
+	if v.Bool(limits + "retry-after") {
+		p.MaxRetryAfter(v.Float(limits+"max-retry-after-ms", 0))
 	}
-	if v.has(safe + "tip-multiple") {
-		p.WarmUp(v.Float(safe+"cold-from", 0), v.Float(safe+"cold-ms", 0), v.Float(safe+"tip-multiple", 0),
-			v.Float(safe+"tip-after-ms", 0))
+	if v.has(safety + "tip-multiple") {
+		p.WarmUp(v.Float(safety+"cold-from", 0), v.Float(safety+"cold-ms", 0), v.Float(safety+"tip-multiple", 0),
+			v.Float(safety+"tip-after-ms", 0))
 	}
-	if v.has(safe + "further-ratio") {
-		p.Budget(v.Float(safe+"spare-attempts", 0), v.Float(safe+"further-ratio", 0), v.Float(safe+"counted-over-ms", 0))
+	if v.has(safety + "further-ratio") {
+		p.Budget(v.Float(safety+"spare-attempts", 0), v.Float(safety+"further-ratio", 0), v.Float(safety+"counted-over-ms", 0))
 	}
 	var fields []policy.Field
 	for _, name := range v.List("report.fields") {
@@ -216,7 +225,7 @@
 		fields = append(fields, field)
 	}
 	p.Reports(v["report.via"] == "answers", fields)
-	if v.Bool(lim + "may-probe") {
+	if v.Bool(limits + "may-probe") {
 		p.Probes()
 	}
 	p.Discovery(v["discovery"] == "ask")
