--- a/internal/aggregator/extensions/extensions.go
+++ b/internal/aggregator/extensions/extensions.go
@@ -1,4 +1,6 @@
-// Package extensions attaches to an aggregator what the operator's file switches on.
+// Package extensions attaches optional features to an aggregator, as the operator's file enables
+// them: gRPC, the usage ledger, zone failure detection, load shedding by weight, singleton roles
+// and gossip among aggregators.
 package extensions
 
 import (
@@ -6,7 +8,7 @@
 	"fmt"
 	"os"
 	"time"
-	_ "time/tzdata" // a small machine may have no zones
+	_ "time/tzdata" // a minimal machine may have no time zone database
 
 	"kestrelspread/internal/aggregator/engine"
 	"kestrelspread/internal/aggregator/policy"
@@ -17,7 +19,8 @@
 	"kestrelspread/internal/operator"
 )
 
-// Read reads an operator's file and checks it whole.
+// Read reads an operator's file and checks all of it, against the aggregator's settings as well. An
+// error lists every finding.
 func Read(file string, set settings.Values) (*operator.Settings, error) {
 	if file == "" {
 		return nil, errors.New("--operator names no file")
@@ -38,7 +41,7 @@
 	return s, nil
 }
 
-// Names gives what query types and customers are called.
+// Names returns the names of the query types and of the customers, in the order of the settings.
 func Names(set settings.Values) (types, customers []string) {
 	for i := range set.Count("classes") {
 		types = append(types, set.ItemField("classes", i, "name"))
@@ -49,22 +52,23 @@
 	return types, customers
 }
 
-// limitBufferMemory keeps what calls may hold within the aggregator's memory, whatever the file
-// says: past that the aggregator is killed.
-func limitBufferMemory(p *server.Host, g *operator.GRPC) {
-	l := &g.ProxySettings.Limits
-	most := max(int(p.MemoryBytes/memoryShare), l.StreamWindowBytes)
-	if l.MaxBufferedBytes > most {
-		p.Log.Warn().Int("held_kb", most>>10).Msg("grpc/limits/held-kb is more than a quarter of the memory; less is held")
-		l.MaxBufferedBytes = most
+// limitBufferMemory reduces the memory that gRPC calls may buffer to a share of the aggregator's
+// memory, whatever the operator's file says: an aggregator that exceeds its memory is killed.
+func limitBufferMemory(host *server.Host, g *operator.GRPC) {
+	limits := &g.ProxySettings.Limits
+	maxBytes := max(int(host.MemoryBytes/memoryDivisor), limits.StreamWindowBytes)
+	if limits.MaxBufferedBytes > maxBytes {
+		host.Log.Warn().Int("held_kb", maxBytes>>10).Msg("grpc/limits/held-kb is more than a quarter of the memory; less is held")
+		limits.MaxBufferedBytes = maxBytes
 	}
-	l.MaxBufferedBytesPerConnection = min(l.MaxBufferedBytesPerConnection, l.MaxBufferedBytes)
+	limits.MaxBufferedBytesPerConnection = min(limits.MaxBufferedBytesPerConnection, limits.MaxBufferedBytes)
 }
 
-const memoryShare = 4
+// memoryDivisor limits the buffers of gRPC calls to a quarter of the memory.
+const memoryDivisor = 4
 
-// Extension switches on what the operator's file names. At SIGHUP a new file is taken over as a
-// whole or not at all.
+// Extension returns an extension that enables what the operator's file configures. At SIGHUP the
+// file is read again, and its gRPC settings are applied as a whole or not at all.
 func Extension(file string) server.Extension {
 	return func(host *server.Host) (hooks server.Hooks, err error) {
 		s, err := Read(file, host.Settings)
@@ -77,16 +81,16 @@
 			}
 		}
 		choosePolicy(host, s)
-		ends, err := startAgreement(host, s)
-		for _, end := range ends {
-			hooks.AfterLoop = endBefore(end, hooks.AfterLoop)
+		stops, err := startCoordination(host, s)
+		for _, stop := range stops {
+			hooks.AfterLoop = stopBefore(stop, hooks.AfterLoop)
 		}
 		if err != nil {
 			return hooks, err
 		}
 		if s.GRPC == nil {
 			hooks.Reload = func() {
-				host.Log.Info().Bool("need_restart", true).Msg("operator's file: nothing is on that it could change")
+				host.Log.Info().Bool("need_restart", true).Msg("operator's file not read again: all that it enables needs a restart to change")
 			}
 			return hooks, nil
 		}
@@ -95,18 +99,19 @@
 	}
 }
 
-// endBefore ends what was started later first.
-func endBefore(end, earlier func()) func() {
+// stopBefore returns a function that calls stop and then earlier, if that is not nil, so that parts
+// stop in the reverse order of their start.
+func stopBefore(stop, earlier func()) func() {
 	return func() {
-		end()
+		stop()
 		if earlier != nil {
 			earlier()
 		}
 	}
 }
 
-// choosePolicy puts what watches zones and capacity before the policy, and gives it the operator's
-// order of refusals.
+// choosePolicy replaces the engine's policy by one that detects zone failures and, if configured,
+// estimates capacity. It then applies the operator's load shedding weights.
 func choosePolicy(host *server.Host, s *operator.Settings) {
 	if s.WatchSites {
 		newPolicy := host.Settings.NewZoneAwarePolicy
@@ -122,43 +127,45 @@
 	}
 }
 
-// startAgreement starts what this aggregator agrees on with others: leases and reports on zones. It
-// gives what ends each, in the order of their start.
-func startAgreement(host *server.Host, s *operator.Settings) (ends []func(), err error) {
+// startCoordination starts what needs other aggregators: leases of singleton roles, and gossip of
+// zone observations. It returns a function to stop each part, in the order of their start. Beside
+// an error it returns those of the parts that had started.
+func startCoordination(host *server.Host, s *operator.Settings) (stops []func(), err error) {
 	observers := &zoneObservers{}
 	zones, zoneAware := host.Engine.Policy().(*zonefailure.Interceptor)
 	if zoneAware {
-		zones.OnChange = observers.changed
+		zones.OnChange = observers.zoneChanged
 	}
 	if s.Roles != nil {
-		end, err := startLeases(host, s.Roles, zones, observers)
+		stop, err := startLeases(host, s.Roles, zones, observers)
 		if err != nil {
-			return ends, err
+			return stops, err
 		}
-		ends = append(ends, end)
+		stops = append(stops, stop)
 	}
 	switch {
 	case s.Gossip == nil:
 	case !zoneAware:
-		host.Log.Warn().Msg("talk: another policy stands in the module's place; nobody listens")
+		host.Log.Warn().Msg("talk: gossip is not started, as the policy in use detects no zone failures")
 	default:
-		end, err := startGossip(host, s.Gossip, zones, observers)
+		stop, err := startGossip(host, s.Gossip, zones, observers)
 		if err != nil {
-			return ends, err
+			return stops, err
 		}
-		ends = append(ends, end)
+		stops = append(stops, stop)
 	}
-	return ends, nil
+	return stops, nil
 }
 
-// startGRPC listens for gRPC. It gives what takes over the operator's file when that is read again.
+// startGRPC listens for gRPC clients and adds the gRPC proxy to the engine. It returns the reload
+// hook, which reads the operator's file again and applies its gRPC settings.
 func startGRPC(host *server.Host, file string, g *operator.GRPC) (reload func(), err error) {
 	limitBufferMemory(host, g)
 	if err := host.Loop.Listen(g.Listen); err != nil {
-		return nil, fmt.Errorf("%s: %w", g.Listen, err)
+		return nil, fmt.Errorf("listen for gRPC on %s: %w", g.Listen, err)
 	}
-	front := grpcproxy.New(host.Engine, g.ProxySettings, host.Settings.Int("family-info.slabs", 1), host.Seed)
-	host.Engine.AddFront(front)
+	proxy := grpcproxy.New(host.Engine, g.ProxySettings, host.Settings.Int("family-info.slabs", 1), host.Seed)
+	host.Engine.AddFront(proxy)
 	host.Log.Info().Str("listen", fmt.Sprintf("%v:%d", g.Listen.Addr(), host.Loop.Port(1))).
 		Int("routes", g.ProxySettings.Routes.Len()).Msg("serving gRPC")
 	listen := g.Listen
@@ -174,7 +181,7 @@
 				Bool("need_restart", next.GRPC.Listen != listen).
 				Msg("operator's file read again")
 			limitBufferMemory(host, next.GRPC)
-			front.NextSettings.Store(next.GRPC.ProxySettings)
+			proxy.NextSettings.Store(next.GRPC.ProxySettings)
 			host.Loop.Notify(engine.ReloadFronts)
 		}
 	}, nil
--- a/internal/aggregator/extensions/gossip.go
+++ b/internal/aggregator/extensions/gossip.go
@@ -7,42 +7,51 @@
 	"kestrelspread/internal/operator"
 )
 
-// startGossip has an aggregator tell others what it sees of sites, and hear them.
-func startGossip(p *server.Host, o *operator.Gossip, port *zonefailure.Interceptor, sees *zoneObservers) (end func(), err error) {
-	t, err := gossip.Start(gossip.Options{Name: p.Name, Listen: o.Listen, Join: o.Join, Key: o.Key, RedirectedAddresses: o.RedirectedAddresses, OnReport: func(w gossip.Report) {
-		// A full post loses hearsay, which is said again.
-		p.Engine.Post(p.Loop.Notify, func() { port.HandlePeerReport(w.Peer, w.Site, w.Lost, w.AgeMs) })
-		sees.peerReported(w)
-	}})
+// startGossip joins the gossip among aggregators. Zone states that this aggregator detects are sent
+// to its peers, and their reports are passed to its own detector in zones and to observers. It
+// returns a function that leaves the gossip.
+func startGossip(host *server.Host, settings *operator.Gossip, zones *zonefailure.Interceptor,
+	observers *zoneObservers) (stop func(), err error) {
+	member, err := gossip.Start(gossip.Options{Name: host.Name, Listen: settings.Listen, Join: settings.Join, Key: settings.Key,
+		RedirectedAddresses: settings.RedirectedAddresses, OnReport: func(r gossip.Report) {
+			// Post drops the report if its queue is full; peers send it again.
+			host.Engine.Post(host.Loop.Notify, func() { zones.HandlePeerReport(r.Peer, r.Site, r.Lost, r.AgeMs) })
+			observers.peerReported(r)
+		}})
 	if err != nil {
 		return nil, err
 	}
-	sees.add(t.Observe)
-	p.Log.Info().Str("listen", o.Listen.String()).Strs("join", o.Join).Msg("talking to other brokers")
-	return func() { t.Close() }, nil
+	observers.addLocal(member.Observe)
+	host.Log.Info().Str("listen", settings.Listen.String()).Strs("join", settings.Join).Msg("talking to other brokers")
+	return func() { member.Close() }, nil
 }
 
-// zoneObservers hand on what this aggregator sees of sites, and what others say, to whoever wants
-// to know.
+// zoneObservers holds the functions to call when this aggregator's detector sees a zone become lost
+// or leave that state, and when a peer reports one. (Package zonefailure calls a zone a site.)
 type zoneObservers struct {
-	own    []func(site int, lost bool)
-	others []func(w gossip.Report)
+	local []func(site int, lost bool)
+	peers []func(report gossip.Report)
 }
 
-func (s *zoneObservers) add(f func(site int, lost bool)) { s.own = append(s.own, f) }
+// addLocal adds an observer of this aggregator's own detector.
+func (o *zoneObservers) addLocal(observer func(site int, lost bool)) {
+	o.local = append(o.local, observer)
+}
 
-// changed hears the port; in the loop.
-func (s *zoneObservers) changed(c zonefailure.Change) {
+// zoneChanged calls the local observers if the change is to or from the lost state. The detector
+// calls it in the event loop.
+func (o *zoneObservers) zoneChanged(c zonefailure.Change) {
 	if c.ProbeHint || c.To != zonefailure.Lost && c.From != zonefailure.Lost {
 		return
 	}
-	for _, f := range s.own {
-		f(c.Site, c.To == zonefailure.Lost)
+	for _, observer := range o.local {
+		observer(c.Site, c.To == zonefailure.Lost)
 	}
 }
 
-func (s *zoneObservers) peerReported(w gossip.Report) {
-	for _, f := range s.others {
-		f(w)
+// peerReported calls the observers of peers' reports, in a goroutine of the gossip.
+func (o *zoneObservers) peerReported(report gossip.Report) {
+	for _, observer := range o.peers {
+		observer(report)
 	}
 }
--- a/internal/aggregator/extensions/leases.go
+++ b/internal/aggregator/extensions/leases.go
@@ -24,88 +24,98 @@
 	"kestrelspread/internal/operator"
 )
 
+// Names of the singleton roles, as the voters store them.
 const (
-	closeDuty  = "close"
-	returnDuty = "return"
-	drillDuty  = "drill/"
-	paceEvery  = 250 * time.Millisecond
-	handOver   = 2 * time.Second // at a stop; what is not let go by then runs out by its lease
+	statementRole      = "close"  // closes the fleet's statement of each period
+	zoneRecoveryRole   = "return" // brings lost zones back in stages
+	exerciseRolePrefix = "drill/" // followed by the number of the role, from 0
 )
 
-// startLeases has the aggregator take its part in the fleet's singleton roles: as a voter where the
-// file makes it one, and as a candidate for each role's lease. It starts and serves whatever the
-// result.
-func startLeases(host *server.Host, o *operator.Roles, zones *zonefailure.Interceptor, observers *zoneObservers) (end func(), err error) {
-	rules := lease.ConfigForLease(o.LeaseMs)
-	own, list, err := startVoter(host, o, rules)
+const (
+	zoneRecoveryInterval = 250 * time.Millisecond // between two steps of the job
+	handoverTimeout      = 2 * time.Second        // at a stop; leases not released by then expire
+)
+
+// startLeases has the aggregator take part in the fleet's singleton roles: as a voter if the
+// operator's file names it as one, and as a candidate for each role's lease. It fails on an invalid
+// configuration or if the voter can't start; whether or not it ever gets a lease, the aggregator
+// starts and serves. It returns a function that releases the leases and stops the voter.
+func startLeases(host *server.Host, roles *operator.Roles, zones *zonefailure.Interceptor,
+	observers *zoneObservers) (stop func(), err error) {
+	config := lease.ConfigForLease(roles.LeaseMs)
+	ownVoter, voters, err := startVoter(host, roles, config)
 	if err != nil {
 		return nil, err
 	}
-	var suffix [8]byte // tells two runs of one name apart
+	var suffix [8]byte // distinguishes two runs of the same aggregator
 	if _, err := rand.Read(suffix[:]); err != nil {
 		return nil, err
 	}
-	options := client.Options{Name: fmt.Sprintf("%s.%x", host.Name, suffix), Voters: list, Config: rules,
+	options := client.Options{Name: fmt.Sprintf("%s.%x", host.Name, suffix), Voters: voters, Config: config,
 		Jobs: map[string]func() client.Job{}, Log: host.Log}
-	if o.Statements != nil {
-		if options.Jobs[closeDuty], err = closeJob(host, o.Statements); err != nil {
+	if roles.Statements != nil {
+		if options.Jobs[statementRole], err = newStatementJob(host, roles.Statements); err != nil {
 			return nil, err
 		}
 	}
-	if d := o.Exercise; d != nil {
-		receiver := fencehttp.New(d.URL)
-		for i := range d.Count {
-			options.Jobs[drillDuty+strconv.Itoa(i)] = func() client.Job {
-				return &exercise.Job{Receiver: receiver, Interval: time.Duration(d.IntervalMs * 1e6), SaveEvery: d.SaveEvery, Holder: options.Name}
+	if role := roles.Exercise; role != nil {
+		receiver := fencehttp.New(role.URL)
+		for i := range role.Count {
+			options.Jobs[exerciseRolePrefix+strconv.Itoa(i)] = func() client.Job {
+				return &exercise.Job{Receiver: receiver, Interval: time.Duration(role.IntervalMs * 1e6),
+					SaveEvery: role.SaveEvery, Holder: options.Name}
 			}
 		}
 	}
-	if o.ZoneRecovery && zones != nil {
-		addReturnJob(host, &options, zones, observers)
+	if roles.ZoneRecovery && zones != nil {
+		addZoneRecoveryJob(host, &options, zones, observers)
 	}
 	candidate, err := client.New(options)
 	if err != nil {
 		return nil, err
 	}
 	candidate.Start()
-	host.Log.Info().Str("instance", options.Name).Bool("voter", own != nil).Int("duties", len(options.Jobs)).
-		Float64("lease_ms", o.LeaseMs).Msg("taking part in the fleet's work")
+	host.Log.Info().Str("instance", options.Name).Bool("voter", ownVoter != nil).Int("duties", len(options.Jobs)).
+		Float64("lease_ms", roles.LeaseMs).Msg("owner: requesting leases of the fleet's singleton roles")
 	return func() {
-		candidate.Close(handOver)
-		if own != nil {
-			own.Close()
+		candidate.Close(handoverTimeout)
+		if ownVoter != nil {
+			ownVoter.Close()
 		}
 	}, nil
 }
 
-// startVoter starts this aggregator's voter where the file names it as one; else own is nil.
-func startVoter(host *server.Host, o *operator.Roles, rules lease.Config) (own *voter.Server, list []voter.Address, err error) {
-	votes := false
-	for _, v := range o.Voters {
-		list = append(list, voter.Address{Name: v.Name, Addr: v.Address})
-		votes = votes || v.Name == host.Name
+// startVoter starts this aggregator's voter if the operator's file lists it among the voters;
+// otherwise own is nil. It also returns the addresses of all voters.
+func startVoter(host *server.Host, roles *operator.Roles, config lease.Config) (own *voter.Server, voters []voter.Address, err error) {
+	isVoter := false
+	for _, v := range roles.Voters {
+		voters = append(voters, voter.Address{Name: v.Name, Addr: v.Address})
+		isVoter = isVoter || v.Name == host.Name
 	}
-	if !votes {
-		return nil, list, nil
+	if !isVoter {
+		return nil, voters, nil
 	}
-	if o.Directory == "" {
-		return nil, nil, fmt.Errorf("owner: %s is a voter and has no folder", host.Name)
+	if roles.Directory == "" {
+		return nil, nil, fmt.Errorf("owner: %s is a voter, but no directory for the voter's state is configured", host.Name)
 	}
-	own, err = voter.Start(voter.Options{Name: host.Name, Listen: o.Listen, Dir: o.Directory, Voters: list, LeaseConfig: rules,
-		TickInterval: time.Duration(rules.TickIntervalMs() * 1e6), Log: host.Log})
+	own, err = voter.Start(voter.Options{Name: host.Name, Listen: roles.Listen, Dir: roles.Directory, Voters: voters, LeaseConfig: config,
+		TickInterval: time.Duration(config.TickIntervalMs() * 1e6), Log: host.Log})
 	if err != nil {
-		return nil, nil, fmt.Errorf("owner: %w", err)
+		return nil, nil, fmt.Errorf("owner: start voter %s: %w", host.Name, err)
 	}
-	return own, list, nil
+	return own, voters, nil
 }
 
-// closeJob makes the job that closes the fleet's statement.
-func closeJob(host *server.Host, c *operator.StatementRole) (func() client.Job, error) {
+// newStatementJob returns a function that makes the job of the role which closes the fleet's
+// statements. It fails if the receiver of the statements can't be opened now. If it can't be opened
+// at a later grant, each of the job's effects fails with that error.
+func newStatementJob(host *server.Host, role *operator.StatementRole) (func() client.Job, error) {
 	open := func() (fence.Receiver, error) {
-		if c.URL != "" {
-			return fencehttp.New(c.URL), nil
+		if role.URL != "" {
+			return fencehttp.New(role.URL), nil
 		}
-		return fencedir.Open(c.Directory)
+		return fencedir.Open(role.Directory)
 	}
 	if _, err := open(); err != nil {
 		return nil, fmt.Errorf("owner/duties/close: %w", err)
@@ -114,36 +124,37 @@
 		receiver, err := open()
 		if err != nil {
 			host.Log.Warn().Err(err).Msg("fleet's statement: its folder can't be opened")
-			receiver = unreachableFence{err}
+			receiver = unreachableReceiver{err}
 		}
 		return &collector.Job{
-			Directories: c.ExportPatterns,
-			Config:      statement.Config{ExpectedInstances: c.ExpectedInstances, WaitMs: int64(c.WaitMs)},
+			Directories: role.ExportPatterns,
+			Config:      statement.Config{ExpectedInstances: role.ExpectedInstances, WaitMs: int64(role.WaitMs)},
 			Receiver:    receiver,
 			Log:         host.Log,
-			Interval:    time.Duration(c.IntervalMs * 1e6),
+			Interval:    time.Duration(role.IntervalMs * 1e6),
 			WallClockMs: func() int64 { return time.Now().UnixMilli() },
 		}
 	}, nil
 }
 
-// addReturnJob adds the job that has zones come back in stages, and what it needs to see and to be
-// obeyed.
-func addReturnJob(host *server.Host, options *client.Options, zones *zonefailure.Interceptor, observers *zoneObservers) {
+// addZoneRecoveryJob adds the job of the role that brings lost zones back in stages. The job reads
+// the zone states that this aggregator and its peers observe. On every aggregator, whether or not it
+// holds the role, the published share of each zone is passed to the detector.
+func addZoneRecoveryJob(host *server.Host, options *client.Options, zones *zonefailure.Interceptor, observers *zoneObservers) {
 	inbox := &coordinator.Inbox{}
-	observers.add(func(site int, lost bool) { inbox.Add(host.Name, site, lost, 0) })
-	observers.others = append(observers.others, func(w gossip.Report) { inbox.Add(w.Peer, w.Site, w.Lost, w.AgeMs) })
-	options.Jobs[returnDuty] = func() client.Job {
-		return &coordinator.Job{Inbox: inbox, Config: zonerecovery.DefaultConfig, Interval: paceEvery}
+	observers.addLocal(func(site int, lost bool) { inbox.Add(host.Name, site, lost, 0) })
+	observers.peers = append(observers.peers, func(r gossip.Report) { inbox.Add(r.Peer, r.Site, r.Lost, r.AgeMs) })
+	options.Jobs[zoneRecoveryRole] = func() client.Job {
+		return &coordinator.Job{Inbox: inbox, Config: zonerecovery.DefaultConfig, Interval: zoneRecoveryInterval}
 	}
-	options.WatchedRoles = []string{returnDuty}
-	options.OnProgress = func(list []replica.ProgressReport) {
-		for _, report := range list {
+	options.WatchedRoles = []string{zoneRecoveryRole}
+	options.OnProgress = func(reports []replica.ProgressReport) {
+		for _, report := range reports {
 			stages, err := zonerecovery.ParseStages(report.Progress)
-			if err != nil || report.Role != returnDuty {
+			if err != nil || report.Role != zoneRecoveryRole {
 				continue
 			}
-			// A full post loses it, as it is reported again.
+			// Post drops the stages if its queue is full; they are reported again.
 			host.Engine.Post(host.Loop.Notify, func() {
 				for _, stage := range stages {
 					zones.HandleRecoveryShare(stage.Site, stage.Share, report.AgeMs)
@@ -153,8 +164,8 @@
 	}
 }
 
-// unreachableFence is a receiver that can't be reached.
-type unreachableFence struct{ err error }
+// unreachableReceiver stands in for a receiver that could not be opened.
+type unreachableReceiver struct{ err error }
 
-// Apply takes nothing, and gives the error for which the receiver can't be reached.
-func (n unreachableFence) Apply(fence.Effect) (bool, error) { return false, n.err }
+// Apply applies nothing and returns the error with which the receiver could not be opened.
+func (r unreachableReceiver) Apply(fence.Effect) (bool, error) { return false, r.err }
--- a/internal/aggregator/extensions/ledger.go
+++ b/internal/aggregator/extensions/ledger.go
@@ -18,41 +18,42 @@
 	"kestrelspread/internal/transport"
 )
 
-// clocks are the system's and the loop's.
+// clocks gives the ledger's recorder the system's clock and the event loop's.
 type clocks struct{ loop *transport.Loop }
 
-// WallMs implements store.Clocks, by the system's clock.
+// WallMs implements store.Clocks; it returns the system's Unix time in milliseconds.
 func (c clocks) WallMs() int64 { return time.Now().UnixMilli() }
 
-// SteadyMs implements store.Clocks, by the loop's clock.
+// SteadyMs implements store.Clocks; it returns the loop's monotonic time in milliseconds.
 func (c clocks) SteadyMs() float64 { return c.loop.Now() }
 
-// Calendar is the one that the operator's file names.
-func Calendar(o *operator.Ledger) (*ledger.Calendar, error) {
-	zone, err := time.LoadLocation(o.Zone)
+// Calendar returns the calendar of accounting periods that the operator's file configures.
+func Calendar(settings *operator.Ledger) (*ledger.Calendar, error) {
+	zone, err := time.LoadLocation(settings.Zone)
 	if err != nil {
 		return nil, err
 	}
-	return &ledger.Calendar{Zone: zone, Unit: o.PeriodUnit, Hours: o.Hours, GraceMs: int64(o.GraceMs)}, nil
+	return &ledger.Calendar{Zone: zone, Unit: settings.PeriodUnit, Hours: settings.Hours, GraceMs: int64(settings.GraceMs)}, nil
 }
 
 const (
-	// faultPollInterval is how often the disk's fault is looked at, for the log.
+	// faultPollInterval is how often the disk is checked for a fault to log.
 	faultPollInterval = time.Second
-	// shutdownTimeout is how long the recorder and the background work may take to stop.
+	// shutdownTimeout is how long the recorder and the background work may each take to stop, and how
+	// long retention waits for the recorder.
 	shutdownTimeout = 2 * time.Second
 
-	// Background work takes at most 5% of a core and 2 MB a second from serving.
+	// The budget leaves the machine to serving: background work takes at most 5% of a core and 2 MiB/s.
 	backgroundTimeMsPerS = 50.
 	backgroundBytesPerS  = 2 << 20
-	backgroundBurstS     = 0.5
+	backgroundBurstS     = 0.5 // seconds of unused budget that may be saved up
 
 	retireIntervalMs = 60e3
-	maxRetired       = 2000 // entries at a time: recording waits for them
-	retiredBytes     = 200. // of an entry, read
+	maxRetired       = 2000 // entries retired at a time; recording waits meanwhile
+	retiredBytes     = 200. // bytes read for each entry retired
 )
 
-// ledgerService is the ledger of one aggregator: its store, the recorder of searches, and the
+// ledgerService is the usage ledger of one aggregator: its store, the recorder of searches, and the
 // background work that exports entries and retires old ones.
 type ledgerService struct {
 	host     *server.Host
@@ -61,14 +62,14 @@
 	store    *store.Store
 	recorder *store.Recorder
 	sinks    map[string]sink.Sink // by name
-	work     *runner.Runner       // nil: nothing is exported or retired
-	quit     chan struct{}        // ends watchDisk
+	work     *runner.Runner       // nil if nothing is exported or retired
+	quit     chan struct{}        // closed to end watchDisk
 }
 
-// startLedger opens the ledger and has the engine report each search to it. The aggregator does not
-// start on a ledger that can't be proved: an operator is to look at it first. end stops it after the
-// loop.
-func startLedger(host *server.Host, settings *operator.Ledger) (end func(), err error) {
+// startLedger opens the ledger and has the engine report each search to it. An aggregator whose
+// ledger fails verification does not start: an operator has to examine the ledger first. stop closes
+// the ledger and is called once the event loop has ended.
+func startLedger(host *server.Host, settings *operator.Ledger) (stop func(), err error) {
 	l := &ledgerService{host: host, settings: settings, sinks: map[string]sink.Sink{}, quit: make(chan struct{})}
 	if err := l.open(); err != nil {
 		return nil, err
@@ -82,7 +83,7 @@
 	return l.close, nil
 }
 
-// open opens the store and starts recording.
+// open opens the store, verifies it, and starts recording.
 func (l *ledgerService) open() (err error) {
 	if l.calendar, err = Calendar(l.settings); err != nil {
 		return err
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// startExport starts the background work, if there is any.
+// startExport starts the background work, if an export or a retention is configured.
 func (l *ledgerService) startExport() error {
 	if l.settings.ExportDirectory != "" {
 		directory, err := sink.OpenDirectory(l.settings.ExportDirectory)
@@ -121,8 +122,8 @@
 		return nil
 	}
 	l.work = runner.New(background.Budget{TimeMsPerS: backgroundTimeMsPerS, BytesPerS: backgroundBytesPerS, BurstS: backgroundBurstS})
-	for name, to := range l.sinks {
-		exporter, err := sink.NewExporter(l.store, name, to, l.settings.BatchEntries, l.settings.ExportIntervalMs)
+	for name, target := range l.sinks {
+		exporter, err := sink.NewExporter(l.store, name, target, l.settings.BatchEntries, l.settings.ExportIntervalMs)
 		if err != nil {
 			return err
 		}
@@ -138,9 +139,10 @@
 	return nil
 }
 
-// retire removes entries that are older than the retention and exported everywhere. It gives the
-// bytes that it read, and after how many ms it is to be called again.
-func (l *ledgerService) retire() (bytes, again float64) {
+// retire removes entries that are older than the retention and that every sink has received, at most
+// maxRetired of them. It is a runner.Step: it returns the bytes that it read, and in how many
+// milliseconds it is due again.
+func (l *ledgerService) retire() (bytes, againMs float64) {
 	retired := 0
 	err := l.recorder.Exclusive(shutdownTimeout, func(s *store.Store) (err error) {
 		before := time.Now().UnixMilli() - int64(l.settings.RetentionMs)
@@ -156,7 +158,7 @@
 	return retiredBytes * float64(retired), retireIntervalMs
 }
 
-// watchDisk logs what is wrong with the disk, once each time that changes, until close.
+// watchDisk logs the disk's fault each time it changes, until quit is closed.
 func (l *ledgerService) watchDisk() {
 	ticker := time.NewTicker(faultPollInterval)
 	defer ticker.Stop()
@@ -178,7 +180,7 @@
 	}
 }
 
-// logFault logs a fault of the disk; empty: it has none any more.
+// logFault logs a fault of the disk, or that the disk has recovered if fault is empty.
 func (l *ledgerService) logFault(fault string) {
 	if fault == "" {
 		l.host.Log.Info().Msg("ledger is written again")
@@ -188,17 +190,18 @@
 	l.host.Log.Warn().Str("trouble", fault).Int("keys_waiting", keys).Msg("ledger is not written; uses wait")
 }
 
-// close stops the background work, then the recorder, then the store. Where one of the former stands
-// still with the disk, the rest is left as it is: what is durable stays so.
+// close stops the background work, then the recorder, then the store. If the background work or the
+// recorder does not stop in time because the disk hangs, what comes after it stays open; durable
+// entries are not affected.
 func (l *ledgerService) close() {
 	close(l.quit)
 	if l.work != nil && !l.work.Stop(shutdownTimeout) {
 		return
 	}
-	complete := l.recorder.Stop(shutdownTimeout)
+	stopped := l.recorder.Stop(shutdownTimeout)
 	_, uses := l.recorder.Pending()
-	l.host.Log.Info().Bool("whole", complete).Int64("uses", uses).Int64("durable", l.recorder.DurableSearches()).Msg("ledger is closed")
-	if complete {
+	l.host.Log.Info().Bool("whole", stopped).Int64("uses", uses).Int64("durable", l.recorder.DurableSearches()).Msg("ledger is closed")
+	if stopped {
 		l.store.Close()
 	}
 }
