--- a/internal/transport/connect.go
+++ b/internal/transport/connect.go
@@ -7,6 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// sockaddr converts an address to the form of the system calls.
 func sockaddr(addr netip.AddrPort) unix.Sockaddr {
 	if addr.Addr().Unmap().Is4() {
 		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().Unmap().As4()}
@@ -14,6 +15,8 @@
 	return &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 }
 
+// socket opens a non-blocking TCP socket and gives it a connection number. Beside an error the
+// connection is valid, but has no descriptor.
 func (l *Loop) socket(addr netip.AddrPort) (Conn, error) {
 	family := unix.AF_INET
 	if !addr.Addr().Unmap().Is4() {
@@ -26,7 +29,8 @@
 	return l.newConn(fd), nil
 }
 
-// Connect opens a connection; Opened or Closed follows in a later turn.
+// Connect starts to open a connection to an address. The handler's Opened or Closed follows in a
+// later turn.
 func (l *Loop) Connect(addr netip.AddrPort) Conn {
 	c, err := l.socket(addr)
 	if err == nil {
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens an address on which connections are taken, the next door from 0.
+// Listen starts accepting connections on an address. Listeners are numbered from 0 in the order of
+// these calls.
 func (l *Loop) Listen(addr netip.AddrPort) error {
 	c, err := l.socket(addr)
 	if err != nil {
@@ -24,31 +25,33 @@
 		l.Close(c)
 		return fmt.Errorf("listen: %w", err)
 	}
-	// When a search came must be known even if this process stood still meanwhile: its client waits
-	// from then on. Connections have this from their listener.
+	// The kernel timestamps what arrives, so that the arrival time of a search is known even if this
+	// process was stalled meanwhile: the client's wait starts at the arrival. Accepted connections
+	// inherit the option from their listener.
 	l.timestamped = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1) == nil
 	l.conns[c].listener, l.conns[c].open = true, true
-	l.conns[c].door = int8(len(l.listeners))
+	l.conns[c].listenerIndex = int8(len(l.listeners))
 	l.listeners, l.accepting = append(l.listeners, c), true
 	return l.setEvents(c, unix.EPOLL_CTL_ADD)
 }
 
-// Door tells by which address a connection came in, 0 for the first that was listened on.
-func (l *Loop) Door(c Conn) int { return int(l.conns[c].door) }
+// Door returns the number of the listener that accepted a connection.
+func (l *Loop) Door(c Conn) int { return int(l.conns[c].listenerIndex) }
 
-// Port tells the port that was taken.
-func (l *Loop) Port(door int) int {
-	at, _ := unix.Getsockname(l.conns[l.listeners[door]].descriptor)
-	switch at := at.(type) {
+// Port returns the TCP port of a listener that is open, as the system chose it if Listen was called
+// with port 0.
+func (l *Loop) Port(listener int) int {
+	local, _ := unix.Getsockname(l.conns[l.listeners[listener]].descriptor)
+	switch local := local.(type) {
 	case *unix.SockaddrInet4:
-		return at.Port
+		return local.Port
 	case *unix.SockaddrInet6:
-		return at.Port
+		return local.Port
 	}
 	return 0
 }
 
-// Accept switches the taking of connections on or off.
+// Accept switches the accepting of connections on or off, for all listeners.
 func (l *Loop) Accept(on bool) {
 	if l.accepting == on {
 		return
@@ -61,17 +64,18 @@
 	}
 }
 
-// accept takes connections and tells whether there may be more.
-func (l *Loop) accept(at Conn) (more bool) {
+// accept accepts up to maxAcceptsPerTurn connections of a listener and reports whether more may be
+// waiting.
+func (l *Loop) accept(listener Conn) (more bool) {
 	for range maxAcceptsPerTurn {
-		fd, _, err := unix.Accept4(l.conns[at].descriptor, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		fd, _, err := unix.Accept4(l.conns[listener].descriptor, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
 		case unix.EAGAIN:
 			return false
 		case unix.EINTR, unix.ECONNABORTED:
 			continue
-		default: // out of descriptors or memory: asking again at once would spin
+		default: // out of descriptors or memory: retrying at once would be a busy loop
 			l.Accept(false)
 			l.handler.AcceptFailed()
 			return false
@@ -79,7 +83,7 @@
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		c := l.newConn(fd)
 		conn := &l.conns[c]
-		conn.open, conn.accepted, conn.timestamped, conn.door = true, true, l.timestamped, l.conns[at].door
+		conn.open, conn.accepted, conn.timestamped, conn.listenerIndex = true, true, l.timestamped, l.conns[listener].listenerIndex
 		if err := l.setEvents(c, unix.EPOLL_CTL_ADD); err != nil {
 			l.Close(c)
 			continue
@@ -91,12 +95,12 @@
 	return true
 }
 
-// Unlisten takes what has connected already and closes the addresses. False: for want of a
-// descriptor some could not be taken. Closing their address would end them without a word, so it
-// stays open, and is to be closed by another call.
+// Unlisten accepts the connections that are already established and closes all listeners. It
+// returns false if some could not be accepted, for lack of descriptors or memory. Closing their
+// listener would reset them, so it stays open, and the caller has to call Unlisten again.
 func (l *Loop) Unlisten() (closed bool) {
 	closed = true
-	for door, c := range l.listeners {
+	for index, c := range l.listeners {
 		if c == noConn {
 			continue
 		}
@@ -107,23 +111,22 @@
 			closed = false
 			continue
 		}
-		if l.beforeUnlisten != nil {
-			l.beforeUnlisten()
+		if l.beforeCloseListener != nil {
+			l.beforeCloseListener()
 		}
-		l.listeners[door] = noConn
+		l.listeners[index] = noConn
 		l.Close(c)
 	}
 	return closed
 }
 
-// dropConnects keeps further connections from coming up at an address. One that came up after the
-// last was taken and before the address is closed would be reset, and with it a request that its
-// client believes to be on its way. Barred, its client asks the system for the connection again,
-// and is refused as by any address that is closed. It has the system drop what asks for a
-// connection (SYN without ACK, in the byte of flags at 13 of TCP's header); where it is not
-// allowed, the gap stays.
+// dropConnects keeps further connections from being established with a listener. Closing a listener
+// resets a connection that was established after the last accept and before the close, and with it
+// a request that its client believes to have been sent. dropConnects attaches a socket filter that
+// drops packets with SYN and without ACK; the client's system then sends its SYN again, and is
+// refused as by any closed address. If the process may not attach a filter, that gap remains.
 func (l *Loop) dropConnects(c Conn) {
-	const flags, syn, synAck = 13, 0x02, 0x12
+	const flags, syn, synAck = 13, 0x02, 0x12 // offset of the flags in the TCP header; bits of the flags
 	program := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flags},
 		{Code: unix.BPF_ALU | unix.BPF_AND | unix.BPF_K, K: synAck},
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -1,10 +1,14 @@
-// Package transport moves bytes: one loop over epoll, a timer finer than a millisecond, and a pool
-// of buffers of one size. It performs what it is asked for and reports what happened to a Handler;
-// it knows no message.
+// Package transport sends and receives bytes over TCP: an event loop over epoll, a timer with a
+// resolution below a millisecond, and a pool of buffers of one size. It reports events to a Handler,
+// and knows nothing of the messages in the bytes.
 //
-// Invariants: one goroutine runs the loop and calls the handler, and only Notify may be called from
-// others; bytes are written in their order; a connection's number is not used again before the next
-// turn; a panic of the handler ends an event, not the process.
+// The loop runs in turns: each waits for events, calls the handler for each of them, and then sends
+// what the handler has written.
+//
+// Invariants: one goroutine runs the loop and calls the handler, and other goroutines may only
+// call Notify and read the clock; bytes are sent in the order in which they were written; the number of a closed
+// connection is not reused before the next turn; a panic of the handler ends the handling of one
+// event, not the process.
 package transport
 
 import (
@@ -19,97 +23,109 @@
 	"kestrelspread/internal/invariant"
 )
 
-// Conn names a connection until it is closed, by either side; after that, from the next turn on,
-// another one may have its number.
+// Conn is the number of a connection until either side closes it. From the next turn on, a new
+// connection may have the same number.
 type Conn int32
 
-// Handler is notified of events, all of a turn between Begin and End. Times are milliseconds of Now.
+// Handler receives the events of a loop. All events of a turn come between its Begin and its End.
+// Times are in milliseconds of Loop.Now. Offsets count the bytes written to a connection since it
+// was opened.
 type Handler interface {
-	// Begin begins a turn.
+	// Begin starts a turn at time now.
 	Begin(now float64)
-	// Accepted: a client has connected.
+	// Accepted reports that a client has connected.
 	Accepted(c Conn)
-	// AcceptFailed: no descriptor was left for a client, and accepting is off from here on.
+	// AcceptFailed reports that no descriptor or memory was left to accept a client. Accepting is off
+	// until Loop.Accept switches it on again.
 	AcceptFailed()
-	// Opened: a connection that was asked for is up.
+	// Opened reports that a connection started by Connect is established.
 	Opened(c Conn)
-	// Bytes came at a time by the system's stamp; none: more came after Finish, and was discarded.
-	Bytes(c Conn, b []byte, came float64)
-	// Written: the system has taken what was written up to an offset.
+	// Bytes reports that b was received on a connection; b is valid during the call. receivedAt is
+	// the kernel's time of arrival where it timestamps, else the time of the turn. A nil b reports
+	// that bytes were received after Finish and discarded.
+	Bytes(c Conn, b []byte, receivedAt float64)
+	// Written reports that the system has accepted all bytes before offset upTo for sending.
 	Written(c Conn, upTo int64)
-	// Closed: by the other side, or for want of a connection; what was written from upTo on never
-	// left.
+	// Closed reports that a connection failed to open, failed, or was closed by the other side. Bytes
+	// from offset upTo on were never handed to the system.
 	Closed(c Conn, upTo int64)
-	// Notified of something by another goroutine.
+	// Notified reports a call of Notify with the same number.
 	Notified(what int32)
-	// Panicked: handling an event of a connection (or of none, below 0) panicked.
+	// Panicked reports that the handling of an event panicked with the value what. c is the event's
+	// connection, or negative if the event has none.
 	Panicked(c Conn, what any, stack []byte)
-	// End ends a turn. again: something waits for a turn that nothing else will bring.
+	// End ends a turn. If it returns true, the next turn begins at once, without waiting for events.
 	End() (again bool)
 }
 
 const (
+	// Negative numbers take the place of a connection's: none, and the loop's own descriptors in epoll.
 	noConn      Conn = -1
 	timerEvent  Conn = -2
 	notifyEvent Conn = -3
 
-	maxAcceptsPerTurn = 64      // in one turn: those connected are served in between
-	maxReadsAtEnd     = 64      // reads in one turn, where the other side has ended
-	maxDiscard        = 1 << 20 // bytes of what nobody reads, at a time
-	backlog           = 1024    // connections that the system keeps until they are accepted
-	eventsPerTurn     = 256
-	// clockZero lets times before the start stay above 0.
+	maxAcceptsPerTurn = 64      // so that established connections are served in between
+	maxReadsAtEnd     = 64      // reads per turn of a connection whose other side has closed
+	maxDiscard        = 1 << 20 // bytes discarded by one read of a finishing connection
+	backlog           = 1024    // connections that the system queues until they are accepted
+	eventsPerTurn     = 256     // taken from epoll
+	// clockZero is Now at the start of the loop, in milliseconds: a day, so that times before the
+	// start are positive as well.
 	clockZero = 24 * 3600 * 1000.
+	// controlBufferSize has room in bytes for the control messages of one read, of which the
+	// timestamp is one.
+	controlBufferSize = 64
 )
 
-// connState is what the loop keeps of one connection.
+// connState is the state of one connection or listener.
 type connState struct {
-	descriptor   int
-	inUse        bool
-	accepted     bool
-	open         bool // or still connecting
-	listener     bool
-	door         int8 // which address it came in by, or is
-	timestamped  bool
-	readingOff   bool
-	blocked      bool // waits until the other side takes more
-	flushPending bool
-	progressed   bool
-	finishing    bool // writes out what is queued, ends its side and discards what comes
-	writeClosed  bool
-	failed       bool
-	written      int64
-	output       [][]byte
-	outputOffset int
+	descriptor    int  // -1: none
+	inUse         bool // its number has not been freed
+	accepted      bool // came in at a listener
+	open          bool // false: still connecting
+	listener      bool
+	listenerIndex int8 // number of the listener that it is or was accepted by
+	timestamped   bool // the kernel reports when bytes arrived
+	readingOff    bool
+	blocked       bool     // has output that the system's socket buffer has no room for
+	flushPending  bool     // in Loop.flushPending
+	progressed    bool     // in Loop.progressed
+	finishing     bool     // sends what is queued, then closes its side; discards what it receives
+	writeClosed   bool     // its side is closed
+	failed        bool     // in Loop.failed
+	written       int64    // offset up to which the system has accepted bytes
+	output        [][]byte // buffers of the pool, not yet accepted by the system
+	outputOffset  int      // bytes of the first buffer of output that the system has accepted
 }
 
-// Loop is the one loop. Only Tell may be called from elsewhere.
+// Loop is an event loop. Its methods may be called only from the handler or before Run, except for
+// Notify, and for Now and Epoch, which read nothing that changes.
 type Loop struct {
-	notifications            atomic.Uint32 // not yet read, by bit
-	epoll, timerfd, eventfd  int
+	notifications            atomic.Uint32 // bit set of the notifications not yet delivered
+	epoll, timerfd, eventfd  int           // descriptors
 	handler                  Handler
 	pool                     *Pool
-	conns                    []connState
-	free, freed              []Conn
-	flushPending, progressed []Conn
-	failed                   []Conn
-	spareLists               [2][]Conn
-	listeners                []Conn // by door; none where it is closed
+	conns                    []connState // by Conn
+	free, freed              []Conn      // numbers that may be reused; those that may from the next turn on
+	flushPending, progressed []Conn      // to be flushed in this turn; for which Written is due in the next turn
+	failed                   []Conn      // for which Closed is due in the next turn
+	spareLists               [2][]Conn   // of failed and progressed, reused in alternate turns
+	listeners                []Conn      // by number; noConn where closed
 	accepting, timestamped   bool
-	armedAt                  float64
+	armedAt                  float64 // when the timer expires; 0: unarmed
 	start                    time.Time
-	now                      float64
-	scratch, oob             []byte
+	now                      float64 // time of this turn
+	readBuffer, oob          []byte  // of one read: its bytes and its control messages
 	stopped                  bool
-	beforeUnlisten           func() // for tests: between the last connection that is taken and the closing of its address
-	Received, Sent           int64
-	Turns                    int64
-	Sockets                  int // open now, the listeners among them
+	beforeCloseListener      func() // for tests: called between the last accept of a listener and its closing
+	Received, Sent           int64  // bytes since the start
+	Turns                    int64  // since the start
+	Sockets                  int    // open sockets, including listeners
 }
 
-// New makes a loop with an epoll instance and a timer of its own; buffers come from the pool.
+// New returns a loop that takes its output buffers from pool. One read takes at most pool.Size bytes.
 func New(pool *Pool) (*Loop, error) {
-	l := &Loop{pool: pool, start: time.Now(), scratch: make([]byte, pool.Size), oob: make([]byte, 64)}
+	l := &Loop{pool: pool, start: time.Now(), readBuffer: make([]byte, pool.Size), oob: make([]byte, controlBufferSize)}
 	var err error
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -129,21 +145,22 @@
 	return l, nil
 }
 
-// Now reads the clock, which never goes back.
+// Now returns the time in milliseconds of a monotonic clock.
 func (l *Loop) Now() float64 { return clockZero + float64(time.Since(l.start))/1e6 }
 
-// Epoch is the Unix time in milliseconds at which Now was 0.
+// Epoch returns the Unix time in milliseconds at which Now would have been 0.
 func (l *Loop) Epoch() float64 { return float64(l.start.UnixNano())/1e6 - clockZero }
 
-// Notify brings a notification from another goroutine into the loop. Repeated before it is read, it
-// is one. The notifications stand apart from the wake-up: an eventfd adds up what is written to it,
-// and two equal ones there made a third.
+// Notify has the loop call the handler's Notified with what, a number from 0 to 31. It may be called
+// from any goroutine. Equal notifications are delivered once if they come before the loop reads the
+// first. The numbers are kept in a bit set and the eventfd only wakes the loop, because an eventfd
+// adds up the values written to it: two equal numbers would read as another one.
 func (l *Loop) Notify(what int32) {
 	l.notifications.Or(1 << uint(what))
 	unix.Write(l.eventfd, binary.NativeEndian.AppendUint64(nil, 1))
 }
 
-// Arm has a turn come at a time.
+// Arm sets the timer so that a turn begins at a time, in place of the time set before.
 func (l *Loop) Arm(at float64) {
 	if at == l.armedAt {
 		return
@@ -153,10 +170,10 @@
 	unix.TimerfdSettime(l.timerfd, 0, &unix.ItimerSpec{Value: unix.NsecToTimespec(int64(in))}, nil)
 }
 
-// Stop ends Run after this turn.
+// Stop has Run return after this turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run turns until Stop.
+// Run runs the loop with a handler until Stop is called or epoll fails.
 func (l *Loop) Run(h Handler) error {
 	l.handler = h
 	events := make([]unix.EpollEvent, eventsPerTurn)
@@ -171,15 +188,15 @@
 		l.Turns++
 		l.now = l.Now()
 		l.begin()
-		failed, progress := l.failed, l.progressed
+		failed, progressed := l.failed, l.progressed
 		l.failed, l.progressed = l.spareLists[0][:0], l.spareLists[1][:0]
-		l.spareLists = [2][]Conn{failed, progress}
+		l.spareLists = [2][]Conn{failed, progressed}
 		for _, c := range failed {
 			if l.conns[c].failed {
 				l.handle(c, eventFailed)
 			}
 		}
-		for _, c := range progress {
+		for _, c := range progressed {
 			if l.conns[c].progressed {
 				l.handle(c, eventWritten)
 			}
@@ -206,29 +223,33 @@
 	return nil
 }
 
-// Events of the loop's own, where epoll's would be.
+// Events that the loop itself passes to handle, in place of epoll's.
 const (
 	eventFailed  = 0
 	eventWritten = 1 << 31
 )
 
-// begin and end keep a failure of the handler from ending the process.
+// begin calls the handler's Begin and recovers from its panic.
 func (l *Loop) begin() {
 	defer l.recoverPanic(noConn)
 	l.handler.Begin(l.now)
 }
 
+// end calls the handler's End and recovers from its panic.
 func (l *Loop) end() (again bool) {
 	defer l.recoverPanic(noConn)
 	return l.handler.End()
 }
 
+// recoverPanic, when deferred, recovers from a panic and reports it to the handler.
 func (l *Loop) recoverPanic(c Conn) {
 	if what := recover(); what != nil {
 		l.handler.Panicked(c, what, debug.Stack())
 	}
 }
 
+// handle handles one event: of epoll, of the loop's own descriptors, or one of eventFailed and
+// eventWritten.
 func (l *Loop) handle(c Conn, events uint32) {
 	defer l.recoverPanic(c)
 	switch {
@@ -238,7 +259,7 @@
 		l.armedAt = 0
 	case c == notifyEvent:
 		var word [8]byte
-		unix.Read(l.eventfd, word[:]) // before the notifications: one that comes in between wakes again
+		unix.Read(l.eventfd, word[:]) // read before the bit set: a notification in between wakes the loop again
 		for what, bits := int32(0), l.notifications.Swap(0); bits != 0; what, bits = what+1, bits>>1 {
 			if bits&1 != 0 {
 				l.handler.Notified(what)
@@ -256,7 +277,7 @@
 	}
 }
 
-// newConn gives a descriptor its number.
+// newConn gives a descriptor a connection number. fd is -1 if no socket could be opened.
 func (l *Loop) newConn(fd int) Conn {
 	c := Conn(len(l.conns))
 	if n := len(l.free); n > 0 {
@@ -271,6 +292,8 @@
 	return c
 }
 
+// setEvents has epoll report the events that a connection needs in its present state. op is
+// EPOLL_CTL_ADD or EPOLL_CTL_MOD.
 func (l *Loop) setEvents(c Conn, op int) error {
 	conn := &l.conns[c]
 	events := uint32(unix.EPOLLRDHUP)
@@ -290,6 +313,7 @@
 	return unix.EpollCtl(l.epoll, op, conn.descriptor, &unix.EpollEvent{Events: events, Fd: int32(c)})
 }
 
+// fail marks a connection as failed; the handler's Closed follows in the next turn.
 func (l *Loop) fail(c Conn) {
 	if conn := &l.conns[c]; !conn.failed {
 		conn.failed = true
@@ -297,7 +321,8 @@
 	}
 }
 
-// Close drops a connection with all that waits on it.
+// Close closes a connection at once and discards its queued output. The handler's Closed does not
+// follow.
 func (l *Loop) Close(c Conn) {
 	conn := &l.conns[c]
 	invariant.Check(conn.inUse, "a connection is closed once")
@@ -315,6 +340,7 @@
 	l.freed = append(l.freed, c)
 }
 
+// closed closes a connection that has ended or failed, and reports it to the handler.
 func (l *Loop) closed(c Conn) {
 	upTo := l.conns[c].written
 	l.Close(c)
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -4,15 +4,16 @@
 	"kestrelspread/internal/invariant"
 )
 
-// Pool keeps buffers of one size that are used again; no more than Most are ever out at once, and
-// no more than an eighth of them lie ready: what one bad second took must not stay taken.
+// Pool keeps buffers of one size for reuse. At most Max are in use at once. At most an eighth of
+// that number (at least one) is kept for reuse, so that the memory of a short peak is freed.
 type Pool struct {
-	Size, Max   int
+	Size        int // capacity of each buffer, bytes
+	Max         int // buffers
 	free        [][]byte
-	inUse, peak int
+	inUse, peak int // buffers
 }
 
-// Get gives an empty buffer, or nil where all are out.
+// Get returns an empty buffer, or nil if Max buffers are in use.
 func (p *Pool) Get() []byte {
 	if p.inUse >= p.Max {
 		return nil
@@ -27,17 +28,17 @@
 	return make([]byte, 0, p.Size)
 }
 
-// Put takes a buffer back.
+// Put returns a buffer to the pool. The caller must not use it any more.
 func (p *Pool) Put(b []byte) {
-	invariant.Check(cap(b) == p.Size && p.inUse > 0, "a buffer comes back whole and once")
+	invariant.Check(cap(b) == p.Size && p.inUse > 0, "a buffer is returned to the pool once, with its full capacity")
 	p.inUse--
 	if len(p.free) < max(p.Max/8, 1) {
 		p.free = append(p.free, b[:0])
 	}
 }
 
-// InUse is how many buffers are out now.
+// InUse returns the number of buffers in use.
 func (p *Pool) InUse() int { return p.inUse }
 
-// Peak is how many buffers were out at once at the most.
+// Peak returns the largest number of buffers that were in use at once.
 func (p *Pool) Peak() int { return p.peak }
--- a/internal/transport/rare_test.go
+++ b/internal/transport/rare_test.go
@@ -12,229 +12,241 @@
 	"golang.org/x/sys/unix"
 )
 
-// ended waits until the other side's end has come in on a connection: only then is the order of a test the one it is about.
-func ended(t *testing.T, l *Loop, c Conn) {
+// waitForPeerClose waits until a connection has received the close of the other side, so that the loop
+// finds it together with the bytes before it.
+func waitForPeerClose(t *testing.T, loop *Loop, c Conn) {
 	t.Helper()
-	fds := []unix.PollFd{{Fd: int32(l.conns[c].descriptor), Events: unix.POLLRDHUP}}
+	fds := []unix.PollFd{{Fd: int32(loop.conns[c].descriptor), Events: unix.POLLRDHUP}}
 	for {
 		n, err := unix.Poll(fds, 10000)
 		if err == unix.EINTR {
 			continue
 		}
 		if n != 1 || err != nil {
-			t.Fatal("the other side has not ended: ", n, err)
+			t.Fatalf("no close of the other side within 10 s: poll returned %d, %v", n, err)
 		}
 		return
 	}
 }
 
-func TestWordsToldTwiceStayWhatTheyAre(t *testing.T) {
-	s, _ := start(t)
-	var words []int32
-	s.told = func(what int32) {
-		if words = append(words, what); what == 4 {
-			s.l.Stop()
+// TestRepeatedNotificationsAreDeliveredOnce: notifications repeated before the loop reads any arrive
+// once each, and don't add up to another one, as numbers in an eventfd did.
+func TestRepeatedNotificationsAreDeliveredOnce(t *testing.T) {
+	h, _ := start(t)
+	var received []int32
+	h.notified = func(what int32) {
+		if received = append(received, what); what == 4 {
+			h.loop.Stop()
 		}
 	}
 	turns := 0
-	s.turn = func() {
-		if turns++; turns == 1 { // all of them before the loop reads any
+	h.endTurn = func() {
+		if turns++; turns == 1 { // all before the loop reads any
 			for _, what := range []int32{0, 0, 2, 2, 4, 0} {
-				s.l.Notify(what)
+				h.loop.Notify(what)
 			}
 		}
 	}
-	if err := s.l.Run(s); err != nil || !slices.Equal(words, []int32{0, 2, 4}) {
-		t.Error(err, words, "were read, told were 0, 2 and 4")
+	if err := h.loop.Run(h); err != nil || !slices.Equal(received, []int32{0, 2, 4}) {
+		t.Errorf("error %v, notifications %v, want 0, 2 and 4", err, received)
 	}
 }
 
-func TestWhoHasGoneIsToldOfInTheTurnThatReadsWhatItSaid(t *testing.T) {
+// TestCloseIsReportedInTurnOfLastRead: the end of a connection is reported in the turn that reads the
+// bytes before it, so that no request is started for a client that has gone.
+func TestCloseIsReportedInTurnOfLastRead(t *testing.T) {
 	for _, test := range []struct {
-		says   int
-		enough bool // its reader has enough after the first read
+		bytesSent   int
+		stopReading bool // the handler stops reading after the first read
 	}{{7, false}, {5 << 10, true}} {
-		s, at := start(t)
-		c := dial(t, at)
-		c.Write(bytes.Repeat([]byte("x"), test.says))
+		h, address := start(t)
+		c := dial(t, address)
+		c.Write(bytes.Repeat([]byte("x"), test.bytesSent))
 		c.Close()
 		turn, read := 0, 0
-		s.took = func(c Conn) { ended(t, s.l, c) }
-		s.turn = func() { turn++ }
-		s.bytes = func(c Conn, _ []byte, _ float64) {
-			if read = turn; test.enough {
-				s.l.Reading(c, false)
+		h.accepted = func(c Conn) { waitForPeerClose(t, h.loop, c) }
+		h.endTurn = func() { turn++ }
+		h.bytes = func(c Conn, _ []byte, _ float64) {
+			if read = turn; test.stopReading {
+				h.loop.Reading(c, false)
 			}
 		}
-		s.closed = func(Conn, int64) {
+		h.closed = func(Conn, int64) {
 			if read == 0 || turn != read {
-				t.Errorf("%d bytes: read in turn %d, the end told in turn %d", test.says, read, turn)
+				t.Errorf("%d bytes: read in turn %d, end reported in turn %d, want the same turn", test.bytesSent, read, turn)
 			}
-			s.l.Stop()
+			h.loop.Stop()
 		}
-		if err := s.l.Run(s); err != nil {
+		if err := h.loop.Run(h); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func TestWhoHasEndedItsSideAloneStillHasItsAnswer(t *testing.T) {
-	s, at := start(t)
-	c := dial(t, at)
+func TestAnswerReachesClientThatClosedItsSide(t *testing.T) {
+	h, address := start(t)
+	c := dial(t, address)
 	c.Write([]byte("ready?"))
 	c.(*net.TCPConn).CloseWrite()
-	s.took = func(c Conn) { ended(t, s.l, c) }
-	s.bytes = func(c Conn, _ []byte, _ float64) { s.l.Write(c, []byte("yes")) }
-	s.closed = func(Conn, int64) { s.l.Stop() }
-	if err := s.l.Run(s); err != nil {
+	h.accepted = func(c Conn) { waitForPeerClose(t, h.loop, c) }
+	h.bytes = func(c Conn, _ []byte, _ float64) { h.loop.Write(c, []byte("yes")) }
+	h.closed = func(Conn, int64) { h.loop.Stop() }
+	if err := h.loop.Run(h); err != nil {
 		t.Fatal(err)
 	}
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	if got, err := io.ReadAll(c); err != nil || string(got) != "yes" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("answer %q, error %v, want \"yes\"", got, err)
 	}
 }
 
-func TestWhatTheNetworkHasNotBegunIsTakenBack(t *testing.T) {
-	l, err := New(&Pool{Size: 64 << 10, Max: 400})
+// TestRetract removes bytes that the system has not accepted yet, and is refused for those that it
+// has: what arrives in the end must be all bytes but the retracted ones.
+func TestRetract(t *testing.T) {
+	loop, err := New(&Pool{Size: 64 << 10, Max: 400})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	if err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		t.Fatal(err)
 	}
-	s := &steps{l: l, opened: func(Conn) {}}
-	c := dial(t, netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(l.Port(0))).String())
-	taken := Conn(-1)
-	asked := int64(0)
-	put := func(b []byte) { asked += int64(len(b)); l.Write(taken, b) }
-	s.took = func(c Conn) { taken = c }
+	h := &testHandler{loop: loop, opened: func(Conn) {}}
+	c := dial(t, netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(loop.Port(0))).String())
+	accepted := Conn(-1)
+	offset := int64(0) // of the next byte written
+	write := func(b []byte) { offset += int64(len(b)); loop.Write(accepted, b) }
+	h.accepted = func(c Conn) { accepted = c }
 	turns := 0
-	s.turn = func() {
-		if taken < 0 {
+	h.endTurn = func() {
+		if accepted < 0 {
 			return
 		}
 		switch turns++; turns {
-		case 1: // far more than the sockets hold: from here on the network takes nothing, as nobody reads
-			put(bytes.Repeat([]byte("a"), 16<<20))
-			l.Arm(l.Now() + 1)
+		case 1: // far more than the socket buffers hold: the system accepts nothing more, as nobody reads
+			write(bytes.Repeat([]byte("a"), 16<<20))
+			loop.Arm(loop.Now() + 1)
 		case 2:
-			if !l.conns[taken].blocked {
-				t.Fatal("the network has taken all")
+			if !loop.conns[accepted].blocked {
+				t.Fatal("the system has accepted all 16 MiB")
 			}
-			if l.Retract(taken, l.conns[taken].written-1) {
-				t.Error("what was begun is said to be taken back")
+			if loop.Retract(accepted, loop.conns[accepted].written-1) {
+				t.Error("retracted a byte that the system had accepted")
 			}
-			from := asked
-			put(bytes.Repeat([]byte("b"), 100<<10)) // over two buffers
-			if !l.Retract(taken, from+5) || !l.Retract(taken, from) {
-				t.Error("what was not begun can't be taken back")
+			from := offset
+			write(bytes.Repeat([]byte("b"), 100<<10)) // in more than one buffer
+			if !loop.Retract(accepted, from+5) || !loop.Retract(accepted, from) {
+				t.Error("did not retract bytes that the system had not accepted")
 			}
-			asked = from
-			put([]byte("c"))
-			l.Finish(taken)
+			offset = from
+			write([]byte("c"))
+			loop.Finish(accepted)
 			go func() {
 				got, _ := io.ReadAll(c)
 				c.Close()
-				if int64(len(got)) != asked || bytes.IndexByte(got, 'b') >= 0 || got[len(got)-1] != 'c' {
-					t.Errorf("%d bytes arrived of %d, or some that were taken back", len(got), asked)
+				if int64(len(got)) != offset || bytes.IndexByte(got, 'b') >= 0 || got[len(got)-1] != 'c' {
+					t.Errorf("%d bytes arrived, want %d and none of the retracted ones", len(got), offset)
 				}
 			}()
 		}
 	}
-	s.bytes = func(Conn, []byte, float64) {}
-	s.closed = func(Conn, int64) { l.Stop() }
-	if err := l.Run(s); err != nil || l.pool.InUse() != 0 {
-		t.Fatal(err, l.pool.InUse())
+	h.bytes = func(Conn, []byte, float64) {}
+	h.closed = func(Conn, int64) { loop.Stop() }
+	if err := loop.Run(h); err != nil || loop.pool.InUse() != 0 {
+		t.Fatalf("error %v, %d buffers in use, want 0", err, loop.pool.InUse())
 	}
 }
 
-func TestAnAddressStaysOpenUntilAllThatHaveConnectedAreTaken(t *testing.T) {
-	s, at := start(t)
-	s.l.Accept(false)
-	c := dial(t, at)
-	took := 0
-	s.took = func(Conn) { took++ }
-	var was unix.Rlimit
-	unix.Getrlimit(unix.RLIMIT_NOFILE, &was)
-	s.turn = func() {
-		lowest, err := unix.Dup(s.l.epoll)
+// TestUnlistenKeepsListenerWithUnacceptedConnections: without a free descriptor an established
+// connection can't be accepted, and closing its listener would reset it. Unlisten must keep the
+// listener, and close it in a later call when the connection can be accepted.
+func TestUnlistenKeepsListenerWithUnacceptedConnections(t *testing.T) {
+	h, address := start(t)
+	h.loop.Accept(false)
+	c := dial(t, address)
+	accepted := 0
+	h.accepted = func(Conn) { accepted++ }
+	var original unix.Rlimit
+	unix.Getrlimit(unix.RLIMIT_NOFILE, &original)
+	h.endTurn = func() {
+		lowest, err := unix.Dup(h.loop.epoll)
 		if err != nil {
 			t.Fatal(err)
 		}
 		unix.Close(lowest)
-		none := was
-		none.Cur = uint64(lowest) // no further descriptor
-		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &none); err != nil {
+		exhausted := original
+		exhausted.Cur = uint64(lowest) // no further descriptor can be opened
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &exhausted); err != nil {
 			t.Fatal(err)
 		}
-		closed := s.l.Unlisten()
-		unix.Setrlimit(unix.RLIMIT_NOFILE, &was)
-		if closed || took != 0 {
-			t.Errorf("closed %v, %d taken without a descriptor", closed, took)
+		closed := h.loop.Unlisten()
+		unix.Setrlimit(unix.RLIMIT_NOFILE, &original)
+		if closed || accepted != 0 {
+			t.Errorf("without a descriptor: closed %v, %d connections accepted, want false and 0", closed, accepted)
 		}
-		if closed = s.l.Unlisten(); !closed || took != 1 {
-			t.Errorf("closed %v, %d taken of 1", closed, took)
+		if closed = h.loop.Unlisten(); !closed || accepted != 1 {
+			t.Errorf("with a descriptor: closed %v, %d connections accepted, want true and 1", closed, accepted)
 		}
-		s.l.Stop()
+		h.loop.Stop()
 	}
-	if err := s.l.Run(s); err != nil {
+	if err := h.loop.Run(h); err != nil {
 		t.Fatal(err)
 	}
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); err == nil || !err.(net.Error).Timeout() {
-		t.Error("the connection was ended: ", err)
+		t.Errorf("read: %v, want a timeout on an open connection", err)
 	}
 }
 
-// failing panics as its first turn begins.
-type failing struct {
-	*steps
-	begun int
+// panickingHandler panics in the Begin of its first turn.
+type panickingHandler struct {
+	*testHandler
+	turns int
 }
 
-func (f *failing) Begin(_ float64) {
-	if f.begun++; f.begun == 1 {
-		panic("a defect")
+func (p *panickingHandler) Begin(_ float64) {
+	if p.turns++; p.turns == 1 {
+		panic("Begin failed")
 	}
-	f.l.Stop()
+	p.loop.Stop()
 }
 
-func TestAFailureAsATurnBeginsEndsNoProcess(t *testing.T) {
-	s, _ := start(t)
-	f := &failing{steps: s}
-	s.turn = func() { s.l.Notify(0) }
-	s.told = func(int32) {}
-	if err := s.l.Run(f); err != nil || s.panics != 1 || f.begun < 2 {
-		t.Error(err, s.panics, f.begun)
+func TestPanicInBeginIsRecovered(t *testing.T) {
+	h, _ := start(t)
+	p := &panickingHandler{testHandler: h}
+	h.endTurn = func() { h.loop.Notify(0) }
+	h.notified = func(int32) {}
+	if err := h.loop.Run(p); err != nil || h.panics != 1 || p.turns < 2 {
+		t.Errorf("error %v, %d panics reported, %d turns; want 1 panic and a second turn", err, h.panics, p.turns)
 	}
 }
 
-func TestNobodyConnectsToAnAddressThatIsAboutToClose(t *testing.T) {
-	s, at := start(t)
+// TestNoConnectBetweenLastAcceptAndClose: a client that connects after the last accept and before the
+// listener closes must not be connected, as the close would reset it and its request.
+func TestNoConnectBetweenLastAcceptAndClose(t *testing.T) {
+	h, address := start(t)
 	var late net.Conn
 	var err error
-	asked := make(chan bool)
-	s.l.beforeUnlisten = func() { // a client comes just now, and believes to be connected, or not
-		late, err = net.DialTimeout("tcp", at, 300*time.Millisecond)
-		close(asked)
-	}
-	s.turn = func() {
-		if !s.l.Unlisten() {
-			t.Error("not closed")
+	dialled := make(chan bool)
+	h.loop.beforeCloseListener = func() {
+		late, err = net.DialTimeout("tcp", address, 300*time.Millisecond)
+		close(dialled)
+	}
+	h.endTurn = func() {
+		if !h.loop.Unlisten() {
+			t.Error("Unlisten did not close the listener")
 		}
-		s.l.Stop()
+		h.loop.Stop()
 	}
-	s.told = func(int32) {}
-	if err := s.l.Run(s); err != nil {
+	h.notified = func(int32) {}
+	if err := h.loop.Run(h); err != nil {
 		t.Fatal(err)
 	}
-	if <-asked; err == nil {
+	if <-dialled; err == nil {
 		late.SetDeadline(time.Now().Add(10 * time.Second))
 		_, err = late.Read(make([]byte, 1))
-		t.Error("it was connected to an address that closes, and then: ", err)
+		t.Errorf("a client was connected to a listener about to close; its read then returned: %v", err)
 	}
-	if _, err := net.DialTimeout("tcp", at, 10*time.Second); err == nil {
-		t.Error("the address is open")
+	if _, err := net.DialTimeout("tcp", address, 10*time.Second); err == nil {
+		t.Error("the address still accepts connections")
 	}
 }
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reading switches the reading of a connection on or off; its end is reported all the same.
+// Reading switches the reading of a connection on or off. Its end is reported even while reading is
+// off.
 func (l *Loop) Reading(c Conn, on bool) {
 	if conn := &l.conns[c]; conn.readingOff == on {
 		conn.readingOff = !on
@@ -15,6 +16,8 @@
 	}
 }
 
+// ready handles epoll's events of a connection: it completes a connect, sends queued output, reads,
+// or closes the connection.
 func (l *Loop) ready(c Conn, events uint32) {
 	conn := &l.conns[c]
 	if conn.descriptor < 0 || conn.failed {
@@ -48,15 +51,18 @@
 	}
 	switch {
 	case events&unix.EPOLLIN != 0 && !conn.readingOff:
-		// Who has ended already is read to the end in this turn. Else what it asked before it went
-		// would begin in this one, for nobody, and be found out in the next.
+		// A connection that the other side has closed is read to its end in this turn. Otherwise the
+		// handler would start on a request whose client has gone, and learn of the end only in the
+		// next turn.
 		for range maxReadsAtEnd {
 			l.read(c)
 			conn = &l.conns[c]
 			if events&unix.EPOLLRDHUP == 0 || conn.descriptor < 0 || conn.finishing || conn.failed {
 				return
 			}
-			if conn.readingOff { // it sent more than is kept, and has ended: nobody waits for what it asked first
+			// The handler has stopped reading before the end, as it has received enough for now. The
+			// other side has closed, so nobody waits for an answer.
+			if conn.readingOff {
 				l.closed(c)
 				return
 			}
@@ -66,13 +72,15 @@
 	}
 }
 
+// read reads once from a connection and reports the bytes or the end to the handler.
 func (l *Loop) read(c Conn) {
 	conn := &l.conns[c]
-	came := l.now
+	receivedAt := l.now
 	var n int
 	var err error
 	if conn.finishing {
-		// Without copying: who is being turned away may still be sending for long.
+		// Discard without copying: the client of a connection that is being closed may go on sending
+		// for a long time.
 		var word uintptr
 		var errno unix.Errno
 		if word, _, errno = unix.Syscall6(unix.SYS_RECVFROM, uintptr(conn.descriptor), 0, maxDiscard, unix.MSG_TRUNC, 0, 0); errno != 0 {
@@ -81,16 +89,16 @@
 		n = int(word)
 	} else if conn.timestamped {
 		var oobn int
-		n, oobn, _, _, err = unix.Recvmsg(conn.descriptor, l.scratch, l.oob, 0)
-		came = l.arrivalTime(l.oob[:oobn])
+		n, oobn, _, _, err = unix.Recvmsg(conn.descriptor, l.readBuffer, l.oob, 0)
+		receivedAt = l.arrivalTime(l.oob[:oobn])
 	} else {
-		n, err = unix.Read(conn.descriptor, l.scratch)
+		n, err = unix.Read(conn.descriptor, l.readBuffer)
 	}
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 	case err != nil || n <= 0:
 		if conn.accepted && err == nil {
-			l.flush(c) // it may have ended its side alone, and was answered in this turn
+			l.flush(c) // the other side may have closed only its own direction, and been answered in this turn
 		}
 		l.closed(c)
 	case conn.finishing:
@@ -98,20 +106,21 @@
 		l.handler.Bytes(c, nil, l.now)
 	default:
 		l.Received += int64(n)
-		l.handler.Bytes(c, l.scratch[:n], came)
+		l.handler.Bytes(c, l.readBuffer[:n], receivedAt)
 	}
 }
 
-// arrivalTime maps the kernel's time of arrival, which is by the wall clock, onto this loop's.
+// arrivalTime converts the kernel's time of arrival, which is in a control message and on the wall
+// clock, to the loop's clock. Without a timestamp it returns the time of the turn.
 func (l *Loop) arrivalTime(oob []byte) float64 {
-	const head = int(unsafe.Sizeof(unix.Cmsghdr{}))
-	if len(oob) < head+int(unsafe.Sizeof(unix.Timespec{})) {
+	const headerSize = int(unsafe.Sizeof(unix.Cmsghdr{}))
+	if len(oob) < headerSize+int(unsafe.Sizeof(unix.Timespec{})) {
 		return l.now
 	}
 	if h := (*unix.Cmsghdr)(unsafe.Pointer(&oob[0])); h.Level != unix.SOL_SOCKET || h.Type != unix.SO_TIMESTAMPNS {
 		return l.now
 	}
-	stamp := (*unix.Timespec)(unsafe.Pointer(&oob[head]))
+	stamp := (*unix.Timespec)(unsafe.Pointer(&oob[headerSize]))
 	lag := float64(time.Now().UnixNano()-stamp.Nano()) / 1e6
 	return min(l.Now()-max(lag, 0), l.now)
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -9,60 +9,62 @@
 	"time"
 )
 
-// steps is a handler whose events run what a test says.
-type steps struct {
-	l      *Loop
-	turn   func()
-	opened func(c Conn)
-	took   func(c Conn)
-	bytes  func(c Conn, b []byte, came float64)
-	closed func(c Conn, upTo int64)
-	upTo   int64
-	now    float64
-	panics int
-	told   func(what int32)
+// testHandler is a handler that calls a test's functions.
+type testHandler struct {
+	loop     *Loop
+	endTurn  func() // or nil
+	opened   func(c Conn)
+	accepted func(c Conn)
+	bytes    func(c Conn, b []byte, receivedAt float64)
+	closed   func(c Conn, upTo int64)
+	upTo     int64
+	now      float64
+	panics   int
+	notified func(what int32) // or nil: a notification stops the loop
 }
 
-func (s *steps) Begin(now float64)                    { s.now = now }
-func (s *steps) Accepted(c Conn)                      { s.took(c) }
-func (s *steps) AcceptFailed()                        {}
-func (s *steps) Opened(c Conn)                        { s.opened(c) }
-func (s *steps) Bytes(c Conn, b []byte, came float64) { s.bytes(c, b, came) }
-func (s *steps) Written(_ Conn, upTo int64)           { s.upTo = upTo }
-func (s *steps) Closed(c Conn, upTo int64)            { s.closed(c, upTo) }
-func (s *steps) Notified(what int32) {
-	if s.told != nil {
-		s.told(what)
+func (h *testHandler) Begin(now float64)                          { h.now = now }
+func (h *testHandler) Accepted(c Conn)                            { h.accepted(c) }
+func (h *testHandler) AcceptFailed()                              {}
+func (h *testHandler) Opened(c Conn)                              { h.opened(c) }
+func (h *testHandler) Bytes(c Conn, b []byte, receivedAt float64) { h.bytes(c, b, receivedAt) }
+func (h *testHandler) Written(_ Conn, upTo int64)                 { h.upTo = upTo }
+func (h *testHandler) Closed(c Conn, upTo int64)                  { h.closed(c, upTo) }
+func (h *testHandler) Notified(what int32) {
+	if h.notified != nil {
+		h.notified(what)
 		return
 	}
-	s.l.Stop()
+	h.loop.Stop()
 }
-func (s *steps) Panicked(Conn, any, []byte) { s.panics++ }
-func (s *steps) End() bool {
-	if s.turn != nil {
-		s.turn()
+func (h *testHandler) Panicked(Conn, any, []byte) { h.panics++ }
+func (h *testHandler) End() bool {
+	if h.endTurn != nil {
+		h.endTurn()
 	}
 	return false
 }
 
-func start(t *testing.T) (*steps, string) {
+// start returns a handler with a loop that listens on a loopback address, and that address.
+func start(t *testing.T) (*testHandler, string) {
 	t.Helper()
-	l, err := New(&Pool{Size: 1 << 10, Max: 4})
+	loop, err := New(&Pool{Size: 1 << 10, Max: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	if err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		t.Fatal(err)
 	}
-	s := &steps{l: l, took: func(Conn) {}, opened: func(Conn) {}, closed: func(Conn, int64) {},
+	h := &testHandler{loop: loop, accepted: func(Conn) {}, opened: func(Conn) {}, closed: func(Conn, int64) {},
 		bytes: func(Conn, []byte, float64) {}}
-	at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(l.Port(0)))
-	return s, at.String()
+	address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(loop.Port(0)))
+	return h, address.String()
 }
 
-func dial(t *testing.T, at string) net.Conn {
+// dial connects to an address until the end of the test.
+func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", at)
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,46 +72,50 @@
 	return c
 }
 
-func TestWhatCameDuringAStallIsAsOldAsItIs(t *testing.T) {
-	s, at := start(t)
-	c := dial(t, at)
+// TestArrivalTimeIsKnownAfterStall sends a byte and then blocks the loop for 60 ms before it reads:
+// the reported time must be that of the arrival, not of the read.
+func TestArrivalTimeIsKnownAfterStall(t *testing.T) {
+	h, address := start(t)
+	c := dial(t, address)
 	oldest := 0.0
 	stall := func() {
 		c.Write([]byte("x"))
 		time.Sleep(60 * time.Millisecond)
 	}
-	s.took = func(Conn) { stall() } // what is written now is read in a later turn
+	h.accepted = func(Conn) { stall() } // the byte written here is read in a later turn
 	tries := 0
-	s.bytes = func(_ Conn, _ []byte, at float64) {
-		oldest = max(oldest, s.l.Now()-at)
-		// The kernel begins to stamp a little after it was first asked to.
+	h.bytes = func(_ Conn, _ []byte, receivedAt float64) {
+		oldest = max(oldest, h.loop.Now()-receivedAt)
+		// The kernel starts to timestamp a little after the option was first set.
 		if tries++; oldest > 55 || tries == 50 {
-			s.l.Stop()
+			h.loop.Stop()
 			return
 		}
 		stall()
 	}
-	if err := s.l.Run(s); err != nil {
+	if err := h.loop.Run(h); err != nil {
 		t.Fatal(err)
 	}
 	if oldest < 55 {
-		t.Errorf("it came %v ms ago, want 60 at least", oldest)
+		t.Errorf("the oldest byte is reported as received %v ms ago, want about 60", oldest)
 	}
 }
 
+// TestFinishLosesNothing: an answer written before Finish arrives whole, although the client sends
+// more that is not read.
 func TestFinishLosesNothing(t *testing.T) {
-	s, at := start(t)
-	c := dial(t, at)
+	h, address := start(t)
+	c := dial(t, address)
 	answer := bytes.Repeat([]byte("0123456789abcdef"), 200) // more than the pool holds in one buffer
-	s.bytes = func(c Conn, _ []byte, _ float64) {
-		s.l.Write(c, answer)
-		s.l.Finish(c)
+	h.bytes = func(c Conn, _ []byte, _ float64) {
+		h.loop.Write(c, answer)
+		h.loop.Finish(c)
 	}
-	s.closed = func(Conn, int64) { s.l.Stop() }
+	h.closed = func(Conn, int64) { h.loop.Stop() }
 	c.Write([]byte("request"))
 	go func() {
 		time.Sleep(20 * time.Millisecond)
-		c.Write(bytes.Repeat([]byte("more that nobody reads"), 100))
+		c.Write(bytes.Repeat([]byte("more that is discarded"), 100))
 	}()
 	done := make(chan []byte)
 	go func() {
@@ -118,110 +124,116 @@
 		c.Close()
 		done <- got
 	}()
-	if err := s.l.Run(s); err != nil {
+	if err := h.loop.Run(h); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-done; !bytes.Equal(got, answer) {
-		t.Errorf("%d bytes arrived of %d", len(got), len(answer))
+		t.Errorf("%d bytes of the answer arrived, want all %d", len(got), len(answer))
 	}
-	if s.l.pool.InUse() != 0 {
-		t.Error("a buffer is out")
+	if h.loop.pool.InUse() != 0 {
+		t.Error(h.loop.pool.InUse(), "buffers in use, want 0")
 	}
 }
 
-func TestConnectsThatFailAreTold(t *testing.T) {
-	s, _ := start(t)
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+func TestFailedConnectIsReported(t *testing.T) {
+	h, _ := start(t)
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := netip.MustParseAddrPort(nobody.Addr().String())
-	nobody.Close()
-	begun := Conn(-1)
-	s.turn = func() {
-		if begun < 0 {
-			begun = s.l.Connect(at)
+	address := netip.MustParseAddrPort(unused.Addr().String())
+	unused.Close()
+	connecting := Conn(-1)
+	h.endTurn = func() {
+		if connecting < 0 {
+			connecting = h.loop.Connect(address)
 		}
 	}
-	s.closed = func(c Conn, upTo int64) {
-		if c != begun || upTo != 0 {
-			t.Error(c, upTo)
+	h.closed = func(c Conn, upTo int64) {
+		if c != connecting || upTo != 0 {
+			t.Errorf("connection %d closed after %d bytes, want connection %d after 0", c, upTo, connecting)
 		}
-		s.l.Stop()
+		h.loop.Stop()
 	}
-	if err := s.l.Run(s); err != nil || begun < 0 {
-		t.Fatal(err, begun)
+	if err := h.loop.Run(h); err != nil || connecting < 0 {
+		t.Fatal(err, connecting)
 	}
-	if s.l.Sockets != 1 {
-		t.Error(s.l.Sockets, "sockets, want the listener alone")
+	if h.loop.Sockets != 1 {
+		t.Error(h.loop.Sockets, "open sockets, want only the listener")
 	}
 }
 
-func TestAPanicEndsOneEvent(t *testing.T) {
-	s, at := start(t)
-	s.bytes = func(c Conn, b []byte, _ float64) {
+// TestPanicEndsOnlyItsEvent: a panic in the handling of one connection is reported, and another
+// connection is still served.
+func TestPanicEndsOnlyItsEvent(t *testing.T) {
+	h, address := start(t)
+	h.bytes = func(c Conn, b []byte, _ float64) {
 		if b[0] == '!' {
-			panic("a defect")
+			panic("handler failed")
 		}
-		s.l.Write(c, b)
+		h.loop.Write(c, b)
 	}
 	go func() {
-		bad, good := dial(t, at), dial(t, at)
+		bad, good := dial(t, address), dial(t, address)
 		bad.Write([]byte("!"))
 		good.Write([]byte("?"))
 		good.Read(make([]byte, 1))
-		s.l.Notify(1)
+		h.loop.Notify(1)
 	}()
-	if err := s.l.Run(s); err != nil || s.panics != 1 {
-		t.Error(err, s.panics)
+	if err := h.loop.Run(h); err != nil || h.panics != 1 {
+		t.Errorf("error %v, %d panics reported, want 1", err, h.panics)
 	}
 }
 
-func TestTheTimerIsFine(t *testing.T) {
-	s, _ := start(t)
-	at, turns := 0.0, 0
-	s.turn = func() {
+// TestTimerIsNotEarly: a turn that the timer starts does not begin before the time that was set, given
+// to a fraction of a millisecond.
+func TestTimerIsNotEarly(t *testing.T) {
+	h, _ := start(t)
+	due, turns := 0.0, 0
+	h.endTurn = func() {
 		if turns++; turns == 1 {
-			at = s.l.Now() + 2.5
-			s.l.Arm(at)
+			due = h.loop.Now() + 2.5
+			h.loop.Arm(due)
 		} else {
-			s.l.Stop()
+			h.loop.Stop()
 		}
 	}
-	if err := s.l.Run(s); err != nil || s.now < at {
-		t.Errorf("%v: armed for %.3f, a turn came at %.3f", err, at, s.now)
+	if err := h.loop.Run(h); err != nil || h.now < due {
+		t.Errorf("%v: timer set for %.3f ms, turn at %.3f ms", err, due, h.now)
 	}
 }
 
-func TestWithoutBuffersAConnectionEnds(t *testing.T) {
-	s, at := start(t)
-	c := dial(t, at)
+// TestConnectionWithoutBuffersIsClosed: a connection whose output does not fit in the pool is closed,
+// and its buffers are returned.
+func TestConnectionWithoutBuffersIsClosed(t *testing.T) {
+	h, address := start(t)
+	c := dial(t, address)
 	ended := false
-	s.bytes = func(c Conn, _ []byte, _ float64) { s.l.Write(c, make([]byte, 64<<20)) } // no socket takes so much
-	s.closed = func(Conn, int64) { ended = true; s.l.Stop() }
+	h.bytes = func(c Conn, _ []byte, _ float64) { h.loop.Write(c, make([]byte, 64<<20)) } // more than any socket buffer and the pool together
+	h.closed = func(Conn, int64) { ended = true; h.loop.Stop() }
 	c.Write([]byte("x"))
-	if err := s.l.Run(s); err != nil || !ended || s.l.pool.InUse() != 0 {
-		t.Error(err, ended, s.l.pool.InUse())
+	if err := h.loop.Run(h); err != nil || !ended || h.loop.pool.InUse() != 0 {
+		t.Errorf("error %v, closed %v, %d buffers in use; want closed and 0 buffers", err, ended, h.loop.pool.InUse())
 	}
 }
 
-func TestWhatHasConnectedIsTakenBeforeTheAddressCloses(t *testing.T) {
-	s, at := start(t)
-	s.l.Accept(false)
+func TestUnlistenAcceptsEstablishedConnections(t *testing.T) {
+	h, address := start(t)
+	h.loop.Accept(false)
 	for range 3 {
-		dial(t, at)
+		dial(t, address)
 	}
-	took := 0
-	s.took = func(Conn) { took++ }
-	s.turn = func() {
-		s.l.Unlisten()
-		s.l.Stop()
+	accepted := 0
+	h.accepted = func(Conn) { accepted++ }
+	h.endTurn = func() {
+		h.loop.Unlisten()
+		h.loop.Stop()
 	}
-	if err := s.l.Run(s); err != nil || took != 3 {
-		t.Errorf("%v: %d taken of 3", err, took)
+	if err := h.loop.Run(h); err != nil || accepted != 3 {
+		t.Errorf("%v: %d connections accepted, want 3", err, accepted)
 	}
-	if c, err := net.Dial("tcp", at); err == nil {
+	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Error("the address is open")
+		t.Error("the address still accepts connections")
 	}
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -6,10 +6,11 @@
 	"kestrelspread/internal/invariant"
 )
 
-// Write has bytes sent at the end of the turn.
+// Write queues a copy of b, which is sent at the end of the turn. If the pool has no buffer left for
+// it, the connection fails.
 func (l *Loop) Write(c Conn, b []byte) {
 	conn := &l.conns[c]
-	invariant.Check(conn.open && !conn.finishing, "only an open connection is written to")
+	invariant.Check(conn.open && !conn.finishing, "only an open connection that is not finishing is written to")
 	for len(b) > 0 && !conn.failed {
 		last := len(conn.output) - 1
 		if last < 0 || len(conn.output[last]) == cap(conn.output[last]) {
@@ -17,16 +18,16 @@
 			if buf == nil {
 				l.flush(c)
 				if buf = l.pool.Get(); buf == nil {
-					l.fail(c) // its output can't be kept: better one connection less than no memory
+					l.fail(c) // its output can't be queued: losing one connection is better than running out of memory
 					return
 				}
 			}
 			conn.output = append(conn.output, buf)
 			last = len(conn.output) - 1
 		}
-		at := len(conn.output[last])
-		n := copy(conn.output[last][at:cap(conn.output[last])], b)
-		conn.output[last] = conn.output[last][:at+n]
+		used := len(conn.output[last])
+		n := copy(conn.output[last][used:cap(conn.output[last])], b)
+		conn.output[last] = conn.output[last][:used+n]
 		b = b[n:]
 	}
 	if !conn.flushPending {
@@ -35,7 +36,8 @@
 	}
 }
 
-// Retract takes back what was written from an offset on, if the system has taken none of it.
+// Retract removes the bytes written from offset from on, if the system has accepted none of them. It
+// reports whether it did.
 func (l *Loop) Retract(c Conn, from int64) bool {
 	conn := &l.conns[c]
 	if !conn.open || conn.failed || conn.finishing || from < conn.written {
@@ -66,7 +68,7 @@
 	return true
 }
 
-// updateBlocked has epoll report free buffers only while output is queued.
+// updateBlocked has epoll report room in the system's socket buffer only while output is queued.
 func (l *Loop) updateBlocked(c Conn) {
 	conn := &l.conns[c]
 	if len(conn.output) == 0 {
@@ -78,8 +80,9 @@
 	}
 }
 
-// Finish writes out what is queued, ends this side, and closes once the other side has ended too:
-// closing with bytes unread would throw away what was written.
+// Finish sends what is queued, closes this side of the connection, and waits until the other side
+// has closed too; Closed follows. What is received until then is discarded. Closing at once, with
+// received bytes unread, would reset the connection and lose what was sent.
 func (l *Loop) Finish(c Conn) {
 	conn := &l.conns[c]
 	conn.finishing = true
@@ -93,13 +96,13 @@
 	}
 }
 
-// flush gives the system what it takes.
+// flush hands queued output to the system, as much as it accepts now.
 func (l *Loop) flush(c Conn) {
 	conn := &l.conns[c]
 	if conn.failed {
 		return
 	}
-	was := conn.written
+	before := conn.written
 	for len(conn.output) > 0 {
 		n, err := unix.Write(conn.descriptor, conn.output[0][conn.outputOffset:])
 		if err == unix.EINTR {
@@ -120,7 +123,7 @@
 		}
 	}
 	l.updateBlocked(c)
-	if conn.written != was && !conn.progressed {
+	if conn.written != before && !conn.progressed {
 		conn.progressed = true
 		l.progressed = append(l.progressed, c)
 	}
