--- a/internal/background/runner/runner.go
+++ b/internal/background/runner/runner.go
@@ -1,4 +1,5 @@
-// Package runner runs background work in one goroutine, as package background's scheduler says.
+// Package runner runs background work in one goroutine, in the order and at the times that the scheduler of package background
+// chooses.
 package runner
 
 import (
@@ -9,21 +10,21 @@
 	"kestrelspread/internal/background"
 )
 
-// Step does a short piece of work. It returns the bytes that it read and wrote, and in how many ms it wants to run again: 0 at
-// once, +Inf once woken.
+// Step does a short piece of work. It returns the number of bytes that it read and wrote, and in how many milliseconds it is due
+// again: 0 for at once, +Inf for not before its task is woken.
 type Step func() (bytes, againMs float64)
 
-// Runner is the goroutine and its tasks.
+// Runner runs the steps of background tasks in one goroutine.
 type Runner struct {
 	lock      sync.Mutex // guards scheduler and steps
 	scheduler *background.Scheduler
 	steps     map[*background.Task]Step
 	startedAt time.Time
-	woken     chan struct{} // closed by Stop
+	woken     chan struct{} // a send ends the goroutine's sleep; closed by Stop
 	stopped   chan struct{} // closed once the goroutine has ended
 }
 
-// New returns a runner; Start starts it.
+// New returns a runner whose tasks together keep to a budget. It runs nothing before Start.
 func New(budget background.Budget) *Runner {
 	return &Runner{
 		scheduler: background.New(budget, 0),
@@ -36,9 +37,10 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// now returns the time on the scheduler's clock, in ms since the runner was made.
 func (r *Runner) now() float64 { return milliseconds(time.Since(r.startedAt)) }
 
-// Add registers work, first due in delayMs.
+// Add registers a task that is first due in delayMs milliseconds. It may be called before or after Start.
 func (r *Runner) Add(name string, priority background.Priority, delayMs float64, step Step) *background.Task {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -48,6 +50,7 @@
 	return t
 }
 
+// wake ends the goroutine's sleep, or the next one if it is awake.
 func (r *Runner) wake() {
 	select {
 	case r.woken <- struct{}{}:
@@ -55,7 +58,7 @@
 	}
 }
 
-// Start runs work in a goroutine of its own until Stop.
+// Start starts the goroutine, which runs steps until Stop.
 func (r *Runner) Start() { go r.run() }
 
 func (r *Runner) run() {
@@ -87,7 +90,7 @@
 	r.scheduler.Done(t, r.now(), cost, r.now()+againMs)
 }
 
-// sleep waits until something is due or woken; false: the runner is stopped.
+// sleep waits for a time, which may be +Inf, or until it is woken. It returns false if the runner is stopped.
 func (r *Runner) sleep(ms float64) bool {
 	var due <-chan time.Time
 	if !math.IsInf(ms, 1) {
@@ -103,7 +106,8 @@
 	}
 }
 
-// Stop ends the runner after the step that runs, and waits for that for timeout at most; false: it still runs.
+// Stop has the goroutine end after the current step, and waits for that for at most timeout. It returns false if the step is still
+// running by then. It must not be called twice.
 func (r *Runner) Stop(timeout time.Duration) bool {
 	r.lock.Lock()
 	r.scheduler.Stop()
--- a/internal/background/scheduler.go
+++ b/internal/background/scheduler.go
@@ -1,10 +1,11 @@
-// Package background decides which piece of background work runs next and when: export, retention, checks. Work comes in
-// short steps; each reports its cost; and all steps together keep to budgets of time and bytes, so that serving does not notice
-// them. Pure: times come with each call; package runner runs the steps in a goroutine. It schedules no request of a client.
+// Package background schedules background work, such as export, retention and checks. Work is done in short steps, and each step
+// reports its cost. All steps together keep to budgets of time and bytes, so that serving is not slowed down. Requests of clients
+// are not scheduled here. The package does no I/O and reads no clock: the caller passes the time; package runner runs the steps in
+// a goroutine.
 //
-// Invariants: one step runs at a time; priorities share the time by weight and none starves (stride scheduling: the task whose
-// work over its weight is least is next); a budget is overdrawn by one step at most, which is why steps are to be short, and
-// the debt is paid back before the next step.
+// Invariants: one step runs at a time; tasks share the time in proportion to the weights of their priorities, and none starves
+// (stride scheduling: the next task is the one with the least work divided by its weight); a budget is overdrawn by at most one
+// step, which is why steps should be short, and the debt is paid back before the next step.
 package background
 
 import (
@@ -13,10 +14,10 @@
 	"kestrelspread/internal/invariant"
 )
 
-// Priority is a task's priority. A higher one gets more of the time, none gets all.
+// Priority determines a task's share of the time: a higher priority gets a larger share, but never all.
 type Priority uint8
 
-// The priorities, the lowest first.
+// The priorities, lowest first.
 const (
 	Idle Priority = iota
 	Low
@@ -25,53 +26,57 @@
 	priorityCount
 )
 
+// weights are the shares of the time by priority, relative to each other.
 var weights = [priorityCount]float64{1, 4, 16, 64}
 
 const (
-	// minStepMs is what a step costs its task at least, so that a task of free steps doesn't run alone.
+	// minStepMs is the least cost that a step is charged, so that a task whose steps cost nothing doesn't keep all others from running.
 	minStepMs = 0.05
-	// minWaitMs bounds waits for credit: one that the clock can't tell from none would come again and again.
+	// minWaitMs is the shortest wait for credit. A wait too short to advance the clock would be repeated endlessly.
 	minWaitMs = 0.01
 )
 
-// Budget is for all tasks together. 0: no limit.
+// Budget limits the work of all tasks together.
 type Budget struct {
-	TimeMsPerS float64 // ms of work in a second
-	BytesPerS  float64 // read and written in a second
-	BurstS     float64 // s of both that may be saved up
+	TimeMsPerS float64 // ms of work per second; 0: no limit
+	BytesPerS  float64 // bytes read and written per second; 0: no limit
+	BurstS     float64 // seconds for which unused time and bytes are saved up
 }
 
-// Cost is what steps took.
+// Cost is what one or more steps used.
 type Cost struct {
 	TimeMs float64
-	Bytes  float64
+	Bytes  float64 // read and written
 }
 
-// Task is one kind of work.
+// Task is one kind of work, done in steps.
 type Task struct {
 	Name      string
 	Priority  Priority
 	Steps     int64
 	TotalCost Cost
-	MaxWaitMs float64 // between being due and running
-	dueAt     float64 // +Inf: asleep until it is woken
-	pass      float64 // its work so far over its weight
+	MaxWaitMs float64 // the longest time that a step was due before it ran
+	dueAt     float64 // +Inf: not before it is woken
+	pass      float64 // work charged so far divided by its weight
 	running   bool
 }
 
-// Scheduler decides over all tasks. Times are in ms of the caller's clock.
+// Scheduler decides which task runs its next step, and when. Times are in ms of the caller's clock. It is not safe for concurrent
+// use.
 type Scheduler struct {
 	budget       Budget
 	tasks        []*Task
 	refilledAt   float64
-	timeCreditMs float64 // saved up; below 0: a debt
-	byteCredit   float64
-	lastPass     float64 // of the task that ran last: a woken one starts from there, or it would have all the time for a while
-	runningTask  *Task
-	stopped      bool
+	timeCreditMs float64 // budget saved up; negative: a debt
+	byteCredit   float64 // likewise
+	// lastPass is the pass of the task that ran last. A woken task starts from there; from its own lower one it would get all the
+	// time until it had caught up.
+	lastPass    float64
+	runningTask *Task
+	stopped     bool
 }
 
-// New returns a scheduler that has its burst saved up.
+// New returns a scheduler without tasks that has the whole burst of its budget saved up.
 func New(budget Budget, now float64) *Scheduler {
 	return &Scheduler{
 		budget:       budget,
@@ -81,14 +86,14 @@
 	}
 }
 
-// Add registers a task that is due at a time; +Inf: once it is woken.
+// Add registers a task whose first step is due at dueAt, or once it is woken if that is +Inf.
 func (s *Scheduler) Add(name string, priority Priority, dueAt float64) *Task {
 	t := &Task{Name: name, Priority: min(priority, High), dueAt: dueAt, pass: s.lastPass}
 	s.tasks = append(s.tasks, t)
 	return t
 }
 
-// Wake has a task run as soon as it may.
+// Wake makes a task due now if it was due later.
 func (s *Scheduler) Wake(t *Task, now float64) {
 	if now < t.dueAt {
 		t.dueAt = now
@@ -96,14 +101,16 @@
 	}
 }
 
+// refill adds the credit for the time since the last call, up to the burst.
 func (s *Scheduler) refill(now float64) {
-	passedS := max(now-s.refilledAt, 0) / 1000
+	elapsedS := max(now-s.refilledAt, 0) / 1000
 	s.refilledAt = max(s.refilledAt, now)
-	s.timeCreditMs = min(s.timeCreditMs+passedS*s.budget.TimeMsPerS, s.budget.TimeMsPerS*s.budget.BurstS)
-	s.byteCredit = min(s.byteCredit+passedS*s.budget.BytesPerS, s.budget.BytesPerS*s.budget.BurstS)
+	s.timeCreditMs = min(s.timeCreditMs+elapsedS*s.budget.TimeMsPerS, s.budget.TimeMsPerS*s.budget.BurstS)
+	s.byteCredit = min(s.byteCredit+elapsedS*s.budget.BytesPerS, s.budget.BytesPerS*s.budget.BurstS)
 }
 
-// Next returns the task whose step runs now, or how many ms there is nothing to run: +Inf until a task is woken.
+// Next returns the task whose step is to run now; the caller must report its end with Done. If none may run, it returns nil and
+// for how many ms, +Inf if none becomes due unless a task is woken or added.
 func (s *Scheduler) Next(now float64) (t *Task, waitMs float64) {
 	invariant.Check(s.runningTask == nil, "one step runs at a time")
 	s.refill(now)
@@ -124,7 +131,8 @@
 	return t, 0
 }
 
-// choose returns the due task with the least pass, the higher priority first among equals, and when the next other task is due.
+// choose returns the due task with the least pass (of equals that of the highest priority; nil: none is due), and when the next of
+// the tasks not yet due is.
 func (s *Scheduler) choose(now float64) (chosen *Task, nextDueAt float64) {
 	nextDueAt = math.Inf(1)
 	for _, t := range s.tasks {
@@ -139,7 +147,7 @@
 	return chosen, nextDueAt
 }
 
-// waitForCreditMs is how long it takes until the debt is paid back.
+// waitForCreditMs returns in how many ms the debt is paid back, 0 if there is none.
 func (s *Scheduler) waitForCreditMs() float64 {
 	wait := 0.0
 	if s.budget.TimeMsPerS > 0 && s.timeCreditMs < 0 {
@@ -154,9 +162,10 @@
 	return wait
 }
 
-// Done takes what the step cost and when the task is due again; +Inf: once it is woken.
+// Done records the end of the step that Next returned, what it cost, and when the task is due again: +Inf for not before it is
+// woken.
 func (s *Scheduler) Done(t *Task, now float64, cost Cost, dueAt float64) {
-	invariant.Check(s.runningTask == t && t.running, "the step that ends is the one that runs")
+	invariant.Check(s.runningTask == t && t.running, "only the running step can end")
 	t.running = false
 	t.dueAt = dueAt
 	t.Steps++
@@ -173,8 +182,8 @@
 	}
 }
 
-// Stop has no further step begin. The one that runs, if any, is the last: steps are short, so a stop comes in time.
+// Stop keeps further steps from starting. A step that is running finishes; as steps are short, it does not delay the stop for long.
 func (s *Scheduler) Stop() { s.stopped = true }
 
-// IsRunning tells whether a step runs.
+// IsRunning reports whether a step is running.
 func (s *Scheduler) IsRunning() bool { return s.runningTask != nil }
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue is the queue of a virtual clock: functions ordered by the time at which they are to run. Simulations and the
-// harness use it; nothing that runs in service does.
+// Package eventqueue provides the event queue of a discrete-event simulation: functions ordered by the virtual time at which they
+// are to run. Only simulations and the test harness use it, no program in production.
 package eventqueue
 
 import (
@@ -7,20 +7,21 @@
 	"container/heap"
 )
 
-// Queue is a queue of functions. Those of one time come in the order in which they were added, so that runs repeat. The zero value
-// is an empty queue; it is not safe for concurrent use. Time is whatever the clock counts in.
+// Queue is a queue of functions ordered by time. Functions of equal time run in the order in which they were added, so that a
+// simulation gives the same result each time. The zero value is an empty queue. A queue is not safe for concurrent use. Time is the
+// type of the simulation's clock, in any unit.
 type Queue[Time cmp.Ordered] struct {
 	events   eventHeap[Time]
 	sequence uint64
 }
 
-// Add adds a function at a time.
+// Add adds a function that is to run at a time.
 func (q *Queue[Time]) Add(runAt Time, run func()) {
 	q.sequence++
 	heap.Push(&q.events, event[Time]{runAt: runAt, sequence: q.sequence, run: run})
 }
 
-// Next returns the time of the first function; false: the queue is empty.
+// Next returns the time of the first function, or false if the queue is empty.
 func (q *Queue[Time]) Next() (runAt Time, ok bool) {
 	if len(q.events) == 0 {
 		return runAt, false
@@ -28,20 +29,20 @@
 	return q.events[0].runAt, true
 }
 
-// Take removes the first function and returns it with its time. It panics where there is none.
+// Take removes the first function and returns it with its time. It panics if the queue is empty.
 func (q *Queue[Time]) Take() (runAt Time, run func()) {
 	first := heap.Pop(&q.events).(event[Time])
 	return first.runAt, first.run
 }
 
-// event is a function with its time.
+// event is a function and the time at which it is to run.
 type event[Time cmp.Ordered] struct {
 	runAt    Time
-	sequence uint64 // order of addition, which breaks ties
+	sequence uint64 // number of its addition; orders events of equal time
 	run      func()
 }
 
-// eventHeap is a heap.Interface with the first event on top.
+// eventHeap implements heap.Interface; its minimum is the event to run first.
 type eventHeap[Time cmp.Ordered] []event[Time]
 
 // Len implements heap.Interface.
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEventsComeByTimeThenByAddition adds events at few times while others are taken.
-func TestEventsComeByTimeThenByAddition(t *testing.T) {
-	type taken struct{ runAt, added int }
+// TestEventsRunByTimeThenByAddition adds events while others are taken. They share few distinct times, so that many are equal.
+func TestEventsRunByTimeThenByAddition(t *testing.T) {
+	type runEvent struct{ runAt, added int }
 	random := rand.New(rand.NewPCG(1, 9))
 	var queue Queue[int]
-	var order []taken
+	var order []runEvent
 	now := 0
 	for added := range 2000 {
 		runAt := now + random.IntN(4)
-		queue.Add(runAt, func() { order = append(order, taken{runAt, added}) })
+		queue.Add(runAt, func() { order = append(order, runEvent{runAt, added}) })
 		if random.IntN(3) == 0 {
 			var run func()
 			now, run = queue.Take()
@@ -35,6 +35,7 @@
 	assert.Equal(t, len(order), 2000)
 	for i := 1; i < len(order); i++ {
 		before, after := order[i-1], order[i]
-		assert.Assert(t, before.runAt < after.runAt || before.runAt == after.runAt && before.added < after.added, "%v before %v", before, after)
+		assert.Assert(t, before.runAt < after.runAt || before.runAt == after.runAt && before.added < after.added,
+			"event %+v ran before %+v", before, after)
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,22 +1,22 @@
-// Package invariant states what must always hold in the program's own state. Under -tags debug a violation panics, so that
-// tests find it; in a release it is counted, and the program goes on: a wrong count must not cost the searches in flight. It
-// is not for errors of peers, files or the network.
+// Package invariant checks conditions that must always hold for the program's own state. In builds with -tags debug a violation
+// panics, so that tests find it. In release builds it is counted and the program goes on, because a wrong count, for example, must
+// not abort the searches in flight. Errors of peers, files or the network are not violations of invariants.
 package invariant
 
 import "sync/atomic"
 
 var violations atomic.Int64
 
-// Check states that something holds, and what.
-func Check(holds bool, what string) {
+// Check counts a violation if holds is false, and in debug builds panics. rule is the sentence that should be true.
+func Check(holds bool, rule string) {
 	if holds {
 		return
 	}
 	violations.Add(1)
 	if Debug {
-		panic("must hold: " + what)
+		panic("invariant violated: " + rule)
 	}
 }
 
-// Violations counts the violations so far in this process.
+// Violations returns the number of violations since the start of the process.
 func Violations() int64 { return violations.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug tells whether violations panic.
+// Debug is whether a violation panics, as the build tag debug selects.
 const Debug = false
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -97,7 +97,7 @@
 
 // Unlisten accepts the connections that are already established and closes all listeners. It
 // returns false if some could not be accepted, for lack of descriptors or memory. Closing their
-// listener would reset them, so it stays open, and the caller has to call Unlisten again.
+// listener would reset them, so it stays open, and the caller has to try again.
 func (l *Loop) Unlisten() (closed bool) {
 	closed = true
 	for index, c := range l.listeners {
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -27,7 +27,8 @@
 // connection may have the same number.
 type Conn int32
 
-// Handler receives the events of a loop. All events of a turn come between its Begin and its End.
+// Handler receives the events of a loop. All events of a turn come between the
+// calls that start and end it.
 // Times are in milliseconds of Loop.Now. Offsets count the bytes written to a connection since it
 // was opened.
 type Handler interface {
@@ -36,7 +37,7 @@
 	// Accepted reports that a client has connected.
 	Accepted(c Conn)
 	// AcceptFailed reports that no descriptor or memory was left to accept a client. Accepting is off
-	// until Loop.Accept switches it on again.
+	// from here on, until the handler switches it on again.
 	AcceptFailed()
 	// Opened reports that a connection started by Connect is established.
 	Opened(c Conn)
--- a/internal/transport/rare_test.go
+++ b/internal/transport/rare_test.go
@@ -156,10 +156,10 @@
 	}
 }
 
-// TestUnlistenKeepsListenerWithUnacceptedConnections: without a free descriptor an established
-// connection can't be accepted, and closing its listener would reset it. Unlisten must keep the
-// listener, and close it in a later call when the connection can be accepted.
-func TestUnlistenKeepsListenerWithUnacceptedConnections(t *testing.T) {
+// TestListenerStaysOpenUntilItsConnectionsAreAccepted: without a free descriptor an established
+// connection can't be accepted, and closing its listener would reset it. The listener must stay
+// open, and be closed by a later call, when the connection can be accepted.
+func TestListenerStaysOpenUntilItsConnectionsAreAccepted(t *testing.T) {
 	h, address := start(t)
 	h.loop.Accept(false)
 	c := dial(t, address)
@@ -233,7 +233,7 @@
 	}
 	h.endTurn = func() {
 		if !h.loop.Unlisten() {
-			t.Error("Unlisten did not close the listener")
+			t.Error("the listener was not closed")
 		}
 		h.loop.Stop()
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -217,7 +217,7 @@
 	}
 }
 
-func TestUnlistenAcceptsEstablishedConnections(t *testing.T) {
+func TestEstablishedConnectionsAreAcceptedBeforeListenersClose(t *testing.T) {
 	h, address := start(t)
 	h.loop.Accept(false)
 	for range 3 {
