--- a/internal/aggregator/server/server.go
+++ b/internal/aggregator/server/server.go
@@ -105,6 +105,7 @@
 // harmless: the one already queued has the same effect.
 type signals struct{ stop, report, reload chan os.Signal }
 
+// notifySignals starts delivery of the signals that the process handles, and ignores SIGPIPE.
 func notifySignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/background/scheduler.go
+++ b/internal/background/scheduler.go
@@ -110,7 +110,7 @@
 }
 
 // Next returns the task whose step is to run now; the caller must report its end with Done. If none may run, it returns nil and
-// for how many ms, +Inf if none becomes due unless a task is woken or added.
+// after how many ms to call again, +Inf if nothing becomes due until a task is woken or added.
 func (s *Scheduler) Next(now float64) (t *Task, waitMs float64) {
 	invariant.Check(s.runningTask == nil, "one step runs at a time")
 	s.refill(now)
--- a/internal/transport/connect.go
+++ b/internal/transport/connect.go
@@ -24,7 +24,7 @@
 	}
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return l.newConn(-1), fmt.Errorf("socket: %w", err)
+		return l.newConn(-1), fmt.Errorf("open socket for %s: %w", addr, err)
 	}
 	return l.newConn(fd), nil
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -27,10 +27,9 @@
 // connection may have the same number.
 type Conn int32
 
-// Handler receives the events of a loop. All events of a turn come between the
-// calls that start and end it.
-// Times are in milliseconds of Loop.Now. Offsets count the bytes written to a connection since it
-// was opened.
+// Handler receives the events of a loop. All events of a turn come between the calls that start and
+// end it. Times are in milliseconds of Loop.Now. Offsets count the bytes written to a connection
+// since it was opened.
 type Handler interface {
 	// Begin starts a turn at time now.
 	Begin(now float64)
@@ -51,21 +50,21 @@
 	// from offset upTo on were never handed to the system.
 	Closed(c Conn, upTo int64)
 	// Notified reports a call of Notify with the same number.
-	Notified(what int32)
-	// Panicked reports that the handling of an event panicked with the value what. c is the event's
+	Notified(notification int32)
+	// Panicked reports that the handling of an event panicked with the value reason. c is the event's
 	// connection, or negative if the event has none.
-	Panicked(c Conn, what any, stack []byte)
+	Panicked(c Conn, reason any, stack []byte)
 	// End ends a turn. If it returns true, the next turn begins at once, without waiting for events.
 	End() (again bool)
 }
 
 const (
-	// Negative numbers take the place of a connection's: none, and the loop's own descriptors in epoll.
+	// No connection, and in place of a connection's number the loop's own descriptors in epoll.
 	noConn      Conn = -1
 	timerEvent  Conn = -2
 	notifyEvent Conn = -3
 
-	maxAcceptsPerTurn = 64      // so that established connections are served in between
+	maxAcceptsPerTurn = 64      // of a listener, so that established connections are served in between
 	maxReadsAtEnd     = 64      // reads per turn of a connection whose other side has closed
 	maxDiscard        = 1 << 20 // bytes discarded by one read of a finishing connection
 	backlog           = 1024    // connections that the system queues until they are accepted
@@ -107,9 +106,9 @@
 	handler                  Handler
 	pool                     *Pool
 	conns                    []connState // by Conn
-	free, freed              []Conn      // numbers that may be reused; those that may from the next turn on
-	flushPending, progressed []Conn      // to be flushed in this turn; for which Written is due in the next turn
-	failed                   []Conn      // for which Closed is due in the next turn
+	free, freed              []Conn      // numbers of closed connections: reusable now; reusable from the next turn on
+	flushPending, progressed []Conn      // connections to flush in this turn; to report as Written in the next turn
+	failed                   []Conn      // connections to report as Closed in the next turn
 	spareLists               [2][]Conn   // of failed and progressed, reused in alternate turns
 	listeners                []Conn      // by number; noConn where closed
 	accepting, timestamped   bool
@@ -129,18 +128,18 @@
 	l := &Loop{pool: pool, start: time.Now(), readBuffer: make([]byte, pool.Size), oob: make([]byte, controlBufferSize)}
 	var err error
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("create epoll instance: %w", err)
 	}
 	if l.timerfd, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("timerfd: %w", err)
+		return nil, fmt.Errorf("create timerfd: %w", err)
 	}
 	if l.eventfd, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("eventfd: %w", err)
+		return nil, fmt.Errorf("create eventfd: %w", err)
 	}
 	for c, fd := range [...]int{l.timerfd, l.eventfd} {
 		e := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(timerEvent) - int32(c)}
 		if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
-			return nil, fmt.Errorf("epoll: %w", err)
+			return nil, fmt.Errorf("add descriptor %d to epoll: %w", fd, err)
 		}
 	}
 	return l, nil
@@ -152,12 +151,12 @@
 // Epoch returns the Unix time in milliseconds at which Now would have been 0.
 func (l *Loop) Epoch() float64 { return float64(l.start.UnixNano())/1e6 - clockZero }
 
-// Notify has the loop call the handler's Notified with what, a number from 0 to 31. It may be called
-// from any goroutine. Equal notifications are delivered once if they come before the loop reads the
+// Notify has the loop call the handler's Notified with a number from 0 to 31. It may be called from any
+// goroutine. Equal notifications are delivered once if they come before the loop reads the
 // first. The numbers are kept in a bit set and the eventfd only wakes the loop, because an eventfd
 // adds up the values written to it: two equal numbers would read as another one.
-func (l *Loop) Notify(what int32) {
-	l.notifications.Or(1 << uint(what))
+func (l *Loop) Notify(notification int32) {
+	l.notifications.Or(1 << uint(notification))
 	unix.Write(l.eventfd, binary.NativeEndian.AppendUint64(nil, 1))
 }
 
@@ -184,7 +183,7 @@
 		if err == unix.EINTR {
 			continue
 		} else if err != nil {
-			return fmt.Errorf("epoll: %w", err)
+			return fmt.Errorf("wait for epoll events: %w", err)
 		}
 		l.Turns++
 		l.now = l.Now()
@@ -244,8 +243,8 @@
 
 // recoverPanic, when deferred, recovers from a panic and reports it to the handler.
 func (l *Loop) recoverPanic(c Conn) {
-	if what := recover(); what != nil {
-		l.handler.Panicked(c, what, debug.Stack())
+	if reason := recover(); reason != nil {
+		l.handler.Panicked(c, reason, debug.Stack())
 	}
 }
 
@@ -261,9 +260,9 @@
 	case c == notifyEvent:
 		var word [8]byte
 		unix.Read(l.eventfd, word[:]) // read before the bit set: a notification in between wakes the loop again
-		for what, bits := int32(0), l.notifications.Swap(0); bits != 0; what, bits = what+1, bits>>1 {
+		for notification, bits := int32(0), l.notifications.Swap(0); bits != 0; notification, bits = notification+1, bits>>1 {
 			if bits&1 != 0 {
-				l.handler.Notified(what)
+				l.handler.Notified(notification)
 			}
 		}
 	case c >= 0 && l.conns[c].listener:
