--- a/internal/aggregator/extensions/extensions.go
+++ b/internal/aggregator/extensions/extensions.go
@@ -19,8 +19,8 @@
 	"kestrelspread/internal/operator"
 )
 
-// Read reads an operator's file and checks all of it, against the aggregator's settings as well. An
-// error lists every finding.
+// Read reads an operator's file and checks all of it, also against the
+// aggregator's settings. An error lists every finding.
 func Read(file string, set settings.Values) (*operator.Settings, error) {
 	if file == "" {
 		return nil, errors.New("--operator names no file")
@@ -41,7 +41,8 @@
 	return s, nil
 }
 
-// Names returns the names of the query types and of the customers, in the order of the settings.
+// Names returns the names of the query types and of the customers, in the
+// order of the settings.
 func Names(set settings.Values) (types, customers []string) {
 	for i := range set.Count("classes") {
 		types = append(types, set.ItemField("classes", i, "name"))
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -31,7 +31,7 @@
 // end it. Times are in milliseconds of Loop.Now. Offsets count the bytes written to a connection
 // since it was opened.
 type Handler interface {
-	// Begin starts a turn at time now.
+	// BeginTurn starts a turn at time now.
 	Begin(now float64)
 	// Accepted reports that a client has connected.
 	Accepted(c Conn)
@@ -40,7 +40,7 @@
 	AcceptFailed()
 	// Opened reports that a connection started by Connect is established.
 	Opened(c Conn)
-	// Bytes reports that b was received on a connection; b is valid during the call. receivedAt is
+	// Received reports that b was received on a connection; b is valid during the call. receivedAt is
 	// the kernel's time of arrival where it timestamps, else the time of the turn. A nil b reports
 	// that bytes were received after Finish and discarded.
 	Bytes(c Conn, b []byte, receivedAt float64)
@@ -54,7 +54,7 @@
 	// Panicked reports that the handling of an event panicked with the value reason. c is the event's
 	// connection, or negative if the event has none.
 	Panicked(c Conn, reason any, stack []byte)
-	// End ends a turn. If it returns true, the next turn begins at once, without waiting for events.
+	// EndTurn ends a turn. If it returns true, the next turn begins at once, without waiting for events.
 	End() (again bool)
 }
 
@@ -229,13 +229,13 @@
 	eventWritten = 1 << 31
 )
 
-// begin calls the handler's Begin and recovers from its panic.
+// begin calls the handler's BeginTurn and recovers from its panic.
 func (l *Loop) begin() {
 	defer l.recoverPanic(noConn)
 	l.handler.Begin(l.now)
 }
 
-// end calls the handler's End and recovers from its panic.
+// end calls the handler's EndTurn and recovers from its panic.
 func (l *Loop) end() (again bool) {
 	defer l.recoverPanic(noConn)
 	return l.handler.End()
--- a/internal/transport/rare_test.go
+++ b/internal/transport/rare_test.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// panickingHandler panics in the Begin of its first turn.
+// panickingHandler panics at the beginning of its first turn.
 type panickingHandler struct {
 	*testHandler
 	turns int
@@ -205,12 +205,12 @@
 
 func (p *panickingHandler) Begin(_ float64) {
 	if p.turns++; p.turns == 1 {
-		panic("Begin failed")
+		panic("handler failed")
 	}
 	p.loop.Stop()
 }
 
-func TestPanicInBeginIsRecovered(t *testing.T) {
+func TestPanicAtBeginningOfTurnIsRecovered(t *testing.T) {
 	h, _ := start(t)
 	p := &panickingHandler{testHandler: h}
 	h.endTurn = func() { h.loop.Notify(0) }
