--- a/cmd/kestrelctl/broker.go
+++ b/cmd/kestrelctl/broker.go
@@ -40,20 +40,20 @@
 // of the baselines.
 func policyExtension(name string) server.Extension {
 	return func(host *server.Host) (server.Hooks, error) {
-		newPolicy := func(out policy.Out, seed uint64) policy.Port { return newBaseline(host, name, out, seed) }
+		newPolicy := func(out policy.Executor, seed uint64) policy.Decider { return newBaseline(host, name, out, seed) }
 		switch name {
 		case policySighted:
 			newPolicy = host.Settings.NewZoneAwarePolicy
 		case policyPlanned:
 			newPolicy = host.Settings.NewCapacityAwarePolicy
 		}
-		host.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return newPolicy(out, host.Seed) })
+		host.Engine.ReplacePolicy(func(out policy.Executor) policy.Decider { return newPolicy(out, host.Seed) })
 		return server.Hooks{}, nil
 	}
 }
 
 // newBaseline returns a baseline policy with the broker's zone and settings.
-func newBaseline(host *server.Host, name string, out policy.Out, seed uint64) policy.Port {
+func newBaseline(host *server.Host, name string, out policy.Executor, seed uint64) policy.Decider {
 	b := baseline.New(name, out, seed)
 	b.Home(host.Settings.Int("zone", 0))
 	host.Settings.Configure(b)
--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -36,7 +36,7 @@
 	alreadyMoved  bool   // already moved to another connection, because the first one broke before it began
 }
 
-// Send implements policy.Out. It starts another attempt of a shard request at a server. timeLimit
+// Send implements policy.Executor. It starts another attempt of a shard request at a server. timeLimit
 // is the attempt's own time limit and beginWithin the time within which it must begin, both in
 // milliseconds; 0: none.
 func (e *Engine) Send(index, server int, timeLimit, beginWithin float64) {
@@ -77,7 +77,7 @@
 	srv.planned = append(srv.planned, attempt)
 }
 
-// Cancel implements policy.Out. It cancels an attempt, by its number among those of the shard
+// Cancel implements policy.Executor. It cancels an attempt, by its number among those of the shard
 // request.
 func (e *Engine) Cancel(index, number int) {
 	req := e.entries[index].request
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -1,8 +1,8 @@
 // Package engine is the aggregator's event-driven core. Each network event changes the engine's
 // state and may request effects, such as writing to a connection. The engine reads searches from
 // clients, sends shard requests to servers and writes the answers. It owns no socket and no clock.
-// It makes no decision about searches: it passes events to the policy through policy.Port and
-// carries out the policy's decisions as its policy.Out.
+// It makes no decision about searches: it passes events to the policy through policy.Decider and
+// carries out the policy's decisions as its policy.Executor.
 //
 // Invariants: all events of a turn form one round of the policy, between Begin and End; the policy
 // is never called while one of its own calls is in progress, so the results of its decisions are
@@ -62,7 +62,7 @@
 	network        Net
 	pool           *transport.Pool
 	log            *rateLimitedLog
-	policy         policy.Port
+	policy         policy.Decider
 	Count          Counters
 	now            float64 // time of the current turn, in ms of the loop's clock
 	wakeAt         float64 // when the policy is to be woken; +Inf: not requested
@@ -170,13 +170,13 @@
 }
 
 // Policy returns the policy, or the one set by ReplacePolicy.
-func (e *Engine) Policy() policy.Port { return e.policy }
+func (e *Engine) Policy() policy.Decider { return e.policy }
 
 // Begin starts a turn, and with it a round of the policy: all events of the turn belong to it.
 func (e *Engine) Begin(now float64) {
 	e.now, e.log.now = now, now
 	e.turnRequested = false
-	e.policy.Begin(now)
+	e.policy.BeginRound(now)
 	if !e.started {
 		e.started = true
 		e.openWatch() // before the list is applied: the watch must be open even if the list is unusable
@@ -214,9 +214,9 @@
 	e.deliverResults()
 	if e.now >= e.wakeAt {
 		e.wakeAt = math.Inf(1)
-		e.policy.Woken()
+		e.policy.WakeUpDue()
 	}
-	e.policy.End()
+	e.policy.EndRound()
 	e.sendBatches()
 	for _, frontend := range e.frontends {
 		frontend.Flush()
@@ -243,11 +243,11 @@
 			}
 		}
 		e.Count.countOutcome(result.outcome)
-		e.policy.Done(req.index, result.attempt.number, result.outcome, result.report)
+		e.policy.AttemptDone(req.index, result.attempt.number, result.outcome, result.report)
 	}
 	e.outcomes = e.outcomes[:0]
 	for _, result := range e.probeResults {
-		e.policy.Probed(result.server, result.ok, e.now-result.sentAt, result.report)
+		e.policy.ProbeDone(result.server, result.ok, e.now-result.sentAt, result.report)
 	}
 	e.probeResults = e.probeResults[:0]
 }
@@ -293,11 +293,11 @@
 	return &e.endpoints[c]
 }
 
-// Wake implements policy.Out. The other methods of policy.Out are in the files of the operations
+// ScheduleWakeUp implements policy.Executor. The other methods of policy.Executor are in the files of the operations
 // that they start.
-func (e *Engine) Wake(delay float64) { e.wakeAt = min(e.wakeAt, e.now+delay) }
+func (e *Engine) ScheduleWakeUp(delay float64) { e.wakeAt = min(e.wakeAt, e.now+delay) }
 
-// Log implements policy.Out. Lines about a zone have a kind of their own in the rate limit, so that
+// Log implements policy.Executor. Lines about a zone have a kind of their own in the rate limit, so that
 // lines about single servers do not suppress them.
 func (e *Engine) Log(text string) {
 	kind := "decision"
@@ -307,8 +307,8 @@
 	e.log.info(kind, "%s", text)
 }
 
-// Forget implements policy.Out. It frees the indices of a search that has no attempt in flight.
-func (e *Engine) Forget(index int) {
+// ReleaseSearch implements policy.Executor. It frees the indices of a search that has no attempt in flight.
+func (e *Engine) ReleaseSearch(index int) {
 	search := e.entries[index].search
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -61,7 +61,7 @@
 	// Accepted reports a client connection on the front end's listener.
 	Accepted(c transport.Conn)
 	// ServerUpdated reports the state of one server of the list, by the server's index.
-	Server(index int, id string, addr netip.AddrPort, state policy.State)
+	Server(index int, id string, addr netip.AddrPort, state policy.ServerStatus)
 	// DrainGraceEnded reports that a server has been draining or gone for so long that attempts which
 	// have not begun there must not begin any more.
 	GraceEnded(index int)
@@ -117,7 +117,7 @@
 
 // ReplacePolicy replaces the policy that the settings define. It must be called before the loop
 // runs.
-func (e *Engine) ReplacePolicy(policy func(out policy.Out) policy.Port) { e.policy = policy(e) }
+func (e *Engine) ReplacePolicy(policy func(out policy.Executor) policy.Decider) { e.policy = policy(e) }
 
 // AddFront registers a front end. The n-th one that is added owns the connections of listener n,
 // counted from 1. It must be called before the loop runs.
@@ -273,14 +273,14 @@
 	if attempt.state == stateEnded {
 		return false
 	}
-	return e.policy.Committed(attempt.request.index, attempt.number, answering)
+	return e.policy.CommitAttempt(attempt.request.index, attempt.number, answering)
 }
 
 // ClientSending reports whether the client is still sending the request messages of a search.
 func (e *Engine) ClientSending(search *Search, sending bool) {
 	if !search.ended && len(search.requests) > 0 {
 		for _, req := range search.requests {
-			e.policy.ClientSending(req.index, sending)
+			e.policy.SetClientSending(req.index, sending)
 		}
 	}
 }
@@ -289,7 +289,7 @@
 // a negative number to forbid retries.
 func (e *Engine) Pushback(attempt *Attempt, wait float64) {
 	e.Count.Pushbacks++
-	e.policy.Pushback(attempt.request.index, wait)
+	e.policy.RetryPushback(attempt.request.index, wait)
 }
 
 // sendByFrontend starts an attempt that the search's front end sends itself.
--- a/internal/aggregator/engine/probe.go
+++ b/internal/aggregator/engine/probe.go
@@ -1,6 +1,6 @@
 package engine
 
-// Probe implements policy.Out. It sends a health check to an ejected server over a new connection.
+// Probe implements policy.Executor. It sends a health check to an ejected server over a new connection.
 func (e *Engine) Probe(server int) {
 	conn := e.connectServer(server) // an open connection may be the one that does not respond
 	sentAt := e.now
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -180,7 +180,7 @@
 	e.openSearches++
 	e.pendingCount += 1 + len(e.parsedRequests)
 	search.index = e.newIndex(indexEntry{search: search})
-	e.policy.Search(search.index, queryType, customer, search.deadline, len(e.parsedRequests))
+	e.policy.AddSearch(search.index, queryType, customer, search.deadline, len(e.parsedRequests))
 	for _, parsed := range e.parsedRequests {
 		search.usage.work += parsed.work / 1000
 		req := &shardRequest{search: search, shard: parsed.shard, id: search.id + "." + strconv.Itoa(parsed.shard)}
@@ -189,7 +189,7 @@
 		if parsed.key == 0 && key != 0 {
 			parsed.key = shardKey(key, parsed.shard)
 		}
-		e.policy.ShardRequest(search.index, req.index, parsed.shard, parsed.share/totalShare, parsed.work, parsed.key)
+		e.policy.AddShardRequest(search.index, req.index, parsed.shard, parsed.share/totalShare, parsed.work, parsed.key)
 	}
 	e.armSearchTimer(search)
 }
@@ -213,7 +213,7 @@
 	})
 }
 
-// Answer implements policy.Out. It answers a search from the shard requests that have a reply;
+// Answer implements policy.Executor. It answers a search from the shard requests that have a reply;
 // complete says whether the answer is complete.
 func (e *Engine) Answer(index int, complete bool) {
 	search := e.entries[index].search
@@ -250,14 +250,14 @@
 	e.endSearch(search, 200, 0, e.answerBuffer)
 }
 
-// Shed implements policy.Out. It refuses a search; retryAfter is advice for the client's retry in
+// Shed implements policy.Executor. It refuses a search; retryAfter is advice for the client's retry in
 // milliseconds, 0: none.
 func (e *Engine) Shed(index int, retryAfter float64) {
 	e.Count.Shed++
 	e.endSearch(e.entries[index].search, 503, retryAfter, nil)
 }
 
-// Fail implements policy.Out. It ends a search with an error.
+// Fail implements policy.Executor. It ends a search with an error.
 func (e *Engine) Fail(index int) {
 	e.Count.Errored++
 	e.endSearch(e.entries[index].search, 500, 0, nil)
--- a/internal/aggregator/engine/search_test.go
+++ b/internal/aggregator/engine/search_test.go
@@ -83,7 +83,7 @@
 
 // retryCounter is a policy that counts the searches marked as retries.
 type retryCounter struct {
-	policy.Port
+	policy.Decider
 	retries int
 }
 
@@ -91,8 +91,8 @@
 
 func TestMarkedRetryReachesThePolicy(t *testing.T) {
 	w := newWorld(t, 1, 4)
-	counter := &retryCounter{Port: w.engine.Policy()}
-	w.engine.ReplacePolicy(func(policy.Out) policy.Port { return counter })
+	counter := &retryCounter{Decider: w.engine.Policy()}
+	w.engine.ReplacePolicy(func(policy.Executor) policy.Decider { return counter })
 	w.turn()
 	w.openConns()
 	for i, mark := range []string{"", "X-Again: 1\r\n", "X-Again: 0\r\n", "X-Again: 1\r\nX-Again: 1\r\n"} {
--- a/internal/aggregator/engine/serverconn.go
+++ b/internal/aggregator/engine/serverconn.go
@@ -100,8 +100,8 @@
 	e.network.Write(conn.id, b)
 }
 
-// Close implements policy.Out. It closes the idle connections to a server.
-func (e *Engine) Close(server int) {
+// CloseIdleConnections implements policy.Executor. It closes the idle connections to a server.
+func (e *Engine) CloseIdleConnections(server int) {
 	srv := e.serverList.servers[server]
 	for _, conn := range append([]*serverConn(nil), srv.conns...) {
 		if conn.established && conn.inFlight == 0 && conn.probeSentAt == 0 {
@@ -153,7 +153,7 @@
 	for _, attempt := range conn.attemptsInOrder() {
 		switch {
 		case attempt.state == stateSent && attempt.frameEnd <= conn.writtenOffset:
-			e.endAttempt(attempt, policy.Reset, nil)
+			e.endAttempt(attempt, policy.ConnectionReset, nil)
 		case conn.established && !attempt.alreadyMoved && srv.state == policy.Ready && attempt.deadline > e.now:
 			unbegun = append(unbegun, attempt)
 		default:
--- a/internal/aggregator/engine/serverlist.go
+++ b/internal/aggregator/engine/serverlist.go
@@ -33,7 +33,7 @@
 	id            string
 	addr          netip.AddrPort
 	position      int // on the ring of positions
-	state         policy.State
+	state         policy.ServerStatus
 	notReadySince float64       // when it stopped being ready
 	goneSince     float64       // when the list first reported it as gone
 	conns         []*serverConn // open or being opened, oldest first
@@ -110,7 +110,7 @@
 	list := &e.serverList
 	index, found := list.indexOf[string(id)]
 	address, err := netip.ParseAddrPort(string(addr))
-	newState := policy.State(state)
+	newState := policy.ServerStatus(state)
 	if err != nil && newState != policy.Gone {
 		e.Count.BadLists++
 		e.log.warn("bad address", "of %q: %v", id, err)
@@ -167,7 +167,7 @@
 	if e.now < srv.goneSince+serverRetention {
 		return // it came back and went again: a later call is scheduled
 	}
-	e.Close(index)
+	e.CloseIdleConnections(index)
 	if len(srv.conns) > 0 || len(srv.planned) > 0 || !e.policy.RemoveServer(index) {
 		e.afterFunc(removeRetryDelay, func(e *Engine) { e.removeServer(index, srv) })
 		return
@@ -181,7 +181,7 @@
 }
 
 // setServerState sets a server's state and reports it to the policy and the front ends.
-func (e *Engine) setServerState(index int, state policy.State, zone int, size, startedAt float64) {
+func (e *Engine) setServerState(index int, state policy.ServerStatus, zone int, size, startedAt float64) {
 	srv := e.serverList.servers[index]
 	wasReady := srv.state == policy.Ready
 	if wasReady {
@@ -200,7 +200,7 @@
 	for _, frontend := range e.frontends {
 		frontend.Server(index, srv.id, srv.addr, state)
 	}
-	e.policy.Server(index, zone, srv.position, state, size, startedAt)
+	e.policy.UpdateServer(index, zone, srv.position, state, size, startedAt)
 }
 
 // startDrainGrace starts the drain grace of a server that is no longer ready. When drainGraceShare of it has
--- a/internal/aggregator/engine/watch.go
+++ b/internal/aggregator/engine/watch.go
@@ -42,8 +42,8 @@
 	closed          bool
 }
 
-// Subscribe implements policy.Out. There is a single watch, which is kept open all the time.
-func (e *Engine) Subscribe() { e.openWatch() }
+// SubscribeToServers implements policy.Executor. There is a single watch, which is kept open all the time.
+func (e *Engine) SubscribeToServers() { e.openWatch() }
 
 // openWatch opens a watch unless one is open.
 func (e *Engine) openWatch() {
--- a/internal/aggregator/extensions/extensions.go
+++ b/internal/aggregator/extensions/extensions.go
@@ -119,7 +119,7 @@
 		if s.LearnCapacity {
 			newPolicy = host.Settings.NewCapacityAwarePolicy
 		}
-		host.Engine.ReplacePolicy(func(out policy.Out) policy.Port { return newPolicy(out, host.Seed) })
+		host.Engine.ReplacePolicy(func(out policy.Executor) policy.Decider { return newPolicy(out, host.Seed) })
 		host.Log.Info().Bool("borne", s.LearnCapacity).Msg("watching whole sites")
 	}
 	if s.SheddingWeights != nil {
--- a/internal/aggregator/policy/admission_test.go
+++ b/internal/aggregator/policy/admission_test.go
@@ -8,28 +8,28 @@
 // floor.
 func TestSearchUnderTheCapacityFloorIsRefused(t *testing.T) {
 	p, out := newTestPolicy(2, nil)
-	p.CapacityFloor(0.5, 0.9) // all searches here are worth 1: above the floor
+	p.SetCapacityFloor(0.5, 0.9) // all searches here are worth 1: above the floor
 	runSearch(p, 1000, 0, 1)
 	failIf(t, len(out.shed) != 0 || len(p.requests[1].attempts) == 0, "above the floor: %v shed, want none", out.shed)
 	endLastAttempts(p, 1050, Answered, 1)
-	p.CapacityFloor(1.5, 0)
+	p.SetCapacityFloor(1.5, 0)
 	runSearch(p, 1100, 2, 1)
 	failIf(t, len(out.shed) != 1 || p.Refusals(0)[OverCapacity] != 1, "below the floor: %v shed, refusals %v", out.shed, p.Refusals(0))
-	p.CapacityFloor(1, 0.5)
+	p.SetCapacityFloor(1, 0.5)
 	for i := range 200 {
 		runSearch(p, 1200+float64(i), 4+2*i, 1)
 		endLastAttempts(p, 1200.5+float64(i), Answered, 5+2*i)
 	}
 	refused := p.Refusals(0)[OverCapacity]
 	failIf(t, refused < 70 || refused > 140, "at the floor: %d of 200 refused, want about half; refusals %v", refused-1, p.Refusals(0))
-	p.CapacityFloor(0, 0)
+	p.SetCapacityFloor(0, 0)
 	runSearch(p, 1500, 1000, 1)
 	failIf(t, len(out.shed) < 1 || p.Refusals(0)[OverCapacity] != refused, "a search is refused for the capacity floor though none is known")
 }
 
 // A search with more shard requests than the pending limit is served if nothing else is pending.
 func TestPendingLimitSmallerThanASearch(t *testing.T) {
-	p, out := newTestPolicy(2, func(p *Policy) { p.Limits(4, 2, true, true) })
+	p, out := newTestPolicy(2, func(p *Policy) { p.SetLimits(4, 2, true, true) })
 	runSearch(p, 1000, 0, 4)
 	failIf(t, len(out.sent) != 4, "sent %v, want all four requests of the most valuable search", out.sent)
 }
@@ -39,10 +39,10 @@
 func TestAdmissionConsidersTheTimeToTheDeadline(t *testing.T) {
 	p, out := newTestPolicy(1, nil)
 	now := runAnsweredSearches(p, 1000, 30)
-	p.Begin(now)
-	p.Search(0, 0, 0, now+60, 1)
-	p.ShardRequest(0, 1, 0, 1, 100, 0)
-	p.End()
+	p.BeginRound(now)
+	p.AddSearch(0, 0, 0, now+60, 1)
+	p.AddShardRequest(0, 1, 0, 1, 100, 0)
+	p.EndRound()
 	wantInts(t, "shed when 60 ms are left and answers take 100 ms", out.shed, 0)
 }
 
@@ -50,19 +50,19 @@
 // otherwise the search is shed.
 func TestRequestsExpectedToBeTooSlowAreAbandoned(t *testing.T) {
 	for _, floor := range []float64{0.5, 1} {
-		p, out := newTestPolicy(4, func(p *Policy) { p.Fleet(4, 1, 1, 0, false); p.Shares(0, 1, floor, 0.8, 0) })
-		p.Begin(1001)
+		p, out := newTestPolicy(4, func(p *Policy) { p.SetFleet(4, 1, 1, 0, false); p.SetAnswerShares(0, 1, floor, 0.8, 0) })
+		p.BeginRound(1001)
 		for i := range 4 {
-			p.Server(i, 0, i, Ready, 1, 0)
+			p.UpdateServer(i, 0, i, Ready, 1, 0)
 		}
-		p.End()
+		p.EndRound()
 		p.servers[3].meanLatency, p.servers[3].latencyAt = 5000, 1002
-		p.Begin(1002)
-		p.Search(0, 0, 0, 4000, 4)
+		p.BeginRound(1002)
+		p.AddSearch(0, 0, 0, 4000, 4)
 		for i := range 4 {
-			p.ShardRequest(0, 1+i, i, 0.25, 100, 0)
+			p.AddShardRequest(0, 1+i, i, 0.25, 100, 0)
 		}
-		p.End()
+		p.EndRound()
 		failIf(t, len(out.sent) != map[float64]int{0.5: 3, 1: 0}[floor],
 			"minimum share %.1f: sent %v, want three shard requests with 0.5 and none with 1", floor, out.sent)
 	}
@@ -107,10 +107,10 @@
 func TestFailingReplicasAreUsedBeforeShedding(t *testing.T) {
 	p, out := newTestPolicy(2, nil)
 	now := runAnsweredSearches(p, 1000, 40)
-	p.Begin(now)
+	p.BeginRound(now)
 	p.eject(0, false, "errors")
 	p.eject(1, false, "errors")
-	p.End()
+	p.EndRound()
 	sent := len(out.servers)
 	runSearch(p, now, 10, 1)
 	failIf(t, len(out.shed) > 0 || len(out.servers) != sent+1, "%d shed, want 0; %d sent, want 1", len(out.shed), len(out.servers)-sent)
--- a/internal/aggregator/policy/answer_test.go
+++ b/internal/aggregator/policy/answer_test.go
@@ -6,12 +6,12 @@
 
 // A search that can no longer reach its minimum share must not wait for its other requests.
 func TestSearchThatCannotReachItsFloorIsGivenUpAtOnce(t *testing.T) {
-	p, out := newTestPolicy(4, func(p *Policy) { p.Limits(1, 100, true, false) })
+	p, out := newTestPolicy(4, func(p *Policy) { p.SetLimits(1, 100, true, false) })
 	runSearch(p, 1000, 0, 4)
 	endLastAttempts(p, 1010, Errored, 2)
 	failIf(t, len(out.shed)+len(out.failed) != 1, "shed %v, failed %v, want the search in one of them", out.shed, out.failed)
 	// A search that can still reach its minimum share goes on.
-	p, out = newTestPolicy(4, func(p *Policy) { p.Limits(1, 100, true, false); p.Shares(0, 1, 0.5, 0.8, 0) })
+	p, out = newTestPolicy(4, func(p *Policy) { p.SetLimits(1, 100, true, false); p.SetAnswerShares(0, 1, 0.5, 0.8, 0) })
 	runSearch(p, 1000, 0, 4)
 	endLastAttempts(p, 1010, Errored, 2)
 	failIf(t, len(out.shed)+len(out.failed) != 0, "shed %v, failed %v, want none", out.shed, out.failed)
@@ -19,7 +19,7 @@
 
 // A search that may be answered partially gets its partial answer at the latency target, not before.
 func TestPartialAnswerAtTheLatencyTarget(t *testing.T) {
-	p, out := newTestPolicy(2, func(p *Policy) { p.Shares(0, 1, 0.5, 0.8, 0) })
+	p, out := newTestPolicy(2, func(p *Policy) { p.SetAnswerShares(0, 1, 0.5, 0.8, 0) })
 	runSearch(p, 1000, 0, 4)
 	endLastAttempts(p, 1100, Answered, 1, 2, 3)
 	wantInts(t, "answered before the latency target", out.answered)
--- a/internal/aggregator/policy/configure.go
+++ b/internal/aggregator/policy/configure.go
@@ -2,8 +2,8 @@
 
 // This file stores the settings, which are passed before the first round; it makes no decisions.
 
-// QueryType adds the next query type. Until its shares are set, only a complete answer counts.
-func (p *Policy) QueryType(latencyTarget, value, lateValue float64, effect Effect, tokenWindow float64) {
+// AddQueryType adds the next query type. Until its shares are set, only a complete answer counts.
+func (p *Policy) AddQueryType(latencyTarget, value, lateValue float64, effect RepeatEffect, tokenWindow float64) {
 	p.queryTypes = append(p.queryTypes, &queryType{
 		latencyTarget: latencyTarget,
 		value:         value,
@@ -20,76 +20,80 @@
 	}
 }
 
-// Shares sets which shares of a search's weight a complete answer and any answer of the query type
+// SetAnswerShares sets which shares of a search's weight a complete answer and any answer of the query type
 // need, what a partial answer is worth, and the number of follow-up shard requests.
-func (p *Policy) Shares(queryType int, completeShare, minimumShare, partialValue float64, followUpRequests int) {
+func (p *Policy) SetAnswerShares(queryType int, completeShare, minimumShare, partialValue float64, followUpRequests int) {
 	qt := p.queryTypes[queryType]
 	qt.completeShare, qt.minimumShare, qt.partialValue, qt.followUpRequests =
 		completeShare, min(minimumShare, completeShare), partialValue, followUpRequests
 }
 
-// Customer adds the next customer with its quota in searches per second.
-func (p *Policy) Customer(quota, overQuotaWeight float64) {
+// AddCustomer adds the next customer with its quota in searches per second.
+func (p *Policy) AddCustomer(quota, overQuotaWeight float64) {
 	p.customers = append(p.customers, &customer{
 		quota: quota, overQuotaWeight: overQuotaWeight, weight: 1, arrivals: newCounts(quotaSpan)})
 }
 
-// Fleet sets how shards are placed on servers and what a batch costs. Whether servers keep keys
+// SetFleet sets how shards are placed on servers and what a batch costs. Whether servers keep keys
 // warm is ignored, as no decision depends on a key.
-func (p *Policy) Fleet(positions, replicas, maxBatch int, batchWork float64, _ bool) {
+func (p *Policy) SetFleet(positions, replicas, maxBatch int, batchWork float64, _ bool) {
 	p.fleet = fleetShape{max(positions, 1), max(replicas, 1), max(maxBatch, 1), batchWork}
 }
 
-// Limits sets the limits on attempts and on pending work, and whether attempts may be cancelled and
+// SetLimits sets the limits on attempts and on pending work, and whether attempts may be cancelled and
 // hedged.
-func (p *Policy) Limits(maxAttempts, maxPending int, mayCancel, mayHedge bool) {
+func (p *Policy) SetLimits(maxAttempts, maxPending int, mayCancel, mayHedge bool) {
 	p.limits = limits{maxAttempts: maxAttempts, maxPending: maxPending, mayCancel: mayCancel, mayHedge: mayHedge}
 }
 
-// MaxRetryAfter sets the longest retry-after time in milliseconds.
-func (p *Policy) MaxRetryAfter(longest float64) { p.maxRetryAfter = longest }
+// SetMaxRetryAfter sets the longest retry-after time in milliseconds.
+func (p *Policy) SetMaxRetryAfter(longest float64) { p.maxRetryAfter = longest }
 
-// WarmUp limits the load on a server that has just started; durations are in milliseconds.
-func (p *Policy) WarmUp(initialShare, duration, multiple, window float64) {
+// SetWarmUp limits the load on a server that has just started; durations are in milliseconds.
+func (p *Policy) SetWarmUp(initialShare, duration, multiple, window float64) {
 	p.warmUp = warmUpLimit{
 		initialShare: initialShare, duration: duration, multiple: multiple, window: max(window, 1),
 		warmWork: newCounts(rateSpan)}
 }
 
-// Budget limits the retries and hedges in a window by the searches and shard requests in it.
-func (p *Policy) Budget(allowance, ratio, window float64) {
+// SetRetryBudget limits the retries and hedges in a window by the searches and shard requests in it.
+func (p *Policy) SetRetryBudget(allowance, ratio, window float64) {
 	window = max(window, 1)
 	p.budget = retryBudget{allowance, ratio, window, newCounts(window), newCounts(window)}
 }
 
-// Reports sets whether answers carry load reports, and the fields of a load report.
-func (p *Policy) Reports(onAnswers bool, fields []Field) {
+// SetLoadReports sets whether answers carry load reports, and the fields of a load report.
+func (p *Policy) SetLoadReports(onAnswers bool, fields []ReportField) {
 	p.reports.onAnswers, p.reports.fields = onAnswers, fields
 }
 
-// Probes allows health checks.
-func (p *Policy) Probes() { p.reports.mayProbe = true }
+// AllowProbes allows health checks.
+func (p *Policy) AllowProbes() { p.reports.mayProbe = true }
 
-// Discovery sets whether the server list must be subscribed to; if so, the first round does it.
-func (p *Policy) Discovery(subscribe bool) {
+// SetDiscovery sets whether the server list must be subscribed to; if so, the first round does it.
+func (p *Policy) SetDiscovery(subscribe bool) {
 	p.discovery = discovery{enabled: subscribe, due: subscribe}
 }
 
-// Priority replaces the value of a query type by the operator's priority, so that refusals follow
+// SetPriority replaces the value of a query type by the operator's priority, so that refusals follow
 // the operator's order.
-func (p *Policy) Priority(queryType int, priority float64) {
+func (p *Policy) SetPriority(queryType int, priority float64) {
 	p.queryTypes[queryType].value, p.maxValue = priority, 0
 	for _, qt := range p.queryTypes {
 		p.maxValue = max(p.maxValue, qt.value)
 	}
 }
 
-// CustomerWeight sets the factor on the value of a customer's searches.
-func (p *Policy) CustomerWeight(customer int, weight float64) { p.customers[customer].weight = weight }
+// SetCustomerWeight sets the factor on the value of a customer's searches.
+func (p *Policy) SetCustomerWeight(customer int, weight float64) {
+	p.customers[customer].weight = weight
+}
 
-// RetryWeight sets the factor on the value of a search that the client marked as a retry.
-func (p *Policy) RetryWeight(weight float64) { p.retryWeight = weight }
+// SetRetryWeight sets the factor on the value of a search that the client marked as a retry.
+func (p *Policy) SetRetryWeight(weight float64) { p.retryWeight = weight }
 
-// CapacityFloor sets the lowest value that servers have capacity for. It applies from the next
+// SetCapacityFloor sets the lowest value that servers have capacity for. It applies from the next
 // search on.
-func (p *Policy) CapacityFloor(value, excess float64) { p.capacityFloor = capacityFloor{value, excess} }
+func (p *Policy) SetCapacityFloor(value, excess float64) {
+	p.capacityFloor = capacityFloor{value, excess}
+}
--- a/internal/aggregator/policy/connections.go
+++ b/internal/aggregator/policy/connections.go
@@ -49,7 +49,7 @@
 // connection counts as a loss on a connection in use, as it shows that the age of idle connections
 // is not to blame.
 func (p *Policy) recordConnection(attempt *attemptState, outcome Outcome) {
-	if outcome != Answered && outcome != Reset && outcome != ConnectFailed {
+	if outcome != Answered && outcome != ConnectionReset && outcome != ConnectFailed {
 		return
 	}
 	attempt.freshConnection = attempt.freshConnection || outcome == ConnectFailed
@@ -65,6 +65,6 @@
 	attempt.freshConnection = attempt.onIdleConnection &&
 		(server.ejected && !server.connectFailed || p.connections.idleConnectionsFaulty(p.now))
 	if attempt.freshConnection {
-		p.out.Close(attempt.server)
+		p.out.CloseIdleConnections(attempt.server)
 	}
 }
--- a/internal/aggregator/policy/deadlines.go
+++ b/internal/aggregator/policy/deadlines.go
@@ -28,7 +28,7 @@
 // no limit. Where servers drop repetitions by a token, even the first attempt has a limit: if it
 // were delayed, it could arrive after the token of the next attempt has expired.
 func (p *Policy) beginLimit(req *shardRequest) float64 {
-	if req.search.queryType.effect != Tokened {
+	if req.search.queryType.effect != TokenDeduplicated {
 		return 0
 	}
 	limit := req.search.queryType.tokenWindow - answerMargin
@@ -69,9 +69,9 @@
 	return p.retryAfter(getAt(p.queryTypes, queryType))
 }
 
-// Pushback delays further attempts of a shard request. Of several delays the latest time applies,
+// RetryPushback delays further attempts of a shard request. Of several delays the latest time applies,
 // and a negative delay, which rules further attempts out, is not overridden.
-func (p *Policy) Pushback(id int, delay float64) {
+func (p *Policy) RetryPushback(id int, delay float64) {
 	req := getAt(p.requests, id)
 	if req == nil {
 		return
--- a/internal/aggregator/policy/deadlines_test.go
+++ b/internal/aggregator/policy/deadlines_test.go
@@ -7,7 +7,7 @@
 
 // Clients shed at one time must not all retry at the same time.
 func TestRetryAfterIsSpread(t *testing.T) {
-	p, _ := newTestPolicy(2, func(p *Policy) { p.MaxRetryAfter(1e6) })
+	p, _ := newTestPolicy(2, func(p *Policy) { p.SetMaxRetryAfter(1e6) })
 	mean, seen := retryAfterShare*p.queryTypes[0].latencyTarget, map[float64]bool{}
 	for range 20 {
 		retryAfter := p.RetryAfter(0)
@@ -18,7 +18,7 @@
 }
 
 func TestShedGivesRetryAfter(t *testing.T) {
-	p, out := newTestPolicy(1, func(p *Policy) { p.MaxRetryAfter(200) })
+	p, out := newTestPolicy(1, func(p *Policy) { p.SetMaxRetryAfter(200) })
 	now := runAnsweredSearches(p, 1000, 30)
 	p.servers[0].meanLatency = 5000
 	runSearch(p, now, 0, 1)
--- a/internal/aggregator/policy/doc.go
+++ b/internal/aggregator/policy/doc.go
@@ -11,8 +11,8 @@
 //   - probe: a health check, which is no attempt
 //   - query type: a kind of search, with its latency target and its value
 //
-// The caller uses policy.Port: after New it passes the settings; then, in rounds, it reports events and
-// ends the round, at which point the policy decides. Decisions are passed to policy.Out. The package
+// The caller uses policy.Decider: after New it passes the settings; then, in rounds, it reports events and
+// ends the round, at which point the policy decides. Decisions are passed to policy.Executor. The package
 // does no I/O, reads no clock (times are milliseconds passed by the caller) and starts no goroutine. The
 // same seed and the same events produce the same decisions.
 //
--- a/internal/aggregator/policy/helpers_test.go
+++ b/internal/aggregator/policy/helpers_test.go
@@ -23,52 +23,52 @@
 func (out *recorder) Shed(search int, retryAfter float64) {
 	out.shed, out.retryAfter = append(out.shed, search), retryAfter
 }
-func (out *recorder) Fail(search int)   { out.failed = append(out.failed, search) }
-func (out *recorder) Probe(server int)  { out.probed = append(out.probed, server) }
-func (out *recorder) Close(server int)  { out.closed = append(out.closed, server) }
-func (out *recorder) Subscribe()        {}
-func (out *recorder) Wake(_ float64)    {}
-func (out *recorder) Log(_ string)      {}
-func (out *recorder) Forget(search int) { out.forgotten = append(out.forgotten, search) }
+func (out *recorder) Fail(search int)                 { out.failed = append(out.failed, search) }
+func (out *recorder) Probe(server int)                { out.probed = append(out.probed, server) }
+func (out *recorder) CloseIdleConnections(server int) { out.closed = append(out.closed, server) }
+func (out *recorder) SubscribeToServers()             {}
+func (out *recorder) ScheduleWakeUp(_ float64)        {}
+func (out *recorder) Log(_ string)                    {}
+func (out *recorder) ReleaseSearch(search int)        { out.forgotten = append(out.forgotten, search) }
 
 // newTestPolicy returns a policy with one query type, all servers ready at one position, after
 // configure has changed its settings, and the recorder of its decisions.
 func newTestPolicy(servers int, configure func(*Policy)) (*Policy, *recorder) {
 	out := &recorder{}
 	p := New(out, 1, 2, 0)
-	p.QueryType(1000, 1, 0.3, Idempotent, 0)
-	p.Fleet(1, 1, 4, 10, false)
-	p.Limits(4, 0, true, true)
+	p.AddQueryType(1000, 1, 0.3, Idempotent, 0)
+	p.SetFleet(1, 1, 4, 10, false)
+	p.SetLimits(4, 0, true, true)
 	if configure != nil {
 		configure(p)
 	}
-	p.Begin(1000)
+	p.BeginRound(1000)
 	for i := range servers {
-		p.Server(i, 0, 0, Ready, 1, 0)
+		p.UpdateServer(i, 0, 0, Ready, 1, 0)
 	}
-	p.End()
+	p.EndRound()
 	return p, out
 }
 
 // runSearch runs a round with one new search; the ids of its shard requests follow its own.
 func runSearch(p *Policy, now float64, id, requests int) {
-	p.Begin(now)
-	p.Search(id, 0, 0, now+3000, requests)
+	p.BeginRound(now)
+	p.AddSearch(id, 0, 0, now+3000, requests)
 	for i := range requests {
-		p.ShardRequest(id, id+1+i, 0, 1/float64(requests), 100, 0)
+		p.AddShardRequest(id, id+1+i, 0, 1/float64(requests), 100, 0)
 	}
-	p.End()
+	p.EndRound()
 }
 
 // endLastAttempts runs a round in which the latest attempt of each shard request ends.
 func endLastAttempts(p *Policy, now float64, outcome Outcome, requests ...int) {
-	p.Begin(now)
+	p.BeginRound(now)
 	for _, id := range requests {
 		if request := getAt(p.requests, id); request != nil {
-			p.Done(id, len(request.attempts)-1, outcome, nil)
+			p.AttemptDone(id, len(request.attempts)-1, outcome, nil)
 		}
 	}
-	p.End()
+	p.EndRound()
 }
 
 // runAnsweredSearches runs searches one after another, each answered after 100 ms, and returns the
--- a/internal/aggregator/policy/inflight.go
+++ b/internal/aggregator/policy/inflight.go
@@ -65,10 +65,10 @@
 	}
 }
 
-// ClientSending sets whether the client is still sending the body of a shard request. When it has
+// SetClientSending sets whether the client is still sending the body of a shard request. When it has
 // sent all, the time of the attempts in flight starts to count: a server that waits for the client
 // is not slow.
-func (p *Policy) ClientSending(id int, sending bool) {
+func (p *Policy) SetClientSending(id int, sending bool) {
 	req := getAt(p.requests, id)
 	if req == nil || req.clientSending == sending {
 		return
@@ -84,11 +84,11 @@
 	}
 }
 
-// Committed commits a shard request to one attempt and cancels the others. If answering is set, the
+// CommitAttempt commits a shard request to one attempt and cancels the others. If answering is set, the
 // attempt is recorded as an answer now and not at its end: how long the client takes to read the
 // answer says nothing about the server, and a long stream must not make the server look
 // unresponsive. The attempt stays in flight.
-func (p *Policy) Committed(id, number int, answering bool) bool {
+func (p *Policy) CommitAttempt(id, number int, answering bool) bool {
 	attempt := p.attemptInFlight(id, number)
 	if attempt == nil || attempt.cancelled {
 		return false
@@ -110,8 +110,8 @@
 	return true
 }
 
-// Done ends an attempt and passes its outcome through the stages in reverse order.
-func (p *Policy) Done(id, number int, outcome Outcome, report []float64) {
+// AttemptDone ends an attempt and passes its outcome through the stages in reverse order.
+func (p *Policy) AttemptDone(id, number int, outcome Outcome, report []float64) {
 	attempt := p.attemptInFlight(id, number)
 	if attempt == nil {
 		return
--- a/internal/aggregator/policy/inflight_test.go
+++ b/internal/aggregator/policy/inflight_test.go
@@ -13,22 +13,22 @@
 	now := runAnsweredSearches(p, 1000, 30)
 	runSearch(p, now, 1, 1)
 	server := p.requestByID(2).attempts[0].server
-	for p.Begin(now + 150); len(p.requestByID(2).attempts) < 2 && p.now < now+900; p.Begin(p.now + 10) {
-		p.End()
+	for p.BeginRound(now + 150); len(p.requestByID(2).attempts) < 2 && p.now < now+900; p.BeginRound(p.now + 10) {
+		p.EndRound()
 	}
 	if len(p.requestByID(2).attempts) != 2 {
 		t.Fatal("no hedge was sent")
 	}
 	out.cancelled = nil
-	failIf(t, !p.Committed(2, 1, true), "the hedge could not be committed")
+	failIf(t, !p.CommitAttempt(2, 1, true), "the hedge could not be committed")
 	wantInts(t, "the other attempt is cancelled", out.cancelled, 2)
-	failIf(t, p.Committed(2, 0, true), "two attempts of one shard request are committed")
-	p.End()
+	failIf(t, p.CommitAttempt(2, 0, true), "two attempts of one shard request are committed")
+	p.EndRound()
 	// The committed attempt breaks: it is not retried, and the client is not told that a retry is harmless.
-	p.Begin(p.now + 10)
-	p.Done(2, 0, Cancelled, nil)
-	p.Done(2, 1, Reset, nil)
-	p.End()
+	p.BeginRound(p.now + 10)
+	p.AttemptDone(2, 0, Cancelled, nil)
+	p.AttemptDone(2, 1, ConnectionReset, nil)
+	p.EndRound()
 	wantInts(t, "failed searches", out.failed, 1)
 	failIf(t, len(out.shed) > 0 || server < 0, "shed %v, though the attempt may have run", out.shed)
 }
@@ -38,19 +38,19 @@
 	now := runAnsweredSearches(p, 1000, 30)
 	runSearch(p, now, 1, 1)
 	s := p.servers[p.requestByID(2).attempts[0].server]
-	p.Begin(now + 50)
-	p.Committed(2, 0, true)
-	p.End()
-	for ; p.now < now+2900; p.Begin(p.now + 20) {
-		p.End()
+	p.BeginRound(now + 50)
+	p.CommitAttempt(2, 0, true)
+	p.EndRound()
+	for ; p.now < now+2900; p.BeginRound(p.now + 20) {
+		p.EndRound()
 	}
 	failIf(t, s.ejected || p.expectedLatency(s) > 200,
 		"ejected %v, expected latency %.0f ms, want at most 200", s.ejected, p.expectedLatency(s))
 	failIf(t, s.batches != 1 || s.clientBoundBatches != 1,
 		"%d batches in flight, %d client-bound, want 1 and 1", s.batches, s.clientBoundBatches)
-	p.Begin(now + 2910)
-	p.Done(2, 0, Answered, nil)
-	p.End()
+	p.BeginRound(now + 2910)
+	p.AttemptDone(2, 0, Answered, nil)
+	p.EndRound()
 	wantInts(t, "answered", out.answered[len(out.answered)-1:], 1)
 	failIf(t, s.batches != 0 || s.clientBoundBatches != 0 || p.expectedLatency(s) > 200,
 		"%d batches in flight, %d client-bound, want none; expected latency %.0f ms, want at most 200",
@@ -61,20 +61,20 @@
 	p, out := newTestPolicy(2, nil)
 	now := runAnsweredSearches(p, 1000, 30)
 	for i := range 40 { // a flood of request bodies that arrive byte by byte
-		p.Begin(now)
-		p.Search(10+2*i, 0, 0, now+1000, 1)
-		p.ShardRequest(10+2*i, 11+2*i, 0, 1, 100, 0)
-		p.ClientSending(11+2*i, true)
-		p.End()
+		p.BeginRound(now)
+		p.AddSearch(10+2*i, 0, 0, now+1000, 1)
+		p.AddShardRequest(10+2*i, 11+2*i, 0, 1, 100, 0)
+		p.SetClientSending(11+2*i, true)
+		p.EndRound()
 	}
-	for ; p.now < now+990; p.Begin(p.now + 20) {
-		p.End()
+	for ; p.now < now+990; p.BeginRound(p.now + 20) {
+		p.EndRound()
 	}
 	for i := range 40 {
 		failIf(t, len(p.requestByID(11+2*i).attempts) != 1, "sent %d times, want once", len(p.requestByID(11+2*i).attempts))
-		p.Done(11+2*i, 0, Cancelled, nil)
+		p.AttemptDone(11+2*i, 0, Cancelled, nil)
 	}
-	p.End()
+	p.EndRound()
 	for i, s := range p.servers {
 		failIf(t, s.ejected || p.expectedLatency(s) > 200 || s.batches != 0 || s.clientBoundBatches != 0,
 			"server %d: ejected %v, expected latency %.0f ms, %d batches in flight, %d client-bound",
@@ -84,14 +84,14 @@
 	runSearch(p, now+1000, 1, 1)
 	failIf(t, len(out.shed) != shed, "another search is shed because of those that wait for their clients")
 	// Once the body is complete, the time counts.
-	p.Begin(now + 1100)
-	p.Search(3, 0, 0, now+4000, 1)
-	p.ShardRequest(3, 4, 0, 1, 100, 0)
-	p.ClientSending(4, true)
-	p.End()
-	p.Begin(now + 1600)
-	p.ClientSending(4, false)
-	p.End()
+	p.BeginRound(now + 1100)
+	p.AddSearch(3, 0, 0, now+4000, 1)
+	p.AddShardRequest(3, 4, 0, 1, 100, 0)
+	p.SetClientSending(4, true)
+	p.EndRound()
+	p.BeginRound(now + 1600)
+	p.SetClientSending(4, false)
+	p.EndRound()
 	s := p.servers[p.requestByID(4).attempts[0].server]
 	failIf(t, s.clientBoundBatches != 0 || len(s.waiting) == 0, "the server is not expected to answer though the body is complete")
 	attempt := p.requestByID(4).attempts[0]
@@ -104,17 +104,17 @@
 		p, out := newTestPolicy(2, nil)
 		now := runAnsweredSearches(p, 1000, 30)
 		runSearch(p, now, 1, 1)
-		p.Begin(now + 10)
-		p.Pushback(2, delay)
-		p.Done(2, 0, Errored, nil)
-		p.End()
+		p.BeginRound(now + 10)
+		p.RetryPushback(2, delay)
+		p.AttemptDone(2, 0, Errored, nil)
+		p.EndRound()
 		sent := len(out.sent)
 		if retried {
-			p.Begin(now + 100)
-			p.End()
+			p.BeginRound(now + 100)
+			p.EndRound()
 			failIf(t, len(out.sent) != sent, "retried before the pushback delay had passed")
-			p.Begin(now + 115)
-			p.End()
+			p.BeginRound(now + 115)
+			p.EndRound()
 			failIf(t, len(out.sent) != sent+1, "not retried after the pushback delay")
 			continue
 		}
@@ -123,16 +123,16 @@
 }
 
 func TestRequestBeginsWithinItsTokenWindow(t *testing.T) {
-	p, out := newTestPolicy(2, func(p *Policy) { p.QueryType(1000, 1, 0.3, Tokened, 400) })
+	p, out := newTestPolicy(2, func(p *Policy) { p.AddQueryType(1000, 1, 0.3, TokenDeduplicated, 400) })
 	now := runAnsweredSearches(p, 1000, 30)
-	p.Begin(now)
-	p.Search(1, 1, 0, now+3000, 1)
-	p.ShardRequest(1, 2, 0, 1, 100, 0)
-	p.End()
+	p.BeginRound(now)
+	p.AddSearch(1, 1, 0, now+3000, 1)
+	p.AddShardRequest(1, 2, 0, 1, 100, 0)
+	p.EndRound()
 	failIf(t, out.beginWithin != 400-answerMargin, "the first attempt must begin within %.0f ms, want 375", out.beginWithin)
-	p.Begin(now + 100)
-	p.Done(2, 0, Reset, nil)
-	p.End()
+	p.BeginRound(now + 100)
+	p.AttemptDone(2, 0, ConnectionReset, nil)
+	p.EndRound()
 	failIf(t, out.beginWithin != 300-answerMargin, "the second attempt must begin within %.0f ms, want 275", out.beginWithin)
 	runSearch(p, now+200, 5, 1)
 	failIf(t, out.beginWithin != 0, "an idempotent shard request must begin within %.0f ms, want no limit", out.beginWithin)
--- a/internal/aggregator/policy/load.go
+++ b/internal/aggregator/policy/load.go
@@ -7,7 +7,7 @@
 // loadReports says how load reports are obtained, and which fields they have.
 type loadReports struct {
 	onAnswers, mayProbe bool
-	fields              []Field
+	fields              []ReportField
 }
 
 // comeWithAnswers reports whether answers carry load reports.
@@ -16,10 +16,10 @@
 // recordReport keeps the number of requests that a server reports: those in flight if it reports
 // them, else those in its queue.
 func (p *Policy) recordReport(server *serverState, values []float64) {
-	best := Other
+	best := OtherField
 	for i, value := range values[:min(len(values), len(p.reports.fields))] {
 		field := p.reports.fields[i]
-		if field <= Busy || best != Other && field != InFlight {
+		if field <= BusyField || best != OtherField && field != InFlightField {
 			continue
 		}
 		if math.IsInf(server.loadReportedAt, -1) {
--- a/internal/aggregator/policy/outliers.go
+++ b/internal/aggregator/policy/outliers.go
@@ -23,7 +23,7 @@
 	switch outcome {
 	case Answered:
 		p.observeAnswer(server, attempt)
-	case Errored, TimedOut, Reset:
+	case Errored, TimedOut, ConnectionReset:
 		p.observeError(server, attempt.server, outcome)
 	case Rejected:
 		p.observeRejection(server, attempt.request)
@@ -69,10 +69,10 @@
 // errors rarely fall into one span, and each costs a search an attempt.
 func (p *Policy) observeError(server *serverState, id int, outcome Outcome) {
 	server.successStreak = 0
-	if outcome != Reset || server.resetAt != p.now {
+	if outcome != ConnectionReset || server.resetAt != p.now {
 		server.errors.Add(p.now, 1)
 	}
-	if outcome == Reset {
+	if outcome == ConnectionReset {
 		server.resetAt = p.now
 	}
 	enough := minErrors
--- a/internal/aggregator/policy/outliers_test.go
+++ b/internal/aggregator/policy/outliers_test.go
@@ -10,9 +10,9 @@
 	out.sent, out.servers = nil, nil
 	runSearch(p, now, 0, 1)
 	for at := now + 10; at <= now+600; at += 10 {
-		p.Begin(at)
-		p.Woken()
-		p.End()
+		p.BeginRound(at)
+		p.WakeUpDue()
+		p.EndRound()
 	}
 	if s := p.servers[out.servers[0]]; !s.ejected || !s.unresponsive {
 		t.Fatal("a server that answers nothing is not ejected as unresponsive")
@@ -39,7 +39,7 @@
 	p, _ := newTestPolicy(2, nil)
 	now := runAnsweredSearches(p, 1000, 30)
 	runSearch(p, now, 0, 4)
-	endLastAttempts(p, now+10, Reset, 1, 2, 3, 4)
+	endLastAttempts(p, now+10, ConnectionReset, 1, 2, 3, 4)
 	for i, s := range p.servers {
 		failIf(t, s.ejected, "server %d is ejected because of one broken connection", i)
 	}
--- a/internal/aggregator/policy/placement_test.go
+++ b/internal/aggregator/policy/placement_test.go
@@ -21,7 +21,7 @@
 // There, and only there, the fewest batches in flight decide.
 func TestPredictionDoesNotChooseInOverload(t *testing.T) {
 	p, _ := newTestPolicy(2, nil)
-	p.Begin(1000)
+	p.BeginRound(1000)
 	slow, fast := p.servers[0], p.servers[1]
 	predictor := &p.predictor
 	predictor.samples, predictor.fleetSlowThreshold, predictor.median, predictor.minMedian, predictor.avgLoad = 100, 50, 30, 30, 3
--- a/internal/aggregator/policy/policy.go
+++ b/internal/aggregator/policy/policy.go
@@ -20,7 +20,7 @@
 
 // Policy makes the decisions of one aggregator. The settings of each part are kept with that part.
 type Policy struct {
-	out    Out
+	out    Executor
 	random random
 	stages []stage
 
@@ -63,7 +63,7 @@
 
 // New returns a policy that passes its decisions to out. seed determines its random decisions,
 // aggregators is the number of aggregators in the fleet, and zone is the zone of this one.
-func New(out Out, seed uint64, aggregators, zone int) *Policy {
+func New(out Executor, seed uint64, aggregators, zone int) *Policy {
 	p := &Policy{
 		out:             out,
 		random:          random{seed: seed},
@@ -82,8 +82,8 @@
 			recentLatencies: newHistogram(tailSpan),
 		},
 	}
-	p.Fleet(1, 1, 1, 0, false)
-	p.Limits(1, 0, false, false)
+	p.SetFleet(1, 1, 1, 0, false)
+	p.SetLimits(1, 0, false, false)
 	for use := range connectionUses {
 		p.connections.lost[use], p.connections.answered[use] = newCounts(idleSpan), newCounts(idleSpan)
 	}
@@ -138,20 +138,20 @@
 	server      int
 }
 
-// Begin begins a round. If the wake-up comes late, this aggregator stalled: that nothing was
+// BeginRound begins a round. If the wake-up comes late, this aggregator stalled: that nothing was
 // received in the meantime does not make any server unresponsive.
-func (p *Policy) Begin(now float64) {
+func (p *Policy) BeginRound(now float64) {
 	if !math.IsInf(p.wakeDueAt, 0) && now > p.wakeDueAt+stallThreshold {
 		p.stallEndedAt = now
 	}
 	p.now, p.round = now, p.round+1
 }
 
-// End ends the round: it checks the servers and takes each search through the stages.
-func (p *Policy) End() {
+// EndRound ends the round: it checks the servers and takes each search through the stages.
+func (p *Policy) EndRound() {
 	if p.discovery.due && p.now >= p.discovery.dueAt {
 		p.discovery.due = false
-		p.out.Subscribe()
+		p.out.SubscribeToServers()
 	}
 	p.checkServers()
 	kept := p.liveSearches[:0]
@@ -166,7 +166,7 @@
 	p.liveSearches = kept
 	if (len(p.liveSearches) > 0 || p.discovery.due) && p.now >= p.wakeDueAt {
 		p.wakeDueAt = p.now + tickInterval
-		p.out.Wake(tickInterval)
+		p.out.ScheduleWakeUp(tickInterval)
 	}
 }
 
@@ -189,9 +189,9 @@
 	}
 }
 
-// Woken clears the time at which the wake-up was due, so that no later round counts as a late
+// WakeUpDue clears the time at which the wake-up was due, so that no later round counts as a late
 // wake-up.
-func (p *Policy) Woken() { p.wakeDueAt = math.Inf(-1) }
+func (p *Policy) WakeUpDue() { p.wakeDueAt = math.Inf(-1) }
 
 // DiscoveryFailed has the server list subscribed to again after 0.5 to 1 s.
 func (p *Policy) DiscoveryFailed() {
--- a/internal/aggregator/policy/port.go
+++ b/internal/aggregator/policy/port.go
@@ -5,53 +5,53 @@
 
 // The outcomes of an attempt.
 const (
-	Answered      Outcome = iota
-	Errored               // the server returned an error; the attempt may have run
-	Rejected              // refused unread by a server that was full; the attempt did not run
-	TimedOut              // no answer in time; the attempt may have run
-	ConnectFailed         // no connection could be opened; the attempt did not run
-	Reset                 // the connection broke; the attempt may have run
-	Cancelled             // cancelled by this aggregator; the attempt may have run
-	NeverSent             // withdrawn before it was sent
+	Answered        Outcome = iota
+	Errored                 // the server returned an error; the attempt may have run
+	Rejected                // refused unread by a server that was full; the attempt did not run
+	TimedOut                // no answer in time; the attempt may have run
+	ConnectFailed           // no connection could be opened; the attempt did not run
+	ConnectionReset         // the connection broke; the attempt may have run
+	Cancelled               // cancelled by this aggregator; the attempt may have run
+	NeverSent               // withdrawn before it was sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NeverSent }
 
-// Effect is what a second run of a shard request would do.
-type Effect uint8
+// RepeatEffect is what a second run of a shard request would do.
+type RepeatEffect uint8
 
 // The effects of a second run.
 const (
-	Idempotent    Effect = iota // none
-	Tokened                     // none while servers remember the idempotency token
-	NonIdempotent               // the effect happens twice
+	Idempotent        RepeatEffect = iota // none
+	TokenDeduplicated                     // none while servers remember the idempotency token
+	NonIdempotent                         // the effect happens twice
 )
 
-// State is the state of a server in the server list.
-type State uint8
+// ServerStatus is the state of a server in the server list.
+type ServerStatus uint8
 
 // The states of a server.
 const (
-	Ready State = iota
+	Ready ServerStatus = iota
 	Draining
 	Gone
 )
 
-// Field is a field of a load report.
-type Field uint8
+// ReportField is a field of a load report.
+type ReportField uint8
 
 // The fields of a load report.
 const (
-	Other    Field = iota // ignored
-	Busy                  // share of the server's cores that is in use
-	InFlight              // requests in progress at the server
-	Queue                 // requests waiting at the server
+	OtherField    ReportField = iota // ignored
+	BusyField                        // share of the server's cores that is in use
+	InFlightField                    // requests in progress at the server
+	QueueField                       // requests waiting at the server
 )
 
-// Out carries out the decisions of the policy. The attempts of a shard request are numbered from 0 in
+// Executor carries out the decisions of the policy. The attempts of a shard request are numbered from 0 in
 // the order in which they were sent. Times are in milliseconds.
-type Out interface {
+type Executor interface {
 	// Send makes the next attempt of a shard request. The attempt times out after timeout; 0 means
 	// that it may last until the client gives up. An attempt that has not begun after beginWithin,
 	// because a connection is being opened or is full, must not begin and ends as NeverSent; 0 means no
@@ -73,23 +73,23 @@
 	Probe(server int)
 	// CloseIdleConnections closes this aggregator's idle connections to a server, so that the next send
 	// opens a new one.
-	Close(server int)
+	CloseIdleConnections(server int)
 	// SubscribeToServers asks for the server list.
-	Subscribe()
+	SubscribeToServers()
 	// ScheduleWakeUp requests a round after the given delay. The caller reports in that round that the
 	// wake-up has fired.
-	Wake(delay float64)
+	ScheduleWakeUp(delay float64)
 	// Log writes a line to the operators' log.
 	Log(text string)
 	// ReleaseSearch tells the caller that a search has ended and has no attempt in flight: the indices
 	// of the search and its shard requests may be reused.
-	Forget(search int)
+	ReleaseSearch(search int)
 }
 
-// Port is the policy as its caller sees it. The caller first passes the settings and then reports
+// Decider is the policy as its caller sees it. The caller first passes the settings and then reports
 // events in rounds. Searches and shard requests share one space of small integer indices; servers,
 // query types, customers and zones have one each. Times are in milliseconds.
-type Port interface {
+type Decider interface {
 	Settings
 	Events
 }
@@ -100,79 +100,79 @@
 	// AddQueryType adds the next query type; indices start from 0. value and lateValue are what a search
 	// is worth when answered within the latency target and after it. effect is what a second run of
 	// its shard requests would do; tokenWindow is how long servers remember an idempotency token.
-	QueryType(latencyTarget, value, lateValue float64, effect Effect, tokenWindow float64)
+	AddQueryType(latencyTarget, value, lateValue float64, effect RepeatEffect, tokenWindow float64)
 	// SetAnswerShares sets which share of a search's weight must be answered for a complete answer and
 	// for any answer, what a partial answer is worth, and how many shard requests the follow-up phase
 	// of a search has; 0 means that it has none.
-	Shares(queryType int, completeShare, minimumShare, partialValue float64, followUpRequests int)
+	SetAnswerShares(queryType int, completeShare, minimumShare, partialValue float64, followUpRequests int)
 	// AddCustomer adds the next customer, and the factor on the value of its searches beyond its quota.
-	Customer(quotaPerSecond, overQuotaWeight float64)
+	AddCustomer(quotaPerSecond, overQuotaWeight float64)
 	// SetFleet sets the number of positions on the ring of shards, the replicas of each shard, how many
 	// shard requests a batch takes, the work that each batch costs in addition, and whether servers
 	// keep the data of recent keys warm.
-	Fleet(positions, replicas, maxBatch int, batchWork float64, warmKeys bool)
+	SetFleet(positions, replicas, maxBatch int, batchWork float64, warmKeys bool)
 	// SetLimits sets the maximum number of attempts of a shard request, the maximum number of pending
 	// searches and shard requests (0: no limit), and whether attempts may be cancelled and hedged.
-	Limits(maxAttempts, maxPending int, mayCancel, mayHedge bool)
+	SetLimits(maxAttempts, maxPending int, mayCancel, mayHedge bool)
 	// SetMaxRetryAfter sets the longest retry-after time that a client is given when its search is shed.
-	MaxRetryAfter(longest float64)
+	SetMaxRetryAfter(longest float64)
 	// SetWarmUp sets the share of its capacity that a server has right after its start, the time until it
 	// has its full capacity, and which multiple of its present capacity all aggregators together may
 	// send to it within a window.
-	WarmUp(initialShare, duration, multiple, window float64)
+	SetWarmUp(initialShare, duration, multiple, window float64)
 	// SetRetryBudget limits the retries and hedges within a window to allowance plus ratio times the
 	// searches and shard requests that arrived in it.
-	Budget(allowance, ratio, window float64)
+	SetRetryBudget(allowance, ratio, window float64)
 	// SetLoadReports sets whether answers carry load reports, and the fields of a load report.
-	Reports(onAnswers bool, fields []Field)
+	SetLoadReports(onAnswers bool, fields []ReportField)
 	// AllowProbes allows health checks.
-	Probes()
+	AllowProbes()
 	// SetDiscovery sets whether the server list must be subscribed to.
-	Discovery(subscribe bool)
+	SetDiscovery(subscribe bool)
 	// SetPriority sets what a search of the query type counts for, in place of its value, when not all
 	// searches can be admitted.
-	Priority(queryType int, priority float64)
+	SetPriority(queryType int, priority float64)
 	// SetCustomerWeight sets the factor on the value of a customer's searches.
-	CustomerWeight(customer int, weight float64)
+	SetCustomerWeight(customer int, weight float64)
 	// SetRetryWeight sets the factor on the value of a search that the client marked as a retry.
-	RetryWeight(weight float64)
+	SetRetryWeight(weight float64)
 }
 
 // Events reports events to the policy, each between the beginning and the end of a round, and answers
 // queries, which may be made at any time.
 type Events interface {
 	// BeginRound begins a round.
-	Begin(now float64)
+	BeginRound(now float64)
 	// AddSearch adds a search with the given number of shard requests, which must be added in the same
 	// round.
-	Search(id, queryType, customer int, deadline float64, requests int)
+	AddSearch(id, queryType, customer int, deadline float64, requests int)
 	// AddShardRequest adds a shard request to a search: its share of the search's weight, and a hint of
 	// the work that it takes; 0 means no hint.
-	ShardRequest(search, id, shard int, weight, hintedWork float64, key uint64)
+	AddShardRequest(search, id, shard int, weight, hintedWork float64, key uint64)
 	// MarkRetry marks a search as a retry by its client. It must come in the round in which the search
 	// is added.
 	MarkRetry(search int)
 	// AttemptDone ends an attempt; report is the load report that came with the answer, if any.
-	Done(request, attempt int, outcome Outcome, report []float64)
+	AttemptDone(request, attempt int, outcome Outcome, report []float64)
 	// CommitAttempt commits a shard request to one attempt: bytes of it have reached the client
 	// (answering), or what the server was sent can't be sent again. From then on no other attempt may
 	// take its place; its end must still be reported. It returns false if the shard request is
 	// committed to another attempt already, or answered: then the caller must cancel this attempt.
-	Committed(request, attempt int, answering bool) bool
+	CommitAttempt(request, attempt int, answering bool) bool
 	// SetClientSending sets whether the client is still sending the body of a shard request. While it is,
 	// a missing answer may be the client's fault and not the server's.
-	ClientSending(request int, sending bool)
+	SetClientSending(request int, sending bool)
 	// RetryPushback delays further attempts of a shard request as its server asked for (retry pushback); a
 	// negative delay rules them out.
-	Pushback(request int, delay float64)
+	RetryPushback(request int, delay float64)
 	// ProbeDone reports the result of a health check and how long it took.
-	Probed(server int, ok bool, elapsed float64, report []float64)
+	ProbeDone(server int, ok bool, elapsed float64, report []float64)
 	// ClientGone reports that a search's client no longer waits for an answer.
 	ClientGone(search int)
 	// ShortenDeadline reports that a search must be answered earlier than was announced.
 	ShortenDeadline(search int, deadline float64)
 	// UpdateServer updates a server with what the server list says of it.
-	Server(id, zone, position int, state State, size, startedAt float64)
+	UpdateServer(id, zone, position int, state ServerStatus, size, startedAt float64)
 	// RemoveServer frees the index of a server that is gone. It does nothing and returns false while
 	// the policy still needs the server's state.
 	RemoveServer(id int) bool
@@ -184,13 +184,13 @@
 	// SetCapacityFloor sets the lowest value of a search that servers have capacity for. Searches of
 	// exactly this value are refused with the probability excess. A value of 0 means that the floor is
 	// not known.
-	CapacityFloor(value, excess float64)
+	SetCapacityFloor(value, excess float64)
 	// DiscoveryFailed reports that the subscription to the server list failed or broke.
 	DiscoveryFailed()
 	// WakeUpDue reports that the requested wake-up has fired.
-	Woken()
+	WakeUpDue()
 	// EndRound ends the round; all decisions are made here.
-	End()
+	EndRound()
 
 	// SearchValue returns what a search counts for when not all can be admitted, after the factors for
 	// a retry and for its customer's quota.
--- a/internal/aggregator/policy/prediction.go
+++ b/internal/aggregator/policy/prediction.go
@@ -8,7 +8,7 @@
 const (
 	historySize        = predict.HistorySize
 	historyExpiry      = predict.HistoryExpiry
-	latencySpan        = predict.SlowLineSpan
+	latencySpan        = predict.SlowThresholdSpan
 	maxHintReduction   = 0.5    // of the mean work: hints are rough, so a small shard request is taken to be smaller by at most this
 	slowScore          = 0.5    // a higher score predicts a slow answer
 	latencyFadeSpan    = 10000. // ms in which a server's mean latency loses its weight
@@ -46,7 +46,7 @@
 
 // slowThreshold returns the latency above which an answer of the server is slow.
 func (pr *predictor) slowThreshold(now float64, server *serverState) float64 {
-	return predict.SlowLine(now, server.latencies, pr.fleetSlowThreshold, pr.samples)
+	return predict.SlowThreshold(now, server.latencies, pr.fleetSlowThreshold, pr.samples)
 }
 
 // features describes a server by its recent answers. If its oldest attempt in flight has taken
@@ -58,12 +58,12 @@
 	if len(server.waiting) > 0 {
 		oldest := server.waiting[0]
 		if age := now - oldest.startedAt - oldest.extraWork; age > threshold {
-			f.Add(age, oldest.loadAtSend)
+			f.AddLatency(age, oldest.loadAtSend)
 		}
 	}
 	for _, answer := range server.history {
 		if answer.receivedAt > 0 && now-answer.receivedAt < historyExpiry {
-			f.Add(answer.latency, answer.load)
+			f.AddLatency(answer.latency, answer.load)
 		}
 	}
 	return f.Vector
@@ -86,7 +86,7 @@
 func (p *Policy) measureFleet() {
 	pr := &p.predictor
 	pr.median, _ = pr.latencies.Quantile(p.now, medianQuantile)
-	pr.fleetSlowThreshold, pr.samples = pr.latencies.Quantile(p.now, predict.SlowLineQuantile)
+	pr.fleetSlowThreshold, pr.samples = pr.latencies.Quantile(p.now, predict.SlowThresholdQuantile)
 	if pr.samples >= minSamples && (pr.minMedian == 0 || pr.median < pr.minMedian) {
 		pr.minMedian = pr.median
 	}
--- a/internal/aggregator/policy/prediction_test.go
+++ b/internal/aggregator/policy/prediction_test.go
@@ -52,7 +52,7 @@
 		p.servers[0].latencies.Add(1000, 1000)
 		p.servers[1].latencies.Add(1000, 50)
 	}
-	p.End()
+	p.EndRound()
 	if got := p.predictor.slowThreshold(1000, p.servers[0]); got < 130 || got > 140 {
 		t.Fatalf("slow threshold of a server that is always slow: %.0f, want 1.5 times the fleet's 90", got)
 	}
@@ -66,10 +66,10 @@
 func TestHintedExtraWorkIsSubtractedFromLatency(t *testing.T) {
 	p, _ := newTestPolicy(1, nil)
 	now := runAnsweredSearches(p, 1000, 30)
-	p.Begin(now)
-	p.Search(0, 0, 0, now+3000, 1)
-	p.ShardRequest(0, 1, 0, 1, 180, 0)
-	p.End()
+	p.BeginRound(now)
+	p.AddSearch(0, 0, 0, now+3000, 1)
+	p.AddShardRequest(0, 1, 0, 1, 180, 0)
+	p.EndRound()
 	endLastAttempts(p, now+180, Answered, 1)
 	if got := p.servers[0].history[0].latency; got > 110 {
 		t.Fatalf("a request with 180 ms of work, answered in 180 ms, counts as %.0f ms, want about 100", got)
@@ -83,11 +83,11 @@
 	now := runAnsweredSearches(p, 1000, 30)
 	for i := range 8 {
 		runSearch(p, now, 20*i, 1)
-		p.Woken()
-		p.Begin(now + 450)
+		p.WakeUpDue()
+		p.BeginRound(now + 450)
 		p.ClientGone(20 * i)
-		p.Done(20*i+1, 0, Cancelled, nil)
-		p.End()
+		p.AttemptDone(20*i+1, 0, Cancelled, nil)
+		p.EndRound()
 		now += 460
 	}
 	failIf(t, p.expectedLatency(p.servers[0]) < 350,
@@ -103,9 +103,9 @@
 	out.servers = nil
 	runSearch(p, now+1500, 0, 1)
 	for at := now + 1510; at <= now+3400; at += 10 {
-		p.Begin(at)
-		p.Woken()
-		p.End()
+		p.BeginRound(at)
+		p.WakeUpDue()
+		p.EndRound()
 	}
 	failIf(t, len(out.servers) != 2 || out.servers[0] == out.servers[1],
 		"sent to %v: want the request retried at another server than the unresponsive one", out.servers)
--- a/internal/aggregator/policy/probing.go
+++ b/internal/aggregator/policy/probing.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// Probed evaluates a health check of a server that is ejected as unresponsive. A health check that
+// ProbeDone evaluates a health check of a server that is ejected as unresponsive. A health check that
 // waits in a queue and times out does not prove a failure, so only one that fails quickly counts as
 // failed.
-func (p *Policy) Probed(id int, ok bool, elapsed float64, report []float64) {
+func (p *Policy) ProbeDone(id int, ok bool, elapsed float64, report []float64) {
 	server := p.servers[id]
 	server.probing = false
 	if ok {
--- a/internal/aggregator/policy/retry.go
+++ b/internal/aggregator/policy/retry.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	qt, ran := req.search.queryType, req.firstPossiblyRun()
-	return qt.effect == Idempotent || ran == nil || qt.effect == Tokened && p.now < ran.sentAt+qt.tokenWindow-answerMargin
+	return qt.effect == Idempotent || ran == nil || qt.effect == TokenDeduplicated && p.now < ran.sentAt+qt.tokenWindow-answerMargin
 }
 
 // firstPossiblyRun returns the first attempt that is in flight or may have run; nil if there is
@@ -83,8 +83,8 @@
 // effectiveEffect returns the effect to assume for a query type. If the token expires before a
 // retry could be sent, its shard requests may not run twice; treated as protected by the token,
 // even the first attempt would have no time left to begin.
-func effectiveEffect(effect Effect, window float64) Effect {
-	if effect == Tokened && window <= 2*answerMargin {
+func effectiveEffect(effect RepeatEffect, window float64) RepeatEffect {
+	if effect == TokenDeduplicated && window <= 2*answerMargin {
 		return NonIdempotent
 	}
 	return effect
--- a/internal/aggregator/policy/retry_test.go
+++ b/internal/aggregator/policy/retry_test.go
@@ -19,20 +19,20 @@
 // other replicas are busy. With one of eight servers failing, all attempts were spent within ten
 // milliseconds, and the search was given up with 95 of its 100 shard requests answered.
 func TestAttemptsAreNotSpentAtOnceOnFailingServers(t *testing.T) {
-	p, out := newTestPolicy(2, func(p *Policy) { p.Limits(4, 100, true, true) })
+	p, out := newTestPolicy(2, func(p *Policy) { p.SetLimits(4, 100, true, true) })
 	p.eject(0, false, "test")
 	p.servers[1].rejectsUntil = 1300
 	runSearch(p, 1000, 0, 1)
 	wantInts(t, "sent first to", out.servers, 0)
 	endLastAttempts(p, 1005, Errored, 1)
 	for at := 1010.; at < 1290; at += 10 {
-		p.Begin(at)
-		p.Woken()
-		p.End()
+		p.BeginRound(at)
+		p.WakeUpDue()
+		p.EndRound()
 	}
 	wantInts(t, "sent within the pause to", out.servers, 0)
-	p.Begin(1310)
-	p.Woken()
-	p.End()
+	p.BeginRound(1310)
+	p.WakeUpDue()
+	p.EndRound()
 	wantInts(t, "sent once the other server has room to", out.servers, 0, 1)
 }
--- a/internal/aggregator/policy/rules_test.go
+++ b/internal/aggregator/policy/rules_test.go
@@ -72,15 +72,15 @@
 		{"negative numbers", 1, -1, -1, 1, -1, -1, -3, -1},
 	} {
 		p, out := newTestPolicy(c.servers, func(p *Policy) {
-			p.Fleet(c.positions, 1, 1, 0, false)
-			p.Limits(c.maxAttempts, c.maxPending, true, true)
+			p.SetFleet(c.positions, 1, 1, 0, false)
+			p.SetLimits(c.maxAttempts, c.maxPending, true, true)
 		})
-		p.Begin(1000)
-		p.Search(0, c.kind, c.kind, c.deadline, c.requests)
+		p.BeginRound(1000)
+		p.AddSearch(0, c.kind, c.kind, c.deadline, c.requests)
 		for i := range c.requests {
-			p.ShardRequest(0, 1+i, c.shard, 1/float64(c.requests), 100, 0)
+			p.AddShardRequest(0, 1+i, c.shard, 1/float64(c.requests), 100, 0)
 		}
-		p.End()
+		p.EndRound()
 		if len(out.shed)+len(out.failed) != 1 || len(out.forgotten) != 1 || len(out.sent) != 0 {
 			t.Errorf("%s: shed %v, failed %v, sent %v: want one prompt final answer", c.name, out.shed, out.failed, out.sent)
 		}
--- a/internal/aggregator/policy/servers.go
+++ b/internal/aggregator/policy/servers.go
@@ -4,8 +4,8 @@
 
 const replicaListCapacity = 4 // initial capacity of a list of replicas
 
-// Server updates a server from the server list, and adds it if it is new.
-func (p *Policy) Server(id, zone, position int, state State, size, startedAt float64) {
+// UpdateServer updates a server from the server list, and adds it if it is new.
+func (p *Policy) UpdateServer(id, zone, position int, state ServerStatus, size, startedAt float64) {
 	for len(p.servers) <= id {
 		p.servers = append(p.servers, nil)
 	}
@@ -33,7 +33,7 @@
 
 // countReady updates the number of ready servers, and invalidates the lists of replicas that the
 // change affects.
-func (p *Policy) countReady(server *serverState, position int, state State) {
+func (p *Policy) countReady(server *serverState, position int, state ServerStatus) {
 	was, is := server.listed && server.state == Ready, state == Ready
 	if was == is && server.position == position {
 		return
--- a/internal/aggregator/policy/state.go
+++ b/internal/aggregator/policy/state.go
@@ -8,7 +8,7 @@
 type queryType struct {
 	latencyTarget, value, lateValue, partialValue, tokenWindow float64
 	completeShare, minimumShare                                float64 // of a search's weight: needed for a complete answer and for any
-	effect                                                     Effect
+	effect                                                     RepeatEffect
 	followUpRequests                                           int // shard requests of the follow-up phase; 0: there is none
 
 	meanHintedWork, hintCount float64 // mean work of the shard requests that came with a hint, and their number
@@ -78,7 +78,7 @@
 // in flight there.
 type serverState struct {
 	listed, watched bool
-	state           State
+	state           ServerStatus
 	zone, position  int
 	size, startedAt float64
 
@@ -127,8 +127,8 @@
 // with which searches of exactly that value are refused.
 type capacityFloor struct{ value, excess float64 }
 
-// Search adds a search, whose shard requests must be added in the same round.
-func (p *Policy) Search(id, queryType, customer int, deadline float64, requests int) {
+// AddSearch adds a search, whose shard requests must be added in the same round.
+func (p *Policy) AddSearch(id, queryType, customer int, deadline float64, requests int) {
 	search := &searchState{
 		id:               id,
 		customer:         customer,
@@ -151,9 +151,9 @@
 	}
 }
 
-// ShardRequest adds a shard request to a search. It is ignored if the search is unknown or has
+// AddShardRequest adds a shard request to a search. It is ignored if the search is unknown or has
 // ended.
-func (p *Policy) ShardRequest(searchID, id, shard int, weight, work float64, _ uint64) {
+func (p *Policy) AddShardRequest(searchID, id, shard int, weight, work float64, _ uint64) {
 	p.budget.countRequest(p.now)
 	search := getAt(p.searches, searchID)
 	if search == nil || search.finished {
@@ -187,7 +187,7 @@
 	for _, req := range search.requests {
 		p.requests[req.id] = nil
 	}
-	p.out.Forget(search.id)
+	p.out.ReleaseSearch(search.id)
 }
 
 // setAt sets the element at an index and extends the list with nil elements as needed.
--- a/internal/aggregator/policy/warmup_test.go
+++ b/internal/aggregator/policy/warmup_test.go
@@ -8,7 +8,7 @@
 // unresponsiveness. A connect that failed may mean a restart.
 func TestReadmittedServerWarmsUpOnlyIfRestartIsLikely(t *testing.T) {
 	for _, connectFailed := range []bool{false, true} {
-		p, out := newTestPolicy(1, func(p *Policy) { p.WarmUp(0.2, 10000, 2, 2000) })
+		p, out := newTestPolicy(1, func(p *Policy) { p.SetWarmUp(0.2, 10000, 2, 2000) })
 		p.eject(0, true, "test")
 		p.servers[0].connectFailed, p.servers[0].trialAt = connectFailed, 2500
 		for i := 0; len(out.sent) == 0 && i < 100; i++ { // admission is random if a restart is likely
@@ -31,15 +31,15 @@
 			p, out := newTestPolicy(4, func(p *Policy) {
 				p.random.seed = seed
 				p.aggregators = 100
-				p.WarmUp(0.2, 10000, 2, 2000)
+				p.SetWarmUp(0.2, 10000, 2, 2000)
 			})
-			p.Begin(9000)
+			p.BeginRound(9000)
 			if unreported { // the server list does not report the restart
 				p.servers[0].ejected, p.servers[0].unresponsive, p.servers[0].connectFailed = true, true, true
 			} else {
-				p.Server(0, 0, 0, Ready, 1, 8900)
+				p.UpdateServer(0, 0, 0, Ready, 1, 8900)
 			}
-			p.End()
+			p.EndRound()
 			runSearch(p, 9001, 0, 1)
 			for _, server := range out.servers {
 				if server == 0 {
@@ -63,18 +63,18 @@
 		p, out := newTestPolicy(4, func(p *Policy) {
 			p.random.seed = seed
 			p.aggregators = 100
-			p.Fleet(8, 8, 4, 0, false)
-			p.WarmUp(0.5, 10000, 2, 2000)
+			p.SetFleet(8, 8, 4, 0, false)
+			p.SetWarmUp(0.5, 10000, 2, 2000)
 		})
-		p.Begin(9000)
+		p.BeginRound(9000)
 		for i := range 4 {
-			if p.Server(i, 0, i, Ready, 1, 8900); i >= 2 {
-				p.Server(i, 1, i, Ready, 1, 0)
+			if p.UpdateServer(i, 0, i, Ready, 1, 8900); i >= 2 {
+				p.UpdateServer(i, 1, i, Ready, 1, 0)
 				p.servers[i].ejected, p.servers[i].unresponsive, p.servers[i].connectFailed = true, true, true
 				p.servers[i].trialAt = 20000
 			}
 		}
-		p.End()
+		p.EndRound()
 		runSearch(p, 9001, 0, 8)
 		admitted += 1 - len(out.shed)
 		for _, server := range out.servers {
@@ -91,7 +91,7 @@
 // The warm-up limit must not depend on its own effect: a fleet that is limited does little work, so
 // the highest rate is remembered.
 func TestHighestRateIsRemembered(t *testing.T) {
-	p, _ := newTestPolicy(1, func(p *Policy) { p.WarmUp(0.2, 10000, 2, 2000) })
+	p, _ := newTestPolicy(1, func(p *Policy) { p.SetWarmUp(0.2, 10000, 2, 2000) })
 	limit := &p.warmUp
 	limit.warmWork.Add(1000, 1250)
 	limit.measure(3000, 4, 4)
--- a/internal/aggregator/policy/world_test.go
+++ b/internal/aggregator/policy/world_test.go
@@ -38,7 +38,7 @@
 // modelServer is a server of the world.
 type modelServer struct {
 	position  int
-	state     State
+	state     ServerStatus
 	startedAt float64
 	behaviour int // one of the behaviours below
 	sent      []sentWork
@@ -66,7 +66,7 @@
 	warmUpShare, latencyTarget, timeout, tokenWindow, allowance float64
 	ratio, budgetWindow, maxRate                                float64
 	requiredShares, minShares                                   []float64
-	effects                                                     []Effect
+	effects                                                     []RepeatEffect
 	followUp, positions, replicas, maxPending, maxAttempts      int
 	aggregators                                                 int
 	mayCancel, mayHedge, mayProbe, mustAsk, hasBudget           bool
@@ -94,7 +94,7 @@
 		mayCancel: r.Intn(4) > 0, mayHedge: r.Intn(3) > 0, mayProbe: r.Intn(2) > 0, mustAsk: r.Intn(4) == 0,
 		hasBudget: r.Intn(3) == 0}
 	for i := 0; i < 3; i++ {
-		w.effects = append(w.effects, Effect(r.Intn(3)))
+		w.effects = append(w.effects, RepeatEffect(r.Intn(3)))
 		w.requiredShares = append(w.requiredShares, pick(1, 1, 0.6))
 		w.minShares = append(w.minShares, min(w.requiredShares[i], pick(1, 0.5, 0)))
 	}
@@ -114,31 +114,31 @@
 	w.aggregators = []int{1, 3, 100, 1000}[w.random.Intn(4)]
 	p := New(w, seed, w.aggregators, 0)
 	for i, effect := range w.effects {
-		p.QueryType(w.latencyTarget, float64(1+i), 0.3, effect, w.tokenWindow)
-		p.Shares(i, w.requiredShares[i], w.minShares[i], 0.8, w.followUp*(i%2))
+		p.AddQueryType(w.latencyTarget, float64(1+i), 0.3, effect, w.tokenWindow)
+		p.SetAnswerShares(i, w.requiredShares[i], w.minShares[i], 0.8, w.followUp*(i%2))
 	}
-	p.Customer(float64(w.random.Intn(3)), 0.1)
-	p.Fleet(w.positions, w.replicas, 1+w.random.Intn(4), 10, true)
-	p.Limits(w.maxAttempts, w.maxPending, w.mayCancel, w.mayHedge)
-	p.MaxRetryAfter(500)
+	p.AddCustomer(float64(w.random.Intn(3)), 0.1)
+	p.SetFleet(w.positions, w.replicas, 1+w.random.Intn(4), 10, true)
+	p.SetLimits(w.maxAttempts, w.maxPending, w.mayCancel, w.mayHedge)
+	p.SetMaxRetryAfter(500)
 	if w.warmUpDuration > 0 {
-		p.WarmUp(w.warmUpShare, w.warmUpDuration, w.multiple, w.warmUpWindow)
+		p.SetWarmUp(w.warmUpShare, w.warmUpDuration, w.multiple, w.warmUpWindow)
 	}
 	if w.hasBudget {
-		p.Budget(w.allowance, w.ratio, w.budgetWindow)
+		p.SetRetryBudget(w.allowance, w.ratio, w.budgetWindow)
 	}
-	p.Reports(w.random.Intn(2) == 0, []Field{Queue})
+	p.SetLoadReports(w.random.Intn(2) == 0, []ReportField{QueueField})
 	if w.mayProbe {
-		p.Probes()
+		p.AllowProbes()
 	}
-	p.Discovery(w.mustAsk)
+	p.SetDiscovery(w.mustAsk)
 	w.policy = p
-	p.Begin(w.now)
+	p.BeginRound(w.now)
 	for i, s := range w.servers {
 		s.sent = nil
-		p.Server(i, i%2, s.position, s.state, 1, s.startedAt)
+		p.UpdateServer(i, i%2, s.position, s.state, 1, s.startedAt)
 	}
-	p.End()
+	p.EndRound()
 }
 
 // recordViolation records that a rule was broken now.
@@ -252,12 +252,12 @@
 	w.probing = append(w.probing, server)
 }
 
-func (w *world) Close(_ int)        {}
-func (w *world) Subscribe()         {}
-func (w *world) Log(_ string)       {}
-func (w *world) Wake(delay float64) { w.wakeAt = w.now + delay }
+func (w *world) CloseIdleConnections(_ int)   {}
+func (w *world) SubscribeToServers()          {}
+func (w *world) Log(_ string)                 {}
+func (w *world) ScheduleWakeUp(delay float64) { w.wakeAt = w.now + delay }
 
-func (w *world) Forget(id int) {
+func (w *world) ReleaseSearch(id int) {
 	search := w.searches[id]
 	if search.finalAnswers == 0 && !search.clientGone {
 		w.recordViolation("search %d forgotten without an answer", id)
@@ -280,13 +280,13 @@
 	if stalled {
 		w.now += float64(w.random.Intn(2500))
 	}
-	w.policy.Begin(w.now)
+	w.policy.BeginRound(w.now)
 	if stalled {
 		w.disconnectOverdueClients()
 	}
 	if w.wakeAt >= 0 && w.now >= w.wakeAt {
 		w.wakeAt = -1
-		w.policy.Woken()
+		w.policy.WakeUpDue()
 	}
 	w.changeServers()
 	w.removeGoneServers()
@@ -297,7 +297,7 @@
 		w.replaceServers()
 	}
 	for _, i := range w.probing {
-		w.policy.Probed(i, w.servers[i].behaviour == answers, float64(w.random.Intn(250)), []float64{float64(w.random.Intn(9))})
+		w.policy.ProbeDone(i, w.servers[i].behaviour == answers, float64(w.random.Intn(250)), []float64{float64(w.random.Intn(9))})
 	}
 	w.probing = w.probing[:0]
 	w.endAttempts()
@@ -305,7 +305,7 @@
 	if w.random.Intn(6) == 0 {
 		w.startSearch()
 	}
-	w.policy.End()
+	w.policy.EndRound()
 	w.checkDeadlines()
 }
 
@@ -331,11 +331,11 @@
 			s.behaviour = r.Intn(numBehaviours)
 		}
 		if fleet || r.Intn(600) == 0 {
-			s.state = State(r.Intn(3))
+			s.state = ServerStatus(r.Intn(3))
 			if s.state == Ready {
 				s.startedAt = w.now - float64(r.Intn(2000))
 			}
-			w.policy.Server(i, i%2, s.position, s.state, 1, s.startedAt)
+			w.policy.UpdateServer(i, i%2, s.position, s.state, 1, s.startedAt)
 		}
 	}
 }
@@ -358,11 +358,11 @@
 		if i%2 == 0 {
 			w.servers = append(w.servers, &modelServer{position: s.position, startedAt: w.now})
 		}
-		w.policy.Server(i, i%2, s.position, s.state, 1, s.startedAt)
+		w.policy.UpdateServer(i, i%2, s.position, s.state, 1, s.startedAt)
 	}
 	for i, s := range w.servers {
 		if s.startedAt == w.now {
-			w.policy.Server(i, i%2, s.position, s.state, 1, s.startedAt)
+			w.policy.UpdateServer(i, i%2, s.position, s.state, 1, s.startedAt)
 		}
 	}
 }
@@ -383,7 +383,7 @@
 	id := w.newID()
 	search := &modelSearch{kind: r.Intn(3), expected: r.Intn(8), deadline: w.now + float64(r.Intn(int(w.timeout)))}
 	w.searches[id] = search
-	w.policy.Search(id, search.kind, r.Intn(2), search.deadline, search.expected)
+	w.policy.AddSearch(id, search.kind, r.Intn(2), search.deadline, search.expected)
 	w.requestTimes = append(w.requestTimes, w.now)
 	w.addRequests(id, search.expected)
 }
@@ -401,7 +401,7 @@
 		w.requestOrder = append(w.requestOrder, id)
 		parent.requests = append(parent.requests, id)
 		w.requestTimes = append(w.requestTimes, w.now)
-		w.policy.ShardRequest(search, id, request.shard, request.weight, 100.0, uint64(w.random.Intn(4)))
+		w.policy.AddShardRequest(search, id, request.shard, request.weight, 100.0, uint64(w.random.Intn(4)))
 	}
 }
 
@@ -429,13 +429,13 @@
 			} else if w.now >= search.deadline {
 				attempt.outcome = TimedOut
 			} else if w.random.Intn(60) == 0 {
-				attempt.outcome = Reset
+				attempt.outcome = ConnectionReset
 			}
 			attempt.inFlight, attempt.neverRan = false, attempt.outcome.NeverRan()
 			if attempt.outcome == Answered && !request.ended && search.finalAnswers == 0 {
 				request.answered = true
 			}
-			w.policy.Done(id, index, attempt.outcome, []float64{float64(w.random.Intn(9))})
+			w.policy.AttemptDone(id, index, attempt.outcome, []float64{float64(w.random.Intn(9))})
 			if w.requests[id] == nil {
 				break
 			}
--- a/internal/aggregator/policy/worldchecks_test.go
+++ b/internal/aggregator/policy/worldchecks_test.go
@@ -33,7 +33,7 @@
 			firstSentAt = attempt.sentAt
 		}
 	}
-	if firstSentAt >= 0 && (effect == NonIdempotent || effect == Tokened && w.now > firstSentAt+w.tokenWindow) {
+	if firstSentAt >= 0 && (effect == NonIdempotent || effect == TokenDeduplicated && w.now > firstSentAt+w.tokenWindow) {
 		w.recordViolation("shard request %d of effect %d may run twice", request, effect)
 	}
 }
--- a/internal/aggregator/policy/zones_test.go
+++ b/internal/aggregator/policy/zones_test.go
@@ -8,12 +8,12 @@
 // the attempts that were cancelled there looked like an overload.
 func TestLostZoneIsEjectedAtOnceAndItsTrialsAreSpread(t *testing.T) {
 	p, _ := newTestPolicy(20, nil)
-	p.Begin(5000)
+	p.BeginRound(5000)
 	for i := range 20 {
-		p.Server(i, i%2, i, Ready, 1, 0)
+		p.UpdateServer(i, i%2, i, Ready, 1, 0)
 	}
 	p.ZoneChanged(1, true, 5000)
-	p.End()
+	p.EndRound()
 	early := 0
 	for i, s := range p.servers {
 		failIf(t, s.ejected != (i%2 == 1), "server %d ejected: %v", i, s.ejected)
@@ -32,20 +32,20 @@
 // each server it stayed out of use for seconds.
 func TestFalseZoneLossIsUndone(t *testing.T) {
 	p, _ := newTestPolicy(20, nil)
-	p.Begin(4000)
+	p.BeginRound(4000)
 	for i := range 20 {
-		p.Server(i, i%2, i, Ready, 1, 0)
+		p.UpdateServer(i, i%2, i, Ready, 1, 0)
 	}
 	p.eject(1, true, "silent")
 	p.eject(3, false, "errors")
-	p.End()
-	p.Begin(5000)
+	p.EndRound()
+	p.BeginRound(5000)
 	p.ZoneChanged(1, true, 5000)
 	p.servers[5].connectFailed = true // a connect has failed since, so this server stays ejected
-	p.End()
-	p.Begin(5080)
+	p.EndRound()
+	p.BeginRound(5080)
 	p.ZoneChanged(1, false, -80)
-	p.End()
+	p.EndRound()
 	for i, s := range p.servers {
 		failIf(t, s.ejected != (i == 1 || i == 5), "server %d ejected: %v", i, s.ejected)
 	}
--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -145,7 +145,7 @@
 }
 
 // NewPolicy returns a policy with these settings, which detects failures of each server separately.
-func (v Values) NewPolicy(out policy.Out, seed uint64) policy.Port {
+func (v Values) NewPolicy(out policy.Executor, seed uint64) policy.Decider {
 	p := policy.New(out, seed, v.Int("balancers", 1), v.Int("zone", 0))
 	v.Configure(p)
 	return p
@@ -154,9 +154,9 @@
 // NewZoneAwarePolicy returns a policy with these settings that also learns of the failure and
 // recovery of whole zones, as internal/fleet/zonefailure detects them from this aggregator's own
 // requests.
-func (v Values) NewZoneAwarePolicy(out policy.Out, seed uint64) policy.Port {
+func (v Values) NewZoneAwarePolicy(out policy.Executor, seed uint64) policy.Decider {
 	ownZone := v.Int("zone", 0)
-	p := zonefailure.Intercept(out, ownZone, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
+	p := zonefailure.Intercept(out, ownZone, zonefailure.DefaultConfig, func(out policy.Executor) policy.Decider {
 		return policy.New(out, seed, v.Int("balancers", 1), ownZone)
 	})
 	v.Configure(p)
@@ -165,10 +165,10 @@
 
 // NewCapacityAwarePolicy returns a zone-aware policy with these settings that, while the servers are
 // full, also learns how much load they can take (internal/fleet/capacity).
-func (v Values) NewCapacityAwarePolicy(out policy.Out, seed uint64) policy.Port {
+func (v Values) NewCapacityAwarePolicy(out policy.Executor, seed uint64) policy.Decider {
 	ownZone := v.Int("zone", 0)
-	p := zonefailure.Intercept(out, ownZone, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
-		return capacity.Wrap(out, capacity.DefaultConfig, func(out policy.Out) policy.Port {
+	p := zonefailure.Intercept(out, ownZone, zonefailure.DefaultConfig, func(out policy.Executor) policy.Decider {
+		return capacity.Wrap(out, capacity.DefaultConfig, func(out policy.Executor) policy.Decider {
 			return policy.New(out, seed, v.Int("balancers", 1), ownZone)
 		})
 	})
@@ -178,7 +178,7 @@
 
 // Configure passes the settings to a policy, or to another implementation of its interface that
 // takes its place in a measurement.
-func (v Values) Configure(p policy.Port) {
+func (v Values) Configure(p policy.Decider) {
 	const family, safety, limits = "family-info.", "safety.", "limits."
 	for i := range v.Count("classes") {
 		class := "classes." + strconv.Itoa(i) + "."
@@ -187,46 +187,46 @@
 		case v[class+"effect"] == "repeatable":
 			effect = policy.Idempotent
 		case v[class+"effect"] == "by_key" && v[class+"group"] == "all":
-			effect = policy.Tokened
+			effect = policy.TokenDeduplicated
 		}
-		p.QueryType(v.Float(class+"aim-ms", 0), v.Float(class+"importance", 1),
+		p.AddQueryType(v.Float(class+"aim-ms", 0), v.Float(class+"importance", 1),
 			v.Float(class+"late-value", 0), effect, v.Float(class+"window-ms", 0))
-		p.Shares(i, v.FloatAt(family+"class-need", i, 1), v.FloatAt(family+"class-floor", i, 1),
+		p.SetAnswerShares(i, v.FloatAt(family+"class-need", i, 1), v.FloatAt(family+"class-floor", i, 1),
 			v.FloatAt(family+"incomplete-worth", i, 0), int(v.FloatAt(family+"follow-up", i, 0)))
 	}
 	for i := range v.Count("customers") {
-		p.Customer(v.Float("customers."+strconv.Itoa(i)+".quota-per-s", 0), v.Float("over-share-worth", 1))
+		p.AddCustomer(v.Float("customers."+strconv.Itoa(i)+".quota-per-s", 0), v.Float("over-share-worth", 1))
 	}
-	p.Fleet(v.Int(family+"places", 1), v.Int(family+"span", 1), v.Int(family+"batch", 1),
+	p.SetFleet(v.Int(family+"places", 1), v.Int(family+"span", 1), v.Int(family+"batch", 1),
 		v.Float(family+"call-ms", 0), v.Bool(family+"warm-keys"))
-	p.Limits(v.Int(limits+"attempts-cap", 1), v.Int(limits+"most-held", 0), v.Bool(limits+"cancel"),
+	p.SetLimits(v.Int(limits+"attempts-cap", 1), v.Int(limits+"most-held", 0), v.Bool(limits+"cancel"),
 		v.Bool(limits+"parallel-tries"))
 	if v.Bool(limits + "retry-after") {
-		p.MaxRetryAfter(v.Float(limits+"max-retry-after-ms", 0))
+		p.SetMaxRetryAfter(v.Float(limits+"max-retry-after-ms", 0))
 	}
 	if v.has(safety + "tip-multiple") {
-		p.WarmUp(v.Float(safety+"cold-from", 0), v.Float(safety+"cold-ms", 0), v.Float(safety+"tip-multiple", 0),
+		p.SetWarmUp(v.Float(safety+"cold-from", 0), v.Float(safety+"cold-ms", 0), v.Float(safety+"tip-multiple", 0),
 			v.Float(safety+"tip-after-ms", 0))
 	}
 	if v.has(safety + "further-ratio") {
-		p.Budget(v.Float(safety+"spare-attempts", 0), v.Float(safety+"further-ratio", 0), v.Float(safety+"counted-over-ms", 0))
+		p.SetRetryBudget(v.Float(safety+"spare-attempts", 0), v.Float(safety+"further-ratio", 0), v.Float(safety+"counted-over-ms", 0))
 	}
-	var fields []policy.Field
+	var fields []policy.ReportField
 	for _, name := range v.List("report.fields") {
-		field := policy.Other
+		field := policy.OtherField
 		switch name {
 		case "active":
-			field = policy.InFlight
+			field = policy.InFlightField
 		case "cpu":
-			field = policy.Busy
+			field = policy.BusyField
 		case "waiting":
-			field = policy.Queue
+			field = policy.QueueField
 		}
 		fields = append(fields, field)
 	}
-	p.Reports(v["report.via"] == "answers", fields)
+	p.SetLoadReports(v["report.via"] == "answers", fields)
 	if v.Bool(limits + "may-probe") {
-		p.Probes()
+		p.AllowProbes()
 	}
-	p.Discovery(v["discovery"] == "ask")
+	p.SetDiscovery(v["discovery"] == "ask")
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -66,14 +66,14 @@
 
 // Port is a policy.
 type Port struct {
-	out      policy.Out
+	out      policy.Executor
 	rng      *rand.Rand
 	inTurn   bool // or at random
 	failover bool // the own zone first, then the next in order; in turn within a zone
 	zone     int  // the broker's own
 	now      float64
 
-	effects     []policy.Effect // by query type
+	effects     []policy.RepeatEffect // by query type
 	positions   int
 	replicas    int
 	maxAttempts int
@@ -86,10 +86,10 @@
 	active    []*search // in order of arrival
 }
 
-var _ policy.Port = (*Port)(nil)
+var _ policy.Decider = (*Port)(nil)
 
 // New returns the policy of that name; the seed is for its random choices.
-func New(name string, out policy.Out, seed uint64) *Port {
+func New(name string, out policy.Executor, seed uint64) *Port {
 	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), inTurn: name != random, failover: name == failover,
 		searches: map[int]*search{}, requests: map[int]*shardRequest{}, positions: 1, replicas: 1, maxAttempts: 1}
 }
@@ -97,49 +97,49 @@
 // Home sets the broker's own zone, for failover.
 func (p *Port) Home(zone int) { p.zone = zone }
 
-// QueryType implements policy.Port; it keeps the effect of a second run.
-func (p *Port) QueryType(_, _, _ float64, effect policy.Effect, _ float64) {
+// AddQueryType implements policy.Decider; it keeps the effect of a second run.
+func (p *Port) AddQueryType(_, _, _ float64, effect policy.RepeatEffect, _ float64) {
 	p.effects = append(p.effects, effect)
 }
 
-// Fleet implements policy.Port; it keeps how shards are placed.
-func (p *Port) Fleet(positions, replicas, _ int, _ float64, _ bool) {
+// SetFleet implements policy.Decider; it keeps how shards are placed.
+func (p *Port) SetFleet(positions, replicas, _ int, _ float64, _ bool) {
 	p.positions, p.replicas = positions, replicas
 }
 
-// Limits implements policy.Port; it keeps how many attempts a shard request may have, and whether
+// SetLimits implements policy.Decider; it keeps how many attempts a shard request may have, and whether
 // those in flight may be canceled.
-func (p *Port) Limits(maxAttempts, _ int, mayCancel, _ bool) {
+func (p *Port) SetLimits(maxAttempts, _ int, mayCancel, _ bool) {
 	p.maxAttempts, p.mayCancel = maxAttempts, mayCancel
 }
 
-// Begin implements policy.Port; it keeps the time of the round.
-func (p *Port) Begin(now float64) { p.now = now }
+// BeginRound implements policy.Decider; it keeps the time of the round.
+func (p *Port) BeginRound(now float64) { p.now = now }
 
-// Search implements policy.Port; the search's shard requests follow.
-func (p *Port) Search(id, queryType, _ int, deadline float64, _ int) {
+// AddSearch implements policy.Decider; the search's shard requests follow.
+func (p *Port) AddSearch(id, queryType, _ int, deadline float64, _ int) {
 	s := &search{id: id, queryType: queryType, deadline: deadline}
 	p.searches[id] = s
 	p.active = append(p.active, s)
 }
 
-// ShardRequest implements policy.Port; the request wants its first attempt.
-func (p *Port) ShardRequest(searchID, id, shard int, _, _ float64, _ uint64) {
+// AddShardRequest implements policy.Decider; the request wants its first attempt.
+func (p *Port) AddShardRequest(searchID, id, shard int, _, _ float64, _ uint64) {
 	s := p.searches[searchID]
 	r := &shardRequest{id: id, shard: shard, search: s, wantsSend: true}
 	p.requests[id] = r
 	s.requests = append(s.requests, r)
 }
 
-// ShortenDeadline implements policy.Port.
+// ShortenDeadline implements policy.Decider.
 func (p *Port) ShortenDeadline(searchID int, deadline float64) {
 	if s := p.searches[searchID]; s != nil {
 		s.deadline = min(s.deadline, deadline)
 	}
 }
 
-// Server implements policy.Port; it keeps what the list says of a server.
-func (p *Port) Server(id, zone, position int, state policy.State, _, _ float64) {
+// UpdateServer implements policy.Decider; it keeps what the list says of a server.
+func (p *Port) UpdateServer(id, zone, position int, state policy.ServerStatus, _, _ float64) {
 	for id >= len(p.servers) {
 		p.servers = append(p.servers, &server{})
 	}
@@ -147,11 +147,11 @@
 	s.position, s.zone, s.ready = position, zone, state == policy.Ready
 }
 
-// RemoveServer implements policy.Port; nothing here still needs a server that is gone.
+// RemoveServer implements policy.Decider; nothing here still needs a server that is gone.
 func (p *Port) RemoveServer(_ int) bool { return true }
 
-// Committed implements policy.Port; the first attempt that asks for a request gets it.
-func (p *Port) Committed(id, _ int, _ bool) bool {
+// CommitAttempt implements policy.Decider; the first attempt that asks for a request gets it.
+func (p *Port) CommitAttempt(id, _ int, _ bool) bool {
 	r := p.requests[id]
 	if r == nil || r.committed || r.answered {
 		return false
@@ -160,9 +160,9 @@
 	return true
 }
 
-// Done implements policy.Port; a request that failed harmlessly is sent again, as far as the limit
+// AttemptDone implements policy.Decider; a request that failed harmlessly is sent again, as far as the limit
 // allows.
-func (p *Port) Done(id, number int, outcome policy.Outcome, _ []float64) {
+func (p *Port) AttemptDone(id, number int, outcome policy.Outcome, _ []float64) {
 	r := p.requests[id]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
 		return
@@ -171,7 +171,7 @@
 	a.inFlight, a.neverRan = false, outcome.NeverRan()
 	r.search.inFlight--
 	switch outcome {
-	case policy.ConnectFailed, policy.TimedOut, policy.Reset:
+	case policy.ConnectFailed, policy.TimedOut, policy.ConnectionReset:
 		p.servers[a.server].avoidUntil = p.now + failoverBackoff
 	case policy.Answered:
 		p.servers[a.server].avoidUntil = 0
@@ -192,7 +192,7 @@
 	return outcome.NeverRan() || p.effects[r.search.queryType] == policy.Idempotent
 }
 
-// ClientGone implements policy.Port; the search ends.
+// ClientGone implements policy.Decider; the search ends.
 func (p *Port) ClientGone(id int) {
 	if s := p.searches[id]; s != nil && !s.ended {
 		p.end(s)
@@ -222,12 +222,12 @@
 	for _, r := range s.requests {
 		delete(p.requests, r.id)
 	}
-	p.out.Forget(s.id)
+	p.out.ReleaseSearch(s.id)
 }
 
-// End implements policy.Port; it sends what wants to be sent, and ends searches that are complete,
+// EndRound implements policy.Decider; it sends what wants to be sent, and ends searches that are complete,
 // have failed or have reached their deadline.
-func (p *Port) End() {
+func (p *Port) EndRound() {
 	active := p.active[:0]
 	nextDeadline := math.Inf(1)
 	for _, s := range p.active {
@@ -243,7 +243,7 @@
 	clear(p.active[len(active):])
 	p.active = active
 	if !math.IsInf(nextDeadline, 1) {
-		p.out.Wake(max(nextDeadline, 1))
+		p.out.ScheduleWakeUp(max(nextDeadline, 1))
 	}
 }
 
--- a/internal/baseline/unused.go
+++ b/internal/baseline/unused.go
@@ -2,70 +2,70 @@
 
 import "kestrelspread/internal/aggregator/policy"
 
-// The methods of policy.Port below do nothing: they are for what only the module does.
+// The methods of policy.Decider below do nothing: they are for what only the module does.
 
-// Shares implements policy.Port; the policies have no use for it.
-func (p *Port) Shares(int, float64, float64, float64, int) {}
+// SetAnswerShares implements policy.Decider; the policies have no use for it.
+func (p *Port) SetAnswerShares(int, float64, float64, float64, int) {}
 
-// Customer implements policy.Port; the policies have no use for it.
-func (p *Port) Customer(float64, float64) {}
+// AddCustomer implements policy.Decider; the policies have no use for it.
+func (p *Port) AddCustomer(float64, float64) {}
 
-// MaxRetryAfter implements policy.Port; the policies have no use for it.
-func (p *Port) MaxRetryAfter(float64) {}
+// SetMaxRetryAfter implements policy.Decider; the policies have no use for it.
+func (p *Port) SetMaxRetryAfter(float64) {}
 
-// WarmUp implements policy.Port; the policies have no use for it.
-func (p *Port) WarmUp(float64, float64, float64, float64) {}
+// SetWarmUp implements policy.Decider; the policies have no use for it.
+func (p *Port) SetWarmUp(float64, float64, float64, float64) {}
 
-// Budget implements policy.Port; the policies have no use for it.
-func (p *Port) Budget(float64, float64, float64) {}
+// SetRetryBudget implements policy.Decider; the policies have no use for it.
+func (p *Port) SetRetryBudget(float64, float64, float64) {}
 
-// Reports implements policy.Port; the policies have no use for it.
-func (p *Port) Reports(bool, []policy.Field) {}
+// SetLoadReports implements policy.Decider; the policies have no use for it.
+func (p *Port) SetLoadReports(bool, []policy.ReportField) {}
 
-// Probes implements policy.Port; the policies have no use for it.
-func (p *Port) Probes() {}
+// AllowProbes implements policy.Decider; the policies have no use for it.
+func (p *Port) AllowProbes() {}
 
-// Discovery implements policy.Port; the policies have no use for it.
-func (p *Port) Discovery(bool) {}
+// SetDiscovery implements policy.Decider; the policies have no use for it.
+func (p *Port) SetDiscovery(bool) {}
 
-// Probed implements policy.Port; the policies have no use for it.
-func (p *Port) Probed(int, bool, float64, []float64) {}
+// ProbeDone implements policy.Decider; the policies have no use for it.
+func (p *Port) ProbeDone(int, bool, float64, []float64) {}
 
-// Refusals implements policy.Port; the policies have no use for it.
+// Refusals implements policy.Decider; the policies have no use for it.
 func (p *Port) Refusals(int) []int { return nil }
 
-// ZoneChanged implements policy.Port; the policies have no use for it.
+// ZoneChanged implements policy.Decider; the policies have no use for it.
 func (p *Port) ZoneChanged(int, bool, float64) {}
 
-// CapacityFloor implements policy.Port; the policies have no use for it.
-func (p *Port) CapacityFloor(float64, float64) {}
+// SetCapacityFloor implements policy.Decider; the policies have no use for it.
+func (p *Port) SetCapacityFloor(float64, float64) {}
 
-// SearchValue implements policy.Port; the policies have no use for it.
+// SearchValue implements policy.Decider; the policies have no use for it.
 func (p *Port) SearchValue(int) float64 { return 0 }
 
-// Priority implements policy.Port; the policies have no use for it.
-func (p *Port) Priority(int, float64) {}
+// SetPriority implements policy.Decider; the policies have no use for it.
+func (p *Port) SetPriority(int, float64) {}
 
-// CustomerWeight implements policy.Port; the policies have no use for it.
-func (p *Port) CustomerWeight(int, float64) {}
+// SetCustomerWeight implements policy.Decider; the policies have no use for it.
+func (p *Port) SetCustomerWeight(int, float64) {}
 
-// RetryWeight implements policy.Port; the policies have no use for it.
-func (p *Port) RetryWeight(float64) {}
+// SetRetryWeight implements policy.Decider; the policies have no use for it.
+func (p *Port) SetRetryWeight(float64) {}
 
-// MarkRetry implements policy.Port; the policies have no use for it.
+// MarkRetry implements policy.Decider; the policies have no use for it.
 func (p *Port) MarkRetry(int) {}
 
-// DiscoveryFailed implements policy.Port; the policies have no use for it.
+// DiscoveryFailed implements policy.Decider; the policies have no use for it.
 func (p *Port) DiscoveryFailed() {}
 
-// RetryAfter implements policy.Port; the policies have no use for it.
+// RetryAfter implements policy.Decider; the policies have no use for it.
 func (p *Port) RetryAfter(int) float64 { return 0 }
 
-// Woken implements policy.Port; the policies have no use for it.
-func (p *Port) Woken() {}
+// WakeUpDue implements policy.Decider; the policies have no use for it.
+func (p *Port) WakeUpDue() {}
 
-// ClientSending implements policy.Port; the policies have no use for it.
-func (p *Port) ClientSending(int, bool) {}
+// SetClientSending implements policy.Decider; the policies have no use for it.
+func (p *Port) SetClientSending(int, bool) {}
 
-// Pushback implements policy.Port; the policies have no use for it.
-func (p *Port) Pushback(int, float64) {}
+// RetryPushback implements policy.Decider; the policies have no use for it.
+func (p *Port) RetryPushback(int, float64) {}
--- a/internal/fleet/capacity/port.go
+++ b/internal/fleet/capacity/port.go
@@ -9,11 +9,11 @@
 
 // Port stands between a caller and the decision module, as the estimator's eyes and hands: it
 // observes demand, outcomes and the server list, and tells the module the threshold. It changes no
-// call, and decides nothing else. (The module's words are those of policy.Port: a search's kind is
+// call, and decides nothing else. (The module's words are those of policy.Decider: a search's kind is
 // its type, a try an attempt, a hall a site.)
 type Port struct {
-	policy.Port
-	out       policy.Out
+	policy.Decider
+	out       policy.Executor
 	estimator *Estimator
 	now       float64
 
@@ -44,33 +44,33 @@
 }
 
 var (
-	_ policy.Port = (*Port)(nil)
-	_ policy.Out  = (*outbound)(nil)
+	_ policy.Decider  = (*Port)(nil)
+	_ policy.Executor = (*outbound)(nil)
 )
 
 // Wrap puts an estimator before the module that newModule makes of the given output.
-func Wrap(out policy.Out, config Config, newModule func(policy.Out) policy.Port) *Port {
+func Wrap(out policy.Executor, config Config, newModule func(policy.Executor) policy.Decider) *Port {
 	p := &Port{out: out, estimator: New(config), lostHalls: map[int]bool{}}
-	p.Port = newModule(&outbound{out, p})
+	p.Decider = newModule(&outbound{out, p})
 	return p
 }
 
 // Estimator is the port's, for reports.
 func (p *Port) Estimator() *Estimator { return p.estimator }
 
-// QueryType takes up a type's latency target and value (policy.Port).
-func (p *Port) QueryType(latencyTarget, value, late float64, effect policy.Effect, tokenFor float64) {
+// AddQueryType takes up a type's latency target and value (policy.Decider).
+func (p *Port) AddQueryType(latencyTarget, value, late float64, effect policy.RepeatEffect, tokenFor float64) {
 	p.latencyTargets = append(p.latencyTargets, latencyTarget)
 	p.typeValues = append(p.typeValues, value)
-	p.Port.QueryType(latencyTarget, value, late, effect, tokenFor)
+	p.Decider.AddQueryType(latencyTarget, value, late, effect, tokenFor)
 }
 
-// Priority takes up what a type counts with in place of its value (policy.Port).
-func (p *Port) Priority(kind int, value float64) {
+// SetPriority takes up what a type counts with in place of its value (policy.Decider).
+func (p *Port) SetPriority(kind int, value float64) {
 	if kind >= 0 && kind < len(p.typeValues) {
 		p.typeValues[kind] = value
 	}
-	p.Port.Priority(kind, value)
+	p.Decider.SetPriority(kind, value)
 }
 
 // isTopType tells whether no type has a higher value.
@@ -78,31 +78,31 @@
 	return kind >= 0 && kind < len(p.typeValues) && p.typeValues[kind] >= slices.Max(p.typeValues)
 }
 
-// Begin opens a turn (policy.Port).
-func (p *Port) Begin(now float64) {
+// BeginRound opens a turn (policy.Decider).
+func (p *Port) BeginRound(now float64) {
 	p.now = now
 	p.estimator.BeginTurn(now)
-	p.Port.Begin(now)
+	p.Decider.BeginRound(now)
 }
 
-// Search takes up a search that arrived (policy.Port).
-func (p *Port) Search(id, kind, customer int, until float64, parts int) {
+// AddSearch takes up a search that arrived (policy.Decider).
+func (p *Port) AddSearch(id, kind, customer int, until float64, parts int) {
 	for len(p.searchType) <= id {
 		p.searchType, p.searchParts = append(p.searchType, -1), append(p.searchParts, 0)
 	}
 	p.searchType[id], p.searchParts[id] = kind, parts
 	p.arrivals = append(p.arrivals, arrival{id, parts})
-	p.Port.Search(id, kind, customer, until, parts)
+	p.Decider.AddSearch(id, kind, customer, until, parts)
 }
 
-// ShardRequest takes up a part of a search (policy.Port).
-func (p *Port) ShardRequest(search, id, shard int, weight, work float64, key uint64) {
+// AddShardRequest takes up a part of a search (policy.Decider).
+func (p *Port) AddShardRequest(search, id, shard int, weight, work float64, key uint64) {
 	p.growParts(id)
 	p.attemptSentAt[id], p.partLatencyTarget[id], p.partIsTop[id] = p.attemptSentAt[id][:0], 0, false
 	if kind := p.searchType[search]; kind >= 0 && kind < len(p.latencyTargets) {
 		p.partLatencyTarget[id], p.partIsTop[id] = p.latencyTargets[kind], p.isTopType(kind)
 	}
-	p.Port.ShardRequest(search, id, shard, weight, work, key)
+	p.Decider.AddShardRequest(search, id, shard, weight, work, key)
 }
 
 // growParts makes room for a part's id.
@@ -114,13 +114,13 @@
 	}
 }
 
-// Done records how an attempt ended (policy.Port).
-func (p *Port) Done(part, try int, how policy.Outcome, report []float64) {
+// AttemptDone records how an attempt ended (policy.Decider).
+func (p *Port) AttemptDone(part, try int, how policy.Outcome, report []float64) {
 	if part < len(p.attemptSentAt) && try < len(p.attemptSentAt[part]) {
 		outcome := p.classify(part, p.now-p.attemptSentAt[part][try], how)
 		p.estimator.RecordOutcomes(outcome, p.partIsTop[part], 1)
 	}
-	p.Port.Done(part, try, how, report)
+	p.Decider.AttemptDone(part, try, how, report)
 }
 
 // classify says what the end of an attempt tells of its server's capacity.
@@ -138,8 +138,8 @@
 	return OutcomeUnknown
 }
 
-// Server takes up a server of the list (policy.Port).
-func (p *Port) Server(id, hall, cell int, state policy.State, size, started float64) {
+// UpdateServer takes up a server of the list (policy.Decider).
+func (p *Port) UpdateServer(id, hall, cell int, state policy.ServerStatus, size, started float64) {
 	for len(p.servers) <= id {
 		p.servers = append(p.servers, server{})
 	}
@@ -149,14 +149,14 @@
 		s.hall, s.capacity = hall, max(size, 0)
 	}
 	p.updateUsable()
-	p.Port.Server(id, hall, cell, state, size, started)
+	p.Decider.UpdateServer(id, hall, cell, state, size, started)
 }
 
-// ZoneChanged takes up that a hall is lost, or is back (policy.Port).
+// ZoneChanged takes up that a hall is lost, or is back (policy.Decider).
 func (p *Port) ZoneChanged(hall int, lost bool, spread float64) {
 	p.lostHalls[hall] = lost
 	p.updateUsable()
-	p.Port.ZoneChanged(hall, lost, spread)
+	p.Decider.ZoneChanged(hall, lost, spread)
 }
 
 // updateUsable adds up the capacity of the servers that are ready and at no lost site.
@@ -170,19 +170,19 @@
 	p.estimator.SetUsable(usable)
 }
 
-// End records the turn's demand, and passes on a threshold that has moved (policy.Port). Only now
+// EndRound records the turn's demand, and passes on a threshold that has moved (policy.Decider). Only now
 // is all known that a search counts with.
-func (p *Port) End() {
+func (p *Port) EndRound() {
 	for _, a := range p.arrivals {
-		p.estimator.RecordDemand(p.Port.SearchValue(a.search), a.parts)
+		p.estimator.RecordDemand(p.Decider.SearchValue(a.search), a.parts)
 	}
 	p.arrivals = p.arrivals[:0]
 	if p.estimator.EndTurn() {
 		threshold := p.estimator.Threshold()
-		p.Port.CapacityFloor(threshold.Value, threshold.RejectedShare)
+		p.Decider.SetCapacityFloor(threshold.Value, threshold.RejectedShare)
 		p.logThreshold(threshold)
 	}
-	p.Port.End()
+	p.Decider.EndRound()
 }
 
 // logThreshold logs when a threshold is set, and when it is lifted.
@@ -198,27 +198,27 @@
 
 // outbound observes what the module does.
 type outbound struct {
-	policy.Out
+	policy.Executor
 	port *Port
 }
 
-// Send records when an attempt was sent (policy.Out).
+// Send records when an attempt was sent (policy.Executor).
 func (o *outbound) Send(part, server int, within, begin float64) {
 	o.port.growParts(part)
 	o.port.attemptSentAt[part] = append(o.port.attemptSentAt[part], o.port.now)
-	o.Out.Send(part, server, within, begin)
+	o.Executor.Send(part, server, within, begin)
 }
 
-// Shed records a search that was rejected (policy.Out).
+// Shed records a search that was rejected (policy.Executor).
 func (o *outbound) Shed(search int, comeBack float64) {
 	o.port.recordRejection(search)
-	o.Out.Shed(search, comeBack)
+	o.Executor.Shed(search, comeBack)
 }
 
-// Fail records a search that failed (policy.Out).
+// Fail records a search that failed (policy.Executor).
 func (o *outbound) Fail(search int) {
 	o.port.recordRejection(search)
-	o.Out.Fail(search)
+	o.Executor.Fail(search)
 }
 
 // recordRejection records harm in all parts where a search of the highest value was not served
--- a/internal/fleet/shedding/shedding.go
+++ b/internal/fleet/shedding/shedding.go
@@ -90,22 +90,22 @@
 	return groups
 }
 
-// Module is what of the decision module takes weights (policy.Port).
+// Module is what of the decision module takes weights (policy.Decider).
 type Module interface {
-	Priority(kind int, weight float64)
-	CustomerWeight(customer int, share float64)
-	RetryWeight(share float64)
+	SetPriority(kind int, weight float64)
+	SetCustomerWeight(customer int, share float64)
+	SetRetryWeight(share float64)
 }
 
 // Apply hands the weights to the module, after the settings and before its first turn.
 func (w Weights) Apply(module Module) {
 	for kind, weight := range w.Types {
-		module.Priority(kind, weight)
+		module.SetPriority(kind, weight)
 	}
 	for customer, weight := range w.Customers {
-		module.CustomerWeight(customer, weight)
+		module.SetCustomerWeight(customer, weight)
 	}
-	module.RetryWeight(w.RetryWeight)
+	module.SetRetryWeight(w.RetryWeight)
 }
 
 // Describe writes the order down, a line for each step, those rejected first in front.
--- a/internal/fleet/zonefailure/fleet_test.go
+++ b/internal/fleet/zonefailure/fleet_test.go
@@ -16,21 +16,21 @@
 		ServerModel: servermodel.Config{Slots: 2, WorkMs: 30, WorkCV: 0.4, QueueLength: 20, WarmUpShare: 0.3, WarmUpMs: 8000, OverloadFactor: 2.5, OverloadWindowMs: 2000},
 		DelayMs:     0.5, ConnectTimeoutMs: 250, MaxAttempts: 4, ClientRetries: 1, NotificationMs: 1500, DurationMs: 14000,
 		SiteLosses: []fleetsim.SiteLoss{{Site: 1, StartMs: 4000, EndMs: 9500, ReturnsWarmingUp: true}}}
-	p.NewPolicy = func(out policy.Out, seed uint64, own int) policy.Port {
-		module := func(out policy.Out) policy.Port { return policy.New(out, seed, p.Brokers, own) }
-		var port policy.Port
+	p.NewPolicy = func(out policy.Executor, seed uint64, own int) policy.Decider {
+		module := func(out policy.Executor) policy.Decider { return policy.New(out, seed, p.Brokers, own) }
+		var port policy.Decider
 		if detecting {
 			port = zonefailure.Intercept(out, own, zonefailure.DefaultConfig, module)
 		} else {
 			port = module(out)
 		}
-		port.QueryType(p.TargetMs, 1, 0.3, policy.Idempotent, 0)
-		port.Shares(0, 1, 1, 0, 0)
-		port.Fleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
-		port.Limits(p.MaxAttempts, 300, true, true)
-		port.MaxRetryAfter(500)
-		port.WarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
-		port.Probes()
+		port.AddQueryType(p.TargetMs, 1, 0.3, policy.Idempotent, 0)
+		port.SetAnswerShares(0, 1, 1, 0, 0)
+		port.SetFleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
+		port.SetLimits(p.MaxAttempts, 300, true, true)
+		port.SetMaxRetryAfter(500)
+		port.SetWarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
+		port.AllowProbes()
 		return port
 	}
 	return p
--- a/internal/fleet/zonefailure/random_test.go
+++ b/internal/fleet/zonefailure/random_test.go
@@ -145,49 +145,49 @@
 }
 
 // silentModule is a module that does nothing, so that what is measured is the detector.
-type silentModule struct{ policy.Port }
+type silentModule struct{ policy.Decider }
 
-func (silentModule) Begin(float64)                                        {}
-func (silentModule) End()                                                 {}
-func (silentModule) Search(int, int, int, float64, int)                   {}
-func (silentModule) ShardRequest(int, int, int, float64, float64, uint64) {}
-func (silentModule) Done(int, int, policy.Outcome, []float64)             {}
-func (silentModule) Server(int, int, int, policy.State, float64, float64) {}
-func (silentModule) ZoneChanged(int, bool, float64)                       {}
+func (silentModule) BeginRound(float64)                                                {}
+func (silentModule) EndRound()                                                         {}
+func (silentModule) AddSearch(int, int, int, float64, int)                             {}
+func (silentModule) AddShardRequest(int, int, int, float64, float64, uint64)           {}
+func (silentModule) AttemptDone(int, int, policy.Outcome, []float64)                   {}
+func (silentModule) UpdateServer(int, int, int, policy.ServerStatus, float64, float64) {}
+func (silentModule) ZoneChanged(int, bool, float64)                                    {}
 
 // BenchmarkSearch measures what detection costs in a search of ten parts, at so many sites of twenty servers.
 func BenchmarkSearch(b *testing.B) {
 	for _, n := range []int{0, 3, 10, 50} {
 		b.Run(fmt.Sprint(n, " sites"), func(b *testing.B) {
-			var out policy.Out
-			var port policy.Port = silentModule{}
+			var out policy.Executor
+			var port policy.Decider = silentModule{}
 			if n > 0 {
-				port = Intercept(nil, 0, DefaultConfig, func(o policy.Out) policy.Port { out = o; return silentModule{} })
+				port = Intercept(nil, 0, DefaultConfig, func(o policy.Executor) policy.Decider { out = o; return silentModule{} })
 			}
 			for id := range 20 * n {
-				port.Server(id, id%max(n, 1), 0, policy.Ready, 1, 0)
+				port.UpdateServer(id, id%max(n, 1), 0, policy.Ready, 1, 0)
 			}
 			b.ReportAllocs()
 			now := 1000.0
 			for i := 0; b.Loop(); i++ {
 				now += 1
-				port.Begin(now)
-				port.Search(0, 0, 0, math.Inf(1), 10)
+				port.BeginRound(now)
+				port.AddSearch(0, 0, 0, math.Inf(1), 10)
 				for k := range 10 {
-					port.ShardRequest(0, k+1, k, 0.1, 0, 0)
+					port.AddShardRequest(0, k+1, k, 0.1, 0, 0)
 					if n > 0 {
 						(*moduleOutput)(port.(*Interceptor)).detector.RecordSent((i*10 + k) % (20 * n))
 						q := port.(*Interceptor)
 						q.attempts[k+1] = append(q.attempts[k+1], attempt{(i*10 + k) % (20 * n), now})
 					}
 				}
-				port.End()
+				port.EndRound()
 				now += 1
-				port.Begin(now)
+				port.BeginRound(now)
 				for k := range 10 {
-					port.Done(k+1, 0, policy.Answered, nil)
+					port.AttemptDone(k+1, 0, policy.Answered, nil)
 				}
-				port.End()
+				port.EndRound()
 			}
 			_ = out
 		})
--- a/internal/grpcproxy/servers.go
+++ b/internal/grpcproxy/servers.go
@@ -16,11 +16,11 @@
 	listed     netip.AddrPort
 	address    netip.AddrPort // where it serves gRPC
 	hasAddress bool
-	state      policy.State
+	state      policy.ServerStatus
 }
 
 // Server updates a server of the list.
-func (p *Proxy) Server(index int, id string, listed netip.AddrPort, state policy.State) {
+func (p *Proxy) Server(index int, id string, listed netip.AddrPort, state policy.ServerStatus) {
 	for index >= len(p.servers) {
 		p.servers = append(p.servers, serverEntry{state: policy.Gone})
 	}
--- a/internal/grpcwire/result.go
+++ b/internal/grpcwire/result.go
@@ -47,7 +47,7 @@
 	NoStreamAvailable = Result{Unavailable, "the server's streams are all taken", policy.Rejected}
 	ServerDraining    = Result{Unavailable, "the server is draining", policy.NeverSent}
 	NoAddress         = Result{Unavailable, "the server has no gRPC address", policy.NeverSent}
-	ConnectionLost    = Result{Unavailable, "the connection to the server broke", policy.Reset}
+	ConnectionLost    = Result{Unavailable, "the connection to the server broke", policy.ConnectionReset}
 	MalformedResponse = Result{Internal, "the server sent what is no gRPC message", policy.Errored}
 	TruncatedMessage  = Result{Internal, "the server's last message is not whole", policy.Errored}
 	MessageTooLarge   = Result{ResourceExhausted, "the server's message is over the limit", policy.Answered}
--- a/internal/node/routing/brokerstate/ejector.go
+++ b/internal/node/routing/brokerstate/ejector.go
@@ -88,7 +88,7 @@
 // timeout returns how long a broker with a call in flight may be silent before it counts as
 // unresponsive, in scaled ms.
 func (p *Pool) timeout(now core.Time, b *Broker) float64 {
-	if p.medianSamples < predict.MinSlowLineSamples {
+	if p.medianSamples < predict.MinSlowThresholdSamples {
 		return defaultTimeout
 	}
 	return max(timeoutFactor*p.SlowLine(now, b), minTimeout)
--- a/internal/node/routing/brokerstate/latencies.go
+++ b/internal/node/routing/brokerstate/latencies.go
@@ -24,7 +24,7 @@
 
 // NewLatencyHistogram returns an empty histogram of latencies in ms over the predictor's window.
 func NewLatencyHistogram() *window.Histogram {
-	return window.NewHistogram(latencyBuckets, predict.SlowLineSpan/latencyBuckets, latencyLow, latencyStep, latencyBins)
+	return window.NewHistogram(latencyBuckets, predict.SlowThresholdSpan/latencyBuckets, latencyLow, latencyStep, latencyBins)
 }
 
 // emptyHistogram is used for brokers that have not answered yet.
--- a/internal/node/routing/brokerstate/pool.go
+++ b/internal/node/routing/brokerstate/pool.go
@@ -65,7 +65,7 @@
 	p.median, p.medianSamples = p.latencies.Quantile(at, 0.5)
 	p.brokersScarce = p.tooFewUnmarked()
 	p.usualStepTime = p.medianStepTime()
-	p.fleetSlowLine, _ = p.latencies.Quantile(at, predict.SlowLineQuantile)
+	p.fleetSlowLine, _ = p.latencies.Quantile(at, predict.SlowThresholdQuantile)
 	if p.MedianKnown() && (p.lowestMedian == 0 || p.median < p.lowestMedian) {
 		p.lowestMedian = p.median
 	}
--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -46,12 +46,12 @@
 	// A broker that doesn't answer must not look fast: a call that has waited for longer than the
 	// slow line counts as the latest latency.
 	if age, loadAtSend := b.longestWait(now); age > slowLine {
-		features.Add(age, loadAtSend)
+		features.AddLatency(age, loadAtSend)
 	}
 	expires := p.switches.On(mechanism.HistoryExpiry)
 	for _, past := range b.latencies.history {
 		if past.latency > 0 && (!expires || units.Milliseconds(now-past.measuredAt) < predict.HistoryExpiry) {
-			features.Add(past.latency, past.load)
+			features.AddLatency(past.latency, past.load)
 		}
 	}
 	return features.Vector
@@ -68,7 +68,7 @@
 	if own == nil {
 		own = emptyHistogram
 	}
-	l.slowLine = predict.SlowLine(units.Milliseconds(now), own, p.fleetSlowLine, p.medianSamples)
+	l.slowLine = predict.SlowThreshold(units.Milliseconds(now), own, p.fleetSlowLine, p.medianSamples)
 	l.slowLineAt = now
 	return l.slowLine
 }
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -70,7 +70,7 @@
 		c.median, c.medianSamples = c.Quantile(now, 0.5)
 	}
 	scale := c.Work(tokens)
-	if c.medianSamples >= predict.MinSlowLineSamples && p.MedianKnown() && p.Median() > 0 {
+	if c.medianSamples >= predict.MinSlowThresholdSamples && p.MedianKnown() && p.Median() > 0 {
 		scale *= c.median / p.Median()
 	}
 	return scale
--- a/internal/predict/predict.go
+++ b/internal/predict/predict.go
@@ -100,9 +100,9 @@
 	return f
 }
 
-// Add appends a latency and the load when its request was sent. The most recent one must be added
+// AddLatency appends a latency and the load when its request was sent. The most recent one must be added
 // first; those beyond HistorySize are ignored.
-func (f *Features) Add(latency, load float64) {
+func (f *Features) AddLatency(latency, load float64) {
 	if f.latencies >= HistorySize {
 		return
 	}
@@ -120,33 +120,33 @@
 const (
 	// SlowThresholdSpan is the time in milliseconds over which the latencies for a slow threshold are
 	// collected.
-	SlowLineSpan = 10000.
+	SlowThresholdSpan = 10000.
 	// SlowThresholdQuantile is the quantile of the latencies that is the slow threshold.
-	SlowLineQuantile = 0.90
+	SlowThresholdQuantile = 0.90
 	// MinSlowThresholdSamples is the number of answers of a server below which the fleet's slow
 	// threshold is used in place of its own.
-	MinSlowLineSamples = 5
+	MinSlowThresholdSamples = 5
 	// MaxFleetThresholdRatio bounds a server's slow threshold as a multiple of the fleet's. Without it a
 	// server that is always slow would be measured only against itself.
-	MaxFleetLineRatio = 1.5
+	MaxFleetThresholdRatio = 1.5
 	// FleetSlowRatio is the ratio of the fleet's median latency to its lowest median above which
 	// the fleet as a whole is slow.
 	FleetSlowRatio = 1.3
 )
 
-// SlowLine returns the latency in milliseconds above which an answer of a server is slow: the
+// SlowThreshold returns the latency in milliseconds above which an answer of a server is slow: the
 // quantile of the server's own latencies, bounded by a multiple of the fleet's, which rests on
 // fleetSamples answers. Before the first answer in the fleet it is infinite, so that nothing is
 // slow.
-func SlowLine(now float64, own *window.Histogram, fleetThreshold float64, fleetSamples int) float64 {
+func SlowThreshold(now float64, own *window.Histogram, fleetThreshold float64, fleetSamples int) float64 {
 	if fleetSamples == 0 {
 		return math.Inf(1)
 	}
-	ownThreshold, samples := own.Quantile(now, SlowLineQuantile)
-	if samples < MinSlowLineSamples {
+	ownThreshold, samples := own.Quantile(now, SlowThresholdQuantile)
+	if samples < MinSlowThresholdSamples {
 		return fleetThreshold
 	}
-	return min(ownThreshold, MaxFleetLineRatio*fleetThreshold)
+	return min(ownThreshold, MaxFleetThresholdRatio*fleetThreshold)
 }
 
 // FleetSlow reports whether most servers are slow together, while LinnOS assumes short bursts on a
--- a/internal/predict/predict_test.go
+++ b/internal/predict/predict_test.go
@@ -12,7 +12,7 @@
 
 // latencies returns a histogram with the given latencies, all recorded at the time 1000.
 func latencies(values ...float64) *window.Histogram {
-	histogram := window.NewHistogram(10, SlowLineSpan/10, 1, 1.1, 100)
+	histogram := window.NewHistogram(10, SlowThresholdSpan/10, 1, 1.1, 100)
 	for _, latency := range values {
 		histogram.Add(1000, latency)
 	}
@@ -40,12 +40,12 @@
 		want         float64
 	}{
 		{"no answer in the whole fleet", nil, 0, math.Inf(1)},
-		{"too few answers of its own", repeated(10, MinSlowLineSamples-1), 100, 90},
+		{"too few answers of its own", repeated(10, MinSlowThresholdSamples-1), 100, 90},
 		{"enough answers of its own", repeated(50, 20), 100, 50},
-		{"always slow", repeated(1000, 20), 100, MaxFleetLineRatio * 90},
+		{"always slow", repeated(1000, 20), 100, MaxFleetThresholdRatio * 90},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := SlowLine(1000, latencies(c.own...), 90, c.fleetSamples)
+			got := SlowThreshold(1000, latencies(c.own...), 90, c.fleetSamples)
 			if math.IsInf(c.want, 1) {
 				assert.Assert(t, math.IsInf(got, 1))
 				return
@@ -57,8 +57,8 @@
 
 func TestSlowThresholdExpires(t *testing.T) {
 	own := latencies(repeated(10, 50)...)
-	wantNear(t, SlowLine(1000, own, 90, 100), 10, 1.5)
-	wantNear(t, SlowLine(1000+2*SlowLineSpan, own, 90, 100), 90, 0)
+	wantNear(t, SlowThreshold(1000, own, 90, 100), 10, 1.5)
+	wantNear(t, SlowThreshold(1000+2*SlowThresholdSpan, own, 90, 100), 90, 0)
 }
 
 // The most recent latency comes first, each feature is bounded, and the loads are those when the
@@ -66,10 +66,10 @@
 func TestFeaturesAreOrderedAndBounded(t *testing.T) {
 	f := NewFeatures(100, 3, 8)
 	for i := range HistorySize + 2 {
-		f.Add(float64(50*(i+1)), float64(i))
+		f.AddLatency(float64(50*(i+1)), float64(i))
 	}
 	hung := NewFeatures(100, 0, 1e6)
-	hung.Add(1e9, 1e9)
+	hung.AddLatency(1e9, 1e9)
 	assert.Equal(t, f.Vector, Vector{1, 2, 0.5, 1, 1.5, 2, 0, 0.25, 0.5, 0.75})
 	assert.Equal(t, hung.Vector, Vector{1, MaxFeature, MaxFeature, 0, 0, 0, MaxFeature})
 }
@@ -78,8 +78,8 @@
 	w := InitialWeights
 	fast, slow := NewFeatures(100, 3, 3), NewFeatures(100, 3, 3)
 	for range HistorySize {
-		fast.Add(40, 3)
-		slow.Add(300, 3)
+		fast.AddLatency(40, 3)
+		slow.AddLatency(300, 3)
 	}
 	assert.Assert(t, w.Score(&fast.Vector) < 0.5)
 	assert.Assert(t, w.Score(&slow.Vector) > 0.5)
--- a/internal/simwire/effects.go
+++ b/internal/simwire/effects.go
@@ -33,7 +33,7 @@
 func (in *instance) u64(v uint64)  { in.host.reply = binary.LittleEndian.AppendUint64(in.host.reply, v) }
 func (in *instance) f64(v float64) { in.u64(math.Float64bits(v)) }
 
-// Send implements policy.Out: one more attempt goes to a server, by a frame to the simulator.
+// Send implements policy.Executor: one more attempt goes to a server, by a frame to the simulator.
 func (in *instance) Send(part, server int, within, _ float64) {
 	in.beginRecord(1130)
 	in.u64(in.idOf[part])
@@ -41,14 +41,14 @@
 	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
-// Cancel implements policy.Out: an attempt is cancelled, by a frame to the simulator.
+// Cancel implements policy.Executor: an attempt is cancelled, by a frame to the simulator.
 func (in *instance) Cancel(part, try int) {
 	in.beginRecord(1100)
 	in.u64(in.idOf[part])
 	in.host.reply = binary.LittleEndian.AppendUint16(in.host.reply, uint16(try))
 }
 
-// Answer implements policy.Out: a search is answered, by a frame to the simulator.
+// Answer implements policy.Executor: a search is answered, by a frame to the simulator.
 func (in *instance) Answer(search int, complete bool) {
 	in.beginRecord(1080)
 	in.u64(in.idOf[search])
@@ -59,52 +59,52 @@
 	in.host.reply = append(in.host.reply, mark)
 }
 
-// Shed implements policy.Out: a search is refused, by a frame to the simulator.
+// Shed implements policy.Executor: a search is refused, by a frame to the simulator.
 func (in *instance) Shed(search int, comeBack float64) {
 	in.beginRecord(1010)
 	in.u64(in.idOf[search])
 	in.f64(comeBack)
 }
 
-// Fail implements policy.Out: a search ends in error, by a frame to the simulator.
+// Fail implements policy.Executor: a search ends in error, by a frame to the simulator.
 func (in *instance) Fail(search int) {
 	in.beginRecord(1060)
 	in.u64(in.idOf[search])
 }
 
-// Probe implements policy.Out: a server is probed, by a frame to the simulator.
+// Probe implements policy.Executor: a server is probed, by a frame to the simulator.
 func (in *instance) Probe(server int) {
 	in.beginRecord(1050)
 	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
-// Close implements policy.Out: idle connections to a server are closed, by a frame to the simulator.
-func (in *instance) Close(server int) {
+// CloseIdleConnections implements policy.Executor: idle connections to a server are closed, by a frame to the simulator.
+func (in *instance) CloseIdleConnections(server int) {
 	in.beginRecord(1000)
 	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
-// Subscribe implements policy.Out: the list is subscribed to, by a frame to the simulator.
-func (in *instance) Subscribe() {
+// SubscribeToServers implements policy.Executor: the list is subscribed to, by a frame to the simulator.
+func (in *instance) SubscribeToServers() {
 	in.beginRecord(1110)
 	in.host.reply = append(in.host.reply, 1)
 }
 
-// Wake implements policy.Out: the policy wants a round after so many milliseconds, by a frame to the simulator.
-func (in *instance) Wake(delay float64) {
+// ScheduleWakeUp implements policy.Executor: the policy wants a round after so many milliseconds, by a frame to the simulator.
+func (in *instance) ScheduleWakeUp(delay float64) {
 	in.beginRecord(1020)
 	in.f64(delay)
 	in.u64(0)
 }
 
-// Log implements policy.Out: the policy has a line for the log.
+// Log implements policy.Executor: the policy has a line for the log.
 func (in *instance) Log(text string) {
 	in.host.selectInstance(in)
 	in.host.appendText(1120, text)
 }
 
-// Forget implements policy.Out: the indices of a search may be used again.
-func (in *instance) Forget(search int) {
+// ReleaseSearch implements policy.Executor: the indices of a search may be used again.
+func (in *instance) ReleaseSearch(search int) {
 	for _, at := range append(in.requestsOf[search], search) {
 		delete(in.indexOf, in.idOf[at])
 		in.freeIndices = append(in.freeIndices, at)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -16,14 +16,14 @@
 
 // outcomes holds the wire's numbers in tens.
 var outcomes = [...]policy.Outcome{1: policy.Answered, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
-	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.NeverSent}
+	5: policy.ConnectFailed, 6: policy.ConnectionReset, 7: policy.Cancelled, 8: policy.NeverSent}
 
 // beginRound begins the instance's round of this frame with its first event.
 func (in *instance) beginRound() {
 	if !in.inRound {
 		in.inRound = true
 		in.host.inRound = append(in.host.inRound, in)
-		in.port.Begin(in.host.now)
+		in.port.BeginRound(in.host.now)
 	}
 }
 
@@ -66,7 +66,7 @@
 	case 1110:
 		c.u64()
 		if !c.broken {
-			in.port.Woken()
+			in.port.WakeUpDue()
 		}
 	}
 	return nil
@@ -100,7 +100,7 @@
 		return fmt.Errorf("outcome %d", outcome)
 	}
 	if index, known := in.indexOf[id]; known {
-		in.port.Done(index, int(attempt), outcomes[outcome/10], report)
+		in.port.AttemptDone(index, int(attempt), outcomes[outcome/10], report)
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 	node, result, elapsed := c.node(), c.u8(), c.f64()
 	report := in.readReport(c)
 	if index, known := in.serverIndex[node]; known && !c.broken {
-		in.port.Probed(index, result == 10, elapsed, report)
+		in.port.ProbeDone(index, result == 10, elapsed, report)
 	}
 }
 
@@ -147,7 +147,7 @@
 			as = policy.Gone
 		}
 		seen[at], in.listed[at] = true, as != policy.Gone
-		in.port.Server(at, int(hall), int(cell), as, size, started)
+		in.port.UpdateServer(at, int(hall), int(cell), as, size, started)
 	}
 	if !full {
 		return
@@ -155,7 +155,7 @@
 	for at, was := range seen {
 		if !was && in.listed[at] {
 			in.listed[at] = false
-			in.port.Server(at, 0, 0, policy.Gone, 0, 0)
+			in.port.UpdateServer(at, 0, 0, policy.Gone, 0, 0)
 		}
 	}
 }
@@ -173,13 +173,13 @@
 	if segment < 0 {
 		at := in.newIndex(id)
 		in.searchOfJob[job], in.jobOfSearch[at] = at, job
-		in.port.Search(at, kind, customer, until, int(share))
+		in.port.AddSearch(at, kind, customer, until, int(share))
 		return
 	}
 	if search, held := in.searchOfJob[job]; held {
 		at := in.newIndex(id)
 		in.requestsOf[search] = append(in.requestsOf[search], at)
-		in.port.ShardRequest(search, at, segment, share, work, key)
+		in.port.AddShardRequest(search, at, segment, share, work, key)
 	}
 }
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -33,7 +33,7 @@
 	number      uint16
 	alive       bool
 	host        *host
-	port        policy.Port
+	port        policy.Decider
 	idOf        []uint64 // request index to id
 	indexOf     map[uint64]int
 	freeIndices []int
@@ -142,7 +142,7 @@
 	for _, in = range h.inRound {
 		if in.inRound {
 			in.inRound = false
-			in.port.End()
+			in.port.EndRound()
 		}
 	}
 	return nil
--- a/internal/standin/fleetsim/broker.go
+++ b/internal/standin/fleetsim/broker.go
@@ -10,11 +10,11 @@
 type broker struct {
 	sim            *simulation
 	id, site       int
-	policy         policy.Port
+	policy         policy.Decider
 	freeHandles    []int
 	handles        []any
 	wakeAtMs       float64
-	pendingInputs  []func(p policy.Port)
+	pendingInputs  []func(p policy.Decider)
 	roundScheduled bool
 	incarnation    int
 	connected      map[int]bool
@@ -33,9 +33,9 @@
 	b.connected = map[int]bool{}
 	out := &incarnationPort{b, b.incarnation}
 	b.policy = sim.NewPolicy(out, sim.Seed*1000+uint64(b.id)+uint64(b.incarnation)<<32, b.site)
-	b.notify(func(port policy.Port) {
+	b.notify(func(port policy.Decider) {
 		for _, s := range sim.servers {
-			port.Server(s.id, s.site, s.cell, policy.Ready, 1, 0)
+			port.UpdateServer(s.id, s.site, s.cell, policy.Ready, 1, 0)
 		}
 	})
 }
@@ -47,7 +47,7 @@
 }
 
 // notify passes an input to the broker's policy, in a round at this moment, with all other inputs of the moment.
-func (b *broker) notify(input func(p policy.Port)) {
+func (b *broker) notify(input func(p policy.Decider)) {
 	b.pendingInputs = append(b.pendingInputs, input)
 	if b.roundScheduled || b.sim.now >= b.suspendedAtMs {
 		return
@@ -63,15 +63,15 @@
 		}
 		inputs := b.pendingInputs
 		b.pendingInputs = nil
-		b.policy.Begin(b.sim.now)
+		b.policy.BeginRound(b.sim.now)
 		for _, input := range inputs {
 			input(b.policy)
 		}
 		if b.sim.now >= b.wakeAtMs {
 			b.wakeAtMs = math.Inf(1)
-			b.policy.Woken()
+			b.policy.WakeUpDue()
 		}
-		b.policy.End()
+		b.policy.EndRound()
 	})
 }
 
@@ -93,10 +93,10 @@
 		return
 	}
 	a.finished = true
-	b.notify(func(p policy.Port) { p.Done(a.request.id, a.number, outcome, nil) })
+	b.notify(func(p policy.Decider) { p.AttemptDone(a.request.id, a.number, outcome, nil) })
 }
 
-// Send implements policy.Out: a shard request is sent to a server.
+// Send implements policy.Executor: a shard request is sent to a server.
 func (b *broker) Send(id, to int, _, _ float64) {
 	sim := b.sim
 	request, s := b.handles[id].(*shardRequest), sim.servers[to]
@@ -114,12 +114,12 @@
 	sim.after(sim.DelayMs, func() { sim.deliver(b, s, a) })
 }
 
-// Cancel implements policy.Out: an attempt is cancelled, at once. Servers drop it if it waits.
+// Cancel implements policy.Executor: an attempt is cancelled, at once. Servers drop it if it waits.
 func (b *broker) Cancel(id, number int) {
 	b.endAttempt(b.handles[id].(*shardRequest).attempts[number], policy.Cancelled)
 }
 
-// Answer implements policy.Out: a query is answered.
+// Answer implements policy.Executor: a query is answered.
 func (b *broker) Answer(id int, _ bool) {
 	q := b.handles[id].(*query)
 	if q.finished = true; b.sim.now-q.startMs <= b.sim.QueryTypes[q.queryType].TargetMs {
@@ -136,7 +136,7 @@
 	}
 }
 
-// Shed implements policy.Out: a query is shed, and its client may retry after a backoff.
+// Shed implements policy.Executor: a query is shed, and its client may retry after a backoff.
 func (b *broker) Shed(id int, backoffMs float64) {
 	q := b.handles[id].(*query)
 	q.finished = true
@@ -155,30 +155,30 @@
 	sim.result.Shed++
 }
 
-// Fail implements policy.Out: a query ends with an error.
+// Fail implements policy.Executor: a query ends with an error.
 func (b *broker) Fail(id int) {
 	b.handles[id].(*query).finished = true
 	b.sim.result.Failed++
 }
 
-// Probe implements policy.Out: a server is probed.
+// Probe implements policy.Executor: a server is probed.
 func (b *broker) Probe(to int) {
 	sim, s, at := b.sim, b.sim.servers[to], b.sim.now
 	if !sim.isReachable(b, s) || s.unresponsive {
-		sim.after(sim.ConnectTimeoutMs, func() { b.notify(func(p policy.Port) { p.Probed(to, false, sim.now-at, nil) }) })
+		sim.after(sim.ConnectTimeoutMs, func() { b.notify(func(p policy.Decider) { p.ProbeDone(to, false, sim.now-at, nil) }) })
 		return
 	}
-	sim.after(2*sim.DelayMs, func() { b.notify(func(p policy.Port) { p.Probed(to, true, sim.now-at, nil) }) })
+	sim.after(2*sim.DelayMs, func() { b.notify(func(p policy.Decider) { p.ProbeDone(to, true, sim.now-at, nil) }) })
 }
 
-// Close implements policy.Out: idle connections to a server are closed.
-func (b *broker) Close(int) {}
+// CloseIdleConnections implements policy.Executor: idle connections to a server are closed.
+func (b *broker) CloseIdleConnections(int) {}
 
-// Subscribe implements policy.Out: the broker subscribes to the list.
-func (b *broker) Subscribe() {}
+// SubscribeToServers implements policy.Executor: the broker subscribes to the list.
+func (b *broker) SubscribeToServers() {}
 
-// Wake implements policy.Out: the policy asks for a round after a delay.
-func (b *broker) Wake(delayMs float64) {
+// ScheduleWakeUp implements policy.Executor: the policy asks for a round after a delay.
+func (b *broker) ScheduleWakeUp(delayMs float64) {
 	at := b.sim.now + delayMs
 	if at >= b.wakeAtMs {
 		return
@@ -186,12 +186,12 @@
 	b.wakeAtMs = at
 	b.sim.after(delayMs, func() {
 		if b.wakeAtMs == at {
-			b.notify(func(policy.Port) {})
+			b.notify(func(policy.Decider) {})
 		}
 	})
 }
 
-// Log implements policy.Out: it counts log lines by their first words, and reports of lost sites.
+// Log implements policy.Executor: it counts log lines by their first words, and reports of lost sites.
 func (b *broker) Log(text string) {
 	word := text
 	if len(word) > 11 {
@@ -207,8 +207,8 @@
 	}
 }
 
-// Forget implements policy.Out: the handles of a query may be reused.
-func (b *broker) Forget(id int) {
+// ReleaseSearch implements policy.Executor: the handles of a query may be reused.
+func (b *broker) ReleaseSearch(id int) {
 	q := b.handles[id].(*query)
 	for _, p := range q.shardRequests {
 		b.handles[p.id] = nil
--- a/internal/standin/fleetsim/config.go
+++ b/internal/standin/fleetsim/config.go
@@ -24,7 +24,7 @@
 	SiteLosses               []SiteLoss
 	UnresponsiveShare        float64 // share of servers that never answer
 	FailingShare             float64 // share of servers that answer every attempt with an error, at once
-	NewPolicy                func(out policy.Out, seed uint64, site int) policy.Port
+	NewPolicy                func(out policy.Executor, seed uint64, site int) policy.Decider
 	QueryTypes               []QueryType  // none: one of ShardsPerQuery, TargetMs and TimeoutMs
 	Suspensions              []Suspension // of brokers
 	EarlyRetryShare          float64      // share of shed clients that ignore the requested backoff
--- a/internal/standin/fleetsim/fleetsim.go
+++ b/internal/standin/fleetsim/fleetsim.go
@@ -119,7 +119,7 @@
 			sim.after(suspension.StartMs-sim.now+firstMs, func() { b.suspendedAtMs = sim.now })
 			sim.after(suspension.EndMs-sim.now+firstMs, func() {
 				b.suspendedAtMs = math.Inf(1)
-				b.notify(func(policy.Port) {})
+				b.notify(func(policy.Decider) {})
 			})
 		}
 	}
@@ -173,14 +173,14 @@
 	}
 	q.sentAtMs = sim.now
 	k := sim.QueryTypes[q.queryType]
-	b.notify(func(p policy.Port) {
+	b.notify(func(p policy.Decider) {
 		q.id = b.newHandle(q)
-		p.Search(q.id, q.queryType, k.Customer, q.deadlineMs, k.ShardsPerQuery)
+		p.AddSearch(q.id, q.queryType, k.Customer, q.deadlineMs, k.ShardsPerQuery)
 		for n := range k.ShardsPerQuery {
 			y := &shardRequest{query: q, shard: (q.firstShard + n) % sim.ShardCount}
 			y.id = b.newHandle(y)
 			q.shardRequests = append(q.shardRequests, y)
-			p.ShardRequest(q.id, y.id, y.shard, 1/float64(k.ShardsPerQuery), 0, 0)
+			p.AddShardRequest(q.id, y.id, y.shard, 1/float64(k.ShardsPerQuery), 0, 0)
 		}
 		if q.isRetry {
 			p.MarkRetry(q.id)
--- a/internal/standin/fleetsim/fleetsim_test.go
+++ b/internal/standin/fleetsim/fleetsim_test.go
@@ -15,15 +15,15 @@
 	p := Config{Seed: 1, Brokers: 300, Servers: 200, Sites: 2, ShardCount: 50, ReplicaCount: 4, RatePerS: 200, ShardsPerQuery: 35, TargetMs: 500, TimeoutMs: 1500,
 		ServerModel: servermodel.Config{Slots: 2, WorkMs: 25, WorkCV: 0.4, QueueLength: 24, WarmUpShare: 0.4, WarmUpMs: 12000, OverloadFactor: 2.5, OverloadWindowMs: 2000},
 		DelayMs:     0.5, ConnectTimeoutMs: 250, MaxAttempts: 4, ClientRetries: 1, NotificationMs: 1500, DurationMs: 16000}
-	p.NewPolicy = func(out policy.Out, seed uint64, own int) policy.Port {
-		port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port { return policy.New(out, seed, p.Brokers, own) })
-		port.QueryType(p.TargetMs, 1, 0.3, policy.Idempotent, 0)
-		port.Shares(0, 1, 1, 0, 0)
-		port.Fleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
-		port.Limits(p.MaxAttempts, 216, true, true)
-		port.MaxRetryAfter(500)
-		port.WarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
-		port.Probes()
+	p.NewPolicy = func(out policy.Executor, seed uint64, own int) policy.Decider {
+		port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Executor) policy.Decider { return policy.New(out, seed, p.Brokers, own) })
+		port.AddQueryType(p.TargetMs, 1, 0.3, policy.Idempotent, 0)
+		port.SetAnswerShares(0, 1, 1, 0, 0)
+		port.SetFleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
+		port.SetLimits(p.MaxAttempts, 216, true, true)
+		port.SetMaxRetryAfter(500)
+		port.SetWarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
+		port.AllowProbes()
 		return port
 	}
 	return p
@@ -126,25 +126,25 @@
 
 // withShedding is a configuration with an order of shedding and, if planned, with learnt capacity.
 func (p Config) withShedding(planned bool, order shedding.Config) Config {
-	p.NewPolicy = func(out policy.Out, seed uint64, own int) policy.Port {
-		module := func(out policy.Out) policy.Port { return policy.New(out, seed, p.Brokers, own) }
-		port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Out) policy.Port {
+	p.NewPolicy = func(out policy.Executor, seed uint64, own int) policy.Decider {
+		module := func(out policy.Executor) policy.Decider { return policy.New(out, seed, p.Brokers, own) }
+		port := zonefailure.Intercept(out, own, zonefailure.DefaultConfig, func(out policy.Executor) policy.Decider {
 			if planned {
 				return capacity.Wrap(out, capacity.DefaultConfig, module)
 			}
 			return module(out)
 		})
 		for i := range p.QueryTypes {
-			port.QueryType(p.TargetMs, 1, 0.3, policy.Idempotent, 0)
-			port.Shares(i, 1, 1, 0, 0)
+			port.AddQueryType(p.TargetMs, 1, 0.3, policy.Idempotent, 0)
+			port.SetAnswerShares(i, 1, 1, 0, 0)
 		}
-		port.Customer(0, 1)
-		port.Customer(0, 1)
-		port.Fleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
-		port.Limits(p.MaxAttempts, 216, true, true)
-		port.MaxRetryAfter(500)
-		port.WarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
-		port.Probes()
+		port.AddCustomer(0, 1)
+		port.AddCustomer(0, 1)
+		port.SetFleet(p.ShardCount, p.ReplicaCount, 4, 0, false)
+		port.SetLimits(p.MaxAttempts, 216, true, true)
+		port.SetMaxRetryAfter(500)
+		port.SetWarmUp(p.ServerModel.WarmUpShare, p.ServerModel.WarmUpMs, p.ServerModel.OverloadFactor, p.ServerModel.OverloadWindowMs)
+		port.AllowProbes()
 		shedding.NewWeights([]float64{1, 1, 1}, 2, order).Apply(port)
 		return port
 	}
--- a/internal/standin/fleetsim/server.go
+++ b/internal/standin/fleetsim/server.go
@@ -28,7 +28,7 @@
 	sim.after(sim.NotificationMs*(0.5+sim.random.Float64()), func() {
 		s.announcedAtMs = sim.now
 		for _, b := range sim.brokers {
-			b.notify(func(p policy.Port) { p.Server(s.id, s.site, s.cell, policy.Ready, 1, startedAtMs) })
+			b.notify(func(p policy.Decider) { p.UpdateServer(s.id, s.site, s.cell, policy.Ready, 1, startedAtMs) })
 		}
 	})
 }
