--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -67,7 +67,7 @@
 	orders  *orders.Sender
 	prompts promptIndex
 	hints   *loadhint.Disseminator
-	router  *routing.Guarded
+	router  *routing.LockedRouter
 	proxy   *forward.Proxy
 	startup *forward.Startup
 
--- a/internal/node/agent/dataplane.go
+++ b/internal/node/agent/dataplane.go
@@ -13,7 +13,7 @@
 // buildDataPlane builds the router and the proxy.
 func (a *Agent) buildDataPlane(now core.Time) {
 	bounds := a.settings.Bounds
-	a.router = routing.NewGuarded(routing.New(now, routing.Options{
+	a.router = routing.NewLockedRouter(routing.New(now, routing.Options{
 		Zone:             a.self.Zone,
 		RetryBudgetRatio: bounds.RetryBudgetRatio,
 		BudgetWindow:     bounds.BudgetWindow(),
--- a/internal/node/agent/loadhints.go
+++ b/internal/node/agent/loadhints.go
@@ -22,7 +22,7 @@
 }
 
 // announceStep announces to the other proxies the decode step time that a stream showed of its broker.
-func (a *Agent) announceStep(seen *routing.StepReport) {
+func (a *Agent) announceStep(seen *routing.StepTimeReport) {
 	a.announceHint(&nodepb.LoadHint{Instance: seen.Instance, EventIntervalUs: uint32(seen.EventInterval.Microseconds())})
 }
 
@@ -39,10 +39,10 @@
 func (a *Agent) applyHints(now core.Time, hints []*nodepb.LoadHint) {
 	for _, hint := range hints {
 		if hint.EventIntervalUs > 0 {
-			a.router.PeerStepReport(routing.StepReport{Instance: hint.Instance, EventInterval: time.Duration(hint.EventIntervalUs) * time.Microsecond})
+			a.router.RecordPeerStepTime(routing.StepTimeReport{Instance: hint.Instance, EventInterval: time.Duration(hint.EventIntervalUs) * time.Microsecond})
 			continue
 		}
-		a.router.PeerSentPrompt(now, sentOf(hint))
+		a.router.RecordPeerPrompt(now, sentOf(hint))
 	}
 }
 
--- a/internal/node/agent/loop.go
+++ b/internal/node/agent/loop.go
@@ -130,7 +130,7 @@
 	case core.MembersChanged:
 		a.publishMembers(now, output.Members)
 	case core.QuorumMemberLost:
-		a.router.CoreDisturbed(now, output.LostBy)
+		a.router.RecordCoreInstability(now, output.LostBy)
 	case core.LoadHintsReceived:
 		a.applyHints(now, output.Hints)
 	case core.Log:
@@ -153,7 +153,7 @@
 		}
 	}
 	a.proxyCount.Store(int64(max(proxies, 1)))
-	a.router.SetPeers(now, max(proxies, 1))
+	a.router.SetProxyCount(now, max(proxies, 1))
 }
 
 // publishConfirmation publishes how fresh the control state is.
--- a/internal/node/agent/promptindex.go
+++ b/internal/node/agent/promptindex.go
@@ -92,7 +92,7 @@
 // recordStoreContact records a contact with a store, and tells the router that it is available.
 func (a *Agent) recordStoreContact(now core.Time, seen core.StoreContacted) {
 	a.prompts.storeLastContact[seen.Address] = now
-	a.router.StoreSeen(now, seen.Address, true, seen.ContentsLost)
+	a.router.RecordStoreHealth(now, seen.Address, true, seen.ContentsLost)
 }
 
 // expireStores tells the router of stores whose last contact is older than storeTimeout.
@@ -100,7 +100,7 @@
 	for address, lastContact := range a.prompts.storeLastContact {
 		if now-lastContact > storeTimeout {
 			delete(a.prompts.storeLastContact, address)
-			a.router.StoreSeen(now, address, false, false)
+			a.router.RecordStoreHealth(now, address, false, false)
 		}
 	}
 }
--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -40,7 +40,7 @@
 	status.Refusals = refusalStatus(&counters)
 	status.Prompts = promptStatus(&counters.Prompts)
 	status.Late = lateStatus(&counters)
-	status.NewestLate = newestLateRequests(now, a.router.Late())
+	status.NewestLate = newestLateRequests(now, a.router.LateAnswers())
 	status.DisabledMechanisms = a.options.Disabled.Names()
 	if compiled := a.compiled.Load(); compiled != nil {
 		status.ConfigVersion = compiled.Version
@@ -114,11 +114,11 @@
 	return nodestatus.Prompts{
 		Shared:       counters.Shared,
 		Cached:       counters.Cached,
-		InPrefill:    counters.Arriving,
+		InPrefill:    counters.InPrefill,
 		FromBroker:   counters.FromBroker,
 		FromStore:    counters.FromStore,
 		FirstSeen:    counters.FirstSeen,
-		Recomputed:   counters.Repeated,
+		Recomputed:   counters.Recomputed,
 		BlindFetches: counters.BlindFetches,
 	}
 }
--- a/internal/node/forward/bench_test.go
+++ b/internal/node/forward/bench_test.go
@@ -23,8 +23,8 @@
 func (p *onePort) Begin(core.Time, routing.Request) (routing.RequestID, routing.Decision) {
 	return 1, routing.Decision{Attempt: &routing.Attempt{Instance: p.instance, HedgeAt: core.Never, Priority: 5}}
 }
-func (p *onePort) Started(core.Time, routing.RequestID, int, *routing.Load) {}
-func (p *onePort) Finished(core.Time, routing.RequestID, int, routing.Outcome, bool) routing.Decision {
+func (p *onePort) AnswerStarted(core.Time, routing.RequestID, int, *routing.Load) {}
+func (p *onePort) AttemptEnded(core.Time, routing.RequestID, int, routing.Outcome, bool) routing.Decision {
 	return routing.Decision{}
 }
 func (p *onePort) End(core.Time, routing.RequestID) {}
--- a/internal/node/forward/chaos_test.go
+++ b/internal/node/forward/chaos_test.go
@@ -148,9 +148,9 @@
 	return p.choose(id)
 }
 
-func (p *carelessPort) Started(core.Time, routing.RequestID, int, *routing.Load) {}
+func (p *carelessPort) AnswerStarted(core.Time, routing.RequestID, int, *routing.Load) {}
 
-func (p *carelessPort) Finished(_ core.Time, id routing.RequestID, _ int, outcome routing.Outcome, _ bool) routing.Decision {
+func (p *carelessPort) AttemptEnded(_ core.Time, id routing.RequestID, _ int, outcome routing.Outcome, _ bool) routing.Decision {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if outcome.Answered {
--- a/internal/node/forward/doc.go
+++ b/internal/node/forward/doc.go
@@ -1,5 +1,5 @@
 // Package forward is the proxy of the data plane: it accepts clients' requests from an HTTP server,
-// asks routing.Port for a decision on each, and executes the decisions over package upstream.
+// asks routing.RequestRouter for a decision on each, and executes the decisions over package upstream.
 //
 // It chooses no broker and keeps no state of brokers: that is package routing. It also holds no
 // configuration: it reads the one in force for each request.
--- a/internal/node/forward/fixture_test.go
+++ b/internal/node/forward/fixture_test.go
@@ -88,13 +88,13 @@
 	return p.nextAttempt()
 }
 
-func (p *scriptedRouter) Started(_ core.Time, _ routing.RequestID, attempt int, _ *routing.Load) {
+func (p *scriptedRouter) AnswerStarted(_ core.Time, _ routing.RequestID, attempt int, _ *routing.Load) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.started = append(p.started, attempt)
 }
 
-func (p *scriptedRouter) Finished(_ core.Time, _ routing.RequestID, attempt int, outcome routing.Outcome, resumable bool) routing.Decision {
+func (p *scriptedRouter) AttemptEnded(_ core.Time, _ routing.RequestID, attempt int, outcome routing.Outcome, resumable bool) routing.Decision {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.outcomes = append(p.outcomes, finished{attempt, outcome, resumable})
@@ -116,7 +116,7 @@
 
 func (p *scriptedRouter) SetTable(core.Time, *registry.Table)   {}
 func (p *scriptedRouter) SetConfig(core.Time, *config.Compiled) {}
-func (p *scriptedRouter) SetPeers(core.Time, int)               {}
+func (p *scriptedRouter) SetProxyCount(core.Time, int)          {}
 
 // awaitEnds waits until that many requests have ended.
 func (p *scriptedRouter) awaitEnds(t *testing.T, count int) {
--- a/internal/node/forward/gapmeter.go
+++ b/internal/node/forward/gapmeter.go
@@ -43,5 +43,5 @@
 		return routing.EventGaps{}
 	}
 	slices.Sort(kept)
-	return routing.EventGaps{Count: m.count, Usual: kept[int(typicalQuantile*float64(len(kept)))], Max: m.maxGap}
+	return routing.EventGaps{Count: m.count, Typical: kept[int(typicalQuantile*float64(len(kept)))], Max: m.maxGap}
 }
--- a/internal/node/forward/gapmeter_test.go
+++ b/internal/node/forward/gapmeter_test.go
@@ -18,9 +18,9 @@
 		want   routing.EventGaps
 	}{
 		{"no event", nil, routing.EventGaps{}},
-		{"even", []core.Time{30 * ms, 30 * ms, 30 * ms, 30 * ms}, routing.EventGaps{Count: 4, Usual: 30 * ms, Max: 30 * ms}},
+		{"even", []core.Time{30 * ms, 30 * ms, 30 * ms, 30 * ms}, routing.EventGaps{Count: 4, Typical: 30 * ms, Max: 30 * ms}},
 		{"prompts are read most of the time", []core.Time{300 * ms, 31 * ms, 350 * ms, 30 * ms, 320 * ms, 290 * ms, 310 * ms},
-			routing.EventGaps{Count: 7, Usual: 31 * ms, Max: 350 * ms}},
+			routing.EventGaps{Count: 7, Typical: 31 * ms, Max: 350 * ms}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var meter gapMeter
@@ -48,5 +48,5 @@
 		now += gap
 		meter.observe(now)
 	}
-	assert.Equal(t, meter.summary(), routing.EventGaps{Count: 3 * maxRecordedGaps, Usual: 20 * time.Millisecond, Max: time.Second})
+	assert.Equal(t, meter.summary(), routing.EventGaps{Count: 3 * maxRecordedGaps, Typical: 20 * time.Millisecond, Max: time.Second})
 }
--- a/internal/node/forward/hedge.go
+++ b/internal/node/forward/hedge.go
@@ -84,7 +84,7 @@
 	if result.answer == nil && a.wasCanceled() {
 		result.reported = true
 		c := a.call
-		c.proxy.options.Router.Finished(c.now(), c.routingID, a.planned.Number, result.outcome, false)
+		c.proxy.options.Router.AttemptEnded(c.now(), c.routingID, a.planned.Number, result.outcome, false)
 	}
 	return result
 }
--- a/internal/node/forward/options.go
+++ b/internal/node/forward/options.go
@@ -14,7 +14,7 @@
 // Options of a Proxy. Router, Clock, Configuration and MayServe must be set.
 type Options struct {
 	// Router decides. It is called from many goroutines, so it must be safe for concurrent use.
-	Router routing.Port
+	Router routing.RequestRouter
 	// Clock returns the steady time that Router's decisions refer to.
 	Clock func() core.Time
 	// Configuration returns the configuration in force; nil: none yet.
--- a/internal/node/forward/receive.go
+++ b/internal/node/forward/receive.go
@@ -91,7 +91,7 @@
 // completely is reported only at its end: until then, another attempt can replace it.
 func (a *attempt) reportStarted() {
 	c := a.call
-	c.proxy.options.Router.Started(c.now(), c.routingID, a.planned.Number, serverLoad(a.answer.Header))
+	c.proxy.options.Router.AnswerStarted(c.now(), c.routingID, a.planned.Number, serverLoad(a.answer.Header))
 }
 
 // receiveBody reads a small body completely; the body of a large answer is left to the delivery.
--- a/internal/node/forward/retries.go
+++ b/internal/node/forward/retries.go
@@ -78,7 +78,7 @@
 	}
 	result.reported = true
 	c.logFailure(result)
-	return c.proxy.options.Router.Finished(c.now(), c.routingID, result.attempt.planned.Number, result.outcome, resumes)
+	return c.proxy.options.Router.AttemptEnded(c.now(), c.routingID, result.attempt.planned.Number, result.outcome, resumes)
 }
 
 // logFailure logs a failed attempt at level debug.
--- a/internal/node/forward/router_test.go
+++ b/internal/node/forward/router_test.go
@@ -15,7 +15,7 @@
 // withRouter puts the fleet's router in the place of the scripted one.
 func withRouter(brokers ...*broker) setup {
 	return func(w *world, options *Options) {
-		router := routing.NewGuarded(routing.New(0, routing.Options{
+		router := routing.NewLockedRouter(routing.New(0, routing.Options{
 			Zone:             "zone",
 			RetryBudgetRatio: 10, // no budget stands in the way of one more attempt
 			RetryBudgetSlack: 100,
@@ -30,7 +30,7 @@
 		}
 		now := core.Time(0)
 		router.SetConfig(now, w.config.compiled)
-		router.SetPeers(now, 1)
+		router.SetProxyCount(now, 1)
 		router.SetTable(now, table)
 		options.Router = router
 	}
--- a/internal/node/routing/admission_test.go
+++ b/internal/node/routing/admission_test.go
@@ -19,7 +19,7 @@
 		q := f.request(unsafeRoute)
 		q.Urgency = 1
 		a := f.mustBegin(q)
-		d := f.Finished(f.now, a.Request, a.Number, outcomeFull, false)
+		d := f.AttemptEnded(f.now, a.Request, a.Number, outcomeFull, false)
 		f.End(f.now, a.Request)
 		return d
 	}
@@ -27,7 +27,7 @@
 	q := f.request(unsafeRoute)
 	q.Urgency = 1
 	a := f.mustBegin(q)
-	f.Finished(f.now, a.Request, a.Number, outcomeFull, false)
+	f.AttemptEnded(f.now, a.Request, a.Number, outcomeFull, false)
 	_, d := f.Begin(f.now, q)
 	assert.Assert(t, d.Refusal != nil)
 	assert.Equal(t, d.Refusal.Reason, admission.ReasonBrokersFull)
@@ -73,7 +73,7 @@
 	_, d := f.Begin(f.now, f.request(unsafeRoute))
 	assert.Assert(t, d.Refusal != nil)
 	assert.Equal(t, d.Refusal.Reason, admission.ReasonBrokersUnhealthy)
-	f.Started(f.now, lost.Request, lost.Number, nil)
+	f.AnswerStarted(f.now, lost.Request, lost.Number, nil)
 	assert.Assert(t, f.mustBegin(f.request(unsafeRoute)) != nil, "a late answer shows that the broker responds")
 }
 
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -58,10 +58,10 @@
 		passedOver bool
 	}{{50, false}, {5000, true}} {
 		f := newFixture(t, instances(5))
-		f.StoreSeen(f.now, storeAddress, false, false)
+		f.RecordStoreHealth(f.now, storeAddress, false, false)
 		owner := f.mustBegin(f.prompt(streamRoute, 77))
 		f.answerAfterPrefill(owner)
-		f.PeerSentPrompt(f.now, SentPrompt{Instance: owner.Instance.ID, PrefillTokens: c.backlog})
+		f.RecordPeerPrompt(f.now, SentPrompt{Instance: owner.Instance.ID, PrefillTokens: c.backlog})
 		a := f.mustBegin(f.prompt(streamRoute, 77))
 		assert.Equal(t, a.Instance.ID != owner.Instance.ID, c.passedOver)
 		assert.Equal(t, a.FetchFrom == owner.Instance.Address, c.passedOver)
@@ -123,11 +123,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, instances(5))
-			f.StoreSeen(f.now, storeAddress, false, false)
+			f.RecordStoreHealth(f.now, storeAddress, false, false)
 			a := f.mustBegin(f.prompt(streamRoute, 77))
 			f.answerAfter(a, ms)
 			owner := f.brokers[a.Instance.ID].Instance
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: owner.ID, PrefillTokens: 20000})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: owner.ID, PrefillTokens: 20000})
 			c.change(f, owner)
 			a = f.mustBegin(f.prompt(streamRoute, 77))
 			assert.Assert(t, a.Instance.ID != owner.ID)
--- a/internal/node/routing/api.go
+++ b/internal/node/routing/api.go
@@ -71,7 +71,7 @@
 	Attempt *Attempt
 	Refusal *Refusal
 	// StepTimeReport is what the other proxies are to be notified of; nil: nothing.
-	StepReport *StepReport
+	StepTimeReport *StepTimeReport
 }
 
 // Outcome is how an attempt ended.
@@ -103,14 +103,14 @@
 
 // EventGaps describes the gaps between the events of a stream, as they arrived from its broker.
 type EventGaps struct {
-	Count int
-	Usual core.Time // a gap while the broker prefills no other prompt
-	Max   core.Time
+	Count   int
+	Typical core.Time // a gap while the broker prefills no other prompt
+	Max     core.Time
 }
 
-// Port is the interface of the router that package forward calls. Router implements it. The caller
+// RequestRouter is the interface of the router that package forward calls. Router implements it. The caller
 // must serialize the calls; see LockedRouter.
-type Port interface {
+type RequestRouter interface {
 	// Begin adds a request and returns an attempt or a refusal for it. Requests aren't queued.
 	Begin(now core.Time, request Request) (RequestID, Decision)
 	// Hedge is called at Attempt.HedgeAt if no byte of an answer has come. It may return a hedged
@@ -118,10 +118,10 @@
 	Hedge(now core.Time, request RequestID) Decision
 	// AnswerStarted reports that the head of an answer has come for an attempt; for streams, the first
 	// event.
-	Started(now core.Time, request RequestID, attempt int, load *Load)
+	AnswerStarted(now core.Time, request RequestID, attempt int, load *Load)
 	// AttemptEnded reports the end of an attempt and may return another one. resumable: the stream has
 	// begun and can be resumed at another broker with Last-Event-Id.
-	Finished(now core.Time, request RequestID, attempt int, outcome Outcome, resumable bool) Decision
+	AttemptEnded(now core.Time, request RequestID, attempt int, outcome Outcome, resumable bool) Decision
 	// End removes a request, once its final answer is sent or its client has gone.
 	End(now core.Time, request RequestID)
 
@@ -130,5 +130,5 @@
 	// SetConfig replaces the configuration.
 	SetConfig(now core.Time, compiled *config.Compiled)
 	// SetProxyCount sets the number of proxies that share the retry budget, this one included.
-	SetPeers(now core.Time, proxies int)
+	SetProxyCount(now core.Time, proxies int)
 }
--- a/internal/node/routing/benchmark_test.go
+++ b/internal/node/routing/benchmark_test.go
@@ -32,8 +32,8 @@
 			b.Fatal("no attempt")
 		}
 		load := Load{Running: i % 20, Slots: 64}
-		f.Started(f.now+15*ms, id, 0, &load)
-		f.Finished(f.now+18*ms, id, 0, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
+		f.AnswerStarted(f.now+15*ms, id, 0, &load)
+		f.AttemptEnded(f.now+18*ms, id, 0, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
 		f.End(f.now+18*ms, id)
 	}
 }
--- a/internal/node/routing/counters.go
+++ b/internal/node/routing/counters.go
@@ -25,11 +25,11 @@
 type PromptCounters struct {
 	Shared     uint64 // all of them
 	Cached     uint64 // cached by the chosen broker
-	Arriving   uint64 // being prefilled there for an earlier request
+	InPrefill  uint64 // being prefilled there for an earlier request
 	FromBroker uint64 // fetched from another broker
 	FromStore  uint64 // fetched from a store
 	FirstSeen  uint64 // to be prefilled, not sent to any broker recently
-	Repeated   uint64 // to be prefilled, although they were sent to some broker recently
+	Recomputed uint64 // to be prefilled, although they were sent to some broker recently
 	// BlindFetches counts attempts with Kv-Fetch for which no source was known to cache the missing
 	// tokens.
 	BlindFetches uint64
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -80,14 +80,14 @@
 	if d.Refusal != nil {
 		fmt.Fprintf(tr.hash, " refusal %v", *d.Refusal)
 	}
-	if d.StepReport != nil {
-		fmt.Fprintf(tr.hash, " step %v", *d.StepReport)
+	if d.StepTimeReport != nil {
+		fmt.Fprintf(tr.hash, " step %v", *d.StepTimeReport)
 	}
 	fmt.Fprintln(tr.hash)
 }
 
 func (tr *decisionTrace) end(router *Router) {
-	fmt.Fprintf(tr.hash, "%v %v %d\n", router.Counters(), router.Late(), router.PendingRequests())
+	fmt.Fprintf(tr.hash, "%v %v %d\n", router.Counters(), router.LateAnswers(), router.PendingRequests())
 }
 
 func (tr *decisionTrace) line(name string) string {
@@ -118,7 +118,7 @@
 		VersionGrace: 8 * time.Second, VersionGraceAll: 30 * time.Second, UnstableFor: 2 * time.Second, Heartbeat: 500 * time.Millisecond,
 		Random: rand.New(rand.NewPCG(seed, 9)), Index: &randomIndex{random: c.random, instances: c.instances}, Disabled: disabled})
 	c.fixture = &fixture{t: t, now: 2 * time.Second, Router: router}
-	c.SetPeers(0, 3)
+	c.SetProxyCount(0, 3)
 	c.SetConfig(0, c.config())
 	c.SetTable(0, tableOf(c.instances...))
 	for range goldenSteps {
@@ -153,15 +153,15 @@
 	case n < 90 && len(c.openRequests) > 0:
 		c.continueRequest(c.random.IntN(len(c.openRequests)))
 	case n < 92:
-		c.PeerSentPrompt(c.now, SentPrompt{
+		c.RecordPeerPrompt(c.now, SentPrompt{
 			Instance: c.randomInstance().ID, Salt: 7, Parts: []prompt.Part{{ID: 3, Tokens: 900}}, PrefillTokens: c.random.IntN(6000),
 		})
 	case n < 94:
-		c.PeerStepReport(StepReport{Instance: c.randomInstance().ID, EventInterval: core.Time(8+c.random.IntN(20)) * ms})
+		c.RecordPeerStepTime(StepTimeReport{Instance: c.randomInstance().ID, EventInterval: core.Time(8+c.random.IntN(20)) * ms})
 	case n < 95:
 		c.ObserveLoad(c.now, c.randomInstance().ID, *c.randomLoad())
 	case n < 96:
-		c.StoreSeen(c.now, fmt.Sprintf("10.9.0.%d:9000", c.random.IntN(3)), c.random.IntN(4) > 0, false)
+		c.RecordStoreHealth(c.now, fmt.Sprintf("10.9.0.%d:9000", c.random.IntN(3)), c.random.IntN(4) > 0, false)
 	case n < 99:
 		c.changeInstance()
 	default:
@@ -221,10 +221,10 @@
 		c.trace.add(c.now, d)
 		c.addAttempt(open, d)
 	case n < 5:
-		c.Started(c.now, open.id, out.Number, c.randomLoad())
+		c.AnswerStarted(c.now, open.id, out.Number, c.randomLoad())
 	default:
 		open.ended[out.Number] = true
-		d := c.Finished(c.now, open.id, out.Number, c.randomOutcome(), c.random.IntN(2) == 0)
+		d := c.AttemptEnded(c.now, open.id, out.Number, c.randomOutcome(), c.random.IntN(2) == 0)
 		c.trace.add(c.now, d)
 		c.addAttempt(open, d)
 	}
@@ -233,7 +233,7 @@
 func (c *randomCalls) randomOutcome() Outcome {
 	if c.random.IntN(3) > 0 {
 		o := Outcome{Verdict: verdict.Ran, Answered: true, Status: 200, Load: c.randomLoad()}
-		o.Gaps = EventGaps{Count: c.random.IntN(20), Usual: core.Time(8+c.random.IntN(12)) * ms, Max: core.Time(c.random.IntN(300)) * ms}
+		o.Gaps = EventGaps{Count: c.random.IntN(20), Typical: core.Time(8+c.random.IntN(12)) * ms, Max: core.Time(c.random.IntN(300)) * ms}
 		return o
 	}
 	full := outcomeFull
@@ -277,11 +277,11 @@
 		c.versions[model] = max(c.versions[model], 1) + 1
 		c.SetConfig(c.now, c.config())
 	case 1:
-		c.CoreDisturbed(c.now, c.now-core.Time(c.random.IntN(900))*ms)
+		c.RecordCoreInstability(c.now, c.now-core.Time(c.random.IntN(900))*ms)
 	case 2:
 		c.RecordProcessPause(c.now)
 	default:
-		c.SetPeers(c.now, 1+c.random.IntN(9))
+		c.SetProxyCount(c.now, 1+c.random.IntN(9))
 	}
 }
 
--- a/internal/node/routing/engine_test.go
+++ b/internal/node/routing/engine_test.go
@@ -133,7 +133,7 @@
 func (s *engineSim) heartbeat() {
 	s.refreshIndex()
 	for _, r := range s.proxies {
-		r.StoreSeen(s.now, storeAddress, !s.store.dead, false)
+		r.RecordStoreHealth(s.now, storeAddress, !s.store.dead, false)
 	}
 	if s.now < time.Minute {
 		s.at(s.now+time.Second, s.heartbeat)
@@ -213,7 +213,7 @@
 	s.at(s.now+2*networkDelay, func() {
 		for i, r := range s.proxies {
 			if i != from {
-				r.PeerSentPrompt(s.now, *sent)
+				r.RecordPeerPrompt(s.now, *sent)
 			}
 		}
 	})
@@ -234,7 +234,7 @@
 			o := outcomeFull
 			o.Load = e.load()
 			g.ended = true
-			s.carryOut(g.client, s.proxies[g.client.proxy].Finished(s.now, g.client.id, g.attempt.Number, o, false), g.remainingTokens)
+			s.carryOut(g.client, s.proxies[g.client.proxy].AttemptEnded(s.now, g.client.id, g.attempt.Number, o, false), g.remainingTokens)
 		})
 		return
 	}
@@ -433,7 +433,7 @@
 			if c.done {
 				return
 			}
-			s.proxies[c.proxy].Started(s.now, c.id, g.attempt.Number, e.load())
+			s.proxies[c.proxy].AnswerStarted(s.now, c.id, g.attempt.Number, e.load())
 			if c.answered {
 				return
 			}
@@ -455,7 +455,7 @@
 		g.ended = true
 		s.at(s.now+units.FromMilliseconds(engineFirstEventDelay)+2*networkDelay, func() {
 			if !c.done {
-				s.proxies[c.proxy].Finished(s.now, c.id, g.attempt.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
+				s.proxies[c.proxy].AttemptEnded(s.now, c.id, g.attempt.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
 				s.finishRequest(c, &s.served)
 			}
 		})
--- a/internal/node/routing/faults_test.go
+++ b/internal/node/routing/faults_test.go
@@ -57,7 +57,7 @@
 			if p%2 == 0 {
 				s.restart(p, proxies)
 			} else {
-				s.proxies[p].SetPeers(s.now, 6)
+				s.proxies[p].SetProxyCount(s.now, 6)
 			}
 		}
 	}
--- a/internal/node/routing/fixture_test.go
+++ b/internal/node/routing/fixture_test.go
@@ -94,7 +94,7 @@
 	t.Helper()
 	r := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, BudgetWindow: 10 * time.Second,
 		VersionGrace: 8 * time.Second, Random: rand.New(rand.NewPCG(7, 9)), Index: index, Disabled: disabled})
-	r.SetPeers(0, 1)
+	r.SetProxyCount(0, 1)
 	r.SetConfig(0, configOf(nil))
 	r.SetTable(0, tableOf(list...))
 	return &fixture{t: t, now: 20 * time.Second, Router: r}
@@ -147,8 +147,8 @@
 
 // answerNow has an attempt answered at the current time.
 func (f *fixture) answerNow(a *Attempt) {
-	f.Started(f.now, a.Request, a.Number, nil)
-	f.Finished(f.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
+	f.AnswerStarted(f.now, a.Request, a.Number, nil)
+	f.AttemptEnded(f.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
 	f.End(f.now, a.Request)
 }
 
--- a/internal/node/routing/gaps_test.go
+++ b/internal/node/routing/gaps_test.go
@@ -25,14 +25,14 @@
 		q := f.prompt(gapTargetRoute, 7)
 		a := f.mustBegin(q)
 		f.now += 30 * ms
-		f.Started(f.now, a.Request, a.Number, nil)
+		f.AnswerStarted(f.now, a.Request, a.Number, nil)
 		f.now += 300 * ms
-		outcome := Outcome{Verdict: verdict.Ran, Answered: true, Status: 200, Gaps: EventGaps{Count: 10, Usual: 25 * ms, Max: 90 * ms}}
-		decision := f.Finished(f.now, a.Request, a.Number, outcome, false)
+		outcome := Outcome{Verdict: verdict.Ran, Answered: true, Status: 200, Gaps: EventGaps{Count: 10, Typical: 25 * ms, Max: 90 * ms}}
+		decision := f.AttemptEnded(f.now, a.Request, a.Number, outcome, false)
 		f.End(f.now, a.Request)
-		if seen := decision.StepReport; seen != nil {
+		if seen := decision.StepTimeReport; seen != nil {
 			notified++
-			assert.DeepEqual(t, *seen, StepReport{Instance: "i00", EventInterval: 25 * ms})
+			assert.DeepEqual(t, *seen, StepTimeReport{Instance: "i00", EventInterval: 25 * ms})
 		}
 	}
 	assert.Assert(t, notified > streams/8 && notified < streams/2, "%d of %d streams were reported", notified, streams)
@@ -52,28 +52,28 @@
 		{"in time", 9000, 0, 390 * ms, ""},
 		{"a long prompt was sent", 9000, 0, 450 * ms, LateByLongPrefill},
 		{"a long prompt was being prefilled", 9000, 300 * ms, 450 * ms, LateByLongPrefill},
-		{"a short prompt was sent", 900, 0, 450 * ms, LateByUnknownGap},
-		{"a long prompt long before", 9000, 3 * time.Second, 450 * ms, LateByUnknownGap},
+		{"a short prompt was sent", 900, 0, 450 * ms, LateByUnexplainedGap},
+		{"a long prompt long before", 9000, 3 * time.Second, 450 * ms, LateByUnexplainedGap},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, instances(1))
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: c.sent})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: c.sent})
 			f.now += c.before
 			short := f.prompt(gapTargetRoute, 7)
 			short.Parts = short.Parts[1:]
 			short.TokensIn = 400
 			a := f.mustBegin(short)
 			f.now += 300 * ms
-			f.Started(f.now, a.Request, a.Number, nil)
+			f.AnswerStarted(f.now, a.Request, a.Number, nil)
 			f.now += time.Second
-			f.Finished(f.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200,
-				Gaps: EventGaps{Count: 20, Usual: 20 * ms, Max: c.gap}}, false)
+			f.AttemptEnded(f.now, a.Request, a.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200,
+				Gaps: EventGaps{Count: 20, Typical: 20 * ms, Max: c.gap}}, false)
 			f.End(f.now, a.Request)
 			if c.cause == "" {
-				assert.Equal(t, len(f.Late()), 0)
+				assert.Equal(t, len(f.LateAnswers()), 0)
 				return
 			}
-			late := f.Late()
+			late := f.LateAnswers()
 			assert.Equal(t, len(late), 1)
 			assert.Equal(t, late[0].Cause, c.cause)
 			assert.Equal(t, late[0].MaxGap, c.gap)
@@ -89,7 +89,7 @@
 	f := newFixture(t, instances(1))
 	lateCause := func(prefillTokens, ahead int) LateCause {
 		if ahead > 0 {
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: ahead})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: ahead})
 		}
 		q := f.prompt(gapTargetRoute, f.Router.options.Random.Uint64())
 		q.TokensIn = prefillTokens
@@ -98,7 +98,7 @@
 		f.now += time.Second
 		f.answerNow(a)
 		f.now += 10 * time.Second
-		list := f.Late()
+		list := f.LateAnswers()
 		return list[len(list)-1].Cause
 	}
 	assert.Equal(t, lateCause(600, 0), LateUnexpected)
@@ -107,7 +107,7 @@
 	for range 2 * maxRecentLate {
 		lateCause(600, 0)
 	}
-	assert.Equal(t, len(f.Late()), maxRecentLate)
+	assert.Equal(t, len(f.LateAnswers()), maxRecentLate)
 	total := uint64(0)
 	for _, count := range f.Counters().Late {
 		total += count
--- a/internal/node/routing/guarded_test.go
+++ b/internal/node/routing/guarded_test.go
@@ -15,8 +15,8 @@
 // Goroutines of many connections can use one router at once. The race detector shows missing locks.
 func TestConcurrentCalls(t *testing.T) {
 	router := New(0, Options{Zone: "z0", RetryBudgetRatio: 0.2, RetryBudgetSlack: 60, Random: rand.New(rand.NewPCG(1, 1))})
-	g := NewGuarded(router, nil, nil)
-	g.SetPeers(0, 4)
+	g := NewLockedRouter(router, nil, nil)
+	g.SetProxyCount(0, 4)
 	g.SetConfig(0, configOf(nil))
 	g.SetTable(0, tableOf(instances(4)...))
 	var all sync.WaitGroup
@@ -28,12 +28,12 @@
 				if d.Attempt == nil {
 					continue
 				}
-				g.Started(now, id, d.Attempt.Number, &Load{Running: 1, Slots: 8})
+				g.AnswerStarted(now, id, d.Attempt.Number, &Load{Running: 1, Slots: 8})
 				g.Hedge(now, id)
-				g.Finished(now, id, d.Attempt.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
+				g.AttemptEnded(now, id, d.Attempt.Number, Outcome{Verdict: verdict.Ran, Answered: true, Status: 200}, false)
 				g.End(now, id)
 				g.ObserveLoad(now, d.Attempt.Instance.ID, Load{Slots: 8})
-				g.StoreSeen(now, "10.9.0.1:9000", true, false)
+				g.RecordStoreHealth(now, "10.9.0.1:9000", true, false)
 				g.RecordProcessPause(0)
 			}
 		})
--- a/internal/node/routing/hedge_test.go
+++ b/internal/node/routing/hedge_test.go
@@ -61,7 +61,7 @@
 	f := newFixture(t, instances(4))
 	f.serveRequests(safeRoute, 60, 10*ms)
 	a := f.beginAndAwaitHedge(f.request(safeRoute))
-	f.Started(f.now, a.Request, a.Number, nil)
+	f.AnswerStarted(f.now, a.Request, a.Number, nil)
 	assert.Assert(t, f.Hedge(f.now, a.Request) == Decision{})
 }
 
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/hints.go
@@ -26,14 +26,14 @@
 	PrefillTokens int
 }
 
-// StepReport notifies other proxies, at the end of a stream, of its broker's step time.
-type StepReport struct {
+// StepTimeReport notifies other proxies, at the end of a stream, of its broker's step time.
+type StepTimeReport struct {
 	Instance      string    // instance id
 	EventInterval core.Time // between two events while the broker prefills no other prompt
 }
 
-// PeerSentPrompt records that another proxy sent a prompt to a model broker. It ignores unknown brokers.
-func (r *Router) PeerSentPrompt(now core.Time, sent SentPrompt) {
+// RecordPeerPrompt records that another proxy sent a prompt to a model broker. It ignores unknown brokers.
+func (r *Router) RecordPeerPrompt(now core.Time, sent SentPrompt) {
 	b := r.brokers[sent.Instance]
 	if b == nil {
 		return
@@ -41,9 +41,9 @@
 	r.recordSentPrompt(now, r.service(b.Instance.Service).pool, b, sent.Salt, sent.Parts, sent.PrefillTokens)
 }
 
-// PeerStepReport records the step time of a broker as a stream of another proxy showed it. It ignores
+// RecordPeerStepTime records the step time of a broker as a stream of another proxy showed it. It ignores
 // unknown brokers.
-func (r *Router) PeerStepReport(seen StepReport) {
+func (r *Router) RecordPeerStepTime(seen StepTimeReport) {
 	if b := r.brokers[seen.Instance]; b != nil && seen.EventInterval > 0 {
 		b.ObserveStep(units.Milliseconds(seen.EventInterval))
 	}
@@ -52,13 +52,13 @@
 // learnStepTime records the step time of a broker as a stream of this proxy showed it, and returns the
 // report for the other proxies; nil: none. The streams that are reported are drawn at random, so that
 // the other proxies don't learn of unusual streams only.
-func (r *Router) learnStepTime(req *request, c *brokerstate.Call, gaps EventGaps) *StepReport {
-	if req.ServedModel == "" || gaps.Count < minStepGaps || gaps.Usual <= 0 || !r.ejector.Measurable(c) {
+func (r *Router) learnStepTime(req *request, c *brokerstate.Call, gaps EventGaps) *StepTimeReport {
+	if req.ServedModel == "" || gaps.Count < minStepGaps || gaps.Typical <= 0 || !r.ejector.Measurable(c) {
 		return nil
 	}
-	c.Broker.ObserveStep(units.Milliseconds(gaps.Usual))
+	c.Broker.ObserveStep(units.Milliseconds(gaps.Typical))
 	if r.options.Random.Float64() >= notifiedStreamShare {
 		return nil
 	}
-	return &StepReport{Instance: c.Broker.Instance.ID, EventInterval: gaps.Usual}
+	return &StepTimeReport{Instance: c.Broker.Instance.ID, EventInterval: gaps.Typical}
 }
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -28,7 +28,7 @@
 	// LateByLongPrefill: a gap between events was too long, and the broker prefilled a long prompt.
 	LateByLongPrefill LateCause = "pause: a long prompt was read"
 	// LateByUnexplainedGap: a gap between events was too long, and no cause is known.
-	LateByUnknownGap LateCause = "pause: nothing known"
+	LateByUnexplainedGap LateCause = "pause: nothing known"
 )
 
 // LateRequest describes an answer that was late, with the state that was assumed of its broker at the
@@ -80,8 +80,8 @@
 	return append(slices.Clone(l.newest[l.next:]), l.newest[:l.next]...)
 }
 
-// Late returns the newest late answers, the oldest first.
-func (r *Router) Late() []LateRequest { return r.lateAnswers.list() }
+// LateAnswers returns the newest late answers, the oldest first.
+func (r *Router) LateAnswers() []LateRequest { return r.lateAnswers.list() }
 
 // recordLateFirstEvent records an answer if its first event came later than its route's target, and
 // determines the cause.
@@ -115,7 +115,7 @@
 		return
 	}
 	largest := c.Broker.LongPrompts.Largest(c.SentAt-longPromptLead, now)
-	cause := LateByUnknownGap
+	cause := LateByUnexplainedGap
 	if largest > 0 {
 		cause = LateByLongPrefill
 	}
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -13,9 +13,9 @@
 // statusGatewayTimeout is the status of a broker that reached the deadline of the request.
 const statusGatewayTimeout = 504
 
-// Started records the head of an answer; for streams, the first event. The latency until then is what
+// AnswerStarted records the head of an answer; for streams, the first event. The latency until then is what
 // the predictor learns from.
-func (r *Router) Started(now core.Time, id RequestID, number int, load *Load) {
+func (r *Router) AnswerStarted(now core.Time, id RequestID, number int, load *Load) {
 	req := r.requests[id]
 	if req == nil {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// Finished records the end of an attempt and decides on a further one.
-func (r *Router) Finished(now core.Time, id RequestID, number int, outcome Outcome, resumable bool) Decision {
+// AttemptEnded records the end of an attempt and decides on a further one.
+func (r *Router) AttemptEnded(now core.Time, id RequestID, number int, outcome Outcome, resumable bool) Decision {
 	req := r.requests[id]
 	if req == nil {
 		return Decision{}
@@ -74,7 +74,7 @@
 	r.recordCallEnd(now, req, c, &outcome)
 	decision := r.decideAfterAttempt(now, req, &outcome, resumable)
 	r.recordLateGap(now, req, c, outcome.Gaps)
-	decision.StepReport = r.learnStepTime(req, c, outcome.Gaps)
+	decision.StepTimeReport = r.learnStepTime(req, c, outcome.Gaps)
 	return decision
 }
 
--- a/internal/node/routing/overload_test.go
+++ b/internal/node/routing/overload_test.go
@@ -26,7 +26,7 @@
 		}
 		f.now += units.FromMilliseconds(targetRatio * safeRoute.TargetLatencyMs)
 		for _, a := range sent {
-			f.Started(f.now, a.Request, a.Number, &load)
+			f.AnswerStarted(f.now, a.Request, a.Number, &load)
 			f.answerNow(a)
 		}
 	}
--- a/internal/node/routing/placement_test.go
+++ b/internal/node/routing/placement_test.go
@@ -24,8 +24,8 @@
 // Requests go to the broker with the shortest prefill backlog, however many requests run there.
 func TestRequestsGoToTheShortestBacklog(t *testing.T) {
 	f := newFixture(t, instances(3))
-	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: 30000})
-	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i01", PrefillTokens: 8000})
+	f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: 30000})
+	f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i01", PrefillTokens: 8000})
 	f.ObserveLoad(f.now, "i02", Load{Running: 20, Slots: 64})
 	assert.Equal(t, f.mustBegin(f.unsharedPrompt(20000)).Instance.ID, "i02")
 	assert.Equal(t, f.mustBegin(f.unsharedPrompt(600)).Instance.ID, "i01", "the long prompt is in the backlog of the other one now")
@@ -42,7 +42,7 @@
 	f := newFixture(t, instances(2))
 	f.ObserveLoad(f.now, "i00", Load{Running: 64, Slots: 64})
 	f.ObserveLoad(f.now, "i01", Load{Running: 3, Slots: 64})
-	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i01", PrefillTokens: 3000})
+	f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i01", PrefillTokens: 3000})
 	assert.Equal(t, f.mustBegin(f.unsharedPrompt(600)).Instance.ID, "i01")
 }
 
@@ -66,7 +66,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixtureWithIndex(t, instances(4), &fixedIndex{holders: c.holders})
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: c.backlog})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i00", PrefillTokens: c.backlog})
 			a := f.mustBegin(f.prompt(streamRoute, 5))
 			assert.Equal(t, a.Instance.ID == "i00", c.chosen)
 			assert.Equal(t, a.SentPrompt, (*SentPrompt)(nil), "only the last part is to be prefilled")
@@ -94,7 +94,7 @@
 	assert.Equal(t, notifiedTokens(withStored(500)), 1100)
 	assert.Equal(t, notifiedTokens(withStored(1300)), 0)
 	down := withStored(1300)
-	down.StoreSeen(down.now, storeAddress, false, false)
+	down.RecordStoreHealth(down.now, storeAddress, false, false)
 	assert.Equal(t, notifiedTokens(down), 1600)
 	f := newFixture(t, instances(3))
 	assert.Equal(t, f.mustBegin(f.request(safeRoute)).SentPrompt, (*SentPrompt)(nil), "the request names no model")
@@ -168,6 +168,6 @@
 // A notification of a prompt that was sent to an unknown broker is ignored.
 func TestPeerSentPromptOfUnknownBrokers(t *testing.T) {
 	f := newFixture(t, []*registry.Instance{instanceOf("i00", "z0")})
-	f.PeerSentPrompt(f.now, SentPrompt{Instance: "i77", PrefillTokens: 5000})
+	f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i77", PrefillTokens: 5000})
 	assert.Equal(t, f.mustBegin(f.unsharedPrompt(100)).Instance.ID, "i00")
 }
--- a/internal/node/routing/postpone_test.go
+++ b/internal/node/routing/postpone_test.go
@@ -22,7 +22,7 @@
 // queueOnAllBrokers adds tokens to the backlog of every broker, and has each report waiting requests.
 func (f *fixture) queueOnAllBrokers(tokens, waiting int) {
 	for id := range f.Router.brokers {
-		f.PeerSentPrompt(f.now, SentPrompt{Instance: id, PrefillTokens: tokens})
+		f.RecordPeerPrompt(f.now, SentPrompt{Instance: id, PrefillTokens: tokens})
 		f.ObserveLoad(f.now, id, Load{Running: 9, Waiting: waiting, Slots: 64})
 	}
 }
--- a/internal/node/routing/prefill_test.go
+++ b/internal/node/routing/prefill_test.go
@@ -28,9 +28,9 @@
 			f := newFixture(t, instances(9))
 			q := f.prompt(streamRoute, 5)
 			salt := cachesalt.ID(cachesalt.Text(model, 1, ""))
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i07", Salt: salt, Parts: q.Parts[:2], PrefillTokens: 1600})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i07", Salt: salt, Parts: q.Parts[:2], PrefillTokens: 1600})
 			f.now += c.after
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: "i07", PrefillTokens: c.backlog})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: "i07", PrefillTokens: c.backlog})
 			q.Received, q.Deadline = f.now, f.now+4*time.Second
 			a := f.mustBegin(q)
 			assert.Equal(t, a.Instance.ID == "i07", c.chosen)
@@ -53,6 +53,6 @@
 		other = "i03"
 	}
 	salt := cachesalt.ID(cachesalt.Text(model, 2, ""))
-	fresh.PeerSentPrompt(fresh.now, SentPrompt{Instance: other, Salt: salt, Parts: q.Parts[:2], PrefillTokens: 10})
+	fresh.RecordPeerPrompt(fresh.now, SentPrompt{Instance: other, Salt: salt, Parts: q.Parts[:2], PrefillTokens: 10})
 	assert.Equal(t, fresh.mustBegin(fresh.prompt(streamRoute, 5)).Instance.ID, owner)
 }
--- a/internal/node/routing/retry_test.go
+++ b/internal/node/routing/retry_test.go
@@ -15,9 +15,9 @@
 	f := newFixture(t, instances(4))
 	f.retryLimits.Ratio, f.retryLimits.Slack = 0, 0
 	a := f.mustBegin(f.request(unsafeRoute))
-	d := f.Finished(f.now, a.Request, a.Number, outcomeUnreachable, false)
+	d := f.AttemptEnded(f.now, a.Request, a.Number, outcomeUnreachable, false)
 	assert.Assert(t, d.Attempt != nil)
-	d = f.Finished(f.now, a.Request, d.Attempt.Number, outcomeFull, false)
+	d = f.AttemptEnded(f.now, a.Request, d.Attempt.Number, outcomeFull, false)
 	assert.Assert(t, d.Refusal != nil)
 	assert.Equal(t, d.Refusal.Reason, admission.ReasonBudgetExhausted)
 }
@@ -34,7 +34,7 @@
 			f := newFixture(t, instances(3))
 			first := f.mustBegin(f.prompt(streamRoute, 10))
 			f.SetConfig(f.now, changed)
-			decision := f.Finished(f.now, first.Request, first.Number, outcomeFull, false)
+			decision := f.AttemptEnded(f.now, first.Request, first.Number, outcomeFull, false)
 			assert.Assert(t, decision.Attempt != nil)
 			assert.Assert(t, decision.Attempt.Instance.ID != first.Instance.ID)
 		})
--- a/internal/node/routing/rollout_test.go
+++ b/internal/node/routing/rollout_test.go
@@ -94,7 +94,7 @@
 			a := f.mustBegin(f.prompt(streamRoute, 3))
 			outcome := outcomeFull
 			outcome.Load = c.load
-			f.Finished(f.now, a.Request, a.Number, outcome, false)
+			f.AttemptEnded(f.now, a.Request, a.Number, outcome, false)
 			f.End(f.now, a.Request)
 			f.now += brokerstate.RolloutBackoff - ms
 			_, d := f.Begin(f.now, f.prompt(streamRoute, 3))
@@ -113,7 +113,7 @@
 	f := newFixture(t, instances(1))
 	f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
 	a := f.mustBegin(f.prompt(streamRoute, 3))
-	f.Finished(f.now, a.Request, a.Number, outcomeFull, false)
+	f.AttemptEnded(f.now, a.Request, a.Number, outcomeFull, false)
 	f.End(f.now, a.Request)
 	f.SetTable(f.now, tableOf(withVersion(instances(1)[0], 2)))
 	assert.Equal(t, f.mustBegin(f.prompt(streamRoute, 3)).ExpectVersion, uint64(2))
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -52,7 +52,7 @@
 	overload admission.OverloadDetector
 }
 
-var _ Port = (*Router)(nil)
+var _ RequestRouter = (*Router)(nil)
 
 // New returns a router without brokers and without a configuration.
 func New(now core.Time, options Options) *Router {
@@ -90,9 +90,9 @@
 // PendingRequests returns the number of requests that the router holds.
 func (r *Router) PendingRequests() int { return len(r.requests) }
 
-// SetPeers sets the number of proxies that share the retry budget, this one included. It ignores
+// SetProxyCount sets the number of proxies that share the retry budget, this one included. It ignores
 // numbers below 1.
-func (r *Router) SetPeers(now core.Time, proxies int) {
+func (r *Router) SetProxyCount(now core.Time, proxies int) {
 	if proxies > 0 {
 		r.retryLimits.Proxies.Set(now, proxies)
 	}
@@ -106,11 +106,11 @@
 	r.isolatedTenants.Observe(compiled)
 }
 
-// CoreDisturbed records that the core was unstable at a time, because it lost a machine and the agreed
+// RecordCoreInstability records that the core was unstable at a time, because it lost a machine and the agreed
 // view dropped that machine. The grace period for older weights restarts from there. at must not be
 // later than the latest possible time of the fault; the core counts as unstable for contactMs after it
 // (RULES.md, "Stable"). Faults of disks alone don't make the core unstable.
-func (r *Router) CoreDisturbed(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
+func (r *Router) RecordCoreInstability(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
 
 // RecordProcessPause records that this process was paused until now. Answers that it didn't receive meanwhile
 // don't count as timeouts of brokers, and latencies that include the pause are ignored.
@@ -167,8 +167,8 @@
 	}
 }
 
-// StoreSeen records whether a store answered its last health check. The last parameter, whether the
+// RecordStoreHealth records whether a store answered its last health check. The last parameter, whether the
 // store lost its contents, is ignored: the index reports that as well.
-func (r *Router) StoreSeen(_ core.Time, address string, alive, _ bool) {
+func (r *Router) RecordStoreHealth(_ core.Time, address string, alive, _ bool) {
 	r.cache.StoreSeen(address, alive)
 }
--- a/internal/node/routing/router_test.go
+++ b/internal/node/routing/router_test.go
@@ -55,7 +55,7 @@
 			f.serveRequests(safeRoute, 40, 10*ms)
 			first := f.mustBegin(c.request(f))
 			f.now += 30 * ms
-			d := f.Finished(f.now, first.Request, first.Number, c.outcome, false)
+			d := f.AttemptEnded(f.now, first.Request, first.Number, c.outcome, false)
 			got := nothing
 			switch {
 			case d.Attempt != nil:
@@ -77,6 +77,6 @@
 	f.End(f.now, a.Request)
 	assert.Equal(t, f.PendingRequests(), 0)
 	assert.Equal(t, f.Router.brokers[a.Instance.ID].InFlight(), 0)
-	f.Started(f.now, a.Request, a.Number, nil)
-	assert.Equal(t, f.Finished(f.now, a.Request, a.Number, outcomeFull, false), Decision{})
+	f.AnswerStarted(f.now, a.Request, a.Number, nil)
+	assert.Equal(t, f.AttemptEnded(f.now, a.Request, a.Number, outcomeFull, false), Decision{})
 }
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -109,13 +109,13 @@
 	counts := &r.counters.Prompts
 	counts.Shared += uint64(shared)
 	counts.Cached += uint64(cached)
-	counts.Arriving += uint64(inPrefill)
+	counts.InPrefill += uint64(inPrefill)
 	if attempt.FetchFrom != "" && r.cache.IsStore(attempt.FetchFrom) {
 		counts.FromStore += uint64(fetched)
 	} else {
 		counts.FromBroker += uint64(fetched)
 	}
-	counts.Repeated += uint64(chosen.Plan.RepeatedTokens)
+	counts.Recomputed += uint64(chosen.Plan.RepeatedTokens)
 	counts.FirstSeen += uint64(max(missing-fetched-chosen.Plan.RepeatedTokens, 0))
 	if attempt.FetchFrom != "" && fetched == 0 {
 		counts.BlindFetches++
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -119,7 +119,7 @@
 	options.Zone = fmt.Sprintf("z%d", p%3)
 	options.Random = rand.New(rand.NewPCG(uint64(p), s.random.Uint64()))
 	r := New(s.now, options)
-	r.SetPeers(s.now, proxies)
+	r.SetProxyCount(s.now, proxies)
 	r.SetConfig(s.now, configOf(nil))
 	r.SetTable(s.now, s.table)
 	return r
@@ -386,7 +386,7 @@
 		return
 	}
 	call.started = true
-	s.proxies[call.client.proxy].Started(s.now, call.client.id, call.attempt.Number, call.broker.load())
+	s.proxies[call.client.proxy].AnswerStarted(s.now, call.client.id, call.attempt.Number, call.broker.load())
 }
 
 // endCall reports the outcome of an attempt to the proxy, and carries out its decision.
@@ -399,7 +399,7 @@
 	if o.Verdict == verdict.NotRun && c.runs == 0 {
 		c.mayHaveRun = false
 	}
-	d := s.proxies[c.proxy].Finished(s.now, c.id, call.attempt.Number, o, false)
+	d := s.proxies[c.proxy].AttemptEnded(s.now, c.id, call.attempt.Number, o, false)
 	switch {
 	case o.Answered:
 		s.latencies = append(s.latencies, s.now-c.request.Received)
@@ -432,7 +432,7 @@
 	r := s.proxies[c.proxy]
 	for _, call := range c.calls {
 		if !call.ended {
-			r.Finished(s.now, c.id, call.attempt.Number, Outcome{Verdict: verdict.MayHaveRun, Canceled: true}, false)
+			r.AttemptEnded(s.now, c.id, call.attempt.Number, Outcome{Verdict: verdict.MayHaveRun, Canceled: true}, false)
 		}
 	}
 	r.End(s.now, c.id)
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			index := &fixedIndex{}
 			f := newFixtureWithIndex(t, instances(5), index)
-			f.StoreSeen(f.now, storeAddress, !c.storeDown, false)
+			f.RecordStoreHealth(f.now, storeAddress, !c.storeDown, false)
 			first := f.mustBegin(f.prompt(streamRoute, 77))
 			f.answerAfterPrefill(first)
 			f.now += prefixcache.PrefillBelieved // so that the index decides and not what was sent recently
@@ -50,8 +50,8 @@
 			if first.Instance.ID == source {
 				source = "i02"
 			}
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 50000})
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: source, PrefillTokens: 50000})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 50000})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: source, PrefillTokens: 50000})
 			index.holders = []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: c.stored}, {Instance: source, Tokens: c.peer}}
 			if c.cached > 0 {
 				index.holders = append(index.holders, prefixcache.Holder{Instance: other, Tokens: c.cached})
@@ -107,9 +107,9 @@
 		f.answerAfter(a, ms)
 	}
 	check(storeAddress, storeAddress)
-	f.StoreSeen(f.now, storeAddress, false, false)
+	f.RecordStoreHealth(f.now, storeAddress, false, false)
 	check("", "")
-	f.StoreSeen(f.now, storeAddress, true, true)
+	f.RecordStoreHealth(f.now, storeAddress, true, true)
 	check(storeAddress, storeAddress)
 }
 
@@ -200,7 +200,7 @@
 		assert.Equal(t, a.FetchFrom, assigned)
 		assert.Equal(t, a.SaveTo == "", address == assigned, "parts at the assigned store are not saved again")
 	}
-	f.StoreSeen(f.now, assigned, false, false)
+	f.RecordStoreHealth(f.now, assigned, false, false)
 	next := f.mustBegin(f.prompt(streamRoute, 5))
 	assert.Assert(t, next.FetchFrom != assigned && next.FetchFrom != "")
 	assert.Equal(t, next.SaveTo, next.FetchFrom)
@@ -230,7 +230,7 @@
 			first := f.mustBegin(f.prompt(streamRoute, 7))
 			f.answerAfterPrefill(first)
 			f.now += c.sentAgo
-			f.PeerSentPrompt(f.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 90000})
+			f.RecordPeerPrompt(f.now, SentPrompt{Instance: first.Instance.ID, PrefillTokens: 90000})
 			index.holders = []prefixcache.Holder{{Instance: storeAddress, Store: true, Tokens: 1300}, {Instance: first.Instance.ID, Tokens: 1300}}
 			a := f.mustBegin(f.prompt(streamRoute, 7))
 			assert.Assert(t, a.Instance.ID != first.Instance.ID)
--- a/internal/node/routing/words_golden_test.go
+++ b/internal/node/routing/words_golden_test.go
@@ -16,7 +16,7 @@
 		"its prompt was long":           routing.LateByPrefill,
 		"first event unforeseen":        routing.LateUnexpected,
 		"pause: a long prompt was read": routing.LateByLongPrefill,
-		"pause: nothing known":          routing.LateByUnknownGap,
+		"pause: nothing known":          routing.LateByUnexplainedGap,
 	} {
 		assert.Equal(t, string(cause), text)
 	}
