--- a/internal/aggregator/engine/accept.go
+++ b/internal/aggregator/engine/accept.go
@@ -14,7 +14,7 @@
 
 // Accepted implements transport.Handler. It registers a client that has connected.
 func (e *Engine) Accepted(conn transport.Conn) {
-	e.Count.Accepted++
+	e.Counters.Accepted++
 	e.socketCount++
 	if door := e.network.Door(conn); door > 0 {
 		e.frontends[door-1].Accepted(conn)
@@ -49,7 +49,7 @@
 		return
 	}
 	e.accepting = false
-	e.Count.AcceptPauses++
+	e.Counters.AcceptPauses++
 	e.log.warn("accepting paused", format, args...)
 	e.network.Accept(false)
 	e.evictClients()
@@ -98,7 +98,7 @@
 	if client == nil {
 		return false
 	}
-	e.Count.Evicted++
+	e.Counters.Evicted++
 	e.close(client.conn)
 	e.clientClosed(client)
 	return true
--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -50,7 +50,7 @@
 		sentAt:        e.now,
 		kind:          req.nextAttemptKind(),
 	}
-	e.Count.AttemptsAsked++
+	e.Counters.AttemptsRequested++
 	if beginWithin != 0 {
 		attempt.beginDeadline = e.now + beginWithin
 	}
@@ -99,7 +99,7 @@
 // reply is recognised.
 func (e *Engine) cancelAttempt(attempt *attempt, outcome policy.Outcome) {
 	if handler := attempt.request.search.handler; handler != nil && attempt.state == stateSent {
-		e.Count.AttemptsCancelled++
+		e.Counters.AttemptsCancelled++
 		handler.Cancel(attempt)
 		e.endAttempt(attempt, outcome, nil)
 		return
@@ -138,7 +138,7 @@
 	if conn.closed {
 		return
 	}
-	e.Count.AttemptsCancelled++
+	e.Counters.AttemptsCancelled++
 	e.writeBuffer = protocol.AppendShortFrame(e.writeBuffer[:0], protocol.FrameAbandon, attempt.request.id)
 	e.writeToServer(conn, e.writeBuffer)
 	e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
--- a/internal/aggregator/engine/batch.go
+++ b/internal/aggregator/engine/batch.go
@@ -99,14 +99,14 @@
 			}
 		}
 		e.writeBuffer = protocol.EndFrame(frame, 0)
-		e.Count.Batches++
+		e.Counters.Batches++
 		conn.frameStart, conn.lastBatch = conn.writeOffset, nil
 		e.writeToServer(conn, e.writeBuffer)
 		conn.lastBatch, conn.writtenAfter = batch, conn.writtenAfter[:0]
 		for _, attempt := range batch.attempts {
 			if attempt.state == stateQueued {
 				attempt.state, attempt.frameEnd = stateSent, conn.writeOffset
-				e.Count.AttemptsSent++
+				e.Counters.AttemptsSent++
 			}
 		}
 		e.turnRequested = e.turnRequested || len(conn.queued) > 0
@@ -123,13 +123,13 @@
 	if last == nil || conn.closed || !e.network.Retract(conn.id, conn.frameStart) {
 		return false
 	}
-	e.Count.FramesRetracted++
-	e.Count.BytesOut -= conn.writeOffset - conn.frameStart
+	e.Counters.FramesRetracted++
+	e.Counters.BytesOut -= conn.writeOffset - conn.frameStart
 	conn.writeOffset, conn.lastBatch = conn.frameStart, nil
 	for _, attempt := range last.attempts {
 		if attempt.batch == last && attempt.state == stateSent {
 			attempt.state = stateQueued
-			e.Count.AttemptsSent--
+			e.Counters.AttemptsSent--
 		}
 	}
 	conn.queued = append([]*batch{last}, conn.queued...)
@@ -173,7 +173,7 @@
 			conn, end := attempt.batch.conn, attempt.frameEnd
 			e.afterFunc(stalledFrameTimeout, func(e *Engine) {
 				if !conn.closed && end > conn.writtenOffset {
-					e.Count.FramesRetracted++
+					e.Counters.FramesRetracted++
 					e.dropServerConn(conn)
 				}
 			})
--- a/internal/aggregator/engine/batch_test.go
+++ b/internal/aggregator/engine/batch_test.go
@@ -37,9 +37,9 @@
 		w.now += 10
 		w.turn()
 	}
-	if len(conn.unsent) > 0 || w.engine.Count.FramesRetracted != 1 {
+	if len(conn.unsent) > 0 || w.engine.Counters.FramesRetracted != 1 {
 		t.Errorf("%d bytes of the frame can still be sent after the drain grace; %d frames retracted, want 1",
-			len(conn.unsent), w.engine.Count.FramesRetracted)
+			len(conn.unsent), w.engine.Counters.FramesRetracted)
 	}
 	if w.conns[c] != conn {
 		t.Error("the connection was dropped instead of retracting the frame")
@@ -96,8 +96,8 @@
 		t.Fatalf("%d connections, want 1; the second search has %d answers, want 0", len(w.serverConns()), second.answers)
 	}
 	w.runUntilAnswered(second)
-	if second.status != 200 || w.engine.Count.AttemptsMoved != 1 || w.engine.Count.Outcomes[policy.ConnectFailed] != 0 {
-		t.Errorf("an attempt that had not begun: status %d, want 200; %d moved, want 1", second.status, w.engine.Count.AttemptsMoved)
+	if second.status != 200 || w.engine.Counters.AttemptsMoved != 1 || w.engine.Counters.Outcomes[policy.ConnectFailed] != 0 {
+		t.Errorf("an attempt that had not begun: status %d, want 200; %d moved, want 1", second.status, w.engine.Counters.AttemptsMoved)
 	}
 }
 
@@ -116,8 +116,8 @@
 	w.advance(20)
 	w.openConns()
 	w.advance(1)
-	if w.engine.Count.AttemptsSent != 0 || w.engine.Count.Outcomes[policy.NeverSent] == 0 {
-		t.Errorf("%d attempts sent past their begin deadline, outcomes %v", w.engine.Count.AttemptsSent, w.engine.Count.Outcomes)
+	if w.engine.Counters.AttemptsSent != 0 || w.engine.Counters.Outcomes[policy.NeverSent] == 0 {
+		t.Errorf("%d attempts sent past their begin deadline, outcomes %v", w.engine.Counters.AttemptsSent, w.engine.Counters.Outcomes)
 	}
 }
 
@@ -132,9 +132,9 @@
 		w.disconnect(client)
 		w.openConns()
 		w.advance(10)
-		if w.engine.Count.AttemptsSent != 0 || w.engine.Count.ClientsLeft != 1 {
+		if w.engine.Counters.AttemptsSent != 0 || w.engine.Counters.ClientsLeft != 1 {
 			t.Errorf("cancel %s: %d attempts sent although the client left while the connection was being opened",
-				cancel, w.engine.Count.AttemptsSent)
+				cancel, w.engine.Counters.AttemptsSent)
 		}
 
 		// A frame that the network accepts nothing of holds attempts of two searches; one of the
@@ -224,7 +224,7 @@
 		var client *modelClient
 		w.turn(func() { client = w.startSearch("once", 900, 0) })
 		w.openConns()
-		sent := w.engine.Count.AttemptsSent
+		sent := w.engine.Counters.AttemptsSent
 		if sent != 1 {
 			t.Fatalf("%s: %d attempts sent, want 1", how, sent)
 		}
@@ -249,8 +249,8 @@
 			w.advance(10)
 			w.openConns()
 		}
-		if w.engine.Count.AttemptsSent != sent {
-			t.Errorf("%s: %d more attempts were sent for a client that had left", how, w.engine.Count.AttemptsSent-sent)
+		if w.engine.Counters.AttemptsSent != sent {
+			t.Errorf("%s: %d more attempts were sent for a client that had left", how, w.engine.Counters.AttemptsSent-sent)
 		}
 		w.shutDownAndCheck()
 	}
@@ -311,7 +311,7 @@
 				}
 				w.turn(func() { w.closeByPeer(w.serverConns()[0]) })
 			}
-			before := w.engine.Count.AttemptsSent
+			before := w.engine.Counters.AttemptsSent
 			var client *modelClient
 			w.turn(func() { client = w.startSearch("quick", 2500, 0) })
 			if how == "hedge" { // its attempt is in flight at a server that does not reply
@@ -319,7 +319,7 @@
 			} else { // its only server is unreachable and gets a trial after some time
 				w.turn(func() { w.closeByPeer(w.serverConns()[0]) })
 			}
-			sent := w.engine.Count.AttemptsSent
+			sent := w.engine.Counters.AttemptsSent
 			if (how == "hedge") != (sent == before+1) || client.answers > 0 {
 				t.Fatalf("%s: %d attempts sent and %d answers before the client leaves", how, sent-before, client.answers)
 			}
@@ -338,7 +338,7 @@
 					}
 				}
 			}
-			return w.engine.Count.AttemptsSent - sent
+			return w.engine.Counters.AttemptsSent - sent
 		}
 		if sentLater(true) == 0 {
 			t.Errorf("%s: none begins although the client stays, so the test shows nothing", how)
--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -97,11 +97,11 @@
 		e.rejectRequest(client, &protocol.RequestError{Status: 408, Reason: "half a request"})
 		return
 	case client.writeOffset > client.writtenOffset: // it does not read its answer, which takes up memory
-		e.Count.WriteTimeouts++
+		e.Counters.WriteTimeouts++
 	case !client.sentRequest:
-		e.Count.SilentClientsDropped++
+		e.Counters.SilentClientsDropped++
 	default:
-		e.Count.IdleClientsDropped++
+		e.Counters.IdleClientsDropped++
 	}
 	e.dropClient(client)
 }
@@ -209,12 +209,12 @@
 // left for servers and answers.
 func (e *Engine) takeBuffer() []byte {
 	if e.partialBuffers >= max(e.pool.Max/partialBufferDivisor, 1) {
-		e.Count.NoBuffer++
+		e.Counters.NoBuffer++
 		return nil
 	}
 	buf := e.pool.Get()
 	if buf == nil {
-		e.Count.NoBuffer++
+		e.Counters.NoBuffer++
 		return nil
 	}
 	e.partialBuffers++
@@ -277,7 +277,7 @@
 
 // rejectRequest answers an invalid request with the status and the text of its error.
 func (e *Engine) rejectRequest(client *client, err error) {
-	e.Count.BadRequests++
+	e.Counters.BadRequests++
 	status := 400
 	var requestError *protocol.RequestError
 	if errors.As(err, &requestError) {
@@ -310,7 +310,7 @@
 // writeToClient writes to a client and counts the bytes.
 func (e *Engine) writeToClient(client *client, b []byte) {
 	client.writeOffset += int64(len(b))
-	e.Count.BytesOut += int64(len(b))
+	e.Counters.BytesOut += int64(len(b))
 	e.network.Write(client.conn, b)
 }
 
--- a/internal/aggregator/engine/client_test.go
+++ b/internal/aggregator/engine/client_test.go
@@ -34,9 +34,9 @@
 		t.Errorf("an incomplete request got status %d after its time limit, want 408", half.client.status)
 	}
 	w.advance(writeTimeout + lingerTimeout)
-	if w.conns[reader] != nil || w.engine.Count.WriteTimeouts != 1 || w.engine.clientCount != 0 || w.pool.InUse() != 0 {
+	if w.conns[reader] != nil || w.engine.Counters.WriteTimeouts != 1 || w.engine.clientCount != 0 || w.pool.InUse() != 0 {
 		t.Errorf("the client that does not read: %d write timeouts, want 1; %d clients and %d buffers in use, want 0",
-			w.engine.Count.WriteTimeouts, w.engine.clientCount, w.pool.InUse())
+			w.engine.Counters.WriteTimeouts, w.engine.clientCount, w.pool.InUse())
 	}
 }
 
@@ -63,9 +63,9 @@
 		t.Errorf("%d clients are connected, want only the one that sent a search", w.engine.clientCount)
 	}
 	w.advance(clientIdleTimeout + 1)
-	if w.engine.clientCount != 0 || w.engine.Count.IdleClientsDropped != 1 {
+	if w.engine.clientCount != 0 || w.engine.Counters.IdleClientsDropped != 1 {
 		t.Errorf("%d clients, %d dropped as idle; want an idle connection to be closed",
-			w.engine.clientCount, w.engine.Count.IdleClientsDropped)
+			w.engine.clientCount, w.engine.Counters.IdleClientsDropped)
 	}
 	w.shutDownAndCheck()
 }
@@ -76,9 +76,9 @@
 	w.turn()
 	w.openConns()
 	w.connectClients(100, "POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\nabc")
-	if w.pool.InUse() != 10 || w.engine.Count.NoBuffer != 90 {
+	if w.pool.InUse() != 10 || w.engine.Counters.NoBuffer != 90 {
 		t.Errorf("%d of 20 buffers are held by incomplete requests, want 10; %d requests refused, want 90",
-			w.pool.InUse(), w.engine.Count.NoBuffer)
+			w.pool.InUse(), w.engine.Counters.NoBuffer)
 	}
 	var client *modelClient
 	w.turn(func() {
--- a/internal/aggregator/engine/counters.go
+++ b/internal/aggregator/engine/counters.go
@@ -12,8 +12,8 @@
 	// Searches, by their end.
 	Searches, Complete, Partial, Shed, Errored, ClientsLeft, OverPendingLimit, AnswersTooLong, BadRequests int64
 	// Attempts and batches; Outcomes is indexed by policy.Outcome.
-	AttemptsSent, Batches, AttemptsCancelled, LateReplies, AttemptsMoved, Pushbacks, AttemptsAsked, Metered int64
-	Outcomes                                                                                                [policy.NeverSent + 1]int64
+	AttemptsSent, Batches, AttemptsCancelled, LateReplies, AttemptsMoved, Pushbacks, AttemptsRequested, Metered int64
+	Outcomes                                                                                                    [policy.NeverSent + 1]int64
 	// Client connections.
 	Accepted, Evicted, AcceptPauses, WriteTimeouts, SilentClientsDropped, IdleClientsDropped int64
 	// Connections that the engine opens; NoSocket and NoBuffer count descriptors and buffers that were not available.
@@ -32,9 +32,9 @@
 // outcomeNames are the log fields of the outcomes of policy.Outcome, in its order.
 var outcomeNames = [...]string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
 
-// Print logs the counters in four lines, plus one line for each query type of which searches were
+// LogCounters logs the counters in four lines, plus one line for each query type of which searches were
 // refused; why says what asked for them.
-func (e *Engine) Print(why string) {
+func (e *Engine) LogCounters(why string) {
 	line := func() *zerolog.Event { return e.log.log.Info().Str("why", why) }
 	e.logSearchCounters(line())
 	e.logAttemptCounters(line())
@@ -44,13 +44,13 @@
 		e.logRefusals(line().Str("type", name), queryType)
 	}
 	for _, frontend := range e.frontends {
-		frontend.Print(e.log.log, why)
+		frontend.LogCounters(e.log.log, why)
 	}
 }
 
 // logSearchCounters logs what became of searches.
 func (e *Engine) logSearchCounters(line *zerolog.Event) {
-	count := &e.Count
+	count := &e.Counters
 	line.Int64("searches", count.Searches).
 		Int64("whole", count.Complete).
 		Int64("partial", count.Partial).
@@ -66,7 +66,7 @@
 
 // logAttemptCounters logs attempts and their outcomes.
 func (e *Engine) logAttemptCounters(line *zerolog.Event) {
-	count := &e.Count
+	count := &e.Counters
 	line.Int64("sent", count.AttemptsSent).
 		Int64("calls", count.Batches).
 		Int64("called_off", count.AttemptsCancelled).
@@ -82,7 +82,7 @@
 
 // logConnectionCounters logs connections of clients and to servers.
 func (e *Engine) logConnectionCounters(line *zerolog.Event) {
-	count := &e.Count
+	count := &e.Counters
 	line.Int64("accepted", count.Accepted).
 		Int64("gave_way", count.Evicted).
 		Int64("paused", count.AcceptPauses).
@@ -102,7 +102,7 @@
 
 // logOtherCounters logs health checks, discovery, frames, buffers and faults.
 func (e *Engine) logOtherCounters(line *zerolog.Event) {
-	count := &e.Count
+	count := &e.Counters
 	line.Int64("probes", count.Probes).
 		Int64("probes_failed", count.ProbesFailed).
 		Int64("watches", count.Watches).
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -25,8 +25,8 @@
 	"kestrelspread/internal/transport"
 )
 
-// Net performs the engine's effects on the network. It reports events through transport.Handler.
-type Net interface {
+// Network performs the engine's effects on the network. It reports events through transport.Handler.
+type Network interface {
 	// Connect opens a connection. Opened or Closed is called when it succeeds or fails.
 	Connect(addr netip.AddrPort) transport.Conn
 	// Write queues bytes for writing. Written reports how many the operating system has accepted.
@@ -57,13 +57,13 @@
 // Engine holds the state of one aggregator. Everything in it belongs to the goroutine of the event
 // loop, except the atomic address of discovery and Post.
 type Engine struct {
-	Discovery atomic.Pointer[netip.AddrPort] // address of discovery; other goroutines store it before they notify MoveDiscovery
+	DiscoveryAddr atomic.Pointer[netip.AddrPort] // address of discovery; other goroutines store it before they notify MoveDiscovery
 
-	network        Net
+	network        Network
 	pool           *transport.Pool
 	log            *rateLimitedLog
 	policy         policy.Decider
-	Count          Counters
+	Counters       Counters
 	now            float64 // time of the current turn, in ms of the loop's clock
 	wakeAt         float64 // when the policy is to be woken; +Inf: not requested
 	timers         timers
@@ -75,7 +75,7 @@
 	serverList     serverList
 	initialList    []byte // server list that was known at start; nil once applied
 	config         config
-	frontends      []Front     // listener number i belongs to frontends[i-1]
+	frontends      []Frontend  // listener number i belongs to frontends[i-1]
 	postedFuncs    chan func() // functions of other goroutines that wait to run in the loop
 	meter          Meter       // nil: usage is not metered
 	started        bool        // the first turn has begun
@@ -142,7 +142,7 @@
 // New returns an engine that has its settings and knows no server yet. sockets is the number of
 // descriptors that the process may open, known is the server list to start with, and epoch is the
 // Unix time in milliseconds at which the loop's clock was 0.
-func New(network Net, pool *transport.Pool, log zerolog.Logger, set settings.Values, seed uint64, sockets int,
+func New(network Network, pool *transport.Pool, log zerolog.Logger, set settings.Values, seed uint64, sockets int,
 	known []byte, discovery netip.AddrPort, epoch float64) *Engine {
 	e := &Engine{
 		network:      network,
@@ -183,7 +183,7 @@
 		known := e.initialList
 		e.initialList = nil
 		if err := e.applyList(&watch{}, known); err != nil {
-			e.Count.BadLists++
+			e.Counters.BadLists++
 			e.log.warn("no list to begin with", "%v", err)
 		}
 	}
@@ -242,7 +242,7 @@
 				e.pendingCount--
 			}
 		}
-		e.Count.countOutcome(result.outcome)
+		e.Counters.countOutcome(result.outcome)
 		e.policy.AttemptDone(req.index, result.attempt.number, result.outcome, result.report)
 	}
 	e.outcomes = e.outcomes[:0]
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -7,11 +7,11 @@
 
 // Notifications that other goroutines send to the loop.
 const (
-	Terminate     = iota // begin the shutdown
-	Report               // log the counters
-	MoveDiscovery        // discovery has moved to the address that was stored in the engine
-	ReloadFronts         // apply the new settings of the front ends
-	RunPosted            // run the functions that were passed to Engine.Post
+	Terminate       = iota // begin the shutdown
+	ReportCounters         // log the counters
+	MoveDiscovery          // discovery has moved to the address that was stored in the engine
+	ReloadFrontends        // apply the new settings of the front ends
+	RunPosted              // run the functions that were passed to Engine.Post
 )
 
 // Notified implements transport.Handler. It handles a notification from another goroutine.
@@ -19,10 +19,10 @@
 	switch what {
 	case Terminate:
 		e.terminate()
-	case Report:
-		e.Print("asked for")
+	case ReportCounters:
+		e.LogCounters("asked for")
 	case MoveDiscovery:
-		if to := e.Discovery.Load(); to != nil {
+		if to := e.DiscoveryAddr.Load(); to != nil {
 			e.moveDiscovery(*to)
 		}
 	case RunPosted:
@@ -35,9 +35,9 @@
 			}
 			break
 		}
-	case ReloadFronts:
+	case ReloadFrontends:
 		for _, frontend := range e.frontends {
-			frontend.Reload()
+			frontend.ReloadSettings()
 		}
 	}
 }
@@ -56,7 +56,7 @@
 
 // Bytes implements transport.Handler. It handles bytes that were received at the given time.
 func (e *Engine) Bytes(c transport.Conn, b []byte, receivedAt float64) {
-	e.Count.BytesIn += int64(len(b))
+	e.Counters.BytesIn += int64(len(b))
 	if client := e.endpoint(c).client; client != nil {
 		e.clientBytes(client, b, receivedAt)
 	} else if conn := e.endpoint(c).conn; conn != nil {
@@ -64,7 +64,7 @@
 	} else if watch := e.endpoint(c).watch; watch != nil {
 		e.watchBytes(watch, b)
 	} else if handler := e.endpoint(c).handler; handler != nil {
-		handler.Bytes(b, receivedAt)
+		handler.Received(b, receivedAt)
 	}
 	e.deliverResults()
 }
@@ -119,7 +119,7 @@
 // handling panicked: the search of its client connection, or its server connection or watch. If the
 // event concerned no connection, all open searches fail; otherwise nothing else is affected.
 func (e *Engine) Panicked(c transport.Conn, what any, stack []byte) {
-	e.Count.Panics++
+	e.Counters.Panics++
 	defer func() { e.closedConn = noConn }()
 	e.log.logPanic(what, stack)
 	if invariant.Debug {
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -26,22 +26,22 @@
 	Failed          // ended with an error; it may have had an effect
 )
 
-// Carrier is a front end's side of one search that it started: it sends the search's attempts to
+// SearchHandler is a front end's side of one search that it started: it sends the search's attempts to
 // servers and delivers the final answer to the client.
-type Carrier interface {
+type SearchHandler interface {
 	// Answer delivers the final answer; retryAfter is advice for the client's retry in milliseconds,
 	// 0: none. It is called exactly once, unless the front end has called ClientGone before. No
 	// attempt of the search is sent afterwards.
-	Final(result Result, retryAfter float64)
+	Answer(result Result, retryAfter float64)
 	// Send starts an attempt. The front end reports its outcome by AttemptEnded, at once or later.
 	Send(attempt *Attempt)
 	// Cancel stops an attempt whose outcome is already decided; a later report on it is ignored.
 	Cancel(attempt *Attempt)
 	// FrontendNumber returns the number of the front end, counted from 1.
-	Door() int
+	FrontendNumber() int
 	// BodyBytes returns how many bytes of message bodies, without headers, the client has sent and was
 	// sent. It is called once the search is over.
-	Bytes() (in, out int64)
+	BodyBytes() (in, out int64)
 }
 
 // ConnHandler handles a connection that belongs to a front end. Nothing is called after Closed.
@@ -49,38 +49,38 @@
 	// Opened reports that the connection is established.
 	Opened()
 	// Received reports bytes that were received at the given time.
-	Bytes(b []byte, receivedAt float64)
+	Received(b []byte, receivedAt float64)
 	// Written reports that the operating system has accepted the bytes before the offset.
 	Written(upTo int64)
 	// Closed reports that the connection is closed; bytes from the offset on were never sent.
 	Closed(upTo int64)
 }
 
-// Front is a front end: a protocol, other than HTTP, by which clients send searches.
-type Front interface {
+// Frontend is a front end: a protocol, other than HTTP, by which clients send searches.
+type Frontend interface {
 	// Accepted reports a client connection on the front end's listener.
 	Accepted(c transport.Conn)
 	// ServerUpdated reports the state of one server of the list, by the server's index.
-	Server(index int, id string, addr netip.AddrPort, state policy.ServerStatus)
+	ServerUpdated(index int, id string, addr netip.AddrPort, state policy.ServerStatus)
 	// DrainGraceEnded reports that a server has been draining or gone for so long that attempts which
 	// have not begun there must not begin any more.
-	GraceEnded(index int)
+	DrainGraceEnded(index int)
 	// ServerRemoved reports that an index is free; it may refer to another server from now on.
 	ServerRemoved(index int)
 	// ShutdownStarted reports that the shutdown has begun. Clients are still served; all answers must be
 	// written by the given time, as the process may be killed soon after it.
-	Stopping(answerBy float64)
+	ShutdownStarted(answerBy float64)
 	// ListenersClosed reports that the listeners are closed.
-	Leaving()
+	ListenersClosed()
 	// Idle reports whether the front end has no client connection.
 	Idle() bool
 	// Flush is called at the end of each turn, after the policy has decided. It writes pending
 	// output.
 	Flush()
 	// ReloadSettings applies new settings, if there are any.
-	Reload()
+	ReloadSettings()
 	// LogCounters logs the front end's counters; why says what asked for them.
-	Print(log zerolog.Logger, why string)
+	LogCounters(log zerolog.Logger, why string)
 }
 
 // Attempt is an attempt as front ends see it.
@@ -119,9 +119,9 @@
 // runs.
 func (e *Engine) ReplacePolicy(policy func(out policy.Executor) policy.Decider) { e.policy = policy(e) }
 
-// AddFront registers a front end. The n-th one that is added owns the connections of listener n,
+// AddFrontend registers a front end. The n-th one that is added owns the connections of listener n,
 // counted from 1. It must be called before the loop runs.
-func (e *Engine) AddFront(frontend Front) { e.frontends = append(e.frontends, frontend) }
+func (e *Engine) AddFrontend(frontend Frontend) { e.frontends = append(e.frontends, frontend) }
 
 // Now returns the time of the current turn, in milliseconds of the loop.
 func (e *Engine) Now() float64 { return e.now }
@@ -152,8 +152,8 @@
 // Timer identifies a scheduled function, so that it can be cancelled.
 type Timer struct{ timer *timer }
 
-// After schedules run to be called after a delay in milliseconds.
-func (e *Engine) After(delay float64, run func()) Timer {
+// AfterFunc schedules run to be called after a delay in milliseconds.
+func (e *Engine) AfterFunc(delay float64, run func()) Timer {
 	return Timer{e.afterFunc(delay, func(*Engine) { run() })}
 }
 
@@ -166,10 +166,10 @@
 // Connect opens a connection for a front end. It returns false if no descriptor is available.
 func (e *Engine) Connect(handler ConnHandler, addr netip.AddrPort) (transport.Conn, bool) {
 	if e.socketCount >= e.config.maxDescriptors-reservedSockets && !e.evictClient() {
-		e.Count.NoSocket++
+		e.Counters.NoSocket++
 		return noConn, false
 	}
-	e.Count.ConnsRequested++
+	e.Counters.ConnsRequested++
 	e.socketCount++
 	c := e.network.Connect(addr)
 	*e.endpoint(c) = endpoint{handler: handler}
@@ -181,18 +181,18 @@
 	*e.endpoint(c) = endpoint{handler: handler}
 }
 
-// MaxFrontClients returns how many client connections a further front end may hold: half as many as
+// MaxFrontendClients returns how many client connections a further front end may hold: half as many as
 // HTTP's, so that neither can take all descriptors from the other.
-func (e *Engine) MaxFrontClients() int { return max(e.maxClients()/2, 1) }
+func (e *Engine) MaxFrontendClients() int { return max(e.maxClients()/2, 1) }
 
 // WriteConn writes to a front end's connection.
 func (e *Engine) WriteConn(c transport.Conn, b []byte) {
-	e.Count.BytesOut += int64(len(b))
+	e.Counters.BytesOut += int64(len(b))
 	e.network.Write(c, b)
 }
 
-// Reading enables or disables reading from a front end's connection.
-func (e *Engine) Reading(c transport.Conn, on bool) { e.network.Reading(c, on) }
+// SetReading enables or disables reading from a front end's connection.
+func (e *Engine) SetReading(c transport.Conn, on bool) { e.network.Reading(c, on) }
 
 // CloseConn closes a front end's connection immediately; the handler's Closed is not called.
 func (e *Engine) CloseConn(c transport.Conn) {
@@ -208,20 +208,20 @@
 // StartSearch starts a search for a front end. The final answer may be delivered before StartSearch
 // returns, if the limit on pending work is reached. deadline is when the client gives up; isRetry
 // says that the client has marked the search as a retry.
-func (e *Engine) StartSearch(queryType, customer int, deadline float64, isRetry bool, requests []ShardRequest, handler Carrier) *Search {
-	e.Count.Searches++
+func (e *Engine) StartSearch(queryType, customer int, deadline float64, isRetry bool, requests []ShardRequest, handler SearchHandler) *Search {
+	e.Counters.Searches++
 	search := &search{
 		deadline: min(deadline, e.killAt-answerBeforeKill),
 		handler:  handler,
-		usage:    usageRecord{queryType: queryType, customer: customer, frontend: handler.Door()},
+		usage:    usageRecord{queryType: queryType, customer: customer, frontend: handler.FrontendNumber()},
 	}
 	if e.config.twoPhase[queryType] {
-		e.Count.BadRequests++
+		e.Counters.BadRequests++
 		e.endSearch(search, 501, 0, nil)
 		return search
 	}
 	if e.pendingLimitReached() {
-		e.Count.OverPendingLimit++
+		e.Counters.OverPendingLimit++
 		e.endSearch(search, 503, e.policy.RetryAfter(queryType), nil)
 		return search
 	}
@@ -241,7 +241,7 @@
 // ClientGone ends a search whose client has gone: nobody waits for its answer.
 func (e *Engine) ClientGone(search *Search) {
 	if !search.ended {
-		e.Count.ClientsLeft++
+		e.Counters.ClientsLeft++
 		search.usage.clientLeft = true
 		e.releaseSearch(search)
 		e.dropStalledFrames(search)
@@ -259,13 +259,13 @@
 	e.endAttempt(attempt, outcome, nil)
 }
 
-// Committed asks the policy to commit a shard request to an attempt: no other attempt may take its
+// CommitAttempt asks the policy to commit a shard request to an attempt: no other attempt may take its
 // place afterwards. It returns false if the shard request is committed to another attempt; this one
 // is then cancelled.
 //
 // answering is true if bytes of the server's response are about to reach the client, and false if
 // the client's request can no longer be sent to another server.
-func (e *Engine) Committed(attempt *Attempt, answering bool) bool {
+func (e *Engine) CommitAttempt(attempt *Attempt, answering bool) bool {
 	if attempt.state == stateEnded || attempt.request.search.ended {
 		return false
 	}
@@ -276,8 +276,8 @@
 	return e.policy.CommitAttempt(attempt.request.index, attempt.number, answering)
 }
 
-// ClientSending reports whether the client is still sending the request messages of a search.
-func (e *Engine) ClientSending(search *Search, sending bool) {
+// SetClientSending reports whether the client is still sending the request messages of a search.
+func (e *Engine) SetClientSending(search *Search, sending bool) {
 	if !search.ended && len(search.requests) > 0 {
 		for _, req := range search.requests {
 			e.policy.SetClientSending(req.index, sending)
@@ -285,17 +285,17 @@
 	}
 }
 
-// Pushback forwards a server's pushback to the policy: the milliseconds to wait before a retry, or
+// ReportPushback forwards a server's pushback to the policy: the milliseconds to wait before a retry, or
 // a negative number to forbid retries.
-func (e *Engine) Pushback(attempt *Attempt, wait float64) {
-	e.Count.Pushbacks++
+func (e *Engine) ReportPushback(attempt *Attempt, wait float64) {
+	e.Counters.Pushbacks++
 	e.policy.RetryPushback(attempt.request.index, wait)
 }
 
 // sendByFrontend starts an attempt that the search's front end sends itself.
 func (e *Engine) sendByFrontend(attempt *attempt) {
 	attempt.state = stateSent
-	e.Count.AttemptsSent++
+	e.Counters.AttemptsSent++
 	attempt.timer = e.timers.add(attempt.deadline, func(e *Engine) { e.attemptTimedOut(attempt) })
 	attempt.request.search.handler.Send(attempt)
 }
@@ -328,5 +328,5 @@
 		result = Shed
 	}
 	invariant.Check(search.handler != nil, "the search belongs to a front end")
-	search.handler.Final(result, retryAfter)
+	search.handler.Answer(result, retryAfter)
 }
--- a/internal/aggregator/engine/fuzz_test.go
+++ b/internal/aggregator/engine/fuzz_test.go
@@ -37,7 +37,7 @@
 			w.turn(events...)
 		}
 		w.shutDownAndCheck()
-		totals.reconcile(t, &w.engine.Count)
+		totals.reconcile(t, &w.engine.Counters)
 	})
 }
 
--- a/internal/aggregator/engine/helpers_test.go
+++ b/internal/aggregator/engine/helpers_test.go
@@ -39,12 +39,12 @@
 // recordedSearch is a search of a further front end. It records its final results.
 type recordedSearch struct{ results []Result }
 
-func (c *recordedSearch) Final(result Result, _ float64) { c.results = append(c.results, result) }
+func (c *recordedSearch) Answer(result Result, _ float64) { c.results = append(c.results, result) }
 
 func (c *recordedSearch) Send(*Attempt) {}
 
 func (c *recordedSearch) Cancel(*Attempt) {}
 
-func (c *recordedSearch) Door() int { return 1 }
+func (c *recordedSearch) FrontendNumber() int { return 1 }
 
-func (c *recordedSearch) Bytes() (in, out int64) { return 0, 0 }
+func (c *recordedSearch) BodyBytes() (in, out int64) { return 0, 0 }
--- a/internal/aggregator/engine/probe.go
+++ b/internal/aggregator/engine/probe.go
@@ -8,7 +8,7 @@
 		e.probeEnded(server, false, sentAt, nil)
 		return
 	}
-	e.Count.Probes++
+	e.Counters.Probes++
 	conn.probeSentAt = sentAt
 	e.afterFunc(e.config.connectTimeout, func(e *Engine) {
 		if conn.probeSentAt == sentAt && !conn.closed {
@@ -24,7 +24,7 @@
 // probeEnded stores the result of a health check until it is delivered to the policy.
 func (e *Engine) probeEnded(server int, ok bool, sentAt float64, report []float64) {
 	if !ok {
-		e.Count.ProbesFailed++
+		e.Counters.ProbesFailed++
 	}
 	e.probeResults = append(e.probeResults, probeResult{server, ok, sentAt, report})
 }
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -25,10 +25,10 @@
 	deadline  float64 // ms of the loop
 	client    *client // nil once it has its answer or has disconnected
 	requests  []*shardRequest
-	ended     bool    // it has its final answer, or its client has gone
-	forgotten bool    // the policy has released its index
-	timer     *timer  // ends the search if the policy does not
-	handler   Carrier // nil for a search of an HTTP client
+	ended     bool          // it has its final answer, or its client has gone
+	forgotten bool          // the policy has released its index
+	timer     *timer        // ends the search if the policy does not
+	handler   SearchHandler // nil for a search of an HTTP client
 	usage     usageRecord
 	metered   bool // its usage has been recorded
 	complete  bool // the policy has answered it with a complete answer
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	e.Count.Searches++
+	e.Counters.Searches++
 	search := &search{
 		id:    string(head.id),
 		query: append([]byte(nil), query...),
@@ -85,7 +85,7 @@
 	client.search = search
 	e.searchByID[search.id] = search
 	if e.pendingLimitReached() {
-		e.Count.OverPendingLimit++
+		e.Counters.OverPendingLimit++
 		e.releaseRequest(client)
 		e.endSearch(search, 503, e.policy.RetryAfter(head.queryType), nil)
 		return nil
@@ -220,9 +220,9 @@
 	search.complete = complete
 	if search.handler != nil {
 		if complete {
-			e.Count.Complete++
+			e.Counters.Complete++
 		} else {
-			e.Count.Partial++
+			e.Counters.Partial++
 		}
 		e.endedSearches = append(e.endedSearches, search)
 		e.endSearch(search, 200, 0, nil)
@@ -237,15 +237,15 @@
 	e.answerBuffer = protocol.EndAnswer(e.answerBuffer)
 	e.endedSearches = append(e.endedSearches, search)
 	if len(e.answerBuffer) > protocol.MaxBody { // clients need not accept a larger body
-		e.Count.AnswersTooLong++
+		e.Counters.AnswersTooLong++
 		e.log.warn("answer too long", "search %q: %d bytes, at most %d are allowed", search.id, len(e.answerBuffer), protocol.MaxBody)
 		e.endSearch(search, 500, 0, nil)
 		return
 	}
 	if complete {
-		e.Count.Complete++
+		e.Counters.Complete++
 	} else {
-		e.Count.Partial++
+		e.Counters.Partial++
 	}
 	e.endSearch(search, 200, 0, e.answerBuffer)
 }
@@ -253,13 +253,13 @@
 // Shed implements policy.Executor. It refuses a search; retryAfter is advice for the client's retry in
 // milliseconds, 0: none.
 func (e *Engine) Shed(index int, retryAfter float64) {
-	e.Count.Shed++
+	e.Counters.Shed++
 	e.endSearch(e.entries[index].search, 503, retryAfter, nil)
 }
 
 // Fail implements policy.Executor. It ends a search with an error.
 func (e *Engine) Fail(index int) {
-	e.Count.Errored++
+	e.Counters.Errored++
 	e.endSearch(e.entries[index].search, 500, 0, nil)
 }
 
--- a/internal/aggregator/engine/search_test.go
+++ b/internal/aggregator/engine/search_test.go
@@ -75,9 +75,9 @@
 		w.turn(func() { client = w.startSearch("once", 900, 0, 1, 2, 3, 4, 5, 6, 7) })
 	}
 	retryAfter, err := strconv.ParseFloat(client.retryAfter, 64) // in s; around a quarter of the latency target, at random
-	if w.engine.Count.OverPendingLimit != 1 || client.status != 503 || err != nil || retryAfter < 0.037 || retryAfter > 0.113 {
+	if w.engine.Counters.OverPendingLimit != 1 || client.status != 503 || err != nil || retryAfter < 0.037 || retryAfter > 0.113 {
 		t.Errorf("%d searches over the limit, want 1; the last got status %d, want 503, and Retry-After %q",
-			w.engine.Count.OverPendingLimit, client.status, client.retryAfter)
+			w.engine.Counters.OverPendingLimit, client.status, client.retryAfter)
 	}
 }
 
@@ -131,7 +131,7 @@
 			client.answerDeadline += 100
 			w.turn(func() { steps[first](w, c); steps[second](w, c) })
 			sum := int64(0)
-			for _, n := range w.engine.Count.Outcomes {
+			for _, n := range w.engine.Counters.Outcomes {
 				sum += n
 			}
 			w.shutDownAndCheck()
@@ -139,11 +139,11 @@
 				t.Errorf("%s, then %s: %d answers, want 1 unless the client left; %d outcomes", first, second, client.answers, sum)
 			}
 			after := int64(0)
-			for _, n := range w.engine.Count.Outcomes {
+			for _, n := range w.engine.Counters.Outcomes {
 				after += n
 			}
-			if after != w.engine.Count.AttemptsAsked {
-				t.Errorf("%s, then %s: %d outcomes of %d attempts", first, second, after, w.engine.Count.AttemptsAsked)
+			if after != w.engine.Counters.AttemptsRequested {
+				t.Errorf("%s, then %s: %d outcomes of %d attempts", first, second, after, w.engine.Counters.AttemptsRequested)
 			}
 		}
 	}
@@ -194,15 +194,15 @@
 		var client *modelClient
 		w.turn(func() { client = w.startSearch("once", 900, 0) })
 		w.openConns()
-		if w.engine.Count.AttemptsSent != 1 {
-			t.Errorf("token window %s: %d attempts sent, want 1", window, w.engine.Count.AttemptsSent)
+		if w.engine.Counters.AttemptsSent != 1 {
+			t.Errorf("token window %s: %d attempts sent, want 1", window, w.engine.Counters.AttemptsSent)
 			continue
 		}
 		w.turn(func() { w.closeByPeer(w.serverConns()[0]) }) // the attempt may have run
 		w.advance(500)
 		w.openConns()
-		if window != "1e300" && (w.engine.Count.AttemptsSent != 1 || client.status != 500) {
-			t.Errorf("token window %s: %d attempts sent, want 1; status %d, want 500", window, w.engine.Count.AttemptsSent, client.status)
+		if window != "1e300" && (w.engine.Counters.AttemptsSent != 1 || client.status != 500) {
+			t.Errorf("token window %s: %d attempts sent, want 1; status %d, want 500", window, w.engine.Counters.AttemptsSent, client.status)
 		}
 	}
 }
@@ -217,16 +217,16 @@
 	if w.runUntilAnswered(client); client.status != 501 {
 		t.Errorf("a search of a two-phase type got status %d, want 501", client.status)
 	}
-	if w.runUntilAnswered(other); other.status != 200 || w.engine.Count.AttemptsSent != 1 {
-		t.Errorf("a search of another type got status %d, want 200; %d attempts sent, want 1", other.status, w.engine.Count.AttemptsSent)
+	if w.runUntilAnswered(other); other.status != 200 || w.engine.Counters.AttemptsSent != 1 {
+		t.Errorf("a search of another type got status %d, want 200; %d attempts sent, want 1", other.status, w.engine.Counters.AttemptsSent)
 	}
 	recorded := &recordedSearch{}
 	w.turn(func() {
 		w.engine.StartSearch(0, unknownCustomer, w.now+900, false, []ShardRequest{{Shard: 0, Share: 1}}, recorded)
 	})
-	if w.advance(50); !slices.Equal(recorded.results, []Result{Failed}) || w.engine.Count.AttemptsSent != 1 {
+	if w.advance(50); !slices.Equal(recorded.results, []Result{Failed}) || w.engine.Counters.AttemptsSent != 1 {
 		t.Errorf("a search of a further front end got results %v, want one %v; %d attempts sent, want 1",
-			recorded.results, Failed, w.engine.Count.AttemptsSent)
+			recorded.results, Failed, w.engine.Counters.AttemptsSent)
 	}
 	w.shutDownAndCheck()
 }
--- a/internal/aggregator/engine/serverconn.go
+++ b/internal/aggregator/engine/serverconn.go
@@ -38,11 +38,11 @@
 // connectServer opens a connection to a server. It returns nil if no descriptor is available.
 func (e *Engine) connectServer(server int) *serverConn {
 	if e.socketCount >= e.config.maxDescriptors-reservedSockets && !e.evictClient() {
-		e.Count.NoSocket++
+		e.Counters.NoSocket++
 		return nil
 	}
 	srv := e.serverList.servers[server]
-	e.Count.ConnsRequested++
+	e.Counters.ConnsRequested++
 	e.socketCount++
 	conn := &serverConn{server: server, addr: srv.addr, attempts: map[string]*attempt{}, lastUsedAt: e.now}
 	conn.id = e.network.Connect(srv.addr)
@@ -50,7 +50,7 @@
 	srv.conns = append(srv.conns, conn)
 	e.afterFunc(e.config.connectTimeout, func(e *Engine) {
 		if !conn.closed && !conn.established {
-			e.Count.ConnectTimeouts++
+			e.Counters.ConnectTimeouts++
 			e.dropServerConn(conn)
 		}
 	})
@@ -77,7 +77,7 @@
 	timeout := idleTimeoutShare * e.config.connIdleTimeout
 	conn.idleTimer = e.timers.add(conn.lastUsedAt+timeout, func(e *Engine) {
 		if conn.inFlight == 0 && e.now >= conn.lastUsedAt+timeout {
-			e.Count.IdleServerConnsClosed++
+			e.Counters.IdleServerConnsClosed++
 			e.dropServerConn(conn)
 			return
 		}
@@ -96,7 +96,7 @@
 	}
 	conn.writeOffset += int64(len(b))
 	conn.lastUsedAt = e.now
-	e.Count.BytesOut += int64(len(b))
+	e.Counters.BytesOut += int64(len(b))
 	e.network.Write(conn.id, b)
 }
 
@@ -134,7 +134,7 @@
 		e.pool.Put(conn.frames.SetStorage(nil))
 	}
 	if conn.established && conn.inFlight > 0 {
-		e.Count.ServerConnsBroken++
+		e.Counters.ServerConnsBroken++
 	}
 	e.resendUnbegun(conn)
 	if conn.probeSentAt > 0 {
@@ -163,7 +163,7 @@
 	for len(unbegun) > 0 {
 		n := min(e.config.maxBatch, len(unbegun))
 		for _, attempt := range unbegun[:n] {
-			e.Count.AttemptsMoved++
+			e.Counters.AttemptsMoved++
 			e.timers.cancel(attempt.timer)
 			attempt.alreadyMoved = true
 		}
@@ -195,14 +195,14 @@
 // its own; if none is free, or if a frame is malformed, the connection is dropped.
 func (e *Engine) serverConnBytes(conn *serverConn, b []byte) {
 	conn.lastUsedAt = e.now
-	shared, framesBefore := !conn.frames.HasStorage(), e.Count.Frames
+	shared, framesBefore := !conn.frames.HasStorage(), e.Counters.Frames
 	if shared {
 		conn.frames.SetStorage(e.sharedBuffer)
 	}
 	err := conn.frames.Feed(b, func(frameType byte, payload []byte) error { return e.handleFrame(conn, frameType, payload) })
 	switch {
 	case err != nil:
-		e.Count.BadFrames++
+		e.Counters.BadFrames++
 		e.log.warn("bad frame", "from %s: %v", conn.addr, err)
 	case !conn.frames.Incomplete():
 		e.timers.cancel(conn.frameTimer)
@@ -211,7 +211,7 @@
 		}
 		return
 	default:
-		if shared || e.Count.Frames > framesBefore {
+		if shared || e.Counters.Frames > framesBefore {
 			e.armFrameTimer(conn)
 		}
 		if !shared || e.storeFrame(conn) {
@@ -230,7 +230,7 @@
 func (e *Engine) armFrameTimer(conn *serverConn) {
 	e.timers.cancel(conn.frameTimer)
 	conn.frameTimer = e.afterFunc(frameTimeout, func(e *Engine) {
-		e.Count.BadFrames++
+		e.Counters.BadFrames++
 		e.log.warn("bad frame", "from %s: the frame is incomplete after %d ms", conn.addr, frameTimeout)
 		e.dropServerConn(conn)
 	})
@@ -240,7 +240,7 @@
 func (e *Engine) storeFrame(conn *serverConn) bool {
 	buf := e.pool.Get()
 	if buf == nil {
-		e.Count.NoBuffer++
+		e.Counters.NoBuffer++
 		return false
 	}
 	conn.frames.MoveStorage(buf)
@@ -251,7 +251,7 @@
 
 // handleFrame handles one frame from a server. An error means that the connection must be dropped.
 func (e *Engine) handleFrame(conn *serverConn, frameType byte, payload []byte) error {
-	e.Count.Frames++
+	e.Counters.Frames++
 	switch frameType {
 	case protocol.FrameReply:
 		return e.handleReply(conn, payload)
@@ -286,7 +286,7 @@
 	values, _ := e.parseReport(report) // a malformed report is ignored: the reply itself is valid
 	delete(conn.attempts, string(id))
 	if attempt.state != stateSent {
-		e.Count.LateReplies++
+		e.Counters.LateReplies++
 		return nil
 	}
 	outcome := policy.Answered
--- a/internal/aggregator/engine/serverconn_test.go
+++ b/internal/aggregator/engine/serverconn_test.go
@@ -107,8 +107,8 @@
 		t.Error("another attempt was sent on a connection with an incomplete frame")
 	}
 	w.advance(frameTimeout + 1)
-	if w.conns[c] == conn || w.engine.Count.BadFrames != 1 {
-		t.Errorf("the connection with the incomplete frame is kept, or %d bad frames were counted, want 1", w.engine.Count.BadFrames)
+	if w.conns[c] == conn || w.engine.Counters.BadFrames != 1 {
+		t.Errorf("the connection with the incomplete frame is kept, or %d bad frames were counted, want 1", w.engine.Counters.BadFrames)
 	}
 	w.runUntilAnswered(first)
 	w.runUntilAnswered(second)
--- a/internal/aggregator/engine/serverlist.go
+++ b/internal/aggregator/engine/serverlist.go
@@ -61,7 +61,7 @@
 		list.previousWatch = nil
 	}
 	if list.hasList && version < list.version {
-		e.Count.OldLists++
+		e.Counters.OldLists++
 		if !full || !first {
 			return nil
 		}
@@ -74,7 +74,7 @@
 		list.mayHaveMissed = false
 	}
 	list.hasList, list.version = true, version
-	e.Count.Lists++
+	e.Counters.Lists++
 	e.applyServers(line, full)
 	return nil
 }
@@ -112,7 +112,7 @@
 	address, err := netip.ParseAddrPort(string(addr))
 	newState := policy.ServerStatus(state)
 	if err != nil && newState != policy.Gone {
-		e.Count.BadLists++
+		e.Counters.BadLists++
 		e.log.warn("bad address", "of %q: %v", id, err)
 		if found {
 			list.servers[index].listed = true // a malformed entry changes nothing
@@ -198,7 +198,7 @@
 	}
 	srv.state = state
 	for _, frontend := range e.frontends {
-		frontend.Server(index, srv.id, srv.addr, state)
+		frontend.ServerUpdated(index, srv.id, srv.addr, state)
 	}
 	e.policy.UpdateServer(index, zone, srv.position, state, size, startedAt)
 }
@@ -212,7 +212,7 @@
 		if srv.notReadySince == since && srv.state != policy.Ready {
 			e.retractBatches(srv)
 			for _, frontend := range e.frontends {
-				frontend.GraceEnded(index)
+				frontend.DrainGraceEnded(index)
 			}
 		}
 	})
--- a/internal/aggregator/engine/shutdown.go
+++ b/internal/aggregator/engine/shutdown.go
@@ -33,7 +33,7 @@
 		}
 	}
 	for _, frontend := range e.frontends {
-		frontend.Stopping(e.killAt - answerBeforeKill)
+		frontend.ShutdownStarted(e.killAt - answerBeforeKill)
 	}
 	e.afterFunc(max(minServeAfterStop, serveShareAfterStop*grace), (*Engine).stopAccepting)
 }
@@ -46,7 +46,7 @@
 	e.accepting, e.listenersClosed = false, true
 	e.closeListeners()
 	for _, frontend := range e.frontends {
-		frontend.Leaving()
+		frontend.ListenersClosed()
 	}
 	// All windows follow from the time that is left: with short client timeouts that is far less
 	// than a second.
@@ -72,7 +72,7 @@
 	if e.listenerClosePending = !e.network.Unlisten(); !e.listenerClosePending {
 		return
 	}
-	e.Count.ListenerCloseRetries++
+	e.Counters.ListenerCloseRetries++
 	for range max(int(evictShare*float64(e.maxClients())), 1) {
 		if !e.evictClient() {
 			break
--- a/internal/aggregator/engine/usage.go
+++ b/internal/aggregator/engine/usage.go
@@ -7,19 +7,19 @@
 // Usage is the resource usage of one search. It is recorded once none of the search's attempts is
 // in flight any more.
 type Usage struct {
-	Kind, Customer    int // numbers of the query type and of the customer; a customer below 0 is unknown
-	Front             int // 0: HTTP, otherwise the number of the front end
-	Result            Result
-	ClientLeft        bool    // the client left before the answer, so Result has no meaning
-	AnsweredAt        float64 // ms of the loop
-	Shards            int     // number of shard requests
-	First             int     // attempts that were the first of their shard request
-	Retry             int     // attempts that followed after all earlier ones had ended
-	Hedge             int     // attempts that were sent while another was in flight
-	Cancelled         int     // attempts of all these kinds that were cancelled
-	Work              float64 // expected work as hinted by the client, in ms
-	Server            float64 // ms from each attempt's send to its end, summed
-	BytesIn, BytesOut int64   // body bytes, without headers, of the client's request and of its answer
+	QueryType, Customer int // numbers of the query type and of the customer; a customer below 0 is unknown
+	Frontend            int // 0: HTTP, otherwise the number of the front end
+	Result              Result
+	ClientLeft          bool    // the client left before the answer, so Result has no meaning
+	AnsweredAt          float64 // ms of the loop
+	Shards              int     // number of shard requests
+	FirstAttempts       int     // attempts that were the first of their shard request
+	RetryAttempts       int     // attempts that followed after all earlier ones had ended
+	HedgeAttempts       int     // attempts that were sent while another was in flight
+	CancelledAttempts   int     // attempts of all these kinds that were cancelled
+	HintedWorkMs        float64 // expected work as hinted by the client, in ms
+	ServerTimeMs        float64 // ms from each attempt's send to its end, summed
+	BytesIn, BytesOut   int64   // body bytes, without headers, of the client's request and of its answer
 }
 
 // Meter records the usage of each search once. Record must not block.
@@ -67,47 +67,47 @@
 		return
 	}
 	search.metered = true
-	e.Count.Metered++
+	e.Counters.Metered++
 	if e.meter == nil {
 		return
 	}
 	used := &search.usage
 	if search.handler != nil {
-		used.bytesIn, used.bytesOut = search.handler.Bytes()
+		used.bytesIn, used.bytesOut = search.handler.BodyBytes()
 	}
 	usage := Usage{
-		Kind:       used.queryType,
-		Customer:   used.customer,
-		Front:      used.frontend,
-		Result:     used.result,
-		ClientLeft: used.clientLeft,
-		AnsweredAt: used.answeredAt,
-		Shards:     len(search.requests),
-		Work:       used.work,
-		BytesIn:    used.bytesIn,
-		BytesOut:   used.bytesOut,
+		QueryType:    used.queryType,
+		Customer:     used.customer,
+		Frontend:     used.frontend,
+		Result:       used.result,
+		ClientLeft:   used.clientLeft,
+		AnsweredAt:   used.answeredAt,
+		Shards:       len(search.requests),
+		HintedWorkMs: used.work,
+		BytesIn:      used.bytesIn,
+		BytesOut:     used.bytesOut,
 	}
 	for _, req := range search.requests {
 		for _, attempt := range req.attempts {
 			switch attempt.kind {
 			case firstAttempt:
-				usage.First++
+				usage.FirstAttempts++
 			case retryAttempt:
-				usage.Retry++
+				usage.RetryAttempts++
 			default:
-				usage.Hedge++
+				usage.HedgeAttempts++
 			}
 			if attempt.cancelled {
-				usage.Cancelled++
+				usage.CancelledAttempts++
 			}
-			usage.Server += attempt.endedAt - attempt.sentAt
+			usage.ServerTimeMs += attempt.endedAt - attempt.sentAt
 		}
 	}
 	e.meter.Record(&usage)
 }
 
-// Kinds returns the names of the query types, by the numbers that Usage has.
-func (e *Engine) Kinds() []string { return e.config.queryTypeNames }
+// QueryTypeNames returns the names of the query types, by the numbers that Usage has.
+func (e *Engine) QueryTypeNames() []string { return e.config.queryTypeNames }
 
-// Customers returns the names of the customers, by the numbers that Usage has.
-func (e *Engine) Customers() []string { return e.config.customerNames }
+// CustomerNames returns the names of the customers, by the numbers that Usage has.
+func (e *Engine) CustomerNames() []string { return e.config.customerNames }
--- a/internal/aggregator/engine/usage_test.go
+++ b/internal/aggregator/engine/usage_test.go
@@ -13,13 +13,13 @@
 
 func (totals *usageTotals) Record(u *Usage) {
 	totals.searches++
-	totals.attempts += int64(u.First + u.Retry + u.Hedge)
+	totals.attempts += int64(u.FirstAttempts + u.RetryAttempts + u.HedgeAttempts)
 	if u.ClientLeft {
 		totals.clientsLeft++
 	} else {
 		totals.byResult[u.Result]++
 	}
-	if u.Server < 0 || u.First > u.Shards || u.AnsweredAt <= 0 {
+	if u.ServerTimeMs < 0 || u.FirstAttempts > u.Shards || u.AnsweredAt <= 0 {
 		panic("impossible usage record")
 	}
 }
@@ -27,7 +27,7 @@
 // reconcile checks that the metered totals equal the counters.
 func (totals *usageTotals) reconcile(t *testing.T, c *Counters) {
 	t.Helper()
-	if c.Searches == 0 || totals.searches != c.Searches || totals.attempts != c.AttemptsAsked || totals.clientsLeft != c.ClientsLeft ||
+	if c.Searches == 0 || totals.searches != c.Searches || totals.attempts != c.AttemptsRequested || totals.clientsLeft != c.ClientsLeft ||
 		totals.byResult[Complete] != c.Complete || totals.byResult[Partial] != c.Partial || totals.byResult[Shed] != c.Shed+c.OverPendingLimit ||
 		totals.byResult[Failed] != c.Errored+c.AnswersTooLong {
 		t.Fatalf("metered %+v, counted %+v", totals, *c)
--- a/internal/aggregator/engine/watch.go
+++ b/internal/aggregator/engine/watch.go
@@ -51,7 +51,7 @@
 	if list.watch != nil { // during a shutdown too: attempts go on until all searches are answered, and drains matter
 		return
 	}
-	e.Count.Watches++
+	e.Counters.Watches++
 	e.socketCount++
 	watch := &watch{addr: list.addr, awaitsFirstList: true, openedAt: e.now, lastLineAt: e.now}
 	watch.parser.ExpectResponse()
@@ -98,7 +98,7 @@
 	if to == list.addr {
 		return
 	}
-	e.Count.DiscoveryMoves++
+	e.Counters.DiscoveryMoves++
 	e.log.info("discovery moves", "from %v to %v, version %d", list.addr, to, list.version)
 	list.addr, list.awaitsMovedList, list.olderListSince, list.openTimeout, list.consecutiveLosses = to, true, 0, 0, 0
 	if watch := list.watch; watch != nil {
@@ -167,7 +167,7 @@
 		return
 	}
 	list.watch = nil
-	e.Count.WatchesLost++
+	e.Counters.WatchesLost++
 	e.log.warn("watch lost", "%s, version %d", why, list.version)
 	e.policy.DiscoveryFailed()
 	// The next watch is opened at once, because updates sent meanwhile matter. Only if consecutive
@@ -196,7 +196,7 @@
 		after = 0
 	}
 	e.writeBuffer = protocol.AppendWatch(e.writeBuffer[:0], watch.addr.String(), after)
-	e.Count.BytesOut += int64(len(e.writeBuffer))
+	e.Counters.BytesOut += int64(len(e.writeBuffer))
 	e.network.Write(watch.conn, e.writeBuffer)
 }
 
@@ -215,7 +215,7 @@
 			return
 		}
 		if err != nil {
-			e.Count.BadLists++
+			e.Counters.BadLists++
 			e.dropWatch(watch, err.Error())
 			return
 		}
--- a/internal/aggregator/engine/watch_test.go
+++ b/internal/aggregator/engine/watch_test.go
@@ -82,7 +82,7 @@
 	}
 	send("{broken")
 	w.wantReady(1, "a malformed line")
-	if w.engine.Count.BadLists == 0 || w.engine.serverList.watch != nil {
+	if w.engine.Counters.BadLists == 0 || w.engine.serverList.watch != nil {
 		t.Error("a malformed line leaves its watch open")
 	}
 }
@@ -101,7 +101,7 @@
 		t.Fatal("a watch with heartbeats was dropped")
 	}
 	w.advance(heartbeatTimeout + maxWatchBackoff + 1)
-	if c := w.watchConn(); c == noConn || w.conns[c] == first || w.engine.Count.WatchesLost != 1 {
+	if c := w.watchConn(); c == noConn || w.conns[c] == first || w.engine.Counters.WatchesLost != 1 {
 		t.Error("a silent watch was not reopened")
 	}
 	if w.engine.serverList.readyCount != 2 {
@@ -123,7 +123,7 @@
 	}
 	move := func(ip string) {
 		to := netip.MustParseAddrPort(ip + ":9")
-		w.engine.Discovery.Store(&to)
+		w.engine.DiscoveryAddr.Store(&to)
 		w.turn(func() { w.engine.Notified(MoveDiscovery) })
 	}
 	sendState := func(ip, state string, version int, full bool) {
@@ -154,8 +154,8 @@
 	}
 	sendState("127.0.0.3", "ready", 3, true)
 	w.wantReady(1, "a full list of the new address, with a lower version: s0 is ready and s1 gone")
-	if w.engine.serverList.version != 3 || w.engine.Count.WatchesLost != 1 {
-		t.Errorf("version %d, want 3; %d watches lost, want 1", w.engine.serverList.version, w.engine.Count.WatchesLost)
+	if w.engine.serverList.version != 3 || w.engine.Counters.WatchesLost != 1 {
+		t.Errorf("version %d, want 3; %d watches lost, want 1", w.engine.serverList.version, w.engine.Counters.WatchesLost)
 	}
 	sendState("127.0.0.3", "draining", 2, false)
 	w.wantReady(1, "an older change from the new address")
@@ -231,7 +231,7 @@
 	w := newWorld(t, 1, 2)
 	w.turn()
 	w.openConns()
-	before := w.engine.Count.Watches
+	before := w.engine.Counters.Watches
 	for end := w.now + 3000; w.now < end; {
 		w.turn(func() {
 			if c := w.watchConn(); c != noConn {
@@ -240,7 +240,7 @@
 		})
 		w.advance(5)
 	}
-	if n := w.engine.Count.Watches - before; n < 3000/maxWatchBackoff || n > 3000/maxWatchBackoff+5 {
+	if n := w.engine.Counters.Watches - before; n < 3000/maxWatchBackoff || n > 3000/maxWatchBackoff+5 {
 		t.Errorf("%d watches were opened in 3 s, want about %.0f", n, 3000/maxWatchBackoff)
 	}
 }
@@ -313,8 +313,8 @@
 	line := append(w.listLine(true), '\n')
 	w.turn(func() { w.receiveBytes(c, line[:40]) })
 	w.turn(func() { w.receiveBytes(c, line[40:]) })
-	if w.engine.serverList.readyCount != 1 || w.engine.Count.BadLists != 0 {
-		t.Errorf("%d servers are ready, want 1; %d bad lists, want 0", w.engine.serverList.readyCount, w.engine.Count.BadLists)
+	if w.engine.serverList.readyCount != 1 || w.engine.Counters.BadLists != 0 {
+		t.Errorf("%d servers are ready, want 1; %d bad lists, want 0", w.engine.serverList.readyCount, w.engine.Counters.BadLists)
 	}
 	w.servers[0].state = "draining"
 	line = append(w.listLine(false), '\n')
--- a/internal/aggregator/extensions/extensions.go
+++ b/internal/aggregator/extensions/extensions.go
@@ -166,7 +166,7 @@
 		return nil, fmt.Errorf("listen for gRPC on %s: %w", g.Listen, err)
 	}
 	proxy := grpcproxy.New(host.Engine, g.ProxySettings, host.Settings.Int("family-info.slabs", 1), host.Seed)
-	host.Engine.AddFront(proxy)
+	host.Engine.AddFrontend(proxy)
 	host.Log.Info().Str("listen", fmt.Sprintf("%v:%d", g.Listen.Addr(), host.Loop.Port(1))).
 		Int("routes", g.ProxySettings.Routes.Len()).Msg("serving gRPC")
 	listen := g.Listen
@@ -183,7 +183,7 @@
 				Msg("operator's file read again")
 			limitBufferMemory(host, next.GRPC)
 			proxy.NextSettings.Store(next.GRPC.ProxySettings)
-			host.Loop.Notify(engine.ReloadFronts)
+			host.Loop.Notify(engine.ReloadFrontends)
 		}
 	}, nil
 }
--- a/internal/aggregator/extensions/ledger.go
+++ b/internal/aggregator/extensions/ledger.go
@@ -97,7 +97,7 @@
 		return fmt.Errorf("the ledger can't be used: %w", err)
 	}
 	engine := l.host.Engine
-	l.recorder = store.NewRecorder(l.store, l.calendar, clocks{l.host.Loop}, engine.Kinds(), engine.Customers())
+	l.recorder = store.NewRecorder(l.store, l.calendar, clocks{l.host.Loop}, engine.QueryTypeNames(), engine.CustomerNames())
 	engine.SetMeter(l.recorder)
 	l.recorder.Start()
 	recovery := l.store.Recovery
--- a/internal/aggregator/server/reload.go
+++ b/internal/aggregator/server/reload.go
@@ -49,7 +49,7 @@
 	log.Info().Str("discovery", next.Discovery).Strs("need_restart", r.lastRead.changesNeedingRestart(&next)).
 		Msg("configuration read again")
 	if next.discovery != r.lastRead.discovery {
-		r.host.Engine.Discovery.Store(&next.discovery)
+		r.host.Engine.DiscoveryAddr.Store(&next.discovery)
 		r.host.Loop.Notify(engine.MoveDiscovery)
 	}
 	r.lastRead.discovery = next.discovery
--- a/internal/aggregator/server/server.go
+++ b/internal/aggregator/server/server.go
@@ -89,7 +89,7 @@
 	log.Info().Str("listen", netip.AddrPortFrom(c.listen.Addr(), uint16(loop.Port(0))).String()).
 		Int("sockets", sockets).Int64("memory", memory).Msg("serving")
 	err = loop.Run(e)
-	e.Print("at the end")
+	e.LogCounters("at the end")
 	for i := len(hooks) - 1; i >= 0; i-- {
 		if hooks[i].AfterLoop != nil {
 			hooks[i].AfterLoop()
@@ -122,7 +122,7 @@
 		case <-s.stop:
 			loop.Notify(engine.Terminate)
 		case <-s.report:
-			loop.Notify(engine.Report)
+			loop.Notify(engine.ReportCounters)
 		}
 	}
 }
--- a/internal/grpcproxy/attempt.go
+++ b/internal/grpcproxy/attempt.go
@@ -139,7 +139,7 @@
 	if k.decided && !a.conn.closed {
 		router.CancelTimer(a.startTimer)
 		delay := min(stalledConnGrace, max(a.sub.BeginDeadline()-router.Now(), 0))
-		a.startTimer = router.After(delay, a.startTimedOut)
+		a.startTimer = router.AfterFunc(delay, a.startTimedOut)
 	}
 }
 
--- a/internal/grpcproxy/attempts_test.go
+++ b/internal/grpcproxy/attempts_test.go
@@ -32,7 +32,7 @@
 		return append(list, p.SendHeaders(0), p.SendMessage(0, "two"), p.SendTrailers(0, 0))
 	})
 	c := p.Dial(s.world, 1)
-	since := s.world.Engine.Count.Outcomes
+	since := s.world.Engine.Counters.Outcomes
 	a := c.Call(&p.ClientCall{Path: "/quick.message/Get", Fields: []string{"x-id", "7"}, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(1100)
 	if a.FinalStatuses != 1 || a.Status != 0 || messagesOf(a.ReceivedBody) != "one" && messagesOf(a.ReceivedBody) != "two" {
--- a/internal/grpcproxy/behaviours_test.go
+++ b/internal/grpcproxy/behaviours_test.go
@@ -215,7 +215,7 @@
 				v.ActsOnHeaders = r.early
 			}
 			c := p.Dial(s.world, 1)
-			since := s.world.Engine.Count.Outcomes
+			since := s.world.Engine.Counters.Outcomes
 			a := c.Call(&p.ClientCall{Path: r.path, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("ask")}})
 			s.world.Run(1500)
 			attempts := 0
--- a/internal/grpcproxy/call.go
+++ b/internal/grpcproxy/call.go
@@ -40,7 +40,7 @@
 	ended         bool       // the client has its status, or has gone
 }
 
-var _ engine.Carrier = (*call)(nil)
+var _ engine.SearchHandler = (*call)(nil)
 
 // start makes a search of the call.
 func (k *call) start(shard int, metadata routes.Lookup) {
@@ -48,7 +48,7 @@
 	isRetry := grpcwire.IsRetry(metadata)
 	k.search = k.proxy.router.StartSearch(k.route.QueryType, k.customer, k.deadline, isRetry, pieces[:], k)
 	if !k.decided && !k.requestEnded {
-		k.proxy.router.ClientSending(k.search, true)
+		k.proxy.router.SetClientSending(k.search, true)
 	}
 }
 
@@ -58,7 +58,7 @@
 	router := k.proxy.router
 	router.CancelTimer(k.deadlineTimer)
 	endAt := min(k.deadline-finalStatusMargin, k.proxy.killAt)
-	k.deadlineTimer = router.After(max(endAt-router.Now(), 0), k.deadlineReached)
+	k.deadlineTimer = router.AfterFunc(max(endAt-router.Now(), 0), k.deadlineReached)
 }
 
 func (k *call) deadlineReached() {
@@ -83,7 +83,7 @@
 	return withinProxy && k.client.bufferedBytes <= k.settings.Limits.MaxBufferedBytesPerConnection
 }
 
-// Send implements engine.Carrier: it begins an attempt.
+// Send implements engine.SearchHandler: it begins an attempt.
 func (k *call) Send(sub *engine.Attempt) {
 	a := &attempt{call: k, sub: sub, serverIndex: sub.Server()}
 	k.attempts = append(k.attempts, a)
@@ -94,23 +94,23 @@
 	}
 	router := k.proxy.router
 	if startBy := sub.BeginDeadline(); !math.IsInf(startBy, 1) {
-		a.startTimer = router.After(startBy-router.Now(), a.startTimedOut)
+		a.startTimer = router.AfterFunc(startBy-router.Now(), a.startTimedOut)
 	}
 	k.proxy.pool.RequestStream(router.Now(), a.serverIndex, a)
 }
 
-// Door implements engine.Carrier: the number of this front.
-func (k *call) Door() int { return 1 }
+// FrontendNumber implements engine.SearchHandler: the number of this front.
+func (k *call) FrontendNumber() int { return 1 }
 
-// Bytes implements engine.Carrier: the bytes of the messages of the client and for the client.
-func (k *call) Bytes() (in, out int64) {
+// BodyBytes implements engine.SearchHandler: the bytes of the messages of the client and for the client.
+func (k *call) BodyBytes() (in, out int64) {
 	if k.committed != nil {
 		out = k.committed.response.end
 	}
 	return k.request.end, out
 }
 
-// Cancel implements engine.Carrier: it stops an attempt whose outcome is known.
+// Cancel implements engine.SearchHandler: it stops an attempt whose outcome is known.
 func (k *call) Cancel(sub *engine.Attempt) {
 	for _, a := range k.attempts {
 		if a.sub == sub {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Final implements engine.Carrier: the search has ended.
-func (k *call) Final(ending engine.Result, pushback float64) {
+// Answer implements engine.SearchHandler: the search has ended.
+func (k *call) Answer(ending engine.Result, pushback float64) {
 	invariant.Check(!k.decided, "a call has one final answer")
 	k.decided = true
 	if k.ended {
--- a/internal/grpcproxy/clientconn.go
+++ b/internal/grpcproxy/clientconn.go
@@ -37,8 +37,8 @@
 // Opened implements engine.ConnHandler.
 func (c *clientConn) Opened() {}
 
-// Bytes implements engine.ConnHandler: bytes have come.
-func (c *clientConn) Bytes(b []byte, arrivedAt float64) {
+// Received implements engine.ConnHandler: bytes have come.
+func (c *clientConn) Received(b []byte, arrivedAt float64) {
 	if c.closed {
 		return
 	}
@@ -156,8 +156,8 @@
 	c.proxy.router.FinishConn(c.conn)
 	// A rejected client may go on sending at full speed for long. It isn't read any more, so that it
 	// stalls until it closes, or its time is up.
-	c.proxy.router.Reading(c.conn, false)
-	c.timer = c.proxy.router.After(c.proxy.settings.Limits.HandshakeTimeout, func() { (*closingConn)(c).abort() })
+	c.proxy.router.SetReading(c.conn, false)
+	c.timer = c.proxy.router.AfterFunc(c.proxy.settings.Limits.HandshakeTimeout, func() { (*closingConn)(c).abort() })
 	c.closed = false
 }
 
@@ -167,8 +167,8 @@
 // Opened implements engine.ConnHandler.
 func (c *closingConn) Opened() {}
 
-// Bytes implements engine.ConnHandler.
-func (c *closingConn) Bytes([]byte, float64) {}
+// Received implements engine.ConnHandler.
+func (c *closingConn) Received([]byte, float64) {}
 
 // Written implements engine.ConnHandler.
 func (c *closingConn) Written(int64) {}
@@ -216,7 +216,7 @@
 	}
 	c.proxy.router.CancelTimer(c.timer)
 	c.timerAt = at
-	c.timer = c.proxy.router.After(max(at-c.proxy.router.Now(), minTimerDelay), c.timerFired)
+	c.timer = c.proxy.router.AfterFunc(max(at-c.proxy.router.Now(), minTimerDelay), c.timerFired)
 }
 
 func (c *clientConn) timerFired() {
--- a/internal/grpcproxy/counters.go
+++ b/internal/grpcproxy/counters.go
@@ -44,8 +44,8 @@
 	MaxBufferedBytes int64 // the most that were buffered at once
 }
 
-// Print logs the counters.
-func (p *Proxy) Print(log zerolog.Logger, why string) {
+// LogCounters logs the counters.
+func (p *Proxy) LogCounters(log zerolog.Logger, why string) {
 	line := func() *zerolog.Event { return log.Info().Str("why", why) }
 	p.printCalls(line())
 	p.printAttempts(line())
--- a/internal/grpcproxy/harness_test.go
+++ b/internal/grpcproxy/harness_test.go
@@ -65,7 +65,7 @@
 	}
 	s := &harness{t: t, world: simnet.New(set, seed, 300, all), settings: defaultSettings(list...)}
 	s.proxy = New(s.world.Engine, s.settings, 4, seed)
-	s.world.Engine.AddFront(s.proxy)
+	s.world.Engine.AddFrontend(s.proxy)
 	for i := range servers {
 		p := &grpcpeer.Server{Network: s.world, Name: fmt.Sprintf("s%d", i), Script: echo}
 		s.servers = append(s.servers, p)
@@ -115,7 +115,7 @@
 // outcomesSince returns the outcomes that were reported to the policy since a count of them.
 func (s *harness) outcomesSince(since [policy.NeverSent + 1]int64) (list []string) {
 	names := []string{"answered", "errored", "full", "timed_out", "no_connect", "reset", "cancelled", "moot"}
-	for i, n := range s.world.Engine.Count.Outcomes {
+	for i, n := range s.world.Engine.Counters.Outcomes {
 		for range n - since[i] {
 			list = append(list, names[i])
 		}
--- a/internal/grpcproxy/lifecycle_test.go
+++ b/internal/grpcproxy/lifecycle_test.go
@@ -18,7 +18,7 @@
 	s.world.Run(50)
 	next := defaultSettings(&routes.Route{Name: "other", Service: "other", DefaultTimeout: 500, MaxTimeout: 500, MaxMessageBytes: 1 << 10})
 	s.proxy.NextSettings.Store(next)
-	s.world.After(0, s.proxy.Reload)
+	s.world.After(0, s.proxy.ReloadSettings)
 	s.world.Run(5)
 	b := c.Call(&p.ClientCall{Path: quickPath, TimeoutMs: 900, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(900)
--- a/internal/grpcproxy/proxy.go
+++ b/internal/grpcproxy/proxy.go
@@ -47,7 +47,7 @@
 // flusher is a connection with something to write at the end of the turn.
 type flusher interface{ flush() }
 
-var _ engine.Front = (*Proxy)(nil)
+var _ engine.Frontend = (*Proxy)(nil)
 
 // New returns a proxy for so many shards. seed draws jitter.
 func New(router *engine.Engine, settings *Settings, shards int, seed uint64) *Proxy {
@@ -73,9 +73,9 @@
 	return float64((p.randomState*2685821657736338717)>>11) / (1 << 53)
 }
 
-// Reload takes over NextSettings. Open calls keep the settings that they began with; open connections
+// ReloadSettings takes over NextSettings. Open calls keep the settings that they began with; open connections
 // keep their HTTP/2 limits, which they have told the peer.
-func (p *Proxy) Reload() {
+func (p *Proxy) ReloadSettings() {
 	next := p.NextSettings.Swap(nil)
 	if next == nil {
 		return
@@ -88,9 +88,9 @@
 	p.tickPool()
 }
 
-// Stopping begins a graceful shutdown: clients are asked to connect elsewhere, and are still served.
+// ShutdownStarted begins a graceful shutdown: clients are asked to connect elsewhere, and are still served.
 // Open calls get their status before killAt.
-func (p *Proxy) Stopping(killAt float64) {
+func (p *Proxy) ShutdownStarted(killAt float64) {
 	p.killAt = killAt
 	for _, c := range p.clientsInOrder() {
 		c.http2.StartGracefulShutdown()
@@ -103,8 +103,8 @@
 	}
 }
 
-// Leaving ends the acceptance of calls: the listening address is closed.
-func (p *Proxy) Leaving() {
+// ListenersClosed ends the acceptance of calls: the listening address is closed.
+func (p *Proxy) ListenersClosed() {
 	p.stoppedAccepting = true
 	for _, c := range p.clientsInOrder() {
 		c.http2.GoAway(http2.ErrCodeNo)
@@ -140,7 +140,7 @@
 	if len(p.clientOrder) > 2*len(p.clientConns)+16 {
 		p.clientsInOrder() // forgets those that are closed
 	}
-	maxConnections := min(p.settings.Limits.MaxConnections, p.router.MaxFrontClients())
+	maxConnections := min(p.settings.Limits.MaxConnections, p.router.MaxFrontendClients())
 	if len(p.clientConns) > maxConnections || p.stoppedAccepting {
 		p.Counters.ConnectionsRejected++
 		c.http2.GoAway(http2.ErrCodeEnhanceYourCalm)
--- a/internal/grpcproxy/random_test.go
+++ b/internal/grpcproxy/random_test.go
@@ -39,12 +39,12 @@
 
 func (m *usageMeter) Record(u *engine.Usage) {
 	m.searches++
-	m.attempts += int64(u.First + u.Retry + u.Hedge)
+	m.attempts += int64(u.FirstAttempts + u.RetryAttempts + u.HedgeAttempts)
 	m.in, m.out = m.in+u.BytesIn, m.out+u.BytesOut
 	if u.ClientLeft {
 		m.left++
 	}
-	if u.Front != 1 || u.Shards != 1 || u.First > 1 || u.Server < 0 {
+	if u.Frontend != 1 || u.Shards != 1 || u.FirstAttempts > 1 || u.ServerTimeMs < 0 {
 		panic("impossible usage")
 	}
 }
@@ -278,9 +278,9 @@
 
 // checkUsage compares what was metered with what the engine and the proxy count.
 func (y *randomRun) checkUsage() {
-	m, c := y.usage, &y.world.Engine.Count
-	if m.searches != c.Searches || m.attempts != c.AttemptsAsked || m.left != c.ClientsLeft || c.AttemptsAsked != y.proxy.Counters.Attempts {
-		y.t.Errorf("metered %+v; %d searches, %d attempts asked, %d left; the proxy made %d", *m, c.Searches, c.AttemptsAsked,
+	m, c := y.usage, &y.world.Engine.Counters
+	if m.searches != c.Searches || m.attempts != c.AttemptsRequested || m.left != c.ClientsLeft || c.AttemptsRequested != y.proxy.Counters.Attempts {
+		y.t.Errorf("metered %+v; %d searches, %d attempts asked, %d left; the proxy made %d", *m, c.Searches, c.AttemptsRequested,
 			c.ClientsLeft, y.proxy.Counters.Attempts)
 	}
 }
--- a/internal/grpcproxy/request.go
+++ b/internal/grpcproxy/request.go
@@ -23,7 +23,7 @@
 	}
 	if end && !k.requestEnded {
 		k.requestEnded = true
-		k.proxy.router.ClientSending(k.search, false)
+		k.proxy.router.SetClientSending(k.search, false)
 	}
 	k.commitIfBufferExceeded()
 	for _, a := range k.attempts {
@@ -65,7 +65,7 @@
 			furthest = a
 		}
 	}
-	if furthest == nil || !k.proxy.router.Committed(furthest.sub, false) {
+	if furthest == nil || !k.proxy.router.CommitAttempt(furthest.sub, false) {
 		return
 	}
 	k.proxy.Counters.RetryBufferExceeded++
--- a/internal/grpcproxy/response.go
+++ b/internal/grpcproxy/response.go
@@ -63,7 +63,7 @@
 	if k.committed != nil {
 		return
 	}
-	if !mutantRepeat && !k.proxy.router.Committed(a.sub, true) {
+	if !mutantRepeat && !k.proxy.router.CommitAttempt(a.sub, true) {
 		k.proxy.Counters.LateResponses++
 		a.stop()
 		k.proxy.router.AttemptEnded(a.sub, policy.Cancelled)
@@ -136,7 +136,7 @@
 	}
 	pushback, found := grpcwire.RetryPushback(trailers)
 	if found && result.Outcome != policy.Answered && k.committed == nil {
-		k.proxy.router.Pushback(a.sub, pushback)
+		k.proxy.router.ReportPushback(a.sub, pushback)
 	}
 	a.finish(result)
 }
--- a/internal/grpcproxy/serverconn.go
+++ b/internal/grpcproxy/serverconn.go
@@ -38,8 +38,8 @@
 	c.proxy.scheduleFlush(c)
 }
 
-// Bytes implements engine.ConnHandler: bytes have come.
-func (c *serverConn) Bytes(b []byte, arrivedAt float64) {
+// Received implements engine.ConnHandler: bytes have come.
+func (c *serverConn) Received(b []byte, arrivedAt float64) {
 	if c.closed || b == nil {
 		return
 	}
--- a/internal/grpcproxy/servers.go
+++ b/internal/grpcproxy/servers.go
@@ -19,8 +19,8 @@
 	state      policy.ServerStatus
 }
 
-// Server updates a server of the list.
-func (p *Proxy) Server(index int, id string, listed netip.AddrPort, state policy.ServerStatus) {
+// ServerUpdated updates a server of the list.
+func (p *Proxy) ServerUpdated(index int, id string, listed netip.AddrPort, state policy.ServerStatus) {
 	for index >= len(p.servers) {
 		p.servers = append(p.servers, serverEntry{state: policy.Gone})
 	}
@@ -62,10 +62,10 @@
 	return conns
 }
 
-// GraceEnded closes connections to a server that drains or is gone, if the network has not taken some
+// DrainGraceEnded closes connections to a server that drains or is gone, if the network has not taken some
 // headers that wait there: only with the connection can they be withdrawn. Only a connection that is
 // stalled has such.
-func (p *Proxy) GraceEnded(index int) {
+func (p *Proxy) DrainGraceEnded(index int) {
 	for _, conn := range p.connsOf(index) {
 		if conn.hasUnsentHeaders() {
 			conn.abort()
@@ -97,7 +97,7 @@
 	if math.IsInf(next, 1) {
 		return
 	}
-	p.poolTimer = p.router.After(next-p.router.Now(), func() {
+	p.poolTimer = p.router.AfterFunc(next-p.router.Now(), func() {
 		p.poolTimerAt = math.Inf(1)
 		p.tickPool()
 	})
--- a/internal/grpcproxy/servers_test.go
+++ b/internal/grpcproxy/servers_test.go
@@ -99,8 +99,8 @@
 	c := p.Dial(s.world, 1)
 	a := c.Call(&p.ClientCall{Path: oncePath, TimeoutMs: 400, Body: [][]byte{p.EncodeMessage("q")}})
 	s.world.Run(600)
-	if a.FinalStatuses != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.Engine.Count.Outcomes[policy.ConnectFailed] == 0 {
-		t.Errorf("%d finals, status %d, outcomes %v", a.FinalStatuses, a.Status, s.world.Engine.Count.Outcomes)
+	if a.FinalStatuses != 1 || a.Status == 0 || s.attemptsSeen() != 0 || s.world.Engine.Counters.Outcomes[policy.ConnectFailed] == 0 {
+		t.Errorf("%d finals, status %d, outcomes %v", a.FinalStatuses, a.Status, s.world.Engine.Counters.Outcomes)
 	}
 	s.closeAndCheck(c)
 }
--- a/internal/ledger/store/recorder.go
+++ b/internal/ledger/store/recorder.go
@@ -104,12 +104,12 @@
 
 func (r *Recorder) keyOf(u *engine.Usage) ledger.Key {
 	front := ledger.HTTP
-	if u.Front == 1 {
+	if u.Frontend == 1 {
 		front = ledger.GRPC
 	}
 	return ledger.Key{
 		Customer:  nameAt(r.customers, u.Customer),
-		QueryType: nameAt(r.queryTypes, u.Kind),
+		QueryType: nameAt(r.queryTypes, u.QueryType),
 		Front:     front,
 		Outcome:   outcomeOf(u),
 	}
@@ -133,14 +133,14 @@
 	return ledger.Counts{
 		ledger.Searches:      1,
 		ledger.ShardRequests: int64(u.Shards),
-		ledger.FirstAttempts: int64(u.First),
-		ledger.Retries:       int64(u.Retry),
-		ledger.Hedges:        int64(u.Hedge),
-		ledger.Cancelled:     int64(u.Cancelled),
-		ledger.WorkMicros:    ledger.Micros(u.Work),
+		ledger.FirstAttempts: int64(u.FirstAttempts),
+		ledger.Retries:       int64(u.RetryAttempts),
+		ledger.Hedges:        int64(u.HedgeAttempts),
+		ledger.Cancelled:     int64(u.CancelledAttempts),
+		ledger.WorkMicros:    ledger.Micros(u.HintedWorkMs),
 		ledger.BytesIn:       u.BytesIn,
 		ledger.BytesOut:      u.BytesOut,
-		ledger.ServerMicros:  ledger.Micros(u.Server),
+		ledger.ServerMicros:  ledger.Micros(u.ServerTimeMs),
 	}
 }
 
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -52,7 +52,7 @@
 }
 
 func recordUse(r *Recorder, c *clocks, customer int) {
-	r.Record(&engine.Usage{Customer: customer, Result: engine.Complete, AnsweredAt: c.SteadyMs(), Shards: 2, First: 2, Hedge: 1, BytesIn: 10, BytesOut: 100, Work: 1.5, Server: 20})
+	r.Record(&engine.Usage{Customer: customer, Result: engine.Complete, AnsweredAt: c.SteadyMs(), Shards: 2, FirstAttempts: 2, HedgeAttempts: 1, BytesIn: 10, BytesOut: 100, HintedWorkMs: 1.5, ServerTimeMs: 20})
 }
 
 // No disk of the machine is part of these tests: all faults are injected.
--- a/internal/standin/simnet/enginenet.go
+++ b/internal/standin/simnet/enginenet.go
@@ -7,7 +7,7 @@
 	"kestrelspread/internal/transport"
 )
 
-// Connect implements engine.Net: the broker connects to an address, which may answer later or never.
+// Connect implements engine.Network: the broker connects to an address, which may answer later or never.
 func (n *Network) Connect(addr netip.AddrPort) transport.Conn {
 	c := n.addConn(&PeerConn{address: addr, listenIndex: -1})
 	accept := n.listeners[addr]
@@ -42,7 +42,7 @@
 	return n.conns[id]
 }
 
-// Write implements engine.Net: bytes are sent as far as the network takes them.
+// Write implements engine.Network: bytes are sent as far as the network takes them.
 func (n *Network) Write(id transport.Conn, b []byte) {
 	c := n.conn(id)
 	if !c.open || c.brokerFinished {
@@ -52,7 +52,7 @@
 	n.scheduleTransmit(c)
 }
 
-// Retract implements engine.Net: it takes back what was written from an offset on, if the network has taken
+// Retract implements engine.Network: it takes back what was written from an offset on, if the network has taken
 // none of it.
 func (n *Network) Retract(id transport.Conn, from int64) bool {
 	c := n.conn(id)
@@ -63,7 +63,7 @@
 	return true
 }
 
-// Finish implements engine.Net: the connection is closed after what was written has been sent.
+// Finish implements engine.Network: the connection is closed after what was written has been sent.
 func (n *Network) Finish(id transport.Conn) {
 	c := n.conn(id)
 	c.brokerFinished = true
@@ -71,7 +71,7 @@
 	n.scheduleTransmit(c)
 }
 
-// Close implements engine.Net: the connection is closed at once.
+// Close implements engine.Network: the connection is closed at once.
 func (n *Network) Close(id transport.Conn) {
 	c := n.conn(id)
 	c.release()
@@ -80,7 +80,7 @@
 	}
 }
 
-// Reading implements engine.Net: it pauses or resumes reading from a connection.
+// Reading implements engine.Network: it pauses or resumes reading from a connection.
 func (n *Network) Reading(id transport.Conn, on bool) {
 	c := n.conn(id)
 	c.readPaused = !on
@@ -92,19 +92,19 @@
 	}
 }
 
-// Accept implements engine.Net. Connections are always accepted here.
+// Accept implements engine.Network. Connections are always accepted here.
 func (n *Network) Accept(bool) {}
 
-// Unlisten implements engine.Net: no more connections to the broker are accepted.
+// Unlisten implements engine.Network: no more connections to the broker are accepted.
 func (n *Network) Unlisten() bool { n.Unreachable = true; return true }
 
-// Arm implements engine.Net: the broker is woken at a moment.
+// Arm implements engine.Network: the broker is woken at a moment.
 func (n *Network) Arm(momentMs float64) { n.wakeAtMs = momentMs }
 
-// Stop implements engine.Net: the broker ends.
+// Stop implements engine.Network: the broker ends.
 func (n *Network) Stop() { n.Stopped = true }
 
-// Door implements engine.Net: the number of the listening address of a connection.
+// Door implements engine.Network: the number of the listening address of a connection.
 func (n *Network) Door(id transport.Conn) int { return n.conn(id).listenIndex }
 
 // ConnOf is the connection of a number; nil: it was closed.
