--- a/cmd/kestrelnode/main.go
+++ b/cmd/kestrelnode/main.go
@@ -181,7 +181,7 @@
 
 func (c *mechanismsCommand) run(context.Context) error {
 	for _, info := range mechanism.All() {
-		fmt.Fprintf(c.out, "%-16s %s\n", info.Name, info.About)
+		fmt.Fprintf(c.out, "%-16s %s\n", info.Name, info.Description)
 	}
 	return nil
 }
--- a/internal/node/forward/intake.go
+++ b/internal/node/forward/intake.go
@@ -202,17 +202,17 @@
 func (in *intake) routingRequest(header http.Header, bodyBytes int) routing.Request {
 	tokensIn, tokensOut := tokenCounts(header)
 	return routing.Request{
-		Route:     in.route,
-		Service:   in.service,
-		Tenant:    in.tenant,
-		Urgency:   in.priority(),
-		Received:  in.received,
-		Deadline:  in.deadline,
-		Model:     firstValue(header, headerModel),
-		Parts:     promptParts(header),
-		TokensIn:  tokensIn,
-		TokensOut: tokensOut,
-		BodyBytes: bodyBytes,
-		Resumes:   firstValue(header, headerLastEventID) != "",
+		Route:         in.route,
+		Service:       in.service,
+		Tenant:        in.tenant,
+		Urgency:       in.priority(),
+		Received:      in.received,
+		Deadline:      in.deadline,
+		Model:         firstValue(header, headerModel),
+		Parts:         promptParts(header),
+		TokensIn:      tokensIn,
+		TokensOut:     tokensOut,
+		BodyBytes:     bodyBytes,
+		ResumesStream: firstValue(header, headerLastEventID) != "",
 	}
 }
--- a/internal/node/forward/intake_test.go
+++ b/internal/node/forward/intake_test.go
@@ -136,7 +136,7 @@
 	assert.Equal(t, got.TokensIn, 1460)
 	assert.Equal(t, got.TokensOut, 80)
 	assert.Equal(t, got.BodyBytes, len("prompt"))
-	assert.Assert(t, got.Resumes)
+	assert.Assert(t, got.ResumesStream)
 }
 
 // TestEarlierDeadlineHolds is the earlier of the client's and the route's.
--- a/internal/node/routing/admission/admission.go
+++ b/internal/node/routing/admission/admission.go
@@ -65,5 +65,5 @@
 		return false
 	}
 	fast, answers := req.Class.Quantile(now, fastAnswerQuantile)
-	return answers >= predict.MinSamples && fast*req.Work > units.Milliseconds(req.Deadline-now)
+	return answers >= predict.MinSamples && fast*req.RelativeWork > units.Milliseconds(req.Deadline-now)
 }
--- a/internal/node/routing/admission/postpone.go
+++ b/internal/node/routing/admission/postpone.go
@@ -26,7 +26,7 @@
 	now core.Time, req *inflight.Request, s *candidate.Set, chosen *candidate.Candidate,
 ) (after core.Time, ok bool) {
 	target := req.Route.TargetLatencyMs
-	if req.ServedModel == "" || !c.switches.On(mechanism.Postponing) || !req.FirstTry || target <= 0 || !req.Pool.PrefillPaceKnown() {
+	if req.ServedModel == "" || !c.switches.On(mechanism.Postponing) || !req.FirstTry || target <= 0 || !req.Pool.PrefillTimeKnown() {
 		return 0, false
 	}
 	backlog := req.Pool.PrefillWait(now, chosen.Broker)
--- a/internal/node/routing/affinity_test.go
+++ b/internal/node/routing/affinity_test.go
@@ -88,7 +88,7 @@
 	f := newFixtureWithIndex(t, instances(8), index)
 	owner := f.mustBegin(f.prompt(streamRoute, 5))
 	f.answerAfter(owner, ms)
-	f.now += prefixcache.PrefillBelieved
+	f.now += prefixcache.PrefillAssumedFor
 	assert.DeepEqual(t, index.observed, []string{owner.Instance.ID})
 	for id := range f.brokers {
 		if id != owner.Instance.ID {
@@ -99,7 +99,7 @@
 	a := f.mustBegin(f.prompt(streamRoute, 5))
 	assert.Equal(t, a.Instance.ID, index.holders[0].Instance)
 	f.answerAfter(a, ms)
-	f.now += prefixcache.PrefillBelieved
+	f.now += prefixcache.PrefillAssumedFor
 	index.holders = append(index.holders, prefixcache.Holder{Instance: owner.Instance.ID, Tokens: 1300})
 	a = f.mustBegin(f.prompt(streamRoute, 5))
 	assert.Equal(t, a.Instance.ID, owner.Instance.ID, "between equal holders the rendezvous order decides, which is the same for all proxies")
--- a/internal/node/routing/brokerstate/backlog.go
+++ b/internal/node/routing/brokerstate/backlog.go
@@ -51,4 +51,4 @@
 
 // PrefillCompleted records that a call has its first token, so the broker has read its prompt and
 // everything before it.
-func (b *Broker) PrefillPassed(c *Call) { b.backlog.completeUpTo(c.BacklogEnd) }
+func (b *Broker) PrefillCompleted(c *Call) { b.backlog.completeUpTo(c.BacklogEnd) }
--- a/internal/node/routing/brokerstate/broker.go
+++ b/internal/node/routing/brokerstate/broker.go
@@ -84,7 +84,7 @@
 func (b *Broker) InFlight() int { return b.inFlight }
 
 // AddCall records that a call is sent to the broker.
-func (b *Broker) CallSent(c *Call) {
+func (b *Broker) AddCall(c *Call) {
 	b.inFlight++
 	b.awaiting = append(b.awaiting, c)
 }
@@ -98,7 +98,7 @@
 }
 
 // RemoveCall records that a call has ended.
-func (b *Broker) CallEnded(c *Call) {
+func (b *Broker) RemoveCall(c *Call) {
 	b.removeAwaiting(c)
 	b.inFlight--
 }
--- a/internal/node/routing/brokerstate/call.go
+++ b/internal/node/routing/brokerstate/call.go
@@ -68,4 +68,4 @@
 }
 
 // LatencyRecorded reports whether the latency was added to the statistics.
-func (c *Call) Learnt() bool { return c.latencyRecorded }
+func (c *Call) LatencyRecorded() bool { return c.latencyRecorded }
--- a/internal/node/routing/brokerstate/ejector.go
+++ b/internal/node/routing/brokerstate/ejector.go
@@ -54,17 +54,17 @@
 
 // ProcessResumed records that this process was suspended until now. What it couldn't receive
 // meanwhile is no timeout of a broker, and latencies that span the suspension are meaningless.
-func (e *Ejector) Resumed(now core.Time) { e.resumedAt = now }
+func (e *Ejector) ProcessResumed(now core.Time) { e.resumedAt = now }
 
 // LatencyMeasurable reports whether the time since the call's send is due to its broker only, as
 // this process wasn't suspended meanwhile.
-func (e *Ejector) Measurable(c *Call) bool { return c.SentAt >= e.resumedAt }
+func (e *Ejector) LatencyMeasurable(c *Call) bool { return c.SentAt >= e.resumedAt }
 
 // Ejections returns the number of ejections since the start.
 func (e *Ejector) Ejections() uint64 { return e.ejections }
 
 // RecordAnswer records that a broker of the pool has answered.
-func (e *Ejector) Answered(now core.Time, p *Pool, b *Broker) {
+func (e *Ejector) RecordAnswer(now core.Time, p *Pool, b *Broker) {
 	b.Health.recordAnswer(now)
 	p.lastAnswerAt = now
 }
@@ -96,7 +96,7 @@
 
 // RecordFailure records that a call failed. Depending on the fault, the broker is avoided for a
 // while or ejected. If the call was a probe, the next probe is postponed.
-func (e *Ejector) CallFailed(now core.Time, c *Call, fault Fault) {
+func (e *Ejector) RecordFailure(now core.Time, c *Call, fault Fault) {
 	h := &c.Broker.Health
 	if h.probe == c {
 		h.probe = nil
@@ -118,7 +118,7 @@
 
 // RecordCancellation records that this proxy or its client canceled a call. If the call was a
 // probe, it says little about the broker, so another probe follows.
-func (e *Ejector) CallCanceled(now core.Time, c *Call) {
+func (e *Ejector) RecordCancellation(now core.Time, c *Call) {
 	if h := &c.Broker.Health; h.probe == c {
 		h.probe = nil
 		h.probeAt = now + e.jitter(h.backoff)
--- a/internal/node/routing/brokerstate/ejector_test.go
+++ b/internal/node/routing/brokerstate/ejector_test.go
@@ -19,7 +19,7 @@
 // sendCall records a call to a broker.
 func sendCall(b *Broker, now core.Time) *Call {
 	c := &Call{Broker: b, SentAt: now, Scale: 1, Arrived: true}
-	b.CallSent(c)
+	b.AddCall(c)
 	return c
 }
 
@@ -47,14 +47,14 @@
 			p, e := newPool(2), newEjector(0)
 			sendCall(p.Brokers[0], sent)
 			if c.othersAnswer {
-				e.Answered(sent+ms, p, p.Brokers[1])
+				e.RecordAnswer(sent+ms, p, p.Brokers[1])
 			}
 			if c.itAnswers {
-				e.Answered(sent+ms, p, p.Brokers[0])
+				e.RecordAnswer(sent+ms, p, p.Brokers[0])
 			}
 			now := sent + c.after
 			if c.resumed {
-				e.Resumed(now - ms)
+				e.ProcessResumed(now - ms)
 			}
 			assert.Equal(t, e.TimedOut(now, p, p.Brokers[0]), c.want)
 		})
@@ -67,7 +67,7 @@
 	p, e := newPool(1), newEjector(0)
 	b := p.Brokers[0]
 	now := 20 * time.Second
-	e.CallFailed(now, sendCall(b, now), FaultConnect)
+	e.RecordFailure(now, sendCall(b, now), FaultConnect)
 	assert.Equal(t, b.Health.Reason(), Unreachable)
 	assert.Equal(t, e.Ejections(), uint64(1))
 	last := b.Health.backoff
@@ -76,14 +76,14 @@
 		probe := sendCall(b, now)
 		b.Health.BeginProbe(probe)
 		assert.Assert(t, !b.Health.ProbeDue(now), "one probe at a time")
-		e.CallFailed(now, probe, FaultConnect)
+		e.RecordFailure(now, probe, FaultConnect)
 		assert.Equal(t, b.Health.backoff, min(2*last, maxProbeBackoff))
 		wait := b.Health.ProbeAt() - now
 		assert.Assert(t, wait >= b.Health.backoff*3/4 && wait <= b.Health.backoff*5/4)
 		last = b.Health.backoff
 	}
 	assert.Equal(t, e.Ejections(), uint64(1))
-	e.Answered(now, p, b)
+	e.RecordAnswer(now, p, b)
 	assert.Assert(t, !b.Health.Ejected())
 }
 
@@ -97,16 +97,16 @@
 		b := p.Brokers[0]
 		const now = 20 * time.Second
 		for range c.successes {
-			b.Health.Succeeded(now)
+			b.Health.RecordSuccess(now)
 		}
 		for range c.failures {
-			e.CallFailed(now, sendCall(b, now), FaultFailure)
+			e.RecordFailure(now, sendCall(b, now), FaultFailure)
 		}
 		assert.Equal(t, b.Health.Ejected(), c.ejected, "%d failures, %d successes", c.failures, c.successes)
 		if c.ejected {
-			e.Answered(now, p, b)
+			e.RecordAnswer(now, p, b)
 			assert.Assert(t, b.Health.Ejected(), "an answer alone doesn't count as a success")
-			b.Health.Succeeded(now)
+			b.Health.RecordSuccess(now)
 			assert.Assert(t, !b.Health.Ejected())
 		}
 	}
--- a/internal/node/routing/brokerstate/health.go
+++ b/internal/node/routing/brokerstate/health.go
@@ -89,7 +89,7 @@
 func (h *Health) readmit() { h.reason, h.probe, h.backoff = NotEjected, nil, 0 }
 
 // RecordSuccess records that a request was executed without failure.
-func (h *Health) Succeeded(now core.Time) {
+func (h *Health) RecordSuccess(now core.Time) {
 	h.recordAnswer(now)
 	h.misdirectBackoff = 0
 	addOutcome(&h.successes, now)
--- a/internal/node/routing/brokerstate/latencies.go
+++ b/internal/node/routing/brokerstate/latencies.go
@@ -64,7 +64,7 @@
 
 // DiscardLatency removes the latency of a call that turned out to be a failure from the history, so
 // that a broker with quick errors doesn't look fast.
-func (b *Broker) UnlearnLatency(c *Call) {
+func (b *Broker) DiscardLatency(c *Call) {
 	if c.latencyRecorded && b.latencies.history[0].sentAt == c.SentAt {
 		b.latencies.history[0].latency = 0
 	}
--- a/internal/node/routing/brokerstate/load.go
+++ b/internal/node/routing/brokerstate/load.go
@@ -23,7 +23,7 @@
 }
 
 // RecordLoadReport records a report; nil: the answer contained none.
-func (b *Broker) ReportLoad(now core.Time, load *Load) {
+func (b *Broker) RecordLoadReport(now core.Time, load *Load) {
 	if load == nil {
 		return
 	}
--- a/internal/node/routing/brokerstate/pool.go
+++ b/internal/node/routing/brokerstate/pool.go
@@ -14,7 +14,7 @@
 const (
 	// LoadingMarkExpiry is how long the mark that a broker loads new weights is believed while
 	// brokers are scarce. It is longer than loading usually takes.
-	LoadingTrusted = 5 * time.Second
+	LoadingMarkExpiry = 5 * time.Second
 
 	minUnmarkedShare = 0.6 // of the ready brokers: with fewer that aren't marked as loading, brokers are scarce
 	refreshInterval  = 250 * time.Millisecond
@@ -78,7 +78,7 @@
 func (p *Pool) MedianKnown() bool { return p.medianSamples >= predict.MinSamples }
 
 // FleetSlow reports whether the service as a whole is slower than it has been at its best.
-func (p *Pool) Crowded() bool { return predict.FleetSlow(p.median, p.lowestMedian) }
+func (p *Pool) FleetSlow() bool { return predict.FleetSlow(p.median, p.lowestMedian) }
 
 // tooFewUnmarked reports whether the brokers that aren't marked as loading new weights are too few
 // for the service to rely on them alone.
@@ -103,12 +103,12 @@
 	if b.Instance.State != registry.Ready {
 		return false
 	}
-	return !p.switches.On(mechanism.LoadingMarks) || !b.Instance.Loading || p.brokersScarce && now >= b.loadingSince+LoadingTrusted
+	return !p.switches.On(mechanism.LoadingMarks) || !b.Instance.Loading || p.brokersScarce && now >= b.loadingSince+LoadingMarkExpiry
 }
 
 // RecordLatency adds a call's latency to all statistics, once it is known that the broker worked
 // for it and didn't merely fail quickly. It must be called only once for each call.
-func (p *Pool) Learn(now core.Time, c *Call) {
+func (p *Pool) RecordLatency(now core.Time, c *Call) {
 	c.latencyRecorded = true
 	b := c.Broker
 	p.Refresh(now)
--- a/internal/node/routing/brokerstate/prediction.go
+++ b/internal/node/routing/brokerstate/prediction.go
@@ -27,7 +27,7 @@
 	slow := p.switches.On(mechanism.Prediction) && p.predictsSlow(&features)
 	// While the whole fleet is slow, the brokers that look fast are those that got no requests. So
 	// only a broker that is far slower than the rest is passed over.
-	if slow && p.Crowded() && b.ExpectedLatency(now, p.median) < fleetSlowFactor*p.median {
+	if slow && p.FleetSlow() && b.ExpectedLatency(now, p.median) < fleetSlowFactor*p.median {
 		slow = false
 	}
 	return Prediction{features, slow}
@@ -88,7 +88,7 @@
 
 // TrainOverdue trains the predictor with a call that isn't answered yet, if it has already waited
 // for longer than the slow line.
-func (p *Pool) TeachOverdue(now core.Time, c *Call) {
+func (p *Pool) TrainOverdue(now core.Time, c *Call) {
 	if age := c.Age(now); age > p.SlowLine(now, c.Broker) {
 		p.trainPredictor(now, c, true)
 	}
--- a/internal/node/routing/brokerstate/refusals.go
+++ b/internal/node/routing/brokerstate/refusals.go
@@ -32,7 +32,7 @@
 
 // RecordRefusal records that the broker refused a request for lack of capacity. retryAfter is the
 // delay that it asked for (0: none), load its report (nil: none).
-func (b *Broker) Refused(now, retryAfter core.Time, load *Load) {
+func (b *Broker) RecordRefusal(now, retryAfter core.Time, load *Load) {
 	r := &b.refusals
 	backoff := min(RefusalBackoff<<min(r.consecutive, maxRefusalDoubling), maxRefusalBackoff)
 	r.consecutive++
@@ -46,11 +46,11 @@
 }
 
 // RecordRolloutRefusal records that the broker refused a request because it loads new weights.
-func (b *Broker) RefusedForRollout(now core.Time) { b.refusals.rolloutUntil = now + RolloutBackoff }
+func (b *Broker) RecordRolloutRefusal(now core.Time) { b.refusals.rolloutUntil = now + RolloutBackoff }
 
 // ClearRefusals records that the broker answers a request that was sent at sentAt: refusals before
 // that time no longer count.
-func (b *Broker) Accepted(sentAt core.Time) {
+func (b *Broker) ClearRefusals(sentAt core.Time) {
 	r := &b.refusals
 	if sentAt > r.refusedAt {
 		r.backoffUntil, r.consecutive = 0, 0
--- a/internal/node/routing/brokerstate/refusals_test.go
+++ b/internal/node/routing/brokerstate/refusals_test.go
@@ -33,20 +33,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBroker()
 			for range c.refusals {
-				b.Refused(now, c.retryAfter, c.load)
+				b.RecordRefusal(now, c.retryAfter, c.load)
 			}
 			assert.Equal(t, b.BackoffUntil(), now+c.want)
 			assert.Assert(t, b.BackingOff(now+c.want-1, 1))
 			assert.Assert(t, !b.BackingOff(now+c.want, 1))
 			assert.Assert(t, !b.BackingOff(now+c.want/2, 0), "the backoff of the most urgent requests is shorter")
-			b.Accepted(now)
+			b.ClearRefusals(now)
 			assert.Assert(t, b.BackingOff(now+1, 1), "the answer to an earlier request doesn't end the backoff")
-			b.Accepted(now + 1)
+			b.ClearRefusals(now + 1)
 			assert.Assert(t, !b.BackingOff(now+1, 1))
 		})
 	}
 	b := newBroker()
-	b.RefusedForRollout(now)
+	b.RecordRolloutRefusal(now)
 	assert.Assert(t, b.BackingOff(now+RolloutBackoff-1, 0), "applies to the most urgent requests too")
 	assert.Assert(t, !b.BackingOff(now+RolloutBackoff, 0))
 }
--- a/internal/node/routing/cachesalt/tenants.go
+++ b/internal/node/routing/cachesalt/tenants.go
@@ -28,7 +28,7 @@
 // SaltTenant returns the tenant that the salt of a request must contain: the request's own tenant
 // if it is or ever was isolated, else "", which stands for the prefixes that all other tenants
 // share.
-func (t *IsolatedTenants) BoundaryOf(tenant *config.Tenant) string {
+func (t *IsolatedTenants) SaltTenant(tenant *config.Tenant) string {
 	if tenant == nil || !tenant.Isolated && !t.names[tenant.Name] {
 		return ""
 	}
--- a/internal/node/routing/candidate/candidate.go
+++ b/internal/node/routing/candidate/candidate.go
@@ -26,10 +26,10 @@
 
 	// CachedTokens is how many tokens of the prompt the broker caches, according to the index and
 	// to what was sent there recently.
-	Cached int
+	CachedTokens int
 	// ExpectedTokens is how many tokens of the prompt the broker caches, or will have read before a
 	// new request's turn comes, according to what was sent there recently.
-	Arriving int
+	ExpectedTokens int
 	// StoredTokens is how many tokens of the prompt the store holds under the broker's version.
 	StoredTokens int
 
@@ -56,7 +56,7 @@
 
 // PredictedSlow reports whether the candidate's answer is predicted to be slow. It is false while
 // there is no prediction.
-func (c *Candidate) Slow() bool { return c.Prediction.Slow }
+func (c *Candidate) PredictedSlow() bool { return c.Prediction.Slow }
 
 // Set holds the candidates that were found for one request.
 type Set struct {
@@ -87,7 +87,7 @@
 }
 
 // EarliestProbe returns the ejected candidate whose probe is due first, or nil if there is none.
-func (s *Set) FirstEjected() *Candidate {
+func (s *Set) EarliestProbe() *Candidate {
 	var best *Candidate
 	for i := range s.Ejected {
 		c := &s.Ejected[i]
--- a/internal/node/routing/candidate/finder.go
+++ b/internal/node/routing/candidate/finder.go
@@ -147,6 +147,6 @@
 	if samples < predict.MinSamples {
 		latency = req.Route.TargetLatencyMs
 	}
-	lead := units.FromMilliseconds(FirstTokenFactor * latency * req.Work)
+	lead := units.FromMilliseconds(FirstTokenFactor * latency * req.RelativeWork)
 	return now + min(max(lead, MinFirstToken), MaxFirstToken)
 }
--- a/internal/node/routing/candidate/finder_test.go
+++ b/internal/node/routing/candidate/finder_test.go
@@ -29,7 +29,7 @@
 
 func newFixture() fixture {
 	switches := mechanism.NewSwitches(0)
-	versions := modelversion.NewTracker(0, modelversion.Bounds{SingleStretch: 8 * time.Second})
+	versions := modelversion.NewTracker(0, modelversion.Bounds{SingleStablePeriod: 8 * time.Second})
 	ejector := brokerstate.NewEjector(switches, rand.New(rand.NewPCG(1, 2)), time.Second, &retrybudget.ProxyCount{})
 	pool := brokerstate.NewPool(switches)
 	for i := range 3 {
@@ -38,7 +38,7 @@
 	route := &config.Route{Name: "safe", TargetLatencyMs: 300}
 	return fixture{NewFinder(switches, &versions, ejector), &inflight.Request{
 		ClientRequest: inflight.ClientRequest{Route: route, Deadline: now + time.Second, Urgency: 1},
-		Pool:          pool, Class: routeclass.New(), Work: 1,
+		Pool:          pool, Class: routeclass.New(), RelativeWork: 1,
 	}}
 }
 
@@ -67,9 +67,9 @@
 		{"missed heartbeats", func(_ fixture, b *brokerstate.Broker) { b.Instance.Unresponsive = true }, rest, 0, 0},
 		{"missed heartbeats, but it answers", func(f fixture, b *brokerstate.Broker) {
 			b.Instance.Unresponsive = true
-			f.ejector.Answered(now, f.request.Pool, b)
+			f.ejector.RecordAnswer(now, f.request.Pool, b)
 		}, all, 0, 0},
-		{"refused a request recently", func(_ fixture, b *brokerstate.Broker) { b.Refused(now, 0, nil) }, rest, 0, 1},
+		{"refused a request recently", func(_ fixture, b *brokerstate.Broker) { b.RecordRefusal(now, 0, nil) }, rest, 0, 1},
 		{"already tried for this request", func(f fixture, b *brokerstate.Broker) {
 			f.request.Calls = append(f.request.Calls, &brokerstate.Call{Broker: b, Scale: 1})
 		}, rest, 0, 0},
--- a/internal/node/routing/hedge.go
+++ b/internal/node/routing/hedge.go
@@ -19,12 +19,12 @@
 // hedgeAt returns when the attempt that is sent now may be hedged unless its answer has begun; core.Never:
 // it is not hedged. The delay is a high percentile (pX) of the latencies of the request's class.
 func (r *Router) hedgeAt(now core.Time, req *request) core.Time {
-	if !r.switches.On(mechanism.Hedging) || !req.Idempotent || req.Hedged || req.Runs() >= req.Route.MaxAttempts {
+	if !r.switches.On(mechanism.Hedging) || !req.Idempotent || req.Hedged || req.PossibleRuns() >= req.Route.MaxAttempts {
 		return core.Never
 	}
 	delay, answers := req.Class.Quantile(now, req.Pool.HedgeQuantile(now))
 	median, _ := req.Class.Quantile(now, 0.5)
-	delay = max(delay, median/maxMedianShareOfDelay) * req.Work
+	delay = max(delay, median/maxMedianShareOfDelay) * req.RelativeWork
 	if answers < predict.MinSamples {
 		delay = defaultHedgeDelayFactor * req.Route.TargetLatencyMs
 	}
@@ -42,19 +42,19 @@
 	if req == nil || !r.switches.On(mechanism.Hedging) {
 		return Decision{}
 	}
-	awaiting := req.OnlyAwaiting()
-	if awaiting == nil || req.Hedged || !req.Idempotent || req.Runs() >= req.Route.MaxAttempts {
+	awaiting := req.SoleUnanswered()
+	if awaiting == nil || req.Hedged || !req.Idempotent || req.PossibleRuns() >= req.Route.MaxAttempts {
 		return Decision{}
 	}
 	pool := req.Pool
 	pool.Refresh(now)
-	if r.ejector.Measurable(awaiting) {
-		pool.TeachOverdue(now, awaiting)
+	if r.ejector.LatencyMeasurable(awaiting) {
+		pool.TrainOverdue(now, awaiting)
 	}
 	// While the whole service is slow, a hedged request would gain time only at the expense of other
 	// requests.
 	faulty := awaiting.Broker.Health.Ejected() || r.ejector.TimedOut(now, pool, awaiting.Broker)
-	if pool.Crowded() && !faulty {
+	if pool.FleetSlow() && !faulty {
 		return Decision{}
 	}
 	found := r.finder.Find(now, &req.Request)
@@ -62,14 +62,14 @@
 		return Decision{}
 	}
 	choice := r.choose(now, req, found)
-	if choice.Candidate.Slow() || choice.Candidate.Probe {
+	if choice.Candidate.PredictedSlow() || choice.Candidate.Probe {
 		return Decision{}
 	}
 	share := retrybudget.HedgeShare
 	if faulty {
 		share = admission.RetryBudgetShare(req.Urgency)
 	}
-	if !r.retryLimits.Affords(now, &req.service.budget, share) {
+	if !r.retryLimits.Allows(now, &req.service.budget, share) {
 		return Decision{}
 	}
 	req.Hedged = true
--- a/internal/node/routing/hedge_test.go
+++ b/internal/node/routing/hedge_test.go
@@ -74,7 +74,7 @@
 	f.now += time.Second
 	f.serveRequests(safeRoute, 40, 60*ms)
 	a := f.beginAndAwaitHedge(f.request(safeRoute))
-	assert.Assert(t, f.services[service].pool.Crowded())
+	assert.Assert(t, f.services[service].pool.FleetSlow())
 	assert.Assert(t, f.Hedge(f.now, a.Request) == Decision{})
 	f.now += 3 * time.Second
 	assert.Assert(t, f.Hedge(f.now, a.Request).Attempt != nil)
--- a/internal/node/routing/hints.go
+++ b/internal/node/routing/hints.go
@@ -53,7 +53,7 @@
 // report for the other proxies; nil: none. The streams that are reported are drawn at random, so that
 // the other proxies don't learn of unusual streams only.
 func (r *Router) learnStepTime(req *request, c *brokerstate.Call, gaps EventGaps) *StepTimeReport {
-	if req.ServedModel == "" || gaps.Count < minStepGaps || gaps.Typical <= 0 || !r.ejector.Measurable(c) {
+	if req.ServedModel == "" || gaps.Count < minStepGaps || gaps.Typical <= 0 || !r.ejector.LatencyMeasurable(c) {
 		return nil
 	}
 	c.Broker.ObserveStep(units.Milliseconds(gaps.Typical))
--- a/internal/node/routing/inflight/inflight.go
+++ b/internal/node/routing/inflight/inflight.go
@@ -31,7 +31,7 @@
 	TokensOut  int // upper bound of the tokens to generate
 	BodyBytes  int
 	// ResumesStream is set if the client resumes an event stream with Last-Event-Id.
-	Resumes bool
+	ResumesStream bool
 }
 
 // TimeLeft returns how long the client waits in total, counted from the receipt: as it said, or
@@ -54,12 +54,12 @@
 	// IsolatedTenant is the request's tenant if it shares cached prefixes with no other tenant,
 	// else "".
 	IsolatedTenant string
-	Work           float64             // expected work relative to the average of the class
+	RelativeWork   float64             // expected work relative to the average of the class
 	Idempotent     bool                // may run more than once
 	Oversized      bool                // doesn't fit into the memory of any broker
 	FirstTry       bool                // the client's first try
 	Hedged         bool                // a hedged request was sent
-	Answering      bool                // an answer has begun
+	AnswerStarted  bool                // an answer has begun
 	Calls          []*brokerstate.Call // one for each attempt, in the order of their numbers
 
 	Refused     int // calls that brokers refused for lack of capacity
@@ -86,7 +86,7 @@
 
 // PossibleRuns returns the number of calls that ran, may have run or may still run. The setting
 // maxAttempts limits it.
-func (r *Request) Runs() int {
+func (r *Request) PossibleRuns() int {
 	n := 0
 	for _, c := range r.Calls {
 		if !c.Ended || c.Verdict != verdict.NotRun {
@@ -98,7 +98,7 @@
 
 // PossibleArrivals returns the number of calls that reached a broker or may have. All but the first
 // count against the retry budget.
-func (r *Request) Arrivals() int {
+func (r *Request) PossibleArrivals() int {
 	n := 0
 	for _, c := range r.Calls {
 		if c.Arrived {
@@ -109,7 +109,7 @@
 }
 
 // HasOutstanding reports whether any call hasn't ended.
-func (r *Request) Outstanding() bool {
+func (r *Request) HasOutstanding() bool {
 	for _, c := range r.Calls {
 		if !c.Ended {
 			return true
@@ -120,7 +120,7 @@
 
 // SoleUnanswered returns the call that hasn't ended, if there is exactly one and no answer has
 // begun; otherwise nil.
-func (r *Request) OnlyAwaiting() *brokerstate.Call {
+func (r *Request) SoleUnanswered() *brokerstate.Call {
 	var only *brokerstate.Call
 	for _, c := range r.Calls {
 		switch {
@@ -136,4 +136,4 @@
 
 // MayHaveRun reports whether any call ran or may have run. In that case the client can't be
 // promised that the request did not run.
-func (r *Request) MayHaveRun() bool { return r.Runs() > 0 }
+func (r *Request) MayHaveRun() bool { return r.PossibleRuns() > 0 }
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -90,7 +90,7 @@
 	if req.ServedModel == "" || target <= 0 || now-req.Received <= target {
 		return
 	}
-	perToken := req.Pool.PrefillPerToken(c.Broker)
+	perToken := req.Pool.PrefillTimePerToken(c.Broker)
 	expected := units.FromMilliseconds(perToken * c.BacklogAhead)
 	cause := LateUnexpected
 	switch {
--- a/internal/node/routing/mechanism/mechanism.go
+++ b/internal/node/routing/mechanism/mechanism.go
@@ -34,9 +34,9 @@
 
 // Info describes one mechanism.
 type Info struct {
-	Mechanism Set    // one bit
-	Name      string // as operators write it
-	About     string // one line
+	Mechanism   Set    // one bit
+	Name        string // as operators write it
+	Description string // one line
 }
 
 // All returns all mechanisms, those of the design first.
--- a/internal/node/routing/mechanism/mechanism_test.go
+++ b/internal/node/routing/mechanism/mechanism_test.go
@@ -12,7 +12,7 @@
 	var names []string
 	for _, info := range All() {
 		assert.Assert(t, all&info.Mechanism == 0, "%s shares its bit", info.Name)
-		assert.Assert(t, info.About != "")
+		assert.Assert(t, info.Description != "")
 		all |= info.Mechanism
 		names = append(names, info.Name)
 		set, err := Parse(info.Name)
--- a/internal/node/routing/modelversion/modelversion.go
+++ b/internal/node/routing/modelversion/modelversion.go
@@ -20,7 +20,7 @@
 	firstVersion = 1
 	// PropagationMargin is subtracted from the bound of a single stable period, for the time
 	// between the acknowledgement of a version and this node's learning of it.
-	LearnMargin = 700 * time.Millisecond
+	PropagationMargin = 700 * time.Millisecond
 	// allPeriodsMargin is subtracted from the bound of all stable periods together, because they
 	// are counted here without the gaps between them.
 	allPeriodsMargin = 2 * time.Second
@@ -39,10 +39,10 @@
 type Bounds struct {
 	// SingleStablePeriod is the setting versionMs: the time since the acknowledgement of a new
 	// version, within one period during which the core is stable.
-	SingleStretch time.Duration
+	SingleStablePeriod time.Duration
 	// AllStablePeriods is the setting versionAllMs: the time over all such periods; 0: same as
 	// SingleStablePeriod.
-	AllStretches time.Duration
+	AllStablePeriods time.Duration
 	// UnstableFor is the setting contactMs: how long the core is unstable after a fault (RULES.md,
 	// "Stable"); 0: not known.
 	UnstableFor time.Duration
@@ -85,7 +85,7 @@
 
 // Observe records the versions that a configuration names.
 func (t *Tracker) Observe(now core.Time, compiled *config.Compiled) {
-	until, limit := t.singlePeriodEnd(now), now+t.bounds.AllStretches-allPeriodsMargin
+	until, limit := t.singlePeriodEnd(now), now+t.bounds.AllStablePeriods-allPeriodsMargin
 	if !t.configSeen {
 		until = min(until, t.startedAt+startupGrace)
 		limit = until
@@ -107,12 +107,12 @@
 
 // singlePeriodEnd returns when the bound of a single stable period that began at a time is reached.
 func (t *Tracker) singlePeriodEnd(from core.Time) core.Time {
-	return from + max(t.bounds.SingleStretch-LearnMargin, 0)
+	return from + max(t.bounds.SingleStablePeriod-PropagationMargin, 0)
 }
 
 // RecordDisturbance records that the core was unstable at a time. The single stable period begins
 // again at that time, for older versions that haven't expired yet.
-func (t *Tracker) CoreDisturbed(now, at core.Time) {
+func (t *Tracker) RecordDisturbance(now, at core.Time) {
 	for _, m := range t.models {
 		for i := range m.configured {
 			if version := &m.configured[i]; now < version.olderUntil && !version.fixed {
--- a/internal/node/routing/modelversion/modelversion_test.go
+++ b/internal/node/routing/modelversion/modelversion_test.go
@@ -19,12 +19,12 @@
 	return &config.Compiled{Version: 1, ModelVersions: versions}
 }
 
-var testBounds = Bounds{SingleStretch: 10 * time.Second, AllStretches: 14 * time.Second}
+var testBounds = Bounds{SingleStablePeriod: 10 * time.Second, AllStablePeriods: 14 * time.Second}
 
 // TestVersionsAllowed checks until when a request may start on older weights (RULES.md VERSION).
 func TestVersionsAllowed(t *testing.T) {
 	v := NewTracker(0, testBounds)
-	grace := testBounds.SingleStretch - LearnMargin
+	grace := testBounds.SingleStablePeriod - PropagationMargin
 	v.Observe(0, configWith(nil))
 	assert.Equal(t, v.Newest(model), uint64(1))
 	v.Observe(20*time.Second, configWith(map[string]uint64{model: 2}))
@@ -81,11 +81,11 @@
 		{"no bound of all periods", 0, 0, []time.Duration{2 * time.Second}, 9300 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := NewTracker(0, Bounds{SingleStretch: 10 * time.Second, AllStretches: c.all, UnstableFor: c.contact})
+			v := NewTracker(0, Bounds{SingleStablePeriod: 10 * time.Second, AllStablePeriods: c.all, UnstableFor: c.contact})
 			v.Observe(time.Second, configWith(nil))
 			v.Observe(configuredAt, configWith(map[string]uint64{model: 2}))
 			for _, at := range c.disturbedAt {
-				v.CoreDisturbed(configuredAt+at, configuredAt+at)
+				v.RecordDisturbance(configuredAt+at, configuredAt+at)
 			}
 			assert.Assert(t, v.MayStart(configuredAt+c.want-ms, model, 1))
 			assert.Assert(t, !v.MayStart(configuredAt+c.want, model, 1))
@@ -99,9 +99,9 @@
 	v := NewTracker(0, testBounds)
 	v.Observe(time.Second, configWith(nil))
 	v.Observe(20*time.Second, configWith(map[string]uint64{model: 2}))
-	v.CoreDisturbed(25*time.Second, 21*time.Second)
+	v.RecordDisturbance(25*time.Second, 21*time.Second)
 	assert.Assert(t, !v.MayStart(30300*ms, model, 1))
-	v.CoreDisturbed(26*time.Second, 15*time.Second)
+	v.RecordDisturbance(26*time.Second, 15*time.Second)
 	assert.Assert(t, v.MayStart(30200*ms, model, 1), "an earlier disturbance doesn't shorten the time")
 }
 
@@ -112,7 +112,7 @@
 	v.Observe(2*time.Second, configWith(map[string]uint64{model: 5}))
 	assert.Assert(t, v.MayStart(3400*ms, model, 4))
 	assert.Assert(t, !v.MayStart(3500*ms, model, 4))
-	v.CoreDisturbed(3*time.Second, 3*time.Second)
+	v.RecordDisturbance(3*time.Second, 3*time.Second)
 	assert.Assert(t, !v.MayStart(3500*ms, model, 4))
 }
 
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -24,14 +24,14 @@
 	if c == nil || c.Ended || c.Started {
 		return
 	}
-	req.Answering = true
+	req.AnswerStarted = true
 	c.Start(now)
 	b := c.Broker
-	b.ReportLoad(now, load)
-	b.Accepted(c.SentAt)
-	r.ejector.Answered(now, req.Pool, b)
+	b.RecordLoadReport(now, load)
+	b.ClearRefusals(c.SentAt)
+	r.ejector.RecordAnswer(now, req.Pool, b)
 	if c.Salt != "" {
-		b.PrefillPassed(c)
+		b.PrefillCompleted(c)
 		r.cache.RecordPrefill(now, now, b, cachesalt.ID(c.Salt), prompt.SharedParts(req.Parts))
 	}
 	if req.Route.Kind == config.KindStreaming {
@@ -43,20 +43,20 @@
 // learnLatency adds the latency of an answer to the statistics, once it is known that the request was
 // executed. It does so once a call.
 func (r *Router) learnLatency(now core.Time, req *request, c *brokerstate.Call) {
-	if c.Learnt() || !c.Started || !r.ejector.Measurable(c) {
+	if c.LatencyRecorded() || !c.Started || !r.ejector.LatencyMeasurable(c) {
 		return
 	}
 	pool := req.Pool
-	pool.Learn(now, c)
+	pool.RecordLatency(now, c)
 	if c.Salt != "" && pool.MedianKnown() {
-		r.cache.LearnFetch(now, c, pool.Median())
+		r.cache.RecordFetch(now, c, pool.Median())
 	}
 	if target := req.Route.TargetLatencyMs; target > 0 {
 		req.service.overload.RecordLatencyRatio(now, units.Milliseconds(now-req.Received)/target)
 	}
-	req.Class.Learn(now, c.Latency*c.Scale/req.Work)
+	req.Class.RecordLatency(now, c.Latency*c.Scale/req.RelativeWork)
 	if c.Salt != "" {
-		r.cache.Answered(&req.Request, c)
+		r.cache.RecordAnswer(&req.Request, c)
 	}
 }
 
@@ -80,10 +80,10 @@
 
 // decideAfterAttempt decides whether another attempt follows one that has ended.
 func (r *Router) decideAfterAttempt(now core.Time, req *request, outcome *Outcome, resumable bool) Decision {
-	if outcome.Answered || outcome.Canceled || req.Outstanding() {
+	if outcome.Answered || outcome.Canceled || req.HasOutstanding() {
 		return Decision{}
 	}
-	if req.Answering && !resumable && !outcome.serverError() {
+	if req.AnswerStarted && !resumable && !outcome.serverError() {
 		return Decision{}
 	}
 	return r.retry(now, req, outcome)
@@ -95,17 +95,17 @@
 	if !c.Started && r.ejector.TimedOut(now, pool, b) {
 		r.ejector.Eject(now, b, brokerstate.Unresponsive) // once this call has ended, no waiting call may show the timeout
 	}
-	if outcome.endedWithoutAnswer() && !c.Started && r.ejector.Measurable(c) {
-		pool.TeachOverdue(now, c)
+	if outcome.endedWithoutAnswer() && !c.Started && r.ejector.LatencyMeasurable(c) {
+		pool.TrainOverdue(now, c)
 		b.ObserveUnanswered(now, c, pool.Median())
 	}
 	c.Ended = true
 	c.Verdict = outcome.Verdict
 	c.Arrived = outcome.mayHaveArrived()
-	b.CallEnded(c)
-	b.ReportLoad(now, outcome.Load)
+	b.RemoveCall(c)
+	b.RecordLoadReport(now, outcome.Load)
 	if outcome.Canceled {
-		r.ejector.CallCanceled(now, c)
+		r.ejector.RecordCancellation(now, c)
 	}
 	switch {
 	case outcome.ConnectFailed:
@@ -115,11 +115,11 @@
 	}
 	switch fault, faulty := outcome.brokerFault(c); {
 	case faulty:
-		b.UnlearnLatency(c)
-		r.ejector.CallFailed(now, c, fault)
+		b.DiscardLatency(c)
+		r.ejector.RecordFailure(now, c, fault)
 	case outcome.Verdict == verdict.Ran && !outcome.Canceled:
 		r.learnLatency(now, req, c)
-		b.Health.Succeeded(now)
+		b.Health.RecordSuccess(now)
 	}
 }
 
@@ -128,12 +128,12 @@
 	req.Refused++
 	switch {
 	case r.refusedForRollout(req, b, outcome):
-		b.RefusedForRollout(now)
+		b.RecordRolloutRefusal(now)
 	case !req.Oversized:
-		b.Refused(now, outcome.RetryAfter, outcome.Load)
+		b.RecordRefusal(now, outcome.RetryAfter, outcome.Load)
 	}
 	if outcome.Status != 0 {
-		r.ejector.Answered(now, req.Pool, b)
+		r.ejector.RecordAnswer(now, req.Pool, b)
 	}
 }
 
--- a/internal/node/routing/placement/bycost.go
+++ b/internal/node/routing/placement/bycost.go
@@ -15,13 +15,13 @@
 func (p *Placer) chooseByCost(now core.Time, req *inflight.Request, s *candidate.Set) Choice {
 	owner := p.computeCosts(now, req, s.Eligible)
 	chosen, allSlow := p.bestPredictedFast(now, req, s, lowestCost)
-	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !allSlow && len(s.Eligible) > 1}
+	choice := Choice{Candidate: chosen, Reason: ByLoad, PredictionUsed: !allSlow && len(s.Eligible) > 1}
 	switch {
 	case allSlow:
 		choice.Reason = AllSlow
 	case s.AnyPredictedSlow():
 		choice.Reason = ByPrediction
-	case chosen.Cached > 0 || chosen.Broker == owner:
+	case chosen.CachedTokens > 0 || chosen.Broker == owner:
 		choice.Reason = ByAffinity
 	}
 	return choice
@@ -32,7 +32,7 @@
 func lowestCost(candidates []candidate.Candidate, includeSlow bool) *candidate.Candidate {
 	var best *candidate.Candidate
 	for i := range candidates {
-		if c := &candidates[i]; (includeSlow || !c.Slow()) && (best == nil || c.Cost < best.Cost) {
+		if c := &candidates[i]; (includeSlow || !c.PredictedSlow()) && (best == nil || c.Cost < best.Cost) {
 			best = c
 		}
 	}
@@ -66,12 +66,12 @@
 // setPlan computes how much of the prompt the candidate has to fetch and to prefill. It stores the
 // result in the cost inputs and in the candidate's Plan.
 func (v *costInputs) setPlan(req *inflight.Request, lookup *prefixcache.Lookup, c *candidate.Candidate) {
-	missing := max(lookup.SharedTokens-max(c.Cached, c.Arriving), 0)
+	missing := max(lookup.SharedTokens-max(c.CachedTokens, c.ExpectedTokens), 0)
 	v.fetchedTokens, v.fetchPerToken = lookup.Fetchable(c, missing)
 	v.sharedTokens = missing - v.fetchedTokens
 	v.repeatedTokens = max(v.sharedTokens-lookup.Version(c.Version).NewTokens, 0)
 	v.prefillTokens = max(req.TokensIn-lookup.SharedTokens, 0) + v.sharedTokens
-	v.prefillPerToken = req.Pool.PrefillPerToken(c.Broker)
+	v.prefillPerToken = req.Pool.PrefillTimePerToken(c.Broker)
 	c.Plan = candidate.Plan{
 		PrefillTokens: v.prefillTokens, SharedTokens: v.sharedTokens, RepeatedTokens: v.repeatedTokens, PrefillTime: v.prefillTime(),
 	}
--- a/internal/node/routing/placement/byload.go
+++ b/internal/node/routing/placement/byload.go
@@ -23,7 +23,7 @@
 		s.Eligible[i].TieBreak = p.tieBreak(now, req, s, &s.Eligible[i])
 	}
 	chosen, allSlow := p.bestPredictedFast(now, req, s, fewestRequests)
-	choice := Choice{Candidate: chosen, Reason: ByLoad, Predicted: !allSlow && len(s.Eligible) > 1}
+	choice := Choice{Candidate: chosen, Reason: ByLoad, PredictionUsed: !allSlow && len(s.Eligible) > 1}
 	switch {
 	case allSlow:
 		choice.Reason = AllSlow
@@ -39,7 +39,7 @@
 	var best *candidate.Candidate
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Slow() && !includeSlow {
+		if c.PredictedSlow() && !includeSlow {
 			continue
 		}
 		if best == nil || c.Broker.InFlight() < best.Broker.InFlight() ||
--- a/internal/node/routing/placement/placement.go
+++ b/internal/node/routing/placement/placement.go
@@ -35,7 +35,7 @@
 	Reason    Reason
 	// PredictionUsed reports that there were several candidates and the chosen one is predicted to
 	// be fast.
-	Predicted bool
+	PredictionUsed bool
 }
 
 // Placer chooses the broker for each request.
@@ -87,7 +87,7 @@
 		if c == nil {
 			return best(s.Eligible, true), true
 		}
-		if p.Predict(now, req, s, c); !c.Slow() {
+		if p.Predict(now, req, s, c); !c.PredictedSlow() {
 			return c, false
 		}
 	}
--- a/internal/node/routing/postpone_test.go
+++ b/internal/node/routing/postpone_test.go
@@ -15,7 +15,7 @@
 	for i := range 80 {
 		f.answerAfterPrefill(f.mustBegin(f.unsharedPrompt(200 + 40*i)))
 	}
-	assert.Assert(t, f.services[service].pool.PrefillPaceKnown())
+	assert.Assert(t, f.services[service].pool.PrefillTimeKnown())
 	return f
 }
 
--- a/internal/node/routing/prefixcache/cache.go
+++ b/internal/node/routing/prefixcache/cache.go
@@ -37,7 +37,7 @@
 
 // RecordAnswer records that a broker has answered a model request, so that it caches all parts of
 // the prompt now.
-func (c *Cache) Answered(req *inflight.Request, call *brokerstate.Call) {
+func (c *Cache) RecordAnswer(req *inflight.Request, call *brokerstate.Call) {
 	if c.observer != nil {
 		c.observer.Observed(call.Broker.Instance.ID, cachesalt.ID(call.Salt), req.Parts)
 	}
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -48,9 +48,9 @@
 	}
 	store := c.chooseStore(now, req)
 	switch {
-	case store != nil && (holder == nil || chosen.StoredTokens > holder.Cached):
+	case store != nil && (holder == nil || chosen.StoredTokens > holder.CachedTokens):
 		return store.KVStoreAddr
-	case store != nil && chosen.StoredTokens == holder.Cached && !recentlySent(holder) && c.storeFetchCompetitive(req, store, holder, chosen):
+	case store != nil && chosen.StoredTokens == holder.CachedTokens && !recentlySent(holder) && c.storeFetchCompetitive(req, store, holder, chosen):
 		return store.KVStoreAddr
 	case holder != nil:
 		return holder.Broker.Instance.Address
@@ -66,7 +66,9 @@
 
 // recentlySent reports whether the broker was sent recently all that it is believed to cache, so
 // that it surely has it.
-func recentlySent(holder *candidate.Candidate) bool { return holder.Arriving >= holder.Cached }
+func recentlySent(holder *candidate.Candidate) bool {
+	return holder.ExpectedTokens >= holder.CachedTokens
+}
 
 // storeFetchCompetitive reports whether fetching parts from the store takes so little longer than
 // from a broker that the store is preferable, because it surely has them.
@@ -77,7 +79,7 @@
 	}
 	fromStore := transferTimePerToken(engine, store.LinkMbps, transferFactor(store.Zone, chosen))
 	fromBroker := transferTimePerToken(engine, engine.LinkMbps, transferFactor(holder.Broker.Instance.Zone, chosen))
-	return fromStore-fromBroker <= outdatedIndexShare*req.Pool.PrefillPerToken(chosen.Broker)
+	return fromStore-fromBroker <= outdatedIndexShare*req.Pool.PrefillTimePerToken(chosen.Broker)
 }
 
 // transferFactor returns how many times as long a fetch from a zone to the chosen broker takes as a
@@ -122,7 +124,7 @@
 	var best *candidate.Candidate
 	for i := range eligible {
 		holder := &eligible[i]
-		if holder.Cached < chosen.Cached+MinFetchTokens || best != nil && !preferredSource(holder, best, chosen) {
+		if holder.CachedTokens < chosen.CachedTokens+MinFetchTokens || best != nil && !preferredSource(holder, best, chosen) {
 			continue
 		}
 		if c.mayFetchFrom(now, req, chosen, holder.Broker) {
@@ -135,8 +137,8 @@
 // preferredSource reports whether source is better than other: it caches more tokens, or as many in
 // the zone of the broker that fetches, as fetches between zones take twice as long.
 func preferredSource(source, other, chosen *candidate.Candidate) bool {
-	if source.Cached != other.Cached {
-		return source.Cached > other.Cached
+	if source.CachedTokens != other.CachedTokens {
+		return source.CachedTokens > other.CachedTokens
 	}
 	zone := chosen.Broker.Instance.Zone
 	return source.Broker.Instance.Zone == zone && other.Broker.Instance.Zone != zone
@@ -147,7 +149,7 @@
 // parts there. If the chosen broker joined recently, the result is the owner before it joined.
 func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
-	if !ok || chosen.Cached >= prompt.SharedTokens(req.Parts)-blockTolerance {
+	if !ok || chosen.CachedTokens >= prompt.SharedTokens(req.Parts)-blockTolerance {
 		return nil
 	}
 	key := prompt.AffinityKey(part, req.ServedModel, req.IsolatedTenant)
--- a/internal/node/routing/prefixcache/lookup.go
+++ b/internal/node/routing/prefixcache/lookup.go
@@ -54,7 +54,7 @@
 	}
 	for i := range candidates {
 		coverage := l.Version(candidates[i].Version)
-		coverage.MaxCached = max(coverage.MaxCached, candidates[i].Cached)
+		coverage.MaxCached = max(coverage.MaxCached, candidates[i].CachedTokens)
 	}
 	return l
 }
@@ -94,7 +94,7 @@
 		case holder.Store:
 			c.StoredTokens = max(c.StoredTokens, holder.Tokens)
 		case c.Broker.Instance.ID == holder.Instance:
-			c.Cached = holder.Tokens
+			c.CachedTokens = holder.Tokens
 		}
 	}
 }
@@ -115,7 +115,7 @@
 		newTokens = 0
 		for i := range prefills.brokers {
 			sent := &prefills.brokers[i]
-			if c.switches.On(mechanism.RecentPrefills) && sent.broker != nil && now < sent.sentAt+PrefillBelieved {
+			if c.switches.On(mechanism.RecentPrefills) && sent.broker != nil && now < sent.sentAt+PrefillAssumedFor {
 				markPrefill(now, candidates, sent, tokens)
 			}
 		}
@@ -131,9 +131,9 @@
 		if c.Broker != sent.broker {
 			continue
 		}
-		c.Arriving = max(c.Arriving, tokens)
+		c.ExpectedTokens = max(c.ExpectedTokens, tokens)
 		if now >= sent.readyAt {
-			c.Cached = max(c.Cached, tokens)
+			c.CachedTokens = max(c.CachedTokens, tokens)
 		}
 		return
 	}
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -11,7 +11,7 @@
 const (
 	// PrefillAssumedFor is how long a broker that was sent a part is assumed to have it. After that
 	// the index is expected to know.
-	PrefillBelieved = 2500 * time.Millisecond
+	PrefillAssumedFor = 2500 * time.Millisecond
 
 	repeatedPrefillSpan = 10 * time.Second // a part that is read again within this time counts as read repeatedly
 	maxBrokersPerPart   = 4                // brokers that are remembered for each part
@@ -81,7 +81,7 @@
 		if p.brokers[i].broker != b {
 			continue
 		}
-		if readyAt > p.brokers[i].readyAt && now < p.brokers[i].sentAt+PrefillBelieved {
+		if readyAt > p.brokers[i].readyAt && now < p.brokers[i].sentAt+PrefillAssumedFor {
 			readyAt = p.brokers[i].readyAt // it reads the part for the earlier request
 		}
 		last = i
--- a/internal/node/routing/prefixcache/stores.go
+++ b/internal/node/routing/prefixcache/stores.go
@@ -82,7 +82,7 @@
 }
 
 // RecordStoreProbe records whether a store answered a probe.
-func (c *Cache) StoreSeen(address string, alive bool) {
+func (c *Cache) RecordStoreProbe(address string, alive bool) {
 	state := c.store(address)
 	if alive && state.dead {
 		*state = storeState{}
@@ -93,7 +93,7 @@
 // RecordFetch judges a store by an answer. If consecutive answers with fetches from the store are
 // late while answers without a store are on time, the store is avoided for StoreBackoff. usual is
 // the median latency of the pool in ms.
-func (c *Cache) LearnFetch(now core.Time, call *brokerstate.Call, usual float64) {
+func (c *Cache) RecordFetch(now core.Time, call *brokerstate.Call, usual float64) {
 	late := (call.Latency-usual)*call.Scale > storeLateThreshold
 	state := c.stores[call.FetchFrom]
 	if state == nil {
--- a/internal/node/routing/request.go
+++ b/internal/node/routing/request.go
@@ -62,12 +62,12 @@
 	if r.runsModels(received.Service) && received.Model != "" {
 		req.ServedModel = received.Model
 		req.Oversized = r.oversized(&received)
-		req.IsolatedTenant = r.isolatedTenants.BoundaryOf(req.Tenant)
+		req.IsolatedTenant = r.isolatedTenants.SaltTenant(req.Tenant)
 	}
-	req.Class.Received(req.TokensIn)
+	req.Class.RecordPromptTokens(req.TokensIn)
 	req.FirstTry = req.Class.FirstTry(now, req.TimeLeft())
-	req.Work = req.Class.Work(req.TokensIn)
-	s.budget.Received(now)
+	req.RelativeWork = req.Class.Work(req.TokensIn)
+	s.budget.RecordRequest(now)
 	s.overload.RecordArrival(now, req.Urgency)
 	r.requests[req.ID] = req
 	return req
@@ -117,7 +117,7 @@
 	case len(found.Ejected) == 0:
 		return r.refuse(now, req, admission.ReasonNoBroker, core.Never)
 	}
-	ejected := found.FirstEjected()
+	ejected := found.EarliestProbe()
 	if !req.Idempotent && ejected.Broker.Health.Reason() == brokerstate.Unresponsive {
 		return r.refuse(now, req, admission.ReasonBrokersUnhealthy, core.Never) // it would be lost there, and another proxy may serve it
 	}
--- a/internal/node/routing/retry.go
+++ b/internal/node/routing/retry.go
@@ -32,11 +32,11 @@
 	switch {
 	case req.Deadline-now < admission.MinTimeLeft:
 		return admission.ReasonDeadline
-	case req.Runs() >= max(req.Route.MaxAttempts, 1), len(req.Calls) >= maxTotalAttempts:
+	case req.PossibleRuns() >= max(req.Route.MaxAttempts, 1), len(req.Calls) >= maxTotalAttempts:
 		return admission.ReasonAttemptsExhausted
 	case req.Refused >= admission.MaxRefusals(req.Urgency):
 		return admission.ReasonBrokersFull
-	case req.Arrivals() > 0 && !r.retryLimits.Affords(now, &req.service.budget, admission.RetryBudgetShare(req.Urgency)):
+	case req.PossibleArrivals() > 0 && !r.retryLimits.Allows(now, &req.service.budget, admission.RetryBudgetShare(req.Urgency)):
 		return admission.ReasonBudgetExhausted
 	}
 	return ""
--- a/internal/node/routing/retrybudget/retrybudget.go
+++ b/internal/node/routing/retrybudget/retrybudget.go
@@ -125,7 +125,7 @@
 
 // Allows reports whether one more arrival is within the given share of the allowance. If it isn't,
 // it counts as denied.
-func (l *Limits) Affords(now core.Time, b *Budget, share float64) bool {
+func (l *Limits) Allows(now core.Time, b *Budget, share float64) bool {
 	spent := b.retries.Sum(units.Milliseconds(now), units.Milliseconds(l.window))
 	if spent+1 <= share*l.allowance(now, b) {
 		return true
@@ -135,7 +135,7 @@
 }
 
 // RecordRequest counts a request of a client.
-func (b *Budget) Received(now core.Time) { b.requests.Add(units.Milliseconds(now), 1) }
+func (b *Budget) RecordRequest(now core.Time) { b.requests.Add(units.Milliseconds(now), 1) }
 
 // RecordRetry counts an arrival beyond the first of its request.
-func (b *Budget) Spend(now core.Time) { b.retries.Add(units.Milliseconds(now), 1) }
+func (b *Budget) RecordRetry(now core.Time) { b.retries.Add(units.Milliseconds(now), 1) }
--- a/internal/node/routing/retrybudget/retrybudget_test.go
+++ b/internal/node/routing/retrybudget/retrybudget_test.go
@@ -51,7 +51,7 @@
 	now := 20 * time.Second
 	count := func(share float64) int {
 		n := 0
-		for l.Affords(now, &b, share) {
+		for l.Allows(now, &b, share) {
 			b.retries.Add(units.Milliseconds(now), 1)
 			n++
 		}
--- a/internal/node/routing/rollout_test.go
+++ b/internal/node/routing/rollout_test.go
@@ -31,9 +31,9 @@
 		used   bool      // the marked brokers get requests
 	}{
 		{"few", 4, time.Minute, false},
-		{"many, recently marked", 5, brokerstate.LoadingTrusted - ms, false},
-		{"many, marked for long", 5, brokerstate.LoadingTrusted, true},
-		{"all, marked for long", 10, brokerstate.LoadingTrusted, true},
+		{"many, recently marked", 5, brokerstate.LoadingMarkExpiry - ms, false},
+		{"many, marked for long", 5, brokerstate.LoadingMarkExpiry, true},
+		{"all, marked for long", 10, brokerstate.LoadingMarkExpiry, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, instances(10))
--- a/internal/node/routing/routeclass/routeclass.go
+++ b/internal/node/routing/routeclass/routeclass.go
@@ -45,7 +45,7 @@
 }
 
 // RecordPromptTokens adds the length of a request's prompt to the average.
-func (c *Class) Received(tokens int) {
+func (c *Class) RecordPromptTokens(tokens int) {
 	if c.tokens == 0 {
 		c.tokens = float64(tokens)
 	}
@@ -77,7 +77,7 @@
 }
 
 // RecordLatency adds a latency in ms, divided by the request's work.
-func (c *Class) Learn(now core.Time, latency float64) {
+func (c *Class) RecordLatency(now core.Time, latency float64) {
 	c.latencies.Add(units.Milliseconds(now), latency)
 }
 
--- a/internal/node/routing/router.go
+++ b/internal/node/routing/router.go
@@ -62,7 +62,7 @@
 		options:  options,
 		switches: switches,
 		versions: modelversion.NewTracker(now, modelversion.Bounds{
-			SingleStretch: options.VersionGrace, AllStretches: options.VersionGraceAll, UnstableFor: options.UnstableFor,
+			SingleStablePeriod: options.VersionGrace, AllStablePeriods: options.VersionGraceAll, UnstableFor: options.UnstableFor,
 		}),
 		retryLimits:      retrybudget.NewLimits(now, options.RetryBudgetRatio, options.RetryBudgetSlack, options.BudgetWindow),
 		admissionControl: admission.New(now, switches, options.Random),
@@ -110,11 +110,11 @@
 // view dropped that machine. The grace period for older weights restarts from there. at must not be
 // later than the latest possible time of the fault; the core counts as unstable for contactMs after it
 // (RULES.md, "Stable"). Faults of disks alone don't make the core unstable.
-func (r *Router) RecordCoreInstability(now, at core.Time) { r.versions.CoreDisturbed(now, at) }
+func (r *Router) RecordCoreInstability(now, at core.Time) { r.versions.RecordDisturbance(now, at) }
 
 // RecordProcessPause records that this process was paused until now. Answers that it didn't receive meanwhile
 // don't count as timeouts of brokers, and latencies that include the pause are ignored.
-func (r *Router) RecordProcessPause(now core.Time) { r.ejector.Resumed(now) }
+func (r *Router) RecordProcessPause(now core.Time) { r.ejector.ProcessResumed(now) }
 
 // SetTable replaces the list of brokers. The state of brokers that stay in it is kept.
 func (r *Router) SetTable(now core.Time, table *registry.Table) {
@@ -163,12 +163,12 @@
 // ObserveLoad records a broker's load report that didn't come with the answer to a request.
 func (r *Router) ObserveLoad(now core.Time, instance string, load Load) {
 	if b := r.brokers[instance]; b != nil {
-		b.ReportLoad(now, &load)
+		b.RecordLoadReport(now, &load)
 	}
 }
 
 // RecordStoreHealth records whether a store answered its last health check. The last parameter, whether the
 // store lost its contents, is ignored: the index reports that as well.
 func (r *Router) RecordStoreHealth(_ core.Time, address string, alive, _ bool) {
-	r.cache.StoreSeen(address, alive)
+	r.cache.RecordStoreProbe(address, alive)
 }
--- a/internal/node/routing/send.go
+++ b/internal/node/routing/send.go
@@ -27,8 +27,8 @@
 func (r *Router) send(now core.Time, req *request, found *candidate.Set, choice placement.Choice) Decision {
 	chosen := choice.Candidate
 	b := chosen.Broker
-	if req.Arrivals() > 0 {
-		req.service.budget.Spend(now)
+	if req.PossibleArrivals() > 0 {
+		req.service.budget.RecordRetry(now)
 	}
 	call := &brokerstate.Call{
 		Number:        len(req.Calls),
@@ -37,7 +37,7 @@
 		Load:          chosen.Load,
 		Scale:         req.Class.Scale(now, req.Pool, req.TokensIn),
 		Features:      chosen.Prediction.Features,
-		PredictedFast: !chosen.Slow(),
+		PredictedFast: !chosen.PredictedSlow(),
 		Arrived:       true,
 	}
 	b.Health.BeginProbe(call)
@@ -46,7 +46,7 @@
 		Number:       call.Number,
 		Instance:     b.Instance,
 		Priority:     priorityHeader(req.Urgency),
-		ByPrediction: choice.Predicted,
+		ByPrediction: choice.PredictionUsed,
 	}
 	if req.ServedModel != "" {
 		r.setModelHeaders(now, req, found, chosen, attempt)
@@ -55,7 +55,7 @@
 		r.enqueuePrompt(now, req, call, attempt, chosen.Plan.PrefillTokens)
 	}
 	req.Calls = append(req.Calls, call)
-	b.CallSent(call)
+	b.AddCall(call)
 	attempt.HedgeAt = r.hedgeAt(now, req)
 	return Decision{Attempt: attempt}
 }
@@ -92,7 +92,7 @@
 // backlog and in the view of what brokers cache.
 func (r *Router) recordSentPrompt(
 	now core.Time, p *brokerstate.Pool, b *brokerstate.Broker, salt uint64, parts []prompt.Part, prefillTokens int,
-) brokerstate.Enqueued {
+) brokerstate.QueuePosition {
 	enqueued := p.Enqueue(now, b, prefillTokens)
 	r.cache.RecordPrefill(now, enqueued.ReadyAt, b, salt, parts)
 	return enqueued
@@ -102,8 +102,8 @@
 // the prompt was sent.
 func (r *Router) countPromptTokens(req *request, chosen *candidate.Candidate, attempt *Attempt) {
 	shared := prompt.SharedTokens(req.Parts)
-	cached := min(chosen.Cached, shared)
-	inPrefill := max(min(chosen.Arriving, shared)-cached, 0)
+	cached := min(chosen.CachedTokens, shared)
+	inPrefill := max(min(chosen.ExpectedTokens, shared)-cached, 0)
 	missing := shared - cached - inPrefill
 	fetched := max(missing-chosen.Plan.SharedTokens, 0)
 	counts := &r.counters.Prompts
--- a/internal/node/routing/store_test.go
+++ b/internal/node/routing/store_test.go
@@ -42,7 +42,7 @@
 			f.RecordStoreHealth(f.now, storeAddress, !c.storeDown, false)
 			first := f.mustBegin(f.prompt(streamRoute, 77))
 			f.answerAfterPrefill(first)
-			f.now += prefixcache.PrefillBelieved // so that the index decides and not what was sent recently
+			f.now += prefixcache.PrefillAssumedFor // so that the index decides and not what was sent recently
 			other, source := "i00", "i01"
 			if first.Instance.ID == other {
 				other = "i02"
--- a/internal/node/routing/versions_test.go
+++ b/internal/node/routing/versions_test.go
@@ -59,7 +59,7 @@
 		}
 		f := newFixture(t, list)
 		f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
-		until := f.now + 8*time.Second - modelversion.LearnMargin
+		until := f.now + 8*time.Second - modelversion.PropagationMargin
 		older := func() int {
 			n := 0
 			for part := range uint64(60) {
@@ -91,7 +91,7 @@
 			f.answerNow(a)
 		}
 		f.SetConfig(f.now, configOf(map[string]uint64{model: 2}))
-		until := f.now + 8*time.Second - modelversion.LearnMargin
+		until := f.now + 8*time.Second - modelversion.PropagationMargin
 		lead := min(max(core.Time(candidate.FirstTokenFactor*float64(latency)), candidate.MinFirstToken), candidate.MaxFirstToken)
 		f.now = until - lead*12/10 - 100*ms
 		assert.Equal(t, f.mustBegin(f.prompt(streamRoute, 8)).ExpectVersion, uint64(1))
