--- a/cmd/kestrelspread/main.go
+++ b/cmd/kestrelspread/main.go
@@ -51,11 +51,11 @@
 
 // check reads an operator's file as serve would, and describes what it switches on.
 func check(out io.Writer, operatorFile string) error {
-	settings, err := server.Settings()
+	settings, err := server.LoadSettings()
 	if err != nil {
 		return fmt.Errorf("the broker's settings are needed for the check: %w", err)
 	}
-	operator, err := extensions.Read(operatorFile, settings)
+	operator, err := extensions.ReadOperatorFile(operatorFile, settings)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	}
 	if operator.SheddingWeights != nil {
 		fmt.Fprintln(out, "order: refused first, where not all can be taken")
-		for i, line := range operator.SheddingWeights.Describe(extensions.Names(settings)) {
+		for i, line := range operator.SheddingWeights.Describe(extensions.QueryTypeAndCustomerNames(settings)) {
 			fmt.Fprintf(out, "  %d. %s\n", i+1, line)
 		}
 	}
--- a/internal/aggregator/engine/accept.go
+++ b/internal/aggregator/engine/accept.go
@@ -16,7 +16,7 @@
 func (e *Engine) Accepted(conn transport.Conn) {
 	e.Counters.Accepted++
 	e.socketCount++
-	if door := e.network.Door(conn); door > 0 {
+	if door := e.network.ListenerIndex(conn); door > 0 {
 		e.frontends[door-1].Accepted(conn)
 		return
 	}
@@ -51,7 +51,7 @@
 	e.accepting = false
 	e.Counters.AcceptPauses++
 	e.log.warn("accepting paused", format, args...)
-	e.network.Accept(false)
+	e.network.SetAccepting(false)
 	e.evictClients()
 }
 
@@ -84,7 +84,7 @@
 func (e *Engine) resumeAccepting() {
 	if !e.accepting && !e.listenersClosed && e.clientCount < e.maxClients() {
 		e.accepting, e.outOfDescriptors = true, false
-		e.network.Accept(true)
+		e.network.SetAccepting(true)
 	}
 }
 
--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -158,7 +158,7 @@
 	n := min(cap(client.pipelined)-len(client.pipelined), len(b))
 	client.pipelined = append(client.pipelined, b[:n]...)
 	if len(client.pipelined) == cap(client.pipelined) {
-		e.network.Reading(client.conn, false)
+		e.network.SetReading(client.conn, false)
 	}
 	if n < len(b) {
 		client.closeAfterResponse = true
@@ -246,7 +246,7 @@
 	}
 	pipelined := client.pipelined
 	client.pipelined = nil
-	e.network.Reading(client.conn, true)
+	e.network.SetReading(client.conn, true)
 	e.clientBytes(client, pipelined, client.pipelinedAt)
 	e.returnBuffer(pipelined)
 }
--- a/internal/aggregator/engine/client_test.go
+++ b/internal/aggregator/engine/client_test.go
@@ -87,7 +87,7 @@
 		c := w.addConn(&modelConn{client: client, open: true})
 		w.engine.Accepted(c)
 		body := `{"segments":[{"segment":0,"boost":1}],"text":"text of whole"}`
-		w.engine.Bytes(c, []byte(fmt.Sprintf("POST /api HTTP/1.1\r\nX-Call-Id: whole\r\nX-Call-Class: quick\r\n"+
+		w.engine.Received(c, []byte(fmt.Sprintf("POST /api HTTP/1.1\r\nX-Call-Id: whole\r\nX-Call-Class: quick\r\n"+
 			"X-Budget-Ms: 900\r\nContent-Length: %d\r\n\r\n%s", len(body), body)), w.now)
 	})
 	w.runUntilAnswered(client)
@@ -114,7 +114,7 @@
 		if w.conns[c] != conn {
 			t.Fatal("the connection was closed while the client was sending: the reset makes it lose the answer")
 		}
-		w.turn(func() { w.engine.Bytes(c, nil, w.now) })
+		w.turn(func() { w.engine.Received(c, nil, w.now) })
 	}
 	w.advance(lingerTimeout + 1)
 	if w.conns[c] == conn {
--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -37,19 +37,19 @@
 	// Close closes a connection immediately. Closed is not called.
 	Close(c transport.Conn)
 	// Reading enables or disables reading from a connection.
-	Reading(c transport.Conn, on bool)
+	SetReading(c transport.Conn, on bool)
 	// Accept enables or disables the accepting of client connections.
-	Accept(on bool)
+	SetAccepting(on bool)
 	// Retract discards everything written from an offset on, if the operating system has accepted
 	// none of it, and reports whether it did.
 	Retract(c transport.Conn, from int64) bool
 	// Unlisten closes the listeners. It returns false if some clients have connected but cannot be
 	// accepted yet.
-	Unlisten() (closed bool)
+	CloseListeners() (closed bool)
 	// Door returns the number of the listener that accepted a connection; 0 is the HTTP listener.
-	Door(c transport.Conn) int
+	ListenerIndex(c transport.Conn) int
 	// Arm requests a turn at the given time.
-	Arm(at float64)
+	SetTimer(at float64)
 	// Stop ends the event loop.
 	Stop()
 }
@@ -172,8 +172,8 @@
 // Policy returns the policy, or the one set by ReplacePolicy.
 func (e *Engine) Policy() policy.Decider { return e.policy }
 
-// Begin starts a turn, and with it a round of the policy: all events of the turn belong to it.
-func (e *Engine) Begin(now float64) {
+// BeginTurn starts a turn, and with it a round of the policy: all events of the turn belong to it.
+func (e *Engine) BeginTurn(now float64) {
 	e.now, e.log.now = now, now
 	e.turnRequested = false
 	e.policy.BeginRound(now)
@@ -189,11 +189,11 @@
 	}
 }
 
-// End runs the timers that are due, lets the policy decide and carries out its decisions. Results
+// EndTurn runs the timers that are due, lets the policy decide and carries out its decisions. Results
 // of these decisions are delivered in the next turn, because the policy is never called while one
 // of its own calls is in progress. again reports whether work is left for which no event will start
 // a turn.
-func (e *Engine) End() (again bool) {
+func (e *Engine) EndTurn() (again bool) {
 	e.deliverResults()
 	for len(e.timers) > 0 && e.timers[0].dueAt <= e.now {
 		e.timers.popEarliest().run(e)
@@ -227,7 +227,7 @@
 		next = min(next, e.timers[0].dueAt)
 	}
 	if !math.IsInf(next, 1) {
-		e.network.Arm(next)
+		e.network.SetTimer(next)
 	}
 	return e.turnRequested || len(e.outcomes)+len(e.probeResults) > 0 || len(e.resumedClients) > 0
 }
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -54,8 +54,8 @@
 	e.deliverResults()
 }
 
-// Bytes implements transport.Handler. It handles bytes that were received at the given time.
-func (e *Engine) Bytes(c transport.Conn, b []byte, receivedAt float64) {
+// Received implements transport.Handler. It handles bytes that were received at the given time.
+func (e *Engine) Received(c transport.Conn, b []byte, receivedAt float64) {
 	e.Counters.BytesIn += int64(len(b))
 	if client := e.endpoint(c).client; client != nil {
 		e.clientBytes(client, b, receivedAt)
@@ -144,7 +144,7 @@
 		e.close(c)
 		e.handlerClosed(c, handler, 0)
 	} else {
-		e.network.Arm(e.now + roundRetryDelay) // the round was cut short, so the timer it would have set is unknown
+		e.network.SetTimer(e.now + roundRetryDelay) // the round was cut short, so the timer it would have set is unknown
 		for _, entry := range e.entries {
 			if entry.search != nil && !entry.search.ended {
 				e.endSearch(entry.search, 500, 0, nil)
--- a/internal/aggregator/engine/front.go
+++ b/internal/aggregator/engine/front.go
@@ -192,7 +192,7 @@
 }
 
 // SetReading enables or disables reading from a front end's connection.
-func (e *Engine) SetReading(c transport.Conn, on bool) { e.network.Reading(c, on) }
+func (e *Engine) SetReading(c transport.Conn, on bool) { e.network.SetReading(c, on) }
 
 // CloseConn closes a front end's connection immediately; the handler's Closed is not called.
 func (e *Engine) CloseConn(c transport.Conn) {
--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -72,13 +72,13 @@
 	}
 }
 
-func (w *world) Reading(c transport.Conn, on bool) { w.conns[c].readingPaused = !on }
+func (w *world) SetReading(c transport.Conn, on bool) { w.conns[c].readingPaused = !on }
 
-func (w *world) Accept(on bool) { w.paused = !on }
+func (w *world) SetAccepting(on bool) { w.paused = !on }
 
-func (w *world) Door(transport.Conn) int { return 0 }
+func (w *world) ListenerIndex(transport.Conn) int { return 0 }
 
-func (w *world) Unlisten() bool { w.listenersClosed = true; return true }
+func (w *world) CloseListeners() bool { w.listenersClosed = true; return true }
 
 func (w *world) Retract(c transport.Conn, from int64) bool {
 	conn := w.conns[c]
@@ -89,7 +89,7 @@
 	return true
 }
 
-func (w *world) Arm(at float64) { w.timerAt = at }
+func (w *world) SetTimer(at float64) { w.timerAt = at }
 
 func (w *world) Stop() { w.stopped = true }
 
@@ -108,7 +108,7 @@
 // turn runs events in one turn of the engine, then the turns that it requests at once.
 func (w *world) turn(events ...func()) {
 	for first := true; first || w.engine.turnRequested; first = false {
-		w.engine.Begin(w.now)
+		w.engine.BeginTurn(w.now)
 		if first {
 			for _, event := range events {
 				event()
@@ -127,7 +127,7 @@
 				w.engine.Written(transport.Conn(c), conn.takenBytes)
 			}
 		}
-		again := w.engine.End()
+		again := w.engine.EndTurn()
 		w.deliver()
 		w.engine.turnRequested = again || len(w.failedConnects) > 0
 	}
@@ -304,7 +304,7 @@
 		if w.rng.IntN(3) == 0 {
 			n = 1 + w.rng.IntN(n)
 		}
-		w.engine.Bytes(c, slices.Clone(b[:n]), w.now)
+		w.engine.Received(c, slices.Clone(b[:n]), w.now)
 		b = b[n:]
 	}
 }
--- a/internal/aggregator/engine/shutdown.go
+++ b/internal/aggregator/engine/shutdown.go
@@ -69,7 +69,7 @@
 // cannot be accepted for want of a descriptor would be disconnected without an answer. So idle
 // clients are evicted and the closing is retried until all are accepted.
 func (e *Engine) closeListeners() {
-	if e.listenerClosePending = !e.network.Unlisten(); !e.listenerClosePending {
+	if e.listenerClosePending = !e.network.CloseListeners(); !e.listenerClosePending {
 		return
 	}
 	e.Counters.ListenerCloseRetries++
--- a/internal/aggregator/extensions/extensions.go
+++ b/internal/aggregator/extensions/extensions.go
@@ -19,9 +19,9 @@
 	"kestrelspread/internal/operator"
 )
 
-// Read reads an operator's file and checks all of it, also against the
+// ReadOperatorFile reads an operator's file and checks all of it, also against the
 // aggregator's settings. An error lists every finding.
-func Read(file string, set settings.Values) (*operator.Settings, error) {
+func ReadOperatorFile(file string, set settings.Values) (*operator.Settings, error) {
 	if file == "" {
 		return nil, errors.New("--operator names no file")
 	}
@@ -41,9 +41,9 @@
 	return s, nil
 }
 
-// Names returns the names of the query types and of the customers, in the
+// QueryTypeAndCustomerNames returns the names of the query types and of the customers, in the
 // order of the settings.
-func Names(set settings.Values) (types, customers []string) {
+func QueryTypeAndCustomerNames(set settings.Values) (types, customers []string) {
 	for i := range set.Count("classes") {
 		types = append(types, set.ItemField("classes", i, "name"))
 	}
@@ -72,7 +72,7 @@
 // file is read again, and its gRPC settings are applied as a whole or not at all.
 func Extension(file string) server.Extension {
 	return func(host *server.Host) (hooks server.Hooks, err error) {
-		s, err := Read(file, host.Settings)
+		s, err := ReadOperatorFile(file, host.Settings)
 		if err != nil {
 			return hooks, err
 		}
@@ -124,7 +124,7 @@
 	}
 	if s.SheddingWeights != nil {
 		s.SheddingWeights.Apply(host.Engine.Policy())
-		host.Log.Info().Strs("first", s.SheddingWeights.Describe(Names(host.Settings))).Msg("an order of refusals")
+		host.Log.Info().Strs("first", s.SheddingWeights.Describe(QueryTypeAndCustomerNames(host.Settings))).Msg("an order of refusals")
 	}
 }
 
@@ -171,7 +171,7 @@
 		Int("routes", g.ProxySettings.Routes.Len()).Msg("serving gRPC")
 	listen := g.Listen
 	return func() {
-		next, err := Read(file, host.Settings)
+		next, err := ReadOperatorFile(file, host.Settings)
 		switch {
 		case err != nil:
 			host.Log.Warn().Err(err).Msg("operator's file not taken over")
--- a/internal/aggregator/server/config.go
+++ b/internal/aggregator/server/config.go
@@ -92,9 +92,9 @@
 	return names
 }
 
-// Settings returns the settings of the configuration file that RELAY_CONFIG names. It serves
+// LoadSettings returns the settings of the configuration file that RELAY_CONFIG names. It serves
 // commands that check a configuration without starting an aggregator.
-func Settings() (settings.Values, error) {
+func LoadSettings() (settings.Values, error) {
 	c, err := loadConfig(true)
 	return c.settings, err
 }
--- a/internal/aggregator/settings/settings.go
+++ b/internal/aggregator/settings/settings.go
@@ -26,8 +26,8 @@
 // and its length under the path with .count appended.
 type Values map[string]string
 
-// FromFacts returns the settings in a text of lines path=value. Other lines are ignored.
-func FromFacts(text string) Values {
+// FromLines returns the settings in a text of lines path=value. Other lines are ignored.
+func FromLines(text string) Values {
 	set := Values{}
 	for line := range strings.SplitSeq(text, "\n") {
 		if key, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "="); ok {
--- a/internal/aggregator/settings/settings_test.go
+++ b/internal/aggregator/settings/settings_test.go
@@ -12,7 +12,7 @@
 	lines := "balancers=2\r\nclasses.0.aim-ms=4000.0\nclasses.0.name=full\nclasses.0.streaming=false\nclasses.count=1\n" +
 		"customers=\nfamily-info.class-need=1.0,0.5\nfamily-info.places=12\nlocalities=a,b"
 	nested, err := FromJSON([]byte(text))
-	if flat := FromFacts(lines); err != nil || !maps.Equal(nested, flat) {
+	if flat := FromLines(lines); err != nil || !maps.Equal(nested, flat) {
 		t.Errorf("error %v\nfrom JSON: %v\nfrom lines: %v", err, nested, flat)
 	}
 	if nested.Float("classes.0.aim-ms", 1) != 4000 || nested.Float("x", 7) != 7 || nested.ItemField("classes", 0, "name") != "full" ||
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -200,6 +200,6 @@
 func (in *instance) start(seed uint64, facts string) {
 	*in = instance{number: in.number, host: in.host, alive: true, indexOf: map[uint64]int{},
 		searchOfJob: map[float32]int{}, jobOfSearch: map[int]float32{}, requestsOf: map[int][]int{}, serverIndex: map[[6]byte]int{}}
-	in.port = settings.FromFacts(facts).NewPolicy(in, seed)
+	in.port = settings.FromLines(facts).NewPolicy(in, seed)
 	in.beginRound()
 }
--- a/internal/standin/simnet/conn.go
+++ b/internal/standin/simnet/conn.go
@@ -64,10 +64,10 @@
 		return
 	}
 	if c.brokerFinished {
-		c.network.Engine.Bytes(c.id, nil, c.network.NowMs)
+		c.network.Engine.Received(c.id, nil, c.network.NowMs)
 		return
 	}
-	c.network.Engine.Bytes(c.id, b, c.network.NowMs)
+	c.network.Engine.Received(c.id, b, c.network.NowMs)
 }
 
 // Close closes the connection from the side of the peer.
--- a/internal/standin/simnet/enginenet.go
+++ b/internal/standin/simnet/enginenet.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Reading implements engine.Network: it pauses or resumes reading from a connection.
-func (n *Network) Reading(id transport.Conn, on bool) {
+// SetReading implements engine.Network: it pauses or resumes reading from a connection.
+func (n *Network) SetReading(id transport.Conn, on bool) {
 	c := n.conn(id)
 	c.readPaused = !on
 	if waiting := c.unread; on && len(waiting) > 0 {
@@ -92,20 +92,20 @@
 	}
 }
 
-// Accept implements engine.Network. Connections are always accepted here.
-func (n *Network) Accept(bool) {}
+// SetAccepting implements engine.Network. Connections are always accepted here.
+func (n *Network) SetAccepting(bool) {}
 
-// Unlisten implements engine.Network: no more connections to the broker are accepted.
-func (n *Network) Unlisten() bool { n.Unreachable = true; return true }
+// CloseListeners implements engine.Network: no more connections to the broker are accepted.
+func (n *Network) CloseListeners() bool { n.Unreachable = true; return true }
 
-// Arm implements engine.Network: the broker is woken at a moment.
-func (n *Network) Arm(momentMs float64) { n.wakeAtMs = momentMs }
+// SetTimer implements engine.Network: the broker is woken at a moment.
+func (n *Network) SetTimer(momentMs float64) { n.wakeAtMs = momentMs }
 
 // Stop implements engine.Network: the broker ends.
 func (n *Network) Stop() { n.Stopped = true }
 
-// Door implements engine.Network: the number of the listening address of a connection.
-func (n *Network) Door(id transport.Conn) int { return n.conn(id).listenIndex }
+// ListenerIndex implements engine.Network: the number of the listening address of a connection.
+func (n *Network) ListenerIndex(id transport.Conn) int { return n.conn(id).listenIndex }
 
 // ConnOf is the connection of a number; nil: it was closed.
 func (n *Network) ConnOf(id transport.Conn) *PeerConn { return n.conns[id] }
--- a/internal/standin/simnet/simnet.go
+++ b/internal/standin/simnet/simnet.go
@@ -110,13 +110,13 @@
 	}
 	n.Turns++
 	n.hasMoreWork = false
-	n.Engine.Begin(n.NowMs)
+	n.Engine.BeginTurn(n.NowMs)
 	n.reportWritten()
 	for runAtMs, ok := n.events.Next(); ok && runAtMs <= n.NowMs; runAtMs, ok = n.events.Next() {
 		_, run := n.events.Take()
 		run()
 	}
-	n.hasMoreWork = n.Engine.End()
+	n.hasMoreWork = n.Engine.EndTurn()
 	n.transmitAll()
 	n.freeIDs = append(n.freeIDs, n.releasedIDs...)
 	n.releasedIDs = n.releasedIDs[:0]
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -35,8 +35,8 @@
 	return l.setEvents(c, unix.EPOLL_CTL_ADD)
 }
 
-// Door returns the number of the listener that accepted a connection.
-func (l *Loop) Door(c Conn) int { return int(l.conns[c].listenerIndex) }
+// ListenerIndex returns the number of the listener that accepted a connection.
+func (l *Loop) ListenerIndex(c Conn) int { return int(l.conns[c].listenerIndex) }
 
 // Port returns the TCP port of a listener that is open, as the system chose it if Listen was called
 // with port 0.
@@ -51,8 +51,8 @@
 	return 0
 }
 
-// Accept switches the accepting of connections on or off, for all listeners.
-func (l *Loop) Accept(on bool) {
+// SetAccepting switches the accepting of connections on or off, for all listeners.
+func (l *Loop) SetAccepting(on bool) {
 	if l.accepting == on {
 		return
 	}
@@ -76,7 +76,7 @@
 		case unix.EINTR, unix.ECONNABORTED:
 			continue
 		default: // out of descriptors or memory: retrying at once would be a busy loop
-			l.Accept(false)
+			l.SetAccepting(false)
 			l.handler.AcceptFailed()
 			return false
 		}
@@ -95,10 +95,10 @@
 	return true
 }
 
-// Unlisten accepts the connections that are already established and closes all listeners. It
+// CloseListeners accepts the connections that are already established and closes all listeners. It
 // returns false if some could not be accepted, for lack of descriptors or memory. Closing their
 // listener would reset them, so it stays open, and the caller has to try again.
-func (l *Loop) Unlisten() (closed bool) {
+func (l *Loop) CloseListeners() (closed bool) {
 	closed = true
 	for index, c := range l.listeners {
 		if c == noConn {
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -32,7 +32,7 @@
 // since it was opened.
 type Handler interface {
 	// BeginTurn starts a turn at time now.
-	Begin(now float64)
+	BeginTurn(now float64)
 	// Accepted reports that a client has connected.
 	Accepted(c Conn)
 	// AcceptFailed reports that no descriptor or memory was left to accept a client. Accepting is off
@@ -43,7 +43,7 @@
 	// Received reports that b was received on a connection; b is valid during the call. receivedAt is
 	// the kernel's time of arrival where it timestamps, else the time of the turn. A nil b reports
 	// that bytes were received after Finish and discarded.
-	Bytes(c Conn, b []byte, receivedAt float64)
+	Received(c Conn, b []byte, receivedAt float64)
 	// Written reports that the system has accepted all bytes before offset upTo for sending.
 	Written(c Conn, upTo int64)
 	// Closed reports that a connection failed to open, failed, or was closed by the other side. Bytes
@@ -55,7 +55,7 @@
 	// connection, or negative if the event has none.
 	Panicked(c Conn, reason any, stack []byte)
 	// EndTurn ends a turn. If it returns true, the next turn begins at once, without waiting for events.
-	End() (again bool)
+	EndTurn() (again bool)
 }
 
 const (
@@ -118,7 +118,7 @@
 	readBuffer, oob          []byte  // of one read: its bytes and its control messages
 	stopped                  bool
 	beforeCloseListener      func() // for tests: called between the last accept of a listener and its closing
-	Received, Sent           int64  // bytes since the start
+	BytesReceived, BytesSent int64  // bytes since the start
 	Turns                    int64  // since the start
 	Sockets                  int    // open sockets, including listeners
 }
@@ -160,8 +160,8 @@
 	unix.Write(l.eventfd, binary.NativeEndian.AppendUint64(nil, 1))
 }
 
-// Arm sets the timer so that a turn begins at a time, in place of the time set before.
-func (l *Loop) Arm(at float64) {
+// SetTimer sets the timer so that a turn begins at a time, in place of the time set before.
+func (l *Loop) SetTimer(at float64) {
 	if at == l.armedAt {
 		return
 	}
@@ -232,13 +232,13 @@
 // begin calls the handler's BeginTurn and recovers from its panic.
 func (l *Loop) begin() {
 	defer l.recoverPanic(noConn)
-	l.handler.Begin(l.now)
+	l.handler.BeginTurn(l.now)
 }
 
 // end calls the handler's EndTurn and recovers from its panic.
 func (l *Loop) end() (again bool) {
 	defer l.recoverPanic(noConn)
-	return l.handler.End()
+	return l.handler.EndTurn()
 }
 
 // recoverPanic, when deferred, recovers from a panic and reports it to the handler.
--- a/internal/transport/rare_test.go
+++ b/internal/transport/rare_test.go
@@ -68,7 +68,7 @@
 		h.endTurn = func() { turn++ }
 		h.bytes = func(c Conn, _ []byte, _ float64) {
 			if read = turn; test.stopReading {
-				h.loop.Reading(c, false)
+				h.loop.SetReading(c, false)
 			}
 		}
 		h.closed = func(Conn, int64) {
@@ -124,7 +124,7 @@
 		switch turns++; turns {
 		case 1: // far more than the socket buffers hold: the system accepts nothing more, as nobody reads
 			write(bytes.Repeat([]byte("a"), 16<<20))
-			loop.Arm(loop.Now() + 1)
+			loop.SetTimer(loop.Now() + 1)
 		case 2:
 			if !loop.conns[accepted].blocked {
 				t.Fatal("the system has accepted all 16 MiB")
@@ -161,7 +161,7 @@
 // open, and be closed by a later call, when the connection can be accepted.
 func TestListenerStaysOpenUntilItsConnectionsAreAccepted(t *testing.T) {
 	h, address := start(t)
-	h.loop.Accept(false)
+	h.loop.SetAccepting(false)
 	c := dial(t, address)
 	accepted := 0
 	h.accepted = func(Conn) { accepted++ }
@@ -178,12 +178,12 @@
 		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &exhausted); err != nil {
 			t.Fatal(err)
 		}
-		closed := h.loop.Unlisten()
+		closed := h.loop.CloseListeners()
 		unix.Setrlimit(unix.RLIMIT_NOFILE, &original)
 		if closed || accepted != 0 {
 			t.Errorf("without a descriptor: closed %v, %d connections accepted, want false and 0", closed, accepted)
 		}
-		if closed = h.loop.Unlisten(); !closed || accepted != 1 {
+		if closed = h.loop.CloseListeners(); !closed || accepted != 1 {
 			t.Errorf("with a descriptor: closed %v, %d connections accepted, want true and 1", closed, accepted)
 		}
 		h.loop.Stop()
@@ -203,7 +203,7 @@
 	turns int
 }
 
-func (p *panickingHandler) Begin(_ float64) {
+func (p *panickingHandler) BeginTurn(_ float64) {
 	if p.turns++; p.turns == 1 {
 		panic("handler failed")
 	}
@@ -232,7 +232,7 @@
 		close(dialled)
 	}
 	h.endTurn = func() {
-		if !h.loop.Unlisten() {
+		if !h.loop.CloseListeners() {
 			t.Error("the listener was not closed")
 		}
 		h.loop.Stop()
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reading switches the reading of a connection on or off. Its end is reported even while reading is
+// SetReading switches the reading of a connection on or off. Its end is reported even while reading is
 // off.
-func (l *Loop) Reading(c Conn, on bool) {
+func (l *Loop) SetReading(c Conn, on bool) {
 	if conn := &l.conns[c]; conn.readingOff == on {
 		conn.readingOff = !on
 		l.setEvents(c, unix.EPOLL_CTL_MOD)
@@ -102,11 +102,11 @@
 		}
 		l.closed(c)
 	case conn.finishing:
-		l.Received += int64(n)
-		l.handler.Bytes(c, nil, l.now)
+		l.BytesReceived += int64(n)
+		l.handler.Received(c, nil, l.now)
 	default:
-		l.Received += int64(n)
-		l.handler.Bytes(c, l.readBuffer[:n], receivedAt)
+		l.BytesReceived += int64(n)
+		l.handler.Received(c, l.readBuffer[:n], receivedAt)
 	}
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -23,13 +23,13 @@
 	notified func(what int32) // or nil: a notification stops the loop
 }
 
-func (h *testHandler) Begin(now float64)                          { h.now = now }
-func (h *testHandler) Accepted(c Conn)                            { h.accepted(c) }
-func (h *testHandler) AcceptFailed()                              {}
-func (h *testHandler) Opened(c Conn)                              { h.opened(c) }
-func (h *testHandler) Bytes(c Conn, b []byte, receivedAt float64) { h.bytes(c, b, receivedAt) }
-func (h *testHandler) Written(_ Conn, upTo int64)                 { h.upTo = upTo }
-func (h *testHandler) Closed(c Conn, upTo int64)                  { h.closed(c, upTo) }
+func (h *testHandler) BeginTurn(now float64)                         { h.now = now }
+func (h *testHandler) Accepted(c Conn)                               { h.accepted(c) }
+func (h *testHandler) AcceptFailed()                                 {}
+func (h *testHandler) Opened(c Conn)                                 { h.opened(c) }
+func (h *testHandler) Received(c Conn, b []byte, receivedAt float64) { h.bytes(c, b, receivedAt) }
+func (h *testHandler) Written(_ Conn, upTo int64)                    { h.upTo = upTo }
+func (h *testHandler) Closed(c Conn, upTo int64)                     { h.closed(c, upTo) }
 func (h *testHandler) Notified(what int32) {
 	if h.notified != nil {
 		h.notified(what)
@@ -38,7 +38,7 @@
 	h.loop.Stop()
 }
 func (h *testHandler) Panicked(Conn, any, []byte) { h.panics++ }
-func (h *testHandler) End() bool {
+func (h *testHandler) EndTurn() bool {
 	if h.endTurn != nil {
 		h.endTurn()
 	}
@@ -193,7 +193,7 @@
 	h.endTurn = func() {
 		if turns++; turns == 1 {
 			due = h.loop.Now() + 2.5
-			h.loop.Arm(due)
+			h.loop.SetTimer(due)
 		} else {
 			h.loop.Stop()
 		}
@@ -219,14 +219,14 @@
 
 func TestEstablishedConnectionsAreAcceptedBeforeListenersClose(t *testing.T) {
 	h, address := start(t)
-	h.loop.Accept(false)
+	h.loop.SetAccepting(false)
 	for range 3 {
 		dial(t, address)
 	}
 	accepted := 0
 	h.accepted = func(Conn) { accepted++ }
 	h.endTurn = func() {
-		h.loop.Unlisten()
+		h.loop.CloseListeners()
 		h.loop.Stop()
 	}
 	if err := h.loop.Run(h); err != nil || accepted != 3 {
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -116,7 +116,7 @@
 			return
 		}
 		conn.written += int64(n)
-		l.Sent += int64(n)
+		l.BytesSent += int64(n)
 		if conn.outputOffset += n; conn.outputOffset == len(conn.output[0]) {
 			l.pool.Put(conn.output[0])
 			conn.output[0], conn.output, conn.outputOffset = nil, conn.output[1:], 0
