--- a/internal/harness/faultrun/mutants_test.go
+++ b/internal/harness/faultrun/mutants_test.go
@@ -119,7 +119,7 @@
 	{point: 5, name: "the id of a broker's answer is not looked at", file: "forward/upstream/answer.go",
 		original: "		return ids[0] == id\n", mutation: "		return true\n", test: "forward"},
 	{point: 5, name: "a request that may have run is sent again", file: "routing/retry.go",
-		original: "if !outcome.Verdict.MayRepeat(req.Idempotent) || req.MayHaveRun() && !req.Idempotent {", mutation: "if false {", test: "routing"},
+		original: "if !outcome.Verdict.MayRetry(req.Idempotent) || req.MayHaveRun() && !req.Idempotent {", mutation: "if false {", test: "routing"},
 	{point: 5, name: "a promise is given though the request may have run", file: "routing/retry.go",
 		original: "	if req.MayHaveRun() {\n		return Decision{}\n", mutation: "	if false {\n		return Decision{}\n", test: "routing"},
 	{point: 5, name: "a connection is kept after a surplus answer", file: "forward/upstream/answer.go",
--- a/internal/harness/itemsize/itemsize_test.go
+++ b/internal/harness/itemsize/itemsize_test.go
@@ -154,7 +154,7 @@
 	index := kvindex.NewIndex(records)
 	random := newRandom()
 	for i := range records {
-		index.Set(fmt.Sprintf("i-%03d", i%100), 1, random.Uint64(), maxBlockTokens)
+		index.SetCachedTokens(fmt.Sprintf("i-%03d", i%100), 1, random.Uint64(), maxBlockTokens)
 	}
 	return index
 }
@@ -164,13 +164,13 @@
 	home := kvindex.NewHome(kvindex.HomeOptions{Epoch: 1, BytesPerSecond: 1 << 30})
 	home.SetSources(0, []kvindex.Source{{Instance: "i-1", Address: "10.100.0.1:9000", Service: "s", Zone: "z"}})
 	random := newRandom()
-	events := &kvindex.Events{Epoch: 1, Next: uint64(blocks)}
+	events := &kvindex.Events{Epoch: 1, NextPageToken: uint64(blocks)}
 	for range blocks {
 		events.List = append(events.List, kvindex.Event{Salt: 1, Part: random.Uint64(), Tokens: minBlockTokens + random.IntN(maxBlockTokens)})
 	}
 	for _, output := range home.Tick(time.Second) {
 		if fetch, ok := output.(core.FetchEvents); ok {
-			home.EventsDone(time.Second, fetch.Token, events, nil)
+			home.HandleEvents(time.Second, fetch.Token, events, nil)
 		}
 	}
 	home.Tick(3 * time.Second)
--- a/internal/node/agent/promptindex.go
+++ b/internal/node/agent/promptindex.go
@@ -21,7 +21,7 @@
 // promptIndex is this node's part in the index of cached prompts: what it knows, and what it publishes
 // to the others as home of some brokers.
 type promptIndex struct {
-	index            *kvindex.Guarded
+	index            *kvindex.LockedIndex
 	subscriber       *kvindex.Subscriber
 	home             *kvindex.Home
 	poller           *feed.Poller
@@ -31,14 +31,14 @@
 
 // buildIndex builds the prompt index, its subscriber and this node's home of it.
 func (a *Agent) buildIndex() {
-	index := kvindex.NewGuarded(kvindex.NewIndex(maxIndexRecords))
+	index := kvindex.NewLockedIndex(kvindex.NewIndex(maxIndexRecords))
 	a.prompts = promptIndex{
 		index:            index,
 		storeLastContact: map[string]core.Time{},
 		subscriber:       kvindex.NewSubscriber(index),
 		home:             kvindex.NewHome(kvindex.HomeOptions{Epoch: uint64(time.Now().UnixMilli())}),
 		poller: feed.New(a.options.NetworkMap, func(token uint64, events *kvindex.Events, err error) {
-			a.post(func(now core.Time) { a.prompts.home.EventsDone(now, token, events, err) })
+			a.post(func(now core.Time) { a.prompts.home.HandleEvents(now, token, events, err) })
 		}),
 	}
 }
@@ -58,7 +58,7 @@
 	a.prompts.subscriber.SetTable(table)
 	members := a.control.Members()
 	a.prompts.home.SetSubscribers(proxyAddresses(members))
-	a.prompts.home.SetSources(now, kvindex.SourcesOf(table, compiled.Stores, func(service, zone string) bool {
+	a.prompts.home.SetSources(now, kvindex.SelectSources(table, compiled.Stores, func(service, zone string) bool {
 		return indexHome(members, service, zone) == a.self.NodeId
 	}))
 }
--- a/internal/node/core/kvindex.go
+++ b/internal/node/core/kvindex.go
@@ -9,7 +9,7 @@
 // Outputs of the index of cached prefixes, and of the exchange of load hints.
 
 // FetchEvents asks a broker or store for the events of its prefix cache. The shell reports the
-// result by EventsDone with the same token. Source: PROTOCOL.md, "KV cache".
+// result by HandleEvents with the same token. Source: PROTOCOL.md, "KV cache".
 type FetchEvents struct {
 	Token    uint64
 	Instance string        // expected instance id; empty: a store
--- a/internal/node/kvindex/events.go
+++ b/internal/node/kvindex/events.go
@@ -14,9 +14,9 @@
 
 // Events is the body of a response to GET /kestrelspread/kv-events. Source: PROTOCOL.md, "KV cache".
 type Events struct {
-	Epoch uint64  `json:"epoch"`         // of the source; changes with each of its restarts
-	Next  uint64  `json:"nextPageToken"` // cursor from which the next call reads
-	List  []Event `json:"events"`
+	Epoch         uint64  `json:"epoch"`         // of the source; changes with each of its restarts
+	NextPageToken uint64  `json:"nextPageToken"` // cursor from which the next call reads
+	List          []Event `json:"events"`
 }
 
 // Event reports how many tokens of a part a holder now caches under a salt.
--- a/internal/node/kvindex/events_test.go
+++ b/internal/node/kvindex/events_test.go
@@ -17,8 +17,8 @@
 	var events Events
 	assert.NilError(t, json.Unmarshal([]byte(eventsAnswer), &events))
 	assert.DeepEqual(t, events, Events{
-		Epoch: 77120,
-		Next:  120,
+		Epoch:         77120,
+		NextPageToken: 120,
 		List: []Event{
 			{Salt: cachesalt.ID("s1"), Part: 0x5c1e07a2, Tokens: 800},
 			{Salt: cachesalt.ID("s1"), Part: 0x91bd3f06, Tokens: 128},
--- a/internal/node/kvindex/feed/poller_test.go
+++ b/internal/node/kvindex/feed/poller_test.go
@@ -45,7 +45,7 @@
 	}, core.FetchEvents{Token: 3, Instance: "i-1", Since: 118, Wait: 800 * time.Millisecond})
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.token, uint64(3))
-	assert.Equal(t, got.events.Next, uint64(119))
+	assert.Equal(t, got.events.NextPageToken, uint64(119))
 	assert.Equal(t, got.events.List[0].Part, uint64(0x5c1e07a2))
 }
 
--- a/internal/node/kvindex/home.go
+++ b/internal/node/kvindex/home.go
@@ -182,9 +182,9 @@
 	return core.Send{Destination: address, Message: &nodepb.Envelope{Body: &nodepb.Envelope_IndexUpdate{IndexUpdate: update}}}
 }
 
-// EventsDone handles the result of a call: its events or an error. The result of a call that is no
+// HandleEvents handles the result of a call: its events or an error. The result of a call that is no
 // longer pending is ignored.
-func (h *Home) EventsDone(now core.Time, callID uint64, events *Events, err error) {
+func (h *Home) HandleEvents(now core.Time, callID uint64, events *Events, err error) {
 	s := h.sourceOfCall(callID)
 	if s == nil {
 		return
--- a/internal/node/kvindex/index.go
+++ b/internal/node/kvindex/index.go
@@ -110,8 +110,8 @@
 	return uint32(len(x.holders) - 1)
 }
 
-// Set records how many tokens of a part the named holder caches under a salt; 0 removes the record.
-func (x *Index) Set(name string, salt, part uint64, tokens int) {
+// SetCachedTokens records how many tokens of a part the named holder caches under a salt; 0 removes the record.
+func (x *Index) SetCachedTokens(name string, salt, part uint64, tokens int) {
 	key := recordKey(salt, part)
 	if tokens > 0 {
 		x.put(key, x.holderNumber(name), uint32(tokens))
--- a/internal/node/kvindex/index_test.go
+++ b/internal/node/kvindex/index_test.go
@@ -35,8 +35,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			index := NewIndex(100)
 			for part, tokens := range test.cached {
-				index.Set("i-1", saltA, part, tokens)
-				index.Set("i-2", saltB, part, tokens)
+				index.SetCachedTokens("i-1", saltA, part, tokens)
+				index.SetCachedTokens("i-2", saltB, part, tokens)
 			}
 			found := index.Holders(saltA, promptParts)
 			if test.tokens == 0 {
@@ -50,10 +50,10 @@
 
 func TestHoldersAreOrderedAndStoresNamedByAddress(t *testing.T) {
 	index := NewIndex(100)
-	index.Set("i-2", saltA, 1, 800)
-	index.Set("i-1", saltA, 1, 800)
-	index.Set(StoreName("10.0.0.1:80"), saltA, 1, 800)
-	index.Set(StoreName("10.0.0.1:80"), saltA, 2, 410)
+	index.SetCachedTokens("i-2", saltA, 1, 800)
+	index.SetCachedTokens("i-1", saltA, 1, 800)
+	index.SetCachedTokens(StoreName("10.0.0.1:80"), saltA, 1, 800)
+	index.SetCachedTokens(StoreName("10.0.0.1:80"), saltA, 2, 410)
 	assert.DeepEqual(t, index.Holders(saltA, promptParts), []prefixcache.Holder{
 		{Instance: "10.0.0.1:80", Store: true, Tokens: 1210},
 		{Instance: "i-1", Tokens: 800},
@@ -65,23 +65,23 @@
 	index := NewIndex(100)
 	index.Observed("i-1", saltA, promptParts)
 	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 1460)
-	index.Set("i-1", saltA, 2, 0)
+	index.SetCachedTokens("i-1", saltA, 2, 0)
 	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 800)
 	index.InvalidateHolder("i-1")
 	assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
-	index.Set("i-1", saltA, 1, 800)
+	index.SetCachedTokens("i-1", saltA, 1, 800)
 	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 800)
 	index.RemoveHolder("i-1")
 	assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
-	index.Set("i-1", saltA, 1, 0)
+	index.SetCachedTokens("i-1", saltA, 1, 0)
 	assert.Equal(t, len(index.holderByName), 0)
 }
 
 func TestIndexIsBoundedAndKeepsReferencedRecords(t *testing.T) {
 	index := NewIndex(64)
-	index.Set("i-1", saltA, 1, 800)
+	index.SetCachedTokens("i-1", saltA, 1, 800)
 	for part := range uint64(1000) {
-		index.Set("i-2", saltA, 1000+part, 100)
+		index.SetCachedTokens("i-2", saltA, 1000+part, 100)
 		assert.Equal(t, len(index.Holders(saltA, promptParts[:1])), 1, "after %d further parts", part)
 		assert.Assert(t, index.RecordCount() <= 64)
 	}
@@ -92,7 +92,7 @@
 	index := NewIndex(16)
 	for incarnation := range 200 {
 		name := string(rune('a' + incarnation%26))
-		index.Set(name, saltA, 1, 100)
+		index.SetCachedTokens(name, saltA, 1, 100)
 		index.RemoveHolder(name)
 		assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
 	}
@@ -121,7 +121,7 @@
 				index.RemoveHolder(name)
 				model[name] = nil
 			default:
-				index.Set(name, saltA, part, tokens)
+				index.SetCachedTokens(name, saltA, part, tokens)
 				model[name][part] = tokens
 			}
 		}
@@ -154,7 +154,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for part := range uint64(2000) {
 		for range 4 {
-			index.Set(string(rune('a'+random.IntN(18))), saltA, part, 500)
+			index.SetCachedTokens(string(rune('a'+random.IntN(18))), saltA, part, 500)
 		}
 	}
 	b.ReportAllocs()
--- a/internal/node/kvindex/propagation_test.go
+++ b/internal/node/kvindex/propagation_test.go
@@ -32,7 +32,7 @@
 
 // testSubscriber is a subscriber and its index.
 type testSubscriber struct {
-	index      *Guarded
+	index      *LockedIndex
 	subscriber *Subscriber
 }
 
@@ -57,7 +57,7 @@
 	}
 	var addresses []string
 	for i := range subscribers {
-		index := NewGuarded(NewIndex(10000))
+		index := NewLockedIndex(NewIndex(10000))
 		address := fmt.Sprintf("sub-%d", i)
 		addresses = append(addresses, address)
 		s.subscribers[address] = &testSubscriber{index: index, subscriber: NewSubscriber(index)}
@@ -130,14 +130,14 @@
 	source := s.sources[fetch.Address]
 	source.fetches++
 	if source.unreachable {
-		s.home.EventsDone(s.now, fetch.Token, nil, errors.New("source is unreachable"))
+		s.home.HandleEvents(s.now, fetch.Token, nil, errors.New("source is unreachable"))
 		return
 	}
-	events := &Events{Epoch: source.epoch, Next: uint64(len(source.events))}
+	events := &Events{Epoch: source.epoch, NextPageToken: uint64(len(source.events))}
 	if since := int(fetch.Since); since < len(source.events) {
 		events.List = source.events[since:]
 	}
-	s.home.EventsDone(s.now, fetch.Token, events, nil)
+	s.home.HandleEvents(s.now, fetch.Token, events, nil)
 }
 
 // expectCached asserts that every subscriber's index reports the token count for a part at a holder.
@@ -247,7 +247,7 @@
 		s.sources["a:1"].set(saltA, 6, 64+s.random.IntN(1000))
 		s.run(time.Second)
 	}
-	index := NewGuarded(NewIndex(100))
+	index := NewLockedIndex(NewIndex(100))
 	s.subscribers["late"] = &testSubscriber{index: index, subscriber: NewSubscriber(index)}
 	s.home.SetSubscribers([]string{"sub-0", "sub-1", "late"})
 	s.sources["a:1"].set(saltA, 6, 640)
--- a/internal/node/kvindex/source.go
+++ b/internal/node/kvindex/source.go
@@ -105,7 +105,7 @@
 			return reset, nil
 		}
 	}
-	s.cursor = events.Next
+	s.cursor = events.NextPageToken
 	for _, event := range events.List {
 		key := partKey{event.Salt, event.Part}
 		if s.recordPart(key, uint32(event.Tokens)) {
--- a/internal/node/kvindex/sources.go
+++ b/internal/node/kvindex/sources.go
@@ -5,9 +5,9 @@
 	"kestrelspread/internal/node/registry"
 )
 
-// SourcesOf returns the stores, and the brokers that serve models, of the (service, zone) pairs for which
+// SelectSources returns the stores, and the brokers that serve models, of the (service, zone) pairs for which
 // isHome holds. The order of the list is random.
-func SourcesOf(table *registry.Table, stores []*config.Service, isHome func(service, zone string) bool) []Source {
+func SelectSources(table *registry.Table, stores []*config.Service, isHome func(service, zone string) bool) []Source {
 	var list []Source
 	for service, instances := range table.ByService {
 		for _, instance := range instances {
--- a/internal/node/kvindex/sources_test.go
+++ b/internal/node/kvindex/sources_test.go
@@ -21,7 +21,7 @@
 		"labels": {{ID: "i-4", Address: "a:4", Zone: "z1"}},
 	}}
 	stores := []*config.Service{{Name: "store", KVStoreAddr: "s:1", Zone: "z1"}, {Name: "far", KVStoreAddr: "s:2", Zone: "z2"}}
-	list := SourcesOf(table, stores, func(_, zone string) bool { return zone == "z1" })
+	list := SelectSources(table, stores, func(_, zone string) bool { return zone == "z1" })
 	assert.DeepEqual(t, list, []Source{
 		{Instance: "i-1", Address: "a:1", Service: "llm", Zone: "z1"},
 		{Address: "s:1", Service: "store", Zone: "z1"},
@@ -45,8 +45,8 @@
 				next++
 				events.List = append(events.List, Event{Salt: saltA, Part: next, Tokens: 100})
 			}
-			events.Next = next
-			home.EventsDone(now, fetch.Token, events, nil)
+			events.NextPageToken = next
+			home.HandleEvents(now, fetch.Token, events, nil)
 		}
 		assert.Assert(t, len(home.sources["i-1"].cached) <= maxCachedParts)
 	}
--- a/internal/node/kvindex/subscriber.go
+++ b/internal/node/kvindex/subscriber.go
@@ -29,13 +29,13 @@
 
 // Subscriber applies the broadcasts of homes to an index. It is not safe for concurrent use.
 type Subscriber struct {
-	index    *Guarded
+	index    *LockedIndex
 	topics   map[topicKey]*subscription
 	versions map[string]map[string]uint64 // versions of the weights in the latest table, by instance id and model
 }
 
 // NewSubscriber returns a subscriber that has received no update and applies updates to the index.
-func NewSubscriber(index *Guarded) *Subscriber {
+func NewSubscriber(index *LockedIndex) *Subscriber {
 	return &Subscriber{index: index, topics: map[topicKey]*subscription{}, versions: map[string]map[string]uint64{}}
 }
 
@@ -88,7 +88,7 @@
 		forEachChange(update, func(name string, salt, part uint64, tokens uint32) {
 			t.holders[name] = true
 			if part != entireHolder {
-				index.Set(name, salt, part, int(tokens))
+				index.SetCachedTokens(name, salt, part, int(tokens))
 				return
 			}
 			if tokens == cacheLost {
--- a/internal/node/routing/retry.go
+++ b/internal/node/routing/retry.go
@@ -11,7 +11,7 @@
 
 // retry decides on a further attempt for a request all of whose attempts have ended.
 func (r *Router) retry(now core.Time, req *request, outcome *Outcome) Decision {
-	if !outcome.Verdict.MayRepeat(req.Idempotent) || req.MayHaveRun() && !req.Idempotent {
+	if !outcome.Verdict.MayRetry(req.Idempotent) || req.MayHaveRun() && !req.Idempotent {
 		return Decision{}
 	}
 	reason := r.retryObstacle(now, req)
@@ -55,7 +55,7 @@
 }
 
 // giveUp ends a request that gets no further attempt. It refuses the request only if that can't have
-// run, because a refusal promises this to the client (verdict.MayPromise). Otherwise the caller
+// run, because a refusal promises this to the client (verdict.MayReportNotRun). Otherwise the caller
 // answers with what it has.
 func (r *Router) giveUp(now core.Time, req *request, reason RefusalReason) Decision {
 	if req.MayHaveRun() {
--- a/internal/node/verdict/verdict.go
+++ b/internal/node/verdict/verdict.go
@@ -17,13 +17,13 @@
 	Ran
 )
 
-// MayRepeat reports whether the request may be sent to another receiver: always if it did not run,
+// MayRetry reports whether the request may be sent to another receiver: always if it did not run,
 // otherwise only if its route permits it to run more than once (idempotent).
-func (v Verdict) MayRepeat(idempotent bool) bool { return v == NotRun || idempotent }
+func (v Verdict) MayRetry(idempotent bool) bool { return v == NotRun || idempotent }
 
-// MayPromise reports whether the client may receive a status that guarantees that the request did not
+// MayReportNotRun reports whether the client may receive a status that guarantees that the request did not
 // run (408, 421, 429, 503).
-func (v Verdict) MayPromise() bool { return v == NotRun }
+func (v Verdict) MayReportNotRun() bool { return v == NotRun }
 
 // String returns the verdict's name for log lines.
 func (v Verdict) String() string {
