--- a/internal/node/kvindex/changes.go
+++ b/internal/node/kvindex/changes.go
@@ -42,9 +42,9 @@
 	return changes
 }
 
-// eachChange decodes the changes of an update and calls apply for each. Changes before the first holder
+// forEachChange decodes the changes of an update and calls apply for each. Changes before the first holder
 // are malformed and skipped.
-func eachChange(update *nodepb.IndexUpdate, apply func(holder string, salt, part uint64, tokens uint32)) {
+func forEachChange(update *nodepb.IndexUpdate, apply func(holder string, salt, part uint64, tokens uint32)) {
 	holder, salt := "", uint64(0)
 	for _, change := range update.Changes {
 		if change.Instance != "" {
--- a/internal/node/kvindex/events.go
+++ b/internal/node/kvindex/events.go
@@ -10,7 +10,7 @@
 )
 
 // ErrEvent says that an event is malformed.
-var ErrEvent = errors.New("kvindex: malformed event")
+var ErrMalformedEvent = errors.New("kvindex: malformed event")
 
 // Events is the answer to GET /kestrelspread/kv-events. Source: PROTOCOL.md, "KV cache".
 type Events struct {
@@ -39,10 +39,10 @@
 func (e *Event) UnmarshalJSON(text []byte) error {
 	var fields []json.RawMessage
 	if err := json.Unmarshal(text, &fields); err != nil {
-		return fmt.Errorf("%w: decode cache event: %w", ErrEvent, err)
+		return fmt.Errorf("%w: decode cache event: %w", ErrMalformedEvent, err)
 	}
 	if len(fields) < minFields {
-		return fmt.Errorf("%w: decode cache event: %d fields, at least %d expected", ErrEvent, len(fields), minFields)
+		return fmt.Errorf("%w: decode cache event: %d fields, at least %d expected", ErrMalformedEvent, len(fields), minFields)
 	}
 	var sign, salt, part string
 	for _, field := range []struct {
@@ -50,19 +50,19 @@
 		text  *string
 	}{{fieldSign, &sign}, {fieldSalt, &salt}, {fieldPart, &part}} {
 		if err := json.Unmarshal(fields[field.index], field.text); err != nil {
-			return fmt.Errorf("%w: decode cache event: field %d: %w", ErrEvent, field.index, err)
+			return fmt.Errorf("%w: decode cache event: field %d: %w", ErrMalformedEvent, field.index, err)
 		}
 	}
 	tokens, err := strconv.Atoi(string(fields[fieldTokens]))
 	if err != nil {
-		return fmt.Errorf("%w: decode cache event: tokens: %w", ErrEvent, err)
+		return fmt.Errorf("%w: decode cache event: tokens: %w", ErrMalformedEvent, err)
 	}
 	partID, err := strconv.ParseUint(part, 16, 64)
 	if err != nil {
-		return fmt.Errorf("%w: decode cache event: part: %w", ErrEvent, err)
+		return fmt.Errorf("%w: decode cache event: part: %w", ErrMalformedEvent, err)
 	}
 	if sign != "+" && sign != "-" {
-		return fmt.Errorf("%w: decode cache event: sign %q", ErrEvent, sign)
+		return fmt.Errorf("%w: decode cache event: sign %q", ErrMalformedEvent, sign)
 	}
 	*e = Event{Salt: cachesalt.ID(salt), Part: partID, Tokens: max(tokens, 0)}
 	return nil
--- a/internal/node/kvindex/feed/poller.go
+++ b/internal/node/kvindex/feed/poller.go
@@ -33,7 +33,7 @@
 )
 
 // errNoEvents says that a call failed.
-var errNoEvents = errors.New("kvindex: no events")
+var errFetchFailed = errors.New("kvindex: no events")
 
 // Poller makes the calls. It is safe for concurrent use.
 type Poller struct {
@@ -65,12 +65,12 @@
 	path := eventsPath + "?since=" + strconv.FormatUint(call.Since, 10)
 	request, err := brokercall.NewRequest(ctx, http.MethodGet, call.Address, path, call.Instance, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: events of %s: build request: %w", errNoEvents, call.Address, err)
+		return nil, fmt.Errorf("%w: events of %s: build request: %w", errFetchFailed, call.Address, err)
 	}
 	request.Header.Set(waitHeader, strconv.FormatInt(call.Wait.Milliseconds(), 10))
 	events := &kvindex.Events{}
 	if err := brokercall.FetchJSON(p.client, request, maxResponseBytes, events); err != nil {
-		return nil, fmt.Errorf("%w: events of %s: %w", errNoEvents, call.Address, err)
+		return nil, fmt.Errorf("%w: events of %s: %w", errFetchFailed, call.Address, err)
 	}
 	return events, nil
 }
--- a/internal/node/kvindex/home.go
+++ b/internal/node/kvindex/home.go
@@ -29,13 +29,13 @@
 // Home polls the events of the brokers and stores whose home this node is, and broadcasts the changes.
 // It is not safe for concurrent use.
 type Home struct {
-	options     HomeOptions
-	topics      map[topicKey]*topic
-	sources     map[string]*source // by name
-	subscribers []string           // internal addresses
-	lastCallID  uint64
-	lastNumber  uint64 // of the newest source
-	deadline    core.Time
+	options          HomeOptions
+	topics           map[topicKey]*topic
+	sources          map[string]*source // by name
+	subscribers      []string           // internal addresses
+	lastCallID       uint64
+	lastSourceNumber uint64 // of the newest source
+	deadline         core.Time
 }
 
 // NewHome returns a home without sources and subscribers.
@@ -87,8 +87,8 @@
 
 // addSource adds a source, and its topic if it is the first of that.
 func (h *Home) addSource(now core.Time, item Source) {
-	h.lastNumber++
-	s := &source{Source: item, number: h.lastNumber, cached: map[partKey]cachedPart{}, nextCallAt: now + h.stagger()}
+	h.lastSourceNumber++
+	s := &source{Source: item, number: h.lastSourceNumber, cached: map[partKey]cachedPart{}, nextCallAt: now + h.initialDelay()}
 	h.sources[item.name()] = s
 	key := topicKey{item.Service, item.Zone}
 	t := h.topics[key]
@@ -99,10 +99,10 @@
 	t.sources = append(t.sources, s)
 }
 
-// stagger spreads the first calls of the sources over an interval.
-func (h *Home) stagger() time.Duration {
+// initialDelay spreads the first calls of the sources over an interval.
+func (h *Home) initialDelay() time.Duration {
 	const steps = 8
-	return time.Duration(h.lastNumber%steps) * eventPollInterval / steps
+	return time.Duration(h.lastSourceNumber%steps) * eventPollInterval / steps
 }
 
 // removeSource removes a source, if it is known, and its topic with the last one.
@@ -188,7 +188,7 @@
 		return
 	}
 	if err != nil || events == nil {
-		s.backOff(now)
+		s.handleFailure(now)
 	} else {
 		reset, changed := s.handleEvents(events, now)
 		t := h.topics[topicKey{s.Service, s.Zone}]
--- a/internal/node/kvindex/index.go
+++ b/internal/node/kvindex/index.go
@@ -40,7 +40,7 @@
 	recordCount int    // of all incarnations
 	gone        bool
 	// The match of the query with the number `query`; other queries reset it.
-	query         uint64
+	matchedQuery  uint64
 	completeParts int // parts cached completely, from the first one on
 	matchedTokens int // tokens cached without a gap, from the first one on
 }
@@ -59,7 +59,7 @@
 	holders        []holder // by number
 	freeHolders    []uint32 // numbers of holders that are gone and have no records
 	holderByName   map[string]uint32
-	query          uint64               // number of the latest query
+	lastQuery      uint64               // number of the latest query
 	results        []prefixcache.Holder // of the latest query
 	matchedHolders []uint32             // numbers of the holders that the latest query matched
 }
@@ -73,9 +73,9 @@
 	}
 }
 
-// keyOf hashes salt and part to 64 bits (the finaliser of splitmix64). A collision makes a wrong hint,
+// recordKey hashes salt and part to 64 bits (the finaliser of splitmix64). A collision makes a wrong hint,
 // no more.
-func keyOf(salt, part uint64) uint64 {
+func recordKey(salt, part uint64) uint64 {
 	x := salt ^ part*0x9e3779b97f4a7c15
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -109,7 +109,7 @@
 
 // Set records how many tokens of a part a holder caches under a salt; 0 removes the record.
 func (x *Index) Set(name string, salt, part uint64, tokens int) {
-	key := keyOf(salt, part)
+	key := recordKey(salt, part)
 	if tokens > 0 {
 		x.put(key, x.holderNumber(name), uint32(tokens))
 		return
@@ -131,20 +131,20 @@
 	number := x.holderNumber(name)
 	for _, part := range parts {
 		if part.Tokens > 0 {
-			x.put(keyOf(salt, part.ID), number, uint32(part.Tokens))
+			x.put(recordKey(salt, part.ID), number, uint32(part.Tokens))
 		}
 	}
 }
 
-// Reset drops all that a holder caches, as after its restart or the load of new weights.
-func (x *Index) Reset(name string) {
+// InvalidateHolder drops all that a holder caches, as after its restart or the load of new weights.
+func (x *Index) InvalidateHolder(name string) {
 	if number, ok := x.holderByName[name]; ok {
 		x.holders[number].incarnation++
 	}
 }
 
-// Forget drops a holder that is gone.
-func (x *Index) Forget(name string) {
+// RemoveHolder drops a holder that is gone.
+func (x *Index) RemoveHolder(name string) {
 	number, ok := x.holderByName[name]
 	if !ok {
 		return
@@ -162,8 +162,8 @@
 	}
 }
 
-// Records returns the number of records, stale ones included.
-func (x *Index) Records() int {
+// RecordCount returns the number of records, stale ones included.
+func (x *Index) RecordCount() int {
 	count := 0
 	for i := range x.holders {
 		count += x.holders[i].recordCount
--- a/internal/node/kvindex/index_test.go
+++ b/internal/node/kvindex/index_test.go
@@ -65,11 +65,11 @@
 	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 1460)
 	index.Set("i-1", saltA, 2, 0)
 	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 800)
-	index.Reset("i-1")
+	index.InvalidateHolder("i-1")
 	assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
 	index.Set("i-1", saltA, 1, 800)
 	assert.Equal(t, index.Holders(saltA, promptParts)[0].Tokens, 800)
-	index.Forget("i-1")
+	index.RemoveHolder("i-1")
 	assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
 	index.Set("i-1", saltA, 1, 0)
 	assert.Equal(t, len(index.holderByName), 0)
@@ -81,9 +81,9 @@
 	for part := range uint64(1000) {
 		index.Set("i-2", saltA, 1000+part, 100)
 		assert.Equal(t, len(index.Holders(saltA, promptParts[:1])), 1, "after %d", part)
-		assert.Assert(t, index.Records() <= 64)
+		assert.Assert(t, index.RecordCount() <= 64)
 	}
-	assert.Equal(t, len(index.headByKey), index.Records())
+	assert.Equal(t, len(index.headByKey), index.RecordCount())
 }
 
 func TestNumbersOfForgottenHoldersAreReused(t *testing.T) {
@@ -91,7 +91,7 @@
 	for incarnation := range 200 {
 		name := string(rune('a' + incarnation%26))
 		index.Set(name, saltA, 1, 100)
-		index.Forget(name)
+		index.RemoveHolder(name)
 		assert.Equal(t, len(index.Holders(saltA, promptParts)), 0)
 	}
 	assert.Assert(t, len(index.holders) <= 40, "%d", len(index.holders))
@@ -113,10 +113,10 @@
 			tokens := 16 * random.IntN(60)
 			switch random.IntN(12) {
 			case 0:
-				index.Reset(name)
+				index.InvalidateHolder(name)
 				model[name] = nil
 			case 1:
-				index.Forget(name)
+				index.RemoveHolder(name)
 				model[name] = nil
 			default:
 				index.Set(name, saltA, part, tokens)
--- a/internal/node/kvindex/lookup.go
+++ b/internal/node/kvindex/lookup.go
@@ -12,10 +12,10 @@
 // part counts only if every part before it is cached completely (PROTOCOL.md, "Requests"). The list
 // is valid until the next call.
 func (x *Index) Holders(salt uint64, parts []prompt.Part) []prefixcache.Holder {
-	x.query++
+	x.lastQuery++
 	x.matchedHolders = x.matchedHolders[:0]
 	for position, part := range parts {
-		if !x.extendMatches(position, keyOf(salt, part.ID), part.Tokens) {
+		if !x.extendMatches(position, recordKey(salt, part.ID), part.Tokens) {
 			break
 		}
 	}
@@ -53,11 +53,11 @@
 // the first part becomes a match of the query.
 func (x *Index) matchesUpTo(position int, number uint32) bool {
 	h := &x.holders[number]
-	if h.query != x.query {
+	if h.matchedQuery != x.lastQuery {
 		if position > 0 {
 			return false
 		}
-		h.query, h.completeParts, h.matchedTokens = x.query, 0, 0
+		h.matchedQuery, h.completeParts, h.matchedTokens = x.lastQuery, 0, 0
 		x.matchedHolders = append(x.matchedHolders, number)
 	}
 	return h.completeParts == position
--- a/internal/node/kvindex/propagation_test.go
+++ b/internal/node/kvindex/propagation_test.go
@@ -31,8 +31,8 @@
 }
 
 type testSubscriber struct {
-	index *Guarded
-	core  *Subscriber
+	index      *Guarded
+	subscriber *Subscriber
 }
 
 // testSource is a broker or store that caches parts and reports events of them.
@@ -58,7 +58,7 @@
 		index := NewGuarded(NewIndex(10000))
 		address := fmt.Sprintf("sub-%d", i)
 		addresses = append(addresses, address)
-		s.subscribers[address] = &testSubscriber{index: index, core: NewSubscriber(index)}
+		s.subscribers[address] = &testSubscriber{index: index, subscriber: NewSubscriber(index)}
 	}
 	s.home.SetSubscribers(addresses)
 	return s
@@ -112,7 +112,7 @@
 	switch body := send.Message.Body.(type) {
 	case *nodepb.Envelope_IndexUpdate:
 		s.receivedChanges += len(body.IndexUpdate.Changes)
-		s.deliver(s.subscribers[send.Destination].core.HandleUpdate(s.now, from, body.IndexUpdate), core.Peer{Address: send.Destination})
+		s.deliver(s.subscribers[send.Destination].subscriber.HandleUpdate(s.now, from, body.IndexUpdate), core.Peer{Address: send.Destination})
 	case *nodepb.Envelope_IndexPoll:
 		s.deliver(s.home.HandlePoll(s.now, from, body.IndexPoll), core.Peer{Address: "home"})
 	}
@@ -240,7 +240,7 @@
 		s.run(time.Second)
 	}
 	index := NewGuarded(NewIndex(100))
-	s.subscribers["late"] = &testSubscriber{index: index, core: NewSubscriber(index)}
+	s.subscribers["late"] = &testSubscriber{index: index, subscriber: NewSubscriber(index)}
 	s.home.SetSubscribers([]string{"sub-0", "sub-1", "late"})
 	s.sources["a:1"].set(saltA, 6, 640)
 	s.run(3 * time.Second)
@@ -294,7 +294,7 @@
 
 func TestNewWeightsOrDepartureDropCachedParts(t *testing.T) {
 	s := newSimulation(t, 1, 1)
-	subscriber, index := s.subscribers["sub-0"].core, s.subscribers["sub-0"].index
+	subscriber, index := s.subscribers["sub-0"].subscriber, s.subscribers["sub-0"].index
 	parts := []prompt.Part{{ID: 5, Tokens: 800}}
 	table := func(version uint64) *registry.Table {
 		return &registry.Table{ByID: map[string]*registry.Instance{
--- a/internal/node/kvindex/recentparts.go
+++ b/internal/node/kvindex/recentparts.go
@@ -9,8 +9,8 @@
 	newer, older map[partKey]bool
 }
 
-// recordAndTest records that a part was seen, and reports whether it had been seen lately.
-func (r *recentParts) recordAndTest(key partKey) bool {
+// checkAndRecord records that a part was seen, and reports whether it had been seen lately.
+func (r *recentParts) checkAndRecord(key partKey) bool {
 	if r.newer[key] {
 		return true
 	}
--- a/internal/node/kvindex/source.go
+++ b/internal/node/kvindex/source.go
@@ -76,8 +76,8 @@
 	return s.nextCallAt
 }
 
-// backOff ends a failed call.
-func (s *source) backOff(now core.Time) {
+// handleFailure ends a failed call.
+func (s *source) handleFailure(now core.Time) {
 	s.callID = 0
 	s.nextCallAt = now + min(minBackoff<<min(s.failures, 10), maxBackoff)
 	s.failures++
--- a/internal/node/kvindex/subscriber.go
+++ b/internal/node/kvindex/subscriber.go
@@ -82,14 +82,14 @@
 		if update.Complete {
 			t.reset(index)
 		}
-		eachChange(update, func(name string, salt, part uint64, tokens uint32) {
+		forEachChange(update, func(name string, salt, part uint64, tokens uint32) {
 			t.holders[name] = true
 			if part != entireHolder {
 				index.Set(name, salt, part, int(tokens))
 				return
 			}
 			if tokens == cacheLost {
-				index.Reset(name)
+				index.InvalidateHolder(name)
 			}
 			if address, ok := storeAddress(name); ok {
 				outputs = append(outputs, core.StoreContacted{Address: address, ContentsLost: tokens == cacheLost})
@@ -102,7 +102,7 @@
 // reset drops all that the topic's earlier updates named, as a snapshot replaces them.
 func (t *subscription) reset(index *Index) {
 	for name := range t.holders {
-		index.Reset(name)
+		index.InvalidateHolder(name)
 	}
 	clear(t.holders)
 }
@@ -112,21 +112,21 @@
 func (s *Subscriber) SetTable(table *registry.Table) {
 	for id := range s.versions {
 		if table.ByID[id] == nil {
-			s.forget(id)
+			s.removeBroker(id)
 		}
 	}
 	for id, instance := range table.ByID {
 		if known, ok := s.versions[id]; ok && !maps.Equal(known, instance.Versions) {
-			s.index.Update(func(index *Index) { index.Reset(id) })
+			s.index.Update(func(index *Index) { index.InvalidateHolder(id) })
 		}
 		s.versions[id] = instance.Versions
 	}
 }
 
-// forget drops a broker that is gone.
-func (s *Subscriber) forget(instance string) {
+// removeBroker drops a broker that is gone.
+func (s *Subscriber) removeBroker(instance string) {
 	delete(s.versions, instance)
-	s.index.Update(func(index *Index) { index.Forget(instance) })
+	s.index.Update(func(index *Index) { index.RemoveHolder(instance) })
 	for _, t := range s.topics {
 		delete(t.holders, instance)
 	}
--- a/internal/node/kvindex/topic.go
+++ b/internal/node/kvindex/topic.go
@@ -54,7 +54,7 @@
 	snapshotSentAt  map[string]core.Time  // by the subscriber's address
 	nextBroadcastAt core.Time
 	announced       map[holderPart]bool // parts that subscribers know as cached
-	recent          recentParts
+	recentlySeen    recentParts
 }
 
 func newTopic(key topicKey, epoch uint64, now core.Time) *topic {
@@ -86,7 +86,7 @@
 		delete(t.pending, part)
 		return
 	}
-	shared := tokens > 0 && t.recent.recordAndTest(part.partKey)
+	shared := tokens > 0 && t.recentlySeen.checkAndRecord(part.partKey)
 	change := pendingChange{tokens: tokens, pendingSince: now, shared: shared}
 	if previous, ok := t.pending[part]; ok {
 		change.pendingSince = previous.pendingSince
@@ -155,7 +155,7 @@
 		keys = append(keys, key)
 	}
 	if len(keys) > maxChanges {
-		slices.SortFunc(keys, t.compareUrgency)
+		slices.SortFunc(keys, t.comparePriority)
 		for _, key := range keys[maxChanges:] {
 			if now-t.pending[key].pendingSince > maxPendingAge {
 				delete(t.pending, key)
@@ -167,8 +167,8 @@
 	return keys
 }
 
-// compareUrgency orders pending changes by what they are worth to subscribers.
-func (t *topic) compareUrgency(a, b holderPart) int {
+// comparePriority orders pending changes by what they are worth to subscribers.
+func (t *topic) comparePriority(a, b holderPart) int {
 	first, second := t.pending[a], t.pending[b]
 	if first.shared != second.shared {
 		if first.shared {
--- a/internal/node/loadhint/disseminator.go
+++ b/internal/node/loadhint/disseminator.go
@@ -57,7 +57,7 @@
 	collectDeadline core.Time          // when they are sent
 	queue           []queuedHint       // at a relay
 	batchDeadline   core.Time          // when it is sent
-	tokens          float64            // of the token bucket: hints that may be sent to each node now
+	bucketTokens    float64            // of the token bucket: hints that may be sent to each node now
 	refilledAt      core.Time
 
 	outbox core.Outbox
@@ -70,7 +70,7 @@
 	}
 	return &Disseminator{
 		options: options, collectDeadline: core.Never, batchDeadline: core.Never,
-		tokens: float64(options.MaxHintsPerSecond) * burstPeriod.Seconds(),
+		bucketTokens: float64(options.MaxHintsPerSecond) * burstPeriod.Seconds(),
 	}
 }
 
@@ -226,25 +226,25 @@
 // stand for those left out. It reports false, and leaves the queue as it is, if none is allowed now.
 func (d *Disseminator) sample(now core.Time) bool {
 	rate := float64(d.options.MaxHintsPerSecond)
-	d.tokens = min(d.tokens+rate*(now-d.refilledAt).Seconds(), rate*burstPeriod.Seconds())
+	d.bucketTokens = min(d.bucketTokens+rate*(now-d.refilledAt).Seconds(), rate*burstPeriod.Seconds())
 	d.refilledAt = now
 	count := len(d.queue)
-	keep := min(count, int(d.tokens))
-	d.tokens -= float64(keep)
+	keep := min(count, int(d.bucketTokens))
+	d.bucketTokens -= float64(keep)
 	if keep == count || keep == 0 {
 		return keep > 0
 	}
 	d.options.Random.Shuffle(count, func(i, j int) { d.queue[i], d.queue[j] = d.queue[j], d.queue[i] })
 	d.queue = d.queue[:keep]
 	for i := range d.queue {
-		d.queue[i].hint = scaled(d.queue[i].hint, float64(count)/float64(keep))
+		d.queue[i].hint = scaleHint(d.queue[i].hint, float64(count)/float64(keep))
 	}
 	return true
 }
 
-// scaled returns a hint that stands for this and others like it: its load is multiplied. The pause of a
+// scaleHint returns a hint that stands for this and others like it: its load is multiplied. The pause of a
 // stream is no load and stays.
-func scaled(hint *nodepb.LoadHint, factor float64) *nodepb.LoadHint {
+func scaleHint(hint *nodepb.LoadHint, factor float64) *nodepb.LoadHint {
 	unread := min(float64(hint.UnreadTokens)*factor, math.MaxUint32)
 	return &nodepb.LoadHint{
 		Instance: hint.Instance, Salt: hint.Salt, PartIds: hint.PartIds, PartTokens: hint.PartTokens, UnreadTokens: uint32(unread),
--- a/internal/node/loadhint/disseminator_test.go
+++ b/internal/node/loadhint/disseminator_test.go
@@ -68,7 +68,7 @@
 	n.received = append(n.received, output.(core.LoadHintsReceived).Hints...)
 }
 
-func hint(number int) *nodepb.LoadHint {
+func testHint(number int) *nodepb.LoadHint {
 	return &nodepb.LoadHint{
 		Instance: fmt.Sprintf("i-%d", number), Salt: 7, PartIds: []uint64{uint64(number)}, PartTokens: []uint32{800}, UnreadTokens: 1000,
 	}
@@ -88,7 +88,7 @@
 		}
 		assert.Equal(t, relays, len(zones))
 		for number, node := range c.nodes {
-			node.RecordSent(c.network.Now(), hint(number))
+			node.RecordSent(c.network.Now(), testHint(number))
 		}
 		c.network.Run(200 * time.Millisecond)
 		for number, node := range c.nodes {
@@ -98,14 +98,14 @@
 				assert.Equal(t, h.UnreadTokens, uint32(1000))
 			}
 			assert.Equal(t, len(received), len(c.nodes)-1, "zones %v, node %d", zones, number)
-			assert.Equal(t, received[hint(number).Instance], 0, "its own hint came back")
+			assert.Equal(t, received[testHint(number).Instance], 0, "its own hint came back")
 		}
 	}
 }
 
 func TestHintsArriveWithinBatchDelays(t *testing.T) {
 	c := newCluster(90, 0, "a", "b", "c")
-	c.nodes[80].RecordSent(c.network.Now(), hint(1))
+	c.nodes[80].RecordSent(c.network.Now(), testHint(1))
 	arrived := c.network.RunUntil(110*time.Millisecond, func() bool {
 		for number, node := range c.nodes {
 			if number != 80 && len(node.received) == 0 {
@@ -129,7 +129,7 @@
 		}
 	}
 	c.publishMembers()
-	c.nodes[len(c.nodes)-1].RecordSent(c.network.Now(), hint(1))
+	c.nodes[len(c.nodes)-1].RecordSent(c.network.Now(), testHint(1))
 	c.network.Run(100 * time.Millisecond)
 	for _, node := range c.nodes[:len(c.nodes)-1] {
 		assert.Equal(t, len(node.received), 1)
@@ -137,7 +137,7 @@
 
 	alone := New(Options{SelfID: "node-0", Zone: "a"})
 	alone.SetMembers(0, c.members[:1])
-	alone.RecordSent(0, hint(1))
+	alone.RecordSent(0, testHint(1))
 	assert.Equal(t, alone.Deadline(), core.Never)
 	assert.Equal(t, len(alone.queue), 0)
 }
@@ -149,7 +149,7 @@
 	c := newCluster(12, perSecond, "a", "b")
 	for step := range span * 100 {
 		for _, node := range c.nodes {
-			node.RecordSent(c.network.Now(), hint(step))
+			node.RecordSent(c.network.Now(), testHint(step))
 		}
 		c.network.Run(10 * time.Millisecond)
 	}
@@ -193,7 +193,7 @@
 			}
 			for range 10 {
 				now := c.network.Now()
-				node.Disseminator.Receive(now, core.Peer{Address: "none"}, &nodepb.LoadHints{Hints: []*nodepb.LoadHint{hint(1)}})
+				node.Disseminator.Receive(now, core.Peer{Address: "none"}, &nodepb.LoadHints{Hints: []*nodepb.LoadHint{testHint(1)}})
 				outputs := node.Disseminator.Tick(now + maxBatchDelay)
 				assert.Equal(t, len(outputs), nodes/4-1+3)
 				batches += len(outputs)
@@ -205,9 +205,9 @@
 
 // A hint that stands for others as well keeps what it is about.
 func TestScaledHintKeepsSubject(t *testing.T) {
-	sent := scaled(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, UnreadTokens: 400}, 2.5)
+	sent := scaleHint(&nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, UnreadTokens: 400}, 2.5)
 	assert.DeepEqual(t, sent, &nodepb.LoadHint{Instance: "i", Salt: 3, PartIds: []uint64{1}, PartTokens: []uint32{500}, UnreadTokens: 1000}, protocmp.Transform())
-	seen := scaled(&nodepb.LoadHint{Instance: "i", EventIntervalUs: 20000}, 3)
+	seen := scaleHint(&nodepb.LoadHint{Instance: "i", EventIntervalUs: 20000}, 3)
 	assert.Equal(t, seen.EventIntervalUs, uint32(20000))
 	assert.Equal(t, seen.UnreadTokens, uint32(0))
 }
--- a/internal/node/netmap/netmap.go
+++ b/internal/node/netmap/netmap.go
@@ -14,12 +14,12 @@
 )
 
 // ErrRule says that the text of a rule can't be read.
-var ErrRule = errors.New("netmap: a rule is FROM/BITS=TO, with IPv4 networks")
+var ErrInvalidRule = errors.New("netmap: a rule is FROM/BITS=TO, with IPv4 networks")
 
 // Map is one rule. The zero value rewrites nothing.
 type Map struct {
 	announced netip.Prefix
-	reached   netip.Addr // the network of the same size
+	reachable netip.Addr // the network of the same size
 }
 
 // Parse reads a rule, as "10.1.2.0/24=10.9.2.0": addresses of the first network are reached in the
@@ -30,23 +30,23 @@
 	}
 	fromText, toText, found := strings.Cut(text, "=")
 	if !found {
-		return Map{}, fmt.Errorf("%w, not %q", ErrRule, text)
+		return Map{}, fmt.Errorf("%w, not %q", ErrInvalidRule, text)
 	}
 	from, err := netip.ParsePrefix(fromText)
 	if err != nil {
-		return Map{}, fmt.Errorf("%w: %w", ErrRule, err)
+		return Map{}, fmt.Errorf("%w: %w", ErrInvalidRule, err)
 	}
 	to, err := netip.ParseAddr(toText)
 	if err != nil {
-		return Map{}, fmt.Errorf("%w: %w", ErrRule, err)
+		return Map{}, fmt.Errorf("%w: %w", ErrInvalidRule, err)
 	}
 	if !from.Addr().Is4() || !to.Is4() || from != from.Masked() {
-		return Map{}, fmt.Errorf("%w, not %q", ErrRule, text)
+		return Map{}, fmt.Errorf("%w, not %q", ErrInvalidRule, text)
 	}
 	if target := netip.PrefixFrom(to, from.Bits()); target != target.Masked() {
-		return Map{}, fmt.Errorf("%w: %s is no network of %d bits", ErrRule, to, from.Bits())
+		return Map{}, fmt.Errorf("%w: %s is no network of %d bits", ErrInvalidRule, to, from.Bits())
 	}
-	return Map{announced: from, reached: to}, nil
+	return Map{announced: from, reachable: to}, nil
 }
 
 // Rewrite returns the address under which "IP:port" is reached from here. An address outside the rule's
@@ -59,7 +59,7 @@
 	if err != nil || !m.announced.Contains(parsed.Addr()) {
 		return address
 	}
-	host, network := parsed.Addr().As4(), m.reached.As4()
+	host, network := parsed.Addr().As4(), m.reachable.As4()
 	for i := range host {
 		hostBits := hostMask(m.announced.Bits(), i)
 		host[i] = network[i]&^hostBits | host[i]&hostBits
--- a/internal/node/netmap/netmap_test.go
+++ b/internal/node/netmap/netmap_test.go
@@ -27,6 +27,6 @@
 func TestInvalidRulesAreRejected(t *testing.T) {
 	for _, text := range []string{"10.0.0.0/8", "=", "a=b", "10.0.0.1/8=11.0.0.0", "10.0.0.0/8=11.0.0.1", "10.0.0.0/33=11.0.0.0", "::/0=::"} {
 		_, err := Parse(text)
-		assert.Assert(t, errors.Is(err, ErrRule), "%q: %v", text, err)
+		assert.Assert(t, errors.Is(err, ErrInvalidRule), "%q: %v", text, err)
 	}
 }
