--- a/internal/fleet/capacity/capacity.go
+++ b/internal/fleet/capacity/capacity.go
@@ -1,13 +1,13 @@
-// Package capacity learns which share of the demand the servers can carry while they are at
-// capacity, and derives a threshold from it: below which value searches are rejected. It is a
-// reducer: demand and outcomes go in, a threshold comes out; no I/O, no clock, no randomness.
+// Package capacity estimates which share of the demand the servers can carry while they are overloaded, and derives an
+// admission threshold from it: the search value below which searches are rejected. It is a reducer: demand and outcomes go in,
+// a threshold comes out; it does no I/O, reads no clock and uses no randomness.
 //
-// A broker sees only its own part of the load, and does not know a server's capacity. What it can
-// see is harm: its work rejected by a server, or late. So the admitted share decreases for as long
-// as harm lasts, the lowest values first, and increases again in small steps (multiplicative
-// decrease and increase). All brokers see the same servers and take the same steps, each of its
-// own: their shares converge, and the sum is what the servers carry. When a site is lost, the
-// share is scaled to what is left at once.
+// A broker sees only its own part of the load and does not know any server's capacity. What it can observe is overload: its
+// sub-requests are rejected by a server or answered late. The admitted share therefore decreases as long as overload is
+// observed, the searches of the lowest value being rejected first, and increases again in small steps (multiplicative decrease
+// and multiplicative increase). All brokers observe the same servers and each takes the same steps on its own, so their shares
+// converge, and the sum of what they admit is what the servers can carry. When a site is lost, the share is scaled at once to
+// the capacity that is left.
 package capacity
 
 import (
@@ -17,127 +17,130 @@
 	"kestrelspread/internal/window"
 )
 
-// Config has the steps of the estimator. Their effect is measured in docs/measure/site.md.
+// Config holds the parameters of the estimator. Their effect is measured in docs/measure/site.md. Overloaded outcomes are those
+// recorded as OutcomeOverloaded; shares and fractions are between 0 and 1.
 type Config struct {
-	WindowMs       float64 // over which demand is summed
-	StepIntervalMs float64
-	MinOutcomes    float64 // sub-requests that ended, below which a step waits
-	MaxHarm        float64 // harmed share of the outcomes above which the admitted share decreases
-	// LowHarm is the harmed share below which the admitted share increases. Servers' queues differ
-	// by chance: where some are full, others are idle still.
-	LowHarm        float64
-	MaxHarmOfTop   float64 // in place of MaxHarm while lower values are admitted
-	DecreaseFactor float64
-	IncreaseFactor float64
-	// MinShare is always admitted: without any outcomes the estimator would learn nothing again.
+	WindowMs       float64 // period over which demand is summed
+	StepIntervalMs float64 // minimum time between two adjustments of the admitted share
+	MinOutcomes    float64 // number of finished sub-requests that an adjustment needs
+	// MaxOverloadedShare is the share of overloaded outcomes above which the admitted share decreases.
+	MaxOverloadedShare float64
+	// LowOverloadedShare is the share of overloaded outcomes below which the admitted share increases. It is not near zero
+	// because queue lengths differ by chance: while some servers are full, others are still idle.
+	LowOverloadedShare float64
+	// MaxOverloadedShareOfTop replaces MaxOverloadedShare while searches below the highest value are admitted.
+	MaxOverloadedShareOfTop float64
+	DecreaseFactor          float64 // factor of one decrease of the admitted share
+	IncreaseFactor          float64 // factor of one increase of the admitted share
+	// MinShare is the smallest admitted share: with no searches admitted there would be no outcomes to learn from.
 	MinShare float64
-	// LateFraction is the fraction of the latency target past which one sub-request counts as
-	// late: its search waits for the slowest.
+	// LateFraction is the fraction of the search's latency target after which a sub-request counts as late. It is below 1
+	// because a search waits for its slowest sub-request.
 	LateFraction float64
-	MaxLevels    int // of values that are kept apart
+	MaxLevels    int // number of search values whose demand is counted separately
 }
 
-// DefaultConfig is what brokers use.
+// DefaultConfig is the configuration that brokers use.
 var DefaultConfig = Config{
-	WindowMs:       8000,
-	StepIntervalMs: 250,
-	MinOutcomes:    12,
-	MaxHarm:        0.4,
-	LowHarm:        0.3,
-	MaxHarmOfTop:   0.2,
-	DecreaseFactor: 0.95,
-	IncreaseFactor: 1.02,
-	MinShare:       0.05,
-	LateFraction:   0.6,
-	MaxLevels:      64,
+	WindowMs:                8000,
+	StepIntervalMs:          250,
+	MinOutcomes:             12,
+	MaxOverloadedShare:      0.4,
+	LowOverloadedShare:      0.3,
+	MaxOverloadedShareOfTop: 0.2,
+	DecreaseFactor:          0.95,
+	IncreaseFactor:          1.02,
+	MinShare:                0.05,
+	LateFraction:            0.6,
+	MaxLevels:               64,
 }
 
-// A level's demand is counted in buckets of an eighth of the window, and more of them than eight,
-// so that they cover the window also while a bucket begins.
+// The demand of a level is counted in buckets of an eighth of the window. There are more than eight buckets, so that they still
+// cover the whole window when a new bucket has just begun.
 const (
 	demandBuckets    = 10
 	bucketsPerWindow = 8
 )
 
-// Outcome is how a sub-request ended, as far as it tells of its server's capacity.
+// Outcome tells what the end of a sub-request says about the capacity of its server.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a sub-request.
 const (
-	OutcomeOK      Outcome = iota
-	OutcomeHarmed          // rejected by the server, or late
-	OutcomeUnknown         // it tells nothing: unreachable, reset, cancelled early
+	OutcomeOK         Outcome = iota // answered soon enough
+	OutcomeOverloaded                // rejected by the server, or late
+	OutcomeUnknown                   // no evidence: unreachable, connection reset or cancelled early
 )
 
-// Threshold is what is beyond the servers' capacity: searches of less than Value, and of those of
-// just that Value the RejectedShare. A Value of 0 rejects nothing.
+// Threshold tells which searches exceed the servers' capacity: all searches of a value below Value, and the share RejectedShare
+// of the searches of exactly that value. A Value of 0 rejects nothing.
 type Threshold struct{ Value, RejectedShare float64 }
 
-// level is the demand at one value.
+// level holds the demand of the searches of one value.
 type level struct {
 	value        float64
-	demand       *window.Counts // sub-requests that its searches need
+	demand       *window.Counts // sub-requests that the searches need
 	lastDemandAt float64
 }
 
-// tally counts outcomes since the latest step.
-type tally struct{ ended, harmed float64 }
+// outcomeCounts counts the sub-requests that have ended since the latest adjustment.
+type outcomeCounts struct{ ended, overloaded float64 }
 
-func (t *tally) harm() float64 { return t.harmed / t.ended }
+func (c *outcomeCounts) overloadedShare() float64 { return c.overloaded / c.ended }
 
-// Estimator is one broker's. Times are ms and never fall.
+// Estimator estimates the share of the demand that one broker may admit. Times are in ms and never decrease.
 type Estimator struct {
-	config        Config
-	now           float64
-	lastStepAt    float64
-	levels        []level // by value, the lowest first
-	usable        float64 // capacity, in the units of the server list
-	admittedShare float64 // of the demand; 1: no threshold
-	all           tally
-	top           tally // of the highest value alone
-	threshold     Threshold
-	Decreases     int // steps down so far, for reports
+	config         Config
+	now            float64
+	lastStepAt     float64
+	levels         []level // in ascending order of value
+	usableCapacity float64 // in the units of the server list
+	admittedShare  float64 // of the demand; 1: there is no threshold
+	all            outcomeCounts
+	top            outcomeCounts // outcomes of searches of the highest value only
+	threshold      Threshold
+	Decreases      int // number of decreases of the admitted share so far, for reports
 }
 
-// New returns an estimator that admits all.
+// New returns an estimator that admits all searches at first.
 func New(config Config) *Estimator {
 	return &Estimator{config: config, lastStepAt: math.Inf(-1), admittedShare: 1}
 }
 
-// SetUsable sets how much there is to carry the demand: what is listed, ready and at no lost site,
-// in the units of the list. While there is a threshold, the admitted share is scaled with it: when
-// half of the servers go, half of the share is left at once. (At 0 nothing can be served, and no
-// share of what comes back could be derived.)
-func (e *Estimator) SetUsable(usable float64) {
-	if usable <= 0 {
+// SetUsableCapacity sets the total capacity of the servers that are listed, ready and not at a lost site, in the units of the
+// server list. While there is a threshold, the admitted share is scaled in proportion: when half of the capacity is lost, the
+// admitted share is halved at once. A capacity of 0 is ignored: nothing can be served then, and the share for the capacity that
+// comes back could not be derived from it.
+func (e *Estimator) SetUsableCapacity(capacity float64) {
+	if capacity <= 0 {
 		return
 	}
-	changed := e.usable > 0 && usable != e.usable
+	changed := e.usableCapacity > 0 && capacity != e.usableCapacity
 	if e.admittedShare < 1 && changed && !mutantBlind {
-		e.admittedShare = min(max(e.admittedShare*usable/e.usable, e.config.MinShare), 1)
+		e.admittedShare = min(max(e.admittedShare*capacity/e.usableCapacity, e.config.MinShare), 1)
 	}
-	e.usable = usable
+	e.usableCapacity = capacity
 }
 
-// AdmittedShare is the share of the demand that is admitted.
+// AdmittedShare returns the share of the demand that is admitted.
 func (e *Estimator) AdmittedShare() float64 { return e.admittedShare }
 
-// Threshold is the latest threshold.
+// Threshold returns the latest threshold.
 func (e *Estimator) Threshold() Threshold { return e.threshold }
 
-// BeginTurn opens a turn at a time.
-func (e *Estimator) BeginTurn(now float64) { e.now = now }
+// BeginRound begins a round of events, all of which take place at the time now.
+func (e *Estimator) BeginRound(now float64) { e.now = now }
 
-// RecordDemand records that a search of a value arrived, which needs so many sub-requests.
-func (e *Estimator) RecordDemand(value float64, parts int) {
+// RecordDemand records the arrival of a search of the given value that needs the given number of sub-requests.
+func (e *Estimator) RecordDemand(value float64, subRequests int) {
 	i := e.levelFor(value)
 	l := &e.levels[i]
-	l.demand.Add(e.now, float64(parts))
+	l.demand.Add(e.now, float64(subRequests))
 	l.lastDemandAt = e.now
 }
 
-// levelFor is the index of a value's level, which it makes where there is room. Without room the
-// value counts with the next lower one.
+// levelFor returns the index of the level of a value, and adds the level if there is room for it. If there is none, it returns
+// the level of the next lower value, or the lowest level.
 func (e *Estimator) levelFor(value float64) int {
 	i := e.searchLevel(value)
 	if i < len(e.levels) && e.levels[i].value == value {
@@ -146,19 +149,19 @@
 	if len(e.levels) >= e.config.MaxLevels && !e.dropStaleLevel() {
 		return max(min(i, len(e.levels))-1, 0)
 	}
-	i = e.searchLevel(value) // a level may have gone
+	i = e.searchLevel(value) // dropStaleLevel may have removed a level before it
 	e.levels = append(e.levels, level{})
 	copy(e.levels[i+1:], e.levels[i:])
 	e.levels[i] = level{value: value, demand: window.NewCounts(demandBuckets, e.config.WindowMs/bucketsPerWindow)}
 	return i
 }
 
-// searchLevel is the index of the first level of at least a value.
+// searchLevel returns the index of the first level whose value is not less than the given one.
 func (e *Estimator) searchLevel(value float64) int {
 	return sort.Search(len(e.levels), func(i int) bool { return e.levels[i].value >= value })
 }
 
-// dropStaleLevel drops a level without demand for two windows, if there is one.
+// dropStaleLevel removes the first level that has had no demand for two windows, and reports whether there was one.
 func (e *Estimator) dropStaleLevel() bool {
 	for i := range e.levels {
 		if e.now-e.levels[i].lastDemandAt > 2*e.config.WindowMs {
@@ -169,9 +172,9 @@
 	return false
 }
 
-// RecordOutcomes records the outcomes of so many sub-requests, of the highest value or of another.
-// A search of the highest value that is rejected otherwise than by the threshold was harmed in
-// all its parts.
+// RecordOutcomes records that count sub-requests ended with the given outcome. isTop tells whether they belong to searches of
+// the highest value. When a search of the highest value is rejected for another reason than the threshold, the caller records
+// all its sub-requests as overloaded.
 func (e *Estimator) RecordOutcomes(outcome Outcome, isTop bool, count float64) {
 	if outcome == OutcomeUnknown {
 		return
@@ -182,23 +185,23 @@
 	}
 }
 
-func (t *tally) add(outcome Outcome, count float64) {
-	t.ended += count
-	if outcome == OutcomeHarmed {
-		t.harmed += count
+func (c *outcomeCounts) add(outcome Outcome, count float64) {
+	c.ended += count
+	if outcome == OutcomeOverloaded {
+		c.overloaded += count
 	}
 }
 
-// AdmitsLowerValues tells whether searches below the highest value are admitted still. Then those
-// of the highest are to come to no harm by them.
+// AdmitsLowerValues reports whether searches below the highest value are still admitted. While they are, searches of the
+// highest value should not suffer from overload.
 func (e *Estimator) AdmitsLowerValues() bool {
 	n := len(e.levels)
 	return n > 1 && e.threshold.Value < e.levels[n-1].value
 }
 
-// EndTurn closes a turn, and takes a step where one is due. It returns true where the threshold
-// has moved.
-func (e *Estimator) EndTurn() bool {
+// EndRound ends a round, and adjusts the admitted share and the threshold if an adjustment is due. It reports whether the
+// threshold has changed.
+func (e *Estimator) EndRound() bool {
 	if e.now < e.lastStepAt+e.config.StepIntervalMs {
 		return false
 	}
@@ -206,8 +209,8 @@
 	switch {
 	case e.all.ended >= e.config.MinOutcomes:
 		e.adjustShare()
-		e.all, e.top = tally{}, tally{}
-	case e.all.ended == 0 && e.admittedShare < 1: // whoever comes now is to find out
+		e.all, e.top = outcomeCounts{}, outcomeCounts{}
+	case e.all.ended == 0 && e.admittedShare < 1: // without outcomes, only admitting more can show whether servers can carry it
 		e.increaseShare()
 	}
 	before := e.threshold
@@ -215,23 +218,23 @@
 	return e.threshold != before
 }
 
-// adjustShare takes a step down or up by the harm seen. While lower values are admitted, the bound
-// is lower, and the highest value alone is the measure where enough of it has ended: what is slow
-// to one type is quick to another.
+// adjustShare decreases or increases the admitted share by the share of overloaded outcomes. While lower values are admitted,
+// the bounds are lower and, if enough of them have ended, only the sub-requests of the highest value are considered: a latency
+// that is slow for one query type may be fast for another.
 func (e *Estimator) adjustShare() {
-	maxHarm, lowHarm, measured := e.config.MaxHarm, e.config.LowHarm, e.all
+	maxOverloaded, lowOverloaded, measured := e.config.MaxOverloadedShare, e.config.LowOverloadedShare, e.all
 	if e.AdmitsLowerValues() {
-		maxHarm, lowHarm = e.config.MaxHarmOfTop, e.config.MaxHarmOfTop/2
+		maxOverloaded, lowOverloaded = e.config.MaxOverloadedShareOfTop, e.config.MaxOverloadedShareOfTop/2
 		if e.top.ended >= e.config.MinOutcomes/2 {
 			measured = e.top
 		}
 	}
-	harm := measured.harm()
+	overloaded := measured.overloadedShare()
 	switch {
-	case harm > maxHarm:
+	case overloaded > maxOverloaded:
 		e.admittedShare = max(e.admittedShare*e.config.DecreaseFactor, e.config.MinShare)
 		e.Decreases++
-	case harm < lowHarm && !mutantStuck:
+	case overloaded < lowOverloaded && !mutantStuck:
 		e.increaseShare()
 	}
 }
@@ -240,7 +243,7 @@
 	e.admittedShare = min(e.admittedShare*e.config.IncreaseFactor, 1)
 }
 
-// findThreshold finds the value below which the demand beyond the admitted share lies.
+// findThreshold returns the threshold that rejects the demand beyond the admitted share, lowest values first.
 func (e *Estimator) findThreshold() Threshold {
 	if e.admittedShare >= 1 {
 		return Threshold{}
@@ -249,19 +252,19 @@
 	for i := range e.levels {
 		total += e.demandAt(i)
 	}
-	beyond := (1 - e.admittedShare) * total
+	toReject := (1 - e.admittedShare) * total
 	for i := range e.levels {
 		if mutantHighestFirst {
 			i = len(e.levels) - 1 - i
 		}
 		demand := e.demandAt(i)
-		if demand > 0 && demand >= beyond {
-			return Threshold{e.levels[i].value, beyond / demand}
+		if demand > 0 && demand >= toReject {
+			return Threshold{e.levels[i].value, toReject / demand}
 		}
-		beyond -= demand
+		toReject -= demand
 	}
 	return Threshold{}
 }
 
-// demandAt is the demand at a level, over the window.
+// demandAt returns the demand of a level over the latest window, in sub-requests.
 func (e *Estimator) demandAt(i int) float64 { return e.levels[i].demand.Sum(e.now, e.config.WindowMs) }
--- a/internal/fleet/capacity/capacity_test.go
+++ b/internal/fleet/capacity/capacity_test.go
@@ -8,59 +8,59 @@
 	"testing"
 )
 
-// simulatedFleet is an estimator before servers that carry so many sub-requests a second: what is
-// admitted beyond comes to harm.
+// simulatedFleet is an estimator in front of simulated servers that can carry serverCapacity sub-requests a second. The more of
+// them are admitted, the larger is the share that ends overloaded.
 type simulatedFleet struct {
 	*Estimator
 	t              *testing.T
 	rng            *rand.Rand
-	now            float64
-	serverCapacity float64
-	rates          []float64
-	values         []float64
-	admitted       []float64 // share of each type, in the last run
-	harmful        float64
+	now            float64   // ms
+	serverCapacity float64   // sub-requests a second
+	rates          []float64 // by query type, sub-requests a second
+	values         []float64 // by query type
+	admitted       []float64 // by query type: the share admitted in the latest run
+	overloaded     float64   // share of overloaded sub-requests in the latest run
 }
 
-func newFleet(t *testing.T, bears float64, rates ...float64) *simulatedFleet {
-	f := &simulatedFleet{Estimator: New(DefaultConfig), t: t, rng: rand.New(rand.NewPCG(1, 1)), now: 1000, serverCapacity: bears, rates: rates}
+func newFleet(t *testing.T, serverCapacity float64, rates ...float64) *simulatedFleet {
+	f := &simulatedFleet{Estimator: New(DefaultConfig), t: t, rng: rand.New(rand.NewPCG(1, 1)), now: 1000, serverCapacity: serverCapacity, rates: rates}
 	for i := range rates {
 		f.values = append(f.values, float64(i+1))
 	}
-	f.SetUsable(100)
+	f.SetUsableCapacity(100)
 	return f
 }
 
-// run plays so many seconds, and leaves in admitted what share of each type was admitted.
+// run simulates a number of seconds, and sets admitted and overloaded to their averages over that time.
 func (f *simulatedFleet) run(seconds float64) {
-	f.admitted, f.harmful = make([]float64, len(f.rates)), 0
+	f.admitted, f.overloaded = make([]float64, len(f.rates)), 0
 	steps := int(seconds * 20)
 	for range steps {
 		f.now += 50
-		f.BeginTurn(f.now)
+		f.BeginRound(f.now)
 		sent := 0.0
 		for i, r := range f.rates {
 			f.RecordDemand(f.values[i], int(r/20))
-			l, share := f.Threshold(), 1.0
-			if l.Value > f.values[i] {
+			threshold, share := f.Threshold(), 1.0
+			if threshold.Value > f.values[i] {
 				share = 0
-			} else if l.Value == f.values[i] {
-				share = 1 - l.RejectedShare
+			} else if threshold.Value == f.values[i] {
+				share = 1 - threshold.RejectedShare
 			}
 			f.admitted[i] += share / float64(steps)
 			sent += share * r
 		}
-		// Harm rises near to the capacity already, as queues differ by chance.
-		harm := min(max(1-f.serverCapacity/max(sent, 1e-9), 0)+max(sent/f.serverCapacity-0.8, 0), 1)
-		f.harmful += harm / float64(steps)
+		// Some sub-requests are overloaded from 80% of the capacity on, as queue lengths differ by chance.
+		overloaded := min(max(1-f.serverCapacity/max(sent, 1e-9), 0)+max(sent/f.serverCapacity-0.8, 0), 1)
+		f.overloaded += overloaded / float64(steps)
 		for range int(sent / 20) {
-			if f.rng.Float64() < harm {
-				f.RecordOutcomes(OutcomeHarmed, f.rng.Float64() < 0.4, 1)
+			if f.rng.Float64() < overloaded {
+				f.RecordOutcomes(OutcomeOverloaded, f.rng.Float64() < 0.4, 1)
 			} else {
 				f.RecordOutcomes(OutcomeOK, f.rng.Float64() < 0.4, 1)
 			}
 		}
-		f.EndTurn()
+		f.EndRound()
 	}
 }
 
@@ -68,13 +68,13 @@
 	f := newFleet(t, 2000, 400, 400)
 	f.run(60)
 	if f.AdmittedShare() != 1 || f.Threshold() != (Threshold{}) || f.Decreases > 0 {
-		t.Error(f.AdmittedShare(), f.Threshold(), f.Decreases)
+		t.Errorf("below capacity: admitted share %v, threshold %v, %d decreases", f.AdmittedShare(), f.Threshold(), f.Decreases)
 	}
-	// Four times as much that servers can carry is no overload either.
+	// 1,600 a second, which the servers can still carry, is no overload either.
 	f.rates = []float64{900, 700}
 	f.run(20)
 	if min(f.admitted[0], f.admitted[1]) < 0.999 {
-		t.Error("rejected without harm", f.admitted)
+		t.Error("searches were rejected below capacity: admitted", f.admitted)
 	}
 }
 
@@ -83,25 +83,24 @@
 	f.run(20)
 	f.run(30)
 	if f.admitted[2] < 0.999 {
-		t.Errorf("the highest value, which servers can carry alone: %.3f admitted", f.admitted[2])
+		t.Errorf("servers can carry the highest value alone, but only %.3f of it is admitted", f.admitted[2])
 	}
 	if f.admitted[1] < 0.3 || f.admitted[0] > 0.1 {
 		t.Errorf("admitted %.2f", f.admitted)
 	}
 	if all := (f.admitted[0] + f.admitted[1] + f.admitted[2]) * 500; all < 700 || all > 1100 {
-		t.Errorf("%.0f a second are admitted, and servers carry 1,000", all)
+		t.Errorf("%.0f sub-requests a second are admitted, and servers can carry 1,000", all)
 	}
-	// The overload ends.
+	// After the overload has ended, everything is admitted again.
 	f.rates = []float64{200, 200, 200}
 	f.run(30)
 	f.run(10)
 	if f.AdmittedShare() < 1 || f.admitted[0] < 0.999 {
-		t.Errorf("the overload has ended, and %.2f is admitted: %v", f.AdmittedShare(), f.admitted)
+		t.Errorf("the overload has ended, but the admitted share is %.2f; by type: %v", f.AdmittedShare(), f.admitted)
 	}
 }
 
-// Where the highest value alone is above the capacity, as much of it is admitted as does well, and
-// nothing of the others.
+// When the demand of the highest value alone exceeds the capacity, a part of it is admitted and nothing of the lower value.
 func TestTopValueAboveCapacityIsAdmittedInPart(t *testing.T) {
 	f := newFleet(t, 1000, 400, 1600)
 	f.run(30)
@@ -114,80 +113,81 @@
 func TestLostCapacityScalesAdmittedShare(t *testing.T) {
 	f := newFleet(t, 1000, 800, 800)
 	f.run(30)
-	was := f.AdmittedShare()
+	before := f.AdmittedShare()
 	f.serverCapacity = 500
-	f.SetUsable(50)
-	if s := f.AdmittedShare(); math.Abs(s-was/2) > 1e-9 {
-		t.Fatalf("half of the servers are lost: %.3f of the demand is admitted, %.3f before", s, was)
+	f.SetUsableCapacity(50)
+	if s := f.AdmittedShare(); math.Abs(s-before/2) > 1e-9 {
+		t.Fatalf("half of the capacity is lost: the admitted share is %.3f, %.3f before the loss", s, before)
 	}
 	f.run(2)
-	if f.harmful > 0.45 {
-		t.Errorf("%.2f came to harm in the two seconds after the loss", f.harmful)
+	if f.overloaded > 0.45 {
+		t.Errorf("%.2f of the sub-requests were overloaded in the two seconds after the loss", f.overloaded)
 	}
-	f.SetUsable(100)
-	if f.AdmittedShare() < was*0.9 {
-		t.Errorf("the servers are back, and %.2f of the demand is admitted, %.2f before", f.AdmittedShare(), was)
+	f.SetUsableCapacity(100)
+	if f.AdmittedShare() < before*0.9 {
+		t.Errorf("the servers are back, but the admitted share is %.2f, %.2f before the loss", f.AdmittedShare(), before)
 	}
-	was = f.AdmittedShare()
-	f.SetUsable(0) // all gone for a moment: what comes back must not meet the minimum share for half a minute
-	f.SetUsable(100)
-	if f.AdmittedShare() != was {
-		t.Errorf("all servers were gone for a moment: %.2f of the demand is admitted, %.2f before", f.AdmittedShare(), was)
+	before = f.AdmittedShare()
+	f.SetUsableCapacity(0) // all servers gone for a moment: the admitted share must not stay at its minimum for half a minute after that
+	f.SetUsableCapacity(100)
+	if f.AdmittedShare() != before {
+		t.Errorf("all servers were gone for a moment: the admitted share is %.2f, %.2f before", f.AdmittedShare(), before)
 	}
 	quiet := newFleet(t, 2000, 300)
 	quiet.run(5)
-	quiet.SetUsable(50)
-	quiet.SetUsable(0)
-	quiet.SetUsable(100)
+	quiet.SetUsableCapacity(50)
+	quiet.SetUsableCapacity(0)
+	quiet.SetUsableCapacity(100)
 	if quiet.AdmittedShare() != 1 {
-		t.Error("there was no threshold, and a loss alone made one")
+		t.Error("a loss of capacity without overload has set a threshold")
 	}
 }
 
-// Values without end, as quotas make them: the levels are bounded, and no demand goes uncounted.
+// Quotas can produce any number of distinct values: the number of levels stays bounded, and all demand is counted.
 func TestLevelsAreBounded(t *testing.T) {
 	e := New(DefaultConfig)
 	e.admittedShare = 0.5
 	rng := rand.New(rand.NewPCG(2, 2))
 	for i := range 20000 {
-		e.BeginTurn(1000 + float64(i)/10)
+		e.BeginRound(1000 + float64(i)/10)
 		e.RecordDemand(0.1+rng.Float64(), 1)
 		if len(e.levels) > DefaultConfig.MaxLevels {
-			t.Fatal(len(e.levels))
+			t.Fatalf("%d levels, at most %d are allowed", len(e.levels), DefaultConfig.MaxLevels)
 		}
-		e.EndTurn()
+		e.EndRound()
 	}
 	sum, last := 0.0, 0.0
 	for _, l := range e.levels {
 		if l.value <= last {
-			t.Fatal("out of order")
+			t.Fatalf("level values are not ascending: %v after %v", l.value, last)
 		}
 		last = l.value
 		sum += l.demand.Sum(e.now, DefaultConfig.WindowMs)
 	}
 	if sum != 20000 {
-		t.Errorf("%v of 20,000 counted", sum)
+		t.Errorf("%v of 20,000 sub-requests are counted", sum)
 	}
-	if l := e.Threshold(); l.Value < 0.3 || l.Value > 0.9 { // half of the values, which are even over 0.1 to 1.1
+	if l := e.Threshold(); l.Value < 0.3 || l.Value > 0.9 { // half of the values, which are uniform over 0.1 to 1.1, are below 0.6
 		t.Errorf("the threshold is %v", l)
 	}
-	e.BeginTurn(60000) // levels without demand make room
+	e.BeginRound(60000) // stale levels are dropped to make room for new values
 	for i := range DefaultConfig.MaxLevels {
 		e.RecordDemand(10+float64(i), 1)
 	}
 	if n := len(e.levels); n > DefaultConfig.MaxLevels || e.levels[n-1].value != 10+float64(n-1) && e.levels[n-1].value < 10 {
-		t.Error(n, e.levels[n-1].value)
+		t.Errorf("%d levels after new values, the highest is %v", n, e.levels[n-1].value)
 	}
 }
 
+// Each defect behind a build tag must make the tests of this package fail.
 func TestPlantedDefects(t *testing.T) {
 	if testing.Short() || mutantAny {
-		t.Skip("builds the package once for each")
+		t.Skip("builds and tests the package once for each defect")
 	}
 	for _, tag := range []string{"mutant_highest_first", "mutant_stuck", "mutant_blind"} {
 		out, err := exec.Command("go", "test", "-count=1", "-short", "-tags", tag, ".").CombinedOutput()
 		if err == nil || !strings.Contains(string(out), "--- FAIL") {
-			t.Errorf("%s was not found: %v\n%.1000s", tag, err, out)
+			t.Errorf("no test found the defect %s: %v\n%.1000s", tag, err, out)
 		}
 	}
 }
--- a/internal/fleet/capacity/mutant_none.go
+++ b/internal/fleet/capacity/mutant_none.go
@@ -2,10 +2,12 @@
 
 package capacity
 
-// Planted defects, each behind a build tag: TestPlantedDefects shows that each is found.
+// Deliberate defects, each enabled by a build tag. TestPlantedDefects checks that the tests detect each of them.
 const (
 	mutantHighestFirst = false // the highest values are rejected first
-	mutantStuck        = false // a threshold once set stays
-	mutantBlind        = false // the share is not scaled after a loss
+	mutantStuck        = false // the admitted share never increases again
+	mutantBlind        = false // the admitted share is not scaled when the capacity changes
 )
+
+// mutantAny tells whether any defect is enabled.
 const mutantAny = false
