--- a/internal/fleet/lossplan/bound.go
+++ b/internal/fleet/lossplan/bound.go
@@ -5,19 +5,21 @@
 	"sort"
 )
 
-// Bound is the most that can be served of each type under given conditions, the most valued type first, then the next. A linear
-// programme of which searches are taken and where their sub-requests go, within each server's capacity. An upper bound:
-// queues and chance are not part of it, and a search that accepts a partial answer takes all shards in reach.
+// Bound is the largest share of the searches of each type that can be served under given conditions, where types of higher
+// value take precedence. It is the solution of a linear program that decides which searches are served and which servers get
+// their sub-requests, within each server's capacity. It is an upper bound because it ignores queueing and random variation. A
+// search that accepts a partial answer is assumed to query all shards that it can reach.
 type Bound struct {
-	Served       []float64   // by type, share of its searches
-	ServedBySite [][]float64 // by the site at which searches arrive, then by type
-	Goodput      float64     // value a second
+	Served       []float64   // by type: share of its searches, 0 to 1
+	ServedBySite [][]float64 // by the site at which searches arrive, then by type: share of its searches
+	Goodput      float64     // value of the served searches per second
 }
 
-// valueRankFactor is how many times more a type counts than the next less valued one: no choice gives one of it up for that.
+// valueRankFactor is the ratio between the weights of a type and of the type of the next lower value. It is large enough that
+// the solution never gives up searches of one type to serve more of a less valued one.
 const valueRankFactor = 100
 
-// UpperBound returns the most that conditions allow.
+// UpperBound returns the upper bound of what the fleet can serve under the conditions.
 func (f *Fleet) UpperBound(c *Conditions) (*Bound, error) {
 	if err := f.Check(); err != nil {
 		return nil, err
@@ -34,20 +36,20 @@
 	if len(n.searches) == 0 {
 		return b, nil
 	}
-	taken, err := n.solve(f.valueWeights())
+	servedPerS, err := n.solve(f.valueWeights())
 	if err != nil {
-		return nil, fmt.Errorf("what can be served: %w", err)
+		return nil, fmt.Errorf("upper bound of served searches: %w", err)
 	}
 	for j, s := range n.searches {
 		load := f.Loads[s.load]
-		b.ServedBySite[s.site][s.load] += taken[j] / (c.ArrivalShare[s.site] * load.SearchesPerS)
-		b.Served[s.load] += taken[j] / load.SearchesPerS
-		b.Goodput += taken[j] * load.Value
+		b.ServedBySite[s.site][s.load] += servedPerS[j] / (c.ArrivalShare[s.site] * load.SearchesPerS)
+		b.Served[s.load] += servedPerS[j] / load.SearchesPerS
+		b.Goodput += servedPerS[j] * load.Value
 	}
 	return b, nil
 }
 
-// valueWeights weighs each type so that the most valued goes before all others.
+// valueWeights returns a weight for each type by which types of higher value take precedence over all others.
 func (f *Fleet) valueWeights() []float64 {
 	order := make([]int, len(f.Loads))
 	for i := range order {
@@ -64,7 +66,7 @@
 	return weights
 }
 
-// network is the flow of sub-requests from searches by way of shards to servers.
+// network is a flow network: sub-requests flow from search classes through shards to pools of servers.
 type network struct {
 	searches []searchClass
 	pools    []serverPool
@@ -75,28 +77,30 @@
 	demandIndex map[shardDemand]int
 }
 
-// searchClass are alike: of one type, from one site's brokers, from the same first shard on.
+// searchClass is a set of equivalent searches: they have the same type, site of arrival and first shard.
 type searchClass struct {
-	site     int
-	load     int
-	shards   []int // in reach
-	ratePerS float64
+	site     int     // where the searches arrive
+	load     int     // index into Fleet.Loads
+	shards   []int   // shards of the search that have a reachable replica
+	ratePerS float64 // searches per second
 }
 
-// serverPool are the servers of one cell at one site: alike to everybody, they count as one.
+// serverPool is all servers of one cell at one site. They hold the same shards and are reachable from the same sites, so their
+// capacities can be added up.
 type serverPool struct {
 	poolKey
-	capacityPerS float64
+	capacityPerS float64 // sub-requests per second
 }
 
 type poolKey struct{ site, cell int }
 
-// shardDemand is what one site's brokers ask of a shard.
+// shardDemand identifies the sub-requests that the brokers of one site send for one shard.
 type shardDemand struct{ site, shard int }
 
-// flow is the way of a demand to a pool that holds its shard.
+// flow is an edge from a demand to a pool that holds a replica of its shard. Both are indices into the network's slices.
 type flow struct{ demand, pool int }
 
+// newNetwork builds the network of all searches that can be answered under the conditions.
 func (f *Fleet) newNetwork(c *Conditions) *network {
 	n := &network{poolIndex: map[poolKey]int{}, demandIndex: map[shardDemand]int{}}
 	for i, s := range f.Servers {
@@ -106,16 +110,17 @@
 		if share <= 0 {
 			continue
 		}
-		holders := f.holders(n.pools, c.Reachable[site])
+		replicaPools := f.replicaPools(n.pools, c.Reachable[site])
 		for load := range f.Loads {
 			for first := range f.Shards {
-				f.addSearches(n, site, load, first, share, holders)
+				f.addSearches(n, site, load, first, share, replicaPools)
 			}
 		}
 	}
 	return n
 }
 
+// addServer adds a server's capacity to its pool, and adds the pool if it is new.
 func (n *network) addServer(key poolKey, capacityPerS float64) {
 	index, known := n.poolIndex[key]
 	if !known {
@@ -126,25 +131,26 @@
 	n.pools[index].capacityPerS += capacityPerS
 }
 
-// holders returns, by shard, the pools that hold it and are reachable.
-func (f *Fleet) holders(pools []serverPool, reachable []bool) [][]int {
-	holders := make([][]int, f.Shards)
+// replicaPools returns, by shard, the reachable pools that have capacity and hold a replica of the shard.
+func (f *Fleet) replicaPools(pools []serverPool, reachable []bool) [][]int {
+	byShard := make([][]int, f.Shards)
 	for shard := range f.Shards {
 		for i, pool := range pools {
 			if reachable[pool.site] && pool.capacityPerS > 0 && f.hasReplica(pool.cell, shard) {
-				holders[shard] = append(holders[shard], i)
+				byShard[shard] = append(byShard[shard], i)
 			}
 		}
 	}
-	return holders
+	return byShard
 }
 
-// addSearches adds the searches of one type at one site from a first shard on, where they find enough of their shards.
-func (f *Fleet) addSearches(n *network, site, load, first int, arrivalShare float64, holders [][]int) {
+// addSearches adds the searches of one type that arrive at one site and whose shards begin with first. It adds none if too few
+// of their shards are available for an answer.
+func (f *Fleet) addSearches(n *network, site, load, first int, arrivalShare float64, replicaPools [][]int) {
 	l := &f.Loads[load]
 	class := searchClass{site: site, load: load, ratePerS: arrivalShare * l.SearchesPerS / float64(f.Shards)}
 	for i := range l.ShardsPerSearch {
-		if shard := (first + i) % f.Shards; len(holders[shard]) > 0 {
+		if shard := (first + i) % f.Shards; len(replicaPools[shard]) > 0 {
 			class.shards = append(class.shards, shard)
 		}
 	}
@@ -154,11 +160,12 @@
 		return
 	}
 	for _, shard := range class.shards {
-		n.addDemand(shardDemand{site, shard}, holders[shard])
+		n.addDemand(shardDemand{site, shard}, replicaPools[shard])
 	}
 	n.searches = append(n.searches, class)
 }
 
+// addDemand adds a demand with a flow to each of the pools, unless the network already has it.
 func (n *network) addDemand(d shardDemand, pools []int) {
 	if _, known := n.demandIndex[d]; known {
 		return
--- a/internal/fleet/lossplan/conditions.go
+++ b/internal/fleet/lossplan/conditions.go
@@ -2,15 +2,17 @@
 
 import "fmt"
 
-// Conditions are what holds in one stretch of time, as one who sees everything would know it: each server's capacity now (slow,
-// warming up or lost), whose answers each site's brokers receive, and at which sites' brokers clients' searches arrive.
+// Conditions is the true state of the fleet during one period, which no single broker knows: the present capacity of each server
+// (which may be slow, warming up or lost), the servers whose answers reach the brokers of each site, and the sites at whose
+// brokers the clients' searches arrive.
 type Conditions struct {
-	CapacityPerS []float64 // by server, sub-requests
-	Reachable    [][]bool  // by the brokers' site, then the servers'
-	ArrivalShare []float64 // by site, of all searches; what is missing to 1 finds no broker
+	CapacityPerS []float64 // by server: sub-requests per second
+	Reachable    [][]bool  // by the brokers' site, then by the servers' site
+	ArrivalShare []float64 // by site: share of all searches; if the sum is below 1, the rest reaches no broker
 }
 
-// IdealConditions are those of the fleet at its best: everybody reaches everybody, and load arrives alike at all sites.
+// IdealConditions returns the conditions without any fault: all servers have their full capacity, all sites reach each other,
+// and searches arrive evenly at all sites.
 func (f *Fleet) IdealConditions() *Conditions {
 	c := &Conditions{}
 	for _, s := range f.Servers {
@@ -27,7 +29,8 @@
 	return c
 }
 
-// LoseSites takes sites away with all that is there; their searches arrive at the others, alike.
+// LoseSites makes all servers and brokers of the given sites unreachable, and distributes the searches that arrived there evenly
+// over the other sites. It changes the conditions in place and returns them.
 func (c *Conditions) LoseSites(_ *Fleet, sites ...int) *Conditions {
 	moved := 0.0
 	lost := make([]bool, len(c.ArrivalShare))
@@ -40,27 +43,29 @@
 			c.Reachable[site][other] = false
 		}
 	}
-	left := 0
+	remaining := 0
 	for site := range lost {
 		if !lost[site] {
-			left++
+			remaining++
 		}
 	}
 	for site := range c.ArrivalShare {
 		if !lost[site] {
-			c.ArrivalShare[site] += moved / float64(left)
+			c.ArrivalShare[site] += moved / float64(remaining)
 		}
 	}
 	return c
 }
 
-// Partition has brokers of one site get no answers from servers of another.
+// Partition sets that the brokers of one site get no answers from the servers of another. It changes the conditions in place and
+// returns them.
 func (c *Conditions) Partition(brokers, servers int) *Conditions {
 	c.Reachable[brokers][servers] = false
 	return c
 }
 
-// Key is the same for conditions that are alike to a hundredth of the servers' capacity.
+// Key returns a string that is equal for conditions that differ only by the rounding of each server's capacity to a hundredth
+// of a sub-request per second.
 func (c *Conditions) Key() string {
 	rounded := make([]int, len(c.CapacityPerS))
 	for i, capacity := range c.CapacityPerS {
--- a/internal/fleet/lossplan/fleet.go
+++ b/internal/fleet/lossplan/fleet.go
@@ -1,9 +1,10 @@
-// Package lossplan computes beforehand what a fleet serves once some of its sites are lost, and by which arithmetic: what the
-// survivors' capacity is, which shards are left without a replica, and what is rejected in which order. Its upper bound
-// is what the harness holds a run against, too. Pure: figures in, figures out; nothing in service depends on it.
+// Package lossplan computes in advance what a fleet can serve after the loss of some of its sites, and explains the result: the
+// capacity of the surviving servers, the shards that are left without a replica, and the searches that are rejected, in order.
+// The test harness also compares its runs with the package's upper bound. The package is pure: it computes results from its
+// arguments only. No production service depends on it.
 //
-// Invariants: an outcome promises no more than the survivors' capacity, its shares of each type add up to one, and no less
-// valued type is served while a more valued one is rejected for want of capacity. A bound is never below an outcome.
+// Invariants: an outcome never exceeds the survivors' capacity. The shares of each type in an outcome add up to one. A type of
+// lower value is not served while a type of higher value is rejected for lack of capacity. A bound is never below an outcome.
 package lossplan
 
 import (
@@ -11,41 +12,43 @@
 	"fmt"
 )
 
-// Fleet is what is planned for. Shards lie on a ring: a server holds as many as there are replicas, from its cell backwards.
+// Fleet describes the fleet and its load. Shards are arranged on a ring, and a server holds Replicas neighboring shards: the one
+// with the number of its cell and those before it.
 type Fleet struct {
 	Sites    []string
 	Servers  []Server
-	Shards   int
-	Replicas int
-	Headroom float64 // share of the servers' capacity that may be planned with
-	Loads    []Load
+	Shards   int     // number of shards, and of cells
+	Replicas int     // replicas of each shard if every cell has one server; at most Shards
+	Headroom float64 // share of the servers' capacity that the plan may use; above 0, at most 1
+	Loads    []Load  // by query type
 }
 
-// Server is one server.
+// Server is one server of the fleet.
 type Server struct {
-	Site         int // index into Fleet.Sites
-	Cell         int // its latest shard
-	CapacityPerS float64
+	Site         int     // index into Fleet.Sites
+	Cell         int     // the last of the shards that it holds
+	CapacityPerS float64 // sub-requests per second
 }
 
-// Load is one query type's. Each search takes neighbouring shards, from any one on, all alike.
+// Load is the load of one query type. Each search queries ShardsPerSearch neighboring shards on the ring; each shard is equally
+// likely to be the first of them.
 type Load struct {
 	Name             string
 	SearchesPerS     float64
 	ShardsPerSearch  int
-	Value            float64 // of one search answered in time
-	MinAnsweredShare float64 // the least share of shards that a partial answer may have; 1: all or nothing
+	Value            float64 // value of one search that is answered in time
+	MinAnsweredShare float64 // smallest share of its shards that a partial answer must cover; 1: no partial answers
 }
 
-// shareTolerance is by how much a share of shards may miss its bound by rounding.
+// shareTolerance is the rounding error that is allowed when a share of shards is compared with MinAnsweredShare.
 const shareTolerance = 1e-9
 
-// acceptsPartial tells whether answers of some of a search's shards suffice.
+// acceptsPartial reports whether answers from the given number of a search's shards are enough.
 func (l *Load) acceptsPartial(available int) bool {
 	return float64(available) >= l.MinAnsweredShare*float64(l.ShardsPerSearch)-shareTolerance
 }
 
-// Check returns what is wrong with a fleet.
+// Check returns an error if the description of the fleet is not valid.
 func (f *Fleet) Check() error {
 	switch {
 	case f.Shards < 1 || f.Replicas < 1 || f.Replicas > f.Shards:
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// hasReplica tells whether servers of a cell hold a shard.
+// hasReplica reports whether the servers of a cell hold a replica of a shard.
 func (f *Fleet) hasReplica(cell, shard int) bool {
 	return ((cell-shard)%f.Shards+f.Shards)%f.Shards < f.Replicas
 }
--- a/internal/fleet/lossplan/lossplan_golden_test.go
+++ b/internal/fleet/lossplan/lossplan_golden_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/golden anew")
+var writeGolden = flag.Bool("write-golden", false, "rewrite the files in testdata/golden")
 
+// checkGolden compares got with a golden file, which it writes first if -write-golden is set.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	name = "testdata/golden/" + name
@@ -25,28 +26,28 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs, got:\n%s", name, got)
+		t.Errorf("%s differs from the present output:\n%s", name, got)
 	}
 }
 
-// TestGoldenOutcomes freezes the JSON that `scenario plan --json` prints, and its figures.
+// TestGoldenOutcomes checks that the JSON that `kestrelctl site plan --json` prints, including its figures, does not change.
 func TestGoldenOutcomes(t *testing.T) {
 	f := testFleet()
 	f.Replicas = 1
 	f.Loads[0].MinAnsweredShare = 0.6
 	f.Headroom = 0.75
-	list, err := f.AllLosses()
+	outcomes, err := f.AllLosses()
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.MarshalIndent(list, "", " ")
+	text, err := json.MarshalIndent(outcomes, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, "outcomes.json", append(text, '\n'))
 }
 
-// TestGoldenBounds freezes upper bounds over random capacities and partitions.
+// TestGoldenBounds checks that upper bounds under random capacities, partitions and losses do not change.
 func TestGoldenBounds(t *testing.T) {
 	var got bytes.Buffer
 	for seed := range uint64(12) {
@@ -54,29 +55,29 @@
 		f := testFleet()
 		f.Replicas = 1 + rng.IntN(3)
 		f.Loads[1].MinAnsweredShare = rng.Float64()
-		m := f.IdealConditions()
-		for i := range m.CapacityPerS {
-			m.CapacityPerS[i] *= rng.Float64()
+		conditions := f.IdealConditions()
+		for i := range conditions.CapacityPerS {
+			conditions.CapacityPerS[i] *= rng.Float64()
 		}
 		if rng.IntN(2) == 0 {
-			m.Partition(rng.IntN(3), rng.IntN(3))
+			conditions.Partition(rng.IntN(3), rng.IntN(3))
 		}
 		if rng.IntN(3) == 0 {
-			m.LoseSites(f, rng.IntN(3))
+			conditions.LoseSites(f, rng.IntN(3))
 		}
-		b, err := f.UpperBound(m)
+		b, err := f.UpperBound(conditions)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintln(&got, seed, m.Key(), b.Served, b.ServedBySite, b.Goodput)
+		fmt.Fprintln(&got, seed, conditions.Key(), b.Served, b.ServedBySite, b.Goodput)
 	}
 	checkGolden(t, "bounds.txt", got.Bytes())
 }
 
-// TestGoldenErrors freezes what is said of a fleet that makes no sense.
+// TestGoldenErrors checks that the errors for invalid fleets and conditions do not change.
 func TestGoldenErrors(t *testing.T) {
 	var got bytes.Buffer
-	for _, spoil := range []func(f *Fleet){
+	for _, invalidate := range []func(f *Fleet){
 		func(f *Fleet) { f.Replicas = 9 },
 		func(f *Fleet) { f.Headroom = 1.5 },
 		func(f *Fleet) { f.Servers = nil },
@@ -86,7 +87,7 @@
 		func(f *Fleet) { f.Loads[0].Value = 0 },
 	} {
 		f := testFleet()
-		spoil(f)
+		invalidate(f)
 		fmt.Fprintln(&got, f.Check())
 	}
 	_, err := testFleet().UpperBound(&Conditions{})
--- a/internal/fleet/lossplan/outcome.go
+++ b/internal/fleet/lossplan/outcome.go
@@ -6,39 +6,40 @@
 	"sort"
 )
 
-// TypeOutcome is what becomes of one query type, as shares of its searches.
+// TypeOutcome tells how the searches of one query type end, as shares of all its searches.
 type TypeOutcome struct {
 	Name      string  `json:"Name"`
-	Complete  float64 `json:"Whole"`
-	Partial   float64 `json:"Part"`     // answered in part: some shards have no replica, MinAnsweredShare is met
-	NoReplica float64 `json:"NoHolder"` // rejected: too few of its shards have a replica
-	Shed      float64 `json:"Value"`    // rejected as least valued: more than the survivors' capacity
+	Complete  float64 `json:"Whole"`    // answered from all their shards
+	Partial   float64 `json:"Part"`     // answered partially: some shards have no replica, but MinAnsweredShare is met
+	NoReplica float64 `json:"NoHolder"` // rejected because too few of their shards have a replica
+	Shed      float64 `json:"Value"`    // rejected by value, because the demand exceeds the survivors' capacity
 }
 
-// Served is the share that is answered at all.
+// Served returns the share of the searches that are answered completely or partially.
 func (s TypeOutcome) Served() float64 { return s.Complete + s.Partial }
 
-// Outcome is what a loss of sites leaves. Its JSON is what `scenario plan --json` prints.
+// Outcome is what the fleet can serve after a loss of sites. `kestrelctl site plan --json` prints its JSON encoding.
 type Outcome struct {
 	LostSites         []string      `json:"Lost"`
-	UnavailableShards []int         `json:"Orphans"` // without a replica
-	CapacityPerS      float64       `json:"Bears"`   // sub-requests that the survivors can answer as shards lie, with headroom
-	DemandPerS        float64       `json:"Asked"`   // sub-requests for shards with a replica
+	UnavailableShards []int         `json:"Orphans"` // shards without a replica
+	CapacityPerS      float64       `json:"Bears"`   // sub-requests per second that survivors can answer, given the shard placement and the headroom
+	DemandPerS        float64       `json:"Asked"`   // sub-requests per second for shards with a replica
 	Tight             []string      `json:"Tight"`   // always empty; readers of the JSON may expect the key
-	Types             []TypeOutcome `json:"Types"`   // in the order of the fleet's loads
-	Goodput           float64       `json:"Goodput"` // value a second
-	BestGoodput       float64       `json:"Best"`    // value a second of the best choice of searches, whatever the order
-	Explanation       []string      `json:"Why"`
+	Types             []TypeOutcome `json:"Types"`   // in the order of Fleet.Loads
+	Goodput           float64       `json:"Goodput"` // value of the served searches per second
+	BestGoodput       float64       `json:"Best"`    // value per second if types were served by their value per sub-request instead
+	Explanation       []string      `json:"Why"`     // one sentence per step of the computation
 }
 
-// survivors are the cells and shards that are left.
+// survivors holds the cells and shards that are available after a loss.
 type survivors struct {
-	capacityByCell map[int]float64 // servers of one cell hold the same: they count as one
-	cells          []int           // with capacity
-	shards         []int           // with a replica
-	available      []bool          // by shard
+	capacityByCell map[int]float64 // sub-requests per second; the servers of one cell hold the same shards, so their capacities add up
+	cells          []int           // cells with any capacity, ascending
+	shards         []int           // shards with a replica, ascending
+	available      []bool          // by shard: whether it has a replica
 }
 
+// survivors returns the cells and shards that are available without the lost sites.
 func (f *Fleet) survivors(lost map[int]bool) *survivors {
 	left := &survivors{capacityByCell: map[int]float64{}, available: make([]bool, f.Shards)}
 	for _, s := range f.Servers {
@@ -62,7 +63,7 @@
 	return left
 }
 
-// WithoutSites returns what is left without some sites.
+// WithoutSites returns the outcome of the loss of the given sites, which are indices into Fleet.Sites.
 func (f *Fleet) WithoutSites(sites ...int) (*Outcome, error) {
 	if err := f.Check(); err != nil {
 		return nil, err
@@ -79,14 +80,14 @@
 			o.UnavailableShards = append(o.UnavailableShards, shard)
 		}
 	}
-	perShard, err := f.maxEvenLoad(left)
+	perShardPerS, err := f.maxEvenLoad(left)
 	if err != nil {
 		return nil, err
 	}
-	o.CapacityPerS = perShard * float64(len(left.shards))
+	o.CapacityPerS = perShardPerS * float64(len(left.shards))
 	o.Explanation = append(o.Explanation, fmt.Sprintf(
 		"%d shards, %d without a holder; the survivors bear %.1f sub-requests a second of each of the others (headroom %.2f)",
-		f.Shards, len(o.UnavailableShards), perShard, f.Headroom))
+		f.Shards, len(o.UnavailableShards), perShardPerS, f.Headroom))
 
 	demand := make([]float64, len(f.Loads)) // sub-requests a second
 	for i := range f.Loads {
@@ -99,7 +100,8 @@
 	return o, nil
 }
 
-// findShards returns which searches of a type find all their shards and which enough of them, and the demand of these.
+// findShards returns the shares of a type's searches for which all, enough or too few shards are available, and the demand of
+// those that can be answered, in sub-requests per second.
 func (f *Fleet) findShards(l *Load, available []bool) (share TypeOutcome, demandPerS float64) {
 	share.Name = l.Name
 	for first := range f.Shards {
@@ -124,7 +126,8 @@
 	return share, demandPerS
 }
 
-// serveTypes gives capacity to the most valued type first, and works out what the best order would have gained.
+// serveTypes assigns the capacity to the types in descending order of value. It also computes the goodput of the best order, which
+// is by value per sub-request.
 func (f *Fleet) serveTypes(o *Outcome, demand []float64) {
 	order := make([]int, len(f.Loads))
 	for i := range order {
@@ -139,26 +142,27 @@
 	o.BestGoodput = f.serveInOrder(o, order, demand, false)
 }
 
-// capacityTolerance: what is left of all capacity by rounding is none. It would be all that a type of next to no demand needs.
+// capacityTolerance is the share of the whole capacity below which the remaining capacity counts as zero. Such a remainder is
+// only a rounding error, but a type of very small demand could be served from it.
 const capacityTolerance = 1e-9
 
-// serveInOrder gives capacity to the types in an order, and returns the value a second of what is served. record writes the
-// shares into the outcome.
+// serveInOrder assigns the capacity to the types in the given order, and returns the value per second of the searches that are
+// served. If record is set, it also writes the shares and the explanation into the outcome.
 func (f *Fleet) serveInOrder(o *Outcome, order []int, demand []float64, record bool) (value float64) {
-	left := o.CapacityPerS
+	remaining := o.CapacityPerS // sub-requests per second
 	for _, i := range order {
 		load, share := f.Loads[i], o.Types[i]
 		servable := share.Served()
-		if !record { // the recorded shares are those of another order by now
+		if !record { // the shares in the outcome have already been reduced by the order that was recorded
 			servable = 1 - share.NoReplica
 		}
 		fits := 1.0
 		if demand[i] > 0 {
-			fits = math.Min(1, math.Max(left, 0)/demand[i])
+			fits = math.Min(1, math.Max(remaining, 0)/demand[i])
 		}
-		left -= fits * demand[i]
-		if left < capacityTolerance*o.CapacityPerS {
-			left = 0
+		remaining -= fits * demand[i]
+		if remaining < capacityTolerance*o.CapacityPerS {
+			remaining = 0
 		}
 		value += fits * servable * load.SearchesPerS * load.Value
 		if !record {
@@ -169,12 +173,12 @@
 		share.Partial *= fits
 		o.Types[i] = share
 		o.Explanation = append(o.Explanation, fmt.Sprintf("%s: asks %.1f a second, %.0f%% of it fits, %.1f are left",
-			load.Name, demand[i], 100*fits, max(left, 0)))
+			load.Name, demand[i], 100*fits, max(remaining, 0)))
 	}
 	return value
 }
 
-// AllLosses returns the outcome with nothing lost, then for the loss of each site, then of any two.
+// AllLosses returns the outcome without any loss, then those of the loss of each single site, then those of each pair of sites.
 func (f *Fleet) AllLosses() ([]*Outcome, error) {
 	losses := [][]int{nil}
 	for a := range f.Sites {
--- a/internal/fleet/lossplan/simplex.go
+++ b/internal/fleet/lossplan/simplex.go
@@ -7,19 +7,22 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Tolerances of gonum's simplex.
+// Tolerances that are passed to gonum's simplex solver.
 const (
 	evenLoadTolerance = 1e-10
 	networkTolerance  = 1e-9
 )
 
-// demandPerturbation keeps the right-hand sides of demands apart from zero and from each other: with all of them zero, steps
-// would gain nothing and the simplex could cycle.
+// demandPerturbation is the scale of small positive right-hand sides, all different, for the demand rows. With zeros there, the
+// program would be degenerate: pivot steps would not improve the objective, and the simplex algorithm could cycle.
 const demandPerturbation = 1e-7
 
-// solve returns how many searches a second of each class are taken, so that the sum of their weights is largest. Rows: what is
-// asked of a shard by a site goes somewhere; a pool takes no more than its capacity; no class is taken more often than it
-// arrives. Each row has a slack of its own, and these are the basis to begin with: nothing is taken.
+// solve returns the number of searches per second of each class that are served, chosen so that the sum of their weights is
+// largest. weights holds the weight of each load.
+//
+// The rows of the linear program are, in this order: for each demand, its flows carry all its sub-requests; for each pool, its
+// flows do not exceed its capacity; for each class, no more searches are served than arrive. The columns are the classes, the
+// flows, and one slack variable for each row. The slack variables are the initial basis, in which nothing is served.
 func (n *network) solve(weights []float64) ([]float64, error) {
 	classes, flows, demands, pools := len(n.searches), len(n.flows), len(n.demands), len(n.pools)
 	rows := demands + pools + classes
@@ -65,9 +68,11 @@
 	return solution[:classes], nil
 }
 
-// maxEvenLoad is the most that every shard with a replica can be asked alike, in sub-requests a second, so that no server is
-// over its capacity: a linear programme of the flows from shards to cells. Columns: the common load, the flows, the slack
-// of each cell. Rows: what a shard is asked goes somewhere; a cell takes no more than its capacity.
+// maxEvenLoad returns the largest load, in sub-requests per second and shard, that can be put on all shards with a replica at
+// once without exceeding the capacity of any cell.
+//
+// It solves a linear program of the flows from shards to cells. The columns are the common load, the flows, and the slack variable
+// of each cell. The rows are: for each shard, its flows carry the common load; for each cell, its flows do not exceed its capacity.
 func (f *Fleet) maxEvenLoad(left *survivors) (float64, error) {
 	shards, cells := len(left.shards), len(left.cells)
 	if shards == 0 {
@@ -104,7 +109,7 @@
 	}
 	_, solution, err := lp.Simplex(cost, matrix, bounds, evenLoadTolerance, nil)
 	if err != nil {
-		return 0, fmt.Errorf("what the survivors bear: %w", err)
+		return 0, fmt.Errorf("capacity of the surviving servers: %w", err)
 	}
 	return solution[0] * scale, nil
 }
