--- a/internal/fleet/lossplan/outcome.go
+++ b/internal/fleet/lossplan/outcome.go
@@ -22,7 +22,7 @@
 type Outcome struct {
 	LostSites         []string      `json:"Lost"`
 	UnavailableShards []int         `json:"Orphans"` // shards without a replica
-	CapacityPerS      float64       `json:"Bears"`   // sub-requests per second that survivors can answer, given the shard placement and the headroom
+	CapacityPerS      float64       `json:"Bears"`   // sub-requests per second that survivors can answer, with shard placement and headroom
 	DemandPerS        float64       `json:"Asked"`   // sub-requests per second for shards with a replica
 	Tight             []string      `json:"Tight"`   // always empty; readers of the JSON may expect the key
 	Types             []TypeOutcome `json:"Types"`   // in the order of Fleet.Loads
@@ -80,14 +80,14 @@
 			o.UnavailableShards = append(o.UnavailableShards, shard)
 		}
 	}
-	perShardPerS, err := f.maxEvenLoad(left)
+	loadPerShardPerS, err := f.maxEvenLoad(left)
 	if err != nil {
 		return nil, err
 	}
-	o.CapacityPerS = perShardPerS * float64(len(left.shards))
+	o.CapacityPerS = loadPerShardPerS * float64(len(left.shards))
 	o.Explanation = append(o.Explanation, fmt.Sprintf(
 		"%d shards, %d without a holder; the survivors bear %.1f sub-requests a second of each of the others (headroom %.2f)",
-		f.Shards, len(o.UnavailableShards), perShardPerS, f.Headroom))
+		f.Shards, len(o.UnavailableShards), loadPerShardPerS, f.Headroom))
 
 	demand := make([]float64, len(f.Loads)) // sub-requests a second
 	for i := range f.Loads {
--- a/internal/fleet/zonerecovery/schedule.go
+++ b/internal/fleet/zonerecovery/schedule.go
@@ -1,10 +1,11 @@
-// Package zonerecovery schedules a lost site's recovery once for the whole fleet: from no load to its full share by steps that
-// go on only while nobody reports it lost again, and that get longer with each loss. It is a reducer: instances'
-// observations and times go in, stages come out; no I/O, no clock. What a broker makes of a stage is for its own detector to
-// decide (package zonefailure): a stage can slow that broker's recovery down, and neither begins nor ends it.
+// Package zonerecovery schedules the recovery of lost sites, with one schedule for the whole fleet. The load of a site rises in
+// steps from none to its full share. The steps go on only as long as the site is not reported lost again, and they get longer
+// with each further loss. The schedule is a reducer: the observations of instances and times go in, stages come out; it does no
+// I/O and reads no clock. The failure detector of each broker decides what to do with a stage (package zonefailure): a stage can
+// slow down the recovery of a site at that broker, but neither begins nor ends it.
 //
-// Invariants: a share rises by one step at a time, and never sooner than a step after the last change; one instance alone
-// takes no site back to share 0.
+// Invariants: a share rises by one step at a time, and a rise from a share above 0 comes no sooner than one step's time after the
+// last change. A single instance can't set the share of a site back to 0.
 package zonerecovery
 
 import (
@@ -12,32 +13,32 @@
 	"slices"
 )
 
-// report is what an instance last observed of a site.
+// report is the latest observation of a site by one instance.
 type report struct {
 	lost   bool
-	seenAt float64
+	seenAt float64 // ms
 }
 
-// siteState is a site that was reported lost lately.
+// siteState is the state of a site that has recently been reported lost.
 type siteState struct {
 	Stage
-	reports    map[string]report // by instance, the latest
-	stageSince float64           // when this stage began, by this process' clock
+	reports    map[string]report // latest report by instance
+	stageSince float64           // when the present stage began, in ms of the clock of this process
 }
 
-// maxReportsPerSite bounds the instances whose reports are kept for a site.
+// maxReportsPerSite is the largest number of instances whose reports are kept for one site.
 const maxReportsPerSite = 1000
 
-// Schedule is the state of all recoveries.
+// Schedule holds the recovery state of all sites.
 type Schedule struct {
 	config      Config
 	sites       map[int]*siteState
-	changed     bool // since the last publication
-	publishedAt float64
+	changed     bool    // whether stages have changed since they were last published
+	publishedAt float64 // ms
 }
 
-// New continues from what the previous holder of the role had published. Each stage counts from now, as nobody knows when it
-// began. Data that can't be read holds no site back.
+// New returns a schedule that continues from the stages that the previous holder of the role published. Each stage is taken to
+// begin now, in ms, as the time at which it really began is not known. Malformed data is ignored, and then no site is held back.
 func New(config Config, published []byte, now float64) *Schedule {
 	s := &Schedule{config: config, sites: map[int]*siteState{}}
 	stages, err := ParseStages(published)
@@ -54,7 +55,9 @@
 	return &siteState{Stage: stage, reports: map[string]report{}, stageSince: since}
 }
 
-// Observe takes an instance's observation of a site at seenAt. A site that nobody has reported lost needs no stage.
+// Observe records that an instance observed at seenAt, in ms, whether a site is lost. A site that has not been reported lost has
+// no stage, so observations that it is healthy are ignored. So are observations older than the
+// instance's latest one, and those of new instances if maxReportsPerSite others have reported.
 func (s *Schedule) Observe(seenAt float64, instance string, siteIndex int, lost bool) {
 	if siteIndex < 0 {
 		return
@@ -69,14 +72,15 @@
 	}
 	previous, known := site.reports[instance]
 	switch {
-	case known && previous.seenAt > seenAt: // overtaken on its way by a newer one
+	case known && previous.seenAt > seenAt: // a newer report has arrived before this one
 	case !known && len(site.reports) >= maxReportsPerSite:
 	default:
 		site.reports[instance] = report{lost, seenAt}
 	}
 }
 
-// Advance moves all recoveries on to now. It returns the stages to be published, or false where nothing has changed.
+// Advance advances the recovery of all sites to the time now, in ms. It returns the stages to publish as JSON, and whether there
+// is anything to publish: stages that have changed, or stages below the full share whose republication is due.
 func (s *Schedule) Advance(now float64) (data []byte, changed bool) {
 	for index, site := range s.sites {
 		s.advanceSite(now, index, site)
@@ -91,34 +95,37 @@
 	return s.marshal(), true
 }
 
+// advanceSite moves a site to its next stage if a change is due, and removes a site that has recovered and whose losses are to be
+// forgotten.
 func (s *Schedule) advanceSite(now float64, index int, site *siteState) {
-	lost, healthy := site.countReports(now, s.config.ReportFreshMs)
-	firstShare := 1 / float64(s.config.Steps)
+	lost, healthy := site.countReports(now, s.config.MaxReportAgeMs)
+	shareStep := 1 / float64(s.config.Steps)
 	switch {
 	case site.Share > 0 && lost >= s.config.MinReporters:
 		s.enterStage(now, site, 0)
 		site.RecentLosses++
 	case site.Share == 0 && healthy > 0 && healthy >= lost:
-		s.enterStage(now, site, firstShare)
+		s.enterStage(now, site, shareStep)
 	case site.Share > 0 && site.Share < 1 && now >= site.stageSince+s.stepMs(site):
-		s.enterStage(now, site, min(site.Share+firstShare, 1))
+		s.enterStage(now, site, min(site.Share+shareStep, 1))
 	case site.Share >= 1 && now >= site.stageSince+s.config.LossMemoryMs && len(site.reports) == 0:
 		delete(s.sites, index)
 		s.changed = true
 	}
 }
 
+// enterStage begins a stage with the given share.
 func (s *Schedule) enterStage(now float64, site *siteState, share float64) {
 	site.Share, site.stageSince = share, now
 	s.changed = true
 }
 
-// countReports drops expired reports and counts the others: losses only since the present stage began, as earlier ones brought
-// it about.
-func (s *siteState) countReports(now, freshMs float64) (lost, healthy int) {
+// countReports drops expired reports and counts the others by what they say. Reports of a loss count only if the loss was seen
+// after the present stage began, as earlier ones have already been taken into account by that stage.
+func (s *siteState) countReports(now, maxAgeMs float64) (lost, healthy int) {
 	for instance, report := range s.reports {
 		switch {
-		case now-report.seenAt > freshMs:
+		case now-report.seenAt > maxAgeMs:
 			delete(s.reports, instance)
 		case report.lost && report.seenAt >= s.stageSince:
 			lost++
@@ -129,7 +136,7 @@
 	return lost, healthy
 }
 
-// stepMs doubles with each recent loss after the first.
+// stepMs returns the time between two steps of a site's recovery. It doubles with each recent loss after the first.
 func (s *Schedule) stepMs(site *siteState) float64 {
 	step := s.config.MinStepMs
 	for n := 1; n < site.RecentLosses && step < s.config.MaxStepMs; n++ {
@@ -138,12 +145,13 @@
 	return min(step, s.config.MaxStepMs)
 }
 
+// marshal returns the stages of all sites as JSON, in the order of their sites.
 func (s *Schedule) marshal() []byte {
 	stages := make([]Stage, 0, len(s.sites))
 	for _, site := range s.sites {
 		stages = append(stages, site.Stage)
 	}
 	slices.SortFunc(stages, func(a, b Stage) int { return a.Site - b.Site })
-	data, _ := json.Marshal(stages) // finite numbers can't fail
+	data, _ := json.Marshal(stages) // can't fail: all numbers are finite
 	return data
 }
--- a/internal/fleet/zonerecovery/schedule_test.go
+++ b/internal/fleet/zonerecovery/schedule_test.go
@@ -7,16 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases each time, so that a verdict stays; others with -rapid.seed.
+// The seed is fixed so that each run checks the same cases; -rapid.seed selects others.
 func init() { flag.Set("rapid.seed", "1") }
 
+// publishedShare returns the share of a site in published stages, or -1 if the site has no stage.
 func publishedShare(t *testing.T, data []byte, site int) float64 {
 	t.Helper()
-	list, err := ParseStages(data)
+	stages, err := ParseStages(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range list {
+	for _, s := range stages {
 		if s.Site == site {
 			return s.Share
 		}
@@ -25,84 +26,86 @@
 }
 
 func TestRecoveryAdvancesInStepsAndFallsBackOnLoss(t *testing.T) {
-	p := New(DefaultConfig, nil, 0)
-	p.Observe(100, "a", 1, true)
-	if _, changed := p.Advance(150); changed {
-		t.Fatal("one instance's report alone lost a site")
+	schedule := New(DefaultConfig, nil, 0)
+	schedule.Observe(100, "a", 1, true)
+	if _, changed := schedule.Advance(150); changed {
+		t.Fatal("the report of a single instance has changed a stage")
 	}
-	p.Observe(200, "b", 1, true)
-	d, _ := p.Advance(250)
-	if publishedShare(t, d, 1) != 0 {
-		t.Fatal(string(d))
+	schedule.Observe(200, "b", 1, true)
+	data, _ := schedule.Advance(250)
+	if publishedShare(t, data, 1) != 0 {
+		t.Fatal("two reports of a loss have not set the share to 0: ", string(data))
 	}
-	p.Observe(3000, "a", 1, false)
-	if d, _ = p.Advance(3000); publishedShare(t, d, 1) != -1 {
-		// b still reports a loss, a an answer: a tie goes to the answer, as a's report is the newer evidence
-		if publishedShare(t, d, 1) != 0.25 {
-			t.Fatal(string(d))
+	schedule.Observe(3000, "a", 1, false)
+	if data, _ = schedule.Advance(3000); publishedShare(t, data, 1) != -1 {
+		// b has reported a loss and a later a healthy site. A tie counts as healthy, as the report of a is newer evidence.
+		if publishedShare(t, data, 1) != 0.25 {
+			t.Fatal("the share is not at the first step: ", string(data))
 		}
 	}
-	p.Observe(3100, "b", 1, false)
-	p.Advance(3100)
-	if d, changed := p.Advance(3900); changed && publishedShare(t, d, 1) > 0.25 {
-		t.Fatal("a step too early: ", string(d))
+	schedule.Observe(3100, "b", 1, false)
+	schedule.Advance(3100)
+	if data, changed := schedule.Advance(3900); changed && publishedShare(t, data, 1) > 0.25 {
+		t.Fatal("the share has risen before the step was over: ", string(data))
 	}
-	d, _ = p.Advance(4100)
-	if publishedShare(t, d, 1) != 0.5 {
-		t.Fatal(string(d))
+	data, _ = schedule.Advance(4100)
+	if publishedShare(t, data, 1) != 0.5 {
+		t.Fatal("the share is not at the second step: ", string(data))
 	}
-	p.Observe(4200, "a", 1, true)
-	p.Observe(4300, "c", 1, true)
-	if d, _ = p.Advance(4300); publishedShare(t, d, 1) != 0 {
-		t.Fatal("losses stop nothing: ", string(d))
+	schedule.Observe(4200, "a", 1, true)
+	schedule.Observe(4300, "c", 1, true)
+	if data, _ = schedule.Advance(4300); publishedShare(t, data, 1) != 0 {
+		t.Fatal("two reports of a loss have not set the share to 0: ", string(data))
 	}
-	for _, who := range []string{"a", "b", "c"} {
-		p.Observe(6000, who, 1, false)
+	for _, instance := range []string{"a", "b", "c"} {
+		schedule.Observe(6000, instance, 1, false)
 	}
-	d, _ = p.Advance(6000)
-	if publishedShare(t, d, 1) != 0.25 {
-		t.Fatal(string(d))
+	data, _ = schedule.Advance(6000)
+	if publishedShare(t, data, 1) != 0.25 {
+		t.Fatal("the share is not at the first step after the second loss: ", string(data))
 	}
-	if d, changed := p.Advance(7500); changed && publishedShare(t, d, 1) > 0.25 {
-		t.Fatal("the second recovery is as quick as the first")
+	if data, changed := schedule.Advance(7500); changed && publishedShare(t, data, 1) > 0.25 {
+		t.Fatal("the second recovery has not been slower than the first")
 	}
-	if d, changed := p.Advance(8000); !changed || publishedShare(t, d, 1) != 0.5 {
-		t.Fatal(string(d), changed)
+	if data, changed := schedule.Advance(8000); !changed || publishedShare(t, data, 1) != 0.5 {
+		t.Fatal("the share has not risen after the longer step: ", string(data), ", changed: ", changed)
 	}
-	// The next holder continues from there, and waits a step of its own.
-	next := New(DefaultConfig, []byte(`[{"site":1,"share":0.5,"falls":2}]`), 50)
-	if d, changed := next.Advance(2000); changed && publishedShare(t, d, 1) > 0.5 {
-		t.Fatal("a new holder raised a stage of which it has no report")
+	// The next role holder continues from the published stage, and waits for a full step first.
+	successor := New(DefaultConfig, []byte(`[{"site":1,"share":0.5,"falls":2}]`), 50)
+	if data, changed := successor.Advance(2000); changed && publishedShare(t, data, 1) > 0.5 {
+		t.Fatal("the new role holder has raised the share before a full step was over")
 	}
-	if d, _ := next.Advance(2050); publishedShare(t, d, 1) != 0.75 {
-		t.Fatal(string(d))
+	if data, _ := successor.Advance(2050); publishedShare(t, data, 1) != 0.75 {
+		t.Fatal("the share has not risen once the new role holder has waited for a full step: ", string(data))
 	}
-	if p := New(DefaultConfig, []byte("rubbish"), 0); len(p.sites) != 0 {
-		t.Fatal("malformed data holds a site back")
+	if schedule := New(DefaultConfig, []byte("rubbish"), 0); len(schedule.sites) != 0 {
+		t.Fatal("malformed data has created a stage")
 	}
 }
 
-// Whatever is reported: a share rises by one step at a time, and never sooner than a step after the last change.
+// Whatever is reported, a share rises by one step at a time, and a rise from above 0 comes no sooner than one step's time after the
+// last change.
 func TestStagesNeverJump(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now, was, since := New(DefaultConfig, nil, 0), 0.0, 1.0, 0.0
+		schedule, now, previousShare, changedAt := New(DefaultConfig, nil, 0), 0.0, 1.0, 0.0
 		for range 200 {
 			now += float64(rapid.IntRange(1, 700).Draw(t, "ms"))
-			p.Observe(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), 0, rapid.Bool().Draw(t, "lost"))
-			d, changed := p.Advance(now)
+			schedule.Observe(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "instance"), 0, rapid.Bool().Draw(t, "lost"))
+			data, changed := schedule.Advance(now)
 			if !changed {
 				continue
 			}
-			list, _ := ParseStages(d)
-			is := 1.0
-			for _, s := range list {
-				is = s.Share
+			stages, _ := ParseStages(data)
+			share := 1.0
+			for _, s := range stages {
+				share = s.Share
 			}
-			if is > was+1/float64(DefaultConfig.Steps)+1e-9 || is > was && was > 0 && now < since+DefaultConfig.MinStepMs {
-				t.Fatalf("from %v to %v after %.0f ms", was, is, now-since)
+			if share > previousShare+1/float64(DefaultConfig.Steps)+1e-9 ||
+				share > previousShare && previousShare > 0 && now < changedAt+DefaultConfig.MinStepMs {
+				t.Fatalf("the share has risen from %v to %v, %.0f ms after the last change", previousShare, share, now-changedAt)
 			}
-			if is != was {
-				was, since = is, now
+			if share != previousShare {
+				previousShare, changedAt = share, now
 			}
 		}
 	})
