--- a/internal/fleet/capacity/capacity_test.go
+++ b/internal/fleet/capacity/capacity_test.go
@@ -22,8 +22,12 @@
 	overloaded     float64   // share of overloaded sub-requests in the latest run
 }
 
+// newFleet returns a fleet with the given rate of sub-requests for each query type; the types have the values 1, 2 and so on.
 func newFleet(t *testing.T, serverCapacity float64, rates ...float64) *simulatedFleet {
-	f := &simulatedFleet{Estimator: New(DefaultConfig), t: t, rng: rand.New(rand.NewPCG(1, 1)), now: 1000, serverCapacity: serverCapacity, rates: rates}
+	f := &simulatedFleet{
+		Estimator: New(DefaultConfig), t: t, rng: rand.New(rand.NewPCG(1, 1)),
+		now: 1000, serverCapacity: serverCapacity, rates: rates,
+	}
 	for i := range rates {
 		f.values = append(f.values, float64(i+1))
 	}
@@ -128,7 +132,8 @@
 		t.Errorf("the servers are back, but the admitted share is %.2f, %.2f before the loss", f.AdmittedShare(), before)
 	}
 	before = f.AdmittedShare()
-	f.SetUsableCapacity(0) // all servers gone for a moment: the admitted share must not stay at its minimum for half a minute after that
+	// All servers are gone for a moment: the admitted share must not have to recover from its minimum, which takes half a minute.
+	f.SetUsableCapacity(0)
 	f.SetUsableCapacity(100)
 	if f.AdmittedShare() != before {
 		t.Errorf("all servers were gone for a moment: the admitted share is %.2f, %.2f before", f.AdmittedShare(), before)
--- a/internal/fleet/shedding/shedding.go
+++ b/internal/fleet/shedding/shedding.go
@@ -126,7 +126,8 @@
 		lines = append(lines, line)
 	}
 	if w.RetryWeight < 1 {
-		lines = append(lines, fmt.Sprintf("within each type, a search that its client marks as a retry counts with %.2f of the weight", w.RetryWeight))
+		lines = append(lines, fmt.Sprintf("within each type, a search that its client marks as a retry counts with %.2f of the weight",
+			w.RetryWeight))
 	}
 	return append(lines, "within each type, searches of a customer beyond its quota count with the reduced weight that the settings give them")
 }
--- a/internal/fleet/zonerecovery/schedule.go
+++ b/internal/fleet/zonerecovery/schedule.go
@@ -56,8 +56,8 @@
 }
 
 // Observe records that an instance observed at seenAt, in ms, whether a site is lost. A site that has not been reported lost has
-// no stage, so observations that it is healthy are ignored. So are observations older than the
-// instance's latest one, and those of new instances if maxReportsPerSite others have reported.
+// no stage, so observations that it is healthy are ignored. So are observations older than the instance's latest one, and those of
+// further instances if maxReportsPerSite have reported.
 func (s *Schedule) Observe(seenAt float64, instance string, siteIndex int, lost bool) {
 	if siteIndex < 0 {
 		return
