--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -1,13 +1,16 @@
 package protocol
 
-// readChunkFraming reads one byte between the chunks of a body: of a size line, the end of a chunk,
-// or trailers.
+// maxSizeDigits limits the hex digits of a chunk size.
+const maxSizeDigits = 7
+
+// readChunkFraming parses one byte of a chunked body that is not chunk data: of a chunk-size line, of
+// the line break after a chunk, or of the trailers.
 func (m *Message) readChunkFraming(c byte) error {
 	if m.lineLength++; m.lineLength > maxChunk {
-		return newError(400, "a chunk's line is too long")
+		return newError(400, "chunk-size line or trailers exceed the limit")
 	}
 	if m.afterCR && c != '\n' || !m.afterCR && c == '\n' || m.state == inDataEnd && !m.afterCR && c != '\r' {
-		return newError(400, "a broken chunk")
+		return newError(400, "invalid line break in a chunked body")
 	}
 	if c == '\r' {
 		m.afterCR = true
@@ -19,10 +22,10 @@
 	case inSize, inExtension:
 		if ended {
 			if m.digits == 0 {
-				return newError(400, "a chunk without a size")
+				return newError(400, "chunk without a size")
 			}
 			if m.Stream == nil && len(m.buf)-m.headLength+m.remaining > MaxBody {
-				return newError(413, "the body is too long")
+				return newError(413, "body exceeds the limit")
 			}
 			m.state, m.lineLength = inData, 0
 			if m.remaining == 0 {
@@ -31,20 +34,20 @@
 			return nil
 		}
 		if d := hexDigit(c); m.state == inSize && d >= 0 {
-			if m.digits++; m.digits > 7 {
-				return newError(413, "a chunk is too long")
+			if m.digits++; m.digits > maxSizeDigits {
+				return newError(413, "chunk size has too many digits")
 			}
 			m.remaining = m.remaining<<4 | d
 		} else if c == ';' || c == ' ' || c == '\t' {
 			m.state = inExtension
 		} else if m.state == inSize {
-			return newError(400, "a chunk's size is no number")
+			return newError(400, "chunk size is not a hexadecimal number")
 		}
 	case inDataEnd:
 		m.state, m.remaining, m.digits, m.lineLength = inSize, 0, 0, 0
 	case inTrailer:
 		if !ended {
-			m.digits++ // of this line
+			m.digits++ // a byte of this trailer line
 		} else if m.digits == 0 {
 			m.state = complete
 		} else {
@@ -54,6 +57,7 @@
 	return nil
 }
 
+// hexDigit returns the value of a hexadecimal digit, or -1.
 func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -8,42 +8,45 @@
 	"unicode/utf8"
 )
 
-// The letters of frames: to servers a request (R) and its abandoning (A), health checks both ways
-// (G, T with load), from servers a reply (Y) and a refusal of the connection (N).
+// The types of frames, as the first byte after the length states them.
 const (
-	FrameRequest = 'R'
-	FrameAbandon = 'A'
-	FrameAlive   = 'G'
-	FrameLoad    = 'T'
-	FrameReply   = 'Y'
-	FrameError   = 'N'
+	FrameRequest = 'R' // to servers: a batch of shard requests
+	FrameAbandon = 'A' // to servers: cancels an attempt
+	FrameAlive   = 'G' // both ways: health check and its answer
+	FrameLoad    = 'T' // both ways: health check that asks for a load report, and its answer
+	FrameReply   = 'Y' // from servers: the result of an attempt
+	FrameError   = 'N' // from servers: the connection is refused
 )
 
-// MaxFrame bounds what a server may send: a value as long as a body, and its line.
+// MaxFrame is the longest frame that a server may send, in bytes without the length prefix: a value as
+// long as a body, and the line before it.
 const MaxFrame = MaxBody + 1<<10
 
-// FrameSplitter splits what a server sends into frames. The bytes of an incomplete frame are kept
-// in storage that the caller gives.
+// FrameSplitter splits the bytes from a server into frames. It keeps the bytes of an incomplete frame in
+// a buffer that the caller lends.
 type FrameSplitter struct{ partial []byte }
 
-// Incomplete tells whether it still needs its storage.
+// Incomplete reports whether bytes of an incomplete frame are buffered, so that the buffer is still
+// needed.
 func (f *FrameSplitter) Incomplete() bool { return len(f.partial) > 0 }
 
-// SetStorage gives the storage, MaxFrame and 4 bytes at least, or takes it back with nil.
-func (f *FrameSplitter) SetStorage(buf []byte) (was []byte) {
-	was, f.partial = f.partial, buf[:0]
-	return was
+// SetStorage makes the splitter use buf, which has room for at least MaxFrame + 4 bytes, or no buffer if
+// buf is nil, and returns the previous buffer.
+func (f *FrameSplitter) SetStorage(buf []byte) (previous []byte) {
+	previous, f.partial = f.partial, buf[:0]
+	return previous
 }
 
-// MoveStorage has it go on in other storage, as long as the one before.
+// MoveStorage copies the buffered bytes to buf, which has the size of the previous buffer, and goes on
+// there.
 func (f *FrameSplitter) MoveStorage(buf []byte) { f.partial = append(buf[:0], f.partial...) }
 
-// HasStorage tells whether storage was given.
+// HasStorage reports whether the splitter has a buffer.
 func (f *FrameSplitter) HasStorage() bool { return cap(f.partial) > 0 }
 
-// Feed gives each complete frame to each, by its letter; the rest of a frame holds until that
-// returns.
-func (f *FrameSplitter) Feed(b []byte, each func(letter byte, rest []byte) error) error {
+// Feed calls each with the type and the payload of every complete frame, and stops at the first error.
+// The payload is valid until each returns.
+func (f *FrameSplitter) Feed(b []byte, each func(frameType byte, payload []byte) error) error {
 	for len(b) > 0 || len(f.partial) >= 4 {
 		have := f.partial
 		if len(have) == 0 {
@@ -61,7 +64,7 @@
 		}
 		size := binary.LittleEndian.Uint32(have)
 		if size == 0 || size > MaxFrame {
-			return newError(400, "a frame of a false length")
+			return newError(400, "invalid frame length")
 		}
 		end := int(size) + 4
 		if len(f.partial) == 0 && len(b) >= end {
@@ -86,48 +89,50 @@
 	return nil
 }
 
-// ReplyStatus tells how an attempt ended at its server.
+// ReplyStatus is the result of an attempt at its server.
 type ReplyStatus uint8
 
-// The ends of an attempt.
+// Values of ReplyStatus.
 const (
-	ReplyOK ReplyStatus = iota
-	ReplyError
-	ReplyRejected
+	ReplyOK       ReplyStatus = iota
+	ReplyError                // the attempt may have run
+	ReplyRejected             // the attempt never ran
 )
 
-// ReadReply reads the rest of a frame Y.
-func ReadReply(rest []byte) (id []byte, end ReplyStatus, report, value []byte, err error) {
-	line, value, found := bytes.Cut(rest, []byte("\n"))
-	words := bytes.SplitN(line, []byte(" "), 4) // whatever follows the third space is the report, sound or not
+// ReadReply parses the payload of a reply frame: the id of the attempt, its result, the load report, which
+// is not validated, and the value.
+func ReadReply(payload []byte) (id []byte, status ReplyStatus, report, value []byte, err error) {
+	line, value, found := bytes.Cut(payload, []byte("\n"))
+	words := bytes.SplitN(line, []byte(" "), 4) // all after the third space is the report, valid or not
 	if !found || len(words) != 4 || len(words[0]) == 0 {
-		return nil, 0, nil, nil, newError(400, "a reply is not understood")
+		return nil, 0, nil, nil, newError(400, "reply has no valid first line")
 	}
 	switch string(words[1]) {
 	case "OK":
-		end = ReplyOK
+		status = ReplyOK
 	case "ERROR":
-		end = ReplyError
+		status = ReplyError
 	case "REJECTED":
-		end = ReplyRejected
+		status = ReplyRejected
 	default:
-		return nil, 0, nil, nil, newError(400, "a reply is not understood")
+		return nil, 0, nil, nil, newError(400, "reply has an unknown status")
 	}
-	if end != ReplyOK {
-		return words[0], end, words[3], value, nil
+	if status != ReplyOK {
+		return words[0], status, words[3], value, nil
 	}
 	if _, err := strconv.ParseUint(string(words[2]), 10, 64); err != nil {
-		return nil, 0, nil, nil, newError(400, "a reply's score is no number")
+		return nil, 0, nil, nil, newError(400, "score of a reply is not a number")
 	}
-	// A value goes into a client's JSON as text: what is none was spoilt on its way, and no client
-	// could read it.
+	// A value becomes a JSON string in the answer to the client. One that is not valid text was corrupted
+	// in transit, and no client could parse it.
 	if !utf8.Valid(value) || bytes.ContainsFunc(value, func(c rune) bool { return c < ' ' || c == 127 }) {
-		return nil, 0, nil, nil, newError(400, "a value is no text")
+		return nil, 0, nil, nil, newError(400, "value of a reply is not valid text")
 	}
-	return words[0], end, words[3], value, nil
+	return words[0], status, words[3], value, nil
 }
 
-// ReadReport reads a load report; none is written as one dash.
+// ReadReport parses a load report, comma-separated pairs of a name and a number, and calls each for every
+// pair. A single dash stands for no report.
 func ReadReport(report []byte, each func(name []byte, value float64)) error {
 	if string(report) == "-" {
 		return nil
@@ -136,40 +141,41 @@
 		name, value, found := bytes.Cut(pair, []byte("="))
 		v, err := strconv.ParseFloat(string(value), 64)
 		if !found || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			return newError(400, "a report is not understood")
+			return newError(400, "invalid load report")
 		}
 		each(name, v)
 	}
 	return nil
 }
 
-// BeginRequestFrame begins a frame, AppendShardRequest adds a shard request, EndFrame states its
-// length; from is where the frame began. mark is the client's idempotency key, or empty: servers
-// drop a second run by it, so it goes with every attempt of the shard request.
+// BeginRequestFrame appends the start of a request frame. AppendShardRequest then adds attempts, and
+// EndFrame completes the frame.
 func BeginRequestFrame(dst []byte) []byte { return append(dst, 0, 0, 0, 0, FrameRequest) }
 
-// AppendShardRequest appends one attempt to a request frame: its id and shard, the milliseconds
-// that are left (at least 1), an optional mark and the text of the search.
-func AppendShardRequest(dst []byte, id string, shard int, wait float64, mark, text []byte) []byte {
+// AppendShardRequest appends one attempt to a request frame: its id and shard, the time that is left in
+// milliseconds (at least 1), an optional idempotency key and the text of the search. idempotencyKey is
+// the client's, or empty; servers use it to drop a second run, so every attempt of a shard request
+// carries it.
+func AppendShardRequest(dst []byte, id string, shard int, timeLeft float64, idempotencyKey, text []byte) []byte {
 	dst = append(append(dst, id...), ' ')
 	dst = append(strconv.AppendInt(dst, int64(shard), 10), " d="...)
-	if dst = strconv.AppendInt(dst, int64(max(wait, 1)), 10); len(mark) > 0 {
-		dst = append(append(dst, ",k="...), mark...)
+	if dst = strconv.AppendInt(dst, int64(max(timeLeft, 1)), 10); len(idempotencyKey) > 0 {
+		dst = append(append(dst, ",k="...), idempotencyKey...)
 	}
 	dst = append(dst, ' ')
 	dst = append(strconv.AppendInt(dst, int64(len(text)), 10), '\n')
 	return append(dst, text...)
 }
 
-// EndFrame writes the length of a frame that began at from into its first four bytes.
-func EndFrame(dst []byte, from int) []byte {
-	binary.LittleEndian.PutUint32(dst[from:], uint32(len(dst)-from-4))
+// EndFrame writes the length of the frame that starts at offset start of dst into its first four bytes.
+func EndFrame(dst []byte, start int) []byte {
+	binary.LittleEndian.PutUint32(dst[start:], uint32(len(dst)-start-4))
 	return dst
 }
 
-// AppendShortFrame writes a frame with few words or none: a probe, or the id of an attempt that is
-// abandoned.
-func AppendShortFrame(dst []byte, letter byte, rest string) []byte {
-	dst = binary.LittleEndian.AppendUint32(dst, uint32(1+len(rest)))
-	return append(append(dst, letter), rest...)
+// AppendShortFrame appends a frame with this type and payload, such as a health check or a cancellation
+// with the id of the attempt.
+func AppendShortFrame(dst []byte, frameType byte, payload string) []byte {
+	dst = binary.LittleEndian.AppendUint32(dst, uint32(1+len(payload)))
+	return append(append(dst, frameType), payload...)
 }
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -4,16 +4,19 @@
 	"bytes"
 )
 
-// LineSplitter splits a stream into lines, of which each may be long. A list that comes indented,
-// over many lines, is one: a line that is the sound beginning of a list is kept until its last
-// brace is closed.
+// LineSplitter splits the stream of a discovery service into lines. A list that is indented over many
+// lines counts as one line: a line that is a valid prefix of a list is buffered until the last brace
+// of the list is closed.
 type LineSplitter struct {
-	partial         []byte
-	depth, scanned  int
-	quoted, escaped bool
+	partial []byte // buffered bytes of an incomplete line or list
+	depth   int    // open braces and brackets at the end of the scanned bytes
+	scanned int    // bytes of partial whose braces were counted
+	quoted  bool   // the scanned bytes end within a string
+	escaped bool   // the scanned bytes end after a backslash within a string
 }
 
-// listComplete follows braces through a line, and tells whether all are shut at its end.
+// listComplete counts the braces and brackets of a line, and reports whether none is open at its end or
+// the line ends within a string, where a valid list has no line break.
 func (l *LineSplitter) listComplete(line []byte) bool {
 	for _, c := range line {
 		switch {
@@ -29,39 +32,41 @@
 			l.depth--
 		}
 	}
-	return l.depth <= 0 || l.quoted // no line ends within a string
+	return l.depth <= 0 || l.quoted
 }
 
-// Feed takes the next bytes and calls each with every line that they complete; it ends at the first
-// error.
+// Feed takes the next bytes of the stream and calls each with every line that they complete. It stops
+// at the first error.
 func (l *LineSplitter) Feed(b []byte, each func(line []byte) error) error {
 	for {
 		line, rest, ended := bytes.Cut(b, []byte("\n"))
 		if !ended {
 			if len(l.partial)+len(line) > maxLine {
-				return newError(400, "a line is too long")
+				return newError(400, "line of the discovery stream exceeds the limit")
 			}
 			l.partial = append(l.partial, line...)
 			return nil
 		}
-		goes := len(l.partial) > 0 && l.depth > 0 // on from the line before
+		continuesList := len(l.partial) > 0 && l.depth > 0
 		if len(l.partial) > 0 {
 			l.partial = append(l.partial, line...)
 			line = l.partial
 		}
 		piece := line[l.scanned:]
-		if goes {
-			// A blank line is a beat and a sound list is one of its own: what is held was cut off,
-			// and goes on nowhere.
+		if continuesList {
+			// A blank line is a heartbeat and a valid list stands alone: in both cases the buffered
+			// list was cut off and its rest never comes.
 			if _, _, err := ReadList(piece, nil); err == nil || len(bytes.TrimSpace(piece)) == 0 {
-				return newError(400, "half a list")
+				return newError(400, "server list was cut off")
 			}
 		}
-		if !l.listComplete(piece) && (goes || beginsList(line)) && len(line) < maxLine {
+		if !l.listComplete(piece) && (continuesList || beginsList(line)) && len(line) < maxLine {
 			if len(l.partial) == 0 {
 				l.partial = append(l.partial, line...)
 			}
-			l.partial = append(l.partial, '\n') // what is held stays where it is: moved for each line, a long list would take minutes
+			// The buffered lines stay in place: copying them for each line would take minutes for a long
+			// list.
+			l.partial = append(l.partial, '\n')
 			l.scanned = len(l.partial)
 			b = rest
 			continue
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -4,34 +4,39 @@
 	"strconv"
 )
 
-// AppendWatch asks discovery for all changes after a version, and for those to come.
+// AppendWatch appends the request that asks the discovery service at host for all changes of the server
+// list after a version, and for a stream of the later ones.
 func AppendWatch(dst []byte, host string, after int64) []byte {
 	dst = append(dst, "GET /v1/endpoints?watch=1&after="...)
 	dst = strconv.AppendInt(dst, after, 10)
 	return append(append(append(dst, " HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
 }
 
+// serverStates maps the lifecycle names of discovery to the state numbers that ParseServerList passes on.
 var serverStates = map[string]uint8{"ready": 0, "draining": 1, "gone": 2}
 
-// ReadList reads a list of servers. With each nil it only looks whether the line is sound. The
-// states are 0 ready, 1 draining, 2 gone; started is Unix time in milliseconds.
+// ReadList parses one server list of discovery and calls each for every server; if each is nil, it only
+// validates the line. full reports whether the list replaces all servers instead of changing some.
+// state is 0 for ready, 1 for draining and 2 for gone; started is Unix time in milliseconds. A list may
+// prove invalid after calls of each: callers validate it first.
 func ReadList(line []byte, each func(id, addr, zone []byte, cell int, state uint8, weight, started float64)) (
 	version int64, full bool, err error) {
 	s := &scanner{text: line}
 	version, full, has := s.readList(each)
-	if !s.complete() || has&5 != 5 {
-		return 0, false, newError(400, "the list is not understood")
+	if !s.complete() || has&5 != 5 { // the version and the servers are required
+		return 0, false, newError(400, "invalid server list")
 	}
 	return version, full, nil
 }
 
-// beginsList tells whether a line is the sound beginning of a list that goes on in the next line.
+// beginsList reports whether a line is a valid prefix of a list that continues on the next line.
 func beginsList(line []byte) bool {
 	s := &scanner{text: line}
 	s.readList(nil)
 	return s.truncated && s.text[0] == '{'
 }
 
+// readList parses a list. Bit i of has is set if field i of the top-level object is present.
 func (s *scanner) readList(each func(id, addr, zone []byte, cell int, state uint8, weight, started float64)) (
 	version int64, full bool, has int) {
 	s.object([]string{"generation", "reset", "instances"}, func(name int) {
@@ -65,12 +70,13 @@
 						started = s.readNumber()
 					}
 				})
-				as, known := serverStates[string(state)]
-				if got&7 != 7 && !(got&5 == 5 && as == 2) || !known || len(id) == 0 {
+				stateNumber, known := serverStates[string(state)]
+				// Id, address and state are required, but a server that is gone needs no address.
+				if got&7 != 7 && !(got&5 == 5 && stateNumber == 2) || !known || len(id) == 0 {
 					s.fail()
 				}
 				if each != nil && !s.broken {
-					each(id, addr, zone, int(cell), as, weight, started)
+					each(id, addr, zone, int(cell), stateNumber, weight, started)
 				}
 			})
 		}
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -1,7 +1,8 @@
-// Package protocol reads and writes what aggregators speak: HTTP/1.1 with clients and discovery,
-// frames with servers, and the JSON inside. It is pure: bytes in, fields and bytes out. What a peer
-// sends is bounded in length and depth, and nothing of a message counts before all that precedes
-// its end has proved sound.
+// Package protocol parses and encodes the wire formats of an aggregator: HTTP/1.1 to clients and to
+// the discovery service, length-prefixed frames to servers, and the JSON that both carry. It does no
+// I/O: callers pass received bytes in and get fields or bytes to send back. Length and nesting depth
+// of received messages are limited, and a message must not be acted on before it was validated to
+// its end.
 package protocol
 
 import (
@@ -10,95 +11,100 @@
 	"strconv"
 )
 
-// RequestError is what is wrong with a message: the status to answer it with, and why.
+// RequestError reports why a received message is invalid.
 type RequestError struct {
-	Status int
-	Reason string
+	Status int    // HTTP status to respond with
+	Reason string // text for the response body and the log
 }
 
-// Error gives what is wrong with the message.
+// Error returns the reason.
 func (e *RequestError) Error() string { return e.Reason }
 
-func newError(status int, why string) error { return &RequestError{status, why} }
+func newError(status int, reason string) error { return &RequestError{status, reason} }
 
-// Progress tells how far a message has come.
+// Progress is how much of a message has been received.
 type Progress uint8
 
-// state is where in a message the next byte stands.
+// state is the part of a message that the next byte belongs to.
 type state uint8
 
-// Message reads one message after another from one connection. Its storage holds MaxHead and
-// MaxBody bytes and is the caller's to give before the first byte and to take back once a message
-// is done with.
+// Message is an incremental parser of the HTTP/1.1 messages on one connection, one after another. It
+// parses requests unless ExpectResponse was called. The caller lends it a buffer of MaxHead + MaxBody
+// bytes before the first byte of a message, and takes the buffer back after the message was handled.
 type Message struct {
-	Stream func([]byte) error // where set, a body's bytes go there, unbounded, and none is stored
+	// BodySink receives the bytes of the body if it is set. The body is then not buffered and its
+	// length is not limited.
+	Stream func([]byte) error
 
 	buf         []byte
 	state       state
-	headLength  int // bytes of the head
-	remaining   int // of the body or the chunk
-	lineLength  int // bytes of the chunk's line or of the trailers so far
-	digits      int
-	afterCR     bool
-	response    bool
-	chunked     bool
-	lastMessage bool // no further message follows
+	headLength  int  // bytes of the head, with the empty line that ends it
+	remaining   int  // bytes of the body or of the current chunk that are still to come
+	lineLength  int  // bytes of the current chunk-size line, or of all trailers, so far
+	digits      int  // hex digits of the current chunk size, or bytes of the current trailer line
+	afterCR     bool // the previous byte of the chunk framing was a carriage return
+	response    bool // responses are parsed, not requests
+	chunked     bool // the body has a chunked transfer coding
+	lastMessage bool // the sender closes the connection after this message
 }
 
-// Limits on what peers send, in bytes.
+// Limits on received data, in bytes.
 const (
-	MaxHead  = 8 << 10
-	MaxBody  = 64 << 10
-	maxChunk = 256     // the line that states a chunk's size, and all trailers
-	maxLine  = 4 << 20 // of a discovery stream: a list of thousands of servers is one line
+	MaxHead  = 8 << 10  // request or status line and headers
+	MaxBody  = 64 << 10 // body that is buffered
+	maxChunk = 256      // chunk-size line with its extensions, or all trailers together
+	maxLine  = 4 << 20  // line of a discovery stream: a list of thousands of servers is one line
 )
 
-// How far a message has come.
+// Values of Progress.
 const (
-	Incomplete   Progress = iota // the bytes ended first
-	HeadComplete                 // its head is complete, a body follows
-	Complete                     // all of it is there
+	Incomplete   Progress = iota // more bytes are needed
+	HeadComplete                 // the head was received and a body follows
+	Complete                     // the whole message was received
 )
 
 const (
-	inHead state = iota
-	inBody
-	inSize
-	inExtension
-	inData
-	inDataEnd
-	inTrailer
+	inHead      state = iota
+	inBody            // body with a Content-Length, or one that ends with the connection
+	inSize            // hex digits of a chunk size
+	inExtension       // rest of a chunk-size line
+	inData            // data of a chunk
+	inDataEnd         // CRLF after the data of a chunk
+	inTrailer         // trailers after the last chunk
 	complete
 )
 
-// ExpectResponse makes it read responses in place of requests.
+// ExpectResponse makes the parser expect responses instead of requests.
 func (m *Message) ExpectResponse() { m.response = true }
 
-// SetStorage gives the storage, or takes it back with nil.
-func (m *Message) SetStorage(buf []byte) (was []byte) {
-	was, m.buf = m.buf, buf[:0]
-	return was
+// SetStorage makes the parser use buf, or no buffer if buf is nil, and returns the previous buffer.
+func (m *Message) SetStorage(buf []byte) (previous []byte) {
+	previous, m.buf = m.buf, buf[:0]
+	return previous
 }
 
-// MoveStorage has it go on in other storage, as long as the one before.
+// MoveStorage copies the buffered bytes to buf, which has the size of the previous buffer, and goes on
+// there.
 func (m *Message) MoveStorage(buf []byte) { m.buf = append(buf[:0], m.buf...) }
 
-// Begun tells whether bytes of an incomplete message are stored.
+// Begun reports whether bytes of an incomplete message are buffered.
 func (m *Message) Begun() bool { return len(m.buf) > 0 && m.state != complete }
 
-// Next makes it ready for another message.
+// Next discards the current message and prepares the parser for the next one.
 func (m *Message) Next() {
 	m.buf, m.state, m.headLength, m.lastMessage, m.chunked = m.buf[:0], inHead, 0, false, false
 }
 
-// Body gives the message's body as far as it has come; valid until Next or Feed.
+// Body returns the bytes of the body received so far. They are valid until the next call of Reset or
+// Feed.
 func (m *Message) Body() []byte { return m.buf[m.headLength:] }
 
-// IsLast tells whether the sender wants the connection closed after this message.
+// IsLast reports whether the sender wants the connection closed after this message.
 func (m *Message) IsLast() bool { return m.lastMessage }
 
-// Feed reads on. It stops behind the head and behind the message; what it has not used belongs to
-// the next.
+// Feed parses b and returns the number of bytes that it consumed. It returns early after the head of a
+// message with a body and after a complete message: the caller passes the remaining bytes of b to the
+// next call.
 func (m *Message) Feed(b []byte) (used int, step Progress, err error) {
 	for used < len(b) && m.state != complete {
 		switch m.state {
@@ -128,8 +134,8 @@
 	return used, Incomplete, nil
 }
 
-// feedHead stores bytes of the head and reads it once it is complete. Empty lines between messages
-// are allowed.
+// feedHead buffers bytes of the head and parses it once it is complete. It skips empty lines before a
+// message.
 func (m *Message) feedHead(b []byte) (used int, step Progress, err error) {
 	from := len(m.buf)
 	take := min(len(b), MaxHead-from)
@@ -143,7 +149,7 @@
 	if end < 0 {
 		used += take
 		if len(m.buf) >= MaxHead {
-			return used, Incomplete, newError(431, "the head is too long")
+			return used, Incomplete, newError(431, "request line and headers exceed the limit")
 		}
 		return used, Incomplete, nil
 	}
@@ -159,9 +165,10 @@
 	return used, Incomplete, nil
 }
 
+// headEnd terminates the head of a message.
 const headEnd = "\r\n\r\n"
 
-// feedBody stores bytes of the body or the chunk at hand, or gives them to the stream.
+// feedBody buffers bytes of the body or of the current chunk, or passes them to BodySink.
 func (m *Message) feedBody(b []byte) error {
 	if m.Stream != nil {
 		if err := m.Stream(b); err != nil {
@@ -181,15 +188,15 @@
 	return nil
 }
 
-// framing is what a head says of its body's length, and of the connection.
+// framing is what the headers state about the length of the body and about the connection.
 type framing struct {
-	lengths, codings int // headers that state a length, or a coding
-	length           int
-	keepAlive        bool
-	err              error // the first fault of a header line
+	lengths, codings int   // number of Content-Length and Transfer-Encoding headers
+	length           int   // bytes of the body by Content-Length
+	keepAlive        bool  // Connection: keep-alive is present
+	err              error // error of the first invalid header line
 }
 
-// readHead reads what a head says of its message's end.
+// readHead parses the head and determines how the end of the message is found.
 func (m *Message) readHead() error {
 	version, err := m.readFirstLine()
 	if err != nil {
@@ -197,7 +204,7 @@
 	}
 	oldVersion := string(version) == "HTTP/1.0"
 	if !oldVersion && string(version) != "HTTP/1.1" {
-		return newError(505, "not HTTP/1.1")
+		return newError(505, "HTTP version is neither 1.0 nor 1.1")
 	}
 	var f framing
 	m.eachField(func(name, value []byte) { m.readFraming(&f, name, value) })
@@ -206,55 +213,55 @@
 	case f.err != nil:
 		return f.err
 	case f.lengths > 1 || f.codings > 1 || f.lengths+f.codings > 1:
-		return newError(400, "more than one length")
+		return newError(400, "more than one Content-Length or Transfer-Encoding header")
 	case f.codings > 0 && oldVersion:
-		return newError(400, "chunks in HTTP/1.0")
+		return newError(400, "Transfer-Encoding in an HTTP/1.0 message")
 	case f.lengths+f.codings == 0 && m.response && m.Stream != nil:
-		f.length = math.MaxInt // it ends with its connection, whether that is closed or breaks
+		f.length = math.MaxInt // the body ends when the connection is closed or breaks
 	case f.lengths+f.codings == 0 && (m.response || m.HasMethod("POST") || m.HasMethod("PUT")):
-		return newError(411, "no length")
+		return newError(411, "neither Content-Length nor Transfer-Encoding header")
 	}
 	m.beginBody(f)
 	return nil
 }
 
-// readFirstLine gives the version of HTTP that a request line or status line states.
+// readFirstLine validates the request line or status line and returns its HTTP version.
 func (m *Message) readFirstLine() (version []byte, err error) {
 	first, _, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
 	if m.response {
 		if len(first) < statusLineLength || first[8] != ' ' || m.Status() == 0 {
-			return nil, newError(400, "no status line")
+			return nil, newError(400, "invalid status line")
 		}
 		return first[:8], nil
 	}
 	words := bytes.Split(first, []byte(" "))
 	if len(words) != 3 || !isToken(words[0]) || len(words[1]) == 0 {
-		return nil, newError(400, "no request line")
+		return nil, newError(400, "invalid request line")
 	}
 	return words[2], nil
 }
 
-const statusLineLength = 12 // of the version, a space and the status, at least
+const statusLineLength = 12 // least bytes of a status line: version, space and status code
 
-// readFraming reads one header line; behind the first fault nothing counts.
+// readFraming evaluates one header line. After an invalid line the following ones are ignored.
 func (m *Message) readFraming(f *framing, name, value []byte) {
 	switch {
 	case f.err != nil:
 	case !isToken(name) || bytes.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 127 }):
-		f.err = newError(400, "a broken header line")
+		f.err = newError(400, "invalid header line")
 	case equalFold(name, "content-length"):
 		f.lengths++
 		n, err := strconv.ParseUint(string(value), 10, 63)
 		if err != nil || value[0] == '+' {
-			f.err = newError(400, "a length that is no number")
+			f.err = newError(400, "Content-Length is not a number")
 		} else if n > MaxBody && m.Stream == nil {
-			f.err = newError(413, "the body is too long")
+			f.err = newError(413, "body exceeds the limit")
 		}
 		f.length = int(n)
 	case equalFold(name, "transfer-encoding"):
 		f.codings++
 		if !equalFold(value, "chunked") {
-			f.err = newError(501, "a coding other than chunked")
+			f.err = newError(501, "Transfer-Encoding other than chunked")
 		}
 	case equalFold(name, "connection"):
 		for option := range bytes.SplitSeq(value, []byte(",")) {
@@ -265,7 +272,7 @@
 	}
 }
 
-// beginBody makes ready for the body that a head announced.
+// beginBody prepares the parser for the body that the head announced.
 func (m *Message) beginBody(f framing) {
 	m.lineLength, m.digits, m.afterCR = 0, 0, false
 	m.remaining = f.length
@@ -279,7 +286,7 @@
 	}
 }
 
-// eachField gives each header line; a line without a colon has no name.
+// eachField calls each for every header line. A line without a colon has an empty name.
 func (m *Message) eachField(each func(name, value []byte)) {
 	_, rest, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
 	for {
@@ -295,7 +302,8 @@
 	}
 }
 
-// Header gives the value of a header by its name in small letters, and how often it stands there.
+// Header returns the value of the last header with this name, which is given in lower case, and the
+// number of headers that have it.
 func (m *Message) Header(name string) (value []byte, times int) {
 	m.eachField(func(n, v []byte) {
 		if equalFold(n, name) {
@@ -305,7 +313,7 @@
 	return value, times
 }
 
-// Cookie gives the value of a cookie.
+// Cookie returns the value of the last cookie with this name, or nil.
 func (m *Message) Cookie(name string) (value []byte) {
 	m.eachField(func(n, v []byte) {
 		if !equalFold(n, "cookie") {
@@ -320,12 +328,12 @@
 	return value
 }
 
-// HasMethod compares the method.
+// HasMethod reports whether the request has this method.
 func (m *Message) HasMethod(method string) bool {
 	return len(m.buf) > len(method) && string(m.buf[:len(method)]) == method && m.buf[len(method)] == ' '
 }
 
-// Path gives the request's target without what follows a question mark.
+// Path returns the request target without its query.
 func (m *Message) Path() []byte {
 	first, _, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
 	_, target, _ := bytes.Cut(first, []byte(" "))
@@ -334,7 +342,7 @@
 	return target
 }
 
-// Status gives a response's.
+// Status returns the status code of a response, or 0 if it is invalid.
 func (m *Message) Status() int {
 	if len(m.buf) < 12 {
 		return 0
@@ -346,7 +354,7 @@
 	return n
 }
 
-// equalFold compares without regard to case; b is in small letters.
+// equalFold reports whether a equals b without regard to case. b is in lower case.
 func equalFold(a []byte, b string) bool {
 	if len(a) != len(b) {
 		return false
@@ -362,7 +370,7 @@
 	return true
 }
 
-// isToken: a word of HTTP's grammar.
+// isToken reports whether b is a token of the HTTP grammar.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 127 || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -12,7 +12,8 @@
 	"unicode/utf8"
 )
 
-// split splits input into chunks where pattern has a bit set; 0 leaves it in one chunk.
+// split splits input before the bytes for which pattern has a bit set. With pattern 0 it returns one
+// chunk.
 func split(input []byte, pattern uint64) (chunks [][]byte) {
 	start := 0
 	for i := range input {
@@ -64,22 +65,22 @@
 		postHeaders + "Transfer-Encoding: Chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nTrailer: 1\r\n\r\n": `/api 0 false "a" 1 "7f" "abc"` + "\nfalse",
 		"GET /ready HTTP/1.0\r\n\r\n":                                                               "/ready 0 true \"\" 0 \"\" \"\"\nfalse",
 		postHeaders + "Content-Length: 3\r\n\r\nab":                                                 "true",
-		postHeaders + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc":                           "! more than one length",
-		postHeaders + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                     "! more than one length",
-		postHeaders + "\r\n":                                                                        "! no length",
-		postHeaders + "Content-Length: +3\r\n\r\n":                                                  "! a length that is no number",
-		postHeaders + "Content-Length: \r\n\r\n":                                                    "! a length that is no number",
-		postHeaders + "Content-Length: 65537\r\n\r\n":                                               "! the body is too long",
-		postHeaders + "Transfer-Encoding: gzip, chunked\r\n\r\n":                                    "! a coding other than chunked",
-		postHeaders + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":                                    "! a chunk's size is no number",
-		postHeaders + "Transfer-Encoding: chunked\r\n\r\n\r\n":                                      "! a chunk without a size",
-		postHeaders + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc":                                  "! a broken chunk",
-		postHeaders + "Transfer-Encoding: chunked\r\n\r\n8000\r\n" + long[:0x8000] + "\r\n8001\r\n": "! the body is too long",
-		postHeaders + "Transfer-Encoding: chunked\r\n\r\n1;" + long[:300]:                           "! a chunk's line is too long",
-		postHeaders + "X: " + long[:MaxHead]:                                                        "! the head is too long",
-		postHeaders + " folded\r\n\r\n":                                                             "! a broken header line",
-		"GET  /ready HTTP/1.1\r\n\r\n":                                                              "! no request line",
-		"GET /ready HTTP/2.0\r\n\r\n":                                                               "! not HTTP/1.1",
+		postHeaders + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc":                           "! more than one Content-Length or Transfer-Encoding header",
+		postHeaders + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                     "! more than one Content-Length or Transfer-Encoding header",
+		postHeaders + "\r\n":                                                                        "! neither Content-Length nor Transfer-Encoding header",
+		postHeaders + "Content-Length: +3\r\n\r\n":                                                  "! Content-Length is not a number",
+		postHeaders + "Content-Length: \r\n\r\n":                                                    "! Content-Length is not a number",
+		postHeaders + "Content-Length: 65537\r\n\r\n":                                               "! body exceeds the limit",
+		postHeaders + "Transfer-Encoding: gzip, chunked\r\n\r\n":                                    "! Transfer-Encoding other than chunked",
+		postHeaders + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":                                    "! chunk size is not a hexadecimal number",
+		postHeaders + "Transfer-Encoding: chunked\r\n\r\n\r\n":                                      "! chunk without a size",
+		postHeaders + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc":                                  "! invalid line break in a chunked body",
+		postHeaders + "Transfer-Encoding: chunked\r\n\r\n8000\r\n" + long[:0x8000] + "\r\n8001\r\n": "! body exceeds the limit",
+		postHeaders + "Transfer-Encoding: chunked\r\n\r\n1;" + long[:300]:                           "! chunk-size line or trailers exceed the limit",
+		postHeaders + "X: " + long[:MaxHead]:                                                        "! request line and headers exceed the limit",
+		postHeaders + " folded\r\n\r\n":                                                             "! invalid header line",
+		"GET  /ready HTTP/1.1\r\n\r\n":                                                              "! invalid request line",
+		"GET /ready HTTP/2.0\r\n\r\n":                                                               "! HTTP version is neither 1.0 nor 1.1",
 	} {
 		for _, pattern := range []uint64{0, math.MaxUint64, 0x9e3779b97f4a7c15} {
 			if got := describeMessages(t, []byte(input), pattern, false); got != want {
@@ -89,6 +90,7 @@
 	}
 }
 
+// FuzzHTTP checks that the result does not depend on how the input is split into chunks.
 func FuzzHTTP(f *testing.F) {
 	for _, pattern := range []uint64{0, 1, math.MaxUint64, 0xaaaaaaaaaaaaaaaa, 0x123456789abcdef} {
 		f.Add([]byte(postHeaders+"Content-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n"), pattern, false)
@@ -125,6 +127,7 @@
 	return description.String() + fmt.Sprint(splitter.Incomplete())
 }
 
+// FuzzFrames checks that the result does not depend on how the input is split into chunks.
 func FuzzFrames(f *testing.F) {
 	frame := EndFrame(append(BeginRequestFrame(nil), "a.1 OK 5 inflight=7,util=0.5\nvalue"...), 0)
 	frame = AppendShortFrame(AppendShortFrame(frame, FrameLoad, "inflight=x"), FrameAbandon, "a.1")
@@ -171,7 +174,7 @@
 		t.Error(shards, string(text), err)
 	}
 	if _, _, err := readSearch(`{"text":"","segments":[{"segment":3,"boost":0.3333},{"segment":4,"boost":0.6666}]}`); err != nil {
-		t.Error("rounded shares are rejected: ", err)
+		t.Error("a search with rounded shares is rejected: ", err)
 	}
 	segment := `{"segment":3,"boost":1}`
 	if _, _, err := readSearch(`{"text":"","segments":[` + segment + `]}`); err != nil {
@@ -197,6 +200,7 @@
 	}
 }
 
+// FuzzJSON compares the parsers of searches and lists, and the encoder of answers, with encoding/json.
 func FuzzJSON(f *testing.F) {
 	f.Add([]byte(`{"text":"a\u0000\n","segments":[{"segment":3,"boost":1.5e-1,"work":9000,"affinity":"ff"}],"x":[1,{"a":true}]}`))
 	f.Add([]byte(`{"generation":43,"reset":false,"instances":[{"instanceId":"s","hostPort":"1.2.3.4:5","zone":"a","cell":3,` +
@@ -242,6 +246,7 @@
 	})
 }
 
+// FuzzLines checks that the result does not depend on how the input is split into chunks.
 func FuzzLines(f *testing.F) {
 	f.Add([]byte("\r\n{}\r\n\nabc"), uint64(5))
 	f.Fuzz(func(t *testing.T, input []byte, pattern uint64) {
@@ -258,6 +263,7 @@
 	})
 }
 
+// TestListMaySpanLines checks that an indented list counts as one line, and that a cut-off list is an error.
 func TestListMaySpanLines(t *testing.T) {
 	const oneLine = "{\"generation\":4,\"reset\":true,\"instances\":[]}"
 	const indented = "{\n  \"generation\": 5,\r\n  \"reset\": false,\n  \"instances\": [\n    {\n      \"instanceId\": \"a{\\\"\",\n" +
@@ -270,7 +276,7 @@
 		"{broken\n":                             "error",
 		"{\"generation\":\"\n":                  "error", // a line ends within a string
 	} {
-		for size := 1; size <= len(text); size += 7 { // in chunks of any size
+		for size := 1; size <= len(text); size += 7 { // size of the chunks that the splitter is fed
 			var splitter LineSplitter
 			description := ""
 			for offset := 0; offset < len(text) && description != "error"; offset += size {
@@ -293,8 +299,9 @@
 	}
 }
 
+// TestListOverManyLinesIsReadInLinearTime guards against a splitter that copies its buffer for each line.
 func TestListOverManyLinesIsReadInLinearTime(t *testing.T) {
-	// 3 MB in lines of a few bytes, as an agent may indent them: moving the rest of the buffer for each line takes minutes.
+	// 3 MB in lines of a few bytes, as a discovery agent may indent them: copying the buffered lines for each line takes minutes.
 	var list bytes.Buffer
 	list.WriteString("{\"generation\":7,\"reset\":true,\"instances\":[\n")
 	for i := 0; list.Len() < 3<<20; i++ {
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -4,34 +4,35 @@
 	"strconv"
 )
 
+// reasonPhrases maps the status codes that an aggregator sends to their reason phrases.
 var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large", 417: "Expectation Failed",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// Continue tells a client that its body is wanted.
+// Continue is the interim response that asks a client for the body of its request.
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// AppendResponse writes a whole response; back, in milliseconds, is the time to come back, 0 for
-// none.
-func AppendResponse(dst []byte, status int, kind string, last bool, back float64, body []byte) []byte {
+// AppendResponse appends a whole response. If closeConnection is set, it tells the client that the
+// connection is closed after it. retryAfter is in milliseconds; 0 leaves the Retry-After header out.
+func AppendResponse(dst []byte, status int, contentType string, closeConnection bool, retryAfter float64, body []byte) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(append(dst, ' '), reasonPhrases[status]...)
-	dst = append(append(dst, "\r\nContent-Type: "...), kind...)
+	dst = append(append(dst, "\r\nContent-Type: "...), contentType...)
 	dst = append(dst, "\r\nContent-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
-	if back > 0 {
+	if retryAfter > 0 {
 		dst = append(dst, "\r\nRetry-After: "...)
-		dst = strconv.AppendFloat(dst, back/1000, 'f', 3, 64)
+		dst = strconv.AppendFloat(dst, retryAfter/1000, 'f', 3, 64)
 	}
-	if last {
+	if closeConnection {
 		dst = append(dst, "\r\nConnection: close"...)
 	}
 	return append(append(dst, "\r\n\r\n"...), body...)
 }
 
-// appendString writes bytes as a JSON string; what is no text stays as it is.
+// appendString appends s as a JSON string. Bytes that are not valid UTF-8 are copied unchanged.
 func appendString(dst, s []byte) []byte {
 	dst = append(dst, '"')
 	for _, c := range s {
@@ -47,14 +48,15 @@
 	return append(dst, '"')
 }
 
-// AppendAnswer begins an answer's body, AppendMatch adds a part's value, EndAnswer ends it.
-func AppendAnswer(dst []byte, allIn bool) []byte {
+// AppendAnswer appends the start of the JSON body that answers a search; complete states whether all shards
+// contributed. AppendMatch then adds the values, and EndAnswer ends the body.
+func AppendAnswer(dst []byte, complete bool) []byte {
 	dst = append(dst, `{"all_in":`...)
-	dst = strconv.AppendBool(dst, allIn)
+	dst = strconv.AppendBool(dst, complete)
 	return append(dst, `,"matches":[`...)
 }
 
-// AppendMatch appends the value of one shard to an answer that is being written.
+// AppendMatch appends the value of one shard to an answer that BeginAnswer started.
 func AppendMatch(dst []byte, shard int, value []byte) []byte {
 	if dst[len(dst)-1] != '[' {
 		dst = append(dst, ',')
@@ -65,5 +67,5 @@
 	return append(appendString(dst, value), '}')
 }
 
-// EndAnswer appends the end of an answer.
+// EndAnswer appends the end of the body that BeginAnswer started.
 func EndAnswer(dst []byte) []byte { return append(dst, "]}"...) }
--- a/internal/protocol/scanner.go
+++ b/internal/protocol/scanner.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	maxDepth         = 16
-	maxShardRequests = 4096
-	shareTolerance   = 1e-3 // shares that miss their sum by less were rounded
+	maxDepth         = 16   // nesting depth of a JSON value that is skipped
+	maxShardRequests = 4096 // shard requests of one search
+	shareTolerance   = 1e-3 // greatest deviation of a sum of shares from 1 that counts as rounding
 )
 
-// scanner walks over JSON. The first thing that is wrong marks it broken; from then on it finds
-// only ends.
+// scanner parses one JSON value. The first error moves it to the end of the text, where all further
+// reads return zero values.
 type scanner struct {
 	text      []byte
 	offset    int
 	broken    bool
-	truncated bool // it broke at its end: what came before is sound
+	truncated bool // the error is that the text ended: it is a valid prefix
 }
 
+// fail records an error.
 func (s *scanner) fail() {
 	if !s.broken {
 		s.truncated = s.offset >= len(s.text)
@@ -28,6 +29,7 @@
 	s.broken, s.offset = true, len(s.text)
 }
 
+// peek skips white space and returns the next byte without consuming it, or 0 at the end.
 func (s *scanner) peek() byte {
 	for s.offset < len(s.text) {
 		switch c := s.text[s.offset]; c {
@@ -40,6 +42,7 @@
 	return 0
 }
 
+// expect consumes white space and c, and fails if another byte comes next.
 func (s *scanner) expect(c byte) {
 	if s.peek() != c {
 		s.fail()
@@ -48,23 +51,25 @@
 	s.offset++
 }
 
-// items walks over a list or an object: each item is read by the caller.
-func (s *scanner) items(open, shut byte, each func()) {
+// items parses an array or an object between the bytes open and end. It calls each, which parses one
+// element or member, for every one of them.
+func (s *scanner) items(open, end byte, each func()) {
 	s.expect(open)
-	if s.peek() == shut {
+	if s.peek() == end {
 		s.offset++
 		return
 	}
 	for !s.broken {
 		if each(); s.peek() != ',' {
-			s.expect(shut)
+			s.expect(end)
 			return
 		}
 		s.offset++
 	}
 }
 
-// object walks over an object; a known name that stands there twice breaks it.
+// object parses an object. It calls each, which parses the value, with the index in names of every member
+// that names lists, and skips other members. It fails if a listed name occurs twice.
 func (s *scanner) object(names []string, each func(name int)) {
 	seen := 0
 	s.items('{', '}', func() {
@@ -84,6 +89,7 @@
 	})
 }
 
+// readString parses a string and returns its unescaped bytes.
 func (s *scanner) readString() []byte {
 	s.expect('"')
 	from := s.offset
@@ -107,6 +113,7 @@
 	return nil
 }
 
+// readNumber parses a finite number.
 func (s *scanner) readNumber() float64 {
 	s.peek()
 	from := s.offset
@@ -116,8 +123,8 @@
 	raw := s.text[from:s.offset]
 	digits := bytes.TrimPrefix(raw, []byte("-"))
 	point := bytes.IndexByte(digits, '.')
-	// ParseFloat takes more than JSON has: leading zeros and signs, and points without digits on
-	// both sides.
+	// ParseFloat accepts forms that JSON does not allow: leading zeros, a plus sign, and a decimal point
+	// without digits on both sides.
 	if len(digits) == 0 || !isDigit(digits, 0) || digits[0] == '0' && isDigit(digits, 1) || point >= 0 && !isDigit(digits, point+1) {
 		s.fail()
 		return 0
@@ -130,8 +137,10 @@
 	return v
 }
 
+// isDigit reports whether b has a decimal digit at index i.
 func isDigit(b []byte, i int) bool { return i < len(b) && b[i] >= '0' && b[i] <= '9' }
 
+// readInteger parses an integer from least to most.
 func (s *scanner) readInteger(least, most float64) int64 {
 	v := s.readNumber()
 	if v != math.Trunc(v) || v < least || v > most {
@@ -141,6 +150,7 @@
 	return int64(v)
 }
 
+// readBool parses true or false.
 func (s *scanner) readBool() bool {
 	for _, word := range []string{"true", "false"} {
 		if s.peek(); bytes.HasPrefix(s.text[s.offset:], []byte(word)) {
@@ -152,6 +162,7 @@
 	return false
 }
 
+// skipValue parses a value of any type and discards it. depth is the nesting depth of the value.
 func (s *scanner) skipValue(depth int) {
 	switch c := s.peek(); {
 	case depth > maxDepth:
@@ -175,12 +186,12 @@
 	}
 }
 
-// complete tells whether the one value was sound and nothing follows it.
+// complete reports whether the value was valid and nothing follows it.
 func (s *scanner) complete() bool {
 	return !s.broken && s.peek() == 0 && s.offset == len(s.text)
 }
 
-// parseHex64 reads up to 16 hexadecimal digits.
+// parseHex64 parses 1 to 16 hexadecimal digits, and reports whether b consists of them.
 func parseHex64(b []byte) (uint64, bool) {
 	v, err := strconv.ParseUint(string(b), 16, 64)
 	return v, err == nil && len(b) <= 16
--- a/internal/protocol/search.go
+++ b/internal/protocol/search.go
@@ -4,19 +4,21 @@
 	"math"
 )
 
-// ParseKey reads a search's key as its cookie has it; none is 0.
+// ParseKey parses the affinity key of a search from the value of its cookie. It returns 0 if the value is
+// empty or invalid.
 func ParseKey(b []byte) uint64 {
 	v, _ := parseHex64(b)
 	return v
 }
 
-// ReadSearch reads a search's body: its shard requests, in order, and the text that each carries,
-// and the sum of their shares, which is 1 but for rounding. Nothing may be done with them before it
-// has returned without an error.
-func ReadSearch(body []byte, shards int, part func(shard int, share, work float64, key uint64)) ([]byte, float64, error) {
+// ReadSearch parses the body of a search in a fleet with this many shards. It calls each for every shard
+// request, in order, and returns the text that all of them carry and the sum of their shares, which is 1
+// except for rounding. work is a hint of the duration in milliseconds (microseconds in the body), or 0. The
+// caller must not act on the shard requests before ReadSearch has returned without an error.
+func ReadSearch(body []byte, shards int, each func(shard int, share, work float64, key uint64)) ([]byte, float64, error) {
 	s := &scanner{text: body}
 	var text []byte
-	has, parts, sum := 0, 0, 0.0
+	has, requests, sum := 0, 0, 0.0 // bit i of has: field i is present
 	s.object([]string{"segments", "text"}, func(name int) {
 		has |= 1 << name
 		if name == 1 {
@@ -41,22 +43,23 @@
 					}
 				}
 			})
-			if parts++; got&3 != 3 || share <= 0 || share > 1+shareTolerance || work < 0 || parts > maxShardRequests {
+			// The shard and its share are required.
+			if requests++; got&3 != 3 || share <= 0 || share > 1+shareTolerance || work < 0 || requests > maxShardRequests {
 				s.fail()
 			}
 			sum += share
 			if !s.broken {
-				part(int(shard), share, work, key)
+				each(int(shard), share, work, key)
 			}
 		})
 	})
 	switch {
 	case !s.complete():
-		return nil, 0, newError(400, "the body is not understood")
-	case has != 3 || parts == 0:
-		return nil, 0, newError(400, "no segments or no text")
+		return nil, 0, newError(400, "body is not a valid search")
+	case has != 3 || requests == 0:
+		return nil, 0, newError(400, "search without segments or without text")
 	case math.Abs(sum-1) > shareTolerance:
-		return nil, 0, newError(400, "the segments' shares do not add up to 1")
+		return nil, 0, newError(400, "boosts of the segments do not add up to 1")
 	}
 	return text, sum, nil
 }
--- a/internal/protocol/unescape.go
+++ b/internal/protocol/unescape.go
@@ -5,7 +5,8 @@
 	"unicode/utf8"
 )
 
-// unescapeJSON gives a JSON string's bytes.
+// unescapeJSON resolves the escape sequences in s, the text between the quotes of a JSON string, and
+// reports whether they are valid. Without escapes it returns s itself.
 func unescapeJSON(s []byte) ([]byte, bool) {
 	if bytes.IndexByte(s, '\\') < 0 {
 		return s, true
@@ -52,6 +53,7 @@
 	return out, true
 }
 
+// utf16Unit parses the four hexadecimal digits of a \u escape.
 func utf16Unit(s []byte) (r rune, ok bool) {
 	if len(s) < 4 {
 		return 0, false
--- a/internal/protocol/wire_golden_test.go
+++ b/internal/protocol/wire_golden_test.go
@@ -11,7 +11,8 @@
 	"kestrelspread/internal/protocol"
 )
 
-// TestWrittenBytesMatchGolden compares frames to servers, answers to clients and the request to discovery with the golden file.
+// TestWrittenBytesMatchGolden compares encoded frames to servers, responses to clients and the watch request to discovery with the
+// golden file.
 func TestWrittenBytesMatchGolden(t *testing.T) {
 	var text strings.Builder
 	show := func(what string, content []byte) { fmt.Fprintf(&text, "%s %q\n", what, content) }
@@ -37,8 +38,8 @@
 	golden.Assert(t, text.String(), "golden/written.txt")
 }
 
-// TestParsedInputMatchesGolden compares the parsed frames of servers, searches of clients and lists of
-// discovery with the golden file.
+// TestParsedInputMatchesGolden compares what is parsed from frames of servers, a search of a client and a
+// list of discovery with the golden file.
 func TestParsedInputMatchesGolden(t *testing.T) {
 	var text strings.Builder
 	var frames protocol.FrameSplitter
