--- a/internal/simwire/effects.go
+++ b/internal/simwire/effects.go
@@ -5,19 +5,22 @@
 	"math"
 )
 
+// selectInstance appends a From record, unless the last one in the reply selected the same instance.
 func (h *host) selectInstance(in *instance) {
 	if h.speaker != int(in.number) {
 		h.speaker = int(in.number)
-		h.appendRecord(1070)
+		h.appendRecord(decisionFrom)
 		h.reply = binary.LittleEndian.AppendUint16(h.reply, in.number)
 	}
 }
 
+// appendRecord begins a record of the reply; the caller appends its fields.
 func (h *host) appendRecord(code uint16) {
 	h.records++
 	h.reply = binary.LittleEndian.AppendUint16(h.reply, code)
 }
 
+// appendText appends a record with one text, which is cut off at 65,535 bytes.
 func (h *host) appendText(code uint16, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	h.appendRecord(code)
@@ -25,89 +28,94 @@
 	h.reply = append(h.reply, s...)
 }
 
+// beginRecord begins a record of this instance; the caller appends its fields.
 func (in *instance) beginRecord(code uint16) {
 	in.host.selectInstance(in)
 	in.host.appendRecord(code)
 }
 
-func (in *instance) u64(v uint64)  { in.host.reply = binary.LittleEndian.AppendUint64(in.host.reply, v) }
+// appendU64 appends a field to the reply.
+func (in *instance) u64(v uint64) { in.host.reply = binary.LittleEndian.AppendUint64(in.host.reply, v) }
+
+// appendF64 appends a field to the reply.
 func (in *instance) f64(v float64) { in.u64(math.Float64bits(v)) }
 
-// Send implements policy.Out: one more attempt goes to a server, by a frame to the simulator.
-func (in *instance) Send(part, server int, within, _ float64) {
-	in.beginRecord(1130)
-	in.u64(in.idOf[part])
-	in.f64(within)
+// Send implements policy.Out. It tells the simulator to send another attempt of a shard request to a server.
+func (in *instance) Send(request, server int, timeout, _ float64) {
+	in.beginRecord(decisionRelay)
+	in.u64(in.idOf[request])
+	in.f64(timeout)
 	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
-// Cancel implements policy.Out: an attempt is cancelled, by a frame to the simulator.
-func (in *instance) Cancel(part, try int) {
-	in.beginRecord(1100)
-	in.u64(in.idOf[part])
-	in.host.reply = binary.LittleEndian.AppendUint16(in.host.reply, uint16(try))
+// Cancel implements policy.Out. It tells the simulator to cancel an attempt.
+func (in *instance) Cancel(request, attempt int) {
+	in.beginRecord(decisionCancel)
+	in.u64(in.idOf[request])
+	in.host.reply = binary.LittleEndian.AppendUint16(in.host.reply, uint16(attempt))
 }
 
-// Answer implements policy.Out: a search is answered, by a frame to the simulator.
+// Answer implements policy.Out. It tells the simulator to answer a search.
 func (in *instance) Answer(search int, complete bool) {
-	in.beginRecord(1080)
+	in.beginRecord(decisionMerge)
 	in.u64(in.idOf[search])
-	mark := byte(0)
+	flag := byte(0)
 	if complete {
-		mark = 1
+		flag = 1
 	}
-	in.host.reply = append(in.host.reply, mark)
+	in.host.reply = append(in.host.reply, flag)
 }
 
-// Shed implements policy.Out: a search is refused, by a frame to the simulator.
-func (in *instance) Shed(search int, comeBack float64) {
-	in.beginRecord(1010)
+// Shed implements policy.Out. It tells the simulator to refuse a search.
+func (in *instance) Shed(search int, retryAfter float64) {
+	in.beginRecord(decisionPushBack)
 	in.u64(in.idOf[search])
-	in.f64(comeBack)
+	in.f64(retryAfter)
 }
 
-// Fail implements policy.Out: a search ends in error, by a frame to the simulator.
+// Fail implements policy.Out. It tells the simulator that a search failed.
 func (in *instance) Fail(search int) {
-	in.beginRecord(1060)
+	in.beginRecord(decisionReportFailure)
 	in.u64(in.idOf[search])
 }
 
-// Probe implements policy.Out: a server is probed, by a frame to the simulator.
+// Probe implements policy.Out. It tells the simulator to check the health of a server.
 func (in *instance) Probe(server int) {
-	in.beginRecord(1050)
+	in.beginRecord(decisionSoundOut)
 	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
-// Close implements policy.Out: idle connections to a server are closed, by a frame to the simulator.
+// Close implements policy.Out. It tells the simulator to close the idle connections to a server.
 func (in *instance) Close(server int) {
-	in.beginRecord(1000)
+	in.beginRecord(decisionLetGo)
 	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
-// Subscribe implements policy.Out: the list is subscribed to, by a frame to the simulator.
+// Subscribe implements policy.Out. It tells the simulator to keep sending changes of the server list.
 func (in *instance) Subscribe() {
-	in.beginRecord(1110)
+	in.beginRecord(decisionKeepInformed)
 	in.host.reply = append(in.host.reply, 1)
 }
 
-// Wake implements policy.Out: the policy wants a round after so many milliseconds, by a frame to the simulator.
+// Wake implements policy.Out. It tells the simulator to send a Bell record after delay milliseconds.
 func (in *instance) Wake(delay float64) {
-	in.beginRecord(1020)
+	in.beginRecord(decisionRemind)
 	in.f64(delay)
 	in.u64(0)
 }
 
-// Log implements policy.Out: the policy has a line for the log.
+// Log implements policy.Out. It passes a log line to the simulator.
 func (in *instance) Log(text string) {
 	in.host.selectInstance(in)
-	in.host.appendText(1120, text)
+	in.host.appendText(decisionTrace, text)
 }
 
-// Forget implements policy.Out: the indices of a search may be used again.
+// Forget implements policy.Out. It releases the indices of a search and of its shard requests. The job number
+// is released only if no later search has taken it over.
 func (in *instance) Forget(search int) {
-	for _, at := range append(in.requestsOf[search], search) {
-		delete(in.indexOf, in.idOf[at])
-		in.freeIndices = append(in.freeIndices, at)
+	for _, index := range append(in.requestsOf[search], search) {
+		delete(in.indexOf, in.idOf[index])
+		in.freeIndices = append(in.freeIndices, index)
 	}
 	delete(in.requestsOf, search)
 	if job := in.jobOfSearch[search]; in.searchOfJob[job] == search {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -1,7 +1,6 @@
 package simwire
 
 import (
-	"errors"
 	"fmt"
 	"math"
 
@@ -9,16 +8,11 @@
 	"kestrelspread/internal/aggregator/settings"
 )
 
-var eventNames = map[uint16]string{
-	1000: "ProbeResult", 1010: "AckFirst", 1020: "Teardown", 1030: "Update", 1040: "Enlist",
-	1060: "Lapsed", 1070: "Inbound", 1080: "Peer", 1100: "Done", 1110: "Bell",
-}
-
-// outcomes holds the wire's numbers in tens.
+// outcomes maps the outcome in a Done record, divided by 10, to that of package policy.
 var outcomes = [...]policy.Outcome{1: policy.Answered, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
 	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.NeverSent}
 
-// beginRound begins the instance's round of this frame with its first event.
+// beginRound begins the policy's round of this frame, unless an earlier event did.
 func (in *instance) beginRound() {
 	if !in.inRound {
 		in.inRound = true
@@ -27,43 +21,44 @@
 	}
 }
 
-// handleEvent reads one event of an instance and notifies its policy.
+// handleEvent parses the fields of one event and passes it to the instance's policy. It leaves an event that
+// overruns its frame to the caller, which checks the cursor.
 func (in *instance) handleEvent(code uint16, c *cursor) error {
-	if code == 1040 {
-		seed, n := c.u64(), c.u32()
-		facts := c.bytes(int(min(n, math.MaxInt32)))
+	if code == eventEnlist {
+		seed, length := c.u64(), c.u32()
+		facts := c.bytes(int(min(length, math.MaxInt32)))
 		if !c.broken {
 			in.start(seed, string(facts))
 		}
 		return nil
 	}
 	if !in.alive {
-		return errors.New("the instance has no Enlist")
+		return fmt.Errorf("aggregator %d has no Enlist record", in.number)
 	}
-	if code == 1020 {
+	if code == eventTeardown {
 		in.alive, in.inRound, in.port = false, false, nil
 		return nil
 	}
 	in.beginRound()
 	switch code {
-	case 1030:
+	case eventUpdate:
 		return in.handleUpdate(c)
-	case 1070:
+	case eventInbound:
 		in.handleInbound(c)
-	case 1100:
+	case eventDone:
 		return in.handleDone(c)
-	case 1060:
-		if at, held := in.indexOf[c.u64()]; held && !c.broken {
-			in.port.ClientGone(at)
+	case eventLapsed:
+		if index, known := in.indexOf[c.u64()]; known && !c.broken {
+			in.port.ClientGone(index)
 		}
-	case 1000:
+	case eventProbeResult:
 		in.handleProbeResult(c)
-	case 1010:
+	case eventAckFirst:
 		c.bytes(8 + 2 + 6 + 8)
-	case 1080:
+	case eventPeer:
 		c.u32()
 		c.bytes(int(c.u16()))
-	case 1110:
+	case eventBell:
 		c.u64()
 		if !c.broken {
 			in.port.Woken()
@@ -72,24 +67,24 @@
 	return nil
 }
 
-// handleUpdate applies a list of servers, or tells that asking for it failed.
+// handleUpdate applies a server list, or tells the policy that asking for it failed.
 func (in *instance) handleUpdate(c *cursor) error {
 	list, _, kind := c.u8(), c.u32(), c.u8()
 	if c.broken {
 		return nil
 	}
-	if kind == 3 {
+	if kind == updateFailed {
 		in.port.DiscoveryFailed()
 		return nil
 	}
-	if int(list) >= len(in.host.lists) || kind > 3 {
-		return fmt.Errorf("list %d of kind %d", list, kind)
+	if int(list) >= len(in.host.lists) || kind > updateFailed {
+		return fmt.Errorf("invalid list number %d or update kind %d", list, kind)
 	}
-	in.applyRows(in.host.lists[list], kind != 0)
+	in.applyRows(in.host.lists[list], kind != updateChanges)
 	return nil
 }
 
-// handleDone ends an attempt.
+// handleDone tells the policy how an attempt ended. Attempts of forgotten searches are ignored.
 func (in *instance) handleDone(c *cursor) error {
 	id, outcome, _, attempt, _, _ := c.u64(), c.u8(), c.node(), c.u16(), c.u8(), c.f64()
 	report := in.readReport(c)
@@ -97,7 +92,7 @@
 		return nil
 	}
 	if outcome%10 != 0 || outcome == 0 || int(outcome/10) >= len(outcomes) {
-		return fmt.Errorf("outcome %d", outcome)
+		return fmt.Errorf("shard request %d: invalid outcome %d", id, outcome)
 	}
 	if index, known := in.indexOf[id]; known {
 		in.port.Done(index, int(attempt), outcomes[outcome/10], report)
@@ -105,98 +100,100 @@
 	return nil
 }
 
-// handleProbeResult ends a health check.
+// handleProbeResult tells the policy the result of a health check.
 func (in *instance) handleProbeResult(c *cursor) {
 	node, result, elapsed := c.node(), c.u8(), c.f64()
 	report := in.readReport(c)
 	if index, known := in.serverIndex[node]; known && !c.broken {
-		in.port.Probed(index, result == 10, elapsed, report)
+		in.port.Probed(index, result == probeSucceeded, elapsed, report)
 	}
 }
 
-// readReport reads the values of a load report.
+// readReport parses the values of a load report. They are valid until the next call.
 func (in *instance) readReport(c *cursor) []float64 {
-	n := int(c.u8())
+	count := int(c.u8())
 	in.report = in.report[:0]
-	for i := 0; i < n && !c.broken; i++ {
+	for i := 0; i < count && !c.broken; i++ {
 		in.report = append(in.report, c.f32())
 	}
 	return in.report
 }
 
-// applyRows applies the rows of a list; servers that a full one doesn't name are gone.
+// applyRows passes the servers in the rows of a list to the policy. If the list is full, listed servers that
+// it does not name are gone.
 func (in *instance) applyRows(rows []byte, full bool) {
 	seen := make([]bool, len(in.serverIDs), len(in.serverIDs)+len(rows)/rowSize)
 	c := &cursor{frame: rows}
 	for c.offset < len(rows) {
-		node, hall, _, cell, state := c.node(), c.u8(), c.u8(), c.u16(), c.u8()
-		size, started := c.f32(), c.f64()
-		at, known := in.serverIndex[node]
+		node, zone, _, position, state := c.node(), c.u8(), c.u8(), c.u16(), c.u8()
+		capacity, started := c.f32(), c.f64()
+		index, known := in.serverIndex[node]
 		if !known {
-			at = len(in.serverIDs)
-			in.serverIndex[node] = at
+			index = len(in.serverIDs)
+			in.serverIndex[node] = index
 			in.serverIDs = append(in.serverIDs, node)
 			in.listed = append(in.listed, false)
 			seen = append(seen, false)
 		}
-		as := policy.Ready
+		serverState := policy.Ready
 		switch state {
-		case 1:
-			as = policy.Draining
-		case 3:
-			as = policy.Gone
+		case rowDraining:
+			serverState = policy.Draining
+		case rowGone:
+			serverState = policy.Gone
 		}
-		seen[at], in.listed[at] = true, as != policy.Gone
-		in.port.Server(at, int(hall), int(cell), as, size, started)
+		seen[index], in.listed[index] = true, serverState != policy.Gone
+		in.port.Server(index, int(zone), int(position), serverState, capacity, started)
 	}
 	if !full {
 		return
 	}
-	for at, was := range seen {
-		if !was && in.listed[at] {
-			in.listed[at] = false
-			in.port.Server(at, 0, 0, policy.Gone, 0, 0)
+	for index, named := range seen {
+		if !named && in.listed[index] {
+			in.listed[index] = false
+			in.port.Server(index, 0, 0, policy.Gone, 0, 0)
 		}
 	}
 }
 
-// handleInbound takes a search, or a shard request of one.
+// handleInbound passes a new search to the policy, or a shard request of one. A negative segment marks a
+// search; its share field holds the number of its shard requests. The job number links the two.
 func (in *instance) handleInbound(c *cursor) {
-	id, kind, customer, key, until, work := c.u64(), int(c.u8()), int(c.u16()), c.u64(), c.f64(), c.f64()
-	job, segment, share, bits := float32(c.f32()), int(c.f32()), c.f32(), c.u8()
+	id, queryType, customer, key, deadline, work := c.u64(), int(c.u8()), int(c.u16()), c.u64(), c.f64(), c.f64()
+	job, segment, share, flags := float32(c.f32()), int(c.f32()), c.f32(), c.u8()
 	if c.broken {
 		return
 	}
-	if bits&1 == 0 {
+	if flags&hasWorkHint == 0 {
 		work = 0
 	}
 	if segment < 0 {
-		at := in.newIndex(id)
-		in.searchOfJob[job], in.jobOfSearch[at] = at, job
-		in.port.Search(at, kind, customer, until, int(share))
+		index := in.newIndex(id)
+		in.searchOfJob[job], in.jobOfSearch[index] = index, job
+		in.port.Search(index, queryType, customer, deadline, int(share))
 		return
 	}
-	if search, held := in.searchOfJob[job]; held {
-		at := in.newIndex(id)
-		in.requestsOf[search] = append(in.requestsOf[search], at)
-		in.port.ShardRequest(search, at, segment, share, work, key)
+	if search, known := in.searchOfJob[job]; known {
+		index := in.newIndex(id)
+		in.requestsOf[search] = append(in.requestsOf[search], index)
+		in.port.ShardRequest(search, index, segment, share, work, key)
 	}
 }
 
-// newIndex gives an id its index.
+// newIndex assigns an index to the wire id of a search or shard request.
 func (in *instance) newIndex(id uint64) int {
-	at := len(in.idOf)
+	index := len(in.idOf)
 	if n := len(in.freeIndices); n > 0 {
-		at, in.freeIndices = in.freeIndices[n-1], in.freeIndices[:n-1]
-		in.idOf[at] = id
+		index, in.freeIndices = in.freeIndices[n-1], in.freeIndices[:n-1]
+		in.idOf[index] = id
 	} else {
 		in.idOf = append(in.idOf, id)
 	}
-	in.indexOf[id] = at
-	return at
+	in.indexOf[id] = index
+	return index
 }
 
-// start starts an instance anew with its settings.
+// start resets the instance and creates its policy from the settings in facts.
 func (in *instance) start(seed uint64, facts string) {
 	*in = instance{number: in.number, host: in.host, alive: true, indexOf: map[uint64]int{},
 		searchOfJob: map[float32]int{}, jobOfSearch: map[int]float32{}, requestsOf: map[int][]int{}, serverIndex: map[[6]byte]int{}}
--- a/internal/simwire/frames_golden_test.go
+++ b/internal/simwire/frames_golden_test.go
@@ -21,7 +21,7 @@
 
 const (
 	goldenFrames  = 400
-	goldenShown   = 40 // frames whose replies stand whole in the golden file
+	goldenShown   = 40 // frames whose whole replies are in the golden file; the others count in its hash
 	goldenServers = 24
 )
 
@@ -68,22 +68,24 @@
 report.fields=active,cpu,waiting
 discovery=ask`
 
-// goldenBench plays the bench's part: it sends frames that follow from a seed and from the replies to those before.
+// goldenBench stands in for the simulator: it makes frames that depend only on a seed and on the replies to earlier
+// frames.
 type goldenBench struct {
 	random  *rand.Rand
 	now     float64
 	jobs    int
-	due     []goldenEvent // in order of their making
-	records map[uint16]int
+	due     []goldenEvent  // events of later frames, in order of creation
+	records map[uint16]int // number of records in all replies by code
 }
 
+// goldenEvent is a record that the simulator sends to an aggregator once the simulated time reaches at.
 type goldenEvent struct {
-	at     float64
+	at     float64 // in milliseconds
 	broker uint16
 	record []byte
 }
 
-// littleEndian puts values one after another.
+// littleEndian encodes values one after another.
 func littleEndian(values ...any) []byte {
 	var b bytes.Buffer
 	for _, value := range values {
@@ -96,10 +98,12 @@
 	return b.Bytes()
 }
 
+// serverID returns the wire id of a server, an IPv4 address and a port.
 func serverID(server int) string {
 	return string([]byte{10, 0, byte(server / 8), byte(server), 0x1f, 0x90})
 }
 
+// rows makes a SnapshotRows record with all servers or a few of them, and the Update record for aggregator 1.
 func (g *goldenBench) rows(list uint8, whole bool) []byte {
 	var rows []byte
 	count := uint32(0)
@@ -118,7 +122,8 @@
 	return append(littleEndian(uint16(1090), list, count), append(rows, littleEndian(uint16(1050), uint16(1), uint16(1030), list, uint32(1), kind)...)...)
 }
 
-// frame makes the next frame.
+// frame makes the next frame: the events that are due and up to two searches. Some frames also restart
+// aggregators or change the server list.
 func (g *goldenBench) frame(number int) []byte {
 	g.now += float64(g.random.IntN(12))
 	var body []byte
@@ -150,32 +155,33 @@
 	return g.framed(body)
 }
 
+// framed puts the header of a frame before its records.
 func (g *goldenBench) framed(body []byte) []byte {
 	return append(littleEndian(uint32(len(body)), g.now), body...)
 }
 
-// search makes a search of one to four parts at one of the brokers.
+// search makes a search of one to four shard requests at one of the aggregators.
 func (g *goldenBench) search() []byte {
 	g.jobs++
 	broker, class, customer := uint16(g.random.IntN(2)), uint8(g.random.IntN(3)), uint16(g.random.IntN(2))
-	parts := 1 + g.random.IntN(4)
-	until := g.now + 200 + float64(g.random.IntN(1500))
+	requests := 1 + g.random.IntN(4)
+	deadline := g.now + 200 + float64(g.random.IntN(1500))
 	body := littleEndian(uint16(1050), broker)
 	arrival := func(id uint64, segment, share float32) {
-		body = append(body, littleEndian(uint16(1070), id, class, customer, uint64(g.random.IntN(9)), until,
+		body = append(body, littleEndian(uint16(1070), id, class, customer, uint64(g.random.IntN(9)), deadline,
 			float64(g.random.IntN(40)), float32(g.jobs), segment, share, uint8(g.random.IntN(2)))...)
 	}
 	id := uint64(g.jobs * 10)
-	arrival(id, -1, float32(parts))
-	for part := range parts {
-		arrival(id+1+uint64(part), float32(part), 1/float32(parts))
+	arrival(id, -1, float32(requests))
+	for request := range requests {
+		arrival(id+1+uint64(request), float32(request), 1/float32(requests))
 	}
 	lapsed := littleEndian(uint16(1060), id)
-	g.due = append(g.due, goldenEvent{until, broker, lapsed})
+	g.due = append(g.due, goldenEvent{deadline, broker, lapsed})
 	return body
 }
 
-// take reads a reply, and has events follow from it.
+// take parses a reply and schedules the events that follow from its decisions.
 func (g *goldenBench) take(t *testing.T, reply []byte) {
 	t.Helper()
 	sizes := map[uint16]int{1000: 6, 1010: 16, 1020: 16, 1050: 6, 1060: 8, 1070: 2, 1080: 9, 1100: 10, 1110: 1, 1130: 22}
@@ -185,13 +191,13 @@
 	for range count {
 		code := binary.LittleEndian.Uint16(rest)
 		size, fixed := sizes[code]
-		if !fixed { // a text
+		if !fixed { // the record is one text
 			size = 2 + int(binary.LittleEndian.Uint16(rest[2:]))
 		}
 		record := rest[2 : 2+size]
 		rest = rest[2+size:]
 		g.records[code]++
-		assert.Assert(t, code != 1030, "%q", record) // the decision code failed
+		assert.Assert(t, code != 1030, "%q", record) // Fatal: the policy panicked
 		switch code {
 		case 1070:
 			broker = binary.LittleEndian.Uint16(record)
@@ -209,21 +215,21 @@
 	assert.Equal(t, len(rest), 0)
 }
 
-// served has a server answer a part.
-func (g *goldenBench) served(broker uint16, part, server []byte) {
-	how := uint8(10)
+// served schedules the result of an attempt, in four of five cases an answer.
+func (g *goldenBench) served(broker uint16, request, server []byte) {
+	outcome := uint8(10)
 	if g.random.IntN(5) == 0 {
-		how = uint8(10 * (1 + g.random.IntN(8)))
+		outcome = uint8(10 * (1 + g.random.IntN(8)))
 	}
-	took := float64(10 + g.random.IntN(60)*(1+int(server[3])%5))
-	record := append(littleEndian(uint16(1100)), part...)
-	record = append(record, how)
+	elapsed := float64(10 + g.random.IntN(60)*(1+int(server[3])%5))
+	record := append(littleEndian(uint16(1100)), request...)
+	record = append(record, outcome)
 	record = append(record, server...)
-	record = append(record, littleEndian(uint16(0), uint8(0), took, uint8(3), float32(g.random.IntN(9)), float32(0.4), float32(1))...)
-	g.due = append(g.due, goldenEvent{g.now + took, broker, record})
+	record = append(record, littleEndian(uint16(0), uint8(0), elapsed, uint8(3), float32(g.random.IntN(9)), float32(0.4), float32(1))...)
+	g.due = append(g.due, goldenEvent{g.now + elapsed, broker, record})
 }
 
-// TestFramesKeepTheirBytes plays a bench against two brokers and freezes what they reply.
+// TestFramesKeepTheirBytes runs two simulated aggregators and compares the bytes of their replies with the golden file.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	toRun, input := io.Pipe()
 	output, fromRun := io.Pipe()
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,11 @@
-// Package simwire speaks the bench's frames: it reads events in place, turns ids into small indices,
-// keeps one policy for each aggregator and writes down what that policy decides.
+// Package simwire connects the policy of aggregators to a simulator. The simulator writes frames of
+// events, and for each frame reads one reply with the decisions of the policies. The package maps the
+// ids on the wire to the small indices of package policy, and runs one policy per simulated aggregator.
+//
+// A frame is the length of its records (uint32), the simulated time in milliseconds (float64) and the
+// records. A reply is the number of its records and their length (two uint32), and the records. Each
+// record begins with its code (uint16); all numbers are little-endian. The names of the records are
+// those of the simulator's protocol.
 package simwire
 
 import (
@@ -13,41 +19,44 @@
 )
 
 const (
-	rowSize = 23
-	maxRead = 1 << 16 // read at most this much ahead of what has come, so that a false length costs little
+	rowSize  = 23      // bytes of a server's row in a list
+	maxLists = 16      // lists that a simulator may number
+	maxRead  = 1 << 16 // bytes by which the frame buffer grows at a time, so that an invalid length costs little memory
 )
 
-// host is what one process keeps: the numbered lists and its aggregators.
+// host runs the simulated aggregators of one process, and stores the numbered server lists that they share.
 type host struct {
-	lists     [16][]byte
-	instances map[uint16]*instance
-	inRound   []*instance
-	now       float64
-	reply     []byte
-	records   uint32
-	speaker   int
+	lists     [maxLists][]byte     // rows of each list
+	instances map[uint16]*instance // by their number on the wire
+	inRound   []*instance          // instances with an event in this frame
+	now       float64              // simulated time in milliseconds
+	reply     []byte               // records of the reply
+	records   uint32               // number of records in reply
+	speaker   int                  // number of the instance that the last From record selected, or -1
 }
 
-// instance is one aggregator: its policy, and the indices of the simulator's ids.
+// instance is one simulated aggregator: its policy, and the mapping between ids on the wire and indices.
+// Searches and shard requests share one space of indices; servers have their own.
 type instance struct {
 	number      uint16
-	alive       bool
+	alive       bool // an Enlist record came and no Teardown record since
 	host        *host
 	port        policy.Port
-	idOf        []uint64 // request index to id
-	indexOf     map[uint64]int
-	freeIndices []int
-	searchOfJob map[float32]int
+	idOf        []uint64        // wire id of a search or shard request by its index
+	indexOf     map[uint64]int  // index by wire id
+	freeIndices []int           // indices that may be used again
+	searchOfJob map[float32]int // index of a search by its job number on the wire
 	jobOfSearch map[int]float32
-	requestsOf  map[int][]int // a search's parts
-	serverIndex map[[6]byte]int
-	serverIDs   [][6]byte
-	listed      []bool
-	report      []float64
-	inRound     bool
+	requestsOf  map[int][]int   // indices of the shard requests by the index of their search
+	serverIndex map[[6]byte]int // index of a server by its wire id
+	serverIDs   [][6]byte       // wire id of a server by its index
+	listed      []bool          // by index: the list names the server, and not as gone
+	report      []float64       // buffer of readReport
+	inRound     bool            // the policy's round was begun in this frame
 }
 
-// Run plays until the input ends between two frames.
+// Run reads frames from r and writes the replies to w until r ends. It returns nil if r ends between two
+// frames.
 func Run(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, maxRead), bufio.NewWriterSize(w, maxRead)
 	h := &host{instances: map[uint16]*instance{}}
@@ -57,20 +66,20 @@
 		if _, err := io.ReadFull(in, head[:]); err == io.EOF {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("frame %d: header cut short: %w", n, err)
+			return fmt.Errorf("frame %d: header was cut off: %w", n, err)
 		}
 		size := int(binary.LittleEndian.Uint32(head[:]))
 		frame = frame[:0]
 		for len(frame) < size {
-			at, step := len(frame), min(size-len(frame), maxRead)
+			received, step := len(frame), min(size-len(frame), maxRead)
 			frame = append(frame, make([]byte, step)...)
-			if _, err := io.ReadFull(in, frame[at:]); err != nil {
-				return fmt.Errorf("frame %d: cut short in its %d bytes: %w", n, size, err)
+			if _, err := io.ReadFull(in, frame[received:]); err != nil {
+				return fmt.Errorf("frame %d: body of %d bytes was cut off: %w", n, size, err)
 			}
 		}
 		h.now = math.Float64frombits(binary.LittleEndian.Uint64(head[4:]))
 		if math.IsNaN(h.now) || math.IsInf(h.now, 0) {
-			return fmt.Errorf("frame %d: the clock is no number", n)
+			return fmt.Errorf("frame %d: time is not a finite number", n)
 		}
 		if err := h.handleFrame(frame); err != nil {
 			return fmt.Errorf("frame %d: %w", n, err)
@@ -80,12 +89,13 @@
 		out.Write(head[:8])
 		out.Write(h.reply)
 		if err := out.Flush(); err != nil {
-			return fmt.Errorf("writing the reply: %w", err)
+			return fmt.Errorf("write the reply to frame %d: %w", n, err)
 		}
 	}
 }
 
-// handleFrame reads the records of a frame; a policy that panics is reported in the reply.
+// handleFrame handles the records of a frame and then ends the rounds that they began. If a policy panics,
+// the reply reports that in a Fatal record, and no error is returned.
 func (h *host) handleFrame(frame []byte) (err error) {
 	h.reply, h.records, h.speaker = h.reply[:0], 0, -1
 	h.inRound = h.inRound[:0]
@@ -95,48 +105,48 @@
 			if in != nil {
 				h.selectInstance(in)
 			}
-			h.appendText(1030, fmt.Sprint("decision code failed: ", v))
+			h.appendText(decisionFatal, fmt.Sprint("decision code failed: ", v))
 			err = nil
 		}
 	}()
 	c := &cursor{frame: frame}
 	for c.offset < len(frame) {
-		at := c.offset
+		recordStart := c.offset
 		code := c.u16()
-		if code == 1050 {
-			num := c.u16()
+		if code == eventFor {
+			number := c.u16()
 			if !c.broken {
-				if in = h.instances[num]; in == nil {
-					in = &instance{number: num, host: h}
-					h.instances[num] = in
+				if in = h.instances[number]; in == nil {
+					in = &instance{number: number, host: h}
+					h.instances[number] = in
 				}
 			}
-		} else if code == 1090 {
+		} else if code == eventSnapshotRows {
 			list, rows := c.u8(), c.u32()
 			data := c.bytes(int(min(uint64(rows)*rowSize, math.MaxInt32)))
 			if !c.broken {
 				if int(list) >= len(h.lists) {
-					return fmt.Errorf("SnapshotRows at byte %d: list number %d is over 15", at, list)
+					return fmt.Errorf("SnapshotRows at byte %d: list number %d exceeds %d", recordStart, list, maxLists-1)
 				}
 				h.lists[list] = append(h.lists[list][:0], data...)
 			}
 		} else if !c.broken {
 			name, known := eventNames[code]
 			if !known {
-				return fmt.Errorf("unknown code %d at byte %d", code, at)
+				return fmt.Errorf("unknown code %d at byte %d", code, recordStart)
 			}
 			if in == nil {
-				return fmt.Errorf("%s at byte %d comes before any For", name, at)
+				return fmt.Errorf("%s at byte %d comes before any For record", name, recordStart)
 			}
 			if err := in.handleEvent(code, c); err != nil {
-				return fmt.Errorf("%s at byte %d: %w", name, at, err)
+				return fmt.Errorf("%s at byte %d: %w", name, recordStart, err)
 			}
 			if c.broken {
-				return fmt.Errorf("%s at byte %d %w", name, at, errShort)
+				return fmt.Errorf("%s at byte %d %w", name, recordStart, errShort)
 			}
 		}
 		if c.broken {
-			return fmt.Errorf("record %d at byte %d %w", code, at, errShort)
+			return fmt.Errorf("record %d at byte %d %w", code, recordStart, errShort)
 		}
 	}
 	for _, in = range h.inRound {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -11,7 +11,7 @@
 const facts = "classes.count=1\nclasses.0.aim-ms=1000\nclasses.0.effect=repeatable\nfamily-info.places=1\n" +
 	"family-info.span=1\nlimits.attempts-cap=3\nlimits.cancel=true\nlimits.parallel-tries=true\nunheard-of=1,2"
 
-// le puts values one after another, little-endian.
+// le encodes values one after another, little-endian.
 func le(values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
@@ -24,6 +24,7 @@
 	return b.Bytes()
 }
 
+// frame encodes a frame with these records.
 func frame(now float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	return append(le(uint32(len(body)), now), body...)
@@ -39,15 +40,17 @@
 	started = frame(1000, forOne, enlist, rows, update)
 )
 
+// inbound encodes an Inbound record; a negative segment makes it a search.
 func inbound(id uint64, segment, share float32) []byte {
 	return le(uint16(1070), id, uint8(0), uint16(0), uint64(0), float64(5000), float64(0), float32(1), segment, share, uint8(0))
 }
 
-func done(id uint64, how uint8) []byte {
-	return le(uint16(1100), id, how, "\x0a\x00\x00\x01\x50\x00", uint16(0), uint8(0), float64(10), uint8(0))
+// done encodes a Done record.
+func done(id uint64, outcome uint8) []byte {
+	return le(uint16(1100), id, outcome, "\x0a\x00\x00\x01\x50\x00", uint16(0), uint8(0), float64(10), uint8(0))
 }
 
-// play gives the codes of the replies, a slice for each.
+// play runs the frames in input and returns the codes of the records in each reply.
 func play(t *testing.T, input ...[]byte) (codes [][]uint16, err error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -80,13 +83,13 @@
 		t.Fatal(codes, err)
 	}
 	if got := codes[2]; len(got) != 3 || got[0] != 1070 || got[1] != 1130 || got[2] != 1020 {
-		t.Errorf("to a search: %v, want From, Relay, Remind", got)
+		t.Errorf("reply to a search: %v, want From, Relay, Remind", got)
 	}
 	if got := codes[3]; len(got) != 2 || got[1] != 1080 {
-		t.Errorf("to its answer: %v, want From, Merge", got)
+		t.Errorf("reply to the result of its attempt: %v, want From, Merge", got)
 	}
 	if len(codes[0])+len(codes[4]) != 0 {
-		t.Errorf("to an empty batch and a search no longer held: %v, %v", codes[0], codes[4])
+		t.Errorf("replies to an empty frame and to an event of a forgotten search: %v, %v, want none", codes[0], codes[4])
 	}
 }
 
@@ -100,23 +103,24 @@
 
 func TestBadInputNamesTheRecord(t *testing.T) {
 	for want, input := range map[string][]byte{
-		"header cut short":            {1, 2},
-		"cut short in its 4294967295": le(uint32(math.MaxUint32), float64(1)),
-		"Bell at byte 0":              frame(1, le(uint16(1110), uint64(1))),
-		"unknown code 7 at byte 4":    frame(1, forOne, le(uint16(7))),
-		"at byte 4 overruns":          frame(1, forOne, le(uint16(1040), uint64(1), uint32(math.MaxUint32))),
-		"record 1090 at byte 0":       frame(1, le(uint16(1090), uint8(0), uint32(math.MaxUint32))),
-		"list number 16":              frame(1, le(uint16(1090), uint8(16), uint32(0))),
-		"no Enlist":                   frame(1, forOne, update),
-		"clock is no number":          frame(math.NaN()),
-		"outcome 11":                  append(bytes.Clone(started), frame(1001, forOne, done(8, 11))...),
+		"header was cut off":                   {1, 2},
+		"body of 4294967295 bytes was cut off": le(uint32(math.MaxUint32), float64(1)),
+		"Bell at byte 0":                       frame(1, le(uint16(1110), uint64(1))),
+		"unknown code 7 at byte 4":             frame(1, forOne, le(uint16(7))),
+		"at byte 4 overruns":                   frame(1, forOne, le(uint16(1040), uint64(1), uint32(math.MaxUint32))),
+		"record 1090 at byte 0":                frame(1, le(uint16(1090), uint8(0), uint32(math.MaxUint32))),
+		"list number 16":                       frame(1, le(uint16(1090), uint8(16), uint32(0))),
+		"has no Enlist record":                 frame(1, forOne, update),
+		"time is not a finite number":          frame(math.NaN()),
+		"invalid outcome 11":                   append(bytes.Clone(started), frame(1001, forOne, done(8, 11))...),
 	} {
 		if _, err := play(t, input); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want it to say %q", err, want)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
+// FuzzRun checks that no input makes a policy panic, and that all replies are complete.
 func FuzzRun(f *testing.F) {
 	whole := bytes.Join([][]byte{started, frame(1001, forOne, inbound(7, -1, 2), inbound(8, 0, 0.5), inbound(9, 0, 0.5)),
 		frame(1100, forOne, done(8, 10), done(9, 20)), frame(1200, forOne, killed, enlist, update)}, nil)
@@ -131,11 +135,11 @@
 		var out bytes.Buffer
 		Run(bytes.NewReader(input), &out)
 		if bytes.Contains(out.Bytes(), []byte("decision code failed")) {
-			t.Fatal("a panic in the decision code")
+			t.Fatal("the policy panicked")
 		}
 		for b := out.Bytes(); len(b) > 0; {
 			if len(b) < 8 || len(b) < 8+int(binary.LittleEndian.Uint32(b[4:])) {
-				t.Fatal("a reply cut short")
+				t.Fatal("a reply is shorter than its length states")
 			}
 			b = b[8+int(binary.LittleEndian.Uint32(b[4:])):]
 		}
