--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,9 +1,10 @@
-// Package baseline has the textbook policies that the module is compared with, behind the same port and
-// so with the same fronts, carriers and pools. They know which servers are listed and nothing of
-// their health: a shard request goes to a replica at random or in turn, and after a failure, where a
-// second run does no harm, to another one. It is for measurements alone.
+// Package baseline implements the textbook load-balancing policies that package policy is compared with
+// in measurements. They implement policy.Port, and so run in the same aggregator, with the same client
+// and server connections and connection pools. They know which servers are listed, but nothing about
+// their health: a shard request goes to a random replica or to the replicas in turn, and after a failure
+// to another replica, if a second run has no further effect.
 //
-// A Port takes no locks: its caller makes one call at a time.
+// A Port is not safe for concurrent use.
 package baseline
 
 import (
@@ -13,117 +14,123 @@
 	"kestrelspread/internal/aggregator/policy"
 )
 
-// Names of the policies that New knows.
+// Names of the policies.
 const (
 	random     = "random"
 	roundRobin = "roundrobin"
 	failover   = "failover"
 )
 
-// Names are the policies that New knows.
+// Names lists the policies that New accepts.
 var Names = []string{random, roundRobin, failover}
 
 // Times in milliseconds.
 const (
-	// deadlineMargin is how long before the client's timeout a search ends.
+	// deadlineMargin is the time before the client's deadline at which a search is ended.
 	deadlineMargin = 25
-	// failoverBackoff is how long failover avoids a server that has failed.
+	// failoverBackoff is the time for which failover avoids a server after a failed attempt.
 	failoverBackoff = 2000
-	// failoverTimeout is how long failover waits for a server.
+	// failoverTimeout is the time limit of one attempt under failover.
 	failoverTimeout = 400
 )
 
+// search is a search whose indices are in use.
 type search struct {
 	id, queryType int
-	deadline      float64
+	deadline      float64 // of the client, in milliseconds
 	requests      []*shardRequest
-	inFlight      int // attempts
-	ended         bool
-	forgotten     bool
+	inFlight      int  // number of attempts in flight
+	ended         bool // the client was answered, or no longer waits
+	forgotten     bool // its indices were released
 }
 
+// shardRequest is the part of a search that concerns one shard.
 type shardRequest struct {
 	id, shard int
 	search    *search
 	attempts  []*attempt
 	answered  bool
-	committed bool // an attempt's answer has begun: no other one may be sent
-	wantsSend bool
+	committed bool // an attempt has begun to answer: no other attempt may be sent
+	wantsSend bool // an attempt is to be sent in this round
 }
 
+// attempt is one try of a shard request at a server.
 type attempt struct {
 	server   int
 	inFlight bool
-	neverRan bool
+	neverRan bool // its outcome proves that it had no effect
 }
 
+// server is what the server list states about a server.
 type server struct {
 	position, zone int
 	ready          bool
-	// avoidUntil is for failover: until then, servers that did answer go first.
+	// avoidUntil is the time until which failover prefers other servers, in milliseconds.
 	avoidUntil float64
 }
 
-// Port is a policy.
+// Port is a baseline policy. Times are in milliseconds.
 type Port struct {
 	out      policy.Out
 	rng      *rand.Rand
-	inTurn   bool // or at random
-	failover bool // the own zone first, then the next in order; in turn within a zone
-	zone     int  // the broker's own
-	now      float64
+	inTurn   bool    // round robin among the candidates; otherwise a random choice
+	failover bool    // the aggregator's own zone first, then the following ones; round robin within a zone
+	zone     int     // zone of the aggregator
+	now      float64 // time of the current round
 
 	effects     []policy.Effect // by query type
-	positions   int
-	replicas    int
-	maxAttempts int
+	positions   int             // of the ring on which shards are placed
+	replicas    int             // of each shard
+	maxAttempts int             // of each shard request
 	mayCancel   bool
 
-	sendCount int
+	sendCount int       // attempts sent so far, for round robin
 	servers   []*server // by id
 	searches  map[int]*search
 	requests  map[int]*shardRequest
-	active    []*search // in order of arrival
+	active    []*search // searches that have not ended, in order of arrival
 }
 
 var _ policy.Port = (*Port)(nil)
 
-// New returns the policy of that name; the seed is for its random choices.
+// New returns the policy with this name, one of Names. Its decisions go to out. The seed is that of its
+// random choices.
 func New(name string, out policy.Out, seed uint64) *Port {
 	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), inTurn: name != random, failover: name == failover,
 		searches: map[int]*search{}, requests: map[int]*shardRequest{}, positions: 1, replicas: 1, maxAttempts: 1}
 }
 
-// Home sets the broker's own zone, for failover.
+// Home sets the zone of the aggregator, which failover prefers.
 func (p *Port) Home(zone int) { p.zone = zone }
 
-// QueryType implements policy.Port; it keeps the effect of a second run.
+// QueryType implements policy.Port. It stores the effect that a second run has.
 func (p *Port) QueryType(_, _, _ float64, effect policy.Effect, _ float64) {
 	p.effects = append(p.effects, effect)
 }
 
-// Fleet implements policy.Port; it keeps how shards are placed.
+// Fleet implements policy.Port. It stores how shards are placed.
 func (p *Port) Fleet(positions, replicas, _ int, _ float64, _ bool) {
 	p.positions, p.replicas = positions, replicas
 }
 
-// Limits implements policy.Port; it keeps how many attempts a shard request may have, and whether
-// those in flight may be canceled.
+// Limits implements policy.Port. It stores how many attempts a shard request may have, and whether
+// attempts in flight may be canceled.
 func (p *Port) Limits(maxAttempts, _ int, mayCancel, _ bool) {
 	p.maxAttempts, p.mayCancel = maxAttempts, mayCancel
 }
 
-// Begin implements policy.Port; it keeps the time of the round.
+// Begin implements policy.Port. It stores the time of the round.
 func (p *Port) Begin(now float64) { p.now = now }
 
-// Search implements policy.Port; the search's shard requests follow.
+// Search implements policy.Port. It adds a search; the calls for its shard requests follow.
 func (p *Port) Search(id, queryType, _ int, deadline float64, _ int) {
 	s := &search{id: id, queryType: queryType, deadline: deadline}
 	p.searches[id] = s
 	p.active = append(p.active, s)
 }
 
-// ShardRequest implements policy.Port; the request wants its first attempt.
+// ShardRequest implements policy.Port. It adds a shard request, whose first attempt is sent at the end of
+// the round.
 func (p *Port) ShardRequest(searchID, id, shard int, _, _ float64, _ uint64) {
 	s := p.searches[searchID]
 	r := &shardRequest{id: id, shard: shard, search: s, wantsSend: true}
@@ -131,14 +138,14 @@
 	s.requests = append(s.requests, r)
 }
 
-// ShortenDeadline implements policy.Port.
+// ShortenDeadline implements policy.Port. It applies the earlier of the two deadlines.
 func (p *Port) ShortenDeadline(searchID int, deadline float64) {
 	if s := p.searches[searchID]; s != nil {
 		s.deadline = min(s.deadline, deadline)
 	}
 }
 
-// Server implements policy.Port; it keeps what the list says of a server.
+// Server implements policy.Port. It stores what the server list states about a server.
 func (p *Port) Server(id, zone, position int, state policy.State, _, _ float64) {
 	for id >= len(p.servers) {
 		p.servers = append(p.servers, &server{})
@@ -147,10 +154,11 @@
 	s.position, s.zone, s.ready = position, zone, state == policy.Ready
 }
 
-// RemoveServer implements policy.Port; nothing here still needs a server that is gone.
+// RemoveServer implements policy.Port. It returns true, as nothing here depends on a server that is gone.
 func (p *Port) RemoveServer(_ int) bool { return true }
 
-// Committed implements policy.Port; the first attempt that asks for a request gets it.
+// Committed implements policy.Port. It commits a shard request to the first attempt for which it is
+// called.
 func (p *Port) Committed(id, _ int, _ bool) bool {
 	r := p.requests[id]
 	if r == nil || r.committed || r.answered {
@@ -160,8 +168,8 @@
 	return true
 }
 
-// Done implements policy.Port; a request that failed harmlessly is sent again, as far as the limit
-// allows.
+// Done implements policy.Port. It records how an attempt ended. A shard request that failed is sent again
+// if a second run has no further effect and the limit on attempts allows it.
 func (p *Port) Done(id, number int, outcome policy.Outcome, _ []float64) {
 	r := p.requests[id]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
@@ -184,7 +192,7 @@
 	p.forget(r.search)
 }
 
-// mayRetry reports whether a request whose attempt failed may be sent again.
+// mayRetry reports whether a shard request may be sent again after an attempt with this outcome.
 func (p *Port) mayRetry(r *shardRequest, outcome policy.Outcome) bool {
 	if r.search.ended || r.committed || len(r.attempts) >= p.maxAttempts {
 		return false
@@ -192,14 +200,14 @@
 	return outcome.NeverRan() || p.effects[r.search.queryType] == policy.Idempotent
 }
 
-// ClientGone implements policy.Port; the search ends.
+// ClientGone implements policy.Port. It ends the search.
 func (p *Port) ClientGone(id int) {
 	if s := p.searches[id]; s != nil && !s.ended {
 		p.end(s)
 	}
 }
 
-// end ends a search, and cancels what is in flight where that is allowed.
+// end ends a search, and cancels its attempts in flight if that is allowed.
 func (p *Port) end(s *search) {
 	s.ended = true
 	for _, r := range s.requests {
@@ -212,7 +220,7 @@
 	p.forget(s)
 }
 
-// forget drops a search that has ended, once none of its attempts is in flight.
+// forget releases the indices of a search that has ended, unless an attempt of it is still in flight.
 func (p *Port) forget(s *search) {
 	if !s.ended || s.inFlight > 0 || s.forgotten {
 		return
@@ -225,8 +233,8 @@
 	p.out.Forget(s.id)
 }
 
-// End implements policy.Port; it sends what wants to be sent, and ends searches that are complete,
-// have failed or have reached their deadline.
+// End implements policy.Port. It sends the attempts that are due, ends searches that are complete, have
+// failed or have reached their deadline, and asks for a wake-up at the next deadline.
 func (p *Port) End() {
 	active := p.active[:0]
 	nextDeadline := math.Inf(1)
@@ -247,7 +255,8 @@
 	}
 }
 
-// step sends a search's requests, and ends it where it is due.
+// step sends the attempts of a search that are due, and ends the search if it is complete, has failed or
+// has reached its deadline.
 func (p *Port) step(s *search) {
 	complete, failed := true, false
 	for _, r := range s.requests {
@@ -272,7 +281,7 @@
 	}
 }
 
-// send sends an attempt of a request, where there is a server for it.
+// send sends an attempt of a shard request, unless no replica of its shard is ready.
 func (p *Port) send(r *shardRequest) {
 	destination := p.pick(r)
 	if destination < 0 {
@@ -287,6 +296,7 @@
 	p.out.Send(r.id, destination, timeout, 0)
 }
 
+// anyInFlight reports whether an attempt of the shard request is in flight.
 func (r *shardRequest) anyInFlight() bool {
 	for _, a := range r.attempts {
 		if a.inFlight {
@@ -296,8 +306,8 @@
 	return false
 }
 
-// harmless reports whether the client may repeat a search: no attempt ran, or a second run has no
-// further effect.
+// harmless reports whether the client may safely repeat a search: none of its attempts ran, or a second
+// run has no further effect, and no attempt has begun to answer.
 func (p *Port) harmless(s *search) bool {
 	for _, r := range s.requests {
 		for _, a := range r.attempts {
--- a/internal/baseline/pick.go
+++ b/internal/baseline/pick.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// Ranks of failover: the zones from the own one on, then those before it, and behind all of them the
-// servers that failed lately. There are far fewer zones than either.
+// Offsets of the rank by which failover orders servers, the lowest first: the aggregator's own zone and
+// those with a higher number, then the zones with a lower number, and last the servers that failed
+// recently. Both are far greater than the number of zones, so that the groups don't overlap.
 const (
 	earlierZoneRank = 1 << 16
 	avoidedRank     = 1 << 20
 )
 
-// pick returns the server for a request's next attempt, or -1 where no replica of its shard is ready.
-// Replicas that the request hasn't tried go first.
+// pick returns the server for the next attempt of a shard request, or -1 if no replica of its shard is
+// ready. Replicas that were not tried yet take precedence.
 func (p *Port) pick(r *shardRequest) int {
 	var candidates, untried []int
 	for id, s := range p.servers {
@@ -38,13 +39,14 @@
 	return candidates[p.rng.IntN(len(candidates))]
 }
 
-// holds reports whether a server has a replica of a shard: those at the shard's position and the next
-// ones on the ring do.
+// holds reports whether a server has a replica of a shard. The replicas are at the shard's position and
+// at the positions that follow on the ring.
 func (p *Port) holds(s *server, shard int) bool {
 	distance := ((s.position-shard)%p.positions + p.positions) % p.positions
 	return distance < p.replicas
 }
 
+// tried reports whether the shard request has had an attempt at a server.
 func (r *shardRequest) tried(server int) bool {
 	for _, a := range r.attempts {
 		if a.server == server {
@@ -54,7 +56,7 @@
 	return false
 }
 
-// nearest returns the candidates of the lowest rank.
+// nearest returns the candidates with the lowest rank.
 func (p *Port) nearest(candidates []int) []int {
 	best, bestRank := candidates, math.MaxInt
 	for _, id := range candidates {
@@ -69,6 +71,7 @@
 	return best
 }
 
+// rank returns the order of a server under failover, the lowest first.
 func (p *Port) rank(s *server) int {
 	rank := s.zone - p.zone
 	if rank < 0 {
--- a/internal/baseline/unused.go
+++ b/internal/baseline/unused.go
@@ -2,70 +2,70 @@
 
 import "kestrelspread/internal/aggregator/policy"
 
-// The methods of policy.Port below do nothing: they are for what only the module does.
+// The methods of policy.Port in this file do nothing: they serve features that the baseline policies lack.
 
-// Shares implements policy.Port; the policies have no use for it.
+// Shares implements policy.Port. It does nothing.
 func (p *Port) Shares(int, float64, float64, float64, int) {}
 
-// Customer implements policy.Port; the policies have no use for it.
+// Customer implements policy.Port. It does nothing.
 func (p *Port) Customer(float64, float64) {}
 
-// MaxRetryAfter implements policy.Port; the policies have no use for it.
+// MaxRetryAfter implements policy.Port. It does nothing.
 func (p *Port) MaxRetryAfter(float64) {}
 
-// WarmUp implements policy.Port; the policies have no use for it.
+// WarmUp implements policy.Port. It does nothing.
 func (p *Port) WarmUp(float64, float64, float64, float64) {}
 
-// Budget implements policy.Port; the policies have no use for it.
+// Budget implements policy.Port. It does nothing.
 func (p *Port) Budget(float64, float64, float64) {}
 
-// Reports implements policy.Port; the policies have no use for it.
+// Reports implements policy.Port. It does nothing.
 func (p *Port) Reports(bool, []policy.Field) {}
 
-// Probes implements policy.Port; the policies have no use for it.
+// Probes implements policy.Port. It does nothing.
 func (p *Port) Probes() {}
 
-// Discovery implements policy.Port; the policies have no use for it.
+// Discovery implements policy.Port. It does nothing.
 func (p *Port) Discovery(bool) {}
 
-// Probed implements policy.Port; the policies have no use for it.
+// Probed implements policy.Port. It does nothing.
 func (p *Port) Probed(int, bool, float64, []float64) {}
 
-// Refusals implements policy.Port; the policies have no use for it.
+// Refusals implements policy.Port. It returns no counts.
 func (p *Port) Refusals(int) []int { return nil }
 
-// ZoneChanged implements policy.Port; the policies have no use for it.
+// ZoneChanged implements policy.Port. It does nothing.
 func (p *Port) ZoneChanged(int, bool, float64) {}
 
-// CapacityFloor implements policy.Port; the policies have no use for it.
+// CapacityFloor implements policy.Port. It does nothing.
 func (p *Port) CapacityFloor(float64, float64) {}
 
-// SearchValue implements policy.Port; the policies have no use for it.
+// SearchValue implements policy.Port. It returns 0.
 func (p *Port) SearchValue(int) float64 { return 0 }
 
-// Priority implements policy.Port; the policies have no use for it.
+// Priority implements policy.Port. It does nothing.
 func (p *Port) Priority(int, float64) {}
 
-// CustomerWeight implements policy.Port; the policies have no use for it.
+// CustomerWeight implements policy.Port. It does nothing.
 func (p *Port) CustomerWeight(int, float64) {}
 
-// RetryWeight implements policy.Port; the policies have no use for it.
+// RetryWeight implements policy.Port. It does nothing.
 func (p *Port) RetryWeight(float64) {}
 
-// MarkRetry implements policy.Port; the policies have no use for it.
+// MarkRetry implements policy.Port. It does nothing.
 func (p *Port) MarkRetry(int) {}
 
-// DiscoveryFailed implements policy.Port; the policies have no use for it.
+// DiscoveryFailed implements policy.Port. It does nothing.
 func (p *Port) DiscoveryFailed() {}
 
-// RetryAfter implements policy.Port; the policies have no use for it.
+// RetryAfter implements policy.Port. It returns 0, no advice.
 func (p *Port) RetryAfter(int) float64 { return 0 }
 
-// Woken implements policy.Port; the policies have no use for it.
+// Woken implements policy.Port. It does nothing.
 func (p *Port) Woken() {}
 
-// ClientSending implements policy.Port; the policies have no use for it.
+// ClientSending implements policy.Port. It does nothing.
 func (p *Port) ClientSending(int, bool) {}
 
-// Pushback implements policy.Port; the policies have no use for it.
+// Pushback implements policy.Port. It does nothing.
 func (p *Port) Pushback(int, float64) {}
