--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,6 +1,6 @@
-// Package layers holds the tests of the architecture: state machines do no I/O and read no clock, the
-// aggregator's policy imports next to nothing, and no program links what it doesn't need. It has no
-// code of its own.
+// Package layers tests the dependencies between the packages: state machines do no I/O and read no clock,
+// the aggregator's policy imports only its own libraries, and no program links packages that it doesn't
+// need. It consists of tests alone.
 package layers
 
 import (
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// pureCores use neither sockets nor files, clocks, goroutines or shells. The types of transport are
-// allowed to those that speak to the event loop, as they name connections.
+// pureCores are packages under internal that use no sockets, files, clocks, goroutines or child
+// processes. Those that the event loop calls may import package transport for the type of a connection.
 var pureCores = []string{
 	"aggregator/policy",
 	"predict",
@@ -43,7 +43,8 @@
 	"fleet/lease/membership",
 }
 
-// barredImports are packages that do I/O, read clocks, wait, or draw from a shared random source.
+// barredImports are packages that do I/O, read clocks, block, or share a random source, so that a state
+// machine must not import them.
 var barredImports = map[string]bool{
 	"context":                true,
 	"golang.org/x/sys/unix":  true,
@@ -59,13 +60,14 @@
 	"time":                   true,
 }
 
-// clockCalls are how a file reads a clock or waits on it.
+// clockCalls are the calls that read a clock or wait for one.
 var clockCalls = []string{"time.Now(", "time.Since(", "time.After(", "time.Sleep(", "time.NewTimer("}
 
-// minCoreFiles is far below the number of files in pureCores: fewer mean that the search failed.
+// minCoreFiles is far below the number of files in pureCores: if fewer are found, the test has missed them.
 const minCoreFiles = 20
 
-// importProblems says which imports of a core's source file are barred.
+// importProblems describes the barred imports of a source file of a pure core. If source is nil, it reads
+// the file.
 func importProblems(name string, source any) (problems []string) {
 	file, err := parser.ParseFile(token.NewFileSet(), name, source, 0)
 	if err != nil {
@@ -73,7 +75,7 @@
 	}
 	for _, spec := range file.Imports {
 		path := strings.Trim(spec.Path.Value, `"`)
-		// A calendar needs zones; the clock itself stays barred by clockCalls.
+		// The ledger's calendar needs time zones. Reading the clock stays barred by clockCalls.
 		if path == "time" && strings.HasSuffix(name, "ledger/calendar.go") {
 			continue
 		}
@@ -87,11 +89,12 @@
 	return problems
 }
 
-// textProblems says what a core's source file must not do by its text.
+// textProblems describes the calls that read a clock and the go statements in the text of a source file of
+// a pure core.
 func textProblems(name, text string) (problems []string) {
 	for _, call := range clockCalls {
 		if strings.Contains(text, call) {
-			problems = append(problems, name+" reads a clock")
+			problems = append(problems, name+" reads a clock: "+call)
 		}
 	}
 	if strings.Contains(text, "\tgo func") || strings.Contains(text, "\tgo ") && !strings.Contains(text, "// ") {
@@ -100,7 +103,7 @@
 	return problems
 }
 
-// sourceFiles are a package's files but for its tests.
+// sourceFiles returns the source files of a package except its tests.
 func sourceFiles(t *testing.T, directory string) []string {
 	t.Helper()
 	files, err := filepath.Glob(directory + "/*.go")
@@ -115,7 +118,7 @@
 	for _, core := range pureCores {
 		files := sourceFiles(t, "../"+core)
 		if len(files) == 0 {
-			t.Errorf("no package %s: the list must follow it", core)
+			t.Errorf("package %s has no source files: update pureCores", core)
 		}
 		seen += len(files)
 		for _, name := range files {
@@ -129,17 +132,18 @@
 		}
 	}
 	if seen < minCoreFiles {
-		t.Error("only", seen, "files looked at")
+		t.Error("only", seen, "source files were checked, want at least", minCoreFiles)
 	}
 }
 
+// TestPlantedImportIsFound checks that importProblems finds a barred import.
 func TestPlantedImportIsFound(t *testing.T) {
 	if problems := importProblems("planted.go", "package x\nimport \"time\"\n"); len(problems) != 1 {
-		t.Error("a planted import is not found")
+		t.Errorf("barred import of time: got problems %q, want one", problems)
 	}
 }
 
-// dependencies are the packages that a package links, one a line.
+// dependencies returns the packages that a package links, one per line.
 func dependencies(t *testing.T, path string) string {
 	t.Helper()
 	out, err := exec.Command("go", "list", "-deps", path).Output()
@@ -159,7 +163,8 @@
 	}
 }
 
-// notInMinimal are packages that the minimal aggregator must not link, for the memory that they take.
+// notInMinimal are packages that the minimal aggregator must not link, to keep its memory use
+// low.
 var notInMinimal = []string{
 	"golang.org/x/net/http2", "github.com/spf13/cobra", "github.com/santhosh-tekuri/jsonschema/v6",
 	"github.com/cockroachdb/pebble/v2", "google.golang.org/grpc", "net/http", "crypto/tls", "go.etcd.io/raft/v3",
@@ -179,7 +184,7 @@
 	}
 	for _, path := range []string{"golang.org/x/net/http2", "github.com/spf13/cobra"} {
 		if !strings.Contains(full, path+"\n") {
-			t.Error("this check would find nothing: the full aggregator does not link", path)
+			t.Error("the check of the minimal aggregator proves nothing: even the full aggregator does not link", path)
 		}
 	}
 }
--- a/internal/layers/node_test.go
+++ b/internal/layers/node_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// nodeCores are the state machines of a node (docs/design/system.md): they take inputs and the time,
-// and return what is to be sent, written and answered.
+// nodeCores are the packages with the state machines of a node (docs/design/system.md). They take inputs
+// and the current time, and return the messages, writes and answers that follow.
 var nodeCores = []string{"chain", "config", "config/rawjson", "config/schema", "control", "core", "distribution", "kvindex",
 	"loadhint", "membership", "registry", "rendezvous", "rollout", "routing", "submit", "transfer", "verdict", "view", "wireproto"}
 
-// allowedNames are what a core may use of packages that are barred otherwise. Durations are numbers; a
-// random source is given, or made of a seed that is given; the statuses of HTTP are what brokers
-// answer with.
+// allowedNames reports, by package, which names a core may use of a package that is otherwise barred:
+// durations, which are plain numbers; random sources that the caller passes in or seeds; and the HTTP
+// status codes that brokers answer with.
 var allowedNames = map[string]func(name string) bool{
 	"time": func(name string) bool {
 		return slices.Contains([]string{"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"}, name)
@@ -26,18 +26,19 @@
 	"net/http":     func(name string) bool { return strings.HasPrefix(name, "Status") },
 }
 
-// guardFiles put a mutex before a core for the requests that come on many goroutines; they do nothing
-// else.
+// guardFiles may import sync. They only protect a core with a mutex, for requests that come on many
+// goroutines.
 var guardFiles = []string{"kvindex/guarded.go", "routing/guarded.go"}
 
-// nodeCoreProblems says what is wrong with one source file of a node's core.
+// nodeCoreProblems describes the barred imports, names and go statements in a source file of a node's core.
+// If src is nil, it reads the file.
 func nodeCoreProblems(name string, src any) []string {
 	file, err := parser.ParseFile(token.NewFileSet(), name, src, 0)
 	if err != nil {
 		return []string{err.Error()}
 	}
 	var problems []string
-	packages := map[string]string{} // path by the name in the file
+	packages := map[string]string{} // import path by the package's name in this file
 	for _, spec := range file.Imports {
 		path, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
@@ -66,15 +67,17 @@
 	return problems
 }
 
+// barredInNodeCore reports whether a core may not import a package, or only names of it by allowedNames.
 func barredInNodeCore(path string) bool {
 	return barredImports[path] || strings.HasPrefix(path, "net/") || strings.HasPrefix(path, "sync/") || path == "os/signal" || path == "runtime"
 }
 
+// isGuard reports whether a source file is one of guardFiles.
 func isGuard(name string) bool {
 	return slices.ContainsFunc(guardFiles, func(file string) bool { return strings.HasSuffix(name, file) })
 }
 
-// localName is what a file calls a package that it imports.
+// localName returns the name under which a file uses a package that it imports.
 func localName(spec *ast.ImportSpec, path string) string {
 	if spec.Name != nil {
 		return spec.Name.Name
@@ -94,11 +97,12 @@
 			}
 		}
 		if len(files) == 0 {
-			t.Error("no files of", core)
+			t.Error("package node/" + core + " has no source files: update nodeCores")
 		}
 	}
 }
 
+// TestImpureNodeCoreIsFound checks that nodeCoreProblems finds planted violations, and nothing else.
 func TestImpureNodeCoreIsFound(t *testing.T) {
 	for _, planted := range []struct {
 		name   string
@@ -123,18 +127,18 @@
 	} {
 		problems := nodeCoreProblems(planted.name, planted.src)
 		if (len(problems) > 0) != planted.impure {
-			t.Errorf("%s\n%s\ngives %v", planted.name, planted.src, problems)
+			t.Errorf("%s\n%s\nhas problems %q, want any: %v", planted.name, planted.src, problems, planted.impure)
 		}
 	}
 }
 
-// notInNodes are what a node must not link: clustering, consensus, discovery and proxying are its own
-// work, and its storage and messages are those of its design.
+// notInNodes are packages that a node must not link, with their subpackages: a node implements clustering,
+// consensus, discovery, proxying, storage and its message formats itself.
 var notInNodes = []string{"go.etcd.io/raft", "github.com/hashicorp/memberlist", "github.com/hashicorp/raft", "github.com/hashicorp/serf",
 	"net/http/httputil", "github.com/cockroachdb/pebble", "google.golang.org/grpc", "golang.org/x/net/http2", "kestrelspread/internal/fleet",
 	"kestrelspread/internal/standin", "kestrelspread/internal/harness"}
 
-// linkedInNode gives those of a program's packages that a node must not link.
+// linkedInNode returns the packages in a list of dependencies that a node must not link.
 func linkedInNode(packages string) []string {
 	var found []string
 	for pkg := range strings.FieldsSeq(packages) {
@@ -153,7 +157,7 @@
 		t.Error("a node links", pkg)
 	}
 	if !strings.Contains(packages, "kestrelspread/internal/node/agent\n") {
-		t.Error("this check would find nothing: the node does not link its own packages")
+		t.Error("the check proves nothing: the node does not link its own packages")
 	}
 	for _, planted := range notInNodes {
 		if found := linkedInNode(packages + planted + "\n" + planted + "/v9/part\n"); len(found) != 2 {
@@ -163,7 +167,7 @@
 	full := linkedInNode(dependencies(t, "kestrelspread/cmd/kestrelspread"))
 	for _, pkg := range []string{"go.etcd.io/raft/v3", "github.com/cockroachdb/pebble/v2", "google.golang.org/grpc", "golang.org/x/net/http2"} {
 		if !slices.Contains(full, pkg) {
-			t.Error("this check would find nothing: the full broker does not link", pkg)
+			t.Error("the check of the node proves nothing: even the full aggregator does not link", pkg)
 		}
 	}
 }
