--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -41,7 +41,7 @@
 	requests      []*shardRequest
 	inFlight      int  // number of attempts in flight
 	ended         bool // the client was answered, or no longer waits
-	forgotten     bool // its indices were released
+	released      bool // its indices were released
 }
 
 // shardRequest is the part of a search that concerns one shard.
@@ -51,7 +51,7 @@
 	attempts  []*attempt
 	answered  bool
 	committed bool // an attempt has begun to answer: no other attempt may be sent
-	wantsSend bool // an attempt is to be sent in this round
+	sendDue   bool // an attempt is to be sent in this round
 }
 
 // attempt is one try of a shard request at a server.
@@ -71,12 +71,12 @@
 
 // Port is a baseline policy. Times are in milliseconds.
 type Port struct {
-	out      policy.Out
-	rng      *rand.Rand
-	inTurn   bool    // round robin among the candidates; otherwise a random choice
-	failover bool    // the aggregator's own zone first, then the following ones; round robin within a zone
-	zone     int     // zone of the aggregator
-	now      float64 // time of the current round
+	out        policy.Out
+	rng        *rand.Rand
+	roundRobin bool    // round robin among the candidates; otherwise a random choice
+	failover   bool    // the aggregator's own zone first, then the following ones; round robin within a zone
+	homeZone   int     // zone of the aggregator
+	now        float64 // time of the current round
 
 	effects     []policy.Effect // by query type
 	positions   int             // of the ring on which shards are placed
@@ -96,12 +96,12 @@
 // New returns the policy with this name, one of Names. Its decisions go to out. The seed is that of its
 // random choices.
 func New(name string, out policy.Out, seed uint64) *Port {
-	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), inTurn: name != random, failover: name == failover,
+	return &Port{out: out, rng: rand.New(rand.NewPCG(seed, 1)), roundRobin: name != random, failover: name == failover,
 		searches: map[int]*search{}, requests: map[int]*shardRequest{}, positions: 1, replicas: 1, maxAttempts: 1}
 }
 
 // Home sets the zone of the aggregator, which failover prefers.
-func (p *Port) Home(zone int) { p.zone = zone }
+func (p *Port) Home(zone int) { p.homeZone = zone }
 
 // QueryType implements policy.Port. It stores the effect that a second run has.
 func (p *Port) QueryType(_, _, _ float64, effect policy.Effect, _ float64) {
@@ -133,7 +133,7 @@
 // the round.
 func (p *Port) ShardRequest(searchID, id, shard int, _, _ float64, _ uint64) {
 	s := p.searches[searchID]
-	r := &shardRequest{id: id, shard: shard, search: s, wantsSend: true}
+	r := &shardRequest{id: id, shard: shard, search: s, sendDue: true}
 	p.requests[id] = r
 	s.requests = append(s.requests, r)
 }
@@ -187,9 +187,9 @@
 	if outcome == policy.Answered {
 		r.answered = true
 	} else if p.mayRetry(r, outcome) {
-		r.wantsSend = true
+		r.sendDue = true
 	}
-	p.forget(r.search)
+	p.releaseIfIdle(r.search)
 }
 
 // mayRetry reports whether a shard request may be sent again after an attempt with this outcome.
@@ -203,12 +203,12 @@
 // ClientGone implements policy.Port. It ends the search.
 func (p *Port) ClientGone(id int) {
 	if s := p.searches[id]; s != nil && !s.ended {
-		p.end(s)
+		p.endSearch(s)
 	}
 }
 
-// end ends a search, and cancels its attempts in flight if that is allowed.
-func (p *Port) end(s *search) {
+// endSearch ends a search, and cancels its attempts in flight if that is allowed.
+func (p *Port) endSearch(s *search) {
 	s.ended = true
 	for _, r := range s.requests {
 		for number, a := range r.attempts {
@@ -217,15 +217,15 @@
 			}
 		}
 	}
-	p.forget(s)
+	p.releaseIfIdle(s)
 }
 
-// forget releases the indices of a search that has ended, unless an attempt of it is still in flight.
-func (p *Port) forget(s *search) {
-	if !s.ended || s.inFlight > 0 || s.forgotten {
+// releaseIfIdle releases the indices of a search that has ended, unless an attempt of it is still in flight.
+func (p *Port) releaseIfIdle(s *search) {
+	if !s.ended || s.inFlight > 0 || s.released {
 		return
 	}
-	s.forgotten = true
+	s.released = true
 	delete(p.searches, s.id)
 	for _, r := range s.requests {
 		delete(p.requests, r.id)
@@ -242,7 +242,7 @@
 		if s.ended {
 			continue
 		}
-		p.step(s)
+		p.advanceSearch(s)
 		if !s.ended {
 			active = append(active, s)
 			nextDeadline = min(nextDeadline, s.deadline-deadlineMargin-p.now)
@@ -255,13 +255,13 @@
 	}
 }
 
-// step sends the attempts of a search that are due, and ends the search if it is complete, has failed or
+// advanceSearch sends the attempts of a search that are due, and ends the search if it is complete, has failed or
 // has reached its deadline.
-func (p *Port) step(s *search) {
+func (p *Port) advanceSearch(s *search) {
 	complete, failed := true, false
 	for _, r := range s.requests {
-		if r.wantsSend && !r.answered && p.now < s.deadline-deadlineMargin {
-			r.wantsSend = false
+		if r.sendDue && !r.answered && p.now < s.deadline-deadlineMargin {
+			r.sendDue = false
 			p.send(r)
 		}
 		complete = complete && r.answered
@@ -270,20 +270,20 @@
 	switch {
 	case complete:
 		p.out.Answer(s.id, true)
-		p.end(s)
+		p.endSearch(s)
 	case failed || p.now >= s.deadline-deadlineMargin:
-		if p.harmless(s) {
+		if p.isSafeToRepeat(s) {
 			p.out.Shed(s.id, 0)
 		} else {
 			p.out.Fail(s.id)
 		}
-		p.end(s)
+		p.endSearch(s)
 	}
 }
 
 // send sends an attempt of a shard request, unless no replica of its shard is ready.
 func (p *Port) send(r *shardRequest) {
-	destination := p.pick(r)
+	destination := p.pickServer(r)
 	if destination < 0 {
 		return
 	}
@@ -306,9 +306,9 @@
 	return false
 }
 
-// harmless reports whether the client may safely repeat a search: none of its attempts ran, or a second
+// isSafeToRepeat reports whether the client may safely repeat a search: none of its attempts ran, or a second
 // run has no further effect, and no attempt has begun to answer.
-func (p *Port) harmless(s *search) bool {
+func (p *Port) isSafeToRepeat(s *search) bool {
 	for _, r := range s.requests {
 		for _, a := range r.attempts {
 			if r.committed || !a.neverRan && p.effects[s.queryType] != policy.Idempotent {
--- a/internal/baseline/pick.go
+++ b/internal/baseline/pick.go
@@ -10,12 +10,12 @@
 	avoidedRank     = 1 << 20
 )
 
-// pick returns the server for the next attempt of a shard request, or -1 if no replica of its shard is
+// pickServer returns the server for the next attempt of a shard request, or -1 if no replica of its shard is
 // ready. Replicas that were not tried yet take precedence.
-func (p *Port) pick(r *shardRequest) int {
+func (p *Port) pickServer(r *shardRequest) int {
 	var candidates, untried []int
 	for id, s := range p.servers {
-		if !s.ready || !p.holds(s, r.shard) {
+		if !s.ready || !p.hasReplica(s, r.shard) {
 			continue
 		}
 		candidates = append(candidates, id)
@@ -27,21 +27,21 @@
 		candidates = untried
 	}
 	if p.failover {
-		candidates = p.nearest(candidates)
+		candidates = p.lowestRanked(candidates)
 	}
 	if len(candidates) == 0 {
 		return -1
 	}
 	p.sendCount++
-	if p.inTurn {
+	if p.roundRobin {
 		return candidates[p.sendCount%len(candidates)]
 	}
 	return candidates[p.rng.IntN(len(candidates))]
 }
 
-// holds reports whether a server has a replica of a shard. The replicas are at the shard's position and
+// hasReplica reports whether a server has a replica of a shard. The replicas are at the shard's position and
 // at the positions that follow on the ring.
-func (p *Port) holds(s *server, shard int) bool {
+func (p *Port) hasReplica(s *server, shard int) bool {
 	distance := ((s.position-shard)%p.positions + p.positions) % p.positions
 	return distance < p.replicas
 }
@@ -56,8 +56,8 @@
 	return false
 }
 
-// nearest returns the candidates with the lowest rank.
-func (p *Port) nearest(candidates []int) []int {
+// lowestRanked returns the candidates with the lowest rank.
+func (p *Port) lowestRanked(candidates []int) []int {
 	best, bestRank := candidates, math.MaxInt
 	for _, id := range candidates {
 		rank := p.rank(p.servers[id])
@@ -73,7 +73,7 @@
 
 // rank returns the order of a server under failover, the lowest first.
 func (p *Port) rank(s *server) int {
-	rank := s.zone - p.zone
+	rank := s.zone - p.homeZone
 	if rank < 0 {
 		rank += earlierZoneRank
 	}
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestPlantedImportIsFound checks that importProblems finds a barred import.
-func TestPlantedImportIsFound(t *testing.T) {
+// TestBarredImportIsFound checks that importProblems finds a barred import.
+func TestBarredImportIsFound(t *testing.T) {
 	if problems := importProblems("planted.go", "package x\nimport \"time\"\n"); len(problems) != 1 {
 		t.Errorf("barred import of time: got problems %q, want one", problems)
 	}
@@ -165,7 +165,7 @@
 
 // notInMinimal are packages that the minimal aggregator must not link, to keep its memory use
 // low.
-var notInMinimal = []string{
+var barredFromMinimal = []string{
 	"golang.org/x/net/http2", "github.com/spf13/cobra", "github.com/santhosh-tekuri/jsonschema/v6",
 	"github.com/cockroachdb/pebble/v2", "google.golang.org/grpc", "net/http", "crypto/tls", "go.etcd.io/raft/v3",
 	"github.com/hashicorp/memberlist", "gonum.org/v1/plot",
@@ -174,7 +174,7 @@
 func TestAggregatorsLinkOnlyWhatTheyNeed(t *testing.T) {
 	minimal := dependencies(t, "kestrelspread/cmd/kestrellean")
 	full := dependencies(t, "kestrelspread/cmd/kestrelspread")
-	for _, path := range notInMinimal {
+	for _, path := range barredFromMinimal {
 		if strings.Contains(minimal, path+"\n") {
 			t.Error("the minimal aggregator links", path)
 		}
--- a/internal/layers/node_test.go
+++ b/internal/layers/node_test.go
@@ -28,7 +28,7 @@
 
 // guardFiles may import sync. They only protect a core with a mutex, for requests that come on many
 // goroutines.
-var guardFiles = []string{"kvindex/guarded.go", "routing/guarded.go"}
+var mutexWrapperFiles = []string{"kvindex/guarded.go", "routing/guarded.go"}
 
 // nodeCoreProblems describes the barred imports, names and go statements in a source file of a node's core.
 // If src is nil, it reads the file.
@@ -44,7 +44,7 @@
 		if err != nil {
 			return []string{name + ": " + err.Error()}
 		}
-		if !barredInNodeCore(path) || path == "sync" && isGuard(name) {
+		if !isBarredInNodeCore(path) || path == "sync" && isMutexWrapper(name) {
 			continue
 		}
 		if allowedNames[path] == nil || spec.Name != nil && spec.Name.Name == "." {
@@ -67,14 +67,15 @@
 	return problems
 }
 
-// barredInNodeCore reports whether a core may not import a package, or only names of it by allowedNames.
-func barredInNodeCore(path string) bool {
-	return barredImports[path] || strings.HasPrefix(path, "net/") || strings.HasPrefix(path, "sync/") || path == "os/signal" || path == "runtime"
+// isBarredInNodeCore reports whether a core may not import a package, or only names of it by allowedNames.
+func isBarredInNodeCore(path string) bool {
+	return barredImports[path] || strings.HasPrefix(path, "net/") || strings.HasPrefix(path, "sync/") ||
+		path == "os/signal" || path == "runtime"
 }
 
-// isGuard reports whether a source file is one of guardFiles.
-func isGuard(name string) bool {
-	return slices.ContainsFunc(guardFiles, func(file string) bool { return strings.HasSuffix(name, file) })
+// isMutexWrapper reports whether a source file is one of guardFiles.
+func isMutexWrapper(name string) bool {
+	return slices.ContainsFunc(mutexWrapperFiles, func(file string) bool { return strings.HasSuffix(name, file) })
 }
 
 // localName returns the name under which a file uses a package that it imports.
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestImpureNodeCoreIsFound checks that nodeCoreProblems finds planted violations, and nothing else.
-func TestImpureNodeCoreIsFound(t *testing.T) {
+// TestNodeCoreViolationsAreFound checks that nodeCoreProblems finds planted violations, and nothing else.
+func TestNodeCoreViolationsAreFound(t *testing.T) {
 	for _, planted := range []struct {
 		name   string
 		src    string
@@ -134,15 +135,15 @@
 
 // notInNodes are packages that a node must not link, with their subpackages: a node implements clustering,
 // consensus, discovery, proxying, storage and its message formats itself.
-var notInNodes = []string{"go.etcd.io/raft", "github.com/hashicorp/memberlist", "github.com/hashicorp/raft", "github.com/hashicorp/serf",
-	"net/http/httputil", "github.com/cockroachdb/pebble", "google.golang.org/grpc", "golang.org/x/net/http2", "kestrelspread/internal/fleet",
-	"kestrelspread/internal/standin", "kestrelspread/internal/harness"}
+var barredFromNodes = []string{"go.etcd.io/raft", "github.com/hashicorp/memberlist", "github.com/hashicorp/raft",
+	"github.com/hashicorp/serf", "net/http/httputil", "github.com/cockroachdb/pebble", "google.golang.org/grpc",
+	"golang.org/x/net/http2", "kestrelspread/internal/fleet", "kestrelspread/internal/standin", "kestrelspread/internal/harness"}
 
-// linkedInNode returns the packages in a list of dependencies that a node must not link.
-func linkedInNode(packages string) []string {
+// barredNodeLinks returns the packages in a list of dependencies that a node must not link.
+func barredNodeLinks(packages string) []string {
 	var found []string
 	for pkg := range strings.FieldsSeq(packages) {
-		for _, unwanted := range notInNodes {
+		for _, unwanted := range barredFromNodes {
 			if pkg == unwanted || strings.HasPrefix(pkg, unwanted+"/") {
 				found = append(found, pkg)
 			}
@@ -153,19 +154,20 @@
 
 func TestNodeLinksOnlyWhatItNeeds(t *testing.T) {
 	packages := dependencies(t, "kestrelspread/cmd/kestrelnode")
-	for _, pkg := range linkedInNode(packages) {
+	for _, pkg := range barredNodeLinks(packages) {
 		t.Error("a node links", pkg)
 	}
 	if !strings.Contains(packages, "kestrelspread/internal/node/agent\n") {
 		t.Error("the check proves nothing: the node does not link its own packages")
 	}
-	for _, planted := range notInNodes {
-		if found := linkedInNode(packages + planted + "\n" + planted + "/v9/part\n"); len(found) != 2 {
+	for _, planted := range barredFromNodes {
+		if found := barredNodeLinks(packages + planted + "\n" + planted + "/v9/part\n"); len(found) != 2 {
 			t.Error("a planted import of", planted, "is not found:", found)
 		}
 	}
-	full := linkedInNode(dependencies(t, "kestrelspread/cmd/kestrelspread"))
-	for _, pkg := range []string{"go.etcd.io/raft/v3", "github.com/cockroachdb/pebble/v2", "google.golang.org/grpc", "golang.org/x/net/http2"} {
+	full := barredNodeLinks(dependencies(t, "kestrelspread/cmd/kestrelspread"))
+	for _, pkg := range []string{"go.etcd.io/raft/v3", "github.com/cockroachdb/pebble/v2", "google.golang.org/grpc",
+		"golang.org/x/net/http2"} {
 		if !slices.Contains(full, pkg) {
 			t.Error("the check of the node proves nothing: even the full aggregator does not link", pkg)
 		}
--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -1,16 +1,16 @@
 package protocol
 
-// maxSizeDigits limits the hex digits of a chunk size.
-const maxSizeDigits = 7
+// maxChunkSizeDigits limits the hex digits of a chunk size.
+const maxChunkSizeDigits = 7
 
-// readChunkFraming parses one byte of a chunked body that is not chunk data: of a chunk-size line, of
+// parseChunkFraming parses one byte of a chunked body that is not chunk data: of a chunk-size line, of
 // the line break after a chunk, or of the trailers.
-func (m *Message) readChunkFraming(c byte) error {
-	if m.lineLength++; m.lineLength > maxChunk {
-		return newError(400, "chunk-size line or trailers exceed the limit")
+func (m *Message) parseChunkFraming(c byte) error {
+	if m.framingLength++; m.framingLength > maxChunkFraming {
+		return newRequestError(400, "chunk-size line or trailers exceed the limit")
 	}
-	if m.afterCR && c != '\n' || !m.afterCR && c == '\n' || m.state == inDataEnd && !m.afterCR && c != '\r' {
-		return newError(400, "invalid line break in a chunked body")
+	if m.afterCR && c != '\n' || !m.afterCR && c == '\n' || m.state == inChunkDataEnd && !m.afterCR && c != '\r' {
+		return newRequestError(400, "invalid line break in a chunked body")
 	}
 	if c == '\r' {
 		m.afterCR = true
@@ -19,39 +19,39 @@
 	ended := m.afterCR
 	m.afterCR = false
 	switch m.state {
-	case inSize, inExtension:
+	case inChunkSize, inChunkExtension:
 		if ended {
-			if m.digits == 0 {
-				return newError(400, "chunk without a size")
+			if m.lineDigits == 0 {
+				return newRequestError(400, "chunk without a size")
 			}
 			if m.Stream == nil && len(m.buf)-m.headLength+m.remaining > MaxBody {
-				return newError(413, "body exceeds the limit")
+				return newRequestError(413, "body exceeds the limit")
 			}
-			m.state, m.lineLength = inData, 0
+			m.state, m.framingLength = inChunkData, 0
 			if m.remaining == 0 {
-				m.state, m.digits = inTrailer, 0
+				m.state, m.lineDigits = inTrailers, 0
 			}
 			return nil
 		}
-		if d := hexDigit(c); m.state == inSize && d >= 0 {
-			if m.digits++; m.digits > maxSizeDigits {
-				return newError(413, "chunk size has too many digits")
+		if d := hexDigit(c); m.state == inChunkSize && d >= 0 {
+			if m.lineDigits++; m.lineDigits > maxChunkSizeDigits {
+				return newRequestError(413, "chunk size has too many digits")
 			}
 			m.remaining = m.remaining<<4 | d
 		} else if c == ';' || c == ' ' || c == '\t' {
-			m.state = inExtension
-		} else if m.state == inSize {
-			return newError(400, "chunk size is not a hexadecimal number")
+			m.state = inChunkExtension
+		} else if m.state == inChunkSize {
+			return newRequestError(400, "chunk size is not a hexadecimal number")
 		}
-	case inDataEnd:
-		m.state, m.remaining, m.digits, m.lineLength = inSize, 0, 0, 0
-	case inTrailer:
+	case inChunkDataEnd:
+		m.state, m.remaining, m.lineDigits, m.framingLength = inChunkSize, 0, 0, 0
+	case inTrailers:
 		if !ended {
-			m.digits++ // a byte of this trailer line
-		} else if m.digits == 0 {
-			m.state = complete
+			m.lineDigits++ // a byte of this trailer line
+		} else if m.lineDigits == 0 {
+			m.state = messageComplete
 		} else {
-			m.digits = 0
+			m.lineDigits = 0
 		}
 	}
 	return nil
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -64,7 +64,7 @@
 		}
 		size := binary.LittleEndian.Uint32(have)
 		if size == 0 || size > MaxFrame {
-			return newError(400, "invalid frame length")
+			return newRequestError(400, "invalid frame length")
 		}
 		end := int(size) + 4
 		if len(f.partial) == 0 && len(b) >= end {
@@ -105,7 +105,7 @@
 	line, value, found := bytes.Cut(payload, []byte("\n"))
 	words := bytes.SplitN(line, []byte(" "), 4) // all after the third space is the report, valid or not
 	if !found || len(words) != 4 || len(words[0]) == 0 {
-		return nil, 0, nil, nil, newError(400, "reply has no valid first line")
+		return nil, 0, nil, nil, newRequestError(400, "reply has no valid first line")
 	}
 	switch string(words[1]) {
 	case "OK":
@@ -115,18 +115,18 @@
 	case "REJECTED":
 		status = ReplyRejected
 	default:
-		return nil, 0, nil, nil, newError(400, "reply has an unknown status")
+		return nil, 0, nil, nil, newRequestError(400, "reply has an unknown status")
 	}
 	if status != ReplyOK {
 		return words[0], status, words[3], value, nil
 	}
 	if _, err := strconv.ParseUint(string(words[2]), 10, 64); err != nil {
-		return nil, 0, nil, nil, newError(400, "score of a reply is not a number")
+		return nil, 0, nil, nil, newRequestError(400, "score of a reply is not a number")
 	}
 	// A value becomes a JSON string in the answer to the client. One that is not valid text was corrupted
 	// in transit, and no client could parse it.
 	if !utf8.Valid(value) || bytes.ContainsFunc(value, func(c rune) bool { return c < ' ' || c == 127 }) {
-		return nil, 0, nil, nil, newError(400, "value of a reply is not valid text")
+		return nil, 0, nil, nil, newRequestError(400, "value of a reply is not valid text")
 	}
 	return words[0], status, words[3], value, nil
 }
@@ -141,7 +141,7 @@
 		name, value, found := bytes.Cut(pair, []byte("="))
 		v, err := strconv.ParseFloat(string(value), 64)
 		if !found || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			return newError(400, "invalid load report")
+			return newRequestError(400, "invalid load report")
 		}
 		each(name, v)
 	}
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -15,9 +15,9 @@
 	escaped bool   // the scanned bytes end after a backslash within a string
 }
 
-// listComplete counts the braces and brackets of a line, and reports whether none is open at its end or
+// closesList counts the braces and brackets of a line, and reports whether none is open at its end or
 // the line ends within a string, where a valid list has no line break.
-func (l *LineSplitter) listComplete(line []byte) bool {
+func (l *LineSplitter) closesList(line []byte) bool {
 	for _, c := range line {
 		switch {
 		case l.escaped:
@@ -42,7 +42,7 @@
 		line, rest, ended := bytes.Cut(b, []byte("\n"))
 		if !ended {
 			if len(l.partial)+len(line) > maxLine {
-				return newError(400, "line of the discovery stream exceeds the limit")
+				return newRequestError(400, "line of the discovery stream exceeds the limit")
 			}
 			l.partial = append(l.partial, line...)
 			return nil
@@ -57,10 +57,10 @@
 			// A blank line is a heartbeat and a valid list stands alone: in both cases the buffered
 			// list was cut off and its rest never comes.
 			if _, _, err := ReadList(piece, nil); err == nil || len(bytes.TrimSpace(piece)) == 0 {
-				return newError(400, "server list was cut off")
+				return newRequestError(400, "server list was cut off")
 			}
 		}
-		if !l.listComplete(piece) && (continuesList || beginsList(line)) && len(line) < maxLine {
+		if !l.closesList(piece) && (continuesList || isListPrefix(line)) && len(line) < maxLine {
 			if len(l.partial) == 0 {
 				l.partial = append(l.partial, line...)
 			}
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -22,38 +22,38 @@
 func ReadList(line []byte, each func(id, addr, zone []byte, cell int, state uint8, weight, started float64)) (
 	version int64, full bool, err error) {
 	s := &scanner{text: line}
-	version, full, has := s.readList(each)
-	if !s.complete() || has&5 != 5 { // the version and the servers are required
-		return 0, false, newError(400, "invalid server list")
+	version, full, presentFields := s.readServerList(each)
+	if !s.complete() || presentFields&5 != 5 { // the version and the servers are required
+		return 0, false, newRequestError(400, "invalid server list")
 	}
 	return version, full, nil
 }
 
-// beginsList reports whether a line is a valid prefix of a list that continues on the next line.
-func beginsList(line []byte) bool {
+// isListPrefix reports whether a line is a valid prefix of a list that continues on the next line.
+func isListPrefix(line []byte) bool {
 	s := &scanner{text: line}
-	s.readList(nil)
+	s.readServerList(nil)
 	return s.truncated && s.text[0] == '{'
 }
 
-// readList parses a list. Bit i of has is set if field i of the top-level object is present.
-func (s *scanner) readList(each func(id, addr, zone []byte, cell int, state uint8, weight, started float64)) (
-	version int64, full bool, has int) {
-	s.object([]string{"generation", "reset", "instances"}, func(name int) {
-		has |= 1 << name
-		switch name {
+// readServerList parses a list. Bit i of presentFields is set if field i of the top-level object is present.
+func (s *scanner) readServerList(each func(id, addr, zone []byte, cell int, state uint8, weight, started float64)) (
+	version int64, full bool, presentFields int) {
+	s.readObject([]string{"generation", "reset", "instances"}, func(field int) {
+		presentFields |= 1 << field
+		switch field {
 		case 0:
 			version = s.readInteger(0, 1<<53)
 		case 1:
 			full = s.readBool()
 		case 2:
-			s.items('[', ']', func() {
+			s.readElements('[', ']', func() {
 				var id, addr, zone, state []byte
-				cell, weight, started, got := int64(0), 0.0, 0.0, 0
+				cell, weight, started, entryFields := int64(0), 0.0, 0.0, 0
 				names := []string{"instanceId", "hostPort", "lifecycle", "zone", "cell", "weight", "startedAtMs"}
-				s.object(names, func(name int) {
-					got |= 1 << name
-					switch name {
+				s.readObject(names, func(field int) {
+					entryFields |= 1 << field
+					switch field {
 					case 0:
 						id = s.readString()
 					case 1:
@@ -72,14 +72,14 @@
 				})
 				stateNumber, known := serverStates[string(state)]
 				// Id, address and state are required, but a server that is gone needs no address.
-				if got&7 != 7 && !(got&5 == 5 && stateNumber == 2) || !known || len(id) == 0 {
+				if entryFields&7 != 7 && !(entryFields&5 == 5 && stateNumber == 2) || !known || len(id) == 0 {
 					s.fail()
 				}
-				if each != nil && !s.broken {
+				if each != nil && !s.failed {
 					each(id, addr, zone, int(cell), stateNumber, weight, started)
 				}
 			})
 		}
 	})
-	return version, full, has
+	return version, full, presentFields
 }
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -20,7 +20,7 @@
 // Error returns the reason.
 func (e *RequestError) Error() string { return e.Reason }
 
-func newError(status int, reason string) error { return &RequestError{status, reason} }
+func newRequestError(status int, reason string) error { return &RequestError{status, reason} }
 
 // Progress is how much of a message has been received.
 type Progress uint8
@@ -36,24 +36,24 @@
 	// length is not limited.
 	Stream func([]byte) error
 
-	buf         []byte
-	state       state
-	headLength  int  // bytes of the head, with the empty line that ends it
-	remaining   int  // bytes of the body or of the current chunk that are still to come
-	lineLength  int  // bytes of the current chunk-size line, or of all trailers, so far
-	digits      int  // hex digits of the current chunk size, or bytes of the current trailer line
-	afterCR     bool // the previous byte of the chunk framing was a carriage return
-	response    bool // responses are parsed, not requests
-	chunked     bool // the body has a chunked transfer coding
-	lastMessage bool // the sender closes the connection after this message
+	buf              []byte
+	state            state
+	headLength       int  // bytes of the head, with the empty line that ends it
+	remaining        int  // bytes of the body or of the current chunk that are still to come
+	framingLength    int  // bytes of the current chunk-size line, or of all trailers, so far
+	lineDigits       int  // hex digits of the current chunk size, or bytes of the current trailer line
+	afterCR          bool // the previous byte of the chunk framing was a carriage return
+	expectsResponse  bool // responses are parsed, not requests
+	chunked          bool // the body has a chunked transfer coding
+	closesConnection bool // the sender closes the connection after this message
 }
 
 // Limits on received data, in bytes.
 const (
-	MaxHead  = 8 << 10  // request or status line and headers
-	MaxBody  = 64 << 10 // body that is buffered
-	maxChunk = 256      // chunk-size line with its extensions, or all trailers together
-	maxLine  = 4 << 20  // line of a discovery stream: a list of thousands of servers is one line
+	MaxHead         = 8 << 10  // request or status line and headers
+	MaxBody         = 64 << 10 // body that is buffered
+	maxChunkFraming = 256      // chunk-size line with its extensions, or all trailers together
+	maxLine         = 4 << 20  // line of a discovery stream: a list of thousands of servers is one line
 )
 
 // Values of Progress.
@@ -64,18 +64,18 @@
 )
 
 const (
-	inHead      state = iota
-	inBody            // body with a Content-Length, or one that ends with the connection
-	inSize            // hex digits of a chunk size
-	inExtension       // rest of a chunk-size line
-	inData            // data of a chunk
-	inDataEnd         // CRLF after the data of a chunk
-	inTrailer         // trailers after the last chunk
-	complete
+	inHead           state = iota
+	inBody                 // body with a Content-Length, or one that ends with the connection
+	inChunkSize            // hex digits of a chunk size
+	inChunkExtension       // rest of a chunk-size line
+	inChunkData            // data of a chunk
+	inChunkDataEnd         // CRLF after the data of a chunk
+	inTrailers             // trailers after the last chunk
+	messageComplete
 )
 
 // ExpectResponse makes the parser expect responses instead of requests.
-func (m *Message) ExpectResponse() { m.response = true }
+func (m *Message) ExpectResponse() { m.expectsResponse = true }
 
 // SetStorage makes the parser use buf, or no buffer if buf is nil, and returns the previous buffer.
 func (m *Message) SetStorage(buf []byte) (previous []byte) {
@@ -88,11 +88,11 @@
 func (m *Message) MoveStorage(buf []byte) { m.buf = append(buf[:0], m.buf...) }
 
 // Begun reports whether bytes of an incomplete message are buffered.
-func (m *Message) Begun() bool { return len(m.buf) > 0 && m.state != complete }
+func (m *Message) Begun() bool { return len(m.buf) > 0 && m.state != messageComplete }
 
 // Next discards the current message and prepares the parser for the next one.
 func (m *Message) Next() {
-	m.buf, m.state, m.headLength, m.lastMessage, m.chunked = m.buf[:0], inHead, 0, false, false
+	m.buf, m.state, m.headLength, m.closesConnection, m.chunked = m.buf[:0], inHead, 0, false, false
 }
 
 // Body returns the bytes of the body received so far. They are valid until the next call of Reset or
@@ -100,13 +100,13 @@
 func (m *Message) Body() []byte { return m.buf[m.headLength:] }
 
 // IsLast reports whether the sender wants the connection closed after this message.
-func (m *Message) IsLast() bool { return m.lastMessage }
+func (m *Message) IsLast() bool { return m.closesConnection }
 
 // Feed parses b and returns the number of bytes that it consumed. It returns early after the head of a
 // message with a body and after a complete message: the caller passes the remaining bytes of b to the
 // next call.
 func (m *Message) Feed(b []byte) (used int, step Progress, err error) {
-	for used < len(b) && m.state != complete {
+	for used < len(b) && m.state != messageComplete {
 		switch m.state {
 		case inHead:
 			n, step, err := m.feedHead(b[used:])
@@ -114,7 +114,7 @@
 			if err != nil || step == HeadComplete {
 				return used, step, err
 			}
-		case inBody, inData:
+		case inBody, inChunkData:
 			n := min(m.remaining, len(b)-used)
 			if err := m.feedBody(b[used : used+n]); err != nil {
 				return used, Incomplete, err
@@ -123,12 +123,12 @@
 		default:
 			c := b[used]
 			used++
-			if err := m.readChunkFraming(c); err != nil {
+			if err := m.parseChunkFraming(c); err != nil {
 				return used, Incomplete, err
 			}
 		}
 	}
-	if m.state == complete {
+	if m.state == messageComplete {
 		return used, Complete, nil
 	}
 	return used, Incomplete, nil
@@ -149,17 +149,17 @@
 	if end < 0 {
 		used += take
 		if len(m.buf) >= MaxHead {
-			return used, Incomplete, newError(431, "request line and headers exceed the limit")
+			return used, Incomplete, newRequestError(431, "request line and headers exceed the limit")
 		}
 		return used, Incomplete, nil
 	}
 	m.headLength = searchFrom + end + len(headEnd)
 	used += m.headLength - from
 	m.buf = m.buf[:m.headLength]
-	if err := m.readHead(); err != nil {
+	if err := m.parseHead(); err != nil {
 		return used, Incomplete, err
 	}
-	if m.state != complete {
+	if m.state != messageComplete {
 		return used, HeadComplete, nil
 	}
 	return used, Incomplete, nil
@@ -181,92 +181,92 @@
 	switch {
 	case m.remaining > 0:
 	case m.state == inBody:
-		m.state = complete
+		m.state = messageComplete
 	default:
-		m.state = inDataEnd
+		m.state = inChunkDataEnd
 	}
 	return nil
 }
 
 // framing is what the headers state about the length of the body and about the connection.
 type framing struct {
-	lengths, codings int   // number of Content-Length and Transfer-Encoding headers
-	length           int   // bytes of the body by Content-Length
-	keepAlive        bool  // Connection: keep-alive is present
-	err              error // error of the first invalid header line
+	contentLengths, transferEncodings int   // number of Content-Length and Transfer-Encoding headers
+	contentLength                     int   // bytes of the body by Content-Length
+	keepAlive                         bool  // Connection: keep-alive is present
+	err                               error // error of the first invalid header line
 }
 
-// readHead parses the head and determines how the end of the message is found.
-func (m *Message) readHead() error {
-	version, err := m.readFirstLine()
+// parseHead parses the head and determines how the end of the message is found.
+func (m *Message) parseHead() error {
+	version, err := m.parseFirstLine()
 	if err != nil {
 		return err
 	}
 	oldVersion := string(version) == "HTTP/1.0"
 	if !oldVersion && string(version) != "HTTP/1.1" {
-		return newError(505, "HTTP version is neither 1.0 nor 1.1")
+		return newRequestError(505, "HTTP version is neither 1.0 nor 1.1")
 	}
 	var f framing
-	m.eachField(func(name, value []byte) { m.readFraming(&f, name, value) })
-	m.lastMessage = m.lastMessage || oldVersion && !f.keepAlive
+	m.eachHeader(func(name, value []byte) { m.parseFraming(&f, name, value) })
+	m.closesConnection = m.closesConnection || oldVersion && !f.keepAlive
 	switch {
 	case f.err != nil:
 		return f.err
-	case f.lengths > 1 || f.codings > 1 || f.lengths+f.codings > 1:
-		return newError(400, "more than one Content-Length or Transfer-Encoding header")
-	case f.codings > 0 && oldVersion:
-		return newError(400, "Transfer-Encoding in an HTTP/1.0 message")
-	case f.lengths+f.codings == 0 && m.response && m.Stream != nil:
-		f.length = math.MaxInt // the body ends when the connection is closed or breaks
-	case f.lengths+f.codings == 0 && (m.response || m.HasMethod("POST") || m.HasMethod("PUT")):
-		return newError(411, "neither Content-Length nor Transfer-Encoding header")
+	case f.contentLengths > 1 || f.transferEncodings > 1 || f.contentLengths+f.transferEncodings > 1:
+		return newRequestError(400, "more than one Content-Length or Transfer-Encoding header")
+	case f.transferEncodings > 0 && oldVersion:
+		return newRequestError(400, "Transfer-Encoding in an HTTP/1.0 message")
+	case f.contentLengths+f.transferEncodings == 0 && m.expectsResponse && m.Stream != nil:
+		f.contentLength = math.MaxInt // the body ends when the connection is closed or breaks
+	case f.contentLengths+f.transferEncodings == 0 && (m.expectsResponse || m.HasMethod("POST") || m.HasMethod("PUT")):
+		return newRequestError(411, "neither Content-Length nor Transfer-Encoding header")
 	}
 	m.beginBody(f)
 	return nil
 }
 
-// readFirstLine validates the request line or status line and returns its HTTP version.
-func (m *Message) readFirstLine() (version []byte, err error) {
+// parseFirstLine validates the request line or status line and returns its HTTP version.
+func (m *Message) parseFirstLine() (version []byte, err error) {
 	first, _, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
-	if m.response {
+	if m.expectsResponse {
 		if len(first) < statusLineLength || first[8] != ' ' || m.Status() == 0 {
-			return nil, newError(400, "invalid status line")
+			return nil, newRequestError(400, "invalid status line")
 		}
 		return first[:8], nil
 	}
 	words := bytes.Split(first, []byte(" "))
 	if len(words) != 3 || !isToken(words[0]) || len(words[1]) == 0 {
-		return nil, newError(400, "invalid request line")
+		return nil, newRequestError(400, "invalid request line")
 	}
 	return words[2], nil
 }
 
 const statusLineLength = 12 // least bytes of a status line: version, space and status code
 
-// readFraming evaluates one header line. After an invalid line the following ones are ignored.
-func (m *Message) readFraming(f *framing, name, value []byte) {
+// parseFraming evaluates one header line. After an invalid line the following ones are ignored.
+func (m *Message) parseFraming(f *framing, name, value []byte) {
 	switch {
 	case f.err != nil:
 	case !isToken(name) || bytes.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 127 }):
-		f.err = newError(400, "invalid header line")
+		f.err = newRequestError(400, "invalid header line")
 	case equalFold(name, "content-length"):
-		f.lengths++
+		f.contentLengths++
 		n, err := strconv.ParseUint(string(value), 10, 63)
 		if err != nil || value[0] == '+' {
-			f.err = newError(400, "Content-Length is not a number")
+			f.err = newRequestError(400, "Content-Length is not a number")
 		} else if n > MaxBody && m.Stream == nil {
-			f.err = newError(413, "body exceeds the limit")
+			f.err = newRequestError(413, "body exceeds the limit")
 		}
-		f.length = int(n)
+		f.contentLength = int(n)
 	case equalFold(name, "transfer-encoding"):
-		f.codings++
+		f.transferEncodings++
 		if !equalFold(value, "chunked") {
-			f.err = newError(501, "Transfer-Encoding other than chunked")
+			f.err = newRequestError(501, "Transfer-Encoding other than chunked")
 		}
 	case equalFold(name, "connection"):
 		for option := range bytes.SplitSeq(value, []byte(",")) {
 			option = bytes.TrimSpace(option)
-			m.lastMessage = m.lastMessage || equalFold(option, "close")
+			m.closesConnection = m.closesConnection || equalFold(option, "close")
 			f.keepAlive = f.keepAlive || equalFold(option, "keep-alive")
 		}
 	}
@@ -274,20 +274,20 @@
 
 // beginBody prepares the parser for the body that the head announced.
 func (m *Message) beginBody(f framing) {
-	m.lineLength, m.digits, m.afterCR = 0, 0, false
-	m.remaining = f.length
+	m.framingLength, m.lineDigits, m.afterCR = 0, 0, false
+	m.remaining = f.contentLength
 	switch {
-	case f.codings > 0:
-		m.state, m.remaining, m.chunked = inSize, 0, true
-	case f.length > 0:
+	case f.transferEncodings > 0:
+		m.state, m.remaining, m.chunked = inChunkSize, 0, true
+	case f.contentLength > 0:
 		m.state = inBody
 	default:
-		m.state = complete
+		m.state = messageComplete
 	}
 }
 
-// eachField calls each for every header line. A line without a colon has an empty name.
-func (m *Message) eachField(each func(name, value []byte)) {
+// eachHeader calls each for every header line. A line without a colon has an empty name.
+func (m *Message) eachHeader(each func(name, value []byte)) {
 	_, rest, _ := bytes.Cut(m.buf[:m.headLength], []byte("\r\n"))
 	for {
 		var line []byte
@@ -305,7 +305,7 @@
 // Header returns the value of the last header with this name, which is given in lower case, and the
 // number of headers that have it.
 func (m *Message) Header(name string) (value []byte, times int) {
-	m.eachField(func(n, v []byte) {
+	m.eachHeader(func(n, v []byte) {
 		if equalFold(n, name) {
 			value, times = v, times+1
 		}
@@ -315,7 +315,7 @@
 
 // Cookie returns the value of the last cookie with this name, or nil.
 func (m *Message) Cookie(name string) (value []byte) {
-	m.eachField(func(n, v []byte) {
+	m.eachHeader(func(n, v []byte) {
 		if !equalFold(n, "cookie") {
 			return
 		}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -46,7 +46,8 @@
 			chunk = chunk[used:]
 			if step == Complete {
 				id, n := message.Header("x-call-id")
-				fmt.Fprintf(&description, "%s %d %v %q %d %q %q\n", message.Path(), message.Status(), message.IsLast(), id, n, message.Cookie("k"), message.Body())
+				fmt.Fprintf(&description, "%s %d %v %q %d %q %q\n", message.Path(), message.Status(), message.IsLast(),
+					id, n, message.Cookie("k"), message.Body())
 				message.Next()
 			}
 		}
@@ -148,14 +149,16 @@
 func TestReplyParserAcceptsAndRejects(t *testing.T) {
 	for line, want := range map[string]bool{"a.1 OK 5 -\nv": true, "a.1 ERROR - -\n": true, "a.1 REJECTED 0 -\n": true,
 		"a.1 OK 5 no report\nv": true,
-		"a.1 OK five -\nv":      false, "a.1 OK 5 -\n\x01": false, "a.1 OK 5 -\n\xff": false, "a.1 OK 5 -\né": true, "a.1 OK 5 -": false, "a.1 FINE 5 -\n": false, " OK 5 -\n": false, "a.1 OK 5\n": false} {
+		"a.1 OK five -\nv":      false, "a.1 OK 5 -\n\x01": false, "a.1 OK 5 -\n\xff": false, "a.1 OK 5 -\né": true,
+		"a.1 OK 5 -": false, "a.1 FINE 5 -\n": false, " OK 5 -\n": false, "a.1 OK 5\n": false} {
 		if _, _, _, _, err := ReadReply([]byte(line)); (err == nil) != want {
-			t.Errorf("%q: %v", line, err)
+			t.Errorf("reply %q: got error %v, want accepted: %v", line, err, want)
 		}
 	}
-	call := EndFrame(AppendShardRequest(AppendShardRequest(BeginRequestFrame(nil), "a.3", 3, 240.9, nil, []byte("xy")), "a.4", 4, 0.2, []byte("f2b9"), nil), 0)
-	if want := "\x24\x00\x00\x00Ra.3 3 d=240 2\nxya.4 4 d=1,k=f2b9 0\n"; string(call) != want {
-		t.Errorf("%q, want %q", call, want)
+	request := AppendShardRequest(BeginRequestFrame(nil), "a.3", 3, 240.9, nil, []byte("xy"))
+	request = EndFrame(AppendShardRequest(request, "a.4", 4, 0.2, []byte("f2b9"), nil), 0)
+	if want := "\x24\x00\x00\x00Ra.3 3 d=240 2\nxya.4 4 d=1,k=f2b9 0\n"; string(request) != want {
+		t.Errorf("request frame %q, want %q", request, want)
 	}
 }
 
@@ -263,8 +266,8 @@
 	})
 }
 
-// TestListMaySpanLines checks that an indented list counts as one line, and that a cut-off list is an error.
-func TestListMaySpanLines(t *testing.T) {
+// TestListOverManyLinesCountsAsOneLine checks that an indented list counts as one line, and that a cut-off list is an error.
+func TestListOverManyLinesCountsAsOneLine(t *testing.T) {
 	const oneLine = "{\"generation\":4,\"reset\":true,\"instances\":[]}"
 	const indented = "{\n  \"generation\": 5,\r\n  \"reset\": false,\n  \"instances\": [\n    {\n      \"instanceId\": \"a{\\\"\",\n" +
 		"      \"hostPort\": \"127.0.0.1:1\",\n      \"lifecycle\": \"ready\"\n    }\n  ]\n}\n"
@@ -299,8 +302,8 @@
 	}
 }
 
-// TestListOverManyLinesIsReadInLinearTime guards against a splitter that copies its buffer for each line.
-func TestListOverManyLinesIsReadInLinearTime(t *testing.T) {
+// TestListOverManyLinesIsSplitInLinearTime guards against a splitter that copies its buffer for each line.
+func TestListOverManyLinesIsSplitInLinearTime(t *testing.T) {
 	// 3 MB in lines of a few bytes, as a discovery agent may indent them: copying the buffered lines for each line takes minutes.
 	var list bytes.Buffer
 	list.WriteString("{\"generation\":7,\"reset\":true,\"instances\":[\n")
@@ -329,6 +332,6 @@
 		}
 	}
 	if lists != 1 {
-		t.Errorf("%d lists", lists)
+		t.Errorf("got %d lists, want 1", lists)
 	}
 }
--- a/internal/protocol/scanner.go
+++ b/internal/protocol/scanner.go
@@ -17,16 +17,16 @@
 type scanner struct {
 	text      []byte
 	offset    int
-	broken    bool
+	failed    bool
 	truncated bool // the error is that the text ended: it is a valid prefix
 }
 
 // fail records an error.
 func (s *scanner) fail() {
-	if !s.broken {
+	if !s.failed {
 		s.truncated = s.offset >= len(s.text)
 	}
-	s.broken, s.offset = true, len(s.text)
+	s.failed, s.offset = true, len(s.text)
 }
 
 // peek skips white space and returns the next byte without consuming it, or 0 at the end.
@@ -51,15 +51,15 @@
 	s.offset++
 }
 
-// items parses an array or an object between the bytes open and end. It calls each, which parses one
+// readElements parses an array or an object between the bytes open and end. It calls each, which parses one
 // element or member, for every one of them.
-func (s *scanner) items(open, end byte, each func()) {
+func (s *scanner) readElements(open, end byte, each func()) {
 	s.expect(open)
 	if s.peek() == end {
 		s.offset++
 		return
 	}
-	for !s.broken {
+	for !s.failed {
 		if each(); s.peek() != ',' {
 			s.expect(end)
 			return
@@ -68,11 +68,11 @@
 	}
 }
 
-// object parses an object. It calls each, which parses the value, with the index in names of every member
+// readObject parses an object. It calls each, which parses the value, with the index in names of every member
 // that names lists, and skips other members. It fails if a listed name occurs twice.
-func (s *scanner) object(names []string, each func(name int)) {
+func (s *scanner) readObject(names []string, each func(index int)) {
 	seen := 0
-	s.items('{', '}', func() {
+	s.readElements('{', '}', func() {
 		key := s.readString()
 		s.expect(':')
 		for i, name := range names {
@@ -168,13 +168,13 @@
 	case depth > maxDepth:
 		s.fail()
 	case c == '{':
-		s.items('{', '}', func() {
+		s.readElements('{', '}', func() {
 			s.readString()
 			s.expect(':')
 			s.skipValue(depth + 1)
 		})
 	case c == '[':
-		s.items('[', ']', func() { s.skipValue(depth + 1) })
+		s.readElements('[', ']', func() { s.skipValue(depth + 1) })
 	case c == '"':
 		s.readString()
 	case c == 't' || c == 'f':
@@ -188,7 +188,7 @@
 
 // complete reports whether the value was valid and nothing follows it.
 func (s *scanner) complete() bool {
-	return !s.broken && s.peek() == 0 && s.offset == len(s.text)
+	return !s.failed && s.peek() == 0 && s.offset == len(s.text)
 }
 
 // parseHex64 parses 1 to 16 hexadecimal digits, and reports whether b consists of them.
--- a/internal/protocol/search.go
+++ b/internal/protocol/search.go
@@ -14,22 +14,22 @@
 // ReadSearch parses the body of a search in a fleet with this many shards. It calls each for every shard
 // request, in order, and returns the text that all of them carry and the sum of their shares, which is 1
 // except for rounding. work is a hint of the duration in milliseconds (microseconds in the body), or 0. The
-// caller must not act on the shard requests before ReadSearch has returned without an error.
+// caller must not act on the shard requests before ParseSearch has returned without an error.
 func ReadSearch(body []byte, shards int, each func(shard int, share, work float64, key uint64)) ([]byte, float64, error) {
 	s := &scanner{text: body}
 	var text []byte
-	has, requests, sum := 0, 0, 0.0 // bit i of has: field i is present
-	s.object([]string{"segments", "text"}, func(name int) {
-		has |= 1 << name
-		if name == 1 {
+	presentFields, requests, sum := 0, 0, 0.0 // bit i of presentFields is set if field i is present
+	s.readObject([]string{"segments", "text"}, func(field int) {
+		presentFields |= 1 << field
+		if field == 1 {
 			text = s.readString()
 			return
 		}
-		s.items('[', ']', func() {
-			shard, share, work, key, got := int64(0), 0.0, 0.0, uint64(0), 0
-			s.object([]string{"segment", "boost", "work", "affinity"}, func(name int) {
-				got |= 1 << name
-				switch name {
+		s.readElements('[', ']', func() {
+			shard, share, work, key, entryFields := int64(0), 0.0, 0.0, uint64(0), 0
+			s.readObject([]string{"segment", "boost", "work", "affinity"}, func(field int) {
+				entryFields |= 1 << field
+				switch field {
 				case 0:
 					shard = s.readInteger(0, float64(shards-1))
 				case 1:
@@ -44,22 +44,22 @@
 				}
 			})
 			// The shard and its share are required.
-			if requests++; got&3 != 3 || share <= 0 || share > 1+shareTolerance || work < 0 || requests > maxShardRequests {
+			if requests++; entryFields&3 != 3 || share <= 0 || share > 1+shareTolerance || work < 0 || requests > maxShardRequests {
 				s.fail()
 			}
 			sum += share
-			if !s.broken {
+			if !s.failed {
 				each(int(shard), share, work, key)
 			}
 		})
 	})
 	switch {
 	case !s.complete():
-		return nil, 0, newError(400, "body is not a valid search")
-	case has != 3 || requests == 0:
-		return nil, 0, newError(400, "search without segments or without text")
+		return nil, 0, newRequestError(400, "body is not a valid search")
+	case presentFields != 3 || requests == 0:
+		return nil, 0, newRequestError(400, "search without segments or without text")
 	case math.Abs(sum-1) > shareTolerance:
-		return nil, 0, newError(400, "boosts of the segments do not add up to 1")
+		return nil, 0, newRequestError(400, "boosts of the segments do not add up to 1")
 	}
 	return text, sum, nil
 }
--- a/internal/protocol/unescape.go
+++ b/internal/protocol/unescape.go
@@ -34,13 +34,13 @@
 		case 't':
 			out = append(out, '\t')
 		case 'u':
-			r, ok := utf16Unit(s[i+1:])
+			r, ok := parseUTF16Unit(s[i+1:])
 			if !ok {
 				return nil, false
 			}
 			i += 4
 			if r >= 0xd800 && r < 0xdc00 && len(s) > i+2 && s[i+1] == '\\' && s[i+2] == 'u' {
-				if low, ok := utf16Unit(s[i+3:]); ok && low >= 0xdc00 && low < 0xe000 {
+				if low, ok := parseUTF16Unit(s[i+3:]); ok && low >= 0xdc00 && low < 0xe000 {
 					r = 0x10000 + (r-0xd800)<<10 + (low - 0xdc00)
 					i += 6
 				}
@@ -53,8 +53,8 @@
 	return out, true
 }
 
-// utf16Unit parses the four hexadecimal digits of a \u escape.
-func utf16Unit(s []byte) (r rune, ok bool) {
+// parseUTF16Unit parses the four hexadecimal digits of a \u escape.
+func parseUTF16Unit(s []byte) (r rune, ok bool) {
 	if len(s) < 4 {
 		return 0, false
 	}
--- a/internal/protocol/wire_golden_test.go
+++ b/internal/protocol/wire_golden_test.go
@@ -23,13 +23,15 @@
 	show("call", protocol.EndFrame(frame, 0))
 	show("abandon", protocol.AppendShortFrame(nil, protocol.FrameAbandon, "17-1"))
 	show("alive", protocol.AppendShortFrame(nil, protocol.FrameAlive, ""))
-	show("letters", []byte{protocol.FrameRequest, protocol.FrameAbandon, protocol.FrameAlive, protocol.FrameLoad, protocol.FrameReply, protocol.FrameError})
+	show("letters", []byte{protocol.FrameRequest, protocol.FrameAbandon, protocol.FrameAlive, protocol.FrameLoad,
+		protocol.FrameReply, protocol.FrameError})
 
 	body := protocol.AppendAnswer(nil, true)
 	body = protocol.AppendMatch(body, 2, []byte("plain"))
 	body = protocol.EndAnswer(protocol.AppendMatch(body, 5, []byte("quote \" back \\ \u00e9")))
 	show("whole answer", protocol.AppendResponse(nil, 200, "application/json", false, 0, body))
-	show("partial answer", protocol.AppendResponse(nil, 200, "application/json", true, 0, protocol.EndAnswer(protocol.AppendAnswer(nil, false))))
+	show("partial answer", protocol.AppendResponse(nil, 200, "application/json", true, 0,
+		protocol.EndAnswer(protocol.AppendAnswer(nil, false))))
 	for _, status := range []int{400, 404, 405, 408, 409, 411, 413, 417, 431, 500, 501, 503, 505} {
 		show("answer", protocol.AppendResponse(nil, status, "text/plain", status != 503, float64(status/503*1234), []byte("why")))
 	}
@@ -72,7 +74,8 @@
 		assert.NilError(t, err)
 	}
 
-	search := `{"text":"two \u0077ords","segments":[{"segment":0,"boost":0.25,"work":1500,"affinity":"ff"},{"segment":3,"boost":0.75,"other":null}]}`
+	search := `{"text":"two \u0077ords","segments":[{"segment":0,"boost":0.25,"work":1500,"affinity":"ff"},` +
+		`{"segment":3,"boost":0.75,"other":null}]}`
 	content, sum, err := protocol.ReadSearch([]byte(search), 4, func(shard int, share, work float64, key uint64) {
 		fmt.Fprintf(&text, "part %d %v %v %d\n", shard, share, work, key)
 	})
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -7,20 +7,20 @@
 )
 
 // errShort reports a record that is longer than the rest of its frame.
-var errShort = errors.New("overruns its frame")
+var errOverrun = errors.New("overruns its frame")
 
-// cursor reads the fields of a frame. A read past the end sets broken and returns zero, as do all reads
+// cursor reads the fields of a frame. A read past the end sets overrun and returns zero, as do all reads
 // after it, so that callers check once per record.
 type cursor struct {
-	frame  []byte
-	offset int
-	broken bool
+	frame   []byte
+	offset  int
+	overrun bool
 }
 
 // bytes returns the next n bytes, or nil if there are fewer.
 func (c *cursor) bytes(n int) []byte {
-	if c.broken || n < 0 || n > len(c.frame)-c.offset {
-		c.broken = true
+	if c.overrun || n < 0 || n > len(c.frame)-c.offset {
+		c.overrun = true
 		return nil
 	}
 	c.offset += n
@@ -65,8 +65,8 @@
 // f32 reads a float32. It returns 0 for NaN and infinities.
 func (c *cursor) f32() float64 { return finite(float64(math.Float32frombits(c.u32()))) }
 
-// node reads the id of a server.
-func (c *cursor) node() (id [6]byte) {
+// serverID reads the id of a server.
+func (c *cursor) serverID() (id [6]byte) {
 	copy(id[:], c.bytes(6))
 	return id
 }
--- a/internal/simwire/effects.go
+++ b/internal/simwire/effects.go
@@ -7,8 +7,8 @@
 
 // selectInstance appends a From record, unless the last one in the reply selected the same instance.
 func (h *host) selectInstance(in *instance) {
-	if h.speaker != int(in.number) {
-		h.speaker = int(in.number)
+	if h.selectedInstance != int(in.number) {
+		h.selectedInstance = int(in.number)
 		h.appendRecord(decisionFrom)
 		h.reply = binary.LittleEndian.AppendUint16(h.reply, in.number)
 	}
@@ -35,30 +35,32 @@
 }
 
 // appendU64 appends a field to the reply.
-func (in *instance) u64(v uint64) { in.host.reply = binary.LittleEndian.AppendUint64(in.host.reply, v) }
+func (in *instance) appendU64(v uint64) {
+	in.host.reply = binary.LittleEndian.AppendUint64(in.host.reply, v)
+}
 
 // appendF64 appends a field to the reply.
-func (in *instance) f64(v float64) { in.u64(math.Float64bits(v)) }
+func (in *instance) appendF64(v float64) { in.appendU64(math.Float64bits(v)) }
 
 // Send implements policy.Out. It tells the simulator to send another attempt of a shard request to a server.
 func (in *instance) Send(request, server int, timeout, _ float64) {
 	in.beginRecord(decisionRelay)
-	in.u64(in.idOf[request])
-	in.f64(timeout)
+	in.appendU64(in.idOf[request])
+	in.appendF64(timeout)
 	in.host.reply = append(in.host.reply, in.serverIDs[server][:]...)
 }
 
 // Cancel implements policy.Out. It tells the simulator to cancel an attempt.
 func (in *instance) Cancel(request, attempt int) {
 	in.beginRecord(decisionCancel)
-	in.u64(in.idOf[request])
+	in.appendU64(in.idOf[request])
 	in.host.reply = binary.LittleEndian.AppendUint16(in.host.reply, uint16(attempt))
 }
 
 // Answer implements policy.Out. It tells the simulator to answer a search.
 func (in *instance) Answer(search int, complete bool) {
 	in.beginRecord(decisionMerge)
-	in.u64(in.idOf[search])
+	in.appendU64(in.idOf[search])
 	flag := byte(0)
 	if complete {
 		flag = 1
@@ -69,14 +71,14 @@
 // Shed implements policy.Out. It tells the simulator to refuse a search.
 func (in *instance) Shed(search int, retryAfter float64) {
 	in.beginRecord(decisionPushBack)
-	in.u64(in.idOf[search])
-	in.f64(retryAfter)
+	in.appendU64(in.idOf[search])
+	in.appendF64(retryAfter)
 }
 
 // Fail implements policy.Out. It tells the simulator that a search failed.
 func (in *instance) Fail(search int) {
 	in.beginRecord(decisionReportFailure)
-	in.u64(in.idOf[search])
+	in.appendU64(in.idOf[search])
 }
 
 // Probe implements policy.Out. It tells the simulator to check the health of a server.
@@ -100,8 +102,8 @@
 // Wake implements policy.Out. It tells the simulator to send a Bell record after delay milliseconds.
 func (in *instance) Wake(delay float64) {
 	in.beginRecord(decisionRemind)
-	in.f64(delay)
-	in.u64(0)
+	in.appendF64(delay)
+	in.appendU64(0)
 }
 
 // Log implements policy.Out. It passes a log line to the simulator.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -16,19 +16,19 @@
 func (in *instance) beginRound() {
 	if !in.inRound {
 		in.inRound = true
-		in.host.inRound = append(in.host.inRound, in)
-		in.port.Begin(in.host.now)
+		in.host.instancesInRound = append(in.host.instancesInRound, in)
+		in.policy.Begin(in.host.now)
 	}
 }
 
-// handleEvent parses the fields of one event and passes it to the instance's policy. It leaves an event that
-// overruns its frame to the caller, which checks the cursor.
+// handleEvent parses the fields of one event and passes it to the instance's policy. The caller checks c
+// for an event that overruns its frame.
 func (in *instance) handleEvent(code uint16, c *cursor) error {
 	if code == eventEnlist {
 		seed, length := c.u64(), c.u32()
 		facts := c.bytes(int(min(length, math.MaxInt32)))
-		if !c.broken {
-			in.start(seed, string(facts))
+		if !c.overrun {
+			in.startPolicy(seed, string(facts))
 		}
 		return nil
 	}
@@ -36,7 +36,7 @@
 		return fmt.Errorf("aggregator %d has no Enlist record", in.number)
 	}
 	if code == eventTeardown {
-		in.alive, in.inRound, in.port = false, false, nil
+		in.alive, in.inRound, in.policy = false, false, nil
 		return nil
 	}
 	in.beginRound()
@@ -48,8 +48,8 @@
 	case eventDone:
 		return in.handleDone(c)
 	case eventLapsed:
-		if index, known := in.indexOf[c.u64()]; known && !c.broken {
-			in.port.ClientGone(index)
+		if index, known := in.indexOf[c.u64()]; known && !c.overrun {
+			in.policy.ClientGone(index)
 		}
 	case eventProbeResult:
 		in.handleProbeResult(c)
@@ -60,8 +60,8 @@
 		c.bytes(int(c.u16()))
 	case eventBell:
 		c.u64()
-		if !c.broken {
-			in.port.Woken()
+		if !c.overrun {
+			in.policy.Woken()
 		}
 	}
 	return nil
@@ -70,11 +70,11 @@
 // handleUpdate applies a server list, or tells the policy that asking for it failed.
 func (in *instance) handleUpdate(c *cursor) error {
 	list, _, kind := c.u8(), c.u32(), c.u8()
-	if c.broken {
+	if c.overrun {
 		return nil
 	}
 	if kind == updateFailed {
-		in.port.DiscoveryFailed()
+		in.policy.DiscoveryFailed()
 		return nil
 	}
 	if int(list) >= len(in.host.lists) || kind > updateFailed {
@@ -86,26 +86,26 @@
 
 // handleDone tells the policy how an attempt ended. Attempts of forgotten searches are ignored.
 func (in *instance) handleDone(c *cursor) error {
-	id, outcome, _, attempt, _, _ := c.u64(), c.u8(), c.node(), c.u16(), c.u8(), c.f64()
+	id, outcome, _, attempt, _, _ := c.u64(), c.u8(), c.serverID(), c.u16(), c.u8(), c.f64()
 	report := in.readReport(c)
-	if c.broken {
+	if c.overrun {
 		return nil
 	}
 	if outcome%10 != 0 || outcome == 0 || int(outcome/10) >= len(outcomes) {
 		return fmt.Errorf("shard request %d: invalid outcome %d", id, outcome)
 	}
 	if index, known := in.indexOf[id]; known {
-		in.port.Done(index, int(attempt), outcomes[outcome/10], report)
+		in.policy.Done(index, int(attempt), outcomes[outcome/10], report)
 	}
 	return nil
 }
 
 // handleProbeResult tells the policy the result of a health check.
 func (in *instance) handleProbeResult(c *cursor) {
-	node, result, elapsed := c.node(), c.u8(), c.f64()
+	node, result, elapsed := c.serverID(), c.u8(), c.f64()
 	report := in.readReport(c)
-	if index, known := in.serverIndex[node]; known && !c.broken {
-		in.port.Probed(index, result == probeSucceeded, elapsed, report)
+	if index, known := in.serverIndex[node]; known && !c.overrun {
+		in.policy.Probed(index, result == probeSucceeded, elapsed, report)
 	}
 }
 
@@ -113,7 +113,7 @@
 func (in *instance) readReport(c *cursor) []float64 {
 	count := int(c.u8())
 	in.report = in.report[:0]
-	for i := 0; i < count && !c.broken; i++ {
+	for i := 0; i < count && !c.overrun; i++ {
 		in.report = append(in.report, c.f32())
 	}
 	return in.report
@@ -125,7 +125,7 @@
 	seen := make([]bool, len(in.serverIDs), len(in.serverIDs)+len(rows)/rowSize)
 	c := &cursor{frame: rows}
 	for c.offset < len(rows) {
-		node, zone, _, position, state := c.node(), c.u8(), c.u8(), c.u16(), c.u8()
+		node, zone, _, position, state := c.serverID(), c.u8(), c.u8(), c.u16(), c.u8()
 		capacity, started := c.f32(), c.f64()
 		index, known := in.serverIndex[node]
 		if !known {
@@ -143,7 +143,7 @@
 			serverState = policy.Gone
 		}
 		seen[index], in.listed[index] = true, serverState != policy.Gone
-		in.port.Server(index, int(zone), int(position), serverState, capacity, started)
+		in.policy.Server(index, int(zone), int(position), serverState, capacity, started)
 	}
 	if !full {
 		return
@@ -151,7 +151,7 @@
 	for index, named := range seen {
 		if !named && in.listed[index] {
 			in.listed[index] = false
-			in.port.Server(index, 0, 0, policy.Gone, 0, 0)
+			in.policy.Server(index, 0, 0, policy.Gone, 0, 0)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 func (in *instance) handleInbound(c *cursor) {
 	id, queryType, customer, key, deadline, work := c.u64(), int(c.u8()), int(c.u16()), c.u64(), c.f64(), c.f64()
 	job, segment, share, flags := float32(c.f32()), int(c.f32()), c.f32(), c.u8()
-	if c.broken {
+	if c.overrun {
 		return
 	}
 	if flags&hasWorkHint == 0 {
@@ -170,13 +170,13 @@
 	if segment < 0 {
 		index := in.newIndex(id)
 		in.searchOfJob[job], in.jobOfSearch[index] = index, job
-		in.port.Search(index, queryType, customer, deadline, int(share))
+		in.policy.Search(index, queryType, customer, deadline, int(share))
 		return
 	}
 	if search, known := in.searchOfJob[job]; known {
 		index := in.newIndex(id)
 		in.requestsOf[search] = append(in.requestsOf[search], index)
-		in.port.ShardRequest(search, index, segment, share, work, key)
+		in.policy.ShardRequest(search, index, segment, share, work, key)
 	}
 }
 
@@ -193,10 +193,10 @@
 	return index
 }
 
-// start resets the instance and creates its policy from the settings in facts.
-func (in *instance) start(seed uint64, facts string) {
+// startPolicy resets the instance and creates its policy from the settings in facts.
+func (in *instance) startPolicy(seed uint64, facts string) {
 	*in = instance{number: in.number, host: in.host, alive: true, indexOf: map[uint64]int{},
 		searchOfJob: map[float32]int{}, jobOfSearch: map[int]float32{}, requestsOf: map[int][]int{}, serverIndex: map[[6]byte]int{}}
-	in.port = settings.FromFacts(facts).NewPolicy(in, seed)
+	in.policy = settings.FromFacts(facts).NewPolicy(in, seed)
 	in.beginRound()
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -26,13 +26,13 @@
 
 // host runs the simulated aggregators of one process, and stores the numbered server lists that they share.
 type host struct {
-	lists     [maxLists][]byte     // rows of each list
-	instances map[uint16]*instance // by their number on the wire
-	inRound   []*instance          // instances with an event in this frame
-	now       float64              // simulated time in milliseconds
-	reply     []byte               // records of the reply
-	records   uint32               // number of records in reply
-	speaker   int                  // number of the instance that the last From record selected, or -1
+	lists            [maxLists][]byte     // rows of each list
+	instances        map[uint16]*instance // by their number on the wire
+	instancesInRound []*instance          // instances with an event in this frame
+	now              float64              // simulated time in milliseconds
+	reply            []byte               // records of the reply
+	records          uint32               // number of records in reply
+	selectedInstance int                  // number of the instance that the last From record selected, or -1
 }
 
 // instance is one simulated aggregator: its policy, and the mapping between ids on the wire and indices.
@@ -41,7 +41,7 @@
 	number      uint16
 	alive       bool // an Enlist record came and no Teardown record since
 	host        *host
-	port        policy.Port
+	policy      policy.Port
 	idOf        []uint64        // wire id of a search or shard request by its index
 	indexOf     map[uint64]int  // index by wire id
 	freeIndices []int           // indices that may be used again
@@ -97,8 +97,8 @@
 // handleFrame handles the records of a frame and then ends the rounds that they began. If a policy panics,
 // the reply reports that in a Fatal record, and no error is returned.
 func (h *host) handleFrame(frame []byte) (err error) {
-	h.reply, h.records, h.speaker = h.reply[:0], 0, -1
-	h.inRound = h.inRound[:0]
+	h.reply, h.records, h.selectedInstance = h.reply[:0], 0, -1
+	h.instancesInRound = h.instancesInRound[:0]
 	var in *instance
 	defer func() {
 		if v := recover(); v != nil {
@@ -115,7 +115,7 @@
 		code := c.u16()
 		if code == eventFor {
 			number := c.u16()
-			if !c.broken {
+			if !c.overrun {
 				if in = h.instances[number]; in == nil {
 					in = &instance{number: number, host: h}
 					h.instances[number] = in
@@ -124,13 +124,13 @@
 		} else if code == eventSnapshotRows {
 			list, rows := c.u8(), c.u32()
 			data := c.bytes(int(min(uint64(rows)*rowSize, math.MaxInt32)))
-			if !c.broken {
+			if !c.overrun {
 				if int(list) >= len(h.lists) {
 					return fmt.Errorf("SnapshotRows at byte %d: list number %d exceeds %d", recordStart, list, maxLists-1)
 				}
 				h.lists[list] = append(h.lists[list][:0], data...)
 			}
-		} else if !c.broken {
+		} else if !c.overrun {
 			name, known := eventNames[code]
 			if !known {
 				return fmt.Errorf("unknown code %d at byte %d", code, recordStart)
@@ -141,18 +141,18 @@
 			if err := in.handleEvent(code, c); err != nil {
 				return fmt.Errorf("%s at byte %d: %w", name, recordStart, err)
 			}
-			if c.broken {
-				return fmt.Errorf("%s at byte %d %w", name, recordStart, errShort)
+			if c.overrun {
+				return fmt.Errorf("%s at byte %d %w", name, recordStart, errOverrun)
 			}
 		}
-		if c.broken {
-			return fmt.Errorf("record %d at byte %d %w", code, recordStart, errShort)
+		if c.overrun {
+			return fmt.Errorf("record %d at byte %d %w", code, recordStart, errOverrun)
 		}
 	}
-	for _, in = range h.inRound {
+	for _, in = range h.instancesInRound {
 		if in.inRound {
 			in.inRound = false
-			in.port.End()
+			in.policy.End()
 		}
 	}
 	return nil
