--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -2,7 +2,7 @@
 // in measurements. They implement policy.Port, and so run in the same aggregator, with the same client
 // and server connections and connection pools. They know which servers are listed, but nothing about
 // their health: a shard request goes to a random replica or to the replicas in turn, and after a failure
-// to another replica, if a second run has no further effect.
+// to another replica, if the failed attempt never ran or a second run has no further effect.
 //
 // A Port is not safe for concurrent use.
 package baseline
@@ -168,8 +168,8 @@
 	return true
 }
 
-// Done implements policy.Port. It records how an attempt ended. A shard request that failed is sent again
-// if a second run has no further effect and the limit on attempts allows it.
+// Done implements policy.Port. It records how an attempt ended, and schedules another one after a failure if
+// mayRetry allows it.
 func (p *Port) Done(id, number int, outcome policy.Outcome, _ []float64) {
 	r := p.requests[id]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
@@ -192,7 +192,8 @@
 	p.releaseIfIdle(r.search)
 }
 
-// mayRetry reports whether a shard request may be sent again after an attempt with this outcome.
+// mayRetry reports whether a shard request may be sent again after an attempt with this outcome: its attempts
+// are not used up, and the attempt never ran or a second run has no further effect.
 func (p *Port) mayRetry(r *shardRequest, outcome policy.Outcome) bool {
 	if r.search.ended || r.committed || len(r.attempts) >= p.maxAttempts {
 		return false
--- a/internal/simwire/frames_golden_test.go
+++ b/internal/simwire/frames_golden_test.go
@@ -251,7 +251,7 @@
 	assert.Equal(t, len(rest), 0)
 }
 
-// scheduleResult schedules the result of an attempt, in four of five cases an answer.
+// scheduleResult schedules the result of an attempt, mostly an answer.
 func (s *fakeSimulator) scheduleResult(aggregator uint16, request, server []byte) {
 	outcome := uint8(10)
 	if s.random.IntN(5) == 0 {
