--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -10,7 +10,7 @@
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// Continue is the interim response that asks a client for the body of its request.
+// ContinueResponse is the interim response that asks a client for the body of its request.
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
 // AppendResponse appends a whole response. If closeConnection is set, it tells the client that the
