--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -4,13 +4,14 @@
 const maxChunkSizeDigits = 7
 
 // parseChunkFraming parses one byte of a chunked body that is not chunk data: of a chunk-size line, of
-// the line break after a chunk, or of the trailers.
+// the line break after a chunk, or of the trailers. The texts of its errors are sent to clients as
+// response bodies and therefore stay as they are.
 func (m *Message) parseChunkFraming(c byte) error {
 	if m.framingLength++; m.framingLength > maxChunkFraming {
-		return newRequestError(400, "chunk-size line or trailers exceed the limit")
+		return newRequestError(400, "a chunk's line is too long")
 	}
 	if m.afterCR && c != '\n' || !m.afterCR && c == '\n' || m.state == inChunkDataEnd && !m.afterCR && c != '\r' {
-		return newRequestError(400, "invalid line break in a chunked body")
+		return newRequestError(400, "a broken chunk")
 	}
 	if c == '\r' {
 		m.afterCR = true
@@ -22,10 +23,10 @@
 	case inChunkSize, inChunkExtension:
 		if ended {
 			if m.lineDigits == 0 {
-				return newRequestError(400, "chunk without a size")
+				return newRequestError(400, "a chunk without a size")
 			}
 			if m.Stream == nil && len(m.buf)-m.headLength+m.remaining > MaxBody {
-				return newRequestError(413, "body exceeds the limit")
+				return newRequestError(413, "the body is too long")
 			}
 			m.state, m.framingLength = inChunkData, 0
 			if m.remaining == 0 {
@@ -35,13 +36,13 @@
 		}
 		if d := hexDigit(c); m.state == inChunkSize && d >= 0 {
 			if m.lineDigits++; m.lineDigits > maxChunkSizeDigits {
-				return newRequestError(413, "chunk size has too many digits")
+				return newRequestError(413, "a chunk is too long")
 			}
 			m.remaining = m.remaining<<4 | d
 		} else if c == ';' || c == ' ' || c == '\t' {
 			m.state = inChunkExtension
 		} else if m.state == inChunkSize {
-			return newRequestError(400, "chunk size is not a hexadecimal number")
+			return newRequestError(400, "a chunk's size is no number")
 		}
 	case inChunkDataEnd:
 		m.state, m.remaining, m.lineDigits, m.framingLength = inChunkSize, 0, 0, 0
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -20,6 +20,8 @@
 // Error returns the reason.
 func (e *RequestError) Error() string { return e.Reason }
 
+// newRequestError returns a RequestError. The reasons of errors in requests of clients, in this file,
+// chunks.go and search.go, are sent to clients as response bodies and therefore stay as they are.
 func newRequestError(status int, reason string) error { return &RequestError{status, reason} }
 
 // Progress is how much of a message has been received.
@@ -149,7 +151,7 @@
 	if end < 0 {
 		used += take
 		if len(m.buf) >= MaxHead {
-			return used, Incomplete, newRequestError(431, "request line and headers exceed the limit")
+			return used, Incomplete, newRequestError(431, "the head is too long")
 		}
 		return used, Incomplete, nil
 	}
@@ -204,7 +206,7 @@
 	}
 	oldVersion := string(version) == "HTTP/1.0"
 	if !oldVersion && string(version) != "HTTP/1.1" {
-		return newRequestError(505, "HTTP version is neither 1.0 nor 1.1")
+		return newRequestError(505, "not HTTP/1.1")
 	}
 	var f framing
 	m.eachHeader(func(name, value []byte) { m.parseFraming(&f, name, value) })
@@ -213,13 +215,13 @@
 	case f.err != nil:
 		return f.err
 	case f.contentLengths > 1 || f.transferEncodings > 1 || f.contentLengths+f.transferEncodings > 1:
-		return newRequestError(400, "more than one Content-Length or Transfer-Encoding header")
+		return newRequestError(400, "more than one length")
 	case f.transferEncodings > 0 && oldVersion:
-		return newRequestError(400, "Transfer-Encoding in an HTTP/1.0 message")
+		return newRequestError(400, "chunks in HTTP/1.0")
 	case f.contentLengths+f.transferEncodings == 0 && m.expectsResponse && m.Stream != nil:
 		f.contentLength = math.MaxInt // the body ends when the connection is closed or breaks
 	case f.contentLengths+f.transferEncodings == 0 && (m.expectsResponse || m.HasMethod("POST") || m.HasMethod("PUT")):
-		return newRequestError(411, "neither Content-Length nor Transfer-Encoding header")
+		return newRequestError(411, "no length")
 	}
 	m.beginBody(f)
 	return nil
@@ -236,7 +238,7 @@
 	}
 	words := bytes.Split(first, []byte(" "))
 	if len(words) != 3 || !isToken(words[0]) || len(words[1]) == 0 {
-		return nil, newRequestError(400, "invalid request line")
+		return nil, newRequestError(400, "no request line")
 	}
 	return words[2], nil
 }
@@ -248,20 +250,20 @@
 	switch {
 	case f.err != nil:
 	case !isToken(name) || bytes.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 127 }):
-		f.err = newRequestError(400, "invalid header line")
+		f.err = newRequestError(400, "a broken header line")
 	case equalFold(name, "content-length"):
 		f.contentLengths++
 		n, err := strconv.ParseUint(string(value), 10, 63)
 		if err != nil || value[0] == '+' {
-			f.err = newRequestError(400, "Content-Length is not a number")
+			f.err = newRequestError(400, "a length that is no number")
 		} else if n > MaxBody && m.Stream == nil {
-			f.err = newRequestError(413, "body exceeds the limit")
+			f.err = newRequestError(413, "the body is too long")
 		}
 		f.contentLength = int(n)
 	case equalFold(name, "transfer-encoding"):
 		f.transferEncodings++
 		if !equalFold(value, "chunked") {
-			f.err = newRequestError(501, "Transfer-Encoding other than chunked")
+			f.err = newRequestError(501, "a coding other than chunked")
 		}
 	case equalFold(name, "connection"):
 		for option := range bytes.SplitSeq(value, []byte(",")) {
--- a/internal/protocol/search.go
+++ b/internal/protocol/search.go
@@ -15,6 +15,7 @@
 // request, in order, and returns the text that all of them carry and the sum of their shares, which is 1
 // except for rounding. work is a hint of the duration in milliseconds (microseconds in the body), or 0. The
 // caller must not act on the shard requests before ParseSearch has returned without an error.
+// The texts of its errors are sent to clients as response bodies and therefore stay as they are.
 func ReadSearch(body []byte, shards int, each func(shard int, share, work float64, key uint64)) ([]byte, float64, error) {
 	s := &scanner{text: body}
 	var text []byte
@@ -55,11 +56,11 @@
 	})
 	switch {
 	case !s.complete():
-		return nil, 0, newRequestError(400, "body is not a valid search")
+		return nil, 0, newRequestError(400, "the body is not understood")
 	case presentFields != 3 || requests == 0:
-		return nil, 0, newRequestError(400, "search without segments or without text")
+		return nil, 0, newRequestError(400, "no segments or no text")
 	case math.Abs(sum-1) > shareTolerance:
-		return nil, 0, newRequestError(400, "boosts of the segments do not add up to 1")
+		return nil, 0, newRequestError(400, "the segments' shares do not add up to 1")
 	}
 	return text, sum, nil
 }
