--- a/internal/baseline/pick.go
+++ b/internal/baseline/pick.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// Ranks of failover: the zones from the own one on, then those before it, and behind all of them the
-// servers that failed lately. There are far fewer zones than either.
+// Offsets of the rank by which failover orders servers, the lowest first: the aggregator's own zone and
+// those with a higher number, then the zones with a lower number, and last the servers that failed
+// recently. Both are far greater than the number of zones, so that the groups don't overlap.
 const (
 	earlierZoneRank = 1 << 16
 	avoidedRank     = 1 << 20
 )
 
-// pick returns the server for a request's next attempt, or -1 where no replica of its shard is ready.
-// Replicas that the request hasn't tried go first.
-func (p *Port) pick(r *shardRequest) int {
+// pickServer returns the server for the next attempt of a shard request, or -1 if no replica of its shard is
+// ready. Replicas that were not tried yet take precedence.
+func (p *Port) pickServer(r *shardRequest) int {
 	var candidates, untried []int
 	for id, s := range p.servers {
-		if !s.ready || !p.holds(s, r.shard) {
+		if !s.ready || !p.hasReplica(s, r.shard) {
 			continue
 		}
 		candidates = append(candidates, id)
@@ -26,25 +27,26 @@
 		candidates = untried
 	}
 	if p.failover {
-		candidates = p.nearest(candidates)
+		candidates = p.lowestRanked(candidates)
 	}
 	if len(candidates) == 0 {
 		return -1
 	}
 	p.sendCount++
-	if p.inTurn {
+	if p.roundRobin {
 		return candidates[p.sendCount%len(candidates)]
 	}
 	return candidates[p.rng.IntN(len(candidates))]
 }
 
-// holds reports whether a server has a replica of a shard: those at the shard's position and the next
-// ones on the ring do.
-func (p *Port) holds(s *server, shard int) bool {
+// hasReplica reports whether a server has a replica of a shard. The replicas are at the shard's position and
+// at the positions that follow on the ring.
+func (p *Port) hasReplica(s *server, shard int) bool {
 	distance := ((s.position-shard)%p.positions + p.positions) % p.positions
 	return distance < p.replicas
 }
 
+// tried reports whether the shard request has had an attempt at a server.
 func (r *shardRequest) tried(server int) bool {
 	for _, a := range r.attempts {
 		if a.server == server {
@@ -54,8 +56,8 @@
 	return false
 }
 
-// nearest returns the candidates of the lowest rank.
-func (p *Port) nearest(candidates []int) []int {
+// lowestRanked returns the candidates with the lowest rank.
+func (p *Port) lowestRanked(candidates []int) []int {
 	best, bestRank := candidates, math.MaxInt
 	for _, id := range candidates {
 		rank := p.rank(p.servers[id])
@@ -69,8 +71,9 @@
 	return best
 }
 
+// rank returns the order of a server under failover, the lowest first.
 func (p *Port) rank(s *server) int {
-	rank := s.zone - p.zone
+	rank := s.zone - p.homeZone
 	if rank < 0 {
 		rank += earlierZoneRank
 	}
--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -1,13 +1,17 @@
 package protocol
 
-// readChunkFraming reads one byte between the chunks of a body: of a size line, the end of a chunk,
-// or trailers.
-func (m *Message) readChunkFraming(c byte) error {
-	if m.lineLength++; m.lineLength > maxChunk {
-		return newError(400, "a chunk's line is too long")
+// maxChunkSizeDigits limits the hex digits of a chunk size.
+const maxChunkSizeDigits = 7
+
+// parseChunkFraming parses one byte of a chunked body that is not chunk data: of a chunk-size line, of
+// the line break after a chunk, or of the trailers. The texts of its errors are sent to clients as
+// response bodies and therefore stay as they are.
+func (m *Message) parseChunkFraming(c byte) error {
+	if m.framingLength++; m.framingLength > maxChunkFraming {
+		return newRequestError(400, "a chunk's line is too long")
 	}
-	if m.afterCR && c != '\n' || !m.afterCR && c == '\n' || m.state == inDataEnd && !m.afterCR && c != '\r' {
-		return newError(400, "a broken chunk")
+	if m.afterCR && c != '\n' || !m.afterCR && c == '\n' || m.state == inChunkDataEnd && !m.afterCR && c != '\r' {
+		return newRequestError(400, "a broken chunk")
 	}
 	if c == '\r' {
 		m.afterCR = true
@@ -16,44 +20,45 @@
 	ended := m.afterCR
 	m.afterCR = false
 	switch m.state {
-	case inSize, inExtension:
+	case inChunkSize, inChunkExtension:
 		if ended {
-			if m.digits == 0 {
-				return newError(400, "a chunk without a size")
+			if m.lineDigits == 0 {
+				return newRequestError(400, "a chunk without a size")
 			}
 			if m.Stream == nil && len(m.buf)-m.headLength+m.remaining > MaxBody {
-				return newError(413, "the body is too long")
+				return newRequestError(413, "the body is too long")
 			}
-			m.state, m.lineLength = inData, 0
+			m.state, m.framingLength = inChunkData, 0
 			if m.remaining == 0 {
-				m.state, m.digits = inTrailer, 0
+				m.state, m.lineDigits = inTrailers, 0
 			}
 			return nil
 		}
-		if d := hexDigit(c); m.state == inSize && d >= 0 {
-			if m.digits++; m.digits > 7 {
-				return newError(413, "a chunk is too long")
+		if d := hexDigit(c); m.state == inChunkSize && d >= 0 {
+			if m.lineDigits++; m.lineDigits > maxChunkSizeDigits {
+				return newRequestError(413, "a chunk is too long")
 			}
 			m.remaining = m.remaining<<4 | d
 		} else if c == ';' || c == ' ' || c == '\t' {
-			m.state = inExtension
-		} else if m.state == inSize {
-			return newError(400, "a chunk's size is no number")
+			m.state = inChunkExtension
+		} else if m.state == inChunkSize {
+			return newRequestError(400, "a chunk's size is no number")
 		}
-	case inDataEnd:
-		m.state, m.remaining, m.digits, m.lineLength = inSize, 0, 0, 0
-	case inTrailer:
+	case inChunkDataEnd:
+		m.state, m.remaining, m.lineDigits, m.framingLength = inChunkSize, 0, 0, 0
+	case inTrailers:
 		if !ended {
-			m.digits++ // of this line
-		} else if m.digits == 0 {
-			m.state = complete
+			m.lineDigits++ // a byte of this trailer line
+		} else if m.lineDigits == 0 {
+			m.state = messageComplete
 		} else {
-			m.digits = 0
+			m.lineDigits = 0
 		}
 	}
 	return nil
 }
 
+// hexDigit returns the value of a hexadecimal digit, or -1.
 func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -12,7 +12,8 @@
 	"unicode/utf8"
 )
 
-// split splits input into chunks where pattern has a bit set; 0 leaves it in one chunk.
+// split splits input before the bytes for which pattern has a bit set. With pattern 0 it returns one
+// chunk.
 func split(input []byte, pattern uint64) (chunks [][]byte) {
 	start := 0
 	for i := range input {
@@ -45,7 +46,8 @@
 			chunk = chunk[used:]
 			if step == Complete {
 				id, n := message.Header("x-call-id")
-				fmt.Fprintf(&description, "%s %d %v %q %d %q %q\n", message.Path(), message.Status(), message.IsLast(), id, n, message.Cookie("k"), message.Body())
+				fmt.Fprintf(&description, "%s %d %v %q %d %q %q\n", message.Path(), message.Status(), message.IsLast(),
+					id, n, message.Cookie("k"), message.Body())
 				message.Next()
 			}
 		}
@@ -89,6 +91,7 @@
 	}
 }
 
+// FuzzHTTP checks that the result does not depend on how the input is split into chunks.
 func FuzzHTTP(f *testing.F) {
 	for _, pattern := range []uint64{0, 1, math.MaxUint64, 0xaaaaaaaaaaaaaaaa, 0x123456789abcdef} {
 		f.Add([]byte(postHeaders+"Content-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n"), pattern, false)
@@ -125,6 +128,7 @@
 	return description.String() + fmt.Sprint(splitter.Incomplete())
 }
 
+// FuzzFrames checks that the result does not depend on how the input is split into chunks.
 func FuzzFrames(f *testing.F) {
 	frame := EndFrame(append(BeginRequestFrame(nil), "a.1 OK 5 inflight=7,util=0.5\nvalue"...), 0)
 	frame = AppendShortFrame(AppendShortFrame(frame, FrameLoad, "inflight=x"), FrameAbandon, "a.1")
@@ -145,14 +149,16 @@
 func TestReplyParserAcceptsAndRejects(t *testing.T) {
 	for line, want := range map[string]bool{"a.1 OK 5 -\nv": true, "a.1 ERROR - -\n": true, "a.1 REJECTED 0 -\n": true,
 		"a.1 OK 5 no report\nv": true,
-		"a.1 OK five -\nv":      false, "a.1 OK 5 -\n\x01": false, "a.1 OK 5 -\n\xff": false, "a.1 OK 5 -\né": true, "a.1 OK 5 -": false, "a.1 FINE 5 -\n": false, " OK 5 -\n": false, "a.1 OK 5\n": false} {
+		"a.1 OK five -\nv":      false, "a.1 OK 5 -\n\x01": false, "a.1 OK 5 -\n\xff": false, "a.1 OK 5 -\né": true,
+		"a.1 OK 5 -": false, "a.1 FINE 5 -\n": false, " OK 5 -\n": false, "a.1 OK 5\n": false} {
 		if _, _, _, _, err := ReadReply([]byte(line)); (err == nil) != want {
-			t.Errorf("%q: %v", line, err)
+			t.Errorf("reply %q: got error %v, want accepted: %v", line, err, want)
 		}
 	}
-	call := EndFrame(AppendShardRequest(AppendShardRequest(BeginRequestFrame(nil), "a.3", 3, 240.9, nil, []byte("xy")), "a.4", 4, 0.2, []byte("f2b9"), nil), 0)
-	if want := "\x24\x00\x00\x00Ra.3 3 d=240 2\nxya.4 4 d=1,k=f2b9 0\n"; string(call) != want {
-		t.Errorf("%q, want %q", call, want)
+	request := AppendShardRequest(BeginRequestFrame(nil), "a.3", 3, 240.9, nil, []byte("xy"))
+	request = EndFrame(AppendShardRequest(request, "a.4", 4, 0.2, []byte("f2b9"), nil), 0)
+	if want := "\x24\x00\x00\x00Ra.3 3 d=240 2\nxya.4 4 d=1,k=f2b9 0\n"; string(request) != want {
+		t.Errorf("request frame %q, want %q", request, want)
 	}
 }
 
@@ -171,7 +177,7 @@
 		t.Error(shards, string(text), err)
 	}
 	if _, _, err := readSearch(`{"text":"","segments":[{"segment":3,"boost":0.3333},{"segment":4,"boost":0.6666}]}`); err != nil {
-		t.Error("rounded shares are rejected: ", err)
+		t.Error("a search with rounded shares is rejected: ", err)
 	}
 	segment := `{"segment":3,"boost":1}`
 	if _, _, err := readSearch(`{"text":"","segments":[` + segment + `]}`); err != nil {
@@ -197,6 +203,7 @@
 	}
 }
 
+// FuzzJSON compares the parsers of searches and lists, and the encoder of answers, with encoding/json.
 func FuzzJSON(f *testing.F) {
 	f.Add([]byte(`{"text":"a\u0000\n","segments":[{"segment":3,"boost":1.5e-1,"work":9000,"affinity":"ff"}],"x":[1,{"a":true}]}`))
 	f.Add([]byte(`{"generation":43,"reset":false,"instances":[{"instanceId":"s","hostPort":"1.2.3.4:5","zone":"a","cell":3,` +
@@ -242,6 +249,7 @@
 	})
 }
 
+// FuzzLines checks that the result does not depend on how the input is split into chunks.
 func FuzzLines(f *testing.F) {
 	f.Add([]byte("\r\n{}\r\n\nabc"), uint64(5))
 	f.Fuzz(func(t *testing.T, input []byte, pattern uint64) {
@@ -258,7 +266,8 @@
 	})
 }
 
-func TestListMaySpanLines(t *testing.T) {
+// TestListOverManyLinesCountsAsOneLine checks that an indented list counts as one line, and that a cut-off list is an error.
+func TestListOverManyLinesCountsAsOneLine(t *testing.T) {
 	const oneLine = "{\"generation\":4,\"reset\":true,\"instances\":[]}"
 	const indented = "{\n  \"generation\": 5,\r\n  \"reset\": false,\n  \"instances\": [\n    {\n      \"instanceId\": \"a{\\\"\",\n" +
 		"      \"hostPort\": \"127.0.0.1:1\",\n      \"lifecycle\": \"ready\"\n    }\n  ]\n}\n"
@@ -270,7 +279,7 @@
 		"{broken\n":                             "error",
 		"{\"generation\":\"\n":                  "error", // a line ends within a string
 	} {
-		for size := 1; size <= len(text); size += 7 { // in chunks of any size
+		for size := 1; size <= len(text); size += 7 { // size of the chunks that the splitter is fed
 			var splitter LineSplitter
 			description := ""
 			for offset := 0; offset < len(text) && description != "error"; offset += size {
@@ -293,8 +302,9 @@
 	}
 }
 
-func TestListOverManyLinesIsReadInLinearTime(t *testing.T) {
-	// 3 MB in lines of a few bytes, as an agent may indent them: moving the rest of the buffer for each line takes minutes.
+// TestListOverManyLinesIsSplitInLinearTime guards against a splitter that copies its buffer for each line.
+func TestListOverManyLinesIsSplitInLinearTime(t *testing.T) {
+	// 3 MB in lines of a few bytes, as a discovery agent may indent them: copying the buffered lines for each line takes minutes.
 	var list bytes.Buffer
 	list.WriteString("{\"generation\":7,\"reset\":true,\"instances\":[\n")
 	for i := 0; list.Len() < 3<<20; i++ {
@@ -322,6 +332,6 @@
 		}
 	}
 	if lists != 1 {
-		t.Errorf("%d lists", lists)
+		t.Errorf("got %d lists, want 1", lists)
 	}
 }
