--- a/cmd/kestrelctl/broker.go
+++ b/cmd/kestrelctl/broker.go
@@ -55,7 +55,7 @@
 // newBaseline returns a baseline policy with the broker's zone and settings.
 func newBaseline(host *server.Host, name string, out policy.Executor, seed uint64) policy.Decider {
 	b := baseline.New(name, out, seed)
-	b.Home(host.Settings.Int("zone", 0))
+	b.SetHomeZone(host.Settings.Int("zone", 0))
 	host.Settings.Configure(b)
 	return b
 }
--- a/internal/aggregator/engine/attempt.go
+++ b/internal/aggregator/engine/attempt.go
@@ -139,7 +139,7 @@
 		return
 	}
 	e.Counters.AttemptsCancelled++
-	e.writeBuffer = protocol.AppendShortFrame(e.writeBuffer[:0], protocol.FrameAbandon, attempt.request.id)
+	e.writeBuffer = protocol.AppendFrame(e.writeBuffer[:0], protocol.FrameCancel, attempt.request.id)
 	e.writeToServer(conn, e.writeBuffer)
 	e.timers.add(attempt.request.search.deadline+lateReplyTimeout, func(_ *Engine) {
 		if conn.attempts[attempt.request.id] == attempt {
--- a/internal/aggregator/engine/batch.go
+++ b/internal/aggregator/engine/batch.go
@@ -58,7 +58,7 @@
 // the earlier attempt would be taken for a reply to the new one.
 func (e *Engine) chooseConn(srv *server, batch *batch) (best *serverConn) {
 	for _, conn := range srv.conns {
-		if conn.addr != srv.addr || conn.openBatches >= e.config.streamsPerConn || conn.frames.Incomplete() ||
+		if conn.addr != srv.addr || conn.openBatches >= e.config.streamsPerConn || conn.frames.HasPartial() ||
 			conn.hasAnyID(batch) {
 			continue
 		}
--- a/internal/aggregator/engine/client.go
+++ b/internal/aggregator/engine/client.go
@@ -45,7 +45,7 @@
 
 // idle reports whether no part of a request has been received and no answer is due.
 func (client *client) idle() bool {
-	return client.search == nil && !client.finishing && !client.closed && !client.parser.Begun() && len(client.pipelined) == 0
+	return client.search == nil && !client.finishing && !client.closed && !client.parser.HasPartial() && len(client.pipelined) == 0
 }
 
 // deadline returns when the connection is closed unless something happens before.
@@ -57,7 +57,7 @@
 		return client.idleSince + writeTimeout
 	case client.search != nil:
 		return math.Inf(1)
-	case client.parser.Begun():
+	case client.parser.HasPartial():
 		return client.requestBegunAt + requestTimeout
 	case !client.sentRequest:
 		return client.requestBegunAt + firstRequestTimeout
@@ -92,7 +92,7 @@
 		client.timer = e.afterFunc(stallThreshold, func(e *Engine) { e.clientTimedOut(client) })
 		return
 	case client.finishing:
-	case client.parser.Begun():
+	case client.parser.HasPartial():
 		client.closeAfterResponse = true
 		e.rejectRequest(client, &protocol.RequestError{Status: 408, Reason: "half a request"})
 		return
@@ -125,7 +125,7 @@
 		}
 		if !client.ownsBuffer && !client.usesSharedBuffer {
 			client.usesSharedBuffer = true
-			client.parser.SetStorage(e.sharedBuffer)
+			client.parser.SetBuffer(e.sharedBuffer)
 		}
 		used, step, err := client.parser.Feed(b)
 		b = b[used:]
@@ -137,7 +137,7 @@
 			e.answerExpectation(client, len(b) == 0)
 		case step == protocol.Complete:
 			client.sentRequest = true
-			client.closeAfterResponse = client.closeAfterResponse || client.parser.IsLast()
+			client.closeAfterResponse = client.closeAfterResponse || client.parser.ClosesConnection()
 			e.handleRequest(client, receivedAt)
 		}
 	}
@@ -178,7 +178,7 @@
 		return
 	}
 	if bodyAwaited {
-		e.writeToClient(client, []byte(protocol.Continue))
+		e.writeToClient(client, []byte(protocol.ContinueResponse))
 	}
 }
 
@@ -186,7 +186,7 @@
 // request has begun.
 func (e *Engine) storePartial(client *client) {
 	switch {
-	case !client.parser.Begun():
+	case !client.parser.HasPartial():
 		e.releaseRequest(client)
 	case client.usesSharedBuffer:
 		buf := e.takeBuffer()
@@ -196,7 +196,7 @@
 			e.releaseRequest(client)
 			return
 		}
-		client.parser.MoveStorage(buf)
+		client.parser.MoveToBuffer(buf)
 		client.usesSharedBuffer, client.ownsBuffer = false, true
 		if client.sentRequest {
 			client.requestBegunAt = e.now
@@ -232,10 +232,10 @@
 	switch {
 	case client.ownsBuffer:
 		client.ownsBuffer = false
-		e.returnBuffer(client.parser.SetStorage(nil))
+		e.returnBuffer(client.parser.SetBuffer(nil))
 	case client.usesSharedBuffer:
 		client.usesSharedBuffer = false
-		client.parser.SetStorage(nil)
+		client.parser.SetBuffer(nil)
 	}
 }
 
@@ -297,7 +297,7 @@
 	}
 	e.writeBuffer = protocol.AppendResponse(e.writeBuffer[:0], status, contentType, last, retryAfter, body)
 	e.writeToClient(client, e.writeBuffer)
-	client.parser.Next()
+	client.parser.Reset()
 	e.markIdle(client)
 	e.armClientTimer(client)
 	if last {
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -90,7 +90,7 @@
 		e.endSearch(search, 503, e.policy.RetryAfter(head.queryType), nil)
 		return nil
 	}
-	key := protocol.ParseKey(client.parser.Cookie("k"))
+	key := protocol.ParseAffinityKey(client.parser.Cookie("k"))
 	again, count := client.parser.Header("x-again")
 	isRetry := count == 1 && string(again) == "1"
 	e.releaseRequest(client)
@@ -142,7 +142,7 @@
 // the sum of the shard requests' shares.
 func (e *Engine) readSearchBody(client *client) (query []byte, totalShare float64, err error) {
 	e.parsedRequests = e.parsedRequests[:0]
-	query, totalShare, err = protocol.ReadSearch(client.parser.Body(), e.config.shards,
+	query, totalShare, err = protocol.ParseSearch(client.parser.Body(), e.config.shards,
 		func(shard int, share, work float64, key uint64) {
 			e.parsedRequests = append(e.parsedRequests, parsedRequest{shard, share, work, key})
 		})
@@ -228,7 +228,7 @@
 		e.endSearch(search, 200, 0, nil)
 		return
 	}
-	e.answerBuffer = protocol.AppendAnswer(e.answerBuffer[:0], complete)
+	e.answerBuffer = protocol.BeginAnswer(e.answerBuffer[:0], complete)
 	for _, req := range search.requests {
 		if req.reported {
 			e.answerBuffer = protocol.AppendMatch(e.answerBuffer, req.shard, req.value)
--- a/internal/aggregator/engine/serverconn.go
+++ b/internal/aggregator/engine/serverconn.go
@@ -63,7 +63,7 @@
 	conn.lastUsedAt = e.now
 	e.armIdleTimer(conn)
 	if conn.probeSentAt > 0 {
-		e.writeBuffer = protocol.AppendShortFrame(e.writeBuffer[:0], e.config.probeType, "")
+		e.writeBuffer = protocol.AppendFrame(e.writeBuffer[:0], e.config.probeType, "")
 		e.writeToServer(conn, e.writeBuffer)
 	}
 	e.writeNextBatch(conn)
@@ -130,8 +130,8 @@
 			break
 		}
 	}
-	if conn.frames.HasStorage() {
-		e.pool.Put(conn.frames.SetStorage(nil))
+	if conn.frames.HasBuffer() {
+		e.pool.Put(conn.frames.SetBuffer(nil))
 	}
 	if conn.established && conn.inFlight > 0 {
 		e.Counters.ServerConnsBroken++
@@ -195,18 +195,18 @@
 // its own; if none is free, or if a frame is malformed, the connection is dropped.
 func (e *Engine) serverConnBytes(conn *serverConn, b []byte) {
 	conn.lastUsedAt = e.now
-	shared, framesBefore := !conn.frames.HasStorage(), e.Counters.Frames
+	shared, framesBefore := !conn.frames.HasBuffer(), e.Counters.Frames
 	if shared {
-		conn.frames.SetStorage(e.sharedBuffer)
+		conn.frames.SetBuffer(e.sharedBuffer)
 	}
 	err := conn.frames.Feed(b, func(frameType byte, payload []byte) error { return e.handleFrame(conn, frameType, payload) })
 	switch {
 	case err != nil:
 		e.Counters.BadFrames++
 		e.log.warn("bad frame", "from %s: %v", conn.addr, err)
-	case !conn.frames.Incomplete():
+	case !conn.frames.HasPartial():
 		e.timers.cancel(conn.frameTimer)
-		if buf := conn.frames.SetStorage(nil); !shared {
+		if buf := conn.frames.SetBuffer(nil); !shared {
 			e.pool.Put(buf)
 		}
 		return
@@ -219,7 +219,7 @@
 		}
 	}
 	if shared {
-		conn.frames.SetStorage(nil)
+		conn.frames.SetBuffer(nil)
 	}
 	e.dropServerConn(conn)
 }
@@ -243,7 +243,7 @@
 		e.Counters.NoBuffer++
 		return false
 	}
-	conn.frames.MoveStorage(buf)
+	conn.frames.MoveToBuffer(buf)
 	return true
 }
 
@@ -255,19 +255,19 @@
 	switch frameType {
 	case protocol.FrameReply:
 		return e.handleReply(conn, payload)
-	case protocol.FrameAlive, protocol.FrameLoad:
+	case protocol.FrameHealthCheck, protocol.FrameLoadReport:
 		if conn.probeSentAt == 0 {
 			return nil // the health check has timed out
 		}
 		ok := string(payload) != "ERROR"
 		var report []float64
-		if ok && frameType == protocol.FrameLoad {
+		if ok && frameType == protocol.FrameLoadReport {
 			report, _ = e.parseReport(payload)
 		}
 		e.probeEnded(conn.server, ok, conn.probeSentAt, report)
 		conn.probeSentAt = 0
 		return nil
-	case protocol.FrameError:
+	case protocol.FrameConnectionRefused:
 		return errors.New("refused: " + string(payload[:min(len(payload), 100)]))
 	}
 	return fmt.Errorf("unknown frame type %q", frameType)
@@ -275,7 +275,7 @@
 
 // handleReply ends the attempt that a reply belongs to.
 func (e *Engine) handleReply(conn *serverConn, payload []byte) error {
-	id, status, report, value, err := protocol.ReadReply(payload)
+	id, status, report, value, err := protocol.ParseReply(payload)
 	if err != nil {
 		return err
 	}
@@ -308,7 +308,7 @@
 // them is missing.
 func (e *Engine) parseReport(report []byte) (values []float64, err error) {
 	seen := 0
-	err = protocol.ReadReport(report, func(name []byte, v float64) {
+	err = protocol.ParseLoadReport(report, func(name []byte, v float64) {
 		if i, known := e.config.reportFields[string(name)]; known {
 			if values == nil {
 				values = make([]float64, e.config.reportSize)
--- a/internal/aggregator/engine/serverlist.go
+++ b/internal/aggregator/engine/serverlist.go
@@ -48,7 +48,7 @@
 // soon after the move.
 func (e *Engine) applyList(watch *watch, line []byte) error {
 	list := &e.serverList
-	version, full, err := protocol.ReadList(line, nil)
+	version, full, err := protocol.ParseServerList(line, nil)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 			srv.listed = false
 		}
 	}
-	protocol.ReadList(line, e.applyServer)
+	protocol.ParseServerList(line, e.applyServer)
 	if !full {
 		return
 	}
--- a/internal/aggregator/engine/watch.go
+++ b/internal/aggregator/engine/watch.go
@@ -55,8 +55,8 @@
 	e.socketCount++
 	watch := &watch{addr: list.addr, awaitsFirstList: true, openedAt: e.now, lastLineAt: e.now}
 	watch.parser.ExpectResponse()
-	watch.parser.SetStorage(make([]byte, 0, protocol.MaxHead))
-	watch.parser.Stream = func(b []byte) error {
+	watch.parser.SetBuffer(make([]byte, 0, protocol.MaxHead))
+	watch.parser.BodySink = func(b []byte) error {
 		return watch.lines.Feed(b, func(line []byte) error {
 			if watch.closed {
 				return nil
@@ -195,7 +195,7 @@
 	if watch.fullList = list.olderListSince > 0 || !list.hasList || list.awaitsMovedList || list.mayHaveMissed; watch.fullList {
 		after = 0
 	}
-	e.writeBuffer = protocol.AppendWatch(e.writeBuffer[:0], watch.addr.String(), after)
+	e.writeBuffer = protocol.AppendWatchRequest(e.writeBuffer[:0], watch.addr.String(), after)
 	e.Counters.BytesOut += int64(len(e.writeBuffer))
 	e.network.Write(watch.conn, e.writeBuffer)
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -100,8 +100,8 @@
 		searches: map[int]*search{}, requests: map[int]*shardRequest{}, positions: 1, replicas: 1, maxAttempts: 1}
 }
 
-// Home sets the zone of the aggregator, which failover prefers.
-func (p *Port) Home(zone int) { p.homeZone = zone }
+// SetHomeZone sets the zone of the aggregator, which failover prefers.
+func (p *Port) SetHomeZone(zone int) { p.homeZone = zone }
 
 // AddQueryType implements policy.Decider. It stores the effect that a second run has.
 func (p *Port) AddQueryType(_, _, _ float64, effect policy.RepeatEffect, _ float64) {
--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -25,7 +25,7 @@
 			if m.lineDigits == 0 {
 				return newRequestError(400, "a chunk without a size")
 			}
-			if m.Stream == nil && len(m.buf)-m.headLength+m.remaining > MaxBody {
+			if m.BodySink == nil && len(m.buf)-m.headLength+m.remaining > MaxBody {
 				return newRequestError(413, "the body is too long")
 			}
 			m.state, m.framingLength = inChunkData, 0
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -10,12 +10,12 @@
 
 // The types of frames, as the first byte after the length states them.
 const (
-	FrameRequest = 'R' // to servers: a batch of shard requests
-	FrameAbandon = 'A' // to servers: cancels an attempt
-	FrameAlive   = 'G' // both ways: health check and its answer
-	FrameLoad    = 'T' // both ways: health check that asks for a load report, and its answer
-	FrameReply   = 'Y' // from servers: the result of an attempt
-	FrameError   = 'N' // from servers: the connection is refused
+	FrameRequest           = 'R' // to servers: a batch of shard requests
+	FrameCancel            = 'A' // to servers: cancels an attempt
+	FrameHealthCheck       = 'G' // both ways: health check and its answer
+	FrameLoadReport        = 'T' // both ways: health check that asks for a load report, and its answer
+	FrameReply             = 'Y' // from servers: the result of an attempt
+	FrameConnectionRefused = 'N' // from servers: the connection is refused
 )
 
 // MaxFrame is the longest frame that a server may send, in bytes without the length prefix: a value as
@@ -26,23 +26,23 @@
 // a buffer that the caller lends.
 type FrameSplitter struct{ partial []byte }
 
-// Incomplete reports whether bytes of an incomplete frame are buffered, so that the buffer is still
+// HasPartial reports whether bytes of an incomplete frame are buffered, so that the buffer is still
 // needed.
-func (f *FrameSplitter) Incomplete() bool { return len(f.partial) > 0 }
+func (f *FrameSplitter) HasPartial() bool { return len(f.partial) > 0 }
 
-// SetStorage makes the splitter use buf, which has room for at least MaxFrame + 4 bytes, or no buffer if
+// SetBuffer makes the splitter use buf, which has room for at least MaxFrame + 4 bytes, or no buffer if
 // buf is nil, and returns the previous buffer.
-func (f *FrameSplitter) SetStorage(buf []byte) (previous []byte) {
+func (f *FrameSplitter) SetBuffer(buf []byte) (previous []byte) {
 	previous, f.partial = f.partial, buf[:0]
 	return previous
 }
 
-// MoveStorage copies the buffered bytes to buf, which has the size of the previous buffer, and goes on
+// MoveToBuffer copies the buffered bytes to buf, which has the size of the previous buffer, and goes on
 // there.
-func (f *FrameSplitter) MoveStorage(buf []byte) { f.partial = append(buf[:0], f.partial...) }
+func (f *FrameSplitter) MoveToBuffer(buf []byte) { f.partial = append(buf[:0], f.partial...) }
 
-// HasStorage reports whether the splitter has a buffer.
-func (f *FrameSplitter) HasStorage() bool { return cap(f.partial) > 0 }
+// HasBuffer reports whether the splitter has a buffer.
+func (f *FrameSplitter) HasBuffer() bool { return cap(f.partial) > 0 }
 
 // Feed calls each with the type and the payload of every complete frame, and stops at the first error.
 // The payload is valid until each returns.
@@ -99,9 +99,9 @@
 	ReplyRejected             // the attempt never ran
 )
 
-// ReadReply parses the payload of a reply frame: the id of the attempt, its result, the load report, which
+// ParseReply parses the payload of a reply frame: the id of the attempt, its result, the load report, which
 // is not validated, and the value.
-func ReadReply(payload []byte) (id []byte, status ReplyStatus, report, value []byte, err error) {
+func ParseReply(payload []byte) (id []byte, status ReplyStatus, report, value []byte, err error) {
 	line, value, found := bytes.Cut(payload, []byte("\n"))
 	words := bytes.SplitN(line, []byte(" "), 4) // all after the third space is the report, valid or not
 	if !found || len(words) != 4 || len(words[0]) == 0 {
@@ -131,9 +131,9 @@
 	return words[0], status, words[3], value, nil
 }
 
-// ReadReport parses a load report, comma-separated pairs of a name and a number, and calls each for every
+// ParseLoadReport parses a load report, comma-separated pairs of a name and a number, and calls each for every
 // pair. A single dash stands for no report.
-func ReadReport(report []byte, each func(name []byte, value float64)) error {
+func ParseLoadReport(report []byte, each func(name []byte, value float64)) error {
 	if string(report) == "-" {
 		return nil
 	}
@@ -173,9 +173,9 @@
 	return dst
 }
 
-// AppendShortFrame appends a frame with this type and payload, such as a health check or a cancellation
+// AppendFrame appends a frame with this type and payload, such as a health check or a cancellation
 // with the id of the attempt.
-func AppendShortFrame(dst []byte, frameType byte, payload string) []byte {
+func AppendFrame(dst []byte, frameType byte, payload string) []byte {
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(1+len(payload)))
 	return append(append(dst, frameType), payload...)
 }
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -56,7 +56,7 @@
 		if continuesList {
 			// A blank line is a heartbeat and a valid list stands alone: in both cases the buffered
 			// list was cut off and its rest never comes.
-			if _, _, err := ReadList(piece, nil); err == nil || len(bytes.TrimSpace(piece)) == 0 {
+			if _, _, err := ParseServerList(piece, nil); err == nil || len(bytes.TrimSpace(piece)) == 0 {
 				return newRequestError(400, "server list was cut off")
 			}
 		}
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -4,9 +4,9 @@
 	"strconv"
 )
 
-// AppendWatch appends the request that asks the discovery service at host for all changes of the server
+// AppendWatchRequest appends the request that asks the discovery service at host for all changes of the server
 // list after a version, and for a stream of the later ones.
-func AppendWatch(dst []byte, host string, after int64) []byte {
+func AppendWatchRequest(dst []byte, host string, after int64) []byte {
 	dst = append(dst, "GET /v1/endpoints?watch=1&after="...)
 	dst = strconv.AppendInt(dst, after, 10)
 	return append(append(append(dst, " HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
@@ -15,11 +15,11 @@
 // serverStates maps the lifecycle names of discovery to the state numbers that ParseServerList passes on.
 var serverStates = map[string]uint8{"ready": 0, "draining": 1, "gone": 2}
 
-// ReadList parses one server list of discovery and calls each for every server; if each is nil, it only
+// ParseServerList parses one server list of discovery and calls each for every server; if each is nil, it only
 // validates the line. full reports whether the list replaces all servers instead of changing some.
 // state is 0 for ready, 1 for draining and 2 for gone; started is Unix time in milliseconds. A list may
 // prove invalid after calls of each: callers validate it first.
-func ReadList(line []byte, each func(id, addr, zone []byte, cell int, state uint8, weight, started float64)) (
+func ParseServerList(line []byte, each func(id, addr, zone []byte, cell int, state uint8, weight, started float64)) (
 	version int64, full bool, err error) {
 	s := &scanner{text: line}
 	version, full, presentFields := s.readServerList(each)
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -36,7 +36,7 @@
 type Message struct {
 	// BodySink receives the bytes of the body if it is set. The body is then not buffered and its
 	// length is not limited.
-	Stream func([]byte) error
+	BodySink func([]byte) error
 
 	buf              []byte
 	state            state
@@ -79,21 +79,21 @@
 // ExpectResponse makes the parser expect responses instead of requests.
 func (m *Message) ExpectResponse() { m.expectsResponse = true }
 
-// SetStorage makes the parser use buf, or no buffer if buf is nil, and returns the previous buffer.
-func (m *Message) SetStorage(buf []byte) (previous []byte) {
+// SetBuffer makes the parser use buf, or no buffer if buf is nil, and returns the previous buffer.
+func (m *Message) SetBuffer(buf []byte) (previous []byte) {
 	previous, m.buf = m.buf, buf[:0]
 	return previous
 }
 
-// MoveStorage copies the buffered bytes to buf, which has the size of the previous buffer, and goes on
+// MoveToBuffer copies the buffered bytes to buf, which has the size of the previous buffer, and goes on
 // there.
-func (m *Message) MoveStorage(buf []byte) { m.buf = append(buf[:0], m.buf...) }
+func (m *Message) MoveToBuffer(buf []byte) { m.buf = append(buf[:0], m.buf...) }
 
-// Begun reports whether bytes of an incomplete message are buffered.
-func (m *Message) Begun() bool { return len(m.buf) > 0 && m.state != messageComplete }
+// HasPartial reports whether bytes of an incomplete message are buffered.
+func (m *Message) HasPartial() bool { return len(m.buf) > 0 && m.state != messageComplete }
 
-// Next discards the current message and prepares the parser for the next one.
-func (m *Message) Next() {
+// Reset discards the current message and prepares the parser for the next one.
+func (m *Message) Reset() {
 	m.buf, m.state, m.headLength, m.closesConnection, m.chunked = m.buf[:0], inHead, 0, false, false
 }
 
@@ -101,8 +101,8 @@
 // Feed.
 func (m *Message) Body() []byte { return m.buf[m.headLength:] }
 
-// IsLast reports whether the sender wants the connection closed after this message.
-func (m *Message) IsLast() bool { return m.closesConnection }
+// ClosesConnection reports whether the sender wants the connection closed after this message.
+func (m *Message) ClosesConnection() bool { return m.closesConnection }
 
 // Feed parses b and returns the number of bytes that it consumed. It returns early after the head of a
 // message with a body and after a complete message: the caller passes the remaining bytes of b to the
@@ -172,8 +172,8 @@
 
 // feedBody buffers bytes of the body or of the current chunk, or passes them to BodySink.
 func (m *Message) feedBody(b []byte) error {
-	if m.Stream != nil {
-		if err := m.Stream(b); err != nil {
+	if m.BodySink != nil {
+		if err := m.BodySink(b); err != nil {
 			return err
 		}
 	} else {
@@ -218,7 +218,7 @@
 		return newRequestError(400, "more than one length")
 	case f.transferEncodings > 0 && oldVersion:
 		return newRequestError(400, "chunks in HTTP/1.0")
-	case f.contentLengths+f.transferEncodings == 0 && m.expectsResponse && m.Stream != nil:
+	case f.contentLengths+f.transferEncodings == 0 && m.expectsResponse && m.BodySink != nil:
 		f.contentLength = math.MaxInt // the body ends when the connection is closed or breaks
 	case f.contentLengths+f.transferEncodings == 0 && (m.expectsResponse || m.HasMethod("POST") || m.HasMethod("PUT")):
 		return newRequestError(411, "no length")
@@ -256,7 +256,7 @@
 		n, err := strconv.ParseUint(string(value), 10, 63)
 		if err != nil || value[0] == '+' {
 			f.err = newRequestError(400, "a length that is no number")
-		} else if n > MaxBody && m.Stream == nil {
+		} else if n > MaxBody && m.BodySink == nil {
 			f.err = newRequestError(413, "the body is too long")
 		}
 		f.contentLength = int(n)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -32,7 +32,7 @@
 	if response {
 		message.ExpectResponse()
 	}
-	message.SetStorage(make([]byte, 0, MaxHead+MaxBody))
+	message.SetBuffer(make([]byte, 0, MaxHead+MaxBody))
 	for _, chunk := range split(input, pattern) {
 		for len(chunk) > 0 {
 			used, step, err := message.Feed(chunk)
@@ -46,13 +46,13 @@
 			chunk = chunk[used:]
 			if step == Complete {
 				id, n := message.Header("x-call-id")
-				fmt.Fprintf(&description, "%s %d %v %q %d %q %q\n", message.Path(), message.Status(), message.IsLast(),
+				fmt.Fprintf(&description, "%s %d %v %q %d %q %q\n", message.Path(), message.Status(), message.ClosesConnection(),
 					id, n, message.Cookie("k"), message.Body())
-				message.Next()
+				message.Reset()
 			}
 		}
 	}
-	fmt.Fprint(&description, message.Begun())
+	fmt.Fprint(&description, message.HasPartial())
 	return description.String()
 }
 
@@ -109,13 +109,13 @@
 func describeFrames(t *testing.T, input []byte, pattern uint64) string {
 	var splitter FrameSplitter
 	var description strings.Builder
-	splitter.SetStorage(make([]byte, 0, MaxFrame+4))
+	splitter.SetBuffer(make([]byte, 0, MaxFrame+4))
 	for _, chunk := range split(input, pattern) {
 		err := splitter.Feed(chunk, func(frameType byte, payload []byte) error {
 			fmt.Fprintf(&description, "%c%q", frameType, payload)
-			id, end, report, value, err := ReadReply(payload)
+			id, end, report, value, err := ParseReply(payload)
 			fmt.Fprintf(&description, "%q%d%q%q%v", id, end, report, value, err)
-			fmt.Fprint(&description, ReadReport(report, func(name []byte, v float64) { fmt.Fprintf(&description, "%s=%g", name, v) }))
+			fmt.Fprint(&description, ParseLoadReport(report, func(name []byte, v float64) { fmt.Fprintf(&description, "%s=%g", name, v) }))
 			return nil
 		})
 		if len(splitter.partial) > MaxFrame+4 {
@@ -125,13 +125,13 @@
 			return description.String() + "! " + err.Error()
 		}
 	}
-	return description.String() + fmt.Sprint(splitter.Incomplete())
+	return description.String() + fmt.Sprint(splitter.HasPartial())
 }
 
 // FuzzFrames checks that the result does not depend on how the input is split into chunks.
 func FuzzFrames(f *testing.F) {
 	frame := EndFrame(append(BeginRequestFrame(nil), "a.1 OK 5 inflight=7,util=0.5\nvalue"...), 0)
-	frame = AppendShortFrame(AppendShortFrame(frame, FrameLoad, "inflight=x"), FrameAbandon, "a.1")
+	frame = AppendFrame(AppendFrame(frame, FrameLoadReport, "inflight=x"), FrameCancel, "a.1")
 	huge := binary.LittleEndian.AppendUint32(nil, MaxFrame+1)
 	for _, pattern := range []uint64{0, 1, math.MaxUint64, 0xaaaaaaaaaaaaaaaa} {
 		f.Add(frame, pattern)
@@ -151,7 +151,7 @@
 		"a.1 OK 5 no report\nv": true,
 		"a.1 OK five -\nv":      false, "a.1 OK 5 -\n\x01": false, "a.1 OK 5 -\n\xff": false, "a.1 OK 5 -\né": true,
 		"a.1 OK 5 -": false, "a.1 FINE 5 -\n": false, " OK 5 -\n": false, "a.1 OK 5\n": false} {
-		if _, _, _, _, err := ReadReply([]byte(line)); (err == nil) != want {
+		if _, _, _, _, err := ParseReply([]byte(line)); (err == nil) != want {
 			t.Errorf("reply %q: got error %v, want accepted: %v", line, err, want)
 		}
 	}
@@ -164,7 +164,7 @@
 
 // readSearch parses a search and returns a description of its shard requests, and its text.
 func readSearch(body string) (shards string, text []byte, err error) {
-	text, _, err = ReadSearch([]byte(body), 24, func(shard int, share, work float64, key uint64) {
+	text, _, err = ParseSearch([]byte(body), 24, func(shard int, share, work float64, key uint64) {
 		shards += fmt.Sprint(shard, share, work, key, ";")
 	})
 	return shards, text, err
@@ -221,9 +221,9 @@
 				t.Fatalf("text %q, want %q", text, other.Text)
 			}
 		}
-		version, full, err := ReadList(input, nil)
+		version, full, err := ParseServerList(input, nil)
 		entries := 0
-		secondVersion, secondFull, secondErr := ReadList(input, func(id, _, _ []byte, cell int, state uint8, _, _ float64) {
+		secondVersion, secondFull, secondErr := ParseServerList(input, func(id, _, _ []byte, cell int, state uint8, _, _ float64) {
 			entries++
 			if len(id) == 0 || cell < 0 || state > 2 {
 				t.Fatal("an invalid entry was passed on")
@@ -232,7 +232,7 @@
 		if version != secondVersion || full != secondFull || (err == nil) != (secondErr == nil) || err == nil && !json.Valid(input) {
 			t.Fatal(version, secondVersion, err, secondErr)
 		}
-		body := EndAnswer(AppendMatch(AppendMatch(AppendAnswer(nil, true), 3, input), 4, nil))
+		body := EndAnswer(AppendMatch(AppendMatch(BeginAnswer(nil, true), 3, input), 4, nil))
 		var answer struct {
 			All     bool `json:"all_in"`
 			Matches []struct {
@@ -288,7 +288,7 @@
 						description += "- "
 						return nil
 					}
-					version, _, err := ReadList(line, nil)
+					version, _, err := ParseServerList(line, nil)
 					description += fmt.Sprint(version, " ")
 					return err
 				}) != nil {
@@ -320,7 +320,7 @@
 	for rest := list.Bytes(); len(rest) > 0; {
 		size := min(len(rest), 64<<10)
 		if err := splitter.Feed(rest[:size], func(line []byte) error {
-			if version, full, err := ReadList(line, nil); err == nil && version == 7 && full {
+			if version, full, err := ParseServerList(line, nil); err == nil && version == 7 && full {
 				lists++
 			}
 			return nil
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -11,7 +11,7 @@
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
 // ContinueResponse is the interim response that asks a client for the body of its request.
-const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
+const ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
 // AppendResponse appends a whole response. If closeConnection is set, it tells the client that the
 // connection is closed after it. retryAfter is in milliseconds; 0 leaves the Retry-After header out.
@@ -48,9 +48,9 @@
 	return append(dst, '"')
 }
 
-// AppendAnswer appends the start of the JSON body that answers a search; complete states whether all shards
+// BeginAnswer appends the start of the JSON body that answers a search; complete states whether all shards
 // contributed. AppendMatch then adds the values, and EndAnswer ends the body.
-func AppendAnswer(dst []byte, complete bool) []byte {
+func BeginAnswer(dst []byte, complete bool) []byte {
 	dst = append(dst, `{"all_in":`...)
 	dst = strconv.AppendBool(dst, complete)
 	return append(dst, `,"matches":[`...)
--- a/internal/protocol/search.go
+++ b/internal/protocol/search.go
@@ -4,19 +4,19 @@
 	"math"
 )
 
-// ParseKey parses the affinity key of a search from the value of its cookie. It returns 0 if the value is
+// ParseAffinityKey parses the affinity key of a search from the value of its cookie. It returns 0 if the value is
 // empty or invalid.
-func ParseKey(b []byte) uint64 {
+func ParseAffinityKey(b []byte) uint64 {
 	v, _ := parseHex64(b)
 	return v
 }
 
-// ReadSearch parses the body of a search in a fleet with this many shards. It calls each for every shard
+// ParseSearch parses the body of a search in a fleet with this many shards. It calls each for every shard
 // request, in order, and returns the text that all of them carry and the sum of their shares, which is 1
 // except for rounding. work is a hint of the duration in milliseconds (microseconds in the body), or 0. The
 // caller must not act on the shard requests before ParseSearch has returned without an error.
 // The texts of its errors are sent to clients as response bodies and therefore stay as they are.
-func ReadSearch(body []byte, shards int, each func(shard int, share, work float64, key uint64)) ([]byte, float64, error) {
+func ParseSearch(body []byte, shards int, each func(shard int, share, work float64, key uint64)) ([]byte, float64, error) {
 	s := &scanner{text: body}
 	var text []byte
 	presentFields, requests, sum := 0, 0, 0.0 // bit i of presentFields is set if field i is present
