--- a/internal/fleet/zonefailure/detector.go
+++ b/internal/fleet/zonefailure/detector.go
@@ -1,16 +1,19 @@
-// Package zonefailure tells the common failure of a whole site (hall, zone: one failure domain) from many single failures, by a
-// broker's own observations, and when and how fast the site recovers. It is a reducer: events in, changes out; no I/O, no
-// clock, no random choice. All times are in milliseconds of the caller's clock. What a site's state means for servers
-// and searches is the module's to decide.
+// Package zonefailure detects from an aggregator's own observations that a whole site has failed, as opposed to many servers
+// that fail independently, and decides when and how fast the site recovers. A site is one failure domain, which other packages
+// call a zone. The Detector is a reducer: it turns events into changes, without I/O, clock or random choice. The caller passes
+// events in turns, each one iteration of its event loop, between BeginTurn and EndTurn. All times are in
+// milliseconds of the caller's clock. The policy (internal/aggregator/policy) decides what a site's state means for servers and
+// searches.
 //
-// The sign of a lost site is that nothing of it answers any more: of a burst of sub-requests to several of its servers, every
-// one is in flight for longer than nearly all answers take, not one answer of the whole site has come since the first of them
-// was sent, and other sites go on answering. Servers that fail each by itself have siblings that answer; a burst of load is slow
-// everywhere; a process that was stalled heard nobody. So few servers suffice, and detection takes the time of one burst,
-// where judging each server by itself takes one burst for each.
+// A site counts as lost when none of its servers answers any more: after a burst of sub-requests to several of its servers, each
+// of these has been in flight for longer than nearly all answers take, no server of the site has answered since the first of them
+// was sent, and other sites go on answering. These conditions rule out other causes: servers that fail independently have
+// siblings in the site that answer; in a burst of load all sites are slow; a process that was stalled received no answers from
+// any site. A few servers are therefore enough evidence, and detection takes the time of one burst, whereas judging each server
+// separately takes one burst for each.
 //
-// Invariants: only own observation makes or ends a loss, never a peer's report; a site of which any server has answered
-// since the burst is not lost; times passed to BeginTurn never fall.
+// Invariants: only own observations declare or end a loss, never a peer's report; a site of which any server has answered
+// since the burst is not lost; times passed to BeginTurn never decrease.
 package zonefailure
 
 import (
@@ -19,25 +22,25 @@
 	"kestrelspread/internal/window"
 )
 
-// Detector is one broker's view of all sites.
+// Detector holds one aggregator's observations of all sites and servers, and the state of each site.
 type Detector struct {
 	config           Config
-	now              float64
-	lastTurnAt       float64
-	stallEndedAt     float64 // the end of the latest stall of this process
-	ownSite          int
-	latencyTargetMs  float64 // the shortest target
-	initialTimeoutMs float64 // as configured, without regard to the target
+	now              float64 // time of the current turn
+	lastTurnAt       float64 // time of the latest turn, or never
+	stallEndedAt     float64 // end of this process's latest stall, or never
+	ownSite          int     // index of the aggregator's own site; -1: none
+	latencyTargetMs  float64 // shortest latency target of all query types
+	initialTimeoutMs float64 // as configured, before it is raised for the latency target
 	servers          []serverState
-	sites            []*siteState
-	latencies        *window.Histogram
+	sites            []*siteState      // by index; nil: no ready server so far
+	latencies        *window.Histogram // of answers, in milliseconds
 	timeoutMs        float64
 	timeoutUpdatedAt float64
-	changes          []Change
-	FalseAlarms      int // losses that late answers disproved
+	changes          []Change // of the current turn
+	FalseAlarms      int      // number of losses that late answers have disproved
 }
 
-// New returns the view of a broker at ownSite, or -1.
+// New returns the detector of an aggregator at ownSite, which is -1 if the aggregator belongs to no site.
 func New(config Config, ownSite int) *Detector {
 	return &Detector{
 		config:           config,
@@ -52,7 +55,7 @@
 	}
 }
 
-// site returns a site by its index, or nil.
+// site returns the site with the given index, or nil if none is known.
 func (d *Detector) site(index int) *siteState {
 	if index < 0 || index >= len(d.sites) {
 		return nil
@@ -60,7 +63,7 @@
 	return d.sites[index]
 }
 
-// State returns what is believed of a site.
+// State returns the state of a site, which is Healthy for an unknown site.
 func (d *Detector) State(siteIndex int) State {
 	if site := d.site(siteIndex); site != nil {
 		return site.state
@@ -68,7 +71,8 @@
 	return Healthy
 }
 
-// RecentLosses is how often a site was lost within Config.LossMemoryMs.
+// RecentLosses returns how often a site has been lost. It restarts from 0 when a healthy site's latest loss is more than
+// Config.LossMemoryMs ago.
 func (d *Detector) RecentLosses(siteIndex int) int {
 	if site := d.site(siteIndex); site != nil {
 		return site.recentLosses
@@ -76,10 +80,11 @@
 	return 0
 }
 
-// TimeoutMs is the time without an answer after which a sub-request counts as failed.
+// TimeoutMs returns the time without an answer, in milliseconds, after which a sub-request counts as failed.
 func (d *Detector) TimeoutMs() float64 { return d.timeoutMs }
 
-// SetLatencyTarget takes a query type's latency target. The shortest one counts.
+// SetLatencyTarget sets the latency target of a query type, in milliseconds. The shortest target of all types determines the
+// initial timeout.
 func (d *Detector) SetLatencyTarget(targetMs float64) {
 	if targetMs < d.latencyTargetMs {
 		d.latencyTargetMs = targetMs
@@ -88,7 +93,7 @@
 	}
 }
 
-// BeginTurn opens a turn at a time. Times never fall.
+// BeginTurn begins a turn of events at the given time, which must not be before that of the previous turn.
 func (d *Detector) BeginTurn(now float64) {
 	stalled := now > d.lastTurnAt+d.config.StallMs && !math.IsInf(d.lastTurnAt, 0) && d.anyPending()
 	if stalled && !mutantStall {
@@ -101,6 +106,7 @@
 	}
 }
 
+// updateTimeout derives the timeout from the observed latencies, or uses the initial timeout while there are too few of them.
 func (d *Detector) updateTimeout() {
 	latency, samples := d.latencies.Quantile(d.now, d.config.TimeoutQuantile)
 	if samples >= 4*d.config.MinFailedServers {
@@ -110,7 +116,8 @@
 	d.timeoutMs = d.config.InitialTimeoutMs
 }
 
-// anyPending tells a stall from sleep: with nothing pending this process has no turns, and a long sleep is no stall.
+// anyPending reports whether any site has pending servers. Without them this process has no turns to run, so a long time
+// between two turns is idleness and no stall.
 func (d *Detector) anyPending() bool {
 	for _, site := range d.sites {
 		if site != nil && len(site.pendingServers) > 0 {
@@ -120,7 +127,7 @@
 	return false
 }
 
-// SetServer takes an entry of the endpoint list: a server, its site (-1: none), and whether it may be asked.
+// SetServer adds or updates a server as the endpoint list has it: its site (-1: none), and whether it is ready for sub-requests.
 func (d *Detector) SetServer(id, siteIndex int, ready bool) {
 	for len(d.servers) <= id {
 		d.servers = append(d.servers, newServerState())
@@ -153,7 +160,7 @@
 	}
 }
 
-// RemoveServer forgets a server: its index may be used again.
+// RemoveServer removes a server. Its index may then be used for another one.
 func (d *Detector) RemoveServer(id int) {
 	if id < len(d.servers) {
 		d.SetServer(id, -1, false)
@@ -161,7 +168,7 @@
 	}
 }
 
-// siteOf returns the site at which a server may be asked, or nil.
+// siteOf returns the site of a server, or nil if the server has none or is not ready.
 func (d *Detector) siteOf(server *serverState) *siteState {
 	if server.site < 0 || !server.ready {
 		return nil
@@ -169,7 +176,7 @@
 	return d.sites[server.site]
 }
 
-// RecordSent counts a sub-request that is sent to a server now.
+// RecordSent records that a sub-request is sent to a server in this turn.
 func (d *Detector) RecordSent(id int) {
 	server := &d.servers[id]
 	server.inFlight++
@@ -178,16 +185,17 @@
 	if site == nil {
 		return
 	}
-	// A server that is asked all the time always has something in flight. What counts is what was sent after its site's last
-	// contact: no sibling has answered since.
+	// A busy server always has sub-requests in flight, which alone means nothing. Only those that were sent after its site's
+	// last contact count: since then no other server of the site has answered either.
 	if server.unansweredSince <= site.lastContactAt {
 		server.unansweredSince = d.now
 	}
 	site.addPending(id)
 }
 
-// RecordDone counts the end of a sub-request that was sent at sentAt. answered: the server has answered, in any way; else
-// failed where nothing more need be waited for (unreachable, reset, timed out). Neither: it was cancelled or never sent.
+// RecordDone records the end of a sub-request that was sent at sentAt. answered is set if the server has answered in any way,
+// also with an error; failed is set if no answer can follow (unreachable, reset or timed out). Neither is set if the sub-request
+// was cancelled or never sent.
 func (d *Detector) RecordDone(id int, sentAt float64, answered, failed bool) {
 	server := &d.servers[id]
 	server.inFlight = max(server.inFlight-1, 0)
@@ -204,7 +212,8 @@
 	}
 }
 
-// recordCancelled forgets what was cancelled before the server had to answer: it is no evidence.
+// recordCancelled clears the sending times of a server with nothing left in flight, unless it has failed already. A sub-request
+// that was cancelled before its timeout is no evidence against the server.
 func (d *Detector) recordCancelled(id int, server *serverState) {
 	site := d.siteOf(server)
 	if site == nil || d.hasFailed(server, site) {
@@ -214,7 +223,7 @@
 	site.removePending(id)
 }
 
-// RecordAnswer takes a server's answer to what was sent at sentAt, a probe perhaps.
+// RecordAnswer records a server's answer to a sub-request or probe that was sent at sentAt.
 func (d *Detector) RecordAnswer(id int, sentAt float64) {
 	server := &d.servers[id]
 	server.failedSentAt = never
@@ -227,11 +236,11 @@
 		site.removePending(id)
 	}
 	if site.state == Lost || site.state == Recovering {
-		d.recover(server.site, site, sentAt)
+		d.advanceRecovery(server.site, site, sentAt)
 	}
 }
 
-// EndTurn closes a turn and returns what changed, valid until the next one.
+// EndTurn ends the turn and returns the changes in it. The slice is valid until the next turn begins.
 func (d *Detector) EndTurn() []Change {
 	for index, site := range d.sites {
 		if site != nil {
--- a/internal/fleet/zonefailure/gossip/delegate_test.go
+++ b/internal/fleet/zonefailure/gossip/delegate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestReportBeforeCreateReturnsIsPassedOn: memberlist.Create starts goroutines that call the delegate before it returns.
-// What arrives then is delivered and passed on like any other report.
+// TestReportBeforeCreateReturnsIsPassedOn checks that a report that arrives before memberlist.Create has returned is delivered and
+// passed on like any other. Create starts goroutines that call the delegate before it returns.
 func TestReportBeforeCreateReturnsIsPassedOn(t *testing.T) {
 	received := &recorder{}
 	g := newGossip(Options{Name: "b0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), OnReport: received.record})
@@ -18,12 +18,12 @@
 	d := (*delegate)(g)
 	d.NotifyMsg(message)
 	if !received.has("b1", 3, true) {
-		t.Error("not delivered")
+		t.Error("the report of b1 was not delivered")
 	}
 	if queued := d.GetBroadcasts(2, 1400); len(queued) != 1 {
-		t.Errorf("%d reports passed on", len(queued))
+		t.Errorf("%d reports are queued to be passed on, want 1", len(queued))
 	}
 	if n := g.Members(); n != 1 {
-		t.Errorf("%d members before Create has returned", n)
+		t.Errorf("%d members before Create has returned, want 1", n)
 	}
 }
--- a/internal/fleet/zonefailure/gossip/gossip.go
+++ b/internal/fleet/zonefailure/gossip/gossip.go
@@ -1,10 +1,10 @@
-// Package gossip carries brokers' observations of sites to each other, where an installation lets them talk: memberlist's gossip, on
-// an address of its own. What it delivers is a peer's report with its origin and age; internal/fleet/zonefailure decides what
-// that is worth. Nothing waits for it: without it brokers decide by their own observations alone. On the platform, which
-// bars traffic among brokers, it is off.
+// Package gossip exchanges observations of sites among aggregators, in installations that allow traffic between them. It uses the
+// gossip protocol of memberlist on an address of its own. It delivers each report with the name of the peer that made it and its
+// age; internal/fleet/zonefailure decides what weight the report has. Nothing waits for a report: without gossip, aggregators
+// decide by their own observations alone. On the platform, which forbids traffic between aggregators, gossip is off.
 //
-// A report is delivered at most once and never after a newer one of the same peer on the same site, except when the table of
-// seen sequence numbers has overflowed. It may be lost: what lasts is sent again.
+// A report is delivered at most once, and never after a newer one of the same peer about the same site, except after the table of
+// seen sequence numbers has overflowed. A report may be lost, so observations that still hold are sent again.
 package gossip
 
 import (
@@ -19,73 +19,77 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Options are one broker's.
+// Options configure one aggregator's membership.
 type Options struct {
-	Name   string
-	Listen netip.AddrPort
-	Join   []string // addresses of other members, any of them
-	Key    []byte   // of 16, 24 or 32 bytes; nil: unencrypted
-	// RedirectedAddresses maps a peer's address to that by which it is reached from here: over a tunnel, or a faulty link.
+	Name   string         // name of this member, unique among the members
+	Listen netip.AddrPort // address for gossip traffic, also advertised to the other members
+	Join   []string       // addresses of some other members; one that can be reached is enough
+	Key    []byte         // encryption key of 16, 24 or 32 bytes; nil: unencrypted
+	// RedirectedAddresses maps the address that a peer advertises to the one at which this member reaches it, for example through
+	// a tunnel or, in tests, over a faulty link.
 	RedirectedAddresses map[string]string
-	OnReport            func(r Report)
-	ResendInterval      time.Duration // 0: defaultResendInterval
+	OnReport            func(r Report) // called with each new report of a peer
+	ResendInterval      time.Duration  // 0: defaultResendInterval
 }
 
 const (
 	defaultResendInterval = time.Second
 
-	// maxSeenReports bounds peers times sites whose latest sequence number is known. Past that all are forgotten, and a
-	// report is passed on once more.
+	// maxSeenReports is the maximum number of pairs of peer and site whose latest sequence number is kept. When it is reached,
+	// all are deleted, and a report that was seen before may be delivered and passed on once more.
 	maxSeenReports = 8192
 
-	// healthyResendSpan is how long it is sent again that a site is healthy, after which everybody has heard.
+	// healthyResendSpan is how long the observation that a site is healthy is sent again. By then all members have received it.
 	healthyResendSpan = 5 * time.Second
 
-	// reclaimAfter is when a broker may come back under its name with another address.
+	// reclaimAfter is how long after its failure a member's name may be reused with another address.
 	reclaimAfter = 10 * time.Second
 
+	// leaveTimeout is how long Close waits for the other members to be told.
 	leaveTimeout = 200 * time.Millisecond
 )
 
-// Gossip is one broker's membership in the gossip.
+// Gossip is one aggregator's membership in the gossip protocol.
 type Gossip struct {
 	options Options
 	members atomic.Pointer[memberlist.Memberlist] // nil until memberlist.Create has returned
 	queue   *memberlist.TransmitLimitedQueue
 
 	lock            sync.Mutex
-	ownObservations map[int]observation // the latest by site
-	seenSequences   map[string]int64    // by broadcastKey
-	lastSequence    int64
+	ownObservations map[int]observation // latest own observation of each site
+	seenSequences   map[string]int64    // latest sequence number received, by broadcastKey
+	lastSequence    int64               // sequence number of the latest own report
 
-	stop      chan struct{}
+	stop      chan struct{} // closed by Close
 	stopOnce  sync.Once
-	Malformed int // messages that could not be read
+	Malformed int // number of messages that could not be parsed
 }
 
+// observation is what this aggregator has observed of a site, and when.
 type observation struct {
 	lost   bool
 	seenAt time.Time
 }
 
-// Start joins the other members. That none can be reached yet is no error, as brokers start in any order.
+// Start starts a member and has it join the others in the background. It is no error if none can be reached yet, as aggregators
+// start in any order.
 func Start(options Options) (*Gossip, error) {
 	g := newGossip(options)
 	config, err := g.memberlistConfig()
 	if err != nil {
-		return nil, fmt.Errorf("gossip among brokers: %w", err)
+		return nil, fmt.Errorf("gossip: configure member %q on %v: %w", options.Name, options.Listen, err)
 	}
 	members, err := memberlist.Create(config)
 	if err != nil {
-		return nil, fmt.Errorf("gossip among brokers: %w", err)
+		return nil, fmt.Errorf("gossip: start member %q on %v: %w", options.Name, options.Listen, err)
 	}
 	g.members.Store(members)
 	go g.run()
 	return g, nil
 }
 
-// newGossip returns a member that has not joined. memberlist calls its delegate from goroutines that Create starts,
-// so the queue and all else that the delegate uses is there before.
+// newGossip returns a member that has not joined yet. memberlist.Create starts goroutines that call the delegate before it
+// returns, so newGossip sets up the queue and everything else that the delegate uses.
 func newGossip(options Options) *Gossip {
 	if options.ResendInterval <= 0 {
 		options.ResendInterval = defaultResendInterval
@@ -104,6 +108,8 @@
 	return g
 }
 
+// memberlistConfig returns the configuration of memberlist for the options. It opens the redirecting transport if addresses are
+// redirected.
 func (g *Gossip) memberlistConfig() (*memberlist.Config, error) {
 	config := memberlist.DefaultLANConfig()
 	config.Name = g.options.Name
@@ -123,7 +129,7 @@
 	return config, err
 }
 
-// run joins until another member is there, and sends again what lasts. Close stops it.
+// run tries to join while no other member is known, and resends observations that still hold. Close stops it.
 func (g *Gossip) run() {
 	ticker := time.NewTicker(g.options.ResendInterval)
 	defer ticker.Stop()
@@ -140,6 +146,7 @@
 	}
 }
 
+// resend queues a report of each own observation again, and drops observations of healthy sites older than healthyResendSpan.
 func (g *Gossip) resend() {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -152,20 +159,20 @@
 	}
 }
 
-// enqueue queues a report of a site. The lock is held.
+// enqueue queues a report of an own observation of a site. The caller holds the lock.
 func (g *Gossip) enqueue(site int, observed observation) {
 	ageMs := 0.0
-	if !observed.lost { // a loss that lasts is observed now
+	if !observed.lost { // a loss that still holds counts as observed now
 		ageMs = float64(time.Since(observed.seenAt).Milliseconds())
 	}
-	// By the clock, so that it rises over restarts, too.
+	// Based on the clock, so that sequence numbers also increase over restarts.
 	g.lastSequence = max(g.lastSequence+1, time.Now().UnixNano())
 	report := Report{Peer: g.options.Name, Site: site, Lost: observed.lost, AgeMs: ageMs, Sequence: g.lastSequence}
-	message, _ := json.Marshal(report) // strings, numbers and booleans can't fail
+	message, _ := json.Marshal(report) // can't fail: the fields are strings, finite numbers and booleans
 	g.queue.QueueBroadcast(&broadcast{broadcastKey(report.Peer, site), message})
 }
 
-// Observe reports to the other members what this broker has just observed of a site.
+// Observe reports to the other members that this aggregator has just observed the loss of a site, or that the site is healthy.
 func (g *Gossip) Observe(site int, lost bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -174,10 +181,10 @@
 	g.enqueue(site, observed)
 }
 
-// Addr is the address on which it listens.
+// Addr returns the address on which the member listens.
 func (g *Gossip) Addr() string { return g.members.Load().LocalNode().Address() }
 
-// Members is the number of live members, this broker included.
+// Members returns the number of live members, including this one.
 func (g *Gossip) Members() int {
 	members := g.members.Load()
 	if members == nil {
@@ -186,7 +193,7 @@
 	return members.NumMembers()
 }
 
-// Close leaves the gossip.
+// Close tells the other members that this one leaves, and stops it.
 func (g *Gossip) Close() error {
 	g.stopOnce.Do(func() { close(g.stop) })
 	members := g.members.Load()
@@ -194,24 +201,25 @@
 	return members.Shutdown()
 }
 
-// delegate is what memberlist calls.
+// delegate implements memberlist.Delegate for a Gossip.
 type delegate Gossip
 
-// NodeMeta implements memberlist.Delegate; members carry no data.
+// NodeMeta implements memberlist.Delegate. It returns nil, as members have no metadata.
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// LocalState implements memberlist.Delegate; there is no state to exchange.
+// LocalState implements memberlist.Delegate. It returns nil, as there is no state to exchange.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState implements memberlist.Delegate; there is no state to exchange.
+// MergeRemoteState implements memberlist.Delegate. It does nothing, as there is no state to exchange.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// GetBroadcasts implements memberlist.Delegate: queued messages that fit into limit bytes.
+// GetBroadcasts implements memberlist.Delegate. It returns queued messages that fit into limit bytes, with overhead bytes for each.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.queue.GetBroadcasts(overhead, limit)
 }
 
-// NotifyMsg delivers a message, and passes it on as gossip does. A malformed one is counted and dropped.
+// NotifyMsg implements memberlist.Delegate. It delivers a report that is new and queues it for other members. It counts and drops
+// a malformed message.
 func (d *delegate) NotifyMsg(message []byte) {
 	report, ok := parseReport(message)
 	if !ok {
@@ -225,7 +233,8 @@
 	}
 }
 
-// accept tells whether a report is new, and then passes it on: its sender reaches but a few.
+// accept reports whether a peer's report is new, and if so queues its message for other members, as the sender reaches only a few
+// members itself.
 func (d *delegate) accept(report Report, message []byte) bool {
 	key := broadcastKey(report.Peer, report.Site)
 	d.lock.Lock()
@@ -237,7 +246,7 @@
 		return false
 	}
 	d.seenSequences[key] = report.Sequence
-	// memberlist reuses its buffer.
+	// The message is copied, as memberlist reuses its buffer.
 	d.queue.QueueBroadcast(&broadcast{key, append([]byte(nil), message...)})
 	return true
 }
--- a/internal/fleet/zonefailure/gossip/gossip_test.go
+++ b/internal/fleet/zonefailure/gossip/gossip_test.go
@@ -8,59 +8,60 @@
 	"time"
 )
 
-// recorder keeps the reports that a broker received.
+// recorder keeps the reports that were delivered to a member.
 type recorder struct {
 	lock    sync.Mutex
 	reports []Report
 }
 
-func (e *recorder) record(w Report) {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	e.reports = append(e.reports, w)
+func (r *recorder) record(report Report) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.reports = append(r.reports, report)
 }
 
-func (e *recorder) has(peer string, site int, lost bool) bool {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	for _, w := range e.reports {
-		if w.Peer == peer && w.Site == site && w.Lost == lost {
+func (r *recorder) has(peer string, site int, lost bool) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, report := range r.reports {
+		if report.Peer == peer && report.Site == site && report.Lost == lost {
 			return true
 		}
 	}
 	return false
 }
 
+// waitFor waits until ok returns true. It fails the test after some 80 s.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for range 4000 { // far longer than it takes
+	for range 4000 { // 80 s is far longer than gossip takes
 		if ok() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("never: ", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
-// startAll starts n members and waits until each knows another one.
+// startAll starts n members, and waits until each knows another one if there are several.
 func startAll(t *testing.T, n int, key []byte) (members []*Gossip, received []*recorder) {
 	t.Helper()
 	for i := range n {
-		e := &recorder{}
-		o := Options{Name: fmt.Sprint("b", i), Listen: netip.MustParseAddrPort("127.0.0.1:0"), OnReport: e.record, ResendInterval: 100 * time.Millisecond, Key: key}
+		r := &recorder{}
+		options := Options{Name: fmt.Sprint("b", i), Listen: netip.MustParseAddrPort("127.0.0.1:0"), OnReport: r.record, ResendInterval: 100 * time.Millisecond, Key: key}
 		if i > 0 {
-			o.Join = []string{members[0].Addr()}
+			options.Join = []string{members[0].Addr()}
 		}
-		k, err := Start(o)
+		member, err := Start(options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { k.Close() })
-		members, received = append(members, k), append(received, e)
+		t.Cleanup(func() { member.Close() })
+		members, received = append(members, member), append(received, r)
 	}
-	// That all know all at one moment is more than gossip promises on a busy machine; each knows somebody.
-	for i, k := range members {
-		waitFor(t, fmt.Sprint(i, " knows somebody"), func() bool { return n == 1 || k.Members() > 1 })
+	// On a busy machine gossip does not guarantee that at any moment all members know all others, so each only has to know one.
+	for i, member := range members {
+		waitFor(t, fmt.Sprintf("member %d knows another member", i), func() bool { return n == 1 || member.Members() > 1 })
 	}
 	return members, received
 }
@@ -68,16 +69,16 @@
 func TestReportsReachAllMembers(t *testing.T) {
 	members, received := startAll(t, 5, []byte("0123456789abcdef"))
 	members[3].Observe(1, true)
-	for i, e := range received {
+	for i, r := range received {
 		if i != 3 {
-			waitFor(t, fmt.Sprint(i, " receives the loss"), func() bool { return e.has("b3", 1, true) })
+			waitFor(t, fmt.Sprintf("member %d has received the loss", i), func() bool { return r.has("b3", 1, true) })
 		}
 	}
 	if received[3].has("b3", 1, true) {
-		t.Error("it received its own report")
+		t.Error("member 3 received its own report")
 	}
 	members[3].Observe(1, false)
-	waitFor(t, "the recovery is received", func() bool { return received[0].has("b3", 1, false) })
+	waitFor(t, "member 0 has received the recovery", func() bool { return received[0].has("b3", 1, false) })
 }
 
 func TestMalformedAndStaleReportsAreDropped(t *testing.T) {
@@ -87,29 +88,29 @@
 		d.NotifyMsg([]byte(b))
 	}
 	if members[0].Malformed != 7 || len(received[0].reports) != 0 {
-		t.Fatal(members[0].Malformed, received[0].reports)
+		t.Fatalf("%d malformed messages and reports %+v, want 7 and none", members[0].Malformed, received[0].reports)
 	}
 	d.NotifyMsg([]byte(`{"p":"x","s":1,"l":true,"a":3,"n":5}`))
-	d.NotifyMsg([]byte(`{"p":"x","s":1,"l":false,"a":3,"n":4}`)) // older, by another way
-	d.NotifyMsg([]byte(`{"p":"x","s":1,"l":true,"a":3,"n":5}`))  // again
+	d.NotifyMsg([]byte(`{"p":"x","s":1,"l":false,"a":3,"n":4}`)) // an older report that arrives later by another route
+	d.NotifyMsg([]byte(`{"p":"x","s":1,"l":true,"a":3,"n":5}`))  // the first report again
 	if len(received[0].reports) != 1 {
-		t.Fatal(received[0].reports)
+		t.Fatalf("delivered %+v, want only the report with sequence number 5", received[0].reports)
 	}
 	for i := range 2 * maxSeenReports {
 		d.NotifyMsg(fmt.Appendf(nil, `{"p":"x%d","s":1,"l":true,"a":3,"n":5}`, i))
 	}
 	if len(members[0].seenSequences) > maxSeenReports {
-		t.Fatal(len(members[0].seenSequences), "kept")
+		t.Fatalf("%d sequence numbers are kept, want %d at most", len(members[0].seenSequences), maxSeenReports)
 	}
 }
 
 func TestStartWithoutPeersSucceeds(t *testing.T) {
-	k, err := Start(Options{Name: "alone", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: []string{"127.0.0.1:1"}, OnReport: func(Report) {}})
+	member, err := Start(Options{Name: "alone", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: []string{"127.0.0.1:1"}, OnReport: func(Report) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.Observe(0, true)
-	if err := k.Close(); err != nil {
+	member.Observe(0, true)
+	if err := member.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/fleet/zonefailure/gossip/wire_golden_test.go
+++ b/internal/fleet/zonefailure/gossip/wire_golden_test.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// TestGoldenMessage freezes the bytes that instances send each other: what is written, with sequence number and age blanked
-// out as they follow the clock, and what is read.
+// TestGoldenMessage checks that the bytes of messages between members have not changed, both as encoded and as decoded. Sequence
+// numbers depend on the clock and are replaced by a fixed one; ages are 0, as the reports are queued at once.
 func TestGoldenMessage(t *testing.T) {
 	want, err := os.ReadFile("testdata/golden/messages.txt")
 	if err != nil {
@@ -18,25 +18,25 @@
 	}
 	lines := bytes.Split(bytes.TrimSpace(want), []byte("\n"))
 	if len(lines) != 2 {
-		t.Fatal(len(lines), "golden messages")
+		t.Fatalf("testdata/golden/messages.txt has %d messages, want 2", len(lines))
 	}
-	k := &Gossip{options: Options{Name: "b1"}, ownObservations: map[int]observation{}, queue: &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 1 }, RetransmitMult: 1}}
-	k.Observe(3, true)
-	k.Observe(2, false)
+	sender := &Gossip{options: Options{Name: "b1"}, ownObservations: map[int]observation{}, queue: &memberlist.TransmitLimitedQueue{NumNodes: func() int { return 1 }, RetransmitMult: 1}}
+	sender.Observe(3, true)
+	sender.Observe(2, false)
 	blank := regexp.MustCompile(`"n":\d+`)
 	sent := map[string]bool{}
-	for _, b := range k.queue.GetBroadcasts(0, 1400) {
+	for _, b := range sender.queue.GetBroadcasts(0, 1400) {
 		sent[string(blank.ReplaceAll(b, []byte(`"n":7`)))] = true
 	}
 	if !sent[string(lines[0])] || !sent[string(lines[1])] || len(sent) != 2 {
-		t.Errorf("sent %v, not %s", sent, lines)
+		t.Errorf("sent %v, want %s", sent, lines)
 	}
 	var got []Report
-	r := newGossip(Options{Name: "b2", OnReport: func(w Report) { got = append(got, w) }})
+	receiver := newGossip(Options{Name: "b2", OnReport: func(report Report) { got = append(got, report) }})
 	for _, b := range lines {
-		(*delegate)(r).NotifyMsg(b)
+		(*delegate)(receiver).NotifyMsg(b)
 	}
 	if len(got) != 2 || got[0] != (Report{Peer: "b1", Site: 3, Lost: true, AgeMs: 0, Sequence: 7}) || got[1] != (Report{Peer: "b1", Site: 2, Lost: false, AgeMs: 0, Sequence: 7}) {
-		t.Errorf("read %+v", got)
+		t.Errorf("decoded %+v from %s", got, lines)
 	}
 }
--- a/internal/fleet/zonefailure/peers.go
+++ b/internal/fleet/zonefailure/peers.go
@@ -1,16 +1,17 @@
 package zonefailure
 
-// peerReport is what a peer observed of a site, and when.
+// peerReport is a peer's observation of a site.
 type peerReport struct {
 	lost   bool
-	seenAt float64
+	seenAt float64 // when the peer made the observation, by this aggregator's clock
 }
 
-// maxPeerReports bounds the peers whose reports are kept for a site.
+// maxPeerReports is the maximum number of peers whose reports are kept for a site.
 const maxPeerReports = 256
 
-// HandlePeerReport takes a peer's report of a site, ageMs old. It is weaker than own observation: it can neither make a loss
-// nor end one. With several peers that report the same, fewer failed servers suffice, and probes come sooner.
+// HandlePeerReport records a peer's observation of a site, which was made ageMs milliseconds ago. It has less weight than an own
+// observation: it can neither declare a loss nor end one. If several peers report a loss, fewer failed servers suffice to
+// declare it; if several report that a lost site answers, the site is probed sooner.
 func (d *Detector) HandlePeerReport(peer string, siteIndex int, lost bool, ageMs float64) {
 	site := d.site(siteIndex)
 	if site == nil || !d.isFreshAge(ageMs) {
@@ -19,7 +20,7 @@
 	if site.peerReports == nil {
 		site.peerReports = map[string]peerReport{}
 	}
-	for other, report := range site.peerReports { // a few at most: expired ones go when a new one comes
+	for other, report := range site.peerReports { // no timer is needed: there are few reports, and expired ones are deleted here
 		if d.now-report.seenAt >= d.config.ReportFreshMs {
 			delete(site.peerReports, other)
 		}
@@ -27,7 +28,7 @@
 	seenAt := d.now - ageMs
 	previous, known := site.peerReports[peer]
 	switch {
-	case known && previous.seenAt > seenAt: // overtaken on its way by a newer one
+	case known && previous.seenAt > seenAt: // a newer report of the same peer arrived first
 		return
 	case !known && len(site.peerReports) >= maxPeerReports:
 		return
@@ -35,12 +36,12 @@
 	site.peerReports[peer] = peerReport{lost, seenAt}
 }
 
-// isFreshAge is false for a NaN, too.
+// isFreshAge reports whether a report of this age still counts. It returns false for a negative age and for NaN.
 func (d *Detector) isFreshAge(ageMs float64) bool {
 	return ageMs >= 0 && ageMs < d.config.ReportFreshMs
 }
 
-// countPeerReports counts the fresh reports since a time, by what they say.
+// countPeerReports returns how many unexpired reports, made at or after since, say that the site is lost or healthy.
 func (d *Detector) countPeerReports(site *siteState, since float64) (lost, healthy int) {
 	for _, report := range site.peerReports {
 		switch {
@@ -54,7 +55,8 @@
 	return lost, healthy
 }
 
-// hintProbes asks for probes of a lost site once peers report that it answers. Each report hints once.
+// hintProbes adds a probe hint for a lost site if at least Config.MinPeers peers report that the site answers. Each report counts
+// towards one hint only.
 func (d *Detector) hintProbes(siteIndex int, site *siteState) {
 	_, healthy := d.countPeerReports(site, max(site.lostAt, site.lastHintAt))
 	if healthy < d.config.MinPeers {
--- a/internal/fleet/zonefailure/random_test.go
+++ b/internal/fleet/zonefailure/random_test.go
@@ -9,40 +9,42 @@
 	"kestrelspread/internal/aggregator/policy"
 )
 
-// Random scripts against the truth: sites come and go, servers fail by themselves, answers take their times. What must hold:
-// a site that has answered since the burst is not declared lost, a site of which five were asked and none answers is found
-// while others answer, and a site that answers again is not declared lost.
+// TestRandomScriptsMatchTruth compares the detector's decisions with the actual state of simulated sites. In each random script one
+// site is lost for a while, one of ten servers never answers, and latencies are random. A site that answers again must not be
+// declared lost, no site may remain lost at the end, at least 95 % of the losses in which five or more sound servers were asked must
+// be detected, and false alarms must be rare.
 func TestRandomScriptsMatchTruth(t *testing.T) {
 	n := 3000
 	if testing.Short() {
 		n = 300
 	}
-	found, losses, wrong := 0, 0, 0
+	found, losses, falseAlarms := 0, 0, 0
 	for seed := range uint64(n) {
-		f, l, w := runScript(t, seed)
-		found, losses, wrong = found+f, losses+l, wrong+w
+		scriptFound, scriptLosses, scriptFalseAlarms := runScript(t, seed)
+		found, losses, falseAlarms = found+scriptFound, losses+scriptLosses, falseAlarms+scriptFalseAlarms
 	}
-	t.Logf("%d seeds: %d losses, %d found, %d false alarms", n, losses, found, wrong)
+	t.Logf("%d seeds: %d losses, %d detected, %d false alarms", n, losses, found, falseAlarms)
 	if found*100 < losses*95 {
-		t.Errorf("%d of %d losses found", found, losses)
+		t.Errorf("%d of %d losses detected, want 95 %% or more", found, losses)
 	}
-	if wrong*1000 > n*40 { // bursts in each script
-		t.Errorf("%d false alarms in %d scripts", wrong, n)
+	if falseAlarms*1000 > n*40 { // each script has 40 bursts
+		t.Errorf("%d false alarms in %d scripts, want one in 1000 bursts at most", falseAlarms, n)
 	}
 }
 
-// randomScript is one fleet of which one site is lost for a while.
+// randomScript simulates sites of which one is lost for a while, and counts what the detector decides.
 type randomScript struct {
 	*scenario
 	rng        *rand.Rand
 	faulty     map[int]bool // servers that never answer
 	lostSite   int
-	from, to   int // bursts in which the site is lost
-	losses     int
-	found      int
-	falseAlarm int
+	from, to   int // the site is lost from burst from until before burst to
+	losses     int // losses that the detector should detect at once
+	found      int // losses that it did detect at once
+	falseAlarm int // losses that it declared of sites that were not lost
 }
 
+// newRandomScript returns the script for a seed, after some bursts that all servers answer.
 func newRandomScript(seed uint64) *randomScript {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	sizes := make([]int, 2+rng.IntN(4))
@@ -62,7 +64,8 @@
 	return s
 }
 
-func runScript(t *testing.T, seed uint64) (found, losses, wrong int) {
+// runScript runs the script of a seed, and returns how many losses there were and were detected, and the number of false alarms.
+func runScript(t *testing.T, seed uint64) (found, losses, falseAlarms int) {
 	t.Helper()
 	s := newRandomScript(seed)
 	for burst := range 40 {
@@ -70,23 +73,24 @@
 		asked := s.playBurst(burst)
 		lost := burst >= s.from && burst < s.to
 		if !lost && before != Lost && s.State(s.lostSite) == Lost && burst > s.to+1 && asked >= 5 {
-			t.Errorf("seed %d: lost though it answers", seed)
+			t.Errorf("seed %d: burst %d: site %d was declared lost though it answers", seed, burst, s.lostSite)
 		}
 	}
 	for site := range s.sites {
 		if s.State(site) == Lost {
-			t.Errorf("seed %d: site %d is held to be lost at the end", seed, site)
+			t.Errorf("seed %d: site %d is still lost at the end of the script", seed, site)
 		}
 	}
 	for id := range s.servers {
 		if s.servers[id].inFlight < 0 {
-			t.Errorf("seed %d: %d out at a server", seed, s.servers[id].inFlight)
+			t.Errorf("seed %d: server %d has %d sub-requests in flight", seed, id, s.servers[id].inFlight)
 		}
 	}
 	return s.found, s.losses, s.falseAlarm
 }
 
-// playBurst sends one burst and has servers answer it. It returns how many sound servers of the lost site were asked.
+// playBurst sends one burst of sub-requests and has the servers answer it. It returns how many sub-requests went to servers of
+// lostSite that are not faulty.
 func (s *randomScript) playBurst(burst int) (asked int) {
 	lost := burst >= s.from && burst < s.to
 	ids, asked := s.chooseServers()
@@ -128,7 +132,7 @@
 	return asked
 }
 
-// chooseServers picks half of all, and counts the sound ones of the lost site among them.
+// chooseServers chooses each server with a probability of one half, and counts those of lostSite that are not faulty.
 func (s *randomScript) chooseServers() (ids []int, asked int) {
 	for site, servers := range s.sites {
 		for _, id := range servers {
@@ -144,25 +148,26 @@
 	return ids, asked
 }
 
-// silentModule is a module that does nothing, so that what is measured is the detector.
-type silentModule struct{ policy.Port }
+// noopPolicy is a policy that does nothing, so that benchmarks measure the detector alone.
+type noopPolicy struct{ policy.Port }
 
-func (silentModule) Begin(float64)                                        {}
-func (silentModule) End()                                                 {}
-func (silentModule) Search(int, int, int, float64, int)                   {}
-func (silentModule) ShardRequest(int, int, int, float64, float64, uint64) {}
-func (silentModule) Done(int, int, policy.Outcome, []float64)             {}
-func (silentModule) Server(int, int, int, policy.State, float64, float64) {}
-func (silentModule) ZoneChanged(int, bool, float64)                       {}
+func (noopPolicy) Begin(float64)                                        {}
+func (noopPolicy) End()                                                 {}
+func (noopPolicy) Search(int, int, int, float64, int)                   {}
+func (noopPolicy) ShardRequest(int, int, int, float64, float64, uint64) {}
+func (noopPolicy) Done(int, int, policy.Outcome, []float64)             {}
+func (noopPolicy) Server(int, int, int, policy.State, float64, float64) {}
+func (noopPolicy) ZoneChanged(int, bool, float64)                       {}
 
-// BenchmarkSearch measures what detection costs in a search of ten parts, at so many sites of twenty servers.
+// BenchmarkSearch measures the cost of detection in a search with ten shard requests, by the number of sites with twenty servers each.
+// With 0 sites it measures the calls without an Interceptor.
 func BenchmarkSearch(b *testing.B) {
 	for _, n := range []int{0, 3, 10, 50} {
 		b.Run(fmt.Sprint(n, " sites"), func(b *testing.B) {
 			var out policy.Out
-			var port policy.Port = silentModule{}
+			var port policy.Port = noopPolicy{}
 			if n > 0 {
-				port = Intercept(nil, 0, DefaultConfig, func(o policy.Out) policy.Port { out = o; return silentModule{} })
+				port = Intercept(nil, 0, DefaultConfig, func(o policy.Out) policy.Port { out = o; return noopPolicy{} })
 			}
 			for id := range 20 * n {
 				port.Server(id, id%max(n, 1), 0, policy.Ready, 1, 0)
@@ -176,9 +181,9 @@
 				for k := range 10 {
 					port.ShardRequest(0, k+1, k, 0.1, 0, 0)
 					if n > 0 {
-						(*moduleOutput)(port.(*Interceptor)).detector.RecordSent((i*10 + k) % (20 * n))
-						q := port.(*Interceptor)
-						q.attempts[k+1] = append(q.attempts[k+1], attempt{(i*10 + k) % (20 * n), now})
+						(*policyOutput)(port.(*Interceptor)).detector.RecordSent((i*10 + k) % (20 * n))
+						interceptor := port.(*Interceptor)
+						interceptor.attempts[k+1] = append(interceptor.attempts[k+1], attempt{(i*10 + k) % (20 * n), now})
 					}
 				}
 				port.End()
--- a/internal/fleet/zonefailure/recovery.go
+++ b/internal/fleet/zonefailure/recovery.go
@@ -1,12 +1,15 @@
 package zonefailure
 
-// minRecoveryShare bounds how far the fleet's share slows probes down: to eight steps.
+// minRecoveryShare is the lower bound of the fleet's share, so that it lengthens a recovery step to eight times at most.
 const minRecoveryShare = 0.125
 
-// recover takes a site that is lost or recovering, of which a server answered what was sent at sentAt, onwards.
-func (d *Detector) recover(siteIndex int, site *siteState, sentAt float64) {
+// advanceRecovery begins, continues or completes the recovery of a lost or recovering site, one of whose servers has answered a
+// sub-request or probe that was sent at sentAt. A recovery is complete when the step has passed, enough servers have answered and
+// the fleet's share no longer limits it.
+func (d *Detector) advanceRecovery(siteIndex int, site *siteState, sentAt float64) {
 	if site.state == Lost {
-		// What was sent before the loss shows that there was none: the site was slow. What was sent after it is a recovery.
+		// An answer to a sub-request from before the loss shows that the site was slow and not lost. An answer to a later one
+		// means that the site recovers.
 		if sentAt < site.lostAt && !mutantLateAnswer && d.undoLoss(siteIndex, site) {
 			return
 		}
@@ -19,10 +22,11 @@
 	}
 }
 
-// undoLoss takes a loss back that was none, and tells whether the site is healthy at once. In a burst of load a whole site
-// may be later than nearly all answers were. Probed server by server, as in a recovery, it would be out of use for seconds each
-// time, and its work would fall on the others. After longer than FalseAlarmMs it was a stall rather than slowness, and
-// what comes out of a stall must not be met by all brokers at once.
+// undoLoss counts a loss that a late answer has disproved as a false alarm, and reports whether the site is healthy at once. In a
+// burst of load a whole site may exceed the latency of nearly all earlier answers. If its servers were then probed one by one, as
+// in a recovery, the site would be out of use for seconds each time, and the other sites would have to take over its load. If the
+// loss is older than Config.FalseAlarmMs, the site was stalled rather than slow, and it recovers in steps: aggregators must
+// not all send their load at once to a site that comes out of a stall.
 func (d *Detector) undoLoss(siteIndex int, site *siteState) bool {
 	d.FalseAlarms++
 	site.recentLosses = max(site.recentLosses-1, 0)
@@ -34,7 +38,7 @@
 	return true
 }
 
-// beginRecovery starts the first step, longer after each recent loss.
+// beginRecovery changes a site's state to Recovering. The recovery step is longer after each recent loss.
 func (d *Detector) beginRecovery(siteIndex int, site *siteState) {
 	site.recoveryStepMs = d.config.RecoveryStepMs
 	for n := 1; n < site.recentLosses && !mutantRelapse; n++ {
@@ -45,9 +49,9 @@
 	d.changeState(siteIndex, Recovering, site.recoveryStepMs/d.recoveryShare(site))
 }
 
-// HandleRecoveryShare takes the share, from 0 to 1, up to which a site has recovered for the whole fleet, as reported ageMs ago
-// by the holder of that role. It slows this broker's own recovery down, the less the older it is; it neither makes a loss
-// nor ends one.
+// HandleRecoveryShare records the share, from 0 to 1, up to which a site has recovered for the whole fleet. The aggregator that
+// holds the lease for this task reported it ageMs milliseconds ago. The share slows this aggregator's own recovery of the site
+// down, and has less effect the older it is. It neither declares a loss nor ends one.
 func (d *Detector) HandleRecoveryShare(siteIndex int, share, ageMs float64) {
 	site := d.site(siteIndex)
 	if site == nil || !(share >= 0 && share <= 1) || !d.isFreshAge(ageMs) {
@@ -65,7 +69,8 @@
 	}
 }
 
-// recoveryShare is the share in force: the fleet's while it is fresh, rising to all of the site as it expires.
+// recoveryShare returns the share that applies now: the fleet's share, which rises linearly to 1 over Config.ReportFreshMs after
+// its report, and at least minRecoveryShare.
 func (d *Detector) recoveryShare(site *siteState) float64 {
 	expired := min((d.now-site.fleetShareAt)/d.config.ReportFreshMs, 1)
 	if !(expired >= 0) {
--- a/internal/fleet/zonefailure/recovery_test.go
+++ b/internal/fleet/zonefailure/recovery_test.go
@@ -8,20 +8,20 @@
 	p.loseSite1(t)
 	p.advanceTo(p.now + 3000)
 	if p.State(1) != Lost {
-		t.Fatal("back without an answer: ", p.State(1))
+		t.Fatalf("site 1 is %v without any answer, want %v", p.State(1), Lost)
 	}
 	p.answerProbes(p.sites[1][0])
 	if p.State(1) != Recovering {
-		t.Fatal("not returning: ", p.State(1))
+		t.Fatalf("site 1 is %v after one answer, want %v", p.State(1), Recovering)
 	}
 	p.advanceTo(p.now + 5000)
 	p.answerProbes(p.sites[1][0])
 	if p.State(1) != Recovering {
-		t.Fatal("well by the clock alone, with two answers")
+		t.Fatalf("site 1 is %v after 5 s with only two answers, want %v", p.State(1), Recovering)
 	}
 	p.answerProbes(p.sites[1][1:5]...)
 	if p.State(1) != Healthy {
-		t.Fatal("not well after five answers: ", p.State(1))
+		t.Fatalf("site 1 is %v after six answers, want %v", p.State(1), Healthy)
 	}
 }
 
@@ -44,11 +44,11 @@
 		p.changes = nil
 	}
 	if len(steps) != 3 || steps[1] != 2*steps[0] || steps[2] != 4*steps[0] {
-		t.Fatal("steps", steps)
+		t.Fatalf("recovery steps are %v ms, want three, each twice as long as the one before", steps)
 	}
-	p.runHealthy(300) // more than a minute
+	p.runHealthy(300) // more than Config.LossMemoryMs
 	if p.RecentLosses(1) != 0 {
-		t.Fatal("losses are not forgotten: ", p.RecentLosses(1))
+		t.Fatalf("%d recent losses of site 1 after Config.LossMemoryMs, want 0", p.RecentLosses(1))
 	}
 }
 
@@ -60,16 +60,16 @@
 	p.answer(sent, p.sites[0][:6]...)
 	p.advanceTo(sent + 10*p.TimeoutMs())
 	if p.State(1) != Lost {
-		t.Fatal("not lost")
+		t.Fatalf("site 1 is %v, want %v", p.State(1), Lost)
 	}
-	p.answer(sent, p.sites[1][:6]...) // ten times as slow
+	p.answer(sent, p.sites[1][:6]...) // after ten times the timeout
 	if p.State(1) == Lost || p.FalseAlarms != 1 || p.RecentLosses(1) != 0 {
-		t.Fatal("a slow site stays lost: ", p.State(1), p.FalseAlarms, p.RecentLosses(1))
+		t.Fatalf("after a late answer site 1 is %v with %d false alarms and %d recent losses, want it not lost, 1 and 0", p.State(1), p.FalseAlarms, p.RecentLosses(1))
 	}
 	if last := p.changes[len(p.changes)-1]; last.To != Healthy || last.FalseAlarmMs <= 0 || last.FalseAlarmMs > DefaultConfig.FalseAlarmMs {
-		t.Errorf("it is not undone at once: %+v", last)
+		t.Errorf("the loss was not undone at once, the last change is %+v", last)
 	}
-	// What stood still for longer comes back in steps, though it answers what was sent before.
+	// A site that was stalled for longer than Config.FalseAlarmMs recovers in steps, even if it answers earlier sub-requests.
 	p.runHealthy(3)
 	sent = p.sendBurst(append(p.sites[0][:6:6], p.sites[1][:6]...)...)
 	p.advanceTo(sent + 30)
@@ -77,6 +77,6 @@
 	p.advanceTo(sent + 10*p.TimeoutMs() + DefaultConfig.FalseAlarmMs)
 	p.answer(sent, p.sites[1][:6]...)
 	if p.State(1) != Recovering || p.FalseAlarms != 2 {
-		t.Errorf("a stall of seconds ends in %v", p.State(1))
+		t.Errorf("after a stall longer than Config.FalseAlarmMs site 1 is %v with %d false alarms, want %v and 2", p.State(1), p.FalseAlarms, Recovering)
 	}
 }
--- a/internal/fleet/zonefailure/scenario_test.go
+++ b/internal/fleet/zonefailure/scenario_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// scenario is a detector with servers at sites, and the changes that it reported.
+// scenario is a detector with simulated servers and clock, and the changes that the detector has returned.
 type scenario struct {
 	*Detector
-	now     float64
+	now     float64 // in milliseconds
 	changes []Change
-	sites   [][]int
+	sites   [][]int // indices of the servers of each site
 }
 
-// newScenario gives each site so many servers.
+// newScenario returns a scenario in which site i has servers[i] servers, all of them ready.
 func newScenario(config Config, ownSite int, servers ...int) *scenario {
 	p := &scenario{Detector: New(config, ownSite), now: 1000}
 	id := 0
@@ -28,7 +28,7 @@
 	return p
 }
 
-// advanceTo moves the clock in turns of 10 ms, as a broker that holds searches does.
+// advanceTo advances the clock with a turn every 10 ms, as an aggregator with pending searches has them.
 func (p *scenario) advanceTo(at float64) {
 	for p.now < at {
 		p.now = min(p.now+10, at)
@@ -37,7 +37,7 @@
 	}
 }
 
-// sendBurst sends one sub-request to each of some servers, and returns when.
+// sendBurst sends one sub-request to each of the servers, and returns the sending time.
 func (p *scenario) sendBurst(ids ...int) float64 {
 	p.BeginTurn(p.now)
 	for _, id := range ids {
@@ -47,6 +47,7 @@
 	return p.now
 }
 
+// answer has the servers answer the sub-requests that were sent to them at sent.
 func (p *scenario) answer(sent float64, ids ...int) {
 	p.BeginTurn(p.now)
 	for _, id := range ids {
@@ -55,7 +56,7 @@
 	p.changes = append(p.changes, p.EndTurn()...)
 }
 
-// runHealthy has all sites answer in some 20 to 40 ms for a while.
+// runHealthy runs rounds of some 340 ms, in each of which every server answers one sub-request within 20 or 40 ms.
 func (p *scenario) runHealthy(rounds int) {
 	for range rounds {
 		var all []int
@@ -71,6 +72,7 @@
 	}
 }
 
+// wantStates fails the test unless the site has changed to exactly these states, in this order.
 func (p *scenario) wantStates(t *testing.T, site int, states ...State) {
 	t.Helper()
 	var got []State
@@ -80,10 +82,11 @@
 		}
 	}
 	if fmt.Sprint(got) != fmt.Sprint(states) {
-		t.Fatalf("site %d went through %v, want %v", site, got, states)
+		t.Fatalf("site %d changed to %v, want %v", site, got, states)
 	}
 }
 
+// losses returns how often the site was declared lost, according to the changes kept.
 func (p *scenario) losses(site int) (n int) {
 	for _, c := range p.changes {
 		if c.Site == site && c.To == Lost {
@@ -93,7 +96,7 @@
 	return n
 }
 
-// loseSite1 takes site 1 away and has the detector notice.
+// loseSite1 leaves sub-requests to site 1 unanswered until the detector declares the site lost.
 func (p *scenario) loseSite1(t *testing.T) {
 	t.Helper()
 	before := p.losses(1)
@@ -106,10 +109,10 @@
 			return
 		}
 	}
-	t.Fatalf("not lost: %v, time-out %.0f, %v", p.State(1), p.TimeoutMs(), p.changes)
+	t.Fatalf("site 1 is %v after three unanswered bursts, timeout %.0f ms, changes %+v", p.State(1), p.TimeoutMs(), p.changes)
 }
 
-// answerProbes has servers of site 1 answer probes.
+// answerProbes sends a sub-request to each of the servers, one after the other, and has it answered within 30 ms.
 func (p *scenario) answerProbes(ids ...int) {
 	for _, id := range ids {
 		sent := p.sendBurst(id)
--- a/internal/fleet/zonefailure/state.go
+++ b/internal/fleet/zonefailure/state.go
@@ -2,50 +2,51 @@
 
 import "math"
 
-// State is what a broker believes of a site.
+// State is the condition of a site as this aggregator has observed it.
 type State uint8
 
 // The states of a site.
 const (
-	Healthy    State = iota
-	Suspected        // half of the failures that make a loss were observed
-	Lost             // nothing of it answers
-	Recovering       // it answers again, and its servers are probed in steps
+	Healthy    State = iota // the site answers
+	Suspected               // at least half of the failures that make a loss have been observed
+	Lost                    // no server of the site answers
+	Recovering              // the site answers again, and its servers are probed in steps
 )
 
-// stateNames are the words of the log.
+// stateNames are the names of the states in log lines, by State.
 var stateNames = [...]string{"well", "doubted", "lost", "returning"}
 
-// String returns the state's word in the log.
+// String returns the state's name in log lines.
 func (s State) String() string { return stateNames[s] }
 
-// Change is one change of a site's state, or a hint to probe it.
+// Change describes one change of a site's state, or a hint to probe a lost site.
 type Change struct {
 	Site int
 	From State
 	To   State
-	// ProbeSpreadMs is the time over which the site's servers are to be probed, at random moments: of a lost site so that
-	// probes stay few however many servers it has, of a recovering one so that brokers don't come all at once.
+	// ProbeSpreadMs is the time over which the site's servers are to be probed, at random moments. For a lost site it limits the
+	// rate of probes regardless of the number of servers; for a recovering one it keeps the aggregators from sending theirs at
+	// the same moment.
 	ProbeSpreadMs float64
-	FailedServers int     // servers that failed together
-	SilentMs      float64 // since the last answer of any of the site's servers
-	Isolated      bool    // only this broker's own site answers: it may be this broker that is partitioned
-	FalseAlarmMs  float64 // age of a loss that was none and has to be undone; 0: nothing has
-	ProbeHint     bool    // no change of state, but peers report answers again: probes are worth while now
+	FailedServers int     // servers of the site that count as failed
+	SilentMs      float64 // time since the last answer of any of the site's servers
+	Isolated      bool    // no site but this aggregator's own answers, so the aggregator itself may be partitioned
+	FalseAlarmMs  float64 // time since the loss that a late answer has disproved and that is to be undone; 0: no loss to undo
+	ProbeHint     bool    // the state is unchanged, but peers report that the site answers again, so that it should be probed now
 }
 
-// never is the time of what hasn't happened.
+// never is the time of an event that has not happened.
 var never = math.Inf(-1)
 
-// serverState is what is known of one server.
+// serverState holds what has been observed of one server.
 type serverState struct {
-	site     int // -1: none
+	site     int // index of the server's site; -1: none
 	ready    bool
-	inFlight int // sub-requests
-	// unansweredSince is when the first sub-request after the site's last contact was sent, or never.
+	inFlight int // number of sub-requests in flight
+	// unansweredSince is when the first sub-request after the site's last contact was sent to the server, or never.
 	unansweredSince float64
-	lastSentAt      float64
-	// failedSentAt is when the latest sub-request was sent that failed for good (unreachable, reset, timed out), or never.
+	lastSentAt      float64 // when the latest sub-request was sent, or never
+	// failedSentAt is the latest sending time of a sub-request that failed (unreachable, reset or timed out), or never.
 	failedSentAt float64
 }
 
@@ -53,8 +54,9 @@
 	return serverState{site: -1, unansweredSince: never, lastSentAt: never, failedSentAt: never}
 }
 
-// unansweredFrom is when that was sent which the server has not answered while its site was silent, or never. Where the site
-// was in contact since, other servers of it have answered: such a server fails by itself.
+// unansweredFrom returns the sending time of the sub-request that the server has left unanswered since its site's last contact,
+// or never. If the site has been in contact since the sub-request was sent, other servers of the site have answered: then the
+// server failed on its own, which is no evidence against the site.
 func (s *serverState) unansweredFrom(site *siteState) float64 {
 	switch {
 	case s.unansweredSince > site.lastContactAt || mutantSiblings:
@@ -65,32 +67,32 @@
 	return never
 }
 
-// recentAnswers is how many answers of a site are remembered.
+// recentAnswers is the number of answers whose sending times are kept for each site.
 const recentAnswers = 16
 
-// siteState is what is known of one site.
+// siteState holds what has been observed of one site, and what peers have reported of it.
 type siteState struct {
 	state          State
 	readyServers   int
-	lastContactAt  float64 // the latest answer of any of its servers
-	pendingServers []int   // with something in flight, or failed, since their latest answer
+	lastContactAt  float64 // when any server of the site last answered, or never
+	pendingServers []int   // servers that have had sub-requests in flight or failed since their latest answer
 
-	lostAt       float64
-	lastLossAt   float64
-	recentLosses int // within Config.LossMemoryMs
+	lostAt       float64 // when the current or latest loss was declared
+	lastLossAt   float64 // like lostAt, but never before the first loss
+	recentLosses int     // losses until there was none for Config.LossMemoryMs
 
 	recoveryStartedAt float64
-	recoveryStepMs    float64
-	recoveryAnswers   int
+	recoveryStepMs    float64 // length of the current recovery step
+	recoveryAnswers   int     // answers since the recovery began
 
-	fleetShare   float64 // the fleet's share of its recovery, reported as of fleetShareAt
-	fleetShareAt float64
+	fleetShare   float64 // share, from 0 to 1, up to which the site has recovered for the whole fleet
+	fleetShareAt float64 // when fleetShare was reported
 
-	peerReports map[string]peerReport // by peer
-	lastHintAt  float64
+	peerReports map[string]peerReport // the latest report of each peer, by the peer's name
+	lastHintAt  float64               // when probes were last hinted at
 
-	answeredSentAt [recentAnswers]float64 // a ring: when the sub-requests were sent that it answered last
-	answerCount    int
+	answeredSentAt [recentAnswers]float64 // ring buffer: sending times of the sub-requests that were answered last
+	answerCount    int                    // answers so far; modulo recentAnswers the next index in answeredSentAt
 }
 
 func newSiteState(recoveryStepMs float64) *siteState {
@@ -103,13 +105,14 @@
 	}
 }
 
-// recordContact takes up an answer to what was sent at sentAt.
+// recordContact records an answer at now to a sub-request or probe that was sent at sentAt.
 func (s *siteState) recordContact(now, sentAt float64) {
 	s.lastContactAt = now
 	s.answeredSentAt[s.answerCount%recentAnswers] = sentAt
 	s.answerCount++
 }
 
+// addPending adds a server to pendingServers unless it is there already.
 func (s *siteState) addPending(server int) {
 	for _, pending := range s.pendingServers {
 		if pending == server {
@@ -119,6 +122,7 @@
 	s.pendingServers = append(s.pendingServers, server)
 }
 
+// removePending removes a server from pendingServers if it is there.
 func (s *siteState) removePending(server int) {
 	for i, pending := range s.pendingServers {
 		if pending == server {
--- a/internal/fleet/zonefailure/trace_golden_test.go
+++ b/internal/fleet/zonefailure/trace_golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/golden anew")
+var writeGolden = flag.Bool("write-golden", false, "overwrite testdata/golden/trace.txt with the current trace")
 
-// decisionTrace plays one random script with all kinds of input and gives every change as text.
+// decisionTrace runs one random script with all kinds of input, and returns every change and the final states as text.
 func decisionTrace(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	sizes := make([]int, 2+rng.IntN(4))
@@ -70,10 +70,11 @@
 	return b.String()
 }
 
-// TestGoldenTrace freezes what the detector decides, to the digit: a digest of all changes for each of 200 random scripts.
+// TestGoldenTrace checks that the detector's decisions have not changed in any digit. It compares the digest of all changes of each of
+// 200 random scripts with testdata/golden/trace.txt.
 func TestGoldenTrace(t *testing.T) {
 	if mutantAny {
-		t.Skip("mutants decide otherwise; the tests of behaviour find them")
+		t.Skip("mutants decide differently; other tests have to detect them")
 	}
 	var got bytes.Buffer
 	for seed := range uint64(200) {
@@ -93,6 +94,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("decisions differ from %s", name)
+		t.Errorf("the detector's decisions differ from %s", name)
 	}
 }
