--- a/internal/fleet/zonefailure/config.go
+++ b/internal/fleet/zonefailure/config.go
@@ -31,11 +31,11 @@
 	RelapseFactor     float64
 	MaxRecoveryStepMs float64
 	LossMemoryMs      float64
-	// MinAnsweringServers is how many answers complete a recovery, or as many as the site has ready servers if that is fewer.
-	MinAnsweringServers int
-	// FalseAlarmMs is the time after a loss within which an answer to an earlier sub-request undoes the loss at once, without a
+	// MinRecoveryAnswers is how many answers complete a recovery, or as many as the site has ready servers if that is fewer.
+	MinRecoveryAnswers int
+	// FalseAlarmWindowMs is the time after a loss within which an answer to an earlier sub-request undoes the loss at once, without a
 	// recovery in steps.
-	FalseAlarmMs float64
+	FalseAlarmWindowMs float64
 
 	// ReportFreshMs is how long a peer's report counts. MinPeers is how many peers have to report the same before it has an effect.
 	ReportFreshMs float64
@@ -57,8 +57,8 @@
 	RelapseFactor:             2,
 	MaxRecoveryStepMs:         8000,
 	LossMemoryMs:              60000,
-	MinAnsweringServers:       3,
-	FalseAlarmMs:              1000,
+	MinRecoveryAnswers:        3,
+	FalseAlarmWindowMs:        1000,
 	ReportFreshMs:             5000,
 	MinPeers:                  2,
 }
--- a/internal/fleet/zonefailure/recovery.go
+++ b/internal/fleet/zonefailure/recovery.go
@@ -16,7 +16,7 @@
 		d.beginRecovery(siteIndex, site)
 	}
 	site.recoveryAnswers++
-	answered := site.recoveryAnswers >= min(d.config.MinAnsweringServers, max(site.readyServers, 1)) || mutantClock
+	answered := site.recoveryAnswers >= min(d.config.MinRecoveryAnswers, max(site.readyServers, 1)) || mutantClock
 	if answered && d.now >= site.recoveryStartedAt+site.recoveryStepMs && d.recoveryShare(site) >= 1 {
 		d.changeState(siteIndex, Healthy, 0)
 	}
@@ -25,12 +25,12 @@
 // undoLoss counts a loss that a late answer has disproved as a false alarm, and reports whether the site is healthy at once. In a
 // burst of load a whole site may exceed the latency of nearly all earlier answers. If its servers were then probed one by one, as
 // in a recovery, the site would be out of use for seconds each time, and the other sites would have to take over its load. If the
-// loss is older than Config.FalseAlarmMs, the site was stalled rather than slow, and it recovers in steps: aggregators must
+// loss is older than Config.FalseAlarmWindowMs, the site was stalled rather than slow, and it recovers in steps: aggregators must
 // not all send their load at once to a site that comes out of a stall.
 func (d *Detector) undoLoss(siteIndex int, site *siteState) bool {
 	d.FalseAlarms++
 	site.recentLosses = max(site.recentLosses-1, 0)
-	if d.now >= site.lostAt+d.config.FalseAlarmMs {
+	if d.now >= site.lostAt+d.config.FalseAlarmWindowMs {
 		return false
 	}
 	d.changeState(siteIndex, Healthy, 0)
--- a/internal/fleet/zonefailure/recovery_test.go
+++ b/internal/fleet/zonefailure/recovery_test.go
@@ -67,18 +67,18 @@
 		t.Fatalf("after a late answer site 1 is %v with %d false alarms and %d recent losses, want it not lost, 1 and 0",
 			p.State(1), p.FalseAlarms, p.RecentLosses(1))
 	}
-	if last := p.changes[len(p.changes)-1]; last.To != Healthy || last.FalseAlarmMs <= 0 || last.FalseAlarmMs > DefaultConfig.FalseAlarmMs {
+	if last := p.changes[len(p.changes)-1]; last.To != Healthy || last.FalseAlarmMs <= 0 || last.FalseAlarmMs > DefaultConfig.FalseAlarmWindowMs {
 		t.Errorf("the loss was not undone at once, the last change is %+v", last)
 	}
-	// A site that was stalled for longer than Config.FalseAlarmMs recovers in steps, even if it answers earlier sub-requests.
+	// A site that was stalled for longer than Config.FalseAlarmWindowMs recovers in steps, even if it answers earlier sub-requests.
 	p.runHealthy(3)
 	sent = p.sendBurst(append(p.sites[0][:6:6], p.sites[1][:6]...)...)
 	p.advanceTo(sent + 30)
 	p.answer(sent, p.sites[0][:6]...)
-	p.advanceTo(sent + 10*p.TimeoutMs() + DefaultConfig.FalseAlarmMs)
+	p.advanceTo(sent + 10*p.TimeoutMs() + DefaultConfig.FalseAlarmWindowMs)
 	p.answer(sent, p.sites[1][:6]...)
 	if p.State(1) != Recovering || p.FalseAlarms != 2 {
-		t.Errorf("after a stall longer than Config.FalseAlarmMs site 1 is %v with %d false alarms, want %v and 2",
+		t.Errorf("after a stall longer than Config.FalseAlarmWindowMs site 1 is %v with %d false alarms, want %v and 2",
 			p.State(1), p.FalseAlarms, Recovering)
 	}
 }
