--- a/internal/fleet/statement/progress.go
+++ b/internal/fleet/statement/progress.go
@@ -79,7 +79,7 @@
 }
 
 // NextIntent returns the intent of the statement to be published next at the time now (Unix ms), or nil if there is none. An intent
-// in progress comes first, then the periods in order, and then late parts if no period is left to be published.
+// that progress holds already comes first, then the periods in order, and then late parts if no period is left to be published.
 func (c *Collection) NextIntent(progress Progress, config Config, now int64) *Intent {
 	if progress.Intent != nil {
 		return progress.Intent
--- a/internal/fleet/zonefailure/gossip/gossip.go
+++ b/internal/fleet/zonefailure/gossip/gossip.go
@@ -42,10 +42,10 @@
 	// healthyResendSpan is how long the observation that a site is healthy is sent again. By then all members have received it.
 	healthyResendSpan = 5 * time.Second
 
-	// reclaimAfter is how long after its failure a member's name may be reused with another address.
+	// reclaimAfter is the time since a member's failure after which its name may be used with another address.
 	reclaimAfter = 10 * time.Second
 
-	// leaveTimeout is how long Close waits for the other members to be told.
+	// leaveTimeout is how long Close waits until the other members are notified that this one leaves.
 	leaveTimeout = 200 * time.Millisecond
 )
 
--- a/internal/fleet/zonefailure/state.go
+++ b/internal/fleet/zonefailure/state.go
@@ -50,6 +50,7 @@
 	failedSentAt float64
 }
 
+// newServerState returns the state of a server that belongs to no site and has been sent nothing.
 func newServerState() serverState {
 	return serverState{site: -1, unansweredSince: never, lastSentAt: never, failedSentAt: never}
 }
@@ -78,8 +79,8 @@
 	pendingServers []int   // servers that have had sub-requests in flight or failed since their latest answer
 
 	lostAt       float64 // when the current or latest loss was declared
-	lastLossAt   float64 // like lostAt, but never before the first loss
-	recentLosses int     // losses until there was none for Config.LossMemoryMs
+	lastLossAt   float64 // the same as lostAt, but never if the site has not been lost
+	recentLosses int     // reset once the site is healthy and its latest loss older than Config.LossMemoryMs
 
 	recoveryStartedAt float64
 	recoveryStepMs    float64 // length of the current recovery step
@@ -95,6 +96,7 @@
 	answerCount    int                    // answers so far; modulo recentAnswers the next index in answeredSentAt
 }
 
+// newSiteState returns the state of a healthy site without servers, whose recovery the fleet does not limit.
 func newSiteState(recoveryStepMs float64) *siteState {
 	return &siteState{
 		lastContactAt:  never,
