--- a/internal/fleet/lease/command.go
+++ b/internal/fleet/lease/command.go
@@ -2,28 +2,30 @@
 
 import "encoding/json"
 
-// CommandKind says what a command does. Its values are stored in the log.
+// CommandKind identifies what a command does. Its values are stored in the log.
 type CommandKind string
 
-// The kinds of commands.
+// Kinds of commands.
 const (
 	// CommandGrant makes Target the holder of a role that nobody holds.
 	CommandGrant CommandKind = "grant"
-	// CommandExpire ends the lease of Token, which has run out.
+	// CommandExpire ends the grant of Token after its lease has expired.
 	CommandExpire CommandKind = "expire"
-	// CommandRelease is the holder's own release.
+	// CommandRelease ends the grant of Token at the request of its holder.
 	CommandRelease CommandKind = "release"
-	// CommandProgress stores the holder's Progress.
+	// CommandProgress stores the Progress that the holder reports.
 	CommandProgress CommandKind = "progress"
-	// CommandTransfer reserves the role for Target; with an empty Target it is open to all again.
+	// CommandTransfer reserves the role for Target. An empty Target lifts the reservation.
 	CommandTransfer CommandKind = "move"
-	// CommandRevoke is an operator's: the role is taken from its holder at once.
+	// CommandRevoke takes the role from its holder at once, at an operator's request, and reserves
+	// it for Target if one is given.
 	CommandRevoke CommandKind = "force"
-	// CommandDefine makes a role known.
+	// CommandDefine creates a role that nobody holds yet.
 	CommandDefine CommandKind = "define"
-	// CommandForgive takes a failure back: Target, whose lease of Token ran out, is there again.
+	// CommandForgive undoes the failure that was counted when the lease of Token expired, because
+	// its holder Target is sending requests again.
 	CommandForgive CommandKind = "spare"
-	// CommandNameVoter records that the voter id in Token belongs to the voter named Target.
+	// CommandNameVoter records that the voter id given in Token belongs to the voter named Target.
 	CommandNameVoter CommandKind = "seat"
 )
 
@@ -31,14 +33,14 @@
 type Command struct {
 	Kind        CommandKind `json:"kind"`
 	Role        string      `json:"duty"`
-	Token       uint64      `json:"token,omitempty"` // the latest that the proposer has seen
+	Token       uint64      `json:"token,omitempty"` // the role's latest token known to the proposer
 	Target      string      `json:"to,omitempty"`    // an instance, or a voter's name
 	Progress    []byte      `json:"data,omitempty"`
 	ID          string      `json:"id,omitempty"`   // set by the replica that waits for the result
-	ProgressSeq uint64      `json:"word,omitempty"` // rises under a token
+	ProgressSeq uint64      `json:"word,omitempty"` // sequence number of Progress, increasing under one token
 }
 
-// Encode returns the command's bytes for the log.
+// Encode returns the encoding of the command that is stored in the log.
 func (c Command) Encode() []byte {
 	encoded, err := json.Marshal(c)
 	if err != nil {
@@ -47,7 +49,7 @@
 	return encoded
 }
 
-// validSize tells whether a command keeps the bounds on names and progress.
+// validSize reports whether the command's names and progress are within their size limits.
 func (c Command) validSize() bool {
 	return len(c.Role) > 0 && len(c.Role) <= maxRoleNameBytes &&
 		len(c.Target) <= maxInstanceNameBytes && len(c.Progress) <= maxProgressBytes
@@ -56,16 +58,16 @@
 // Result is the outcome of an applied command.
 type Result struct {
 	CommandID string
-	Index     uint64 // in the log; 0 where the command's fate is not known
-	OK        bool
-	Reason    string // why it was rejected
-	Role      Role   // as it stands after the command
+	Index     uint64 // index in the log; 0 if it is unknown whether the command was committed
+	OK        bool   // whether the command was accepted
+	Reason    string // why the command was rejected
+	Role      Role   // the role after the command
 }
 
-// Reasons that callers tell apart.
+// Reasons for a rejection that callers distinguish.
 const (
-	// ReasonStaleToken rejects a command whose token has been superseded.
+	// ReasonStaleToken rejects a command whose token is not the role's latest.
 	ReasonStaleToken = "the token is not the latest"
-	// ReasonStaleProgress rejects progress that arrived after later progress of the same holder.
+	// ReasonStaleProgress rejects progress that is older than the stored progress of the same grant.
 	ReasonStaleProgress = "a later word of the owner's is there"
 )
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -6,57 +6,59 @@
 	"slices"
 )
 
-// Lease is a granted role as its holder sees it.
+// Lease is a holder's view of a role that was granted to it.
 type Lease struct {
 	Role             string
-	Token            uint64  // fencing token of every effect under this lease
-	ExpiresAt        float64 // on the holder's clock, before the lessor lets it expire
-	ReleaseRequested bool    // the holder is to finish its step and release the role
-	Progress         []byte  // how far the work had come when it was granted
+	Token            uint64  // fencing token sent with every effect under this lease
+	ExpiresAt        float64 // ms on the holder's clock, earlier than the expiry on the lessor's
+	ReleaseRequested bool    // the holder must finish its current step, then release the role
+	Progress         []byte  // progress of the work that was stored when the role was granted
 }
 
-// Action is what an instance has to do. One field is set.
+// Action is a step that the instance must take. Exactly one field is set.
 type Action struct {
-	Start          *Lease // begin the role's work
-	Stop           *Lease // stop it now: no further effect may begin under this token
-	Finish         *Lease // finish the step at hand, then release the role
-	ReportReleased *Lease // tell the voters again that this token was released
+	Start          *Lease // start the role's work
+	Stop           *Lease // stop the work at once: no further effect may start under this token
+	Finish         *Lease // finish the current step, then release the role
+	ReportReleased *Lease // report to the voters again that this token was released
 }
 
-// Holder is an instance's view of the leases that it holds.
+// Holder tracks the leases that one instance holds.
 type Holder struct {
 	config            Config
 	leases            map[string]*Lease // by role
-	endedTokens       map[string]uint64 // by role: the latest token that was released or lost
-	lastLeaderContact float64
+	endedTokens       map[string]uint64 // by role: the latest token whose lease was released, lost or expired
+	lastLeaderContact float64           // time of the latest response from a leading voter, in ms
 }
 
-// NewHolder returns a holder without leases.
+// NewHolder returns a Holder that holds no leases.
 func NewHolder(config Config) *Holder {
 	return &Holder{config: config, leases: map[string]*Lease{}, endedTokens: map[string]uint64{}}
 }
 
-// trustedSpanMs is how long a holder trusts a lease. It counts from when the request was sent,
-// not from when the response arrived, and is shorter than the lessor's span by the clock drift.
+// trustedSpanMs returns how long a holder trusts a lease, in ms. The span starts when the request
+// was sent, not when the response arrived, and is shorter than Config.lessorSpanMs to cover the
+// clock drift.
 func (h *Holder) trustedSpanMs() float64 {
-	if mutantLongHold {
+	if mutantHolderOutlivesLessor {
 		return 1.5 * h.config.LeaseMs
 	}
 	return h.config.LeaseMs * (1 - h.config.MaxDrift)
 }
 
-// HandleGrant handles a response to the request sent at sentAt: this instance holds the role
-// under the token. A response that was delayed on its way can't bring back a token that this
-// instance has ended, since the next holder did not have to wait for that lease.
+// HandleGrant handles a response, to the request sent at sentAt, that this instance holds the role
+// under the token. release is set if the instance has to finish its step and release the role.
+// A delayed response must not revive a token that this instance has ended, because the next
+// holder is granted the role without waiting for that lease to expire.
 func (h *Holder) HandleGrant(now, sentAt float64, role string, token uint64, progress []byte, release bool) []Action {
 	current := h.leases[role]
 	if current != nil && token < current.Token {
 		return nil
 	}
-	if token <= h.endedTokens[role] && !mutantBack {
+	if token <= h.endedTokens[role] && !mutantReviveEndedLease {
 		return h.handleEndedGrant(role, token)
 	}
-	if mutantAnswerTime {
+	if mutantLeaseFromResponse {
 		sentAt = now
 	}
 	expiresAt := sentAt + h.trustedSpanMs()
@@ -69,15 +71,16 @@
 		actions = append(actions, Action{Stop: current})
 	}
 	if now >= expiresAt {
-		return actions // it arrived too late to begin
+		return actions // the lease expired before its response arrived
 	}
 	granted := &Lease{Role: role, Token: token, ExpiresAt: expiresAt, ReleaseRequested: release, Progress: progress}
 	h.leases[role] = granted
 	return append(actions, Action{Start: granted})
 }
 
-// handleEndedGrant has a release reported again whose report was lost: without it the role would
-// keep a holder that does nothing and whose lease is renewed for ever.
+// handleEndedGrant requests that the release of an ended token is reported again, since the
+// voters evidently missed the first report. Otherwise they would renew the lease forever for a
+// holder that no longer does the work.
 func (h *Holder) handleEndedGrant(role string, token uint64) []Action {
 	if h.leases[role] != nil || token != h.endedTokens[role] {
 		return nil
@@ -85,7 +88,8 @@
 	return []Action{{ReportReleased: &Lease{Role: role, Token: token}}}
 }
 
-// renewLease extends a held lease, and takes up a request to release it.
+// renewLease extends a held lease, and returns a Finish action if the release is requested for the
+// first time.
 func renewLease(current *Lease, expiresAt float64, release bool) []Action {
 	current.ExpiresAt = max(current.ExpiresAt, expiresAt)
 	if !release || current.ReleaseRequested {
@@ -95,8 +99,8 @@
 	return []Action{{Finish: current}}
 }
 
-// HandleLost handles a response by which this instance does not hold the role: its latest token
-// is another's.
+// HandleLost handles a response that this instance does not hold the role, whose latest token is
+// latestToken.
 func (h *Holder) HandleLost(role string, latestToken uint64) []Action {
 	current := h.leases[role]
 	if current == nil || current.Token > latestToken {
@@ -106,7 +110,8 @@
 	return []Action{{Stop: current}}
 }
 
-// MarkReleased ends the role's lease on this instance's side, for good under its token.
+// MarkReleased ends the role's lease on this instance. The lease can't be resumed under the same
+// token.
 func (h *Holder) MarkReleased(role string) {
 	if current := h.leases[role]; current != nil {
 		h.endedTokens[role] = max(h.endedTokens[role], current.Token)
@@ -114,8 +119,8 @@
 	}
 }
 
-// MayAct tells whether an effect of the role may begin now, and under which token. The process
-// may be paused between this check and the effect: the receiver's fence is what decides.
+// MayAct reports whether an effect of the role may start now, and under which token. The process
+// may be paused between this check and the effect, so the receiver must check the token as well.
 func (h *Holder) MayAct(now float64, role string) (token uint64, may bool) {
 	current := h.leases[role]
 	if current == nil || now >= current.ExpiresAt {
@@ -124,8 +129,8 @@
 	return current.Token, true
 }
 
-// ExpireLeases ends the leases that have run out, for good under their tokens: what a later
-// response says of the work's progress may be older than the work itself.
+// ExpireLeases ends the leases that have expired. They can't be resumed under the same tokens,
+// because the progress in a later response may be older than the work already done.
 func (h *Holder) ExpireLeases(now float64) (actions []Action) {
 	for _, role := range slices.Sorted(maps.Keys(h.leases)) {
 		current := h.leases[role]
@@ -137,16 +142,16 @@
 	return actions
 }
 
-// RecordLeaderContact records that a leading voter has responded.
+// RecordLeaderContact records that a leading voter responded at now.
 func (h *Holder) RecordLeaderContact(now float64) { h.lastLeaderContact = now }
 
-// LeaderTimedOut tells whether no leading voter has responded for a lease. Then no lease is held,
-// nor will one be until a leader responds.
+// LeaderTimedOut reports whether no leading voter has responded for the duration of a lease. In
+// that case this instance holds no lease, and gets none until a leader responds.
 func (h *Holder) LeaderTimedOut(now float64) bool {
 	return now-h.lastLeaderContact > h.config.LeaseMs
 }
 
-// Leases returns copies of the held leases, sorted by role.
+// Leases returns copies of the leases currently held, sorted by role.
 func (h *Holder) Leases() (held []Lease) {
 	for _, current := range h.leases {
 		held = append(held, *current)
--- a/internal/fleet/lease/lessor.go
+++ b/internal/fleet/lease/lessor.go
@@ -9,52 +9,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Lessor is the leading voter's view of time: which leases run, which instances are alive, which
-// roles back off after a failure. All of it is lost with leadership. A new leader knows nothing
-// of earlier renewals, and so assumes that each lease was renewed just before it began to lead.
+// Lessor tracks on the leading voter when leases expire, which instances are alive and which roles
+// are in backoff after a failure. This data is not replicated and is lost with leadership. A new
+// leader knows no earlier renewals, so it assumes that each lease was renewed just before it
+// became the leader.
 type Lessor struct {
 	config        Config
 	state         *State
-	leadingSince  float64
+	leadingSince  float64 // ms on this voter's clock, as all times below
 	isLeader      bool
 	expiries      map[string]expiry          // by role
 	lastRequestAt map[string]float64         // by instance
-	eligibleRoles map[string][]string        // by instance; nil: all
+	eligibleRoles map[string][]string        // by instance; nil: all roles
 	progressSeen  map[string]progressVersion // by role
 	notBefore     map[string]float64         // by role: earliest time of the next grant
-	proposed      map[string]string          // by role: kind and token of the command in flight
-	proposedAt    map[string]float64         // by role
-	handoverSince map[string]float64         // by role: since when its holder is asked to release it
+	proposed      map[string]string          // by role: kind and token of the latest proposed command
+	proposedAt    map[string]float64         // by role: when that command was proposed
+	handoverSince map[string]float64         // by role: since when its holder has been asked to release it
 	lastExpired   map[string]expiredLease    // by role
 }
 
-// expiry is when the lease of a token runs out, on the lessor's clock.
+// expiry is the time at which the lease of a token expires.
 type expiry struct {
 	token     uint64
-	expiresAt float64
+	expiresAt float64 // ms on the lessor's clock
 }
 
-// expiredLease is the latest lease of a role that ran out.
+// expiredLease is the lease of a role that expired last.
 type expiredLease struct {
 	instance  string
 	token     uint64
-	expiredAt float64
+	expiredAt float64 // ms on the lessor's clock
 }
 
-// progressVersion is a role's progress as it was last seen to change.
+// progressVersion records when this lessor first saw a role's current progress.
 type progressVersion struct {
-	index  uint64
-	seenAt float64
+	index  uint64  // log index at which the progress was written
+	seenAt float64 // ms on the lessor's clock
 }
 
-// maxTrackedInstances bounds the instances that are remembered before stale ones are dropped.
+// maxTrackedInstances is the number of instances above which RecordRequest drops those that have
+// stopped sending requests.
 const maxTrackedInstances = 10000
 
-// NewLessor returns a lessor of the state's roles that does not lead.
+// NewLessor returns a Lessor for the state's roles. It is a follower until BecomeLeader is called.
 func NewLessor(config Config, state *State) *Lessor { return &Lessor{config: config, state: state} }
 
-// BecomeLeader begins to lead. Each running lease may have been renewed just now by the leader
-// before, so all of them run for a full span from here.
+// BecomeLeader makes this lessor the leader. The previous leader may have renewed any lease just
+// before now, so every lease is assumed to run for a full lessor span from now on.
 func (l *Lessor) BecomeLeader(now float64) {
 	*l = Lessor{
 		config:        l.config,
@@ -75,7 +77,7 @@
 		role := l.state.Roles[name]
 		if role.Holder != "" {
 			span := l.config.lessorSpanMs()
-			if mutantNoWait {
+			if mutantSkipLeaderWait {
 				span = 0
 			}
 			l.expiries[name] = expiry{role.Token, now + span}
@@ -85,13 +87,14 @@
 	}
 }
 
-// BecomeFollower ends the lead: this voter grants and renews nothing any more.
+// BecomeFollower makes this lessor a follower, which neither grants nor renews leases.
 func (l *Lessor) BecomeFollower() { l.isLeader = false }
 
-// IsLeader tells whether this lessor leads.
+// IsLeader reports whether this lessor is the leader.
 func (l *Lessor) IsLeader() bool { return l.isLeader }
 
-// failureBackoff is how long a role waits for its next grant after so many failures in a row.
+// failureBackoff returns how long a role must not be granted after the given number of consecutive
+// failures, in ms.
 func (l *Lessor) failureBackoff(failures int) float64 {
 	backoff := l.config.FailureBackoffMs
 	for n := 1; n < failures && backoff < l.config.MaxFailureBackoffMs; n++ {
@@ -101,7 +104,8 @@
 }
 
 // RecordRequest records that an instance is alive, and for which roles it is eligible (nil: all).
-// The caller passes on only requests after whose arrival a quorum has confirmed the lead.
+// The caller must first have a quorum confirm, after the request arrived, that this voter is still
+// the leader.
 func (l *Lessor) RecordRequest(now float64, instance string, eligible []string) {
 	if !l.isLeader {
 		return
@@ -120,16 +124,16 @@
 }
 
 // Renew extends the lease of a role's latest token, under the same condition as RecordRequest.
-// release tells that the holder is to finish its step and release the role: a reserved role is
-// renewed for Config.HandoverMs at most.
+// release reports whether the holder has to finish its step and release the role: a role that is
+// reserved for another instance is renewed for Config.HandoverMs at most.
 func (l *Lessor) Renew(now float64, name string, token uint64, instance string) (renewed, release bool) {
 	role := l.state.Roles[name]
 	if !l.isLeader || role == nil || role.Holder != instance || role.Token != token {
 		return false, false
 	}
 	current, known := l.expiries[name]
-	if known && current.token == token && now >= current.expiresAt && !mutantRevive {
-		return false, false // its expiry may be in the log already
+	if known && current.token == token && now >= current.expiresAt && !mutantRenewExpired {
+		return false, false // the command that ends it may be in the log already
 	}
 	if role.NextHolder != "" && role.NextHolder != instance {
 		release = true
@@ -138,7 +142,7 @@
 			l.handoverSince[name], since = now, now
 		}
 		if now-since > l.config.HandoverMs {
-			return false, true // asked for long enough: let the lease run out
+			return false, true // the holder did not release the role in time: let the lease expire
 		}
 	} else {
 		delete(l.handoverSince, name)
@@ -147,9 +151,9 @@
 	return true, release
 }
 
-// DueCommands returns the commands to propose now: expiries of leases that have run out, and
-// grants of free roles to live instances. Roles are placed by rendezvous hashing, so that few
-// move when instances come and go; a held role stays where it is.
+// DueCommands returns the commands to propose now: those that end expired leases, forgive
+// failures, and grant free roles to live instances. Roles are assigned by rendezvous hashing, so
+// that few of them move when instances join or leave; a held role is not moved.
 func (l *Lessor) DueCommands(now float64) (due []Command) {
 	if !l.isLeader {
 		return nil
@@ -174,7 +178,7 @@
 	return due
 }
 
-// aliveInstances returns who has sent a request within a lease, sorted.
+// aliveInstances returns the instances that sent a request within the last lease duration, sorted.
 func (l *Lessor) aliveInstances(now float64) []string {
 	alive := make([]string, 0, len(l.lastRequestAt))
 	for instance, requestedAt := range l.lastRequestAt {
@@ -186,10 +190,10 @@
 	return alive
 }
 
-// expire proposes the end of a held role's lease once it has run out.
+// expire proposes to end a held role's grant once its lease has expired.
 func (l *Lessor) expire(now float64, role *Role) (Command, bool) {
 	current, known := l.expiries[role.Name]
-	if !known || current.token != role.Token { // just granted
+	if !known || current.token != role.Token { // granted since the last call
 		current = expiry{role.Token, now + l.config.lessorSpanMs()}
 		l.expiries[role.Name] = current
 	}
@@ -207,9 +211,9 @@
 	return c, true
 }
 
-// forgive proposes to take a failure back where the former holder, in the same incarnation, sends
-// requests again before the backoff is over: its role did not bring it down, only the network or
-// its machine was slow. One that comes back later may have hung in its work.
+// forgive proposes to undo a counted failure if the former holder, in the same incarnation, sends
+// requests again before the backoff ends. The role's work did not crash it then: only the network
+// or its machine was slow. A holder that returns later may have hung in the work itself.
 func (l *Lessor) forgive(now float64, role *Role) (Command, bool) {
 	last := l.lastExpired[role.Name]
 	backedOff := role.HolderFailures > 0 && now < l.notBefore[role.Name]
@@ -227,7 +231,7 @@
 	return c, true
 }
 
-// grant proposes the next holder of a free role, if there is one.
+// grant proposes to grant a free role to a live instance, unless the role is in backoff.
 func (l *Lessor) grant(now float64, role *Role, alive []string) (Command, bool) {
 	backedOff := role.HolderFailures > 0 && !role.Forced && now < l.notBefore[role.Name]
 	if backedOff || len(alive) == 0 {
@@ -243,8 +247,9 @@
 	return l.propose(now, Command{Kind: CommandGrant, Role: role.Name, Token: role.Token, Target: target})
 }
 
-// grantReserved proposes a reserved role's grant while its next holder is alive. Once that one
-// has been away for a handover's time, it proposes to lift the reservation.
+// grantReserved proposes to grant a reserved role to its next holder if that instance is alive.
+// If it has sent no request for Config.HandoverMs, counted from the start of this leader's term at
+// the earliest, grantReserved proposes to lift the reservation.
 func (l *Lessor) grantReserved(now float64, role *Role) (Command, bool) {
 	requestedAt, known := l.lastRequestAt[role.NextHolder]
 	if known && now-requestedAt <= l.config.LeaseMs {
@@ -257,7 +262,8 @@
 	return l.propose(now, Command{Kind: CommandTransfer, Role: role.Name, Token: role.Token})
 }
 
-// eligibleInstances returns those of the instances that can do a role, in order.
+// eligibleInstances returns those of the given instances that are eligible for a role, in the
+// given order.
 func (l *Lessor) eligibleInstances(role string, instances []string) []string {
 	var eligible []string
 	for _, instance := range instances {
@@ -269,7 +275,7 @@
 	return eligible
 }
 
-// propose returns a command unless it is in flight already.
+// propose returns the command and whether to propose it now: not if it is already in flight.
 func (l *Lessor) propose(now float64, c Command) (Command, bool) {
 	if !l.shouldPropose(now, c.Kind, c.Role, c.Token) {
 		return Command{}, false
@@ -277,9 +283,11 @@
 	return c, true
 }
 
-// shouldPropose holds a command back while it equals the role's latest, by kind and token, and
-// allows it again after a lease, as it may have been lost. Kinds count apart: a grant that waited
-// until the expiry before it was old made each take-over longer by a lease.
+// shouldPropose reports whether to propose a command now, and records it if so. A command with the
+// same kind and token as the role's latest proposal is held back for the duration of a lease, and
+// is then proposed again because the first may have been lost. The kind is part of the comparison:
+// when a grant also had to wait for the preceding expiry command, each takeover took one lease
+// longer.
 func (l *Lessor) shouldPropose(now float64, kind CommandKind, role string, token uint64) bool {
 	key := fmt.Sprint(kind, token)
 	if l.proposed[role] == key && now-l.proposedAt[role] < l.config.LeaseMs {
@@ -289,8 +297,8 @@
 	return true
 }
 
-// PreferredInstance returns the instance to which rendezvous hashing assigns a role; "" without
-// instances.
+// PreferredInstance returns the instance to which rendezvous hashing assigns a role, or "" if
+// there are no instances.
 func PreferredInstance(role string, instances []string) (preferred string) {
 	maxWeight := uint64(0)
 	for _, instance := range instances {
@@ -303,9 +311,9 @@
 	return preferred
 }
 
-// ProgressAge is for how long a role's progress has been unchanged, in ms, as far as this leader
-// knows. Progress older than its lead may have been written up to a lease before it; of an
-// unknown role the age is infinite.
+// ProgressAge returns how long a role's progress has been unchanged, in ms, as far as this leader
+// knows. Progress from before this leader's term may have been written up to one lease before the
+// term began, and is counted as that old. The age of an unknown role is infinite.
 func (l *Lessor) ProgressAge(now float64, name string) float64 {
 	role := l.state.Roles[name]
 	if role == nil {
@@ -322,7 +330,7 @@
 	return now - version.seenAt
 }
 
-// RequestAges returns how long ago each instance sent its latest request, in ms.
+// RequestAges returns the time since each instance's latest request, in ms.
 func (l *Lessor) RequestAges(now float64) map[string]float64 {
 	ages := map[string]float64{}
 	for instance, requestedAt := range l.lastRequestAt {
@@ -331,7 +339,7 @@
 	return ages
 }
 
-// Expiries returns until when each role's lease runs, on this lessor's clock.
+// Expiries returns the time at which each role's lease expires, in ms on this lessor's clock.
 func (l *Lessor) Expiries() map[string]float64 {
 	expiries := map[string]float64{}
 	for role, current := range l.expiries {
--- a/internal/fleet/lease/mutant_answertime.go
+++ b/internal/fleet/lease/mutant_answertime.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = false
-	mutantBack        = false
-	mutantReuse       = false
-	mutantOldWord     = false
-	mutantOldProgress = false
-	mutantNoWait      = false
-	mutantLongHold    = false
-	mutantAnswerTime  = true
+	mutantRenewExpired         = false
+	mutantReviveEndedLease     = false
+	mutantReuseToken           = false
+	mutantAcceptOlderProgress  = false
+	mutantAcceptStaleToken     = false
+	mutantSkipLeaderWait       = false
+	mutantHolderOutlivesLessor = false
+	mutantLeaseFromResponse    = true
 )
--- a/internal/fleet/lease/mutant_back.go
+++ b/internal/fleet/lease/mutant_back.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = false
-	mutantBack        = true
-	mutantReuse       = false
-	mutantOldWord     = false
-	mutantOldProgress = false
-	mutantNoWait      = false
-	mutantLongHold    = false
-	mutantAnswerTime  = false
+	mutantRenewExpired         = false
+	mutantReviveEndedLease     = true
+	mutantReuseToken           = false
+	mutantAcceptOlderProgress  = false
+	mutantAcceptStaleToken     = false
+	mutantSkipLeaderWait       = false
+	mutantHolderOutlivesLessor = false
+	mutantLeaseFromResponse    = false
 )
--- a/internal/fleet/lease/mutant_longhold.go
+++ b/internal/fleet/lease/mutant_longhold.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = false
-	mutantBack        = false
-	mutantReuse       = false
-	mutantOldWord     = false
-	mutantOldProgress = false
-	mutantNoWait      = false
-	mutantLongHold    = true
-	mutantAnswerTime  = false
+	mutantRenewExpired         = false
+	mutantReviveEndedLease     = false
+	mutantReuseToken           = false
+	mutantAcceptOlderProgress  = false
+	mutantAcceptStaleToken     = false
+	mutantSkipLeaderWait       = false
+	mutantHolderOutlivesLessor = true
+	mutantLeaseFromResponse    = false
 )
--- a/internal/fleet/lease/mutant_none.go
+++ b/internal/fleet/lease/mutant_none.go
@@ -2,15 +2,15 @@
 
 package lease
 
-// Planted defects, each behind a build tag. TestPlantedDefects of internal/standin/leasesim shows
-// that each is found.
+// Deliberate defects, each enabled by a build tag of its own. TestPlantedDefects in
+// internal/standin/leasesim checks that the simulation detects each of them.
 const (
-	mutantRevive      = false // a lease that has run out is renewed
-	mutantBack        = false // a delayed response brings a released lease back
-	mutantReuse       = false // a grant reuses the token before it
-	mutantOldWord     = false // progress is stored over later progress of the same holder
-	mutantOldProgress = false // a stale holder's progress is stored
-	mutantNoWait      = false // a new leader does not wait out running leases
-	mutantLongHold    = false // a holder trusts its lease longer than the lessor does
-	mutantAnswerTime  = false // a lease counts from the response, not from the request
+	mutantRenewExpired         = false // the lessor renews a lease that has expired
+	mutantReviveEndedLease     = false // a delayed response revives a lease that the holder has ended
+	mutantReuseToken           = false // a grant reuses the token of the previous grant
+	mutantAcceptOlderProgress  = false // delayed progress overwrites later progress of the same grant
+	mutantAcceptStaleToken     = false // progress is accepted from a holder whose token is stale
+	mutantSkipLeaderWait       = false // a new leader does not wait for running leases to expire
+	mutantHolderOutlivesLessor = false // a holder trusts its lease longer than the lessor keeps it
+	mutantLeaseFromResponse    = false // the holder counts a lease from the response instead of the request
 )
--- a/internal/fleet/lease/mutant_nowait.go
+++ b/internal/fleet/lease/mutant_nowait.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = false
-	mutantBack        = false
-	mutantReuse       = false
-	mutantOldWord     = false
-	mutantOldProgress = false
-	mutantNoWait      = true
-	mutantLongHold    = false
-	mutantAnswerTime  = false
+	mutantRenewExpired         = false
+	mutantReviveEndedLease     = false
+	mutantReuseToken           = false
+	mutantAcceptOlderProgress  = false
+	mutantAcceptStaleToken     = false
+	mutantSkipLeaderWait       = true
+	mutantHolderOutlivesLessor = false
+	mutantLeaseFromResponse    = false
 )
--- a/internal/fleet/lease/mutant_oldprogress.go
+++ b/internal/fleet/lease/mutant_oldprogress.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = false
-	mutantBack        = false
-	mutantReuse       = false
-	mutantOldWord     = false
-	mutantOldProgress = true
-	mutantNoWait      = false
-	mutantLongHold    = false
-	mutantAnswerTime  = false
+	mutantRenewExpired         = false
+	mutantReviveEndedLease     = false
+	mutantReuseToken           = false
+	mutantAcceptOlderProgress  = false
+	mutantAcceptStaleToken     = true
+	mutantSkipLeaderWait       = false
+	mutantHolderOutlivesLessor = false
+	mutantLeaseFromResponse    = false
 )
--- a/internal/fleet/lease/mutant_oldword.go
+++ b/internal/fleet/lease/mutant_oldword.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = false
-	mutantBack        = false
-	mutantReuse       = false
-	mutantOldWord     = true
-	mutantOldProgress = false
-	mutantNoWait      = false
-	mutantLongHold    = false
-	mutantAnswerTime  = false
+	mutantRenewExpired         = false
+	mutantReviveEndedLease     = false
+	mutantReuseToken           = false
+	mutantAcceptOlderProgress  = true
+	mutantAcceptStaleToken     = false
+	mutantSkipLeaderWait       = false
+	mutantHolderOutlivesLessor = false
+	mutantLeaseFromResponse    = false
 )
--- a/internal/fleet/lease/mutant_reuse.go
+++ b/internal/fleet/lease/mutant_reuse.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = false
-	mutantBack        = false
-	mutantReuse       = true
-	mutantOldWord     = false
-	mutantOldProgress = false
-	mutantNoWait      = false
-	mutantLongHold    = false
-	mutantAnswerTime  = false
+	mutantRenewExpired         = false
+	mutantReviveEndedLease     = false
+	mutantReuseToken           = true
+	mutantAcceptOlderProgress  = false
+	mutantAcceptStaleToken     = false
+	mutantSkipLeaderWait       = false
+	mutantHolderOutlivesLessor = false
+	mutantLeaseFromResponse    = false
 )
--- a/internal/fleet/lease/mutant_revive.go
+++ b/internal/fleet/lease/mutant_revive.go
@@ -3,12 +3,12 @@
 package lease
 
 const (
-	mutantRevive      = true
-	mutantBack        = false
-	mutantReuse       = false
-	mutantOldWord     = false
-	mutantOldProgress = false
-	mutantNoWait      = false
-	mutantLongHold    = false
-	mutantAnswerTime  = false
+	mutantRenewExpired         = true
+	mutantReviveEndedLease     = false
+	mutantReuseToken           = false
+	mutantAcceptOlderProgress  = false
+	mutantAcceptStaleToken     = false
+	mutantSkipLeaderWait       = false
+	mutantHolderOutlivesLessor = false
+	mutantLeaseFromResponse    = false
 )
--- a/internal/fleet/lease/state.go
+++ b/internal/fleet/lease/state.go
@@ -6,30 +6,30 @@
 	"sort"
 )
 
-// Role is a singleton role and its grant.
+// Role is a singleton role and its latest grant.
 type Role struct {
 	Name           string `json:"name"`
-	Holder         string `json:"owner,omitempty"` // an incarnation of an instance; empty: nobody
-	Token          uint64 `json:"token"`           // fencing token of the latest grant
-	NextHolder     string `json:"next,omitempty"`  // the role is reserved for it once it is released
-	Progress       []byte `json:"data,omitempty"`  // the work's own account of how far it has come
-	ProgressToken  uint64 `json:"written"`         // token under which Progress was written
-	ProgressIndex  uint64 `json:"changed"`         // log index at which Progress was written
-	ProgressSeq    uint64 `json:"word"`            // sequence number of Progress under its token
-	HolderFailures int    `json:"deaths"`          // expired leases in a row, since progress was made
-	Forced         bool   `json:"forced,omitempty"`
-}
-
-// Event is one line of the history of grants.
+	Holder         string `json:"owner,omitempty"`  // incarnation of an instance; empty if nobody holds the role
+	Token          uint64 `json:"token"`            // fencing token of the latest grant
+	NextHolder     string `json:"next,omitempty"`   // instance that gets the role after its release; empty if any may
+	Progress       []byte `json:"data,omitempty"`   // progress of the role's work, opaque to this package
+	ProgressToken  uint64 `json:"written"`          // token under which Progress was written
+	ProgressIndex  uint64 `json:"changed"`          // log index at which Progress was written
+	ProgressSeq    uint64 `json:"word"`             // sequence number of Progress under its token
+	HolderFailures int    `json:"deaths"`           // consecutive expired leases since progress was last stored
+	Forced         bool   `json:"forced,omitempty"` // an operator revoked the latest grant, so no backoff applies
+}
+
+// Event is an entry of the history of grants.
 type Event struct {
-	Index    uint64 `json:"index"`
+	Index    uint64 `json:"index"` // log index of the command
 	Role     string `json:"duty"`
 	Kind     string `json:"what"`
 	Instance string `json:"who,omitempty"`
 	Token    uint64 `json:"token"`
 }
 
-// Kinds of events. Operators read them, and they are stored.
+// Kinds of events. They are stored and shown to operators.
 const (
 	eventGranted     = "granted"
 	eventExpired     = "expired"
@@ -39,17 +39,17 @@
 	eventTransferred = "to move"
 )
 
-// State is the replicated state machine. It is a function of the applied commands alone: equal
-// logs give equal states, byte for byte in Snapshot.
+// State is the replicated state machine. It depends on the applied commands alone: equal logs give
+// states whose snapshots are equal byte for byte.
 type State struct {
-	NextToken    uint64            `json:"next"`   // the next grant's
-	VoterNames   map[uint64]string `json:"voters"` // by voter id; each disk has an id of its own
-	Roles        map[string]*Role  `json:"duties"`
-	History      []Event           `json:"history"`
-	AppliedIndex uint64            `json:"index"` // of the latest command
+	NextToken    uint64            `json:"next"`    // token of the next grant
+	VoterNames   map[uint64]string `json:"voters"`  // by voter id; a voter gets a new id with each new disk
+	Roles        map[string]*Role  `json:"duties"`  // by name
+	History      []Event           `json:"history"` // oldest first
+	AppliedIndex uint64            `json:"index"`   // log index of the latest applied entry
 }
 
-// Bounds on the state: the whole of it travels in one snapshot.
+// Limits on the size of the state, because a snapshot transfers all of it at once.
 const (
 	maxHistory           = 1000 // events
 	maxRoles             = 200
@@ -59,13 +59,14 @@
 	maxInstanceNameBytes = 256
 )
 
-// NewState returns a state without roles. Its first token is 1.
+// NewState returns a state without roles. The first grant gets token 1.
 func NewState() *State {
 	return &State{NextToken: 1, VoterNames: map[uint64]string{}, Roles: map[string]*Role{}}
 }
 
-// Apply changes the state by one entry of the log. An empty entry, as an election leaves one,
-// changes nothing. An entry that can't be decoded is rejected by every voter alike.
+// Apply applies one entry of the log. An empty entry, which raft appends after an election, changes
+// nothing but AppliedIndex. Every voter rejects an entry that can't be decoded, so the replicas
+// stay equal.
 func (s *State) Apply(index uint64, encoded []byte) Result {
 	s.AppliedIndex = index
 	if len(encoded) == 0 {
@@ -95,7 +96,8 @@
 	return result
 }
 
-// nameVoter records whose a voter id is, within the bounds.
+// nameVoter records the name of a voter id. It reports whether the command was valid and the limit
+// on names allowed it.
 func (s *State) nameVoter(c Command) bool {
 	named := c.Target != "" && len(c.Target) <= maxInstanceNameBytes
 	if !named || c.Token == 0 || len(s.VoterNames) >= maxVoterNames {
@@ -105,7 +107,8 @@
 	return true
 }
 
-// roleFor finds a command's role. A definition or a grant creates it while there is room.
+// roleFor returns a command's role, or nil if it does not exist. A definition or a grant creates a
+// missing role unless there are maxRoles already.
 func (s *State) roleFor(c Command) *Role {
 	role := s.Roles[c.Role]
 	if role != nil {
@@ -120,7 +123,8 @@
 	return role
 }
 
-// applyToRole carries a command out, or returns why it is rejected and changes nothing.
+// applyToRole applies a command to a role. If the command is rejected, applyToRole returns the
+// reason and changes nothing.
 func (s *State) applyToRole(role *Role, c Command) (rejection string) {
 	switch c.Kind {
 	case CommandDefine:
@@ -139,6 +143,7 @@
 	return "no such command"
 }
 
+// grant makes the command's target the holder of a free role, under a new token.
 func (s *State) grant(role *Role, c Command) (rejection string) {
 	switch {
 	case role.Holder != "":
@@ -146,12 +151,12 @@
 	case c.Target == "":
 		return "nobody is named"
 	case c.Token != role.Token:
-		return ReasonStaleToken // it was granted and lost since this command was proposed
+		return ReasonStaleToken // the role was granted and ended since this command was proposed
 	case role.NextHolder != "" && role.NextHolder != c.Target:
 		return "it is kept for " + role.NextHolder
 	}
 	role.Holder, role.NextHolder, role.Forced = c.Target, "", false
-	if !mutantReuse {
+	if !mutantReuseToken {
 		role.Token = s.NextToken
 		s.NextToken++
 	}
@@ -159,7 +164,7 @@
 	return ""
 }
 
-// end takes a role from its holder: by expiry, by the holder's release, or by an operator.
+// end takes a role from its holder: on expiry, on the holder's release, or on an operator's revoke.
 func (s *State) end(role *Role, c Command) (rejection string) {
 	if c.Token != role.Token || role.Holder == "" {
 		return ReasonStaleToken
@@ -179,13 +184,13 @@
 	return ""
 }
 
-// setProgress stores the holder's progress. Under one token it is numbered, so that progress
-// which was held up on its way can't overwrite later progress.
+// setProgress stores the holder's progress. Reports under one token carry sequence numbers, so that
+// a delayed report can't overwrite a later one.
 func (s *State) setProgress(role *Role, c Command) (rejection string) {
-	if (c.Token != role.Token || role.Holder == "") && !mutantOldProgress {
+	if (c.Token != role.Token || role.Holder == "") && !mutantAcceptStaleToken {
 		return ReasonStaleToken
 	}
-	if c.Token == role.ProgressToken && c.ProgressSeq < role.ProgressSeq && !mutantOldWord {
+	if c.Token == role.ProgressToken && c.ProgressSeq < role.ProgressSeq && !mutantAcceptOlderProgress {
 		return ReasonStaleProgress
 	}
 	role.Progress = c.Progress
@@ -194,8 +199,8 @@
 	return ""
 }
 
-// forgive takes one failure back. Once the role has been granted again it is too late: what the
-// former holder may have failed of concerns the next one by then.
+// forgive decrements the count of failures. It is rejected once the role has been granted again:
+// whatever made the former holder fail may then affect the new holder too.
 func (s *State) forgive(role *Role, c Command) (rejection string) {
 	if c.Token != role.Token || role.Holder != "" || role.HolderFailures == 0 {
 		return ReasonStaleToken
@@ -205,8 +210,8 @@
 	return ""
 }
 
-// transfer reserves a role. The token has to be the latest, so that two operators can't undo
-// each other's change unseen.
+// transfer reserves a role for the command's target. The command must carry the latest token, so
+// that two operators can't overwrite each other's change without noticing.
 func (s *State) transfer(role *Role, c Command) (rejection string) {
 	if c.Token != role.Token {
 		return ReasonStaleToken
@@ -216,7 +221,8 @@
 	return ""
 }
 
-// record appends an event of the command being applied, and drops the oldest past the bound.
+// record appends an event for the command being applied, and drops the oldest events above
+// maxHistory.
 func (s *State) record(role *Role, kind, instance string) {
 	s.History = append(s.History, Event{s.AppliedIndex, role.Name, kind, instance, role.Token})
 	if excess := len(s.History) - maxHistory; excess > 0 {
@@ -224,7 +230,7 @@
 	}
 }
 
-// Snapshot returns the state's stored form; Restore reads it.
+// Snapshot returns the state's stored encoding, which Restore decodes.
 func (s *State) Snapshot() []byte {
 	snapshot, err := json.Marshal(s)
 	if err != nil {
@@ -233,7 +239,7 @@
 	return snapshot
 }
 
-// Restore replaces the state by a snapshot's. After an error the state is as it was.
+// Restore replaces the state with that of a snapshot. On an error the state is unchanged.
 func (s *State) Restore(snapshot []byte) error {
 	restored := NewState()
 	if err := json.Unmarshal(snapshot, restored); err != nil {
