--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// apply applies a command as the next entry of the log.
+// apply applies a command to s as the next entry of the log.
 func apply(t *testing.T, s *State, c Command) Result {
 	t.Helper()
 	return s.Apply(s.AppliedIndex+1, c.Encode())
@@ -22,22 +22,23 @@
 		}
 		r := apply(t, s, Command{Kind: CommandGrant, Role: role, Token: seen, Target: "a"})
 		if !r.OK || r.Role.Token <= last {
-			t.Fatal(r, last)
+			t.Fatalf("grant %d of role %s: %+v, previous token %d", i, role, r, last)
 		}
 		last = r.Role.Token
 		if r := apply(t, s, Command{Kind: CommandGrant, Role: role, Token: last, Target: "b"}); r.OK {
-			t.Fatal("two holders")
+			t.Fatalf("role %s was granted to a second holder: %+v", role, r)
 		}
 		if r := apply(t, s, Command{Kind: CommandProgress, Role: role, Token: seen, Progress: []byte("x")}); r.OK {
-			t.Fatal("a stale holder made progress")
+			t.Fatalf("progress under the stale token %d of role %s was accepted", seen, role)
 		}
-		restored := NewState() // a snapshot keeps the next token
+		restored := NewState() // the snapshot must preserve the next token
 		if err := restored.Restore(s.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
 		s = restored
-		if r := apply(t, s, Command{Kind: []CommandKind{CommandRelease, CommandExpire, CommandRevoke}[i%3], Role: role, Token: last, Target: ""}); !r.OK {
-			t.Fatal(r)
+		kind := []CommandKind{CommandRelease, CommandExpire, CommandRevoke}[i%3]
+		if r := apply(t, s, Command{Kind: kind, Role: role, Token: last, Target: ""}); !r.OK {
+			t.Fatalf("role %s could not be taken from its holder: %+v", role, r)
 		}
 	}
 }
@@ -46,18 +47,18 @@
 	s := NewState()
 	token := apply(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"}).Role.Token
 	if r := apply(t, s, Command{Kind: CommandRevoke, Role: "d", Token: token, Target: "b"}); !r.OK {
-		t.Fatal(r)
+		t.Fatalf("revoke was rejected: %+v", r)
 	}
 	for _, k := range []CommandKind{CommandRevoke, CommandRelease, CommandExpire} {
 		if r := apply(t, s, Command{Kind: k, Role: "d", Token: token, Target: "c"}); r.OK || r.Reason != ReasonStaleToken {
-			t.Fatal(k, r)
+			t.Fatalf("%s with a stale token: %+v", k, r)
 		}
 	}
 	if r := apply(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: "c"}); r.OK {
-		t.Fatal("it is reserved for b")
+		t.Fatal("a role reserved for b was granted to c")
 	}
 	if r := apply(t, s, Command{Kind: CommandGrant, Role: "d", Token: token, Target: "b"}); !r.OK {
-		t.Fatal(r)
+		t.Fatalf("a role reserved for b was not granted to b: %+v", r)
 	}
 }
 
@@ -65,14 +66,20 @@
 	s := NewState()
 	apply(t, s, Command{Kind: CommandDefine, Role: "d"})
 	before := string(s.Snapshot())
-	for i, text := range [][]byte{[]byte("{"), []byte(`{"kind":"grant"}`), Command{Kind: CommandRelease, Role: "nobody"}.Encode(),
-		Command{Kind: "dance", Role: "d"}.Encode(), Command{Kind: CommandProgress, Role: "d", Progress: make([]byte, maxProgressBytes+1)}.Encode()} {
-		if r := s.Apply(s.AppliedIndex, text); r.OK {
-			t.Error(i, r)
+	invalidCommands := [][]byte{
+		[]byte("{"),
+		[]byte(`{"kind":"grant"}`),
+		Command{Kind: CommandRelease, Role: "nobody"}.Encode(),
+		Command{Kind: "dance", Role: "d"}.Encode(),
+		Command{Kind: CommandProgress, Role: "d", Progress: make([]byte, maxProgressBytes+1)}.Encode(),
+	}
+	for i, encoded := range invalidCommands {
+		if r := s.Apply(s.AppliedIndex, encoded); r.OK {
+			t.Errorf("invalid command %d was accepted: %+v", i, r)
 		}
 	}
 	if after := string(s.Snapshot()); after != before {
-		t.Error(before, after)
+		t.Errorf("invalid commands changed the state from %s to %s", before, after)
 	}
 	for i := range 3 * maxHistory {
 		token := s.Roles["d"].Token
@@ -80,7 +87,7 @@
 		apply(t, s, Command{Kind: CommandRelease, Role: "d", Token: s.Roles["d"].Token})
 	}
 	if len(s.History) > maxHistory {
-		t.Error(len(s.History), "lines of history")
+		t.Errorf("the history has %d events, more than %d", len(s.History), maxHistory)
 	}
 }
 
@@ -97,11 +104,11 @@
 		}
 		moved++
 		if after != "e" {
-			t.Fatal("moved to one that was there before")
+			t.Fatalf("role %s moved from %s to %s instead of the new instance", role, before, after)
 		}
 	}
 	if moved < 130 || moved > 270 || len(rolesOf) != 4 {
-		t.Error(moved, rolesOf)
+		t.Errorf("%d of 1000 roles moved to the new instance; roles by instance before: %v", moved, rolesOf)
 	}
 }
 
@@ -111,17 +118,17 @@
 	lessor := NewLessor(DefaultConfig, s)
 	lessor.BecomeLeader(1000)
 	if due := lessor.DueCommands(1000 + DefaultConfig.LeaseMs); len(due) > 0 {
-		t.Fatal("expired too soon: ", due)
+		t.Fatal("the lease was ended too early: ", due)
 	}
 	if due := lessor.DueCommands(1001 + DefaultConfig.LeaseMs*(1+DefaultConfig.MaxDrift)); len(due) != 1 || due[0].Kind != CommandExpire {
-		t.Fatal(due)
+		t.Fatal("the lease was not ended after the lessor's span: ", due)
 	}
 	if ok, _ := lessor.Renew(1002+DefaultConfig.LeaseMs*(1+DefaultConfig.MaxDrift), "d", 1, "a"); ok {
-		t.Fatal("renewed while its expiry may be in the log")
+		t.Fatal("a lease was renewed although the command that ends it may be in the log")
 	}
 	lessor.BecomeFollower()
 	if lessor.DueCommands(1e9) != nil {
-		t.Fatal("it does not lead")
+		t.Fatal("a follower proposes commands")
 	}
 }
 
@@ -142,7 +149,7 @@
 			}
 		}
 		waits = append(waits, now-ended)
-		for s.Roles["d"].Holder != "" { // it fails
+		for s.Roles["d"].Holder != "" { // the holder fails: it sends no more requests
 			now += 50
 			for _, c := range lessor.DueCommands(now) {
 				apply(t, s, c)
@@ -150,24 +157,25 @@
 		}
 	}
 	if waits[1] < 1500 || waits[2] < 1.8*waits[1] || waits[3] < 1.8*waits[2] {
-		t.Fatal(waits)
+		t.Fatal("the times in ms until the role was granted again do not double with each failure: ", waits)
 	}
 }
 
-// A holder whose requests were lost for a lease returns: its role doesn't back off for that,
-// neither now nor, twice as long, the next time. One that returns as another incarnation, or only
-// after the backoff, may have failed of its work.
+// TestFailureIsForgivenWhenHolderReturns checks a holder whose lease expired because its requests
+// were lost, and which sends requests again. Its role must not back off for that failure, and the
+// failure must not double the backoff of the next one. A holder that returns as another
+// incarnation, or only after the backoff, is not forgiven: the role's work may have made it fail.
 func TestFailureIsForgivenWhenHolderReturns(t *testing.T) {
 	for _, c := range []struct {
 		incarnation string
-		returnMs    float64 // after its lease has run out
+		returnMs    float64 // time of the holder's return, in ms after its lease expired
 		forgiven    bool
 	}{{"a.1", 100, true}, {"a.2", 100, false}, {"a.1", DefaultConfig.FailureBackoffMs + 500, false}} {
 		s := NewState()
 		lessor := NewLessor(DefaultConfig, s)
 		lessor.BecomeLeader(0)
 		now := 0.0
-		turn := func() (granted bool) {
+		applyDueCommands := func() (granted bool) {
 			for _, c := range lessor.DueCommands(now) {
 				r := apply(t, s, c)
 				granted = granted || r.OK && c.Kind == CommandGrant
@@ -176,27 +184,28 @@
 		}
 		apply(t, s, Command{Kind: CommandDefine, Role: "d"})
 		for round := range 3 {
-			for lessor.RecordRequest(now, "a.1", nil); !turn(); now += 20 {
+			for lessor.RecordRequest(now, "a.1", nil); !applyDueCommands(); now += 20 {
 				lessor.RecordRequest(now, "a.1", nil)
 			}
-			for s.Roles["d"].Holder != "" { // its requests are lost
+			for s.Roles["d"].Holder != "" { // the holder's requests are lost
 				now += 20
-				turn()
+				applyDueCommands()
 			}
-			ran, took := now, 0.0
+			expiredAt, regrantMs := now, 0.0
 			now += c.returnMs
-			for took == 0 {
+			for regrantMs == 0 {
 				lessor.RecordRequest(now, c.incarnation, nil)
-				if turn() {
-					took = now - ran
+				if applyDueCommands() {
+					regrantMs = now - expiredAt
 				}
 				now += 20
 			}
-			if c.forgiven && (took > c.returnMs+50 || s.Roles["d"].HolderFailures != 0) || !c.forgiven && round == 0 && (took < DefaultConfig.FailureBackoffMs || s.Roles["d"].HolderFailures != 1) {
-				t.Errorf("%+v: granted %.0f ms after the lease had run out, %d failures", c, took, s.Roles["d"].HolderFailures)
+			if c.forgiven && (regrantMs > c.returnMs+50 || s.Roles["d"].HolderFailures != 0) ||
+				!c.forgiven && round == 0 && (regrantMs < DefaultConfig.FailureBackoffMs || s.Roles["d"].HolderFailures != 1) {
+				t.Errorf("%+v: granted %.0f ms after the lease had expired, %d failures", c, regrantMs, s.Roles["d"].HolderFailures)
 			}
 			if c.forgiven != (s.History[len(s.History)-2].Kind == eventForgiven) {
-				t.Errorf("%+v: %v", c, s.History)
+				t.Errorf("%+v: whether the failure was forgiven differs in the history: %v", c, s.History)
 			}
 			if !c.forgiven {
 				break
@@ -208,11 +217,11 @@
 	s := NewState()
 	apply(t, s, Command{Kind: CommandGrant, Role: "d", Target: "a"})
 	if r := apply(t, s, Command{Kind: CommandForgive, Role: "d", Token: 1, Target: "a"}); r.OK {
-		t.Error("forgiven while it is held")
+		t.Error("a failure was forgiven while the role is held")
 	}
 	apply(t, s, Command{Kind: CommandRelease, Role: "d", Token: 1})
 	if r := apply(t, s, Command{Kind: CommandForgive, Role: "d", Token: 1, Target: "a"}); r.OK {
-		t.Error("there was no failure to forgive")
+		t.Error("a failure was forgiven although none was counted")
 	}
 }
 
@@ -220,37 +229,37 @@
 	h := NewHolder(DefaultConfig)
 	actions := h.HandleGrant(500, 100, "d", 7, []byte("x"), false)
 	if len(actions) != 1 || actions[0].Start == nil || string(actions[0].Start.Progress) != "x" {
-		t.Fatal(actions)
+		t.Fatal("a grant did not start the work with its progress: ", actions)
 	}
 	end := 100 + DefaultConfig.LeaseMs*(1-DefaultConfig.MaxDrift)
 	if _, may := h.MayAct(end-1, "d"); !may {
-		t.Fatal("too soon")
+		t.Fatal("the holder's lease ended too early")
 	}
 	if _, may := h.MayAct(end, "d"); may {
-		t.Fatal("the lease counts from the request")
+		t.Fatal("the holder's lease ended too late: it must count from the request")
 	}
 	if actions = h.ExpireLeases(end); len(actions) != 1 || actions[0].Stop == nil {
-		t.Fatal(actions)
+		t.Fatal("an expired lease did not stop the work: ", actions)
 	}
-	// A lease that ran out isn't taken up again, but reported as released, as the voters go on renewing it.
+	// An expired lease is not resumed but reported as released, because the voters keep renewing it.
 	if actions = h.HandleGrant(end, end-10, "d", 7, nil, false); len(actions) != 1 || actions[0].ReportReleased == nil {
-		t.Fatal("a delayed response brought it back: ", actions)
+		t.Fatal("an expired lease was not reported as released: ", actions)
 	}
 	if actions = h.HandleGrant(end, end-10, "d", 6, nil, false); len(actions) != 0 {
-		t.Fatal(actions)
+		t.Fatal("a response with a token before the latest ended one was not ignored: ", actions)
 	}
 	h.HandleGrant(end, end-10, "e", 8, nil, false)
 	if actions = h.HandleGrant(end, end-5, "e", 8, nil, true); len(actions) != 1 || actions[0].Finish == nil {
-		t.Fatal(actions)
+		t.Fatal("a requested release did not finish the work: ", actions)
 	}
 	h.MarkReleased("e")
 	if actions = h.HandleGrant(end, end-1, "e", 8, nil, false); len(actions) != 1 || actions[0].ReportReleased == nil {
-		t.Fatal("a delayed response brought it back: ", actions)
+		t.Fatal("a released lease was not reported as released again: ", actions)
 	}
 	if actions = h.HandleGrant(end, end-1, "d", 8, nil, false); len(actions) != 1 {
-		t.Fatal(actions)
+		t.Fatal("a grant under a new token did not start the work: ", actions)
 	}
 	if actions = h.HandleLost("d", 9); len(actions) != 1 || actions[0].Stop == nil {
-		t.Fatal(actions)
+		t.Fatal("the loss of the role did not stop the work: ", actions)
 	}
 }
--- a/internal/fleet/lease/stored_golden_test.go
+++ b/internal/fleet/lease/stored_golden_test.go
@@ -14,7 +14,7 @@
 	goldenState    = "golden/state.txt"
 )
 
-// goldenLog has a command of each kind, accepted and rejected.
+// goldenLog returns a log with commands of every kind, some of which are rejected.
 func goldenLog() []Command {
 	return []Command{
 		{Kind: CommandNameVoter, Token: 0x1f2e3d4c5b6a7988, Target: "v0"},
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestCommandsKeepTheirBytes freezes the entries of the log, and the reasons of rejections, which
-// operators read.
+// TestCommandsKeepTheirBytes checks that the encoding of log entries and the reasons for
+// rejections, which operators read, do not change.
 func TestCommandsKeepTheirBytes(t *testing.T) {
 	var text strings.Builder
 	s := NewState()
@@ -48,7 +48,8 @@
 	golden.Assert(t, text.String(), goldenCommands)
 }
 
-// TestStateKeepsItsBytes freezes the snapshot: voters write it to their disks, and send it.
+// TestStateKeepsItsBytes checks that the encoding of the snapshot does not change, because voters
+// store it on disk and send it to each other.
 func TestStateKeepsItsBytes(t *testing.T) {
 	s := NewState()
 	for i, c := range goldenLog() {
@@ -57,8 +58,9 @@
 	golden.Assert(t, string(s.Snapshot())+"\n", goldenState)
 }
 
-// TestStateOfTheGoldenFileIsRead restores a snapshot as it was written once.
-func TestStateOfTheGoldenFileIsRead(t *testing.T) {
+// TestStoredSnapshotIsRestored checks that the snapshot in the golden file, which an earlier build
+// wrote, can still be restored.
+func TestStoredSnapshotIsRestored(t *testing.T) {
 	stored := strings.TrimSpace(string(golden.Get(t, goldenState)))
 	s := NewState()
 	assert.NilError(t, s.Restore([]byte(stored)))
