--- a/internal/fleet/lease/consensus/node.go
+++ b/internal/fleet/lease/consensus/node.go
@@ -12,32 +12,32 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Node is one voter or learner. One goroutine owns it.
+// Node is one member of the group, a voter or a learner. It is not safe for concurrent use.
 type Node struct {
 	ID               uint64
-	ElectionsWon     int // how often this voter became the leader
+	ElectionsWon     int // how often this voter has become the leader
 	config           Config
 	rawNode          *raft.RawNode
 	storage          *raft.MemoryStorage
 	stateMachine     StateMachine
-	rng              *rand.Rand // for election timeouts
-	ticksSinceLeader int
-	electionTimeout  int // ticks
-	leaderID         uint64
+	rng              *rand.Rand // draws election timeouts
+	ticksSinceLeader int        // ticks since the election timer was reset
+	electionTimeout  int        // in ticks
+	leaderID         uint64     // 0: unknown
 	isLeader         bool
 	appliedIndex     uint64
-	snapshotIndex    uint64
+	snapshotIndex    uint64 // index of the latest snapshot
 	confState        raftpb.ConfState
-	confChanged      bool // since the latest snapshot
-	pendingReady     *raft.Ready
+	confChanged      bool             // the members have changed since the latest snapshot
+	pendingReady     *raft.Ready      // returned by Ready, waiting for Advance
 	unappliedReads   []raft.ReadState // confirmed by a quorum, waiting for their index to be applied
 	lastReadID       uint64
-	readCallbacks    map[uint64]func(ok bool) // by read id
-	readAgeTicks     map[uint64]int           // by read id
+	readCallbacks    map[uint64]func(ok bool) // by id of a pending read
+	readAgeTicks     map[uint64]int           // by id of a pending read: ticks since it started
 }
 
 const (
-	// unreachableTicks puts the library's own election timer out of reach.
+	// unreachableTicks is an election timeout of the library that is never reached.
 	unreachableTicks = 1 << 30
 
 	maxMessageEntryBytes     = 256 << 10
@@ -45,16 +45,17 @@
 	maxUncommittedEntryBytes = 4 << 20
 )
 
+// discardLogger drops the log output of the library.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// ErrNotLeader says that the voter can't do what only a leader may.
+// ErrNotLeader reports that an operation of the leader was called on another member.
 var ErrNotLeader = errors.New("this voter does not lead")
 
-// New starts a voter from its durable state, or a learner from an empty one, and restores the
-// state machine. The seed determines the election timeouts.
+// New starts a voter from its durable state, or a learner from a state with nothing but an ID, and
+// restores the state machine. The seed determines the election timeouts.
 func New(durable DurableState, config Config, stateMachine StateMachine, seed uint64) (*Node, error) {
 	if durable.ID == 0 {
-		return nil, errors.New("consensus: a voter without an id")
+		return nil, errors.New("consensus: start voter: the durable state has no id")
 	}
 	n := &Node{
 		ID:            durable.ID,
@@ -90,7 +91,8 @@
 	return n, nil
 }
 
-// load takes the durable state into memory.
+// load copies the durable state to the library's in-memory storage, and restores the state machine
+// from its snapshot.
 func (n *Node) load(durable DurableState) error {
 	if !raft.IsEmptySnap(durable.Snapshot) {
 		if err := n.storage.ApplySnapshot(durable.Snapshot); err != nil {
@@ -109,19 +111,21 @@
 	return n.storage.SetHardState(durable.HardState)
 }
 
+// setSnapshotApplied records that the state machine was restored from a snapshot.
 func (n *Node) setSnapshotApplied(metadata raftpb.SnapshotMetadata) {
 	n.appliedIndex, n.snapshotIndex = metadata.Index, metadata.Index
 	n.confState = metadata.ConfState
 }
 
-// resetElectionTimer draws a new timeout, so that voters seldom campaign at the same time.
+// resetElectionTimer restarts the election timer with a new random timeout, so that voters rarely
+// campaign at the same time.
 func (n *Node) resetElectionTimer() {
 	n.ticksSinceLeader = 0
 	n.electionTimeout = n.config.ElectionTicks + n.rng.IntN(n.config.ElectionTicks+1)
 }
 
-// Tick advances the voter's clock by one tick: reads time out, and a voter without a leader
-// campaigns.
+// Tick advances the node's clock by one tick. Pending reads may time out, and a voter that has had
+// no leader for its election timeout campaigns.
 func (n *Node) Tick() {
 	n.rawNode.Tick()
 	n.expireReads()
@@ -136,12 +140,13 @@
 	}
 }
 
-// isVoter tells whether this node's vote counts, also in the outgoing half of a joint change.
+// isVoter reports whether this node may vote. During a joint membership change that includes the
+// outgoing voters.
 func (n *Node) isVoter() bool {
 	return slices.Contains(n.confState.Voters, n.ID) || slices.Contains(n.confState.VotersOutgoing, n.ID)
 }
 
-// Step handles a message of another voter. The library drops unsound ones.
+// Step handles a message from another member. The library drops invalid messages.
 func (n *Node) Step(m raftpb.Message) {
 	switch m.Type {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
@@ -150,37 +155,40 @@
 		}
 	}
 	n.rawNode.Step(m)
-	// Having granted its vote, a voter gives the candidate time to win.
+	// After voting for a candidate, give it time to win before campaigning.
 	if m.Type == raftpb.MsgVote && n.rawNode.Status().Vote == m.From {
 		n.resetElectionTimer()
 	}
 }
 
-// IsLeader tells whether this voter leads, as far as it knows.
+// IsLeader reports whether this node is the leader, as far as it knows. Another leader may have
+// been elected meanwhile; ConfirmLeadership asks a quorum.
 func (n *Node) IsLeader() bool { return n.isLeader }
 
-// LeaderID is the leader that this voter knows of; 0: none.
+// LeaderID returns the id of the leader that this node knows of, or 0 if it knows none.
 func (n *Node) LeaderID() uint64 { return n.leaderID }
 
-// Term is the latest term that this voter knows of.
+// Term returns the latest term that this node knows of.
 func (n *Node) Term() uint64 { return n.rawNode.Status().Term }
 
-// AppliedIndex is the index of the latest entry that the state machine has applied.
+// AppliedIndex returns the index of the latest entry that the state machine has applied.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// ConfState has the group's voters and learners.
+// ConfState returns the group's voters and learners.
 func (n *Node) ConfState() raftpb.ConfState { return n.confState }
 
-// MatchIndex is the index up to which a voter is known to have the log; only a leader knows.
+// MatchIndex returns the index up to which a member is known to have the log. Only the leader knows
+// it; other nodes return 0.
 func (n *Node) MatchIndex(id uint64) uint64 { return n.rawNode.Status().Progress[id].Match }
 
-// CaughtUp tells whether a learner has nearly the whole log; only a leader knows. A match of 0
-// is a learner that has nothing yet, however short the log is.
+// CaughtUp reports whether a learner has nearly the whole log. Only the leader knows; other nodes
+// return false. A learner whose match index is 0 has nothing yet and is not caught up, however
+// short the log is.
 func (n *Node) CaughtUp(id uint64) bool {
 	progress, known := n.rawNode.Status().Progress[id]
 	slack := uint64(n.config.RetainedEntries) / 10
 	return known && progress.Match > 0 && progress.Match+slack >= n.rawNode.Status().Commit
 }
 
-// ReportUnreachable tells the library that a message to a voter failed.
+// ReportUnreachable tells the library that a message could not be sent to a member.
 func (n *Node) ReportUnreachable(id uint64) { n.rawNode.ReportUnreachable(id) }
--- a/internal/fleet/lease/consensus/proposals.go
+++ b/internal/fleet/lease/consensus/proposals.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Propose appends a command to the leader's log. That it is committed shows only when the state
-// machine applies it.
+// Propose appends a command to the leader's log. A nil error does not mean that the command is
+// committed: that is known only once the state machine applies it.
 func (n *Node) Propose(command []byte) error {
 	if !n.isLeader {
 		return ErrNotLeader
@@ -17,16 +17,16 @@
 	return n.rawNode.Propose(command)
 }
 
-// ProposeConfChange adds a learner, promotes it to a voter, or removes a voter. The library makes
-// one change at a time.
+// ProposeConfChange proposes to add a learner, promote a learner to a voter, or remove a member.
+// The library makes one such change at a time.
 func (n *Node) ProposeConfChange(kind raftpb.ConfChangeType, id uint64) error {
 	return n.proposeConfChange(raftpb.ConfChangeV2{
 		Changes: []raftpb.ConfChangeSingle{{Type: kind, NodeID: id}},
 	})
 }
 
-// ProposeReplacement promotes a learner in the place of a voter, in one joint change: at no time
-// does the group have a voter more or less than before.
+// ProposeReplacement proposes to replace a voter with a learner in one joint change, so that the
+// number of voters never differs from before.
 func (n *Node) ProposeReplacement(learnerID, replacedID uint64) error {
 	return n.proposeConfChange(raftpb.ConfChangeV2{
 		Transition: raftpb.ConfChangeTransitionAuto,
@@ -37,6 +37,7 @@
 	})
 }
 
+// proposeConfChange appends a membership change to the leader's log.
 func (n *Node) proposeConfChange(change raftpb.ConfChangeV2) error {
 	if !n.isLeader {
 		return ErrNotLeader
@@ -44,9 +45,10 @@
 	return n.rawNode.ProposeConfChange(change)
 }
 
-// ConfirmLeadership asks a quorum whether this voter leads, by a read index: nothing is written.
-// done is called once a quorum has answered after this call and all that was committed before
-// is applied; with false when the lead is lost or two election timeouts have passed.
+// ConfirmLeadership asks a quorum to confirm that this node is the leader. It uses a raft read
+// index request, which writes nothing to the log. It calls done(true) once a quorum has answered
+// after this call and everything committed before it is applied, and done(false) if this node is
+// not or no longer the leader or if 2*Config.ElectionTicks pass without an answer.
 func (n *Node) ConfirmLeadership(done func(ok bool)) {
 	if !n.isLeader {
 		done(false)
@@ -57,7 +59,7 @@
 	n.rawNode.ReadIndex(fmt.Appendf(nil, "%d", n.lastReadID))
 }
 
-// expireReads fails the reads that have waited for two election timeouts.
+// expireReads fails the reads that have been pending for more than 2*Config.ElectionTicks.
 func (n *Node) expireReads() {
 	for _, id := range n.pendingReads() {
 		n.readAgeTicks[id]++
@@ -67,14 +69,14 @@
 	}
 }
 
-// failReads fails all reads, as the lead is lost.
+// failReads fails all pending reads, because this node is no longer the leader.
 func (n *Node) failReads() {
 	for _, id := range n.pendingReads() {
 		n.completeRead(id, false)
 	}
 }
 
-// completeReads completes the confirmed reads whose index has been applied.
+// completeReads completes the reads that a quorum has confirmed and whose index has been applied.
 func (n *Node) completeReads() {
 	unapplied := n.unappliedReads[:0]
 	for _, read := range n.unappliedReads {
@@ -89,9 +91,10 @@
 	n.unappliedReads = unapplied
 }
 
-// pendingReads returns the ids of reads without an answer, oldest first.
+// pendingReads returns the ids of the reads that are not completed, oldest first.
 func (n *Node) pendingReads() []uint64 { return slices.Sorted(maps.Keys(n.readCallbacks)) }
 
+// completeRead calls the callback of a pending read with its outcome, and forgets the read.
 func (n *Node) completeRead(id uint64, ok bool) {
 	done := n.readCallbacks[id]
 	if done == nil {
--- a/internal/fleet/lease/consensus/ready.go
+++ b/internal/fleet/lease/consensus/ready.go
@@ -5,10 +5,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// HasReady tells whether Ready would return anything.
+// HasReady reports whether Ready would return anything. It returns false until Advance has been
+// called for the previous Ready.
 func (n *Node) HasReady() bool { return n.pendingReady == nil && n.rawNode.HasReady() }
 
-// Ready returns what has to be done now. Advance has to follow before the next call.
+// Ready returns what the caller has to do now. It returns an empty Ready until Advance has been
+// called for the previous one.
 func (n *Node) Ready() (ready Ready) {
 	if !n.HasReady() {
 		return ready
@@ -24,8 +26,9 @@
 	return ready
 }
 
-// Advance says that what the latest Ready asked for is durable and sent, and applies what was
-// committed. After an error this voter's disk and the group's log don't fit: it must not go on.
+// Advance tells the node that the data of the latest Ready is durable and its messages are sent,
+// and applies the committed entries. An error means that this member's stored state does not match
+// the group's log, so the node must not be used any more.
 func (n *Node) Advance() error {
 	ready := n.pendingReady
 	if ready == nil {
@@ -49,7 +52,8 @@
 	return nil
 }
 
-// storeReady takes what was made durable into the library's storage in memory.
+// storeReady copies the data of a Ready, which is durable now, to the library's in-memory storage.
+// If it contains a snapshot, the state machine is restored from that.
 func (n *Node) storeReady(ready *raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := n.storage.ApplySnapshot(ready.Snapshot); err != nil {
@@ -69,7 +73,7 @@
 	return n.storage.SetHardState(ready.HardState)
 }
 
-// applyEntry applies one committed entry, unless a snapshot contained it already.
+// applyEntry applies one committed entry, unless a restored snapshot already includes it.
 func (n *Node) applyEntry(entry raftpb.Entry) error {
 	if entry.Index <= n.appliedIndex {
 		return nil
@@ -94,20 +98,22 @@
 	return nil
 }
 
+// applyConfChange applies a change of the group's members. The state machine gets an empty command
+// for its index.
 func (n *Node) applyConfChange(index uint64, change raftpb.ConfChangeI) {
 	n.confState, n.confChanged = *n.rawNode.ApplyConfChange(change), true
 	n.stateMachine.Apply(index, nil)
 }
 
-// setSoftState takes up who leads. A leader that lost the lead fails its reads.
+// setSoftState records who the leader is. A node that is no longer the leader fails its reads.
 func (n *Node) setSoftState(soft raft.SoftState) {
 	n.leaderID = soft.Lead
-	leads := soft.RaftState == raft.StateLeader
-	if leads == n.isLeader {
+	isLeader := soft.RaftState == raft.StateLeader
+	if isLeader == n.isLeader {
 		return
 	}
-	n.isLeader = leads
-	if leads {
+	n.isLeader = isLeader
+	if isLeader {
 		n.ElectionsWon++
 	} else {
 		n.failReads()
@@ -115,9 +121,10 @@
 	n.resetElectionTimer()
 }
 
-// MaybeSnapshot makes a snapshot where the log has grown long, or since the group's members have
-// changed: a new member refuses a snapshot that doesn't name it. It returns nil where none is
-// due. The caller makes the snapshot durable before it drops the entries up to it.
+// MaybeSnapshot creates a snapshot if the log has grown long or the group's members have changed
+// since the latest one; otherwise it returns nil. The latter is needed because a new member rejects
+// a snapshot that does not list it as a member. The caller must make the snapshot durable before it
+// deletes the stored entries that the snapshot includes.
 func (n *Node) MaybeSnapshot() (*raftpb.Snapshot, error) {
 	retained := uint64(n.config.RetainedEntries)
 	if n.appliedIndex < n.snapshotIndex+2*retained && !n.confChanged {
@@ -135,7 +142,7 @@
 	return &snapshot, nil
 }
 
-// compact drops the entries in memory but for those retained behind the applied index.
+// compact drops the entries in memory except for the given number before the applied index.
 func (n *Node) compact(retained uint64) error {
 	first, err := n.storage.FirstIndex()
 	if err != nil || n.appliedIndex <= retained || n.appliedIndex-retained < first {
