--- a/internal/fleet/lease/membership/membership.go
+++ b/internal/fleet/lease/membership/membership.go
@@ -1,94 +1,101 @@
-// Package membership decides who is a member of the voters' raft group: how the group is founded,
-// how a voter that lost its disk comes back, how one is added. It is a reducer: hellos of other
-// voters and the committed membership go in, steps to take come out.
+// Package membership manages the members of the voters' raft group: it bootstraps the group, adds
+// voters, and readmits a voter that lost its disk. It is a state machine without I/O: it takes the
+// hello messages of other voters and the committed membership, and returns the next step to take.
 //
-// An id belongs to a disk: it is drawn when the disk is made, and never given out again. So a
-// voter that lost its disk has another id, knows nothing, and learns before it votes: it can't
-// vote twice in a term. A group is founded once, by the voter named first in the operator's file,
-// when all that are named have said that their disks are new. The others take the founding up
-// only if it names the ids of their own disks.
+// A voter id belongs to a disk: it is generated when the disk is initialized and is never reused.
+// A voter that lost its disk thus has a new id and an empty log, and must catch up as a learner
+// before it votes, so it can't vote twice in a term. A group is bootstrapped once, by the first
+// voter in the operator's file, when all voters in the file have reported that their disks are new.
+// Each other voter accepts the bootstrap only if the list of founders contains the id of its own
+// disk.
 package membership
 
 import (
 	"slices"
 )
 
-// Hello is what a voter says of itself.
+// Hello is the message in which a voter announces itself to the others.
 type Hello struct {
 	Name     string            `json:"name"`
 	VoterID  uint64            `json:"id"`
-	GroupID  uint64            `json:"group,omitempty"`  // 0: its disk belongs to no group yet
-	Founders map[uint64]string `json:"voters,omitempty"` // of its group, if it knows them
+	GroupID  uint64            `json:"group,omitempty"`  // 0: the voter's disk belongs to no group yet
+	Founders map[uint64]string `json:"voters,omitempty"` // names of the group's first voters by id, if known
 }
 
-// Config has times in ms.
+// Config holds durations in ms.
 type Config struct {
-	HelloTTLMs      float64 // a hello is believed for so long
-	ReplaceAfterMs  float64 // an id not heard from for so long may be replaced by another of its name
-	RetryIntervalMs float64 // between two steps
+	HelloTTLMs      float64 // how long a received hello is valid
+	ReplaceAfterMs  float64 // silence after which a voter id may be replaced by a new id of the same name
+	RetryIntervalMs float64 // minimum time between two steps
 }
 
-// DefaultConfig is what voters use.
+// DefaultConfig is the configuration that voters use.
 var DefaultConfig = Config{HelloTTLMs: 4000, ReplaceAfterMs: 10000, RetryIntervalMs: 2000}
 
-// StepKind says what a step does.
+// StepKind identifies what a step does.
 type StepKind uint8
 
-// The kinds of steps.
+// Kinds of steps.
 const (
-	// StepBootstrap founds a group with Founders, under a group id to be drawn.
+	// StepBootstrap creates a group of Founders. The caller generates the group id.
 	StepBootstrap StepKind = iota + 1
-	// StepJoin takes up GroupID; with Founders as one of them, else as a learner.
+	// StepJoin joins the group GroupID: as one of its first voters if Founders is set, otherwise as
+	// a learner.
 	StepJoin
-	// StepNameVoter commits that VoterID is Name's.
+	// StepNameVoter commits that VoterID belongs to the voter Name.
 	StepNameVoter
-	// StepAddLearner has VoterID learn.
+	// StepAddLearner adds VoterID to the group as a learner.
 	StepAddLearner
-	// StepPromote lets VoterID, which has caught up, vote; in ReplacedID's place if that is not 0.
+	// StepPromote promotes the learner VoterID, which has caught up, to a voter. It replaces the
+	// voter ReplacedID unless that is 0.
 	StepPromote
 )
 
-// Step is a change to make.
+// Step is a change to the group or to this voter's part in it. The fields that Kind does not need
+// are zero.
 type Step struct {
 	Kind       StepKind
 	VoterID    uint64
 	ReplacedID uint64
 	Name       string
 	GroupID    uint64
-	Founders   map[uint64]string
+	Founders   map[uint64]string // names by voter id
 }
 
-// View is the committed membership, as a leader knows it.
+// View is the committed membership as the caller's voter knows it.
 type View struct {
-	IsLeader   bool
+	IsLeader   bool // whether the caller's voter is the leader
 	Voters     []uint64
 	Learners   []uint64
-	VoterNames map[uint64]string
-	CaughtUp   func(id uint64) bool
+	VoterNames map[uint64]string    // committed names by voter id
+	CaughtUp   func(id uint64) bool // reports whether a learner has nearly the whole log
 }
 
-// receivedHello is a voter's latest hello.
+// receivedHello is the latest hello of a voter.
 type receivedHello struct {
 	hello      Hello
-	receivedAt float64
+	receivedAt float64 // in ms
 }
 
-// Reconciler compares what the named voters say of themselves with the committed membership, and
-// derives the next step towards a group of just these. Times are ms of one steady clock.
+// Reconciler compares the hellos of the voters in the operator's file with the committed
+// membership, and derives the next step towards a group of exactly these voters. Times are in ms on
+// one monotonic clock.
 type Reconciler struct {
 	config      Config
 	self        Hello
 	voterNames  []string                 // in the order of the operator's file
 	hellos      map[string]receivedHello // by name
-	lastContact map[uint64]float64       // by voter id
-	startedAt   float64                  // since when contacts are tracked
+	lastContact map[uint64]float64       // by voter id: time of the latest hello
+	startedAt   float64                  // time since which lastContact has been tracked
 	lastStepAt  float64
 }
 
-// maxTrackedIDs bounds the ids, each of another disk, whose contacts are tracked.
+// maxTrackedIDs is the number of voter ids at which the tracked contacts are cleared. Each new disk
+// adds an id.
 const maxTrackedIDs = 1000
 
-// New returns the reconciler of a voter, whose name is among voterNames.
+// New returns the Reconciler of the voter that self describes, whose name must be in voterNames.
+// The first of voterNames bootstraps the group.
 func New(config Config, self Hello, voterNames []string, now float64) *Reconciler {
 	return &Reconciler{
 		config:      config,
@@ -101,16 +108,16 @@
 	}
 }
 
-// Self is this voter's hello.
+// Self returns this voter's hello.
 func (r *Reconciler) Self() Hello { return r.self }
 
-// SetGroup records that this voter's disk belongs to a group now.
+// SetGroup records the group that this voter's disk belongs to from now on.
 func (r *Reconciler) SetGroup(groupID uint64, founders map[uint64]string) {
 	r.self.GroupID, r.self.Founders = groupID, founders
 }
 
-// HandleHello records another voter's hello. One of a voter that isn't named, or in this voter's
-// own name, is ignored.
+// HandleHello records another voter's hello. It ignores a hello of a voter that is not in the
+// operator's file, and a hello under this voter's own name.
 func (r *Reconciler) HandleHello(now float64, hello Hello) {
 	if hello.VoterID == 0 || hello.Name == r.self.Name || !slices.Contains(r.voterNames, hello.Name) {
 		return
@@ -123,10 +130,11 @@
 	r.lastContact[hello.VoterID] = now
 }
 
-// VoterID is the id in a voter's latest hello; 0: there was none.
+// VoterID returns the id in the latest hello of the named voter, or 0 if it has sent none.
 func (r *Reconciler) VoterID(name string) uint64 { return r.hellos[name].hello.VoterID }
 
-// VoterName is the name under which an id said hello; "": it never did.
+// VoterName returns the name of the voter whose latest hello has the given id, or "" if there is
+// none.
 func (r *Reconciler) VoterName(id uint64) string {
 	for _, name := range r.voterNames {
 		if r.hellos[name].hello.VoterID == id {
@@ -136,7 +144,8 @@
 	return ""
 }
 
-// SinceContact is how long ago an id said hello, in ms; below 0: never, or it is this voter's.
+// SinceContact returns the time since the latest hello with the given id, in ms. It returns -1 if
+// none is known, as for this voter's own id.
 func (r *Reconciler) SinceContact(now float64, id uint64) float64 {
 	if contactAt, known := r.lastContact[id]; known {
 		return now - contactAt
@@ -144,8 +153,9 @@
 	return -1
 }
 
-// presumedGone tells whether an id has not said hello for so long that its disk counts as lost.
-func (r *Reconciler) presumedGone(now float64, id uint64) bool {
+// presumedLost reports whether an id has sent no hello for longer than Config.ReplaceAfterMs, so
+// that its disk is considered lost.
+func (r *Reconciler) presumedLost(now float64, id uint64) bool {
 	contactAt, known := r.lastContact[id]
 	if !known {
 		contactAt = r.startedAt
@@ -153,8 +163,8 @@
 	return now-contactAt > r.config.ReplaceAfterMs
 }
 
-// NextStep returns the one step that is due, if there is one. A step that came to nothing is due
-// again after the retry interval.
+// NextStep returns the next step and whether one is due. Steps are at least Config.RetryIntervalMs
+// apart. A step that had no effect is returned again after that time.
 func (r *Reconciler) NextStep(now float64, view View) (Step, bool) {
 	if now < r.lastStepAt+r.config.RetryIntervalMs {
 		return Step{}, false
@@ -166,6 +176,7 @@
 	return step, due
 }
 
+// nextStep returns the next step regardless of the retry interval.
 func (r *Reconciler) nextStep(now float64, view View) (Step, bool) {
 	if r.self.GroupID == 0 {
 		return r.joinStep(now)
@@ -185,15 +196,16 @@
 	return Step{}, false
 }
 
-// freshHello is a voter's latest hello, while it is to be believed.
+// freshHello returns the latest hello of the named voter and whether it is still valid.
 func (r *Reconciler) freshHello(now float64, name string) (Hello, bool) {
 	received := r.hellos[name]
 	known := received.hello.VoterID != 0
 	return received.hello, known && now-received.receivedAt <= r.config.HelloTTLMs
 }
 
-// admitStep is a leader's next step to let a voter of its group vote: its id is named, then it
-// learns, then it is promoted.
+// admitStep returns the leader's next step to admit the sender of a hello to the voters of the
+// group: commit the name of its id, then add it as a learner, then promote it once it has caught
+// up.
 func (r *Reconciler) admitStep(now float64, view View, hello Hello) (Step, bool) {
 	step := Step{VoterID: hello.VoterID, Name: hello.Name}
 	switch {
@@ -206,7 +218,7 @@
 	case !view.CaughtUp(hello.VoterID):
 		return Step{}, false
 	}
-	replacedID, alive := r.formerID(now, view, hello.Name)
+	replacedID, alive := r.currentVoterID(now, view, hello.Name)
 	if alive {
 		return Step{}, false
 	}
@@ -214,21 +226,23 @@
 	return step, true
 }
 
-// formerID is the id under which a name votes now; 0: none. While one of its ids is heard from it
-// isn't replaced: of two processes under one name neither may push the other out.
-func (r *Reconciler) formerID(now float64, view View, name string) (id uint64, alive bool) {
+// currentVoterID returns the id under which the named voter votes at present, or 0 if there is
+// none, and whether any such id is alive. An id that is alive must not be replaced: otherwise two
+// processes under the same name would replace each other.
+func (r *Reconciler) currentVoterID(now float64, view View, name string) (id uint64, alive bool) {
 	for _, voter := range view.Voters {
 		if view.VoterNames[voter] != name {
 			continue
 		}
 		id = voter
-		alive = alive || !r.presumedGone(now, voter)
+		alive = alive || !r.presumedLost(now, voter)
 	}
 	return id, alive
 }
 
-// joinStep is the step of a voter whose disk belongs to no group: it takes up the group of
-// another, or founds one if it is named first and all others say that they have none either.
+// joinStep returns the step of a voter whose disk belongs to no group: it joins the group of
+// another voter. If all others report that they have no group either, the first voter in the
+// operator's file bootstraps one.
 func (r *Reconciler) joinStep(now float64) (Step, bool) {
 	allFresh := true
 	for _, name := range r.voterNames {
@@ -247,14 +261,14 @@
 	return r.bootstrapStep()
 }
 
-// joinGroupStep takes up a group that another voter belongs to: as a founder only if the founding
-// names the id of this voter's own disk.
+// joinGroupStep returns the step to join the group of another voter. This voter joins as a founder
+// only if the founders include the id of its own disk.
 func (r *Reconciler) joinGroupStep(hello Hello) Step {
 	step := Step{Kind: StepJoin, GroupID: hello.GroupID}
 	if hello.Founders[r.self.VoterID] == r.self.Name {
 		step.VoterID, step.Founders = r.self.VoterID, hello.Founders
 	}
-	if mutantByName { // a planted defect: a voter without its disk takes its old id, and may vote twice
+	if mutantAdoptIDByName { // deliberate defect: a voter that lost its disk takes its old id, and may vote twice
 		for id, name := range hello.Founders {
 			if name == r.self.Name {
 				step.VoterID, step.Founders = id, hello.Founders
@@ -264,7 +278,7 @@
 	return step
 }
 
-// bootstrapStep founds a group of all named voters.
+// bootstrapStep returns the step to bootstrap a group of all voters in the operator's file.
 func (r *Reconciler) bootstrapStep() (Step, bool) {
 	founders := map[uint64]string{r.self.VoterID: r.self.Name}
 	for _, name := range r.voterNames {
@@ -273,7 +287,7 @@
 		}
 	}
 	if len(founders) != len(r.voterNames) {
-		return Step{}, false // two disks of one id: one is a copy of the other
+		return Step{}, false // two voters have the same id: one disk is a copy of the other
 	}
 	return Step{Kind: StepBootstrap, Founders: founders}, true
 }
--- a/internal/fleet/lease/membership/mutant_byname.go
+++ b/internal/fleet/lease/membership/mutant_byname.go
@@ -2,6 +2,6 @@
 
 package membership
 
-// mutantByName is a planted defect, behind a build tag: TestPlantedDefects of
-// internal/standin/leasesim shows that it is found.
-const mutantByName = true
+// mutantAdoptIDByName enables a deliberate defect by a build tag: a voter that lost its disk takes
+// its old id. TestPlantedDefects in internal/standin/leasesim checks that the simulation detects it.
+const mutantAdoptIDByName = true
