--- a/internal/fleet/zonefailure/interceptor.go
+++ b/internal/fleet/zonefailure/interceptor.go
@@ -6,96 +6,100 @@
 	"kestrelspread/internal/aggregator/policy"
 )
 
-// Interceptor stands between a caller and the module that decides: it observes what both say to each other, and tells the
-// module when a whole site is lost or answers again. It decides nothing else and changes no call.
+// Interceptor is placed between the aggregator's event loop and its policy. It observes the calls in both directions and tells
+// the policy when a whole site is lost or answers again. It decides nothing else, and passes all calls on unchanged.
 type Interceptor struct {
-	policy.Decider
-	out      policy.Executor
-	detector *Detector
-	now      float64
-	// OnChange, where it is set, is called with each change of a site, in the loop.
+	policy.Decider // the policy that receives the calls
+	out            policy.Executor
+	detector       *Detector
+	now            float64 // time of the current turn, in milliseconds
+	// OnChange, if it is set, is called with each change of a site's state, within the event loop.
 	OnChange func(c Change)
-	attempts [][]attempt // by part, in the order in which its sub-requests were sent
+	attempts [][]attempt // by shard request, in the order in which its attempts were sent
 }
 
-// attempt is one sub-request.
+// attempt is one sub-request that the policy has sent for a shard request.
 type attempt struct {
-	server int // -1: ended
-	sentAt float64
+	server int     // index of the server, or ended
+	sentAt float64 // in milliseconds
 }
 
-// ended marks an attempt's server once it has ended.
+// ended replaces the server of an attempt that has ended.
 const ended = -1
 
-// Intercept puts a detector before the module that newModule makes for a given output. ownSite is the broker's site, or -1.
-func Intercept(out policy.Executor, ownSite int, config Config, newModule func(policy.Executor) policy.Decider) *Interceptor {
+// Intercept returns an Interceptor in front of the policy that newPolicy creates for the output it is given. Calls of the policy
+// to that output are passed on to out. ownSite is the index of the aggregator's site, or -1 if it belongs to none.
+func Intercept(out policy.Executor, ownSite int, config Config, newPolicy func(policy.Executor) policy.Decider) *Interceptor {
 	p := &Interceptor{out: out, detector: New(config, ownSite)}
-	p.Decider = newModule((*moduleOutput)(p))
+	p.Decider = newPolicy((*policyOutput)(p))
 	return p
 }
 
-// Detector returns the detector, for reports.
+// Detector returns the detector, so that the states of sites can be reported.
 func (p *Interceptor) Detector() *Detector { return p.detector }
 
-// AddQueryType implements policy.Decider; it gives the detector a latency target.
-func (p *Interceptor) AddQueryType(targetMs, value, late float64, effect policy.RepeatEffect, tokenFor float64) {
+// AddQueryType implements policy.Decider. It also passes the latency target to the detector.
+func (p *Interceptor) AddQueryType(targetMs, value, lateValue float64, effect policy.RepeatEffect, tokenWindow float64) {
 	p.detector.SetLatencyTarget(targetMs)
-	p.Decider.AddQueryType(targetMs, value, late, effect, tokenFor)
+	p.Decider.AddQueryType(targetMs, value, lateValue, effect, tokenWindow)
 }
 
-// BeginRound implements policy.Decider; it keeps the time of the turn.
+// BeginRound implements policy.Decider. It also begins a turn of the detector at the same time.
 func (p *Interceptor) BeginRound(now float64) {
 	p.now = now
 	p.detector.BeginTurn(now)
 	p.Decider.BeginRound(now)
 }
 
-// AddShardRequest implements policy.Decider; the part has no attempts yet.
+// AddShardRequest implements policy.Decider. It also clears the attempts of an earlier shard request with the same id.
 func (p *Interceptor) AddShardRequest(search, id, shard int, weight, work float64, key uint64) {
 	p.growAttempts(id)
 	p.attempts[id] = p.attempts[id][:0]
 	p.Decider.AddShardRequest(search, id, shard, weight, work, key)
 }
 
-func (p *Interceptor) growAttempts(part int) {
-	for len(p.attempts) <= part {
+// growAttempts extends attempts to hold an entry for the shard request.
+func (p *Interceptor) growAttempts(request int) {
+	for len(p.attempts) <= request {
 		p.attempts = append(p.attempts, nil)
 	}
 }
 
-// pending returns an attempt that was sent and has not ended, or nil.
-func (p *Interceptor) pending(part, try int) *attempt {
-	if part >= len(p.attempts) || try >= len(p.attempts[part]) {
+// pending returns an attempt of a shard request that was sent and has not ended, or nil. attemptIndex counts from 0 in the order
+// of sending.
+func (p *Interceptor) pending(request, attemptIndex int) *attempt {
+	if request >= len(p.attempts) || attemptIndex >= len(p.attempts[request]) {
 		return nil
 	}
-	sent := &p.attempts[part][try]
+	sent := &p.attempts[request][attemptIndex]
 	if sent.server < 0 {
 		return nil
 	}
 	return sent
 }
 
-// AttemptDone implements policy.Decider; it tells the detector whether the server answered.
-func (p *Interceptor) AttemptDone(part, try int, how policy.Outcome, report []float64) {
-	if sent := p.pending(part, try); sent != nil {
+// AttemptDone implements policy.Decider. It also tells the detector whether the server has answered or failed.
+func (p *Interceptor) AttemptDone(request, attemptIndex int, outcome policy.Outcome, report []float64) {
+	if sent := p.pending(request, attemptIndex); sent != nil {
 		server := sent.server
 		sent.server = ended
-		answered := how == policy.Answered || how == policy.Errored || how == policy.Rejected
-		failed := how == policy.TimedOut || how == policy.ConnectFailed || how == policy.ConnectionReset
+		answered := outcome == policy.Answered || outcome == policy.Errored || outcome == policy.Rejected
+		failed := outcome == policy.TimedOut || outcome == policy.ConnectFailed || outcome == policy.ConnectionReset
 		p.detector.RecordDone(server, sent.sentAt, answered, failed)
 	}
-	p.Decider.AttemptDone(part, try, how, report)
+	p.Decider.AttemptDone(request, attemptIndex, outcome, report)
 }
 
-// CommitAttempt implements policy.Decider; the first bytes of an answer show that the server is alive.
-func (p *Interceptor) CommitAttempt(part, try int, answering bool) bool {
-	if sent := p.pending(part, try); sent != nil && answering {
+// CommitAttempt implements policy.Decider. It also records an answer in the detector when the first bytes of one have arrived, as they
+// show that the server is alive.
+func (p *Interceptor) CommitAttempt(request, attemptIndex int, answering bool) bool {
+	if sent := p.pending(request, attemptIndex); sent != nil && answering {
 		p.detector.RecordAnswer(sent.server, sent.sentAt)
 	}
-	return p.Decider.CommitAttempt(part, try, answering)
+	return p.Decider.CommitAttempt(request, attemptIndex, answering)
 }
 
-// ProbeDone implements policy.Decider; it tells the detector of a server that answered a probe.
+// ProbeDone implements policy.Decider. It also tells the detector of a server that has answered a probe.
 func (p *Interceptor) ProbeDone(server int, ok bool, elapsed float64, report []float64) {
 	if ok {
 		p.detector.RecordAnswer(server, p.now-elapsed)
@@ -103,13 +107,13 @@
 	p.Decider.ProbeDone(server, ok, elapsed, report)
 }
 
-// UpdateServer implements policy.Decider; it tells the detector at which site (hall) a server stands.
-func (p *Interceptor) UpdateServer(id, hall, cell int, state policy.ServerStatus, size, started float64) {
-	p.detector.SetServer(id, hall, state == policy.Ready)
-	p.Decider.UpdateServer(id, hall, cell, state, size, started)
+// UpdateServer implements policy.Decider. It also tells the detector the server's site and whether the server is ready.
+func (p *Interceptor) UpdateServer(id, site, position int, state policy.ServerStatus, size, startedAt float64) {
+	p.detector.SetServer(id, site, state == policy.Ready)
+	p.Decider.UpdateServer(id, site, position, state, size, startedAt)
 }
 
-// RemoveServer implements policy.Decider; it removes the server from the detector once the module has dropped it.
+// RemoveServer implements policy.Decider. It removes the server from the detector only if the policy has removed it.
 func (p *Interceptor) RemoveServer(id int) bool {
 	if !p.Decider.RemoveServer(id) {
 		return false
@@ -118,7 +122,7 @@
 	return true
 }
 
-// EndRound implements policy.Decider; it passes changes of whole sites on before the module decides.
+// EndRound implements policy.Decider. It tells the policy of changes of sites before the policy makes its decisions of the turn.
 func (p *Interceptor) EndRound() {
 	for _, change := range p.detector.EndTurn() {
 		if p.OnChange != nil {
@@ -129,6 +133,8 @@
 	p.Decider.EndRound()
 }
 
+// apply logs a change of a site's state and passes it to the policy. In ZoneChanged, a negative spread means that the loss was a
+// false alarm and how long ago it was declared.
 func (p *Interceptor) apply(c Change) {
 	switch {
 	case c.FalseAlarmMs > 0:
@@ -143,58 +149,59 @@
 	}
 }
 
-// HandlePeerReport passes a peer's report to the detector.
+// HandlePeerReport passes a peer's report of a site, made ageMs milliseconds ago, to the detector.
 func (p *Interceptor) HandlePeerReport(peer string, site int, lost bool, ageMs float64) {
 	p.detector.HandlePeerReport(peer, site, lost, ageMs)
 }
 
-// HandleRecoveryShare passes the fleet's share of a site's recovery to the detector.
+// HandleRecoveryShare passes the share up to which a site has recovered for the whole fleet, reported ageMs milliseconds ago, to
+// the detector.
 func (p *Interceptor) HandleRecoveryShare(site int, share, ageMs float64) {
 	p.detector.HandleRecoveryShare(site, share, ageMs)
 }
 
-// moduleOutput observes what the module sends, and passes all on.
-type moduleOutput Interceptor
+// policyOutput is the output that the policy is given. It records the attempts that the policy sends, and passes all calls on.
+type policyOutput Interceptor
 
-// Send implements policy.Executor; it tells the detector of the sub-request and passes it on.
-func (o *moduleOutput) Send(part, server int, within, begin float64) {
-	(*Interceptor)(o).growAttempts(part)
-	o.attempts[part] = append(o.attempts[part], attempt{server, o.now})
+// Send implements policy.Executor. It records the attempt, tells the detector of it and passes the call on.
+func (o *policyOutput) Send(request, server int, within, begin float64) {
+	(*Interceptor)(o).growAttempts(request)
+	o.attempts[request] = append(o.attempts[request], attempt{server, o.now})
 	o.detector.RecordSent(server)
-	o.out.Send(part, server, within, begin)
+	o.out.Send(request, server, within, begin)
 }
 
-// Cancel implements policy.Executor; it passes the call on.
-func (o *moduleOutput) Cancel(part, try int) { o.out.Cancel(part, try) }
+// Cancel implements policy.Executor. It passes the call on.
+func (o *policyOutput) Cancel(request, attemptIndex int) { o.out.Cancel(request, attemptIndex) }
 
-// Answer implements policy.Executor; it passes the call on.
-func (o *moduleOutput) Answer(search int, complete bool) { o.out.Answer(search, complete) }
+// Answer implements policy.Executor. It passes the call on.
+func (o *policyOutput) Answer(search int, complete bool) { o.out.Answer(search, complete) }
 
-// Shed implements policy.Executor; it passes the call on.
-func (o *moduleOutput) Shed(search int, retryAfter float64) { o.out.Shed(search, retryAfter) }
+// Shed implements policy.Executor. It passes the call on.
+func (o *policyOutput) Shed(search int, retryAfter float64) { o.out.Shed(search, retryAfter) }
 
-// Fail implements policy.Executor; it passes the call on.
-func (o *moduleOutput) Fail(search int) { o.out.Fail(search) }
+// Fail implements policy.Executor. It passes the call on.
+func (o *policyOutput) Fail(search int) { o.out.Fail(search) }
 
-// Probe implements policy.Executor; it passes the call on.
-func (o *moduleOutput) Probe(server int) { o.out.Probe(server) }
+// Probe implements policy.Executor. It passes the call on.
+func (o *policyOutput) Probe(server int) { o.out.Probe(server) }
 
-// CloseIdleConnections implements policy.Executor; it passes the call on.
-func (o *moduleOutput) CloseIdleConnections(server int) { o.out.CloseIdleConnections(server) }
+// CloseIdleConnections implements policy.Executor. It passes the call on.
+func (o *policyOutput) CloseIdleConnections(server int) { o.out.CloseIdleConnections(server) }
 
-// SubscribeToServers implements policy.Executor; it passes the call on.
-func (o *moduleOutput) SubscribeToServers() { o.out.SubscribeToServers() }
+// SubscribeToServers implements policy.Executor. It passes the call on.
+func (o *policyOutput) SubscribeToServers() { o.out.SubscribeToServers() }
 
-// ScheduleWakeUp implements policy.Executor; it passes the call on.
-func (o *moduleOutput) ScheduleWakeUp(in float64) { o.out.ScheduleWakeUp(in) }
+// ScheduleWakeUp implements policy.Executor. It passes the call on.
+func (o *policyOutput) ScheduleWakeUp(delay float64) { o.out.ScheduleWakeUp(delay) }
 
-// Log implements policy.Executor; it passes the call on.
-func (o *moduleOutput) Log(text string) { o.out.Log(text) }
+// Log implements policy.Executor. It passes the call on.
+func (o *policyOutput) Log(text string) { o.out.Log(text) }
 
-// ReleaseSearch implements policy.Executor; it passes the call on.
-func (o *moduleOutput) ReleaseSearch(search int) { o.out.ReleaseSearch(search) }
+// ReleaseSearch implements policy.Executor. It passes the call on.
+func (o *policyOutput) ReleaseSearch(search int) { o.out.ReleaseSearch(search) }
 
 var (
 	_ policy.Decider  = (*Interceptor)(nil)
-	_ policy.Executor = (*moduleOutput)(nil)
+	_ policy.Executor = (*policyOutput)(nil)
 )
