--- a/cmd/kestrelctl/ownerview.go
+++ b/cmd/kestrelctl/ownerview.go
@@ -48,7 +48,7 @@
 			return flags.print(cmd, role, func(table *tabwriter.Writer) {
 				fmt.Fprintf(table, "owner\t%s\ntoken\t%d\nlease left\t%.0f ms\nnext\t%s\n", role.Holder, role.Token, role.LeaseLeftMs,
 					role.NextHolder)
-				fmt.Fprintf(table, "deaths\t%d\nforced\t%v\n", role.HolderFailures, role.Forced)
+				fmt.Fprintf(table, "deaths\t%d\nforced\t%v\n", role.HolderFailures, role.Revoked)
 				fmt.Fprintf(table, "written under\t%d\nhow far\t%s\n", role.ProgressToken, role.Progress)
 			})
 		}
--- a/internal/fleet/lease/lessor.go
+++ b/internal/fleet/lease/lessor.go
@@ -233,7 +233,7 @@
 
 // grant proposes to grant a free role to a live instance, unless the role is in backoff.
 func (l *Lessor) grant(now float64, role *Role, alive []string) (Command, bool) {
-	backedOff := role.HolderFailures > 0 && !role.Forced && now < l.notBefore[role.Name]
+	backedOff := role.HolderFailures > 0 && !role.Revoked && now < l.notBefore[role.Name]
 	if backedOff || len(alive) == 0 {
 		return Command{}, false
 	}
--- a/internal/fleet/lease/state.go
+++ b/internal/fleet/lease/state.go
@@ -17,7 +17,7 @@
 	ProgressIndex  uint64 `json:"changed"`          // log index at which Progress was written
 	ProgressSeq    uint64 `json:"word"`             // sequence number of Progress under its token
 	HolderFailures int    `json:"deaths"`           // consecutive expired leases since progress was last stored
-	Forced         bool   `json:"forced,omitempty"` // an operator revoked the latest grant, so no backoff applies
+	Revoked        bool   `json:"forced,omitempty"` // an operator revoked the latest grant, so no backoff applies
 }
 
 // Event is an entry of the history of grants.
@@ -155,7 +155,7 @@
 	case role.NextHolder != "" && role.NextHolder != c.Target:
 		return "it is kept for " + role.NextHolder
 	}
-	role.Holder, role.NextHolder, role.Forced = c.Target, "", false
+	role.Holder, role.NextHolder, role.Revoked = c.Target, "", false
 	if !mutantReuseToken {
 		role.Token = s.NextToken
 		s.NextToken++
@@ -178,7 +178,7 @@
 	case CommandRelease:
 		s.record(role, eventReleased, former)
 	case CommandRevoke:
-		role.Forced, role.NextHolder = true, c.Target
+		role.Revoked, role.NextHolder = true, c.Target
 		s.record(role, eventRevoked, former)
 	}
 	return ""
--- a/internal/fleet/lease/transport/wire_golden_test.go
+++ b/internal/fleet/lease/transport/wire_golden_test.go
@@ -83,7 +83,7 @@
 		ProgressIndex:  17,
 		ProgressSeq:    5,
 		HolderFailures: 2,
-		Forced:         true,
+		Revoked:        true,
 	}
 }
 
