--- a/internal/node/view/acceptor.go
+++ b/internal/node/view/acceptor.go
@@ -2,21 +2,23 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// Acceptor is the acceptor of single-decree Paxos for the view of one epoch. It checks neither the
-// proposer nor whether the epoch is the one after the newest decided view: its caller does. A
-// change of it must be durable, as Record returns it, before the answer is sent; otherwise a
-// restarted acceptor could break its promise. chain.Replica makes it durable (chain/voting.go).
+// Acceptor is the acceptor role of the single-decree Paxos that decides the view of one epoch.
+//
+// The caller must check that the proposer is eligible and that the epoch follows the newest decided
+// view. After each change the caller must make the result of Record durable before it sends the
+// answer; otherwise the acceptor could break its promise after a restart. chain.Replica does both
+// (chain/voting.go).
 type Acceptor struct {
-	Epoch          uint64
-	promisedNumber *nodepb.ProposalNumber
-	acceptedNumber *nodepb.ProposalNumber
-	acceptedView   *nodepb.View
+	Epoch          uint64                 // epoch of the view to be decided
+	promisedNumber *nodepb.ProposalNumber // highest number promised; nil if none
+	acceptedNumber *nodepb.ProposalNumber // number of the proposal accepted last; nil if none
+	acceptedView   *nodepb.View           // view accepted under acceptedNumber
 }
 
-// NewAcceptor returns an acceptor that has promised and accepted nothing in the epoch.
+// NewAcceptor returns an acceptor for the epoch that has not promised or accepted anything yet.
 func NewAcceptor(epoch uint64) Acceptor { return Acceptor{Epoch: epoch} }
 
-// RestoreAcceptor returns the acceptor of a durable record.
+// RestoreAcceptor returns the acceptor in the state stored in a durable record.
 func RestoreAcceptor(record *nodepb.AcceptorRecord) Acceptor {
 	return Acceptor{
 		Epoch:          record.GetEpoch(),
@@ -26,20 +28,22 @@
 	}
 }
 
-// Record returns what has to be durable before an answer is sent.
+// Record returns the state that must be durable before an answer of the acceptor is sent.
 func (a *Acceptor) Record() *nodepb.AcceptorRecord {
 	return &nodepb.AcceptorRecord{Epoch: a.Epoch, PromisedNumber: a.promisedNumber, AcceptedNumber: a.acceptedNumber, AcceptedView: a.acceptedView}
 }
 
-// Blank reports whether nothing was promised or accepted.
+// Blank reports whether the acceptor has neither promised nor accepted a proposal.
 func (a *Acceptor) Blank() bool { return a.promisedNumber == nil && a.acceptedNumber == nil }
 
-// HighestCounter is the counter of the highest proposal number that was promised or accepted.
+// HighestCounter returns the counter of the highest proposal number that the acceptor has promised
+// or accepted, or 0 if there is none. Accepting a number also promises it.
 func (a *Acceptor) HighestCounter() uint64 { return a.promisedNumber.GetCounter() }
 
-// Prepare answers a Prepare with a promise, or rejects it with the higher number that was promised
-// before. A repeated number is promised again. changed: the record must be made durable before the
-// answer is sent.
+// Prepare handles a Prepare request with the given number. It returns a promise, or a rejection
+// with the higher number that was promised before. A repeated request with the promised number is
+// promised again. changed reports whether the acceptor's record has changed and must be made durable
+// before the promise is sent.
 func (a *Acceptor) Prepare(number *nodepb.ProposalNumber) (promise *nodepb.Promise, changed bool) {
 	promise = &nodepb.Promise{Epoch: a.Epoch, Number: number}
 	order := CompareNumbers(number, a.promisedNumber)
@@ -56,9 +60,10 @@
 	return promise, order > 0
 }
 
-// Accept answers an Accept, or rejects it with the higher number that was promised before. It
-// promises the number as well, so that a proposal that was accepted without a Prepare is not
-// followed by a lower one. changed is as for Prepare.
+// Accept handles an Accept request for the view under the given number. It accepts the view, or
+// rejects it with the higher number that was promised before. Accepting also promises the number, so
+// that no lower proposal can follow one that was accepted without a Prepare. changed reports whether
+// the record must be made durable before the answer is sent.
 func (a *Acceptor) Accept(number *nodepb.ProposalNumber, value *nodepb.View) (accepted *nodepb.Accepted, changed bool) {
 	accepted = &nodepb.Accepted{Epoch: a.Epoch, Number: number}
 	if CompareNumbers(number, a.promisedNumber) < 0 {
--- a/internal/node/view/detector.go
+++ b/internal/node/view/detector.go
@@ -9,60 +9,62 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Timeouts and intervals of the failure detection among voters. Source: docs/design/system.md,
+// Timeouts and intervals of failure detection among voters. Source: docs/design/system.md,
 // "Control state".
 const (
 	// PingInterval is the time between two rounds of pings.
 	PingInterval core.Time = 250 * time.Millisecond
-	// FoundingPingInterval is the same while there is no view.
+	// FoundingPingInterval is the time between two rounds of pings while there is no view.
 	FoundingPingInterval core.Time = 100 * time.Millisecond
-	// FailureTimeout is the age of the last proven round trip from which on a voter counts as
-	// failed.
+	// FailureTimeout is the age of the last proven round trip beyond which a voter counts as failed.
 	FailureTimeout core.Time = time.Second
-	// suspensionThreshold: a node that wakes this much later than it asked to was suspended itself,
-	// so that the silence of its peers proves nothing.
+	// suspensionThreshold is the delay beyond which a late wake-up means that this node itself was
+	// suspended. The silence of its peers then proves nothing.
 	suspensionThreshold = 500 * time.Millisecond
-	// passivePingTimeout: the passive one of two peers sends pings of its own after this time
-	// without contact.
+	// passivePingTimeout is the time without contact after which the passive one of two peers sends
+	// pings of its own.
 	passivePingTimeout = 500 * time.Millisecond
-	// slowPingTimeout: a peer without direct contact for this long is pinged every slowPingInterval
-	// alone.
+	// slowPingTimeout is the time without direct contact after which a peer is pinged directly only
+	// once in every slowPingInterval. Relayed pings slow down likewise after this time without any
+	// contact.
 	slowPingTimeout  = 5 * time.Second
 	slowPingInterval = time.Second
-	// forgetTimeout is how long the state of a node that is watched no more is kept after the last
-	// contact.
+	// forgetTimeout is the time after the last contact for which the state of a node that is no
+	// longer watched is kept.
 	forgetTimeout = 10 * time.Second
-	// stalledTimeout is how long a proposer may be wedged before another member of the chain
-	// proposes in its place.
+	// stalledTimeout is the time for which a proposer may be wedged before another member of the
+	// chain proposes in its place.
 	stalledTimeout = 600 * time.Millisecond
-	// sentHistory is how many of the newest messages to a peer are remembered by number until they
-	// are acknowledged.
-	sentHistory = 32
+	// sentHistorySize is the number of the newest pings to a peer, and of the newest pongs, that are
+	// kept to match acknowledgements.
+	sentHistorySize = 32
 )
 
-// Detector is the failure detector among voters: it proves round trips by numbered pings. Of two
-// voters the one with the lower disk id is active and sends the pings. The pong proves a round trip
-// to the active one; the next ping, which acknowledges the pong, proves one to the passive one. A
-// node that is no voter pings all that it watches.
+// Detector is the failure detector among voters. It proves round trips by numbered pings.
+//
+// Of two voters, the one with the lower disk id is active and sends the pings; the other is passive
+// and answers with pongs. A pong proves a round trip to the active node. The next ping acknowledges
+// the pong and so proves a round trip to the passive node. A node that is not a voter pings all nodes
+// that it watches.
 //
-// A Detector reads no clock and sends nothing: its caller passes the time to Advance and sends what
-// DuePings lists.
+// A Detector does no I/O and reads no clock: its caller passes the time to Advance and sends the
+// pings that DuePings returns.
 type Detector struct {
 	self           *nodepb.Voter
 	now            core.Time
 	peers          map[string]*peer  // by address
 	voterAddresses map[string]string // by disk id
-	nonVoter       bool              // this node is not among the voters
+	nonVoter       bool              // whether this node is not among the voters
 	pingInterval   core.Time
-	nextPingAt     core.Time
-	relays         []string // addresses, best first
+	nextPingAt     core.Time // time of the next round of pings
+	relays         []string  // addresses of the possible relays, in order of preference
 
-	firstSequence uint64
+	firstSequence uint64 // see NewDetector
 }
 
-// NewDetector returns a Detector that watches nobody. Pings are numbered from firstSequence on,
-// which should differ between the incarnations of a process, so that a pong to an earlier
-// incarnation proves nothing.
+// NewDetector returns a Detector that doesn't watch any node yet. The sequence numbers of the pings
+// to a peer follow firstSequence. It should differ between the incarnations of a process, so that a
+// pong to an earlier incarnation proves nothing.
 func NewDetector(now core.Time, self *nodepb.Voter, firstSequence uint64) *Detector {
 	return &Detector{
 		self:           self,
@@ -76,8 +78,8 @@
 	}
 }
 
-// Watch sets the nodes to watch and the voters of the view. Nodes that were watched before keep
-// their history. founding selects the shorter ping interval.
+// Watch sets the nodes to watch and the voters of the current view. It keeps the state of nodes that
+// were watched before. founding is whether there is no view yet, which selects FoundingPingInterval.
 func (d *Detector) Watch(now core.Time, targets []Target, voters []*nodepb.Voter, founding bool) {
 	d.now = now
 	d.setVoters(voters)
@@ -96,6 +98,7 @@
 	}
 }
 
+// setVoters replaces the voters by those of the current view.
 func (d *Detector) setVoters(voters []*nodepb.Voter) {
 	clear(d.voterAddresses)
 	d.nonVoter = true
@@ -107,8 +110,10 @@
 	}
 }
 
+// watchTarget starts or continues to watch the target. A node that was not watched is pinged in the
+// next round, which is due at once.
 func (d *Detector) watchTarget(target Target) {
-	p := d.peer(target.Address)
+	p := d.peerAt(target.Address)
 	if !p.watched {
 		p.watched = true
 		p.nextPingAt = min(p.nextPingAt, d.now)
@@ -119,9 +124,9 @@
 	}
 }
 
-// peer returns the state of the node at the address; a new one starts with the timeouts of a fresh
-// contact.
-func (d *Detector) peer(address string) *peer {
+// peerAt returns the state of the node at the address. It creates the state if there is none, with
+// timeouts that run as if there had been a contact just now.
+func (d *Detector) peerAt(address string) *peer {
 	p := d.peers[address]
 	if p == nil {
 		p = &peer{
@@ -139,8 +144,9 @@
 	return p
 }
 
-// Advance sets the time. lateness is how much later than asked the node woke; if it was suspended,
-// the timeouts of all peers start again.
+// Advance sets the current time. lateness is how much later than requested the node woke up. If it
+// exceeds suspensionThreshold, Advance restarts the timeouts of all peers and returns true, as this
+// node was suspended.
 func (d *Detector) Advance(now, lateness core.Time) (suspended bool) {
 	d.now = now
 	if lateness <= suspensionThreshold {
@@ -154,8 +160,9 @@
 	return true
 }
 
-// DuePings lists the pings to send now, by address and relay; the caller sends for each what
-// NewPing returns.
+// DuePings returns the pings to send now, sorted by address and relay. For each, the caller must send
+// the message that NewPing returns. DuePings also deletes nodes that are no longer watched once
+// forgetTimeout has passed.
 func (d *Detector) DuePings() []DuePing {
 	if d.now < d.nextPingAt {
 		return nil
@@ -167,7 +174,7 @@
 			delete(d.peers, address)
 			continue
 		}
-		if !p.watched || !d.sendsPings(p) {
+		if !p.watched || !d.shouldPing(p) {
 			continue
 		}
 		if d.now >= p.nextPingAt {
@@ -183,17 +190,20 @@
 	return due
 }
 
-// passive reports whether the peer is the one of the two that usually pings.
-func (d *Detector) passive(p *peer) bool {
+// isPassive reports whether this node is the passive one of the two, so that usually the peer sends
+// the pings.
+func (d *Detector) isPassive(p *peer) bool {
 	return !d.nonVoter && p.expectedDiskID != "" && d.self.GetDiskId() >= p.expectedDiskID
 }
 
-// sendsPings reports whether this node sends pings to the peer at present.
-func (d *Detector) sendsPings(p *peer) bool {
-	return !d.passive(p) || d.now-p.lastContact >= passivePingTimeout || d.now-p.paths.directProvenAt >= passiveRelayTimeout
+// shouldPing reports whether this node should send pings to the peer at present: always if this node
+// is the active one, and otherwise if there was no contact for passivePingTimeout or no proof of the
+// direct path for passiveRelayTimeout.
+func (d *Detector) shouldPing(p *peer) bool {
+	return !d.isPassive(p) || d.now-p.lastContact >= passivePingTimeout || d.now-p.paths.directProvenAt >= passiveRelayTimeout
 }
 
-// Deadline is when DuePings should be asked again; core.Never where no peer is known.
+// Deadline returns when DuePings should be called again, or core.Never if no peer is known.
 func (d *Detector) Deadline() core.Time {
 	if len(d.peers) == 0 {
 		return core.Never
--- a/internal/node/view/nextview.go
+++ b/internal/node/view/nextview.go
@@ -6,9 +6,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// NextView is the view to propose, nil if there is none at present. Its chain has only replicas
-// that hold all that was acknowledged, and joiners that have caught up; a majority of its voters is
-// reachable.
+// NextView returns the view to propose, or nil if no view can be proposed at present. The chain of
+// the view contains only replicas that hold all acknowledged entries and joiners that have caught
+// up, except that a leaving node adds no joiners. A majority of its voters is reachable.
 func (r *Reconfiguration) NextView() *nodepb.View {
 	chain := r.nextChain()
 	if len(chain) == 0 {
@@ -22,27 +22,28 @@
 		Chain:             chain,
 		RemovedVoters:     r.removedVoters(voters),
 		MinChainLength:    uint32(requiredChainLength(len(voters), r.Tolerance)),
-		MemberUnreachable: r.leavesOutUnreachable(chain),
+		MemberUnreachable: r.omitsUnreachableMember(chain),
 	}
 	if !CanAcknowledge(next) {
 		next.OffChainReplicas = slices.DeleteFunc(retained, func(diskID string) bool { return !IsVoter(next, diskID) })
 	}
-	if !Valid(next) || !r.reachesMajority(voters) || r.tooShort(next) {
+	if !Valid(next) || !r.canReachMajority(voters) || r.omitsReturningReplica(next) {
 		return nil
 	}
 	return next
 }
 
-// leavesOutUnreachable reports whether a member of the chain in force is left out of the next one
-// as it is unreachable.
-func (r *Reconfiguration) leavesOutUnreachable(next []string) bool {
+// omitsUnreachableMember reports whether the next chain omits a member of the current chain, other
+// than this node, that is unreachable.
+func (r *Reconfiguration) omitsUnreachableMember(next []string) bool {
 	return slices.ContainsFunc(r.View.GetChain(), func(diskID string) bool {
 		return diskID != r.Self && !slices.Contains(next, diskID) && r.Detector.Unreachable(diskID)
 	})
 }
 
-// retainedReplicas lists the replicas outside the chain that hold all that was acknowledged, if the
-// chain may be too short to acknowledge: they stay voters then.
+// retainedReplicas returns the replicas outside the next chain that hold all acknowledged entries
+// and must therefore remain voters. It returns none if the chain is longer than Tolerance and so is
+// long enough to acknowledge.
 func (r *Reconfiguration) retainedReplicas(chain []string) []string {
 	if len(chain) > r.Tolerance {
 		return nil
@@ -52,24 +53,24 @@
 	})
 }
 
-// tooShort reports whether the chain would be too short to acknowledge while replicas that it
-// leaves out may soon return. A short chain gains nothing then, and a loss of its disks would lose
-// the state.
-func (r *Reconfiguration) tooShort(next *nodepb.View) bool {
+// omitsReturningReplica reports whether the chain of the next view is too short to acknowledge and
+// omits an eligible proposer that may soon return, because it has not reached RemovalTimeout. Such a
+// view would gain nothing, and a loss of the disks of its chain would lose the state.
+func (r *Reconfiguration) omitsReturningReplica(next *nodepb.View) bool {
 	if CanAcknowledge(next) {
 		return false
 	}
 	for _, diskID := range EligibleProposers(r.View) {
-		if !slices.Contains(next.GetChain(), diskID) && !r.failedForLong(diskID) {
+		if !slices.Contains(next.GetChain(), diskID) && !r.removalTimeoutReached(diskID) {
 			return true
 		}
 	}
 	return false
 }
 
-// nextChain is this node as the head, the reachable eligible proposers in their order, and the
-// joiners. A leaving node adds no joiners, and becomes the tail, or leaves the chain if that is
-// long enough without it.
+// nextChain returns the chain of the next view: this node as the head, then the other reachable
+// eligible proposers in their present order, then the joiners. A node that is leaving adds no
+// joiners: it leaves the chain if the others suffice to acknowledge, and becomes the tail if not.
 func (r *Reconfiguration) nextChain() []string {
 	var others []string
 	for _, diskID := range EligibleProposers(r.View) {
@@ -77,7 +78,7 @@
 			others = append(others, diskID)
 		}
 	}
-	others = r.withoutBrokenLinks(others)
+	others = r.removeBrokenLinks(others)
 	if r.Leaving && len(others) > 0 {
 		if len(others) >= requiredChainLength(len(r.View.GetVoters()), r.Tolerance) {
 			return others
@@ -93,13 +94,14 @@
 	return chain
 }
 
-// withoutBrokenLinks removes the member with the most broken links, the later one of two, until
-// there is none.
-func (r *Reconfiguration) withoutBrokenLinks(members []string) []string {
+// removeBrokenLinks removes members until no link between the remaining ones, or from one of them to
+// this node, is broken. Each step removes the member with the most broken links, and the last of
+// these if several have equally many. It modifies the slice.
+func (r *Reconfiguration) removeBrokenLinks(members []string) []string {
 	for {
 		worst, maxBroken := -1, 0
 		for i, member := range members {
-			if broken := r.brokenLinks(member, members); broken >= maxBroken && broken > 0 {
+			if broken := r.countBrokenLinks(member, members); broken >= maxBroken && broken > 0 {
 				worst, maxBroken = i, broken
 			}
 		}
@@ -110,8 +112,9 @@
 	}
 }
 
-// brokenLinks counts the broken links of a member to this node and to the other members.
-func (r *Reconfiguration) brokenLinks(member string, members []string) int {
+// countBrokenLinks returns the number of broken links from a member to this node and to the other
+// members.
+func (r *Reconfiguration) countBrokenLinks(member string, members []string) int {
 	broken := 0
 	if r.Detector.LinkBroken(member, r.Self) {
 		broken++
--- a/internal/node/view/nextvoters.go
+++ b/internal/node/view/nextvoters.go
@@ -6,8 +6,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// nextVoters adds the joiners, and then removes the voters that may be removed. Voters to be
-// retained are neither removed nor replaced by another machine.
+// nextVoters returns the voters of the next view: the current voters and the joiners, without the
+// voters that may be removed. It neither removes a retained voter nor replaces it by another machine.
+// A node that is leaving changes no voters.
 func (r *Reconfiguration) nextVoters(retained []string) []*nodepb.Voter {
 	voters := slices.Clone(r.View.GetVoters())
 	if r.Leaving {
@@ -22,8 +23,13 @@
 	})
 }
 
-// addVoter adds a joiner in place of the voter with its disk, else of the one at its address, whose
-// disk is gone, else of a voter that has failed, else as one more.
+// addVoter adds a joiner to the voters. The joiner replaces the first voter found by these rules:
+//
+//  1. the voter with the same disk id;
+//  2. the voter at the same address, whose disk is gone;
+//  3. a voter that isReplaceable and is not retained.
+//
+// If there is no such voter, the joiner is appended.
 func (r *Reconfiguration) addVoter(voters []*nodepb.Voter, joiner *nodepb.Voter, retained []string) []*nodepb.Voter {
 	index := slices.IndexFunc(voters, func(voter *nodepb.Voter) bool {
 		return voter.GetDiskId() == joiner.GetDiskId()
@@ -35,7 +41,7 @@
 	}
 	if index < 0 {
 		index = slices.IndexFunc(voters, func(voter *nodepb.Voter) bool {
-			return r.replaceable(voter.GetDiskId()) && !slices.Contains(retained, voter.GetDiskId())
+			return r.isReplaceable(voter.GetDiskId()) && !slices.Contains(retained, voter.GetDiskId())
 		})
 	}
 	if index < 0 {
@@ -45,26 +51,28 @@
 	return voters
 }
 
-// replaceable reports whether a joiner on another machine may replace the voter.
-func (r *Reconfiguration) replaceable(diskID string) bool {
+// isReplaceable reports whether a joiner on another machine may replace the voter, which is the case
+// if the voter has failed and isn't a joiner itself.
+func (r *Reconfiguration) isReplaceable(diskID string) bool {
 	return r.condition(diskID) == Failed && !r.isJoiner(diskID)
 }
 
-// failedForLong reports whether the voter has failed for so long that it may be removed.
-func (r *Reconfiguration) failedForLong(diskID string) bool {
+// removalTimeoutReached reports whether the voter has failed for at least RemovalTimeout, so that it
+// may be removed. It returns false for this node itself.
+func (r *Reconfiguration) removalTimeoutReached(diskID string) bool {
 	return diskID != r.Self && r.Detector.FailedFor(diskID) >= RemovalTimeout
 }
 
-// removableVoters lists the voters that have failed for RemovalTimeout, if all others are reachable
-// and enough of them remain: 2 x tolerance + 1, so that a majority outlives the loss of as many
-// machines as may be lost.
+// removableVoters returns the voters that have failed for at least RemovalTimeout. It returns none
+// unless all other voters are reachable and at least 2*Tolerance+1 voters remain, so that a majority
+// survives the loss of as many machines as are tolerated.
 func (r *Reconfiguration) removableVoters(voters []*nodepb.Voter) []string {
 	var removable []string
 	for _, voter := range voters {
 		diskID := voter.GetDiskId()
 		switch {
-		case r.isJoiner(diskID):
-		case r.failedForLong(diskID):
+		case r.isJoiner(diskID): // never removed, and counts as reachable
+		case r.removalTimeoutReached(diskID):
 			removable = append(removable, diskID)
 		case r.condition(diskID) != Reachable:
 			return nil
@@ -76,13 +84,14 @@
 	return removable
 }
 
+// isJoiner reports whether the disk id is that of a joiner.
 func (r *Reconfiguration) isJoiner(diskID string) bool {
 	return slices.ContainsFunc(r.Joiners, func(joiner *nodepb.Voter) bool { return joiner.GetDiskId() == diskID })
 }
 
-// reachesMajority reports whether a majority of the voters is reachable; joiners have just
-// answered.
-func (r *Reconfiguration) reachesMajority(voters []*nodepb.Voter) bool {
+// canReachMajority reports whether a majority of the given voters is reachable. Joiners count as
+// reachable because they have just answered.
+func (r *Reconfiguration) canReachMajority(voters []*nodepb.Voter) bool {
 	reached := 0
 	for _, voter := range voters {
 		if r.condition(voter.GetDiskId()) == Reachable || r.isJoiner(voter.GetDiskId()) {
@@ -92,7 +101,8 @@
 	return reached >= Majority(len(voters))
 }
 
-// removedVoters lists the voters that were removed last, those of the next view at the end.
+// removedVoters returns the disk ids of the voters that were removed most recently, oldest first and
+// at most maxRemovedVoters. The voters that the next view removes are at the end.
 func (r *Reconfiguration) removedVoters(voters []*nodepb.Voter) []string {
 	isVoter := func(diskID string) bool {
 		return slices.ContainsFunc(voters, func(voter *nodepb.Voter) bool { return voter.GetDiskId() == diskID })
--- a/internal/node/view/number.go
+++ b/internal/node/view/number.go
@@ -2,8 +2,8 @@
 
 import "kestrelspread/internal/node/nodepb"
 
-// CompareNumbers orders proposal numbers by counter, then by proposer; nil is below all others. It
-// returns -1, 0 or 1. Numbers of different proposers are never equal.
+// CompareNumbers compares two proposal numbers by counter, then by proposer, and returns -1, 0 or
+// 1. A nil number is lower than any other. Numbers of different proposers are never equal.
 func CompareNumbers(a, b *nodepb.ProposalNumber) int {
 	switch {
 	case a.GetCounter() < b.GetCounter():
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -7,38 +7,39 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Timeouts and bounds of relayed paths between voters. Source: docs/design/control.md, "Relays".
+// Timeouts and limits of relayed paths between voters. Source: docs/design/control.md, "Relays".
 const (
-	// relayTimeout is how long the direct path to a peer may be unproven before this node, if it is
-	// the active one of the two, pings through relays as well. It leaves time to find a relay
-	// before FailureTimeout.
+	// relayTimeout is the time for which the direct path to a peer may be unproven before this node,
+	// if it is the active one of the two, sends pings through relays as well. It is shorter than
+	// FailureTimeout, to leave time to find a relay.
 	relayTimeout = 400 * time.Millisecond
-	// passiveRelayTimeout is the same for the passive one, to which a path is proven one ping
-	// later. It is also the age of the proof of the direct path from which on messages go by a
-	// relay.
+	// passiveRelayTimeout is the same time for the passive one of the two. It is longer because a
+	// path is proven to the passive node one ping later. For both nodes it is also the age of the
+	// newest proof of the direct path after which messages are sent through a relay.
 	passiveRelayTimeout = 650 * time.Millisecond
-	// maxRelayedPings is how many relays are pinged at a time while none is proven.
-	maxRelayedPings = 3
-	// maxRelayedPingsProven is the same once one is proven: that one, and another in turn.
-	maxRelayedPingsProven = 2
+	// maxRelaysUnproven is the number of relays to ping through at a time while no relay is proven.
+	maxRelaysUnproven = 3
+	// maxRelaysProven is the number of relays to ping through at a time once a relay is proven: that
+	// relay, and one of the others in rotation.
+	maxRelaysProven = 2
 )
 
-// DuePing is a ping to send now.
+// DuePing is a ping to be sent now.
 type DuePing struct {
-	Address string // of the node to ping
-	Via     string // internal address of the relay; empty: directly
+	Address string // internal address of the node to ping
+	Via     string // internal address of the relay; empty if the ping is to be sent directly
 }
 
-// paths are the round trips to one peer, direct and by relays. Each is proven as of the time at
-// which the newest message was sent that is known to have arrived.
+// paths holds when each path to one peer, direct or through a relay, was last proven. The time is
+// when the newest message that the peer is known to have received over the path was sent.
 type paths struct {
-	directProvenAt core.Time            // or when the direct path began to be watched
+	directProvenAt core.Time            // starts with the time at which the observation began
 	relayProvenAt  map[string]core.Time // by address of the relay
-	nextRelay      int                  // counts the relays that were selected in turn
+	nextRelay      int                  // number of relays tried in rotation, which selects the next
 }
 
-// recordProof records that a message sent at sentAt has arrived by the relay via, or directly where
-// that is empty.
+// recordProof records that a message sent at sentAt has arrived through the relay via, or directly
+// if via is empty.
 func (p *paths) recordProof(via string, sentAt core.Time) {
 	if via == "" {
 		p.directProvenAt = max(p.directProvenAt, sentAt)
@@ -50,8 +51,8 @@
 	p.relayProvenAt[via] = max(p.relayProvenAt[via], sentAt)
 }
 
-// bestRelay returns the relay with the newest proof, if that is no older than FailureTimeout, and
-// else none. It forgets relays with an older one.
+// bestRelay returns the relay with the newest proof and the time of the proof. It deletes relays
+// whose proof is older than FailureTimeout, and returns an empty relay if none remains.
 func (p *paths) bestRelay(now core.Time) (relay string, provenAt core.Time) {
 	for candidate, candidateProvenAt := range p.relayProvenAt {
 		switch {
@@ -64,14 +65,15 @@
 	return relay, provenAt
 }
 
-// selectRelays lists the relays to ping now: the best one and one in turn, or several in turn where
-// none is proven. The peer itself, at the address target, is no relay.
+// selectRelays returns the relays through which to ping the peer now: the best relay and another one
+// in rotation, or several in rotation if no relay is proven. It never selects the address target,
+// which is the peer itself.
 func (p *paths) selectRelays(now core.Time, relays []string, target string) []string {
 	var selected []string
-	maxRelays := maxRelayedPings
+	maxRelays := maxRelaysUnproven
 	if best, _ := p.bestRelay(now); best != "" {
 		selected = append(selected, best)
-		maxRelays = maxRelayedPingsProven
+		maxRelays = maxRelaysProven
 	}
 	for range relays {
 		if len(selected) >= maxRelays {
@@ -86,15 +88,16 @@
 	return selected
 }
 
-// SetRelays sets the addresses of the nodes that may relay messages to peers without a direct path,
-// best first.
+// SetRelays sets the internal addresses of the nodes that may relay messages to peers without a
+// direct path, in order of preference. It drops this node's own address.
 func (d *Detector) SetRelays(addresses []string) {
 	d.relays = slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == d.self.GetAddress() })
 }
 
-// Route is the internal address of the relay by which messages to the address should go; empty:
-// directly. It is a relay only while the direct path has been unproven for passiveRelayTimeout and
-// a round trip by the relay is newer.
+// Route returns the internal address of the relay through which to send messages to the address, or
+// an empty string if they should be sent directly. It returns a relay only if the direct path has
+// not been proven for longer than passiveRelayTimeout and the path through the relay was proven
+// later than the direct one.
 func (d *Detector) Route(address string) string {
 	p := d.peers[address]
 	if p == nil || d.now-p.paths.directProvenAt <= passiveRelayTimeout {
@@ -107,11 +110,11 @@
 	return relay
 }
 
-// relaysToPing lists the relays by which the peer should be pinged now. An unresponsive one is
-// pinged by one relay at a time, and less often.
+// relaysToPing returns the relays through which to ping the peer now. A peer without contact for
+// longer than slowPingTimeout is pinged through one relay every slowPingInterval.
 func (d *Detector) relaysToPing(address string, p *peer) []string {
 	timeout := relayTimeout
-	if d.passive(p) {
+	if d.isPassive(p) {
 		timeout = passiveRelayTimeout
 	}
 	if len(d.relays) == 0 || d.now-p.paths.directProvenAt < timeout || d.now < p.nextRelayedPingAt {
--- a/internal/node/view/peer.go
+++ b/internal/node/view/peer.go
@@ -5,25 +5,25 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// Report is what a node reports of itself in its pings and pongs.
+// Report is the status of a node as the node itself reports it in its pings and pongs.
 type Report struct {
-	Voter     *nodepb.Voter
-	Epoch     uint64 // of the newest decided view it has installed, 0 for none
-	Committed uint64 // index of its committed state
-	// DiskHealthy: its journal takes writes in time.
+	Voter     *nodepb.Voter // disk id, address and incarnation (node id) of the node
+	Epoch     uint64        // epoch of the newest decided view that the node has installed; 0 if none
+	Committed uint64        // index up to which the node's state is committed
+	// DiskHealthy is whether the node's journal completes writes in time.
 	DiskHealthy bool
-	// CountsForQuorum: it has a disk and may become a voter.
+	// CountsForQuorum is whether the node has a disk, so that it may become a voter.
 	CountsForQuorum bool
-	// Founding: it takes part in the agreement on the first view.
+	// Founding is whether the node takes part in the agreement on the first view.
 	Founding bool
-	// Wedged: it has proposed a successor of the view of Epoch, and neither forwards nor
-	// acknowledges anything in it.
+	// Wedged is whether the node has proposed a successor of the view of Epoch. It no longer forwards
+	// or acknowledges anything in that view.
 	Wedged bool
-	// UnreachableVoters are the disk ids of the voters that it has no round trip with.
+	// UnreachableVoters holds the disk ids of the voters to which the node has no recent round trip.
 	UnreachableVoters []string
 }
 
-// reportMessage is a message that carries a Report: a ping or a pong.
+// reportMessage is implemented by the messages that carry a Report: pings and pongs.
 type reportMessage interface {
 	GetSelf() *nodepb.Voter
 	GetEpoch() uint64
@@ -35,6 +35,7 @@
 	GetUnreachableVoters() []string
 }
 
+// reportOf returns the Report that a ping or a pong carries.
 func reportOf(message reportMessage) Report {
 	return Report{
 		Voter:             message.GetSelf(),
@@ -48,66 +49,72 @@
 	}
 }
 
-// Target is a node to watch; DiskID is empty where it isn't known.
+// Target is a node for a Detector to watch.
 type Target struct {
-	Address string
-	DiskID  string
+	Address string // internal address of the node
+	DiskID  string // disk id of the node; empty if not known
 }
 
-// sentMessage is a numbered ping or pong that was sent.
+// sentMessage records a ping or pong that was sent, so that its acknowledgement can prove a round
+// trip.
 type sentMessage struct {
 	sequence uint64
 	sentAt   core.Time
-	via      string // address of the relay; empty: directly
+	via      string // address of the relay; empty if sent directly
 }
 
-// peer is the detector's state of the node at one address.
+// peer is what a Detector knows of the node at one address.
 type peer struct {
-	watched        bool
-	expectedDiskID string // disk id that the view has at this address, empty for none
-	lastReport     *Report
+	watched        bool    // whether the node is among the targets of the last call of Watch
+	expectedDiskID string  // disk id of the Target at this address; empty if not known
+	lastReport     *Report // newest report received; nil if none
 
 	observedSince core.Time // when the observation of this incarnation of the peer began
-	lastContact   core.Time // when its newest message was received
-	// lastDirectContact is when the newest message was received that no relay brought.
+	lastContact   core.Time // when the newest message from the peer was received
+	// lastDirectContact is when the newest message that did not come through a relay was received.
 	lastDirectContact core.Time
-	// roundTripProven: this incarnation of the peer has answered a message, the newest of which was
-	// sent at lastRoundTrip.
+	// roundTripProven is whether this incarnation of the peer has answered a message.
 	roundTripProven bool
-	lastRoundTrip   core.Time
+	// lastRoundTrip is when the newest answered message was sent.
+	lastRoundTrip core.Time
 
 	paths             paths
-	nextRelayedPingAt core.Time
-	nextPingAt        core.Time // of direct pings
-	pingSequence      uint64    // of the newest ping to it
-	// sentPings and sentPongs are rings by sequence number, of this node's pings and of the peer's.
-	sentPings        [sentHistory]sentMessage
-	sentPongs        [sentHistory]sentMessage
-	lastPongSequence uint64 // of the newest ping that it has answered
+	nextRelayedPingAt core.Time // earliest time of the next relayed pings
+	nextPingAt        core.Time // earliest time of the next direct ping
+	pingSequence      uint64    // sequence number of the newest ping to the peer
+	// sentPings is a ring buffer of the newest pings to the peer, indexed by this node's sequence
+	// numbers. sentPongs holds the newest pongs to the peer, indexed by the sequence numbers of the
+	// peer's pings.
+	sentPings [sentHistorySize]sentMessage
+	sentPongs [sentHistorySize]sentMessage
+	// lastPongSequence is the sequence number of the newest ping that the peer has answered.
+	lastPongSequence uint64
 
-	diskFaultSince core.Time // core.Never: its disk is healthy
-	wedgedSince    core.Time // core.Never: it isn't wedged
+	diskFaultSince core.Time // when the disk fault was first reported; core.Never if the disk is healthy
+	wedgedSince    core.Time // when the wedge was first reported; core.Never if the peer is not wedged
 }
 
-// diskReplaced reports whether another disk than the voter's is at its address.
+// diskReplaced reports whether the node at this address has reported another disk than the voter's.
 func (p *peer) diskReplaced(diskID string) bool {
 	return p.lastReport != nil && p.lastReport.Voter.GetDiskId() != diskID
 }
 
-// hasRoundTrip reports whether a round trip within FailureTimeout is proven.
-func (p *peer) hasRoundTrip(now core.Time) bool {
+// hasRecentRoundTrip reports whether the newest round trip with the peer began within FailureTimeout.
+func (p *peer) hasRecentRoundTrip(now core.Time) bool {
 	return p.roundTripProven && now-p.lastRoundTrip <= FailureTimeout
 }
 
-// restartObservation discards what an earlier incarnation of the peer has proven.
+// restartObservation discards the round trips and paths that an earlier incarnation of the peer has
+// proven.
 func (p *peer) restartObservation(now core.Time) {
-	p.sentPongs = [sentHistory]sentMessage{}
+	p.sentPongs = [sentHistorySize]sentMessage{}
 	p.roundTripProven = false
 	p.observedSince = now
 	p.lastPongSequence = 0
 	p.paths = paths{directProvenAt: max(p.paths.directProvenAt, now-relayTimeout)}
 }
 
+// recordDiskState sets diskFaultSince by the disk state that the peer reported at the time now.
 func (p *peer) recordDiskState(now core.Time, healthy bool) {
 	if healthy {
 		p.diskFaultSince = core.Never
@@ -116,8 +123,8 @@
 	p.diskFaultSince = min(p.diskFaultSince, now)
 }
 
-// recordWedge keeps the time since when the peer has been wedged in one epoch. It must be called
-// before the report replaces the last one.
+// recordWedge sets wedgedSince by the given report. The time starts again when the peer is wedged in
+// another epoch than in its last report, so recordWedge must be called before lastReport is replaced.
 func (p *peer) recordWedge(now core.Time, report *Report) {
 	if !report.Wedged || p.lastReport == nil || p.lastReport.Epoch != report.Epoch {
 		p.wedgedSince = core.Never
--- a/internal/node/view/pings.go
+++ b/internal/node/view/pings.go
@@ -5,12 +5,12 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// NewPing makes the next ping for the address, to be sent by the relay via, or directly where that
-// is empty. self is this node's own report.
+// NewPing returns the next ping to the node at the address and records it as sent. The caller must
+// send it through the relay via, or directly if via is empty. self is this node's own report.
 func (d *Detector) NewPing(address, via string, self Report) *nodepb.VoterPing {
-	p := d.peer(address)
+	p := d.peerAt(address)
 	p.pingSequence++
-	p.sentPings[p.pingSequence%sentHistory] = sentMessage{p.pingSequence, d.now, via}
+	p.sentPings[p.pingSequence%sentHistorySize] = sentMessage{p.pingSequence, d.now, via}
 	if via == "" {
 		p.nextPingAt = d.now
 		if d.now-p.lastDirectContact > slowPingTimeout {
@@ -31,13 +31,14 @@
 	}
 }
 
-// ReceivePing records a ping and makes the pong, which must return by the relay via that brought
-// the ping: only then does the acknowledgement of the pong prove that path.
+// ReceivePing records a ping from the node at the address and returns the pong. The caller must send
+// the pong through the relay via, by which the ping came, or directly if via is empty: only then does
+// the acknowledgement of the pong prove that path. self is this node's own report.
 func (d *Detector) ReceivePing(address, via string, ping *nodepb.VoterPing, self Report) *nodepb.VoterPong {
-	p := d.peer(address)
+	p := d.peerAt(address)
 	d.recordReport(p, via, reportOf(ping))
-	d.recordArrival(p, p.sentPongs[ping.GetAcknowledgedPong()%sentHistory], ping.GetAcknowledgedPong())
-	p.sentPongs[ping.GetSequence()%sentHistory] = sentMessage{ping.GetSequence(), d.now, via}
+	d.recordArrival(p, p.sentPongs[ping.GetAcknowledgedPong()%sentHistorySize], ping.GetAcknowledgedPong())
+	p.sentPongs[ping.GetSequence()%sentHistorySize] = sentMessage{ping.GetSequence(), d.now, via}
 	return &nodepb.VoterPong{
 		Sequence:          ping.GetSequence(),
 		Self:              self.Voter,
@@ -51,19 +52,20 @@
 	}
 }
 
-// ReceivePong records the answer to a ping.
+// ReceivePong records the answer to a ping, received from the node at the address through the relay
+// via, or directly if via is empty.
 func (d *Detector) ReceivePong(address, via string, pong *nodepb.VoterPong) {
-	p := d.peer(address)
+	p := d.peerAt(address)
 	d.recordReport(p, via, reportOf(pong))
-	if d.recordArrival(p, p.sentPings[pong.GetSequence()%sentHistory], pong.GetSequence()) {
+	if d.recordArrival(p, p.sentPings[pong.GetSequence()%sentHistorySize], pong.GetSequence()) {
 		p.lastPongSequence = max(p.lastPongSequence, pong.GetSequence())
 	}
 }
 
-// RecordRoundTrip records a round trip that other messages have proven: one that was sent at sentAt
-// has been answered.
+// RecordRoundTrip records a round trip proven by messages other than pings: the voter at the address
+// has answered a message that was sent at sentAt.
 func (d *Detector) RecordRoundTrip(address string, voter *nodepb.Voter, sentAt core.Time) {
-	p := d.peer(address)
+	p := d.peerAt(address)
 	if p.lastReport == nil || p.lastReport.Voter.GetDiskId() != voter.GetDiskId() {
 		d.recordReport(p, "", Report{Voter: voter, DiskHealthy: true, CountsForQuorum: true})
 	}
@@ -72,9 +74,10 @@
 	p.lastRoundTrip = max(p.lastRoundTrip, sentAt)
 }
 
-// recordArrival records that the message with the sequence number has arrived. It reports false,
-// and proves nothing, for a number that this incarnation of the node did not send or no longer
-// remembers.
+// recordArrival records a round trip, as the peer has acknowledged the message with the given
+// sequence number. message is the entry of the ring buffer for that number. recordArrival records
+// nothing and returns false if this incarnation of the node did not send the number, or if a newer
+// message has overwritten the entry.
 func (d *Detector) recordArrival(p *peer, message sentMessage, sequence uint64) bool {
 	if sequence == 0 || message.sequence != sequence {
 		return false
@@ -85,8 +88,9 @@
 	return true
 }
 
-// recordReport replaces the peer's last report by one that came by the relay via, or directly where
-// that is empty.
+// recordReport replaces the peer's last report. The new report came through the relay via, or
+// directly if via is empty. A changed node id means that the peer has restarted, which restarts the
+// observation.
 func (d *Detector) recordReport(p *peer, via string, report Report) {
 	if via == "" {
 		p.lastDirectContact = d.now
--- a/internal/node/view/reachability.go
+++ b/internal/node/view/reachability.go
@@ -6,38 +6,41 @@
 	"kestrelspread/internal/node/core"
 )
 
-// Condition is what a node knows of the round trip to a voter and of the voter's disk.
+// Condition is the condition of a voter as another node sees it: whether the voter can be reached
+// and whether its disk works.
 type Condition uint8
 
-// The conditions of a voter.
+// Conditions of a voter.
 const (
-	// Unknown: neither proven, nor watched for FailureTimeout yet.
+	// Unknown means that no recent round trip is proven, but that the voter has not been observed for
+	// longer than FailureTimeout either.
 	Unknown Condition = iota
-	// Reachable: a round trip within FailureTimeout, and a healthy disk.
+	// Reachable means that a round trip within FailureTimeout is proven and that the disk is healthy.
 	Reachable
-	// Failed: no round trip within FailureTimeout, or a disk fault, or another disk at the voter's
-	// address.
+	// Failed means that there was no round trip within FailureTimeout, that the disk has a fault, or
+	// that the node at the voter's address has another disk.
 	Failed
 )
 
-// FailureDetector is what the choice of the next view needs to know of the other voters, each named
-// by its disk id. Detector implements it.
+// FailureDetector provides what Reconfiguration needs to know of the other voters, which are
+// identified by their disk ids. Detector implements it.
 type FailureDetector interface {
+	// Condition returns the condition of the voter.
 	Condition(diskID string) Condition
-	// FailedFor is how long the voter has failed, 0 if it has not.
+	// FailedFor returns for how long the voter has failed, or 0 if it has not failed.
 	FailedFor(diskID string) core.Time
-	// Unreachable reports whether there is no round trip to the voter, whatever the health of its
-	// disk.
+	// Unreachable reports whether there is no recent round trip to the voter. A disk fault doesn't
+	// count.
 	Unreachable(diskID string) bool
-	// LinkBroken reports whether one of the two reported that the other is unreachable.
+	// LinkBroken reports whether one of the two voters has reported the other as unreachable.
 	LinkBroken(a, b string) bool
-	// Stalled reports whether the voter has been wedged in the current epoch for longer than a
-	// proposal takes.
+	// Stalled reports whether the voter has been wedged in its current epoch for longer than a
+	// proposal should take (stalledTimeout).
 	Stalled(diskID string) bool
 }
 
-// LastReport returns the last report of the node at the address, nil if none came within
-// FailureTimeout.
+// LastReport returns the last report of the node at the address, or nil if the last contact with the
+// node is older than FailureTimeout.
 func (d *Detector) LastReport(address string) *Report {
 	p := d.peers[address]
 	if p == nil || p.lastReport == nil || d.now-p.lastContact > FailureTimeout {
@@ -46,6 +49,7 @@
 	return p.lastReport
 }
 
+// voterPeer returns the peer at the address of the voter with the disk id, or nil if there is none.
 func (d *Detector) voterPeer(diskID string) *peer { return d.peers[d.voterAddresses[diskID]] }
 
 // Condition implements FailureDetector.
@@ -56,7 +60,7 @@
 		return Failed
 	case p.diskReplaced(diskID) || p.diskFaultSince != core.Never:
 		return Failed
-	case p.hasRoundTrip(d.now):
+	case p.hasRecentRoundTrip(d.now):
 		return Reachable
 	case d.now-p.observedSince <= FailureTimeout:
 		return Unknown
@@ -65,7 +69,8 @@
 	}
 }
 
-// FailedFor implements FailureDetector. A voter whose disk was replaced has failed for ever.
+// FailedFor implements FailureDetector. It returns core.Never, the longest time, for a voter whose
+// disk was replaced, as that voter can't return.
 func (d *Detector) FailedFor(diskID string) core.Time {
 	p := d.voterPeer(diskID)
 	if p == nil || d.Condition(diskID) != Failed {
@@ -86,7 +91,8 @@
 	return d.reportsUnreachable(a, b) || d.reportsUnreachable(b, a)
 }
 
-// reportsUnreachable reports whether the last report of the voter names the other as unreachable.
+// reportsUnreachable reports whether the last report of the voter lists the other voter as
+// unreachable. It returns false if the voter hasn't been in contact within FailureTimeout.
 func (d *Detector) reportsUnreachable(diskID, other string) bool {
 	report := d.LastReport(d.voterAddresses[diskID])
 	if report == nil || report.Voter.GetDiskId() != diskID {
@@ -101,13 +107,13 @@
 	return p != nil && p.wedgedSince != core.Never && d.now-p.wedgedSince > stalledTimeout
 }
 
-// UnreachableVoters lists the disk ids of the voters without a round trip, sorted; those with a
-// disk fault alone are not among them.
+// UnreachableVoters returns the sorted disk ids of the voters without a round trip for longer than
+// FailureTimeout. It doesn't include voters that merely have a disk fault or whose disk was replaced.
 func (d *Detector) UnreachableVoters() []string {
 	var unreachable []string
 	for diskID, address := range d.voterAddresses {
 		p := d.peers[address]
-		if p == nil || p.diskReplaced(diskID) || p.hasRoundTrip(d.now) || d.now-p.observedSince <= FailureTimeout {
+		if p == nil || p.diskReplaced(diskID) || p.hasRecentRoundTrip(d.now) || d.now-p.observedSince <= FailureTimeout {
 			continue
 		}
 		unreachable = append(unreachable, diskID)
@@ -121,7 +127,7 @@
 	return slices.Contains(d.UnreachableVoters(), diskID)
 }
 
-// ReachableVoters lists the disk ids of the voters that are Reachable, sorted.
+// ReachableVoters returns the sorted disk ids of the voters whose condition is Reachable.
 func (d *Detector) ReachableVoters() []string {
 	var reachable []string
 	for diskID := range d.voterAddresses {
