--- a/internal/node/view/acceptor.go
+++ b/internal/node/view/acceptor.go
@@ -30,7 +30,12 @@
 
 // Record returns the state that must be durable before an answer of the acceptor is sent.
 func (a *Acceptor) Record() *nodepb.AcceptorRecord {
-	return &nodepb.AcceptorRecord{Epoch: a.Epoch, PromisedNumber: a.promisedNumber, AcceptedNumber: a.acceptedNumber, AcceptedView: a.acceptedView}
+	return &nodepb.AcceptorRecord{
+		Epoch:          a.Epoch,
+		PromisedNumber: a.promisedNumber,
+		AcceptedNumber: a.acceptedNumber,
+		AcceptedView:   a.acceptedView,
+	}
 }
 
 // Blank reports whether the acceptor has neither promised nor accepted a proposal.
--- a/internal/node/view/acceptor_test.go
+++ b/internal/node/view/acceptor_test.go
@@ -8,8 +8,9 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-func proposalNumber(round uint64, proposer string) *nodepb.ProposalNumber {
-	return &nodepb.ProposalNumber{Counter: round, Proposer: proposer}
+// proposalNumber returns a proposal number with the given counter.
+func proposalNumber(counter uint64, proposer string) *nodepb.ProposalNumber {
+	return &nodepb.ProposalNumber{Counter: counter, Proposer: proposer}
 }
 
 func TestCompareNumbersOrdersByCounterThenProposer(t *testing.T) {
@@ -27,18 +28,20 @@
 	}
 }
 
+// TestAcceptorKeepsItsPromise checks that an acceptor rejects numbers below the promised one, and that a
+// restored acceptor still reports the view that it accepted.
 func TestAcceptorKeepsItsPromise(t *testing.T) {
 	a := NewAcceptor(2)
 	promise, changed := a.Prepare(proposalNumber(3, "a"))
 	assert.Assert(t, changed && !promise.GetRejected())
 	promise, changed = a.Prepare(proposalNumber(3, "a"))
-	assert.Assert(t, !changed && !promise.GetRejected(), "a repeat is promised again")
+	assert.Assert(t, !changed && !promise.GetRejected(), "a repeated request is promised again")
 	promise, _ = a.Prepare(proposalNumber(2, "z"))
 	assert.Assert(t, promise.GetRejected())
 	assert.Equal(t, promise.GetNumber().GetCounter(), uint64(3))
 
-	lower, changed := a.Accept(proposalNumber(2, "z"), &nodepb.View{Epoch: 2})
-	assert.Assert(t, lower.GetRejected() && !changed)
+	rejected, changed := a.Accept(proposalNumber(2, "z"), &nodepb.View{Epoch: 2})
+	assert.Assert(t, rejected.GetRejected() && !changed)
 	value := &nodepb.View{Epoch: 2, Chain: []string{"x"}}
 	accepted, changed := a.Accept(proposalNumber(3, "a"), value)
 	assert.Assert(t, !accepted.GetRejected() && changed)
@@ -51,6 +54,8 @@
 	assert.Equal(t, CompareNumbers(promise.GetAcceptedNumber(), proposalNumber(3, "a")), 0)
 }
 
+// TestAcceptImpliesAPromise checks that an acceptor which accepted a proposal without a Prepare rejects
+// lower numbers from then on.
 func TestAcceptImpliesAPromise(t *testing.T) {
 	a := NewAcceptor(2)
 	_, changed := a.Accept(proposalNumber(5, "a"), &nodepb.View{Epoch: 2})
--- a/internal/node/view/paths_test.go
+++ b/internal/node/view/paths_test.go
@@ -9,104 +9,115 @@
 	"kestrelspread/internal/node/nodepb"
 )
 
-// relayedPair is a voterPair with two nodes that may relay between them.
-func relayedPair() *voterPair {
-	p := newVoterPair("a", "b")
-	for _, node := range p.nodes {
+// newRelayedNetwork returns a network of two voters, a and b, and two relays, r1 and r2, after one second. The relays are
+// no voters. The voters also list themselves as relays, which they must not use.
+func newRelayedNetwork() *voterNetwork {
+	network := newVoterNetwork("a", "b")
+	for _, node := range network.nodes {
 		node.SetRelays([]string{"r1", "r2", "b", "a"})
 	}
-	p.step(time.Second)
-	return p
+	network.advance(time.Second)
+	return network
 }
 
+// TestNoRelayWhileTheDirectPathIsProven checks that relays cause no additional pings while they aren't needed.
 func TestNoRelayWhileTheDirectPathIsProven(t *testing.T) {
-	p := relayedPair()
-	before := p.sent
-	p.step(10 * time.Second)
-	assert.Assert(t, p.sent-before <= 41, "%d pings in ten seconds", p.sent-before)
-	assert.Equal(t, p.nodes["a"].Route("b"), "")
-	assert.Equal(t, p.nodes["b"].Route("a"), "")
+	network := newRelayedNetwork()
+	before := network.sent
+	network.advance(10 * time.Second)
+	assert.Assert(t, network.sent-before <= 41, "%d pings in ten seconds", network.sent-before)
+	assert.Equal(t, network.nodes["a"].Route("b"), "")
+	assert.Equal(t, network.nodes["b"].Route("a"), "")
 }
 
+// TestRelayProvesThePathBeforeThePeerFails checks that a peer stays Reachable at all times when its direct path
+// breaks in one or both directions, because a relay is found before FailureTimeout.
 func TestRelayProvesThePathBeforeThePeerFails(t *testing.T) {
-	for _, mute := range [][]string{{"a"}, {"b"}, {"a", "b"}} {
-		p := relayedPair()
-		for _, name := range mute {
-			p.partitioned[name] = true
+	for _, senders := range [][]string{{"a"}, {"b"}, {"a", "b"}} {
+		network := newRelayedNetwork()
+		for _, name := range senders {
+			network.partitioned[name] = true
 		}
 		for range 100 {
-			p.step(50 * time.Millisecond)
-			assert.Equal(t, p.nodes["a"].Condition("b"), Reachable, "mute: %v, at %v", mute, p.now)
-			assert.Equal(t, p.nodes["b"].Condition("a"), Reachable, "mute: %v, at %v", mute, p.now)
+			network.advance(50 * time.Millisecond)
+			assert.Equal(t, network.nodes["a"].Condition("b"), Reachable, "partitioned: %v, at %v", senders, network.now)
+			assert.Equal(t, network.nodes["b"].Condition("a"), Reachable, "partitioned: %v, at %v", senders, network.now)
 		}
-		assert.Assert(t, p.nodes["a"].Route("b") != "", "mute: %v", mute)
-		assert.Assert(t, p.nodes["b"].Route("a") != "", "mute: %v", mute)
+		assert.Assert(t, network.nodes["a"].Route("b") != "", "partitioned: %v", senders)
+		assert.Assert(t, network.nodes["b"].Route("a") != "", "partitioned: %v", senders)
 	}
 }
 
+// TestDirectPathIsUsedAgainOnceProven checks that messages and pings return to the direct path after a partition.
 func TestDirectPathIsUsedAgainOnceProven(t *testing.T) {
-	p := relayedPair()
-	p.partitioned["a"], p.partitioned["b"] = true, true
-	p.step(12 * time.Second)
-	p.partitioned["a"], p.partitioned["b"] = false, false
-	p.step(2 * time.Second)
-	assert.Equal(t, p.nodes["a"].Route("b"), "")
-	assert.Equal(t, p.nodes["b"].Route("a"), "")
-	before := p.sent
-	p.step(10 * time.Second)
-	assert.Assert(t, p.sent-before <= 41, "%d pings in ten seconds after the partition", p.sent-before)
+	network := newRelayedNetwork()
+	network.partitioned["a"], network.partitioned["b"] = true, true
+	network.advance(12 * time.Second)
+	network.partitioned["a"], network.partitioned["b"] = false, false
+	network.advance(2 * time.Second)
+	assert.Equal(t, network.nodes["a"].Route("b"), "")
+	assert.Equal(t, network.nodes["b"].Route("a"), "")
+	before := network.sent
+	network.advance(10 * time.Second)
+	assert.Assert(t, network.sent-before <= 41, "%d pings in ten seconds after the partition", network.sent-before)
 }
 
+// TestPartitionedRelayIsReplaced checks that the peer stays Reachable through another relay when the relay in use
+// is partitioned.
 func TestPartitionedRelayIsReplaced(t *testing.T) {
-	p := relayedPair()
-	p.partitioned["a"], p.partitioned["b"] = true, true
-	p.step(2 * time.Second)
-	chosen := p.nodes["a"].Route("b")
-	p.partitioned["a>"+chosen] = true
+	network := newRelayedNetwork()
+	network.partitioned["a"], network.partitioned["b"] = true, true
+	network.advance(2 * time.Second)
+	chosen := network.nodes["a"].Route("b")
+	network.partitioned["a>"+chosen] = true
 	for range 60 {
-		p.step(50 * time.Millisecond)
-		assert.Equal(t, p.nodes["a"].Condition("b"), Reachable, "at %v", p.now)
+		network.advance(50 * time.Millisecond)
+		assert.Equal(t, network.nodes["a"].Condition("b"), Reachable, "at %v", network.now)
 	}
-	other := p.nodes["a"].Route("b")
-	assert.Assert(t, other != chosen && other != "", "%s after %s", other, chosen)
+	other := network.nodes["a"].Route("b")
+	assert.Assert(t, other != chosen && other != "", "relay %q after %q was partitioned", other, chosen)
 }
 
-func TestPeerThatNoPathReachesHasFailed(t *testing.T) {
-	p := relayedPair()
-	p.partitioned["a"], p.partitioned["b"] = true, true
+// TestPeerWithoutWorkingPathFails checks that a peer fails if neither the direct path nor a relay works, and that
+// both nodes then ping less often.
+func TestPeerWithoutWorkingPathFails(t *testing.T) {
+	network := newRelayedNetwork()
+	network.partitioned["a"], network.partitioned["b"] = true, true
 	for _, relay := range []string{"r1", "r2"} {
-		p.partitioned["a>"+relay], p.partitioned["b>"+relay] = true, true
+		network.partitioned["a>"+relay], network.partitioned["b>"+relay] = true, true
 	}
-	p.step(1500 * time.Millisecond)
-	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
-	assert.Equal(t, p.nodes["a"].Route("b"), "")
-	p.step(6 * time.Second)
-	before := p.sent
-	p.step(10 * time.Second)
-	assert.Assert(t, p.sent-before <= 44, "%d pings of both, direct and relayed, in ten seconds", p.sent-before)
+	network.advance(1500 * time.Millisecond)
+	assert.Equal(t, network.nodes["a"].Condition("b"), Failed)
+	assert.Equal(t, network.nodes["a"].Route("b"), "")
+	network.advance(6 * time.Second)
+	before := network.sent
+	network.advance(10 * time.Second)
+	assert.Assert(t, network.sent-before <= 44, "%d direct and relayed pings of both nodes in ten seconds", network.sent-before)
 }
 
+// TestRelayProvesNothingForAnotherIncarnation checks that a path proven through a relay is discarded when the peer
+// restarts.
 func TestRelayProvesNothingForAnotherIncarnation(t *testing.T) {
-	p := relayedPair()
-	p.partitioned["a"], p.partitioned["b"] = true, true
-	p.step(2 * time.Second)
-	assert.Assert(t, p.nodes["a"].Route("b") != "")
+	network := newRelayedNetwork()
+	network.partitioned["a"], network.partitioned["b"] = true, true
+	network.advance(2 * time.Second)
+	assert.Assert(t, network.nodes["a"].Route("b") != "")
 	restarted := &nodepb.Voter{DiskId: "b", Address: "b", NodeId: "b#2"}
-	p.nodes["a"].ReceivePing("b", "r1", &nodepb.VoterPing{Sequence: 1, Self: restarted, DiskHealthy: true}, p.reports["a"])
-	assert.Equal(t, p.nodes["a"].Route("b"), "")
-	assert.Equal(t, p.nodes["a"].Condition("b"), Unknown)
+	network.nodes["a"].ReceivePing("b", "r1", &nodepb.VoterPing{Sequence: 1, Self: restarted, DiskHealthy: true}, network.reports["a"])
+	assert.Equal(t, network.nodes["a"].Route("b"), "")
+	assert.Equal(t, network.nodes["a"].Condition("b"), Unknown)
 }
 
-// TestPeerIsNotItsOwnRelay: an unresponsive peer that is the only other node known is pinged
-// directly alone.
+// TestPeerIsNotItsOwnRelay checks that an unresponsive peer isn't used as its own relay when it is the only other node
+// known. It is then pinged directly only.
 func TestPeerIsNotItsOwnRelay(t *testing.T) {
-	p := newVoterPair("a", "b")
-	for _, node := range p.nodes {
+	network := newVoterNetwork("a", "b")
+	for _, node := range network.nodes {
 		node.SetRelays([]string{"b", "a"})
 	}
-	p.step(time.Second)
-	delete(p.nodes, "b")
-	p.step(10 * time.Second)
-	assert.Equal(t, p.nodes["a"].Condition("b"), Failed)
-	assert.Equal(t, p.nodes["a"].Route("b"), "")
+	network.advance(time.Second)
+	delete(network.nodes, "b")
+	network.advance(10 * time.Second)
+	assert.Equal(t, network.nodes["a"].Condition("b"), Failed)
+	assert.Equal(t, network.nodes["a"].Route("b"), "")
 }
