--- a/internal/node/view/nextview.go
+++ b/internal/node/view/nextview.go
@@ -7,8 +7,8 @@
 )
 
 // NextView returns the view to propose, or nil if no view can be proposed at present. The chain of
-// the view contains only replicas that hold all acknowledged entries and joiners that have caught
-// up, except that a leaving node adds no joiners. A majority of its voters is reachable.
+// the view contains only replicas that hold all acknowledged entries, and joiners that have caught
+// up. A majority of its voters is reachable.
 func (r *Reconfiguration) NextView() *nodepb.View {
 	chain := r.nextChain()
 	if len(chain) == 0 {
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -33,7 +33,7 @@
 // paths holds when each path to one peer, direct or through a relay, was last proven. The time is
 // when the newest message that the peer is known to have received over the path was sent.
 type paths struct {
-	directProvenAt core.Time            // starts with the time at which the observation began
+	directProvenAt core.Time            // initially when the observation of the peer began
 	relayProvenAt  map[string]core.Time // by address of the relay
 	nextRelay      int                  // number of relays tried in rotation, which selects the next
 }
