--- a/internal/node/view/acceptor.go
+++ b/internal/node/view/acceptor.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Blank reports whether the acceptor has neither promised nor accepted a proposal.
+// IsEmpty reports whether the acceptor has neither promised nor accepted a proposal.
 func (a *Acceptor) Blank() bool { return a.promisedNumber == nil && a.acceptedNumber == nil }
 
 // HighestCounter returns the counter of the highest proposal number that the acceptor has promised
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -94,7 +94,7 @@
 	d.relays = slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == d.self.GetAddress() })
 }
 
-// Route returns the internal address of the relay through which to send messages to the address, or
+// RelayFor returns the internal address of the relay through which to send messages to the address, or
 // an empty string if they should be sent directly. It returns a relay only if the direct path has
 // not been proven for longer than passiveRelayTimeout and the path through the relay was proven
 // later than the direct one.
