--- a/internal/harness/faultrun/mutants_test.go
+++ b/internal/harness/faultrun/mutants_test.go
@@ -95,7 +95,7 @@
 	{point: 4, name: "a checkpoint leaves the pending entry out", file: "chain/records.go",
 		original: "	if r.pending != nil {\n		records = append(records, encode(kindEntry, r.pending))\n	}\n", mutation: ""},
 	{point: 4, name: "a checkpoint leaves the promises out", file: "chain/records.go",
-		original: "	if !r.acceptor.Blank() {\n", mutation: "	if false {\n", test: "chain TestCheckpointKeepsEverything"},
+		original: "	if !r.acceptor.IsEmpty() {\n", mutation: "	if false {\n", test: "chain TestCheckpointKeepsEverything"},
 	{point: 4, name: "finished transfers take capacity", file: "transfer/incoming.go",
 		original: "		if !in.complete {\n			count++\n", mutation: "		count++\n		if !in.complete {\n"},
 	{point: 4, name: "absent receivers block transfers", file: "transfer/outgoing.go",
--- a/internal/node/chain/pings.go
+++ b/internal/node/chain/pings.go
@@ -51,7 +51,7 @@
 
 // sendPingNow pings a node outside the usual interval.
 func (r *Replica) sendPingNow(address string) {
-	r.sendPing(view.DuePing{Address: address, Via: r.detector.Route(address)}, r.selfReport())
+	r.sendPing(view.DuePing{Address: address, Via: r.detector.RelayFor(address)}, r.selfReport())
 }
 
 func (r *Replica) sendPing(due view.DuePing, report view.Report) {
@@ -70,7 +70,7 @@
 
 // Route is the internal address of the relay by which messages to the address should go at present;
 // empty: directly. Pings and pongs name the path that they are to prove themselves.
-func (r *Replica) Route(address string) string { return r.detector.Route(address) }
+func (r *Replica) Route(address string) string { return r.detector.RelayFor(address) }
 
 // viewIfOutdated is the view if the last report of the node at the address names an older one, else
 // nil.
--- a/internal/node/chain/records.go
+++ b/internal/node/chain/records.go
@@ -51,7 +51,7 @@
 	if r.view != nil {
 		records = append(records, encode(kindView, r.view))
 	}
-	if !r.acceptor.Blank() {
+	if !r.acceptor.IsEmpty() {
 		records = append(records, encode(kindAcceptor, r.acceptor.Record()))
 	}
 	if r.wedged {
--- a/internal/node/view/acceptor.go
+++ b/internal/node/view/acceptor.go
@@ -39,7 +39,7 @@
 }
 
 // IsEmpty reports whether the acceptor has neither promised nor accepted a proposal.
-func (a *Acceptor) Blank() bool { return a.promisedNumber == nil && a.acceptedNumber == nil }
+func (a *Acceptor) IsEmpty() bool { return a.promisedNumber == nil && a.acceptedNumber == nil }
 
 // HighestCounter returns the counter of the highest proposal number that the acceptor has promised
 // or accepted, or 0 if there is none. Accepting a number also promises it.
--- a/internal/node/view/paths.go
+++ b/internal/node/view/paths.go
@@ -98,7 +98,7 @@
 // an empty string if they should be sent directly. It returns a relay only if the direct path has
 // not been proven for longer than passiveRelayTimeout and the path through the relay was proven
 // later than the direct one.
-func (d *Detector) Route(address string) string {
+func (d *Detector) RelayFor(address string) string {
 	p := d.peers[address]
 	if p == nil || d.now-p.paths.directProvenAt <= passiveRelayTimeout {
 		return ""
--- a/internal/node/view/paths_test.go
+++ b/internal/node/view/paths_test.go
@@ -26,8 +26,8 @@
 	before := network.sent
 	network.advance(10 * time.Second)
 	assert.Assert(t, network.sent-before <= 41, "%d pings in ten seconds", network.sent-before)
-	assert.Equal(t, network.nodes["a"].Route("b"), "")
-	assert.Equal(t, network.nodes["b"].Route("a"), "")
+	assert.Equal(t, network.nodes["a"].RelayFor("b"), "")
+	assert.Equal(t, network.nodes["b"].RelayFor("a"), "")
 }
 
 // TestRelayProvesThePathBeforeThePeerFails checks that a peer stays Reachable at all times when its direct path
@@ -43,8 +43,8 @@
 			assert.Equal(t, network.nodes["a"].Condition("b"), Reachable, "partitioned: %v, at %v", senders, network.now)
 			assert.Equal(t, network.nodes["b"].Condition("a"), Reachable, "partitioned: %v, at %v", senders, network.now)
 		}
-		assert.Assert(t, network.nodes["a"].Route("b") != "", "partitioned: %v", senders)
-		assert.Assert(t, network.nodes["b"].Route("a") != "", "partitioned: %v", senders)
+		assert.Assert(t, network.nodes["a"].RelayFor("b") != "", "partitioned: %v", senders)
+		assert.Assert(t, network.nodes["b"].RelayFor("a") != "", "partitioned: %v", senders)
 	}
 }
 
@@ -55,8 +55,8 @@
 	network.advance(12 * time.Second)
 	network.partitioned["a"], network.partitioned["b"] = false, false
 	network.advance(2 * time.Second)
-	assert.Equal(t, network.nodes["a"].Route("b"), "")
-	assert.Equal(t, network.nodes["b"].Route("a"), "")
+	assert.Equal(t, network.nodes["a"].RelayFor("b"), "")
+	assert.Equal(t, network.nodes["b"].RelayFor("a"), "")
 	before := network.sent
 	network.advance(10 * time.Second)
 	assert.Assert(t, network.sent-before <= 41, "%d pings in ten seconds after the partition", network.sent-before)
@@ -68,13 +68,13 @@
 	network := newRelayedNetwork()
 	network.partitioned["a"], network.partitioned["b"] = true, true
 	network.advance(2 * time.Second)
-	chosen := network.nodes["a"].Route("b")
+	chosen := network.nodes["a"].RelayFor("b")
 	network.partitioned["a>"+chosen] = true
 	for range 60 {
 		network.advance(50 * time.Millisecond)
 		assert.Equal(t, network.nodes["a"].Condition("b"), Reachable, "at %v", network.now)
 	}
-	other := network.nodes["a"].Route("b")
+	other := network.nodes["a"].RelayFor("b")
 	assert.Assert(t, other != chosen && other != "", "relay %q after %q was partitioned", other, chosen)
 }
 
@@ -88,7 +88,7 @@
 	}
 	network.advance(1500 * time.Millisecond)
 	assert.Equal(t, network.nodes["a"].Condition("b"), Failed)
-	assert.Equal(t, network.nodes["a"].Route("b"), "")
+	assert.Equal(t, network.nodes["a"].RelayFor("b"), "")
 	network.advance(6 * time.Second)
 	before := network.sent
 	network.advance(10 * time.Second)
@@ -101,10 +101,10 @@
 	network := newRelayedNetwork()
 	network.partitioned["a"], network.partitioned["b"] = true, true
 	network.advance(2 * time.Second)
-	assert.Assert(t, network.nodes["a"].Route("b") != "")
+	assert.Assert(t, network.nodes["a"].RelayFor("b") != "")
 	restarted := &nodepb.Voter{DiskId: "b", Address: "b", NodeId: "b#2"}
 	network.nodes["a"].ReceivePing("b", "r1", &nodepb.VoterPing{Sequence: 1, Self: restarted, DiskHealthy: true}, network.reports["a"])
-	assert.Equal(t, network.nodes["a"].Route("b"), "")
+	assert.Equal(t, network.nodes["a"].RelayFor("b"), "")
 	assert.Equal(t, network.nodes["a"].Condition("b"), Unknown)
 }
 
@@ -119,5 +119,5 @@
 	delete(network.nodes, "b")
 	network.advance(10 * time.Second)
 	assert.Equal(t, network.nodes["a"].Condition("b"), Failed)
-	assert.Equal(t, network.nodes["a"].Route("b"), "")
+	assert.Equal(t, network.nodes["a"].RelayFor("b"), "")
 }
