--- a/internal/fleet/statement/collector/collector.go
+++ b/internal/fleet/statement/collector/collector.go
@@ -59,7 +59,7 @@
 	}
 	var err error
 	if j.progress, err = statement.ParseProgress(grant.Progress); err != nil {
-		return fmt.Errorf("parse the progress of the fleet's statements: %w", err)
+		return fmt.Errorf("how far the fleet's statements have come can't be read: %w", err)
 	}
 	j.collection = statement.NewCollection()
 	j.readErrors = map[string]string{}
