--- a/internal/aggregator/policy/admission.go
+++ b/internal/aggregator/policy/admission.go
@@ -10,7 +10,7 @@
 	admitMaxShare      = 0.88  // and for the most valuable
 	tailMinShare       = 0.65  // recent latency of the slowest of its shard requests: limit for the least valuable search
 	tailMaxShare       = 1.0   // and for the most valuable
-	tailPower          = 3.0   // beyond the tail limit, the probability of admission falls with this power of the excess
+	tailPower          = 3.0   // beyond the tail limit, the probability of admission is limit/latency to this power
 	tailSpan           = 3000. // ms over which recent latencies are measured
 	overloadTightening = 0.8   // factor on limits in an overload: a longer queue at a full server adds no throughput, only delay
 	pendingShare       = 0.85  // of the limit on pending work; beyond it only the most valuable searches are admitted
--- a/internal/aggregator/policy/inflight.go
+++ b/internal/aggregator/policy/inflight.go
@@ -1,8 +1,8 @@
 package policy
 
-// batch is what is sent to one server in one round; its shard requests count as one in flight. Its
-// attempts that wait for their client, or are committed and so being answered, are client-bound:
-// they do not delay others at the server. Fields count attempts.
+// batch is a group of shard requests sent to one server in one round, which together count as one in
+// flight. Its attempts that wait for their client, or that are committed, are client-bound: they do
+// not delay others at the server. Fields count attempts.
 type batch struct{ size, inFlight, clientBound int }
 
 // addToBatch adds an attempt to the batch that is open at its server in this round, or to a new
--- a/internal/aggregator/policy/placement.go
+++ b/internal/aggregator/policy/placement.go
@@ -33,7 +33,8 @@
 
 // chooseServer chooses among the candidates as LinnOS does: it skips servers that are predicted
 // slow and takes the one with the fewest of this aggregator's batches in flight. If all are
-// predicted slow, it takes the best of them, unless the shard request has an attempt in flight.
+// predicted slow, it takes the best of them. While the shard request has an attempt in flight, it
+// takes none unless the best is predicted fast and expected to answer soon enough.
 func (p *Policy) chooseServer(placement *placement) stageResult {
 	best := -1
 	var bestPreference preference
--- a/internal/aggregator/policy/policy.go
+++ b/internal/aggregator/policy/policy.go
@@ -15,7 +15,7 @@
 	logInterval         = 500. // ms; minimum time between two log lines
 	searchStages        = 2    // the first stages handle a search, the others each of its shard requests
 	histogramPhases     = 10   // buckets into which the span of a histogram is divided
-	countPhases         = 12   // buckets of a sum; more than histogramPhases, as a span may touch buckets partially
+	countPhases         = 12   // buckets of a sum: a span of histogramPhases bucket widths can touch eleven; one is spare
 )
 
 // Policy makes the decisions of one aggregator. The settings of each part are kept with that part.
@@ -105,7 +105,7 @@
 }
 
 // newCounts returns sums over a span of milliseconds, with a resolution of a tenth of the span. Two
-// buckets more than these ten are kept.
+// buckets more are kept, as a sum may cover a little more than the span.
 func newCounts(span float64) *window.Counts {
 	return window.NewCounts(countPhases, span/histogramPhases)
 }
--- a/internal/aggregator/policy/port.go
+++ b/internal/aggregator/policy/port.go
@@ -157,7 +157,8 @@
 	// CommitAttempt commits a shard request to one attempt: bytes of it have reached the client
 	// (answering), or what the server was sent can't be sent again. From then on no other attempt may
 	// take its place; its end must still be reported. It returns false if the shard request is
-	// committed to another attempt already, or answered: then the caller must cancel this attempt.
+	// committed or answered already, or if this attempt has ended or been cancelled: then the caller
+	// must cancel this attempt.
 	CommitAttempt(request, attempt int, answering bool) bool
 	// SetClientSending sets whether the client is still sending the body of a shard request. While it is,
 	// a missing answer may be the client's fault and not the server's.
--- a/internal/aggregator/policy/probing.go
+++ b/internal/aggregator/policy/probing.go
@@ -2,7 +2,7 @@
 
 const (
 	maxFirstTrialDelay       = 1000.  // ms from an ejection to the first trial at most, or the mean send interval if that is longer
-	firstTrialSlowThresholds = 8.0    // slow thresholds of the fleet: a further upper bound, as a server that only paused is missed
+	firstTrialSlowThresholds = 8.0    // slow thresholds of the fleet, a further upper bound: capacity is short while a paused server waits
 	maxTrialBackoff          = 2000.  // ms between two trials at most, or twice the mean send interval if that is longer
 	sendSpan                 = 10000. // ms over which this aggregator's rate of attempts is measured
 	serversPerAssumedSend    = 10     // the rate is taken to be at least one attempt for this many ready servers in the span
--- a/internal/aggregator/policy/world_test.go
+++ b/internal/aggregator/policy/world_test.go
@@ -405,8 +405,8 @@
 	}
 }
 
-// endAttempts ends some of the attempts in flight, as the behaviour of their servers has it, and
-// all that are overdue. Some clients disconnect.
+// endAttempts ends some of the attempts in flight, with outcomes by the behaviour of their servers,
+// and all that are overdue. Some clients disconnect.
 func (w *world) endAttempts() {
 	live := w.requestOrder[:0]
 	for _, id := range w.requestOrder {
--- a/internal/node/kvindex/doc.go
+++ b/internal/node/kvindex/doc.go
@@ -15,7 +15,7 @@
 //
 // Index entries are hints. Events arrive late or get lost, and a broker may have evicted a part since.
 // A wrong hint costs only the prefill of one part, so nothing is resynchronised after a gap in the
-// events: outdated entries are evicted in time. The salt of an entry, in contrast, is always right. It
+// events: outdated entries are evicted eventually. The salt of an entry, in contrast, is always right. It
 // identifies model, version and tenant, so that an entry never refers to cached data that a request must
 // not use.
 //
--- a/internal/node/kvindex/feed/poller.go
+++ b/internal/node/kvindex/feed/poller.go
@@ -24,7 +24,7 @@
 	connectTimeout = time.Second
 	// idleTimeout is how long an idle connection is kept. The next call usually follows within a second.
 	idleTimeout = 10 * time.Second
-	// maxResponseBytes is the greatest size of a response body.
+	// maxResponseBytes is how much of a response body is read at most.
 	maxResponseBytes = 4 << 20
 
 	// Path and request header of PROTOCOL.md, "KV cache". The header carries the long-poll time in
--- a/internal/node/kvindex/source.go
+++ b/internal/node/kvindex/source.go
@@ -99,7 +99,7 @@
 		s.epoch = events.Epoch
 		if s.cursor > 0 {
 			// The new epoch numbers its events from the start again, so this response lacks those
-			// before the old cursor. Fetch all of them at once.
+			// before the old cursor. Fetch all of them without delay.
 			s.cursor = 0
 			s.nextCallAt = now
 			return reset, nil
--- a/internal/node/loadhint/disseminator.go
+++ b/internal/node/loadhint/disseminator.go
@@ -122,7 +122,7 @@
 // destinationCount returns the number of nodes to which this relay sends.
 func (d *Disseminator) destinationCount() int { return len(d.proxyAddresses) + len(d.relayAddresses) }
 
-// RecordSent schedules a hint that this node's proxy has sent a request to a broker for dissemination.
+// RecordSent schedules the dissemination of a hint: this node's proxy has sent a request to a broker.
 func (d *Disseminator) RecordSent(now core.Time, hint *nodepb.LoadHint) {
 	if d.relayAddress == "" {
 		d.enqueue(now, queuedHint{hint: hint, fromOwnZone: true})
--- a/internal/node/loadhint/disseminator_test.go
+++ b/internal/node/loadhint/disseminator_test.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// For each batch, a relay sends one message to each other proxy of its zone and to each other relay. The
-// number of messages that a proxy receives so doesn't depend on the number of proxies, and the number that
-// a relay sends grows with its own zone only.
+// For each batch, a relay sends one message to each other proxy of its zone and to each other relay. So the
+// number of messages that a proxy receives doesn't depend on the number of proxies, and the number that a
+// relay sends grows with its own zone only.
 func TestMessageCountsPerNode(t *testing.T) {
 	for _, nodes := range []int{12, 48, 192} {
 		c := newCluster(nodes, 0, "a", "b", "c", "d")
--- a/internal/node/loadhint/doc.go
+++ b/internal/node/loadhint/doc.go
@@ -1,6 +1,6 @@
 // Package loadhint disseminates hints about the requests that each proxy has just sent to model brokers.
-// The other proxies so know the length of a broker's queue before its next response shows it, and two
-// brokers don't prefill the same prompt at once. The package is a state machine without I/O. It doesn't
+// This way the other proxies know the length of a broker's queue before its next response shows it, and
+// two brokers don't prefill the same prompt at once. The package is a state machine without I/O. It doesn't
 // interpret hints: package routing does.
 //
 // One proxy of each zone acts as the zone's relay. Every proxy sends its hints to the relay of its zone.
