--- a/internal/node/routing/admission/overload.go
+++ b/internal/node/routing/admission/overload.go
@@ -19,8 +19,8 @@
 	minAnswers        = 8                // answers within latencyWindow before they count
 	lateRatio         = 1.0              // latency over target that lateQuantile exceeds in an overload
 	lateQuantile      = 0.3              // quantile of the latency ratios that is compared with lateRatio
-	shedIncrease      = 0.08             // of the shed share, each ShedInterval of overload
-	shedDecrease      = 0.04             // of the shed share, each ShedInterval without overload
+	shedIncrease      = 0.08             // added to the shed share in each ShedInterval of overload
+	shedDecrease      = 0.04             // subtracted from the shed share in each ShedInterval without overload
 	maxShedShare      = 0.8              // upper bound of the shed share
 	minBusyShare      = 0.5              // share of the brokers that must be busy in an overload
 	maxReportAge      = 2 * time.Second  // older load reports are ignored
--- a/internal/node/routing/brokerstate/health.go
+++ b/internal/node/routing/brokerstate/health.go
@@ -36,8 +36,8 @@
 	lastAnswerAt core.Time     // 0: no answer yet
 	failures     *window.Counts
 	successes    *window.Counts
-	// misdirectedUntil is until when the broker is avoided, as it said that a request was for
-	// another instance or version.
+	// misdirectedUntil is the time until which the broker is avoided, because it said that a request
+	// was for another instance or version.
 	misdirectedUntil core.Time
 	misdirectBackoff time.Duration
 }
--- a/internal/node/routing/decisions_golden_test.go
+++ b/internal/node/routing/decisions_golden_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// proceed reports an event of an open request, or ends the request.
+// continueRequest reports an event of an open request, or ends the request.
 func (c *randomCalls) continueRequest(i int) {
 	open := c.openRequests[i]
 	var out *Attempt
@@ -245,7 +245,7 @@
 	return outcomes[c.random.IntN(len(outcomes))]
 }
 
-// changeTable replaces the entry of one broker.
+// changeInstance replaces the entry of one broker.
 func (c *randomCalls) changeInstance() {
 	i := c.random.IntN(len(c.instances))
 	changed := *c.instances[i]
--- a/internal/node/routing/late.go
+++ b/internal/node/routing/late.go
@@ -25,7 +25,8 @@
 	LateByPrefill LateCause = "its prompt was long"
 	// LateUnexpected: the first event was expected in time at the send.
 	LateUnexpected LateCause = "first event unforeseen"
-	// LateByLongPrefill: a gap between events was too long, and the broker prefilled a long prompt.
+	// LateByLongPrefill: a gap between events was too long, and a long prompt had been sent to the broker
+	// during the stream or within longPromptLead before it.
 	LateByLongPrefill LateCause = "pause: a long prompt was read"
 	// LateByUnexplainedGap: a gap between events was too long, and no cause is known.
 	LateByUnexplainedGap LateCause = "pause: nothing known"
--- a/internal/node/routing/outcomes.go
+++ b/internal/node/routing/outcomes.go
@@ -93,7 +93,7 @@
 func (r *Router) recordCallEnd(now core.Time, req *request, c *brokerstate.Call, outcome *Outcome) {
 	b, pool := c.Broker, req.Pool
 	if !c.Started && r.ejector.TimedOut(now, pool, b) {
-		r.ejector.Eject(now, b, brokerstate.Unresponsive) // once this call has ended, no waiting call may show the timeout
+		r.ejector.Eject(now, b, brokerstate.Unresponsive) // checked before RemoveCall, as TimedOut looks only at calls that wait
 	}
 	if outcome.endedWithoutAnswer() && !c.Started && r.ejector.LatencyMeasurable(c) {
 		pool.TrainOverdue(now, c)
--- a/internal/node/routing/prefixcache/fetch.go
+++ b/internal/node/routing/prefixcache/fetch.go
@@ -145,8 +145,9 @@
 }
 
 // fetchableOwner returns the owner of the parts by the rendezvous order, among all brokers that can
-// be fetched from. It returns nil if the owner is the chosen broker, or if the index lists the
-// parts there. If the chosen broker joined recently, the result is the owner before it joined.
+// be fetched from. It returns nil if the owner is the chosen broker, or if the chosen broker is
+// already known to cache the parts. If the chosen broker joined recently, the result is the owner
+// before it joined.
 func (c *Cache) fetchableOwner(now core.Time, req *inflight.Request, chosen *candidate.Candidate) *brokerstate.Broker {
 	part, ok := prompt.StickyPart(req.Parts)
 	if !ok || chosen.CachedTokens >= prompt.SharedTokens(req.Parts)-blockTolerance {
--- a/internal/node/routing/prefixcache/recent.go
+++ b/internal/node/routing/prefixcache/recent.go
@@ -19,7 +19,7 @@
 
 // recentPrefills remembers, for each part under a salt, the brokers that this proxy or another one
 // sent it to recently. Thus it is known which parts brokers are reading now before the index can
-// tell. It prevents that two brokers read the same part at the same time, and distinguishes parts
+// tell. This keeps two brokers from reading the same part at the same time, and distinguishes parts
 // that were read recently from new ones.
 //
 // Entries are kept in two generations. Once the newer one is as old as repeatedPrefillSpan, the
--- a/internal/node/routing/simulation_test.go
+++ b/internal/node/routing/simulation_test.go
@@ -439,7 +439,7 @@
 }
 
 // checkBudget checks in every window of the retry budget that the arrivals beyond the first of each request
-// are allowed by the number of requests in that window.
+// are allowed by the number of requests in that window and the slack.
 func (s *simulation) checkBudget() {
 	s.t.Helper()
 	requests, from, requestFrom := 0, 0, 0
