--- a/internal/fleet/capacity/capacity.go
+++ b/internal/fleet/capacity/capacity.go
@@ -140,7 +140,7 @@
 }
 
 // levelFor returns the index of the level of a value, and adds the level if there is room for it. If there is none, it returns
-// the level of the next lower value, or the lowest level.
+// the index of the level of the next lower value, or 0 if there is no lower one.
 func (e *Estimator) levelFor(value float64) int {
 	i := e.searchLevel(value)
 	if i < len(e.levels) && e.levels[i].value == value {
--- a/internal/fleet/capacity/mutant_none.go
+++ b/internal/fleet/capacity/mutant_none.go
@@ -5,7 +5,7 @@
 // Deliberate defects, each enabled by a build tag. TestPlantedDefects checks that the tests detect each of them.
 const (
 	mutantHighestFirst = false // the highest values are rejected first
-	mutantStuck        = false // the admitted share never increases again
+	mutantStuck        = false // the admitted share does not increase when the overload ends
 	mutantBlind        = false // the admitted share is not scaled when the capacity changes
 )
 
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -1,4 +1,4 @@
-// Package lease grants the fleet's singleton roles: tasks that exactly one instance performs at a
+// Package lease grants the fleet's singleton roles: tasks that at most one instance performs at a
 // time on behalf of the whole fleet. Each grant carries a lease and a fencing token, and tokens
 // are strictly increasing. The lease decides which instance may start an effect, such as a write.
 // Whether the effect is accepted depends on the token alone: the receiver checks it in the same
--- a/internal/fleet/statement/collector/exports.go
+++ b/internal/fleet/statement/collector/exports.go
@@ -17,8 +17,8 @@
 // manifestName is the file in which an export lists its batches, as one JSON object per line.
 const manifestName = "manifest.jsonl"
 
-// readExports reads what has been exported since the last call. An error in a directory is logged, and the directory is tried again at
-// the next call. That is safe, as a statement is never published without a part that its intent lists.
+// readExports reads what has been exported since the last call. An error in a directory is logged once, and the directory is tried
+// again at the next call. That is safe, as a statement is never published without a part that its intent lists.
 func (j *Job) readExports() error {
 	for _, pattern := range j.Directories {
 		directories, err := filepath.Glob(pattern)
--- a/internal/fleet/zonefailure/evaluate.go
+++ b/internal/fleet/zonefailure/evaluate.go
@@ -27,7 +27,8 @@
 }
 
 // requiredFailures returns how many servers of a site have to fail before the site is declared lost. If enough peers report the
-// loss, half as many suffice, but at least two, as a loss is never declared without own observations.
+// loss, half as many suffice, but at least two, or one in a site with a single ready server, as a loss is never declared without
+// own observations.
 func (d *Detector) requiredFailures(site *siteState) int {
 	if mutantFew {
 		return 1
--- a/internal/fleet/zonefailure/fleet_test.go
+++ b/internal/fleet/zonefailure/fleet_test.go
@@ -57,8 +57,8 @@
 	if with.MaxWarmUpLoad > 1 {
 		t.Errorf("all aggregators together sent a warming-up server %.2f of its capacity, want 1 at most", with.MaxWarmUpLoad)
 	}
-	// Few aggregators use the lost site here, so this test does not show what detection gains. It checks that detection adds no
-	// sub-requests to that site, within 10 %.
+	// Few aggregators use the lost site here, so this test does not show what detection gains; the tests of
+	// internal/standin/fleetsim do. It checks that detection adds no sub-requests to that site, within 10 %.
 	if with.SentToLostSites*10 > without.SentToLostSites*11 {
 		t.Errorf("%d sub-requests to the lost site with detection, %d without", with.SentToLostSites, without.SentToLostSites)
 	}
--- a/internal/fleet/zonefailure/interceptor.go
+++ b/internal/fleet/zonefailure/interceptor.go
@@ -133,8 +133,9 @@
 	p.Decider.EndRound()
 }
 
-// apply logs a change of a site's state and passes it to the policy. In ZoneChanged, a negative spread means that the loss was a
-// false alarm and how long ago it was declared.
+// apply logs the loss of a site, the beginning of its recovery or the end of a false alarm, and passes it to the policy. It passes a
+// probe hint on without logging it, and ignores all other changes. A negative spread in ZoneChanged tells the policy that the loss was
+// a false alarm; its absolute value is the time since the loss was declared, in milliseconds.
 func (p *Interceptor) apply(c Change) {
 	switch {
 	case c.FalseAlarmMs > 0:
--- a/internal/fleet/zonefailure/recovery.go
+++ b/internal/fleet/zonefailure/recovery.go
@@ -1,6 +1,7 @@
 package zonefailure
 
-// minRecoveryShare is the lower bound of the fleet's share, so that it lengthens a recovery step to eight times at most.
+// minRecoveryShare is the lower bound of the fleet's share in this aggregator's recovery of a site. With it, the probes of the
+// site's servers are spread over eight recovery steps at most.
 const minRecoveryShare = 0.125
 
 // advanceRecovery begins, continues or completes the recovery of a lost or recovering site, one of whose servers has answered a
--- a/internal/fleet/zonerecovery/schedule.go
+++ b/internal/fleet/zonerecovery/schedule.go
@@ -37,8 +37,9 @@
 	publishedAt float64 // ms
 }
 
-// New returns a schedule that continues from the stages that the previous holder of the role published. Each stage is taken to
-// begin now, in ms, as the time at which it really began is not known. Malformed data is ignored, and then no site is held back.
+// New returns a schedule that continues from the stages that the previous holder of the role published. now is the present time in
+// ms. Each stage is taken to begin then, because the time at which it really began is not known. Malformed data is ignored as a whole,
+// so that no site is held back.
 func New(config Config, published []byte, now float64) *Schedule {
 	s := &Schedule{config: config, sites: map[int]*siteState{}}
 	stages, err := ParseStages(published)
