--- a/internal/aggregator/engine/engine.go
+++ b/internal/aggregator/engine/engine.go
@@ -4,11 +4,11 @@
 // It makes no decision about searches: it passes events to the policy through policy.Decider and
 // carries out the policy's decisions as its policy.Executor.
 //
-// Invariants: all events of a turn form one round of the policy, between Begin and End; the policy
-// is never called while one of its own calls is in progress, so the results of its decisions are
-// delivered in the next turn; each search gets exactly one final answer; no connection carries the
-// same request id twice at the same time; a frame that the network has not begun to send can be
-// retracted, and is retracted once nobody waits for its requests.
+// Invariants: all events of a turn form one round of the policy, between BeginRound and EndRound;
+// the policy is never called while one of its own calls is in progress, so the results of its
+// decisions are delivered in the next turn; each search gets exactly one final answer; no connection
+// carries the same request id twice at the same time; a frame that the network has not begun to send
+// can be retracted, and is retracted once nobody waits for its requests.
 package engine
 
 import (
@@ -36,19 +36,19 @@
 	Finish(c transport.Conn)
 	// Close closes a connection immediately. Closed is not called.
 	Close(c transport.Conn)
-	// Reading enables or disables reading from a connection.
+	// SetReading enables or disables reading from a connection.
 	SetReading(c transport.Conn, on bool)
-	// Accept enables or disables the accepting of client connections.
+	// SetAccepting enables or disables the accepting of client connections.
 	SetAccepting(on bool)
 	// Retract discards everything written from an offset on, if the operating system has accepted
 	// none of it, and reports whether it did.
 	Retract(c transport.Conn, from int64) bool
-	// Unlisten closes the listeners. It returns false if some clients have connected but cannot be
-	// accepted yet.
+	// CloseListeners closes the listeners. It returns false if some clients have connected but cannot
+	// be accepted yet; their listeners stay open, and it must be called again.
 	CloseListeners() (closed bool)
-	// Door returns the number of the listener that accepted a connection; 0 is the HTTP listener.
+	// ListenerIndex returns the number of the listener that accepted a connection; 0 is the HTTP listener.
 	ListenerIndex(c transport.Conn) int
-	// Arm requests a turn at the given time.
+	// SetTimer requests a turn at the given time, in place of the time requested before.
 	SetTimer(at float64)
 	// Stop ends the event loop.
 	Stop()
@@ -88,7 +88,7 @@
 	serversToSend     []int              // servers for which this round has planned attempts
 	outcomes          []attemptResult    // not yet delivered to the policy
 	probeResults      []probeResult      // not yet delivered to the policy
-	endedSearches     []*search          // ended in this turn; the policy is notified in End
+	endedSearches     []*search          // ended in this turn; the policy is notified in EndTurn
 	resumedClients    []*client          // clients whose pipelined bytes can be read now
 	turnRequested     bool               // work is left for which no event will start a turn
 	writeBuffer       []byte             // for the message that is being written
@@ -140,8 +140,8 @@
 }
 
 // New returns an engine that has its settings and knows no server yet. sockets is the number of
-// descriptors that the process may open, known is the server list to start with, and epoch is the
-// Unix time in milliseconds at which the loop's clock was 0.
+// descriptors that the process may open, known is the server list that the first turn applies, and
+// epoch is the Unix time in milliseconds at which the loop's clock was 0.
 func New(network Network, pool *transport.Pool, log zerolog.Logger, set settings.Values, seed uint64, sockets int,
 	known []byte, discovery netip.AddrPort, epoch float64) *Engine {
 	e := &Engine{
--- a/internal/aggregator/engine/events.go
+++ b/internal/aggregator/engine/events.go
@@ -115,9 +115,9 @@
 	e.network.Close(c)
 }
 
-// Panicked implements transport.Handler. It ends with an error what an event concerned whose
-// handling panicked: the search of its client connection, or its server connection or watch. If the
-// event concerned no connection, all open searches fail; otherwise nothing else is affected.
+// Panicked implements transport.Handler. The handling of an event has panicked. If it was an event of
+// a connection, that connection is closed, after an answer with status 500 if a client waits for one
+// on it, and nothing else is affected. Otherwise all open searches fail.
 func (e *Engine) Panicked(c transport.Conn, what any, stack []byte) {
 	e.Counters.Panics++
 	defer func() { e.closedConn = noConn }()
--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -450,7 +450,8 @@
 	})
 }
 
-// runUntilAnswered lets servers answer until a client has its answer, for at most 30 ms.
+// runUntilAnswered lets servers answer until a client has its answer, for at most 30 ms. That takes
+// several turns, as the network may accept only a part of what was written in each.
 func (w *world) runUntilAnswered(client *modelClient) {
 	for i := 0; i < 30 && client.answers == 0; i++ {
 		w.openConns()
--- a/internal/aggregator/engine/search.go
+++ b/internal/aggregator/engine/search.go
@@ -300,7 +300,7 @@
 	}
 	search.usage.answeredAt = e.now
 	if len(search.requests) == 0 {
-		e.recordUsage(search) // the policy never knew it, so Forget is not called for it
+		e.recordUsage(search) // the policy never knew it, so it does not call ReleaseSearch for it
 		return
 	}
 	e.openSearches--
--- a/internal/aggregator/engine/serverlist.go
+++ b/internal/aggregator/engine/serverlist.go
@@ -42,10 +42,10 @@
 }
 
 // applyList applies a full list or a list of changes. Malformed lists and entries change nothing. A
-// list with an older version is ignored, unless discovery keeps sending it, as a full list, for
-// olderListTimeout: then its versions have been restarted. After a move to another address, the
-// first list from there is applied whatever its version, because what it reports must take effect
-// soon after the move.
+// list with an older version is ignored, unless each new watch, which asks for the full list then,
+// has begun with an older one for olderListTimeout: discovery has restarted its versions. After a
+// move to another address, the first list from there is applied whatever its version, because what
+// it reports must take effect soon after the move.
 func (e *Engine) applyList(watch *watch, line []byte) error {
 	list := &e.serverList
 	version, full, err := protocol.ParseServerList(line, nil)
@@ -218,7 +218,8 @@
 	})
 }
 
-// retractBatches retracts the frames to a server that the network has not begun to send.
+// retractBatches retracts the frames that the network has not begun to send to a server which is
+// draining or gone: what has not begun there must not begin any more.
 func (e *Engine) retractBatches(srv *server) {
 	for _, conn := range srv.conns {
 		if e.retractBatch(conn) {
--- a/internal/aggregator/engine/world_test.go
+++ b/internal/aggregator/engine/world_test.go
@@ -65,7 +65,7 @@
 	now             float64 // ms of the loop's clock
 	conns           []*modelConn
 	freed           []transport.Conn // connection numbers that can be reused
-	timerAt         float64          // set by Arm
+	timerAt         float64          // set by SetTimer
 	stopped         bool             // set by Stop
 	listenersClosed bool
 	paused          bool                    // accepting is suspended
--- a/internal/aggregator/extensions/ledger.go
+++ b/internal/aggregator/extensions/ledger.go
@@ -43,7 +43,7 @@
 	// long retention waits for the recorder.
 	shutdownTimeout = 2 * time.Second
 
-	// The budget leaves the machine to serving: background work takes at most 5% of a core and 2 MiB/s.
+	// The budget of the background work limits what it takes from serving, to 5% of a core and 2 MiB/s.
 	backgroundTimeMsPerS = 50.
 	backgroundBytesPerS  = 2 << 20
 	backgroundBurstS     = 0.5 // seconds of unused budget that may be saved up
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -15,8 +15,9 @@
 	escaped bool   // the scanned bytes end after a backslash within a string
 }
 
-// closesList counts the braces and brackets of a line, and reports whether none is open at its end or
-// the line ends within a string, where a valid list has no line break.
+// closesList counts the braces and brackets of a line, and reports whether the list ends with it. That is
+// so if no brace or bracket is open at the end of the line, or if the line ends within a string: a valid
+// list has no line break there, so it can't continue.
 func (l *LineSplitter) closesList(line []byte) bool {
 	for _, c := range line {
 		switch {
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// errShort reports a record that is longer than the rest of its frame.
+// errOverrun reports a record that is longer than the rest of its frame.
 var errOverrun = errors.New("overruns its frame")
 
 // cursor reads the fields of a frame. A read past the end sets overrun and returns zero, as do all reads
