--- a/cmd/kestrelspread/search_test.go
+++ b/cmd/kestrelspread/search_test.go
@@ -76,7 +76,7 @@
 	discovery.updates <- membershipUpdate(4, true, "ready", first)
 	ready(200)
 	discovery.updates <- "{broken"
-	p.waitUntil("the broken line is told of", func() bool { return strings.Contains(p.log.String(), "not understood") })
+	p.waitUntil("the invalid server list is logged", func() bool { return strings.Contains(p.log.String(), "invalid server list") })
 	p.expect(200, p.exchange(searchRequest("quick", 2900, searchBody(1))))
 	discovery.Server.Close()
 	discovery = startDiscovery(t, discovery.address)
