--- a/internal/aggregator/engine/network_test.go
+++ b/internal/aggregator/engine/network_test.go
@@ -134,8 +134,7 @@
 	w.check()
 }
 
-// deliver accepts what was written, sometimes only a part, and reads the messages that are
-// complete.
+// deliver accepts what was written, sometimes only a part, and reads the complete messages.
 func (w *world) deliver() {
 	for c, conn := range w.conns {
 		if conn == nil || len(conn.unsent) == 0 || w.now < conn.stalledUntil {
